--- /dev/null
+++ b/crates/sim/examples/run_digest.rs
@@ -0,0 +1,155 @@
+//! Plays a fixed set of simulated runs and prints a digest of each.
+//!
+//! A digest covers the bytes and the times of all messages between our processes,
+//! what every kind of call came to, how long each took, and every operator's
+//! answer. It has no names in it, so that a change that only renames or moves code
+//! leaves all digests as they are. `.ci/digests` compares them with
+//! `scenarios/digests.txt`.
+
+use std::sync::Mutex;
+use std::sync::atomic::{AtomicUsize, Ordering};
+
+use serde_json::Value;
+use sim::net::traced;
+use sim::scenario::{Scenario, play_traced, read};
+use sim::world::{Deviation, Deviations, FAULTS, World};
+
+/// Seeds that every run is played with.
+const SEEDS: [u64; 2] = [1, 2];
+/// Window of the explored faults (microseconds of the scenario).
+const EXPLORED: (u64, u64) = (500_000, 850_000);
+/// Events of the controllers between two explored faults (count).
+const EXPLORED_STEP: u64 = 9;
+
+/// The runs: a scenario, and what is drawn or explored beside it.
+const RUNS: [(&str, Extra); 16] = [
+    ("rough", Extra::Nothing),
+    ("core-cut-off", Extra::Nothing),
+    ("core-exchanged", Extra::Nothing),
+    ("drain-in-trouble", Extra::Nothing),
+    ("leaf-garbage", Extra::Nothing),
+    ("leave-owner-change", Extra::Nothing),
+    ("overload", Extra::Nothing),
+    ("recut", Extra::Nothing),
+    ("restart-all", Extra::Nothing),
+    ("rot", Extra::Nothing),
+    ("seat-moves", Extra::Nothing),
+    ("handover", Extra::Nothing),
+    ("handover", Extra::Explored),
+    ("soak", Extra::Drawn),
+    ("soak-seats", Extra::Drawn),
+    ("soak-kahurangi", Extra::Drawn),
+];
+
+/// What happens in a run beside the scenario's own list.
+#[derive(Clone, Copy, PartialEq, Debug)]
+enum Extra {
+    Nothing,
+    /// Faults that are drawn by the seed.
+    Drawn,
+    /// Two faults at numbered events of the controllers, which the seed chooses.
+    Explored,
+}
+
+/// One run of the set.
+struct Run {
+    name: String,
+    scenario: Scenario,
+    seed: u64,
+    deviations: Deviations,
+}
+
+fn main() {
+    let runs = runs();
+    let next = AtomicUsize::new(0);
+    let lines = Mutex::new(vec![String::new(); runs.len()]);
+    let threads = std::thread::available_parallelism().map_or(1, usize::from);
+    std::thread::scope(|workers| {
+        for _ in 0..threads {
+            workers.spawn(|| {
+                loop {
+                    let at = next.fetch_add(1, Ordering::Relaxed);
+                    let Some(run) = runs.get(at) else { break };
+                    let line = format!("{} seed {}: {:016x}", run.name, run.seed, digest(run));
+                    lines.lock().unwrap_or_else(|e| e.into_inner())[at] = line;
+                }
+            });
+        }
+    });
+    for line in lines.into_inner().unwrap_or_else(|e| e.into_inner()) {
+        println!("{line}");
+    }
+}
+
+fn runs() -> Vec<Run> {
+    let mut out = Vec::new();
+    for (name, extra) in RUNS {
+        for seed in SEEDS {
+            let mut scenario = load(name);
+            let mut deviations = Deviations::default();
+            match extra {
+                Extra::Nothing => {}
+                Extra::Drawn => scenario.troubles.extend(sim::chaos::chaos(seed, &scenario)),
+                Extra::Explored => {
+                    let at = |n: u64| Deviation {
+                        event: (seed + n) * EXPLORED_STEP,
+                        fault: FAULTS[(seed + n) as usize % FAULTS.len()],
+                    };
+                    let list = vec![at(0), at(3)];
+                    deviations = Deviations { window: EXPLORED, list, ..deviations };
+                }
+            }
+            let name = match extra {
+                Extra::Nothing => name.to_string(),
+                other => format!("{name} ({})", format!("{other:?}").to_lowercase()),
+            };
+            out.push(Run { name, scenario, seed, deviations });
+        }
+    }
+    out
+}
+
+fn digest(run: &Run) -> u64 {
+    let deviations = Deviations {
+        window: run.deviations.window,
+        list: run.deviations.list.clone(),
+        ..Deviations::default()
+    };
+    let w = play_traced(&run.scenario, run.seed, deviations);
+    let mut hash = w.net.trace.expect("the run keeps the hash of its messages");
+    for number in figures(&w) {
+        hash = traced(hash, &number.to_le_bytes());
+    }
+    hash
+}
+
+/// What a run came to, as numbers.
+fn figures(w: &World) -> Vec<u64> {
+    let mut out = vec![w.now, w.events, w.net.sent, w.net.lost];
+    for tally in w.tally.values() {
+        let rejected = tally.bounced.values().sum();
+        out.extend([tally.full, tally.partial, rejected, tally.unreachable, tally.late]);
+        out.extend(&tally.waits);
+    }
+    out.extend([w.rules.firsts.len() as u64, w.rules.seconds.len() as u64]);
+    for order in &w.orders {
+        out.extend([order.at, u64::from(order.done.is_some())]);
+    }
+    out.extend(w.told_at.values());
+    out.extend(w.rules.counts.values().map(|count| *count as u64));
+    out
+}
+
+fn load(name: &str) -> Scenario {
+    let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
+    let file = |path: String| std::fs::read(&path).map_err(|e| format!("{path}: {e}"));
+    let deployment = |name: &str| -> Result<Value, String> {
+        let raw = file(format!("{root}/deploy/{name}"))?;
+        serde_json::from_slice(&raw).map_err(|e| e.to_string())
+    };
+    let text = file(format!("{root}/scenarios/{name}.json")).expect("the scenario's file is there");
+    match read(&text, &deployment) {
+        Ok(scenario) => scenario,
+        Err(all) => panic!("{name}: {}", grebe::lang::finding::lines(&all)),
+    }
+}
--- a/crates/sim/src/net.rs
+++ b/crates/sim/src/net.rs
@@ -32,10 +32,21 @@
     pub lost: u64,
     /// Messages and bytes by kind and by what carries them, if they are weighed.
     pub weights: Option<BTreeMap<String, (u64, u64)>>,
+    /// A running hash of the bytes and times of all messages, if it is kept.
+    pub trace: Option<u64>,
+}
+
+/// Adds bytes to a running hash (FNV-1a, 64 bits).
+pub fn traced(hash: u64, bytes: &[u8]) -> u64 {
+    const PRIME: u64 = 0x0000_0100_0000_01b3;
+    bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
 
 /// Weighs a message, if messages are weighed.
 pub fn weigh(net: &mut Net, way: &str, msg: &Msg) {
+    if let Some(hash) = net.trace {
+        net.trace = Some(traced(hash, &grebe::wire::frame::write(msg)));
+    }
     if let Some(all) = &mut net.weights {
         let text = format!("{msg:?}");
         let kind = text.split([' ', '(', '{']).next().unwrap_or_default();
@@ -67,6 +78,9 @@
     let at = now + latency(from.1, to.1, luck) + net.slow;
     let last = net.last.entry(pair).or_insert(0);
     *last = at.max(*last + 1);
+    if let Some(hash) = net.trace {
+        net.trace = Some(traced(hash, &last.to_le_bytes()));
+    }
     Some(*last)
 }
 
--- a/crates/sim/src/scenario.rs
+++ b/crates/sim/src/scenario.rs
@@ -576,6 +576,18 @@
     w
 }
 
+/// `play_deviating`, with the hash of all messages kept from the moment the fleet
+/// has come up.
+pub fn play_traced(s: &Scenario, seed: u64, deviations: world::Deviations) -> World {
+    let mut w = come_up(s, seed, None);
+    w.net.trace = Some(0);
+    let began = world::since_begin(&w);
+    let (from, to) = deviations.window;
+    w.deviations = world::Deviations { window: (began + from, began + to), ..deviations };
+    play_on(&mut w, s);
+    w
+}
+
 /// A fleet that has come up, before anything happens.
 fn come_up(s: &Scenario, seed: u64, broken: Option<world::Broken>) -> World {
     let mut w = world::world(&s.spec, s.core.clone(), s.queriers, seed);
