--- a/crates/grebe/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -9,13 +9,13 @@
 
 use std::time::{Duration, Instant};
 
-use grebe::disk::write;
-use grebe::seats::roll::{Start, begin};
-use grebe::state::core::{Command, Core, Event, core};
-use grebe::state::order_memory::{self, Recall};
-use grebe::state::step::{WAKE, step};
-use grebe::time::{BOOT, Tick};
-use grebe::wire::msg::{Deed, Done, Map, Msg};
+use grebepath_core::disk::write;
+use grebepath_core::seats::roll::{Start, begin};
+use grebepath_core::state::core::{Command, Core, Event, core};
+use grebepath_core::state::order_memory::{self, Recall};
+use grebepath_core::state::step::{WAKE, step};
+use grebepath_core::time::{BOOT, Tick};
+use grebepath_core::wire::msg::{Deed, Done, Map, Msg};
 use nanoserde::SerBin;
 use serde_json::{Value, json};
 
@@ -60,7 +60,7 @@
             let change = json!({ "zones": [{ "name": "z", "state": "open" }],
                 "terms": { "after": number + 1, "edition": number + 2 } });
             let deed = Deed::Patch(change.to_string().into_bytes());
-            let request = grebe::digest::digest(&number.to_le_bytes());
+            let request = grebepath_core::digest::digest(&number.to_le_bytes());
             operate(&mut controller, &request, deed);
         }
         print(&controller, begin, end);
@@ -74,7 +74,7 @@
     let begin = Instant::now();
     let mut bytes = 0;
     for number in 0..ROUNDS {
-        let request = grebe::digest::digest(&(number * 7_919 % orders).to_le_bytes());
+        let request = grebepath_core::digest::digest(&(number * 7_919 % orders).to_le_bytes());
         let order = order_memory::fingerprint(&request, false, &[]);
         let known = order_memory::recall(map, &request, &order);
         assert_ne!(known, Recall::Accepted { revision: 0 });
@@ -158,7 +158,7 @@
             match command {
                 Command::Append { part, token, rec } => {
                     controller.cost.log_bytes += write::rec(1, 1, &rec).len();
-                    if let grebe::disk::rec::Rec::Change { epoch, rev, entries } = rec {
+                    if let grebepath_core::disk::rec::Rec::Change { epoch, rev, entries } = rec {
                         let change = Msg::Append { part, epoch, rev, entries };
                         controller.cost.message_bytes += change.serialize_bin().len();
                     }
--- a/crates/grebe/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -2,7 +2,7 @@
 //!
 //! Each owner is a plain struct with one free function
 //! `step(state, now, event) -> commands`. The daemons drive these functions
-//! with sockets and disks, the tests and `grebesim` with a virtual clock.
+//! with sockets and disks, the tests and `simulator` with a virtual clock.
 
 pub mod cohort;
 pub mod config;
--- a/crates/grebe/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -1,10 +1,10 @@
 //! When bounced callers are told to come back.
 
 use googletest::prelude::*;
-use grebe::luck::luck;
-use grebe::query::again::{Strain, again_s, note};
-use grebe::query::ask::Reason;
-use grebe::time::{SECOND, ms};
+use grebepath_core::luck::luck;
+use grebepath_core::query::again::{Strain, again_s, note};
+use grebepath_core::query::ask::Reason;
+use grebepath_core::time::{SECOND, ms};
 
 /// Least and most of what 200 callers are told, after `n` calls of which each
 /// `each`th was sent away.
--- a/crates/grebe/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -7,13 +7,13 @@
 
 use cluster::*;
 use googletest::prelude::*;
-use grebe::config::change::config;
-use grebe::consts;
-use grebe::disk::rec::Copy;
-use grebe::state::core::Event;
-use grebe::state::part::Role;
-use grebe::time::{MILLI, SECOND, Span, ms};
-use grebe::wire::msg::{Deed, Done, Life};
+use grebepath_core::config::change::config;
+use grebepath_core::consts;
+use grebepath_core::disk::rec::Copy;
+use grebepath_core::state::core::Event;
+use grebepath_core::state::part::Role;
+use grebepath_core::time::{MILLI, SECOND, Span, ms};
+use grebepath_core::wire::msg::{Deed, Done, Life};
 use serde_json::json;
 
 /// The most that a configuration of some KiB may take with the memory of accepted
--- a/crates/grebe/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -5,16 +5,16 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use grebe::config::change;
-use grebe::config::types::Config;
-use grebe::disk::rec::{Copy, Rec, apply};
-use grebe::names::{CONFIG, PartId, Seat};
-use grebe::seats::roll::{Roll, Start, begin};
-use grebe::state::core::{Command, Core, Event, core};
-use grebe::state::part::Role;
-use grebe::state::step::{WAKE, step};
-use grebe::time::{BOOT, SECOND, Span, Tick};
-use grebe::wire::msg::{Deed, Done, Life, Msg};
+use grebepath_core::config::change;
+use grebepath_core::config::types::Config;
+use grebepath_core::disk::rec::{Copy, Rec, apply};
+use grebepath_core::names::{CONFIG, PartId, Seat};
+use grebepath_core::seats::roll::{Roll, Start, begin};
+use grebepath_core::state::core::{Command, Core, Event, core};
+use grebepath_core::state::part::Role;
+use grebepath_core::state::step::{WAKE, step};
+use grebepath_core::time::{BOOT, SECOND, Span, Tick};
+use grebepath_core::wire::msg::{Deed, Done, Life, Msg};
 
 /// Work that is under way.
 #[derive(Clone, Debug)]
--- a/crates/grebe/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use grebe::luck::{below, chance, luck};
-use grebe::query::cold::{keeps, saved, spend};
-use grebe::query::leaf::leaf;
-use grebe::query::wires::Peer;
-use grebe::time::{BOOT, SECOND, Tick, ms};
+use grebepath_core::luck::{below, chance, luck};
+use grebepath_core::query::cold::{keeps, saved, spend};
+use grebepath_core::query::leaf::leaf;
+use grebepath_core::query::wires::Peer;
+use grebepath_core::time::{BOOT, SECOND, Tick, ms};
 
 fn nodes(n: usize) -> Vec<Peer> {
     (0..n).map(|i| Peer { slot: i as u64 * 7_919 + 3, zone: "z".into() }).collect()
--- a/crates/grebe/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -7,16 +7,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebe::disk::rec::{Copy, Rec, apply};
-use grebe::luck::{Luck, below, luck};
-use grebe::names::PartId;
-use grebe::seats::roll::{Start, begin};
-use grebe::seats::table::told_holder;
-use grebe::state::core::{Command, Core, Event, core};
-use grebe::state::part::Role;
-use grebe::state::step::{WAKE, step};
-use grebe::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
-use grebe::wire::msg::{Deed, Done, Life, Member, Msg, Progress};
+use grebepath_core::disk::rec::{Copy, Rec, apply};
+use grebepath_core::luck::{Luck, below, luck};
+use grebepath_core::names::PartId;
+use grebepath_core::seats::roll::{Start, begin};
+use grebepath_core::seats::table::told_holder;
+use grebepath_core::state::core::{Command, Core, Event, core};
+use grebepath_core::state::part::Role;
+use grebepath_core::state::step::{WAKE, step};
+use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
+use grebepath_core::wire::msg::{Deed, Done, Life, Member, Msg, Progress};
 
 /// One way between two controllers, and one write to a disk.
 const LATENCY: Span = ms(1);
--- a/crates/grebe/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,12 +1,12 @@
 //! A core of one seat with a disk that does at once what it is asked.
 
-use grebe::config::change;
-use grebe::config::types::Config;
-use grebe::seats::roll::{Start, begin};
-use grebe::state::core::{Command, Core, Event, core};
-use grebe::state::step::{WAKE, step};
-use grebe::time::{BOOT, Tick};
-use grebe::wire::msg::{Deed, Done};
+use grebepath_core::config::change;
+use grebepath_core::config::types::Config;
+use grebepath_core::seats::roll::{Start, begin};
+use grebepath_core::state::core::{Command, Core, Event, core};
+use grebepath_core::state::step::{WAKE, step};
+use grebepath_core::time::{BOOT, Tick};
+use grebepath_core::wire::msg::{Deed, Done};
 
 /// The seat, its clock and its operators' numbers.
 pub struct One {
--- a/crates/grebe/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -1,7 +1,7 @@
 //! Reading and checking configurations: every finding, each at its place.
 
 use googletest::prelude::*;
-use grebe::config::{build, change, read, show};
+use grebepath_core::config::{build, change, read, show};
 
 fn good() -> String {
     r#"{
--- a/crates/grebe/tests/desk.rs
+++ b/crates/core/tests/desk.rs
@@ -3,16 +3,16 @@
 use std::sync::Arc;
 
 use googletest::prelude::*;
-use grebe::config::{build, read};
-use grebe::edge::leaf::{Heads, Raw, Trouble, postmark};
-use grebe::lang::selector::Labels;
-use grebe::query::ask::{Ask, Outcome, Reason};
-use grebe::query::desk::{Command, Desk, Door, Event, Sending, desk};
-use grebe::query::share::share;
-use grebe::query::step::{next, step};
-use grebe::time::{BOOT, SECOND, Tick, ms};
-use grebe::view::leafs::LeafInfo;
-use grebe::view::whole::{View, view};
+use grebepath_core::config::{build, read};
+use grebepath_core::edge::leaf::{Heads, Raw, Trouble, postmark};
+use grebepath_core::lang::selector::Labels;
+use grebepath_core::query::ask::{Ask, Outcome, Reason};
+use grebepath_core::query::desk::{Command, Desk, Door, Event, Sending, desk};
+use grebepath_core::query::share::share;
+use grebepath_core::query::step::{next, step};
+use grebepath_core::time::{BOOT, SECOND, Tick, ms};
+use grebepath_core::view::leafs::LeafInfo;
+use grebepath_core::view::whole::{View, view};
 use serde_json::json;
 
 /// Two shards of two leafs each in zones a and b, for the given cut.
@@ -54,7 +54,7 @@
     step(&mut d, BOOT, Event::Grip(Tick::MAX));
     // Enough first dispatches in the past that the retry rule is no hindrance.
     for i in 0..400 {
-        grebe::query::rule::first(&mut d.rule, BOOT + i);
+        grebepath_core::query::rule::first(&mut d.rule, BOOT + i);
     }
     d
 }
@@ -240,7 +240,11 @@
                 .iter()
                 .map(|(m, t)| {
                     let s = share(&members, m, *t);
-                    grebe::query::share::part(&s, grebe::query::share::rank(&s, thing), total)
+                    grebepath_core::query::share::part(
+                        &s,
+                        grebepath_core::query::share::rank(&s, thing),
+                        total,
+                    )
                 })
                 .sum();
             assert_eq!(sum, total);
@@ -250,8 +254,8 @@
             .iter()
             .map(|(m, t)| {
                 let s = share(&members, m, *t);
-                let ranks = grebe::query::share::deal(&s, 5, &[total; 9]);
-                ranks.iter().map(|r| grebe::query::share::part(&s, *r, total)).collect()
+                let ranks = grebepath_core::query::share::deal(&s, 5, &[total; 9]);
+                ranks.iter().map(|r| grebepath_core::query::share::part(&s, *r, total)).collect()
             })
             .collect();
         for leaf in 0..9 {
--- a/crates/grebe/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -2,9 +2,9 @@
 //! truth, a prefix whose tail was never acknowledged, or reported damage.
 
 use googletest::prelude::*;
-use grebe::disk::read::{Found, read};
-use grebe::disk::rec::{Copy, Rec, apply};
-use grebe::disk::write;
+use grebepath_core::disk::read::{Found, read};
+use grebepath_core::disk::rec::{Copy, Rec, apply};
+use grebepath_core::disk::write;
 
 const PART: u32 = 3;
 
--- a/crates/grebe/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -2,16 +2,16 @@
 //! place in the cohort is.
 
 use googletest::prelude::*;
-use grebe::cohort::ring::ring;
-use grebe::cohort::step::step;
-use grebe::cohort::watch::{Command, Event, Watch, watch};
-use grebe::consts;
-use grebe::names::{BEYOND, COHORT, CONFIG, PartId, Seat};
-use grebe::seats::roll::Roll;
-use grebe::seats::table::{told_holder, told_table};
-use grebe::state::core;
-use grebe::time::{BOOT, Tick, ms};
-use grebe::wire::msg::{Cohort, Member, Msg, Place};
+use grebepath_core::cohort::ring::ring;
+use grebepath_core::cohort::step::step;
+use grebepath_core::cohort::watch::{Command, Event, Watch, watch};
+use grebepath_core::consts;
+use grebepath_core::names::{BEYOND, COHORT, CONFIG, PartId, Seat};
+use grebepath_core::seats::roll::Roll;
+use grebepath_core::seats::table::{told_holder, told_table};
+use grebepath_core::state::core;
+use grebepath_core::time::{BOOT, Tick, ms};
+use grebepath_core::wire::msg::{Cohort, Member, Msg, Place};
 
 fn member(n: usize) -> Member {
     let (name, addr) = (format!("m{n}"), format!("10.0.0.{n}:1"));
@@ -148,7 +148,7 @@
         let list = [CONFIG, COHORT].into_iter().chain((1..5).map(PartId));
         let places = list.map(|part| Place { part, rev }).collect();
         let event = core::Event::FromWire { wire: 1, msg: Msg::Follow { places, stamp } };
-        let todo = grebe::state::step::step(c, BOOT, event);
+        let todo = grebepath_core::state::step::step(c, BOOT, event);
         let told = |f: fn(&Msg) -> bool| {
             let sent =
                 |k: &&core::Command| matches!(k, core::Command::ToWire { msg, .. } if f(msg));
--- a/crates/grebe/tests/memberships.rs
+++ b/crates/core/tests/memberships.rs
@@ -5,9 +5,9 @@
 
 use cluster::*;
 use googletest::prelude::*;
-use grebe::state::core::Core;
-use grebe::time::{MILLI, SECOND, ms};
-use grebe::wire::msg::Progress;
+use grebepath_core::state::core::Core;
+use grebepath_core::time::{MILLI, SECOND, ms};
+use grebepath_core::wire::msg::Progress;
 
 /// The membership that a controller tells members: its term and turn.
 fn told(cluster: &Cluster, node: usize) -> (u64, u64) {
--- a/crates/grebe/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -6,9 +6,9 @@
 
 use cluster::*;
 use googletest::prelude::*;
-use grebe::state::step::WAKE;
-use grebe::time::{SECOND, ms};
-use grebe::wire::msg::{Deed, Done};
+use grebepath_core::state::step::WAKE;
+use grebepath_core::time::{SECOND, ms};
+use grebepath_core::wire::msg::{Deed, Done};
 use serde_json::json;
 
 /// A change that builds on one edition and sets the next.
@@ -159,7 +159,11 @@
 /// Three members join, and two of them fall silent: the leader hears no majority
 /// of them and keeps them all.
 fn with_silent_members(cluster: &mut Cluster, leader: usize) {
-    let far = |turn| grebe::wire::msg::Progress { obeys: 0, saw: (0, turn), ..Default::default() };
+    let far = |turn| grebepath_core::wire::msg::Progress {
+        obeys: 0,
+        saw: (0, turn),
+        ..Default::default()
+    };
     for name in ["q1", "q2", "q3"] {
         renew(cluster, leader, name, 1, far(0));
     }
--- a/crates/grebe/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -1,17 +1,17 @@
 //! The memory of accepted orders, against a plain list of what was accepted.
 
 use googletest::prelude::*;
-use grebe::config::change::{Entry, edition};
-use grebe::config::types::Terms;
-use grebe::disk::read::{Found, read};
-use grebe::disk::rec::{Copy, put};
-use grebe::disk::write;
-use grebe::luck::{Luck, below, luck};
-use grebe::state::order_memory::{
+use grebepath_core::config::change::{Entry, edition};
+use grebepath_core::config::types::Terms;
+use grebepath_core::disk::read::{Found, read};
+use grebepath_core::disk::rec::{Copy, put};
+use grebepath_core::disk::write;
+use grebepath_core::luck::{Luck, below, luck};
+use grebepath_core::state::order_memory::{
     Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, is_memory, may_be_forgotten,
     recall, remember, without_memory,
 };
-use grebe::wire::msg::Map;
+use grebepath_core::wire::msg::Map;
 use prost::Message;
 
 /// What must be remembered at least: two days of 7,200 changes each.
@@ -174,7 +174,7 @@
 fn the_memory_stays_bounded_when_orders_crowd_in_few_buckets_and_move_on() {
     // Request ids that were sought out: the digests of each group begin alike.
     let group = |id: &String| {
-        let first = grebe::digest::digest_bytes(id.as_bytes());
+        let first = grebepath_core::digest::digest_bytes(id.as_bytes());
         u16::from_le_bytes([first[0], first[1]]) % 4_096 / 64
     };
     let ids: Vec<String> = (0..50_000).map(|n| format!("id-{n}")).collect();
@@ -233,7 +233,7 @@
 // ---- states of the older form ----------------------------------------------
 
 fn older_value(whole: bool, text: &[u8], revision: u64) -> Vec<u8> {
-    let digest = grebe::digest::digest(&[&[u8::from(whole)], text].concat());
+    let digest = grebepath_core::digest::digest(&[&[u8::from(whole)], text].concat());
     format!("{digest} {revision}").into_bytes()
 }
 
--- a/crates/grebe/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -8,12 +8,12 @@
 use cluster::{Cluster, answer, call, cluster, leader, pass_until, read_back, restart_all};
 use common::{One, one, operate};
 use googletest::prelude::*;
-use grebe::disk::read::{Found, read};
-use grebe::disk::rec::{Copy, put};
-use grebe::names::CONFIG;
-use grebe::state::order_memory::{fingerprint, horizon, remember};
-use grebe::time::SECOND;
-use grebe::wire::msg::{Deed, Done};
+use grebepath_core::disk::read::{Found, read};
+use grebepath_core::disk::rec::{Copy, put};
+use grebepath_core::names::CONFIG;
+use grebepath_core::state::order_memory::{fingerprint, horizon, remember};
+use grebepath_core::time::SECOND;
+use grebepath_core::wire::msg::{Deed, Done};
 use serde_json::{Value, json};
 
 /// A change of one zone with these terms.
@@ -65,7 +65,7 @@
         let entries = remember(&copy.map, &print, base + 1, base + 1);
         put(&mut copy.map, &entries);
     }
-    let terms = grebe::config::types::Terms { edition: ACCEPTED, ..Default::default() };
+    let terms = grebepath_core::config::types::Terms { edition: ACCEPTED, ..Default::default() };
     copy.map.insert("terms".into(), prost::Message::encode_to_vec(&terms));
     copy.rev = ACCEPTED;
     for node in &mut c.nodes {
--- a/crates/grebe/tests/order_schedules.rs
+++ b/crates/core/tests/order_schedules.rs
@@ -12,11 +12,11 @@
 use cluster::*;
 use edition_register::{Asked, Told, check};
 use googletest::prelude::*;
-use grebe::config::change;
-use grebe::luck::{Luck, below, chance, luck};
-use grebe::state::part::Role;
-use grebe::time::{MILLI, SECOND, Span, ms};
-use grebe::wire::msg::{Deed, Done};
+use grebepath_core::config::change;
+use grebepath_core::luck::{Luck, below, chance, luck};
+use grebepath_core::state::part::Role;
+use grebepath_core::time::{MILLI, SECOND, Span, ms};
+use grebepath_core::wire::msg::{Deed, Done};
 use serde_json::json;
 
 /// Schedules that are played in every run of the tests.
@@ -50,7 +50,7 @@
 }
 
 /// The orders that a configuration holds, and its edition.
-fn edition(map: &grebe::wire::msg::Map) -> (BTreeSet<String>, u64) {
+fn edition(map: &grebepath_core::wire::msg::Map) -> (BTreeSet<String>, u64) {
     let conf = change::config(map).unwrap();
     (conf.zones.keys().cloned().collect(), conf.terms.edition)
 }
--- a/crates/grebe/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -1,8 +1,8 @@
 //! The quota of second tries over all nodes, against a count of every window.
 
 use googletest::prelude::*;
-use grebe::luck::{below, chance, luck};
-use grebe::query::quota::{Quota, Rate, among, first, keep, quota, rated, second};
+use grebepath_core::luck::{below, chance, luck};
+use grebepath_core::query::quota::{Quota, Rate, among, first, keep, quota, rated, second};
 
 /// What came of one run: calls and second tries, each by its time in ms.
 struct Seen {
--- a/crates/grebe/tests/rule.rs
+++ b/crates/core/tests/rule.rs
@@ -1,10 +1,10 @@
 //! The retry rule over many threads, against a count of every 10 s window.
 
 use googletest::prelude::*;
-use grebe::consts::{RETRY_PCT, RETRY_SLACK};
-use grebe::luck::{below, chance, luck};
-use grebe::query::{rule, share};
-use grebe::time::{SECOND, ms};
+use grebepath_core::consts::{RETRY_PCT, RETRY_SLACK};
+use grebepath_core::luck::{below, chance, luck};
+use grebepath_core::query::{rule, share};
+use grebepath_core::time::{SECOND, ms};
 
 /// Most second tries over the allowance in any 10 s, for `n` threads whose
 /// traffic comes and goes and who would retry every single dispatch.
--- a/crates/grebe/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -1,10 +1,10 @@
 //! The learned wait before a second try.
 
 use googletest::prelude::*;
-use grebe::consts::{WAIT_MIN, WAIT_MORE, WAIT_STRETCH_PCT, WAIT_TARGET_PCT};
-use grebe::luck::{Luck, below, chance, luck};
-use grebe::query::waits::{Waits, keep, note, wait};
-use grebe::time::{Span, ms};
+use grebepath_core::consts::{WAIT_MIN, WAIT_MORE, WAIT_STRETCH_PCT, WAIT_TARGET_PCT};
+use grebepath_core::luck::{Luck, below, chance, luck};
+use grebepath_core::query::waits::{Waits, keep, note, wait};
+use grebepath_core::time::{Span, ms};
 
 /// What a wait without its stretch is: the learned mark itself.
 fn mark(w: &Waits, search: &str) -> Span {
--- a/crates/grebe/tests/wire.rs
+++ b/crates/core/tests/wire.rs
@@ -1,10 +1,10 @@
 //! Messages in pieces: together again, whatever their size, or refused.
 
 use googletest::prelude::*;
-use grebe::consts::{PIECE, WIRE_VERSION};
-use grebe::names::PartId;
-use grebe::wire::frame::{FrameTrouble, Gather, HEAD, head, pieces, take, write};
-use grebe::wire::msg::{Msg, Place};
+use grebepath_core::consts::{PIECE, WIRE_VERSION};
+use grebepath_core::names::PartId;
+use grebepath_core::wire::frame::{FrameTrouble, Gather, HEAD, head, pieces, take, write};
+use grebepath_core::wire::msg::{Msg, Place};
 
 fn large(n: usize) -> Msg {
     let entries = (0..n).map(|i| (format!("key-{i}"), Some(vec![i as u8; 700]))).collect();
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use grebe::time::{BOOT, Span, Tick};
+use grebepath_core::time::{BOOT, Span, Tick};
 use rustix::time::{ClockId, clock_gettime};
 
 /// Where this process's time began. Copied to every thread, so that all count
--- a/crates/runtime/src/dialect.rs
+++ b/crates/runtime/src/dialect.rs
@@ -3,13 +3,13 @@
 //! back. Whoever brings a dialect decides nothing with it.
 
 use bytes::Bytes;
-use grebe::edge::leaf::Raw;
-use grebe::lang::finding::Finding;
-use grebe::query::ask::Outcome;
-use grebe::query::desk::Sending;
-use grebe::query::parcel::Parcel;
-use grebe::view::leafs::LeafInfo;
-use grebe::wire::msg::{Deed, Done};
+use grebepath_core::edge::leaf::Raw;
+use grebepath_core::lang::finding::Finding;
+use grebepath_core::query::ask::Outcome;
+use grebepath_core::query::desk::Sending;
+use grebepath_core::query::parcel::Parcel;
+use grebepath_core::view::leafs::LeafInfo;
+use grebepath_core::wire::msg::{Deed, Done};
 use http_body_util::Full;
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
--- a/crates/runtime/src/disk.rs
+++ b/crates/runtime/src/disk.rs
@@ -5,11 +5,11 @@
 use std::io::{Error, Write};
 use std::path::{Path, PathBuf};
 
-use grebe::disk::read::{Found, read};
-use grebe::disk::rec::{Copy, Rec};
-use grebe::disk::write;
-use grebe::names::PartId;
-use grebe::seats::roll::{self, Roll};
+use grebepath_core::disk::read::{Found, read};
+use grebepath_core::disk::rec::{Copy, Rec};
+use grebepath_core::disk::write;
+use grebepath_core::names::PartId;
+use grebepath_core::seats::roll::{self, Roll};
 
 /// One part's files.
 ///
--- a/crates/runtime/src/handed.rs
+++ b/crates/runtime/src/handed.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use grebe::consts;
+use grebepath_core::consts;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONNECTION, HeaderValue};
--- a/crates/runtime/src/leafs.rs
+++ b/crates/runtime/src/leafs.rs
@@ -17,8 +17,8 @@
 
 use crate::clock::duration;
 use crate::http::{HttpTrouble, source_text};
-use grebe::consts;
-use grebe::time::SECOND;
+use grebepath_core::consts;
+use grebepath_core::time::SECOND;
 use hyper::body::Body;
 use std::time::Instant;
 
--- a/crates/runtime/src/params.rs
+++ b/crates/runtime/src/params.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use grebe::lang::finding::{Finding, find};
+use grebepath_core::lang::finding::{Finding, find};
 use serde_json::Value;
 
 /// Exit code of a process whose params are wrong.
@@ -128,7 +128,7 @@
 /// The number of a fleet: of its name, which all its processes must share; of
 /// the house's own, if it has none. Not of the seeds: these may differ.
 pub fn fleet(r: &mut Reader) -> u64 {
-    grebe::digest::hash(&maybe(r, "fleet").unwrap_or_else(|| "grebe".into()))
+    grebepath_core::digest::hash(&maybe(r, "fleet").unwrap_or_else(|| "grebe".into()))
 }
 
 /// From `low` to `high` different addresses, separated by commas; `port` stands
@@ -205,10 +205,10 @@
 }
 
 /// Seconds, fractions included, as a span.
-pub fn seconds(r: &mut Reader, name: &'static str) -> Option<grebe::time::Span> {
+pub fn seconds(r: &mut Reader, name: &'static str) -> Option<grebepath_core::time::Span> {
     let (place, val) = raw(r, name)?;
     match val.parse::<f64>() {
-        Ok(n) if (0.0..=86_400.0).contains(&n) => Some((n * 1e6) as grebe::time::Span),
+        Ok(n) if (0.0..=86_400.0).contains(&n) => Some((n * 1e6) as grebepath_core::time::Span),
         _ => {
             find(&mut r.all, place, "expected seconds, up to a day");
             None
@@ -265,6 +265,6 @@
         return;
     }
     eprintln!("{program}: {} thing(s) wrong with the params:", all.len());
-    eprintln!("{}", grebe::lang::finding::lines(all));
+    eprintln!("{}", grebepath_core::lang::finding::lines(all));
     std::process::exit(EXIT_PARAMS);
 }
--- a/crates/runtime/src/reload.rs
+++ b/crates/runtime/src/reload.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::SystemTime;
 
-use grebe::consts::PARAMS_LOOK;
+use grebepath_core::consts::PARAMS_LOOK;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::Instant;
 
--- a/crates/runtime/src/ring.rs
+++ b/crates/runtime/src/ring.rs
@@ -11,7 +11,7 @@
 use tracing::field::{Field, Visit};
 use tracing::{Event, Level, Metadata, Subscriber, span};
 
-use grebe::consts::RING_LINES;
+use grebepath_core::consts::RING_LINES;
 
 thread_local! {
     static RING: RefCell<VecDeque<String>> = const { RefCell::new(VecDeque::new()) };
--- a/crates/runtime/src/ways.rs
+++ b/crates/runtime/src/ways.rs
@@ -5,9 +5,9 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use grebe::names::Seat;
-use grebe::seats::table::{Holding, Table};
-use grebe::wire::msg::{Msg, Who};
+use grebepath_core::names::Seat;
+use grebepath_core::seats::table::{Holding, Table};
+use grebepath_core::wire::msg::{Msg, Who};
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::wire::{Out, WireEvent, dial, send};
--- a/crates/runtime/src/wire.rs
+++ b/crates/runtime/src/wire.rs
@@ -9,9 +9,11 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::mpsc::{Receiver, Sender, UnboundedSender, channel};
 
-use grebe::consts::{WIRE_BUFFER, WIRE_DIAL, WIRE_RETRY, WIRE_RETRY_MAX, WIRE_SILENCE, WIRE_STALL};
-use grebe::wire::frame::{self, Gather, HEAD};
-use grebe::wire::msg::{Msg, Who};
+use grebepath_core::consts::{
+    WIRE_BUFFER, WIRE_DIAL, WIRE_RETRY, WIRE_RETRY_MAX, WIRE_SILENCE, WIRE_STALL,
+};
+use grebepath_core::wire::frame::{self, Gather, HEAD};
+use grebepath_core::wire::msg::{Msg, Who};
 
 use crate::clock::duration;
 
--- a/crates/programs/src/controller/disk.rs
+++ b/crates/server/src/controller/disk.rs
@@ -5,11 +5,11 @@
 use std::path::Path;
 use std::sync::mpsc::Receiver;
 
-use grebe::disk::rec::{Copy, Rec};
-use grebe::names::PartId;
-use grebe::seats::roll::Roll;
-use grebe::state::core::Event;
-use runtime::disk::{self, Store};
+use grebepath_core::disk::rec::{Copy, Rec};
+use grebepath_core::names::PartId;
+use grebepath_core::seats::roll::Roll;
+use grebepath_core::state::core::Event;
+use grebepath_runtime::disk::{self, Store};
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::owner::Input;
--- a/crates/programs/src/controller/door.rs
+++ b/crates/server/src/controller/door.rs
@@ -7,12 +7,14 @@
 use axum::http::{HeaderMap, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use axum::routing::get;
-use grebe::config::{change, show};
-use grebe::consts;
-use grebe::edge::operator::{self, CONFIG, EXPECT_REVISION, Operated, REQUEST_ID, STATUS, write};
-use grebe::lang::finding::Finding;
-use grebe::wire::msg::{Deed, Done};
-use runtime::dialect::{Dialect, Order};
+use grebepath_core::config::{change, show};
+use grebepath_core::consts;
+use grebepath_core::edge::operator::{
+    self, CONFIG, EXPECT_REVISION, Operated, REQUEST_ID, STATUS, write,
+};
+use grebepath_core::lang::finding::Finding;
+use grebepath_core::wire::msg::{Deed, Done};
+use grebepath_runtime::dialect::{Dialect, Order};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -58,7 +60,7 @@
         let _ = stop.wait_for(|s| *s).await;
     };
     if let Err(e) =
-        rt.block_on(runtime::http::serve(listener, consts::OPERATOR_WIRES, router, until))
+        rt.block_on(grebepath_runtime::http::serve(listener, consts::OPERATOR_WIRES, router, until))
     {
         error!("the operators' door: {e}");
     }
@@ -89,7 +91,11 @@
 
 /// An id for a request that brought none.
 fn own_id() -> String {
-    format!("auto-{:016x}-{:016x}", runtime::clock::nonce(), runtime::clock::nonce())
+    format!(
+        "auto-{:016x}-{:016x}",
+        grebepath_runtime::clock::nonce(),
+        grebepath_runtime::clock::nonce()
+    )
 }
 
 fn answer(code: u16, body: &Value) -> Response {
@@ -136,7 +142,7 @@
 
 /// An operator vouches that copies lost on other seats are lost for good.
 async fn vouch(State(owner): State<Owner>) -> Response {
-    match owner.send(Input::Core(grebe::state::core::Event::Vouch)) {
+    match owner.send(Input::Core(grebepath_core::state::core::Event::Vouch)) {
         Ok(()) => answer(200, &json!({ "vouched": true })),
         Err(_) => answer(503, &json!({ "error": "stopping" })),
     }
--- a/crates/programs/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -9,16 +9,16 @@
 
 use std::sync::mpsc;
 
-use grebe::disk::read::Found;
-use grebe::disk::rec::Copy;
-use grebe::names::{PartId, parts};
-use grebe::seats::roll::begin;
-use grebe::wire::msg::Life;
-use runtime::disk::Store;
+use grebepath_core::disk::read::Found;
+use grebepath_core::disk::rec::Copy;
+use grebepath_core::names::{PartId, parts};
+use grebepath_core::seats::roll::begin;
+use grebepath_core::wire::msg::Life;
+use grebepath_runtime::disk::Store;
 use tracing::{error, warn};
 
 fn main() {
-    runtime::ring::install();
+    grebepath_runtime::ring::install();
     let p = params::read();
     if let Err(e) = run(p) {
         error!("{e}");
@@ -31,21 +31,21 @@
 type FoundPart = (PartId, Life, Copy, u64);
 
 fn run(p: params::Params) -> Result<(), std::io::Error> {
-    let _lock = runtime::disk::lock(&p.data)?;
+    let _lock = grebepath_runtime::disk::lock(&p.data)?;
     params::check_seat(&p)?;
-    let roll = runtime::disk::roll(&p.data)?;
-    let nonce = runtime::clock::nonce();
+    let roll = grebepath_runtime::disk::roll(&p.data)?;
+    let nonce = grebepath_runtime::clock::nonce();
     let mut stores: Vec<Store> = Vec::new();
     let mut found: Vec<FoundPart> = Vec::new();
     let mut sick: Vec<(PartId, String)> = Vec::new();
-    let bare = parts().all(|part| runtime::disk::bare(&p.data, part));
+    let bare = parts().all(|part| grebepath_runtime::disk::bare(&p.data, part));
     let (roll, clear) = begin(roll, &params::start(&p), bare, nonce);
     for part in parts() {
-        let (mut store, got) = runtime::disk::open(&p.data, part)?;
+        let (mut store, got) = grebepath_runtime::disk::open(&p.data, part)?;
         match got {
             _ if clear => {
                 warn!(%part, "the files are of a seat given to another; set aside");
-                runtime::disk::clear(&mut store)?;
+                grebepath_runtime::disk::clear(&mut store)?;
                 found.push((part, Life::Empty, Copy::default(), 0));
             }
             Found::Empty => found.push((part, Life::Empty, Copy::default(), 0)),
@@ -57,7 +57,7 @@
                 if torn {
                     warn!(%part, "a torn tail of the log was dropped");
                 }
-                if let Err(e) = runtime::disk::slot(&mut store, &copy) {
+                if let Err(e) = grebepath_runtime::disk::slot(&mut store, &copy) {
                     sick.push((part, e.to_string()));
                 }
                 found.push((part, Life::Formed, copy, 0));
@@ -66,13 +66,13 @@
         stores.push(store);
     }
     // Nothing may be said as who we are before that is on disk.
-    runtime::disk::keep(&p.data, &roll)?;
+    grebepath_runtime::disk::keep(&p.data, &roll)?;
     // All params are good and the disk was read: now ports are opened.
     let inner = std::net::TcpListener::bind(p.inner)?;
-    let door = runtime::http::listen(p.listen, 1)?.remove(0);
+    let door = grebepath_runtime::http::listen(p.listen, 1)?.remove(0);
     let name = p.seat.map_or("-".to_string(), |s| s.to_string());
     println!("controller {name} inner {} door {}", inner.local_addr()?, door.local_addr()?);
-    let clock = runtime::clock::clock();
+    let clock = grebepath_runtime::clock::clock();
     let data = p.data.clone();
     let (disk_tx, disk_rx) = mpsc::channel();
     let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
--- a/crates/programs/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -3,14 +3,14 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use grebe::config::{build, change};
-use grebe::seats::table::{Holding, NOBODY};
-use grebe::state::core::Core;
-use grebe::state::leafs;
-use grebe::state::part::{Part, Role};
-use grebe::time::{MILLI, Tick, since};
-use grebe::view::whole::{open, view};
-use grebe::wire::msg::Life;
+use grebepath_core::config::{build, change};
+use grebepath_core::seats::table::{Holding, NOBODY};
+use grebepath_core::state::core::Core;
+use grebepath_core::state::leafs;
+use grebepath_core::state::part::{Part, Role};
+use grebepath_core::time::{MILLI, Tick, since};
+use grebepath_core::view::whole::{open, view};
+use grebepath_core::wire::msg::Life;
 use serde_json::{Value, json};
 
 fn role(p: &Part) -> &'static str {
--- a/crates/programs/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -5,15 +5,15 @@
 use std::net::SocketAddr;
 use std::sync::mpsc;
 
-use grebe::seats::handover;
-use grebe::seats::roll::Roll;
-use grebe::seats::table::NOBODY;
-use grebe::state::core::{Command, Core, Event, core};
-use grebe::state::step::{WAKE, step};
-use grebe::wire::msg::{Deed, Done, Who};
-use runtime::clock::{Clock, duration, now};
-use runtime::ways::{self, Ways, arrange, ways};
-use runtime::wire::{Out, WireEvent, accept, send};
+use grebepath_core::seats::handover;
+use grebepath_core::seats::roll::Roll;
+use grebepath_core::seats::table::NOBODY;
+use grebepath_core::state::core::{Command, Core, Event, core};
+use grebepath_core::state::step::{WAKE, step};
+use grebepath_core::wire::msg::{Deed, Done, Who};
+use grebepath_runtime::clock::{Clock, duration, now};
+use grebepath_runtime::ways::{self, Ways, arrange, ways};
+use grebepath_runtime::wire::{Out, WireEvent, accept, send};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
@@ -60,7 +60,7 @@
     clock: Clock,
     roll: Roll,
     found: Vec<FoundPart>,
-    sick: Vec<(grebe::names::PartId, String)>,
+    sick: Vec<(grebepath_core::names::PartId, String)>,
     inner: std::net::TcpListener,
     disk: mpsc::Sender<Job>,
     tx: UnboundedSender<Input>,
@@ -73,7 +73,7 @@
     let fleet = p.fleet;
     tokio::task::spawn_local(accept(inner, fleet, wire_tx.clone()));
     let here = (p.addr.to_string(), p.zone.clone());
-    let nonce = runtime::clock::nonce();
+    let nonce = grebepath_runtime::clock::nonce();
     let mut core = core(roll, (&here.0, &here.1), found, nonce, now(&clock));
     let ways = ways(Some(p.addr), &p.seeds, (who(&core), fleet), |addr| addr, wire_tx);
     let wires = HashMap::new();
@@ -85,10 +85,10 @@
         carry_out(&mut io, &core, todo);
     }
     // Nothing of a controller's params can change while it runs.
-    let mut files = runtime::reload::watch(None);
+    let mut files = grebepath_runtime::reload::watch(None);
     let mut wake = tokio::time::interval(duration(WAKE));
     wake.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let stop = runtime::stop::asked();
+    let stop = grebepath_runtime::stop::asked();
     tokio::pin!(stop);
     // Asked to stop, we go on until our voter slot is in other hands, or nobody
     // is there to take it.
@@ -96,7 +96,7 @@
         let event = tokio::select! {
             biased;
             _ = &mut stop, if !handover::is_leaving(&core) => Some(Event::Stop),
-            _ = runtime::reload::changed(&mut files) => None,
+            _ = grebepath_runtime::reload::changed(&mut files) => None,
             _ = wake.tick() => {
                 look(&mut io, &core);
                 Some(Event::Wake)
--- a/crates/programs/src/controller/params.rs
+++ b/crates/server/src/controller/params.rs
@@ -4,11 +4,11 @@
 use std::path::PathBuf;
 
 use bpaf::{OptionParser, Parser, long};
-use grebe::consts::{SEATS, SEATS_MAX};
-use grebe::lang::finding::find;
-use grebe::seats::roll::Start;
-use runtime::dialect::Dialect;
-use runtime::params as p;
+use grebepath_core::consts::{SEATS, SEATS_MAX};
+use grebepath_core::lang::finding::find;
+use grebepath_core::seats::roll::Start;
+use grebepath_runtime::dialect::Dialect;
+use grebepath_runtime::params as p;
 
 /// Everything a controller must be told.
 #[derive(Clone)]
--- a/crates/programs/src/grebectl/net.rs
+++ b/crates/server/src/grebectl/net.rs
@@ -4,11 +4,11 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use grebe::consts;
-use grebe::edge::operator::{EXPECT_REVISION, REQUEST_ID};
+use grebepath_core::consts;
+use grebepath_core::edge::operator::{EXPECT_REVISION, REQUEST_ID};
+use grebepath_runtime::http::{Http, call_within};
 use http_body_util::Full;
 use hyper::{Method, Request};
-use runtime::http::{Http, call_within};
 use serde_json::Value;
 
 /// A request that may be sent to one controller after another.
--- a/crates/programs/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -1,11 +1,11 @@
 //! What is printed, for people or as JSON.
 
-use grebe::config::build::{Mapping, needed};
-use grebe::edge::operator::findings;
-use grebe::lang::compile::Send;
-use grebe::lang::finding::Finding;
-use grebe::query::step::shard_of;
-use grebe::time::MILLI;
+use grebepath_core::config::build::{Mapping, needed};
+use grebepath_core::edge::operator::findings;
+use grebepath_core::lang::compile::Send;
+use grebepath_core::lang::finding::Finding;
+use grebepath_core::query::step::shard_of;
+use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
 
 /// Prints findings.
@@ -41,7 +41,7 @@
         })
         .collect();
     json!({
-        "search": m.name, "class": grebe::config::show::class_word(m.class as i32),
+        "search": m.name, "class": grebepath_core::config::show::class_word(m.class as i32),
         "cut": m.cut, "send": if m.send == Send::Wide { "wide" } else { "one by key" },
         "promise_ms": m.promise / MILLI, "attempts": m.attempts,
         "wait_pct": m.wait_pct, "stop_pct": m.stop_pct,
--- a/crates/programs/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use grebe::config::types::Config;
-use grebe::config::{build, change, read, show as conf_show};
-use grebe::edge::operator::{CONFIG, STATUS};
-use grebe::lang::finding::Finding;
+use grebepath_core::config::types::Config;
+use grebepath_core::config::{build, change, read, show as conf_show};
+use grebepath_core::edge::operator::{CONFIG, STATUS};
+use grebepath_core::lang::finding::Finding;
+use grebepath_runtime::http::Http;
 use hyper::Method;
-use runtime::http::Http;
 use serde_json::{Value, json};
 
 use crate::cli::*;
@@ -24,7 +24,7 @@
 
 /// Runs a verb and gives the exit code.
 pub async fn run(args: Args) -> i32 {
-    let http = runtime::http::client(1);
+    let http = grebepath_runtime::http::client(1);
     match verb(&args, &http).await {
         Ok(code) => code,
         Err(End(text, code)) => {
@@ -161,7 +161,11 @@
         checked(args, &body)?;
     }
     let id = args.request.clone().unwrap_or_else(|| {
-        format!("ctl-{:016x}{:016x}", runtime::clock::nonce(), runtime::clock::nonce())
+        format!(
+            "ctl-{:016x}{:016x}",
+            grebepath_runtime::clock::nonce(),
+            grebepath_runtime::clock::nonce()
+        )
     });
     let what = Ask {
         method,
--- a/crates/programs/src/fleet/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -8,10 +8,10 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use proof::callers::{Seen, load, report, watch_ready};
-use proof::fleet::{self, Fleet, Layout};
+use grebepath_simulator::spec;
 use serde_json::{Value, json};
-use sim::spec;
+use testbed::callers::{Seen, load, report, watch_ready};
+use testbed::fleet::{self, Fleet, Layout};
 
 fn main() {
     let args = cli::read();
@@ -28,7 +28,7 @@
 }
 
 fn fail(text: &str) {
-    eprintln!("fleet: {text}");
+    eprintln!("local-cluster: {text}");
     std::process::exit(1);
 }
 
@@ -58,15 +58,16 @@
     eprintln!("  stand-ins:  http://{}", f.list);
     if args.stay {
         eprintln!("running until interrupted");
-        runtime::stop::asked().await;
+        grebepath_runtime::stop::asked().await;
         return Ok(true);
     }
     let seen = Rc::new(RefCell::new(Seen::default()));
     let until = Instant::now() + Duration::from_secs(args.seconds);
     let ready = Rc::new(RefCell::new(f.fronts.clone()));
-    let watch = watch_ready(runtime::http::client(2), f.fronts.clone(), ready.clone(), until);
+    let watch =
+        watch_ready(grebepath_runtime::http::client(2), f.fronts.clone(), ready.clone(), until);
     tokio::task::spawn_local(watch);
-    let http = runtime::http::client(128);
+    let http = grebepath_runtime::http::client(128);
     let mut loads = Vec::new();
     for (i, kind) in spec.kinds.iter().enumerate() {
         let seed = args.seed.wrapping_add(i as u64);
--- a/crates/programs/src/fleet/troubles.rs
+++ b/crates/server/src/local_cluster/troubles.rs
@@ -2,8 +2,8 @@
 
 use std::time::{Duration, Instant};
 
-use proof::fleet::{self, Fleet, Proc, kill, signal, start};
 use serde_json::{Value, json};
+use testbed::fleet::{self, Fleet, Proc, kill, signal, start};
 
 struct Trouble {
     at: f64,
--- a/crates/programs/src/standin/main.rs
+++ b/crates/server/src/mock_backends/main.rs
@@ -7,12 +7,12 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use grebepath_simulator::spec;
 use http_body_util::Full;
 use hyper::Request;
-use proof::callers::{self, Seen, load, watch_ready};
-use proof::{backs, control};
 use serde_json::Value;
-use sim::spec;
+use testbed::callers::{self, Seen, load, watch_ready};
+use testbed::{backs, control};
 
 fn main() {
     let verb = cli::read();
@@ -35,7 +35,7 @@
 }
 
 fn fail(text: &str) {
-    eprintln!("standin: {text}");
+    eprintln!("mock-backends: {text}");
     std::process::exit(1);
 }
 
@@ -44,10 +44,10 @@
     let backs = backs::start(&spec, seed).await.map_err(|e| e.to_string())?;
     let door = tokio::net::TcpListener::bind(listen).await.map_err(|e| e.to_string())?;
     let addr = door.local_addr().map_err(|e| e.to_string())?;
-    println!("standin backs list {addr} leafs {}", backs.borrow().leafs.len());
+    println!("mock-backends list {addr} leafs {}", backs.borrow().leafs.len());
     tokio::select! {
         _ = control::serve(door, backs) => {}
-        _ = runtime::stop::asked() => {}
+        _ = grebepath_runtime::stop::asked() => {}
     }
     Ok(())
 }
@@ -61,11 +61,11 @@
     seed: u64,
 ) -> Result<(), String> {
     let spec = spec::read(&file)?;
-    let http = runtime::http::client(64);
+    let http = grebepath_runtime::http::client(64);
     let seen = Rc::new(RefCell::new(Seen::default()));
     let ready = Rc::new(RefCell::new(targets.clone()));
     let until = Instant::now() + Duration::from_secs(seconds);
-    let watching = watch_ready(runtime::http::client(2), targets, ready.clone(), until);
+    let watching = watch_ready(grebepath_runtime::http::client(2), targets, ready.clone(), until);
     tokio::task::spawn_local(watching);
     let mut loads = Vec::new();
     for (i, kind) in spec.kinds.iter().enumerate() {
@@ -89,12 +89,16 @@
     Ok(())
 }
 
-async fn fetch_runs(http: &runtime::http::Http, addr: SocketAddr) -> Result<Vec<Value>, String> {
+async fn fetch_runs(
+    http: &grebepath_runtime::http::Http,
+    addr: SocketAddr,
+) -> Result<Vec<Value>, String> {
     let req = Request::get(format!("http://{addr}/runs"))
         .body(Full::default())
         .map_err(|e| e.to_string())?;
     let wait = Duration::from_secs(30);
-    let resp =
-        runtime::http::call_within(http, req, 1 << 30, wait).await.map_err(|e| e.to_string())?;
+    let resp = grebepath_runtime::http::call_within(http, req, 1 << 30, wait)
+        .await
+        .map_err(|e| e.to_string())?;
     serde_json::from_slice(resp.body()).map_err(|e| e.to_string())
 }
--- a/crates/programs/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -5,22 +5,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use grebe::cohort::step::{WAKE, step};
-use grebe::cohort::watch::{Command, Event, Watch, watch};
-use grebe::consts;
-use grebe::edge::list;
-use grebe::query::desk;
-use grebe::seats::table::seat_of;
-use grebe::view::leafs::LeafInfo;
-use grebe::view::whole::View;
-use grebe::wire::msg::{Member, Msg, Who, Word};
+use grebepath_core::cohort::step::{WAKE, step};
+use grebepath_core::cohort::watch::{Command, Event, Watch, watch};
+use grebepath_core::consts;
+use grebepath_core::edge::list;
+use grebepath_core::query::desk;
+use grebepath_core::seats::table::seat_of;
+use grebepath_core::view::leafs::LeafInfo;
+use grebepath_core::view::whole::View;
+use grebepath_core::wire::msg::{Member, Msg, Who, Word};
+use grebepath_runtime::clock::{Clock, duration, now};
+use grebepath_runtime::dialect::Dialect;
+use grebepath_runtime::http::{Http, call_within};
+use grebepath_runtime::ways::{self, Ways, arrange, ways};
+use grebepath_runtime::wire::{Out, WireEvent, accept, dial, send};
 use http_body_util::Full;
 use hyper::Request;
-use runtime::clock::{Clock, duration, now};
-use runtime::dialect::Dialect;
-use runtime::http::{Http, call_within};
-use runtime::ways::{self, Ways, arrange, ways};
-use runtime::wire::{Out, WireEvent, accept, dial, send};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch as signal};
 use tracing::{debug, warn};
@@ -102,7 +102,7 @@
         zone: p.zone.clone(),
         threads: p.threads,
         joined: 0,
-        incarnation: runtime::clock::nonce(),
+        incarnation: grebepath_runtime::clock::nonce(),
     };
     let mut w = watch(me, now(&clock));
     let mut patience = consts::DRAIN_MAX;
@@ -127,7 +127,7 @@
         view,
         wires: wire_tx,
         input: tx,
-        http: runtime::http::client(2),
+        http: grebepath_runtime::http::client(2),
         list: p.list,
         dialect: p.dialect,
         probes: p.probes,
@@ -138,11 +138,11 @@
         told: HashMap::new(),
         shut: false,
     };
-    let mut files = runtime::reload::watch(p.file.as_deref());
+    let mut files = grebepath_runtime::reload::watch(p.file.as_deref());
     see_to(&mut io, &w);
     let mut wake = tokio::time::interval(duration(WAKE));
     wake.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let stop = runtime::stop::asked();
+    let stop = grebepath_runtime::stop::asked();
     tokio::pin!(stop);
     let mut stopping = false;
     let mut left = io.desks.len();
@@ -159,7 +159,7 @@
                 }
                 Some(Event::Stop)
             }
-            _ = runtime::reload::changed(&mut files) => {
+            _ = grebepath_runtime::reload::changed(&mut files) => {
                 reread(&io);
                 None
             }
@@ -276,12 +276,12 @@
             }
             Command::Shares(list) => {
                 for (i, desk) in io.desks.iter().enumerate() {
-                    let share = grebe::query::share::share(&list, &io.me, i as u32);
+                    let share = grebepath_core::query::share::share(&list, &io.me, i as u32);
                     let _ = desk.send(Work::Event(desk::Event::Share(share)));
                 }
             }
             Command::Peers(list) => {
-                let peers = grebe::query::share::peers(&list);
+                let peers = grebepath_core::query::share::peers(&list);
                 for desk in &io.desks {
                     let _ = desk.send(Work::Event(desk::Event::Peers(peers.clone())));
                 }
--- a/crates/programs/src/querier/door.rs
+++ b/crates/server/src/querier/door.rs
@@ -10,13 +10,13 @@
 use axum::http::{HeaderMap, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use axum::routing::get;
-use grebe::consts;
-use grebe::edge::caller::{self, BUDGET, MISSING_PARTS, RETRY_AFTER};
-use grebe::query::ask::{Ask, Bounce, Outcome, Reason};
-use grebe::query::desk::{Event, room_of};
-use grebe::view::whole::View;
-use runtime::dialect::Dialect;
-use runtime::handed;
+use grebepath_core::consts;
+use grebepath_core::edge::caller::{self, BUDGET, MISSING_PARTS, RETRY_AFTER};
+use grebepath_core::query::ask::{Ask, Bounce, Outcome, Reason};
+use grebepath_core::query::desk::{Event, room_of};
+use grebepath_core::view::whole::View;
+use grebepath_runtime::dialect::Dialect;
+use grebepath_runtime::handed;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{oneshot, watch};
 
@@ -186,7 +186,9 @@
         }),
     );
     let never = std::future::pending();
-    if let Err(e) = runtime::http::serve(listener, consts::CHECK_WIRES, router, never).await {
+    if let Err(e) =
+        grebepath_runtime::http::serve(listener, consts::CHECK_WIRES, router, never).await
+    {
         tracing::error!("the door for checks: {e}");
     }
 }
--- a/crates/programs/src/querier/main.rs
+++ b/crates/server/src/querier/main.rs
@@ -10,7 +10,7 @@
 use tracing::error;
 
 fn main() {
-    runtime::ring::install();
+    grebepath_runtime::ring::install();
     let p = params::read();
     if let Err(e) = run(p) {
         error!("{e}");
@@ -21,16 +21,16 @@
 
 fn run(p: params::Params) -> Result<(), std::io::Error> {
     // One listener for each traffic thread, all on one address.
-    let listeners = runtime::http::listen(p.listen, p.threads)?;
+    let listeners = grebepath_runtime::http::listen(p.listen, p.threads)?;
     let addr = listeners[0].local_addr()?;
     let inner = std::net::TcpListener::bind(p.inner)?;
     let check = match p.check {
-        Some(addr) => Some(runtime::http::listen(addr, 1)?.remove(0)),
+        Some(addr) => Some(grebepath_runtime::http::listen(addr, 1)?.remove(0)),
         None => None,
     };
     println!("querier {} inner {} door {addr}", p.name, inner.local_addr()?);
-    let clock = runtime::clock::clock();
-    let life = runtime::clock::nonce();
+    let clock = grebepath_runtime::clock::clock();
+    let life = grebepath_runtime::clock::nonce();
     let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
     let (ready_tx, ready_rx) = tokio::sync::watch::channel(false);
     let (view_tx, view_rx) = tokio::sync::watch::channel(Default::default());
@@ -60,7 +60,7 @@
             stop: stop_rx.clone(),
             dialect: p.dialect,
             rate: p.rate,
-            slot: grebe::query::share::slot(&p.name, i as u32),
+            slot: grebepath_core::query::share::slot(&p.name, i as u32),
         };
         threads.push(
             std::thread::Builder::new()
--- a/crates/programs/src/querier/traffic.rs
+++ b/crates/server/src/querier/traffic.rs
@@ -5,17 +5,17 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use grebe::config::types::Terms;
-use grebe::query::ask::{Ask, Outcome};
-use grebe::query::desk::{Command, Counts, Desk, Event, counts, desk};
-use grebe::query::parcel::Parcel;
-use grebe::query::quota::{Rate, quota};
-use grebe::query::step::{next, step};
-use grebe::time::ms;
-use runtime::clock::{Clock, duration, instant, now};
-use runtime::dialect::Dialect;
-use runtime::handed;
-use runtime::leafs::Pool;
+use grebepath_core::config::types::Terms;
+use grebepath_core::query::ask::{Ask, Outcome};
+use grebepath_core::query::desk::{Command, Counts, Desk, Event, counts, desk};
+use grebepath_core::query::parcel::Parcel;
+use grebepath_core::query::quota::{Rate, quota};
+use grebepath_core::query::step::{next, step};
+use grebepath_core::time::ms;
+use grebepath_runtime::clock::{Clock, duration, instant, now};
+use grebepath_runtime::dialect::Dialect;
+use grebepath_runtime::handed;
+use grebepath_runtime::leafs::Pool;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
@@ -96,8 +96,8 @@
             let until = async move {
                 let _ = stop.wait_for(|s| *s).await;
             };
-            let wires = grebe::consts::DOOR_WIRES;
-            runtime::http::serve(listener, wires, router, until).await
+            let wires = grebepath_core::consts::DOOR_WIRES;
+            grebepath_runtime::http::serve(listener, wires, router, until).await
         };
         let mut desk = desk(&s.name, &s.zone, s.seed, now(&s.clock));
         desk.quota = quota(s.rate);
@@ -109,7 +109,7 @@
             door: outer,
             tells: HashMap::new(),
             tasks: HashMap::new(),
-            leafs: runtime::leafs::pool(grebe::consts::LEAF_WIRES),
+            leafs: grebepath_runtime::leafs::pool(grebepath_core::consts::LEAF_WIRES),
             here: s.here,
             control: s.control,
         };
--- a/crates/programs/src/proof/backs.rs
+++ b/crates/server/src/testbed/backs.rs
@@ -9,9 +9,9 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use grebe::digest::digest;
-use grebe::edge::leaf as edge;
-use grebe::luck::{Luck, below, luck};
+use grebepath_core::digest::digest;
+use grebepath_core::edge::leaf as edge;
+use grebepath_core::luck::{Luck, below, luck};
 use http_body_util::BodyExt;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -21,8 +21,8 @@
 use tokio::net::TcpListener;
 use tokio::task::{AbortHandle, JoinSet};
 
-use sim::oracle;
-use sim::spec::{Service, Spec};
+use grebepath_simulator::oracle;
+use grebepath_simulator::spec::{Service, Spec};
 
 /// How a leaf misbehaves.
 #[derive(Clone, Debug, PartialEq)]
@@ -476,7 +476,7 @@
     match mode {
         Mode::Garbage => body = "{\"records\":[{\"id\":7,".into(),
         Mode::CutShort => body.truncate(body.len() / 2),
-        Mode::Overlong => body.push_str(&" ".repeat(grebe::consts::REPLY_LIMIT)),
+        Mode::Overlong => body.push_str(&" ".repeat(grebepath_core::consts::REPLY_LIMIT)),
         _ => {}
     }
     finished(out, body, *mode == Mode::CutShort)
--- a/crates/programs/src/proof/callers.rs
+++ b/crates/server/src/testbed/callers.rs
@@ -7,14 +7,14 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use grebe::luck::{Luck, below, luck};
+use grebepath_core::luck::{Luck, below, luck};
+use grebepath_runtime::http::{Http, HttpTrouble, call_within};
 use http_body_util::Full;
 use hyper::Request;
-use runtime::http::{Http, HttpTrouble, call_within};
 use serde_json::{Value, json};
 
-use sim::check::{Asked, against_runs, success};
-use sim::spec::Kind;
+use grebepath_simulator::check::{Asked, against_runs, success};
+use grebepath_simulator::spec::Kind;
 
 /// What the callers saw.
 #[derive(Default)]
--- a/crates/programs/src/proof/fleet.rs
+++ b/crates/server/src/testbed/fleet.rs
@@ -8,9 +8,9 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
+use grebepath_runtime::http::{Http, call_within};
 use http_body_util::Full;
 use hyper::{Method, Request};
-use runtime::http::{Http, call_within};
 use serde_json::{Value, json};
 
 /// Where the fleet's programs and files are.
@@ -167,13 +167,13 @@
 /// so port 0 is of no use: the system would hand such a port to anyone in
 /// between. These lie below the range from which it hands out ports.
 pub fn free_ports(n: usize) -> Result<Vec<u16>, String> {
-    let mut luck = grebe::luck::luck(runtime::clock::nonce());
+    let mut luck = grebepath_core::luck::luck(grebepath_runtime::clock::nonce());
     let mut held = Vec::new();
     for _ in 0..10_000 {
         if held.len() == n {
             break;
         }
-        let port = 10_000 + grebe::luck::below(&mut luck, 20_000) as u16;
+        let port = 10_000 + grebepath_core::luck::below(&mut luck, 20_000) as u16;
         if let Ok(sock) = std::net::TcpListener::bind(("127.0.0.1", port)) {
             held.push((port, sock));
         }
@@ -222,11 +222,11 @@
     let (list, seeds, doors) = (addrs[0], &addrs[1..4], addrs[4..7].to_vec());
     let (fronts, inners) = addrs[7..].split_at(layout.queriers);
     let texts: Vec<String> = seeds.iter().map(|a| a.to_string()).collect();
-    let zones = sim::backs::ZONES;
+    let zones = grebepath_simulator::backs::ZONES;
     let fleet = layout.dir.file_name().map_or("test".into(), |n| n.display().to_string());
     let spec = layout.deploy.join(format!("{}.standins.json", layout.name)).display().to_string();
     let args = [("spec", spec), ("listen", list.to_string())];
-    let backs = proc(&layout, "backs", "standin", &flags(&["backs"], &args));
+    let backs = proc(&layout, "backs", "mock-backends", &flags(&["backs"], &args));
     let seats = (0..seeds.len())
         .map(|i| {
             let args = [
@@ -262,7 +262,7 @@
         ];
         queriers.push(proc(&layout, &format!("querier-{i}"), "querier", &flags(&[], &args)));
     }
-    let (http, fronts) = (runtime::http::client(16), fronts.to_vec());
+    let (http, fronts) = (grebepath_runtime::http::client(16), fronts.to_vec());
     let mut fleet = Fleet { layout, backs, seats, queriers, list, doors, fronts, http };
     let Fleet { backs, seats, queriers, .. } = &mut fleet;
     for p in [backs].into_iter().chain(seats).chain(queriers) {
--- a/crates/programs/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -6,12 +6,12 @@
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
+use grebepath_simulator::check::{Asked, success};
+use grebepath_simulator::spec::{self, Spec};
 use hyper::Method;
-use proof::callers::{Seen, load, report, watch_ready};
-use proof::fleet::{self, Fleet, Layout};
 use serde_json::{Value, json};
-use sim::check::{Asked, success};
-use sim::spec::{self, Spec};
+use testbed::callers::{Seen, load, report, watch_ready};
+use testbed::fleet::{self, Fleet, Layout};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(20);
@@ -238,14 +238,14 @@
     let (seen_in, ready_in, kinds) = (seen.clone(), ready.clone(), spec.kinds.clone());
     let calls = async move {
         tokio::task::spawn_local(watch_ready(
-            runtime::http::client(2),
+            grebepath_runtime::http::client(2),
             fronts,
             ready_in.clone(),
             far,
         ));
         for (i, kind) in kinds.into_iter().enumerate() {
             let (http, ready, seen) =
-                (runtime::http::client(32), ready_in.clone(), seen_in.clone());
+                (grebepath_runtime::http::client(32), ready_in.clone(), seen_in.clone());
             tokio::task::spawn_local(load(http, kind, 0.1, ready, seen, i as u64, far));
         }
         std::future::pending::<()>().await;
--- a/crates/programs/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -9,12 +9,12 @@
 
 use bytes::Bytes;
 use googletest::prelude::*;
+use grebepath_runtime::http::{Http, call_within};
 use http_body_util::Full;
 use hyper::{Request, Response};
-use proof::fleet::{self, Layout, Proc, until};
-use proof::foreign::{self, Mode, Shared, begin, filled, leave, let_go, records, stamp};
-use runtime::http::{Http, call_within};
 use serde_json::{Value, json};
+use testbed::fleet::{self, Layout, Proc, until};
+use testbed::foreign::{self, Mode, Shared, begin, filled, leave, let_go, records, stamp};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// How long anything may take that is only waited for.
@@ -81,7 +81,7 @@
             fronts: (3..5).map(|i| machine(i, 2).parse().unwrap()).collect(),
             checks: (3..5).map(|i| machine(i, 3).parse().unwrap()).collect(),
             world: world.clone(),
-            http: runtime::http::client(16),
+            http: grebepath_runtime::http::client(16),
             calls: Cell::new(0),
             files: Vec::new(),
         };
--- a/crates/programs/tests/paused_leader.rs
+++ b/crates/server/tests/paused_leader.rs
@@ -7,11 +7,11 @@
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
+use grebepath_runtime::http::Http;
+use grebepath_simulator::linearizability::{Answer, Base, Effect, Recorder, Verdict, check};
 use hyper::Method;
-use proof::fleet::{self, Layout, Proc};
-use runtime::http::Http;
 use serde_json::{Value, json};
-use sim::linearizability::{Answer, Base, Effect, Recorder, Verdict, check};
+use testbed::fleet::{self, Layout, Proc};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
@@ -69,7 +69,7 @@
         })
         .collect();
     processes.iter_mut().for_each(|process| fleet::start(process).unwrap());
-    let http = runtime::http::client(16);
+    let http = grebepath_runtime::http::client(16);
     Controllers { processes, doors: doors.to_vec(), http, began: Instant::now() }
 }
 
@@ -149,7 +149,7 @@
     history: &mut Recorder,
     i: usize,
     change: &Change,
-) -> sim::linearizability::AttemptNumber {
+) -> grebepath_simulator::linearizability::AttemptNumber {
     let base = Base { revision: Some(change.expect), edition: None };
     let puts = BTreeMap::from([(change.id.clone(), Some("open".to_string()))]);
     let effect = Effect { puts, ..Effect::default() };
--- a/crates/programs/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -10,11 +10,11 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
+use grebepath_runtime::http::Http;
 use hyper::Method;
 use platform_orders::{BASE_HEADER, CONFIG_PATH, Order, patch, whole};
-use proof::fleet::{self, Layout, Proc, until};
-use runtime::http::Http;
 use serde_json::{Value, json};
+use testbed::fleet::{self, Layout, Proc, until};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
@@ -78,7 +78,7 @@
         })
         .collect();
     let doors = (0..3).map(at).collect();
-    let mut core = Core { procs, doors, http: runtime::http::client(8) };
+    let mut core = Core { procs, doors, http: grebepath_runtime::http::client(8) };
     core.procs.iter_mut().try_for_each(fleet::start)?;
     Ok(core)
 }
--- a/crates/programs/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -8,15 +8,15 @@
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
-use grebe::disk::read::{Found, read};
-use grebe::names::CONFIG;
-use grebe::wire::frame;
-use grebe::wire::msg::{Msg, Place, Who};
+use grebepath_core::disk::read::{Found, read};
+use grebepath_core::names::CONFIG;
+use grebepath_core::wire::frame;
+use grebepath_core::wire::msg::{Msg, Place, Who};
+use grebepath_runtime::wire::{WireEvent, accept, dial, send};
 use hyper::Method;
-use proof::fleet::{self, Fleet, Layout};
-use proof::relay::Relay;
-use runtime::wire::{WireEvent, accept, dial, send};
 use serde_json::json;
+use testbed::fleet::{self, Fleet, Layout};
+use testbed::relay::Relay;
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(20);
@@ -92,11 +92,11 @@
 /// work, after it has read it, or after it has answered.
 async fn flaky(listener: tokio::net::TcpListener, name: &str, heard: &RefCell<Heard>) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let mut luck = grebe::luck::luck(11);
+    let mut luck = grebepath_core::luck::luck(11);
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let last = grebe::luck::below(&mut luck, 4);
-        let how = grebe::luck::below(&mut luck, 2);
+        let last = grebepath_core::luck::below(&mut luck, 4);
+        let how = grebepath_core::luck::below(&mut luck, 2);
         let (mut raw, mut served) = (Vec::new(), 0);
         loop {
             let mut part = [0u8; 4096];
@@ -133,7 +133,11 @@
     }
 }
 
-async fn send_work(pool: &runtime::leafs::Pool, addr: SocketAddr, n: usize) -> Option<u16> {
+async fn send_work(
+    pool: &grebepath_runtime::leafs::Pool,
+    addr: SocketAddr,
+    n: usize,
+) -> Option<u16> {
     use http_body_util::Full;
     use hyper::Request;
     let get = || Request::get("/self").header("expect-leaf", "s.1").body(Full::default());
@@ -144,10 +148,10 @@
         .unwrap();
     let fits = |r: &hyper::Response<bytes::Bytes>| r.status() == 200;
     let greeting = || get().unwrap();
-    let sent = runtime::leafs::exchange(pool, (addr, "s.1"), greeting, fits, work, 1024);
+    let sent = grebepath_runtime::leafs::exchange(pool, (addr, "s.1"), greeting, fits, work, 1024);
     match sent.await {
-        Ok(runtime::leafs::Got::Answer(r)) => Some(r.status().as_u16()),
-        Ok(runtime::leafs::Got::Unfit(r)) => Some(r.status().as_u16()),
+        Ok(grebepath_runtime::leafs::Got::Answer(r)) => Some(r.status().as_u16()),
+        Ok(grebepath_runtime::leafs::Got::Unfit(r)) => Some(r.status().as_u16()),
         Err(_) => None,
     }
 }
@@ -162,7 +166,7 @@
         let heard = Rc::new(RefCell::new(Heard::default()));
         let own = heard.clone();
         let leaf = tokio::task::spawn_local(async move { flaky(listener, "s.1", &own).await });
-        let pool = runtime::leafs::pool(4);
+        let pool = grebepath_runtime::leafs::pool(4);
         let mut answered = 0;
         for n in 0..200 {
             answered += u32::from(send_work(&pool, addr, n).await == Some(200));
@@ -473,18 +477,18 @@
         let f = fleet::up(layout("flood")).await.unwrap();
         all_ready(&f).await;
         let one = async |search: &str| {
-            let http = runtime::http::client(1);
+            let http = grebepath_runtime::http::client(1);
             let req = hyper::Request::post(format!("http://{}/v1/search/{search}", f.fronts[0]))
                 .header("budget-ms", "900")
                 .body(http_body_util::Full::from(r#"{"question": "q"}"#))
                 .unwrap();
-            let got = runtime::http::call(&http, req, 1 << 20).await.ok()?;
+            let got = grebepath_runtime::http::call(&http, req, 1 << 20).await.ok()?;
             let again =
                 got.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
             Some((got.status().as_u16(), again))
         };
         let ready = async || {
-            let http = runtime::http::client(1);
+            let http = grebepath_runtime::http::client(1);
             let url = format!("http://{}/readyz", f.fronts[0]);
             fleet::text(&http, url).await.is_some()
         };
--- a/crates/sim/examples/run_digest.rs
+++ b/crates/simulator/examples/run_digest.rs
@@ -9,10 +9,10 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+use grebepath_simulator::net::traced;
+use grebepath_simulator::scenario::{Scenario, play_traced, read};
+use grebepath_simulator::world::{Deviation, Deviations, FAULTS, World};
 use serde_json::Value;
-use sim::net::traced;
-use sim::scenario::{Scenario, play_traced, read};
-use sim::world::{Deviation, Deviations, FAULTS, World};
 
 /// Seeds that every run is played with.
 const SEEDS: [u64; 2] = [1, 2];
@@ -89,7 +89,9 @@
             let mut deviations = Deviations::default();
             match extra {
                 Extra::Nothing => {}
-                Extra::Drawn => scenario.troubles.extend(sim::chaos::chaos(seed, &scenario)),
+                Extra::Drawn => {
+                    scenario.troubles.extend(grebepath_simulator::chaos::chaos(seed, &scenario))
+                }
                 Extra::Explored => {
                     let at = |n: u64| Deviation {
                         event: (seed + n) * EXPLORED_STEP,
@@ -150,6 +152,6 @@
     let text = file(format!("{root}/scenarios/{name}.json")).expect("the scenario's file is there");
     match read(&text, &deployment) {
         Ok(scenario) => scenario,
-        Err(all) => panic!("{name}: {}", grebe::lang::finding::lines(&all)),
+        Err(all) => panic!("{name}: {}", grebepath_core::lang::finding::lines(&all)),
     }
 }
--- a/crates/sim/src/backs.rs
+++ b/crates/simulator/src/backs.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use grebe::edge::leaf::{self as edge, Heads, Raw};
-use grebe::luck::{Luck, below};
-use grebe::query::desk::Sending;
-use grebe::time::{MILLI, Span, Tick, ms, since};
+use grebepath_core::edge::leaf::{self as edge, Heads, Raw};
+use grebepath_core::luck::{Luck, below};
+use grebepath_core::query::desk::Sending;
+use grebepath_core::time::{MILLI, Span, Tick, ms, since};
 use serde_json::{Value, json};
 
 use crate::oracle;
--- a/crates/sim/src/bin/grebehollow.rs
+++ b/crates/simulator/src/bin/scale_model.rs
@@ -1,6 +1,6 @@
 //! Weighs what control costs at a size.
 
-use sim::hollow::cli;
+use grebepath_simulator::hollow::cli;
 
 fn main() {
     cli::run(&cli::options().run());
--- a/crates/sim/src/chaos.rs
+++ b/crates/simulator/src/chaos.rs
@@ -1,7 +1,7 @@
 //! Troubles drawn by seed: alone, together, at any time, and one last fault;
 //! then all is mended and the fleet must be whole again.
 
-use grebe::luck::{Luck, below, chance, luck};
+use grebepath_core::luck::{Luck, below, chance, luck};
 use serde_json::{Value, json};
 
 use crate::backs::ZONES;
--- a/crates/sim/src/exploration.rs
+++ b/crates/simulator/src/exploration.rs
@@ -1,8 +1,8 @@
-//! The command line's way to `sim::explore`.
+//! The command line's way to `grebepath_simulator::explore`.
 
-use sim::explore::{Failure, Pairs, Scope, explore, play_once};
-use sim::scenario::Scenario;
-use sim::world::{Deviation, FAULTS, Fault};
+use grebepath_simulator::explore::{Failure, Pairs, Scope, explore, play_once};
+use grebepath_simulator::scenario::Scenario;
+use grebepath_simulator::world::{Deviation, FAULTS, Fault};
 
 use crate::{Args, EXIT_BROKEN, EXIT_USAGE};
 
@@ -12,11 +12,11 @@
 /// Explores each scenario; gives the exit code.
 pub fn run(args: &Args, window: &str, scenarios: &[Scenario]) -> i32 {
     let Some(window) = read_window(window) else {
-        eprintln!("grebesim: --explore takes two times in seconds, like 0.5:0.9");
+        eprintln!("simulator: --explore takes two times in seconds, like 0.5:0.9");
         return EXIT_USAGE;
     };
     let Some(once) = args.faults.as_deref().map(read_faults).unwrap_or(Some(Vec::new())) else {
-        eprintln!("grebesim: --faults takes a list like 12:power,40:gone");
+        eprintln!("simulator: --faults takes a list like 12:power,40:gone");
         return EXIT_USAGE;
     };
     let mut broken = false;
--- a/crates/sim/src/hollow/cli.rs
+++ b/crates/simulator/src/hollow/cli.rs
@@ -1,7 +1,7 @@
-//! The flags of `grebehollow`, and its run.
+//! The flags of `scale-model`, and its run.
 
 use bpaf::{OptionParser, Parser, construct, long};
-use grebe::time::SECOND;
+use grebepath_core::time::SECOND;
 
 use super::fan;
 use super::phases::{Wish, measure};
--- a/crates/sim/src/hollow/does.rs
+++ b/crates/simulator/src/hollow/does.rs
@@ -2,17 +2,17 @@
 
 use std::rc::Rc;
 
-use grebe::cohort::step as qstep;
-use grebe::cohort::watch as wat;
-use grebe::disk::write;
-use grebe::edge::list;
-use grebe::names::Seat;
-use grebe::seats::roll;
-use grebe::state::core as st;
-use grebe::state::step as cstep;
-use grebe::time::{BOOT, MILLI, ms};
-use grebe::wire::frame;
-use grebe::wire::msg::{Msg, Word};
+use grebepath_core::cohort::step as qstep;
+use grebepath_core::cohort::watch as wat;
+use grebepath_core::disk::write;
+use grebepath_core::edge::list;
+use grebepath_core::names::Seat;
+use grebepath_core::seats::roll;
+use grebepath_core::state::core as st;
+use grebepath_core::state::step as cstep;
+use grebepath_core::time::{BOOT, MILLI, ms};
+use grebepath_core::wire::frame;
+use grebepath_core::wire::msg::{Msg, Word};
 
 use super::cost::{add, kind, timed};
 use super::plan;
@@ -219,7 +219,7 @@
     raw
 }
 
-fn job(w: &mut World, s: usize, part: grebe::names::PartId, token: u64, job: Job) {
+fn job(w: &mut World, s: usize, part: grebepath_core::names::PartId, token: u64, job: Job) {
     let life = w.seats[s].life;
     let at = vdisk::begin(&mut w.seats[s].disk, w.now, part, token, job, &mut w.luck);
     if let Some(at) = at {
--- a/crates/sim/src/hollow/fan.rs
+++ b/crates/simulator/src/hollow/fan.rs
@@ -4,15 +4,15 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use grebe::config::{build, read};
-use grebe::edge::leaf::{Heads, Raw, postmark};
-use grebe::query::ask::{Ask, Outcome};
-use grebe::query::desk::{Command, Desk, Event, Sending, desk};
-use grebe::query::share::share;
-use grebe::query::step::step;
-use grebe::time::{BOOT, MILLI, SECOND, Tick};
-use grebe::view::leafs::LeafInfo;
-use grebe::view::whole;
+use grebepath_core::config::{build, read};
+use grebepath_core::edge::leaf::{Heads, Raw, postmark};
+use grebepath_core::query::ask::{Ask, Outcome};
+use grebepath_core::query::desk::{Command, Desk, Event, Sending, desk};
+use grebepath_core::query::share::share;
+use grebepath_core::query::step::step;
+use grebepath_core::time::{BOOT, MILLI, SECOND, Tick};
+use grebepath_core::view::leafs::LeafInfo;
+use grebepath_core::view::whole;
 use serde_json::json;
 
 use super::cost::timed;
@@ -21,7 +21,7 @@
 /// Queries that are measured (count), after as many that are not.
 const QUERIES: u64 = 20;
 /// Records in each reply (count): what a caller gets who names no limit.
-const RECORDS: usize = grebe::consts::RECORDS_DEFAULT as usize;
+const RECORDS: usize = grebepath_core::consts::RECORDS_DEFAULT as usize;
 
 /// What was found.
 #[derive(Default)]
@@ -51,7 +51,7 @@
     step(&mut d, BOOT, Event::View(Arc::new(view)));
     step(&mut d, BOOT, Event::Share(share(&members, "front-0", 0)));
     step(&mut d, BOOT, Event::Grip(Tick::MAX));
-    step(&mut d, BOOT, Event::Door(grebe::query::desk::Door::Open));
+    step(&mut d, BOOT, Event::Door(grebepath_core::query::desk::Door::Open));
     d
 }
 
--- a/crates/sim/src/hollow/phases.rs
+++ b/crates/simulator/src/hollow/phases.rs
@@ -1,7 +1,7 @@
 //! What is done with a hollow fleet, and what is read off it.
 
-use grebe::time::{MILLI, SECOND, Span, Tick};
-use grebe::wire::msg::{Deed, Done};
+use grebepath_core::time::{MILLI, SECOND, Span, Tick};
+use grebepath_core::wire::msg::{Deed, Done};
 use serde_json::json;
 
 use super::cost::{self, Cell, Meter, Ways};
@@ -145,11 +145,12 @@
 }
 
 /// What it takes to read all leafs that are held and to make a view of them.
-fn view(w: &grebe::cohort::watch::Watch) -> u64 {
+fn view(w: &grebepath_core::cohort::watch::Watch) -> u64 {
     let mut took = 0;
     cost::timed(&mut took, || {
-        let list = w.held.values().flat_map(|h| grebe::state::leafs::all(&h.map).into_values());
-        grebe::view::whole::view(w.built_rev, w.built.clone(), list.collect())
+        let list =
+            w.held.values().flat_map(|h| grebepath_core::state::leafs::all(&h.map).into_values());
+        grebepath_core::view::whole::view(w.built_rev, w.built.clone(), list.collect())
     });
     took
 }
@@ -157,7 +158,7 @@
 fn operate(w: &mut World, op: u64, deed: Deed) {
     let life = w.seats[0].life;
     let request = format!("order-{op}");
-    let event = grebe::state::core::Event::Operate { op, request, expect: None, deed };
+    let event = grebepath_core::state::core::Event::Operate { op, request, expect: None, deed };
     world::push(w, MILLI, Hap::SeatTakes { s: 0, life, event: Box::new(event) });
 }
 
--- a/crates/sim/src/hollow/plan.rs
+++ b/crates/simulator/src/hollow/plan.rs
@@ -1,9 +1,9 @@
 //! The plan of a hollow fleet: its zones, its leafs and its configuration.
 
-use grebe::luck::{Luck, below};
-use grebe::names::Seat;
-use grebe::time::{Span, ms};
-use grebe::view::leafs::LeafInfo;
+use grebepath_core::luck::{Luck, below};
+use grebepath_core::names::Seat;
+use grebepath_core::time::{Span, ms};
+use grebepath_core::view::leafs::LeafInfo;
 use serde_json::{Value, json};
 
 /// Zones (count), and the regions they lie in (count): issue 11.
@@ -21,7 +21,7 @@
 /// Chance's part of a way, as a part of it (percent).
 const WOBBLE_PCT: u64 = 50;
 /// Age that leafs tell (ms): old enough that ages cost nothing any more.
-pub const OLD_MS: u64 = grebe::consts::AGE_TOLD_MS;
+pub const OLD_MS: u64 = grebepath_core::consts::AGE_TOLD_MS;
 
 /// A size to measure.
 #[derive(Clone, Copy)]
@@ -81,7 +81,7 @@
     let shard = shard(n, leafs);
     let labels = [("zone", name(zone(n))), ("cut", "w48".into()), ("shard", format!("{shard}"))];
     LeafInfo {
-        leaf: format!("index-shard-{shard:04}-{:08x}", grebe::luck::mix(n as u64) as u32),
+        leaf: format!("index-shard-{shard:04}-{:08x}", grebepath_core::luck::mix(n as u64) as u32),
         service: service(shard),
         addr: format!("10.{}.{}.{}:8080", n >> 16, (n >> 8) & 255, n & 255),
         labels: labels.into_iter().map(|(k, v)| (k.to_string(), v)).collect(),
--- a/crates/sim/src/hollow/show.rs
+++ b/crates/simulator/src/hollow/show.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Write;
 
-use grebe::time::{MILLI, SECOND, Span};
+use grebepath_core::time::{MILLI, SECOND, Span};
 
 use super::cost::{Cell, Meter};
 use super::phases::{Event, Found, Sum};
--- a/crates/sim/src/hollow/weight.rs
+++ b/crates/simulator/src/hollow/weight.rs
@@ -2,12 +2,12 @@
 //! has no allocator of its own: lengths are exact, what the allocator adds is
 //! taken from the constants below. The process's own memory checks the sum.
 
-use grebe::cohort::watch::Watch;
-use grebe::config::build::Built;
-use grebe::state::core::Core;
-use grebe::view::leafs::LeafInfo;
-use grebe::view::whole::View;
-use grebe::wire::msg::{Cohort, Map, Member};
+use grebepath_core::cohort::watch::Watch;
+use grebepath_core::config::build::Built;
+use grebepath_core::state::core::Core;
+use grebepath_core::view::leafs::LeafInfo;
+use grebepath_core::view::whole::View;
+use grebepath_core::wire::msg::{Cohort, Map, Member};
 
 /// What the allocator adds to a block (bytes).
 const BLOCK: usize = 16;
@@ -44,10 +44,10 @@
 }
 
 fn built(b: &Built) -> usize {
-    let pool = |p: &grebe::config::build::PoolPlan| {
+    let pool = |p: &grebepath_core::config::build::PoolPlan| {
         std::mem::size_of_val(p) + p.name.len() + p.service.len() + 3 * BLOCK
     };
-    let shard = |s: &grebe::config::build::Shard| {
+    let shard = |s: &grebepath_core::config::build::Shard| {
         text(&s.name) + TEXT + s.pools.iter().map(pool).sum::<usize>()
     };
     b.mappings.values().map(|m| m.shards.iter().map(shard).sum::<usize>()).sum()
@@ -78,7 +78,7 @@
 
 /// A controller's state.
 pub fn core(c: &Core) -> usize {
-    let entries = |list: &Vec<grebe::config::change::Entry>| -> usize {
+    let entries = |list: &Vec<grebepath_core::config::change::Entry>| -> usize {
         list.iter().map(|(k, v)| text(k) + TEXT + v.as_ref().map_or(0, Vec::len)).sum()
     };
     let parts: usize = c
--- a/crates/sim/src/hollow/world.rs
+++ b/crates/simulator/src/hollow/world.rs
@@ -3,17 +3,17 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
-use grebe::cohort::step as qstep;
-use grebe::cohort::watch::{self as wat, Watch};
-use grebe::consts;
-use grebe::luck::{Luck, below, luck};
-use grebe::names::{PartId, Seat, parts};
-use grebe::seats::roll::{self, Start};
-use grebe::state::core::{self as st, Core};
-use grebe::state::step as cstep;
-use grebe::time::{BOOT, MILLI, Span, Tick, ms};
-use grebe::view::leafs::LeafInfo;
-use grebe::wire::msg::{Done, Life, Member};
+use grebepath_core::cohort::step as qstep;
+use grebepath_core::cohort::watch::{self as wat, Watch};
+use grebepath_core::consts;
+use grebepath_core::luck::{Luck, below, luck};
+use grebepath_core::names::{PartId, Seat, parts};
+use grebepath_core::seats::roll::{self, Start};
+use grebepath_core::state::core::{self as st, Core};
+use grebepath_core::state::step as cstep;
+use grebepath_core::time::{BOOT, MILLI, Span, Tick, ms};
+use grebepath_core::view::leafs::LeafInfo;
+use grebepath_core::wire::msg::{Done, Life, Member};
 
 use super::cost::{Cell, Meter, Ways};
 use super::plan::{self, Size};
@@ -203,7 +203,7 @@
 
 /// Starts a controller on its disk.
 pub fn start_seat(w: &mut World, s: usize) {
-    let seed = grebe::luck::draw(&mut w.luck);
+    let seed = grebepath_core::luck::draw(&mut w.luck);
     let start = Start {
         seat: Some(s as Seat),
         first: w.now == BEGIN,
@@ -219,8 +219,8 @@
     let list = found
         .into_iter()
         .map(|(part, found)| match found {
-            grebe::disk::read::Found::Good { copy, .. } => (part, Life::Formed, copy, 0),
-            _ => (part, Life::Empty, grebe::disk::rec::Copy::default(), 0),
+            grebepath_core::disk::read::Found::Good { copy, .. } => (part, Life::Formed, copy, 0),
+            _ => (part, Life::Empty, grebepath_core::disk::rec::Copy::default(), 0),
         })
         .collect();
     let n = &mut w.seats[s];
--- a/crates/sim/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -3,10 +3,10 @@
 mod exploration;
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
-use grebe::lang::finding::{Finding, lines};
+use grebepath_core::lang::finding::{Finding, lines};
+use grebepath_simulator::scenario::{Scenario, play_weighed, read};
+use grebepath_simulator::{report, world::World};
 use serde_json::{Value, json};
-use sim::scenario::{Scenario, play_weighed, read};
-use sim::{report, world::World};
 
 /// Exit code when a promise was broken.
 const EXIT_BROKEN: i32 = 1;
@@ -94,7 +94,7 @@
         }
     };
     if args.compare && args.files.len() != 2 {
-        eprintln!("grebesim: --compare takes two scenarios");
+        eprintln!("simulator: --compare takes two scenarios");
         std::process::exit(EXIT_USAGE);
     }
     let mut list: Vec<Scenario> = Vec::new();
@@ -102,7 +102,7 @@
         match load(file, &args.deploy) {
             Ok(s) => list.push(s),
             Err(all) => {
-                eprintln!("grebesim: {file}:\n{}", lines(&all));
+                eprintln!("simulator: {file}:\n{}", lines(&all));
                 std::process::exit(EXIT_USAGE);
             }
         }
@@ -134,14 +134,14 @@
 /// The scenario with troubles drawn by the seed.
 fn stirred(s: &Scenario, seed: u64) -> Scenario {
     let mut out = s.clone();
-    out.troubles.extend(sim::chaos::chaos(seed, s));
+    out.troubles.extend(grebepath_simulator::chaos::chaos(seed, s));
     out
 }
 
 /// Prints the fewest troubles that still break one of the promises that broke.
 fn shrunk(s: &Scenario, seed: u64, w: &World) {
     let rules: Vec<u8> = w.rules.counts.keys().copied().collect();
-    let list = sim::chaos::shrink(&s.troubles, |list| {
+    let list = grebepath_simulator::chaos::shrink(&s.troubles, |list| {
         let less = Scenario { troubles: list.to_vec(), ..s.clone() };
         let w = play_weighed(&less, seed, None, false);
         rules.iter().any(|r| w.rules.counts.contains_key(r))
--- a/crates/sim/src/oracle.rs
+++ b/crates/simulator/src/oracle.rs
@@ -2,8 +2,8 @@
 //! question and the key alone, so a checker can tell what any shard's true
 //! answer is without asking anyone.
 
-use grebe::digest::hash;
-use grebe::luck::mix;
+use grebepath_core::digest::hash;
+use grebepath_core::luck::mix;
 
 /// Records that each service holds for any question.
 const HELD: u64 = 60;
--- a/crates/sim/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,6 +1,6 @@
 //! What a run came to, as a table and as JSON.
 
-use grebe::time::MILLI;
+use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
 
 use crate::rules;
@@ -31,10 +31,10 @@
     }
     let (over, most) = rules::retries(&w.rules);
     let worst = w.backs.leafs.values().max_by_key(|l| l.worst_pct);
-    let orders = |want: fn(&grebe::wire::msg::Done) -> bool| {
+    let orders = |want: fn(&grebepath_core::wire::msg::Done) -> bool| {
         w.orders.iter().filter(|o| o.done.as_ref().is_some_and(want)).count()
     };
-    use grebe::wire::msg::Done;
+    use grebepath_core::wire::msg::Done;
     json!({
         "violations": w.rules.counts,
         "first": w.rules.found.iter().take(10).map(|v| json!({
--- a/crates/sim/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
-use grebe::time::{SECOND, Tick, ms};
+use grebepath_core::time::{SECOND, Tick, ms};
 
 /// A broken promise.
 #[derive(Clone, Debug)]
--- a/crates/sim/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -3,8 +3,8 @@
 
 use std::fmt;
 
-use grebe::lang::finding::{Finding, find};
-use grebe::time::{SECOND, ms};
+use grebepath_core::lang::finding::{Finding, find};
+use grebepath_core::time::{SECOND, ms};
 use serde_json::Value;
 
 use crate::backs::{self, Alive, ListMode, Mode, ZONES};
@@ -363,7 +363,7 @@
             }
         }
         "flip" => {
-            let mut luck = grebe::luck::luck(grebe::luck::draw(&mut w.luck));
+            let mut luck = grebepath_core::luck::luck(grebepath_core::luck::draw(&mut w.luck));
             crate::vdisk::flip(&mut w.seats[which].disk, &mut luck);
         }
         "cut" => cuts(w, val),
--- a/crates/sim/src/vdisk.rs
+++ b/crates/simulator/src/vdisk.rs
@@ -2,13 +2,13 @@
 //! would, written and read by the same functions, and it can lose power in
 //! the middle of anything.
 
-use grebe::disk::read::{Found, read};
-use grebe::disk::rec::{Copy, Rec};
-use grebe::disk::write;
-use grebe::luck::{Luck, below, chance};
-use grebe::names::PartId;
-use grebe::seats::roll::{self, Roll};
-use grebe::time::{Span, Tick, ms};
+use grebepath_core::disk::read::{Found, read};
+use grebepath_core::disk::rec::{Copy, Rec};
+use grebepath_core::disk::write;
+use grebepath_core::luck::{Luck, below, chance};
+use grebepath_core::names::PartId;
+use grebepath_core::seats::roll::{self, Roll};
+use grebepath_core::time::{Span, Tick, ms};
 
 /// One part's files and what is being written.
 ///
--- a/crates/sim/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -69,7 +69,7 @@
         {
             let cut = w.kinds[kind].shards[0].0.clone();
             let planned = w.kinds[kind].shards.iter().filter(|s| s.0 == cut).count();
-            return Outcome::Full(grebe::query::ask::Full {
+            return Outcome::Full(grebepath_core::query::ask::Full {
                 query: b.query.clone().unwrap_or_default(),
                 mapping: w.kinds[kind].search.clone(),
                 cut,
--- a/crates/sim/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -2,27 +2,27 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebe::cohort::step as qstep;
-use grebe::cohort::watch::{self as wat, Watch};
-use grebe::config::{change, types::Config};
-use grebe::consts;
-use grebe::digest::digest;
-use grebe::disk::read::Found;
-use grebe::disk::rec::Copy;
-use grebe::edge::leaf::{Heads, MISDIRECTED, Raw, Trouble};
-use grebe::edge::{caller, list};
-use grebe::luck::{Luck, below, draw, luck};
-use grebe::names::{PartId, Seat, parts};
-use grebe::query::ask::Outcome;
-use grebe::query::desk::{self, Desk, Door, Sending, desk};
-use grebe::query::step as dstep;
-use grebe::seats::roll::{self, Start};
-use grebe::seats::table::seat_of;
-use grebe::state::core::{self as st, Core, Event as CoreEvent};
-use grebe::state::step as cstep;
-use grebe::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
-use grebe::view::leafs::LeafInfo;
-use grebe::wire::msg::{Deed, Done, Life, Member, Msg, Word};
+use grebepath_core::cohort::step as qstep;
+use grebepath_core::cohort::watch::{self as wat, Watch};
+use grebepath_core::config::{change, types::Config};
+use grebepath_core::consts;
+use grebepath_core::digest::digest;
+use grebepath_core::disk::read::Found;
+use grebepath_core::disk::rec::Copy;
+use grebepath_core::edge::leaf::{Heads, MISDIRECTED, Raw, Trouble};
+use grebepath_core::edge::{caller, list};
+use grebepath_core::luck::{Luck, below, draw, luck};
+use grebepath_core::names::{PartId, Seat, parts};
+use grebepath_core::query::ask::Outcome;
+use grebepath_core::query::desk::{self, Desk, Door, Sending, desk};
+use grebepath_core::query::step as dstep;
+use grebepath_core::seats::roll::{self, Start};
+use grebepath_core::seats::table::seat_of;
+use grebepath_core::state::core::{self as st, Core, Event as CoreEvent};
+use grebepath_core::state::step as cstep;
+use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
+use grebepath_core::view::leafs::LeafInfo;
+use grebepath_core::wire::msg::{Deed, Done, Life, Member, Msg, Word};
 use serde_json::{Value, json};
 
 use crate::backs::{self, Alive, VBacks, ZONES};
@@ -654,7 +654,7 @@
 
 /// Whether this machine's controller has a seat.
 pub fn seated(n: &SeatNode) -> bool {
-    n.core.seat != grebe::seats::table::NOBODY
+    n.core.seat != grebepath_core::seats::table::NOBODY
 }
 
 /// The machines that are up and have a seat.
--- a/crates/sim/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -67,7 +67,7 @@
             };
             let part = &w.seats[*s].core.parts[0];
             let Ok(conf) = change::config(&part.shown) else { return };
-            let mut val = grebe::config::show::json(&conf);
+            let mut val = grebepath_core::config::show::json(&conf);
             if let Some(zones) = val["zones"].as_array_mut() {
                 zones.push(json!({ "name": format!("mark-{n}"), "state": "open" }));
             }
--- a/crates/sim/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -17,7 +17,7 @@
         .map(|t| {
             let name = format!("{}-{t}-{:x}", n.name, n.life);
             let mut desk = desk(&name, &n.zone, seed ^ u64::from(t), BOOT);
-            desk.slot = grebe::query::share::slot(&n.name, t);
+            desk.slot = grebepath_core::query::share::slot(&n.name, t);
             desk
         })
         .collect();
@@ -63,7 +63,8 @@
     let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.rev)).collect();
     for (part, rev) in places {
         if rev > 0 && !seen(w, q, part, rev) {
-            let sum = grebe::state::leader::sum(&w.queriers[q].watch.held[&PartId(part)].map);
+            let sum =
+                grebepath_core::state::leader::sum(&w.queriers[q].watch.held[&PartId(part)].map);
             rules::same(&mut w.rules, w.now - BEGIN, part, rev, sum);
         }
     }
@@ -129,7 +130,7 @@
         wat::Command::Shares(list) => {
             for t in 0..THREADS {
                 let name = w.queriers[q].name.clone();
-                let mut share = grebe::query::share::share(&list, &name, t);
+                let mut share = grebepath_core::query::share::share(&list, &name, t);
                 if w.broken == Some(Broken::NoShare) && !share.slots.is_empty() {
                     share.slots = vec![share.mine];
                 }
@@ -138,7 +139,7 @@
             }
         }
         wat::Command::Peers(list) => {
-            let peers = grebe::query::share::peers(&list);
+            let peers = grebepath_core::query::share::peers(&list);
             for t in 0..THREADS as usize {
                 push(w, 20, Hap::ToDesk { q, life, t, event: desk::Event::Peers(peers.clone()) });
             }
@@ -182,7 +183,7 @@
 }
 
 /// Hides that leafs leave.
-pub(super) fn deafen(view: &mut grebe::view::whole::View) {
+pub(super) fn deafen(view: &mut grebepath_core::view::whole::View) {
     let hide = |l: &std::sync::Arc<LeafInfo>| {
         let mut own = (**l).clone();
         own.leaving = false;
@@ -245,7 +246,7 @@
     if l.name == info.leaf {
         word.leaving = l.leaving && w.broken != Some(Broken::IgnoreLeaving);
         if w.backs.ages {
-            word.age_ms = grebe::time::since(l.born, w.now) / MILLI;
+            word.age_ms = grebepath_core::time::since(l.born, w.now) / MILLI;
         }
         if l.leaving {
             learn(w, &info.leaf.clone());
@@ -262,7 +263,7 @@
     let deaf = w.broken == Some(Broken::IgnoreLeaving);
     let n = &mut w.queriers[q];
     if w.broken == Some(Broken::NoRule) {
-        grebe::query::rule::slack(&mut n.desks[t].rule, 1_000_000);
+        grebepath_core::query::rule::slack(&mut n.desks[t].rule, 1_000_000);
     }
     let todo = dstep::step(&mut n.desks[t], local, event);
     if deaf {
--- a/crates/sim/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -102,7 +102,7 @@
         CoreEvent::FromSeat { seat, holder, msg, .. } => {
             let table = &core.seating.roll.table;
             *holder = table.seats.get(usize::from(*seat)).map_or(0, |h| h.holder);
-            if let Some(stamp) = grebe::seats::seating::stamped(msg) {
+            if let Some(stamp) = grebepath_core::seats::seating::stamped(msg) {
                 *stamp = core.seating.stamp;
             }
         }
@@ -177,7 +177,9 @@
     for command in todo {
         seat_does(w, s, command);
     }
-    if w.seats[s].stopping.is_some() && grebe::seats::handover::may_end(&w.seats[s].core, local) {
+    if w.seats[s].stopping.is_some()
+        && grebepath_core::seats::handover::may_end(&w.seats[s].core, local)
+    {
         end_seat(w, s);
     }
 }
--- a/crates/sim/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -4,10 +4,10 @@
 
 mod common;
 
-use grebe::time::{MILLI, SECOND, Span, ms};
-use grebe::wire::msg::Done;
-use sim::net::{Node, cut};
-use sim::world::{self, DueKey, World};
+use grebepath_core::time::{MILLI, SECOND, Span, ms};
+use grebepath_core::wire::msg::Done;
+use grebepath_simulator::net::{Node, cut};
+use grebepath_simulator::world::{self, DueKey, World};
 
 /// Half of the time in which operators are promised an acknowledgement.
 const ACKNOWLEDGED_WITHIN: Span = ms(2_500);
--- a/crates/sim/tests/broken.rs
+++ b/crates/simulator/tests/broken.rs
@@ -3,10 +3,10 @@
 
 mod common;
 
+use grebepath_simulator::chaos::at;
+use grebepath_simulator::scenario::play;
+use grebepath_simulator::world::Broken;
 use serde_json::{Value, json};
-use sim::chaos::at;
-use sim::scenario::play;
-use sim::world::Broken;
 
 /// Plays a case in both deployments, each with a seed of its own.
 fn case(name: &str, rule: u8, broken: Broken, troubles: Vec<Value>) {
@@ -24,7 +24,7 @@
         let troubles = troubles.iter().map(|t| there(t, deployment)).collect();
         let mut s = common::scenario(name, seconds, factor, troubles);
         let stands = common::load(&format!("{deployment}.standins.json")).unwrap();
-        s.spec = sim::spec::parse(&stands).unwrap();
+        s.spec = grebepath_simulator::spec::parse(&stands).unwrap();
         s.config = common::load(&format!("{deployment}.json")).unwrap();
         let sound = play(&s, seed, None);
         let found = &sound.rules.found;
--- a/crates/sim/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -2,11 +2,11 @@
 
 mod common;
 
+use grebepath_simulator::chaos::at;
+use grebepath_simulator::scenario::{Scenario, play};
+use grebepath_simulator::world::Broken;
+use grebepath_simulator::{report, world};
 use serde_json::json;
-use sim::chaos::at;
-use sim::scenario::{Scenario, play};
-use sim::world::Broken;
-use sim::{report, world};
 
 /// Seeds played in every run of the tests.
 const SEEDS: u64 = 12;
@@ -30,16 +30,18 @@
     let (name, factor) =
         [("recut", 0.05), ("kahurangi", 0.05), ("tight", 0.3)][(seed % 3) as usize];
     let mut s = common::scenario("chaos", 70, factor, Vec::new());
-    s.spec = sim::spec::parse(&common::load(&format!("{name}.standins.json")).unwrap()).unwrap();
+    s.spec =
+        grebepath_simulator::spec::parse(&common::load(&format!("{name}.standins.json")).unwrap())
+            .unwrap();
     s.config = common::load(&format!("{name}.json")).unwrap();
-    s.troubles = sim::chaos::chaos(seed, &s);
+    s.troubles = grebepath_simulator::chaos::chaos(seed, &s);
     s
 }
 
 fn one(seed: u64) -> Option<String> {
     let s = scene(seed);
     let mut w = play(&s, seed, None);
-    let settled = world::until(&mut w, grebe::time::SECOND * 20, world::settled);
+    let settled = world::until(&mut w, grebepath_core::time::SECOND * 20, world::settled);
     if w.rules.counts.is_empty() && settled {
         return None;
     }
@@ -61,14 +63,14 @@
         json!({ "do": "leave-leafs", "service": "kahurangi-fleet-w48-0",
                                 "count": 2 }),
     );
-    s.troubles.push(sim::scenario::drawn(&leave));
+    s.troubles.push(grebepath_simulator::scenario::drawn(&leave));
     s.seconds = 20;
-    let fails = |list: &[sim::scenario::Trouble]| {
+    let fails = |list: &[grebepath_simulator::scenario::Trouble]| {
         let less = Scenario { troubles: list.to_vec(), ..s.clone() };
         play(&less, 1, Some(Broken::IgnoreLeaving)).rules.counts.contains_key(&7)
     };
     assert!(fails(&s.troubles));
-    let list = sim::chaos::shrink(&s.troubles, fails);
+    let list = grebepath_simulator::chaos::shrink(&s.troubles, fails);
     assert_eq!(list.len(), 1, "{list:?}");
     assert_eq!(list[0].what, "leave-leafs");
 }
--- a/crates/sim/tests/explore.rs
+++ b/crates/simulator/tests/explore.rs
@@ -3,11 +3,11 @@
 
 mod common;
 
+use grebepath_simulator::chaos::at;
+use grebepath_simulator::explore::{Pairs, Report, Scope, explore};
+use grebepath_simulator::scenario::read;
+use grebepath_simulator::world::{Broken, FAULTS, Fault};
 use serde_json::{Value, json};
-use sim::chaos::at;
-use sim::explore::{Pairs, Report, Scope, explore};
-use sim::scenario::read;
-use sim::world::{Broken, FAULTS, Fault};
 
 /// Threads of an exploration (count).
 const THREADS: usize = 10;
@@ -20,7 +20,7 @@
     let val = json!({ "name": "explore", "seconds": 3, "queriers": 1, "factor": 0.001,
                       "seats": seats, "controllers": controllers, "troubles": all });
     let scenario = read(val.to_string().as_bytes(), &common::load)
-        .unwrap_or_else(|all| panic!("{}", grebe::lang::finding::lines(&all)));
+        .unwrap_or_else(|all| panic!("{}", grebepath_core::lang::finding::lines(&all)));
     let faults = FAULTS.to_vec();
     Scope { scenario, window, faults, seed: 3, tolerates: seats / 2, broken: None }
 }
--- a/crates/sim/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -4,12 +4,12 @@
 
 mod common;
 
-use grebe::time::{SECOND, ms};
-use grebe::wire::msg::Done;
+use grebepath_core::time::{SECOND, ms};
+use grebepath_core::wire::msg::Done;
+use grebepath_simulator::chaos::at;
+use grebepath_simulator::scenario::{Scenario, play, read};
+use grebepath_simulator::world::{self, Broken, World, seats_whole};
 use serde_json::{Value, json};
-use sim::chaos::at;
-use sim::scenario::{Scenario, play, read};
-use sim::world::{self, Broken, World, seats_whole};
 
 /// Milliseconds after the wish to stop at which a second loss strikes.
 const MOMENTS: [u64; 14] = [0, 5, 20, 40, 60, 80, 100, 130, 160, 200, 300, 400, 700, 1_500];
@@ -18,7 +18,7 @@
     let val = json!({ "name": "handover", "seconds": seconds, "queriers": 4, "factor": 0.02,
                       "seats": seats, "controllers": controllers, "troubles": troubles });
     read(val.to_string().as_bytes(), &common::load)
-        .unwrap_or_else(|all| panic!("{}", grebe::lang::finding::lines(&all)))
+        .unwrap_or_else(|all| panic!("{}", grebepath_core::lang::finding::lines(&all)))
 }
 
 /// Orders all the time.
--- a/crates/sim/tests/hollow.rs
+++ b/crates/simulator/tests/hollow.rs
@@ -1,11 +1,11 @@
 //! The hollow fleet at small sizes: it comes up, replays, and grows as it must.
 
 use googletest::prelude::*;
-use grebe::time::SECOND;
-use sim::hollow::phases::{Found, Wish, measure};
-use sim::hollow::plan::{self, Size};
-use sim::hollow::show;
-use sim::hollow::world;
+use grebepath_core::time::SECOND;
+use grebepath_simulator::hollow::phases::{Found, Wish, measure};
+use grebepath_simulator::hollow::plan::{self, Size};
+use grebepath_simulator::hollow::show;
+use grebepath_simulator::hollow::world;
 
 fn found(members: usize, leafs: usize, seed: u64) -> Found {
     let wish = Wish { calm: 4 * SECOND, single: true, restarts: true };
@@ -62,11 +62,11 @@
     let regions: std::collections::BTreeSet<usize> = (0..plan::ZONES).map(plan::region).collect();
     expect_that!(regions.len(), eq(5));
     let conf = plan::config(5_300).to_string();
-    let conf = grebe::config::read::whole(conf.as_bytes()).unwrap();
-    let built = grebe::config::build::build(&conf).unwrap();
+    let conf = grebepath_core::config::read::whole(conf.as_bytes()).unwrap();
+    let built = grebepath_core::config::build::build(&conf).unwrap();
     expect_that!(built.mappings["wide"].shards.len(), eq(1_300));
     let w = world::world(Size { members: 3, leafs: 30 }, 1);
-    let (list, wrong) = grebe::edge::list::read(w.list.as_bytes()).unwrap();
+    let (list, wrong) = grebepath_core::edge::list::read(w.list.as_bytes()).unwrap();
     expect_that!(list.len(), eq(30));
     expect_that!(wrong.len(), eq(0));
 }
--- a/crates/sim/tests/linearizability.rs
+++ b/crates/simulator/tests/linearizability.rs
@@ -3,8 +3,8 @@
 
 mod linearizability_script;
 
+use grebepath_simulator::linearizability::{Answer, Base, Effect, Numbering, Reason};
 use linearizability_script::{ACCEPTED, MOVED, Script, bad, good, puts, script};
-use sim::linearizability::{Answer, Base, Effect, Numbering, Reason};
 
 #[test]
 fn accepted_writes_and_reads_in_order_fit() {
--- a/crates/sim/tests/linearizability_drawn.rs
+++ b/crates/simulator/tests/linearizability_drawn.rs
@@ -5,8 +5,8 @@
 
 use std::time::Instant;
 
+use grebepath_simulator::linearizability::{Reason, Verdict, check};
 use linearizability_reference::{drawn_history, fits, long_history};
-use sim::linearizability::{Reason, Verdict, check};
 
 #[test]
 fn an_explanation_names_no_more_than_what_contradicts() {
@@ -14,7 +14,11 @@
     let head = history.reads.iter().map(|r| r.revision).max().unwrap_or(0);
     let stale = history.reads.iter().find(|r| r.revision + 20 < head).unwrap().clone();
     let end = history.reads.iter().map(|r| r.answered).max().unwrap() + 10_000;
-    history.reads.push(sim::linearizability::Read { sent: end, answered: end + 5, ..stale });
+    history.reads.push(grebepath_simulator::linearizability::Read {
+        sent: end,
+        answered: end + 5,
+        ..stale
+    });
     let Verdict::Violated(violation) = check(&history) else { panic!("not caught") };
     println!("{violation}");
     assert_eq!(violation.reason, Reason::Read);
--- a/crates/sim/tests/linearizability_reference/mod.rs
+++ b/crates/simulator/tests/linearizability_reference/mod.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use sim::linearizability::{Answer, Attempt, Base, Effect, History, Read, Register, Write};
+use grebepath_simulator::linearizability::{
+    Answer, Attempt, Base, Effect, History, Read, Register, Write,
+};
 
 /// A number below `top`.
 fn draw(seed: &mut u64, top: u64) -> u64 {
--- a/crates/sim/tests/linearizability_refusals.rs
+++ b/crates/simulator/tests/linearizability_refusals.rs
@@ -3,8 +3,8 @@
 
 mod linearizability_script;
 
+use grebepath_simulator::linearizability::{Answer, Base, Effect, Reason};
 use linearizability_script::{ACCEPTED, MOVED, bad, good, puts, script};
-use sim::linearizability::{Answer, Base, Effect, Reason};
 
 #[test]
 fn refusals_need_another_version_to_have_stood() {
--- a/crates/sim/tests/linearizability_script/mod.rs
+++ b/crates/simulator/tests/linearizability_script/mod.rs
@@ -3,7 +3,9 @@
 
 use std::collections::BTreeMap;
 
-use sim::linearizability::{Answer, Base, Effect, History, Reason, Recorder, Verdict, check};
+use grebepath_simulator::linearizability::{
+    Answer, Base, Effect, History, Reason, Recorder, Verdict, check,
+};
 
 pub const ACCEPTED: fn(u64) -> Answer = |revision| Answer::Accepted { revision };
 pub const MOVED: fn(u64) -> Answer = |version| Answer::Moved { version: Some(version) };
--- a/crates/sim/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -4,12 +4,12 @@
 
 mod common;
 
-use grebe::time::SECOND;
-use grebe::wire::msg::Done;
+use grebepath_core::time::SECOND;
+use grebepath_core::wire::msg::Done;
+use grebepath_simulator::chaos::at;
+use grebepath_simulator::scenario::{Scenario, play, read};
+use grebepath_simulator::world::{self, World, seats_whole};
 use serde_json::{Value, json};
-use sim::chaos::at;
-use sim::scenario::{Scenario, play, read};
-use sim::world::{self, World, seats_whole};
 
 fn scene(seconds: u64, more: Vec<Value>) -> Scenario {
     let mut troubles = vec![
@@ -20,7 +20,7 @@
     let val = json!({ "name": "long-history", "seconds": seconds, "queriers": 4, "factor": 0.02,
                       "seats": 3, "controllers": 3, "troubles": troubles });
     read(val.to_string().as_bytes(), &common::load)
-        .unwrap_or_else(|all| panic!("{}", grebe::lang::finding::lines(&all)))
+        .unwrap_or_else(|all| panic!("{}", grebepath_core::lang::finding::lines(&all)))
 }
 
 fn accepted(w: &World) -> usize {
--- a/crates/sim/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -3,14 +3,16 @@
 
 #![allow(dead_code)]
 
-use grebe::config::change;
-use grebe::digest::digest;
-use grebe::time::{SECOND, ms};
-use grebe::wire::msg::{Deed, Done};
+use grebepath_core::config::change;
+use grebepath_core::digest::digest;
+use grebepath_core::time::{SECOND, ms};
+use grebepath_core::wire::msg::{Deed, Done};
+use grebepath_simulator::linearizability::{
+    Answer, AttemptNumber, Base, Effect, Recorder, Verdict, check,
+};
+use grebepath_simulator::scenario::Scenario;
+use grebepath_simulator::world::{self, World};
 use serde_json::{Value, json};
-use sim::linearizability::{Answer, AttemptNumber, Base, Effect, Recorder, Verdict, check};
-use sim::scenario::Scenario;
-use sim::world::{self, World};
 
 /// Zones by name with their states: what the history follows.
 type Objects = std::collections::BTreeMap<String, String>;
@@ -178,7 +180,7 @@
     }
 }
 
-fn objects(map: &grebe::wire::msg::Map) -> Option<(Objects, u64)> {
+fn objects(map: &grebepath_core::wire::msg::Map) -> Option<(Objects, u64)> {
     let config = change::config(map).ok()?;
     let state = |drained| if drained { "drained" } else { "open" }.to_string();
     let zones = config.zones.values().map(|z| (z.name.clone(), state(z.drained))).collect();
--- a/crates/sim/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -5,15 +5,15 @@
 mod common;
 mod operators;
 
-use grebe::luck::{below, chance, luck};
-use grebe::wire::msg::Done;
+use grebepath_core::luck::{below, chance, luck};
+use grebepath_core::wire::msg::Done;
+use grebepath_simulator::chaos::at;
+use grebepath_simulator::scenario::{Trouble, befall, drawn, read};
+use grebepath_simulator::world::{self, World};
 use operators::{
     Change, Site, answer, ask, judged, pass, patch, read_back, send, site, tally, until, whole_of,
 };
 use serde_json::json;
-use sim::chaos::at;
-use sim::scenario::{Trouble, befall, drawn, read};
-use sim::world::{self, World};
 
 fn fleet(seed: u64) -> Site {
     site(&common::scenario("orders", 600, 0.01, Vec::new()), seed)
@@ -25,7 +25,7 @@
         "seats": 3, "controllers": 4 });
     match read(value.to_string().as_bytes(), &common::load) {
         Ok(scenario) => site(&scenario, seed),
-        Err(all) => panic!("{}", grebe::lang::finding::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::lang::finding::lines(&all)),
     }
 }
 
@@ -44,7 +44,7 @@
 
 /// The machine whose controller leads the configuration.
 fn leader(world: &World) -> Option<usize> {
-    use grebe::state::part::Role;
+    use grebepath_core::state::part::Role;
     let leads = |n: &world::SeatNode| matches!(&n.core.parts[0].role, Role::Leader(o) if o.serves);
     world.seats.iter().position(|n| n.up && leads(n))
 }
--- a/crates/sim/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -5,10 +5,10 @@
 
 use std::collections::BTreeMap;
 
-use grebe::time::SECOND;
+use grebepath_core::time::SECOND;
+use grebepath_simulator::scenario::{play, read};
+use grebepath_simulator::world::{self, World};
 use serde_json::json;
-use sim::scenario::{play, read};
-use sim::world::{self, World};
 
 /// Part of each scenario's load that is played in the tests.
 const PART: f64 = 0.12;
@@ -37,7 +37,7 @@
     let text = std::fs::read(format!("{dir}/{name}")).unwrap();
     let mut s = match read(&text, &common::load) {
         Ok(s) => s,
-        Err(all) => panic!("{name}: {}", grebe::lang::finding::lines(&all)),
+        Err(all) => panic!("{name}: {}", grebepath_core::lang::finding::lines(&all)),
     };
     // An overload must stay one, and a load that a tenth can't bear too.
     let heavy = ["restart-no-age.json", "weak-leafs.json"];
@@ -111,7 +111,7 @@
     let w = play(&s, 5, None);
     assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
     match &w.orders[1].done {
-        Some(grebe::wire::msg::Done::Unknown { why }) => {
+        Some(grebepath_core::wire::msg::Done::Unknown { why }) => {
             assert!(why.contains("q0 (obeys 1)") && why.contains("q6 (obeys 1)"), "{why}");
         }
         other => panic!("{other:?}"),
@@ -121,7 +121,7 @@
 #[test]
 fn a_seed_replays_exactly() {
     let dir = format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR"));
-    let print = |w: &World| sim::report::json(w).to_string();
+    let print = |w: &World| grebepath_simulator::report::json(w).to_string();
     let (one_, two) = (one(&dir, "rough.json").1, one(&dir, "rough.json").1);
     assert_eq!(print(&one_), print(&two));
 }
--- a/crates/sim/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -3,19 +3,19 @@
 
 mod common;
 
-use grebe::time::{SECOND, ms};
-use grebe::wire::msg::Done;
+use grebepath_core::time::{SECOND, ms};
+use grebepath_core::wire::msg::Done;
+use grebepath_simulator::chaos::at;
+use grebepath_simulator::scenario::{Scenario, play, read};
+use grebepath_simulator::world::{self, Broken, World, seats_whole};
 use serde_json::{Value, json};
-use sim::chaos::at;
-use sim::scenario::{Scenario, play, read};
-use sim::world::{self, Broken, World, seats_whole};
 
 fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
     let val = json!({ "name": "seats", "seconds": seconds, "queriers": 4, "factor": 0.02,
                       "seats": seats, "controllers": controllers, "troubles": troubles });
     match read(val.to_string().as_bytes(), &common::load) {
         Ok(s) => s,
-        Err(all) => panic!("{}", grebe::lang::finding::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::lang::finding::lines(&all)),
     }
 }
 
@@ -88,7 +88,7 @@
     let s = scene(3, 3, 20, vec![storm(60), spare("a"), kill]);
     let w = play(&s, 5, None);
     assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
-    assert_eq!((holder(&w, 1), w.seats[3].core.seat), (None, grebe::seats::table::NOBODY));
+    assert_eq!((holder(&w, 1), w.seats[3].core.seat), (None, grebepath_core::seats::table::NOBODY));
 }
 
 #[test]
@@ -127,7 +127,7 @@
         sound("cut off", &s, |w, _| {
             assert_eq!(holder(w, cut as u8), Some(3));
             // The old holder is a spare now, under another name.
-            assert_eq!(w.seats[cut].core.seat, grebe::seats::table::NOBODY);
+            assert_eq!(w.seats[cut].core.seat, grebepath_core::seats::table::NOBODY);
         });
     }
 }
@@ -242,17 +242,17 @@
             world::until(w, 6 * SECOND, |w| w.orders[id].done.is_some());
             matches!(w.orders[id].done, Some(Done::Accepted { .. }))
         };
-        let spares: Vec<usize> =
-            (0..5).filter(|n| w.seats[*n].core.seat == grebe::seats::table::NOBODY).collect();
+        let spares: Vec<usize> = (0..5)
+            .filter(|n| w.seats[*n].core.seat == grebepath_core::seats::table::NOBODY)
+            .collect();
         assert_eq!(spares.len(), 2);
         for spare in &spares {
             assert!(ask(w, *spare));
         }
         // With the owner gone it finds the next one, or takes the seat itself.
-        let owner = w
-            .seats
-            .iter()
-            .position(|n| matches!(n.core.parts[0].role, grebe::state::part::Role::Leader(_)));
+        let owner = w.seats.iter().position(|n| {
+            matches!(n.core.parts[0].role, grebepath_core::state::part::Role::Leader(_))
+        });
         world::kill_seat(w, owner.unwrap(), false);
         for spare in spares {
             assert!(ask(w, spare));
@@ -351,7 +351,7 @@
                 for seed in (0..12u64).filter(|n| n % 4 == t) {
                     let (seats, controllers) = [(3, 4), (5, 6), (3, 3), (5, 5)][seed as usize % 4];
                     let mut s = scene(seats, controllers, 70, Vec::new());
-                    s.troubles = sim::chaos::chaos(seed, &s);
+                    s.troubles = grebepath_simulator::chaos::chaos(seed, &s);
                     let mut w = play(&s, seed, None);
                     let whole = world::until(&mut w, 20 * SECOND, world::settled);
                     let found = &w.rules.found;
