--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -9,13 +9,14 @@
 
 use std::time::{Duration, Instant};
 
-use grebepath_core::disk::write;
-use grebepath_core::seats::roll::{Start, begin};
-use grebepath_core::state::core::{Command, Core, Event, core};
-use grebepath_core::state::order_memory::{self, Recall};
-use grebepath_core::state::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::order_memory;
+use grebepath_core::control_plane::order_memory::Recall;
+use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::protocol::message::{Deed, Done, Map, Msg};
+use grebepath_core::storage::writer;
 use grebepath_core::time::{BOOT, Tick};
-use grebepath_core::wire::msg::{Deed, Done, Map, Msg};
+use grebepath_core::voters::voter_file::{Start, begin};
 use nanoserde::SerBin;
 use serde_json::{Value, json};
 
@@ -96,7 +97,7 @@
         cost.log_bytes as f64 / count as f64,
         cost.message_bytes as f64 / count as f64,
         cost.slots,
-        write::slot(0, 1, copy).len(),
+        writer::slot(0, 1, copy).len(),
     );
     assert_eq!(controller.accepted, end + 1, "every order is accepted");
 }
@@ -157,8 +158,10 @@
         for command in commands {
             match command {
                 Command::Append { part, token, rec } => {
-                    controller.cost.log_bytes += write::rec(1, 1, &rec).len();
-                    if let grebepath_core::disk::rec::Rec::Change { epoch, rev, entries } = rec {
+                    controller.cost.log_bytes += writer::rec(1, 1, &rec).len();
+                    if let grebepath_core::storage::record::Rec::Change { epoch, rev, entries } =
+                        rec
+                    {
                         let change = Msg::Append { part, epoch, rev, entries };
                         controller.cost.message_bytes += change.serialize_bin().len();
                     }
@@ -166,7 +169,7 @@
                 }
                 Command::Slot { part, token, copy } => {
                     controller.cost.slots += 1;
-                    controller.cost.slot_bytes += write::slot(part.0, 1, &copy).len();
+                    controller.cost.slot_bytes += writer::slot(part.0, 1, &copy).len();
                     queue.push(Event::Synced { part, token });
                 }
                 Command::Keep { token, .. } => queue.push(Event::Kept { token }),
--- a/crates/core/src/config/build.rs
+++ b/crates/core/src/config/build.rs
@@ -6,10 +6,10 @@
 use indexmap::IndexMap;
 
 use super::types::{Class, Config, Form, Search, Steer, Terms};
-use crate::lang::compile::{Policy, Send, compile};
-use crate::lang::finding::{Finding, find};
-use crate::lang::parser::selector;
-use crate::lang::selector::{Labels, Selector, fits};
+use crate::routing_language::compile::{Policy, Send, compile};
+use crate::routing_language::diagnostic::{Finding, find};
+use crate::routing_language::parser::selector;
+use crate::routing_language::selector::{Labels, Selector, fits};
 use crate::time::{Span, ms};
 
 /// The label that tells which cut of the index a pool or a leaf holds.
--- a/crates/core/src/state/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -10,15 +10,15 @@
 
 use std::collections::VecDeque;
 
-use super::core::{Command, Core};
-use super::members::{Heard, Members, is_live};
-use super::part::Role;
-use super::retirement::has_left;
 use crate::consts;
+use crate::control_plane::controller::{Command, Core};
+use crate::control_plane::members::{Heard, Members, is_live};
+use crate::control_plane::retirement::has_left;
+use crate::protocol::message::Member;
 use crate::quorum;
-use crate::seats::seating::here;
+use crate::replication::partition::Role;
 use crate::time::{Tick, since};
-use crate::wire::msg::Member;
+use crate::voters::voter_slots::here;
 
 /// What the leader needs to judge changes.
 #[derive(Default)]
@@ -59,7 +59,7 @@
     let accepted = accepted.unwrap_or(0);
     if leader.obeyed != accepted {
         leader.obeyed = accepted;
-        super::leader::settle(&mut core.parts[0], now, group, out);
+        crate::replication::leader::settle(&mut core.parts[0], now, group, out);
     }
 }
 
--- a/crates/core/src/state/core.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -4,17 +4,17 @@
 
 use indexmap::{IndexMap, IndexSet};
 
-use super::members::Members;
-use super::part::{Part, part};
 use crate::consts::ROT_LOOK;
-use crate::disk::rec::{Copy, Rec};
-use crate::luck::{Luck, luck, mix};
-use crate::names::{PartId, Seat, parts};
-use crate::seats::roll::Roll;
-use crate::seats::seating::{Seating, seating};
-use crate::seats::table::{NOBODY, seat_of};
+use crate::control_plane::members::Members;
+use crate::identifiers::{PartId, Seat, parts};
+use crate::protocol::message::{Deed, Done, Life, Msg};
+use crate::random::{Luck, luck, mix};
+use crate::replication::partition::{Part, part};
+use crate::storage::record::{Copy, Rec};
 use crate::time::{Span, Tick};
-use crate::wire::msg::{Deed, Done, Life, Msg};
+use crate::voters::voter_file::Roll;
+use crate::voters::voter_set::{NOBODY, seat_of};
+use crate::voters::voter_slots::{Seating, seating};
 
 /// A wire to a member, as numbered by the daemon.
 pub type WireId = u64;
--- a/crates/core/src/state/leafs.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -5,16 +5,16 @@
 
 use nanoserde::{DeBin, SerBin};
 
-use super::core::{Command, Counts};
-use super::leader::change;
-use super::part::{Part, leader};
 use crate::config::change::Entry;
 use crate::consts;
-use crate::names::part_of;
-use crate::seats::table::Group;
+use crate::control_plane::controller::{Command, Counts};
+use crate::identifiers::part_of;
+use crate::protocol::message::Word;
+use crate::replication::leader::change;
+use crate::replication::partition::{Part, leader};
+use crate::snapshot::leafs::{LEAF, LeafInfo, key};
 use crate::time::{MILLI, Tick, since};
-use crate::view::leafs::{LEAF, LeafInfo, key};
-use crate::wire::msg::Word;
+use crate::voters::voter_set::Group;
 
 /// The leafs that a map holds; entries that can't be read are passed over.
 pub fn all(map: &BTreeMap<String, Vec<u8>>) -> BTreeMap<String, LeafInfo> {
--- a/crates/core/src/state/feed.rs
+++ b/crates/core/src/control_plane/feed.rs
@@ -1,13 +1,13 @@
 //! What is committed, shown to followers as a numbered feed.
 
-use super::core::{Command, Core, WireId};
-use super::members;
-use super::order_memory::{is_memory, without_memory};
-use super::part::Part;
 use crate::consts;
-use crate::disk::rec::put;
-use crate::names::{COHORT, PartId};
-use crate::wire::msg::{Map, Msg, Place};
+use crate::control_plane::controller::{Command, Core, WireId};
+use crate::control_plane::members;
+use crate::control_plane::order_memory::{is_memory, without_memory};
+use crate::identifiers::{COHORT, PartId};
+use crate::protocol::message::{Map, Msg, Place};
+use crate::replication::partition::Part;
+use crate::storage::record::put;
 
 /// Shows everything up to the committed revision `done` that we have.
 pub fn show(p: &mut Part, done: u64) {
@@ -103,14 +103,14 @@
 /// A follower says where it stands.
 pub fn follow(core: &mut Core, wire: WireId, list: Vec<Place>, stamp: u64, out: &mut Vec<Command>) {
     if stamp != core.seating.stamp {
-        crate::seats::seating::tell(core, wire, out);
+        crate::voters::voter_slots::tell(core, wire, out);
     }
     let known = core.followers.entry(wire).or_default();
     for place in list {
         known.insert(place.part, place.rev);
     }
     let stamp = core.seating.stamp;
-    let able = core.parts.iter().filter(|p| super::part::able(p));
+    let able = core.parts.iter().filter(|p| crate::replication::partition::able(p));
     let mut places: Vec<Place> = able.map(|p| Place { part: p.id, rev: p.copy.rev }).collect();
     places.push(Place { part: COHORT, rev: members::mark(&core.members.cohort) });
     out.push(Command::ToWire { wire, msg: Msg::Reach { places, stamp } });
--- a/crates/core/src/state/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -8,15 +8,18 @@
 
 use std::collections::BTreeMap;
 
-use super::core::{Command, Core};
-use super::leader::{self, change};
-use super::members::{self, Gone};
-use super::part::OpFrom;
-use super::pending_operations::{self, PendingAnswer};
 use crate::config::change::Entry;
-use crate::seats::seating::here;
+use crate::control_plane::controller::{Command, Core};
+use crate::control_plane::members;
+use crate::control_plane::members::Gone;
+use crate::protocol::message::{Done, Map, Member};
+use crate::replication::leader;
+use crate::replication::leader::change;
+use crate::replication::partition::OpFrom;
+use crate::replication::pending_operations;
+use crate::replication::pending_operations::PendingAnswer;
 use crate::time::Tick;
-use crate::wire::msg::{Done, Map, Member};
+use crate::voters::voter_slots::here;
 
 /// Key prefix of the entries: incarnation and revision, as text.
 const FORGOTTEN: &str = "forgotten/";
@@ -73,7 +76,7 @@
         }
         _ => {
             leader::wait_again(p, now, from, p.copy.rev, false);
-            super::heartbeat_rounds::request(p, now, group, out);
+            crate::replication::heartbeat_rounds::request(p, now, group, out);
             leader::settle(p, now, group, out);
         }
     }
--- a/crates/core/src/state/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -5,17 +5,18 @@
 
 use indexmap::IndexMap;
 
-use super::acceptance::Acceptance;
-use super::core::{Command, Core, WireId};
-use super::forgotten_members;
-use super::membership_log::{self, MembershipLog, Older};
-use super::part::Role;
-use super::retirement;
-use crate::cohort::attest::id;
-use crate::names::{COHORT, Seat};
-use crate::seats::seating::here;
+use crate::control_plane::acceptance::Acceptance;
+use crate::control_plane::controller::{Command, Core, WireId};
+use crate::control_plane::forgotten_members;
+use crate::control_plane::membership_log;
+use crate::control_plane::membership_log::{MembershipLog, Older};
+use crate::control_plane::retirement;
+use crate::identifiers::{COHORT, Seat};
+use crate::membership::attestation::id;
+use crate::protocol::message::{Cohort, Done, Member, MembershipId, Memberships, Msg, Progress};
+use crate::replication::partition::Role;
 use crate::time::{Tick, ms, since};
-use crate::wire::msg::{Cohort, Done, Member, MembershipId, Memberships, Msg, Progress};
+use crate::voters::voter_slots::here;
 use crate::{consts, quorum};
 
 /// What a seat knows of the members.
@@ -125,7 +126,7 @@
 /// Whether a majority of the seats followed us a moment ago.
 fn is_followed(core: &Core, now: Tick) -> bool {
     match &core.parts[0].role {
-        Role::Leader(o) => super::leader::answering(o, here(core), now),
+        Role::Leader(o) => crate::replication::leader::answering(o, here(core), now),
         _ => false,
     }
 }
@@ -349,7 +350,11 @@
     begin_reign(core, now);
     for from in proved {
         let cohort = core.members.cohort.clone();
-        super::leader::tell(from, Done::Status { cohort, far: status(core, now) }, out);
+        crate::replication::leader::tell(
+            from,
+            Done::Status { cohort, far: status(core, now) },
+            out,
+        );
     }
 }
 
--- a/crates/core/src/state/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -8,15 +8,16 @@
 //! keep this in memory only; what a fleet loses with it is told in
 //! `docs/limits.md`.
 
-use super::core::{Command, Core};
-use super::members::{self, newer};
-use crate::cohort::attest::id;
 use crate::consts;
-use crate::names::Seat;
-use crate::seats::seating::here;
-use crate::seats::table::{majority, others};
+use crate::control_plane::controller::{Command, Core};
+use crate::control_plane::members;
+use crate::control_plane::members::newer;
+use crate::identifiers::Seat;
+use crate::membership::attestation::id;
+use crate::protocol::message::{Cohort, MembershipId, Memberships, Msg};
 use crate::time::{Tick, since};
-use crate::wire::msg::{Cohort, MembershipId, Memberships, Msg};
+use crate::voters::voter_set::{majority, others};
+use crate::voters::voter_slots::here;
 
 /// The memberships that a voter knows beside the one that members are told.
 #[derive(Default)]
--- a/crates/core/src/state/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -8,17 +8,17 @@
 //! later leader's refusal is therefore final: an earlier leader that finds the
 //! request later can't commit it any more.
 
-use super::core::{Command, Core, Forwarding, Lent, Op, WireId};
-use super::leader::tell;
-use super::operate::{Request, at_owner};
-use super::part::{OpFrom, Role};
 use crate::consts;
-use crate::names::Seat;
-use crate::seats::handover;
-use crate::seats::seating::here;
-use crate::seats::table::{NOBODY, others};
+use crate::control_plane::controller::{Command, Core, Forwarding, Lent, Op, WireId};
+use crate::control_plane::operations::{Request, at_owner};
+use crate::identifiers::Seat;
+use crate::protocol::message::{Deed, Done, Msg};
+use crate::replication::leader::tell;
+use crate::replication::partition::{OpFrom, Role};
 use crate::time::Tick;
-use crate::wire::msg::{Deed, Done, Msg};
+use crate::voters::handover;
+use crate::voters::voter_set::{NOBODY, others};
+use crate::voters::voter_slots::here;
 
 /// Attempts that are remembered (count), so that one that comes twice is taken
 /// once: at hundreds of orders a second those of ten seconds.
--- a/crates/core/src/state/operate.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -2,19 +2,22 @@
 //! newest state, in the order in which they come. A change is made at once; all
 //! else waits for the proof that we still lead (`pending_operations`).
 
-use super::core::{Command, Core};
-use super::leader::{self, change, tell};
-use super::order_memory::{self, Horizon, OrderBase, Recall, may_be_forgotten};
-use super::part::{OpFrom, Part};
-use super::pending_operations::{self, PendingAnswer};
 use crate::config::change::{Entry, changes, config, patched, replaced};
 use crate::config::types::Turn;
 use crate::config::{build, read};
-use crate::lang::finding::Finding;
-use crate::seats::seating::here;
-use crate::seats::table::Group;
+use crate::control_plane::controller::{Command, Core};
+use crate::control_plane::order_memory;
+use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
+use crate::protocol::message::{Deed, Done, Map};
+use crate::replication::leader;
+use crate::replication::leader::{change, tell};
+use crate::replication::partition::{OpFrom, Part};
+use crate::replication::pending_operations;
+use crate::replication::pending_operations::PendingAnswer;
+use crate::routing_language::diagnostic::Finding;
 use crate::time::Tick;
-use crate::wire::msg::{Deed, Done, Map};
+use crate::voters::voter_set::Group;
+use crate::voters::voter_slots::here;
 
 /// An operator's request without its origin.
 pub struct Request {
@@ -33,7 +36,9 @@
     out: &mut Vec<Command>,
 ) {
     let group = here(core);
-    if super::part::leader(&mut core.parts[0]).is_none_or(|o| pending_operations::full(o)) {
+    if crate::replication::partition::leader(&mut core.parts[0])
+        .is_none_or(|o| pending_operations::full(o))
+    {
         let why = "too many requests wait at the leader".to_string();
         return tell(from, Done::Bounced { why }, out);
     }
@@ -41,7 +46,9 @@
     match &request.deed {
         Deed::Read => pending_operations::add(p, now, group, from, PendingAnswer::Read, out),
         Deed::Status => pending_operations::add(p, now, group, from, PendingAnswer::Status, out),
-        Deed::Forget(name) => super::forgotten_members::forget(core, now, from, name, out),
+        Deed::Forget(name) => {
+            crate::control_plane::forgotten_members::forget(core, now, from, name, out)
+        }
         Deed::Whole(text) => {
             let judged = judge(p, &request, true, text);
             carry_out(p, now, group, from, judged, out);
@@ -68,7 +75,7 @@
         }
         Judged::Made { revision } => {
             leader::wait_again(p, now, from, revision, true);
-            super::heartbeat_rounds::request(p, now, g, out);
+            crate::replication::heartbeat_rounds::request(p, now, g, out);
             leader::settle(p, now, g, out);
         }
         Judged::Change(entries) => {
--- a/crates/core/src/state/order_memory.rs
+++ b/crates/core/src/control_plane/order_memory.rs
@@ -16,10 +16,10 @@
 
 use std::collections::BTreeMap;
 
-use super::order_memory_legacy as legacy;
 use crate::config::change::{Entry, edition};
+use crate::control_plane::order_memory_legacy as legacy;
 use crate::digest::digest_bytes;
-use crate::wire::msg::Map;
+use crate::protocol::message::Map;
 
 /// Orders that are remembered at least (count): two days of 7,200 changes
 /// each, and an eighth more.
--- a/crates/core/src/state/order_memory_legacy.rs
+++ b/crates/core/src/control_plane/order_memory_legacy.rs
@@ -2,11 +2,11 @@
 //! with the digest of its text and its revision as text, 512 of them at most.
 //!
 //! Such entries are read as long as there are any; the next accepted order
-//! carries them over (`super::order_memory`) and removes them.
+//! carries them over (`crate::control_plane::order_memory`) and removes them.
 
-use super::order_memory::{Fingerprint, Horizon, Recall, fingerprint_of_digest};
 use crate::config::change::{Entry, with_prefix};
-use crate::wire::msg::Map;
+use crate::control_plane::order_memory::{Fingerprint, Horizon, Recall, fingerprint_of_digest};
+use crate::protocol::message::Map;
 
 /// Prefix of the entries.
 const PREFIX: &str = "request/";
--- a/crates/core/src/state/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -4,10 +4,10 @@
 //! gather no more proofs to serve on by it, and *over* once those that they may
 //! have gathered before are out of date.
 
-use super::members::{Members, is_live};
-use crate::cohort::attest::id;
+use crate::control_plane::members::{Members, is_live};
+use crate::membership::attestation::id;
+use crate::protocol::message::{Cohort, Member, MembershipId, Progress};
 use crate::time::{Tick, ms, since};
-use crate::wire::msg::{Cohort, Member, MembershipId, Progress};
 use crate::{consts, quorum};
 
 /// Notes which former memberships nobody can serve on by any more.
--- a/crates/core/src/state/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -1,21 +1,23 @@
 //! `step` of the controller's leader.
 
-use super::core::{Command, Core, Event, Lent, WireId};
-use super::operate::Request;
-use super::part::{After, OpFrom, Role, Stand, able};
-use super::{
-    acceptance, election, feed, forgotten_members, leader, leafs, members, membership_log,
-    operation_forwarding, recovery, replica,
-};
 use crate::consts;
-use crate::disk::rec::Rec;
-use crate::names::{COHORT, PartId, Seat};
-use crate::seats::apply;
-use crate::seats::handover::{self, Received};
-use crate::seats::seating::{self, here};
-use crate::seats::table::NOBODY;
+use crate::control_plane::controller::{Command, Core, Event, Lent, WireId};
+use crate::control_plane::operations::Request;
+use crate::control_plane::{
+    acceptance, endpoints, feed, forgotten_members, members, membership_log, operation_forwarding,
+};
+use crate::identifiers::{COHORT, PartId, Seat};
+use crate::protocol::message::{Life, Msg};
+use crate::replication::partition::{After, OpFrom, Role, Stand, able};
+use crate::replication::{catch_up, election, leader, replica};
+use crate::storage::record::Rec;
 use crate::time::{Tick, ms};
-use crate::wire::msg::{Life, Msg};
+use crate::voters::handover;
+use crate::voters::handover::Received;
+use crate::voters::slot_takeover;
+use crate::voters::voter_set::NOBODY;
+use crate::voters::voter_slots;
+use crate::voters::voter_slots::here;
 
 /// How often a controller looks around when nothing happens.
 pub const WAKE: crate::time::Span = ms(50);
@@ -32,10 +34,10 @@
         Event::Answer { msg } => answer(core, now, msg, &mut out),
         Event::Opened { wire } => {
             core.seating.wires.insert(wire);
-            seating::tell(core, wire, &mut out);
+            voter_slots::tell(core, wire, &mut out);
         }
-        Event::Kept { token } => seating::kept(core, now, token, &mut out),
-        Event::RollTrouble { why } => seating::trouble(core, now, &why, &mut out),
+        Event::Kept { token } => voter_slots::kept(core, now, token, &mut out),
+        Event::RollTrouble { why } => voter_slots::trouble(core, now, &why, &mut out),
         Event::FromWire { wire, msg } => from_wire(core, now, wire, msg, &mut out),
         Event::WireGone { wire } => {
             core.followers.swap_remove(&wire);
@@ -71,7 +73,7 @@
     take_own_answers(core, now, &mut out);
     operation_forwarding::give_back(core, &mut out);
     feed::push(core, &mut out);
-    seating::mark(core, now, &mut out);
+    voter_slots::mark(core, now, &mut out);
     out
 }
 
@@ -89,7 +91,7 @@
 }
 
 fn wake(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
-    seating::wake(core, now, out);
+    voter_slots::wake(core, now, out);
     let g = here(core);
     for p in core.parts.iter_mut().filter(|_| core.seat != NOBODY) {
         if p.sick.is_some() {
@@ -97,7 +99,7 @@
         } else if replica::stalled(p, now) {
             replica::step_back(p, now, "the disk stalls".into(), out);
         }
-        recovery::wake(p, now, g, &mut core.luck, out);
+        catch_up::wake(p, now, g, &mut core.luck, out);
         let was = matches!(p.role, Role::Candidate(_));
         match &p.role {
             Role::Leader(_) => leader::wake(p, now, g, out),
@@ -130,7 +132,7 @@
 }
 
 /// A seat that stepped back tries its disk again by writing a whole slot.
-fn mend(p: &mut super::part::Part, now: Tick, out: &mut Vec<Command>) {
+fn mend(p: &mut crate::replication::partition::Part, now: Tick, out: &mut Vec<Command>) {
     if p.life == Life::Formed && p.writes.is_empty() && now >= p.mend_at {
         p.mend_at = now + consts::DISK_STALL;
         replica::keep_whole(p, now, Vec::new(), out);
@@ -150,7 +152,7 @@
                     leader::append_acked(p, now, (g, g.seat), epoch, rev, out)
                 }
                 After::OwnPromise { epoch } => election::own_vote_synced(p, now, g, epoch, out),
-                After::Formed => recovery::formed(p, now, out),
+                After::Formed => catch_up::formed(p, now, out),
             }
         }
     }
@@ -173,16 +175,16 @@
     out: &mut Vec<Command>,
 ) -> bool {
     if let Msg::Seats { table, .. } = msg {
-        seating::learn(core, now, table, out);
+        voter_slots::learn(core, now, table, out);
     }
-    if !seating::holds(&core.seating, seat, holder) {
-        seating::tell_again(core, now, seat, wire, out);
+    if !voter_slots::holds(&core.seating, seat, holder) {
+        voter_slots::tell_again(core, now, seat, wire, out);
         return false;
     }
     core.seating.quiet[usize::from(seat)] = 0;
-    let same = seating::stamp_of(msg).is_none_or(|stamp| stamp == core.seating.stamp);
+    let same = voter_slots::stamp_of(msg).is_none_or(|stamp| stamp == core.seating.stamp);
     if !same {
-        seating::tell_again(core, now, seat, wire, out);
+        voter_slots::tell_again(core, now, seat, wire, out);
     }
     same && core.seat != NOBODY
 }
@@ -190,9 +192,9 @@
 /// A controller answers on a wire that we opened.
 fn answer(core: &mut Core, now: Tick, msg: Msg, out: &mut Vec<Command>) {
     match msg {
-        Msg::Seats { me, table } => seating::answered(core, now, me, &table, out),
+        Msg::Seats { me, table } => voter_slots::answered(core, now, me, &table, out),
         Msg::Offer { seat, stamp, free } => {
-            apply::offered(core, now, (seat, stamp), free, out);
+            slot_takeover::offered(core, now, (seat, stamp), free, out);
         }
         Msg::Operated { op, attempt, done } => {
             operation_forwarding::answered(core, now, (op, attempt), done, out);
@@ -211,18 +213,18 @@
         let Some(p) = core.parts.get_mut(id.0 as usize) else { return };
         let owned = matches!(p.role, Role::Leader(_));
         match msg {
-            Msg::StatusRequest { nonce, .. } => recovery::stand(p, from, nonce, out),
+            Msg::StatusRequest { nonce, .. } => catch_up::stand(p, from, nonce, out),
             Msg::ReplicaStatus { nonce, life, promised, epoch, rev, .. } => {
                 let s = Stand { life, promised, epoch, rev };
-                recovery::stood(p, now, (g, from), nonce, s, out);
+                catch_up::stood(p, now, (g, from), nonce, s, out);
             }
-            Msg::FetchReplica { nonce, .. } => recovery::give(p, from, nonce, out),
+            Msg::FetchReplica { nonce, .. } => catch_up::give(p, from, nonce, out),
             Msg::ReplicaFetched { nonce, promised, epoch, rev, map, .. } if able(p) => {
                 let _ = promised;
                 election::fetched(p, now, (g, from), nonce, (epoch, rev), map, out);
             }
             Msg::ReplicaFetched { nonce, promised, epoch, rev, map, .. } => {
-                recovery::fetched(p, now, from, nonce, (promised, (epoch, rev)), map, out);
+                catch_up::fetched(p, now, from, nonce, (promised, (epoch, rev)), map, out);
             }
             Msg::PreVoteRequest { epoch, .. } => replica::pre_vote(p, now, from, epoch, out),
             Msg::PreVoteResponse { epoch, yes, promised, .. } => {
@@ -328,9 +330,9 @@
             members::renew(core, now, None, Some(wire), (member, count, far), out);
         }
         Msg::Tell(cohort) => members::told(core, now, true, cohort, out),
-        Msg::Seats { table, .. } => seating::learn(core, now, &table, out),
+        Msg::Seats { table, .. } => voter_slots::learn(core, now, &table, out),
         Msg::Apply { holder, addr, zone, stamp } => {
-            apply::asked(core, now, wire, (holder, &addr, &zone), stamp, out);
+            slot_takeover::asked(core, now, wire, (holder, &addr, &zone), stamp, out);
         }
         Msg::HandoverAccept { slot, holding } => {
             handover::accepted(core, now, slot, holding, out);
@@ -339,7 +341,7 @@
             let state = Received { slot, generation, table, replicas, memberships };
             handover::received(core, now, wire, state, out);
         }
-        Msg::Take { seat, holding } => apply::taken(core, now, seat, holding, out),
+        Msg::Take { seat, holding } => slot_takeover::taken(core, now, seat, holding, out),
         Msg::Operate { op, attempt, .. } if core.seat == NOBODY => {
             operation_forwarding::misdirected(wire, op, attempt, out);
         }
@@ -363,9 +365,9 @@
     match &p.role {
         Role::Leader(_) => match msg {
             Msg::Listed { fence, leafs, .. } => {
-                leafs::listed(p, now, g, fence, leafs, &mut core.counts, out);
+                endpoints::listed(p, now, g, fence, leafs, &mut core.counts, out);
             }
-            Msg::Words { words, .. } => leafs::words(p, now, g, words, out),
+            Msg::Words { words, .. } => endpoints::words(p, now, g, words, out),
             _ => {}
         },
         Role::Follower { leader: Some((to, _)), .. } if fresh => {
--- a/crates/core/src/digest.rs
+++ b/crates/core/src/digest.rs
@@ -25,5 +25,5 @@
 
 /// A cheap stable hash of two numbers, for rendezvous ranks on the hot path.
 pub fn pair(a: u64, b: u64) -> u64 {
-    crate::luck::mix(a ^ crate::luck::mix(b))
+    crate::random::mix(a ^ crate::random::mix(b))
 }
--- a/crates/core/src/edge/caller.rs
+++ b/crates/core/src/http_api/caller.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 use crate::consts;
-use crate::query::ask::{Ask, Bounce, Full, Outcome, Reason};
+use crate::query::request::{Ask, Bounce, Full, Outcome, Reason};
 use crate::time::ms;
 
 /// Header with the time the caller will wait, in milliseconds.
--- a/crates/core/src/edge/leaf.rs
+++ b/crates/core/src/http_api/leaf.rs
@@ -3,8 +3,8 @@
 use serde_json::{Value, json};
 
 use crate::digest::digest;
-use crate::query::ask::Record;
-use crate::query::seen::Load;
+use crate::query::observed_load::Load;
+use crate::query::request::Record;
 
 /// Path of the one call a leaf takes.
 pub const PATH: &str = "/query";
--- a/crates/core/src/edge/list.rs
+++ b/crates/core/src/http_api/list.rs
@@ -4,9 +4,9 @@
 
 use serde_json::Value;
 
-use crate::lang::finding::{Finding, find};
-use crate::lang::selector::Labels;
-use crate::view::leafs::LeafInfo;
+use crate::routing_language::diagnostic::{Finding, find};
+use crate::routing_language::selector::Labels;
+use crate::snapshot::leafs::LeafInfo;
 
 /// Path under which the platform serves its list.
 pub const PATH: &str = "/leafs";
--- a/crates/core/src/edge/operator.rs
+++ b/crates/core/src/http_api/operator.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use crate::lang::finding::Finding;
+use crate::routing_language::diagnostic::Finding;
 
 /// Header with the id under which a request may safely be sent again.
 pub const REQUEST_ID: &str = "request-id";
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,19 +4,20 @@
 //! `step(state, now, event) -> commands`. The daemons drive these functions
 //! with sockets and disks, the tests and `simulator` with a virtual clock.
 
-pub mod cohort;
 pub mod config;
 pub mod consts;
+pub mod control_plane;
 pub mod digest;
-pub mod disk;
-pub mod edge;
-pub mod lang;
-pub mod luck;
-pub mod names;
+pub mod http_api;
+pub mod identifiers;
+pub mod membership;
+pub mod protocol;
 pub mod query;
 pub mod quorum;
-pub mod seats;
-pub mod state;
+pub mod random;
+pub mod replication;
+pub mod routing_language;
+pub mod snapshot;
+pub mod storage;
 pub mod time;
-pub mod view;
-pub mod wire;
+pub mod voters;
--- a/crates/core/src/cohort/duty.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -4,15 +4,15 @@
 
 use nanoserde::DeBin;
 
-use super::standing;
-use super::watch::{Command, Heard, Watch, seats};
 use crate::consts;
+use crate::control_plane::endpoints;
 use crate::digest::hash;
-use crate::names::{CONFIG, PartId, part_of, parts};
-use crate::state::leafs;
+use crate::identifiers::{CONFIG, PartId, part_of, parts};
+use crate::membership::node_agent::{Command, Heard, Watch, seats};
+use crate::membership::status;
+use crate::protocol::message::{Msg, Word};
+use crate::snapshot::leafs::{LeafInfo, key};
 use crate::time::{Span, Tick, since};
-use crate::view::leafs::{LeafInfo, key};
-use crate::wire::msg::{Msg, Word};
 
 /// The duty of polling the platform's list, for all parts at once: a poll
 /// brings the whole list, and each costs the platform.
@@ -72,7 +72,7 @@
     };
     let fence = (w.cohort.epoch, w.cohort.turn);
     for part in ours(w) {
-        let known = w.held.get(&part).map(|h| leafs::all(&h.map)).unwrap_or_default();
+        let known = w.held.get(&part).map(|h| endpoints::all(&h.map)).unwrap_or_default();
         let mine: Vec<LeafInfo> =
             list.iter().filter(|l| part_of(&l.service) == part).cloned().collect();
         let same = mine.len() == known.len()
@@ -198,7 +198,7 @@
         for name in w.ring.near.clone() {
             for (part, words) in &pass {
                 let msg = Msg::Words { part: *part, words: words.clone() };
-                standing::to_member(w, &name, msg, out);
+                status::to_member(w, &name, msg, out);
             }
         }
     }
--- a/crates/core/src/cohort/attest.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -7,12 +7,12 @@
 //! asked. Members pass on how old their proofs are, so that each comes to hear of
 //! all in a few rounds, and counts them exactly (`crate::quorum`).
 
-use super::standing::core_age;
-use super::watch::Watch;
 use crate::consts;
+use crate::membership::node_agent::Watch;
+use crate::membership::status::core_age;
+use crate::protocol::message::{Attestation, Cohort, MembershipId, NO_PROOF};
 use crate::quorum;
 use crate::time::{MILLI, Tick, ms, since};
-use crate::wire::msg::{Attestation, Cohort, MembershipId, NO_PROOF};
 
 /// The proofs that this member holds about the others of its membership.
 #[derive(Default)]
--- a/crates/core/src/cohort/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -5,14 +5,14 @@
 
 use std::collections::BTreeMap;
 
-use super::standing::core_age;
-use super::watch::{Command, Watch, places, seats};
 use crate::consts;
+use crate::control_plane::members::mark;
 use crate::digest::{hash, pair};
-use crate::names::{BEYOND, COHORT, Seat};
-use crate::state::members::mark;
+use crate::identifiers::{BEYOND, COHORT, Seat};
+use crate::membership::node_agent::{Command, Watch, places, seats};
+use crate::membership::status::core_age;
+use crate::protocol::message::{Msg, Place};
 use crate::time::{Tick, since};
-use crate::wire::msg::{Msg, Place};
 
 /// What we know of the seats as feeders.
 #[derive(Default)]
--- a/crates/core/src/cohort/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,11 +1,11 @@
 //! A querier's place among the others: the news it follows, its tenure, its
 //! cohort, its duties, and whether it is cut off. No I/O.
 
-pub mod attest;
-pub mod duty;
+pub mod assignments;
+pub mod attestation;
 pub mod feed;
-pub mod news;
-pub mod ring;
-pub mod standing;
+pub mod neighbour_ring;
+pub mod node_agent;
+pub mod status;
 pub mod step;
-pub mod watch;
+pub mod updates;
--- a/crates/core/src/cohort/ring.rs
+++ b/crates/core/src/membership/neighbour_ring.rs
@@ -4,10 +4,10 @@
 //! The member that holds a duty is the highest by rendezvous among those whose
 //! joining is settled; who would hold it next is the second.
 
-use super::duty;
 use crate::consts;
 use crate::digest::{hash, pair};
-use crate::wire::msg::Cohort;
+use crate::membership::assignments;
+use crate::protocol::message::Cohort;
 
 /// Our place among the members of one state of the cohort.
 #[derive(Default)]
@@ -38,11 +38,11 @@
         let thing = hash(key);
         able.iter().max_by_key(|r| (pair(thing, r.0), r.1)).is_some_and(|r| r.1 == me)
     };
-    let thing = hash(duty::LIST);
+    let thing = hash(assignments::LIST);
     let rank = |r: &(u64, &'a str)| (pair(thing, r.0), r.1);
     let mine = able.iter().find(|r| r.1 == me).map(rank);
     let list = mine.map(|mine| able.iter().filter(|r| rank(r) > mine).count());
-    let probes = (0..consts::PROBE_KEYS).map(|n| ours(&duty::probe_key(n))).collect();
+    let probes = (0..consts::PROBE_KEYS).map(|n| ours(&assignments::probe_key(n))).collect();
     // Ordered by hash, so that neighbours stand in different zones.
     ring.sort_unstable();
     let Some(here) = ring.iter().position(|(_, name)| *name == me) else {
--- a/crates/core/src/cohort/watch.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -5,18 +5,18 @@
 
 use indexmap::IndexMap;
 
-use super::attest::Proofs;
-use super::feed::Feed;
-use super::ring::Ring;
 use crate::config::build::Built;
 use crate::consts::DRAIN_NOTICE;
-use crate::names::{PartId, Seat, parts};
-use crate::query::desk::Door;
-use crate::seats::table::{Table, ballot, merge, stamp};
+use crate::identifiers::{PartId, Seat, parts};
+use crate::membership::attestation::Proofs;
+use crate::membership::feed::Feed;
+use crate::membership::neighbour_ring::Ring;
+use crate::protocol::message::{Cohort, Map, Member, Msg, Place, Word};
+use crate::query::engine::Door;
+use crate::snapshot::cluster_view::View;
+use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick};
-use crate::view::leafs::LeafInfo;
-use crate::view::whole::View;
-use crate::wire::msg::{Cohort, Map, Member, Msg, Place, Word};
+use crate::voters::voter_set::{Table, ballot, merge, stamp};
 
 /// The owner of what a querier knows.
 ///
--- a/crates/core/src/cohort/standing.rs
+++ b/crates/core/src/membership/status.rs
@@ -8,13 +8,13 @@
 //! - else we are cut off, alone or with others: we turn not ready and then
 //!   bounce, before the core gives our share away.
 
-use super::attest;
-use super::watch::{Command, Peer, Watch, places, seats};
 use crate::consts;
-use crate::names::Seat;
-use crate::query::desk::Door;
+use crate::identifiers::Seat;
+use crate::membership::attestation;
+use crate::membership::node_agent::{Command, Peer, Watch, places, seats};
+use crate::protocol::message::{Attestation, Msg, Progress};
+use crate::query::engine::Door;
 use crate::time::{MILLI, Span, Tick, ms, since};
-use crate::wire::msg::{Attestation, Msg, Progress};
 
 /// How old our word from the core is.
 pub fn core_age(w: &Watch, now: Tick) -> Span {
@@ -62,7 +62,7 @@
         obeys: w.view.as_ref().map_or(0, |v| v.revision),
         saw: (w.cohort.epoch, w.cohort.turn),
         knows: w.knows,
-        quiet_ms: attest::quiet_ms(w, now),
+        quiet_ms: attestation::quiet_ms(w, now),
         ready: w.ready,
         leaving: w.drained,
     };
@@ -103,7 +103,7 @@
     w.tenure.sent = w.tenure.sent.split_off(&(count + 1));
     w.tenure.seat = seat;
     w.tenure.grants.push((rev, at));
-    attest::learn_of(w, rev);
+    attestation::learn_of(w, rev);
     hold(w);
 }
 
@@ -127,7 +127,7 @@
 /// Speaks to the neighbours: seldom while the core's word is fresh, since only
 /// who lacks it asks for company.
 pub fn gossip(w: &mut Watch, now: Tick, out: &mut Vec<Command>) {
-    let calm = w.tenure.granted && !attest::is_restless(w, now);
+    let calm = w.tenure.granted && !attestation::is_restless(w, now);
     let beat = if calm { consts::COHORT_CALM } else { consts::COHORT_BEAT };
     if now < w.gossiped + beat {
         return;
@@ -166,7 +166,7 @@
     w: &mut Watch,
     echo: Tick,
     name: &str,
-    peer: (u64, bool, Vec<crate::wire::msg::Place>),
+    peer: (u64, bool, Vec<crate::protocol::message::Place>),
 ) {
     let (age_ms, ready, places) = peer;
     if w.peers.get(name).is_none_or(|p| p.at <= echo) {
@@ -185,8 +185,8 @@
     w.passed_by = if passed { w.passed_by.or(Some(now)) } else { None };
     let others_have = w.passed_by.is_some_and(|at| since(at, now) >= 2 * consts::TENURE_BEAT);
     // Proofs are gathered only while they may be needed.
-    let proved = match attest::is_restless(w, now) && !others_have {
-        true => attest::serving_until(w),
+    let proved = match attestation::is_restless(w, now) && !others_have {
+        true => attestation::serving_until(w),
         false => 0,
     };
     let alone = w.tenure.granted && (now > company_until(w) || others_have);
@@ -249,7 +249,7 @@
     // one that was let go before the core knows that nobody serves on by the
     // former cohort: until all is settled we divide by everyone old and new.
     let member = w.cohort.members.iter().find(|m| m.name == w.me.name);
-    let ours = |m: &crate::wire::msg::Member| (m.name.clone(), m.threads);
+    let ours = |m: &crate::protocol::message::Member| (m.name.clone(), m.threads);
     let mut shares: Vec<(String, u32)> = w.cohort.members.iter().map(ours).collect();
     let settled = member.is_some_and(|m| m.joined <= w.cohort.settled);
     let all_settled = settled && w.cohort.settled == w.cohort.turn;
--- a/crates/core/src/cohort/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -1,13 +1,13 @@
 //! `step` of a querier's control thread.
 
-use super::ring::ring;
-use super::watch::{Command, Event, Watch, learn, places};
-use super::{attest, duty, feed, news, standing};
 use crate::consts;
-use crate::names::CONFIG;
-use crate::state::members::newer;
+use crate::control_plane::members::newer;
+use crate::identifiers::CONFIG;
+use crate::membership::neighbour_ring::ring;
+use crate::membership::node_agent::{Command, Event, Watch, learn, places};
+use crate::membership::{assignments, attestation, feed, status, updates};
+use crate::protocol::message::Msg;
 use crate::time::{Tick, ms};
-use crate::wire::msg::Msg;
 
 /// How often a querier's control thread looks around.
 pub const WAKE: crate::time::Span = ms(50);
@@ -28,21 +28,21 @@
             Msg::Tenure { ref name, incarnation, count, rev, tell_membership, .. } => {
                 if *name == w.me.name {
                     if incarnation == w.me.incarnation {
-                        standing::granted(w, Some(seat), count, rev);
+                        status::granted(w, Some(seat), count, rev);
                     }
                     if tell_membership && w.cohort.epoch > 0 {
                         out.push(Command::ToSeat { seat, msg: Msg::Tell(w.cohort.clone()) });
                     }
                 } else if w.handed.contains_key(name) {
-                    standing::to_member(w, &name.clone(), msg, &mut out);
+                    status::to_member(w, &name.clone(), msg, &mut out);
                 }
             }
             msg => any(w, msg, false, &mut out),
         },
         Event::Seats(table) => learn(w, &table, &mut out),
         Event::FromMember { name, msg } => from_member(w, now, &name, msg, &mut out),
-        Event::Word { service, word } => duty::hear(w, service, word),
-        Event::List(got) => duty::listed(w, got, &mut out),
+        Event::Word { service, word } => assignments::hear(w, service, word),
+        Event::List(got) => assignments::listed(w, got, &mut out),
         Event::Stop => w.stopping = Some(now),
         Event::Drained => {
             w.drained = true;
@@ -50,17 +50,17 @@
         }
         Event::Wake => {
             feed::follow(w, now, &mut out);
-            standing::gossip(w, now, &mut out);
-            duty::wake(w, now, &mut out);
-            duty::probe(w, now, &mut out);
+            status::gossip(w, now, &mut out);
+            assignments::wake(w, now, &mut out);
+            assignments::probe(w, now, &mut out);
         }
     }
-    duty::findings(w, now, &mut out);
-    news::settle_start(w, now);
-    standing::hold(w);
-    news::publish(w, now, &mut out);
-    standing::decide(w, now, &mut out);
-    standing::renew(w, now, &mut out);
+    assignments::findings(w, now, &mut out);
+    updates::settle_start(w, now);
+    status::hold(w);
+    updates::publish(w, now, &mut out);
+    status::decide(w, now, &mut out);
+    status::renew(w, now, &mut out);
     out
 }
 
@@ -68,13 +68,13 @@
 fn any(w: &mut Watch, msg: Msg, member: bool, out: &mut Vec<Command>) {
     match msg {
         Msg::News { part, from, rev, entries }
-            if news::take(w, part, from, rev, &entries, out) && member =>
+            if updates::take(w, part, from, rev, &entries, out) && member =>
         {
             w.counts.news_from_members += 1;
         }
         Msg::Tell(cohort) if newer(&cohort, &w.cohort) => {
             w.cohort = cohort;
-            attest::adopt(w);
+            attestation::adopt(w);
             w.ring = ring(&w.cohort, &w.me.name);
             // What we saw lets others settle: say so at once.
             w.tenure.renew_at = 0;
@@ -89,47 +89,47 @@
             let mut ahead =
                 theirs.iter().any(|p| w.held.get(&p.part).is_some_and(|h| h.rev < p.rev));
             let config = theirs.iter().find(|p| p.part == CONFIG).map_or(0, |p| p.rev);
-            attest::learn_of(w, config);
+            attestation::learn_of(w, config);
             if let (Some(echo), Some(attestation)) = (echo, &attestation) {
-                ahead |= attest::take_in(w, echo, attestation);
+                ahead |= attestation::take_in(w, echo, attestation);
             }
             if let Some(echo) = echo {
-                standing::spoke(w, echo, &name, (core_age_ms, ready, theirs));
+                status::spoke(w, echo, &name, (core_age_ms, ready, theirs));
             }
             if asked.is_some() {
-                let attestation = attest::attest(w, now);
-                let msg = standing::gossip_msg(w, now, None, asked, attestation);
-                standing::to_member(w, &name, msg, out);
+                let attestation = attestation::attest(w, now);
+                let msg = status::gossip_msg(w, now, None, asked, attestation);
+                status::to_member(w, &name, msg, out);
             }
             // Ask a member only for what the core did not bring us in time.
-            if ahead && config > 0 && standing::core_age(w, now) >= consts::TENURE_WORRY {
+            if ahead && config > 0 && status::core_age(w, now) >= consts::TENURE_WORRY {
                 let msg = Msg::Follow { places: places(w), stamp: w.stamp };
-                standing::to_member(w, &name, msg, out);
+                status::to_member(w, &name, msg, out);
             }
         }
         Msg::Seats { table, .. } => learn(w, &table, out),
         Msg::Follow { places, stamp } => {
-            let list = news::hand_on(w, &places);
+            let list = updates::hand_on(w, &places);
             let cohort = Msg::Tell(w.cohort.clone());
             let seats = Msg::Seats { me: 0, table: w.table.clone() };
             let seats = (stamp != w.stamp).then_some(seats);
             for msg in list.into_iter().chain([cohort]).chain(seats) {
-                standing::to_member(w, name, msg, out);
+                status::to_member(w, name, msg, out);
             }
         }
         Msg::Renew { member, count, far } => {
             // Hand a neighbour's renewal over, if our own way to the core works.
-            if standing::core_age(w, now) < consts::TENURE_WORRY {
+            if status::core_age(w, now) < consts::TENURE_WORRY {
                 w.handed.insert(member.name.clone(), now);
                 w.counts.handed_renewals += 1;
-                duty::to_core(w, Msg::Renew { member, count, far }, out);
+                assignments::to_core(w, Msg::Renew { member, count, far }, out);
             }
         }
-        Msg::Words { part, words } => duty::handed(w, now, part, words),
+        Msg::Words { part, words } => assignments::handed(w, now, part, words),
         Msg::Tenure { name, incarnation, count, rev, .. }
             if name == w.me.name && incarnation == w.me.incarnation =>
         {
-            standing::granted(w, None, count, rev);
+            status::granted(w, None, count, rev);
         }
         msg => any(w, msg, true, out),
     }
--- a/crates/core/src/cohort/news.rs
+++ b/crates/core/src/membership/updates.rs
@@ -2,18 +2,18 @@
 
 use std::sync::Arc;
 
-use super::watch::{Command, Watch};
 use crate::config::build::{Mapping, Shard};
 use crate::config::{build, change};
 use crate::consts;
-use crate::disk::rec::put;
-use crate::names::{CONFIG, PartId, parts};
-use crate::seats::table::majority;
-use crate::state::leafs;
+use crate::control_plane::endpoints;
+use crate::identifiers::{CONFIG, PartId, parts};
+use crate::membership::node_agent::{Command, Watch};
+use crate::protocol::message::{Msg, Place};
+use crate::snapshot::cluster_view::{View, open, view};
+use crate::snapshot::leafs::LeafInfo;
+use crate::storage::record::put;
 use crate::time::{Tick, since};
-use crate::view::leafs::LeafInfo;
-use crate::view::whole::{View, open, view};
-use crate::wire::msg::{Msg, Place};
+use crate::voters::voter_set::majority;
 
 /// Takes news of one part. News that does not reach beyond what we hold, or
 /// that would leave a gap, changes nothing.
@@ -113,7 +113,7 @@
     let list = parts()
         .filter(|p| *p != CONFIG)
         .filter_map(|p| w.held.get(&p))
-        .flat_map(|h| leafs::all(&h.map).into_values())
+        .flat_map(|h| endpoints::all(&h.map).into_values())
         .filter_map(|info| overlaid(w, info))
         .collect();
     let new = Arc::new(view(w.built_rev, w.built.clone(), list));
--- a/crates/core/src/wire/frame.rs
+++ b/crates/core/src/protocol/frame.rs
@@ -4,8 +4,8 @@
 use nanoserde::{DeBin, SerBin};
 use quick_error::quick_error;
 
-use super::msg::Msg;
 use crate::consts::{MESSAGE_LIMIT, PIECE, WIRE_VERSION};
+use crate::protocol::message::Msg;
 
 /// Bytes before each piece's body: length u32, version u16, lane u8, last u8,
 /// checksum u32.
--- a/crates/core/src/wire/msg.rs
+++ b/crates/core/src/protocol/message.rs
@@ -5,9 +5,9 @@
 use nanoserde::{DeBin, SerBin};
 
 use crate::config::change::Entry;
-use crate::names::{PartId, Seat};
-use crate::seats::table::{Holding, Table};
-use crate::view::leafs::LeafInfo;
+use crate::identifiers::{PartId, Seat};
+use crate::snapshot::leafs::LeafInfo;
+use crate::voters::voter_set::{Holding, Table};
 
 /// Who opened a wire. Sent first on each.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
--- a/crates/core/src/wire/mod.rs
+++ b/crates/core/src/protocol/mod.rs
@@ -1,4 +1,4 @@
 //! What our processes say to each other, and how it is cut into pieces.
 
 pub mod frame;
-pub mod msg;
+pub mod message;
--- a/crates/core/src/query/wires.rs
+++ b/crates/core/src/query/connection_subset.rs
@@ -10,7 +10,7 @@
 //! and such a dispatch has not arrived.
 
 use crate::digest::{hash, pair};
-use crate::view::leafs::{LeafInfo, zone};
+use crate::snapshot::leafs::{LeafInfo, zone};
 
 /// One node that takes part.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/core/src/query/cover.rs
+++ b/crates/core/src/query/coverage.rs
@@ -1,7 +1,7 @@
 //! The coverage check: which planned shard a reply stands for, if any.
 
 use crate::config::build::Mapping;
-use crate::view::whole::View;
+use crate::snapshot::cluster_view::View;
 
 /// The shard that a reply of `leaf` served. The leaf's service is taken from
 /// the platform's list; a leaf the list has since dropped keeps the service
--- a/crates/core/src/query/step.rs
+++ b/crates/core/src/query/dispatch.rs
@@ -1,23 +1,27 @@
 //! `step` of the owner of queries.
 
-use super::ask::{Ask, Bounce, Full, Outcome, Reason};
-use super::choose::{Choice, Scene, choose};
-use super::cover::served;
-use super::desk::*;
-use super::leaf::{self, leaf};
-use super::merge::merge;
-use super::parcel::Passed;
-use super::{again, cold, hand, quota, rule, seen, share, waits, wires};
+use super::engine::*;
 use crate::config::build::{Mapping, PoolPlan, needed};
 use crate::config::types::{Class, Form, Steer};
 use crate::consts;
 use crate::digest::{digest, hash};
-use crate::edge::leaf::{Expect, Raw, Trouble, check, self_word};
-use crate::lang::compile::Send;
+use crate::http_api::leaf::{Expect, Raw, Trouble, check, self_word};
+use crate::protocol::message::Word;
+use crate::query::coverage::served;
+use crate::query::forwarded_request::Passed;
+use crate::query::leaf;
+use crate::query::leaf::leaf;
+use crate::query::leaf_selection::{Choice, Scene, choose};
+use crate::query::merge::merge;
+use crate::query::request::{Ask, Bounce, Full, Outcome, Reason};
+use crate::query::{
+    connection_subset, forwarding, latency_estimate, observed_load, quota, retry, retry_budget,
+    service_retry_budget, slow_start,
+};
+use crate::routing_language::compile::Send;
+use crate::snapshot::cluster_view::open;
+use crate::snapshot::leafs::{LeafInfo, zone};
 use crate::time::{Span, Tick, since};
-use crate::view::leafs::{LeafInfo, zone};
-use crate::view::whole::open;
-use crate::wire::msg::Word;
 use std::collections::BTreeSet;
 
 /// Takes one event and says what to do.
@@ -25,14 +29,14 @@
     let mut out = Vec::new();
     match event {
         Event::Ask { call, ask } => begin(d, now, call, ask, &mut out),
-        Event::Hand { call, parcel } => hand::begin(d, now, call, parcel, &mut out),
+        Event::Hand { call, parcel } => forwarding::begin(d, now, call, parcel, &mut out),
         Event::Reply { dispatch, got } => reply(d, now, dispatch, got, &mut out),
         Event::Gone { call } => gone(d, call, &mut out),
         Event::View(view) => {
             for (name, info) in &view.leafs {
                 if !d.leafs.contains_key(name) {
                     let mut new = leaf(name, now);
-                    new.rank = share::rank(&d.share, new.thing);
+                    new.rank = quota::rank(&d.share, new.thing);
                     d.leafs.insert(name.clone(), new);
                 }
                 if let Some(l) = d.leafs.get_mut(name) {
@@ -40,8 +44,8 @@
                 }
             }
             d.leafs.retain(|name, l| l.live > 0 || view.leafs.contains_key(name));
-            quota::keep(&mut d.quota, |s| view.services.contains_key(s));
-            waits::keep(&mut d.waits, |s| view.mappings.contains_key(s));
+            service_retry_budget::keep(&mut d.quota, |s| view.services.contains_key(s));
+            latency_estimate::keep(&mut d.waits, |s| view.mappings.contains_key(s));
             let same = d.view.services == view.services && d.view.revision == view.revision;
             d.view = view;
             if !same {
@@ -56,19 +60,21 @@
         Event::Share(new) => {
             d.share = new;
             for leaf in d.leafs.values_mut() {
-                leaf.rank = share::rank(&d.share, leaf.thing);
+                leaf.rank = quota::rank(&d.share, leaf.thing);
             }
             deal(d);
-            quota::among(&mut d.quota, d.share.slots.len() as u64);
-            let rank = share::rank(&d.share, hash("retry-slack"));
-            rule::slack(&mut d.rule, share::part(&d.share, rank, consts::RETRY_SLACK));
+            service_retry_budget::among(&mut d.quota, d.share.slots.len() as u64);
+            let rank = quota::rank(&d.share, hash("retry-slack"));
+            retry_budget::slack(&mut d.rule, quota::part(&d.share, rank, consts::RETRY_SLACK));
             sweep(d, now, &mut out);
         }
         Event::Peers(peers) => {
             d.peers = peers;
             wired(d);
         }
-        Event::Rate(rate) => quota::rated(&mut d.quota, rate, d.share.slots.len() as u64),
+        Event::Rate(rate) => {
+            service_retry_budget::rated(&mut d.quota, rate, d.share.slots.len() as u64)
+        }
         Event::Door(door) => d.door = door,
         Event::Grip(until) => {
             d.grip = until;
@@ -91,7 +97,7 @@
         for pool in map.shards.iter().flat_map(|s| &s.pools).filter(shared) {
             let Some(list) = view.services.get(&pool.service) else { continue };
             let totals = vec![u64::from(pool.bears); list.len()];
-            let ranks = share::deal(&d.share, hash(&pool.service), &totals);
+            let ranks = quota::deal(&d.share, hash(&pool.service), &totals);
             for (info, rank) in list.iter().zip(ranks) {
                 if let Some(l) = d.leafs.get_mut(&info.leaf) {
                     l.dealt = rank;
@@ -118,7 +124,7 @@
             .map(|l| l.as_ref())
             .collect();
         let mine = d.slot;
-        let wires = wires::deal(&d.peers, mine, &stand, u64::from(pool.wires));
+        let wires = connection_subset::deal(&d.peers, mine, &stand, u64::from(pool.wires));
         for (info, n) in stand.iter().zip(wires) {
             if let Some(l) = d.leafs.get_mut(&info.leaf) {
                 // Before we know of anyone else, one wire at a time.
@@ -178,9 +184,9 @@
 ) {
     b.query = query;
     let away = matches!(b.reason, Reason::Crowded | Reason::NoRoom | Reason::OutOfTime);
-    again::note(&mut d.strain, now, away);
-    b.again_s = Some(again::again_s(&mut d.strain, now, b.reason, rest, &mut d.luck));
-    b.again = Some(again::soon(&mut d.strain, now, rest, &mut d.luck));
+    retry::note(&mut d.strain, now, away);
+    b.again_s = Some(retry::again_s(&mut d.strain, now, b.reason, rest, &mut d.luck));
+    b.again = Some(retry::soon(&mut d.strain, now, rest, &mut d.luck));
     *d.counts.bounced.entry(b.reason).or_default() += 1;
     out.push(Command::Tell { call, outcome: Outcome::Bounce(b) });
 }
@@ -251,7 +257,7 @@
     let shards = match (map.send, &ask.key) {
         (Send::Wide, _) => (0..map.shards.len()).collect(),
         (Send::One, Some(key)) => vec![shard_of(&map, key)],
-        (Send::Weighed, _) => vec![hand::drawn(&map, &mut d.luck)],
+        (Send::Weighed, _) => vec![forwarding::drawn(&map, &mut d.luck)],
         (Send::One, None) => {
             return say(Reason::NoKey, "this search looks up one thing: give its `key`");
         }
@@ -333,7 +339,7 @@
         q.slots.iter().filter(|s| matches!(s.state, SlotState::Wanting | SlotState::Out)).count();
     let outcome = if open == 0 || now >= q.end {
         if have >= need { Ok(()) } else { Err(reason(&q, now)) }
-    } else if have >= need && now >= q.stop_at && hand::enough(&q, have) {
+    } else if have >= need && now >= q.stop_at && forwarding::enough(&q, have) {
         Ok(())
     } else if have + open < need {
         Err(reason(&q, now))
@@ -404,8 +410,8 @@
 /// Asks the rule that holds for a query whether it may send a second try.
 fn leave(d: &mut Desk, now: Tick, q: &Query, service: &str) -> bool {
     match q.parcel {
-        None => rule::second(&mut d.rule, now),
-        Some(_) => quota::second(&mut d.quota, service),
+        None => retry_budget::second(&mut d.rule, now),
+        Some(_) => service_retry_budget::second(&mut d.quota, service),
     }
 }
 
@@ -444,7 +450,7 @@
         return Tick::MAX;
     }
     if q.parcel.is_some()
-        && let Some(wait) = waits::wait(&d.waits, &q.map.name, q.map.target)
+        && let Some(wait) = latency_estimate::wait(&d.waits, &q.map.name, q.map.target)
     {
         return now + wait;
     }
@@ -457,7 +463,7 @@
     id: u64,
     q: &mut Query,
     i: usize,
-    info: &crate::view::leafs::LeafInfo,
+    info: &crate::snapshot::leafs::LeafInfo,
     out: &mut Vec<Command>,
 ) {
     let num = d.next_dispatch;
@@ -469,8 +475,8 @@
     } else if !slot.counted {
         slot.counted = true;
         match q.parcel {
-            None => rule::first(&mut d.rule, now),
-            Some(_) => quota::first(&mut d.quota, &info.service),
+            None => retry_budget::first(&mut d.rule, now),
+            Some(_) => service_retry_budget::first(&mut d.quota, &info.service),
         }
         d.counts.firsts += 1;
     }
@@ -483,7 +489,7 @@
     if let Some(l) = d.leafs.get_mut(&info.leaf) {
         l.live += 1;
         if info.cold && rate > 0 {
-            cold::spend(l, u64::from(rate), now);
+            slow_start::spend(l, u64::from(rate), now);
         }
     }
     let name = format!("{}.{num}", q.name);
@@ -521,12 +527,12 @@
         hear(d, now, &sent, raw, out);
     }
     let Some(mut q) = d.queries.swap_remove(&sent.query) else {
-        hand::late(d, now, &sent, &got);
+        forwarding::late(d, now, &sent, &got);
         free(d, &sent);
         return sweep(d, now, out);
     };
     if q.parcel.is_some() {
-        return hand::reply(d, now, (num, sent), q, got, out);
+        return forwarding::reply(d, now, (num, sent), q, got, out);
     }
     let limit = q.limit;
     let checked = got.and_then(|raw| {
@@ -597,13 +603,13 @@
     let before = l.leaving;
     // A reply of another leaf, at a reused address, says of ours only that it
     // is gone.
-    let gone = raw.status == crate::edge::leaf::MISDIRECTED && !raw.heads.foreign;
+    let gone = raw.status == crate::http_api::leaf::MISDIRECTED && !raw.heads.foreign;
     if gone {
         l.leaving = true;
     } else {
         leaf::word(l, &self_word(&raw.heads), now);
         if let Some(load) = raw.heads.load {
-            seen::hear(l, load);
+            observed_load::hear(l, load);
         }
     }
     if l.leaving && !before {
@@ -698,9 +704,9 @@
         b.ran = q.ran || out_there;
         return bounce(d, now, (q.call, rest), b, Some(q.name), out);
     }
-    again::note(&mut d.strain, now, false);
+    retry::note(&mut d.strain, now, false);
     if let Some(parcel) = q.parcel.clone() {
-        return hand::finish(d, q, &parcel, out);
+        return forwarding::finish(d, q, &parcel, out);
     }
     let (mut shards, mut lists) = (Vec::new(), Vec::new());
     let planned = q.slots.len();
--- a/crates/core/src/query/desk.rs
+++ b/crates/core/src/query/engine.rs
@@ -5,23 +5,23 @@
 use indexmap::IndexMap;
 use serde_json::Value;
 
-use super::again::Strain;
-use super::ask::{Ask, Outcome, Reason, Record};
-use super::leaf::Leaf;
-use super::parcel::Parcel;
-use super::quota::{Quota, Rate};
-use super::rule::Rule;
-use super::share::Share;
-use super::waits::Waits;
-use super::wires::Peer;
 use crate::config::build::Mapping;
 use crate::config::types::Class;
 use crate::consts;
-use crate::edge::leaf::{Raw, Trouble};
-use crate::luck::Luck;
+use crate::http_api::leaf::{Raw, Trouble};
+use crate::protocol::message::Word;
+use crate::query::connection_subset::Peer;
+use crate::query::forwarded_request::Parcel;
+use crate::query::latency_estimate::Waits;
+use crate::query::leaf::Leaf;
+use crate::query::quota::Share;
+use crate::query::request::{Ask, Outcome, Reason, Record};
+use crate::query::retry::Strain;
+use crate::query::retry_budget::Rule;
+use crate::query::service_retry_budget::{Quota, Rate};
+use crate::random::Luck;
+use crate::snapshot::cluster_view::View;
 use crate::time::{Span, Tick};
-use crate::view::whole::View;
-use crate::wire::msg::Word;
 
 /// Which calls are taken.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -241,12 +241,12 @@
         queries: IndexMap::new(),
         dispatches: IndexMap::new(),
         leafs: IndexMap::new(),
-        rule: super::rule::rule(now),
-        quota: super::quota::quota(super::quota::own()),
+        rule: crate::query::retry_budget::rule(now),
+        quota: crate::query::service_retry_budget::quota(crate::query::service_retry_budget::own()),
         peers: Vec::new(),
         waits: Waits::default(),
         strain: Strain::default(),
-        luck: crate::luck::luck(seed),
+        luck: crate::random::luck(seed),
         counts: Counts::default(),
         next_query: 0,
         next_dispatch: 0,
@@ -279,5 +279,5 @@
 
 /// The body of a dispatch for a question under a mapping.
 pub fn question(map: &Mapping, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
-    crate::edge::leaf::body(&map.name, &map.cut, question, key, limit)
+    crate::http_api::leaf::body(&map.name, &map.cut, question, key, limit)
 }
--- a/crates/core/src/query/parcel.rs
+++ b/crates/core/src/query/forwarded_request.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::edge::leaf::Raw;
+use crate::http_api::leaf::Raw;
 use crate::time::Span;
 
 /// A call as it came: nothing of it is changed on the way to a leaf.
--- a/crates/core/src/query/hand.rs
+++ b/crates/core/src/query/forwarding.rs
@@ -3,21 +3,23 @@
 
 use std::sync::Arc;
 
-use super::ask::{Bounce, Outcome, Reason};
-use super::cover::served;
-use super::desk::*;
-use super::leaf;
-use super::parcel::{Joined, Parcel, Passed, join};
-use super::step::{advance, count_in, free, need, room, shift, slot, start, sweep, taken};
-use super::waits;
+use super::engine::*;
 use crate::config::build::Mapping;
 use crate::config::types::Form;
 use crate::consts;
-use crate::edge::leaf::{MISDIRECTED, Raw, Trouble};
-use crate::lang::compile::Send;
-use crate::luck::{Luck, below};
+use crate::http_api::leaf::{MISDIRECTED, Raw, Trouble};
+use crate::query::coverage::served;
+use crate::query::dispatch::{
+    advance, count_in, free, need, room, shift, slot, start, sweep, taken,
+};
+use crate::query::forwarded_request::{Joined, Parcel, Passed, join};
+use crate::query::latency_estimate;
+use crate::query::leaf;
+use crate::query::request::{Bounce, Outcome, Reason};
+use crate::random::{Luck, below};
+use crate::routing_language::compile::Send;
+use crate::snapshot::cluster_view::found;
 use crate::time::{Tick, since};
-use crate::view::whole::found;
 
 /// A call has come.
 pub fn begin(d: &mut Desk, now: Tick, call: u64, parcel: Arc<Parcel>, out: &mut Vec<Command>) {
@@ -34,7 +36,7 @@
     room(d, map.class)?;
     let shards = match map.send {
         Send::Wide => (0..map.shards.len()).collect(),
-        Send::One => vec![super::step::shard_of(&map, &parcel.id)],
+        Send::One => vec![crate::query::dispatch::shard_of(&map, &parcel.id)],
         Send::Weighed => vec![drawn(&map, &mut d.luck)],
     };
     let budget = parcel.budget.unwrap_or(map.promise);
@@ -168,7 +170,7 @@
     let took = since(sent.at, now);
     note(d, now, &sent, &word, took);
     if matches!(word, Word::Part | Word::Answer) {
-        waits::note(&mut d.waits, &q.map.name, took);
+        latency_estimate::note(&mut d.waits, &q.map.name, took);
     }
     let slot = &mut q.slots[sent.slot];
     slot.outs.retain(|o| *o != num);
--- a/crates/core/src/query/leaf.rs
+++ b/crates/core/src/query/leaf.rs
@@ -2,7 +2,7 @@
 
 use crate::consts;
 use crate::digest::{hash, pair};
-use crate::edge::leaf::SelfWord;
+use crate::http_api::leaf::SelfWord;
 use crate::time::{MILLI, Span, Tick, ms, since};
 
 /// One leaf seen from one traffic thread.
--- a/crates/core/src/query/choose.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -4,17 +4,17 @@
 
 use indexmap::IndexMap;
 
-use super::leaf::{Leaf, bears, load, used, warm};
-use super::share::{Share, part};
-use super::wires::Peer;
-use super::{cold, seen};
 use crate::config::build::{Mapping, PoolPlan};
 use crate::config::types::{Form, Steer};
 use crate::consts::REST_AFTER;
-use crate::luck::{Luck, below};
+use crate::query::connection_subset::Peer;
+use crate::query::leaf::{Leaf, bears, load, used, warm};
+use crate::query::quota::{Share, part};
+use crate::query::{observed_load, slow_start};
+use crate::random::{Luck, below};
+use crate::snapshot::cluster_view::{View, open};
+use crate::snapshot::leafs::{LeafInfo, zone};
 use crate::time::Tick;
-use crate::view::leafs::{LeafInfo, zone};
-use crate::view::whole::{View, open};
 
 /// Leafs up to which all are compared rather than two drawn ones (count):
 /// nodes that know little of a large pool must not all see the same best.
@@ -66,8 +66,8 @@
                 let rate = u64::from(pool.cold_rate);
                 if info.cold
                     && rate > 0
-                    && !(cold::keeps(leaf, s.peers, s.slot)
-                        && cold::saved(leaf, rate, s.now) >= 1_000)
+                    && !(slow_start::keeps(leaf, s.peers, s.slot)
+                        && slow_start::saved(leaf, rate, s.now) >= 1_000)
                 {
                     continue;
                 }
@@ -75,10 +75,15 @@
                 healthy |= ours && !rested;
                 // One that failed lately is tried with one dispatch at a time.
                 let wary = leaf.row >= REST_AFTER && leaf.live > 0;
-                if wary || leaf.live >= seen::room(leaf, info, s.now) {
+                if wary || leaf.live >= observed_load::room(leaf, info, s.now) {
                     continue;
                 }
-                fit.push((info, seen::likely(leaf, info, near || !map.local), rested, ours));
+                fit.push((
+                    info,
+                    observed_load::likely(leaf, info, near || !map.local),
+                    rested,
+                    ours,
+                ));
                 continue;
             }
             let own = room(s, leaf, pool);
--- a/crates/core/src/query/merge.rs
+++ b/crates/core/src/query/merge.rs
@@ -2,7 +2,7 @@
 
 use std::cmp::Ordering;
 
-use super::ask::Record;
+use crate::query::request::Record;
 
 /// Best first: higher score, then the smaller id, then the smaller shard.
 pub fn order(a: &Record, b: &Record) -> Ordering {
--- a/crates/core/src/query/seen.rs
+++ b/crates/core/src/query/observed_load.rs
@@ -4,10 +4,10 @@
 //! its own dispatches there, how long they took, what the leaf says of its
 //! load with each answer, and work that it turned away.
 
-use super::leaf::{Leaf, used};
 use crate::consts;
+use crate::query::leaf::{Leaf, used};
+use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick};
-use crate::view::leafs::LeafInfo;
 
 /// What a leaf says of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
--- a/crates/core/src/query/quota.rs
+++ b/crates/core/src/query/quota.rs
@@ -1,86 +1,76 @@
-//! Second tries towards one service, over all nodes of the fleet: a share of
-//! the calls for it, and a slack that is divided over the nodes.
-//!
-//! Each node earns a share of a second try with each of its own calls for the
-//! service, and saves up at most its part of the slack. So in any window at
-//! all a node sends at most that part and the share of the calls in the
-//! window, and the sum over the nodes keeps the fleet's rule with no word
-//! between them. A node that starts has saved nothing: what its former life
-//! spent and what it spends add up to no more.
+//! A thread's share of what the whole fleet may do at once.
 
-use indexmap::IndexMap;
+use crate::digest::{hash, pair};
+use crate::query::connection_subset::Peer;
 
-use crate::consts;
-
-/// The fleet's rule.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rate {
-    /// Second tries for each thousand calls.
-    pub share: u64,
-    /// Second tries beyond that, over the whole fleet.
-    pub slack: u64,
-}
-
-/// The project's own rule (`consts`).
-pub fn own() -> Rate {
-    Rate { share: consts::RETRY_PCT * 10, slack: consts::RETRY_SLACK }
-}
-
-/// What is saved up for each service.
+/// The traffic threads of the live cohort and which of them is ours.
 ///
-/// Invariant: no service has saved more than `most`, in thousandths of a try.
-pub struct Quota {
-    rate: Rate,
-    most: u64,
-    saved: IndexMap<String, u64>,
+/// Invariant: `slots` are in order, stand once each, and hold `mine` unless
+/// this thread has no share at all.
+#[derive(Clone, Debug, Default, PartialEq)]
+pub struct Share {
+    pub slots: Vec<u64>,
+    pub mine: u64,
 }
 
-/// A quota with nothing saved, for a node that knows of no other.
-pub fn quota(rate: Rate) -> Quota {
-    Quota { rate, most: 1_000, saved: IndexMap::new() }
+/// The stable number of a traffic thread.
+pub fn slot(member: &str, thread: u32) -> u64 {
+    pair(hash(member), u64::from(thread))
 }
 
-/// Another rule holds from now on.
-pub fn rated(q: &mut Quota, rate: Rate, threads: u64) {
-    q.rate = rate;
-    among(q, threads);
+/// A share among the threads of the members, given as (name, threads).
+pub fn share(members: &[(String, u32)], me: &str, thread: u32) -> Share {
+    let mut slots: Vec<u64> =
+        members.iter().flat_map(|(name, n)| (0..*n).map(|t| slot(name, t))).collect();
+    slots.sort_unstable();
+    slots.dedup();
+    Share { slots, mine: slot(me, thread) }
 }
 
-/// The fleet has so many threads that share the slack.
-pub fn among(q: &mut Quota, threads: u64) {
-    // Without a place in the cohort nobody knows what others spend.
-    let threads = if threads == 0 { u64::MAX } else { threads };
-    let part = q.rate.slack * 1_000 * consts::SECOND_KEEP_PCT / 100 / threads;
-    // Less than a whole try could never be spent.
-    q.most = part.max(1_000);
-    for saved in q.saved.values_mut() {
-        *saved = (*saved).min(q.most);
-    }
+/// The nodes that open wires, of the members given as (name, threads, zone).
+pub fn peers(members: &[(String, u32, String)]) -> Vec<Peer> {
+    let mut out: Vec<Peer> = members
+        .iter()
+        .flat_map(|(name, n, zone)| (0..*n).map(move |t| (slot(name, t), zone)))
+        .map(|(slot, zone)| Peer { slot, zone: zone.clone() })
+        .collect();
+    out.sort_unstable_by_key(|p| p.slot);
+    out
 }
 
-/// A call for a service has come and goes to a leaf.
-pub fn first(q: &mut Quota, service: &str) {
-    let earned = q.rate.share * consts::SECOND_KEEP_PCT / 100;
-    match q.saved.get_mut(service) {
-        Some(saved) => *saved = (*saved + earned).min(q.most),
-        None => {
-            q.saved.insert(service.to_string(), earned);
-        }
+/// Our rank for a thing among all threads: each thing has its own order, so
+/// that remainders fall on different threads.
+pub fn rank(share: &Share, thing: u64) -> Option<u64> {
+    if share.slots.binary_search(&share.mine).is_err() {
+        return None;
     }
+    let mine = pair(thing, share.mine);
+    Some(share.slots.iter().filter(|s| pair(thing, **s) < mine).count() as u64)
 }
 
-/// Takes leave for a second try.
-pub fn second(q: &mut Quota, service: &str) -> bool {
-    match q.saved.get_mut(service) {
-        Some(saved) if *saved >= 1_000 => {
-            *saved -= 1_000;
-            true
-        }
-        _ => false,
-    }
+/// Our rank for each of a row of things that are dealt out in turn: where one
+/// thing's remainder ends the next one's begins. `first` says where the row
+/// begins, `totals` what each thing has.
+pub fn deal(share: &Share, first: u64, totals: &[u64]) -> Vec<Option<u64>> {
+    let Ok(mine) = share.slots.binary_search(&share.mine) else {
+        return vec![None; totals.len()];
+    };
+    let n = share.slots.len() as u64;
+    let mut from = first % n;
+    totals
+        .iter()
+        .map(|total| {
+            let rank = (mine as u64 + n - from) % n;
+            from = (from + total % n) % n;
+            Some(rank)
+        })
+        .collect()
 }
 
-/// Forgets services that are no longer known.
-pub fn keep(q: &mut Quota, known: impl Fn(&str) -> bool) {
-    q.saved.retain(|s, _| known(s));
+/// Our part of `total`. Over all threads of one cohort the parts add up to
+/// exactly `total`.
+pub fn part(share: &Share, rank: Option<u64>, total: u64) -> u64 {
+    let Some(rank) = rank else { return 0 };
+    let n = share.slots.len() as u64;
+    total / n + u64::from(rank < total % n)
 }
--- a/crates/core/src/query/ask.rs
+++ b/crates/core/src/query/request.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-use super::parcel::{Joined, Passed};
+use crate::query::forwarded_request::{Joined, Passed};
 use crate::time::Span;
 
 /// A caller's question, read and checked for form.
--- a/crates/core/src/query/again.rs
+++ b/crates/core/src/query/retry.rs
@@ -1,9 +1,9 @@
 //! When a bounced caller may come back: derived from what its query met, and
 //! spread by chance so that callers bounced together do not return together.
 
-use super::ask::Reason;
 use crate::consts::{AGAIN_MAX_S, AGAIN_MIN_S, AGAIN_SOON, STRAIN_HALF};
-use crate::luck::{Luck, below};
+use crate::query::request::Reason;
+use crate::random::{Luck, below};
 use crate::time::{SECOND, Span, Tick, since};
 
 /// How much of the work that came lately was sent away.
--- /dev/null
+++ b/crates/core/src/query/service_retry_budget.rs
@@ -0,0 +1,86 @@
+//! Second tries towards one service, over all nodes of the fleet: a share of
+//! the calls for it, and a slack that is divided over the nodes.
+//!
+//! Each node earns a share of a second try with each of its own calls for the
+//! service, and saves up at most its part of the slack. So in any window at
+//! all a node sends at most that part and the share of the calls in the
+//! window, and the sum over the nodes keeps the fleet's rule with no word
+//! between them. A node that starts has saved nothing: what its former life
+//! spent and what it spends add up to no more.
+
+use indexmap::IndexMap;
+
+use crate::consts;
+
+/// The fleet's rule.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct Rate {
+    /// Second tries for each thousand calls.
+    pub share: u64,
+    /// Second tries beyond that, over the whole fleet.
+    pub slack: u64,
+}
+
+/// The project's own rule (`consts`).
+pub fn own() -> Rate {
+    Rate { share: consts::RETRY_PCT * 10, slack: consts::RETRY_SLACK }
+}
+
+/// What is saved up for each service.
+///
+/// Invariant: no service has saved more than `most`, in thousandths of a try.
+pub struct Quota {
+    rate: Rate,
+    most: u64,
+    saved: IndexMap<String, u64>,
+}
+
+/// A quota with nothing saved, for a node that knows of no other.
+pub fn quota(rate: Rate) -> Quota {
+    Quota { rate, most: 1_000, saved: IndexMap::new() }
+}
+
+/// Another rule holds from now on.
+pub fn rated(q: &mut Quota, rate: Rate, threads: u64) {
+    q.rate = rate;
+    among(q, threads);
+}
+
+/// The fleet has so many threads that share the slack.
+pub fn among(q: &mut Quota, threads: u64) {
+    // Without a place in the cohort nobody knows what others spend.
+    let threads = if threads == 0 { u64::MAX } else { threads };
+    let part = q.rate.slack * 1_000 * consts::SECOND_KEEP_PCT / 100 / threads;
+    // Less than a whole try could never be spent.
+    q.most = part.max(1_000);
+    for saved in q.saved.values_mut() {
+        *saved = (*saved).min(q.most);
+    }
+}
+
+/// A call for a service has come and goes to a leaf.
+pub fn first(q: &mut Quota, service: &str) {
+    let earned = q.rate.share * consts::SECOND_KEEP_PCT / 100;
+    match q.saved.get_mut(service) {
+        Some(saved) => *saved = (*saved + earned).min(q.most),
+        None => {
+            q.saved.insert(service.to_string(), earned);
+        }
+    }
+}
+
+/// Takes leave for a second try.
+pub fn second(q: &mut Quota, service: &str) -> bool {
+    match q.saved.get_mut(service) {
+        Some(saved) if *saved >= 1_000 => {
+            *saved -= 1_000;
+            true
+        }
+        _ => false,
+    }
+}
+
+/// Forgets services that are no longer known.
+pub fn keep(q: &mut Quota, known: impl Fn(&str) -> bool) {
+    q.saved.retain(|s, _| known(s));
+}
--- a/crates/core/src/query/cold.rs
+++ b/crates/core/src/query/slow_start.rs
@@ -3,10 +3,10 @@
 //! that. All others send it nothing while it is cold. Nodes that disagree for a
 //! moment on who there is are what the rule's slack is for.
 
-use super::leaf::Leaf;
-use super::wires::Peer;
 use crate::consts;
 use crate::digest::pair;
+use crate::query::connection_subset::Peer;
+use crate::query::leaf::Leaf;
 use crate::time::{SECOND, Tick, since};
 
 /// Whether the thread `mine` is the keeper of a leaf. With nobody else known
--- a/crates/core/src/state/recovery.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -5,20 +5,20 @@
 //! majority of all seats, its own not counted, is formed and holds the table of
 //! the seats that we hold, it takes the newest copy and the highest promise of
 //! those: any value that its seat helped to accept was synced by one of them
-//! too (`crate::seats`). In any other case (too many disks lost) it waits, and
+//! too (`crate::voters`). In any other case (too many disks lost) it waits, and
 //! says so, until an operator vouches that the lost copies are lost for good.
 //! What only they held is gone then: an operator decides that, never the system.
 
-use super::core::Command;
-use super::part::{After, Part, Stand};
-use super::replica::keep_whole;
 use crate::consts;
-use crate::disk::rec::Copy;
-use crate::luck::{Luck, draw};
-use crate::names::Seat;
-use crate::seats::table::{Group, majority, others};
+use crate::control_plane::controller::Command;
+use crate::identifiers::Seat;
+use crate::protocol::message::{Life, Map, Msg};
+use crate::random::{Luck, draw};
+use crate::replication::partition::{After, Part, Stand};
+use crate::replication::replica::keep_whole;
+use crate::storage::record::Copy;
 use crate::time::Tick;
-use crate::wire::msg::{Life, Map, Msg};
+use crate::voters::voter_set::{Group, majority, others};
 
 /// Rounds of asking after which a stuck replica raises an alarm.
 const LOUD_AFTER: u64 = 40;
@@ -92,7 +92,7 @@
 
 /// A seat that can give its copy gives it.
 pub fn give(p: &Part, from: Seat, nonce: u64, out: &mut Vec<Command>) {
-    if !super::part::able(p) {
+    if !crate::replication::partition::able(p) {
         return;
     }
     let Copy { promised, epoch, rev, map } = p.copy.clone();
@@ -164,7 +164,7 @@
     if at < least || !p.writes.is_empty() {
         return;
     }
-    super::feed::reseed(p, at.1, &map);
+    crate::control_plane::feed::reseed(p, at.1, &map);
     p.copy = Copy { promised: promised.max(most), epoch: at.0, rev: at.1, map };
     keep_whole(p, now, vec![After::Formed], out);
 }
@@ -173,7 +173,7 @@
 pub fn formed(p: &mut Part, now: Tick, out: &mut Vec<Command>) {
     if p.life != Life::Formed {
         p.life = Life::Formed;
-        super::replica::follow(p, now, None);
+        crate::replication::replica::follow(p, now, None);
         out.push(Command::Alarm(format!("part {}: formed at revision {}", p.id, p.copy.rev)));
     }
 }
--- a/crates/core/src/state/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -1,19 +1,19 @@
 //! How a seat comes to own a part: sound, promise, gather grants, adopt the
 //! newest copy, re-write it under the new epoch, then serve.
 
-use super::core::{Command, Core};
-use super::leader;
-use super::part::{After, Candidacy, Part, Role, able};
-use super::replica::{follow, keep, keep_whole};
 use crate::consts;
+use crate::control_plane::controller::{Command, Core};
 use crate::digest::{hash, pair};
-use crate::disk::rec::{Copy, Rec, apply};
-use crate::luck::{Luck, below};
-use crate::names::{PartId, Seat};
-use crate::seats::seating::here;
-use crate::seats::table::{Group, majority, others};
+use crate::identifiers::{PartId, Seat};
+use crate::protocol::message::{Map, Msg};
+use crate::random::{Luck, below};
+use crate::replication::leader;
+use crate::replication::partition::{After, Candidacy, Part, Role, able};
+use crate::replication::replica::{follow, keep, keep_whole};
+use crate::storage::record::{Copy, Rec, apply};
 use crate::time::{Span, Tick, since};
-use crate::wire::msg::{Map, Msg};
+use crate::voters::voter_set::{Group, majority, others};
+use crate::voters::voter_slots::here;
 
 /// The next epoch above `seen` that only this seat uses.
 pub fn next_epoch(seen: u64, seat: Seat) -> u64 {
@@ -194,7 +194,7 @@
         return;
     }
     let promised = p.copy.promised;
-    super::feed::reseed(p, at.1, &map);
+    crate::control_plane::feed::reseed(p, at.1, &map);
     p.copy = Copy { promised, epoch: at.0, rev: at.1, map };
     adopt(p, now, g, epoch, out);
 }
@@ -225,7 +225,7 @@
         // for ever; if most still follow us we stand for election again above it.
         Role::Leader(o) if o.epoch == epoch => {
             let live = leader::answering(o, g, now);
-            super::replica::resign(p, now, None, out);
+            crate::replication::replica::resign(p, now, None, out);
             if live {
                 start_election(p, now, g, next_epoch(promised.max(p.copy.promised), g.seat), out);
             }
@@ -240,7 +240,7 @@
     for p in &mut core.parts {
         let successor = successor(p, group);
         let (part, term) = (p.id, p.copy.promised);
-        super::replica::resign(p, now, None, out);
+        crate::replication::replica::resign(p, now, None, out);
         if let Some(seat) = successor {
             out.push(Command::ToSeat { seat, msg: Msg::LeadershipTransfer { part, term } });
         }
--- a/crates/core/src/state/heartbeat_rounds.rs
+++ b/crates/core/src/replication/heartbeat_rounds.rs
@@ -6,14 +6,14 @@
 //! round began, whatever any clock shows. What operators are told rests on such
 //! a round, begun after their request came.
 
-use super::core::Command;
-use super::leader::sum;
-use super::part::{Leader, Part, leader};
 use crate::consts;
-use crate::names::Seat;
-use crate::seats::table::{Group, majority, others};
+use crate::control_plane::controller::Command;
+use crate::identifiers::Seat;
+use crate::protocol::message::Msg;
+use crate::replication::leader::sum;
+use crate::replication::partition::{Leader, Part, leader};
 use crate::time::{Span, Tick, ms, since};
-use crate::wire::msg::Msg;
+use crate::voters::voter_set::{Group, majority, others};
 
 /// Least time between the begin of two rounds for waiting operations: so many
 /// orders a second cost at most three rounds each 15 ms, and none waits for
--- a/crates/core/src/state/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -2,17 +2,17 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use super::core::Command;
-use super::part::{After, Leader, OpFrom, Part, Role, Waiting, leader};
-use super::replica::{keep, resign};
-use super::{heartbeat_rounds, pending_operations};
 use crate::config::change::Entry;
 use crate::consts;
-use crate::disk::rec::{Rec, apply};
-use crate::names::Seat;
-use crate::seats::table::{Group, majority, others};
+use crate::control_plane::controller::Command;
+use crate::identifiers::Seat;
+use crate::protocol::message::{Done, Map, Msg};
+use crate::replication::partition::{After, Leader, OpFrom, Part, Role, Waiting, leader};
+use crate::replication::replica::{keep, resign};
+use crate::replication::{heartbeat_rounds, pending_operations};
+use crate::storage::record::{Rec, apply};
 use crate::time::{Span, Tick, ms, since};
-use crate::wire::msg::{Done, Map, Msg};
+use crate::voters::voter_set::{Group, majority, others};
 
 /// Time after which a round that operations wait for is begun anew: a message
 /// of it was lost, and the next heartbeat is four times as far.
@@ -109,7 +109,7 @@
     for to in lag {
         send_whole(p, now, to, out);
     }
-    super::leafs::grow(p, now, g, out);
+    crate::control_plane::endpoints::grow(p, now, g, out);
     heartbeat_rounds::request(p, now, g, out);
     settle(p, now, g, out);
 }
@@ -194,7 +194,7 @@
         o.serves = true;
         if first || done > o.done {
             o.done = done;
-            super::feed::show(p, done);
+            crate::control_plane::feed::show(p, done);
         }
     }
     settle(p, now, g, out);
--- a/crates/core/src/state/part.rs
+++ b/crates/core/src/replication/partition.rs
@@ -3,12 +3,12 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::config::change::Entry;
-use crate::disk::rec::Copy;
-use crate::names::{PartId, Seat};
+use crate::identifiers::{PartId, Seat};
+use crate::protocol::message::{Life, Map, Msg};
+use crate::storage::record::Copy;
 use crate::time::Tick;
-use crate::wire::msg::{Life, Map, Msg};
 
-use super::pending_operations::PendingOperation;
+use crate::replication::pending_operations::PendingOperation;
 
 /// A part at this seat.
 ///
--- a/crates/core/src/state/pending_operations.rs
+++ b/crates/core/src/replication/pending_operations.rs
@@ -12,14 +12,14 @@
 //! asked after its order came, and it can't be committed unless all before it
 //! are.
 
-use super::core::Command;
-use super::heartbeat_rounds;
-use super::leader::{settle as settle_all, tell};
-use super::part::{Leader, OpFrom, Part, leader};
 use crate::consts;
-use crate::seats::table::Group;
+use crate::control_plane::controller::Command;
+use crate::protocol::message::Done;
+use crate::replication::heartbeat_rounds;
+use crate::replication::leader::{settle as settle_all, tell};
+use crate::replication::partition::{Leader, OpFrom, Part, leader};
 use crate::time::Tick;
-use crate::wire::msg::Done;
+use crate::voters::voter_set::Group;
 
 /// Most operations that wait at a leader (count): what the doors of more
 /// controllers than there can be voters hand over at once.
@@ -75,7 +75,7 @@
 /// Answers the operations that are proved, and gives up those that took too long.
 pub fn settle(p: &mut Part, now: Tick, g: Group, out: &mut Vec<Command>) {
     let (shown_rev, shown) = (p.shown_rev, &p.shown);
-    let super::part::Role::Leader(o) = &mut p.role else { return };
+    let crate::replication::partition::Role::Leader(o) = &mut p.role else { return };
     if o.pending.is_empty() {
         return;
     }
@@ -87,7 +87,7 @@
             match operation.answer {
                 PendingAnswer::Refusal(done) => tell(operation.origin, done, out),
                 PendingAnswer::Read => {
-                    let map = super::order_memory::without_memory(shown);
+                    let map = crate::control_plane::order_memory::without_memory(shown);
                     let done = Done::Config { revision: shown_rev, map };
                     tell(operation.origin, done, out);
                 }
--- a/crates/core/src/state/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -1,13 +1,13 @@
 //! A seat as a replica: it grants claims, accepts writes and keeps them.
 
-use super::core::Command;
-use super::part::{After, Part, Role, Write, able, leader};
 use crate::consts;
-use crate::disk::rec::{Copy, Rec, apply};
-use crate::names::Seat;
-use crate::seats::table::Group;
+use crate::control_plane::controller::Command;
+use crate::identifiers::Seat;
+use crate::protocol::message::{Map, Msg};
+use crate::replication::partition::{After, Part, Role, Write, able, leader};
+use crate::storage::record::{Copy, Rec, apply};
 use crate::time::{Tick, since};
-use crate::wire::msg::{Map, Msg};
+use crate::voters::voter_set::Group;
 
 /// Sends a record to the disk and hangs `after` on it.
 pub fn keep(p: &mut Part, now: Tick, rec: Rec, after: Vec<After>, out: &mut Vec<Command>) {
@@ -94,7 +94,7 @@
     p: &mut Part,
     now: Tick,
     of: Option<(Seat, u64)>,
-) -> Option<Box<super::part::Leader>> {
+) -> Option<Box<crate::replication::partition::Leader>> {
     let old = std::mem::replace(&mut p.role, Role::Follower { heard: now, leader: of });
     match old {
         Role::Leader(o) => Some(o),
@@ -136,7 +136,7 @@
 /// Gives up whatever role we had for that of a follower.
 pub fn resign(p: &mut Part, now: Tick, of: Option<(Seat, u64)>, out: &mut Vec<Command>) {
     if let Some(old) = follow(p, now, of) {
-        super::leader::dismiss(p, *old, out);
+        crate::replication::leader::dismiss(p, *old, out);
     }
 }
 
@@ -158,7 +158,7 @@
     }
     p.doubt = false;
     let promised = p.copy.promised.max(epoch);
-    super::feed::reseed(p, rev, &map);
+    crate::control_plane::feed::reseed(p, rev, &map);
     p.copy = Copy { promised, epoch, rev, map };
     keep_whole(p, now, vec![After::Send(from, kept)], out);
 }
@@ -199,9 +199,10 @@
     }
     let same = p.copy.epoch == epoch;
     if same {
-        super::feed::show(p, done);
+        crate::control_plane::feed::show(p, done);
     }
-    if same && sum != 0 && p.copy.rev == done && super::leader::sum(&p.copy.map) != sum {
+    if same && sum != 0 && p.copy.rev == done && crate::replication::leader::sum(&p.copy.map) != sum
+    {
         out.push(Command::Alarm(format!("part {}: our copy differs from the leader's", p.id)));
         p.doubt = true;
     }
@@ -226,7 +227,9 @@
     r.ask_at = r.ask_at.min(now + consts::ASK_AROUND);
     let gone = |s: Seat| moved.get(usize::from(s)).is_some_and(|m| *m);
     match &mut p.role {
-        Role::Leader(o) if o.kept.len() == g.size => super::leader::moved(o, now, g, moved),
+        Role::Leader(o) if o.kept.len() == g.size => {
+            crate::replication::leader::moved(o, now, g, moved)
+        }
         Role::Leader(_) => resign(p, now, None, out),
         Role::Follower { leader, .. } => *leader = leader.filter(|(seat, _)| !gone(*seat)),
         Role::PreVoting { .. } | Role::Candidate(_) => {
--- a/crates/core/src/lang/compile.rs
+++ b/crates/core/src/routing_language/compile.rs
@@ -1,9 +1,9 @@
 //! Stages to a plain policy: defaults filled in, contradictions found.
 
-use super::finding::{Finding, find};
-use super::lexer::place;
-use super::parser::{Verb, stages};
-use super::selector::Selector;
+use crate::routing_language::diagnostic::{Finding, find};
+use crate::routing_language::lexer::place;
+use crate::routing_language::parser::{Verb, stages};
+use crate::routing_language::selector::Selector;
 
 /// Which shards a query is planned for.
 #[derive(Clone, Copy, PartialEq, Debug)]
--- a/crates/core/src/lang/lexer.rs
+++ b/crates/core/src/routing_language/lexer.rs
@@ -1,6 +1,6 @@
 //! Cuts a text of the small language into words.
 
-use super::finding::{Finding, find};
+use crate::routing_language::diagnostic::{Finding, find};
 
 /// What a word is.
 #[derive(Clone, PartialEq, Debug)]
--- a/crates/core/src/lang/mod.rs
+++ b/crates/core/src/routing_language/mod.rs
@@ -12,7 +12,7 @@
 //! the others have defaults.
 
 pub mod compile;
-pub mod finding;
+pub mod diagnostic;
 pub mod lexer;
 pub mod parser;
 pub mod selector;
--- a/crates/core/src/lang/parser.rs
+++ b/crates/core/src/routing_language/parser.rs
@@ -1,8 +1,8 @@
 //! Words to stages. Reads on after a mistake, so that all are reported.
 
-use super::finding::{Finding, find};
-use super::lexer::{Kind, Word, place, words};
-use super::selector::Selector;
+use crate::routing_language::diagnostic::{Finding, find};
+use crate::routing_language::lexer::{Kind, Word, place, words};
+use crate::routing_language::selector::Selector;
 
 /// One stage with the place of its first word.
 #[derive(Clone, Debug)]
--- a/crates/core/src/view/whole.rs
+++ b/crates/core/src/snapshot/cluster_view.rs
@@ -4,9 +4,9 @@
 
 use indexmap::IndexMap;
 
-use super::leafs::{LeafInfo, zone};
 use crate::config::build::{Built, CUT, Mapping, PoolPlan};
-use crate::lang::selector::fits;
+use crate::routing_language::selector::fits;
+use crate::snapshot::leafs::{LeafInfo, zone};
 
 /// Everything a query needs to know.
 ///
--- a/crates/core/src/view/leafs.rs
+++ b/crates/core/src/snapshot/leafs.rs
@@ -1,6 +1,6 @@
 //! A leaf as the platform's list names it, and its stored form.
 
-use crate::lang::selector::Labels;
+use crate::routing_language::selector::Labels;
 
 /// One leaf. `leaf` is its identity: a new start is a new identity.
 #[derive(Clone, PartialEq, Debug, nanoserde::DeBin, nanoserde::SerBin)]
--- a/crates/core/src/disk/mod.rs
+++ b/crates/core/src/storage/mod.rs
@@ -5,6 +5,6 @@
 //! number. All of it is checksummed and length-checked, and this module does
 //! no I/O: it turns copies and records into bytes and back.
 
-pub mod read;
-pub mod rec;
-pub mod write;
+pub mod reader;
+pub mod record;
+pub mod writer;
--- a/crates/core/src/disk/read.rs
+++ b/crates/core/src/storage/reader.rs
@@ -3,9 +3,11 @@
 
 use nanoserde::DeBin;
 
-use super::rec::{Copy, Rec, apply};
-use super::write::{LOG_HEAD, LOG_MARK, REC_END, REC_HEAD, SLOT_HEAD, SLOT_MARK, rec_sum};
 use crate::consts::{DISK_VERSION, RECORD_LIMIT};
+use crate::storage::record::{Copy, Rec, apply};
+use crate::storage::writer::{
+    LOG_HEAD, LOG_MARK, REC_END, REC_HEAD, SLOT_HEAD, SLOT_MARK, rec_sum,
+};
 
 /// What a part's folder holds.
 #[derive(Debug, PartialEq)]
--- a/crates/core/src/disk/rec.rs
+++ b/crates/core/src/storage/record.rs
@@ -3,7 +3,7 @@
 use nanoserde::{DeBin, SerBin};
 
 use crate::config::change::Entry;
-use crate::wire::msg::Map;
+use crate::protocol::message::Map;
 
 /// A replica's copy of a part.
 ///
--- a/crates/core/src/disk/write.rs
+++ b/crates/core/src/storage/writer.rs
@@ -2,8 +2,8 @@
 
 use nanoserde::SerBin;
 
-use super::rec::{Copy, Rec};
 use crate::consts::DISK_VERSION;
+use crate::storage::record::{Copy, Rec};
 
 /// First bytes of a slot.
 pub const SLOT_MARK: [u8; 6] = *b"GRBslt";
--- a/crates/core/src/seats/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -22,18 +22,19 @@
 
 use indexmap::IndexMap;
 
-use super::seating;
-use super::table::{Holding, NOBODY, Table, after_handover, balanced, merge};
 use crate::consts;
-use crate::disk::rec::Copy;
-use crate::names::Seat;
-use crate::state::core::{Command, Core, WireId};
-use crate::state::members;
-use crate::state::membership_log;
-use crate::state::part::{After, Part, Role, able};
-use crate::state::{election, feed, replica};
+use crate::control_plane::controller::{Command, Core, WireId};
+use crate::control_plane::feed;
+use crate::control_plane::members;
+use crate::control_plane::membership_log;
+use crate::identifiers::Seat;
+use crate::protocol::message::{Life, Memberships, Msg, ReplicaState};
+use crate::replication::partition::{After, Part, Role, able};
+use crate::replication::{election, replica};
+use crate::storage::record::Copy;
 use crate::time::{Tick, since};
-use crate::wire::msg::{Life, Memberships, Msg, ReplicaState};
+use crate::voters::voter_set::{Holding, NOBODY, Table, after_handover, balanced, merge};
+use crate::voters::voter_slots;
 
 /// A controller without a voter slot that asked us for one.
 pub struct Applicant {
@@ -216,7 +217,7 @@
 
 /// The spare that we asked is ready: we give the slot up, first on our disk.
 pub fn accepted(core: &mut Core, now: Tick, slot: Seat, holding: Holding, out: &mut Vec<Command>) {
-    let table = seating::newest(&core.seating);
+    let table = voter_slots::newest(&core.seating);
     let Some(leaving) = &core.seating.handovers.leaving else { return };
     let Stage::Offering { asked: Some((holder, asked_at)) } = leaving.stage else { return };
     // After a pause of ours the spare may wait for us no more.
@@ -232,7 +233,7 @@
     if let Some(leaving) = &mut core.seating.handovers.leaving {
         leaving.stage = Stage::Yielding { slot, successor: holder };
     }
-    seating::put(core, now, table, out);
+    voter_slots::put(core, now, table, out);
 }
 
 /// Our slot is another's by the voter set that was just written. If that is the
@@ -257,7 +258,7 @@
         leaving.stage = stage;
     }
     for p in &mut core.parts {
-        seating::forget(p, now, out);
+        voter_slots::forget(p, now, out);
     }
     core.members = Default::default();
     true
@@ -287,7 +288,7 @@
     out: &mut Vec<Command>,
 ) {
     let Received { slot, generation, table, replicas, memberships } = received;
-    seating::learn(core, now, &table, out);
+    voter_slots::learn(core, now, &table, out);
     let ours = &core.seating.roll.table;
     let holds = ours.seats.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
     if core.seat != slot || !holds || merge(ours, &table).is_some() {
--- a/crates/core/src/seats/mod.rs
+++ b/crates/core/src/voters/mod.rs
@@ -48,8 +48,8 @@
 //! whether they would give the seat (`Apply`, `Offer`) keeps a single seat's
 //! false suspicion from moving one.
 
-pub mod apply;
 pub mod handover;
-pub mod roll;
-pub mod seating;
-pub mod table;
+pub mod slot_takeover;
+pub mod voter_file;
+pub mod voter_set;
+pub mod voter_slots;
--- a/crates/core/src/seats/apply.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -2,15 +2,16 @@
 //! would give it a seat, and only then takes it. While no seat is free it goes
 //! on asking, and is at hand.
 
-use super::handover;
-use super::seating::{self, newest};
-use super::table::{Holding, NOBODY, after_takeover, balanced, majority};
 use crate::consts;
+use crate::control_plane::controller::{Command, Core, WireId};
 use crate::digest::pair;
-use crate::names::Seat;
-use crate::state::core::{Command, Core, WireId};
+use crate::identifiers::Seat;
+use crate::protocol::message::Msg;
 use crate::time::{Tick, since};
-use crate::wire::msg::Msg;
+use crate::voters::handover;
+use crate::voters::voter_set::{Holding, NOBODY, after_takeover, balanced, majority};
+use crate::voters::voter_slots;
+use crate::voters::voter_slots::newest;
 
 /// The seats that a seat would give us, and when it said so.
 #[derive(Clone)]
@@ -64,7 +65,7 @@
     out: &mut Vec<Command>,
 ) {
     if stamp != core.seating.stamp {
-        seating::tell(core, wire, out);
+        voter_slots::tell(core, wire, out);
     }
     if core.seat == NOBODY {
         return;
@@ -129,5 +130,5 @@
         return;
     }
     *cell = new;
-    seating::put(core, now, table, out);
+    voter_slots::put(core, now, table, out);
 }
--- a/crates/core/src/seats/roll.rs
+++ b/crates/core/src/voters/voter_file.rs
@@ -2,9 +2,11 @@
 
 use nanoserde::{DeBin, SerBin};
 
-use super::table::{Table, first_holder, first_table, merge, seat_of, told_holder, told_table};
 use crate::consts::{DISK_VERSION, RECORD_LIMIT};
-use crate::names::Seat;
+use crate::identifiers::Seat;
+use crate::voters::voter_set::{
+    Table, first_holder, first_table, merge, seat_of, told_holder, told_table,
+};
 
 const MARK: &[u8; 6] = b"GRBrol";
 /// Bytes before the body: mark, version u16, length u32, checksum u32.
--- a/crates/core/src/seats/table.rs
+++ b/crates/core/src/voters/voter_set.rs
@@ -4,7 +4,7 @@
 
 use crate::consts;
 use crate::digest::hash;
-use crate::names::Seat;
+use crate::identifiers::Seat;
 
 /// The seat of a controller that has none.
 pub const NOBODY: Seat = Seat::MAX;
--- a/crates/core/src/seats/seating.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -3,17 +3,21 @@
 
 use indexmap::IndexSet;
 
-use super::apply::Offer;
-use super::handover::{self, Handovers};
-use super::roll::Roll;
-use super::table::{Group, NOBODY, Table, ballot, group, merge, others, seat_of, stamp};
 use crate::consts;
-use crate::luck::draw;
-use crate::names::Seat;
-use crate::state::core::{Command, Core, WireId};
-use crate::state::{operation_forwarding, part, replica};
+use crate::control_plane::controller::{Command, Core, WireId};
+use crate::control_plane::operation_forwarding;
+use crate::identifiers::Seat;
+use crate::protocol::message::{Life, Msg};
+use crate::random::draw;
+use crate::replication::{partition, replica};
 use crate::time::{Span, Tick, since};
-use crate::wire::msg::{Life, Msg};
+use crate::voters::handover;
+use crate::voters::handover::Handovers;
+use crate::voters::slot_takeover::Offer;
+use crate::voters::voter_file::Roll;
+use crate::voters::voter_set::{
+    Group, NOBODY, Table, ballot, group, merge, others, seat_of, stamp,
+};
 
 /// What a controller knows of the seats.
 ///
@@ -191,9 +195,9 @@
 }
 
 /// Empties a replica in memory: what it holds counts no more.
-pub fn forget(p: &mut part::Part, now: Tick, out: &mut Vec<Command>) {
+pub fn forget(p: &mut partition::Part, now: Tick, out: &mut Vec<Command>) {
     replica::resign(p, now, None, out);
-    let mut fresh = part::part(p.id, Life::Empty, Default::default(), 0, now);
+    let mut fresh = partition::part(p.id, Life::Empty, Default::default(), 0, now);
     fresh.next_token = p.next_token;
     *p = fresh;
 }
@@ -285,7 +289,7 @@
 /// Time passes: silence is counted, and we show that we live.
 pub fn wake(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
     let s = &mut core.seating;
-    let past = since(s.woke, now).min(2 * crate::state::step::WAKE);
+    let past = since(s.woke, now).min(2 * crate::control_plane::step::WAKE);
     s.woke = now;
     for quiet in &mut s.quiet {
         *quiet += past;
@@ -299,7 +303,7 @@
     }
     handover::wake(core, now, out);
     if core.seat == NOBODY {
-        return super::apply::wake(core, now, out);
+        return crate::voters::slot_takeover::wake(core, now, out);
     }
     // Our own zone, where the seeds could not tell it.
     let own = usize::from(core.seat);
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -1,9 +1,9 @@
 //! When bounced callers are told to come back.
 
 use googletest::prelude::*;
-use grebepath_core::luck::luck;
-use grebepath_core::query::again::{Strain, again_s, note};
-use grebepath_core::query::ask::Reason;
+use grebepath_core::query::request::Reason;
+use grebepath_core::query::retry::{Strain, again_s, note};
+use grebepath_core::random::luck;
 use grebepath_core::time::{SECOND, ms};
 
 /// Least and most of what 200 callers are told, after `n` calls of which each
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -9,11 +9,11 @@
 use googletest::prelude::*;
 use grebepath_core::config::change::config;
 use grebepath_core::consts;
-use grebepath_core::disk::rec::Copy;
-use grebepath_core::state::core::Event;
-use grebepath_core::state::part::Role;
+use grebepath_core::control_plane::controller::Event;
+use grebepath_core::protocol::message::{Deed, Done, Life};
+use grebepath_core::replication::partition::Role;
+use grebepath_core::storage::record::Copy;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
-use grebepath_core::wire::msg::{Deed, Done, Life};
 use serde_json::json;
 
 /// The most that a configuration of some KiB may take with the memory of accepted
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -7,14 +7,14 @@
 
 use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
-use grebepath_core::disk::rec::{Copy, Rec, apply};
-use grebepath_core::names::{CONFIG, PartId, Seat};
-use grebepath_core::seats::roll::{Roll, Start, begin};
-use grebepath_core::state::core::{Command, Core, Event, core};
-use grebepath_core::state::part::Role;
-use grebepath_core::state::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::identifiers::{CONFIG, PartId, Seat};
+use grebepath_core::protocol::message::{Deed, Done, Life, Msg};
+use grebepath_core::replication::partition::Role;
+use grebepath_core::storage::record::{Copy, Rec, apply};
 use grebepath_core::time::{BOOT, SECOND, Span, Tick};
-use grebepath_core::wire::msg::{Deed, Done, Life, Msg};
+use grebepath_core::voters::voter_file::{Roll, Start, begin};
 
 /// Work that is under way.
 #[derive(Clone, Debug)]
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use grebepath_core::luck::{below, chance, luck};
-use grebepath_core::query::cold::{keeps, saved, spend};
+use grebepath_core::query::connection_subset::Peer;
 use grebepath_core::query::leaf::leaf;
-use grebepath_core::query::wires::Peer;
+use grebepath_core::query::slow_start::{keeps, saved, spend};
+use grebepath_core::random::{below, chance, luck};
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
 
 fn nodes(n: usize) -> Vec<Peer> {
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -7,16 +7,16 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebepath_core::disk::rec::{Copy, Rec, apply};
-use grebepath_core::luck::{Luck, below, luck};
-use grebepath_core::names::PartId;
-use grebepath_core::seats::roll::{Start, begin};
-use grebepath_core::seats::table::told_holder;
-use grebepath_core::state::core::{Command, Core, Event, core};
-use grebepath_core::state::part::Role;
-use grebepath_core::state::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::identifiers::PartId;
+use grebepath_core::protocol::message::{Deed, Done, Life, Member, Msg, Progress};
+use grebepath_core::random::{Luck, below, luck};
+use grebepath_core::replication::partition::Role;
+use grebepath_core::storage::record::{Copy, Rec, apply};
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
-use grebepath_core::wire::msg::{Deed, Done, Life, Member, Msg, Progress};
+use grebepath_core::voters::voter_file::{Start, begin};
+use grebepath_core::voters::voter_set::told_holder;
 
 /// One way between two controllers, and one write to a disk.
 const LATENCY: Span = ms(1);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -2,11 +2,11 @@
 
 use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
-use grebepath_core::seats::roll::{Start, begin};
-use grebepath_core::state::core::{Command, Core, Event, core};
-use grebepath_core::state::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::protocol::message::{Deed, Done};
 use grebepath_core::time::{BOOT, Tick};
-use grebepath_core::wire::msg::{Deed, Done};
+use grebepath_core::voters::voter_file::{Start, begin};
 
 /// The seat, its clock and its operators' numbers.
 pub struct One {
--- a/crates/core/tests/desk.rs
+++ b/crates/core/tests/desk.rs
@@ -4,15 +4,15 @@
 
 use googletest::prelude::*;
 use grebepath_core::config::{build, read};
-use grebepath_core::edge::leaf::{Heads, Raw, Trouble, postmark};
-use grebepath_core::lang::selector::Labels;
-use grebepath_core::query::ask::{Ask, Outcome, Reason};
-use grebepath_core::query::desk::{Command, Desk, Door, Event, Sending, desk};
-use grebepath_core::query::share::share;
-use grebepath_core::query::step::{next, step};
+use grebepath_core::http_api::leaf::{Heads, Raw, Trouble, postmark};
+use grebepath_core::query::dispatch::{next, step};
+use grebepath_core::query::engine::{Command, Desk, Door, Event, Sending, desk};
+use grebepath_core::query::quota::share;
+use grebepath_core::query::request::{Ask, Outcome, Reason};
+use grebepath_core::routing_language::selector::Labels;
+use grebepath_core::snapshot::cluster_view::{View, view};
+use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
-use grebepath_core::view::leafs::LeafInfo;
-use grebepath_core::view::whole::{View, view};
 use serde_json::json;
 
 /// Two shards of two leafs each in zones a and b, for the given cut.
@@ -54,7 +54,7 @@
     step(&mut d, BOOT, Event::Grip(Tick::MAX));
     // Enough first dispatches in the past that the retry rule is no hindrance.
     for i in 0..400 {
-        grebepath_core::query::rule::first(&mut d.rule, BOOT + i);
+        grebepath_core::query::retry_budget::first(&mut d.rule, BOOT + i);
     }
     d
 }
@@ -240,9 +240,9 @@
                 .iter()
                 .map(|(m, t)| {
                     let s = share(&members, m, *t);
-                    grebepath_core::query::share::part(
+                    grebepath_core::query::quota::part(
                         &s,
-                        grebepath_core::query::share::rank(&s, thing),
+                        grebepath_core::query::quota::rank(&s, thing),
                         total,
                     )
                 })
@@ -254,8 +254,8 @@
             .iter()
             .map(|(m, t)| {
                 let s = share(&members, m, *t);
-                let ranks = grebepath_core::query::share::deal(&s, 5, &[total; 9]);
-                ranks.iter().map(|r| grebepath_core::query::share::part(&s, *r, total)).collect()
+                let ranks = grebepath_core::query::quota::deal(&s, 5, &[total; 9]);
+                ranks.iter().map(|r| grebepath_core::query::quota::part(&s, *r, total)).collect()
             })
             .collect();
         for leaf in 0..9 {
--- a/crates/core/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -2,9 +2,9 @@
 //! truth, a prefix whose tail was never acknowledged, or reported damage.
 
 use googletest::prelude::*;
-use grebepath_core::disk::read::{Found, read};
-use grebepath_core::disk::rec::{Copy, Rec, apply};
-use grebepath_core::disk::write;
+use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::record::{Copy, Rec, apply};
+use grebepath_core::storage::writer;
 
 const PART: u32 = 3;
 
@@ -23,15 +23,15 @@
 /// log holds a few records after it.
 fn files() -> Files {
     let mut copy = Copy { promised: 4, epoch: 4, rev: 10, ..Copy::default() };
-    let older = write::slot(PART, 1, &copy);
+    let older = writer::slot(PART, 1, &copy);
     assert!(apply(&mut copy, &change(11)));
-    let newer = write::slot(PART, 2, &copy);
-    let mut log = write::log_head(PART, 2);
+    let newer = writer::slot(PART, 2, &copy);
+    let mut log = writer::log_head(PART, 2);
     let mut at = vec![(log.len(), copy.clone())];
     let recs = [change(12), Rec::Promise { epoch: 7 }, change(13)];
     for (i, rec) in recs.iter().enumerate() {
         assert!(apply(&mut copy, rec));
-        log.extend(write::rec(2, i as u32, rec));
+        log.extend(writer::rec(2, i as u32, rec));
         at.push((log.len(), copy.clone()));
     }
     ([newer, older], log, at)
@@ -89,7 +89,7 @@
 fn a_slot_write_that_never_ended_loses_nothing() {
     let (slots, log, at) = files();
     let truth = at.last().unwrap().1.clone();
-    let next = write::slot(PART, 3, &truth);
+    let next = writer::slot(PART, 3, &truth);
     // Slot 3 goes where slot 1 is; the log is still that of slot 2.
     for cut in 0..next.len() {
         let torn = [slots[0].clone(), next[..cut].to_vec()];
--- a/crates/core/tests/editions.rs
+++ b/crates/core/tests/editions.rs
@@ -5,7 +5,7 @@
 
 use common::{One, one, operate, standing, together};
 use googletest::prelude::*;
-use grebepath_core::wire::msg::{Deed, Done};
+use grebepath_core::protocol::message::{Deed, Done};
 use serde_json::{Value, json};
 
 fn search(name: &str, path: &str, pool: &str) -> Value {
--- a/crates/core/tests/elections.rs
+++ b/crates/core/tests/elections.rs
@@ -6,10 +6,10 @@
 
 use cluster::*;
 use googletest::prelude::*;
-use grebepath_core::luck::{below, luck};
-use grebepath_core::state::core::Event;
+use grebepath_core::control_plane::controller::Event;
+use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::random::{below, luck};
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
-use grebepath_core::wire::msg::{Deed, Done};
 use serde_json::json;
 
 /// Seeds of a measurement (count).
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -2,16 +2,16 @@
 //! place in the cohort is.
 
 use googletest::prelude::*;
-use grebepath_core::cohort::ring::ring;
-use grebepath_core::cohort::step::step;
-use grebepath_core::cohort::watch::{Command, Event, Watch, watch};
 use grebepath_core::consts;
-use grebepath_core::names::{BEYOND, COHORT, CONFIG, PartId, Seat};
-use grebepath_core::seats::roll::Roll;
-use grebepath_core::seats::table::{told_holder, told_table};
-use grebepath_core::state::core;
+use grebepath_core::control_plane::controller;
+use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartId, Seat};
+use grebepath_core::membership::neighbour_ring::ring;
+use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
+use grebepath_core::membership::step::step;
+use grebepath_core::protocol::message::{Cohort, Member, Msg, Place};
 use grebepath_core::time::{BOOT, Tick, ms};
-use grebepath_core::wire::msg::{Cohort, Member, Msg, Place};
+use grebepath_core::voters::voter_file::Roll;
+use grebepath_core::voters::voter_set::{told_holder, told_table};
 
 fn member(n: usize) -> Member {
     let (name, addr) = (format!("m{n}"), format!("10.0.0.{n}:1"));
@@ -140,18 +140,17 @@
 fn who_only_asks_is_shown_how_far_we_are_and_nothing_else() {
     let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
     let roll = Roll { me: told_holder(0), first: true, table: told_table(&seeds) };
-    let mut c = core::core(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
+    let mut c = controller::core(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
     let stamp = c.seating.stamp;
     c.parts[0].shown.insert("zone/a".into(), vec![1]);
     (c.parts[0].shown_rev, c.members.cohort) = (5, cohort(3));
-    let ask = |c: &mut core::Core, rev: u64| {
+    let ask = |c: &mut controller::Core, rev: u64| {
         let list = [CONFIG, COHORT].into_iter().chain((1..5).map(PartId));
         let places = list.map(|part| Place { part, rev }).collect();
-        let event = core::Event::FromWire { wire: 1, msg: Msg::Follow { places, stamp } };
-        let todo = grebepath_core::state::step::step(c, BOOT, event);
+        let event = controller::Event::FromWire { wire: 1, msg: Msg::Follow { places, stamp } };
+        let todo = grebepath_core::control_plane::step::step(c, BOOT, event);
         let told = |f: fn(&Msg) -> bool| {
-            let sent =
-                |k: &&core::Command| matches!(k, core::Command::ToWire { msg, .. } if f(msg));
+            let sent = |k: &&controller::Command| matches!(k, controller::Command::ToWire { msg, .. } if f(msg));
             todo.iter().filter(sent).count()
         };
         let reach = told(|m| matches!(m, Msg::Reach { .. }));
--- a/crates/core/tests/hand.rs
+++ b/crates/core/tests/hand.rs
@@ -6,17 +6,17 @@
 use googletest::prelude::*;
 use grebepath_core::config::{build, read};
 use grebepath_core::consts;
-use grebepath_core::edge::leaf::{Heads, Raw, Trouble};
-use grebepath_core::luck::{Luck, below, chance, draw, luck};
-use grebepath_core::query::ask::{Bounce, Outcome, Reason};
-use grebepath_core::query::desk::{Command, Desk, Event, Sending, desk};
-use grebepath_core::query::parcel::{Joined, Parcel, Passed, join};
-use grebepath_core::query::quota;
-use grebepath_core::query::share::share;
-use grebepath_core::query::step::{next, step};
+use grebepath_core::http_api::leaf::{Heads, Raw, Trouble};
+use grebepath_core::query::dispatch::{next, step};
+use grebepath_core::query::engine::{Command, Desk, Event, Sending, desk};
+use grebepath_core::query::forwarded_request::{Joined, Parcel, Passed, join};
+use grebepath_core::query::quota::share;
+use grebepath_core::query::request::{Bounce, Outcome, Reason};
+use grebepath_core::query::service_retry_budget;
+use grebepath_core::random::{Luck, below, chance, draw, luck};
+use grebepath_core::snapshot::cluster_view::{View, view};
+use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
-use grebepath_core::view::leafs::LeafInfo;
-use grebepath_core::view::whole::{View, view};
 use serde_json::{Value, json};
 
 const NOW: Tick = BOOT + SECOND;
@@ -74,7 +74,7 @@
     step(&mut d, BOOT, Event::Grip(Tick::MAX));
     for (s, _) in &w.services {
         for _ in 0..200 {
-            quota::first(&mut d.quota, s);
+            service_retry_budget::first(&mut d.quota, s);
         }
     }
     d
@@ -650,7 +650,7 @@
 #[googletest::test]
 fn unreachable_leafs_cost_neither_a_try_nor_the_quota() {
     let mut d = open(&world(&[("p", 8)], vec![pass(json!({ "attempts": 1, "once": true }))]));
-    quota::keep(&mut d.quota, |_| false);
+    service_retry_budget::keep(&mut d.quota, |_| false);
     let mut out = call(&mut d, NOW, 1);
     let mut leafs = Vec::new();
     for _ in 0..consts::UNREACHED_MAX {
--- a/crates/core/tests/memberships.rs
+++ b/crates/core/tests/memberships.rs
@@ -5,9 +5,9 @@
 
 use cluster::*;
 use googletest::prelude::*;
-use grebepath_core::state::core::Core;
+use grebepath_core::control_plane::controller::Core;
+use grebepath_core::protocol::message::Progress;
 use grebepath_core::time::{MILLI, SECOND, ms};
-use grebepath_core::wire::msg::Progress;
 
 /// The membership that a controller tells members: its term and turn.
 fn told(cluster: &Cluster, node: usize) -> (u64, u64) {
--- a/crates/core/tests/merge.rs
+++ b/crates/core/tests/merge.rs
@@ -2,10 +2,10 @@
 //! and replies whose records can't be ordered at all.
 
 use googletest::prelude::*;
-use grebepath_core::edge::leaf::{Expect, Heads, Raw, Trouble, check, postmark};
-use grebepath_core::luck::{Luck, below, luck};
-use grebepath_core::query::ask::Record;
+use grebepath_core::http_api::leaf::{Expect, Heads, Raw, Trouble, check, postmark};
 use grebepath_core::query::merge::merge;
+use grebepath_core::query::request::Record;
+use grebepath_core::random::{Luck, below, luck};
 use serde_json::Value;
 
 /// Scores that tie often, and those at the ends of what a float can say.
--- a/crates/core/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -6,9 +6,9 @@
 
 use cluster::*;
 use googletest::prelude::*;
-use grebepath_core::state::step::WAKE;
+use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::protocol::message::{Deed, Done};
 use grebepath_core::time::{SECOND, ms};
-use grebepath_core::wire::msg::{Deed, Done};
 use serde_json::json;
 
 /// A change that builds on one edition and sets the next.
@@ -159,7 +159,7 @@
 /// Three members join, and two of them fall silent: the leader hears no majority
 /// of them and keeps them all.
 fn with_silent_members(cluster: &mut Cluster, leader: usize) {
-    let far = |turn| grebepath_core::wire::msg::Progress {
+    let far = |turn| grebepath_core::protocol::message::Progress {
         obeys: 0,
         saw: (0, turn),
         ..Default::default()
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -3,15 +3,15 @@
 use googletest::prelude::*;
 use grebepath_core::config::change::{Entry, edition};
 use grebepath_core::config::types::Terms;
-use grebepath_core::disk::read::{Found, read};
-use grebepath_core::disk::rec::{Copy, put};
-use grebepath_core::disk::write;
-use grebepath_core::luck::{Luck, below, luck};
-use grebepath_core::state::order_memory::{
+use grebepath_core::control_plane::order_memory::{
     Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, is_memory, may_be_forgotten,
     recall, remember, without_memory,
 };
-use grebepath_core::wire::msg::Map;
+use grebepath_core::protocol::message::Map;
+use grebepath_core::random::{Luck, below, luck};
+use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::record::{Copy, put};
+use grebepath_core::storage::writer;
 use prost::Message;
 
 /// What must be remembered at least: two days of 7,200 changes each.
@@ -363,7 +363,7 @@
     put(&mut copy.map, &entries);
     copy.rev = 6;
     // And back through files of this build.
-    let (slot, log) = (write::slot(0, 2, &copy), write::log_head(0, 2));
+    let (slot, log) = (writer::slot(0, 2, &copy), writer::log_head(0, 2));
     match read(0, [Some(&slot), None], Some(&log)) {
         Found::Good { copy: again, .. } => expect_that!(again, eq(&copy)),
         other => panic!("{other:?}"),
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -8,12 +8,12 @@
 use cluster::{Cluster, answer, call, cluster, leader, pass_until, read_back, restart_all};
 use common::{One, one, operate};
 use googletest::prelude::*;
-use grebepath_core::disk::read::{Found, read};
-use grebepath_core::disk::rec::{Copy, put};
-use grebepath_core::names::CONFIG;
-use grebepath_core::state::order_memory::{fingerprint, horizon, remember};
+use grebepath_core::control_plane::order_memory::{fingerprint, horizon, remember};
+use grebepath_core::identifiers::CONFIG;
+use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::record::{Copy, put};
 use grebepath_core::time::SECOND;
-use grebepath_core::wire::msg::{Deed, Done};
 use serde_json::{Value, json};
 
 /// A change of one zone with these terms.
--- a/crates/core/tests/order_schedules.rs
+++ b/crates/core/tests/order_schedules.rs
@@ -13,10 +13,10 @@
 use edition_register::{Asked, Told, check};
 use googletest::prelude::*;
 use grebepath_core::config::change;
-use grebepath_core::luck::{Luck, below, chance, luck};
-use grebepath_core::state::part::Role;
+use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::random::{Luck, below, chance, luck};
+use grebepath_core::replication::partition::Role;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
-use grebepath_core::wire::msg::{Deed, Done};
 use serde_json::json;
 
 /// Schedules that are played in every run of the tests.
@@ -50,7 +50,7 @@
 }
 
 /// The orders that a configuration holds, and its edition.
-fn edition(map: &grebepath_core::wire::msg::Map) -> (BTreeSet<String>, u64) {
+fn edition(map: &grebepath_core::protocol::message::Map) -> (BTreeSet<String>, u64) {
     let conf = change::config(map).unwrap();
     (conf.zones.keys().cloned().collect(), conf.terms.edition)
 }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -1,8 +1,10 @@
 //! The quota of second tries over all nodes, against a count of every window.
 
 use googletest::prelude::*;
-use grebepath_core::luck::{below, chance, luck};
-use grebepath_core::query::quota::{Quota, Rate, among, first, keep, quota, rated, second};
+use grebepath_core::query::service_retry_budget::{
+    Quota, Rate, among, first, keep, quota, rated, second,
+};
+use grebepath_core::random::{below, chance, luck};
 
 /// What came of one run: calls and second tries, each by its time in ms.
 struct Seen {
--- a/crates/core/tests/races/judge.rs
+++ b/crates/core/tests/races/judge.rs
@@ -1,6 +1,6 @@
 //! What must hold of a race, whatever happened in it.
 
-use grebepath_core::wire::msg::Done;
+use grebepath_core::protocol::message::Done;
 
 use super::{History, Race};
 use crate::cluster::{Cluster, read_back};
--- a/crates/core/tests/races/mod.rs
+++ b/crates/core/tests/races/mod.rs
@@ -6,11 +6,11 @@
 pub mod judge;
 pub mod list;
 
+use grebepath_core::control_plane::controller::Event;
+use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::digest::digest;
-use grebepath_core::state::core::Event;
-use grebepath_core::state::step::WAKE;
+use grebepath_core::protocol::message::{Deed, Done, Msg};
 use grebepath_core::time::SECOND;
-use grebepath_core::wire::msg::{Deed, Done, Msg};
 use serde_json::json;
 
 use crate::cluster::{
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -2,18 +2,18 @@
 //! and whose votes count.
 
 use googletest::prelude::*;
-use grebepath_core::disk::rec::Copy;
-use grebepath_core::names::{CONFIG, Seat, parts};
-use grebepath_core::seats::roll::{Roll, Start, begin, read, write};
-use grebepath_core::seats::table::{
+use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::identifiers::{CONFIG, Seat, parts};
+use grebepath_core::protocol::message::{Life, Msg};
+use grebepath_core::replication::partition::Role;
+use grebepath_core::storage::record::Copy;
+use grebepath_core::time::{BOOT, SECOND, Tick};
+use grebepath_core::voters::voter_file::{Roll, Start, begin, read, write};
+use grebepath_core::voters::voter_set::{
     Holding, NOBODY, Table, after_handover, after_takeover, balanced, first_holder, first_table,
     majority, merge, stamp, told_holder, told_table,
 };
-use grebepath_core::state::core::{Command, Core, Event, core};
-use grebepath_core::state::part::Role;
-use grebepath_core::state::step::{WAKE, step};
-use grebepath_core::time::{BOOT, SECOND, Tick};
-use grebepath_core::wire::msg::{Life, Msg};
 
 fn addr(n: usize) -> String {
     format!("10.0.0.{n}:7")
--- a/crates/core/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -2,8 +2,8 @@
 
 use googletest::prelude::*;
 use grebepath_core::consts::{WAIT_MIN, WAIT_MORE, WAIT_STRETCH_PCT, WAIT_TARGET_PCT};
-use grebepath_core::luck::{Luck, below, chance, luck};
-use grebepath_core::query::waits::{Waits, keep, note, wait};
+use grebepath_core::query::latency_estimate::{Waits, keep, note, wait};
+use grebepath_core::random::{Luck, below, chance, luck};
 use grebepath_core::time::{Span, ms};
 
 /// What a wait without its stretch is: the learned mark itself.
--- a/crates/core/tests/wire.rs
+++ b/crates/core/tests/wire.rs
@@ -2,9 +2,9 @@
 
 use googletest::prelude::*;
 use grebepath_core::consts::{PIECE, WIRE_VERSION};
-use grebepath_core::names::PartId;
-use grebepath_core::wire::frame::{FrameTrouble, Gather, HEAD, head, pieces, take, write};
-use grebepath_core::wire::msg::{Msg, Place};
+use grebepath_core::identifiers::PartId;
+use grebepath_core::protocol::frame::{FrameTrouble, Gather, HEAD, head, pieces, take, write};
+use grebepath_core::protocol::message::{Msg, Place};
 
 fn large(n: usize) -> Msg {
     let entries = (0..n).map(|i| (format!("key-{i}"), Some(vec![i as u8; 700]))).collect();
--- a/crates/core/tests/wires.rs
+++ b/crates/core/tests/wires.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 
 use googletest::prelude::*;
-use grebepath_core::luck::{below, luck};
-use grebepath_core::query::wires::{Peer, deal};
-use grebepath_core::view::leafs::LeafInfo;
+use grebepath_core::query::connection_subset::{Peer, deal};
+use grebepath_core::random::{below, luck};
+use grebepath_core::snapshot::leafs::LeafInfo;
 
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
--- a/crates/runtime/src/ways.rs
+++ b/crates/runtime/src/connections.rs
@@ -5,12 +5,12 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use grebepath_core::names::Seat;
-use grebepath_core::seats::table::{Holding, Table};
-use grebepath_core::wire::msg::{Msg, Who};
+use grebepath_core::identifiers::Seat;
+use grebepath_core::protocol::message::{Msg, Who};
+use grebepath_core::voters::voter_set::{Holding, Table};
 use tokio::sync::mpsc::UnboundedSender;
 
-use crate::wire::{Out, WireEvent, dial, send};
+use crate::peer_connection::{Out, WireEvent, dial, send};
 
 /// How long a seed may take to say who it is before addresses of the table are
 /// dialled beside it: a seed's own address may be only a way to the holder's.
--- a/crates/runtime/src/dialect.rs
+++ b/crates/runtime/src/dialect.rs
@@ -3,13 +3,13 @@
 //! back. Whoever brings a dialect decides nothing with it.
 
 use bytes::Bytes;
-use grebepath_core::edge::leaf::Raw;
-use grebepath_core::lang::finding::Finding;
-use grebepath_core::query::ask::Outcome;
-use grebepath_core::query::desk::Sending;
-use grebepath_core::query::parcel::Parcel;
-use grebepath_core::view::leafs::LeafInfo;
-use grebepath_core::wire::msg::{Deed, Done};
+use grebepath_core::http_api::leaf::Raw;
+use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::query::engine::Sending;
+use grebepath_core::query::forwarded_request::Parcel;
+use grebepath_core::query::request::Outcome;
+use grebepath_core::routing_language::diagnostic::Finding;
+use grebepath_core::snapshot::leafs::LeafInfo;
 use http_body_util::Full;
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
--- a/crates/runtime/src/disk.rs
+++ b/crates/runtime/src/disk.rs
@@ -5,11 +5,12 @@
 use std::io::{Error, Write};
 use std::path::{Path, PathBuf};
 
-use grebepath_core::disk::read::{Found, read};
-use grebepath_core::disk::rec::{Copy, Rec};
-use grebepath_core::disk::write;
-use grebepath_core::names::PartId;
-use grebepath_core::seats::roll::{self, Roll};
+use grebepath_core::identifiers::PartId;
+use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::record::{Copy, Rec};
+use grebepath_core::storage::writer;
+use grebepath_core::voters::voter_file;
+use grebepath_core::voters::voter_file::Roll;
 
 /// One part's files.
 ///
@@ -127,7 +128,7 @@
     let Some(log) = &mut s.log else {
         return Err(Error::other("no log is open since the last trouble"));
     };
-    let raw = write::rec(s.seq, s.num, rec);
+    let raw = writer::rec(s.seq, s.num, rec);
     if let Err(e) = log.write_all(&raw) {
         s.log = None;
         return Err(e);
@@ -154,10 +155,10 @@
     s.log = None;
     let seq = s.seq + 1;
     let path = s.dir.join(format!("slot-{}", seq % 2));
-    write_synced(&path, &write::slot(s.part.0, seq, copy))?;
+    write_synced(&path, &writer::slot(s.part.0, seq, copy))?;
     sync_dir(&s.dir)?;
     let new = s.dir.join("log.new");
-    write_synced(&new, &write::log_head(s.part.0, seq))?;
+    write_synced(&new, &writer::log_head(s.part.0, seq))?;
     fs::rename(&new, s.dir.join("log"))?;
     sync_dir(&s.dir)?;
     s.log = Some(OpenOptions::new().append(true).open(s.dir.join("log"))?);
@@ -178,7 +179,7 @@
 /// Reads the roll; a damaged one counts as none.
 pub fn roll(data: &Path) -> Result<Option<Roll>, Error> {
     match fs::read(data.join(ROLL)) {
-        Ok(raw) => Ok(roll::read(&raw)),
+        Ok(raw) => Ok(voter_file::read(&raw)),
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(None),
         Err(e) => Err(e),
     }
@@ -187,7 +188,7 @@
 /// Keeps the roll: written beside the old one, synced, renamed over it.
 pub fn keep(data: &Path, roll: &Roll) -> Result<(), Error> {
     let new = data.join(format!("{ROLL}.new"));
-    write_synced(&new, &roll::write(roll))?;
+    write_synced(&new, &voter_file::write(roll))?;
     fs::rename(&new, data.join(ROLL))?;
     sync_dir(data)
 }
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -2,14 +2,14 @@
 //! disks, doors for HTTP, the log ring. The deciding is done in `grebe`.
 
 pub mod clock;
+pub mod connections;
 pub mod dialect;
 pub mod disk;
-pub mod handed;
+pub mod forwarding_server;
 pub mod http;
-pub mod leafs;
-pub mod params;
+pub mod leaf_connections;
+pub mod log_buffer;
+pub mod peer_connection;
 pub mod reload;
-pub mod ring;
+pub mod settings;
 pub mod stop;
-pub mod ways;
-pub mod wire;
--- a/crates/runtime/src/wire.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -12,8 +12,9 @@
 use grebepath_core::consts::{
     WIRE_BUFFER, WIRE_DIAL, WIRE_RETRY, WIRE_RETRY_MAX, WIRE_SILENCE, WIRE_STALL,
 };
-use grebepath_core::wire::frame::{self, Gather, HEAD};
-use grebepath_core::wire::msg::{Msg, Who};
+use grebepath_core::protocol::frame;
+use grebepath_core::protocol::frame::{Gather, HEAD};
+use grebepath_core::protocol::message::{Msg, Who};
 
 use crate::clock::duration;
 
--- a/crates/server/src/controller/disk.rs
+++ b/crates/server/src/controller/disk.rs
@@ -5,10 +5,10 @@
 use std::path::Path;
 use std::sync::mpsc::Receiver;
 
-use grebepath_core::disk::rec::{Copy, Rec};
-use grebepath_core::names::PartId;
-use grebepath_core::seats::roll::Roll;
-use grebepath_core::state::core::Event;
+use grebepath_core::control_plane::controller::Event;
+use grebepath_core::identifiers::PartId;
+use grebepath_core::storage::record::{Copy, Rec};
+use grebepath_core::voters::voter_file::Roll;
 use grebepath_runtime::disk::{self, Store};
 use tokio::sync::mpsc::UnboundedSender;
 
--- a/crates/server/src/controller/door.rs
+++ b/crates/server/src/controller/door.rs
@@ -9,11 +9,12 @@
 use axum::routing::get;
 use grebepath_core::config::{change, show};
 use grebepath_core::consts;
-use grebepath_core::edge::operator::{
-    self, CONFIG, EXPECT_REVISION, Operated, REQUEST_ID, STATUS, write,
+use grebepath_core::http_api::operator;
+use grebepath_core::http_api::operator::{
+    CONFIG, EXPECT_REVISION, Operated, REQUEST_ID, STATUS, write,
 };
-use grebepath_core::lang::finding::Finding;
-use grebepath_core::wire::msg::{Deed, Done};
+use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::routing_language::diagnostic::Finding;
 use grebepath_runtime::dialect::{Dialect, Order};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::UnboundedSender;
@@ -142,7 +143,7 @@
 
 /// An operator vouches that copies lost on other seats are lost for good.
 async fn vouch(State(owner): State<Owner>) -> Response {
-    match owner.send(Input::Core(grebepath_core::state::core::Event::Vouch)) {
+    match owner.send(Input::Core(grebepath_core::control_plane::controller::Event::Vouch)) {
         Ok(()) => answer(200, &json!({ "vouched": true })),
         Err(_) => answer(503, &json!({ "error": "stopping" })),
     }
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -9,16 +9,16 @@
 
 use std::sync::mpsc;
 
-use grebepath_core::disk::read::Found;
-use grebepath_core::disk::rec::Copy;
-use grebepath_core::names::{PartId, parts};
-use grebepath_core::seats::roll::begin;
-use grebepath_core::wire::msg::Life;
+use grebepath_core::identifiers::{PartId, parts};
+use grebepath_core::protocol::message::Life;
+use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::record::Copy;
+use grebepath_core::voters::voter_file::begin;
 use grebepath_runtime::disk::Store;
 use tracing::{error, warn};
 
 fn main() {
-    grebepath_runtime::ring::install();
+    grebepath_runtime::log_buffer::install();
     let p = params::read();
     if let Err(e) = run(p) {
         error!("{e}");
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -4,13 +4,13 @@
 use std::sync::Arc;
 
 use grebepath_core::config::{build, change};
-use grebepath_core::seats::table::{Holding, NOBODY};
-use grebepath_core::state::core::Core;
-use grebepath_core::state::leafs;
-use grebepath_core::state::part::{Part, Role};
+use grebepath_core::control_plane::controller::Core;
+use grebepath_core::control_plane::endpoints;
+use grebepath_core::protocol::message::Life;
+use grebepath_core::replication::partition::{Part, Role};
+use grebepath_core::snapshot::cluster_view::{open, view};
 use grebepath_core::time::{MILLI, Tick, since};
-use grebepath_core::view::whole::{open, view};
-use grebepath_core::wire::msg::Life;
+use grebepath_core::voters::voter_set::{Holding, NOBODY};
 use serde_json::{Value, json};
 
 fn role(p: &Part) -> &'static str {
@@ -68,7 +68,8 @@
     let config = &core.parts[0];
     let Ok(conf) = change::config(&config.shown) else { return Vec::new() };
     let Ok(built) = build::build(&conf) else { return Vec::new() };
-    let list = core.parts[1..].iter().flat_map(|p| leafs::all(&p.shown).into_values()).collect();
+    let list =
+        core.parts[1..].iter().flat_map(|p| endpoints::all(&p.shown).into_values()).collect();
     let view = view(config.shown_rev, Arc::new(built), list);
     let mut out = Vec::new();
     for map in view.mappings.values() {
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -5,15 +5,16 @@
 use std::net::SocketAddr;
 use std::sync::mpsc;
 
-use grebepath_core::seats::handover;
-use grebepath_core::seats::roll::Roll;
-use grebepath_core::seats::table::NOBODY;
-use grebepath_core::state::core::{Command, Core, Event, core};
-use grebepath_core::state::step::{WAKE, step};
-use grebepath_core::wire::msg::{Deed, Done, Who};
+use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::protocol::message::{Deed, Done, Who};
+use grebepath_core::voters::handover;
+use grebepath_core::voters::voter_file::Roll;
+use grebepath_core::voters::voter_set::NOBODY;
 use grebepath_runtime::clock::{Clock, duration, now};
-use grebepath_runtime::ways::{self, Ways, arrange, ways};
-use grebepath_runtime::wire::{Out, WireEvent, accept, send};
+use grebepath_runtime::connections;
+use grebepath_runtime::connections::{Ways, arrange, ways};
+use grebepath_runtime::peer_connection::{Out, WireEvent, accept, send};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
@@ -60,7 +61,7 @@
     clock: Clock,
     roll: Roll,
     found: Vec<FoundPart>,
-    sick: Vec<(grebepath_core::names::PartId, String)>,
+    sick: Vec<(grebepath_core::identifiers::PartId, String)>,
     inner: std::net::TcpListener,
     disk: mpsc::Sender<Job>,
     tx: UnboundedSender<Input>,
@@ -173,7 +174,7 @@
 fn heard(io: &mut Io, event: WireEvent<SocketAddr>) -> Option<Event> {
     match event {
         WireEvent::Dialled { tag, msg } => {
-            ways::heard(&mut io.ways, tag, &msg);
+            connections::heard(&mut io.ways, tag, &msg);
             Some(Event::Answer { msg })
         }
         WireEvent::Opened { wire, who, out } => {
@@ -183,7 +184,7 @@
         }
         WireEvent::Came { wire, who, msg } => Some(match who {
             Who::Seat { seat, holder } => {
-                ways::spoken(&mut io.ways);
+                connections::spoken(&mut io.ways);
                 Event::FromSeat { seat, holder, wire, msg }
             }
             Who::Member(_) | Who::Spare { .. } => Event::FromWire { wire, msg },
@@ -204,9 +205,9 @@
     for command in todo {
         match command {
             Command::ToSeat { seat, msg } => {
-                ways::to_seat(&io.ways, table, seat, &msg);
+                connections::to_seat(&io.ways, table, seat, &msg);
             }
-            Command::ToAll { msg } => ways::to_all(&io.ways, &msg),
+            Command::ToAll { msg } => connections::to_all(&io.ways, &msg),
             Command::Seats => arrange(&mut io.ways, who(core), table),
             Command::Keep { token, roll, clear } => {
                 let _ = io.disk.send(Job::Keep { token, roll, clear });
--- a/crates/server/src/grebectl/net.rs
+++ b/crates/server/src/grebectl/net.rs
@@ -5,7 +5,7 @@
 
 use bytes::Bytes;
 use grebepath_core::consts;
-use grebepath_core::edge::operator::{EXPECT_REVISION, REQUEST_ID};
+use grebepath_core::http_api::operator::{EXPECT_REVISION, REQUEST_ID};
 use grebepath_runtime::http::{Http, call_within};
 use http_body_util::Full;
 use hyper::{Method, Request};
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -5,8 +5,8 @@
 
 use grebepath_core::config::types::Config;
 use grebepath_core::config::{build, change, read, show as conf_show};
-use grebepath_core::edge::operator::{CONFIG, STATUS};
-use grebepath_core::lang::finding::Finding;
+use grebepath_core::http_api::operator::{CONFIG, STATUS};
+use grebepath_core::routing_language::diagnostic::Finding;
 use grebepath_runtime::http::Http;
 use hyper::Method;
 use serde_json::{Value, json};
--- a/crates/server/src/local_cluster/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -11,7 +11,8 @@
 use grebepath_simulator::spec;
 use serde_json::{Value, json};
 use testbed::callers::{Seen, load, report, watch_ready};
-use testbed::fleet::{self, Fleet, Layout};
+use testbed::local_cluster;
+use testbed::local_cluster::{Fleet, Layout};
 
 fn main() {
     let args = cli::read();
@@ -35,7 +36,7 @@
 async fn run(args: cli::Args) -> Result<bool, String> {
     let exe = std::env::current_exe().map_err(|e| e.to_string())?;
     let layout = Layout {
-        bin: fleet::bin_dir(&exe),
+        bin: local_cluster::bin_dir(&exe),
         dir: args.dir.clone().into(),
         deploy: args.deploy.clone().into(),
         name: args.name.clone(),
@@ -43,9 +44,9 @@
     };
     let spec = spec::read(&format!("{}/{}.standins.json", args.deploy, args.name))?;
     let begun = Instant::now();
-    let mut f = fleet::up(layout).await?;
+    let mut f = local_cluster::up(layout).await?;
     for i in 0..f.queriers.len() {
-        if !fleet::until(Duration::from_secs(15), || fleet::ready(&f, i)).await {
+        if !local_cluster::until(Duration::from_secs(15), || local_cluster::ready(&f, i)).await {
             return Err(format!("querier {i} did not become ready; see its log in {}", args.dir));
         }
     }
@@ -88,8 +89,8 @@
 
 /// What callers saw, what leafs ran, and what the queriers counted.
 async fn summary(f: &Fleet, seen: &Seen) -> Result<Value, String> {
-    let runs = fleet::ask_backs(f, "/runs").await?;
-    let state = fleet::ask_backs(f, "/state").await?;
+    let runs = local_cluster::ask_backs(f, "/runs").await?;
+    let state = local_cluster::ask_backs(f, "/state").await?;
     let leafs = state["leafs"].as_array().cloned().unwrap_or_default();
     let worst = leafs.iter().max_by_key(|l| l["worst_pct"].as_u64());
     let sum = |key: &str| leafs.iter().filter_map(|l| l[key].as_u64()).sum::<u64>();
@@ -102,14 +103,14 @@
         let mut n = 0;
         for (i, front) in f.fronts.iter().enumerate() {
             if f.queriers[i].child.is_some() {
-                n += fleet::metric(f, *front, name).await.unwrap_or(0);
+                n += local_cluster::metric(f, *front, name).await.unwrap_or(0);
             }
         }
         counts.insert(name.to_string(), json!(n));
     }
     let mut bounces = serde_json::Map::new();
     for (i, front) in f.fronts.iter().enumerate() {
-        let n = fleet::metric(f, *front, "grebe_bounces_total").await;
+        let n = local_cluster::metric(f, *front, "grebe_bounces_total").await;
         bounces.insert(f.queriers[i].name.clone(), json!(n));
     }
     Ok(json!({
--- a/crates/server/src/local_cluster/troubles.rs
+++ b/crates/server/src/local_cluster/troubles.rs
@@ -3,7 +3,8 @@
 use std::time::{Duration, Instant};
 
 use serde_json::{Value, json};
-use testbed::fleet::{self, Fleet, Proc, kill, signal, start};
+use testbed::local_cluster;
+use testbed::local_cluster::{Fleet, Proc, kill, signal, start};
 
 struct Trouble {
     at: f64,
@@ -38,11 +39,11 @@
         "drain" | "undrain" => {
             let state = if t.word == "drain" { "drained" } else { "open" };
             let val = json!({ "zones": [{ "name": t.arg, "state": state }] });
-            return fleet::patch(f, &val, &format!("trouble-{n}")).await.map(|_| ());
+            return local_cluster::patch(f, &val, &format!("trouble-{n}")).await.map(|_| ());
         }
         "leafs" => {
             let val: Value = serde_json::from_str(&t.arg).map_err(|e| e.to_string())?;
-            return fleet::order(f, val).await.map(|_| ());
+            return local_cluster::order(f, val).await.map(|_| ());
         }
         _ => {}
     }
@@ -50,7 +51,7 @@
         return Err("unknown word".into());
     };
     let at = if t.arg == "owner" {
-        fleet::config_owner(f).await.ok_or("the configuration has no owner")?
+        local_cluster::config_owner(f).await.ok_or("the configuration has no owner")?
     } else {
         t.arg.parse::<usize>().map_err(|_| "expected a number or `owner`")?
     };
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -5,20 +5,21 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use grebepath_core::cohort::step::{WAKE, step};
-use grebepath_core::cohort::watch::{Command, Event, Watch, watch};
 use grebepath_core::consts;
-use grebepath_core::edge::list;
-use grebepath_core::query::desk;
-use grebepath_core::seats::table::seat_of;
-use grebepath_core::view::leafs::LeafInfo;
-use grebepath_core::view::whole::View;
-use grebepath_core::wire::msg::{Member, Msg, Who, Word};
+use grebepath_core::http_api::list;
+use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
+use grebepath_core::membership::step::{WAKE, step};
+use grebepath_core::protocol::message::{Member, Msg, Who, Word};
+use grebepath_core::query::engine;
+use grebepath_core::snapshot::cluster_view::View;
+use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::voters::voter_set::seat_of;
 use grebepath_runtime::clock::{Clock, duration, now};
+use grebepath_runtime::connections;
+use grebepath_runtime::connections::{Ways, arrange, ways};
 use grebepath_runtime::dialect::Dialect;
 use grebepath_runtime::http::{Http, call_within};
-use grebepath_runtime::ways::{self, Ways, arrange, ways};
-use grebepath_runtime::wire::{Out, WireEvent, accept, dial, send};
+use grebepath_runtime::peer_connection::{Out, WireEvent, accept, dial, send};
 use http_body_util::Full;
 use hyper::Request;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
@@ -215,7 +216,7 @@
     match crate::params::again() {
         Ok(p) => {
             for desk in &io.desks {
-                let _ = desk.send(Work::Event(desk::Event::Rate(p.rate)));
+                let _ = desk.send(Work::Event(engine::Event::Rate(p.rate)));
             }
         }
         Err(all) => {
@@ -235,7 +236,7 @@
 fn heard(io: &mut Io, w: &Watch, event: WireEvent<Tag>) -> Option<Event> {
     match event {
         WireEvent::Dialled { tag: Tag::Core(addr), msg } => {
-            let holder = ways::heard(&mut io.ways, addr, &msg);
+            let holder = connections::heard(&mut io.ways, addr, &msg);
             match msg {
                 Msg::Seats { table, .. } => Some(Event::Seats(table)),
                 // Who has no seat has no say.
@@ -262,39 +263,39 @@
     for command in todo {
         match command {
             Command::ToSeat { seat, msg } => {
-                ways::to_seat(&io.ways, &w.table, seat, &msg);
+                connections::to_seat(&io.ways, &w.table, seat, &msg);
             }
-            Command::ToAll { msg } => ways::to_all(&io.ways, &msg),
+            Command::ToAll { msg } => connections::to_all(&io.ways, &msg),
             Command::Seats => see_to(io, w),
             Command::ToMember { name, addr, msg } => to_member(io, name, &addr, &msg),
             Command::View(view) => {
                 io.members.retain(|n, _| w.cohort.members.iter().any(|m| m.name == *n));
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(desk::Event::View(view.clone())));
+                    let _ = desk.send(Work::Event(engine::Event::View(view.clone())));
                 }
                 let _ = io.view.send(view);
             }
             Command::Shares(list) => {
                 for (i, desk) in io.desks.iter().enumerate() {
-                    let share = grebepath_core::query::share::share(&list, &io.me, i as u32);
-                    let _ = desk.send(Work::Event(desk::Event::Share(share)));
+                    let share = grebepath_core::query::quota::share(&list, &io.me, i as u32);
+                    let _ = desk.send(Work::Event(engine::Event::Share(share)));
                 }
             }
             Command::Peers(list) => {
-                let peers = grebepath_core::query::share::peers(&list);
+                let peers = grebepath_core::query::quota::peers(&list);
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(desk::Event::Peers(peers.clone())));
+                    let _ = desk.send(Work::Event(engine::Event::Peers(peers.clone())));
                 }
             }
             Command::Door(door) => {
-                io.shut |= door == desk::Door::Stopping;
+                io.shut |= door == engine::Door::Stopping;
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(desk::Event::Door(door)));
+                    let _ = desk.send(Work::Event(engine::Event::Door(door)));
                 }
             }
             Command::Grip(until) => {
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(desk::Event::Grip(until)));
+                    let _ = desk.send(Work::Event(engine::Event::Grip(until)));
                 }
             }
             Command::Ready(ready) => {
--- a/crates/server/src/querier/door.rs
+++ b/crates/server/src/querier/door.rs
@@ -11,12 +11,13 @@
 use axum::response::{IntoResponse, Response};
 use axum::routing::get;
 use grebepath_core::consts;
-use grebepath_core::edge::caller::{self, BUDGET, MISSING_PARTS, RETRY_AFTER};
-use grebepath_core::query::ask::{Ask, Bounce, Outcome, Reason};
-use grebepath_core::query::desk::{Event, room_of};
-use grebepath_core::view::whole::View;
+use grebepath_core::http_api::caller;
+use grebepath_core::http_api::caller::{BUDGET, MISSING_PARTS, RETRY_AFTER};
+use grebepath_core::query::engine::{Event, room_of};
+use grebepath_core::query::request::{Ask, Bounce, Outcome, Reason};
+use grebepath_core::snapshot::cluster_view::View;
 use grebepath_runtime::dialect::Dialect;
-use grebepath_runtime::handed;
+use grebepath_runtime::forwarding_server;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{oneshot, watch};
 
@@ -142,7 +143,7 @@
 /// Serves the door for calls that are handed over.
 pub async fn hand(
     listener: std::net::TcpListener,
-    door: Rc<handed::Door>,
+    door: Rc<forwarding_server::Door>,
     here: UnboundedSender<Work>,
     dialect: &'static Dialect,
 ) {
@@ -165,7 +166,7 @@
             (dialect.told)(outcome.unwrap_or_else(|| Outcome::Bounce(gone())))
         }
     };
-    handed::serve(listener, door, answer).await;
+    forwarding_server::serve(listener, door, answer).await;
 }
 
 /// Serves the address at which readiness alone is asked.
--- a/crates/server/src/querier/leafs.rs
+++ b/crates/server/src/querier/leafs.rs
@@ -4,15 +4,16 @@
 
 use bytes::Bytes;
 use grebepath_core::consts::{PROBE_PATIENCE, REPLY_LIMIT};
-use grebepath_core::edge::leaf::{self, Heads, Raw, Trouble};
-use grebepath_core::query::desk::Sending;
+use grebepath_core::http_api::leaf;
+use grebepath_core::http_api::leaf::{Heads, Raw, Trouble};
+use grebepath_core::protocol::message::Word;
+use grebepath_core::query::engine::Sending;
+use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::MILLI;
-use grebepath_core::view::leafs::LeafInfo;
-use grebepath_core::wire::msg::Word;
 use grebepath_runtime::clock::duration;
 use grebepath_runtime::dialect::Dialect;
 use grebepath_runtime::http::{Http, HttpTrouble, call_within};
-use grebepath_runtime::leafs::{Got, Pool, exchange};
+use grebepath_runtime::leaf_connections::{Got, Pool, exchange};
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, Response};
 
@@ -61,8 +62,13 @@
     let work = (dialect.work)(&s).ok_or(Trouble::Unreachable)?;
     let whom = (addr, s.leaf.as_str());
     let fits = |r: &Response<Bytes>| !(dialect.reply)(&s, r.clone()).heads.foreign;
-    let sent =
-        grebepath_runtime::leafs::hand(pool, whom, work, (REPLY_LIMIT, s.once, s.keep), fits);
+    let sent = grebepath_runtime::leaf_connections::hand(
+        pool,
+        whom,
+        work,
+        (REPLY_LIMIT, s.once, s.keep),
+        fits,
+    );
     match tokio::time::timeout(duration(s.budget), sent).await {
         Ok(Ok(resp)) => Ok((dialect.reply)(&s, resp)),
         Ok(Err(HttpTrouble::Unreachable(_))) => Err(Trouble::Unreachable),
--- a/crates/server/src/querier/main.rs
+++ b/crates/server/src/querier/main.rs
@@ -10,7 +10,7 @@
 use tracing::error;
 
 fn main() {
-    grebepath_runtime::ring::install();
+    grebepath_runtime::log_buffer::install();
     let p = params::read();
     if let Err(e) = run(p) {
         error!("{e}");
@@ -60,7 +60,7 @@
             stop: stop_rx.clone(),
             dialect: p.dialect,
             rate: p.rate,
-            slot: grebepath_core::query::share::slot(&p.name, i as u32),
+            slot: grebepath_core::query::quota::slot(&p.name, i as u32),
         };
         threads.push(
             std::thread::Builder::new()
--- a/crates/server/src/querier/params.rs
+++ b/crates/server/src/querier/params.rs
@@ -4,11 +4,11 @@
 
 use bpaf::{OptionParser, Parser, long};
 use grebepath_core::consts::{self, SEATS_MAX};
-use grebepath_core::lang::finding::Finding;
-use grebepath_core::query::quota::Rate;
+use grebepath_core::query::service_retry_budget::Rate;
+use grebepath_core::routing_language::diagnostic::Finding;
 use grebepath_core::time::Span;
 use grebepath_runtime::dialect::Dialect;
-use grebepath_runtime::params as p;
+use grebepath_runtime::settings as p;
 
 /// Everything a querier must be told.
 #[derive(Clone)]
@@ -199,7 +199,7 @@
     let mut r = p::reader(pairs, f.file.as_deref());
     let port = p::number(&mut r, "seed_port", 0, 65_535, Some(0)) as u16;
     let seeds = p::addrs(&mut r, "seeds", 1, SEATS_MAX.into(), (port > 0).then_some(port));
-    let own = grebepath_core::query::quota::own();
+    let own = grebepath_core::query::service_retry_budget::own();
     let dialect = p::word(&mut r, "dialect", &["own", "platform"], "own");
     let out = Params {
         name: p::name(&mut r, "name"),
--- a/crates/server/src/querier/traffic.rs
+++ b/crates/server/src/querier/traffic.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 
 use grebepath_core::config::types::Terms;
-use grebepath_core::query::ask::{Ask, Outcome};
-use grebepath_core::query::desk::{Command, Counts, Desk, Event, counts, desk};
-use grebepath_core::query::parcel::Parcel;
-use grebepath_core::query::quota::{Rate, quota};
-use grebepath_core::query::step::{next, step};
+use grebepath_core::query::dispatch::{next, step};
+use grebepath_core::query::engine::{Command, Counts, Desk, Event, counts, desk};
+use grebepath_core::query::forwarded_request::Parcel;
+use grebepath_core::query::request::{Ask, Outcome};
+use grebepath_core::query::service_retry_budget::{Rate, quota};
 use grebepath_core::time::ms;
 use grebepath_runtime::clock::{Clock, duration, instant, now};
 use grebepath_runtime::dialect::Dialect;
-use grebepath_runtime::handed;
-use grebepath_runtime::leafs::Pool;
+use grebepath_runtime::forwarding_server;
+use grebepath_runtime::leaf_connections::Pool;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
@@ -70,7 +70,7 @@
     tasks: HashMap<u64, AbortHandle>,
     leafs: Rc<Pool>,
     dialect: Option<&'static Dialect>,
-    door: Rc<handed::Door>,
+    door: Rc<forwarding_server::Door>,
     here: UnboundedSender<Work>,
     control: UnboundedSender<Input>,
 }
@@ -84,7 +84,7 @@
     let local = tokio::task::LocalSet::new();
     local.block_on(&rt, async move {
         let mut stop = s.stop.clone();
-        let outer = handed::door();
+        let outer = forwarding_server::door();
         let (listener, all, here) = (s.listener, s.all, s.here.clone());
         let (dialect, shared) = (s.dialect, outer.clone());
         let door = async move {
@@ -109,7 +109,7 @@
             door: outer,
             tells: HashMap::new(),
             tasks: HashMap::new(),
-            leafs: grebepath_runtime::leafs::pool(grebepath_core::consts::LEAF_WIRES),
+            leafs: grebepath_runtime::leaf_connections::pool(grebepath_core::consts::LEAF_WIRES),
             here: s.here,
             control: s.control,
         };
@@ -126,7 +126,7 @@
             _ = async {
                 let _ = stop.wait_for(|s| *s).await;
                 // Answers that are written already still have to leave.
-                handed::close(&shut);
+                forwarding_server::close(&shut);
                 tokio::time::sleep(std::time::Duration::from_millis(200)).await;
             } => {}
         }
@@ -193,11 +193,11 @@
 }
 
 /// Holds callers to what the configuration allows them.
-fn limit(door: &handed::Door, terms: &Terms) {
-    let own = handed::limits();
+fn limit(door: &forwarding_server::Door, terms: &Terms) {
+    let own = forwarding_server::limits();
     let size = |n: u64, own| if n > 0 { n as usize } else { own };
     let time = |n: u64, own| if n > 0 { duration(ms(n)) } else { own };
-    door.limits.set(handed::Limits {
+    door.limits.set(forwarding_server::Limits {
         head_max: size(terms.head_max, own.head_max),
         body_max: size(terms.body_max, own.body_max),
         head_wait: time(terms.head_wait_ms, own.head_wait),
--- a/crates/server/src/testbed/callers.rs
+++ b/crates/server/src/testbed/callers.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use grebepath_core::luck::{Luck, below, luck};
+use grebepath_core::random::{Luck, below, luck};
 use grebepath_runtime::http::{Http, HttpTrouble, call_within};
 use http_body_util::Full;
 use hyper::Request;
--- a/crates/server/src/testbed/control.rs
+++ b/crates/server/src/testbed/control_listener.rs
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 
-use super::backs::{Backs, Leaf, Mode, begin, changed, kill, shown};
+use crate::mock_backends::{Backs, Leaf, Mode, begin, changed, kill, shown};
 
 type Shared = Rc<RefCell<Backs>>;
 
@@ -42,7 +42,7 @@
     let (method, path) = (req.method().clone(), req.uri().path().to_string());
     let body = req.into_body().collect().await.map(|b| b.to_bytes()).unwrap_or_default();
     let (code, text) = match (method, path.as_str()) {
-        (Method::GET, grebepath_core::edge::list::PATH) => list(&backs).await,
+        (Method::GET, grebepath_core::http_api::list::PATH) => list(&backs).await,
         (Method::GET, "/state") => (200, state(&backs.borrow()).to_string()),
         (Method::GET, "/runs") => (200, runs(&backs.borrow()).to_string()),
         (Method::POST, "/control") => match control(&backs, &body).await {
--- a/crates/server/src/testbed/foreign.rs
+++ b/crates/server/src/testbed/foreign.rs
@@ -105,7 +105,7 @@
         return mode;
     }
     w.draws += 1;
-    DRAWN[(grebepath_core::luck::mix(w.draws) % DRAWN.len() as u64) as usize]
+    DRAWN[(grebepath_core::random::mix(w.draws) % DRAWN.len() as u64) as usize]
 }
 
 /// Ends a connection by a reset.
--- a/crates/server/src/testbed/fleet.rs
+++ b/crates/server/src/testbed/local_cluster.rs
@@ -167,13 +167,13 @@
 /// so port 0 is of no use: the system would hand such a port to anyone in
 /// between. These lie below the range from which it hands out ports.
 pub fn free_ports(n: usize) -> Result<Vec<u16>, String> {
-    let mut luck = grebepath_core::luck::luck(grebepath_runtime::clock::nonce());
+    let mut luck = grebepath_core::random::luck(grebepath_runtime::clock::nonce());
     let mut held = Vec::new();
     for _ in 0..10_000 {
         if held.len() == n {
             break;
         }
-        let port = 10_000 + grebepath_core::luck::below(&mut luck, 20_000) as u16;
+        let port = 10_000 + grebepath_core::random::below(&mut luck, 20_000) as u16;
         if let Ok(sock) = std::net::TcpListener::bind(("127.0.0.1", port)) {
             held.push((port, sock));
         }
@@ -222,7 +222,7 @@
     let (list, seeds, doors) = (addrs[0], &addrs[1..4], addrs[4..7].to_vec());
     let (fronts, inners) = addrs[7..].split_at(layout.queriers);
     let texts: Vec<String> = seeds.iter().map(|a| a.to_string()).collect();
-    let zones = grebepath_simulator::backs::ZONES;
+    let zones = grebepath_simulator::mock_backends::ZONES;
     let fleet = layout.dir.file_name().map_or("test".into(), |n| n.display().to_string());
     let spec = layout.deploy.join(format!("{}.standins.json", layout.name)).display().to_string();
     let args = [("spec", spec), ("listen", list.to_string())];
@@ -381,7 +381,7 @@
 
 /// Whether a querier is ready.
 pub async fn ready(f: &Fleet, i: usize) -> bool {
-    super::callers::is_ready(&f.http, f.fronts[i]).await
+    crate::callers::is_ready(&f.http, f.fronts[i]).await
 }
 
 /// The revision that each running querier obeys, by its own metrics.
--- a/crates/server/src/testbed/backs.rs
+++ b/crates/server/src/testbed/mock_backends.rs
@@ -10,8 +10,8 @@
 
 use bytes::Bytes;
 use grebepath_core::digest::digest;
-use grebepath_core::edge::leaf as edge;
-use grebepath_core::luck::{Luck, below, luck};
+use grebepath_core::http_api::leaf as edge;
+use grebepath_core::random::{Luck, below, luck};
 use http_body_util::BodyExt;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -11,7 +11,8 @@
 use hyper::Method;
 use serde_json::{Value, json};
 use testbed::callers::{Seen, load, report, watch_ready};
-use testbed::fleet::{self, Fleet, Layout};
+use testbed::local_cluster;
+use testbed::local_cluster::{Fleet, Layout};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(20);
@@ -36,7 +37,10 @@
 async fn all_ready(f: &Fleet) {
     for i in 0..f.queriers.len() {
         if f.queriers[i].child.is_some() {
-            assert!(fleet::until(LONG, || fleet::ready(f, i)).await, "querier {i} is not ready");
+            assert!(
+                local_cluster::until(LONG, || local_cluster::ready(f, i)).await,
+                "querier {i} is not ready"
+            );
         }
     }
 }
@@ -45,8 +49,8 @@
 async fn all_obey(f: &Fleet, rev: u64) {
     for i in 0..f.queriers.len() {
         if f.queriers[i].child.is_some() {
-            let obeys = || async { fleet::obeyed(f, i).await.is_some_and(|r| r >= rev) };
-            assert!(fleet::until(LONG, obeys).await, "querier {i} does not obey {rev}");
+            let obeys = || async { local_cluster::obeyed(f, i).await.is_some_and(|r| r >= rev) };
+            assert!(local_cluster::until(LONG, obeys).await, "querier {i} does not obey {rev}");
         }
     }
 }
@@ -55,7 +59,9 @@
     let url = format!("http://{}/v1/search/{path}", f.fronts[i]);
     let heads = [("budget-ms", budget)];
     let heads = if budget.is_empty() { &heads[..0] } else { &heads[..] };
-    fleet::request(&f.http, Method::POST, url, body.to_string().into_bytes(), heads).await.unwrap()
+    local_cluster::request(&f.http, Method::POST, url, body.to_string().into_bytes(), heads)
+        .await
+        .unwrap()
 }
 
 /// Runs grebectl against the fleet; gives exit code and output.
@@ -76,12 +82,12 @@
     block(async {
         let (layout, spec) = layout("served", "kahurangi", 3);
         let dir = layout.dir.clone();
-        let f = fleet::up(layout).await.unwrap();
+        let f = local_cluster::up(layout).await.unwrap();
         all_ready(&f).await;
         callers(&f, &spec).await;
         false_leafs(&f, &spec).await;
         operators(&f, &dir).await;
-        let state = fleet::ask_backs(&f, "/state").await.unwrap();
+        let state = local_cluster::ask_backs(&f, "/state").await.unwrap();
         for leaf in state["leafs"].as_array().unwrap() {
             expect_that!(leaf["changed"].as_u64(), some(eq(0)));
             expect_that!(leaf["misdirected"].as_u64(), some(eq(0)));
@@ -133,10 +139,12 @@
         ("two-postmarks", "two-postmarks"),
     ];
     for (n, (mode, counted)) in modes.into_iter().enumerate() {
-        fleet::order(f, json!({ "do": mode, "service": service, "count": 2 })).await.unwrap();
+        local_cluster::order(f, json!({ "do": mode, "service": service, "count": 2 }))
+            .await
+            .unwrap();
         let seen = async || {
             let url = format!("http://{}/metrics", f.fronts[0]);
-            let text = fleet::text(&f.http, url).await.unwrap();
+            let text = local_cluster::text(&f.http, url).await.unwrap();
             text.contains(&format!("grebe_dispatch_trouble_total{{kind=\"{counted}\"}}"))
         };
         let mut asked = 0;
@@ -151,7 +159,7 @@
             let (bad, _) = success(kind, &what, Some(&missing), val.to_string().as_bytes());
             expect_that!(bad, is_empty());
         }
-        fleet::order(f, json!({ "do": "good", "service": service })).await.unwrap();
+        local_cluster::order(f, json!({ "do": "good", "service": service })).await.unwrap();
     }
 }
 
@@ -198,7 +206,7 @@
     // The other seats show it a beat after the owner.
     let want = "no leaf may be asked for shard(s) 0, 1, 2, 3; BELOW QUORUM";
     let said = || async { ctl(f, &["status"]).1.contains(want) };
-    assert!(fleet::until(LONG, said).await, "{}", ctl(f, &["status"]).1);
+    assert!(local_cluster::until(LONG, said).await, "{}", ctl(f, &["status"]).1);
     let (code, val) = search(f, 0, "fleet", json!({ "question": "q" }), "900").await;
     expect_that!((code, val["error"].as_str()), eq((503, Some("no-leafs"))));
     large(f, dir).await;
@@ -256,7 +264,7 @@
     };
     // The dropped set ends all calls under way; what was answered is checked.
     drop(local);
-    let runs = fleet::ask_backs(&f, "/runs").await.unwrap();
+    let runs = local_cluster::ask_backs(&f, "/runs").await.unwrap();
     let out = report(&seen.borrow(), runs.as_array().unwrap());
     (f, got, out)
 }
@@ -269,44 +277,47 @@
 fn any_one_process_may_die() {
     block(async {
         let (layout, spec) = layout("die", "mohalla", 3);
-        let f = fleet::up(layout).await.unwrap();
+        let f = local_cluster::up(layout).await.unwrap();
         all_ready(&f).await;
         let (f, _, out) = under_traffic(f, &spec, async |f| {
             // The owner of the configuration, then the other two seats.
-            let owner = fleet::config_owner(f).await.unwrap();
+            let owner = local_cluster::config_owner(f).await.unwrap();
             for (n, seat) in [owner, (owner + 1) % 3, (owner + 2) % 3].into_iter().enumerate() {
-                fleet::kill(&mut f.seats[seat]);
+                local_cluster::kill(&mut f.seats[seat]);
                 // Addresses of leafs pass to another service meanwhile.
                 let reuse = json!({ "do": "reuse", "service": "mohalla-archive-w48-0",
                                     "count": 9, "by": "mohalla-history-w48-0" });
-                fleet::order(f, reuse).await.unwrap();
+                local_cluster::order(f, reuse).await.unwrap();
                 let val = json!({ "zones": [{ "name": format!("mark-{n}"), "state": "open" }] });
-                let rev = fleet::patch(f, &val, &format!("mark-{n}")).await.unwrap();
+                let rev = local_cluster::patch(f, &val, &format!("mark-{n}")).await.unwrap();
                 all_obey(f, rev).await;
                 // The second comes back as an empty machine.
                 if n == 1 {
                     std::fs::remove_dir_all(f.layout.dir.join(format!("seat-{seat}"))).unwrap();
                 }
-                fleet::start(&mut f.seats[seat]).unwrap();
+                local_cluster::start(&mut f.seats[seat]).unwrap();
                 let back = || async {
-                    fleet::status(f, seat).await.is_ok_and(|s| {
+                    local_cluster::status(f, seat).await.is_ok_and(|s| {
                         s["here"]["parts"].as_array().is_some_and(|p| {
                             p.iter().all(|p| p["role"] == "follower" || p["role"] == "owner")
                         }) && s["here"]["parts"][0]["shown"].as_u64() >= Some(rev)
                     })
                 };
-                assert!(fleet::until(LONG, back).await, "seat {seat} is not whole again");
+                assert!(local_cluster::until(LONG, back).await, "seat {seat} is not whole again");
             }
             for i in 0..f.queriers.len() {
-                fleet::kill(&mut f.queriers[i]);
-                fleet::start(&mut f.queriers[i]).unwrap();
-                assert!(fleet::until(LONG, || fleet::ready(f, i)).await, "querier {i} is not back");
+                local_cluster::kill(&mut f.queriers[i]);
+                local_cluster::start(&mut f.queriers[i]).unwrap();
+                assert!(
+                    local_cluster::until(LONG, || local_cluster::ready(f, i)).await,
+                    "querier {i} is not back"
+                );
             }
         })
         .await;
         expect_that!(out["violations"].as_u64(), some(eq(0)), "{out}");
         expect_that!(successes(&out), gt(50));
-        let state = fleet::ask_backs(&f, "/state").await.unwrap();
+        let state = local_cluster::ask_backs(&f, "/state").await.unwrap();
         let (mut asked, mut reached) = (0, 0);
         for leaf in state["leafs"].as_array().unwrap() {
             asked += leaf["misdirected"].as_u64().unwrap();
@@ -327,28 +338,28 @@
 fn everything_restarts_within_its_time_and_stops_cleanly() {
     block(async {
         let (layout, _) = layout("restart", "mohalla", 3);
-        let mut f = fleet::up(layout).await.unwrap();
+        let mut f = local_cluster::up(layout).await.unwrap();
         all_ready(&f).await;
         let val = json!({ "zones": [{ "name": "kept", "state": "open" }] });
-        let rev = fleet::patch(&f, &val, "kept").await.unwrap();
+        let rev = local_cluster::patch(&f, &val, "kept").await.unwrap();
         for p in f.seats.iter_mut().chain(&mut f.queriers) {
-            fleet::kill(p);
+            local_cluster::kill(p);
         }
         let begun = Instant::now();
         for p in f.seats.iter_mut().chain(&mut f.queriers) {
-            fleet::start(p).unwrap();
+            local_cluster::start(p).unwrap();
         }
         all_ready(&f).await;
         expect_that!(begun.elapsed(), lt(Duration::from_secs(12)));
         all_obey(&f, rev).await;
         // A wish to stop: not ready at once, then a clean end.
-        fleet::signal(&f.queriers[1], "TERM").unwrap();
-        let gone = || async { !fleet::ready(&f, 1).await };
-        assert!(fleet::until(LONG, gone).await);
-        expect_that!(fleet::ended(&mut f.queriers[1], LONG), some(eq(0)));
+        local_cluster::signal(&f.queriers[1], "TERM").unwrap();
+        let gone = || async { !local_cluster::ready(&f, 1).await };
+        assert!(local_cluster::until(LONG, gone).await);
+        expect_that!(local_cluster::ended(&mut f.queriers[1], LONG), some(eq(0)));
         for i in 0..3 {
-            fleet::signal(&f.seats[i], "TERM").unwrap();
-            expect_that!(fleet::ended(&mut f.seats[i], LONG), some(eq(0)));
+            local_cluster::signal(&f.seats[i], "TERM").unwrap();
+            expect_that!(local_cluster::ended(&mut f.seats[i], LONG), some(eq(0)));
         }
     });
 }
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -13,8 +13,9 @@
 use http_body_util::Full;
 use hyper::{Request, Response};
 use serde_json::{Value, json};
-use testbed::fleet::{self, Layout, Proc, until};
 use testbed::foreign::{self, Mode, Shared, begin, filled, leave, let_go, records, stamp};
+use testbed::local_cluster;
+use testbed::local_cluster::{Layout, Proc, until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// How long anything may take that is only waited for.
@@ -47,7 +48,7 @@
 impl Drop for Site {
     fn drop(&mut self) {
         for p in self.seats.iter_mut().chain(&mut self.queriers) {
-            fleet::kill(p);
+            local_cluster::kill(p);
         }
     }
 }
@@ -71,7 +72,7 @@
     let mut trouble = String::new();
     // Another process may take a port between our look and our start.
     for _ in 0..4 {
-        let ports = fleet::free_ports(4).unwrap();
+        let ports = local_cluster::free_ports(4).unwrap();
         let machine = |i: usize, port: usize| format!("127.0.0.{}:{}", i + 2, ports[port]);
         let seeds: Vec<String> = (0..3).map(|i| machine(i, 1)).collect();
         let mut site = Site {
@@ -110,12 +111,13 @@
             let pairs = [("params", file.display().to_string())];
             let label = format!("{name}-{i}");
             all.push(match name {
-                "controller" => fleet::controller(&layout, &label, &pairs),
-                _ => fleet::querier(&layout, &label, &pairs),
+                "controller" => local_cluster::controller(&layout, &label, &pairs),
+                _ => local_cluster::querier(&layout, &label, &pairs),
             });
             site.files.push(file);
         }
-        let started: std::result::Result<(), String> = all.iter_mut().try_for_each(fleet::start);
+        let started: std::result::Result<(), String> =
+            all.iter_mut().try_for_each(local_cluster::start);
         site.queriers = all.split_off(3);
         site.seats = all;
         match started {
@@ -192,7 +194,7 @@
 
 async fn read(s: &Site, door: usize) -> Option<Value> {
     let url = format!("http://{}/api/config", s.doors[door]);
-    let got = fleet::request(&s.http, hyper::Method::GET, url, Vec::new(), &[]).await;
+    let got = local_cluster::request(&s.http, hyper::Method::GET, url, Vec::new(), &[]).await;
     got.ok().filter(|g| g.0 == 200).map(|g| g.1)
 }
 
@@ -207,7 +209,7 @@
 
 async fn is_ready(s: &Site, i: usize) -> bool {
     let url = format!("http://{}/api/ready", s.checks[i]);
-    let got = fleet::request(&s.http, hyper::Method::GET, url, Vec::new(), &[]).await;
+    let got = local_cluster::request(&s.http, hyper::Method::GET, url, Vec::new(), &[]).await;
     got.is_ok_and(|g| g.0 == 200)
 }
 
@@ -574,7 +576,7 @@
             let end = async {
                 let held = || site.world.borrow().runs.len() >= before + 4;
                 assert!(until(LONG, async || held()).await, "the calls did not arrive");
-                fleet::signal(&site.queriers[0], "TERM").unwrap();
+                local_cluster::signal(&site.queriers[0], "TERM").unwrap();
                 let told = until(LONG, async || !is_ready(site, 0).await).await;
                 let_go(&site.world);
                 for leaf in LEAFS {
@@ -590,7 +592,7 @@
             expect_that!(true_pass(&id, &resp), eq(true), "{resp:?}");
             expect_that!(head(&resp, "connection"), eq("close"));
         }
-        expect_that!(fleet::ended(&mut s.queriers[0], LONG), some(eq(0)));
+        expect_that!(local_cluster::ended(&mut s.queriers[0], LONG), some(eq(0)));
         // The other one serves on.
         let (id, resp) = call(&s, 1, "GET", "/pass/x", "").await.unwrap();
         expect_that!(true_pass(&id, &resp), eq(true));
@@ -606,14 +608,14 @@
                 let good = std::fs::read_to_string(file).unwrap();
                 std::fs::write(file, text).unwrap();
                 for p in s.seats.iter().chain(&s.queriers) {
-                    fleet::signal(p, "HUP").unwrap();
+                    local_cluster::signal(p, "HUP").unwrap();
                 }
                 serves(&s, "/pass/x", 200).await;
                 std::fs::write(file, good).unwrap();
             }
         }
         for p in s.seats.iter().chain(&s.queriers) {
-            fleet::signal(p, "HUP").unwrap();
+            local_cluster::signal(p, "HUP").unwrap();
         }
         expect_that!(put(&s, 5, &whole(6)).await, eq(200));
         serves(&s, "/join/x", 200).await;
--- a/crates/server/tests/paused_leader.rs
+++ b/crates/server/tests/paused_leader.rs
@@ -11,7 +11,8 @@
 use grebepath_simulator::linearizability::{Answer, Base, Effect, Recorder, Verdict, check};
 use hyper::Method;
 use serde_json::{Value, json};
-use testbed::fleet::{self, Layout, Proc};
+use testbed::local_cluster;
+use testbed::local_cluster::{Layout, Proc};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
@@ -32,8 +33,8 @@
     fn drop(&mut self) {
         for process in &mut self.processes {
             // One that is stopped would not end.
-            let _ = fleet::signal(process, "CONT");
-            fleet::kill(process);
+            let _ = local_cluster::signal(process, "CONT");
+            local_cluster::kill(process);
         }
     }
 }
@@ -49,7 +50,7 @@
     let layout = layout(test);
     let _ = std::fs::remove_dir_all(&layout.dir);
     std::fs::create_dir_all(&layout.dir).unwrap();
-    let ports = fleet::free_ports(2 * CONTROLLERS).unwrap();
+    let ports = local_cluster::free_ports(2 * CONTROLLERS).unwrap();
     let addresses: Vec<SocketAddr> =
         ports.iter().map(|port| SocketAddr::from(([127, 0, 0, 1], *port))).collect();
     let (doors, inner) = addresses.split_at(CONTROLLERS);
@@ -65,10 +66,10 @@
                 ("first", "true".to_string()),
                 ("data", layout.dir.join(format!("data-{i}")).display().to_string()),
             ];
-            fleet::controller(&layout, &format!("controller-{i}"), &pairs)
+            local_cluster::controller(&layout, &format!("controller-{i}"), &pairs)
         })
         .collect();
-    processes.iter_mut().for_each(|process| fleet::start(process).unwrap());
+    processes.iter_mut().for_each(|process| local_cluster::start(process).unwrap());
     let http = grebepath_runtime::http::client(16);
     Controllers { processes, doors: doors.to_vec(), http, began: Instant::now() }
 }
@@ -89,7 +90,8 @@
     let mut found = Vec::new();
     for door in &c.doors {
         let url = format!("http://{door}/v1/status");
-        let (_, val) = fleet::request(&c.http, Method::GET, url, Vec::new(), &[]).await.ok()?;
+        let (_, val) =
+            local_cluster::request(&c.http, Method::GET, url, Vec::new(), &[]).await.ok()?;
         found.push(val["here"]["parts"][0]["owner"].as_u64()? as usize);
     }
     found.iter().all(|leader| *leader == found[0]).then_some(found[0])
@@ -106,13 +108,14 @@
     let expect = change.expect.to_string();
     let heads = [("request-id", change.id.as_str()), ("expect-revision", expect.as_str())];
     let url = format!("http://{door}/v1/config");
-    let sent = fleet::request(&http, Method::PATCH, url, body.to_string().into_bytes(), &heads);
+    let sent =
+        local_cluster::request(&http, Method::PATCH, url, body.to_string().into_bytes(), &heads);
     sent.await.unwrap_or((0, Value::Null))
 }
 
 async fn get(http: Http, door: SocketAddr, path: &str) -> (u16, Value) {
     let url = format!("http://{door}{path}");
-    let got = fleet::request(&http, Method::GET, url, Vec::new(), &[]).await;
+    let got = local_cluster::request(&http, Method::GET, url, Vec::new(), &[]).await;
     got.unwrap_or((0, Value::Null))
 }
 
@@ -182,11 +185,14 @@
 /// The leader is stopped with orders in its sockets, a change is accepted
 /// elsewhere, and the leader goes on.
 async fn stop_and_go(c: &Controllers, history: &mut Recorder, round: usize) {
-    assert!(fleet::until(LONG, || async { leader(c).await.is_some() }).await, "nobody leads");
+    assert!(
+        local_cluster::until(LONG, || async { leader(c).await.is_some() }).await,
+        "nobody leads"
+    );
     let old = leader(c).await.unwrap();
     let other = (old + 1) % CONTROLLERS;
     let revision = read(c, history, other).await;
-    fleet::signal(&c.processes[old], "STOP").unwrap();
+    local_cluster::signal(&c.processes[old], "STOP").unwrap();
     let stopped = Instant::now();
     // One builds on what will be accepted elsewhere, one on what will be past.
     let next = Change { id: format!("next-{round}"), expect: revision + 1 };
@@ -209,8 +215,8 @@
         while !accepted(history).await {
             assert!(stopped.elapsed() < LONG, "no change is accepted elsewhere in time");
         }
-        assert!(fleet::until(LONG, || async { stopped.elapsed() >= PAUSE }).await);
-        fleet::signal(&c.processes[old], "CONT").unwrap();
+        assert!(local_cluster::until(LONG, || async { stopped.elapsed() >= PAUSE }).await);
+        local_cluster::signal(&c.processes[old], "CONT").unwrap();
     };
     let ((next_got, late_got, read_got, status_got), ()) = tokio::join!(waiting, elsewhere);
     let at = now(c);
--- a/crates/server/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -14,7 +14,8 @@
 use hyper::Method;
 use platform_orders::{BASE_HEADER, CONFIG_PATH, Order, patch, whole};
 use serde_json::{Value, json};
-use testbed::fleet::{self, Layout, Proc, until};
+use testbed::local_cluster;
+use testbed::local_cluster::{Layout, Proc, until};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
@@ -28,7 +29,7 @@
 
 impl Drop for Core {
     fn drop(&mut self) {
-        self.procs.iter_mut().for_each(fleet::kill);
+        self.procs.iter_mut().for_each(local_cluster::kill);
     }
 }
 
@@ -60,7 +61,7 @@
     let bin = PathBuf::from(env!("CARGO_BIN_EXE_controller")).parent().unwrap().to_path_buf();
     let deploy = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let layout = Layout { bin, dir: dir.clone(), deploy, name: test.into(), queriers: 0 };
-    let ports = fleet::free_ports(6).unwrap();
+    let ports = local_cluster::free_ports(6).unwrap();
     let at = |n: usize| SocketAddr::from(([127, 0, 0, 1], ports[n]));
     let seeds = (3..6).map(|n| at(n).to_string()).collect::<Vec<_>>().join(",");
     let procs: Vec<Proc> = (0..3)
@@ -74,12 +75,12 @@
                 ("data", dir.join(format!("data-{n}")).display().to_string()),
                 ("dialect", "platform".to_string()),
             ];
-            fleet::controller(&layout, &format!("controller-{n}"), &pairs)
+            local_cluster::controller(&layout, &format!("controller-{n}"), &pairs)
         })
         .collect();
     let doors = (0..3).map(at).collect();
     let mut core = Core { procs, doors, http: grebepath_runtime::http::client(8) };
-    core.procs.iter_mut().try_for_each(fleet::start)?;
+    core.procs.iter_mut().try_for_each(local_cluster::start)?;
     Ok(core)
 }
 
@@ -87,7 +88,7 @@
 async fn leader(core: &Core) -> Option<usize> {
     for n in 0..3 {
         let url = format!("http://{}/v1/status", core.doors[n]);
-        let got = fleet::request(&core.http, Method::GET, url, Vec::new(), &[]).await;
+        let got = local_cluster::request(&core.http, Method::GET, url, Vec::new(), &[]).await;
         if got.is_ok_and(|(_, val)| val["here"]["parts"][0]["role"] == "owner") {
             return Some(n);
         }
@@ -101,7 +102,7 @@
     let base = order.base.to_string();
     let body = order.text.clone().into_bytes();
     let heads = [(BASE_HEADER, base.as_str())];
-    let got = fleet::request(&core.http, order.method.clone(), url, body, &heads).await;
+    let got = local_cluster::request(&core.http, order.method.clone(), url, body, &heads).await;
     got.map_or(0, |(code, _)| code)
 }
 
@@ -145,9 +146,9 @@
         // Its answer, if there is one, is not looked at.
         let _ = tokio::time::timeout(wait, sending).await;
     }
-    fleet::kill(&mut core.procs[leads]);
+    local_cluster::kill(&mut core.procs[leads]);
     let round = race(core, leads + 1, [a, b]).await;
-    fleet::start(&mut core.procs[leads]).unwrap();
+    local_cluster::start(&mut core.procs[leads]).unwrap();
     round
 }
 
@@ -168,7 +169,7 @@
     let url = format!("http://{}{CONFIG_PATH}", core.doors[0]);
     let mut got = Value::Null;
     for _ in 0..50 {
-        match fleet::request(&core.http, Method::GET, url.clone(), Vec::new(), &[]).await {
+        match local_cluster::request(&core.http, Method::GET, url.clone(), Vec::new(), &[]).await {
             Ok((200, val)) => {
                 got = val;
                 break;
@@ -211,10 +212,10 @@
         }
         all_again(&core, &rounds, "at the end").await;
         let leads = leader(&core).await.expect("a leader");
-        fleet::kill(&mut core.procs[leads]);
+        local_cluster::kill(&mut core.procs[leads]);
         all_again(&core, &rounds, "without the leader").await;
-        core.procs.iter_mut().for_each(fleet::kill);
-        core.procs.iter_mut().for_each(|p| fleet::start(p).unwrap());
+        core.procs.iter_mut().for_each(local_cluster::kill);
+        core.procs.iter_mut().for_each(|p| local_cluster::start(p).unwrap());
         all_again(&core, &rounds, "after all were killed").await;
     });
 }
@@ -247,7 +248,9 @@
             let url = format!("http://{}/v1/config", core.doors[n]);
             let body = json!({ "zones": [{ "name": format!("other-{n}"), "state": "open" }] });
             let body = body.to_string().into_bytes();
-            others.push(fleet::request(&core.http, Method::PATCH, url, body, &[]).await.unwrap().0);
+            others.push(
+                local_cluster::request(&core.http, Method::PATCH, url, body, &[]).await.unwrap().0,
+            );
         }
         expect_that!(others, each(eq(&200)));
         let (code, text) = patch(&a, "0");
--- a/crates/server/tests/seats.rs
+++ b/crates/server/tests/seats.rs
@@ -7,7 +7,8 @@
 use googletest::prelude::*;
 use hyper::Method;
 use serde_json::{Value, json};
-use testbed::fleet::{self, Fleet, Layout, Proc};
+use testbed::local_cluster;
+use testbed::local_cluster::{Fleet, Layout, Proc};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
@@ -28,7 +29,7 @@
 /// The seat of a controller that has formed all its parts; no seat is `Null`.
 async fn seat(http: &grebepath_runtime::http::Http, door: SocketAddr) -> Option<Value> {
     let url = format!("http://{door}/v1/status");
-    let (_, val) = fleet::request(http, Method::GET, url, Vec::new(), &[]).await.ok()?;
+    let (_, val) = local_cluster::request(http, Method::GET, url, Vec::new(), &[]).await.ok()?;
     let here = &val["here"];
     let parts = here["parts"].as_array()?;
     let formed = parts.iter().all(|p| p["role"] == "owner" || p["role"] == "follower");
@@ -36,7 +37,8 @@
 }
 
 async fn has_seat(f: &Fleet, i: usize, want: Value) -> bool {
-    fleet::until(LONG, || async { seat(&f.http, f.doors[i]).await == Some(want.clone()) }).await
+    local_cluster::until(LONG, || async { seat(&f.http, f.doors[i]).await == Some(want.clone()) })
+        .await
 }
 
 /// Sets an object through one controller alone.
@@ -50,57 +52,58 @@
     let id = format!("mark-{n}");
     let heads = [("request-id", id.as_str())];
     let body = body.to_string().into_bytes();
-    fleet::request(http, Method::PATCH, url, body, &heads).await.unwrap_or((0, Value::Null))
+    local_cluster::request(http, Method::PATCH, url, body, &heads).await.unwrap_or((0, Value::Null))
 }
 
 async fn obeyed(f: &Fleet, rev: u64) {
     for i in 0..f.queriers.len() {
-        let ask = || async { fleet::obeyed(f, i).await.is_some_and(|r| r >= rev) };
-        assert!(fleet::until(LONG, ask).await, "querier {i} does not obey {rev}");
+        let ask = || async { local_cluster::obeyed(f, i).await.is_some_and(|r| r >= rev) };
+        assert!(local_cluster::until(LONG, ask).await, "querier {i} does not obey {rev}");
     }
 }
 
 #[googletest::test]
 fn a_spare_takes_over_and_the_old_holder_becomes_the_spare() {
     block(async {
-        let mut f = fleet::up(layout("seats-spare")).await.unwrap();
-        let owner = fleet::config_owner(&f).await.unwrap();
+        let mut f = local_cluster::up(layout("seats-spare")).await.unwrap();
+        let owner = local_cluster::config_owner(&f).await.unwrap();
         // Of the same zone: no zone may gain a majority of the seats.
-        let spare = fleet::add_spare(&mut f, ["a", "b", "c"][owner]).unwrap();
+        let spare = local_cluster::add_spare(&mut f, ["a", "b", "c"][owner]).unwrap();
         for i in 0..f.queriers.len() {
-            assert!(fleet::until(LONG, || fleet::ready(&f, i)).await);
+            assert!(local_cluster::until(LONG, || local_cluster::ready(&f, i)).await);
         }
         // A controller without a seat takes operators' requests.
         expect_that!(seat(&f.http, f.doors[spare]).await, some(eq(&Value::Null)));
         let (code, val) = patch_at(&f.http, f.doors[spare], 0).await;
         expect_that!(code, eq(200), "{val}");
-        fleet::kill(&mut f.seats[owner]);
+        local_cluster::kill(&mut f.seats[owner]);
         let (code, val) = patch_at(&f.http, f.doors[spare], 1).await;
         expect_that!(code, eq(200), "{val}");
         assert!(has_seat(&f, spare, json!(owner)).await, "the seat was not taken over");
         // The old holder comes back on its disk and finds its seat given away.
-        fleet::start(&mut f.seats[owner]).unwrap();
+        local_cluster::start(&mut f.seats[owner]).unwrap();
         assert!(has_seat(&f, owner, Value::Null).await, "the old holder still has its seat");
         // The newcomer counts: with another one down a change is accepted, and
         // the queriers hear of it although no params of theirs name it.
         let other = (owner + 1) % 3;
-        fleet::signal(&f.seats[other], "STOP").unwrap();
+        local_cluster::signal(&f.seats[other], "STOP").unwrap();
         let (code, val) = patch_at(&f.http, f.doors[spare], 2).await;
-        fleet::signal(&f.seats[other], "CONT").unwrap();
+        local_cluster::signal(&f.seats[other], "CONT").unwrap();
         expect_that!(code, eq(200), "{val}");
         obeyed(&f, val["revision"].as_u64().unwrap()).await;
         // All off at once: everyone comes back as who it was.
         let procs = f.seats.iter_mut().chain(&mut f.queriers);
-        procs.for_each(fleet::kill);
+        procs.for_each(local_cluster::kill);
         for p in f.seats.iter_mut().chain(&mut f.queriers) {
-            fleet::start(p).unwrap();
+            local_cluster::start(p).unwrap();
         }
         assert!(has_seat(&f, spare, json!(owner)).await, "the seat was forgotten");
         let (code, val) = patch_at(&f.http, f.doors[owner], 3).await;
         expect_that!(code, eq(200), "{val}");
         obeyed(&f, val["revision"].as_u64().unwrap()).await;
         let url = format!("http://{}/v1/config", f.doors[spare]);
-        let (_, got) = fleet::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap();
+        let (_, got) =
+            local_cluster::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap();
         for n in 0..4 {
             expect_that!(got.to_string(), contains_substring(format!("\"mark-{n}\"")));
         }
@@ -116,7 +119,7 @@
 
 impl Drop for Core {
     fn drop(&mut self) {
-        self.procs.iter_mut().for_each(fleet::kill);
+        self.procs.iter_mut().for_each(local_cluster::kill);
     }
 }
 
@@ -136,7 +139,7 @@
     let lay = layout(test);
     let _ = std::fs::remove_dir_all(&lay.dir);
     std::fs::create_dir_all(&lay.dir).unwrap();
-    let ports = fleet::free_ports(2 * count).unwrap();
+    let ports = local_cluster::free_ports(2 * count).unwrap();
     let addrs: Vec<SocketAddr> =
         ports.iter().map(|p| SocketAddr::from(([127, 0, 0, 1], *p))).collect();
     let (doors, inners) = addrs.split_at(count);
@@ -153,11 +156,11 @@
             });
             std::fs::write(&file, params.to_string()).unwrap();
             let args = [("params", file.display().to_string())];
-            fleet::controller(&lay, &format!("controller-{i}"), &args)
+            local_cluster::controller(&lay, &format!("controller-{i}"), &args)
         })
         .collect();
     let mut core = Core { procs, doors: doors.to_vec(), dir: lay.dir };
-    core.procs.iter_mut().try_for_each(fleet::start)?;
+    core.procs.iter_mut().try_for_each(local_cluster::start)?;
     Ok(core)
 }
 
@@ -176,7 +179,7 @@
         got.dedup();
         got.len() == want
     };
-    fleet::until(LONG, ask).await
+    local_cluster::until(LONG, ask).await
 }
 
 /// What a settings file says after the first start.
@@ -199,12 +202,12 @@
         let whole = json!({ "searches": [], "pools": [], "zones": [] }).to_string().into_bytes();
         let url = format!("http://{}/v1/config", c.doors[5]);
         let heads = [("request-id", "whole")];
-        let got = fleet::request(&http, Method::PUT, url, whole, &heads).await.unwrap();
+        let got = local_cluster::request(&http, Method::PUT, url, whole, &heads).await.unwrap();
         expect_that!(got.0, eq(200), "{}", got.1);
         let (code, val) = patch_at(&http, c.doors[3], 7).await;
         expect_that!(code, eq(200), "{val}");
         // At once all die, and two come back with nothing; seeds may be others.
-        c.procs.iter_mut().for_each(fleet::kill);
+        c.procs.iter_mut().for_each(local_cluster::kill);
         for i in 0..6 {
             let old: Value = serde_json::from_slice(
                 &std::fs::read(c.dir.join(format!("params-{i}.json"))).unwrap(),
@@ -217,10 +220,11 @@
         for i in [0, 1] {
             std::fs::remove_dir_all(c.dir.join(format!("data-{i}"))).unwrap();
         }
-        c.procs.iter_mut().for_each(|p| fleet::start(p).unwrap());
+        c.procs.iter_mut().for_each(|p| local_cluster::start(p).unwrap());
         assert!(held(&c, &http, 5).await, "the seats are not whole again");
         let url = format!("http://{}/v1/config", c.doors[0]);
-        let (_, got) = fleet::request(&http, Method::GET, url, Vec::new(), &[]).await.unwrap();
+        let (_, got) =
+            local_cluster::request(&http, Method::GET, url, Vec::new(), &[]).await.unwrap();
         expect_that!(got.to_string(), contains_substring("mark-7"));
         let (code, val) = patch_at(&http, c.doors[1], 8).await;
         expect_that!(code, eq(200), "{val}");
@@ -236,7 +240,7 @@
         let whole = json!({ "searches": [], "pools": [], "zones": [] }).to_string().into_bytes();
         let url = format!("http://{}/v1/config", c.doors[5]);
         let heads = [("request-id", "whole")];
-        let got = fleet::request(&http, Method::PUT, url, whole, &heads).await.unwrap();
+        let got = local_cluster::request(&http, Method::PUT, url, whole, &heads).await.unwrap();
         expect_that!(got.0, eq(200), "{}", got.1);
         let mut marks = Vec::new();
         // Each of the first three in turn; the spare of its zone follows it.
@@ -246,25 +250,26 @@
             marks.push(10 + leaving);
             // The spares ask for a slot twice a second.
             tokio::time::sleep(Duration::from_millis(700)).await;
-            fleet::signal(&c.procs[leaving], "TERM").unwrap();
+            local_cluster::signal(&c.procs[leaving], "TERM").unwrap();
             let patience = Duration::from_secs(4);
-            expect_that!(fleet::ended(&mut c.procs[leaving], patience), some(eq(0)));
+            expect_that!(local_cluster::ended(&mut c.procs[leaving], patience), some(eq(0)));
             // It has ended, so its successor votes: another disk may be lost now.
             let other = (leaving + 1) % 3 + if leaving == 2 { 3 } else { 0 };
-            fleet::kill(&mut c.procs[other]);
+            local_cluster::kill(&mut c.procs[other]);
             std::fs::remove_dir_all(c.dir.join(format!("data-{other}"))).unwrap();
             no_longer_first(&c, other, None);
             let (code, val) = patch_at(&http, c.doors[5], 20 + leaving).await;
             expect_that!(code, eq(200), "{val}");
             marks.push(20 + leaving);
-            fleet::start(&mut c.procs[other]).unwrap();
+            local_cluster::start(&mut c.procs[other]).unwrap();
             assert!(held(&c, &http, 3).await, "not three slots after {leaving} left");
             // It comes back as a spare; the seeds name it.
             no_longer_first(&c, leaving, None);
-            fleet::start(&mut c.procs[leaving]).unwrap();
+            local_cluster::start(&mut c.procs[leaving]).unwrap();
         }
         let url = format!("http://{}/v1/config", c.doors[4]);
-        let (_, got) = fleet::request(&http, Method::GET, url, Vec::new(), &[]).await.unwrap();
+        let (_, got) =
+            local_cluster::request(&http, Method::GET, url, Vec::new(), &[]).await.unwrap();
         for mark in marks {
             expect_that!(got.to_string(), contains_substring(format!("\"mark-{mark}\"")));
         }
