--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -8,14 +8,15 @@
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
-use grebepath_core::disk::read::{Found, read};
-use grebepath_core::names::CONFIG;
-use grebepath_core::wire::frame;
-use grebepath_core::wire::msg::{Msg, Place, Who};
-use grebepath_runtime::wire::{WireEvent, accept, dial, send};
+use grebepath_core::identifiers::CONFIG;
+use grebepath_core::protocol::frame;
+use grebepath_core::protocol::message::{Msg, Place, Who};
+use grebepath_core::storage::reader::{Found, read};
+use grebepath_runtime::peer_connection::{WireEvent, accept, dial, send};
 use hyper::Method;
 use serde_json::json;
-use testbed::fleet::{self, Fleet, Layout};
+use testbed::local_cluster;
+use testbed::local_cluster::{Fleet, Layout};
 use testbed::relay::Relay;
 
 /// How long anything may take that is only waited for.
@@ -92,11 +93,11 @@
 /// work, after it has read it, or after it has answered.
 async fn flaky(listener: tokio::net::TcpListener, name: &str, heard: &RefCell<Heard>) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let mut luck = grebepath_core::luck::luck(11);
+    let mut luck = grebepath_core::random::luck(11);
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let last = grebepath_core::luck::below(&mut luck, 4);
-        let how = grebepath_core::luck::below(&mut luck, 2);
+        let last = grebepath_core::random::below(&mut luck, 4);
+        let how = grebepath_core::random::below(&mut luck, 2);
         let (mut raw, mut served) = (Vec::new(), 0);
         loop {
             let mut part = [0u8; 4096];
@@ -134,7 +135,7 @@
 }
 
 async fn send_work(
-    pool: &grebepath_runtime::leafs::Pool,
+    pool: &grebepath_runtime::leaf_connections::Pool,
     addr: SocketAddr,
     n: usize,
 ) -> Option<u16> {
@@ -148,10 +149,17 @@
         .unwrap();
     let fits = |r: &hyper::Response<bytes::Bytes>| r.status() == 200;
     let greeting = || get().unwrap();
-    let sent = grebepath_runtime::leafs::exchange(pool, (addr, "s.1"), greeting, fits, work, 1024);
+    let sent = grebepath_runtime::leaf_connections::exchange(
+        pool,
+        (addr, "s.1"),
+        greeting,
+        fits,
+        work,
+        1024,
+    );
     match sent.await {
-        Ok(grebepath_runtime::leafs::Got::Answer(r)) => Some(r.status().as_u16()),
-        Ok(grebepath_runtime::leafs::Got::Unfit(r)) => Some(r.status().as_u16()),
+        Ok(grebepath_runtime::leaf_connections::Got::Answer(r)) => Some(r.status().as_u16()),
+        Ok(grebepath_runtime::leaf_connections::Got::Unfit(r)) => Some(r.status().as_u16()),
         Err(_) => None,
     }
 }
@@ -160,13 +168,13 @@
 fn work_is_sent_once_and_to_none_but_the_leaf_it_is_for() {
     block(async {
         // Not a port that the system hands out: it is bound a second time.
-        let port = fleet::free_ports(1).unwrap()[0];
+        let port = local_cluster::free_ports(1).unwrap()[0];
         let listener = tokio::net::TcpListener::bind(("127.0.0.1", port)).await.unwrap();
         let addr = listener.local_addr().unwrap();
         let heard = Rc::new(RefCell::new(Heard::default()));
         let own = heard.clone();
         let leaf = tokio::task::spawn_local(async move { flaky(listener, "s.1", &own).await });
-        let pool = grebepath_runtime::leafs::pool(4);
+        let pool = grebepath_runtime::leaf_connections::pool(4);
         let mut answered = 0;
         for n in 0..200 {
             answered += u32::from(send_work(&pool, addr, n).await == Some(200));
@@ -208,37 +216,40 @@
 
 async fn all_ready(f: &Fleet) {
     for i in 0..f.queriers.len() {
-        assert!(fleet::until(LONG, || fleet::ready(f, i)).await, "querier {i} is not ready");
+        assert!(
+            local_cluster::until(LONG, || local_cluster::ready(f, i)).await,
+            "querier {i} is not ready"
+        );
     }
 }
 
 async fn ask(f: &Fleet, i: usize) -> Option<(u16, serde_json::Value)> {
     let url = format!("http://{}/v1/search/browse", f.fronts[i]);
     let body = json!({ "question": "q", "limit": 3 }).to_string().into_bytes();
-    fleet::request(&f.http, Method::POST, url, body, &[("budget-ms", "900")]).await.ok()
+    local_cluster::request(&f.http, Method::POST, url, body, &[("budget-ms", "900")]).await.ok()
 }
 
 #[googletest::test]
 fn a_frozen_querier_wakes_and_never_answers_by_the_old_configuration() {
     block(async {
-        let f = fleet::up(layout("frozen")).await.unwrap();
+        let f = local_cluster::up(layout("frozen")).await.unwrap();
         all_ready(&f).await;
-        fleet::signal(&f.queriers[1], "STOP").unwrap();
+        local_cluster::signal(&f.queriers[1], "STOP").unwrap();
         // Accepted without the frozen one: the two others are most.
         let val = json!({ "zones": [{ "name": "later", "state": "open" }] });
-        let rev = fleet::patch(&f, &val, "later").await.unwrap();
+        let rev = local_cluster::patch(&f, &val, "later").await.unwrap();
         // The core lets the frozen one go; then its old view is out of date.
         let gone = || async {
-            fleet::status(&f, 0)
+            local_cluster::status(&f, 0)
                 .await
                 .is_ok_and(|s| s["cohort"]["members"].as_array().is_some_and(|m| m.len() == 2))
         };
-        assert!(fleet::until(LONG, gone).await);
+        assert!(local_cluster::until(LONG, gone).await);
         // Calls that wait at its door when it wakes.
         let calls: Vec<_> = (0..8).map(|_| ask(&f, 1)).collect();
         let woken = async {
             tokio::task::yield_now().await;
-            fleet::signal(&f.queriers[1], "CONT").unwrap();
+            local_cluster::signal(&f.queriers[1], "CONT").unwrap();
         };
         let (answers, ()) = tokio::join!(at_once(calls), woken);
         for (code, val) in answers.into_iter().flatten() {
@@ -248,14 +259,14 @@
                 expect_that!(val["error"].as_str(), some(eq("cut-off")));
             }
         }
-        assert!(fleet::until(LONG, || fleet::ready(&f, 1)).await);
+        assert!(local_cluster::until(LONG, || local_cluster::ready(&f, 1)).await);
         // It serves again, by the new one.
         let serves = || async {
             ask(&f, 1)
                 .await
                 .is_some_and(|(code, val)| code == 200 && val["revision"].as_u64() >= Some(rev))
         };
-        assert!(fleet::until(LONG, serves).await);
+        assert!(local_cluster::until(LONG, serves).await);
     });
 }
 
@@ -293,7 +304,7 @@
         // All that the last querier says to and hears from the others passes
         // through relays, which can be cut.
         let mut relays: Vec<Relay> = Vec::new();
-        let f = fleet::up_with(layout("cut"), async |wanted: SocketAddr| {
+        let f = local_cluster::up_with(layout("cut"), async |wanted: SocketAddr| {
             let relay = Relay::open(wanted).await?;
             let addr = relay.addr;
             relays.push(relay);
@@ -309,27 +320,27 @@
             relay.cut(true);
         }
         let val = json!({ "zones": [{ "name": "early", "state": "open" }] });
-        let rev = fleet::patch(&f, &val, "early").await.unwrap();
-        let obeys = || async { fleet::obeyed(&f, 2).await.is_some_and(|r| r >= rev) };
-        assert!(fleet::until(LONG, obeys).await, "no news came by the cohort");
+        let rev = local_cluster::patch(&f, &val, "early").await.unwrap();
+        let obeys = || async { local_cluster::obeyed(&f, 2).await.is_some_and(|r| r >= rev) };
+        assert!(local_cluster::until(LONG, obeys).await, "no news came by the cohort");
         expect_that!(ask(&f, 2).await.unwrap().0, eq(200));
         // Now nobody reaches it.
         relays[4].cut(true);
         let begun = Instant::now();
-        assert!(fleet::until(LONG, || async { !fleet::ready(&f, 2).await }).await);
+        assert!(local_cluster::until(LONG, || async { !local_cluster::ready(&f, 2).await }).await);
         // First not ready, then bouncing; the others go on.
         let bounced = || async {
             ask(&f, 2).await.is_some_and(|(code, val)| code == 503 && val["error"] == "cut-off")
         };
-        assert!(fleet::until(LONG, bounced).await);
+        assert!(local_cluster::until(LONG, bounced).await);
         expect_that!(begun.elapsed(), lt(Duration::from_secs(6)));
         let val = json!({ "zones": [{ "name": "later", "state": "open" }] });
-        let rev = fleet::patch(&f, &val, "later").await.unwrap();
+        let rev = local_cluster::patch(&f, &val, "later").await.unwrap();
         expect_that!(ask(&f, 0).await.unwrap().0, eq(200));
         for relay in &relays {
             relay.cut(false);
         }
-        assert!(fleet::until(LONG, || fleet::ready(&f, 2)).await);
+        assert!(local_cluster::until(LONG, || local_cluster::ready(&f, 2)).await);
         expect_that!(ask(&f, 2).await.unwrap().1["revision"].as_u64(), ge(Some(rev)));
     });
 }
@@ -337,54 +348,54 @@
 #[googletest::test]
 fn a_full_disk_makes_its_seat_step_back_and_costs_nothing_accepted() {
     block(async {
-        let mut f = fleet::up(layout("full")).await.unwrap();
+        let mut f = local_cluster::up(layout("full")).await.unwrap();
         all_ready(&f).await;
         // The owner of the configuration comes back on a disk with 64 KiB left.
-        let seat = fleet::config_owner(&f).await.unwrap();
-        fleet::kill(&mut f.seats[seat]);
-        fleet::limit_files(&mut f.seats[seat], Some(128));
-        fleet::start(&mut f.seats[seat]).unwrap();
+        let seat = local_cluster::config_owner(&f).await.unwrap();
+        local_cluster::kill(&mut f.seats[seat]);
+        local_cluster::limit_files(&mut f.seats[seat], Some(128));
+        local_cluster::start(&mut f.seats[seat]).unwrap();
         let role = async |f: &Fleet| {
-            let s = fleet::status(f, seat).await.ok()?;
+            let s = local_cluster::status(f, seat).await.ok()?;
             Some(s["here"]["parts"][0].clone())
         };
         let whole = || async { role(&f).await.is_some_and(|p| p["role"] == "follower") };
-        assert!(fleet::until(LONG, whole).await);
+        assert!(local_cluster::until(LONG, whole).await);
         let val = json!({ "pools": [{ "name": "wide", "service": "wide",
                                       "labels": { "note": "x".repeat(100_000) } }] });
-        let rev = fleet::patch(&f, &val, "wide").await.unwrap();
+        let rev = local_cluster::patch(&f, &val, "wide").await.unwrap();
         let sick = || async { role(&f).await.is_some_and(|p| p["role"] == "sick") };
-        assert!(fleet::until(LONG, sick).await, "{:?}", role(&f).await);
+        assert!(local_cluster::until(LONG, sick).await, "{:?}", role(&f).await);
         expect_that!(role(&f).await.unwrap()["sick"].as_str(), some(contains_substring("large")));
         // The two others go on accepting, and all queriers obey.
         let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
-        let rev = rev.max(fleet::patch(&f, &val, "after").await.unwrap());
+        let rev = rev.max(local_cluster::patch(&f, &val, "after").await.unwrap());
         for i in 0..3 {
-            let obeys = || async { fleet::obeyed(&f, i).await.is_some_and(|r| r >= rev) };
-            assert!(fleet::until(LONG, obeys).await);
+            let obeys = || async { local_cluster::obeyed(&f, i).await.is_some_and(|r| r >= rev) };
+            assert!(local_cluster::until(LONG, obeys).await);
         }
         // With room again it comes back whole.
-        fleet::kill(&mut f.seats[seat]);
-        fleet::limit_files(&mut f.seats[seat], None);
-        fleet::start(&mut f.seats[seat]).unwrap();
+        local_cluster::kill(&mut f.seats[seat]);
+        local_cluster::limit_files(&mut f.seats[seat], None);
+        local_cluster::start(&mut f.seats[seat]).unwrap();
         let back = || async {
             role(&f)
                 .await
                 .is_some_and(|p| p["role"] == "follower" && p["shown"].as_u64() >= Some(rev))
         };
-        assert!(fleet::until(LONG, back).await, "{:?}", role(&f).await);
+        assert!(local_cluster::until(LONG, back).await, "{:?}", role(&f).await);
     });
 }
 
 /// One number of a process's metrics.
 async fn metric(f: &Fleet, addr: SocketAddr, name: &str) -> Option<u64> {
-    let text = fleet::text(&f.http, format!("http://{addr}/metrics")).await?;
+    let text = local_cluster::text(&f.http, format!("http://{addr}/metrics")).await?;
     text.lines().find_map(|l| l.strip_prefix(name)?.trim().parse().ok())
 }
 
 /// Whether a seat has a role in every part.
 async fn whole(f: &Fleet, seat: usize) -> bool {
-    fleet::status(f, seat).await.is_ok_and(|s| {
+    local_cluster::status(f, seat).await.is_ok_and(|s| {
         s["here"]["parts"]
             .as_array()
             .is_some_and(|p| p.iter().all(|p| p["role"] == "follower" || p["role"] == "owner"))
@@ -394,42 +405,46 @@
 #[googletest::test]
 fn a_seat_moves_to_a_new_machine_while_queriers_serve() {
     block(async {
-        let mut f = fleet::up(layout("moved")).await.unwrap();
+        let mut f = local_cluster::up(layout("moved")).await.unwrap();
         all_ready(&f).await;
         let val = json!({ "zones": [{ "name": "before", "state": "open" }] });
-        fleet::patch(&f, &val, "before").await.unwrap();
+        local_cluster::patch(&f, &val, "before").await.unwrap();
         // The machine is gone, disk and all; another takes the seat elsewhere.
-        fleet::kill(&mut f.seats[2]);
+        local_cluster::kill(&mut f.seats[2]);
         std::fs::remove_dir_all(f.layout.dir.join("seat-2")).unwrap();
-        fleet::move_seat(&mut f, 2).unwrap();
-        fleet::start(&mut f.seats[2]).unwrap();
+        local_cluster::move_seat(&mut f, 2).unwrap();
+        local_cluster::start(&mut f.seats[2]).unwrap();
         for seat in [0, 1] {
-            fleet::kill(&mut f.seats[seat]);
-            fleet::start(&mut f.seats[seat]).unwrap();
-            assert!(fleet::until(LONG, || whole(&f, seat)).await, "seat {seat}");
+            local_cluster::kill(&mut f.seats[seat]);
+            local_cluster::start(&mut f.seats[seat]).unwrap();
+            assert!(local_cluster::until(LONG, || whole(&f, seat)).await, "seat {seat}");
             // Queriers have not heard of the new address, and serve on.
             for i in 0..f.queriers.len() {
                 let serves = || async { ask(&f, i).await.is_some_and(|a| a.0 == 200) };
-                assert!(fleet::until(LONG, serves).await, "querier {i}");
+                assert!(local_cluster::until(LONG, serves).await, "querier {i}");
             }
         }
-        assert!(fleet::until(LONG, || whole(&f, 2)).await, "the new seat did not relearn");
+        assert!(local_cluster::until(LONG, || whole(&f, 2)).await, "the new seat did not relearn");
         for i in 0..f.queriers.len() {
-            fleet::signal(&f.queriers[i], "TERM").unwrap();
-            expect_that!(fleet::ended(&mut f.queriers[i], LONG), some(eq(0)));
-            fleet::start(&mut f.queriers[i]).unwrap();
-            assert!(fleet::until(LONG, || fleet::ready(&f, i)).await, "querier {i}");
+            local_cluster::signal(&f.queriers[i], "TERM").unwrap();
+            expect_that!(local_cluster::ended(&mut f.queriers[i], LONG), some(eq(0)));
+            local_cluster::start(&mut f.queriers[i]).unwrap();
+            assert!(
+                local_cluster::until(LONG, || local_cluster::ready(&f, i)).await,
+                "querier {i}"
+            );
         }
         // The new seat counts: with another one down a change is accepted.
-        fleet::kill(&mut f.seats[0]);
+        local_cluster::kill(&mut f.seats[0]);
         let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
-        let rev = fleet::patch(&f, &val, "after").await.unwrap();
+        let rev = local_cluster::patch(&f, &val, "after").await.unwrap();
         for i in 0..f.queriers.len() {
-            let obeys = || async { fleet::obeyed(&f, i).await.is_some_and(|r| r >= rev) };
-            assert!(fleet::until(LONG, obeys).await, "querier {i} does not obey {rev}");
+            let obeys = || async { local_cluster::obeyed(&f, i).await.is_some_and(|r| r >= rev) };
+            assert!(local_cluster::until(LONG, obeys).await, "querier {i} does not obey {rev}");
         }
         let url = format!("http://{}/v1/config", f.doors[2]);
-        let got = fleet::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap().1;
+        let got =
+            local_cluster::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap().1;
         let zones = got["config"]["zones"].to_string();
         expect_that!(zones, contains_substring("before"));
         expect_that!(zones, contains_substring("after"));
@@ -439,7 +454,7 @@
 #[googletest::test]
 fn files_that_rot_under_a_running_controller_are_written_anew() {
     block(async {
-        let mut f = fleet::up(layout("rot")).await.unwrap();
+        let mut f = local_cluster::up(layout("rot")).await.unwrap();
         all_ready(&f).await;
         let dir = f.layout.dir.join("seat-1/part-0");
         // Whatever lies on the disk is spoilt, as it lies there.
@@ -454,7 +469,7 @@
         }
         let door = f.doors[1];
         let found = async || metric(&f, door, "grebe_rotted_total").await > Some(0);
-        assert!(fleet::until(2 * LONG, found).await, "nothing was found to have rotted");
+        assert!(local_cluster::until(2 * LONG, found).await, "nothing was found to have rotted");
         // What was found is being written: let it be whole before the kill.
         let get = |name: &str| std::fs::read(dir.join(name)).ok();
         let good = async || {
@@ -462,11 +477,11 @@
             let found = read(0, [zero.as_deref(), one.as_deref()], log.as_deref());
             matches!(found, Found::Good { .. })
         };
-        assert!(fleet::until(LONG, good).await, "the files were not written anew");
+        assert!(local_cluster::until(LONG, good).await, "the files were not written anew");
         // It starts from its own files again, and sets nothing aside.
-        fleet::kill(&mut f.seats[1]);
-        fleet::start(&mut f.seats[1]).unwrap();
-        assert!(fleet::until(LONG, || whole(&f, 1)).await);
+        local_cluster::kill(&mut f.seats[1]);
+        local_cluster::start(&mut f.seats[1]).unwrap();
+        assert!(local_cluster::until(LONG, || whole(&f, 1)).await);
         expect_that!(dir.join("damaged-0").exists(), eq(false));
     });
 }
@@ -474,7 +489,7 @@
 #[googletest::test]
 fn a_flood_of_calls_is_bounced_at_the_door_urgent_last() {
     block(async {
-        let f = fleet::up(layout("flood")).await.unwrap();
+        let f = local_cluster::up(layout("flood")).await.unwrap();
         all_ready(&f).await;
         let one = async |search: &str| {
             let http = grebepath_runtime::http::client(1);
@@ -490,7 +505,7 @@
         let ready = async || {
             let http = grebepath_runtime::http::client(1);
             let url = format!("http://{}/readyz", f.fronts[0]);
-            fleet::text(&http, url).await.is_some()
+            local_cluster::text(&http, url).await.is_some()
         };
         let floods = (0..1_500).map(|_| one("browse")).collect();
         let alerts = (0..40).map(|_| one("alert")).collect();
@@ -522,11 +537,11 @@
 #[googletest::test]
 fn whole_and_partial_changes_at_one_moment_lose_nothing() {
     block(async {
-        let f = fleet::up(layout("race")).await.unwrap();
+        let f = local_cluster::up(layout("race")).await.unwrap();
         all_ready(&f).await;
         let read = async || {
             let url = format!("http://{}/v1/config", f.doors[0]);
-            fleet::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap().1
+            local_cluster::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap().1
         };
         let mark = |name: &str| json!({ "name": name, "state": "open" });
         let (mut accepted, mut moved) = (Vec::new(), 0);
@@ -546,7 +561,8 @@
                     (Method::PATCH, json!({ "zones": [mark(&name)] }))
                 };
                 let body = body.to_string().into_bytes();
-                let (code, val) = fleet::request(&f.http, how, url, body, &heads).await.unwrap();
+                let (code, val) =
+                    local_cluster::request(&f.http, how, url, body, &heads).await.unwrap();
                 (name, code, val["revision"].as_u64())
             };
             for (name, code, rev) in at_once((0..6).map(send).collect()).await {
@@ -567,8 +583,8 @@
         expect_that!(revs.len(), eq(accepted.len()), "two changes got one revision");
         let last = accepted.iter().map(|a| a.1).max().unwrap();
         for i in 0..f.queriers.len() {
-            let obeys = || async { fleet::obeyed(&f, i).await.is_some_and(|r| r >= last) };
-            assert!(fleet::until(LONG, obeys).await, "querier {i} does not obey {last}");
+            let obeys = || async { local_cluster::obeyed(&f, i).await.is_some_and(|r| r >= last) };
+            assert!(local_cluster::until(LONG, obeys).await, "querier {i} does not obey {last}");
         }
     });
 }
--- a/crates/simulator/examples/run_digest.rs
+++ b/crates/simulator/examples/run_digest.rs
@@ -138,7 +138,7 @@
         out.extend([order.at, u64::from(order.done.is_some())]);
     }
     out.extend(w.told_at.values());
-    out.extend(w.rules.counts.values().map(|count| *count as u64));
+    out.extend(w.rules.counts.values().copied());
     out
 }
 
@@ -152,6 +152,6 @@
     let text = file(format!("{root}/scenarios/{name}.json")).expect("the scenario's file is there");
     match read(&text, &deployment) {
         Ok(scenario) => scenario,
-        Err(all) => panic!("{name}: {}", grebepath_core::lang::finding::lines(&all)),
+        Err(all) => panic!("{name}: {}", grebepath_core::routing_language::diagnostic::lines(&all)),
     }
 }
--- a/crates/simulator/src/bin/scale_model.rs
+++ b/crates/simulator/src/bin/scale_model.rs
@@ -1,6 +1,6 @@
 //! Weighs what control costs at a size.
 
-use grebepath_simulator::hollow::cli;
+use grebepath_simulator::scale_model::cli;
 
 fn main() {
     cli::run(&cli::options().run());
--- a/crates/simulator/src/chaos.rs
+++ b/crates/simulator/src/chaos.rs
@@ -1,10 +1,10 @@
 //! Troubles drawn by seed: alone, together, at any time, and one last fault;
 //! then all is mended and the fleet must be whole again.
 
-use grebepath_core::luck::{Luck, below, chance, luck};
+use grebepath_core::random::{Luck, below, chance, luck};
 use serde_json::{Value, json};
 
-use crate::backs::ZONES;
+use crate::mock_backends::ZONES;
 use crate::scenario::{Scenario, Trouble, drawn};
 
 /// A trouble at a time.
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -10,9 +10,9 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use grebepath_core::luck::{below, luck};
+use grebepath_core::protocol::message::Done;
+use grebepath_core::random::{below, luck};
 use grebepath_core::time::SECOND;
-use grebepath_core::wire::msg::Done;
 
 use crate::scenario::{Scenario, play_deviating};
 use crate::world::{self, Broken, Deviation, Deviations, Fault, World, seats_whole};
--- a/crates/simulator/src/backs.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -2,9 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use grebepath_core::edge::leaf::{self as edge, Heads, Raw};
-use grebepath_core::luck::{Luck, below};
-use grebepath_core::query::desk::Sending;
+use grebepath_core::http_api::leaf as edge;
+use grebepath_core::http_api::leaf::{Heads, Raw};
+use grebepath_core::query::engine::Sending;
+use grebepath_core::random::{Luck, below};
 use grebepath_core::time::{MILLI, Span, Tick, ms, since};
 use serde_json::{Value, json};
 
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebepath_core::luck::{Luck, below, chance};
+use grebepath_core::protocol::message::Msg;
+use grebepath_core::random::{Luck, below, chance};
 use grebepath_core::time::{Span, Tick};
-use grebepath_core::wire::msg::Msg;
 
 /// A machine on the net.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
@@ -45,14 +45,14 @@
 /// Weighs a message, if messages are weighed.
 pub fn weigh(net: &mut Net, way: &str, msg: &Msg) {
     if let Some(hash) = net.trace {
-        net.trace = Some(traced(hash, &grebepath_core::wire::frame::write(msg)));
+        net.trace = Some(traced(hash, &grebepath_core::protocol::frame::write(msg)));
     }
     if let Some(all) = &mut net.weights {
         let text = format!("{msg:?}");
         let kind = text.split([' ', '(', '{']).next().unwrap_or_default();
         let cell = all.entry(format!("{way} {kind}")).or_default();
         cell.0 += 1;
-        cell.1 += grebepath_core::wire::frame::write(msg).len() as u64;
+        cell.1 += grebepath_core::protocol::frame::write(msg).len() as u64;
     }
 }
 
--- a/crates/simulator/src/oracle.rs
+++ b/crates/simulator/src/oracle.rs
@@ -3,7 +3,7 @@
 //! answer is without asking anyone.
 
 use grebepath_core::digest::hash;
-use grebepath_core::luck::mix;
+use grebepath_core::random::mix;
 
 /// Records that each service holds for any question.
 const HELD: u64 = 60;
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -31,10 +31,10 @@
     }
     let (over, most) = rules::retries(&w.rules);
     let worst = w.backs.leafs.values().max_by_key(|l| l.worst_pct);
-    let orders = |want: fn(&grebepath_core::wire::msg::Done) -> bool| {
+    let orders = |want: fn(&grebepath_core::protocol::message::Done) -> bool| {
         w.orders.iter().filter(|o| o.done.as_ref().is_some_and(want)).count()
     };
-    use grebepath_core::wire::msg::Done;
+    use grebepath_core::protocol::message::Done;
     json!({
         "violations": w.rules.counts,
         "first": w.rules.found.iter().take(10).map(|v| json!({
--- a/crates/simulator/src/hollow/cli.rs
+++ b/crates/simulator/src/scale_model/cli.rs
@@ -3,10 +3,10 @@
 use bpaf::{OptionParser, Parser, construct, long};
 use grebepath_core::time::SECOND;
 
-use super::fan;
-use super::phases::{Wish, measure};
-use super::plan::Size;
-use super::show;
+use crate::scale_model::fan;
+use crate::scale_model::phases::{Wish, measure};
+use crate::scale_model::plan::Size;
+use crate::scale_model::show;
 
 /// What the caller wants.
 pub struct Args {
--- a/crates/simulator/src/hollow/cost.rs
+++ b/crates/simulator/src/scale_model/cost.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use grebepath_core::wire::msg::Msg;
+use grebepath_core::protocol::message::Msg;
 use rustix::time::{ClockId, clock_gettime};
 
 /// Messages and their bytes.
--- a/crates/simulator/src/hollow/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -2,22 +2,23 @@
 
 use std::rc::Rc;
 
-use grebepath_core::cohort::step as qstep;
-use grebepath_core::cohort::watch as wat;
-use grebepath_core::disk::write;
-use grebepath_core::edge::list;
-use grebepath_core::names::Seat;
-use grebepath_core::seats::roll;
-use grebepath_core::state::core as st;
-use grebepath_core::state::step as cstep;
+use grebepath_core::control_plane::controller as st;
+use grebepath_core::control_plane::step as cstep;
+use grebepath_core::http_api::list;
+use grebepath_core::identifiers::Seat;
+use grebepath_core::membership::node_agent as wat;
+use grebepath_core::membership::step as qstep;
+use grebepath_core::protocol::frame;
+use grebepath_core::protocol::message::{Msg, Word};
+use grebepath_core::storage::writer;
 use grebepath_core::time::{BOOT, MILLI, ms};
-use grebepath_core::wire::frame;
-use grebepath_core::wire::msg::{Msg, Word};
+use grebepath_core::voters::voter_file;
 
-use super::cost::{add, kind, timed};
-use super::plan;
 use super::world::*;
-use crate::vdisk::{self, Job};
+use crate::scale_model::cost::{add, kind, timed};
+use crate::scale_model::plan;
+use crate::simulated_disk;
+use crate::simulated_disk::Job;
 
 /// Messages from here on are kept once however many get them (bytes): it
 /// saves this process's memory and changes no count.
@@ -55,7 +56,7 @@
         }
         Hap::SeatTakes { s, life, event } if alive(w, s, life) => step_seat(w, s, *event),
         Hap::Disk { s, life, part, token } if alive(w, s, life) => {
-            let event = match vdisk::done(&mut w.seats[s].disk, part, token) {
+            let event = match simulated_disk::done(&mut w.seats[s].disk, part, token) {
                 Some(Ok(())) => st::Event::Synced { part, token },
                 Some(Err(why)) => st::Event::DiskTrouble { part, why },
                 None => return,
@@ -63,7 +64,7 @@
             step_seat(w, s, event);
         }
         Hap::Kept { s, life, token } if alive(w, s, life) => {
-            let event = match vdisk::kept(&mut w.seats[s].disk, token) {
+            let event = match simulated_disk::kept(&mut w.seats[s].disk, token) {
                 Some(Ok(())) => st::Event::Kept { token },
                 Some(Err(why)) => st::Event::RollTrouble { why },
                 None => return,
@@ -160,9 +161,9 @@
         // Nobody moves here: all wires are as they were.
         st::Command::Seats => {}
         st::Command::Keep { token, roll, clear } => {
-            add(&mut w.seats[s].meter.disk, roll::write(&roll).len());
+            add(&mut w.seats[s].meter.disk, voter_file::write(&roll).len());
             let disk = &mut w.seats[s].disk;
-            if let Some(at) = vdisk::keep(disk, w.now, token, roll, clear, &mut w.luck) {
+            if let Some(at) = simulated_disk::keep(disk, w.now, token, roll, clear, &mut w.luck) {
                 push_at(w, at, Hap::Kept { s, life, token });
             }
         }
@@ -173,11 +174,11 @@
             push_at(w, at, Hap::FrontGets { f, life, from, raw });
         }
         st::Command::Append { part, token, rec } => {
-            add(&mut w.seats[s].meter.disk, write::rec(0, 0, &rec).len());
+            add(&mut w.seats[s].meter.disk, writer::rec(0, 0, &rec).len());
             job(w, s, part, token, Job::Append(rec));
         }
         st::Command::Slot { part, token, copy } => {
-            add(&mut w.seats[s].meter.disk, write::slot(part.0, 0, &copy).len());
+            add(&mut w.seats[s].meter.disk, writer::slot(part.0, 0, &copy).len());
             job(w, s, part, token, Job::Slot(copy));
         }
         st::Command::Look { part } => {
@@ -219,9 +220,9 @@
     raw
 }
 
-fn job(w: &mut World, s: usize, part: grebepath_core::names::PartId, token: u64, job: Job) {
+fn job(w: &mut World, s: usize, part: grebepath_core::identifiers::PartId, token: u64, job: Job) {
     let life = w.seats[s].life;
-    let at = vdisk::begin(&mut w.seats[s].disk, w.now, part, token, job, &mut w.luck);
+    let at = simulated_disk::begin(&mut w.seats[s].disk, w.now, part, token, job, &mut w.luck);
     if let Some(at) = at {
         push_at(w, at, Hap::Disk { s, life, part, token });
     }
--- a/crates/simulator/src/hollow/fan.rs
+++ b/crates/simulator/src/scale_model/fan.rs
@@ -5,18 +5,18 @@
 use std::sync::Arc;
 
 use grebepath_core::config::{build, read};
-use grebepath_core::edge::leaf::{Heads, Raw, postmark};
-use grebepath_core::query::ask::{Ask, Outcome};
-use grebepath_core::query::desk::{Command, Desk, Event, Sending, desk};
-use grebepath_core::query::share::share;
-use grebepath_core::query::step::step;
+use grebepath_core::http_api::leaf::{Heads, Raw, postmark};
+use grebepath_core::query::dispatch::step;
+use grebepath_core::query::engine::{Command, Desk, Event, Sending, desk};
+use grebepath_core::query::quota::share;
+use grebepath_core::query::request::{Ask, Outcome};
+use grebepath_core::snapshot::cluster_view;
+use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, MILLI, SECOND, Tick};
-use grebepath_core::view::leafs::LeafInfo;
-use grebepath_core::view::whole;
 use serde_json::json;
 
-use super::cost::timed;
-use super::plan;
+use crate::scale_model::cost::timed;
+use crate::scale_model::plan;
 
 /// Queries that are measured (count), after as many that are not.
 const QUERIES: u64 = 20;
@@ -45,13 +45,13 @@
     let conf = plan::config(leafs).to_string();
     let conf = read::whole(conf.as_bytes()).and_then(|c| build::build(&c)).unwrap_or_default();
     let leaf = |n: usize| LeafInfo { age_ms: plan::OLD_MS, ..plan::leaf(n, leafs) };
-    let view = whole::view(1, Arc::new(conf), (0..leafs).map(leaf).collect());
+    let view = cluster_view::view(1, Arc::new(conf), (0..leafs).map(leaf).collect());
     let mut d = desk("front", &plan::name(0), 1, BOOT);
     let members: Vec<(String, u32)> = (0..of).map(|n| (format!("front-{n}"), 1)).collect();
     step(&mut d, BOOT, Event::View(Arc::new(view)));
     step(&mut d, BOOT, Event::Share(share(&members, "front-0", 0)));
     step(&mut d, BOOT, Event::Grip(Tick::MAX));
-    step(&mut d, BOOT, Event::Door(grebepath_core::query::desk::Door::Open));
+    step(&mut d, BOOT, Event::Door(grebepath_core::query::engine::Door::Open));
     d
 }
 
--- a/crates/simulator/src/hollow/phases.rs
+++ b/crates/simulator/src/scale_model/phases.rs
@@ -1,13 +1,16 @@
 //! What is done with a hollow fleet, and what is read off it.
 
+use grebepath_core::protocol::message::{Deed, Done};
 use grebepath_core::time::{MILLI, SECOND, Span, Tick};
-use grebepath_core::wire::msg::{Deed, Done};
 use serde_json::json;
 
-use super::cost::{self, Cell, Meter, Ways};
-use super::plan::{self, Size};
-use super::weight;
-use super::world::{self, Hap, World};
+use crate::scale_model::cost;
+use crate::scale_model::cost::{Cell, Meter, Ways};
+use crate::scale_model::plan;
+use crate::scale_model::plan::Size;
+use crate::scale_model::weight;
+use crate::scale_model::world;
+use crate::scale_model::world::{Hap, World};
 
 /// Longest time that anything here may take before it is given up.
 const PATIENCE: Span = 60 * SECOND;
@@ -145,12 +148,14 @@
 }
 
 /// What it takes to read all leafs that are held and to make a view of them.
-fn view(w: &grebepath_core::cohort::watch::Watch) -> u64 {
+fn view(w: &grebepath_core::membership::node_agent::Watch) -> u64 {
     let mut took = 0;
     cost::timed(&mut took, || {
-        let list =
-            w.held.values().flat_map(|h| grebepath_core::state::leafs::all(&h.map).into_values());
-        grebepath_core::view::whole::view(w.built_rev, w.built.clone(), list.collect())
+        let list = w
+            .held
+            .values()
+            .flat_map(|h| grebepath_core::control_plane::endpoints::all(&h.map).into_values());
+        grebepath_core::snapshot::cluster_view::view(w.built_rev, w.built.clone(), list.collect())
     });
     took
 }
@@ -158,7 +163,12 @@
 fn operate(w: &mut World, op: u64, deed: Deed) {
     let life = w.seats[0].life;
     let request = format!("order-{op}");
-    let event = grebepath_core::state::core::Event::Operate { op, request, expect: None, deed };
+    let event = grebepath_core::control_plane::controller::Event::Operate {
+        op,
+        request,
+        expect: None,
+        deed,
+    };
     world::push(w, MILLI, Hap::SeatTakes { s: 0, life, event: Box::new(event) });
 }
 
--- a/crates/simulator/src/hollow/plan.rs
+++ b/crates/simulator/src/scale_model/plan.rs
@@ -1,9 +1,9 @@
 //! The plan of a hollow fleet: its zones, its leafs and its configuration.
 
-use grebepath_core::luck::{Luck, below};
-use grebepath_core::names::Seat;
+use grebepath_core::identifiers::Seat;
+use grebepath_core::random::{Luck, below};
+use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{Span, ms};
-use grebepath_core::view::leafs::LeafInfo;
 use serde_json::{Value, json};
 
 /// Zones (count), and the regions they lie in (count): issue 11.
@@ -81,7 +81,10 @@
     let shard = shard(n, leafs);
     let labels = [("zone", name(zone(n))), ("cut", "w48".into()), ("shard", format!("{shard}"))];
     LeafInfo {
-        leaf: format!("index-shard-{shard:04}-{:08x}", grebepath_core::luck::mix(n as u64) as u32),
+        leaf: format!(
+            "index-shard-{shard:04}-{:08x}",
+            grebepath_core::random::mix(n as u64) as u32
+        ),
         service: service(shard),
         addr: format!("10.{}.{}.{}:8080", n >> 16, (n >> 8) & 255, n & 255),
         labels: labels.into_iter().map(|(k, v)| (k.to_string(), v)).collect(),
--- a/crates/simulator/src/hollow/show.rs
+++ b/crates/simulator/src/scale_model/show.rs
@@ -5,8 +5,8 @@
 
 use grebepath_core::time::{MILLI, SECOND, Span};
 
-use super::cost::{Cell, Meter};
-use super::phases::{Event, Found, Sum};
+use crate::scale_model::cost::{Cell, Meter};
+use crate::scale_model::phases::{Event, Found, Sum};
 
 /// All lines of one size.
 pub fn text(f: &Found) -> String {
--- a/crates/simulator/src/hollow/weight.rs
+++ b/crates/simulator/src/scale_model/weight.rs
@@ -2,12 +2,12 @@
 //! has no allocator of its own: lengths are exact, what the allocator adds is
 //! taken from the constants below. The process's own memory checks the sum.
 
-use grebepath_core::cohort::watch::Watch;
 use grebepath_core::config::build::Built;
-use grebepath_core::state::core::Core;
-use grebepath_core::view::leafs::LeafInfo;
-use grebepath_core::view::whole::View;
-use grebepath_core::wire::msg::{Cohort, Map, Member};
+use grebepath_core::control_plane::controller::Core;
+use grebepath_core::membership::node_agent::Watch;
+use grebepath_core::protocol::message::{Cohort, Map, Member};
+use grebepath_core::snapshot::cluster_view::View;
+use grebepath_core::snapshot::leafs::LeafInfo;
 
 /// What the allocator adds to a block (bytes).
 const BLOCK: usize = 16;
--- a/crates/simulator/src/hollow/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -3,21 +3,26 @@
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
 
-use grebepath_core::cohort::step as qstep;
-use grebepath_core::cohort::watch::{self as wat, Watch};
 use grebepath_core::consts;
-use grebepath_core::luck::{Luck, below, luck};
-use grebepath_core::names::{PartId, Seat, parts};
-use grebepath_core::seats::roll::{self, Start};
-use grebepath_core::state::core::{self as st, Core};
-use grebepath_core::state::step as cstep;
+use grebepath_core::control_plane::controller as st;
+use grebepath_core::control_plane::controller::Core;
+use grebepath_core::control_plane::step as cstep;
+use grebepath_core::identifiers::{PartId, Seat, parts};
+use grebepath_core::membership::node_agent as wat;
+use grebepath_core::membership::node_agent::Watch;
+use grebepath_core::membership::step as qstep;
+use grebepath_core::protocol::message::{Done, Life, Member};
+use grebepath_core::random::{Luck, below, luck};
+use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, MILLI, Span, Tick, ms};
-use grebepath_core::view::leafs::LeafInfo;
-use grebepath_core::wire::msg::{Done, Life, Member};
+use grebepath_core::voters::voter_file;
+use grebepath_core::voters::voter_file::Start;
 
-use super::cost::{Cell, Meter, Ways};
-use super::plan::{self, Size};
-use crate::vdisk::{self, Disk};
+use crate::scale_model::cost::{Cell, Meter, Ways};
+use crate::scale_model::plan;
+use crate::scale_model::plan::Size;
+use crate::simulated_disk;
+use crate::simulated_disk::Disk;
 
 /// What happens, and to whom. A life ends with its process.
 pub enum Hap {
@@ -127,7 +132,7 @@
     for s in 0..consts::SEATS as usize {
         w.seats.push(SeatNode {
             core: st::core(Default::default(), ("", ""), Vec::new(), 0, BOOT),
-            disk: vdisk::disk(parts().count()),
+            disk: simulated_disk::disk(parts().count()),
             up: false,
             life: 0,
             began: 0,
@@ -203,7 +208,7 @@
 
 /// Starts a controller on its disk.
 pub fn start_seat(w: &mut World, s: usize) {
-    let seed = grebepath_core::luck::draw(&mut w.luck);
+    let seed = grebepath_core::random::draw(&mut w.luck);
     let start = Start {
         seat: Some(s as Seat),
         first: w.now == BEGIN,
@@ -212,15 +217,17 @@
         addr: plan::seat_addr(s),
     };
     let disk = &mut w.seats[s].disk;
-    let bare = vdisk::bare(disk);
-    let (roll, clear) = roll::begin(vdisk::roll(disk), &start, bare, seed);
-    vdisk::put_roll(disk, &roll, clear);
-    let found = vdisk::start(disk);
+    let bare = simulated_disk::bare(disk);
+    let (roll, clear) = voter_file::begin(simulated_disk::roll(disk), &start, bare, seed);
+    simulated_disk::put_roll(disk, &roll, clear);
+    let found = simulated_disk::start(disk);
     let list = found
         .into_iter()
         .map(|(part, found)| match found {
-            grebepath_core::disk::read::Found::Good { copy, .. } => (part, Life::Formed, copy, 0),
-            _ => (part, Life::Empty, grebepath_core::disk::rec::Copy::default(), 0),
+            grebepath_core::storage::reader::Found::Good { copy, .. } => {
+                (part, Life::Formed, copy, 0)
+            }
+            _ => (part, Life::Empty, grebepath_core::storage::record::Copy::default(), 0),
         })
         .collect();
     let n = &mut w.seats[s];
@@ -240,11 +247,11 @@
 pub fn kill_seat(w: &mut World, s: usize) {
     let n = &mut w.seats[s];
     n.up = false;
-    for (part, token) in vdisk::waiting(&n.disk) {
-        vdisk::done(&mut n.disk, part, token);
+    for (part, token) in simulated_disk::waiting(&n.disk) {
+        simulated_disk::done(&mut n.disk, part, token);
     }
-    for token in vdisk::rolls(&n.disk) {
-        vdisk::kept(&mut n.disk, token);
+    for token in simulated_disk::rolls(&n.disk) {
+        simulated_disk::kept(&mut n.disk, token);
     }
 }
 
@@ -288,7 +295,7 @@
         }
         let hap = entry.remove();
         w.now = w.now.max(at);
-        super::does::happen(w, hap);
+        crate::scale_model::does::happen(w, hap);
     }
     w.now = end;
 }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -3,14 +3,15 @@
 
 use std::fmt;
 
-use grebepath_core::lang::finding::{Finding, find};
+use grebepath_core::routing_language::diagnostic::{Finding, find};
 use grebepath_core::time::{SECOND, ms};
 use serde_json::Value;
 
-use crate::backs::{self, Alive, ListMode, Mode, ZONES};
+use crate::mock_backends;
+use crate::mock_backends::{Alive, ListMode, Mode, ZONES};
 use crate::net::{Node, cut};
+use crate::simulated_disk::Health;
 use crate::spec::{self, Spec};
-use crate::vdisk::Health;
 use crate::world::{self, DueKey, World};
 
 /// A whole scenario.
@@ -324,7 +325,7 @@
         "kill-seat" => {
             world::kill_seat(w, which, val["power"].as_bool().unwrap_or(false));
             if val["lose"].as_bool().unwrap_or(false) {
-                crate::vdisk::lose(&mut w.seats[which].disk);
+                crate::simulated_disk::lose(&mut w.seats[which].disk);
                 w.lost_disks += 1;
             }
             if let Some(span) = lasts {
@@ -363,8 +364,8 @@
             }
         }
         "flip" => {
-            let mut luck = grebepath_core::luck::luck(grebepath_core::luck::draw(&mut w.luck));
-            crate::vdisk::flip(&mut w.seats[which].disk, &mut luck);
+            let mut luck = grebepath_core::random::luck(grebepath_core::random::draw(&mut w.luck));
+            crate::simulated_disk::flip(&mut w.seats[which].disk, &mut luck);
         }
         "cut" => cuts(w, val),
         "heal" => {
@@ -419,7 +420,7 @@
     }
     for s in lose {
         if let Some(n) = w.seats.get_mut(s) {
-            crate::vdisk::lose(&mut n.disk);
+            crate::simulated_disk::lose(&mut n.disk);
             w.lost_disks += 1;
         }
     }
@@ -443,11 +444,11 @@
     };
     let service = service.clone();
     for i in 0..val["count"].as_u64().unwrap_or(1) as usize {
-        let zone = val["zone"].as_str().unwrap_or(backs::ZONES[i % 3]).to_string();
-        let addr = backs::address(&w.backs);
-        backs::begin(&mut w.backs, service.clone(), &zone, addr, now);
+        let zone = val["zone"].as_str().unwrap_or(mock_backends::ZONES[i % 3]).to_string();
+        let addr = mock_backends::address(&w.backs);
+        mock_backends::begin(&mut w.backs, service.clone(), &zone, addr, now);
     }
-    backs::changed(&mut w.backs, now);
+    mock_backends::changed(&mut w.backs, now);
 }
 
 /// All troubles end: from now on the fleet has 12 s to be whole again.
@@ -472,7 +473,7 @@
             world::start_querier(w, q);
         }
     }
-    for zone in backs::ZONES {
+    for zone in mock_backends::ZONES {
         world::order(w, 0, world::drain(zone, false));
     }
     expect_back(w, 0);
@@ -539,12 +540,12 @@
                     service = known.map_or(service, |l| l.service.clone());
                     service.name = by.to_string();
                 }
-                backs::begin(&mut w.backs, service, &zone, addr, now);
+                mock_backends::begin(&mut w.backs, service, &zone, addr, now);
             }
             _ => {}
         }
     }
-    backs::changed(&mut w.backs, now);
+    mock_backends::changed(&mut w.backs, now);
 }
 
 /// Runs a scenario to its end.
--- a/crates/simulator/src/vdisk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -2,13 +2,14 @@
 //! would, written and read by the same functions, and it can lose power in
 //! the middle of anything.
 
-use grebepath_core::disk::read::{Found, read};
-use grebepath_core::disk::rec::{Copy, Rec};
-use grebepath_core::disk::write;
-use grebepath_core::luck::{Luck, below, chance};
-use grebepath_core::names::PartId;
-use grebepath_core::seats::roll::{self, Roll};
+use grebepath_core::identifiers::PartId;
+use grebepath_core::random::{Luck, below, chance};
+use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::record::{Copy, Rec};
+use grebepath_core::storage::writer;
 use grebepath_core::time::{Span, Tick, ms};
+use grebepath_core::voters::voter_file;
+use grebepath_core::voters::voter_file::Roll;
 
 /// One part's files and what is being written.
 ///
@@ -119,7 +120,7 @@
     if clear {
         set_aside(d);
     }
-    d.roll = Some(roll::write(&roll));
+    d.roll = Some(voter_file::write(&roll));
     Some(Ok(()))
 }
 
@@ -131,7 +132,7 @@
 /// The roll as a start finds it; what was not kept is forgotten.
 pub fn roll(d: &mut Disk) -> Option<Roll> {
     d.rolls.clear();
-    roll::read(d.roll.as_deref()?)
+    voter_file::read(d.roll.as_deref()?)
 }
 
 /// Writes the roll of a start, which waits for it.
@@ -139,7 +140,7 @@
     if clear {
         set_aside(d);
     }
-    d.roll = Some(roll::write(roll));
+    d.roll = Some(voter_file::write(roll));
 }
 
 fn set_aside(d: &mut Disk) {
@@ -171,16 +172,16 @@
     Some(match job {
         Job::Append(_) if !files.open => Err("no log is open since the last trouble".into()),
         Job::Append(rec) => {
-            let raw = write::rec(files.seq, files.num, &rec);
+            let raw = writer::rec(files.seq, files.num, &rec);
             files.log.get_or_insert_default().extend(raw);
             files.num += 1;
             Ok(())
         }
         Job::Slot(copy) => {
             files.seq += 1;
-            let raw = write::slot(part.0, files.seq, &copy);
+            let raw = writer::slot(part.0, files.seq, &copy);
             files.slots[(files.seq % 2) as usize] = Some(raw);
-            files.log = Some(write::log_head(part.0, files.seq));
+            files.log = Some(writer::log_head(part.0, files.seq));
             files.num = 0;
             files.open = true;
             Ok(())
@@ -218,7 +219,7 @@
     match job {
         Job::Append(_) if !f.open => false,
         Job::Append(rec) => {
-            let mut raw = write::rec(f.seq, f.num, &rec);
+            let mut raw = writer::rec(f.seq, f.num, &rec);
             if !whole {
                 let keep = below(luck, raw.len() as u64) as usize;
                 if chance(luck, 1, 2) {
@@ -234,7 +235,7 @@
         }
         Job::Slot(copy) => {
             let seq = f.seq + 1;
-            let mut raw = write::slot(part.0, seq, &copy);
+            let mut raw = writer::slot(part.0, seq, &copy);
             let torn = chance(luck, 1, 2);
             if torn {
                 raw.truncate(below(luck, raw.len() as u64) as usize);
@@ -243,7 +244,7 @@
             if !torn {
                 f.seq = seq;
                 if whole {
-                    f.log = Some(write::log_head(part.0, seq));
+                    f.log = Some(writer::log_head(part.0, seq));
                     f.num = 0;
                     return true;
                 }
@@ -294,8 +295,8 @@
                 f.open = false;
                 if !full {
                     f.seq += 1;
-                    f.slots[(f.seq % 2) as usize] = Some(write::slot(part.0, f.seq, copy));
-                    f.log = Some(write::log_head(part.0, f.seq));
+                    f.slots[(f.seq % 2) as usize] = Some(writer::slot(part.0, f.seq, copy));
+                    f.log = Some(writer::log_head(part.0, f.seq));
                     f.num = 0;
                     f.open = true;
                 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -58,7 +58,7 @@
     let read = caller::read_post(&k.search, Some(&budget), body.to_string().as_bytes());
     let Ok(ask) = read else { return };
     let t = (id % u64::from(THREADS)) as usize;
-    push(w, 10, Hap::ToDesk { q, life, t, event: desk::Event::Ask { call: id, ask } });
+    push(w, 10, Hap::ToDesk { q, life, t, event: engine::Event::Ask { call: id, ask } });
 }
 
 pub(super) fn tampered(w: &mut World, kind: usize, outcome: Outcome) -> Outcome {
@@ -69,7 +69,7 @@
         {
             let cut = w.kinds[kind].shards[0].0.clone();
             let planned = w.kinds[kind].shards.iter().filter(|s| s.0 == cut).count();
-            return Outcome::Full(grebepath_core::query::ask::Full {
+            return Outcome::Full(grebepath_core::query::request::Full {
                 query: b.query.clone().unwrap_or_default(),
                 mapping: w.kinds[kind].search.clone(),
                 cut,
--- a/crates/simulator/src/world/deviations.rs
+++ b/crates/simulator/src/world/deviations.rs
@@ -158,7 +158,7 @@
     let restarts = !matches!(fault, Fault::Gone) && w.seats[s].stopping.is_none();
     kill_seat(w, s, !matches!(fault, Fault::Kill));
     if fault == Fault::DiskLost {
-        vdisk::lose(&mut w.seats[s].disk);
+        simulated_disk::lose(&mut w.seats[s].disk);
         w.lost_disks += 1;
     }
     w.deviations.losses += usize::from(fault == Fault::DiskLost || !restarts);
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -18,7 +18,7 @@
         sending.body = std::sync::Arc::new(body);
     }
     // Whatever becomes of it, the sender gives up at the end of its budget.
-    let event = desk::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
+    let event = engine::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
     push(w, sending.budget, Hap::ToDesk { q, life, t, event });
     // Giving up closes the connection, which the leaf sees a moment later.
     let key = (q, life, t, sending.dispatch);
@@ -38,7 +38,7 @@
     }
     let qzone = w.queriers[q].zone.clone();
     let after = latency(&qzone, zone, &mut w.luck) + w.net.slow;
-    push(w, after, Hap::ToDesk { q, life, t, event: desk::Event::Reply { dispatch, got } });
+    push(w, after, Hap::ToDesk { q, life, t, event: engine::Event::Reply { dispatch, got } });
 }
 
 pub(super) fn leaf_gets(w: &mut World, (q, life, t): (usize, u64, usize), s: Sending) {
@@ -59,7 +59,7 @@
     let known = w.wires.get(&wire) == Some(&name);
     if !known && w.broken != Some(Broken::NoGreeting) {
         if misdirected {
-            let raw = backs::turned_away(l, now, MISDIRECTED);
+            let raw = mock_backends::turned_away(l, now, MISDIRECTED);
             return answer(w, key, &zone, Ok(raw));
         }
         w.wires.insert(wire, name);
@@ -69,31 +69,31 @@
     let who = &w.queriers[q].name;
     rules::arrives(&mut w.rules, now - BEGIN, who, &name, &l.service.name, &s.service);
     if misdirected {
-        let raw = backs::turned_away(l, now, MISDIRECTED);
+        let raw = mock_backends::turned_away(l, now, MISDIRECTED);
         return answer(w, key, &zone, Ok(raw));
     }
     if digest(&s.body) != s.digest {
-        let raw = backs::turned_away(l, now, 400);
+        let raw = mock_backends::turned_away(l, now, 400);
         return answer(w, key, &zone, Ok(raw));
     }
     l.live += 1;
-    let bear = backs::bears(l, now);
+    let bear = mock_backends::bears(l, now);
     l.worst_pct = l.worst_pct.max(l.live * 100 / bear);
     l.over += u64::from(l.live > bear);
-    let (live, fresh) = (l.live, backs::fresh(l, now));
+    let (live, fresh) = (l.live, mock_backends::fresh(l, now));
     if fresh {
         rules::carries(&mut w.rules, now - BEGIN, &name, live, bear);
     }
-    if l.mode == backs::Mode::Unrun || live > bear * 3 {
+    if l.mode == mock_backends::Mode::Unrun || live > bear * 3 {
         l.live -= 1;
-        let raw = backs::turned_away(l, now, 503);
+        let raw = mock_backends::turned_away(l, now, 503);
         if l.leaving {
             learn(w, &name);
         }
         return answer(w, key, &zone, Ok(raw));
     }
     l.ran += 1;
-    let took = backs::takes(l, now, &mut w.luck);
+    let took = mock_backends::takes(l, now, &mut w.luck);
     let asked: Value = serde_json::from_slice(&s.body).unwrap_or(Value::Null);
     let question = asked["question"].as_str().unwrap_or_default();
     rules::runs(&mut w.rules, now - BEGIN, &name, question);
@@ -121,9 +121,9 @@
     if l.alive != Alive::Up {
         return;
     }
-    let mut raw = backs::reply(l, now, &r.sending);
+    let mut raw = mock_backends::reply(l, now, &r.sending);
     let asked: Value = serde_json::from_slice(&r.sending.body).unwrap_or(Value::Null);
-    if backs::true_reply(l.mode, asked["limit"].as_u64().unwrap_or(0)) {
+    if mock_backends::true_reply(l.mode, asked["limit"].as_u64().unwrap_or(0)) {
         let question = asked["question"].as_str().unwrap_or_default();
         rules::answers(&mut w.rules, &l.service.name, &r.sending.id, question);
     }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -2,35 +2,41 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebepath_core::cohort::step as qstep;
-use grebepath_core::cohort::watch::{self as wat, Watch};
 use grebepath_core::config::{change, types::Config};
 use grebepath_core::consts;
+use grebepath_core::control_plane::controller as st;
+use grebepath_core::control_plane::controller::{Core, Event as CoreEvent};
+use grebepath_core::control_plane::step as cstep;
 use grebepath_core::digest::digest;
-use grebepath_core::disk::read::Found;
-use grebepath_core::disk::rec::Copy;
-use grebepath_core::edge::leaf::{Heads, MISDIRECTED, Raw, Trouble};
-use grebepath_core::edge::{caller, list};
-use grebepath_core::luck::{Luck, below, draw, luck};
-use grebepath_core::names::{PartId, Seat, parts};
-use grebepath_core::query::ask::Outcome;
-use grebepath_core::query::desk::{self, Desk, Door, Sending, desk};
-use grebepath_core::query::step as dstep;
-use grebepath_core::seats::roll::{self, Start};
-use grebepath_core::seats::table::seat_of;
-use grebepath_core::state::core::{self as st, Core, Event as CoreEvent};
-use grebepath_core::state::step as cstep;
+use grebepath_core::http_api::leaf::{Heads, MISDIRECTED, Raw, Trouble};
+use grebepath_core::http_api::{caller, list};
+use grebepath_core::identifiers::{PartId, Seat, parts};
+use grebepath_core::membership::node_agent as wat;
+use grebepath_core::membership::node_agent::Watch;
+use grebepath_core::membership::step as qstep;
+use grebepath_core::protocol::message::{Deed, Done, Life, Member, Msg, Word};
+use grebepath_core::query::dispatch as dstep;
+use grebepath_core::query::engine;
+use grebepath_core::query::engine::{Desk, Door, Sending, desk};
+use grebepath_core::query::request::Outcome;
+use grebepath_core::random::{Luck, below, draw, luck};
+use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::record::Copy;
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
-use grebepath_core::view::leafs::LeafInfo;
-use grebepath_core::wire::msg::{Deed, Done, Life, Member, Msg, Word};
+use grebepath_core::voters::voter_file;
+use grebepath_core::voters::voter_file::Start;
+use grebepath_core::voters::voter_set::seat_of;
 use serde_json::{Value, json};
 
-use crate::backs::{self, Alive, VBacks, ZONES};
 use crate::check::{Asked, success};
+use crate::mock_backends;
+use crate::mock_backends::{Alive, VBacks, ZONES};
 use crate::net::{Net, Node, latency, send, weigh};
 use crate::rules::{self, Rules};
+use crate::simulated_disk;
+use crate::simulated_disk::{Disk, Health, Job};
 use crate::spec::{Kind, Spec};
-use crate::vdisk::{self, Disk, Health, Job};
 
 mod callers;
 mod deviations;
@@ -132,7 +138,7 @@
         q: usize,
         life: u64,
         t: usize,
-        event: desk::Event,
+        event: engine::Event,
     },
     DeskWake {
         q: usize,
@@ -374,7 +380,7 @@
         core,
         opened: BTreeSet::new(),
         queriers: Vec::new(),
-        backs: backs::backs(spec, BEGIN),
+        backs: mock_backends::backs(spec, BEGIN),
         kinds: spec.kinds.clone(),
         factor: 1.0,
         platform: Vec::new(),
@@ -524,7 +530,7 @@
             if w.seats[s].disk.health == Health::Stalled {
                 return;
             }
-            let event = match vdisk::done(&mut w.seats[s].disk, part, token) {
+            let event = match simulated_disk::done(&mut w.seats[s].disk, part, token) {
                 Some(Ok(())) => CoreEvent::Synced { part, token },
                 Some(Err(why)) => CoreEvent::DiskTrouble { part, why },
                 None => return,
@@ -538,7 +544,7 @@
             if w.seats[s].disk.health == Health::Stalled {
                 return;
             }
-            match vdisk::kept(&mut w.seats[s].disk, token) {
+            match simulated_disk::kept(&mut w.seats[s].disk, token) {
                 Some(Ok(())) => step_seat(w, s, CoreEvent::Kept { token }),
                 Some(Err(why)) => step_seat(w, s, CoreEvent::RollTrouble { why }),
                 None => {}
@@ -567,7 +573,7 @@
         Hap::ToDesk { q, life, t, event } if live(w, q, life) => step_desk(w, q, t, event),
         Hap::DeskWake { q, life, t, at } if live(w, q, life) && w.queriers[q].wakes[t] == at => {
             w.queriers[q].wakes[t] = 0;
-            step_desk(w, q, t, desk::Event::Wake);
+            step_desk(w, q, t, engine::Event::Wake);
         }
         Hap::LeafGets { q, life, t, sending } => leaf_gets(w, (q, life, t), *sending),
         Hap::LeafDone { run } => leaf_done(w, run),
@@ -654,7 +660,7 @@
 
 /// Whether this machine's controller has a seat.
 pub fn seated(n: &SeatNode) -> bool {
-    n.core.seat != grebepath_core::seats::table::NOBODY
+    n.core.seat != grebepath_core::voters::voter_set::NOBODY
 }
 
 /// The machines that are up and have a seat.
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -17,7 +17,7 @@
         .map(|t| {
             let name = format!("{}-{t}-{:x}", n.name, n.life);
             let mut desk = desk(&name, &n.zone, seed ^ u64::from(t), BOOT);
-            desk.slot = grebepath_core::query::share::slot(&n.name, t);
+            desk.slot = grebepath_core::query::quota::slot(&n.name, t);
             desk
         })
         .collect();
@@ -63,8 +63,9 @@
     let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.rev)).collect();
     for (part, rev) in places {
         if rev > 0 && !seen(w, q, part, rev) {
-            let sum =
-                grebepath_core::state::leader::sum(&w.queriers[q].watch.held[&PartId(part)].map);
+            let sum = grebepath_core::replication::leader::sum(
+                &w.queriers[q].watch.held[&PartId(part)].map,
+            );
             rules::same(&mut w.rules, w.now - BEGIN, part, rev, sum);
         }
     }
@@ -123,30 +124,30 @@
                 view = std::sync::Arc::new(own);
             }
             for t in 0..THREADS as usize {
-                let event = desk::Event::View(view.clone());
+                let event = engine::Event::View(view.clone());
                 push(w, 20, Hap::ToDesk { q, life, t, event });
             }
         }
         wat::Command::Shares(list) => {
             for t in 0..THREADS {
                 let name = w.queriers[q].name.clone();
-                let mut share = grebepath_core::query::share::share(&list, &name, t);
+                let mut share = grebepath_core::query::quota::share(&list, &name, t);
                 if w.broken == Some(Broken::NoShare) && !share.slots.is_empty() {
                     share.slots = vec![share.mine];
                 }
-                let event = desk::Event::Share(share);
+                let event = engine::Event::Share(share);
                 push(w, 20, Hap::ToDesk { q, life, t: t as usize, event });
             }
         }
         wat::Command::Peers(list) => {
-            let peers = grebepath_core::query::share::peers(&list);
+            let peers = grebepath_core::query::quota::peers(&list);
             for t in 0..THREADS as usize {
-                push(w, 20, Hap::ToDesk { q, life, t, event: desk::Event::Peers(peers.clone()) });
+                push(w, 20, Hap::ToDesk { q, life, t, event: engine::Event::Peers(peers.clone()) });
             }
         }
         wat::Command::Door(door) => {
             for t in 0..THREADS as usize {
-                push(w, 20, Hap::ToDesk { q, life, t, event: desk::Event::Door(door) });
+                push(w, 20, Hap::ToDesk { q, life, t, event: engine::Event::Door(door) });
             }
             if door == Door::Stopping {
                 later(w, ms(20), DueKey::EndQuerier(q, life));
@@ -154,7 +155,7 @@
         }
         wat::Command::Grip(until) => {
             for t in 0..THREADS as usize {
-                push(w, 20, Hap::ToDesk { q, life, t, event: desk::Event::Grip(until) });
+                push(w, 20, Hap::ToDesk { q, life, t, event: engine::Event::Grip(until) });
             }
         }
         wat::Command::Ready(ready) => w.queriers[q].ready = ready,
@@ -183,7 +184,7 @@
 }
 
 /// Hides that leafs leave.
-pub(super) fn deafen(view: &mut grebepath_core::view::whole::View) {
+pub(super) fn deafen(view: &mut grebepath_core::snapshot::cluster_view::View) {
     let hide = |l: &std::sync::Arc<LeafInfo>| {
         let mut own = (**l).clone();
         own.leaving = false;
@@ -206,7 +207,7 @@
 
 pub(super) fn list_asked(w: &mut World, q: usize, life: u64) {
     let now = w.now;
-    let Some(text) = backs::list(&mut w.backs, now) else { return list_late(w, q, life) };
+    let Some(text) = mock_backends::list(&mut w.backs, now) else { return list_late(w, q, life) };
     let got = match list::read(text.as_bytes()) {
         Ok((list, _)) => {
             for l in list.iter().filter(|l| l.leaving) {
@@ -239,7 +240,7 @@
         return;
     }
     let Some(l) = w.backs.at.get(&info.addr).and_then(|n| w.backs.leafs.get(n)) else { return };
-    if l.alive != Alive::Up || l.mode == backs::Mode::Dark {
+    if l.alive != Alive::Up || l.mode == mock_backends::Mode::Dark {
         return;
     }
     let mut word = Word { leaf: info.leaf.clone(), ..Word::default() };
@@ -258,12 +259,12 @@
     push(w, ms(1), Hap::ToWatch { q, life, event });
 }
 
-pub(super) fn step_desk(w: &mut World, q: usize, t: usize, event: desk::Event) {
+pub(super) fn step_desk(w: &mut World, q: usize, t: usize, event: engine::Event) {
     let local = w.now - w.queriers[q].began + BOOT;
     let deaf = w.broken == Some(Broken::IgnoreLeaving);
     let n = &mut w.queriers[q];
     if w.broken == Some(Broken::NoRule) {
-        grebepath_core::query::rule::slack(&mut n.desks[t].rule, 1_000_000);
+        grebepath_core::query::retry_budget::slack(&mut n.desks[t].rule, 1_000_000);
     }
     let todo = dstep::step(&mut n.desks[t], local, event);
     if deaf {
@@ -285,16 +286,16 @@
     }
 }
 
-pub(super) fn desk_does(w: &mut World, q: usize, t: usize, command: desk::Command) {
+pub(super) fn desk_does(w: &mut World, q: usize, t: usize, command: engine::Command) {
     let life = w.queriers[q].life;
     match command {
-        desk::Command::Send(sending) => dispatch(w, (q, life, t), sending),
-        desk::Command::Drop { dispatch } => {
+        engine::Command::Send(sending) => dispatch(w, (q, life, t), sending),
+        engine::Command::Drop { dispatch } => {
             let after = ms(1);
             push(w, after, Hap::LeafDrop { key: (q, life, t, dispatch) });
         }
-        desk::Command::Tell { call, outcome } => outcome_told(w, call, outcome),
-        desk::Command::Word { service, word } => {
+        engine::Command::Tell { call, outcome } => outcome_told(w, call, outcome),
+        engine::Command::Word { service, word } => {
             if w.broken != Some(Broken::IgnoreLeaving) {
                 push(w, 20, Hap::ToWatch { q, life, event: wat::Event::Word { service, word } });
             }
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -8,7 +8,7 @@
 /// One more machine for a controller, with an empty disk; gives its number.
 pub fn add_seat(w: &mut World, zone: Option<&str>) -> usize {
     let s = w.seats.len();
-    let disk = vdisk::disk(parts().count());
+    let disk = simulated_disk::disk(parts().count());
     let core = st::core(Default::default(), ("", ""), Vec::new(), 0, 1);
     let zone = zone.unwrap_or(ZONES[s % ZONES.len()]).to_string();
     w.seats.push(SeatNode {
@@ -36,10 +36,10 @@
         addr: address(s),
     };
     let disk = &mut w.seats[s].disk;
-    let bare = vdisk::bare(disk);
-    let (roll, clear) = roll::begin(vdisk::roll(disk), &start, bare, seed);
-    vdisk::put_roll(disk, &roll, clear);
-    let found = vdisk::start(disk);
+    let bare = simulated_disk::bare(disk);
+    let (roll, clear) = voter_file::begin(simulated_disk::roll(disk), &start, bare, seed);
+    simulated_disk::put_roll(disk, &roll, clear);
+    let found = simulated_disk::start(disk);
     let forgets = w.broken == Some(Broken::Amnesia) && bare && !start.first;
     let list = found
         .into_iter()
@@ -102,7 +102,7 @@
         CoreEvent::FromSeat { seat, holder, msg, .. } => {
             let table = &core.seating.roll.table;
             *holder = table.seats.get(usize::from(*seat)).map_or(0, |h| h.holder);
-            if let Some(stamp) = grebepath_core::seats::seating::stamped(msg) {
+            if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(msg) {
                 *stamp = core.seating.stamp;
             }
         }
@@ -135,14 +135,14 @@
     w.seats[s].life += 1;
     if power {
         let mut luck = luck(draw(&mut w.luck));
-        vdisk::power_loss(&mut w.seats[s].disk, &mut luck);
+        simulated_disk::power_loss(&mut w.seats[s].disk, &mut luck);
     } else {
         // What was handed to the system is written whether we live or not.
-        for (part, token) in vdisk::waiting(&w.seats[s].disk) {
-            vdisk::done(&mut w.seats[s].disk, part, token);
+        for (part, token) in simulated_disk::waiting(&w.seats[s].disk) {
+            simulated_disk::done(&mut w.seats[s].disk, part, token);
         }
-        for token in vdisk::rolls(&w.seats[s].disk) {
-            vdisk::kept(&mut w.seats[s].disk, token);
+        for token in simulated_disk::rolls(&w.seats[s].disk) {
+            simulated_disk::kept(&mut w.seats[s].disk, token);
         }
     }
 }
@@ -178,7 +178,7 @@
         seat_does(w, s, command);
     }
     if w.seats[s].stopping.is_some()
-        && grebepath_core::seats::handover::may_end(&w.seats[s].core, local)
+        && grebepath_core::voters::handover::may_end(&w.seats[s].core, local)
     {
         end_seat(w, s);
     }
@@ -201,7 +201,8 @@
         // Wires are not played; who is new tells its table when it is heard.
         st::Command::Seats => {}
         st::Command::Keep { token, roll, clear } => {
-            let at = vdisk::keep(&mut w.seats[s].disk, w.now, token, roll, clear, &mut w.luck);
+            let at =
+                simulated_disk::keep(&mut w.seats[s].disk, w.now, token, roll, clear, &mut w.luck);
             if let Some(at) = at {
                 push_at(w, at, Hap::Kept { s, life, token });
             }
@@ -233,7 +234,7 @@
         st::Command::Slot { part, token, copy } => disk_job(w, s, part, token, Job::Slot(copy)),
         st::Command::Look { part } => {
             if w.seats[s].disk.health != Health::Stalled && w.broken != Some(Broken::NoLook) {
-                let trouble = vdisk::look(&w.seats[s].disk, part);
+                let trouble = simulated_disk::look(&w.seats[s].disk, part);
                 push(w, ms(3), Hap::ToSeat { s, life, event: CoreEvent::Looked { part, trouble } });
             }
         }
@@ -269,7 +270,7 @@
 
 pub(super) fn disk_job(w: &mut World, s: usize, part: PartId, token: u64, job: Job) {
     let life = w.seats[s].life;
-    let at = vdisk::begin(&mut w.seats[s].disk, w.now, part, token, job, &mut w.luck);
+    let at = simulated_disk::begin(&mut w.seats[s].disk, w.now, part, token, job, &mut w.luck);
     if let Some(at) = at {
         push_at(w, at, Hap::Disk { s, life, part, token });
     }
@@ -283,10 +284,11 @@
     let was = std::mem::replace(&mut w.seats[s].disk.health, health);
     if was == Health::Stalled && health != Health::Stalled {
         let life = w.seats[s].life;
-        for (i, (part, token)) in vdisk::waiting(&w.seats[s].disk).into_iter().enumerate() {
+        for (i, (part, token)) in simulated_disk::waiting(&w.seats[s].disk).into_iter().enumerate()
+        {
             push(w, ms(2 + i as u64), Hap::Disk { s, life, part, token });
         }
-        for token in vdisk::rolls(&w.seats[s].disk) {
+        for token in simulated_disk::rolls(&w.seats[s].disk) {
             push(w, ms(2), Hap::Kept { s, life, token });
         }
     }
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -4,8 +4,8 @@
 
 mod common;
 
+use grebepath_core::protocol::message::Done;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
-use grebepath_core::wire::msg::Done;
 use grebepath_simulator::net::{Node, cut};
 use grebepath_simulator::world::{self, DueKey, World};
 
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -4,8 +4,8 @@
 
 mod common;
 
+use grebepath_core::protocol::message::Done;
 use grebepath_core::time::{SECOND, ms};
-use grebepath_core::wire::msg::Done;
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
 use grebepath_simulator::world::{self, Broken, World, seats_whole};
@@ -17,8 +17,9 @@
 fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
     let val = json!({ "name": "handover", "seconds": seconds, "queriers": 4, "factor": 0.02,
                       "seats": seats, "controllers": controllers, "troubles": troubles });
-    read(val.to_string().as_bytes(), &common::load)
-        .unwrap_or_else(|all| panic!("{}", grebepath_core::lang::finding::lines(&all)))
+    read(val.to_string().as_bytes(), &common::load).unwrap_or_else(|all| {
+        panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all))
+    })
 }
 
 /// Orders all the time.
--- a/crates/simulator/tests/hollow.rs
+++ b/crates/simulator/tests/hollow.rs
@@ -2,10 +2,11 @@
 
 use googletest::prelude::*;
 use grebepath_core::time::SECOND;
-use grebepath_simulator::hollow::phases::{Found, Wish, measure};
-use grebepath_simulator::hollow::plan::{self, Size};
-use grebepath_simulator::hollow::show;
-use grebepath_simulator::hollow::world;
+use grebepath_simulator::scale_model::phases::{Found, Wish, measure};
+use grebepath_simulator::scale_model::plan;
+use grebepath_simulator::scale_model::plan::Size;
+use grebepath_simulator::scale_model::show;
+use grebepath_simulator::scale_model::world;
 
 fn found(members: usize, leafs: usize, seed: u64) -> Found {
     let wish = Wish { calm: 4 * SECOND, single: true, restarts: true };
@@ -66,7 +67,7 @@
     let built = grebepath_core::config::build::build(&conf).unwrap();
     expect_that!(built.mappings["wide"].shards.len(), eq(1_300));
     let w = world::world(Size { members: 3, leafs: 30 }, 1);
-    let (list, wrong) = grebepath_core::edge::list::read(w.list.as_bytes()).unwrap();
+    let (list, wrong) = grebepath_core::http_api::list::read(w.list.as_bytes()).unwrap();
     expect_that!(list.len(), eq(30));
     expect_that!(wrong.len(), eq(0));
 }
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -4,8 +4,8 @@
 
 mod common;
 
+use grebepath_core::protocol::message::Done;
 use grebepath_core::time::SECOND;
-use grebepath_core::wire::msg::Done;
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
 use grebepath_simulator::world::{self, World, seats_whole};
@@ -19,8 +19,9 @@
     troubles.extend(more);
     let val = json!({ "name": "long-history", "seconds": seconds, "queriers": 4, "factor": 0.02,
                       "seats": 3, "controllers": 3, "troubles": troubles });
-    read(val.to_string().as_bytes(), &common::load)
-        .unwrap_or_else(|all| panic!("{}", grebepath_core::lang::finding::lines(&all)))
+    read(val.to_string().as_bytes(), &common::load).unwrap_or_else(|all| {
+        panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all))
+    })
 }
 
 fn accepted(w: &World) -> usize {
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -5,8 +5,8 @@
 
 use grebepath_core::config::change;
 use grebepath_core::digest::digest;
+use grebepath_core::protocol::message::{Deed, Done};
 use grebepath_core::time::{SECOND, ms};
-use grebepath_core::wire::msg::{Deed, Done};
 use grebepath_simulator::linearizability::{
     Answer, AttemptNumber, Base, Effect, Recorder, Verdict, check,
 };
@@ -180,7 +180,7 @@
     }
 }
 
-fn objects(map: &grebepath_core::wire::msg::Map) -> Option<(Objects, u64)> {
+fn objects(map: &grebepath_core::protocol::message::Map) -> Option<(Objects, u64)> {
     let config = change::config(map).ok()?;
     let state = |drained| if drained { "drained" } else { "open" }.to_string();
     let zones = config.zones.values().map(|z| (z.name.clone(), state(z.drained))).collect();
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -5,8 +5,8 @@
 mod common;
 mod operators;
 
-use grebepath_core::luck::{below, chance, luck};
-use grebepath_core::wire::msg::Done;
+use grebepath_core::protocol::message::Done;
+use grebepath_core::random::{below, chance, luck};
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Trouble, befall, drawn, read};
 use grebepath_simulator::world::{self, World};
@@ -25,7 +25,7 @@
         "seats": 3, "controllers": 4 });
     match read(value.to_string().as_bytes(), &common::load) {
         Ok(scenario) => site(&scenario, seed),
-        Err(all) => panic!("{}", grebepath_core::lang::finding::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all)),
     }
 }
 
@@ -44,7 +44,7 @@
 
 /// The machine whose controller leads the configuration.
 fn leader(world: &World) -> Option<usize> {
-    use grebepath_core::state::part::Role;
+    use grebepath_core::replication::partition::Role;
     let leads = |n: &world::SeatNode| matches!(&n.core.parts[0].role, Role::Leader(o) if o.serves);
     world.seats.iter().position(|n| n.up && leads(n))
 }
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -37,7 +37,7 @@
     let text = std::fs::read(format!("{dir}/{name}")).unwrap();
     let mut s = match read(&text, &common::load) {
         Ok(s) => s,
-        Err(all) => panic!("{name}: {}", grebepath_core::lang::finding::lines(&all)),
+        Err(all) => panic!("{name}: {}", grebepath_core::routing_language::diagnostic::lines(&all)),
     };
     // An overload must stay one, and a load that a tenth can't bear too.
     let heavy = ["restart-no-age.json", "weak-leafs.json"];
@@ -111,7 +111,7 @@
     let w = play(&s, 5, None);
     assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
     match &w.orders[1].done {
-        Some(grebepath_core::wire::msg::Done::Unknown { why }) => {
+        Some(grebepath_core::protocol::message::Done::Unknown { why }) => {
             assert!(why.contains("q0 (obeys 1)") && why.contains("q6 (obeys 1)"), "{why}");
         }
         other => panic!("{other:?}"),
--- a/crates/simulator/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -3,8 +3,8 @@
 
 mod common;
 
+use grebepath_core::protocol::message::Done;
 use grebepath_core::time::{SECOND, ms};
-use grebepath_core::wire::msg::Done;
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
 use grebepath_simulator::world::{self, Broken, World, seats_whole};
@@ -15,7 +15,7 @@
                       "seats": seats, "controllers": controllers, "troubles": troubles });
     match read(val.to_string().as_bytes(), &common::load) {
         Ok(s) => s,
-        Err(all) => panic!("{}", grebepath_core::lang::finding::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all)),
     }
 }
 
@@ -88,7 +88,10 @@
     let s = scene(3, 3, 20, vec![storm(60), spare("a"), kill]);
     let w = play(&s, 5, None);
     assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
-    assert_eq!((holder(&w, 1), w.seats[3].core.seat), (None, grebepath_core::seats::table::NOBODY));
+    assert_eq!(
+        (holder(&w, 1), w.seats[3].core.seat),
+        (None, grebepath_core::voters::voter_set::NOBODY)
+    );
 }
 
 #[test]
@@ -127,7 +130,7 @@
         sound("cut off", &s, |w, _| {
             assert_eq!(holder(w, cut as u8), Some(3));
             // The old holder is a spare now, under another name.
-            assert_eq!(w.seats[cut].core.seat, grebepath_core::seats::table::NOBODY);
+            assert_eq!(w.seats[cut].core.seat, grebepath_core::voters::voter_set::NOBODY);
         });
     }
 }
@@ -243,7 +246,7 @@
             matches!(w.orders[id].done, Some(Done::Accepted { .. }))
         };
         let spares: Vec<usize> = (0..5)
-            .filter(|n| w.seats[*n].core.seat == grebepath_core::seats::table::NOBODY)
+            .filter(|n| w.seats[*n].core.seat == grebepath_core::voters::voter_set::NOBODY)
             .collect();
         assert_eq!(spares.len(), 2);
         for spare in &spares {
@@ -251,7 +254,7 @@
         }
         // With the owner gone it finds the next one, or takes the seat itself.
         let owner = w.seats.iter().position(|n| {
-            matches!(n.core.parts[0].role, grebepath_core::state::part::Role::Leader(_))
+            matches!(n.core.parts[0].role, grebepath_core::replication::partition::Role::Leader(_))
         });
         world::kill_seat(w, owner.unwrap(), false);
         for spare in spares {
