--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -9,11 +9,11 @@
 
 use std::time::{Duration, Instant};
 
-use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
 use grebepath_core::control_plane::order_memory;
 use grebepath_core::control_plane::order_memory::Recall;
 use grebepath_core::control_plane::step::{WAKE, step};
-use grebepath_core::protocol::message::{Deed, Done, Map, Msg};
+use grebepath_core::protocol::message::{Map, Message, Operation, OperationResult};
 use grebepath_core::storage::writer;
 use grebepath_core::time::{BOOT, Tick};
 use grebepath_core::voters::voter_file::{Start, begin};
@@ -22,7 +22,7 @@
 
 /// A controller and what its orders have cost so far.
 struct Controller {
-    core: Core,
+    core: ControllerState,
     now: Tick,
     next_op: u64,
     accepted: u64,
@@ -43,10 +43,12 @@
     let routes = numbers.next().unwrap_or(350);
     let orders = numbers.next().unwrap_or(20_000);
     let mut controller = controller();
-    while controller.core.parts[0].shown_rev == 0 && controller.now < BOOT + 10_000_000 {
+    while controller.core.partitions[0].committed_revision == 0
+        && controller.now < BOOT + 10_000_000
+    {
         wake(&mut controller);
         if controller.next_op == 0 {
-            operate(&mut controller, "first", Deed::Whole(whole(routes)));
+            operate(&mut controller, "first", Operation::Whole(whole(routes)));
         }
     }
     println!(
@@ -60,13 +62,13 @@
         for number in begin..end {
             let change = json!({ "zones": [{ "name": "z", "state": "open" }],
                 "terms": { "after": number + 1, "edition": number + 2 } });
-            let deed = Deed::Patch(change.to_string().into_bytes());
+            let deed = Operation::Patch(change.to_string().into_bytes());
             let request = grebepath_core::digest::digest(&number.to_le_bytes());
             operate(&mut controller, &request, deed);
         }
         print(&controller, begin, end);
     }
-    memory_alone(&controller.core.parts[0].copy.map, orders);
+    memory_alone(&controller.core.partitions[0].copy.map, orders);
 }
 
 /// Times what the memory of orders does for each of them, on a full map.
@@ -88,7 +90,7 @@
 
 fn print(controller: &Controller, begin: u64, end: u64) {
     let (cost, count) = (&controller.cost, end - begin);
-    let copy = &controller.core.parts[0].copy;
+    let copy = &controller.core.partitions[0].copy;
     println!(
         "{:>6}..{:<6} {:>9.1} {:>8.1} {:>9.1} {:>7} {:>11}",
         begin,
@@ -105,7 +107,7 @@
 fn controller() -> Controller {
     let addr = "127.0.0.1:1".to_string();
     let seeds = vec![addr.clone()];
-    let start = Start { seat: Some(0), first: true, seeds, size: 1, addr: addr.clone() };
+    let start = Start { slot: Some(0), first: true, seeds, size: 1, addr: addr.clone() };
     let (roll, _) = begin(None, &start, true, 5);
     let core = core(roll, (&addr, "a"), Vec::new(), 7, BOOT);
     Controller { core, now: BOOT, next_op: 0, accepted: 0, cost: Cost::default() }
@@ -133,7 +135,7 @@
 }
 
 /// Sends an order and waits until it is accepted.
-fn operate(controller: &mut Controller, request: &str, deed: Deed) {
+fn operate(controller: &mut Controller, request: &str, deed: Operation) {
     let op = controller.next_op;
     controller.next_op += 1;
     let request = request.to_string();
@@ -157,23 +159,28 @@
         controller.cost.processor += begin.elapsed();
         for command in commands {
             match command {
-                Command::Append { part, token, rec } => {
+                Command::Append { partition, token, rec } => {
                     controller.cost.log_bytes += writer::rec(1, 1, &rec).len();
-                    if let grebepath_core::storage::record::Rec::Change { epoch, rev, entries } =
-                        rec
+                    if let grebepath_core::storage::record::LogRecord::Change {
+                        term,
+                        revision,
+                        entries,
+                    } = rec
                     {
-                        let change = Msg::Append { part, epoch, rev, entries };
+                        let change = Message::Append { partition, term, revision, entries };
                         controller.cost.message_bytes += change.serialize_bin().len();
                     }
-                    queue.push(Event::Synced { part, token });
+                    queue.push(Event::Synced { partition, token });
                 }
-                Command::Slot { part, token, copy } => {
+                Command::Slot { partition, token, copy } => {
                     controller.cost.slots += 1;
-                    controller.cost.slot_bytes += writer::slot(part.0, 1, &copy).len();
-                    queue.push(Event::Synced { part, token });
+                    controller.cost.slot_bytes += writer::slot(partition.0, 1, &copy).len();
+                    queue.push(Event::Synced { partition, token });
                 }
                 Command::Keep { token, .. } => queue.push(Event::Kept { token }),
-                Command::Tell { done: Done::Accepted { .. }, .. } => controller.accepted += 1,
+                Command::Tell { done: OperationResult::Accepted { .. }, .. } => {
+                    controller.accepted += 1
+                }
                 Command::Tell { done, .. } => panic!("not accepted: {done:?}"),
                 _ => {}
             }
--- a/crates/core/src/config/build.rs
+++ b/crates/core/src/config/build.rs
@@ -7,7 +7,7 @@
 
 use super::types::{Class, Config, Form, Search, Steer, Terms};
 use crate::routing_language::compile::{Policy, Send, compile};
-use crate::routing_language::diagnostic::{Finding, find};
+use crate::routing_language::diagnostic::{Diagnostic, find};
 use crate::routing_language::parser::selector;
 use crate::routing_language::selector::{Labels, Selector, fits};
 use crate::time::{Span, ms};
@@ -20,7 +20,7 @@
 /// Invariants: `shards` is not empty, its names are in order and each stands
 /// once; all its pools hold the cut `cut`; no service stands under two shards.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Mapping {
+pub struct Route {
     pub name: String,
     pub class: Class,
     pub promise: Span,
@@ -63,8 +63,8 @@
     pub bears: u32,
     pub ramp: Span,
     pub steer: Steer,
-    /// Most wires that a leaf takes from all nodes; zero if not said.
-    pub wires: u32,
+    /// Most connections that a leaf takes from all nodes; zero if not said.
+    pub connections: u32,
     /// Thousandths of a dispatch that a cold leaf bears a second.
     pub cold_rate: u32,
 }
@@ -72,7 +72,7 @@
 /// A checked configuration.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct Built {
-    pub mappings: IndexMap<String, Mapping>,
+    pub mappings: IndexMap<String, Route>,
     pub drained: BTreeSet<String>,
     pub terms: Terms,
 }
@@ -83,7 +83,7 @@
 }
 
 /// Builds all mappings, or tells everything that is wrong.
-pub fn build(conf: &Config) -> Result<Built, Vec<Finding>> {
+pub fn build(conf: &Config) -> Result<Built, Vec<Diagnostic>> {
     let mut all = Vec::new();
     let mut plans: BTreeMap<&str, (PoolPlan, &Labels)> = BTreeMap::new();
     for pool in conf.pools.values() {
@@ -96,7 +96,7 @@
             bears: pool.bears.max(1),
             ramp: ms(u64::from(pool.ramp_ms)),
             steer: Steer::try_from(pool.steer).unwrap_or(Steer::Share),
-            wires: pool.wires,
+            connections: pool.connections,
             cold_rate: pool.cold_rate,
         };
         plans.insert(&pool.name, (plan, &pool.labels));
@@ -137,8 +137,8 @@
     policy: &Policy,
     plans: &BTreeMap<&str, (PoolPlan, &Labels)>,
     at: &str,
-    all: &mut Vec<Finding>,
-) -> Option<Mapping> {
+    all: &mut Vec<Diagnostic>,
+) -> Option<Route> {
     let plan_at = format!("{at}.plan");
     let mut cuts: BTreeSet<&str> = BTreeSet::new();
     let mut shards: BTreeMap<&str, Vec<PoolPlan>> = BTreeMap::new();
@@ -178,7 +178,7 @@
     if all.len() > before {
         return None;
     }
-    Some(Mapping {
+    Some(Route {
         name: s.name.clone(),
         class: Class::try_from(s.class).unwrap_or(Class::Ordinary),
         promise: ms(s.promise_ms),
--- a/crates/core/src/config/read.rs
+++ b/crates/core/src/config/read.rs
@@ -7,13 +7,13 @@
 
 use super::types::{Class, Config, Form, Patch, Pool, Search, Steer, Terms, Turn, Zone};
 use crate::consts;
-use crate::routing_language::diagnostic::{Finding, find};
+use crate::routing_language::diagnostic::{Diagnostic, find};
 
 /// Longest name of anything (bytes).
 const NAME_LIMIT: usize = 128;
 
 /// Parses the text and reads a whole configuration.
-pub fn whole(text: &[u8]) -> Result<Config, Vec<Finding>> {
+pub fn whole(text: &[u8]) -> Result<Config, Vec<Diagnostic>> {
     let mut all = Vec::new();
     let conf = match top(text, &["searches", "pools", "zones", "terms", "keep_zones"], &mut all) {
         Some(map) => {
@@ -27,7 +27,7 @@
 }
 
 /// Parses the text and reads a partial configuration.
-pub fn patch(text: &[u8]) -> Result<Patch, Vec<Finding>> {
+pub fn patch(text: &[u8]) -> Result<Patch, Vec<Diagnostic>> {
     let mut all = Vec::new();
     let mut out = Patch::default();
     if let Some(map) = top(text, &["searches", "pools", "zones", "terms", "remove"], &mut all) {
@@ -47,7 +47,7 @@
     if all.is_empty() { Ok(out) } else { Err(all) }
 }
 
-fn top(text: &[u8], keys: &[&str], all: &mut Vec<Finding>) -> Option<Map<String, Value>> {
+fn top(text: &[u8], keys: &[&str], all: &mut Vec<Diagnostic>) -> Option<Map<String, Value>> {
     match serde_json::from_slice::<Value>(text) {
         Err(e) => {
             find(all, format!("$:{}:{}", e.line(), e.column()), format!("not JSON: {e}"));
@@ -64,14 +64,14 @@
     }
 }
 
-fn known(map: &Map<String, Value>, at: &str, keys: &[&str], all: &mut Vec<Finding>) {
+fn known(map: &Map<String, Value>, at: &str, keys: &[&str], all: &mut Vec<Diagnostic>) {
     for key in map.keys().filter(|k| !keys.contains(&k.as_str())) {
         let place = if at == "$" { key.clone() } else { format!("{at}.{key}") };
         find(all, place, format!("unknown field; known are {}", keys.join(", ")));
     }
 }
 
-fn names(map: &Map<String, Value>, key: &str, all: &mut Vec<Finding>) -> Vec<String> {
+fn names(map: &Map<String, Value>, key: &str, all: &mut Vec<Diagnostic>) -> Vec<String> {
     let at = format!("remove.{key}");
     let Some(val) = map.get(key) else { return Vec::new() };
     let Some(list) = val.as_array() else {
@@ -88,7 +88,7 @@
     out
 }
 
-fn config(map: &Map<String, Value>, all: &mut Vec<Finding>) -> Config {
+fn config(map: &Map<String, Value>, all: &mut Vec<Diagnostic>) -> Config {
     Config {
         searches: list(map, "searches", all, search),
         pools: list(map, "pools", all, pool),
@@ -99,7 +99,7 @@
 }
 
 /// Reads what a change says of the terms.
-fn turn(map: &Map<String, Value>, all: &mut Vec<Finding>) -> Turn {
+fn turn(map: &Map<String, Value>, all: &mut Vec<Diagnostic>) -> Turn {
     let Some(val) = map.get("terms") else { return Turn::default() };
     let Some(map) = val.as_object() else {
         find(all, "terms", "expected an object");
@@ -126,7 +126,7 @@
 fn list<T>(
     map: &Map<String, Value>,
     key: &str,
-    all: &mut Vec<Finding>,
+    all: &mut Vec<Diagnostic>,
     read: impl Fn(&mut Object) -> Option<(String, T)>,
 ) -> BTreeMap<String, T> {
     let mut out = BTreeMap::new();
@@ -156,7 +156,7 @@
 struct Object<'a> {
     map: &'a Map<String, Value>,
     at: String,
-    all: &'a mut Vec<Finding>,
+    all: &'a mut Vec<Diagnostic>,
     seen: Vec<&'static str>,
 }
 
@@ -352,7 +352,7 @@
             Steer::Share
         }
     } as i32;
-    let wires = number(o, "wires", 0, u64::from(u32::MAX), Some(0)) as u32;
+    let connections = number(o, "wires", 0, u64::from(u32::MAX), Some(0)) as u32;
     let cold_rate = number(o, "cold_rate", 0, u64::from(u32::MAX), Some(0)) as u32;
     let origin = text(o, "origin", false);
     let place = number(o, "place", 0, u64::from(u32::MAX), Some(0)) as u32;
@@ -364,7 +364,7 @@
         bears,
         ramp_ms,
         steer,
-        wires,
+        connections,
         cold_rate,
         origin,
         place,
--- a/crates/core/src/config/show.rs
+++ b/crates/core/src/config/show.rs
@@ -64,8 +64,8 @@
     if p.steer == Steer::Seen as i32 {
         out["steer"] = json!("seen");
     }
-    if p.wires > 0 {
-        out["wires"] = json!(p.wires);
+    if p.connections > 0 {
+        out["wires"] = json!(p.connections);
     }
     if p.cold_rate > 0 {
         out["cold_rate"] = json!(p.cold_rate);
--- a/crates/core/src/config/types.rs
+++ b/crates/core/src/config/types.rs
@@ -97,7 +97,7 @@
     #[prost(uint64, tag = "1")]
     pub edition: u64,
     /// Most bytes of a call's head and body; how long a head may take and a
-    /// wire may idle. Zero: our own default.
+    /// connection may idle. Zero: our own default.
     #[prost(uint64, tag = "2")]
     pub head_max: u64,
     #[prost(uint64, tag = "3")]
@@ -141,9 +141,9 @@
     pub ramp_ms: u32,
     #[prost(enumeration = "Steer", tag = "7")]
     pub steer: i32,
-    /// Most wires that a leaf takes from all nodes; zero if not said.
+    /// Most connections that a leaf takes from all nodes; zero if not said.
     #[prost(uint32, tag = "8")]
-    pub wires: u32,
+    pub connections: u32,
     /// Thousandths of a dispatch that a cold leaf bears a second.
     #[prost(uint32, tag = "9")]
     pub cold_rate: u32,
--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -19,8 +19,8 @@
 pub const SEATS: u64 = 3;
 /// Most seats (count): seven machines lost at once is beyond any brief.
 pub const SEATS_MAX: u8 = 15;
-/// Distance between a seat's epochs (count): above the most seats, and the same
-/// for any number of them, so that an epoch is one seat's for ever.
+/// Distance between a seat's terms (count): above the most seats, and the same
+/// for any number of them, so that an term is one seat's for ever.
 pub const EPOCH_STRIDE: u64 = 16;
 /// How often an owner shows its replicas that it lives. A fifth of the
 /// election wait, so that four lost beats in a row do not cost an owner.
@@ -33,7 +33,7 @@
 /// Random part of the wait before a claim; breaks ties between seats.
 pub const CLAIM_JITTER: Span = ms(150);
 /// The same for a seat that has just started and heard of no owner yet: long
-/// enough for the other seats' wires to come up and their first beats.
+/// enough for the other seats' connections to come up and their first beats.
 pub const OWNER_BOOT: Span = ms(150);
 /// Extra wait per rank then.
 pub const CLAIM_BOOT_STAGGER: Span = ms(100);
@@ -100,37 +100,37 @@
 /// Least time between two tellings of the table to one that has another.
 pub const TABLE_AGAIN: Span = ms(200);
 
-// ---- wires between our processes -----------------------------------------
+// ---- connections between our processes -----------------------------------------
 
 /// Bytes of one piece of a message (bytes). Large messages travel in pieces
 /// so that a beat waits behind at most one of them.
 pub const PIECE: usize = 64 * 1024;
 /// Largest whole message (bytes): a configuration of several MiB with room.
 pub const MESSAGE_LIMIT: usize = 64 * 1024 * 1024;
-/// Messages a wire may have waiting (count) before new ones are dropped;
+/// Messages a connection may have waiting (count) before new ones are dropped;
 /// every message of ours may be lost and is sent again by its owner.
 pub const WIRE_BUFFER: usize = 1_024;
-/// Wait before a lost wire is tried again; doubles up to `WIRE_RETRY_MAX`, so
+/// Wait before a lost connection is tried again; doubles up to `WIRE_RETRY_MAX`, so
 /// that machines that are gone for good cost little.
 pub const WIRE_RETRY: Span = ms(50);
 pub const WIRE_RETRY_MAX: Span = ms(1_000);
-/// A wire that is not up in this time is tried again: a machine without power
+/// A connection that is not up in this time is tried again: a machine without power
 /// says nothing, and the system would wait for minutes.
 pub const WIRE_DIAL: Span = ms(250);
-/// Bytes that nobody acknowledges for this long end a wire. Below the patience
-/// with a seat, so that a wire to a dead machine is not taken for a good one.
+/// Bytes that nobody acknowledges for this long end a connection. Below the patience
+/// with a seat, so that a connection to a dead machine is not taken for a good one.
 pub const WIRE_SILENCE: Span = ms(2_000);
-/// A wire on which nothing can be written for this long is cut.
+/// A connection on which nothing can be written for this long is cut.
 pub const WIRE_STALL: Span = 3 * SECOND;
 
 // ---- members --------------------------------------------------------------
 
-/// How often a member renews its tenure.
+/// How often a member renews its lease.
 pub const TENURE_BEAT: Span = ms(500);
 /// The same for a member that has none yet, and for one that lacks news it
 /// needs to serve at all.
 pub const TENURE_SEEK: Span = ms(100);
-/// How long a tenure lasts at the core without renewal.
+/// How long a lease lasts at the core without renewal.
 pub const TENURE: Span = 3 * SECOND;
 /// After this long without renewal, counted from when the renewal was sent, a
 /// member no longer trusts its share. Shorter than `TENURE`, so that it knows
@@ -140,24 +140,24 @@
 /// renewals over: two lost in a row.
 pub const TENURE_WORRY: Span = ms(1_100);
 /// A new owner of the configuration counts the old members as live for one
-/// tenure, since it has not heard them itself yet.
+/// lease, since it has not heard them itself yet.
 pub const TENURE_GRACE: Span = TENURE;
-/// How long an owner that knows of no cohort gathers members before it says
+/// How long an owner that knows of no membership gathers members before it says
 /// who they are; they seek ten times a second.
 pub const TENURE_GATHER: Span = ms(300);
-/// How often cohort members speak with each other when the core is not heard:
+/// How often membership members speak with each other when the core is not heard:
 /// between `COHORT_UNREST` and the end of a lease lie six rounds. Members' last
 /// renewals lie up to one renewal beat (two rounds) apart, which leaves four for
 /// proofs to go from neighbour to neighbour.
 pub const COHORT_BEAT: Span = ms(250);
 /// How often they do while the core's word is fresh: nothing rests on company
-/// then, and this only finds wires that have died before they are needed.
+/// then, and this only finds connections that have died before they are needed.
 pub const COHORT_CALM: Span = 2 * SECOND;
 /// Age of the core's word from which members speak at `COHORT_BEAT`: one
 /// renewal is lost. Two more beats before the grip would end at `TENURE_TRUST`.
 pub const COHORT_UNREST: Span = 2 * TENURE_BEAT;
 /// Neighbours each member speaks with (count): each member is heard by this
-/// many others, and the cost does not grow with the cohort.
+/// many others, and the cost does not grow with the membership.
 pub const COHORT_NEIGHBOURS: usize = 4;
 /// A member whose lease has run out serves on by proofs about the others no
 /// older than this. Like a lease, it is shorter than the 3 s in which a change
@@ -185,7 +185,7 @@
 /// Memberships that some member may still go by (count). More than that come to
 /// be only if that many leaders follow each other and none of them is heard.
 pub const MEMBERSHIPS_KEPT: usize = 8;
-/// A cohort member not heard for this long counts as silent.
+/// A membership member not heard for this long counts as silent.
 pub const COHORT_SILENCE: Span = ms(1_600);
 /// A lone cut-off member turns not ready after this long without the core, a
 /// second before it bounces: the platform checks readiness each second.
@@ -206,7 +206,7 @@
 /// to a large pool must not keep a light front busy building views.
 pub const VIEW_GAP: Span = ms(100);
 /// A starting querier that heard fewer than two seats waits this long
-/// before it takes its view from a ready cohort member alone.
+/// before it takes its view from a ready membership member alone.
 pub const START_PATIENCE: Span = 3 * SECOND;
 
 // ---- duties ---------------------------------------------------------------
@@ -234,7 +234,7 @@
 /// A probe that takes longer is given up.
 pub const PROBE_PATIENCE: Span = ms(1_000);
 /// Keys into which the probing is cut (count): enough to spread over a large
-/// cohort, few enough to find their holders at each beat.
+/// membership, few enough to find their holders at each beat.
 pub const PROBE_KEYS: u64 = 64;
 /// A leaf's age is told anew when it has grown by this factor, so that a leaf
 /// costs a handful of changes in its whole life.
@@ -287,14 +287,14 @@
 /// desk works on, and as many again that wait for it to look at them. More
 /// would only wait in memory.
 pub const DOOR_CALLS: usize = 2 * QUERIES_LIVE;
-/// Open wires of callers to one traffic thread's door (count). At a few KiB
+/// Open connections of callers to one traffic thread's door (count). At a few KiB
 /// each they take some ten MiB; further ones wait in the system's buffer. A
 /// small machine's 4,000 file handles leave as many again for everything else.
 pub const DOOR_WIRES: usize = 3_072;
-/// Open wires to the address at which readiness alone is asked (count).
+/// Open connections to the address at which readiness alone is asked (count).
 pub const CHECK_WIRES: usize = 32;
 /// Most bytes of a call's head and of its body, how long a head may take and a
-/// wire may idle, where the configuration does not say.
+/// connection may idle, where the configuration does not say.
 pub const HEAD_LEAST: usize = 8 * 1024;
 pub const HEAD_LIMIT: usize = 16 * 1024;
 pub const BODY_LIMIT: usize = 1024 * 1024;
@@ -328,7 +328,7 @@
 /// go, so that traffic that stops leaves no burst of second tries behind it.
 pub const RETRY_BURST: Span = ms(200);
 /// The small slack of the whole fleet (second tries per window), divided
-/// over the live cohort.
+/// over the live membership.
 pub const RETRY_SLACK: u64 = 20;
 
 // ---- leafs ----------------------------------------------------------------
@@ -417,11 +417,11 @@
 /// Leafs that a shard of one call may be offered to beyond its dispatches,
 /// because they could not be reached at all (count).
 pub const UNREACHED_MAX: usize = 3;
-/// Time a new wire to a leaf may take to come up.
+/// Time a new connection to a leaf may take to come up.
 pub const LEAF_CONNECT: Span = ms(250);
 /// Wires are left alone this long before a leaf would close them itself.
 pub const LEAF_IDLE_KEEP: Span = ms(1_000);
-/// Trust in an unused wire whose leaf does not say how long it may idle ...
+/// Trust in an unused connection whose leaf does not say how long it may idle ...
 pub const LEAF_IDLE_UNTOLD: Span = ms(500);
 /// ... and of one of our own kind, which closes only when it goes.
 pub const LEAF_WIRE_IDLE: Span = 60 * SECOND;
@@ -449,7 +449,7 @@
 pub const DRAIN_MAX: Span = 12 * SECOND;
 /// Operators' requests that a controller has in hand at once (count).
 pub const OPERATORS_AT_ONCE: usize = 32;
-/// Open wires of operators to a controller (count): with what each of them may
+/// Open connections of operators to a controller (count): with what each of them may
 /// have in hand, far below what a small machine has of memory.
 pub const OPERATOR_WIRES: usize = 256;
 /// Largest operator request (bytes).
--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -11,7 +11,7 @@
 use std::collections::VecDeque;
 
 use crate::consts;
-use crate::control_plane::controller::{Command, Core};
+use crate::control_plane::controller::{Command, ControllerState};
 use crate::control_plane::members::{Heard, Members, is_live};
 use crate::control_plane::retirement::has_left;
 use crate::protocol::message::Member;
@@ -34,10 +34,10 @@
 /// Tells the configuration's leader up to which revision changes are accepted.
 /// Only an operator who waits makes that worth a look at all members, and then
 /// now and again: until the first look nothing counts as accepted.
-pub fn look(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
+pub fn look(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     note_commits(core, now);
     let group = here(core);
-    let Role::Leader(leader) = &mut core.parts[0].role else { return };
+    let Role::Leader(leader) = &mut core.partitions[0].role else { return };
     let Some(until) = leader.waits.iter().map(|w| w.until).min() else {
         leader.obeyed = 0;
         return;
@@ -46,26 +46,26 @@
         return;
     }
     leader.look_at = now + consts::OBEY_LOOK;
-    let mut waited: Vec<u64> = leader.waits.iter().map(|w| w.rev).collect();
+    let mut waited: Vec<u64> = leader.waits.iter().map(|w| w.revision).collect();
     let names_needed = now + consts::OWNER_BEAT >= until;
     waited.sort_unstable_by(|a, b| b.cmp(a));
     waited.dedup();
     let accepted = waited.into_iter().find(|revision| is_accepted(&core.members, now, *revision));
-    let head = core.parts[0].copy.rev;
+    let head = core.partitions[0].copy.revision;
     let behind = names_needed.then(|| behind(&core.members, head));
-    let Role::Leader(leader) = &mut core.parts[0].role else { return };
+    let Role::Leader(leader) = &mut core.partitions[0].role else { return };
     // The names are needed only when somebody's patience ends.
     leader.behind = behind.unwrap_or_default();
     let accepted = accepted.unwrap_or(0);
     if leader.obeyed != accepted {
         leader.obeyed = accepted;
-        crate::replication::leader::settle(&mut core.parts[0], now, group, out);
+        crate::replication::leader::settle(&mut core.partitions[0], now, group, out);
     }
 }
 
 /// Remembers since when each revision is committed.
-fn note_commits(core: &mut Core, now: Tick) {
-    let Role::Leader(leader) = &core.parts[0].role else { return };
+fn note_commits(core: &mut ControllerState, now: Tick) {
+    let Role::Leader(leader) = &core.partitions[0].role else { return };
     let commits = &mut core.members.acceptance.commits;
     if leader.serves && commits.back().is_none_or(|(revision, _)| *revision < leader.done) {
         commits.push_back((leader.done, now));
@@ -80,14 +80,14 @@
     let Some((term, _)) = members.reign else { return false };
     // A leader that nobody handed a membership down to gathers members first.
     let knows_members =
-        members.log.is_inherited() && (!members.blind || members.cohort.epoch == term);
+        members.log.is_inherited() && (!members.blind || members.membership.term == term);
     knows_members && is_safe(members, now, revision) && is_in_force(members, now, revision)
 }
 
 /// Whether nobody can serve on by an older revision for longer than a lease.
 fn is_safe(members: &Members, now: Tick, revision: u64) -> bool {
     let older = members.log.older.iter().filter(|o| o.retired.is_none()).map(|o| &o.membership);
-    older.chain([&members.cohort]).all(|membership| {
+    older.chain([&members.membership]).all(|membership| {
         let list = &membership.members;
         let knows = |k: &&Member| {
             has_left(members, membership, k)
@@ -103,7 +103,7 @@
 
 /// Whether a revision is in force wherever we can wait for it.
 fn is_in_force(members: &Members, now: Tick, revision: u64) -> bool {
-    let list = &members.cohort.members;
+    let list = &members.membership.members;
     let heard = |k: &Member| members.heard.get(&k.name);
     let obeys = |k: &&Member| heard(k).is_some_and(|h| h.far.obeys >= revision);
     if 2 * list.iter().filter(obeys).count() > list.len() {
@@ -124,6 +124,6 @@
 /// The members that do not obey a revision, with what they obey.
 fn behind(members: &Members, revision: u64) -> Vec<String> {
     let obeys = |k: &Member| members.heard.get(&k.name).map_or(0, |h| h.far.obeys);
-    let list = members.cohort.members.iter().filter(|k| obeys(k) < revision);
+    let list = members.membership.members.iter().filter(|k| obeys(k) < revision);
     list.map(|k| format!("{} (obeys {})", k.name, obeys(k))).collect()
 }
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -6,18 +6,18 @@
 
 use crate::consts::ROT_LOOK;
 use crate::control_plane::members::Members;
-use crate::identifiers::{PartId, Seat, parts};
-use crate::protocol::message::{Deed, Done, Life, Msg};
-use crate::random::{Luck, luck, mix};
-use crate::replication::partition::{Part, part};
-use crate::storage::record::{Copy, Rec};
+use crate::identifiers::{PartitionId, VoterSlot, partitions};
+use crate::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
+use crate::random::{Random, luck, mix};
+use crate::replication::partition::{Partition, partition};
+use crate::storage::record::{Copy, LogRecord};
 use crate::time::{Span, Tick};
-use crate::voters::voter_file::Roll;
+use crate::voters::voter_file::VoterFile;
 use crate::voters::voter_set::{NOBODY, seat_of};
-use crate::voters::voter_slots::{Seating, seating};
+use crate::voters::voter_slots::{VoterSlots, seating};
 
-/// A wire to a member, as numbered by the daemon.
-pub type WireId = u64;
+/// A connection to a member, as numbered by the daemon.
+pub type ConnectionId = u64;
 
 /// Numbers of lent requests begin here, beyond those that the daemon gives.
 const LENT: u64 = 1 << 63;
@@ -26,20 +26,20 @@
 const ATTEMPTS: u64 = 0x6174_7465_6d70_7473;
 
 /// The leader of a controller's state.
-pub struct Core {
+pub struct ControllerState {
     /// Ours by the table that we hold, or `NOBODY`.
-    pub seat: Seat,
-    pub seating: Seating,
-    pub parts: Vec<Part>,
+    pub slot: VoterSlot,
+    pub seating: VoterSlots,
+    pub partitions: Vec<Partition>,
     pub members: Members,
-    /// Followers by wire: the place of each part up to which we sent.
-    pub followers: IndexMap<WireId, BTreeMap<PartId, u64>>,
-    /// How far the followers were last brought: each part, then the cohort.
+    /// Followers by connection: the place of each part up to which we sent.
+    pub followers: IndexMap<ConnectionId, BTreeMap<PartitionId, u64>>,
+    /// How far the followers were last brought: each part, then the membership.
     pub pushed: Vec<u64>,
     /// Requests of our own operators that were handed over or wait.
-    pub ops: IndexMap<u64, Op>,
+    pub ops: IndexMap<u64, PendingRequest>,
     /// Those of them that a controller without a seat handed to us.
-    pub lent: IndexMap<u64, Lent>,
+    pub lent: IndexMap<u64, ForwardedOperation>,
     pub next_lent: u64,
     /// Number of the last attempt to have a request carried out. Begins anywhere,
     /// so that no number of a former process comes again.
@@ -49,15 +49,15 @@
     /// When the next part's files are read again, and which it is.
     pub look_at: Tick,
     pub look_next: usize,
-    pub luck: Luck,
+    pub luck: Random,
     pub counts: Counts,
 }
 
 /// An operator's request in hand at the seat it came to.
-pub struct Op {
+pub struct PendingRequest {
     pub request: String,
     pub expect: Option<u64>,
-    pub deed: Deed,
+    pub deed: Operation,
     /// To whom it was handed; `None` while no leader is known.
     pub sent: Option<Forwarding>,
     /// Number of the latest attempt.
@@ -74,14 +74,14 @@
 /// To whom a request was handed.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Forwarding {
-    pub seat: Seat,
+    pub slot: VoterSlot,
     /// The term of the leader that it is meant for; zero for any.
     pub term: u64,
 }
 
 /// Where a request came from that was lent to us.
-pub struct Lent {
-    pub wire: WireId,
+pub struct ForwardedOperation {
+    pub connection: ConnectionId,
     /// Its number there.
     pub number: u64,
     pub attempt: u64,
@@ -106,20 +106,20 @@
 
 /// What happens to a controller.
 pub enum Event {
-    /// On a wire that `holder` opened as the holder of `seat`.
+    /// On a connection that `holder` opened as the holder of `seat`.
     FromSeat {
-        seat: Seat,
+        slot: VoterSlot,
         holder: u64,
-        wire: WireId,
-        msg: Msg,
+        connection: ConnectionId,
+        message: Message,
     },
-    /// On a wire that we opened to a controller.
+    /// On a connection that we opened to a controller.
     Answer {
-        msg: Msg,
+        message: Message,
     },
-    /// Somebody opened a wire to us.
+    /// Somebody opened a connection to us.
     Opened {
-        wire: WireId,
+        connection: ConnectionId,
     },
     /// The roll of this token is on disk.
     Kept {
@@ -129,31 +129,31 @@
         why: String,
     },
     FromWire {
-        wire: WireId,
-        msg: Msg,
+        connection: ConnectionId,
+        message: Message,
     },
     WireGone {
-        wire: WireId,
+        connection: ConnectionId,
     },
     /// Every write of the part up to this token is synced.
     Synced {
-        part: PartId,
+        partition: PartitionId,
         token: u64,
     },
     DiskTrouble {
-        part: PartId,
+        partition: PartitionId,
         why: String,
     },
     /// A part's files were read again; what is wrong with them, if anything.
     Looked {
-        part: PartId,
+        partition: PartitionId,
         trouble: Option<String>,
     },
     Operate {
         op: u64,
         request: String,
         expect: Option<u64>,
-        deed: Deed,
+        deed: Operation,
     },
     /// An operator vouches that lost copies are lost for good.
     Vouch,
@@ -165,52 +165,52 @@
 /// What a controller wants done.
 pub enum Command {
     ToSeat {
-        seat: Seat,
-        msg: Msg,
+        slot: VoterSlot,
+        message: Message,
     },
     ToWire {
-        wire: WireId,
-        msg: Msg,
+        connection: ConnectionId,
+        message: Message,
     },
     /// To every controller that we know a way to.
     ToAll {
-        msg: Msg,
+        message: Message,
     },
-    /// The table of the seats or our place in it changed: see to the wires.
+    /// The table of the seats or our place in it changed: see to the connections.
     Seats,
     /// Keep the roll; with `clear`, set all parts' files aside before.
     Keep {
         token: u64,
-        roll: Roll,
+        roll: VoterFile,
         clear: bool,
     },
     /// Append a record to the part's log and sync it.
     Append {
-        part: PartId,
+        partition: PartitionId,
         token: u64,
-        rec: Rec,
+        rec: LogRecord,
     },
     /// Write the other slot, sync it, begin a new log.
     Slot {
-        part: PartId,
+        partition: PartitionId,
         token: u64,
         copy: Copy,
     },
     /// Read the part's files again, behind all that was asked before.
     Look {
-        part: PartId,
+        partition: PartitionId,
     },
     /// What an operator is told, once for each request.
     Tell {
         op: u64,
-        done: Done,
+        done: OperationResult,
     },
     /// Our own answer, as the leader, to an attempt of this process. `step` takes
     /// it back; it never comes out.
     OwnAnswer {
         op: u64,
         attempt: u64,
-        done: Done,
+        done: OperationResult,
     },
     /// Wake us after this time, beside the wakes that come anyway.
     WakeAfter {
@@ -222,26 +222,27 @@
 
 /// A controller that has read its disk. Parts not given are empty.
 pub fn core(
-    roll: Roll,
+    roll: VoterFile,
     here: (&str, &str),
-    found: Vec<(PartId, Life, Copy, u64)>,
+    found: Vec<(PartitionId, ReplicaCondition, Copy, u64)>,
     seed: u64,
     now: Tick,
-) -> Core {
-    let seat = seat_of(&roll.table, roll.me).unwrap_or(NOBODY);
-    let mut found: BTreeMap<PartId, _> =
+) -> ControllerState {
+    let slot = seat_of(&roll.table, roll.me).unwrap_or(NOBODY);
+    let mut found: BTreeMap<PartitionId, _> =
         found.into_iter().map(|(id, life, copy, len)| (id, (life, copy, len))).collect();
-    let list = parts()
+    let list = partitions()
         .map(|id| {
-            let (life, copy, len) = found.remove(&id).unwrap_or((Life::Empty, Copy::default(), 0));
-            part(id, life, copy, len, now)
+            let (life, copy, len) =
+                found.remove(&id).unwrap_or((ReplicaCondition::Empty, Copy::default(), 0));
+            partition(id, life, copy, len, now)
         })
         .collect();
-    Core {
-        seat,
+    ControllerState {
+        slot,
         luck: luck(seed ^ roll.me),
         seating: seating(roll, here, now),
-        parts: list,
+        partitions: list,
         members: Members::default(),
         followers: IndexMap::new(),
         pushed: Vec::new(),
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -11,10 +11,10 @@
 use crate::identifiers::part_of;
 use crate::protocol::message::Word;
 use crate::replication::leader::change;
-use crate::replication::partition::{Part, leader};
+use crate::replication::partition::{Partition, leader};
 use crate::snapshot::leafs::{LEAF, LeafInfo, key};
 use crate::time::{MILLI, Tick, since};
-use crate::voters::voter_set::Group;
+use crate::voters::voter_set::VoterGroup;
 
 /// The leafs that a map holds; entries that can't be read are passed over.
 pub fn all(map: &BTreeMap<String, Vec<u8>>) -> BTreeMap<String, LeafInfo> {
@@ -31,9 +31,9 @@
 
 /// The holder of the list's duty reports what the list names for this part.
 pub fn listed(
-    p: &mut Part,
+    p: &mut Partition,
     now: Tick,
-    g: Group,
+    g: VoterGroup,
     fence: (u64, u64),
     list: Vec<LeafInfo>,
     counts: &mut Counts,
@@ -95,7 +95,7 @@
 /// must be taken for new when all of us start again. What is written is what
 /// an identity has surely reached: how old it was when this leader first saw
 /// it, and how long ago that was.
-pub fn grow(p: &mut Part, now: Tick, g: Group, out: &mut Vec<Command>) {
+pub fn grow(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
     let Some(o) = leader(p) else { return };
     if !o.serves || now < o.ages_at {
         return;
@@ -123,7 +123,13 @@
 }
 
 /// Leafs spoke of themselves at first hand.
-pub fn words(p: &mut Part, now: Tick, g: Group, words: Vec<Word>, out: &mut Vec<Command>) {
+pub fn words(
+    p: &mut Partition,
+    now: Tick,
+    g: VoterGroup,
+    words: Vec<Word>,
+    out: &mut Vec<Command>,
+) {
     if !leader(p).is_some_and(|o| o.serves) {
         return;
     }
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -9,13 +9,13 @@
 use std::collections::BTreeMap;
 
 use crate::config::change::Entry;
-use crate::control_plane::controller::{Command, Core};
+use crate::control_plane::controller::{Command, ControllerState};
 use crate::control_plane::members;
 use crate::control_plane::members::Gone;
-use crate::protocol::message::{Done, Map, Member};
+use crate::protocol::message::{Map, Member, OperationResult};
 use crate::replication::leader;
 use crate::replication::leader::change;
-use crate::replication::partition::OpFrom;
+use crate::replication::partition::OperationOrigin;
 use crate::replication::pending_operations;
 use crate::replication::pending_operations::PendingAnswer;
 use crate::time::Tick;
@@ -54,28 +54,34 @@
 }
 
 /// An operator declares a member down for good, at the leader.
-pub fn forget(core: &mut Core, now: Tick, from: OpFrom, name: &str, out: &mut Vec<Command>) {
+pub fn forget(
+    core: &mut ControllerState,
+    now: Tick,
+    from: OperationOrigin,
+    name: &str,
+    out: &mut Vec<Command>,
+) {
     members::begin_reign(core, now);
     let group = here(core);
     let incarnation = members::silent_incarnation(&core.members, now, name);
-    let p = &mut core.parts[0];
+    let p = &mut core.partitions[0];
     let known = entries(&p.copy.map).get(name).map(|entry| entry.incarnation);
     match incarnation {
         Some(incarnation) if known != Some(incarnation) => {
-            let entry = Forgotten { incarnation, revision: p.copy.rev + 1 };
+            let entry = Forgotten { incarnation, revision: p.copy.revision + 1 };
             let entries = changes(&p.copy.map, name, entry);
             change(p, now, group, entries, out);
-            leader::wait(p, now, from, p.copy.rev, false);
+            leader::wait(p, now, from, p.copy.revision, false);
             leader::settle(p, now, group, out);
         }
         // It is forgotten already.
         None if known.is_none() || members::is_live(&core.members, now, name) => {
             let why = "no such member, or it still renews its tenure".to_string();
-            let answer = PendingAnswer::Refusal(Done::Bounced { why });
+            let answer = PendingAnswer::Refusal(OperationResult::Bounced { why });
             pending_operations::add(p, now, group, from, answer, out);
         }
         _ => {
-            leader::wait_again(p, now, from, p.copy.rev, false);
+            leader::wait_again(p, now, from, p.copy.revision, false);
             crate::replication::heartbeat_rounds::request(p, now, group, out);
             leader::settle(p, now, group, out);
         }
@@ -84,16 +90,21 @@
 
 /// A process that was forgotten renews after all. It gets no lease before its
 /// entry is gone: a leader that finds the entry counts the process as gone.
-pub fn readmit(core: &mut Core, now: Tick, member: &Member, out: &mut Vec<Command>) -> bool {
+pub fn readmit(
+    core: &mut ControllerState,
+    now: Tick,
+    member: &Member,
+    out: &mut Vec<Command>,
+) -> bool {
     let group = here(core);
-    let p = &mut core.parts[0];
+    let p = &mut core.partitions[0];
     let key = format!("{FORGOTTEN}{}", member.name);
     let names = |map: &Map| {
         map.get(&key)
             .and_then(|value| read_entry(value))
             .is_some_and(|entry| entry.incarnation == member.incarnation)
     };
-    let (newest, committed) = (names(&p.copy.map), names(&p.shown));
+    let (newest, committed) = (names(&p.copy.map), names(&p.committed));
     if newest {
         change(p, now, group, vec![(key, None)], out);
     }
@@ -117,14 +128,14 @@
 
 /// Notes the members whose forgetting has been committed since the last look.
 /// Who has renewed with us is alive after all, and stays.
-pub fn apply(core: &mut Core, now: Tick) {
-    let committed = &core.parts[0];
+pub fn apply(core: &mut ControllerState, now: Tick) {
+    let committed = &core.partitions[0];
     let members = &mut core.members;
-    if members.forgotten_at == committed.shown_rev || members.reign.is_none() {
+    if members.forgotten_at == committed.committed_revision || members.reign.is_none() {
         return;
     }
-    members.forgotten_at = committed.shown_rev;
-    for (name, entry) in entries(&committed.shown) {
+    members.forgotten_at = committed.committed_revision;
+    for (name, entry) in entries(&committed.committed) {
         let alive = members.heard.get(name).is_some_and(|heard| heard.spoke)
             && members::is_live(members, now, name);
         if !alive {
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -1,4 +1,4 @@
-//! The members and their tenures. The leader of the configuration keeps them;
+//! The members and their leases. The leader of the configuration keeps them;
 //! the other seats hand renewals over to it and pass its word on.
 
 use std::collections::HashSet;
@@ -6,14 +6,16 @@
 use indexmap::IndexMap;
 
 use crate::control_plane::acceptance::Acceptance;
-use crate::control_plane::controller::{Command, Core, WireId};
+use crate::control_plane::controller::{Command, ConnectionId, ControllerState};
 use crate::control_plane::forgotten_members;
 use crate::control_plane::membership_log;
 use crate::control_plane::membership_log::{MembershipLog, Older};
 use crate::control_plane::retirement;
-use crate::identifiers::{COHORT, Seat};
+use crate::identifiers::{COHORT, VoterSlot};
 use crate::membership::attestation::id;
-use crate::protocol::message::{Cohort, Done, Member, MembershipId, Memberships, Msg, Progress};
+use crate::protocol::message::{
+    Member, MemberProgress, Membership, MembershipId, Memberships, Message, OperationResult,
+};
 use crate::replication::partition::Role;
 use crate::time::{Tick, ms, since};
 use crate::voters::voter_slots::here;
@@ -21,13 +23,13 @@
 
 /// What a seat knows of the members.
 ///
-/// Invariants: `cohort` never goes back in (`epoch`, `turn`), and a majority of
+/// Invariants: `membership` never goes back in (`term`, `turn`), and a majority of
 /// the seats held it before any member was told; `heard` is kept by the leader
 /// only, and holds all whom some membership names that is still gone by.
 #[derive(Default)]
 pub struct Members {
-    pub cohort: Cohort,
-    /// Memberships beside `cohort`: on their way, or not yet out of use.
+    pub membership: Membership,
+    /// Memberships beside `membership`: on their way, or not yet out of use.
     pub log: MembershipLog,
     /// The last renewal of each member.
     pub heard: IndexMap<String, Heard>,
@@ -36,11 +38,11 @@
     pub gone: IndexMap<String, Gone>,
     /// Epoch for which `heard` was begun, and when.
     pub reign: Option<(u64, Tick)>,
-    /// No cohort was handed down to us, and a tenure has not passed since we
+    /// No membership was handed down to us, and a lease has not passed since we
     /// began: there may be members that we have not heard yet.
     pub blind: bool,
-    /// The wire on which each member speaks to this seat.
-    pub wires: IndexMap<String, WireId>,
+    /// The connection on which each member speaks to this seat.
+    pub connections: IndexMap<String, ConnectionId>,
     /// The revision up to which members that operators forgot were noted.
     pub forgotten_at: u64,
     /// What the acceptance of changes waits for.
@@ -53,7 +55,7 @@
 pub struct Heard {
     pub at: Tick,
     pub member: Member,
-    pub far: Progress,
+    pub far: MemberProgress,
     /// It renewed with us; else we only know that it is a member, and `at` is
     /// when we came to know.
     pub spoke: bool,
@@ -66,32 +68,32 @@
     pub stopped: bool,
 }
 
-/// The epoch under which we keep the tenures, if we do.
-pub fn reign(core: &Core) -> Option<u64> {
-    match &core.parts[0].role {
-        Role::Leader(o) if o.serves => Some(o.epoch),
+/// The term under which we keep the leases, if we do.
+pub fn reign(core: &ControllerState) -> Option<u64> {
+    match &core.partitions[0].role {
+        Role::Leader(o) if o.serves => Some(o.term),
         _ => None,
     }
 }
 
-/// A member renews its tenure, here or at a seat that handed it over.
+/// A member renews its lease, here or at a seat that handed it over.
 pub fn renew(
-    core: &mut Core,
+    core: &mut ControllerState,
     now: Tick,
-    from: Option<Seat>,
-    wire: Option<WireId>,
-    (member, count, far): (Member, u64, Progress),
+    from: Option<VoterSlot>,
+    connection: Option<ConnectionId>,
+    (member, count, far): (Member, u64, MemberProgress),
     out: &mut Vec<Command>,
 ) {
-    if let Some(wire) = wire {
-        core.members.wires.insert(member.name.clone(), wire);
+    if let Some(connection) = connection {
+        core.members.connections.insert(member.name.clone(), connection);
     }
-    let Some(epoch) = reign(core) else {
+    let Some(term) = reign(core) else {
         // Hand over to the leader, once; a seat never hands on what a seat gave.
         if from.is_none()
-            && let Role::Follower { leader: Some((seat, _)), .. } = core.parts[0].role
+            && let Role::Follower { leader: Some((slot, _)), .. } = core.partitions[0].role
         {
-            out.push(Command::ToSeat { seat, msg: Msg::Renew { member, count, far } });
+            out.push(Command::ToSeat { slot, message: Message::Renew { member, count, far } });
         }
         return;
     };
@@ -100,7 +102,7 @@
     if !is_followed(core, now) {
         return;
     }
-    begin(core, now, epoch);
+    begin(core, now, term);
     if forgotten_members::readmit(core, now, &member, out) {
         return;
     }
@@ -114,18 +116,18 @@
         // Nothing else is to be waited for.
         advance(core, now, out);
     }
-    let rev = core.parts[0].shown_rev;
-    let msg = Msg::Tenure { name, incarnation, count, epoch, rev, tell_membership };
-    match (from, wire) {
-        (Some(seat), _) => out.push(Command::ToSeat { seat, msg }),
-        (None, Some(wire)) => out.push(Command::ToWire { wire, msg }),
+    let revision = core.partitions[0].committed_revision;
+    let message = Message::Lease { name, incarnation, count, term, revision, tell_membership };
+    match (from, connection) {
+        (Some(slot), _) => out.push(Command::ToSeat { slot, message }),
+        (None, Some(connection)) => out.push(Command::ToWire { connection, message }),
         (None, None) => {}
     }
 }
 
 /// Whether a majority of the seats followed us a moment ago.
-fn is_followed(core: &Core, now: Tick) -> bool {
-    match &core.parts[0].role {
+fn is_followed(core: &ControllerState, now: Tick) -> bool {
+    match &core.partitions[0].role {
         Role::Leader(o) => crate::replication::leader::answering(o, here(core), now),
         _ => false,
     }
@@ -133,10 +135,10 @@
 
 /// Whether a member goes by a membership that it should tell us of, since we
 /// have never heard of it.
-fn is_unknown(core: &mut Core, now: Tick, far: &Progress) -> bool {
+fn is_unknown(core: &mut ControllerState, now: Tick, far: &MemberProgress) -> bool {
     let which = MembershipId { term: far.saw.0, turn: far.saw.1 };
     let m = &core.members;
-    let may_count = m.blind || which > id(&m.cohort);
+    let may_count = m.blind || which > id(&m.membership);
     let due = m.asked_at == 0 || since(m.asked_at, now) >= consts::OBEY_LOOK;
     let ask = which.term > 0 && may_count && due && !membership_log::knows(core, which);
     if ask {
@@ -146,7 +148,7 @@
 }
 
 /// Notes a renewal; tells whether it counts.
-fn note(m: &mut Members, now: Tick, member: Member, far: Progress) -> bool {
+fn note(m: &mut Members, now: Tick, member: Member, far: MemberProgress) -> bool {
     let name = member.name.clone();
     let gone = m.gone.get(&name).filter(|g| g.incarnation == member.incarnation);
     if gone.is_some_and(|g| g.stopped) {
@@ -163,34 +165,34 @@
     true
 }
 
-/// Begins to keep tenures under a new epoch: who was a member stays one for
-/// a tenure, since we may not have heard it yet.
-fn begin(core: &mut Core, now: Tick, epoch: u64) {
+/// Begins to keep leases under a new term: who was a member stays one for
+/// a lease, since we may not have heard it yet.
+fn begin(core: &mut ControllerState, now: Tick, term: u64) {
     let m = &mut core.members;
-    if m.reign.is_some_and(|(e, _)| e == epoch) {
+    if m.reign.is_some_and(|(e, _)| e == term) {
         return;
     }
-    m.reign = Some((epoch, now));
+    m.reign = Some((term, now));
     // Whom operators forgot is noted anew under each term.
     m.forgotten_at = 0;
     m.blind = false;
     m.heard.clear();
     m.gone.clear();
     m.acceptance = Acceptance::default();
-    membership_log::begin(core, epoch);
+    membership_log::begin(core, term);
 }
 
 /// Whoever a membership names that we have not heard counts as heard just now.
 pub fn expect_all(m: &mut Members, now: Tick) {
     let older = m.log.older.iter().map(|o| &o.membership);
-    for member in older.chain([&m.cohort]).flat_map(|c| &c.members) {
-        let (member, far) = (member.clone(), Progress::default());
+    for member in older.chain([&m.membership]).flat_map(|c| &c.members) {
+        let (member, far) = (member.clone(), MemberProgress::default());
         let new = Heard { at: now, member: member.clone(), far, spoke: false };
         m.heard.entry(member.name).or_insert(new);
     }
 }
 
-/// Whether a member was heard within a tenure, and has not gone since.
+/// Whether a member was heard within a lease, and has not gone since.
 pub fn is_live(m: &Members, now: Tick, name: &str) -> bool {
     m.heard.get(name).is_some_and(|h| {
         let gone = m.gone.get(name).is_some_and(|g| g.incarnation == h.member.incarnation);
@@ -198,21 +200,21 @@
     })
 }
 
-/// Begins to keep tenures if we do and have not begun.
-pub fn begin_reign(core: &mut Core, now: Tick) {
-    if let Some(epoch) = reign(core) {
-        begin(core, now, epoch);
+/// Begins to keep leases if we do and have not begun.
+pub fn begin_reign(core: &mut ControllerState, now: Tick) {
+    if let Some(term) = reign(core) {
+        begin(core, now, term);
     }
 }
 
-/// Time passes: tenures end, and the cohort's state is told when it changed.
-pub fn wake(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
-    let Some(epoch) = reign(core) else {
+/// Time passes: leases end, and the membership's state is told when it changed.
+pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
+    let Some(term) = reign(core) else {
         core.members.reign = None;
         return;
     };
-    begin(core, now, epoch);
-    if membership_log::inherit(core, now, epoch, out) {
+    begin(core, now, term);
+    if membership_log::inherit(core, now, term, out) {
         tidy(&mut core.members, now);
         advance(core, now, out);
     }
@@ -221,7 +223,7 @@
 /// Forgets those whom no membership names any more.
 fn tidy(m: &mut Members, now: Tick) {
     let older = m.log.older.iter().map(|o| &o.membership);
-    let all = older.chain([&m.cohort]).chain(&m.log.proposed);
+    let all = older.chain([&m.membership]).chain(&m.log.proposed);
     let named: HashSet<&str> =
         all.flat_map(|c| &c.members).map(|member| member.name.as_str()).collect();
     m.heard.retain(|name, h| named.contains(name.as_str()) || since(h.at, now) < consts::TENURE);
@@ -229,32 +231,32 @@
 }
 
 /// Takes over what a voter knew whose slot we take, unless we know a membership.
-pub fn inherit(core: &mut Core, memberships: Memberships) {
+pub fn inherit(core: &mut ControllerState, memberships: Memberships) {
     let m = &mut core.members;
-    if m.cohort.epoch == 0 && m.log.older.is_empty() {
-        m.cohort = memberships.current;
+    if m.membership.term == 0 && m.log.older.is_empty() {
+        m.membership = memberships.current;
         membership_log::inherit_from(&mut m.log, memberships.others);
     }
 }
 
-/// Moves the cohort on as far as it goes now.
-pub fn advance(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
-    let Some((epoch, began)) = core.members.reign else { return };
-    let revision = core.parts[0].shown_rev;
+/// Moves the membership on as far as it goes now.
+pub fn advance(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
+    let Some((term, began)) = core.members.reign else { return };
+    let revision = core.partitions[0].committed_revision;
     let m = &mut core.members;
     // With nothing handed down we may know too few: telling now would give
     // the ones we know shares that others still hold.
-    // Who is there is told soon, but nothing of it is settled before a tenure
+    // Who is there is told soon, but nothing of it is settled before a lease
     // has passed, and only what is settled gives shares.
     let reigns = since(began, now);
-    m.blind |= m.cohort.epoch == 0;
+    m.blind |= m.membership.term == 0;
     m.blind &= reigns < consts::TENURE_GRACE;
     if m.blind && reigns < consts::TENURE_GATHER {
         return;
     }
     retirement::retire(m, now);
-    propose(m, now, epoch, revision);
-    let mut changed = membership_log::replicate(core, now, epoch, out);
+    propose(m, now, term, revision);
+    let mut changed = membership_log::replicate(core, now, term, out);
     changed |= settle(&mut core.members);
     if changed {
         tell(core, out);
@@ -263,21 +265,21 @@
 
 /// Issues a new membership if there is anything new, once the one before is in
 /// nobody's way.
-fn propose(m: &mut Members, now: Tick, epoch: u64, revision: u64) {
+fn propose(m: &mut Members, now: Tick, term: u64, revision: u64) {
     let log = &m.log;
     // One newer than the current one was inherited from a leader that may have told
     // it to some: they leave it only for a newer one.
-    let newer = |o: &Older| id(&o.membership) > id(&m.cohort);
+    let newer = |o: &Older| id(&o.membership) > id(&m.membership);
     let clear = log.proposed.is_none()
         && log.older.iter().all(|older| older.retired.is_some() || newer(older));
     if !clear || log.older.len() >= consts::MEMBERSHIPS_KEPT {
         return;
     }
-    let next = m.cohort.turn + 1;
+    let next = m.membership.turn + 1;
     let members = list(m, now, next);
-    if m.cohort.epoch != epoch || m.cohort.members != members {
-        let settled = m.cohort.settled;
-        m.log.proposed = Some(Cohort { epoch, turn: next, settled, revision, members });
+    if m.membership.term != term || m.membership.members != members {
+        let settled = m.membership.settled;
+        m.log.proposed = Some(Membership { term, turn: next, settled, revision, members });
     }
 }
 
@@ -286,15 +288,15 @@
     let live = m.heard.iter().filter(|(name, _)| is_live(m, now, name));
     let mut list: Vec<Member> = live.map(|(_, h)| h.member.clone()).collect();
     let scarce = !hears_most(m, now);
-    let kept = m.cohort.members.iter().filter(|k| {
+    let kept = m.membership.members.iter().filter(|k| {
         !is_live(m, now, &k.name) && !m.gone.contains_key(&k.name) && scarce && stays(m, now, k)
     });
     list.extend(kept.cloned());
     list.sort_by(|a, b| a.name.cmp(&b.name));
     for k in &mut list {
         // The members stand in the order of their names.
-        let old = m.cohort.members.binary_search_by(|o| o.name.cmp(&k.name));
-        let old = old.ok().map(|at| &m.cohort.members[at]).filter(|o| o.threads == k.threads);
+        let old = m.membership.members.binary_search_by(|o| o.name.cmp(&k.name));
+        let old = old.ok().map(|at| &m.membership.members[at]).filter(|o| o.threads == k.threads);
         k.joined = old.map_or(next, |o| o.joined);
     }
     list
@@ -304,31 +306,31 @@
 /// since they most likely come back; and for good where so few are heard without
 /// a break that the silent ones may serve on.
 fn stays(m: &Members, now: Tick, member: &Member) -> bool {
-    let n = m.cohort.members.len();
+    let n = m.membership.members.len();
     let long = m.heard.get(&member.name).is_none_or(|h| since(h.at, now) >= consts::REMOVAL_BY_FEW);
     let steady = |k: &&Member| {
         let quiet = |h: &Heard| h.spoke && ms(h.far.quiet_ms) >= consts::ATTESTATION_QUIET;
         is_live(m, now, &k.name) && m.heard.get(&k.name).is_some_and(quiet)
     };
-    let enough = m.cohort.members.iter().filter(steady).count() >= quorum::acceptance(n);
+    let enough = m.membership.members.iter().filter(steady).count() >= quorum::acceptance(n);
     n > 1 && !(long && enough)
 }
 
-/// Whether most of the cohort renews with us.
+/// Whether most of the membership renews with us.
 fn hears_most(m: &Members, now: Tick) -> bool {
-    let n = m.cohort.members.len();
-    let heard = m.cohort.members.iter().filter(|k| is_live(m, now, &k.name)).count();
+    let n = m.membership.members.len();
+    let heard = m.membership.members.iter().filter(|k| is_live(m, now, &k.name)).count();
     n == 0 || heard * 2 > n
 }
 
-/// The cohort is settled once all its members have seen it and nobody serves on
+/// The membership is settled once all its members have seen it and nobody serves on
 /// by a former one.
 fn settle(m: &mut Members) -> bool {
-    let seen = (m.cohort.epoch, m.cohort.turn);
+    let seen = (m.membership.term, m.membership.turn);
     let saw = |k: &Member| m.heard.get(&k.name).is_some_and(|h| h.far.saw >= seen);
     let ready = !m.blind && m.log.proposed.is_none() && m.log.older.is_empty();
-    if ready && m.cohort.settled < m.cohort.turn && m.cohort.members.iter().all(saw) {
-        m.cohort.settled = m.cohort.turn;
+    if ready && m.membership.settled < m.membership.turn && m.membership.members.iter().all(saw) {
+        m.membership.settled = m.membership.turn;
         return true;
     }
     false
@@ -336,76 +338,85 @@
 
 /// The process of a member that an operator may declare down for good.
 pub fn silent_incarnation(m: &Members, now: Tick, name: &str) -> Option<u64> {
-    let known = m.cohort.members.iter().find(|member| member.name == name)?;
+    let known = m.membership.members.iter().find(|member| member.name == name)?;
     (!is_live(m, now, name)).then_some(known.incarnation)
 }
 
 /// Answers the status requests for which it is proved that we lead.
-pub fn answer_status(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
-    let Role::Leader(o) = &mut core.parts[0].role else { return };
+pub fn answer_status(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
+    let Role::Leader(o) = &mut core.partitions[0].role else { return };
     let proved = std::mem::take(&mut o.proved_status);
     if proved.is_empty() {
         return;
     }
     begin_reign(core, now);
     for from in proved {
-        let cohort = core.members.cohort.clone();
+        let membership = core.members.membership.clone();
         crate::replication::leader::tell(
             from,
-            Done::Status { cohort, far: status(core, now) },
+            OperationResult::Status { membership, far: status(core, now) },
             out,
         );
     }
 }
 
 /// What the leader knows of the members' progress: name, ms since heard, how far.
-fn status(core: &Core, now: Tick) -> Vec<(String, u64, Progress)> {
+fn status(core: &ControllerState, now: Tick) -> Vec<(String, u64, MemberProgress)> {
     let age = |h: &Heard| since(h.at, now) / crate::time::MILLI;
     core.members.heard.iter().map(|(n, h)| (n.clone(), age(h), h.far.clone())).collect()
 }
 
-/// Tells the cohort's state to our wires.
-pub fn tell(core: &Core, out: &mut Vec<Command>) {
-    // Who follows the cohort as a part is told with the other news.
-    for (wire, _) in core.followers.iter().filter(|(_, list)| !list.contains_key(&COHORT)) {
-        out.push(Command::ToWire { wire: *wire, msg: Msg::Tell(core.members.cohort.clone()) });
+/// Tells the membership's state to our connections.
+pub fn tell(core: &ControllerState, out: &mut Vec<Command>) {
+    // Who follows the membership as a part is told with the other news.
+    for (connection, _) in core.followers.iter().filter(|(_, list)| !list.contains_key(&COHORT)) {
+        out.push(Command::ToWire {
+            connection: *connection,
+            message: Message::Tell(core.members.membership.clone()),
+        });
     }
 }
 
-/// Whether a state of the cohort comes after another.
-pub fn newer(a: &Cohort, b: &Cohort) -> bool {
-    (a.epoch, a.turn, a.settled) > (b.epoch, b.turn, b.settled)
+/// Whether a state of the membership comes after another.
+pub fn newer(a: &Membership, b: &Membership) -> bool {
+    (a.term, a.turn, a.settled) > (b.term, b.turn, b.settled)
 }
 
-/// A state of the cohort as one number that only rises: within a turn it is
+/// A state of the membership as one number that only rises: within a turn it is
 /// told once before all have seen it and once after.
-pub fn mark(c: &Cohort) -> u64 {
-    c.epoch << 32 | c.turn << 1 | u64::from(c.epoch > 0 && c.settled == c.turn)
+pub fn mark(c: &Membership) -> u64 {
+    c.term << 32 | c.turn << 1 | u64::from(c.term > 0 && c.settled == c.turn)
 }
 
 /// A member tells the membership that it goes by: to the leader, by way of us or
 /// as it is.
-pub fn told(core: &mut Core, now: Tick, direct: bool, membership: Cohort, out: &mut Vec<Command>) {
-    match core.parts[0].role {
+pub fn told(
+    core: &mut ControllerState,
+    now: Tick,
+    direct: bool,
+    membership: Membership,
+    out: &mut Vec<Command>,
+) {
+    match core.partitions[0].role {
         Role::Leader(_) => membership_log::learn(core, now, membership),
-        Role::Follower { leader: Some((seat, _)), .. } if direct => {
-            out.push(Command::ToSeat { seat, msg: Msg::Tell(membership) });
+        Role::Follower { leader: Some((slot, _)), .. } if direct => {
+            out.push(Command::ToSeat { slot, message: Message::Tell(membership) });
         }
         _ => {}
     }
 }
 
 /// Sends the state to a follower that just said where it stands.
-pub fn greet(core: &Core, wire: WireId, out: &mut Vec<Command>) {
-    if core.members.cohort.epoch > 0 {
-        let msg = Msg::Tell(core.members.cohort.clone());
-        out.push(Command::ToWire { wire, msg });
+pub fn greet(core: &ControllerState, connection: ConnectionId, out: &mut Vec<Command>) {
+    if core.members.membership.term > 0 {
+        let message = Message::Tell(core.members.membership.clone());
+        out.push(Command::ToWire { connection, message });
     }
 }
 
-/// The leader granted a tenure that we had handed over.
-pub fn granted(core: &Core, name: &str, msg: Msg, out: &mut Vec<Command>) {
-    if let Some(wire) = core.members.wires.get(name) {
-        out.push(Command::ToWire { wire: *wire, msg });
+/// The leader granted a lease that we had handed over.
+pub fn granted(core: &ControllerState, name: &str, message: Message, out: &mut Vec<Command>) {
+    if let Some(connection) = core.members.connections.get(name) {
+        out.push(Command::ToWire { connection: *connection, message });
     }
 }
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -9,12 +9,12 @@
 //! `docs/limits.md`.
 
 use crate::consts;
-use crate::control_plane::controller::{Command, Core};
+use crate::control_plane::controller::{Command, ControllerState};
 use crate::control_plane::members;
 use crate::control_plane::members::newer;
-use crate::identifiers::Seat;
+use crate::identifiers::VoterSlot;
 use crate::membership::attestation::id;
-use crate::protocol::message::{Cohort, MembershipId, Memberships, Msg};
+use crate::protocol::message::{Membership, MembershipId, Memberships, Message};
 use crate::time::{Tick, since};
 use crate::voters::voter_set::{majority, others};
 use crate::voters::voter_slots::here;
@@ -23,7 +23,7 @@
 #[derive(Default)]
 pub struct MembershipLog {
     /// Issued, and not yet known to a majority: no member was told.
-    pub proposed: Option<Cohort>,
+    pub proposed: Option<Membership>,
     /// Former ones that some member may still go by.
     pub older: Vec<Older>,
     /// The highest term under which a leader spoke to us; lower ones are refused.
@@ -33,7 +33,7 @@
 
 /// A former membership.
 pub struct Older {
-    pub membership: Cohort,
+    pub membership: Membership,
     /// Since when enough of its members have left it.
     pub retired: Option<Tick>,
 }
@@ -42,7 +42,7 @@
 #[derive(Default)]
 struct Leading {
     /// What the voters told a new leader; emptied when it has inherited.
-    fetched: Vec<Option<(Cohort, Vec<Cohort>)>>,
+    fetched: Vec<Option<(Membership, Vec<Membership>)>>,
     inherited: bool,
     /// What each voter last said it holds.
     acknowledged: Vec<Option<Version>>,
@@ -61,38 +61,38 @@
 }
 
 /// A new term of ours begins: what the other voters hold is to be asked.
-pub fn begin(core: &mut Core, term: u64) {
+pub fn begin(core: &mut ControllerState, term: u64) {
     let group = here(core);
     let members = &mut core.members;
-    let own = held(&members.cohort, &members.log);
+    let own = held(&members.membership, &members.log);
     let log = &mut members.log;
     log.term = log.term.max(term);
     log.leading = Leading { stamp: core.seating.stamp, ..Leading::default() };
     log.leading.fetched = vec![None; group.size];
     log.leading.acknowledged = vec![None; group.size];
-    log.leading.fetched[usize::from(group.seat)] = Some(own);
+    log.leading.fetched[usize::from(group.slot)] = Some(own);
 }
 
 /// The membership that members are told, and all others that may be gone by.
-fn held(cohort: &Cohort, log: &MembershipLog) -> (Cohort, Vec<Cohort>) {
+fn held(membership: &Membership, log: &MembershipLog) -> (Membership, Vec<Membership>) {
     let older = log.older.iter().map(|o| o.membership.clone());
-    (cohort.clone(), older.chain(log.proposed.clone()).collect())
+    (membership.clone(), older.chain(log.proposed.clone()).collect())
 }
 
 /// All memberships that this voter knows.
-pub fn held_here(core: &Core) -> Memberships {
-    let (current, others) = held(&core.members.cohort, &core.members.log);
+pub fn held_here(core: &ControllerState) -> Memberships {
+    let (current, others) = held(&core.members.membership, &core.members.log);
     Memberships { current, others }
 }
 
 /// Takes over what a voter that leaves knows, unless we know of one ourselves.
-pub fn inherit_from(log: &mut MembershipLog, others: Vec<Cohort>) {
+pub fn inherit_from(log: &mut MembershipLog, others: Vec<Membership>) {
     log.older = others.into_iter().map(|membership| Older { membership, retired: None }).collect();
 }
 
 /// Whether this leader knows all memberships that members may go by. Asks the
 /// other voters until it does.
-pub fn inherit(core: &mut Core, now: Tick, term: u64, out: &mut Vec<Command>) -> bool {
+pub fn inherit(core: &mut ControllerState, now: Tick, term: u64, out: &mut Vec<Command>) -> bool {
     count_anew(core);
     let group = here(core);
     let leading = &mut core.members.log.leading;
@@ -106,17 +106,17 @@
     if leading.sent.is_none_or(|(_, at)| since(at, now) >= consts::OWNER_BEAT) {
         let none = Version { id: MembershipId::default(), settled: 0, confirmed: false };
         leading.sent = Some((none, now));
-        for seat in others(group) {
-            out.push(Command::ToSeat { seat, msg: Msg::FetchMembership { term } });
+        for slot in others(group) {
+            out.push(Command::ToSeat { slot, message: Message::FetchMembership { term } });
         }
     }
     false
 }
 
 /// The voter set changed: what was counted under the old one counts no more.
-fn count_anew(core: &mut Core) {
+fn count_anew(core: &mut ControllerState) {
     let (group, stamp) = (here(core), core.seating.stamp);
-    let own = held(&core.members.cohort, &core.members.log);
+    let own = held(&core.members.membership, &core.members.log);
     let leading = &mut core.members.log.leading;
     if leading.stamp == stamp {
         return;
@@ -125,19 +125,19 @@
     leading.sent = None;
     leading.acknowledged = vec![None; group.size];
     leading.fetched = vec![None; group.size];
-    leading.fetched[usize::from(group.seat)] = Some(own);
+    leading.fetched[usize::from(group.slot)] = Some(own);
 }
 
 /// A majority has told what it holds. The newest that members were told came
 /// with all those before it that may still be gone by; what is newer than that
 /// may have been told as well.
-fn take_over(core: &mut Core, now: Tick) {
+fn take_over(core: &mut ControllerState, now: Tick) {
     let members = &mut core.members;
     let leading = &mut members.log.leading;
     leading.inherited = true;
     leading.sent = None;
     let fetched: Vec<_> = std::mem::take(&mut leading.fetched).into_iter().flatten().collect();
-    let rank = |c: &Cohort| (id(c), c.settled);
+    let rank = |c: &Membership| (id(c), c.settled);
     let Some((current, mut rest)) = fetched.iter().max_by_key(|f| rank(&f.0)).cloned() else {
         return;
     };
@@ -146,7 +146,7 @@
     rest.retain(|c| id(c) != newest && !c.members.is_empty());
     rest.sort_by_key(id);
     rest.dedup_by_key(|c| id(c));
-    members.cohort = current;
+    members.membership = current;
     members.log.proposed = None;
     members.log.older =
         rest.into_iter().map(|membership| Older { membership, retired: None }).collect();
@@ -162,7 +162,7 @@
 
 /// Sends the newest membership to the voters that don't hold it, and confirms it
 /// once a majority does. Tells whether members have something new to be told.
-pub fn replicate(core: &mut Core, now: Tick, term: u64, out: &mut Vec<Command>) -> bool {
+pub fn replicate(core: &mut ControllerState, now: Tick, term: u64, out: &mut Vec<Command>) -> bool {
     let group = here(core);
     let members = &mut core.members;
     let mut confirmed = false;
@@ -180,54 +180,54 @@
 }
 
 /// Makes the proposed membership the one that members are told.
-fn confirm(core: &mut Core) {
+fn confirm(core: &mut ControllerState) {
     let members = &mut core.members;
     let Some(proposed) = members.log.proposed.take() else { return };
-    let former = std::mem::replace(&mut members.cohort, proposed);
+    let former = std::mem::replace(&mut members.membership, proposed);
     if !former.members.is_empty() {
         members.log.older.push(Older { membership: former, retired: None });
     }
 }
 
-fn send(core: &mut Core, now: Tick, term: u64, out: &mut Vec<Command>) {
+fn send(core: &mut ControllerState, now: Tick, term: u64, out: &mut Vec<Command>) {
     let group = here(core);
     let members = &mut core.members;
     let (current, confirmed) = match &members.log.proposed {
         Some(proposed) => (proposed, false),
-        None => (&members.cohort, true),
+        None => (&members.membership, true),
     };
     let version = Version { id: id(current), settled: current.settled, confirmed };
     let leading = &mut members.log.leading;
     let again = leading
         .sent
         .is_none_or(|(sent, at)| sent != version || since(at, now) >= consts::OWNER_BEAT);
-    let lacking: Vec<Seat> = others(group)
-        .filter(|seat| leading.acknowledged[usize::from(*seat)] != Some(version))
+    let lacking: Vec<VoterSlot> = others(group)
+        .filter(|slot| leading.acknowledged[usize::from(*slot)] != Some(version))
         .collect();
-    if !again || lacking.is_empty() || current.epoch == 0 {
+    if !again || lacking.is_empty() || current.term == 0 {
         return;
     }
     leading.sent = Some((version, now));
-    let older: Vec<Cohort> = members.log.older.iter().map(|o| o.membership.clone()).collect();
-    for seat in lacking {
+    let older: Vec<Membership> = members.log.older.iter().map(|o| o.membership.clone()).collect();
+    for slot in lacking {
         let (current, older) = (current.clone(), older.clone());
-        let msg = Msg::ReplicateMembership { term, current, confirmed, older };
-        out.push(Command::ToSeat { seat, msg });
+        let message = Message::ReplicateMembership { term, current, confirmed, older };
+        out.push(Command::ToSeat { slot, message });
     }
 }
 
 /// Whether a leader of this term has been followed by another.
-fn refuses(core: &Core, term: u64) -> bool {
-    term < core.members.log.term || term < core.parts[0].copy.promised
+fn refuses(core: &ControllerState, term: u64) -> bool {
+    term < core.members.log.term || term < core.partitions[0].copy.promised
 }
 
 /// A leader replicates a membership to us.
 pub fn take(
-    core: &mut Core,
-    from: Seat,
+    core: &mut ControllerState,
+    from: VoterSlot,
     term: u64,
-    (current, confirmed): (Cohort, bool),
-    older: Vec<Cohort>,
+    (current, confirmed): (Membership, bool),
+    older: Vec<Membership>,
     out: &mut Vec<Command>,
 ) {
     if refuses(core, term) {
@@ -239,28 +239,28 @@
     log.older = older.into_iter().map(|membership| Older { membership, retired: None }).collect();
     if confirmed {
         log.proposed = log.proposed.take().filter(|p| id(p) > version.id);
-        if newer(&current, &core.members.cohort) {
-            core.members.cohort = current;
+        if newer(&current, &core.members.membership) {
+            core.members.membership = current;
             members::tell(core, out);
         }
     } else {
         log.proposed = Some(current);
     }
     let Version { id, settled, confirmed } = version;
-    let msg = Msg::MembershipReplicated { term, id, settled, confirmed, stamp: 0 };
-    out.push(Command::ToSeat { seat: from, msg });
+    let message = Message::MembershipReplicated { term, id, settled, confirmed, stamp: 0 };
+    out.push(Command::ToSeat { slot: from, message });
 }
 
 /// A voter holds what we sent.
 pub fn acknowledged(
-    core: &mut Core,
-    from: Seat,
+    core: &mut ControllerState,
+    from: VoterSlot,
     term: u64,
     (id, settled): (MembershipId, u64),
     confirmed: bool,
 ) {
     let leading = &mut core.members.log.leading;
-    if core.members.reign.is_some_and(|(epoch, _)| epoch == term)
+    if core.members.reign.is_some_and(|(ours, _)| ours == term)
         && let Some(cell) = leading.acknowledged.get_mut(usize::from(from))
     {
         *cell = Some(Version { id, settled, confirmed });
@@ -268,20 +268,26 @@
 }
 
 /// A new leader asks which memberships we hold.
-pub fn asked(core: &mut Core, from: Seat, term: u64, out: &mut Vec<Command>) {
+pub fn asked(core: &mut ControllerState, from: VoterSlot, term: u64, out: &mut Vec<Command>) {
     if refuses(core, term) {
         return;
     }
     core.members.log.term = term;
-    let (current, others) = held(&core.members.cohort, &core.members.log);
-    let msg = Msg::MembershipFetched { term, current, others, stamp: 0 };
-    out.push(Command::ToSeat { seat: from, msg });
+    let (current, others) = held(&core.members.membership, &core.members.log);
+    let message = Message::MembershipFetched { term, current, others, stamp: 0 };
+    out.push(Command::ToSeat { slot: from, message });
 }
 
 /// A voter told which memberships it holds.
-pub fn fetched(core: &mut Core, from: Seat, term: u64, current: Cohort, others: Vec<Cohort>) {
+pub fn fetched(
+    core: &mut ControllerState,
+    from: VoterSlot,
+    term: u64,
+    current: Membership,
+    others: Vec<Membership>,
+) {
     let leading = &mut core.members.log.leading;
-    if core.members.reign.is_some_and(|(epoch, _)| epoch == term)
+    if core.members.reign.is_some_and(|(ours, _)| ours == term)
         && !leading.inherited
         && let Some(cell) = leading.fetched.get_mut(usize::from(from))
     {
@@ -290,14 +296,14 @@
 }
 
 /// Whether a membership is among those that we reckon with.
-pub fn knows(core: &Core, which: MembershipId) -> bool {
+pub fn knows(core: &ControllerState, which: MembershipId) -> bool {
     let members = &core.members;
     let older = members.log.older.iter().map(|o| &o.membership);
-    older.chain([&members.cohort]).chain(&members.log.proposed).any(|c| id(c) == which)
+    older.chain([&members.membership]).chain(&members.log.proposed).any(|c| id(c) == which)
 }
 
 /// A member told a membership that we did not know of.
-pub fn learn(core: &mut Core, now: Tick, membership: Cohort) {
+pub fn learn(core: &mut ControllerState, now: Tick, membership: Membership) {
     let Some((term, _)) = core.members.reign else { return };
     let which = id(&membership);
     let log = &mut core.members.log;
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -9,12 +9,14 @@
 //! request later can't commit it any more.
 
 use crate::consts;
-use crate::control_plane::controller::{Command, Core, Forwarding, Lent, Op, WireId};
+use crate::control_plane::controller::{
+    Command, ConnectionId, ControllerState, ForwardedOperation, Forwarding, PendingRequest,
+};
 use crate::control_plane::operations::{Request, at_owner};
-use crate::identifiers::Seat;
-use crate::protocol::message::{Deed, Done, Msg};
+use crate::identifiers::VoterSlot;
+use crate::protocol::message::{Message, Operation, OperationResult};
 use crate::replication::leader::tell;
-use crate::replication::partition::{OpFrom, Role};
+use crate::replication::partition::{OperationOrigin, Role};
 use crate::time::Tick;
 use crate::voters::handover;
 use crate::voters::voter_set::{NOBODY, others};
@@ -27,9 +29,15 @@
 const ANY_TERM: u64 = 0;
 
 /// A request from one of our own operators.
-pub fn operate(core: &mut Core, now: Tick, op: u64, request: Request, out: &mut Vec<Command>) {
+pub fn operate(
+    core: &mut ControllerState,
+    now: Tick,
+    op: u64,
+    request: Request,
+    out: &mut Vec<Command>,
+) {
     let Request { id, expect, deed } = request;
-    let ask = Op {
+    let ask = PendingRequest {
         request: id,
         expect,
         deed,
@@ -46,33 +54,33 @@
 
 /// To whom a request would be handed now: the leader that we know, or without a
 /// voter slot any controller that lives, by turns.
-fn target(core: &mut Core) -> Option<Forwarding> {
-    if core.seat != NOBODY {
+fn target(core: &mut ControllerState) -> Option<Forwarding> {
+    if core.slot != NOBODY {
         return known_leader(core);
     }
     let quiet = &core.seating.quiet;
     // A controller that is leaving asks nobody for a slot, and so hears nobody.
     let leaving = handover::is_leaving(core);
-    let awake = |k: &Seat| leaving || quiet[usize::from(*k)] < consts::APPLY_SILENCE;
-    let list: Vec<Seat> = others(here(core)).filter(awake).collect();
-    let seat = list.get(core.seating.turns % list.len().max(1)).copied()?;
+    let awake = |k: &VoterSlot| leaving || quiet[usize::from(*k)] < consts::APPLY_SILENCE;
+    let list: Vec<VoterSlot> = others(here(core)).filter(awake).collect();
+    let slot = list.get(core.seating.turns % list.len().max(1)).copied()?;
     core.seating.turns += 1;
-    Some(Forwarding { seat, term: ANY_TERM })
+    Some(Forwarding { slot, term: ANY_TERM })
 }
 
 /// The leader of the configuration as we know it, ourselves if we serve.
-fn known_leader(core: &Core) -> Option<Forwarding> {
-    match &core.parts[0].role {
-        Role::Leader(o) if o.serves => Some(Forwarding { seat: core.seat, term: o.epoch }),
-        Role::Follower { leader: Some((seat, term)), .. } => {
-            Some(Forwarding { seat: *seat, term: *term })
+fn known_leader(core: &ControllerState) -> Option<Forwarding> {
+    match &core.partitions[0].role {
+        Role::Leader(o) if o.serves => Some(Forwarding { slot: core.slot, term: o.term }),
+        Role::Follower { leader: Some((slot, term)), .. } => {
+            Some(Forwarding { slot: *slot, term: *term })
         }
         _ => None,
     }
 }
 
 /// Hands a request to the leader, if one is known and it was not yet handed.
-fn hand(core: &mut Core, now: Tick, op: u64, out: &mut Vec<Command>) {
+fn hand(core: &mut ControllerState, now: Tick, op: u64, out: &mut Vec<Command>) {
     if core.ops.get(&op).is_none_or(|ask| ask.sent.is_some()) {
         return;
     }
@@ -83,18 +91,18 @@
     (ask.sent, ask.attempt) = (Some(to), attempt);
     ask.unfenced |= to.term == ANY_TERM;
     let (id, expect, deed) = (ask.request.clone(), ask.expect, ask.deed.clone());
-    if to.seat == core.seat {
-        let from = OpFrom { seat: None, op, attempt };
+    if to.slot == core.slot {
+        let from = OperationOrigin { slot: None, op, attempt };
         return at_owner(core, now, from, Request { id, expect, deed }, out);
     }
     let term = to.term;
-    let msg = Msg::Operate { op, attempt, term, request: id, expect, deed };
-    out.push(Command::ToSeat { seat: to.seat, msg });
+    let message = Message::Operate { op, attempt, term, request: id, expect, deed };
+    out.push(Command::ToSeat { slot: to.slot, message });
 }
 
 /// We came to a voter slot or lost ours: what is answered to us under our former
 /// name does not reach us, so every request is handed over anew.
-pub fn hand_all_anew(core: &mut Core) {
+pub fn hand_all_anew(core: &mut ControllerState) {
     for ask in core.ops.values_mut().filter(|ask| ask.sent.is_some()) {
         ask.maybe = true;
         ask.sent = None;
@@ -103,10 +111,10 @@
 
 /// Voter slots changed hands: what was handed to their former holders is handed
 /// over anew, since nobody may be left there to answer.
-pub fn slots_moved(core: &mut Core, moved: &[bool]) {
-    let to_moved = |ask: &&mut Op| {
-        let seat = ask.sent.map(|to| usize::from(to.seat));
-        seat.is_some_and(|seat| moved.get(seat).is_some_and(|moved| *moved))
+pub fn slots_moved(core: &mut ControllerState, moved: &[bool]) {
+    let to_moved = |ask: &&mut PendingRequest| {
+        let slot = ask.sent.map(|to| usize::from(to.slot));
+        slot.is_some_and(|slot| moved.get(slot).is_some_and(|moved| *moved))
     };
     for ask in core.ops.values_mut().filter(to_moved) {
         ask.maybe = true;
@@ -115,13 +123,13 @@
 }
 
 /// A controller without a voter slot took us for a voter. It is to ask another.
-pub fn misdirected(wire: WireId, op: u64, attempt: u64, out: &mut Vec<Command>) {
-    let done = Done::Bounced { why: "this controller has no voter slot".into() };
-    out.push(Command::ToWire { wire, msg: Msg::Operated { op, attempt, done } });
+pub fn misdirected(connection: ConnectionId, op: u64, attempt: u64, out: &mut Vec<Command>) {
+    let done = OperationResult::Bounced { why: "this controller has no voter slot".into() };
+    out.push(Command::ToWire { connection, message: Message::Operated { op, attempt, done } });
 }
 
 /// Whether an attempt comes for the first time.
-fn first_time(core: &mut Core, attempt: u64) -> bool {
+fn first_time(core: &mut ControllerState, attempt: u64) -> bool {
     if !core.attempts_seen.insert(attempt) {
         return false;
     }
@@ -133,9 +141,9 @@
 
 /// Another controller handed a request to us as the leader of a term.
 pub fn handed(
-    core: &mut Core,
+    core: &mut ControllerState,
     now: Tick,
-    from: OpFrom,
+    from: OperationOrigin,
     term: u64,
     request: Request,
     out: &mut Vec<Command>,
@@ -143,17 +151,23 @@
     if !first_time(core, from.attempt) {
         return;
     }
-    if matches!(&core.parts[0].role, Role::Leader(o) if o.serves && o.epoch == term) {
+    if matches!(&core.partitions[0].role, Role::Leader(o) if o.serves && o.term == term) {
         at_owner(core, now, from, request, out);
     } else {
         let why = "the seat it was handed to does not own the configuration".to_string();
-        tell(from, Done::Bounced { why }, out);
+        tell(from, OperationResult::Bounced { why }, out);
     }
 }
 
 /// A controller without a voter slot handed a request to us; it asks again
 /// elsewhere if we fail it.
-pub fn lent(core: &mut Core, now: Tick, lent: Lent, request: Request, out: &mut Vec<Command>) {
+pub fn lent(
+    core: &mut ControllerState,
+    now: Tick,
+    lent: ForwardedOperation,
+    request: Request,
+    out: &mut Vec<Command>,
+) {
     if !first_time(core, lent.attempt) {
         return;
     }
@@ -165,13 +179,13 @@
 
 /// An answer to one of our attempts. Only the latest counts.
 pub fn answered(
-    core: &mut Core,
+    core: &mut ControllerState,
     now: Tick,
     (op, attempt): (u64, u64),
-    done: Done,
+    done: OperationResult,
     out: &mut Vec<Command>,
 ) {
-    let latest = |ask: &Op| ask.attempt == attempt && ask.sent.is_some();
+    let latest = |ask: &PendingRequest| ask.attempt == attempt && ask.sent.is_some();
     if core.ops.get(&op).is_some_and(latest) {
         operated(core, now, op, done, out);
     }
@@ -180,13 +194,19 @@
 /// The outcome of the latest attempt. A bounce is tried again while there is
 /// time: the leader may just have changed. An unknown outcome too, which is
 /// safe because the request carries its id.
-fn operated(core: &mut Core, now: Tick, op: u64, done: Done, out: &mut Vec<Command>) {
+fn operated(
+    core: &mut ControllerState,
+    now: Tick,
+    op: u64,
+    done: OperationResult,
+    out: &mut Vec<Command>,
+) {
     let Some(ask) = core.ops.get_mut(&op) else { return };
-    if let Done::Unknown { why } = &done {
+    if let OperationResult::Unknown { why } = &done {
         ask.maybe = true;
         ask.said = Some(why.clone());
     }
-    let again = matches!(done, Done::Bounced { .. } | Done::Unknown { .. });
+    let again = matches!(done, OperationResult::Bounced { .. } | OperationResult::Unknown { .. });
     if again && now < ask.until {
         ask.sent = None;
         return;
@@ -194,33 +214,33 @@
     let done = certain(ask, done);
     core.ops.swap_remove(&op);
     match done {
-        Done::Accepted { .. } => core.counts.accepted += 1,
-        Done::Config { .. } | Done::Status { .. } => {}
+        OperationResult::Accepted { .. } => core.counts.accepted += 1,
+        OperationResult::Config { .. } | OperationResult::Status { .. } => {}
         _ => core.counts.bounced += 1,
     }
     out.push(Command::Tell { op, done });
 }
 
 /// What may be told of an outcome, with what became of earlier attempts.
-fn certain(ask: &Op, done: Done) -> Done {
+fn certain(ask: &PendingRequest, done: OperationResult) -> OperationResult {
     match done {
-        Done::Accepted { .. }
-        | Done::Config { .. }
-        | Done::Status { .. }
-        | Done::Unknown { .. } => done,
-        Done::Bounced { why } if ask.maybe => Done::Unknown { why },
-        Done::Bounced { .. } => done,
+        OperationResult::Accepted { .. }
+        | OperationResult::Config { .. }
+        | OperationResult::Status { .. }
+        | OperationResult::Unknown { .. } => done,
+        OperationResult::Bounced { why } if ask.maybe => OperationResult::Unknown { why },
+        OperationResult::Bounced { .. } => done,
         // An earlier attempt may still reach any leader and be carried out.
         _ if ask.maybe && ask.unfenced => {
             let why = "refused, but an earlier attempt may still be carried out".to_string();
-            Done::Unknown { why }
+            OperationResult::Unknown { why }
         }
         refusal => refusal,
     }
 }
 
 /// Time passes: requests wait for a leader, but not for ever.
-pub fn wake(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
+pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     let ids: Vec<u64> = core.ops.keys().copied().collect();
     for id in ids {
         let Some(ask) = core.ops.get(&id) else { continue };
@@ -236,48 +256,51 @@
 }
 
 /// What an operator is told when the patience with its request ends.
-fn overdue(ask: &Op) -> Done {
+fn overdue(ask: &PendingRequest) -> OperationResult {
     match ask.sent {
-        None if !ask.maybe => Done::Bounced { why: "the configuration has no leader now".into() },
-        _ if matches!(ask.deed, Deed::Read | Deed::Status) => {
-            Done::Bounced { why: "no answer in time".into() }
+        None if !ask.maybe => {
+            OperationResult::Bounced { why: "the configuration has no leader now".into() }
+        }
+        _ if matches!(ask.deed, Operation::Read | Operation::Status) => {
+            OperationResult::Bounced { why: "no answer in time".into() }
         }
         _ => {
             let silent = || "the leader did not answer in time".to_string();
-            Done::Unknown { why: ask.said.clone().unwrap_or_else(silent) }
+            OperationResult::Unknown { why: ask.said.clone().unwrap_or_else(silent) }
         }
     }
 }
 
-/// Gives outcomes of lent requests back on the wires that they came on.
-pub fn give_back(core: &mut Core, out: &mut [Command]) {
+/// Gives outcomes of lent requests back on the connections that they came on.
+pub fn give_back(core: &mut ControllerState, out: &mut [Command]) {
     for command in out {
         if let Command::Tell { op, done } = command
-            && let Some(Lent { wire, number, attempt }) = core.lent.swap_remove(op)
+            && let Some(ForwardedOperation { connection, number, attempt }) =
+                core.lent.swap_remove(op)
         {
-            let msg = Msg::Operated { op: number, attempt, done: done.clone() };
-            *command = Command::ToWire { wire, msg };
+            let message = Message::Operated { op: number, attempt, done: done.clone() };
+            *command = Command::ToWire { connection, message };
         }
     }
 }
 
 /// A connection is gone, and with it those who wait on it.
-pub fn connection_gone(core: &mut Core, wire: WireId) {
-    core.lent.retain(|_, lent| lent.wire != wire);
+pub fn connection_gone(core: &mut ControllerState, connection: ConnectionId) {
+    core.lent.retain(|_, lent| lent.connection != connection);
 }
 
 /// Requests handed to a controller that leads no more, or in an earlier term,
 /// are handed anew; by a controller without a voter slot, those handed to one
 /// that has fallen silent.
-pub fn reconsider(core: &mut Core) {
+pub fn reconsider(core: &mut ControllerState) {
     let leader = known_leader(core);
     let leaving = handover::is_leaving(core);
-    let Core { seat, seating, ops, .. } = core;
+    let ControllerState { slot, seating, ops, .. } = core;
     let silent = |to: &Forwarding| {
-        let quiet = seating.quiet.get(usize::from(to.seat));
+        let quiet = seating.quiet.get(usize::from(to.slot));
         quiet.is_none_or(|quiet| *quiet >= consts::APPLY_SILENCE)
     };
-    let passed = |to: &Forwarding| match *seat {
+    let passed = |to: &Forwarding| match *slot {
         NOBODY => !leaving && silent(to),
         _ => leader.is_some_and(|leader| leader != *to),
     };
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -5,18 +5,18 @@
 use crate::config::change::{Entry, changes, config, patched, replaced};
 use crate::config::types::Turn;
 use crate::config::{build, read};
-use crate::control_plane::controller::{Command, Core};
+use crate::control_plane::controller::{Command, ControllerState};
 use crate::control_plane::order_memory;
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
-use crate::protocol::message::{Deed, Done, Map};
+use crate::protocol::message::{Map, Operation, OperationResult};
 use crate::replication::leader;
 use crate::replication::leader::{change, tell};
-use crate::replication::partition::{OpFrom, Part};
+use crate::replication::partition::{OperationOrigin, Partition};
 use crate::replication::pending_operations;
 use crate::replication::pending_operations::PendingAnswer;
-use crate::routing_language::diagnostic::Finding;
+use crate::routing_language::diagnostic::Diagnostic;
 use crate::time::Tick;
-use crate::voters::voter_set::Group;
+use crate::voters::voter_set::VoterGroup;
 use crate::voters::voter_slots::here;
 
 /// An operator's request without its origin.
@@ -24,36 +24,38 @@
     pub id: String,
     /// The revision that it expects to change.
     pub expect: Option<u64>,
-    pub deed: Deed,
+    pub deed: Operation,
 }
 
 /// Judges a request as the leader of the configuration.
 pub fn at_owner(
-    core: &mut Core,
+    core: &mut ControllerState,
     now: Tick,
-    from: OpFrom,
+    from: OperationOrigin,
     request: Request,
     out: &mut Vec<Command>,
 ) {
     let group = here(core);
-    if crate::replication::partition::leader(&mut core.parts[0])
+    if crate::replication::partition::leader(&mut core.partitions[0])
         .is_none_or(|o| pending_operations::full(o))
     {
         let why = "too many requests wait at the leader".to_string();
-        return tell(from, Done::Bounced { why }, out);
+        return tell(from, OperationResult::Bounced { why }, out);
     }
-    let p = &mut core.parts[0];
+    let p = &mut core.partitions[0];
     match &request.deed {
-        Deed::Read => pending_operations::add(p, now, group, from, PendingAnswer::Read, out),
-        Deed::Status => pending_operations::add(p, now, group, from, PendingAnswer::Status, out),
-        Deed::Forget(name) => {
+        Operation::Read => pending_operations::add(p, now, group, from, PendingAnswer::Read, out),
+        Operation::Status => {
+            pending_operations::add(p, now, group, from, PendingAnswer::Status, out)
+        }
+        Operation::Forget(name) => {
             crate::control_plane::forgotten_members::forget(core, now, from, name, out)
         }
-        Deed::Whole(text) => {
+        Operation::Whole(text) => {
             let judged = judge(p, &request, true, text);
             carry_out(p, now, group, from, judged, out);
         }
-        Deed::Patch(text) => {
+        Operation::Patch(text) => {
             let judged = judge(p, &request, false, text);
             carry_out(p, now, group, from, judged, out);
         }
@@ -62,10 +64,10 @@
 
 /// Carries out what an order was judged to come to.
 fn carry_out(
-    p: &mut Part,
+    p: &mut Partition,
     now: Tick,
-    g: Group,
-    from: OpFrom,
+    g: VoterGroup,
+    from: OperationOrigin,
     judged: Judged,
     out: &mut Vec<Command>,
 ) {
@@ -80,7 +82,7 @@
         }
         Judged::Change(entries) => {
             change(p, now, g, entries, out);
-            leader::wait(p, now, from, p.copy.rev, true);
+            leader::wait(p, now, from, p.copy.revision, true);
             leader::settle(p, now, g, out);
         }
     }
@@ -93,24 +95,24 @@
     /// It was made as this revision when it came before.
     Made { revision: u64 },
     /// It changes nothing; this is told once it is proved.
-    Refused(Done),
+    Refused(OperationResult),
 }
 
 /// Judges a change by our newest state.
-fn judge(p: &Part, request: &Request, whole: bool, text: &[u8]) -> Judged {
+fn judge(p: &Partition, request: &Request, whole: bool, text: &[u8]) -> Judged {
     let map = &p.copy.map;
     let order = order_memory::fingerprint(&request.id, whole, text);
     match order_memory::recall(map, &request.id, &order) {
         Recall::Accepted { revision } => return Judged::Made { revision },
         Recall::OtherText => {
             let text = "this request id was used for another request".to_string();
-            return Judged::Refused(Done::Wrong(vec![("request".into(), text)]));
+            return Judged::Refused(OperationResult::Wrong(vec![("request".into(), text)]));
         }
         Recall::Absent => {}
     }
-    if request.expect.is_some_and(|want| want != p.copy.rev) {
+    if request.expect.is_some_and(|want| want != p.copy.revision) {
         let base = OrderBase { revision: request.expect, ..OrderBase::default() };
-        let moved = Done::Moved { revision: p.copy.rev };
+        let moved = OperationResult::Moved { revision: p.copy.revision };
         return Judged::Refused(forgotten(map, &base).unwrap_or(moved));
     }
     let (mut entries, edition) = match planned(map, request.expect, whole, text) {
@@ -118,10 +120,10 @@
         Ok(Planned::Refused(done)) => return Judged::Refused(done),
         Err(all) => {
             let list = all.into_iter().map(|f| (f.place, f.text)).collect();
-            return Judged::Refused(Done::Wrong(list));
+            return Judged::Refused(OperationResult::Wrong(list));
         }
     };
-    entries.extend(order_memory::remember(map, &order, p.copy.rev + 1, edition));
+    entries.extend(order_memory::remember(map, &order, p.copy.revision + 1, edition));
     Judged::Change(entries)
 }
 
@@ -130,7 +132,7 @@
     /// The entries that it changes, and the edition that stands then.
     Entries(Vec<Entry>, u64),
     /// It does not build on the edition that stands.
-    Refused(Done),
+    Refused(OperationResult),
 }
 
 /// The entries that a request changes, or all that is wrong with it. A request
@@ -141,9 +143,9 @@
     expect: Option<u64>,
     whole: bool,
     text: &[u8],
-) -> Result<Planned, Vec<Finding>> {
-    let old =
-        config(map).map_err(|text| vec![Finding { place: "stored configuration".into(), text }])?;
+) -> Result<Planned, Vec<Diagnostic>> {
+    let old = config(map)
+        .map_err(|text| vec![Diagnostic { place: "stored configuration".into(), text }])?;
     let new = if whole {
         replaced(&old, read::whole(text)?)
     } else {
@@ -152,7 +154,7 @@
     let Turn { after, edition, .. } = new.turn;
     let base = OrderBase { revision: expect, edition: after, next_edition: edition };
     if base.edition.is_some_and(|n| n != old.terms.edition) {
-        let moved = Done::Moved { revision: old.terms.edition };
+        let moved = OperationResult::Moved { revision: old.terms.edition };
         return Ok(Planned::Refused(forgotten(map, &base).unwrap_or(moved)));
     }
     if base.next_edition.is_some_and(|n| n <= old.terms.edition) {
@@ -160,7 +162,7 @@
             return Ok(Planned::Refused(done));
         }
         let text = format!("must be above {}, the one that stands", old.terms.edition);
-        return Err(vec![Finding { place: "terms.edition".into(), text }]);
+        return Err(vec![Diagnostic { place: "terms.edition".into(), text }]);
     }
     build::build(&new)?;
     Ok(Planned::Entries(changes(&old, &new), new.terms.edition))
@@ -168,8 +170,8 @@
 
 /// No clear answer, if an order that would be refused may have been accepted
 /// and forgotten.
-fn forgotten(map: &Map, base: &OrderBase) -> Option<Done> {
+fn forgotten(map: &Map, base: &OrderBase) -> Option<OperationResult> {
     let horizon = order_memory::horizon(map);
     let Horizon { revision, edition } = horizon;
-    may_be_forgotten(&horizon, base).then_some(Done::Forgotten { revision, edition })
+    may_be_forgotten(&horizon, base).then_some(OperationResult::Forgotten { revision, edition })
 }
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -6,7 +6,7 @@
 
 use crate::control_plane::members::{Members, is_live};
 use crate::membership::attestation::id;
-use crate::protocol::message::{Cohort, Member, MembershipId, Progress};
+use crate::protocol::message::{Member, MemberProgress, Membership, MembershipId};
 use crate::time::{Tick, ms, since};
 use crate::{consts, quorum};
 
@@ -24,8 +24,8 @@
 
 /// Whether a process that a membership names has left it: it goes by a newer
 /// one, or is no more. Either way it attests no more for that one.
-pub fn has_left(m: &Members, membership: &Cohort, member: &Member) -> bool {
-    let saw = |far: &Progress| MembershipId { term: far.saw.0, turn: far.saw.1 };
+pub fn has_left(m: &Members, membership: &Membership, member: &Member) -> bool {
+    let saw = |far: &MemberProgress| MembershipId { term: far.saw.0, turn: far.saw.1 };
     let gone = m.gone.get(&member.name).is_some_and(|g| g.incarnation == member.incarnation);
     gone || m.heard.get(&member.name).is_some_and(|h| {
         h.spoke && (h.member.incarnation != member.incarnation || saw(&h.far) > id(membership))
@@ -34,7 +34,7 @@
 
 /// Whether so many have left a membership that the others can't serve on by it.
 /// A lone member never does.
-fn is_left(m: &Members, now: Tick, membership: &Cohort) -> bool {
+fn is_left(m: &Members, now: Tick, membership: &Membership) -> bool {
     let list = &membership.members;
     let left = list.iter().filter(|k| has_left(m, membership, k)).count();
     left >= quorum::acceptance(list.len()) || (list.len() == 1 && !is_live(m, now, &list[0].name))
@@ -42,7 +42,7 @@
 
 /// Whether nobody serves on any more by a membership that was left at `retired`:
 /// the proofs that those who left it may have given before are out of date.
-fn is_over(m: &Members, now: Tick, membership: &Cohort, retired: Tick) -> bool {
+fn is_over(m: &Members, now: Tick, membership: &Membership, retired: Tick) -> bool {
     let list = &membership.members;
     let quiet = |k: &&Member| {
         has_left(m, membership, k)
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -1,16 +1,18 @@
 //! `step` of the controller's leader.
 
 use crate::consts;
-use crate::control_plane::controller::{Command, Core, Event, Lent, WireId};
+use crate::control_plane::controller::{
+    Command, ConnectionId, ControllerState, Event, ForwardedOperation,
+};
 use crate::control_plane::operations::Request;
 use crate::control_plane::{
     acceptance, endpoints, feed, forgotten_members, members, membership_log, operation_forwarding,
 };
-use crate::identifiers::{COHORT, PartId, Seat};
-use crate::protocol::message::{Life, Msg};
-use crate::replication::partition::{After, OpFrom, Role, Stand, able};
+use crate::identifiers::{COHORT, PartitionId, VoterSlot};
+use crate::protocol::message::{Message, ReplicaCondition};
+use crate::replication::partition::{After, OperationOrigin, ReplicaStatus, Role, able};
 use crate::replication::{catch_up, election, leader, replica};
-use crate::storage::record::Rec;
+use crate::storage::record::LogRecord;
 use crate::time::{Tick, ms};
 use crate::voters::handover;
 use crate::voters::handover::Received;
@@ -23,42 +25,46 @@
 pub const WAKE: crate::time::Span = ms(50);
 
 /// Takes one event and says what to do.
-pub fn step(core: &mut Core, now: Tick, event: Event) -> Vec<Command> {
+pub fn step(core: &mut ControllerState, now: Tick, event: Event) -> Vec<Command> {
     let mut out = Vec::new();
     match event {
-        Event::FromSeat { seat, holder, wire, msg } => {
-            if heard(core, now, (seat, holder), wire, &msg, &mut out) {
-                from_seat(core, now, seat, msg, &mut out);
+        Event::FromSeat { slot, holder, connection, message } => {
+            if heard(core, now, (slot, holder), connection, &message, &mut out) {
+                from_seat(core, now, slot, message, &mut out);
             }
         }
-        Event::Answer { msg } => answer(core, now, msg, &mut out),
-        Event::Opened { wire } => {
-            core.seating.wires.insert(wire);
-            voter_slots::tell(core, wire, &mut out);
+        Event::Answer { message } => answer(core, now, message, &mut out),
+        Event::Opened { connection } => {
+            core.seating.connections.insert(connection);
+            voter_slots::tell(core, connection, &mut out);
         }
         Event::Kept { token } => voter_slots::kept(core, now, token, &mut out),
         Event::RollTrouble { why } => voter_slots::trouble(core, now, &why, &mut out),
-        Event::FromWire { wire, msg } => from_wire(core, now, wire, msg, &mut out),
-        Event::WireGone { wire } => {
-            core.followers.swap_remove(&wire);
-            core.seating.wires.swap_remove(&wire);
-            operation_forwarding::connection_gone(core, wire);
-            core.members.wires.retain(|_, w| *w != wire);
+        Event::FromWire { connection, message } => {
+            from_wire(core, now, connection, message, &mut out)
+        }
+        Event::WireGone { connection } => {
+            core.followers.swap_remove(&connection);
+            core.seating.connections.swap_remove(&connection);
+            operation_forwarding::connection_gone(core, connection);
+            core.members.connections.retain(|_, w| *w != connection);
         }
-        Event::Synced { part, token } => synced(core, now, part, token, &mut out),
-        Event::DiskTrouble { part, why } => {
-            let p = &mut core.parts[part.0 as usize];
+        Event::Synced { partition, token } => synced(core, now, partition, token, &mut out),
+        Event::DiskTrouble { partition, why } => {
+            let p = &mut core.partitions[partition.0 as usize];
             p.writes.clear();
             replica::step_back(p, now, why, &mut out);
         }
-        Event::Looked { part, trouble: Some(why) } => rotted(core, now, part, &why, &mut out),
+        Event::Looked { partition, trouble: Some(why) } => {
+            rotted(core, now, partition, &why, &mut out)
+        }
         Event::Looked { .. } => {}
         Event::Operate { op, request, expect, deed } => {
             let request = Request { id: request, expect, deed };
             operation_forwarding::operate(core, now, op, request, &mut out);
         }
         Event::Vouch => {
-            for p in core.parts.iter_mut().filter(|p| p.life != Life::Formed) {
+            for p in core.partitions.iter_mut().filter(|p| p.life != ReplicaCondition::Formed) {
                 p.relearn.vouched = true;
                 let text = format!("part {}: an operator vouches for what is left", p.id);
                 out.push(Command::Alarm(text));
@@ -79,7 +85,7 @@
 
 /// What we answer as the leader to requests of our own operators goes the way of
 /// all answers: it may have to be tried again elsewhere.
-fn take_own_answers(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
+fn take_own_answers(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     let mut i = 0;
     while i < out.len() {
         if !matches!(out[i], Command::OwnAnswer { .. }) {
@@ -90,10 +96,10 @@
     }
 }
 
-fn wake(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
+fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     voter_slots::wake(core, now, out);
     let g = here(core);
-    for p in core.parts.iter_mut().filter(|_| core.seat != NOBODY) {
+    for p in core.partitions.iter_mut().filter(|_| core.slot != NOBODY) {
         if p.sick.is_some() {
             mend(p, now, out);
         } else if replica::stalled(p, now) {
@@ -109,10 +115,10 @@
     }
     if now >= core.look_at {
         core.look_at = now + consts::ROT_LOOK;
-        let p = &core.parts[core.look_next];
-        core.look_next = (core.look_next + 1) % core.parts.len();
+        let p = &core.partitions[core.look_next];
+        core.look_next = (core.look_next + 1) % core.partitions.len();
         if able(p) {
-            out.push(Command::Look { part: p.id });
+            out.push(Command::Look { partition: p.id });
         }
     }
     members::wake(core, now, out);
@@ -122,36 +128,48 @@
 
 /// Files rotted while we ran. What they held we still have, and the sweep
 /// compares it with the leader's: it is written anew.
-fn rotted(core: &mut Core, now: Tick, part: PartId, why: &str, out: &mut Vec<Command>) {
-    let p = &mut core.parts[part.0 as usize];
+fn rotted(
+    core: &mut ControllerState,
+    now: Tick,
+    partition: PartitionId,
+    why: &str,
+    out: &mut Vec<Command>,
+) {
+    let p = &mut core.partitions[partition.0 as usize];
     if able(p) {
         core.counts.rotted += 1;
-        out.push(Command::Alarm(format!("part {part}: its files have rotted: {why}")));
+        out.push(Command::Alarm(format!("part {partition}: its files have rotted: {why}")));
         replica::keep_whole(p, now, Vec::new(), out);
     }
 }
 
 /// A seat that stepped back tries its disk again by writing a whole slot.
-fn mend(p: &mut crate::replication::partition::Part, now: Tick, out: &mut Vec<Command>) {
-    if p.life == Life::Formed && p.writes.is_empty() && now >= p.mend_at {
+fn mend(p: &mut crate::replication::partition::Partition, now: Tick, out: &mut Vec<Command>) {
+    if p.life == ReplicaCondition::Formed && p.writes.is_empty() && now >= p.mend_at {
         p.mend_at = now + consts::DISK_STALL;
         replica::keep_whole(p, now, Vec::new(), out);
     }
 }
 
-fn synced(core: &mut Core, now: Tick, part: PartId, token: u64, out: &mut Vec<Command>) {
+fn synced(
+    core: &mut ControllerState,
+    now: Tick,
+    partition: PartitionId,
+    token: u64,
+    out: &mut Vec<Command>,
+) {
     let g = here(core);
-    let p = &mut core.parts[part.0 as usize];
+    let p = &mut core.partitions[partition.0 as usize];
     while p.writes.front().is_some_and(|w| w.token <= token) {
         let Some(write) = p.writes.pop_front() else { break };
         p.synced_at = now;
         for after in write.after {
             match after {
-                After::Send(to, msg) => out.push(Command::ToSeat { seat: to, msg }),
-                After::OwnKept { epoch, rev } => {
-                    leader::append_acked(p, now, (g, g.seat), epoch, rev, out)
+                After::Send(to, message) => out.push(Command::ToSeat { slot: to, message }),
+                After::OwnKept { term, revision } => {
+                    leader::append_acked(p, now, (g, g.slot), term, revision, out)
                 }
-                After::OwnPromise { epoch } => election::own_vote_synced(p, now, g, epoch, out),
+                After::OwnPromise { term } => election::own_vote_synced(p, now, g, term, out),
                 After::Formed => catch_up::formed(p, now, out),
             }
         }
@@ -159,7 +177,7 @@
     if p.writes.is_empty() && p.sick.is_some() {
         p.sick = None;
         replica::follow(p, now, None);
-        out.push(Command::Alarm(format!("part {part}: the disk works again")));
+        out.push(Command::Alarm(format!("part {partition}: the disk works again")));
         core.counts.mended += 1;
     }
 }
@@ -167,97 +185,103 @@
 /// Whether what a seat's holder says counts: only if our table names it so,
 /// and a vote only if its own table is the same.
 fn heard(
-    core: &mut Core,
+    core: &mut ControllerState,
     now: Tick,
-    (seat, holder): (Seat, u64),
-    wire: WireId,
-    msg: &Msg,
+    (slot, holder): (VoterSlot, u64),
+    connection: ConnectionId,
+    message: &Message,
     out: &mut Vec<Command>,
 ) -> bool {
-    if let Msg::Seats { table, .. } = msg {
+    if let Message::Seats { table, .. } = message {
         voter_slots::learn(core, now, table, out);
     }
-    if !voter_slots::holds(&core.seating, seat, holder) {
-        voter_slots::tell_again(core, now, seat, wire, out);
+    if !voter_slots::holds(&core.seating, slot, holder) {
+        voter_slots::tell_again(core, now, slot, connection, out);
         return false;
     }
-    core.seating.quiet[usize::from(seat)] = 0;
-    let same = voter_slots::stamp_of(msg).is_none_or(|stamp| stamp == core.seating.stamp);
+    core.seating.quiet[usize::from(slot)] = 0;
+    let same = voter_slots::stamp_of(message).is_none_or(|stamp| stamp == core.seating.stamp);
     if !same {
-        voter_slots::tell_again(core, now, seat, wire, out);
+        voter_slots::tell_again(core, now, slot, connection, out);
     }
-    same && core.seat != NOBODY
+    same && core.slot != NOBODY
 }
 
-/// A controller answers on a wire that we opened.
-fn answer(core: &mut Core, now: Tick, msg: Msg, out: &mut Vec<Command>) {
-    match msg {
-        Msg::Seats { me, table } => voter_slots::answered(core, now, me, &table, out),
-        Msg::Offer { seat, stamp, free } => {
-            slot_takeover::offered(core, now, (seat, stamp), free, out);
+/// A controller answers on a connection that we opened.
+fn answer(core: &mut ControllerState, now: Tick, message: Message, out: &mut Vec<Command>) {
+    match message {
+        Message::Seats { me, table } => voter_slots::answered(core, now, me, &table, out),
+        Message::Offer { slot, stamp, free } => {
+            slot_takeover::offered(core, now, (slot, stamp), free, out);
         }
-        Msg::Operated { op, attempt, done } => {
+        Message::Operated { op, attempt, done } => {
             operation_forwarding::answered(core, now, (op, attempt), done, out);
         }
-        Msg::HandoverOffer { slot, generation } => {
+        Message::HandoverOffer { slot, generation } => {
             handover::offered(core, now, slot, generation, out);
         }
-        Msg::HandoverDone { slot, generation } => handover::done(core, slot, generation),
+        Message::HandoverDone { slot, generation } => handover::done(core, slot, generation),
         _ => {}
     }
 }
 
-fn from_seat(core: &mut Core, now: Tick, from: Seat, msg: Msg, out: &mut Vec<Command>) {
+fn from_seat(
+    core: &mut ControllerState,
+    now: Tick,
+    from: VoterSlot,
+    message: Message,
+    out: &mut Vec<Command>,
+) {
     let g = here(core);
-    if let Some(id) = part_named(&msg) {
-        let Some(p) = core.parts.get_mut(id.0 as usize) else { return };
+    if let Some(id) = part_named(&message) {
+        let Some(p) = core.partitions.get_mut(id.0 as usize) else { return };
         let owned = matches!(p.role, Role::Leader(_));
-        match msg {
-            Msg::StatusRequest { nonce, .. } => catch_up::stand(p, from, nonce, out),
-            Msg::ReplicaStatus { nonce, life, promised, epoch, rev, .. } => {
-                let s = Stand { life, promised, epoch, rev };
+        match message {
+            Message::StatusRequest { nonce, .. } => catch_up::stand(p, from, nonce, out),
+            Message::ReplicaStatus { nonce, life, promised, term, revision, .. } => {
+                let s = ReplicaStatus { life, promised, term, revision };
                 catch_up::stood(p, now, (g, from), nonce, s, out);
             }
-            Msg::FetchReplica { nonce, .. } => catch_up::give(p, from, nonce, out),
-            Msg::ReplicaFetched { nonce, promised, epoch, rev, map, .. } if able(p) => {
+            Message::FetchReplica { nonce, .. } => catch_up::give(p, from, nonce, out),
+            Message::ReplicaFetched { nonce, promised, term, revision, map, .. } if able(p) => {
                 let _ = promised;
-                election::fetched(p, now, (g, from), nonce, (epoch, rev), map, out);
+                election::fetched(p, now, (g, from), nonce, (term, revision), map, out);
             }
-            Msg::ReplicaFetched { nonce, promised, epoch, rev, map, .. } => {
-                catch_up::fetched(p, now, from, nonce, (promised, (epoch, rev)), map, out);
+            Message::ReplicaFetched { nonce, promised, term, revision, map, .. } => {
+                catch_up::fetched(p, now, from, nonce, (promised, (term, revision)), map, out);
             }
-            Msg::PreVoteRequest { epoch, .. } => replica::pre_vote(p, now, from, epoch, out),
-            Msg::PreVoteResponse { epoch, yes, promised, .. } => {
-                election::pre_vote_answered(p, now, (g, from), epoch, (yes, promised), out);
+            Message::PreVoteRequest { term, .. } => replica::pre_vote(p, now, from, term, out),
+            Message::PreVoteResponse { term, yes, promised, .. } => {
+                election::pre_vote_answered(p, now, (g, from), term, (yes, promised), out);
             }
-            Msg::VoteRequest { epoch, .. } => replica::vote(p, now, from, epoch, out),
-            Msg::VoteGranted { epoch, at_epoch, rev, .. } => {
-                election::vote_granted(p, now, (g, from), epoch, (at_epoch, rev), out);
+            Message::VoteRequest { term, .. } => replica::vote(p, now, from, term, out),
+            Message::VoteGranted { term, at_term, revision, .. } => {
+                election::vote_granted(p, now, (g, from), term, (at_term, revision), out);
             }
-            Msg::LeadershipTransfer { term, .. } => {
+            Message::LeadershipTransfer { term, .. } => {
                 election::transferred(p, now, g, from, term, out);
             }
-            Msg::VoteRejected { epoch, promised, .. } => {
-                election::vote_rejected(p, now, g, epoch, promised, out);
+            Message::VoteRejected { term, promised, .. } => {
+                election::vote_rejected(p, now, g, term, promised, out);
             }
-            Msg::Snapshot { epoch, rev, map, .. } => {
-                replica::snapshot(p, now, from, (epoch, rev), map, out);
+            Message::Snapshot { term, revision, map, .. } => {
+                replica::snapshot(p, now, from, (term, revision), map, out);
             }
-            Msg::Append { epoch, rev, entries, .. } => {
-                replica::append(p, now, from, Rec::Change { epoch, rev, entries }, out);
+            Message::Append { term, revision, entries, .. } => {
+                replica::append(p, now, from, LogRecord::Change { term, revision, entries }, out);
             }
-            Msg::AppendAck { epoch, rev, .. } => {
-                leader::append_acked(p, now, (g, from), epoch, rev, out)
+            Message::AppendAck { term, revision, .. } => {
+                leader::append_acked(p, now, (g, from), term, revision, out)
             }
-            Msg::SnapshotRequest { epoch, .. } => {
+            Message::SnapshotRequest { term, .. } => {
                 core.counts.swept += 1;
-                leader::snapshot_requested(p, now, from, epoch, out);
+                leader::snapshot_requested(p, now, from, term, out);
             }
-            Msg::Heartbeat { epoch, round, done, sum, .. } => {
-                replica::heartbeat(p, now, from, (epoch, round), (done, sum), out);
+            Message::Heartbeat { term, round, done, sum, .. } => {
+                replica::heartbeat(p, now, from, (term, round), (done, sum), out);
             }
-            Msg::HeartbeatAck { epoch, round, rev, kept, .. } => {
-                leader::heartbeat_acked(p, now, (g, from), (epoch, round), (rev, kept), out);
+            Message::HeartbeatAck { term, round, revision, kept, .. } => {
+                leader::heartbeat_acked(p, now, (g, from), (term, round), (revision, kept), out);
             }
             _ => {}
         }
@@ -266,112 +290,124 @@
         core.counts.resigned += u64::from(owned && !owns);
         return;
     }
-    match msg {
-        Msg::Renew { member, count, far } => {
+    match message {
+        Message::Renew { member, count, far } => {
             members::renew(core, now, Some(from), None, (member, count, far), out);
         }
-        Msg::Tenure { ref name, .. } => members::granted(core, &name.clone(), msg, out),
-        Msg::Tell(cohort) => members::told(core, now, false, cohort, out),
-        Msg::ReplicateMembership { term, current, confirmed, older } => {
+        Message::Lease { ref name, .. } => members::granted(core, &name.clone(), message, out),
+        Message::Tell(membership) => members::told(core, now, false, membership, out),
+        Message::ReplicateMembership { term, current, confirmed, older } => {
             membership_log::take(core, from, term, (current, confirmed), older, out);
         }
-        Msg::MembershipReplicated { term, id, settled, confirmed, .. } => {
+        Message::MembershipReplicated { term, id, settled, confirmed, .. } => {
             membership_log::acknowledged(core, from, term, (id, settled), confirmed);
             members::advance(core, now, out);
         }
-        Msg::FetchMembership { term } => membership_log::asked(core, from, term, out),
-        Msg::MembershipFetched { term, current, others, .. } => {
+        Message::FetchMembership { term } => membership_log::asked(core, from, term, out),
+        Message::MembershipFetched { term, current, others, .. } => {
             membership_log::fetched(core, from, term, current, others);
         }
-        Msg::Operate { op, attempt, term, request, expect, deed } => {
-            let from = OpFrom { seat: Some(from), op, attempt };
+        Message::Operate { op, attempt, term, request, expect, deed } => {
+            let from = OperationOrigin { slot: Some(from), op, attempt };
             let request = Request { id: request, expect, deed };
             operation_forwarding::handed(core, now, from, term, request, out);
         }
-        Msg::Operated { op, attempt, done } => {
+        Message::Operated { op, attempt, done } => {
             operation_forwarding::answered(core, now, (op, attempt), done, out);
         }
-        msg => report(core, now, msg, false, out),
+        message => report(core, now, message, false, out),
     }
 }
 
-fn part_named(msg: &Msg) -> Option<PartId> {
-    Some(match msg {
-        Msg::StatusRequest { part, .. }
-        | Msg::ReplicaStatus { part, .. }
-        | Msg::FetchReplica { part, .. }
-        | Msg::ReplicaFetched { part, .. }
-        | Msg::PreVoteRequest { part, .. }
-        | Msg::PreVoteResponse { part, .. }
-        | Msg::VoteRequest { part, .. }
-        | Msg::VoteGranted { part, .. }
-        | Msg::VoteRejected { part, .. }
-        | Msg::LeadershipTransfer { part, .. }
-        | Msg::Snapshot { part, .. }
-        | Msg::Append { part, .. }
-        | Msg::AppendAck { part, .. }
-        | Msg::SnapshotRequest { part, .. }
-        | Msg::Heartbeat { part, .. }
-        | Msg::HeartbeatAck { part, .. } => *part,
+fn part_named(message: &Message) -> Option<PartitionId> {
+    Some(match message {
+        Message::StatusRequest { partition, .. }
+        | Message::ReplicaStatus { partition, .. }
+        | Message::FetchReplica { partition, .. }
+        | Message::ReplicaFetched { partition, .. }
+        | Message::PreVoteRequest { partition, .. }
+        | Message::PreVoteResponse { partition, .. }
+        | Message::VoteRequest { partition, .. }
+        | Message::VoteGranted { partition, .. }
+        | Message::VoteRejected { partition, .. }
+        | Message::LeadershipTransfer { partition, .. }
+        | Message::Snapshot { partition, .. }
+        | Message::Append { partition, .. }
+        | Message::AppendAck { partition, .. }
+        | Message::SnapshotRequest { partition, .. }
+        | Message::Heartbeat { partition, .. }
+        | Message::HeartbeatAck { partition, .. } => *partition,
         _ => return None,
     })
 }
 
-fn from_wire(core: &mut Core, now: Tick, wire: u64, msg: Msg, out: &mut Vec<Command>) {
-    match msg {
-        Msg::Follow { places, stamp } => {
-            let cohort = places.iter().any(|p| p.part == COHORT);
-            if !cohort && !core.followers.contains_key(&wire) {
-                members::greet(core, wire, out);
+fn from_wire(
+    core: &mut ControllerState,
+    now: Tick,
+    connection: u64,
+    message: Message,
+    out: &mut Vec<Command>,
+) {
+    match message {
+        Message::Follow { places, stamp } => {
+            let membership = places.iter().any(|p| p.partition == COHORT);
+            if !membership && !core.followers.contains_key(&connection) {
+                members::greet(core, connection, out);
             }
-            feed::follow(core, wire, places, stamp, out);
+            feed::follow(core, connection, places, stamp, out);
         }
-        Msg::Renew { member, count, far } => {
-            members::renew(core, now, None, Some(wire), (member, count, far), out);
+        Message::Renew { member, count, far } => {
+            members::renew(core, now, None, Some(connection), (member, count, far), out);
         }
-        Msg::Tell(cohort) => members::told(core, now, true, cohort, out),
-        Msg::Seats { table, .. } => voter_slots::learn(core, now, &table, out),
-        Msg::Apply { holder, addr, zone, stamp } => {
-            slot_takeover::asked(core, now, wire, (holder, &addr, &zone), stamp, out);
+        Message::Tell(membership) => members::told(core, now, true, membership, out),
+        Message::Seats { table, .. } => voter_slots::learn(core, now, &table, out),
+        Message::Apply { holder, addr, zone, stamp } => {
+            slot_takeover::asked(core, now, connection, (holder, &addr, &zone), stamp, out);
         }
-        Msg::HandoverAccept { slot, holding } => {
+        Message::HandoverAccept { slot, holding } => {
             handover::accepted(core, now, slot, holding, out);
         }
-        Msg::Handover { slot, generation, table, replicas, memberships } => {
+        Message::Handover { slot, generation, table, replicas, memberships } => {
             let state = Received { slot, generation, table, replicas, memberships };
-            handover::received(core, now, wire, state, out);
+            handover::received(core, now, connection, state, out);
         }
-        Msg::Take { seat, holding } => slot_takeover::taken(core, now, seat, holding, out),
-        Msg::Operate { op, attempt, .. } if core.seat == NOBODY => {
-            operation_forwarding::misdirected(wire, op, attempt, out);
+        Message::Take { slot, holding } => slot_takeover::taken(core, now, slot, holding, out),
+        Message::Operate { op, attempt, .. } if core.slot == NOBODY => {
+            operation_forwarding::misdirected(connection, op, attempt, out);
         }
-        Msg::Operate { op, attempt, request, expect, deed, .. } => {
+        Message::Operate { op, attempt, request, expect, deed, .. } => {
             let request = Request { id: request, expect, deed };
-            let lent = Lent { wire, number: op, attempt };
+            let lent = ForwardedOperation { connection, number: op, attempt };
             operation_forwarding::lent(core, now, lent, request, out);
         }
-        msg => report(core, now, msg, true, out),
+        message => report(core, now, message, true, out),
     }
 }
 
 /// Reports about leafs go to the leader of their part, handed over once.
-fn report(core: &mut Core, now: Tick, msg: Msg, fresh: bool, out: &mut Vec<Command>) {
+fn report(
+    core: &mut ControllerState,
+    now: Tick,
+    message: Message,
+    fresh: bool,
+    out: &mut Vec<Command>,
+) {
     let g = here(core);
-    let id = match &msg {
-        Msg::Listed { part, .. } | Msg::Words { part, .. } => *part,
+    let id = match &message {
+        Message::Listed { partition, .. } | Message::Words { partition, .. } => *partition,
         _ => return,
     };
-    let Some(p) = core.parts.get_mut(id.0 as usize) else { return };
+    let Some(p) = core.partitions.get_mut(id.0 as usize) else { return };
     match &p.role {
-        Role::Leader(_) => match msg {
-            Msg::Listed { fence, leafs, .. } => {
+        Role::Leader(_) => match message {
+            Message::Listed { fence, leafs, .. } => {
                 endpoints::listed(p, now, g, fence, leafs, &mut core.counts, out);
             }
-            Msg::Words { words, .. } => endpoints::words(p, now, g, words, out),
+            Message::Words { words, .. } => endpoints::words(p, now, g, words, out),
             _ => {}
         },
         Role::Follower { leader: Some((to, _)), .. } if fresh => {
-            out.push(Command::ToSeat { seat: *to, msg });
+            out.push(Command::ToSeat { slot: *to, message });
         }
         _ => {}
     }
--- a/crates/core/src/http_api/caller.rs
+++ b/crates/core/src/http_api/caller.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 use crate::consts;
-use crate::query::request::{Ask, Bounce, Full, Outcome, Reason};
+use crate::query::request::{Ask, Full, Outcome, Reason, Rejection};
 use crate::time::ms;
 
 /// Header with the time the caller will wait, in milliseconds.
@@ -26,7 +26,7 @@
     mapping: &str,
     budget: Option<&str>,
     params: &[(String, String)],
-) -> Result<Ask, Bounce> {
+) -> Result<Ask, Rejection> {
     let mut map = serde_json::Map::new();
     for (key, val) in params {
         let val = match key.as_str() {
@@ -46,9 +46,9 @@
 }
 
 /// Reads a call from a POST's body.
-pub fn read_post(mapping: &str, budget: Option<&str>, body: &[u8]) -> Result<Ask, Bounce> {
+pub fn read_post(mapping: &str, budget: Option<&str>, body: &[u8]) -> Result<Ask, Rejection> {
     if body.len() > consts::QUESTION_LIMIT {
-        return Err(Bounce::new(Reason::TooLarge, "the question is larger than 64 KiB"));
+        return Err(Rejection::new(Reason::TooLarge, "the question is larger than 64 KiB"));
     }
     match serde_json::from_slice(body) {
         Ok(Value::Object(map)) => read(mapping, budget, map),
@@ -61,7 +61,7 @@
     mapping: &str,
     budget: Option<&str>,
     map: serde_json::Map<String, Value>,
-) -> Result<Ask, Bounce> {
+) -> Result<Ask, Rejection> {
     let Some(text) = budget else {
         return Err(bad("the header Budget-Ms is missing: say how long you will wait"));
     };
@@ -96,13 +96,13 @@
         },
     };
     if question.to_string().len() > consts::QUESTION_LIMIT {
-        return Err(Bounce::new(Reason::TooLarge, "the question is larger than 64 KiB"));
+        return Err(Rejection::new(Reason::TooLarge, "the question is larger than 64 KiB"));
     }
     Ok(Ask { mapping: mapping.to_string(), question, key, limit, budget })
 }
 
-fn bad(text: impl Into<String>) -> Bounce {
-    Bounce::new(Reason::BadCall, text)
+fn bad(text: impl Into<String>) -> Rejection {
+    Rejection::new(Reason::BadCall, text)
 }
 
 /// The status for a reason.
@@ -124,10 +124,10 @@
         Outcome::Full(full) => write_full(full),
         // Calls that are handed over come by another door.
         Outcome::Passed(_) | Outcome::Joined(_) => {
-            let b = Bounce::new(Reason::NoMapping, "this search is called by host and path");
-            write(&Outcome::Bounce(b))
+            let b = Rejection::new(Reason::NoMapping, "this search is called by host and path");
+            write(&Outcome::Rejection(b))
         }
-        Outcome::Bounce(b) => {
+        Outcome::Rejection(b) => {
             let code = status(b.reason);
             let body = json!({ "error": b.reason.to_string(), "text": b.text, "query": b.query });
             // Whoever is sent away for now is told when to come back.
--- a/crates/core/src/http_api/leaf.rs
+++ b/crates/core/src/http_api/leaf.rs
@@ -96,7 +96,7 @@
     pub all: Vec<(String, Vec<u8>)>,
 }
 
-/// A reply as it came off the wire.
+/// A reply as it came off the connection.
 #[derive(Clone, Debug)]
 pub struct Raw {
     pub status: u16,
--- a/crates/core/src/http_api/list.rs
+++ b/crates/core/src/http_api/list.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-use crate::routing_language::diagnostic::{Finding, find};
+use crate::routing_language::diagnostic::{Diagnostic, find};
 use crate::routing_language::selector::Labels;
 use crate::snapshot::leafs::LeafInfo;
 
@@ -13,8 +13,8 @@
 
 /// Reads the list. A list that is not one at all, or that is empty, is an
 /// error as a whole; single bad entries are found and passed over.
-pub fn read(body: &[u8]) -> Result<(Vec<LeafInfo>, Vec<Finding>), Finding> {
-    let whole = |text: String| Finding { place: "$".into(), text };
+pub fn read(body: &[u8]) -> Result<(Vec<LeafInfo>, Vec<Diagnostic>), Diagnostic> {
+    let whole = |text: String| Diagnostic { place: "$".into(), text };
     let val: Value =
         serde_json::from_slice(body).map_err(|e| whole(format!("the list is not JSON: {e}")))?;
     let Some(items) = val.get("leafs").and_then(Value::as_array) else {
--- a/crates/core/src/http_api/operator.rs
+++ b/crates/core/src/http_api/operator.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use crate::routing_language::diagnostic::Finding;
+use crate::routing_language::diagnostic::Diagnostic;
 
 /// Header with the id under which a request may safely be sent again.
 pub const REQUEST_ID: &str = "request-id";
@@ -19,7 +19,7 @@
     /// Synced by a majority; `copies` tells by how many replicas so far.
     Accepted { revision: u64, copies: u32, again: bool },
     /// Found wrong as a whole; nothing was applied.
-    Wrong(Vec<Finding>),
+    Wrong(Vec<Diagnostic>),
     /// The revision has moved on from the expected one.
     Moved { revision: u64 },
     /// Certainly not applied; safe to send again.
@@ -53,6 +53,6 @@
 }
 
 /// Findings as JSON.
-pub fn findings(all: &[Finding]) -> Vec<Value> {
+pub fn findings(all: &[Diagnostic]) -> Vec<Value> {
     all.iter().map(|f| json!({ "place": f.place, "text": f.text })).collect()
 }
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -7,10 +7,10 @@
 use crate::consts;
 use crate::control_plane::endpoints;
 use crate::digest::hash;
-use crate::identifiers::{CONFIG, PartId, part_of, parts};
-use crate::membership::node_agent::{Command, Heard, Watch, seats};
+use crate::identifiers::{CONFIG, PartitionId, part_of, partitions};
+use crate::membership::node_agent::{Command, Heard, Watch, slots};
 use crate::membership::status;
-use crate::protocol::message::{Msg, Word};
+use crate::protocol::message::{Message, Word};
 use crate::snapshot::leafs::{LeafInfo, key};
 use crate::time::{Span, Tick, since};
 
@@ -19,7 +19,7 @@
 pub const LIST: &str = "list";
 
 /// How often we poll the list: its holder often, and the next one seldom, so
-/// that a holder that dies does not leave everyone blind for a whole tenure.
+/// that a holder that dies does not leave everyone blind for a whole lease.
 /// Nobody knows what the others hear; it is asked sooner after word of a leaf
 /// that is gone, since most come back under a new name.
 fn pace(w: &Watch, now: Tick) -> Option<Span> {
@@ -38,16 +38,16 @@
 }
 
 /// The parts for which we poll the list.
-pub fn ours(w: &Watch) -> Vec<PartId> {
+pub fn ours(w: &Watch) -> Vec<PartitionId> {
     match w.ring.list {
-        Some(0 | 1) => parts().filter(|p| *p != CONFIG).collect(),
+        Some(0 | 1) => partitions().filter(|p| *p != CONFIG).collect(),
         _ => Vec::new(),
     }
 }
 
-/// Time passes: poll if it is due and a duty is ours under a good tenure.
+/// Time passes: poll if it is due and a duty is ours under a good lease.
 pub fn wake(w: &mut Watch, now: Tick, out: &mut Vec<Command>) {
-    let trusted = w.tenure.granted && since(w.tenure.held_from, now) < consts::TENURE_TRUST;
+    let trusted = w.lease.granted && since(w.lease.held_from, now) < consts::TENURE_TRUST;
     if !trusted || w.stopping.is_some() {
         return;
     }
@@ -70,11 +70,11 @@
             return;
         }
     };
-    let fence = (w.cohort.epoch, w.cohort.turn);
-    for part in ours(w) {
-        let known = w.held.get(&part).map(|h| endpoints::all(&h.map)).unwrap_or_default();
+    let fence = (w.membership.term, w.membership.turn);
+    for partition in ours(w) {
+        let known = w.held.get(&partition).map(|h| endpoints::all(&h.map)).unwrap_or_default();
         let mine: Vec<LeafInfo> =
-            list.iter().filter(|l| part_of(&l.service) == part).cloned().collect();
+            list.iter().filter(|l| part_of(&l.service) == partition).cloned().collect();
         let same = mine.len() == known.len()
             && mine.iter().all(|l| {
                 known.get(&l.leaf).is_some_and(|k| {
@@ -89,27 +89,27 @@
             hear(w, info.service.clone(), word);
         }
         if !same {
-            to_core(w, Msg::Listed { part, fence, leafs: mine }, out);
+            to_core(w, Message::Listed { partition, fence, leafs: mine }, out);
         }
     }
 }
 
 /// Sends a report to the core: by the seat that serves us, or by all.
-pub fn to_core(w: &Watch, msg: Msg, out: &mut Vec<Command>) {
-    match w.tenure.seat {
-        Some(seat) => out.push(Command::ToSeat { seat, msg }),
+pub fn to_core(w: &Watch, message: Message, out: &mut Vec<Command>) {
+    match w.lease.slot {
+        Some(slot) => out.push(Command::ToSeat { slot, message }),
         None => {
-            for seat in seats(w) {
-                out.push(Command::ToSeat { seat, msg: msg.clone() });
+            for slot in slots(w) {
+                out.push(Command::ToSeat { slot, message: message.clone() });
             }
         }
     }
 }
 
-/// Takes in what a leaf said of itself, to us or to a member of the cohort.
+/// Takes in what a leaf said of itself, to us or to a member of the membership.
 pub fn hear(w: &mut Watch, service: String, word: Word) {
     w.gone_at = if word.gone { w.now } else { w.gone_at };
-    if held(w, &service, &word.leaf).is_none_or(|info| shown(&info, &word)) {
+    if held(w, &service, &word.leaf).is_none_or(|info| committed(&info, &word)) {
         return;
     }
     let old = w.words.entry(word.leaf.clone()).or_insert_with(|| Heard {
@@ -130,9 +130,9 @@
 
 /// Members hand on what leafs told them. The core has most likely been told as
 /// well; we tell it later if the feed stays silent.
-pub fn handed(w: &mut Watch, now: Tick, part: PartId, words: Vec<Word>) {
+pub fn handed(w: &mut Watch, now: Tick, partition: PartitionId, words: Vec<Word>) {
     for word in words {
-        let known = w.held.get(&part).and_then(|h| h.map.get(&key(&word.leaf)));
+        let known = w.held.get(&partition).and_then(|h| h.map.get(&key(&word.leaf)));
         let Some(info) = known.and_then(|v| LeafInfo::deserialize_bin(v).ok()) else { continue };
         let name = word.leaf.clone();
         let before = w.words.get(&name).map(|h| (h.word.leaving, h.word.gone));
@@ -152,7 +152,7 @@
 }
 
 /// Whether a leaf's entry shows all that matters of a word.
-fn shown(info: &LeafInfo, word: &Word) -> bool {
+fn committed(info: &LeafInfo, word: &Word) -> bool {
     let age = info.age_ms >= consts::AGE_TOLD_MS
         || word.age_ms < info.age_ms * consts::AGE_FACTOR + consts::AGE_FIRST_MS;
     (info.leaving || !(word.leaving || word.gone)) && age
@@ -164,11 +164,11 @@
 pub fn findings(w: &mut Watch, now: Tick, out: &mut Vec<Command>) {
     if std::mem::take(&mut w.unsorted) {
         let mut words = std::mem::take(&mut w.words);
-        words.retain(|leaf, h| held(w, &h.service, leaf).is_some_and(|i| !shown(&i, &h.word)));
+        words.retain(|leaf, h| held(w, &h.service, leaf).is_some_and(|i| !committed(&i, &h.word)));
         w.words = words;
     }
-    let mut due: BTreeMap<PartId, Vec<Word>> = BTreeMap::new();
-    let mut pass: BTreeMap<PartId, Vec<Word>> = BTreeMap::new();
+    let mut due: BTreeMap<PartitionId, Vec<Word>> = BTreeMap::new();
+    let mut pass: BTreeMap<PartitionId, Vec<Word>> = BTreeMap::new();
     // An age can wait for others; that a leaf leaves or is gone can't.
     let ages = now >= w.ages_at;
     if ages {
@@ -177,28 +177,28 @@
     let again = |at: Tick| at == 0 || since(at, now) >= consts::REPORT_AGAIN;
     for heard in w.words.values_mut() {
         let urgent = heard.word.leaving || heard.word.gone;
-        let part = part_of(&heard.service);
+        let partition = part_of(&heard.service);
         if again(heard.sent) && (urgent || ages) {
             heard.sent = now.max(1);
-            due.entry(part).or_default().push(heard.word.clone());
+            due.entry(partition).or_default().push(heard.word.clone());
         }
         if urgent && again(heard.passed) {
             heard.passed = now.max(1);
-            pass.entry(part).or_default().push(heard.word.clone());
+            pass.entry(partition).or_default().push(heard.word.clone());
         }
     }
-    for (part, words) in due {
+    for (partition, words) in due {
         // To every seat: the one that serves us may be cut off from the owner.
-        for seat in seats(w) {
-            let msg = Msg::Words { part, words: words.clone() };
-            out.push(Command::ToSeat { seat, msg });
+        for slot in slots(w) {
+            let message = Message::Words { partition, words: words.clone() };
+            out.push(Command::ToSeat { slot, message });
         }
     }
     if !pass.is_empty() {
         for name in w.ring.near.clone() {
-            for (part, words) in &pass {
-                let msg = Msg::Words { part: *part, words: words.clone() };
-                status::to_member(w, &name, msg, out);
+            for (partition, words) in &pass {
+                let message = Message::Words { partition: *partition, words: words.clone() };
+                status::to_member(w, &name, message, out);
             }
         }
     }
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -10,7 +10,7 @@
 use crate::consts;
 use crate::membership::node_agent::Watch;
 use crate::membership::status::core_age;
-use crate::protocol::message::{Attestation, Cohort, MembershipId, NO_PROOF};
+use crate::protocol::message::{Attestation, Membership, MembershipId, NO_PROOF};
 use crate::quorum;
 use crate::time::{MILLI, Tick, ms, since};
 
@@ -32,29 +32,29 @@
 }
 
 /// The identity of a membership.
-pub fn id(membership: &Cohort) -> MembershipId {
-    MembershipId { term: membership.epoch, turn: membership.turn }
+pub fn id(membership: &Membership) -> MembershipId {
+    MembershipId { term: membership.term, turn: membership.turn }
 }
 
 /// The membership changed: proofs about the former one count no more.
 pub fn adopt(watch: &mut Watch) {
-    let membership = id(&watch.cohort);
+    let membership = id(&watch.membership);
     if watch.proofs.membership == membership {
         return;
     }
     let own = watch
-        .cohort
+        .membership
         .members
         .iter()
         .position(|m| m.name == watch.me.name && m.incarnation == watch.me.incarnation);
     watch.proofs = Proofs {
         membership,
-        asked: vec![0; watch.cohort.members.len()],
+        asked: vec![0; watch.membership.members.len()],
         own,
         attested: watch.proofs.attested,
         until: watch.proofs.until,
     };
-    learn_of(watch, watch.cohort.revision);
+    learn_of(watch, watch.membership.revision);
 }
 
 /// A configuration of this revision is known to exist.
@@ -71,7 +71,7 @@
 /// What we attest now, if anything. Whoever has the core's word attests nothing:
 /// its membership lives on without those who lack it.
 pub fn attest(watch: &mut Watch, now: Tick) -> Option<Attestation> {
-    if !is_restless(watch, now) || watch.cohort.epoch == 0 {
+    if !is_restless(watch, now) || watch.membership.term == 0 {
         return None;
     }
     watch.proofs.attested = now;
@@ -92,7 +92,7 @@
     learn_of(watch, attestation.knows);
     let ours = watch.proofs.membership;
     let fits = attestation.membership == ours
-        && attestation.knows <= watch.built_rev
+        && attestation.knows <= watch.built_revision
         && attestation.ages.len() == watch.proofs.asked.len();
     if fits {
         for (known, age) in watch.proofs.asked.iter_mut().zip(&attestation.ages) {
@@ -115,7 +115,7 @@
     let proofs = &watch.proofs;
     let own = match proofs.own {
         // Only who had a lease in this life has something to serve on with.
-        Some(own) if watch.tenure.granted && watch.knows <= watch.built_rev => own,
+        Some(own) if watch.lease.granted && watch.knows <= watch.built_revision => own,
         _ => return 0,
     };
     let Some(needed) = quorum::serving(proofs.asked.len()) else { return 0 };
--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -1,24 +1,24 @@
 //! Which seats feed us. One does wholly. The others only say how far they are,
 //! which costs a fourth and shows at once when ours lacks something: then that
 //! seat feeds us too until we have it. Without the core's word all feed us, and
-//! so they do at a start, until we have a view and a tenure.
+//! so they do at a start, until we have a view and a lease.
 
 use std::collections::BTreeMap;
 
 use crate::consts;
 use crate::control_plane::members::mark;
 use crate::digest::{hash, pair};
-use crate::identifiers::{BEYOND, COHORT, Seat};
-use crate::membership::node_agent::{Command, Watch, places, seats};
+use crate::identifiers::{BEYOND, COHORT, VoterSlot};
+use crate::membership::node_agent::{Command, Watch, places, slots};
 use crate::membership::status::core_age;
-use crate::protocol::message::{Msg, Place};
+use crate::protocol::message::{FeedPosition, Message};
 use crate::time::{Tick, since};
 
 /// What we know of the seats as feeders.
 #[derive(Default)]
 pub struct Feed {
     /// When each seat last said how far it is.
-    pub at: BTreeMap<Seat, Tick>,
+    pub at: BTreeMap<VoterSlot, Tick>,
     /// When the others are next asked.
     pub others_at: Tick,
 }
@@ -34,19 +34,19 @@
         w.feed.others_at = now + consts::OTHERS_BEAT;
     }
     let mut list = places(w);
-    list.push(Place { part: COHORT, rev: mark(&w.cohort) });
-    let beyond = list.iter().map(|p| Place { rev: BEYOND, ..*p }).collect();
-    let whole = Msg::Follow { places: list, stamp: w.stamp };
-    let only = Msg::Follow { places: beyond, stamp: w.stamp };
-    if w.table.seats.is_empty() {
-        out.push(Command::ToAll { msg: whole.clone() });
+    list.push(FeedPosition { partition: COHORT, revision: mark(&w.membership) });
+    let beyond = list.iter().map(|p| FeedPosition { revision: BEYOND, ..*p }).collect();
+    let whole = Message::Follow { places: list, stamp: w.stamp };
+    let only = Message::Follow { places: beyond, stamp: w.stamp };
+    if w.table.slots.is_empty() {
+        out.push(Command::ToAll { message: whole.clone() });
     }
     let (first, all) = (feeder(w, now), seeks(w) || worry(w, now));
-    for seat in seats(w) {
-        if all || first.is_none_or(|f| f == seat) || ahead(w, seat) {
-            out.push(Command::ToSeat { seat, msg: whole.clone() });
+    for slot in slots(w) {
+        if all || first.is_none_or(|f| f == slot) || ahead(w, slot) {
+            out.push(Command::ToSeat { slot, message: whole.clone() });
         } else if others {
-            out.push(Command::ToSeat { seat, msg: only.clone() });
+            out.push(Command::ToSeat { slot, message: only.clone() });
         }
     }
 }
@@ -54,20 +54,20 @@
 /// Whether we are still starting: what waits for one seat then, the fleet's
 /// recovery from a restart of everything waits for.
 fn seeks(w: &Watch) -> bool {
-    !w.sure || !w.tenure.granted
+    !w.sure || !w.lease.granted
 }
 
 /// Whether we had the core's word and lack it now.
 fn worry(w: &Watch, now: Tick) -> bool {
-    w.tenure.granted && core_age(w, now) >= consts::TENURE_WORRY
+    w.lease.granted && core_age(w, now) >= consts::TENURE_WORRY
 }
 
 /// The seat that feeds us: the first by rendezvous that spoke lately, so that
 /// followers are spread evenly. At a start each counts as having spoken, and one
 /// that has just taken its seat does not before it speaks.
-fn feeder(w: &Watch, now: Tick) -> Option<Seat> {
+fn feeder(w: &Watch, now: Tick) -> Option<VoterSlot> {
     let me = hash(&w.me.name);
-    seats(w)
+    slots(w)
         .into_iter()
         .filter(|s| since(*w.feed.at.get(s).unwrap_or(&w.began), now) < consts::FEED_SILENCE)
         .max_by_key(|s| pair(me, u64::from(*s)))
@@ -75,10 +75,10 @@
 
 /// Whether a seat said that it is further than we are. It said so a beat ago:
 /// what is merely on its way to us has come since.
-fn ahead(w: &Watch, seat: Seat) -> bool {
-    let list = w.reach.get(usize::from(seat)).map_or(&[][..], |r| r);
-    list.iter().any(|p| match w.held.get(&p.part) {
-        Some(held) => held.rev < p.rev,
-        None => p.part == COHORT && mark(&w.cohort) < p.rev,
+fn ahead(w: &Watch, slot: VoterSlot) -> bool {
+    let list = w.reach.get(usize::from(slot)).map_or(&[][..], |r| r);
+    list.iter().any(|p| match w.held.get(&p.partition) {
+        Some(held) => held.revision < p.revision,
+        None => p.partition == COHORT && mark(&w.membership) < p.revision,
     })
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,5 +1,5 @@
-//! A querier's place among the others: the news it follows, its tenure, its
-//! cohort, its duties, and whether it is cut off. No I/O.
+//! A querier's place among the others: the news it follows, its lease, its
+//! membership, its duties, and whether it is cut off. No I/O.
 
 pub mod assignments;
 pub mod attestation;
--- a/crates/core/src/membership/neighbour_ring.rs
+++ b/crates/core/src/membership/neighbour_ring.rs
@@ -1,5 +1,5 @@
-//! What follows from the cohort alone: our neighbours and our duties. Worked
-//! out once for each state of the cohort, since it costs a look at all members.
+//! What follows from the membership alone: our neighbours and our duties. Worked
+//! out once for each state of the membership, since it costs a look at all members.
 //!
 //! The member that holds a duty is the highest by rendezvous among those whose
 //! joining is settled; who would hold it next is the second.
@@ -7,15 +7,15 @@
 use crate::consts;
 use crate::digest::{hash, pair};
 use crate::membership::assignments;
-use crate::protocol::message::Cohort;
+use crate::protocol::message::Membership;
 
-/// Our place among the members of one state of the cohort.
+/// Our place among the members of one state of the membership.
 #[derive(Default)]
-pub struct Ring {
+pub struct NeighbourRing {
     /// Those next to us on the ring, either way, without doubles.
     pub near: Vec<String>,
     /// Those whom we ask for proofs while the core is silent: all in a small
-    /// cohort, else those a power of two away, so that what one knows comes to
+    /// membership, else those a power of two away, so that what one knows comes to
     /// all others over half as many steps as the size has binary digits.
     pub links: Vec<String>,
     /// Our place for polling the list: its holder has 0, who would hold it
@@ -27,12 +27,13 @@
     pub shared: Option<bool>,
 }
 
-/// The place of `me` in a cohort.
-pub fn ring<'a>(cohort: &'a Cohort, me: &str) -> Ring {
+/// The place of `me` in a membership.
+pub fn ring<'a>(membership: &'a Membership, me: &str) -> NeighbourRing {
     let mut ring: Vec<(u64, &'a str)> =
-        cohort.members.iter().map(|m| (hash(&m.name), m.name.as_str())).collect();
+        membership.members.iter().map(|m| (hash(&m.name), m.name.as_str())).collect();
     // Whose joining is settled may hold duties.
-    let settled = cohort.members.iter().zip(&ring).filter(|(m, _)| m.joined <= cohort.settled);
+    let settled =
+        membership.members.iter().zip(&ring).filter(|(m, _)| m.joined <= membership.settled);
     let able: Vec<(u64, &str)> = settled.map(|(_, r)| *r).collect();
     let ours = |key: &str| {
         let thing = hash(key);
@@ -46,7 +47,7 @@
     // Ordered by hash, so that neighbours stand in different zones.
     ring.sort_unstable();
     let Some(here) = ring.iter().position(|(_, name)| *name == me) else {
-        return Ring { near: Vec::new(), links: Vec::new(), list, probes, shared: None };
+        return NeighbourRing { near: Vec::new(), links: Vec::new(), list, probes, shared: None };
     };
     let n = ring.len();
     let around = |steps: &mut dyn Iterator<Item = usize>| {
@@ -68,5 +69,5 @@
         }
         false => near.clone(),
     };
-    Ring { near, links, list, probes, shared: None }
+    NeighbourRing { near, links, list, probes, shared: None }
 }
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -7,46 +7,46 @@
 
 use crate::config::build::Built;
 use crate::consts::DRAIN_NOTICE;
-use crate::identifiers::{PartId, Seat, parts};
+use crate::identifiers::{PartitionId, VoterSlot, partitions};
 use crate::membership::attestation::Proofs;
 use crate::membership::feed::Feed;
-use crate::membership::neighbour_ring::Ring;
-use crate::protocol::message::{Cohort, Map, Member, Msg, Place, Word};
+use crate::membership::neighbour_ring::NeighbourRing;
+use crate::protocol::message::{FeedPosition, Map, Member, Membership, Message, Word};
 use crate::query::engine::Door;
-use crate::snapshot::cluster_view::View;
+use crate::snapshot::cluster_view::ClusterView;
 use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick};
-use crate::voters::voter_set::{Table, ballot, merge, stamp};
+use crate::voters::voter_set::{VoterSet, ballot, merge, stamp};
 
 /// The owner of what a querier knows.
 ///
 /// Invariants: a part's revision in `held` only rises; `built` was made from
-/// the configuration at `built_rev`; a view is given out only after `sure`.
+/// the configuration at `built_revision`; a view is given out only after `sure`.
 pub struct Watch {
     pub me: Member,
     pub began: Tick,
-    pub held: BTreeMap<PartId, Held>,
+    pub held: BTreeMap<PartitionId, Held>,
     /// How far each seat last said it has accepted each part.
-    pub reach: Vec<Vec<Place>>,
+    pub reach: Vec<Vec<FeedPosition>>,
     /// The seats of the core; empty until a controller told us.
-    pub table: Table,
+    pub table: VoterSet,
     pub stamp: u64,
     /// Whether our first view is known not to be an old one.
     pub sure: bool,
     pub built: Arc<Built>,
-    pub built_rev: u64,
-    pub view: Option<Arc<View>>,
+    pub built_revision: u64,
+    pub view: Option<Arc<ClusterView>>,
     /// What we hold differs from `view`.
     pub stale: bool,
     /// When news of services is next made into a view; that of the
     /// configuration is at once.
     pub publish_at: Tick,
-    pub cohort: Cohort,
-    /// What follows from `cohort`.
-    pub ring: Ring,
+    pub membership: Membership,
+    /// What follows from `membership`.
+    pub ring: NeighbourRing,
     pub shared: Vec<(String, u32)>,
     pub peered: Vec<(String, u32, String)>,
-    pub tenure: Tenure,
+    pub lease: Lease,
     pub peers: IndexMap<String, Peer>,
     /// What we can prove about the members while the core is silent.
     pub proofs: Proofs,
@@ -66,7 +66,7 @@
     pub stopping: Option<Tick>,
     /// Time from then until the door is shut.
     pub notice: Span,
-    /// Nothing is in hand any more; our tenure may be given back.
+    /// Nothing is in hand any more; our lease may be given back.
     pub drained: bool,
     pub follow_at: Tick,
     pub feed: Feed,
@@ -94,7 +94,7 @@
 /// A part as we hold it.
 #[derive(Default)]
 pub struct Held {
-    pub rev: u64,
+    pub revision: u64,
     pub map: Map,
 }
 
@@ -107,9 +107,9 @@
     pub passed: Tick,
 }
 
-/// Our tenure.
+/// Our lease.
 #[derive(Default)]
-pub struct Tenure {
+pub struct Lease {
     pub count: u64,
     /// When each renewal that is not yet granted was sent.
     pub sent: BTreeMap<u64, Tick>,
@@ -120,7 +120,7 @@
     pub held_from: Tick,
     pub granted: bool,
     /// The seat through which the last grant came.
-    pub seat: Option<Seat>,
+    pub slot: Option<VoterSlot>,
     pub renew_at: Tick,
 }
 
@@ -131,7 +131,7 @@
     pub at: Tick,
     /// Age of its word from the core when it spoke.
     pub core_age: Tick,
-    pub places: Vec<Place>,
+    pub places: Vec<FeedPosition>,
     pub ready: bool,
 }
 
@@ -152,15 +152,15 @@
 /// What happens to a querier's control thread.
 pub enum Event {
     FromSeat {
-        seat: Seat,
-        msg: Msg,
+        slot: VoterSlot,
+        message: Message,
     },
     FromMember {
         name: String,
-        msg: Msg,
+        message: Message,
     },
     /// A controller tells the table of the seats.
-    Seats(Table),
+    Seats(VoterSet),
     /// A leaf spoke of itself, to a thread or to a probe.
     Word {
         service: String,
@@ -177,27 +177,27 @@
 /// What it wants done.
 pub enum Command {
     ToSeat {
-        seat: Seat,
-        msg: Msg,
+        slot: VoterSlot,
+        message: Message,
     },
     ToMember {
         name: String,
         addr: String,
-        msg: Msg,
+        message: Message,
     },
     /// To every controller that we know a way to.
     ToAll {
-        msg: Msg,
+        message: Message,
     },
-    /// The table of the seats changed: see to the wires.
+    /// The table of the seats changed: see to the connections.
     Seats,
-    View(Arc<View>),
+    ClusterView(Arc<ClusterView>),
     /// The members whose threads share the fleet's limits, with theirs;
     /// empty while we have no share.
     Shares(Vec<(String, u32)>),
-    /// All members that open wires to leafs: with their threads and zones.
+    /// All members that open connections to leafs: with their threads and zones.
     /// Unlike shares these are told before they are settled; a deal that is
-    /// not everyone's for a moment costs a reset wire at most.
+    /// not everyone's for a moment costs a reset connection at most.
     Peers(Vec<(String, u32, String)>),
     Door(Door),
     /// Until when the threads may act on their view, if nothing else is said.
@@ -213,21 +213,21 @@
     Watch {
         me,
         began: now,
-        held: parts().map(|p| (p, Held::default())).collect(),
+        held: partitions().map(|p| (p, Held::default())).collect(),
         reach: Vec::new(),
-        table: Table::default(),
-        stamp: stamp(&Table::default()),
+        table: VoterSet::default(),
+        stamp: stamp(&VoterSet::default()),
         sure: false,
         built: Arc::new(Built::default()),
-        built_rev: 0,
+        built_revision: 0,
         view: None,
         stale: false,
         publish_at: now,
-        cohort: Cohort::default(),
-        ring: Ring::default(),
+        membership: Membership::default(),
+        ring: NeighbourRing::default(),
         shared: Vec::new(),
         peered: Vec::new(),
-        tenure: Tenure::default(),
+        lease: Lease::default(),
         peers: IndexMap::new(),
         proofs: Proofs::default(),
         knows: 0,
@@ -257,9 +257,9 @@
 
 /// Takes in a table of the seats. Where an operator moves a seat by telling
 /// all processes its new address, the last word stands.
-pub fn learn(w: &mut Watch, theirs: &Table, out: &mut Vec<Command>) {
+pub fn learn(w: &mut Watch, theirs: &VoterSet, out: &mut Vec<Command>) {
     let mut new = merge(&w.table, theirs).unwrap_or_else(|| w.table.clone());
-    for (a, b) in new.seats.iter_mut().zip(&theirs.seats) {
+    for (a, b) in new.slots.iter_mut().zip(&theirs.slots) {
         if ballot(a) == ballot(b) {
             *a = b.clone();
         }
@@ -267,12 +267,12 @@
     if new == w.table {
         return;
     }
-    w.reach.resize(new.seats.len(), Vec::new());
-    for (i, h) in new.seats.iter().enumerate() {
-        if w.table.seats.get(i).map(ballot) != Some(ballot(h)) {
+    w.reach.resize(new.slots.len(), Vec::new());
+    for (i, h) in new.slots.iter().enumerate() {
+        if w.table.slots.get(i).map(ballot) != Some(ballot(h)) {
             w.reach[i].clear();
-            w.feed.at.remove(&(i as Seat));
-            w.tenure.seat = w.tenure.seat.filter(|s| usize::from(*s) != i);
+            w.feed.at.remove(&(i as VoterSlot));
+            w.lease.slot = w.lease.slot.filter(|s| usize::from(*s) != i);
         }
     }
     w.table = new;
@@ -282,12 +282,15 @@
 }
 
 /// Every seat that somebody holds.
-pub fn seats(w: &Watch) -> Vec<Seat> {
-    let list = w.table.seats.iter().enumerate().filter(|(_, h)| h.holder != 0);
-    list.map(|(i, _)| i as Seat).collect()
+pub fn slots(w: &Watch) -> Vec<VoterSlot> {
+    let list = w.table.slots.iter().enumerate().filter(|(_, h)| h.holder != 0);
+    list.map(|(i, _)| i as VoterSlot).collect()
 }
 
 /// Where we stand in every part.
-pub fn places(w: &Watch) -> Vec<Place> {
-    w.held.iter().map(|(part, h)| Place { part: *part, rev: h.rev }).collect()
+pub fn places(w: &Watch) -> Vec<FeedPosition> {
+    w.held
+        .iter()
+        .map(|(partition, h)| FeedPosition { partition: *partition, revision: h.revision })
+        .collect()
 }
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -1,7 +1,7 @@
-//! Our tenure, our share, and whether this node should serve at all.
+//! Our lease, our share, and whether this node should serve at all.
 //!
-//! Without a granted renewal for `TENURE_TRUST` our tenure has lapsed. Then:
-//! - we can prove that all but very few of our cohort know of nothing newer and
+//! Without a granted renewal for `TENURE_TRUST` our lease has lapsed. Then:
+//! - we can prove that all but very few of our membership know of nothing newer and
 //!   have no word from the core either: the core is out of reach for all, and we
 //!   serve our last view on with our last share (`attest`). A core that lives
 //!   accepts no change and gives nobody's share away without one of those;
@@ -9,16 +9,16 @@
 //!   bounce, before the core gives our share away.
 
 use crate::consts;
-use crate::identifiers::Seat;
+use crate::identifiers::VoterSlot;
 use crate::membership::attestation;
-use crate::membership::node_agent::{Command, Peer, Watch, places, seats};
-use crate::protocol::message::{Attestation, Msg, Progress};
+use crate::membership::node_agent::{Command, Peer, Watch, places, slots};
+use crate::protocol::message::{Attestation, MemberProgress, Message};
 use crate::query::engine::Door;
 use crate::time::{MILLI, Span, Tick, ms, since};
 
 /// How old our word from the core is.
 pub fn core_age(w: &Watch, now: Tick) -> Span {
-    if w.tenure.granted { since(w.tenure.held_from, now) } else { since(w.began, now) }
+    if w.lease.granted { since(w.lease.held_from, now) } else { since(w.began, now) }
 }
 
 /// Members that spoke to us lately.
@@ -27,7 +27,7 @@
 }
 
 /// The members that speak with us while all is well: those next to us either
-/// way on the ring. In a cohort of up to nine that is everyone.
+/// way on the ring. In a membership of up to nine that is everyone.
 pub fn neighbours(w: &Watch) -> &[String] {
     &w.ring.near
 }
@@ -45,39 +45,39 @@
     at.get(need - 1).map_or(0, |at| at + consts::COHORT_SILENCE)
 }
 
-/// Renews the tenure when it is due.
+/// Renews the lease when it is due.
 pub fn renew(w: &mut Watch, now: Tick, out: &mut Vec<Command>) {
-    if now < w.tenure.renew_at {
+    if now < w.lease.renew_at {
         return;
     }
-    let beat = if w.tenure.granted { consts::TENURE_BEAT } else { consts::TENURE_SEEK };
-    w.tenure.renew_at = now + beat;
-    w.tenure.count += 1;
-    let count = w.tenure.count;
-    w.tenure.sent.insert(count, now);
-    while w.tenure.sent.len() > 16 {
-        w.tenure.sent.pop_first();
+    let beat = if w.lease.granted { consts::TENURE_BEAT } else { consts::TENURE_SEEK };
+    w.lease.renew_at = now + beat;
+    w.lease.count += 1;
+    let count = w.lease.count;
+    w.lease.sent.insert(count, now);
+    while w.lease.sent.len() > 16 {
+        w.lease.sent.pop_first();
     }
-    let far = Progress {
+    let far = MemberProgress {
         obeys: w.view.as_ref().map_or(0, |v| v.revision),
-        saw: (w.cohort.epoch, w.cohort.turn),
+        saw: (w.membership.term, w.membership.turn),
         knows: w.knows,
         quiet_ms: attestation::quiet_ms(w, now),
         ready: w.ready,
         leaving: w.drained,
     };
-    let msg = Msg::Renew { member: w.me.clone(), count, far };
+    let message = Message::Renew { member: w.me.clone(), count, far };
     let age = core_age(w, now);
     let worry = age >= consts::TENURE_WORRY;
-    match w.tenure.seat {
-        Some(seat) if !worry => out.push(Command::ToSeat { seat, msg: msg.clone() }),
+    match w.lease.slot {
+        Some(slot) if !worry => out.push(Command::ToSeat { slot, message: message.clone() }),
         _ => {
-            for seat in seats(w) {
-                out.push(Command::ToSeat { seat, msg: msg.clone() });
+            for slot in slots(w) {
+                out.push(Command::ToSeat { slot, message: message.clone() });
             }
         }
     }
-    if worry && w.tenure.granted {
+    if worry && w.lease.granted {
         // Perhaps only our way to the core is cut: neighbours hand it over.
         let list: Vec<String> = heard(w, now)
             .filter(|(_, p)| p.core_age < consts::TENURE_TRUST)
@@ -85,40 +85,40 @@
             .take(2)
             .collect();
         for name in list {
-            to_member(w, &name, msg.clone(), out);
+            to_member(w, &name, message.clone(), out);
         }
     }
 }
 
-/// Sends to a member of the cohort.
-pub fn to_member(w: &Watch, name: &str, msg: Msg, out: &mut Vec<Command>) {
-    if let Some(m) = w.cohort.members.iter().find(|m| m.name == name) {
-        out.push(Command::ToMember { name: m.name.clone(), addr: m.addr.clone(), msg });
+/// Sends to a member of the membership.
+pub fn to_member(w: &Watch, name: &str, message: Message, out: &mut Vec<Command>) {
+    if let Some(m) = w.membership.members.iter().find(|m| m.name == name) {
+        out.push(Command::ToMember { name: m.name.clone(), addr: m.addr.clone(), message });
     }
 }
 
-/// A renewal was granted, when the configuration was at `rev`.
-pub fn granted(w: &mut Watch, seat: Option<Seat>, count: u64, rev: u64) {
-    let Some(at) = w.tenure.sent.get(&count).copied() else { return };
-    w.tenure.sent = w.tenure.sent.split_off(&(count + 1));
-    w.tenure.seat = seat;
-    w.tenure.grants.push((rev, at));
-    attestation::learn_of(w, rev);
+/// A renewal was granted, when the configuration was at `revision`.
+pub fn granted(w: &mut Watch, slot: Option<VoterSlot>, count: u64, revision: u64) {
+    let Some(at) = w.lease.sent.get(&count).copied() else { return };
+    w.lease.sent = w.lease.sent.split_off(&(count + 1));
+    w.lease.slot = slot;
+    w.lease.grants.push((revision, at));
+    attestation::learn_of(w, revision);
     hold(w);
 }
 
 /// Takes up the grants whose configuration we obey by now.
 pub fn hold(w: &mut Watch) {
-    let obeys = w.built_rev;
-    let t = &mut w.tenure;
-    for (rev, at) in &t.grants {
-        if *rev <= obeys {
+    let obeys = w.built_revision;
+    let t = &mut w.lease;
+    for (revision, at) in &t.grants {
+        if *revision <= obeys {
             t.held_from = t.held_from.max(*at);
             t.granted = true;
         }
     }
     let held = t.held_from;
-    t.grants.retain(|(rev, at)| *rev > obeys && *at > held);
+    t.grants.retain(|(revision, at)| *revision > obeys && *at > held);
     if t.grants.len() > 16 {
         t.grants.remove(0);
     }
@@ -127,7 +127,7 @@
 /// Speaks to the neighbours: seldom while the core's word is fresh, since only
 /// who lacks it asks for company.
 pub fn gossip(w: &mut Watch, now: Tick, out: &mut Vec<Command>) {
-    let calm = w.tenure.granted && !attestation::is_restless(w, now);
+    let calm = w.lease.granted && !attestation::is_restless(w, now);
     let beat = if calm { consts::COHORT_CALM } else { consts::COHORT_BEAT };
     if now < w.gossiped + beat {
         return;
@@ -135,8 +135,8 @@
     w.gossiped = now;
     let list = if calm { &w.ring.near } else { &w.ring.links };
     for name in list.clone() {
-        let msg = gossip_msg(w, now, Some(now), None, None);
-        to_member(w, &name, msg, out);
+        let message = gossip_msg(w, now, Some(now), None, None);
+        to_member(w, &name, message, out);
     }
     w.peers.retain(|_, p| since(p.at, now) < consts::COHORT_SILENCE * 4);
 }
@@ -149,8 +149,8 @@
     asked: Option<Tick>,
     echo: Option<Tick>,
     attestation: Option<Attestation>,
-) -> Msg {
-    Msg::Gossip {
+) -> Message {
+    Message::Gossip {
         name: w.me.name.clone(),
         core_age_ms: core_age(w, now) / MILLI,
         ready: w.ready,
@@ -166,7 +166,7 @@
     w: &mut Watch,
     echo: Tick,
     name: &str,
-    peer: (u64, bool, Vec<crate::protocol::message::Place>),
+    peer: (u64, bool, Vec<crate::protocol::message::FeedPosition>),
 ) {
     let (age_ms, ready, places) = peer;
     if w.peers.get(name).is_none_or(|p| p.at <= echo) {
@@ -189,8 +189,8 @@
         true => attestation::serving_until(w),
         false => 0,
     };
-    let alone = w.tenure.granted && (now > company_until(w) || others_have);
-    let unproved = w.tenure.granted && now > proved;
+    let alone = w.lease.granted && (now > company_until(w) || others_have);
+    let unproved = w.lease.granted && now > proved;
     let lapsed = age >= consts::TENURE_TRUST;
     // The platform needs a moment to see that we are not ready: until then
     // callers still come, and are served.
@@ -209,7 +209,7 @@
     }
     // The threads look at this themselves before they act: a process that was
     // paused wakes with an old grip and does nothing until it has a new one.
-    let held = if w.tenure.granted { w.tenure.held_from + consts::TENURE_TRUST } else { 0 };
+    let held = if w.lease.granted { w.lease.held_from + consts::TENURE_TRUST } else { 0 };
     let grip = match door {
         Door::CutOff | Door::Shut => 0,
         _ => held.max(proved),
@@ -243,19 +243,19 @@
 
 /// Says among whom the fleet's limits are divided, if that has changed.
 fn divide(w: &mut Watch, cut: bool, out: &mut Vec<Command>) {
-    // A share needs a settled place in the cohort; once had, it is kept while
+    // A share needs a settled place in the membership; once had, it is kept while
     // the core is out of reach for the group. A core that has forgotten us
     // and takes us in anew must not make us drop it. Nor may we take the share of
     // one that was let go before the core knows that nobody serves on by the
-    // former cohort: until all is settled we divide by everyone old and new.
-    let member = w.cohort.members.iter().find(|m| m.name == w.me.name);
+    // former membership: until all is settled we divide by everyone old and new.
+    let member = w.membership.members.iter().find(|m| m.name == w.me.name);
     let ours = |m: &crate::protocol::message::Member| (m.name.clone(), m.threads);
-    let mut shares: Vec<(String, u32)> = w.cohort.members.iter().map(ours).collect();
-    let settled = member.is_some_and(|m| m.joined <= w.cohort.settled);
-    let all_settled = settled && w.cohort.settled == w.cohort.turn;
+    let mut shares: Vec<(String, u32)> = w.membership.members.iter().map(ours).collect();
+    let settled = member.is_some_and(|m| m.joined <= w.membership.settled);
+    let all_settled = settled && w.membership.settled == w.membership.turn;
     // An owner that knew nobody says early who is there: that we are not among
     // them yet, while nothing is settled, does not mean that we are gone.
-    let gone = member.is_none() && w.cohort.settled > 0;
+    let gone = member.is_none() && w.membership.settled > 0;
     if cut || gone || (!settled && w.shared.is_empty()) {
         shares.clear();
     } else if !all_settled {
@@ -268,9 +268,9 @@
     }
 }
 
-/// Says who opens wires to leafs, if that has changed.
+/// Says who opens connections to leafs, if that has changed.
 fn peers(w: &mut Watch, out: &mut Vec<Command>) {
-    let all = w.cohort.members.iter();
+    let all = w.membership.members.iter();
     let peers: Vec<_> = all.map(|m| (m.name.clone(), m.threads, m.zone.clone())).collect();
     if peers != w.peered && !peers.is_empty() {
         w.peered = peers.clone();
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -2,14 +2,14 @@
 
 use std::sync::Arc;
 
-use crate::config::build::{Mapping, Shard};
+use crate::config::build::{Route, Shard};
 use crate::config::{build, change};
 use crate::consts;
 use crate::control_plane::endpoints;
-use crate::identifiers::{CONFIG, PartId, parts};
+use crate::identifiers::{CONFIG, PartitionId, partitions};
 use crate::membership::node_agent::{Command, Watch};
-use crate::protocol::message::{Msg, Place};
-use crate::snapshot::cluster_view::{View, open, view};
+use crate::protocol::message::{FeedPosition, Message};
+use crate::snapshot::cluster_view::{ClusterView, open, view};
 use crate::snapshot::leafs::LeafInfo;
 use crate::storage::record::put;
 use crate::time::{Tick, since};
@@ -19,36 +19,36 @@
 /// that would leave a gap, changes nothing.
 pub fn take(
     w: &mut Watch,
-    part: PartId,
+    partition: PartitionId,
     from: Option<u64>,
-    rev: u64,
+    revision: u64,
     entries: &[change::Entry],
     out: &mut Vec<Command>,
 ) -> bool {
-    let Some(held) = w.held.get_mut(&part) else { return false };
-    if rev <= held.rev || from.is_some_and(|f| f > held.rev) {
+    let Some(held) = w.held.get_mut(&partition) else { return false };
+    if revision <= held.revision || from.is_some_and(|f| f > held.revision) {
         return false;
     }
     if from.is_none() {
         held.map.clear();
     }
     put(&mut held.map, entries);
-    held.rev = rev;
+    held.revision = revision;
     w.stale = true;
     w.unsorted = true;
     w.counts.news += 1;
-    if part == CONFIG {
-        w.knows = w.knows.max(rev);
+    if partition == CONFIG {
+        w.knows = w.knows.max(revision);
         match change::config(&held.map).map_err(|text| vec![text]).and_then(|c| {
             build::build(&c).map_err(|all| all.iter().map(|f| f.to_string()).collect())
         }) {
             Ok(built) => {
                 w.built = Arc::new(built);
-                w.built_rev = rev;
+                w.built_revision = revision;
             }
             Err(all) => out.push(Command::Alarm(format!(
-                "configuration {rev} can't be obeyed, {} stays: {}",
-                w.built_rev,
+                "configuration {revision} can't be obeyed, {} stays: {}",
+                w.built_revision,
                 all.join("; ")
             ))),
         }
@@ -57,15 +57,20 @@
 }
 
 /// News for another member that stands at `places`.
-pub fn hand_on(w: &Watch, list: &[Place]) -> Vec<Msg> {
+pub fn hand_on(w: &Watch, list: &[FeedPosition]) -> Vec<Message> {
     list.iter()
         .filter_map(|place| {
-            let held = w.held.get(&place.part)?;
-            if held.rev <= place.rev {
+            let held = w.held.get(&place.partition)?;
+            if held.revision <= place.revision {
                 return None;
             }
             let entries = held.map.iter().map(|(k, v)| (k.clone(), Some(v.clone()))).collect();
-            Some(Msg::News { part: place.part, from: None, rev: held.rev, entries })
+            Some(Message::News {
+                partition: place.partition,
+                from: None,
+                revision: held.revision,
+                entries,
+            })
         })
         .collect()
 }
@@ -78,45 +83,49 @@
     if w.sure {
         return;
     }
-    if w.built_rev == 0 {
+    if w.built_revision == 0 {
         return;
     }
     let peer = since(w.began, now) > consts::START_PATIENCE
         && w.peers
             .values()
-            .any(|p| p.ready && p.places.iter().all(|pl| pl.rev <= ours(w, pl.part)));
-    w.sure = peer || parts().all(|part| ours(w, part) >= least(w, part));
+            .any(|p| p.ready && p.places.iter().all(|pl| pl.revision <= ours(w, pl.partition)));
+    w.sure = peer || partitions().all(|partition| ours(w, partition) >= least(w, partition));
 }
 
 /// The revision that we obey or hold of a part.
-fn ours(w: &Watch, part: PartId) -> u64 {
-    if part == CONFIG { w.built_rev } else { w.held.get(&part).map_or(0, |h| h.rev) }
+fn ours(w: &Watch, partition: PartitionId) -> u64 {
+    if partition == CONFIG {
+        w.built_revision
+    } else {
+        w.held.get(&partition).map_or(0, |h| h.revision)
+    }
 }
 
 /// The revision of a part below which we might miss something accepted.
-fn least(w: &Watch, part: PartId) -> u64 {
+fn least(w: &Watch, partition: PartitionId) -> u64 {
     let mut said: Vec<u64> =
-        w.reach.iter().flatten().filter(|p| p.part == part).map(|p| p.rev).collect();
+        w.reach.iter().flatten().filter(|p| p.partition == partition).map(|p| p.revision).collect();
     said.sort_unstable();
-    let lacking = w.table.seats.len() - majority(w.table.seats.len()).min(w.table.seats.len());
+    let lacking = w.table.slots.len() - majority(w.table.slots.len()).min(w.table.slots.len());
     said.get(lacking).copied().unwrap_or(u64::MAX)
 }
 
 /// Gives out a new view if what we hold has changed.
 pub fn publish(w: &mut Watch, now: Tick, out: &mut Vec<Command>) {
-    let moved = w.view.as_ref().is_none_or(|v| v.revision != w.built_rev);
+    let moved = w.view.as_ref().is_none_or(|v| v.revision != w.built_revision);
     if !w.sure || !w.stale || (!moved && now < w.publish_at) {
         return;
     }
     w.stale = false;
     w.publish_at = now + consts::VIEW_GAP;
-    let list = parts()
+    let list = partitions()
         .filter(|p| *p != CONFIG)
         .filter_map(|p| w.held.get(&p))
         .flat_map(|h| endpoints::all(&h.map).into_values())
         .filter_map(|info| overlaid(w, info))
         .collect();
-    let new = Arc::new(view(w.built_rev, w.built.clone(), list));
+    let new = Arc::new(view(w.built_revision, w.built.clone(), list));
     let good = new.mappings.values().filter(|m| serves(&new, m)).count();
     if good > 0 {
         w.serves_some.get_or_insert(now);
@@ -128,11 +137,11 @@
     }
     if w.view.as_ref().is_none_or(|v| v.revision < new.revision) {
         // Operators wait to hear that we obey.
-        w.tenure.renew_at = 0;
+        w.lease.renew_at = 0;
     }
     w.view = Some(new.clone());
     w.counts.views += 1;
-    out.push(Command::View(new));
+    out.push(Command::ClusterView(new));
 }
 
 /// A leaf with what we heard of it and the feed does not show yet.
@@ -148,7 +157,7 @@
 }
 
 /// Whether a mapping has leafs for its quorum.
-fn serves(view: &View, map: &Mapping) -> bool {
+fn serves(view: &ClusterView, map: &Route) -> bool {
     let has = |s: &&Shard| s.pools.iter().any(|p| open(view, p, &map.cut).next().is_some());
     map.shards.iter().filter(has).count() >= build::needed(map.quorum, map.shards.len())
 }
--- a/crates/core/src/protocol/frame.rs
+++ b/crates/core/src/protocol/frame.rs
@@ -5,18 +5,18 @@
 use quick_error::quick_error;
 
 use crate::consts::{MESSAGE_LIMIT, PIECE, WIRE_VERSION};
-use crate::protocol::message::Msg;
+use crate::protocol::message::Message;
 
 /// Bytes before each piece's body: length u32, version u16, lane u8, last u8,
 /// checksum u32.
 pub const HEAD: usize = 12;
-/// Lanes a wire has: one for small messages, one for large ones.
+/// Lanes a connection has: one for small messages, one for large ones.
 pub const LANES: usize = 2;
 
 quick_error! {
-    /// Why a wire is given up.
+    /// Why a connection is given up.
     #[derive(Debug, PartialEq)]
-    pub enum FrameTrouble {
+    pub enum FrameError {
         Version(got: u16) { display("peer speaks wire version {got}, we speak {}", WIRE_VERSION) }
         Head { display("a piece with an impossible head") }
         Checksum { display("a piece whose checksum does not fit") }
@@ -40,8 +40,8 @@
 }
 
 /// A message's bytes, not yet cut.
-pub fn write(msg: &Msg) -> Vec<u8> {
-    msg.serialize_bin()
+pub fn write(message: &Message) -> Vec<u8> {
+    message.serialize_bin()
 }
 
 /// Cuts a message's bytes into pieces with heads.
@@ -64,14 +64,14 @@
 }
 
 /// Reads a head; `raw` has `HEAD` bytes.
-pub fn head(raw: &[u8; HEAD]) -> Result<Head, FrameTrouble> {
+pub fn head(raw: &[u8; HEAD]) -> Result<Head, FrameError> {
     let len = u32::from_le_bytes([raw[0], raw[1], raw[2], raw[3]]) as usize;
     let ver = u16::from_le_bytes([raw[4], raw[5]]);
     if ver != WIRE_VERSION {
-        return Err(FrameTrouble::Version(ver));
+        return Err(FrameError::Version(ver));
     }
     if len > PIECE || usize::from(raw[6]) >= LANES || raw[7] > 1 {
-        return Err(FrameTrouble::Head);
+        return Err(FrameError::Head);
     }
     let sum = u32::from_le_bytes([raw[8], raw[9], raw[10], raw[11]]);
     Ok(Head { len, lane: raw[6].into(), last: raw[7] == 1, sum })
@@ -84,21 +84,21 @@
 }
 
 /// Takes a piece; gives a message when it was the last of one.
-pub fn take(g: &mut Gather, head: &Head, body: &[u8]) -> Result<Option<Msg>, FrameTrouble> {
+pub fn take(g: &mut Gather, head: &Head, body: &[u8]) -> Result<Option<Message>, FrameError> {
     if crc32fast::hash(body) != head.sum {
-        return Err(FrameTrouble::Checksum);
+        return Err(FrameError::Checksum);
     }
     let lane = &mut g.lanes[head.lane];
     if lane.len() + body.len() > MESSAGE_LIMIT {
-        return Err(FrameTrouble::TooLarge);
+        return Err(FrameError::TooLarge);
     }
     lane.extend(body);
     if !head.last {
         return Ok(None);
     }
     let whole = std::mem::take(lane);
-    match Msg::deserialize_bin(&whole) {
-        Ok(msg) => Ok(Some(msg)),
-        Err(_) => Err(FrameTrouble::Garbage),
+    match Message::deserialize_bin(&whole) {
+        Ok(message) => Ok(Some(message)),
+        Err(_) => Err(FrameError::Garbage),
     }
 }
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -5,15 +5,15 @@
 use nanoserde::{DeBin, SerBin};
 
 use crate::config::change::Entry;
-use crate::identifiers::{PartId, Seat};
+use crate::identifiers::{PartitionId, VoterSlot};
 use crate::snapshot::leafs::LeafInfo;
-use crate::voters::voter_set::{Holding, Table};
+use crate::voters::voter_set::{SlotHolder, VoterSet};
 
-/// Who opened a wire. Sent first on each.
+/// Who opened a connection. Sent first on each.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
-pub enum Who {
+pub enum PeerIdentity {
     /// A seat's holder; what it says counts only where the table names it so.
-    Seat { seat: Seat, holder: u64 },
+    Voter { slot: VoterSlot, holder: u64 },
     /// A controller that has no seat.
     Spare { holder: u64 },
     /// A member by name.
@@ -25,7 +25,7 @@
 
 /// How a replica stands to a part.
 #[derive(Clone, Copy, Debug, PartialEq, DeBin, SerBin)]
-pub enum Life {
+pub enum ReplicaCondition {
     /// Nothing on disk: a first boot or an empty replacement.
     Empty,
     /// Something on disk that can't be trusted.
@@ -33,16 +33,16 @@
     Formed,
 }
 
-/// A member as the cohort knows it.
+/// A member as the membership knows it.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub struct Member {
     pub name: String,
-    /// Where its cohort reaches it.
+    /// Where its membership reaches it.
     pub addr: String,
     pub zone: String,
     /// Traffic threads; each has its own share.
     pub threads: u32,
-    /// Turn of the cohort in which it joined.
+    /// Turn of the membership in which it joined.
     pub joined: u64,
     /// Drawn when its process started: a restarted process is another one, which
     /// knows nothing of what the former knew.
@@ -57,14 +57,14 @@
     pub turn: u64,
 }
 
-/// A state of the cohort. Ordered by (`epoch`, `turn`, `settled`), never
+/// A state of the membership. Ordered by (`term`, `turn`, `settled`), never
 /// backwards.
 #[derive(Clone, Debug, PartialEq, Default, DeBin, SerBin)]
-pub struct Cohort {
+pub struct Membership {
     /// Epoch of the configuration's owner that says so: the fence.
-    pub epoch: u64,
+    pub term: u64,
     pub turn: u64,
-    /// Every live member has seen the cohort at this turn or later. A member
+    /// Every live member has seen the membership at this turn or later. A member
     /// has a share only once the turn in which it joined is settled.
     pub settled: u64,
     /// The configuration's committed revision when this was issued: who goes by
@@ -86,10 +86,10 @@
 
 /// How far a member is, told with each renewal.
 #[derive(Clone, Debug, PartialEq, Default, DeBin, SerBin)]
-pub struct Progress {
+pub struct MemberProgress {
     /// Configuration revision that it obeys.
     pub obeys: u64,
-    /// (epoch, turn) of the cohort that it has seen.
+    /// (term, turn) of the membership that it has seen.
     pub saw: (u64, u64),
     /// The newest configuration revision that it knows to exist.
     pub knows: u64,
@@ -115,14 +115,14 @@
 
 /// A place in a part's feed.
 #[derive(Clone, Copy, Debug, PartialEq, DeBin, SerBin)]
-pub struct Place {
-    pub part: PartId,
-    pub rev: u64,
+pub struct FeedPosition {
+    pub partition: PartitionId,
+    pub revision: u64,
 }
 
 /// What an operator's request asks.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
-pub enum Deed {
+pub enum Operation {
     Whole(Vec<u8>),
     Patch(Vec<u8>),
     Read,
@@ -134,7 +134,7 @@
 
 /// What came of it.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
-pub enum Done {
+pub enum OperationResult {
     Accepted {
         revision: u64,
         copies: u32,
@@ -145,8 +145,8 @@
         map: Map,
     },
     Status {
-        cohort: Cohort,
-        far: Vec<(String, u64, Progress)>,
+        membership: Membership,
+        far: Vec<(String, u64, MemberProgress)>,
     },
     Wrong(Vec<(String, String)>),
     Moved {
@@ -168,13 +168,13 @@
 
 /// What one replica of a partition holds.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
-pub struct ReplicaState {
-    pub part: PartId,
+pub struct HandedOverReplica {
+    pub partition: PartitionId,
     /// The highest term that it voted for or obeyed.
     pub promised: u64,
     /// Term under which `map` was last written.
-    pub epoch: u64,
-    pub rev: u64,
+    pub term: u64,
+    pub revision: u64,
     pub map: Map,
 }
 
@@ -182,26 +182,26 @@
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct Memberships {
     /// The one that members are told.
-    pub current: Cohort,
+    pub current: Membership,
     /// Those that some member may go by beside or instead of it.
-    pub others: Vec<Cohort>,
+    pub others: Vec<Membership>,
 }
 
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
-pub enum Msg {
+pub enum Message {
     /// `fleet` is a hash of its name: an address may be reused by another
     /// fleet, and its words must not be taken for ours.
     Hello {
-        who: Who,
+        who: PeerIdentity,
         fleet: u64,
     },
 
     // ---- seats ----
-    /// The table of the seats, and who tells it: first on each wire that
+    /// The table of the seats, and who tells it: first on each connection that
     /// somebody opened to a controller, and whenever it changes.
     Seats {
         me: u64,
-        table: Table,
+        table: VoterSet,
     },
     /// A seat lives; said where nothing else shows it.
     Here {
@@ -215,45 +215,45 @@
         stamp: u64,
     },
     Offer {
-        seat: Seat,
+        slot: VoterSlot,
         stamp: u64,
-        free: Vec<Seat>,
+        free: Vec<VoterSlot>,
     },
     /// Give me this one.
     Take {
-        seat: Seat,
-        holding: Holding,
+        slot: VoterSlot,
+        holding: SlotHolder,
     },
 
     // ---- handovers of voter slots, by controllers that stop ----
     /// A voter that leaves offers its slot to a spare, which would hold it in this
     /// generation.
     HandoverOffer {
-        slot: Seat,
+        slot: VoterSlot,
         generation: u32,
     },
     HandoverAccept {
-        slot: Seat,
-        holding: Holding,
+        slot: VoterSlot,
+        holding: SlotHolder,
     },
     /// The voter set in which the receiver holds the slot, with all that the
     /// sender's replicas hold. The sender votes no more.
     Handover {
-        slot: Seat,
+        slot: VoterSlot,
         generation: u32,
-        table: Table,
-        replicas: Vec<ReplicaState>,
+        table: VoterSet,
+        replicas: Vec<HandedOverReplica>,
         memberships: Memberships,
     },
     /// The receiver has written it, and votes.
     HandoverDone {
-        slot: Seat,
+        slot: VoterSlot,
         generation: u32,
     },
     /// The leader of a partition steps down in favour of the receiver, which is
     /// to ask for votes at once.
     LeadershipTransfer {
-        part: PartId,
+        partition: PartitionId,
         term: u64,
     },
 
@@ -261,95 +261,95 @@
     // and the message counts only under equal ones ----
     /// How do you stand? Asked by replicas that have nothing.
     StatusRequest {
-        part: PartId,
+        partition: PartitionId,
         nonce: u64,
     },
     ReplicaStatus {
-        part: PartId,
+        partition: PartitionId,
         nonce: u64,
-        life: Life,
+        life: ReplicaCondition,
         promised: u64,
-        epoch: u64,
-        rev: u64,
+        term: u64,
+        revision: u64,
         stamp: u64,
     },
     FetchReplica {
-        part: PartId,
+        partition: PartitionId,
         nonce: u64,
     },
     ReplicaFetched {
-        part: PartId,
+        partition: PartitionId,
         nonce: u64,
         promised: u64,
-        epoch: u64,
-        rev: u64,
+        term: u64,
+        revision: u64,
         map: Map,
     },
     /// Would you grant a claim? Changes nothing.
     PreVoteRequest {
-        part: PartId,
-        epoch: u64,
+        partition: PartitionId,
+        term: u64,
     },
     PreVoteResponse {
-        part: PartId,
-        epoch: u64,
+        partition: PartitionId,
+        term: u64,
         yes: bool,
         promised: u64,
     },
     VoteRequest {
-        part: PartId,
-        epoch: u64,
+        partition: PartitionId,
+        term: u64,
     },
     VoteGranted {
-        part: PartId,
-        epoch: u64,
-        at_epoch: u64,
-        rev: u64,
+        partition: PartitionId,
+        term: u64,
+        at_term: u64,
+        revision: u64,
         stamp: u64,
     },
-    /// Refused, because this higher epoch was promised.
+    /// Refused, because this higher term was promised.
     VoteRejected {
-        part: PartId,
-        epoch: u64,
+        partition: PartitionId,
+        term: u64,
         promised: u64,
     },
     Snapshot {
-        part: PartId,
-        epoch: u64,
-        rev: u64,
+        partition: PartitionId,
+        term: u64,
+        revision: u64,
         map: Map,
     },
     Append {
-        part: PartId,
-        epoch: u64,
-        rev: u64,
+        partition: PartitionId,
+        term: u64,
+        revision: u64,
         entries: Vec<Entry>,
     },
     /// Synced up to here.
     AppendAck {
-        part: PartId,
-        epoch: u64,
-        rev: u64,
+        partition: PartitionId,
+        term: u64,
+        revision: u64,
         stamp: u64,
     },
     /// Can't follow: send the whole.
     SnapshotRequest {
-        part: PartId,
-        epoch: u64,
+        partition: PartitionId,
+        term: u64,
     },
     Heartbeat {
-        part: PartId,
-        epoch: u64,
+        partition: PartitionId,
+        term: u64,
         round: u64,
         done: u64,
         sum: u64,
     },
     HeartbeatAck {
-        part: PartId,
-        epoch: u64,
+        partition: PartitionId,
+        term: u64,
         round: u64,
-        rev: u64,
-        /// Synced up to here; zero: nothing of this epoch.
+        revision: u64,
+        /// Synced up to here; zero: nothing of this term.
         kept: u64,
         stamp: u64,
     },
@@ -358,19 +358,19 @@
     /// Where the follower stands in each part; also asks for what is newer.
     /// `stamp` is that of its table of the seats.
     Follow {
-        places: Vec<Place>,
+        places: Vec<FeedPosition>,
         stamp: u64,
     },
     /// `from` is the place it continues; a snapshot has none.
     News {
-        part: PartId,
+        partition: PartitionId,
         from: Option<u64>,
-        rev: u64,
+        revision: u64,
         entries: Vec<Entry>,
     },
     /// How far a seat has accepted each part of which it can say so.
     Reach {
-        places: Vec<Place>,
+        places: Vec<FeedPosition>,
         stamp: u64,
     },
 
@@ -378,23 +378,23 @@
     Renew {
         member: Member,
         count: u64,
-        far: Progress,
+        far: MemberProgress,
     },
-    /// Granted; `rev` is the configuration's revision at that time. Only a
+    /// Granted; `revision` is the configuration's revision at that time. Only a
     /// member that obeys it may act on the grant.
-    Tenure {
+    Lease {
         name: String,
         /// The process that asked: a grant is not for its successor.
         incarnation: u64,
         count: u64,
-        epoch: u64,
-        rev: u64,
+        term: u64,
+        revision: u64,
         /// The leader does not know the membership that the member goes by, and
         /// asks to be told.
         tell_membership: bool,
     },
     /// A membership: told to members, and by a member to a leader that asked.
-    Tell(Cohort),
+    Tell(Membership),
 
     // ---- memberships, from the configuration's leader to the other voters ----
     /// A new membership, which members are told once a majority holds it, or
@@ -402,9 +402,9 @@
     /// member may still go by.
     ReplicateMembership {
         term: u64,
-        current: Cohort,
+        current: Membership,
         confirmed: bool,
-        older: Vec<Cohort>,
+        older: Vec<Membership>,
     },
     MembershipReplicated {
         term: u64,
@@ -420,20 +420,20 @@
     },
     MembershipFetched {
         term: u64,
-        current: Cohort,
+        current: Membership,
         /// Those that some member may go by beside or instead of `current`.
-        others: Vec<Cohort>,
+        others: Vec<Membership>,
         stamp: u64,
     },
 
-    /// Between cohort members: how old the sender's word from the core is,
+    /// Between membership members: how old the sender's word from the core is,
     /// and what it holds. `asked` is the sender's time, which the answer
     /// gives back as `echo`: only an echo proves that we are heard now.
     Gossip {
         name: String,
         core_age_ms: u64,
         ready: bool,
-        places: Vec<Place>,
+        places: Vec<FeedPosition>,
         asked: Option<u64>,
         echo: Option<u64>,
         /// In answers of a member that lacks the core's word itself.
@@ -443,13 +443,13 @@
     // ---- leafs ----
     /// The platform's list for one part, from the holder of that duty.
     Listed {
-        part: PartId,
+        partition: PartitionId,
         fence: (u64, u64),
         leafs: Vec<LeafInfo>,
     },
     /// First-hand words of leafs about themselves, all of one part.
     Words {
-        part: PartId,
+        partition: PartitionId,
         words: Vec<Word>,
     },
 
@@ -462,11 +462,11 @@
         term: u64,
         request: String,
         expect: Option<u64>,
-        deed: Deed,
+        deed: Operation,
     },
     Operated {
         op: u64,
         attempt: u64,
-        done: Done,
+        done: OperationResult,
     },
 }
--- a/crates/core/src/query/connection_subset.rs
+++ b/crates/core/src/query/connection_subset.rs
@@ -3,8 +3,8 @@
 //!
 //! Every node computes the same deal from the same members and leafs: members
 //! in the order of their numbers take their most preferred leafs, those of
-//! their own zone first, as long as a leaf has wires left. Preference is by
-//! rendezvous and a leaf's wires are bounded, so that a member or a leaf that
+//! their own zone first, as long as a leaf has connections left. Preference is by
+//! rendezvous and a leaf's connections are bounded, so that a member or a leaf that
 //! comes or goes moves little. Views that differ for a moment are what the part
 //! of the limit is for that is not dealt out; a leaf resets what is too much,
 //! and such a dispatch has not arrived.
@@ -25,7 +25,7 @@
     (limit - (limit / 10).max(1).min(limit - 1)).max(1)
 }
 
-/// The wires that each of the `leafs` of one service may have from the node
+/// The connections that each of the `leafs` of one service may have from the node
 /// `mine`; zero where it should have none.
 pub fn deal(peers: &[Peer], mine: u64, leafs: &[&LeafInfo], limit: u64) -> Vec<u64> {
     let here = peers.iter().position(|p| p.slot == mine);
@@ -46,7 +46,7 @@
             (zone(leafs[*k]) != peer.zone, std::cmp::Reverse(pair(things[*k], peer.slot)))
         });
         let mut got = 0;
-        // Who comes late finds few leafs with wires left, and takes more of
+        // Who comes late finds few leafs with connections left, and takes more of
         // each: there is a quota for everyone.
         while got < quota && left.iter().any(|n| *n > 0) {
             for k in &order {
