--- a/crates/core/src/query/coverage.rs
+++ b/crates/core/src/query/coverage.rs
@@ -1,13 +1,13 @@
 //! The coverage check: which planned shard a reply stands for, if any.
 
-use crate::config::build::Mapping;
-use crate::snapshot::cluster_view::View;
+use crate::config::build::Route;
+use crate::snapshot::cluster_view::ClusterView;
 
 /// The shard that a reply of `leaf` served. The leaf's service is taken from
 /// the platform's list; a leaf the list has since dropped keeps the service
 /// under which it was sent the query. The pinned mapping names the service
 /// as a shard, or it stands for none.
-pub fn served(view: &View, mapping: &Mapping, leaf: &str, sent_as: &str) -> Option<usize> {
+pub fn served(view: &ClusterView, mapping: &Route, leaf: &str, sent_as: &str) -> Option<usize> {
     let service = view.leafs.get(leaf).map_or(sent_as, |l| l.service.as_str());
     if service != sent_as {
         return None;
--- a/crates/core/src/query/dispatch.rs
+++ b/crates/core/src/query/dispatch.rs
@@ -1,7 +1,7 @@
 //! `step` of the owner of queries.
 
 use super::engine::*;
-use crate::config::build::{Mapping, PoolPlan, needed};
+use crate::config::build::{PoolPlan, Route, needed};
 use crate::config::types::{Class, Form, Steer};
 use crate::consts;
 use crate::digest::{digest, hash};
@@ -13,7 +13,7 @@
 use crate::query::leaf::leaf;
 use crate::query::leaf_selection::{Choice, Scene, choose};
 use crate::query::merge::merge;
-use crate::query::request::{Ask, Bounce, Full, Outcome, Reason};
+use crate::query::request::{Ask, Full, Outcome, Reason, Rejection};
 use crate::query::{
     connection_subset, forwarding, latency_estimate, observed_load, quota, retry, retry_budget,
     service_retry_budget, slow_start,
@@ -25,14 +25,14 @@
 use std::collections::BTreeSet;
 
 /// Takes one event and says what to do.
-pub fn step(d: &mut Desk, now: Tick, event: Event) -> Vec<Command> {
+pub fn step(d: &mut QueryEngine, now: Tick, event: Event) -> Vec<Command> {
     let mut out = Vec::new();
     match event {
         Event::Ask { call, ask } => begin(d, now, call, ask, &mut out),
         Event::Hand { call, parcel } => forwarding::begin(d, now, call, parcel, &mut out),
         Event::Reply { dispatch, got } => reply(d, now, dispatch, got, &mut out),
         Event::Gone { call } => gone(d, call, &mut out),
-        Event::View(view) => {
+        Event::ClusterView(view) => {
             for (name, info) in &view.leafs {
                 if !d.leafs.contains_key(name) {
                     let mut new = leaf(name, now);
@@ -89,8 +89,8 @@
     out
 }
 
-/// Deals the leafs of each service out to the threads of the cohort.
-fn deal(d: &mut Desk) {
+/// Deals the leafs of each service out to the threads of the membership.
+fn deal(d: &mut QueryEngine) {
     let view = d.view.clone();
     for map in view.mappings.values() {
         let shared = |p: &&PoolPlan| p.steer == Steer::Share;
@@ -107,12 +107,12 @@
     }
 }
 
-/// Deals out the wires to leafs that take few.
-fn wired(d: &mut Desk) {
+/// Deals out the connections to leafs that take few.
+fn wired(d: &mut QueryEngine) {
     let view = d.view.clone();
     let pools = view.mappings.values().flat_map(|m| &m.shards).flat_map(|s| &s.pools);
     let mut done: BTreeSet<&str> = BTreeSet::new();
-    for pool in pools.filter(|p| p.wires > 0) {
+    for pool in pools.filter(|p| p.connections > 0) {
         let Some(list) = view.services.get(&pool.service) else { continue };
         if !done.insert(&pool.service) {
             continue;
@@ -124,18 +124,19 @@
             .map(|l| l.as_ref())
             .collect();
         let mine = d.slot;
-        let wires = connection_subset::deal(&d.peers, mine, &stand, u64::from(pool.wires));
-        for (info, n) in stand.iter().zip(wires) {
+        let connections =
+            connection_subset::deal(&d.peers, mine, &stand, u64::from(pool.connections));
+        for (info, n) in stand.iter().zip(connections) {
             if let Some(l) = d.leafs.get_mut(&info.leaf) {
-                // Before we know of anyone else, one wire at a time.
-                l.wires = Some(if d.peers.is_empty() { 1 } else { n });
+                // Before we know of anyone else, one connection at a time.
+                l.connections = Some(if d.peers.is_empty() { 1 } else { n });
             }
         }
     }
 }
 
 /// When `step` wants to be woken next.
-pub fn next(d: &Desk) -> Option<Tick> {
+pub fn next(d: &QueryEngine) -> Option<Tick> {
     d.queries.values().map(due).min()
 }
 
@@ -175,10 +176,10 @@
 }
 
 pub(super) fn bounce(
-    d: &mut Desk,
+    d: &mut QueryEngine,
     now: Tick,
     (call, rest): (u64, Span),
-    mut b: Bounce,
+    mut b: Rejection,
     query: Option<String>,
     out: &mut Vec<Command>,
 ) {
@@ -188,20 +189,20 @@
     b.again_s = Some(retry::again_s(&mut d.strain, now, b.reason, rest, &mut d.luck));
     b.again = Some(retry::soon(&mut d.strain, now, rest, &mut d.luck));
     *d.counts.bounced.entry(b.reason).or_default() += 1;
-    out.push(Command::Tell { call, outcome: Outcome::Bounce(b) });
+    out.push(Command::Tell { call, outcome: Outcome::Rejection(b) });
 }
 
-fn begin(d: &mut Desk, now: Tick, call: u64, ask: Ask, out: &mut Vec<Command>) {
+fn begin(d: &mut QueryEngine, now: Tick, call: u64, ask: Ask, out: &mut Vec<Command>) {
     let q = plan(d, now, call, ask);
     start(d, now, call, q, out);
 }
 
 /// Takes a planned query in hand, or sends its caller away.
 pub(super) fn start(
-    d: &mut Desk,
+    d: &mut QueryEngine,
     now: Tick,
     call: u64,
-    q: Result<Query, Bounce>,
+    q: Result<Query, Rejection>,
     out: &mut Vec<Command>,
 ) {
     match q {
@@ -216,8 +217,8 @@
 }
 
 /// Whether calls are taken now.
-pub(super) fn taken(d: &Desk, now: Tick) -> Result<(), Bounce> {
-    let say = |reason, text: &str| Err(Bounce::new(reason, text));
+pub(super) fn taken(d: &QueryEngine, now: Tick) -> Result<(), Rejection> {
+    let say = |reason, text: &str| Err(Rejection::new(reason, text));
     match d.door {
         Door::Open => {}
         Door::Shut => return say(Reason::NoView, "this node holds no view yet"),
@@ -231,8 +232,8 @@
 }
 
 /// Whether there is room for one more query of a class.
-pub(super) fn room(d: &Desk, class: Class) -> Result<(), Bounce> {
-    let say = |reason, text: &str| Err(Bounce::new(reason, text));
+pub(super) fn room(d: &QueryEngine, class: Class) -> Result<(), Rejection> {
+    let say = |reason, text: &str| Err(Rejection::new(reason, text));
     if d.queries.len() >= room_of(class) {
         return say(Reason::Crowded, "this node works on all it may for this class");
     }
@@ -244,8 +245,8 @@
 }
 
 /// Fixes everything about a query: its mapping, its shards, its times.
-fn plan(d: &mut Desk, now: Tick, call: u64, ask: Ask) -> Result<Query, Bounce> {
-    let say = |reason, text: &str| Err(Bounce::new(reason, text));
+fn plan(d: &mut QueryEngine, now: Tick, call: u64, ask: Ask) -> Result<Query, Rejection> {
+    let say = |reason, text: &str| Err(Rejection::new(reason, text));
     taken(d, now)?;
     let Some(map) = d.view.mappings.get(&ask.mapping).cloned() else {
         return say(Reason::NoMapping, "no search of that name is configured");
@@ -289,7 +290,7 @@
 }
 
 /// The shard that a key falls on, the same on every node.
-pub fn shard_of(map: &Mapping, key: &str) -> usize {
+pub fn shard_of(map: &Route, key: &str) -> usize {
     (hash(key) % map.shards.len() as u64) as usize
 }
 
@@ -309,7 +310,7 @@
 
 /// Moves every query on: timers, and room that may have come free. Urgent
 /// queries are served first, then those that end soonest.
-pub(super) fn sweep(d: &mut Desk, now: Tick, out: &mut Vec<Command>) {
+pub(super) fn sweep(d: &mut QueryEngine, now: Tick, out: &mut Vec<Command>) {
     let mut ids: Vec<_> = d
         .queries
         .iter()
@@ -323,7 +324,7 @@
 }
 
 /// Moves one query as far as it goes now.
-pub(super) fn advance(d: &mut Desk, now: Tick, id: u64, out: &mut Vec<Command>) {
+pub(super) fn advance(d: &mut QueryEngine, now: Tick, id: u64, out: &mut Vec<Command>) {
     let Some(mut q) = d.queries.swap_remove(&id) else { return };
     if now < q.end {
         for i in 0..q.slots.len() {
@@ -365,7 +366,7 @@
 }
 
 /// Finds a leaf for a slot that wants one.
-fn fill(d: &mut Desk, now: Tick, id: u64, q: &mut Query, i: usize, out: &mut Vec<Command>) {
+fn fill(d: &mut QueryEngine, now: Tick, id: u64, q: &mut Query, i: usize, out: &mut Vec<Command>) {
     let picked = pick(d, now, q, i);
     let slot = &mut q.slots[i];
     match picked {
@@ -389,7 +390,7 @@
 }
 
 /// Sends a second try beside the first when its wait is over.
-fn again(d: &mut Desk, now: Tick, id: u64, q: &mut Query, i: usize, out: &mut Vec<Command>) {
+fn again(d: &mut QueryEngine, now: Tick, id: u64, q: &mut Query, i: usize, out: &mut Vec<Command>) {
     if q.slots[i].tries >= q.map.attempts {
         q.slots[i].next_at = Tick::MAX;
         return;
@@ -408,14 +409,14 @@
 }
 
 /// Asks the rule that holds for a query whether it may send a second try.
-fn leave(d: &mut Desk, now: Tick, q: &Query, service: &str) -> bool {
+fn leave(d: &mut QueryEngine, now: Tick, q: &Query, service: &str) -> bool {
     match q.parcel {
         None => retry_budget::second(&mut d.rule, now),
         Some(_) => service_retry_budget::second(&mut d.quota, service),
     }
 }
 
-fn pick(d: &mut Desk, now: Tick, q: &Query, i: usize) -> Choice {
+fn pick(d: &mut QueryEngine, now: Tick, q: &Query, i: usize) -> Choice {
     if now > d.grip {
         return Choice::Full;
     }
@@ -432,7 +433,7 @@
 }
 
 /// The shortest typical time among a shard's leafs, zero if none is known.
-fn quickest(d: &Desk, q: &Query, i: usize) -> Span {
+fn quickest(d: &QueryEngine, q: &Query, i: usize) -> Span {
     let pools = &q.map.shards[q.slots[i].shard].pools;
     pools
         .iter()
@@ -445,7 +446,7 @@
 
 /// The end of a dispatch's wait: what such dispatches usually take where that
 /// is learned, else its share of the time left, at least 1 ms.
-fn wait_until(d: &Desk, q: &Query, now: Tick) -> Tick {
+fn wait_until(d: &QueryEngine, q: &Query, now: Tick) -> Tick {
     if q.map.once {
         return Tick::MAX;
     }
@@ -458,7 +459,7 @@
 }
 
 fn send(
-    d: &mut Desk,
+    d: &mut QueryEngine,
     now: Tick,
     id: u64,
     q: &mut Query,
@@ -516,12 +517,18 @@
         budget: since(now, q.end),
         parcel: q.parcel.clone(),
         once: q.map.once,
-        keep: d.leafs.get(&info.leaf).is_none_or(|l| l.wires != Some(0)),
+        keep: d.leafs.get(&info.leaf).is_none_or(|l| l.connections != Some(0)),
     }));
 }
 
 /// A dispatch has ended. A late or unknown one changes nothing.
-fn reply(d: &mut Desk, now: Tick, num: u64, got: Result<Raw, Trouble>, out: &mut Vec<Command>) {
+fn reply(
+    d: &mut QueryEngine,
+    now: Tick,
+    num: u64,
+    got: Result<Raw, Trouble>,
+    out: &mut Vec<Command>,
+) {
     let Some(sent) = d.dispatches.swap_remove(&num) else { return };
     if let Ok(raw) = &got {
         hear(d, now, &sent, raw, out);
@@ -598,7 +605,13 @@
 }
 
 /// Takes in what a leaf says of itself.
-pub(super) fn hear(d: &mut Desk, now: Tick, sent: &Dispatch, raw: &Raw, out: &mut Vec<Command>) {
+pub(super) fn hear(
+    d: &mut QueryEngine,
+    now: Tick,
+    sent: &Dispatch,
+    raw: &Raw,
+    out: &mut Vec<Command>,
+) {
     let Some(l) = d.leafs.get_mut(&sent.leaf) else { return };
     let before = l.leaving;
     // A reply of another leaf, at a reused address, says of ours only that it
@@ -618,7 +631,7 @@
     }
 }
 
-pub(super) fn free(d: &mut Desk, sent: &Dispatch) {
+pub(super) fn free(d: &mut QueryEngine, sent: &Dispatch) {
     if let Some(l) = d.leafs.get_mut(&sent.leaf) {
         l.live -= 1;
         if l.live == 0 && !d.view.leafs.contains_key(&sent.leaf) {
@@ -627,9 +640,9 @@
     }
 }
 
-pub(super) fn drop_out(d: &mut Desk, num: u64, out: &mut Vec<Command>) {
+pub(super) fn drop_out(d: &mut QueryEngine, num: u64, out: &mut Vec<Command>) {
     // What was handed over is not broken off: the leaf works on it, and the
-    // wire is whole again once it has answered.
+    // connection is whole again once it has answered.
     if d.dispatches.get(&num).is_some_and(|s| s.handed) {
         return;
     }
@@ -641,7 +654,7 @@
 }
 
 /// The caller went away: nobody wants the dispatches' results.
-fn gone(d: &mut Desk, call: u64, out: &mut Vec<Command>) {
+fn gone(d: &mut QueryEngine, call: u64, out: &mut Vec<Command>) {
     let id = d.queries.iter().find(|(_, q)| q.call == call).map(|(id, _)| *id);
     if let Some(q) = id.and_then(|id| d.queries.swap_remove(&id)) {
         for num in q.slots.iter().flat_map(|s| &s.outs) {
@@ -651,7 +664,7 @@
 }
 
 /// How long until each shard that is missing has a leaf that is not rested.
-fn rest(d: &Desk, now: Tick, q: &Query) -> Span {
+fn rest(d: &QueryEngine, now: Tick, q: &Query) -> Span {
     let lost = q.slots.iter().filter(|s| s.state != SlotState::In);
     let soonest = |s: &Slot| {
         let shard = &q.map.shards[s.shard];
@@ -662,7 +675,13 @@
     lost.map(soonest).max().unwrap_or(0)
 }
 
-fn finish(d: &mut Desk, now: Tick, mut q: Query, how: Result<(), Reason>, out: &mut Vec<Command>) {
+fn finish(
+    d: &mut QueryEngine,
+    now: Tick,
+    mut q: Query,
+    how: Result<(), Reason>,
+    out: &mut Vec<Command>,
+) {
     // Leafs of other shards may be at work on it: then it has not gone unrun.
     let out_there = q.slots.iter().any(|s| !s.outs.is_empty());
     for i in 0..q.slots.len() {
@@ -700,7 +719,7 @@
             return out.push(Command::Tell { call: q.call, outcome: Outcome::Passed(passed) });
         }
         let rest = rest(d, now, &q);
-        let mut b = Bounce::new(why, text);
+        let mut b = Rejection::new(why, text);
         b.ran = q.ran || out_there;
         return bounce(d, now, (q.call, rest), b, Some(q.name), out);
     }
--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -5,22 +5,22 @@
 use indexmap::IndexMap;
 use serde_json::Value;
 
-use crate::config::build::Mapping;
+use crate::config::build::Route;
 use crate::config::types::Class;
 use crate::consts;
 use crate::http_api::leaf::{Raw, Trouble};
 use crate::protocol::message::Word;
 use crate::query::connection_subset::Peer;
-use crate::query::forwarded_request::Parcel;
-use crate::query::latency_estimate::Waits;
+use crate::query::forwarded_request::ForwardedRequest;
+use crate::query::latency_estimate::LatencyEstimate;
 use crate::query::leaf::Leaf;
 use crate::query::quota::Share;
 use crate::query::request::{Ask, Outcome, Reason, Record};
-use crate::query::retry::Strain;
+use crate::query::retry::LoadPressure;
 use crate::query::retry_budget::Rule;
-use crate::query::service_retry_budget::{Quota, Rate};
-use crate::random::Luck;
-use crate::snapshot::cluster_view::View;
+use crate::query::service_retry_budget::{Rate, ServiceRetryBudget};
+use crate::random::Random;
+use crate::snapshot::cluster_view::ClusterView;
 use crate::time::{Span, Tick};
 
 /// Which calls are taken.
@@ -40,11 +40,11 @@
 /// Invariants: every dispatch in `dispatches` belongs to a query in `queries`
 /// and stands in exactly one slot's `outs`; a leaf's `live` equals the number
 /// of dispatches to it.
-pub struct Desk {
+pub struct QueryEngine {
     pub name: String,
     pub zone: String,
     pub door: Door,
-    pub view: Arc<View>,
+    pub view: Arc<ClusterView>,
     /// Until when we may act on the view; later we neither take calls nor
     /// send dispatches.
     pub grip: Tick,
@@ -56,12 +56,12 @@
     pub leafs: IndexMap<String, Leaf>,
     pub rule: Rule,
     /// Second tries of calls that are handed over, by service.
-    pub quota: Quota,
-    /// All nodes that open wires to leafs, in order.
+    pub quota: ServiceRetryBudget,
+    /// All nodes that open connections to leafs, in order.
     pub peers: Vec<Peer>,
-    pub waits: Waits,
-    pub strain: Strain,
-    pub luck: Luck,
+    pub waits: LatencyEstimate,
+    pub strain: LoadPressure,
+    pub luck: Random,
     pub counts: Counts,
     pub next_query: u64,
     pub next_dispatch: u64,
@@ -74,7 +74,7 @@
 pub struct Query {
     pub call: u64,
     pub name: String,
-    pub map: Arc<Mapping>,
+    pub map: Arc<Route>,
     pub revision: u64,
     pub start: Tick,
     /// From here on a quorum is enough.
@@ -86,7 +86,7 @@
     pub digest: String,
     pub slots: Vec<Slot>,
     /// The call itself, if it is handed over.
-    pub parcel: Option<Arc<Parcel>>,
+    pub parcel: Option<Arc<ForwardedRequest>>,
     /// Until when a shard may wait for a leaf with room.
     pub hold: Tick,
     /// A leaf has worked on this, or may have.
@@ -146,7 +146,7 @@
     /// A call that is handed over.
     Hand {
         call: u64,
-        parcel: Arc<Parcel>,
+        parcel: Arc<ForwardedRequest>,
     },
     /// A dispatch has ended.
     Reply {
@@ -157,9 +157,9 @@
     Gone {
         call: u64,
     },
-    View(Arc<View>),
+    ClusterView(Arc<ClusterView>),
     Share(Share),
-    /// All nodes that open wires to leafs.
+    /// All nodes that open connections to leafs.
     Peers(Vec<Peer>),
     /// The fleet's rule of second tries for calls that are handed over.
     Rate(Rate),
@@ -198,10 +198,10 @@
     pub body: Arc<Vec<u8>>,
     pub budget: Span,
     /// What is handed over, instead of `body`.
-    pub parcel: Option<Arc<Parcel>>,
-    /// It may run once at most: it must not go out on a doubtful wire.
+    pub parcel: Option<Arc<ForwardedRequest>>,
+    /// It may run once at most: it must not go out on a doubtful connection.
     pub once: bool,
-    /// Its wire may be kept for later.
+    /// Its connection may be kept for later.
     pub keep: bool,
 }
 
@@ -229,12 +229,12 @@
 pub const TOOK_MS: [u64; 11] = [2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000];
 
 /// A desk without a view. `name` must be unique to this life of the process.
-pub fn desk(name: &str, zone: &str, seed: u64, now: Tick) -> Desk {
-    Desk {
+pub fn desk(name: &str, zone: &str, seed: u64, now: Tick) -> QueryEngine {
+    QueryEngine {
         name: name.to_string(),
         zone: zone.to_string(),
         door: Door::Shut,
-        view: Arc::new(View::default()),
+        view: Arc::new(ClusterView::default()),
         grip: 0,
         share: Share::default(),
         slot: 0,
@@ -244,8 +244,8 @@
         rule: crate::query::retry_budget::rule(now),
         quota: crate::query::service_retry_budget::quota(crate::query::service_retry_budget::own()),
         peers: Vec::new(),
-        waits: Waits::default(),
-        strain: Strain::default(),
+        waits: LatencyEstimate::default(),
+        strain: LoadPressure::default(),
         luck: crate::random::luck(seed),
         counts: Counts::default(),
         next_query: 0,
@@ -254,7 +254,7 @@
 }
 
 /// The counts with the gauges of this moment.
-pub fn counts(desk: &Desk) -> Counts {
+pub fn counts(desk: &QueryEngine) -> Counts {
     let mut out = desk.counts.clone();
     out.queries = desk.queries.len() as u64;
     out.out = desk.dispatches.len() as u64;
@@ -278,6 +278,6 @@
 }
 
 /// The body of a dispatch for a question under a mapping.
-pub fn question(map: &Mapping, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
+pub fn question(map: &Route, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
     crate::http_api::leaf::body(&map.name, &map.cut, question, key, limit)
 }
--- a/crates/core/src/query/forwarded_request.rs
+++ b/crates/core/src/query/forwarded_request.rs
@@ -7,7 +7,7 @@
 
 /// A call as it came: nothing of it is changed on the way to a leaf.
 #[derive(Clone, Debug, Default)]
-pub struct Parcel {
+pub struct ForwardedRequest {
     /// The caller's own id of this call.
     pub id: String,
     pub method: String,
--- a/crates/core/src/query/forwarding.rs
+++ b/crates/core/src/query/forwarding.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::engine::*;
-use crate::config::build::Mapping;
+use crate::config::build::Route;
 use crate::config::types::Form;
 use crate::consts;
 use crate::http_api::leaf::{MISDIRECTED, Raw, Trouble};
@@ -12,26 +12,37 @@
 use crate::query::dispatch::{
     advance, count_in, free, need, room, shift, slot, start, sweep, taken,
 };
-use crate::query::forwarded_request::{Joined, Parcel, Passed, join};
+use crate::query::forwarded_request::{ForwardedRequest, Joined, Passed, join};
 use crate::query::latency_estimate;
 use crate::query::leaf;
-use crate::query::request::{Bounce, Outcome, Reason};
-use crate::random::{Luck, below};
+use crate::query::request::{Outcome, Reason, Rejection};
+use crate::random::{Random, below};
 use crate::routing_language::compile::Send;
 use crate::snapshot::cluster_view::found;
 use crate::time::{Tick, since};
 
 /// A call has come.
-pub fn begin(d: &mut Desk, now: Tick, call: u64, parcel: Arc<Parcel>, out: &mut Vec<Command>) {
+pub fn begin(
+    d: &mut QueryEngine,
+    now: Tick,
+    call: u64,
+    parcel: Arc<ForwardedRequest>,
+    out: &mut Vec<Command>,
+) {
     let q = plan(d, now, call, parcel);
     start(d, now, call, q, out);
 }
 
-fn plan(d: &mut Desk, now: Tick, call: u64, parcel: Arc<Parcel>) -> Result<Query, Bounce> {
+fn plan(
+    d: &mut QueryEngine,
+    now: Tick,
+    call: u64,
+    parcel: Arc<ForwardedRequest>,
+) -> Result<Query, Rejection> {
     taken(d, now)?;
     let Some(map) = found(&d.view, &parcel.host, &parcel.path).cloned() else {
         let text = "no search takes calls of this host and path";
-        return Err(Bounce::new(Reason::NoMapping, text));
+        return Err(Rejection::new(Reason::NoMapping, text));
     };
     room(d, map.class)?;
     let shards = match map.send {
@@ -45,7 +56,7 @@
     let usable = budget.saturating_sub(keep).min(map.promise);
     if usable == 0 {
         let text = "the budget leaves no time to ask anyone";
-        return Err(Bounce::new(Reason::OutOfTime, text));
+        return Err(Rejection::new(Reason::OutOfTime, text));
     }
     let (stop, hold) = match map.target {
         None => (usable * map.stop_pct / 100, usable),
@@ -75,7 +86,7 @@
 }
 
 /// A shard drawn by the mapping's weights.
-pub fn drawn(map: &Mapping, luck: &mut Luck) -> usize {
+pub fn drawn(map: &Route, luck: &mut Random) -> usize {
     let mut left = below(luck, map.weights.iter().sum());
     for (i, weight) in map.weights.iter().enumerate() {
         if left < *weight {
@@ -94,7 +105,7 @@
 /// What a reply is to a call that is handed over.
 enum Word {
     /// It stands for its shard.
-    Part,
+    Partial,
     /// One leaf's answer that goes back as it is.
     Answer,
     /// A failure after the leaf worked, or may have; given back if nothing
@@ -122,7 +133,7 @@
     let good = (200..300).contains(&raw.status);
     match (good, raw.heads.postmarks.len(), form) {
         (true, 1, Form::Pass) => Word::Answer,
-        (true, 1, _) => Word::Part,
+        (true, 1, _) => Word::Partial,
         (true, 0, _) => Word::Failed(Trouble::NoPostmark),
         (true, _, _) => Word::Failed(Trouble::TwoPostmarks),
         // The leaf's own word on the call, not a failure of the leaf.
@@ -144,7 +155,7 @@
 
 /// A dispatch of a call that is handed over has ended.
 pub fn reply(
-    d: &mut Desk,
+    d: &mut QueryEngine,
     now: Tick,
     (num, sent): (u64, Dispatch),
     mut q: Query,
@@ -160,7 +171,7 @@
     };
     // Coverage: the shard is derived, and must be the one that was planned.
     let word = match word {
-        Word::Part | Word::Answer
+        Word::Partial | Word::Answer
             if served(&d.view, &q.map, &sent.leaf, &sent.service) != Some(planned) =>
         {
             Word::Failed(Trouble::WrongService)
@@ -169,7 +180,7 @@
     };
     let took = since(sent.at, now);
     note(d, now, &sent, &word, took);
-    if matches!(word, Word::Part | Word::Answer) {
+    if matches!(word, Word::Partial | Word::Answer) {
         latency_estimate::note(&mut d.waits, &q.map.name, took);
     }
     let slot = &mut q.slots[sent.slot];
@@ -177,7 +188,7 @@
     let done = slot.state == SlotState::In;
     match word {
         _ if done => {}
-        Word::Part | Word::Answer => {
+        Word::Partial | Word::Answer => {
             q.ran = true;
             slot.part = got.ok().map(Arc::new);
             shift(slot, SlotState::In);
@@ -222,15 +233,15 @@
 
 /// Leafs that one shard of one call may be offered to, those that could not be
 /// reached included.
-fn most(map: &Mapping) -> usize {
+fn most(map: &Route) -> usize {
     map.attempts as usize + consts::UNREACHED_MAX
 }
 
 /// What a reply says of its leaf.
-fn note(d: &mut Desk, now: Tick, sent: &Dispatch, word: &Word, took: u64) {
+fn note(d: &mut QueryEngine, now: Tick, sent: &Dispatch, word: &Word, took: u64) {
     let Some(l) = d.leafs.get_mut(&sent.leaf) else { return };
     match word {
-        Word::Part | Word::Answer => {
+        Word::Partial | Word::Answer => {
             leaf::good(l, took);
             leaf::strain(l, took, now);
         }
@@ -240,7 +251,7 @@
 }
 
 /// Dispatches that were sent earlier and are still silent were overtaken.
-fn overtaken(d: &mut Desk, now: Tick, sent: &Dispatch, others: &[u64]) {
+fn overtaken(d: &mut QueryEngine, now: Tick, sent: &Dispatch, others: &[u64]) {
     for other in others {
         if let Some(late) = d.dispatches.get(other)
             && late.at < sent.at
@@ -253,14 +264,16 @@
 }
 
 /// A dispatch has ended whose query is over: it still tells of its leaf.
-pub fn late(d: &mut Desk, now: Tick, sent: &Dispatch, got: &Result<Raw, Trouble>) {
+pub fn late(d: &mut QueryEngine, now: Tick, sent: &Dispatch, got: &Result<Raw, Trouble>) {
     if !sent.handed {
         return;
     }
     let word = match got {
         // Whatever was asked, a leaf that answers with less than a failure of
         // its own stands well.
-        Ok(raw) if raw.status < 500 && !raw.heads.unrun && raw.status != MISDIRECTED => Word::Part,
+        Ok(raw) if raw.status < 500 && !raw.heads.unrun && raw.status != MISDIRECTED => {
+            Word::Partial
+        }
         Ok(raw) => judge(raw, Form::Join),
         Err(why) if ran(*why) => Word::Failed(*why),
         Err(why) => Word::Unrun(*why),
@@ -269,7 +282,7 @@
 }
 
 /// Enough shards are in: tells what came.
-pub fn finish(d: &mut Desk, q: Query, parcel: &Parcel, out: &mut Vec<Command>) {
+pub fn finish(d: &mut QueryEngine, q: Query, parcel: &ForwardedRequest, out: &mut Vec<Command>) {
     let missing = q.slots.len() - count_in(&q);
     let parts: Vec<&Arc<Raw>> = q.slots.iter().filter_map(|s| s.part.as_ref()).collect();
     debug_assert!(parts.len() >= need(&q));
--- a/crates/core/src/query/latency_estimate.rs
+++ b/crates/core/src/query/latency_estimate.rs
@@ -8,14 +8,14 @@
 
 /// The learned quantile of each search.
 #[derive(Default)]
-pub struct Waits {
+pub struct LatencyEstimate {
     known: IndexMap<String, Span>,
 }
 
 /// Notes how long a dispatch took. The mark moves up by much for each one
 /// above it and down by little for each below, in the ratio at which just the
 /// wanted part of them lies below.
-pub fn note(w: &mut Waits, search: &str, took: Span) {
+pub fn note(w: &mut LatencyEstimate, search: &str, took: Span) {
     let q = consts::WAIT_QUANTILE;
     match w.known.get_mut(search) {
         None => {
@@ -33,7 +33,7 @@
 }
 
 /// The wait before a second try of a search, with its target if it has one.
-pub fn wait(w: &Waits, search: &str, target: Option<Span>) -> Option<Span> {
+pub fn wait(w: &LatencyEstimate, search: &str, target: Option<Span>) -> Option<Span> {
     match (w.known.get(search), target) {
         (Some(mark), _) => {
             let stretched = mark * consts::WAIT_STRETCH_PCT / 100 + consts::WAIT_MORE;
@@ -47,6 +47,6 @@
 }
 
 /// Forgets searches that are no longer known.
-pub fn keep(w: &mut Waits, known: impl Fn(&str) -> bool) {
+pub fn keep(w: &mut LatencyEstimate, known: impl Fn(&str) -> bool) {
     w.known.retain(|s, _| known(s));
 }
--- a/crates/core/src/query/leaf.rs
+++ b/crates/core/src/query/leaf.rs
@@ -31,7 +31,7 @@
     /// What others have there (thousandths of a dispatch), smoothed.
     pub others: u64,
     /// Wires that we may have to it; nothing where they are not limited.
-    pub wires: Option<u64>,
+    pub connections: Option<u64>,
     /// What we may still send it while it is cold, in thousandths of a
     /// dispatch, and when that was last reckoned.
     pub cold_saved: u64,
@@ -64,7 +64,7 @@
         strength: 1_000,
         slots: 0,
         others: 0,
-        wires: None,
+        connections: None,
         cold_saved: 0,
         cold_at: now,
         strength_at: 0,
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -4,15 +4,15 @@
 
 use indexmap::IndexMap;
 
-use crate::config::build::{Mapping, PoolPlan};
+use crate::config::build::{PoolPlan, Route};
 use crate::config::types::{Form, Steer};
 use crate::consts::REST_AFTER;
 use crate::query::connection_subset::Peer;
 use crate::query::leaf::{Leaf, bears, load, used, warm};
 use crate::query::quota::{Share, part};
 use crate::query::{observed_load, slow_start};
-use crate::random::{Luck, below};
-use crate::snapshot::cluster_view::{View, open};
+use crate::random::{Random, below};
+use crate::snapshot::cluster_view::{ClusterView, open};
 use crate::snapshot::leafs::{LeafInfo, zone};
 use crate::time::Tick;
 
@@ -31,7 +31,7 @@
 
 /// What a choice depends on.
 pub struct Scene<'a> {
-    pub view: &'a View,
+    pub view: &'a ClusterView,
     pub share: &'a Share,
     pub leafs: &'a IndexMap<String, Leaf>,
     pub zone: &'a str,
@@ -45,7 +45,7 @@
 /// the local zone first if the plan prefers it, never one in `tried`. Rested
 /// leafs serve only when no other stands, and then for first tries alone: if
 /// most of a pool looks bad it is used with care, but not beaten.
-pub fn choose(s: &Scene, luck: &mut Luck, map: &Mapping, shard: usize, tried: &[String]) -> Choice {
+pub fn choose(s: &Scene, luck: &mut Random, map: &Route, shard: usize, tried: &[String]) -> Choice {
     let mut fit: Vec<(&Arc<LeafInfo>, u64, bool, bool)> = Vec::new();
     let mut stand = false;
     // Whether a leaf that is steered by what is seen, is ours and stands well.
@@ -71,7 +71,7 @@
                 {
                     continue;
                 }
-                let ours = leaf.wires != Some(0);
+                let ours = leaf.connections != Some(0);
                 healthy |= ours && !rested;
                 // One that failed lately is tried with one dispatch at a time.
                 let wary = leaf.row >= REST_AFTER && leaf.live > 0;
@@ -101,7 +101,7 @@
         if rested && !first {
             break;
         }
-        // A leaf that others have the wires of is for need: none of ours stands
+        // A leaf that others have the connections of is for need: none of ours stands
         // well, or a second try finds none of ours.
         if !near && healthy && first {
             return Choice::Full;
--- a/crates/core/src/query/observed_load.rs
+++ b/crates/core/src/query/observed_load.rs
@@ -37,12 +37,12 @@
 }
 
 /// Dispatches that we may have in hand at a leaf: a little more than it works
-/// on at once, less where it turns work away or its wires are few.
+/// on at once, less where it turns work away or its connections are few.
 pub fn room(leaf: &Leaf, info: &LeafInfo, now: Tick) -> u64 {
     let full = slots(leaf, info) * consts::SEEN_SLOTS_PCT / 100;
     let most = used(leaf, full, 0, now).max(1);
-    // A leaf that we have no wire to is asked in need, with one.
-    leaf.wires.map_or(most, |wires| most.min(wires.max(1)))
+    // A leaf that we have no connection to is asked in need, with one.
+    leaf.connections.map_or(most, |connections| most.min(connections.max(1)))
 }
 
 /// When the leaf would likely answer one dispatch more.
--- a/crates/core/src/query/quota.rs
+++ b/crates/core/src/query/quota.rs
@@ -3,7 +3,7 @@
 use crate::digest::{hash, pair};
 use crate::query::connection_subset::Peer;
 
-/// The traffic threads of the live cohort and which of them is ours.
+/// The traffic threads of the live membership and which of them is ours.
 ///
 /// Invariant: `slots` are in order, stand once each, and hold `mine` unless
 /// this thread has no share at all.
@@ -27,7 +27,7 @@
     Share { slots, mine: slot(me, thread) }
 }
 
-/// The nodes that open wires, of the members given as (name, threads, zone).
+/// The nodes that open connections, of the members given as (name, threads, zone).
 pub fn peers(members: &[(String, u32, String)]) -> Vec<Peer> {
     let mut out: Vec<Peer> = members
         .iter()
@@ -67,7 +67,7 @@
         .collect()
 }
 
-/// Our part of `total`. Over all threads of one cohort the parts add up to
+/// Our part of `total`. Over all threads of one membership the parts add up to
 /// exactly `total`.
 pub fn part(share: &Share, rank: Option<u64>, total: u64) -> u64 {
     let Some(rank) = rank else { return 0 };
--- a/crates/core/src/query/request.rs
+++ b/crates/core/src/query/request.rs
@@ -85,7 +85,7 @@
 
 /// A call that is turned away, with a reason for machines and one for people.
 #[derive(Clone, Debug)]
-pub struct Bounce {
+pub struct Rejection {
     pub reason: Reason,
     pub text: String,
     pub query: Option<String>,
@@ -97,9 +97,9 @@
     pub ran: bool,
 }
 
-impl Bounce {
-    pub fn new(reason: Reason, text: impl Into<String>) -> Bounce {
-        Bounce { reason, text: text.into(), query: None, again_s: None, again: None, ran: false }
+impl Rejection {
+    pub fn new(reason: Reason, text: impl Into<String>) -> Rejection {
+        Rejection { reason, text: text.into(), query: None, again_s: None, again: None, ran: false }
     }
 }
 
@@ -107,7 +107,7 @@
 #[derive(Clone, Debug)]
 pub enum Outcome {
     Full(Full),
-    Bounce(Bounce),
+    Rejection(Rejection),
     /// Of a call that was handed over: one leaf's answer.
     Passed(Passed),
     /// Of a call that was handed over: the parts of several shards.
--- a/crates/core/src/query/retry.rs
+++ b/crates/core/src/query/retry.rs
@@ -3,27 +3,27 @@
 
 use crate::consts::{AGAIN_MAX_S, AGAIN_MIN_S, AGAIN_SOON, STRAIN_HALF};
 use crate::query::request::Reason;
-use crate::random::{Luck, below};
+use crate::random::{Random, below};
 use crate::time::{SECOND, Span, Tick, since};
 
 /// How much of the work that came lately was sent away.
 ///
 /// Invariant: both sums have been halved for each `STRAIN_HALF` before `at`.
 #[derive(Default)]
-pub struct Strain {
+pub struct LoadPressure {
     at: Tick,
     came: u64,
     away: u64,
 }
 
 /// Notes the end of a call; `away` if it was sent away for want of room.
-pub fn note(s: &mut Strain, now: Tick, away: bool) {
+pub fn note(s: &mut LoadPressure, now: Tick, away: bool) {
     settle(s, now);
     s.came += 1_000;
     s.away += if away { 1_000 } else { 0 };
 }
 
-fn settle(s: &mut Strain, now: Tick) {
+fn settle(s: &mut LoadPressure, now: Tick) {
     let halves = since(s.at, now) / STRAIN_HALF;
     if halves > 0 {
         s.came = s.came.checked_shr(halves as u32).unwrap_or(0);
@@ -34,7 +34,7 @@
 
 /// Time after which a caller who handed a call over may come back: soon, since
 /// most troubles of one node or leaf are over before its budget ends.
-pub fn soon(s: &mut Strain, now: Tick, rest: Span, luck: &mut Luck) -> Span {
+pub fn soon(s: &mut LoadPressure, now: Tick, rest: Span, luck: &mut Random) -> Span {
     settle(s, now);
     let base = (AGAIN_SOON * s.came).checked_div((s.came - s.away).max(1)).unwrap_or(0);
     let base = base.max(rest).clamp(AGAIN_SOON, AGAIN_MIN_S * SECOND);
@@ -47,7 +47,7 @@
 /// Under overload: if of all that comes a share `r` is sent away, then what we
 /// can bear is `1 - r` of it, and all of it would fit into `1 / (1 - r)` of the
 /// time. So that is what the callers are asked to take.
-pub fn again_s(s: &mut Strain, now: Tick, why: Reason, rest: Span, luck: &mut Luck) -> u64 {
+pub fn again_s(s: &mut LoadPressure, now: Tick, why: Reason, rest: Span, luck: &mut Random) -> u64 {
     settle(s, now);
     let base = match why {
         Reason::Crowded | Reason::NoRoom | Reason::OutOfTime => {
--- a/crates/core/src/query/service_retry_budget.rs
+++ b/crates/core/src/query/service_retry_budget.rs
@@ -29,26 +29,26 @@
 /// What is saved up for each service.
 ///
 /// Invariant: no service has saved more than `most`, in thousandths of a try.
-pub struct Quota {
+pub struct ServiceRetryBudget {
     rate: Rate,
     most: u64,
     saved: IndexMap<String, u64>,
 }
 
 /// A quota with nothing saved, for a node that knows of no other.
-pub fn quota(rate: Rate) -> Quota {
-    Quota { rate, most: 1_000, saved: IndexMap::new() }
+pub fn quota(rate: Rate) -> ServiceRetryBudget {
+    ServiceRetryBudget { rate, most: 1_000, saved: IndexMap::new() }
 }
 
 /// Another rule holds from now on.
-pub fn rated(q: &mut Quota, rate: Rate, threads: u64) {
+pub fn rated(q: &mut ServiceRetryBudget, rate: Rate, threads: u64) {
     q.rate = rate;
     among(q, threads);
 }
 
 /// The fleet has so many threads that share the slack.
-pub fn among(q: &mut Quota, threads: u64) {
-    // Without a place in the cohort nobody knows what others spend.
+pub fn among(q: &mut ServiceRetryBudget, threads: u64) {
+    // Without a place in the membership nobody knows what others spend.
     let threads = if threads == 0 { u64::MAX } else { threads };
     let part = q.rate.slack * 1_000 * consts::SECOND_KEEP_PCT / 100 / threads;
     // Less than a whole try could never be spent.
@@ -59,7 +59,7 @@
 }
 
 /// A call for a service has come and goes to a leaf.
-pub fn first(q: &mut Quota, service: &str) {
+pub fn first(q: &mut ServiceRetryBudget, service: &str) {
     let earned = q.rate.share * consts::SECOND_KEEP_PCT / 100;
     match q.saved.get_mut(service) {
         Some(saved) => *saved = (*saved + earned).min(q.most),
@@ -70,7 +70,7 @@
 }
 
 /// Takes leave for a second try.
-pub fn second(q: &mut Quota, service: &str) -> bool {
+pub fn second(q: &mut ServiceRetryBudget, service: &str) -> bool {
     match q.saved.get_mut(service) {
         Some(saved) if *saved >= 1_000 => {
             *saved -= 1_000;
@@ -81,6 +81,6 @@
 }
 
 /// Forgets services that are no longer known.
-pub fn keep(q: &mut Quota, known: impl Fn(&str) -> bool) {
+pub fn keep(q: &mut ServiceRetryBudget, known: impl Fn(&str) -> bool) {
     q.saved.retain(|s, _| known(s));
 }
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -11,21 +11,27 @@
 
 use crate::consts;
 use crate::control_plane::controller::Command;
-use crate::identifiers::Seat;
-use crate::protocol::message::{Life, Map, Msg};
-use crate::random::{Luck, draw};
-use crate::replication::partition::{After, Part, Stand};
+use crate::identifiers::VoterSlot;
+use crate::protocol::message::{Map, Message, ReplicaCondition};
+use crate::random::{Random, draw};
+use crate::replication::partition::{After, Partition, ReplicaStatus};
 use crate::replication::replica::keep_whole;
 use crate::storage::record::Copy;
 use crate::time::Tick;
-use crate::voters::voter_set::{Group, majority, others};
+use crate::voters::voter_set::{VoterGroup, majority, others};
 
 /// Rounds of asking after which a stuck replica raises an alarm.
 const LOUD_AFTER: u64 = 40;
 
 /// Time passes for a replica that is not formed.
-pub fn wake(p: &mut Part, now: Tick, g: Group, luck: &mut Luck, out: &mut Vec<Command>) {
-    if p.life == Life::Formed || now < p.relearn.ask_at || !p.writes.is_empty() {
+pub fn wake(
+    p: &mut Partition,
+    now: Tick,
+    g: VoterGroup,
+    luck: &mut Random,
+    out: &mut Vec<Command>,
+) {
+    if p.life == ReplicaCondition::Formed || now < p.relearn.ask_at || !p.writes.is_empty() {
         return;
     }
     let r = &mut p.relearn;
@@ -36,7 +42,7 @@
                 "part {}: this replica can't relearn, since another is {}; if {} disks are lost, \
                  see the handbook on restoring",
                 p.id,
-                if r.stands.iter().flatten().any(|s| s.life == Life::Damaged) {
+                if r.stands.iter().flatten().any(|s| s.life == ReplicaCondition::Damaged) {
                     "damaged"
                 } else {
                     "empty"
@@ -52,64 +58,74 @@
     r.stands = vec![None; g.size];
     r.fetch = None;
     for to in others(g) {
-        let msg = Msg::StatusRequest { part: p.id, nonce: r.nonce };
-        out.push(Command::ToSeat { seat: to, msg });
+        let message = Message::StatusRequest { partition: p.id, nonce: r.nonce };
+        out.push(Command::ToSeat { slot: to, message });
     }
     consider(p, now, g, out);
 }
 
 /// Whether all others have answered.
-fn answered(g: Group, stands: &[Option<Stand>]) -> bool {
+fn answered(g: VoterGroup, stands: &[Option<ReplicaStatus>]) -> bool {
     others(g).all(|s| stands.get(usize::from(s)).is_some_and(Option::is_some))
 }
 
 /// Whether this is the fleet's first boot: nobody who answered holds anything,
 /// and all that have their seats from the beginning did answer. They must be a
 /// majority still, or what was accepted since might be held by others alone.
-fn first_boot(g: Group, stands: &[Option<Stand>]) -> bool {
-    let bare = |s: &Stand| {
-        s.life == Life::Empty
-            || (s.life == Life::Formed && s.epoch == 0 && s.rev == 0 && s.promised == 0)
+fn first_boot(g: VoterGroup, stands: &[Option<ReplicaStatus>]) -> bool {
+    let bare = |s: &ReplicaStatus| {
+        s.life == ReplicaCondition::Empty
+            || (s.life == ReplicaCondition::Formed
+                && s.term == 0
+                && s.revision == 0
+                && s.promised == 0)
     };
-    let first = |s: &Seat| g.firsts >> *s & 1 == 1;
+    let first = |s: &VoterSlot| g.firsts >> *s & 1 == 1;
     g.first
-        && first(&g.seat)
+        && first(&g.slot)
         && g.firsts.count_ones() as usize >= majority(g.size)
         && stands.iter().flatten().all(bare)
         && others(g).filter(first).all(|s| stands[usize::from(s)].is_some())
 }
 
 /// Another replica asks how we stand.
-pub fn stand(p: &Part, from: Seat, nonce: u64, out: &mut Vec<Command>) {
+pub fn stand(p: &Partition, from: VoterSlot, nonce: u64, out: &mut Vec<Command>) {
     if p.sick.is_some() {
         return;
     }
-    let (promised, epoch, rev) = (p.copy.promised, p.copy.epoch, p.copy.rev);
-    let msg =
-        Msg::ReplicaStatus { part: p.id, nonce, life: p.life, promised, epoch, rev, stamp: 0 };
-    out.push(Command::ToSeat { seat: from, msg });
+    let (promised, term, revision) = (p.copy.promised, p.copy.term, p.copy.revision);
+    let message = Message::ReplicaStatus {
+        partition: p.id,
+        nonce,
+        life: p.life,
+        promised,
+        term,
+        revision,
+        stamp: 0,
+    };
+    out.push(Command::ToSeat { slot: from, message });
 }
 
 /// A seat that can give its copy gives it.
-pub fn give(p: &Part, from: Seat, nonce: u64, out: &mut Vec<Command>) {
+pub fn give(p: &Partition, from: VoterSlot, nonce: u64, out: &mut Vec<Command>) {
     if !crate::replication::partition::able(p) {
         return;
     }
-    let Copy { promised, epoch, rev, map } = p.copy.clone();
-    let msg = Msg::ReplicaFetched { part: p.id, nonce, promised, epoch, rev, map };
-    out.push(Command::ToSeat { seat: from, msg });
+    let Copy { promised, term, revision, map } = p.copy.clone();
+    let message = Message::ReplicaFetched { partition: p.id, nonce, promised, term, revision, map };
+    out.push(Command::ToSeat { slot: from, message });
 }
 
 /// An answer to our asking.
 pub fn stood(
-    p: &mut Part,
+    p: &mut Partition,
     now: Tick,
-    (g, from): (Group, Seat),
+    (g, from): (VoterGroup, VoterSlot),
     nonce: u64,
-    s: Stand,
+    s: ReplicaStatus,
     out: &mut Vec<Command>,
 ) {
-    if p.life == Life::Formed || nonce != p.relearn.nonce || !p.writes.is_empty() {
+    if p.life == ReplicaCondition::Formed || nonce != p.relearn.nonce || !p.writes.is_empty() {
         return;
     }
     let Some(cell) = p.relearn.stands.get_mut(usize::from(from)) else { return };
@@ -118,62 +134,64 @@
 }
 
 /// Goes on once enough have answered.
-fn consider(p: &mut Part, now: Tick, g: Group, out: &mut Vec<Command>) {
+fn consider(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
     let stands = &p.relearn.stands;
     if p.relearn.fetch.is_some() || stands.len() != g.size {
         return;
     }
-    let formed: Vec<(usize, Stand)> = stands
+    let formed: Vec<(usize, ReplicaStatus)> = stands
         .iter()
         .enumerate()
-        .filter_map(|(i, s)| s.filter(|s| s.life == Life::Formed).map(|s| (i, s)))
+        .filter_map(|(i, s)| s.filter(|s| s.life == ReplicaCondition::Formed).map(|s| (i, s)))
         .collect();
     let vouched = p.relearn.vouched && answered(g, stands);
-    if (p.life == Life::Empty && first_boot(g, stands)) || (vouched && formed.is_empty()) {
+    if (p.life == ReplicaCondition::Empty && first_boot(g, stands))
+        || (vouched && formed.is_empty())
+    {
         p.copy = Copy::default();
         return keep_whole(p, now, vec![After::Formed], out);
     }
     if formed.len() >= majority(g.size) || vouched {
-        let best = formed.iter().max_by_key(|(_, s)| (s.epoch, s.rev));
-        if let Some((seat, _)) = best {
+        let best = formed.iter().max_by_key(|(_, s)| (s.term, s.revision));
+        if let Some((slot, _)) = best {
             let nonce = p.relearn.nonce;
-            p.relearn.fetch = Some(*seat as Seat);
+            p.relearn.fetch = Some(*slot as VoterSlot);
             p.relearn.ask_at = now + consts::CLAIM_PATIENCE;
-            let msg = Msg::FetchReplica { part: p.id, nonce };
-            out.push(Command::ToSeat { seat: *seat as Seat, msg });
+            let message = Message::FetchReplica { partition: p.id, nonce };
+            out.push(Command::ToSeat { slot: *slot as VoterSlot, message });
         }
     }
 }
 
 /// The newest copy has come.
 pub fn fetched(
-    p: &mut Part,
+    p: &mut Partition,
     now: Tick,
-    from: Seat,
+    from: VoterSlot,
     nonce: u64,
     (promised, at): (u64, (u64, u64)),
     map: Map,
     out: &mut Vec<Command>,
 ) {
     let r = &p.relearn;
-    if p.life == Life::Formed || nonce != r.nonce || r.fetch != Some(from) {
+    if p.life == ReplicaCondition::Formed || nonce != r.nonce || r.fetch != Some(from) {
         return;
     }
     let most = r.stands.iter().flatten().map(|s| s.promised).max().unwrap_or(0);
-    let least = r.stands.iter().flatten().map(|s| (s.epoch, s.rev)).max().unwrap_or_default();
+    let least = r.stands.iter().flatten().map(|s| (s.term, s.revision)).max().unwrap_or_default();
     if at < least || !p.writes.is_empty() {
         return;
     }
     crate::control_plane::feed::reseed(p, at.1, &map);
-    p.copy = Copy { promised: promised.max(most), epoch: at.0, rev: at.1, map };
+    p.copy = Copy { promised: promised.max(most), term: at.0, revision: at.1, map };
     keep_whole(p, now, vec![After::Formed], out);
 }
 
 /// The first copy is on disk: from here on this replica votes.
-pub fn formed(p: &mut Part, now: Tick, out: &mut Vec<Command>) {
-    if p.life != Life::Formed {
-        p.life = Life::Formed;
+pub fn formed(p: &mut Partition, now: Tick, out: &mut Vec<Command>) {
+    if p.life != ReplicaCondition::Formed {
+        p.life = ReplicaCondition::Formed;
         crate::replication::replica::follow(p, now, None);
-        out.push(Command::Alarm(format!("part {}: formed at revision {}", p.id, p.copy.rev)));
+        out.push(Command::Alarm(format!("part {}: formed at revision {}", p.id, p.copy.revision)));
     }
 }
--- a/crates/core/src/replication/heartbeat_rounds.rs
+++ b/crates/core/src/replication/heartbeat_rounds.rs
@@ -8,12 +8,12 @@
 
 use crate::consts;
 use crate::control_plane::controller::Command;
-use crate::identifiers::Seat;
-use crate::protocol::message::Msg;
+use crate::identifiers::VoterSlot;
+use crate::protocol::message::Message;
 use crate::replication::leader::sum;
-use crate::replication::partition::{Leader, Part, leader};
+use crate::replication::partition::{Leader, Partition, leader};
 use crate::time::{Span, Tick, ms, since};
-use crate::voters::voter_set::{Group, majority, others};
+use crate::voters::voter_set::{VoterGroup, majority, others};
 
 /// Least time between the begin of two rounds for waiting operations: so many
 /// orders a second cost at most three rounds each 15 ms, and none waits for
@@ -24,27 +24,27 @@
 const ROUNDS_KEPT: usize = 256;
 
 /// Begins a round now: a heartbeat to every other voter.
-pub fn begin(p: &mut Part, now: Tick, g: Group, out: &mut Vec<Command>) {
-    let (part, epoch, rev) = (p.id, p.copy.epoch, p.copy.rev);
+pub fn begin(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
+    let (partition, term, revision) = (p.id, p.copy.term, p.copy.revision);
     let Some(o) = leader(p) else { return };
     o.round += 1;
     o.round_began = now;
     o.round_asked = false;
     o.beat_at = now + consts::OWNER_BEAT;
-    o.rounds.push_back((o.round, now, rev));
+    o.rounds.push_back((o.round, now, revision));
     if o.rounds.len() > ROUNDS_KEPT {
         o.rounds.pop_front();
     }
     // Sums are comparable only when nothing is under way.
-    let sweeps = now >= o.sweep_at && o.serves && o.done == rev;
+    let sweeps = now >= o.sweep_at && o.serves && o.done == revision;
     if sweeps {
         o.sweep_at = now + consts::SWEEP;
     }
     let (round, done) = (o.round, o.done);
     let sum = if sweeps { sum(&p.copy.map) } else { 0 };
     for to in others(g) {
-        let msg = Msg::Heartbeat { part, epoch, round, done, sum };
-        out.push(Command::ToSeat { seat: to, msg });
+        let message = Message::Heartbeat { partition, term, round, done, sum };
+        out.push(Command::ToSeat { slot: to, message });
     }
 }
 
@@ -56,8 +56,8 @@
 }
 
 /// The last round that a majority, ourselves counted, has answered.
-pub fn proved(o: &Leader, g: Group) -> u64 {
-    let answered = |seat: Seat| o.answered[usize::from(seat)].0;
+pub fn proved(o: &Leader, g: VoterGroup) -> u64 {
+    let answered = |slot: VoterSlot| o.answered[usize::from(slot)].0;
     let mut rounds: Vec<u64> = others(g).map(answered).collect();
     rounds.sort_unstable_by(|a, b| b.cmp(a));
     match majority(g.size) {
@@ -73,13 +73,13 @@
 }
 
 /// Whether an operation waits for a round that is not proved yet.
-pub fn unproved(o: &Leader, g: Group) -> bool {
+pub fn unproved(o: &Leader, g: VoterGroup) -> bool {
     needed(o) > proved(o, g)
 }
 
 /// Begins the round that operations wait for, unless one began just now: then
 /// those that come meanwhile share the next.
-pub fn request(p: &mut Part, now: Tick, g: Group, out: &mut Vec<Command>) {
+pub fn request(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
     let Some(o) = leader(p) else { return };
     if needed(o) <= o.round {
         return;
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -1,27 +1,29 @@
-//! A seat as the leader of a part: it alone changes it, under its epoch.
+//! A seat as the leader of a part: it alone changes it, under its term.
 
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::config::change::Entry;
 use crate::consts;
 use crate::control_plane::controller::Command;
-use crate::identifiers::Seat;
-use crate::protocol::message::{Done, Map, Msg};
-use crate::replication::partition::{After, Leader, OpFrom, Part, Role, Waiting, leader};
+use crate::identifiers::VoterSlot;
+use crate::protocol::message::{Map, Message, OperationResult};
+use crate::replication::partition::{
+    After, Leader, OperationOrigin, Partition, Role, Waiting, leader,
+};
 use crate::replication::replica::{keep, resign};
 use crate::replication::{heartbeat_rounds, pending_operations};
-use crate::storage::record::{Rec, apply};
+use crate::storage::record::{LogRecord, apply};
 use crate::time::{Span, Tick, ms, since};
-use crate::voters::voter_set::{Group, majority, others};
+use crate::voters::voter_set::{VoterGroup, majority, others};
 
 /// Time after which a round that operations wait for is begun anew: a message
 /// of it was lost, and the next heartbeat is four times as far.
 const PROOF_RETRY: Span = ms(50);
 
 /// A leader that has adopted the newest copy and not yet re-written it.
-pub fn fresh(g: Group, epoch: u64, now: Tick) -> Leader {
+pub fn fresh(g: VoterGroup, term: u64, now: Tick) -> Leader {
     Leader {
-        epoch,
+        term,
         since: now,
         serves: false,
         kept: vec![None; g.size],
@@ -49,7 +51,7 @@
 }
 
 /// Whether a majority, with ourselves, answered our heartbeats lately.
-pub fn answering(o: &Leader, g: Group, now: Tick) -> bool {
+pub fn answering(o: &Leader, g: VoterGroup, now: Tick) -> bool {
     let live = others(g)
         .filter(|s| since(o.answered[usize::from(*s)].1, now) < consts::OWNER_GRIP)
         .count();
@@ -70,9 +72,9 @@
 /// The table of the seats changed: what was counted under the old one counts
 /// no more. Who is still there says with the next heartbeat how far it is; only who
 /// is new needs the whole.
-pub fn moved(o: &mut Leader, now: Tick, g: Group, moved: &[bool]) {
+pub fn moved(o: &mut Leader, now: Tick, g: VoterGroup, moved: &[bool]) {
     for (s, moved) in moved.iter().enumerate() {
-        if s == usize::from(g.seat) {
+        if s == usize::from(g.slot) {
             continue;
         }
         o.kept[s] = None;
@@ -86,7 +88,7 @@
 }
 
 /// Time passes for the leader: heartbeats, re-sending, patience with operators.
-pub fn wake(p: &mut Part, now: Tick, g: Group, out: &mut Vec<Command>) {
+pub fn wake(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
     let id = p.id;
     let Some(o) = leader(p) else { return };
     if !answering(o, g, now) {
@@ -95,7 +97,7 @@
     }
     let retry = heartbeat_rounds::unproved(o, g) && since(o.round_began, now) >= PROOF_RETRY;
     let due = now >= o.beat_at || retry;
-    let lag: Vec<Seat> = others(g)
+    let lag: Vec<VoterSlot> = others(g)
         .filter(|s| {
             let s = usize::from(*s);
             // Asked for a whole copy too long ago, or never sent one at all.
@@ -115,19 +117,28 @@
 }
 
 /// Sends the whole copy to a seat.
-pub fn send_whole(p: &mut Part, now: Tick, to: Seat, out: &mut Vec<Command>) {
-    let (epoch, rev, map) = (p.copy.epoch, p.copy.rev, p.copy.map.clone());
+pub fn send_whole(p: &mut Partition, now: Tick, to: VoterSlot, out: &mut Vec<Command>) {
+    let (term, revision, map) = (p.copy.term, p.copy.revision, p.copy.map.clone());
     let id = p.id;
     let Some(o) = leader(p) else { return };
     o.whole_at[usize::from(to)] = Some(now);
-    out.push(Command::ToSeat { seat: to, msg: Msg::Snapshot { part: id, epoch, rev, map } });
+    out.push(Command::ToSeat {
+        slot: to,
+        message: Message::Snapshot { partition: id, term, revision, map },
+    });
 }
 
 /// A seat can't follow our changes.
-pub fn snapshot_requested(p: &mut Part, now: Tick, from: Seat, epoch: u64, out: &mut Vec<Command>) {
+pub fn snapshot_requested(
+    p: &mut Partition,
+    now: Tick,
+    from: VoterSlot,
+    term: u64,
+    out: &mut Vec<Command>,
+) {
     let Some(o) = leader(p) else { return };
     let sent = o.whole_at[usize::from(from)];
-    if o.epoch == epoch && sent.is_none_or(|t| since(t, now) > consts::CLAIM_PATIENCE) {
+    if o.term == term && sent.is_none_or(|t| since(t, now) > consts::CLAIM_PATIENCE) {
         o.kept[usize::from(from)] = None;
         send_whole(p, now, from, out);
     }
@@ -135,16 +146,16 @@
 
 /// A seat answered a heartbeat.
 pub fn heartbeat_acked(
-    p: &mut Part,
+    p: &mut Partition,
     now: Tick,
-    (g, from): (Group, Seat),
-    (epoch, round): (u64, u64),
-    (rev, safe): (u64, u64),
+    (g, from): (VoterGroup, VoterSlot),
+    (term, round): (u64, u64),
+    (revision, safe): (u64, u64),
     out: &mut Vec<Command>,
 ) {
     let id = p.id;
     let Role::Leader(o) = &mut p.role else { return };
-    if o.epoch != epoch || round > o.round || round <= o.base {
+    if o.term != term || round > o.round || round <= o.base {
         return;
     }
     let (at, head) = heartbeat_rounds::begun(o, round).unwrap_or((o.since, 0));
@@ -153,40 +164,40 @@
         *last = (round, at.max(last.1));
     }
     // What we sent before this heartbeat has not come: it was lost on the way.
-    if rev < head && o.kept[usize::from(from)].is_some() {
-        let next = p.changes.iter().filter(|(r, _)| *r > rev);
-        if next.clone().next().is_some_and(|(r, _)| *r == rev + 1) {
-            for (rev, entries) in next {
-                let (rev, entries) = (*rev, entries.clone());
-                let msg = Msg::Append { part: id, epoch, rev, entries };
-                out.push(Command::ToSeat { seat: from, msg });
+    if revision < head && o.kept[usize::from(from)].is_some() {
+        let next = p.changes.iter().filter(|(r, _)| *r > revision);
+        if next.clone().next().is_some_and(|(r, _)| *r == revision + 1) {
+            for (revision, entries) in next {
+                let (revision, entries) = (*revision, entries.clone());
+                let message = Message::Append { partition: id, term, revision, entries };
+                out.push(Command::ToSeat { slot: from, message });
             }
         } else {
-            snapshot_requested(p, now, from, epoch, out);
+            snapshot_requested(p, now, from, term, out);
         }
     }
     if safe > 0 {
-        return append_acked(p, now, (g, from), epoch, safe, out);
+        return append_acked(p, now, (g, from), term, safe, out);
     }
     settle(p, now, g, out);
 }
 
-/// A seat (or we ourselves) synced a revision of our epoch.
+/// A seat (or we ourselves) synced a revision of our term.
 pub fn append_acked(
-    p: &mut Part,
+    p: &mut Partition,
     now: Tick,
-    (g, who): (Group, Seat),
-    epoch: u64,
-    rev: u64,
+    (g, who): (VoterGroup, VoterSlot),
+    term: u64,
+    revision: u64,
     out: &mut Vec<Command>,
 ) {
-    let head = p.copy.rev;
+    let head = p.copy.revision;
     let Some(o) = leader(p) else { return };
-    if o.epoch != epoch || rev > head {
+    if o.term != term || revision > head {
         return;
     }
     let cell = &mut o.kept[usize::from(who)];
-    *cell = Some(cell.map_or(rev, |c| c.max(rev)));
+    *cell = Some(cell.map_or(revision, |c| c.max(revision)));
     let mut all: Vec<u64> = o.kept.iter().flatten().copied().collect();
     all.sort_unstable_by(|a, b| b.cmp(a));
     if let Some(done) = all.get(majority(g.size) - 1).copied() {
@@ -201,35 +212,47 @@
 }
 
 /// Changes the part. The caller has checked that we serve.
-pub fn change(p: &mut Part, now: Tick, g: Group, entries: Vec<Entry>, out: &mut Vec<Command>) {
-    let (epoch, rev) = (p.copy.epoch, p.copy.rev + 1);
-    let rec = Rec::Change { epoch, rev, entries: entries.clone() };
+pub fn change(
+    p: &mut Partition,
+    now: Tick,
+    g: VoterGroup,
+    entries: Vec<Entry>,
+    out: &mut Vec<Command>,
+) {
+    let (term, revision) = (p.copy.term, p.copy.revision + 1);
+    let rec = LogRecord::Change { term, revision, entries: entries.clone() };
     if !apply(&mut p.copy, &rec) {
         return;
     }
-    p.changes.push_back((rev, entries.clone()));
+    p.changes.push_back((revision, entries.clone()));
     for to in others(g) {
-        let msg = Msg::Append { part: p.id, epoch, rev, entries: entries.clone() };
-        out.push(Command::ToSeat { seat: to, msg });
+        let message = Message::Append { partition: p.id, term, revision, entries: entries.clone() };
+        out.push(Command::ToSeat { slot: to, message });
     }
-    keep(p, now, rec, vec![After::OwnKept { epoch, rev }], out);
+    keep(p, now, rec, vec![After::OwnKept { term, revision }], out);
 }
 
 /// An operator waits for a new change of ours.
-pub fn wait(p: &mut Part, now: Tick, op: OpFrom, rev: u64, until_obeyed: bool) {
+pub fn wait(p: &mut Partition, now: Tick, op: OperationOrigin, revision: u64, until_obeyed: bool) {
     if let Some(o) = leader(p) {
         let until = now + consts::OWNER_PATIENCE;
         let (again, round) = (false, 0);
-        o.waits.push(Waiting { rev, op, again, round, until_obeyed, done_at: None, until });
+        o.waits.push(Waiting { revision, op, again, round, until_obeyed, done_at: None, until });
     }
 }
 
 /// An operator waits to hear that a change which was made before stands.
-pub fn wait_again(p: &mut Part, now: Tick, op: OpFrom, rev: u64, until_obeyed: bool) {
+pub fn wait_again(
+    p: &mut Partition,
+    now: Tick,
+    op: OperationOrigin,
+    revision: u64,
+    until_obeyed: bool,
+) {
     if let Some(o) = leader(p) {
         let until = now + consts::OWNER_PATIENCE;
         let (again, round) = (true, o.round + 1);
-        o.waits.push(Waiting { rev, op, again, round, until_obeyed, done_at: None, until });
+        o.waits.push(Waiting { revision, op, again, round, until_obeyed, done_at: None, until });
     }
 }
 
@@ -239,22 +262,26 @@
 }
 
 /// Tells those operators whose outcome is known.
-pub fn settle(p: &mut Part, now: Tick, g: Group, out: &mut Vec<Command>) {
+pub fn settle(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
     let Role::Leader(o) = &mut p.role else { return };
     let proved = heartbeat_rounds::proved(o, g);
     let waits = std::mem::take(&mut o.waits);
     let mut left = Vec::with_capacity(waits.len());
     for mut w in waits {
-        if w.rev <= accepted_up_to(o, &w) && proved >= w.round {
+        if w.revision <= accepted_up_to(o, &w) && proved >= w.round {
             let at = *w.done_at.get_or_insert(now);
-            let copies = o.kept.iter().flatten().filter(|k| **k >= w.rev).count() as u32;
+            let copies = o.kept.iter().flatten().filter(|k| **k >= w.revision).count() as u32;
             if copies < g.taken.count_ones() && since(at, now) < consts::THIRD_WAIT {
                 left.push(w);
                 continue;
             }
-            tell(w.op, Done::Accepted { revision: w.rev, copies, again: w.again }, out);
+            tell(
+                w.op,
+                OperationResult::Accepted { revision: w.revision, copies, again: w.again },
+                out,
+            );
         } else if now >= w.until {
-            tell(w.op, Done::Unknown { why: overdue(o, &w) }, out);
+            tell(w.op, OperationResult::Unknown { why: overdue(o, &w) }, out);
         } else {
             left.push(w);
         }
@@ -265,9 +292,9 @@
 
 /// Why a change has no outcome when the patience with it ends.
 fn overdue(o: &Leader, w: &Waiting) -> String {
-    if w.rev > o.done {
+    if w.revision > o.done {
         "no majority synced the change in time".to_string()
-    } else if w.rev > accepted_up_to(o, w) {
+    } else if w.revision > accepted_up_to(o, w) {
         format!("synced, but not obeyed yet by {}", o.behind.join(", "))
     } else {
         "the change stands, but no majority proved in time who leads now".to_string()
@@ -275,25 +302,27 @@
 }
 
 /// Sends an outcome to where the request came from.
-pub fn tell(op: OpFrom, done: Done, out: &mut Vec<Command>) {
-    out.push(match op.seat {
+pub fn tell(op: OperationOrigin, done: OperationResult, out: &mut Vec<Command>) {
+    out.push(match op.slot {
         None => Command::OwnAnswer { op: op.op, attempt: op.attempt, done },
-        Some(seat) => {
-            let msg = Msg::Operated { op: op.op, attempt: op.attempt, done };
-            Command::ToSeat { seat, msg }
+        Some(slot) => {
+            let message = Message::Operated { op: op.op, attempt: op.attempt, done };
+            Command::ToSeat { slot, message }
         }
     });
 }
 
 /// A leader that has been dismissed: what it had not proved is unknown, and
 /// what it had only judged has not been done.
-pub fn dismiss(_p: &Part, old: Leader, out: &mut Vec<Command>) {
+pub fn dismiss(_p: &Partition, old: Leader, out: &mut Vec<Command>) {
     for w in &old.waits {
-        let done = if w.rev <= accepted_up_to(&old, w) && !w.again {
+        let done = if w.revision <= accepted_up_to(&old, w) && !w.again {
             let copies = majority(old.kept.len()) as u32;
-            Done::Accepted { revision: w.rev, copies, again: w.again }
+            OperationResult::Accepted { revision: w.revision, copies, again: w.again }
         } else {
-            Done::Unknown { why: "the leader changed while the change was on its way".into() }
+            OperationResult::Unknown {
+                why: "the leader changed while the change was on its way".into(),
+            }
         };
         tell(w.op, done, out);
     }
--- a/crates/core/src/replication/partition.rs
+++ b/crates/core/src/replication/partition.rs
@@ -3,8 +3,8 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::config::change::Entry;
-use crate::identifiers::{PartId, Seat};
-use crate::protocol::message::{Life, Map, Msg};
+use crate::identifiers::{PartitionId, VoterSlot};
+use crate::protocol::message::{Map, Message, ReplicaCondition};
 use crate::storage::record::Copy;
 use crate::time::Tick;
 
@@ -15,10 +15,10 @@
 /// Invariants: `copy` is what the disk holds once every write in `writes` is
 /// done, and no message that rests on a write leaves before that write is
 /// synced; while `life` is not `Formed` the seat neither votes nor accepts;
-/// `shown` is the committed state at `shown_rev` and never goes back.
-pub struct Part {
-    pub id: PartId,
-    pub life: Life,
+/// `committed` is the committed state at `committed_revision` and never goes back.
+pub struct Partition {
+    pub id: PartitionId,
+    pub life: ReplicaCondition,
     pub copy: Copy,
     pub role: Role,
     pub writes: VecDeque<Write>,
@@ -31,18 +31,18 @@
     pub sick: Option<String>,
     /// When a stepped-back seat tries its disk again.
     pub mend_at: Tick,
-    pub shown: Map,
-    pub shown_rev: u64,
+    pub committed: Map,
+    pub committed_revision: u64,
     /// A whole copy that is not known to be committed yet: (revision, map).
     pub seed: Option<(u64, Map)>,
-    /// Changes without a gap up to `copy.rev`, from `seed` on if there is one;
-    /// those up to `shown_rev` are committed and kept for followers.
+    /// Changes without a gap up to `copy.revision`, from `seed` on if there is one;
+    /// those up to `committed_revision` are committed and kept for followers.
     pub changes: VecDeque<(u64, Vec<Entry>)>,
     /// The leader's sum differs from ours: take its next whole copy.
     pub doubt: bool,
     /// Nobody has owned or claimed this part since we started.
     pub fresh: bool,
-    pub relearn: Relearn,
+    pub relearn: CatchUp,
 }
 
 /// A write that is on its way to the disk, and what rests on it.
@@ -54,15 +54,15 @@
 
 /// What is done once a write is synced.
 pub enum After {
-    Send(Seat, Msg),
-    /// Our own copy holds this revision of our epoch.
+    Send(VoterSlot, Message),
+    /// Our own copy holds this revision of our term.
     OwnKept {
-        epoch: u64,
-        rev: u64,
+        term: u64,
+        revision: u64,
     },
     /// Our own promise for an election stands.
     OwnPromise {
-        epoch: u64,
+        term: u64,
     },
     Formed,
 }
@@ -71,11 +71,11 @@
 pub enum Role {
     Follower {
         heard: Tick,
-        leader: Option<(Seat, u64)>,
+        leader: Option<(VoterSlot, u64)>,
     },
     /// Asks whether it would be voted for; changes nothing anywhere.
     PreVoting {
-        epoch: u64,
+        term: u64,
         yes: Vec<bool>,
         until: Tick,
     },
@@ -85,24 +85,24 @@
 
 /// An election on the way: votes are gathered, then the newest copy fetched.
 pub struct Candidacy {
-    pub epoch: u64,
-    /// (epoch, revision) of the copy of each seat that granted.
+    pub term: u64,
+    /// (term, revision) of the copy of each seat that granted.
     pub grants: Vec<Option<(u64, u64)>>,
     /// The seat whose newer copy is being fetched.
-    pub fetch: Option<Seat>,
+    pub fetch: Option<VoterSlot>,
     pub until: Tick,
 }
 
 /// The leader of a part.
 ///
-/// Invariants: its copy was written under its own `epoch` before anything
+/// Invariants: its copy was written under its own `term` before anything
 /// else; `serves` only once a majority holds that; `done` is synced by a
 /// majority and never falls.
 pub struct Leader {
-    pub epoch: u64,
+    pub term: u64,
     pub since: Tick,
     pub serves: bool,
-    /// Highest revision of this epoch that each seat has synced.
+    /// Highest revision of this term that each seat has synced.
     pub kept: Vec<Option<u64>>,
     pub done: u64,
     /// Whether a whole copy is on its way to a seat, and since when.
@@ -132,7 +132,7 @@
     /// Operations whose answers wait until a majority has proved that we lead.
     pub pending: Vec<PendingOperation>,
     /// Status requests that are proved and wait for the membership's word.
-    pub proved_status: Vec<OpFrom>,
+    pub proved_status: Vec<OperationOrigin>,
     /// Leafs that the list no longer names, since when.
     pub absent: BTreeMap<String, Tick>,
     /// When we first saw each leaf, and how old it surely was then (ms): an
@@ -146,8 +146,8 @@
 
 /// A change whose operator waits.
 pub struct Waiting {
-    pub rev: u64,
-    pub op: OpFrom,
+    pub revision: u64,
+    pub op: OperationOrigin,
     pub again: bool,
     /// The heartbeat round that must be proved: of a change that was found to
     /// be made already, nobody was asked since its operator asked again. Zero
@@ -161,9 +161,9 @@
 
 /// Where an operator's request came from.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub struct OpFrom {
+pub struct OperationOrigin {
     /// `None`: from this very process.
-    pub seat: Option<Seat>,
+    pub slot: Option<VoterSlot>,
     pub op: u64,
     /// Which of the origin's attempts this is; given back with the answer.
     pub attempt: u64,
@@ -171,29 +171,35 @@
 
 /// How a replica that has nothing finds its place again.
 #[derive(Default)]
-pub struct Relearn {
+pub struct CatchUp {
     pub nonce: u64,
     pub rounds: u64,
     /// An operator vouches that what the others lost is lost for good.
     pub vouched: bool,
     pub ask_at: Tick,
-    pub stands: Vec<Option<Stand>>,
-    pub fetch: Option<Seat>,
+    pub stands: Vec<Option<ReplicaStatus>>,
+    pub fetch: Option<VoterSlot>,
 }
 
 /// How another seat says it stands.
 #[derive(Clone, Copy, Debug)]
-pub struct Stand {
-    pub life: Life,
+pub struct ReplicaStatus {
+    pub life: ReplicaCondition,
     pub promised: u64,
-    pub epoch: u64,
-    pub rev: u64,
+    pub term: u64,
+    pub revision: u64,
 }
 
 /// A part as found on disk at a start.
-pub fn part(id: PartId, life: Life, copy: Copy, log_len: u64, now: Tick) -> Part {
-    let seed = (copy.rev > 0).then(|| (copy.rev, copy.map.clone()));
-    Part {
+pub fn partition(
+    id: PartitionId,
+    life: ReplicaCondition,
+    copy: Copy,
+    log_len: u64,
+    now: Tick,
+) -> Partition {
+    let seed = (copy.revision > 0).then(|| (copy.revision, copy.map.clone()));
+    Partition {
         id,
         life,
         copy,
@@ -204,23 +210,23 @@
         log_len,
         sick: None,
         mend_at: 0,
-        shown: Map::new(),
-        shown_rev: 0,
+        committed: Map::new(),
+        committed_revision: 0,
         seed,
         changes: VecDeque::new(),
         doubt: false,
         fresh: true,
-        relearn: Relearn::default(),
+        relearn: CatchUp::default(),
     }
 }
 
 /// Whether this seat may vote and accept.
-pub fn able(p: &Part) -> bool {
-    p.life == Life::Formed && p.sick.is_none()
+pub fn able(p: &Partition) -> bool {
+    p.life == ReplicaCondition::Formed && p.sick.is_none()
 }
 
 /// The leader's state if this seat owns the part.
-pub fn leader(p: &mut Part) -> Option<&mut Leader> {
+pub fn leader(p: &mut Partition) -> Option<&mut Leader> {
     match &mut p.role {
         Role::Leader(o) => Some(o),
         _ => None,
--- a/crates/core/src/replication/pending_operations.rs
+++ b/crates/core/src/replication/pending_operations.rs
@@ -14,12 +14,12 @@
 
 use crate::consts;
 use crate::control_plane::controller::Command;
-use crate::protocol::message::Done;
+use crate::protocol::message::OperationResult;
 use crate::replication::heartbeat_rounds;
 use crate::replication::leader::{settle as settle_all, tell};
-use crate::replication::partition::{Leader, OpFrom, Part, leader};
+use crate::replication::partition::{Leader, OperationOrigin, Partition, leader};
 use crate::time::Tick;
-use crate::voters::voter_set::Group;
+use crate::voters::voter_set::VoterGroup;
 
 /// Most operations that wait at a leader (count): what the doors of more
 /// controllers than there can be voters hand over at once.
@@ -27,7 +27,7 @@
 
 /// An operation whose answer waits for a proof.
 pub struct PendingOperation {
-    pub origin: OpFrom,
+    pub origin: OperationOrigin,
     /// The first heartbeat round that began after the operation came.
     pub round: u64,
     /// The revision of the state that the answer rests on.
@@ -39,7 +39,7 @@
 /// What is told once the proof is there.
 pub enum PendingAnswer {
     /// Why the order is not carried out, as it was judged.
-    Refusal(Done),
+    Refusal(OperationResult),
     /// The committed configuration, as it is then.
     Read,
     /// The members, as the leader knows them then.
@@ -53,14 +53,14 @@
 
 /// Puts an operation in line that was judged by our newest state.
 pub fn add(
-    p: &mut Part,
+    p: &mut Partition,
     now: Tick,
-    g: Group,
-    origin: OpFrom,
+    g: VoterGroup,
+    origin: OperationOrigin,
     answer: PendingAnswer,
     out: &mut Vec<Command>,
 ) {
-    let newest = p.copy.rev;
+    let newest = p.copy.revision;
     let Some(o) = leader(p) else { return };
     let revision = match answer {
         PendingAnswer::Refusal(_) => newest,
@@ -73,29 +73,29 @@
 }
 
 /// Answers the operations that are proved, and gives up those that took too long.
-pub fn settle(p: &mut Part, now: Tick, g: Group, out: &mut Vec<Command>) {
-    let (shown_rev, shown) = (p.shown_rev, &p.shown);
+pub fn settle(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
+    let (committed_revision, committed) = (p.committed_revision, &p.committed);
     let crate::replication::partition::Role::Leader(o) = &mut p.role else { return };
     if o.pending.is_empty() {
         return;
     }
     let proved = if o.serves { heartbeat_rounds::proved(o, g) } else { 0 };
-    let committed = o.done.min(shown_rev);
+    let committed_up_to = o.done.min(committed_revision);
     let mut left = Vec::with_capacity(o.pending.len());
     for operation in std::mem::take(&mut o.pending) {
-        if proved >= operation.round && committed >= operation.revision {
+        if proved >= operation.round && committed_up_to >= operation.revision {
             match operation.answer {
                 PendingAnswer::Refusal(done) => tell(operation.origin, done, out),
                 PendingAnswer::Read => {
-                    let map = crate::control_plane::order_memory::without_memory(shown);
-                    let done = Done::Config { revision: shown_rev, map };
+                    let map = crate::control_plane::order_memory::without_memory(committed);
+                    let done = OperationResult::Config { revision: committed_revision, map };
                     tell(operation.origin, done, out);
                 }
                 PendingAnswer::Status => o.proved_status.push(operation.origin),
             }
         } else if now >= operation.until {
             let why = "the leader could not prove in time that it still is".to_string();
-            tell(operation.origin, Done::Bounced { why }, out);
+            tell(operation.origin, OperationResult::Bounced { why }, out);
         } else {
             left.push(operation);
         }
@@ -107,6 +107,6 @@
 pub fn dismiss(old: Leader, out: &mut Vec<Command>) {
     let pending = old.pending.into_iter().map(|operation| operation.origin);
     for origin in pending.chain(old.proved_status) {
-        tell(origin, Done::Bounced { why: "the leader changed".to_string() }, out);
+        tell(origin, OperationResult::Bounced { why: "the leader changed".to_string() }, out);
     }
 }
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -2,22 +2,28 @@
 
 use crate::consts;
 use crate::control_plane::controller::Command;
-use crate::identifiers::Seat;
-use crate::protocol::message::{Map, Msg};
-use crate::replication::partition::{After, Part, Role, Write, able, leader};
-use crate::storage::record::{Copy, Rec, apply};
+use crate::identifiers::VoterSlot;
+use crate::protocol::message::{Map, Message};
+use crate::replication::partition::{After, Partition, Role, Write, able, leader};
+use crate::storage::record::{Copy, LogRecord, apply};
 use crate::time::{Tick, since};
-use crate::voters::voter_set::Group;
+use crate::voters::voter_set::VoterGroup;
 
 /// Sends a record to the disk and hangs `after` on it.
-pub fn keep(p: &mut Part, now: Tick, rec: Rec, after: Vec<After>, out: &mut Vec<Command>) {
+pub fn keep(
+    p: &mut Partition,
+    now: Tick,
+    rec: LogRecord,
+    after: Vec<After>,
+    out: &mut Vec<Command>,
+) {
     let token = p.next_token;
     p.next_token += 1;
     p.writes.push_back(Write { token, at: now, after });
     // A rough size is enough: it only decides when to write a slot.
     p.log_len += match &rec {
-        Rec::Promise { .. } => 32,
-        Rec::Change { entries, .. } => entries
+        LogRecord::Promise { .. } => 32,
+        LogRecord::Change { entries, .. } => entries
             .iter()
             .map(|(k, v)| 48 + k.len() as u64 + v.as_ref().map_or(0, |v| v.len() as u64))
             .sum(),
@@ -25,19 +31,19 @@
     // The map is measured only once the log is long.
     if p.log_len > consts::LOG_LIMIT && p.log_len > map_len(&p.copy.map) / 2 {
         p.log_len = 0;
-        out.push(Command::Slot { part: p.id, token, copy: p.copy.clone() });
+        out.push(Command::Slot { partition: p.id, token, copy: p.copy.clone() });
     } else {
-        out.push(Command::Append { part: p.id, token, rec });
+        out.push(Command::Append { partition: p.id, token, rec });
     }
 }
 
 /// Sends the whole copy to the disk.
-pub fn keep_whole(p: &mut Part, now: Tick, after: Vec<After>, out: &mut Vec<Command>) {
+pub fn keep_whole(p: &mut Partition, now: Tick, after: Vec<After>, out: &mut Vec<Command>) {
     let token = p.next_token;
     p.next_token += 1;
     p.writes.push_back(Write { token, at: now, after });
     p.log_len = 0;
-    out.push(Command::Slot { part: p.id, token, copy: p.copy.clone() });
+    out.push(Command::Slot { partition: p.id, token, copy: p.copy.clone() });
 }
 
 fn map_len(map: &Map) -> u64 {
@@ -45,15 +51,15 @@
 }
 
 /// Sends a message as soon as everything accepted so far is synced.
-pub fn after_writes(p: &mut Part, to: Seat, msg: Msg, out: &mut Vec<Command>) {
+pub fn after_writes(p: &mut Partition, to: VoterSlot, message: Message, out: &mut Vec<Command>) {
     match p.writes.back_mut() {
-        Some(w) => w.after.push(After::Send(to, msg)),
-        None => out.push(Command::ToSeat { seat: to, msg }),
+        Some(w) => w.after.push(After::Send(to, message)),
+        None => out.push(Command::ToSeat { slot: to, message }),
     }
 }
 
 /// Whether the seat still hears a leader, so that an election would only disturb.
-pub fn hears_owner(p: &Part, now: Tick) -> bool {
+pub fn hears_owner(p: &Partition, now: Tick) -> bool {
     match &p.role {
         Role::Follower { heard, leader } => {
             leader.is_some() && since(*heard, now) < consts::OWNER_SILENCE
@@ -64,36 +70,42 @@
 }
 
 /// Another seat asks whether it would be voted for.
-pub fn pre_vote(p: &mut Part, now: Tick, from: Seat, epoch: u64, out: &mut Vec<Command>) {
-    let yes = able(p) && epoch > p.copy.promised && !hears_owner(p, now);
-    let msg = Msg::PreVoteResponse { part: p.id, epoch, yes, promised: p.copy.promised };
-    out.push(Command::ToSeat { seat: from, msg });
+pub fn pre_vote(p: &mut Partition, now: Tick, from: VoterSlot, term: u64, out: &mut Vec<Command>) {
+    let yes = able(p) && term > p.copy.promised && !hears_owner(p, now);
+    let message =
+        Message::PreVoteResponse { partition: p.id, term, yes, promised: p.copy.promised };
+    out.push(Command::ToSeat { slot: from, message });
 }
 
 /// Another seat claims the part.
-pub fn vote(p: &mut Part, now: Tick, from: Seat, epoch: u64, out: &mut Vec<Command>) {
+pub fn vote(p: &mut Partition, now: Tick, from: VoterSlot, term: u64, out: &mut Vec<Command>) {
     if !able(p) {
         return;
     }
-    if epoch <= p.copy.promised {
-        let msg = Msg::VoteRejected { part: p.id, epoch, promised: p.copy.promised };
-        out.push(Command::ToSeat { seat: from, msg });
+    if term <= p.copy.promised {
+        let message = Message::VoteRejected { partition: p.id, term, promised: p.copy.promised };
+        out.push(Command::ToSeat { slot: from, message });
         return;
     }
     resign(p, now, None, out);
     p.fresh = false;
-    apply(&mut p.copy, &Rec::Promise { epoch });
-    let msg =
-        Msg::VoteGranted { part: p.id, epoch, at_epoch: p.copy.epoch, rev: p.copy.rev, stamp: 0 };
-    keep(p, now, Rec::Promise { epoch }, vec![After::Send(from, msg)], out);
+    apply(&mut p.copy, &LogRecord::Promise { term });
+    let message = Message::VoteGranted {
+        partition: p.id,
+        term,
+        at_term: p.copy.term,
+        revision: p.copy.revision,
+        stamp: 0,
+    };
+    keep(p, now, LogRecord::Promise { term }, vec![After::Send(from, message)], out);
 }
 
 /// Becomes a follower; the one way out of every other role. Those who wait
 /// on a leader that resigns are handed back so that they can be told.
 pub fn follow(
-    p: &mut Part,
+    p: &mut Partition,
     now: Tick,
-    of: Option<(Seat, u64)>,
+    of: Option<(VoterSlot, u64)>,
 ) -> Option<Box<crate::replication::partition::Leader>> {
     let old = std::mem::replace(&mut p.role, Role::Follower { heard: now, leader: of });
     match old {
@@ -102,39 +114,45 @@
     }
 }
 
-/// Whether a message of a leader of `epoch` is to be obeyed; denies if not.
-pub fn obey(p: &mut Part, now: Tick, from: Seat, epoch: u64, out: &mut Vec<Command>) -> bool {
+/// Whether a message of a leader of `term` is to be obeyed; denies if not.
+pub fn obey(
+    p: &mut Partition,
+    now: Tick,
+    from: VoterSlot,
+    term: u64,
+    out: &mut Vec<Command>,
+) -> bool {
     if !able(p) {
         // It can't vote or accept, but it still hands requests over.
-        if epoch >= p.copy.promised
+        if term >= p.copy.promised
             && let Role::Follower { heard, leader } = &mut p.role
         {
             *heard = now;
-            *leader = Some((from, epoch));
+            *leader = Some((from, term));
         }
         return false;
     }
-    if epoch < p.copy.promised {
-        let msg = Msg::VoteRejected { part: p.id, epoch, promised: p.copy.promised };
-        out.push(Command::ToSeat { seat: from, msg });
+    if term < p.copy.promised {
+        let message = Message::VoteRejected { partition: p.id, term, promised: p.copy.promised };
+        out.push(Command::ToSeat { slot: from, message });
         return false;
     }
     p.fresh = false;
     match &mut p.role {
         Role::Follower { heard, leader } => {
             *heard = now;
-            *leader = Some((from, epoch));
+            *leader = Some((from, term));
         }
         _ => {
             // Our own higher term is promised first, so this one is newer.
-            resign(p, now, Some((from, epoch)), out);
+            resign(p, now, Some((from, term)), out);
         }
     }
     true
 }
 
 /// Gives up whatever role we had for that of a follower.
-pub fn resign(p: &mut Part, now: Tick, of: Option<(Seat, u64)>, out: &mut Vec<Command>) {
+pub fn resign(p: &mut Partition, now: Tick, of: Option<(VoterSlot, u64)>, out: &mut Vec<Command>) {
     if let Some(old) = follow(p, now, of) {
         crate::replication::leader::dismiss(p, *old, out);
     }
@@ -142,96 +160,112 @@
 
 /// A whole copy from the leader.
 pub fn snapshot(
-    p: &mut Part,
+    p: &mut Partition,
     now: Tick,
-    from: Seat,
-    (epoch, rev): (u64, u64),
+    from: VoterSlot,
+    (term, revision): (u64, u64),
     map: Map,
     out: &mut Vec<Command>,
 ) {
-    if !obey(p, now, from, epoch, out) {
+    if !obey(p, now, from, term, out) {
         return;
     }
-    let kept = Msg::AppendAck { part: p.id, epoch, rev, stamp: 0 };
-    if p.copy.epoch == epoch && p.copy.rev >= rev && !p.doubt {
+    let kept = Message::AppendAck { partition: p.id, term, revision, stamp: 0 };
+    if p.copy.term == term && p.copy.revision >= revision && !p.doubt {
         return after_writes(p, from, kept, out);
     }
     p.doubt = false;
-    let promised = p.copy.promised.max(epoch);
-    crate::control_plane::feed::reseed(p, rev, &map);
-    p.copy = Copy { promised, epoch, rev, map };
+    let promised = p.copy.promised.max(term);
+    crate::control_plane::feed::reseed(p, revision, &map);
+    p.copy = Copy { promised, term, revision, map };
     keep_whole(p, now, vec![After::Send(from, kept)], out);
 }
 
 /// A change from the leader.
-pub fn append(p: &mut Part, now: Tick, from: Seat, rec: Rec, out: &mut Vec<Command>) {
-    let Rec::Change { epoch, rev, .. } = &rec else { return };
-    let (epoch, rev) = (*epoch, *rev);
-    if !obey(p, now, from, epoch, out) {
+pub fn append(
+    p: &mut Partition,
+    now: Tick,
+    from: VoterSlot,
+    rec: LogRecord,
+    out: &mut Vec<Command>,
+) {
+    let LogRecord::Change { term, revision, .. } = &rec else { return };
+    let (term, revision) = (*term, *revision);
+    if !obey(p, now, from, term, out) {
         return;
     }
-    if p.copy.epoch == epoch && p.copy.rev >= rev {
-        let kept = Msg::AppendAck { part: p.id, epoch, rev: p.copy.rev, stamp: 0 };
+    if p.copy.term == term && p.copy.revision >= revision {
+        let kept =
+            Message::AppendAck { partition: p.id, term, revision: p.copy.revision, stamp: 0 };
         return after_writes(p, from, kept, out);
     }
     if !apply(&mut p.copy, &rec) {
-        out.push(Command::ToSeat { seat: from, msg: Msg::SnapshotRequest { part: p.id, epoch } });
+        out.push(Command::ToSeat {
+            slot: from,
+            message: Message::SnapshotRequest { partition: p.id, term },
+        });
         return;
     }
-    if let Rec::Change { entries, .. } = &rec {
-        p.changes.push_back((rev, entries.clone()));
+    if let LogRecord::Change { entries, .. } = &rec {
+        p.changes.push_back((revision, entries.clone()));
     }
-    let kept = Msg::AppendAck { part: p.id, epoch, rev, stamp: 0 };
+    let kept = Message::AppendAck { partition: p.id, term, revision, stamp: 0 };
     keep(p, now, rec, vec![After::Send(from, kept)], out);
 }
 
 /// A heartbeat: the leader lives, and so much is committed.
 pub fn heartbeat(
-    p: &mut Part,
+    p: &mut Partition,
     now: Tick,
-    from: Seat,
-    (epoch, round): (u64, u64),
+    from: VoterSlot,
+    (term, round): (u64, u64),
     (done, sum): (u64, u64),
     out: &mut Vec<Command>,
 ) {
-    if !obey(p, now, from, epoch, out) {
+    if !obey(p, now, from, term, out) {
         return;
     }
-    let same = p.copy.epoch == epoch;
+    let same = p.copy.term == term;
     if same {
         crate::control_plane::feed::show(p, done);
     }
-    if same && sum != 0 && p.copy.rev == done && crate::replication::leader::sum(&p.copy.map) != sum
+    if same
+        && sum != 0
+        && p.copy.revision == done
+        && crate::replication::leader::sum(&p.copy.map) != sum
     {
         out.push(Command::Alarm(format!("part {}: our copy differs from the leader's", p.id)));
         p.doubt = true;
     }
     if !same || p.doubt {
-        out.push(Command::ToSeat { seat: from, msg: Msg::SnapshotRequest { part: p.id, epoch } });
+        out.push(Command::ToSeat {
+            slot: from,
+            message: Message::SnapshotRequest { partition: p.id, term },
+        });
     }
     // How far our memory is, and how far our disk: with nothing on its way
     // there they are one. A `Kept` may have been lost, or said under a table of
     // the seats that is no more.
-    let rev = if same { p.copy.rev } else { 0 };
-    let kept = if p.writes.is_empty() && !p.doubt { rev } else { 0 };
-    let msg = Msg::HeartbeatAck { part: p.id, epoch, round, rev, kept, stamp: 0 };
-    out.push(Command::ToSeat { seat: from, msg });
+    let revision = if same { p.copy.revision } else { 0 };
+    let kept = if p.writes.is_empty() && !p.doubt { revision } else { 0 };
+    let message = Message::HeartbeatAck { partition: p.id, term, round, revision, kept, stamp: 0 };
+    out.push(Command::ToSeat { slot: from, message });
 }
 
 /// The table of the seats changed: whatever is counted is counted anew.
-pub fn moved(p: &mut Part, now: Tick, g: Group, moved: &[bool], out: &mut Vec<Command>) {
+pub fn moved(p: &mut Partition, now: Tick, g: VoterGroup, moved: &[bool], out: &mut Vec<Command>) {
     let r = &mut p.relearn;
     (r.stands, r.fetch) = (Vec::new(), None);
     // Answers that are under way were asked for under the old table.
     r.nonce = r.nonce.wrapping_add(1);
     r.ask_at = r.ask_at.min(now + consts::ASK_AROUND);
-    let gone = |s: Seat| moved.get(usize::from(s)).is_some_and(|m| *m);
+    let gone = |s: VoterSlot| moved.get(usize::from(s)).is_some_and(|m| *m);
     match &mut p.role {
         Role::Leader(o) if o.kept.len() == g.size => {
             crate::replication::leader::moved(o, now, g, moved)
         }
         Role::Leader(_) => resign(p, now, None, out),
-        Role::Follower { leader, .. } => *leader = leader.filter(|(seat, _)| !gone(*seat)),
+        Role::Follower { leader, .. } => *leader = leader.filter(|(slot, _)| !gone(*slot)),
         Role::PreVoting { .. } | Role::Candidate(_) => {
             follow(p, now, None);
         }
@@ -240,12 +274,12 @@
 
 /// Whether the disk has finished nothing for too long. One that is slow and has
 /// many writes in line is not stalled.
-pub fn stalled(p: &Part, now: Tick) -> bool {
+pub fn stalled(p: &Partition, now: Tick) -> bool {
     p.writes.front().is_some_and(|w| since(w.at.max(p.synced_at), now) > consts::DISK_STALL)
 }
 
 /// The disk failed or stalls: step back and say so.
-pub fn step_back(p: &mut Part, now: Tick, why: String, out: &mut Vec<Command>) {
+pub fn step_back(p: &mut Partition, now: Tick, why: String, out: &mut Vec<Command>) {
     if p.sick.is_none() {
         out.push(Command::Alarm(format!("part {} steps back: {why}", p.id)));
     }
--- a/crates/core/src/routing_language/compile.rs
+++ b/crates/core/src/routing_language/compile.rs
@@ -1,6 +1,6 @@
 //! Stages to a plain policy: defaults filled in, contradictions found.
 
-use crate::routing_language::diagnostic::{Finding, find};
+use crate::routing_language::diagnostic::{Diagnostic, find};
 use crate::routing_language::lexer::place;
 use crate::routing_language::parser::{Verb, stages};
 use crate::routing_language::selector::Selector;
@@ -32,7 +32,7 @@
 }
 
 /// Compiles a plan; `None` when it has findings.
-pub fn compile(at: &str, text: &str, all: &mut Vec<Finding>) -> Option<Policy> {
+pub fn compile(at: &str, text: &str, all: &mut Vec<Diagnostic>) -> Option<Policy> {
     let before = all.len();
     let list = stages(at, text, all);
     let (mut from, mut send, mut wait, mut stop, mut local) = (None, None, None, None, None);
--- a/crates/core/src/routing_language/lexer.rs
+++ b/crates/core/src/routing_language/lexer.rs
@@ -1,6 +1,6 @@
 //! Cuts a text of the small language into words.
 
-use crate::routing_language::diagnostic::{Finding, find};
+use crate::routing_language::diagnostic::{Diagnostic, find};
 
 /// What a word is.
 #[derive(Clone, PartialEq, Debug)]
@@ -27,7 +27,7 @@
 }
 
 /// Cuts `text` into words; what can't be read becomes a finding.
-pub fn words(at: &str, text: &str, all: &mut Vec<Finding>) -> Vec<Word> {
+pub fn words(at: &str, text: &str, all: &mut Vec<Diagnostic>) -> Vec<Word> {
     let mut out = Vec::new();
     for (row, line) in text.split('\n').enumerate() {
         line_words(at, row + 1, line, &mut out, all);
@@ -36,7 +36,7 @@
     out
 }
 
-fn line_words(at: &str, row: usize, line: &str, out: &mut Vec<Word>, all: &mut Vec<Finding>) {
+fn line_words(at: &str, row: usize, line: &str, out: &mut Vec<Word>, all: &mut Vec<Diagnostic>) {
     let chars: Vec<char> = line.chars().collect();
     let mut i = 0;
     while i < chars.len() {
--- a/crates/core/src/routing_language/parser.rs
+++ b/crates/core/src/routing_language/parser.rs
@@ -1,6 +1,6 @@
 //! Words to stages. Reads on after a mistake, so that all are reported.
 
-use crate::routing_language::diagnostic::{Finding, find};
+use crate::routing_language::diagnostic::{Diagnostic, find};
 use crate::routing_language::lexer::{Kind, Word, place, words};
 use crate::routing_language::selector::Selector;
 
@@ -32,7 +32,7 @@
 }
 
 /// Reads a whole plan.
-pub fn stages(at: &str, text: &str, all: &mut Vec<Finding>) -> Vec<Stage> {
+pub fn stages(at: &str, text: &str, all: &mut Vec<Diagnostic>) -> Vec<Stage> {
     let mut r = Reader { at, words: words(at, text, all), pos: 0 };
     let mut out = Vec::new();
     while r.pos < r.words.len() {
@@ -55,7 +55,7 @@
 }
 
 /// Reads a selector that stands alone; an empty text chooses all.
-pub fn selector(at: &str, text: &str, all: &mut Vec<Finding>) -> Option<Selector> {
+pub fn selector(at: &str, text: &str, all: &mut Vec<Diagnostic>) -> Option<Selector> {
     if text.trim().is_empty() {
         return Some(Selector::All);
     }
@@ -74,7 +74,7 @@
     None
 }
 
-fn wrong(r: &Reader, want: &str) -> Finding {
+fn wrong(r: &Reader, want: &str) -> Diagnostic {
     let (got, line, col) = match r.words.get(r.pos) {
         Some(w) => (show(&w.kind), w.line, w.col),
         None => ("the end".into(), r.words.last().map_or(1, |w| w.line), 1),
@@ -94,7 +94,7 @@
     }
 }
 
-fn name(r: &mut Reader, want: &str) -> Result<String, Finding> {
+fn name(r: &mut Reader, want: &str) -> Result<String, Diagnostic> {
     match r.words.get(r.pos).map(|w| w.kind.clone()) {
         Some(Kind::Name(n)) => {
             r.pos += 1;
@@ -104,7 +104,7 @@
     }
 }
 
-fn text(r: &mut Reader) -> Result<String, Finding> {
+fn text(r: &mut Reader) -> Result<String, Diagnostic> {
     match r.words.get(r.pos).map(|w| w.kind.clone()) {
         Some(Kind::Text(t)) => {
             r.pos += 1;
@@ -114,7 +114,7 @@
     }
 }
 
-fn word(r: &mut Reader, want: &str) -> Result<(), Finding> {
+fn word(r: &mut Reader, want: &str) -> Result<(), Diagnostic> {
     if take(r, want) { Ok(()) } else { Err(wrong(r, &format!("`{want}`"))) }
 }
 
@@ -129,7 +129,7 @@
     hit
 }
 
-fn percent(r: &mut Reader) -> Result<u64, Finding> {
+fn percent(r: &mut Reader) -> Result<u64, Diagnostic> {
     match r.words.get(r.pos).map(|w| w.kind.clone()) {
         Some(Kind::Percent(n)) if (1..=100).contains(&n) => {
             r.pos += 1;
@@ -139,7 +139,7 @@
     }
 }
 
-fn stage(r: &mut Reader) -> Result<Verb, Finding> {
+fn stage(r: &mut Reader) -> Result<Verb, Diagnostic> {
     let verb = match name(r, "a stage")?.as_str() {
         "from" => {
             let sel = expr(r)?;
@@ -180,7 +180,7 @@
     }
 }
 
-fn expr(r: &mut Reader) -> Result<Selector, Finding> {
+fn expr(r: &mut Reader) -> Result<Selector, Diagnostic> {
     let mut subs = vec![both(r)?];
     while take(r, "or") {
         subs.push(both(r)?);
@@ -188,7 +188,7 @@
     Ok(if subs.len() == 1 { subs.remove(0) } else { Selector::Or(subs) })
 }
 
-fn both(r: &mut Reader) -> Result<Selector, Finding> {
+fn both(r: &mut Reader) -> Result<Selector, Diagnostic> {
     let mut subs = vec![term(r)?];
     while take(r, "and") {
         subs.push(term(r)?);
@@ -196,7 +196,7 @@
     Ok(if subs.len() == 1 { subs.remove(0) } else { Selector::And(subs) })
 }
 
-fn term(r: &mut Reader) -> Result<Selector, Finding> {
+fn term(r: &mut Reader) -> Result<Selector, Diagnostic> {
     if take(r, "not") {
         return Ok(Selector::Not(Box::new(term(r)?)));
     }
--- a/crates/core/src/snapshot/cluster_view.rs
+++ b/crates/core/src/snapshot/cluster_view.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use crate::config::build::{Built, CUT, Mapping, PoolPlan};
+use crate::config::build::{Built, CUT, PoolPlan, Route};
 use crate::routing_language::selector::fits;
 use crate::snapshot::leafs::{LeafInfo, zone};
 
@@ -13,29 +13,29 @@
 /// Invariant: `built` was made from the configuration of `revision`, and no
 /// later view of the same process has a lower revision.
 #[derive(Clone, Default)]
-pub struct View {
+pub struct ClusterView {
     pub revision: u64,
     pub built: Arc<Built>,
     /// Mappings by name, each pinned by the queries that use it.
-    pub mappings: IndexMap<String, Arc<Mapping>>,
+    pub mappings: IndexMap<String, Arc<Route>>,
     /// Mappings by host, those with the longest path first.
-    pub hosts: IndexMap<String, Vec<Arc<Mapping>>>,
+    pub hosts: IndexMap<String, Vec<Arc<Route>>>,
     pub services: IndexMap<String, Vec<Arc<LeafInfo>>>,
     pub leafs: IndexMap<String, Arc<LeafInfo>>,
 }
 
 /// A view from its sources.
-pub fn view(revision: u64, built: Arc<Built>, leafs: Vec<LeafInfo>) -> View {
+pub fn view(revision: u64, built: Arc<Built>, leafs: Vec<LeafInfo>) -> ClusterView {
     let mappings: IndexMap<_, _> =
         built.mappings.iter().map(|(n, m)| (n.clone(), Arc::new(m.clone()))).collect();
-    let mut hosts: IndexMap<String, Vec<Arc<Mapping>>> = IndexMap::new();
+    let mut hosts: IndexMap<String, Vec<Arc<Route>>> = IndexMap::new();
     for map in mappings.values().filter(|m| !m.host.is_empty()) {
         hosts.entry(map.host.to_ascii_lowercase()).or_default().push(map.clone());
     }
     for list in hosts.values_mut() {
         list.sort_by_key(|m| std::cmp::Reverse(m.path.len()));
     }
-    let mut out = View { revision, built, mappings, hosts, ..View::default() };
+    let mut out = ClusterView { revision, built, mappings, hosts, ..ClusterView::default() };
     for leaf in leafs {
         let leaf = Arc::new(leaf);
         out.services.entry(leaf.service.clone()).or_default().push(leaf.clone());
@@ -45,7 +45,7 @@
 }
 
 /// The mapping of a call: of its host's, the longest path that begins its own.
-pub fn found<'a>(view: &'a View, host: &str, path: &str) -> Option<&'a Arc<Mapping>> {
+pub fn found<'a>(view: &'a ClusterView, host: &str, path: &str) -> Option<&'a Arc<Route>> {
     let host = host.to_ascii_lowercase();
     let bare = host.rsplit_once(':').map_or(host.as_str(), |(name, _)| name);
     let list = view.hosts.get(&host).or_else(|| view.hosts.get(bare))?;
@@ -55,7 +55,7 @@
 /// The leafs of a pool that may get new work under this view: chosen by the
 /// pool, of the mapping's cut, not leaving, in no emptied zone.
 pub fn open<'a>(
-    view: &'a View,
+    view: &'a ClusterView,
     pool: &'a PoolPlan,
     cut: &'a str,
 ) -> impl Iterator<Item = &'a Arc<LeafInfo>> {
--- a/crates/core/src/storage/reader.rs
+++ b/crates/core/src/storage/reader.rs
@@ -4,7 +4,7 @@
 use nanoserde::DeBin;
 
 use crate::consts::{DISK_VERSION, RECORD_LIMIT};
-use crate::storage::record::{Copy, Rec, apply};
+use crate::storage::record::{Copy, LogRecord, apply};
 use crate::storage::writer::{
     LOG_HEAD, LOG_MARK, REC_END, REC_HEAD, SLOT_HEAD, SLOT_MARK, rec_sum,
 };
@@ -44,7 +44,7 @@
     u64::from_le_bytes(b)
 }
 
-fn slot(part: u32, raw: &[u8]) -> Result<(u64, Copy), Bad> {
+fn slot(partition: u32, raw: &[u8]) -> Result<(u64, Copy), Bad> {
     if raw.len() < SLOT_HEAD {
         return Err(Bad::Short);
     }
@@ -57,7 +57,7 @@
     }
     let len = u32_at(raw, 20);
     let sum = u32_at(raw, 24);
-    if u32_at(raw, 8) != part || len > RECORD_LIMIT {
+    if u32_at(raw, 8) != partition || len > RECORD_LIMIT {
         return Err(Bad::Broken);
     }
     let body = raw.get(SLOT_HEAD..SLOT_HEAD + len as usize).ok_or(Bad::Broken)?;
@@ -77,14 +77,14 @@
 /// only after slot `n` is synced, and slot `n + 1` is written over slot
 /// `n - 1` while log `n` still stands. So at any time one good slot has the
 /// number of the log, and a broken other slot is a write that never ended.
-pub fn read(part: u32, slots: [Option<&[u8]>; 2], log: Option<&[u8]>) -> Found {
+pub fn read(partition: u32, slots: [Option<&[u8]>; 2], log: Option<&[u8]>) -> Found {
     if slots[0].is_none() && slots[1].is_none() && log.is_none() {
         return Found::Empty;
     }
     let mut best: Option<(u64, Copy)> = None;
     let mut newest_broken = false;
     for raw in slots.into_iter().flatten() {
-        match slot(part, raw) {
+        match slot(partition, raw) {
             Ok(s) => {
                 if best.as_ref().is_none_or(|b| b.0 < s.0) {
                     best = Some(s);
@@ -105,7 +105,7 @@
                 return Found::Damaged(format!("log of version {ver}, we read {DISK_VERSION}"));
             }
             if raw[..6] != LOG_MARK
-                || u32_at(raw, 8) != part
+                || u32_at(raw, 8) != partition
                 || crc32fast::hash(&raw[..20]) != u32_at(raw, 20)
             {
                 return Found::Damaged("the log's head is broken".into());
@@ -149,7 +149,7 @@
     let (mut at, mut num) = (0, 0u32);
     while at < raw.len() {
         let (rec, end) = match one(seq, num, raw, at) {
-            Next::Rec(rec, end) => (rec, end),
+            Next::LogRecord(rec, end) => (rec, end),
             Next::Flipped => return Err(format!("record {num} of the log was changed")),
             // Torn, unless a whole record of this log stands behind it.
             Next::Torn if later(seq, num, raw, at + 1) => {
@@ -168,7 +168,7 @@
 
 /// What stands at a place of the log.
 enum Next {
-    Rec(Rec, usize),
+    LogRecord(LogRecord, usize),
     Torn,
     Flipped,
 }
@@ -193,8 +193,8 @@
     if raw[end] != REC_END || rec_sum(seq, num, body) != u32_at(head, 8) {
         return Next::Flipped;
     }
-    match Rec::deserialize_bin(body) {
-        Ok(rec) => Next::Rec(rec, end + 1),
+    match LogRecord::deserialize_bin(body) {
+        Ok(rec) => Next::LogRecord(rec, end + 1),
         Err(_) => Next::Flipped,
     }
 }
@@ -204,6 +204,6 @@
 fn later(seq: u64, num: u32, raw: &[u8], from: usize) -> bool {
     (from..raw.len().saturating_sub(REC_HEAD)).any(|at| {
         let n = u32_at(raw, at + 4);
-        n > num && n - num < 1_000_000 && matches!(one(seq, n, raw, at), Next::Rec(..))
+        n > num && n - num < 1_000_000 && matches!(one(seq, n, raw, at), Next::LogRecord(..))
     })
 }
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -7,37 +7,37 @@
 
 /// A replica's copy of a part.
 ///
-/// Invariants: `promised >= epoch`; a copy with a higher (`epoch`, `rev`) is
+/// Invariants: `promised >= term`; a copy with a higher (`term`, `revision`) is
 /// newer; nothing below `promised` is accepted any more.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct Copy {
-    /// Highest epoch that this replica has granted or obeyed.
+    /// Highest term that this replica has granted or obeyed.
     pub promised: u64,
     /// Epoch under which `map` was last written.
-    pub epoch: u64,
-    pub rev: u64,
+    pub term: u64,
+    pub revision: u64,
     pub map: Map,
 }
 
 /// One step of a copy, as the log holds it.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
-pub enum Rec {
-    Promise { epoch: u64 },
-    Change { epoch: u64, rev: u64, entries: Vec<Entry> },
+pub enum LogRecord {
+    Promise { term: u64 },
+    Change { term: u64, revision: u64, entries: Vec<Entry> },
 }
 
 /// Applies a record that fits; false (and no change) if it does not.
-pub fn apply(copy: &mut Copy, rec: &Rec) -> bool {
+pub fn apply(copy: &mut Copy, rec: &LogRecord) -> bool {
     match rec {
-        Rec::Promise { epoch } => {
-            copy.promised = copy.promised.max(*epoch);
+        LogRecord::Promise { term } => {
+            copy.promised = copy.promised.max(*term);
             true
         }
-        Rec::Change { epoch, rev, entries } => {
-            if *epoch != copy.epoch || *rev != copy.rev + 1 {
+        LogRecord::Change { term, revision, entries } => {
+            if *term != copy.term || *revision != copy.revision + 1 {
                 return false;
             }
-            copy.rev = *rev;
+            copy.revision = *revision;
             put(&mut copy.map, entries);
             true
         }
--- a/crates/core/src/storage/writer.rs
+++ b/crates/core/src/storage/writer.rs
@@ -3,7 +3,7 @@
 use nanoserde::SerBin;
 
 use crate::consts::DISK_VERSION;
-use crate::storage::record::{Copy, Rec};
+use crate::storage::record::{Copy, LogRecord};
 
 /// First bytes of a slot.
 pub const SLOT_MARK: [u8; 6] = *b"GRBslt";
@@ -22,9 +22,9 @@
 pub const REC_END: u8 = 0xa5;
 
 /// A whole slot file.
-pub fn slot(part: u32, seq: u64, copy: &Copy) -> Vec<u8> {
+pub fn slot(partition: u32, seq: u64, copy: &Copy) -> Vec<u8> {
     let body = copy.serialize_bin();
-    let mut out = start(SLOT_MARK, part, seq);
+    let mut out = start(SLOT_MARK, partition, seq);
     out.extend((body.len() as u32).to_le_bytes());
     let mut sum = crc32fast::Hasher::new();
     sum.update(&out);
@@ -35,15 +35,15 @@
 }
 
 /// The head of a new log that follows the slot `seq`.
-pub fn log_head(part: u32, seq: u64) -> Vec<u8> {
-    let mut out = start(LOG_MARK, part, seq);
+pub fn log_head(partition: u32, seq: u64) -> Vec<u8> {
+    let mut out = start(LOG_MARK, partition, seq);
     out.extend(crc32fast::hash(&out).to_le_bytes());
     out
 }
 
 /// One record of the log of `seq`, the `num`-th. The sequence is part of the
 /// checksum, so that leftovers of an older log are never read as its tail.
-pub fn rec(seq: u64, num: u32, rec: &Rec) -> Vec<u8> {
+pub fn rec(seq: u64, num: u32, rec: &LogRecord) -> Vec<u8> {
     let body = rec.serialize_bin();
     let mut out = Vec::with_capacity(REC_HEAD + body.len() + 1);
     out.extend((body.len() as u32).to_le_bytes());
@@ -65,10 +65,10 @@
     sum.finalize()
 }
 
-fn start(mark: [u8; 6], part: u32, seq: u64) -> Vec<u8> {
+fn start(mark: [u8; 6], partition: u32, seq: u64) -> Vec<u8> {
     let mut out = mark.to_vec();
     out.extend(DISK_VERSION.to_le_bytes());
-    out.extend(part.to_le_bytes());
+    out.extend(partition.to_le_bytes());
     out.extend(seq.to_le_bytes());
     out
 }
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -23,22 +23,22 @@
 use indexmap::IndexMap;
 
 use crate::consts;
-use crate::control_plane::controller::{Command, Core, WireId};
+use crate::control_plane::controller::{Command, ConnectionId, ControllerState};
 use crate::control_plane::feed;
 use crate::control_plane::members;
 use crate::control_plane::membership_log;
-use crate::identifiers::Seat;
-use crate::protocol::message::{Life, Memberships, Msg, ReplicaState};
-use crate::replication::partition::{After, Part, Role, able};
+use crate::identifiers::VoterSlot;
+use crate::protocol::message::{HandedOverReplica, Memberships, Message, ReplicaCondition};
+use crate::replication::partition::{After, Partition, Role, able};
 use crate::replication::{election, replica};
 use crate::storage::record::Copy;
 use crate::time::{Tick, since};
-use crate::voters::voter_set::{Holding, NOBODY, Table, after_handover, balanced, merge};
+use crate::voters::voter_set::{NOBODY, SlotHolder, VoterSet, after_handover, balanced, merge};
 use crate::voters::voter_slots;
 
 /// A controller without a voter slot that asked us for one.
 pub struct Applicant {
-    pub connection: WireId,
+    pub connection: ConnectionId,
     pub zone: String,
     pub at: Tick,
 }
@@ -59,7 +59,7 @@
 /// A slot that a spare waits for. Two voters that leave at the same time must
 /// not hand theirs to the same spare.
 pub struct Reservation {
-    slot: Seat,
+    slot: VoterSlot,
     generation: u32,
     until: Tick,
 }
@@ -77,21 +77,21 @@
     /// A spare is asked to take the slot over.
     Offering { asked: Option<(u64, Tick)> },
     /// The voter set without us is on its way to our disk.
-    Yielding { slot: Seat, successor: u64 },
+    Yielding { slot: VoterSlot, successor: u64 },
     /// We vote no more; the successor is sent our state.
-    Sending { state: Box<Msg>, slot: Seat, sent_at: Option<Tick> },
+    Sending { state: Box<Message>, slot: VoterSlot, sent_at: Option<Tick> },
     /// Nothing is left to do but to answer the operators who waited by then.
     Answering { operations: Vec<u64> },
 }
 
 /// The process was asked to stop.
-pub fn begin(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
+pub fn begin(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     if core.seating.handovers.leaving.is_some() {
         return;
     }
     election::transfer_all(core, now, out);
     let nobody_waits = core.seating.handovers.applicants.is_empty();
-    let alone = core.seat == NOBODY || nobody_waits;
+    let alone = core.slot == NOBODY || nobody_waits;
     let stage = Stage::TransferringLeadership;
     core.seating.handovers.leaving = Some(Leaving { began: now, stage });
     if alone {
@@ -101,7 +101,7 @@
 }
 
 /// Whether a process that was asked to stop may end.
-pub fn may_end(core: &Core, now: Tick) -> bool {
+pub fn may_end(core: &ControllerState, now: Tick) -> bool {
     let Some(leaving) = &core.seating.handovers.leaving else { return false };
     let Stage::Answering { operations } = &leaving.stage else { return false };
     since(leaving.began, now) >= consts::HANDOVER_PATIENCE
@@ -109,7 +109,7 @@
 }
 
 /// The slot is another's, or nobody is there to take it.
-fn finish(core: &mut Core) {
+fn finish(core: &mut ControllerState) {
     let operations = core.ops.keys().copied().collect();
     if let Some(leaving) = &mut core.seating.handovers.leaving
         && !matches!(leaving.stage, Stage::Answering { .. })
@@ -119,18 +119,24 @@
 }
 
 /// Whether this process was asked to stop.
-pub fn is_leaving(core: &Core) -> bool {
+pub fn is_leaving(core: &ControllerState) -> bool {
     core.seating.handovers.leaving.is_some()
 }
 
 /// Notes that a spare asked us for a slot.
-pub fn note_applicant(core: &mut Core, now: Tick, connection: WireId, holder: u64, zone: &str) {
+pub fn note_applicant(
+    core: &mut ControllerState,
+    now: Tick,
+    connection: ConnectionId,
+    holder: u64,
+    zone: &str,
+) {
     let applicant = Applicant { connection, zone: zone.to_string(), at: now };
     core.seating.handovers.applicants.insert(holder, applicant);
 }
 
 /// Time passes.
-pub fn wake(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
+pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     let handovers = &mut core.seating.handovers;
     handovers.applicants.retain(|_, a| since(a.at, now) < consts::APPLY_SILENCE);
     let Some(leaving) = &mut handovers.leaving else { return };
@@ -151,32 +157,32 @@
             }
         }
         // A takeover may have been quicker than we were.
-        Stage::Yielding { .. } if core.seat == NOBODY => finish(core),
+        Stage::Yielding { .. } if core.slot == NOBODY => finish(core),
         Stage::Yielding { .. } | Stage::Answering { .. } => {}
         Stage::Sending { state, slot, sent_at } => {
             if sent_at.is_none_or(|at| since(at, now) >= consts::HANDOVER_RETRY) {
                 *sent_at = Some(now);
-                out.push(Command::ToSeat { seat: *slot, msg: (**state).clone() });
+                out.push(Command::ToSeat { slot: *slot, message: (**state).clone() });
             }
         }
     }
 }
 
 /// Whether every partition has a leader that is not this process.
-fn all_are_led(core: &Core) -> bool {
-    let led = |p: &Part| matches!(p.role, Role::Follower { leader: Some(_), .. });
-    core.parts.iter().all(led)
+fn all_are_led(core: &ControllerState) -> bool {
+    let led = |p: &Partition| matches!(p.role, Role::Follower { leader: Some(_), .. });
+    core.partitions.iter().all(led)
 }
 
 /// Offers our slot to a spare, if there is one that may have it; to another than
 /// the last one that was asked, if there are several.
-fn offer(core: &mut Core, now: Tick, last: Option<u64>, out: &mut Vec<Command>) {
-    let slot = core.seat;
+fn offer(core: &mut ControllerState, now: Tick, last: Option<u64>, out: &mut Vec<Command>) {
+    let slot = core.slot;
     let table = &core.seating.roll.table;
-    let next = table.seats.get(usize::from(slot)).and_then(|h| after_handover(h.generation));
+    let next = table.slots.get(usize::from(slot)).and_then(|h| after_handover(h.generation));
     let handovers = &core.seating.handovers;
     let fits = |(holder, a): &(&u64, &Applicant)| {
-        let seated = table.seats.iter().any(|h| h.holder == **holder);
+        let seated = table.slots.iter().any(|h| h.holder == **holder);
         !seated && balanced(table, slot, &a.zone)
     };
     let successor = handovers
@@ -185,17 +191,23 @@
         .filter(fits)
         .max_by_key(|(holder, a)| (Some(**holder) != last, a.at, **holder))
         .map(|(holder, a)| (*holder, a.connection));
-    let (Some(generation), Some((holder, wire))) = (next, successor) else {
+    let (Some(generation), Some((holder, connection))) = (next, successor) else {
         return finish(core);
     };
-    out.push(Command::ToWire { wire, msg: Msg::HandoverOffer { slot, generation } });
+    out.push(Command::ToWire { connection, message: Message::HandoverOffer { slot, generation } });
     if let Some(leaving) = &mut core.seating.handovers.leaving {
         leaving.stage = Stage::Offering { asked: Some((holder, now)) };
     }
 }
 
 /// A voter that leaves offers us its slot.
-pub fn offered(core: &mut Core, now: Tick, slot: Seat, generation: u32, out: &mut Vec<Command>) {
+pub fn offered(
+    core: &mut ControllerState,
+    now: Tick,
+    slot: VoterSlot,
+    generation: u32,
+    out: &mut Vec<Command>,
+) {
     let s = &mut core.seating;
     let claims = s.handovers.claimed_at.is_some_and(|at| since(at, now) < consts::SEAT_SILENCE);
     let waits = s
@@ -203,7 +215,7 @@
         .reserved
         .as_ref()
         .is_some_and(|r| now < r.until && (r.slot, r.generation) != (slot, generation));
-    let free = core.seat == NOBODY && s.roll.me != 0 && s.next.is_none();
+    let free = core.slot == NOBODY && s.roll.me != 0 && s.next.is_none();
     if !free || claims || waits || s.handovers.leaving.is_some() {
         return;
     }
@@ -211,25 +223,31 @@
     s.handovers.reserved = Some(Reservation { slot, generation, until });
     s.offers.fill(None);
     let (holder, addr, zone) = (s.roll.me, s.addr.clone(), s.zone.clone());
-    let holding = Holding { generation, holder, addr, zone };
-    out.push(Command::ToAll { msg: Msg::HandoverAccept { slot, holding } });
+    let holding = SlotHolder { generation, holder, addr, zone };
+    out.push(Command::ToAll { message: Message::HandoverAccept { slot, holding } });
 }
 
 /// The spare that we asked is ready: we give the slot up, first on our disk.
-pub fn accepted(core: &mut Core, now: Tick, slot: Seat, holding: Holding, out: &mut Vec<Command>) {
+pub fn accepted(
+    core: &mut ControllerState,
+    now: Tick,
+    slot: VoterSlot,
+    holding: SlotHolder,
+    out: &mut Vec<Command>,
+) {
     let table = voter_slots::newest(&core.seating);
     let Some(leaving) = &core.seating.handovers.leaving else { return };
     let Stage::Offering { asked: Some((holder, asked_at)) } = leaving.stage else { return };
     // After a pause of ours the spare may wait for us no more.
     let fresh = since(asked_at, now) < 2 * consts::HANDOVER_RETRY;
-    let seated = table.seats.iter().any(|h| h.holder == holder);
-    let ours = core.seat == slot && core.seating.next.is_none() && fresh && !seated;
-    let next = table.seats.get(usize::from(slot)).and_then(|h| after_handover(h.generation));
+    let seated = table.slots.iter().any(|h| h.holder == holder);
+    let ours = core.slot == slot && core.seating.next.is_none() && fresh && !seated;
+    let next = table.slots.get(usize::from(slot)).and_then(|h| after_handover(h.generation));
     if !ours || holder != holding.holder || next != Some(holding.generation) {
         return;
     }
-    let mut table: Table = table.clone();
-    table.seats[usize::from(slot)] = holding;
+    let mut table: VoterSet = table.clone();
+    table.slots[usize::from(slot)] = holding;
     if let Some(leaving) = &mut core.seating.handovers.leaving {
         leaving.stage = Stage::Yielding { slot, successor: holder };
     }
@@ -238,89 +256,89 @@
 
 /// Our slot is another's by the voter set that was just written. If that is the
 /// successor that we chose, what our replicas hold goes there; tells whether so.
-pub fn yielded(core: &mut Core, now: Tick, out: &mut Vec<Command>) -> bool {
+pub fn yielded(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) -> bool {
     let Some(Leaving { stage: Stage::Yielding { slot, successor }, .. }) =
         core.seating.handovers.leaving
     else {
         return false;
     };
     let table = core.seating.roll.table.clone();
-    let holding = &table.seats[usize::from(slot)];
+    let holding = &table.slots[usize::from(slot)];
     if holding.holder != successor {
         return false;
     }
     let generation = holding.generation;
-    let replicas = core.parts.iter().filter(|p| able(p)).map(replica_state).collect();
+    let replicas = core.partitions.iter().filter(|p| able(p)).map(replica_state).collect();
     let memberships = membership_log::held_here(core);
-    let state = Msg::Handover { slot, generation, table, replicas, memberships };
+    let state = Message::Handover { slot, generation, table, replicas, memberships };
     let stage = Stage::Sending { state: Box::new(state), slot, sent_at: None };
     if let Some(leaving) = &mut core.seating.handovers.leaving {
         leaving.stage = stage;
     }
-    for p in &mut core.parts {
+    for p in &mut core.partitions {
         voter_slots::forget(p, now, out);
     }
     core.members = Default::default();
     true
 }
 
-fn replica_state(p: &Part) -> ReplicaState {
-    let Copy { promised, epoch, rev, map } = p.copy.clone();
-    ReplicaState { part: p.id, promised, epoch, rev, map }
+fn replica_state(p: &Partition) -> HandedOverReplica {
+    let Copy { promised, term, revision, map } = p.copy.clone();
+    HandedOverReplica { partition: p.id, promised, term, revision, map }
 }
 
 /// What a voter that leaves hands to us.
 pub struct Received {
-    pub slot: Seat,
+    pub slot: VoterSlot,
     pub generation: u32,
-    pub table: Table,
-    pub replicas: Vec<ReplicaState>,
+    pub table: VoterSet,
+    pub replicas: Vec<HandedOverReplica>,
     pub memberships: Memberships,
 }
 
 /// The state of a voter whose slot we take over. It is written once the voter
 /// set that gives us the slot is on our disk; until then it is sent again.
 pub fn received(
-    core: &mut Core,
+    core: &mut ControllerState,
     now: Tick,
-    connection: WireId,
+    connection: ConnectionId,
     received: Received,
     out: &mut Vec<Command>,
 ) {
     let Received { slot, generation, table, replicas, memberships } = received;
     voter_slots::learn(core, now, &table, out);
     let ours = &core.seating.roll.table;
-    let holds = ours.seats.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
-    if core.seat != slot || !holds || merge(ours, &table).is_some() {
+    let holds = ours.slots.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
+    if core.slot != slot || !holds || merge(ours, &table).is_some() {
         return;
     }
     members::inherit(core, memberships);
     for state in replicas {
-        if let Some(p) = core.parts.get_mut(state.part.0 as usize) {
+        if let Some(p) = core.partitions.get_mut(state.partition.0 as usize) {
             install(p, now, state, out);
         }
     }
-    if core.parts.iter().all(|p| p.life == Life::Formed) {
-        let msg = Msg::HandoverDone { slot, generation };
-        out.push(Command::ToWire { wire: connection, msg });
+    if core.partitions.iter().all(|p| p.life == ReplicaCondition::Formed) {
+        let message = Message::HandoverDone { slot, generation };
+        out.push(Command::ToWire { connection, message });
     }
 }
 
 /// Writes a replica that was handed over, unless ours votes already.
-fn install(p: &mut Part, now: Tick, state: ReplicaState, out: &mut Vec<Command>) {
-    if p.life == Life::Formed || !p.writes.is_empty() {
+fn install(p: &mut Partition, now: Tick, state: HandedOverReplica, out: &mut Vec<Command>) {
+    if p.life == ReplicaCondition::Formed || !p.writes.is_empty() {
         return;
     }
-    let ReplicaState { promised, epoch, rev, map, .. } = state;
-    feed::reseed(p, rev, &map);
-    p.copy = Copy { promised, epoch, rev, map };
+    let HandedOverReplica { promised, term, revision, map, .. } = state;
+    feed::reseed(p, revision, &map);
+    p.copy = Copy { promised, term, revision, map };
     replica::keep_whole(p, now, vec![After::Formed], out);
 }
 
 /// The successor votes: nothing keeps us any longer.
-pub fn done(core: &mut Core, slot: Seat, generation: u32) {
+pub fn done(core: &mut ControllerState, slot: VoterSlot, generation: u32) {
     let table = &core.seating.roll.table;
-    let same = table.seats.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
+    let same = table.slots.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
     let leaving = core.seating.handovers.leaving.as_ref();
     let sending = leaving
         .is_some_and(|l| matches!(l.stage, Stage::Sending { slot: ours, .. } if ours == slot));
@@ -330,7 +348,7 @@
 }
 
 /// Whether we wait for a slot that a leaving voter hands to us.
-pub fn is_reserved(core: &Core, now: Tick) -> bool {
+pub fn is_reserved(core: &ControllerState, now: Tick) -> bool {
     let reserved = core.seating.handovers.reserved.as_ref();
-    core.seat == NOBODY && reserved.is_some_and(|r| now < r.until)
+    core.slot == NOBODY && reserved.is_some_and(|r| now < r.until)
 }
--- a/crates/core/src/voters/mod.rs
+++ b/crates/core/src/voters/mod.rs
@@ -1,7 +1,7 @@
 //! The seats of the core: who holds each of them, and how a controller takes
 //! over one whose holder is gone. No I/O.
 //!
-//! **What is agreed.** For each seat a `Holding`: generation, holder, address.
+//! **What is agreed.** For each seat a `SlotHolder`: generation, holder, address.
 //! Between two holdings of a seat the higher (`generation`, `holder`) stands,
 //! so two applicants for one generation end alike everywhere. A process's table
 //! only rises, and is on its disk before the process tells it or acts by it.
@@ -31,8 +31,8 @@
 //! one before, so nothing is missed in between.
 //!
 //! **Two holders of a seat never both count**: a majority counts the one that
-//! its table names. An epoch is a seat's own, not a holder's: a newcomer knows
-//! the highest promise of a majority, which any epoch of its forerunner had, so
+//! its table names. An term is a seat's own, not a holder's: a newcomer knows
+//! the highest promise of a majority, which any term of its forerunner had, so
 //! it claims above it.
 //!
 //! **Handovers.** A holder that leaves in order names its successor itself
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -3,13 +3,13 @@
 //! on asking, and is at hand.
 
 use crate::consts;
-use crate::control_plane::controller::{Command, Core, WireId};
+use crate::control_plane::controller::{Command, ConnectionId, ControllerState};
 use crate::digest::pair;
-use crate::identifiers::Seat;
-use crate::protocol::message::Msg;
+use crate::identifiers::VoterSlot;
+use crate::protocol::message::Message;
 use crate::time::{Tick, since};
 use crate::voters::handover;
-use crate::voters::voter_set::{Holding, NOBODY, after_takeover, balanced, majority};
+use crate::voters::voter_set::{NOBODY, SlotHolder, after_takeover, balanced, majority};
 use crate::voters::voter_slots;
 use crate::voters::voter_slots::newest;
 
@@ -17,11 +17,11 @@
 #[derive(Clone)]
 pub struct Offer {
     pub at: Tick,
-    pub free: Vec<Seat>,
+    pub free: Vec<VoterSlot>,
 }
 
 /// Time passes for a controller that has no seat.
-pub fn wake(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
+pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     let s = &mut core.seating;
     if now < s.apply_at || s.roll.me == 0 || s.handovers.leaving.is_some() {
         return;
@@ -29,23 +29,28 @@
     s.apply_at = now + consts::APPLY_BEAT;
     let (holder, addr, zone) = (s.roll.me, s.addr.clone(), s.zone.clone());
     let stamp = s.stamp;
-    out.push(Command::ToAll { msg: Msg::Apply { holder, addr, zone, stamp } });
+    out.push(Command::ToAll { message: Message::Apply { holder, addr, zone, stamp } });
 }
 
 /// Whether we would give seat `k` to a controller: it is vacant, or it is the
 /// controller's own from before its disk was lost, or its holder is silent.
-fn gives(core: &Core, now: Tick, k: Seat, (holder, addr, zone): (u64, &str, &str)) -> bool {
+fn gives(
+    core: &ControllerState,
+    now: Tick,
+    k: VoterSlot,
+    (holder, addr, zone): (u64, &str, &str),
+) -> bool {
     let s = &core.seating;
     let table = newest(s);
-    let Some(h) = table.seats.get(usize::from(k)) else { return false };
-    if k == core.seat || h.holder == holder {
+    let Some(h) = table.slots.get(usize::from(k)) else { return false };
+    if k == core.slot || h.holder == holder {
         return false;
     }
     if h.holder != 0 && h.addr == addr {
         return true;
     }
     // One that has a seat elsewhere, or had one under this address, takes that.
-    if table.seats.iter().any(|h| h.holder == holder || (h.holder != 0 && h.addr == addr)) {
+    if table.slots.iter().any(|h| h.holder == holder || (h.holder != 0 && h.addr == addr)) {
         return false;
     }
     let fits = balanced(table, k, zone);
@@ -57,75 +62,81 @@
 
 /// A controller without a seat asks what we would give it.
 pub fn asked(
-    core: &mut Core,
+    core: &mut ControllerState,
     now: Tick,
-    wire: WireId,
+    connection: ConnectionId,
     (holder, addr, zone): (u64, &str, &str),
     stamp: u64,
     out: &mut Vec<Command>,
 ) {
     if stamp != core.seating.stamp {
-        voter_slots::tell(core, wire, out);
+        voter_slots::tell(core, connection, out);
     }
-    if core.seat == NOBODY {
+    if core.slot == NOBODY {
         return;
     }
-    handover::note_applicant(core, now, wire, holder, zone);
+    handover::note_applicant(core, now, connection, holder, zone);
     if handover::is_leaving(core) {
         // What we would give is ours alone, and is offered by `handover`.
         return;
     }
-    let size = core.seating.roll.table.seats.len() as Seat;
+    let size = core.seating.roll.table.slots.len() as VoterSlot;
     let free = (0..size).filter(|k| gives(core, now, *k, (holder, addr, zone))).collect();
-    let (seat, stamp) = (core.seat, core.seating.stamp);
-    out.push(Command::ToWire { wire, msg: Msg::Offer { seat, stamp, free } });
+    let (slot, stamp) = (core.slot, core.seating.stamp);
+    out.push(Command::ToWire { connection, message: Message::Offer { slot, stamp, free } });
 }
 
 /// A seat says what it would give us.
 pub fn offered(
-    core: &mut Core,
+    core: &mut ControllerState,
     now: Tick,
-    (seat, stamp): (Seat, u64),
-    free: Vec<Seat>,
+    (slot, stamp): (VoterSlot, u64),
+    free: Vec<VoterSlot>,
     out: &mut Vec<Command>,
 ) {
     let is_reserved = handover::is_reserved(core, now);
     let s = &mut core.seating;
-    if let Some(quiet) = s.quiet.get_mut(usize::from(seat)) {
+    if let Some(quiet) = s.quiet.get_mut(usize::from(slot)) {
         *quiet = 0;
     }
-    if core.seat != NOBODY || stamp != s.stamp || s.next.is_some() || is_reserved {
+    if core.slot != NOBODY || stamp != s.stamp || s.next.is_some() || is_reserved {
         return;
     }
-    let Some(cell) = s.offers.get_mut(usize::from(seat)) else { return };
+    let Some(cell) = s.offers.get_mut(usize::from(slot)) else { return };
     *cell = Some(Offer { at: now, free });
     let size = s.offers.len();
-    let yes = |k: Seat| {
+    let yes = |k: VoterSlot| {
         let list = s.offers.iter().enumerate().filter(|(i, _)| *i != usize::from(k));
         list.filter_map(|(_, o)| o.as_ref())
             .filter(|o| since(o.at, now) < 2 * consts::APPLY_BEAT && o.free.contains(&k))
             .count()
     };
-    let ours = |k: &Seat| s.roll.table.seats[usize::from(*k)].addr == s.addr;
-    let open = (0..size as Seat).filter(|k| yes(*k) >= majority(size));
+    let ours = |k: &VoterSlot| s.roll.table.slots[usize::from(*k)].addr == s.addr;
+    let open = (0..size as VoterSlot).filter(|k| yes(*k) >= majority(size));
     // Our own from before first; else applicants spread over what is free.
     let Some(k) = open.max_by_key(|k| (ours(k), pair(s.roll.me, u64::from(*k)))) else { return };
-    let generation = after_takeover(s.roll.table.seats[usize::from(k)].generation);
+    let generation = after_takeover(s.roll.table.slots[usize::from(k)].generation);
     let (addr, zone) = (s.addr.clone(), s.zone.clone());
-    let holding = Holding { generation, holder: s.roll.me, addr, zone };
+    let holding = SlotHolder { generation, holder: s.roll.me, addr, zone };
     s.offers = vec![None; size];
     s.handovers.claimed_at = Some(now);
-    out.push(Command::ToAll { msg: Msg::Take { seat: k, holding } });
+    out.push(Command::ToAll { message: Message::Take { slot: k, holding } });
 }
 
 /// A controller takes a seat that a majority would give it. We agree by
 /// holding the table with it; that is told once it is on our disk.
-pub fn taken(core: &mut Core, now: Tick, k: Seat, new: Holding, out: &mut Vec<Command>) {
-    if core.seat == NOBODY || !gives(core, now, k, (new.holder, &new.addr, &new.zone)) {
+pub fn taken(
+    core: &mut ControllerState,
+    now: Tick,
+    k: VoterSlot,
+    new: SlotHolder,
+    out: &mut Vec<Command>,
+) {
+    if core.slot == NOBODY || !gives(core, now, k, (new.holder, &new.addr, &new.zone)) {
         return;
     }
     let mut table = newest(&core.seating).clone();
-    let cell = &mut table.seats[usize::from(k)];
+    let cell = &mut table.slots[usize::from(k)];
     if new.holder == 0 || new.generation != after_takeover(cell.generation) {
         return;
     }
--- a/crates/core/src/voters/voter_file.rs
+++ b/crates/core/src/voters/voter_file.rs
@@ -3,9 +3,9 @@
 use nanoserde::{DeBin, SerBin};
 
 use crate::consts::{DISK_VERSION, RECORD_LIMIT};
-use crate::identifiers::Seat;
+use crate::identifiers::VoterSlot;
 use crate::voters::voter_set::{
-    Table, first_holder, first_table, merge, seat_of, told_holder, told_table,
+    VoterSet, first_holder, first_table, merge, seat_of, told_holder, told_table,
 };
 
 const MARK: &[u8; 6] = b"GRBrol";
@@ -16,15 +16,15 @@
 ///
 /// Invariant: `me` is on disk before anybody hears it.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
-pub struct Roll {
+pub struct VoterFile {
     pub me: u64,
     /// This disk was there, empty, when the fleet first began.
     pub first: bool,
-    pub table: Table,
+    pub table: VoterSet,
 }
 
 /// The bytes of the file.
-pub fn write(roll: &Roll) -> Vec<u8> {
+pub fn write(roll: &VoterFile) -> Vec<u8> {
     let body = roll.serialize_bin();
     let mut out = Vec::with_capacity(HEAD + body.len());
     out.extend(MARK);
@@ -36,7 +36,7 @@
 }
 
 /// Reads the file; anything that does not fit counts as no file at all.
-pub fn read(raw: &[u8]) -> Option<Roll> {
+pub fn read(raw: &[u8]) -> Option<VoterFile> {
     let (head, body) = raw.split_at_checked(HEAD)?;
     let num = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
     let fits = head[..6] == MARK[..]
@@ -44,15 +44,15 @@
         && num(8) as usize == body.len()
         && num(8) <= RECORD_LIMIT
         && num(12) == crc32fast::hash(body);
-    let roll = fits.then(|| Roll::deserialize_bin(body).ok()).flatten()?;
-    (roll.me != 0 && roll.table.seats.len() <= usize::from(crate::consts::SEATS_MAX))
+    let roll = fits.then(|| VoterFile::deserialize_bin(body).ok()).flatten()?;
+    (roll.me != 0 && roll.table.slots.len() <= usize::from(crate::consts::SEATS_MAX))
         .then_some(roll)
 }
 
 /// What a controller is told of the seats at its start.
 pub struct Start {
     /// Its seat, where an operator gives the seats away.
-    pub seat: Option<Seat>,
+    pub slot: Option<VoterSlot>,
     /// Whether this is the fleet's first start of all.
     pub first: bool,
     pub seeds: Vec<String>,
@@ -65,15 +65,15 @@
 /// Who a controller is at its start, by what it is told and what it found on
 /// its disk, and whether the parts found there must be set aside. `bare`: there
 /// are none. The roll must be on disk before anything else is done.
-pub fn begin(found: Option<Roll>, p: &Start, bare: bool, nonce: u64) -> (Roll, bool) {
-    let fresh = |table: Table| (Roll { me: nonce | 1, first: false, table }, !bare);
-    match (found, p.seat) {
-        (found, Some(seat)) => {
+pub fn begin(found: Option<VoterFile>, p: &Start, bare: bool, nonce: u64) -> (VoterFile, bool) {
+    let fresh = |table: VoterSet| (VoterFile { me: nonce | 1, first: false, table }, !bare);
+    match (found, p.slot) {
+        (found, Some(slot)) => {
             let told = told_table(&p.seeds);
-            let me = found.as_ref().map_or(told_holder(seat), |r| r.me);
+            let me = found.as_ref().map_or(told_holder(slot), |r| r.me);
             let table = found.and_then(|r| merge(&told, &r.table)).unwrap_or(told);
             match seat_of(&table, me) {
-                Some(_) => (Roll { me, first: me == told_holder(seat), table }, false),
+                Some(_) => (VoterFile { me, first: me == told_holder(slot), table }, false),
                 // It was given to another while we were down.
                 None => fresh(table),
             }
@@ -84,8 +84,8 @@
         (Some(roll), None) => fresh(roll.table),
         (None, None) if p.first && bare && p.seeds.contains(&p.addr) => {
             let table = first_table(&p.seeds, p.size);
-            (Roll { me: first_holder(&p.addr), first: true, table }, false)
+            (VoterFile { me: first_holder(&p.addr), first: true, table }, false)
         }
-        (None, None) => fresh(Table::default()),
+        (None, None) => fresh(VoterSet::default()),
     }
 }
--- a/crates/core/src/voters/voter_set.rs
+++ b/crates/core/src/voters/voter_set.rs
@@ -4,10 +4,10 @@
 
 use crate::consts;
 use crate::digest::hash;
-use crate::identifiers::Seat;
+use crate::identifiers::VoterSlot;
 
 /// The seat of a controller that has none.
-pub const NOBODY: Seat = Seat::MAX;
+pub const NOBODY: VoterSlot = VoterSlot::MAX;
 /// Generation of the holders with which a fleet begins.
 pub const FIRST: u32 = 1;
 
@@ -17,7 +17,7 @@
 /// but that the zone of a first holder is filled in when it is heard. Vacant:
 /// generation 0, holder 0.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
-pub struct Holding {
+pub struct SlotHolder {
     pub generation: u32,
     /// Drawn once in a disk's life; of first holders it follows from the seeds.
     pub holder: u64,
@@ -28,14 +28,14 @@
 
 /// All seats. Empty: not known yet.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
-pub struct Table {
-    pub seats: Vec<Holding>,
+pub struct VoterSet {
+    pub slots: Vec<SlotHolder>,
 }
 
 /// A seat among the others: what the replica groups need of the table.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Group {
-    pub seat: Seat,
+pub struct VoterGroup {
+    pub slot: VoterSlot,
     /// All seats, vacant ones counted.
     pub size: usize,
     /// Seats that somebody holds, as bits.
@@ -52,14 +52,14 @@
 }
 
 /// The group as `seat` sees it.
-pub fn group(table: &Table, seat: Seat, first: bool) -> Group {
-    let bits = |fits: &dyn Fn(&Holding) -> bool| {
-        let list = table.seats.iter().enumerate();
+pub fn group(table: &VoterSet, slot: VoterSlot, first: bool) -> VoterGroup {
+    let bits = |fits: &dyn Fn(&SlotHolder) -> bool| {
+        let list = table.slots.iter().enumerate();
         list.filter(|(_, h)| fits(h)).fold(0u16, |bits, (i, _)| bits | 1 << i)
     };
-    Group {
-        seat,
-        size: table.seats.len(),
+    VoterGroup {
+        slot,
+        size: table.slots.len(),
         taken: bits(&|h| h.holder != 0),
         firsts: bits(&|h| h.generation == FIRST),
         first,
@@ -67,8 +67,8 @@
 }
 
 /// Every other seat that somebody holds.
-pub fn others(g: Group) -> impl Iterator<Item = Seat> {
-    (0..g.size as Seat).filter(move |s| *s != g.seat && g.taken >> *s & 1 == 1)
+pub fn others(g: VoterGroup) -> impl Iterator<Item = VoterSlot> {
+    (0..g.size as VoterSlot).filter(move |s| *s != g.slot && g.taken >> *s & 1 == 1)
 }
 
 /// Generations of a seat between two takeovers (count): those between are
@@ -90,38 +90,38 @@
 }
 
 /// Which of two holdings of a seat stands.
-pub fn ballot(h: &Holding) -> (u32, u64) {
+pub fn ballot(h: &SlotHolder) -> (u32, u64) {
     (h.generation, h.holder)
 }
 
 /// A number that two tables share only if the same holders have the seats.
-pub fn stamp(table: &Table) -> u64 {
+pub fn stamp(table: &VoterSet) -> u64 {
     let text: String =
-        table.seats.iter().map(|h| format!("{}.{:x}/", h.generation, h.holder)).collect();
+        table.slots.iter().map(|h| format!("{}.{:x}/", h.generation, h.holder)).collect();
     hash(&text)
 }
 
 /// The seat of a holder.
-pub fn seat_of(table: &Table, holder: u64) -> Option<Seat> {
-    let at = table.seats.iter().position(|h| holder != 0 && h.holder == holder)?;
-    Some(at as Seat)
+pub fn seat_of(table: &VoterSet, holder: u64) -> Option<VoterSlot> {
+    let at = table.slots.iter().position(|h| holder != 0 && h.holder == holder)?;
+    Some(at as VoterSlot)
 }
 
 /// `ours` with all that is newer in `theirs`; `None` if nothing is. Tables of
 /// another size are another fleet's.
-pub fn merge(ours: &Table, theirs: &Table) -> Option<Table> {
-    let size = theirs.seats.len();
+pub fn merge(ours: &VoterSet, theirs: &VoterSet) -> Option<VoterSet> {
+    let size = theirs.slots.len();
     if size == 0 || size > usize::from(consts::SEATS_MAX) {
         return None;
     }
-    if ours.seats.is_empty() {
+    if ours.slots.is_empty() {
         return Some(theirs.clone());
     }
-    if ours.seats.len() != size {
+    if ours.slots.len() != size {
         return None;
     }
     let mut new = ours.clone();
-    for (a, b) in new.seats.iter_mut().zip(&theirs.seats) {
+    for (a, b) in new.slots.iter_mut().zip(&theirs.slots) {
         if ballot(b) > ballot(a) {
             *a = b.clone();
         } else if ballot(b) == ballot(a) && a.zone.is_empty() {
@@ -139,49 +139,50 @@
 /// The table with which a fleet begins: its seeds hold the first seats, the
 /// others are vacant. With fewer seeds than a majority nobody could ever be
 /// formed, so there are fewer seats then.
-pub fn first_table(seeds: &[String], size: usize) -> Table {
+pub fn first_table(seeds: &[String], size: usize) -> VoterSet {
     let mut size = size.min(usize::from(consts::SEATS_MAX));
     if seeds.len() < majority(size) {
         size = (seeds.len().max(1) - 1) | 1;
     }
-    let seat = |i: usize| match seeds.get(i) {
-        Some(addr) => Holding {
+    let slot = |i: usize| match seeds.get(i) {
+        Some(addr) => SlotHolder {
             generation: FIRST,
             holder: first_holder(addr),
             addr: addr.clone(),
             zone: String::new(),
         },
-        None => Holding::default(),
+        None => SlotHolder::default(),
     };
-    Table { seats: (0..size).map(seat).collect() }
+    VoterSet { slots: (0..size).map(slot).collect() }
 }
 
 /// The table of a fleet whose controllers are told their seats: the seeds in
 /// their order. Holders are known by their seat, so an operator may move one.
-pub fn told_table(seeds: &[String]) -> Table {
-    let seat = |(i, addr): (usize, &String)| Holding {
+pub fn told_table(seeds: &[String]) -> VoterSet {
+    let slot = |(i, addr): (usize, &String)| SlotHolder {
         generation: FIRST,
-        holder: told_holder(i as Seat),
+        holder: told_holder(i as VoterSlot),
         addr: addr.clone(),
         zone: String::new(),
     };
-    Table { seats: seeds.iter().enumerate().map(seat).collect() }
+    VoterSet { slots: seeds.iter().enumerate().map(slot).collect() }
 }
 
 /// The holder's id of a controller that is told its seat.
-pub fn told_holder(seat: Seat) -> u64 {
-    u64::from(seat) + 1
+pub fn told_holder(slot: VoterSlot) -> u64 {
+    u64::from(slot) + 1
 }
 
 /// Whether a zone may have seat `k`: none comes to hold so many that its loss
 /// would take the majority, unless one does already.
-pub fn balanced(table: &Table, k: Seat, zone: &str) -> bool {
-    let size = table.seats.len();
-    let count = |zone: &str, without: Option<Seat>| {
-        let list = table.seats.iter().enumerate();
-        list.filter(|(i, h)| h.holder != 0 && h.zone == zone && Some(*i as Seat) != without).count()
+pub fn balanced(table: &VoterSet, k: VoterSlot, zone: &str) -> bool {
+    let size = table.slots.len();
+    let count = |zone: &str, without: Option<VoterSlot>| {
+        let list = table.slots.iter().enumerate();
+        list.filter(|(i, h)| h.holder != 0 && h.zone == zone && Some(*i as VoterSlot) != without)
+            .count()
     };
-    let worst = table.seats.iter().map(|h| count(&h.zone, None)).max().unwrap_or(0);
+    let worst = table.slots.iter().map(|h| count(&h.zone, None)).max().unwrap_or(0);
     let after = count(zone, Some(k)) + 1;
     zone.is_empty() || after <= (size - majority(size)).max(worst)
 }
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -4,27 +4,27 @@
 use indexmap::IndexSet;
 
 use crate::consts;
-use crate::control_plane::controller::{Command, Core, WireId};
+use crate::control_plane::controller::{Command, ConnectionId, ControllerState};
 use crate::control_plane::operation_forwarding;
-use crate::identifiers::Seat;
-use crate::protocol::message::{Life, Msg};
+use crate::identifiers::VoterSlot;
+use crate::protocol::message::{Message, ReplicaCondition};
 use crate::random::draw;
 use crate::replication::{partition, replica};
 use crate::time::{Span, Tick, since};
 use crate::voters::handover;
 use crate::voters::handover::Handovers;
 use crate::voters::slot_takeover::Offer;
-use crate::voters::voter_file::Roll;
+use crate::voters::voter_file::VoterFile;
 use crate::voters::voter_set::{
-    Group, NOBODY, Table, ballot, group, merge, others, seat_of, stamp,
+    NOBODY, VoterGroup, VoterSet, ballot, group, merge, others, seat_of, stamp,
 };
 
 /// What a controller knows of the seats.
 ///
 /// Invariants: `roll` is on disk; what is told, counted or done rests on it
 /// alone; `next` follows it and is on its way to the disk.
-pub struct Seating {
-    pub roll: Roll,
+pub struct VoterSlots {
+    pub roll: VoterFile,
     pub stamp: u64,
     /// Where others reach us, and our zone.
     pub addr: String,
@@ -40,7 +40,7 @@
     pub sent: Vec<Tick>,
     pub told: Vec<Tick>,
     /// Wires that others opened to us.
-    pub wires: IndexSet<WireId>,
+    pub connections: IndexSet<ConnectionId>,
     pub apply_at: Tick,
     /// The seats that each seat would give us, while we have none.
     pub offers: Vec<Option<Offer>>,
@@ -51,7 +51,7 @@
 
 /// A roll on its way to the disk.
 pub struct Next {
-    pub roll: Roll,
+    pub roll: VoterFile,
     pub token: u64,
     /// The parts' files are set aside first: they are of a former life.
     pub clear: bool,
@@ -60,9 +60,9 @@
 }
 
 /// The seating of a controller that has read its disk.
-pub fn seating(roll: Roll, (addr, zone): (&str, &str), now: Tick) -> Seating {
-    let size = roll.table.seats.len();
-    Seating {
+pub fn seating(roll: VoterFile, (addr, zone): (&str, &str), now: Tick) -> VoterSlots {
+    let size = roll.table.slots.len();
+    VoterSlots {
         stamp: stamp(&roll.table),
         roll,
         addr: addr.to_string(),
@@ -74,7 +74,7 @@
         quiet: vec![0; size],
         sent: vec![0; size],
         told: vec![0; size],
-        wires: IndexSet::new(),
+        connections: IndexSet::new(),
         apply_at: now,
         offers: vec![None; size],
         turns: 0,
@@ -83,29 +83,29 @@
 }
 
 /// The group of replicas as this controller sees it.
-pub fn here(core: &Core) -> Group {
-    group(&core.seating.roll.table, core.seat, core.seating.roll.first)
+pub fn here(core: &ControllerState) -> VoterGroup {
+    group(&core.seating.roll.table, core.slot, core.seating.roll.first)
 }
 
 /// The newest table we know, on disk or on its way there.
-pub fn newest(s: &Seating) -> &Table {
+pub fn newest(s: &VoterSlots) -> &VoterSet {
     s.next.as_ref().map_or(&s.roll.table, |n| &n.roll.table)
 }
 
 /// Whether `holder` has `seat` by the table that we hold.
-pub fn holds(s: &Seating, seat: Seat, holder: u64) -> bool {
-    s.roll.table.seats.get(usize::from(seat)).is_some_and(|h| h.holder == holder && holder != 0)
+pub fn holds(s: &VoterSlots, slot: VoterSlot, holder: u64) -> bool {
+    s.roll.table.slots.get(usize::from(slot)).is_some_and(|h| h.holder == holder && holder != 0)
 }
 
 /// Takes in a table that somebody told us.
-pub fn learn(core: &mut Core, now: Tick, theirs: &Table, out: &mut Vec<Command>) {
+pub fn learn(core: &mut ControllerState, now: Tick, theirs: &VoterSet, out: &mut Vec<Command>) {
     if let Some(table) = merge(newest(&core.seating), theirs) {
         put(core, now, table, out);
     }
 }
 
 /// Sends a newer table to the disk; it is adopted once it is there.
-pub fn put(core: &mut Core, now: Tick, table: Table, out: &mut Vec<Command>) {
+pub fn put(core: &mut ControllerState, now: Tick, table: VoterSet, out: &mut Vec<Command>) {
     let s = &core.seating;
     let (mut roll, clear) =
         s.next.as_ref().map_or((s.roll.clone(), false), |n| (n.roll.clone(), n.clear));
@@ -113,7 +113,13 @@
     keep(core, now, roll, clear, out);
 }
 
-fn keep(core: &mut Core, _now: Tick, roll: Roll, clear: bool, out: &mut Vec<Command>) {
+fn keep(
+    core: &mut ControllerState,
+    _now: Tick,
+    roll: VoterFile,
+    clear: bool,
+    out: &mut Vec<Command>,
+) {
     let s = &mut core.seating;
     s.token += 1;
     let token = s.token;
@@ -122,7 +128,7 @@
 }
 
 /// The disk failed to keep the roll: it is tried again.
-pub fn trouble(core: &mut Core, now: Tick, why: &str, out: &mut Vec<Command>) {
+pub fn trouble(core: &mut ControllerState, now: Tick, why: &str, out: &mut Vec<Command>) {
     if let Some(next) = &mut core.seating.next {
         next.again = Some(now + consts::DISK_STALL);
         out.push(Command::Alarm(format!("the table of the seats can't be kept: {why}")));
@@ -130,32 +136,32 @@
 }
 
 /// A roll is on disk: from here on we act by it.
-pub fn kept(core: &mut Core, now: Tick, token: u64, out: &mut Vec<Command>) {
+pub fn kept(core: &mut ControllerState, now: Tick, token: u64, out: &mut Vec<Command>) {
     // An older one that is there too is only part of the newest.
     let Some(next) = core.seating.next.take_if(|n| n.token == token) else { return };
     let s = &mut core.seating;
     let old = std::mem::replace(&mut s.roll, next.roll);
     s.stamp = stamp(&s.roll.table);
-    let size = s.roll.table.seats.len();
+    let size = s.roll.table.slots.len();
     s.quiet.resize(size, 0);
     s.sent.resize(size, 0);
     s.told.resize(size, 0);
     s.offers = vec![None; size];
     let moved: Vec<bool> = (0..size)
-        .map(|i| old.table.seats.get(i).map(ballot) != s.roll.table.seats.get(i).map(ballot))
+        .map(|i| old.table.slots.get(i).map(ballot) != s.roll.table.slots.get(i).map(ballot))
         .collect();
     operation_forwarding::slots_moved(core, &moved);
     let s = &mut core.seating;
     for (i, _) in moved.iter().enumerate().filter(|(_, m)| **m) {
         s.quiet[i] = 0;
-        let h = &s.roll.table.seats[i];
+        let h = &s.roll.table.slots[i];
         let text = format!("seat {i}: {} has it, generation {}", h.addr, h.generation);
         out.push(Command::Alarm(text));
     }
     out.push(Command::Seats);
-    let seat = seat_of(&s.roll.table, s.roll.me).unwrap_or(NOBODY);
-    if core.seat != seat {
-        let had = std::mem::replace(&mut core.seat, seat);
+    let slot = seat_of(&s.roll.table, s.roll.me).unwrap_or(NOBODY);
+    if core.slot != slot {
+        let had = std::mem::replace(&mut core.slot, slot);
         operation_forwarding::hand_all_anew(core);
         if had != NOBODY {
             // Given to another: what we hold may not count any more, for good.
@@ -166,13 +172,13 @@
         }
         // What our address granted in a former life must have run out.
         let from = core.seating.began + consts::OWNER_SILENCE;
-        for p in &mut core.parts {
+        for p in &mut core.partitions {
             p.relearn.ask_at = now.max(from);
         }
     }
     if moved.iter().any(|m| *m) {
         let g = here(core);
-        for p in &mut core.parts {
+        for p in &mut core.partitions {
             replica::moved(p, now, g, &moved, out);
         }
     }
@@ -180,106 +186,118 @@
 }
 
 /// Our seat is another's: we begin anew, as a controller that has nothing.
-fn renounce(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
+fn renounce(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     out.push(Command::Alarm("our seat was given to another: we begin anew without one".into()));
-    core.seat = NOBODY;
-    for p in &mut core.parts {
+    core.slot = NOBODY;
+    for p in &mut core.partitions {
         forget(p, now, out);
     }
     core.members = Default::default();
     let me = draw(&mut core.luck) | 1;
-    let roll = Roll { me, first: false, table: core.seating.roll.table.clone() };
+    let roll = VoterFile { me, first: false, table: core.seating.roll.table.clone() };
     // The former id is nobody's any more; nobody is told a new one yet.
     core.seating.roll.me = 0;
     keep(core, now, roll, true, out);
 }
 
 /// Empties a replica in memory: what it holds counts no more.
-pub fn forget(p: &mut partition::Part, now: Tick, out: &mut Vec<Command>) {
+pub fn forget(p: &mut partition::Partition, now: Tick, out: &mut Vec<Command>) {
     replica::resign(p, now, None, out);
-    let mut fresh = partition::part(p.id, Life::Empty, Default::default(), 0, now);
+    let mut fresh = partition::partition(p.id, ReplicaCondition::Empty, Default::default(), 0, now);
     fresh.next_token = p.next_token;
     *p = fresh;
 }
 
-fn telling(s: &Seating) -> Msg {
-    Msg::Seats { me: s.roll.me, table: s.roll.table.clone() }
+fn telling(s: &VoterSlots) -> Message {
+    Message::Seats { me: s.roll.me, table: s.roll.table.clone() }
 }
 
 /// Tells everyone the table.
-fn tell_all(core: &mut Core, out: &mut Vec<Command>) {
-    let msg = telling(&core.seating);
-    for seat in others(here(core)) {
-        out.push(Command::ToSeat { seat, msg: msg.clone() });
+fn tell_all(core: &mut ControllerState, out: &mut Vec<Command>) {
+    let message = telling(&core.seating);
+    for slot in others(here(core)) {
+        out.push(Command::ToSeat { slot, message: message.clone() });
     }
-    for wire in &core.seating.wires {
-        out.push(Command::ToWire { wire: *wire, msg: msg.clone() });
+    for connection in &core.seating.connections {
+        out.push(Command::ToWire { connection: *connection, message: message.clone() });
     }
 }
 
-/// Tells the table on one wire.
-pub fn tell(core: &Core, wire: WireId, out: &mut Vec<Command>) {
-    if !core.seating.roll.table.seats.is_empty() {
-        out.push(Command::ToWire { wire, msg: telling(&core.seating) });
+/// Tells the table on one connection.
+pub fn tell(core: &ControllerState, connection: ConnectionId, out: &mut Vec<Command>) {
+    if !core.seating.roll.table.slots.is_empty() {
+        out.push(Command::ToWire { connection, message: telling(&core.seating) });
     }
 }
 
 /// Tells the table to a seat that has another, not too often.
-pub fn tell_again(core: &mut Core, now: Tick, seat: Seat, wire: WireId, out: &mut Vec<Command>) {
-    let Some(at) = core.seating.told.get_mut(usize::from(seat)) else { return };
+pub fn tell_again(
+    core: &mut ControllerState,
+    now: Tick,
+    slot: VoterSlot,
+    connection: ConnectionId,
+    out: &mut Vec<Command>,
+) {
+    let Some(at) = core.seating.told.get_mut(usize::from(slot)) else { return };
     if since(*at, now) >= consts::TABLE_AGAIN {
         *at = now;
-        tell(core, wire, out);
+        tell(core, connection, out);
     }
 }
 
-/// Somebody told us its table on a wire that we opened.
-pub fn answered(core: &mut Core, now: Tick, me: u64, theirs: &Table, out: &mut Vec<Command>) {
+/// Somebody told us its table on a connection that we opened.
+pub fn answered(
+    core: &mut ControllerState,
+    now: Tick,
+    me: u64,
+    theirs: &VoterSet,
+    out: &mut Vec<Command>,
+) {
     learn(core, now, theirs, out);
     // It lacks something that we hold.
     if merge(theirs, &core.seating.roll.table).is_some()
-        && let Some(seat) = seat_of(&core.seating.roll.table, me)
+        && let Some(slot) = seat_of(&core.seating.roll.table, me)
     {
-        out.push(Command::ToSeat { seat, msg: telling(&core.seating) });
+        out.push(Command::ToSeat { slot, message: telling(&core.seating) });
     }
 }
 
 /// The stamp of a message that counts only under equal tables.
-pub fn stamp_of(msg: &Msg) -> Option<u64> {
-    match msg {
-        Msg::VoteGranted { stamp, .. }
-        | Msg::AppendAck { stamp, .. }
-        | Msg::HeartbeatAck { stamp, .. }
-        | Msg::ReplicaStatus { stamp, .. }
-        | Msg::MembershipReplicated { stamp, .. }
-        | Msg::MembershipFetched { stamp, .. }
-        | Msg::Here { stamp } => Some(*stamp),
+pub fn stamp_of(message: &Message) -> Option<u64> {
+    match message {
+        Message::VoteGranted { stamp, .. }
+        | Message::AppendAck { stamp, .. }
+        | Message::HeartbeatAck { stamp, .. }
+        | Message::ReplicaStatus { stamp, .. }
+        | Message::MembershipReplicated { stamp, .. }
+        | Message::MembershipFetched { stamp, .. }
+        | Message::Here { stamp } => Some(*stamp),
         _ => None,
     }
 }
 
 /// The same, to be set.
-pub fn stamped(msg: &mut Msg) -> Option<&mut u64> {
-    match msg {
-        Msg::VoteGranted { stamp, .. }
-        | Msg::AppendAck { stamp, .. }
-        | Msg::HeartbeatAck { stamp, .. }
-        | Msg::ReplicaStatus { stamp, .. }
-        | Msg::MembershipReplicated { stamp, .. }
-        | Msg::MembershipFetched { stamp, .. }
-        | Msg::Here { stamp } => Some(stamp),
+pub fn stamped(message: &mut Message) -> Option<&mut u64> {
+    match message {
+        Message::VoteGranted { stamp, .. }
+        | Message::AppendAck { stamp, .. }
+        | Message::HeartbeatAck { stamp, .. }
+        | Message::ReplicaStatus { stamp, .. }
+        | Message::MembershipReplicated { stamp, .. }
+        | Message::MembershipFetched { stamp, .. }
+        | Message::Here { stamp } => Some(stamp),
         _ => None,
     }
 }
 
 /// Puts our stamp on what needs it, and notes to whom we spoke.
-pub fn mark(core: &mut Core, now: Tick, out: &mut [Command]) {
+pub fn mark(core: &mut ControllerState, now: Tick, out: &mut [Command]) {
     for command in out {
-        if let Command::ToSeat { seat, msg } = command {
-            if let Some(stamp) = stamped(msg) {
+        if let Command::ToSeat { slot, message } = command {
+            if let Some(stamp) = stamped(message) {
                 *stamp = core.seating.stamp;
             }
-            if let Some(at) = core.seating.sent.get_mut(usize::from(*seat)) {
+            if let Some(at) = core.seating.sent.get_mut(usize::from(*slot)) {
                 *at = now;
             }
         }
@@ -287,7 +305,7 @@
 }
 
 /// Time passes: silence is counted, and we show that we live.
-pub fn wake(core: &mut Core, now: Tick, out: &mut Vec<Command>) {
+pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     let s = &mut core.seating;
     let past = since(s.woke, now).min(2 * crate::control_plane::step::WAKE);
     s.woke = now;
@@ -302,22 +320,22 @@
         out.push(Command::Keep { token, roll, clear });
     }
     handover::wake(core, now, out);
-    if core.seat == NOBODY {
+    if core.slot == NOBODY {
         return crate::voters::slot_takeover::wake(core, now, out);
     }
     // Our own zone, where the seeds could not tell it.
-    let own = usize::from(core.seat);
+    let own = usize::from(core.slot);
     if core.seating.next.is_none()
-        && core.seating.roll.table.seats[own].zone.is_empty()
+        && core.seating.roll.table.slots[own].zone.is_empty()
         && !core.seating.zone.is_empty()
     {
         let mut table = core.seating.roll.table.clone();
-        table.seats[own].zone.clone_from(&core.seating.zone);
+        table.slots[own].zone.clone_from(&core.seating.zone);
         put(core, now, table, out);
     }
-    for seat in others(here(core)) {
-        if since(core.seating.sent[usize::from(seat)], now) >= consts::HERE_BEAT {
-            out.push(Command::ToSeat { seat, msg: Msg::Here { stamp: 0 } });
+    for slot in others(here(core)) {
+        if since(core.seating.sent[usize::from(slot)], now) >= consts::HERE_BEAT {
+            out.push(Command::ToSeat { slot, message: Message::Here { stamp: 0 } });
         }
     }
 }
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -10,7 +10,7 @@
 use grebepath_core::config::change::config;
 use grebepath_core::consts;
 use grebepath_core::control_plane::controller::Event;
-use grebepath_core::protocol::message::{Deed, Done, Life};
+use grebepath_core::protocol::message::{Operation, OperationResult, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::Copy;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
@@ -21,13 +21,13 @@
 const MOST_STATE: usize = 700 * 1024;
 
 /// A change that names the edition it builds on, as operators do.
-fn edition(after: u64, note: &str) -> Deed {
+fn edition(after: u64, note: &str) -> Operation {
     let val = json!({
         "zones": [{ "name": format!("zone-{}", after % 50), "state": "open" }],
         "pools": [{ "name": format!("pool-{}", after % 40), "service": format!("service-{after}"),
                     "labels": { "note": note } }],
         "terms": { "after": after, "edition": after + 1 } });
-    Deed::Patch(val.to_string().into_bytes())
+    Operation::Patch(val.to_string().into_bytes())
 }
 
 /// Operators that change one edition after the other.
@@ -43,7 +43,7 @@
         let deed = edition(after, &operator.note);
         let order = ask(cluster, node, &format!("order-{after}"), deed);
         let done = answered(cluster, order);
-        assert!(matches!(done, Done::Accepted { .. }), "edition {after}: {done:?}");
+        assert!(matches!(done, OperationResult::Accepted { .. }), "edition {after}: {done:?}");
         operator.edition += 1;
     }
 }
@@ -53,12 +53,12 @@
 }
 
 fn copy(cluster: &Cluster, node: usize) -> &Copy {
-    &core_of(cluster, node).parts[0].copy
+    &core_of(cluster, node).partitions[0].copy
 }
 
 /// Two replicas that hold one revision of one term and differ, if there are any.
 fn differing_replicas(cluster: &Cluster) -> Option<(usize, usize)> {
-    let place = |node: usize| (copy(cluster, node).epoch, copy(cluster, node).rev);
+    let place = |node: usize| (copy(cluster, node).term, copy(cluster, node).revision);
     let pairs = (0..3).flat_map(|a| (0..a).map(move |b| (a, b)));
     pairs
         .filter(|(a, b)| place(*a) == place(*b))
@@ -70,8 +70,10 @@
     let began = cluster.now;
     until(cluster, |cluster| {
         let Some(leader) = leader(cluster) else { return false };
-        let p = &core_of(cluster, node).parts[0];
-        p.life == Life::Formed && p.writes.is_empty() && p.copy == *copy(cluster, leader)
+        let p = &core_of(cluster, node).partitions[0];
+        p.life == ReplicaCondition::Formed
+            && p.writes.is_empty()
+            && p.copy == *copy(cluster, leader)
     });
     cluster.now - began
 }
@@ -140,9 +142,9 @@
 
 /// The edition that an operator reads through a controller.
 fn read(cluster: &mut Cluster, node: usize) -> u64 {
-    let order = ask(cluster, node, "read", Deed::Read);
+    let order = ask(cluster, node, "read", Operation::Read);
     match answered(cluster, order) {
-        Done::Config { map, .. } => config(&map).unwrap().terms.edition,
+        OperationResult::Config { map, .. } => config(&map).unwrap().terms.edition,
         done => panic!("{done:?}"),
     }
 }
@@ -256,7 +258,7 @@
     expect_that!(size(&cluster, other), lt(MOST_STATE));
     for node in 0..3 {
         let core = core_of(&cluster, node);
-        let p = &core.parts[0];
+        let p = &core.partitions[0];
         expect_that!(p.changes.len(), le(consts::FEED_KEPT + 8));
         expect_that!(p.log_len, le(consts::LOG_LIMIT + size(&cluster, node) as u64));
         expect_that!(core.attempts_seen.len(), le(4_096));
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -7,43 +7,43 @@
 
 use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
-use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
-use grebepath_core::identifiers::{CONFIG, PartId, Seat};
-use grebepath_core::protocol::message::{Deed, Done, Life, Msg};
+use grebepath_core::identifiers::{CONFIG, PartitionId, VoterSlot};
+use grebepath_core::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
-use grebepath_core::storage::record::{Copy, Rec, apply};
+use grebepath_core::storage::record::{Copy, LogRecord, apply};
 use grebepath_core::time::{BOOT, SECOND, Span, Tick};
-use grebepath_core::voters::voter_file::{Roll, Start, begin};
+use grebepath_core::voters::voter_file::{Start, VoterFile, begin};
 
 /// Work that is under way.
 #[derive(Clone, Debug)]
 pub enum Work {
     /// A message from one controller to another.
-    Deliver { from: usize, to: usize, holder: u64, msg: Msg },
+    Deliver { from: usize, to: usize, holder: u64, message: Message },
     /// A disk finishes a write.
-    Sync { node: usize, part: PartId, token: u64 },
+    Sync { node: usize, partition: PartitionId, token: u64 },
     /// An operator's call comes to a controller.
-    Call { node: usize, op: u64, request: String, expect: Option<u64>, deed: Deed },
+    Call { node: usize, op: u64, request: String, expect: Option<u64>, deed: Operation },
 }
 
 /// A write that was handed to a disk.
 enum Job {
-    Append(Rec),
+    Append(LogRecord),
     Slot(Copy),
 }
 
 /// What lasts, and what is on its way there.
 #[derive(Default)]
 pub struct Disk {
-    pub kept: BTreeMap<PartId, Copy>,
-    line: VecDeque<(PartId, u64, Job)>,
-    roll: Option<Roll>,
+    pub kept: BTreeMap<PartitionId, Copy>,
+    line: VecDeque<(PartitionId, u64, Job)>,
+    roll: Option<VoterFile>,
 }
 
 pub struct Node {
     /// `None` while it is down.
-    pub core: Option<Core>,
+    pub core: Option<ControllerState>,
     pub disk: Disk,
     /// Nothing comes or goes.
     pub cut: bool,
@@ -57,7 +57,7 @@
     pub now: Tick,
     pub work: VecDeque<Work>,
     /// What operators were told, by the number of their call.
-    pub told: BTreeMap<u64, Done>,
+    pub told: BTreeMap<u64, OperationResult>,
     next_op: u64,
 }
 
@@ -87,7 +87,7 @@
     let count = cluster.nodes.len();
     let n = &mut cluster.nodes[node];
     let start = Start {
-        seat: Some(node as Seat),
+        slot: Some(node as VoterSlot),
         first,
         seeds: (0..count).map(address).collect(),
         size: count,
@@ -96,7 +96,12 @@
     let bare = n.disk.kept.is_empty();
     let (roll, _) = begin(n.disk.roll.take(), &start, bare, 5 + node as u64);
     n.disk.roll = Some(roll.clone());
-    let found = n.disk.kept.iter().map(|(id, copy)| (*id, Life::Formed, copy.clone(), 0)).collect();
+    let found = n
+        .disk
+        .kept
+        .iter()
+        .map(|(id, copy)| (*id, ReplicaCondition::Formed, copy.clone(), 0))
+        .collect();
     let zone = ["a", "b", "c"][node % 3];
     n.core =
         Some(core(roll, (&address(node), zone), found, cluster.now + node as u64, cluster.now));
@@ -107,22 +112,22 @@
 pub fn kill(cluster: &mut Cluster, node: usize, power: bool) {
     let n = &mut cluster.nodes[node];
     n.core = None;
-    while let Some((part, _, job)) = n.disk.line.pop_front() {
+    while let Some((partition, _, job)) = n.disk.line.pop_front() {
         if !power {
-            last(&mut n.disk, part, job);
+            last(&mut n.disk, partition, job);
         }
     }
     let syncs = |work: &Work| matches!(work, Work::Sync { node: n, .. } if *n == node);
     cluster.work.retain(|work| !syncs(work));
 }
 
-fn last(disk: &mut Disk, part: PartId, job: Job) {
+fn last(disk: &mut Disk, partition: PartitionId, job: Job) {
     match job {
         Job::Slot(copy) => {
-            disk.kept.insert(part, copy);
+            disk.kept.insert(partition, copy);
         }
         Job::Append(rec) => {
-            if let Some(copy) = disk.kept.get_mut(&part) {
+            if let Some(copy) = disk.kept.get_mut(&partition) {
                 assert!(apply(copy, &rec), "a record that does not follow the one before");
             }
         }
@@ -137,17 +142,17 @@
     for command in step(core, now, event) {
         let disk = &mut cluster.nodes[node].disk;
         match command {
-            Command::ToSeat { seat, msg } => {
-                let to = usize::from(seat);
-                cluster.work.push_back(Work::Deliver { from: node, to, holder, msg });
+            Command::ToSeat { slot, message } => {
+                let to = usize::from(slot);
+                cluster.work.push_back(Work::Deliver { from: node, to, holder, message });
             }
-            Command::Append { part, token, rec } => {
-                disk.line.push_back((part, token, Job::Append(rec)));
-                cluster.work.push_back(Work::Sync { node, part, token });
+            Command::Append { partition, token, rec } => {
+                disk.line.push_back((partition, token, Job::Append(rec)));
+                cluster.work.push_back(Work::Sync { node, partition, token });
             }
-            Command::Slot { part, token, copy } => {
-                disk.line.push_back((part, token, Job::Slot(copy)));
-                cluster.work.push_back(Work::Sync { node, part, token });
+            Command::Slot { partition, token, copy } => {
+                disk.line.push_back((partition, token, Job::Slot(copy)));
+                cluster.work.push_back(Work::Sync { node, partition, token });
             }
             Command::Keep { roll, token, .. } => {
                 disk.roll = Some(roll);
@@ -169,21 +174,26 @@
         return cluster.nodes[*node].waits.push(work);
     }
     match work {
-        Work::Deliver { from, to, holder, msg } => {
+        Work::Deliver { from, to, holder, message } => {
             if !cluster.nodes[from].cut && !cluster.nodes[to].cut {
-                let event = Event::FromSeat { seat: from as Seat, holder, wire: from as u64, msg };
+                let event = Event::FromSeat {
+                    slot: from as VoterSlot,
+                    holder,
+                    connection: from as u64,
+                    message,
+                };
                 give(cluster, to, event);
             }
         }
         Work::Call { node, op, request, expect, deed } => {
             give(cluster, node, Event::Operate { op, request, expect, deed });
         }
-        Work::Sync { node, part, token } => {
+        Work::Sync { node, partition, token } => {
             let disk = &mut cluster.nodes[node].disk;
-            let at = disk.line.iter().position(|(p, t, _)| (*p, *t) == (part, token));
-            if let Some((part, _, job)) = at.and_then(|at| disk.line.remove(at)) {
-                last(disk, part, job);
-                give(cluster, node, Event::Synced { part, token });
+            let at = disk.line.iter().position(|(p, t, _)| (*p, *t) == (partition, token));
+            if let Some((partition, _, job)) = at.and_then(|at| disk.line.remove(at)) {
+                last(disk, partition, job);
+                give(cluster, node, Event::Synced { partition, token });
             }
         }
     }
@@ -247,8 +257,8 @@
 
 /// The controller that leads the configuration's partition and serves.
 pub fn leader(cluster: &Cluster) -> Option<usize> {
-    let term = |node: &usize| match &cluster.nodes[*node].core.as_ref()?.parts[0].role {
-        Role::Leader(owner) if owner.serves => Some(owner.epoch),
+    let term = |node: &usize| match &cluster.nodes[*node].core.as_ref()?.partitions[0].role {
+        Role::Leader(owner) if owner.serves => Some(owner.term),
         _ => None,
     };
     let term = |node: &usize| term(node).filter(|_| !cluster.nodes[*node].frozen);
@@ -261,7 +271,7 @@
     node: usize,
     request: &str,
     expect: Option<u64>,
-    deed: Deed,
+    deed: Operation,
 ) -> u64 {
     let op = cluster.next_op;
     cluster.next_op += 1;
@@ -276,8 +286,8 @@
     node: usize,
     request: &str,
     expect: Option<u64>,
-    deed: Deed,
-) -> Option<Done> {
+    deed: Operation,
+) -> Option<OperationResult> {
     let op = call(cluster, node, request, expect, deed);
     pass_until(cluster, 12 * SECOND, |c| c.told.contains_key(&op));
     cluster.told.get(&op).cloned()
@@ -285,8 +295,8 @@
 
 /// The configuration as it is read through a controller.
 pub fn read_back(cluster: &mut Cluster, node: usize) -> Option<Config> {
-    match answer(cluster, node, "read", None, Deed::Read) {
-        Some(Done::Config { map, .. }) => change::config(&map).ok(),
+    match answer(cluster, node, "read", None, Operation::Read) {
+        Some(OperationResult::Config { map, .. }) => change::config(&map).ok(),
         _ => None,
     }
 }
@@ -305,7 +315,7 @@
 pub fn tamper(cluster: &mut Cluster, with: impl Fn(&mut Copy)) {
     for node in &mut cluster.nodes {
         if let Some(core) = &mut node.core {
-            with(&mut core.parts[0].copy);
+            with(&mut core.partitions[0].copy);
         }
         if let Some(copy) = node.disk.kept.get_mut(&CONFIG) {
             with(copy);
@@ -315,5 +325,5 @@
 
 /// The revision of the configuration on a controller's disk.
 pub fn synced_revision(cluster: &Cluster, node: usize) -> u64 {
-    cluster.nodes[node].disk.kept.get(&CONFIG).map_or(0, |copy| copy.rev)
+    cluster.nodes[node].disk.kept.get(&CONFIG).map_or(0, |copy| copy.revision)
 }
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -7,13 +7,15 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
-use grebepath_core::identifiers::PartId;
-use grebepath_core::protocol::message::{Deed, Done, Life, Member, Msg, Progress};
-use grebepath_core::random::{Luck, below, luck};
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::protocol::message::{
+    Member, MemberProgress, Message, Operation, OperationResult, ReplicaCondition,
+};
+use grebepath_core::random::{Random, below, luck};
 use grebepath_core::replication::partition::Role;
-use grebepath_core::storage::record::{Copy, Rec, apply};
+use grebepath_core::storage::record::{Copy, LogRecord, apply};
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
 use grebepath_core::voters::voter_file::{Start, begin};
 use grebepath_core::voters::voter_set::told_holder;
@@ -34,7 +36,7 @@
 }
 
 struct Node {
-    core: Core,
+    core: ControllerState,
     /// Counts the processes of this machine: what was meant for an earlier one
     /// is lost, except what comes on a new connection.
     life: u64,
@@ -50,20 +52,20 @@
     /// What is under way to the disk, oldest first.
     writes: Vec<Write>,
     /// What the disk holds.
-    disk: BTreeMap<PartId, Copy>,
+    disk: BTreeMap<PartitionId, Copy>,
 }
 
 /// A write under way.
 enum Write {
-    Append { part: PartId, token: u64, record: Rec },
-    Slot { part: PartId, token: u64, copy: Copy },
+    Append { partition: PartitionId, token: u64, record: LogRecord },
+    Slot { partition: PartitionId, token: u64, copy: Copy },
     VoterSet { token: u64 },
 }
 
 /// An answer that an operator got.
 pub struct Answer {
     pub at: Tick,
-    pub done: Done,
+    pub done: OperationResult,
 }
 
 /// Controllers with their net.
@@ -79,7 +81,7 @@
     next_operation: u64,
     /// Added to each message's latency at random, at the most.
     pub jitter: Span,
-    pub chance: Luck,
+    pub chance: Random,
     last_arrival: BTreeMap<(usize, usize), Tick>,
     /// Broken on purpose: what a leader judges counts as proved at once.
     pub unproved: bool,
@@ -88,7 +90,7 @@
     /// Messages by the first word of their text, and by sender.
     pub sent: BTreeMap<(usize, String), u64>,
     /// What controllers sent to members, newest last.
-    pub to_members: Vec<(usize, Msg)>,
+    pub to_members: Vec<(usize, Message)>,
     pub alarms: Vec<String>,
 }
 
@@ -97,16 +99,25 @@
 }
 
 /// A controller that has just read its disk.
-fn booted(node: usize, size: usize, seed: u64, first: bool, disk: &BTreeMap<PartId, Copy>) -> Core {
+fn booted(
+    node: usize,
+    size: usize,
+    seed: u64,
+    first: bool,
+    disk: &BTreeMap<PartitionId, Copy>,
+) -> ControllerState {
     let start = Start {
-        seat: Some(node as u8),
+        slot: Some(node as u8),
         first,
         seeds: (0..size).map(address).collect(),
         size,
         addr: address(node),
     };
     let (roll, _) = begin(None, &start, disk.is_empty(), seed);
-    let found = disk.iter().map(|(part, copy)| (*part, Life::Formed, copy.clone(), 0)).collect();
+    let found = disk
+        .iter()
+        .map(|(partition, copy)| (*partition, ReplicaCondition::Formed, copy.clone(), 0))
+        .collect();
     core(roll, (&address(node), "a"), found, seed, BOOT)
 }
 
@@ -218,8 +229,8 @@
 /// Loses what is under way between two controllers, as a reset connection does.
 pub fn reset(cluster: &mut Cluster, a: usize, b: usize) {
     let between = |node: usize, event: &Delivery| match event {
-        Delivery::Event(Event::FromSeat { seat, .. }) => {
-            let from = usize::from(*seat);
+        Delivery::Event(Event::FromSeat { slot, .. }) => {
+            let from = usize::from(*slot);
             (from, node) == (a, b) || (from, node) == (b, a)
         }
         _ => false,
@@ -283,15 +294,15 @@
 }
 
 /// A write has reached the disk.
-fn written(disk: &mut BTreeMap<PartId, Copy>, write: Write) -> Event {
+fn written(disk: &mut BTreeMap<PartitionId, Copy>, write: Write) -> Event {
     match write {
-        Write::Append { part, token, record } => {
-            apply(disk.entry(part).or_default(), &record);
-            Event::Synced { part, token }
+        Write::Append { partition, token, record } => {
+            apply(disk.entry(partition).or_default(), &record);
+            Event::Synced { partition, token }
         }
-        Write::Slot { part, token, copy } => {
-            disk.insert(part, copy);
-            Event::Synced { part, token }
+        Write::Slot { partition, token, copy } => {
+            disk.insert(partition, copy);
+            Event::Synced { partition, token }
         }
         Write::VoterSet { token } => Event::Kept { token },
     }
@@ -301,11 +312,13 @@
 pub fn take(cluster: &mut Cluster, node: usize, event: Event) {
     let now = local(cluster, node);
     let core = &mut cluster.nodes[node].core;
-    let order =
-        matches!(&event, Event::Operate { .. } | Event::FromSeat { msg: Msg::Operate { .. }, .. });
+    let order = matches!(
+        &event,
+        Event::Operate { .. } | Event::FromSeat { message: Message::Operate { .. }, .. }
+    );
     let answered = (cluster.unproved && order).then(|| pretend_proof(core));
     let commands = step(core, now, event);
-    if let (Some(answered), Role::Leader(leader)) = (answered, &mut core.parts[0].role) {
+    if let (Some(answered), Role::Leader(leader)) = (answered, &mut core.partitions[0].role) {
         leader.answered = answered;
     }
     for command in commands {
@@ -314,8 +327,8 @@
 }
 
 /// Lets a leader take the next round as answered by all; gives what was true.
-fn pretend_proof(core: &mut Core) -> Vec<(u64, Tick)> {
-    let Role::Leader(leader) = &mut core.parts[0].role else { return Vec::new() };
+fn pretend_proof(core: &mut ControllerState) -> Vec<(u64, Tick)> {
+    let Role::Leader(leader) = &mut core.partitions[0].role else { return Vec::new() };
     let answered = leader.answered.clone();
     let next = leader.round + 1;
     leader.answered.iter_mut().for_each(|answer| answer.0 = next);
@@ -344,28 +357,28 @@
 
 fn carry_out(cluster: &mut Cluster, node: usize, command: Command) {
     match command {
-        Command::ToSeat { seat, mut msg } => {
-            if let (true, Msg::Snapshot { map, .. }) = (cluster.lossy_snapshots, &mut msg) {
+        Command::ToSeat { slot, mut message } => {
+            if let (true, Message::Snapshot { map, .. }) = (cluster.lossy_snapshots, &mut message) {
                 map.pop_last();
             }
-            let word = format!("{msg:?}");
+            let word = format!("{message:?}");
             let word = word.split([' ', '(', '{']).next().unwrap_or_default().to_string();
             *cluster.sent.entry((node, word)).or_default() += 1;
-            let to = usize::from(seat);
+            let to = usize::from(slot);
             if cluster.cut.contains(&(node, to)) {
                 return;
             }
-            let (seat, wire) = (node as u8, node as u64);
-            let event = Event::FromSeat { seat, holder: told_holder(seat), wire, msg };
+            let (slot, connection) = (node as u8, node as u64);
+            let event = Event::FromSeat { slot, holder: told_holder(slot), connection, message };
             let after = transit(cluster, node, to);
             push(cluster, to, after, Delivery::Event(event));
         }
-        Command::ToWire { msg, .. } => cluster.to_members.push((node, msg)),
-        Command::Append { part, token, rec } => {
-            write(cluster, node, Write::Append { part, token, record: rec });
+        Command::ToWire { message, .. } => cluster.to_members.push((node, message)),
+        Command::Append { partition, token, rec } => {
+            write(cluster, node, Write::Append { partition, token, record: rec });
         }
-        Command::Slot { part, token, copy } => {
-            write(cluster, node, Write::Slot { part, token, copy });
+        Command::Slot { partition, token, copy } => {
+            write(cluster, node, Write::Slot { partition, token, copy });
         }
         Command::Keep { token, .. } => write(cluster, node, Write::VoterSet { token }),
         Command::Tell { op, done } => {
@@ -384,8 +397,8 @@
 
 /// The serving leader of the configuration of the highest term, if any.
 pub fn leader(cluster: &Cluster) -> Option<usize> {
-    let term = |node: &usize| match &cluster.nodes[*node].core.parts[0].role {
-        Role::Leader(leader) if leader.serves => leader.epoch,
+    let term = |node: &usize| match &cluster.nodes[*node].core.partitions[0].role {
+        Role::Leader(leader) if leader.serves => leader.term,
         _ => 0,
     };
     (0..cluster.nodes.len()).max_by_key(|node| term(node)).filter(|node| term(node) > 0)
@@ -393,16 +406,16 @@
 
 /// Whether this controller believes that it leads the configuration.
 pub fn believes(cluster: &Cluster, node: usize) -> bool {
-    matches!(&cluster.nodes[node].core.parts[0].role, Role::Leader(leader) if leader.serves)
+    matches!(&cluster.nodes[node].core.partitions[0].role, Role::Leader(leader) if leader.serves)
 }
 
 /// The controller itself.
-pub fn core_of(cluster: &Cluster, node: usize) -> &Core {
+pub fn core_of(cluster: &Cluster, node: usize) -> &ControllerState {
     &cluster.nodes[node].core
 }
 
 /// The controller itself, to be spoiled on purpose.
-pub fn core_mut(cluster: &mut Cluster, node: usize) -> &mut Core {
+pub fn core_mut(cluster: &mut Cluster, node: usize) -> &mut ControllerState {
     &mut cluster.nodes[node].core
 }
 
@@ -417,7 +430,7 @@
 }
 
 /// An operator's request reaches a controller as its next event, at once.
-pub fn ask(cluster: &mut Cluster, node: usize, request: &str, deed: Deed) -> u64 {
+pub fn ask(cluster: &mut Cluster, node: usize, request: &str, deed: Operation) -> u64 {
     let operation = number(cluster);
     let request = request.to_string();
     take(cluster, node, Event::Operate { op: operation, request, expect: None, deed });
@@ -425,7 +438,7 @@
 }
 
 /// An operator's request waits in the socket of a controller that is paused.
-pub fn ask_later(cluster: &mut Cluster, node: usize, request: &str, deed: Deed) -> u64 {
+pub fn ask_later(cluster: &mut Cluster, node: usize, request: &str, deed: Operation) -> u64 {
     let operation = number(cluster);
     let request = request.to_string();
     let event = Event::Operate { op: operation, request, expect: None, deed };
@@ -441,7 +454,7 @@
 }
 
 /// Runs until an operation has its answer.
-pub fn answered(cluster: &mut Cluster, operation: u64) -> Done {
+pub fn answered(cluster: &mut Cluster, operation: u64) -> OperationResult {
     until(cluster, |cluster| cluster.answers.contains_key(&operation));
     cluster.answers[&operation].done.clone()
 }
@@ -452,7 +465,7 @@
 }
 
 /// A member renews at a controller.
-pub fn renew(cluster: &mut Cluster, node: usize, name: &str, count: u64, far: Progress) {
+pub fn renew(cluster: &mut Cluster, node: usize, name: &str, count: u64, far: MemberProgress) {
     let member = Member {
         name: name.into(),
         addr: name.into(),
@@ -461,8 +474,12 @@
         joined: 0,
         incarnation: 1,
     };
-    let wire = MEMBER_CONNECTION + u64::from(name.as_bytes().last().copied().unwrap_or(0));
-    take(cluster, node, Event::FromWire { wire, msg: Msg::Renew { member, count, far } });
+    let connection = MEMBER_CONNECTION + u64::from(name.as_bytes().last().copied().unwrap_or(0));
+    take(
+        cluster,
+        node,
+        Event::FromWire { connection, message: Message::Renew { member, count, far } },
+    );
 }
 
 /// Ends a pause before anything that waits is taken: what the test gives the
@@ -484,7 +501,13 @@
 
 /// An operator's request with a number of the test's own: the numbers of a new
 /// process begin anew.
-pub fn ask_numbered(cluster: &mut Cluster, node: usize, number: u64, request: &str, deed: Deed) {
+pub fn ask_numbered(
+    cluster: &mut Cluster,
+    node: usize,
+    number: u64,
+    request: &str,
+    deed: Operation,
+) {
     cluster.asked.insert(number, cluster.now);
     let request = request.to_string();
     take(cluster, node, Event::Operate { op: number, request, expect: None, deed });
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -2,25 +2,25 @@
 
 use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
-use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
-use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::time::{BOOT, Tick};
 use grebepath_core::voters::voter_file::{Start, begin};
 
 /// The seat, its clock and its operators' numbers.
 pub struct One {
-    core: Core,
+    core: ControllerState,
     now: Tick,
     ops: u64,
-    done: Vec<(u64, Done)>,
+    done: Vec<(u64, OperationResult)>,
 }
 
 /// A seat that owns the configuration, which is empty.
 pub fn one() -> One {
     let addr = "127.0.0.1:1".to_string();
     let start = Start {
-        seat: Some(0),
+        slot: Some(0),
         first: true,
         seeds: vec![addr.clone()],
         size: 1,
@@ -36,8 +36,9 @@
     while !line.is_empty() {
         for command in step(&mut o.core, o.now, line.remove(0)) {
             match command {
-                Command::Append { part, token, .. } | Command::Slot { part, token, .. } => {
-                    line.push(Event::Synced { part, token });
+                Command::Append { partition, token, .. }
+                | Command::Slot { partition, token, .. } => {
+                    line.push(Event::Synced { partition, token });
                 }
                 Command::Keep { token, .. } => line.push(Event::Kept { token }),
                 Command::Tell { op, done } => o.done.push((op, done)),
@@ -48,7 +49,7 @@
 }
 
 /// Gives requests to the seat at one moment; their outcomes, in this order.
-pub fn together(o: &mut One, asks: Vec<(&str, Deed)>) -> Vec<Done> {
+pub fn together(o: &mut One, asks: Vec<(&str, Operation)>) -> Vec<OperationResult> {
     let first = o.ops;
     let n = asks.len() as u64;
     for (request, deed) in asks {
@@ -70,15 +71,15 @@
 }
 
 /// Gives one request to the seat and waits for its outcome.
-pub fn operate(o: &mut One, request: &str, deed: Deed) -> Done {
+pub fn operate(o: &mut One, request: &str, deed: Operation) -> OperationResult {
     together(o, vec![(request, deed)]).remove(0)
 }
 
 /// The configuration as the owner reads it back.
 #[allow(dead_code)]
 pub fn standing(o: &mut One) -> Config {
-    match operate(o, "read", Deed::Read) {
-        Done::Config { map, .. } => change::config(&map).unwrap(),
+    match operate(o, "read", Operation::Read) {
+        OperationResult::Config { map, .. } => change::config(&map).unwrap(),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -35,8 +35,8 @@
     expect_true!(built.drained.contains("a"));
     let back = change::config(&change::entries(&conf)).unwrap();
     expect_that!(&back, eq(&conf));
-    let shown = read::whole(show::json(&conf).to_string().as_bytes()).unwrap();
-    expect_that!(&shown, eq(&conf));
+    let committed = read::whole(show::json(&conf).to_string().as_bytes()).unwrap();
+    expect_that!(&committed, eq(&conf));
 }
 
 #[googletest::test]
--- a/crates/core/tests/desk.rs
+++ b/crates/core/tests/desk.rs
@@ -6,17 +6,17 @@
 use grebepath_core::config::{build, read};
 use grebepath_core::http_api::leaf::{Heads, Raw, Trouble, postmark};
 use grebepath_core::query::dispatch::{next, step};
-use grebepath_core::query::engine::{Command, Desk, Door, Event, Sending, desk};
+use grebepath_core::query::engine::{Command, Door, Event, QueryEngine, Sending, desk};
 use grebepath_core::query::quota::share;
 use grebepath_core::query::request::{Ask, Outcome, Reason};
 use grebepath_core::routing_language::selector::Labels;
-use grebepath_core::snapshot::cluster_view::{View, view};
+use grebepath_core::snapshot::cluster_view::{ClusterView, view};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
 use serde_json::json;
 
 /// Two shards of two leafs each in zones a and b, for the given cut.
-fn world(cut: &str, drained: &str) -> View {
+fn world(cut: &str, drained: &str) -> ClusterView {
     let mut pools = Vec::new();
     let mut leafs = Vec::new();
     for c in ["w1", "w2"] {
@@ -47,9 +47,9 @@
     view(7, Arc::new(build::build(&conf).unwrap()), leafs)
 }
 
-fn open(v: View) -> Desk {
+fn open(v: ClusterView) -> QueryEngine {
     let mut d = desk("q", "a", 1, BOOT);
-    step(&mut d, BOOT, Event::View(Arc::new(v)));
+    step(&mut d, BOOT, Event::ClusterView(Arc::new(v)));
     step(&mut d, BOOT, Event::Share(share(&[("q".into(), 1)], "q", 0)));
     step(&mut d, BOOT, Event::Grip(Tick::MAX));
     // Enough first dispatches in the past that the retry rule is no hindrance.
@@ -59,7 +59,7 @@
     d
 }
 
-fn ask(d: &mut Desk, now: Tick, call: u64) -> Vec<Command> {
+fn ask(d: &mut QueryEngine, now: Tick, call: u64) -> Vec<Command> {
     let ask = Ask {
         mapping: "s".into(),
         question: json!("what"),
@@ -90,7 +90,7 @@
 }
 
 fn reply(
-    d: &mut Desk,
+    d: &mut QueryEngine,
     now: Tick,
     s: &Sending,
     got: std::result::Result<Raw, Trouble>,
@@ -180,7 +180,7 @@
         let again = sent(reply(&mut d, now + 5, s, Err(Trouble::Unreachable)));
         todo = reply(&mut d, now + 9, &again[0], Err(Trouble::Unreachable));
     }
-    let Some(Outcome::Bounce(b)) = told(&todo) else { panic!("no outcome at 9 µs") };
+    let Some(Outcome::Rejection(b)) = told(&todo) else { panic!("no outcome at 9 µs") };
     expect_that!(b.reason, eq(Reason::BelowQuorum));
 }
 
@@ -190,7 +190,7 @@
     let now = BOOT + SECOND;
     let list = sent(ask(&mut d, now, 1));
     // Amid the query the index is recut and zone b emptied.
-    step(&mut d, now + 10, Event::View(Arc::new(world("w2", "b"))));
+    step(&mut d, now + 10, Event::ClusterView(Arc::new(world("w2", "b"))));
     let todo = reply(&mut d, now + 20, &list[0], Err(Trouble::Cut));
     expect_that!(sent(todo).len(), eq(0), "the only other leaf stands in zone b");
     let end = reply(&mut d, now + 30, &list[1], Ok(good(&list[1], &[1])));
@@ -218,14 +218,14 @@
     let todo = reply(&mut d, now + 60, &list[0], Err(Trouble::Cut));
     expect_that!(sent(todo).len(), eq(0));
     let todo = ask(&mut d, now + 70, 2);
-    let Some(Outcome::Bounce(b)) = told(&todo) else { panic!("taken without a grip") };
+    let Some(Outcome::Rejection(b)) = told(&todo) else { panic!("taken without a grip") };
     expect_that!(b.reason, eq(Reason::CutOff));
     // With a new one, what waited goes on.
     let todo = step(&mut d, now + 80, Event::Grip(Tick::MAX));
     expect_that!(sent(todo).len(), eq(1));
     step(&mut d, now + 90, Event::Door(Door::Stopping));
     let todo = ask(&mut d, now + 91, 3);
-    let Some(Outcome::Bounce(b)) = told(&todo) else { panic!("taken while stopping") };
+    let Some(Outcome::Rejection(b)) = told(&todo) else { panic!("taken while stopping") };
     expect_that!(b.reason, eq(Reason::Stopping));
 }
 
--- a/crates/core/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -3,17 +3,17 @@
 
 use googletest::prelude::*;
 use grebepath_core::storage::reader::{Found, read};
-use grebepath_core::storage::record::{Copy, Rec, apply};
+use grebepath_core::storage::record::{Copy, LogRecord, apply};
 use grebepath_core::storage::writer;
 
 const PART: u32 = 3;
 
-fn change(rev: u64) -> Rec {
+fn change(revision: u64) -> LogRecord {
     let entries = vec![
-        (format!("key-{}", rev % 3), Some(vec![rev as u8, 0, 7])),
-        (format!("old-{rev}"), None),
+        (format!("key-{}", revision % 3), Some(vec![revision as u8, 0, 7])),
+        (format!("old-{revision}"), None),
     ];
-    Rec::Change { epoch: 4, rev, entries }
+    LogRecord::Change { term: 4, revision, entries }
 }
 
 /// Slots, log, and the copy at each record's end.
@@ -22,13 +22,13 @@
 /// Two slots and a log as a life leaves them: slot 2 is the newest, and the
 /// log holds a few records after it.
 fn files() -> Files {
-    let mut copy = Copy { promised: 4, epoch: 4, rev: 10, ..Copy::default() };
+    let mut copy = Copy { promised: 4, term: 4, revision: 10, ..Copy::default() };
     let older = writer::slot(PART, 1, &copy);
     assert!(apply(&mut copy, &change(11)));
     let newer = writer::slot(PART, 2, &copy);
     let mut log = writer::log_head(PART, 2);
     let mut at = vec![(log.len(), copy.clone())];
-    let recs = [change(12), Rec::Promise { epoch: 7 }, change(13)];
+    let recs = [change(12), LogRecord::Promise { term: 7 }, change(13)];
     for (i, rec) in recs.iter().enumerate() {
         assert!(apply(&mut copy, rec));
         log.extend(writer::rec(2, i as u32, rec));
--- a/crates/core/tests/editions.rs
+++ b/crates/core/tests/editions.rs
@@ -5,7 +5,7 @@
 
 use common::{One, one, operate, standing, together};
 use googletest::prelude::*;
-use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::protocol::message::{Operation, OperationResult};
 use serde_json::{Value, json};
 
 fn search(name: &str, path: &str, pool: &str) -> Value {
@@ -17,29 +17,29 @@
     json!({ "name": name, "service": name, "labels": { "pool": name } })
 }
 
-fn whole(after: u64, edition: u64, path: &str) -> Deed {
+fn whole(after: u64, edition: u64, path: &str) -> Operation {
     let val = json!({ "searches": [search("r", path, "p")], "pools": [pool("p")],
         "keep_zones": true, "terms": { "after": after, "edition": edition } });
-    Deed::Whole(val.to_string().into_bytes())
+    Operation::Whole(val.to_string().into_bytes())
 }
 
-fn patch(after: u64, edition: u64, path: &str) -> Deed {
+fn patch(after: u64, edition: u64, path: &str) -> Operation {
     let val = json!({ "searches": [search("r", path, "p")],
         "terms": { "after": after, "edition": edition } });
-    Deed::Patch(val.to_string().into_bytes())
+    Operation::Patch(val.to_string().into_bytes())
 }
 
-fn accepted(done: &Done) -> bool {
-    matches!(done, Done::Accepted { .. })
+fn accepted(done: &OperationResult) -> bool {
+    matches!(done, OperationResult::Accepted { .. })
 }
 
-fn moved(done: &Done) -> Option<u64> {
-    if let Done::Moved { revision } = done { Some(*revision) } else { None }
+fn moved(done: &OperationResult) -> Option<u64> {
+    if let OperationResult::Moved { revision } = done { Some(*revision) } else { None }
 }
 
-fn wrong(done: &Done) -> Vec<String> {
+fn wrong(done: &OperationResult) -> Vec<String> {
     match done {
-        Done::Wrong(list) => list.iter().map(|f| f.0.clone()).collect(),
+        OperationResult::Wrong(list) => list.iter().map(|f| f.0.clone()).collect(),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -61,7 +61,7 @@
         let mut o = one();
         assert!(accepted(&operate(&mut o, "0", whole(0, 3, "/first/"))));
         let won = match &a {
-            Deed::Whole(t) | Deed::Patch(t) => {
+            Operation::Whole(t) | Operation::Patch(t) => {
                 let val: Value = serde_json::from_slice(t).unwrap();
                 val["terms"]["edition"].as_u64().unwrap()
             }
@@ -125,10 +125,10 @@
     let before = standing(&mut o);
     let bad = json!({ "searches": [search("r", "/b/", "p"), search("s", "/b/", "p")],
         "terms": { "after": 3, "edition": 4 } });
-    let got = operate(&mut o, "1", Deed::Patch(bad.to_string().into_bytes()));
+    let got = operate(&mut o, "1", Operation::Patch(bad.to_string().into_bytes()));
     expect_that!(wrong(&got), elements_are![eq("searches[s].path")]);
     let gone = json!({ "remove": { "pools": ["p"] }, "terms": { "after": 3, "edition": 4 } });
-    let got = operate(&mut o, "2", Deed::Patch(gone.to_string().into_bytes()));
+    let got = operate(&mut o, "2", Operation::Patch(gone.to_string().into_bytes()));
     expect_that!(wrong(&got).is_empty(), eq(false));
     operate(&mut o, "3", patch(2, 9, "/late/"));
     expect_that!(standing(&mut o) == before, eq(true));
@@ -144,7 +144,7 @@
     operate(&mut o, "0", whole(0, 3, "/a/"));
     let zone = |state: &str| {
         let val = json!({ "zones": [{ "name": "z", "state": state }] });
-        Deed::Patch(val.to_string().into_bytes())
+        Operation::Patch(val.to_string().into_bytes())
     };
     expect_that!(accepted(&operate(&mut o, "z", zone("drained"))), eq(true));
     let conf = standing(&mut o);
@@ -157,7 +157,7 @@
     operate(&mut o, "x", zone("drained"));
     // Our own manner names zones in the whole, and these alone then stand.
     let own = json!({ "searches": [search("r", "/d/", "p")], "pools": [pool("p")] });
-    operate(&mut o, "3", Deed::Whole(own.to_string().into_bytes()));
+    operate(&mut o, "3", Operation::Whole(own.to_string().into_bytes()));
     let conf = standing(&mut o);
     expect_that!(conf.zones.is_empty(), eq(true));
     // It names no edition, so the one that stands remains.
@@ -177,7 +177,7 @@
     let full = |t: Value| {
         let val = json!({ "searches": [search("r", "/a/", "p")], "pools": [pool("p")],
             "terms": t });
-        Deed::Whole(val.to_string().into_bytes())
+        Operation::Whole(val.to_string().into_bytes())
     };
     let all = json!({ "head_max": 9, "body_max": 8, "head_wait_ms": 7, "idle_ms": 6,
         "origin": "{\"x\":1}" });
@@ -189,7 +189,7 @@
     expect_that!(t.origin, eq("{\"x\":1}"));
     // A part that sets one term sets all of them: the others fall back.
     let val = json!({ "terms": terms(4, 5, json!({ "idle_ms": 60 })) });
-    operate(&mut o, "2", Deed::Patch(val.to_string().into_bytes()));
+    operate(&mut o, "2", Operation::Patch(val.to_string().into_bytes()));
     let t = standing(&mut o).terms;
     expect_that!((t.edition, t.idle_ms, t.head_max), eq((5, 60, 0)));
     operate(&mut o, "3", full(terms(5, 6, json!({}))));
@@ -197,7 +197,7 @@
     expect_that!((t.edition, t.idle_ms), eq((6, 0)));
     // Terms that can't be read are found with their places.
     let bad = json!({ "terms": { "after": -1, "edition": 7.5, "idle_ms": "x", "more": 1 } });
-    let got = operate(&mut o, "4", Deed::Patch(bad.to_string().into_bytes()));
+    let got = operate(&mut o, "4", Operation::Patch(bad.to_string().into_bytes()));
     expect_that!(
         wrong(&got),
         unordered_elements_are![
