--- a/crates/core/tests/elections.rs
+++ b/crates/core/tests/elections.rs
@@ -7,7 +7,7 @@
 use cluster::*;
 use googletest::prelude::*;
 use grebepath_core::control_plane::controller::Event;
-use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::random::{below, luck};
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use serde_json::json;
@@ -15,9 +15,9 @@
 /// Seeds of a measurement (count).
 const SEEDS: u64 = 100;
 
-fn change(mark: &str) -> Deed {
+fn change(mark: &str) -> Operation {
     let val = json!({ "zones": [{ "name": mark, "state": "open" }] });
-    Deed::Patch(val.to_string().into_bytes())
+    Operation::Patch(val.to_string().into_bytes())
 }
 
 /// How long the first order takes that comes when `fault` has struck the leader.
@@ -26,7 +26,7 @@
     cluster.jitter = ms(3);
     let mut chance = luck(seed);
     let before = ask(&mut cluster, leader, "before", change("a"));
-    assert!(matches!(answered(&mut cluster, before), Done::Accepted { .. }));
+    assert!(matches!(answered(&mut cluster, before), OperationResult::Accepted { .. }));
     let phase = ms(below(&mut chance, 400));
     run(&mut cluster, phase);
     fault(&mut cluster, leader);
@@ -34,7 +34,7 @@
     run(&mut cluster, later);
     let order = ask(&mut cluster, other, "after", change("b"));
     let done = answered(&mut cluster, order);
-    assert!(matches!(done, Done::Accepted { .. }), "{done:?}");
+    assert!(matches!(done, OperationResult::Accepted { .. }), "{done:?}");
     took(&cluster, order)
 }
 
@@ -79,7 +79,7 @@
     let began = cluster.now;
     for number in 0..20 {
         let order = ask(&mut cluster, other, "after", change(&format!("b{number}")));
-        if matches!(answered(&mut cluster, order), Done::Accepted { .. }) {
+        if matches!(answered(&mut cluster, order), OperationResult::Accepted { .. }) {
             break;
         }
     }
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -1,16 +1,16 @@
 //! Whom a querier follows, when it speaks with its neighbours, and what its
-//! place in the cohort is.
+//! place in the membership is.
 
 use googletest::prelude::*;
 use grebepath_core::consts;
 use grebepath_core::control_plane::controller;
-use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartId, Seat};
+use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartitionId, VoterSlot};
 use grebepath_core::membership::neighbour_ring::ring;
 use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
 use grebepath_core::membership::step::step;
-use grebepath_core::protocol::message::{Cohort, Member, Msg, Place};
+use grebepath_core::protocol::message::{FeedPosition, Member, Membership, Message};
 use grebepath_core::time::{BOOT, Tick, ms};
-use grebepath_core::voters::voter_file::Roll;
+use grebepath_core::voters::voter_file::VoterFile;
 use grebepath_core::voters::voter_set::{told_holder, told_table};
 
 fn member(n: usize) -> Member {
@@ -18,8 +18,8 @@
     Member { name, addr, zone: "a".into(), threads: 1, joined: 1, incarnation: 1 }
 }
 
-fn cohort(n: usize) -> Cohort {
-    Cohort { epoch: 3, turn: 1, settled: 1, revision: 0, members: (0..n).map(member).collect() }
+fn membership(n: usize) -> Membership {
+    Membership { term: 3, turn: 1, settled: 1, revision: 0, members: (0..n).map(member).collect() }
 }
 
 const SEATS: usize = consts::SEATS as usize;
@@ -37,26 +37,27 @@
 fn serves() -> Watch {
     let mut w = watch(member(0), BOOT);
     let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
-    (w.sure, w.tenure.granted, w.tenure.held_from) = (true, true, BOOT);
+    (w.sure, w.lease.granted, w.lease.held_from) = (true, true, BOOT);
     step(&mut w, BOOT, Event::Seats(told_table(&seeds)));
     w
 }
 
 /// Seats that are followed wholly, and those that are only asked, by one step.
-fn asked(todo: &[Command]) -> (Vec<Seat>, Vec<Seat>) {
+fn asked(todo: &[Command]) -> (Vec<VoterSlot>, Vec<VoterSlot>) {
     let (mut whole, mut only) = (Vec::new(), Vec::new());
     for c in todo {
-        if let Command::ToSeat { seat, msg: Msg::Follow { places, .. } } = c {
-            let beyond = places.iter().all(|p| p.rev == BEYOND);
-            if beyond { only.push(*seat) } else { whole.push(*seat) }
+        if let Command::ToSeat { slot, message: Message::Follow { places, .. } } = c {
+            let beyond = places.iter().all(|p| p.revision == BEYOND);
+            if beyond { only.push(*slot) } else { whole.push(*slot) }
         }
     }
     (whole, only)
 }
 
-fn reach(w: &mut Watch, now: Tick, seat: Seat, part: PartId, rev: u64) {
-    let msg = Msg::Reach { places: vec![Place { part, rev }], stamp: w.stamp };
-    step(w, now, Event::FromSeat { seat, msg });
+fn reach(w: &mut Watch, now: Tick, slot: VoterSlot, partition: PartitionId, revision: u64) {
+    let message =
+        Message::Reach { places: vec![FeedPosition { partition, revision }], stamp: w.stamp };
+    step(w, now, Event::FromSeat { slot, message });
 }
 
 #[gtest]
@@ -80,7 +81,7 @@
         (true, false, consts::FOLLOW_BEAT),
     ] {
         let now = w.follow_at;
-        (w.sure, w.tenure.granted, w.tenure.held_from) = (sure, granted, now);
+        (w.sure, w.lease.granted, w.lease.held_from) = (sure, granted, now);
         let (whole, only) = asked(&step(&mut w, now, Event::Wake));
         expect_that!(whole.len(), eq(SEATS));
         expect_that!(only, is_empty());
@@ -94,21 +95,21 @@
     let (whole, _) = asked(&step(&mut w, BOOT, Event::Wake));
     let first = whole[0];
     let now = BOOT + consts::FEED_SILENCE;
-    for seat in 0..SEATS as Seat {
-        reach(&mut w, now, seat, CONFIG, 0);
+    for slot in 0..SEATS as VoterSlot {
+        reach(&mut w, now, slot, CONFIG, 0);
     }
     let mut table = w.table.clone();
-    let h = &mut table.seats[usize::from(first)];
+    let h = &mut table.slots[usize::from(first)];
     (h.generation, h.holder, h.addr) = (2, 77, "10.1.0.9:1".into());
     step(&mut w, now, Event::Seats(table));
-    w.tenure.held_from = now;
+    w.lease.held_from = now;
     let (whole, only) = asked(&step(&mut w, now, Event::Wake));
     expect_that!(whole, not(contains(eq(&first))));
     // All are asked at once: who speaks may feed.
     expect_that!(only, contains(eq(&first)));
     // What was said under the table before says nothing of the new holder.
-    let msg = Msg::Reach { places: Vec::new(), stamp: 0 };
-    step(&mut w, now, Event::FromSeat { seat: first, msg });
+    let message = Message::Reach { places: Vec::new(), stamp: 0 };
+    step(&mut w, now, Event::FromSeat { slot: first, message });
     let beat = w.follow_at;
     expect_that!(asked(&step(&mut w, beat, Event::Wake)).0, not(contains(eq(&first))));
     reach(&mut w, beat, first, CONFIG, 0);
@@ -121,16 +122,16 @@
     let mut w = serves();
     let (whole, only) = asked(&step(&mut w, BOOT, Event::Wake));
     let (first, other) = (whole[0], only[0]);
-    for part in [CONFIG, COHORT] {
+    for partition in [CONFIG, COHORT] {
         let now = w.follow_at;
-        w.tenure.held_from = now;
-        reach(&mut w, now - ms(100), first, part, 0);
-        reach(&mut w, now - ms(100), other, part, u64::MAX / 4);
+        w.lease.held_from = now;
+        reach(&mut w, now - ms(100), first, partition, 0);
+        reach(&mut w, now - ms(100), other, partition, u64::MAX / 4);
         let (whole, _) = asked(&step(&mut w, now, Event::Wake));
         expect_that!(whole, unordered_elements_are![eq(&first), eq(&other)]);
         let now = w.follow_at;
-        reach(&mut w, now - ms(100), first, part, 0);
-        reach(&mut w, now - ms(100), other, part, 0);
+        reach(&mut w, now - ms(100), first, partition, 0);
+        reach(&mut w, now - ms(100), other, partition, 0);
         let (whole, _) = asked(&step(&mut w, now, Event::Wake));
         expect_that!(whole, elements_are![eq(&first)]);
     }
@@ -139,22 +140,29 @@
 #[gtest]
 fn who_only_asks_is_shown_how_far_we_are_and_nothing_else() {
     let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
-    let roll = Roll { me: told_holder(0), first: true, table: told_table(&seeds) };
+    let roll = VoterFile { me: told_holder(0), first: true, table: told_table(&seeds) };
     let mut c = controller::core(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
     let stamp = c.seating.stamp;
-    c.parts[0].shown.insert("zone/a".into(), vec![1]);
-    (c.parts[0].shown_rev, c.members.cohort) = (5, cohort(3));
-    let ask = |c: &mut controller::Core, rev: u64| {
-        let list = [CONFIG, COHORT].into_iter().chain((1..5).map(PartId));
-        let places = list.map(|part| Place { part, rev }).collect();
-        let event = controller::Event::FromWire { wire: 1, msg: Msg::Follow { places, stamp } };
+    c.partitions[0].committed.insert("zone/a".into(), vec![1]);
+    (c.partitions[0].committed_revision, c.members.membership) = (5, membership(3));
+    let ask = |c: &mut controller::ControllerState, revision: u64| {
+        let list = [CONFIG, COHORT].into_iter().chain((1..5).map(PartitionId));
+        let places = list.map(|partition| FeedPosition { partition, revision }).collect();
+        let event = controller::Event::FromWire {
+            connection: 1,
+            message: Message::Follow { places, stamp },
+        };
         let todo = grebepath_core::control_plane::step::step(c, BOOT, event);
-        let told = |f: fn(&Msg) -> bool| {
-            let sent = |k: &&controller::Command| matches!(k, controller::Command::ToWire { msg, .. } if f(msg));
+        let told = |f: fn(&Message) -> bool| {
+            let sent = |k: &&controller::Command| matches!(k, controller::Command::ToWire { message, .. } if f(message));
             todo.iter().filter(sent).count()
         };
-        let reach = told(|m| matches!(m, Msg::Reach { .. }));
-        (reach, told(|m| matches!(m, Msg::News { .. })), told(|m| matches!(m, Msg::Tell(_))))
+        let reach = told(|m| matches!(m, Message::Reach { .. }));
+        (
+            reach,
+            told(|m| matches!(m, Message::News { .. })),
+            told(|m| matches!(m, Message::Tell(_))),
+        )
     };
     expect_that!(ask(&mut c, BEYOND), eq((1, 0, 0)));
     expect_that!(ask(&mut c, 0), eq((1, 1, 1)));
@@ -168,14 +176,14 @@
     let mut w = serves();
     let (whole, only) = asked(&step(&mut w, BOOT, Event::Wake));
     let now = BOOT + consts::FEED_SILENCE + ms(1);
-    w.tenure.held_from = now;
+    w.lease.held_from = now;
     reach(&mut w, now - ms(100), only[0], CONFIG, 0);
     let (next, _) = asked(&step(&mut w, now, Event::Wake));
     expect_that!(next, elements_are![eq(&only[0])]);
     expect_that!(whole, not(eq(&next)));
     // With all silent, all are followed.
     let later = now + 2 * consts::FEED_SILENCE;
-    w.tenure.held_from = later;
+    w.lease.held_from = later;
     let (all, _) = asked(&step(&mut w, later, Event::Wake));
     expect_that!(all.len(), eq(SEATS));
 }
@@ -183,14 +191,14 @@
 /// The asks that a member sends in ten seconds; with the core's word or not.
 fn asks(calm: bool) -> usize {
     let mut w = watch(member(0), BOOT);
-    step(&mut w, BOOT, Event::FromSeat { seat: 0, msg: Msg::Tell(cohort(9)) });
-    w.tenure.granted = calm;
+    step(&mut w, BOOT, Event::FromSeat { slot: 0, message: Message::Tell(membership(9)) });
+    w.lease.granted = calm;
     let mut n = 0;
     for i in 0..200 {
         let now = BOOT + ms(50 * i);
-        w.tenure.held_from = if calm { now } else { 0 };
+        w.lease.held_from = if calm { now } else { 0 };
         for c in step(&mut w, now, Event::Wake) {
-            if let Command::ToMember { msg: Msg::Gossip { places, asked, .. }, .. } = c {
+            if let Command::ToMember { message: Message::Gossip { places, asked, .. }, .. } = c {
                 expect_that!(asked, some(eq(now)));
                 expect_that!(places, is_empty());
                 n += 1;
@@ -209,8 +217,8 @@
 #[gtest]
 fn an_answer_says_where_we_stand() {
     let mut w = watch(member(0), BOOT);
-    step(&mut w, BOOT, Event::FromSeat { seat: 0, msg: Msg::Tell(cohort(3)) });
-    let msg = Msg::Gossip {
+    step(&mut w, BOOT, Event::FromSeat { slot: 0, message: Message::Tell(membership(3)) });
+    let message = Message::Gossip {
         name: "m1".into(),
         core_age_ms: 0,
         ready: true,
@@ -219,9 +227,9 @@
         echo: None,
         attestation: None,
     };
-    let todo = step(&mut w, BOOT + 1, Event::FromMember { name: "m1".into(), msg });
+    let todo = step(&mut w, BOOT + 1, Event::FromMember { name: "m1".into(), message });
     let answers = todo.iter().filter(|c| {
-        matches!(c, Command::ToMember { msg: Msg::Gossip { places, echo: Some(7), .. }, .. }
+        matches!(c, Command::ToMember { message: Message::Gossip { places, echo: Some(7), .. }, .. }
             if places.len() == 1 + consts::SERVICE_PARTS as usize)
     });
     expect_that!(answers.count(), eq(1));
@@ -229,7 +237,7 @@
 
 #[gtest]
 fn duties_have_one_holder_and_neighbours_are_mutual() {
-    let all = cohort(40);
+    let all = membership(40);
     let rings: Vec<_> = all.members.iter().map(|m| ring(&all, &m.name)).collect();
     for key in 0..consts::PROBE_KEYS as usize {
         expect_that!(rings.iter().filter(|r| r.probes[key]).count(), eq(1));
--- a/crates/core/tests/hand.rs
+++ b/crates/core/tests/hand.rs
@@ -8,13 +8,13 @@
 use grebepath_core::consts;
 use grebepath_core::http_api::leaf::{Heads, Raw, Trouble};
 use grebepath_core::query::dispatch::{next, step};
-use grebepath_core::query::engine::{Command, Desk, Event, Sending, desk};
-use grebepath_core::query::forwarded_request::{Joined, Parcel, Passed, join};
+use grebepath_core::query::engine::{Command, Event, QueryEngine, Sending, desk};
+use grebepath_core::query::forwarded_request::{ForwardedRequest, Joined, Passed, join};
 use grebepath_core::query::quota::share;
-use grebepath_core::query::request::{Bounce, Outcome, Reason};
+use grebepath_core::query::request::{Outcome, Reason, Rejection};
 use grebepath_core::query::service_retry_budget;
-use grebepath_core::random::{Luck, below, chance, draw, luck};
-use grebepath_core::snapshot::cluster_view::{View, view};
+use grebepath_core::random::{Random, below, chance, draw, luck};
+use grebepath_core::snapshot::cluster_view::{ClusterView, view};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
 use serde_json::{Value, json};
@@ -35,7 +35,7 @@
     World { services: services.to_vec(), searches, slots, drained, leaving: Vec::new() }
 }
 
-fn seen(w: &World) -> View {
+fn seen(w: &World) -> ClusterView {
     let pools: Vec<Value> = w
         .services
         .iter()
@@ -67,9 +67,9 @@
 }
 
 /// A desk with a saved quota of second tries for every service.
-fn open(w: &World) -> Desk {
+fn open(w: &World) -> QueryEngine {
     let mut d = desk("q", "a", 1, BOOT);
-    step(&mut d, BOOT, Event::View(Arc::new(seen(w))));
+    step(&mut d, BOOT, Event::ClusterView(Arc::new(seen(w))));
     step(&mut d, BOOT, Event::Share(share(&[("q".into(), 1)], "q", 0)));
     step(&mut d, BOOT, Event::Grip(Tick::MAX));
     for (s, _) in &w.services {
@@ -104,8 +104,8 @@
 
 const FOUR: [(&str, usize); 4] = [("a", 3), ("b", 3), ("c", 3), ("d", 3)];
 
-fn parcel(host: &str, path: &str) -> Parcel {
-    Parcel {
+fn parcel(host: &str, path: &str) -> ForwardedRequest {
+    ForwardedRequest {
         id: "id-1".into(),
         method: "POST".into(),
         host: host.into(),
@@ -117,11 +117,11 @@
     }
 }
 
-fn hand(d: &mut Desk, now: Tick, call: u64, host: &str, path: &str) -> Vec<Command> {
+fn hand(d: &mut QueryEngine, now: Tick, call: u64, host: &str, path: &str) -> Vec<Command> {
     step(d, now, Event::Hand { call, parcel: Arc::new(parcel(host, path)) })
 }
 
-fn call(d: &mut Desk, now: Tick, call: u64) -> Vec<Sending> {
+fn call(d: &mut QueryEngine, now: Tick, call: u64) -> Vec<Sending> {
     sent(hand(d, now, call, "h.example", "/x/y"))
 }
 
@@ -134,9 +134,9 @@
         .find_map(|c| if let Command::Tell { outcome, .. } = c { Some(outcome) } else { None })
 }
 
-fn bounced(todo: &[Command]) -> Bounce {
+fn bounced(todo: &[Command]) -> Rejection {
     match told(todo) {
-        Some(Outcome::Bounce(b)) => b.clone(),
+        Some(Outcome::Rejection(b)) => b.clone(),
         other => panic!("no bounce: {other:?}"),
     }
 }
@@ -175,11 +175,11 @@
 type Spoil = fn(&mut Raw);
 type Got = std::result::Result<Raw, Trouble>;
 
-fn reply(d: &mut Desk, now: Tick, s: &Sending, got: Got) -> Vec<Command> {
+fn reply(d: &mut QueryEngine, now: Tick, s: &Sending, got: Got) -> Vec<Command> {
     step(d, now, Event::Reply { dispatch: s.dispatch, got })
 }
 
-fn wake(d: &mut Desk, now: Tick) -> Vec<Command> {
+fn wake(d: &mut QueryEngine, now: Tick) -> Vec<Command> {
     step(d, now, Event::Wake)
 }
 
@@ -315,7 +315,7 @@
     let mut v = seen(&w);
     let moved = LeafInfo { leaf: "p-0".into(), ..(*v.leafs["q-0"]).clone() };
     v.leafs.insert("p-0".into(), Arc::new(moved));
-    step(&mut d, NOW + 1, Event::View(Arc::new(v)));
+    step(&mut d, NOW + 1, Event::ClusterView(Arc::new(v)));
     let todo = reply(&mut d, NOW + 5, &list[0], Ok(good(&list[0])));
     expect_that!(matches!(told(&todo), Some(Outcome::Passed(_))), eq(false));
 }
@@ -348,7 +348,7 @@
 }
 
 /// What a reply to a once-only call may be, and whether the leaf may have run it.
-fn any_reply(luck: &mut Luck, s: &Sending) -> (Got, bool) {
+fn any_reply(luck: &mut Random, s: &Sending) -> (Got, bool) {
     match below(luck, 14) {
         0 | 1 => (Ok(good(s)), true),
         2 => (Err(Trouble::Cut), true),
@@ -409,7 +409,7 @@
             assert!(sent(todo).is_empty(), "seed {seed}: sent late");
         }
         again += u64::from(sends > 1);
-        if let Some(Outcome::Bounce(b)) = end {
+        if let Some(Outcome::Rejection(b)) = end {
             assert_eq!(b.ran, ran, "seed {seed}: {:?}", b.reason);
             promised += u64::from(!b.ran);
         }
@@ -491,7 +491,7 @@
 
 #[googletest::test]
 fn below_its_quorum_a_join_is_never_a_success() {
-    for (quorum, parts, fine) in [
+    for (quorum, partitions, fine) in [
         (0.5, 2, true),
         (0.5, 1, false),
         (0.9, 3, false),
@@ -504,15 +504,18 @@
         let list = call(&mut d, NOW, 1);
         let mut end = None;
         for (i, s) in list.iter().enumerate() {
-            let got = if i < parts { Ok(good(s)) } else { Ok(raw(500, &["st"], b"")) };
+            let got = if i < partitions { Ok(good(s)) } else { Ok(raw(500, &["st"], b"")) };
             let todo = reply(&mut d, NOW + 5, s, got);
             end = end.or(told(&todo).cloned());
         }
         match end.unwrap() {
             Outcome::Joined(j) => {
-                expect_that!((fine, j.missing, j.stamps.len()), eq((true, 4 - parts, parts)));
+                expect_that!(
+                    (fine, j.missing, j.stamps.len()),
+                    eq((true, 4 - partitions, partitions))
+                );
             }
-            Outcome::Bounce(b) => expect_that!((fine, b.ran), eq((false, true))),
+            Outcome::Rejection(b) => expect_that!((fine, b.ran), eq((false, true))),
             other => panic!("{other:?}"),
         }
     }
@@ -556,22 +559,22 @@
         // Few different bytes, so that equal records are common.
         let kinds = 1 + below(&mut luck, 4);
         let mut all: Vec<Vec<u8>> = Vec::new();
-        let mut parts: Vec<Vec<u8>> = Vec::new();
+        let mut partitions: Vec<Vec<u8>> = Vec::new();
         for _ in 0..below(&mut luck, 6) {
-            let mut part = Vec::new();
+            let mut partition = Vec::new();
             for _ in 0..below(&mut luck, 20) {
                 let rec: Vec<u8> =
                     (0..width).map(|_| (below(&mut luck, kinds) * 85) as u8).collect();
-                part.extend(&rec);
+                partition.extend(&rec);
                 all.push(rec);
             }
             // A rest that is no record, made of the greatest bytes.
-            part.extend(vec![0xff; below(&mut luck, width as u64) as usize]);
-            parts.push(part);
+            partition.extend(vec![0xff; below(&mut luck, width as u64) as usize]);
+            partitions.push(partition);
         }
         all.sort_by(|a, b| b.cmp(a));
         all.truncate(top);
-        let refs: Vec<&[u8]> = parts.iter().map(Vec::as_slice).collect();
+        let refs: Vec<&[u8]> = partitions.iter().map(Vec::as_slice).collect();
         assert_eq!(join(&refs, width, top), all.concat(), "seed {seed}");
     }
 }
@@ -674,7 +677,7 @@
         out = sent(todo);
     }
     expect_that!(n, eq(consts::UNREACHED_MAX + 1));
-    let Some(Outcome::Bounce(b)) = end else { panic!("no outcome") };
+    let Some(Outcome::Rejection(b)) = end else { panic!("no outcome") };
     expect_that!(b.ran, eq(false), "nothing arrived anywhere");
 }
 
@@ -687,7 +690,7 @@
         let list = call(&mut d, NOW, 1);
         expect_that!(list[0].leaf, eq("p-0"), "the local zone is preferred");
         (w.drained, w.leaving) = (drained, leaving);
-        step(&mut d, NOW + 1, Event::View(Arc::new(seen(&w))));
+        step(&mut d, NOW + 1, Event::ClusterView(Arc::new(seen(&w))));
         expect_that!(sent(wake(&mut d, NOW + ms(50))).len(), eq(0));
         let todo = reply(&mut d, NOW + ms(60), &list[0], Err(Trouble::Cut));
         expect_that!(bounced(&todo).ran, eq(true));
@@ -696,7 +699,7 @@
 }
 
 /// Fills every leaf of a world of `n` leafs with one slot each.
-fn full(d: &mut Desk) -> Vec<Sending> {
+fn full(d: &mut QueryEngine) -> Vec<Sending> {
     let mut out = Vec::new();
     for i in 0..1_000 {
         let list = call(d, NOW, 100 + i);
@@ -718,7 +721,7 @@
         let out = full(&mut d);
         expect_that!(call(&mut d, NOW, 1).len(), eq(0));
         (w.drained, w.leaving) = (drained, leaving);
-        let mut todo = step(&mut d, NOW + 1, Event::View(Arc::new(seen(&w))));
+        let mut todo = step(&mut d, NOW + 1, Event::ClusterView(Arc::new(seen(&w))));
         for s in out.iter().filter(|s| s.leaf == "p-1") {
             todo.extend(reply(&mut d, NOW + 2, s, Ok(good(s))));
         }
@@ -815,7 +818,7 @@
                 }
                 7 if chance(&mut luck, 1, 8) => {
                     w.drained = ["none", "a", "b"][below(&mut luck, 3) as usize];
-                    Event::View(Arc::new(seen(&w)))
+                    Event::ClusterView(Arc::new(seen(&w)))
                 }
                 8 if chance(&mut luck, 1, 8) && !open.is_empty() => {
                     let i = draw(&mut luck) as usize % open.len();
--- a/crates/core/tests/memberships.rs
+++ b/crates/core/tests/memberships.rs
@@ -5,22 +5,22 @@
 
 use cluster::*;
 use googletest::prelude::*;
-use grebepath_core::control_plane::controller::Core;
-use grebepath_core::protocol::message::Progress;
+use grebepath_core::control_plane::controller::ControllerState;
+use grebepath_core::protocol::message::MemberProgress;
 use grebepath_core::time::{MILLI, SECOND, ms};
 
 /// The membership that a controller tells members: its term and turn.
 fn told(cluster: &Cluster, node: usize) -> (u64, u64) {
-    let membership = &core_of(cluster, node).members.cohort;
-    (membership.epoch, membership.turn)
+    let membership = &core_of(cluster, node).members.membership;
+    (membership.term, membership.turn)
 }
 
-fn far(saw: (u64, u64)) -> Progress {
-    Progress { saw, quiet_ms: 60_000, ready: true, ..Progress::default() }
+fn far(saw: (u64, u64)) -> MemberProgress {
+    MemberProgress { saw, quiet_ms: 60_000, ready: true, ..MemberProgress::default() }
 }
 
-fn names(core: &Core) -> Vec<String> {
-    core.members.cohort.members.iter().map(|member| member.name.clone()).collect()
+fn names(core: &ControllerState) -> Vec<String> {
+    core.members.membership.members.iter().map(|member| member.name.clone()).collect()
 }
 
 #[googletest::test]
--- a/crates/core/tests/merge.rs
+++ b/crates/core/tests/merge.rs
@@ -5,14 +5,14 @@
 use grebepath_core::http_api::leaf::{Expect, Heads, Raw, Trouble, check, postmark};
 use grebepath_core::query::merge::merge;
 use grebepath_core::query::request::Record;
-use grebepath_core::random::{Luck, below, luck};
+use grebepath_core::random::{Random, below, luck};
 use serde_json::Value;
 
 /// Scores that tie often, and those at the ends of what a float can say.
 const SCORES: [f64; 9] = [0.0, 1.0, 1.0, 2.5, -3.0, 1e308, -1e308, 5e-324, f64::MAX];
 
 /// A shard's records, best first by a comparison of the test's own.
-fn shard(luck: &mut Luck, name: &str) -> Vec<Record> {
+fn shard(luck: &mut Random, name: &str) -> Vec<Record> {
     let mut all: Vec<Record> = (0..below(luck, 12))
         .map(|i| Record {
             // Few ids, so that the same one stands in several shards.
--- a/crates/core/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -7,19 +7,19 @@
 use cluster::*;
 use googletest::prelude::*;
 use grebepath_core::control_plane::step::WAKE;
-use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::time::{SECOND, ms};
 use serde_json::json;
 
 /// A change that builds on one edition and sets the next.
-fn edition(after: u64, mark: &str) -> Deed {
+fn edition(after: u64, mark: &str) -> Operation {
     let val = json!({ "zones": [{ "name": mark, "state": "open" }],
         "terms": { "after": after, "edition": after + 1 } });
-    Deed::Patch(val.to_string().into_bytes())
+    Operation::Patch(val.to_string().into_bytes())
 }
 
-fn is_accepted(done: &Done) -> bool {
-    matches!(done, Done::Accepted { .. })
+fn is_accepted(done: &OperationResult) -> bool {
+    matches!(done, OperationResult::Accepted { .. })
 }
 
 #[googletest::test]
@@ -46,8 +46,8 @@
     cluster.answers.get(&operation).map(|answer| format!("{:?}", answer.done))
 }
 
-fn moved_to(done: &Done) -> Option<u64> {
-    if let Done::Moved { revision } = done { Some(*revision) } else { None }
+fn moved_to(done: &OperationResult) -> Option<u64> {
+    if let OperationResult::Moved { revision } = done { Some(*revision) } else { None }
 }
 
 #[googletest::test]
@@ -78,7 +78,7 @@
     run(&mut cluster, ms(4_100));
     expect_that!(told(&cluster, two), none());
     // The patience with the first order ends before the net is whole again.
-    expect_that!(answered(&mut cluster, one), matches_pattern!(Done::Unknown { .. }));
+    expect_that!(answered(&mut cluster, one), matches_pattern!(OperationResult::Unknown { .. }));
     cluster.cut.clear();
     let done = answered(&mut cluster, two);
     expect_that!(is_accepted(&done), eq(true), "{done:?}");
@@ -94,10 +94,10 @@
         ("one", edition(0, "a")),
         ("one", edition(0, "other")),
         ("two", edition(0, "b")),
-        ("three", Deed::Patch(b"{\"pools\": [{}]}".to_vec())),
-        ("", Deed::Read),
-        ("", Deed::Status),
-        ("", Deed::Forget("nobody".into())),
+        ("three", Operation::Patch(b"{\"pools\": [{}]}".to_vec())),
+        ("", Operation::Read),
+        ("", Operation::Status),
+        ("", Operation::Forget("nobody".into())),
     ];
     let asked: Vec<u64> =
         asked.into_iter().map(|(id, deed)| ask(&mut cluster, first, id, deed)).collect();
@@ -108,7 +108,8 @@
     // What is told in the end refuses nothing and confirms nothing.
     for operation in &asked {
         let done = answered(&mut cluster, *operation);
-        let open = matches!(done, Done::Bounced { .. } | Done::Unknown { .. });
+        let open =
+            matches!(done, OperationResult::Bounced { .. } | OperationResult::Unknown { .. });
         expect_that!(open, eq(true), "{done:?}");
     }
     let done = ask(&mut cluster, other, "two", edition(1, "b"));
@@ -126,9 +127,9 @@
     // The numbers of the new process begin where those of the old one did.
     restart_blank(&mut cluster, other, 99);
     run(&mut cluster, ms(100));
-    ask_numbered(&mut cluster, other, 77, "", Deed::Read);
+    ask_numbered(&mut cluster, other, 77, "", Operation::Read);
     let done = answered(&mut cluster, 77);
-    expect_that!(done, matches_pattern!(Done::Config { .. }));
+    expect_that!(done, matches_pattern!(OperationResult::Config { .. }));
 }
 
 #[googletest::test]
@@ -159,7 +160,7 @@
 /// Three members join, and two of them fall silent: the leader hears no majority
 /// of them and keeps them all.
 fn with_silent_members(cluster: &mut Cluster, leader: usize) {
-    let far = |turn| grebepath_core::protocol::message::Progress {
+    let far = |turn| grebepath_core::protocol::message::MemberProgress {
         obeys: 0,
         saw: (0, turn),
         ..Default::default()
@@ -175,7 +176,7 @@
 }
 
 fn members(cluster: &Cluster, node: usize) -> Vec<String> {
-    let list = &core_of(cluster, node).members.cohort.members;
+    let list = &core_of(cluster, node).members.membership.members;
     list.iter().map(|member| member.name.clone()).collect()
 }
 
@@ -184,7 +185,7 @@
     let (mut cluster, first, _) = led(3);
     with_silent_members(&mut cluster, first);
     assert_that!(members(&cluster, first), elements_are![eq("q1"), eq("q2"), eq("q3")]);
-    let forget = ask(&mut cluster, first, "", Deed::Forget("q3".into()));
+    let forget = ask(&mut cluster, first, "", Operation::Forget("q3".into()));
     let done = answered(&mut cluster, forget);
     expect_that!(is_accepted(&done), eq(true), "{done:?}");
     // The next membership, which a majority of the voters holds, is without it.
@@ -196,16 +197,16 @@
     run(&mut cluster, ms(200));
     expect_that!(members(&cluster, next), elements_are![eq("q1"), eq("q2")]);
     // It is forgotten already, which is no reason to refuse.
-    let again = ask(&mut cluster, next, "", Deed::Forget("q3".into()));
+    let again = ask(&mut cluster, next, "", Operation::Forget("q3".into()));
     let done = answered(&mut cluster, again);
-    expect_that!(done, matches_pattern!(Done::Accepted { again: eq(&true), .. }));
+    expect_that!(done, matches_pattern!(OperationResult::Accepted { again: eq(&true), .. }));
 }
 
 #[googletest::test]
 fn a_member_that_comes_back_is_no_longer_forgotten() {
     let (mut cluster, first, _) = led(3);
     with_silent_members(&mut cluster, first);
-    let forget = ask(&mut cluster, first, "", Deed::Forget("q3".into()));
+    let forget = ask(&mut cluster, first, "", Operation::Forget("q3".into()));
     assert!(is_accepted(&answered(&mut cluster, forget)));
     // Its first renewal takes the entry away, the second counts.
     for count in [50, 51] {
@@ -225,11 +226,11 @@
     let (mut cluster, first, _) = led(3);
     with_silent_members(&mut cluster, first);
     isolate(&mut cluster, first);
-    let forget = ask(&mut cluster, first, "", Deed::Forget("q3".into()));
+    let forget = ask(&mut cluster, first, "", Operation::Forget("q3".into()));
     expect_that!(told(&cluster, forget), none());
     expect_that!(members(&cluster, first), elements_are![eq("q1"), eq("q2"), eq("q3")]);
     let done = answered(&mut cluster, forget);
-    expect_that!(done, matches_pattern!(Done::Unknown { .. }));
+    expect_that!(done, matches_pattern!(OperationResult::Unknown { .. }));
     expect_that!(members(&cluster, first), contains(eq("q3")));
 }
 
@@ -243,14 +244,14 @@
     run(&mut cluster, 4 * SECOND);
     for name in &names[1..] {
         renew(&mut cluster, leader, &names[0], 2, Default::default());
-        let forget = ask(&mut cluster, leader, "", Deed::Forget(name.clone()));
+        let forget = ask(&mut cluster, leader, "", Operation::Forget(name.clone()));
         let done = answered(&mut cluster, forget);
         expect_that!(is_accepted(&done), eq(true), "{name}: {done:?}");
         if members(&cluster, leader).len() <= 2 {
             break;
         }
     }
-    let map = &core_of(&cluster, leader).parts[0].copy.map;
+    let map = &core_of(&cluster, leader).partitions[0].copy.map;
     let kept = map.keys().filter(|key| key.starts_with("forgotten/")).count();
     expect_that!(kept, eq(64));
 }
@@ -306,7 +307,7 @@
         until(&mut cluster, |cluster| leader(cluster) != Some(first));
         let two = ask(&mut cluster, other, "two", edition(1, "b"));
         let three = ask(&mut cluster, first, "three", edition(2, "c"));
-        let read = ask(&mut cluster, first, "", Deed::Read);
+        let read = ask(&mut cluster, first, "", Operation::Read);
         assert!(is_accepted(&answered(&mut cluster, two)));
         run(&mut cluster, ms(1_500));
         expect_that!((told(&cluster, three), told(&cluster, read)), eq(&(None, None)));
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -8,7 +8,7 @@
     recall, remember, without_memory,
 };
 use grebepath_core::protocol::message::Map;
-use grebepath_core::random::{Luck, below, luck};
+use grebepath_core::random::{Random, below, luck};
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_core::storage::record::{Copy, put};
 use grebepath_core::storage::writer;
@@ -46,7 +46,7 @@
 }
 
 /// Accepts an order as the leader does. One in `raising` names a new edition.
-fn accept(model: &mut Model, random: &mut Luck, raising: u64) {
+fn accept(model: &mut Model, random: &mut Random, raising: u64) {
     let revision = model.accepted.len() as u64 + 1;
     let raises = below(random, raising) == 0;
     let next = model.edition + 1 + below(random, 3);
@@ -123,7 +123,7 @@
 
 /// Orders that were never accepted are not remembered, and a request id that
 /// was used is not taken for another text.
-fn check_strangers(model: &Model, random: &mut Luck) {
+fn check_strangers(model: &Model, random: &mut Random) {
     for _ in 0..200 {
         let at = below(random, model.accepted.len() as u64) as usize;
         let known = &model.accepted[at];
@@ -346,7 +346,7 @@
 #[googletest::test]
 fn files_of_an_older_build_are_read_and_their_orders_known() {
     let mut copy = older_files();
-    expect_that!((copy.rev, edition(&copy.map)), eq((5, 5)));
+    expect_that!((copy.revision, edition(&copy.map)), eq((5, 5)));
     let text = |n: u64| {
         let zone = r#""zones":[{"name":"z","state":"open"}]"#;
         format!(r#"{{"terms":{{"after":{n},"edition":{}}},{zone}}}"#, n + 1)
@@ -361,7 +361,7 @@
     known(&copy.map);
     let entries = remember(&copy.map, &fingerprint("new", false, b"x"), 6, 6);
     put(&mut copy.map, &entries);
-    copy.rev = 6;
+    copy.revision = 6;
     // And back through files of this build.
     let (slot, log) = (writer::slot(0, 2, &copy), writer::log_head(0, 2));
     match read(0, [Some(&slot), None], Some(&log)) {
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -10,25 +10,25 @@
 use googletest::prelude::*;
 use grebepath_core::control_plane::order_memory::{fingerprint, horizon, remember};
 use grebepath_core::identifiers::CONFIG;
-use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_core::storage::record::{Copy, put};
 use grebepath_core::time::SECOND;
 use serde_json::{Value, json};
 
 /// A change of one zone with these terms.
-fn deed(terms: Value) -> Deed {
+fn deed(terms: Value) -> Operation {
     let change = json!({ "zones": [{ "name": "z", "state": "open" }], "terms": terms });
-    Deed::Patch(change.to_string().into_bytes())
+    Operation::Patch(change.to_string().into_bytes())
 }
 
 /// A change that builds on edition `base` and names the next one.
-fn order(base: u64) -> Deed {
+fn order(base: u64) -> Operation {
     deed(json!({ "after": base, "edition": base + 1 }))
 }
 
 /// Sends the order on edition `base` under its own request id.
-fn send(controller: &mut One, base: u64) -> Done {
+fn send(controller: &mut One, base: u64) -> OperationResult {
     operate(controller, &format!("order-{base}"), order(base))
 }
 
@@ -38,12 +38,12 @@
         let mut controller = one();
         for base in 0..=others {
             let done = send(&mut controller, base);
-            expect_that!(done, matches_pattern!(Done::Accepted { .. }), "order {base}");
+            expect_that!(done, matches_pattern!(OperationResult::Accepted { .. }), "order {base}");
         }
         let again = send(&mut controller, 0);
         expect_that!(
             again,
-            matches_pattern!(Done::Accepted { revision: eq(&1), again: eq(&true), .. }),
+            matches_pattern!(OperationResult::Accepted { revision: eq(&1), again: eq(&true), .. }),
             "the first order, sent again after {others} others"
         );
     }
@@ -56,18 +56,18 @@
 fn long_running() -> (Cluster, u64) {
     let mut c = cluster(3);
     let first = answer(&mut c, 0, "order-0", None, order(0));
-    assert!(matches!(first, Some(Done::Accepted { revision: 1, .. })), "{first:?}");
+    assert!(matches!(first, Some(OperationResult::Accepted { revision: 1, .. })), "{first:?}");
     assert!(pass_until(&mut c, SECOND, |c| (0..3).all(|n| cluster::synced_revision(c, n) == 1)));
     let mut copy = c.nodes[0].disk.kept[&CONFIG].clone();
     for base in 1..ACCEPTED {
-        let Deed::Patch(text) = order(base) else { unreachable!() };
+        let Operation::Patch(text) = order(base) else { unreachable!() };
         let print = fingerprint(&format!("order-{base}"), false, &text);
         let entries = remember(&copy.map, &print, base + 1, base + 1);
         put(&mut copy.map, &entries);
     }
     let terms = grebepath_core::config::types::Terms { edition: ACCEPTED, ..Default::default() };
     copy.map.insert("terms".into(), prost::Message::encode_to_vec(&terms));
-    copy.rev = ACCEPTED;
+    copy.revision = ACCEPTED;
     for node in &mut c.nodes {
         let promised = node.disk.kept[&CONFIG].promised;
         node.disk.kept.insert(CONFIG, Copy { promised, ..copy.clone() });
@@ -79,7 +79,12 @@
 }
 
 /// The answer through each controller in turn; it must not take long.
-fn everywhere(c: &mut Cluster, request: &str, expect: Option<u64>, deed: &Deed) -> Vec<Done> {
+fn everywhere(
+    c: &mut Cluster,
+    request: &str,
+    expect: Option<u64>,
+    deed: &Operation,
+) -> Vec<OperationResult> {
     let mut out = Vec::new();
     for node in 0..3 {
         let op = call(c, node, request, expect, deed.clone());
@@ -96,29 +101,37 @@
     for base in [horizon, horizon + 1, 10_000, ACCEPTED - 1] {
         let done = everywhere(&mut c, &format!("order-{base}"), None, &order(base));
         let revision = base + 1;
-        let same =
-            matches_pattern!(Done::Accepted { revision: eq(&revision), again: eq(&true), .. });
+        let same = matches_pattern!(OperationResult::Accepted {
+            revision: eq(&revision),
+            again: eq(&true),
+            ..
+        });
         expect_that!(done, each(same));
     }
     // A rival of an order that is remembered has lost the race, clearly.
     for base in [horizon, 10_000, ACCEPTED - 1] {
         let done = everywhere(&mut c, &format!("rival-{base}"), None, &order(base));
-        expect_that!(done, each(matches_pattern!(Done::Moved { revision: eq(&ACCEPTED) })));
+        expect_that!(
+            done,
+            each(matches_pattern!(OperationResult::Moved { revision: eq(&ACCEPTED) }))
+        );
     }
     // What may be forgotten gets no clear answer, and at once.
     for base in [0, 1, 500, horizon - 1] {
         let done = everywhere(&mut c, &format!("rival-{base}"), None, &order(base));
-        let unclear =
-            matches_pattern!(Done::Forgotten { revision: eq(&horizon), edition: eq(&horizon) });
+        let unclear = matches_pattern!(OperationResult::Forgotten {
+            revision: eq(&horizon),
+            edition: eq(&horizon)
+        });
         expect_that!(done, each(unclear), "{base}");
     }
     // What can never have been accepted is refused, however old its base.
     let wrong = deed(json!({ "after": 5, "edition": 5 }));
     let done = everywhere(&mut c, "wrong", None, &wrong);
-    expect_that!(done, each(matches_pattern!(Done::Moved { .. })));
-    let unreadable = Deed::Patch(b"{".to_vec());
+    expect_that!(done, each(matches_pattern!(OperationResult::Moved { .. })));
+    let unreadable = Operation::Patch(b"{".to_vec());
     let done = everywhere(&mut c, "unreadable", None, &unreadable);
-    expect_that!(done, each(matches_pattern!(Done::Wrong(_))));
+    expect_that!(done, each(matches_pattern!(OperationResult::Wrong(_))));
 }
 
 #[googletest::test]
@@ -128,31 +141,48 @@
     for (expect, clear) in [(1, false), (horizon - 1, false), (horizon, true), (15_000, true)] {
         let done = everywhere(&mut c, &format!("expects-{expect}"), Some(expect), &plain);
         if clear {
-            expect_that!(done, each(matches_pattern!(Done::Moved { revision: eq(&ACCEPTED) })));
+            expect_that!(
+                done,
+                each(matches_pattern!(OperationResult::Moved { revision: eq(&ACCEPTED) }))
+            );
         } else {
-            expect_that!(done, each(matches_pattern!(Done::Forgotten { .. })), "{expect}");
+            expect_that!(
+                done,
+                each(matches_pattern!(OperationResult::Forgotten { .. })),
+                "{expect}"
+            );
         }
     }
     for (edition, clear) in [(1, false), (horizon, false), (horizon + 1, true), (ACCEPTED, true)] {
         let names = deed(json!({ "edition": edition }));
         let done = everywhere(&mut c, &format!("names-{edition}"), None, &names);
         if clear {
-            expect_that!(done, each(matches_pattern!(Done::Wrong(_))), "{edition}");
+            expect_that!(done, each(matches_pattern!(OperationResult::Wrong(_))), "{edition}");
         } else {
-            expect_that!(done, each(matches_pattern!(Done::Forgotten { .. })), "{edition}");
+            expect_that!(
+                done,
+                each(matches_pattern!(OperationResult::Forgotten { .. })),
+                "{edition}"
+            );
         }
     }
     // The newest revision and edition are judged as ever.
     let done = answer(&mut c, 1, "next", Some(ACCEPTED), deed(json!({ "edition": ACCEPTED + 7 })));
-    expect_that!(done, some(matches_pattern!(Done::Accepted { again: eq(&false), .. })));
+    expect_that!(done, some(matches_pattern!(OperationResult::Accepted { again: eq(&false), .. })));
     // An order that names nothing is known by its request id as long as that is
     // remembered.
     let first = answer(&mut c, 0, "plain", None, plain.clone());
-    expect_that!(first, some(matches_pattern!(Done::Accepted { again: eq(&false), .. })));
+    expect_that!(
+        first,
+        some(matches_pattern!(OperationResult::Accepted { again: eq(&false), .. }))
+    );
     restart_all(&mut c, true);
     let done = everywhere(&mut c, "plain", None, &plain);
-    let same =
-        matches_pattern!(Done::Accepted { revision: eq(&(ACCEPTED + 2)), again: eq(&true), .. });
+    let same = matches_pattern!(OperationResult::Accepted {
+        revision: eq(&(ACCEPTED + 2)),
+        again: eq(&true),
+        ..
+    });
     expect_that!(done, each(same));
 }
 
@@ -178,15 +208,25 @@
         for base in 1..5 {
             let done = everywhere(&mut c, &format!("order-{base}"), None, &order(base));
             let revision = base + 1;
-            let same =
-                matches_pattern!(Done::Accepted { revision: eq(&revision), again: eq(&true), .. });
+            let same = matches_pattern!(OperationResult::Accepted {
+                revision: eq(&revision),
+                again: eq(&true),
+                ..
+            });
             expect_that!(done, each(same), "round {round}");
             let done = everywhere(&mut c, &format!("rival-{base}"), None, &order(base - 1));
-            expect_that!(done, each(matches_pattern!(Done::Moved { .. })), "round {round}");
+            expect_that!(
+                done,
+                each(matches_pattern!(OperationResult::Moved { .. })),
+                "round {round}"
+            );
         }
         if round == 0 {
             let done = answer(&mut c, 1, "new", None, order(5));
-            expect_that!(done, some(matches_pattern!(Done::Accepted { revision: eq(&6), .. })));
+            expect_that!(
+                done,
+                some(matches_pattern!(OperationResult::Accepted { revision: eq(&6), .. }))
+            );
         } else {
             restart_all(&mut c, true);
         }
@@ -197,18 +237,21 @@
 fn a_request_id_that_was_used_for_another_text_is_refused_everywhere() {
     let mut c = cluster(3);
     let done = answer(&mut c, 0, "id", None, order(0));
-    expect_that!(done, some(matches_pattern!(Done::Accepted { .. })));
-    let whole = Deed::Whole(match order(0) {
-        Deed::Patch(text) => text,
+    expect_that!(done, some(matches_pattern!(OperationResult::Accepted { .. })));
+    let whole = Operation::Whole(match order(0) {
+        Operation::Patch(text) => text,
         _ => unreachable!(),
     });
     for _ in 0..2 {
         for other in [order(1), whole.clone(), deed(json!({}))] {
             let done = everywhere(&mut c, "id", None, &other);
-            expect_that!(done, each(matches_pattern!(Done::Wrong(_))));
+            expect_that!(done, each(matches_pattern!(OperationResult::Wrong(_))));
         }
         let done = everywhere(&mut c, "id", None, &order(0));
-        expect_that!(done, each(matches_pattern!(Done::Accepted { revision: eq(&1), .. })));
+        expect_that!(
+            done,
+            each(matches_pattern!(OperationResult::Accepted { revision: eq(&1), .. }))
+        );
         let leads = leader(&c).unwrap();
         cluster::kill(&mut c, leads, true);
         assert!(pass_until(&mut c, 5 * SECOND, |c| leader(c).is_some_and(|now| now != leads)));
@@ -220,9 +263,9 @@
     let [a, b] = [0, 1].map(|node: usize| call(&mut c, node, "new", None, texts[node].clone()));
     assert!(pass_until(&mut c, 5 * SECOND, |c| [a, b].iter().all(|op| c.told.contains_key(op))));
     let mut told = [c.told[&a].clone(), c.told[&b].clone()];
-    told.sort_by_key(|done| !matches!(done, Done::Accepted { .. }));
-    expect_that!(told[0], matches_pattern!(Done::Accepted { revision: eq(&2), .. }));
-    expect_that!(told[1], matches_pattern!(Done::Wrong(_)));
+    told.sort_by_key(|done| !matches!(done, OperationResult::Accepted { .. }));
+    expect_that!(told[0], matches_pattern!(OperationResult::Accepted { revision: eq(&2), .. }));
+    expect_that!(told[1], matches_pattern!(OperationResult::Wrong(_)));
     let edition = read_back(&mut c, 2).map(|conf| conf.terms.edition);
     expect_that!(edition, some(any!(eq(2), eq(9))));
 }
@@ -238,7 +281,7 @@
         assert!(pass_until(&mut c, 5 * SECOND, |c| calls.iter().all(|op| c.told.contains_key(op))));
         for op in calls {
             let revision = base + 1;
-            let same = matches_pattern!(Done::Accepted { revision: eq(&revision), .. });
+            let same = matches_pattern!(OperationResult::Accepted { revision: eq(&revision), .. });
             expect_that!(c.told[&op], same);
         }
     }
--- a/crates/core/tests/order_schedules.rs
+++ b/crates/core/tests/order_schedules.rs
@@ -13,8 +13,8 @@
 use edition_register::{Asked, Told, check};
 use googletest::prelude::*;
 use grebepath_core::config::change;
-use grebepath_core::protocol::message::{Deed, Done};
-use grebepath_core::random::{Luck, below, chance, luck};
+use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::random::{Random, below, chance, luck};
 use grebepath_core::replication::partition::Role;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use serde_json::json;
@@ -32,19 +32,19 @@
     after: Option<u64>,
 }
 
-fn deed(order: &str, after: u64) -> Deed {
+fn deed(order: &str, after: u64) -> Operation {
     let val = json!({ "zones": [{ "name": order, "state": "open" }],
         "terms": { "after": after, "edition": after + 1 } });
-    Deed::Patch(val.to_string().into_bytes())
+    Operation::Patch(val.to_string().into_bytes())
 }
 
-fn told(done: Option<&Done>) -> Told {
+fn told(done: Option<&OperationResult>) -> Told {
     match done {
-        Some(Done::Accepted { .. }) => Told::Accepted,
-        Some(Done::Moved { revision }) => Told::Refused(*revision),
-        Some(Done::Config { map, .. }) => Told::Read(edition(map).1),
-        Some(Done::Bounced { .. }) => Told::NotDone,
-        None | Some(Done::Unknown { .. }) => Told::Open,
+        Some(OperationResult::Accepted { .. }) => Told::Accepted,
+        Some(OperationResult::Moved { revision }) => Told::Refused(*revision),
+        Some(OperationResult::Config { map, .. }) => Told::Read(edition(map).1),
+        Some(OperationResult::Bounced { .. }) => Told::NotDone,
+        None | Some(OperationResult::Unknown { .. }) => Told::Open,
         Some(done) => Told::Absurd(format!("told {done:?}")),
     }
 }
@@ -69,7 +69,7 @@
 }
 
 /// An operator asks something of a controller.
-fn request(cluster: &mut Cluster, chances: &mut Luck, requests: &mut Vec<Request>) {
+fn request(cluster: &mut Cluster, chances: &mut Random, requests: &mut Vec<Request>) {
     let node = below(chances, 3) as usize;
     let (order, after) = match below(chances, 20) {
         0..3 => (String::new(), None),
@@ -84,7 +84,7 @@
         }
         _ => (format!("order-{}", requests.len()), Some(known(cluster, requests))),
     };
-    let deed = after.map_or(Deed::Read, |after| deed(&order, after));
+    let deed = after.map_or(Operation::Read, |after| deed(&order, after));
     let operation = ask_later(cluster, node, &order, deed);
     requests.push(Request { operation, order, after });
 }
@@ -96,7 +96,7 @@
     kind: u64,
 }
 
-fn begin(cluster: &mut Cluster, chances: &mut Luck) -> Fault {
+fn begin(cluster: &mut Cluster, chances: &mut Random) -> Fault {
     let node = below(chances, 3) as usize;
     let kind = below(chances, 9);
     let mut span = ms(200 + below(chances, 6_000));
@@ -147,7 +147,7 @@
                 let operation = ask(cluster, fault.node, &order, deed(&order, after));
                 requests.push(Request { operation, order, after: Some(after) });
             }
-            let operation = ask(cluster, fault.node, "", Deed::Read);
+            let operation = ask(cluster, fault.node, "", Operation::Read);
             requests.push(Request { operation, order: String::new(), after: None });
         }
         _ => {}
@@ -189,9 +189,11 @@
         end(&mut cluster, fault, &mut requests);
     }
     run(&mut cluster, QUIET);
-    let last = ask(&mut cluster, 0, "", Deed::Read);
+    let last = ask(&mut cluster, 0, "", Operation::Read);
     let done = answered(&mut cluster, last);
-    let Done::Config { map, .. } = done else { return vec![format!("nothing is read: {done:?}")] };
+    let OperationResult::Config { map, .. } = done else {
+        return vec![format!("nothing is read: {done:?}")];
+    };
     let (applied, edition) = edition(&map);
     let history: Vec<Asked> = requests.iter().map(|request| asked(&cluster, request)).collect();
     check(&history, &applied, edition)
@@ -230,7 +232,7 @@
 /// A leader tells refusals by changes that are not committed.
 fn refuse_by_uncommitted(cluster: &mut Cluster) {
     for node in 0..3 {
-        if let Role::Leader(leader) = &mut core_mut(cluster, node).parts[0].role {
+        if let Role::Leader(leader) = &mut core_mut(cluster, node).partitions[0].role {
             leader.pending.iter_mut().for_each(|operation| operation.revision = 0);
         }
     }
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use grebepath_core::query::service_retry_budget::{
-    Quota, Rate, among, first, keep, quota, rated, second,
+    Rate, ServiceRetryBudget, among, first, keep, quota, rated, second,
 };
 use grebepath_core::random::{below, chance, luck};
 
@@ -13,7 +13,7 @@
 }
 
 /// A node as it starts anew: nothing saved, and one of `n`.
-fn fresh(rate: Rate, n: usize) -> Quota {
+fn fresh(rate: Rate, n: usize) -> ServiceRetryBudget {
     let mut q = quota(rate);
     among(&mut q, n as u64);
     q
@@ -23,7 +23,7 @@
 /// `restarts` of a thousand steps start a node anew.
 fn run(seed: u64, n: usize, rate: Rate, restarts: u64) -> Seen {
     let mut luck = luck(seed);
-    let mut nodes: Vec<Quota> = (0..n).map(|_| fresh(rate, n)).collect();
+    let mut nodes: Vec<ServiceRetryBudget> = (0..n).map(|_| fresh(rate, n)).collect();
     let mut seen = Seen { firsts: Vec::new(), seconds: Vec::new() };
     let (mut busy, mut hungry) = (true, true);
     for now in 0..60_000u64 {
@@ -147,7 +147,7 @@
 fn a_larger_fleet_and_a_stricter_rule_take_back_what_was_saved() {
     // Guards against nodes that hold on to a part of the slack which others
     // have by now.
-    let spend = |q: &mut Quota| (0..1_000).filter(|_| second(q, "s")).count();
+    let spend = |q: &mut ServiceRetryBudget| (0..1_000).filter(|_| second(q, "s")).count();
     let rich = || {
         let mut q = fresh(Rate { share: 1_000, slack: 100 }, 1);
         for _ in 0..1_000 {
@@ -160,7 +160,7 @@
     among(&mut q, 10);
     expect_that!(spend(&mut q), eq(9));
     let mut q = rich();
-    // Without a place in the cohort nobody knows what others spend.
+    // Without a place in the membership nobody knows what others spend.
     among(&mut q, 0);
     expect_that!(spend(&mut q), eq(1));
     let mut q = rich();
--- a/crates/core/tests/races/judge.rs
+++ b/crates/core/tests/races/judge.rs
@@ -1,6 +1,6 @@
 //! What must hold of a race, whatever happened in it.
 
-use grebepath_core::protocol::message::Done;
+use grebepath_core::protocol::message::OperationResult;
 
 use super::{History, Race};
 use crate::cluster::{Cluster, read_back};
@@ -18,11 +18,13 @@
     }
     let mut accepted = Vec::new();
     for (order, calls) in lists {
-        let told: Vec<&Done> = calls.iter().filter_map(|op| c.told.get(op)).collect();
+        let told: Vec<&OperationResult> = calls.iter().filter_map(|op| c.told.get(op)).collect();
         let mut revisions: Vec<u64> = told.iter().filter_map(|done| revision(done)).collect();
         revisions.sort_unstable();
         revisions.dedup();
-        let refused = told.iter().any(|done| matches!(done, Done::Moved { .. } | Done::Wrong(_)));
+        let refused = told
+            .iter()
+            .any(|done| matches!(done, OperationResult::Moved { .. } | OperationResult::Wrong(_)));
         let stands = config.zones.contains_key(&order.mark);
         if revisions.len() > 1 {
             wrong.push(format!("{} was applied twice, as {revisions:?}", order.mark));
@@ -37,7 +39,9 @@
             wrong.push(format!("{} was refused and is in force", order.mark));
         }
         // All is calm in the end: the last answer is a clear one.
-        let clear = |done: &&Done| matches!(done, Done::Accepted { .. } | Done::Moved { .. });
+        let clear = |done: &&OperationResult| {
+            matches!(done, OperationResult::Accepted { .. } | OperationResult::Moved { .. })
+        };
         if !told.last().is_some_and(clear) {
             wrong.push(format!("{} has no clear answer in the end: {told:?}", order.mark));
         }
@@ -54,9 +58,9 @@
     (wrong, accepted.contains(&&race.first))
 }
 
-fn revision(done: &Done) -> Option<u64> {
+fn revision(done: &OperationResult) -> Option<u64> {
     match done {
-        Done::Accepted { revision, .. } => Some(*revision),
+        OperationResult::Accepted { revision, .. } => Some(*revision),
         _ => None,
     }
 }
--- a/crates/core/tests/races/mod.rs
+++ b/crates/core/tests/races/mod.rs
@@ -9,7 +9,7 @@
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::digest::digest;
-use grebepath_core::protocol::message::{Deed, Done, Msg};
+use grebepath_core::protocol::message::{Message, Operation, OperationResult};
 use grebepath_core::time::SECOND;
 use serde_json::json;
 
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Order {
     pub request: String,
-    pub deed: Deed,
+    pub deed: Operation,
     /// A zone that only this order sets.
     pub mark: String,
 }
@@ -40,7 +40,7 @@
     let text = change.to_string();
     let request = digest(format!("{whole} {text}").as_bytes());
     let text = text.into_bytes();
-    let deed = if whole { Deed::Whole(text) } else { Deed::Patch(text) };
+    let deed = if whole { Operation::Whole(text) } else { Operation::Patch(text) };
     Order { request, deed, mark: mark.to_string() }
 }
 
@@ -145,7 +145,7 @@
     let mut c = cluster(3);
     let base = order(true, Some(0), 1, "base");
     let done = answer(&mut c, 0, &base.request, None, base.deed);
-    assert!(matches!(done, Some(Done::Accepted { .. })), "{done:?}");
+    assert!(matches!(done, Some(OperationResult::Accepted { .. })), "{done:?}");
     let old_leader = leader(&c).unwrap();
     let at = |distance: usize| (old_leader + distance) % 3;
     let mut history = History::default();
@@ -193,8 +193,8 @@
     let follower = (leader + 1) % 3;
     let all = matches!(stage, Stage::AllSynced | Stage::Committed | Stage::Answered);
     let allowed = match work {
-        Work::Deliver { msg: Msg::Operate { .. }, .. } => stage != Stage::Arrived,
-        Work::Deliver { msg: Msg::Append { .. }, to, .. } => {
+        Work::Deliver { message: Message::Operate { .. }, .. } => stage != Stage::Arrived,
+        Work::Deliver { message: Message::Append { .. }, to, .. } => {
             let one = matches!(stage, Stage::FollowerSynced | Stage::MajoritySynced);
             all || one && *to == follower
         }
@@ -204,7 +204,7 @@
             Stage::MajoritySynced => *node == leader || *node == follower,
             _ => all,
         },
-        Work::Deliver { msg: Msg::AppendAck { .. }, .. } => {
+        Work::Deliver { message: Message::AppendAck { .. }, .. } => {
             matches!(stage, Stage::Committed | Stage::Answered)
         }
         _ => stage == Stage::Answered,
@@ -223,7 +223,10 @@
         Stage::AllSynced | Stage::Committed | Stage::Answered => [true; 3],
     };
     assert_eq!([0, 1, 2].map(on_disk), want, "{race:?}");
-    let knows = c.nodes[leader].core.as_ref().is_some_and(|core| core.parts[0].shown_rev == 2);
+    let knows = c.nodes[leader]
+        .core
+        .as_ref()
+        .is_some_and(|core| core.partitions[0].committed_revision == 2);
     assert_eq!(knows, matches!(race.stage, Stage::Committed | Stage::Answered), "{race:?}");
     // An answer at the leader itself can't be held.
     let told = race.stage == Stage::Answered || race.stage == Stage::Committed && race.called == 0;
--- a/crates/core/tests/rule.rs
+++ b/crates/core/tests/rule.rs
@@ -46,15 +46,15 @@
 fn the_fleet_stays_within_the_rule_in_any_window() {
     for seed in 0..20 {
         let members: Vec<_> = (0..7).map(|i| (format!("q{i}"), 2)).collect();
-        let part = |i: usize| {
+        let partition = |i: usize| {
             let s = quota::share(&members, &format!("q{}", i / 2), (i % 2) as u32);
             quota::part(&s, quota::rank(&s, 99), RETRY_SLACK)
         };
-        let total: u64 = (0..14).map(part).sum();
+        let total: u64 = (0..14).map(partition).sum();
         expect_that!(total, eq(RETRY_SLACK));
         // A window may lie just behind traffic that stopped: one burst's
         // credit, here a fifth of 200 ms at 500 a second, and one try a thread.
-        expect_that!(worst(seed, 14, part), le(RETRY_SLACK as i64 + 20 + 14));
+        expect_that!(worst(seed, 14, partition), le(RETRY_SLACK as i64 + 20 + 14));
     }
 }
 
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -2,17 +2,17 @@
 //! and whose votes count.
 
 use googletest::prelude::*;
-use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
-use grebepath_core::identifiers::{CONFIG, Seat, parts};
-use grebepath_core::protocol::message::{Life, Msg};
+use grebepath_core::identifiers::{CONFIG, VoterSlot, partitions};
+use grebepath_core::protocol::message::{Message, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::Copy;
 use grebepath_core::time::{BOOT, SECOND, Tick};
-use grebepath_core::voters::voter_file::{Roll, Start, begin, read, write};
+use grebepath_core::voters::voter_file::{Start, VoterFile, begin, read, write};
 use grebepath_core::voters::voter_set::{
-    Holding, NOBODY, Table, after_handover, after_takeover, balanced, first_holder, first_table,
-    majority, merge, stamp, told_holder, told_table,
+    NOBODY, SlotHolder, VoterSet, after_handover, after_takeover, balanced, first_holder,
+    first_table, majority, merge, stamp, told_holder, told_table,
 };
 
 fn addr(n: usize) -> String {
@@ -23,10 +23,10 @@
     (0..n).map(addr).collect()
 }
 
-fn held(table: &Table, seat: usize, generation: u32, holder: u64) -> Table {
+fn held(table: &VoterSet, slot: usize, generation: u32, holder: u64) -> VoterSet {
     let mut new = table.clone();
     let zone = "c".to_string();
-    new.seats[seat] = Holding { generation, holder, addr: addr(9), zone };
+    new.slots[slot] = SlotHolder { generation, holder, addr: addr(9), zone };
     new
 }
 
@@ -46,20 +46,20 @@
     for order in [[4, 3, 2, 1, 0], [2, 0, 4, 1, 3], [3, 1, 0, 2, 4], [1, 2, 3, 4, 0]] {
         expect_that!(all(&order), eq(&want));
     }
-    expect_that!((want.seats[1].generation, want.seats[1].holder), eq((3, 5)));
+    expect_that!((want.slots[1].generation, want.slots[1].holder), eq((3, 5)));
     expect_that!(merge(&want, &base), none());
     expect_that!(stamp(&want), not(eq(stamp(&base))));
     // Another size is another fleet's.
     expect_that!(merge(&base, &first_table(&seeds(3), 3)), none());
-    expect_that!(merge(&Table::default(), &base), some(eq(&base)));
+    expect_that!(merge(&VoterSet::default(), &base), some(eq(&base)));
 }
 
 #[googletest::test]
 fn a_fleet_never_begins_with_more_seats_than_its_seeds_can_form() {
     for (n, size, want) in [(3, 5, 5), (3, 3, 3), (2, 5, 1), (1, 3, 1), (4, 9, 3), (5, 9, 9)] {
         let table = first_table(&seeds(n), size);
-        expect_that!(table.seats.len(), eq(want), "{n} seeds, {size} seats");
-        let there = table.seats.iter().filter(|h| h.holder != 0).count();
+        expect_that!(table.slots.len(), eq(want), "{n} seeds, {size} seats");
+        let there = table.slots.iter().filter(|h| h.holder != 0).count();
         expect_that!(there, ge(majority(want)));
     }
 }
@@ -67,7 +67,7 @@
 #[googletest::test]
 fn no_zone_gains_what_would_cost_the_majority() {
     let mut table = first_table(&seeds(5), 5);
-    for (h, zone) in table.seats.iter_mut().zip(["a", "a", "b", "b", "c"]) {
+    for (h, zone) in table.slots.iter_mut().zip(["a", "a", "b", "b", "c"]) {
         h.zone = zone.into();
     }
     expect_that!(balanced(&table, 4, "a"), eq(false));
@@ -75,13 +75,13 @@
     expect_that!(balanced(&table, 0, "a"), eq(true));
     expect_that!(balanced(&table, 0, "c"), eq(true));
     // One zone has it all already: it can't get worse.
-    table.seats.iter_mut().for_each(|h| h.zone = "a".into());
+    table.slots.iter_mut().for_each(|h| h.zone = "a".into());
     expect_that!(balanced(&table, 0, "a"), eq(true));
 }
 
 #[googletest::test]
 fn a_damaged_roll_is_no_roll() {
-    let roll = Roll { me: 77, first: true, table: first_table(&seeds(3), 5) };
+    let roll = VoterFile { me: 77, first: true, table: first_table(&seeds(3), 5) };
     let raw = write(&roll);
     expect_that!(read(&raw), some(eq(&roll)));
     for bit in 0..raw.len() * 8 {
@@ -96,8 +96,8 @@
 
 #[googletest::test]
 fn a_start_is_who_its_disk_says_and_nobody_else() {
-    let start = |seat: Option<Seat>, first: bool, n: usize| Start {
-        seat,
+    let start = |slot: Option<VoterSlot>, first: bool, n: usize| Start {
+        slot,
         first,
         seeds: seeds(3),
         size: 3,
@@ -111,41 +111,41 @@
     {
         let (roll, clear) = begin(None, &start(None, first, n), bare, 50);
         expect_that!((roll.me, roll.first, clear), eq((51, false, !bare)));
-        expect_that!(roll.table.seats.is_empty(), eq(true));
+        expect_that!(roll.table.slots.is_empty(), eq(true));
     }
     // The table on disk wins over any seeds and any `first`.
-    let mine = Roll { me: 9, first: false, table: held(&first_table(&seeds(3), 3), 2, 4, 9) };
+    let mine = VoterFile { me: 9, first: false, table: held(&first_table(&seeds(3), 3), 2, 4, 9) };
     let (roll, clear) = begin(Some(mine.clone()), &start(None, true, 1), false, 50);
     expect_that!((&roll, clear), eq((&mine, false)));
     // Its seat was given away: the files are of another life.
-    let gone = Roll { me: 8, ..mine.clone() };
+    let gone = VoterFile { me: 8, ..mine.clone() };
     let (roll, clear) = begin(Some(gone), &start(None, false, 1), false, 50);
     expect_that!((roll.me, clear), eq((51, true)));
     // Told its seat: by the seeds, unless the seat was given to another.
     let (roll, clear) = begin(None, &start(Some(1), false, 1), true, 50);
     expect_that!((roll.me, roll.first, clear), eq((told_holder(1), true, false)));
     let taken =
-        Roll { me: told_holder(1), first: true, table: held(&told_table(&seeds(3)), 1, 2, 9) };
+        VoterFile { me: told_holder(1), first: true, table: held(&told_table(&seeds(3)), 1, 2, 9) };
     let (roll, clear) = begin(Some(taken), &start(Some(1), false, 1), false, 50);
     expect_that!((roll.me, clear), eq((51, true)));
 }
 
 /// A seat of three that has formed all parts, driven by hand.
 struct Bench {
-    core: Core,
+    core: ControllerState,
     now: Tick,
 }
 
-fn bench(seat: Seat) -> Bench {
+fn bench(slot: VoterSlot) -> Bench {
     let mut table = first_table(&seeds(3), 3);
-    for (h, zone) in table.seats.iter_mut().zip(["a", "b", "c"]) {
+    for (h, zone) in table.slots.iter_mut().zip(["a", "b", "c"]) {
         h.zone = zone.into();
     }
-    let me = table.seats[usize::from(seat)].holder;
-    let found = parts().map(|p| (p, Life::Formed, Copy::default(), 0)).collect();
-    let zone = table.seats[usize::from(seat)].zone.clone();
-    let roll = Roll { me, first: true, table };
-    let core = core(roll, (&addr(seat.into()), &zone), found, 1, BOOT);
+    let me = table.slots[usize::from(slot)].holder;
+    let found = partitions().map(|p| (p, ReplicaCondition::Formed, Copy::default(), 0)).collect();
+    let zone = table.slots[usize::from(slot)].zone.clone();
+    let roll = VoterFile { me, first: true, table };
+    let core = core(roll, (&addr(slot.into()), &zone), found, 1, BOOT);
     Bench { core, now: BOOT }
 }
 
@@ -155,8 +155,8 @@
     let mut i = 0;
     while i < todo.len() {
         let event = match &todo[i] {
-            Command::Append { part, token, .. } | Command::Slot { part, token, .. } => {
-                Some(Event::Synced { part: *part, token: *token })
+            Command::Append { partition, token, .. } | Command::Slot { partition, token, .. } => {
+                Some(Event::Synced { partition: *partition, token: *token })
             }
             Command::Keep { token, .. } => Some(Event::Kept { token: *token }),
             _ => None,
@@ -180,25 +180,25 @@
     out
 }
 
-fn from(b: &Bench, seat: Seat, msg: Msg) -> Event {
-    let holder = b.core.seating.roll.table.seats[usize::from(seat)].holder;
-    Event::FromSeat { seat, holder, wire: u64::from(seat), msg }
+fn from(b: &Bench, slot: VoterSlot, message: Message) -> Event {
+    let holder = b.core.seating.roll.table.slots[usize::from(slot)].holder;
+    Event::FromSeat { slot, holder, connection: u64::from(slot), message }
 }
 
-fn apply(b: &mut Bench, holder: u64, n: usize, zone: &str) -> Vec<Seat> {
+fn apply(b: &mut Bench, holder: u64, n: usize, zone: &str) -> Vec<VoterSlot> {
     let (zone, stamp) = (zone.to_string(), b.core.seating.stamp);
-    let msg = Msg::Apply { holder, addr: addr(n), zone, stamp };
-    let out = one(b, Event::FromWire { wire: 99, msg });
+    let message = Message::Apply { holder, addr: addr(n), zone, stamp };
+    let out = one(b, Event::FromWire { connection: 99, message });
     let offer = out.into_iter().find_map(|c| match c {
-        Command::ToWire { wire: 99, msg: Msg::Offer { free, .. } } => Some(free),
+        Command::ToWire { connection: 99, message: Message::Offer { free, .. } } => Some(free),
         _ => None,
     });
     offer.unwrap()
 }
 
-fn take(b: &mut Bench, seat: Seat, generation: u32, holder: u64, zone: &str) {
-    let holding = Holding { generation, holder, addr: addr(9), zone: zone.into() };
-    one(b, Event::FromWire { wire: 99, msg: Msg::Take { seat, holding } });
+fn take(b: &mut Bench, slot: VoterSlot, generation: u32, holder: u64, zone: &str) {
+    let holding = SlotHolder { generation, holder, addr: addr(9), zone: zone.into() };
+    one(b, Event::FromWire { connection: 99, message: Message::Take { slot, holding } });
 }
 
 #[googletest::test]
@@ -206,7 +206,7 @@
     let mut b = bench(0);
     wake(&mut b, 2 * SECOND);
     expect_that!(apply(&mut b, 90, 9, "c"), is_empty());
-    let here = from(&b, 2, Msg::Here { stamp: 0 });
+    let here = from(&b, 2, Message::Here { stamp: 0 });
     one(&mut b, here);
     wake(&mut b, 2 * SECOND);
     // Seat 1 has been silent for long enough; but zone c has seat 2 already.
@@ -225,17 +225,17 @@
     // of a handover is its holder's alone to give.
     let next = after_takeover(1);
     take(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.seating.roll.table.seats[1].generation, eq(1));
+    expect_that!(b.core.seating.roll.table.slots[1].generation, eq(1));
     wake(&mut b, 3 * SECOND);
     for wrong in [2, 3, next - 1, next + 1, after_takeover(next)] {
         take(&mut b, 1, wrong, 90, "b");
-        expect_that!(b.core.seating.roll.table.seats[1].generation, eq(1), "{wrong}");
+        expect_that!(b.core.seating.roll.table.slots[1].generation, eq(1), "{wrong}");
     }
     take(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.seating.roll.table.seats[1].holder, eq(90));
+    expect_that!(b.core.seating.roll.table.slots[1].holder, eq(90));
     // And one generation has one holder.
     take(&mut b, 1, next, 91, "b");
-    expect_that!(b.core.seating.roll.table.seats[1].holder, eq(90));
+    expect_that!(b.core.seating.roll.table.slots[1].holder, eq(90));
 }
 
 #[googletest::test]
@@ -256,40 +256,45 @@
 
 /// Makes the seat the configuration's owner by the votes of seat 2.
 fn owns(b: &mut Bench) -> u64 {
-    let part = CONFIG;
+    let partition = CONFIG;
     let sounds = |c: Command| match c {
-        Command::ToSeat { seat: 2, msg: Msg::PreVoteRequest { part: CONFIG, epoch } } => {
-            Some(epoch)
-        }
+        Command::ToSeat {
+            slot: 2,
+            message: Message::PreVoteRequest { partition: CONFIG, term },
+        } => Some(term),
         _ => None,
     };
-    let epoch = (0..100).find_map(|_| wake(b, WAKE).into_iter().find_map(sounds)).unwrap();
-    let yes = from(b, 2, Msg::PreVoteResponse { part, epoch, yes: true, promised: 0 });
+    let term = (0..100).find_map(|_| wake(b, WAKE).into_iter().find_map(sounds)).unwrap();
+    let yes = from(b, 2, Message::PreVoteResponse { partition, term, yes: true, promised: 0 });
     one(b, yes);
     let stamp = b.core.seating.stamp;
-    let grant = from(b, 2, Msg::VoteGranted { part, epoch, at_epoch: 0, rev: 0, stamp });
+    let grant =
+        from(b, 2, Message::VoteGranted { partition, term, at_term: 0, revision: 0, stamp });
     one(b, grant);
-    epoch
+    term
 }
 
 fn serves(b: &Bench) -> bool {
-    matches!(&b.core.parts[0].role, Role::Leader(o) if o.serves)
+    matches!(&b.core.partitions[0].role, Role::Leader(o) if o.serves)
 }
 
 #[googletest::test]
 fn a_vote_under_another_table_does_not_count() {
     let mut b = bench(0);
-    let epoch = owns(&mut b);
-    let part = CONFIG;
+    let term = owns(&mut b);
+    let partition = CONFIG;
     expect_that!(serves(&b), eq(false));
-    let kept = |stamp| Msg::AppendAck { part, epoch, rev: 0, stamp };
+    let kept = |stamp| Message::AppendAck { partition, term, revision: 0, stamp };
     let other = from(&b, 2, kept(b.core.seating.stamp ^ 1));
     let out = one(&mut b, other);
     expect_that!(serves(&b), eq(false));
     // It is told our table instead.
-    let told = |c: &Command| matches!(c, Command::ToWire { wire: 2, msg: Msg::Seats { .. } });
+    let told = |c: &Command| {
+        matches!(c, Command::ToWire { connection: 2, message: Message::Seats { .. } })
+    };
     expect_that!(out.iter().any(told), eq(true));
-    let stranger = Event::FromSeat { seat: 2, holder: 5, wire: 2, msg: kept(b.core.seating.stamp) };
+    let stranger =
+        Event::FromSeat { slot: 2, holder: 5, connection: 2, message: kept(b.core.seating.stamp) };
     one(&mut b, stranger);
     expect_that!(serves(&b), eq(false));
     let good = from(&b, 2, kept(b.core.seating.stamp));
@@ -300,28 +305,32 @@
 #[googletest::test]
 fn an_owner_counts_anew_when_a_seat_changes_hands() {
     let mut b = bench(0);
-    let epoch = owns(&mut b);
-    let part = CONFIG;
-    let good = from(&b, 2, Msg::AppendAck { part, epoch, rev: 0, stamp: b.core.seating.stamp });
+    let term = owns(&mut b);
+    let partition = CONFIG;
+    let good = from(
+        &b,
+        2,
+        Message::AppendAck { partition, term, revision: 0, stamp: b.core.seating.stamp },
+    );
     one(&mut b, good);
     expect_that!(serves(&b), eq(true));
     let old = b.core.seating.stamp;
     // Seat 1 tells that seat 2 is another's.
     let table = held(&b.core.seating.roll.table, 2, 2, 90);
-    let news = from(&b, 1, Msg::Seats { me: 1, table });
+    let news = from(&b, 1, Message::Seats { me: 1, table });
     one(&mut b, news);
-    let Role::Leader(o) = &b.core.parts[0].role else { panic!("no owner") };
+    let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
     expect_that!((o.kept[1], o.kept[2], o.answered[2]), eq((None, None, (0, 0))));
     expect_that!(b.core.seating.stamp, not(eq(old)));
     // What the old holder still says is nobody's word.
     let late = Event::FromSeat {
-        seat: 2,
+        slot: 2,
         holder: first_holder(&addr(2)),
-        wire: 2,
-        msg: Msg::AppendAck { part, epoch, rev: 0, stamp: b.core.seating.stamp },
+        connection: 2,
+        message: Message::AppendAck { partition, term, revision: 0, stamp: b.core.seating.stamp },
     };
     one(&mut b, late);
-    let Role::Leader(o) = &b.core.parts[0].role else { panic!("no owner") };
+    let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
     expect_that!(o.kept[2], none());
 }
 
@@ -329,22 +338,22 @@
 fn a_table_is_told_and_obeyed_only_once_it_is_on_disk() {
     let mut b = bench(0);
     let table = held(&b.core.seating.roll.table, 0, 2, 90);
-    let news = from(&b, 1, Msg::Seats { me: 1, table });
+    let news = from(&b, 1, Message::Seats { me: 1, table });
     let todo = step(&mut b.core, b.now, news);
     let tells = |c: &Command| {
-        matches!(c, Command::ToSeat { msg: Msg::Seats { .. }, .. })
-            || matches!(c, Command::ToWire { msg: Msg::Seats { .. }, .. })
+        matches!(c, Command::ToSeat { message: Message::Seats { .. }, .. })
+            || matches!(c, Command::ToWire { message: Message::Seats { .. }, .. })
     };
     expect_that!(todo.iter().any(tells), eq(false));
-    expect_that!(b.core.seat, eq(0));
+    expect_that!(b.core.slot, eq(0));
     let token = todo.iter().find_map(|c| match c {
         Command::Keep { token, .. } => Some(*token),
         _ => None,
     });
     // Our own seat is another's: everything is given up, under a new name.
     let todo = step(&mut b.core, b.now, Event::Kept { token: token.unwrap() });
-    expect_that!(b.core.seat, eq(NOBODY));
-    expect_that!(b.core.parts.iter().all(|p| p.life == Life::Empty), eq(true));
+    expect_that!(b.core.slot, eq(NOBODY));
+    expect_that!(b.core.partitions.iter().all(|p| p.life == ReplicaCondition::Empty), eq(true));
     let clears = |c: &Command| matches!(c, Command::Keep { clear: true, roll, .. } if !roll.first);
     expect_that!(todo.iter().any(clears), eq(true));
 }
--- a/crates/core/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -2,22 +2,22 @@
 
 use googletest::prelude::*;
 use grebepath_core::consts::{WAIT_MIN, WAIT_MORE, WAIT_STRETCH_PCT, WAIT_TARGET_PCT};
-use grebepath_core::query::latency_estimate::{Waits, keep, note, wait};
-use grebepath_core::random::{Luck, below, chance, luck};
+use grebepath_core::query::latency_estimate::{LatencyEstimate, keep, note, wait};
+use grebepath_core::random::{Random, below, chance, luck};
 use grebepath_core::time::{Span, ms};
 
 /// What a wait without its stretch is: the learned mark itself.
-fn mark(w: &Waits, search: &str) -> Span {
+fn mark(w: &LatencyEstimate, search: &str) -> Span {
     (wait(w, search, None).unwrap() - WAIT_MORE) * 100 / WAIT_STRETCH_PCT
 }
 
 /// A sum of even draws: near to a bell.
-fn bell(luck: &mut Luck, mid: Span) -> Span {
+fn bell(luck: &mut Random, mid: Span) -> Span {
     mid / 2 + (0..8).map(|_| below(luck, mid / 8 + 1)).sum::<Span>()
 }
 
 /// Few large ones among many small: as an exponential law has them.
-fn tail(luck: &mut Luck, mean: Span) -> Span {
+fn tail(luck: &mut Random, mean: Span) -> Span {
     let even = (1 + below(luck, 1_000_000)) as f64 / 1_000_001.0;
     (-even.ln() * mean as f64) as Span
 }
@@ -26,7 +26,7 @@
 fn the_mark_settles_where_about_19_of_20_dispatches_lie_below() {
     // Guards against waits that are too short (second tries for nothing) and
     // too long (a leaf that pauses is never overtaken).
-    type Law = fn(&mut Luck) -> Span;
+    type Law = fn(&mut Random) -> Span;
     let laws: [(&str, Law); 5] = [
         ("even", |l| ms(10) + below(l, ms(40))),
         ("bell", |l| bell(l, ms(30))),
@@ -37,7 +37,7 @@
     for (name, law) in laws {
         for seed in 0..5 {
             let mut luck = luck(seed);
-            let mut w = Waits::default();
+            let mut w = LatencyEstimate::default();
             for _ in 0..3_000 {
                 note(&mut w, "s", law(&mut luck));
             }
@@ -56,7 +56,7 @@
 #[googletest::test]
 fn the_mark_follows_leafs_that_become_slower_and_faster() {
     let mut luck = luck(3);
-    let mut w = Waits::default();
+    let mut w = LatencyEstimate::default();
     for _ in 0..500 {
         note(&mut w, "s", bell(&mut luck, ms(20)));
     }
@@ -74,7 +74,7 @@
 
 #[googletest::test]
 fn before_anything_is_learned_the_wait_is_a_share_of_the_target() {
-    let mut w = Waits::default();
+    let mut w = LatencyEstimate::default();
     expect_that!(wait(&w, "s", None), none());
     expect_that!(wait(&w, "s", Some(ms(100))), some(eq(ms(100) * WAIT_TARGET_PCT / 100)));
     expect_that!(wait(&w, "s", Some(1)), some(eq(WAIT_MIN)));
@@ -89,7 +89,7 @@
 #[googletest::test]
 fn no_wait_is_shorter_than_its_floor() {
     // Guards against second tries within the noise of the machine.
-    let mut w = Waits::default();
+    let mut w = LatencyEstimate::default();
     for _ in 0..10_000 {
         note(&mut w, "s", 0);
     }
--- a/crates/core/tests/wire.rs
+++ b/crates/core/tests/wire.rs
@@ -2,20 +2,20 @@
 
 use googletest::prelude::*;
 use grebepath_core::consts::{PIECE, WIRE_VERSION};
-use grebepath_core::identifiers::PartId;
-use grebepath_core::protocol::frame::{FrameTrouble, Gather, HEAD, head, pieces, take, write};
-use grebepath_core::protocol::message::{Msg, Place};
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::protocol::frame::{FrameError, Gather, HEAD, head, pieces, take, write};
+use grebepath_core::protocol::message::{FeedPosition, Message};
 
-fn large(n: usize) -> Msg {
+fn large(n: usize) -> Message {
     let entries = (0..n).map(|i| (format!("key-{i}"), Some(vec![i as u8; 700]))).collect();
-    Msg::News { part: PartId(2), from: None, rev: 9, entries }
+    Message::News { partition: PartitionId(2), from: None, revision: 9, entries }
 }
 
-fn small(rev: u64) -> Msg {
-    Msg::Follow { places: vec![Place { part: PartId(0), rev }], stamp: 0 }
+fn small(revision: u64) -> Message {
+    Message::Follow { places: vec![FeedPosition { partition: PartitionId(0), revision }], stamp: 0 }
 }
 
-fn feed(g: &mut Gather, piece: &[u8]) -> std::result::Result<Option<Msg>, FrameTrouble> {
+fn feed(g: &mut Gather, piece: &[u8]) -> std::result::Result<Option<Message>, FrameError> {
     let raw: [u8; HEAD] = piece[..HEAD].try_into().unwrap();
     let h = head(&raw)?;
     assert_eq!(h.len, piece.len() - HEAD);
@@ -46,7 +46,7 @@
     let mut piece = pieces(&write(&small(1))).remove(0);
     piece[4..6].copy_from_slice(&(WIRE_VERSION + 1).to_le_bytes());
     let got = feed(&mut Gather::default(), &piece);
-    expect_that!(got, err(eq(&FrameTrouble::Version(WIRE_VERSION + 1))));
+    expect_that!(got, err(eq(&FrameError::Version(WIRE_VERSION + 1))));
 }
 
 #[googletest::test]
@@ -64,8 +64,8 @@
                 None => {}
                 // A lost last-mark or another lane only withholds the message.
                 Some(body) => {
-                    if let Ok(Some(msg)) = take(&mut Gather::default(), &h, &body) {
-                        assert_eq!(msg, small(77), "bit {i}");
+                    if let Ok(Some(message)) = take(&mut Gather::default(), &h, &body) {
+                        assert_eq!(message, small(77), "bit {i}");
                     }
                 }
             },
--- a/crates/core/tests/wires.rs
+++ b/crates/core/tests/wires.rs
@@ -1,4 +1,4 @@
-//! The deal of wires under a leaf's limit, over all nodes.
+//! The deal of connections under a leaf's limit, over all nodes.
 
 use std::collections::BTreeMap;
 
@@ -75,7 +75,7 @@
 
 #[googletest::test]
 fn nodes_get_nearly_the_same_number_of_wires() {
-    // Guards against a node that is left without wires, or hoards them.
+    // Guards against a node that is left without connections, or hoards them.
     let mut luck = luck(9);
     for _ in 0..200 {
         let peers = nodes(1 + below(&mut luck, 30) as usize);
@@ -102,7 +102,7 @@
         let dealt = all(&peers, &leafs, limit).values().sum::<u64>();
         let there = (limit - limit / 10) * leafs.len() as u64;
         let (n, m) = (peers.len() as u64, leafs.len());
-        // Whole wires only: less than one for each node stays over.
+        // Whole connections only: less than one for each node stays over.
         assert!(dealt + n > there, "{n} nodes, {m} leafs, limit {limit}: {dealt} of {there}");
     }
 }
@@ -129,14 +129,14 @@
 #[googletest::test]
 fn many_nodes_share_few_wires_and_few_nodes_have_many() {
     let leafs: Vec<_> = (0..3).map(leaf).collect();
-    // 60 nodes and 3 leafs with 9 wires each: 27 nodes have one.
+    // 60 nodes and 3 leafs with 9 connections each: 27 nodes have one.
     let dealt = all(&nodes(60), &leafs, 10);
     expect_that!(dealt.values().sum::<u64>(), eq(27));
     expect_that!(dealt.values().max().copied(), some(eq(1)));
     // Two nodes have half of each leaf.
     let dealt = all(&nodes(2), &leafs, 20);
     expect_that!(dealt.values().all(|n| *n == 9), eq(true));
-    // One wire in all is dealt to one node.
+    // One connection in all is dealt to one node.
     let dealt = all(&nodes(5), &leafs[..1], 1);
     expect_that!(dealt.values().sum::<u64>(), eq(1));
     // Who is not among the nodes, or knows of no limit, has none.
@@ -148,7 +148,7 @@
 
 #[googletest::test]
 fn a_node_that_goes_moves_a_bounded_share_of_the_wires() {
-    // Guards against storms of new wires when one machine ends.
+    // Guards against storms of new connections when one machine ends.
     let leafs: Vec<_> = (0..12).map(leaf).collect();
     let mut worst = 0;
     for limit in [10u64, 40, 60, 82] {
@@ -190,6 +190,6 @@
     assert!(worst <= MOVED_BY_LEAF_PCT, "{worst} %");
 }
 
-/// Shares of all wires that one node or one leaf less may move.
+/// Shares of all connections that one node or one leaf less may move.
 const MOVED_BY_NODE_PCT: u64 = 15;
 const MOVED_BY_LEAF_PCT: u64 = 15;
--- a/crates/runtime/src/dialect.rs
+++ b/crates/runtime/src/dialect.rs
@@ -4,11 +4,11 @@
 
 use bytes::Bytes;
 use grebepath_core::http_api::leaf::Raw;
-use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::query::engine::Sending;
-use grebepath_core::query::forwarded_request::Parcel;
+use grebepath_core::query::forwarded_request::ForwardedRequest;
 use grebepath_core::query::request::Outcome;
-use grebepath_core::routing_language::diagnostic::Finding;
+use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use http_body_util::Full;
 use hyper::http::request::Parts;
@@ -19,7 +19,7 @@
     /// Path under which a querier is asked whether it is ready.
     pub ready: &'static str,
     /// A call, from its head and body.
-    pub call: fn(Parts, Vec<u8>) -> Parcel,
+    pub call: fn(Parts, Vec<u8>) -> ForwardedRequest,
     /// What the caller is told.
     pub told: fn(Outcome) -> Response<Bytes>,
     /// A dispatch towards a leaf; nothing if it can't be written.
@@ -29,18 +29,18 @@
     /// Path of the list's first page, or of a further one.
     pub list: fn(Option<&str>) -> String,
     /// One page of the list.
-    pub page: fn(&[u8]) -> Result<Page, Finding>,
+    pub page: fn(&[u8]) -> Result<Page, Diagnostic>,
     /// An operator's order.
     pub order: fn(&Parts, &[u8]) -> Order,
     /// What the operator is told of it.
-    pub done: fn(Done) -> Response<Bytes>,
+    pub done: fn(OperationResult) -> Response<Bytes>,
 }
 
 /// One page of a list of leafs.
 pub struct Page {
     pub leafs: Vec<LeafInfo>,
     /// Single entries that can't be used.
-    pub findings: Vec<Finding>,
+    pub findings: Vec<Diagnostic>,
     /// The name of the page after this one.
     pub next: Option<String>,
 }
@@ -48,7 +48,7 @@
 /// What an operator's call asks.
 pub enum Order {
     /// A deed, and the id under which it may safely come again.
-    Deed { deed: Deed, request: Option<String> },
+    Operation { deed: Operation, request: Option<String> },
     /// It can't be read; this is what to say.
     Wrong(Response<Bytes>),
 }
--- a/crates/runtime/src/disk.rs
+++ b/crates/runtime/src/disk.rs
@@ -5,12 +5,12 @@
 use std::io::{Error, Write};
 use std::path::{Path, PathBuf};
 
-use grebepath_core::identifiers::PartId;
+use grebepath_core::identifiers::PartitionId;
 use grebepath_core::storage::reader::{Found, read};
-use grebepath_core::storage::record::{Copy, Rec};
+use grebepath_core::storage::record::{Copy, LogRecord};
 use grebepath_core::storage::writer;
 use grebepath_core::voters::voter_file;
-use grebepath_core::voters::voter_file::Roll;
+use grebepath_core::voters::voter_file::VoterFile;
 
 /// One part's files.
 ///
@@ -18,14 +18,14 @@
 /// after trouble or before the first slot; then only a new slot helps.
 pub struct Store {
     dir: PathBuf,
-    part: PartId,
+    part: PartitionId,
     seq: u64,
     log: Option<File>,
     num: u32,
 }
 
 /// Reads a part's folder, making it if it is not there.
-pub fn open(data: &Path, part: PartId) -> Result<(Store, Found), Error> {
+pub fn open(data: &Path, part: PartitionId) -> Result<(Store, Found), Error> {
     let dir = data.join(format!("part-{}", part.0));
     if !dir.exists() {
         fs::create_dir_all(&dir)?;
@@ -56,7 +56,7 @@
 }
 
 /// Whether a part has no files.
-pub fn bare(data: &Path, part: PartId) -> bool {
+pub fn bare(data: &Path, part: PartitionId) -> bool {
     let dir = data.join(format!("part-{}", part.0));
     !["slot-0", "slot-1", "log"].iter().any(|n| dir.join(n).exists())
 }
@@ -124,7 +124,7 @@
 }
 
 /// Appends a record; it lasts only after `sync`.
-pub fn append(s: &mut Store, rec: &Rec) -> Result<(), Error> {
+pub fn append(s: &mut Store, rec: &LogRecord) -> Result<(), Error> {
     let Some(log) = &mut s.log else {
         return Err(Error::other("no log is open since the last trouble"));
     };
@@ -177,7 +177,7 @@
 const ROLL: &str = "seats";
 
 /// Reads the roll; a damaged one counts as none.
-pub fn roll(data: &Path) -> Result<Option<Roll>, Error> {
+pub fn roll(data: &Path) -> Result<Option<VoterFile>, Error> {
     match fs::read(data.join(ROLL)) {
         Ok(raw) => Ok(voter_file::read(&raw)),
         Err(e) if e.kind() == std::io::ErrorKind::NotFound => Ok(None),
@@ -186,7 +186,7 @@
 }
 
 /// Keeps the roll: written beside the old one, synced, renamed over it.
-pub fn keep(data: &Path, roll: &Roll) -> Result<(), Error> {
+pub fn keep(data: &Path, roll: &VoterFile) -> Result<(), Error> {
     let new = data.join(format!("{ROLL}.new"));
     write_synced(&new, &voter_file::write(roll))?;
     fs::rename(&new, data.join(ROLL))?;
--- a/crates/runtime/src/forwarding_server.rs
+++ b/crates/runtime/src/forwarding_server.rs
@@ -37,12 +37,12 @@
     }
 }
 
-/// What a door's wires share.
+/// What a door's connections share.
 pub struct Door {
     pub limits: Cell<Limits>,
-    /// Answers ask the caller to close the wire: this node is leaving.
+    /// Answers ask the caller to close the connection: this node is leaving.
     pub leaving: Cell<bool>,
-    wires: Cell<usize>,
+    connections: Cell<usize>,
     end: tokio::sync::watch::Sender<bool>,
 }
 
@@ -51,23 +51,23 @@
     Rc::new(Door {
         limits: Cell::new(limits()),
         leaving: Cell::new(false),
-        wires: Cell::new(0),
+        connections: Cell::new(0),
         end: tokio::sync::watch::channel(false).0,
     })
 }
 
-/// Ends every wire as soon as its answer is out; idle ones at once.
+/// Ends every connection as soon as its answer is out; idle ones at once.
 pub fn close(door: &Door) {
     door.leaving.set(true);
     let _ = door.end.send(true);
 }
 
 /// Wires that are open.
-pub fn wires(door: &Door) -> usize {
-    door.wires.get()
+pub fn connections(door: &Door) -> usize {
+    door.connections.get()
 }
 
-/// Takes wires for ever and answers every call on them by `answer`.
+/// Takes connections for ever and answers every call on them by `answer`.
 pub async fn serve<F, A>(listener: std::net::TcpListener, door: Rc<Door>, answer: F)
 where
     F: Fn(Parts, Vec<u8>) -> A + Clone + 'static,
@@ -78,7 +78,7 @@
         Err(e) => return tracing::error!("the callers' door: {e}"),
     };
     loop {
-        if door.wires.get() >= consts::DOOR_WIRES {
+        if door.connections.get() >= consts::DOOR_WIRES {
             tokio::time::sleep(Duration::from_millis(5)).await;
             continue;
         }
@@ -87,16 +87,16 @@
             continue;
         };
         let _ = stream.set_nodelay(true);
-        door.wires.set(door.wires.get() + 1);
+        door.connections.set(door.connections.get() + 1);
         let (door, answer) = (door.clone(), answer.clone());
         tokio::task::spawn_local(async move {
-            wire(stream, &door, answer).await;
-            door.wires.set(door.wires.get() - 1);
+            connection(stream, &door, answer).await;
+            door.connections.set(door.connections.get() - 1);
         });
     }
 }
 
-async fn wire<F, A>(stream: tokio::net::TcpStream, door: &Rc<Door>, answer: F)
+async fn connection<F, A>(stream: tokio::net::TcpStream, door: &Rc<Door>, answer: F)
 where
     F: Fn(Parts, Vec<u8>) -> A + Clone + 'static,
     A: Future<Output = Response<Bytes>> + 'static,
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -29,10 +29,10 @@
     }
 }
 
-/// A client that keeps wires open.
+/// A client that keeps connections open.
 pub type Http = Client<HttpConnector, Full<Bytes>>;
 
-/// A client that keeps up to `idle` unused wires to each address.
+/// A client that keeps up to `idle` unused connections to each address.
 pub fn client(idle: usize) -> Http {
     let mut conn = HttpConnector::new();
     conn.set_nodelay(true);
@@ -113,15 +113,15 @@
 }
 
 /// Serves a router until `stop` resolves; open requests are finished. At most
-/// `wires` connections are open at once; more wait in the system's buffer.
+/// `connections` connections are open at once; more wait in the system's buffer.
 pub async fn serve(
     listener: std::net::TcpListener,
-    wires: usize,
+    connections: usize,
     router: Router,
     stop: impl Future<Output = ()> + Send + 'static,
 ) -> std::io::Result<()> {
     let inner = tokio::net::TcpListener::from_std(listener)?;
-    let few = Few { inner, room: Arc::new(Semaphore::new(wires)) };
+    let few = Few { inner, room: Arc::new(Semaphore::new(connections)) };
     axum::serve(few, router).with_graceful_shutdown(stop).await
 }
 
--- a/crates/runtime/src/leaf_connections.rs
+++ b/crates/runtime/src/leaf_connections.rs
@@ -1,6 +1,6 @@
-//! Wires to leafs. An address may be another's by now, so a new wire begins
+//! Wires to leafs. An address may be another's by now, so a new connection begins
 //! with the question who is there, and work follows only if the answer fits. A
-//! wire ends with the process behind it: what was found holds as long as it
+//! connection ends with the process behind it: what was found holds as long as it
 //! does. Nothing that may have left this machine is ever sent again.
 
 use std::cell::RefCell;
@@ -25,7 +25,7 @@
 type Wire = SendRequest<Full<Bytes>>;
 type Key = (SocketAddr, String);
 
-/// Unused wires, by address and by who was found there.
+/// Unused connections, by address and by who was found there.
 ///
 /// Invariant: each of them was greeted by just that identity.
 pub struct Pool {
@@ -37,16 +37,16 @@
 pub enum Got {
     /// The leaf's answer to it.
     Answer(Response<Bytes>),
-    /// What a new wire's greeting brought; the work was not sent.
+    /// What a new connection's greeting brought; the work was not sent.
     Unfit(Response<Bytes>),
 }
 
-/// A pool that keeps up to `most` unused wires to each leaf.
+/// A pool that keeps up to `most` unused connections to each leaf.
 pub fn pool(most: usize) -> Rc<Pool> {
     Rc::new(Pool { idle: RefCell::default(), most })
 }
 
-/// Sends work to the identity `leaf` at `addr`. On a new wire `greeting` goes
+/// Sends work to the identity `leaf` at `addr`. On a new connection `greeting` goes
 /// first, and only if `fits` its answer does the work follow.
 pub async fn exchange(
     pool: &Pool,
@@ -58,26 +58,26 @@
 ) -> Result<Got, HttpTrouble> {
     let key = (addr, leaf.to_string());
     loop {
-        let (mut wire, fresh) = match idle(pool, &key).await {
-            Some(wire) => (wire, false),
+        let (mut connection, fresh) = match idle(pool, &key).await {
+            Some(connection) => (connection, false),
             None => (dial(addr).await?, true),
         };
         if fresh {
-            let said = wire.send_request(greeting()).await.map_err(|e| cut(&e))?;
+            let said = connection.send_request(greeting()).await.map_err(|e| cut(&e))?;
             let said = whole(said, limit).await?;
             if !fits(&said) {
                 return Ok(Got::Unfit(said));
             }
-            wire.ready().await.map_err(|e| cut(&e))?;
+            connection.ready().await.map_err(|e| cut(&e))?;
         }
-        match wire.try_send_request(work).await {
+        match connection.try_send_request(work).await {
             Ok(resp) => {
                 let resp = whole(resp, limit).await?;
-                keep(pool, key, wire, Instant::now() + duration(consts::LEAF_WIRE_IDLE));
+                keep(pool, key, connection, Instant::now() + duration(consts::LEAF_WIRE_IDLE));
                 return Ok(Got::Answer(resp));
             }
             Err(mut e) => match e.take_message() {
-                // An unused wire had ended; not a byte of the work has left.
+                // An unused connection had ended; not a byte of the work has left.
                 Some(back) if !fresh => work = back,
                 _ => return Err(cut(e.error())),
             },
@@ -86,8 +86,8 @@
 }
 
 /// Sends work that names its leaf itself, so that whoever else answers there
-/// turns it away: a new wire needs no greeting. `fits` tells whether an answer
-/// belongs to this work; a wire that brought another one is not used again.
+/// turns it away: a new connection needs no greeting. `fits` tells whether an answer
+/// belongs to this work; a connection that brought another one is not used again.
 pub async fn hand(
     pool: &Pool,
     (addr, leaf): (SocketAddr, &str),
@@ -97,20 +97,20 @@
 ) -> Result<Response<Bytes>, HttpTrouble> {
     let key = (addr, leaf.to_string());
     loop {
-        // A kept wire may end just as it is used: what may run once only does
+        // A kept connection may end just as it is used: what may run once only does
         // not go out on one.
         let kept = if once { None } else { idle(pool, &key).await };
-        let (mut wire, fresh) = match kept {
-            Some(wire) => (wire, false),
+        let (mut connection, fresh) = match kept {
+            Some(connection) => (connection, false),
             None => {
                 let dialled = tokio::time::timeout(duration(consts::LEAF_CONNECT), dial(addr));
                 match dialled.await {
-                    Ok(wire) => (wire?, true),
+                    Ok(connection) => (connection?, true),
                     Err(_) => return Err(HttpTrouble::Unreachable("no wire in time".into())),
                 }
             }
         };
-        match wire.try_send_request(work).await {
+        match connection.try_send_request(work).await {
             Ok(resp) => {
                 let until = trusted(&resp);
                 let resp = whole(resp, limit).await?;
@@ -118,12 +118,12 @@
                     && stay
                     && fits(&resp)
                 {
-                    keep(pool, key, wire, until);
+                    keep(pool, key, connection, until);
                 }
                 return Ok(resp);
             }
             Err(mut e) => match e.take_message() {
-                // An unused wire had ended; not a byte of the work has left.
+                // An unused connection had ended; not a byte of the work has left.
                 Some(back) if !fresh => work = back,
                 Some(_) => return Err(HttpTrouble::Unreachable(source_text(e.error()))),
                 None => return Err(cut(e.error())),
@@ -132,14 +132,14 @@
     }
 }
 
-/// Until when a wire may be used again, by what its leaf says of it.
+/// Until when a connection may be used again, by what its leaf says of it.
 fn trusted(resp: &Response<hyper::body::Incoming>) -> Option<Instant> {
     let heads = resp.headers();
     let says = |name, word: &str| {
         let vals = heads.get_all::<hyper::header::HeaderName>(name).iter();
         vals.filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(word))
     };
-    // Without a length its end can't be told from a wire that broke.
+    // Without a length its end can't be told from a connection that broke.
     let framed = resp.body().size_hint().exact().is_some()
         || says(hyper::header::TRANSFER_ENCODING, "chunked");
     if !framed || says(hyper::header::CONNECTION, "close") {
@@ -156,28 +156,28 @@
     Some(Instant::now() + idle)
 }
 
-/// A wire that is still open, if there is one.
+/// A connection that is still open, if there is one.
 async fn idle(pool: &Pool, key: &Key) -> Option<Wire> {
     loop {
-        let (mut wire, until) = pool.idle.borrow_mut().get_mut(key)?.pop()?;
-        if Instant::now() < until && !wire.is_closed() && wire.ready().await.is_ok() {
-            return Some(wire);
+        let (mut connection, until) = pool.idle.borrow_mut().get_mut(key)?.pop()?;
+        if Instant::now() < until && !connection.is_closed() && connection.ready().await.is_ok() {
+            return Some(connection);
         }
     }
 }
 
-fn keep(pool: &Pool, key: Key, wire: Wire, until: Instant) {
+fn keep(pool: &Pool, key: Key, connection: Wire, until: Instant) {
     let mut idle = pool.idle.borrow_mut();
     if !idle.contains_key(&key) {
-        // A new leaf: forget those whose wires have all ended.
+        // A new leaf: forget those whose connections have all ended.
         idle.retain(|_, list| {
             list.retain(|(w, _)| !w.is_closed());
             !list.is_empty()
         });
     }
     let list = idle.entry(key).or_default();
-    if list.len() < pool.most && !wire.is_closed() {
-        list.push((wire, until));
+    if list.len() < pool.most && !connection.is_closed() {
+        list.push((connection, until));
     }
 }
 
@@ -185,11 +185,11 @@
     let far = |e: &dyn std::error::Error| HttpTrouble::Unreachable(source_text(e));
     let stream = TcpStream::connect(addr).await.map_err(|e| far(&e))?;
     let _ = stream.set_nodelay(true);
-    let (wire, work) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| far(&e))?;
+    let (connection, work) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| far(&e))?;
     tokio::task::spawn_local(async move {
         let _ = work.await;
     });
-    Ok(wire)
+    Ok(connection)
 }
 
 async fn whole(
@@ -199,7 +199,7 @@
     let close = resp.headers().get(hyper::header::TRANSFER_ENCODING).is_none()
         && resp.body().size_hint().exact().is_none();
     if close {
-        // It ends with its wire: a part of it would look like all of it.
+        // It ends with its connection: a part of it would look like all of it.
         return Err(HttpTrouble::Cut("an answer without a length".into()));
     }
     let (head, body) = resp.into_parts();
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,4 +1,4 @@
-//! What the programs share of the outside world: params, threads, wires,
+//! What the programs share of the outside world: params, threads, connections,
 //! disks, doors for HTTP, the log ring. The deciding is done in `grebe`.
 
 pub mod clock;
--- a/crates/runtime/src/log_buffer.rs
+++ b/crates/runtime/src/log_buffer.rs
@@ -18,14 +18,14 @@
 }
 
 /// The subscriber that fills the rings.
-struct Ring {
+struct NeighbourRing {
     zero: Instant,
 }
 
 /// Installs the ring for all threads of this process.
 pub fn install() {
     // Fails only if one is installed already, and then that one serves.
-    let _ = tracing::subscriber::set_global_default(Ring { zero: Instant::now() });
+    let _ = tracing::subscriber::set_global_default(NeighbourRing { zero: Instant::now() });
 }
 
 struct Line(String);
@@ -39,7 +39,7 @@
     }
 }
 
-impl Subscriber for Ring {
+impl Subscriber for NeighbourRing {
     fn enabled(&self, meta: &Metadata<'_>) -> bool {
         *meta.level() <= Level::DEBUG && !meta.target().starts_with("hyper")
     }
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -14,30 +14,30 @@
 };
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::frame::{Gather, HEAD};
-use grebepath_core::protocol::message::{Msg, Who};
+use grebepath_core::protocol::message::{Message, PeerIdentity};
 
 use crate::clock::duration;
 
-/// What wires tell their owner.
+/// What connections tell their owner.
 pub enum WireEvent<T> {
-    /// A wire that we dial brought a message.
+    /// A connection that we dial brought a message.
     Dialled {
         tag: T,
-        msg: Msg,
+        message: Message,
     },
-    /// A wire that was opened towards us.
+    /// A connection that was opened towards us.
     Opened {
-        wire: u64,
-        who: Who,
+        connection: u64,
+        who: PeerIdentity,
         out: Out,
     },
     Came {
-        wire: u64,
-        who: Who,
-        msg: Msg,
+        connection: u64,
+        who: PeerIdentity,
+        message: Message,
     },
     Closed {
-        wire: u64,
+        connection: u64,
     },
     /// A peer speaks something we can't read.
     Trouble {
@@ -45,23 +45,23 @@
     },
 }
 
-/// The sending end of a wire.
+/// The sending end of a connection.
 #[derive(Clone)]
 pub struct Out {
     tx: Sender<Vec<u8>>,
 }
 
-/// Sends a message, or drops it when the wire's buffer is full: every
+/// Sends a message, or drops it when the connection's buffer is full: every
 /// message of ours may be lost, and its owner sends it again.
-pub fn send(out: &Out, msg: &Msg) -> bool {
-    out.tx.try_send(frame::write(msg)).is_ok()
+pub fn send(out: &Out, message: &Message) -> bool {
+    out.tx.try_send(frame::write(message)).is_ok()
 }
 
-/// Keeps a wire to `addr`: dials it, again and again, says who we are, and
+/// Keeps a connection to `addr`: dials it, again and again, says who we are, and
 /// passes on what comes. Ends when the last `Out` is dropped.
 pub fn dial<T: Clone + 'static>(
     addr: SocketAddr,
-    (who, fleet): (Who, u64),
+    (who, fleet): (PeerIdentity, u64),
     tag: T,
     events: UnboundedSender<WireEvent<T>>,
 ) -> Out {
@@ -72,7 +72,7 @@
 
 async fn keep<T: Clone + 'static>(
     addr: SocketAddr,
-    (who, fleet): (Who, u64),
+    (who, fleet): (PeerIdentity, u64),
     tag: T,
     events: UnboundedSender<WireEvent<T>>,
     mut rx: Receiver<Vec<u8>>,
@@ -84,14 +84,14 @@
             wait = WIRE_RETRY;
             set(&stream);
             let (read, write) = stream.into_split();
-            // What waited for a dead wire is old news.
+            // What waited for a dead connection is old news.
             while rx.try_recv().is_ok() {}
             let tell = events.clone();
             let tag = tag.clone();
-            let reading = reading(read, move |msg| {
-                tell.send(WireEvent::Dialled { tag: tag.clone(), msg }).is_ok()
+            let reading = reading(read, move |message| {
+                tell.send(WireEvent::Dialled { tag: tag.clone(), message }).is_ok()
             });
-            let hello = frame::write(&Msg::Hello { who: who.clone(), fleet });
+            let hello = frame::write(&Message::Hello { who: who.clone(), fleet });
             tokio::select! {
                 end = reading => note(&events, addr, end),
                 _ = writing(write, &mut rx, Some(hello)) => {}
@@ -105,7 +105,7 @@
     }
 }
 
-/// No waiting for more to send, and an end to a wire whose other machine is
+/// No waiting for more to send, and an end to a connection whose other machine is
 /// gone without a word.
 fn set(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
@@ -118,7 +118,7 @@
     }
 }
 
-/// Takes wires that others open, until the owner is gone.
+/// Takes connections that others open, until the owner is gone.
 pub async fn accept<T: 'static>(
     listener: TcpListener,
     fleet: u64,
@@ -143,27 +143,27 @@
 async fn opened<T: 'static>(
     stream: TcpStream,
     addr: SocketAddr,
-    (wire, fleet): (u64, u64),
+    (connection, fleet): (u64, u64),
     events: UnboundedSender<WireEvent<T>>,
 ) {
     let (read, write) = stream.into_split();
     let (tx, mut rx) = channel(WIRE_BUFFER);
-    let mut who: Option<Who> = None;
+    let mut who: Option<PeerIdentity> = None;
     let tell = events.clone();
-    let reading = reading(read, move |msg| {
-        let event = match (&who, msg) {
-            (None, Msg::Hello { fleet: f, .. }) if f != fleet => {
+    let reading = reading(read, move |message| {
+        let event = match (&who, message) {
+            (None, Message::Hello { fleet: f, .. }) if f != fleet => {
                 let text = format!("wire from {addr}: it belongs to another fleet");
                 let _ = tell.send(WireEvent::Trouble { text });
                 return false;
             }
-            (None, Msg::Hello { who: w, .. }) => {
+            (None, Message::Hello { who: w, .. }) => {
                 who = Some(w.clone());
-                WireEvent::Opened { wire, who: w, out: Out { tx: tx.clone() } }
+                WireEvent::Opened { connection, who: w, out: Out { tx: tx.clone() } }
             }
             // Nothing counts before the greeting.
             (None, _) => return false,
-            (Some(who), msg) => WireEvent::Came { wire, who: who.clone(), msg },
+            (Some(who), message) => WireEvent::Came { connection, who: who.clone(), message },
         };
         tell.send(event).is_ok()
     });
@@ -171,11 +171,11 @@
         end = reading => note(&events, addr, end),
         _ = writing(write, &mut rx, None) => {}
     }
-    let _ = events.send(WireEvent::Closed { wire });
+    let _ = events.send(WireEvent::Closed { connection });
 }
 
-/// Reads messages until the wire ends; says what could not be read.
-async fn reading(mut read: OwnedReadHalf, mut take: impl FnMut(Msg) -> bool) -> Option<String> {
+/// Reads messages until the connection ends; says what could not be read.
+async fn reading(mut read: OwnedReadHalf, mut take: impl FnMut(Message) -> bool) -> Option<String> {
     let mut gather = Gather::default();
     let mut raw = [0u8; HEAD];
     loop {
@@ -191,8 +191,8 @@
             return None;
         }
         match frame::take(&mut gather, &head, &body) {
-            Ok(Some(msg)) => {
-                if !take(msg) {
+            Ok(Some(message)) => {
+                if !take(message) {
                     return None;
                 }
             }
@@ -202,7 +202,7 @@
     }
 }
 
-/// Writes messages in pieces, the small ones first, until the wire fails or
+/// Writes messages in pieces, the small ones first, until the connection fails or
 /// nobody can send any more.
 async fn writing(mut write: OwnedWriteHalf, rx: &mut Receiver<Vec<u8>>, first: Option<Vec<u8>>) {
     let mut small: VecDeque<Vec<u8>> = VecDeque::new();
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use grebepath_core::routing_language::diagnostic::{Finding, find};
+use grebepath_core::routing_language::diagnostic::{Diagnostic, find};
 use serde_json::Value;
 
 /// Exit code of a process whose params are wrong.
@@ -15,7 +15,7 @@
     flags: BTreeMap<String, String>,
     file: serde_json::Map<String, Value>,
     asked: Vec<&'static str>,
-    pub all: Vec<Finding>,
+    pub all: Vec<Diagnostic>,
 }
 
 /// A reader over `--name value` pairs and an optional file.
@@ -250,17 +250,17 @@
 }
 
 /// Ends the reading: unknown names in the file are findings too.
-pub fn done(r: &mut Reader) -> Vec<Finding> {
+pub fn done(r: &mut Reader) -> Vec<Diagnostic> {
     let asked = std::mem::take(&mut r.asked);
     for key in r.file.keys().filter(|k| !asked.contains(&k.as_str())) {
         let text = format!("unknown; known are {}", asked.join(", "));
-        r.all.push(Finding { place: format!("params.{key}"), text });
+        r.all.push(Diagnostic { place: format!("params.{key}"), text });
     }
     std::mem::take(&mut r.all)
 }
 
 /// Writes findings to stderr and ends the process, if there are any.
-pub fn exit_if_any(program: &str, all: &[Finding]) {
+pub fn exit_if_any(program: &str, all: &[Diagnostic]) {
     if all.is_empty() {
         return;
     }
--- a/crates/server/src/controller/disk.rs
+++ b/crates/server/src/controller/disk.rs
@@ -6,9 +6,9 @@
 use std::sync::mpsc::Receiver;
 
 use grebepath_core::control_plane::controller::Event;
-use grebepath_core::identifiers::PartId;
-use grebepath_core::storage::record::{Copy, Rec};
-use grebepath_core::voters::voter_file::Roll;
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::storage::record::{Copy, LogRecord};
+use grebepath_core::voters::voter_file::VoterFile;
 use grebepath_runtime::disk::{self, Store};
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -17,22 +17,22 @@
 /// What the disk is asked to do.
 pub enum Job {
     Append {
-        part: PartId,
+        part: PartitionId,
         token: u64,
-        rec: Rec,
+        rec: LogRecord,
     },
     Slot {
-        part: PartId,
+        part: PartitionId,
         token: u64,
         copy: Copy,
     },
     Look {
-        part: PartId,
+        part: PartitionId,
     },
     /// With `clear`, all parts' files are set aside before.
     Keep {
         token: u64,
-        roll: Roll,
+        roll: VoterFile,
         clear: bool,
     },
 }
@@ -60,8 +60,8 @@
         {
             batch.push(job);
         }
-        let mut fates: BTreeMap<PartId, Fate> = BTreeMap::new();
-        let mut looks: Vec<PartId> = Vec::new();
+        let mut fates: BTreeMap<PartitionId, Fate> = BTreeMap::new();
+        let mut looks: Vec<PartitionId> = Vec::new();
         let mut roll = None;
         for job in batch {
             match job {
@@ -78,10 +78,10 @@
                 fate.trouble = Some(e.to_string());
             }
             let event = match fate.trouble {
-                Some(why) => Event::DiskTrouble { part, why },
-                None => Event::Synced { part, token: fate.token },
+                Some(why) => Event::DiskTrouble { partition: part, why },
+                None => Event::Synced { partition: part, token: fate.token },
             };
-            if events.send(Input::Core(event)).is_err() {
+            if events.send(Input::Controller(event)).is_err() {
                 return;
             }
         }
@@ -90,17 +90,17 @@
                 Ok(()) => Event::Kept { token },
                 Err(e) => Event::RollTrouble { why: e.to_string() },
             };
-            let _ = events.send(Input::Core(event));
+            let _ = events.send(Input::Controller(event));
         }
         for part in looks {
             let trouble = disk::look(&stores[part.0 as usize]);
-            let _ = events.send(Input::Core(Event::Looked { part, trouble }));
+            let _ = events.send(Input::Controller(Event::Looked { partition: part, trouble }));
         }
     }
 }
 
 /// Keeps a roll; what it says of the parts must hold before.
-fn keep(data: &Path, stores: &mut [Store], roll: &Roll, clear: bool) -> Result<(), Error> {
+fn keep(data: &Path, stores: &mut [Store], roll: &VoterFile, clear: bool) -> Result<(), Error> {
     if clear {
         for store in stores {
             disk::clear(store)?;
@@ -109,7 +109,7 @@
     disk::keep(data, roll)
 }
 
-fn one(stores: &mut [Store], job: Job, fates: &mut BTreeMap<PartId, Fate>) {
+fn one(stores: &mut [Store], job: Job, fates: &mut BTreeMap<PartitionId, Fate>) {
     let (part, token, got, unsynced) = match job {
         Job::Append { part, token, rec } => {
             let store = &mut stores[part.0 as usize];
--- a/crates/server/src/controller/door.rs
+++ b/crates/server/src/controller/door.rs
@@ -13,8 +13,8 @@
 use grebepath_core::http_api::operator::{
     CONFIG, EXPECT_REVISION, Operated, REQUEST_ID, STATUS, write,
 };
-use grebepath_core::protocol::message::{Deed, Done};
-use grebepath_core::routing_language::diagnostic::Finding;
+use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_runtime::dialect::{Dialect, Order};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::UnboundedSender;
@@ -82,7 +82,7 @@
     };
     let resp = match (dialect.order)(&head, &body) {
         Order::Wrong(resp) => resp,
-        Order::Deed { deed, request } => {
+        Order::Operation { deed, request } => {
             let request = request.unwrap_or_else(own_id);
             (dialect.done)(operate(&owner, request, None, deed).await)
         }
@@ -106,9 +106,9 @@
 }
 
 /// Reads the request's heads; a request without an id gets one of its own.
-fn heads(map: &HeaderMap) -> Result<(String, Option<u64>), Finding> {
+fn heads(map: &HeaderMap) -> Result<(String, Option<u64>), Diagnostic> {
     let bad =
-        |place: &str, text: &str| Finding { place: place.to_string(), text: text.to_string() };
+        |place: &str, text: &str| Diagnostic { place: place.to_string(), text: text.to_string() };
     let text = |name: &str| map.get(name).map(|v| v.to_str().map(str::to_string));
     let request = match text(REQUEST_ID) {
         None => own_id(),
@@ -123,17 +123,22 @@
     Ok((request, expect))
 }
 
-async fn operate(owner: &Owner, request: String, expect: Option<u64>, deed: Deed) -> Done {
+async fn operate(
+    owner: &Owner,
+    request: String,
+    expect: Option<u64>,
+    deed: Operation,
+) -> OperationResult {
     let (tell, told) = oneshot::channel();
     if owner.send(Input::Operate { request, expect, deed, tell }).is_err() {
-        return Done::Bounced { why: "this controller is going down".into() };
+        return OperationResult::Bounced { why: "this controller is going down".into() };
     }
-    told.await.unwrap_or(Done::Unknown { why: "this controller went down".into() })
+    told.await.unwrap_or(OperationResult::Unknown { why: "this controller went down".into() })
 }
 
 async fn read(State(owner): State<Owner>) -> Response {
-    match operate(&owner, String::new(), None, Deed::Read).await {
-        Done::Config { revision, map } => match change::config(&map) {
+    match operate(&owner, String::new(), None, Operation::Read).await {
+        OperationResult::Config { revision, map } => match change::config(&map) {
             Ok(conf) => answer(200, &json!({ "revision": revision, "config": show::json(&conf) })),
             Err(e) => answer(500, &json!({ "error": "unreadable", "text": e })),
         },
@@ -143,7 +148,7 @@
 
 /// An operator vouches that copies lost on other seats are lost for good.
 async fn vouch(State(owner): State<Owner>) -> Response {
-    match owner.send(Input::Core(grebepath_core::control_plane::controller::Event::Vouch)) {
+    match owner.send(Input::Controller(grebepath_core::control_plane::controller::Event::Vouch)) {
         Ok(()) => answer(200, &json!({ "vouched": true })),
         Err(_) => answer(503, &json!({ "error": "stopping" })),
     }
@@ -153,18 +158,18 @@
     State(owner): State<Owner>,
     axum::extract::Path(name): axum::extract::Path<String>,
 ) -> Response {
-    outcome(operate(&owner, String::new(), None, Deed::Forget(name)).await)
+    outcome(operate(&owner, String::new(), None, Operation::Forget(name)).await)
 }
 
 async fn whole(State(owner): State<Owner>, map: HeaderMap, body: Bytes) -> Response {
-    changed(owner, map, Deed::Whole(body.to_vec())).await
+    changed(owner, map, Operation::Whole(body.to_vec())).await
 }
 
 async fn patch(State(owner): State<Owner>, map: HeaderMap, body: Bytes) -> Response {
-    changed(owner, map, Deed::Patch(body.to_vec())).await
+    changed(owner, map, Operation::Patch(body.to_vec())).await
 }
 
-async fn changed(owner: Owner, map: HeaderMap, deed: Deed) -> Response {
+async fn changed(owner: Owner, map: HeaderMap, deed: Operation) -> Response {
     match heads(&map) {
         Err(f) => {
             answer(400, &json!({ "error": "bad-request", "findings": operator::findings(&[f]) }))
@@ -173,22 +178,22 @@
     }
 }
 
-fn outcome(done: Done) -> Response {
+fn outcome(done: OperationResult) -> Response {
     let op = match done {
-        Done::Accepted { revision, copies, again } => {
+        OperationResult::Accepted { revision, copies, again } => {
             Operated::Accepted { revision, copies, again }
         }
-        Done::Wrong(list) => {
-            let all = list.into_iter().map(|(place, text)| Finding { place, text }).collect();
+        OperationResult::Wrong(list) => {
+            let all = list.into_iter().map(|(place, text)| Diagnostic { place, text }).collect();
             Operated::Wrong(all)
         }
-        Done::Moved { revision } => Operated::Moved { revision },
-        Done::Bounced { why } => Operated::Bounced { why },
-        Done::Unknown { why } => Operated::Unknown { why },
-        Done::Forgotten { revision, edition } => {
+        OperationResult::Moved { revision } => Operated::Moved { revision },
+        OperationResult::Bounced { why } => Operated::Bounced { why },
+        OperationResult::Unknown { why } => Operated::Unknown { why },
+        OperationResult::Forgotten { revision, edition } => {
             Operated::Unknown { why: operator::forgotten(revision, edition) }
         }
-        Done::Config { .. } | Done::Status { .. } => {
+        OperationResult::Config { .. } | OperationResult::Status { .. } => {
             Operated::Unknown { why: "an answer to something else".into() }
         }
     };
@@ -204,16 +209,16 @@
     }
     let own = told.await.unwrap_or(Value::Null);
     let mut body = json!({ "here": own });
-    match operate(&owner, String::new(), None, Deed::Status).await {
-        Done::Status { cohort, far } => {
-            let members: Vec<Value> = cohort
+    match operate(&owner, String::new(), None, Operation::Status).await {
+        OperationResult::Status { membership, far } => {
+            let members: Vec<Value> = membership
                 .members
                 .iter()
                 .map(|m| {
                     let known = far.iter().find(|f| f.0 == m.name);
                     json!({
                         "name": m.name, "addr": m.addr, "zone": m.zone, "threads": m.threads,
-                        "settled": m.joined <= cohort.settled,
+                        "settled": m.joined <= membership.settled,
                         "heard_ms_ago": known.map(|k| k.1),
                         "obeys": known.map(|k| k.2.obeys),
                         "ready": known.map(|k| k.2.ready),
@@ -221,9 +226,9 @@
                 })
                 .collect();
             body["cohort"] =
-                json!({ "epoch": cohort.epoch, "turn": cohort.turn, "members": members });
+                json!({ "epoch": membership.term, "turn": membership.turn, "members": members });
         }
-        Done::Bounced { why } | Done::Unknown { why } => {
+        OperationResult::Bounced { why } | OperationResult::Unknown { why } => {
             body["cohort"] = Value::Null;
             body["trouble"] = json!(why);
         }
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -9,8 +9,8 @@
 
 use std::sync::mpsc;
 
-use grebepath_core::identifiers::{PartId, parts};
-use grebepath_core::protocol::message::Life;
+use grebepath_core::identifiers::{PartitionId, partitions};
+use grebepath_core::protocol::message::ReplicaCondition;
 use grebepath_core::storage::reader::Found;
 use grebepath_core::storage::record::Copy;
 use grebepath_core::voters::voter_file::begin;
@@ -28,7 +28,7 @@
 }
 
 /// A part as found on disk, ready for the core.
-type FoundPart = (PartId, Life, Copy, u64);
+type FoundPart = (PartitionId, ReplicaCondition, Copy, u64);
 
 fn run(p: params::Params) -> Result<(), std::io::Error> {
     let _lock = grebepath_runtime::disk::lock(&p.data)?;
@@ -37,21 +37,21 @@
     let nonce = grebepath_runtime::clock::nonce();
     let mut stores: Vec<Store> = Vec::new();
     let mut found: Vec<FoundPart> = Vec::new();
-    let mut sick: Vec<(PartId, String)> = Vec::new();
-    let bare = parts().all(|part| grebepath_runtime::disk::bare(&p.data, part));
+    let mut sick: Vec<(PartitionId, String)> = Vec::new();
+    let bare = partitions().all(|part| grebepath_runtime::disk::bare(&p.data, part));
     let (roll, clear) = begin(roll, &params::start(&p), bare, nonce);
-    for part in parts() {
+    for part in partitions() {
         let (mut store, got) = grebepath_runtime::disk::open(&p.data, part)?;
         match got {
             _ if clear => {
                 warn!(%part, "the files are of a seat given to another; set aside");
                 grebepath_runtime::disk::clear(&mut store)?;
-                found.push((part, Life::Empty, Copy::default(), 0));
+                found.push((part, ReplicaCondition::Empty, Copy::default(), 0));
             }
-            Found::Empty => found.push((part, Life::Empty, Copy::default(), 0)),
+            Found::Empty => found.push((part, ReplicaCondition::Empty, Copy::default(), 0)),
             Found::Damaged(why) => {
                 warn!(%part, why, "the files are damaged and set aside; relearning");
-                found.push((part, Life::Damaged, Copy::default(), 0));
+                found.push((part, ReplicaCondition::Damaged, Copy::default(), 0));
             }
             Found::Good { copy, torn, .. } => {
                 if torn {
@@ -60,7 +60,7 @@
                 if let Err(e) = grebepath_runtime::disk::slot(&mut store, &copy) {
                     sick.push((part, e.to_string()));
                 }
-                found.push((part, Life::Formed, copy, 0));
+                found.push((part, ReplicaCondition::Formed, copy, 0));
             }
         }
         stores.push(store);
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -4,19 +4,19 @@
 use std::sync::Arc;
 
 use grebepath_core::config::{build, change};
-use grebepath_core::control_plane::controller::Core;
+use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::control_plane::endpoints;
-use grebepath_core::protocol::message::Life;
-use grebepath_core::replication::partition::{Part, Role};
+use grebepath_core::protocol::message::ReplicaCondition;
+use grebepath_core::replication::partition::{Partition, Role};
 use grebepath_core::snapshot::cluster_view::{open, view};
 use grebepath_core::time::{MILLI, Tick, since};
-use grebepath_core::voters::voter_set::{Holding, NOBODY};
+use grebepath_core::voters::voter_set::{NOBODY, SlotHolder};
 use serde_json::{Value, json};
 
-fn role(p: &Part) -> &'static str {
+fn role(p: &Partition) -> &'static str {
     match &p.role {
-        _ if p.life == Life::Damaged => "damaged",
-        _ if p.life == Life::Empty => "empty",
+        _ if p.life == ReplicaCondition::Damaged => "damaged",
+        _ if p.life == ReplicaCondition::Empty => "empty",
         _ if p.sick.is_some() => "sick",
         Role::Follower { .. } => "follower",
         Role::PreVoting { .. } => "sounding",
@@ -27,13 +27,13 @@
 }
 
 /// This seat's parts as JSON.
-pub fn own(core: &Core, zone: &str, now: Tick) -> Value {
+pub fn own(core: &ControllerState, zone: &str, now: Tick) -> Value {
     let parts: Vec<Value> = core
-        .parts
+        .partitions
         .iter()
         .map(|p| {
             let owner = match &p.role {
-                Role::Leader(_) => Some(core.seat),
+                Role::Leader(_) => Some(core.slot),
                 Role::Follower { leader, .. } => leader.map(|o| o.0),
                 _ => None,
             };
@@ -43,34 +43,36 @@
             };
             json!({
                 "part": p.id.to_string(), "role": role(p), "owner": owner,
-                "epoch": p.copy.epoch, "promised": p.copy.promised, "revision": p.copy.rev,
-                "shown": p.shown_rev, "owner_silent_ms": silent, "sick": p.sick,
+                "epoch": p.copy.term, "promised": p.copy.promised, "revision": p.copy.revision,
+                "shown": p.committed_revision, "owner_silent_ms": silent, "sick": p.sick,
                 "writes_waiting": p.writes.len(),
             })
         })
         .collect();
-    let seats: Vec<Value> = core.seating.roll.table.seats.iter().map(seat).collect();
-    let own = (core.seat != NOBODY).then_some(core.seat);
+    let seats: Vec<Value> = core.seating.roll.table.slots.iter().map(seat).collect();
+    let own = (core.slot != NOBODY).then_some(core.slot);
     json!({
         "seat": own, "zone": zone, "parts": parts, "seats": seats,
         "uncovered": uncovered(core),
     })
 }
 
-fn seat(h: &Holding) -> Value {
+fn seat(h: &SlotHolder) -> Value {
     json!({ "generation": h.generation, "holder": format!("{:016x}", h.holder), "addr": h.addr,
             "zone": h.zone })
 }
 
 /// Shards that have no leaf which may get new work, by what this seat knows:
 /// a zone may hold the last ones of a shard when it is emptied.
-fn uncovered(core: &Core) -> Vec<Value> {
-    let config = &core.parts[0];
-    let Ok(conf) = change::config(&config.shown) else { return Vec::new() };
+fn uncovered(core: &ControllerState) -> Vec<Value> {
+    let config = &core.partitions[0];
+    let Ok(conf) = change::config(&config.committed) else { return Vec::new() };
     let Ok(built) = build::build(&conf) else { return Vec::new() };
-    let list =
-        core.parts[1..].iter().flat_map(|p| endpoints::all(&p.shown).into_values()).collect();
-    let view = view(config.shown_rev, Arc::new(built), list);
+    let list = core.partitions[1..]
+        .iter()
+        .flat_map(|p| endpoints::all(&p.committed).into_values())
+        .collect();
+    let view = view(config.committed_revision, Arc::new(built), list);
     let mut out = Vec::new();
     for map in view.mappings.values() {
         let bare: Vec<&str> = map
@@ -89,7 +91,7 @@
 }
 
 /// Prometheus text.
-pub fn text(core: &Core) -> String {
+pub fn text(core: &ControllerState) -> String {
     let mut out = String::new();
     let c = &core.counts;
     let mut count = |name: &str, help: &str, val: u64| {
@@ -109,12 +111,12 @@
     let _ = writeln!(out, "# TYPE grebe_followers gauge\ngrebe_followers {}", core.followers.len());
     let _ = writeln!(out, "# HELP grebe_part_revision Committed revision shown, by part.");
     let _ = writeln!(out, "# TYPE grebe_part_revision gauge");
-    for p in &core.parts {
-        let _ = writeln!(out, "grebe_part_revision{{part=\"{}\"}} {}", p.id, p.shown_rev);
+    for p in &core.partitions {
+        let _ = writeln!(out, "grebe_part_revision{{part=\"{}\"}} {}", p.id, p.committed_revision);
     }
     let _ = writeln!(out, "# HELP grebe_part_role Role in each part, 1 for the present one.");
     let _ = writeln!(out, "# TYPE grebe_part_role gauge");
-    for p in &core.parts {
+    for p in &core.partitions {
         let _ = writeln!(out, "grebe_part_role{{part=\"{}\",role=\"{}\"}} 1", p.id, role(p));
     }
     out
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -5,11 +5,11 @@
 use std::net::SocketAddr;
 use std::sync::mpsc;
 
-use grebepath_core::control_plane::controller::{Command, Core, Event, core};
+use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
-use grebepath_core::protocol::message::{Deed, Done, Who};
+use grebepath_core::protocol::message::{Operation, OperationResult, PeerIdentity};
 use grebepath_core::voters::handover;
-use grebepath_core::voters::voter_file::Roll;
+use grebepath_core::voters::voter_file::VoterFile;
 use grebepath_core::voters::voter_set::NOBODY;
 use grebepath_runtime::clock::{Clock, duration, now};
 use grebepath_runtime::connections;
@@ -25,13 +25,13 @@
 
 /// What reaches the control thread.
 pub enum Input {
-    Core(Event),
+    Controller(Event),
     /// An operator's request.
     Operate {
         request: String,
         expect: Option<u64>,
-        deed: Deed,
-        tell: oneshot::Sender<Done>,
+        deed: Operation,
+        tell: oneshot::Sender<OperationResult>,
     },
     /// What this seat knows itself, as JSON.
     Own(oneshot::Sender<serde_json::Value>),
@@ -46,9 +46,9 @@
     ways: Ways<SocketAddr>,
     /// Wakes since the ways were last seen to.
     looked: u32,
-    wires: HashMap<u64, Out>,
+    connections: HashMap<u64, Out>,
     disk: mpsc::Sender<Job>,
-    tells: HashMap<u64, oneshot::Sender<Done>>,
+    tells: HashMap<u64, oneshot::Sender<OperationResult>>,
     next_op: u64,
     /// When the core asked to be woken, beside the wakes that come anyway.
     wake_at: Option<tokio::time::Instant>,
@@ -59,9 +59,9 @@
 pub async fn serve(
     p: Params,
     clock: Clock,
-    roll: Roll,
+    roll: VoterFile,
     found: Vec<FoundPart>,
-    sick: Vec<(grebepath_core::identifiers::PartId, String)>,
+    sick: Vec<(grebepath_core::identifiers::PartitionId, String)>,
     inner: std::net::TcpListener,
     disk: mpsc::Sender<Job>,
     tx: UnboundedSender<Input>,
@@ -77,12 +77,12 @@
     let nonce = grebepath_runtime::clock::nonce();
     let mut core = core(roll, (&here.0, &here.1), found, nonce, now(&clock));
     let ways = ways(Some(p.addr), &p.seeds, (who(&core), fleet), |addr| addr, wire_tx);
-    let wires = HashMap::new();
+    let connections = HashMap::new();
     let mut io =
-        Io { ways, looked: 0, wires, disk, tells: HashMap::new(), next_op: 1, wake_at: None };
+        Io { ways, looked: 0, connections, disk, tells: HashMap::new(), next_op: 1, wake_at: None };
     arrange(&mut io.ways, who(&core), &core.seating.roll.table);
     for (part, why) in sick {
-        let todo = step(&mut core, now(&clock), Event::DiskTrouble { part, why });
+        let todo = step(&mut core, now(&clock), Event::DiskTrouble { partition: part, why });
         carry_out(&mut io, &core, todo);
     }
     // Nothing of a controller's params can change while it runs.
@@ -116,9 +116,9 @@
     }
     // Whoever still waits here is told.
     for (_, tell) in io.tells.drain() {
-        let _ = tell.send(Done::Unknown { why: "this controller went down".into() });
+        let _ = tell.send(OperationResult::Unknown { why: "this controller went down".into() });
     }
-    // The wires write from tasks of this thread: let them.
+    // The connections write from tasks of this thread: let them.
     for _ in 0..64 {
         tokio::task::yield_now().await;
     }
@@ -133,9 +133,15 @@
     }
 }
 
-fn taken(io: &mut Io, core: &Core, p: &Params, clock: &Clock, input: Input) -> Option<Event> {
+fn taken(
+    io: &mut Io,
+    core: &ControllerState,
+    p: &Params,
+    clock: &Clock,
+    input: Input,
+) -> Option<Event> {
     match input {
-        Input::Core(event) => Some(event),
+        Input::Controller(event) => Some(event),
         Input::Operate { request, expect, deed, tell } => {
             let op = io.next_op;
             io.next_op += 1;
@@ -154,17 +160,17 @@
 }
 
 /// As whom we dial.
-fn who(core: &Core) -> Who {
+fn who(core: &ControllerState) -> PeerIdentity {
     let holder = core.seating.roll.me;
-    match core.seat {
-        NOBODY => Who::Spare { holder },
-        seat => Who::Seat { seat, holder },
+    match core.slot {
+        NOBODY => PeerIdentity::Spare { holder },
+        seat => PeerIdentity::Voter { slot: seat, holder },
     }
 }
 
 /// Sees to the ways now and then: a seed that never spoke is given up, or all
 /// seeds are tried again.
-fn look(io: &mut Io, core: &Core) {
+fn look(io: &mut Io, core: &ControllerState) {
     io.looked += 1;
     if io.looked.is_multiple_of(LOOK_WAKES) {
         arrange(&mut io.ways, who(core), &core.seating.roll.table);
@@ -173,25 +179,27 @@
 
 fn heard(io: &mut Io, event: WireEvent<SocketAddr>) -> Option<Event> {
     match event {
-        WireEvent::Dialled { tag, msg } => {
-            connections::heard(&mut io.ways, tag, &msg);
-            Some(Event::Answer { msg })
+        WireEvent::Dialled { tag, message } => {
+            connections::heard(&mut io.ways, tag, &message);
+            Some(Event::Answer { message })
         }
-        WireEvent::Opened { wire, who, out } => {
-            debug!(wire, ?who, "wire opened");
-            io.wires.insert(wire, out);
-            Some(Event::Opened { wire })
+        WireEvent::Opened { connection, who, out } => {
+            debug!(connection, ?who, "wire opened");
+            io.connections.insert(connection, out);
+            Some(Event::Opened { connection })
         }
-        WireEvent::Came { wire, who, msg } => Some(match who {
-            Who::Seat { seat, holder } => {
+        WireEvent::Came { connection, who, message } => Some(match who {
+            PeerIdentity::Voter { slot: seat, holder } => {
                 connections::spoken(&mut io.ways);
-                Event::FromSeat { seat, holder, wire, msg }
+                Event::FromSeat { slot: seat, holder, connection, message }
+            }
+            PeerIdentity::Member(_) | PeerIdentity::Spare { .. } => {
+                Event::FromWire { connection, message }
             }
-            Who::Member(_) | Who::Spare { .. } => Event::FromWire { wire, msg },
         }),
-        WireEvent::Closed { wire } => {
-            io.wires.remove(&wire);
-            Some(Event::WireGone { wire })
+        WireEvent::Closed { connection } => {
+            io.connections.remove(&connection);
+            Some(Event::WireGone { connection })
         }
         WireEvent::Trouble { text } => {
             warn!("{text}");
@@ -200,30 +208,30 @@
     }
 }
 
-fn carry_out(io: &mut Io, core: &Core, todo: Vec<Command>) {
+fn carry_out(io: &mut Io, core: &ControllerState, todo: Vec<Command>) {
     let table = &core.seating.roll.table;
     for command in todo {
         match command {
-            Command::ToSeat { seat, msg } => {
-                connections::to_seat(&io.ways, table, seat, &msg);
+            Command::ToSeat { slot: seat, message } => {
+                connections::to_seat(&io.ways, table, seat, &message);
             }
-            Command::ToAll { msg } => connections::to_all(&io.ways, &msg),
+            Command::ToAll { message } => connections::to_all(&io.ways, &message),
             Command::Seats => arrange(&mut io.ways, who(core), table),
             Command::Keep { token, roll, clear } => {
                 let _ = io.disk.send(Job::Keep { token, roll, clear });
             }
-            Command::ToWire { wire, msg } => {
-                if let Some(out) = io.wires.get(&wire) {
-                    send(out, &msg);
+            Command::ToWire { connection, message } => {
+                if let Some(out) = io.connections.get(&connection) {
+                    send(out, &message);
                 }
             }
-            Command::Append { part, token, rec } => {
+            Command::Append { partition: part, token, rec } => {
                 let _ = io.disk.send(Job::Append { part, token, rec });
             }
-            Command::Slot { part, token, copy } => {
+            Command::Slot { partition: part, token, copy } => {
                 let _ = io.disk.send(Job::Slot { part, token, copy });
             }
-            Command::Look { part } => {
+            Command::Look { partition: part } => {
                 let _ = io.disk.send(Job::Look { part });
             }
             Command::Tell { op, done } => {
--- a/crates/server/src/controller/params.rs
+++ b/crates/server/src/controller/params.rs
@@ -184,7 +184,7 @@
 /// What decides who this controller is at its start.
 pub fn start(p: &Params) -> Start {
     Start {
-        seat: p.seat,
+        slot: p.seat,
         first: p.first,
         seeds: p.seeds.iter().map(|s| s.to_string()).collect(),
         size: p.seats,
--- a/crates/server/src/grebectl/net.rs
+++ b/crates/server/src/grebectl/net.rs
@@ -71,8 +71,8 @@
     if let Some(id) = &ask.request {
         req = req.header(REQUEST_ID, id);
     }
-    if let Some(rev) = ask.expect {
-        req = req.header(EXPECT_REVISION, rev.to_string());
+    if let Some(revision) = ask.expect {
+        req = req.header(EXPECT_REVISION, revision.to_string());
     }
     let req = req.body(Full::new(Bytes::from(ask.body.clone()))).map_err(|e| e.to_string())?;
     let wait = Duration::from_micros(consts::OPERATE_PATIENCE) + Duration::from_secs(2);
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -1,15 +1,15 @@
 //! What is printed, for people or as JSON.
 
-use grebepath_core::config::build::{Mapping, needed};
+use grebepath_core::config::build::{Route, needed};
 use grebepath_core::http_api::operator::findings;
 use grebepath_core::query::dispatch::shard_of;
 use grebepath_core::routing_language::compile::Send;
-use grebepath_core::routing_language::diagnostic::Finding;
+use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
 
 /// Prints findings.
-pub fn wrong(all: &[Finding], as_json: bool) {
+pub fn wrong(all: &[Diagnostic], as_json: bool) {
     if as_json {
         println!("{}", json!({ "error": "wrong", "findings": findings(all) }));
     } else {
@@ -20,7 +20,7 @@
 }
 
 /// The plan of a mapping, and of a key's lookup.
-pub fn plan(m: &Mapping, key: Option<&str>) -> Value {
+pub fn plan(m: &Route, key: Option<&str>) -> Value {
     let planned: Vec<usize> = match (m.send, key) {
         (Send::One, Some(key)) => vec![shard_of(m, key)],
         _ => (0..m.shards.len()).collect(),
@@ -131,11 +131,11 @@
             if u["serves"] == true { "answers without them" } else { "BELOW QUORUM" }
         );
     }
-    let cohort = seats.iter().find_map(|(_, v)| match v {
+    let membership = seats.iter().find_map(|(_, v)| match v {
         Ok(v) if !v["cohort"].is_null() => Some(&v["cohort"]),
         _ => None,
     });
-    match cohort {
+    match membership {
         None => out += "members: unknown, the configuration has no owner that answers\n",
         Some(c) => {
             out += &format!("members (epoch {}, turn {}):\n", c["epoch"], c["turn"]);
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -6,7 +6,7 @@
 use grebepath_core::config::types::Config;
 use grebepath_core::config::{build, change, read, show as conf_show};
 use grebepath_core::http_api::operator::{CONFIG, STATUS};
-use grebepath_core::routing_language::diagnostic::Finding;
+use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_runtime::http::Http;
 use hyper::Method;
 use serde_json::{Value, json};
@@ -74,12 +74,12 @@
         Verb::Drain { zone } => send(args, http, Method::PATCH, zone_patch(zone, "drained")).await,
         Verb::Undrain { zone } => send(args, http, Method::PATCH, zone_patch(zone, "open")).await,
         Verb::Get => {
-            let (rev, conf) = get(args, http).await?;
+            let (revision, conf) = get(args, http).await?;
             let val = conf_show::json(&conf);
             if args.json {
-                println!("{}", json!({ "revision": rev, "config": val }));
+                println!("{}", json!({ "revision": revision, "config": val }));
             } else {
-                eprintln!("revision {rev}");
+                eprintln!("revision {revision}");
                 println!("{}", serde_json::to_string_pretty(&val).unwrap_or_default());
             }
             Ok(EXIT_OK)
@@ -184,28 +184,30 @@
         503 => EXIT_TROUBLE,
         _ => EXIT_UNKNOWN,
     };
-    let rev = answer["revision"].as_u64().unwrap_or(0);
+    let revision = answer["revision"].as_u64().unwrap_or(0);
     if args.json {
         println!("{answer}");
     } else {
         match exit {
-            EXIT_OK => println!("accepted as revision {rev}, synced by {} of 3", answer["copies"]),
+            EXIT_OK => {
+                println!("accepted as revision {revision}, synced by {} of 3", answer["copies"])
+            }
             EXIT_WRONG => show::wrong(&findings(&answer), false),
-            EXIT_MOVED => println!("not applied: the revision is {rev} now"),
+            EXIT_MOVED => println!("not applied: the revision is {revision} now"),
             EXIT_UNKNOWN => println!("unknown: {answer}; ask again with --request-id {id}"),
             _ => println!("not applied: {answer}"),
         }
     }
     match (exit, args.wait) {
-        (EXIT_OK, Some(secs)) => obeyed(args, http, &list, rev, secs).await,
+        (EXIT_OK, Some(secs)) => obeyed(args, http, &list, revision, secs).await,
         _ => Ok(exit),
     }
 }
 
-fn findings(answer: &Value) -> Vec<Finding> {
+fn findings(answer: &Value) -> Vec<Diagnostic> {
     let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
     let list = answer["findings"].as_array().cloned().unwrap_or_default();
-    list.iter().map(|f| Finding { place: text(&f["place"]), text: text(&f["text"]) }).collect()
+    list.iter().map(|f| Diagnostic { place: text(&f["place"]), text: text(&f["text"]) }).collect()
 }
 
 /// Waits until every live member obeys a revision.
@@ -213,7 +215,7 @@
     args: &Args,
     http: &Http,
     list: &[SocketAddr],
-    rev: u64,
+    revision: u64,
     secs: u64,
 ) -> Result<i32, End> {
     let end = Instant::now() + Duration::from_secs(secs);
@@ -225,7 +227,7 @@
         {
             late = members
                 .iter()
-                .filter(|m| m["obeys"].as_u64().unwrap_or(0) < rev)
+                .filter(|m| m["obeys"].as_u64().unwrap_or(0) < revision)
                 .map(|m| m["name"].as_str().unwrap_or("?").to_string())
                 .collect();
             if late.is_empty() {
@@ -244,7 +246,7 @@
 
 async fn diff(args: &Args, http: &Http, raw: &[u8]) -> Result<i32, End> {
     let (new, _) = checked(args, raw)?;
-    let (rev, old) = get(args, http).await?;
+    let (revision, old) = get(args, http).await?;
     let (before, list) = (change::entries(&old), change::changes(&old, &new));
     let rows: Vec<(&str, &str)> = list
         .iter()
@@ -260,7 +262,7 @@
     if args.json {
         let rows: Vec<Value> =
             rows.iter().map(|(w, k)| json!({ "object": k, "change": w })).collect();
-        println!("{}", json!({ "revision": rev, "changes": rows }));
+        println!("{}", json!({ "revision": revision, "changes": rows }));
     } else {
         for (what, key) in &rows {
             println!("{what} {key}");
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -1,4 +1,4 @@
-//! The control thread: news, tenure, cohort and duties.
+//! The control thread: news, lease, membership and duties.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -9,9 +9,9 @@
 use grebepath_core::http_api::list;
 use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
 use grebepath_core::membership::step::{WAKE, step};
-use grebepath_core::protocol::message::{Member, Msg, Who, Word};
+use grebepath_core::protocol::message::{Member, Message, PeerIdentity, Word};
 use grebepath_core::query::engine;
-use grebepath_core::snapshot::cluster_view::View;
+use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::voters::voter_set::seat_of;
 use grebepath_runtime::clock::{Clock, duration, now};
@@ -47,10 +47,10 @@
 /// Wakes between two looks at the ways to the core: a second.
 const LOOK_WAKES: u32 = 20;
 
-/// Which wire a message came on.
+/// Which connection a message came on.
 #[derive(Clone)]
 enum Tag {
-    Core(SocketAddr),
+    Controller(SocketAddr),
     Member(String),
 }
 
@@ -63,8 +63,8 @@
     members: HashMap<String, (SocketAddr, Out)>,
     desks: Vec<UnboundedSender<Work>>,
     ready: signal::Sender<bool>,
-    view: signal::Sender<Arc<View>>,
-    wires: UnboundedSender<WireEvent<Tag>>,
+    view: signal::Sender<Arc<ClusterView>>,
+    connections: UnboundedSender<WireEvent<Tag>>,
     input: UnboundedSender<Input>,
     http: Http,
     list: SocketAddr,
@@ -87,7 +87,7 @@
     clock: Clock,
     (inner, checks): (std::net::TcpListener, Checks),
     desks: Vec<UnboundedSender<Work>>,
-    (ready, view): (signal::Sender<bool>, signal::Sender<Arc<View>>),
+    (ready, view): (signal::Sender<bool>, signal::Sender<Arc<ClusterView>>),
     tx: UnboundedSender<Input>,
     mut rx: UnboundedReceiver<Input>,
 ) -> Result<(), std::io::Error> {
@@ -115,8 +115,8 @@
         let own = (all, desks[0].clone());
         tokio::task::spawn_local(crate::door::check(listener, dialect.ready, ready, own));
     }
-    let who = Who::Member(p.name.clone());
-    let ways = ways(None, &p.seeds, (who, fleet), Tag::Core, wire_tx.clone());
+    let who = PeerIdentity::Member(p.name.clone());
+    let ways = ways(None, &p.seeds, (who, fleet), Tag::Controller, wire_tx.clone());
     let mut io = Io {
         me: p.name.clone(),
         fleet,
@@ -126,7 +126,7 @@
         desks,
         ready,
         view,
-        wires: wire_tx,
+        connections: wire_tx,
         input: tx,
         http: grebepath_runtime::http::client(2),
         list: p.list,
@@ -203,7 +203,7 @@
             break;
         }
     }
-    // Gives the tenure back, so that our share is free at once.
+    // Gives the lease back, so that our share is free at once.
     let todo = step(&mut w, now(&clock), Event::Drained);
     carry_out(&mut io, &w, todo);
     tokio::time::sleep(Duration::from_millis(20)).await;
@@ -227,28 +227,30 @@
     }
 }
 
-/// Opens and drops wires to the core as the table of the seats asks.
+/// Opens and drops connections to the core as the table of the seats asks.
 fn see_to(io: &mut Io, w: &Watch) {
-    let who = Who::Member(io.me.clone());
+    let who = PeerIdentity::Member(io.me.clone());
     arrange(&mut io.ways, who, &w.table);
 }
 
 fn heard(io: &mut Io, w: &Watch, event: WireEvent<Tag>) -> Option<Event> {
     match event {
-        WireEvent::Dialled { tag: Tag::Core(addr), msg } => {
-            let holder = connections::heard(&mut io.ways, addr, &msg);
-            match msg {
-                Msg::Seats { table, .. } => Some(Event::Seats(table)),
+        WireEvent::Dialled { tag: Tag::Controller(addr), message } => {
+            let holder = connections::heard(&mut io.ways, addr, &message);
+            match message {
+                Message::Seats { table, .. } => Some(Event::Seats(table)),
                 // Who has no seat has no say.
-                msg => seat_of(&w.table, holder).map(|seat| Event::FromSeat { seat, msg }),
+                message => {
+                    seat_of(&w.table, holder).map(|seat| Event::FromSeat { slot: seat, message })
+                }
             }
         }
-        WireEvent::Dialled { tag: Tag::Member(name), msg }
-        | WireEvent::Came { who: Who::Member(name), msg, .. } => {
-            Some(Event::FromMember { name, msg })
+        WireEvent::Dialled { tag: Tag::Member(name), message }
+        | WireEvent::Came { who: PeerIdentity::Member(name), message, .. } => {
+            Some(Event::FromMember { name, message })
         }
-        WireEvent::Opened { wire, who, .. } => {
-            debug!(wire, ?who, "wire opened");
+        WireEvent::Opened { connection, who, .. } => {
+            debug!(connection, ?who, "wire opened");
             None
         }
         WireEvent::Came { .. } | WireEvent::Closed { .. } => None,
@@ -262,16 +264,16 @@
 fn carry_out(io: &mut Io, w: &Watch, todo: Vec<Command>) {
     for command in todo {
         match command {
-            Command::ToSeat { seat, msg } => {
-                connections::to_seat(&io.ways, &w.table, seat, &msg);
+            Command::ToSeat { slot: seat, message } => {
+                connections::to_seat(&io.ways, &w.table, seat, &message);
             }
-            Command::ToAll { msg } => connections::to_all(&io.ways, &msg),
+            Command::ToAll { message } => connections::to_all(&io.ways, &message),
             Command::Seats => see_to(io, w),
-            Command::ToMember { name, addr, msg } => to_member(io, name, &addr, &msg),
-            Command::View(view) => {
-                io.members.retain(|n, _| w.cohort.members.iter().any(|m| m.name == *n));
+            Command::ToMember { name, addr, message } => to_member(io, name, &addr, &message),
+            Command::ClusterView(view) => {
+                io.members.retain(|n, _| w.membership.members.iter().any(|m| m.name == *n));
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(engine::Event::View(view.clone())));
+                    let _ = desk.send(Work::Event(engine::Event::ClusterView(view.clone())));
                 }
                 let _ = io.view.send(view);
             }
@@ -323,16 +325,16 @@
     }
 }
 
-fn to_member(io: &mut Io, name: String, addr: &str, msg: &Msg) {
+fn to_member(io: &mut Io, name: String, addr: &str, message: &Message) {
     let Ok(addr) = addr.parse::<SocketAddr>() else { return };
     let known = io.members.get(&name).is_some_and(|(a, _)| *a == addr);
     if !known {
-        let who = (Who::Member(io.me.clone()), io.fleet);
-        let out = dial(addr, who, Tag::Member(name.clone()), io.wires.clone());
+        let who = (PeerIdentity::Member(io.me.clone()), io.fleet);
+        let out = dial(addr, who, Tag::Member(name.clone()), io.connections.clone());
         io.members.insert(name.clone(), (addr, out));
     }
     if let Some((_, out)) = io.members.get(&name) {
-        send(out, msg);
+        send(out, message);
     }
 }
 
--- a/crates/server/src/querier/door.rs
+++ b/crates/server/src/querier/door.rs
@@ -14,8 +14,8 @@
 use grebepath_core::http_api::caller;
 use grebepath_core::http_api::caller::{BUDGET, MISSING_PARTS, RETRY_AFTER};
 use grebepath_core::query::engine::{Event, room_of};
-use grebepath_core::query::request::{Ask, Bounce, Outcome, Reason};
-use grebepath_core::snapshot::cluster_view::View;
+use grebepath_core::query::request::{Ask, Outcome, Reason, Rejection};
+use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_runtime::dialect::Dialect;
 use grebepath_runtime::forwarding_server;
 use tokio::sync::mpsc::UnboundedSender;
@@ -34,7 +34,7 @@
     pub control: UnboundedSender<Input>,
     pub ready: watch::Receiver<bool>,
     /// The view, for the classes of the searches.
-    pub view: watch::Receiver<Arc<View>>,
+    pub view: watch::Receiver<Arc<ClusterView>>,
 }
 
 #[derive(Clone)]
@@ -54,7 +54,7 @@
         .route("/metrics", get(metrics))
         .fallback(async || {
             let text = "no such path; searches are at /v1/search/{mapping}";
-            written(&Outcome::Bounce(Bounce::new(Reason::NoMapping, text)))
+            written(&Outcome::Rejection(Rejection::new(Reason::NoMapping, text)))
         })
         // One byte over the limit still comes through, and gets our own 413.
         .layer(DefaultBodyLimit::max(consts::QUESTION_LIMIT + 1))
@@ -100,17 +100,17 @@
     let ask = match body {
         Ok(body) => caller::read_post(&mapping, budget(&heads), &body),
         Err(e) if e.status() == StatusCode::PAYLOAD_TOO_LARGE => {
-            Err(Bounce::new(Reason::TooLarge, "the question is larger than 64 KiB"))
+            Err(Rejection::new(Reason::TooLarge, "the question is larger than 64 KiB"))
         }
-        Err(e) => Err(Bounce::new(Reason::BadCall, e.to_string())),
+        Err(e) => Err(Rejection::new(Reason::BadCall, e.to_string())),
     };
     search(door, ask).await
 }
 
-async fn search(door: Door, ask: Result<Ask, Bounce>) -> Response {
+async fn search(door: Door, ask: Result<Ask, Rejection>) -> Response {
     let ask = match ask {
         Ok(ask) => ask,
-        Err(b) => return written(&Outcome::Bounce(b)),
+        Err(b) => return written(&Outcome::Rejection(b)),
     };
     // What waits before the desk is bounded here, each class to its part: this
     // is the one place where calls could pile up.
@@ -122,10 +122,10 @@
     let mut guard = Guard { call, here, calls, done: false };
     if busy >= most {
         guard.done = true;
-        let mut b = Bounce::new(Reason::Crowded, "this node's door has all the calls it may");
+        let mut b = Rejection::new(Reason::Crowded, "this node's door has all the calls it may");
         let spread = consts::AGAIN_MAX_S / 4;
         b.again_s = Some(consts::AGAIN_MIN_S + call % spread);
-        return written(&Outcome::Bounce(b));
+        return written(&Outcome::Rejection(b));
     }
     let (tell, told) = oneshot::channel();
     let outcome = if door.here.send(Work::Call { call, called: Called::Own(ask), tell }).is_ok() {
@@ -135,7 +135,7 @@
     };
     guard.done = true;
     let outcome = outcome.unwrap_or_else(|| {
-        Outcome::Bounce(Bounce::new(Reason::Stopping, "this node is going down"))
+        Outcome::Rejection(Rejection::new(Reason::Stopping, "this node is going down"))
     });
     written(&outcome)
 }
@@ -162,8 +162,8 @@
                 Err(_) => None,
             };
             guard.done = true;
-            let gone = || Bounce::new(Reason::Stopping, "this node is going down");
-            (dialect.told)(outcome.unwrap_or_else(|| Outcome::Bounce(gone())))
+            let gone = || Rejection::new(Reason::Stopping, "this node is going down");
+            (dialect.told)(outcome.unwrap_or_else(|| Outcome::Rejection(gone())))
         }
     };
     forwarding_server::serve(listener, door, answer).await;
--- a/crates/server/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -19,7 +19,7 @@
     Control {
         counts: w.counts.clone(),
         revision: w.view.as_ref().map_or(0, |v| v.revision),
-        members: w.cohort.members.len() as u64,
+        members: w.membership.members.len() as u64,
         shares: w.shared.iter().map(|(_, n)| u64::from(*n)).sum(),
     }
 }
--- a/crates/server/src/querier/params.rs
+++ b/crates/server/src/querier/params.rs
@@ -5,7 +5,7 @@
 use bpaf::{OptionParser, Parser, long};
 use grebepath_core::consts::{self, SEATS_MAX};
 use grebepath_core::query::service_retry_budget::Rate;
-use grebepath_core::routing_language::diagnostic::Finding;
+use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::time::Span;
 use grebepath_runtime::dialect::Dialect;
 use grebepath_runtime::settings as p;
@@ -17,9 +17,9 @@
     pub zone: String,
     /// Where callers reach it.
     pub listen: SocketAddr,
-    /// Where it listens for its cohort.
+    /// Where it listens for its membership.
     pub inner: SocketAddr,
-    /// Where its cohort reaches it, if that is another address.
+    /// Where its membership reaches it, if that is another address.
     pub advertise: Option<SocketAddr>,
     /// The fleet it belongs to; a number that all its processes share.
     pub fleet: u64,
@@ -167,7 +167,7 @@
 }
 
 /// Reads and checks once more under a running process.
-pub fn again() -> Result<Params, Vec<Finding>> {
+pub fn again() -> Result<Params, Vec<Diagnostic>> {
     let Ok(f) = flags().run_inner(bpaf::Args::current_args()) else { return Err(Vec::new()) };
     match checked(f) {
         (out, all) if all.is_empty() => Ok(out),
@@ -175,7 +175,7 @@
     }
 }
 
-fn checked(f: Flags) -> (Params, Vec<Finding>) {
+fn checked(f: Flags) -> (Params, Vec<Diagnostic>) {
     let file = f.file.clone();
     let pairs = vec![
         ("name", f.name),
--- a/crates/server/src/querier/traffic.rs
+++ b/crates/server/src/querier/traffic.rs
@@ -7,8 +7,8 @@
 
 use grebepath_core::config::types::Terms;
 use grebepath_core::query::dispatch::{next, step};
-use grebepath_core::query::engine::{Command, Counts, Desk, Event, counts, desk};
-use grebepath_core::query::forwarded_request::Parcel;
+use grebepath_core::query::engine::{Command, Counts, Event, QueryEngine, counts, desk};
+use grebepath_core::query::forwarded_request::ForwardedRequest;
 use grebepath_core::query::request::{Ask, Outcome};
 use grebepath_core::query::service_retry_budget::{Rate, quota};
 use grebepath_core::time::ms;
@@ -44,7 +44,7 @@
     /// An answer to a question of our own.
     Own(Ask),
     /// A call that is handed over.
-    Handed(Arc<Parcel>),
+    Handed(Arc<ForwardedRequest>),
 }
 
 /// What a traffic thread begins with.
@@ -60,7 +60,7 @@
     pub stop: tokio::sync::watch::Receiver<bool>,
     pub dialect: Option<&'static Dialect>,
     pub rate: Rate,
-    /// This thread's stable number in the cohort.
+    /// This thread's stable number in the membership.
     pub slot: u64,
 }
 
@@ -96,8 +96,8 @@
             let until = async move {
                 let _ = stop.wait_for(|s| *s).await;
             };
-            let wires = grebepath_core::consts::DOOR_WIRES;
-            grebepath_runtime::http::serve(listener, wires, router, until).await
+            let connections = grebepath_core::consts::DOOR_WIRES;
+            grebepath_runtime::http::serve(listener, connections, router, until).await
         };
         let mut desk = desk(&s.name, &s.zone, s.seed, now(&s.clock));
         desk.quota = quota(s.rate);
@@ -122,7 +122,7 @@
                 }
             }
             _ = own => {}
-            // The door's own wish to finish kept-alive wires may take long.
+            // The door's own wish to finish kept-alive connections may take long.
             _ = async {
                 let _ = stop.wait_for(|s| *s).await;
                 // Answers that are written already still have to leave.
@@ -134,7 +134,12 @@
 }
 
 /// The owner's loop: one event at a time, then the commands.
-async fn own(desk: Rc<RefCell<Desk>>, mut io: Io, clock: Clock, mut rx: UnboundedReceiver<Work>) {
+async fn own(
+    desk: Rc<RefCell<QueryEngine>>,
+    mut io: Io,
+    clock: Clock,
+    mut rx: UnboundedReceiver<Work>,
+) {
     let mut draining = false;
     loop {
         let due = next(&desk.borrow());
@@ -179,7 +184,7 @@
                 Event::Gone { call } => {
                     io.tells.remove(call);
                 }
-                Event::View(view) => limit(&io.door, &view.built.terms),
+                Event::ClusterView(view) => limit(&io.door, &view.built.terms),
                 _ => {}
             }
             let todo = step(&mut desk.borrow_mut(), now(&clock), event);
--- a/crates/server/src/testbed/callers.rs
+++ b/crates/server/src/testbed/callers.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use grebepath_core::random::{Luck, below, luck};
+use grebepath_core::random::{Random, below, luck};
 use grebepath_runtime::http::{Http, HttpTrouble, call_within};
 use http_body_util::Full;
 use hyper::Request;
@@ -115,7 +115,7 @@
     std::cell::RefMut::map(seen.borrow_mut(), |s| s.kinds.entry(kind.search.clone()).or_default())
 }
 
-fn pick(luck: &mut Luck, targets: &Targets) -> Option<SocketAddr> {
+fn pick(luck: &mut Random, targets: &Targets) -> Option<SocketAddr> {
     let list = targets.borrow();
     let n = below(luck, list.len() as u64) as usize;
     list.get(n).copied()
@@ -178,8 +178,8 @@
     let (bad, services) = success(&kind, &asked, missing, resp.body());
     let val: Value = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
     let query = val["query"].as_str().unwrap_or_default().to_string();
-    let rev = val["revision"].as_u64().unwrap_or(0);
-    s.revisions.insert(addr, rev);
+    let revision = val["revision"].as_u64().unwrap_or(0);
+    s.revisions.insert(addr, revision);
     s.claims.push((query.clone(), services, asked.question));
     for text in bad {
         s.bad_count += 1;
--- a/crates/server/src/testbed/control_listener.rs
+++ b/crates/server/src/testbed/control_listener.rs
@@ -19,7 +19,7 @@
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
 
-use crate::mock_backends::{Backs, Leaf, Mode, begin, changed, kill, shown};
+use crate::mock_backends::{Backs, Leaf, Mode, begin, changed, committed, kill};
 
 type Shared = Rc<RefCell<Backs>>;
 
@@ -65,7 +65,7 @@
             tokio::time::sleep(Duration::from_secs(3600)).await;
             (500, String::new())
         }
-        _ => (200, shown(&mut backs.borrow_mut()).to_string()),
+        _ => (200, committed(&mut backs.borrow_mut()).to_string()),
     }
 }
 
--- a/crates/server/src/testbed/foreign.rs
+++ b/crates/server/src/testbed/foreign.rs
@@ -14,9 +14,9 @@
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Mode {
     Good,
-    /// Half of an answer, then the end of the wire.
+    /// Half of an answer, then the end of the connection.
     Cut,
-    /// Before each answer but a wire's first, the one before it again.
+    /// Before each answer but a connection's first, the one before it again.
     Surplus,
     /// Answers with the id of another call.
     OtherId,
@@ -183,7 +183,7 @@
     format!("{id}.{leaf}")
 }
 
-/// One request off a wire: first line, heads, body. Nothing at its end.
+/// One request off a connection: first line, heads, body. Nothing at its end.
 async fn request(
     stream: &mut TcpStream,
     raw: &mut Vec<u8>,
--- a/crates/server/src/testbed/mock_backends.rs
+++ b/crates/server/src/testbed/mock_backends.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use grebepath_core::digest::digest;
 use grebepath_core::http_api::leaf as edge;
-use grebepath_core::random::{Luck, below, luck};
+use grebepath_core::random::{Random, below, luck};
 use http_body_util::BodyExt;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -96,12 +96,12 @@
 pub struct Backs {
     pub leafs: BTreeMap<String, Rc<RefCell<Leaf>>>,
     pub runs: Rc<RefCell<Vec<Run>>>,
-    /// States of the list with the time from which each is shown.
-    pub shown: Vec<(Instant, Value)>,
+    /// States of the list with the time from which each is committed.
+    pub committed: Vec<(Instant, Value)>,
     pub lag: Duration,
     /// Overrides the list's answer: `empty`, `garbage` or `dead`.
     pub list_mode: Option<String>,
-    pub luck: Rc<RefCell<Luck>>,
+    pub luck: Rc<RefCell<Random>>,
     pub zero: Instant,
     pub next: u64,
 }
@@ -114,7 +114,7 @@
     let backs = Rc::new(RefCell::new(Backs {
         leafs: BTreeMap::new(),
         runs: Rc::default(),
-        shown: Vec::new(),
+        committed: Vec::new(),
         lag: Duration::from_millis(spec.list_lag_ms),
         list_mode: None,
         luck: Rc::new(RefCell::new(luck(seed))),
@@ -131,7 +131,7 @@
     }
     let now = Instant::now();
     let list = list_now(&backs.borrow());
-    backs.borrow_mut().shown.push((now, list));
+    backs.borrow_mut().committed.push((now, list));
     Ok(backs)
 }
 
@@ -219,26 +219,26 @@
 pub fn changed(b: &mut Backs) {
     let at = Instant::now() + b.lag;
     let list = list_now(b);
-    b.shown.push((at, list));
+    b.committed.push((at, list));
 }
 
 /// The list as the platform shows it now.
-pub fn shown(b: &mut Backs) -> Value {
+pub fn committed(b: &mut Backs) -> Value {
     let now = Instant::now();
-    while b.shown.len() > 1 && b.shown[1].0 <= now {
-        b.shown.remove(0);
+    while b.committed.len() > 1 && b.committed[1].0 <= now {
+        b.committed.remove(0);
     }
-    b.shown.first().map_or(json!({ "leafs": [] }), |s| s.1.clone())
+    b.committed.first().map_or(json!({ "leafs": [] }), |s| s.1.clone())
 }
 
 async fn serve(
     listener: TcpListener,
     leaf: Rc<RefCell<Leaf>>,
     runs: Rc<RefCell<Vec<Run>>>,
-    luck: Rc<RefCell<Luck>>,
+    luck: Rc<RefCell<Random>>,
     zero: Instant,
 ) {
-    let mut wires = JoinSet::new();
+    let mut connections = JoinSet::new();
     loop {
         tokio::select! {
             got = listener.accept() => {
@@ -248,13 +248,13 @@
                 let service = service_fn(move |req| {
                     handle(leaf.clone(), runs.clone(), luck.clone(), zero, req)
                 });
-                wires.spawn_local(async move {
+                connections.spawn_local(async move {
                     let _ = http1::Builder::new()
                         .serve_connection(TokioIo::new(stream), service)
                         .await;
                 });
             }
-            Some(_) = wires.join_next() => {}
+            Some(_) = connections.join_next() => {}
         }
     }
 }
@@ -306,7 +306,7 @@
 async fn handle(
     leaf: Rc<RefCell<Leaf>>,
     runs: Rc<RefCell<Vec<Run>>>,
-    luck: Rc<RefCell<Luck>>,
+    luck: Rc<RefCell<Random>>,
     zero: Instant,
     req: Request<hyper::body::Incoming>,
 ) -> Result<Reply, Infallible> {
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -46,11 +46,15 @@
 }
 
 /// Waits until every running querier obeys a revision.
-async fn all_obey(f: &Fleet, rev: u64) {
+async fn all_obey(f: &Fleet, revision: u64) {
     for i in 0..f.queriers.len() {
         if f.queriers[i].child.is_some() {
-            let obeys = || async { local_cluster::obeyed(f, i).await.is_some_and(|r| r >= rev) };
-            assert!(local_cluster::until(LONG, obeys).await, "querier {i} does not obey {rev}");
+            let obeys =
+                || async { local_cluster::obeyed(f, i).await.is_some_and(|r| r >= revision) };
+            assert!(
+                local_cluster::until(LONG, obeys).await,
+                "querier {i} does not obey {revision}"
+            );
         }
     }
 }
@@ -126,7 +130,7 @@
     }
 }
 
-/// Leafs that answer falsely on the wire never spoil an answer, and each kind
+/// Leafs that answer falsely on the connection never spoil an answer, and each kind
 /// of it is counted.
 async fn false_leafs(f: &Fleet, spec: &Spec) {
     let kind = &spec.kinds[0];
@@ -174,9 +178,9 @@
     expect_that!(code, eq(0));
     let val: Value = serde_json::from_str(&out).unwrap();
     expect_that!(val["config"]["zones"][1]["state"].as_str(), some(eq("drained")));
-    let rev = val["revision"].as_u64().unwrap();
+    let revision = val["revision"].as_u64().unwrap();
     // A revision that has moved on, and a request that is sent twice.
-    let (code, _) = ctl(f, &["--expect-revision", &(rev - 1).to_string(), "undrain", "b"]);
+    let (code, _) = ctl(f, &["--expect-revision", &(revision - 1).to_string(), "undrain", "b"]);
     expect_that!(code, eq(4));
     let (code, one) = ctl(f, &["--output", "json", "--request-id", "same", "undrain", "b"]);
     expect_that!(code, eq(0));
@@ -289,8 +293,8 @@
                                     "count": 9, "by": "mohalla-history-w48-0" });
                 local_cluster::order(f, reuse).await.unwrap();
                 let val = json!({ "zones": [{ "name": format!("mark-{n}"), "state": "open" }] });
-                let rev = local_cluster::patch(f, &val, &format!("mark-{n}")).await.unwrap();
-                all_obey(f, rev).await;
+                let revision = local_cluster::patch(f, &val, &format!("mark-{n}")).await.unwrap();
+                all_obey(f, revision).await;
                 // The second comes back as an empty machine.
                 if n == 1 {
                     std::fs::remove_dir_all(f.layout.dir.join(format!("seat-{seat}"))).unwrap();
@@ -300,7 +304,7 @@
                     local_cluster::status(f, seat).await.is_ok_and(|s| {
                         s["here"]["parts"].as_array().is_some_and(|p| {
                             p.iter().all(|p| p["role"] == "follower" || p["role"] == "owner")
-                        }) && s["here"]["parts"][0]["shown"].as_u64() >= Some(rev)
+                        }) && s["here"]["parts"][0]["shown"].as_u64() >= Some(revision)
                     })
                 };
                 assert!(local_cluster::until(LONG, back).await, "seat {seat} is not whole again");
@@ -341,7 +345,7 @@
         let mut f = local_cluster::up(layout).await.unwrap();
         all_ready(&f).await;
         let val = json!({ "zones": [{ "name": "kept", "state": "open" }] });
-        let rev = local_cluster::patch(&f, &val, "kept").await.unwrap();
+        let revision = local_cluster::patch(&f, &val, "kept").await.unwrap();
         for p in f.seats.iter_mut().chain(&mut f.queriers) {
             local_cluster::kill(p);
         }
@@ -351,7 +355,7 @@
         }
         all_ready(&f).await;
         expect_that!(begun.elapsed(), lt(Duration::from_secs(12)));
-        all_obey(&f, rev).await;
+        all_obey(&f, revision).await;
         // A wish to stop: not ready at once, then a clean end.
         local_cluster::signal(&f.queriers[1], "TERM").unwrap();
         let gone = || async { !local_cluster::ready(&f, 1).await };
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -626,10 +626,10 @@
     });
 }
 
-/// Writes bytes on a new wire and reads all that comes until its end.
+/// Writes bytes on a new connection and reads all that comes until its end.
 async fn raw(s: &Site, bytes: &[u8]) -> String {
-    let mut wire = tokio::net::TcpStream::connect(s.fronts[0]).await.unwrap();
-    let (mut from, mut to) = wire.split();
+    let mut connection = tokio::net::TcpStream::connect(s.fronts[0]).await.unwrap();
+    let (mut from, mut to) = connection.split();
     let mut got = Vec::new();
     // It may be refused before all of it is written.
     let write = async {
@@ -643,7 +643,7 @@
     String::from_utf8_lossy(&got).to_string()
 }
 
-/// The statuses of the answers in what came on a wire.
+/// The statuses of the answers in what came on a connection.
 fn statuses(text: &str) -> Vec<u16> {
     text.split("HTTP/1.1 ").skip(1).filter_map(|t| t.get(..3)?.parse().ok()).collect()
 }
@@ -687,7 +687,7 @@
         let long = format!("X-Long: {}\r\n", "y".repeat(64 * 1024));
         let got = raw(&s, head("long", &format!("{last}{long}")).as_bytes()).await;
         expect_that!(statuses(&got), not(contains(eq(&200))));
-        // Two calls at once on one wire, each with its own answer, in order.
+        // Two calls at once on one connection, each with its own answer, in order.
         let two = head("one", "Content-Length: 2\r\n") + "ab" + &head("two", last);
         let got = raw(&s, two.as_bytes()).await;
         expect_that!(statuses(&got), elements_are![eq(&200), eq(&200)]);
--- a/crates/server/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -21,13 +21,13 @@
 const LONG: Duration = Duration::from_secs(30);
 
 /// Three controllers without queriers. Dropping it kills its processes.
-struct Core {
+struct ControllerState {
     procs: Vec<Proc>,
     doors: Vec<SocketAddr>,
     http: Http,
 }
 
-impl Drop for Core {
+impl Drop for ControllerState {
     fn drop(&mut self) {
         self.procs.iter_mut().for_each(local_cluster::kill);
     }
@@ -39,7 +39,7 @@
     tokio::task::LocalSet::new().block_on(&rt, body)
 }
 
-async fn core(test: &str) -> Core {
+async fn core(test: &str) -> ControllerState {
     let mut trouble = String::new();
     // Another process may take a port between our look and our start.
     for _ in 0..4 {
@@ -54,7 +54,7 @@
     panic!("{trouble}");
 }
 
-fn started(test: &str) -> std::result::Result<Core, String> {
+fn started(test: &str) -> std::result::Result<ControllerState, String> {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).unwrap();
@@ -79,13 +79,13 @@
         })
         .collect();
     let doors = (0..3).map(at).collect();
-    let mut core = Core { procs, doors, http: grebepath_runtime::http::client(8) };
+    let mut core = ControllerState { procs, doors, http: grebepath_runtime::http::client(8) };
     core.procs.iter_mut().try_for_each(local_cluster::start)?;
     Ok(core)
 }
 
 /// The controller that leads the configuration.
-async fn leader(core: &Core) -> Option<usize> {
+async fn leader(core: &ControllerState) -> Option<usize> {
     for n in 0..3 {
         let url = format!("http://{}/v1/status", core.doors[n]);
         let got = local_cluster::request(&core.http, Method::GET, url, Vec::new(), &[]).await;
@@ -97,7 +97,7 @@
 }
 
 /// Sends an order once; zero without an answer.
-async fn send(core: &Core, door: usize, order: &Order) -> u16 {
+async fn send(core: &ControllerState, door: usize, order: &Order) -> u16 {
     let url = format!("http://{}{CONFIG_PATH}", core.doors[door % 3]);
     let base = order.base.to_string();
     let body = order.text.clone().into_bytes();
@@ -107,7 +107,7 @@
 }
 
 /// Sends an order to one door after the other until it has a clear answer.
-async fn clear(core: &Core, door: usize, order: &Order) -> u16 {
+async fn clear(core: &ControllerState, door: usize, order: &Order) -> u16 {
     let (mut next, mut code) = (door, 0);
     let end = std::time::Instant::now() + LONG;
     while !(200..500).contains(&code) {
@@ -126,7 +126,7 @@
 }
 
 /// Both operators send at once through two doors; one of them wins.
-async fn race(core: &Core, number: usize, pair: [Order; 2]) -> Round {
+async fn race(core: &ControllerState, number: usize, pair: [Order; 2]) -> Round {
     let [a, b] = &pair;
     let (first, second) = tokio::join!(clear(core, number, a), clear(core, number + 1, b));
     expect_that!(vec![first, second], unordered_elements_are![eq(&200), eq(&412)]);
@@ -137,7 +137,7 @@
 
 /// One operator sends, the leader is killed, and the same is sent again through
 /// another door beside a rival.
-async fn kill_and_race(core: &mut Core, number: usize, pair: [Order; 2]) -> Round {
+async fn kill_and_race(core: &mut ControllerState, number: usize, pair: [Order; 2]) -> Round {
     let leads = leader(core).await.unwrap_or(0);
     let [a, b] = pair;
     let wait = Duration::from_millis(number as u64 * 3 % 17);
@@ -153,7 +153,7 @@
 }
 
 /// Every order of the past gets the answer that it got, through any door.
-async fn all_again(core: &Core, rounds: &[Round], when: &str) {
+async fn all_again(core: &ControllerState, rounds: &[Round], when: &str) {
     for (number, round) in rounds.iter().enumerate() {
         let code = clear(core, number, &round.taken).await;
         expect_that!(code, eq(200), "{when}: the order taken in round {number}");
@@ -165,7 +165,7 @@
 }
 
 /// The route's name and the edition as they are read back.
-async fn read(core: &Core) -> (Value, String) {
+async fn read(core: &ControllerState) -> (Value, String) {
     let url = format!("http://{}{CONFIG_PATH}", core.doors[0]);
     let mut got = Value::Null;
     for _ in 0..50 {
--- a/crates/server/tests/seats.rs
+++ b/crates/server/tests/seats.rs
@@ -55,10 +55,10 @@
     local_cluster::request(http, Method::PATCH, url, body, &heads).await.unwrap_or((0, Value::Null))
 }
 
-async fn obeyed(f: &Fleet, rev: u64) {
+async fn obeyed(f: &Fleet, revision: u64) {
     for i in 0..f.queriers.len() {
-        let ask = || async { local_cluster::obeyed(f, i).await.is_some_and(|r| r >= rev) };
-        assert!(local_cluster::until(LONG, ask).await, "querier {i} does not obey {rev}");
+        let ask = || async { local_cluster::obeyed(f, i).await.is_some_and(|r| r >= revision) };
+        assert!(local_cluster::until(LONG, ask).await, "querier {i} does not obey {revision}");
     }
 }
 
@@ -111,19 +111,19 @@
 }
 
 /// Controllers that find their seats; killed when dropped.
-struct Core {
+struct ControllerState {
     procs: Vec<Proc>,
     doors: Vec<SocketAddr>,
     dir: PathBuf,
 }
 
-impl Drop for Core {
+impl Drop for ControllerState {
     fn drop(&mut self) {
         self.procs.iter_mut().for_each(local_cluster::kill);
     }
 }
 
-fn core(test: &str, seats: usize, count: usize) -> Core {
+fn core(test: &str, seats: usize, count: usize) -> ControllerState {
     let mut trouble = String::new();
     // Another process may take a port between our look and our start.
     for _ in 0..4 {
@@ -135,7 +135,7 @@
     panic!("{trouble}");
 }
 
-fn started(test: &str, seats: usize, count: usize) -> std::result::Result<Core, String> {
+fn started(test: &str, seats: usize, count: usize) -> std::result::Result<ControllerState, String> {
     let lay = layout(test);
     let _ = std::fs::remove_dir_all(&lay.dir);
     std::fs::create_dir_all(&lay.dir).unwrap();
@@ -159,13 +159,13 @@
             local_cluster::controller(&lay, &format!("controller-{i}"), &args)
         })
         .collect();
-    let mut core = Core { procs, doors: doors.to_vec(), dir: lay.dir };
+    let mut core = ControllerState { procs, doors: doors.to_vec(), dir: lay.dir };
     core.procs.iter_mut().try_for_each(local_cluster::start)?;
     Ok(core)
 }
 
 /// Waits until so many seats are held and formed.
-async fn held(c: &Core, http: &grebepath_runtime::http::Http, want: usize) -> bool {
+async fn held(c: &ControllerState, http: &grebepath_runtime::http::Http, want: usize) -> bool {
     let ask = || async {
         let mut got = Vec::new();
         for (i, door) in c.doors.iter().enumerate() {
@@ -183,7 +183,7 @@
 }
 
 /// What a settings file says after the first start.
-fn no_longer_first(c: &Core, i: usize, seeds: Option<Value>) {
+fn no_longer_first(c: &ControllerState, i: usize, seeds: Option<Value>) {
     let file = c.dir.join(format!("params-{i}.json"));
     let mut val: Value = serde_json::from_slice(&std::fs::read(&file).unwrap()).unwrap();
     val["first"] = json!(false);
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -1,4 +1,4 @@
-//! Troubles of real processes: a stranger's wire, a frozen process, a cut net,
+//! Troubles of real processes: a stranger's connection, a frozen process, a cut net,
 //! a full disk.
 
 use std::cell::RefCell;
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::frame;
-use grebepath_core::protocol::message::{Msg, Place, Who};
+use grebepath_core::protocol::message::{FeedPosition, Message, PeerIdentity};
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_runtime::peer_connection::{WireEvent, accept, dial, send};
 use hyper::Method;
@@ -35,12 +35,12 @@
     tokio::task::LocalSet::new().block_on(&rt, body)
 }
 
-fn seat(n: u8) -> Who {
-    Who::Seat { seat: n, holder: 7 }
+fn seat(n: u8) -> PeerIdentity {
+    PeerIdentity::Voter { slot: n, holder: 7 }
 }
 
-fn follow(rev: u64) -> Msg {
-    Msg::Follow { places: vec![Place { part: CONFIG, rev }], stamp: 0 }
+fn follow(revision: u64) -> Message {
+    Message::Follow { places: vec![FeedPosition { partition: CONFIG, revision }], stamp: 0 }
 }
 
 #[googletest::test]
@@ -57,23 +57,23 @@
         expect_that!(text, contains_substring("another fleet"));
         drop(stranger);
         let ours = dial(addr, (seat(2), 7), 2u8, dial_tx.clone());
-        let mut wires = Vec::new();
+        let mut connections = Vec::new();
         // The stranger may have dialled again before it was dropped.
-        while wires.len() < 2 {
+        while connections.len() < 2 {
             match rx.recv().await.unwrap() {
-                WireEvent::Opened { wire, who, .. } => {
+                WireEvent::Opened { connection, who, .. } => {
                     expect_that!(who, eq(&seat(2)));
-                    wires.push(wire);
-                    send(&ours, &follow(wires.len() as u64));
+                    connections.push(connection);
+                    send(&ours, &follow(connections.len() as u64));
                 }
-                WireEvent::Came { who, msg, wire } => {
-                    expect_that!((who, wire), eq(&(seat(2), wires[0])));
-                    expect_that!(msg, eq(&follow(1)));
-                    // Garbage on a wire of its own ends that wire alone.
+                WireEvent::Came { who, message, connection } => {
+                    expect_that!((who, connection), eq(&(seat(2), connections[0])));
+                    expect_that!(message, eq(&follow(1)));
+                    // Garbage on a connection of its own ends that connection alone.
                     let mut raw = tokio::net::TcpStream::connect(addr).await.unwrap();
                     let bytes = frame::pieces(&frame::write(&follow(3)));
                     tokio::io::AsyncWriteExt::write_all(&mut raw, &bytes[0][3..]).await.unwrap();
-                    wires.push(0);
+                    connections.push(0);
                 }
                 _ => {}
             }
@@ -89,7 +89,7 @@
     work: Vec<String>,
 }
 
-/// A leaf at an address that ends each wire at a chance moment: before it reads
+/// A leaf at an address that ends each connection at a chance moment: before it reads
 /// work, after it has read it, or after it has answered.
 async fn flaky(listener: tokio::net::TcpListener, name: &str, heard: &RefCell<Heard>) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -187,7 +187,7 @@
             expect_that!(h.greetings, all!(gt(20), lt(180)));
             expect_that!(answered, gt(100));
         }
-        // A stranger takes the address over; the old wires end with the leaf.
+        // A stranger takes the address over; the old connections end with the leaf.
         leaf.abort();
         let _ = leaf.await;
         // Other tests of this process start children, which hold what we have
@@ -237,7 +237,7 @@
         local_cluster::signal(&f.queriers[1], "STOP").unwrap();
         // Accepted without the frozen one: the two others are most.
         let val = json!({ "zones": [{ "name": "later", "state": "open" }] });
-        let rev = local_cluster::patch(&f, &val, "later").await.unwrap();
+        let revision = local_cluster::patch(&f, &val, "later").await.unwrap();
         // The core lets the frozen one go; then its old view is out of date.
         let gone = || async {
             local_cluster::status(&f, 0)
@@ -254,7 +254,7 @@
         let (answers, ()) = tokio::join!(at_once(calls), woken);
         for (code, val) in answers.into_iter().flatten() {
             if code == 200 {
-                expect_that!(val["revision"].as_u64(), ge(Some(rev)));
+                expect_that!(val["revision"].as_u64(), ge(Some(revision)));
             } else {
                 expect_that!(val["error"].as_str(), some(eq("cut-off")));
             }
@@ -262,9 +262,9 @@
         assert!(local_cluster::until(LONG, || local_cluster::ready(&f, 1)).await);
         // It serves again, by the new one.
         let serves = || async {
-            ask(&f, 1)
-                .await
-                .is_some_and(|(code, val)| code == 200 && val["revision"].as_u64() >= Some(rev))
+            ask(&f, 1).await.is_some_and(|(code, val)| {
+                code == 200 && val["revision"].as_u64() >= Some(revision)
+            })
         };
         assert!(local_cluster::until(LONG, serves).await);
     });
@@ -320,8 +320,8 @@
             relay.cut(true);
         }
         let val = json!({ "zones": [{ "name": "early", "state": "open" }] });
-        let rev = local_cluster::patch(&f, &val, "early").await.unwrap();
-        let obeys = || async { local_cluster::obeyed(&f, 2).await.is_some_and(|r| r >= rev) };
+        let revision = local_cluster::patch(&f, &val, "early").await.unwrap();
+        let obeys = || async { local_cluster::obeyed(&f, 2).await.is_some_and(|r| r >= revision) };
         assert!(local_cluster::until(LONG, obeys).await, "no news came by the cohort");
         expect_that!(ask(&f, 2).await.unwrap().0, eq(200));
         // Now nobody reaches it.
@@ -335,13 +335,13 @@
         assert!(local_cluster::until(LONG, bounced).await);
         expect_that!(begun.elapsed(), lt(Duration::from_secs(6)));
         let val = json!({ "zones": [{ "name": "later", "state": "open" }] });
-        let rev = local_cluster::patch(&f, &val, "later").await.unwrap();
+        let revision = local_cluster::patch(&f, &val, "later").await.unwrap();
         expect_that!(ask(&f, 0).await.unwrap().0, eq(200));
         for relay in &relays {
             relay.cut(false);
         }
         assert!(local_cluster::until(LONG, || local_cluster::ready(&f, 2)).await);
-        expect_that!(ask(&f, 2).await.unwrap().1["revision"].as_u64(), ge(Some(rev)));
+        expect_that!(ask(&f, 2).await.unwrap().1["revision"].as_u64(), ge(Some(revision)));
     });
 }
 
@@ -363,15 +363,16 @@
         assert!(local_cluster::until(LONG, whole).await);
         let val = json!({ "pools": [{ "name": "wide", "service": "wide",
                                       "labels": { "note": "x".repeat(100_000) } }] });
-        let rev = local_cluster::patch(&f, &val, "wide").await.unwrap();
+        let revision = local_cluster::patch(&f, &val, "wide").await.unwrap();
         let sick = || async { role(&f).await.is_some_and(|p| p["role"] == "sick") };
         assert!(local_cluster::until(LONG, sick).await, "{:?}", role(&f).await);
         expect_that!(role(&f).await.unwrap()["sick"].as_str(), some(contains_substring("large")));
         // The two others go on accepting, and all queriers obey.
         let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
-        let rev = rev.max(local_cluster::patch(&f, &val, "after").await.unwrap());
+        let revision = revision.max(local_cluster::patch(&f, &val, "after").await.unwrap());
         for i in 0..3 {
-            let obeys = || async { local_cluster::obeyed(&f, i).await.is_some_and(|r| r >= rev) };
+            let obeys =
+                || async { local_cluster::obeyed(&f, i).await.is_some_and(|r| r >= revision) };
             assert!(local_cluster::until(LONG, obeys).await);
         }
         // With room again it comes back whole.
@@ -381,7 +382,7 @@
         let back = || async {
             role(&f)
                 .await
-                .is_some_and(|p| p["role"] == "follower" && p["shown"].as_u64() >= Some(rev))
+                .is_some_and(|p| p["role"] == "follower" && p["shown"].as_u64() >= Some(revision))
         };
         assert!(local_cluster::until(LONG, back).await, "{:?}", role(&f).await);
     });
@@ -437,10 +438,14 @@
         // The new seat counts: with another one down a change is accepted.
         local_cluster::kill(&mut f.seats[0]);
         let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
-        let rev = local_cluster::patch(&f, &val, "after").await.unwrap();
+        let revision = local_cluster::patch(&f, &val, "after").await.unwrap();
         for i in 0..f.queriers.len() {
-            let obeys = || async { local_cluster::obeyed(&f, i).await.is_some_and(|r| r >= rev) };
-            assert!(local_cluster::until(LONG, obeys).await, "querier {i} does not obey {rev}");
+            let obeys =
+                || async { local_cluster::obeyed(&f, i).await.is_some_and(|r| r >= revision) };
+            assert!(
+                local_cluster::until(LONG, obeys).await,
+                "querier {i} does not obey {revision}"
+            );
         }
         let url = format!("http://{}/v1/config", f.doors[2]);
         let got =
@@ -547,7 +552,7 @@
         let (mut accepted, mut moved) = (Vec::new(), 0);
         for round in 0..4 {
             let old = read().await;
-            let rev = old["revision"].as_u64().unwrap().to_string();
+            let revision = old["revision"].as_u64().unwrap().to_string();
             let send = async |i: usize| {
                 let name = format!("mark-{round}-{i}");
                 let url = format!("http://{}/v1/config", f.doors[i % 3]);
@@ -555,7 +560,7 @@
                 let (how, body) = if i.is_multiple_of(2) {
                     let mut conf = old["config"].clone();
                     conf["zones"].as_array_mut().unwrap().push(mark(&name));
-                    heads.push(("expect-revision", rev.as_str()));
+                    heads.push(("expect-revision", revision.as_str()));
                     (Method::PUT, conf)
                 } else {
                     (Method::PATCH, json!({ "zones": [mark(&name)] }))
@@ -565,9 +570,9 @@
                     local_cluster::request(&f.http, how, url, body, &heads).await.unwrap();
                 (name, code, val["revision"].as_u64())
             };
-            for (name, code, rev) in at_once((0..6).map(send).collect()).await {
+            for (name, code, revision) in at_once((0..6).map(send).collect()).await {
                 match code {
-                    200 => accepted.push((name, rev.unwrap())),
+                    200 => accepted.push((name, revision.unwrap())),
                     // Somebody else was first: nothing was applied.
                     412 => moved += 1,
                     code => panic!("{name}: {code}"),
--- a/crates/simulator/src/chaos.rs
+++ b/crates/simulator/src/chaos.rs
@@ -1,7 +1,7 @@
 //! Troubles drawn by seed: alone, together, at any time, and one last fault;
 //! then all is mended and the fleet must be whole again.
 
-use grebepath_core::random::{Luck, below, chance, luck};
+use grebepath_core::random::{Random, below, chance, luck};
 use serde_json::{Value, json};
 
 use crate::mock_backends::ZONES;
@@ -28,12 +28,12 @@
 /// What a draw may choose from.
 struct Scene<'a> {
     s: &'a Scenario,
-    luck: Luck,
+    luck: Random,
     from: f64,
     span: f64,
 }
 
-fn pick<'a, T>(luck: &mut Luck, list: &'a [T]) -> &'a T {
+fn pick<'a, T>(luck: &mut Random, list: &'a [T]) -> &'a T {
     &list[below(luck, list.len() as u64) as usize]
 }
 
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -10,7 +10,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use grebepath_core::protocol::message::Done;
+use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::random::{below, luck};
 use grebepath_core::time::SECOND;
 
@@ -141,7 +141,8 @@
         return wrong;
     }
     let last = world::order(w, 0, world::marked(w.orders.len()));
-    let accepted = |w: &World| matches!(w.orders[last].done, Some(Done::Accepted { .. }));
+    let accepted =
+        |w: &World| matches!(w.orders[last].done, Some(OperationResult::Accepted { .. }));
     if !world::until(w, 5 * SECOND, accepted) {
         wrong.push(format!("the last order came to {:?}", w.orders[last].done));
     }
@@ -154,7 +155,9 @@
 /// Whether all voters hold the same configuration.
 fn one_state(w: &World) -> bool {
     let mut copies =
-        w.seats.iter().filter(|n| n.up && world::seated(n)).map(|n| &n.core.parts[0].copy);
+        w.seats.iter().filter(|n| n.up && world::seated(n)).map(|n| &n.core.partitions[0].copy);
     let Some(first) = copies.next() else { return false };
-    copies.all(|copy| (copy.epoch, copy.rev) == (first.epoch, first.rev) && copy.map == first.map)
+    copies.all(|copy| {
+        (copy.term, copy.revision) == (first.term, first.revision) && copy.map == first.map
+    })
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -3,7 +3,7 @@
 mod exploration;
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
-use grebepath_core::routing_language::diagnostic::{Finding, lines};
+use grebepath_core::routing_language::diagnostic::{Diagnostic, lines};
 use grebepath_simulator::scenario::{Scenario, play_weighed, read};
 use grebepath_simulator::{report, world::World};
 use serde_json::{Value, json};
@@ -152,8 +152,8 @@
     }
 }
 
-fn load(file: &str, deploy: &str) -> Result<Scenario, Vec<Finding>> {
-    let whole = |text: String| vec![Finding { place: "$".into(), text }];
+fn load(file: &str, deploy: &str) -> Result<Scenario, Vec<Diagnostic>> {
+    let whole = |text: String| vec![Diagnostic { place: "$".into(), text }];
     let text = std::fs::read(file).map_err(|e| whole(e.to_string()))?;
     read(&text, &|name| {
         let path = format!("{deploy}/{name}");
