--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -5,7 +5,7 @@
 use grebepath_core::http_api::leaf as edge;
 use grebepath_core::http_api::leaf::{Heads, Raw};
 use grebepath_core::query::engine::Sending;
-use grebepath_core::random::{Luck, below};
+use grebepath_core::random::{Random, below};
 use grebepath_core::time::{MILLI, Span, Tick, ms, since};
 use serde_json::{Value, json};
 
@@ -39,7 +39,7 @@
 }
 
 /// A leaf.
-pub struct VLeaf {
+pub struct MockLeaf {
     pub name: String,
     pub service: Service,
     pub zone: String,
@@ -61,11 +61,11 @@
 }
 
 /// All leafs, and the list as the platform shows it.
-pub struct VBacks {
-    pub leafs: BTreeMap<String, VLeaf>,
+pub struct MockBackends {
+    pub leafs: BTreeMap<String, MockLeaf>,
     /// Which leaf listens at an address.
     pub at: BTreeMap<String, String>,
-    pub shown: Vec<(Tick, String)>,
+    pub committed: Vec<(Tick, String)>,
     pub list_mode: ListMode,
     /// Whether leafs tell their age.
     pub ages: bool,
@@ -91,11 +91,11 @@
 const WARM: Span = ms(3_600_000);
 
 /// The leafs of a spec, warm; the world begins at `now`.
-pub fn backs(spec: &Spec, now: Tick) -> VBacks {
-    let mut b = VBacks {
+pub fn backs(spec: &Spec, now: Tick) -> MockBackends {
+    let mut b = MockBackends {
         leafs: BTreeMap::new(),
         at: BTreeMap::new(),
-        shown: Vec::new(),
+        committed: Vec::new(),
         list_mode: ListMode::Good,
         ages: true,
         lag: ms(spec.list_lag_ms),
@@ -108,23 +108,29 @@
         }
     }
     let text = truth(&b);
-    b.shown.push((now, text));
+    b.committed.push((now, text));
     b
 }
 
 /// An address that no leaf has had.
-pub fn address(b: &VBacks) -> String {
+pub fn address(b: &MockBackends) -> String {
     format!("127.1.{}.{}:8000", b.next / 200, 1 + b.next % 200)
 }
 
 /// Starts a leaf at an address.
-pub fn begin(b: &mut VBacks, service: Service, zone: &str, addr: String, born: Tick) -> String {
+pub fn begin(
+    b: &mut MockBackends,
+    service: Service,
+    zone: &str,
+    addr: String,
+    born: Tick,
+) -> String {
     let name = format!("{}.{}", service.name, b.next);
     b.next += 1;
     b.at.insert(addr.clone(), name.clone());
     b.leafs.insert(
         name.clone(),
-        VLeaf {
+        MockLeaf {
             name: name.clone(),
             service,
             zone: zone.to_string(),
@@ -146,7 +152,7 @@
 }
 
 /// The list as it truly is.
-fn truth(b: &VBacks) -> String {
+fn truth(b: &MockBackends) -> String {
     let leafs: Vec<Value> = b
         .leafs
         .values()
@@ -161,18 +167,18 @@
 }
 
 /// Notes a change; the list shows it later.
-pub fn changed(b: &mut VBacks, now: Tick) {
+pub fn changed(b: &mut MockBackends, now: Tick) {
     let text = truth(b);
-    b.shown.push((now + b.lag, text));
+    b.committed.push((now + b.lag, text));
 }
 
 /// What the list answers now; `None` if it does not.
-pub fn list(b: &mut VBacks, now: Tick) -> Option<String> {
-    while b.list_mode != ListMode::Stale && b.shown.len() > 1 && b.shown[1].0 <= now {
-        b.shown.remove(0);
+pub fn list(b: &mut MockBackends, now: Tick) -> Option<String> {
+    while b.list_mode != ListMode::Stale && b.committed.len() > 1 && b.committed[1].0 <= now {
+        b.committed.remove(0);
     }
     match b.list_mode {
-        ListMode::Good | ListMode::Stale => b.shown.first().map(|s| s.1.clone()),
+        ListMode::Good | ListMode::Stale => b.committed.first().map(|s| s.1.clone()),
         ListMode::Empty => Some("{\"leafs\":[]}".into()),
         ListMode::Garbage => Some("{\"leafs\":[{\"leaf\":1},".into()),
         ListMode::Dead => None,
@@ -180,7 +186,7 @@
 }
 
 /// What a leaf bears at its age.
-pub fn bears(l: &VLeaf, now: Tick) -> u32 {
+pub fn bears(l: &MockLeaf, now: Tick) -> u32 {
     let (age, ramp) = (since(l.born, now), ms(l.service.ramp_ms));
     let full = (u64::from(l.service.bears) * u64::from(l.strength) / 100).max(1);
     if age >= ramp {
@@ -190,12 +196,12 @@
 }
 
 /// Whether the leaf is still warming up.
-pub fn fresh(l: &VLeaf, now: Tick) -> bool {
+pub fn fresh(l: &MockLeaf, now: Tick) -> bool {
     since(l.born, now) < ms(l.service.ramp_ms)
 }
 
 /// How long the leaf takes for a question that it begins now.
-pub fn takes(l: &VLeaf, now: Tick, luck: &mut Luck) -> Span {
+pub fn takes(l: &MockLeaf, now: Tick, luck: &mut Random) -> Span {
     let base = ms(l.service.took_ms);
     let bear = u64::from(bears(l, now));
     // Beyond what it bears a leaf thrashes: its time grows with the square.
@@ -222,7 +228,7 @@
 }
 
 /// Heads that every reply carries.
-pub fn heads(l: &VLeaf, now: Tick) -> Heads {
+pub fn heads(l: &MockLeaf, now: Tick) -> Heads {
     let busy = (f64::from(l.live) / f64::from(bears(l, now))).min(1.0);
     Heads {
         postmarks: Vec::new(),
@@ -234,12 +240,12 @@
 }
 
 /// A reply without a run.
-pub fn turned_away(l: &VLeaf, now: Tick, status: u16) -> Raw {
+pub fn turned_away(l: &MockLeaf, now: Tick, status: u16) -> Raw {
     Raw { status, heads: Heads { unrun: true, ..heads(l, now) }, body: Vec::new() }
 }
 
 /// The reply to a dispatch that was run.
-pub fn reply(l: &mut VLeaf, now: Tick, s: &Sending) -> Raw {
+pub fn reply(l: &mut MockLeaf, now: Tick, s: &Sending) -> Raw {
     let asked: Value = serde_json::from_slice(&s.body).unwrap_or(Value::Null);
     let question = asked["question"].as_str().unwrap_or_default();
     let limit = asked["limit"].as_u64().unwrap_or(0) as usize;
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -2,14 +2,14 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebepath_core::protocol::message::Msg;
-use grebepath_core::random::{Luck, below, chance};
+use grebepath_core::protocol::message::Message;
+use grebepath_core::random::{Random, below, chance};
 use grebepath_core::time::{Span, Tick};
 
 /// A machine on the net.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Node {
-    Seat(u8),
+    Controller(u8),
     Querier(usize),
     /// The platform's list.
     List,
@@ -18,7 +18,7 @@
 /// State of the net.
 ///
 /// Invariant: between two nodes, in one direction, messages arrive in the
-/// order in which they were sent, as on one wire.
+/// order in which they were sent, as on one connection.
 #[derive(Default)]
 pub struct Net {
     /// Directed pairs that nothing passes.
@@ -43,21 +43,21 @@
 }
 
 /// Weighs a message, if messages are weighed.
-pub fn weigh(net: &mut Net, way: &str, msg: &Msg) {
+pub fn weigh(net: &mut Net, way: &str, message: &Message) {
     if let Some(hash) = net.trace {
-        net.trace = Some(traced(hash, &grebepath_core::protocol::frame::write(msg)));
+        net.trace = Some(traced(hash, &grebepath_core::protocol::frame::write(message)));
     }
     if let Some(all) = &mut net.weights {
-        let text = format!("{msg:?}");
+        let text = format!("{message:?}");
         let kind = text.split([' ', '(', '{']).next().unwrap_or_default();
         let cell = all.entry(format!("{way} {kind}")).or_default();
         cell.0 += 1;
-        cell.1 += grebepath_core::protocol::frame::write(msg).len() as u64;
+        cell.1 += grebepath_core::protocol::frame::write(message).len() as u64;
     }
 }
 
 /// One way between two zones, in microseconds.
-pub fn latency(a: &str, b: &str, luck: &mut Luck) -> Span {
+pub fn latency(a: &str, b: &str, luck: &mut Random) -> Span {
     if a == b { 80 + below(luck, 80) } else { 500 + below(luck, 1_000) }
 }
 
@@ -67,7 +67,7 @@
     now: Tick,
     from: (Node, &str),
     to: (Node, &str),
-    luck: &mut Luck,
+    luck: &mut Random,
 ) -> Option<Tick> {
     net.sent += 1;
     let pair = (from.0, to.0);
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -31,10 +31,10 @@
     }
     let (over, most) = rules::retries(&w.rules);
     let worst = w.backs.leafs.values().max_by_key(|l| l.worst_pct);
-    let orders = |want: fn(&grebepath_core::protocol::message::Done) -> bool| {
+    let orders = |want: fn(&grebepath_core::protocol::message::OperationResult) -> bool| {
         w.orders.iter().filter(|o| o.done.as_ref().is_some_and(want)).count()
     };
-    use grebepath_core::protocol::message::Done;
+    use grebepath_core::protocol::message::OperationResult;
     json!({
         "violations": w.rules.counts,
         "first": w.rules.found.iter().take(10).map(|v| json!({
@@ -44,10 +44,10 @@
         "worst_10s": { "second_tries": most, "over_a_fifth": over },
         "worst_leaf": worst.map(|l| json!({ "leaf": l.name, "pct_of_bears": l.worst_pct })),
         "begun_beyond_bearing": w.backs.leafs.values().map(|l| l.over).sum::<u64>(),
-        "orders": { "accepted": orders(|d| matches!(d, Done::Accepted { .. })),
-                    "bounced": orders(|d| matches!(d, Done::Bounced { .. })),
-                    "unknown": orders(|d| matches!(d, Done::Unknown { .. })),
-                    "wrong": orders(|d| matches!(d, Done::Wrong(_))) },
+        "orders": { "accepted": orders(|d| matches!(d, OperationResult::Accepted { .. })),
+                    "bounced": orders(|d| matches!(d, OperationResult::Bounced { .. })),
+                    "unknown": orders(|d| matches!(d, OperationResult::Unknown { .. })),
+                    "wrong": orders(|d| matches!(d, OperationResult::Wrong(_))) },
         "restarts": w.rules.backs.iter().map(|b| json!({
             "at_s": b.at as f64 / 1e6,
             "first_full_ms": b.first.iter().map(|(k, at)| (k.clone(), json!((at - b.at) / MILLI)))
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -136,13 +136,14 @@
 
 /// Rule 9: an answer that began at `began` was given under `revision`.
 pub fn obeys(r: &mut Rules, now: Tick, began: Tick, revision: u64, who: &str) {
-    let newer = r.accepted.iter().filter(|(_, rev)| *rev > revision).map(|(at, _)| *at).min();
+    let newer =
+        r.accepted.iter().filter(|(_, accepted)| *accepted > revision).map(|(at, _)| *at).min();
     r.stalest = r.stalest.max(newer.map_or(0, |at| began.saturating_sub(at)));
     let due = r
         .accepted
         .iter()
         .filter(|(at, _)| at + 3 * SECOND <= began)
-        .map(|(_, rev)| *rev)
+        .map(|(_, revision)| *revision)
         .max()
         .unwrap_or(0);
     if revision < due {
@@ -163,10 +164,10 @@
 }
 
 /// Rule 12: a revision of a part is the same for everybody.
-pub fn same(r: &mut Rules, now: Tick, part: u32, rev: u64, sum: u64) {
-    let first = *r.truth.entry((part, rev)).or_insert(sum);
+pub fn same(r: &mut Rules, now: Tick, part: u32, revision: u64, sum: u64) {
+    let first = *r.truth.entry((part, revision)).or_insert(sum);
     if first != sum {
-        broken(r, now, 12, format!("part {part} has two truths at revision {rev}"));
+        broken(r, now, 12, format!("part {part} has two truths at revision {revision}"));
     }
 }
 
--- a/crates/simulator/src/scale_model/cost.rs
+++ b/crates/simulator/src/scale_model/cost.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use grebepath_core::protocol::message::Msg;
+use grebepath_core::protocol::message::Message;
 use rustix::time::{ClockId, clock_gettime};
 
 /// Messages and their bytes.
@@ -57,25 +57,25 @@
 }
 
 /// The kind of a message.
-pub fn kind(msg: &Msg) -> &'static str {
-    match msg {
-        Msg::Hello { .. } => "hello",
-        Msg::Snapshot { .. } => "whole",
-        Msg::Append { .. } => "change",
-        Msg::AppendAck { .. } => "kept",
-        Msg::Heartbeat { .. } => "beat",
-        Msg::HeartbeatAck { .. } => "beaten",
-        Msg::Follow { .. } => "follow",
-        Msg::News { .. } => "news",
-        Msg::Reach { .. } => "reach",
-        Msg::Renew { .. } => "renew",
-        Msg::Tenure { .. } => "tenure",
-        Msg::Tell { .. } => "tell",
-        Msg::Seats { .. } => "seats",
-        Msg::Gossip { .. } => "gossip",
-        Msg::Listed { .. } => "listed",
-        Msg::Words { .. } => "words",
-        Msg::Operate { .. } | Msg::Operated { .. } => "operate",
+pub fn kind(message: &Message) -> &'static str {
+    match message {
+        Message::Hello { .. } => "hello",
+        Message::Snapshot { .. } => "whole",
+        Message::Append { .. } => "change",
+        Message::AppendAck { .. } => "kept",
+        Message::Heartbeat { .. } => "beat",
+        Message::HeartbeatAck { .. } => "beaten",
+        Message::Follow { .. } => "follow",
+        Message::News { .. } => "news",
+        Message::Reach { .. } => "reach",
+        Message::Renew { .. } => "renew",
+        Message::Lease { .. } => "tenure",
+        Message::Tell { .. } => "tell",
+        Message::Seats { .. } => "seats",
+        Message::Gossip { .. } => "gossip",
+        Message::Listed { .. } => "listed",
+        Message::Words { .. } => "words",
+        Message::Operate { .. } | Message::Operated { .. } => "operate",
         _ => "claim",
     }
 }
--- a/crates/simulator/src/scale_model/fan.rs
+++ b/crates/simulator/src/scale_model/fan.rs
@@ -1,5 +1,5 @@
 //! What a query of many shards costs a front's own thread: the daemon's desk,
-//! its dispatches and the replies to them, without the wires to leafs.
+//! its dispatches and the replies to them, without the connections to leafs.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use grebepath_core::config::{build, read};
 use grebepath_core::http_api::leaf::{Heads, Raw, postmark};
 use grebepath_core::query::dispatch::step;
-use grebepath_core::query::engine::{Command, Desk, Event, Sending, desk};
+use grebepath_core::query::engine::{Command, Event, QueryEngine, Sending, desk};
 use grebepath_core::query::quota::share;
 use grebepath_core::query::request::{Ask, Outcome};
 use grebepath_core::snapshot::cluster_view;
@@ -40,7 +40,7 @@
 }
 
 /// A thread among `of` of equal share, with a view of this many shards.
-fn open(shards: usize, of: usize) -> Desk {
+fn open(shards: usize, of: usize) -> QueryEngine {
     let leafs = shards * plan::LEAFS_A_SHARD;
     let conf = plan::config(leafs).to_string();
     let conf = read::whole(conf.as_bytes()).and_then(|c| build::build(&c)).unwrap_or_default();
@@ -48,7 +48,7 @@
     let view = cluster_view::view(1, Arc::new(conf), (0..leafs).map(leaf).collect());
     let mut d = desk("front", &plan::name(0), 1, BOOT);
     let members: Vec<(String, u32)> = (0..of).map(|n| (format!("front-{n}"), 1)).collect();
-    step(&mut d, BOOT, Event::View(Arc::new(view)));
+    step(&mut d, BOOT, Event::ClusterView(Arc::new(view)));
     step(&mut d, BOOT, Event::Share(share(&members, "front-0", 0)));
     step(&mut d, BOOT, Event::Grip(Tick::MAX));
     step(&mut d, BOOT, Event::Door(grebepath_core::query::engine::Door::Open));
--- a/crates/simulator/src/scale_model/phases.rs
+++ b/crates/simulator/src/scale_model/phases.rs
@@ -1,6 +1,6 @@
 //! What is done with a hollow fleet, and what is read off it.
 
-use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::time::{MILLI, SECOND, Span, Tick};
 use serde_json::json;
 
@@ -10,7 +10,7 @@
 use crate::scale_model::plan::Size;
 use crate::scale_model::weight;
 use crate::scale_model::world;
-use crate::scale_model::world::{Hap, World};
+use crate::scale_model::world::{ScheduledEvent, World};
 
 /// Longest time that anything here may take before it is given up.
 const PATIENCE: Span = 60 * SECOND;
@@ -83,7 +83,7 @@
     let begin = w.now;
     reset(&mut w);
     let conf = plan::config(size.leafs).to_string().into_bytes();
-    operate(&mut w, 1, Deed::Whole(conf));
+    operate(&mut w, 1, Operation::Whole(conf));
     let start = world::until(&mut w, PATIENCE, world::whole);
     let start_sum = take(&mut w, begin);
     world::run(&mut w, SETTLE);
@@ -142,7 +142,7 @@
     let sum = take(w, from);
     let front_state = w.fronts.iter().map(|f| weight::watch(&f.watch)).max().unwrap_or(0);
     let seat_state = w.seats.iter().map(|s| weight::core(&s.core)).max().unwrap_or(0);
-    let stored = w.seats[0].core.parts.iter().map(|p| weight::map(&p.shown)).sum();
+    let stored = w.seats[0].core.partitions.iter().map(|p| weight::map(&p.committed)).sum();
     let view_ns = w.fronts.first().map_or(0, |f| view(&f.watch));
     Calm { sum, front_state, seat_state, stored, list_bytes: w.list.len(), view_ns }
 }
@@ -155,12 +155,16 @@
             .held
             .values()
             .flat_map(|h| grebepath_core::control_plane::endpoints::all(&h.map).into_values());
-        grebepath_core::snapshot::cluster_view::view(w.built_rev, w.built.clone(), list.collect())
+        grebepath_core::snapshot::cluster_view::view(
+            w.built_revision,
+            w.built.clone(),
+            list.collect(),
+        )
     });
     took
 }
 
-fn operate(w: &mut World, op: u64, deed: Deed) {
+fn operate(w: &mut World, op: u64, deed: Operation) {
     let life = w.seats[0].life;
     let request = format!("order-{op}");
     let event = grebepath_core::control_plane::controller::Event::Operate {
@@ -169,7 +173,7 @@
         expect: None,
         deed,
     };
-    world::push(w, MILLI, Hap::SeatTakes { s: 0, life, event: Box::new(event) });
+    world::push(w, MILLI, ScheduledEvent::SeatTakes { s: 0, life, event: Box::new(event) });
 }
 
 /// An operator's change, until the last member obeys it.
@@ -178,7 +182,7 @@
     let begin = w.now;
     let op = 1_000;
     let text = json!({ "zones": [{ "name": "mark", "state": "open" }] }).to_string();
-    operate(w, op, Deed::Patch(text.into_bytes()));
+    operate(w, op, Operation::Patch(text.into_bytes()));
     let old = world::top(w, 0);
     let obeys = |w: &World| {
         w.fronts
@@ -189,7 +193,7 @@
     let last = world::until(w, PATIENCE, obeys);
     world::until(w, PATIENCE, |w| w.done.contains_key(&op));
     let told = match w.done.get(&op) {
-        Some((at, Done::Accepted { .. })) => Some(at - begin),
+        Some((at, OperationResult::Accepted { .. })) => Some(at - begin),
         _ => None,
     };
     world::run(w, SETTLE);
@@ -233,11 +237,11 @@
     reset(w);
     for f in fronts {
         world::kill_front(w, *f);
-        world::push(w, RESTART, Hap::StartFront { f: *f });
+        world::push(w, RESTART, ScheduledEvent::StartFront { f: *f });
     }
     for s in seats {
         world::kill_seat(w, *s);
-        world::push(w, RESTART, Hap::StartSeat { s: *s });
+        world::push(w, RESTART, ScheduledEvent::StartSeat { s: *s });
     }
     let begin = w.now;
     world::run(w, RESTART + MILLI);
--- a/crates/simulator/src/scale_model/plan.rs
+++ b/crates/simulator/src/scale_model/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of a hollow fleet: its zones, its leafs and its configuration.
 
-use grebepath_core::identifiers::Seat;
-use grebepath_core::random::{Luck, below};
+use grebepath_core::identifiers::VoterSlot;
+use grebepath_core::random::{Random, below};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{Span, ms};
 use serde_json::{Value, json};
@@ -46,7 +46,7 @@
 }
 
 /// The zone in which a seat stands: each in a region of its own.
-pub fn seat_zone(seat: Seat) -> usize {
+pub fn seat_zone(seat: VoterSlot) -> usize {
     usize::from(seat) * ZONES / REGIONS % ZONES + 1
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// One way between two zones.
-pub fn way(a: usize, b: usize, luck: &mut Luck) -> Span {
+pub fn way(a: usize, b: usize, luck: &mut Random) -> Span {
     let gap = region(a).abs_diff(region(b)) as Span;
     let base = match (a == b, gap) {
         (true, _) => NEAR,
--- a/crates/simulator/src/scale_model/weight.rs
+++ b/crates/simulator/src/scale_model/weight.rs
@@ -3,10 +3,10 @@
 //! taken from the constants below. The process's own memory checks the sum.
 
 use grebepath_core::config::build::Built;
-use grebepath_core::control_plane::controller::Core;
+use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::membership::node_agent::Watch;
-use grebepath_core::protocol::message::{Cohort, Map, Member};
-use grebepath_core::snapshot::cluster_view::View;
+use grebepath_core::protocol::message::{Map, Member, Membership};
+use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 
 /// What the allocator adds to a block (bytes).
@@ -53,7 +53,7 @@
     b.mappings.values().map(|m| m.shards.iter().map(shard).sum::<usize>()).sum()
 }
 
-fn view(v: &View) -> usize {
+fn view(v: &ClusterView) -> usize {
     let leafs: usize = v.leafs.values().map(|l| leaf(l) + text(&l.leaf) + 8 + INDEX + 8).sum();
     let services: usize = v.services.keys().map(|s| text(s) + TEXT + INDEX).sum();
     // The mappings stand in the built configuration and once more by name.
@@ -64,7 +64,7 @@
     std::mem::size_of_val(m) + m.name.len() + m.addr.len() + m.zone.len() + 3 * BLOCK
 }
 
-fn cohort(c: &Cohort) -> usize {
+fn membership(c: &Membership) -> usize {
     c.members.iter().map(member).sum()
 }
 
@@ -72,26 +72,26 @@
 pub fn watch(w: &Watch) -> usize {
     let held: usize = w.held.values().map(|h| map(&h.map)).sum();
     let shared: usize = w.shared.iter().map(|(n, _)| text(n) + 8).sum();
-    let shown = w.view.as_ref().map_or(0, |v| view(v));
-    held + shared + cohort(&w.cohort) + shown
+    let committed = w.view.as_ref().map_or(0, |v| view(v));
+    held + shared + membership(&w.membership) + committed
 }
 
 /// A controller's state.
-pub fn core(c: &Core) -> usize {
+pub fn core(c: &ControllerState) -> usize {
     let entries = |list: &Vec<grebepath_core::config::change::Entry>| -> usize {
         list.iter().map(|(k, v)| text(k) + TEXT + v.as_ref().map_or(0, Vec::len)).sum()
     };
     let parts: usize = c
-        .parts
+        .partitions
         .iter()
         .map(|p| {
             let feed: usize = p.changes.iter().map(|(_, list)| entries(list)).sum();
             let seed = p.seed.as_ref().map_or(0, |(_, m)| map(m));
-            map(&p.copy.map) + map(&p.shown) + feed + seed
+            map(&p.copy.map) + map(&p.committed) + feed + seed
         })
         .sum();
     let heard: usize = c.members.heard.values().map(|h| 2 * member(&h.member) + 80).sum();
-    let wires: usize = c.members.wires.keys().map(|n| text(n) + 8 + INDEX).sum();
+    let connections: usize = c.members.connections.keys().map(|n| text(n) + 8 + INDEX).sum();
     let follow: usize = c.followers.values().map(|f| 200 + 16 * f.len() + INDEX).sum();
-    parts + heard + wires + follow + cohort(&c.members.cohort)
+    parts + heard + connections + follow + membership(&c.members.membership)
 }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -5,14 +5,14 @@
 
 use grebepath_core::consts;
 use grebepath_core::control_plane::controller as st;
-use grebepath_core::control_plane::controller::Core;
+use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::control_plane::step as cstep;
-use grebepath_core::identifiers::{PartId, Seat, parts};
+use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
 use grebepath_core::membership::node_agent as wat;
 use grebepath_core::membership::node_agent::Watch;
 use grebepath_core::membership::step as qstep;
-use grebepath_core::protocol::message::{Done, Life, Member};
-use grebepath_core::random::{Luck, below, luck};
+use grebepath_core::protocol::message::{Member, OperationResult, ReplicaCondition};
+use grebepath_core::random::{Random, below, luck};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, MILLI, Span, Tick, ms};
 use grebepath_core::voters::voter_file;
@@ -25,11 +25,11 @@
 use crate::simulated_disk::Disk;
 
 /// What happens, and to whom. A life ends with its process.
-pub enum Hap {
+pub enum ScheduledEvent {
     SeatWake { s: usize, life: u64 },
     SeatGets { s: usize, life: u64, from: From, raw: Raw },
     SeatTakes { s: usize, life: u64, event: Box<st::Event> },
-    Disk { s: usize, life: u64, part: PartId, token: u64 },
+    Disk { s: usize, life: u64, part: PartitionId, token: u64 },
     Kept { s: usize, life: u64, token: u64 },
     FrontWake { f: usize, life: u64 },
     FrontGets { f: usize, life: u64, from: From, raw: Raw },
@@ -45,16 +45,16 @@
 /// Who sent a message.
 #[derive(Clone, Copy)]
 pub enum From {
-    Seat(Seat),
-    /// A seat, on a wire that was opened to it.
+    VoterSlot(VoterSlot),
+    /// A seat, on a connection that was opened to it.
     Answer,
     /// A front, and in which of its lives.
     Front(usize, u64),
 }
 
 /// A controller.
-pub struct SeatNode {
-    pub core: Core,
+pub struct ControllerNode {
+    pub core: ControllerState,
     pub disk: Disk,
     pub up: bool,
     pub life: u64,
@@ -81,10 +81,10 @@
 pub struct World {
     pub now: Tick,
     pub size: Size,
-    haps: BTreeMap<(Tick, u64), Hap>,
+    haps: BTreeMap<(Tick, u64), ScheduledEvent>,
     next: u64,
-    pub luck: Luck,
-    pub seats: Vec<SeatNode>,
+    pub luck: Random,
+    pub seats: Vec<ControllerNode>,
     pub fronts: Vec<Front>,
     pub by_name: HashMap<String, usize>,
     pub leafs: Vec<LeafInfo>,
@@ -95,7 +95,7 @@
     pub polls: Cell,
     pub probes: u64,
     /// Outcomes of operators' requests, with their times.
-    pub done: BTreeMap<u64, (Tick, Done)>,
+    pub done: BTreeMap<u64, (Tick, OperationResult)>,
     pub alarms: BTreeMap<String, u64>,
     last: HashMap<(usize, usize), Tick>,
     /// Wires that each controller has seen opened, by its life.
@@ -130,9 +130,9 @@
     };
     w.list = Rc::new(plan::list(&w.leafs));
     for s in 0..consts::SEATS as usize {
-        w.seats.push(SeatNode {
+        w.seats.push(ControllerNode {
             core: st::core(Default::default(), ("", ""), Vec::new(), 0, BOOT),
-            disk: simulated_disk::disk(parts().count()),
+            disk: simulated_disk::disk(partitions().count()),
             up: false,
             life: 0,
             began: 0,
@@ -144,7 +144,7 @@
     for f in 0..size.members {
         add_front(&mut w);
         let after = below(&mut w.luck, SPREAD);
-        push(&mut w, after, Hap::StartFront { f });
+        push(&mut w, after, ScheduledEvent::StartFront { f });
     }
     w
 }
@@ -190,7 +190,7 @@
     n.watch = wat::watch(n.me.clone(), BOOT);
     let life = n.life;
     let after = below(&mut w.luck, qstep::WAKE);
-    push(w, after, Hap::FrontWake { f, life });
+    push(w, after, ScheduledEvent::FrontWake { f, life });
 }
 
 /// Ends a front at once.
@@ -200,9 +200,9 @@
     (n.up, n.ready) = (false, false);
     n.watch = wat::watch(n.me.clone(), BOOT);
     for s in 0..w.seats.len() {
-        let event = Box::new(st::Event::WireGone { wire: wire(f, life) });
+        let event = Box::new(st::Event::WireGone { connection: connection(f, life) });
         let life = w.seats[s].life;
-        push(w, ms(2), Hap::SeatTakes { s, life, event });
+        push(w, ms(2), ScheduledEvent::SeatTakes { s, life, event });
     }
 }
 
@@ -210,7 +210,7 @@
 pub fn start_seat(w: &mut World, s: usize) {
     let seed = grebepath_core::random::draw(&mut w.luck);
     let start = Start {
-        seat: Some(s as Seat),
+        slot: Some(s as VoterSlot),
         first: w.now == BEGIN,
         seeds: (0..consts::SEATS as usize).map(plan::seat_addr).collect(),
         size: consts::SEATS as usize,
@@ -225,18 +225,20 @@
         .into_iter()
         .map(|(part, found)| match found {
             grebepath_core::storage::reader::Found::Good { copy, .. } => {
-                (part, Life::Formed, copy, 0)
+                (part, ReplicaCondition::Formed, copy, 0)
+            }
+            _ => {
+                (part, ReplicaCondition::Empty, grebepath_core::storage::record::Copy::default(), 0)
             }
-            _ => (part, Life::Empty, grebepath_core::storage::record::Copy::default(), 0),
         })
         .collect();
     let n = &mut w.seats[s];
     n.life += 1;
     (n.up, n.began) = (true, w.now);
-    let zone = plan::name(plan::seat_zone(s as Seat));
+    let zone = plan::name(plan::seat_zone(s as VoterSlot));
     n.core = st::core(roll, (&start.addr, &zone), list, seed, BOOT);
     let life = n.life;
-    push(w, below_wake(seed), Hap::SeatWake { s, life });
+    push(w, below_wake(seed), ScheduledEvent::SeatWake { s, life });
 }
 
 fn below_wake(seed: u64) -> Span {
@@ -255,29 +257,29 @@
     }
 }
 
-/// A front's wire to a seat, in one of its lives.
-pub fn wire(f: usize, life: u64) -> u64 {
+/// A front's connection to a seat, in one of its lives.
+pub fn connection(f: usize, life: u64) -> u64 {
     ((f as u64) << 32) | life
 }
 
-/// The wire that a seat opens to others, in one of its lives.
+/// The connection that a seat opens to others, in one of its lives.
 pub fn seat_wire(s: usize, life: u64) -> u64 {
     1 << 63 | (s as u64) << 32 | life
 }
 
 /// Lets something happen after a while.
-pub fn push(w: &mut World, after: Span, hap: Hap) {
+pub fn push(w: &mut World, after: Span, hap: ScheduledEvent) {
     let at = w.now + after;
     push_at(w, at, hap);
 }
 
 /// Lets something happen at a time.
-pub fn push_at(w: &mut World, at: Tick, hap: Hap) {
+pub fn push_at(w: &mut World, at: Tick, hap: ScheduledEvent) {
     w.next += 1;
     w.haps.insert((at, w.next), hap);
 }
 
-/// When a message sent now arrives: those of one wire keep their order.
+/// When a message sent now arrives: those of one connection keep their order.
 pub fn arrival(w: &mut World, from: (usize, usize), to: (usize, usize)) -> Tick {
     let at = w.now + plan::way(from.1, to.1, &mut w.luck);
     let last = w.last.entry((from.0, to.0)).or_insert(0);
@@ -314,26 +316,31 @@
 
 /// The revision of a part that the seats show.
 pub fn top(w: &World, part: usize) -> u64 {
-    w.seats.iter().filter(|s| s.up).map(|s| s.core.parts[part].shown_rev).max().unwrap_or(0)
+    w.seats
+        .iter()
+        .filter(|s| s.up)
+        .map(|s| s.core.partitions[part].committed_revision)
+        .max()
+        .unwrap_or(0)
 }
 
 /// Whether every front that is up obeys the newest configuration, knows every
-/// leaf, is ready, and has its settled place in the same cohort, and every
+/// leaf, is ready, and has its settled place in the same membership, and every
 /// controller shows as much. Ages of leafs may still be under way.
 pub fn whole(w: &World) -> bool {
     let up = w.fronts.iter().filter(|f| f.up);
-    let (rev, count) = (top(w, 0), up.clone().count());
-    let shows = |s: &SeatNode| {
-        let leafs: usize = s.core.parts[1..].iter().map(|p| p.shown.len()).sum();
-        s.up && s.core.parts[0].shown_rev == rev && leafs == w.leafs.len()
+    let (revision, count) = (top(w, 0), up.clone().count());
+    let shows = |s: &ControllerNode| {
+        let leafs: usize = s.core.partitions[1..].iter().map(|p| p.committed.len()).sum();
+        s.up && s.core.partitions[0].committed_revision == revision && leafs == w.leafs.len()
     };
     let whole = |f: &Front| {
-        let c = &f.watch.cohort;
+        let c = &f.watch.membership;
         let view = f.watch.view.as_ref();
         f.ready
             && c.settled == c.turn
             && c.members.len() == count
-            && view.is_some_and(|v| v.revision == rev && v.leafs.len() == w.leafs.len())
+            && view.is_some_and(|v| v.revision == revision && v.leafs.len() == w.leafs.len())
     };
-    rev > 0 && w.seats.iter().all(shows) && up.clone().all(whole)
+    revision > 0 && w.seats.iter().all(shows) && up.clone().all(whole)
 }
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use grebepath_core::routing_language::diagnostic::{Finding, find};
+use grebepath_core::routing_language::diagnostic::{Diagnostic, find};
 use grebepath_core::time::{SECOND, ms};
 use serde_json::Value;
 
@@ -85,7 +85,7 @@
 pub fn read(
     text: &[u8],
     load: &dyn Fn(&str) -> Result<Value, String>,
-) -> Result<Scenario, Vec<Finding>> {
+) -> Result<Scenario, Vec<Diagnostic>> {
     let mut all = Vec::new();
     let val: Value = match serde_json::from_slice(text) {
         Ok(val) => val,
@@ -153,7 +153,7 @@
 
 /// The core: three controllers that are told their seats, unless the scenario
 /// says how many seats there are, or how many controllers.
-fn cores(val: &Value, all: &mut Vec<Finding>) -> world::Cores {
+fn cores(val: &Value, all: &mut Vec<Diagnostic>) -> world::Cores {
     if val.get("seats").is_none() && val.get("controllers").is_none() {
         return world::three();
     }
@@ -165,7 +165,7 @@
     world::Cores { seats, machines, told: false, seeds: (0..machines.min(3)).collect() }
 }
 
-fn whole(val: &Value, key: &str, low: u64, high: u64, all: &mut Vec<Finding>) -> u64 {
+fn whole(val: &Value, key: &str, low: u64, high: u64, all: &mut Vec<Diagnostic>) -> u64 {
     match val[key].as_u64() {
         Some(n) if (low..=high).contains(&n) => n,
         _ => {
@@ -179,7 +179,7 @@
     at: &str,
     val: &Value,
     (queriers, seats): (usize, usize),
-    all: &mut Vec<Finding>,
+    all: &mut Vec<Diagnostic>,
 ) -> Option<Trouble> {
     let before = all.len();
     let what = val["do"].as_str().unwrap_or_default().to_string();
@@ -235,7 +235,7 @@
 
 /// The machines that a word names.
 fn nodes(word: &str, queriers: usize, machines: usize) -> Vec<Node> {
-    let seats = (0..machines as u8).map(Node::Seat);
+    let seats = (0..machines as u8).map(Node::Controller);
     let all = (0..queriers).map(Node::Querier);
     match word {
         "list" => vec![Node::List],
@@ -250,7 +250,7 @@
             }
             if let Some(n) = word.strip_prefix("seat").and_then(|n| n.parse::<u8>().ok()) {
                 let known = usize::from(n) < machines;
-                return if known { vec![Node::Seat(n)] } else { Vec::new() };
+                return if known { vec![Node::Controller(n)] } else { Vec::new() };
             }
             match word.strip_prefix('q').and_then(|n| n.parse::<usize>().ok()) {
                 Some(n) if n < queriers => vec![Node::Querier(n)],
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -2,14 +2,14 @@
 //! would, written and read by the same functions, and it can lose power in
 //! the middle of anything.
 
-use grebepath_core::identifiers::PartId;
-use grebepath_core::random::{Luck, below, chance};
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::random::{Random, below, chance};
 use grebepath_core::storage::reader::{Found, read};
-use grebepath_core::storage::record::{Copy, Rec};
+use grebepath_core::storage::record::{Copy, LogRecord};
 use grebepath_core::storage::writer;
 use grebepath_core::time::{Span, Tick, ms};
 use grebepath_core::voters::voter_file;
-use grebepath_core::voters::voter_file::Roll;
+use grebepath_core::voters::voter_file::VoterFile;
 
 /// One part's files and what is being written.
 ///
@@ -28,7 +28,7 @@
 /// What a disk is asked.
 #[derive(Clone)]
 pub enum Job {
-    Append(Rec),
+    Append(LogRecord),
     Slot(Copy),
 }
 
@@ -48,11 +48,11 @@
     /// The file that holds the roll, and rolls on their way to it: token, roll,
     /// and whether the parts' files are set aside before.
     roll: Option<Vec<u8>>,
-    rolls: Vec<(u64, Roll, bool)>,
+    rolls: Vec<(u64, VoterFile, bool)>,
     /// When the last job in line will be done.
     busy: Tick,
     /// Jobs that are under way: part, token, done at.
-    line: Vec<(PartId, u64, Job)>,
+    line: Vec<(PartitionId, u64, Job)>,
 }
 
 /// An empty disk.
@@ -72,10 +72,10 @@
 pub fn begin(
     d: &mut Disk,
     now: Tick,
-    part: PartId,
+    part: PartitionId,
     token: u64,
     job: Job,
-    luck: &mut Luck,
+    luck: &mut Random,
 ) -> Option<Tick> {
     let took = ms(1)
         + below(luck, ms(3))
@@ -96,9 +96,9 @@
     d: &mut Disk,
     now: Tick,
     token: u64,
-    roll: Roll,
+    roll: VoterFile,
     clear: bool,
-    luck: &mut Luck,
+    luck: &mut Random,
 ) -> Option<Tick> {
     d.rolls.push((token, roll, clear));
     let slow = if let Health::Slow(more) = d.health { more } else { 0 };
@@ -130,13 +130,13 @@
 }
 
 /// The roll as a start finds it; what was not kept is forgotten.
-pub fn roll(d: &mut Disk) -> Option<Roll> {
+pub fn roll(d: &mut Disk) -> Option<VoterFile> {
     d.rolls.clear();
     voter_file::read(d.roll.as_deref()?)
 }
 
 /// Writes the roll of a start, which waits for it.
-pub fn put_roll(d: &mut Disk, roll: &Roll, clear: bool) {
+pub fn put_roll(d: &mut Disk, roll: &VoterFile, clear: bool) {
     if clear {
         set_aside(d);
     }
@@ -155,12 +155,12 @@
 }
 
 /// What remains in line when a stall ends, oldest first.
-pub fn waiting(d: &Disk) -> Vec<(PartId, u64)> {
+pub fn waiting(d: &Disk) -> Vec<(PartitionId, u64)> {
     d.line.iter().map(|(p, t, _)| (*p, *t)).collect()
 }
 
 /// A job is done: it lasts now, or it failed.
-pub fn done(d: &mut Disk, part: PartId, token: u64) -> Option<Result<(), String>> {
+pub fn done(d: &mut Disk, part: PartitionId, token: u64) -> Option<Result<(), String>> {
     let at = d.line.iter().position(|(p, t, _)| *p == part && *t == token)?;
     let (_, _, job) = d.line.remove(at);
     let full = d.health == Health::Full;
@@ -190,7 +190,7 @@
 }
 
 /// Power is lost: what was under way lasts in part, by chance.
-pub fn power_loss(d: &mut Disk, luck: &mut Luck) {
+pub fn power_loss(d: &mut Disk, luck: &mut Random) {
     let line = std::mem::take(&mut d.line);
     // A file that is renamed is there or it is not.
     for (_, roll, clear) in std::mem::take(&mut d.rolls) {
@@ -214,7 +214,7 @@
 }
 
 /// Lets a job take effect in part; true if all of it lasts.
-fn partly(f: &mut Files, part: PartId, job: Job, luck: &mut Luck) -> bool {
+fn partly(f: &mut Files, part: PartitionId, job: Job, luck: &mut Random) -> bool {
     let whole = chance(luck, 1, 3);
     match job {
         Job::Append(_) if !f.open => false,
@@ -260,7 +260,7 @@
 }
 
 /// Flips one bit of what lies on the disk; false if nothing lies there.
-pub fn flip(d: &mut Disk, luck: &mut Luck) -> bool {
+pub fn flip(d: &mut Disk, luck: &mut Random) -> bool {
     let at = below(luck, d.parts.len() as u64) as usize;
     let f = &mut d.parts[at];
     let newest = (f.seq % 2) as usize;
@@ -275,13 +275,13 @@
 }
 
 /// Reads the disk as a start does; a slot of this life comes first.
-pub fn start(d: &mut Disk) -> Vec<(PartId, Found)> {
+pub fn start(d: &mut Disk) -> Vec<(PartitionId, Found)> {
     d.line.clear();
     d.busy = 0;
     let full = d.health == Health::Full;
     let mut out = Vec::new();
     for (i, f) in d.parts.iter_mut().enumerate() {
-        let part = PartId(i as u32);
+        let part = PartitionId(i as u32);
         let slots = [f.slots[0].as_deref(), f.slots[1].as_deref()];
         let mut found = read(part.0, slots, f.log.as_deref());
         if found == Found::Empty && f.aside {
@@ -308,7 +308,7 @@
 }
 
 /// Reads a part's files again, as a running controller does.
-pub fn look(d: &Disk, part: PartId) -> Option<String> {
+pub fn look(d: &Disk, part: PartitionId) -> Option<String> {
     let f = &d.parts[part.0 as usize];
     // What is under way behind this look may have begun to take effect.
     if !f.open || d.line.iter().any(|(p, _, _)| *p == part) {
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -12,7 +12,7 @@
         return;
     }
     let gap = gap(w, kind);
-    push(w, gap, Hap::Call { kind });
+    push(w, gap, ScheduledEvent::Call { kind });
     w.next += 1;
     let id = w.next;
     let k = &w.kinds[kind];
@@ -38,8 +38,8 @@
     let life = w.queriers[q].life;
     let wait = ms(w.kinds[kind].budget_ms);
     w.calls.insert(id, Call { kind, asked, q, life, began: w.now });
-    push(w, ms(1), Hap::Arrive { call: id });
-    push(w, wait + ms(5), Hap::CallDue { call: id });
+    push(w, ms(1), ScheduledEvent::Arrive { call: id });
+    push(w, wait + ms(5), ScheduledEvent::CallDue { call: id });
 }
 
 pub(super) fn arrive(w: &mut World, id: u64) {
@@ -58,13 +58,13 @@
     let read = caller::read_post(&k.search, Some(&budget), body.to_string().as_bytes());
     let Ok(ask) = read else { return };
     let t = (id % u64::from(THREADS)) as usize;
-    push(w, 10, Hap::ToDesk { q, life, t, event: engine::Event::Ask { call: id, ask } });
+    push(w, 10, ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Ask { call: id, ask } });
 }
 
 pub(super) fn tampered(w: &mut World, kind: usize, outcome: Outcome) -> Outcome {
     let Outcome::Full(mut full) = outcome else {
         if w.broken == Some(Broken::BelowQuorum)
-            && let Outcome::Bounce(b) = &outcome
+            && let Outcome::Rejection(b) = &outcome
             && b.query.is_some()
         {
             let cut = w.kinds[kind].shards[0].0.clone();
@@ -105,7 +105,7 @@
     rules::ends(&mut w.rules, c.began - BEGIN, now, &kind.search, full);
     match outcome {
         Outcome::Passed(_) | Outcome::Joined(_) => {}
-        Outcome::Bounce(b) => {
+        Outcome::Rejection(b) => {
             *tally(w, c.kind).bounced.entry(b.reason.to_string()).or_default() += 1;
         }
         Outcome::Full(full) => {
--- a/crates/simulator/src/world/deviations.rs
+++ b/crates/simulator/src/world/deviations.rs
@@ -68,7 +68,7 @@
 }
 
 /// Applies the deviations that strike now; gives the event if it still happens.
-pub(super) fn deviate(w: &mut World, hap: Hap) -> Option<Hap> {
+pub(super) fn deviate(w: &mut World, hap: ScheduledEvent) -> Option<ScheduledEvent> {
     let (from, to) = w.deviations.window;
     let at = w.now - BEGIN;
     let controller = reaches(&hap).filter(|_| from <= at && at < to);
@@ -89,29 +89,29 @@
 
 /// The running controller that an event reaches, if it is one that counts: a
 /// message of another controller, or the end of a write.
-fn reaches(hap: &Hap) -> Option<usize> {
+fn reaches(hap: &ScheduledEvent) -> Option<usize> {
     match hap {
-        Hap::ToSeat { s, event, .. } => match event {
-            CoreEvent::FromSeat { msg, .. } | CoreEvent::Answer { msg } => {
-                (!is_heartbeat(msg)).then_some(*s)
+        ScheduledEvent::ToSeat { s, event, .. } => match event {
+            CoreEvent::FromSeat { message, .. } | CoreEvent::Answer { message } => {
+                (!is_heartbeat(message)).then_some(*s)
             }
-            CoreEvent::FromWire { wire, .. } if wire >> 63 == 1 => Some(*s),
+            CoreEvent::FromWire { connection, .. } if connection >> 63 == 1 => Some(*s),
             _ => None,
         },
-        Hap::Disk { s, .. } | Hap::Kept { s, .. } => Some(*s),
+        ScheduledEvent::Disk { s, .. } | ScheduledEvent::Kept { s, .. } => Some(*s),
         _ => None,
     }
 }
 
 /// Messages that are sent again all the time; one more or less changes nothing
 /// that the others do not change.
-fn is_heartbeat(msg: &Msg) -> bool {
-    matches!(msg, Msg::Here { .. })
-        || matches!(msg, Msg::Heartbeat { part, .. } | Msg::HeartbeatAck { part, .. } if part.0 != 0)
+fn is_heartbeat(message: &Message) -> bool {
+    matches!(message, Message::Here { .. })
+        || matches!(message, Message::Heartbeat { partition: part, .. } | Message::HeartbeatAck { partition: part, .. } if part.0 != 0)
 }
 
-fn strike(w: &mut World, s: usize, fault: Fault, hap: Hap) -> Option<Hap> {
-    let message = matches!(hap, Hap::ToSeat { .. });
+fn strike(w: &mut World, s: usize, fault: Fault, hap: ScheduledEvent) -> Option<ScheduledEvent> {
+    let message = matches!(hap, ScheduledEvent::ToSeat { .. });
     match fault {
         Fault::Lose if message => return None,
         Fault::Delay if message => {
@@ -119,10 +119,10 @@
             return None;
         }
         Fault::Repeat => {
-            if let Hap::ToSeat { s, life, event } = &hap {
+            if let ScheduledEvent::ToSeat { s, life, event } = &hap {
                 let event = copied(event);
                 if let Some(event) = event {
-                    push(w, 0, Hap::ToSeat { s: *s, life: *life, event });
+                    push(w, 0, ScheduledEvent::ToSeat { s: *s, life: *life, event });
                 }
             }
         }
@@ -133,7 +133,7 @@
         }
         Fault::Lose | Fault::Delay => {}
         Fault::Kill | Fault::Power | Fault::DiskLost | Fault::Gone => {
-            push(w, 0, Hap::Due { key: DueKey::Fault { controller: s, fault } });
+            push(w, 0, ScheduledEvent::Due { key: DueKey::Fault { controller: s, fault } });
         }
     }
     Some(hap)
@@ -141,11 +141,16 @@
 
 fn copied(event: &CoreEvent) -> Option<CoreEvent> {
     Some(match event {
-        CoreEvent::FromSeat { seat, holder, wire, msg } => {
-            CoreEvent::FromSeat { seat: *seat, holder: *holder, wire: *wire, msg: msg.clone() }
+        CoreEvent::FromSeat { slot: seat, holder, connection, message } => CoreEvent::FromSeat {
+            slot: *seat,
+            holder: *holder,
+            connection: *connection,
+            message: message.clone(),
+        },
+        CoreEvent::FromWire { connection, message } => {
+            CoreEvent::FromWire { connection: *connection, message: message.clone() }
         }
-        CoreEvent::FromWire { wire, msg } => CoreEvent::FromWire { wire: *wire, msg: msg.clone() },
-        CoreEvent::Answer { msg } => CoreEvent::Answer { msg: msg.clone() },
+        CoreEvent::Answer { message } => CoreEvent::Answer { message: message.clone() },
         _ => return None,
     })
 }
@@ -167,24 +172,30 @@
     }
 }
 
-fn describe(hap: &Hap) -> String {
-    let word = |msg: &Msg| {
-        let text = format!("{msg:?}");
+fn describe(hap: &ScheduledEvent) -> String {
+    let word = |message: &Message| {
+        let text = format!("{message:?}");
         text.split([' ', '(', '{']).next().unwrap_or_default().to_string()
     };
     match hap {
-        Hap::ToSeat { s, event, .. } => match event {
-            CoreEvent::FromSeat { seat, msg, .. } => {
-                format!("{} from slot {seat} to controller {s}", word(msg))
+        ScheduledEvent::ToSeat { s, event, .. } => match event {
+            CoreEvent::FromSeat { slot: seat, message, .. } => {
+                format!("{} from slot {seat} to controller {s}", word(message))
+            }
+            CoreEvent::FromWire { connection, message } => {
+                format!(
+                    "{} from controller {} to controller {s}",
+                    word(message),
+                    connection << 1 >> 33
+                )
             }
-            CoreEvent::FromWire { wire, msg } => {
-                format!("{} from controller {} to controller {s}", word(msg), wire << 1 >> 33)
+            CoreEvent::Answer { message } => {
+                format!("{} in answer to controller {s}", word(message))
             }
-            CoreEvent::Answer { msg } => format!("{} in answer to controller {s}", word(msg)),
             _ => format!("an event of controller {s}"),
         },
-        Hap::Disk { s, part, .. } => format!("a write of {part} on controller {s}"),
-        Hap::Kept { s, .. } => format!("the voter set's write on controller {s}"),
+        ScheduledEvent::Disk { s, part, .. } => format!("a write of {part} on controller {s}"),
+        ScheduledEvent::Kept { s, .. } => format!("the voter set's write on controller {s}"),
         _ => "another event".into(),
     }
 }
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -19,14 +19,14 @@
     }
     // Whatever becomes of it, the sender gives up at the end of its budget.
     let event = engine::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
-    push(w, sending.budget, Hap::ToDesk { q, life, t, event });
+    push(w, sending.budget, ScheduledEvent::ToDesk { q, life, t, event });
     // Giving up closes the connection, which the leaf sees a moment later.
     let key = (q, life, t, sending.dispatch);
-    push(w, sending.budget + ms(1), Hap::LeafDrop { key });
+    push(w, sending.budget + ms(1), ScheduledEvent::LeafDrop { key });
     let zone = w.queriers[q].zone.clone();
     let leaf_zone = w.backs.leafs.get(&sending.leaf).map_or("a".into(), |l| l.zone.clone());
     let after = latency(&zone, &leaf_zone, &mut w.luck) + w.net.slow;
-    push(w, after, Hap::LeafGets { q, life, t, sending: Box::new(sending) });
+    push(w, after, ScheduledEvent::LeafGets { q, life, t, sending: Box::new(sending) });
 }
 
 pub(super) fn answer(w: &mut World, key: RunKey, zone: &str, mut got: Result<Raw, Trouble>) {
@@ -38,7 +38,11 @@
     }
     let qzone = w.queriers[q].zone.clone();
     let after = latency(&qzone, zone, &mut w.luck) + w.net.slow;
-    push(w, after, Hap::ToDesk { q, life, t, event: engine::Event::Reply { dispatch, got } });
+    push(
+        w,
+        after,
+        ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Reply { dispatch, got } },
+    );
 }
 
 pub(super) fn leaf_gets(w: &mut World, (q, life, t): (usize, u64, usize), s: Sending) {
@@ -52,19 +56,19 @@
         Alive::Down => return answer(w, key, &zone, Err(Trouble::Unreachable)),
         Alive::Up => {}
     }
-    // A wire ends with the process behind it, and on a new one the leaf is
+    // A connection ends with the process behind it, and on a new one the leaf is
     // asked who it is before any work is sent.
     let misdirected = s.leaf != l.name || s.service != l.service.name;
-    let wire = (q, life, t, s.addr.clone());
-    let known = w.wires.get(&wire) == Some(&name);
+    let connection = (q, life, t, s.addr.clone());
+    let known = w.connections.get(&connection) == Some(&name);
     if !known && w.broken != Some(Broken::NoGreeting) {
         if misdirected {
             let raw = mock_backends::turned_away(l, now, MISDIRECTED);
             return answer(w, key, &zone, Ok(raw));
         }
-        w.wires.insert(wire, name);
+        w.connections.insert(connection, name);
         let after = 2 * latency(&w.queriers[q].zone.clone(), &zone, &mut w.luck);
-        return push(w, after, Hap::LeafGets { q, life, t, sending: Box::new(s) });
+        return push(w, after, ScheduledEvent::LeafGets { q, life, t, sending: Box::new(s) });
     }
     let who = &w.queriers[q].name;
     rules::arrives(&mut w.rules, now - BEGIN, who, &name, &l.service.name, &s.service);
@@ -101,7 +105,7 @@
     let run = w.next;
     w.by_key.insert(key, run);
     w.runs.insert(run, Run { key, leaf: name, sending: s });
-    push(w, took, Hap::LeafDone { run });
+    push(w, took, ScheduledEvent::LeafDone { run });
 }
 
 pub(super) fn end_run(w: &mut World, run: u64) -> Option<Run> {
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -5,21 +5,23 @@
 use grebepath_core::config::{change, types::Config};
 use grebepath_core::consts;
 use grebepath_core::control_plane::controller as st;
-use grebepath_core::control_plane::controller::{Core, Event as CoreEvent};
+use grebepath_core::control_plane::controller::{ControllerState, Event as CoreEvent};
 use grebepath_core::control_plane::step as cstep;
 use grebepath_core::digest::digest;
 use grebepath_core::http_api::leaf::{Heads, MISDIRECTED, Raw, Trouble};
 use grebepath_core::http_api::{caller, list};
-use grebepath_core::identifiers::{PartId, Seat, parts};
+use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
 use grebepath_core::membership::node_agent as wat;
 use grebepath_core::membership::node_agent::Watch;
 use grebepath_core::membership::step as qstep;
-use grebepath_core::protocol::message::{Deed, Done, Life, Member, Msg, Word};
+use grebepath_core::protocol::message::{
+    Member, Message, Operation, OperationResult, ReplicaCondition, Word,
+};
 use grebepath_core::query::dispatch as dstep;
 use grebepath_core::query::engine;
-use grebepath_core::query::engine::{Desk, Door, Sending, desk};
+use grebepath_core::query::engine::{Door, QueryEngine, Sending, desk};
 use grebepath_core::query::request::Outcome;
-use grebepath_core::random::{Luck, below, draw, luck};
+use grebepath_core::random::{Random, below, draw, luck};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::storage::reader::Found;
 use grebepath_core::storage::record::Copy;
@@ -31,7 +33,7 @@
 
 use crate::check::{Asked, success};
 use crate::mock_backends;
-use crate::mock_backends::{Alive, VBacks, ZONES};
+use crate::mock_backends::{Alive, MockBackends, ZONES};
 use crate::net::{Net, Node, latency, send, weigh};
 use crate::rules::{self, Rules};
 use crate::simulated_disk;
@@ -81,7 +83,7 @@
     EarlyYes,
     /// Answers below quorum are sent as successes.
     BelowQuorum,
-    /// Dispatches go out on new wires without asking who is there.
+    /// Dispatches go out on new connections without asking who is there.
     NoGreeting,
     /// Members keep what leafs tell them to themselves and the core.
     NoWords,
@@ -97,7 +99,7 @@
 }
 
 /// What happens, and to whom.
-enum Hap {
+enum ScheduledEvent {
     SeatWake {
         s: usize,
         life: u64,
@@ -110,7 +112,7 @@
     Disk {
         s: usize,
         life: u64,
-        part: PartId,
+        part: PartitionId,
         token: u64,
     },
     Kept {
@@ -132,7 +134,7 @@
         q: usize,
         life: u64,
         holder: u64,
-        msg: Msg,
+        message: Message,
     },
     ToDesk {
         q: usize,
@@ -218,11 +220,11 @@
 }
 
 /// A controller's machine.
-pub struct SeatNode {
+pub struct ControllerNode {
     pub zone: String,
     pub life: u64,
     pub up: bool,
-    pub core: Core,
+    pub core: ControllerState,
     pub began: Tick,
     pub disk: Disk,
     pub paused: Tick,
@@ -237,13 +239,13 @@
 }
 
 /// A querier's machine.
-pub struct QNode {
+pub struct QuerierNode {
     pub name: String,
     pub zone: String,
     pub life: u64,
     pub up: bool,
     pub watch: Watch,
-    pub desks: Vec<Desk>,
+    pub desks: Vec<QueryEngine>,
     wakes: Vec<Tick>,
     pub began: Tick,
     pub ready: bool,
@@ -271,10 +273,10 @@
 pub struct Order {
     /// Its request id, if another order had it before: it is sent again.
     pub request: Option<String>,
-    pub deed: Deed,
+    pub deed: Operation,
     pub at: Tick,
     pub seat: Option<usize>,
-    pub done: Option<Done>,
+    pub done: Option<OperationResult>,
     /// Zone that it empties or fills.
     pub zone: Option<(String, bool)>,
     /// An object that only this order sets, to look for at the end.
@@ -297,24 +299,24 @@
 /// The world.
 pub struct World {
     pub now: Tick,
-    haps: BTreeMap<(Tick, u64), Hap>,
+    haps: BTreeMap<(Tick, u64), ScheduledEvent>,
     next: u64,
-    pub luck: Luck,
+    pub luck: Random,
     pub net: Net,
     /// The controllers' machines, with a seat or without.
-    pub seats: Vec<SeatNode>,
+    pub seats: Vec<ControllerNode>,
     pub core: Cores,
-    /// Wires on which something came: (seat's machine, its life, wire).
+    /// Wires on which something came: (seat's machine, its life, connection).
     opened: BTreeSet<(usize, u64, u64)>,
-    pub queriers: Vec<QNode>,
-    pub backs: VBacks,
+    pub queriers: Vec<QuerierNode>,
+    pub backs: MockBackends,
     pub kinds: Vec<Kind>,
     pub factor: f64,
     platform: Vec<usize>,
     runs: BTreeMap<u64, Run>,
     by_key: BTreeMap<RunKey, u64>,
-    /// Who was found at the other end of each wire to a leaf.
-    wires: BTreeMap<(usize, u64, usize, String), String>,
+    /// Who was found at the other end of each connection to a leaf.
+    connections: BTreeMap<(usize, u64, usize, String), String>,
     calls: BTreeMap<u64, Call>,
     pub orders: Vec<Order>,
     pub rules: Rules,
@@ -386,7 +388,7 @@
         platform: Vec::new(),
         runs: BTreeMap::new(),
         by_key: BTreeMap::new(),
-        wires: BTreeMap::new(),
+        connections: BTreeMap::new(),
         calls: BTreeMap::new(),
         orders: Vec::new(),
         rules: Rules::default(),
@@ -408,7 +410,7 @@
         let zone = ZONES[q % ZONES.len()].to_string();
         let name = format!("q{q}");
         let watch = wat::watch(member(&name, &zone, q, 0), 1);
-        w.queriers.push(QNode {
+        w.queriers.push(QuerierNode {
             name,
             zone,
             life: 0,
@@ -423,7 +425,7 @@
         });
         start_querier(&mut w, q);
     }
-    push(&mut w, ms(500), Hap::Platform);
+    push(&mut w, ms(500), ScheduledEvent::Platform);
     w
 }
 
@@ -437,11 +439,11 @@
     w.now - BEGIN
 }
 
-fn push(w: &mut World, after: Span, hap: Hap) {
+fn push(w: &mut World, after: Span, hap: ScheduledEvent) {
     push_at(w, w.now + after, hap);
 }
 
-fn push_at(w: &mut World, at: Tick, hap: Hap) {
+fn push_at(w: &mut World, at: Tick, hap: ScheduledEvent) {
     w.next += 1;
     w.haps.insert((at, w.next), hap);
 }
@@ -451,7 +453,7 @@
     w.factor = factor;
     for kind in 0..w.kinds.len() {
         let gap = gap(w, kind);
-        push(w, gap, Hap::Call { kind });
+        push(w, gap, ScheduledEvent::Call { kind });
     }
 }
 
@@ -466,7 +468,7 @@
     w.troubles = troubles;
     for at in 0..w.troubles.len() {
         let after = ms(w.troubles[at].at_ms);
-        push(w, after, Hap::Trouble { at });
+        push(w, after, ScheduledEvent::Trouble { at });
     }
 }
 
@@ -498,18 +500,18 @@
     done(w)
 }
 
-fn happen(w: &mut World, hap: Hap) {
+fn happen(w: &mut World, hap: ScheduledEvent) {
     // A paused process does nothing; all of it comes at once when it wakes.
     let until = match &hap {
-        Hap::SeatWake { s, .. }
-        | Hap::ToSeat { s, .. }
-        | Hap::Disk { s, .. }
-        | Hap::Kept { s, .. } => w.seats[*s].paused,
-        Hap::QWake { q, .. }
-        | Hap::ToWatch { q, .. }
-        | Hap::FromSeat { q, .. }
-        | Hap::ToDesk { q, .. }
-        | Hap::DeskWake { q, .. } => w.queriers[*q].paused,
+        ScheduledEvent::SeatWake { s, .. }
+        | ScheduledEvent::ToSeat { s, .. }
+        | ScheduledEvent::Disk { s, .. }
+        | ScheduledEvent::Kept { s, .. } => w.seats[*s].paused,
+        ScheduledEvent::QWake { q, .. }
+        | ScheduledEvent::ToWatch { q, .. }
+        | ScheduledEvent::FromSeat { q, .. }
+        | ScheduledEvent::ToDesk { q, .. }
+        | ScheduledEvent::DeskWake { q, .. } => w.queriers[*q].paused,
         _ => 0,
     };
     if until > w.now {
@@ -517,22 +519,22 @@
     }
     let Some(hap) = deviations::deviate(w, hap) else { return };
     match hap {
-        Hap::SeatWake { s, life } if alive(w, s, life) => {
-            push(w, cstep::WAKE, Hap::SeatWake { s, life });
+        ScheduledEvent::SeatWake { s, life } if alive(w, s, life) => {
+            push(w, cstep::WAKE, ScheduledEvent::SeatWake { s, life });
             step_seat(w, s, CoreEvent::Wake);
         }
-        Hap::ToSeat { s, life, event } if alive(w, s, life) => {
+        ScheduledEvent::ToSeat { s, life, event } if alive(w, s, life) => {
             let Some(event) = deafened(w, s, event) else { return };
             open_wire(w, s, &event);
             step_seat(w, s, event);
         }
-        Hap::Disk { s, life, part, token } if alive(w, s, life) => {
+        ScheduledEvent::Disk { s, life, part, token } if alive(w, s, life) => {
             if w.seats[s].disk.health == Health::Stalled {
                 return;
             }
             let event = match simulated_disk::done(&mut w.seats[s].disk, part, token) {
-                Some(Ok(())) => CoreEvent::Synced { part, token },
-                Some(Err(why)) => CoreEvent::DiskTrouble { part, why },
+                Some(Ok(())) => CoreEvent::Synced { partition: part, token },
+                Some(Err(why)) => CoreEvent::DiskTrouble { partition: part, why },
                 None => return,
             };
             if w.broken != Some(Broken::EarlyYes) || matches!(event, CoreEvent::DiskTrouble { .. })
@@ -540,7 +542,7 @@
                 step_seat(w, s, event);
             }
         }
-        Hap::Kept { s, life, token } if alive(w, s, life) => {
+        ScheduledEvent::Kept { s, life, token } if alive(w, s, life) => {
             if w.seats[s].disk.health == Health::Stalled {
                 return;
             }
@@ -550,43 +552,47 @@
                 None => {}
             }
         }
-        Hap::QWake { q, life } if live(w, q, life) => {
-            push(w, qstep::WAKE, Hap::QWake { q, life });
+        ScheduledEvent::QWake { q, life } if live(w, q, life) => {
+            push(w, qstep::WAKE, ScheduledEvent::QWake { q, life });
             step_watch(w, q, wat::Event::Wake);
         }
-        Hap::ToWatch { q, life, event } if live(w, q, life) => {
+        ScheduledEvent::ToWatch { q, life, event } if live(w, q, life) => {
             if matches!(event, wat::Event::List(_)) {
                 w.queriers[q].polling = false;
             }
             step_watch(w, q, event);
         }
-        Hap::FromSeat { q, life, holder, msg } if live(w, q, life) => {
-            let event = match msg {
-                Msg::Seats { table, .. } => wat::Event::Seats(table),
-                msg => match seat_of(&w.queriers[q].watch.table, holder) {
-                    Some(seat) => wat::Event::FromSeat { seat, msg },
+        ScheduledEvent::FromSeat { q, life, holder, message } if live(w, q, life) => {
+            let event = match message {
+                Message::Seats { table, .. } => wat::Event::Seats(table),
+                message => match seat_of(&w.queriers[q].watch.table, holder) {
+                    Some(seat) => wat::Event::FromSeat { slot: seat, message },
                     None => return,
                 },
             };
             step_watch(w, q, event);
         }
-        Hap::ToDesk { q, life, t, event } if live(w, q, life) => step_desk(w, q, t, event),
-        Hap::DeskWake { q, life, t, at } if live(w, q, life) && w.queriers[q].wakes[t] == at => {
+        ScheduledEvent::ToDesk { q, life, t, event } if live(w, q, life) => {
+            step_desk(w, q, t, event)
+        }
+        ScheduledEvent::DeskWake { q, life, t, at }
+            if live(w, q, life) && w.queriers[q].wakes[t] == at =>
+        {
             w.queriers[q].wakes[t] = 0;
             step_desk(w, q, t, engine::Event::Wake);
         }
-        Hap::LeafGets { q, life, t, sending } => leaf_gets(w, (q, life, t), *sending),
-        Hap::LeafDone { run } => leaf_done(w, run),
-        Hap::LeafDrop { key } => {
+        ScheduledEvent::LeafGets { q, life, t, sending } => leaf_gets(w, (q, life, t), *sending),
+        ScheduledEvent::LeafDone { run } => leaf_done(w, run),
+        ScheduledEvent::LeafDrop { key } => {
             if let Some(run) = w.by_key.remove(&key) {
                 end_run(w, run);
             }
         }
-        Hap::Probe { q, life, info } => probed(w, q, life, &info),
-        Hap::ListAsked { q, life } => list_asked(w, q, life),
-        Hap::Call { kind } => call(w, kind),
-        Hap::Arrive { call } => arrive(w, call),
-        Hap::CallDue { call } => {
+        ScheduledEvent::Probe { q, life, info } => probed(w, q, life, &info),
+        ScheduledEvent::ListAsked { q, life } => list_asked(w, q, life),
+        ScheduledEvent::Call { kind } => call(w, kind),
+        ScheduledEvent::Arrive { call } => arrive(w, call),
+        ScheduledEvent::CallDue { call } => {
             if let Some(c) = w.calls.remove(&call) {
                 let name = w.kinds[c.kind].search.clone();
                 let now = w.now - BEGIN;
@@ -594,20 +600,20 @@
                 tally(w, c.kind).late += 1;
             }
         }
-        Hap::Platform => {
+        ScheduledEvent::Platform => {
             w.platform = (0..w.queriers.len())
                 .filter(|q| w.queriers[*q].up && w.queriers[*q].ready)
                 .collect();
-            push(w, SECOND, Hap::Platform);
+            push(w, SECOND, ScheduledEvent::Platform);
         }
-        Hap::Operate { order } => operate(w, order),
-        Hap::Trouble { at } => {
+        ScheduledEvent::Operate { order } => operate(w, order),
+        ScheduledEvent::Trouble { at } => {
             let trouble = w.troubles[at].clone();
             rules::tell(&mut w.rules, w.now - BEGIN, || format!("trouble: {trouble}"));
             rules::disturb(&mut w.rules, w.now - BEGIN);
             crate::scenario::befall(w, &trouble);
         }
-        Hap::Due { key } => due(w, key),
+        ScheduledEvent::Due { key } => due(w, key),
         _ => {}
     }
 }
@@ -646,7 +652,7 @@
             let n = w.orders.len();
             order(w, 0, marked(n));
             if left > 1 {
-                push(w, gap, Hap::Due { key: DueKey::Storm { left: left - 1, gap } });
+                push(w, gap, ScheduledEvent::Due { key: DueKey::Storm { left: left - 1, gap } });
             }
         }
         _ => {}
@@ -655,16 +661,16 @@
 
 /// Lets something follow after a while.
 pub fn later(w: &mut World, after: Span, key: DueKey) {
-    push(w, after, Hap::Due { key });
+    push(w, after, ScheduledEvent::Due { key });
 }
 
 /// Whether this machine's controller has a seat.
-pub fn seated(n: &SeatNode) -> bool {
-    n.core.seat != grebepath_core::voters::voter_set::NOBODY
+pub fn seated(n: &ControllerNode) -> bool {
+    n.core.slot != grebepath_core::voters::voter_set::NOBODY
 }
 
 /// The machines that are up and have a seat.
-pub fn seated_up(w: &World) -> impl Iterator<Item = &SeatNode> {
+pub fn seated_up(w: &World) -> impl Iterator<Item = &ControllerNode> {
     w.seats.iter().filter(|s| s.up && seated(s))
 }
 
@@ -672,16 +678,17 @@
 /// and no machine thinks it has another's.
 pub fn seats_whole(w: &World) -> bool {
     let Some(best) = seated_up(w).max_by_key(|n| {
-        let list = &n.core.seating.roll.table.seats;
+        let list = &n.core.seating.roll.table.slots;
         list.iter().map(|h| u64::from(h.generation)).sum::<u64>()
     }) else {
         return false;
     };
     let table = &best.core.seating.roll.table;
-    let whole = |n: &SeatNode| n.core.parts.iter().all(|p| p.life == Life::Formed);
-    table.seats.iter().enumerate().all(|(k, h)| {
+    let whole =
+        |n: &ControllerNode| n.core.partitions.iter().all(|p| p.life == ReplicaCondition::Formed);
+    table.slots.iter().enumerate().all(|(k, h)| {
         let held: Vec<_> =
-            seated_up(w).filter(|n| usize::from(n.core.seat) == k && whole(n)).collect();
+            seated_up(w).filter(|n| usize::from(n.core.slot) == k && whole(n)).collect();
         held.len() == 1 && held[0].core.seating.roll.me == h.holder
     })
 }
@@ -689,9 +696,9 @@
 /// Whether all seats that are up show the same configuration and all
 /// queriers that are up obey it.
 pub fn settled(w: &World) -> bool {
-    let top = seated_up(w).map(|s| s.core.parts[0].shown_rev).max();
+    let top = seated_up(w).map(|s| s.core.partitions[0].committed_revision).max();
     let Some(top) = top else { return false };
-    seated_up(w).all(|s| s.core.parts[0].shown_rev == top)
+    seated_up(w).all(|s| s.core.partitions[0].committed_revision == top)
         && w.queriers
             .iter()
             .filter(|q| q.up)
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -6,21 +6,21 @@
 pub fn order(w: &mut World, after: Span, order: Order) -> usize {
     w.orders.push(order);
     let id = w.orders.len() - 1;
-    push(w, after, Hap::Operate { order: id });
+    push(w, after, ScheduledEvent::Operate { order: id });
     id
 }
 
 /// An order that sets a whole configuration.
 pub fn whole(conf: &Value) -> Order {
-    plain(Deed::Whole(conf.to_string().into_bytes()))
+    plain(Operation::Whole(conf.to_string().into_bytes()))
 }
 
 /// An order that changes some of it.
 pub fn patch(val: &Value) -> Order {
-    plain(Deed::Patch(val.to_string().into_bytes()))
+    plain(Operation::Patch(val.to_string().into_bytes()))
 }
 
-pub(super) fn plain(deed: Deed) -> Order {
+pub(super) fn plain(deed: Operation) -> Order {
     let request = None;
     Order { request, deed, at: 0, seat: None, done: None, zone: None, mark: None, expect: None }
 }
@@ -65,13 +65,13 @@
             let Some(s) = seats.get(below(&mut w.luck, seats.len() as u64) as usize) else {
                 return;
             };
-            let part = &w.seats[*s].core.parts[0];
-            let Ok(conf) = change::config(&part.shown) else { return };
+            let part = &w.seats[*s].core.partitions[0];
+            let Ok(conf) = change::config(&part.committed) else { return };
             let mut val = grebepath_core::config::show::json(&conf);
             if let Some(zones) = val["zones"].as_array_mut() {
                 zones.push(json!({ "name": format!("mark-{n}"), "state": "open" }));
             }
-            (o.deed, o.expect) = (whole(&val).deed, Some(part.shown_rev));
+            (o.deed, o.expect) = (whole(&val).deed, Some(part.committed_revision));
         }
         order(w, 0, o);
     }
@@ -81,7 +81,7 @@
     let up: Vec<usize> = (0..w.seats.len()).filter(|s| w.seats[*s].up).collect();
     if up.is_empty() {
         // Nobody to ask; the operator tries again, as grebectl does.
-        return push(w, ms(500), Hap::Operate { order: id });
+        return push(w, ms(500), ScheduledEvent::Operate { order: id });
     }
     let s = w.orders[id]
         .seat
@@ -102,10 +102,10 @@
         expect: w.orders[id].expect,
         deed: w.orders[id].deed.clone(),
     };
-    push(w, ms(1), Hap::ToSeat { s, life, event });
+    push(w, ms(1), ScheduledEvent::ToSeat { s, life, event });
 }
 
-pub(super) fn told(w: &mut World, id: usize, done: Done) {
+pub(super) fn told(w: &mut World, id: usize, done: OperationResult) {
     if id >= w.orders.len() {
         // A request that a controller without a seat had handed on, and whose
         // connection is gone: as in the daemon, nobody waits for the outcome.
@@ -114,16 +114,16 @@
     let now = w.now - BEGIN;
     rules::tell(&mut w.rules, now, || {
         let text = match &done {
-            Done::Accepted { revision, copies, .. } => {
+            OperationResult::Accepted { revision, copies, .. } => {
                 format!("accepted as {revision}, {copies} copies")
             }
-            Done::Bounced { why } => format!("bounced: {why}"),
-            Done::Unknown { why } => format!("unknown: {why}"),
+            OperationResult::Bounced { why } => format!("bounced: {why}"),
+            OperationResult::Unknown { why } => format!("unknown: {why}"),
             _ => "told".into(),
         };
         format!("order {id} {text}")
     });
-    if let Done::Accepted { revision, .. } = &done {
+    if let OperationResult::Accepted { revision, .. } = &done {
         w.rules.accepted.push((now, *revision));
         for back in w.rules.restarts.iter_mut().filter(|b| b.order == Some(id)) {
             back.accepted = Some(now);
@@ -152,19 +152,19 @@
 
 /// The configuration that most seats have committed.
 pub fn committed(w: &World) -> Config {
-    let best = seated_up(w).max_by_key(|s| s.core.parts[0].shown_rev);
-    best.and_then(|s| change::config(&s.core.parts[0].shown).ok()).unwrap_or_default()
+    let best = seated_up(w).max_by_key(|s| s.core.partitions[0].committed_revision);
+    best.and_then(|s| change::config(&s.core.partitions[0].committed).ok()).unwrap_or_default()
 }
 
 /// Ends a run: the checks that only the end allows.
 pub fn finish(w: &mut World) {
     let now = w.now - BEGIN;
     let conf = committed(w);
-    let top = seated_up(w).map(|s| s.core.parts[0].shown_rev).max().unwrap_or(0);
+    let top = seated_up(w).map(|s| s.core.partitions[0].committed_revision).max().unwrap_or(0);
     for id in 0..w.orders.len() {
         let (Some(done), mark) = (&w.orders[id].done, &w.orders[id].mark) else { continue };
         match done {
-            Done::Accepted { revision, .. } => {
+            OperationResult::Accepted { revision, .. } => {
                 if *revision > top {
                     let text = format!("order {id} was accepted as {revision}, the end is {top}");
                     rules::broken(&mut w.rules, now, 12, text);
@@ -175,7 +175,7 @@
                     rules::broken(&mut w.rules, now, 12, text);
                 }
             }
-            Done::Bounced { .. } => {
+            OperationResult::Bounced { .. } => {
                 if let Some(mark) = mark
                     && conf.zones.contains_key(mark)
                 {
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -23,7 +23,7 @@
         .collect();
     n.wakes = vec![0; THREADS as usize];
     let life = n.life;
-    push(w, below_ms(seed, 50), Hap::QWake { q, life });
+    push(w, below_ms(seed, 50), ScheduledEvent::QWake { q, life });
 }
 
 /// Ends a querier at once.
@@ -32,10 +32,14 @@
     w.queriers[q].up = false;
     w.queriers[q].ready = false;
     w.queriers[q].life += 1;
-    let wire = ((q as u64) << 32) | life;
+    let connection = ((q as u64) << 32) | life;
     for s in 0..w.seats.len() {
         let life = w.seats[s].life;
-        push(w, ms(2), Hap::ToSeat { s, life, event: CoreEvent::WireGone { wire } });
+        push(
+            w,
+            ms(2),
+            ScheduledEvent::ToSeat { s, life, event: CoreEvent::WireGone { connection } },
+        );
     }
     let gone: Vec<u64> =
         w.calls.iter().filter(|(_, c)| c.q == q && c.life == life).map(|(id, _)| *id).collect();
@@ -46,67 +50,67 @@
     }
     let runs: Vec<RunKey> = w.by_key.keys().filter(|k| k.0 == q && k.1 == life).copied().collect();
     for key in runs {
-        push(w, ms(1), Hap::LeafDrop { key });
+        push(w, ms(1), ScheduledEvent::LeafDrop { key });
     }
 }
 
 pub(super) fn step_watch(w: &mut World, q: usize, event: wat::Event) {
     let local = w.now - w.queriers[q].began + BOOT;
     let todo = qstep::step(&mut w.queriers[q].watch, local, event);
-    if w.broken == Some(Broken::SlipBack) && w.queriers[q].watch.built_rev > 0 {
+    if w.broken == Some(Broken::SlipBack) && w.queriers[q].watch.built_revision > 0 {
         w.queriers[q].watch.sure = true;
     }
     for command in todo {
         watch_does(w, q, command);
     }
     let held = &w.queriers[q].watch.held;
-    let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.rev)).collect();
-    for (part, rev) in places {
-        if rev > 0 && !seen(w, q, part, rev) {
+    let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
+    for (part, revision) in places {
+        if revision > 0 && !seen(w, q, part, revision) {
             let sum = grebepath_core::replication::leader::sum(
-                &w.queriers[q].watch.held[&PartId(part)].map,
+                &w.queriers[q].watch.held[&PartitionId(part)].map,
             );
-            rules::same(&mut w.rules, w.now - BEGIN, part, rev, sum);
+            rules::same(&mut w.rules, w.now - BEGIN, part, revision, sum);
         }
     }
 }
 
 /// Whether this querier's holding of a revision was compared already.
-pub(super) fn seen(w: &mut World, q: usize, part: u32, rev: u64) -> bool {
+pub(super) fn seen(w: &mut World, q: usize, part: u32, revision: u64) -> bool {
     let key = (1_000 + part + 100 * q as u32, 0);
-    w.rules.truth.insert(key, rev) == Some(rev)
+    w.rules.truth.insert(key, revision) == Some(revision)
 }
 
 pub(super) fn watch_does(w: &mut World, q: usize, command: wat::Command) {
     let life = w.queriers[q].life;
     let zone = w.queriers[q].zone.clone();
     match command {
-        wat::Command::ToSeat { seat, msg } => {
-            let Some(h) = w.queriers[q].watch.table.seats.get(usize::from(seat)) else { return };
+        wat::Command::ToSeat { slot: seat, message } => {
+            let Some(h) = w.queriers[q].watch.table.slots.get(usize::from(seat)) else { return };
             let Some(s) = machine(w, &h.addr) else { return };
-            to_controller(w, q, s, msg);
+            to_controller(w, q, s, message);
         }
-        wat::Command::ToAll { msg } => {
+        wat::Command::ToAll { message } => {
             for s in w.core.seeds.clone() {
-                to_controller(w, q, s, msg.clone());
+                to_controller(w, q, s, message.clone());
             }
         }
         wat::Command::Seats => {}
-        wat::Command::ToMember { msg: Msg::Words { .. }, .. }
+        wat::Command::ToMember { message: Message::Words { .. }, .. }
             if w.broken == Some(Broken::NoWords) => {}
-        wat::Command::ToMember { name, msg, .. } => {
-            weigh(&mut w.net, "querier-querier", &msg);
+        wat::Command::ToMember { name, message, .. } => {
+            weigh(&mut w.net, "querier-querier", &message);
             let Some(to) = w.queriers.iter().position(|n| n.name == name) else { return };
             let tozone = w.queriers[to].zone.clone();
             let from = (Node::Querier(q), zone.as_str());
             let at = send(&mut w.net, w.now, from, (Node::Querier(to), &tozone), &mut w.luck);
             if let Some(at) = at {
-                let event = wat::Event::FromMember { name: w.queriers[q].name.clone(), msg };
+                let event = wat::Event::FromMember { name: w.queriers[q].name.clone(), message };
                 let life = w.queriers[to].life;
-                push_at(w, at, Hap::ToWatch { q: to, life, event });
+                push_at(w, at, ScheduledEvent::ToWatch { q: to, life, event });
             }
         }
-        wat::Command::View(view) => {
+        wat::Command::ClusterView(view) => {
             rules::views(&mut w.rules, w.now - BEGIN, q, view.revision);
             if w.broken == Some(Broken::StaleView) && q == 0 && view.revision > 1 {
                 return;
@@ -124,8 +128,8 @@
                 view = std::sync::Arc::new(own);
             }
             for t in 0..THREADS as usize {
-                let event = engine::Event::View(view.clone());
-                push(w, 20, Hap::ToDesk { q, life, t, event });
+                let event = engine::Event::ClusterView(view.clone());
+                push(w, 20, ScheduledEvent::ToDesk { q, life, t, event });
             }
         }
         wat::Command::Shares(list) => {
@@ -136,18 +140,31 @@
                     share.slots = vec![share.mine];
                 }
                 let event = engine::Event::Share(share);
-                push(w, 20, Hap::ToDesk { q, life, t: t as usize, event });
+                push(w, 20, ScheduledEvent::ToDesk { q, life, t: t as usize, event });
             }
         }
         wat::Command::Peers(list) => {
             let peers = grebepath_core::query::quota::peers(&list);
             for t in 0..THREADS as usize {
-                push(w, 20, Hap::ToDesk { q, life, t, event: engine::Event::Peers(peers.clone()) });
+                push(
+                    w,
+                    20,
+                    ScheduledEvent::ToDesk {
+                        q,
+                        life,
+                        t,
+                        event: engine::Event::Peers(peers.clone()),
+                    },
+                );
             }
         }
         wat::Command::Door(door) => {
             for t in 0..THREADS as usize {
-                push(w, 20, Hap::ToDesk { q, life, t, event: engine::Event::Door(door) });
+                push(
+                    w,
+                    20,
+                    ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Door(door) },
+                );
             }
             if door == Door::Stopping {
                 later(w, ms(20), DueKey::EndQuerier(q, life));
@@ -155,7 +172,11 @@
         }
         wat::Command::Grip(until) => {
             for t in 0..THREADS as usize {
-                push(w, 20, Hap::ToDesk { q, life, t, event: engine::Event::Grip(until) });
+                push(
+                    w,
+                    20,
+                    ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Grip(until) },
+                );
             }
         }
         wat::Command::Ready(ready) => w.queriers[q].ready = ready,
@@ -164,7 +185,7 @@
                 w.queriers[q].polling = true;
                 let from = (Node::Querier(q), zone.as_str());
                 match send(&mut w.net, w.now, from, (Node::List, "a"), &mut w.luck) {
-                    Some(at) => push_at(w, at, Hap::ListAsked { q, life }),
+                    Some(at) => push_at(w, at, ScheduledEvent::ListAsked { q, life }),
                     None => list_late(w, q, life),
                 }
             }
@@ -172,7 +193,7 @@
         wat::Command::Probe(list) => {
             for info in list {
                 let after = below(&mut w.luck, ms(50)) + ms(1);
-                push(w, after, Hap::Probe { q, life, info });
+                push(w, after, ScheduledEvent::Probe { q, life, info });
             }
         }
         wat::Command::Alarm(text) => {
@@ -184,7 +205,7 @@
 }
 
 /// Hides that leafs leave.
-pub(super) fn deafen(view: &mut grebepath_core::snapshot::cluster_view::View) {
+pub(super) fn deafen(view: &mut grebepath_core::snapshot::cluster_view::ClusterView) {
     let hide = |l: &std::sync::Arc<LeafInfo>| {
         let mut own = (**l).clone();
         own.leaving = false;
@@ -202,7 +223,7 @@
 
 pub(super) fn list_late(w: &mut World, q: usize, life: u64) {
     let event = wat::Event::List(Err("no answer in time".into()));
-    push(w, consts::LIST_PATIENCE, Hap::ToWatch { q, life, event });
+    push(w, consts::LIST_PATIENCE, ScheduledEvent::ToWatch { q, life, event });
 }
 
 pub(super) fn list_asked(w: &mut World, q: usize, life: u64) {
@@ -220,7 +241,9 @@
     let pair = (Node::List, Node::Querier(q));
     let zone = w.queriers[q].zone.clone();
     match send(&mut w.net, now, (pair.0, "a"), (pair.1, &zone), &mut w.luck) {
-        Some(at) => push_at(w, at, Hap::ToWatch { q, life, event: wat::Event::List(got) }),
+        Some(at) => {
+            push_at(w, at, ScheduledEvent::ToWatch { q, life, event: wat::Event::List(got) })
+        }
         None => list_late(w, q, life),
     }
 }
@@ -256,7 +279,7 @@
         word.gone = true;
     }
     let event = wat::Event::Word { service: info.service.clone(), word };
-    push(w, ms(1), Hap::ToWatch { q, life, event });
+    push(w, ms(1), ScheduledEvent::ToWatch { q, life, event });
 }
 
 pub(super) fn step_desk(w: &mut World, q: usize, t: usize, event: engine::Event) {
@@ -278,7 +301,7 @@
         let known = n.wakes[t];
         if known == 0 || at < known || known <= w.now {
             n.wakes[t] = at;
-            push_at(w, at, Hap::DeskWake { q, life, t, at });
+            push_at(w, at, ScheduledEvent::DeskWake { q, life, t, at });
         }
     }
     for command in todo {
@@ -292,12 +315,16 @@
         engine::Command::Send(sending) => dispatch(w, (q, life, t), sending),
         engine::Command::Drop { dispatch } => {
             let after = ms(1);
-            push(w, after, Hap::LeafDrop { key: (q, life, t, dispatch) });
+            push(w, after, ScheduledEvent::LeafDrop { key: (q, life, t, dispatch) });
         }
         engine::Command::Tell { call, outcome } => outcome_told(w, call, outcome),
         engine::Command::Word { service, word } => {
             if w.broken != Some(Broken::IgnoreLeaving) {
-                push(w, 20, Hap::ToWatch { q, life, event: wat::Event::Word { service, word } });
+                push(
+                    w,
+                    20,
+                    ScheduledEvent::ToWatch { q, life, event: wat::Event::Word { service, word } },
+                );
             }
         }
     }
@@ -306,17 +333,21 @@
 /// Puts a wish to stop to a querier; it is down a moment after it drained.
 pub fn stop_querier(w: &mut World, q: usize) {
     let life = w.queriers[q].life;
-    push(w, 1, Hap::ToWatch { q, life, event: wat::Event::Stop });
+    push(w, 1, ScheduledEvent::ToWatch { q, life, event: wat::Event::Stop });
 }
 
-fn to_controller(w: &mut World, q: usize, s: usize, msg: Msg) {
-    weigh(&mut w.net, "querier-seat", &msg);
+fn to_controller(w: &mut World, q: usize, s: usize, message: Message) {
+    weigh(&mut w.net, "querier-seat", &message);
     let zones = (w.queriers[q].zone.clone(), w.seats[s].zone.clone());
-    let ends = (Node::Querier(q), Node::Seat(s as u8));
+    let ends = (Node::Querier(q), Node::Controller(s as u8));
     let at = send(&mut w.net, w.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut w.luck);
     if let Some(at) = at {
-        let wire = ((q as u64) << 32) | w.queriers[q].life;
+        let connection = ((q as u64) << 32) | w.queriers[q].life;
         let life = w.seats[s].life;
-        push_at(w, at, Hap::ToSeat { s, life, event: CoreEvent::FromWire { wire, msg } });
+        push_at(
+            w,
+            at,
+            ScheduledEvent::ToSeat { s, life, event: CoreEvent::FromWire { connection, message } },
+        );
     }
 }
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -8,10 +8,10 @@
 /// One more machine for a controller, with an empty disk; gives its number.
 pub fn add_seat(w: &mut World, zone: Option<&str>) -> usize {
     let s = w.seats.len();
-    let disk = simulated_disk::disk(parts().count());
+    let disk = simulated_disk::disk(partitions().count());
     let core = st::core(Default::default(), ("", ""), Vec::new(), 0, 1);
     let zone = zone.unwrap_or(ZONES[s % ZONES.len()]).to_string();
-    w.seats.push(SeatNode {
+    w.seats.push(ControllerNode {
         zone,
         life: 0,
         up: false,
@@ -29,7 +29,7 @@
 pub fn start_seat(w: &mut World, s: usize) {
     let seed = draw(&mut w.luck);
     let start = Start {
-        seat: w.core.told.then_some(s as Seat).filter(|s| usize::from(*s) < w.core.seats),
+        slot: w.core.told.then_some(s as VoterSlot).filter(|s| usize::from(*s) < w.core.seats),
         first: w.now == BEGIN,
         seeds: w.core.seeds.iter().map(|s| address(*s)).collect(),
         size: w.core.seats,
@@ -44,13 +44,13 @@
     let list = found
         .into_iter()
         .map(|(part, found)| match found {
-            Found::Empty if forgets => (part, Life::Formed, Copy::default(), 0),
-            Found::Empty => (part, Life::Empty, Copy::default(), 0),
+            Found::Empty if forgets => (part, ReplicaCondition::Formed, Copy::default(), 0),
+            Found::Empty => (part, ReplicaCondition::Empty, Copy::default(), 0),
             Found::Damaged(why) => {
                 *w.alarms.entry(format!("damaged: {why}")).or_default() += 1;
-                (part, Life::Damaged, Copy::default(), 0)
+                (part, ReplicaCondition::Damaged, Copy::default(), 0)
             }
-            Found::Good { copy, .. } => (part, Life::Formed, copy, 0),
+            Found::Good { copy, .. } => (part, ReplicaCondition::Formed, copy, 0),
         })
         .collect();
     let n = &mut w.seats[s];
@@ -61,17 +61,17 @@
     n.stopping = None;
     n.core = st::core(roll, (&start.addr, &n.zone), list, seed, BOOT);
     let life = n.life;
-    push(w, below_ms(seed, 50), Hap::SeatWake { s, life });
+    push(w, below_ms(seed, 50), ScheduledEvent::SeatWake { s, life });
     // It dials its seeds and all whom it knows, who tell it the table.
     for to in ways(w, s) {
-        introduce(w, to, CoreEvent::Opened { wire: wire_of(s, life) });
+        introduce(w, to, CoreEvent::Opened { connection: wire_of(s, life) });
     }
 }
 
-/// The machines to which a controller has wires.
+/// The machines to which a controller has connections.
 fn ways(w: &World, s: usize) -> Vec<usize> {
     let table = &w.seats[s].core.seating.roll.table;
-    let known = table.seats.iter().filter_map(|h| machine(w, &h.addr));
+    let known = table.slots.iter().filter_map(|h| machine(w, &h.addr));
     let mut list: Vec<usize> = known.chain(w.core.seeds.iter().copied()).collect();
     list.retain(|to| *to != s && *to < w.seats.len());
     list.sort_unstable();
@@ -79,14 +79,14 @@
     list
 }
 
-/// The wire that a controller's machine opens to others.
+/// The connection that a controller's machine opens to others.
 fn wire_of(s: usize, life: u64) -> u64 {
     1 << 63 | (s as u64) << 32 | life
 }
 
 fn introduce(w: &mut World, to: usize, event: CoreEvent) {
     let life = w.seats[to].life;
-    push(w, ms(2), Hap::ToSeat { s: to, life, event });
+    push(w, ms(2), ScheduledEvent::ToSeat { s: to, life, event });
 }
 
 /// What a seat hears when seats go by tables of their own.
@@ -96,13 +96,13 @@
         return Some(event);
     }
     match &mut event {
-        CoreEvent::FromSeat { msg: Msg::Seats { .. }, .. }
-        | CoreEvent::FromWire { msg: Msg::Seats { .. }, .. }
-        | CoreEvent::Answer { msg: Msg::Seats { .. } } => return None,
-        CoreEvent::FromSeat { seat, holder, msg, .. } => {
+        CoreEvent::FromSeat { message: Message::Seats { .. }, .. }
+        | CoreEvent::FromWire { message: Message::Seats { .. }, .. }
+        | CoreEvent::Answer { message: Message::Seats { .. } } => return None,
+        CoreEvent::FromSeat { slot: seat, holder, message, .. } => {
             let table = &core.seating.roll.table;
-            *holder = table.seats.get(usize::from(*seat)).map_or(0, |h| h.holder);
-            if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(msg) {
+            *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
+            if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(message) {
                 *stamp = core.seating.stamp;
             }
         }
@@ -111,17 +111,17 @@
     Some(event)
 }
 
-/// What comes on a new wire is preceded by its opening.
+/// What comes on a new connection is preceded by its opening.
 pub(super) fn open_wire(w: &mut World, s: usize, event: &CoreEvent) {
-    let wire = match event {
-        CoreEvent::FromSeat { wire, .. }
-        | CoreEvent::FromWire { wire, .. }
-        | CoreEvent::Opened { wire } => *wire,
+    let connection = match event {
+        CoreEvent::FromSeat { connection, .. }
+        | CoreEvent::FromWire { connection, .. }
+        | CoreEvent::Opened { connection } => *connection,
         _ => return,
     };
-    let new = w.opened.insert((s, w.seats[s].life, wire));
+    let new = w.opened.insert((s, w.seats[s].life, connection));
     if new && !matches!(event, CoreEvent::Opened { .. }) {
-        step_seat(w, s, CoreEvent::Opened { wire });
+        step_seat(w, s, CoreEvent::Opened { connection });
     }
 }
 
@@ -187,15 +187,15 @@
 pub(super) fn seat_does(w: &mut World, s: usize, command: st::Command) {
     let life = w.seats[s].life;
     match command {
-        st::Command::ToSeat { seat, msg } => {
+        st::Command::ToSeat { slot: seat, message } => {
             let table = &w.seats[s].core.seating.roll.table;
-            let Some(to) = table.seats.get(usize::from(seat)) else { return };
+            let Some(to) = table.slots.get(usize::from(seat)) else { return };
             let Some(to) = machine(w, &to.addr) else { return };
-            to_machine(w, s, to, msg);
+            to_machine(w, s, to, message);
         }
-        st::Command::ToAll { msg } => {
+        st::Command::ToAll { message } => {
             for to in ways(w, s) {
-                to_machine(w, s, to, msg.clone());
+                to_machine(w, s, to, message.clone());
             }
         }
         // Wires are not played; who is new tells its table when it is heard.
@@ -204,44 +204,56 @@
             let at =
                 simulated_disk::keep(&mut w.seats[s].disk, w.now, token, roll, clear, &mut w.luck);
             if let Some(at) = at {
-                push_at(w, at, Hap::Kept { s, life, token });
+                push_at(w, at, ScheduledEvent::Kept { s, life, token });
             }
         }
-        st::Command::ToWire { wire, msg } if wire >> 63 == 1 => {
-            weigh(&mut w.net, "seat-seat", &msg);
-            let (to, tolife) = ((wire << 1 >> 33) as usize, wire & 0xffff_ffff);
-            let ends = (Node::Seat(s as u8), Node::Seat(to as u8));
+        st::Command::ToWire { connection, message } if connection >> 63 == 1 => {
+            weigh(&mut w.net, "seat-seat", &message);
+            let (to, tolife) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
+            let ends = (Node::Controller(s as u8), Node::Controller(to as u8));
             let zones = (w.seats[s].zone.clone(), w.seats[to].zone.clone());
             let at = send(&mut w.net, w.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut w.luck);
             if let Some(at) = at {
-                let event = CoreEvent::Answer { msg };
-                push_at(w, at, Hap::ToSeat { s: to, life: tolife, event });
+                let event = CoreEvent::Answer { message };
+                push_at(w, at, ScheduledEvent::ToSeat { s: to, life: tolife, event });
             }
         }
-        st::Command::ToWire { wire, msg } => {
-            weigh(&mut w.net, "seat-querier", &msg);
-            let (q, qlife) = ((wire >> 32) as usize, wire & 0xffff_ffff);
+        st::Command::ToWire { connection, message } => {
+            weigh(&mut w.net, "seat-querier", &message);
+            let (q, qlife) = ((connection >> 32) as usize, connection & 0xffff_ffff);
             let to = (Node::Querier(q), w.queriers[q].zone.clone());
             let zone = w.seats[s].zone.clone();
-            let from = (Node::Seat(s as u8), zone.as_str());
+            let from = (Node::Controller(s as u8), zone.as_str());
             let at = send(&mut w.net, w.now, from, (to.0, &to.1), &mut w.luck);
             if let Some(at) = at {
                 let holder = w.seats[s].core.seating.roll.me;
-                push_at(w, at, Hap::FromSeat { q, life: qlife, holder, msg });
+                push_at(w, at, ScheduledEvent::FromSeat { q, life: qlife, holder, message });
             }
         }
-        st::Command::Append { part, token, rec } => disk_job(w, s, part, token, Job::Append(rec)),
-        st::Command::Slot { part, token, copy } => disk_job(w, s, part, token, Job::Slot(copy)),
-        st::Command::Look { part } => {
+        st::Command::Append { partition: part, token, rec } => {
+            disk_job(w, s, part, token, Job::Append(rec))
+        }
+        st::Command::Slot { partition: part, token, copy } => {
+            disk_job(w, s, part, token, Job::Slot(copy))
+        }
+        st::Command::Look { partition: part } => {
             if w.seats[s].disk.health != Health::Stalled && w.broken != Some(Broken::NoLook) {
                 let trouble = simulated_disk::look(&w.seats[s].disk, part);
-                push(w, ms(3), Hap::ToSeat { s, life, event: CoreEvent::Looked { part, trouble } });
+                push(
+                    w,
+                    ms(3),
+                    ScheduledEvent::ToSeat {
+                        s,
+                        life,
+                        event: CoreEvent::Looked { partition: part, trouble },
+                    },
+                );
             }
         }
         st::Command::Tell { op, done } => told(w, op as usize, done),
         st::Command::OwnAnswer { .. } => {}
         st::Command::WakeAfter { span } => {
-            push(w, span, Hap::ToSeat { s, life, event: CoreEvent::Wake });
+            push(w, span, ScheduledEvent::ToSeat { s, life, event: CoreEvent::Wake });
         }
         st::Command::Alarm(text) => {
             rules::tell(&mut w.rules, w.now - BEGIN, || format!("seat {s} (life {life}): {text}"));
@@ -251,31 +263,40 @@
 }
 
 /// A controller sends to another's machine, as who it is just now.
-fn to_machine(w: &mut World, s: usize, to: usize, msg: Msg) {
-    weigh(&mut w.net, "seat-seat", &msg);
-    let ends = (Node::Seat(s as u8), Node::Seat(to as u8));
+fn to_machine(w: &mut World, s: usize, to: usize, message: Message) {
+    weigh(&mut w.net, "seat-seat", &message);
+    let ends = (Node::Controller(s as u8), Node::Controller(to as u8));
     let zones = (w.seats[s].zone.clone(), w.seats[to].zone.clone());
     let at = send(&mut w.net, w.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut w.luck);
     let Some(at) = at else { return };
     let n = &w.seats[s];
-    let wire = wire_of(s, n.life);
+    let connection = wire_of(s, n.life);
     let event = if seated(n) {
-        CoreEvent::FromSeat { seat: n.core.seat, holder: n.core.seating.roll.me, wire, msg }
+        CoreEvent::FromSeat {
+            slot: n.core.slot,
+            holder: n.core.seating.roll.me,
+            connection,
+            message,
+        }
     } else {
-        CoreEvent::FromWire { wire, msg }
+        CoreEvent::FromWire { connection, message }
     };
     let life = w.seats[to].life;
-    push_at(w, at, Hap::ToSeat { s: to, life, event });
+    push_at(w, at, ScheduledEvent::ToSeat { s: to, life, event });
 }
 
-pub(super) fn disk_job(w: &mut World, s: usize, part: PartId, token: u64, job: Job) {
+pub(super) fn disk_job(w: &mut World, s: usize, part: PartitionId, token: u64, job: Job) {
     let life = w.seats[s].life;
     let at = simulated_disk::begin(&mut w.seats[s].disk, w.now, part, token, job, &mut w.luck);
     if let Some(at) = at {
-        push_at(w, at, Hap::Disk { s, life, part, token });
+        push_at(w, at, ScheduledEvent::Disk { s, life, part, token });
     }
     if w.broken == Some(Broken::EarlyYes) {
-        push(w, 10, Hap::ToSeat { s, life, event: CoreEvent::Synced { part, token } });
+        push(
+            w,
+            10,
+            ScheduledEvent::ToSeat { s, life, event: CoreEvent::Synced { partition: part, token } },
+        );
     }
 }
 
@@ -286,10 +307,10 @@
         let life = w.seats[s].life;
         for (i, (part, token)) in simulated_disk::waiting(&w.seats[s].disk).into_iter().enumerate()
         {
-            push(w, ms(2 + i as u64), Hap::Disk { s, life, part, token });
+            push(w, ms(2 + i as u64), ScheduledEvent::Disk { s, life, part, token });
         }
         for token in simulated_disk::rolls(&w.seats[s].disk) {
-            push(w, ms(2), Hap::Kept { s, life, token });
+            push(w, ms(2), ScheduledEvent::Kept { s, life, token });
         }
     }
 }
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use grebepath_core::protocol::message::Done;
+use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use grebepath_simulator::net::{Node, cut};
 use grebepath_simulator::world::{self, DueKey, World};
@@ -83,7 +83,7 @@
         }
         Loss::Dark | Loss::DarkTogether | Loss::ZoneLost => {
             let together = loss != Loss::Dark;
-            let seats = (0..w.seats.len() as u8).map(Node::Seat);
+            let seats = (0..w.seats.len() as u8).map(Node::Controller);
             let all: Vec<Node> = seats.chain((0..w.queriers.len()).map(Node::Querier)).collect();
             for q in list {
                 for other in &all {
@@ -121,7 +121,8 @@
         let told = w.told_at.get(&id).copied();
         let waited = told.map(|at| at.saturating_sub(order.at.max(began)));
         match (&order.done, waited) {
-            (Some(Done::Accepted { .. }), Some(waited)) if waited <= ACKNOWLEDGED_WITHIN => {}
+            (Some(OperationResult::Accepted { .. }), Some(waited))
+                if waited <= ACKNOWLEDGED_WITHIN => {}
             (done, waited) => wrong.push(format!(
                 "order {} after {:?} ms: {done:?}",
                 id - n,
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use grebepath_core::protocol::message::Done;
+use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::time::{SECOND, ms};
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
@@ -48,11 +48,11 @@
 
 /// Which machine has a voter slot.
 fn holder(w: &World, slot: u8) -> Option<usize> {
-    w.seats.iter().position(|n| n.up && n.core.seat == slot)
+    w.seats.iter().position(|n| n.up && n.core.slot == slot)
 }
 
 fn accepted(w: &World) -> usize {
-    w.orders.iter().filter(|o| matches!(o.done, Some(Done::Accepted { .. }))).count()
+    w.orders.iter().filter(|o| matches!(o.done, Some(OperationResult::Accepted { .. }))).count()
 }
 
 /// Runs the cases on several threads.
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -4,7 +4,7 @@
 
 mod common;
 
-use grebepath_core::protocol::message::Done;
+use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::time::SECOND;
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
@@ -25,7 +25,7 @@
 }
 
 fn accepted(w: &World) -> usize {
-    w.orders.iter().filter(|o| matches!(o.done, Some(Done::Accepted { .. }))).count()
+    w.orders.iter().filter(|o| matches!(o.done, Some(OperationResult::Accepted { .. }))).count()
 }
 
 /// Plays with several seeds; each ends whole, with one state on all voters.
@@ -42,7 +42,7 @@
                 assert!(accepted(&w) > 400, "{name}, {seed}: {} accepted", accepted(&w));
                 // The last changes may be under way: let them come to rest.
                 let same = world::until(&mut w, 5 * SECOND, |w| {
-                    let copy = |s: usize| &w.seats[s].core.parts[0].copy;
+                    let copy = |s: usize| &w.seats[s].core.partitions[0].copy;
                     (1..3).all(|s| copy(s) == copy(0))
                 });
                 assert!(same, "{name}, {seed}: the replicas differ");
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -5,7 +5,7 @@
 
 use grebepath_core::config::change;
 use grebepath_core::digest::digest;
-use grebepath_core::protocol::message::{Deed, Done};
+use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::time::{SECOND, ms};
 use grebepath_simulator::linearizability::{
     Answer, AttemptNumber, Base, Effect, Recorder, Verdict, check,
@@ -40,7 +40,7 @@
 #[derive(Clone)]
 pub struct Change {
     pub request: String,
-    pub deed: Deed,
+    pub deed: Operation,
     base: Base,
     effect: Effect,
 }
@@ -55,7 +55,7 @@
     let text = value.to_string();
     let request = digest(format!("PATCH {text}").as_bytes());
     let base = Base { revision: None, edition: base.map(|b| b.0) };
-    Change { request, deed: Deed::Patch(text.into_bytes()), base, effect }
+    Change { request, deed: Operation::Patch(text.into_bytes()), base, effect }
 }
 
 /// The whole configuration of the scenario with one more zone.
@@ -73,7 +73,7 @@
     let text = value.to_string();
     let request = digest(format!("PUT {text}").as_bytes());
     let base = Base { revision: None, edition: base.map(|b| b.0) };
-    Change { request, deed: Deed::Whole(text.into_bytes()), base, effect }
+    Change { request, deed: Operation::Whole(text.into_bytes()), base, effect }
 }
 
 fn named(value: &mut Value, base: Option<(u64, u64)>) {
@@ -105,7 +105,7 @@
 /// the operator never hears the answer.
 pub fn send(site: &mut Site, machine: usize, change: &Change, lost: bool) -> usize {
     let text = match &change.deed {
-        Deed::Whole(text) | Deed::Patch(text) => text.clone(),
+        Operation::Whole(text) | Operation::Patch(text) => text.clone(),
         _ => Vec::new(),
     };
     let mark = u64::from_str_radix(&digest(&text)[..16], 16).unwrap_or_default();
@@ -119,14 +119,14 @@
 
 /// Reads the configuration through a machine.
 pub fn read(site: &mut Site, machine: usize) -> usize {
-    call(site, machine, None, Deed::Read, None, false)
+    call(site, machine, None, Operation::Read, None, false)
 }
 
 fn call(
     site: &mut Site,
     machine: usize,
     request: Option<String>,
-    deed: Deed,
+    deed: Operation,
     write: Option<AttemptNumber>,
     lost: bool,
 ) -> usize {
@@ -158,13 +158,13 @@
 }
 
 /// What a call was answered, if it was and the operator heard it.
-pub fn answer(site: &Site, call: usize) -> Option<&Done> {
+pub fn answer(site: &Site, call: usize) -> Option<&OperationResult> {
     let sent = &site.sent[call];
     site.world.orders[sent.order].done.as_ref().filter(|_| !sent.lost)
 }
 
 /// Sends a change and waits for the answer.
-pub fn ask(site: &mut Site, machine: usize, change: &Change) -> Option<Done> {
+pub fn ask(site: &mut Site, machine: usize, change: &Change) -> Option<OperationResult> {
     let call = send(site, machine, change, false);
     until(site, 12, |s| answer(s, call).is_some());
     answer(site, call).cloned()
@@ -175,7 +175,7 @@
     let call = read(site, machine);
     until(site, 12, |s| answer(s, call).is_some());
     match answer(site, call) {
-        Some(Done::Config { map, .. }) => objects(map),
+        Some(OperationResult::Config { map, .. }) => objects(map),
         _ => None,
     }
 }
@@ -195,7 +195,7 @@
         sent.noted = true;
         match (sent.write, done) {
             (Some(number), done) => site.recorder.answer_write(now, number, told(done)),
-            (None, Done::Config { revision, map }) => {
+            (None, OperationResult::Config { revision, map }) => {
                 let Some((zones, edition)) = objects(map) else { continue };
                 let number = site.recorder.send_read(sent.sent, format!("machine {}", sent.via));
                 let at = (*revision, Some(edition));
@@ -206,12 +206,12 @@
     }
 }
 
-fn told(done: &Done) -> Answer {
+fn told(done: &OperationResult) -> Answer {
     match done {
-        Done::Accepted { revision, .. } => Answer::Accepted { revision: *revision },
-        Done::Moved { revision } => Answer::Moved { version: Some(*revision) },
-        Done::Wrong(_) => Answer::Invalid,
-        Done::Bounced { .. } => Answer::Rejected,
+        OperationResult::Accepted { revision, .. } => Answer::Accepted { revision: *revision },
+        OperationResult::Moved { revision } => Answer::Moved { version: Some(*revision) },
+        OperationResult::Wrong(_) => Answer::Invalid,
+        OperationResult::Bounced { .. } => Answer::Rejected,
         _ => Answer::Unknown,
     }
 }
@@ -232,11 +232,11 @@
         let kind = match &site.world.orders[sent.order].done {
             _ if sent.lost => "lost",
             None => "none",
-            Some(Done::Accepted { .. }) => "accepted",
-            Some(Done::Moved { .. }) => "moved",
-            Some(Done::Wrong(_)) => "wrong",
-            Some(Done::Bounced { .. }) => "rejected",
-            Some(Done::Config { .. }) => "read",
+            Some(OperationResult::Accepted { .. }) => "accepted",
+            Some(OperationResult::Moved { .. }) => "moved",
+            Some(OperationResult::Wrong(_)) => "wrong",
+            Some(OperationResult::Bounced { .. }) => "rejected",
+            Some(OperationResult::Config { .. }) => "read",
             Some(_) => "unknown",
         };
         *out.entry(kind).or_insert(0) += 1;
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -5,7 +5,7 @@
 mod common;
 mod operators;
 
-use grebepath_core::protocol::message::Done;
+use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::random::{below, chance, luck};
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Trouble, befall, drawn, read};
@@ -45,13 +45,13 @@
 /// The machine whose controller leads the configuration.
 fn leader(world: &World) -> Option<usize> {
     use grebepath_core::replication::partition::Role;
-    let leads = |n: &world::SeatNode| matches!(&n.core.parts[0].role, Role::Leader(o) if o.serves);
+    let leads = |n: &world::ControllerNode| matches!(&n.core.partitions[0].role, Role::Leader(o) if o.serves);
     world.seats.iter().position(|n| n.up && leads(n))
 }
 
-fn revision(done: Option<Done>) -> u64 {
+fn revision(done: Option<OperationResult>) -> u64 {
     match done {
-        Some(Done::Accepted { revision, .. }) => revision,
+        Some(OperationResult::Accepted { revision, .. }) => revision,
         other => panic!("not accepted: {other:?}"),
     }
 }
@@ -82,7 +82,7 @@
             pass(&mut site, 500);
             revisions.push(revision(ask(&mut site, 1, order)));
         }
-        assert!(matches!(ask(&mut site, 2, &rival), Some(Done::Moved { .. })));
+        assert!(matches!(ask(&mut site, 2, &rival), Some(OperationResult::Moved { .. })));
         others(&mut site, count);
         let again = |site: &mut Site, when: &str| {
             for machine in 0..3 {
@@ -91,7 +91,7 @@
                     assert_eq!(revision(done), *want, "{when}, machine {machine}");
                 }
                 let done = ask(site, machine, &rival);
-                assert!(matches!(done, Some(Done::Moved { .. })), "{when}: {done:?}");
+                assert!(matches!(done, Some(OperationResult::Moved { .. })), "{when}: {done:?}");
             }
         };
         again(&mut site, "after the others");
@@ -192,11 +192,14 @@
     strike(&mut site, json!({ "do": "cut", "a": ["seats"], "b": ["queriers"] }));
     pass(&mut site, 4_000);
     let done = ask(&mut site, 1, &order);
-    assert!(matches!(done, Some(Done::Unknown { .. } | Done::Accepted { .. })), "{done:?}");
+    assert!(
+        matches!(done, Some(OperationResult::Unknown { .. } | OperationResult::Accepted { .. })),
+        "{done:?}"
+    );
     // A new one is committed, but may not be told before a member knows of it.
     let fresh = patch("other", Some((2, 3)));
     let done = ask(&mut site, 1, &fresh);
-    assert!(matches!(done, Some(Done::Unknown { .. })), "{done:?}");
+    assert!(matches!(done, Some(OperationResult::Unknown { .. })), "{done:?}");
     strike(&mut site, json!({ "do": "heal" }));
     pass(&mut site, 5_000);
     assert_eq!(revision(ask(&mut site, 2, &order)), want);
@@ -209,7 +212,7 @@
 /// Every controller's memory of orders is lost.
 fn forget(site: &mut Site) {
     for node in &mut site.world.seats {
-        node.core.parts[0].copy.map.retain(|key, _| !key.starts_with("order/"));
+        node.core.partitions[0].copy.map.retain(|key, _| !key.starts_with("order/"));
     }
 }
 
@@ -228,10 +231,10 @@
 #[test]
 fn two_orders_accepted_on_one_edition_are_caught() {
     let mut site = fleet(5);
-    let before = site.world.seats[0].core.parts[0].copy.map["terms"].clone();
+    let before = site.world.seats[0].core.partitions[0].copy.map["terms"].clone();
     revision(ask(&mut site, 0, &patch("first-of-two", Some((1, 2)))));
     for node in &mut site.world.seats {
-        node.core.parts[0].copy.map.insert("terms".into(), before.clone());
+        node.core.partitions[0].copy.map.insert("terms".into(), before.clone());
     }
     revision(ask(&mut site, 1, &patch("other", Some((1, 2)))));
     let why = judged(&site).unwrap_err();
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -111,7 +111,7 @@
     let w = play(&s, 5, None);
     assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
     match &w.orders[1].done {
-        Some(grebepath_core::protocol::message::Done::Unknown { why }) => {
+        Some(grebepath_core::protocol::message::OperationResult::Unknown { why }) => {
             assert!(why.contains("q0 (obeys 1)") && why.contains("q6 (obeys 1)"), "{why}");
         }
         other => panic!("{other:?}"),
--- a/crates/simulator/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use grebepath_core::protocol::message::Done;
+use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::time::{SECOND, ms};
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
@@ -41,10 +41,10 @@
 fn state(w: &World) -> String {
     let mut out = String::new();
     for (i, n) in w.seats.iter().enumerate() {
-        let lives: Vec<_> = n.core.parts.iter().map(|p| format!("{:?}", p.life)).collect();
-        let table = &n.core.seating.roll.table.seats;
+        let lives: Vec<_> = n.core.partitions.iter().map(|p| format!("{:?}", p.life)).collect();
+        let table = &n.core.seating.roll.table.slots;
         let list: Vec<_> = table.iter().map(|h| format!("{}:{}", h.generation, h.addr)).collect();
-        out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.core.seat);
+        out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.core.slot);
     }
     out + &w.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n")
 }
@@ -56,11 +56,11 @@
 
 /// Which machine has a seat.
 fn holder(w: &World, seat: u8) -> Option<usize> {
-    w.seats.iter().position(|n| n.up && n.core.seat == seat)
+    w.seats.iter().position(|n| n.up && n.core.slot == seat)
 }
 
 fn accepted(w: &World) -> usize {
-    w.orders.iter().filter(|o| matches!(o.done, Some(Done::Accepted { .. }))).count()
+    w.orders.iter().filter(|o| matches!(o.done, Some(OperationResult::Accepted { .. }))).count()
 }
 
 /// A spare in the zone, from the first second on.
@@ -89,7 +89,7 @@
     let w = play(&s, 5, None);
     assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
     assert_eq!(
-        (holder(&w, 1), w.seats[3].core.seat),
+        (holder(&w, 1), w.seats[3].core.slot),
         (None, grebepath_core::voters::voter_set::NOBODY)
     );
 }
@@ -130,7 +130,7 @@
         sound("cut off", &s, |w, _| {
             assert_eq!(holder(w, cut as u8), Some(3));
             // The old holder is a spare now, under another name.
-            assert_eq!(w.seats[cut].core.seat, grebepath_core::voters::voter_set::NOBODY);
+            assert_eq!(w.seats[cut].core.slot, grebepath_core::voters::voter_set::NOBODY);
         });
     }
 }
@@ -243,10 +243,10 @@
             order.seat = Some(spare);
             let id = world::order(w, 0, order);
             world::until(w, 6 * SECOND, |w| w.orders[id].done.is_some());
-            matches!(w.orders[id].done, Some(Done::Accepted { .. }))
+            matches!(w.orders[id].done, Some(OperationResult::Accepted { .. }))
         };
         let spares: Vec<usize> = (0..5)
-            .filter(|n| w.seats[*n].core.seat == grebepath_core::voters::voter_set::NOBODY)
+            .filter(|n| w.seats[*n].core.slot == grebepath_core::voters::voter_set::NOBODY)
             .collect();
         assert_eq!(spares.len(), 2);
         for spare in &spares {
@@ -254,7 +254,10 @@
         }
         // With the owner gone it finds the next one, or takes the seat itself.
         let owner = w.seats.iter().position(|n| {
-            matches!(n.core.parts[0].role, grebepath_core::replication::partition::Role::Leader(_))
+            matches!(
+                n.core.partitions[0].role,
+                grebepath_core::replication::partition::Role::Leader(_)
+            )
         });
         world::kill_seat(w, owner.unwrap(), false);
         for spare in spares {
