--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -13,7 +13,7 @@
 use grebepath_core::control_plane::order_memory;
 use grebepath_core::control_plane::order_memory::Recall;
 use grebepath_core::control_plane::step::{WAKE, step};
-use grebepath_core::protocol::message::{Map, Message, Operation, OperationResult};
+use grebepath_core::protocol::message::{EntryMap, Message, Operation, OperationResult};
 use grebepath_core::storage::writer;
 use grebepath_core::time::{BOOT, Tick};
 use grebepath_core::voters::voter_file::{Start, begin};
@@ -48,7 +48,7 @@
     {
         wake(&mut controller);
         if controller.next_op == 0 {
-            operate(&mut controller, "first", Operation::Whole(whole(routes)));
+            operate(&mut controller, "first", Operation::Replace(whole(routes)));
         }
     }
     println!(
@@ -72,7 +72,7 @@
 }
 
 /// Times what the memory of orders does for each of them, on a full map.
-fn memory_alone(map: &Map, orders: u64) {
+fn memory_alone(map: &EntryMap, orders: u64) {
     const ROUNDS: u64 = 20_000;
     let begin = Instant::now();
     let mut bytes = 0;
@@ -159,7 +159,7 @@
         controller.cost.processor += begin.elapsed();
         for command in commands {
             match command {
-                Command::Append { partition, token, rec } => {
+                Command::AppendRecord { partition, token, rec } => {
                     controller.cost.log_bytes += writer::rec(1, 1, &rec).len();
                     if let grebepath_core::storage::record::LogRecord::Change {
                         term,
@@ -172,16 +172,18 @@
                     }
                     queue.push(Event::Synced { partition, token });
                 }
-                Command::Slot { partition, token, copy } => {
+                Command::WriteSnapshot { partition, token, copy } => {
                     controller.cost.slots += 1;
                     controller.cost.slot_bytes += writer::slot(partition.0, 1, &copy).len();
                     queue.push(Event::Synced { partition, token });
                 }
-                Command::Keep { token, .. } => queue.push(Event::Kept { token }),
-                Command::Tell { done: OperationResult::Accepted { .. }, .. } => {
+                Command::WriteVoterFile { token, .. } => {
+                    queue.push(Event::VoterFileWritten { token })
+                }
+                Command::Respond { done: OperationResult::Accepted { .. }, .. } => {
                     controller.accepted += 1
                 }
-                Command::Tell { done, .. } => panic!("not accepted: {done:?}"),
+                Command::Respond { done, .. } => panic!("not accepted: {done:?}"),
                 _ => {}
             }
         }
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -10,7 +10,7 @@
 use crate::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
 use crate::random::{Random, luck, mix};
 use crate::replication::partition::{Partition, partition};
-use crate::storage::record::{Copy, LogRecord};
+use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::{Span, Tick};
 use crate::voters::voter_file::VoterFile;
 use crate::voters::voter_set::{NOBODY, seat_of};
@@ -107,32 +107,32 @@
 /// What happens to a controller.
 pub enum Event {
     /// On a connection that `holder` opened as the holder of `seat`.
-    FromSeat {
+    FromVoter {
         slot: VoterSlot,
         holder: u64,
         connection: ConnectionId,
         message: Message,
     },
     /// On a connection that we opened to a controller.
-    Answer {
+    FromController {
         message: Message,
     },
     /// Somebody opened a connection to us.
-    Opened {
+    ConnectionOpened {
         connection: ConnectionId,
     },
     /// The roll of this token is on disk.
-    Kept {
+    VoterFileWritten {
         token: u64,
     },
-    RollTrouble {
+    VoterFileFailed {
         why: String,
     },
-    FromWire {
+    FromConnection {
         connection: ConnectionId,
         message: Message,
     },
-    WireGone {
+    ConnectionClosed {
         connection: ConnectionId,
     },
     /// Every write of the part up to this token is synced.
@@ -140,12 +140,12 @@
         partition: PartitionId,
         token: u64,
     },
-    DiskTrouble {
+    DiskFailed {
         partition: PartitionId,
         why: String,
     },
     /// A part's files were read again; what is wrong with them, if anything.
-    Looked {
+    Scrubbed {
         partition: PartitionId,
         trouble: Option<String>,
     },
@@ -156,7 +156,7 @@
         deed: Operation,
     },
     /// An operator vouches that lost copies are lost for good.
-    Vouch,
+    ForceRecovery,
     /// The process goes down: give up every part now.
     Stop,
     Wake,
@@ -164,50 +164,50 @@
 
 /// What a controller wants done.
 pub enum Command {
-    ToSeat {
+    ToVoter {
         slot: VoterSlot,
         message: Message,
     },
-    ToWire {
+    ToConnection {
         connection: ConnectionId,
         message: Message,
     },
     /// To every controller that we know a way to.
-    ToAll {
+    Broadcast {
         message: Message,
     },
     /// The table of the seats or our place in it changed: see to the connections.
-    Seats,
+    VoterSetChanged,
     /// Keep the roll; with `clear`, set all parts' files aside before.
-    Keep {
+    WriteVoterFile {
         token: u64,
         roll: VoterFile,
         clear: bool,
     },
     /// Append a record to the part's log and sync it.
-    Append {
+    AppendRecord {
         partition: PartitionId,
         token: u64,
         rec: LogRecord,
     },
     /// Write the other slot, sync it, begin a new log.
-    Slot {
+    WriteSnapshot {
         partition: PartitionId,
         token: u64,
-        copy: Copy,
+        copy: ReplicaState,
     },
     /// Read the part's files again, behind all that was asked before.
-    Look {
+    Scrub {
         partition: PartitionId,
     },
     /// What an operator is told, once for each request.
-    Tell {
+    Respond {
         op: u64,
         done: OperationResult,
     },
     /// Our own answer, as the leader, to an attempt of this process. `step` takes
     /// it back; it never comes out.
-    OwnAnswer {
+    OwnResponse {
         op: u64,
         attempt: u64,
         done: OperationResult,
@@ -224,7 +224,7 @@
 pub fn core(
     roll: VoterFile,
     here: (&str, &str),
-    found: Vec<(PartitionId, ReplicaCondition, Copy, u64)>,
+    found: Vec<(PartitionId, ReplicaCondition, ReplicaState, u64)>,
     seed: u64,
     now: Tick,
 ) -> ControllerState {
@@ -234,7 +234,7 @@
     let list = partitions()
         .map(|id| {
             let (life, copy, len) =
-                found.remove(&id).unwrap_or((ReplicaCondition::Empty, Copy::default(), 0));
+                found.remove(&id).unwrap_or((ReplicaCondition::Empty, ReplicaState::default(), 0));
             partition(id, life, copy, len, now)
         })
         .collect();
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -9,7 +9,7 @@
 use crate::consts;
 use crate::control_plane::controller::{Command, Counts};
 use crate::identifiers::part_of;
-use crate::protocol::message::Word;
+use crate::protocol::message::LeafReport;
 use crate::replication::leader::change;
 use crate::replication::partition::{Partition, leader};
 use crate::snapshot::leafs::{LEAF, LeafInfo, key};
@@ -127,7 +127,7 @@
     p: &mut Partition,
     now: Tick,
     g: VoterGroup,
-    words: Vec<Word>,
+    words: Vec<LeafReport>,
     out: &mut Vec<Command>,
 ) {
     if !leader(p).is_some_and(|o| o.serves) {
--- a/crates/core/src/control_plane/feed.rs
+++ b/crates/core/src/control_plane/feed.rs
@@ -5,7 +5,7 @@
 use crate::control_plane::members;
 use crate::control_plane::order_memory::{is_memory, without_memory};
 use crate::identifiers::{COHORT, PartitionId};
-use crate::protocol::message::{FeedPosition, Map, Message};
+use crate::protocol::message::{EntryMap, FeedPosition, Message};
 use crate::replication::partition::Partition;
 use crate::storage::record::put;
 
@@ -34,7 +34,7 @@
 }
 
 /// Takes over a copy whose way here is not known.
-pub fn reseed(p: &mut Partition, revision: u64, map: &Map) {
+pub fn reseed(p: &mut Partition, revision: u64, map: &EntryMap) {
     // A leader that re-writes what we have already tells us nothing new.
     if p.copy.revision == revision && p.copy.map == *map {
         return;
@@ -57,10 +57,10 @@
             .filter(|(r, _)| *r > place && *r <= revision)
             .flat_map(|(_, entries)| entries.iter().filter(|e| !is_memory(&e.0)).cloned())
             .collect();
-        return Some(Message::News { partition: p.id, from: Some(place), revision, entries });
+        return Some(Message::Update { partition: p.id, from: Some(place), revision, entries });
     }
     let entries = without_memory(&p.committed).into_iter().map(|(k, v)| (k, Some(v))).collect();
-    Some(Message::News { partition: p.id, from: None, revision, entries })
+    Some(Message::Update { partition: p.id, from: None, revision, entries })
 }
 
 /// Brings every follower up to what is committed, if that has changed. Each is
@@ -88,15 +88,15 @@
         && *at < told
     {
         *at = told;
-        let message = Message::Tell(core.members.membership.clone());
-        out.push(Command::ToWire { connection, message });
+        let message = Message::MembershipUpdate(core.members.membership.clone());
+        out.push(Command::ToConnection { connection, message });
     }
     for p in &core.partitions {
         let place = places.entry(p.id).or_insert(0);
         if let Some(message) = news(p, *place) {
             *place = p.committed_revision;
             core.counts.news += 1;
-            out.push(Command::ToWire { connection, message });
+            out.push(Command::ToConnection { connection, message });
         }
     }
 }
@@ -124,7 +124,10 @@
         partition: COHORT,
         revision: members::mark(&core.members.membership),
     });
-    out.push(Command::ToWire { connection, message: Message::Reach { places, stamp } });
+    out.push(Command::ToConnection {
+        connection,
+        message: Message::FeedPositions { places, stamp },
+    });
     bring(core, connection, out);
 }
 
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -12,7 +12,7 @@
 use crate::control_plane::controller::{Command, ControllerState};
 use crate::control_plane::members;
 use crate::control_plane::members::Gone;
-use crate::protocol::message::{Map, Member, OperationResult};
+use crate::protocol::message::{EntryMap, Member, OperationResult};
 use crate::replication::leader;
 use crate::replication::leader::change;
 use crate::replication::partition::OperationOrigin;
@@ -46,7 +46,7 @@
 }
 
 /// The forgotten members of a state of the partition.
-fn entries(map: &Map) -> BTreeMap<&str, Forgotten> {
+fn entries(map: &EntryMap) -> BTreeMap<&str, Forgotten> {
     map.range(FORGOTTEN.to_string()..)
         .map_while(|(key, value)| Some((key.strip_prefix(FORGOTTEN)?, value)))
         .filter_map(|(name, value)| Some((name, read_entry(value)?)))
@@ -77,7 +77,7 @@
         // It is forgotten already.
         None if known.is_none() || members::is_live(&core.members, now, name) => {
             let why = "no such member, or it still renews its tenure".to_string();
-            let answer = PendingAnswer::Refusal(OperationResult::Bounced { why });
+            let answer = PendingAnswer::Refusal(OperationResult::Rejected { why });
             pending_operations::add(p, now, group, from, answer, out);
         }
         _ => {
@@ -99,7 +99,7 @@
     let group = here(core);
     let p = &mut core.partitions[0];
     let key = format!("{FORGOTTEN}{}", member.name);
-    let names = |map: &Map| {
+    let names = |map: &EntryMap| {
         map.get(&key)
             .and_then(|value| read_entry(value))
             .is_some_and(|entry| entry.incarnation == member.incarnation)
@@ -112,7 +112,7 @@
 }
 
 /// The change that forgets a member, and drops the oldest entries.
-fn changes(map: &Map, name: &str, entry: Forgotten) -> Vec<Entry> {
+fn changes(map: &EntryMap, name: &str, entry: Forgotten) -> Vec<Entry> {
     let known = entries(map);
     let mut oldest: Vec<(u64, &str)> = known
         .iter()
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -93,7 +93,10 @@
         if from.is_none()
             && let Role::Follower { leader: Some((slot, _)), .. } = core.partitions[0].role
         {
-            out.push(Command::ToSeat { slot, message: Message::Renew { member, count, far } });
+            out.push(Command::ToVoter {
+                slot,
+                message: Message::RenewLease { member, count, far },
+            });
         }
         return;
     };
@@ -117,10 +120,11 @@
         advance(core, now, out);
     }
     let revision = core.partitions[0].committed_revision;
-    let message = Message::Lease { name, incarnation, count, term, revision, tell_membership };
+    let message =
+        Message::LeaseGranted { name, incarnation, count, term, revision, tell_membership };
     match (from, connection) {
-        (Some(slot), _) => out.push(Command::ToSeat { slot, message }),
-        (None, Some(connection)) => out.push(Command::ToWire { connection, message }),
+        (Some(slot), _) => out.push(Command::ToVoter { slot, message }),
+        (None, Some(connection)) => out.push(Command::ToConnection { connection, message }),
         (None, None) => {}
     }
 }
@@ -370,9 +374,9 @@
 pub fn tell(core: &ControllerState, out: &mut Vec<Command>) {
     // Who follows the membership as a part is told with the other news.
     for (connection, _) in core.followers.iter().filter(|(_, list)| !list.contains_key(&COHORT)) {
-        out.push(Command::ToWire {
+        out.push(Command::ToConnection {
             connection: *connection,
-            message: Message::Tell(core.members.membership.clone()),
+            message: Message::MembershipUpdate(core.members.membership.clone()),
         });
     }
 }
@@ -400,7 +404,7 @@
     match core.partitions[0].role {
         Role::Leader(_) => membership_log::learn(core, now, membership),
         Role::Follower { leader: Some((slot, _)), .. } if direct => {
-            out.push(Command::ToSeat { slot, message: Message::Tell(membership) });
+            out.push(Command::ToVoter { slot, message: Message::MembershipUpdate(membership) });
         }
         _ => {}
     }
@@ -409,14 +413,14 @@
 /// Sends the state to a follower that just said where it stands.
 pub fn greet(core: &ControllerState, connection: ConnectionId, out: &mut Vec<Command>) {
     if core.members.membership.term > 0 {
-        let message = Message::Tell(core.members.membership.clone());
-        out.push(Command::ToWire { connection, message });
+        let message = Message::MembershipUpdate(core.members.membership.clone());
+        out.push(Command::ToConnection { connection, message });
     }
 }
 
 /// The leader granted a lease that we had handed over.
 pub fn granted(core: &ControllerState, name: &str, message: Message, out: &mut Vec<Command>) {
     if let Some(connection) = core.members.connections.get(name) {
-        out.push(Command::ToWire { connection: *connection, message });
+        out.push(Command::ToConnection { connection: *connection, message });
     }
 }
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -107,7 +107,7 @@
         let none = Version { id: MembershipId::default(), settled: 0, confirmed: false };
         leading.sent = Some((none, now));
         for slot in others(group) {
-            out.push(Command::ToSeat { slot, message: Message::FetchMembership { term } });
+            out.push(Command::ToVoter { slot, message: Message::FetchMembership { term } });
         }
     }
     false
@@ -212,7 +212,7 @@
     for slot in lacking {
         let (current, older) = (current.clone(), older.clone());
         let message = Message::ReplicateMembership { term, current, confirmed, older };
-        out.push(Command::ToSeat { slot, message });
+        out.push(Command::ToVoter { slot, message });
     }
 }
 
@@ -248,7 +248,7 @@
     }
     let Version { id, settled, confirmed } = version;
     let message = Message::MembershipReplicated { term, id, settled, confirmed, stamp: 0 };
-    out.push(Command::ToSeat { slot: from, message });
+    out.push(Command::ToVoter { slot: from, message });
 }
 
 /// A voter holds what we sent.
@@ -275,7 +275,7 @@
     core.members.log.term = term;
     let (current, others) = held(&core.members.membership, &core.members.log);
     let message = Message::MembershipFetched { term, current, others, stamp: 0 };
-    out.push(Command::ToSeat { slot: from, message });
+    out.push(Command::ToVoter { slot: from, message });
 }
 
 /// A voter told which memberships it holds.
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -96,8 +96,8 @@
         return at_owner(core, now, from, Request { id, expect, deed }, out);
     }
     let term = to.term;
-    let message = Message::Operate { op, attempt, term, request: id, expect, deed };
-    out.push(Command::ToSeat { slot: to.slot, message });
+    let message = Message::OperationRequest { op, attempt, term, request: id, expect, deed };
+    out.push(Command::ToVoter { slot: to.slot, message });
 }
 
 /// We came to a voter slot or lost ours: what is answered to us under our former
@@ -124,8 +124,11 @@
 
 /// A controller without a voter slot took us for a voter. It is to ask another.
 pub fn misdirected(connection: ConnectionId, op: u64, attempt: u64, out: &mut Vec<Command>) {
-    let done = OperationResult::Bounced { why: "this controller has no voter slot".into() };
-    out.push(Command::ToWire { connection, message: Message::Operated { op, attempt, done } });
+    let done = OperationResult::Rejected { why: "this controller has no voter slot".into() };
+    out.push(Command::ToConnection {
+        connection,
+        message: Message::OperationResponse { op, attempt, done },
+    });
 }
 
 /// Whether an attempt comes for the first time.
@@ -155,7 +158,7 @@
         at_owner(core, now, from, request, out);
     } else {
         let why = "the seat it was handed to does not own the configuration".to_string();
-        tell(from, OperationResult::Bounced { why }, out);
+        tell(from, OperationResult::Rejected { why }, out);
     }
 }
 
@@ -206,7 +209,7 @@
         ask.maybe = true;
         ask.said = Some(why.clone());
     }
-    let again = matches!(done, OperationResult::Bounced { .. } | OperationResult::Unknown { .. });
+    let again = matches!(done, OperationResult::Rejected { .. } | OperationResult::Unknown { .. });
     if again && now < ask.until {
         ask.sent = None;
         return;
@@ -215,21 +218,21 @@
     core.ops.swap_remove(&op);
     match done {
         OperationResult::Accepted { .. } => core.counts.accepted += 1,
-        OperationResult::Config { .. } | OperationResult::Status { .. } => {}
+        OperationResult::Configuration { .. } | OperationResult::Status { .. } => {}
         _ => core.counts.bounced += 1,
     }
-    out.push(Command::Tell { op, done });
+    out.push(Command::Respond { op, done });
 }
 
 /// What may be told of an outcome, with what became of earlier attempts.
 fn certain(ask: &PendingRequest, done: OperationResult) -> OperationResult {
     match done {
         OperationResult::Accepted { .. }
-        | OperationResult::Config { .. }
+        | OperationResult::Configuration { .. }
         | OperationResult::Status { .. }
         | OperationResult::Unknown { .. } => done,
-        OperationResult::Bounced { why } if ask.maybe => OperationResult::Unknown { why },
-        OperationResult::Bounced { .. } => done,
+        OperationResult::Rejected { why } if ask.maybe => OperationResult::Unknown { why },
+        OperationResult::Rejected { .. } => done,
         // An earlier attempt may still reach any leader and be carried out.
         _ if ask.maybe && ask.unfenced => {
             let why = "refused, but an earlier attempt may still be carried out".to_string();
@@ -251,7 +254,7 @@
         let done = overdue(ask);
         core.ops.swap_remove(&id);
         core.counts.bounced += 1;
-        out.push(Command::Tell { op: id, done });
+        out.push(Command::Respond { op: id, done });
     }
 }
 
@@ -259,10 +262,10 @@
 fn overdue(ask: &PendingRequest) -> OperationResult {
     match ask.sent {
         None if !ask.maybe => {
-            OperationResult::Bounced { why: "the configuration has no leader now".into() }
+            OperationResult::Rejected { why: "the configuration has no leader now".into() }
         }
         _ if matches!(ask.deed, Operation::Read | Operation::Status) => {
-            OperationResult::Bounced { why: "no answer in time".into() }
+            OperationResult::Rejected { why: "no answer in time".into() }
         }
         _ => {
             let silent = || "the leader did not answer in time".to_string();
@@ -274,12 +277,12 @@
 /// Gives outcomes of lent requests back on the connections that they came on.
 pub fn give_back(core: &mut ControllerState, out: &mut [Command]) {
     for command in out {
-        if let Command::Tell { op, done } = command
+        if let Command::Respond { op, done } = command
             && let Some(ForwardedOperation { connection, number, attempt }) =
                 core.lent.swap_remove(op)
         {
-            let message = Message::Operated { op: number, attempt, done: done.clone() };
-            *command = Command::ToWire { connection, message };
+            let message = Message::OperationResponse { op: number, attempt, done: done.clone() };
+            *command = Command::ToConnection { connection, message };
         }
     }
 }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -8,7 +8,7 @@
 use crate::control_plane::controller::{Command, ControllerState};
 use crate::control_plane::order_memory;
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
-use crate::protocol::message::{Map, Operation, OperationResult};
+use crate::protocol::message::{EntryMap, Operation, OperationResult};
 use crate::replication::leader;
 use crate::replication::leader::{change, tell};
 use crate::replication::partition::{OperationOrigin, Partition};
@@ -40,7 +40,7 @@
         .is_none_or(|o| pending_operations::full(o))
     {
         let why = "too many requests wait at the leader".to_string();
-        return tell(from, OperationResult::Bounced { why }, out);
+        return tell(from, OperationResult::Rejected { why }, out);
     }
     let p = &mut core.partitions[0];
     match &request.deed {
@@ -48,10 +48,10 @@
         Operation::Status => {
             pending_operations::add(p, now, group, from, PendingAnswer::Status, out)
         }
-        Operation::Forget(name) => {
+        Operation::ForgetMember(name) => {
             crate::control_plane::forgotten_members::forget(core, now, from, name, out)
         }
-        Operation::Whole(text) => {
+        Operation::Replace(text) => {
             let judged = judge(p, &request, true, text);
             carry_out(p, now, group, from, judged, out);
         }
@@ -106,13 +106,13 @@
         Recall::Accepted { revision } => return Judged::Made { revision },
         Recall::OtherText => {
             let text = "this request id was used for another request".to_string();
-            return Judged::Refused(OperationResult::Wrong(vec![("request".into(), text)]));
+            return Judged::Refused(OperationResult::Invalid(vec![("request".into(), text)]));
         }
         Recall::Absent => {}
     }
     if request.expect.is_some_and(|want| want != p.copy.revision) {
         let base = OrderBase { revision: request.expect, ..OrderBase::default() };
-        let moved = OperationResult::Moved { revision: p.copy.revision };
+        let moved = OperationResult::Conflict { revision: p.copy.revision };
         return Judged::Refused(forgotten(map, &base).unwrap_or(moved));
     }
     let (mut entries, edition) = match planned(map, request.expect, whole, text) {
@@ -120,7 +120,7 @@
         Ok(Planned::Refused(done)) => return Judged::Refused(done),
         Err(all) => {
             let list = all.into_iter().map(|f| (f.place, f.text)).collect();
-            return Judged::Refused(OperationResult::Wrong(list));
+            return Judged::Refused(OperationResult::Invalid(list));
         }
     };
     entries.extend(order_memory::remember(map, &order, p.copy.revision + 1, edition));
@@ -139,7 +139,7 @@
 /// that names the edition it builds on is held to it, and one that names its
 /// own must go beyond the one that stands.
 fn planned(
-    map: &Map,
+    map: &EntryMap,
     expect: Option<u64>,
     whole: bool,
     text: &[u8],
@@ -154,7 +154,7 @@
     let Turn { after, edition, .. } = new.turn;
     let base = OrderBase { revision: expect, edition: after, next_edition: edition };
     if base.edition.is_some_and(|n| n != old.terms.edition) {
-        let moved = OperationResult::Moved { revision: old.terms.edition };
+        let moved = OperationResult::Conflict { revision: old.terms.edition };
         return Ok(Planned::Refused(forgotten(map, &base).unwrap_or(moved)));
     }
     if base.next_edition.is_some_and(|n| n <= old.terms.edition) {
@@ -170,7 +170,7 @@
 
 /// No clear answer, if an order that would be refused may have been accepted
 /// and forgotten.
-fn forgotten(map: &Map, base: &OrderBase) -> Option<OperationResult> {
+fn forgotten(map: &EntryMap, base: &OrderBase) -> Option<OperationResult> {
     let horizon = order_memory::horizon(map);
     let Horizon { revision, edition } = horizon;
     may_be_forgotten(&horizon, base).then_some(OperationResult::Forgotten { revision, edition })
--- a/crates/core/src/control_plane/order_memory.rs
+++ b/crates/core/src/control_plane/order_memory.rs
@@ -19,7 +19,7 @@
 use crate::config::change::{Entry, edition};
 use crate::control_plane::order_memory_legacy as legacy;
 use crate::digest::digest_bytes;
-use crate::protocol::message::Map;
+use crate::protocol::message::EntryMap;
 
 /// Orders that are remembered at least (count): two days of 7,200 changes
 /// each, and an eighth more.
@@ -108,7 +108,7 @@
 }
 
 /// What the memory says of an order that came under this request id.
-pub fn recall(map: &Map, request: &str, order: &Fingerprint) -> Recall {
+pub fn recall(map: &EntryMap, request: &str, order: &Fingerprint) -> Recall {
     let records = bucket(map, order.bucket);
     match records.iter().rev().find(|record| record.request == order.request) {
         Some(record) if record.text == order.text => Recall::Accepted { revision: record.revision },
@@ -118,7 +118,7 @@
 }
 
 /// How far back the memory may have gaps.
-pub fn horizon(map: &Map) -> Horizon {
+pub fn horizon(map: &EntryMap) -> Horizon {
     let marked = marks(map).first().copied().unwrap_or_default();
     let older = legacy::horizon(map, edition(map));
     if older.revision > marked.revision { older } else { marked }
@@ -141,7 +141,12 @@
 /// The entries that remember an order accepted as `revision`, after which
 /// `next_edition` stands. They also forget what is older than needed, and carry
 /// over what a state of the older form remembers.
-pub fn remember(map: &Map, order: &Fingerprint, revision: u64, next_edition: u64) -> Vec<Entry> {
+pub fn remember(
+    map: &EntryMap,
+    order: &Fingerprint,
+    revision: u64,
+    next_edition: u64,
+) -> Vec<Entry> {
     let mut entries = Vec::new();
     let mut buckets: BTreeMap<u16, Vec<Record>> = BTreeMap::new();
     let (old_marks, mut new_marks) = (marks(map), marks(map));
@@ -170,7 +175,7 @@
 }
 
 /// The map without the memory, as it is given to queriers and operators.
-pub fn without_memory(map: &Map) -> Map {
+pub fn without_memory(map: &EntryMap) -> EntryMap {
     let rest = map.iter().filter(|(key, _)| !is_memory(key));
     rest.map(|(key, value)| (key.clone(), value.clone())).collect()
 }
@@ -178,7 +183,7 @@
 /// Takes the orders of the older form into `buckets` and removes their
 /// entries; gives the marks that hold from then on.
 fn carry_over(
-    map: &Map,
+    map: &EntryMap,
     buckets: &mut BTreeMap<u16, Vec<Record>>,
     entries: &mut Vec<Entry>,
 ) -> Vec<Horizon> {
@@ -212,7 +217,7 @@
 }
 
 /// The entry that puts a bucket in place of the one that stands, if it differs.
-fn rewritten(map: &Map, number: u16, records: &[Record]) -> Option<Entry> {
+fn rewritten(map: &EntryMap, number: u16, records: &[Record]) -> Option<Entry> {
     let key = bucket_key(number);
     let bytes: Vec<u8> = records.iter().flat_map(record_bytes).collect();
     let old = map.get(&key).map_or(&[][..], Vec::as_slice);
@@ -224,7 +229,7 @@
 }
 
 /// The records of a bucket, in the order in which they were accepted.
-fn bucket(map: &Map, number: u16) -> Vec<Record> {
+fn bucket(map: &EntryMap, number: u16) -> Vec<Record> {
     let bytes = map.get(&bucket_key(number)).map_or(&[][..], Vec::as_slice);
     bytes.chunks_exact(RECORD_BYTES).map(record).collect()
 }
@@ -240,7 +245,7 @@
 }
 
 /// Revisions with the editions that stood then, the horizon first.
-fn marks(map: &Map) -> Vec<Horizon> {
+fn marks(map: &EntryMap) -> Vec<Horizon> {
     let bytes = map.get(MARKS).map_or(&[][..], Vec::as_slice);
     let mark = |bytes: &[u8]| {
         let (revision, edition) = bytes.split_at(NUMBER_BYTES);
--- a/crates/core/src/control_plane/order_memory_legacy.rs
+++ b/crates/core/src/control_plane/order_memory_legacy.rs
@@ -6,7 +6,7 @@
 
 use crate::config::change::{Entry, with_prefix};
 use crate::control_plane::order_memory::{Fingerprint, Horizon, Recall, fingerprint_of_digest};
-use crate::protocol::message::Map;
+use crate::protocol::message::EntryMap;
 
 /// Prefix of the entries.
 const PREFIX: &str = "request/";
@@ -22,12 +22,12 @@
 }
 
 /// Whether there is anything to carry over.
-pub fn present(map: &Map) -> bool {
+pub fn present(map: &EntryMap) -> bool {
     with_prefix(map, PREFIX).next().is_some()
 }
 
 /// What these entries say of an order.
-pub fn recall(map: &Map, request: &str, order: &Fingerprint) -> Recall {
+pub fn recall(map: &EntryMap, request: &str, order: &Fingerprint) -> Recall {
     let known = map.get(&format!("{PREFIX}{request}")).and_then(|value| parsed(value));
     match known {
         None => Recall::Absent,
@@ -39,7 +39,7 @@
 }
 
 /// All orders that these entries remember, with their revisions.
-pub fn orders(map: &Map) -> impl Iterator<Item = (Fingerprint, u64)> {
+pub fn orders(map: &EntryMap) -> impl Iterator<Item = (Fingerprint, u64)> {
     with_prefix(map, PREFIX).filter_map(|(request, value)| {
         let (digest, revision) = parsed(value)?;
         Some((fingerprint_of_digest(request, &digest), revision))
@@ -47,13 +47,13 @@
 }
 
 /// The entries that remove all of this form.
-pub fn removed(map: &Map) -> impl Iterator<Item = Entry> {
+pub fn removed(map: &EntryMap) -> impl Iterator<Item = Entry> {
     with_prefix(map, PREFIX).map(|(request, _)| (format!("{PREFIX}{request}"), None))
 }
 
 /// How far back orders may be forgotten. Nobody noted which edition stood
 /// then; it was not above the one that stands now.
-pub fn horizon(map: &Map, edition: u64) -> Horizon {
+pub fn horizon(map: &EntryMap, edition: u64) -> Horizon {
     let revisions: Vec<u64> = orders(map).map(|(_, revision)| revision).collect();
     match revisions.iter().min() {
         Some(oldest) if revisions.len() >= KEPT => {
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -10,7 +10,7 @@
 };
 use crate::identifiers::{COHORT, PartitionId, VoterSlot};
 use crate::protocol::message::{Message, ReplicaCondition};
-use crate::replication::partition::{After, OperationOrigin, ReplicaStatus, Role, able};
+use crate::replication::partition::{AfterWrite, OperationOrigin, ReplicaStatus, Role, able};
 use crate::replication::{catch_up, election, leader, replica};
 use crate::storage::record::LogRecord;
 use crate::time::{Tick, ms};
@@ -28,43 +28,43 @@
 pub fn step(core: &mut ControllerState, now: Tick, event: Event) -> Vec<Command> {
     let mut out = Vec::new();
     match event {
-        Event::FromSeat { slot, holder, connection, message } => {
+        Event::FromVoter { slot, holder, connection, message } => {
             if heard(core, now, (slot, holder), connection, &message, &mut out) {
                 from_seat(core, now, slot, message, &mut out);
             }
         }
-        Event::Answer { message } => answer(core, now, message, &mut out),
-        Event::Opened { connection } => {
+        Event::FromController { message } => answer(core, now, message, &mut out),
+        Event::ConnectionOpened { connection } => {
             core.seating.connections.insert(connection);
             voter_slots::tell(core, connection, &mut out);
         }
-        Event::Kept { token } => voter_slots::kept(core, now, token, &mut out),
-        Event::RollTrouble { why } => voter_slots::trouble(core, now, &why, &mut out),
-        Event::FromWire { connection, message } => {
+        Event::VoterFileWritten { token } => voter_slots::kept(core, now, token, &mut out),
+        Event::VoterFileFailed { why } => voter_slots::trouble(core, now, &why, &mut out),
+        Event::FromConnection { connection, message } => {
             from_wire(core, now, connection, message, &mut out)
         }
-        Event::WireGone { connection } => {
+        Event::ConnectionClosed { connection } => {
             core.followers.swap_remove(&connection);
             core.seating.connections.swap_remove(&connection);
             operation_forwarding::connection_gone(core, connection);
             core.members.connections.retain(|_, w| *w != connection);
         }
         Event::Synced { partition, token } => synced(core, now, partition, token, &mut out),
-        Event::DiskTrouble { partition, why } => {
+        Event::DiskFailed { partition, why } => {
             let p = &mut core.partitions[partition.0 as usize];
             p.writes.clear();
             replica::step_back(p, now, why, &mut out);
         }
-        Event::Looked { partition, trouble: Some(why) } => {
+        Event::Scrubbed { partition, trouble: Some(why) } => {
             rotted(core, now, partition, &why, &mut out)
         }
-        Event::Looked { .. } => {}
+        Event::Scrubbed { .. } => {}
         Event::Operate { op, request, expect, deed } => {
             let request = Request { id: request, expect, deed };
             operation_forwarding::operate(core, now, op, request, &mut out);
         }
-        Event::Vouch => {
-            for p in core.partitions.iter_mut().filter(|p| p.life != ReplicaCondition::Formed) {
+        Event::ForceRecovery => {
+            for p in core.partitions.iter_mut().filter(|p| p.life != ReplicaCondition::Voting) {
                 p.relearn.vouched = true;
                 let text = format!("part {}: an operator vouches for what is left", p.id);
                 out.push(Command::Alarm(text));
@@ -88,9 +88,9 @@
 fn take_own_answers(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     let mut i = 0;
     while i < out.len() {
-        if !matches!(out[i], Command::OwnAnswer { .. }) {
+        if !matches!(out[i], Command::OwnResponse { .. }) {
             i += 1;
-        } else if let Command::OwnAnswer { op, attempt, done } = out.remove(i) {
+        } else if let Command::OwnResponse { op, attempt, done } = out.remove(i) {
             operation_forwarding::answered(core, now, (op, attempt), done, out);
         }
     }
@@ -118,7 +118,7 @@
         let p = &core.partitions[core.look_next];
         core.look_next = (core.look_next + 1) % core.partitions.len();
         if able(p) {
-            out.push(Command::Look { partition: p.id });
+            out.push(Command::Scrub { partition: p.id });
         }
     }
     members::wake(core, now, out);
@@ -145,7 +145,7 @@
 
 /// A seat that stepped back tries its disk again by writing a whole slot.
 fn mend(p: &mut crate::replication::partition::Partition, now: Tick, out: &mut Vec<Command>) {
-    if p.life == ReplicaCondition::Formed && p.writes.is_empty() && now >= p.mend_at {
+    if p.life == ReplicaCondition::Voting && p.writes.is_empty() && now >= p.mend_at {
         p.mend_at = now + consts::DISK_STALL;
         replica::keep_whole(p, now, Vec::new(), out);
     }
@@ -165,12 +165,14 @@
         p.synced_at = now;
         for after in write.after {
             match after {
-                After::Send(to, message) => out.push(Command::ToSeat { slot: to, message }),
-                After::OwnKept { term, revision } => {
+                AfterWrite::Send(to, message) => out.push(Command::ToVoter { slot: to, message }),
+                AfterWrite::OwnAppendSynced { term, revision } => {
                     leader::append_acked(p, now, (g, g.slot), term, revision, out)
                 }
-                After::OwnPromise { term } => election::own_vote_synced(p, now, g, term, out),
-                After::Formed => catch_up::formed(p, now, out),
+                AfterWrite::OwnVoteSynced { term } => {
+                    election::own_vote_synced(p, now, g, term, out)
+                }
+                AfterWrite::StartVoting => catch_up::formed(p, now, out),
             }
         }
     }
@@ -192,7 +194,7 @@
     message: &Message,
     out: &mut Vec<Command>,
 ) -> bool {
-    if let Message::Seats { table, .. } = message {
+    if let Message::VoterSetUpdate { table, .. } = message {
         voter_slots::learn(core, now, table, out);
     }
     if !voter_slots::holds(&core.seating, slot, holder) {
@@ -210,11 +212,11 @@
 /// A controller answers on a connection that we opened.
 fn answer(core: &mut ControllerState, now: Tick, message: Message, out: &mut Vec<Command>) {
     match message {
-        Message::Seats { me, table } => voter_slots::answered(core, now, me, &table, out),
-        Message::Offer { slot, stamp, free } => {
+        Message::VoterSetUpdate { me, table } => voter_slots::answered(core, now, me, &table, out),
+        Message::JoinOffer { slot, stamp, free } => {
             slot_takeover::offered(core, now, (slot, stamp), free, out);
         }
-        Message::Operated { op, attempt, done } => {
+        Message::OperationResponse { op, attempt, done } => {
             operation_forwarding::answered(core, now, (op, attempt), done, out);
         }
         Message::HandoverOffer { slot, generation } => {
@@ -291,11 +293,13 @@
         return;
     }
     match message {
-        Message::Renew { member, count, far } => {
+        Message::RenewLease { member, count, far } => {
             members::renew(core, now, Some(from), None, (member, count, far), out);
         }
-        Message::Lease { ref name, .. } => members::granted(core, &name.clone(), message, out),
-        Message::Tell(membership) => members::told(core, now, false, membership, out),
+        Message::LeaseGranted { ref name, .. } => {
+            members::granted(core, &name.clone(), message, out)
+        }
+        Message::MembershipUpdate(membership) => members::told(core, now, false, membership, out),
         Message::ReplicateMembership { term, current, confirmed, older } => {
             membership_log::take(core, from, term, (current, confirmed), older, out);
         }
@@ -307,12 +311,12 @@
         Message::MembershipFetched { term, current, others, .. } => {
             membership_log::fetched(core, from, term, current, others);
         }
-        Message::Operate { op, attempt, term, request, expect, deed } => {
+        Message::OperationRequest { op, attempt, term, request, expect, deed } => {
             let from = OperationOrigin { slot: Some(from), op, attempt };
             let request = Request { id: request, expect, deed };
             operation_forwarding::handed(core, now, from, term, request, out);
         }
-        Message::Operated { op, attempt, done } => {
+        Message::OperationResponse { op, attempt, done } => {
             operation_forwarding::answered(core, now, (op, attempt), done, out);
         }
         message => report(core, now, message, false, out),
@@ -349,19 +353,19 @@
     out: &mut Vec<Command>,
 ) {
     match message {
-        Message::Follow { places, stamp } => {
+        Message::Subscribe { places, stamp } => {
             let membership = places.iter().any(|p| p.partition == COHORT);
             if !membership && !core.followers.contains_key(&connection) {
                 members::greet(core, connection, out);
             }
             feed::follow(core, connection, places, stamp, out);
         }
-        Message::Renew { member, count, far } => {
+        Message::RenewLease { member, count, far } => {
             members::renew(core, now, None, Some(connection), (member, count, far), out);
         }
-        Message::Tell(membership) => members::told(core, now, true, membership, out),
-        Message::Seats { table, .. } => voter_slots::learn(core, now, &table, out),
-        Message::Apply { holder, addr, zone, stamp } => {
+        Message::MembershipUpdate(membership) => members::told(core, now, true, membership, out),
+        Message::VoterSetUpdate { table, .. } => voter_slots::learn(core, now, &table, out),
+        Message::JoinRequest { holder, addr, zone, stamp } => {
             slot_takeover::asked(core, now, connection, (holder, &addr, &zone), stamp, out);
         }
         Message::HandoverAccept { slot, holding } => {
@@ -371,11 +375,13 @@
             let state = Received { slot, generation, table, replicas, memberships };
             handover::received(core, now, connection, state, out);
         }
-        Message::Take { slot, holding } => slot_takeover::taken(core, now, slot, holding, out),
-        Message::Operate { op, attempt, .. } if core.slot == NOBODY => {
+        Message::SlotTakeover { slot, holding } => {
+            slot_takeover::taken(core, now, slot, holding, out)
+        }
+        Message::OperationRequest { op, attempt, .. } if core.slot == NOBODY => {
             operation_forwarding::misdirected(connection, op, attempt, out);
         }
-        Message::Operate { op, attempt, request, expect, deed, .. } => {
+        Message::OperationRequest { op, attempt, request, expect, deed, .. } => {
             let request = Request { id: request, expect, deed };
             let lent = ForwardedOperation { connection, number: op, attempt };
             operation_forwarding::lent(core, now, lent, request, out);
@@ -394,20 +400,20 @@
 ) {
     let g = here(core);
     let id = match &message {
-        Message::Listed { partition, .. } | Message::Words { partition, .. } => *partition,
+        Message::LeafList { partition, .. } | Message::LeafReports { partition, .. } => *partition,
         _ => return,
     };
     let Some(p) = core.partitions.get_mut(id.0 as usize) else { return };
     match &p.role {
         Role::Leader(_) => match message {
-            Message::Listed { fence, leafs, .. } => {
+            Message::LeafList { fence, leafs, .. } => {
                 endpoints::listed(p, now, g, fence, leafs, &mut core.counts, out);
             }
-            Message::Words { words, .. } => endpoints::words(p, now, g, words, out),
+            Message::LeafReports { words, .. } => endpoints::words(p, now, g, words, out),
             _ => {}
         },
         Role::Follower { leader: Some((to, _)), .. } if fresh => {
-            out.push(Command::ToSeat { slot: *to, message });
+            out.push(Command::ToVoter { slot: *to, message });
         }
         _ => {}
     }
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -10,7 +10,7 @@
 use crate::identifiers::{CONFIG, PartitionId, part_of, partitions};
 use crate::membership::node_agent::{Command, Heard, Watch, slots};
 use crate::membership::status;
-use crate::protocol::message::{Message, Word};
+use crate::protocol::message::{LeafReport, Message};
 use crate::snapshot::leafs::{LeafInfo, key};
 use crate::time::{Span, Tick, since};
 
@@ -85,11 +85,12 @@
         // With the core out of reach the list is told to nobody; that a leaf
         // leaves can be said among members too.
         for info in mine.iter().filter(|l| l.leaving) {
-            let word = Word { leaf: info.leaf.clone(), leaving: true, ..Word::default() };
+            let word =
+                LeafReport { leaf: info.leaf.clone(), leaving: true, ..LeafReport::default() };
             hear(w, info.service.clone(), word);
         }
         if !same {
-            to_core(w, Message::Listed { partition, fence, leafs: mine }, out);
+            to_core(w, Message::LeafList { partition, fence, leafs: mine }, out);
         }
     }
 }
@@ -107,14 +108,14 @@
 }
 
 /// Takes in what a leaf said of itself, to us or to a member of the membership.
-pub fn hear(w: &mut Watch, service: String, word: Word) {
+pub fn hear(w: &mut Watch, service: String, word: LeafReport) {
     w.gone_at = if word.gone { w.now } else { w.gone_at };
     if held(w, &service, &word.leaf).is_none_or(|info| committed(&info, &word)) {
         return;
     }
     let old = w.words.entry(word.leaf.clone()).or_insert_with(|| Heard {
         service,
-        word: Word { leaf: word.leaf.clone(), ..Word::default() },
+        word: LeafReport { leaf: word.leaf.clone(), ..LeafReport::default() },
         sent: 0,
         passed: 0,
     });
@@ -130,7 +131,7 @@
 
 /// Members hand on what leafs told them. The core has most likely been told as
 /// well; we tell it later if the feed stays silent.
-pub fn handed(w: &mut Watch, now: Tick, partition: PartitionId, words: Vec<Word>) {
+pub fn handed(w: &mut Watch, now: Tick, partition: PartitionId, words: Vec<LeafReport>) {
     for word in words {
         let known = w.held.get(&partition).and_then(|h| h.map.get(&key(&word.leaf)));
         let Some(info) = known.and_then(|v| LeafInfo::deserialize_bin(v).ok()) else { continue };
@@ -152,7 +153,7 @@
 }
 
 /// Whether a leaf's entry shows all that matters of a word.
-fn committed(info: &LeafInfo, word: &Word) -> bool {
+fn committed(info: &LeafInfo, word: &LeafReport) -> bool {
     let age = info.age_ms >= consts::AGE_TOLD_MS
         || word.age_ms < info.age_ms * consts::AGE_FACTOR + consts::AGE_FIRST_MS;
     (info.leaving || !(word.leaving || word.gone)) && age
@@ -167,8 +168,8 @@
         words.retain(|leaf, h| held(w, &h.service, leaf).is_some_and(|i| !committed(&i, &h.word)));
         w.words = words;
     }
-    let mut due: BTreeMap<PartitionId, Vec<Word>> = BTreeMap::new();
-    let mut pass: BTreeMap<PartitionId, Vec<Word>> = BTreeMap::new();
+    let mut due: BTreeMap<PartitionId, Vec<LeafReport>> = BTreeMap::new();
+    let mut pass: BTreeMap<PartitionId, Vec<LeafReport>> = BTreeMap::new();
     // An age can wait for others; that a leaf leaves or is gone can't.
     let ages = now >= w.ages_at;
     if ages {
@@ -190,14 +191,14 @@
     for (partition, words) in due {
         // To every seat: the one that serves us may be cut off from the owner.
         for slot in slots(w) {
-            let message = Message::Words { partition, words: words.clone() };
+            let message = Message::LeafReports { partition, words: words.clone() };
             out.push(Command::ToSeat { slot, message });
         }
     }
     if !pass.is_empty() {
         for name in w.ring.near.clone() {
             for (partition, words) in &pass {
-                let message = Message::Words { partition: *partition, words: words.clone() };
+                let message = Message::LeafReports { partition: *partition, words: words.clone() };
                 status::to_member(w, &name, message, out);
             }
         }
--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -36,8 +36,8 @@
     let mut list = places(w);
     list.push(FeedPosition { partition: COHORT, revision: mark(&w.membership) });
     let beyond = list.iter().map(|p| FeedPosition { revision: BEYOND, ..*p }).collect();
-    let whole = Message::Follow { places: list, stamp: w.stamp };
-    let only = Message::Follow { places: beyond, stamp: w.stamp };
+    let whole = Message::Subscribe { places: list, stamp: w.stamp };
+    let only = Message::Subscribe { places: beyond, stamp: w.stamp };
     if w.table.slots.is_empty() {
         out.push(Command::ToAll { message: whole.clone() });
     }
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -11,7 +11,7 @@
 use crate::membership::attestation::Proofs;
 use crate::membership::feed::Feed;
 use crate::membership::neighbour_ring::NeighbourRing;
-use crate::protocol::message::{FeedPosition, Map, Member, Membership, Message, Word};
+use crate::protocol::message::{EntryMap, FeedPosition, LeafReport, Member, Membership, Message};
 use crate::query::engine::Door;
 use crate::snapshot::cluster_view::ClusterView;
 use crate::snapshot::leafs::LeafInfo;
@@ -95,14 +95,14 @@
 #[derive(Default)]
 pub struct Held {
     pub revision: u64,
-    pub map: Map,
+    pub map: EntryMap,
 }
 
 /// A leaf's word that we heard, and when we last told the core and our
 /// neighbours; zero before the first time.
 pub struct Heard {
     pub service: String,
-    pub word: Word,
+    pub word: LeafReport,
     pub sent: Tick,
     pub passed: Tick,
 }
@@ -164,7 +164,7 @@
     /// A leaf spoke of itself, to a thread or to a probe.
     Word {
         service: String,
-        word: Word,
+        word: LeafReport,
     },
     /// A poll of the list has ended.
     List(Result<Vec<LeafInfo>, String>),
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -66,7 +66,7 @@
         ready: w.ready,
         leaving: w.drained,
     };
-    let message = Message::Renew { member: w.me.clone(), count, far };
+    let message = Message::RenewLease { member: w.me.clone(), count, far };
     let age = core_age(w, now);
     let worry = age >= consts::TENURE_WORRY;
     match w.lease.slot {
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -19,13 +19,20 @@
     match event {
         Event::FromSeat { slot, message } => match message {
             // Said under another table it may be of a seat given away.
-            Message::Reach { places, stamp } if stamp == w.stamp => {
+            Message::FeedPositions { places, stamp } if stamp == w.stamp => {
                 if let Some(cell) = w.reach.get_mut(usize::from(slot)) {
                     *cell = places;
                     w.feed.at.insert(slot, now);
                 }
             }
-            Message::Lease { ref name, incarnation, count, revision, tell_membership, .. } => {
+            Message::LeaseGranted {
+                ref name,
+                incarnation,
+                count,
+                revision,
+                tell_membership,
+                ..
+            } => {
                 if *name == w.me.name {
                     if incarnation == w.me.incarnation {
                         status::granted(w, Some(slot), count, revision);
@@ -33,7 +40,7 @@
                     if tell_membership && w.membership.term > 0 {
                         out.push(Command::ToSeat {
                             slot,
-                            message: Message::Tell(w.membership.clone()),
+                            message: Message::MembershipUpdate(w.membership.clone()),
                         });
                     }
                 } else if w.handed.contains_key(name) {
@@ -70,12 +77,12 @@
 /// What may come from a seat as well as from a member.
 fn any(w: &mut Watch, message: Message, member: bool, out: &mut Vec<Command>) {
     match message {
-        Message::News { partition, from, revision, entries }
+        Message::Update { partition, from, revision, entries }
             if updates::take(w, partition, from, revision, &entries, out) && member =>
         {
             w.counts.news_from_members += 1;
         }
-        Message::Tell(membership) if newer(&membership, &w.membership) => {
+        Message::MembershipUpdate(membership) if newer(&membership, &w.membership) => {
             w.membership = membership;
             attestation::adopt(w);
             w.ring = ring(&w.membership, &w.me.name);
@@ -107,30 +114,30 @@
             }
             // Ask a member only for what the core did not bring us in time.
             if ahead && config > 0 && status::core_age(w, now) >= consts::TENURE_WORRY {
-                let message = Message::Follow { places: places(w), stamp: w.stamp };
+                let message = Message::Subscribe { places: places(w), stamp: w.stamp };
                 status::to_member(w, &name, message, out);
             }
         }
-        Message::Seats { table, .. } => learn(w, &table, out),
-        Message::Follow { places, stamp } => {
+        Message::VoterSetUpdate { table, .. } => learn(w, &table, out),
+        Message::Subscribe { places, stamp } => {
             let list = updates::hand_on(w, &places);
-            let membership = Message::Tell(w.membership.clone());
-            let slots = Message::Seats { me: 0, table: w.table.clone() };
+            let membership = Message::MembershipUpdate(w.membership.clone());
+            let slots = Message::VoterSetUpdate { me: 0, table: w.table.clone() };
             let slots = (stamp != w.stamp).then_some(slots);
             for message in list.into_iter().chain([membership]).chain(slots) {
                 status::to_member(w, name, message, out);
             }
         }
-        Message::Renew { member, count, far } => {
+        Message::RenewLease { member, count, far } => {
             // Hand a neighbour's renewal over, if our own way to the core works.
             if status::core_age(w, now) < consts::TENURE_WORRY {
                 w.handed.insert(member.name.clone(), now);
                 w.counts.handed_renewals += 1;
-                assignments::to_core(w, Message::Renew { member, count, far }, out);
+                assignments::to_core(w, Message::RenewLease { member, count, far }, out);
             }
         }
-        Message::Words { partition, words } => assignments::handed(w, now, partition, words),
-        Message::Lease { name, incarnation, count, revision, .. }
+        Message::LeafReports { partition, words } => assignments::handed(w, now, partition, words),
+        Message::LeaseGranted { name, incarnation, count, revision, .. }
             if name == w.me.name && incarnation == w.me.incarnation =>
         {
             status::granted(w, None, count, revision);
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -65,7 +65,7 @@
                 return None;
             }
             let entries = held.map.iter().map(|(k, v)| (k.clone(), Some(v.clone()))).collect();
-            Some(Message::News {
+            Some(Message::Update {
                 partition: place.partition,
                 from: None,
                 revision: held.revision,
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -21,7 +21,7 @@
 }
 
 /// The stored contents of a part.
-pub type Map = BTreeMap<String, Vec<u8>>;
+pub type EntryMap = BTreeMap<String, Vec<u8>>;
 
 /// How a replica stands to a part.
 #[derive(Clone, Copy, Debug, PartialEq, DeBin, SerBin)]
@@ -30,7 +30,7 @@
     Empty,
     /// Something on disk that can't be trusted.
     Damaged,
-    Formed,
+    Voting,
 }
 
 /// A member as the membership knows it.
@@ -75,7 +75,7 @@
 
 /// What a leaf said of itself to one of us.
 #[derive(Clone, Debug, PartialEq, Default, DeBin, SerBin)]
-pub struct Word {
+pub struct LeafReport {
     pub leaf: String,
     pub leaving: bool,
     /// Somebody else answers at its address: this identity is gone.
@@ -123,13 +123,13 @@
 /// What an operator's request asks.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum Operation {
-    Whole(Vec<u8>),
+    Replace(Vec<u8>),
     Patch(Vec<u8>),
     Read,
     /// The members with their progress; the seat adds what it knows itself.
     Status,
     /// This member is down for good: count it no longer.
-    Forget(String),
+    ForgetMember(String),
 }
 
 /// What came of it.
@@ -140,19 +140,19 @@
         copies: u32,
         again: bool,
     },
-    Config {
+    Configuration {
         revision: u64,
-        map: Map,
+        map: EntryMap,
     },
     Status {
         membership: Membership,
         far: Vec<(String, u64, MemberProgress)>,
     },
-    Wrong(Vec<(String, String)>),
-    Moved {
+    Invalid(Vec<(String, String)>),
+    Conflict {
         revision: u64,
     },
-    Bounced {
+    Rejected {
         why: String,
     },
     Unknown {
@@ -175,7 +175,7 @@
     /// Term under which `map` was last written.
     pub term: u64,
     pub revision: u64,
-    pub map: Map,
+    pub map: EntryMap,
 }
 
 /// The memberships that a voter knows.
@@ -199,28 +199,28 @@
     // ---- seats ----
     /// The table of the seats, and who tells it: first on each connection that
     /// somebody opened to a controller, and whenever it changes.
-    Seats {
+    VoterSetUpdate {
         me: u64,
         table: VoterSet,
     },
     /// A seat lives; said where nothing else shows it.
-    Here {
+    VoterAlive {
         stamp: u64,
     },
     /// Which seat would you give me?
-    Apply {
+    JoinRequest {
         holder: u64,
         addr: String,
         zone: String,
         stamp: u64,
     },
-    Offer {
+    JoinOffer {
         slot: VoterSlot,
         stamp: u64,
         free: Vec<VoterSlot>,
     },
     /// Give me this one.
-    Take {
+    SlotTakeover {
         slot: VoterSlot,
         holding: SlotHolder,
     },
@@ -283,7 +283,7 @@
         promised: u64,
         term: u64,
         revision: u64,
-        map: Map,
+        map: EntryMap,
     },
     /// Would you grant a claim? Changes nothing.
     PreVoteRequest {
@@ -317,7 +317,7 @@
         partition: PartitionId,
         term: u64,
         revision: u64,
-        map: Map,
+        map: EntryMap,
     },
     Append {
         partition: PartitionId,
@@ -357,32 +357,32 @@
     // ---- the feed ----
     /// Where the follower stands in each part; also asks for what is newer.
     /// `stamp` is that of its table of the seats.
-    Follow {
+    Subscribe {
         places: Vec<FeedPosition>,
         stamp: u64,
     },
     /// `from` is the place it continues; a snapshot has none.
-    News {
+    Update {
         partition: PartitionId,
         from: Option<u64>,
         revision: u64,
         entries: Vec<Entry>,
     },
     /// How far a seat has accepted each part of which it can say so.
-    Reach {
+    FeedPositions {
         places: Vec<FeedPosition>,
         stamp: u64,
     },
 
     // ---- members ----
-    Renew {
+    RenewLease {
         member: Member,
         count: u64,
         far: MemberProgress,
     },
     /// Granted; `revision` is the configuration's revision at that time. Only a
     /// member that obeys it may act on the grant.
-    Lease {
+    LeaseGranted {
         name: String,
         /// The process that asked: a grant is not for its successor.
         incarnation: u64,
@@ -394,7 +394,7 @@
         tell_membership: bool,
     },
     /// A membership: told to members, and by a member to a leader that asked.
-    Tell(Membership),
+    MembershipUpdate(Membership),
 
     // ---- memberships, from the configuration's leader to the other voters ----
     /// A new membership, which members are told once a majority holds it, or
@@ -442,21 +442,21 @@
 
     // ---- leafs ----
     /// The platform's list for one part, from the holder of that duty.
-    Listed {
+    LeafList {
         partition: PartitionId,
         fence: (u64, u64),
         leafs: Vec<LeafInfo>,
     },
     /// First-hand words of leafs about themselves, all of one part.
-    Words {
+    LeafReports {
         partition: PartitionId,
-        words: Vec<Word>,
+        words: Vec<LeafReport>,
     },
 
     // ---- operators' requests handed over to the owner ----
     /// `attempt` is drawn anew for each handing over; `term` is that of the leader
     /// that it is meant for, zero where the receiver is to find one.
-    Operate {
+    OperationRequest {
         op: u64,
         attempt: u64,
         term: u64,
@@ -464,7 +464,7 @@
         expect: Option<u64>,
         deed: Operation,
     },
-    Operated {
+    OperationResponse {
         op: u64,
         attempt: u64,
         done: OperationResult,
--- a/crates/core/src/query/dispatch.rs
+++ b/crates/core/src/query/dispatch.rs
@@ -6,7 +6,7 @@
 use crate::consts;
 use crate::digest::{digest, hash};
 use crate::http_api::leaf::{Expect, Raw, Trouble, check, self_word};
-use crate::protocol::message::Word;
+use crate::protocol::message::LeafReport;
 use crate::query::coverage::served;
 use crate::query::forwarded_request::Passed;
 use crate::query::leaf;
@@ -626,7 +626,7 @@
         }
     }
     if l.leaving && !before {
-        let word = Word { leaf: sent.leaf.clone(), leaving: !gone, gone, age_ms: 0 };
+        let word = LeafReport { leaf: sent.leaf.clone(), leaving: !gone, gone, age_ms: 0 };
         out.push(Command::Word { service: sent.service.clone(), word });
     }
 }
--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -9,7 +9,7 @@
 use crate::config::types::Class;
 use crate::consts;
 use crate::http_api::leaf::{Raw, Trouble};
-use crate::protocol::message::Word;
+use crate::protocol::message::LeafReport;
 use crate::query::connection_subset::Peer;
 use crate::query::forwarded_request::ForwardedRequest;
 use crate::query::latency_estimate::LatencyEstimate;
@@ -183,7 +183,7 @@
     /// A leaf's word about itself that the fleet should hear.
     Word {
         service: String,
-        word: Word,
+        word: LeafReport,
     },
 }
 
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -12,11 +12,11 @@
 use crate::consts;
 use crate::control_plane::controller::Command;
 use crate::identifiers::VoterSlot;
-use crate::protocol::message::{Map, Message, ReplicaCondition};
+use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
 use crate::random::{Random, draw};
-use crate::replication::partition::{After, Partition, ReplicaStatus};
+use crate::replication::partition::{AfterWrite, Partition, ReplicaStatus};
 use crate::replication::replica::keep_whole;
-use crate::storage::record::Copy;
+use crate::storage::record::ReplicaState;
 use crate::time::Tick;
 use crate::voters::voter_set::{VoterGroup, majority, others};
 
@@ -31,7 +31,7 @@
     luck: &mut Random,
     out: &mut Vec<Command>,
 ) {
-    if p.life == ReplicaCondition::Formed || now < p.relearn.ask_at || !p.writes.is_empty() {
+    if p.life == ReplicaCondition::Voting || now < p.relearn.ask_at || !p.writes.is_empty() {
         return;
     }
     let r = &mut p.relearn;
@@ -59,7 +59,7 @@
     r.fetch = None;
     for to in others(g) {
         let message = Message::StatusRequest { partition: p.id, nonce: r.nonce };
-        out.push(Command::ToSeat { slot: to, message });
+        out.push(Command::ToVoter { slot: to, message });
     }
     consider(p, now, g, out);
 }
@@ -75,7 +75,7 @@
 fn first_boot(g: VoterGroup, stands: &[Option<ReplicaStatus>]) -> bool {
     let bare = |s: &ReplicaStatus| {
         s.life == ReplicaCondition::Empty
-            || (s.life == ReplicaCondition::Formed
+            || (s.life == ReplicaCondition::Voting
                 && s.term == 0
                 && s.revision == 0
                 && s.promised == 0)
@@ -103,7 +103,7 @@
         revision,
         stamp: 0,
     };
-    out.push(Command::ToSeat { slot: from, message });
+    out.push(Command::ToVoter { slot: from, message });
 }
 
 /// A seat that can give its copy gives it.
@@ -111,9 +111,9 @@
     if !crate::replication::partition::able(p) {
         return;
     }
-    let Copy { promised, term, revision, map } = p.copy.clone();
+    let ReplicaState { promised, term, revision, map } = p.copy.clone();
     let message = Message::ReplicaFetched { partition: p.id, nonce, promised, term, revision, map };
-    out.push(Command::ToSeat { slot: from, message });
+    out.push(Command::ToVoter { slot: from, message });
 }
 
 /// An answer to our asking.
@@ -125,7 +125,7 @@
     s: ReplicaStatus,
     out: &mut Vec<Command>,
 ) {
-    if p.life == ReplicaCondition::Formed || nonce != p.relearn.nonce || !p.writes.is_empty() {
+    if p.life == ReplicaCondition::Voting || nonce != p.relearn.nonce || !p.writes.is_empty() {
         return;
     }
     let Some(cell) = p.relearn.stands.get_mut(usize::from(from)) else { return };
@@ -142,14 +142,14 @@
     let formed: Vec<(usize, ReplicaStatus)> = stands
         .iter()
         .enumerate()
-        .filter_map(|(i, s)| s.filter(|s| s.life == ReplicaCondition::Formed).map(|s| (i, s)))
+        .filter_map(|(i, s)| s.filter(|s| s.life == ReplicaCondition::Voting).map(|s| (i, s)))
         .collect();
     let vouched = p.relearn.vouched && answered(g, stands);
     if (p.life == ReplicaCondition::Empty && first_boot(g, stands))
         || (vouched && formed.is_empty())
     {
-        p.copy = Copy::default();
-        return keep_whole(p, now, vec![After::Formed], out);
+        p.copy = ReplicaState::default();
+        return keep_whole(p, now, vec![AfterWrite::StartVoting], out);
     }
     if formed.len() >= majority(g.size) || vouched {
         let best = formed.iter().max_by_key(|(_, s)| (s.term, s.revision));
@@ -158,7 +158,7 @@
             p.relearn.fetch = Some(*slot as VoterSlot);
             p.relearn.ask_at = now + consts::CLAIM_PATIENCE;
             let message = Message::FetchReplica { partition: p.id, nonce };
-            out.push(Command::ToSeat { slot: *slot as VoterSlot, message });
+            out.push(Command::ToVoter { slot: *slot as VoterSlot, message });
         }
     }
 }
@@ -170,11 +170,11 @@
     from: VoterSlot,
     nonce: u64,
     (promised, at): (u64, (u64, u64)),
-    map: Map,
+    map: EntryMap,
     out: &mut Vec<Command>,
 ) {
     let r = &p.relearn;
-    if p.life == ReplicaCondition::Formed || nonce != r.nonce || r.fetch != Some(from) {
+    if p.life == ReplicaCondition::Voting || nonce != r.nonce || r.fetch != Some(from) {
         return;
     }
     let most = r.stands.iter().flatten().map(|s| s.promised).max().unwrap_or(0);
@@ -183,14 +183,14 @@
         return;
     }
     crate::control_plane::feed::reseed(p, at.1, &map);
-    p.copy = Copy { promised: promised.max(most), term: at.0, revision: at.1, map };
-    keep_whole(p, now, vec![After::Formed], out);
+    p.copy = ReplicaState { promised: promised.max(most), term: at.0, revision: at.1, map };
+    keep_whole(p, now, vec![AfterWrite::StartVoting], out);
 }
 
 /// The first copy is on disk: from here on this replica votes.
 pub fn formed(p: &mut Partition, now: Tick, out: &mut Vec<Command>) {
-    if p.life != ReplicaCondition::Formed {
-        p.life = ReplicaCondition::Formed;
+    if p.life != ReplicaCondition::Voting {
+        p.life = ReplicaCondition::Voting;
         crate::replication::replica::follow(p, now, None);
         out.push(Command::Alarm(format!("part {}: formed at revision {}", p.id, p.copy.revision)));
     }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -5,12 +5,12 @@
 use crate::control_plane::controller::{Command, ControllerState};
 use crate::digest::{hash, pair};
 use crate::identifiers::{PartitionId, VoterSlot};
-use crate::protocol::message::{Map, Message};
+use crate::protocol::message::{EntryMap, Message};
 use crate::random::{Random, below};
 use crate::replication::leader;
-use crate::replication::partition::{After, Candidacy, Partition, Role, able};
+use crate::replication::partition::{AfterWrite, Candidacy, Partition, Role, able};
 use crate::replication::replica::{follow, keep, keep_whole};
-use crate::storage::record::{Copy, LogRecord, apply};
+use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::time::{Span, Tick, since};
 use crate::voters::voter_set::{VoterGroup, majority, others};
 use crate::voters::voter_slots::here;
@@ -81,7 +81,7 @@
     yes[usize::from(g.slot)] = true;
     p.role = Role::PreVoting { term, yes, until: now + consts::CLAIM_PATIENCE };
     for to in others(g) {
-        out.push(Command::ToSeat {
+        out.push(Command::ToVoter {
             slot: to,
             message: Message::PreVoteRequest { partition: p.id, term },
         });
@@ -127,14 +127,14 @@
         follow(p, now, None);
         return;
     }
-    apply(&mut p.copy, &LogRecord::Promise { term });
+    apply(&mut p.copy, &LogRecord::Vote { term });
     p.role = Role::Candidate(Candidacy {
         term,
         grants: vec![None; g.size],
         fetch: None,
         until: now + consts::CLAIM_PATIENCE,
     });
-    keep(p, now, LogRecord::Promise { term }, vec![After::OwnPromise { term }], out);
+    keep(p, now, LogRecord::Vote { term }, vec![AfterWrite::OwnVoteSynced { term }], out);
 }
 
 /// Our own promise is synced: ask the others.
@@ -152,7 +152,7 @@
     }
     c.grants[usize::from(g.slot)] = Some(here);
     for to in others(g) {
-        out.push(Command::ToSeat {
+        out.push(Command::ToVoter {
             slot: to,
             message: Message::VoteRequest { partition: p.id, term },
         });
@@ -191,7 +191,7 @@
             c.fetch = Some(*best);
             c.until = now + consts::CLAIM_PATIENCE;
             let message = Message::FetchReplica { partition: p.id, nonce: term };
-            out.push(Command::ToSeat { slot: *best, message });
+            out.push(Command::ToVoter { slot: *best, message });
         }
         _ => adopt(p, now, g, term, out),
     }
@@ -204,7 +204,7 @@
     (g, from): (VoterGroup, VoterSlot),
     nonce: u64,
     at: (u64, u64),
-    map: Map,
+    map: EntryMap,
     out: &mut Vec<Command>,
 ) {
     let Role::Candidate(c) = &p.role else { return };
@@ -219,7 +219,7 @@
     }
     let promised = p.copy.promised;
     crate::control_plane::feed::reseed(p, at.1, &map);
-    p.copy = Copy { promised, term: at.0, revision: at.1, map };
+    p.copy = ReplicaState { promised, term: at.0, revision: at.1, map };
     adopt(p, now, g, term, out);
 }
 
@@ -229,7 +229,7 @@
     p.copy.term = term;
     let revision = p.copy.revision;
     p.role = Role::Leader(Box::new(leader::fresh(g, term, now)));
-    keep_whole(p, now, vec![After::OwnKept { term, revision }], out);
+    keep_whole(p, now, vec![AfterWrite::OwnAppendSynced { term, revision }], out);
 }
 
 /// A denial: a higher term was promised somewhere.
@@ -266,7 +266,7 @@
         let (partition, term) = (p.id, p.copy.promised);
         crate::replication::replica::resign(p, now, None, out);
         if let Some(slot) = successor {
-            out.push(Command::ToSeat {
+            out.push(Command::ToVoter {
                 slot,
                 message: Message::LeadershipTransfer { partition, term },
             });
--- a/crates/core/src/replication/heartbeat_rounds.rs
+++ b/crates/core/src/replication/heartbeat_rounds.rs
@@ -44,7 +44,7 @@
     let sum = if sweeps { sum(&p.copy.map) } else { 0 };
     for to in others(g) {
         let message = Message::Heartbeat { partition, term, round, done, sum };
-        out.push(Command::ToSeat { slot: to, message });
+        out.push(Command::ToVoter { slot: to, message });
     }
 }
 
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -6,9 +6,9 @@
 use crate::consts;
 use crate::control_plane::controller::Command;
 use crate::identifiers::VoterSlot;
-use crate::protocol::message::{Map, Message, OperationResult};
+use crate::protocol::message::{EntryMap, Message, OperationResult};
 use crate::replication::partition::{
-    After, Leader, OperationOrigin, Partition, Role, Waiting, leader,
+    AfterWrite, Leader, OperationOrigin, Partition, Role, Waiting, leader,
 };
 use crate::replication::replica::{keep, resign};
 use crate::replication::{heartbeat_rounds, pending_operations};
@@ -59,7 +59,7 @@
 }
 
 /// A checksum of a map, for the sweep.
-pub fn sum(map: &Map) -> u64 {
+pub fn sum(map: &EntryMap) -> u64 {
     let mut hash = crc32fast::Hasher::new();
     for (key, val) in map {
         hash.update(key.as_bytes());
@@ -122,7 +122,7 @@
     let id = p.id;
     let Some(o) = leader(p) else { return };
     o.whole_at[usize::from(to)] = Some(now);
-    out.push(Command::ToSeat {
+    out.push(Command::ToVoter {
         slot: to,
         message: Message::Snapshot { partition: id, term, revision, map },
     });
@@ -170,7 +170,7 @@
             for (revision, entries) in next {
                 let (revision, entries) = (*revision, entries.clone());
                 let message = Message::Append { partition: id, term, revision, entries };
-                out.push(Command::ToSeat { slot: from, message });
+                out.push(Command::ToVoter { slot: from, message });
             }
         } else {
             snapshot_requested(p, now, from, term, out);
@@ -227,9 +227,9 @@
     p.changes.push_back((revision, entries.clone()));
     for to in others(g) {
         let message = Message::Append { partition: p.id, term, revision, entries: entries.clone() };
-        out.push(Command::ToSeat { slot: to, message });
+        out.push(Command::ToVoter { slot: to, message });
     }
-    keep(p, now, rec, vec![After::OwnKept { term, revision }], out);
+    keep(p, now, rec, vec![AfterWrite::OwnAppendSynced { term, revision }], out);
 }
 
 /// An operator waits for a new change of ours.
@@ -304,10 +304,10 @@
 /// Sends an outcome to where the request came from.
 pub fn tell(op: OperationOrigin, done: OperationResult, out: &mut Vec<Command>) {
     out.push(match op.slot {
-        None => Command::OwnAnswer { op: op.op, attempt: op.attempt, done },
+        None => Command::OwnResponse { op: op.op, attempt: op.attempt, done },
         Some(slot) => {
-            let message = Message::Operated { op: op.op, attempt: op.attempt, done };
-            Command::ToSeat { slot, message }
+            let message = Message::OperationResponse { op: op.op, attempt: op.attempt, done };
+            Command::ToVoter { slot, message }
         }
     });
 }
--- a/crates/core/src/replication/partition.rs
+++ b/crates/core/src/replication/partition.rs
@@ -4,8 +4,8 @@
 
 use crate::config::change::Entry;
 use crate::identifiers::{PartitionId, VoterSlot};
-use crate::protocol::message::{Map, Message, ReplicaCondition};
-use crate::storage::record::Copy;
+use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
+use crate::storage::record::ReplicaState;
 use crate::time::Tick;
 
 use crate::replication::pending_operations::PendingOperation;
@@ -19,7 +19,7 @@
 pub struct Partition {
     pub id: PartitionId,
     pub life: ReplicaCondition,
-    pub copy: Copy,
+    pub copy: ReplicaState,
     pub role: Role,
     pub writes: VecDeque<Write>,
     /// When a write was last synced.
@@ -31,10 +31,10 @@
     pub sick: Option<String>,
     /// When a stepped-back seat tries its disk again.
     pub mend_at: Tick,
-    pub committed: Map,
+    pub committed: EntryMap,
     pub committed_revision: u64,
     /// A whole copy that is not known to be committed yet: (revision, map).
-    pub seed: Option<(u64, Map)>,
+    pub seed: Option<(u64, EntryMap)>,
     /// Changes without a gap up to `copy.revision`, from `seed` on if there is one;
     /// those up to `committed_revision` are committed and kept for followers.
     pub changes: VecDeque<(u64, Vec<Entry>)>,
@@ -49,22 +49,22 @@
 pub struct Write {
     pub token: u64,
     pub at: Tick,
-    pub after: Vec<After>,
+    pub after: Vec<AfterWrite>,
 }
 
 /// What is done once a write is synced.
-pub enum After {
+pub enum AfterWrite {
     Send(VoterSlot, Message),
     /// Our own copy holds this revision of our term.
-    OwnKept {
+    OwnAppendSynced {
         term: u64,
         revision: u64,
     },
     /// Our own promise for an election stands.
-    OwnPromise {
+    OwnVoteSynced {
         term: u64,
     },
-    Formed,
+    StartVoting,
 }
 
 /// What a seat does in a part.
@@ -194,7 +194,7 @@
 pub fn partition(
     id: PartitionId,
     life: ReplicaCondition,
-    copy: Copy,
+    copy: ReplicaState,
     log_len: u64,
     now: Tick,
 ) -> Partition {
@@ -210,7 +210,7 @@
         log_len,
         sick: None,
         mend_at: 0,
-        committed: Map::new(),
+        committed: EntryMap::new(),
         committed_revision: 0,
         seed,
         changes: VecDeque::new(),
@@ -222,7 +222,7 @@
 
 /// Whether this seat may vote and accept.
 pub fn able(p: &Partition) -> bool {
-    p.life == ReplicaCondition::Formed && p.sick.is_none()
+    p.life == ReplicaCondition::Voting && p.sick.is_none()
 }
 
 /// The leader's state if this seat owns the part.
--- a/crates/core/src/replication/pending_operations.rs
+++ b/crates/core/src/replication/pending_operations.rs
@@ -88,14 +88,14 @@
                 PendingAnswer::Refusal(done) => tell(operation.origin, done, out),
                 PendingAnswer::Read => {
                     let map = crate::control_plane::order_memory::without_memory(committed);
-                    let done = OperationResult::Config { revision: committed_revision, map };
+                    let done = OperationResult::Configuration { revision: committed_revision, map };
                     tell(operation.origin, done, out);
                 }
                 PendingAnswer::Status => o.proved_status.push(operation.origin),
             }
         } else if now >= operation.until {
             let why = "the leader could not prove in time that it still is".to_string();
-            tell(operation.origin, OperationResult::Bounced { why }, out);
+            tell(operation.origin, OperationResult::Rejected { why }, out);
         } else {
             left.push(operation);
         }
@@ -107,6 +107,6 @@
 pub fn dismiss(old: Leader, out: &mut Vec<Command>) {
     let pending = old.pending.into_iter().map(|operation| operation.origin);
     for origin in pending.chain(old.proved_status) {
-        tell(origin, OperationResult::Bounced { why: "the leader changed".to_string() }, out);
+        tell(origin, OperationResult::Rejected { why: "the leader changed".to_string() }, out);
     }
 }
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -3,9 +3,9 @@
 use crate::consts;
 use crate::control_plane::controller::Command;
 use crate::identifiers::VoterSlot;
-use crate::protocol::message::{Map, Message};
-use crate::replication::partition::{After, Partition, Role, Write, able, leader};
-use crate::storage::record::{Copy, LogRecord, apply};
+use crate::protocol::message::{EntryMap, Message};
+use crate::replication::partition::{AfterWrite, Partition, Role, Write, able, leader};
+use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::time::{Tick, since};
 use crate::voters::voter_set::VoterGroup;
 
@@ -14,7 +14,7 @@
     p: &mut Partition,
     now: Tick,
     rec: LogRecord,
-    after: Vec<After>,
+    after: Vec<AfterWrite>,
     out: &mut Vec<Command>,
 ) {
     let token = p.next_token;
@@ -22,7 +22,7 @@
     p.writes.push_back(Write { token, at: now, after });
     // A rough size is enough: it only decides when to write a slot.
     p.log_len += match &rec {
-        LogRecord::Promise { .. } => 32,
+        LogRecord::Vote { .. } => 32,
         LogRecord::Change { entries, .. } => entries
             .iter()
             .map(|(k, v)| 48 + k.len() as u64 + v.as_ref().map_or(0, |v| v.len() as u64))
@@ -31,30 +31,30 @@
     // The map is measured only once the log is long.
     if p.log_len > consts::LOG_LIMIT && p.log_len > map_len(&p.copy.map) / 2 {
         p.log_len = 0;
-        out.push(Command::Slot { partition: p.id, token, copy: p.copy.clone() });
+        out.push(Command::WriteSnapshot { partition: p.id, token, copy: p.copy.clone() });
     } else {
-        out.push(Command::Append { partition: p.id, token, rec });
+        out.push(Command::AppendRecord { partition: p.id, token, rec });
     }
 }
 
 /// Sends the whole copy to the disk.
-pub fn keep_whole(p: &mut Partition, now: Tick, after: Vec<After>, out: &mut Vec<Command>) {
+pub fn keep_whole(p: &mut Partition, now: Tick, after: Vec<AfterWrite>, out: &mut Vec<Command>) {
     let token = p.next_token;
     p.next_token += 1;
     p.writes.push_back(Write { token, at: now, after });
     p.log_len = 0;
-    out.push(Command::Slot { partition: p.id, token, copy: p.copy.clone() });
+    out.push(Command::WriteSnapshot { partition: p.id, token, copy: p.copy.clone() });
 }
 
-fn map_len(map: &Map) -> u64 {
+fn map_len(map: &EntryMap) -> u64 {
     map.iter().map(|(k, v)| (k.len() + v.len()) as u64).sum()
 }
 
 /// Sends a message as soon as everything accepted so far is synced.
 pub fn after_writes(p: &mut Partition, to: VoterSlot, message: Message, out: &mut Vec<Command>) {
     match p.writes.back_mut() {
-        Some(w) => w.after.push(After::Send(to, message)),
-        None => out.push(Command::ToSeat { slot: to, message }),
+        Some(w) => w.after.push(AfterWrite::Send(to, message)),
+        None => out.push(Command::ToVoter { slot: to, message }),
     }
 }
 
@@ -74,7 +74,7 @@
     let yes = able(p) && term > p.copy.promised && !hears_owner(p, now);
     let message =
         Message::PreVoteResponse { partition: p.id, term, yes, promised: p.copy.promised };
-    out.push(Command::ToSeat { slot: from, message });
+    out.push(Command::ToVoter { slot: from, message });
 }
 
 /// Another seat claims the part.
@@ -84,12 +84,12 @@
     }
     if term <= p.copy.promised {
         let message = Message::VoteRejected { partition: p.id, term, promised: p.copy.promised };
-        out.push(Command::ToSeat { slot: from, message });
+        out.push(Command::ToVoter { slot: from, message });
         return;
     }
     resign(p, now, None, out);
     p.fresh = false;
-    apply(&mut p.copy, &LogRecord::Promise { term });
+    apply(&mut p.copy, &LogRecord::Vote { term });
     let message = Message::VoteGranted {
         partition: p.id,
         term,
@@ -97,7 +97,7 @@
         revision: p.copy.revision,
         stamp: 0,
     };
-    keep(p, now, LogRecord::Promise { term }, vec![After::Send(from, message)], out);
+    keep(p, now, LogRecord::Vote { term }, vec![AfterWrite::Send(from, message)], out);
 }
 
 /// Becomes a follower; the one way out of every other role. Those who wait
@@ -134,7 +134,7 @@
     }
     if term < p.copy.promised {
         let message = Message::VoteRejected { partition: p.id, term, promised: p.copy.promised };
-        out.push(Command::ToSeat { slot: from, message });
+        out.push(Command::ToVoter { slot: from, message });
         return false;
     }
     p.fresh = false;
@@ -164,7 +164,7 @@
     now: Tick,
     from: VoterSlot,
     (term, revision): (u64, u64),
-    map: Map,
+    map: EntryMap,
     out: &mut Vec<Command>,
 ) {
     if !obey(p, now, from, term, out) {
@@ -177,8 +177,8 @@
     p.doubt = false;
     let promised = p.copy.promised.max(term);
     crate::control_plane::feed::reseed(p, revision, &map);
-    p.copy = Copy { promised, term, revision, map };
-    keep_whole(p, now, vec![After::Send(from, kept)], out);
+    p.copy = ReplicaState { promised, term, revision, map };
+    keep_whole(p, now, vec![AfterWrite::Send(from, kept)], out);
 }
 
 /// A change from the leader.
@@ -200,7 +200,7 @@
         return after_writes(p, from, kept, out);
     }
     if !apply(&mut p.copy, &rec) {
-        out.push(Command::ToSeat {
+        out.push(Command::ToVoter {
             slot: from,
             message: Message::SnapshotRequest { partition: p.id, term },
         });
@@ -210,7 +210,7 @@
         p.changes.push_back((revision, entries.clone()));
     }
     let kept = Message::AppendAck { partition: p.id, term, revision, stamp: 0 };
-    keep(p, now, rec, vec![After::Send(from, kept)], out);
+    keep(p, now, rec, vec![AfterWrite::Send(from, kept)], out);
 }
 
 /// A heartbeat: the leader lives, and so much is committed.
@@ -238,7 +238,7 @@
         p.doubt = true;
     }
     if !same || p.doubt {
-        out.push(Command::ToSeat {
+        out.push(Command::ToVoter {
             slot: from,
             message: Message::SnapshotRequest { partition: p.id, term },
         });
@@ -249,7 +249,7 @@
     let revision = if same { p.copy.revision } else { 0 };
     let kept = if p.writes.is_empty() && !p.doubt { revision } else { 0 };
     let message = Message::HeartbeatAck { partition: p.id, term, round, revision, kept, stamp: 0 };
-    out.push(Command::ToSeat { slot: from, message });
+    out.push(Command::ToVoter { slot: from, message });
 }
 
 /// The table of the seats changed: whatever is counted is counted anew.
@@ -287,7 +287,7 @@
     p.mend_at = now + consts::ASK_AROUND;
     // What rested on writes that may never be synced must never be said.
     for w in &mut p.writes {
-        w.after.retain(|a| matches!(a, After::Formed));
+        w.after.retain(|a| matches!(a, AfterWrite::StartVoting));
     }
     if leader(p).is_some() || !matches!(p.role, Role::Follower { .. }) {
         resign(p, now, None, out);
--- a/crates/core/src/storage/reader.rs
+++ b/crates/core/src/storage/reader.rs
@@ -4,7 +4,7 @@
 use nanoserde::DeBin;
 
 use crate::consts::{DISK_VERSION, RECORD_LIMIT};
-use crate::storage::record::{Copy, LogRecord, apply};
+use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::storage::writer::{
     LOG_HEAD, LOG_MARK, REC_END, REC_HEAD, SLOT_HEAD, SLOT_MARK, rec_sum,
 };
@@ -16,7 +16,7 @@
     /// Can't be trusted; the text says why.
     Damaged(String),
     Good {
-        copy: Copy,
+        copy: ReplicaState,
         seq: u64,
         records: u32,
         log_len: u64,
@@ -44,7 +44,7 @@
     u64::from_le_bytes(b)
 }
 
-fn slot(partition: u32, raw: &[u8]) -> Result<(u64, Copy), Bad> {
+fn slot(partition: u32, raw: &[u8]) -> Result<(u64, ReplicaState), Bad> {
     if raw.len() < SLOT_HEAD {
         return Err(Bad::Short);
     }
@@ -67,7 +67,7 @@
     if hash.finalize() != sum {
         return Err(Bad::Broken);
     }
-    let copy = Copy::deserialize_bin(body).map_err(|_| Bad::Broken)?;
+    let copy = ReplicaState::deserialize_bin(body).map_err(|_| Bad::Broken)?;
     Ok((u64_at(raw, 12), copy))
 }
 
@@ -81,7 +81,7 @@
     if slots[0].is_none() && slots[1].is_none() && log.is_none() {
         return Found::Empty;
     }
-    let mut best: Option<(u64, Copy)> = None;
+    let mut best: Option<(u64, ReplicaState)> = None;
     let mut newest_broken = false;
     for raw in slots.into_iter().flatten() {
         match slot(partition, raw) {
@@ -145,7 +145,7 @@
 
 /// Applies the records of a log; gives their count, their length and whether
 /// a torn tail was dropped.
-fn records(seq: u64, raw: &[u8], copy: &mut Copy) -> Result<(u32, usize, bool), String> {
+fn records(seq: u64, raw: &[u8], copy: &mut ReplicaState) -> Result<(u32, usize, bool), String> {
     let (mut at, mut num) = (0, 0u32);
     while at < raw.len() {
         let (rec, end) = match one(seq, num, raw, at) {
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -3,33 +3,33 @@
 use nanoserde::{DeBin, SerBin};
 
 use crate::config::change::Entry;
-use crate::protocol::message::Map;
+use crate::protocol::message::EntryMap;
 
 /// A replica's copy of a part.
 ///
 /// Invariants: `promised >= term`; a copy with a higher (`term`, `revision`) is
 /// newer; nothing below `promised` is accepted any more.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
-pub struct Copy {
+pub struct ReplicaState {
     /// Highest term that this replica has granted or obeyed.
     pub promised: u64,
     /// Epoch under which `map` was last written.
     pub term: u64,
     pub revision: u64,
-    pub map: Map,
+    pub map: EntryMap,
 }
 
 /// One step of a copy, as the log holds it.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum LogRecord {
-    Promise { term: u64 },
+    Vote { term: u64 },
     Change { term: u64, revision: u64, entries: Vec<Entry> },
 }
 
 /// Applies a record that fits; false (and no change) if it does not.
-pub fn apply(copy: &mut Copy, rec: &LogRecord) -> bool {
+pub fn apply(copy: &mut ReplicaState, rec: &LogRecord) -> bool {
     match rec {
-        LogRecord::Promise { term } => {
+        LogRecord::Vote { term } => {
             copy.promised = copy.promised.max(*term);
             true
         }
@@ -45,7 +45,7 @@
 }
 
 /// Puts entries into a map.
-pub fn put(map: &mut Map, entries: &[Entry]) {
+pub fn put(map: &mut EntryMap, entries: &[Entry]) {
     for (key, val) in entries {
         match val {
             Some(val) => map.insert(key.clone(), val.clone()),
--- a/crates/core/src/storage/writer.rs
+++ b/crates/core/src/storage/writer.rs
@@ -3,7 +3,7 @@
 use nanoserde::SerBin;
 
 use crate::consts::DISK_VERSION;
-use crate::storage::record::{Copy, LogRecord};
+use crate::storage::record::{LogRecord, ReplicaState};
 
 /// First bytes of a slot.
 pub const SLOT_MARK: [u8; 6] = *b"GRBslt";
@@ -22,7 +22,7 @@
 pub const REC_END: u8 = 0xa5;
 
 /// A whole slot file.
-pub fn slot(partition: u32, seq: u64, copy: &Copy) -> Vec<u8> {
+pub fn slot(partition: u32, seq: u64, copy: &ReplicaState) -> Vec<u8> {
     let body = copy.serialize_bin();
     let mut out = start(SLOT_MARK, partition, seq);
     out.extend((body.len() as u32).to_le_bytes());
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -29,9 +29,9 @@
 use crate::control_plane::membership_log;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{HandedOverReplica, Memberships, Message, ReplicaCondition};
-use crate::replication::partition::{After, Partition, Role, able};
+use crate::replication::partition::{AfterWrite, Partition, Role, able};
 use crate::replication::{election, replica};
-use crate::storage::record::Copy;
+use crate::storage::record::ReplicaState;
 use crate::time::{Tick, since};
 use crate::voters::voter_set::{NOBODY, SlotHolder, VoterSet, after_handover, balanced, merge};
 use crate::voters::voter_slots;
@@ -162,7 +162,7 @@
         Stage::Sending { state, slot, sent_at } => {
             if sent_at.is_none_or(|at| since(at, now) >= consts::HANDOVER_RETRY) {
                 *sent_at = Some(now);
-                out.push(Command::ToSeat { slot: *slot, message: (**state).clone() });
+                out.push(Command::ToVoter { slot: *slot, message: (**state).clone() });
             }
         }
     }
@@ -194,7 +194,10 @@
     let (Some(generation), Some((holder, connection))) = (next, successor) else {
         return finish(core);
     };
-    out.push(Command::ToWire { connection, message: Message::HandoverOffer { slot, generation } });
+    out.push(Command::ToConnection {
+        connection,
+        message: Message::HandoverOffer { slot, generation },
+    });
     if let Some(leaving) = &mut core.seating.handovers.leaving {
         leaving.stage = Stage::Offering { asked: Some((holder, now)) };
     }
@@ -224,7 +227,7 @@
     s.offers.fill(None);
     let (holder, addr, zone) = (s.roll.me, s.addr.clone(), s.zone.clone());
     let holding = SlotHolder { generation, holder, addr, zone };
-    out.push(Command::ToAll { message: Message::HandoverAccept { slot, holding } });
+    out.push(Command::Broadcast { message: Message::HandoverAccept { slot, holding } });
 }
 
 /// The spare that we asked is ready: we give the slot up, first on our disk.
@@ -283,7 +286,7 @@
 }
 
 fn replica_state(p: &Partition) -> HandedOverReplica {
-    let Copy { promised, term, revision, map } = p.copy.clone();
+    let ReplicaState { promised, term, revision, map } = p.copy.clone();
     HandedOverReplica { partition: p.id, promised, term, revision, map }
 }
 
@@ -318,21 +321,21 @@
             install(p, now, state, out);
         }
     }
-    if core.partitions.iter().all(|p| p.life == ReplicaCondition::Formed) {
+    if core.partitions.iter().all(|p| p.life == ReplicaCondition::Voting) {
         let message = Message::HandoverDone { slot, generation };
-        out.push(Command::ToWire { connection, message });
+        out.push(Command::ToConnection { connection, message });
     }
 }
 
 /// Writes a replica that was handed over, unless ours votes already.
 fn install(p: &mut Partition, now: Tick, state: HandedOverReplica, out: &mut Vec<Command>) {
-    if p.life == ReplicaCondition::Formed || !p.writes.is_empty() {
+    if p.life == ReplicaCondition::Voting || !p.writes.is_empty() {
         return;
     }
     let HandedOverReplica { promised, term, revision, map, .. } = state;
     feed::reseed(p, revision, &map);
-    p.copy = Copy { promised, term, revision, map };
-    replica::keep_whole(p, now, vec![After::Formed], out);
+    p.copy = ReplicaState { promised, term, revision, map };
+    replica::keep_whole(p, now, vec![AfterWrite::StartVoting], out);
 }
 
 /// The successor votes: nothing keeps us any longer.
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -29,7 +29,7 @@
     s.apply_at = now + consts::APPLY_BEAT;
     let (holder, addr, zone) = (s.roll.me, s.addr.clone(), s.zone.clone());
     let stamp = s.stamp;
-    out.push(Command::ToAll { message: Message::Apply { holder, addr, zone, stamp } });
+    out.push(Command::Broadcast { message: Message::JoinRequest { holder, addr, zone, stamp } });
 }
 
 /// Whether we would give seat `k` to a controller: it is vacant, or it is the
@@ -83,7 +83,10 @@
     let size = core.seating.roll.table.slots.len() as VoterSlot;
     let free = (0..size).filter(|k| gives(core, now, *k, (holder, addr, zone))).collect();
     let (slot, stamp) = (core.slot, core.seating.stamp);
-    out.push(Command::ToWire { connection, message: Message::Offer { slot, stamp, free } });
+    out.push(Command::ToConnection {
+        connection,
+        message: Message::JoinOffer { slot, stamp, free },
+    });
 }
 
 /// A seat says what it would give us.
@@ -120,7 +123,7 @@
     let holding = SlotHolder { generation, holder: s.roll.me, addr, zone };
     s.offers = vec![None; size];
     s.handovers.claimed_at = Some(now);
-    out.push(Command::ToAll { message: Message::Take { slot: k, holding } });
+    out.push(Command::Broadcast { message: Message::SlotTakeover { slot: k, holding } });
 }
 
 /// A controller takes a seat that a majority would give it. We agree by
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -123,7 +123,7 @@
     let s = &mut core.seating;
     s.token += 1;
     let token = s.token;
-    out.push(Command::Keep { token, roll: roll.clone(), clear });
+    out.push(Command::WriteVoterFile { token, roll: roll.clone(), clear });
     s.next = Some(Next { roll, token, clear, again: None });
 }
 
@@ -158,7 +158,7 @@
         let text = format!("seat {i}: {} has it, generation {}", h.addr, h.generation);
         out.push(Command::Alarm(text));
     }
-    out.push(Command::Seats);
+    out.push(Command::VoterSetChanged);
     let slot = seat_of(&s.roll.table, s.roll.me).unwrap_or(NOBODY);
     if core.slot != slot {
         let had = std::mem::replace(&mut core.slot, slot);
@@ -209,24 +209,24 @@
 }
 
 fn telling(s: &VoterSlots) -> Message {
-    Message::Seats { me: s.roll.me, table: s.roll.table.clone() }
+    Message::VoterSetUpdate { me: s.roll.me, table: s.roll.table.clone() }
 }
 
 /// Tells everyone the table.
 fn tell_all(core: &mut ControllerState, out: &mut Vec<Command>) {
     let message = telling(&core.seating);
     for slot in others(here(core)) {
-        out.push(Command::ToSeat { slot, message: message.clone() });
+        out.push(Command::ToVoter { slot, message: message.clone() });
     }
     for connection in &core.seating.connections {
-        out.push(Command::ToWire { connection: *connection, message: message.clone() });
+        out.push(Command::ToConnection { connection: *connection, message: message.clone() });
     }
 }
 
 /// Tells the table on one connection.
 pub fn tell(core: &ControllerState, connection: ConnectionId, out: &mut Vec<Command>) {
     if !core.seating.roll.table.slots.is_empty() {
-        out.push(Command::ToWire { connection, message: telling(&core.seating) });
+        out.push(Command::ToConnection { connection, message: telling(&core.seating) });
     }
 }
 
@@ -258,7 +258,7 @@
     if merge(theirs, &core.seating.roll.table).is_some()
         && let Some(slot) = seat_of(&core.seating.roll.table, me)
     {
-        out.push(Command::ToSeat { slot, message: telling(&core.seating) });
+        out.push(Command::ToVoter { slot, message: telling(&core.seating) });
     }
 }
 
@@ -271,7 +271,7 @@
         | Message::ReplicaStatus { stamp, .. }
         | Message::MembershipReplicated { stamp, .. }
         | Message::MembershipFetched { stamp, .. }
-        | Message::Here { stamp } => Some(*stamp),
+        | Message::VoterAlive { stamp } => Some(*stamp),
         _ => None,
     }
 }
@@ -285,7 +285,7 @@
         | Message::ReplicaStatus { stamp, .. }
         | Message::MembershipReplicated { stamp, .. }
         | Message::MembershipFetched { stamp, .. }
-        | Message::Here { stamp } => Some(stamp),
+        | Message::VoterAlive { stamp } => Some(stamp),
         _ => None,
     }
 }
@@ -293,7 +293,7 @@
 /// Puts our stamp on what needs it, and notes to whom we spoke.
 pub fn mark(core: &mut ControllerState, now: Tick, out: &mut [Command]) {
     for command in out {
-        if let Command::ToSeat { slot, message } = command {
+        if let Command::ToVoter { slot, message } = command {
             if let Some(stamp) = stamped(message) {
                 *stamp = core.seating.stamp;
             }
@@ -317,7 +317,7 @@
     {
         next.again = None;
         let (token, roll, clear) = (next.token, next.roll.clone(), next.clear);
-        out.push(Command::Keep { token, roll, clear });
+        out.push(Command::WriteVoterFile { token, roll, clear });
     }
     handover::wake(core, now, out);
     if core.slot == NOBODY {
@@ -335,7 +335,7 @@
     }
     for slot in others(here(core)) {
         if since(core.seating.sent[usize::from(slot)], now) >= consts::HERE_BEAT {
-            out.push(Command::ToSeat { slot, message: Message::Here { stamp: 0 } });
+            out.push(Command::ToVoter { slot, message: Message::VoterAlive { stamp: 0 } });
         }
     }
 }
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -12,7 +12,7 @@
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::protocol::message::{Operation, OperationResult, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
-use grebepath_core::storage::record::Copy;
+use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use serde_json::json;
 
@@ -52,7 +52,7 @@
     Operator { edition: 0, note: "n".repeat(note) }
 }
 
-fn copy(cluster: &Cluster, node: usize) -> &Copy {
+fn copy(cluster: &Cluster, node: usize) -> &ReplicaState {
     &core_of(cluster, node).partitions[0].copy
 }
 
@@ -71,7 +71,7 @@
     until(cluster, |cluster| {
         let Some(leader) = leader(cluster) else { return false };
         let p = &core_of(cluster, node).partitions[0];
-        p.life == ReplicaCondition::Formed
+        p.life == ReplicaCondition::Voting
             && p.writes.is_empty()
             && p.copy == *copy(cluster, leader)
     });
@@ -144,7 +144,7 @@
 fn read(cluster: &mut Cluster, node: usize) -> u64 {
     let order = ask(cluster, node, "read", Operation::Read);
     match answered(cluster, order) {
-        OperationResult::Config { map, .. } => config(&map).unwrap().terms.edition,
+        OperationResult::Configuration { map, .. } => config(&map).unwrap().terms.edition,
         done => panic!("{done:?}"),
     }
 }
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -12,7 +12,7 @@
 use grebepath_core::identifiers::{CONFIG, PartitionId, VoterSlot};
 use grebepath_core::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
-use grebepath_core::storage::record::{Copy, LogRecord, apply};
+use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
 use grebepath_core::time::{BOOT, SECOND, Span, Tick};
 use grebepath_core::voters::voter_file::{Start, VoterFile, begin};
 
@@ -30,13 +30,13 @@
 /// A write that was handed to a disk.
 enum Job {
     Append(LogRecord),
-    Slot(Copy),
+    Slot(ReplicaState),
 }
 
 /// What lasts, and what is on its way there.
 #[derive(Default)]
 pub struct Disk {
-    pub kept: BTreeMap<PartitionId, Copy>,
+    pub kept: BTreeMap<PartitionId, ReplicaState>,
     line: VecDeque<(PartitionId, u64, Job)>,
     roll: Option<VoterFile>,
 }
@@ -100,7 +100,7 @@
         .disk
         .kept
         .iter()
-        .map(|(id, copy)| (*id, ReplicaCondition::Formed, copy.clone(), 0))
+        .map(|(id, copy)| (*id, ReplicaCondition::Voting, copy.clone(), 0))
         .collect();
     let zone = ["a", "b", "c"][node % 3];
     n.core =
@@ -142,23 +142,23 @@
     for command in step(core, now, event) {
         let disk = &mut cluster.nodes[node].disk;
         match command {
-            Command::ToSeat { slot, message } => {
+            Command::ToVoter { slot, message } => {
                 let to = usize::from(slot);
                 cluster.work.push_back(Work::Deliver { from: node, to, holder, message });
             }
-            Command::Append { partition, token, rec } => {
+            Command::AppendRecord { partition, token, rec } => {
                 disk.line.push_back((partition, token, Job::Append(rec)));
                 cluster.work.push_back(Work::Sync { node, partition, token });
             }
-            Command::Slot { partition, token, copy } => {
+            Command::WriteSnapshot { partition, token, copy } => {
                 disk.line.push_back((partition, token, Job::Slot(copy)));
                 cluster.work.push_back(Work::Sync { node, partition, token });
             }
-            Command::Keep { roll, token, .. } => {
+            Command::WriteVoterFile { roll, token, .. } => {
                 disk.roll = Some(roll);
-                give(cluster, node, Event::Kept { token });
+                give(cluster, node, Event::VoterFileWritten { token });
             }
-            Command::Tell { op, done } => {
+            Command::Respond { op, done } => {
                 cluster.told.insert(op, done);
             }
             _ => {}
@@ -176,7 +176,7 @@
     match work {
         Work::Deliver { from, to, holder, message } => {
             if !cluster.nodes[from].cut && !cluster.nodes[to].cut {
-                let event = Event::FromSeat {
+                let event = Event::FromVoter {
                     slot: from as VoterSlot,
                     holder,
                     connection: from as u64,
@@ -296,7 +296,7 @@
 /// The configuration as it is read through a controller.
 pub fn read_back(cluster: &mut Cluster, node: usize) -> Option<Config> {
     match answer(cluster, node, "read", None, Operation::Read) {
-        Some(OperationResult::Config { map, .. }) => change::config(&map).ok(),
+        Some(OperationResult::Configuration { map, .. }) => change::config(&map).ok(),
         _ => None,
     }
 }
@@ -312,7 +312,7 @@
 
 /// Changes the configuration's partition everywhere, on disk and in memory, as
 /// no sound controller would.
-pub fn tamper(cluster: &mut Cluster, with: impl Fn(&mut Copy)) {
+pub fn tamper(cluster: &mut Cluster, with: impl Fn(&mut ReplicaState)) {
     for node in &mut cluster.nodes {
         if let Some(core) = &mut node.core {
             with(&mut core.partitions[0].copy);
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -15,7 +15,7 @@
 };
 use grebepath_core::random::{Random, below, luck};
 use grebepath_core::replication::partition::Role;
-use grebepath_core::storage::record::{Copy, LogRecord, apply};
+use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
 use grebepath_core::voters::voter_file::{Start, begin};
 use grebepath_core::voters::voter_set::told_holder;
@@ -52,13 +52,13 @@
     /// What is under way to the disk, oldest first.
     writes: Vec<Write>,
     /// What the disk holds.
-    disk: BTreeMap<PartitionId, Copy>,
+    disk: BTreeMap<PartitionId, ReplicaState>,
 }
 
 /// A write under way.
 enum Write {
     Append { partition: PartitionId, token: u64, record: LogRecord },
-    Slot { partition: PartitionId, token: u64, copy: Copy },
+    Slot { partition: PartitionId, token: u64, copy: ReplicaState },
     VoterSet { token: u64 },
 }
 
@@ -104,7 +104,7 @@
     size: usize,
     seed: u64,
     first: bool,
-    disk: &BTreeMap<PartitionId, Copy>,
+    disk: &BTreeMap<PartitionId, ReplicaState>,
 ) -> ControllerState {
     let start = Start {
         slot: Some(node as u8),
@@ -116,7 +116,7 @@
     let (roll, _) = begin(None, &start, disk.is_empty(), seed);
     let found = disk
         .iter()
-        .map(|(partition, copy)| (*partition, ReplicaCondition::Formed, copy.clone(), 0))
+        .map(|(partition, copy)| (*partition, ReplicaCondition::Voting, copy.clone(), 0))
         .collect();
     core(roll, (&address(node), "a"), found, seed, BOOT)
 }
@@ -229,7 +229,7 @@
 /// Loses what is under way between two controllers, as a reset connection does.
 pub fn reset(cluster: &mut Cluster, a: usize, b: usize) {
     let between = |node: usize, event: &Delivery| match event {
-        Delivery::Event(Event::FromSeat { slot, .. }) => {
+        Delivery::Event(Event::FromVoter { slot, .. }) => {
             let from = usize::from(*slot);
             (from, node) == (a, b) || (from, node) == (b, a)
         }
@@ -294,7 +294,7 @@
 }
 
 /// A write has reached the disk.
-fn written(disk: &mut BTreeMap<PartitionId, Copy>, write: Write) -> Event {
+fn written(disk: &mut BTreeMap<PartitionId, ReplicaState>, write: Write) -> Event {
     match write {
         Write::Append { partition, token, record } => {
             apply(disk.entry(partition).or_default(), &record);
@@ -304,7 +304,7 @@
             disk.insert(partition, copy);
             Event::Synced { partition, token }
         }
-        Write::VoterSet { token } => Event::Kept { token },
+        Write::VoterSet { token } => Event::VoterFileWritten { token },
     }
 }
 
@@ -314,7 +314,7 @@
     let core = &mut cluster.nodes[node].core;
     let order = matches!(
         &event,
-        Event::Operate { .. } | Event::FromSeat { message: Message::Operate { .. }, .. }
+        Event::Operate { .. } | Event::FromVoter { message: Message::OperationRequest { .. }, .. }
     );
     let answered = (cluster.unproved && order).then(|| pretend_proof(core));
     let commands = step(core, now, event);
@@ -357,7 +357,7 @@
 
 fn carry_out(cluster: &mut Cluster, node: usize, command: Command) {
     match command {
-        Command::ToSeat { slot, mut message } => {
+        Command::ToVoter { slot, mut message } => {
             if let (true, Message::Snapshot { map, .. }) = (cluster.lossy_snapshots, &mut message) {
                 map.pop_last();
             }
@@ -369,19 +369,19 @@
                 return;
             }
             let (slot, connection) = (node as u8, node as u64);
-            let event = Event::FromSeat { slot, holder: told_holder(slot), connection, message };
+            let event = Event::FromVoter { slot, holder: told_holder(slot), connection, message };
             let after = transit(cluster, node, to);
             push(cluster, to, after, Delivery::Event(event));
         }
-        Command::ToWire { message, .. } => cluster.to_members.push((node, message)),
-        Command::Append { partition, token, rec } => {
+        Command::ToConnection { message, .. } => cluster.to_members.push((node, message)),
+        Command::AppendRecord { partition, token, rec } => {
             write(cluster, node, Write::Append { partition, token, record: rec });
         }
-        Command::Slot { partition, token, copy } => {
+        Command::WriteSnapshot { partition, token, copy } => {
             write(cluster, node, Write::Slot { partition, token, copy });
         }
-        Command::Keep { token, .. } => write(cluster, node, Write::VoterSet { token }),
-        Command::Tell { op, done } => {
+        Command::WriteVoterFile { token, .. } => write(cluster, node, Write::VoterSet { token }),
+        Command::Respond { op, done } => {
             let at = cluster.now;
             assert!(!cluster.answers.contains_key(&op), "operation {op} has two answers");
             cluster.answers.insert(op, Answer { at, done });
@@ -478,7 +478,7 @@
     take(
         cluster,
         node,
-        Event::FromWire { connection, message: Message::Renew { member, count, far } },
+        Event::FromConnection { connection, message: Message::RenewLease { member, count, far } },
     );
 }
 
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -36,12 +36,14 @@
     while !line.is_empty() {
         for command in step(&mut o.core, o.now, line.remove(0)) {
             match command {
-                Command::Append { partition, token, .. }
-                | Command::Slot { partition, token, .. } => {
+                Command::AppendRecord { partition, token, .. }
+                | Command::WriteSnapshot { partition, token, .. } => {
                     line.push(Event::Synced { partition, token });
                 }
-                Command::Keep { token, .. } => line.push(Event::Kept { token }),
-                Command::Tell { op, done } => o.done.push((op, done)),
+                Command::WriteVoterFile { token, .. } => {
+                    line.push(Event::VoterFileWritten { token })
+                }
+                Command::Respond { op, done } => o.done.push((op, done)),
                 _ => {}
             }
         }
@@ -79,7 +81,7 @@
 #[allow(dead_code)]
 pub fn standing(o: &mut One) -> Config {
     match operate(o, "read", Operation::Read) {
-        OperationResult::Config { map, .. } => change::config(&map).unwrap(),
+        OperationResult::Configuration { map, .. } => change::config(&map).unwrap(),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/core/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use grebepath_core::storage::reader::{Found, read};
-use grebepath_core::storage::record::{Copy, LogRecord, apply};
+use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
 use grebepath_core::storage::writer;
 
 const PART: u32 = 3;
@@ -17,18 +17,18 @@
 }
 
 /// Slots, log, and the copy at each record's end.
-type Files = ([Vec<u8>; 2], Vec<u8>, Vec<(usize, Copy)>);
+type Files = ([Vec<u8>; 2], Vec<u8>, Vec<(usize, ReplicaState)>);
 
 /// Two slots and a log as a life leaves them: slot 2 is the newest, and the
 /// log holds a few records after it.
 fn files() -> Files {
-    let mut copy = Copy { promised: 4, term: 4, revision: 10, ..Copy::default() };
+    let mut copy = ReplicaState { promised: 4, term: 4, revision: 10, ..ReplicaState::default() };
     let older = writer::slot(PART, 1, &copy);
     assert!(apply(&mut copy, &change(11)));
     let newer = writer::slot(PART, 2, &copy);
     let mut log = writer::log_head(PART, 2);
     let mut at = vec![(log.len(), copy.clone())];
-    let recs = [change(12), LogRecord::Promise { term: 7 }, change(13)];
+    let recs = [change(12), LogRecord::Vote { term: 7 }, change(13)];
     for (i, rec) in recs.iter().enumerate() {
         assert!(apply(&mut copy, rec));
         log.extend(writer::rec(2, i as u32, rec));
--- a/crates/core/tests/editions.rs
+++ b/crates/core/tests/editions.rs
@@ -20,7 +20,7 @@
 fn whole(after: u64, edition: u64, path: &str) -> Operation {
     let val = json!({ "searches": [search("r", path, "p")], "pools": [pool("p")],
         "keep_zones": true, "terms": { "after": after, "edition": edition } });
-    Operation::Whole(val.to_string().into_bytes())
+    Operation::Replace(val.to_string().into_bytes())
 }
 
 fn patch(after: u64, edition: u64, path: &str) -> Operation {
@@ -34,12 +34,12 @@
 }
 
 fn moved(done: &OperationResult) -> Option<u64> {
-    if let OperationResult::Moved { revision } = done { Some(*revision) } else { None }
+    if let OperationResult::Conflict { revision } = done { Some(*revision) } else { None }
 }
 
 fn wrong(done: &OperationResult) -> Vec<String> {
     match done {
-        OperationResult::Wrong(list) => list.iter().map(|f| f.0.clone()).collect(),
+        OperationResult::Invalid(list) => list.iter().map(|f| f.0.clone()).collect(),
         other => panic!("not refused: {other:?}"),
     }
 }
@@ -61,7 +61,7 @@
         let mut o = one();
         assert!(accepted(&operate(&mut o, "0", whole(0, 3, "/first/"))));
         let won = match &a {
-            Operation::Whole(t) | Operation::Patch(t) => {
+            Operation::Replace(t) | Operation::Patch(t) => {
                 let val: Value = serde_json::from_slice(t).unwrap();
                 val["terms"]["edition"].as_u64().unwrap()
             }
@@ -157,7 +157,7 @@
     operate(&mut o, "x", zone("drained"));
     // Our own manner names zones in the whole, and these alone then stand.
     let own = json!({ "searches": [search("r", "/d/", "p")], "pools": [pool("p")] });
-    operate(&mut o, "3", Operation::Whole(own.to_string().into_bytes()));
+    operate(&mut o, "3", Operation::Replace(own.to_string().into_bytes()));
     let conf = standing(&mut o);
     expect_that!(conf.zones.is_empty(), eq(true));
     // It names no edition, so the one that stands remains.
@@ -177,7 +177,7 @@
     let full = |t: Value| {
         let val = json!({ "searches": [search("r", "/a/", "p")], "pools": [pool("p")],
             "terms": t });
-        Operation::Whole(val.to_string().into_bytes())
+        Operation::Replace(val.to_string().into_bytes())
     };
     let all = json!({ "head_max": 9, "body_max": 8, "head_wait_ms": 7, "idle_ms": 6,
         "origin": "{\"x\":1}" });
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -46,7 +46,7 @@
 fn asked(todo: &[Command]) -> (Vec<VoterSlot>, Vec<VoterSlot>) {
     let (mut whole, mut only) = (Vec::new(), Vec::new());
     for c in todo {
-        if let Command::ToSeat { slot, message: Message::Follow { places, .. } } = c {
+        if let Command::ToSeat { slot, message: Message::Subscribe { places, .. } } = c {
             let beyond = places.iter().all(|p| p.revision == BEYOND);
             if beyond { only.push(*slot) } else { whole.push(*slot) }
         }
@@ -55,8 +55,10 @@
 }
 
 fn reach(w: &mut Watch, now: Tick, slot: VoterSlot, partition: PartitionId, revision: u64) {
-    let message =
-        Message::Reach { places: vec![FeedPosition { partition, revision }], stamp: w.stamp };
+    let message = Message::FeedPositions {
+        places: vec![FeedPosition { partition, revision }],
+        stamp: w.stamp,
+    };
     step(w, now, Event::FromSeat { slot, message });
 }
 
@@ -108,7 +110,7 @@
     // All are asked at once: who speaks may feed.
     expect_that!(only, contains(eq(&first)));
     // What was said under the table before says nothing of the new holder.
-    let message = Message::Reach { places: Vec::new(), stamp: 0 };
+    let message = Message::FeedPositions { places: Vec::new(), stamp: 0 };
     step(&mut w, now, Event::FromSeat { slot: first, message });
     let beat = w.follow_at;
     expect_that!(asked(&step(&mut w, beat, Event::Wake)).0, not(contains(eq(&first))));
@@ -148,20 +150,20 @@
     let ask = |c: &mut controller::ControllerState, revision: u64| {
         let list = [CONFIG, COHORT].into_iter().chain((1..5).map(PartitionId));
         let places = list.map(|partition| FeedPosition { partition, revision }).collect();
-        let event = controller::Event::FromWire {
+        let event = controller::Event::FromConnection {
             connection: 1,
-            message: Message::Follow { places, stamp },
+            message: Message::Subscribe { places, stamp },
         };
         let todo = grebepath_core::control_plane::step::step(c, BOOT, event);
         let told = |f: fn(&Message) -> bool| {
-            let sent = |k: &&controller::Command| matches!(k, controller::Command::ToWire { message, .. } if f(message));
+            let sent = |k: &&controller::Command| matches!(k, controller::Command::ToConnection { message, .. } if f(message));
             todo.iter().filter(sent).count()
         };
-        let reach = told(|m| matches!(m, Message::Reach { .. }));
+        let reach = told(|m| matches!(m, Message::FeedPositions { .. }));
         (
             reach,
-            told(|m| matches!(m, Message::News { .. })),
-            told(|m| matches!(m, Message::Tell(_))),
+            told(|m| matches!(m, Message::Update { .. })),
+            told(|m| matches!(m, Message::MembershipUpdate(_))),
         )
     };
     expect_that!(ask(&mut c, BEYOND), eq((1, 0, 0)));
@@ -191,7 +193,11 @@
 /// The asks that a member sends in ten seconds; with the core's word or not.
 fn asks(calm: bool) -> usize {
     let mut w = watch(member(0), BOOT);
-    step(&mut w, BOOT, Event::FromSeat { slot: 0, message: Message::Tell(membership(9)) });
+    step(
+        &mut w,
+        BOOT,
+        Event::FromSeat { slot: 0, message: Message::MembershipUpdate(membership(9)) },
+    );
     w.lease.granted = calm;
     let mut n = 0;
     for i in 0..200 {
@@ -217,7 +223,11 @@
 #[gtest]
 fn an_answer_says_where_we_stand() {
     let mut w = watch(member(0), BOOT);
-    step(&mut w, BOOT, Event::FromSeat { slot: 0, message: Message::Tell(membership(3)) });
+    step(
+        &mut w,
+        BOOT,
+        Event::FromSeat { slot: 0, message: Message::MembershipUpdate(membership(3)) },
+    );
     let message = Message::Gossip {
         name: "m1".into(),
         core_age_ms: 0,
--- a/crates/core/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -47,7 +47,7 @@
 }
 
 fn moved_to(done: &OperationResult) -> Option<u64> {
-    if let OperationResult::Moved { revision } = done { Some(*revision) } else { None }
+    if let OperationResult::Conflict { revision } = done { Some(*revision) } else { None }
 }
 
 #[googletest::test]
@@ -97,7 +97,7 @@
         ("three", Operation::Patch(b"{\"pools\": [{}]}".to_vec())),
         ("", Operation::Read),
         ("", Operation::Status),
-        ("", Operation::Forget("nobody".into())),
+        ("", Operation::ForgetMember("nobody".into())),
     ];
     let asked: Vec<u64> =
         asked.into_iter().map(|(id, deed)| ask(&mut cluster, first, id, deed)).collect();
@@ -109,7 +109,7 @@
     for operation in &asked {
         let done = answered(&mut cluster, *operation);
         let open =
-            matches!(done, OperationResult::Bounced { .. } | OperationResult::Unknown { .. });
+            matches!(done, OperationResult::Rejected { .. } | OperationResult::Unknown { .. });
         expect_that!(open, eq(true), "{done:?}");
     }
     let done = ask(&mut cluster, other, "two", edition(1, "b"));
@@ -129,7 +129,7 @@
     run(&mut cluster, ms(100));
     ask_numbered(&mut cluster, other, 77, "", Operation::Read);
     let done = answered(&mut cluster, 77);
-    expect_that!(done, matches_pattern!(OperationResult::Config { .. }));
+    expect_that!(done, matches_pattern!(OperationResult::Configuration { .. }));
 }
 
 #[googletest::test]
@@ -185,7 +185,7 @@
     let (mut cluster, first, _) = led(3);
     with_silent_members(&mut cluster, first);
     assert_that!(members(&cluster, first), elements_are![eq("q1"), eq("q2"), eq("q3")]);
-    let forget = ask(&mut cluster, first, "", Operation::Forget("q3".into()));
+    let forget = ask(&mut cluster, first, "", Operation::ForgetMember("q3".into()));
     let done = answered(&mut cluster, forget);
     expect_that!(is_accepted(&done), eq(true), "{done:?}");
     // The next membership, which a majority of the voters holds, is without it.
@@ -197,7 +197,7 @@
     run(&mut cluster, ms(200));
     expect_that!(members(&cluster, next), elements_are![eq("q1"), eq("q2")]);
     // It is forgotten already, which is no reason to refuse.
-    let again = ask(&mut cluster, next, "", Operation::Forget("q3".into()));
+    let again = ask(&mut cluster, next, "", Operation::ForgetMember("q3".into()));
     let done = answered(&mut cluster, again);
     expect_that!(done, matches_pattern!(OperationResult::Accepted { again: eq(&true), .. }));
 }
@@ -206,7 +206,7 @@
 fn a_member_that_comes_back_is_no_longer_forgotten() {
     let (mut cluster, first, _) = led(3);
     with_silent_members(&mut cluster, first);
-    let forget = ask(&mut cluster, first, "", Operation::Forget("q3".into()));
+    let forget = ask(&mut cluster, first, "", Operation::ForgetMember("q3".into()));
     assert!(is_accepted(&answered(&mut cluster, forget)));
     // Its first renewal takes the entry away, the second counts.
     for count in [50, 51] {
@@ -226,7 +226,7 @@
     let (mut cluster, first, _) = led(3);
     with_silent_members(&mut cluster, first);
     isolate(&mut cluster, first);
-    let forget = ask(&mut cluster, first, "", Operation::Forget("q3".into()));
+    let forget = ask(&mut cluster, first, "", Operation::ForgetMember("q3".into()));
     expect_that!(told(&cluster, forget), none());
     expect_that!(members(&cluster, first), elements_are![eq("q1"), eq("q2"), eq("q3")]);
     let done = answered(&mut cluster, forget);
@@ -244,7 +244,7 @@
     run(&mut cluster, 4 * SECOND);
     for name in &names[1..] {
         renew(&mut cluster, leader, &names[0], 2, Default::default());
-        let forget = ask(&mut cluster, leader, "", Operation::Forget(name.clone()));
+        let forget = ask(&mut cluster, leader, "", Operation::ForgetMember(name.clone()));
         let done = answered(&mut cluster, forget);
         expect_that!(is_accepted(&done), eq(true), "{name}: {done:?}");
         if members(&cluster, leader).len() <= 2 {
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -7,10 +7,10 @@
     Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, is_memory, may_be_forgotten,
     recall, remember, without_memory,
 };
-use grebepath_core::protocol::message::Map;
+use grebepath_core::protocol::message::EntryMap;
 use grebepath_core::random::{Random, below, luck};
 use grebepath_core::storage::reader::{Found, read};
-use grebepath_core::storage::record::{Copy, put};
+use grebepath_core::storage::record::{ReplicaState, put};
 use grebepath_core::storage::writer;
 use prost::Message;
 
@@ -38,7 +38,7 @@
 /// The memory in a map, and the list of all that was ever accepted.
 #[derive(Default)]
 struct Model {
-    map: Map,
+    map: EntryMap,
     accepted: Vec<Order>,
     edition: u64,
     largest: usize,
@@ -74,7 +74,7 @@
     model.accepted.push(order);
 }
 
-fn set_edition(map: &mut Map, edition: u64) {
+fn set_edition(map: &mut EntryMap, edition: u64) {
     let terms = Terms { edition, ..Terms::default() };
     map.insert("terms".into(), terms.encode_to_vec());
 }
@@ -83,7 +83,7 @@
     entries.iter().map(|(key, value)| key.len() + value.as_ref().map_or(0, Vec::len)).sum()
 }
 
-fn memory_bytes(map: &Map) -> usize {
+fn memory_bytes(map: &EntryMap) -> usize {
     map.iter().filter(|(k, _)| is_memory(k)).map(|(k, v)| k.len() + v.len()).sum()
 }
 
@@ -178,7 +178,7 @@
         u16::from_le_bytes([first[0], first[1]]) % 4_096 / 64
     };
     let ids: Vec<String> = (0..50_000).map(|n| format!("id-{n}")).collect();
-    let (mut map, mut revision) = (Map::new(), 0u64);
+    let (mut map, mut revision) = (EntryMap::new(), 0u64);
     for phase in 0..4 {
         let alike: Vec<&String> = ids.iter().filter(|id| group(id) == phase).collect();
         for round in 0..18_000 / alike.len() as u64 + 1 {
@@ -238,8 +238,8 @@
 }
 
 /// A map as versions before this memory left it, with orders up to `newest`.
-fn older_map(count: u64, newest: u64) -> Map {
-    let mut map = Map::new();
+fn older_map(count: u64, newest: u64) -> EntryMap {
+    let mut map = EntryMap::new();
     for revision in newest + 1 - count..=newest {
         let value = older_value(false, &revision.to_le_bytes(), revision);
         map.insert(format!("request/r-{revision}"), value);
@@ -258,7 +258,7 @@
 fn orders_of_the_older_form_are_known_and_carried_over_by_the_next_order() {
     for (count, newest, lost) in [(3, 3, 0), (511, 511, 0), (512, 512, 0), (512, 9_000, 8_488)] {
         let mut map = older_map(count, newest);
-        let known = |map: &Map| {
+        let known = |map: &EntryMap| {
             for revision in newest + 1 - count..=newest {
                 let (request, print) = older_order(revision);
                 expect_that!(recall(map, &request, &print), eq(Recall::Accepted { revision }));
@@ -288,7 +288,7 @@
 #[googletest::test]
 fn orders_of_both_forms_are_known_together() {
     // A build of before led for a while and left entries of its own.
-    let mut map = Map::new();
+    let mut map = EntryMap::new();
     for revision in 1..=20_000u64 {
         let order = fingerprint(&format!("n-{revision}"), false, b"");
         let entries = remember(&map, &order, revision, revision);
@@ -315,7 +315,7 @@
 
 #[googletest::test]
 fn unreadable_entries_of_the_older_form_are_no_orders() {
-    let mut map = Map::new();
+    let mut map = EntryMap::new();
     for (request, value) in [
         ("a", &b""[..]),
         ("b", b"0123 5"),
@@ -334,7 +334,7 @@
 
 /// The files of a controller that an older build wrote: five orders, of which
 /// the first set a whole configuration.
-fn older_files() -> Copy {
+fn older_files() -> ReplicaState {
     let slot = include_bytes!("fixtures/orders-older-form.slot");
     let log = include_bytes!("fixtures/orders-older-form.log");
     match read(0, [None, Some(slot)], Some(log)) {
@@ -351,7 +351,7 @@
         let zone = r#""zones":[{"name":"z","state":"open"}]"#;
         format!(r#"{{"terms":{{"after":{n},"edition":{}}},{zone}}}"#, n + 1)
     };
-    let known = |map: &Map| {
+    let known = |map: &EntryMap| {
         for n in 1..5 {
             let order = fingerprint(&format!("order-{n}"), false, text(n).as_bytes());
             let told = recall(map, &format!("order-{n}"), &order);
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -12,7 +12,7 @@
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::storage::reader::{Found, read};
-use grebepath_core::storage::record::{Copy, put};
+use grebepath_core::storage::record::{ReplicaState, put};
 use grebepath_core::time::SECOND;
 use serde_json::{Value, json};
 
@@ -70,7 +70,7 @@
     copy.revision = ACCEPTED;
     for node in &mut c.nodes {
         let promised = node.disk.kept[&CONFIG].promised;
-        node.disk.kept.insert(CONFIG, Copy { promised, ..copy.clone() });
+        node.disk.kept.insert(CONFIG, ReplicaState { promised, ..copy.clone() });
     }
     restart_all(&mut c, true);
     let horizon = horizon(&copy.map).revision;
@@ -113,7 +113,7 @@
         let done = everywhere(&mut c, &format!("rival-{base}"), None, &order(base));
         expect_that!(
             done,
-            each(matches_pattern!(OperationResult::Moved { revision: eq(&ACCEPTED) }))
+            each(matches_pattern!(OperationResult::Conflict { revision: eq(&ACCEPTED) }))
         );
     }
     // What may be forgotten gets no clear answer, and at once.
@@ -128,10 +128,10 @@
     // What can never have been accepted is refused, however old its base.
     let wrong = deed(json!({ "after": 5, "edition": 5 }));
     let done = everywhere(&mut c, "wrong", None, &wrong);
-    expect_that!(done, each(matches_pattern!(OperationResult::Moved { .. })));
+    expect_that!(done, each(matches_pattern!(OperationResult::Conflict { .. })));
     let unreadable = Operation::Patch(b"{".to_vec());
     let done = everywhere(&mut c, "unreadable", None, &unreadable);
-    expect_that!(done, each(matches_pattern!(OperationResult::Wrong(_))));
+    expect_that!(done, each(matches_pattern!(OperationResult::Invalid(_))));
 }
 
 #[googletest::test]
@@ -143,7 +143,7 @@
         if clear {
             expect_that!(
                 done,
-                each(matches_pattern!(OperationResult::Moved { revision: eq(&ACCEPTED) }))
+                each(matches_pattern!(OperationResult::Conflict { revision: eq(&ACCEPTED) }))
             );
         } else {
             expect_that!(
@@ -157,7 +157,7 @@
         let names = deed(json!({ "edition": edition }));
         let done = everywhere(&mut c, &format!("names-{edition}"), None, &names);
         if clear {
-            expect_that!(done, each(matches_pattern!(OperationResult::Wrong(_))), "{edition}");
+            expect_that!(done, each(matches_pattern!(OperationResult::Invalid(_))), "{edition}");
         } else {
             expect_that!(
                 done,
@@ -194,7 +194,7 @@
     let mut c = cluster(3);
     for node in &mut c.nodes {
         let promised = node.disk.kept[&CONFIG].promised.max(copy.promised);
-        node.disk.kept.insert(CONFIG, Copy { promised, ..copy.clone() });
+        node.disk.kept.insert(CONFIG, ReplicaState { promised, ..copy.clone() });
     }
     restart_all(&mut c, true);
     c
@@ -217,7 +217,7 @@
             let done = everywhere(&mut c, &format!("rival-{base}"), None, &order(base - 1));
             expect_that!(
                 done,
-                each(matches_pattern!(OperationResult::Moved { .. })),
+                each(matches_pattern!(OperationResult::Conflict { .. })),
                 "round {round}"
             );
         }
@@ -238,14 +238,14 @@
     let mut c = cluster(3);
     let done = answer(&mut c, 0, "id", None, order(0));
     expect_that!(done, some(matches_pattern!(OperationResult::Accepted { .. })));
-    let whole = Operation::Whole(match order(0) {
+    let whole = Operation::Replace(match order(0) {
         Operation::Patch(text) => text,
         _ => unreachable!(),
     });
     for _ in 0..2 {
         for other in [order(1), whole.clone(), deed(json!({}))] {
             let done = everywhere(&mut c, "id", None, &other);
-            expect_that!(done, each(matches_pattern!(OperationResult::Wrong(_))));
+            expect_that!(done, each(matches_pattern!(OperationResult::Invalid(_))));
         }
         let done = everywhere(&mut c, "id", None, &order(0));
         expect_that!(
@@ -265,7 +265,7 @@
     let mut told = [c.told[&a].clone(), c.told[&b].clone()];
     told.sort_by_key(|done| !matches!(done, OperationResult::Accepted { .. }));
     expect_that!(told[0], matches_pattern!(OperationResult::Accepted { revision: eq(&2), .. }));
-    expect_that!(told[1], matches_pattern!(OperationResult::Wrong(_)));
+    expect_that!(told[1], matches_pattern!(OperationResult::Invalid(_)));
     let edition = read_back(&mut c, 2).map(|conf| conf.terms.edition);
     expect_that!(edition, some(any!(eq(2), eq(9))));
 }
--- a/crates/core/tests/order_schedules.rs
+++ b/crates/core/tests/order_schedules.rs
@@ -41,16 +41,16 @@
 fn told(done: Option<&OperationResult>) -> Told {
     match done {
         Some(OperationResult::Accepted { .. }) => Told::Accepted,
-        Some(OperationResult::Moved { revision }) => Told::Refused(*revision),
-        Some(OperationResult::Config { map, .. }) => Told::Read(edition(map).1),
-        Some(OperationResult::Bounced { .. }) => Told::NotDone,
+        Some(OperationResult::Conflict { revision }) => Told::Refused(*revision),
+        Some(OperationResult::Configuration { map, .. }) => Told::Read(edition(map).1),
+        Some(OperationResult::Rejected { .. }) => Told::NotDone,
         None | Some(OperationResult::Unknown { .. }) => Told::Open,
         Some(done) => Told::Absurd(format!("told {done:?}")),
     }
 }
 
 /// The orders that a configuration holds, and its edition.
-fn edition(map: &grebepath_core::protocol::message::Map) -> (BTreeSet<String>, u64) {
+fn edition(map: &grebepath_core::protocol::message::EntryMap) -> (BTreeSet<String>, u64) {
     let conf = change::config(map).unwrap();
     (conf.zones.keys().cloned().collect(), conf.terms.edition)
 }
@@ -191,7 +191,7 @@
     run(&mut cluster, QUIET);
     let last = ask(&mut cluster, 0, "", Operation::Read);
     let done = answered(&mut cluster, last);
-    let OperationResult::Config { map, .. } = done else {
+    let OperationResult::Configuration { map, .. } = done else {
         return vec![format!("nothing is read: {done:?}")];
     };
     let (applied, edition) = edition(&map);
--- a/crates/core/tests/races/judge.rs
+++ b/crates/core/tests/races/judge.rs
@@ -22,9 +22,9 @@
         let mut revisions: Vec<u64> = told.iter().filter_map(|done| revision(done)).collect();
         revisions.sort_unstable();
         revisions.dedup();
-        let refused = told
-            .iter()
-            .any(|done| matches!(done, OperationResult::Moved { .. } | OperationResult::Wrong(_)));
+        let refused = told.iter().any(|done| {
+            matches!(done, OperationResult::Conflict { .. } | OperationResult::Invalid(_))
+        });
         let stands = config.zones.contains_key(&order.mark);
         if revisions.len() > 1 {
             wrong.push(format!("{} was applied twice, as {revisions:?}", order.mark));
@@ -40,7 +40,7 @@
         }
         // All is calm in the end: the last answer is a clear one.
         let clear = |done: &&OperationResult| {
-            matches!(done, OperationResult::Accepted { .. } | OperationResult::Moved { .. })
+            matches!(done, OperationResult::Accepted { .. } | OperationResult::Conflict { .. })
         };
         if !told.last().is_some_and(clear) {
             wrong.push(format!("{} has no clear answer in the end: {told:?}", order.mark));
--- a/crates/core/tests/races/mod.rs
+++ b/crates/core/tests/races/mod.rs
@@ -40,7 +40,7 @@
     let text = change.to_string();
     let request = digest(format!("{whole} {text}").as_bytes());
     let text = text.into_bytes();
-    let deed = if whole { Operation::Whole(text) } else { Operation::Patch(text) };
+    let deed = if whole { Operation::Replace(text) } else { Operation::Patch(text) };
     Order { request, deed, mark: mark.to_string() }
 }
 
@@ -193,7 +193,7 @@
     let follower = (leader + 1) % 3;
     let all = matches!(stage, Stage::AllSynced | Stage::Committed | Stage::Answered);
     let allowed = match work {
-        Work::Deliver { message: Message::Operate { .. }, .. } => stage != Stage::Arrived,
+        Work::Deliver { message: Message::OperationRequest { .. }, .. } => stage != Stage::Arrived,
         Work::Deliver { message: Message::Append { .. }, to, .. } => {
             let one = matches!(stage, Stage::FollowerSynced | Stage::MajoritySynced);
             all || one && *to == follower
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -7,7 +7,7 @@
 use grebepath_core::identifiers::{CONFIG, VoterSlot, partitions};
 use grebepath_core::protocol::message::{Message, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
-use grebepath_core::storage::record::Copy;
+use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::time::{BOOT, SECOND, Tick};
 use grebepath_core::voters::voter_file::{Start, VoterFile, begin, read, write};
 use grebepath_core::voters::voter_set::{
@@ -142,7 +142,8 @@
         h.zone = zone.into();
     }
     let me = table.slots[usize::from(slot)].holder;
-    let found = partitions().map(|p| (p, ReplicaCondition::Formed, Copy::default(), 0)).collect();
+    let found =
+        partitions().map(|p| (p, ReplicaCondition::Voting, ReplicaState::default(), 0)).collect();
     let zone = table.slots[usize::from(slot)].zone.clone();
     let roll = VoterFile { me, first: true, table };
     let core = core(roll, (&addr(slot.into()), &zone), found, 1, BOOT);
@@ -155,10 +156,13 @@
     let mut i = 0;
     while i < todo.len() {
         let event = match &todo[i] {
-            Command::Append { partition, token, .. } | Command::Slot { partition, token, .. } => {
+            Command::AppendRecord { partition, token, .. }
+            | Command::WriteSnapshot { partition, token, .. } => {
                 Some(Event::Synced { partition: *partition, token: *token })
             }
-            Command::Keep { token, .. } => Some(Event::Kept { token: *token }),
+            Command::WriteVoterFile { token, .. } => {
+                Some(Event::VoterFileWritten { token: *token })
+            }
             _ => None,
         };
         if let Some(event) = event {
@@ -182,15 +186,17 @@
 
 fn from(b: &Bench, slot: VoterSlot, message: Message) -> Event {
     let holder = b.core.seating.roll.table.slots[usize::from(slot)].holder;
-    Event::FromSeat { slot, holder, connection: u64::from(slot), message }
+    Event::FromVoter { slot, holder, connection: u64::from(slot), message }
 }
 
 fn apply(b: &mut Bench, holder: u64, n: usize, zone: &str) -> Vec<VoterSlot> {
     let (zone, stamp) = (zone.to_string(), b.core.seating.stamp);
-    let message = Message::Apply { holder, addr: addr(n), zone, stamp };
-    let out = one(b, Event::FromWire { connection: 99, message });
+    let message = Message::JoinRequest { holder, addr: addr(n), zone, stamp };
+    let out = one(b, Event::FromConnection { connection: 99, message });
     let offer = out.into_iter().find_map(|c| match c {
-        Command::ToWire { connection: 99, message: Message::Offer { free, .. } } => Some(free),
+        Command::ToConnection { connection: 99, message: Message::JoinOffer { free, .. } } => {
+            Some(free)
+        }
         _ => None,
     });
     offer.unwrap()
@@ -198,7 +204,10 @@
 
 fn take(b: &mut Bench, slot: VoterSlot, generation: u32, holder: u64, zone: &str) {
     let holding = SlotHolder { generation, holder, addr: addr(9), zone: zone.into() };
-    one(b, Event::FromWire { connection: 99, message: Message::Take { slot, holding } });
+    one(
+        b,
+        Event::FromConnection { connection: 99, message: Message::SlotTakeover { slot, holding } },
+    );
 }
 
 #[googletest::test]
@@ -206,7 +215,7 @@
     let mut b = bench(0);
     wake(&mut b, 2 * SECOND);
     expect_that!(apply(&mut b, 90, 9, "c"), is_empty());
-    let here = from(&b, 2, Message::Here { stamp: 0 });
+    let here = from(&b, 2, Message::VoterAlive { stamp: 0 });
     one(&mut b, here);
     wake(&mut b, 2 * SECOND);
     // Seat 1 has been silent for long enough; but zone c has seat 2 already.
@@ -258,7 +267,7 @@
 fn owns(b: &mut Bench) -> u64 {
     let partition = CONFIG;
     let sounds = |c: Command| match c {
-        Command::ToSeat {
+        Command::ToVoter {
             slot: 2,
             message: Message::PreVoteRequest { partition: CONFIG, term },
         } => Some(term),
@@ -290,11 +299,14 @@
     expect_that!(serves(&b), eq(false));
     // It is told our table instead.
     let told = |c: &Command| {
-        matches!(c, Command::ToWire { connection: 2, message: Message::Seats { .. } })
+        matches!(
+            c,
+            Command::ToConnection { connection: 2, message: Message::VoterSetUpdate { .. } }
+        )
     };
     expect_that!(out.iter().any(told), eq(true));
     let stranger =
-        Event::FromSeat { slot: 2, holder: 5, connection: 2, message: kept(b.core.seating.stamp) };
+        Event::FromVoter { slot: 2, holder: 5, connection: 2, message: kept(b.core.seating.stamp) };
     one(&mut b, stranger);
     expect_that!(serves(&b), eq(false));
     let good = from(&b, 2, kept(b.core.seating.stamp));
@@ -317,13 +329,13 @@
     let old = b.core.seating.stamp;
     // Seat 1 tells that seat 2 is another's.
     let table = held(&b.core.seating.roll.table, 2, 2, 90);
-    let news = from(&b, 1, Message::Seats { me: 1, table });
+    let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
     one(&mut b, news);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
     expect_that!((o.kept[1], o.kept[2], o.answered[2]), eq((None, None, (0, 0))));
     expect_that!(b.core.seating.stamp, not(eq(old)));
     // What the old holder still says is nobody's word.
-    let late = Event::FromSeat {
+    let late = Event::FromVoter {
         slot: 2,
         holder: first_holder(&addr(2)),
         connection: 2,
@@ -338,22 +350,23 @@
 fn a_table_is_told_and_obeyed_only_once_it_is_on_disk() {
     let mut b = bench(0);
     let table = held(&b.core.seating.roll.table, 0, 2, 90);
-    let news = from(&b, 1, Message::Seats { me: 1, table });
+    let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
     let todo = step(&mut b.core, b.now, news);
     let tells = |c: &Command| {
-        matches!(c, Command::ToSeat { message: Message::Seats { .. }, .. })
-            || matches!(c, Command::ToWire { message: Message::Seats { .. }, .. })
+        matches!(c, Command::ToVoter { message: Message::VoterSetUpdate { .. }, .. })
+            || matches!(c, Command::ToConnection { message: Message::VoterSetUpdate { .. }, .. })
     };
     expect_that!(todo.iter().any(tells), eq(false));
     expect_that!(b.core.slot, eq(0));
     let token = todo.iter().find_map(|c| match c {
-        Command::Keep { token, .. } => Some(*token),
+        Command::WriteVoterFile { token, .. } => Some(*token),
         _ => None,
     });
     // Our own seat is another's: everything is given up, under a new name.
-    let todo = step(&mut b.core, b.now, Event::Kept { token: token.unwrap() });
+    let todo = step(&mut b.core, b.now, Event::VoterFileWritten { token: token.unwrap() });
     expect_that!(b.core.slot, eq(NOBODY));
     expect_that!(b.core.partitions.iter().all(|p| p.life == ReplicaCondition::Empty), eq(true));
-    let clears = |c: &Command| matches!(c, Command::Keep { clear: true, roll, .. } if !roll.first);
+    let clears =
+        |c: &Command| matches!(c, Command::WriteVoterFile { clear: true, roll, .. } if !roll.first);
     expect_that!(todo.iter().any(clears), eq(true));
 }
--- a/crates/core/tests/wire.rs
+++ b/crates/core/tests/wire.rs
@@ -8,11 +8,14 @@
 
 fn large(n: usize) -> Message {
     let entries = (0..n).map(|i| (format!("key-{i}"), Some(vec![i as u8; 700]))).collect();
-    Message::News { partition: PartitionId(2), from: None, revision: 9, entries }
+    Message::Update { partition: PartitionId(2), from: None, revision: 9, entries }
 }
 
 fn small(revision: u64) -> Message {
-    Message::Follow { places: vec![FeedPosition { partition: PartitionId(0), revision }], stamp: 0 }
+    Message::Subscribe {
+        places: vec![FeedPosition { partition: PartitionId(0), revision }],
+        stamp: 0,
+    }
 }
 
 fn feed(g: &mut Gather, piece: &[u8]) -> std::result::Result<Option<Message>, FrameError> {
--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -92,7 +92,7 @@
 pub fn heard<T>(w: &mut Ways<T>, addr: SocketAddr, message: &Message) -> u64 {
     let Some(way) = w.connections.get_mut(&addr) else { return 0 };
     w.heard = Instant::now();
-    if let Message::Seats { me, .. } = message {
+    if let Message::VoterSetUpdate { me, .. } = message {
         way.holder = *me;
     }
     way.holder
--- a/crates/runtime/src/disk.rs
+++ b/crates/runtime/src/disk.rs
@@ -7,7 +7,7 @@
 
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::storage::reader::{Found, read};
-use grebepath_core::storage::record::{Copy, LogRecord};
+use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::writer;
 use grebepath_core::voters::voter_file;
 use grebepath_core::voters::voter_file::VoterFile;
@@ -151,7 +151,7 @@
 }
 
 /// Writes the other slot with a whole copy and begins a new log.
-pub fn slot(s: &mut Store, copy: &Copy) -> Result<(), Error> {
+pub fn slot(s: &mut Store, copy: &ReplicaState) -> Result<(), Error> {
     s.log = None;
     let seq = s.seq + 1;
     let path = s.dir.join(format!("slot-{}", seq % 2));
--- a/crates/server/src/controller/disk.rs
+++ b/crates/server/src/controller/disk.rs
@@ -7,7 +7,7 @@
 
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::identifiers::PartitionId;
-use grebepath_core::storage::record::{Copy, LogRecord};
+use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::voters::voter_file::VoterFile;
 use grebepath_runtime::disk::{self, Store};
 use tokio::sync::mpsc::UnboundedSender;
@@ -24,7 +24,7 @@
     Slot {
         part: PartitionId,
         token: u64,
-        copy: Copy,
+        copy: ReplicaState,
     },
     Look {
         part: PartitionId,
@@ -78,7 +78,7 @@
                 fate.trouble = Some(e.to_string());
             }
             let event = match fate.trouble {
-                Some(why) => Event::DiskTrouble { partition: part, why },
+                Some(why) => Event::DiskFailed { partition: part, why },
                 None => Event::Synced { partition: part, token: fate.token },
             };
             if events.send(Input::Controller(event)).is_err() {
@@ -87,14 +87,14 @@
         }
         if let Some((token, roll, clear)) = roll {
             let event = match keep(data, &mut stores, &roll, clear) {
-                Ok(()) => Event::Kept { token },
-                Err(e) => Event::RollTrouble { why: e.to_string() },
+                Ok(()) => Event::VoterFileWritten { token },
+                Err(e) => Event::VoterFileFailed { why: e.to_string() },
             };
             let _ = events.send(Input::Controller(event));
         }
         for part in looks {
             let trouble = disk::look(&stores[part.0 as usize]);
-            let _ = events.send(Input::Controller(Event::Looked { partition: part, trouble }));
+            let _ = events.send(Input::Controller(Event::Scrubbed { partition: part, trouble }));
         }
     }
 }
--- a/crates/server/src/controller/door.rs
+++ b/crates/server/src/controller/door.rs
@@ -131,14 +131,14 @@
 ) -> OperationResult {
     let (tell, told) = oneshot::channel();
     if owner.send(Input::Operate { request, expect, deed, tell }).is_err() {
-        return OperationResult::Bounced { why: "this controller is going down".into() };
+        return OperationResult::Rejected { why: "this controller is going down".into() };
     }
     told.await.unwrap_or(OperationResult::Unknown { why: "this controller went down".into() })
 }
 
 async fn read(State(owner): State<Owner>) -> Response {
     match operate(&owner, String::new(), None, Operation::Read).await {
-        OperationResult::Config { revision, map } => match change::config(&map) {
+        OperationResult::Configuration { revision, map } => match change::config(&map) {
             Ok(conf) => answer(200, &json!({ "revision": revision, "config": show::json(&conf) })),
             Err(e) => answer(500, &json!({ "error": "unreadable", "text": e })),
         },
@@ -148,7 +148,9 @@
 
 /// An operator vouches that copies lost on other seats are lost for good.
 async fn vouch(State(owner): State<Owner>) -> Response {
-    match owner.send(Input::Controller(grebepath_core::control_plane::controller::Event::Vouch)) {
+    match owner
+        .send(Input::Controller(grebepath_core::control_plane::controller::Event::ForceRecovery))
+    {
         Ok(()) => answer(200, &json!({ "vouched": true })),
         Err(_) => answer(503, &json!({ "error": "stopping" })),
     }
@@ -158,11 +160,11 @@
     State(owner): State<Owner>,
     axum::extract::Path(name): axum::extract::Path<String>,
 ) -> Response {
-    outcome(operate(&owner, String::new(), None, Operation::Forget(name)).await)
+    outcome(operate(&owner, String::new(), None, Operation::ForgetMember(name)).await)
 }
 
 async fn whole(State(owner): State<Owner>, map: HeaderMap, body: Bytes) -> Response {
-    changed(owner, map, Operation::Whole(body.to_vec())).await
+    changed(owner, map, Operation::Replace(body.to_vec())).await
 }
 
 async fn patch(State(owner): State<Owner>, map: HeaderMap, body: Bytes) -> Response {
@@ -183,17 +185,17 @@
         OperationResult::Accepted { revision, copies, again } => {
             Operated::Accepted { revision, copies, again }
         }
-        OperationResult::Wrong(list) => {
+        OperationResult::Invalid(list) => {
             let all = list.into_iter().map(|(place, text)| Diagnostic { place, text }).collect();
             Operated::Wrong(all)
         }
-        OperationResult::Moved { revision } => Operated::Moved { revision },
-        OperationResult::Bounced { why } => Operated::Bounced { why },
+        OperationResult::Conflict { revision } => Operated::Moved { revision },
+        OperationResult::Rejected { why } => Operated::Bounced { why },
         OperationResult::Unknown { why } => Operated::Unknown { why },
         OperationResult::Forgotten { revision, edition } => {
             Operated::Unknown { why: operator::forgotten(revision, edition) }
         }
-        OperationResult::Config { .. } | OperationResult::Status { .. } => {
+        OperationResult::Configuration { .. } | OperationResult::Status { .. } => {
             Operated::Unknown { why: "an answer to something else".into() }
         }
     };
@@ -228,7 +230,7 @@
             body["cohort"] =
                 json!({ "epoch": membership.term, "turn": membership.turn, "members": members });
         }
-        OperationResult::Bounced { why } | OperationResult::Unknown { why } => {
+        OperationResult::Rejected { why } | OperationResult::Unknown { why } => {
             body["cohort"] = Value::Null;
             body["trouble"] = json!(why);
         }
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -12,7 +12,7 @@
 use grebepath_core::identifiers::{PartitionId, partitions};
 use grebepath_core::protocol::message::ReplicaCondition;
 use grebepath_core::storage::reader::Found;
-use grebepath_core::storage::record::Copy;
+use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::voters::voter_file::begin;
 use grebepath_runtime::disk::Store;
 use tracing::{error, warn};
@@ -28,7 +28,7 @@
 }
 
 /// A part as found on disk, ready for the core.
-type FoundPart = (PartitionId, ReplicaCondition, Copy, u64);
+type FoundPart = (PartitionId, ReplicaCondition, ReplicaState, u64);
 
 fn run(p: params::Params) -> Result<(), std::io::Error> {
     let _lock = grebepath_runtime::disk::lock(&p.data)?;
@@ -46,12 +46,12 @@
             _ if clear => {
                 warn!(%part, "the files are of a seat given to another; set aside");
                 grebepath_runtime::disk::clear(&mut store)?;
-                found.push((part, ReplicaCondition::Empty, Copy::default(), 0));
+                found.push((part, ReplicaCondition::Empty, ReplicaState::default(), 0));
             }
-            Found::Empty => found.push((part, ReplicaCondition::Empty, Copy::default(), 0)),
+            Found::Empty => found.push((part, ReplicaCondition::Empty, ReplicaState::default(), 0)),
             Found::Damaged(why) => {
                 warn!(%part, why, "the files are damaged and set aside; relearning");
-                found.push((part, ReplicaCondition::Damaged, Copy::default(), 0));
+                found.push((part, ReplicaCondition::Damaged, ReplicaState::default(), 0));
             }
             Found::Good { copy, torn, .. } => {
                 if torn {
@@ -60,7 +60,7 @@
                 if let Err(e) = grebepath_runtime::disk::slot(&mut store, &copy) {
                     sick.push((part, e.to_string()));
                 }
-                found.push((part, ReplicaCondition::Formed, copy, 0));
+                found.push((part, ReplicaCondition::Voting, copy, 0));
             }
         }
         stores.push(store);
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -82,7 +82,7 @@
         Io { ways, looked: 0, connections, disk, tells: HashMap::new(), next_op: 1, wake_at: None };
     arrange(&mut io.ways, who(&core), &core.seating.roll.table);
     for (part, why) in sick {
-        let todo = step(&mut core, now(&clock), Event::DiskTrouble { partition: part, why });
+        let todo = step(&mut core, now(&clock), Event::DiskFailed { partition: part, why });
         carry_out(&mut io, &core, todo);
     }
     // Nothing of a controller's params can change while it runs.
@@ -181,25 +181,25 @@
     match event {
         WireEvent::Dialled { tag, message } => {
             connections::heard(&mut io.ways, tag, &message);
-            Some(Event::Answer { message })
+            Some(Event::FromController { message })
         }
         WireEvent::Opened { connection, who, out } => {
             debug!(connection, ?who, "wire opened");
             io.connections.insert(connection, out);
-            Some(Event::Opened { connection })
+            Some(Event::ConnectionOpened { connection })
         }
         WireEvent::Came { connection, who, message } => Some(match who {
             PeerIdentity::Voter { slot: seat, holder } => {
                 connections::spoken(&mut io.ways);
-                Event::FromSeat { slot: seat, holder, connection, message }
+                Event::FromVoter { slot: seat, holder, connection, message }
             }
             PeerIdentity::Member(_) | PeerIdentity::Spare { .. } => {
-                Event::FromWire { connection, message }
+                Event::FromConnection { connection, message }
             }
         }),
         WireEvent::Closed { connection } => {
             io.connections.remove(&connection);
-            Some(Event::WireGone { connection })
+            Some(Event::ConnectionClosed { connection })
         }
         WireEvent::Trouble { text } => {
             warn!("{text}");
@@ -212,34 +212,34 @@
     let table = &core.seating.roll.table;
     for command in todo {
         match command {
-            Command::ToSeat { slot: seat, message } => {
+            Command::ToVoter { slot: seat, message } => {
                 connections::to_seat(&io.ways, table, seat, &message);
             }
-            Command::ToAll { message } => connections::to_all(&io.ways, &message),
-            Command::Seats => arrange(&mut io.ways, who(core), table),
-            Command::Keep { token, roll, clear } => {
+            Command::Broadcast { message } => connections::to_all(&io.ways, &message),
+            Command::VoterSetChanged => arrange(&mut io.ways, who(core), table),
+            Command::WriteVoterFile { token, roll, clear } => {
                 let _ = io.disk.send(Job::Keep { token, roll, clear });
             }
-            Command::ToWire { connection, message } => {
+            Command::ToConnection { connection, message } => {
                 if let Some(out) = io.connections.get(&connection) {
                     send(out, &message);
                 }
             }
-            Command::Append { partition: part, token, rec } => {
+            Command::AppendRecord { partition: part, token, rec } => {
                 let _ = io.disk.send(Job::Append { part, token, rec });
             }
-            Command::Slot { partition: part, token, copy } => {
+            Command::WriteSnapshot { partition: part, token, copy } => {
                 let _ = io.disk.send(Job::Slot { part, token, copy });
             }
-            Command::Look { partition: part } => {
+            Command::Scrub { partition: part } => {
                 let _ = io.disk.send(Job::Look { part });
             }
-            Command::Tell { op, done } => {
+            Command::Respond { op, done } => {
                 if let Some(tell) = io.tells.remove(&op) {
                     let _ = tell.send(done);
                 }
             }
-            Command::OwnAnswer { .. } => {}
+            Command::OwnResponse { .. } => {}
             Command::WakeAfter { span } => {
                 let at = tokio::time::Instant::now() + duration(span);
                 io.wake_at = Some(io.wake_at.map_or(at, |old| old.min(at)));
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -9,7 +9,7 @@
 use grebepath_core::http_api::list;
 use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
 use grebepath_core::membership::step::{WAKE, step};
-use grebepath_core::protocol::message::{Member, Message, PeerIdentity, Word};
+use grebepath_core::protocol::message::{LeafReport, Member, Message, PeerIdentity};
 use grebepath_core::query::engine;
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
@@ -33,7 +33,7 @@
 pub enum Input {
     Word {
         service: String,
-        word: Word,
+        word: LeafReport,
     },
     /// A poll has ended, after so many pages.
     List(Result<Vec<LeafInfo>, String>, u64),
@@ -238,7 +238,7 @@
         WireEvent::Dialled { tag: Tag::Controller(addr), message } => {
             let holder = connections::heard(&mut io.ways, addr, &message);
             match message {
-                Message::Seats { table, .. } => Some(Event::Seats(table)),
+                Message::VoterSetUpdate { table, .. } => Some(Event::Seats(table)),
                 // Who has no seat has no say.
                 message => {
                     seat_of(&w.table, holder).map(|seat| Event::FromSeat { slot: seat, message })
--- a/crates/server/src/querier/leafs.rs
+++ b/crates/server/src/querier/leafs.rs
@@ -6,7 +6,7 @@
 use grebepath_core::consts::{PROBE_PATIENCE, REPLY_LIMIT};
 use grebepath_core::http_api::leaf;
 use grebepath_core::http_api::leaf::{Heads, Raw, Trouble};
-use grebepath_core::protocol::message::Word;
+use grebepath_core::protocol::message::LeafReport;
 use grebepath_core::query::engine::Sending;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::MILLI;
@@ -84,14 +84,14 @@
 }
 
 /// Asks a leaf about itself; `None` when it could not be reached.
-pub async fn probe(http: &Http, info: &LeafInfo) -> Option<Word> {
+pub async fn probe(http: &Http, info: &LeafInfo) -> Option<LeafReport> {
     let req = Request::get(format!("http://{}{}", info.addr, leaf::SELF_PATH))
         .header(leaf::EXPECT_LEAF, &info.leaf)
         .header(leaf::EXPECT_SERVICE, &info.service)
         .body(Full::default())
         .ok()?;
     let resp = call_within(http, req, 64 * 1024, duration(PROBE_PATIENCE)).await.ok()?;
-    let mut word = Word { leaf: info.leaf.clone(), ..Word::default() };
+    let mut word = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
     match resp.status().as_u16() {
         leaf::MISDIRECTED => word.gone = true,
         200 => {
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -40,7 +40,7 @@
 }
 
 fn follow(revision: u64) -> Message {
-    Message::Follow { places: vec![FeedPosition { partition: CONFIG, revision }], stamp: 0 }
+    Message::Subscribe { places: vec![FeedPosition { partition: CONFIG, revision }], stamp: 0 }
 }
 
 #[googletest::test]
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -45,9 +45,9 @@
         "worst_leaf": worst.map(|l| json!({ "leaf": l.name, "pct_of_bears": l.worst_pct })),
         "begun_beyond_bearing": w.backs.leafs.values().map(|l| l.over).sum::<u64>(),
         "orders": { "accepted": orders(|d| matches!(d, OperationResult::Accepted { .. })),
-                    "bounced": orders(|d| matches!(d, OperationResult::Bounced { .. })),
+                    "bounced": orders(|d| matches!(d, OperationResult::Rejected { .. })),
                     "unknown": orders(|d| matches!(d, OperationResult::Unknown { .. })),
-                    "wrong": orders(|d| matches!(d, OperationResult::Wrong(_))) },
+                    "wrong": orders(|d| matches!(d, OperationResult::Invalid(_))) },
         "restarts": w.rules.backs.iter().map(|b| json!({
             "at_s": b.at as f64 / 1e6,
             "first_full_ms": b.first.iter().map(|(k, at)| (k.clone(), json!((at - b.at) / MILLI)))
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -9,7 +9,7 @@
 use grebepath_core::membership::node_agent as wat;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::frame;
-use grebepath_core::protocol::message::{Message, Word};
+use grebepath_core::protocol::message::{LeafReport, Message};
 use grebepath_core::storage::writer;
 use grebepath_core::time::{BOOT, MILLI, ms};
 use grebepath_core::voters::voter_file;
@@ -40,17 +40,17 @@
                     let n = &w.seats[usize::from(seat)];
                     let connection = seat_wire(usize::from(seat), n.life);
                     let holder = n.core.seating.roll.me;
-                    (connection, st::Event::FromSeat { slot: seat, holder, connection, message })
+                    (connection, st::Event::FromVoter { slot: seat, holder, connection, message })
                 }
                 From::Front(f, life) => {
                     let connection = connection(f, life);
-                    (connection, st::Event::FromWire { connection, message })
+                    (connection, st::Event::FromConnection { connection, message })
                 }
-                From::Answer => return step_seat(w, s, st::Event::Answer { message }),
+                From::Answer => return step_seat(w, s, st::Event::FromController { message }),
             };
             // What comes on a new connection is preceded by its opening.
             if w.opened.insert((s, life, connection)) {
-                step_seat(w, s, st::Event::Opened { connection });
+                step_seat(w, s, st::Event::ConnectionOpened { connection });
             }
             step_seat(w, s, event);
         }
@@ -60,15 +60,15 @@
         ScheduledEvent::Disk { s, life, part, token } if alive(w, s, life) => {
             let event = match simulated_disk::done(&mut w.seats[s].disk, part, token) {
                 Some(Ok(())) => st::Event::Synced { partition: part, token },
-                Some(Err(why)) => st::Event::DiskTrouble { partition: part, why },
+                Some(Err(why)) => st::Event::DiskFailed { partition: part, why },
                 None => return,
             };
             step_seat(w, s, event);
         }
         ScheduledEvent::Kept { s, life, token } if alive(w, s, life) => {
             let event = match simulated_disk::kept(&mut w.seats[s].disk, token) {
-                Some(Ok(())) => st::Event::Kept { token },
-                Some(Err(why)) => st::Event::RollTrouble { why },
+                Some(Ok(())) => st::Event::VoterFileWritten { token },
+                Some(Err(why)) => st::Event::VoterFileFailed { why },
                 None => return,
             };
             step_seat(w, s, event);
@@ -82,7 +82,9 @@
             add(&mut n.meter.got, size(&raw));
             let Some(message) = timed(&mut n.meter.code_ns, || read(&raw)) else { return };
             let event = match (from, message) {
-                (From::VoterSlot(_), Message::Seats { table, .. }) => wat::Event::Seats(table),
+                (From::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
+                    wat::Event::Seats(table)
+                }
                 (From::VoterSlot(seat), message) => wat::Event::FromSeat { slot: seat, message },
                 (From::Front(g, _), message) => {
                     wat::Event::FromMember { name: w.fronts[g].me.name.clone(), message }
@@ -149,15 +151,15 @@
     let here = plan::seat_zone(s as VoterSlot);
     let from = From::VoterSlot(s as VoterSlot);
     match command {
-        st::Command::ToSeat { slot: seat, message } => {
+        st::Command::ToVoter { slot: seat, message } => {
             seat_tells(w, s, usize::from(seat), from, &message)
         }
-        st::Command::ToAll { message } => {
+        st::Command::Broadcast { message } => {
             for to in (0..w.seats.len()).filter(|to| *to != s) {
                 seat_tells(w, s, to, from, &message);
             }
         }
-        st::Command::ToWire { connection, message } if connection >> 63 == 1 => {
+        st::Command::ToConnection { connection, message } if connection >> 63 == 1 => {
             let (to, life) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
             // A connection ends with the life that opened it.
             if life == w.seats[to].life {
@@ -165,36 +167,36 @@
             }
         }
         // Nobody moves here: all connections are as they were.
-        st::Command::Seats => {}
-        st::Command::Keep { token, roll, clear } => {
+        st::Command::VoterSetChanged => {}
+        st::Command::WriteVoterFile { token, roll, clear } => {
             add(&mut w.seats[s].meter.disk, voter_file::write(&roll).len());
             let disk = &mut w.seats[s].disk;
             if let Some(at) = simulated_disk::keep(disk, w.now, token, roll, clear, &mut w.luck) {
                 push_at(w, at, ScheduledEvent::Kept { s, life, token });
             }
         }
-        st::Command::ToWire { connection, message } => {
+        st::Command::ToConnection { connection, message } => {
             let (f, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
             let raw = seat_writes(w, s, "seat-front", &message);
             let at = arrival(w, (s, here), (f + w.seats.len(), w.fronts[f].zone));
             push_at(w, at, ScheduledEvent::FrontGets { f, life, from, raw });
         }
-        st::Command::Append { partition: part, token, rec } => {
+        st::Command::AppendRecord { partition: part, token, rec } => {
             add(&mut w.seats[s].meter.disk, writer::rec(0, 0, &rec).len());
             job(w, s, part, token, Job::Append(rec));
         }
-        st::Command::Slot { partition: part, token, copy } => {
+        st::Command::WriteSnapshot { partition: part, token, copy } => {
             add(&mut w.seats[s].meter.disk, writer::slot(part.0, 0, &copy).len());
             job(w, s, part, token, Job::Slot(copy));
         }
-        st::Command::Look { partition: part } => {
-            let event = Box::new(st::Event::Looked { partition: part, trouble: None });
+        st::Command::Scrub { partition: part } => {
+            let event = Box::new(st::Event::Scrubbed { partition: part, trouble: None });
             push(w, ms(3), ScheduledEvent::SeatTakes { s, life, event });
         }
-        st::Command::Tell { op, done } => {
+        st::Command::Respond { op, done } => {
             w.done.insert(op, (w.now, done));
         }
-        st::Command::OwnAnswer { .. } => {}
+        st::Command::OwnResponse { .. } => {}
         st::Command::WakeAfter { span } => {
             let event = Box::new(st::Event::Wake);
             push(w, span, ScheduledEvent::SeatTakes { s, life, event });
@@ -277,8 +279,11 @@
         wat::Command::Probe(list) => {
             w.probes += list.len() as u64;
             for info in list {
-                let word =
-                    Word { leaf: info.leaf.clone(), age_ms: plan::OLD_MS, ..Word::default() };
+                let word = LeafReport {
+                    leaf: info.leaf.clone(),
+                    age_ms: plan::OLD_MS,
+                    ..LeafReport::default()
+                };
                 let event = Box::new(wat::Event::Word { service: info.service.clone(), word });
                 push(w, 2 * MILLI, ScheduledEvent::FrontTakes { f, life, event });
             }
--- a/crates/simulator/src/scale_model/phases.rs
+++ b/crates/simulator/src/scale_model/phases.rs
@@ -83,7 +83,7 @@
     let begin = w.now;
     reset(&mut w);
     let conf = plan::config(size.leafs).to_string().into_bytes();
-    operate(&mut w, 1, Operation::Whole(conf));
+    operate(&mut w, 1, Operation::Replace(conf));
     let start = world::until(&mut w, PATIENCE, world::whole);
     let start_sum = take(&mut w, begin);
     world::run(&mut w, SETTLE);
--- a/crates/simulator/src/scale_model/weight.rs
+++ b/crates/simulator/src/scale_model/weight.rs
@@ -5,7 +5,7 @@
 use grebepath_core::config::build::Built;
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::membership::node_agent::Watch;
-use grebepath_core::protocol::message::{Map, Member, Membership};
+use grebepath_core::protocol::message::{EntryMap, Member, Membership};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 
@@ -25,7 +25,7 @@
 }
 
 /// A part's contents.
-pub fn map(m: &Map) -> usize {
+pub fn map(m: &EntryMap) -> usize {
     m.iter().map(|(k, v)| text(k) + TEXT + v.len() + TREE).sum()
 }
 
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -200,7 +200,7 @@
     (n.up, n.ready) = (false, false);
     n.watch = wat::watch(n.me.clone(), BOOT);
     for s in 0..w.seats.len() {
-        let event = Box::new(st::Event::WireGone { connection: connection(f, life) });
+        let event = Box::new(st::Event::ConnectionClosed { connection: connection(f, life) });
         let life = w.seats[s].life;
         push(w, ms(2), ScheduledEvent::SeatTakes { s, life, event });
     }
@@ -225,11 +225,14 @@
         .into_iter()
         .map(|(part, found)| match found {
             grebepath_core::storage::reader::Found::Good { copy, .. } => {
-                (part, ReplicaCondition::Formed, copy, 0)
-            }
-            _ => {
-                (part, ReplicaCondition::Empty, grebepath_core::storage::record::Copy::default(), 0)
+                (part, ReplicaCondition::Voting, copy, 0)
             }
+            _ => (
+                part,
+                ReplicaCondition::Empty,
+                grebepath_core::storage::record::ReplicaState::default(),
+                0,
+            ),
         })
         .collect();
     let n = &mut w.seats[s];
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -5,7 +5,7 @@
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::random::{Random, below, chance};
 use grebepath_core::storage::reader::{Found, read};
-use grebepath_core::storage::record::{Copy, LogRecord};
+use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::writer;
 use grebepath_core::time::{Span, Tick, ms};
 use grebepath_core::voters::voter_file;
@@ -29,7 +29,7 @@
 #[derive(Clone)]
 pub enum Job {
     Append(LogRecord),
-    Slot(Copy),
+    Slot(ReplicaState),
 }
 
 /// The health of a whole disk.
--- a/crates/simulator/src/world/deviations.rs
+++ b/crates/simulator/src/world/deviations.rs
@@ -92,10 +92,10 @@
 fn reaches(hap: &ScheduledEvent) -> Option<usize> {
     match hap {
         ScheduledEvent::ToSeat { s, event, .. } => match event {
-            CoreEvent::FromSeat { message, .. } | CoreEvent::Answer { message } => {
+            CoreEvent::FromVoter { message, .. } | CoreEvent::FromController { message } => {
                 (!is_heartbeat(message)).then_some(*s)
             }
-            CoreEvent::FromWire { connection, .. } if connection >> 63 == 1 => Some(*s),
+            CoreEvent::FromConnection { connection, .. } if connection >> 63 == 1 => Some(*s),
             _ => None,
         },
         ScheduledEvent::Disk { s, .. } | ScheduledEvent::Kept { s, .. } => Some(*s),
@@ -106,7 +106,7 @@
 /// Messages that are sent again all the time; one more or less changes nothing
 /// that the others do not change.
 fn is_heartbeat(message: &Message) -> bool {
-    matches!(message, Message::Here { .. })
+    matches!(message, Message::VoterAlive { .. })
         || matches!(message, Message::Heartbeat { partition: part, .. } | Message::HeartbeatAck { partition: part, .. } if part.0 != 0)
 }
 
@@ -141,16 +141,18 @@
 
 fn copied(event: &CoreEvent) -> Option<CoreEvent> {
     Some(match event {
-        CoreEvent::FromSeat { slot: seat, holder, connection, message } => CoreEvent::FromSeat {
+        CoreEvent::FromVoter { slot: seat, holder, connection, message } => CoreEvent::FromVoter {
             slot: *seat,
             holder: *holder,
             connection: *connection,
             message: message.clone(),
         },
-        CoreEvent::FromWire { connection, message } => {
-            CoreEvent::FromWire { connection: *connection, message: message.clone() }
+        CoreEvent::FromConnection { connection, message } => {
+            CoreEvent::FromConnection { connection: *connection, message: message.clone() }
+        }
+        CoreEvent::FromController { message } => {
+            CoreEvent::FromController { message: message.clone() }
         }
-        CoreEvent::Answer { message } => CoreEvent::Answer { message: message.clone() },
         _ => return None,
     })
 }
@@ -179,17 +181,17 @@
     };
     match hap {
         ScheduledEvent::ToSeat { s, event, .. } => match event {
-            CoreEvent::FromSeat { slot: seat, message, .. } => {
+            CoreEvent::FromVoter { slot: seat, message, .. } => {
                 format!("{} from slot {seat} to controller {s}", word(message))
             }
-            CoreEvent::FromWire { connection, message } => {
+            CoreEvent::FromConnection { connection, message } => {
                 format!(
                     "{} from controller {} to controller {s}",
                     word(message),
                     connection << 1 >> 33
                 )
             }
-            CoreEvent::Answer { message } => {
+            CoreEvent::FromController { message } => {
                 format!("{} in answer to controller {s}", word(message))
             }
             _ => format!("an event of controller {s}"),
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -15,7 +15,7 @@
 use grebepath_core::membership::node_agent::Watch;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::message::{
-    Member, Message, Operation, OperationResult, ReplicaCondition, Word,
+    LeafReport, Member, Message, Operation, OperationResult, ReplicaCondition,
 };
 use grebepath_core::query::dispatch as dstep;
 use grebepath_core::query::engine;
@@ -24,7 +24,7 @@
 use grebepath_core::random::{Random, below, draw, luck};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::storage::reader::Found;
-use grebepath_core::storage::record::Copy;
+use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
 use grebepath_core::voters::voter_file;
 use grebepath_core::voters::voter_file::Start;
@@ -534,11 +534,10 @@
             }
             let event = match simulated_disk::done(&mut w.seats[s].disk, part, token) {
                 Some(Ok(())) => CoreEvent::Synced { partition: part, token },
-                Some(Err(why)) => CoreEvent::DiskTrouble { partition: part, why },
+                Some(Err(why)) => CoreEvent::DiskFailed { partition: part, why },
                 None => return,
             };
-            if w.broken != Some(Broken::EarlyYes) || matches!(event, CoreEvent::DiskTrouble { .. })
-            {
+            if w.broken != Some(Broken::EarlyYes) || matches!(event, CoreEvent::DiskFailed { .. }) {
                 step_seat(w, s, event);
             }
         }
@@ -547,8 +546,8 @@
                 return;
             }
             match simulated_disk::kept(&mut w.seats[s].disk, token) {
-                Some(Ok(())) => step_seat(w, s, CoreEvent::Kept { token }),
-                Some(Err(why)) => step_seat(w, s, CoreEvent::RollTrouble { why }),
+                Some(Ok(())) => step_seat(w, s, CoreEvent::VoterFileWritten { token }),
+                Some(Err(why)) => step_seat(w, s, CoreEvent::VoterFileFailed { why }),
                 None => {}
             }
         }
@@ -564,7 +563,7 @@
         }
         ScheduledEvent::FromSeat { q, life, holder, message } if live(w, q, life) => {
             let event = match message {
-                Message::Seats { table, .. } => wat::Event::Seats(table),
+                Message::VoterSetUpdate { table, .. } => wat::Event::Seats(table),
                 message => match seat_of(&w.queriers[q].watch.table, holder) {
                     Some(seat) => wat::Event::FromSeat { slot: seat, message },
                     None => return,
@@ -685,7 +684,7 @@
     };
     let table = &best.core.seating.roll.table;
     let whole =
-        |n: &ControllerNode| n.core.partitions.iter().all(|p| p.life == ReplicaCondition::Formed);
+        |n: &ControllerNode| n.core.partitions.iter().all(|p| p.life == ReplicaCondition::Voting);
     table.slots.iter().enumerate().all(|(k, h)| {
         let held: Vec<_> =
             seated_up(w).filter(|n| usize::from(n.core.slot) == k && whole(n)).collect();
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -12,7 +12,7 @@
 
 /// An order that sets a whole configuration.
 pub fn whole(conf: &Value) -> Order {
-    plain(Operation::Whole(conf.to_string().into_bytes()))
+    plain(Operation::Replace(conf.to_string().into_bytes()))
 }
 
 /// An order that changes some of it.
@@ -117,7 +117,7 @@
             OperationResult::Accepted { revision, copies, .. } => {
                 format!("accepted as {revision}, {copies} copies")
             }
-            OperationResult::Bounced { why } => format!("bounced: {why}"),
+            OperationResult::Rejected { why } => format!("bounced: {why}"),
             OperationResult::Unknown { why } => format!("unknown: {why}"),
             _ => "told".into(),
         };
@@ -175,7 +175,7 @@
                     rules::broken(&mut w.rules, now, 12, text);
                 }
             }
-            OperationResult::Bounced { .. } => {
+            OperationResult::Rejected { .. } => {
                 if let Some(mark) = mark
                     && conf.zones.contains_key(mark)
                 {
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -38,7 +38,7 @@
         push(
             w,
             ms(2),
-            ScheduledEvent::ToSeat { s, life, event: CoreEvent::WireGone { connection } },
+            ScheduledEvent::ToSeat { s, life, event: CoreEvent::ConnectionClosed { connection } },
         );
     }
     let gone: Vec<u64> =
@@ -96,7 +96,7 @@
             }
         }
         wat::Command::Seats => {}
-        wat::Command::ToMember { message: Message::Words { .. }, .. }
+        wat::Command::ToMember { message: Message::LeafReports { .. }, .. }
             if w.broken == Some(Broken::NoWords) => {}
         wat::Command::ToMember { name, message, .. } => {
             weigh(&mut w.net, "querier-querier", &message);
@@ -266,7 +266,7 @@
     if l.alive != Alive::Up || l.mode == mock_backends::Mode::Dark {
         return;
     }
-    let mut word = Word { leaf: info.leaf.clone(), ..Word::default() };
+    let mut word = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
     if l.name == info.leaf {
         word.leaving = l.leaving && w.broken != Some(Broken::IgnoreLeaving);
         if w.backs.ages {
@@ -347,7 +347,11 @@
         push_at(
             w,
             at,
-            ScheduledEvent::ToSeat { s, life, event: CoreEvent::FromWire { connection, message } },
+            ScheduledEvent::ToSeat {
+                s,
+                life,
+                event: CoreEvent::FromConnection { connection, message },
+            },
         );
     }
 }
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -44,13 +44,13 @@
     let list = found
         .into_iter()
         .map(|(part, found)| match found {
-            Found::Empty if forgets => (part, ReplicaCondition::Formed, Copy::default(), 0),
-            Found::Empty => (part, ReplicaCondition::Empty, Copy::default(), 0),
+            Found::Empty if forgets => (part, ReplicaCondition::Voting, ReplicaState::default(), 0),
+            Found::Empty => (part, ReplicaCondition::Empty, ReplicaState::default(), 0),
             Found::Damaged(why) => {
                 *w.alarms.entry(format!("damaged: {why}")).or_default() += 1;
-                (part, ReplicaCondition::Damaged, Copy::default(), 0)
+                (part, ReplicaCondition::Damaged, ReplicaState::default(), 0)
             }
-            Found::Good { copy, .. } => (part, ReplicaCondition::Formed, copy, 0),
+            Found::Good { copy, .. } => (part, ReplicaCondition::Voting, copy, 0),
         })
         .collect();
     let n = &mut w.seats[s];
@@ -64,7 +64,7 @@
     push(w, below_ms(seed, 50), ScheduledEvent::SeatWake { s, life });
     // It dials its seeds and all whom it knows, who tell it the table.
     for to in ways(w, s) {
-        introduce(w, to, CoreEvent::Opened { connection: wire_of(s, life) });
+        introduce(w, to, CoreEvent::ConnectionOpened { connection: wire_of(s, life) });
     }
 }
 
@@ -96,10 +96,10 @@
         return Some(event);
     }
     match &mut event {
-        CoreEvent::FromSeat { message: Message::Seats { .. }, .. }
-        | CoreEvent::FromWire { message: Message::Seats { .. }, .. }
-        | CoreEvent::Answer { message: Message::Seats { .. } } => return None,
-        CoreEvent::FromSeat { slot: seat, holder, message, .. } => {
+        CoreEvent::FromVoter { message: Message::VoterSetUpdate { .. }, .. }
+        | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
+        | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
+        CoreEvent::FromVoter { slot: seat, holder, message, .. } => {
             let table = &core.seating.roll.table;
             *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
             if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(message) {
@@ -114,14 +114,14 @@
 /// What comes on a new connection is preceded by its opening.
 pub(super) fn open_wire(w: &mut World, s: usize, event: &CoreEvent) {
     let connection = match event {
-        CoreEvent::FromSeat { connection, .. }
-        | CoreEvent::FromWire { connection, .. }
-        | CoreEvent::Opened { connection } => *connection,
+        CoreEvent::FromVoter { connection, .. }
+        | CoreEvent::FromConnection { connection, .. }
+        | CoreEvent::ConnectionOpened { connection } => *connection,
         _ => return,
     };
     let new = w.opened.insert((s, w.seats[s].life, connection));
-    if new && !matches!(event, CoreEvent::Opened { .. }) {
-        step_seat(w, s, CoreEvent::Opened { connection });
+    if new && !matches!(event, CoreEvent::ConnectionOpened { .. }) {
+        step_seat(w, s, CoreEvent::ConnectionOpened { connection });
     }
 }
 
@@ -187,38 +187,38 @@
 pub(super) fn seat_does(w: &mut World, s: usize, command: st::Command) {
     let life = w.seats[s].life;
     match command {
-        st::Command::ToSeat { slot: seat, message } => {
+        st::Command::ToVoter { slot: seat, message } => {
             let table = &w.seats[s].core.seating.roll.table;
             let Some(to) = table.slots.get(usize::from(seat)) else { return };
             let Some(to) = machine(w, &to.addr) else { return };
             to_machine(w, s, to, message);
         }
-        st::Command::ToAll { message } => {
+        st::Command::Broadcast { message } => {
             for to in ways(w, s) {
                 to_machine(w, s, to, message.clone());
             }
         }
         // Wires are not played; who is new tells its table when it is heard.
-        st::Command::Seats => {}
-        st::Command::Keep { token, roll, clear } => {
+        st::Command::VoterSetChanged => {}
+        st::Command::WriteVoterFile { token, roll, clear } => {
             let at =
                 simulated_disk::keep(&mut w.seats[s].disk, w.now, token, roll, clear, &mut w.luck);
             if let Some(at) = at {
                 push_at(w, at, ScheduledEvent::Kept { s, life, token });
             }
         }
-        st::Command::ToWire { connection, message } if connection >> 63 == 1 => {
+        st::Command::ToConnection { connection, message } if connection >> 63 == 1 => {
             weigh(&mut w.net, "seat-seat", &message);
             let (to, tolife) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
             let ends = (Node::Controller(s as u8), Node::Controller(to as u8));
             let zones = (w.seats[s].zone.clone(), w.seats[to].zone.clone());
             let at = send(&mut w.net, w.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut w.luck);
             if let Some(at) = at {
-                let event = CoreEvent::Answer { message };
+                let event = CoreEvent::FromController { message };
                 push_at(w, at, ScheduledEvent::ToSeat { s: to, life: tolife, event });
             }
         }
-        st::Command::ToWire { connection, message } => {
+        st::Command::ToConnection { connection, message } => {
             weigh(&mut w.net, "seat-querier", &message);
             let (q, qlife) = ((connection >> 32) as usize, connection & 0xffff_ffff);
             let to = (Node::Querier(q), w.queriers[q].zone.clone());
@@ -230,13 +230,13 @@
                 push_at(w, at, ScheduledEvent::FromSeat { q, life: qlife, holder, message });
             }
         }
-        st::Command::Append { partition: part, token, rec } => {
+        st::Command::AppendRecord { partition: part, token, rec } => {
             disk_job(w, s, part, token, Job::Append(rec))
         }
-        st::Command::Slot { partition: part, token, copy } => {
+        st::Command::WriteSnapshot { partition: part, token, copy } => {
             disk_job(w, s, part, token, Job::Slot(copy))
         }
-        st::Command::Look { partition: part } => {
+        st::Command::Scrub { partition: part } => {
             if w.seats[s].disk.health != Health::Stalled && w.broken != Some(Broken::NoLook) {
                 let trouble = simulated_disk::look(&w.seats[s].disk, part);
                 push(
@@ -245,13 +245,13 @@
                     ScheduledEvent::ToSeat {
                         s,
                         life,
-                        event: CoreEvent::Looked { partition: part, trouble },
+                        event: CoreEvent::Scrubbed { partition: part, trouble },
                     },
                 );
             }
         }
-        st::Command::Tell { op, done } => told(w, op as usize, done),
-        st::Command::OwnAnswer { .. } => {}
+        st::Command::Respond { op, done } => told(w, op as usize, done),
+        st::Command::OwnResponse { .. } => {}
         st::Command::WakeAfter { span } => {
             push(w, span, ScheduledEvent::ToSeat { s, life, event: CoreEvent::Wake });
         }
@@ -272,14 +272,14 @@
     let n = &w.seats[s];
     let connection = wire_of(s, n.life);
     let event = if seated(n) {
-        CoreEvent::FromSeat {
+        CoreEvent::FromVoter {
             slot: n.core.slot,
             holder: n.core.seating.roll.me,
             connection,
             message,
         }
     } else {
-        CoreEvent::FromWire { connection, message }
+        CoreEvent::FromConnection { connection, message }
     };
     let life = w.seats[to].life;
     push_at(w, at, ScheduledEvent::ToSeat { s: to, life, event });
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -73,7 +73,7 @@
     let text = value.to_string();
     let request = digest(format!("PUT {text}").as_bytes());
     let base = Base { revision: None, edition: base.map(|b| b.0) };
-    Change { request, deed: Operation::Whole(text.into_bytes()), base, effect }
+    Change { request, deed: Operation::Replace(text.into_bytes()), base, effect }
 }
 
 fn named(value: &mut Value, base: Option<(u64, u64)>) {
@@ -105,7 +105,7 @@
 /// the operator never hears the answer.
 pub fn send(site: &mut Site, machine: usize, change: &Change, lost: bool) -> usize {
     let text = match &change.deed {
-        Operation::Whole(text) | Operation::Patch(text) => text.clone(),
+        Operation::Replace(text) | Operation::Patch(text) => text.clone(),
         _ => Vec::new(),
     };
     let mark = u64::from_str_radix(&digest(&text)[..16], 16).unwrap_or_default();
@@ -175,12 +175,12 @@
     let call = read(site, machine);
     until(site, 12, |s| answer(s, call).is_some());
     match answer(site, call) {
-        Some(OperationResult::Config { map, .. }) => objects(map),
+        Some(OperationResult::Configuration { map, .. }) => objects(map),
         _ => None,
     }
 }
 
-fn objects(map: &grebepath_core::protocol::message::Map) -> Option<(Objects, u64)> {
+fn objects(map: &grebepath_core::protocol::message::EntryMap) -> Option<(Objects, u64)> {
     let config = change::config(map).ok()?;
     let state = |drained| if drained { "drained" } else { "open" }.to_string();
     let zones = config.zones.values().map(|z| (z.name.clone(), state(z.drained))).collect();
@@ -195,7 +195,7 @@
         sent.noted = true;
         match (sent.write, done) {
             (Some(number), done) => site.recorder.answer_write(now, number, told(done)),
-            (None, OperationResult::Config { revision, map }) => {
+            (None, OperationResult::Configuration { revision, map }) => {
                 let Some((zones, edition)) = objects(map) else { continue };
                 let number = site.recorder.send_read(sent.sent, format!("machine {}", sent.via));
                 let at = (*revision, Some(edition));
@@ -209,9 +209,9 @@
 fn told(done: &OperationResult) -> Answer {
     match done {
         OperationResult::Accepted { revision, .. } => Answer::Accepted { revision: *revision },
-        OperationResult::Moved { revision } => Answer::Moved { version: Some(*revision) },
-        OperationResult::Wrong(_) => Answer::Invalid,
-        OperationResult::Bounced { .. } => Answer::Rejected,
+        OperationResult::Conflict { revision } => Answer::Moved { version: Some(*revision) },
+        OperationResult::Invalid(_) => Answer::Invalid,
+        OperationResult::Rejected { .. } => Answer::Rejected,
         _ => Answer::Unknown,
     }
 }
@@ -233,10 +233,10 @@
             _ if sent.lost => "lost",
             None => "none",
             Some(OperationResult::Accepted { .. }) => "accepted",
-            Some(OperationResult::Moved { .. }) => "moved",
-            Some(OperationResult::Wrong(_)) => "wrong",
-            Some(OperationResult::Bounced { .. }) => "rejected",
-            Some(OperationResult::Config { .. }) => "read",
+            Some(OperationResult::Conflict { .. }) => "moved",
+            Some(OperationResult::Invalid(_)) => "wrong",
+            Some(OperationResult::Rejected { .. }) => "rejected",
+            Some(OperationResult::Configuration { .. }) => "read",
             Some(_) => "unknown",
         };
         *out.entry(kind).or_insert(0) += 1;
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -82,7 +82,7 @@
             pass(&mut site, 500);
             revisions.push(revision(ask(&mut site, 1, order)));
         }
-        assert!(matches!(ask(&mut site, 2, &rival), Some(OperationResult::Moved { .. })));
+        assert!(matches!(ask(&mut site, 2, &rival), Some(OperationResult::Conflict { .. })));
         others(&mut site, count);
         let again = |site: &mut Site, when: &str| {
             for machine in 0..3 {
@@ -91,7 +91,7 @@
                     assert_eq!(revision(done), *want, "{when}, machine {machine}");
                 }
                 let done = ask(site, machine, &rival);
-                assert!(matches!(done, Some(OperationResult::Moved { .. })), "{when}: {done:?}");
+                assert!(matches!(done, Some(OperationResult::Conflict { .. })), "{when}: {done:?}");
             }
         };
         again(&mut site, "after the others");
