--- /dev/null
+++ b/crates/grebe/tests/format_fixtures.rs
@@ -0,0 +1,388 @@
+//! The formats of files and messages stay as they are: what an earlier build wrote
+//! is read by this one as the same value, and this one writes the same bytes.
+//!
+//! The files under `fixtures/formats/` were written once, with the formats of
+//! commit 9bec00c, from the values in `format_fixtures/`. They are never written
+//! again: where a test here fails, the code has changed a format that running
+//! processes and their disks still use. A format that changes on purpose gets a
+//! version number of its own and fixtures beside these.
+
+mod cluster;
+#[path = "format_fixtures/messages.rs"]
+mod messages;
+#[path = "format_fixtures/stored.rs"]
+mod stored;
+
+use std::collections::BTreeSet;
+use std::fmt::Debug;
+
+use cluster::{Cluster, answer, cluster as started_cluster, give, kill, leader, pass, pass_until};
+use googletest::prelude::*;
+use grebe::config::change::config;
+use grebe::disk::read::{Found, read};
+use grebe::disk::rec::Copy;
+use grebe::disk::write::{LOG_HEAD, log_head, rec, slot};
+use grebe::names::CONFIG;
+use grebe::seats::roll;
+use grebe::state::core::Event;
+use grebe::state::leafs;
+use grebe::state::order_memory::{Recall, fingerprint, horizon, recall};
+use grebe::time::{SECOND, ms};
+use grebe::wire::frame;
+use grebe::wire::msg::{Deed, Done, Map, Member, Msg, Progress};
+use nanoserde::DeBin;
+
+use stored::{AcceptedOrder, NEWER_SEQUENCE, OLDER_SEQUENCE, StoredPartition};
+
+const MESSAGES: &[u8] = include_bytes!("fixtures/formats/messages.bodies");
+const SMALL_MESSAGE: &[u8] = include_bytes!("fixtures/formats/small-message.piece");
+/// The heads of the three pieces of the large message.
+const LARGE_MESSAGE_HEADS: &[u8] = include_bytes!("fixtures/formats/large-message.heads");
+/// What stands before the filler in the body of the large message.
+const LARGE_MESSAGE_START: &[u8] = include_bytes!("fixtures/formats/large-message.start");
+const VOTER_FILE: &[u8] = include_bytes!("fixtures/formats/voter-file");
+
+/// Variants that messages had when the fixtures were written (count).
+const MESSAGE_VARIANTS: usize = 41;
+/// Bytes of a head, and most bytes of a piece's body.
+const HEAD_BYTES: usize = 12;
+const PIECE_BYTES: usize = 64 * 1024;
+
+/// The files of a partition.
+#[derive(Clone, PartialEq)]
+struct PartitionFiles {
+    older_slot: Vec<u8>,
+    newer_slot: Vec<u8>,
+    log: Vec<u8>,
+}
+
+macro_rules! partition_files {
+    ($name:literal) => {
+        PartitionFiles {
+            older_slot: include_bytes!(concat!("fixtures/formats/", $name, ".older-slot")).to_vec(),
+            newer_slot: include_bytes!(concat!("fixtures/formats/", $name, ".newer-slot")).to_vec(),
+            log: include_bytes!(concat!("fixtures/formats/", $name, ".log")).to_vec(),
+        }
+    };
+}
+
+/// Each partition's fixtures with what they hold.
+fn partitions() -> [(PartitionFiles, StoredPartition); 3] {
+    [
+        (partition_files!("configuration"), stored::configuration_partition()),
+        (partition_files!("configuration-older-orders"), stored::legacy_configuration_partition()),
+        (partition_files!("services"), stored::services_partition()),
+    ]
+}
+
+type Outcome = std::result::Result<(), String>;
+
+fn same<T: PartialEq + Debug>(what: &str, found: &T, expected: &T) -> Outcome {
+    if found == expected {
+        return Ok(());
+    }
+    Err(format!("{what}: found {found:?}, expected {expected:?}"))
+}
+
+// ---- files of partitions ----------------------------------------------------
+
+/// Reads the files, and checks that they hold this.
+fn read_partition(files: &PartitionFiles, expected: &StoredPartition) -> Outcome {
+    let part = expected.part;
+    let good = |copy: Copy, seq, records, log_len: usize| {
+        let (records, log_len) = (records as u32, log_len as u64);
+        Found::Good { copy, seq, records, log_len, torn: false }
+    };
+    // Each slot by itself: with both, the older one decides nothing.
+    for (slot, seq, copy) in [
+        (&files.older_slot, OLDER_SEQUENCE, &expected.older),
+        (&files.newer_slot, NEWER_SEQUENCE, &expected.newer),
+    ] {
+        let found = read(part, [Some(slot), None], Some(&log_head(part, seq)));
+        same("slot", &found, &good(copy.clone(), seq, 0, LOG_HEAD))?;
+    }
+    let found = read(part, [Some(&files.older_slot), Some(&files.newer_slot)], Some(&files.log));
+    let count = expected.records.len();
+    same("all", &found, &good(expected.newest(), NEWER_SEQUENCE, count, files.log.len()))
+}
+
+fn write_partition(partition: &StoredPartition) -> PartitionFiles {
+    let part = partition.part;
+    let mut log = log_head(part, NEWER_SEQUENCE);
+    for (number, record) in partition.records.iter().enumerate() {
+        log.extend(rec(NEWER_SEQUENCE, number as u32, record));
+    }
+    PartitionFiles {
+        older_slot: slot(part, OLDER_SEQUENCE, &partition.older),
+        newer_slot: slot(part, NEWER_SEQUENCE, &partition.newer),
+        log,
+    }
+}
+
+#[googletest::test]
+fn the_files_of_partitions_are_read_and_written_as_before() {
+    for (files, expected) in partitions() {
+        expect_that!(read_partition(&files, &expected), ok(eq(&())));
+        let written = write_partition(&expected);
+        expect_that!(written.older_slot, eq(&files.older_slot));
+        expect_that!(written.newer_slot, eq(&files.newer_slot));
+        expect_that!(written.log, eq(&files.log));
+    }
+}
+
+/// The newest state that the files hold.
+fn newest(files: &PartitionFiles, part: u32) -> Copy {
+    let slots = [Some(&files.newer_slot[..]), Some(&files.older_slot[..])];
+    match read(part, slots, Some(&files.log)) {
+        Found::Good { copy, .. } => copy,
+        other => panic!("{other:?}"),
+    }
+}
+
+#[googletest::test]
+fn the_entries_of_partitions_are_understood_as_before() {
+    let [(configuration, _), (older_orders, _), (services, _)] = partitions();
+    let mut expected = stored::configuration();
+    expected.terms = stored::terms(44);
+    expected.zones.clear();
+    let west = grebe::config::types::Zone { name: "west".into(), drained: true };
+    expected.zones.insert("west".into(), west);
+    expect_that!(config(&newest(&configuration, 0).map), ok(eq(&expected)));
+    let mut expected = stored::configuration();
+    expected.terms = stored::terms(78);
+    expect_that!(config(&newest(&older_orders, 0).map), ok(eq(&expected)));
+    let leafs = leafs::all(&newest(&services, 3).map);
+    expect_that!(leafs.into_values().collect::<Vec<_>>(), eq(&stored::leafs()));
+}
+
+// ---- memory of orders -------------------------------------------------------
+
+fn expect_known(map: &Map, order: &AcceptedOrder) {
+    let known = Recall::Accepted { revision: order.revision };
+    expect_that!(recall(map, &order.request, &order.fingerprint()), eq(known));
+    for (whole, text) in [(!order.whole, &order.text[..]), (order.whole, b"another text")] {
+        let other = fingerprint(&order.request, whole, text);
+        expect_that!(recall(map, &order.request, &other), eq(Recall::OtherText));
+    }
+}
+
+#[googletest::test]
+fn orders_are_remembered_from_files_of_both_forms() {
+    let [(newer_form, _), (older_form, _), _] = partitions();
+    let map = newest(&newer_form, 0).map;
+    for order in stored::orders() {
+        expect_known(&map, &order);
+    }
+    expect_that!(horizon(&map), eq(stored::HORIZON));
+
+    let map = newest(&older_form, 0).map;
+    for order in stored::legacy_orders() {
+        expect_known(&map, &order);
+    }
+    expect_that!(horizon(&map), eq(stored::LEGACY_HORIZON));
+    let dropped = stored::dropped_legacy_order();
+    let known = recall(&map, &dropped.request, &dropped.fingerprint());
+    expect_that!(known, eq(Recall::Absent));
+}
+
+// ---- forgotten members ------------------------------------------------------
+
+fn renew(cluster: &mut Cluster, name: &str, incarnation: u64, count: u64) {
+    let member = Member {
+        name: name.into(),
+        addr: name.into(),
+        zone: "a".into(),
+        threads: 1,
+        joined: 0,
+        incarnation,
+    };
+    let msg = Msg::Renew { member, count, far: Progress::default() };
+    give(cluster, 0, Event::FromWire { wire: 1_000 + incarnation % 10, msg });
+    pass(cluster, ms(100));
+}
+
+fn stored_map(cluster: &Cluster) -> &Map {
+    &cluster.nodes[0].core.as_ref().expect("the controller runs").parts[0].copy.map
+}
+
+#[googletest::test]
+fn a_forgotten_member_is_read_from_files() {
+    let [(files, _), ..] = partitions();
+    let mut cluster = started_cluster(1);
+    kill(&mut cluster, 0, false);
+    cluster.nodes[0].disk.kept.insert(CONFIG, newest(&files, 0));
+    cluster::start(&mut cluster, 0, false);
+    assert!(pass_until(&mut cluster, 5 * SECOND, |cluster| leader(cluster).is_some()));
+    let name = stored::FORGOTTEN_NAME;
+    let (key, _) = stored::forgotten_entry(name, 0, 0);
+    // The entry names one process, and goes when that one renews after all.
+    renew(&mut cluster, name, stored::FORGOTTEN_INCARNATION + 1, 1);
+    expect_that!(stored_map(&cluster).contains_key(&key), eq(true));
+    renew(&mut cluster, name, stored::FORGOTTEN_INCARNATION, 1);
+    expect_that!(stored_map(&cluster).contains_key(&key), eq(false));
+}
+
+#[googletest::test]
+fn a_forgotten_member_is_written_as_in_the_files() {
+    let mut cluster = started_cluster(1);
+    let silent = [("querier-3", 13), (stored::FORGOTTEN_NAME, stored::FORGOTTEN_INCARNATION)];
+    for (name, incarnation) in silent {
+        renew(&mut cluster, name, incarnation, 1);
+    }
+    for count in 1..40 {
+        renew(&mut cluster, "querier-1", 11, count);
+    }
+    let deed = Deed::Forget(stored::FORGOTTEN_NAME.into());
+    let done = answer(&mut cluster, 0, "", None, deed);
+    let Some(Done::Accepted { revision, .. }) = done else { panic!("{done:?}") };
+    let (name, incarnation) = silent[1];
+    let (key, value) = stored::forgotten_entry(name, incarnation, revision);
+    expect_that!(stored_map(&cluster).get(&key), some(eq(&value)));
+}
+
+// ---- voter file -------------------------------------------------------------
+
+#[googletest::test]
+fn the_voter_file_is_read_and_written_as_before() {
+    expect_that!(roll::read(VOTER_FILE), some(eq(&stored::voter_file())));
+    expect_that!(roll::write(&stored::voter_file()), eq(VOTER_FILE));
+}
+
+// ---- messages ---------------------------------------------------------------
+
+/// The bodies in a file of bodies, each with its length before it.
+fn bodies(file: &[u8]) -> Vec<&[u8]> {
+    let mut bodies = Vec::new();
+    let mut rest = file;
+    while let Some((length, tail)) = rest.split_first_chunk() {
+        let (body, tail) = tail.split_at(u32::from_le_bytes(*length) as usize);
+        bodies.push(body);
+        rest = tail;
+    }
+    assert!(rest.is_empty(), "{} bytes are left", rest.len());
+    bodies
+}
+
+fn read_message(body: &[u8], expected: &Msg) -> Outcome {
+    let found = Msg::deserialize_bin(body).map_err(|error| error.to_string())?;
+    same("message", &found, expected)
+}
+
+#[googletest::test]
+fn messages_are_read_and_written_as_before() {
+    let (bodies, expected) = (bodies(MESSAGES), messages::all());
+    assert_that!(bodies.len(), eq(expected.len()));
+    for (body, msg) in bodies.iter().zip(&expected) {
+        expect_that!(read_message(body, msg), ok(eq(&())));
+        expect_that!(frame::write(msg), eq(body), "{msg:?}");
+    }
+}
+
+#[googletest::test]
+fn every_variant_of_a_message_is_among_the_fixtures() {
+    let number = |body: &[u8]| u16::from_le_bytes([body[0], body[1]]);
+    let found: BTreeSet<u16> = bodies(MESSAGES).into_iter().map(number).collect();
+    let expected: BTreeSet<u16> = (0..MESSAGE_VARIANTS as u16).collect();
+    expect_that!(found, eq(&expected));
+}
+
+/// Puts pieces together; the message must be whole at the last one.
+fn read_pieces(pieces: &[Vec<u8>], expected: &Msg) -> Outcome {
+    let mut gather = frame::Gather::default();
+    let mut found = Vec::new();
+    for piece in pieces {
+        let (raw, body) = piece.split_first_chunk::<HEAD_BYTES>().ok_or("a short piece")?;
+        let head = frame::head(raw).map_err(|error| error.to_string())?;
+        same("length", &head.len, &body.len())?;
+        // Small messages go on the first lane, those of several pieces on the second.
+        same("lane", &head.lane, &usize::from(pieces.len() > 1))?;
+        found.push(frame::take(&mut gather, &head, body).map_err(|error| error.to_string())?);
+    }
+    let mut whole = vec![None; pieces.len() - 1];
+    whole.push(Some(expected.clone()));
+    same("pieces", &found, &whole)
+}
+
+/// The pieces of the large message: the heads as they are in the fixture, and the
+/// body, which is stored without its filler, cut after each 64 KiB.
+fn large_message_pieces(heads: &[u8], start: &[u8]) -> Vec<Vec<u8>> {
+    let body = [start, &[messages::FILLER; messages::FILLER_COUNT][..]].concat();
+    let heads = heads.chunks(HEAD_BYTES);
+    heads.zip(body.chunks(PIECE_BYTES)).map(|(head, body)| [head, body].concat()).collect()
+}
+
+#[googletest::test]
+fn messages_are_cut_into_pieces_as_before() {
+    let small = [SMALL_MESSAGE.to_vec()];
+    expect_that!(read_pieces(&small, &messages::small()), ok(eq(&())));
+    expect_that!(frame::pieces(&frame::write(&messages::small())), eq(&small));
+
+    let large = large_message_pieces(LARGE_MESSAGE_HEADS, LARGE_MESSAGE_START);
+    expect_that!(large.len(), eq(3));
+    expect_that!(read_pieces(&large, &messages::large()).is_ok(), eq(true));
+    let same = frame::pieces(&frame::write(&messages::large())) == large;
+    expect_that!(same, eq(true), "the pieces of the large message");
+}
+
+// ---- the comparisons compare --------------------------------------------------
+
+/// Copies of a file with one byte changed; of a long file every 61st is.
+fn changed_copies(file: &[u8]) -> impl Iterator<Item = (usize, Vec<u8>)> {
+    let step = if file.len() > 4_096 { 61 } else { 1 };
+    (0..file.len()).step_by(step).map(|at| {
+        let mut changed = file.to_vec();
+        changed[at] ^= 1;
+        (at, changed)
+    })
+}
+
+#[googletest::test]
+fn a_changed_byte_in_a_file_is_not_taken_for_the_same() {
+    for (files, expected) in partitions() {
+        for (at, older_slot) in changed_copies(&files.older_slot) {
+            let changed = PartitionFiles { older_slot, ..files.clone() };
+            assert!(read_partition(&changed, &expected).is_err(), "older slot, byte {at}");
+            assert!(write_partition(&expected) != changed, "older slot, byte {at}");
+        }
+        for (at, newer_slot) in changed_copies(&files.newer_slot) {
+            let changed = PartitionFiles { newer_slot, ..files.clone() };
+            assert!(read_partition(&changed, &expected).is_err(), "newer slot, byte {at}");
+            assert!(write_partition(&expected) != changed, "newer slot, byte {at}");
+        }
+        for (at, log) in changed_copies(&files.log) {
+            let changed = PartitionFiles { log, ..files.clone() };
+            assert!(read_partition(&changed, &expected).is_err(), "log, byte {at}");
+            assert!(write_partition(&expected) != changed, "log, byte {at}");
+        }
+    }
+    for (at, changed) in changed_copies(VOTER_FILE) {
+        assert!(roll::read(&changed) != Some(stored::voter_file()), "voter file, byte {at}");
+        assert!(roll::write(&stored::voter_file()) != changed, "voter file, byte {at}");
+    }
+}
+
+#[googletest::test]
+fn a_changed_byte_in_a_message_is_not_taken_for_the_same() {
+    for (body, msg) in bodies(MESSAGES).into_iter().zip(messages::all()) {
+        for (at, changed) in changed_copies(body) {
+            assert!(frame::write(&msg) != changed, "{msg:?}, byte {at}");
+            // Bytes from 0x80 on stand in numbers and contents only. A changed length
+            // would make the reader reserve memory for it, up to an abort; outside
+            // of tests it gets nothing but bodies whose checksum fits.
+            if body[at] >= 0x80 || at + 1 == body.len() {
+                assert!(read_message(&changed, &msg).is_err(), "{msg:?}, byte {at}");
+            }
+        }
+    }
+    for (at, changed) in changed_copies(SMALL_MESSAGE) {
+        assert!(read_pieces(&[changed], &messages::small()).is_err(), "small, byte {at}");
+    }
+    for (at, heads) in changed_copies(LARGE_MESSAGE_HEADS) {
+        let pieces = large_message_pieces(&heads, LARGE_MESSAGE_START);
+        assert!(read_pieces(&pieces, &messages::large()).is_err(), "large, head's byte {at}");
+    }
+    for (at, start) in changed_copies(LARGE_MESSAGE_START) {
+        let pieces = large_message_pieces(LARGE_MESSAGE_HEADS, &start);
+        assert!(read_pieces(&pieces, &messages::large()).is_err(), "large, byte {at}");
+    }
+}
--- /dev/null
+++ b/crates/grebe/tests/format_fixtures/stored.rs
@@ -0,0 +1,285 @@
+//! What the fixtures of files hold.
+
+use std::collections::BTreeMap;
+
+use grebe::config::change::entries;
+use grebe::config::types::{Class, Config, Form, Pool, Search, Steer, Terms, Turn, Zone};
+use grebe::digest::digest;
+use grebe::disk::rec::{Copy, Rec, apply, put};
+use grebe::seats::roll::Roll;
+use grebe::state::order_memory::{Fingerprint, Horizon, fingerprint, remember};
+use grebe::view::leafs::{LeafInfo, key};
+use grebe::wire::msg::Map;
+use nanoserde::SerBin;
+use prost::Message;
+
+use super::messages::{leaf, table, wide};
+
+/// Sequence number of the older slot; the newer one has the next.
+pub const OLDER_SEQUENCE: u64 = 6;
+/// Sequence number of the newer slot, which the log follows.
+pub const NEWER_SEQUENCE: u64 = 7;
+/// The term under which all changes of the fixtures were made.
+const TERM: u64 = 0x0102_0304_0506_0708;
+/// What is promised in the slots.
+const PROMISED: u64 = TERM + 16;
+/// What the record of a promise in the log promises.
+const PROMISED_LATER: u64 = TERM + 48;
+
+/// The files of a partition, as values.
+pub struct StoredPartition {
+    pub part: u32,
+    /// What the older slot holds.
+    pub older: Copy,
+    /// What the newer slot holds.
+    pub newer: Copy,
+    /// What the log holds.
+    pub records: Vec<Rec>,
+}
+
+impl StoredPartition {
+    /// The newer slot with all records of the log.
+    pub fn newest(&self) -> Copy {
+        let mut copy = self.newer.clone();
+        for record in &self.records {
+            assert!(apply(&mut copy, record), "{record:?} does not follow");
+        }
+        copy
+    }
+}
+
+fn copy(rev: u64, map: &Map) -> Copy {
+    Copy { promised: PROMISED, epoch: TERM, rev, map: map.clone() }
+}
+
+// ---- configuration ---------------------------------------------------------
+
+/// A configuration of which every stored field says something.
+pub fn configuration() -> Config {
+    let search = Search {
+        name: "books".into(),
+        class: Class::Urgent as i32,
+        promise_ms: 901,
+        quorum: 902,
+        attempts: 3,
+        plan: "all shards of books".into(),
+        host: "books.example".into(),
+        path: "/find/".into(),
+        form: Form::Join as i32,
+        once: true,
+        target_ms: 903,
+        rank: 904,
+        width: 905,
+        top: 906,
+        weights: BTreeMap::from([("one".into(), 907), ("two".into(), 908)]),
+        origin: r#"{"name":"books"}"#.into(),
+        place: 909,
+        needs: vec!["main".into(), "spare".into()],
+    };
+    let pool = Pool {
+        name: "main".into(),
+        service: "books-leafs".into(),
+        selector: "tier = hot".into(),
+        labels: BTreeMap::from([("region".into(), "north".into()), ("shard".into(), "1".into())]),
+        bears: 911,
+        ramp_ms: 912,
+        steer: Steer::Seen as i32,
+        wires: 913,
+        cold_rate: 914,
+        origin: r#"{"name":"main"}"#.into(),
+        place: 915,
+    };
+    let zone = Zone { name: "east".into(), drained: true };
+    Config {
+        searches: BTreeMap::from([(search.name.clone(), search)]),
+        pools: BTreeMap::from([(pool.name.clone(), pool)]),
+        zones: BTreeMap::from([(zone.name.clone(), zone)]),
+        terms: terms(41),
+        turn: Turn::default(),
+        keep_zones: false,
+    }
+}
+
+/// Terms of which every field says something.
+pub fn terms(edition: u64) -> Terms {
+    Terms {
+        edition,
+        head_max: 921,
+        body_max: 922,
+        head_wait_ms: 923,
+        idle_ms: 924,
+        origin: r#"{"terms":{}}"#.into(),
+    }
+}
+
+fn set_edition(map: &mut Map, edition: u64) {
+    map.insert("terms".into(), terms(edition).encode_to_vec());
+}
+
+/// The member that was forgotten, and its process.
+pub const FORGOTTEN_NAME: &str = "querier-2";
+pub const FORGOTTEN_INCARNATION: u64 = 0xa1b2_c3d4_e5f6_0718;
+const FORGOTTEN_REVISION: u64 = 19_999;
+
+/// Key and value of the entry of a member that was forgotten.
+pub fn forgotten_entry(name: &str, incarnation: u64, revision: u64) -> (String, Vec<u8>) {
+    (format!("forgotten/{name}"), format!("{incarnation} {revision}").into_bytes())
+}
+
+// ---- orders ----------------------------------------------------------------
+
+/// An order that was accepted.
+pub struct AcceptedOrder {
+    pub request: String,
+    /// It set a whole configuration.
+    pub whole: bool,
+    pub text: Vec<u8>,
+    pub revision: u64,
+    /// The edition that stood after it.
+    edition: u64,
+}
+
+impl AcceptedOrder {
+    pub fn fingerprint(&self) -> Fingerprint {
+        fingerprint(&self.request, self.whole, &self.text)
+    }
+}
+
+fn order(request: &str, whole: bool, revision: u64, edition: u64) -> AcceptedOrder {
+    let text = format!("text of {request}").into_bytes();
+    AcceptedOrder { request: request.into(), whole, text, revision, edition }
+}
+
+/// The orders of the newer form. `order-14` and `order-220` lie in one bucket, and
+/// the third is so late that the first one's mark becomes the horizon.
+pub fn orders() -> [AcceptedOrder; 4] {
+    [
+        order("order-118", true, 20_000, 41),
+        order("order-14", false, 30_000, 42),
+        order("order-7", true, 36_400, 43),
+        order("order-220", false, 36_401, 44),
+    ]
+}
+
+/// The horizon of these orders.
+pub const HORIZON: Horizon = Horizon { revision: 20_000, edition: 41 };
+
+fn accept(map: &mut Map, order: &AcceptedOrder) {
+    let changes = remember(map, &order.fingerprint(), order.revision, order.edition);
+    put(map, &changes);
+    set_edition(map, order.edition);
+}
+
+/// The configuration's partition: configuration, a forgotten member, and the
+/// memory of orders in its newer form.
+pub fn configuration_partition() -> StoredPartition {
+    let [first, second, third, fourth] = orders();
+    let mut map = entries(&configuration());
+    map.extend([forgotten_entry(FORGOTTEN_NAME, FORGOTTEN_INCARNATION, FORGOTTEN_REVISION)]);
+    accept(&mut map, &first);
+    accept(&mut map, &second);
+    let older = copy(second.revision, &map);
+    accept(&mut map, &third);
+    let newer = copy(third.revision, &map);
+    let mut changed = remember(&map, &fourth.fingerprint(), fourth.revision, fourth.edition);
+    changed.push(("terms".into(), Some(terms(fourth.edition).encode_to_vec())));
+    let removed = vec![("zone/east".into(), None), ("zone/west".into(), Some(zone_west()))];
+    let records = vec![
+        Rec::Change { epoch: TERM, rev: fourth.revision, entries: changed },
+        Rec::Promise { epoch: PROMISED_LATER },
+        Rec::Change { epoch: TERM, rev: fourth.revision + 1, entries: removed },
+    ];
+    StoredPartition { part: 0, older, newer, records }
+}
+
+fn zone_west() -> Vec<u8> {
+    Zone { name: "west".into(), drained: true }.encode_to_vec()
+}
+
+// ---- orders of the older form ----------------------------------------------
+
+/// Revision of the first order of the older form.
+const FIRST_LEGACY_REVISION: u64 = 9_001;
+/// Orders that the older form remembers (count).
+const LEGACY_ORDERS_KEPT: u64 = 512;
+/// The edition that stands in the slots, and the next one in the log.
+const LEGACY_EDITION: u64 = 77;
+
+/// The orders that the older form remembers after the log.
+pub fn legacy_orders() -> Vec<AcceptedOrder> {
+    let first = FIRST_LEGACY_REVISION + 1;
+    (first..first + LEGACY_ORDERS_KEPT).map(legacy_order).collect()
+}
+
+/// The order that the log makes forgotten.
+pub fn dropped_legacy_order() -> AcceptedOrder {
+    legacy_order(FIRST_LEGACY_REVISION)
+}
+
+/// The horizon of these orders: below the oldest, at the edition that stands.
+pub const LEGACY_HORIZON: Horizon =
+    Horizon { revision: FIRST_LEGACY_REVISION, edition: LEGACY_EDITION + 1 };
+
+fn legacy_order(revision: u64) -> AcceptedOrder {
+    order(&format!("r-{revision}"), revision.is_multiple_of(2), revision, LEGACY_EDITION)
+}
+
+fn legacy_entry(order: &AcceptedOrder) -> (String, Vec<u8>) {
+    let text = digest(&[&[u8::from(order.whole)], &order.text[..]].concat());
+    (format!("request/{}", order.request), format!("{text} {}", order.revision).into_bytes())
+}
+
+/// The configuration's partition with the memory of orders in its older form.
+pub fn legacy_configuration_partition() -> StoredPartition {
+    let mut map = entries(&configuration());
+    set_edition(&mut map, LEGACY_EDITION);
+    let older = copy(FIRST_LEGACY_REVISION - 1, &map);
+    let last = FIRST_LEGACY_REVISION + LEGACY_ORDERS_KEPT - 1;
+    let orders = (FIRST_LEGACY_REVISION..=last).map(legacy_order);
+    map.extend(orders.map(|order| legacy_entry(&order)));
+    let newer = copy(last, &map);
+    let (key, value) = legacy_entry(&legacy_order(last + 1));
+    let changed = vec![
+        (legacy_entry(&dropped_legacy_order()).0, None),
+        (key, Some(value)),
+        ("terms".into(), Some(terms(LEGACY_EDITION + 1).encode_to_vec())),
+    ];
+    let records = vec![
+        Rec::Promise { epoch: PROMISED_LATER },
+        Rec::Change { epoch: TERM, rev: last + 1, entries: changed },
+    ];
+    StoredPartition { part: 0, older, newer, records }
+}
+
+// ---- leafs -----------------------------------------------------------------
+
+/// The leafs that stand after the log.
+pub fn leafs() -> [LeafInfo; 2] {
+    [leaf(2, false), leaf(3, true)]
+}
+
+fn leaf_entry(leaf: &LeafInfo) -> (String, Vec<u8>) {
+    (key(&leaf.leaf), leaf.serialize_bin())
+}
+
+/// A partition of services.
+pub fn services_partition() -> StoredPartition {
+    let [second, third] = leafs();
+    let older = copy(wide(1), &BTreeMap::from([leaf_entry(&leaf(1, false))]));
+    let newer_map = [leaf_entry(&leaf(1, true)), leaf_entry(&second)];
+    let newer = copy(wide(2), &BTreeMap::from(newer_map));
+    let (third_key, third_value) = leaf_entry(&third);
+    let changed = vec![(key("leaf-1"), None), (third_key, Some(third_value))];
+    let records = vec![
+        Rec::Change { epoch: TERM, rev: wide(3), entries: changed },
+        Rec::Promise { epoch: PROMISED_LATER },
+    ];
+    StoredPartition { part: 3, older, newer, records }
+}
+
+// ---- voter file ------------------------------------------------------------
+
+/// What the voter file holds.
+pub fn voter_file() -> Roll {
+    Roll { me: wide(201), first: true, table: table() }
+}
