--- a/crates/grebe/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -9,19 +9,20 @@
 
 use std::time::{Duration, Instant};
 
-use grebe::disk::write;
-use grebe::seats::roll::{Start, begin};
-use grebe::state::core::{Command, Core, Event, core};
-use grebe::state::order_memory::{self, Recall};
-use grebe::state::step::{WAKE, step};
-use grebe::time::{BOOT, Tick};
-use grebe::wire::msg::{Deed, Done, Map, Msg};
+use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
+use grebepath_core::control_plane::order_memory;
+use grebepath_core::control_plane::order_memory::Recall;
+use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::protocol::message::{Map, Message, Operation, OperationResult};
+use grebepath_core::storage::writer;
+use grebepath_core::time::{BOOT, Tick};
+use grebepath_core::voters::voter_file::{Start, begin};
 use nanoserde::SerBin;
 use serde_json::{Value, json};
 
 /// A controller and what its orders have cost so far.
 struct Controller {
-    core: Core,
+    core: ControllerState,
     now: Tick,
     next_op: u64,
     accepted: u64,
@@ -42,10 +43,12 @@
     let routes = numbers.next().unwrap_or(350);
     let orders = numbers.next().unwrap_or(20_000);
     let mut controller = controller();
-    while controller.core.parts[0].shown_rev == 0 && controller.now < BOOT + 10_000_000 {
+    while controller.core.partitions[0].committed_revision == 0
+        && controller.now < BOOT + 10_000_000
+    {
         wake(&mut controller);
         if controller.next_op == 0 {
-            operate(&mut controller, "first", Deed::Whole(whole(routes)));
+            operate(&mut controller, "first", Operation::Whole(whole(routes)));
         }
     }
     println!(
@@ -59,13 +62,13 @@
         for number in begin..end {
             let change = json!({ "zones": [{ "name": "z", "state": "open" }],
                 "terms": { "after": number + 1, "edition": number + 2 } });
-            let deed = Deed::Patch(change.to_string().into_bytes());
-            let request = grebe::digest::digest(&number.to_le_bytes());
+            let deed = Operation::Patch(change.to_string().into_bytes());
+            let request = grebepath_core::digest::digest(&number.to_le_bytes());
             operate(&mut controller, &request, deed);
         }
         print(&controller, begin, end);
     }
-    memory_alone(&controller.core.parts[0].copy.map, orders);
+    memory_alone(&controller.core.partitions[0].copy.map, orders);
 }
 
 /// Times what the memory of orders does for each of them, on a full map.
@@ -74,7 +77,7 @@
     let begin = Instant::now();
     let mut bytes = 0;
     for number in 0..ROUNDS {
-        let request = grebe::digest::digest(&(number * 7_919 % orders).to_le_bytes());
+        let request = grebepath_core::digest::digest(&(number * 7_919 % orders).to_le_bytes());
         let order = order_memory::fingerprint(&request, false, &[]);
         let known = order_memory::recall(map, &request, &order);
         assert_ne!(known, Recall::Accepted { revision: 0 });
@@ -87,7 +90,7 @@
 
 fn print(controller: &Controller, begin: u64, end: u64) {
     let (cost, count) = (&controller.cost, end - begin);
-    let copy = &controller.core.parts[0].copy;
+    let copy = &controller.core.partitions[0].copy;
     println!(
         "{:>6}..{:<6} {:>9.1} {:>8.1} {:>9.1} {:>7} {:>11}",
         begin,
@@ -96,7 +99,7 @@
         cost.log_bytes as f64 / count as f64,
         cost.message_bytes as f64 / count as f64,
         cost.slots,
-        write::slot(0, 1, copy).len(),
+        writer::slot(0, 1, copy).len(),
     );
     assert_eq!(controller.accepted, end + 1, "every order is accepted");
 }
@@ -104,7 +107,7 @@
 fn controller() -> Controller {
     let addr = "127.0.0.1:1".to_string();
     let seeds = vec![addr.clone()];
-    let start = Start { seat: Some(0), first: true, seeds, size: 1, addr: addr.clone() };
+    let start = Start { slot: Some(0), first: true, seeds, size: 1, addr: addr.clone() };
     let (roll, _) = begin(None, &start, true, 5);
     let core = core(roll, (&addr, "a"), Vec::new(), 7, BOOT);
     Controller { core, now: BOOT, next_op: 0, accepted: 0, cost: Cost::default() }
@@ -132,7 +135,7 @@
 }
 
 /// Sends an order and waits until it is accepted.
-fn operate(controller: &mut Controller, request: &str, deed: Deed) {
+fn operate(controller: &mut Controller, request: &str, deed: Operation) {
     let op = controller.next_op;
     controller.next_op += 1;
     let request = request.to_string();
@@ -156,21 +159,28 @@
         controller.cost.processor += begin.elapsed();
         for command in commands {
             match command {
-                Command::Append { part, token, rec } => {
-                    controller.cost.log_bytes += write::rec(1, 1, &rec).len();
-                    if let grebe::disk::rec::Rec::Change { epoch, rev, entries } = rec {
-                        let change = Msg::Append { part, epoch, rev, entries };
+                Command::Append { partition, token, rec } => {
+                    controller.cost.log_bytes += writer::rec(1, 1, &rec).len();
+                    if let grebepath_core::storage::record::LogRecord::Change {
+                        term,
+                        revision,
+                        entries,
+                    } = rec
+                    {
+                        let change = Message::Append { partition, term, revision, entries };
                         controller.cost.message_bytes += change.serialize_bin().len();
                     }
-                    queue.push(Event::Synced { part, token });
+                    queue.push(Event::Synced { partition, token });
                 }
-                Command::Slot { part, token, copy } => {
+                Command::Slot { partition, token, copy } => {
                     controller.cost.slots += 1;
-                    controller.cost.slot_bytes += write::slot(part.0, 1, &copy).len();
-                    queue.push(Event::Synced { part, token });
+                    controller.cost.slot_bytes += writer::slot(partition.0, 1, &copy).len();
+                    queue.push(Event::Synced { partition, token });
                 }
                 Command::Keep { token, .. } => queue.push(Event::Kept { token }),
-                Command::Tell { done: Done::Accepted { .. }, .. } => controller.accepted += 1,
+                Command::Tell { done: OperationResult::Accepted { .. }, .. } => {
+                    controller.accepted += 1
+                }
                 Command::Tell { done, .. } => panic!("not accepted: {done:?}"),
                 _ => {}
             }
--- a/crates/grebe/src/edge/leaf.rs
+++ b/crates/core/src/http_api/leaf.rs
@@ -3,8 +3,8 @@
 use serde_json::{Value, json};
 
 use crate::digest::digest;
-use crate::query::ask::Record;
-use crate::query::seen::Load;
+use crate::query::observed_load::Load;
+use crate::query::request::Record;
 
 /// Path of the one call a leaf takes.
 pub const PATH: &str = "/query";
@@ -96,7 +96,7 @@
     pub all: Vec<(String, Vec<u8>)>,
 }
 
-/// A reply as it came off the wire.
+/// A reply as it came off the connection.
 #[derive(Clone, Debug)]
 pub struct Raw {
     pub status: u16,
--- /dev/null
+++ b/crates/core/src/membership/step.rs
@@ -0,0 +1,140 @@
+//! `step` of a querier's control thread.
+
+use crate::consts;
+use crate::control_plane::members::newer;
+use crate::identifiers::CONFIG;
+use crate::membership::neighbour_ring::ring;
+use crate::membership::node_agent::{Command, Event, Watch, learn, places};
+use crate::membership::{assignments, attestation, feed, status, updates};
+use crate::protocol::message::Message;
+use crate::time::{Tick, ms};
+
+/// How often a querier's control thread looks around.
+pub const WAKE: crate::time::Span = ms(50);
+
+/// Takes one event and says what to do.
+pub fn step(w: &mut Watch, now: Tick, event: Event) -> Vec<Command> {
+    let mut out = Vec::new();
+    w.now = now;
+    match event {
+        Event::FromSeat { slot, message } => match message {
+            // Said under another table it may be of a seat given away.
+            Message::Reach { places, stamp } if stamp == w.stamp => {
+                if let Some(cell) = w.reach.get_mut(usize::from(slot)) {
+                    *cell = places;
+                    w.feed.at.insert(slot, now);
+                }
+            }
+            Message::Lease { ref name, incarnation, count, revision, tell_membership, .. } => {
+                if *name == w.me.name {
+                    if incarnation == w.me.incarnation {
+                        status::granted(w, Some(slot), count, revision);
+                    }
+                    if tell_membership && w.membership.term > 0 {
+                        out.push(Command::ToSeat {
+                            slot,
+                            message: Message::Tell(w.membership.clone()),
+                        });
+                    }
+                } else if w.handed.contains_key(name) {
+                    status::to_member(w, &name.clone(), message, &mut out);
+                }
+            }
+            message => any(w, message, false, &mut out),
+        },
+        Event::Seats(table) => learn(w, &table, &mut out),
+        Event::FromMember { name, message } => from_member(w, now, &name, message, &mut out),
+        Event::Word { service, word } => assignments::hear(w, service, word),
+        Event::List(got) => assignments::listed(w, got, &mut out),
+        Event::Stop => w.stopping = Some(now),
+        Event::Drained => {
+            w.drained = true;
+            w.lease.renew_at = now;
+        }
+        Event::Wake => {
+            feed::follow(w, now, &mut out);
+            status::gossip(w, now, &mut out);
+            assignments::wake(w, now, &mut out);
+            assignments::probe(w, now, &mut out);
+        }
+    }
+    assignments::findings(w, now, &mut out);
+    updates::settle_start(w, now);
+    status::hold(w);
+    updates::publish(w, now, &mut out);
+    status::decide(w, now, &mut out);
+    status::renew(w, now, &mut out);
+    out
+}
+
+/// What may come from a seat as well as from a member.
+fn any(w: &mut Watch, message: Message, member: bool, out: &mut Vec<Command>) {
+    match message {
+        Message::News { partition, from, revision, entries }
+            if updates::take(w, partition, from, revision, &entries, out) && member =>
+        {
+            w.counts.news_from_members += 1;
+        }
+        Message::Tell(membership) if newer(&membership, &w.membership) => {
+            w.membership = membership;
+            attestation::adopt(w);
+            w.ring = ring(&w.membership, &w.me.name);
+            // What we saw lets others settle: say so at once.
+            w.lease.renew_at = 0;
+        }
+        _ => {}
+    }
+}
+
+fn from_member(w: &mut Watch, now: Tick, name: &str, message: Message, out: &mut Vec<Command>) {
+    match message {
+        Message::Gossip { name, core_age_ms, ready, places: theirs, asked, echo, attestation } => {
+            let mut ahead = theirs
+                .iter()
+                .any(|p| w.held.get(&p.partition).is_some_and(|h| h.revision < p.revision));
+            let config = theirs.iter().find(|p| p.partition == CONFIG).map_or(0, |p| p.revision);
+            attestation::learn_of(w, config);
+            if let (Some(echo), Some(attestation)) = (echo, &attestation) {
+                ahead |= attestation::take_in(w, echo, attestation);
+            }
+            if let Some(echo) = echo {
+                status::spoke(w, echo, &name, (core_age_ms, ready, theirs));
+            }
+            if asked.is_some() {
+                let attestation = attestation::attest(w, now);
+                let message = status::gossip_msg(w, now, None, asked, attestation);
+                status::to_member(w, &name, message, out);
+            }
+            // Ask a member only for what the core did not bring us in time.
+            if ahead && config > 0 && status::core_age(w, now) >= consts::TENURE_WORRY {
+                let message = Message::Follow { places: places(w), stamp: w.stamp };
+                status::to_member(w, &name, message, out);
+            }
+        }
+        Message::Seats { table, .. } => learn(w, &table, out),
+        Message::Follow { places, stamp } => {
+            let list = updates::hand_on(w, &places);
+            let membership = Message::Tell(w.membership.clone());
+            let slots = Message::Seats { me: 0, table: w.table.clone() };
+            let slots = (stamp != w.stamp).then_some(slots);
+            for message in list.into_iter().chain([membership]).chain(slots) {
+                status::to_member(w, name, message, out);
+            }
+        }
+        Message::Renew { member, count, far } => {
+            // Hand a neighbour's renewal over, if our own way to the core works.
+            if status::core_age(w, now) < consts::TENURE_WORRY {
+                w.handed.insert(member.name.clone(), now);
+                w.counts.handed_renewals += 1;
+                assignments::to_core(w, Message::Renew { member, count, far }, out);
+            }
+        }
+        Message::Words { partition, words } => assignments::handed(w, now, partition, words),
+        Message::Lease { name, incarnation, count, revision, .. }
+            if name == w.me.name && incarnation == w.me.incarnation =>
+        {
+            status::granted(w, None, count, revision);
+        }
+        message => any(w, message, true, out),
+    }
+}
--- a/crates/grebe/src/query/parcel.rs
+++ b/crates/core/src/query/forwarded_request.rs
@@ -2,12 +2,12 @@
 
 use std::sync::Arc;
 
-use crate::edge::leaf::Raw;
+use crate::http_api::leaf::Raw;
 use crate::time::Span;
 
 /// A call as it came: nothing of it is changed on the way to a leaf.
 #[derive(Clone, Debug, Default)]
-pub struct Parcel {
+pub struct ForwardedRequest {
     /// The caller's own id of this call.
     pub id: String,
     pub method: String,
--- a/crates/grebe/src/query/choose.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -4,17 +4,17 @@
 
 use indexmap::IndexMap;
 
-use super::leaf::{Leaf, bears, load, used, warm};
-use super::share::{Share, part};
-use super::wires::Peer;
-use super::{cold, seen};
-use crate::config::build::{Mapping, PoolPlan};
+use crate::config::build::{PoolPlan, Route};
 use crate::config::types::{Form, Steer};
 use crate::consts::REST_AFTER;
-use crate::luck::{Luck, below};
+use crate::query::connection_subset::Peer;
+use crate::query::leaf::{Leaf, bears, load, used, warm};
+use crate::query::quota::{Share, part};
+use crate::query::{observed_load, slow_start};
+use crate::random::{Random, below};
+use crate::snapshot::cluster_view::{ClusterView, open};
+use crate::snapshot::leafs::{LeafInfo, zone};
 use crate::time::Tick;
-use crate::view::leafs::{LeafInfo, zone};
-use crate::view::whole::{View, open};
 
 /// Leafs up to which all are compared rather than two drawn ones (count):
 /// nodes that know little of a large pool must not all see the same best.
@@ -31,7 +31,7 @@
 
 /// What a choice depends on.
 pub struct Scene<'a> {
-    pub view: &'a View,
+    pub view: &'a ClusterView,
     pub share: &'a Share,
     pub leafs: &'a IndexMap<String, Leaf>,
     pub zone: &'a str,
@@ -45,7 +45,7 @@
 /// the local zone first if the plan prefers it, never one in `tried`. Rested
 /// leafs serve only when no other stands, and then for first tries alone: if
 /// most of a pool looks bad it is used with care, but not beaten.
-pub fn choose(s: &Scene, luck: &mut Luck, map: &Mapping, shard: usize, tried: &[String]) -> Choice {
+pub fn choose(s: &Scene, luck: &mut Random, map: &Route, shard: usize, tried: &[String]) -> Choice {
     let mut fit: Vec<(&Arc<LeafInfo>, u64, bool, bool)> = Vec::new();
     let mut stand = false;
     // Whether a leaf that is steered by what is seen, is ours and stands well.
@@ -66,19 +66,24 @@
                 let rate = u64::from(pool.cold_rate);
                 if info.cold
                     && rate > 0
-                    && !(cold::keeps(leaf, s.peers, s.slot)
-                        && cold::saved(leaf, rate, s.now) >= 1_000)
+                    && !(slow_start::keeps(leaf, s.peers, s.slot)
+                        && slow_start::saved(leaf, rate, s.now) >= 1_000)
                 {
                     continue;
                 }
-                let ours = leaf.wires != Some(0);
+                let ours = leaf.connections != Some(0);
                 healthy |= ours && !rested;
                 // One that failed lately is tried with one dispatch at a time.
                 let wary = leaf.row >= REST_AFTER && leaf.live > 0;
-                if wary || leaf.live >= seen::room(leaf, info, s.now) {
+                if wary || leaf.live >= observed_load::room(leaf, info, s.now) {
                     continue;
                 }
-                fit.push((info, seen::likely(leaf, info, near || !map.local), rested, ours));
+                fit.push((
+                    info,
+                    observed_load::likely(leaf, info, near || !map.local),
+                    rested,
+                    ours,
+                ));
                 continue;
             }
             let own = room(s, leaf, pool);
@@ -96,7 +101,7 @@
         if rested && !first {
             break;
         }
-        // A leaf that others have the wires of is for need: none of ours stands
+        // A leaf that others have the connections of is for need: none of ours stands
         // well, or a second try finds none of ours.
         if !near && healthy && first {
             return Choice::Full;
--- a/crates/grebe/src/query/seen.rs
+++ b/crates/core/src/query/observed_load.rs
@@ -4,10 +4,10 @@
 //! its own dispatches there, how long they took, what the leaf says of its
 //! load with each answer, and work that it turned away.
 
-use super::leaf::{Leaf, used};
 use crate::consts;
+use crate::query::leaf::{Leaf, used};
+use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick};
-use crate::view::leafs::LeafInfo;
 
 /// What a leaf says of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -37,12 +37,12 @@
 }
 
 /// Dispatches that we may have in hand at a leaf: a little more than it works
-/// on at once, less where it turns work away or its wires are few.
+/// on at once, less where it turns work away or its connections are few.
 pub fn room(leaf: &Leaf, info: &LeafInfo, now: Tick) -> u64 {
     let full = slots(leaf, info) * consts::SEEN_SLOTS_PCT / 100;
     let most = used(leaf, full, 0, now).max(1);
-    // A leaf that we have no wire to is asked in need, with one.
-    leaf.wires.map_or(most, |wires| most.min(wires.max(1)))
+    // A leaf that we have no connection to is asked in need, with one.
+    leaf.connections.map_or(most, |connections| most.min(connections.max(1)))
 }
 
 /// When the leaf would likely answer one dispatch more.
--- a/crates/grebe/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -18,18 +18,20 @@
 
 use cluster::{Cluster, answer, cluster as started_cluster, give, kill, leader, pass, pass_until};
 use googletest::prelude::*;
-use grebe::config::change::config;
-use grebe::disk::read::{Found, read};
-use grebe::disk::rec::Copy;
-use grebe::disk::write::{LOG_HEAD, log_head, rec, slot};
-use grebe::names::CONFIG;
-use grebe::seats::roll;
-use grebe::state::core::Event;
-use grebe::state::leafs;
-use grebe::state::order_memory::{Recall, fingerprint, horizon, recall};
-use grebe::time::{SECOND, ms};
-use grebe::wire::frame;
-use grebe::wire::msg::{Deed, Done, Map, Member, Msg, Progress};
+use grebepath_core::config::change::config;
+use grebepath_core::control_plane::controller::Event;
+use grebepath_core::control_plane::endpoints;
+use grebepath_core::control_plane::order_memory::{Recall, fingerprint, horizon, recall};
+use grebepath_core::identifiers::CONFIG;
+use grebepath_core::protocol::frame;
+use grebepath_core::protocol::message::{
+    Map, Member, MemberProgress, Message, Operation, OperationResult,
+};
+use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::record::Copy;
+use grebepath_core::storage::writer::{LOG_HEAD, log_head, rec, slot};
+use grebepath_core::time::{SECOND, ms};
+use grebepath_core::voters::voter_file;
 use nanoserde::DeBin;
 
 use stored::{AcceptedOrder, NEWER_SEQUENCE, OLDER_SEQUENCE, StoredPartition};
@@ -88,7 +90,7 @@
 
 /// Reads the files, and checks that they hold this.
 fn read_partition(files: &PartitionFiles, expected: &StoredPartition) -> Outcome {
-    let part = expected.part;
+    let number = expected.number;
     let good = |copy: Copy, seq, records, log_len: usize| {
         let (records, log_len) = (records as u32, log_len as u64);
         Found::Good { copy, seq, records, log_len, torn: false }
@@ -98,23 +100,23 @@
         (&files.older_slot, OLDER_SEQUENCE, &expected.older),
         (&files.newer_slot, NEWER_SEQUENCE, &expected.newer),
     ] {
-        let found = read(part, [Some(slot), None], Some(&log_head(part, seq)));
+        let found = read(number, [Some(slot), None], Some(&log_head(number, seq)));
         same("slot", &found, &good(copy.clone(), seq, 0, LOG_HEAD))?;
     }
-    let found = read(part, [Some(&files.older_slot), Some(&files.newer_slot)], Some(&files.log));
+    let found = read(number, [Some(&files.older_slot), Some(&files.newer_slot)], Some(&files.log));
     let count = expected.records.len();
     same("all", &found, &good(expected.newest(), NEWER_SEQUENCE, count, files.log.len()))
 }
 
-fn write_partition(partition: &StoredPartition) -> PartitionFiles {
-    let part = partition.part;
-    let mut log = log_head(part, NEWER_SEQUENCE);
-    for (number, record) in partition.records.iter().enumerate() {
-        log.extend(rec(NEWER_SEQUENCE, number as u32, record));
+fn write_partition(stored: &StoredPartition) -> PartitionFiles {
+    let number = stored.number;
+    let mut log = log_head(number, NEWER_SEQUENCE);
+    for (place, record) in stored.records.iter().enumerate() {
+        log.extend(rec(NEWER_SEQUENCE, place as u32, record));
     }
     PartitionFiles {
-        older_slot: slot(part, OLDER_SEQUENCE, &partition.older),
-        newer_slot: slot(part, NEWER_SEQUENCE, &partition.newer),
+        older_slot: slot(number, OLDER_SEQUENCE, &stored.older),
+        newer_slot: slot(number, NEWER_SEQUENCE, &stored.newer),
         log,
     }
 }
@@ -131,9 +133,9 @@
 }
 
 /// The newest state that the files hold.
-fn newest(files: &PartitionFiles, part: u32) -> Copy {
+fn newest(files: &PartitionFiles, number: u32) -> Copy {
     let slots = [Some(&files.newer_slot[..]), Some(&files.older_slot[..])];
-    match read(part, slots, Some(&files.log)) {
+    match read(number, slots, Some(&files.log)) {
         Found::Good { copy, .. } => copy,
         other => panic!("{other:?}"),
     }
@@ -145,13 +147,13 @@
     let mut expected = stored::configuration();
     expected.terms = stored::terms(44);
     expected.zones.clear();
-    let west = grebe::config::types::Zone { name: "west".into(), drained: true };
+    let west = grebepath_core::config::types::Zone { name: "west".into(), drained: true };
     expected.zones.insert("west".into(), west);
     expect_that!(config(&newest(&configuration, 0).map), ok(eq(&expected)));
     let mut expected = stored::configuration();
     expected.terms = stored::terms(78);
     expect_that!(config(&newest(&older_orders, 0).map), ok(eq(&expected)));
-    let leafs = leafs::all(&newest(&services, 3).map);
+    let leafs = endpoints::all(&newest(&services, 3).map);
     expect_that!(leafs.into_values().collect::<Vec<_>>(), eq(&stored::leafs()));
 }
 
@@ -196,13 +198,13 @@
         joined: 0,
         incarnation,
     };
-    let msg = Msg::Renew { member, count, far: Progress::default() };
-    give(cluster, 0, Event::FromWire { wire: 1_000 + incarnation % 10, msg });
+    let message = Message::Renew { member, count, far: MemberProgress::default() };
+    give(cluster, 0, Event::FromWire { connection: 1_000 + incarnation % 10, message });
     pass(cluster, ms(100));
 }
 
 fn stored_map(cluster: &Cluster) -> &Map {
-    &cluster.nodes[0].core.as_ref().expect("the controller runs").parts[0].copy.map
+    &cluster.nodes[0].core.as_ref().expect("the controller runs").partitions[0].copy.map
 }
 
 #[googletest::test]
@@ -232,9 +234,9 @@
     for count in 1..40 {
         renew(&mut cluster, "querier-1", 11, count);
     }
-    let deed = Deed::Forget(stored::FORGOTTEN_NAME.into());
+    let deed = Operation::Forget(stored::FORGOTTEN_NAME.into());
     let done = answer(&mut cluster, 0, "", None, deed);
-    let Some(Done::Accepted { revision, .. }) = done else { panic!("{done:?}") };
+    let Some(OperationResult::Accepted { revision, .. }) = done else { panic!("{done:?}") };
     let (name, incarnation) = silent[1];
     let (key, value) = stored::forgotten_entry(name, incarnation, revision);
     expect_that!(stored_map(&cluster).get(&key), some(eq(&value)));
@@ -244,8 +246,8 @@
 
 #[googletest::test]
 fn the_voter_file_is_read_and_written_as_before() {
-    expect_that!(roll::read(VOTER_FILE), some(eq(&stored::voter_file())));
-    expect_that!(roll::write(&stored::voter_file()), eq(VOTER_FILE));
+    expect_that!(voter_file::read(VOTER_FILE), some(eq(&stored::voter_file())));
+    expect_that!(voter_file::write(&stored::voter_file()), eq(VOTER_FILE));
 }
 
 // ---- messages ---------------------------------------------------------------
@@ -263,8 +265,8 @@
     bodies
 }
 
-fn read_message(body: &[u8], expected: &Msg) -> Outcome {
-    let found = Msg::deserialize_bin(body).map_err(|error| error.to_string())?;
+fn read_message(body: &[u8], expected: &Message) -> Outcome {
+    let found = Message::deserialize_bin(body).map_err(|error| error.to_string())?;
     same("message", &found, expected)
 }
 
@@ -287,7 +289,7 @@
 }
 
 /// Puts pieces together; the message must be whole at the last one.
-fn read_pieces(pieces: &[Vec<u8>], expected: &Msg) -> Outcome {
+fn read_pieces(pieces: &[Vec<u8>], expected: &Message) -> Outcome {
     let mut gather = frame::Gather::default();
     let mut found = Vec::new();
     for piece in pieces {
@@ -356,8 +358,8 @@
         }
     }
     for (at, changed) in changed_copies(VOTER_FILE) {
-        assert!(roll::read(&changed) != Some(stored::voter_file()), "voter file, byte {at}");
-        assert!(roll::write(&stored::voter_file()) != changed, "voter file, byte {at}");
+        assert!(voter_file::read(&changed) != Some(stored::voter_file()), "voter file, byte {at}");
+        assert!(voter_file::write(&stored::voter_file()) != changed, "voter file, byte {at}");
     }
 }
 
--- a/crates/grebe/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use grebe::config::change::entries;
-use grebe::config::types::{Class, Config, Form, Pool, Search, Steer, Terms, Turn, Zone};
-use grebe::digest::digest;
-use grebe::disk::rec::{Copy, Rec, apply, put};
-use grebe::seats::roll::Roll;
-use grebe::state::order_memory::{Fingerprint, Horizon, fingerprint, remember};
-use grebe::view::leafs::{LeafInfo, key};
-use grebe::wire::msg::Map;
+use grebepath_core::config::change::entries;
+use grebepath_core::config::types::{Class, Config, Form, Pool, Search, Steer, Terms, Turn, Zone};
+use grebepath_core::control_plane::order_memory::{Fingerprint, Horizon, fingerprint, remember};
+use grebepath_core::digest::digest;
+use grebepath_core::protocol::message::Map;
+use grebepath_core::snapshot::leafs::{LeafInfo, key};
+use grebepath_core::storage::record::{Copy, LogRecord, apply, put};
+use grebepath_core::voters::voter_file::VoterFile;
 use nanoserde::SerBin;
 use prost::Message;
 
@@ -28,13 +28,14 @@
 
 /// The files of a partition, as values.
 pub struct StoredPartition {
-    pub part: u32,
+    /// The number in the heads of the files.
+    pub number: u32,
     /// What the older slot holds.
     pub older: Copy,
     /// What the newer slot holds.
     pub newer: Copy,
     /// What the log holds.
-    pub records: Vec<Rec>,
+    pub records: Vec<LogRecord>,
 }
 
 impl StoredPartition {
@@ -48,8 +49,8 @@
     }
 }
 
-fn copy(rev: u64, map: &Map) -> Copy {
-    Copy { promised: PROMISED, epoch: TERM, rev, map: map.clone() }
+fn copy(revision: u64, map: &Map) -> Copy {
+    Copy { promised: PROMISED, term: TERM, revision, map: map.clone() }
 }
 
 // ---- configuration ---------------------------------------------------------
@@ -84,7 +85,7 @@
         bears: 911,
         ramp_ms: 912,
         steer: Steer::Seen as i32,
-        wires: 913,
+        connections: 913,
         cold_rate: 914,
         origin: r#"{"name":"main"}"#.into(),
         place: 915,
@@ -185,11 +186,11 @@
     changed.push(("terms".into(), Some(terms(fourth.edition).encode_to_vec())));
     let removed = vec![("zone/east".into(), None), ("zone/west".into(), Some(zone_west()))];
     let records = vec![
-        Rec::Change { epoch: TERM, rev: fourth.revision, entries: changed },
-        Rec::Promise { epoch: PROMISED_LATER },
-        Rec::Change { epoch: TERM, rev: fourth.revision + 1, entries: removed },
+        LogRecord::Change { term: TERM, revision: fourth.revision, entries: changed },
+        LogRecord::Promise { term: PROMISED_LATER },
+        LogRecord::Change { term: TERM, revision: fourth.revision + 1, entries: removed },
     ];
-    StoredPartition { part: 0, older, newer, records }
+    StoredPartition { number: 0, older, newer, records }
 }
 
 fn zone_west() -> Vec<u8> {
@@ -245,10 +246,10 @@
         ("terms".into(), Some(terms(LEGACY_EDITION + 1).encode_to_vec())),
     ];
     let records = vec![
-        Rec::Promise { epoch: PROMISED_LATER },
-        Rec::Change { epoch: TERM, rev: last + 1, entries: changed },
+        LogRecord::Promise { term: PROMISED_LATER },
+        LogRecord::Change { term: TERM, revision: last + 1, entries: changed },
     ];
-    StoredPartition { part: 0, older, newer, records }
+    StoredPartition { number: 0, older, newer, records }
 }
 
 // ---- leafs -----------------------------------------------------------------
@@ -271,15 +272,15 @@
     let (third_key, third_value) = leaf_entry(&third);
     let changed = vec![(key("leaf-1"), None), (third_key, Some(third_value))];
     let records = vec![
-        Rec::Change { epoch: TERM, rev: wide(3), entries: changed },
-        Rec::Promise { epoch: PROMISED_LATER },
+        LogRecord::Change { term: TERM, revision: wide(3), entries: changed },
+        LogRecord::Promise { term: PROMISED_LATER },
     ];
-    StoredPartition { part: 3, older, newer, records }
+    StoredPartition { number: 3, older, newer, records }
 }
 
 // ---- voter file ------------------------------------------------------------
 
 /// What the voter file holds.
-pub fn voter_file() -> Roll {
-    Roll { me: wide(201), first: true, table: table() }
+pub fn voter_file() -> VoterFile {
+    VoterFile { me: wide(201), first: true, table: table() }
 }
--- a/crates/grebe/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -1,17 +1,17 @@
 //! The memory of accepted orders, against a plain list of what was accepted.
 
 use googletest::prelude::*;
-use grebe::config::change::{Entry, edition};
-use grebe::config::types::Terms;
-use grebe::disk::read::{Found, read};
-use grebe::disk::rec::{Copy, put};
-use grebe::disk::write;
-use grebe::luck::{Luck, below, luck};
-use grebe::state::order_memory::{
+use grebepath_core::config::change::{Entry, edition};
+use grebepath_core::config::types::Terms;
+use grebepath_core::control_plane::order_memory::{
     Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, is_memory, may_be_forgotten,
     recall, remember, without_memory,
 };
-use grebe::wire::msg::Map;
+use grebepath_core::protocol::message::Map;
+use grebepath_core::random::{Random, below, luck};
+use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::record::{Copy, put};
+use grebepath_core::storage::writer;
 use prost::Message;
 
 /// What must be remembered at least: two days of 7,200 changes each.
@@ -46,7 +46,7 @@
 }
 
 /// Accepts an order as the leader does. One in `raising` names a new edition.
-fn accept(model: &mut Model, random: &mut Luck, raising: u64) {
+fn accept(model: &mut Model, random: &mut Random, raising: u64) {
     let revision = model.accepted.len() as u64 + 1;
     let raises = below(random, raising) == 0;
     let next = model.edition + 1 + below(random, 3);
@@ -123,7 +123,7 @@
 
 /// Orders that were never accepted are not remembered, and a request id that
 /// was used is not taken for another text.
-fn check_strangers(model: &Model, random: &mut Luck) {
+fn check_strangers(model: &Model, random: &mut Random) {
     for _ in 0..200 {
         let at = below(random, model.accepted.len() as u64) as usize;
         let known = &model.accepted[at];
@@ -174,7 +174,7 @@
 fn the_memory_stays_bounded_when_orders_crowd_in_few_buckets_and_move_on() {
     // Request ids that were sought out: the digests of each group begin alike.
     let group = |id: &String| {
-        let first = grebe::digest::digest_bytes(id.as_bytes());
+        let first = grebepath_core::digest::digest_bytes(id.as_bytes());
         u16::from_le_bytes([first[0], first[1]]) % 4_096 / 64
     };
     let ids: Vec<String> = (0..50_000).map(|n| format!("id-{n}")).collect();
@@ -233,7 +233,7 @@
 // ---- states of the older form ----------------------------------------------
 
 fn older_value(whole: bool, text: &[u8], revision: u64) -> Vec<u8> {
-    let digest = grebe::digest::digest(&[&[u8::from(whole)], text].concat());
+    let digest = grebepath_core::digest::digest(&[&[u8::from(whole)], text].concat());
     format!("{digest} {revision}").into_bytes()
 }
 
@@ -346,7 +346,7 @@
 #[googletest::test]
 fn files_of_an_older_build_are_read_and_their_orders_known() {
     let mut copy = older_files();
-    expect_that!((copy.rev, edition(&copy.map)), eq((5, 5)));
+    expect_that!((copy.revision, edition(&copy.map)), eq((5, 5)));
     let text = |n: u64| {
         let zone = r#""zones":[{"name":"z","state":"open"}]"#;
         format!(r#"{{"terms":{{"after":{n},"edition":{}}},{zone}}}"#, n + 1)
@@ -361,9 +361,9 @@
     known(&copy.map);
     let entries = remember(&copy.map, &fingerprint("new", false, b"x"), 6, 6);
     put(&mut copy.map, &entries);
-    copy.rev = 6;
+    copy.revision = 6;
     // And back through files of this build.
-    let (slot, log) = (write::slot(0, 2, &copy), write::log_head(0, 2));
+    let (slot, log) = (writer::slot(0, 2, &copy), writer::log_head(0, 2));
     match read(0, [Some(&slot), None], Some(&log)) {
         Found::Good { copy: again, .. } => expect_that!(again, eq(&copy)),
         other => panic!("{other:?}"),
--- a/crates/runtime/src/ring.rs
+++ b/crates/runtime/src/log_buffer.rs
@@ -11,21 +11,21 @@
 use tracing::field::{Field, Visit};
 use tracing::{Event, Level, Metadata, Subscriber, span};
 
-use grebe::consts::RING_LINES;
+use grebepath_core::consts::RING_LINES;
 
 thread_local! {
     static RING: RefCell<VecDeque<String>> = const { RefCell::new(VecDeque::new()) };
 }
 
 /// The subscriber that fills the rings.
-struct Ring {
+struct NeighbourRing {
     zero: Instant,
 }
 
 /// Installs the ring for all threads of this process.
 pub fn install() {
     // Fails only if one is installed already, and then that one serves.
-    let _ = tracing::subscriber::set_global_default(Ring { zero: Instant::now() });
+    let _ = tracing::subscriber::set_global_default(NeighbourRing { zero: Instant::now() });
 }
 
 struct Line(String);
@@ -39,7 +39,7 @@
     }
 }
 
-impl Subscriber for Ring {
+impl Subscriber for NeighbourRing {
     fn enabled(&self, meta: &Metadata<'_>) -> bool {
         *meta.level() <= Level::DEBUG && !meta.target().starts_with("hyper")
     }
--- a/crates/runtime/src/params.rs
+++ b/crates/runtime/src/settings.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use grebe::lang::finding::{Finding, find};
+use grebepath_core::routing_language::diagnostic::{Diagnostic, find};
 use serde_json::Value;
 
 /// Exit code of a process whose params are wrong.
@@ -15,7 +15,7 @@
     flags: BTreeMap<String, String>,
     file: serde_json::Map<String, Value>,
     asked: Vec<&'static str>,
-    pub all: Vec<Finding>,
+    pub all: Vec<Diagnostic>,
 }
 
 /// A reader over `--name value` pairs and an optional file.
@@ -128,7 +128,7 @@
 /// The number of a fleet: of its name, which all its processes must share; of
 /// the house's own, if it has none. Not of the seeds: these may differ.
 pub fn fleet(r: &mut Reader) -> u64 {
-    grebe::digest::hash(&maybe(r, "fleet").unwrap_or_else(|| "grebe".into()))
+    grebepath_core::digest::hash(&maybe(r, "fleet").unwrap_or_else(|| "grebe".into()))
 }
 
 /// From `low` to `high` different addresses, separated by commas; `port` stands
@@ -205,10 +205,10 @@
 }
 
 /// Seconds, fractions included, as a span.
-pub fn seconds(r: &mut Reader, name: &'static str) -> Option<grebe::time::Span> {
+pub fn seconds(r: &mut Reader, name: &'static str) -> Option<grebepath_core::time::Span> {
     let (place, val) = raw(r, name)?;
     match val.parse::<f64>() {
-        Ok(n) if (0.0..=86_400.0).contains(&n) => Some((n * 1e6) as grebe::time::Span),
+        Ok(n) if (0.0..=86_400.0).contains(&n) => Some((n * 1e6) as grebepath_core::time::Span),
         _ => {
             find(&mut r.all, place, "expected seconds, up to a day");
             None
@@ -250,21 +250,21 @@
 }
 
 /// Ends the reading: unknown names in the file are findings too.
-pub fn done(r: &mut Reader) -> Vec<Finding> {
+pub fn done(r: &mut Reader) -> Vec<Diagnostic> {
     let asked = std::mem::take(&mut r.asked);
     for key in r.file.keys().filter(|k| !asked.contains(&k.as_str())) {
         let text = format!("unknown; known are {}", asked.join(", "));
-        r.all.push(Finding { place: format!("params.{key}"), text });
+        r.all.push(Diagnostic { place: format!("params.{key}"), text });
     }
     std::mem::take(&mut r.all)
 }
 
 /// Writes findings to stderr and ends the process, if there are any.
-pub fn exit_if_any(program: &str, all: &[Finding]) {
+pub fn exit_if_any(program: &str, all: &[Diagnostic]) {
     if all.is_empty() {
         return;
     }
     eprintln!("{program}: {} thing(s) wrong with the params:", all.len());
-    eprintln!("{}", grebe::lang::finding::lines(all));
+    eprintln!("{}", grebepath_core::routing_language::diagnostic::lines(all));
     std::process::exit(EXIT_PARAMS);
 }
--- a/crates/programs/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -9,16 +9,16 @@
 
 use std::sync::mpsc;
 
-use grebe::disk::read::Found;
-use grebe::disk::rec::Copy;
-use grebe::names::{PartId, parts};
-use grebe::seats::roll::begin;
-use grebe::wire::msg::Life;
-use runtime::disk::Store;
+use grebepath_core::identifiers::{PartitionId, partitions};
+use grebepath_core::protocol::message::ReplicaCondition;
+use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::record::Copy;
+use grebepath_core::voters::voter_file::begin;
+use grebepath_runtime::disk::Store;
 use tracing::{error, warn};
 
 fn main() {
-    runtime::ring::install();
+    grebepath_runtime::log_buffer::install();
     let p = params::read();
     if let Err(e) = run(p) {
         error!("{e}");
@@ -28,51 +28,51 @@
 }
 
 /// A part as found on disk, ready for the core.
-type FoundPart = (PartId, Life, Copy, u64);
+type FoundPart = (PartitionId, ReplicaCondition, Copy, u64);
 
 fn run(p: params::Params) -> Result<(), std::io::Error> {
-    let _lock = runtime::disk::lock(&p.data)?;
+    let _lock = grebepath_runtime::disk::lock(&p.data)?;
     params::check_seat(&p)?;
-    let roll = runtime::disk::roll(&p.data)?;
-    let nonce = runtime::clock::nonce();
+    let roll = grebepath_runtime::disk::roll(&p.data)?;
+    let nonce = grebepath_runtime::clock::nonce();
     let mut stores: Vec<Store> = Vec::new();
     let mut found: Vec<FoundPart> = Vec::new();
-    let mut sick: Vec<(PartId, String)> = Vec::new();
-    let bare = parts().all(|part| runtime::disk::bare(&p.data, part));
+    let mut sick: Vec<(PartitionId, String)> = Vec::new();
+    let bare = partitions().all(|part| grebepath_runtime::disk::bare(&p.data, part));
     let (roll, clear) = begin(roll, &params::start(&p), bare, nonce);
-    for part in parts() {
-        let (mut store, got) = runtime::disk::open(&p.data, part)?;
+    for part in partitions() {
+        let (mut store, got) = grebepath_runtime::disk::open(&p.data, part)?;
         match got {
             _ if clear => {
                 warn!(%part, "the files are of a seat given to another; set aside");
-                runtime::disk::clear(&mut store)?;
-                found.push((part, Life::Empty, Copy::default(), 0));
+                grebepath_runtime::disk::clear(&mut store)?;
+                found.push((part, ReplicaCondition::Empty, Copy::default(), 0));
             }
-            Found::Empty => found.push((part, Life::Empty, Copy::default(), 0)),
+            Found::Empty => found.push((part, ReplicaCondition::Empty, Copy::default(), 0)),
             Found::Damaged(why) => {
                 warn!(%part, why, "the files are damaged and set aside; relearning");
-                found.push((part, Life::Damaged, Copy::default(), 0));
+                found.push((part, ReplicaCondition::Damaged, Copy::default(), 0));
             }
             Found::Good { copy, torn, .. } => {
                 if torn {
                     warn!(%part, "a torn tail of the log was dropped");
                 }
-                if let Err(e) = runtime::disk::slot(&mut store, &copy) {
+                if let Err(e) = grebepath_runtime::disk::slot(&mut store, &copy) {
                     sick.push((part, e.to_string()));
                 }
-                found.push((part, Life::Formed, copy, 0));
+                found.push((part, ReplicaCondition::Formed, copy, 0));
             }
         }
         stores.push(store);
     }
     // Nothing may be said as who we are before that is on disk.
-    runtime::disk::keep(&p.data, &roll)?;
+    grebepath_runtime::disk::keep(&p.data, &roll)?;
     // All params are good and the disk was read: now ports are opened.
     let inner = std::net::TcpListener::bind(p.inner)?;
-    let door = runtime::http::listen(p.listen, 1)?.remove(0);
+    let door = grebepath_runtime::http::listen(p.listen, 1)?.remove(0);
     let name = p.seat.map_or("-".to_string(), |s| s.to_string());
     println!("controller {name} inner {} door {}", inner.local_addr()?, door.local_addr()?);
-    let clock = runtime::clock::clock();
+    let clock = grebepath_runtime::clock::clock();
     let data = p.data.clone();
     let (disk_tx, disk_rx) = mpsc::channel();
     let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
--- a/crates/programs/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -5,15 +5,16 @@
 use std::net::SocketAddr;
 use std::sync::mpsc;
 
-use grebe::seats::handover;
-use grebe::seats::roll::Roll;
-use grebe::seats::table::NOBODY;
-use grebe::state::core::{Command, Core, Event, core};
-use grebe::state::step::{WAKE, step};
-use grebe::wire::msg::{Deed, Done, Who};
-use runtime::clock::{Clock, duration, now};
-use runtime::ways::{self, Ways, arrange, ways};
-use runtime::wire::{Out, WireEvent, accept, send};
+use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
+use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::protocol::message::{Operation, OperationResult, PeerIdentity};
+use grebepath_core::voters::handover;
+use grebepath_core::voters::voter_file::VoterFile;
+use grebepath_core::voters::voter_set::NOBODY;
+use grebepath_runtime::clock::{Clock, duration, now};
+use grebepath_runtime::connections;
+use grebepath_runtime::connections::{Ways, arrange, ways};
+use grebepath_runtime::peer_connection::{Out, WireEvent, accept, send};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
@@ -24,13 +25,13 @@
 
 /// What reaches the control thread.
 pub enum Input {
-    Core(Event),
+    Controller(Event),
     /// An operator's request.
     Operate {
         request: String,
         expect: Option<u64>,
-        deed: Deed,
-        tell: oneshot::Sender<Done>,
+        deed: Operation,
+        tell: oneshot::Sender<OperationResult>,
     },
     /// What this seat knows itself, as JSON.
     Own(oneshot::Sender<serde_json::Value>),
@@ -45,9 +46,9 @@
     ways: Ways<SocketAddr>,
     /// Wakes since the ways were last seen to.
     looked: u32,
-    wires: HashMap<u64, Out>,
+    connections: HashMap<u64, Out>,
     disk: mpsc::Sender<Job>,
-    tells: HashMap<u64, oneshot::Sender<Done>>,
+    tells: HashMap<u64, oneshot::Sender<OperationResult>>,
     next_op: u64,
     /// When the core asked to be woken, beside the wakes that come anyway.
     wake_at: Option<tokio::time::Instant>,
@@ -58,9 +59,9 @@
 pub async fn serve(
     p: Params,
     clock: Clock,
-    roll: Roll,
+    roll: VoterFile,
     found: Vec<FoundPart>,
-    sick: Vec<(grebe::names::PartId, String)>,
+    sick: Vec<(grebepath_core::identifiers::PartitionId, String)>,
     inner: std::net::TcpListener,
     disk: mpsc::Sender<Job>,
     tx: UnboundedSender<Input>,
@@ -73,22 +74,22 @@
     let fleet = p.fleet;
     tokio::task::spawn_local(accept(inner, fleet, wire_tx.clone()));
     let here = (p.addr.to_string(), p.zone.clone());
-    let nonce = runtime::clock::nonce();
+    let nonce = grebepath_runtime::clock::nonce();
     let mut core = core(roll, (&here.0, &here.1), found, nonce, now(&clock));
     let ways = ways(Some(p.addr), &p.seeds, (who(&core), fleet), |addr| addr, wire_tx);
-    let wires = HashMap::new();
+    let connections = HashMap::new();
     let mut io =
-        Io { ways, looked: 0, wires, disk, tells: HashMap::new(), next_op: 1, wake_at: None };
+        Io { ways, looked: 0, connections, disk, tells: HashMap::new(), next_op: 1, wake_at: None };
     arrange(&mut io.ways, who(&core), &core.seating.roll.table);
     for (part, why) in sick {
-        let todo = step(&mut core, now(&clock), Event::DiskTrouble { part, why });
+        let todo = step(&mut core, now(&clock), Event::DiskTrouble { partition: part, why });
         carry_out(&mut io, &core, todo);
     }
     // Nothing of a controller's params can change while it runs.
-    let mut files = runtime::reload::watch(None);
+    let mut files = grebepath_runtime::reload::watch(None);
     let mut wake = tokio::time::interval(duration(WAKE));
     wake.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let stop = runtime::stop::asked();
+    let stop = grebepath_runtime::stop::asked();
     tokio::pin!(stop);
     // Asked to stop, we go on until our voter slot is in other hands, or nobody
     // is there to take it.
@@ -96,7 +97,7 @@
         let event = tokio::select! {
             biased;
             _ = &mut stop, if !handover::is_leaving(&core) => Some(Event::Stop),
-            _ = runtime::reload::changed(&mut files) => None,
+            _ = grebepath_runtime::reload::changed(&mut files) => None,
             _ = wake.tick() => {
                 look(&mut io, &core);
                 Some(Event::Wake)
@@ -115,9 +116,9 @@
     }
     // Whoever still waits here is told.
     for (_, tell) in io.tells.drain() {
-        let _ = tell.send(Done::Unknown { why: "this controller went down".into() });
+        let _ = tell.send(OperationResult::Unknown { why: "this controller went down".into() });
     }
-    // The wires write from tasks of this thread: let them.
+    // The connections write from tasks of this thread: let them.
     for _ in 0..64 {
         tokio::task::yield_now().await;
     }
@@ -132,9 +133,15 @@
     }
 }
 
-fn taken(io: &mut Io, core: &Core, p: &Params, clock: &Clock, input: Input) -> Option<Event> {
+fn taken(
+    io: &mut Io,
+    core: &ControllerState,
+    p: &Params,
+    clock: &Clock,
+    input: Input,
+) -> Option<Event> {
     match input {
-        Input::Core(event) => Some(event),
+        Input::Controller(event) => Some(event),
         Input::Operate { request, expect, deed, tell } => {
             let op = io.next_op;
             io.next_op += 1;
@@ -153,17 +160,17 @@
 }
 
 /// As whom we dial.
-fn who(core: &Core) -> Who {
+fn who(core: &ControllerState) -> PeerIdentity {
     let holder = core.seating.roll.me;
-    match core.seat {
-        NOBODY => Who::Spare { holder },
-        seat => Who::Seat { seat, holder },
+    match core.slot {
+        NOBODY => PeerIdentity::Spare { holder },
+        seat => PeerIdentity::Voter { slot: seat, holder },
     }
 }
 
 /// Sees to the ways now and then: a seed that never spoke is given up, or all
 /// seeds are tried again.
-fn look(io: &mut Io, core: &Core) {
+fn look(io: &mut Io, core: &ControllerState) {
     io.looked += 1;
     if io.looked.is_multiple_of(LOOK_WAKES) {
         arrange(&mut io.ways, who(core), &core.seating.roll.table);
@@ -172,25 +179,27 @@
 
 fn heard(io: &mut Io, event: WireEvent<SocketAddr>) -> Option<Event> {
     match event {
-        WireEvent::Dialled { tag, msg } => {
-            ways::heard(&mut io.ways, tag, &msg);
-            Some(Event::Answer { msg })
+        WireEvent::Dialled { tag, message } => {
+            connections::heard(&mut io.ways, tag, &message);
+            Some(Event::Answer { message })
         }
-        WireEvent::Opened { wire, who, out } => {
-            debug!(wire, ?who, "wire opened");
-            io.wires.insert(wire, out);
-            Some(Event::Opened { wire })
+        WireEvent::Opened { connection, who, out } => {
+            debug!(connection, ?who, "wire opened");
+            io.connections.insert(connection, out);
+            Some(Event::Opened { connection })
         }
-        WireEvent::Came { wire, who, msg } => Some(match who {
-            Who::Seat { seat, holder } => {
-                ways::spoken(&mut io.ways);
-                Event::FromSeat { seat, holder, wire, msg }
+        WireEvent::Came { connection, who, message } => Some(match who {
+            PeerIdentity::Voter { slot: seat, holder } => {
+                connections::spoken(&mut io.ways);
+                Event::FromSeat { slot: seat, holder, connection, message }
+            }
+            PeerIdentity::Member(_) | PeerIdentity::Spare { .. } => {
+                Event::FromWire { connection, message }
             }
-            Who::Member(_) | Who::Spare { .. } => Event::FromWire { wire, msg },
         }),
-        WireEvent::Closed { wire } => {
-            io.wires.remove(&wire);
-            Some(Event::WireGone { wire })
+        WireEvent::Closed { connection } => {
+            io.connections.remove(&connection);
+            Some(Event::WireGone { connection })
         }
         WireEvent::Trouble { text } => {
             warn!("{text}");
@@ -199,30 +208,30 @@
     }
 }
 
-fn carry_out(io: &mut Io, core: &Core, todo: Vec<Command>) {
+fn carry_out(io: &mut Io, core: &ControllerState, todo: Vec<Command>) {
     let table = &core.seating.roll.table;
     for command in todo {
         match command {
-            Command::ToSeat { seat, msg } => {
-                ways::to_seat(&io.ways, table, seat, &msg);
+            Command::ToSeat { slot: seat, message } => {
+                connections::to_seat(&io.ways, table, seat, &message);
             }
-            Command::ToAll { msg } => ways::to_all(&io.ways, &msg),
+            Command::ToAll { message } => connections::to_all(&io.ways, &message),
             Command::Seats => arrange(&mut io.ways, who(core), table),
             Command::Keep { token, roll, clear } => {
                 let _ = io.disk.send(Job::Keep { token, roll, clear });
             }
-            Command::ToWire { wire, msg } => {
-                if let Some(out) = io.wires.get(&wire) {
-                    send(out, &msg);
+            Command::ToWire { connection, message } => {
+                if let Some(out) = io.connections.get(&connection) {
+                    send(out, &message);
                 }
             }
-            Command::Append { part, token, rec } => {
+            Command::Append { partition: part, token, rec } => {
                 let _ = io.disk.send(Job::Append { part, token, rec });
             }
-            Command::Slot { part, token, copy } => {
+            Command::Slot { partition: part, token, copy } => {
                 let _ = io.disk.send(Job::Slot { part, token, copy });
             }
-            Command::Look { part } => {
+            Command::Look { partition: part } => {
                 let _ = io.disk.send(Job::Look { part });
             }
             Command::Tell { op, done } => {
--- a/crates/programs/src/controller/params.rs
+++ b/crates/server/src/controller/params.rs
@@ -4,11 +4,11 @@
 use std::path::PathBuf;
 
 use bpaf::{OptionParser, Parser, long};
-use grebe::consts::{SEATS, SEATS_MAX};
-use grebe::lang::finding::find;
-use grebe::seats::roll::Start;
-use runtime::dialect::Dialect;
-use runtime::params as p;
+use grebepath_core::consts::{SEATS, SEATS_MAX};
+use grebepath_core::routing_language::diagnostic::find;
+use grebepath_core::voters::voter_file::Start;
+use grebepath_runtime::dialect::Dialect;
+use grebepath_runtime::settings as p;
 
 /// Everything a controller must be told.
 #[derive(Clone)]
@@ -184,7 +184,7 @@
 /// What decides who this controller is at its start.
 pub fn start(p: &Params) -> Start {
     Start {
-        seat: p.seat,
+        slot: p.seat,
         first: p.first,
         seeds: p.seeds.iter().map(|s| s.to_string()).collect(),
         size: p.seats,
--- a/crates/programs/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -1,26 +1,27 @@
-//! The control thread: news, tenure, cohort and duties.
+//! The control thread: news, lease, membership and duties.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::sync::Arc;
 use std::time::Duration;
 
-use grebe::cohort::step::{WAKE, step};
-use grebe::cohort::watch::{Command, Event, Watch, watch};
-use grebe::consts;
-use grebe::edge::list;
-use grebe::query::desk;
-use grebe::seats::table::seat_of;
-use grebe::view::leafs::LeafInfo;
-use grebe::view::whole::View;
-use grebe::wire::msg::{Member, Msg, Who, Word};
+use grebepath_core::consts;
+use grebepath_core::http_api::list;
+use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
+use grebepath_core::membership::step::{WAKE, step};
+use grebepath_core::protocol::message::{Member, Message, PeerIdentity, Word};
+use grebepath_core::query::engine;
+use grebepath_core::snapshot::cluster_view::ClusterView;
+use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::voters::voter_set::seat_of;
+use grebepath_runtime::clock::{Clock, duration, now};
+use grebepath_runtime::connections;
+use grebepath_runtime::connections::{Ways, arrange, ways};
+use grebepath_runtime::dialect::Dialect;
+use grebepath_runtime::http::{Http, call_within};
+use grebepath_runtime::peer_connection::{Out, WireEvent, accept, dial, send};
 use http_body_util::Full;
 use hyper::Request;
-use runtime::clock::{Clock, duration, now};
-use runtime::dialect::Dialect;
-use runtime::http::{Http, call_within};
-use runtime::ways::{self, Ways, arrange, ways};
-use runtime::wire::{Out, WireEvent, accept, dial, send};
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::{oneshot, watch as signal};
 use tracing::{debug, warn};
@@ -46,10 +47,10 @@
 /// Wakes between two looks at the ways to the core: a second.
 const LOOK_WAKES: u32 = 20;
 
-/// Which wire a message came on.
+/// Which connection a message came on.
 #[derive(Clone)]
 enum Tag {
-    Core(SocketAddr),
+    Controller(SocketAddr),
     Member(String),
 }
 
@@ -62,8 +63,8 @@
     members: HashMap<String, (SocketAddr, Out)>,
     desks: Vec<UnboundedSender<Work>>,
     ready: signal::Sender<bool>,
-    view: signal::Sender<Arc<View>>,
-    wires: UnboundedSender<WireEvent<Tag>>,
+    view: signal::Sender<Arc<ClusterView>>,
+    connections: UnboundedSender<WireEvent<Tag>>,
     input: UnboundedSender<Input>,
     http: Http,
     list: SocketAddr,
@@ -86,7 +87,7 @@
     clock: Clock,
     (inner, checks): (std::net::TcpListener, Checks),
     desks: Vec<UnboundedSender<Work>>,
-    (ready, view): (signal::Sender<bool>, signal::Sender<Arc<View>>),
+    (ready, view): (signal::Sender<bool>, signal::Sender<Arc<ClusterView>>),
     tx: UnboundedSender<Input>,
     mut rx: UnboundedReceiver<Input>,
 ) -> Result<(), std::io::Error> {
@@ -102,7 +103,7 @@
         zone: p.zone.clone(),
         threads: p.threads,
         joined: 0,
-        incarnation: runtime::clock::nonce(),
+        incarnation: grebepath_runtime::clock::nonce(),
     };
     let mut w = watch(me, now(&clock));
     let mut patience = consts::DRAIN_MAX;
@@ -114,8 +115,8 @@
         let own = (all, desks[0].clone());
         tokio::task::spawn_local(crate::door::check(listener, dialect.ready, ready, own));
     }
-    let who = Who::Member(p.name.clone());
-    let ways = ways(None, &p.seeds, (who, fleet), Tag::Core, wire_tx.clone());
+    let who = PeerIdentity::Member(p.name.clone());
+    let ways = ways(None, &p.seeds, (who, fleet), Tag::Controller, wire_tx.clone());
     let mut io = Io {
         me: p.name.clone(),
         fleet,
@@ -125,9 +126,9 @@
         desks,
         ready,
         view,
-        wires: wire_tx,
+        connections: wire_tx,
         input: tx,
-        http: runtime::http::client(2),
+        http: grebepath_runtime::http::client(2),
         list: p.list,
         dialect: p.dialect,
         probes: p.probes,
@@ -138,11 +139,11 @@
         told: HashMap::new(),
         shut: false,
     };
-    let mut files = runtime::reload::watch(p.file.as_deref());
+    let mut files = grebepath_runtime::reload::watch(p.file.as_deref());
     see_to(&mut io, &w);
     let mut wake = tokio::time::interval(duration(WAKE));
     wake.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let stop = runtime::stop::asked();
+    let stop = grebepath_runtime::stop::asked();
     tokio::pin!(stop);
     let mut stopping = false;
     let mut left = io.desks.len();
@@ -159,7 +160,7 @@
                 }
                 Some(Event::Stop)
             }
-            _ = runtime::reload::changed(&mut files) => {
+            _ = grebepath_runtime::reload::changed(&mut files) => {
                 reread(&io);
                 None
             }
@@ -202,7 +203,7 @@
             break;
         }
     }
-    // Gives the tenure back, so that our share is free at once.
+    // Gives the lease back, so that our share is free at once.
     let todo = step(&mut w, now(&clock), Event::Drained);
     carry_out(&mut io, &w, todo);
     tokio::time::sleep(Duration::from_millis(20)).await;
@@ -215,7 +216,7 @@
     match crate::params::again() {
         Ok(p) => {
             for desk in &io.desks {
-                let _ = desk.send(Work::Event(desk::Event::Rate(p.rate)));
+                let _ = desk.send(Work::Event(engine::Event::Rate(p.rate)));
             }
         }
         Err(all) => {
@@ -226,28 +227,30 @@
     }
 }
 
-/// Opens and drops wires to the core as the table of the seats asks.
+/// Opens and drops connections to the core as the table of the seats asks.
 fn see_to(io: &mut Io, w: &Watch) {
-    let who = Who::Member(io.me.clone());
+    let who = PeerIdentity::Member(io.me.clone());
     arrange(&mut io.ways, who, &w.table);
 }
 
 fn heard(io: &mut Io, w: &Watch, event: WireEvent<Tag>) -> Option<Event> {
     match event {
-        WireEvent::Dialled { tag: Tag::Core(addr), msg } => {
-            let holder = ways::heard(&mut io.ways, addr, &msg);
-            match msg {
-                Msg::Seats { table, .. } => Some(Event::Seats(table)),
+        WireEvent::Dialled { tag: Tag::Controller(addr), message } => {
+            let holder = connections::heard(&mut io.ways, addr, &message);
+            match message {
+                Message::Seats { table, .. } => Some(Event::Seats(table)),
                 // Who has no seat has no say.
-                msg => seat_of(&w.table, holder).map(|seat| Event::FromSeat { seat, msg }),
+                message => {
+                    seat_of(&w.table, holder).map(|seat| Event::FromSeat { slot: seat, message })
+                }
             }
         }
-        WireEvent::Dialled { tag: Tag::Member(name), msg }
-        | WireEvent::Came { who: Who::Member(name), msg, .. } => {
-            Some(Event::FromMember { name, msg })
+        WireEvent::Dialled { tag: Tag::Member(name), message }
+        | WireEvent::Came { who: PeerIdentity::Member(name), message, .. } => {
+            Some(Event::FromMember { name, message })
         }
-        WireEvent::Opened { wire, who, .. } => {
-            debug!(wire, ?who, "wire opened");
+        WireEvent::Opened { connection, who, .. } => {
+            debug!(connection, ?who, "wire opened");
             None
         }
         WireEvent::Came { .. } | WireEvent::Closed { .. } => None,
@@ -261,40 +264,40 @@
 fn carry_out(io: &mut Io, w: &Watch, todo: Vec<Command>) {
     for command in todo {
         match command {
-            Command::ToSeat { seat, msg } => {
-                ways::to_seat(&io.ways, &w.table, seat, &msg);
+            Command::ToSeat { slot: seat, message } => {
+                connections::to_seat(&io.ways, &w.table, seat, &message);
             }
-            Command::ToAll { msg } => ways::to_all(&io.ways, &msg),
+            Command::ToAll { message } => connections::to_all(&io.ways, &message),
             Command::Seats => see_to(io, w),
-            Command::ToMember { name, addr, msg } => to_member(io, name, &addr, &msg),
-            Command::View(view) => {
-                io.members.retain(|n, _| w.cohort.members.iter().any(|m| m.name == *n));
+            Command::ToMember { name, addr, message } => to_member(io, name, &addr, &message),
+            Command::ClusterView(view) => {
+                io.members.retain(|n, _| w.membership.members.iter().any(|m| m.name == *n));
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(desk::Event::View(view.clone())));
+                    let _ = desk.send(Work::Event(engine::Event::ClusterView(view.clone())));
                 }
                 let _ = io.view.send(view);
             }
             Command::Shares(list) => {
                 for (i, desk) in io.desks.iter().enumerate() {
-                    let share = grebe::query::share::share(&list, &io.me, i as u32);
-                    let _ = desk.send(Work::Event(desk::Event::Share(share)));
+                    let share = grebepath_core::query::quota::share(&list, &io.me, i as u32);
+                    let _ = desk.send(Work::Event(engine::Event::Share(share)));
                 }
             }
             Command::Peers(list) => {
-                let peers = grebe::query::share::peers(&list);
+                let peers = grebepath_core::query::quota::peers(&list);
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(desk::Event::Peers(peers.clone())));
+                    let _ = desk.send(Work::Event(engine::Event::Peers(peers.clone())));
                 }
             }
             Command::Door(door) => {
-                io.shut |= door == desk::Door::Stopping;
+                io.shut |= door == engine::Door::Stopping;
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(desk::Event::Door(door)));
+                    let _ = desk.send(Work::Event(engine::Event::Door(door)));
                 }
             }
             Command::Grip(until) => {
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(desk::Event::Grip(until)));
+                    let _ = desk.send(Work::Event(engine::Event::Grip(until)));
                 }
             }
             Command::Ready(ready) => {
@@ -322,16 +325,16 @@
     }
 }
 
-fn to_member(io: &mut Io, name: String, addr: &str, msg: &Msg) {
+fn to_member(io: &mut Io, name: String, addr: &str, message: &Message) {
     let Ok(addr) = addr.parse::<SocketAddr>() else { return };
     let known = io.members.get(&name).is_some_and(|(a, _)| *a == addr);
     if !known {
-        let who = (Who::Member(io.me.clone()), io.fleet);
-        let out = dial(addr, who, Tag::Member(name.clone()), io.wires.clone());
+        let who = (PeerIdentity::Member(io.me.clone()), io.fleet);
+        let out = dial(addr, who, Tag::Member(name.clone()), io.connections.clone());
         io.members.insert(name.clone(), (addr, out));
     }
     if let Some((_, out)) = io.members.get(&name) {
-        send(out, msg);
+        send(out, message);
     }
 }
 
--- a/crates/programs/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -2,8 +2,8 @@
 
 use std::fmt::Write;
 
-use grebe::cohort::watch::{Counts as WatchCounts, Watch};
-use grebe::query::desk::{Counts, TOOK_MS};
+use grebepath_core::membership::node_agent::{Counts as WatchCounts, Watch};
+use grebepath_core::query::engine::{Counts, TOOK_MS};
 use indexmap::IndexMap;
 
 /// What the control thread tells.
@@ -19,7 +19,7 @@
     Control {
         counts: w.counts.clone(),
         revision: w.view.as_ref().map_or(0, |v| v.revision),
-        members: w.cohort.members.len() as u64,
+        members: w.membership.members.len() as u64,
         shares: w.shared.iter().map(|(_, n)| u64::from(*n)).sum(),
     }
 }
--- a/crates/programs/src/querier/params.rs
+++ b/crates/server/src/querier/params.rs
@@ -3,12 +3,12 @@
 use std::net::SocketAddr;
 
 use bpaf::{OptionParser, Parser, long};
-use grebe::consts::{self, SEATS_MAX};
-use grebe::lang::finding::Finding;
-use grebe::query::quota::Rate;
-use grebe::time::Span;
-use runtime::dialect::Dialect;
-use runtime::params as p;
+use grebepath_core::consts::{self, SEATS_MAX};
+use grebepath_core::query::service_retry_budget::Rate;
+use grebepath_core::routing_language::diagnostic::Diagnostic;
+use grebepath_core::time::Span;
+use grebepath_runtime::dialect::Dialect;
+use grebepath_runtime::settings as p;
 
 /// Everything a querier must be told.
 #[derive(Clone)]
@@ -17,9 +17,9 @@
     pub zone: String,
     /// Where callers reach it.
     pub listen: SocketAddr,
-    /// Where it listens for its cohort.
+    /// Where it listens for its membership.
     pub inner: SocketAddr,
-    /// Where its cohort reaches it, if that is another address.
+    /// Where its membership reaches it, if that is another address.
     pub advertise: Option<SocketAddr>,
     /// The fleet it belongs to; a number that all its processes share.
     pub fleet: u64,
@@ -167,7 +167,7 @@
 }
 
 /// Reads and checks once more under a running process.
-pub fn again() -> Result<Params, Vec<Finding>> {
+pub fn again() -> Result<Params, Vec<Diagnostic>> {
     let Ok(f) = flags().run_inner(bpaf::Args::current_args()) else { return Err(Vec::new()) };
     match checked(f) {
         (out, all) if all.is_empty() => Ok(out),
@@ -175,7 +175,7 @@
     }
 }
 
-fn checked(f: Flags) -> (Params, Vec<Finding>) {
+fn checked(f: Flags) -> (Params, Vec<Diagnostic>) {
     let file = f.file.clone();
     let pairs = vec![
         ("name", f.name),
@@ -199,7 +199,7 @@
     let mut r = p::reader(pairs, f.file.as_deref());
     let port = p::number(&mut r, "seed_port", 0, 65_535, Some(0)) as u16;
     let seeds = p::addrs(&mut r, "seeds", 1, SEATS_MAX.into(), (port > 0).then_some(port));
-    let own = grebe::query::quota::own();
+    let own = grebepath_core::query::service_retry_budget::own();
     let dialect = p::word(&mut r, "dialect", &["own", "platform"], "own");
     let out = Params {
         name: p::name(&mut r, "name"),
--- a/crates/programs/src/querier/traffic.rs
+++ b/crates/server/src/querier/traffic.rs
@@ -5,17 +5,17 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use grebe::config::types::Terms;
-use grebe::query::ask::{Ask, Outcome};
-use grebe::query::desk::{Command, Counts, Desk, Event, counts, desk};
-use grebe::query::parcel::Parcel;
-use grebe::query::quota::{Rate, quota};
-use grebe::query::step::{next, step};
-use grebe::time::ms;
-use runtime::clock::{Clock, duration, instant, now};
-use runtime::dialect::Dialect;
-use runtime::handed;
-use runtime::leafs::Pool;
+use grebepath_core::config::types::Terms;
+use grebepath_core::query::dispatch::{next, step};
+use grebepath_core::query::engine::{Command, Counts, Event, QueryEngine, counts, desk};
+use grebepath_core::query::forwarded_request::ForwardedRequest;
+use grebepath_core::query::request::{Ask, Outcome};
+use grebepath_core::query::service_retry_budget::{Rate, quota};
+use grebepath_core::time::ms;
+use grebepath_runtime::clock::{Clock, duration, instant, now};
+use grebepath_runtime::dialect::Dialect;
+use grebepath_runtime::forwarding_server;
+use grebepath_runtime::leaf_connections::Pool;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
@@ -44,7 +44,7 @@
     /// An answer to a question of our own.
     Own(Ask),
     /// A call that is handed over.
-    Handed(Arc<Parcel>),
+    Handed(Arc<ForwardedRequest>),
 }
 
 /// What a traffic thread begins with.
@@ -60,7 +60,7 @@
     pub stop: tokio::sync::watch::Receiver<bool>,
     pub dialect: Option<&'static Dialect>,
     pub rate: Rate,
-    /// This thread's stable number in the cohort.
+    /// This thread's stable number in the membership.
     pub slot: u64,
 }
 
@@ -70,7 +70,7 @@
     tasks: HashMap<u64, AbortHandle>,
     leafs: Rc<Pool>,
     dialect: Option<&'static Dialect>,
-    door: Rc<handed::Door>,
+    door: Rc<forwarding_server::Door>,
     here: UnboundedSender<Work>,
     control: UnboundedSender<Input>,
 }
@@ -84,7 +84,7 @@
     let local = tokio::task::LocalSet::new();
     local.block_on(&rt, async move {
         let mut stop = s.stop.clone();
-        let outer = handed::door();
+        let outer = forwarding_server::door();
         let (listener, all, here) = (s.listener, s.all, s.here.clone());
         let (dialect, shared) = (s.dialect, outer.clone());
         let door = async move {
@@ -96,8 +96,8 @@
             let until = async move {
                 let _ = stop.wait_for(|s| *s).await;
             };
-            let wires = grebe::consts::DOOR_WIRES;
-            runtime::http::serve(listener, wires, router, until).await
+            let connections = grebepath_core::consts::DOOR_WIRES;
+            grebepath_runtime::http::serve(listener, connections, router, until).await
         };
         let mut desk = desk(&s.name, &s.zone, s.seed, now(&s.clock));
         desk.quota = quota(s.rate);
@@ -109,7 +109,7 @@
             door: outer,
             tells: HashMap::new(),
             tasks: HashMap::new(),
-            leafs: runtime::leafs::pool(grebe::consts::LEAF_WIRES),
+            leafs: grebepath_runtime::leaf_connections::pool(grebepath_core::consts::LEAF_WIRES),
             here: s.here,
             control: s.control,
         };
@@ -122,11 +122,11 @@
                 }
             }
             _ = own => {}
-            // The door's own wish to finish kept-alive wires may take long.
+            // The door's own wish to finish kept-alive connections may take long.
             _ = async {
                 let _ = stop.wait_for(|s| *s).await;
                 // Answers that are written already still have to leave.
-                handed::close(&shut);
+                forwarding_server::close(&shut);
                 tokio::time::sleep(std::time::Duration::from_millis(200)).await;
             } => {}
         }
@@ -134,7 +134,12 @@
 }
 
 /// The owner's loop: one event at a time, then the commands.
-async fn own(desk: Rc<RefCell<Desk>>, mut io: Io, clock: Clock, mut rx: UnboundedReceiver<Work>) {
+async fn own(
+    desk: Rc<RefCell<QueryEngine>>,
+    mut io: Io,
+    clock: Clock,
+    mut rx: UnboundedReceiver<Work>,
+) {
     let mut draining = false;
     loop {
         let due = next(&desk.borrow());
@@ -179,7 +184,7 @@
                 Event::Gone { call } => {
                     io.tells.remove(call);
                 }
-                Event::View(view) => limit(&io.door, &view.built.terms),
+                Event::ClusterView(view) => limit(&io.door, &view.built.terms),
                 _ => {}
             }
             let todo = step(&mut desk.borrow_mut(), now(&clock), event);
@@ -193,11 +198,11 @@
 }
 
 /// Holds callers to what the configuration allows them.
-fn limit(door: &handed::Door, terms: &Terms) {
-    let own = handed::limits();
+fn limit(door: &forwarding_server::Door, terms: &Terms) {
+    let own = forwarding_server::limits();
     let size = |n: u64, own| if n > 0 { n as usize } else { own };
     let time = |n: u64, own| if n > 0 { duration(ms(n)) } else { own };
-    door.limits.set(handed::Limits {
+    door.limits.set(forwarding_server::Limits {
         head_max: size(terms.head_max, own.head_max),
         body_max: size(terms.body_max, own.body_max),
         head_wait: time(terms.head_wait_ms, own.head_wait),
--- a/crates/programs/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -9,12 +9,13 @@
 
 use bytes::Bytes;
 use googletest::prelude::*;
+use grebepath_runtime::http::{Http, call_within};
 use http_body_util::Full;
 use hyper::{Request, Response};
-use proof::fleet::{self, Layout, Proc, until};
-use proof::foreign::{self, Mode, Shared, begin, filled, leave, let_go, records, stamp};
-use runtime::http::{Http, call_within};
 use serde_json::{Value, json};
+use testbed::foreign::{self, Mode, Shared, begin, filled, leave, let_go, records, stamp};
+use testbed::local_cluster;
+use testbed::local_cluster::{Layout, Proc, until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// How long anything may take that is only waited for.
@@ -47,7 +48,7 @@
 impl Drop for Site {
     fn drop(&mut self) {
         for p in self.seats.iter_mut().chain(&mut self.queriers) {
-            fleet::kill(p);
+            local_cluster::kill(p);
         }
     }
 }
@@ -71,7 +72,7 @@
     let mut trouble = String::new();
     // Another process may take a port between our look and our start.
     for _ in 0..4 {
-        let ports = fleet::free_ports(4).unwrap();
+        let ports = local_cluster::free_ports(4).unwrap();
         let machine = |i: usize, port: usize| format!("127.0.0.{}:{}", i + 2, ports[port]);
         let seeds: Vec<String> = (0..3).map(|i| machine(i, 1)).collect();
         let mut site = Site {
@@ -81,7 +82,7 @@
             fronts: (3..5).map(|i| machine(i, 2).parse().unwrap()).collect(),
             checks: (3..5).map(|i| machine(i, 3).parse().unwrap()).collect(),
             world: world.clone(),
-            http: runtime::http::client(16),
+            http: grebepath_runtime::http::client(16),
             calls: Cell::new(0),
             files: Vec::new(),
         };
@@ -110,12 +111,13 @@
             let pairs = [("params", file.display().to_string())];
             let label = format!("{name}-{i}");
             all.push(match name {
-                "controller" => fleet::controller(&layout, &label, &pairs),
-                _ => fleet::querier(&layout, &label, &pairs),
+                "controller" => local_cluster::controller(&layout, &label, &pairs),
+                _ => local_cluster::querier(&layout, &label, &pairs),
             });
             site.files.push(file);
         }
-        let started: std::result::Result<(), String> = all.iter_mut().try_for_each(fleet::start);
+        let started: std::result::Result<(), String> =
+            all.iter_mut().try_for_each(local_cluster::start);
         site.queriers = all.split_off(3);
         site.seats = all;
         match started {
@@ -192,7 +194,7 @@
 
 async fn read(s: &Site, door: usize) -> Option<Value> {
     let url = format!("http://{}/api/config", s.doors[door]);
-    let got = fleet::request(&s.http, hyper::Method::GET, url, Vec::new(), &[]).await;
+    let got = local_cluster::request(&s.http, hyper::Method::GET, url, Vec::new(), &[]).await;
     got.ok().filter(|g| g.0 == 200).map(|g| g.1)
 }
 
@@ -207,7 +209,7 @@
 
 async fn is_ready(s: &Site, i: usize) -> bool {
     let url = format!("http://{}/api/ready", s.checks[i]);
-    let got = fleet::request(&s.http, hyper::Method::GET, url, Vec::new(), &[]).await;
+    let got = local_cluster::request(&s.http, hyper::Method::GET, url, Vec::new(), &[]).await;
     got.is_ok_and(|g| g.0 == 200)
 }
 
@@ -574,7 +576,7 @@
             let end = async {
                 let held = || site.world.borrow().runs.len() >= before + 4;
                 assert!(until(LONG, async || held()).await, "the calls did not arrive");
-                fleet::signal(&site.queriers[0], "TERM").unwrap();
+                local_cluster::signal(&site.queriers[0], "TERM").unwrap();
                 let told = until(LONG, async || !is_ready(site, 0).await).await;
                 let_go(&site.world);
                 for leaf in LEAFS {
@@ -590,7 +592,7 @@
             expect_that!(true_pass(&id, &resp), eq(true), "{resp:?}");
             expect_that!(head(&resp, "connection"), eq("close"));
         }
-        expect_that!(fleet::ended(&mut s.queriers[0], LONG), some(eq(0)));
+        expect_that!(local_cluster::ended(&mut s.queriers[0], LONG), some(eq(0)));
         // The other one serves on.
         let (id, resp) = call(&s, 1, "GET", "/pass/x", "").await.unwrap();
         expect_that!(true_pass(&id, &resp), eq(true));
@@ -606,14 +608,14 @@
                 let good = std::fs::read_to_string(file).unwrap();
                 std::fs::write(file, text).unwrap();
                 for p in s.seats.iter().chain(&s.queriers) {
-                    fleet::signal(p, "HUP").unwrap();
+                    local_cluster::signal(p, "HUP").unwrap();
                 }
                 serves(&s, "/pass/x", 200).await;
                 std::fs::write(file, good).unwrap();
             }
         }
         for p in s.seats.iter().chain(&s.queriers) {
-            fleet::signal(p, "HUP").unwrap();
+            local_cluster::signal(p, "HUP").unwrap();
         }
         expect_that!(put(&s, 5, &whole(6)).await, eq(200));
         serves(&s, "/join/x", 200).await;
@@ -624,10 +626,10 @@
     });
 }
 
-/// Writes bytes on a new wire and reads all that comes until its end.
+/// Writes bytes on a new connection and reads all that comes until its end.
 async fn raw(s: &Site, bytes: &[u8]) -> String {
-    let mut wire = tokio::net::TcpStream::connect(s.fronts[0]).await.unwrap();
-    let (mut from, mut to) = wire.split();
+    let mut connection = tokio::net::TcpStream::connect(s.fronts[0]).await.unwrap();
+    let (mut from, mut to) = connection.split();
     let mut got = Vec::new();
     // It may be refused before all of it is written.
     let write = async {
@@ -641,7 +643,7 @@
     String::from_utf8_lossy(&got).to_string()
 }
 
-/// The statuses of the answers in what came on a wire.
+/// The statuses of the answers in what came on a connection.
 fn statuses(text: &str) -> Vec<u16> {
     text.split("HTTP/1.1 ").skip(1).filter_map(|t| t.get(..3)?.parse().ok()).collect()
 }
@@ -685,7 +687,7 @@
         let long = format!("X-Long: {}\r\n", "y".repeat(64 * 1024));
         let got = raw(&s, head("long", &format!("{last}{long}")).as_bytes()).await;
         expect_that!(statuses(&got), not(contains(eq(&200))));
-        // Two calls at once on one wire, each with its own answer, in order.
+        // Two calls at once on one connection, each with its own answer, in order.
         let two = head("one", "Content-Length: 2\r\n") + "ab" + &head("two", last);
         let got = raw(&s, two.as_bytes()).await;
         expect_that!(statuses(&got), elements_are![eq(&200), eq(&200)]);
--- a/crates/programs/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -10,25 +10,26 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
+use grebepath_runtime::http::Http;
 use hyper::Method;
 use platform_orders::{BASE_HEADER, CONFIG_PATH, Order, patch, whole};
-use proof::fleet::{self, Layout, Proc, until};
-use runtime::http::Http;
 use serde_json::{Value, json};
+use testbed::local_cluster;
+use testbed::local_cluster::{Layout, Proc, until};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
 
 /// Three controllers without queriers. Dropping it kills its processes.
-struct Core {
+struct ControllerState {
     procs: Vec<Proc>,
     doors: Vec<SocketAddr>,
     http: Http,
 }
 
-impl Drop for Core {
+impl Drop for ControllerState {
     fn drop(&mut self) {
-        self.procs.iter_mut().for_each(fleet::kill);
+        self.procs.iter_mut().for_each(local_cluster::kill);
     }
 }
 
@@ -38,7 +39,7 @@
     tokio::task::LocalSet::new().block_on(&rt, body)
 }
 
-async fn core(test: &str) -> Core {
+async fn core(test: &str) -> ControllerState {
     let mut trouble = String::new();
     // Another process may take a port between our look and our start.
     for _ in 0..4 {
@@ -53,14 +54,14 @@
     panic!("{trouble}");
 }
 
-fn started(test: &str) -> std::result::Result<Core, String> {
+fn started(test: &str) -> std::result::Result<ControllerState, String> {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).unwrap();
     let bin = PathBuf::from(env!("CARGO_BIN_EXE_controller")).parent().unwrap().to_path_buf();
     let deploy = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
     let layout = Layout { bin, dir: dir.clone(), deploy, name: test.into(), queriers: 0 };
-    let ports = fleet::free_ports(6).unwrap();
+    let ports = local_cluster::free_ports(6).unwrap();
     let at = |n: usize| SocketAddr::from(([127, 0, 0, 1], ports[n]));
     let seeds = (3..6).map(|n| at(n).to_string()).collect::<Vec<_>>().join(",");
     let procs: Vec<Proc> = (0..3)
@@ -74,20 +75,20 @@
                 ("data", dir.join(format!("data-{n}")).display().to_string()),
                 ("dialect", "platform".to_string()),
             ];
-            fleet::controller(&layout, &format!("controller-{n}"), &pairs)
+            local_cluster::controller(&layout, &format!("controller-{n}"), &pairs)
         })
         .collect();
     let doors = (0..3).map(at).collect();
-    let mut core = Core { procs, doors, http: runtime::http::client(8) };
-    core.procs.iter_mut().try_for_each(fleet::start)?;
+    let mut core = ControllerState { procs, doors, http: grebepath_runtime::http::client(8) };
+    core.procs.iter_mut().try_for_each(local_cluster::start)?;
     Ok(core)
 }
 
 /// The controller that leads the configuration.
-async fn leader(core: &Core) -> Option<usize> {
+async fn leader(core: &ControllerState) -> Option<usize> {
     for n in 0..3 {
         let url = format!("http://{}/v1/status", core.doors[n]);
-        let got = fleet::request(&core.http, Method::GET, url, Vec::new(), &[]).await;
+        let got = local_cluster::request(&core.http, Method::GET, url, Vec::new(), &[]).await;
         if got.is_ok_and(|(_, val)| val["here"]["parts"][0]["role"] == "owner") {
             return Some(n);
         }
@@ -96,17 +97,17 @@
 }
 
 /// Sends an order once; zero without an answer.
-async fn send(core: &Core, door: usize, order: &Order) -> u16 {
+async fn send(core: &ControllerState, door: usize, order: &Order) -> u16 {
     let url = format!("http://{}{CONFIG_PATH}", core.doors[door % 3]);
     let base = order.base.to_string();
     let body = order.text.clone().into_bytes();
     let heads = [(BASE_HEADER, base.as_str())];
-    let got = fleet::request(&core.http, order.method.clone(), url, body, &heads).await;
+    let got = local_cluster::request(&core.http, order.method.clone(), url, body, &heads).await;
     got.map_or(0, |(code, _)| code)
 }
 
 /// Sends an order to one door after the other until it has a clear answer.
-async fn clear(core: &Core, door: usize, order: &Order) -> u16 {
+async fn clear(core: &ControllerState, door: usize, order: &Order) -> u16 {
     let (mut next, mut code) = (door, 0);
     let end = std::time::Instant::now() + LONG;
     while !(200..500).contains(&code) {
@@ -125,7 +126,7 @@
 }
 
 /// Both operators send at once through two doors; one of them wins.
-async fn race(core: &Core, number: usize, pair: [Order; 2]) -> Round {
+async fn race(core: &ControllerState, number: usize, pair: [Order; 2]) -> Round {
     let [a, b] = &pair;
     let (first, second) = tokio::join!(clear(core, number, a), clear(core, number + 1, b));
     expect_that!(vec![first, second], unordered_elements_are![eq(&200), eq(&412)]);
@@ -136,7 +137,7 @@
 
 /// One operator sends, the leader is killed, and the same is sent again through
 /// another door beside a rival.
-async fn kill_and_race(core: &mut Core, number: usize, pair: [Order; 2]) -> Round {
+async fn kill_and_race(core: &mut ControllerState, number: usize, pair: [Order; 2]) -> Round {
     let leads = leader(core).await.unwrap_or(0);
     let [a, b] = pair;
     let wait = Duration::from_millis(number as u64 * 3 % 17);
@@ -145,14 +146,14 @@
         // Its answer, if there is one, is not looked at.
         let _ = tokio::time::timeout(wait, sending).await;
     }
-    fleet::kill(&mut core.procs[leads]);
+    local_cluster::kill(&mut core.procs[leads]);
     let round = race(core, leads + 1, [a, b]).await;
-    fleet::start(&mut core.procs[leads]).unwrap();
+    local_cluster::start(&mut core.procs[leads]).unwrap();
     round
 }
 
 /// Every order of the past gets the answer that it got, through any door.
-async fn all_again(core: &Core, rounds: &[Round], when: &str) {
+async fn all_again(core: &ControllerState, rounds: &[Round], when: &str) {
     for (number, round) in rounds.iter().enumerate() {
         let code = clear(core, number, &round.taken).await;
         expect_that!(code, eq(200), "{when}: the order taken in round {number}");
@@ -164,11 +165,11 @@
 }
 
 /// The route's name and the edition as they are read back.
-async fn read(core: &Core) -> (Value, String) {
+async fn read(core: &ControllerState) -> (Value, String) {
     let url = format!("http://{}{CONFIG_PATH}", core.doors[0]);
     let mut got = Value::Null;
     for _ in 0..50 {
-        match fleet::request(&core.http, Method::GET, url.clone(), Vec::new(), &[]).await {
+        match local_cluster::request(&core.http, Method::GET, url.clone(), Vec::new(), &[]).await {
             Ok((200, val)) => {
                 got = val;
                 break;
@@ -211,10 +212,10 @@
         }
         all_again(&core, &rounds, "at the end").await;
         let leads = leader(&core).await.expect("a leader");
-        fleet::kill(&mut core.procs[leads]);
+        local_cluster::kill(&mut core.procs[leads]);
         all_again(&core, &rounds, "without the leader").await;
-        core.procs.iter_mut().for_each(fleet::kill);
-        core.procs.iter_mut().for_each(|p| fleet::start(p).unwrap());
+        core.procs.iter_mut().for_each(local_cluster::kill);
+        core.procs.iter_mut().for_each(|p| local_cluster::start(p).unwrap());
         all_again(&core, &rounds, "after all were killed").await;
     });
 }
@@ -247,7 +248,9 @@
             let url = format!("http://{}/v1/config", core.doors[n]);
             let body = json!({ "zones": [{ "name": format!("other-{n}"), "state": "open" }] });
             let body = body.to_string().into_bytes();
-            others.push(fleet::request(&core.http, Method::PATCH, url, body, &[]).await.unwrap().0);
+            others.push(
+                local_cluster::request(&core.http, Method::PATCH, url, body, &[]).await.unwrap().0,
+            );
         }
         expect_that!(others, each(eq(&200)));
         let (code, text) = patch(&a, "0");
--- a/crates/sim/src/hollow/fan.rs
+++ b/crates/simulator/src/scale_model/fan.rs
@@ -1,27 +1,27 @@
 //! What a query of many shards costs a front's own thread: the daemon's desk,
-//! its dispatches and the replies to them, without the wires to leafs.
+//! its dispatches and the replies to them, without the connections to leafs.
 
 use std::fmt::Write;
 use std::sync::Arc;
 
-use grebe::config::{build, read};
-use grebe::edge::leaf::{Heads, Raw, postmark};
-use grebe::query::ask::{Ask, Outcome};
-use grebe::query::desk::{Command, Desk, Event, Sending, desk};
-use grebe::query::share::share;
-use grebe::query::step::step;
-use grebe::time::{BOOT, MILLI, SECOND, Tick};
-use grebe::view::leafs::LeafInfo;
-use grebe::view::whole;
+use grebepath_core::config::{build, read};
+use grebepath_core::http_api::leaf::{Heads, Raw, postmark};
+use grebepath_core::query::dispatch::step;
+use grebepath_core::query::engine::{Command, Event, QueryEngine, Sending, desk};
+use grebepath_core::query::quota::share;
+use grebepath_core::query::request::{Ask, Outcome};
+use grebepath_core::snapshot::cluster_view;
+use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::time::{BOOT, MILLI, SECOND, Tick};
 use serde_json::json;
 
-use super::cost::timed;
-use super::plan;
+use crate::scale_model::cost::timed;
+use crate::scale_model::plan;
 
 /// Queries that are measured (count), after as many that are not.
 const QUERIES: u64 = 20;
 /// Records in each reply (count): what a caller gets who names no limit.
-const RECORDS: usize = grebe::consts::RECORDS_DEFAULT as usize;
+const RECORDS: usize = grebepath_core::consts::RECORDS_DEFAULT as usize;
 
 /// What was found.
 #[derive(Default)]
@@ -40,18 +40,18 @@
 }
 
 /// A thread among `of` of equal share, with a view of this many shards.
-fn open(shards: usize, of: usize) -> Desk {
+fn open(shards: usize, of: usize) -> QueryEngine {
     let leafs = shards * plan::LEAFS_A_SHARD;
     let conf = plan::config(leafs).to_string();
     let conf = read::whole(conf.as_bytes()).and_then(|c| build::build(&c)).unwrap_or_default();
     let leaf = |n: usize| LeafInfo { age_ms: plan::OLD_MS, ..plan::leaf(n, leafs) };
-    let view = whole::view(1, Arc::new(conf), (0..leafs).map(leaf).collect());
+    let view = cluster_view::view(1, Arc::new(conf), (0..leafs).map(leaf).collect());
     let mut d = desk("front", &plan::name(0), 1, BOOT);
     let members: Vec<(String, u32)> = (0..of).map(|n| (format!("front-{n}"), 1)).collect();
-    step(&mut d, BOOT, Event::View(Arc::new(view)));
+    step(&mut d, BOOT, Event::ClusterView(Arc::new(view)));
     step(&mut d, BOOT, Event::Share(share(&members, "front-0", 0)));
     step(&mut d, BOOT, Event::Grip(Tick::MAX));
-    step(&mut d, BOOT, Event::Door(grebe::query::desk::Door::Open));
+    step(&mut d, BOOT, Event::Door(grebepath_core::query::engine::Door::Open));
     d
 }
 
--- a/crates/sim/src/hollow/plan.rs
+++ b/crates/simulator/src/scale_model/plan.rs
@@ -1,9 +1,9 @@
 //! The plan of a hollow fleet: its zones, its leafs and its configuration.
 
-use grebe::luck::{Luck, below};
-use grebe::names::Seat;
-use grebe::time::{Span, ms};
-use grebe::view::leafs::LeafInfo;
+use grebepath_core::identifiers::VoterSlot;
+use grebepath_core::random::{Random, below};
+use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::time::{Span, ms};
 use serde_json::{Value, json};
 
 /// Zones (count), and the regions they lie in (count): issue 11.
@@ -21,7 +21,7 @@
 /// Chance's part of a way, as a part of it (percent).
 const WOBBLE_PCT: u64 = 50;
 /// Age that leafs tell (ms): old enough that ages cost nothing any more.
-pub const OLD_MS: u64 = grebe::consts::AGE_TOLD_MS;
+pub const OLD_MS: u64 = grebepath_core::consts::AGE_TOLD_MS;
 
 /// A size to measure.
 #[derive(Clone, Copy)]
@@ -46,7 +46,7 @@
 }
 
 /// The zone in which a seat stands: each in a region of its own.
-pub fn seat_zone(seat: Seat) -> usize {
+pub fn seat_zone(seat: VoterSlot) -> usize {
     usize::from(seat) * ZONES / REGIONS % ZONES + 1
 }
 
@@ -56,7 +56,7 @@
 }
 
 /// One way between two zones.
-pub fn way(a: usize, b: usize, luck: &mut Luck) -> Span {
+pub fn way(a: usize, b: usize, luck: &mut Random) -> Span {
     let gap = region(a).abs_diff(region(b)) as Span;
     let base = match (a == b, gap) {
         (true, _) => NEAR,
@@ -81,7 +81,10 @@
     let shard = shard(n, leafs);
     let labels = [("zone", name(zone(n))), ("cut", "w48".into()), ("shard", format!("{shard}"))];
     LeafInfo {
-        leaf: format!("index-shard-{shard:04}-{:08x}", grebe::luck::mix(n as u64) as u32),
+        leaf: format!(
+            "index-shard-{shard:04}-{:08x}",
+            grebepath_core::random::mix(n as u64) as u32
+        ),
         service: service(shard),
         addr: format!("10.{}.{}.{}:8080", n >> 16, (n >> 8) & 255, n & 255),
         labels: labels.into_iter().map(|(k, v)| (k.to_string(), v)).collect(),
--- a/crates/sim/src/vdisk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -2,13 +2,14 @@
 //! would, written and read by the same functions, and it can lose power in
 //! the middle of anything.
 
-use grebe::disk::read::{Found, read};
-use grebe::disk::rec::{Copy, Rec};
-use grebe::disk::write;
-use grebe::luck::{Luck, below, chance};
-use grebe::names::PartId;
-use grebe::seats::roll::{self, Roll};
-use grebe::time::{Span, Tick, ms};
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::random::{Random, below, chance};
+use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::record::{Copy, LogRecord};
+use grebepath_core::storage::writer;
+use grebepath_core::time::{Span, Tick, ms};
+use grebepath_core::voters::voter_file;
+use grebepath_core::voters::voter_file::VoterFile;
 
 /// One part's files and what is being written.
 ///
@@ -27,7 +28,7 @@
 /// What a disk is asked.
 #[derive(Clone)]
 pub enum Job {
-    Append(Rec),
+    Append(LogRecord),
     Slot(Copy),
 }
 
@@ -47,11 +48,11 @@
     /// The file that holds the roll, and rolls on their way to it: token, roll,
     /// and whether the parts' files are set aside before.
     roll: Option<Vec<u8>>,
-    rolls: Vec<(u64, Roll, bool)>,
+    rolls: Vec<(u64, VoterFile, bool)>,
     /// When the last job in line will be done.
     busy: Tick,
     /// Jobs that are under way: part, token, done at.
-    line: Vec<(PartId, u64, Job)>,
+    line: Vec<(PartitionId, u64, Job)>,
 }
 
 /// An empty disk.
@@ -71,10 +72,10 @@
 pub fn begin(
     d: &mut Disk,
     now: Tick,
-    part: PartId,
+    part: PartitionId,
     token: u64,
     job: Job,
-    luck: &mut Luck,
+    luck: &mut Random,
 ) -> Option<Tick> {
     let took = ms(1)
         + below(luck, ms(3))
@@ -95,9 +96,9 @@
     d: &mut Disk,
     now: Tick,
     token: u64,
-    roll: Roll,
+    roll: VoterFile,
     clear: bool,
-    luck: &mut Luck,
+    luck: &mut Random,
 ) -> Option<Tick> {
     d.rolls.push((token, roll, clear));
     let slow = if let Health::Slow(more) = d.health { more } else { 0 };
@@ -119,7 +120,7 @@
     if clear {
         set_aside(d);
     }
-    d.roll = Some(roll::write(&roll));
+    d.roll = Some(voter_file::write(&roll));
     Some(Ok(()))
 }
 
@@ -129,17 +130,17 @@
 }
 
 /// The roll as a start finds it; what was not kept is forgotten.
-pub fn roll(d: &mut Disk) -> Option<Roll> {
+pub fn roll(d: &mut Disk) -> Option<VoterFile> {
     d.rolls.clear();
-    roll::read(d.roll.as_deref()?)
+    voter_file::read(d.roll.as_deref()?)
 }
 
 /// Writes the roll of a start, which waits for it.
-pub fn put_roll(d: &mut Disk, roll: &Roll, clear: bool) {
+pub fn put_roll(d: &mut Disk, roll: &VoterFile, clear: bool) {
     if clear {
         set_aside(d);
     }
-    d.roll = Some(roll::write(roll));
+    d.roll = Some(voter_file::write(roll));
 }
 
 fn set_aside(d: &mut Disk) {
@@ -154,12 +155,12 @@
 }
 
 /// What remains in line when a stall ends, oldest first.
-pub fn waiting(d: &Disk) -> Vec<(PartId, u64)> {
+pub fn waiting(d: &Disk) -> Vec<(PartitionId, u64)> {
     d.line.iter().map(|(p, t, _)| (*p, *t)).collect()
 }
 
 /// A job is done: it lasts now, or it failed.
-pub fn done(d: &mut Disk, part: PartId, token: u64) -> Option<Result<(), String>> {
+pub fn done(d: &mut Disk, part: PartitionId, token: u64) -> Option<Result<(), String>> {
     let at = d.line.iter().position(|(p, t, _)| *p == part && *t == token)?;
     let (_, _, job) = d.line.remove(at);
     let full = d.health == Health::Full;
@@ -171,16 +172,16 @@
     Some(match job {
         Job::Append(_) if !files.open => Err("no log is open since the last trouble".into()),
         Job::Append(rec) => {
-            let raw = write::rec(files.seq, files.num, &rec);
+            let raw = writer::rec(files.seq, files.num, &rec);
             files.log.get_or_insert_default().extend(raw);
             files.num += 1;
             Ok(())
         }
         Job::Slot(copy) => {
             files.seq += 1;
-            let raw = write::slot(part.0, files.seq, &copy);
+            let raw = writer::slot(part.0, files.seq, &copy);
             files.slots[(files.seq % 2) as usize] = Some(raw);
-            files.log = Some(write::log_head(part.0, files.seq));
+            files.log = Some(writer::log_head(part.0, files.seq));
             files.num = 0;
             files.open = true;
             Ok(())
@@ -189,7 +190,7 @@
 }
 
 /// Power is lost: what was under way lasts in part, by chance.
-pub fn power_loss(d: &mut Disk, luck: &mut Luck) {
+pub fn power_loss(d: &mut Disk, luck: &mut Random) {
     let line = std::mem::take(&mut d.line);
     // A file that is renamed is there or it is not.
     for (_, roll, clear) in std::mem::take(&mut d.rolls) {
@@ -213,12 +214,12 @@
 }
 
 /// Lets a job take effect in part; true if all of it lasts.
-fn partly(f: &mut Files, part: PartId, job: Job, luck: &mut Luck) -> bool {
+fn partly(f: &mut Files, part: PartitionId, job: Job, luck: &mut Random) -> bool {
     let whole = chance(luck, 1, 3);
     match job {
         Job::Append(_) if !f.open => false,
         Job::Append(rec) => {
-            let mut raw = write::rec(f.seq, f.num, &rec);
+            let mut raw = writer::rec(f.seq, f.num, &rec);
             if !whole {
                 let keep = below(luck, raw.len() as u64) as usize;
                 if chance(luck, 1, 2) {
@@ -234,7 +235,7 @@
         }
         Job::Slot(copy) => {
             let seq = f.seq + 1;
-            let mut raw = write::slot(part.0, seq, &copy);
+            let mut raw = writer::slot(part.0, seq, &copy);
             let torn = chance(luck, 1, 2);
             if torn {
                 raw.truncate(below(luck, raw.len() as u64) as usize);
@@ -243,7 +244,7 @@
             if !torn {
                 f.seq = seq;
                 if whole {
-                    f.log = Some(write::log_head(part.0, seq));
+                    f.log = Some(writer::log_head(part.0, seq));
                     f.num = 0;
                     return true;
                 }
@@ -259,7 +260,7 @@
 }
 
 /// Flips one bit of what lies on the disk; false if nothing lies there.
-pub fn flip(d: &mut Disk, luck: &mut Luck) -> bool {
+pub fn flip(d: &mut Disk, luck: &mut Random) -> bool {
     let at = below(luck, d.parts.len() as u64) as usize;
     let f = &mut d.parts[at];
     let newest = (f.seq % 2) as usize;
@@ -274,13 +275,13 @@
 }
 
 /// Reads the disk as a start does; a slot of this life comes first.
-pub fn start(d: &mut Disk) -> Vec<(PartId, Found)> {
+pub fn start(d: &mut Disk) -> Vec<(PartitionId, Found)> {
     d.line.clear();
     d.busy = 0;
     let full = d.health == Health::Full;
     let mut out = Vec::new();
     for (i, f) in d.parts.iter_mut().enumerate() {
-        let part = PartId(i as u32);
+        let part = PartitionId(i as u32);
         let slots = [f.slots[0].as_deref(), f.slots[1].as_deref()];
         let mut found = read(part.0, slots, f.log.as_deref());
         if found == Found::Empty && f.aside {
@@ -294,8 +295,8 @@
                 f.open = false;
                 if !full {
                     f.seq += 1;
-                    f.slots[(f.seq % 2) as usize] = Some(write::slot(part.0, f.seq, copy));
-                    f.log = Some(write::log_head(part.0, f.seq));
+                    f.slots[(f.seq % 2) as usize] = Some(writer::slot(part.0, f.seq, copy));
+                    f.log = Some(writer::log_head(part.0, f.seq));
                     f.num = 0;
                     f.open = true;
                 }
@@ -307,7 +308,7 @@
 }
 
 /// Reads a part's files again, as a running controller does.
-pub fn look(d: &Disk, part: PartId) -> Option<String> {
+pub fn look(d: &Disk, part: PartitionId) -> Option<String> {
     let f = &d.parts[part.0 as usize];
     // What is under way behind this look may have begun to take effect.
     if !f.open || d.line.iter().any(|(p, _, _)| *p == part) {
--- a/crates/sim/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -18,15 +18,15 @@
         sending.body = std::sync::Arc::new(body);
     }
     // Whatever becomes of it, the sender gives up at the end of its budget.
-    let event = desk::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
-    push(w, sending.budget, Hap::ToDesk { q, life, t, event });
+    let event = engine::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
+    push(w, sending.budget, ScheduledEvent::ToDesk { q, life, t, event });
     // Giving up closes the connection, which the leaf sees a moment later.
     let key = (q, life, t, sending.dispatch);
-    push(w, sending.budget + ms(1), Hap::LeafDrop { key });
+    push(w, sending.budget + ms(1), ScheduledEvent::LeafDrop { key });
     let zone = w.queriers[q].zone.clone();
     let leaf_zone = w.backs.leafs.get(&sending.leaf).map_or("a".into(), |l| l.zone.clone());
     let after = latency(&zone, &leaf_zone, &mut w.luck) + w.net.slow;
-    push(w, after, Hap::LeafGets { q, life, t, sending: Box::new(sending) });
+    push(w, after, ScheduledEvent::LeafGets { q, life, t, sending: Box::new(sending) });
 }
 
 pub(super) fn answer(w: &mut World, key: RunKey, zone: &str, mut got: Result<Raw, Trouble>) {
@@ -38,7 +38,11 @@
     }
     let qzone = w.queriers[q].zone.clone();
     let after = latency(&qzone, zone, &mut w.luck) + w.net.slow;
-    push(w, after, Hap::ToDesk { q, life, t, event: desk::Event::Reply { dispatch, got } });
+    push(
+        w,
+        after,
+        ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Reply { dispatch, got } },
+    );
 }
 
 pub(super) fn leaf_gets(w: &mut World, (q, life, t): (usize, u64, usize), s: Sending) {
@@ -52,48 +56,48 @@
         Alive::Down => return answer(w, key, &zone, Err(Trouble::Unreachable)),
         Alive::Up => {}
     }
-    // A wire ends with the process behind it, and on a new one the leaf is
+    // A connection ends with the process behind it, and on a new one the leaf is
     // asked who it is before any work is sent.
     let misdirected = s.leaf != l.name || s.service != l.service.name;
-    let wire = (q, life, t, s.addr.clone());
-    let known = w.wires.get(&wire) == Some(&name);
+    let connection = (q, life, t, s.addr.clone());
+    let known = w.connections.get(&connection) == Some(&name);
     if !known && w.broken != Some(Broken::NoGreeting) {
         if misdirected {
-            let raw = backs::turned_away(l, now, MISDIRECTED);
+            let raw = mock_backends::turned_away(l, now, MISDIRECTED);
             return answer(w, key, &zone, Ok(raw));
         }
-        w.wires.insert(wire, name);
+        w.connections.insert(connection, name);
         let after = 2 * latency(&w.queriers[q].zone.clone(), &zone, &mut w.luck);
-        return push(w, after, Hap::LeafGets { q, life, t, sending: Box::new(s) });
+        return push(w, after, ScheduledEvent::LeafGets { q, life, t, sending: Box::new(s) });
     }
     let who = &w.queriers[q].name;
     rules::arrives(&mut w.rules, now - BEGIN, who, &name, &l.service.name, &s.service);
     if misdirected {
-        let raw = backs::turned_away(l, now, MISDIRECTED);
+        let raw = mock_backends::turned_away(l, now, MISDIRECTED);
         return answer(w, key, &zone, Ok(raw));
     }
     if digest(&s.body) != s.digest {
-        let raw = backs::turned_away(l, now, 400);
+        let raw = mock_backends::turned_away(l, now, 400);
         return answer(w, key, &zone, Ok(raw));
     }
     l.live += 1;
-    let bear = backs::bears(l, now);
+    let bear = mock_backends::bears(l, now);
     l.worst_pct = l.worst_pct.max(l.live * 100 / bear);
     l.over += u64::from(l.live > bear);
-    let (live, fresh) = (l.live, backs::fresh(l, now));
+    let (live, fresh) = (l.live, mock_backends::fresh(l, now));
     if fresh {
         rules::carries(&mut w.rules, now - BEGIN, &name, live, bear);
     }
-    if l.mode == backs::Mode::Unrun || live > bear * 3 {
+    if l.mode == mock_backends::Mode::Unrun || live > bear * 3 {
         l.live -= 1;
-        let raw = backs::turned_away(l, now, 503);
+        let raw = mock_backends::turned_away(l, now, 503);
         if l.leaving {
             learn(w, &name);
         }
         return answer(w, key, &zone, Ok(raw));
     }
     l.ran += 1;
-    let took = backs::takes(l, now, &mut w.luck);
+    let took = mock_backends::takes(l, now, &mut w.luck);
     let asked: Value = serde_json::from_slice(&s.body).unwrap_or(Value::Null);
     let question = asked["question"].as_str().unwrap_or_default();
     rules::runs(&mut w.rules, now - BEGIN, &name, question);
@@ -101,7 +105,7 @@
     let run = w.next;
     w.by_key.insert(key, run);
     w.runs.insert(run, Run { key, leaf: name, sending: s });
-    push(w, took, Hap::LeafDone { run });
+    push(w, took, ScheduledEvent::LeafDone { run });
 }
 
 pub(super) fn end_run(w: &mut World, run: u64) -> Option<Run> {
@@ -121,9 +125,9 @@
     if l.alive != Alive::Up {
         return;
     }
-    let mut raw = backs::reply(l, now, &r.sending);
+    let mut raw = mock_backends::reply(l, now, &r.sending);
     let asked: Value = serde_json::from_slice(&r.sending.body).unwrap_or(Value::Null);
-    if backs::true_reply(l.mode, asked["limit"].as_u64().unwrap_or(0)) {
+    if mock_backends::true_reply(l.mode, asked["limit"].as_u64().unwrap_or(0)) {
         let question = asked["question"].as_str().unwrap_or_default();
         rules::answers(&mut w.rules, &l.service.name, &r.sending.id, question);
     }
--- a/crates/sim/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -4,12 +4,12 @@
 
 mod common;
 
-use grebe::time::SECOND;
-use grebe::wire::msg::Done;
+use grebepath_core::protocol::message::OperationResult;
+use grebepath_core::time::SECOND;
+use grebepath_simulator::chaos::at;
+use grebepath_simulator::scenario::{Scenario, play, read};
+use grebepath_simulator::world::{self, World, seats_whole};
 use serde_json::{Value, json};
-use sim::chaos::at;
-use sim::scenario::{Scenario, play, read};
-use sim::world::{self, World, seats_whole};
 
 fn scene(seconds: u64, more: Vec<Value>) -> Scenario {
     let mut troubles = vec![
@@ -19,12 +19,13 @@
     troubles.extend(more);
     let val = json!({ "name": "long-history", "seconds": seconds, "queriers": 4, "factor": 0.02,
                       "seats": 3, "controllers": 3, "troubles": troubles });
-    read(val.to_string().as_bytes(), &common::load)
-        .unwrap_or_else(|all| panic!("{}", grebe::lang::finding::lines(&all)))
+    read(val.to_string().as_bytes(), &common::load).unwrap_or_else(|all| {
+        panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all))
+    })
 }
 
 fn accepted(w: &World) -> usize {
-    w.orders.iter().filter(|o| matches!(o.done, Some(Done::Accepted { .. }))).count()
+    w.orders.iter().filter(|o| matches!(o.done, Some(OperationResult::Accepted { .. }))).count()
 }
 
 /// Plays with several seeds; each ends whole, with one state on all voters.
@@ -41,7 +42,7 @@
                 assert!(accepted(&w) > 400, "{name}, {seed}: {} accepted", accepted(&w));
                 // The last changes may be under way: let them come to rest.
                 let same = world::until(&mut w, 5 * SECOND, |w| {
-                    let copy = |s: usize| &w.seats[s].core.parts[0].copy;
+                    let copy = |s: usize| &w.seats[s].core.partitions[0].copy;
                     (1..3).all(|s| copy(s) == copy(0))
                 });
                 assert!(same, "{name}, {seed}: the replicas differ");
--- a/crates/sim/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -3,19 +3,19 @@
 
 mod common;
 
-use grebe::time::{SECOND, ms};
-use grebe::wire::msg::Done;
+use grebepath_core::protocol::message::OperationResult;
+use grebepath_core::time::{SECOND, ms};
+use grebepath_simulator::chaos::at;
+use grebepath_simulator::scenario::{Scenario, play, read};
+use grebepath_simulator::world::{self, Broken, World, seats_whole};
 use serde_json::{Value, json};
-use sim::chaos::at;
-use sim::scenario::{Scenario, play, read};
-use sim::world::{self, Broken, World, seats_whole};
 
 fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
     let val = json!({ "name": "seats", "seconds": seconds, "queriers": 4, "factor": 0.02,
                       "seats": seats, "controllers": controllers, "troubles": troubles });
     match read(val.to_string().as_bytes(), &common::load) {
         Ok(s) => s,
-        Err(all) => panic!("{}", grebe::lang::finding::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all)),
     }
 }
 
@@ -41,10 +41,10 @@
 fn state(w: &World) -> String {
     let mut out = String::new();
     for (i, n) in w.seats.iter().enumerate() {
-        let lives: Vec<_> = n.core.parts.iter().map(|p| format!("{:?}", p.life)).collect();
-        let table = &n.core.seating.roll.table.seats;
+        let lives: Vec<_> = n.core.partitions.iter().map(|p| format!("{:?}", p.life)).collect();
+        let table = &n.core.seating.roll.table.slots;
         let list: Vec<_> = table.iter().map(|h| format!("{}:{}", h.generation, h.addr)).collect();
-        out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.core.seat);
+        out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.core.slot);
     }
     out + &w.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n")
 }
@@ -56,11 +56,11 @@
 
 /// Which machine has a seat.
 fn holder(w: &World, seat: u8) -> Option<usize> {
-    w.seats.iter().position(|n| n.up && n.core.seat == seat)
+    w.seats.iter().position(|n| n.up && n.core.slot == seat)
 }
 
 fn accepted(w: &World) -> usize {
-    w.orders.iter().filter(|o| matches!(o.done, Some(Done::Accepted { .. }))).count()
+    w.orders.iter().filter(|o| matches!(o.done, Some(OperationResult::Accepted { .. }))).count()
 }
 
 /// A spare in the zone, from the first second on.
@@ -88,7 +88,10 @@
     let s = scene(3, 3, 20, vec![storm(60), spare("a"), kill]);
     let w = play(&s, 5, None);
     assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
-    assert_eq!((holder(&w, 1), w.seats[3].core.seat), (None, grebe::seats::table::NOBODY));
+    assert_eq!(
+        (holder(&w, 1), w.seats[3].core.slot),
+        (None, grebepath_core::voters::voter_set::NOBODY)
+    );
 }
 
 #[test]
@@ -127,7 +130,7 @@
         sound("cut off", &s, |w, _| {
             assert_eq!(holder(w, cut as u8), Some(3));
             // The old holder is a spare now, under another name.
-            assert_eq!(w.seats[cut].core.seat, grebe::seats::table::NOBODY);
+            assert_eq!(w.seats[cut].core.slot, grebepath_core::voters::voter_set::NOBODY);
         });
     }
 }
@@ -240,19 +243,22 @@
             order.seat = Some(spare);
             let id = world::order(w, 0, order);
             world::until(w, 6 * SECOND, |w| w.orders[id].done.is_some());
-            matches!(w.orders[id].done, Some(Done::Accepted { .. }))
+            matches!(w.orders[id].done, Some(OperationResult::Accepted { .. }))
         };
-        let spares: Vec<usize> =
-            (0..5).filter(|n| w.seats[*n].core.seat == grebe::seats::table::NOBODY).collect();
+        let spares: Vec<usize> = (0..5)
+            .filter(|n| w.seats[*n].core.slot == grebepath_core::voters::voter_set::NOBODY)
+            .collect();
         assert_eq!(spares.len(), 2);
         for spare in &spares {
             assert!(ask(w, *spare));
         }
         // With the owner gone it finds the next one, or takes the seat itself.
-        let owner = w
-            .seats
-            .iter()
-            .position(|n| matches!(n.core.parts[0].role, grebe::state::part::Role::Leader(_)));
+        let owner = w.seats.iter().position(|n| {
+            matches!(
+                n.core.partitions[0].role,
+                grebepath_core::replication::partition::Role::Leader(_)
+            )
+        });
         world::kill_seat(w, owner.unwrap(), false);
         for spare in spares {
             assert!(ask(w, spare));
@@ -351,7 +357,7 @@
                 for seed in (0..12u64).filter(|n| n % 4 == t) {
                     let (seats, controllers) = [(3, 4), (5, 6), (3, 3), (5, 5)][seed as usize % 4];
                     let mut s = scene(seats, controllers, 70, Vec::new());
-                    s.troubles = sim::chaos::chaos(seed, &s);
+                    s.troubles = grebepath_simulator::chaos::chaos(seed, &s);
                     let mut w = play(&s, seed, None);
                     let whole = world::until(&mut w, 20 * SECOND, world::settled);
                     let found = &w.rules.found;
