--- /dev/null
+++ b/crates/core/tests/format_fixtures/messages.rs
@@ -0,0 +1,296 @@
+//! One message of every variant, and of every variant of the enums inside. No two
+//! fields of a message have the same value, and none has its default, but for the
+//! flags of pairs that differ in them.
+
+use std::collections::BTreeMap;
+
+use grebepath_core::protocol::message::{
+    Attestation, Memberships, Message, NO_PROOF, Operation, OperationResult, PeerIdentity,
+    ReplicaCondition, Word,
+};
+
+use super::values::{
+    entries, holding, leaf, leaving_progress, map, member, membership, membership_id, narrow,
+    partition, places, ready_progress, replica_state, table, wide,
+};
+
+/// All of them, in the order of the fixture file.
+pub fn all() -> Vec<Message> {
+    [
+        greetings(),
+        voter_slots(),
+        handovers(),
+        recovery(),
+        elections(),
+        replication(),
+        feed(),
+        members(),
+        memberships(),
+        gossip(),
+        leafs(),
+        operations(),
+        operation_results(),
+    ]
+    .concat()
+}
+
+fn greetings() -> Vec<Message> {
+    let whos = [
+        PeerIdentity::Voter { slot: 7, holder: wide(2) },
+        PeerIdentity::Spare { holder: wide(3) },
+        PeerIdentity::Member("querier-1".into()),
+    ];
+    whos.map(|who| Message::Hello { who, fleet: wide(1) }).to_vec()
+}
+
+fn voter_slots() -> Vec<Message> {
+    vec![
+        Message::Seats { me: wide(1), table: table() },
+        Message::Here { stamp: wide(1) },
+        Message::Apply {
+            holder: wide(1),
+            addr: "10.0.0.9:7400".into(),
+            zone: "east".into(),
+            stamp: wide(2),
+        },
+        Message::Offer { slot: 7, stamp: wide(1), free: vec![3, 5, 9] },
+        Message::Take { slot: 7, holding: holding(3) },
+    ]
+}
+
+fn handovers() -> Vec<Message> {
+    vec![
+        Message::HandoverOffer { slot: 7, generation: narrow(1) },
+        Message::HandoverAccept { slot: 8, holding: holding(4) },
+        Message::Handover {
+            slot: 9,
+            generation: narrow(5),
+            table: table(),
+            replicas: vec![replica_state()],
+            memberships: Memberships {
+                current: membership(1),
+                others: vec![membership(2), membership(3)],
+            },
+        },
+        Message::HandoverDone { slot: 10, generation: narrow(6) },
+        Message::LeadershipTransfer { partition: partition(), term: wide(1) },
+    ]
+}
+
+fn recovery() -> Vec<Message> {
+    let status = |life| Message::ReplicaStatus {
+        partition: partition(),
+        nonce: wide(1),
+        life,
+        promised: wide(2),
+        term: wide(3),
+        revision: wide(4),
+        stamp: wide(5),
+    };
+    vec![
+        Message::StatusRequest { partition: partition(), nonce: wide(1) },
+        status(ReplicaCondition::Empty),
+        status(ReplicaCondition::Damaged),
+        status(ReplicaCondition::Formed),
+        Message::FetchReplica { partition: partition(), nonce: wide(2) },
+        Message::ReplicaFetched {
+            partition: partition(),
+            nonce: wide(1),
+            promised: wide(2),
+            term: wide(3),
+            revision: wide(4),
+            map: map(),
+        },
+    ]
+}
+
+fn elections() -> Vec<Message> {
+    let partition = partition();
+    vec![
+        Message::PreVoteRequest { partition, term: wide(1) },
+        Message::PreVoteResponse { partition, term: wide(1), yes: true, promised: wide(2) },
+        Message::VoteRequest { partition, term: wide(2) },
+        Message::VoteGranted {
+            partition,
+            term: wide(1),
+            at_term: wide(2),
+            revision: wide(3),
+            stamp: wide(4),
+        },
+        Message::VoteRejected { partition, term: wide(1), promised: wide(2) },
+    ]
+}
+
+fn replication() -> Vec<Message> {
+    let partition = partition();
+    vec![
+        Message::Snapshot { partition, term: wide(1), revision: wide(2), map: map() },
+        Message::Append { partition, term: wide(1), revision: wide(2), entries: entries() },
+        Message::AppendAck { partition, term: wide(1), revision: wide(2), stamp: wide(3) },
+        Message::SnapshotRequest { partition, term: wide(1) },
+        Message::Heartbeat {
+            partition,
+            term: wide(1),
+            round: wide(2),
+            done: wide(3),
+            sum: wide(4),
+        },
+        Message::HeartbeatAck {
+            partition,
+            term: wide(1),
+            round: wide(2),
+            revision: wide(3),
+            kept: wide(4),
+            stamp: wide(5),
+        },
+    ]
+}
+
+fn feed() -> Vec<Message> {
+    let partition = partition();
+    vec![
+        Message::Follow { places: places(), stamp: wide(1) },
+        Message::News { partition, from: Some(wide(1)), revision: wide(2), entries: entries() },
+        Message::News { partition, from: None, revision: wide(3), entries: entries() },
+        Message::Reach { places: places(), stamp: wide(2) },
+    ]
+}
+
+fn members() -> Vec<Message> {
+    vec![
+        Message::Renew { member: member(1), count: wide(1), far: ready_progress() },
+        Message::Renew { member: member(2), count: wide(2), far: leaving_progress() },
+        Message::Lease {
+            name: "querier-1".into(),
+            incarnation: wide(1),
+            count: wide(2),
+            term: wide(3),
+            revision: wide(4),
+            tell_membership: true,
+        },
+        Message::Tell(membership(4)),
+    ]
+}
+
+fn memberships() -> Vec<Message> {
+    vec![
+        Message::ReplicateMembership {
+            term: wide(1),
+            current: membership(1),
+            confirmed: true,
+            older: vec![membership(2), membership(3)],
+        },
+        Message::MembershipReplicated {
+            term: wide(1),
+            id: membership_id(),
+            settled: wide(2),
+            confirmed: true,
+            stamp: wide(3),
+        },
+        Message::FetchMembership { term: wide(1) },
+        Message::MembershipFetched {
+            term: wide(1),
+            current: membership(1),
+            others: vec![membership(2)],
+            stamp: wide(2),
+        },
+    ]
+}
+
+fn gossip() -> Vec<Message> {
+    let attestation = Attestation {
+        membership: membership_id(),
+        knows: wide(1),
+        ages: vec![0x1234, 0x5678, NO_PROOF],
+    };
+    let gossip = |asked, echo, attestation| Message::Gossip {
+        name: "querier-1".into(),
+        core_age_ms: wide(2),
+        ready: true,
+        places: places(),
+        asked,
+        echo,
+        attestation,
+    };
+    vec![
+        gossip(Some(wide(3)), Some(wide(4)), Some(attestation)),
+        gossip(Some(wide(5)), None, None),
+        gossip(None, Some(wide(6)), None),
+    ]
+}
+
+fn leafs() -> Vec<Message> {
+    let leaving = Word { leaf: "leaf-1".into(), leaving: true, gone: false, age_ms: wide(1) };
+    let gone = Word { leaf: "leaf-2".into(), leaving: false, gone: true, age_ms: wide(2) };
+    vec![
+        Message::Listed {
+            partition: partition(),
+            fence: (wide(1), wide(2)),
+            leafs: vec![leaf(1, true), leaf(2, false)],
+        },
+        Message::Words { partition: partition(), words: vec![leaving, gone] },
+    ]
+}
+
+fn operations() -> Vec<Message> {
+    let operate = |expect, deed| Message::Operate {
+        op: wide(1),
+        attempt: wide(2),
+        term: wide(3),
+        request: "request-1".into(),
+        expect,
+        deed,
+    };
+    vec![
+        operate(Some(wide(4)), Operation::Whole(b"whole configuration".to_vec())),
+        operate(None, Operation::Patch(b"changes of it".to_vec())),
+        operate(Some(wide(5)), Operation::Read),
+        operate(Some(wide(6)), Operation::Status),
+        operate(Some(wide(7)), Operation::Forget("querier-2".into())),
+    ]
+}
+
+fn operation_results() -> Vec<Message> {
+    let results = [
+        OperationResult::Accepted { revision: wide(3), copies: narrow(1), again: true },
+        OperationResult::Config { revision: wide(3), map: map() },
+        OperationResult::Status {
+            membership: membership(1),
+            far: vec![
+                ("querier-1".into(), wide(3), ready_progress()),
+                ("querier-2".into(), wide(4), leaving_progress()),
+            ],
+        },
+        OperationResult::Wrong(vec![
+            ("searches[0]".into(), "no such pool".into()),
+            ("pools[1]".into(), "no such service".into()),
+        ]),
+        OperationResult::Moved { revision: wide(3) },
+        OperationResult::Bounced { why: "not now".into() },
+        OperationResult::Unknown { why: "no majority answered".into() },
+        OperationResult::Forgotten { revision: wide(3), edition: wide(4) },
+    ];
+    results.map(|done| Message::Operated { op: wide(1), attempt: wide(2), done }).to_vec()
+}
+
+/// The message that the fixture of one piece holds.
+pub fn small() -> Message {
+    Message::Heartbeat {
+        partition: partition(),
+        term: wide(1),
+        round: wide(2),
+        done: wide(3),
+        sum: wide(4),
+    }
+}
+
+/// The byte of which the large message consists but for its beginning.
+pub const FILLER: u8 = 0x5a;
+/// How many of them there are: more than two pieces.
+pub const FILLER_COUNT: usize = 150_000;
+
+/// A message of three pieces. Its last field is the long one.
+pub fn large() -> Message {
+    let map = BTreeMap::from([("filler".into(), vec![FILLER; FILLER_COUNT])]);
+    Message::Snapshot { partition: partition(), term: wide(1), revision: wide(2), map }
+}
