--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -27,10 +27,10 @@
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::message::{
-    Map, Member, MemberProgress, Message, Operation, OperationResult,
+    EntryMap, Member, MemberProgress, Message, Operation, OperationResult,
 };
 use grebepath_core::storage::reader::{Found, read};
-use grebepath_core::storage::record::Copy;
+use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::writer::{LOG_HEAD, log_head, rec, slot};
 use grebepath_core::time::{SECOND, ms};
 use grebepath_core::voters::voter_file;
@@ -93,7 +93,7 @@
 /// Reads the files, and checks that they hold this.
 fn read_partition(files: &PartitionFiles, expected: &StoredPartition) -> Outcome {
     let number = expected.number;
-    let good = |copy: Copy, seq, records, log_len: usize| {
+    let good = |copy: ReplicaState, seq, records, log_len: usize| {
         let (records, log_len) = (records as u32, log_len as u64);
         Found::Good { copy, seq, records, log_len, torn: false }
     };
@@ -135,7 +135,7 @@
 }
 
 /// The newest state that the files hold.
-fn newest(files: &PartitionFiles, number: u32) -> Copy {
+fn newest(files: &PartitionFiles, number: u32) -> ReplicaState {
     let slots = [Some(&files.newer_slot[..]), Some(&files.older_slot[..])];
     match read(number, slots, Some(&files.log)) {
         Found::Good { copy, .. } => copy,
@@ -161,7 +161,7 @@
 
 // ---- memory of orders -------------------------------------------------------
 
-fn expect_known(map: &Map, order: &AcceptedOrder) {
+fn expect_known(map: &EntryMap, order: &AcceptedOrder) {
     let known = Recall::Accepted { revision: order.revision };
     expect_that!(recall(map, &order.request, &order.fingerprint()), eq(known));
     for (whole, text) in [(!order.whole, &order.text[..]), (order.whole, b"another text")] {
@@ -200,12 +200,12 @@
         joined: 0,
         incarnation,
     };
-    let message = Message::Renew { member, count, far: MemberProgress::default() };
-    give(cluster, 0, Event::FromWire { connection: 1_000 + incarnation % 10, message });
+    let message = Message::RenewLease { member, count, far: MemberProgress::default() };
+    give(cluster, 0, Event::FromConnection { connection: 1_000 + incarnation % 10, message });
     pass(cluster, ms(100));
 }
 
-fn stored_map(cluster: &Cluster) -> &Map {
+fn stored_map(cluster: &Cluster) -> &EntryMap {
     &cluster.nodes[0].core.as_ref().expect("the controller runs").partitions[0].copy.map
 }
 
@@ -236,7 +236,7 @@
     for count in 1..40 {
         renew(&mut cluster, "querier-1", 11, count);
     }
-    let deed = Operation::Forget(stored::FORGOTTEN_NAME.into());
+    let deed = Operation::ForgetMember(stored::FORGOTTEN_NAME.into());
     let done = answer(&mut cluster, 0, "", None, deed);
     let Some(OperationResult::Accepted { revision, .. }) = done else { panic!("{done:?}") };
     let (name, incarnation) = silent[1];
--- a/crates/core/tests/format_fixtures/messages.rs
+++ b/crates/core/tests/format_fixtures/messages.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 
 use grebepath_core::protocol::message::{
-    Attestation, Memberships, Message, NO_PROOF, Operation, OperationResult, PeerIdentity,
-    ReplicaCondition, Word,
+    Attestation, LeafReport, Memberships, Message, NO_PROOF, Operation, OperationResult,
+    PeerIdentity, ReplicaCondition,
 };
 
 use super::values::{
@@ -45,16 +45,16 @@
 
 fn voter_slots() -> Vec<Message> {
     vec![
-        Message::Seats { me: wide(1), table: table() },
-        Message::Here { stamp: wide(1) },
-        Message::Apply {
+        Message::VoterSetUpdate { me: wide(1), table: table() },
+        Message::VoterAlive { stamp: wide(1) },
+        Message::JoinRequest {
             holder: wide(1),
             addr: "10.0.0.9:7400".into(),
             zone: "east".into(),
             stamp: wide(2),
         },
-        Message::Offer { slot: 7, stamp: wide(1), free: vec![3, 5, 9] },
-        Message::Take { slot: 7, holding: holding(3) },
+        Message::JoinOffer { slot: 7, stamp: wide(1), free: vec![3, 5, 9] },
+        Message::SlotTakeover { slot: 7, holding: holding(3) },
     ]
 }
 
@@ -91,7 +91,7 @@
         Message::StatusRequest { partition: partition(), nonce: wide(1) },
         status(ReplicaCondition::Empty),
         status(ReplicaCondition::Damaged),
-        status(ReplicaCondition::Formed),
+        status(ReplicaCondition::Voting),
         Message::FetchReplica { partition: partition(), nonce: wide(2) },
         Message::ReplicaFetched {
             partition: partition(),
@@ -149,18 +149,18 @@
 fn feed() -> Vec<Message> {
     let partition = partition();
     vec![
-        Message::Follow { places: places(), stamp: wide(1) },
-        Message::News { partition, from: Some(wide(1)), revision: wide(2), entries: entries() },
-        Message::News { partition, from: None, revision: wide(3), entries: entries() },
-        Message::Reach { places: places(), stamp: wide(2) },
+        Message::Subscribe { places: places(), stamp: wide(1) },
+        Message::Update { partition, from: Some(wide(1)), revision: wide(2), entries: entries() },
+        Message::Update { partition, from: None, revision: wide(3), entries: entries() },
+        Message::FeedPositions { places: places(), stamp: wide(2) },
     ]
 }
 
 fn members() -> Vec<Message> {
     vec![
-        Message::Renew { member: member(1), count: wide(1), far: ready_progress() },
-        Message::Renew { member: member(2), count: wide(2), far: leaving_progress() },
-        Message::Lease {
+        Message::RenewLease { member: member(1), count: wide(1), far: ready_progress() },
+        Message::RenewLease { member: member(2), count: wide(2), far: leaving_progress() },
+        Message::LeaseGranted {
             name: "querier-1".into(),
             incarnation: wide(1),
             count: wide(2),
@@ -168,7 +168,7 @@
             revision: wide(4),
             tell_membership: true,
         },
-        Message::Tell(membership(4)),
+        Message::MembershipUpdate(membership(4)),
     ]
 }
 
@@ -220,20 +220,20 @@
 }
 
 fn leafs() -> Vec<Message> {
-    let leaving = Word { leaf: "leaf-1".into(), leaving: true, gone: false, age_ms: wide(1) };
-    let gone = Word { leaf: "leaf-2".into(), leaving: false, gone: true, age_ms: wide(2) };
+    let leaving = LeafReport { leaf: "leaf-1".into(), leaving: true, gone: false, age_ms: wide(1) };
+    let gone = LeafReport { leaf: "leaf-2".into(), leaving: false, gone: true, age_ms: wide(2) };
     vec![
-        Message::Listed {
+        Message::LeafList {
             partition: partition(),
             fence: (wide(1), wide(2)),
             leafs: vec![leaf(1, true), leaf(2, false)],
         },
-        Message::Words { partition: partition(), words: vec![leaving, gone] },
+        Message::LeafReports { partition: partition(), words: vec![leaving, gone] },
     ]
 }
 
 fn operations() -> Vec<Message> {
-    let operate = |expect, deed| Message::Operate {
+    let operate = |expect, deed| Message::OperationRequest {
         op: wide(1),
         attempt: wide(2),
         term: wide(3),
@@ -242,18 +242,18 @@
         deed,
     };
     vec![
-        operate(Some(wide(4)), Operation::Whole(b"whole configuration".to_vec())),
+        operate(Some(wide(4)), Operation::Replace(b"whole configuration".to_vec())),
         operate(None, Operation::Patch(b"changes of it".to_vec())),
         operate(Some(wide(5)), Operation::Read),
         operate(Some(wide(6)), Operation::Status),
-        operate(Some(wide(7)), Operation::Forget("querier-2".into())),
+        operate(Some(wide(7)), Operation::ForgetMember("querier-2".into())),
     ]
 }
 
 fn operation_results() -> Vec<Message> {
     let results = [
         OperationResult::Accepted { revision: wide(3), copies: narrow(1), again: true },
-        OperationResult::Config { revision: wide(3), map: map() },
+        OperationResult::Configuration { revision: wide(3), map: map() },
         OperationResult::Status {
             membership: membership(1),
             far: vec![
@@ -261,16 +261,16 @@
                 ("querier-2".into(), wide(4), leaving_progress()),
             ],
         },
-        OperationResult::Wrong(vec![
+        OperationResult::Invalid(vec![
             ("searches[0]".into(), "no such pool".into()),
             ("pools[1]".into(), "no such service".into()),
         ]),
-        OperationResult::Moved { revision: wide(3) },
-        OperationResult::Bounced { why: "not now".into() },
+        OperationResult::Conflict { revision: wide(3) },
+        OperationResult::Rejected { why: "not now".into() },
         OperationResult::Unknown { why: "no majority answered".into() },
         OperationResult::Forgotten { revision: wide(3), edition: wide(4) },
     ];
-    results.map(|done| Message::Operated { op: wide(1), attempt: wide(2), done }).to_vec()
+    results.map(|done| Message::OperationResponse { op: wide(1), attempt: wide(2), done }).to_vec()
 }
 
 /// The message that the fixture of one piece holds.
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -6,9 +6,9 @@
 use grebepath_core::config::types::{Class, Config, Form, Pool, Search, Steer, Terms, Turn, Zone};
 use grebepath_core::control_plane::order_memory::{Fingerprint, Horizon, fingerprint, remember};
 use grebepath_core::digest::digest;
-use grebepath_core::protocol::message::Map;
+use grebepath_core::protocol::message::EntryMap;
 use grebepath_core::snapshot::leafs::{LeafInfo, key};
-use grebepath_core::storage::record::{Copy, LogRecord, apply, put};
+use grebepath_core::storage::record::{LogRecord, ReplicaState, apply, put};
 use grebepath_core::voters::voter_file::VoterFile;
 use nanoserde::SerBin;
 use prost::Message;
@@ -31,16 +31,16 @@
     /// The number in the heads of the files.
     pub number: u32,
     /// What the older slot holds.
-    pub older: Copy,
+    pub older: ReplicaState,
     /// What the newer slot holds.
-    pub newer: Copy,
+    pub newer: ReplicaState,
     /// What the log holds.
     pub records: Vec<LogRecord>,
 }
 
 impl StoredPartition {
     /// The newer slot with all records of the log.
-    pub fn newest(&self) -> Copy {
+    pub fn newest(&self) -> ReplicaState {
         let mut copy = self.newer.clone();
         for record in &self.records {
             assert!(apply(&mut copy, record), "{record:?} does not follow");
@@ -49,8 +49,8 @@
     }
 }
 
-fn copy(revision: u64, map: &Map) -> Copy {
-    Copy { promised: PROMISED, term: TERM, revision, map: map.clone() }
+fn copy(revision: u64, map: &EntryMap) -> ReplicaState {
+    ReplicaState { promised: PROMISED, term: TERM, revision, map: map.clone() }
 }
 
 // ---- configuration ---------------------------------------------------------
@@ -113,7 +113,7 @@
     }
 }
 
-fn set_edition(map: &mut Map, edition: u64) {
+fn set_edition(map: &mut EntryMap, edition: u64) {
     map.insert("terms".into(), terms(edition).encode_to_vec());
 }
 
@@ -165,7 +165,7 @@
 /// The horizon of these orders.
 pub const HORIZON: Horizon = Horizon { revision: 20_000, edition: 41 };
 
-fn accept(map: &mut Map, order: &AcceptedOrder) {
+fn accept(map: &mut EntryMap, order: &AcceptedOrder) {
     let changes = remember(map, &order.fingerprint(), order.revision, order.edition);
     put(map, &changes);
     set_edition(map, order.edition);
@@ -187,7 +187,7 @@
     let removed = vec![("zone/east".into(), None), ("zone/west".into(), Some(zone_west()))];
     let records = vec![
         LogRecord::Change { term: TERM, revision: fourth.revision, entries: changed },
-        LogRecord::Promise { term: PROMISED_LATER },
+        LogRecord::Vote { term: PROMISED_LATER },
         LogRecord::Change { term: TERM, revision: fourth.revision + 1, entries: removed },
     ];
     StoredPartition { number: 0, older, newer, records }
@@ -246,7 +246,7 @@
         ("terms".into(), Some(terms(LEGACY_EDITION + 1).encode_to_vec())),
     ];
     let records = vec![
-        LogRecord::Promise { term: PROMISED_LATER },
+        LogRecord::Vote { term: PROMISED_LATER },
         LogRecord::Change { term: TERM, revision: last + 1, entries: changed },
     ];
     StoredPartition { number: 0, older, newer, records }
@@ -273,7 +273,7 @@
     let changed = vec![(key("leaf-1"), None), (third_key, Some(third_value))];
     let records = vec![
         LogRecord::Change { term: TERM, revision: wide(3), entries: changed },
-        LogRecord::Promise { term: PROMISED_LATER },
+        LogRecord::Vote { term: PROMISED_LATER },
     ];
     StoredPartition { number: 3, older, newer, records }
 }
--- a/crates/core/tests/format_fixtures/values.rs
+++ b/crates/core/tests/format_fixtures/values.rs
@@ -6,7 +6,7 @@
 use grebepath_core::config::change::Entry;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::protocol::message::{
-    FeedPosition, HandedOverReplica, Map, Member, MemberProgress, Membership, MembershipId,
+    EntryMap, FeedPosition, HandedOverReplica, Member, MemberProgress, Membership, MembershipId,
 };
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::voters::voter_set::{SlotHolder, VoterSet};
@@ -25,7 +25,7 @@
     PartitionId(narrow(255))
 }
 
-pub fn map() -> Map {
+pub fn map() -> EntryMap {
     BTreeMap::from([("terms".into(), vec![1, 2, 3]), ("zone/east".into(), vec![0xff, 0x00, 0x80])])
 }
 
