--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -9,14 +9,15 @@
 
 use std::time::{Duration, Instant};
 
-use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
+use grebepath_core::command::Command;
+use grebepath_core::control_plane::controller::{ControllerState, Event, core};
 use grebepath_core::control_plane::order_memory;
 use grebepath_core::control_plane::order_memory::Recall;
 use grebepath_core::control_plane::step::{WAKE, step};
 use grebepath_core::protocol::message::{EntryMap, Message, Operation, OperationResult};
+use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::storage::writer;
 use grebepath_core::time::{BOOT, Tick};
-use grebepath_core::voters::voter_file::{Start, begin};
 use nanoserde::SerBin;
 use serde_json::{Value, json};
 
--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -10,8 +10,9 @@
 
 use std::collections::VecDeque;
 
+use crate::command::Command;
 use crate::consts;
-use crate::control_plane::controller::{Command, ControllerState};
+use crate::control_plane::controller::ControllerState;
 use crate::control_plane::members::{Heard, Members, is_live};
 use crate::control_plane::retirement::has_left;
 use crate::protocol::message::Member;
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -1,5 +1,6 @@
 //! The controller's whole state, its events and its commands.
 
+use crate::command::ConnectionId;
 use std::collections::BTreeMap;
 
 use indexmap::{IndexMap, IndexSet};
@@ -7,18 +8,15 @@
 use crate::consts::ROT_LOOK;
 use crate::control_plane::members::Members;
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
-use crate::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
+use crate::protocol::message::{Message, Operation, ReplicaCondition};
 use crate::random::{Random, luck, mix};
 use crate::replication::partition::{Partition, partition};
-use crate::storage::record::{LogRecord, ReplicaState};
-use crate::time::{Span, Tick};
-use crate::voters::voter_file::VoterFile;
-use crate::voters::voter_set::{NOBODY, seat_of};
+use crate::storage::record::ReplicaState;
+use crate::storage::voter_file::VoterFile;
+use crate::time::Tick;
+use crate::voter_set::{NOBODY, seat_of};
 use crate::voters::voter_slots::{VoterSlots, seating};
 
-/// A connection to a member, as numbered by the daemon.
-pub type ConnectionId = u64;
-
 /// Numbers of lent requests begin here, beyond those that the daemon gives.
 const LENT: u64 = 1 << 63;
 
@@ -162,64 +160,6 @@
     Wake,
 }
 
-/// What a controller wants done.
-pub enum Command {
-    ToVoter {
-        slot: VoterSlot,
-        message: Message,
-    },
-    ToConnection {
-        connection: ConnectionId,
-        message: Message,
-    },
-    /// To every controller that we know a way to.
-    Broadcast {
-        message: Message,
-    },
-    /// The table of the seats or our place in it changed: see to the connections.
-    VoterSetChanged,
-    /// Keep the roll; with `clear`, set all parts' files aside before.
-    WriteVoterFile {
-        token: u64,
-        roll: VoterFile,
-        clear: bool,
-    },
-    /// Append a record to the part's log and sync it.
-    AppendRecord {
-        partition: PartitionId,
-        token: u64,
-        rec: LogRecord,
-    },
-    /// Write the other slot, sync it, begin a new log.
-    WriteSnapshot {
-        partition: PartitionId,
-        token: u64,
-        copy: ReplicaState,
-    },
-    /// Read the part's files again, behind all that was asked before.
-    Scrub {
-        partition: PartitionId,
-    },
-    /// What an operator is told, once for each request.
-    Respond {
-        op: u64,
-        done: OperationResult,
-    },
-    /// Our own answer, as the leader, to an attempt of this process. `step` takes
-    /// it back; it never comes out.
-    OwnResponse {
-        op: u64,
-        attempt: u64,
-        done: OperationResult,
-    },
-    /// Wake us after this time, beside the wakes that come anyway.
-    WakeAfter {
-        span: Span,
-    },
-    /// Something an operator must hear of.
-    Alarm(String),
-}
-
 /// A controller that has read its disk. Parts not given are empty.
 pub fn core(
     roll: VoterFile,
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -5,16 +5,17 @@
 
 use nanoserde::{DeBin, SerBin};
 
+use crate::command::Command;
 use crate::config::change::Entry;
 use crate::consts;
-use crate::control_plane::controller::{Command, Counts};
+use crate::control_plane::controller::Counts;
 use crate::identifiers::part_of;
 use crate::protocol::message::LeafReport;
 use crate::replication::leader::change;
 use crate::replication::partition::{Partition, leader};
 use crate::snapshot::leafs::{LEAF, LeafInfo, key};
 use crate::time::{MILLI, Tick, since};
-use crate::voters::voter_set::VoterGroup;
+use crate::voter_set::VoterGroup;
 
 /// The leafs that a map holds; entries that can't be read are passed over.
 pub fn all(map: &BTreeMap<String, Vec<u8>>) -> BTreeMap<String, LeafInfo> {
--- a/crates/core/src/control_plane/feed.rs
+++ b/crates/core/src/control_plane/feed.rs
@@ -1,7 +1,8 @@
 //! What is committed, committed to followers as a numbered feed.
 
+use crate::command::{Command, ConnectionId};
 use crate::consts;
-use crate::control_plane::controller::{Command, ConnectionId, ControllerState};
+use crate::control_plane::controller::ControllerState;
 use crate::control_plane::members;
 use crate::control_plane::order_memory::{is_memory, without_memory};
 use crate::identifiers::{COHORT, PartitionId};
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -8,8 +8,9 @@
 
 use std::collections::BTreeMap;
 
+use crate::command::Command;
 use crate::config::change::Entry;
-use crate::control_plane::controller::{Command, ControllerState};
+use crate::control_plane::controller::ControllerState;
 use crate::control_plane::members;
 use crate::control_plane::members::Gone;
 use crate::protocol::message::{EntryMap, Member, OperationResult};
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -5,8 +5,9 @@
 
 use indexmap::IndexMap;
 
+use crate::command::{Command, ConnectionId};
 use crate::control_plane::acceptance::Acceptance;
-use crate::control_plane::controller::{Command, ConnectionId, ControllerState};
+use crate::control_plane::controller::ControllerState;
 use crate::control_plane::forgotten_members;
 use crate::control_plane::membership_log;
 use crate::control_plane::membership_log::{MembershipLog, Older};
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -8,15 +8,16 @@
 //! keep this in memory only; what a fleet loses with it is told in
 //! `docs/limits.md`.
 
+use crate::command::Command;
 use crate::consts;
-use crate::control_plane::controller::{Command, ControllerState};
+use crate::control_plane::controller::ControllerState;
 use crate::control_plane::members;
 use crate::control_plane::members::newer;
 use crate::identifiers::VoterSlot;
 use crate::membership::attestation::id;
 use crate::protocol::message::{Membership, MembershipId, Memberships, Message};
 use crate::time::{Tick, since};
-use crate::voters::voter_set::{majority, others};
+use crate::voter_set::{majority, others};
 use crate::voters::voter_slots::here;
 
 /// The memberships that a voter knows beside the one that members are told.
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -8,9 +8,10 @@
 //! later leader's refusal is therefore final: an earlier leader that finds the
 //! request later can't commit it any more.
 
+use crate::command::{Command, ConnectionId};
 use crate::consts;
 use crate::control_plane::controller::{
-    Command, ConnectionId, ControllerState, ForwardedOperation, Forwarding, PendingRequest,
+    ControllerState, ForwardedOperation, Forwarding, PendingRequest,
 };
 use crate::control_plane::operations::{Request, at_owner};
 use crate::identifiers::VoterSlot;
@@ -18,8 +19,8 @@
 use crate::replication::leader::tell;
 use crate::replication::partition::{OperationOrigin, Role};
 use crate::time::Tick;
+use crate::voter_set::{NOBODY, others};
 use crate::voters::handover;
-use crate::voters::voter_set::{NOBODY, others};
 use crate::voters::voter_slots::here;
 
 /// Attempts that are remembered (count), so that one that comes twice is taken
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -2,10 +2,11 @@
 //! newest state, in the order in which they come. A change is made at once; all
 //! else waits for the proof that we still lead (`pending_operations`).
 
+use crate::command::Command;
 use crate::config::change::{Entry, changes, config, patched, replaced};
 use crate::config::types::Turn;
 use crate::config::{build, read};
-use crate::control_plane::controller::{Command, ControllerState};
+use crate::control_plane::controller::ControllerState;
 use crate::control_plane::order_memory;
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
 use crate::protocol::message::{EntryMap, Operation, OperationResult};
@@ -16,7 +17,7 @@
 use crate::replication::pending_operations::PendingAnswer;
 use crate::routing_language::diagnostic::Diagnostic;
 use crate::time::Tick;
-use crate::voters::voter_set::VoterGroup;
+use crate::voter_set::VoterGroup;
 use crate::voters::voter_slots::here;
 
 /// An operator's request without its origin.
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -1,9 +1,8 @@
 //! `step` of the controller's leader.
 
+use crate::command::{Command, ConnectionId};
 use crate::consts;
-use crate::control_plane::controller::{
-    Command, ConnectionId, ControllerState, Event, ForwardedOperation,
-};
+use crate::control_plane::controller::{ControllerState, Event, ForwardedOperation};
 use crate::control_plane::operations::Request;
 use crate::control_plane::{
     acceptance, endpoints, feed, forgotten_members, members, membership_log, operation_forwarding,
@@ -14,10 +13,10 @@
 use crate::replication::{catch_up, election, leader, replica};
 use crate::storage::record::LogRecord;
 use crate::time::{Tick, ms};
+use crate::voter_set::NOBODY;
 use crate::voters::handover;
 use crate::voters::handover::Received;
 use crate::voters::slot_takeover;
-use crate::voters::voter_set::NOBODY;
 use crate::voters::voter_slots;
 use crate::voters::voter_slots::here;
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,6 +4,7 @@
 //! `step(state, now, event) -> commands`. The daemons drive these functions
 //! with sockets and disks, the tests and `simulator` with a virtual clock.
 
+pub mod command;
 pub mod config;
 pub mod consts;
 pub mod control_plane;
@@ -20,4 +21,5 @@
 pub mod snapshot;
 pub mod storage;
 pub mod time;
+pub mod voter_set;
 pub mod voters;
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -16,7 +16,7 @@
 use crate::snapshot::cluster_view::ClusterView;
 use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick};
-use crate::voters::voter_set::{VoterSet, ballot, merge, stamp};
+use crate::voter_set::{VoterSet, ballot, merge, stamp};
 
 /// The owner of what a querier knows.
 ///
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -13,7 +13,7 @@
 use crate::snapshot::leafs::LeafInfo;
 use crate::storage::record::put;
 use crate::time::{Tick, since};
-use crate::voters::voter_set::majority;
+use crate::voter_set::majority;
 
 /// Takes news of one part. News that does not reach beyond what we hold, or
 /// that would leave a gap, changes nothing.
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -7,7 +7,7 @@
 use crate::config::change::Entry;
 use crate::identifiers::{PartitionId, VoterSlot};
 use crate::snapshot::leafs::LeafInfo;
-use crate::voters::voter_set::{SlotHolder, VoterSet};
+use crate::voter_set::{SlotHolder, VoterSet};
 
 /// Who opened a connection. Sent first on each.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -9,8 +9,8 @@
 //! says so, until an operator vouches that the lost copies are lost for good.
 //! What only they held is gone then: an operator decides that, never the system.
 
+use crate::command::Command;
 use crate::consts;
-use crate::control_plane::controller::Command;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
 use crate::random::{Random, draw};
@@ -18,7 +18,7 @@
 use crate::replication::replica::keep_whole;
 use crate::storage::record::ReplicaState;
 use crate::time::Tick;
-use crate::voters::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, others};
 
 /// Rounds of asking after which a stuck replica raises an alarm.
 const LOUD_AFTER: u64 = 40;
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -1,8 +1,9 @@
 //! How a seat comes to own a part: sound, promise, gather grants, adopt the
 //! newest copy, re-write it under the new term, then serve.
 
+use crate::command::Command;
 use crate::consts;
-use crate::control_plane::controller::{Command, ControllerState};
+use crate::control_plane::controller::ControllerState;
 use crate::digest::{hash, pair};
 use crate::identifiers::{PartitionId, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
@@ -12,7 +13,7 @@
 use crate::replication::replica::{follow, keep, keep_whole};
 use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::time::{Span, Tick, since};
-use crate::voters::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, others};
 use crate::voters::voter_slots::here;
 
 /// The next term above `seen` that only this seat uses.
--- a/crates/core/src/replication/heartbeat_rounds.rs
+++ b/crates/core/src/replication/heartbeat_rounds.rs
@@ -6,14 +6,14 @@
 //! round began, whatever any clock shows. What operators are told rests on such
 //! a round, begun after their request came.
 
+use crate::command::Command;
 use crate::consts;
-use crate::control_plane::controller::Command;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::replication::leader::sum;
 use crate::replication::partition::{Leader, Partition, leader};
 use crate::time::{Span, Tick, ms, since};
-use crate::voters::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, others};
 
 /// Least time between the begin of two rounds for waiting operations: so many
 /// orders a second cost at most three rounds each 15 ms, and none waits for
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use crate::command::Command;
 use crate::config::change::Entry;
 use crate::consts;
-use crate::control_plane::controller::Command;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{EntryMap, Message, OperationResult};
 use crate::replication::partition::{
@@ -14,7 +14,7 @@
 use crate::replication::{heartbeat_rounds, pending_operations};
 use crate::storage::record::{LogRecord, apply};
 use crate::time::{Span, Tick, ms, since};
-use crate::voters::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, others};
 
 /// Time after which a round that operations wait for is begun anew: a message
 /// of it was lost, and the next heartbeat is four times as far.
--- a/crates/core/src/replication/pending_operations.rs
+++ b/crates/core/src/replication/pending_operations.rs
@@ -12,14 +12,14 @@
 //! asked after its order came, and it can't be committed unless all before it
 //! are.
 
+use crate::command::Command;
 use crate::consts;
-use crate::control_plane::controller::Command;
 use crate::protocol::message::OperationResult;
 use crate::replication::heartbeat_rounds;
 use crate::replication::leader::{settle as settle_all, tell};
 use crate::replication::partition::{Leader, OperationOrigin, Partition, leader};
 use crate::time::Tick;
-use crate::voters::voter_set::VoterGroup;
+use crate::voter_set::VoterGroup;
 
 /// Most operations that wait at a leader (count): what the doors of more
 /// controllers than there can be voters hand over at once.
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -1,13 +1,13 @@
 //! A seat as a replica: it grants claims, accepts writes and keeps them.
 
+use crate::command::Command;
 use crate::consts;
-use crate::control_plane::controller::Command;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{EntryMap, Message};
 use crate::replication::partition::{AfterWrite, Partition, Role, Write, able, leader};
 use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::time::{Tick, since};
-use crate::voters::voter_set::VoterGroup;
+use crate::voter_set::VoterGroup;
 
 /// Sends a record to the disk and hangs `after` on it.
 pub fn keep(
--- a/crates/core/src/storage/mod.rs
+++ b/crates/core/src/storage/mod.rs
@@ -7,4 +7,5 @@
 
 pub mod reader;
 pub mod record;
+pub mod voter_file;
 pub mod writer;
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -22,8 +22,9 @@
 
 use indexmap::IndexMap;
 
+use crate::command::{Command, ConnectionId};
 use crate::consts;
-use crate::control_plane::controller::{Command, ConnectionId, ControllerState};
+use crate::control_plane::controller::ControllerState;
 use crate::control_plane::feed;
 use crate::control_plane::members;
 use crate::control_plane::membership_log;
@@ -33,7 +34,7 @@
 use crate::replication::{election, replica};
 use crate::storage::record::ReplicaState;
 use crate::time::{Tick, since};
-use crate::voters::voter_set::{NOBODY, SlotHolder, VoterSet, after_handover, balanced, merge};
+use crate::voter_set::{NOBODY, SlotHolder, VoterSet, after_handover, balanced, merge};
 use crate::voters::voter_slots;
 
 /// A controller without a voter slot that asked us for one.
--- a/crates/core/src/voters/mod.rs
+++ b/crates/core/src/voters/mod.rs
@@ -50,6 +50,4 @@
 
 pub mod handover;
 pub mod slot_takeover;
-pub mod voter_file;
-pub mod voter_set;
 pub mod voter_slots;
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -2,14 +2,15 @@
 //! would give it a seat, and only then takes it. While no seat is free it goes
 //! on asking, and is at hand.
 
+use crate::command::{Command, ConnectionId};
 use crate::consts;
-use crate::control_plane::controller::{Command, ConnectionId, ControllerState};
+use crate::control_plane::controller::ControllerState;
 use crate::digest::pair;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::time::{Tick, since};
+use crate::voter_set::{NOBODY, SlotHolder, after_takeover, balanced, majority};
 use crate::voters::handover;
-use crate::voters::voter_set::{NOBODY, SlotHolder, after_takeover, balanced, majority};
 use crate::voters::voter_slots;
 use crate::voters::voter_slots::newest;
 
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -3,21 +3,22 @@
 
 use indexmap::IndexSet;
 
+use crate::command::{Command, ConnectionId};
 use crate::consts;
-use crate::control_plane::controller::{Command, ConnectionId, ControllerState};
+use crate::control_plane::controller::ControllerState;
 use crate::control_plane::operation_forwarding;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{Message, ReplicaCondition};
 use crate::random::draw;
 use crate::replication::{partition, replica};
+use crate::storage::voter_file::VoterFile;
 use crate::time::{Span, Tick, since};
+use crate::voter_set::{
+    NOBODY, VoterGroup, VoterSet, ballot, group, merge, others, seat_of, stamp,
+};
 use crate::voters::handover;
 use crate::voters::handover::Handovers;
 use crate::voters::slot_takeover::Offer;
-use crate::voters::voter_file::VoterFile;
-use crate::voters::voter_set::{
-    NOBODY, VoterGroup, VoterSet, ballot, group, merge, others, seat_of, stamp,
-};
 
 /// What a controller knows of the seats.
 ///
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -5,16 +5,17 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
+use grebepath_core::command::Command;
 use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
-use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
+use grebepath_core::control_plane::controller::{ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
 use grebepath_core::identifiers::{CONFIG, PartitionId, VoterSlot};
 use grebepath_core::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
+use grebepath_core::storage::voter_file::{Start, VoterFile, begin};
 use grebepath_core::time::{BOOT, SECOND, Span, Tick};
-use grebepath_core::voters::voter_file::{Start, VoterFile, begin};
 
 /// Work that is under way.
 #[derive(Clone, Debug)]
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -7,7 +7,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
+use grebepath_core::command::Command;
+use grebepath_core::control_plane::controller::{ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::protocol::message::{
@@ -16,9 +17,9 @@
 use grebepath_core::random::{Random, below, luck};
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
+use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
-use grebepath_core::voters::voter_file::{Start, begin};
-use grebepath_core::voters::voter_set::told_holder;
+use grebepath_core::voter_set::told_holder;
 
 /// One way between two controllers, and one write to a disk.
 const LATENCY: Span = ms(1);
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,12 +1,13 @@
 //! A core of one seat with a disk that does at once what it is asked.
 
+use grebepath_core::command::Command;
 use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
-use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
+use grebepath_core::control_plane::controller::{ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
 use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::time::{BOOT, Tick};
-use grebepath_core::voters::voter_file::{Start, begin};
 
 /// The seat, its clock and its operators' numbers.
 pub struct One {
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -9,9 +9,9 @@
 use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
 use grebepath_core::membership::step::step;
 use grebepath_core::protocol::message::{FeedPosition, Member, Membership, Message};
+use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_core::time::{BOOT, Tick, ms};
-use grebepath_core::voters::voter_file::VoterFile;
-use grebepath_core::voters::voter_set::{told_holder, told_table};
+use grebepath_core::voter_set::{told_holder, told_table};
 
 fn member(n: usize) -> Member {
     let (name, addr) = (format!("m{n}"), format!("10.0.0.{n}:1"));
@@ -156,7 +156,7 @@
         };
         let todo = grebepath_core::control_plane::step::step(c, BOOT, event);
         let told = |f: fn(&Message) -> bool| {
-            let sent = |k: &&controller::Command| matches!(k, controller::Command::ToConnection { message, .. } if f(message));
+            let sent = |k: &&grebepath_core::command::Command| matches!(k, grebepath_core::command::Command::ToConnection { message, .. } if f(message));
             todo.iter().filter(sent).count()
         };
         let reach = told(|m| matches!(m, Message::FeedPositions { .. }));
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -31,9 +31,9 @@
 };
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_core::storage::record::ReplicaState;
+use grebepath_core::storage::voter_file;
 use grebepath_core::storage::writer::{LOG_HEAD, log_head, rec, slot};
 use grebepath_core::time::{SECOND, ms};
-use grebepath_core::voters::voter_file;
 use nanoserde::DeBin;
 
 use stored::{AcceptedOrder, NEWER_SEQUENCE, OLDER_SEQUENCE, StoredPartition};
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -9,7 +9,7 @@
 use grebepath_core::protocol::message::EntryMap;
 use grebepath_core::snapshot::leafs::{LeafInfo, key};
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply, put};
-use grebepath_core::voters::voter_file::VoterFile;
+use grebepath_core::storage::voter_file::VoterFile;
 use nanoserde::SerBin;
 use prost::Message;
 
--- a/crates/core/tests/format_fixtures/values.rs
+++ b/crates/core/tests/format_fixtures/values.rs
@@ -9,7 +9,7 @@
     EntryMap, FeedPosition, HandedOverReplica, Member, MemberProgress, Membership, MembershipId,
 };
 use grebepath_core::snapshot::leafs::LeafInfo;
-use grebepath_core::voters::voter_set::{SlotHolder, VoterSet};
+use grebepath_core::voter_set::{SlotHolder, VoterSet};
 
 /// A number that fills all eight bytes, another one for each `n`.
 pub fn wide(n: u64) -> u64 {
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -2,15 +2,16 @@
 //! and whose votes count.
 
 use googletest::prelude::*;
-use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
+use grebepath_core::command::Command;
+use grebepath_core::control_plane::controller::{ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
 use grebepath_core::identifiers::{CONFIG, VoterSlot, partitions};
 use grebepath_core::protocol::message::{Message, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::ReplicaState;
+use grebepath_core::storage::voter_file::{Start, VoterFile, begin, read, write};
 use grebepath_core::time::{BOOT, SECOND, Tick};
-use grebepath_core::voters::voter_file::{Start, VoterFile, begin, read, write};
-use grebepath_core::voters::voter_set::{
+use grebepath_core::voter_set::{
     NOBODY, SlotHolder, VoterSet, after_handover, after_takeover, balanced, first_holder,
     first_table, majority, merge, stamp, told_holder, told_table,
 };
--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -7,7 +7,7 @@
 
 use grebepath_core::identifiers::VoterSlot;
 use grebepath_core::protocol::message::{Message, PeerIdentity};
-use grebepath_core::voters::voter_set::{SlotHolder, VoterSet};
+use grebepath_core::voter_set::{SlotHolder, VoterSet};
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::peer_connection::{Out, WireEvent, dial, send};
--- a/crates/runtime/src/disk.rs
+++ b/crates/runtime/src/disk.rs
@@ -8,9 +8,9 @@
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
+use grebepath_core::storage::voter_file;
+use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_core::storage::writer;
-use grebepath_core::voters::voter_file;
-use grebepath_core::voters::voter_file::VoterFile;
 
 /// One part's files.
 ///
--- a/crates/server/src/controller/disk.rs
+++ b/crates/server/src/controller/disk.rs
@@ -8,7 +8,7 @@
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
-use grebepath_core::voters::voter_file::VoterFile;
+use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_runtime::disk::{self, Store};
 use tokio::sync::mpsc::UnboundedSender;
 
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -13,7 +13,7 @@
 use grebepath_core::protocol::message::ReplicaCondition;
 use grebepath_core::storage::reader::Found;
 use grebepath_core::storage::record::ReplicaState;
-use grebepath_core::voters::voter_file::begin;
+use grebepath_core::storage::voter_file::begin;
 use grebepath_runtime::disk::Store;
 use tracing::{error, warn};
 
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -10,7 +10,7 @@
 use grebepath_core::replication::partition::{Partition, Role};
 use grebepath_core::snapshot::cluster_view::{open, view};
 use grebepath_core::time::{MILLI, Tick, since};
-use grebepath_core::voters::voter_set::{NOBODY, SlotHolder};
+use grebepath_core::voter_set::{NOBODY, SlotHolder};
 use serde_json::{Value, json};
 
 fn role(p: &Partition) -> &'static str {
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -5,12 +5,13 @@
 use std::net::SocketAddr;
 use std::sync::mpsc;
 
-use grebepath_core::control_plane::controller::{Command, ControllerState, Event, core};
+use grebepath_core::command::Command;
+use grebepath_core::control_plane::controller::{ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
 use grebepath_core::protocol::message::{Operation, OperationResult, PeerIdentity};
+use grebepath_core::storage::voter_file::VoterFile;
+use grebepath_core::voter_set::NOBODY;
 use grebepath_core::voters::handover;
-use grebepath_core::voters::voter_file::VoterFile;
-use grebepath_core::voters::voter_set::NOBODY;
 use grebepath_runtime::clock::{Clock, duration, now};
 use grebepath_runtime::connections;
 use grebepath_runtime::connections::{Ways, arrange, ways};
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -13,7 +13,7 @@
 use grebepath_core::query::engine;
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
-use grebepath_core::voters::voter_set::seat_of;
+use grebepath_core::voter_set::seat_of;
 use grebepath_runtime::clock::{Clock, duration, now};
 use grebepath_runtime::connections;
 use grebepath_runtime::connections::{Ways, arrange, ways};
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -10,9 +10,9 @@
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::message::{LeafReport, Message};
+use grebepath_core::storage::voter_file;
 use grebepath_core::storage::writer;
 use grebepath_core::time::{BOOT, MILLI, ms};
-use grebepath_core::voters::voter_file;
 
 use super::world::*;
 use crate::scale_model::cost::{add, kind, timed};
@@ -146,20 +146,22 @@
     }
 }
 
-fn seat_does(w: &mut World, s: usize, command: st::Command) {
+fn seat_does(w: &mut World, s: usize, command: grebepath_core::command::Command) {
     let life = w.seats[s].life;
     let here = plan::seat_zone(s as VoterSlot);
     let from = From::VoterSlot(s as VoterSlot);
     match command {
-        st::Command::ToVoter { slot: seat, message } => {
+        grebepath_core::command::Command::ToVoter { slot: seat, message } => {
             seat_tells(w, s, usize::from(seat), from, &message)
         }
-        st::Command::Broadcast { message } => {
+        grebepath_core::command::Command::Broadcast { message } => {
             for to in (0..w.seats.len()).filter(|to| *to != s) {
                 seat_tells(w, s, to, from, &message);
             }
         }
-        st::Command::ToConnection { connection, message } if connection >> 63 == 1 => {
+        grebepath_core::command::Command::ToConnection { connection, message }
+            if connection >> 63 == 1 =>
+        {
             let (to, life) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
             // A connection ends with the life that opened it.
             if life == w.seats[to].life {
@@ -167,41 +169,41 @@
             }
         }
         // Nobody moves here: all connections are as they were.
-        st::Command::VoterSetChanged => {}
-        st::Command::WriteVoterFile { token, roll, clear } => {
+        grebepath_core::command::Command::VoterSetChanged => {}
+        grebepath_core::command::Command::WriteVoterFile { token, roll, clear } => {
             add(&mut w.seats[s].meter.disk, voter_file::write(&roll).len());
             let disk = &mut w.seats[s].disk;
             if let Some(at) = simulated_disk::keep(disk, w.now, token, roll, clear, &mut w.luck) {
                 push_at(w, at, ScheduledEvent::Kept { s, life, token });
             }
         }
-        st::Command::ToConnection { connection, message } => {
+        grebepath_core::command::Command::ToConnection { connection, message } => {
             let (f, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
             let raw = seat_writes(w, s, "seat-front", &message);
             let at = arrival(w, (s, here), (f + w.seats.len(), w.fronts[f].zone));
             push_at(w, at, ScheduledEvent::FrontGets { f, life, from, raw });
         }
-        st::Command::AppendRecord { partition: part, token, rec } => {
+        grebepath_core::command::Command::AppendRecord { partition: part, token, rec } => {
             add(&mut w.seats[s].meter.disk, writer::rec(0, 0, &rec).len());
             job(w, s, part, token, Job::Append(rec));
         }
-        st::Command::WriteSnapshot { partition: part, token, copy } => {
+        grebepath_core::command::Command::WriteSnapshot { partition: part, token, copy } => {
             add(&mut w.seats[s].meter.disk, writer::slot(part.0, 0, &copy).len());
             job(w, s, part, token, Job::Slot(copy));
         }
-        st::Command::Scrub { partition: part } => {
+        grebepath_core::command::Command::Scrub { partition: part } => {
             let event = Box::new(st::Event::Scrubbed { partition: part, trouble: None });
             push(w, ms(3), ScheduledEvent::SeatTakes { s, life, event });
         }
-        st::Command::Respond { op, done } => {
+        grebepath_core::command::Command::Respond { op, done } => {
             w.done.insert(op, (w.now, done));
         }
-        st::Command::OwnResponse { .. } => {}
-        st::Command::WakeAfter { span } => {
+        grebepath_core::command::Command::OwnResponse { .. } => {}
+        grebepath_core::command::Command::WakeAfter { span } => {
             let event = Box::new(st::Event::Wake);
             push(w, span, ScheduledEvent::SeatTakes { s, life, event });
         }
-        st::Command::Alarm(text) => *w.alarms.entry(text).or_default() += 1,
+        grebepath_core::command::Command::Alarm(text) => *w.alarms.entry(text).or_default() += 1,
     }
 }
 
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -14,9 +14,9 @@
 use grebepath_core::protocol::message::{Member, OperationResult, ReplicaCondition};
 use grebepath_core::random::{Random, below, luck};
 use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::storage::voter_file;
+use grebepath_core::storage::voter_file::Start;
 use grebepath_core::time::{BOOT, MILLI, Span, Tick, ms};
-use grebepath_core::voters::voter_file;
-use grebepath_core::voters::voter_file::Start;
 
 use crate::scale_model::cost::{Cell, Meter, Ways};
 use crate::scale_model::plan;
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -25,10 +25,10 @@
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::storage::reader::Found;
 use grebepath_core::storage::record::ReplicaState;
+use grebepath_core::storage::voter_file;
+use grebepath_core::storage::voter_file::Start;
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
-use grebepath_core::voters::voter_file;
-use grebepath_core::voters::voter_file::Start;
-use grebepath_core::voters::voter_set::seat_of;
+use grebepath_core::voter_set::seat_of;
 use serde_json::{Value, json};
 
 use crate::check::{Asked, success};
@@ -665,7 +665,7 @@
 
 /// Whether this machine's controller has a seat.
 pub fn seated(n: &ControllerNode) -> bool {
-    n.core.slot != grebepath_core::voters::voter_set::NOBODY
+    n.core.slot != grebepath_core::voter_set::NOBODY
 }
 
 /// The machines that are up and have a seat.
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -184,30 +184,32 @@
     }
 }
 
-pub(super) fn seat_does(w: &mut World, s: usize, command: st::Command) {
+pub(super) fn seat_does(w: &mut World, s: usize, command: grebepath_core::command::Command) {
     let life = w.seats[s].life;
     match command {
-        st::Command::ToVoter { slot: seat, message } => {
+        grebepath_core::command::Command::ToVoter { slot: seat, message } => {
             let table = &w.seats[s].core.seating.roll.table;
             let Some(to) = table.slots.get(usize::from(seat)) else { return };
             let Some(to) = machine(w, &to.addr) else { return };
             to_machine(w, s, to, message);
         }
-        st::Command::Broadcast { message } => {
+        grebepath_core::command::Command::Broadcast { message } => {
             for to in ways(w, s) {
                 to_machine(w, s, to, message.clone());
             }
         }
         // Wires are not played; who is new tells its table when it is heard.
-        st::Command::VoterSetChanged => {}
-        st::Command::WriteVoterFile { token, roll, clear } => {
+        grebepath_core::command::Command::VoterSetChanged => {}
+        grebepath_core::command::Command::WriteVoterFile { token, roll, clear } => {
             let at =
                 simulated_disk::keep(&mut w.seats[s].disk, w.now, token, roll, clear, &mut w.luck);
             if let Some(at) = at {
                 push_at(w, at, ScheduledEvent::Kept { s, life, token });
             }
         }
-        st::Command::ToConnection { connection, message } if connection >> 63 == 1 => {
+        grebepath_core::command::Command::ToConnection { connection, message }
+            if connection >> 63 == 1 =>
+        {
             weigh(&mut w.net, "seat-seat", &message);
             let (to, tolife) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
             let ends = (Node::Controller(s as u8), Node::Controller(to as u8));
@@ -218,7 +220,7 @@
                 push_at(w, at, ScheduledEvent::ToSeat { s: to, life: tolife, event });
             }
         }
-        st::Command::ToConnection { connection, message } => {
+        grebepath_core::command::Command::ToConnection { connection, message } => {
             weigh(&mut w.net, "seat-querier", &message);
             let (q, qlife) = ((connection >> 32) as usize, connection & 0xffff_ffff);
             let to = (Node::Querier(q), w.queriers[q].zone.clone());
@@ -230,13 +232,13 @@
                 push_at(w, at, ScheduledEvent::FromSeat { q, life: qlife, holder, message });
             }
         }
-        st::Command::AppendRecord { partition: part, token, rec } => {
+        grebepath_core::command::Command::AppendRecord { partition: part, token, rec } => {
             disk_job(w, s, part, token, Job::Append(rec))
         }
-        st::Command::WriteSnapshot { partition: part, token, copy } => {
+        grebepath_core::command::Command::WriteSnapshot { partition: part, token, copy } => {
             disk_job(w, s, part, token, Job::Slot(copy))
         }
-        st::Command::Scrub { partition: part } => {
+        grebepath_core::command::Command::Scrub { partition: part } => {
             if w.seats[s].disk.health != Health::Stalled && w.broken != Some(Broken::NoLook) {
                 let trouble = simulated_disk::look(&w.seats[s].disk, part);
                 push(
@@ -250,12 +252,12 @@
                 );
             }
         }
-        st::Command::Respond { op, done } => told(w, op as usize, done),
-        st::Command::OwnResponse { .. } => {}
-        st::Command::WakeAfter { span } => {
+        grebepath_core::command::Command::Respond { op, done } => told(w, op as usize, done),
+        grebepath_core::command::Command::OwnResponse { .. } => {}
+        grebepath_core::command::Command::WakeAfter { span } => {
             push(w, span, ScheduledEvent::ToSeat { s, life, event: CoreEvent::Wake });
         }
-        st::Command::Alarm(text) => {
+        grebepath_core::command::Command::Alarm(text) => {
             rules::tell(&mut w.rules, w.now - BEGIN, || format!("seat {s} (life {life}): {text}"));
             *w.alarms.entry(text).or_default() += 1;
         }
--- a/crates/simulator/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -88,10 +88,7 @@
     let s = scene(3, 3, 20, vec![storm(60), spare("a"), kill]);
     let w = play(&s, 5, None);
     assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
-    assert_eq!(
-        (holder(&w, 1), w.seats[3].core.slot),
-        (None, grebepath_core::voters::voter_set::NOBODY)
-    );
+    assert_eq!((holder(&w, 1), w.seats[3].core.slot), (None, grebepath_core::voter_set::NOBODY));
 }
 
 #[test]
@@ -130,7 +127,7 @@
         sound("cut off", &s, |w, _| {
             assert_eq!(holder(w, cut as u8), Some(3));
             // The old holder is a spare now, under another name.
-            assert_eq!(w.seats[cut].core.slot, grebepath_core::voters::voter_set::NOBODY);
+            assert_eq!(w.seats[cut].core.slot, grebepath_core::voter_set::NOBODY);
         });
     }
 }
@@ -245,9 +242,8 @@
             world::until(w, 6 * SECOND, |w| w.orders[id].done.is_some());
             matches!(w.orders[id].done, Some(OperationResult::Accepted { .. }))
         };
-        let spares: Vec<usize> = (0..5)
-            .filter(|n| w.seats[*n].core.slot == grebepath_core::voters::voter_set::NOBODY)
-            .collect();
+        let spares: Vec<usize> =
+            (0..5).filter(|n| w.seats[*n].core.slot == grebepath_core::voter_set::NOBODY).collect();
         assert_eq!(spares.len(), 2);
         for spare in &spares {
             assert!(ask(w, *spare));
