--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -8,7 +8,7 @@
 //! all in a few rounds, and counts them exactly (`crate::quorum`).
 
 use crate::consts;
-use crate::membership::node_agent::Watch;
+use crate::membership::node_agent::NodeAgent;
 use crate::membership::status::core_age;
 use crate::protocol::message::{Attestation, Membership, MembershipId, NO_PROOF};
 use crate::quorum;
@@ -37,7 +37,7 @@
 }
 
 /// The membership changed: proofs about the former one count no more.
-pub fn adopt(watch: &mut Watch) {
+pub fn adopt(watch: &mut NodeAgent) {
     let membership = id(&watch.membership);
     if watch.proofs.membership == membership {
         return;
@@ -46,7 +46,7 @@
         .membership
         .members
         .iter()
-        .position(|m| m.name == watch.me.name && m.incarnation == watch.me.incarnation);
+        .position(|m| m.name == watch.member.name && m.incarnation == watch.member.incarnation);
     watch.proofs = Proofs {
         membership,
         asked: vec![0; watch.membership.members.len()],
@@ -58,19 +58,19 @@
 }
 
 /// A configuration of this revision is known to exist.
-pub fn learn_of(watch: &mut Watch, revision: u64) {
-    watch.knows = watch.knows.max(revision);
+pub fn learn_of(watch: &mut NodeAgent, revision: u64) {
+    watch.known_revision = watch.known_revision.max(revision);
 }
 
 /// Whether this member lacks the core's word for long enough to ask for proofs
 /// and to give them.
-pub fn is_restless(watch: &Watch, now: Tick) -> bool {
+pub fn is_restless(watch: &NodeAgent, now: Tick) -> bool {
     core_age(watch, now) >= consts::COHORT_UNREST
 }
 
 /// What we attest now, if anything. Whoever has the core's word attests nothing:
 /// its membership lives on without those who lack it.
-pub fn attest(watch: &mut Watch, now: Tick) -> Option<Attestation> {
+pub fn attest(watch: &mut NodeAgent, now: Tick) -> Option<Attestation> {
     if !is_restless(watch, now) || watch.membership.term == 0 {
         return None;
     }
@@ -83,16 +83,16 @@
     if let Some(own) = watch.proofs.own {
         ages[own] = 0;
     }
-    Some(Attestation { membership: watch.proofs.membership, knows: watch.knows, ages })
+    Some(Attestation { membership: watch.proofs.membership, knows: watch.known_revision, ages })
 }
 
 /// Takes in an attestation that answers a question of ours, asked at `asked`.
 /// Tells whether the other goes by a newer membership.
-pub fn take_in(watch: &mut Watch, asked: Tick, attestation: &Attestation) -> bool {
+pub fn take_in(watch: &mut NodeAgent, asked: Tick, attestation: &Attestation) -> bool {
     learn_of(watch, attestation.knows);
     let ours = watch.proofs.membership;
     let fits = attestation.membership == ours
-        && attestation.knows <= watch.built_revision
+        && attestation.knows <= watch.configuration_revision
         && attestation.ages.len() == watch.proofs.asked.len();
     if fits {
         for (known, age) in watch.proofs.asked.iter_mut().zip(&attestation.ages) {
@@ -105,17 +105,21 @@
 }
 
 /// Until when proofs allow to serve without a lease; zero if they never did.
-pub fn serving_until(watch: &mut Watch) -> Tick {
+pub fn serving_until(watch: &mut NodeAgent) -> Tick {
     watch.proofs.until = watch.proofs.until.max(proved_until(watch));
     watch.proofs.until
 }
 
 /// Until when the proofs at hand allow it; zero if they don't.
-fn proved_until(watch: &Watch) -> Tick {
+fn proved_until(watch: &NodeAgent) -> Tick {
     let proofs = &watch.proofs;
     let own = match proofs.own {
         // Only who had a lease in this life has something to serve on with.
-        Some(own) if watch.lease.granted && watch.knows <= watch.built_revision => own,
+        Some(own)
+            if watch.lease.granted && watch.known_revision <= watch.configuration_revision =>
+        {
+            own
+        }
         _ => return 0,
     };
     let Some(needed) = quorum::serving(proofs.asked.len()) else { return 0 };
@@ -127,6 +131,6 @@
 }
 
 /// How long ago we last attested, or began (ms).
-pub fn quiet_ms(watch: &Watch, now: Tick) -> u64 {
-    since(watch.proofs.attested.max(watch.began), now) / MILLI
+pub fn quiet_ms(watch: &NodeAgent, now: Tick) -> u64 {
+    since(watch.proofs.attested.max(watch.started_at), now) / MILLI
 }
--- a/crates/core/src/membership/neighbour_ring.rs
+++ b/crates/core/src/membership/neighbour_ring.rs
@@ -13,18 +13,18 @@
 #[derive(Default)]
 pub struct NeighbourRing {
     /// Those next to us on the ring, either way, without doubles.
-    pub near: Vec<String>,
+    pub neighbours: Vec<String>,
     /// Those whom we ask for proofs while the core is silent: all in a small
     /// membership, else those a power of two away, so that what one knows comes to
     /// all others over half as many steps as the size has binary digits.
-    pub links: Vec<String>,
+    pub proof_peers: Vec<String>,
     /// Our place for polling the list: its holder has 0, who would hold it
     /// next 1. None while our joining is not settled.
-    pub list: Option<usize>,
+    pub list_rank: Option<usize>,
     /// Which keys of probes are ours.
-    pub probes: Vec<bool>,
+    pub probe_keys: Vec<bool>,
     /// The shares were worked out for this state; whether we were cut off then.
-    pub shared: Option<bool>,
+    pub divided_while_cut_off: Option<bool>,
 }
 
 /// The place of `me` in a membership.
@@ -47,7 +47,13 @@
     // Ordered by hash, so that neighbours stand in different zones.
     ring.sort_unstable();
     let Some(here) = ring.iter().position(|(_, name)| *name == me) else {
-        return NeighbourRing { near: Vec::new(), links: Vec::new(), list, probes, shared: None };
+        return NeighbourRing {
+            neighbours: Vec::new(),
+            proof_peers: Vec::new(),
+            list_rank: list,
+            probe_keys: probes,
+            divided_while_cut_off: None,
+        };
     };
     let n = ring.len();
     let around = |steps: &mut dyn Iterator<Item = usize>| {
@@ -69,5 +75,11 @@
         }
         false => near.clone(),
     };
-    NeighbourRing { near, links, list, probes, shared: None }
+    NeighbourRing {
+        neighbours: near,
+        proof_peers: links,
+        list_rank: list,
+        probe_keys: probes,
+        divided_while_cut_off: None,
+    }
 }
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -4,7 +4,7 @@
 use crate::control_plane::members::newer;
 use crate::identifiers::CONFIG;
 use crate::membership::neighbour_ring::ring;
-use crate::membership::node_agent::{Command, Event, Watch, learn, places};
+use crate::membership::node_agent::{Command, Event, NodeAgent, learn, places};
 use crate::membership::{assignments, attestation, feed, status, updates};
 use crate::protocol::message::Message;
 use crate::time::{Tick, ms};
@@ -13,16 +13,16 @@
 pub const WAKE: crate::time::Span = ms(50);
 
 /// Takes one event and says what to do.
-pub fn step(w: &mut Watch, now: Tick, event: Event) -> Vec<Command> {
+pub fn step(w: &mut NodeAgent, now: Tick, event: Event) -> Vec<Command> {
     let mut out = Vec::new();
     w.now = now;
     match event {
-        Event::FromSeat { slot, message } => match message {
+        Event::FromVoter { slot, message } => match message {
             // Said under another table it may be of a seat given away.
-            Message::FeedPositions { places, stamp } if stamp == w.stamp => {
-                if let Some(cell) = w.reach.get_mut(usize::from(slot)) {
+            Message::FeedPositions { places, stamp } if stamp == w.voter_set_stamp => {
+                if let Some(cell) = w.voter_positions.get_mut(usize::from(slot)) {
                     *cell = places;
-                    w.feed.at.insert(slot, now);
+                    w.feed.answered_at.insert(slot, now);
                 }
             }
             Message::LeaseGranted {
@@ -33,29 +33,29 @@
                 tell_membership,
                 ..
             } => {
-                if *name == w.me.name {
-                    if incarnation == w.me.incarnation {
+                if *name == w.member.name {
+                    if incarnation == w.member.incarnation {
                         status::granted(w, Some(slot), count, revision);
                     }
                     if tell_membership && w.membership.term > 0 {
-                        out.push(Command::ToSeat {
+                        out.push(Command::ToVoter {
                             slot,
                             message: Message::MembershipUpdate(w.membership.clone()),
                         });
                     }
-                } else if w.handed.contains_key(name) {
+                } else if w.forwarded_renewals.contains_key(name) {
                     status::to_member(w, &name.clone(), message, &mut out);
                 }
             }
             message => any(w, message, false, &mut out),
         },
-        Event::Seats(table) => learn(w, &table, &mut out),
+        Event::VoterSet(table) => learn(w, &table, &mut out),
         Event::FromMember { name, message } => from_member(w, now, &name, message, &mut out),
-        Event::Word { service, word } => assignments::hear(w, service, word),
-        Event::List(got) => assignments::listed(w, got, &mut out),
-        Event::Stop => w.stopping = Some(now),
+        Event::LeafReport { service, report } => assignments::hear(w, service, report),
+        Event::LeafList(got) => assignments::listed(w, got, &mut out),
+        Event::Stop => w.stopping_since = Some(now),
         Event::Drained => {
-            w.drained = true;
+            w.is_drained = true;
             w.lease.renew_at = now;
         }
         Event::Wake => {
@@ -75,17 +75,17 @@
 }
 
 /// What may come from a seat as well as from a member.
-fn any(w: &mut Watch, message: Message, member: bool, out: &mut Vec<Command>) {
+fn any(w: &mut NodeAgent, message: Message, member: bool, out: &mut Vec<Command>) {
     match message {
         Message::Update { partition, from, revision, entries }
             if updates::take(w, partition, from, revision, &entries, out) && member =>
         {
-            w.counts.news_from_members += 1;
+            w.counters.updates_from_members += 1;
         }
         Message::MembershipUpdate(membership) if newer(&membership, &w.membership) => {
             w.membership = membership;
             attestation::adopt(w);
-            w.ring = ring(&w.membership, &w.me.name);
+            w.ring = ring(&w.membership, &w.member.name);
             // What we saw lets others settle: say so at once.
             w.lease.renew_at = 0;
         }
@@ -93,12 +93,12 @@
     }
 }
 
-fn from_member(w: &mut Watch, now: Tick, name: &str, message: Message, out: &mut Vec<Command>) {
+fn from_member(w: &mut NodeAgent, now: Tick, name: &str, message: Message, out: &mut Vec<Command>) {
     match message {
         Message::Gossip { name, core_age_ms, ready, places: theirs, asked, echo, attestation } => {
             let mut ahead = theirs
                 .iter()
-                .any(|p| w.held.get(&p.partition).is_some_and(|h| h.revision < p.revision));
+                .any(|p| w.partitions.get(&p.partition).is_some_and(|h| h.revision < p.revision));
             let config = theirs.iter().find(|p| p.partition == CONFIG).map_or(0, |p| p.revision);
             attestation::learn_of(w, config);
             if let (Some(echo), Some(attestation)) = (echo, &attestation) {
@@ -114,7 +114,7 @@
             }
             // Ask a member only for what the core did not bring us in time.
             if ahead && config > 0 && status::core_age(w, now) >= consts::TENURE_WORRY {
-                let message = Message::Subscribe { places: places(w), stamp: w.stamp };
+                let message = Message::Subscribe { places: places(w), stamp: w.voter_set_stamp };
                 status::to_member(w, &name, message, out);
             }
         }
@@ -122,8 +122,8 @@
         Message::Subscribe { places, stamp } => {
             let list = updates::hand_on(w, &places);
             let membership = Message::MembershipUpdate(w.membership.clone());
-            let slots = Message::VoterSetUpdate { me: 0, table: w.table.clone() };
-            let slots = (stamp != w.stamp).then_some(slots);
+            let slots = Message::VoterSetUpdate { me: 0, table: w.voter_set.clone() };
+            let slots = (stamp != w.voter_set_stamp).then_some(slots);
             for message in list.into_iter().chain([membership]).chain(slots) {
                 status::to_member(w, name, message, out);
             }
@@ -131,14 +131,14 @@
         Message::RenewLease { member, count, far } => {
             // Hand a neighbour's renewal over, if our own way to the core works.
             if status::core_age(w, now) < consts::TENURE_WORRY {
-                w.handed.insert(member.name.clone(), now);
-                w.counts.handed_renewals += 1;
+                w.forwarded_renewals.insert(member.name.clone(), now);
+                w.counters.forwarded_renewals += 1;
                 assignments::to_core(w, Message::RenewLease { member, count, far }, out);
             }
         }
         Message::LeafReports { partition, words } => assignments::handed(w, now, partition, words),
         Message::LeaseGranted { name, incarnation, count, revision, .. }
-            if name == w.me.name && incarnation == w.me.incarnation =>
+            if name == w.member.name && incarnation == w.member.incarnation =>
         {
             status::granted(w, None, count, revision);
         }
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -7,7 +7,7 @@
 use crate::consts;
 use crate::control_plane::endpoints;
 use crate::identifiers::{CONFIG, PartitionId, partitions};
-use crate::membership::node_agent::{Command, Watch};
+use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{FeedPosition, Message};
 use crate::snapshot::cluster_view::{ClusterView, open, view};
 use crate::snapshot::leafs::LeafInfo;
@@ -18,37 +18,37 @@
 /// Takes news of one part. News that does not reach beyond what we hold, or
 /// that would leave a gap, changes nothing.
 pub fn take(
-    w: &mut Watch,
+    w: &mut NodeAgent,
     partition: PartitionId,
     from: Option<u64>,
     revision: u64,
     entries: &[change::Entry],
     out: &mut Vec<Command>,
 ) -> bool {
-    let Some(held) = w.held.get_mut(&partition) else { return false };
+    let Some(held) = w.partitions.get_mut(&partition) else { return false };
     if revision <= held.revision || from.is_some_and(|f| f > held.revision) {
         return false;
     }
     if from.is_none() {
-        held.map.clear();
+        held.entries.clear();
     }
-    put(&mut held.map, entries);
+    put(&mut held.entries, entries);
     held.revision = revision;
-    w.stale = true;
-    w.unsorted = true;
-    w.counts.news += 1;
+    w.view_is_stale = true;
+    w.reports_unchecked = true;
+    w.counters.updates += 1;
     if partition == CONFIG {
-        w.knows = w.knows.max(revision);
-        match change::config(&held.map).map_err(|text| vec![text]).and_then(|c| {
+        w.known_revision = w.known_revision.max(revision);
+        match change::config(&held.entries).map_err(|text| vec![text]).and_then(|c| {
             build::build(&c).map_err(|all| all.iter().map(|f| f.to_string()).collect())
         }) {
             Ok(built) => {
-                w.built = Arc::new(built);
-                w.built_revision = revision;
+                w.configuration = Arc::new(built);
+                w.configuration_revision = revision;
             }
             Err(all) => out.push(Command::Alarm(format!(
                 "configuration {revision} can't be obeyed, {} stays: {}",
-                w.built_revision,
+                w.configuration_revision,
                 all.join("; ")
             ))),
         }
@@ -57,14 +57,14 @@
 }
 
 /// News for another member that stands at `places`.
-pub fn hand_on(w: &Watch, list: &[FeedPosition]) -> Vec<Message> {
+pub fn hand_on(w: &NodeAgent, list: &[FeedPosition]) -> Vec<Message> {
     list.iter()
         .filter_map(|place| {
-            let held = w.held.get(&place.partition)?;
+            let held = w.partitions.get(&place.partition)?;
             if held.revision <= place.revision {
                 return None;
             }
-            let entries = held.map.iter().map(|(k, v)| (k.clone(), Some(v.clone()))).collect();
+            let entries = held.entries.iter().map(|(k, v)| (k.clone(), Some(v.clone()))).collect();
             Some(Message::Update {
                 partition: place.partition,
                 from: None,
@@ -79,57 +79,64 @@
 /// or others obey. An accepted configuration is synced by a majority of the
 /// seats: of those that speak, all have it but as many as a majority leaves out.
 /// With the core silent, a ready member's view serves.
-pub fn settle_start(w: &mut Watch, now: Tick) {
-    if w.sure {
+pub fn settle_start(w: &mut NodeAgent, now: Tick) {
+    if w.is_caught_up {
         return;
     }
-    if w.built_revision == 0 {
+    if w.configuration_revision == 0 {
         return;
     }
-    let peer = since(w.began, now) > consts::START_PATIENCE
+    let peer = since(w.started_at, now) > consts::START_PATIENCE
         && w.peers
             .values()
-            .any(|p| p.ready && p.places.iter().all(|pl| pl.revision <= ours(w, pl.partition)));
-    w.sure = peer || partitions().all(|partition| ours(w, partition) >= least(w, partition));
+            .any(|p| p.ready && p.positions.iter().all(|pl| pl.revision <= ours(w, pl.partition)));
+    w.is_caught_up =
+        peer || partitions().all(|partition| ours(w, partition) >= least(w, partition));
 }
 
 /// The revision that we obey or hold of a part.
-fn ours(w: &Watch, partition: PartitionId) -> u64 {
+fn ours(w: &NodeAgent, partition: PartitionId) -> u64 {
     if partition == CONFIG {
-        w.built_revision
+        w.configuration_revision
     } else {
-        w.held.get(&partition).map_or(0, |h| h.revision)
+        w.partitions.get(&partition).map_or(0, |h| h.revision)
     }
 }
 
 /// The revision of a part below which we might miss something accepted.
-fn least(w: &Watch, partition: PartitionId) -> u64 {
-    let mut said: Vec<u64> =
-        w.reach.iter().flatten().filter(|p| p.partition == partition).map(|p| p.revision).collect();
+fn least(w: &NodeAgent, partition: PartitionId) -> u64 {
+    let mut said: Vec<u64> = w
+        .voter_positions
+        .iter()
+        .flatten()
+        .filter(|p| p.partition == partition)
+        .map(|p| p.revision)
+        .collect();
     said.sort_unstable();
-    let lacking = w.table.slots.len() - majority(w.table.slots.len()).min(w.table.slots.len());
+    let lacking =
+        w.voter_set.slots.len() - majority(w.voter_set.slots.len()).min(w.voter_set.slots.len());
     said.get(lacking).copied().unwrap_or(u64::MAX)
 }
 
 /// Gives out a new view if what we hold has changed.
-pub fn publish(w: &mut Watch, now: Tick, out: &mut Vec<Command>) {
-    let moved = w.view.as_ref().is_none_or(|v| v.revision != w.built_revision);
-    if !w.sure || !w.stale || (!moved && now < w.publish_at) {
+pub fn publish(w: &mut NodeAgent, now: Tick, out: &mut Vec<Command>) {
+    let moved = w.view.as_ref().is_none_or(|v| v.revision != w.configuration_revision);
+    if !w.is_caught_up || !w.view_is_stale || (!moved && now < w.publish_at) {
         return;
     }
-    w.stale = false;
+    w.view_is_stale = false;
     w.publish_at = now + consts::VIEW_GAP;
     let list = partitions()
         .filter(|p| *p != CONFIG)
-        .filter_map(|p| w.held.get(&p))
-        .flat_map(|h| endpoints::all(&h.map).into_values())
+        .filter_map(|p| w.partitions.get(&p))
+        .flat_map(|h| endpoints::all(&h.entries).into_values())
         .filter_map(|info| overlaid(w, info))
         .collect();
-    let new = Arc::new(view(w.built_revision, w.built.clone(), list));
+    let new = Arc::new(view(w.configuration_revision, w.configuration.clone(), list));
     let good = new.mappings.values().filter(|m| serves(&new, m)).count();
     if good > 0 {
-        w.serves_some.get_or_insert(now);
-        w.served |= good == new.mappings.len();
+        w.serving_some_since.get_or_insert(now);
+        w.has_served |= good == new.mappings.len();
     }
     if new.leafs.values().any(|l| l.age_ms == 0) {
         // Nobody knows yet what these bear: ask soon.
@@ -140,18 +147,18 @@
         w.lease.renew_at = 0;
     }
     w.view = Some(new.clone());
-    w.counts.views += 1;
+    w.counters.views += 1;
     out.push(Command::ClusterView(new));
 }
 
 /// A leaf with what we heard of it and the feed does not show yet.
-fn overlaid(w: &Watch, mut info: LeafInfo) -> Option<LeafInfo> {
-    if let Some(heard) = w.words.get(&info.leaf) {
-        if heard.word.gone {
+fn overlaid(w: &NodeAgent, mut info: LeafInfo) -> Option<LeafInfo> {
+    if let Some(heard) = w.leaf_reports.get(&info.leaf) {
+        if heard.report.gone {
             return None;
         }
-        info.leaving |= heard.word.leaving;
-        info.age_ms = info.age_ms.max(heard.word.age_ms);
+        info.leaving |= heard.report.leaving;
+        info.age_ms = info.age_ms.max(heard.report.age_ms);
     }
     Some(info)
 }
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -6,7 +6,7 @@
 use grebepath_core::control_plane::controller;
 use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartitionId, VoterSlot};
 use grebepath_core::membership::neighbour_ring::ring;
-use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
+use grebepath_core::membership::node_agent::{Command, Event, NodeAgent, watch};
 use grebepath_core::membership::step::step;
 use grebepath_core::protocol::message::{FeedPosition, Member, Membership, Message};
 use grebepath_core::storage::voter_file::VoterFile;
@@ -25,20 +25,20 @@
 const SEATS: usize = consts::SEATS as usize;
 
 /// A member that has just started and knows the seats.
-fn starts() -> Watch {
+fn starts() -> NodeAgent {
     let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
     let mut w = watch(member(0), BOOT);
-    step(&mut w, BOOT, Event::Seats(told_table(&seeds)));
-    w.follow_at = BOOT;
+    step(&mut w, BOOT, Event::VoterSet(told_table(&seeds)));
+    w.subscribe_at = BOOT;
     w
 }
 
 /// A member that has a view and the core's word.
-fn serves() -> Watch {
+fn serves() -> NodeAgent {
     let mut w = watch(member(0), BOOT);
     let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
-    (w.sure, w.lease.granted, w.lease.held_from) = (true, true, BOOT);
-    step(&mut w, BOOT, Event::Seats(told_table(&seeds)));
+    (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (true, true, BOOT);
+    step(&mut w, BOOT, Event::VoterSet(told_table(&seeds)));
     w
 }
 
@@ -46,7 +46,7 @@
 fn asked(todo: &[Command]) -> (Vec<VoterSlot>, Vec<VoterSlot>) {
     let (mut whole, mut only) = (Vec::new(), Vec::new());
     for c in todo {
-        if let Command::ToSeat { slot, message: Message::Subscribe { places, .. } } = c {
+        if let Command::ToVoter { slot, message: Message::Subscribe { places, .. } } = c {
             let beyond = places.iter().all(|p| p.revision == BEYOND);
             if beyond { only.push(*slot) } else { whole.push(*slot) }
         }
@@ -54,12 +54,12 @@
     (whole, only)
 }
 
-fn reach(w: &mut Watch, now: Tick, slot: VoterSlot, partition: PartitionId, revision: u64) {
+fn reach(w: &mut NodeAgent, now: Tick, slot: VoterSlot, partition: PartitionId, revision: u64) {
     let message = Message::FeedPositions {
         places: vec![FeedPosition { partition, revision }],
-        stamp: w.stamp,
+        stamp: w.voter_set_stamp,
     };
-    step(w, now, Event::FromSeat { slot, message });
+    step(w, now, Event::FromVoter { slot, message });
 }
 
 #[gtest]
@@ -82,12 +82,12 @@
         (false, true, consts::TENURE_SEEK),
         (true, false, consts::FOLLOW_BEAT),
     ] {
-        let now = w.follow_at;
-        (w.sure, w.lease.granted, w.lease.held_from) = (sure, granted, now);
+        let now = w.subscribe_at;
+        (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (sure, granted, now);
         let (whole, only) = asked(&step(&mut w, now, Event::Wake));
         expect_that!(whole.len(), eq(SEATS));
         expect_that!(only, is_empty());
-        expect_that!(w.follow_at, eq(now + beat));
+        expect_that!(w.subscribe_at, eq(now + beat));
     }
 }
 
@@ -100,22 +100,22 @@
     for slot in 0..SEATS as VoterSlot {
         reach(&mut w, now, slot, CONFIG, 0);
     }
-    let mut table = w.table.clone();
+    let mut table = w.voter_set.clone();
     let h = &mut table.slots[usize::from(first)];
     (h.generation, h.holder, h.addr) = (2, 77, "10.1.0.9:1".into());
-    step(&mut w, now, Event::Seats(table));
-    w.lease.held_from = now;
+    step(&mut w, now, Event::VoterSet(table));
+    w.lease.renewed_at = now;
     let (whole, only) = asked(&step(&mut w, now, Event::Wake));
     expect_that!(whole, not(contains(eq(&first))));
     // All are asked at once: who speaks may feed.
     expect_that!(only, contains(eq(&first)));
     // What was said under the table before says nothing of the new holder.
     let message = Message::FeedPositions { places: Vec::new(), stamp: 0 };
-    step(&mut w, now, Event::FromSeat { slot: first, message });
-    let beat = w.follow_at;
+    step(&mut w, now, Event::FromVoter { slot: first, message });
+    let beat = w.subscribe_at;
     expect_that!(asked(&step(&mut w, beat, Event::Wake)).0, not(contains(eq(&first))));
     reach(&mut w, beat, first, CONFIG, 0);
-    let beat = w.follow_at;
+    let beat = w.subscribe_at;
     expect_that!(asked(&step(&mut w, beat, Event::Wake)).0, elements_are![eq(&first)]);
 }
 
@@ -125,13 +125,13 @@
     let (whole, only) = asked(&step(&mut w, BOOT, Event::Wake));
     let (first, other) = (whole[0], only[0]);
     for partition in [CONFIG, COHORT] {
-        let now = w.follow_at;
-        w.lease.held_from = now;
+        let now = w.subscribe_at;
+        w.lease.renewed_at = now;
         reach(&mut w, now - ms(100), first, partition, 0);
         reach(&mut w, now - ms(100), other, partition, u64::MAX / 4);
         let (whole, _) = asked(&step(&mut w, now, Event::Wake));
         expect_that!(whole, unordered_elements_are![eq(&first), eq(&other)]);
-        let now = w.follow_at;
+        let now = w.subscribe_at;
         reach(&mut w, now - ms(100), first, partition, 0);
         reach(&mut w, now - ms(100), other, partition, 0);
         let (whole, _) = asked(&step(&mut w, now, Event::Wake));
@@ -178,14 +178,14 @@
     let mut w = serves();
     let (whole, only) = asked(&step(&mut w, BOOT, Event::Wake));
     let now = BOOT + consts::FEED_SILENCE + ms(1);
-    w.lease.held_from = now;
+    w.lease.renewed_at = now;
     reach(&mut w, now - ms(100), only[0], CONFIG, 0);
     let (next, _) = asked(&step(&mut w, now, Event::Wake));
     expect_that!(next, elements_are![eq(&only[0])]);
     expect_that!(whole, not(eq(&next)));
     // With all silent, all are followed.
     let later = now + 2 * consts::FEED_SILENCE;
-    w.lease.held_from = later;
+    w.lease.renewed_at = later;
     let (all, _) = asked(&step(&mut w, later, Event::Wake));
     expect_that!(all.len(), eq(SEATS));
 }
@@ -196,13 +196,13 @@
     step(
         &mut w,
         BOOT,
-        Event::FromSeat { slot: 0, message: Message::MembershipUpdate(membership(9)) },
+        Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(9)) },
     );
     w.lease.granted = calm;
     let mut n = 0;
     for i in 0..200 {
         let now = BOOT + ms(50 * i);
-        w.lease.held_from = if calm { now } else { 0 };
+        w.lease.renewed_at = if calm { now } else { 0 };
         for c in step(&mut w, now, Event::Wake) {
             if let Command::ToMember { message: Message::Gossip { places, asked, .. }, .. } = c {
                 expect_that!(asked, some(eq(now)));
@@ -226,7 +226,7 @@
     step(
         &mut w,
         BOOT,
-        Event::FromSeat { slot: 0, message: Message::MembershipUpdate(membership(3)) },
+        Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(3)) },
     );
     let message = Message::Gossip {
         name: "m1".into(),
@@ -250,17 +250,17 @@
     let all = membership(40);
     let rings: Vec<_> = all.members.iter().map(|m| ring(&all, &m.name)).collect();
     for key in 0..consts::PROBE_KEYS as usize {
-        expect_that!(rings.iter().filter(|r| r.probes[key]).count(), eq(1));
+        expect_that!(rings.iter().filter(|r| r.probe_keys[key]).count(), eq(1));
     }
     // Everyone has another place for the list: one holds it, one is next.
-    let mut places: Vec<_> = rings.iter().filter_map(|r| r.list).collect();
+    let mut places: Vec<_> = rings.iter().filter_map(|r| r.list_rank).collect();
     places.sort_unstable();
     expect_that!(places, eq(&(0..40).collect::<Vec<_>>()));
     for (m, r) in all.members.iter().zip(&rings) {
-        expect_that!(r.near.len(), eq(2 * consts::COHORT_NEIGHBOURS));
-        for name in &r.near {
+        expect_that!(r.neighbours.len(), eq(2 * consts::COHORT_NEIGHBOURS));
+        for name in &r.neighbours {
             let n: usize = name[1..].parse().unwrap();
-            expect_that!(rings[n].near, contains(eq(&m.name)));
+            expect_that!(rings[n].neighbours, contains(eq(&m.name)));
         }
     }
 }
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -7,7 +7,7 @@
 
 use grebepath_core::consts;
 use grebepath_core::http_api::list;
-use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
+use grebepath_core::membership::node_agent::{Command, Event, NodeAgent, watch};
 use grebepath_core::membership::step::{WAKE, step};
 use grebepath_core::protocol::message::{LeafReport, Member, Message, PeerIdentity};
 use grebepath_core::query::engine;
@@ -108,7 +108,7 @@
     let mut w = watch(me, now(&clock));
     let mut patience = consts::DRAIN_MAX;
     if let Some(grace) = p.grace {
-        w.notice = grace * consts::NOTICE_PCT / 100;
+        w.drain_notice = grace * consts::NOTICE_PCT / 100;
         patience = grace.saturating_sub(consts::GRACE_KEEP);
     }
     if let (Some((listener, ready, all)), Some(dialect)) = (checks, p.dialect) {
@@ -172,11 +172,11 @@
                 Some(Event::Wake)
             }
             Some(input) = rx.recv() => match input {
-                Input::Word { service, word } => Some(Event::Word { service, word }),
+                Input::Word { service, word } => Some(Event::LeafReport { service, report: word }),
                 Input::List(got, pages) => {
                     io.polling = false;
                     io.list_pages = pages.max(io.list_pages / 2);
-                    Some(Event::List(got))
+                    Some(Event::LeafList(got))
                 }
                 Input::Counts(tell) => {
                     let _ = tell.send(crate::metrics::control(&w));
@@ -228,21 +228,20 @@
 }
 
 /// Opens and drops connections to the core as the table of the seats asks.
-fn see_to(io: &mut Io, w: &Watch) {
+fn see_to(io: &mut Io, w: &NodeAgent) {
     let who = PeerIdentity::Member(io.me.clone());
-    arrange(&mut io.ways, who, &w.table);
+    arrange(&mut io.ways, who, &w.voter_set);
 }
 
-fn heard(io: &mut Io, w: &Watch, event: WireEvent<Tag>) -> Option<Event> {
+fn heard(io: &mut Io, w: &NodeAgent, event: WireEvent<Tag>) -> Option<Event> {
     match event {
         WireEvent::Dialled { tag: Tag::Controller(addr), message } => {
             let holder = connections::heard(&mut io.ways, addr, &message);
             match message {
-                Message::VoterSetUpdate { table, .. } => Some(Event::Seats(table)),
+                Message::VoterSetUpdate { table, .. } => Some(Event::VoterSet(table)),
                 // Who has no seat has no say.
-                message => {
-                    seat_of(&w.table, holder).map(|seat| Event::FromSeat { slot: seat, message })
-                }
+                message => seat_of(&w.voter_set, holder)
+                    .map(|seat| Event::FromVoter { slot: seat, message }),
             }
         }
         WireEvent::Dialled { tag: Tag::Member(name), message }
@@ -261,14 +260,14 @@
     }
 }
 
-fn carry_out(io: &mut Io, w: &Watch, todo: Vec<Command>) {
+fn carry_out(io: &mut Io, w: &NodeAgent, todo: Vec<Command>) {
     for command in todo {
         match command {
-            Command::ToSeat { slot: seat, message } => {
-                connections::to_seat(&io.ways, &w.table, seat, &message);
+            Command::ToVoter { slot: seat, message } => {
+                connections::to_seat(&io.ways, &w.voter_set, seat, &message);
             }
-            Command::ToAll { message } => connections::to_all(&io.ways, &message),
-            Command::Seats => see_to(io, w),
+            Command::Broadcast { message } => connections::to_all(&io.ways, &message),
+            Command::VoterSetChanged => see_to(io, w),
             Command::ToMember { name, addr, message } => to_member(io, name, &addr, &message),
             Command::ClusterView(view) => {
                 io.members.retain(|n, _| w.membership.members.iter().any(|m| m.name == *n));
@@ -277,25 +276,25 @@
                 }
                 let _ = io.view.send(view);
             }
-            Command::Shares(list) => {
+            Command::QuotaMembers(list) => {
                 for (i, desk) in io.desks.iter().enumerate() {
                     let share = grebepath_core::query::quota::share(&list, &io.me, i as u32);
                     let _ = desk.send(Work::Event(engine::Event::Share(share)));
                 }
             }
-            Command::Peers(list) => {
+            Command::LeafClients(list) => {
                 let peers = grebepath_core::query::quota::peers(&list);
                 for desk in &io.desks {
                     let _ = desk.send(Work::Event(engine::Event::Peers(peers.clone())));
                 }
             }
-            Command::Door(door) => {
+            Command::Admission(door) => {
                 io.shut |= door == engine::Door::Stopping;
                 for desk in &io.desks {
                     let _ = desk.send(Work::Event(engine::Event::Door(door)));
                 }
             }
-            Command::Grip(until) => {
+            Command::ServingUntil(until) => {
                 for desk in &io.desks {
                     let _ = desk.send(Work::Event(engine::Event::Grip(until)));
                 }
@@ -303,9 +302,9 @@
             Command::Ready(ready) => {
                 let _ = io.ready.send(ready);
             }
-            Command::PollList => poll(io),
-            Command::Probe(list) if io.probes => probe(io, list),
-            Command::Probe(_) => {}
+            Command::PollLeafList => poll(io),
+            Command::ProbeLeafs(list) if io.probes => probe(io, list),
+            Command::ProbeLeafs(_) => {}
             Command::Alarm(text) => alarm(io, &text),
         }
     }
--- a/crates/server/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -2,25 +2,25 @@
 
 use std::fmt::Write;
 
-use grebepath_core::membership::node_agent::{Counts as WatchCounts, Watch};
+use grebepath_core::membership::node_agent::{Counters as NodeAgentCounters, NodeAgent};
 use grebepath_core::query::engine::{Counts, TOOK_MS};
 use indexmap::IndexMap;
 
 /// What the control thread tells.
 pub struct Control {
-    counts: WatchCounts,
+    counts: NodeAgentCounters,
     revision: u64,
     members: u64,
     shares: u64,
 }
 
 /// The control thread's part.
-pub fn control(w: &Watch) -> Control {
+pub fn control(w: &NodeAgent) -> Control {
     Control {
-        counts: w.counts.clone(),
+        counts: w.counters.clone(),
         revision: w.view.as_ref().map_or(0, |v| v.revision),
         members: w.membership.members.len() as u64,
-        shares: w.shared.iter().map(|(_, n)| u64::from(*n)).sum(),
+        shares: w.quota_members.iter().map(|(_, n)| u64::from(*n)).sum(),
     }
 }
 
@@ -99,18 +99,24 @@
         one(o, "gauge", "grebe_members", "Members of the cohort.", k.members);
         one(o, "gauge", "grebe_shares", "Threads that divide the fleet's limits.", k.shares);
         let c = &k.counts;
-        one(o, "counter", "grebe_news_taken_total", "News taken.", c.news);
+        one(o, "counter", "grebe_news_taken_total", "News taken.", c.updates);
         one(
             o,
             "counter",
             "grebe_news_from_members_total",
             "Of these, from members.",
-            c.news_from_members,
+            c.updates_from_members,
         );
         one(o, "counter", "grebe_list_polls_total", "Polls of the platform's list.", c.list_polls);
-        one(o, "counter", "grebe_list_troubles_total", "Polls that failed.", c.list_troubles);
+        one(o, "counter", "grebe_list_troubles_total", "Polls that failed.", c.list_failures);
         one(o, "counter", "grebe_probes_total", "Probes of leafs.", c.probes);
-        one(o, "counter", "grebe_cut_off_total", "Times this node was cut off alone.", c.lapses);
+        one(
+            o,
+            "counter",
+            "grebe_cut_off_total",
+            "Times this node was cut off alone.",
+            c.lease_lapses,
+        );
     }
     out
 }
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -83,9 +83,9 @@
             let Some(message) = timed(&mut n.meter.code_ns, || read(&raw)) else { return };
             let event = match (from, message) {
                 (From::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
-                    wat::Event::Seats(table)
+                    wat::Event::VoterSet(table)
                 }
-                (From::VoterSlot(seat), message) => wat::Event::FromSeat { slot: seat, message },
+                (From::VoterSlot(seat), message) => wat::Event::FromVoter { slot: seat, message },
                 (From::Front(g, _), message) => {
                     wat::Event::FromMember { name: w.fronts[g].me.name.clone(), message }
                 }
@@ -103,7 +103,7 @@
             n.polling = false;
             let got = timed(&mut n.meter.code_ns, || list::read(text.as_bytes()));
             let got = got.map(|(all, _)| all).map_err(|f| f.to_string());
-            step_front(w, f, wat::Event::List(got));
+            step_front(w, f, wat::Event::LeafList(got));
         }
         ScheduledEvent::StartFront { f } if !w.fronts[f].up => start_front(w, f),
         ScheduledEvent::StartSeat { s } if !w.seats[s].up => start_seat(w, s),
@@ -258,10 +258,10 @@
     let (life, here) = (w.fronts[f].life, w.fronts[f].zone);
     let (from, own) = (From::Front(f, life), f + w.seats.len());
     match command {
-        wat::Command::ToSeat { slot: seat, message } => {
+        wat::Command::ToVoter { slot: seat, message } => {
             front_tells(w, f, usize::from(seat), &message)
         }
-        wat::Command::ToAll { message } => {
+        wat::Command::Broadcast { message } => {
             for s in 0..w.seats.len() {
                 front_tells(w, f, s, &message);
             }
@@ -274,11 +274,11 @@
             push_at(w, at, ScheduledEvent::FrontGets { f: to, life, from, raw });
         }
         wat::Command::Ready(ready) => w.fronts[f].ready = ready,
-        wat::Command::PollList if !w.fronts[f].polling => {
+        wat::Command::PollLeafList if !w.fronts[f].polling => {
             w.fronts[f].polling = true;
             push(w, 2 * MILLI, ScheduledEvent::List { f, life });
         }
-        wat::Command::Probe(list) => {
+        wat::Command::ProbeLeafs(list) => {
             w.probes += list.len() as u64;
             for info in list {
                 let word = LeafReport {
@@ -286,7 +286,10 @@
                     age_ms: plan::OLD_MS,
                     ..LeafReport::default()
                 };
-                let event = Box::new(wat::Event::Word { service: info.service.clone(), word });
+                let event = Box::new(wat::Event::LeafReport {
+                    service: info.service.clone(),
+                    report: word,
+                });
                 push(w, 2 * MILLI, ScheduledEvent::FrontTakes { f, life, event });
             }
         }
--- a/crates/simulator/src/scale_model/phases.rs
+++ b/crates/simulator/src/scale_model/phases.rs
@@ -148,16 +148,16 @@
 }
 
 /// What it takes to read all leafs that are held and to make a view of them.
-fn view(w: &grebepath_core::membership::node_agent::Watch) -> u64 {
+fn view(w: &grebepath_core::membership::node_agent::NodeAgent) -> u64 {
     let mut took = 0;
     cost::timed(&mut took, || {
         let list = w
-            .held
+            .partitions
             .values()
-            .flat_map(|h| grebepath_core::control_plane::endpoints::all(&h.map).into_values());
+            .flat_map(|h| grebepath_core::control_plane::endpoints::all(&h.entries).into_values());
         grebepath_core::snapshot::cluster_view::view(
-            w.built_revision,
-            w.built.clone(),
+            w.configuration_revision,
+            w.configuration.clone(),
             list.collect(),
         )
     });
--- a/crates/simulator/src/scale_model/weight.rs
+++ b/crates/simulator/src/scale_model/weight.rs
@@ -4,7 +4,7 @@
 
 use grebepath_core::config::build::Built;
 use grebepath_core::control_plane::controller::ControllerState;
-use grebepath_core::membership::node_agent::Watch;
+use grebepath_core::membership::node_agent::NodeAgent;
 use grebepath_core::protocol::message::{EntryMap, Member, Membership};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
@@ -69,9 +69,9 @@
 }
 
 /// A querier's control state.
-pub fn watch(w: &Watch) -> usize {
-    let held: usize = w.held.values().map(|h| map(&h.map)).sum();
-    let shared: usize = w.shared.iter().map(|(n, _)| text(n) + 8).sum();
+pub fn watch(w: &NodeAgent) -> usize {
+    let held: usize = w.partitions.values().map(|h| map(&h.entries)).sum();
+    let shared: usize = w.quota_members.iter().map(|(n, _)| text(n) + 8).sum();
     let committed = w.view.as_ref().map_or(0, |v| view(v));
     held + shared + membership(&w.membership) + committed
 }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -9,7 +9,7 @@
 use grebepath_core::control_plane::step as cstep;
 use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
 use grebepath_core::membership::node_agent as wat;
-use grebepath_core::membership::node_agent::Watch;
+use grebepath_core::membership::node_agent::NodeAgent;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::message::{Member, OperationResult, ReplicaCondition};
 use grebepath_core::random::{Random, below, luck};
@@ -68,7 +68,7 @@
 pub struct Front {
     pub me: Member,
     pub zone: usize,
-    pub watch: Watch,
+    pub watch: NodeAgent,
     pub up: bool,
     pub life: u64,
     pub began: Tick,
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -12,7 +12,7 @@
 use grebepath_core::http_api::{caller, list};
 use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
 use grebepath_core::membership::node_agent as wat;
-use grebepath_core::membership::node_agent::Watch;
+use grebepath_core::membership::node_agent::NodeAgent;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::message::{
     LeafReport, Member, Message, Operation, OperationResult, ReplicaCondition,
@@ -244,7 +244,7 @@
     pub zone: String,
     pub life: u64,
     pub up: bool,
-    pub watch: Watch,
+    pub watch: NodeAgent,
     pub desks: Vec<QueryEngine>,
     wakes: Vec<Tick>,
     pub began: Tick,
@@ -556,16 +556,16 @@
             step_watch(w, q, wat::Event::Wake);
         }
         ScheduledEvent::ToWatch { q, life, event } if live(w, q, life) => {
-            if matches!(event, wat::Event::List(_)) {
+            if matches!(event, wat::Event::LeafList(_)) {
                 w.queriers[q].polling = false;
             }
             step_watch(w, q, event);
         }
         ScheduledEvent::FromSeat { q, life, holder, message } if live(w, q, life) => {
             let event = match message {
-                Message::VoterSetUpdate { table, .. } => wat::Event::Seats(table),
-                message => match seat_of(&w.queriers[q].watch.table, holder) {
-                    Some(seat) => wat::Event::FromSeat { slot: seat, message },
+                Message::VoterSetUpdate { table, .. } => wat::Event::VoterSet(table),
+                message => match seat_of(&w.queriers[q].watch.voter_set, holder) {
+                    Some(seat) => wat::Event::FromVoter { slot: seat, message },
                     None => return,
                 },
             };
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -57,18 +57,18 @@
 pub(super) fn step_watch(w: &mut World, q: usize, event: wat::Event) {
     let local = w.now - w.queriers[q].began + BOOT;
     let todo = qstep::step(&mut w.queriers[q].watch, local, event);
-    if w.broken == Some(Broken::SlipBack) && w.queriers[q].watch.built_revision > 0 {
-        w.queriers[q].watch.sure = true;
+    if w.broken == Some(Broken::SlipBack) && w.queriers[q].watch.configuration_revision > 0 {
+        w.queriers[q].watch.is_caught_up = true;
     }
     for command in todo {
         watch_does(w, q, command);
     }
-    let held = &w.queriers[q].watch.held;
+    let held = &w.queriers[q].watch.partitions;
     let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
     for (part, revision) in places {
         if revision > 0 && !seen(w, q, part, revision) {
             let sum = grebepath_core::replication::leader::sum(
-                &w.queriers[q].watch.held[&PartitionId(part)].map,
+                &w.queriers[q].watch.partitions[&PartitionId(part)].entries,
             );
             rules::same(&mut w.rules, w.now - BEGIN, part, revision, sum);
         }
@@ -85,17 +85,19 @@
     let life = w.queriers[q].life;
     let zone = w.queriers[q].zone.clone();
     match command {
-        wat::Command::ToSeat { slot: seat, message } => {
-            let Some(h) = w.queriers[q].watch.table.slots.get(usize::from(seat)) else { return };
+        wat::Command::ToVoter { slot: seat, message } => {
+            let Some(h) = w.queriers[q].watch.voter_set.slots.get(usize::from(seat)) else {
+                return;
+            };
             let Some(s) = machine(w, &h.addr) else { return };
             to_controller(w, q, s, message);
         }
-        wat::Command::ToAll { message } => {
+        wat::Command::Broadcast { message } => {
             for s in w.core.seeds.clone() {
                 to_controller(w, q, s, message.clone());
             }
         }
-        wat::Command::Seats => {}
+        wat::Command::VoterSetChanged => {}
         wat::Command::ToMember { message: Message::LeafReports { .. }, .. }
             if w.broken == Some(Broken::NoWords) => {}
         wat::Command::ToMember { name, message, .. } => {
@@ -132,7 +134,7 @@
                 push(w, 20, ScheduledEvent::ToDesk { q, life, t, event });
             }
         }
-        wat::Command::Shares(list) => {
+        wat::Command::QuotaMembers(list) => {
             for t in 0..THREADS {
                 let name = w.queriers[q].name.clone();
                 let mut share = grebepath_core::query::quota::share(&list, &name, t);
@@ -143,7 +145,7 @@
                 push(w, 20, ScheduledEvent::ToDesk { q, life, t: t as usize, event });
             }
         }
-        wat::Command::Peers(list) => {
+        wat::Command::LeafClients(list) => {
             let peers = grebepath_core::query::quota::peers(&list);
             for t in 0..THREADS as usize {
                 push(
@@ -158,7 +160,7 @@
                 );
             }
         }
-        wat::Command::Door(door) => {
+        wat::Command::Admission(door) => {
             for t in 0..THREADS as usize {
                 push(
                     w,
@@ -170,7 +172,7 @@
                 later(w, ms(20), DueKey::EndQuerier(q, life));
             }
         }
-        wat::Command::Grip(until) => {
+        wat::Command::ServingUntil(until) => {
             for t in 0..THREADS as usize {
                 push(
                     w,
@@ -180,7 +182,7 @@
             }
         }
         wat::Command::Ready(ready) => w.queriers[q].ready = ready,
-        wat::Command::PollList => {
+        wat::Command::PollLeafList => {
             if !w.queriers[q].polling {
                 w.queriers[q].polling = true;
                 let from = (Node::Querier(q), zone.as_str());
@@ -190,7 +192,7 @@
                 }
             }
         }
-        wat::Command::Probe(list) => {
+        wat::Command::ProbeLeafs(list) => {
             for info in list {
                 let after = below(&mut w.luck, ms(50)) + ms(1);
                 push(w, after, ScheduledEvent::Probe { q, life, info });
@@ -222,7 +224,7 @@
 }
 
 pub(super) fn list_late(w: &mut World, q: usize, life: u64) {
-    let event = wat::Event::List(Err("no answer in time".into()));
+    let event = wat::Event::LeafList(Err("no answer in time".into()));
     push(w, consts::LIST_PATIENCE, ScheduledEvent::ToWatch { q, life, event });
 }
 
@@ -242,7 +244,7 @@
     let zone = w.queriers[q].zone.clone();
     match send(&mut w.net, now, (pair.0, "a"), (pair.1, &zone), &mut w.luck) {
         Some(at) => {
-            push_at(w, at, ScheduledEvent::ToWatch { q, life, event: wat::Event::List(got) })
+            push_at(w, at, ScheduledEvent::ToWatch { q, life, event: wat::Event::LeafList(got) })
         }
         None => list_late(w, q, life),
     }
@@ -278,7 +280,7 @@
     } else {
         word.gone = true;
     }
-    let event = wat::Event::Word { service: info.service.clone(), word };
+    let event = wat::Event::LeafReport { service: info.service.clone(), report: word };
     push(w, ms(1), ScheduledEvent::ToWatch { q, life, event });
 }
 
@@ -323,7 +325,11 @@
                 push(
                     w,
                     20,
-                    ScheduledEvent::ToWatch { q, life, event: wat::Event::Word { service, word } },
+                    ScheduledEvent::ToWatch {
+                        q,
+                        life,
+                        event: wat::Event::LeafReport { service, report: word },
+                    },
                 );
             }
         }
