--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -1,7 +1,8 @@
-//! Which seats feed us. One does wholly. The others only say how far they are,
-//! which costs a fourth and shows at once when ours lacks something: then that
-//! seat feeds us too until we have it. Without the core's word all feed us, and
-//! so they do at a start, until we have a view and a lease.
+//! Which voters send us updates. One does wholly. The others only say how far they
+//! are, which costs a fourth and shows at once when the one lacks something: then
+//! whoever is ahead sends us updates too until we have it. Without the controllers'
+//! word all send us updates, and so they do at a start, until we have a view and a
+//! lease.
 
 use std::collections::BTreeMap;
 
@@ -9,78 +10,101 @@
 use crate::control_plane::members::mark;
 use crate::digest::{hash, pair};
 use crate::identifiers::{BEYOND, COHORT, VoterSlot};
-use crate::membership::node_agent::{Command, NodeAgent, places, slots};
-use crate::membership::status::core_age;
+use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{FeedPosition, Message};
 use crate::time::{Tick, since};
 
-/// What we know of the seats as feeders.
+/// What is known of the voters as sources of updates.
 #[derive(Default)]
 pub struct FeedSources {
-    /// When each seat last said how far it is.
+    /// When each voter slot last said how far it is.
     pub answered_at: BTreeMap<VoterSlot, Tick>,
-    /// When the others are next asked.
+    /// When those that send us no updates are next asked how far they are.
     pub ask_others_at: Tick,
 }
 
-/// Asks the seats for news if it is time; without a view often, and all of them.
-pub fn follow(w: &mut NodeAgent, now: Tick, out: &mut Vec<Command>) {
-    if now < w.subscribe_at {
-        return;
+impl FeedSources {
+    /// The voter that sends us updates, of those in `slots`: the first by rendezvous
+    /// that answered lately, so that followers are spread evenly. At a start each
+    /// counts as having answered; a replica that has just taken its slot does not
+    /// before it answers.
+    fn preferred(
+        &self,
+        slots: &[VoterSlot],
+        name: &str,
+        started_at: Tick,
+        now: Tick,
+    ) -> Option<VoterSlot> {
+        let own = hash(name);
+        let answered = |slot: &VoterSlot| {
+            let at = *self.answered_at.get(slot).unwrap_or(&started_at);
+            since(at, now) < consts::FEED_SILENCE
+        };
+        slots.iter().copied().filter(answered).max_by_key(|slot| pair(own, u64::from(*slot)))
     }
-    w.subscribe_at = now + if w.is_caught_up { consts::FOLLOW_BEAT } else { consts::TENURE_SEEK };
-    let others = now >= w.feed.ask_others_at;
-    if others {
-        w.feed.ask_others_at = now + consts::OTHERS_BEAT;
-    }
-    let mut list = places(w);
-    list.push(FeedPosition { partition: COHORT, revision: mark(&w.membership) });
-    let beyond = list.iter().map(|p| FeedPosition { revision: BEYOND, ..*p }).collect();
-    let whole = Message::Subscribe { places: list, stamp: w.voter_set_stamp };
-    let only = Message::Subscribe { places: beyond, stamp: w.voter_set_stamp };
-    if w.voter_set.slots.is_empty() {
-        out.push(Command::Broadcast { message: whole.clone() });
-    }
-    let (first, all) = (feeder(w, now), seeks(w) || worry(w, now));
-    for slot in slots(w) {
-        if all || first.is_none_or(|f| f == slot) || ahead(w, slot) {
-            out.push(Command::ToVoter { slot, message: whole.clone() });
-        } else if others {
-            out.push(Command::ToVoter { slot, message: only.clone() });
+}
+
+impl NodeAgent {
+    /// Asks the voters for updates if it is time; without a view often, and all.
+    pub(super) fn subscribe(&mut self, now: Tick, commands: &mut Vec<Command>) {
+        if now < self.subscribe_at {
+            return;
+        }
+        let period = if self.is_caught_up { consts::FOLLOW_BEAT } else { consts::TENURE_SEEK };
+        self.subscribe_at = now + period;
+        let ask_others = now >= self.feed.ask_others_at;
+        if ask_others {
+            self.feed.ask_others_at = now + consts::OTHERS_BEAT;
+        }
+        let (for_updates, for_positions) = self.subscriptions();
+        if self.voter_set.slots.is_empty() {
+            commands.push(Command::Broadcast { message: for_updates.clone() });
+        }
+        let slots = self.occupied_slots();
+        let preferred = self.feed.preferred(&slots, &self.member.name, self.started_at, now);
+        let from_all = self.is_starting() || self.lacks_core(now);
+        for slot in slots {
+            let sends_updates =
+                from_all || preferred.is_none_or(|p| p == slot) || self.is_ahead(slot);
+            if sends_updates {
+                commands.push(Command::ToVoter { slot, message: for_updates.clone() });
+            } else if ask_others {
+                commands.push(Command::ToVoter { slot, message: for_positions.clone() });
+            }
         }
     }
-}
 
-/// Whether we are still starting: what waits for one seat then, the fleet's
-/// recovery from a restart of everything waits for.
-fn seeks(w: &NodeAgent) -> bool {
-    !w.is_caught_up || !w.lease.granted
-}
+    /// The message that asks for updates, and the one that only asks how far the
+    /// receiver is.
+    fn subscriptions(&self) -> (Message, Message) {
+        let mut positions = self.positions();
+        positions.push(FeedPosition { partition: COHORT, revision: mark(&self.membership) });
+        let beyond = positions.iter().map(|p| FeedPosition { revision: BEYOND, ..*p }).collect();
+        let stamp = self.voter_set_stamp;
+        (
+            Message::Subscribe { places: positions, stamp },
+            Message::Subscribe { places: beyond, stamp },
+        )
+    }
 
-/// Whether we had the core's word and lack it now.
-fn worry(w: &NodeAgent, now: Tick) -> bool {
-    w.lease.granted && core_age(w, now) >= consts::TENURE_WORRY
-}
+    /// Whether we are still starting: what waits for one voter then, the recovery of
+    /// the cluster from a restart of everything waits for.
+    fn is_starting(&self) -> bool {
+        !self.is_caught_up || !self.lease.granted
+    }
 
-/// The seat that feeds us: the first by rendezvous that spoke lately, so that
-/// followers are spread evenly. At a start each counts as having spoken, and one
-/// that has just taken its seat does not before it speaks.
-fn feeder(w: &NodeAgent, now: Tick) -> Option<VoterSlot> {
-    let me = hash(&w.member.name);
-    slots(w)
-        .into_iter()
-        .filter(|s| {
-            since(*w.feed.answered_at.get(s).unwrap_or(&w.started_at), now) < consts::FEED_SILENCE
-        })
-        .max_by_key(|s| pair(me, u64::from(*s)))
-}
+    /// Whether we heard the controllers and do so no more.
+    fn lacks_core(&self, now: Tick) -> bool {
+        self.lease.granted && self.core_age(now) >= consts::TENURE_WORRY
+    }
 
-/// Whether a seat said that it is further than we are. It said so a beat ago:
-/// what is merely on its way to us has come since.
-fn ahead(w: &NodeAgent, slot: VoterSlot) -> bool {
-    let list = w.voter_positions.get(usize::from(slot)).map_or(&[][..], |r| r);
-    list.iter().any(|p| match w.partitions.get(&p.partition) {
-        Some(held) => held.revision < p.revision,
-        None => p.partition == COHORT && mark(&w.membership) < p.revision,
-    })
+    /// Whether a voter said that it is further than we are. It said so a period ago:
+    /// what is merely on its way to us has come since.
+    fn is_ahead(&self, slot: VoterSlot) -> bool {
+        let Some(positions) = self.voter_positions.get(usize::from(slot)) else { return false };
+        positions.iter().any(|theirs| match self.partitions.get(&theirs.partition) {
+            Some(ours) => ours.revision < theirs.revision,
+            None => theirs.partition == COHORT && mark(&self.membership) < theirs.revision,
+        })
+    }
 }
--- /dev/null
+++ b/crates/core/src/membership/leaf_reports.rs
@@ -0,0 +1,170 @@
+//! What leafs report of themselves: taken in from the traffic threads, from health
+//! checks and from members, shown in our own view at once, and sent to the voters
+//! until the update stream shows it.
+
+use std::collections::BTreeMap;
+
+use nanoserde::DeBin;
+
+use crate::consts;
+use crate::identifiers::{PartitionId, part_of};
+use crate::membership::node_agent::{Command, NodeAgent};
+use crate::protocol::message::{LeafReport, Message};
+use crate::snapshot::leafs::{LeafInfo, key};
+use crate::time::{Tick, since};
+
+/// A leaf's report that the update stream does not show yet.
+pub struct PendingLeafReport {
+    /// The leaf's service.
+    pub service: String,
+    /// All that the leaf reported, put together.
+    pub report: LeafReport,
+    /// When we last sent it to the voters; zero before the first time.
+    pub sent_at: Tick,
+    /// When we last passed it on to our neighbours; zero before the first time.
+    pub passed_on_at: Tick,
+}
+
+impl PendingLeafReport {
+    fn new(service: String, leaf: String) -> PendingLeafReport {
+        PendingLeafReport {
+            service,
+            report: LeafReport { leaf, ..LeafReport::default() },
+            sent_at: 0,
+            passed_on_at: 0,
+        }
+    }
+
+    /// An age can wait for others; that a leaf leaves or is gone can't.
+    fn is_urgent(&self) -> bool {
+        self.report.leaving || self.report.gone
+    }
+
+    /// Adds what a report says; tells whether it must be sent at once.
+    fn add(&mut self, report: &LeafReport) -> bool {
+        let is_news =
+            (report.leaving && !self.report.leaving) || (report.gone && !self.report.gone);
+        if is_news {
+            self.sent_at = 0;
+            self.passed_on_at = 0;
+        }
+        self.report.leaving |= report.leaving;
+        self.report.gone |= report.gone;
+        self.report.age_ms = self.report.age_ms.max(report.age_ms);
+        is_news
+    }
+}
+
+/// Reports by partition.
+type ReportsByPartition = BTreeMap<PartitionId, Vec<LeafReport>>;
+
+impl NodeAgent {
+    /// Takes in what a leaf reported, to us or to a member of the membership.
+    pub(super) fn on_leaf_report(&mut self, now: Tick, service: String, report: LeafReport) {
+        if report.gone {
+            self.leaf_gone_at = now;
+        }
+        if self.known_leaf(&service, &report.leaf).is_none_or(|info| is_shown(&info, &report)) {
+            return;
+        }
+        let pending = self
+            .leaf_reports
+            .entry(report.leaf.clone())
+            .or_insert_with(|| PendingLeafReport::new(service, report.leaf.clone()));
+        self.view_is_stale |= pending.add(&report);
+        self.reports_unchecked = true;
+    }
+
+    /// A member passes on what leafs reported to it. The voters have most likely been
+    /// told as well; we tell them later if the update stream stays silent.
+    pub(super) fn on_member_leaf_reports(
+        &mut self,
+        now: Tick,
+        partition: PartitionId,
+        reports: Vec<LeafReport>,
+    ) {
+        for report in reports {
+            let Some(info) = self.leaf_of(partition, &report.leaf) else { continue };
+            let leaf = report.leaf.clone();
+            let state = |p: &PendingLeafReport| (p.report.leaving, p.report.gone);
+            let before = self.leaf_reports.get(&leaf).map(state);
+            self.on_leaf_report(now, info.service, report);
+            let Some(pending) = self.leaf_reports.get_mut(&leaf) else { continue };
+            if before != Some(state(pending)) {
+                pending.sent_at = now.max(1);
+                self.counters.leaf_reports_from_members += 1;
+            }
+        }
+    }
+
+    /// A leaf of a service as its partition shows it.
+    fn known_leaf(&self, service: &str, leaf: &str) -> Option<LeafInfo> {
+        self.leaf_of(part_of(service), leaf)
+    }
+
+    fn leaf_of(&self, partition: PartitionId, leaf: &str) -> Option<LeafInfo> {
+        let entry = self.partitions.get(&partition)?.entries.get(&key(leaf))?;
+        LeafInfo::deserialize_bin(entry).ok()
+    }
+
+    /// Sends reports of leafs to the voters until the update stream shows them, and
+    /// those that can't wait to our neighbours, who pass on what is new to them: with
+    /// the controllers out of reach everyone must hear of them all the same.
+    pub(super) fn send_leaf_reports(&mut self, now: Tick, commands: &mut Vec<Command>) {
+        if std::mem::take(&mut self.reports_unchecked) {
+            self.drop_shown_reports();
+        }
+        let (to_voters, to_members) = self.take_due_reports(now);
+        for (partition, words) in to_voters {
+            // To every voter: the one that serves us may be cut off from the leader.
+            self.send_to_voters(&Message::LeafReports { partition, words }, commands);
+        }
+        for name in &self.ring.neighbours {
+            for (partition, reports) in &to_members {
+                let message =
+                    Message::LeafReports { partition: *partition, words: reports.clone() };
+                self.send_to_member(name, message, commands);
+            }
+        }
+    }
+
+    fn drop_shown_reports(&mut self) {
+        let mut pending = std::mem::take(&mut self.leaf_reports);
+        pending.retain(|leaf, pending| {
+            self.known_leaf(&pending.service, leaf)
+                .is_some_and(|info| !is_shown(&info, &pending.report))
+        });
+        self.leaf_reports = pending;
+    }
+
+    /// The reports that are due to be sent to the voters, and to the neighbours; notes
+    /// that they are sent now.
+    fn take_due_reports(&mut self, now: Tick) -> (ReportsByPartition, ReportsByPartition) {
+        let (mut to_voters, mut to_members) =
+            (ReportsByPartition::new(), ReportsByPartition::new());
+        let ages_are_due = now >= self.ages_at;
+        if ages_are_due {
+            self.ages_at = now + consts::REPORT_AGAIN;
+        }
+        let is_due = |at: Tick| at == 0 || since(at, now) >= consts::REPORT_AGAIN;
+        for pending in self.leaf_reports.values_mut() {
+            let partition = part_of(&pending.service);
+            if is_due(pending.sent_at) && (pending.is_urgent() || ages_are_due) {
+                pending.sent_at = now.max(1);
+                to_voters.entry(partition).or_default().push(pending.report.clone());
+            }
+            if pending.is_urgent() && is_due(pending.passed_on_at) {
+                pending.passed_on_at = now.max(1);
+                to_members.entry(partition).or_default().push(pending.report.clone());
+            }
+        }
+        (to_voters, to_members)
+    }
+}
+
+/// Whether a leaf's entry shows all that matters of a report.
+fn is_shown(info: &LeafInfo, report: &LeafReport) -> bool {
+    let age_is_shown = info.age_ms >= consts::AGE_TOLD_MS
+        || report.age_ms < info.age_ms * consts::AGE_FACTOR + consts::AGE_FIRST_MS;
+    (info.leaving || !(report.leaving || report.gone)) && age_is_shown
+}
--- /dev/null
+++ b/crates/core/src/membership/lease.rs
@@ -0,0 +1,161 @@
+//! The lease of a querier: renewals that were sent, and grants that count.
+//!
+//! A grant counts from the moment that its renewal was *sent*, and only once the
+//! configuration that it names is obeyed. Both keep the lease from being trusted for
+//! longer here than the leader keeps it.
+
+use std::collections::BTreeMap;
+
+use crate::consts;
+use crate::identifiers::VoterSlot;
+use crate::membership::node_agent::{Command, NodeAgent};
+use crate::protocol::message::{MemberProgress, Message};
+use crate::time::{Span, Tick, since};
+
+/// Renewals and grants that are kept (count): several more than are on their way
+/// at a time, at one renewal in `TENURE_SEEK`.
+const KEPT: usize = 16;
+
+/// Members that are asked to forward a renewal (count): one may itself have just
+/// lost the controllers.
+const FORWARDERS: usize = 2;
+
+/// The lease of this querier.
+#[derive(Default)]
+pub struct Lease {
+    /// Number of the last renewal that was sent.
+    pub last_number: u64,
+    /// When each renewal that is not yet granted was sent, by number.
+    pub unanswered: BTreeMap<u64, Tick>,
+    /// Grants whose configuration is not obeyed yet.
+    pub pending_grants: Vec<PendingGrant>,
+    /// When the newest renewal was sent of those whose grant counts; zero before
+    /// the first.
+    pub renewed_at: Tick,
+    /// Whether a grant ever counted.
+    pub granted: bool,
+    /// The voter slot through which the last grant came.
+    pub slot: Option<VoterSlot>,
+    /// When the lease is next renewed.
+    pub renew_at: Tick,
+}
+
+/// A grant whose configuration is not obeyed yet.
+pub struct PendingGrant {
+    /// The configuration revision that must be obeyed.
+    pub revision: u64,
+    /// When the renewal was sent.
+    pub sent_at: Tick,
+}
+
+impl Lease {
+    /// Until when the lease is trusted; zero if there was none.
+    pub fn valid_until(&self) -> Tick {
+        if self.granted { self.renewed_at + consts::TENURE_TRUST } else { 0 }
+    }
+
+    /// Notes a renewal that is sent now and returns its number.
+    fn next_renewal(&mut self, now: Tick) -> u64 {
+        let period = if self.granted { consts::TENURE_BEAT } else { consts::TENURE_SEEK };
+        self.renew_at = now + period;
+        self.last_number += 1;
+        self.unanswered.insert(self.last_number, now);
+        while self.unanswered.len() > KEPT {
+            self.unanswered.pop_first();
+        }
+        self.last_number
+    }
+
+    /// Notes the grant of a renewal; tells whether it was still waited for.
+    fn on_granted(&mut self, slot: Option<VoterSlot>, number: u64, revision: u64) -> bool {
+        let Some(sent_at) = self.unanswered.get(&number).copied() else { return false };
+        self.unanswered = self.unanswered.split_off(&(number + 1));
+        self.slot = slot;
+        self.pending_grants.push(PendingGrant { revision, sent_at });
+        true
+    }
+
+    /// Takes up the grants that name no newer configuration than `obeyed`.
+    pub(super) fn take_up_grants(&mut self, obeyed: u64) {
+        for grant in &self.pending_grants {
+            if grant.revision <= obeyed {
+                self.renewed_at = self.renewed_at.max(grant.sent_at);
+                self.granted = true;
+            }
+        }
+        let renewed_at = self.renewed_at;
+        self.pending_grants.retain(|g| g.revision > obeyed && g.sent_at > renewed_at);
+        if self.pending_grants.len() > KEPT {
+            self.pending_grants.remove(0);
+        }
+    }
+}
+
+impl NodeAgent {
+    /// How long ago the controllers were last known to hear us.
+    pub(super) fn core_age(&self, now: Tick) -> Span {
+        if self.lease.granted {
+            since(self.lease.renewed_at, now)
+        } else {
+            since(self.started_at, now)
+        }
+    }
+
+    /// Renews the lease when it is due.
+    pub(super) fn renew_lease(&mut self, now: Tick, commands: &mut Vec<Command>) {
+        if now < self.lease.renew_at {
+            return;
+        }
+        let number = self.lease.next_renewal(now);
+        let message = Message::RenewLease {
+            member: self.member.clone(),
+            count: number,
+            far: self.progress(now),
+        };
+        let overdue = self.core_age(now) >= consts::TENURE_WORRY;
+        match self.lease.slot {
+            Some(slot) if !overdue => {
+                commands.push(Command::ToVoter { slot, message: message.clone() });
+            }
+            _ => self.send_to_voters(&message, commands),
+        }
+        if overdue && self.lease.granted {
+            self.renew_by_members(now, &message, commands);
+        }
+    }
+
+    /// Asks members to forward a renewal: perhaps only our own way to the
+    /// controllers is cut.
+    fn renew_by_members(&self, now: Tick, message: &Message, commands: &mut Vec<Command>) {
+        let forwarders: Vec<&String> = self
+            .heard_peers(now)
+            .filter(|(_, peer)| peer.core_age < consts::TENURE_TRUST)
+            .map(|(name, _)| name)
+            .take(FORWARDERS)
+            .collect();
+        for name in forwarders {
+            self.send_to_member(name, message.clone(), commands);
+        }
+    }
+
+    /// How far we are, as told with each renewal.
+    fn progress(&self, now: Tick) -> MemberProgress {
+        MemberProgress {
+            obeys: self.view.as_ref().map_or(0, |view| view.revision),
+            saw: (self.membership.term, self.membership.turn),
+            knows: self.known_revision,
+            quiet_ms: self.quiet_ms(now),
+            ready: self.ready,
+            leaving: self.is_drained,
+        }
+    }
+
+    /// A renewal was granted, when the configuration was at `revision`; through a
+    /// voter slot, or by a member.
+    pub(super) fn on_lease_granted(&mut self, slot: Option<VoterSlot>, number: u64, revision: u64) {
+        if self.lease.on_granted(slot, number, revision) {
+            self.learn_revision(revision);
+            self.lease.take_up_grants(self.configuration_revision);
+        }
+    }
+}
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,9 +1,16 @@
-//! A querier's place among the others: the news it follows, its lease, its
-//! membership, its duties, and whether it is cut off. No I/O.
+//! The node agent of a querier: the update stream that it follows, its lease, its
+//! membership, the assignments that it does for all, and whether it may serve while
+//! the controllers are out of reach. No I/O.
+//!
+//! [`node_agent::NodeAgent::step`] takes one event and returns the commands for the
+//! process that drives it.
 
 pub mod assignments;
 pub mod attestation;
 pub mod feed;
+pub mod gossip;
+pub mod leaf_reports;
+pub mod lease;
 pub mod neighbour_ring;
 pub mod node_agent;
 pub mod status;
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -1,4 +1,4 @@
-//! The state of a querier's control thread.
+//! The state of a querier's node agent, its events and its commands.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,6 +10,9 @@
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
 use crate::membership::attestation::Proofs;
 use crate::membership::feed::FeedSources;
+use crate::membership::gossip::Peer;
+use crate::membership::leaf_reports::PendingLeafReport;
+use crate::membership::lease::Lease;
 use crate::membership::neighbour_ring::NeighbourRing;
 use crate::protocol::message::{EntryMap, FeedPosition, LeafReport, Member, Membership, Message};
 use crate::query::engine::Door;
@@ -18,279 +21,345 @@
 use crate::time::{Span, Tick};
 use crate::voter_set::{VoterSet, ballot, merge, stamp};
 
-/// The owner of what a querier knows.
+/// What a querier knows of the cluster, and what it has told its traffic threads.
 ///
-/// Invariants: a part's revision in `held` only rises; `built` was made from
-/// the configuration at `built_revision`; a view is given out only after `sure`.
+/// Invariants: a partition's revision in `partitions` only rises; `configuration`
+/// was built from the entries at `configuration_revision`; a view is published only
+/// after `is_caught_up`.
 pub struct NodeAgent {
+    /// This querier, as the controllers and the other members are told.
     pub member: Member,
+    /// When this process started.
     pub started_at: Tick,
+    /// Every partition as this querier holds it.
     pub partitions: BTreeMap<PartitionId, PartitionState>,
-    /// How far each seat last said it has accepted each part.
+    /// How far each voter slot last said it has accepted each partition.
     pub voter_positions: Vec<Vec<FeedPosition>>,
-    /// The seats of the core; empty until a controller told us.
+    /// The voter slots and their replicas; empty until a controller told us.
     pub voter_set: VoterSet,
+    /// Stamp of `voter_set`.
     pub voter_set_stamp: u64,
-    /// Whether our first view is known not to be an old one.
+    /// Whether the first view is known not to be an old one.
     pub is_caught_up: bool,
+    /// The configuration that is obeyed.
     pub configuration: Arc<Built>,
+    /// Revision of `configuration`; zero before the first.
     pub configuration_revision: u64,
+    /// The view that the traffic threads were last given.
     pub view: Option<Arc<ClusterView>>,
-    /// What we hold differs from `view`.
+    /// Whether what is held differs from `view`.
     pub view_is_stale: bool,
-    /// When news of services is next made into a view; that of the
-    /// configuration is at once.
+    /// When updates of endpoints are next made into a view; a new configuration is
+    /// published at once.
     pub publish_at: Tick,
+    /// The newest membership that we were told.
     pub membership: Membership,
     /// What follows from `membership`.
     pub ring: NeighbourRing,
-    pub quota_members: Vec<(String, u32)>,
-    pub leaf_clients: Vec<(String, u32, String)>,
+    /// Among whom the cluster's quotas are divided, as last commanded.
+    pub quota_members: Vec<QuotaMember>,
+    /// Who opens connections to leafs, as last commanded.
+    pub leaf_clients: Vec<LeafClient>,
+    /// Our lease.
     pub lease: Lease,
+    /// Other members, by name, as they last answered.
     pub peers: IndexMap<String, Peer>,
-    /// What we can prove about the members while the core is silent.
+    /// What we can prove about the members while the controllers are silent.
     pub proofs: Proofs,
     /// The newest configuration revision that we know to be committed.
     pub known_revision: u64,
-    /// Whether a view of ours ever held leafs for a quorum of each search, or
-    /// of some for a while: a search without leafs must not hold up the rest.
+    /// Whether a view of ours ever held leafs for a quorum of each search, or of
+    /// some for a while: a search without leafs must not hold up the rest.
     pub has_served: bool,
+    /// Since when a view of ours holds leafs for a quorum of some search.
     pub serving_some_since: Option<Tick>,
-    /// Since when others have the core's word and we lack it.
+    /// Since when others hear from the controllers and we don't.
     pub bypassed_since: Option<Tick>,
-    /// Until when the threads may act on their view.
+    /// Until when the traffic threads may act on their view, as last commanded.
     pub serving_until: Tick,
+    /// Which calls are taken, as last commanded.
     pub admission: Door,
+    /// Whether this querier is ready, as last commanded.
     pub ready: bool,
-    /// When we were told to stop.
+    /// When the process was asked to stop.
     pub stopping_since: Option<Tick>,
-    /// Time from then until the door is shut.
+    /// Time from then until new calls are rejected.
     pub drain_notice: Span,
-    /// Nothing is in hand any more; our lease may be given back.
+    /// No call is in flight any more; the lease may be given back.
     pub is_drained: bool,
+    /// When the voters are next asked for updates.
     pub subscribe_at: Tick,
+    /// Which voters send us updates.
     pub feed: FeedSources,
     /// When we last asked our neighbours.
     pub gossiped_at: Tick,
-    /// When we last polled the list.
+    /// When we last polled the platform's list of leafs.
     pub list_polled_at: Tick,
     /// When we last heard of a leaf that is gone; zero before that.
     pub leaf_gone_at: Tick,
-    /// The time of the event at hand.
-    pub now: Tick,
+    /// When the leafs assigned to us are next health-checked.
     pub probe_at: Tick,
-    /// When words that tell an age alone are next sent, all together.
+    /// When reports that say an age alone are next sent, all together.
     pub ages_at: Tick,
-    /// What leafs said of themselves that the feed does not show yet. Until it
-    /// does, our own view shows it: the core may be out of reach for long.
+    /// Reports of leafs, by leaf, that the update stream does not show yet. Until
+    /// it does, our own view shows them: the controllers may be out of reach for
+    /// long.
     pub leaf_reports: BTreeMap<String, PendingLeafReport>,
-    /// Words or news came since `words` was last compared with the feed.
+    /// Reports or updates came since `leaf_reports` was last compared with the
+    /// partitions.
     pub reports_unchecked: bool,
-    /// Members whose renewals we handed over.
+    /// Members whose renewals we forwarded, with the time of the last one.
     pub forwarded_renewals: BTreeMap<String, Tick>,
+    /// What is counted for the metrics.
     pub counters: Counters,
 }
 
-/// A part as we hold it.
+/// A partition as a querier holds it.
 #[derive(Default)]
 pub struct PartitionState {
+    /// Revision of `entries`; zero before the first update.
     pub revision: u64,
+    /// The committed entries.
     pub entries: EntryMap,
 }
 
-/// A leaf's word that we heard, and when we last told the core and our
-/// neighbours; zero before the first time.
-pub struct PendingLeafReport {
-    pub service: String,
-    pub report: LeafReport,
-    pub sent_at: Tick,
-    pub passed_on_at: Tick,
+/// A member among whom the cluster's quotas are divided.
+#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
+pub struct QuotaMember {
+    /// The member's name.
+    pub name: String,
+    /// Its traffic threads (count), each of which has its own share.
+    pub threads: u32,
 }
 
-/// Our lease.
-#[derive(Default)]
-pub struct Lease {
-    pub last_number: u64,
-    /// When each renewal that is not yet granted was sent.
-    pub unanswered: BTreeMap<u64, Tick>,
-    /// Grants whose configuration we do not obey yet: revision, sent when.
-    pub pending_grants: Vec<(u64, Tick)>,
-    /// When the newest granted renewal was sent, of those that count; zero
-    /// before the first.
-    pub renewed_at: Tick,
-    pub granted: bool,
-    /// The seat through which the last grant came.
-    pub slot: Option<VoterSlot>,
-    pub renew_at: Tick,
+/// A member that opens connections to leafs.
+#[derive(Clone, Debug, PartialEq, Eq)]
+pub struct LeafClient {
+    /// The member's name.
+    pub name: String,
+    /// Its traffic threads (count).
+    pub threads: u32,
+    /// Its zone.
+    pub zone: String,
 }
 
-/// Another member, as it last spoke to us.
-pub struct Peer {
-    /// When we sent the question that it last answered: a process that was
-    /// paused must not take old words in its buffers for fresh ones.
-    pub asked_at: Tick,
-    /// Age of its word from the core when it spoke.
-    pub core_age: Tick,
-    pub positions: Vec<FeedPosition>,
-    pub ready: bool,
-}
-
-/// What is counted.
+/// Counters of a node agent since its start (counts).
 #[derive(Clone, Default, Debug)]
 pub struct Counters {
+    /// Updates of partitions that were applied.
     pub updates: u64,
+    /// Those of them that came from members.
     pub updates_from_members: u64,
+    /// Views that were published.
     pub views: u64,
+    /// Polls of the platform's list.
     pub list_polls: u64,
+    /// Polls that failed.
     pub list_failures: u64,
+    /// Health checks that were started.
     pub probes: u64,
+    /// Times that this querier was cut off.
     pub lease_lapses: u64,
+    /// Renewals of members that were forwarded to a voter.
     pub forwarded_renewals: u64,
+    /// Reports of leafs that members sent and that were new to us.
     pub leaf_reports_from_members: u64,
 }
 
-/// What happens to a querier's control thread.
+/// What happens to a node agent.
 pub enum Event {
+    /// A voter sent a message.
     FromVoter {
+        /// The slot that it holds by our voter set.
         slot: VoterSlot,
+        /// What it sent.
         message: Message,
     },
+    /// Another member sent a message.
     FromMember {
+        /// The member's name.
         name: String,
+        /// What it sent.
         message: Message,
     },
-    /// A controller tells the table of the seats.
+    /// A controller told its voter set.
     VoterSet(VoterSet),
-    /// A leaf spoke of itself, to a thread or to a probe.
+    /// A leaf reported on itself, to a traffic thread or to a health check.
     LeafReport {
+        /// The leaf's service.
         service: String,
+        /// What it reported.
         report: LeafReport,
     },
-    /// A poll of the list has ended.
+    /// A poll of the platform's list has ended.
     LeafList(Result<Vec<LeafInfo>, String>),
+    /// The process is asked to stop.
     Stop,
-    /// The threads have nothing in hand any more.
+    /// The traffic threads have no call in flight any more.
     Drained,
+    /// Time passes; comes at least every [`step::WAKE`](super::step::WAKE).
     Wake,
 }
 
-/// What it wants done.
+/// What a node agent wants done by the process that drives it.
 pub enum Command {
+    /// Send a message to a voter.
     ToVoter {
+        /// The voter's slot.
         slot: VoterSlot,
+        /// What to send.
         message: Message,
     },
+    /// Send a message to another member.
     ToMember {
+        /// The member's name.
         name: String,
+        /// Its address.
         addr: String,
+        /// What to send.
         message: Message,
     },
-    /// To every controller that we know a way to.
+    /// Send a message to every controller whose address is known.
     Broadcast {
+        /// What to send.
         message: Message,
     },
-    /// The table of the seats changed: see to the connections.
+    /// The voter set changed: open and drop connections accordingly.
     VoterSetChanged,
+    /// Give the traffic threads a view.
     ClusterView(Arc<ClusterView>),
-    /// The members whose threads share the fleet's limits, with theirs;
-    /// empty while we have no share.
-    QuotaMembers(Vec<(String, u32)>),
-    /// All members that open connections to leafs: with their threads and zones.
-    /// Unlike shares these are told before they are settled; a deal that is
-    /// not everyone's for a moment costs a reset connection at most.
-    LeafClients(Vec<(String, u32, String)>),
+    /// The members among whom the cluster's quotas are divided; empty while we
+    /// have no share.
+    QuotaMembers(Vec<QuotaMember>),
+    /// All members that open connections to leafs. Unlike quotas these are
+    /// told before the membership is settled; a subset of connections that
+    /// members do not agree on for a moment costs a reset connection at most.
+    LeafClients(Vec<LeafClient>),
+    /// Which calls are taken.
     Admission(Door),
-    /// Until when the threads may act on their view, if nothing else is said.
+    /// Until when the traffic threads may act on their view, if nothing else is said.
     ServingUntil(Tick),
+    /// Whether this querier is ready.
     Ready(bool),
+    /// Poll the platform's list.
     PollLeafList,
+    /// Health-check these leafs.
     ProbeLeafs(Vec<Arc<LeafInfo>>),
+    /// Something an operator must hear of.
     Alarm(String),
 }
 
-/// A querier that knows nothing yet.
-pub fn watch(me: Member, now: Tick) -> NodeAgent {
-    NodeAgent {
-        member: me,
-        started_at: now,
-        partitions: partitions().map(|p| (p, PartitionState::default())).collect(),
-        voter_positions: Vec::new(),
-        voter_set: VoterSet::default(),
-        voter_set_stamp: stamp(&VoterSet::default()),
-        is_caught_up: false,
-        configuration: Arc::new(Built::default()),
-        configuration_revision: 0,
-        view: None,
-        view_is_stale: false,
-        publish_at: now,
-        membership: Membership::default(),
-        ring: NeighbourRing::default(),
-        quota_members: Vec::new(),
-        leaf_clients: Vec::new(),
-        lease: Lease::default(),
-        peers: IndexMap::new(),
-        proofs: Proofs::default(),
-        known_revision: 0,
-        has_served: false,
-        serving_some_since: None,
-        bypassed_since: None,
-        serving_until: 0,
-        admission: Door::Shut,
-        ready: false,
-        stopping_since: None,
-        drain_notice: DRAIN_NOTICE,
-        is_drained: false,
-        subscribe_at: now,
-        feed: FeedSources::default(),
-        gossiped_at: 0,
-        list_polled_at: 0,
-        leaf_gone_at: 0,
-        now,
-        probe_at: now,
-        ages_at: now,
-        leaf_reports: BTreeMap::new(),
-        reports_unchecked: false,
-        forwarded_renewals: BTreeMap::new(),
-        counters: Counters::default(),
+impl NodeAgent {
+    /// The agent of a querier that knows nothing yet.
+    pub fn new(member: Member, now: Tick) -> NodeAgent {
+        NodeAgent {
+            member,
+            started_at: now,
+            partitions: partitions().map(|p| (p, PartitionState::default())).collect(),
+            voter_positions: Vec::new(),
+            voter_set: VoterSet::default(),
+            voter_set_stamp: stamp(&VoterSet::default()),
+            is_caught_up: false,
+            configuration: Arc::new(Built::default()),
+            configuration_revision: 0,
+            view: None,
+            view_is_stale: false,
+            publish_at: now,
+            membership: Membership::default(),
+            ring: NeighbourRing::default(),
+            quota_members: Vec::new(),
+            leaf_clients: Vec::new(),
+            lease: Lease::default(),
+            peers: IndexMap::new(),
+            proofs: Proofs::default(),
+            known_revision: 0,
+            has_served: false,
+            serving_some_since: None,
+            bypassed_since: None,
+            serving_until: 0,
+            admission: Door::Shut,
+            ready: false,
+            stopping_since: None,
+            drain_notice: DRAIN_NOTICE,
+            is_drained: false,
+            subscribe_at: now,
+            feed: FeedSources::default(),
+            gossiped_at: 0,
+            list_polled_at: 0,
+            leaf_gone_at: 0,
+            probe_at: now,
+            ages_at: now,
+            leaf_reports: BTreeMap::new(),
+            reports_unchecked: false,
+            forwarded_renewals: BTreeMap::new(),
+            counters: Counters::default(),
+        }
     }
-}
 
-/// Takes in a table of the seats. Where an operator moves a seat by telling
-/// all processes its new address, the last word stands.
-pub fn learn(w: &mut NodeAgent, theirs: &VoterSet, out: &mut Vec<Command>) {
-    let mut new = merge(&w.voter_set, theirs).unwrap_or_else(|| w.voter_set.clone());
-    for (a, b) in new.slots.iter_mut().zip(&theirs.slots) {
-        if ballot(a) == ballot(b) {
-            *a = b.clone();
+    /// Takes in a voter set. Where an operator moves a replica by telling all
+    /// processes its new address, the last word stands.
+    pub(super) fn on_voter_set(&mut self, theirs: &VoterSet, commands: &mut Vec<Command>) {
+        let mut merged = merge(&self.voter_set, theirs).unwrap_or_else(|| self.voter_set.clone());
+        for (ours, told) in merged.slots.iter_mut().zip(&theirs.slots) {
+            if ballot(ours) == ballot(told) {
+                *ours = told.clone();
+            }
+        }
+        if merged == self.voter_set {
+            return;
         }
+        self.voter_positions.resize(merged.slots.len(), Vec::new());
+        for (index, holder) in merged.slots.iter().enumerate() {
+            // What the former replica said does not count for its successor.
+            if self.voter_set.slots.get(index).map(ballot) != Some(ballot(holder)) {
+                self.voter_positions[index].clear();
+                self.feed.answered_at.remove(&(index as VoterSlot));
+                self.lease.slot = self.lease.slot.filter(|slot| usize::from(*slot) != index);
+            }
+        }
+        self.voter_set = merged;
+        self.voter_set_stamp = stamp(&self.voter_set);
+        self.subscribe_at = 0;
+        self.feed.ask_others_at = 0;
+        commands.push(Command::VoterSetChanged);
     }
-    if new == w.voter_set {
-        return;
+
+    /// Every voter slot that a replica holds.
+    pub(super) fn occupied_slots(&self) -> Vec<VoterSlot> {
+        let slots = self.voter_set.slots.iter().enumerate();
+        slots.filter(|(_, h)| h.holder != 0).map(|(i, _)| i as VoterSlot).collect()
     }
-    w.voter_positions.resize(new.slots.len(), Vec::new());
-    for (i, h) in new.slots.iter().enumerate() {
-        if w.voter_set.slots.get(i).map(ballot) != Some(ballot(h)) {
-            w.voter_positions[i].clear();
-            w.feed.answered_at.remove(&(i as VoterSlot));
-            w.lease.slot = w.lease.slot.filter(|s| usize::from(*s) != i);
+
+    /// How far we are in every partition.
+    pub(super) fn positions(&self) -> Vec<FeedPosition> {
+        self.partitions
+            .iter()
+            .map(|(id, state)| FeedPosition { partition: *id, revision: state.revision })
+            .collect()
+    }
+
+    /// Sends a message to the voter that serves us, or to all while none does.
+    pub(super) fn send_to_core(&self, message: Message, commands: &mut Vec<Command>) {
+        match self.lease.slot {
+            Some(slot) => commands.push(Command::ToVoter { slot, message }),
+            None => self.send_to_voters(&message, commands),
         }
     }
-    w.voter_set = new;
-    w.voter_set_stamp = stamp(&w.voter_set);
-    (w.subscribe_at, w.feed.ask_others_at) = (0, 0);
-    out.push(Command::VoterSetChanged);
-}
 
-/// Every seat that somebody holds.
-pub fn slots(w: &NodeAgent) -> Vec<VoterSlot> {
-    let list = w.voter_set.slots.iter().enumerate().filter(|(_, h)| h.holder != 0);
-    list.map(|(i, _)| i as VoterSlot).collect()
-}
+    /// Sends a message to every voter.
+    pub(super) fn send_to_voters(&self, message: &Message, commands: &mut Vec<Command>) {
+        for slot in self.occupied_slots() {
+            commands.push(Command::ToVoter { slot, message: message.clone() });
+        }
+    }
 
-/// Where we stand in every part.
-pub fn places(w: &NodeAgent) -> Vec<FeedPosition> {
-    w.partitions
-        .iter()
-        .map(|(partition, h)| FeedPosition { partition: *partition, revision: h.revision })
-        .collect()
+    /// Sends a message to a member of the membership.
+    pub(super) fn send_to_member(&self, name: &str, message: Message, commands: &mut Vec<Command>) {
+        let Some(member) = self.membership.members.iter().find(|m| m.name == name) else { return };
+        commands.push(Command::ToMember {
+            name: member.name.clone(),
+            addr: member.addr.clone(),
+            message,
+        });
+    }
 }
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -1,147 +1,175 @@
-//! `step` of a querier's control thread.
+//! Dispatch of a node agent's events.
 
 use crate::consts;
 use crate::control_plane::members::newer;
-use crate::identifiers::CONFIG;
-use crate::membership::neighbour_ring::ring;
-use crate::membership::node_agent::{Command, Event, NodeAgent, learn, places};
-use crate::membership::{assignments, attestation, feed, status, updates};
-use crate::protocol::message::Message;
-use crate::time::{Tick, ms};
+use crate::identifiers::VoterSlot;
+use crate::membership::gossip::Gossip;
+use crate::membership::neighbour_ring::NeighbourRing;
+use crate::membership::node_agent::{Command, Event, NodeAgent};
+use crate::protocol::message::{FeedPosition, Membership, Message};
+use crate::time::{Span, Tick, ms};
 
-/// How often a querier's control thread looks around.
-pub const WAKE: crate::time::Span = ms(50);
+/// How often a node agent is woken at least: well below the shortest of its
+/// periods, the 100 ms between renewals of a member without a lease.
+pub const WAKE: Span = ms(50);
 
-/// Takes one event and says what to do.
-pub fn step(w: &mut NodeAgent, now: Tick, event: Event) -> Vec<Command> {
-    let mut out = Vec::new();
-    w.now = now;
-    match event {
-        Event::FromVoter { slot, message } => match message {
-            // Said under another table it may be of a seat given away.
-            Message::FeedPositions { places, stamp } if stamp == w.voter_set_stamp => {
-                if let Some(cell) = w.voter_positions.get_mut(usize::from(slot)) {
-                    *cell = places;
-                    w.feed.answered_at.insert(slot, now);
+/// Who sent an update or a membership.
+#[derive(Clone, Copy, PartialEq)]
+enum Source {
+    Voter,
+    Member,
+}
+
+impl NodeAgent {
+    /// Takes one event and returns what is to be done.
+    pub fn step(&mut self, now: Tick, event: Event) -> Vec<Command> {
+        let mut commands = Vec::new();
+        match event {
+            Event::FromVoter { slot, message } => {
+                self.on_voter_message(now, slot, message, &mut commands);
+            }
+            Event::VoterSet(voter_set) => self.on_voter_set(&voter_set, &mut commands),
+            Event::FromMember { name, message } => {
+                self.on_member_message(now, &name, message, &mut commands);
+            }
+            Event::LeafReport { service, report } => self.on_leaf_report(now, service, report),
+            Event::LeafList(polled) => self.on_leaf_list(now, polled, &mut commands),
+            Event::Stop => self.stopping_since = Some(now),
+            Event::Drained => {
+                self.is_drained = true;
+                self.lease.renew_at = now;
+            }
+            Event::Wake => {
+                self.subscribe(now, &mut commands);
+                self.gossip(now, &mut commands);
+                self.poll_leaf_list(now, &mut commands);
+                self.probe_leafs(now, &mut commands);
+            }
+        }
+        self.send_leaf_reports(now, &mut commands);
+        self.check_caught_up(now);
+        self.lease.take_up_grants(self.configuration_revision);
+        self.publish_view(now, &mut commands);
+        self.decide(now, &mut commands);
+        self.renew_lease(now, &mut commands);
+        commands
+    }
+
+    fn on_voter_message(
+        &mut self,
+        now: Tick,
+        slot: VoterSlot,
+        message: Message,
+        commands: &mut Vec<Command>,
+    ) {
+        match message {
+            // Under another voter set it may be about a replica that was replaced.
+            Message::FeedPositions { places, stamp } if stamp == self.voter_set_stamp => {
+                self.on_feed_positions(now, slot, places);
+            }
+            Message::LeaseGranted { ref name, .. } if *name != self.member.name => {
+                if self.forwarded_renewals.contains_key(name) {
+                    self.send_to_member(&name.clone(), message, commands);
                 }
             }
-            Message::LeaseGranted {
-                ref name,
-                incarnation,
-                count,
-                revision,
-                tell_membership,
-                ..
-            } => {
-                if *name == w.member.name {
-                    if incarnation == w.member.incarnation {
-                        status::granted(w, Some(slot), count, revision);
-                    }
-                    if tell_membership && w.membership.term > 0 {
-                        out.push(Command::ToVoter {
-                            slot,
-                            message: Message::MembershipUpdate(w.membership.clone()),
-                        });
-                    }
-                } else if w.forwarded_renewals.contains_key(name) {
-                    status::to_member(w, &name.clone(), message, &mut out);
+            Message::LeaseGranted { incarnation, count, revision, tell_membership, .. } => {
+                if incarnation == self.member.incarnation {
+                    self.on_lease_granted(Some(slot), count, revision);
+                }
+                if tell_membership && self.membership.term > 0 {
+                    let message = Message::MembershipUpdate(self.membership.clone());
+                    commands.push(Command::ToVoter { slot, message });
                 }
             }
-            message => any(w, message, false, &mut out),
-        },
-        Event::VoterSet(table) => learn(w, &table, &mut out),
-        Event::FromMember { name, message } => from_member(w, now, &name, message, &mut out),
-        Event::LeafReport { service, report } => assignments::hear(w, service, report),
-        Event::LeafList(got) => assignments::listed(w, got, &mut out),
-        Event::Stop => w.stopping_since = Some(now),
-        Event::Drained => {
-            w.is_drained = true;
-            w.lease.renew_at = now;
-        }
-        Event::Wake => {
-            feed::follow(w, now, &mut out);
-            status::gossip(w, now, &mut out);
-            assignments::wake(w, now, &mut out);
-            assignments::probe(w, now, &mut out);
+            message => self.on_update_message(message, Source::Voter, commands),
         }
     }
-    assignments::findings(w, now, &mut out);
-    updates::settle_start(w, now);
-    status::hold(w);
-    updates::publish(w, now, &mut out);
-    status::decide(w, now, &mut out);
-    status::renew(w, now, &mut out);
-    out
-}
 
-/// What may come from a seat as well as from a member.
-fn any(w: &mut NodeAgent, message: Message, member: bool, out: &mut Vec<Command>) {
-    match message {
-        Message::Update { partition, from, revision, entries }
-            if updates::take(w, partition, from, revision, &entries, out) && member =>
-        {
-            w.counters.updates_from_members += 1;
-        }
-        Message::MembershipUpdate(membership) if newer(&membership, &w.membership) => {
-            w.membership = membership;
-            attestation::adopt(w);
-            w.ring = ring(&w.membership, &w.member.name);
-            // What we saw lets others settle: say so at once.
-            w.lease.renew_at = 0;
+    fn on_feed_positions(&mut self, now: Tick, slot: VoterSlot, positions: Vec<FeedPosition>) {
+        if let Some(known) = self.voter_positions.get_mut(usize::from(slot)) {
+            *known = positions;
+            self.feed.answered_at.insert(slot, now);
         }
-        _ => {}
     }
-}
 
-fn from_member(w: &mut NodeAgent, now: Tick, name: &str, message: Message, out: &mut Vec<Command>) {
-    match message {
-        Message::Gossip { name, core_age_ms, ready, places: theirs, asked, echo, attestation } => {
-            let mut ahead = theirs
-                .iter()
-                .any(|p| w.partitions.get(&p.partition).is_some_and(|h| h.revision < p.revision));
-            let config = theirs.iter().find(|p| p.partition == CONFIG).map_or(0, |p| p.revision);
-            attestation::learn_of(w, config);
-            if let (Some(echo), Some(attestation)) = (echo, &attestation) {
-                ahead |= attestation::take_in(w, echo, attestation);
+    fn on_member_message(
+        &mut self,
+        now: Tick,
+        name: &str,
+        message: Message,
+        commands: &mut Vec<Command>,
+    ) {
+        match message {
+            Message::Gossip { name, core_age_ms, ready, places, asked, echo, attestation } => {
+                let gossip =
+                    Gossip { core_age_ms, ready, positions: places, asked, echo, attestation };
+                self.on_gossip(now, &name, gossip, commands);
             }
-            if let Some(echo) = echo {
-                status::spoke(w, echo, &name, (core_age_ms, ready, theirs));
+            Message::VoterSetUpdate { table, .. } => self.on_voter_set(&table, commands),
+            Message::Subscribe { places, stamp } => {
+                self.on_member_subscribe(name, &places, stamp, commands);
             }
-            if asked.is_some() {
-                let attestation = attestation::attest(w, now);
-                let message = status::gossip_msg(w, now, None, asked, attestation);
-                status::to_member(w, &name, message, out);
+            // Forward a neighbour's renewal, if our own way to the controllers works.
+            Message::RenewLease { member, count, far } => {
+                if self.core_age(now) < consts::TENURE_WORRY {
+                    self.forwarded_renewals.insert(member.name.clone(), now);
+                    self.counters.forwarded_renewals += 1;
+                    self.send_to_core(Message::RenewLease { member, count, far }, commands);
+                }
             }
-            // Ask a member only for what the core did not bring us in time.
-            if ahead && config > 0 && status::core_age(w, now) >= consts::TENURE_WORRY {
-                let message = Message::Subscribe { places: places(w), stamp: w.voter_set_stamp };
-                status::to_member(w, &name, message, out);
+            Message::LeafReports { partition, words } => {
+                self.on_member_leaf_reports(now, partition, words);
             }
-        }
-        Message::VoterSetUpdate { table, .. } => learn(w, &table, out),
-        Message::Subscribe { places, stamp } => {
-            let list = updates::hand_on(w, &places);
-            let membership = Message::MembershipUpdate(w.membership.clone());
-            let slots = Message::VoterSetUpdate { me: 0, table: w.voter_set.clone() };
-            let slots = (stamp != w.voter_set_stamp).then_some(slots);
-            for message in list.into_iter().chain([membership]).chain(slots) {
-                status::to_member(w, name, message, out);
+            Message::LeaseGranted { name, incarnation, count, revision, .. }
+                if name == self.member.name && incarnation == self.member.incarnation =>
+            {
+                self.on_lease_granted(None, count, revision);
             }
+            message => self.on_update_message(message, Source::Member, commands),
         }
-        Message::RenewLease { member, count, far } => {
-            // Hand a neighbour's renewal over, if our own way to the core works.
-            if status::core_age(w, now) < consts::TENURE_WORRY {
-                w.forwarded_renewals.insert(member.name.clone(), now);
-                w.counters.forwarded_renewals += 1;
-                assignments::to_core(w, Message::RenewLease { member, count, far }, out);
+    }
+
+    /// A message that may come from a voter as well as from a member.
+    fn on_update_message(&mut self, message: Message, source: Source, commands: &mut Vec<Command>) {
+        match message {
+            Message::Update { partition, from, revision, entries } => {
+                let applied = self.apply_update(partition, from, revision, &entries, commands);
+                if applied && source == Source::Member {
+                    self.counters.updates_from_members += 1;
+                }
+            }
+            Message::MembershipUpdate(membership) if newer(&membership, &self.membership) => {
+                self.adopt_membership(membership);
             }
+            _ => {}
+        }
+    }
+
+    fn adopt_membership(&mut self, membership: Membership) {
+        self.membership = membership;
+        if self.proofs.adopt(&self.membership, &self.member) {
+            self.learn_revision(self.membership.revision);
+        }
+        self.ring = NeighbourRing::new(&self.membership, &self.member.name);
+        // That we have seen it lets others settle: say so at once.
+        self.lease.renew_at = 0;
+    }
+
+    /// A member asks for what is newer here than at `positions`.
+    fn on_member_subscribe(
+        &self,
+        name: &str,
+        positions: &[FeedPosition],
+        stamp: u64,
+        commands: &mut Vec<Command>,
+    ) {
+        let mut messages = self.updates_beyond(positions);
+        messages.push(Message::MembershipUpdate(self.membership.clone()));
+        if stamp != self.voter_set_stamp {
+            messages.push(Message::VoterSetUpdate { me: 0, table: self.voter_set.clone() });
         }
-        Message::LeafReports { partition, words } => assignments::handed(w, now, partition, words),
-        Message::LeaseGranted { name, incarnation, count, revision, .. }
-            if name == w.member.name && incarnation == w.member.incarnation =>
-        {
-            status::granted(w, None, count, revision);
+        for message in messages {
+            self.send_to_member(name, message, commands);
         }
-        message => any(w, message, true, out),
     }
 }
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -1,170 +1,202 @@
-//! Following the feed, and making views of it.
+//! Applying updates of the partitions, and making views of them.
 
 use std::sync::Arc;
 
-use crate::config::build::{Route, Shard};
+use crate::config::build::{Built, Route, Shard};
 use crate::config::{build, change};
 use crate::consts;
 use crate::control_plane::endpoints;
 use crate::identifiers::{CONFIG, PartitionId, partitions};
 use crate::membership::node_agent::{Command, NodeAgent};
-use crate::protocol::message::{FeedPosition, Message};
+use crate::protocol::message::{EntryMap, FeedPosition, Message};
 use crate::snapshot::cluster_view::{ClusterView, open, view};
 use crate::snapshot::leafs::LeafInfo;
 use crate::storage::record::put;
 use crate::time::{Tick, since};
 use crate::voter_set::majority;
 
-/// Takes news of one part. News that does not reach beyond what we hold, or
-/// that would leave a gap, changes nothing.
-pub fn take(
-    w: &mut NodeAgent,
-    partition: PartitionId,
-    from: Option<u64>,
-    revision: u64,
-    entries: &[change::Entry],
-    out: &mut Vec<Command>,
-) -> bool {
-    let Some(held) = w.partitions.get_mut(&partition) else { return false };
-    if revision <= held.revision || from.is_some_and(|f| f > held.revision) {
-        return false;
-    }
-    if from.is_none() {
-        held.entries.clear();
+impl NodeAgent {
+    /// Applies an update of one partition; tells whether it was new. An update that
+    /// does not reach beyond what is held, or that would leave a gap, changes nothing.
+    /// `from` is the revision that it continues; a snapshot has none.
+    pub(super) fn apply_update(
+        &mut self,
+        partition: PartitionId,
+        from: Option<u64>,
+        revision: u64,
+        entries: &[change::Entry],
+        commands: &mut Vec<Command>,
+    ) -> bool {
+        let Some(state) = self.partitions.get_mut(&partition) else { return false };
+        if revision <= state.revision || from.is_some_and(|from| from > state.revision) {
+            return false;
+        }
+        if from.is_none() {
+            state.entries.clear();
+        }
+        put(&mut state.entries, entries);
+        state.revision = revision;
+        self.view_is_stale = true;
+        self.reports_unchecked = true;
+        self.counters.updates += 1;
+        if partition == CONFIG {
+            self.adopt_configuration(commands);
+        }
+        true
     }
-    put(&mut held.entries, entries);
-    held.revision = revision;
-    w.view_is_stale = true;
-    w.reports_unchecked = true;
-    w.counters.updates += 1;
-    if partition == CONFIG {
-        w.known_revision = w.known_revision.max(revision);
-        match change::config(&held.entries).map_err(|text| vec![text]).and_then(|c| {
-            build::build(&c).map_err(|all| all.iter().map(|f| f.to_string()).collect())
-        }) {
-            Ok(built) => {
-                w.configuration = Arc::new(built);
-                w.configuration_revision = revision;
+
+    /// Obeys the configuration that is held, if it can be built.
+    fn adopt_configuration(&mut self, commands: &mut Vec<Command>) {
+        let Some(state) = self.partitions.get(&CONFIG) else { return };
+        let revision = state.revision;
+        let built = build_configuration(&state.entries);
+        self.learn_revision(revision);
+        match built {
+            Ok(configuration) => {
+                self.configuration = Arc::new(configuration);
+                self.configuration_revision = revision;
             }
-            Err(all) => out.push(Command::Alarm(format!(
+            Err(reasons) => commands.push(Command::Alarm(format!(
                 "configuration {revision} can't be obeyed, {} stays: {}",
-                w.configuration_revision,
-                all.join("; ")
+                self.configuration_revision,
+                reasons.join("; ")
             ))),
         }
     }
-    true
-}
 
-/// News for another member that stands at `places`.
-pub fn hand_on(w: &NodeAgent, list: &[FeedPosition]) -> Vec<Message> {
-    list.iter()
-        .filter_map(|place| {
-            let held = w.partitions.get(&place.partition)?;
-            if held.revision <= place.revision {
+    /// Snapshots of the partitions that another member, which is at `positions`,
+    /// lacks something of.
+    pub(super) fn updates_beyond(&self, positions: &[FeedPosition]) -> Vec<Message> {
+        let update = |theirs: &FeedPosition| {
+            let ours = self.partitions.get(&theirs.partition)?;
+            if ours.revision <= theirs.revision {
                 return None;
             }
-            let entries = held.entries.iter().map(|(k, v)| (k.clone(), Some(v.clone()))).collect();
+            let entries = ours.entries.iter();
             Some(Message::Update {
-                partition: place.partition,
+                partition: theirs.partition,
                 from: None,
-                revision: held.revision,
-                entries,
+                revision: ours.revision,
+                entries: entries.map(|(key, val)| (key.clone(), Some(val.clone()))).collect(),
             })
-        })
-        .collect()
-}
-
-/// Whether our first view can't be older than one that we, in a former life,
-/// or others obey. An accepted configuration is synced by a majority of the
-/// seats: of those that speak, all have it but as many as a majority leaves out.
-/// With the core silent, a ready member's view serves.
-pub fn settle_start(w: &mut NodeAgent, now: Tick) {
-    if w.is_caught_up {
-        return;
-    }
-    if w.configuration_revision == 0 {
-        return;
+        };
+        positions.iter().filter_map(update).collect()
     }
-    let peer = since(w.started_at, now) > consts::START_PATIENCE
-        && w.peers
-            .values()
-            .any(|p| p.ready && p.positions.iter().all(|pl| pl.revision <= ours(w, pl.partition)));
-    w.is_caught_up =
-        peer || partitions().all(|partition| ours(w, partition) >= least(w, partition));
-}
 
-/// The revision that we obey or hold of a part.
-fn ours(w: &NodeAgent, partition: PartitionId) -> u64 {
-    if partition == CONFIG {
-        w.configuration_revision
-    } else {
-        w.partitions.get(&partition).map_or(0, |h| h.revision)
+    /// Notes whether the first view can't be older than one that we, before a
+    /// restart, or others obey. An accepted configuration is synced by a majority of
+    /// the voters: of those that answer, all have it but as many as a majority leaves
+    /// out. With the controllers silent, a ready member's view serves.
+    pub(super) fn check_caught_up(&mut self, now: Tick) {
+        if self.is_caught_up || self.configuration_revision == 0 {
+            return;
+        }
+        let waited = since(self.started_at, now) > consts::START_PATIENCE;
+        let reached_member = waited
+            && self.peers.values().any(|peer| {
+                let reached = |theirs: &FeedPosition| {
+                    theirs.revision <= self.obeyed_revision(theirs.partition)
+                };
+                peer.ready && peer.positions.iter().all(reached)
+            });
+        self.is_caught_up = reached_member
+            || partitions().all(|id| self.obeyed_revision(id) >= self.least_revision(id));
     }
-}
 
-/// The revision of a part below which we might miss something accepted.
-fn least(w: &NodeAgent, partition: PartitionId) -> u64 {
-    let mut said: Vec<u64> = w
-        .voter_positions
-        .iter()
-        .flatten()
-        .filter(|p| p.partition == partition)
-        .map(|p| p.revision)
-        .collect();
-    said.sort_unstable();
-    let lacking =
-        w.voter_set.slots.len() - majority(w.voter_set.slots.len()).min(w.voter_set.slots.len());
-    said.get(lacking).copied().unwrap_or(u64::MAX)
-}
+    /// The revision that we obey, or hold, of a partition.
+    fn obeyed_revision(&self, partition: PartitionId) -> u64 {
+        if partition == CONFIG {
+            self.configuration_revision
+        } else {
+            self.partitions.get(&partition).map_or(0, |state| state.revision)
+        }
+    }
 
-/// Gives out a new view if what we hold has changed.
-pub fn publish(w: &mut NodeAgent, now: Tick, out: &mut Vec<Command>) {
-    let moved = w.view.as_ref().is_none_or(|v| v.revision != w.configuration_revision);
-    if !w.is_caught_up || !w.view_is_stale || (!moved && now < w.publish_at) {
-        return;
+    /// The revision of a partition below which we might miss something accepted.
+    fn least_revision(&self, partition: PartitionId) -> u64 {
+        let mut answered: Vec<u64> = self
+            .voter_positions
+            .iter()
+            .flatten()
+            .filter(|position| position.partition == partition)
+            .map(|position| position.revision)
+            .collect();
+        answered.sort_unstable();
+        let size = self.voter_set.slots.len();
+        let left_out = size - majority(size).min(size);
+        answered.get(left_out).copied().unwrap_or(u64::MAX)
     }
-    w.view_is_stale = false;
-    w.publish_at = now + consts::VIEW_GAP;
-    let list = partitions()
-        .filter(|p| *p != CONFIG)
-        .filter_map(|p| w.partitions.get(&p))
-        .flat_map(|h| endpoints::all(&h.entries).into_values())
-        .filter_map(|info| overlaid(w, info))
-        .collect();
-    let new = Arc::new(view(w.configuration_revision, w.configuration.clone(), list));
-    let good = new.mappings.values().filter(|m| serves(&new, m)).count();
-    if good > 0 {
-        w.serving_some_since.get_or_insert(now);
-        w.has_served |= good == new.mappings.len();
+
+    /// Publishes a new view if what is held has changed.
+    pub(super) fn publish_view(&mut self, now: Tick, commands: &mut Vec<Command>) {
+        let obeyed = self.view.as_ref().map(|view| view.revision);
+        let is_new_configuration = obeyed != Some(self.configuration_revision);
+        if !self.is_caught_up
+            || !self.view_is_stale
+            || (!is_new_configuration && now < self.publish_at)
+        {
+            return;
+        }
+        self.view_is_stale = false;
+        self.publish_at = now + consts::VIEW_GAP;
+        let view = Arc::new(self.build_view());
+        self.note_searches_served(now, &view);
+        if view.leafs.values().any(|leaf| leaf.age_ms == 0) {
+            // Nobody knows yet how much load these take: ask soon.
+            self.probe_at = self.probe_at.min(now + consts::PROBE_SOON);
+        }
+        if obeyed.is_none_or(|revision| revision < view.revision) {
+            // Operators wait to hear that we obey.
+            self.lease.renew_at = 0;
+        }
+        self.view = Some(view.clone());
+        self.counters.views += 1;
+        commands.push(Command::ClusterView(view));
     }
-    if new.leafs.values().any(|l| l.age_ms == 0) {
-        // Nobody knows yet what these bear: ask soon.
-        w.probe_at = w.probe_at.min(now + consts::PROBE_SOON);
+
+    fn build_view(&self) -> ClusterView {
+        let leafs = partitions()
+            .filter(|id| *id != CONFIG)
+            .filter_map(|id| self.partitions.get(&id))
+            .flat_map(|state| endpoints::all(&state.entries).into_values())
+            .filter_map(|info| self.with_reports(info))
+            .collect();
+        view(self.configuration_revision, self.configuration.clone(), leafs)
     }
-    if w.view.as_ref().is_none_or(|v| v.revision < new.revision) {
-        // Operators wait to hear that we obey.
-        w.lease.renew_at = 0;
+
+    fn note_searches_served(&mut self, now: Tick, view: &ClusterView) {
+        let served = view.mappings.values().filter(|route| has_quorum(view, route)).count();
+        if served > 0 {
+            self.serving_some_since.get_or_insert(now);
+            self.has_served |= served == view.mappings.len();
+        }
     }
-    w.view = Some(new.clone());
-    w.counters.views += 1;
-    out.push(Command::ClusterView(new));
-}
 
-/// A leaf with what we heard of it and the feed does not show yet.
-fn overlaid(w: &NodeAgent, mut info: LeafInfo) -> Option<LeafInfo> {
-    if let Some(heard) = w.leaf_reports.get(&info.leaf) {
-        if heard.report.gone {
-            return None;
+    /// A leaf with what it reported and the update stream does not show yet; none if
+    /// it is gone.
+    fn with_reports(&self, mut info: LeafInfo) -> Option<LeafInfo> {
+        if let Some(pending) = self.leaf_reports.get(&info.leaf) {
+            if pending.report.gone {
+                return None;
+            }
+            info.leaving |= pending.report.leaving;
+            info.age_ms = info.age_ms.max(pending.report.age_ms);
         }
-        info.leaving |= heard.report.leaving;
-        info.age_ms = info.age_ms.max(heard.report.age_ms);
+        Some(info)
     }
-    Some(info)
 }
 
-/// Whether a mapping has leafs for its quorum.
-fn serves(view: &ClusterView, map: &Route) -> bool {
-    let has = |s: &&Shard| s.pools.iter().any(|p| open(view, p, &map.cut).next().is_some());
-    map.shards.iter().filter(has).count() >= build::needed(map.quorum, map.shards.len())
+/// Builds the configuration of these entries, or says what is wrong with it.
+fn build_configuration(entries: &EntryMap) -> Result<Built, Vec<String>> {
+    let configuration = change::config(entries).map_err(|text| vec![text])?;
+    build::build(&configuration).map_err(|all| all.iter().map(|f| f.to_string()).collect())
+}
+
+/// Whether a route has leafs for its quorum of shards.
+fn has_quorum(view: &ClusterView, route: &Route) -> bool {
+    let has_leaf = |shard: &&Shard| {
+        shard.pools.iter().any(|pool| open(view, pool, &route.cut).next().is_some())
+    };
+    let served = route.shards.iter().filter(has_leaf).count();
+    served >= build::needed(route.quorum, route.shards.len())
 }
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -5,9 +5,8 @@
 use grebepath_core::consts;
 use grebepath_core::control_plane::controller;
 use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartitionId, VoterSlot};
-use grebepath_core::membership::neighbour_ring::ring;
-use grebepath_core::membership::node_agent::{Command, Event, NodeAgent, watch};
-use grebepath_core::membership::step::step;
+use grebepath_core::membership::neighbour_ring::NeighbourRing;
+use grebepath_core::membership::node_agent::{Command, Event, NodeAgent};
 use grebepath_core::protocol::message::{FeedPosition, Member, Membership, Message};
 use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_core::time::{BOOT, Tick, ms};
@@ -27,18 +26,18 @@
 /// A member that has just started and knows the seats.
 fn starts() -> NodeAgent {
     let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
-    let mut w = watch(member(0), BOOT);
-    step(&mut w, BOOT, Event::VoterSet(told_table(&seeds)));
+    let mut w = NodeAgent::new(member(0), BOOT);
+    w.step(BOOT, Event::VoterSet(told_table(&seeds)));
     w.subscribe_at = BOOT;
     w
 }
 
 /// A member that has a view and the core's word.
 fn serves() -> NodeAgent {
-    let mut w = watch(member(0), BOOT);
+    let mut w = NodeAgent::new(member(0), BOOT);
     let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
     (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (true, true, BOOT);
-    step(&mut w, BOOT, Event::VoterSet(told_table(&seeds)));
+    w.step(BOOT, Event::VoterSet(told_table(&seeds)));
     w
 }
 
@@ -59,17 +58,17 @@
         places: vec![FeedPosition { partition, revision }],
         stamp: w.voter_set_stamp,
     };
-    step(w, now, Event::FromVoter { slot, message });
+    w.step(now, Event::FromVoter { slot, message });
 }
 
 #[gtest]
 fn one_seat_feeds_and_the_others_are_asked_how_far_they_are() {
     let mut w = serves();
-    let (whole, only) = asked(&step(&mut w, BOOT, Event::Wake));
+    let (whole, only) = asked(&w.step(BOOT, Event::Wake));
     expect_that!(whole.len(), eq(1));
     expect_that!(only.len(), eq(SEATS - 1));
     // The others are asked at every second beat only.
-    let (again, none) = asked(&step(&mut w, BOOT + consts::FOLLOW_BEAT, Event::Wake));
+    let (again, none) = asked(&w.step(BOOT + consts::FOLLOW_BEAT, Event::Wake));
     expect_that!(again, eq(&whole));
     expect_that!(none, is_empty());
 }
@@ -84,7 +83,7 @@
     ] {
         let now = w.subscribe_at;
         (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (sure, granted, now);
-        let (whole, only) = asked(&step(&mut w, now, Event::Wake));
+        let (whole, only) = asked(&w.step(now, Event::Wake));
         expect_that!(whole.len(), eq(SEATS));
         expect_that!(only, is_empty());
         expect_that!(w.subscribe_at, eq(now + beat));
@@ -94,7 +93,7 @@
 #[gtest]
 fn a_seat_that_has_a_new_holder_feeds_when_it_has_spoken() {
     let mut w = serves();
-    let (whole, _) = asked(&step(&mut w, BOOT, Event::Wake));
+    let (whole, _) = asked(&w.step(BOOT, Event::Wake));
     let first = whole[0];
     let now = BOOT + consts::FEED_SILENCE;
     for slot in 0..SEATS as VoterSlot {
@@ -103,38 +102,38 @@
     let mut table = w.voter_set.clone();
     let h = &mut table.slots[usize::from(first)];
     (h.generation, h.holder, h.addr) = (2, 77, "10.1.0.9:1".into());
-    step(&mut w, now, Event::VoterSet(table));
+    w.step(now, Event::VoterSet(table));
     w.lease.renewed_at = now;
-    let (whole, only) = asked(&step(&mut w, now, Event::Wake));
+    let (whole, only) = asked(&w.step(now, Event::Wake));
     expect_that!(whole, not(contains(eq(&first))));
     // All are asked at once: who speaks may feed.
     expect_that!(only, contains(eq(&first)));
     // What was said under the table before says nothing of the new holder.
     let message = Message::FeedPositions { places: Vec::new(), stamp: 0 };
-    step(&mut w, now, Event::FromVoter { slot: first, message });
+    w.step(now, Event::FromVoter { slot: first, message });
     let beat = w.subscribe_at;
-    expect_that!(asked(&step(&mut w, beat, Event::Wake)).0, not(contains(eq(&first))));
+    expect_that!(asked(&w.step(beat, Event::Wake)).0, not(contains(eq(&first))));
     reach(&mut w, beat, first, CONFIG, 0);
     let beat = w.subscribe_at;
-    expect_that!(asked(&step(&mut w, beat, Event::Wake)).0, elements_are![eq(&first)]);
+    expect_that!(asked(&w.step(beat, Event::Wake)).0, elements_are![eq(&first)]);
 }
 
 #[gtest]
 fn a_seat_that_is_further_feeds_too_until_we_have_it() {
     let mut w = serves();
-    let (whole, only) = asked(&step(&mut w, BOOT, Event::Wake));
+    let (whole, only) = asked(&w.step(BOOT, Event::Wake));
     let (first, other) = (whole[0], only[0]);
     for partition in [CONFIG, COHORT] {
         let now = w.subscribe_at;
         w.lease.renewed_at = now;
         reach(&mut w, now - ms(100), first, partition, 0);
         reach(&mut w, now - ms(100), other, partition, u64::MAX / 4);
-        let (whole, _) = asked(&step(&mut w, now, Event::Wake));
+        let (whole, _) = asked(&w.step(now, Event::Wake));
         expect_that!(whole, unordered_elements_are![eq(&first), eq(&other)]);
         let now = w.subscribe_at;
         reach(&mut w, now - ms(100), first, partition, 0);
         reach(&mut w, now - ms(100), other, partition, 0);
-        let (whole, _) = asked(&step(&mut w, now, Event::Wake));
+        let (whole, _) = asked(&w.step(now, Event::Wake));
         expect_that!(whole, elements_are![eq(&first)]);
     }
 }
@@ -176,34 +175,30 @@
 #[gtest]
 fn a_seat_that_is_silent_feeds_no_longer() {
     let mut w = serves();
-    let (whole, only) = asked(&step(&mut w, BOOT, Event::Wake));
+    let (whole, only) = asked(&w.step(BOOT, Event::Wake));
     let now = BOOT + consts::FEED_SILENCE + ms(1);
     w.lease.renewed_at = now;
     reach(&mut w, now - ms(100), only[0], CONFIG, 0);
-    let (next, _) = asked(&step(&mut w, now, Event::Wake));
+    let (next, _) = asked(&w.step(now, Event::Wake));
     expect_that!(next, elements_are![eq(&only[0])]);
     expect_that!(whole, not(eq(&next)));
     // With all silent, all are followed.
     let later = now + 2 * consts::FEED_SILENCE;
     w.lease.renewed_at = later;
-    let (all, _) = asked(&step(&mut w, later, Event::Wake));
+    let (all, _) = asked(&w.step(later, Event::Wake));
     expect_that!(all.len(), eq(SEATS));
 }
 
 /// The asks that a member sends in ten seconds; with the core's word or not.
 fn asks(calm: bool) -> usize {
-    let mut w = watch(member(0), BOOT);
-    step(
-        &mut w,
-        BOOT,
-        Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(9)) },
-    );
+    let mut w = NodeAgent::new(member(0), BOOT);
+    w.step(BOOT, Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(9)) });
     w.lease.granted = calm;
     let mut n = 0;
     for i in 0..200 {
         let now = BOOT + ms(50 * i);
         w.lease.renewed_at = if calm { now } else { 0 };
-        for c in step(&mut w, now, Event::Wake) {
+        for c in w.step(now, Event::Wake) {
             if let Command::ToMember { message: Message::Gossip { places, asked, .. }, .. } = c {
                 expect_that!(asked, some(eq(now)));
                 expect_that!(places, is_empty());
@@ -222,12 +217,8 @@
 
 #[gtest]
 fn an_answer_says_where_we_stand() {
-    let mut w = watch(member(0), BOOT);
-    step(
-        &mut w,
-        BOOT,
-        Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(3)) },
-    );
+    let mut w = NodeAgent::new(member(0), BOOT);
+    w.step(BOOT, Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(3)) });
     let message = Message::Gossip {
         name: "m1".into(),
         core_age_ms: 0,
@@ -237,7 +228,7 @@
         echo: None,
         attestation: None,
     };
-    let todo = step(&mut w, BOOT + 1, Event::FromMember { name: "m1".into(), message });
+    let todo = w.step(BOOT + 1, Event::FromMember { name: "m1".into(), message });
     let answers = todo.iter().filter(|c| {
         matches!(c, Command::ToMember { message: Message::Gossip { places, echo: Some(7), .. }, .. }
             if places.len() == 1 + consts::SERVICE_PARTS as usize)
@@ -248,7 +239,7 @@
 #[gtest]
 fn duties_have_one_holder_and_neighbours_are_mutual() {
     let all = membership(40);
-    let rings: Vec<_> = all.members.iter().map(|m| ring(&all, &m.name)).collect();
+    let rings: Vec<_> = all.members.iter().map(|m| NeighbourRing::new(&all, &m.name)).collect();
     for key in 0..consts::PROBE_KEYS as usize {
         expect_that!(rings.iter().filter(|r| r.probe_keys[key]).count(), eq(1));
     }
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -7,8 +7,8 @@
 
 use grebepath_core::consts;
 use grebepath_core::http_api::list;
-use grebepath_core::membership::node_agent::{Command, Event, NodeAgent, watch};
-use grebepath_core::membership::step::{WAKE, step};
+use grebepath_core::membership::node_agent::{Command, Event, NodeAgent};
+use grebepath_core::membership::step::WAKE;
 use grebepath_core::protocol::message::{LeafReport, Member, Message, PeerIdentity};
 use grebepath_core::query::engine;
 use grebepath_core::snapshot::cluster_view::ClusterView;
@@ -105,7 +105,7 @@
         joined: 0,
         incarnation: grebepath_runtime::clock::nonce(),
     };
-    let mut w = watch(me, now(&clock));
+    let mut w = NodeAgent::new(me, now(&clock));
     let mut patience = consts::DRAIN_MAX;
     if let Some(grace) = p.grace {
         w.drain_notice = grace * consts::NOTICE_PCT / 100;
@@ -190,7 +190,7 @@
             Some(event) = wire_rx.recv() => heard(&mut io, &w, event),
         };
         if let Some(event) = event {
-            let todo = step(&mut w, now(&clock), event);
+            let todo = w.step(now(&clock), event);
             carry_out(&mut io, &w, todo);
         }
         if io.shut && !asked {
@@ -204,7 +204,7 @@
         }
     }
     // Gives the lease back, so that our share is free at once.
-    let todo = step(&mut w, now(&clock), Event::Drained);
+    let todo = w.step(now(&clock), Event::Drained);
     carry_out(&mut io, &w, todo);
     tokio::time::sleep(Duration::from_millis(20)).await;
     Ok(())
@@ -276,13 +276,16 @@
                 }
                 let _ = io.view.send(view);
             }
-            Command::QuotaMembers(list) => {
+            Command::QuotaMembers(members) => {
+                let list: Vec<_> = members.into_iter().map(|m| (m.name, m.threads)).collect();
                 for (i, desk) in io.desks.iter().enumerate() {
                     let share = grebepath_core::query::quota::share(&list, &io.me, i as u32);
                     let _ = desk.send(Work::Event(engine::Event::Share(share)));
                 }
             }
-            Command::LeafClients(list) => {
+            Command::LeafClients(clients) => {
+                let list: Vec<_> =
+                    clients.into_iter().map(|c| (c.name, c.threads, c.zone)).collect();
                 let peers = grebepath_core::query::quota::peers(&list);
                 for desk in &io.desks {
                     let _ = desk.send(Work::Event(engine::Event::Peers(peers.clone())));
--- a/crates/server/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -20,7 +20,7 @@
         counts: w.counters.clone(),
         revision: w.view.as_ref().map_or(0, |v| v.revision),
         members: w.membership.members.len() as u64,
-        shares: w.quota_members.iter().map(|(_, n)| u64::from(*n)).sum(),
+        shares: w.quota_members.iter().map(|m| u64::from(m.threads)).sum(),
     }
 }
 
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -248,7 +248,7 @@
     let n = &mut w.fronts[f];
     let local = w.now - n.began + BOOT;
     n.meter.steps += 1;
-    let todo = timed(&mut n.meter.step_ns, || qstep::step(&mut n.watch, local, event));
+    let todo = timed(&mut n.meter.step_ns, || n.watch.step(local, event));
     for command in todo {
         front_does(w, f, command);
     }
--- a/crates/simulator/src/scale_model/weight.rs
+++ b/crates/simulator/src/scale_model/weight.rs
@@ -71,7 +71,7 @@
 /// A querier's control state.
 pub fn watch(w: &NodeAgent) -> usize {
     let held: usize = w.partitions.values().map(|h| map(&h.entries)).sum();
-    let shared: usize = w.quota_members.iter().map(|(n, _)| text(n) + 8).sum();
+    let shared: usize = w.quota_members.iter().map(|m| text(&m.name) + 8).sum();
     let committed = w.view.as_ref().map_or(0, |v| view(v));
     held + shared + membership(&w.membership) + committed
 }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -164,7 +164,7 @@
         incarnation: 0,
     };
     w.by_name.insert(name, f);
-    let watch = wat::watch(me.clone(), BOOT);
+    let watch = wat::NodeAgent::new(me.clone(), BOOT);
     let meter = Meter::default();
     let node = Front {
         me,
@@ -187,7 +187,7 @@
     n.life += 1;
     (n.up, n.ready, n.polling, n.began) = (true, false, false, w.now);
     n.me.incarnation = n.life;
-    n.watch = wat::watch(n.me.clone(), BOOT);
+    n.watch = wat::NodeAgent::new(n.me.clone(), BOOT);
     let life = n.life;
     let after = below(&mut w.luck, qstep::WAKE);
     push(w, after, ScheduledEvent::FrontWake { f, life });
@@ -198,7 +198,7 @@
     let life = w.fronts[f].life;
     let n = &mut w.fronts[f];
     (n.up, n.ready) = (false, false);
-    n.watch = wat::watch(n.me.clone(), BOOT);
+    n.watch = wat::NodeAgent::new(n.me.clone(), BOOT);
     for s in 0..w.seats.len() {
         let event = Box::new(st::Event::ConnectionClosed { connection: connection(f, life) });
         let life = w.seats[s].life;
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -409,7 +409,7 @@
     for q in 0..queriers {
         let zone = ZONES[q % ZONES.len()].to_string();
         let name = format!("q{q}");
-        let watch = wat::watch(member(&name, &zone, q, 0), 1);
+        let watch = wat::NodeAgent::new(member(&name, &zone, q, 0), 1);
         w.queriers.push(QuerierNode {
             name,
             zone,
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -12,7 +12,7 @@
     n.paused = 0;
     n.polling = false;
     n.began = w.now;
-    n.watch = wat::watch(member(&n.name, &n.zone, q, n.life), BOOT);
+    n.watch = wat::NodeAgent::new(member(&n.name, &n.zone, q, n.life), BOOT);
     n.desks = (0..THREADS)
         .map(|t| {
             let name = format!("{}-{t}-{:x}", n.name, n.life);
@@ -56,7 +56,7 @@
 
 pub(super) fn step_watch(w: &mut World, q: usize, event: wat::Event) {
     let local = w.now - w.queriers[q].began + BOOT;
-    let todo = qstep::step(&mut w.queriers[q].watch, local, event);
+    let todo = w.queriers[q].watch.step(local, event);
     if w.broken == Some(Broken::SlipBack) && w.queriers[q].watch.configuration_revision > 0 {
         w.queriers[q].watch.is_caught_up = true;
     }
@@ -134,7 +134,8 @@
                 push(w, 20, ScheduledEvent::ToDesk { q, life, t, event });
             }
         }
-        wat::Command::QuotaMembers(list) => {
+        wat::Command::QuotaMembers(members) => {
+            let list: Vec<_> = members.into_iter().map(|m| (m.name, m.threads)).collect();
             for t in 0..THREADS {
                 let name = w.queriers[q].name.clone();
                 let mut share = grebepath_core::query::quota::share(&list, &name, t);
@@ -145,7 +146,8 @@
                 push(w, 20, ScheduledEvent::ToDesk { q, life, t: t as usize, event });
             }
         }
-        wat::Command::LeafClients(list) => {
+        wat::Command::LeafClients(clients) => {
+            let list: Vec<_> = clients.into_iter().map(|c| (c.name, c.threads, c.zone)).collect();
             let peers = grebepath_core::query::quota::peers(&list);
             for t in 0..THREADS as usize {
                 push(
