--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -4,8 +4,6 @@
 
 // ---- versions -------------------------------------------------------------
 
-/// Version of the messages between our processes; another one is bounced.
-pub const WIRE_VERSION: u16 = 3;
 /// Version of the files on disk; another one is reported, never read.
 pub const DISK_VERSION: u16 = 1;
 
@@ -102,11 +100,6 @@
 
 // ---- connections between our processes -----------------------------------------
 
-/// Bytes of one piece of a message (bytes). Large messages travel in pieces
-/// so that a beat waits behind at most one of them.
-pub const PIECE: usize = 64 * 1024;
-/// Largest whole message (bytes): a configuration of several MiB with room.
-pub const MESSAGE_LIMIT: usize = 64 * 1024 * 1024;
 /// Messages a connection may have waiting (count) before new ones are dropped;
 /// every message of ours may be lost and is sent again by its owner.
 pub const WIRE_BUFFER: usize = 1_024;
--- a/crates/core/src/protocol/frame.rs
+++ b/crates/core/src/protocol/frame.rs
@@ -1,104 +1,164 @@
-//! Messages in pieces. Each piece: length, version, lane, last-mark, checksum.
-//! Messages on different lanes may interleave; those of one lane keep order.
+//! Framing of messages between our processes.
+//!
+//! A message is cut into pieces of bounded size, each with a header: length,
+//! version, lane, whether it is the last of its message, checksum. Messages on
+//! different lanes may interleave, so that a heartbeat never waits behind a whole
+//! snapshot; messages of one lane keep their order.
 
 use nanoserde::{DeBin, SerBin};
-use quick_error::quick_error;
+use thiserror::Error;
 
-use crate::consts::{MESSAGE_LIMIT, PIECE, WIRE_VERSION};
-use crate::protocol::message::Message;
+use super::message::Message;
 
-/// Bytes before each piece's body: length u32, version u16, lane u8, last u8,
-/// checksum u32.
-pub const HEAD: usize = 12;
-/// Lanes a connection has: one for small messages, one for large ones.
-pub const LANES: usize = 2;
+/// Version of the protocol between our processes; a peer with another is rejected.
+pub const PROTOCOL_VERSION: u16 = 3;
+/// Most bytes of a piece's body: a heartbeat waits behind one of them at most.
+pub const PIECE_BYTES: usize = 64 * 1024;
+/// Most bytes of a whole message: a configuration of several MiB, with reserve.
+pub const MESSAGE_LIMIT_BYTES: usize = 64 * 1024 * 1024;
+/// Bytes of a piece's header: length u32, version u16, lane u8, last u8, checksum
+/// u32, all little-endian.
+pub const HEADER_BYTES: usize = 12;
+/// Lanes of a connection (count).
+const LANES: usize = 2;
 
-quick_error! {
-    /// Why a connection is given up.
-    #[derive(Debug, PartialEq)]
-    pub enum FrameError {
-        Version(got: u16) { display("peer speaks wire version {got}, we speak {}", WIRE_VERSION) }
-        Head { display("a piece with an impossible head") }
-        Checksum { display("a piece whose checksum does not fit") }
-        TooLarge { display("a message larger than {} bytes", MESSAGE_LIMIT) }
-        Garbage { display("a message that can't be read") }
+/// Why a connection is given up: what came on it is no message of this protocol.
+#[derive(Debug, PartialEq, Error)]
+pub enum FrameError {
+    /// The peer was built for another version of the protocol.
+    #[error("peer speaks wire version {found}, we speak {PROTOCOL_VERSION}")]
+    Version {
+        /// The peer's version.
+        found: u16,
+    },
+    /// A length, lane or last mark that no header has.
+    #[error("a piece with an impossible head")]
+    Header,
+    /// The body is not the one that the header was written for.
+    #[error("a piece whose checksum does not fit")]
+    Checksum,
+    /// The pieces of a message come to more than `MESSAGE_LIMIT_BYTES`.
+    #[error("a message larger than {MESSAGE_LIMIT_BYTES} bytes")]
+    TooLarge,
+    /// The pieces fit, but what they make up can't be decoded.
+    #[error("a message that can't be read")]
+    Undecodable,
+}
+
+/// One of the two lanes of a connection.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Lane {
+    /// Messages of one piece.
+    Small,
+    /// Messages of several pieces.
+    Large,
+}
+
+impl Lane {
+    /// The lane that a message of so many bytes takes.
+    pub fn for_length(bytes: usize) -> Lane {
+        if bytes > PIECE_BYTES { Lane::Large } else { Lane::Small }
+    }
+
+    fn as_byte(self) -> u8 {
+        match self {
+            Lane::Small => 0,
+            Lane::Large => 1,
+        }
+    }
+
+    fn from_byte(byte: u8) -> Option<Lane> {
+        match byte {
+            0 => Some(Lane::Small),
+            1 => Some(Lane::Large),
+            _ => None,
+        }
     }
 }
 
-/// The head of a piece.
+/// The header of a piece.
 #[derive(Debug, PartialEq)]
-pub struct Head {
-    pub len: usize,
-    pub lane: usize,
-    pub last: bool,
-    pub sum: u32,
+pub struct PieceHeader {
+    /// Bytes of the body.
+    pub length: usize,
+    /// The lane of the message.
+    pub lane: Lane,
+    /// Whether this is the last piece of its message.
+    pub is_last: bool,
+    /// CRC-32 of the body.
+    pub checksum: u32,
 }
 
-/// The lane a message of this size takes.
-pub fn lane(len: usize) -> usize {
-    usize::from(len > PIECE)
+impl PieceHeader {
+    /// Reads a header.
+    pub fn parse(raw: &[u8; HEADER_BYTES]) -> Result<PieceHeader, FrameError> {
+        let length = u32::from_le_bytes([raw[0], raw[1], raw[2], raw[3]]) as usize;
+        let version = u16::from_le_bytes([raw[4], raw[5]]);
+        if version != PROTOCOL_VERSION {
+            return Err(FrameError::Version { found: version });
+        }
+        let lane = Lane::from_byte(raw[6]).ok_or(FrameError::Header)?;
+        if length > PIECE_BYTES || raw[7] > 1 {
+            return Err(FrameError::Header);
+        }
+        let checksum = u32::from_le_bytes([raw[8], raw[9], raw[10], raw[11]]);
+        Ok(PieceHeader { length, lane, is_last: raw[7] == 1, checksum })
+    }
 }
 
-/// A message's bytes, not yet cut.
-pub fn write(message: &Message) -> Vec<u8> {
+/// The bytes of a message, not yet cut into pieces.
+pub fn encode(message: &Message) -> Vec<u8> {
     message.serialize_bin()
 }
 
-/// Cuts a message's bytes into pieces with heads.
-pub fn pieces(bytes: &[u8]) -> Vec<Vec<u8>> {
-    let lane = lane(bytes.len()) as u8;
-    let count = bytes.len().div_ceil(PIECE).max(1);
-    (0..count)
-        .map(|i| {
-            let body = &bytes[i * PIECE..bytes.len().min((i + 1) * PIECE)];
-            let mut out = Vec::with_capacity(HEAD + body.len());
-            out.extend((body.len() as u32).to_le_bytes());
-            out.extend(WIRE_VERSION.to_le_bytes());
-            out.push(lane);
-            out.push(u8::from(i + 1 == count));
-            out.extend(crc32fast::hash(body).to_le_bytes());
-            out.extend(body);
-            out
-        })
-        .collect()
+/// Cuts the bytes of a message into pieces with headers.
+pub fn split(bytes: &[u8]) -> Vec<Vec<u8>> {
+    let lane = Lane::for_length(bytes.len());
+    if bytes.is_empty() {
+        return vec![piece(lane, true, bytes)];
+    }
+    let count = bytes.len().div_ceil(PIECE_BYTES);
+    let bodies = bytes.chunks(PIECE_BYTES).enumerate();
+    bodies.map(|(index, body)| piece(lane, index + 1 == count, body)).collect()
 }
 
-/// Reads a head; `raw` has `HEAD` bytes.
-pub fn head(raw: &[u8; HEAD]) -> Result<Head, FrameError> {
-    let len = u32::from_le_bytes([raw[0], raw[1], raw[2], raw[3]]) as usize;
-    let ver = u16::from_le_bytes([raw[4], raw[5]]);
-    if ver != WIRE_VERSION {
-        return Err(FrameError::Version(ver));
-    }
-    if len > PIECE || usize::from(raw[6]) >= LANES || raw[7] > 1 {
-        return Err(FrameError::Head);
-    }
-    let sum = u32::from_le_bytes([raw[8], raw[9], raw[10], raw[11]]);
-    Ok(Head { len, lane: raw[6].into(), last: raw[7] == 1, sum })
+fn piece(lane: Lane, is_last: bool, body: &[u8]) -> Vec<u8> {
+    let mut piece = Vec::with_capacity(HEADER_BYTES + body.len());
+    piece.extend((body.len() as u32).to_le_bytes());
+    piece.extend(PROTOCOL_VERSION.to_le_bytes());
+    piece.push(lane.as_byte());
+    piece.push(u8::from(is_last));
+    piece.extend(crc32fast::hash(body).to_le_bytes());
+    piece.extend(body);
+    piece
 }
 
-/// Gathers pieces to messages again.
+/// Puts the pieces of a connection together to messages again.
 #[derive(Default)]
-pub struct Gather {
+pub struct Reassembler {
+    /// What has come of the message under way on each lane.
     lanes: [Vec<u8>; LANES],
 }
 
-/// Takes a piece; gives a message when it was the last of one.
-pub fn take(g: &mut Gather, head: &Head, body: &[u8]) -> Result<Option<Message>, FrameError> {
-    if crc32fast::hash(body) != head.sum {
-        return Err(FrameError::Checksum);
-    }
-    let lane = &mut g.lanes[head.lane];
-    if lane.len() + body.len() > MESSAGE_LIMIT {
-        return Err(FrameError::TooLarge);
-    }
-    lane.extend(body);
-    if !head.last {
-        return Ok(None);
-    }
-    let whole = std::mem::take(lane);
-    match Message::deserialize_bin(&whole) {
-        Ok(message) => Ok(Some(message)),
-        Err(_) => Err(FrameError::Garbage),
+impl Reassembler {
+    /// Takes in a piece; gives the message that it was the last piece of.
+    pub fn push(
+        &mut self,
+        header: &PieceHeader,
+        body: &[u8],
+    ) -> Result<Option<Message>, FrameError> {
+        if crc32fast::hash(body) != header.checksum {
+            return Err(FrameError::Checksum);
+        }
+        let pending = &mut self.lanes[usize::from(header.lane.as_byte())];
+        if pending.len() + body.len() > MESSAGE_LIMIT_BYTES {
+            return Err(FrameError::TooLarge);
+        }
+        pending.extend(body);
+        if !header.is_last {
+            return Ok(None);
+        }
+        let bytes = std::mem::take(pending);
+        Message::deserialize_bin(&bytes).map(Some).map_err(|_| FrameError::Undecodable)
     }
 }
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -278,7 +278,7 @@
     assert_that!(bodies.len(), eq(expected.len()));
     for (body, msg) in bodies.iter().zip(&expected) {
         expect_that!(read_message(body, msg), ok(eq(&())));
-        expect_that!(frame::write(msg), eq(body), "{msg:?}");
+        expect_that!(frame::encode(msg), eq(body), "{msg:?}");
     }
 }
 
@@ -292,15 +292,16 @@
 
 /// Puts pieces together; the message must be whole at the last one.
 fn read_pieces(pieces: &[Vec<u8>], expected: &Message) -> Outcome {
-    let mut gather = frame::Gather::default();
+    let mut reassembler = frame::Reassembler::default();
     let mut found = Vec::new();
     for piece in pieces {
         let (raw, body) = piece.split_first_chunk::<HEAD_BYTES>().ok_or("a short piece")?;
-        let head = frame::head(raw).map_err(|error| error.to_string())?;
-        same("length", &head.len, &body.len())?;
+        let head = frame::PieceHeader::parse(raw).map_err(|error| error.to_string())?;
+        same("length", &head.length, &body.len())?;
         // Small messages go on the first lane, those of several pieces on the second.
-        same("lane", &head.lane, &usize::from(pieces.len() > 1))?;
-        found.push(frame::take(&mut gather, &head, body).map_err(|error| error.to_string())?);
+        let lane = if pieces.len() > 1 { frame::Lane::Large } else { frame::Lane::Small };
+        same("lane", &head.lane, &lane)?;
+        found.push(reassembler.push(&head, body).map_err(|error| error.to_string())?);
     }
     let mut whole = vec![None; pieces.len() - 1];
     whole.push(Some(expected.clone()));
@@ -319,12 +320,12 @@
 fn messages_are_cut_into_pieces_as_before() {
     let small = [SMALL_MESSAGE.to_vec()];
     expect_that!(read_pieces(&small, &messages::small()), ok(eq(&())));
-    expect_that!(frame::pieces(&frame::write(&messages::small())), eq(&small));
+    expect_that!(frame::split(&frame::encode(&messages::small())), eq(&small));
 
     let large = large_message_pieces(LARGE_MESSAGE_HEADS, LARGE_MESSAGE_START);
     expect_that!(large.len(), eq(3));
     expect_that!(read_pieces(&large, &messages::large()).is_ok(), eq(true));
-    let same = frame::pieces(&frame::write(&messages::large())) == large;
+    let same = frame::split(&frame::encode(&messages::large())) == large;
     expect_that!(same, eq(true), "the pieces of the large message");
 }
 
@@ -369,7 +370,7 @@
 fn a_changed_byte_in_a_message_is_not_taken_for_the_same() {
     for (body, msg) in bodies(MESSAGES).into_iter().zip(messages::all()) {
         for (at, changed) in changed_copies(body) {
-            assert!(frame::write(&msg) != changed, "{msg:?}, byte {at}");
+            assert!(frame::encode(&msg) != changed, "{msg:?}, byte {at}");
             // Bytes from 0x80 on stand in numbers and contents only. A changed length
             // would make the reader reserve memory for it, up to an abort; outside
             // of tests it gets nothing but bodies whose checksum fits.
--- /dev/null
+++ b/crates/core/tests/framing.rs
@@ -0,0 +1,76 @@
+//! Messages in pieces: together again, whatever their size, or refused.
+
+use googletest::prelude::*;
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::protocol::frame::{
+    FrameError, HEADER_BYTES, PIECE_BYTES, PROTOCOL_VERSION, PieceHeader, Reassembler, encode,
+    split,
+};
+use grebepath_core::protocol::message::{FeedPosition, Message};
+
+fn large(entries: usize) -> Message {
+    let entries = (0..entries).map(|i| (format!("key-{i}"), Some(vec![i as u8; 700]))).collect();
+    Message::Update { partition: PartitionId(2), from: None, revision: 9, entries }
+}
+
+fn small(revision: u64) -> Message {
+    let places = vec![FeedPosition { partition: PartitionId(0), revision }];
+    Message::Subscribe { places, stamp: 0 }
+}
+
+fn header_of(piece: &[u8]) -> [u8; HEADER_BYTES] {
+    piece[..HEADER_BYTES].try_into().unwrap()
+}
+
+fn push(
+    reassembler: &mut Reassembler,
+    piece: &[u8],
+) -> std::result::Result<Option<Message>, FrameError> {
+    let header = PieceHeader::parse(&header_of(piece))?;
+    assert_eq!(header.length, piece.len() - HEADER_BYTES);
+    reassembler.push(&header, &piece[HEADER_BYTES..])
+}
+
+#[googletest::test]
+fn small_messages_overtake_large_ones_piece_by_piece() {
+    let big = large(1_000);
+    let pieces = split(&encode(&big));
+    expect_that!(pieces.len(), gt(8));
+    let mut reassembler = Reassembler::default();
+    let mut received = Vec::new();
+    for (i, piece) in pieces.iter().enumerate() {
+        expect_that!(piece.len(), le(PIECE_BYTES + HEADER_BYTES));
+        for between in split(&encode(&small(i as u64))) {
+            received.extend(push(&mut reassembler, &between).unwrap());
+        }
+        received.extend(push(&mut reassembler, piece).unwrap());
+    }
+    expect_that!(received.len(), eq(pieces.len() + 1));
+    expect_that!(received[0], eq(&small(0)));
+    expect_that!(received.last().unwrap(), eq(&big));
+}
+
+#[googletest::test]
+fn an_unknown_version_is_rejected_with_its_number() {
+    let mut piece = split(&encode(&small(1))).remove(0);
+    piece[4..6].copy_from_slice(&(PROTOCOL_VERSION + 1).to_le_bytes());
+    let result = push(&mut Reassembler::default(), &piece);
+    expect_that!(result, err(eq(&FrameError::Version { found: PROTOCOL_VERSION + 1 })));
+}
+
+#[googletest::test]
+fn no_flipped_bit_passes() {
+    let piece = split(&encode(&small(77))).remove(0);
+    for bit in 0..piece.len() * 8 {
+        let mut bad = piece.clone();
+        bad[bit / 8] ^= 1 << (bit % 8);
+        let Ok(header) = PieceHeader::parse(&header_of(&bad)) else { continue };
+        // A changed length means that other bytes are taken for the body.
+        let end = HEADER_BYTES + header.length;
+        let Some(body) = bad.get(HEADER_BYTES..end) else { continue };
+        // A lost last-mark or another lane only withholds the message.
+        if let Ok(Some(message)) = Reassembler::default().push(&header, body) {
+            assert_eq!(message, small(77), "bit {bit}");
+        }
+    }
+}
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -13,7 +13,7 @@
     WIRE_BUFFER, WIRE_DIAL, WIRE_RETRY, WIRE_RETRY_MAX, WIRE_SILENCE, WIRE_STALL,
 };
 use grebepath_core::protocol::frame;
-use grebepath_core::protocol::frame::{Gather, HEAD};
+use grebepath_core::protocol::frame::{HEADER_BYTES, Lane, PieceHeader, Reassembler};
 use grebepath_core::protocol::message::{Message, PeerIdentity};
 
 use crate::clock::duration;
@@ -54,7 +54,7 @@
 /// Sends a message, or drops it when the connection's buffer is full: every
 /// message of ours may be lost, and its owner sends it again.
 pub fn send(out: &Out, message: &Message) -> bool {
-    out.tx.try_send(frame::write(message)).is_ok()
+    out.tx.try_send(frame::encode(message)).is_ok()
 }
 
 /// Keeps a connection to `addr`: dials it, again and again, says who we are, and
@@ -91,7 +91,7 @@
             let reading = reading(read, move |message| {
                 tell.send(WireEvent::Dialled { tag: tag.clone(), message }).is_ok()
             });
-            let hello = frame::write(&Message::Hello { who: who.clone(), fleet });
+            let hello = frame::encode(&Message::Hello { who: who.clone(), fleet });
             tokio::select! {
                 end = reading => note(&events, addr, end),
                 _ = writing(write, &mut rx, Some(hello)) => {}
@@ -176,21 +176,21 @@
 
 /// Reads messages until the connection ends; says what could not be read.
 async fn reading(mut read: OwnedReadHalf, mut take: impl FnMut(Message) -> bool) -> Option<String> {
-    let mut gather = Gather::default();
-    let mut raw = [0u8; HEAD];
+    let mut reassembler = Reassembler::default();
+    let mut raw = [0u8; HEADER_BYTES];
     loop {
         if read.read_exact(&mut raw).await.is_err() {
             return None;
         }
-        let head = match frame::head(&raw) {
+        let head = match PieceHeader::parse(&raw) {
             Ok(head) => head,
             Err(e) => return Some(e.to_string()),
         };
-        let mut body = vec![0u8; head.len];
+        let mut body = vec![0u8; head.length];
         if read.read_exact(&mut body).await.is_err() {
             return None;
         }
-        match frame::take(&mut gather, &head, &body) {
+        match reassembler.push(&head, &body) {
             Ok(Some(message)) => {
                 if !take(message) {
                     return None;
@@ -208,8 +208,8 @@
     let mut small: VecDeque<Vec<u8>> = VecDeque::new();
     let mut large: VecDeque<Vec<u8>> = VecDeque::new();
     let sort = |small: &mut VecDeque<_>, large: &mut VecDeque<_>, bytes: Vec<u8>| {
-        let to = if frame::lane(bytes.len()) == 0 { small } else { large };
-        to.extend(frame::pieces(&bytes));
+        let to = if Lane::for_length(bytes.len()) == Lane::Small { small } else { large };
+        to.extend(frame::split(&bytes));
     };
     if let Some(bytes) = first {
         sort(&mut small, &mut large, bytes);
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -71,7 +71,7 @@
                     expect_that!(message, eq(&follow(1)));
                     // Garbage on a connection of its own ends that connection alone.
                     let mut raw = tokio::net::TcpStream::connect(addr).await.unwrap();
-                    let bytes = frame::pieces(&frame::write(&follow(3)));
+                    let bytes = frame::split(&frame::encode(&follow(3)));
                     tokio::io::AsyncWriteExt::write_all(&mut raw, &bytes[0][3..]).await.unwrap();
                     connections.push(0);
                 }
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -45,14 +45,14 @@
 /// Weighs a message, if messages are weighed.
 pub fn weigh(net: &mut Net, way: &str, message: &Message) {
     if let Some(hash) = net.trace {
-        net.trace = Some(traced(hash, &grebepath_core::protocol::frame::write(message)));
+        net.trace = Some(traced(hash, &grebepath_core::protocol::frame::encode(message)));
     }
     if let Some(all) = &mut net.weights {
         let text = format!("{message:?}");
         let kind = text.split([' ', '(', '{']).next().unwrap_or_default();
         let cell = all.entry(format!("{way} {kind}")).or_default();
         cell.0 += 1;
-        cell.1 += grebepath_core::protocol::frame::write(message).len() as u64;
+        cell.1 += grebepath_core::protocol::frame::encode(message).len() as u64;
     }
 }
 
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -125,11 +125,11 @@
 
 /// Reads a message as a connection does.
 fn read(raw: &Raw) -> Option<Message> {
-    let mut g = frame::Gather::default();
+    let mut reassembler = frame::Reassembler::default();
     for piece in raw.iter() {
-        let (head, body) = piece.split_first_chunk::<{ frame::HEAD }>()?;
-        let head = frame::head(head).ok()?;
-        if let Some(message) = frame::take(&mut g, &head, body).ok()? {
+        let (head, body) = piece.split_first_chunk::<{ frame::HEADER_BYTES }>()?;
+        let head = frame::PieceHeader::parse(head).ok()?;
+        if let Some(message) = reassembler.push(&head, body).ok()? {
             return Some(message);
         }
     }
@@ -217,7 +217,7 @@
 
 fn seat_writes(w: &mut World, s: usize, way: &'static str, message: &Message) -> Raw {
     let n = &mut w.seats[s];
-    let mut raw = Rc::new(timed(&mut n.meter.code_ns, || frame::pieces(&frame::write(message))));
+    let mut raw = Rc::new(timed(&mut n.meter.code_ns, || frame::split(&frame::encode(message))));
     let bytes = size(&raw);
     if bytes >= SHARED {
         match &n.last {
@@ -306,7 +306,7 @@
 
 fn front_writes(w: &mut World, f: usize, way: &'static str, message: &Message) -> Raw {
     let n = &mut w.fronts[f];
-    let raw = timed(&mut n.meter.code_ns, || frame::pieces(&frame::write(message)));
+    let raw = timed(&mut n.meter.code_ns, || frame::split(&frame::encode(message)));
     let bytes = size_of(&raw);
     add(&mut n.meter.sent, bytes);
     add(w.ways.entry((way, kind(message))).or_default(), bytes);
