--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -10,10 +10,10 @@
 use std::time::{Duration, Instant};
 
 use grebepath_core::command::Command;
-use grebepath_core::control_plane::controller::{ControllerState, Event, core};
+use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::control_plane::order_memory;
 use grebepath_core::control_plane::order_memory::Recall;
-use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::protocol::message::{EntryMap, Message, Operation, OperationResult};
 use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::storage::writer;
@@ -110,7 +110,7 @@
     let seeds = vec![addr.clone()];
     let start = Start { slot: Some(0), first: true, seeds, size: 1, addr: addr.clone() };
     let (roll, _) = begin(None, &start, true, 5);
-    let core = core(roll, (&addr, "a"), Vec::new(), 7, BOOT);
+    let core = ControllerState::new(roll, (&addr, "a"), Vec::new(), 7, BOOT);
     Controller { core, now: BOOT, next_op: 0, accepted: 0, cost: Cost::default() }
 }
 
@@ -156,7 +156,7 @@
     let mut queue = vec![event];
     while let Some(event) = queue.pop() {
         let begin = Instant::now();
-        let commands = step(&mut controller.core, controller.now, event);
+        let commands = controller.core.step(controller.now, event);
         controller.cost.processor += begin.elapsed();
         for command in commands {
             match command {
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -160,39 +160,44 @@
     Wake,
 }
 
-/// A controller that has read its disk. Parts not given are empty.
-pub fn core(
-    roll: VoterFile,
-    here: (&str, &str),
-    found: Vec<(PartitionId, ReplicaCondition, ReplicaState, u64)>,
-    seed: u64,
-    now: Tick,
-) -> ControllerState {
-    let slot = seat_of(&roll.table, roll.me).unwrap_or(NOBODY);
-    let mut found: BTreeMap<PartitionId, _> =
-        found.into_iter().map(|(id, life, copy, len)| (id, (life, copy, len))).collect();
-    let list = partitions()
-        .map(|id| {
-            let (life, copy, len) =
-                found.remove(&id).unwrap_or((ReplicaCondition::Empty, ReplicaState::default(), 0));
-            partition(id, life, copy, len, now)
-        })
-        .collect();
-    ControllerState {
-        slot,
-        luck: luck(seed ^ roll.me),
-        seating: seating(roll, here, now),
-        partitions: list,
-        members: Members::default(),
-        followers: IndexMap::new(),
-        pushed: Vec::new(),
-        ops: IndexMap::new(),
-        lent: IndexMap::new(),
-        next_lent: LENT,
-        next_attempt: mix(mix(seed) ^ ATTEMPTS),
-        attempts_seen: IndexSet::new(),
-        look_at: now + ROT_LOOK,
-        look_next: 0,
-        counts: Counts::default(),
+impl ControllerState {
+    /// A controller that has read its disk. Parts not given are empty.
+    pub fn new(
+        roll: VoterFile,
+        here: (&str, &str),
+        found: Vec<(PartitionId, ReplicaCondition, ReplicaState, u64)>,
+        seed: u64,
+        now: Tick,
+    ) -> Self {
+        let slot = seat_of(&roll.table, roll.me).unwrap_or(NOBODY);
+        let mut found: BTreeMap<PartitionId, _> =
+            found.into_iter().map(|(id, life, copy, len)| (id, (life, copy, len))).collect();
+        let list = partitions()
+            .map(|id| {
+                let (life, copy, len) = found.remove(&id).unwrap_or((
+                    ReplicaCondition::Empty,
+                    ReplicaState::default(),
+                    0,
+                ));
+                partition(id, life, copy, len, now)
+            })
+            .collect();
+        Self {
+            slot,
+            luck: luck(seed ^ roll.me),
+            seating: seating(roll, here, now),
+            partitions: list,
+            members: Members::default(),
+            followers: IndexMap::new(),
+            pushed: Vec::new(),
+            ops: IndexMap::new(),
+            lent: IndexMap::new(),
+            next_lent: LENT,
+            next_attempt: mix(mix(seed) ^ ATTEMPTS),
+            attempts_seen: IndexSet::new(),
+            look_at: now + ROT_LOOK,
+            look_next: 0,
+            counts: Counts::default(),
+        }
     }
 }
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -23,63 +23,65 @@
 /// How often a controller looks around when nothing happens.
 pub const WAKE: crate::time::Span = ms(50);
 
-/// Takes one event and says what to do.
-pub fn step(core: &mut ControllerState, now: Tick, event: Event) -> Vec<Command> {
-    let mut out = Vec::new();
-    match event {
-        Event::FromVoter { slot, holder, connection, message } => {
-            if heard(core, now, (slot, holder), connection, &message, &mut out) {
-                from_seat(core, now, slot, message, &mut out);
+impl ControllerState {
+    /// Takes one event and says what to do.
+    pub fn step(&mut self, now: Tick, event: Event) -> Vec<Command> {
+        let mut out = Vec::new();
+        match event {
+            Event::FromVoter { slot, holder, connection, message } => {
+                if heard(self, now, (slot, holder), connection, &message, &mut out) {
+                    from_seat(self, now, slot, message, &mut out);
+                }
             }
-        }
-        Event::FromController { message } => answer(core, now, message, &mut out),
-        Event::ConnectionOpened { connection } => {
-            core.seating.connections.insert(connection);
-            voter_slots::tell(core, connection, &mut out);
-        }
-        Event::VoterFileWritten { token } => voter_slots::kept(core, now, token, &mut out),
-        Event::VoterFileFailed { why } => voter_slots::trouble(core, now, &why, &mut out),
-        Event::FromConnection { connection, message } => {
-            from_wire(core, now, connection, message, &mut out)
-        }
-        Event::ConnectionClosed { connection } => {
-            core.followers.swap_remove(&connection);
-            core.seating.connections.swap_remove(&connection);
-            operation_forwarding::connection_gone(core, connection);
-            core.members.connections.retain(|_, w| *w != connection);
-        }
-        Event::Synced { partition, token } => synced(core, now, partition, token, &mut out),
-        Event::DiskFailed { partition, why } => {
-            let p = &mut core.partitions[partition.0 as usize];
-            p.writes.clear();
-            replica::step_back(p, now, why, &mut out);
-        }
-        Event::Scrubbed { partition, trouble: Some(why) } => {
-            rotted(core, now, partition, &why, &mut out)
-        }
-        Event::Scrubbed { .. } => {}
-        Event::Operate { op, request, expect, deed } => {
-            let request = Request { id: request, expect, deed };
-            operation_forwarding::operate(core, now, op, request, &mut out);
-        }
-        Event::ForceRecovery => {
-            for p in core.partitions.iter_mut().filter(|p| p.life != ReplicaCondition::Voting) {
-                p.relearn.vouched = true;
-                let text = format!("part {}: an operator vouches for what is left", p.id);
-                out.push(Command::Alarm(text));
+            Event::FromController { message } => answer(self, now, message, &mut out),
+            Event::ConnectionOpened { connection } => {
+                self.seating.connections.insert(connection);
+                voter_slots::tell(self, connection, &mut out);
             }
-        }
-        Event::Stop => handover::begin(core, now, &mut out),
-        Event::Wake => wake(core, now, &mut out),
+            Event::VoterFileWritten { token } => voter_slots::kept(self, now, token, &mut out),
+            Event::VoterFileFailed { why } => voter_slots::trouble(self, now, &why, &mut out),
+            Event::FromConnection { connection, message } => {
+                from_wire(self, now, connection, message, &mut out)
+            }
+            Event::ConnectionClosed { connection } => {
+                self.followers.swap_remove(&connection);
+                self.seating.connections.swap_remove(&connection);
+                operation_forwarding::connection_gone(self, connection);
+                self.members.connections.retain(|_, w| *w != connection);
+            }
+            Event::Synced { partition, token } => synced(self, now, partition, token, &mut out),
+            Event::DiskFailed { partition, why } => {
+                let p = &mut self.partitions[partition.0 as usize];
+                p.writes.clear();
+                replica::step_back(p, now, why, &mut out);
+            }
+            Event::Scrubbed { partition, trouble: Some(why) } => {
+                rotted(self, now, partition, &why, &mut out)
+            }
+            Event::Scrubbed { .. } => {}
+            Event::Operate { op, request, expect, deed } => {
+                let request = Request { id: request, expect, deed };
+                operation_forwarding::operate(self, now, op, request, &mut out);
+            }
+            Event::ForceRecovery => {
+                for p in self.partitions.iter_mut().filter(|p| p.life != ReplicaCondition::Voting) {
+                    p.relearn.vouched = true;
+                    let text = format!("part {}: an operator vouches for what is left", p.id);
+                    out.push(Command::Alarm(text));
+                }
+            }
+            Event::Stop => handover::begin(self, now, &mut out),
+            Event::Wake => wake(self, now, &mut out),
+        }
+        forgotten_members::apply(self, now);
+        members::answer_status(self, now, &mut out);
+        acceptance::look(self, now, &mut out);
+        take_own_answers(self, now, &mut out);
+        operation_forwarding::give_back(self, &mut out);
+        feed::push(self, &mut out);
+        voter_slots::mark(self, now, &mut out);
+        out
     }
-    forgotten_members::apply(core, now);
-    members::answer_status(core, now, &mut out);
-    acceptance::look(core, now, &mut out);
-    take_own_answers(core, now, &mut out);
-    operation_forwarding::give_back(core, &mut out);
-    feed::push(core, &mut out);
-    voter_slots::mark(core, now, &mut out);
-    out
 }
 
 /// What we answer as the leader to requests of our own operators goes the way of
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -8,8 +8,8 @@
 use grebepath_core::command::Command;
 use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
-use grebepath_core::control_plane::controller::{ControllerState, Event, core};
-use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{ControllerState, Event};
+use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::{CONFIG, PartitionId, VoterSlot};
 use grebepath_core::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
@@ -104,8 +104,13 @@
         .map(|(id, copy)| (*id, ReplicaCondition::Voting, copy.clone(), 0))
         .collect();
     let zone = ["a", "b", "c"][node % 3];
-    n.core =
-        Some(core(roll, (&address(node), zone), found, cluster.now + node as u64, cluster.now));
+    n.core = Some(ControllerState::new(
+        roll,
+        (&address(node), zone),
+        found,
+        cluster.now + node as u64,
+        cluster.now,
+    ));
 }
 
 /// Ends a controller at once. What its disk had not finished is lost with the
@@ -140,7 +145,7 @@
     let now = cluster.now;
     let Some(core) = &mut cluster.nodes[node].core else { return };
     let holder = core.seating.roll.me;
-    for command in step(core, now, event) {
+    for command in core.step(now, event) {
         let disk = &mut cluster.nodes[node].disk;
         match command {
             Command::ToVoter { slot, message } => {
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use grebepath_core::command::Command;
-use grebepath_core::control_plane::controller::{ControllerState, Event, core};
-use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{ControllerState, Event};
+use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::protocol::message::{
     Member, MemberProgress, Message, Operation, OperationResult, ReplicaCondition,
@@ -119,7 +119,7 @@
         .iter()
         .map(|(partition, copy)| (*partition, ReplicaCondition::Voting, copy.clone(), 0))
         .collect();
-    core(roll, (&address(node), "a"), found, seed, BOOT)
+    ControllerState::new(roll, (&address(node), "a"), found, seed, BOOT)
 }
 
 /// So many controllers, each with a voter slot and a disk that holds nothing.
@@ -318,7 +318,7 @@
         Event::Operate { .. } | Event::FromVoter { message: Message::OperationRequest { .. }, .. }
     );
     let answered = (cluster.unproved && order).then(|| pretend_proof(core));
-    let commands = step(core, now, event);
+    let commands = core.step(now, event);
     if let (Some(answered), Role::Leader(leader)) = (answered, &mut core.partitions[0].role) {
         leader.answered = answered;
     }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -3,8 +3,8 @@
 use grebepath_core::command::Command;
 use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
-use grebepath_core::control_plane::controller::{ControllerState, Event, core};
-use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{ControllerState, Event};
+use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::time::{BOOT, Tick};
@@ -28,14 +28,14 @@
         addr: addr.clone(),
     };
     let (roll, _) = begin(None, &start, true, 5);
-    let core = core(roll, (&addr, "a"), Vec::new(), 7, BOOT);
+    let core = ControllerState::new(roll, (&addr, "a"), Vec::new(), 7, BOOT);
     One { core, now: BOOT, ops: 0, done: Vec::new() }
 }
 
 fn feed(o: &mut One, event: Event) {
     let mut line = vec![event];
     while !line.is_empty() {
-        for command in step(&mut o.core, o.now, line.remove(0)) {
+        for command in o.core.step(o.now, line.remove(0)) {
             match command {
                 Command::AppendRecord { partition, token, .. }
                 | Command::WriteSnapshot { partition, token, .. } => {
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -143,7 +143,7 @@
 fn who_only_asks_is_shown_how_far_we_are_and_nothing_else() {
     let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
     let roll = VoterFile { me: told_holder(0), first: true, table: told_table(&seeds) };
-    let mut c = controller::core(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
+    let mut c = controller::ControllerState::new(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
     let stamp = c.seating.stamp;
     c.partitions[0].committed.insert("zone/a".into(), vec![1]);
     (c.partitions[0].committed_revision, c.members.membership) = (5, membership(3));
@@ -154,7 +154,7 @@
             connection: 1,
             message: Message::Subscribe { places, stamp },
         };
-        let todo = grebepath_core::control_plane::step::step(c, BOOT, event);
+        let todo = c.step(BOOT, event);
         let told = |f: fn(&Message) -> bool| {
             let sent = |k: &&grebepath_core::command::Command| matches!(k, grebepath_core::command::Command::ToConnection { message, .. } if f(message));
             todo.iter().filter(sent).count()
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -3,8 +3,8 @@
 
 use googletest::prelude::*;
 use grebepath_core::command::Command;
-use grebepath_core::control_plane::controller::{ControllerState, Event, core};
-use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{ControllerState, Event};
+use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::{CONFIG, VoterSlot, partitions};
 use grebepath_core::protocol::message::{Message, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
@@ -147,13 +147,13 @@
         partitions().map(|p| (p, ReplicaCondition::Voting, ReplicaState::default(), 0)).collect();
     let zone = table.slots[usize::from(slot)].zone.clone();
     let roll = VoterFile { me, first: true, table };
-    let core = core(roll, (&addr(slot.into()), &zone), found, 1, BOOT);
+    let core = ControllerState::new(roll, (&addr(slot.into()), &zone), found, 1, BOOT);
     Bench { core, now: BOOT }
 }
 
 /// One event; what it asks of the disk is done at once.
 fn one(b: &mut Bench, event: Event) -> Vec<Command> {
-    let mut todo = step(&mut b.core, b.now, event);
+    let mut todo = b.core.step(b.now, event);
     let mut i = 0;
     while i < todo.len() {
         let event = match &todo[i] {
@@ -167,7 +167,7 @@
             _ => None,
         };
         if let Some(event) = event {
-            let more = step(&mut b.core, b.now, event);
+            let more = b.core.step(b.now, event);
             todo.extend(more);
         }
         i += 1;
@@ -352,7 +352,7 @@
     let mut b = bench(0);
     let table = held(&b.core.seating.roll.table, 0, 2, 90);
     let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
-    let todo = step(&mut b.core, b.now, news);
+    let todo = b.core.step(b.now, news);
     let tells = |c: &Command| {
         matches!(c, Command::ToVoter { message: Message::VoterSetUpdate { .. }, .. })
             || matches!(c, Command::ToConnection { message: Message::VoterSetUpdate { .. }, .. })
@@ -364,7 +364,7 @@
         _ => None,
     });
     // Our own seat is another's: everything is given up, under a new name.
-    let todo = step(&mut b.core, b.now, Event::VoterFileWritten { token: token.unwrap() });
+    let todo = b.core.step(b.now, Event::VoterFileWritten { token: token.unwrap() });
     expect_that!(b.core.slot, eq(NOBODY));
     expect_that!(b.core.partitions.iter().all(|p| p.life == ReplicaCondition::Empty), eq(true));
     let clears =
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -6,8 +6,8 @@
 use std::sync::mpsc;
 
 use grebepath_core::command::Command;
-use grebepath_core::control_plane::controller::{ControllerState, Event, core};
-use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{ControllerState, Event};
+use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::protocol::message::{Operation, OperationResult, PeerIdentity};
 use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_core::voter_set::NOBODY;
@@ -76,14 +76,14 @@
     tokio::task::spawn_local(accept(inner, fleet, wire_tx.clone()));
     let here = (p.addr.to_string(), p.zone.clone());
     let nonce = grebepath_runtime::clock::nonce();
-    let mut core = core(roll, (&here.0, &here.1), found, nonce, now(&clock));
+    let mut core = ControllerState::new(roll, (&here.0, &here.1), found, nonce, now(&clock));
     let ways = ways(Some(p.addr), &p.seeds, (who(&core), fleet), |addr| addr, wire_tx);
     let connections = HashMap::new();
     let mut io =
         Io { ways, looked: 0, connections, disk, tells: HashMap::new(), next_op: 1, wake_at: None };
     arrange(&mut io.ways, who(&core), &core.seating.roll.table);
     for (part, why) in sick {
-        let todo = step(&mut core, now(&clock), Event::DiskFailed { partition: part, why });
+        let todo = core.step(now(&clock), Event::DiskFailed { partition: part, why });
         carry_out(&mut io, &core, todo);
     }
     // Nothing of a controller's params can change while it runs.
@@ -111,7 +111,7 @@
             Some(event) = wire_rx.recv() => heard(&mut io, event),
         };
         if let Some(event) = event {
-            let todo = step(&mut core, now(&clock), event);
+            let todo = core.step(now(&clock), event);
             carry_out(&mut io, &core, todo);
         }
     }
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -140,7 +140,7 @@
     let n = &mut w.seats[s];
     let local = w.now - n.began + BOOT;
     n.meter.steps += 1;
-    let todo = timed(&mut n.meter.step_ns, || cstep::step(&mut n.core, local, event));
+    let todo = timed(&mut n.meter.step_ns, || n.core.step(local, event));
     for command in todo {
         seat_does(w, s, command);
     }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -131,7 +131,7 @@
     w.list = Rc::new(plan::list(&w.leafs));
     for s in 0..consts::SEATS as usize {
         w.seats.push(ControllerNode {
-            core: st::core(Default::default(), ("", ""), Vec::new(), 0, BOOT),
+            core: ControllerState::new(Default::default(), ("", ""), Vec::new(), 0, BOOT),
             disk: simulated_disk::disk(partitions().count()),
             up: false,
             life: 0,
@@ -239,7 +239,7 @@
     n.life += 1;
     (n.up, n.began) = (true, w.now);
     let zone = plan::name(plan::seat_zone(s as VoterSlot));
-    n.core = st::core(roll, (&start.addr, &zone), list, seed, BOOT);
+    n.core = ControllerState::new(roll, (&start.addr, &zone), list, seed, BOOT);
     let life = n.life;
     push(w, below_wake(seed), ScheduledEvent::SeatWake { s, life });
 }
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -9,7 +9,7 @@
 pub fn add_seat(w: &mut World, zone: Option<&str>) -> usize {
     let s = w.seats.len();
     let disk = simulated_disk::disk(partitions().count());
-    let core = st::core(Default::default(), ("", ""), Vec::new(), 0, 1);
+    let core = st::ControllerState::new(Default::default(), ("", ""), Vec::new(), 0, 1);
     let zone = zone.unwrap_or(ZONES[s % ZONES.len()]).to_string();
     w.seats.push(ControllerNode {
         zone,
@@ -59,7 +59,7 @@
     n.began = w.now;
     n.paused = 0;
     n.stopping = None;
-    n.core = st::core(roll, (&start.addr, &n.zone), list, seed, BOOT);
+    n.core = st::ControllerState::new(roll, (&start.addr, &n.zone), list, seed, BOOT);
     let life = n.life;
     push(w, below_ms(seed, 50), ScheduledEvent::SeatWake { s, life });
     // It dials its seeds and all whom it knows, who tell it the table.
@@ -173,7 +173,7 @@
 
 pub(super) fn step_seat(w: &mut World, s: usize, event: CoreEvent) {
     let local = w.now - w.seats[s].began + BOOT;
-    let todo = cstep::step(&mut w.seats[s].core, local, event);
+    let todo = w.seats[s].core.step(local, event);
     for command in todo {
         seat_does(w, s, command);
     }
