--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use nanoserde::{DeBin, SerBin};
+use nanoserde::SerBin;
 
 use crate::command::Command;
 use crate::config::change::Entry;
@@ -13,19 +13,10 @@
 use crate::protocol::message::LeafReport;
 use crate::replication::leader::change;
 use crate::replication::partition::{Partition, leader};
-use crate::snapshot::leafs::{LEAF, LeafInfo, key};
+use crate::snapshot::leafs::{LeafInfo, key, leafs_in};
 use crate::time::{MILLI, Tick, since};
 use crate::voter_set::VoterGroup;
 
-/// The leafs that a map holds; entries that can't be read are passed over.
-pub fn all(map: &BTreeMap<String, Vec<u8>>) -> BTreeMap<String, LeafInfo> {
-    map.iter()
-        .filter(|(k, _)| k.starts_with(LEAF))
-        .filter_map(|(_, v)| LeafInfo::deserialize_bin(v).ok())
-        .map(|l| (l.leaf.clone(), l))
-        .collect()
-}
-
 fn entry(info: &LeafInfo) -> Entry {
     (key(&info.leaf), Some(info.serialize_bin()))
 }
@@ -41,7 +32,7 @@
     out: &mut Vec<Command>,
 ) {
     let id = p.id;
-    let known = all(&p.copy.map);
+    let known = leafs_in(&p.copy.map);
     let Some(o) = leader(p) else { return };
     if !o.serves {
         return;
@@ -103,7 +94,7 @@
     }
     o.ages_at = now + consts::AGES_BEAT;
     let mut seen = std::mem::take(&mut o.seen);
-    let known = all(&p.copy.map);
+    let known = leafs_in(&p.copy.map);
     seen.retain(|name, _| known.contains_key(name));
     let mut entries: Vec<Entry> = Vec::new();
     for (name, info) in known {
@@ -134,7 +125,7 @@
     if !leader(p).is_some_and(|o| o.serves) {
         return;
     }
-    let known = all(&p.copy.map);
+    let known = leafs_in(&p.copy.map);
     let mut entries: Vec<Entry> = Vec::new();
     for word in words {
         let Some(info) = known.get(&word.leaf) else { continue };
--- a/crates/core/src/control_plane/feed.rs
+++ b/crates/core/src/control_plane/feed.rs
@@ -3,7 +3,6 @@
 use crate::command::{Command, ConnectionId};
 use crate::consts;
 use crate::control_plane::controller::ControllerState;
-use crate::control_plane::members;
 use crate::control_plane::order_memory::{is_memory, without_memory};
 use crate::identifiers::{COHORT, PartitionId};
 use crate::protocol::message::{EntryMap, FeedPosition, Message};
@@ -68,7 +67,7 @@
 /// sent a thing once; one that lost it says where it stands in its next
 /// `Follow`.
 pub fn push(core: &mut ControllerState, out: &mut Vec<Command>) {
-    let told = members::mark(&core.members.membership);
+    let told = core.members.membership.feed_revision();
     let heads: Vec<u64> =
         core.partitions.iter().map(|p| p.committed_revision).chain([told]).collect();
     if heads == core.pushed {
@@ -84,7 +83,7 @@
 /// Brings one follower up to what is committed.
 fn bring(core: &mut ControllerState, connection: ConnectionId, out: &mut Vec<Command>) {
     let Some(places) = core.followers.get_mut(&connection) else { return };
-    let told = members::mark(&core.members.membership);
+    let told = core.members.membership.feed_revision();
     if let Some(at) = places.get_mut(&COHORT)
         && *at < told
     {
@@ -123,7 +122,7 @@
         able.map(|p| FeedPosition { partition: p.id, revision: p.copy.revision }).collect();
     places.push(FeedPosition {
         partition: COHORT,
-        revision: members::mark(&core.members.membership),
+        revision: core.members.membership.feed_revision(),
     });
     out.push(Command::ToConnection {
         connection,
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -13,7 +13,6 @@
 use crate::control_plane::membership_log::{MembershipLog, Older};
 use crate::control_plane::retirement;
 use crate::identifiers::{COHORT, VoterSlot};
-use crate::membership::attestation::id;
 use crate::protocol::message::{
     Member, MemberProgress, Membership, MembershipId, Memberships, Message, OperationResult,
 };
@@ -143,7 +142,7 @@
 fn is_unknown(core: &mut ControllerState, now: Tick, far: &MemberProgress) -> bool {
     let which = MembershipId { term: far.saw.0, turn: far.saw.1 };
     let m = &core.members;
-    let may_count = m.blind || which > id(&m.membership);
+    let may_count = m.blind || which > m.membership.id();
     let due = m.asked_at == 0 || since(m.asked_at, now) >= consts::OBEY_LOOK;
     let ask = which.term > 0 && may_count && due && !membership_log::knows(core, which);
     if ask {
@@ -274,7 +273,7 @@
     let log = &m.log;
     // One newer than the current one was inherited from a leader that may have told
     // it to some: they leave it only for a newer one.
-    let newer = |o: &Older| id(&o.membership) > id(&m.membership);
+    let newer = |o: &Older| o.membership.id() > m.membership.id();
     let clear = log.proposed.is_none()
         && log.older.iter().all(|older| older.retired.is_some() || newer(older));
     if !clear || log.older.len() >= consts::MEMBERSHIPS_KEPT {
@@ -382,17 +381,6 @@
     }
 }
 
-/// Whether a state of the membership comes after another.
-pub fn newer(a: &Membership, b: &Membership) -> bool {
-    (a.term, a.turn, a.settled) > (b.term, b.turn, b.settled)
-}
-
-/// A state of the membership as one number that only rises: within a turn it is
-/// told once before all have seen it and once after.
-pub fn mark(c: &Membership) -> u64 {
-    c.term << 32 | c.turn << 1 | u64::from(c.term > 0 && c.settled == c.turn)
-}
-
 /// A member tells the membership that it goes by: to the leader, by way of us or
 /// as it is.
 pub fn told(
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -12,9 +12,7 @@
 use crate::consts;
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::members;
-use crate::control_plane::members::newer;
 use crate::identifiers::VoterSlot;
-use crate::membership::attestation::id;
 use crate::protocol::message::{Membership, MembershipId, Memberships, Message};
 use crate::time::{Tick, since};
 use crate::voter_set::{majority, others};
@@ -138,15 +136,15 @@
     leading.inherited = true;
     leading.sent = None;
     let fetched: Vec<_> = std::mem::take(&mut leading.fetched).into_iter().flatten().collect();
-    let rank = |c: &Membership| (id(c), c.settled);
+    let rank = |c: &Membership| (c.id(), c.settled);
     let Some((current, mut rest)) = fetched.iter().max_by_key(|f| rank(&f.0)).cloned() else {
         return;
     };
-    let newest = id(&current);
-    rest.extend(fetched.into_iter().flat_map(|f| f.1).filter(|c| id(c) > newest));
-    rest.retain(|c| id(c) != newest && !c.members.is_empty());
-    rest.sort_by_key(id);
-    rest.dedup_by_key(|c| id(c));
+    let newest = current.id();
+    rest.extend(fetched.into_iter().flat_map(|f| f.1).filter(|c| c.id() > newest));
+    rest.retain(|c| c.id() != newest && !c.members.is_empty());
+    rest.sort_by_key(Membership::id);
+    rest.dedup_by_key(|c| c.id());
     members.membership = current;
     members.log.proposed = None;
     members.log.older =
@@ -168,7 +166,7 @@
     let members = &mut core.members;
     let mut confirmed = false;
     if let Some(proposed) = &members.log.proposed {
-        let version = Version { id: id(proposed), settled: proposed.settled, confirmed: false };
+        let version = Version { id: proposed.id(), settled: proposed.settled, confirmed: false };
         let holds = |v: &&Version| v.id >= version.id;
         let count = members.log.leading.acknowledged.iter().flatten().filter(holds).count();
         if count + 1 >= majority(group.size) {
@@ -197,7 +195,7 @@
         Some(proposed) => (proposed, false),
         None => (&members.membership, true),
     };
-    let version = Version { id: id(current), settled: current.settled, confirmed };
+    let version = Version { id: current.id(), settled: current.settled, confirmed };
     let leading = &mut members.log.leading;
     let again = leading
         .sent
@@ -234,13 +232,13 @@
     if refuses(core, term) {
         return;
     }
-    let version = Version { id: id(&current), settled: current.settled, confirmed };
+    let version = Version { id: current.id(), settled: current.settled, confirmed };
     let log = &mut core.members.log;
     log.term = term;
     log.older = older.into_iter().map(|membership| Older { membership, retired: None }).collect();
     if confirmed {
-        log.proposed = log.proposed.take().filter(|p| id(p) > version.id);
-        if newer(&current, &core.members.membership) {
+        log.proposed = log.proposed.take().filter(|p| p.id() > version.id);
+        if current.is_newer_than(&core.members.membership) {
             core.members.membership = current;
             members::tell(core, out);
         }
@@ -300,13 +298,13 @@
 pub fn knows(core: &ControllerState, which: MembershipId) -> bool {
     let members = &core.members;
     let older = members.log.older.iter().map(|o| &o.membership);
-    older.chain([&members.membership]).chain(&members.log.proposed).any(|c| id(c) == which)
+    older.chain([&members.membership]).chain(&members.log.proposed).any(|c| c.id() == which)
 }
 
 /// A member told a membership that we did not know of.
 pub fn learn(core: &mut ControllerState, now: Tick, membership: Membership) {
     let Some((term, _)) = core.members.reign else { return };
-    let which = id(&membership);
+    let which = membership.id();
     let log = &mut core.members.log;
     let room = log.older.len() < consts::MEMBERSHIPS_KEPT;
     if !log.leading.inherited || which.term >= term || !room || knows(core, which) {
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -5,7 +5,6 @@
 //! have gathered before are out of date.
 
 use crate::control_plane::members::{Members, is_live};
-use crate::membership::attestation::id;
 use crate::protocol::message::{Member, MemberProgress, Membership, MembershipId};
 use crate::time::{Tick, ms, since};
 use crate::{consts, quorum};
@@ -28,7 +27,7 @@
     let saw = |far: &MemberProgress| MembershipId { term: far.saw.0, turn: far.saw.1 };
     let gone = m.gone.get(&member.name).is_some_and(|g| g.incarnation == member.incarnation);
     gone || m.heard.get(&member.name).is_some_and(|h| {
-        h.spoke && (h.member.incarnation != member.incarnation || saw(&h.far) > id(membership))
+        h.spoke && (h.member.incarnation != member.incarnation || saw(&h.far) > membership.id())
     })
 }
 
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -5,12 +5,12 @@
 use nanoserde::DeBin;
 
 use crate::consts;
-use crate::control_plane::endpoints;
 use crate::digest::hash;
 use crate::identifiers::{CONFIG, PartitionId, part_of, partitions};
 use crate::membership::node_agent::{Command, Heard, Watch, slots};
 use crate::membership::status;
 use crate::protocol::message::{LeafReport, Message};
+use crate::snapshot::leafs::leafs_in;
 use crate::snapshot::leafs::{LeafInfo, key};
 use crate::time::{Span, Tick, since};
 
@@ -72,7 +72,7 @@
     };
     let fence = (w.membership.term, w.membership.turn);
     for partition in ours(w) {
-        let known = w.held.get(&partition).map(|h| endpoints::all(&h.map)).unwrap_or_default();
+        let known = w.held.get(&partition).map(|h| leafs_in(&h.map)).unwrap_or_default();
         let mine: Vec<LeafInfo> =
             list.iter().filter(|l| part_of(&l.service) == partition).cloned().collect();
         let same = mine.len() == known.len()
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -10,7 +10,7 @@
 use crate::consts;
 use crate::membership::node_agent::Watch;
 use crate::membership::status::core_age;
-use crate::protocol::message::{Attestation, Membership, MembershipId, NO_PROOF};
+use crate::protocol::message::{Attestation, MembershipId, NO_PROOF};
 use crate::quorum;
 use crate::time::{MILLI, Tick, ms, since};
 
@@ -31,14 +31,9 @@
     until: Tick,
 }
 
-/// The identity of a membership.
-pub fn id(membership: &Membership) -> MembershipId {
-    MembershipId { term: membership.term, turn: membership.turn }
-}
-
 /// The membership changed: proofs about the former one count no more.
 pub fn adopt(watch: &mut Watch) {
-    let membership = id(&watch.membership);
+    let membership = watch.membership.id();
     if watch.proofs.membership == membership {
         return;
     }
--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -6,7 +6,6 @@
 use std::collections::BTreeMap;
 
 use crate::consts;
-use crate::control_plane::members::mark;
 use crate::digest::{hash, pair};
 use crate::identifiers::{BEYOND, COHORT, VoterSlot};
 use crate::membership::node_agent::{Command, Watch, places, slots};
@@ -34,7 +33,7 @@
         w.feed.others_at = now + consts::OTHERS_BEAT;
     }
     let mut list = places(w);
-    list.push(FeedPosition { partition: COHORT, revision: mark(&w.membership) });
+    list.push(FeedPosition { partition: COHORT, revision: w.membership.feed_revision() });
     let beyond = list.iter().map(|p| FeedPosition { revision: BEYOND, ..*p }).collect();
     let whole = Message::Subscribe { places: list, stamp: w.stamp };
     let only = Message::Subscribe { places: beyond, stamp: w.stamp };
@@ -79,6 +78,6 @@
     let list = w.reach.get(usize::from(slot)).map_or(&[][..], |r| r);
     list.iter().any(|p| match w.held.get(&p.partition) {
         Some(held) => held.revision < p.revision,
-        None => p.partition == COHORT && mark(&w.membership) < p.revision,
+        None => p.partition == COHORT && w.membership.feed_revision() < p.revision,
     })
 }
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -1,7 +1,6 @@
 //! `step` of a querier's control thread.
 
 use crate::consts;
-use crate::control_plane::members::newer;
 use crate::identifiers::CONFIG;
 use crate::membership::neighbour_ring::ring;
 use crate::membership::node_agent::{Command, Event, Watch, learn, places};
@@ -82,7 +81,7 @@
         {
             w.counts.news_from_members += 1;
         }
-        Message::MembershipUpdate(membership) if newer(&membership, &w.membership) => {
+        Message::MembershipUpdate(membership) if membership.is_newer_than(&w.membership) => {
             w.membership = membership;
             attestation::adopt(w);
             w.ring = ring(&w.membership, &w.me.name);
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -5,12 +5,12 @@
 use crate::config::build::{Route, Shard};
 use crate::config::{build, change};
 use crate::consts;
-use crate::control_plane::endpoints;
 use crate::identifiers::{CONFIG, PartitionId, partitions};
 use crate::membership::node_agent::{Command, Watch};
 use crate::protocol::message::{FeedPosition, Message};
 use crate::snapshot::cluster_view::{ClusterView, open, view};
 use crate::snapshot::leafs::LeafInfo;
+use crate::snapshot::leafs::leafs_in;
 use crate::storage::record::put;
 use crate::time::{Tick, since};
 use crate::voter_set::majority;
@@ -122,7 +122,7 @@
     let list = partitions()
         .filter(|p| *p != CONFIG)
         .filter_map(|p| w.held.get(&p))
-        .flat_map(|h| endpoints::all(&h.map).into_values())
+        .flat_map(|h| leafs_in(&h.map).into_values())
         .filter_map(|info| overlaid(w, info))
         .collect();
     let new = Arc::new(view(w.built_revision, w.built.clone(), list));
--- a/crates/core/src/snapshot/leafs.rs
+++ b/crates/core/src/snapshot/leafs.rs
@@ -1,5 +1,9 @@
 //! A leaf as the platform's list names it, and its stored form.
 
+use std::collections::BTreeMap;
+
+use nanoserde::DeBin;
+
 use crate::routing_language::selector::Labels;
 
 /// One leaf. `leaf` is its identity: a new start is a new identity.
@@ -30,3 +34,12 @@
 pub fn zone(info: &LeafInfo) -> &str {
     info.labels.get("zone").map_or("", String::as_str)
 }
+
+/// The leafs that a map holds; entries that can't be read are passed over.
+pub fn leafs_in(map: &BTreeMap<String, Vec<u8>>) -> BTreeMap<String, LeafInfo> {
+    map.iter()
+        .filter(|(k, _)| k.starts_with(LEAF))
+        .filter_map(|(_, v)| LeafInfo::deserialize_bin(v).ok())
+        .map(|l| (l.leaf.clone(), l))
+        .collect()
+}
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -22,13 +22,13 @@
 use googletest::prelude::*;
 use grebepath_core::config::change::config;
 use grebepath_core::control_plane::controller::Event;
-use grebepath_core::control_plane::endpoints;
 use grebepath_core::control_plane::order_memory::{Recall, fingerprint, horizon, recall};
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::message::{
     EntryMap, Member, MemberProgress, Message, Operation, OperationResult,
 };
+use grebepath_core::snapshot::leafs::leafs_in;
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file;
@@ -155,7 +155,7 @@
     let mut expected = stored::configuration();
     expected.terms = stored::terms(78);
     expect_that!(config(&newest(&older_orders, 0).map), ok(eq(&expected)));
-    let leafs = endpoints::all(&newest(&services, 3).map);
+    let leafs = leafs_in(&newest(&services, 3).map);
     expect_that!(leafs.into_values().collect::<Vec<_>>(), eq(&stored::leafs()));
 }
 
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -5,10 +5,10 @@
 
 use grebepath_core::config::{build, change};
 use grebepath_core::control_plane::controller::ControllerState;
-use grebepath_core::control_plane::endpoints;
 use grebepath_core::protocol::message::ReplicaCondition;
 use grebepath_core::replication::partition::{Partition, Role};
 use grebepath_core::snapshot::cluster_view::{open, view};
+use grebepath_core::snapshot::leafs::leafs_in;
 use grebepath_core::time::{MILLI, Tick, since};
 use grebepath_core::voter_set::{NOBODY, SlotHolder};
 use serde_json::{Value, json};
@@ -68,10 +68,8 @@
     let config = &core.partitions[0];
     let Ok(conf) = change::config(&config.committed) else { return Vec::new() };
     let Ok(built) = build::build(&conf) else { return Vec::new() };
-    let list = core.partitions[1..]
-        .iter()
-        .flat_map(|p| endpoints::all(&p.committed).into_values())
-        .collect();
+    let list =
+        core.partitions[1..].iter().flat_map(|p| leafs_in(&p.committed).into_values()).collect();
     let view = view(config.committed_revision, Arc::new(built), list);
     let mut out = Vec::new();
     for map in view.mappings.values() {
--- a/crates/simulator/src/scale_model/phases.rs
+++ b/crates/simulator/src/scale_model/phases.rs
@@ -154,7 +154,7 @@
         let list = w
             .held
             .values()
-            .flat_map(|h| grebepath_core::control_plane::endpoints::all(&h.map).into_values());
+            .flat_map(|h| grebepath_core::snapshot::leafs::leafs_in(&h.map).into_values());
         grebepath_core::snapshot::cluster_view::view(
             w.built_revision,
             w.built.clone(),
