--- a/crates/core/src/control_plane/mod.rs
+++ b/crates/core/src/control_plane/mod.rs
@@ -11,6 +11,5 @@
 pub mod operation_forwarding;
 pub mod operations;
 pub mod order_memory;
-pub mod order_memory_legacy;
 pub mod retirement;
 pub mod step;
--- a/crates/core/src/control_plane/order_memory_legacy.rs
+++ b/crates/core/src/control_plane/order_memory/legacy.rs
@@ -2,10 +2,12 @@
 //! with the digest of its text and its revision as text, 512 of them at most.
 //!
 //! Such entries are read as long as there are any; the next accepted order
-//! carries them over (`crate::control_plane::order_memory`) and removes them.
+//! carries them over (`super::remember`) and removes them.
 
 use crate::config::change::{Entry, with_prefix};
-use crate::control_plane::order_memory::{Fingerprint, Horizon, Recall, fingerprint_of_digest};
+use crate::control_plane::order_memory::record::{
+    Fingerprint, Horizon, Recall, fingerprint_of_digest,
+};
 use crate::protocol::message::EntryMap;
 
 /// Prefix of the entries.
--- a/crates/core/src/control_plane/order_memory.rs
+++ b/crates/core/src/control_plane/order_memory/mod.rs
@@ -14,104 +14,33 @@
 //! [`ORDERS_KEPT`] revisions at least. What may be older than that is told by
 //! the [`Horizon`], and an order that may lie beyond it gets no clear answer.
 
+mod legacy;
+mod record;
+
 use std::collections::BTreeMap;
 
 use crate::config::change::{Entry, edition};
-use crate::control_plane::order_memory_legacy as legacy;
-use crate::digest::digest_bytes;
 use crate::protocol::message::EntryMap;
+use record::{BUCKETS, NUMBER_BYTES, PREFIX, Record, bucket, bucket_key, number, record_bytes};
+pub use record::{Fingerprint, Horizon, OrderBase, Recall, fingerprint};
 
 /// Orders that are remembered at least (count): two days of 7,200 changes
 /// each, and an eighth more.
 pub const ORDERS_KEPT: u64 = 16_384;
-/// Buckets (count). A full memory has four records in each: an accepted order
-/// rewrites some 100 bytes, and the keys stay a fifth of the whole.
-const BUCKETS: u64 = 4_096;
 /// Orders from one mark to the next (count): the memory reaches up to this
 /// much further back than it must, and the list of marks stays short.
 const MARK_SPACING: u64 = 1_024;
 
-/// Prefix of all keys of the memory.
-const PREFIX: &str = "order/";
 /// Key of the marks.
 const MARKS: &str = "order/marks";
-/// Bytes of a digest of a request id that a record holds. Together with the 12
-/// bits that chose the bucket two ids are taken for one once in 2^92.
-const REQUEST_BYTES: usize = 10;
-/// Bytes of the digest of a text that a record holds. Compared only where one
-/// request id was used twice.
-const TEXT_BYTES: usize = 6;
-/// Bytes of a revision or an edition.
-const NUMBER_BYTES: usize = 8;
-/// Bytes of one record: request, text, revision.
-const RECORD_BYTES: usize = REQUEST_BYTES + TEXT_BYTES + NUMBER_BYTES;
 /// Bytes of one mark: revision, edition.
 const MARK_BYTES: usize = 2 * NUMBER_BYTES;
 
-/// What an order is known by: its request id and its text.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Fingerprint {
-    bucket: u16,
-    request: [u8; REQUEST_BYTES],
-    text: [u8; TEXT_BYTES],
-}
-
-/// What the memory says of an order.
-#[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Recall {
-    /// Not remembered: never accepted, or accepted beyond the horizon.
-    Absent,
-    /// Accepted as this revision.
-    Accepted { revision: u64 },
-    /// The request id belongs to an accepted order with another text.
-    OtherText,
-}
-
-/// How far back the memory may have gaps: orders that were accepted up to this
-/// revision, when this edition stood, may be forgotten. Zeros: nothing is.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct Horizon {
-    pub revision: u64,
-    pub edition: u64,
-}
-
-/// What an order says of the state that it builds on and makes.
-#[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct OrderBase {
-    /// The revision that it builds on.
-    pub revision: Option<u64>,
-    /// The edition that it builds on.
-    pub edition: Option<u64>,
-    /// The edition that it makes.
-    pub next_edition: Option<u64>,
-}
-
-/// A remembered order.
-#[derive(Clone, Copy, Debug, PartialEq)]
-struct Record {
-    request: [u8; REQUEST_BYTES],
-    text: [u8; TEXT_BYTES],
-    revision: u64,
-}
-
-/// The fingerprint of an order, `whole` or partial.
-pub fn fingerprint(request: &str, whole: bool, text: &[u8]) -> Fingerprint {
-    let digest = digest_bytes(&[&[u8::from(whole)], text].concat());
-    fingerprint_of_digest(request, &digest)
-}
-
-/// The fingerprint of an order by the digest of its text.
-pub(super) fn fingerprint_of_digest(request: &str, text: &[u8; 16]) -> Fingerprint {
-    let id = digest_bytes(request.as_bytes());
-    let bucket = u64::from(u16::from_le_bytes([id[0], id[1]])) % BUCKETS;
-    Fingerprint { bucket: bucket as u16, request: array(&id[2..]), text: array(text) }
-}
-
 /// What the memory says of an order that came under this request id.
 pub fn recall(map: &EntryMap, request: &str, order: &Fingerprint) -> Recall {
     let records = bucket(map, order.bucket);
-    match records.iter().rev().find(|record| record.request == order.request) {
-        Some(record) if record.text == order.text => Recall::Accepted { revision: record.revision },
+    match records.iter().rev().find(|record| record.has_request_of(order)) {
+        Some(record) if record.has_text_of(order) => Recall::Accepted { revision: record.revision },
         Some(_) => Recall::OtherText,
         None => legacy::recall(map, request, order),
     }
@@ -160,7 +89,7 @@
     let sweep = (revision % BUCKETS) as u16;
     buckets.entry(sweep).or_insert_with(|| bucket(map, sweep));
     let own = buckets.entry(order.bucket).or_insert_with(|| bucket(map, order.bucket));
-    own.push(Record { request: order.request, text: order.text, revision });
+    own.push(Record::new(order, revision));
     let gone = new_marks.first().map_or(0, |mark| mark.revision);
     for (number, mut records) in buckets {
         records.retain(|record| record.revision > gone);
@@ -189,7 +118,7 @@
 ) -> Vec<Horizon> {
     for (order, revision) in legacy::orders(map) {
         let records = buckets.entry(order.bucket).or_insert_with(|| bucket(map, order.bucket));
-        records.push(Record { request: order.request, text: order.text, revision });
+        records.push(Record::new(&order, revision));
         records.sort_by_key(|record| record.revision);
     }
     entries.extend(legacy::removed(map));
@@ -224,26 +153,6 @@
     (old != bytes).then(|| (key, (!bytes.is_empty()).then_some(bytes)))
 }
 
-fn bucket_key(number: u16) -> String {
-    format!("{PREFIX}{number:03x}")
-}
-
-/// The records of a bucket, in the order in which they were accepted.
-fn bucket(map: &EntryMap, number: u16) -> Vec<Record> {
-    let bytes = map.get(&bucket_key(number)).map_or(&[][..], Vec::as_slice);
-    bytes.chunks_exact(RECORD_BYTES).map(record).collect()
-}
-
-fn record(bytes: &[u8]) -> Record {
-    let (request, rest) = bytes.split_at(REQUEST_BYTES);
-    let (text, revision) = rest.split_at(TEXT_BYTES);
-    Record { request: array(request), text: array(text), revision: number(revision) }
-}
-
-fn record_bytes(record: &Record) -> Vec<u8> {
-    [&record.request[..], &record.text[..], &record.revision.to_le_bytes()[..]].concat()
-}
-
 /// Revisions with the editions that stood then, the horizon first.
 fn marks(map: &EntryMap) -> Vec<Horizon> {
     let bytes = map.get(MARKS).map_or(&[][..], Vec::as_slice);
@@ -261,15 +170,3 @@
         .flatten()
         .collect()
 }
-
-fn number(bytes: &[u8]) -> u64 {
-    u64::from_le_bytes(array(bytes))
-}
-
-/// The first `N` bytes; what is missing is zero.
-fn array<const N: usize>(bytes: &[u8]) -> [u8; N] {
-    let mut out = [0; N];
-    let len = N.min(bytes.len());
-    out[..len].copy_from_slice(&bytes[..len]);
-    out
-}
