--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -1,27 +1,22 @@
-//! The state of one traffic thread: its queries, dispatches and leafs.
+//! The state of one traffic thread: its queries, attempts and leafs.
 
 use std::sync::Arc;
 
 use indexmap::IndexMap;
-use serde_json::Value;
 
-use crate::config::build::Route;
-use crate::config::types::Class;
-use crate::consts;
-use crate::http_api::leaf::{Raw, Trouble};
-use crate::protocol::message::LeafReport;
-use crate::query::connection_subset::Peer;
-use crate::query::forwarded_request::ForwardedRequest;
-use crate::query::latency_estimate::LatencyEstimate;
-use crate::query::leaf::Leaf;
-use crate::query::quota::Share;
-use crate::query::request::{Ask, Outcome, Reason, Record};
-use crate::query::retry::LoadPressure;
-use crate::query::retry_budget::Rule;
-use crate::query::service_retry_budget::{Rate, ServiceRetryBudget};
+use super::attempt::Dispatch;
+use super::connection_subset::Peer;
+use super::latency_estimate::LatencyEstimate;
+use super::leaf::Leaf;
+use super::planned_query::{Query, wanting};
+use super::quota::Share;
+use super::retry::LoadPressure;
+use super::retry_budget::Rule;
+use super::service_retry_budget::ServiceRetryBudget;
+use super::statistics::Counts;
 use crate::random::Random;
 use crate::snapshot::cluster_view::ClusterView;
-use crate::time::{Span, Tick};
+use crate::time::Tick;
 
 /// Which calls are taken.
 #[derive(Clone, Copy, PartialEq, Debug)]
@@ -67,167 +62,6 @@
     pub next_dispatch: u64,
 }
 
-/// One query in hand.
-///
-/// Invariants: `map` is pinned when the query begins and never replaced, so
-/// all its shards are of one cut; `slots` are the planned shards, each once.
-pub struct Query {
-    pub call: u64,
-    pub name: String,
-    pub map: Arc<Route>,
-    pub revision: u64,
-    pub start: Tick,
-    /// From here on a quorum is enough.
-    pub stop_at: Tick,
-    /// Here the outcome must be told.
-    pub end: Tick,
-    pub limit: u32,
-    pub body: Arc<Vec<u8>>,
-    pub digest: String,
-    pub slots: Vec<Slot>,
-    /// The call itself, if it is handed over.
-    pub parcel: Option<Arc<ForwardedRequest>>,
-    /// Until when a shard may wait for a leaf with room.
-    pub hold: Tick,
-    /// A leaf has worked on this, or may have.
-    pub ran: bool,
-    /// A leaf's failure, to be given back if nothing better comes.
-    pub last: Option<Arc<Raw>>,
-}
-
-/// One planned shard of a query.
-pub struct Slot {
-    pub shard: usize,
-    pub state: SlotState,
-    pub tries: u32,
-    /// Leafs that had this shard's dispatch; none is asked twice.
-    pub tried: Vec<String>,
-    pub outs: Vec<u64>,
-    /// When a second try is due while a dispatch is out.
-    pub next_at: Tick,
-    pub records: Vec<Record>,
-    /// The reply that stands for this shard, of a call that is handed over.
-    pub part: Option<Arc<Raw>>,
-    /// The call was counted for its service.
-    pub counted: bool,
-}
-
-/// Where a planned shard stands.
-#[derive(Clone, Copy, PartialEq, Debug)]
-pub enum SlotState {
-    /// Wants a leaf with room.
-    Wanting,
-    /// At least one dispatch is out.
-    Out,
-    /// Truly served; the coverage check has passed.
-    In,
-    /// Given up.
-    Lost(Reason),
-}
-
-/// One dispatch: tied to a query, a planned shard and a leaf.
-pub struct Dispatch {
-    pub query: u64,
-    pub slot: usize,
-    pub leaf: String,
-    pub service: String,
-    pub id: String,
-    pub at: Tick,
-    /// It belongs to a call that is handed over.
-    pub handed: bool,
-}
-
-/// What happens to a desk.
-pub enum Event {
-    Ask {
-        call: u64,
-        ask: Ask,
-    },
-    /// A call that is handed over.
-    Hand {
-        call: u64,
-        parcel: Arc<ForwardedRequest>,
-    },
-    /// A dispatch has ended.
-    Reply {
-        dispatch: u64,
-        got: Result<Raw, Trouble>,
-    },
-    /// The caller went away.
-    Gone {
-        call: u64,
-    },
-    ClusterView(Arc<ClusterView>),
-    Share(Share),
-    /// All nodes that open connections to leafs.
-    Peers(Vec<Peer>),
-    /// The fleet's rule of second tries for calls that are handed over.
-    Rate(Rate),
-    Door(Door),
-    Grip(Tick),
-    /// Time has passed.
-    Wake,
-}
-
-/// What a desk wants done.
-pub enum Command {
-    Send(Sending),
-    /// Give up a dispatch; no reply event may follow.
-    Drop {
-        dispatch: u64,
-    },
-    Tell {
-        call: u64,
-        outcome: Outcome,
-    },
-    /// A leaf's word about itself that the fleet should hear.
-    Word {
-        service: String,
-        word: LeafReport,
-    },
-}
-
-/// A dispatch to be sent.
-pub struct Sending {
-    pub dispatch: u64,
-    pub addr: String,
-    pub leaf: String,
-    pub service: String,
-    pub id: String,
-    pub digest: String,
-    pub body: Arc<Vec<u8>>,
-    pub budget: Span,
-    /// What is handed over, instead of `body`.
-    pub parcel: Option<Arc<ForwardedRequest>>,
-    /// It may run once at most: it must not go out on a doubtful connection.
-    pub once: bool,
-    /// Its connection may be kept for later.
-    pub keep: bool,
-}
-
-/// What is counted, for metrics and measurements.
-#[derive(Clone, Default, Debug)]
-pub struct Counts {
-    pub full: u64,
-    pub partial: u64,
-    pub bounced: IndexMap<Reason, u64>,
-    pub trouble: IndexMap<Trouble, u64>,
-    pub firsts: u64,
-    pub seconds: u64,
-    /// Second tries that the fleet's rule did not allow.
-    pub denied: u64,
-    pub dropped: u64,
-    /// Outcomes by time taken: upper bounds in ms, last one without bound.
-    pub took: [u64; 12],
-    /// Queries, dispatches out and shards waiting for room, now.
-    pub queries: u64,
-    pub out: u64,
-    pub wanting: u64,
-}
-
-/// Upper bounds of `Counts::took` in milliseconds.
-pub const TOOK_MS: [u64; 11] = [2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000];
-
 /// A desk without a view. `name` must be unique to this life of the process.
 pub fn desk(name: &str, zone: &str, seed: u64, now: Tick) -> QueryEngine {
     QueryEngine {
@@ -261,23 +95,3 @@
     out.wanting = desk.queries.values().map(|q| wanting(q) as u64).sum();
     out
 }
-
-/// Slots of a query that want room.
-pub fn wanting(q: &Query) -> usize {
-    q.slots.iter().filter(|s| s.state == SlotState::Wanting).count()
-}
-
-/// Queries open to a class on one desk.
-pub fn room_of(class: Class) -> usize {
-    let pct = match class {
-        Class::Ordinary => consts::ROOM_ORDINARY_PCT,
-        Class::Lookup => consts::ROOM_LOOKUP_PCT,
-        Class::Urgent => consts::ROOM_URGENT_PCT,
-    };
-    consts::QUERIES_LIVE * pct / 100
-}
-
-/// The body of a dispatch for a question under a mapping.
-pub fn question(map: &Route, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
-    crate::http_api::leaf::body(&map.name, &map.cut, question, key, limit)
-}
--- a/crates/core/src/query/mod.rs
+++ b/crates/core/src/query/mod.rs
@@ -1,20 +1,35 @@
 //! The querier's owner of queries: plan, dispatch, coverage check, merge,
 //! outcome, as explicit states and without I/O.
 
+pub mod admission;
+pub mod attempt;
+mod cancellation;
+mod cluster_update;
 pub mod connection_subset;
 pub mod coverage;
-pub mod dispatch;
 pub mod engine;
+pub mod event;
+mod finishing;
+mod forwarded_reply;
 pub mod forwarded_request;
-pub mod forwarding;
+mod forwarding;
 pub mod latency_estimate;
 pub mod leaf;
+mod leaf_feedback;
 pub mod leaf_selection;
 pub mod merge;
 pub mod observed_load;
+pub mod planned_query;
+pub mod planning;
+pub mod progress;
 pub mod quota;
+mod rejection;
+mod replies;
 pub mod request;
 pub mod retry;
 pub mod retry_budget;
+mod sending;
 pub mod service_retry_budget;
 pub mod slow_start;
+pub mod statistics;
+pub mod step;
--- a/crates/runtime/src/dialect.rs
+++ b/crates/runtime/src/dialect.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use grebepath_core::http_api::leaf::Raw;
 use grebepath_core::protocol::message::{Operation, OperationResult};
-use grebepath_core::query::engine::Sending;
+use grebepath_core::query::event::Sending;
 use grebepath_core::query::forwarded_request::ForwardedRequest;
 use grebepath_core::query::request::Outcome;
 use grebepath_core::routing_language::diagnostic::Diagnostic;
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -2,7 +2,7 @@
 
 use grebepath_core::config::build::{Route, needed};
 use grebepath_core::http_api::operator::findings;
-use grebepath_core::query::dispatch::shard_of;
+use grebepath_core::query::planning::shard_of;
 use grebepath_core::routing_language::compile::Send;
 use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::time::MILLI;
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -10,7 +10,7 @@
 use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
 use grebepath_core::membership::step::{WAKE, step};
 use grebepath_core::protocol::message::{LeafReport, Member, Message, PeerIdentity};
-use grebepath_core::query::engine;
+use grebepath_core::query::{engine, event};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::voter_set::seat_of;
@@ -216,7 +216,7 @@
     match crate::params::again() {
         Ok(p) => {
             for desk in &io.desks {
-                let _ = desk.send(Work::Event(engine::Event::Rate(p.rate)));
+                let _ = desk.send(Work::Event(event::Event::Rate(p.rate)));
             }
         }
         Err(all) => {
@@ -273,31 +273,31 @@
             Command::ClusterView(view) => {
                 io.members.retain(|n, _| w.membership.members.iter().any(|m| m.name == *n));
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(engine::Event::ClusterView(view.clone())));
+                    let _ = desk.send(Work::Event(event::Event::ClusterView(view.clone())));
                 }
                 let _ = io.view.send(view);
             }
             Command::Shares(list) => {
                 for (i, desk) in io.desks.iter().enumerate() {
                     let share = grebepath_core::query::quota::share(&list, &io.me, i as u32);
-                    let _ = desk.send(Work::Event(engine::Event::Share(share)));
+                    let _ = desk.send(Work::Event(event::Event::Share(share)));
                 }
             }
             Command::Peers(list) => {
                 let peers = grebepath_core::query::quota::peers(&list);
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(engine::Event::Peers(peers.clone())));
+                    let _ = desk.send(Work::Event(event::Event::Peers(peers.clone())));
                 }
             }
             Command::Door(door) => {
                 io.shut |= door == engine::Door::Stopping;
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(engine::Event::Door(door)));
+                    let _ = desk.send(Work::Event(event::Event::Door(door)));
                 }
             }
             Command::Grip(until) => {
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(engine::Event::Grip(until)));
+                    let _ = desk.send(Work::Event(event::Event::Grip(until)));
                 }
             }
             Command::Ready(ready) => {
--- a/crates/server/src/querier/leafs.rs
+++ b/crates/server/src/querier/leafs.rs
@@ -7,7 +7,7 @@
 use grebepath_core::http_api::leaf;
 use grebepath_core::http_api::leaf::{Heads, Raw, Trouble};
 use grebepath_core::protocol::message::LeafReport;
-use grebepath_core::query::engine::Sending;
+use grebepath_core::query::event::Sending;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::MILLI;
 use grebepath_runtime::clock::duration;
--- a/crates/server/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use grebepath_core::membership::node_agent::{Counts as WatchCounts, Watch};
-use grebepath_core::query::engine::{Counts, TOOK_MS};
+use grebepath_core::query::statistics::{Counts, TOOK_MS};
 use indexmap::IndexMap;
 
 /// What the control thread tells.
--- a/crates/server/src/querier/traffic.rs
+++ b/crates/server/src/querier/traffic.rs
@@ -6,11 +6,14 @@
 use std::sync::Arc;
 
 use grebepath_core::config::types::Terms;
-use grebepath_core::query::dispatch::{next, step};
-use grebepath_core::query::engine::{Command, Counts, Event, QueryEngine, counts, desk};
+use grebepath_core::query::engine::{QueryEngine, counts, desk};
+use grebepath_core::query::event::{Command, Event};
 use grebepath_core::query::forwarded_request::ForwardedRequest;
+use grebepath_core::query::progress::next;
 use grebepath_core::query::request::{Ask, Outcome};
 use grebepath_core::query::service_retry_budget::{Rate, quota};
+use grebepath_core::query::statistics::Counts;
+use grebepath_core::query::step::step;
 use grebepath_core::time::ms;
 use grebepath_runtime::clock::{Clock, duration, instant, now};
 use grebepath_runtime::dialect::Dialect;
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -4,7 +4,7 @@
 
 use grebepath_core::http_api::leaf as edge;
 use grebepath_core::http_api::leaf::{Heads, Raw};
-use grebepath_core::query::engine::Sending;
+use grebepath_core::query::event::Sending;
 use grebepath_core::random::{Random, below};
 use grebepath_core::time::{MILLI, Span, Tick, ms, since};
 use serde_json::{Value, json};
--- a/crates/simulator/src/scale_model/fan.rs
+++ b/crates/simulator/src/scale_model/fan.rs
@@ -6,10 +6,11 @@
 
 use grebepath_core::config::{build, read};
 use grebepath_core::http_api::leaf::{Heads, Raw, postmark};
-use grebepath_core::query::dispatch::step;
-use grebepath_core::query::engine::{Command, Event, QueryEngine, Sending, desk};
+use grebepath_core::query::engine::{QueryEngine, desk};
+use grebepath_core::query::event::{Command, Event, Sending};
 use grebepath_core::query::quota::share;
 use grebepath_core::query::request::{Ask, Outcome};
+use grebepath_core::query::step::step;
 use grebepath_core::snapshot::cluster_view;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, MILLI, SECOND, Tick};
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -58,7 +58,7 @@
     let read = caller::read_post(&k.search, Some(&budget), body.to_string().as_bytes());
     let Ok(ask) = read else { return };
     let t = (id % u64::from(THREADS)) as usize;
-    push(w, 10, ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Ask { call: id, ask } });
+    push(w, 10, ScheduledEvent::ToDesk { q, life, t, event: event::Event::Ask { call: id, ask } });
 }
 
 pub(super) fn tampered(w: &mut World, kind: usize, outcome: Outcome) -> Outcome {
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -18,7 +18,7 @@
         sending.body = std::sync::Arc::new(body);
     }
     // Whatever becomes of it, the sender gives up at the end of its budget.
-    let event = engine::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
+    let event = event::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
     push(w, sending.budget, ScheduledEvent::ToDesk { q, life, t, event });
     // Giving up closes the connection, which the leaf sees a moment later.
     let key = (q, life, t, sending.dispatch);
@@ -41,7 +41,7 @@
     push(
         w,
         after,
-        ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Reply { dispatch, got } },
+        ScheduledEvent::ToDesk { q, life, t, event: event::Event::Reply { dispatch, got } },
     );
 }
 
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -17,10 +17,10 @@
 use grebepath_core::protocol::message::{
     LeafReport, Member, Message, Operation, OperationResult, ReplicaCondition,
 };
-use grebepath_core::query::dispatch as dstep;
-use grebepath_core::query::engine;
-use grebepath_core::query::engine::{Door, QueryEngine, Sending, desk};
+use grebepath_core::query::engine::{Door, QueryEngine, desk};
+use grebepath_core::query::event::Sending;
 use grebepath_core::query::request::Outcome;
+use grebepath_core::query::{event, progress, step};
 use grebepath_core::random::{Random, below, draw, luck};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::storage::reader::Found;
@@ -140,7 +140,7 @@
         q: usize,
         life: u64,
         t: usize,
-        event: engine::Event,
+        event: event::Event,
     },
     DeskWake {
         q: usize,
@@ -578,7 +578,7 @@
             if live(w, q, life) && w.queriers[q].wakes[t] == at =>
         {
             w.queriers[q].wakes[t] = 0;
-            step_desk(w, q, t, engine::Event::Wake);
+            step_desk(w, q, t, event::Event::Wake);
         }
         ScheduledEvent::LeafGets { q, life, t, sending } => leaf_gets(w, (q, life, t), *sending),
         ScheduledEvent::LeafDone { run } => leaf_done(w, run),
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -128,7 +128,7 @@
                 view = std::sync::Arc::new(own);
             }
             for t in 0..THREADS as usize {
-                let event = engine::Event::ClusterView(view.clone());
+                let event = event::Event::ClusterView(view.clone());
                 push(w, 20, ScheduledEvent::ToDesk { q, life, t, event });
             }
         }
@@ -139,7 +139,7 @@
                 if w.broken == Some(Broken::NoShare) && !share.slots.is_empty() {
                     share.slots = vec![share.mine];
                 }
-                let event = engine::Event::Share(share);
+                let event = event::Event::Share(share);
                 push(w, 20, ScheduledEvent::ToDesk { q, life, t: t as usize, event });
             }
         }
@@ -153,18 +153,14 @@
                         q,
                         life,
                         t,
-                        event: engine::Event::Peers(peers.clone()),
+                        event: event::Event::Peers(peers.clone()),
                     },
                 );
             }
         }
         wat::Command::Door(door) => {
             for t in 0..THREADS as usize {
-                push(
-                    w,
-                    20,
-                    ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Door(door) },
-                );
+                push(w, 20, ScheduledEvent::ToDesk { q, life, t, event: event::Event::Door(door) });
             }
             if door == Door::Stopping {
                 later(w, ms(20), DueKey::EndQuerier(q, life));
@@ -175,7 +171,7 @@
                 push(
                     w,
                     20,
-                    ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Grip(until) },
+                    ScheduledEvent::ToDesk { q, life, t, event: event::Event::Grip(until) },
                 );
             }
         }
@@ -282,21 +278,21 @@
     push(w, ms(1), ScheduledEvent::ToWatch { q, life, event });
 }
 
-pub(super) fn step_desk(w: &mut World, q: usize, t: usize, event: engine::Event) {
+pub(super) fn step_desk(w: &mut World, q: usize, t: usize, event: event::Event) {
     let local = w.now - w.queriers[q].began + BOOT;
     let deaf = w.broken == Some(Broken::IgnoreLeaving);
     let n = &mut w.queriers[q];
     if w.broken == Some(Broken::NoRule) {
         grebepath_core::query::retry_budget::slack(&mut n.desks[t].rule, 1_000_000);
     }
-    let todo = dstep::step(&mut n.desks[t], local, event);
+    let todo = step::step(&mut n.desks[t], local, event);
     if deaf {
         for l in n.desks[t].leafs.values_mut() {
             l.leaving = false;
         }
     }
     let (life, began) = (n.life, n.began);
-    if let Some(at) = dstep::next(&n.desks[t]) {
+    if let Some(at) = progress::next(&n.desks[t]) {
         let at = (at + began).saturating_sub(BOOT).max(w.now + 1);
         let known = n.wakes[t];
         if known == 0 || at < known || known <= w.now {
@@ -309,16 +305,16 @@
     }
 }
 
-pub(super) fn desk_does(w: &mut World, q: usize, t: usize, command: engine::Command) {
+pub(super) fn desk_does(w: &mut World, q: usize, t: usize, command: event::Command) {
     let life = w.queriers[q].life;
     match command {
-        engine::Command::Send(sending) => dispatch(w, (q, life, t), sending),
-        engine::Command::Drop { dispatch } => {
+        event::Command::Send(sending) => dispatch(w, (q, life, t), sending),
+        event::Command::Drop { dispatch } => {
             let after = ms(1);
             push(w, after, ScheduledEvent::LeafDrop { key: (q, life, t, dispatch) });
         }
-        engine::Command::Tell { call, outcome } => outcome_told(w, call, outcome),
-        engine::Command::Word { service, word } => {
+        event::Command::Tell { call, outcome } => outcome_told(w, call, outcome),
+        event::Command::Word { service, word } => {
             if w.broken != Some(Broken::IgnoreLeaving) {
                 push(
                     w,
