--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -8,7 +8,7 @@
 use crate::control_plane::members::Members;
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
 use crate::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
-use crate::random::{Random, luck, mix};
+use crate::random::{Random, mix};
 use crate::replication::partition::{Partition, partition};
 use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::{Span, Tick};
@@ -240,7 +240,7 @@
         .collect();
     ControllerState {
         slot,
-        luck: luck(seed ^ roll.me),
+        luck: Random::new(seed ^ roll.me),
         seating: seating(roll, here, now),
         partitions: list,
         members: Members::default(),
--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -246,7 +246,7 @@
         peers: Vec::new(),
         waits: LatencyEstimate::default(),
         strain: LoadPressure::default(),
-        luck: crate::random::luck(seed),
+        luck: crate::random::Random::new(seed),
         counts: Counts::default(),
         next_query: 0,
         next_dispatch: 0,
--- a/crates/core/src/query/forwarding.rs
+++ b/crates/core/src/query/forwarding.rs
@@ -16,7 +16,7 @@
 use crate::query::latency_estimate;
 use crate::query::leaf;
 use crate::query::request::{Outcome, Reason, Rejection};
-use crate::random::{Random, below};
+use crate::random::Random;
 use crate::routing_language::compile::Send;
 use crate::snapshot::cluster_view::found;
 use crate::time::{Tick, since};
@@ -87,7 +87,7 @@
 
 /// A shard drawn by the mapping's weights.
 pub fn drawn(map: &Route, luck: &mut Random) -> usize {
-    let mut left = below(luck, map.weights.iter().sum());
+    let mut left = luck.below(map.weights.iter().sum());
     for (i, weight) in map.weights.iter().enumerate() {
         if left < *weight {
             return i;
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -11,7 +11,7 @@
 use crate::query::leaf::{Leaf, bears, load, used, warm};
 use crate::query::quota::{Share, part};
 use crate::query::{observed_load, slow_start};
-use crate::random::{Random, below};
+use crate::random::Random;
 use crate::snapshot::cluster_view::{ClusterView, open};
 use crate::snapshot::leafs::{LeafInfo, zone};
 use crate::time::Tick;
@@ -113,14 +113,14 @@
         let few = set.len() <= SMALL && map.form != Form::Own;
         if few {
             // So few can all be looked at; chance breaks ties.
-            let from = below(luck, set.len() as u64) as usize;
+            let from = luck.below(set.len() as u64) as usize;
             let all = set[from..].iter().chain(&set[..from]);
             if let Some(best) = all.min_by_key(|f| f.1) {
                 return Choice::Leaf(best.0.clone());
             }
         }
-        let one = set[below(luck, set.len() as u64) as usize];
-        let two = set[below(luck, set.len() as u64) as usize];
+        let one = set[luck.below(set.len() as u64) as usize];
+        let two = set[luck.below(set.len() as u64) as usize];
         return Choice::Leaf(if two.1 < one.1 { two.0 } else { one.0 }.clone());
     }
     Choice::None
--- a/crates/core/src/query/retry.rs
+++ b/crates/core/src/query/retry.rs
@@ -3,7 +3,7 @@
 
 use crate::consts::{AGAIN_MAX_S, AGAIN_MIN_S, AGAIN_SOON, STRAIN_HALF};
 use crate::query::request::Reason;
-use crate::random::{Random, below};
+use crate::random::Random;
 use crate::time::{SECOND, Span, Tick, since};
 
 /// How much of the work that came lately was sent away.
@@ -38,7 +38,7 @@
     settle(s, now);
     let base = (AGAIN_SOON * s.came).checked_div((s.came - s.away).max(1)).unwrap_or(0);
     let base = base.max(rest).clamp(AGAIN_SOON, AGAIN_MIN_S * SECOND);
-    base + below(luck, base / 2 + 1)
+    base + luck.below(base / 2 + 1)
 }
 
 /// Seconds after which the caller may ask again. `rest` is the time until a
@@ -59,5 +59,5 @@
         _ => AGAIN_MIN_S,
     };
     let base = base.clamp(AGAIN_MIN_S, AGAIN_MAX_S);
-    (base + below(luck, base + 1)).min(AGAIN_MAX_S)
+    (base + luck.below(base + 1)).min(AGAIN_MAX_S)
 }
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -13,7 +13,7 @@
 use crate::control_plane::controller::Command;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
-use crate::random::{Random, draw};
+use crate::random::Random;
 use crate::replication::partition::{AfterWrite, Partition, ReplicaStatus};
 use crate::replication::replica::keep_whole;
 use crate::storage::record::ReplicaState;
@@ -53,7 +53,7 @@
         }
     }
     // A fresh nonce: only answers to this life and this round count.
-    r.nonce = draw(luck);
+    r.nonce = luck.next_u64();
     r.ask_at = now + consts::ASK_AROUND;
     r.stands = vec![None; g.size];
     r.fetch = None;
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -6,7 +6,7 @@
 use crate::digest::{hash, pair};
 use crate::identifiers::{PartitionId, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
-use crate::random::{Random, below};
+use crate::random::Random;
 use crate::replication::leader;
 use crate::replication::partition::{AfterWrite, Candidacy, Partition, Role, able};
 use crate::replication::replica::{follow, keep, keep_whole};
@@ -38,7 +38,7 @@
     if p.fresh {
         return consts::OWNER_BOOT
             + rank(p.id, g, None) * consts::CLAIM_BOOT_STAGGER
-            + below(luck, consts::CLAIM_BOOT_STAGGER / 2);
+            + luck.below(consts::CLAIM_BOOT_STAGGER / 2);
     }
     let silent = match &p.role {
         Role::Follower { leader: Some((slot, _)), .. } => Some(*slot),
@@ -46,7 +46,7 @@
     };
     consts::OWNER_SILENCE
         + rank(p.id, g, silent) * consts::CLAIM_STAGGER
-        + below(luck, consts::CLAIM_JITTER)
+        + luck.below(consts::CLAIM_JITTER)
 }
 
 /// Time passes for a seat that does not own the part.
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -8,7 +8,6 @@
 use crate::control_plane::operation_forwarding;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{Message, ReplicaCondition};
-use crate::random::draw;
 use crate::replication::{partition, replica};
 use crate::time::{Span, Tick, since};
 use crate::voters::handover;
@@ -193,7 +192,7 @@
         forget(p, now, out);
     }
     core.members = Default::default();
-    let me = draw(&mut core.luck) | 1;
+    let me = core.luck.next_u64() | 1;
     let roll = VoterFile { me, first: false, table: core.seating.roll.table.clone() };
     // The former id is nobody's any more; nobody is told a new one yet.
     core.seating.roll.me = 0;
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -3,14 +3,14 @@
 use googletest::prelude::*;
 use grebepath_core::query::request::Reason;
 use grebepath_core::query::retry::{LoadPressure, again_s, note};
-use grebepath_core::random::luck;
+use grebepath_core::random::Random;
 use grebepath_core::time::{SECOND, ms};
 
 /// Least and most of what 200 callers are told, after `n` calls of which each
 /// `each`th was sent away.
 fn told(n: u64, each: u64, why: Reason, rest: u64, after: u64) -> (u64, u64) {
     let mut s = LoadPressure::default();
-    let mut luck = luck(5);
+    let mut luck = Random::new(5);
     for i in 0..n {
         note(&mut s, ms(1_000 + i), i % each == 0);
     }
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -5,7 +5,7 @@
 use grebepath_core::query::connection_subset::Peer;
 use grebepath_core::query::leaf::leaf;
 use grebepath_core::query::slow_start::{keeps, saved, spend};
-use grebepath_core::random::{below, chance, luck};
+use grebepath_core::random::Random;
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
 
 fn nodes(n: usize) -> Vec<Peer> {
@@ -38,7 +38,7 @@
     // Guards against leafs that fall over while they warm up: the platform
     // bears half as much again, and five more.
     for seed in 0..40 {
-        let mut luck = luck(seed);
+        let mut luck = Random::new(seed);
         // Thousandths of a dispatch a second, from very few to many.
         let rate = [200, 1_000, 2_500, 8_000, 60_000][seed as usize % 5];
         let mut l = leaf("i", BOOT);
@@ -46,8 +46,8 @@
         let mut sent: Vec<Tick> = Vec::new();
         let mut eager = true;
         for _ in 0..20_000 {
-            now += below(&mut luck, ms(4));
-            if chance(&mut luck, 1, 400) {
+            now += luck.below(ms(4));
+            if luck.chance(1, 400) {
                 eager = !eager;
             }
             while eager && saved(&l, rate, now) >= 1_000 {
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -13,7 +13,7 @@
 use grebepath_core::protocol::message::{
     Member, MemberProgress, Message, Operation, OperationResult, ReplicaCondition,
 };
-use grebepath_core::random::{Random, below, luck};
+use grebepath_core::random::Random;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
@@ -148,7 +148,7 @@
         asked: BTreeMap::new(),
         next_operation: 1,
         jitter: 0,
-        chance: luck(1),
+        chance: Random::new(1),
         last_arrival: BTreeMap::new(),
         unproved: false,
         lossy_snapshots: false,
@@ -337,7 +337,7 @@
 
 /// How long a message takes that is sent now, behind all that was sent before.
 fn transit(cluster: &mut Cluster, from: usize, to: usize) -> Span {
-    let arrival = cluster.now + LATENCY + below(&mut cluster.chance, cluster.jitter);
+    let arrival = cluster.now + LATENCY + cluster.chance.below(cluster.jitter);
     let last = cluster.last_arrival.entry((from, to)).or_insert(0);
     *last = arrival.max(*last);
     *last - cluster.now
--- a/crates/core/tests/elections.rs
+++ b/crates/core/tests/elections.rs
@@ -8,7 +8,7 @@
 use googletest::prelude::*;
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::protocol::message::{Operation, OperationResult};
-use grebepath_core::random::{below, luck};
+use grebepath_core::random::Random;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use serde_json::json;
 
@@ -24,13 +24,13 @@
 fn first_order(size: usize, seed: u64, fault: fn(&mut Cluster, usize)) -> Span {
     let (mut cluster, leader, other) = led(size);
     cluster.jitter = ms(3);
-    let mut chance = luck(seed);
+    let mut chance = Random::new(seed);
     let before = ask(&mut cluster, leader, "before", change("a"));
     assert!(matches!(answered(&mut cluster, before), OperationResult::Accepted { .. }));
-    let phase = ms(below(&mut chance, 400));
+    let phase = ms(chance.below(400));
     run(&mut cluster, phase);
     fault(&mut cluster, leader);
-    let later = ms(below(&mut chance, 100));
+    let later = ms(chance.below(100));
     run(&mut cluster, later);
     let order = ask(&mut cluster, other, "after", change("b"));
     let done = answered(&mut cluster, order);
@@ -67,7 +67,7 @@
 fn with_slow_disks(seed: u64, slow: usize, span: Span) -> Span {
     let (mut cluster, leader, other) = led(3);
     cluster.jitter = ms(3);
-    cluster.chance = luck(seed);
+    cluster.chance = Random::new(seed);
     let third = 3 - leader - other;
     for node in [third, other].into_iter().take(slow) {
         slow_disk(&mut cluster, node, span);
--- a/crates/core/tests/hand.rs
+++ b/crates/core/tests/hand.rs
@@ -13,7 +13,7 @@
 use grebepath_core::query::quota::share;
 use grebepath_core::query::request::{Outcome, Reason, Rejection};
 use grebepath_core::query::service_retry_budget;
-use grebepath_core::random::{Random, below, chance, draw, luck};
+use grebepath_core::random::Random;
 use grebepath_core::snapshot::cluster_view::{ClusterView, view};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
@@ -349,7 +349,7 @@
 
 /// What a reply to a once-only call may be, and whether the leaf may have run it.
 fn any_reply(luck: &mut Random, s: &Sending) -> (Got, bool) {
-    match below(luck, 14) {
+    match luck.below(14) {
         0 | 1 => (Ok(good(s)), true),
         2 => (Err(Trouble::Cut), true),
         3 => (Err(Trouble::OutOfTime), true),
@@ -370,9 +370,9 @@
     // Guards against work that is done twice.
     let (mut again, mut promised) = (0, 0);
     for seed in 0..3_000 {
-        let mut luck = luck(seed);
-        let attempts = 1 + below(&mut luck, 4);
-        let n = 1 + below(&mut luck, 6) as usize;
+        let mut luck = Random::new(seed);
+        let attempts = 1 + luck.below(4);
+        let n = 1 + luck.below(6) as usize;
         let search = pass(json!({ "once": true, "attempts": attempts }));
         let mut d = open(&world(&[("p", n)], vec![search]));
         let mut now = NOW;
@@ -386,8 +386,8 @@
             leafs.push(s.leaf.clone());
             sends += 1;
             // However long the leaf is silent, nobody else is asked meanwhile.
-            for _ in 0..below(&mut luck, 5) {
-                now += ms(below(&mut luck, 200));
+            for _ in 0..luck.below(5) {
+                now += ms(luck.below(200));
                 let todo = wake(&mut d, now);
                 end = told(&todo).cloned().or(end);
                 assert!(sent(todo).is_empty(), "seed {seed}: a second beside the first");
@@ -447,7 +447,7 @@
     let mut drawn = Vec::new();
     for i in 0..60 {
         let mut d = open(&w);
-        d.luck = luck(i);
+        d.luck = Random::new(i);
         let list = call(&mut d, NOW, i);
         drawn.push(list[0].service.clone());
         let again = sent(reply(&mut d, NOW + 1, &list[0], Err(Trouble::Unreachable)));
@@ -553,23 +553,22 @@
 fn joined_bodies_are_the_greatest_records_of_all_parts() {
     // Guards against lost, doubled or misplaced records, and half ones.
     for seed in 0..2_000 {
-        let mut luck = luck(seed);
-        let width = [1usize, 3, 16, 16, 16][below(&mut luck, 5) as usize];
-        let top = below(&mut luck, 30) as usize;
+        let mut luck = Random::new(seed);
+        let width = [1usize, 3, 16, 16, 16][luck.below(5) as usize];
+        let top = luck.below(30) as usize;
         // Few different bytes, so that equal records are common.
-        let kinds = 1 + below(&mut luck, 4);
+        let kinds = 1 + luck.below(4);
         let mut all: Vec<Vec<u8>> = Vec::new();
         let mut partitions: Vec<Vec<u8>> = Vec::new();
-        for _ in 0..below(&mut luck, 6) {
+        for _ in 0..luck.below(6) {
             let mut partition = Vec::new();
-            for _ in 0..below(&mut luck, 20) {
-                let rec: Vec<u8> =
-                    (0..width).map(|_| (below(&mut luck, kinds) * 85) as u8).collect();
+            for _ in 0..luck.below(20) {
+                let rec: Vec<u8> = (0..width).map(|_| (luck.below(kinds) * 85) as u8).collect();
                 partition.extend(&rec);
                 all.push(rec);
             }
             // A rest that is no record, made of the greatest bytes.
-            partition.extend(vec![0xff; below(&mut luck, width as u64) as usize]);
+            partition.extend(vec![0xff; luck.below(width as u64) as usize]);
             partitions.push(partition);
         }
         all.sort_by(|a, b| b.cmp(a));
@@ -785,7 +784,7 @@
     // Guards against calls that are lost, told twice or held beyond their end,
     // and against leafs that count work which nobody has.
     for seed in 0..150 {
-        let mut luck = luck(seed);
+        let mut luck = Random::new(seed);
         let mut w = world(
             &[("p", 4), ("a", 2), ("b", 2), ("c", 1), ("d", 2)],
             vec![
@@ -794,7 +793,7 @@
                 joined(json!({ "name": "join", "path": "/j/" })),
             ],
         );
-        w.slots = 1 + below(&mut luck, 3) as u32;
+        w.slots = 1 + luck.below(3) as u32;
         let mut d = open(&w);
         let mut now = NOW;
         let mut out: Vec<Sending> = Vec::new();
@@ -803,25 +802,25 @@
         let mut steps = 0;
         while steps < 600 || !open.is_empty() {
             steps += 1;
-            let event = match below(&mut luck, 10) {
+            let event = match luck.below(10) {
                 0..3 if steps < 600 => {
                     calls += 1;
-                    let path = ["/p/", "/o/", "/j/"][below(&mut luck, 3) as usize];
+                    let path = ["/p/", "/o/", "/j/"][luck.below(3) as usize];
                     let mut p = parcel("h.example", path);
-                    p.budget = Some(ms(1 + below(&mut luck, 900)));
+                    p.budget = Some(ms(1 + luck.below(900)));
                     open.insert(calls, now + p.budget.unwrap());
                     Event::Hand { call: calls, parcel: Arc::new(p) }
                 }
                 3..7 if !out.is_empty() => {
-                    let s = out.swap_remove(below(&mut luck, out.len() as u64) as usize);
+                    let s = out.swap_remove(luck.below(out.len() as u64) as usize);
                     Event::Reply { dispatch: s.dispatch, got: any_reply(&mut luck, &s).0 }
                 }
-                7 if chance(&mut luck, 1, 8) => {
-                    w.drained = ["none", "a", "b"][below(&mut luck, 3) as usize];
+                7 if luck.chance(1, 8) => {
+                    w.drained = ["none", "a", "b"][luck.below(3) as usize];
                     Event::ClusterView(Arc::new(seen(&w)))
                 }
-                8 if chance(&mut luck, 1, 8) && !open.is_empty() => {
-                    let i = draw(&mut luck) as usize % open.len();
+                8 if luck.chance(1, 8) && !open.is_empty() => {
+                    let i = luck.next_u64() as usize % open.len();
                     let gone = *open.keys().nth(i).unwrap();
                     open.remove(&gone);
                     Event::Gone { call: gone }
@@ -829,7 +828,7 @@
                 _ => {
                     // Time goes on, but never past what the desk waits for.
                     let due = next(&d).unwrap_or(Tick::MAX);
-                    now = (now + ms(below(&mut luck, 30))).min(due.max(now));
+                    now = (now + ms(luck.below(30))).min(due.max(now));
                     Event::Wake
                 }
             };
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -8,7 +8,7 @@
     recall, remember, without_memory,
 };
 use grebepath_core::protocol::message::EntryMap;
-use grebepath_core::random::{Random, below, luck};
+use grebepath_core::random::Random;
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_core::storage::record::{ReplicaState, put};
 use grebepath_core::storage::writer;
@@ -48,13 +48,13 @@
 /// Accepts an order as the leader does. One in `raising` names a new edition.
 fn accept(model: &mut Model, random: &mut Random, raising: u64) {
     let revision = model.accepted.len() as u64 + 1;
-    let raises = below(random, raising) == 0;
-    let next = model.edition + 1 + below(random, 3);
-    let bases = below(random, 4);
+    let raises = random.below(raising) == 0;
+    let next = model.edition + 1 + random.below(3);
+    let bases = random.below(4);
     let order = Order {
-        request: format!("request-{revision}-{}", below(random, 1 << 40)),
-        whole: below(random, 2) == 0,
-        text: below(random, u64::MAX).to_le_bytes().to_vec(),
+        request: format!("request-{revision}-{}", random.below(1 << 40)),
+        whole: random.below(2) == 0,
+        text: random.below(u64::MAX).to_le_bytes().to_vec(),
         base: OrderBase {
             revision: (bases & 1 == 1).then_some(revision - 1),
             edition: (bases & 2 == 2).then_some(model.edition),
@@ -125,7 +125,7 @@
 /// was used is not taken for another text.
 fn check_strangers(model: &Model, random: &mut Random) {
     for _ in 0..200 {
-        let at = below(random, model.accepted.len() as u64) as usize;
+        let at = random.below(model.accepted.len() as u64) as usize;
         let known = &model.accepted[at];
         let stranger = format!("{}-", known.request);
         let print = fingerprint(&stranger, known.whole, &known.text);
@@ -143,7 +143,7 @@
 #[googletest::test]
 fn every_order_of_two_days_is_remembered_and_older_ones_are_never_refused() {
     for (seed, raising) in [(1, 1), (2, 2), (3, 50)] {
-        let mut random = luck(seed);
+        let mut random = Random::new(seed);
         let mut model = Model::default();
         for count in 1..=45_000u64 {
             accept(&mut model, &mut random, raising);
@@ -160,7 +160,7 @@
 
 #[googletest::test]
 fn nothing_is_forgotten_before_the_memory_is_full() {
-    let mut random = luck(4);
+    let mut random = Random::new(4);
     let mut model = Model::default();
     for _ in 0..TWO_DAYS {
         accept(&mut model, &mut random, 1);
@@ -195,7 +195,7 @@
 
 #[googletest::test]
 fn the_memory_is_no_part_of_what_queriers_and_operators_get() {
-    let mut random = luck(5);
+    let mut random = Random::new(5);
     let mut model = Model::default();
     for _ in 0..2_000 {
         accept(&mut model, &mut random, 1);
--- a/crates/core/tests/order_schedules.rs
+++ b/crates/core/tests/order_schedules.rs
@@ -14,7 +14,7 @@
 use googletest::prelude::*;
 use grebepath_core::config::change;
 use grebepath_core::protocol::message::{Operation, OperationResult};
-use grebepath_core::random::{Random, below, chance, luck};
+use grebepath_core::random::Random;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use serde_json::json;
@@ -70,13 +70,13 @@
 
 /// An operator asks something of a controller.
 fn request(cluster: &mut Cluster, chances: &mut Random, requests: &mut Vec<Request>) {
-    let node = below(chances, 3) as usize;
-    let (order, after) = match below(chances, 20) {
+    let node = chances.below(3) as usize;
+    let (order, after) = match chances.below(20) {
         0..3 => (String::new(), None),
         3..6 if !requests.is_empty() => {
             // The same order once more, as after an answer that was lost.
             let old = &requests
-                [requests.len() - 1 - below(chances, 10.min(requests.len() as u64)) as usize];
+                [requests.len() - 1 - chances.below(10.min(requests.len() as u64)) as usize];
             (old.order.clone(), old.after)
         }
         6..8 => {
@@ -97,10 +97,10 @@
 }
 
 fn begin(cluster: &mut Cluster, chances: &mut Random) -> Fault {
-    let node = below(chances, 3) as usize;
-    let kind = below(chances, 9);
-    let mut span = ms(200 + below(chances, 6_000));
-    if chance(chances, 1, 4) {
+    let node = chances.below(3) as usize;
+    let kind = chances.below(9);
+    let mut span = ms(200 + chances.below(6_000));
+    if chances.chance(1, 4) {
         span = 20 * SECOND;
     }
     match kind {
@@ -119,17 +119,17 @@
             cluster.cut.insert(((node + 1) % 3, node));
         }
         5 => {
-            span = ms(500 + below(chances, 11_500));
+            span = ms(500 + chances.below(11_500));
             pause(cluster, node, span);
         }
         6 => stall(cluster, node, true),
         // The same pause, and orders are the first that is taken after it.
         7 => {
-            span = ms(500 + below(chances, 11_500));
+            span = ms(500 + chances.below(11_500));
             pause(cluster, node, span + SECOND);
         }
         _ => {
-            let seed = below(chances, u64::MAX);
+            let seed = chances.below(u64::MAX);
             restart(cluster, node, seed);
         }
     }
@@ -156,12 +156,12 @@
 
 /// Plays the schedule of a seed; gives what is wrong with it.
 fn play(seed: u64, spoil: impl Fn(&mut Cluster)) -> Vec<String> {
-    let mut chances = luck(seed);
+    let mut chances = Random::new(seed);
     let mut cluster = cluster(3);
-    cluster.jitter = [0, ms(2), ms(20)][below(&mut chances, 3) as usize];
-    cluster.chance = luck(seed ^ 0x5eed);
+    cluster.jitter = [0, ms(2), ms(20)][chances.below(3) as usize];
+    cluster.chance = Random::new(seed ^ 0x5eed);
     for node in 0..3 {
-        let percent = [75, 100, 125][below(&mut chances, 3) as usize];
+        let percent = [75, 100, 125][chances.below(3) as usize];
         rate(&mut cluster, node, percent);
     }
     let (mut requests, mut faults): (Vec<Request>, Vec<Fault>) = (Vec::new(), Vec::new());
@@ -175,14 +175,14 @@
         over.iter().for_each(|fault| end(&mut cluster, fault, &mut requests));
         if now >= next_request {
             // One, or several that race.
-            for _ in 0..[1, 1, 1, 4][below(&mut chances, 4) as usize] {
+            for _ in 0..[1, 1, 1, 4][chances.below(4) as usize] {
                 request(&mut cluster, &mut chances, &mut requests);
             }
-            next_request = now + ms(5 + below(&mut chances, 250));
+            next_request = now + ms(5 + chances.below(250));
         }
         if now >= next_fault {
             faults.push(begin(&mut cluster, &mut chances));
-            next_fault = now + ms(200 + below(&mut chances, 4_000));
+            next_fault = now + ms(200 + chances.below(4_000));
         }
     }
     for fault in &faults {
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -4,7 +4,7 @@
 use grebepath_core::query::service_retry_budget::{
     Rate, ServiceRetryBudget, among, first, keep, quota, rated, second,
 };
-use grebepath_core::random::{below, chance, luck};
+use grebepath_core::random::Random;
 
 /// What came of one run: calls and second tries, each by its time in ms.
 struct Seen {
@@ -22,22 +22,22 @@
 /// Nodes that would try every call again, under traffic that comes and goes;
 /// `restarts` of a thousand steps start a node anew.
 fn run(seed: u64, n: usize, rate: Rate, restarts: u64) -> Seen {
-    let mut luck = luck(seed);
+    let mut luck = Random::new(seed);
     let mut nodes: Vec<ServiceRetryBudget> = (0..n).map(|_| fresh(rate, n)).collect();
     let mut seen = Seen { firsts: Vec::new(), seconds: Vec::new() };
     let (mut busy, mut hungry) = (true, true);
     for now in 0..60_000u64 {
         if now % 700 == 0 {
-            busy = chance(&mut luck, 2, 3);
+            busy = luck.chance(2, 3);
             // Times in which nobody tries again, so that all is saved up.
-            hungry = chance(&mut luck, 1, 2);
+            hungry = luck.chance(1, 2);
         }
-        if chance(&mut luck, restarts, 1_000) {
-            let i = below(&mut luck, n as u64) as usize;
+        if luck.chance(restarts, 1_000) {
+            let i = luck.below(n as u64) as usize;
             nodes[i] = fresh(rate, n);
         }
         // Clients are not spread evenly over the nodes.
-        let i = below(&mut luck, n as u64).min(below(&mut luck, n as u64)) as usize;
+        let i = luck.below(n as u64).min(luck.below(n as u64)) as usize;
         if busy {
             first(&mut nodes[i], "s");
             seen.firsts.push(now);
--- a/crates/core/tests/rule.rs
+++ b/crates/core/tests/rule.rs
@@ -3,13 +3,13 @@
 use googletest::prelude::*;
 use grebepath_core::consts::{RETRY_PCT, RETRY_SLACK};
 use grebepath_core::query::{quota, retry_budget};
-use grebepath_core::random::{below, chance, luck};
+use grebepath_core::random::Random;
 use grebepath_core::time::{SECOND, ms};
 
 /// Most second tries over the allowance in any 10 s, for `n` threads whose
 /// traffic comes and goes and who would retry every single dispatch.
 fn worst(seed: u64, n: usize, slack_each: impl Fn(usize) -> u64) -> i64 {
-    let mut luck = luck(seed);
+    let mut luck = Random::new(seed);
     let mut rules: Vec<_> = (0..n).map(|_| retry_budget::rule(0)).collect();
     for (i, r) in rules.iter_mut().enumerate() {
         retry_budget::slack(r, slack_each(i));
@@ -19,10 +19,10 @@
     for tick in 0..60_000u64 {
         let now = ms(tick);
         if tick % 1_500 == 0 {
-            busy = chance(&mut luck, 2, 3);
+            busy = luck.chance(2, 3);
         }
-        let i = below(&mut luck, n as u64) as usize;
-        if busy && chance(&mut luck, 1, 2) {
+        let i = luck.below(n as u64) as usize;
+        if busy && luck.chance(1, 2) {
             retry_budget::first(&mut rules[i], now);
             firsts.push(now);
         }
--- a/crates/core/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -3,7 +3,7 @@
 use googletest::prelude::*;
 use grebepath_core::consts::{WAIT_MIN, WAIT_MORE, WAIT_STRETCH_PCT, WAIT_TARGET_PCT};
 use grebepath_core::query::latency_estimate::{LatencyEstimate, keep, note, wait};
-use grebepath_core::random::{Random, below, chance, luck};
+use grebepath_core::random::Random;
 use grebepath_core::time::{Span, ms};
 
 /// What a wait without its stretch is: the learned mark itself.
@@ -13,12 +13,12 @@
 
 /// A sum of even draws: near to a bell.
 fn bell(luck: &mut Random, mid: Span) -> Span {
-    mid / 2 + (0..8).map(|_| below(luck, mid / 8 + 1)).sum::<Span>()
+    mid / 2 + (0..8).map(|_| luck.below(mid / 8 + 1)).sum::<Span>()
 }
 
 /// Few large ones among many small: as an exponential law has them.
 fn tail(luck: &mut Random, mean: Span) -> Span {
-    let even = (1 + below(luck, 1_000_000)) as f64 / 1_000_001.0;
+    let even = (1 + luck.below(1_000_000)) as f64 / 1_000_001.0;
     (-even.ln() * mean as f64) as Span
 }
 
@@ -28,15 +28,15 @@
     // too long (a leaf that pauses is never overtaken).
     type Law = fn(&mut Random) -> Span;
     let laws: [(&str, Law); 5] = [
-        ("even", |l| ms(10) + below(l, ms(40))),
+        ("even", |l| ms(10) + l.below(ms(40))),
         ("bell", |l| bell(l, ms(30))),
         ("tail", |l| ms(5) + tail(l, ms(20))),
-        ("two humps", |l| if chance(l, 1, 5) { bell(l, ms(200)) } else { bell(l, ms(20)) }),
+        ("two humps", |l| if l.chance(1, 5) { bell(l, ms(200)) } else { bell(l, ms(20)) }),
         ("slow", |l| ms(900) + tail(l, ms(300))),
     ];
     for (name, law) in laws {
         for seed in 0..5 {
-            let mut luck = luck(seed);
+            let mut luck = Random::new(seed);
             let mut w = LatencyEstimate::default();
             for _ in 0..3_000 {
                 note(&mut w, "s", law(&mut luck));
@@ -55,7 +55,7 @@
 
 #[googletest::test]
 fn the_mark_follows_leafs_that_become_slower_and_faster() {
-    let mut luck = luck(3);
+    let mut luck = Random::new(3);
     let mut w = LatencyEstimate::default();
     for _ in 0..500 {
         note(&mut w, "s", bell(&mut luck, ms(20)));
--- a/crates/server/src/testbed/callers.rs
+++ b/crates/server/src/testbed/callers.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use grebepath_core::random::{Random, below, luck};
+use grebepath_core::random::Random;
 use grebepath_runtime::http::{Http, HttpTrouble, call_within};
 use http_body_util::Full;
 use hyper::Request;
@@ -77,7 +77,7 @@
     seed: u64,
     until: Instant,
 ) {
-    let mut luck = luck(seed);
+    let mut luck = Random::new(seed);
     let gap = Duration::from_secs_f64(1.0 / (kind.per_s * factor));
     let start = Instant::now();
     let mut n = 0u32;
@@ -92,7 +92,7 @@
             tokio::time::sleep_until(at.into()).await;
             n += 1;
             let addr = pick(&mut luck, &targets);
-            let num = below(&mut luck, 1 << 40);
+            let num = luck.below(1 << 40);
             match addr {
                 Some(addr) => {
                     tokio::task::spawn_local(one(
@@ -117,7 +117,7 @@
 
 fn pick(luck: &mut Random, targets: &Targets) -> Option<SocketAddr> {
     let list = targets.borrow();
-    let n = below(luck, list.len() as u64) as usize;
+    let n = luck.below(list.len() as u64) as usize;
     list.get(n).copied()
 }
 
--- a/crates/server/src/testbed/local_cluster.rs
+++ b/crates/server/src/testbed/local_cluster.rs
@@ -167,13 +167,13 @@
 /// so port 0 is of no use: the system would hand such a port to anyone in
 /// between. These lie below the range from which it hands out ports.
 pub fn free_ports(n: usize) -> Result<Vec<u16>, String> {
-    let mut luck = grebepath_core::random::luck(grebepath_runtime::clock::nonce());
+    let mut luck = grebepath_core::random::Random::new(grebepath_runtime::clock::nonce());
     let mut held = Vec::new();
     for _ in 0..10_000 {
         if held.len() == n {
             break;
         }
-        let port = 10_000 + grebepath_core::random::below(&mut luck, 20_000) as u16;
+        let port = 10_000 + luck.below(20_000) as u16;
         if let Ok(sock) = std::net::TcpListener::bind(("127.0.0.1", port)) {
             held.push((port, sock));
         }
--- a/crates/server/src/testbed/mock_backends.rs
+++ b/crates/server/src/testbed/mock_backends.rs
@@ -11,7 +11,7 @@
 use bytes::Bytes;
 use grebepath_core::digest::digest;
 use grebepath_core::http_api::leaf as edge;
-use grebepath_core::random::{Random, below, luck};
+use grebepath_core::random::Random;
 use http_body_util::BodyExt;
 use hyper::server::conn::http1;
 use hyper::service::service_fn;
@@ -117,7 +117,7 @@
         committed: Vec::new(),
         lag: Duration::from_millis(spec.list_lag_ms),
         list_mode: None,
-        luck: Rc::new(RefCell::new(luck(seed))),
+        luck: Rc::new(RefCell::new(Random::new(seed))),
         zero: Instant::now(),
         next: 1,
     }));
@@ -351,7 +351,7 @@
     let limit = asked["limit"].as_u64().unwrap_or(0) as usize;
     let row = note_run(&leaf, &runs, zero, &query, &question, &key);
     let base = leaf.borrow().service.took_ms;
-    let noise = below(&mut luck.borrow_mut(), base + 1);
+    let noise = luck.borrow_mut().below(base + 1);
     let over = u64::from(live.saturating_sub(bear)) * base / u64::from(bear.max(1));
     let extra = match &mode {
         Mode::Slow(ms) => *ms,
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -93,11 +93,11 @@
 /// work, after it has read it, or after it has answered.
 async fn flaky(listener: tokio::net::TcpListener, name: &str, heard: &RefCell<Heard>) {
     use tokio::io::{AsyncReadExt, AsyncWriteExt};
-    let mut luck = grebepath_core::random::luck(11);
+    let mut luck = grebepath_core::random::Random::new(11);
     loop {
         let (mut stream, _) = listener.accept().await.unwrap();
-        let last = grebepath_core::random::below(&mut luck, 4);
-        let how = grebepath_core::random::below(&mut luck, 2);
+        let last = luck.below(4);
+        let how = luck.below(2);
         let (mut raw, mut served) = (Vec::new(), 0);
         loop {
             let mut part = [0u8; 4096];
--- a/crates/simulator/src/chaos.rs
+++ b/crates/simulator/src/chaos.rs
@@ -1,7 +1,7 @@
 //! Troubles drawn by seed: alone, together, at any time, and one last fault;
 //! then all is mended and the fleet must be whole again.
 
-use grebepath_core::random::{Random, below, chance, luck};
+use grebepath_core::random::Random;
 use serde_json::{Value, json};
 
 use crate::mock_backends::ZONES;
@@ -34,7 +34,7 @@
 }
 
 fn pick<'a, T>(luck: &mut Random, list: &'a [T]) -> &'a T {
-    &list[below(luck, list.len() as u64) as usize]
+    &list[luck.below(list.len() as u64) as usize]
 }
 
 /// How many kinds of trouble there are.
@@ -45,8 +45,8 @@
     let (from, span) = (c.from, c.span);
     let machines = c.s.core.machines;
     let luck = &mut c.luck;
-    let seat = below(luck, machines as u64);
-    let querier = below(luck, c.s.queriers as u64);
+    let seat = luck.below(machines as u64);
+    let querier = luck.below(c.s.queriers as u64);
     let service = pick(luck, &c.s.spec.services).name.clone();
     let other = pick(luck, &c.s.spec.services).name.clone();
     let zone = *pick(luck, &ZONES);
@@ -63,9 +63,9 @@
         "unrun",
     ];
     let mode = *pick(luck, &modes);
-    let coin = chance(luck, 1, 2);
-    let count = 1 + below(luck, 4);
-    let ms = 100 + below(luck, 500);
+    let coin = luck.chance(1, 2);
+    let count = 1 + luck.below(4);
+    let ms = 100 + luck.below(500);
     let end = |val: Value| at(from + span, val);
     let heal = end(json!({ "do": "heal" }));
     let one = |val: Value| vec![at(from, val)];
@@ -101,7 +101,7 @@
         7 => cut(json!([seatname]), json!(["all"]), coin),
         8 => cut(json!([format!("q{querier}")]), json!(["all"]), coin),
         9 => cut(json!([format!("zone-{zone}")]), json!(["all"]), coin),
-        10 => two(json!({ "do": "loss", "per_mille": 10 + below(luck, 200) }), heal),
+        10 => two(json!({ "do": "loss", "per_mille": 10 + luck.below(200) }), heal),
         11 => fine(json!({ "do": "leafs", "service": service, "count": count, "mode": mode,
                            "ms": ms })),
         12 => two(
@@ -109,7 +109,7 @@
             end(json!({ "do": "undrain", "zone": zone })),
         ),
         13 => one(json!({ "do": "restart-leafs", "service": service, "count": count })),
-        14 => one(json!({ "do": "storm", "count": 10 * count, "gap_ms": 20 + below(luck, 60) })),
+        14 => one(json!({ "do": "storm", "count": 10 * count, "gap_ms": 20 + luck.below(60) })),
         15 => {
             let new = end(json!({ "do": "add-leafs", "service": service, "count": count }));
             two(json!({ "do": "leave-leafs", "service": service, "count": count }), new)
@@ -141,7 +141,7 @@
         28 => (0..machines)
             .flat_map(|i| cut(json!([format!("seat{i}")]), json!(["seats"]), coin))
             .collect(),
-        29 => two(json!({ "do": "slow-net", "ms": 5 + below(luck, 60) }), heal),
+        29 => two(json!({ "do": "slow-net", "ms": 5 + luck.below(60) }), heal),
         // A link that comes and goes.
         30 => (0..6)
             .map(|i| {
@@ -170,7 +170,7 @@
             })
             .collect(),
         _ => {
-            let more = c.s.factor * (2.0 + below(luck, 10) as f64 / 10.0);
+            let more = c.s.factor * (2.0 + luck.below(10) as f64 / 10.0);
             two(
                 json!({ "do": "load", "factor": more }),
                 end(json!({ "do": "load", "factor": c.s.factor })),
@@ -207,7 +207,7 @@
 /// then the end of all of them.
 pub fn chaos(seed: u64, s: &Scenario) -> Vec<Trouble> {
     let mend = (s.seconds as f64 - MEND_BEFORE).max(1.0);
-    let mut c = Scene { s, luck: luck(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
+    let mut c = Scene { s, luck: Random::new(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
     let storm = json!({ "do": "storm", "count": (mend * 3.0) as u64, "gap_ms": 250 });
     let mut all = vec![at(1.0, storm)];
     let two_cuts = s.spec.services.iter().any(|s| s.cut == "w49");
@@ -215,19 +215,19 @@
     let mut from = 1.5;
     loop {
         // From close together to a while apart.
-        from += below(&mut c.luck, 70) as f64 / 10.0;
+        from += c.luck.below(70) as f64 / 10.0;
         c.from = from;
-        c.span = 0.3 + below(&mut c.luck, SPAN * 10) as f64 / 10.0;
+        c.span = 0.3 + c.luck.below(SPAN * 10) as f64 / 10.0;
         let last = from + c.span + 2.0 >= mend;
         if last {
             c.from = (mend - c.span - 1.0).max(1.0);
         }
-        let kind = below(&mut c.luck, KINDS + u64::from(two_cuts));
+        let kind = c.luck.below(KINDS + u64::from(two_cuts));
         let mut list = if kind == KINDS { recut(&mut c) } else { draw(&mut c, kind) };
         // Three copies bear the loss of one disk at a time.
         let late = c.from + c.span > mend - FRESH_GAP;
         while (loses(&list) && c.from - lost_at < DISK_GAP) || (late && freshens(&list)) {
-            let kind = below(&mut c.luck, KINDS);
+            let kind = c.luck.below(KINDS);
             list = draw(&mut c, kind);
         }
         if loses(&list) {
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -11,7 +11,7 @@
 use std::sync::atomic::{AtomicUsize, Ordering};
 
 use grebepath_core::protocol::message::OperationResult;
-use grebepath_core::random::{below, luck};
+use grebepath_core::random::Random;
 use grebepath_core::time::SECOND;
 
 use crate::scenario::{Scenario, play_deviating};
@@ -102,8 +102,8 @@
             (0..singles.len()).flat_map(behind).collect()
         }
         Pairs::Sampled(wanted) => {
-            let mut chance = luck(seed);
-            let mut one = || singles[below(&mut chance, count.max(1)) as usize];
+            let mut chance = Random::new(seed);
+            let mut one = || singles[chance.below(count.max(1)) as usize];
             (0..wanted).map(|_| vec![one(), one()]).collect()
         }
     }
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -5,7 +5,7 @@
 use grebepath_core::http_api::leaf as edge;
 use grebepath_core::http_api::leaf::{Heads, Raw};
 use grebepath_core::query::engine::Sending;
-use grebepath_core::random::{Random, below};
+use grebepath_core::random::Random;
 use grebepath_core::time::{MILLI, Span, Tick, ms, since};
 use serde_json::{Value, json};
 
@@ -213,7 +213,7 @@
         Mode::Pauses { every, pause } => pause.saturating_sub(now % every),
         _ => 0,
     };
-    base / 2 + below(luck, base / 2 + 1) + over + extra
+    base / 2 + luck.below(base / 2 + 1) + over + extra
 }
 
 /// Whether a reply in this mode stands for the shard. One record alone can't
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use grebepath_core::protocol::message::Message;
-use grebepath_core::random::{Random, below, chance};
+use grebepath_core::random::Random;
 use grebepath_core::time::{Span, Tick};
 
 /// A machine on the net.
@@ -58,7 +58,7 @@
 
 /// One way between two zones, in microseconds.
 pub fn latency(a: &str, b: &str, luck: &mut Random) -> Span {
-    if a == b { 80 + below(luck, 80) } else { 500 + below(luck, 1_000) }
+    if a == b { 80 + luck.below(80) } else { 500 + luck.below(1_000) }
 }
 
 /// When a message sent now arrives, if it does.
@@ -71,7 +71,7 @@
 ) -> Option<Tick> {
     net.sent += 1;
     let pair = (from.0, to.0);
-    if net.cuts.contains(&pair) || (net.loss > 0 && chance(luck, net.loss, 1000)) {
+    if net.cuts.contains(&pair) || (net.loss > 0 && luck.chance(net.loss, 1000)) {
         net.lost += 1;
         return None;
     }
--- a/crates/simulator/src/scale_model/plan.rs
+++ b/crates/simulator/src/scale_model/plan.rs
@@ -1,7 +1,7 @@
 //! The plan of a hollow fleet: its zones, its leafs and its configuration.
 
 use grebepath_core::identifiers::VoterSlot;
-use grebepath_core::random::{Random, below};
+use grebepath_core::random::Random;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{Span, ms};
 use serde_json::{Value, json};
@@ -63,7 +63,7 @@
         (false, 0) => REGION,
         (false, n) => FAR * n,
     };
-    base + below(luck, base * WOBBLE_PCT / 100)
+    base + luck.below(base * WOBBLE_PCT / 100)
 }
 
 /// The shard of the `n`th leaf.
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -12,7 +12,7 @@
 use grebepath_core::membership::node_agent::Watch;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::message::{Member, OperationResult, ReplicaCondition};
-use grebepath_core::random::{Random, below, luck};
+use grebepath_core::random::Random;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, MILLI, Span, Tick, ms};
 use grebepath_core::voters::voter_file;
@@ -114,7 +114,7 @@
         size,
         haps: BTreeMap::new(),
         next: 0,
-        luck: luck(seed),
+        luck: Random::new(seed),
         seats: Vec::new(),
         fronts: Vec::new(),
         by_name: HashMap::new(),
@@ -143,7 +143,7 @@
     }
     for f in 0..size.members {
         add_front(&mut w);
-        let after = below(&mut w.luck, SPREAD);
+        let after = w.luck.below(SPREAD);
         push(&mut w, after, ScheduledEvent::StartFront { f });
     }
     w
@@ -189,7 +189,7 @@
     n.me.incarnation = n.life;
     n.watch = wat::watch(n.me.clone(), BOOT);
     let life = n.life;
-    let after = below(&mut w.luck, qstep::WAKE);
+    let after = w.luck.below(qstep::WAKE);
     push(w, after, ScheduledEvent::FrontWake { f, life });
 }
 
@@ -208,7 +208,7 @@
 
 /// Starts a controller on its disk.
 pub fn start_seat(w: &mut World, s: usize) {
-    let seed = grebepath_core::random::draw(&mut w.luck);
+    let seed = w.luck.next_u64();
     let start = Start {
         slot: Some(s as VoterSlot),
         first: w.now == BEGIN,
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -364,7 +364,7 @@
             }
         }
         "flip" => {
-            let mut luck = grebepath_core::random::luck(grebepath_core::random::draw(&mut w.luck));
+            let mut luck = grebepath_core::random::Random::new(w.luck.next_u64());
             crate::simulated_disk::flip(&mut w.seats[which].disk, &mut luck);
         }
         "cut" => cuts(w, val),
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -3,7 +3,7 @@
 //! the middle of anything.
 
 use grebepath_core::identifiers::PartitionId;
-use grebepath_core::random::{Random, below, chance};
+use grebepath_core::random::Random;
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::writer;
@@ -78,7 +78,7 @@
     luck: &mut Random,
 ) -> Option<Tick> {
     let took = ms(1)
-        + below(luck, ms(3))
+        + luck.below(ms(3))
         + match d.health {
             Health::Slow(more) => more,
             _ => 0,
@@ -102,7 +102,7 @@
 ) -> Option<Tick> {
     d.rolls.push((token, roll, clear));
     let slow = if let Health::Slow(more) = d.health { more } else { 0 };
-    let took = ms(1) + below(luck, ms(3)) + slow;
+    let took = ms(1) + luck.below(ms(3)) + slow;
     if d.health == Health::Stalled {
         return None;
     }
@@ -194,7 +194,7 @@
     let line = std::mem::take(&mut d.line);
     // A file that is renamed is there or it is not.
     for (_, roll, clear) in std::mem::take(&mut d.rolls) {
-        if chance(luck, 1, 2) {
+        if luck.chance(1, 2) {
             break;
         }
         put_roll(d, &roll, clear);
@@ -215,14 +215,14 @@
 
 /// Lets a job take effect in part; true if all of it lasts.
 fn partly(f: &mut Files, part: PartitionId, job: Job, luck: &mut Random) -> bool {
-    let whole = chance(luck, 1, 3);
+    let whole = luck.chance(1, 3);
     match job {
         Job::Append(_) if !f.open => false,
         Job::Append(rec) => {
             let mut raw = writer::rec(f.seq, f.num, &rec);
             if !whole {
-                let keep = below(luck, raw.len() as u64) as usize;
-                if chance(luck, 1, 2) {
+                let keep = luck.below(raw.len() as u64) as usize;
+                if luck.chance(1, 2) {
                     // The file's length came through, its bytes did not.
                     raw[keep..].fill(0);
                 } else {
@@ -236,9 +236,9 @@
         Job::Slot(copy) => {
             let seq = f.seq + 1;
             let mut raw = writer::slot(part.0, seq, &copy);
-            let torn = chance(luck, 1, 2);
+            let torn = luck.chance(1, 2);
             if torn {
-                raw.truncate(below(luck, raw.len() as u64) as usize);
+                raw.truncate(luck.below(raw.len() as u64) as usize);
             }
             f.slots[(seq % 2) as usize] = Some(raw);
             if !torn {
@@ -261,16 +261,16 @@
 
 /// Flips one bit of what lies on the disk; false if nothing lies there.
 pub fn flip(d: &mut Disk, luck: &mut Random) -> bool {
-    let at = below(luck, d.parts.len() as u64) as usize;
+    let at = luck.below(d.parts.len() as u64) as usize;
     let f = &mut d.parts[at];
     let newest = (f.seq % 2) as usize;
     let raw = match (&mut f.slots[newest], &mut f.log) {
-        (_, Some(log)) if chance(luck, 1, 2) && log.len() > 40 => log,
+        (_, Some(log)) if luck.chance(1, 2) && log.len() > 40 => log,
         (Some(slot), _) => slot,
         _ => return false,
     };
-    let i = below(luck, raw.len() as u64) as usize;
-    raw[i] ^= 1 << below(luck, 8);
+    let i = luck.below(raw.len() as u64) as usize;
+    raw[i] ^= 1 << luck.below(8);
     true
 }
 
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -29,7 +29,7 @@
         tally(w, kind).unreachable += 1;
         return;
     }
-    let q = list[below(&mut w.luck, list.len() as u64) as usize];
+    let q = list[w.luck.below(list.len() as u64) as usize];
     if !w.queriers[q].up {
         tally(w, kind).unreachable += 1;
         return;
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -21,7 +21,7 @@
 use grebepath_core::query::engine;
 use grebepath_core::query::engine::{Door, QueryEngine, Sending, desk};
 use grebepath_core::query::request::Outcome;
-use grebepath_core::random::{Random, below, draw, luck};
+use grebepath_core::random::Random;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::storage::reader::Found;
 use grebepath_core::storage::record::ReplicaState;
@@ -376,7 +376,7 @@
         now: BEGIN,
         haps: BTreeMap::new(),
         next: 0,
-        luck: luck(seed),
+        luck: Random::new(seed),
         net: Net::default(),
         seats: Vec::new(),
         core,
@@ -460,7 +460,7 @@
 fn gap(w: &mut World, kind: usize) -> Span {
     // Between half and one and a half of the mean: uneven, but not wild.
     let mean = 1e6 / (w.kinds[kind].per_s * w.factor).max(0.001);
-    (mean * (0.5 + below(&mut w.luck, 1000) as f64 / 1000.0)) as Span
+    (mean * (0.5 + w.luck.below(1000) as f64 / 1000.0)) as Span
 }
 
 /// Plans the troubles of a scenario.
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -62,7 +62,7 @@
         let n = w.orders.len();
         let mut o = marked(n);
         if i % 2 == 0 {
-            let Some(s) = seats.get(below(&mut w.luck, seats.len() as u64) as usize) else {
+            let Some(s) = seats.get(w.luck.below(seats.len() as u64) as usize) else {
                 return;
             };
             let part = &w.seats[*s].core.partitions[0];
@@ -86,7 +86,7 @@
     let s = w.orders[id]
         .seat
         .filter(|s| up.contains(s))
-        .unwrap_or_else(|| up[below(&mut w.luck, up.len() as u64) as usize]);
+        .unwrap_or_else(|| up[w.luck.below(up.len() as u64) as usize]);
     if w.orders[id].at == 0 {
         w.orders[id].at = w.now;
     }
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -4,7 +4,7 @@
 
 /// Starts a querier, which knows nothing.
 pub fn start_querier(w: &mut World, q: usize) {
-    let seed = draw(&mut w.luck);
+    let seed = w.luck.next_u64();
     let n = &mut w.queriers[q];
     n.life += 1;
     n.up = true;
@@ -192,7 +192,7 @@
         }
         wat::Command::Probe(list) => {
             for info in list {
-                let after = below(&mut w.luck, ms(50)) + ms(1);
+                let after = w.luck.below(ms(50)) + ms(1);
                 push(w, after, ScheduledEvent::Probe { q, life, info });
             }
         }
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -27,7 +27,7 @@
 
 /// Starts a controller on its disk.
 pub fn start_seat(w: &mut World, s: usize) {
-    let seed = draw(&mut w.luck);
+    let seed = w.luck.next_u64();
     let start = Start {
         slot: w.core.told.then_some(s as VoterSlot).filter(|s| usize::from(*s) < w.core.seats),
         first: w.now == BEGIN,
@@ -134,7 +134,7 @@
     w.seats[s].up = false;
     w.seats[s].life += 1;
     if power {
-        let mut luck = luck(draw(&mut w.luck));
+        let mut luck = Random::new(w.luck.next_u64());
         simulated_disk::power_loss(&mut w.seats[s].disk, &mut luck);
     } else {
         // What was handed to the system is written whether we live or not.
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -6,7 +6,7 @@
 mod operators;
 
 use grebepath_core::protocol::message::OperationResult;
-use grebepath_core::random::{below, chance, luck};
+use grebepath_core::random::Random;
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Trouble, befall, drawn, read};
 use grebepath_simulator::world::{self, World};
@@ -113,37 +113,37 @@
 fn race(seed: u64, rounds: u64) -> Site {
     let mut site = if seed.is_multiple_of(2) { fleet(seed) } else { fleet_with_spare(seed) };
     let machines = site.world.seats.len() as u64;
-    let mut random = luck(seed);
+    let mut random = Random::new(seed);
     let mut edition = 1;
     for round in 0..rounds {
-        let next = edition + 1 + below(&mut random, 3);
+        let next = edition + 1 + random.below(3);
         let mark = |who: &str| format!("{who}-{}", round % 5);
         let pair: [Change; 2] = std::array::from_fn(|who| {
-            let number = if chance(&mut random, 1, 2) { next } else { next + 1 };
+            let number = if random.chance(1, 2) { next } else { next + 1 };
             let base = Some((edition, number));
             let mark = mark(["left", "right"][who]);
-            match below(&mut random, 3) {
+            match random.below(3) {
                 0 => whole_of(&site, &mark, base),
                 _ => patch(&mark, base),
             }
         });
-        if chance(&mut random, 1, 3) {
-            fault(&mut site, below(&mut random, 6), seed + round);
+        if random.chance(1, 3) {
+            fault(&mut site, random.below(6), seed + round);
         }
         for _ in 0..3 {
             for order in &pair {
-                let machine = below(&mut random, machines) as usize;
-                let lost = chance(&mut random, 1, 3);
+                let machine = random.below(machines) as usize;
+                let lost = random.chance(1, 3);
                 send(&mut site, machine, order, lost);
-                pass(&mut site, below(&mut random, 3) * 40);
+                pass(&mut site, random.below(3) * 40);
             }
         }
-        pass(&mut site, 400 + below(&mut random, 2_000));
-        if chance(&mut random, 1, 2) {
+        pass(&mut site, 400 + random.below(2_000));
+        if random.chance(1, 2) {
             strike(&mut site, json!({ "do": "heal" }));
         }
         // The next round builds on what is read, from either side.
-        let machine = below(&mut random, machines) as usize;
+        let machine = random.below(machines) as usize;
         if let Some((_, stands)) = read_back(&mut site, machine) {
             edition = stands;
         }
