--- a/crates/core/src/config/build.rs
+++ b/crates/core/src/config/build.rs
@@ -6,8 +6,8 @@
 use indexmap::IndexMap;
 
 use super::types::{Class, Config, Form, Search, Steer, Terms};
+use crate::diagnostic::{Diagnostic, find};
 use crate::routing_language::compile::{Policy, Send, compile};
-use crate::routing_language::diagnostic::{Diagnostic, find};
 use crate::routing_language::parser::selector;
 use crate::routing_language::selector::{Labels, Selector, fits};
 use crate::time::{Span, ms};
--- a/crates/core/src/config/read.rs
+++ b/crates/core/src/config/read.rs
@@ -7,7 +7,7 @@
 
 use super::types::{Class, Config, Form, Patch, Pool, Search, Steer, Terms, Turn, Zone};
 use crate::consts;
-use crate::routing_language::diagnostic::{Diagnostic, find};
+use crate::diagnostic::{Diagnostic, find};
 
 /// Longest name of anything (bytes).
 const NAME_LIMIT: usize = 128;
--- a/crates/core/src/http_api/list.rs
+++ b/crates/core/src/http_api/list.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-use crate::routing_language::diagnostic::{Diagnostic, find};
+use crate::diagnostic::{Diagnostic, find};
 use crate::routing_language::selector::Labels;
 use crate::snapshot::leafs::LeafInfo;
 
--- a/crates/core/src/http_api/operator.rs
+++ b/crates/core/src/http_api/operator.rs
@@ -2,7 +2,7 @@
 
 use serde_json::{Value, json};
 
-use crate::routing_language::diagnostic::Diagnostic;
+use crate::diagnostic::Diagnostic;
 
 /// Header with the id under which a request may safely be sent again.
 pub const REQUEST_ID: &str = "request-id";
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -8,6 +8,7 @@
 pub mod config;
 pub mod consts;
 pub mod control_plane;
+pub mod diagnostic;
 pub mod digest;
 pub mod http_api;
 pub mod identifiers;
--- a/crates/core/src/routing_language/compile.rs
+++ b/crates/core/src/routing_language/compile.rs
@@ -1,6 +1,6 @@
 //! Stages to a plain policy: defaults filled in, contradictions found.
 
-use crate::routing_language::diagnostic::{Diagnostic, find};
+use crate::diagnostic::{Diagnostic, find};
 use crate::routing_language::lexer::place;
 use crate::routing_language::parser::{Verb, stages};
 use crate::routing_language::selector::Selector;
--- a/crates/core/src/routing_language/lexer.rs
+++ b/crates/core/src/routing_language/lexer.rs
@@ -1,6 +1,6 @@
 //! Cuts a text of the small language into words.
 
-use crate::routing_language::diagnostic::{Diagnostic, find};
+use crate::diagnostic::{Diagnostic, find};
 
 /// What a word is.
 #[derive(Clone, PartialEq, Debug)]
--- a/crates/core/src/routing_language/mod.rs
+++ b/crates/core/src/routing_language/mod.rs
@@ -12,7 +12,6 @@
 //! the others have defaults.
 
 pub mod compile;
-pub mod diagnostic;
 pub mod lexer;
 pub mod parser;
 pub mod selector;
--- a/crates/core/src/routing_language/parser.rs
+++ b/crates/core/src/routing_language/parser.rs
@@ -1,6 +1,6 @@
 //! Words to stages. Reads on after a mistake, so that all are reported.
 
-use crate::routing_language::diagnostic::{Diagnostic, find};
+use crate::diagnostic::{Diagnostic, find};
 use crate::routing_language::lexer::{Kind, Word, place, words};
 use crate::routing_language::selector::Selector;
 
--- a/crates/runtime/src/dialect.rs
+++ b/crates/runtime/src/dialect.rs
@@ -3,12 +3,12 @@
 //! back. Whoever brings a dialect decides nothing with it.
 
 use bytes::Bytes;
+use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::leaf::Raw;
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::query::engine::Sending;
 use grebepath_core::query::forwarded_request::ForwardedRequest;
 use grebepath_core::query::request::Outcome;
-use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use http_body_util::Full;
 use hyper::http::request::Parts;
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use grebepath_core::routing_language::diagnostic::{Diagnostic, find};
+use grebepath_core::diagnostic::{Diagnostic, find};
 use serde_json::Value;
 
 /// Exit code of a process whose params are wrong.
@@ -265,6 +265,6 @@
         return;
     }
     eprintln!("{program}: {} thing(s) wrong with the params:", all.len());
-    eprintln!("{}", grebepath_core::routing_language::diagnostic::lines(all));
+    eprintln!("{}", grebepath_core::diagnostic::lines(all));
     std::process::exit(EXIT_PARAMS);
 }
--- a/crates/server/src/controller/door.rs
+++ b/crates/server/src/controller/door.rs
@@ -9,12 +9,12 @@
 use axum::routing::get;
 use grebepath_core::config::{change, show};
 use grebepath_core::consts;
+use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator;
 use grebepath_core::http_api::operator::{
     CONFIG, EXPECT_REVISION, Operated, REQUEST_ID, STATUS, write,
 };
 use grebepath_core::protocol::message::{Operation, OperationResult};
-use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_runtime::dialect::{Dialect, Order};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::UnboundedSender;
--- a/crates/server/src/controller/params.rs
+++ b/crates/server/src/controller/params.rs
@@ -5,7 +5,7 @@
 
 use bpaf::{OptionParser, Parser, long};
 use grebepath_core::consts::{SEATS, SEATS_MAX};
-use grebepath_core::routing_language::diagnostic::find;
+use grebepath_core::diagnostic::find;
 use grebepath_core::storage::voter_file::Start;
 use grebepath_runtime::dialect::Dialect;
 use grebepath_runtime::settings as p;
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -1,10 +1,10 @@
 //! What is printed, for people or as JSON.
 
 use grebepath_core::config::build::{Route, needed};
+use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::findings;
 use grebepath_core::query::dispatch::shard_of;
 use grebepath_core::routing_language::compile::Send;
-use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
 
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -5,8 +5,8 @@
 
 use grebepath_core::config::types::Config;
 use grebepath_core::config::{build, change, read, show as conf_show};
+use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::{CONFIG, STATUS};
-use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_runtime::http::Http;
 use hyper::Method;
 use serde_json::{Value, json};
--- a/crates/server/src/querier/params.rs
+++ b/crates/server/src/querier/params.rs
@@ -4,8 +4,8 @@
 
 use bpaf::{OptionParser, Parser, long};
 use grebepath_core::consts::{self, SEATS_MAX};
+use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::query::service_retry_budget::Rate;
-use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::time::Span;
 use grebepath_runtime::dialect::Dialect;
 use grebepath_runtime::settings as p;
--- a/crates/simulator/examples/run_digest.rs
+++ b/crates/simulator/examples/run_digest.rs
@@ -152,6 +152,6 @@
     let text = file(format!("{root}/scenarios/{name}.json")).expect("the scenario's file is there");
     match read(&text, &deployment) {
         Ok(scenario) => scenario,
-        Err(all) => panic!("{name}: {}", grebepath_core::routing_language::diagnostic::lines(&all)),
+        Err(all) => panic!("{name}: {}", grebepath_core::diagnostic::lines(&all)),
     }
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -3,7 +3,7 @@
 mod exploration;
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
-use grebepath_core::routing_language::diagnostic::{Diagnostic, lines};
+use grebepath_core::diagnostic::{Diagnostic, lines};
 use grebepath_simulator::scenario::{Scenario, play_weighed, read};
 use grebepath_simulator::{report, world::World};
 use serde_json::{Value, json};
--- a/crates/simulator/src/scenario.rs
+++ b/crates/simulator/src/scenario.rs
@@ -3,7 +3,7 @@
 
 use std::fmt;
 
-use grebepath_core::routing_language::diagnostic::{Diagnostic, find};
+use grebepath_core::diagnostic::{Diagnostic, find};
 use grebepath_core::time::{SECOND, ms};
 use serde_json::Value;
 
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -17,7 +17,7 @@
                       "troubles": troubles });
     match read(val.to_string().as_bytes(), &load) {
         Ok(s) => s,
-        Err(all) => panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::diagnostic::lines(&all)),
     }
 }
 
@@ -27,6 +27,6 @@
                       "troubles": [] });
     match read(val.to_string().as_bytes(), &load) {
         Ok(s) => s,
-        Err(all) => panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::diagnostic::lines(&all)),
     }
 }
--- a/crates/simulator/tests/explore.rs
+++ b/crates/simulator/tests/explore.rs
@@ -19,9 +19,8 @@
     all.extend(troubles);
     let val = json!({ "name": "explore", "seconds": 3, "queriers": 1, "factor": 0.001,
                       "seats": seats, "controllers": controllers, "troubles": all });
-    let scenario = read(val.to_string().as_bytes(), &common::load).unwrap_or_else(|all| {
-        panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all))
-    });
+    let scenario = read(val.to_string().as_bytes(), &common::load)
+        .unwrap_or_else(|all| panic!("{}", grebepath_core::diagnostic::lines(&all)));
     let faults = FAULTS.to_vec();
     Scope { scenario, window, faults, seed: 3, tolerates: seats / 2, broken: None }
 }
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -17,9 +17,8 @@
 fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
     let val = json!({ "name": "handover", "seconds": seconds, "queriers": 4, "factor": 0.02,
                       "seats": seats, "controllers": controllers, "troubles": troubles });
-    read(val.to_string().as_bytes(), &common::load).unwrap_or_else(|all| {
-        panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all))
-    })
+    read(val.to_string().as_bytes(), &common::load)
+        .unwrap_or_else(|all| panic!("{}", grebepath_core::diagnostic::lines(&all)))
 }
 
 /// Orders all the time.
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -19,9 +19,8 @@
     troubles.extend(more);
     let val = json!({ "name": "long-history", "seconds": seconds, "queriers": 4, "factor": 0.02,
                       "seats": 3, "controllers": 3, "troubles": troubles });
-    read(val.to_string().as_bytes(), &common::load).unwrap_or_else(|all| {
-        panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all))
-    })
+    read(val.to_string().as_bytes(), &common::load)
+        .unwrap_or_else(|all| panic!("{}", grebepath_core::diagnostic::lines(&all)))
 }
 
 fn accepted(w: &World) -> usize {
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -25,7 +25,7 @@
         "seats": 3, "controllers": 4 });
     match read(value.to_string().as_bytes(), &common::load) {
         Ok(scenario) => site(&scenario, seed),
-        Err(all) => panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::diagnostic::lines(&all)),
     }
 }
 
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -37,7 +37,7 @@
     let text = std::fs::read(format!("{dir}/{name}")).unwrap();
     let mut s = match read(&text, &common::load) {
         Ok(s) => s,
-        Err(all) => panic!("{name}: {}", grebepath_core::routing_language::diagnostic::lines(&all)),
+        Err(all) => panic!("{name}: {}", grebepath_core::diagnostic::lines(&all)),
     };
     // An overload must stay one, and a load that a tenth can't bear too.
     let heavy = ["restart-no-age.json", "weak-leafs.json"];
--- a/crates/simulator/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -15,7 +15,7 @@
                       "seats": seats, "controllers": controllers, "troubles": troubles });
     match read(val.to_string().as_bytes(), &common::load) {
         Ok(s) => s,
-        Err(all) => panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::diagnostic::lines(&all)),
     }
 }
 
