--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -9,7 +9,7 @@
 use crate::control_plane::members::Members;
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
 use crate::protocol::message::{Message, Operation, ReplicaCondition};
-use crate::random::{Random, luck, mix};
+use crate::random::{Random, mix};
 use crate::replication::partition::{Partition, partition};
 use crate::storage::record::ReplicaState;
 use crate::storage::voter_file::VoterFile;
@@ -184,7 +184,7 @@
             .collect();
         Self {
             slot,
-            luck: luck(seed ^ roll.me),
+            luck: Random::new(seed ^ roll.me),
             seating: seating(roll, here, now),
             partitions: list,
             members: Members::default(),
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -72,8 +72,7 @@
     };
     let fence = (w.membership.term, w.membership.turn);
     for partition in ours(w) {
-        let known =
-            w.partitions.get(&partition).map(|h| leafs_in(&h.entries)).unwrap_or_default();
+        let known = w.partitions.get(&partition).map(|h| leafs_in(&h.entries)).unwrap_or_default();
         let mine: Vec<LeafInfo> =
             list.iter().filter(|l| part_of(&l.service) == partition).cloned().collect();
         let same = mine.len() == known.len()
