--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,5 +1,5 @@
 //! The process's clock as ticks. It counts the time for which the machine
-//! slept: a machine that wakes must find its grips and terms as old as they are
+//! slept: a machine that wakes must find its leases and terms as old as they are
 //! for everyone else. A wall clock that jumps does not move it.
 
 use std::time::Duration;
@@ -9,41 +9,45 @@
 
 /// Where this process's time began. Copied to every thread, so that all count
 /// from the same point.
-#[derive(Clone, Copy)]
+#[derive(Clone, Copy, Debug)]
 pub struct Clock {
+    /// Time since the machine was started, at the moment of [`BOOT`].
     zero: Duration,
 }
 
-/// Time since the machine was started, its sleep included.
-fn boot_time() -> Duration {
-    let t = clock_gettime(ClockId::Boottime);
-    Duration::new(t.tv_sec as u64, t.tv_nsec as u32)
-}
-
-/// A clock that begins now, at `BOOT`.
-pub fn clock() -> Clock {
-    Clock { zero: boot_time() }
+impl Clock {
+    /// A clock that begins now, at [`BOOT`].
+    #[allow(clippy::new_without_default)] // Each call begins another time scale.
+    pub fn new() -> Clock {
+        Clock { zero: time_since_boot() }
+    }
+
+    /// The time by this clock, in microseconds after its beginning.
+    pub fn now(&self) -> Tick {
+        BOOT + time_since_boot().saturating_sub(self.zero).as_micros() as Tick
+    }
+
+    /// The instant of a tick, for the runtime's timers. They do not count sleep, so
+    /// after a sleep they come late by at most what was left of them; who acts then
+    /// asks the clock again.
+    pub fn instant(&self, at: Tick) -> tokio::time::Instant {
+        tokio::time::Instant::now() + duration(at.saturating_sub(self.now()))
+    }
 }
 
-/// The time by this clock.
-pub fn now(clock: &Clock) -> Tick {
-    BOOT + boot_time().saturating_sub(clock.zero).as_micros() as Tick
-}
-
-/// The instant of a tick, for the runtime's timers. They do not count sleep, so
-/// after a sleep they come late by at most what was left of them; who acts then
-/// asks the clock again.
-pub fn instant(clock: &Clock, at: Tick) -> tokio::time::Instant {
-    tokio::time::Instant::now() + duration(at.saturating_sub(now(clock)))
+/// Time since the machine was started, its sleep included.
+fn time_since_boot() -> Duration {
+    let time = clock_gettime(ClockId::Boottime);
+    Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// A span for the runtime's timers.
+/// A span (microseconds) for the runtime's timers.
 pub fn duration(span: Span) -> Duration {
     Duration::from_micros(span)
 }
 
-/// A number that differs with each start of a process. It names lives and
-/// seeds luck, and decides nothing about time.
+/// A number that differs with each call and each start of a process. It names
+/// incarnations and seeds random numbers, and decides nothing about time.
 pub fn nonce() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     let mut hash = std::collections::hash_map::RandomState::new().build_hasher();
--- /dev/null
+++ b/crates/runtime/src/disk/partition_store.rs
@@ -0,0 +1,195 @@
+//! One partition's files: two slots that hold snapshots in turn, and the log that
+//! follows the newer one.
+
+use std::fs::{self, File, OpenOptions};
+use std::io::{Error, ErrorKind, Read, Write};
+use std::path::{Path, PathBuf};
+
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::record::{LogRecord, ReplicaState};
+use grebepath_core::storage::writer;
+
+use super::data_folder::{read_if_present, sync_folder, write_synced};
+
+/// The files of a partition, in the order in which the reader takes them.
+const FILES: [&str; 3] = ["slot-0", "slot-1", "log"];
+
+/// The files of one partition.
+///
+/// Invariant: `log` is open on the log that follows the snapshot of number `sequence`,
+/// or `None` after a failure or before the first snapshot; then only a new snapshot
+/// helps.
+pub struct PartitionStore {
+    folder: PathBuf,
+    partition: PartitionId,
+    /// Number of the newest snapshot; zero if there is none.
+    sequence: u64,
+    log: Option<File>,
+    /// Records in the log.
+    records: u32,
+}
+
+impl PartitionStore {
+    /// Reads a partition's folder, making it if it is not there. Damaged files are set
+    /// aside.
+    pub fn open(data: &Path, partition: PartitionId) -> Result<(PartitionStore, Found), Error> {
+        let folder = folder_of(data, partition);
+        if !folder.exists() {
+            fs::create_dir_all(&folder)?;
+            sync_folder(data)?;
+        }
+        let mut found = read_files(partition, |name| read_if_present(&folder.join(name)))?;
+        if found == Found::Empty && folder.join("damaged-0").exists() {
+            // Set aside at an earlier start, and no snapshot was written since.
+            found = Found::Damaged("its files were damaged and set aside earlier".into());
+        }
+        let sequence = match &found {
+            Found::Good { seq, .. } => *seq,
+            Found::Empty => 0,
+            Found::Damaged(_) => {
+                // Kept for whoever wants to look; new files begin beside them.
+                set_aside(&folder)?;
+                0
+            }
+        };
+        // Appending begins only behind a snapshot of this incarnation.
+        Ok((PartitionStore { folder, partition, sequence, log: None, records: 0 }, found))
+    }
+
+    /// Whether a record can be appended.
+    pub fn can_append(&self) -> bool {
+        self.log.is_some()
+    }
+
+    /// Appends a record; it lasts only after [`PartitionStore::sync`].
+    pub fn append(&mut self, record: &LogRecord) -> Result<(), Error> {
+        let Some(log) = &mut self.log else { return Err(no_log()) };
+        let raw = writer::rec(self.sequence, self.records, record);
+        if let Err(e) = log.write_all(&raw) {
+            self.log = None;
+            return Err(e);
+        }
+        self.records += 1;
+        Ok(())
+    }
+
+    /// Syncs what was appended.
+    pub fn sync(&mut self) -> Result<(), Error> {
+        let Some(log) = &self.log else { return Err(no_log()) };
+        if let Err(e) = log.sync_data() {
+            // What the kernel kept of it is unknown: never append behind it.
+            self.log = None;
+            return Err(e);
+        }
+        Ok(())
+    }
+
+    /// Writes a snapshot into the other slot and begins a new log.
+    pub fn write_snapshot(&mut self, state: &ReplicaState) -> Result<(), Error> {
+        self.log = None;
+        let sequence = self.sequence + 1;
+        let slot = self.folder.join(format!("slot-{}", sequence % 2));
+        write_synced(&slot, &writer::slot(self.partition.0, sequence, state))?;
+        sync_folder(&self.folder)?;
+        let new = self.folder.join("log.new");
+        let log = self.folder.join("log");
+        write_synced(&new, &writer::log_head(self.partition.0, sequence))?;
+        fs::rename(&new, &log)?;
+        sync_folder(&self.folder)?;
+        self.log = Some(OpenOptions::new().append(true).open(&log)?);
+        self.sequence = sequence;
+        self.records = 0;
+        Ok(())
+    }
+
+    /// Reads the files again, from the disk itself as far as the system lets us, and
+    /// compares them with what was written. Tells what is wrong.
+    pub fn scrub(&self) -> Option<String> {
+        // After a failure, or before the first snapshot, nothing is promised.
+        self.log.as_ref()?;
+        let found = match read_files(self.partition, |name| read_uncached(&self.folder.join(name)))
+        {
+            Ok(found) => found,
+            Err(e) => return Some(e.to_string()),
+        };
+        match found {
+            Found::Good { seq, records, torn, .. }
+                if (seq, records, torn) == (self.sequence, self.records, false) =>
+            {
+                None
+            }
+            Found::Good { .. } => Some("what was written last is not there".into()),
+            Found::Empty => Some("the files are gone".into()),
+            Found::Damaged(why) => Some(why),
+        }
+    }
+
+    /// Sets the files aside: they are of a former incarnation, and must not count.
+    pub fn set_aside(&mut self) -> Result<(), Error> {
+        self.log = None;
+        set_aside(&self.folder)?;
+        (self.sequence, self.records) = (0, 0);
+        Ok(())
+    }
+}
+
+/// Whether a partition has no files.
+pub fn is_blank(data: &Path, partition: PartitionId) -> bool {
+    let folder = folder_of(data, partition);
+    !FILES.iter().any(|name| folder.join(name).exists())
+}
+
+fn folder_of(data: &Path, partition: PartitionId) -> PathBuf {
+    data.join(format!("part-{}", partition.0))
+}
+
+fn no_log() -> Error {
+    Error::other("no log is open since the last trouble")
+}
+
+/// What the files hold, each read by `read_file`.
+fn read_files(
+    partition: PartitionId,
+    read_file: impl Fn(&str) -> Result<Option<Vec<u8>>, Error>,
+) -> Result<Found, Error> {
+    let [zero, one, log] = FILES;
+    let (zero, one, log) = (read_file(zero)?, read_file(one)?, read_file(log)?);
+    Ok(read(partition.0, [zero.as_deref(), one.as_deref()], log.as_deref()))
+}
+
+/// A file's bytes as the disk has them, or nothing if there is no such file.
+fn read_uncached(path: &Path) -> Result<Option<Vec<u8>>, Error> {
+    let mut file = match File::open(path) {
+        Ok(file) => file,
+        Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
+        Err(e) => return Err(e),
+    };
+    // Pages in memory would hide what has become of the disk.
+    let _ = rustix::fs::fadvise(&file, 0, None, rustix::fs::Advice::DontNeed);
+    let mut raw = Vec::new();
+    file.read_to_end(&mut raw)?;
+    Ok(Some(raw))
+}
+
+/// Moves a partition's files into a new folder beside them.
+fn set_aside(folder: &Path) -> Result<(), Error> {
+    let mut number = 0;
+    let mut target = folder.join("damaged-0");
+    while target.exists() {
+        number += 1;
+        target = folder.join(format!("damaged-{number}"));
+    }
+    if !FILES.iter().any(|name| folder.join(name).exists()) {
+        return Ok(());
+    }
+    fs::create_dir(&target)?;
+    sync_folder(folder)?;
+    for name in FILES {
+        if folder.join(name).exists() {
+            fs::rename(folder.join(name), target.join(name))?;
+        }
+    }
+    sync_folder(&target)?;
+    sync_folder(folder)
+}
--- a/crates/runtime/src/leaf_connections.rs
+++ b/crates/runtime/src/leaf_connections.rs
@@ -1,215 +1,250 @@
-//! Wires to leafs. An address may be another's by now, so a new connection begins
-//! with the question who is there, and work follows only if the answer fits. A
-//! connection ends with the process behind it: what was found holds as long as it
+//! Connections to leafs. An address may be another's by now, so a new connection
+//! begins with the question who is there, and work follows only if the response fits.
+//! A connection ends with the process behind it: what was found holds as long as it
 //! does. Nothing that may have left this machine is ever sent again.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
 use std::net::SocketAddr;
 use std::rc::Rc;
+use std::time::Instant;
 
 use bytes::Bytes;
-use http_body_util::{BodyExt, Full, Limited};
+use grebepath_core::consts;
+use grebepath_core::time::SECOND;
+use http_body_util::Full;
+use hyper::body::{Body, Incoming};
 use hyper::client::conn::http1::{self, SendRequest};
+use hyper::header::{CONNECTION, HeaderName, TRANSFER_ENCODING};
 use hyper::{Request, Response};
 use hyper_util::rt::TokioIo;
 use tokio::net::TcpStream;
 
 use crate::clock::duration;
-use crate::http::{HttpTrouble, source_text};
-use grebepath_core::consts;
-use grebepath_core::time::SECOND;
-use hyper::body::Body;
-use std::time::Instant;
+use crate::http::client::{HttpError, read_response, source_text};
+
+type Connection = SendRequest<Full<Bytes>>;
+
+/// A leaf at an address.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct LeafAddress {
+    /// Where it listens.
+    pub address: SocketAddr,
+    /// Its identity.
+    pub leaf: String,
+}
 
-type Wire = SendRequest<Full<Bytes>>;
-type Key = (SocketAddr, String);
+/// An unused connection.
+struct IdleConnection {
+    connection: Connection,
+    /// It is not used any more from then on.
+    expires: Instant,
+}
 
 /// Unused connections, by address and by who was found there.
 ///
 /// Invariant: each of them was greeted by just that identity.
-pub struct Pool {
-    idle: RefCell<HashMap<Key, Vec<(Wire, Instant)>>>,
-    most: usize,
+pub struct LeafPool {
+    idle: RefCell<HashMap<LeafAddress, Vec<IdleConnection>>>,
+    /// Unused connections that are kept to each leaf; further ones are closed.
+    idle_max: usize,
 }
 
-/// What came of work.
-pub enum Got {
-    /// The leaf's answer to it.
-    Answer(Response<Bytes>),
+/// What came of work that a greeting goes before.
+pub enum Exchange {
+    /// The leaf's response to it.
+    Answered(Response<Bytes>),
     /// What a new connection's greeting brought; the work was not sent.
-    Unfit(Response<Bytes>),
+    Declined(Response<Bytes>),
 }
 
-/// A pool that keeps up to `most` unused connections to each leaf.
-pub fn pool(most: usize) -> Rc<Pool> {
-    Rc::new(Pool { idle: RefCell::default(), most })
+/// How a request that names its leaf itself is sent.
+#[derive(Clone, Copy, Debug)]
+pub struct ForwardOptions {
+    /// Bytes of the response's body that are read at most.
+    pub reply_limit: usize,
+    /// Whether the request may run once only: it goes out on a new connection.
+    pub once: bool,
+    /// Whether the connection is kept for later requests.
+    pub keep: bool,
 }
 
-/// Sends work to the identity `leaf` at `addr`. On a new connection `greeting` goes
-/// first, and only if `fits` its answer does the work follow.
-pub async fn exchange(
-    pool: &Pool,
-    (addr, leaf): (SocketAddr, &str),
-    greeting: impl Fn() -> Request<Full<Bytes>>,
-    fits: impl Fn(&Response<Bytes>) -> bool,
-    mut work: Request<Full<Bytes>>,
-    limit: usize,
-) -> Result<Got, HttpTrouble> {
-    let key = (addr, leaf.to_string());
-    loop {
-        let (mut connection, fresh) = match idle(pool, &key).await {
-            Some(connection) => (connection, false),
-            None => (dial(addr).await?, true),
-        };
-        if fresh {
-            let said = connection.send_request(greeting()).await.map_err(|e| cut(&e))?;
-            let said = whole(said, limit).await?;
-            if !fits(&said) {
-                return Ok(Got::Unfit(said));
+impl LeafPool {
+    /// A pool that keeps up to `idle_max` unused connections to each leaf.
+    #[allow(clippy::new_ret_no_self)] // The tasks of all attempts share it.
+    pub fn new(idle_max: usize) -> Rc<LeafPool> {
+        Rc::new(LeafPool { idle: RefCell::default(), idle_max })
+    }
+
+    /// Sends work to a leaf. On a new connection `greeting` goes first, and only if
+    /// `fits` its response does the work follow.
+    pub async fn exchange(
+        &self,
+        leaf: LeafAddress,
+        greeting: impl Fn() -> Request<Full<Bytes>>,
+        fits: impl Fn(&Response<Bytes>) -> bool,
+        mut work: Request<Full<Bytes>>,
+        limit: usize,
+    ) -> Result<Exchange, HttpError> {
+        loop {
+            let (mut connection, fresh) = match self.take_idle(&leaf).await {
+                Some(connection) => (connection, false),
+                None => (dial(leaf.address).await?, true),
+            };
+            if fresh {
+                let response =
+                    connection.send_request(greeting()).await.map_err(|e| interrupted(&e))?;
+                let response = read_framed_response(response, limit).await?;
+                if !fits(&response) {
+                    return Ok(Exchange::Declined(response));
+                }
+                connection.ready().await.map_err(|e| interrupted(&e))?;
             }
-            connection.ready().await.map_err(|e| cut(&e))?;
-        }
-        match connection.try_send_request(work).await {
-            Ok(resp) => {
-                let resp = whole(resp, limit).await?;
-                keep(pool, key, connection, Instant::now() + duration(consts::LEAF_WIRE_IDLE));
-                return Ok(Got::Answer(resp));
+            match connection.try_send_request(work).await {
+                Ok(response) => {
+                    let response = read_framed_response(response, limit).await?;
+                    let expires = Instant::now() + duration(consts::LEAF_WIRE_IDLE);
+                    self.keep(leaf, IdleConnection { connection, expires });
+                    return Ok(Exchange::Answered(response));
+                }
+                Err(mut e) => match e.take_message() {
+                    // An unused connection had ended; not a byte of the work has left.
+                    Some(unsent) if !fresh => work = unsent,
+                    _ => return Err(interrupted(e.error())),
+                },
             }
-            Err(mut e) => match e.take_message() {
-                // An unused connection had ended; not a byte of the work has left.
-                Some(back) if !fresh => work = back,
-                _ => return Err(cut(e.error())),
-            },
         }
     }
-}
 
-/// Sends work that names its leaf itself, so that whoever else answers there
-/// turns it away: a new connection needs no greeting. `fits` tells whether an answer
-/// belongs to this work; a connection that brought another one is not used again.
-pub async fn hand(
-    pool: &Pool,
-    (addr, leaf): (SocketAddr, &str),
-    mut work: Request<Full<Bytes>>,
-    (limit, once, stay): (usize, bool, bool),
-    fits: impl Fn(&Response<Bytes>) -> bool,
-) -> Result<Response<Bytes>, HttpTrouble> {
-    let key = (addr, leaf.to_string());
-    loop {
-        // A kept connection may end just as it is used: what may run once only does
-        // not go out on one.
-        let kept = if once { None } else { idle(pool, &key).await };
-        let (mut connection, fresh) = match kept {
-            Some(connection) => (connection, false),
-            None => {
-                let dialled = tokio::time::timeout(duration(consts::LEAF_CONNECT), dial(addr));
-                match dialled.await {
-                    Ok(connection) => (connection?, true),
-                    Err(_) => return Err(HttpTrouble::Unreachable("no wire in time".into())),
+    /// Sends work that names its leaf itself, so that whoever else answers there
+    /// rejects it: a new connection needs no greeting. `fits` tells whether a response
+    /// belongs to this work; a connection that brought another one is not used again.
+    pub async fn forward(
+        &self,
+        leaf: LeafAddress,
+        mut work: Request<Full<Bytes>>,
+        options: ForwardOptions,
+        fits: impl Fn(&Response<Bytes>) -> bool,
+    ) -> Result<Response<Bytes>, HttpError> {
+        loop {
+            // A kept connection may end just as it is used: what may run once only does
+            // not go out on one.
+            let kept = if options.once { None } else { self.take_idle(&leaf).await };
+            let (mut connection, fresh) = match kept {
+                Some(connection) => (connection, false),
+                None => (dial_in_time(leaf.address).await?, true),
+            };
+            match connection.try_send_request(work).await {
+                Ok(response) => {
+                    let expires = reusable_until(&response);
+                    let response = read_framed_response(response, options.reply_limit).await?;
+                    if let Some(expires) = expires
+                        && options.keep
+                        && fits(&response)
+                    {
+                        self.keep(leaf, IdleConnection { connection, expires });
+                    }
+                    return Ok(response);
                 }
+                Err(mut e) => match e.take_message() {
+                    // An unused connection had ended; not a byte of the work has left.
+                    Some(unsent) if !fresh => work = unsent,
+                    Some(_) => return Err(HttpError::Unreachable(source_text(e.error()))),
+                    None => return Err(interrupted(e.error())),
+                },
             }
-        };
-        match connection.try_send_request(work).await {
-            Ok(resp) => {
-                let until = trusted(&resp);
-                let resp = whole(resp, limit).await?;
-                if let Some(until) = until
-                    && stay
-                    && fits(&resp)
-                {
-                    keep(pool, key, connection, until);
-                }
-                return Ok(resp);
+        }
+    }
+
+    /// A connection that is still open, if there is one.
+    async fn take_idle(&self, leaf: &LeafAddress) -> Option<Connection> {
+        loop {
+            let idle = self.idle.borrow_mut().get_mut(leaf)?.pop()?;
+            let IdleConnection { mut connection, expires } = idle;
+            if Instant::now() < expires
+                && !connection.is_closed()
+                && connection.ready().await.is_ok()
+            {
+                return Some(connection);
             }
-            Err(mut e) => match e.take_message() {
-                // An unused connection had ended; not a byte of the work has left.
-                Some(back) if !fresh => work = back,
-                Some(_) => return Err(HttpTrouble::Unreachable(source_text(e.error()))),
-                None => return Err(cut(e.error())),
-            },
+        }
+    }
+
+    fn keep(&self, leaf: LeafAddress, unused: IdleConnection) {
+        let mut idle = self.idle.borrow_mut();
+        if !idle.contains_key(&leaf) {
+            // A new leaf: forget those whose connections have all ended.
+            idle.retain(|_, list| {
+                list.retain(|unused| !unused.connection.is_closed());
+                !list.is_empty()
+            });
+        }
+        let list = idle.entry(leaf).or_default();
+        if list.len() < self.idle_max && !unused.connection.is_closed() {
+            list.push(unused);
         }
     }
 }
 
 /// Until when a connection may be used again, by what its leaf says of it.
-fn trusted(resp: &Response<hyper::body::Incoming>) -> Option<Instant> {
-    let heads = resp.headers();
-    let says = |name, word: &str| {
-        let vals = heads.get_all::<hyper::header::HeaderName>(name).iter();
-        vals.filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(word))
+fn reusable_until(response: &Response<Incoming>) -> Option<Instant> {
+    let headers = response.headers();
+    let says = |name: HeaderName, word: &str| {
+        let values = headers.get_all(name).iter();
+        values.filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(word))
     };
     // Without a length its end can't be told from a connection that broke.
-    let framed = resp.body().size_hint().exact().is_some()
-        || says(hyper::header::TRANSFER_ENCODING, "chunked");
-    if !framed || says(hyper::header::CONNECTION, "close") {
+    let framed =
+        response.body().size_hint().exact().is_some() || says(TRANSFER_ENCODING, "chunked");
+    if !framed || says(CONNECTION, "close") {
         return None;
     }
-    let told = heads.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|v| {
-        let part = v.split(',').find_map(|p| p.trim().strip_prefix("timeout="))?;
-        part.trim().parse::<u64>().ok()
+    let timeout_s = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|value| {
+        let timeout = value.split(',').find_map(|v| v.trim().strip_prefix("timeout="))?;
+        timeout.trim().parse::<u64>().ok()
     });
-    let idle = match told {
+    let idle = match timeout_s {
         Some(secs) => duration(secs * SECOND).saturating_sub(duration(consts::LEAF_IDLE_KEEP)),
         None => duration(consts::LEAF_IDLE_UNTOLD),
     };
     Some(Instant::now() + idle)
 }
 
-/// A connection that is still open, if there is one.
-async fn idle(pool: &Pool, key: &Key) -> Option<Wire> {
-    loop {
-        let (mut connection, until) = pool.idle.borrow_mut().get_mut(key)?.pop()?;
-        if Instant::now() < until && !connection.is_closed() && connection.ready().await.is_ok() {
-            return Some(connection);
-        }
+async fn dial_in_time(address: SocketAddr) -> Result<Connection, HttpError> {
+    match tokio::time::timeout(duration(consts::LEAF_CONNECT), dial(address)).await {
+        Ok(connection) => connection,
+        Err(_) => Err(HttpError::Unreachable("no wire in time".into())),
     }
 }
 
-fn keep(pool: &Pool, key: Key, connection: Wire, until: Instant) {
-    let mut idle = pool.idle.borrow_mut();
-    if !idle.contains_key(&key) {
-        // A new leaf: forget those whose connections have all ended.
-        idle.retain(|_, list| {
-            list.retain(|(w, _)| !w.is_closed());
-            !list.is_empty()
-        });
-    }
-    let list = idle.entry(key).or_default();
-    if list.len() < pool.most && !connection.is_closed() {
-        list.push((connection, until));
-    }
-}
-
-async fn dial(addr: SocketAddr) -> Result<Wire, HttpTrouble> {
-    let far = |e: &dyn std::error::Error| HttpTrouble::Unreachable(source_text(e));
-    let stream = TcpStream::connect(addr).await.map_err(|e| far(&e))?;
+/// Opens a connection. Its task ends with the connection, which ends when the sending
+/// half is dropped.
+async fn dial(address: SocketAddr) -> Result<Connection, HttpError> {
+    let unreachable = |e: &dyn std::error::Error| HttpError::Unreachable(source_text(e));
+    let stream = TcpStream::connect(address).await.map_err(|e| unreachable(&e))?;
     let _ = stream.set_nodelay(true);
-    let (connection, work) = http1::handshake(TokioIo::new(stream)).await.map_err(|e| far(&e))?;
+    let handshake = http1::handshake(TokioIo::new(stream)).await;
+    let (connection, io) = handshake.map_err(|e| unreachable(&e))?;
     tokio::task::spawn_local(async move {
-        let _ = work.await;
+        let _ = io.await;
     });
     Ok(connection)
 }
 
-async fn whole(
-    resp: Response<hyper::body::Incoming>,
+/// Reads a whole response whose length is known.
+async fn read_framed_response(
+    response: Response<Incoming>,
     limit: usize,
-) -> Result<Response<Bytes>, HttpTrouble> {
-    let close = resp.headers().get(hyper::header::TRANSFER_ENCODING).is_none()
-        && resp.body().size_hint().exact().is_none();
-    if close {
-        // It ends with its connection: a part of it would look like all of it.
-        return Err(HttpTrouble::Cut("an answer without a length".into()));
-    }
-    let (head, body) = resp.into_parts();
-    match Limited::new(body, limit).collect().await {
-        Ok(body) => Ok(Response::from_parts(head, body.to_bytes())),
-        Err(e) if e.is::<http_body_util::LengthLimitError>() => Err(HttpTrouble::TooLarge),
-        Err(e) => Err(HttpTrouble::Cut(e.to_string())),
+) -> Result<Response<Bytes>, HttpError> {
+    let ends_with_connection = response.headers().get(TRANSFER_ENCODING).is_none()
+        && response.body().size_hint().exact().is_none();
+    if ends_with_connection {
+        // A part of it would look like all of it.
+        return Err(HttpError::Interrupted("an answer without a length".into()));
     }
+    read_response(response, limit).await
 }
 
-fn cut(e: &hyper::Error) -> HttpTrouble {
-    HttpTrouble::Cut(source_text(e))
+fn interrupted(error: &hyper::Error) -> HttpError {
+    HttpError::Interrupted(source_text(error))
 }
--- a/crates/runtime/src/log_buffer.rs
+++ b/crates/runtime/src/log_buffer.rs
@@ -14,18 +14,18 @@
 use grebepath_core::consts::RING_LINES;
 
 thread_local! {
-    static RING: RefCell<VecDeque<String>> = const { RefCell::new(VecDeque::new()) };
+    static LINES: RefCell<VecDeque<String>> = const { RefCell::new(VecDeque::new()) };
 }
 
-/// The subscriber that fills the rings.
-struct NeighbourRing {
-    zero: Instant,
+/// The subscriber that fills the buffers.
+struct LogBuffer {
+    began: Instant,
 }
 
-/// Installs the ring for all threads of this process.
+/// Installs the buffers for all threads of this process.
 pub fn install() {
     // Fails only if one is installed already, and then that one serves.
-    let _ = tracing::subscriber::set_global_default(NeighbourRing { zero: Instant::now() });
+    let _ = tracing::subscriber::set_global_default(LogBuffer { began: Instant::now() });
 }
 
 struct Line(String);
@@ -39,7 +39,7 @@
     }
 }
 
-impl Subscriber for NeighbourRing {
+impl Subscriber for LogBuffer {
     fn enabled(&self, meta: &Metadata<'_>) -> bool {
         *meta.level() <= Level::DEBUG && !meta.target().starts_with("hyper")
     }
@@ -53,17 +53,20 @@
     fn record_follows_from(&self, _: &span::Id, _: &span::Id) {}
 
     fn event(&self, event: &Event<'_>) {
-        let at = self.zero.elapsed().as_millis();
+        let at = self.began.elapsed().as_millis();
         let mut line = Line(format!("{at:>8} ms {}", event.metadata().level()));
         event.record(&mut line);
         let level = *event.metadata().level();
-        RING.with_borrow_mut(|ring| {
-            if ring.len() >= RING_LINES {
-                ring.pop_front();
+        LINES.with_borrow_mut(|lines| {
+            if lines.len() >= RING_LINES {
+                lines.pop_front();
             }
-            ring.push_back(line.0);
+            lines.push_back(line.0);
             if level <= Level::WARN {
-                write_out(ring, level == Level::ERROR);
+                write_out(
+                    lines,
+                    if level == Level::ERROR { Extent::Buffer } else { Extent::LastLine },
+                );
             }
         });
     }
@@ -73,16 +76,27 @@
     fn exit(&self, _: &span::Id) {}
 }
 
-/// Writes the last line, or the whole ring; a closed stderr is no trouble.
-fn write_out(ring: &mut VecDeque<String>, whole: bool) {
+/// How much is written out.
+enum Extent {
+    LastLine,
+    Buffer,
+}
+
+/// Writes the last line, or the whole buffer and empties it; a closed stderr is ignored.
+fn write_out(lines: &mut VecDeque<String>, extent: Extent) {
     let mut err = std::io::stderr().lock();
-    if whole {
-        let _ = writeln!(err, "---- last {} lines ----", ring.len());
-        for line in ring.drain(..) {
-            let _ = writeln!(err, "{line}");
+    match extent {
+        Extent::Buffer => {
+            let _ = writeln!(err, "---- last {} lines ----", lines.len());
+            for line in lines.drain(..) {
+                let _ = writeln!(err, "{line}");
+            }
+            let _ = writeln!(err, "----");
+        }
+        Extent::LastLine => {
+            if let Some(line) = lines.back() {
+                let _ = writeln!(err, "{line}");
+            }
         }
-        let _ = writeln!(err, "----");
-    } else if let Some(line) = ring.back() {
-        let _ = writeln!(err, "{line}");
     }
 }
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -1,4 +1,8 @@
-//! Wires between our processes: framed TCP, dialled anew when lost.
+//! Connections between our processes: framed TCP, dialled anew when lost.
+//!
+//! Each connection has one task. A dialled connection's task ends when its
+//! [`MessageSender`] is dropped, an accepted one's when its stream ends; all end with
+//! the `LocalSet` of their thread.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -18,103 +22,136 @@
 
 use crate::clock::duration;
 
+/// Wait after a failed `accept`: out of file handles, most likely, so some time to
+/// recover.
+const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+
+/// What each connection that we open begins with.
+#[derive(Clone, Debug)]
+pub struct Greeting {
+    /// Who we are.
+    pub identity: PeerIdentity,
+    /// The fleet we belong to; peers of another one are not listened to.
+    pub fleet: u64,
+}
+
 /// What connections tell their owner.
-pub enum WireEvent<T> {
+pub enum ConnectionEvent<T> {
     /// A connection that we dial brought a message.
-    Dialled {
+    Received {
+        /// The tag under which it was dialled.
         tag: T,
+        /// The message.
         message: Message,
     },
-    /// A connection that was opened towards us.
-    Opened {
+    /// A peer opened a connection towards us and said who it is.
+    Accepted {
+        /// Our number for it.
         connection: u64,
-        who: PeerIdentity,
-        out: Out,
+        /// Who it is.
+        identity: PeerIdentity,
+        /// Its sending end.
+        sender: MessageSender,
     },
-    Came {
+    /// A connection that a peer opened brought a message.
+    ReceivedFromAccepted {
+        /// Our number for it.
         connection: u64,
-        who: PeerIdentity,
+        /// Who sent it.
+        identity: PeerIdentity,
+        /// The message.
         message: Message,
     },
+    /// A connection that a peer opened has ended.
     Closed {
+        /// Our number for it.
         connection: u64,
     },
     /// A peer speaks something we can't read.
-    Trouble {
+    Failed {
+        /// What, and from where.
         text: String,
     },
 }
 
-/// The sending end of a connection.
-#[derive(Clone)]
-pub struct Out {
-    tx: Sender<Vec<u8>>,
+/// The sending end of a connection. It holds up to [`WIRE_BUFFER`] messages; further
+/// ones are dropped.
+#[derive(Clone, Debug)]
+pub struct MessageSender {
+    queue: Sender<Vec<u8>>,
 }
 
-/// Sends a message, or drops it when the connection's buffer is full: every
-/// message of ours may be lost, and its owner sends it again.
-pub fn send(out: &Out, message: &Message) -> bool {
-    out.tx.try_send(frame::write(message)).is_ok()
+impl MessageSender {
+    /// Sends a message, or drops it when the connection's queue is full: every
+    /// message of ours may be lost, and its owner sends it again. Says whether it
+    /// was queued.
+    pub fn send(&self, message: &Message) -> bool {
+        self.queue.try_send(frame::write(message)).is_ok()
+    }
 }
 
-/// Keeps a connection to `addr`: dials it, again and again, says who we are, and
-/// passes on what comes. Ends when the last `Out` is dropped.
+/// Keeps a connection to `address`: dials it, again and again, says who we are, and
+/// passes on what comes. Ends when the last clone of the sender is dropped.
 pub fn dial<T: Clone + 'static>(
-    addr: SocketAddr,
-    (who, fleet): (PeerIdentity, u64),
+    address: SocketAddr,
+    greeting: Greeting,
     tag: T,
-    events: UnboundedSender<WireEvent<T>>,
-) -> Out {
-    let (tx, rx) = channel(WIRE_BUFFER);
-    tokio::task::spawn_local(keep(addr, (who, fleet), tag, events, rx));
-    Out { tx }
+    events: UnboundedSender<ConnectionEvent<T>>,
+) -> MessageSender {
+    let (queue, queued) = channel(WIRE_BUFFER);
+    tokio::task::spawn_local(keep_dialled(address, greeting, tag, events, queued));
+    MessageSender { queue }
 }
 
-async fn keep<T: Clone + 'static>(
-    addr: SocketAddr,
-    (who, fleet): (PeerIdentity, u64),
+async fn keep_dialled<T: Clone + 'static>(
+    address: SocketAddr,
+    greeting: Greeting,
     tag: T,
-    events: UnboundedSender<WireEvent<T>>,
-    mut rx: Receiver<Vec<u8>>,
+    events: UnboundedSender<ConnectionEvent<T>>,
+    mut queued: Receiver<Vec<u8>>,
 ) {
-    let mut wait = WIRE_RETRY;
+    let mut backoff = WIRE_RETRY;
     while !events.is_closed() {
-        let dialled = tokio::time::timeout(duration(WIRE_DIAL), TcpStream::connect(addr)).await;
+        let dialled = tokio::time::timeout(duration(WIRE_DIAL), TcpStream::connect(address)).await;
         if let Ok(Ok(stream)) = dialled {
-            wait = WIRE_RETRY;
-            set(&stream);
+            backoff = WIRE_RETRY;
+            set_options(&stream);
             let (read, write) = stream.into_split();
-            // What waited for a dead connection is old news.
-            while rx.try_recv().is_ok() {}
-            let tell = events.clone();
-            let tag = tag.clone();
-            let reading = reading(read, move |message| {
-                tell.send(WireEvent::Dialled { tag: tag.clone(), message }).is_ok()
+            // What waited for a dead connection is out of date.
+            while queued.try_recv().is_ok() {}
+            let (owner, tag) = (events.clone(), tag.clone());
+            let reading = read_messages(read, move |message| {
+                owner.send(ConnectionEvent::Received { tag: tag.clone(), message }).is_ok()
             });
-            let hello = frame::write(&Message::Hello { who: who.clone(), fleet });
+            let Greeting { identity, fleet } = greeting.clone();
+            let hello = frame::write(&Message::Hello { who: identity, fleet });
             tokio::select! {
-                end = reading => note(&events, addr, end),
-                _ = writing(write, &mut rx, Some(hello)) => {}
+                end = reading => report(&events, address, end),
+                _ = write_messages(write, &mut queued, Some(hello)) => {}
             }
         }
-        if rx.is_closed() {
+        if queued.is_closed() {
             return;
         }
-        tokio::time::sleep(duration(wait)).await;
-        wait = (2 * wait).min(WIRE_RETRY_MAX);
+        tokio::time::sleep(duration(backoff)).await;
+        backoff = (2 * backoff).min(WIRE_RETRY_MAX);
     }
 }
 
 /// No waiting for more to send, and an end to a connection whose other machine is
-/// gone without a word.
-fn set(stream: &TcpStream) {
+/// gone without a word. A system that knows neither option works without.
+fn set_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(duration(WIRE_SILENCE)));
 }
 
-fn note<T>(events: &UnboundedSender<WireEvent<T>>, addr: SocketAddr, end: Option<String>) {
+fn report<T>(
+    events: &UnboundedSender<ConnectionEvent<T>>,
+    address: SocketAddr,
+    end: Option<String>,
+) {
     if let Some(text) = end {
-        let _ = events.send(WireEvent::Trouble { text: format!("wire to {addr}: {text}") });
+        let _ = events.send(ConnectionEvent::Failed { text: format!("wire to {address}: {text}") });
     }
 }
 
@@ -122,60 +159,75 @@
 pub async fn accept<T: 'static>(
     listener: TcpListener,
     fleet: u64,
-    events: UnboundedSender<WireEvent<T>>,
+    events: UnboundedSender<ConnectionEvent<T>>,
 ) {
-    let mut next = 0u64;
+    let mut connection = 0u64;
     loop {
-        let Ok((stream, addr)) = listener.accept().await else {
-            // Out of file handles, most likely: leave some time to recover.
-            tokio::time::sleep(Duration::from_millis(50)).await;
+        let Ok((stream, address)) = listener.accept().await else {
+            tokio::time::sleep(ACCEPT_PAUSE).await;
             continue;
         };
         if events.is_closed() {
             return;
         }
-        next += 1;
-        set(&stream);
-        tokio::task::spawn_local(opened(stream, addr, (next, fleet), events.clone()));
+        connection += 1;
+        set_options(&stream);
+        tokio::task::spawn_local(serve_accepted(
+            stream,
+            address,
+            connection,
+            fleet,
+            events.clone(),
+        ));
     }
 }
 
-async fn opened<T: 'static>(
+async fn serve_accepted<T: 'static>(
     stream: TcpStream,
-    addr: SocketAddr,
-    (connection, fleet): (u64, u64),
-    events: UnboundedSender<WireEvent<T>>,
+    address: SocketAddr,
+    connection: u64,
+    fleet: u64,
+    events: UnboundedSender<ConnectionEvent<T>>,
 ) {
     let (read, write) = stream.into_split();
-    let (tx, mut rx) = channel(WIRE_BUFFER);
-    let mut who: Option<PeerIdentity> = None;
-    let tell = events.clone();
-    let reading = reading(read, move |message| {
-        let event = match (&who, message) {
-            (None, Message::Hello { fleet: f, .. }) if f != fleet => {
-                let text = format!("wire from {addr}: it belongs to another fleet");
-                let _ = tell.send(WireEvent::Trouble { text });
+    let (queue, mut queued) = channel(WIRE_BUFFER);
+    let mut peer: Option<PeerIdentity> = None;
+    let owner = events.clone();
+    let reading = read_messages(read, move |message| {
+        let event = match (&peer, message) {
+            (None, Message::Hello { fleet: other, .. }) if other != fleet => {
+                let text = format!("wire from {address}: it belongs to another fleet");
+                let _ = owner.send(ConnectionEvent::Failed { text });
                 return false;
             }
-            (None, Message::Hello { who: w, .. }) => {
-                who = Some(w.clone());
-                WireEvent::Opened { connection, who: w, out: Out { tx: tx.clone() } }
+            (None, Message::Hello { who: identity, .. }) => {
+                peer = Some(identity.clone());
+                let sender = MessageSender { queue: queue.clone() };
+                ConnectionEvent::Accepted { connection, identity, sender }
             }
             // Nothing counts before the greeting.
             (None, _) => return false,
-            (Some(who), message) => WireEvent::Came { connection, who: who.clone(), message },
+            (Some(identity), message) => ConnectionEvent::ReceivedFromAccepted {
+                connection,
+                identity: identity.clone(),
+                message,
+            },
         };
-        tell.send(event).is_ok()
+        owner.send(event).is_ok()
     });
     tokio::select! {
-        end = reading => note(&events, addr, end),
-        _ = writing(write, &mut rx, None) => {}
+        end = reading => report(&events, address, end),
+        _ = write_messages(write, &mut queued, None) => {}
     }
-    let _ = events.send(WireEvent::Closed { connection });
+    let _ = events.send(ConnectionEvent::Closed { connection });
 }
 
-/// Reads messages until the connection ends; says what could not be read.
-async fn reading(mut read: OwnedReadHalf, mut take: impl FnMut(Message) -> bool) -> Option<String> {
+/// Reads messages until the connection ends or `take` wants no more; says what could
+/// not be read.
+async fn read_messages(
+    mut read: OwnedReadHalf,
+    mut take: impl FnMut(Message) -> bool,
+) -> Option<String> {
     let mut gather = Gather::default();
     let mut raw = [0u8; HEAD];
     loop {
@@ -184,7 +236,7 @@
         }
         let head = match frame::head(&raw) {
             Ok(head) => head,
-            Err(e) => return Some(e.to_string()),
+            Err(error) => return Some(error.to_string()),
         };
         let mut body = vec![0u8; head.len];
         if read.read_exact(&mut body).await.is_err() {
@@ -197,36 +249,40 @@
                 }
             }
             Ok(None) => {}
-            Err(e) => return Some(e.to_string()),
+            Err(error) => return Some(error.to_string()),
         }
     }
 }
 
 /// Writes messages in pieces, the small ones first, until the connection fails or
 /// nobody can send any more.
-async fn writing(mut write: OwnedWriteHalf, rx: &mut Receiver<Vec<u8>>, first: Option<Vec<u8>>) {
+async fn write_messages(
+    mut write: OwnedWriteHalf,
+    queued: &mut Receiver<Vec<u8>>,
+    first: Option<Vec<u8>>,
+) {
     let mut small: VecDeque<Vec<u8>> = VecDeque::new();
     let mut large: VecDeque<Vec<u8>> = VecDeque::new();
     let sort = |small: &mut VecDeque<_>, large: &mut VecDeque<_>, bytes: Vec<u8>| {
-        let to = if frame::lane(bytes.len()) == 0 { small } else { large };
-        to.extend(frame::pieces(&bytes));
+        let lane = if frame::lane(bytes.len()) == 0 { small } else { large };
+        lane.extend(frame::pieces(&bytes));
     };
     if let Some(bytes) = first {
         sort(&mut small, &mut large, bytes);
     }
     loop {
-        while let Ok(bytes) = rx.try_recv() {
+        while let Ok(bytes) = queued.try_recv() {
             sort(&mut small, &mut large, bytes);
         }
         let Some(piece) = small.pop_front().or_else(|| large.pop_front()) else {
-            match rx.recv().await {
+            match queued.recv().await {
                 Some(bytes) => sort(&mut small, &mut large, bytes),
                 None => return,
             }
             continue;
         };
-        let done = tokio::time::timeout(duration(WIRE_STALL), write.write_all(&piece)).await;
-        if !matches!(done, Ok(Ok(()))) {
+        let written = tokio::time::timeout(duration(WIRE_STALL), write.write_all(&piece)).await;
+        if !matches!(written, Ok(Ok(()))) {
             return;
         }
     }
--- a/crates/runtime/src/reload.rs
+++ b/crates/runtime/src/reload.rs
@@ -1,4 +1,4 @@
-//! Params that change under a running process: the file is read again when a
+//! Settings that change under a running process: the file is read again when a
 //! SIGHUP says so, and looked at from time to time, since it may change without
 //! one. A SIGHUP never ends a process.
 
@@ -11,49 +11,61 @@
 
 use crate::clock::duration;
 
-/// Watches one file.
-pub struct Watch {
+/// Watches the settings file.
+pub struct SettingsWatch {
     path: Option<PathBuf>,
-    hang: Option<Signal>,
-    seen: Option<(SystemTime, u64)>,
-    look: Instant,
+    /// Nothing where signals can't be had; then only the looks tell.
+    hangup: Option<Signal>,
+    seen: Option<FileVersion>,
+    next_look: Instant,
 }
 
-/// Takes SIGHUP from here on, and notes how the file is now.
-pub fn watch(path: Option<&str>) -> Watch {
-    let path = path.map(PathBuf::from);
-    let seen = path.as_ref().and_then(mark);
-    let look = Instant::now() + duration(PARAMS_LOOK);
-    Watch { path, hang: signal(SignalKind::hangup()).ok(), seen, look }
+/// What tells one version of a file from another.
+#[derive(Clone, Copy, PartialEq)]
+struct FileVersion {
+    modified: SystemTime,
+    /// In bytes.
+    length: u64,
 }
 
-fn mark(path: &PathBuf) -> Option<(SystemTime, u64)> {
-    let data = std::fs::metadata(path).ok()?;
-    Some((data.modified().ok()?, data.len()))
-}
+impl SettingsWatch {
+    /// Takes SIGHUP from here on, and notes how the file is now. Without a file only
+    /// SIGHUP counts.
+    pub fn new(path: Option<&str>) -> SettingsWatch {
+        let path = path.map(PathBuf::from);
+        let seen = path.as_ref().and_then(version);
+        let next_look = Instant::now() + duration(PARAMS_LOOK);
+        SettingsWatch { path, hangup: signal(SignalKind::hangup()).ok(), seen, next_look }
+    }
 
-/// Waits until the params should be read again. Safe to drop and call anew.
-pub async fn changed(w: &mut Watch) {
-    loop {
-        let hung = async {
-            match &mut w.hang {
-                Some(hang) => hang.recv().await,
-                None => std::future::pending().await,
-            }
-        };
-        tokio::select! {
-            _ = hung => {
-                w.seen = w.path.as_ref().and_then(mark);
-                return;
-            }
-            _ = tokio::time::sleep_until(w.look), if w.path.is_some() => {
-                w.look = Instant::now() + duration(PARAMS_LOOK);
-                let now = w.path.as_ref().and_then(mark);
-                if now.is_some() && now != w.seen {
-                    w.seen = now;
+    /// Waits until the settings should be read again. Safe to drop and call anew.
+    pub async fn changed(&mut self) {
+        loop {
+            let hangup = async {
+                match &mut self.hangup {
+                    Some(hangup) => hangup.recv().await,
+                    None => std::future::pending().await,
+                }
+            };
+            tokio::select! {
+                _ = hangup => {
+                    self.seen = self.path.as_ref().and_then(version);
                     return;
                 }
+                _ = tokio::time::sleep_until(self.next_look), if self.path.is_some() => {
+                    self.next_look = Instant::now() + duration(PARAMS_LOOK);
+                    let now = self.path.as_ref().and_then(version);
+                    if now.is_some() && now != self.seen {
+                        self.seen = now;
+                        return;
+                    }
+                }
             }
         }
     }
 }
+
+fn version(path: &PathBuf) -> Option<FileVersion> {
+    let data = std::fs::metadata(path).ok()?;
+    Some(FileVersion { modified: data.modified().ok()?, length: data.len() })
+}
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! Params from a file (a JSON object) and from flags, flags first. All that
+//! Settings from a file (a JSON object) and from flags, flags first. All that
 //! is wrong is found at once, before any port is opened.
 
 use std::collections::BTreeMap;
@@ -7,264 +7,279 @@
 use grebepath_core::routing_language::diagnostic::{Diagnostic, find};
 use serde_json::Value;
 
-/// Exit code of a process whose params are wrong.
-pub const EXIT_PARAMS: i32 = 2;
+/// Exit code of a process whose settings are wrong.
+pub const EXIT_SETTINGS: i32 = 2;
 
-/// Params being read: where each came from, and the findings.
-pub struct Reader {
+/// Settings being read: where each came from, and the diagnostics.
+pub struct SettingsReader {
     flags: BTreeMap<String, String>,
     file: serde_json::Map<String, Value>,
-    asked: Vec<&'static str>,
-    pub all: Vec<Diagnostic>,
+    /// Names that were read, in that order.
+    known: Vec<&'static str>,
+    diagnostics: Vec<Diagnostic>,
 }
 
-/// A reader over `--name value` pairs and an optional file.
-pub fn reader(flags: Vec<(&str, Option<String>)>, file: Option<&str>) -> Reader {
-    let mut all = Vec::new();
-    let mut map = serde_json::Map::new();
-    if let Some(path) = file {
-        match std::fs::read(path) {
-            Err(e) => find(&mut all, format!("--params {path}"), format!("can't be read: {e}")),
-            Ok(raw) => match serde_json::from_slice(&raw) {
-                Ok(Value::Object(m)) => map = m,
-                Ok(_) => find(&mut all, path, "expected a JSON object"),
-                Err(e) => {
-                    let place = format!("{path}:{}:{}", e.line(), e.column());
-                    find(&mut all, place, format!("not JSON: {e}"));
-                }
-            },
+impl SettingsReader {
+    /// A reader over `--name value` pairs and an optional file.
+    pub fn new(flags: Vec<(&str, Option<String>)>, file: Option<&str>) -> SettingsReader {
+        let mut diagnostics = Vec::new();
+        let mut settings = serde_json::Map::new();
+        if let Some(path) = file {
+            match std::fs::read(path) {
+                Err(e) => find(
+                    &mut diagnostics,
+                    format!("--params {path}"),
+                    format!("can't be read: {e}"),
+                ),
+                Ok(raw) => match serde_json::from_slice(&raw) {
+                    Ok(Value::Object(object)) => settings = object,
+                    Ok(_) => find(&mut diagnostics, path, "expected a JSON object"),
+                    Err(e) => {
+                        let place = format!("{path}:{}:{}", e.line(), e.column());
+                        find(&mut diagnostics, place, format!("not JSON: {e}"));
+                    }
+                },
+            }
         }
+        let flags = flags.into_iter().filter_map(|(k, v)| Some((k.to_string(), v?))).collect();
+        SettingsReader { flags, file: settings, known: Vec::new(), diagnostics }
     }
-    let flags = flags.into_iter().filter_map(|(k, v)| Some((k.to_string(), v?))).collect();
-    Reader { flags, file: map, asked: Vec::new(), all }
-}
 
-fn raw(r: &mut Reader, name: &'static str) -> Option<(String, String)> {
-    r.asked.push(name);
-    if let Some(val) = r.flags.get(name) {
-        return Some((format!("--{name}"), val.clone()));
-    }
-    let place = format!("params.{name}");
-    match r.file.get(name)? {
-        Value::String(s) => Some((place, s.clone())),
-        Value::Number(n) => Some((place, n.to_string())),
-        Value::Bool(b) => Some((place, b.to_string())),
-        Value::Array(list) => {
-            let texts: Vec<&str> = list.iter().filter_map(Value::as_str).collect();
-            if texts.len() < list.len() {
-                find(&mut r.all, place, "expected a list of texts");
-                return None;
-            }
-            Some((place, texts.join(",")))
+    /// A setting's place and its text, if it is given.
+    fn value(&mut self, name: &'static str) -> Option<(String, String)> {
+        self.known.push(name);
+        if let Some(val) = self.flags.get(name) {
+            return Some((format!("--{name}"), val.clone()));
         }
-        _ => {
-            find(&mut r.all, place, "expected a text, a number or a list of texts");
-            None
+        let place = format!("params.{name}");
+        match self.file.get(name)? {
+            Value::String(s) => Some((place, s.clone())),
+            Value::Number(n) => Some((place, n.to_string())),
+            Value::Bool(b) => Some((place, b.to_string())),
+            Value::Array(list) => {
+                let texts: Vec<&str> = list.iter().filter_map(Value::as_str).collect();
+                if texts.len() < list.len() {
+                    self.report(place, "expected a list of texts");
+                    return None;
+                }
+                Some((place, texts.join(",")))
+            }
+            _ => {
+                self.report(place, "expected a text, a number or a list of texts");
+                None
+            }
         }
     }
-}
 
-/// A text; a finding if it is missing and has no fall-back.
-pub fn text(r: &mut Reader, name: &'static str, fall: Option<&str>) -> String {
-    match raw(r, name) {
-        Some((_, val)) if !val.is_empty() => val,
-        Some((place, _)) => {
-            find(&mut r.all, place, "must not be empty");
-            String::new()
-        }
-        None => {
-            if fall.is_none() && !failed(r, name) {
-                find(&mut r.all, format!("--{name}"), "missing");
+    /// A text; a diagnostic if it is missing and has no default.
+    pub fn text(&mut self, name: &'static str, default: Option<&str>) -> String {
+        match self.value(name) {
+            Some((_, val)) if !val.is_empty() => val,
+            Some((place, _)) => {
+                self.report(place, "must not be empty");
+                String::new()
+            }
+            None => {
+                if default.is_none() && !self.is_unreadable(name) {
+                    self.report(format!("--{name}"), "missing");
+                }
+                default.unwrap_or_default().to_string()
             }
-            fall.unwrap_or_default().to_string()
         }
     }
-}
 
-fn failed(r: &Reader, name: &str) -> bool {
-    r.file.contains_key(name) && !r.flags.contains_key(name)
-}
+    /// Whether the file gives a value that could not be read; it was reported already.
+    fn is_unreadable(&self, name: &str) -> bool {
+        self.file.contains_key(name) && !self.flags.contains_key(name)
+    }
 
-/// A text that may be absent.
-pub fn maybe(r: &mut Reader, name: &'static str) -> Option<String> {
-    raw(r, name).map(|(_, val)| val)
-}
+    /// A text that may be absent.
+    pub fn optional_text(&mut self, name: &'static str) -> Option<String> {
+        self.value(name).map(|(_, val)| val)
+    }
 
-/// A name: letters, digits, `-`, `_`, `.`.
-pub fn name(r: &mut Reader, key: &'static str) -> String {
-    let val = text(r, key, None);
-    let fit = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-    if !val.is_empty() && (val.len() > 128 || !val.chars().all(fit)) {
-        find(&mut r.all, format!("--{key}"), "has letters, digits, `-`, `_` and `.` only");
+    /// A name: letters, digits, `-`, `_`, `.`.
+    pub fn name(&mut self, key: &'static str) -> String {
+        let val = self.text(key, None);
+        let fit = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+        if !val.is_empty() && (val.len() > 128 || !val.chars().all(fit)) {
+            self.report(format!("--{key}"), "has letters, digits, `-`, `_` and `.` only");
+        }
+        val
     }
-    val
-}
 
-/// An address by IP number.
-pub fn addr(r: &mut Reader, name: &'static str) -> SocketAddr {
-    let val = text(r, name, None);
-    one_addr(r, name, &val)
-}
+    /// An address by IP number.
+    pub fn address(&mut self, name: &'static str) -> SocketAddr {
+        let val = self.text(name, None);
+        self.parse_address(name, &val)
+    }
 
-fn one_addr(r: &mut Reader, name: &str, val: &str) -> SocketAddr {
-    match val.trim().parse() {
-        Ok(addr) => addr,
-        Err(_) => {
-            if !val.is_empty() {
-                let text = format!("`{val}` is not an IP address with a port");
-                find(&mut r.all, format!("--{name}"), text);
+    fn parse_address(&mut self, name: &str, val: &str) -> SocketAddr {
+        match val.trim().parse() {
+            Ok(addr) => addr,
+            Err(_) => {
+                if !val.is_empty() {
+                    let text = format!("`{val}` is not an IP address with a port");
+                    self.report(format!("--{name}"), text);
+                }
+                SocketAddr::from(([0, 0, 0, 0], 0))
             }
-            SocketAddr::from(([0, 0, 0, 0], 0))
         }
     }
-}
-
-/// An address by IP number that may be absent.
-pub fn maybe_addr(r: &mut Reader, name: &'static str) -> Option<SocketAddr> {
-    let val = maybe(r, name)?;
-    Some(one_addr(r, name, &val))
-}
 
-/// The number of a fleet: of its name, which all its processes must share; of
-/// the house's own, if it has none. Not of the seeds: these may differ.
-pub fn fleet(r: &mut Reader) -> u64 {
-    grebepath_core::digest::hash(&maybe(r, "fleet").unwrap_or_else(|| "grebe".into()))
-}
-
-/// From `low` to `high` different addresses, separated by commas; `port` stands
-/// in for each one's own.
-pub fn addrs(
-    r: &mut Reader,
-    name: &'static str,
-    low: usize,
-    high: usize,
-    port: Option<u16>,
-) -> Vec<SocketAddr> {
-    let val = text(r, name, None);
-    if val.is_empty() {
-        return Vec::new();
-    }
-    let mut list: Vec<SocketAddr> = val.split(',').map(|v| one_addr(r, name, v)).collect();
-    for addr in &mut list {
-        addr.set_port(port.unwrap_or(addr.port()));
+    /// An address by IP number that may be absent.
+    pub fn optional_address(&mut self, name: &'static str) -> Option<SocketAddr> {
+        let val = self.optional_text(name)?;
+        Some(self.parse_address(name, &val))
     }
-    let mut seen = list.clone();
-    seen.sort();
-    seen.dedup();
-    if !(low..=high).contains(&list.len()) || seen.len() != list.len() {
-        let text = format!("expected {low} to {high} different addresses");
-        find(&mut r.all, format!("--{name}"), text);
+
+    /// The number of a fleet: of its name, which all its processes must share; of
+    /// `grebe`, if it has none. Not of the seeds: these may differ.
+    pub fn fleet_id(&mut self) -> u64 {
+        grebepath_core::digest::hash(&self.optional_text("fleet").unwrap_or_else(|| "grebe".into()))
     }
-    list
-}
 
-/// Yes or no: `true` or `false`.
-pub fn yes(r: &mut Reader, name: &'static str, fall: bool) -> bool {
-    match raw(r, name) {
-        None => fall,
-        Some((_, val)) if val == "true" => true,
-        Some((_, val)) if val == "false" => false,
-        Some((place, _)) => {
-            find(&mut r.all, place, "expected true or false");
-            fall
+    /// From `low` to `high` different addresses, separated by commas; `port` stands
+    /// in for each one's own.
+    pub fn addresses(
+        &mut self,
+        name: &'static str,
+        low: usize,
+        high: usize,
+        port: Option<u16>,
+    ) -> Vec<SocketAddr> {
+        let val = self.text(name, None);
+        if val.is_empty() {
+            return Vec::new();
+        }
+        let mut list: Vec<SocketAddr> =
+            val.split(',').map(|v| self.parse_address(name, v)).collect();
+        for addr in &mut list {
+            addr.set_port(port.unwrap_or(addr.port()));
         }
+        let mut seen = list.clone();
+        seen.sort();
+        seen.dedup();
+        if !(low..=high).contains(&list.len()) || seen.len() != list.len() {
+            let text = format!("expected {low} to {high} different addresses");
+            self.report(format!("--{name}"), text);
+        }
+        list
     }
-}
 
-/// A whole number within bounds.
-pub fn number(r: &mut Reader, name: &'static str, low: u64, high: u64, fall: Option<u64>) -> u64 {
-    match raw(r, name) {
-        None => {
-            if fall.is_none() && !failed(r, name) {
-                find(&mut r.all, format!("--{name}"), "missing");
+    /// Yes or no: `true` or `false`.
+    pub fn yes_or_no(&mut self, name: &'static str, default: bool) -> bool {
+        match self.value(name) {
+            None => default,
+            Some((_, val)) if val == "true" => true,
+            Some((_, val)) if val == "false" => false,
+            Some((place, _)) => {
+                self.report(place, "expected true or false");
+                default
             }
-            fall.unwrap_or(low)
         }
-        Some((place, val)) => match val.parse() {
-            Ok(n) if (low..=high).contains(&n) => n,
-            _ => {
-                find(&mut r.all, place, format!("expected a whole number from {low} to {high}"));
-                low
-            }
-        },
     }
-}
 
-/// A share from 0 to 1, in thousandths.
-pub fn thousandths(r: &mut Reader, name: &'static str, fall: u64) -> u64 {
-    match raw(r, name) {
-        None => fall,
-        Some((place, val)) => match val.parse::<f64>() {
-            Ok(n) if (0.0..=1.0).contains(&n) => (n * 1000.0) as u64,
-            _ => {
-                find(&mut r.all, place, "expected a share from 0 to 1");
-                fall
+    /// A whole number within bounds.
+    pub fn number(&mut self, name: &'static str, low: u64, high: u64, default: Option<u64>) -> u64 {
+        match self.value(name) {
+            None => {
+                if default.is_none() && !self.is_unreadable(name) {
+                    self.report(format!("--{name}"), "missing");
+                }
+                default.unwrap_or(low)
             }
-        },
+            Some((place, val)) => match val.parse() {
+                Ok(n) if (low..=high).contains(&n) => n,
+                _ => {
+                    self.report(place, format!("expected a whole number from {low} to {high}"));
+                    low
+                }
+            },
+        }
     }
-}
 
-/// Seconds, fractions included, as a span.
-pub fn seconds(r: &mut Reader, name: &'static str) -> Option<grebepath_core::time::Span> {
-    let (place, val) = raw(r, name)?;
-    match val.parse::<f64>() {
-        Ok(n) if (0.0..=86_400.0).contains(&n) => Some((n * 1e6) as grebepath_core::time::Span),
-        _ => {
-            find(&mut r.all, place, "expected seconds, up to a day");
-            None
+    /// A share from 0 to 1, in thousandths.
+    pub fn share_in_thousandths(&mut self, name: &'static str, default: u64) -> u64 {
+        match self.value(name) {
+            None => default,
+            Some((place, val)) => match val.parse::<f64>() {
+                Ok(n) if (0.0..=1.0).contains(&n) => (n * 1000.0) as u64,
+                _ => {
+                    self.report(place, "expected a share from 0 to 1");
+                    default
+                }
+            },
         }
     }
-}
 
-/// An amount above zero, fractions dropped.
-pub fn amount(r: &mut Reader, name: &'static str, fall: u64) -> u64 {
-    match raw(r, name) {
-        None => fall,
-        Some((place, val)) => match val.parse::<f64>() {
-            Ok(n) if n > 0.0 => (n as u64).max(1),
+    /// Seconds, fractions included, as a span.
+    pub fn optional_seconds(&mut self, name: &'static str) -> Option<grebepath_core::time::Span> {
+        let (place, val) = self.value(name)?;
+        match val.parse::<f64>() {
+            Ok(n) if (0.0..=86_400.0).contains(&n) => Some((n * 1e6) as grebepath_core::time::Span),
             _ => {
-                find(&mut r.all, place, "expected a number above zero");
-                fall
+                self.report(place, "expected seconds, up to a day");
+                None
             }
-        },
+        }
     }
-}
 
-/// One of several words.
-pub fn word(r: &mut Reader, name: &'static str, known: &[&str], fall: &str) -> String {
-    match raw(r, name) {
-        None => fall.to_string(),
-        Some((_, val)) if known.contains(&val.as_str()) => val,
-        Some((place, val)) => {
-            find(&mut r.all, place, format!("`{val}` is not one of {}", known.join(", ")));
-            fall.to_string()
+    /// An amount above zero, fractions dropped.
+    pub fn positive_amount(&mut self, name: &'static str, default: u64) -> u64 {
+        match self.value(name) {
+            None => default,
+            Some((place, val)) => match val.parse::<f64>() {
+                Ok(n) if n > 0.0 => (n as u64).max(1),
+                _ => {
+                    self.report(place, "expected a number above zero");
+                    default
+                }
+            },
         }
     }
-}
 
-/// A whole number within bounds that may be absent.
-pub fn maybe_number(r: &mut Reader, name: &'static str, low: u64, high: u64) -> Option<u64> {
-    let given = r.flags.contains_key(name) || r.file.contains_key(name);
-    let val = number(r, name, low, high, Some(low));
-    given.then_some(val)
-}
+    /// One of several words.
+    pub fn choice(&mut self, name: &'static str, known: &[&str], default: &str) -> String {
+        match self.value(name) {
+            None => default.to_string(),
+            Some((_, val)) if known.contains(&val.as_str()) => val,
+            Some((place, val)) => {
+                self.report(place, format!("`{val}` is not one of {}", known.join(", ")));
+                default.to_string()
+            }
+        }
+    }
+
+    /// A whole number within bounds that may be absent.
+    pub fn optional_number(&mut self, name: &'static str, low: u64, high: u64) -> Option<u64> {
+        let given = self.flags.contains_key(name) || self.file.contains_key(name);
+        let val = self.number(name, low, high, Some(low));
+        given.then_some(val)
+    }
+
+    /// Ends the reading: unknown names in the file are diagnosed too.
+    pub fn finish(&mut self) -> Vec<Diagnostic> {
+        let known = std::mem::take(&mut self.known);
+        for key in self.file.keys().filter(|k| !known.contains(&k.as_str())) {
+            let text = format!("unknown; known are {}", known.join(", "));
+            self.diagnostics.push(Diagnostic { place: format!("params.{key}"), text });
+        }
+        std::mem::take(&mut self.diagnostics)
+    }
 
-/// Ends the reading: unknown names in the file are findings too.
-pub fn done(r: &mut Reader) -> Vec<Diagnostic> {
-    let asked = std::mem::take(&mut r.asked);
-    for key in r.file.keys().filter(|k| !asked.contains(&k.as_str())) {
-        let text = format!("unknown; known are {}", asked.join(", "));
-        r.all.push(Diagnostic { place: format!("params.{key}"), text });
+    /// Notes what is wrong with a setting.
+    pub fn report(&mut self, place: impl Into<String>, text: impl Into<String>) {
+        find(&mut self.diagnostics, place, text);
     }
-    std::mem::take(&mut r.all)
 }
 
-/// Writes findings to stderr and ends the process, if there are any.
-pub fn exit_if_any(program: &str, all: &[Diagnostic]) {
-    if all.is_empty() {
+/// Writes diagnostics to stderr and ends the process, if there are any.
+pub fn exit_if_any(program: &str, diagnostics: &[Diagnostic]) {
+    if diagnostics.is_empty() {
         return;
     }
-    eprintln!("{program}: {} thing(s) wrong with the params:", all.len());
-    eprintln!("{}", grebepath_core::routing_language::diagnostic::lines(all));
-    std::process::exit(EXIT_PARAMS);
+    eprintln!("{program}: {} thing(s) wrong with the params:", diagnostics.len());
+    eprintln!("{}", grebepath_core::routing_language::diagnostic::lines(diagnostics));
+    std::process::exit(EXIT_SETTINGS);
 }
--- a/crates/runtime/src/stop.rs
+++ b/crates/runtime/src/stop.rs
@@ -1,16 +1,16 @@
-//! The wish to stop, from outside.
+//! Requests from outside to stop the process.
 
 use tokio::signal::unix::{SignalKind, signal};
 
 /// Waits for SIGTERM or SIGINT.
-pub async fn asked() {
-    let (term, int) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
-    let (Ok(mut term), Ok(mut int)) = (term, int) else {
+pub async fn requested() {
+    let (terminate, interrupt) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
+    let (Ok(mut terminate), Ok(mut interrupt)) = (terminate, interrupt) else {
         // Without signals there is no way to ask; go on for ever.
         return std::future::pending().await;
     };
     tokio::select! {
-        _ = term.recv() => {}
-        _ = int.recv() => {}
+        _ = terminate.recv() => {}
+        _ = interrupt.recv() => {}
     }
 }
--- a/crates/server/src/controller/disk.rs
+++ b/crates/server/src/controller/disk.rs
@@ -9,7 +9,8 @@
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::voters::voter_file::VoterFile;
-use grebepath_runtime::disk::{self, Store};
+use grebepath_runtime::disk::data_folder;
+use grebepath_runtime::disk::partition_store::PartitionStore;
 use tokio::sync::mpsc::UnboundedSender;
 
 use crate::owner::Input;
@@ -48,7 +49,7 @@
 /// Serves until the owner is gone.
 pub fn serve(
     data: &Path,
-    mut stores: Vec<Store>,
+    mut stores: Vec<PartitionStore>,
     jobs: Receiver<Job>,
     events: UnboundedSender<Input>,
 ) {
@@ -73,7 +74,7 @@
         for (part, mut fate) in fates {
             if fate.unsynced
                 && fate.trouble.is_none()
-                && let Err(e) = disk::sync(&mut stores[part.0 as usize])
+                && let Err(e) = stores[part.0 as usize].sync()
             {
                 fate.trouble = Some(e.to_string());
             }
@@ -93,31 +94,36 @@
             let _ = events.send(Input::Controller(event));
         }
         for part in looks {
-            let trouble = disk::look(&stores[part.0 as usize]);
+            let trouble = stores[part.0 as usize].scrub();
             let _ = events.send(Input::Controller(Event::Scrubbed { partition: part, trouble }));
         }
     }
 }
 
 /// Keeps a roll; what it says of the parts must hold before.
-fn keep(data: &Path, stores: &mut [Store], roll: &VoterFile, clear: bool) -> Result<(), Error> {
+fn keep(
+    data: &Path,
+    stores: &mut [PartitionStore],
+    roll: &VoterFile,
+    clear: bool,
+) -> Result<(), Error> {
     if clear {
         for store in stores {
-            disk::clear(store)?;
+            store.set_aside()?;
         }
     }
-    disk::keep(data, roll)
+    data_folder::write_voter_file(data, roll)
 }
 
-fn one(stores: &mut [Store], job: Job, fates: &mut BTreeMap<PartitionId, Fate>) {
+fn one(stores: &mut [PartitionStore], job: Job, fates: &mut BTreeMap<PartitionId, Fate>) {
     let (part, token, got, unsynced) = match job {
         Job::Append { part, token, rec } => {
             let store = &mut stores[part.0 as usize];
-            (part, token, disk::append(store, &rec), true)
+            (part, token, store.append(&rec), true)
         }
         Job::Slot { part, token, copy } => {
             let store = &mut stores[part.0 as usize];
-            (part, token, disk::slot(store, &copy), false)
+            (part, token, store.write_snapshot(&copy), false)
         }
         Job::Look { .. } | Job::Keep { .. } => return,
     };
--- a/crates/server/src/controller/door.rs
+++ b/crates/server/src/controller/door.rs
@@ -15,7 +15,7 @@
 };
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::routing_language::diagnostic::Diagnostic;
-use grebepath_runtime::dialect::{Dialect, Order};
+use grebepath_runtime::platform_api::{OperatorRequest, PlatformApi};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
@@ -30,7 +30,7 @@
 pub fn serve(
     listener: std::net::TcpListener,
     owner: Owner,
-    dialect: Option<&'static Dialect>,
+    dialect: Option<&'static PlatformApi>,
     mut stop: tokio::sync::watch::Receiver<bool>,
 ) {
     let rt = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
@@ -60,9 +60,12 @@
     let until = async move {
         let _ = stop.wait_for(|s| *s).await;
     };
-    if let Err(e) =
-        rt.block_on(grebepath_runtime::http::serve(listener, consts::OPERATOR_WIRES, router, until))
-    {
+    if let Err(e) = rt.block_on(grebepath_runtime::http::server::serve(
+        listener,
+        consts::OPERATOR_WIRES,
+        router,
+        until,
+    )) {
         error!("the operators' door: {e}");
     }
 }
@@ -70,7 +73,7 @@
 /// A call in another manner of speaking than ours.
 async fn foreign(
     State(owner): State<Owner>,
-    dialect: Option<&'static Dialect>,
+    dialect: Option<&'static PlatformApi>,
     req: Request,
 ) -> Response {
     let Some(dialect) = dialect else {
@@ -80,11 +83,11 @@
     let Ok(body) = axum::body::to_bytes(body, consts::CONFIG_LIMIT).await else {
         return answer(413, &json!({ "error": "the body can't be read, or is too large" }));
     };
-    let resp = match (dialect.order)(&head, &body) {
-        Order::Wrong(resp) => resp,
-        Order::Operation { deed, request } => {
+    let resp = match (dialect.read_operator_request)(&head, &body) {
+        OperatorRequest::Malformed(resp) => resp,
+        OperatorRequest::Operation { operation: deed, request_id: request } => {
             let request = request.unwrap_or_else(own_id);
-            (dialect.done)(operate(&owner, request, None, deed).await)
+            (dialect.write_operation_result)(operate(&owner, request, None, deed).await)
         }
     };
     resp.map(axum::body::Body::from)
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -14,7 +14,8 @@
 use grebepath_core::storage::reader::Found;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::voters::voter_file::begin;
-use grebepath_runtime::disk::Store;
+use grebepath_runtime::disk::data_folder;
+use grebepath_runtime::disk::partition_store::{self, PartitionStore};
 use tracing::{error, warn};
 
 fn main() {
@@ -31,21 +32,21 @@
 type FoundPart = (PartitionId, ReplicaCondition, ReplicaState, u64);
 
 fn run(p: params::Params) -> Result<(), std::io::Error> {
-    let _lock = grebepath_runtime::disk::lock(&p.data)?;
+    let _lock = data_folder::lock(&p.data)?;
     params::check_seat(&p)?;
-    let roll = grebepath_runtime::disk::roll(&p.data)?;
+    let roll = data_folder::read_voter_file(&p.data)?;
     let nonce = grebepath_runtime::clock::nonce();
-    let mut stores: Vec<Store> = Vec::new();
+    let mut stores: Vec<PartitionStore> = Vec::new();
     let mut found: Vec<FoundPart> = Vec::new();
     let mut sick: Vec<(PartitionId, String)> = Vec::new();
-    let bare = partitions().all(|part| grebepath_runtime::disk::bare(&p.data, part));
+    let bare = partitions().all(|part| partition_store::is_blank(&p.data, part));
     let (roll, clear) = begin(roll, &params::start(&p), bare, nonce);
     for part in partitions() {
-        let (mut store, got) = grebepath_runtime::disk::open(&p.data, part)?;
+        let (mut store, got) = PartitionStore::open(&p.data, part)?;
         match got {
             _ if clear => {
                 warn!(%part, "the files are of a seat given to another; set aside");
-                grebepath_runtime::disk::clear(&mut store)?;
+                store.set_aside()?;
                 found.push((part, ReplicaCondition::Empty, ReplicaState::default(), 0));
             }
             Found::Empty => found.push((part, ReplicaCondition::Empty, ReplicaState::default(), 0)),
@@ -57,7 +58,7 @@
                 if torn {
                     warn!(%part, "a torn tail of the log was dropped");
                 }
-                if let Err(e) = grebepath_runtime::disk::slot(&mut store, &copy) {
+                if let Err(e) = store.write_snapshot(&copy) {
                     sick.push((part, e.to_string()));
                 }
                 found.push((part, ReplicaCondition::Voting, copy, 0));
@@ -66,13 +67,13 @@
         stores.push(store);
     }
     // Nothing may be said as who we are before that is on disk.
-    grebepath_runtime::disk::keep(&p.data, &roll)?;
+    data_folder::write_voter_file(&p.data, &roll)?;
     // All params are good and the disk was read: now ports are opened.
     let inner = std::net::TcpListener::bind(p.inner)?;
-    let door = grebepath_runtime::http::listen(p.listen, 1)?.remove(0);
+    let door = grebepath_runtime::http::server::listen(p.listen, 1)?.remove(0);
     let name = p.seat.map_or("-".to_string(), |s| s.to_string());
     println!("controller {name} inner {} door {}", inner.local_addr()?, door.local_addr()?);
-    let clock = grebepath_runtime::clock::clock();
+    let clock = grebepath_runtime::clock::Clock::new();
     let data = p.data.clone();
     let (disk_tx, disk_rx) = mpsc::channel();
     let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -11,10 +11,10 @@
 use grebepath_core::voters::handover;
 use grebepath_core::voters::voter_file::VoterFile;
 use grebepath_core::voters::voter_set::NOBODY;
-use grebepath_runtime::clock::{Clock, duration, now};
-use grebepath_runtime::connections;
-use grebepath_runtime::connections::{Ways, arrange, ways};
-use grebepath_runtime::peer_connection::{Out, WireEvent, accept, send};
+use grebepath_runtime::clock::{Clock, duration};
+use grebepath_runtime::connections::Connections;
+use grebepath_runtime::peer_connection::{ConnectionEvent, Greeting, MessageSender, accept};
+use grebepath_runtime::reload::SettingsWatch;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 use tracing::{debug, warn};
@@ -43,10 +43,10 @@
 
 /// Everything the control thread holds beside the core.
 struct Io {
-    ways: Ways<SocketAddr>,
+    ways: Connections<SocketAddr>,
     /// Wakes since the ways were last seen to.
     looked: u32,
-    connections: HashMap<u64, Out>,
+    connections: HashMap<u64, MessageSender>,
     disk: mpsc::Sender<Job>,
     tells: HashMap<u64, oneshot::Sender<OperationResult>>,
     next_op: u64,
@@ -75,29 +75,30 @@
     tokio::task::spawn_local(accept(inner, fleet, wire_tx.clone()));
     let here = (p.addr.to_string(), p.zone.clone());
     let nonce = grebepath_runtime::clock::nonce();
-    let mut core = core(roll, (&here.0, &here.1), found, nonce, now(&clock));
-    let ways = ways(Some(p.addr), &p.seeds, (who(&core), fleet), |addr| addr, wire_tx);
+    let mut core = core(roll, (&here.0, &here.1), found, nonce, clock.now());
+    let greeting = Greeting { identity: who(&core), fleet };
+    let ways = Connections::new(Some(p.addr), &p.seeds, greeting, |addr| addr, wire_tx);
     let connections = HashMap::new();
     let mut io =
         Io { ways, looked: 0, connections, disk, tells: HashMap::new(), next_op: 1, wake_at: None };
-    arrange(&mut io.ways, who(&core), &core.seating.roll.table);
+    io.ways.arrange(who(&core), &core.seating.roll.table);
     for (part, why) in sick {
-        let todo = step(&mut core, now(&clock), Event::DiskFailed { partition: part, why });
+        let todo = step(&mut core, clock.now(), Event::DiskFailed { partition: part, why });
         carry_out(&mut io, &core, todo);
     }
     // Nothing of a controller's params can change while it runs.
-    let mut files = grebepath_runtime::reload::watch(None);
+    let mut files = SettingsWatch::new(None);
     let mut wake = tokio::time::interval(duration(WAKE));
     wake.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let stop = grebepath_runtime::stop::asked();
+    let stop = grebepath_runtime::stop::requested();
     tokio::pin!(stop);
     // Asked to stop, we go on until our voter slot is in other hands, or nobody
     // is there to take it.
-    while !handover::may_end(&core, now(&clock)) {
+    while !handover::may_end(&core, clock.now()) {
         let event = tokio::select! {
             biased;
             _ = &mut stop, if !handover::is_leaving(&core) => Some(Event::Stop),
-            _ = grebepath_runtime::reload::changed(&mut files) => None,
+            _ = files.changed() => None,
             _ = wake.tick() => {
                 look(&mut io, &core);
                 Some(Event::Wake)
@@ -110,7 +111,7 @@
             Some(event) = wire_rx.recv() => heard(&mut io, event),
         };
         if let Some(event) = event {
-            let todo = step(&mut core, now(&clock), event);
+            let todo = step(&mut core, clock.now(), event);
             carry_out(&mut io, &core, todo);
         }
     }
@@ -149,7 +150,7 @@
             Some(Event::Operate { op, request, expect, deed })
         }
         Input::Own(tell) => {
-            let _ = tell.send(crate::metrics::own(core, &p.zone, now(clock)));
+            let _ = tell.send(crate::metrics::own(core, &p.zone, clock.now()));
             None
         }
         Input::Metrics(tell) => {
@@ -173,35 +174,37 @@
 fn look(io: &mut Io, core: &ControllerState) {
     io.looked += 1;
     if io.looked.is_multiple_of(LOOK_WAKES) {
-        arrange(&mut io.ways, who(core), &core.seating.roll.table);
+        io.ways.arrange(who(core), &core.seating.roll.table);
     }
 }
 
-fn heard(io: &mut Io, event: WireEvent<SocketAddr>) -> Option<Event> {
+fn heard(io: &mut Io, event: ConnectionEvent<SocketAddr>) -> Option<Event> {
     match event {
-        WireEvent::Dialled { tag, message } => {
-            connections::heard(&mut io.ways, tag, &message);
+        ConnectionEvent::Received { tag, message } => {
+            io.ways.note_message(tag, &message);
             Some(Event::FromController { message })
         }
-        WireEvent::Opened { connection, who, out } => {
+        ConnectionEvent::Accepted { connection, identity: who, sender: out } => {
             debug!(connection, ?who, "wire opened");
             io.connections.insert(connection, out);
             Some(Event::ConnectionOpened { connection })
         }
-        WireEvent::Came { connection, who, message } => Some(match who {
-            PeerIdentity::Voter { slot: seat, holder } => {
-                connections::spoken(&mut io.ways);
-                Event::FromVoter { slot: seat, holder, connection, message }
-            }
-            PeerIdentity::Member(_) | PeerIdentity::Spare { .. } => {
-                Event::FromConnection { connection, message }
-            }
-        }),
-        WireEvent::Closed { connection } => {
+        ConnectionEvent::ReceivedFromAccepted { connection, identity: who, message } => {
+            Some(match who {
+                PeerIdentity::Voter { slot: seat, holder } => {
+                    io.ways.note_contact();
+                    Event::FromVoter { slot: seat, holder, connection, message }
+                }
+                PeerIdentity::Member(_) | PeerIdentity::Spare { .. } => {
+                    Event::FromConnection { connection, message }
+                }
+            })
+        }
+        ConnectionEvent::Closed { connection } => {
             io.connections.remove(&connection);
             Some(Event::ConnectionClosed { connection })
         }
-        WireEvent::Trouble { text } => {
+        ConnectionEvent::Failed { text } => {
             warn!("{text}");
             None
         }
@@ -213,16 +216,16 @@
     for command in todo {
         match command {
             Command::ToVoter { slot: seat, message } => {
-                connections::to_seat(&io.ways, table, seat, &message);
+                io.ways.send_to_voter(table, seat, &message);
             }
-            Command::Broadcast { message } => connections::to_all(&io.ways, &message),
-            Command::VoterSetChanged => arrange(&mut io.ways, who(core), table),
+            Command::Broadcast { message } => io.ways.broadcast(&message),
+            Command::VoterSetChanged => io.ways.arrange(who(core), table),
             Command::WriteVoterFile { token, roll, clear } => {
                 let _ = io.disk.send(Job::Keep { token, roll, clear });
             }
             Command::ToConnection { connection, message } => {
                 if let Some(out) = io.connections.get(&connection) {
-                    send(out, &message);
+                    out.send(&message);
                 }
             }
             Command::AppendRecord { partition: part, token, rec } => {
--- a/crates/server/src/controller/params.rs
+++ b/crates/server/src/controller/params.rs
@@ -5,10 +5,9 @@
 
 use bpaf::{OptionParser, Parser, long};
 use grebepath_core::consts::{SEATS, SEATS_MAX};
-use grebepath_core::routing_language::diagnostic::find;
 use grebepath_core::voters::voter_file::Start;
-use grebepath_runtime::dialect::Dialect;
-use grebepath_runtime::settings as p;
+use grebepath_runtime::platform_api::PlatformApi;
+use grebepath_runtime::settings::{EXIT_SETTINGS, SettingsReader, exit_if_any};
 
 /// Everything a controller must be told.
 #[derive(Clone)]
@@ -33,7 +32,7 @@
     /// The fleet it belongs to; a number that all its processes share.
     pub fleet: u64,
     /// How operators speak beside our own manner.
-    pub dialect: Option<&'static Dialect>,
+    pub dialect: Option<&'static PlatformApi>,
 }
 
 struct Flags {
@@ -117,7 +116,7 @@
         Ok(f) => f,
         Err(e) => {
             e.print_message(100);
-            std::process::exit(if e.exit_code() == 0 { 0 } else { p::EXIT_PARAMS });
+            std::process::exit(if e.exit_code() == 0 { 0 } else { EXIT_SETTINGS });
         }
     };
     let pairs = vec![
@@ -134,48 +133,48 @@
         ("dialect", f.dialect),
         ("seed_port", f.seed_port),
     ];
-    let mut r = p::reader(pairs, f.file.as_deref());
-    let seat = p::maybe_number(&mut r, "seat", 0, u64::from(SEATS_MAX) - 1).map(|n| n as u8);
-    let port = p::number(&mut r, "seed_port", 0, 65_535, Some(0)) as u16;
-    let seeds = p::addrs(&mut r, "seeds", 1, SEATS_MAX.into(), (port > 0).then_some(port));
-    let inner = p::addr(&mut r, "inner");
-    let dialect = p::word(&mut r, "dialect", &["own", "platform"], "own");
-    let bear = p::number(&mut r, "bear", 0, (u64::from(SEATS_MAX) - 1) / 2, Some(SEATS / 2));
+    let mut r = SettingsReader::new(pairs, f.file.as_deref());
+    let seat = r.optional_number("seat", 0, u64::from(SEATS_MAX) - 1).map(|n| n as u8);
+    let port = r.number("seed_port", 0, 65_535, Some(0)) as u16;
+    let seeds = r.addresses("seeds", 1, SEATS_MAX.into(), (port > 0).then_some(port));
+    let inner = r.address("inner");
+    let dialect = r.choice("dialect", &["own", "platform"], "own");
+    let bear = r.number("bear", 0, (u64::from(SEATS_MAX) - 1) / 2, Some(SEATS / 2));
     let out = Params {
         seat,
-        fleet: p::fleet(&mut r),
-        zone: p::name(&mut r, "zone"),
-        listen: p::addr(&mut r, "listen"),
+        fleet: r.fleet_id(),
+        zone: r.name("zone"),
+        listen: r.address("listen"),
         inner,
         addr: inner,
         seeds,
-        first: p::yes(&mut r, "first", false),
-        seats: p::number(&mut r, "seats", 1, SEATS_MAX.into(), Some(2 * bear + 1)) as usize,
+        first: r.yes_or_no("first", false),
+        seats: r.number("seats", 1, SEATS_MAX.into(), Some(2 * bear + 1)) as usize,
         dialect: (dialect == "platform").then_some(&platform::DIALECT),
-        data: PathBuf::from(p::text(&mut r, "data", None)),
+        data: PathBuf::from(r.text("data", None)),
     };
     if out.seats.is_multiple_of(2) {
-        find(&mut r.all, "--seats", "expected an odd number");
+        r.report("--seats", "expected an odd number");
     }
     if let Some(seat) = seat {
         told(&out, seat, &mut r);
     }
-    let all = p::done(&mut r);
-    p::exit_if_any("controller", &all);
+    let all = r.finish();
+    exit_if_any("controller", &all);
     out
 }
 
 /// What must hold where an operator gives the seats away.
-fn told(p: &Params, seat: u8, r: &mut p::Reader) {
+fn told(p: &Params, seat: u8, r: &mut SettingsReader) {
     if p.seeds.len().is_multiple_of(2) {
-        find(&mut r.all, "--seeds", "with --seat, expected an odd number of addresses");
+        r.report("--seeds", "with --seat, expected an odd number of addresses");
     }
     match p.seeds.get(usize::from(seat)) {
-        None => find(&mut r.all, "--seat", format!("there are {} seeds", p.seeds.len())),
+        None => r.report("--seat", format!("there are {} seeds", p.seeds.len())),
         Some(seed) if p.inner.port() != 0 && *seed != p.inner => {
             let text =
                 format!("seed {seat} is {seed}, but this seat's inner address is {}", p.inner);
-            find(&mut r.all, "--seeds", text);
+            r.report("--seeds", text);
         }
         Some(_) => {}
     }
--- a/crates/server/src/grebectl/net.rs
+++ b/crates/server/src/grebectl/net.rs
@@ -6,7 +6,7 @@
 use bytes::Bytes;
 use grebepath_core::consts;
 use grebepath_core::http_api::operator::{EXPECT_REVISION, REQUEST_ID};
-use grebepath_runtime::http::{Http, call_within};
+use grebepath_runtime::http::client::HttpClient;
 use http_body_util::Full;
 use hyper::{Method, Request};
 use serde_json::Value;
@@ -37,7 +37,7 @@
 
 /// Asks one controller after another until one says something final. The
 /// request's id makes it safe to send a change again.
-pub async fn ask(http: &Http, at: &[SocketAddr], ask: &Ask) -> Result<Answer, String> {
+pub async fn ask(http: &HttpClient, at: &[SocketAddr], ask: &Ask) -> Result<Answer, String> {
     let mut last: Option<Answer> = None;
     let mut maybe = false;
     let mut trouble = String::from("no address was given");
@@ -63,7 +63,7 @@
 }
 
 /// Asks one controller.
-pub async fn one(http: &Http, addr: SocketAddr, ask: &Ask) -> Result<Answer, String> {
+pub async fn one(http: &HttpClient, addr: SocketAddr, ask: &Ask) -> Result<Answer, String> {
     let mut req = Request::builder()
         .method(ask.method.clone())
         .uri(format!("http://{addr}{}", ask.path))
@@ -77,7 +77,7 @@
     let req = req.body(Full::new(Bytes::from(ask.body.clone()))).map_err(|e| e.to_string())?;
     let wait = Duration::from_micros(consts::OPERATE_PATIENCE) + Duration::from_secs(2);
     let resp =
-        call_within(http, req, consts::CONFIG_LIMIT, wait).await.map_err(|e| e.to_string())?;
+        http.call_within(req, consts::CONFIG_LIMIT, wait).await.map_err(|e| e.to_string())?;
     let body = serde_json::from_slice(resp.body())
         .map_err(|e| format!("status {} with a body that is not JSON: {e}", resp.status()))?;
     Ok((resp.status().as_u16(), body))
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -7,7 +7,7 @@
 use grebepath_core::config::{build, change, read, show as conf_show};
 use grebepath_core::http_api::operator::{CONFIG, STATUS};
 use grebepath_core::routing_language::diagnostic::Diagnostic;
-use grebepath_runtime::http::Http;
+use grebepath_runtime::http::client::HttpClient;
 use hyper::Method;
 use serde_json::{Value, json};
 
@@ -24,7 +24,7 @@
 
 /// Runs a verb and gives the exit code.
 pub async fn run(args: Args) -> i32 {
-    let http = grebepath_runtime::http::client(1);
+    let http = grebepath_runtime::http::client::HttpClient::new(1);
     match verb(&args, &http).await {
         Ok(code) => code,
         Err(End(text, code)) => {
@@ -58,7 +58,7 @@
     })
 }
 
-async fn verb(args: &Args, http: &Http) -> Result<i32, End> {
+async fn verb(args: &Args, http: &HttpClient) -> Result<i32, End> {
     match &args.verb {
         Verb::Check { file } => {
             let (_, built) = checked(args, &load(file)?)?;
@@ -144,7 +144,7 @@
     json!({ "zones": [{ "name": zone, "state": state }] }).to_string().into_bytes()
 }
 
-async fn get(args: &Args, http: &Http) -> Result<(u64, Config), End> {
+async fn get(args: &Args, http: &HttpClient) -> Result<(u64, Config), End> {
     let (code, body) = ask(http, &at(args)?, &reading(CONFIG)).await.map_err(trouble)?;
     if code != 200 {
         return Err(trouble(format!("status {code}: {body}")));
@@ -154,7 +154,7 @@
     Ok((body["revision"].as_u64().unwrap_or(0), conf))
 }
 
-async fn send(args: &Args, http: &Http, method: Method, body: Vec<u8>) -> Result<i32, End> {
+async fn send(args: &Args, http: &HttpClient, method: Method, body: Vec<u8>) -> Result<i32, End> {
     let list = at(args)?;
     // Findings that need no controller are told without one.
     if method == Method::PUT {
@@ -213,7 +213,7 @@
 /// Waits until every live member obeys a revision.
 async fn obeyed(
     args: &Args,
-    http: &Http,
+    http: &HttpClient,
     list: &[SocketAddr],
     revision: u64,
     secs: u64,
@@ -244,7 +244,7 @@
     }
 }
 
-async fn diff(args: &Args, http: &Http, raw: &[u8]) -> Result<i32, End> {
+async fn diff(args: &Args, http: &HttpClient, raw: &[u8]) -> Result<i32, End> {
     let (new, _) = checked(args, raw)?;
     let (revision, old) = get(args, http).await?;
     let (before, list) = (change::entries(&old), change::changes(&old, &new));
@@ -271,7 +271,7 @@
     Ok(if rows.is_empty() { EXIT_OK } else { EXIT_DIFFERS })
 }
 
-async fn status(args: &Args, http: &Http) -> Result<i32, End> {
+async fn status(args: &Args, http: &HttpClient) -> Result<i32, End> {
     let mut seats = Vec::new();
     for addr in at(args)? {
         let got = match one(http, addr, &reading(STATUS)).await {
--- a/crates/server/src/local_cluster/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -59,16 +59,20 @@
     eprintln!("  stand-ins:  http://{}", f.list);
     if args.stay {
         eprintln!("running until interrupted");
-        grebepath_runtime::stop::asked().await;
+        grebepath_runtime::stop::requested().await;
         return Ok(true);
     }
     let seen = Rc::new(RefCell::new(Seen::default()));
     let until = Instant::now() + Duration::from_secs(args.seconds);
     let ready = Rc::new(RefCell::new(f.fronts.clone()));
-    let watch =
-        watch_ready(grebepath_runtime::http::client(2), f.fronts.clone(), ready.clone(), until);
+    let watch = watch_ready(
+        grebepath_runtime::http::client::HttpClient::new(2),
+        f.fronts.clone(),
+        ready.clone(),
+        until,
+    );
     tokio::task::spawn_local(watch);
-    let http = grebepath_runtime::http::client(128);
+    let http = grebepath_runtime::http::client::HttpClient::new(128);
     let mut loads = Vec::new();
     for (i, kind) in spec.kinds.iter().enumerate() {
         let seed = args.seed.wrapping_add(i as u64);
--- a/crates/server/src/mock_backends/main.rs
+++ b/crates/server/src/mock_backends/main.rs
@@ -47,7 +47,7 @@
     println!("mock-backends list {addr} leafs {}", backs.borrow().leafs.len());
     tokio::select! {
         _ = control_listener::serve(door, backs) => {}
-        _ = grebepath_runtime::stop::asked() => {}
+        _ = grebepath_runtime::stop::requested() => {}
     }
     Ok(())
 }
@@ -61,11 +61,16 @@
     seed: u64,
 ) -> Result<(), String> {
     let spec = spec::read(&file)?;
-    let http = grebepath_runtime::http::client(64);
+    let http = grebepath_runtime::http::client::HttpClient::new(64);
     let seen = Rc::new(RefCell::new(Seen::default()));
     let ready = Rc::new(RefCell::new(targets.clone()));
     let until = Instant::now() + Duration::from_secs(seconds);
-    let watching = watch_ready(grebepath_runtime::http::client(2), targets, ready.clone(), until);
+    let watching = watch_ready(
+        grebepath_runtime::http::client::HttpClient::new(2),
+        targets,
+        ready.clone(),
+        until,
+    );
     tokio::task::spawn_local(watching);
     let mut loads = Vec::new();
     for (i, kind) in spec.kinds.iter().enumerate() {
@@ -90,15 +95,13 @@
 }
 
 async fn fetch_runs(
-    http: &grebepath_runtime::http::Http,
+    http: &grebepath_runtime::http::client::HttpClient,
     addr: SocketAddr,
 ) -> Result<Vec<Value>, String> {
     let req = Request::get(format!("http://{addr}/runs"))
         .body(Full::default())
         .map_err(|e| e.to_string())?;
     let wait = Duration::from_secs(30);
-    let resp = grebepath_runtime::http::call_within(http, req, 1 << 30, wait)
-        .await
-        .map_err(|e| e.to_string())?;
+    let resp = http.call_within(req, 1 << 30, wait).await.map_err(|e| e.to_string())?;
     serde_json::from_slice(resp.body()).map_err(|e| e.to_string())
 }
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -14,12 +14,12 @@
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::voters::voter_set::seat_of;
-use grebepath_runtime::clock::{Clock, duration, now};
-use grebepath_runtime::connections;
-use grebepath_runtime::connections::{Ways, arrange, ways};
-use grebepath_runtime::dialect::Dialect;
-use grebepath_runtime::http::{Http, call_within};
-use grebepath_runtime::peer_connection::{Out, WireEvent, accept, dial, send};
+use grebepath_runtime::clock::{Clock, duration};
+use grebepath_runtime::connections::Connections;
+use grebepath_runtime::http::client::HttpClient;
+use grebepath_runtime::peer_connection::{ConnectionEvent, Greeting, MessageSender, accept, dial};
+use grebepath_runtime::platform_api::PlatformApi;
+use grebepath_runtime::reload::SettingsWatch;
 use http_body_util::Full;
 use hyper::Request;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
@@ -57,18 +57,18 @@
 struct Io {
     me: String,
     fleet: u64,
-    ways: Ways<Tag>,
+    ways: Connections<Tag>,
     /// Wakes since the ways were last seen to.
     looked: u32,
-    members: HashMap<String, (SocketAddr, Out)>,
+    members: HashMap<String, (SocketAddr, MessageSender)>,
     desks: Vec<UnboundedSender<Work>>,
     ready: signal::Sender<bool>,
     view: signal::Sender<Arc<ClusterView>>,
-    connections: UnboundedSender<WireEvent<Tag>>,
+    connections: UnboundedSender<ConnectionEvent<Tag>>,
     input: UnboundedSender<Input>,
-    http: Http,
+    http: HttpClient,
     list: SocketAddr,
-    dialect: Option<&'static Dialect>,
+    dialect: Option<&'static PlatformApi>,
     probes: bool,
     polling: bool,
     /// When the list was last polled, and the pages it then had.
@@ -105,7 +105,7 @@
         joined: 0,
         incarnation: grebepath_runtime::clock::nonce(),
     };
-    let mut w = watch(me, now(&clock));
+    let mut w = watch(me, clock.now());
     let mut patience = consts::DRAIN_MAX;
     if let Some(grace) = p.grace {
         w.notice = grace * consts::NOTICE_PCT / 100;
@@ -113,10 +113,10 @@
     }
     if let (Some((listener, ready, all)), Some(dialect)) = (checks, p.dialect) {
         let own = (all, desks[0].clone());
-        tokio::task::spawn_local(crate::door::check(listener, dialect.ready, ready, own));
+        tokio::task::spawn_local(crate::door::check(listener, dialect.readiness_path, ready, own));
     }
-    let who = PeerIdentity::Member(p.name.clone());
-    let ways = ways(None, &p.seeds, (who, fleet), Tag::Controller, wire_tx.clone());
+    let greeting = Greeting { identity: PeerIdentity::Member(p.name.clone()), fleet };
+    let ways = Connections::new(None, &p.seeds, greeting, Tag::Controller, wire_tx.clone());
     let mut io = Io {
         me: p.name.clone(),
         fleet,
@@ -128,7 +128,7 @@
         view,
         connections: wire_tx,
         input: tx,
-        http: grebepath_runtime::http::client(2),
+        http: HttpClient::new(2),
         list: p.list,
         dialect: p.dialect,
         probes: p.probes,
@@ -139,11 +139,11 @@
         told: HashMap::new(),
         shut: false,
     };
-    let mut files = grebepath_runtime::reload::watch(p.file.as_deref());
+    let mut files = SettingsWatch::new(p.file.as_deref());
     see_to(&mut io, &w);
     let mut wake = tokio::time::interval(duration(WAKE));
     wake.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
-    let stop = grebepath_runtime::stop::asked();
+    let stop = grebepath_runtime::stop::requested();
     tokio::pin!(stop);
     let mut stopping = false;
     let mut left = io.desks.len();
@@ -160,7 +160,7 @@
                 }
                 Some(Event::Stop)
             }
-            _ = grebepath_runtime::reload::changed(&mut files) => {
+            _ = files.changed() => {
                 reread(&io);
                 None
             }
@@ -190,7 +190,7 @@
             Some(event) = wire_rx.recv() => heard(&mut io, &w, event),
         };
         if let Some(event) = event {
-            let todo = step(&mut w, now(&clock), event);
+            let todo = step(&mut w, clock.now(), event);
             carry_out(&mut io, &w, todo);
         }
         if io.shut && !asked {
@@ -204,7 +204,7 @@
         }
     }
     // Gives the lease back, so that our share is free at once.
-    let todo = step(&mut w, now(&clock), Event::Drained);
+    let todo = step(&mut w, clock.now(), Event::Drained);
     carry_out(&mut io, &w, todo);
     tokio::time::sleep(Duration::from_millis(20)).await;
     Ok(())
@@ -230,13 +230,13 @@
 /// Opens and drops connections to the core as the table of the seats asks.
 fn see_to(io: &mut Io, w: &Watch) {
     let who = PeerIdentity::Member(io.me.clone());
-    arrange(&mut io.ways, who, &w.table);
+    io.ways.arrange(who, &w.table);
 }
 
-fn heard(io: &mut Io, w: &Watch, event: WireEvent<Tag>) -> Option<Event> {
+fn heard(io: &mut Io, w: &Watch, event: ConnectionEvent<Tag>) -> Option<Event> {
     match event {
-        WireEvent::Dialled { tag: Tag::Controller(addr), message } => {
-            let holder = connections::heard(&mut io.ways, addr, &message);
+        ConnectionEvent::Received { tag: Tag::Controller(addr), message } => {
+            let holder = io.ways.note_message(addr, &message);
             match message {
                 Message::VoterSetUpdate { table, .. } => Some(Event::Seats(table)),
                 // Who has no seat has no say.
@@ -245,16 +245,18 @@
                 }
             }
         }
-        WireEvent::Dialled { tag: Tag::Member(name), message }
-        | WireEvent::Came { who: PeerIdentity::Member(name), message, .. } => {
-            Some(Event::FromMember { name, message })
-        }
-        WireEvent::Opened { connection, who, .. } => {
+        ConnectionEvent::Received { tag: Tag::Member(name), message }
+        | ConnectionEvent::ReceivedFromAccepted {
+            identity: PeerIdentity::Member(name),
+            message,
+            ..
+        } => Some(Event::FromMember { name, message }),
+        ConnectionEvent::Accepted { connection, identity: who, .. } => {
             debug!(connection, ?who, "wire opened");
             None
         }
-        WireEvent::Came { .. } | WireEvent::Closed { .. } => None,
-        WireEvent::Trouble { text } => {
+        ConnectionEvent::ReceivedFromAccepted { .. } | ConnectionEvent::Closed { .. } => None,
+        ConnectionEvent::Failed { text } => {
             alarm(io, &text);
             None
         }
@@ -265,9 +267,9 @@
     for command in todo {
         match command {
             Command::ToSeat { slot: seat, message } => {
-                connections::to_seat(&io.ways, &w.table, seat, &message);
+                io.ways.send_to_voter(&w.table, seat, &message);
             }
-            Command::ToAll { message } => connections::to_all(&io.ways, &message),
+            Command::ToAll { message } => io.ways.broadcast(&message),
             Command::Seats => see_to(io, w),
             Command::ToMember { name, addr, message } => to_member(io, name, &addr, &message),
             Command::ClusterView(view) => {
@@ -329,12 +331,13 @@
     let Ok(addr) = addr.parse::<SocketAddr>() else { return };
     let known = io.members.get(&name).is_some_and(|(a, _)| *a == addr);
     if !known {
-        let who = (PeerIdentity::Member(io.me.clone()), io.fleet);
-        let out = dial(addr, who, Tag::Member(name.clone()), io.connections.clone());
+        let identity = PeerIdentity::Member(io.me.clone());
+        let greeting = Greeting { identity, fleet: io.fleet };
+        let out = dial(addr, greeting, Tag::Member(name.clone()), io.connections.clone());
         io.members.insert(name.clone(), (addr, out));
     }
     if let Some((_, out)) = io.members.get(&name) {
-        send(out, message);
+        out.send(message);
     }
 }
 
@@ -375,11 +378,15 @@
 }
 
 /// Reads a list in another manner, page by page. Only a whole list is one.
-async fn pages(http: &Http, addr: SocketAddr, d: &Dialect) -> Result<(Vec<LeafInfo>, u64), String> {
+async fn pages(
+    http: &HttpClient,
+    addr: SocketAddr,
+    d: &PlatformApi,
+) -> Result<(Vec<LeafInfo>, u64), String> {
     let mut out: Vec<LeafInfo> = Vec::new();
     let mut next: Option<String> = None;
     for n in 1..=consts::LIST_PAGES {
-        let path = (d.list)(next.as_deref());
+        let path = (d.list_path)(next.as_deref());
         let mut body = get(http, addr, &path).await;
         for _ in 0..consts::LIST_AGAIN {
             if body.as_ref().err().is_none_or(|why| why != TOO_MANY) {
@@ -389,8 +396,8 @@
             body = get(http, addr, &path).await;
         }
         let body = body?;
-        let page = (d.page)(&body).map_err(|f| f.to_string())?;
-        for f in page.findings {
+        let page = (d.read_list_page)(&body).map_err(|f| f.to_string())?;
+        for f in page.diagnostics {
             debug!("the platform's list: {f}");
         }
         // A leaf may move from page to page while they are read.
@@ -399,7 +406,7 @@
                 out.push(leaf);
             }
         }
-        match page.next {
+        match page.next_page {
             None => return Ok((out, n as u64)),
             next_page => next = next_page,
         }
@@ -410,12 +417,12 @@
 /// The list was asked too often.
 const TOO_MANY: &str = "asked too often";
 
-async fn get(http: &Http, addr: SocketAddr, path: &str) -> Result<bytes::Bytes, String> {
+async fn get(http: &HttpClient, addr: SocketAddr, path: &str) -> Result<bytes::Bytes, String> {
     let req = Request::get(format!("http://{addr}{path}"))
         .body(Full::default())
         .map_err(|e| e.to_string())?;
     let wait = duration(consts::LIST_PATIENCE);
-    let resp = call_within(http, req, consts::LIST_LIMIT, wait).await.map_err(|e| e.to_string())?;
+    let resp = http.call_within(req, consts::LIST_LIMIT, wait).await.map_err(|e| e.to_string())?;
     match resp.status().as_u16() {
         200 => Ok(resp.into_body()),
         429 => Err(TOO_MANY.into()),
@@ -423,7 +430,7 @@
     }
 }
 
-async fn fetch(http: &Http, addr: SocketAddr) -> Result<Vec<LeafInfo>, String> {
+async fn fetch(http: &HttpClient, addr: SocketAddr) -> Result<Vec<LeafInfo>, String> {
     let body = get(http, addr, list::PATH).await?;
     let (leafs, all) = list::read(&body).map_err(|f| f.to_string())?;
     for f in all {
--- a/crates/server/src/querier/door.rs
+++ b/crates/server/src/querier/door.rs
@@ -16,8 +16,8 @@
 use grebepath_core::query::engine::{Event, room_of};
 use grebepath_core::query::request::{Ask, Outcome, Reason, Rejection};
 use grebepath_core::snapshot::cluster_view::ClusterView;
-use grebepath_runtime::dialect::Dialect;
-use grebepath_runtime::forwarding_server;
+use grebepath_runtime::forwarding_server::ForwardingServer;
+use grebepath_runtime::platform_api::PlatformApi;
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::{oneshot, watch};
 
@@ -143,15 +143,15 @@
 /// Serves the door for calls that are handed over.
 pub async fn hand(
     listener: std::net::TcpListener,
-    door: Rc<forwarding_server::Door>,
+    door: Rc<ForwardingServer>,
     here: UnboundedSender<Work>,
-    dialect: &'static Dialect,
+    dialect: &'static PlatformApi,
 ) {
     let calls = Arc::new(AtomicUsize::new(0));
     let answer = move |head, body| {
         let (here, calls) = (here.clone(), calls.clone());
         async move {
-            let parcel = Arc::new((dialect.call)(head, body));
+            let parcel = Arc::new((dialect.read_call)(head, body));
             let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
             calls.fetch_add(1, Ordering::Relaxed);
             let mut guard = Guard { call, here: here.clone(), calls, done: false };
@@ -163,10 +163,10 @@
             };
             guard.done = true;
             let gone = || Rejection::new(Reason::Stopping, "this node is going down");
-            (dialect.told)(outcome.unwrap_or_else(|| Outcome::Rejection(gone())))
+            (dialect.write_outcome)(outcome.unwrap_or_else(|| Outcome::Rejection(gone())))
         }
     };
-    forwarding_server::serve(listener, door, answer).await;
+    door.serve(listener, answer).await;
 }
 
 /// Serves the address at which readiness alone is asked.
@@ -188,7 +188,7 @@
     );
     let never = std::future::pending();
     if let Err(e) =
-        grebepath_runtime::http::serve(listener, consts::CHECK_WIRES, router, never).await
+        grebepath_runtime::http::server::serve(listener, consts::CHECK_WIRES, router, never).await
     {
         tracing::error!("the door for checks: {e}");
     }
--- a/crates/server/src/querier/leafs.rs
+++ b/crates/server/src/querier/leafs.rs
@@ -11,14 +11,14 @@
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::MILLI;
 use grebepath_runtime::clock::duration;
-use grebepath_runtime::dialect::Dialect;
-use grebepath_runtime::http::{Http, HttpTrouble, call_within};
-use grebepath_runtime::leaf_connections::{Got, Pool, exchange};
+use grebepath_runtime::http::client::{HttpClient, HttpError};
+use grebepath_runtime::leaf_connections::{Exchange, ForwardOptions, LeafAddress, LeafPool};
+use grebepath_runtime::platform_api::PlatformApi;
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, Response};
 
 /// Sends one dispatch, to this very leaf or to nobody.
-pub async fn send(pool: &Pool, s: Sending) -> Result<Raw, Trouble> {
+pub async fn send(pool: &LeafPool, s: Sending) -> Result<Raw, Trouble> {
     let addr: SocketAddr = s.addr.parse().map_err(|_| Trouble::Unreachable)?;
     let request = |req: hyper::http::request::Builder| {
         req.header(hyper::header::HOST, &s.addr)
@@ -39,42 +39,41 @@
     let fits = |r: &Response<Bytes>| {
         r.status().as_u16() == 200 && !leaf::self_word(&heads(r.headers())).leaving
     };
-    let whom = (addr, s.leaf.as_str());
-    let sent = exchange(pool, whom, greeting, fits, work, REPLY_LIMIT);
+    let leaf = LeafAddress { address: addr, leaf: s.leaf.clone() };
+    let sent = pool.exchange(leaf, greeting, fits, work, REPLY_LIMIT);
     match tokio::time::timeout(duration(s.budget), sent).await {
-        Ok(Ok(Got::Answer(r))) => Ok(raw(r)),
-        Ok(Ok(Got::Unfit(r))) => {
+        Ok(Ok(Exchange::Answered(r))) => Ok(raw(r)),
+        Ok(Ok(Exchange::Declined(r))) => {
             let mut raw = raw(r);
             // It is the leaf, and it leaves: no work was sent.
             raw.heads.unrun |= raw.status == 200;
             Ok(raw)
         }
-        Ok(Err(HttpTrouble::Unreachable(_))) => Err(Trouble::Unreachable),
-        Ok(Err(HttpTrouble::Cut(_))) => Err(Trouble::Cut),
-        Ok(Err(HttpTrouble::TooLarge)) => Err(Trouble::Overlong),
-        Ok(Err(HttpTrouble::Late)) | Err(_) => Err(Trouble::OutOfTime),
+        Ok(Err(HttpError::Unreachable(_))) => Err(Trouble::Unreachable),
+        Ok(Err(HttpError::Interrupted(_))) => Err(Trouble::Cut),
+        Ok(Err(HttpError::TooLarge)) => Err(Trouble::Overlong),
+        Ok(Err(HttpError::TimedOut)) | Err(_) => Err(Trouble::OutOfTime),
     }
 }
 
 /// Sends one dispatch of a call that is handed over.
-pub async fn hand(pool: &Pool, s: Sending, dialect: &'static Dialect) -> Result<Raw, Trouble> {
+pub async fn hand(
+    pool: &LeafPool,
+    s: Sending,
+    dialect: &'static PlatformApi,
+) -> Result<Raw, Trouble> {
     let addr: SocketAddr = s.addr.parse().map_err(|_| Trouble::Unreachable)?;
-    let work = (dialect.work)(&s).ok_or(Trouble::Unreachable)?;
-    let whom = (addr, s.leaf.as_str());
-    let fits = |r: &Response<Bytes>| !(dialect.reply)(&s, r.clone()).heads.foreign;
-    let sent = grebepath_runtime::leaf_connections::hand(
-        pool,
-        whom,
-        work,
-        (REPLY_LIMIT, s.once, s.keep),
-        fits,
-    );
+    let work = (dialect.write_attempt)(&s).ok_or(Trouble::Unreachable)?;
+    let leaf = LeafAddress { address: addr, leaf: s.leaf.clone() };
+    let fits = |r: &Response<Bytes>| !(dialect.read_reply)(&s, r.clone()).heads.foreign;
+    let options = ForwardOptions { reply_limit: REPLY_LIMIT, once: s.once, keep: s.keep };
+    let sent = pool.forward(leaf, work, options, fits);
     match tokio::time::timeout(duration(s.budget), sent).await {
-        Ok(Ok(resp)) => Ok((dialect.reply)(&s, resp)),
-        Ok(Err(HttpTrouble::Unreachable(_))) => Err(Trouble::Unreachable),
-        Ok(Err(HttpTrouble::Cut(_))) => Err(Trouble::Cut),
-        Ok(Err(HttpTrouble::TooLarge)) => Err(Trouble::Overlong),
-        Ok(Err(HttpTrouble::Late)) | Err(_) => Err(Trouble::OutOfTime),
+        Ok(Ok(resp)) => Ok((dialect.read_reply)(&s, resp)),
+        Ok(Err(HttpError::Unreachable(_))) => Err(Trouble::Unreachable),
+        Ok(Err(HttpError::Interrupted(_))) => Err(Trouble::Cut),
+        Ok(Err(HttpError::TooLarge)) => Err(Trouble::Overlong),
+        Ok(Err(HttpError::TimedOut)) | Err(_) => Err(Trouble::OutOfTime),
     }
 }
 
@@ -84,13 +83,13 @@
 }
 
 /// Asks a leaf about itself; `None` when it could not be reached.
-pub async fn probe(http: &Http, info: &LeafInfo) -> Option<LeafReport> {
+pub async fn probe(http: &HttpClient, info: &LeafInfo) -> Option<LeafReport> {
     let req = Request::get(format!("http://{}{}", info.addr, leaf::SELF_PATH))
         .header(leaf::EXPECT_LEAF, &info.leaf)
         .header(leaf::EXPECT_SERVICE, &info.service)
         .body(Full::default())
         .ok()?;
-    let resp = call_within(http, req, 64 * 1024, duration(PROBE_PATIENCE)).await.ok()?;
+    let resp = http.call_within(req, 64 * 1024, duration(PROBE_PATIENCE)).await.ok()?;
     let mut word = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
     match resp.status().as_u16() {
         leaf::MISDIRECTED => word.gone = true,
--- a/crates/server/src/querier/main.rs
+++ b/crates/server/src/querier/main.rs
@@ -21,15 +21,15 @@
 
 fn run(p: params::Params) -> Result<(), std::io::Error> {
     // One listener for each traffic thread, all on one address.
-    let listeners = grebepath_runtime::http::listen(p.listen, p.threads)?;
+    let listeners = grebepath_runtime::http::server::listen(p.listen, p.threads)?;
     let addr = listeners[0].local_addr()?;
     let inner = std::net::TcpListener::bind(p.inner)?;
     let check = match p.check {
-        Some(addr) => Some(grebepath_runtime::http::listen(addr, 1)?.remove(0)),
+        Some(addr) => Some(grebepath_runtime::http::server::listen(addr, 1)?.remove(0)),
         None => None,
     };
     println!("querier {} inner {} door {addr}", p.name, inner.local_addr()?);
-    let clock = grebepath_runtime::clock::clock();
+    let clock = grebepath_runtime::clock::Clock::new();
     let life = grebepath_runtime::clock::nonce();
     let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
     let (ready_tx, ready_rx) = tokio::sync::watch::channel(false);
--- a/crates/server/src/querier/params.rs
+++ b/crates/server/src/querier/params.rs
@@ -7,8 +7,8 @@
 use grebepath_core::query::service_retry_budget::Rate;
 use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::time::Span;
-use grebepath_runtime::dialect::Dialect;
-use grebepath_runtime::settings as p;
+use grebepath_runtime::platform_api::PlatformApi;
+use grebepath_runtime::settings::{EXIT_SETTINGS, SettingsReader, exit_if_any};
 
 /// Everything a querier must be told.
 #[derive(Clone)]
@@ -29,7 +29,7 @@
     pub list: SocketAddr,
     pub threads: u32,
     /// How the world outside speaks; nothing for our own manner.
-    pub dialect: Option<&'static Dialect>,
+    pub dialect: Option<&'static PlatformApi>,
     /// Where the platform asks whether it is ready, if not at `listen`.
     pub check: Option<SocketAddr>,
     /// The fleet's rule of second tries for calls that are handed over.
@@ -158,11 +158,11 @@
         Ok(f) => f,
         Err(e) => {
             e.print_message(100);
-            std::process::exit(if e.exit_code() == 0 { 0 } else { p::EXIT_PARAMS });
+            std::process::exit(if e.exit_code() == 0 { 0 } else { EXIT_SETTINGS });
         }
     };
     let (out, all) = checked(f);
-    p::exit_if_any("querier", &all);
+    exit_if_any("querier", &all);
     out
 }
 
@@ -196,32 +196,32 @@
         ("probes", f.more.probes),
         ("list_rate", f.more.list_rate),
     ];
-    let mut r = p::reader(pairs, f.file.as_deref());
-    let port = p::number(&mut r, "seed_port", 0, 65_535, Some(0)) as u16;
-    let seeds = p::addrs(&mut r, "seeds", 1, SEATS_MAX.into(), (port > 0).then_some(port));
+    let mut r = SettingsReader::new(pairs, f.file.as_deref());
+    let port = r.number("seed_port", 0, 65_535, Some(0)) as u16;
+    let seeds = r.addresses("seeds", 1, SEATS_MAX.into(), (port > 0).then_some(port));
     let own = grebepath_core::query::service_retry_budget::own();
-    let dialect = p::word(&mut r, "dialect", &["own", "platform"], "own");
+    let dialect = r.choice("dialect", &["own", "platform"], "own");
     let out = Params {
-        name: p::name(&mut r, "name"),
-        fleet: p::fleet(&mut r),
-        advertise: p::maybe_addr(&mut r, "advertise"),
-        zone: p::name(&mut r, "zone"),
-        listen: p::addr(&mut r, "listen"),
-        inner: p::addr(&mut r, "inner"),
+        name: r.name("name"),
+        fleet: r.fleet_id(),
+        advertise: r.optional_address("advertise"),
+        zone: r.name("zone"),
+        listen: r.address("listen"),
+        inner: r.address("inner"),
         seeds,
-        list: p::addr(&mut r, "list"),
-        threads: p::number(&mut r, "threads", 1, 64, Some(1)) as u32,
+        list: r.address("list"),
+        threads: r.number("threads", 1, 64, Some(1)) as u32,
         dialect: (dialect == "platform").then_some(&platform::DIALECT),
-        check: p::maybe_addr(&mut r, "check"),
+        check: r.optional_address("check"),
         rate: Rate {
-            share: p::thousandths(&mut r, "second_share", own.share),
-            slack: p::number(&mut r, "second_slack", 0, 1_000_000, Some(own.slack)),
+            share: r.share_in_thousandths("second_share", own.share),
+            slack: r.number("second_slack", 0, 1_000_000, Some(own.slack)),
         },
-        grace: p::seconds(&mut r, "grace_s"),
-        probes: p::word(&mut r, "probes", &["on", "off"], "on") == "on",
-        list_rate: p::amount(&mut r, "list_rate", consts::LIST_RATE),
+        grace: r.optional_seconds("grace_s"),
+        probes: r.choice("probes", &["on", "off"], "on") == "on",
+        list_rate: r.positive_amount("list_rate", consts::LIST_RATE),
         file,
     };
-    let all = p::done(&mut r);
+    let all = r.finish();
     (out, all)
 }
--- a/crates/server/src/querier/traffic.rs
+++ b/crates/server/src/querier/traffic.rs
@@ -12,10 +12,10 @@
 use grebepath_core::query::request::{Ask, Outcome};
 use grebepath_core::query::service_retry_budget::{Rate, quota};
 use grebepath_core::time::ms;
-use grebepath_runtime::clock::{Clock, duration, instant, now};
-use grebepath_runtime::dialect::Dialect;
-use grebepath_runtime::forwarding_server;
-use grebepath_runtime::leaf_connections::Pool;
+use grebepath_runtime::clock::{Clock, duration};
+use grebepath_runtime::forwarding_server::{ForwardingServer, ListenerLimits};
+use grebepath_runtime::leaf_connections::LeafPool;
+use grebepath_runtime::platform_api::PlatformApi;
 use tokio::sync::mpsc::{UnboundedReceiver, UnboundedSender};
 use tokio::sync::oneshot;
 use tokio::task::AbortHandle;
@@ -58,7 +58,7 @@
     pub all: All,
     pub control: UnboundedSender<Input>,
     pub stop: tokio::sync::watch::Receiver<bool>,
-    pub dialect: Option<&'static Dialect>,
+    pub dialect: Option<&'static PlatformApi>,
     pub rate: Rate,
     /// This thread's stable number in the membership.
     pub slot: u64,
@@ -68,9 +68,9 @@
 struct Io {
     tells: HashMap<u64, oneshot::Sender<Outcome>>,
     tasks: HashMap<u64, AbortHandle>,
-    leafs: Rc<Pool>,
-    dialect: Option<&'static Dialect>,
-    door: Rc<forwarding_server::Door>,
+    leafs: Rc<LeafPool>,
+    dialect: Option<&'static PlatformApi>,
+    door: Rc<ForwardingServer>,
     here: UnboundedSender<Work>,
     control: UnboundedSender<Input>,
 }
@@ -84,7 +84,7 @@
     let local = tokio::task::LocalSet::new();
     local.block_on(&rt, async move {
         let mut stop = s.stop.clone();
-        let outer = forwarding_server::door();
+        let outer = ForwardingServer::new();
         let (listener, all, here) = (s.listener, s.all, s.here.clone());
         let (dialect, shared) = (s.dialect, outer.clone());
         let door = async move {
@@ -97,9 +97,9 @@
                 let _ = stop.wait_for(|s| *s).await;
             };
             let connections = grebepath_core::consts::DOOR_WIRES;
-            grebepath_runtime::http::serve(listener, connections, router, until).await
+            grebepath_runtime::http::server::serve(listener, connections, router, until).await
         };
-        let mut desk = desk(&s.name, &s.zone, s.seed, now(&s.clock));
+        let mut desk = desk(&s.name, &s.zone, s.seed, s.clock.now());
         desk.quota = quota(s.rate);
         desk.slot = s.slot;
         let desk = Rc::new(RefCell::new(desk));
@@ -109,7 +109,7 @@
             door: outer,
             tells: HashMap::new(),
             tasks: HashMap::new(),
-            leafs: grebepath_runtime::leaf_connections::pool(grebepath_core::consts::LEAF_WIRES),
+            leafs: LeafPool::new(grebepath_core::consts::LEAF_WIRES),
             here: s.here,
             control: s.control,
         };
@@ -126,7 +126,7 @@
             _ = async {
                 let _ = stop.wait_for(|s| *s).await;
                 // Answers that are written already still have to leave.
-                forwarding_server::close(&shut);
+                shut.close();
                 tokio::time::sleep(std::time::Duration::from_millis(200)).await;
             } => {}
         }
@@ -143,7 +143,7 @@
     let mut draining = false;
     loop {
         let due = next(&desk.borrow());
-        let at = due.map(|at| instant(&clock, at));
+        let at = due.map(|at| clock.instant(at));
         let event = tokio::select! {
             biased;
             work = rx.recv() => match work {
@@ -187,7 +187,7 @@
                 Event::ClusterView(view) => limit(&io.door, &view.built.terms),
                 _ => {}
             }
-            let todo = step(&mut desk.borrow_mut(), now(&clock), event);
+            let todo = step(&mut desk.borrow_mut(), clock.now(), event);
             carry_out(&mut io, todo);
         }
         if draining && desk.borrow().queries.is_empty() {
@@ -198,11 +198,11 @@
 }
 
 /// Holds callers to what the configuration allows them.
-fn limit(door: &forwarding_server::Door, terms: &Terms) {
-    let own = forwarding_server::limits();
+fn limit(door: &ForwardingServer, terms: &Terms) {
+    let own = ListenerLimits::default();
     let size = |n: u64, own| if n > 0 { n as usize } else { own };
     let time = |n: u64, own| if n > 0 { duration(ms(n)) } else { own };
-    door.limits.set(forwarding_server::Limits {
+    door.limits.set(ListenerLimits {
         head_max: size(terms.head_max, own.head_max),
         body_max: size(terms.body_max, own.body_max),
         head_wait: time(terms.head_wait_ms, own.head_wait),
--- a/crates/server/src/testbed/callers.rs
+++ b/crates/server/src/testbed/callers.rs
@@ -8,7 +8,7 @@
 
 use bytes::Bytes;
 use grebepath_core::random::{Random, below, luck};
-use grebepath_runtime::http::{Http, HttpTrouble, call_within};
+use grebepath_runtime::http::client::{HttpClient, HttpError};
 use http_body_util::Full;
 use hyper::Request;
 use serde_json::{Value, json};
@@ -45,7 +45,7 @@
 pub type Targets = Rc<RefCell<Vec<SocketAddr>>>;
 
 /// Checks readiness each second, as the platform does, until `until`.
-pub async fn watch_ready(http: Http, all: Vec<SocketAddr>, ready: Targets, until: Instant) {
+pub async fn watch_ready(http: HttpClient, all: Vec<SocketAddr>, ready: Targets, until: Instant) {
     while Instant::now() < until {
         let mut list = Vec::new();
         for addr in &all {
@@ -59,17 +59,17 @@
 }
 
 /// Whether a node says that it is ready.
-pub async fn is_ready(http: &Http, addr: SocketAddr) -> bool {
+pub async fn is_ready(http: &HttpClient, addr: SocketAddr) -> bool {
     let Ok(req) = Request::get(format!("http://{addr}/readyz")).body(Full::default()) else {
         return false;
     };
-    let got = call_within(http, req, 1024, Duration::from_millis(300)).await;
+    let got = http.call_within(req, 1024, Duration::from_millis(300)).await;
     got.is_ok_and(|r| r.status() == 200)
 }
 
 /// Sends one kind's calls at their rate, times `factor`, until `until`.
 pub async fn load(
-    http: Http,
+    http: HttpClient,
     kind: Kind,
     factor: f64,
     targets: Targets,
@@ -122,7 +122,13 @@
 }
 
 /// One call and its check.
-pub async fn one(http: Http, addr: SocketAddr, kind: Rc<Kind>, num: u64, seen: Rc<RefCell<Seen>>) {
+pub async fn one(
+    http: HttpClient,
+    addr: SocketAddr,
+    kind: Rc<Kind>,
+    num: u64,
+    seen: Rc<RefCell<Seen>>,
+) {
     let id = {
         let mut s = seen.borrow_mut();
         s.next += 1;
@@ -145,13 +151,13 @@
     let start = Instant::now();
     let wait = Duration::from_millis(kind.budget_ms);
     // A moment beyond the budget, to tell late answers from lost ones.
-    let got = call_within(&http, req, 16 << 20, wait + Duration::from_millis(500)).await;
+    let got = http.call_within(req, 16 << 20, wait + Duration::from_millis(500)).await;
     let took = start.elapsed();
     let mut s = seen.borrow_mut();
     let c = s.kinds.entry(kind.search.clone()).or_default();
     let resp = match got {
         Ok(resp) => resp,
-        Err(HttpTrouble::Late) => {
+        Err(HttpError::TimedOut) => {
             c.late += 1;
             return;
         }
--- a/crates/server/src/testbed/local_cluster.rs
+++ b/crates/server/src/testbed/local_cluster.rs
@@ -8,7 +8,7 @@
 use std::time::{Duration, Instant};
 
 use bytes::Bytes;
-use grebepath_runtime::http::{Http, call_within};
+use grebepath_runtime::http::client::HttpClient;
 use http_body_util::Full;
 use hyper::{Method, Request};
 use serde_json::{Value, json};
@@ -48,7 +48,7 @@
     pub doors: Vec<SocketAddr>,
     /// Callers' doors of the queriers.
     pub fronts: Vec<SocketAddr>,
-    pub http: Http,
+    pub http: HttpClient,
 }
 
 impl Drop for Fleet {
@@ -262,7 +262,7 @@
         ];
         queriers.push(proc(&layout, &format!("querier-{i}"), "querier", &flags(&[], &args)));
     }
-    let (http, fronts) = (grebepath_runtime::http::client(16), fronts.to_vec());
+    let (http, fronts) = (grebepath_runtime::http::client::HttpClient::new(16), fronts.to_vec());
     let mut fleet = Fleet { layout, backs, seats, queriers, list, doors, fronts, http };
     let Fleet { backs, seats, queriers, .. } = &mut fleet;
     for p in [backs].into_iter().chain(seats).chain(queriers) {
@@ -312,7 +312,7 @@
 
 /// Sends one small request; gives status and JSON.
 pub async fn request(
-    http: &Http,
+    http: &HttpClient,
     method: Method,
     url: String,
     body: Vec<u8>,
@@ -323,9 +323,8 @@
         req = req.header(*name, *val);
     }
     let req = req.body(Full::new(Bytes::from(body))).map_err(|e| e.to_string())?;
-    let resp = call_within(http, req, 1 << 28, Duration::from_secs(12))
-        .await
-        .map_err(|e| e.to_string())?;
+    let resp =
+        http.call_within(req, 1 << 28, Duration::from_secs(12)).await.map_err(|e| e.to_string())?;
     let val = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
     Ok((resp.status().as_u16(), val))
 }
@@ -390,9 +389,9 @@
 }
 
 /// A text, such as that of a process's metrics.
-pub async fn text(http: &Http, url: String) -> Option<String> {
+pub async fn text(http: &HttpClient, url: String) -> Option<String> {
     let req = Request::get(url).body(Full::default()).ok()?;
-    let resp = call_within(http, req, 1 << 20, Duration::from_secs(2)).await.ok()?;
+    let resp = http.call_within(req, 1 << 20, Duration::from_secs(2)).await.ok()?;
     String::from_utf8(resp.body().to_vec()).ok()
 }
 
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -250,14 +250,17 @@
     let (seen_in, ready_in, kinds) = (seen.clone(), ready.clone(), spec.kinds.clone());
     let calls = async move {
         tokio::task::spawn_local(watch_ready(
-            grebepath_runtime::http::client(2),
+            grebepath_runtime::http::client::HttpClient::new(2),
             fronts,
             ready_in.clone(),
             far,
         ));
         for (i, kind) in kinds.into_iter().enumerate() {
-            let (http, ready, seen) =
-                (grebepath_runtime::http::client(32), ready_in.clone(), seen_in.clone());
+            let (http, ready, seen) = (
+                grebepath_runtime::http::client::HttpClient::new(32),
+                ready_in.clone(),
+                seen_in.clone(),
+            );
             tokio::task::spawn_local(load(http, kind, 0.1, ready, seen, i as u64, far));
         }
         std::future::pending::<()>().await;
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -9,7 +9,7 @@
 
 use bytes::Bytes;
 use googletest::prelude::*;
-use grebepath_runtime::http::{Http, call_within};
+use grebepath_runtime::http::client::HttpClient;
 use http_body_util::Full;
 use hyper::{Request, Response};
 use serde_json::{Value, json};
@@ -40,7 +40,7 @@
     fronts: Vec<SocketAddr>,
     checks: Vec<SocketAddr>,
     world: Shared,
-    http: Http,
+    http: HttpClient,
     calls: Cell<u64>,
     files: Vec<PathBuf>,
 }
@@ -82,7 +82,7 @@
             fronts: (3..5).map(|i| machine(i, 2).parse().unwrap()).collect(),
             checks: (3..5).map(|i| machine(i, 3).parse().unwrap()).collect(),
             world: world.clone(),
-            http: grebepath_runtime::http::client(16),
+            http: grebepath_runtime::http::client::HttpClient::new(16),
             calls: Cell::new(0),
             files: Vec::new(),
         };
@@ -177,7 +177,7 @@
             .unwrap();
         let got = got.clone();
         async move {
-            match call_within(&s.http, req, 1 << 20, Duration::from_secs(4)).await {
+            match s.http.call_within(req, 1 << 20, Duration::from_secs(4)).await {
                 Ok(resp) => got.set(resp.status().as_u16()),
                 Err(_) => return false,
             }
@@ -246,7 +246,7 @@
         .header("x-hop", "1")
         .body(Full::new(Bytes::from(body.to_string())))
         .unwrap();
-    let resp = call_within(&s.http, req, 1 << 20, Duration::from_secs(12)).await.ok()?;
+    let resp = s.http.call_within(req, 1 << 20, Duration::from_secs(12)).await.ok()?;
     Some((id, resp))
 }
 
--- a/crates/server/tests/paused_leader.rs
+++ b/crates/server/tests/paused_leader.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use googletest::prelude::*;
-use grebepath_runtime::http::Http;
+use grebepath_runtime::http::client::HttpClient;
 use grebepath_simulator::linearizability::{Answer, Base, Effect, Recorder, Verdict, check};
 use hyper::Method;
 use serde_json::{Value, json};
@@ -25,7 +25,7 @@
 struct Controllers {
     processes: Vec<Proc>,
     doors: Vec<SocketAddr>,
-    http: Http,
+    http: HttpClient,
     began: Instant,
 }
 
@@ -70,7 +70,7 @@
         })
         .collect();
     processes.iter_mut().for_each(|process| local_cluster::start(process).unwrap());
-    let http = grebepath_runtime::http::client(16);
+    let http = grebepath_runtime::http::client::HttpClient::new(16);
     Controllers { processes, doors: doors.to_vec(), http, began: Instant::now() }
 }
 
@@ -103,7 +103,7 @@
     expect: u64,
 }
 
-async fn patch(http: Http, door: SocketAddr, change: &Change) -> (u16, Value) {
+async fn patch(http: HttpClient, door: SocketAddr, change: &Change) -> (u16, Value) {
     let body = json!({ "zones": [{ "name": change.id, "state": "open" }] });
     let expect = change.expect.to_string();
     let heads = [("request-id", change.id.as_str()), ("expect-revision", expect.as_str())];
@@ -113,7 +113,7 @@
     sent.await.unwrap_or((0, Value::Null))
 }
 
-async fn get(http: Http, door: SocketAddr, path: &str) -> (u16, Value) {
+async fn get(http: HttpClient, door: SocketAddr, path: &str) -> (u16, Value) {
     let url = format!("http://{door}{path}");
     let got = local_cluster::request(&http, Method::GET, url, Vec::new(), &[]).await;
     got.unwrap_or((0, Value::Null))
--- a/crates/server/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use grebepath_runtime::http::Http;
+use grebepath_runtime::http::client::HttpClient;
 use hyper::Method;
 use platform_orders::{BASE_HEADER, CONFIG_PATH, Order, patch, whole};
 use serde_json::{Value, json};
@@ -24,7 +24,7 @@
 struct ControllerState {
     procs: Vec<Proc>,
     doors: Vec<SocketAddr>,
-    http: Http,
+    http: HttpClient,
 }
 
 impl Drop for ControllerState {
@@ -79,7 +79,8 @@
         })
         .collect();
     let doors = (0..3).map(at).collect();
-    let mut core = ControllerState { procs, doors, http: grebepath_runtime::http::client(8) };
+    let mut core =
+        ControllerState { procs, doors, http: grebepath_runtime::http::client::HttpClient::new(8) };
     core.procs.iter_mut().try_for_each(local_cluster::start)?;
     Ok(core)
 }
--- a/crates/server/tests/seats.rs
+++ b/crates/server/tests/seats.rs
@@ -27,7 +27,10 @@
 }
 
 /// The seat of a controller that has formed all its parts; no seat is `Null`.
-async fn seat(http: &grebepath_runtime::http::Http, door: SocketAddr) -> Option<Value> {
+async fn seat(
+    http: &grebepath_runtime::http::client::HttpClient,
+    door: SocketAddr,
+) -> Option<Value> {
     let url = format!("http://{door}/v1/status");
     let (_, val) = local_cluster::request(http, Method::GET, url, Vec::new(), &[]).await.ok()?;
     let here = &val["here"];
@@ -43,7 +46,7 @@
 
 /// Sets an object through one controller alone.
 async fn patch_at(
-    http: &grebepath_runtime::http::Http,
+    http: &grebepath_runtime::http::client::HttpClient,
     door: SocketAddr,
     n: usize,
 ) -> (u16, Value) {
@@ -165,7 +168,11 @@
 }
 
 /// Waits until so many seats are held and formed.
-async fn held(c: &ControllerState, http: &grebepath_runtime::http::Http, want: usize) -> bool {
+async fn held(
+    c: &ControllerState,
+    http: &grebepath_runtime::http::client::HttpClient,
+    want: usize,
+) -> bool {
     let ask = || async {
         let mut got = Vec::new();
         for (i, door) in c.doors.iter().enumerate() {
@@ -197,7 +204,7 @@
 fn five_seats_form_from_three_seeds_and_bear_two_lost_disks() {
     block(async {
         let mut c = core("seats-five", 5, 6);
-        let http = grebepath_runtime::http::client(4);
+        let http = grebepath_runtime::http::client::HttpClient::new(4);
         assert!(held(&c, &http, 5).await, "five seats were not formed");
         let whole = json!({ "searches": [], "pools": [], "zones": [] }).to_string().into_bytes();
         let url = format!("http://{}/v1/config", c.doors[5]);
@@ -235,7 +242,7 @@
 fn a_voter_that_is_stopped_hands_its_slot_over_and_a_lost_disk_follows() {
     block(async {
         let mut c = core("seats-handover", 3, 6);
-        let http = grebepath_runtime::http::client(4);
+        let http = grebepath_runtime::http::client::HttpClient::new(4);
         assert!(held(&c, &http, 3).await, "three slots were not formed");
         let whole = json!({ "searches": [], "pools": [], "zones": [] }).to_string().into_bytes();
         let url = format!("http://{}/v1/config", c.doors[5]);
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -12,7 +12,8 @@
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::message::{FeedPosition, Message, PeerIdentity};
 use grebepath_core::storage::reader::{Found, read};
-use grebepath_runtime::peer_connection::{WireEvent, accept, dial, send};
+use grebepath_runtime::leaf_connections::{Exchange, LeafAddress, LeafPool};
+use grebepath_runtime::peer_connection::{ConnectionEvent, Greeting, accept, dial};
 use hyper::Method;
 use serde_json::json;
 use testbed::local_cluster;
@@ -48,25 +49,25 @@
     block(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
-        let (tx, mut rx) = tokio::sync::mpsc::unbounded_channel::<WireEvent<u8>>();
+        let (tx, mut rx) = tokio::sync::mpsc::unbounded_channel::<ConnectionEvent<u8>>();
         let task = tokio::task::spawn_local(accept(listener, 7, tx));
         let (dial_tx, _dial_rx) = tokio::sync::mpsc::unbounded_channel();
-        let stranger = dial(addr, (seat(1), 8), 1u8, dial_tx.clone());
-        send(&stranger, &follow(1));
-        let Some(WireEvent::Trouble { text }) = rx.recv().await else { panic!("taken") };
+        let stranger = dial(addr, Greeting { identity: seat(1), fleet: 8 }, 1u8, dial_tx.clone());
+        stranger.send(&follow(1));
+        let Some(ConnectionEvent::Failed { text }) = rx.recv().await else { panic!("taken") };
         expect_that!(text, contains_substring("another fleet"));
         drop(stranger);
-        let ours = dial(addr, (seat(2), 7), 2u8, dial_tx.clone());
+        let ours = dial(addr, Greeting { identity: seat(2), fleet: 7 }, 2u8, dial_tx.clone());
         let mut connections = Vec::new();
         // The stranger may have dialled again before it was dropped.
         while connections.len() < 2 {
             match rx.recv().await.unwrap() {
-                WireEvent::Opened { connection, who, .. } => {
+                ConnectionEvent::Accepted { connection, identity: who, .. } => {
                     expect_that!(who, eq(&seat(2)));
                     connections.push(connection);
-                    send(&ours, &follow(connections.len() as u64));
+                    ours.send(&follow(connections.len() as u64));
                 }
-                WireEvent::Came { who, message, connection } => {
+                ConnectionEvent::ReceivedFromAccepted { identity: who, message, connection } => {
                     expect_that!((who, connection), eq(&(seat(2), connections[0])));
                     expect_that!(message, eq(&follow(1)));
                     // Garbage on a connection of its own ends that connection alone.
@@ -134,11 +135,7 @@
     }
 }
 
-async fn send_work(
-    pool: &grebepath_runtime::leaf_connections::Pool,
-    addr: SocketAddr,
-    n: usize,
-) -> Option<u16> {
+async fn send_work(pool: &LeafPool, addr: SocketAddr, n: usize) -> Option<u16> {
     use http_body_util::Full;
     use hyper::Request;
     let get = || Request::get("/self").header("expect-leaf", "s.1").body(Full::default());
@@ -149,17 +146,11 @@
         .unwrap();
     let fits = |r: &hyper::Response<bytes::Bytes>| r.status() == 200;
     let greeting = || get().unwrap();
-    let sent = grebepath_runtime::leaf_connections::exchange(
-        pool,
-        (addr, "s.1"),
-        greeting,
-        fits,
-        work,
-        1024,
-    );
+    let leaf = LeafAddress { address: addr, leaf: "s.1".into() };
+    let sent = pool.exchange(leaf, greeting, fits, work, 1024);
     match sent.await {
-        Ok(grebepath_runtime::leaf_connections::Got::Answer(r)) => Some(r.status().as_u16()),
-        Ok(grebepath_runtime::leaf_connections::Got::Unfit(r)) => Some(r.status().as_u16()),
+        Ok(Exchange::Answered(r)) => Some(r.status().as_u16()),
+        Ok(Exchange::Declined(r)) => Some(r.status().as_u16()),
         Err(_) => None,
     }
 }
@@ -174,7 +165,7 @@
         let heard = Rc::new(RefCell::new(Heard::default()));
         let own = heard.clone();
         let leaf = tokio::task::spawn_local(async move { flaky(listener, "s.1", &own).await });
-        let pool = grebepath_runtime::leaf_connections::pool(4);
+        let pool = LeafPool::new(4);
         let mut answered = 0;
         for n in 0..200 {
             answered += u32::from(send_work(&pool, addr, n).await == Some(200));
@@ -497,18 +488,18 @@
         let f = local_cluster::up(layout("flood")).await.unwrap();
         all_ready(&f).await;
         let one = async |search: &str| {
-            let http = grebepath_runtime::http::client(1);
+            let http = grebepath_runtime::http::client::HttpClient::new(1);
             let req = hyper::Request::post(format!("http://{}/v1/search/{search}", f.fronts[0]))
                 .header("budget-ms", "900")
                 .body(http_body_util::Full::from(r#"{"question": "q"}"#))
                 .unwrap();
-            let got = grebepath_runtime::http::call(&http, req, 1 << 20).await.ok()?;
+            let got = http.call(req, 1 << 20).await.ok()?;
             let again =
                 got.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
             Some((got.status().as_u16(), again))
         };
         let ready = async || {
-            let http = grebepath_runtime::http::client(1);
+            let http = grebepath_runtime::http::client::HttpClient::new(1);
             let url = format!("http://{}/readyz", f.fronts[0]);
             local_cluster::text(&http, url).await.is_some()
         };
