--- a/crates/runtime/src/disk/data_folder.rs
+++ b/crates/runtime/src/disk/data_folder.rs
@@ -2,35 +2,37 @@
 //! last.
 
 use std::fs::{self, File, OpenOptions};
-use std::io::{Error, ErrorKind, Write};
+use std::io::{ErrorKind, Write};
 use std::path::Path;
 
 use grebepath_core::voters::voter_file;
 use grebepath_core::voters::voter_file::VoterFile;
 
+use super::error::StorageError;
+
 /// The file that holds who this controller is and the voter set it knows.
 const VOTER_FILE: &str = "seats";
 
 /// Takes the data folder for this process alone, as long as the file lives; makes it
 /// if it is not there.
-pub fn lock(data: &Path) -> Result<File, Error> {
+pub fn lock(data: &Path) -> Result<File, StorageError> {
     fs::create_dir_all(data)?;
     let path = data.join("lock");
     let file = OpenOptions::new().create(true).truncate(false).write(true).open(path)?;
     match file.try_lock() {
         Ok(()) => Ok(file),
-        Err(e) => Err(Error::other(format!("another process uses this data folder: {e}"))),
+        Err(e) => Err(StorageError::Locked(e)),
     }
 }
 
 /// Reads the voter file; a damaged one counts as none.
-pub fn read_voter_file(data: &Path) -> Result<Option<VoterFile>, Error> {
+pub fn read_voter_file(data: &Path) -> Result<Option<VoterFile>, StorageError> {
     let raw = read_if_present(&data.join(VOTER_FILE))?;
     Ok(raw.and_then(|raw| voter_file::read(&raw)))
 }
 
 /// Keeps the voter file: written beside the old one, synced, renamed over it.
-pub fn write_voter_file(data: &Path, file: &VoterFile) -> Result<(), Error> {
+pub fn write_voter_file(data: &Path, file: &VoterFile) -> Result<(), StorageError> {
     let new = data.join(format!("{VOTER_FILE}.new"));
     write_synced(&new, &voter_file::write(file))?;
     fs::rename(&new, data.join(VOTER_FILE))?;
@@ -38,22 +40,22 @@
 }
 
 /// A file's bytes, or nothing if there is no such file.
-pub(super) fn read_if_present(path: &Path) -> Result<Option<Vec<u8>>, Error> {
+pub(super) fn read_if_present(path: &Path) -> Result<Option<Vec<u8>>, StorageError> {
     match fs::read(path) {
         Ok(raw) => Ok(Some(raw)),
         Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
-        Err(e) => Err(e),
+        Err(e) => Err(e.into()),
     }
 }
 
 /// Writes a file that lasts once its folder is synced too.
-pub(super) fn write_synced(path: &Path, raw: &[u8]) -> Result<(), Error> {
+pub(super) fn write_synced(path: &Path, raw: &[u8]) -> Result<(), StorageError> {
     let mut file = File::create(path)?;
     file.write_all(raw)?;
-    file.sync_all()
+    Ok(file.sync_all()?)
 }
 
 /// Makes names that were added to a folder or removed from it last.
-pub(super) fn sync_folder(folder: &Path) -> Result<(), Error> {
-    File::open(folder)?.sync_all()
+pub(super) fn sync_folder(folder: &Path) -> Result<(), StorageError> {
+    Ok(File::open(folder)?.sync_all()?)
 }
--- a/crates/runtime/src/disk/partition_store.rs
+++ b/crates/runtime/src/disk/partition_store.rs
@@ -2,7 +2,7 @@
 //! follows the newer one.
 
 use std::fs::{self, File, OpenOptions};
-use std::io::{Error, ErrorKind, Read, Write};
+use std::io::{ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 
 use grebepath_core::identifiers::PartitionId;
@@ -11,6 +11,7 @@
 use grebepath_core::storage::writer;
 
 use super::data_folder::{read_if_present, sync_folder, write_synced};
+use super::error::{ScrubError, StorageError};
 
 /// The files of a partition, in the order in which the reader takes them.
 const FILES: [&str; 3] = ["slot-0", "slot-1", "log"];
@@ -33,7 +34,10 @@
 impl PartitionStore {
     /// Reads a partition's folder, making it if it is not there. Damaged files are set
     /// aside.
-    pub fn open(data: &Path, partition: PartitionId) -> Result<(PartitionStore, Found), Error> {
+    pub fn open(
+        data: &Path,
+        partition: PartitionId,
+    ) -> Result<(PartitionStore, Found), StorageError> {
         let folder = folder_of(data, partition);
         if !folder.exists() {
             fs::create_dir_all(&folder)?;
@@ -63,30 +67,30 @@
     }
 
     /// Appends a record; it lasts only after [`PartitionStore::sync`].
-    pub fn append(&mut self, record: &LogRecord) -> Result<(), Error> {
-        let Some(log) = &mut self.log else { return Err(no_log()) };
+    pub fn append(&mut self, record: &LogRecord) -> Result<(), StorageError> {
+        let Some(log) = &mut self.log else { return Err(StorageError::NoLog) };
         let raw = writer::rec(self.sequence, self.records, record);
         if let Err(e) = log.write_all(&raw) {
             self.log = None;
-            return Err(e);
+            return Err(e.into());
         }
         self.records += 1;
         Ok(())
     }
 
     /// Syncs what was appended.
-    pub fn sync(&mut self) -> Result<(), Error> {
-        let Some(log) = &self.log else { return Err(no_log()) };
+    pub fn sync(&mut self) -> Result<(), StorageError> {
+        let Some(log) = &self.log else { return Err(StorageError::NoLog) };
         if let Err(e) = log.sync_data() {
             // What the kernel kept of it is unknown: never append behind it.
             self.log = None;
-            return Err(e);
+            return Err(e.into());
         }
         Ok(())
     }
 
     /// Writes a snapshot into the other slot and begins a new log.
-    pub fn write_snapshot(&mut self, state: &ReplicaState) -> Result<(), Error> {
+    pub fn write_snapshot(&mut self, state: &ReplicaState) -> Result<(), StorageError> {
         self.log = None;
         let sequence = self.sequence + 1;
         let slot = self.folder.join(format!("slot-{}", sequence % 2));
@@ -104,29 +108,26 @@
     }
 
     /// Reads the files again, from the disk itself as far as the system lets us, and
-    /// compares them with what was written. Tells what is wrong.
-    pub fn scrub(&self) -> Option<String> {
+    /// compares them with what was written.
+    pub fn scrub(&self) -> Result<(), ScrubError> {
         // After a failure, or before the first snapshot, nothing is promised.
-        self.log.as_ref()?;
-        let found = match read_files(self.partition, |name| read_uncached(&self.folder.join(name)))
-        {
-            Ok(found) => found,
-            Err(e) => return Some(e.to_string()),
-        };
-        match found {
+        if self.log.is_none() {
+            return Ok(());
+        }
+        match read_files(self.partition, |name| read_uncached(&self.folder.join(name)))? {
             Found::Good { seq, records, torn, .. }
                 if (seq, records, torn) == (self.sequence, self.records, false) =>
             {
-                None
+                Ok(())
             }
-            Found::Good { .. } => Some("what was written last is not there".into()),
-            Found::Empty => Some("the files are gone".into()),
-            Found::Damaged(why) => Some(why),
+            Found::Good { .. } => Err(ScrubError::Outdated),
+            Found::Empty => Err(ScrubError::Missing),
+            Found::Damaged(why) => Err(ScrubError::Damaged(why)),
         }
     }
 
     /// Sets the files aside: they are of a former incarnation, and must not count.
-    pub fn set_aside(&mut self) -> Result<(), Error> {
+    pub fn set_aside(&mut self) -> Result<(), StorageError> {
         self.log = None;
         set_aside(&self.folder)?;
         (self.sequence, self.records) = (0, 0);
@@ -144,26 +145,22 @@
     data.join(format!("part-{}", partition.0))
 }
 
-fn no_log() -> Error {
-    Error::other("no log is open since the last trouble")
-}
-
 /// What the files hold, each read by `read_file`.
 fn read_files(
     partition: PartitionId,
-    read_file: impl Fn(&str) -> Result<Option<Vec<u8>>, Error>,
-) -> Result<Found, Error> {
+    read_file: impl Fn(&str) -> Result<Option<Vec<u8>>, StorageError>,
+) -> Result<Found, StorageError> {
     let [zero, one, log] = FILES;
     let (zero, one, log) = (read_file(zero)?, read_file(one)?, read_file(log)?);
     Ok(read(partition.0, [zero.as_deref(), one.as_deref()], log.as_deref()))
 }
 
 /// A file's bytes as the disk has them, or nothing if there is no such file.
-fn read_uncached(path: &Path) -> Result<Option<Vec<u8>>, Error> {
+fn read_uncached(path: &Path) -> Result<Option<Vec<u8>>, StorageError> {
     let mut file = match File::open(path) {
         Ok(file) => file,
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
-        Err(e) => return Err(e),
+        Err(e) => return Err(e.into()),
     };
     // Pages in memory would hide what has become of the disk.
     let _ = rustix::fs::fadvise(&file, 0, None, rustix::fs::Advice::DontNeed);
@@ -173,7 +170,7 @@
 }
 
 /// Moves a partition's files into a new folder beside them.
-fn set_aside(folder: &Path) -> Result<(), Error> {
+fn set_aside(folder: &Path) -> Result<(), StorageError> {
     let mut number = 0;
     let mut target = folder.join("damaged-0");
     while target.exists() {
--- a/crates/runtime/src/http/client.rs
+++ b/crates/runtime/src/http/client.rs
@@ -8,25 +8,45 @@
 use hyper_util::client::legacy::Client;
 use hyper_util::client::legacy::connect::HttpConnector;
 use hyper_util::rt::TokioExecutor;
-use quick_error::quick_error;
+use thiserror::Error;
 
 /// Time after which a connection attempt is given up.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
 /// Time for which an unused connection is kept.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
-quick_error! {
-    /// Why a request brought no answer.
-    #[derive(Debug)]
-    pub enum HttpError {
-        /// Not a byte of it was sent.
-        Unreachable(why: String) { display("unreachable: {why}") }
-        /// The connection ended before the response did.
-        Interrupted(why: String) { display("cut short: {why}") }
-        /// The response is larger than was allowed.
-        TooLarge { display("the answer is too large") }
-        /// No response within the time that was allowed.
-        TimedOut { display("no answer in time") }
+type BoxError = Box<dyn std::error::Error + Send + Sync>;
+
+/// Why a request brought no response.
+#[derive(Debug, Error)]
+pub enum HttpError {
+    /// There is no connection: not a byte was sent.
+    #[error("unreachable: {}", source_text(.0.as_ref()))]
+    Unreachable(#[source] BoxError),
+    /// A connection was not there in time: not a byte was sent.
+    #[error("unreachable: no wire in time")]
+    ConnectTimedOut,
+    /// The connection ended before the response's head came.
+    #[error("cut short: {}", source_text(.0.as_ref()))]
+    Interrupted(#[source] BoxError),
+    /// The connection ended before the response's body did.
+    #[error("cut short: {0}")]
+    BodyInterrupted(#[source] BoxError),
+    /// The response does not say where it ends.
+    #[error("cut short: an answer without a length")]
+    Unframed,
+    /// The response is larger than was allowed.
+    #[error("the answer is too large")]
+    TooLarge,
+    /// No response within the time that was allowed.
+    #[error("no answer in time")]
+    TimedOut,
+}
+
+impl HttpError {
+    /// Whether certainly not a byte of the request was sent.
+    pub fn is_unsent(&self) -> bool {
+        matches!(self, HttpError::Unreachable(_) | HttpError::ConnectTimedOut)
     }
 }
 
@@ -56,8 +76,11 @@
         limit: usize,
     ) -> Result<Response<Bytes>, HttpError> {
         let response = self.client.request(request).await.map_err(|e| {
-            let text = source_text(&e);
-            if e.is_connect() { HttpError::Unreachable(text) } else { HttpError::Interrupted(text) }
+            if e.is_connect() {
+                HttpError::Unreachable(e.into())
+            } else {
+                HttpError::Interrupted(e.into())
+            }
         })?;
         read_response(response, limit).await
     }
@@ -85,7 +108,7 @@
     match Limited::new(body, limit).collect().await {
         Ok(body) => Ok(Response::from_parts(head, body.to_bytes())),
         Err(e) if e.is::<http_body_util::LengthLimitError>() => Err(HttpError::TooLarge),
-        Err(e) => Err(HttpError::Interrupted(e.to_string())),
+        Err(e) => Err(HttpError::BodyInterrupted(e)),
     }
 }
 
--- a/crates/runtime/src/leaf_connections.rs
+++ b/crates/runtime/src/leaf_connections.rs
@@ -21,7 +21,7 @@
 use tokio::net::TcpStream;
 
 use crate::clock::duration;
-use crate::http::client::{HttpError, read_response, source_text};
+use crate::http::client::{HttpError, read_response};
 
 type Connection = SendRequest<Full<Bytes>>;
 
@@ -92,13 +92,12 @@
                 None => (dial(leaf.address).await?, true),
             };
             if fresh {
-                let response =
-                    connection.send_request(greeting()).await.map_err(|e| interrupted(&e))?;
+                let response = connection.send_request(greeting()).await.map_err(interrupted)?;
                 let response = read_framed_response(response, limit).await?;
                 if !fits(&response) {
                     return Ok(Exchange::Declined(response));
                 }
-                connection.ready().await.map_err(|e| interrupted(&e))?;
+                connection.ready().await.map_err(interrupted)?;
             }
             match connection.try_send_request(work).await {
                 Ok(response) => {
@@ -110,7 +109,7 @@
                 Err(mut e) => match e.take_message() {
                     // An unused connection had ended; not a byte of the work has left.
                     Some(unsent) if !fresh => work = unsent,
-                    _ => return Err(interrupted(e.error())),
+                    _ => return Err(interrupted(e.into_error())),
                 },
             }
         }
@@ -149,8 +148,8 @@
                 Err(mut e) => match e.take_message() {
                     // An unused connection had ended; not a byte of the work has left.
                     Some(unsent) if !fresh => work = unsent,
-                    Some(_) => return Err(HttpError::Unreachable(source_text(e.error()))),
-                    None => return Err(interrupted(e.error())),
+                    Some(_) => return Err(HttpError::Unreachable(e.into_error().into())),
+                    None => return Err(interrupted(e.into_error())),
                 },
             }
         }
@@ -213,18 +212,17 @@
 async fn dial_in_time(address: SocketAddr) -> Result<Connection, HttpError> {
     match tokio::time::timeout(duration(consts::LEAF_CONNECT), dial(address)).await {
         Ok(connection) => connection,
-        Err(_) => Err(HttpError::Unreachable("no wire in time".into())),
+        Err(_) => Err(HttpError::ConnectTimedOut),
     }
 }
 
 /// Opens a connection. Its task ends with the connection, which ends when the sending
 /// half is dropped.
 async fn dial(address: SocketAddr) -> Result<Connection, HttpError> {
-    let unreachable = |e: &dyn std::error::Error| HttpError::Unreachable(source_text(e));
-    let stream = TcpStream::connect(address).await.map_err(|e| unreachable(&e))?;
+    let stream = TcpStream::connect(address).await.map_err(|e| HttpError::Unreachable(e.into()))?;
     let _ = stream.set_nodelay(true);
     let handshake = http1::handshake(TokioIo::new(stream)).await;
-    let (connection, io) = handshake.map_err(|e| unreachable(&e))?;
+    let (connection, io) = handshake.map_err(|e| HttpError::Unreachable(e.into()))?;
     tokio::task::spawn_local(async move {
         let _ = io.await;
     });
@@ -240,11 +238,11 @@
         && response.body().size_hint().exact().is_none();
     if ends_with_connection {
         // A part of it would look like all of it.
-        return Err(HttpError::Interrupted("an answer without a length".into()));
+        return Err(HttpError::Unframed);
     }
     read_response(response, limit).await
 }
 
-fn interrupted(error: &hyper::Error) -> HttpError {
-    HttpError::Interrupted(source_text(error))
+fn interrupted(error: hyper::Error) -> HttpError {
+    HttpError::Interrupted(error.into())
 }
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -8,6 +8,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
+use thiserror::Error;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::tcp::{OwnedReadHalf, OwnedWriteHalf};
 use tokio::net::{TcpListener, TcpStream};
@@ -17,7 +18,7 @@
     WIRE_BUFFER, WIRE_DIAL, WIRE_RETRY, WIRE_RETRY_MAX, WIRE_SILENCE, WIRE_STALL,
 };
 use grebepath_core::protocol::frame;
-use grebepath_core::protocol::frame::{Gather, HEAD};
+use grebepath_core::protocol::frame::{FrameError, Gather, HEAD};
 use grebepath_core::protocol::message::{Message, PeerIdentity};
 
 use crate::clock::duration;
@@ -35,6 +36,25 @@
     pub fleet: u64,
 }
 
+/// Why a connection was given up.
+#[derive(Debug, Error)]
+pub enum ConnectionError {
+    /// What came is not a message of ours.
+    #[error("wire to {address}: {source}")]
+    Unreadable {
+        /// Where it came from.
+        address: SocketAddr,
+        /// What was expected.
+        source: FrameError,
+    },
+    /// The peer belongs to another fleet.
+    #[error("wire from {address}: it belongs to another fleet")]
+    OtherFleet {
+        /// Where it is.
+        address: SocketAddr,
+    },
+}
+
 /// What connections tell their owner.
 pub enum ConnectionEvent<T> {
     /// A connection that we dial brought a message.
@@ -70,7 +90,7 @@
     /// A peer speaks something we can't read.
     Failed {
         /// What, and from where.
-        text: String,
+        error: ConnectionError,
     },
 }
 
@@ -148,10 +168,11 @@
 fn report<T>(
     events: &UnboundedSender<ConnectionEvent<T>>,
     address: SocketAddr,
-    end: Option<String>,
+    end: Result<(), FrameError>,
 ) {
-    if let Some(text) = end {
-        let _ = events.send(ConnectionEvent::Failed { text: format!("wire to {address}: {text}") });
+    if let Err(source) = end {
+        let error = ConnectionError::Unreadable { address, source };
+        let _ = events.send(ConnectionEvent::Failed { error });
     }
 }
 
@@ -196,8 +217,8 @@
     let reading = read_messages(read, move |message| {
         let event = match (&peer, message) {
             (None, Message::Hello { fleet: other, .. }) if other != fleet => {
-                let text = format!("wire from {address}: it belongs to another fleet");
-                let _ = owner.send(ConnectionEvent::Failed { text });
+                let error = ConnectionError::OtherFleet { address };
+                let _ = owner.send(ConnectionEvent::Failed { error });
                 return false;
             }
             (None, Message::Hello { who: identity, .. }) => {
@@ -222,34 +243,27 @@
     let _ = events.send(ConnectionEvent::Closed { connection });
 }
 
-/// Reads messages until the connection ends or `take` wants no more; says what could
-/// not be read.
+/// Reads messages until the connection ends or `take` wants no more. An error says
+/// what could not be read.
 async fn read_messages(
     mut read: OwnedReadHalf,
     mut take: impl FnMut(Message) -> bool,
-) -> Option<String> {
+) -> Result<(), FrameError> {
     let mut gather = Gather::default();
     let mut raw = [0u8; HEAD];
     loop {
         if read.read_exact(&mut raw).await.is_err() {
-            return None;
+            return Ok(());
         }
-        let head = match frame::head(&raw) {
-            Ok(head) => head,
-            Err(error) => return Some(error.to_string()),
-        };
+        let head = frame::head(&raw)?;
         let mut body = vec![0u8; head.len];
         if read.read_exact(&mut body).await.is_err() {
-            return None;
+            return Ok(());
         }
-        match frame::take(&mut gather, &head, &body) {
-            Ok(Some(message)) => {
-                if !take(message) {
-                    return None;
-                }
-            }
-            Ok(None) => {}
-            Err(error) => return Some(error.to_string()),
+        if let Some(message) = frame::take(&mut gather, &head, &body)?
+            && !take(message)
+        {
+            return Ok(());
         }
     }
 }
--- a/crates/server/src/controller/disk.rs
+++ b/crates/server/src/controller/disk.rs
@@ -1,7 +1,6 @@
 //! The disk thread: writes in order, syncs what came together at once.
 
 use std::collections::BTreeMap;
-use std::io::Error;
 use std::path::Path;
 use std::sync::mpsc::Receiver;
 
@@ -10,6 +9,7 @@
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::voters::voter_file::VoterFile;
 use grebepath_runtime::disk::data_folder;
+use grebepath_runtime::disk::error::StorageError;
 use grebepath_runtime::disk::partition_store::PartitionStore;
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -94,7 +94,7 @@
             let _ = events.send(Input::Controller(event));
         }
         for part in looks {
-            let trouble = stores[part.0 as usize].scrub();
+            let trouble = stores[part.0 as usize].scrub().err().map(|e| e.to_string());
             let _ = events.send(Input::Controller(Event::Scrubbed { partition: part, trouble }));
         }
     }
@@ -106,7 +106,7 @@
     stores: &mut [PartitionStore],
     roll: &VoterFile,
     clear: bool,
-) -> Result<(), Error> {
+) -> Result<(), StorageError> {
     if clear {
         for store in stores {
             store.set_aside()?;
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -3,6 +3,7 @@
 
 mod disk;
 mod door;
+mod error;
 mod metrics;
 mod owner;
 mod params;
@@ -18,6 +19,8 @@
 use grebepath_runtime::disk::partition_store::{self, PartitionStore};
 use tracing::{error, warn};
 
+use crate::error::ControllerError;
+
 fn main() {
     grebepath_runtime::log_buffer::install();
     let p = params::read();
@@ -31,7 +34,7 @@
 /// A part as found on disk, ready for the core.
 type FoundPart = (PartitionId, ReplicaCondition, ReplicaState, u64);
 
-fn run(p: params::Params) -> Result<(), std::io::Error> {
+fn run(p: params::Params) -> Result<(), ControllerError> {
     let _lock = data_folder::lock(&p.data)?;
     params::check_seat(&p)?;
     let roll = data_folder::read_voter_file(&p.data)?;
@@ -95,5 +98,6 @@
     drop(local);
     drop(rt);
     let joined = door_thread.join().is_ok() && disk_thread.join().is_ok();
-    end.and(if joined { Ok(()) } else { Err(std::io::Error::other("a thread failed")) })
+    end?;
+    if joined { Ok(()) } else { Err(ControllerError::ThreadFailed) }
 }
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -204,8 +204,8 @@
             io.connections.remove(&connection);
             Some(Event::ConnectionClosed { connection })
         }
-        ConnectionEvent::Failed { text } => {
-            warn!("{text}");
+        ConnectionEvent::Failed { error } => {
+            warn!("{error}");
             None
         }
     }
--- a/crates/server/src/controller/params.rs
+++ b/crates/server/src/controller/params.rs
@@ -9,6 +9,8 @@
 use grebepath_runtime::platform_api::PlatformApi;
 use grebepath_runtime::settings::{EXIT_SETTINGS, SettingsReader, exit_if_any};
 
+use crate::error::ControllerError;
+
 /// Everything a controller must be told.
 #[derive(Clone)]
 pub struct Params {
@@ -193,23 +195,23 @@
 
 /// A data folder belongs to one seat for ever: used by another, it would vote
 /// twice.
-pub fn check_seat(p: &Params) -> Result<(), std::io::Error> {
+pub fn check_seat(p: &Params) -> Result<(), ControllerError> {
     use std::io::Write;
     let Some(seat) = p.seat else { return Ok(()) };
     let path = p.data.join("seat");
     match std::fs::read_to_string(&path) {
         Ok(text) if text.trim() == seat.to_string() => Ok(()),
-        Ok(text) if !text.trim().is_empty() => Err(std::io::Error::other(format!(
-            "the data folder {} belongs to seat {}, not {}",
-            p.data.display(),
-            text.trim(),
-            seat
-        ))),
+        Ok(text) if !text.trim().is_empty() => Err(ControllerError::FolderOfAnotherSlot {
+            folder: p.data.clone(),
+            found: text.trim().to_string(),
+            expected: seat,
+        }),
         _ => {
             let mut file = std::fs::File::create(&path)?;
             writeln!(file, "{seat}")?;
             file.sync_all()?;
-            std::fs::File::open(&p.data)?.sync_all()
+            std::fs::File::open(&p.data)?.sync_all()?;
+            Ok(())
         }
     }
 }
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -256,8 +256,8 @@
             None
         }
         ConnectionEvent::ReceivedFromAccepted { .. } | ConnectionEvent::Closed { .. } => None,
-        ConnectionEvent::Failed { text } => {
-            alarm(io, &text);
+        ConnectionEvent::Failed { error } => {
+            alarm(io, &error.to_string());
             None
         }
     }
--- a/crates/server/src/querier/leafs.rs
+++ b/crates/server/src/querier/leafs.rs
@@ -49,10 +49,8 @@
             raw.heads.unrun |= raw.status == 200;
             Ok(raw)
         }
-        Ok(Err(HttpError::Unreachable(_))) => Err(Trouble::Unreachable),
-        Ok(Err(HttpError::Interrupted(_))) => Err(Trouble::Cut),
-        Ok(Err(HttpError::TooLarge)) => Err(Trouble::Overlong),
-        Ok(Err(HttpError::TimedOut)) | Err(_) => Err(Trouble::OutOfTime),
+        Ok(Err(e)) => Err(trouble(&e)),
+        Err(_) => Err(Trouble::OutOfTime),
     }
 }
 
@@ -70,10 +68,20 @@
     let sent = pool.forward(leaf, work, options, fits);
     match tokio::time::timeout(duration(s.budget), sent).await {
         Ok(Ok(resp)) => Ok((dialect.read_reply)(&s, resp)),
-        Ok(Err(HttpError::Unreachable(_))) => Err(Trouble::Unreachable),
-        Ok(Err(HttpError::Interrupted(_))) => Err(Trouble::Cut),
-        Ok(Err(HttpError::TooLarge)) => Err(Trouble::Overlong),
-        Ok(Err(HttpError::TimedOut)) | Err(_) => Err(Trouble::OutOfTime),
+        Ok(Err(e)) => Err(trouble(&e)),
+        Err(_) => Err(Trouble::OutOfTime),
+    }
+}
+
+/// What a failed exchange means for the attempt.
+fn trouble(error: &HttpError) -> Trouble {
+    match error {
+        HttpError::Unreachable(_) | HttpError::ConnectTimedOut => Trouble::Unreachable,
+        HttpError::Interrupted(_) | HttpError::BodyInterrupted(_) | HttpError::Unframed => {
+            Trouble::Cut
+        }
+        HttpError::TooLarge => Trouble::Overlong,
+        HttpError::TimedOut => Trouble::OutOfTime,
     }
 }
 
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -54,8 +54,8 @@
         let (dial_tx, _dial_rx) = tokio::sync::mpsc::unbounded_channel();
         let stranger = dial(addr, Greeting { identity: seat(1), fleet: 8 }, 1u8, dial_tx.clone());
         stranger.send(&follow(1));
-        let Some(ConnectionEvent::Failed { text }) = rx.recv().await else { panic!("taken") };
-        expect_that!(text, contains_substring("another fleet"));
+        let Some(ConnectionEvent::Failed { error }) = rx.recv().await else { panic!("taken") };
+        expect_that!(error.to_string(), contains_substring("another fleet"));
         drop(stranger);
         let ours = dial(addr, Greeting { identity: seat(2), fleet: 7 }, 2u8, dial_tx.clone());
         let mut connections = Vec::new();
