--- a/crates/runtime/src/disk/data_folder.rs
+++ b/crates/runtime/src/disk/data_folder.rs
@@ -5,8 +5,8 @@
 use std::io::{ErrorKind, Write};
 use std::path::Path;
 
-use grebepath_core::voters::voter_file;
-use grebepath_core::voters::voter_file::VoterFile;
+use grebepath_core::storage::voter_file;
+use grebepath_core::storage::voter_file::VoterFile;
 
 use super::error::StorageError;
 
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -18,7 +18,7 @@
     WIRE_BUFFER, WIRE_DIAL, WIRE_RETRY, WIRE_RETRY_MAX, WIRE_SILENCE, WIRE_STALL,
 };
 use grebepath_core::protocol::frame;
-use grebepath_core::protocol::frame::{FrameError, Gather, HEAD};
+use grebepath_core::protocol::frame::{FrameError, HEADER_BYTES, Lane, PieceHeader, Reassembler};
 use grebepath_core::protocol::message::{Message, PeerIdentity};
 
 use crate::clock::duration;
@@ -106,7 +106,7 @@
     /// message of ours may be lost, and its owner sends it again. Says whether it
     /// was queued.
     pub fn send(&self, message: &Message) -> bool {
-        self.queue.try_send(frame::write(message)).is_ok()
+        self.queue.try_send(frame::encode(message)).is_ok()
     }
 }
 
@@ -144,7 +144,7 @@
                 owner.send(ConnectionEvent::Received { tag: tag.clone(), message }).is_ok()
             });
             let Greeting { identity, fleet } = greeting.clone();
-            let hello = frame::write(&Message::Hello { who: identity, fleet });
+            let hello = frame::encode(&Message::Hello { who: identity, fleet });
             tokio::select! {
                 end = reading => report(&events, address, end),
                 _ = write_messages(write, &mut queued, Some(hello)) => {}
@@ -249,18 +249,18 @@
     mut read: OwnedReadHalf,
     mut take: impl FnMut(Message) -> bool,
 ) -> Result<(), FrameError> {
-    let mut gather = Gather::default();
-    let mut raw = [0u8; HEAD];
+    let mut reassembler = Reassembler::default();
+    let mut raw = [0u8; HEADER_BYTES];
     loop {
         if read.read_exact(&mut raw).await.is_err() {
             return Ok(());
         }
-        let head = frame::head(&raw)?;
-        let mut body = vec![0u8; head.len];
+        let header = PieceHeader::parse(&raw)?;
+        let mut body = vec![0u8; header.length];
         if read.read_exact(&mut body).await.is_err() {
             return Ok(());
         }
-        if let Some(message) = frame::take(&mut gather, &head, &body)?
+        if let Some(message) = reassembler.push(&header, &body)?
             && !take(message)
         {
             return Ok(());
@@ -278,8 +278,8 @@
     let mut small: VecDeque<Vec<u8>> = VecDeque::new();
     let mut large: VecDeque<Vec<u8>> = VecDeque::new();
     let sort = |small: &mut VecDeque<_>, large: &mut VecDeque<_>, bytes: Vec<u8>| {
-        let lane = if frame::lane(bytes.len()) == 0 { small } else { large };
-        lane.extend(frame::pieces(&bytes));
+        let lane = if Lane::for_length(bytes.len()) == Lane::Small { small } else { large };
+        lane.extend(frame::split(&bytes));
     };
     if let Some(bytes) = first {
         sort(&mut small, &mut large, bytes);
--- a/crates/server/src/controller/params.rs
+++ b/crates/server/src/controller/params.rs
@@ -5,7 +5,7 @@
 
 use bpaf::{OptionParser, Parser, long};
 use grebepath_core::consts::{SEATS, SEATS_MAX};
-use grebepath_core::voters::voter_file::Start;
+use grebepath_core::storage::voter_file::Start;
 use grebepath_runtime::platform_api::PlatformApi;
 use grebepath_runtime::settings::{EXIT_SETTINGS, SettingsReader, exit_if_any};
 
