--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -2,12 +2,11 @@
 //! health-checking leafs. Each key has one holder, by [`super::neighbour_ring`].
 
 use crate::consts;
-use crate::control_plane::endpoints;
 use crate::digest::hash;
 use crate::identifiers::{CONFIG, PartitionId, part_of, partitions};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{EntryMap, LeafReport, Message};
-use crate::snapshot::leafs::LeafInfo;
+use crate::snapshot::leafs::{LeafInfo, leafs_in};
 use crate::time::{Span, Tick, since};
 
 /// The assignment of polling the platform's list, for all partitions at once: a poll
@@ -124,7 +123,7 @@
 /// Whether a partition's entries show all that the list says. The list knows no
 /// ages, and a leaf that leaves does so for good.
 fn shows(entries: &EntryMap, listed: &[LeafInfo]) -> bool {
-    let known = endpoints::all(entries);
+    let known = leafs_in(entries);
     let is_shown = |info: &LeafInfo| {
         known.get(&info.leaf).is_some_and(|known| {
             let leaving = known.leaving || info.leaving;
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -30,16 +30,11 @@
     until: Tick,
 }
 
-/// The identity of a membership.
-pub fn id(membership: &Membership) -> MembershipId {
-    MembershipId { term: membership.term, turn: membership.turn }
-}
-
 impl Proofs {
     /// The membership changed: proofs about the former one count no more. Tells
     /// whether it is another one.
     pub(super) fn adopt(&mut self, membership: &Membership, own: &Member) -> bool {
-        let id = id(membership);
+        let id = membership.id();
         if self.membership == id {
             return false;
         }
--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -7,7 +7,6 @@
 use std::collections::BTreeMap;
 
 use crate::consts;
-use crate::control_plane::members::mark;
 use crate::digest::{hash, pair};
 use crate::identifiers::{BEYOND, COHORT, VoterSlot};
 use crate::membership::node_agent::{Command, NodeAgent};
@@ -78,7 +77,8 @@
     /// receiver is.
     fn subscriptions(&self) -> (Message, Message) {
         let mut positions = self.positions();
-        positions.push(FeedPosition { partition: COHORT, revision: mark(&self.membership) });
+        positions
+            .push(FeedPosition { partition: COHORT, revision: self.membership.feed_revision() });
         let beyond = positions.iter().map(|p| FeedPosition { revision: BEYOND, ..*p }).collect();
         let stamp = self.voter_set_stamp;
         (
@@ -104,7 +104,7 @@
         let Some(positions) = self.voter_positions.get(usize::from(slot)) else { return false };
         positions.iter().any(|theirs| match self.partitions.get(&theirs.partition) {
             Some(ours) => ours.revision < theirs.revision,
-            None => theirs.partition == COHORT && mark(&self.membership) < theirs.revision,
+            None => theirs.partition == COHORT && self.membership.feed_revision() < theirs.revision,
         })
     }
 }
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -1,7 +1,6 @@
 //! Dispatch of a node agent's events.
 
 use crate::consts;
-use crate::control_plane::members::newer;
 use crate::identifiers::VoterSlot;
 use crate::membership::gossip::Gossip;
 use crate::membership::neighbour_ring::NeighbourRing;
@@ -138,7 +137,7 @@
                     self.counters.updates_from_members += 1;
                 }
             }
-            Message::MembershipUpdate(membership) if newer(&membership, &self.membership) => {
+            Message::MembershipUpdate(membership) if membership.is_newer_than(&self.membership) => {
                 self.adopt_membership(membership);
             }
             _ => {}
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -5,12 +5,11 @@
 use crate::config::build::{Built, Route, Shard};
 use crate::config::{build, change};
 use crate::consts;
-use crate::control_plane::endpoints;
 use crate::identifiers::{CONFIG, PartitionId, partitions};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{EntryMap, FeedPosition, Message};
 use crate::snapshot::cluster_view::{ClusterView, open, view};
-use crate::snapshot::leafs::LeafInfo;
+use crate::snapshot::leafs::{LeafInfo, leafs_in};
 use crate::storage::record::put;
 use crate::time::{Tick, since};
 use crate::voter_set::majority;
@@ -158,7 +157,7 @@
         let leafs = partitions()
             .filter(|id| *id != CONFIG)
             .filter_map(|id| self.partitions.get(&id))
-            .flat_map(|state| endpoints::all(&state.entries).into_values())
+            .flat_map(|state| leafs_in(&state.entries).into_values())
             .filter_map(|info| self.with_reports(info))
             .collect();
         view(self.configuration_revision, self.configuration.clone(), leafs)
--- a/crates/simulator/src/scale_model/phases.rs
+++ b/crates/simulator/src/scale_model/phases.rs
@@ -154,7 +154,7 @@
         let list = w
             .partitions
             .values()
-            .flat_map(|h| grebepath_core::control_plane::endpoints::all(&h.entries).into_values());
+            .flat_map(|h| grebepath_core::snapshot::leafs::leafs_in(&h.entries).into_values());
         grebepath_core::snapshot::cluster_view::view(
             w.configuration_revision,
             w.configuration.clone(),
