--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -19,9 +19,6 @@
 pub const SEATS: u64 = 3;
 /// Most seats (count): seven machines lost at once is beyond any brief.
 pub const SEATS_MAX: u8 = 15;
-/// Distance between a seat's terms (count): above the most seats, and the same
-/// for any number of them, so that an term is one seat's for ever.
-pub const EPOCH_STRIDE: u64 = 16;
 /// How often an owner shows its replicas that it lives. A fifth of the
 /// election wait, so that four lost beats in a row do not cost an owner.
 pub const OWNER_BEAT: Span = ms(200);
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -7,7 +7,7 @@
 
 use crate::consts::ROT_LOOK;
 use crate::control_plane::members::Members;
-use crate::identifiers::{PartitionId, VoterSlot, partitions};
+use crate::identifiers::{PartitionId, Term, VoterSlot, partitions};
 use crate::protocol::message::{Message, Operation, ReplicaCondition};
 use crate::random::{Random, luck, mix};
 use crate::replication::partition::{Partition, partition};
@@ -74,7 +74,7 @@
 pub struct Forwarding {
     pub slot: VoterSlot,
     /// The term of the leader that it is meant for; zero for any.
-    pub term: u64,
+    pub term: Term,
 }
 
 /// Where a request came from that was lent to us.
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -10,7 +10,7 @@
 use crate::consts;
 use crate::control_plane::controller::Counts;
 use crate::identifiers::part_of;
-use crate::protocol::message::LeafReport;
+use crate::protocol::message::{LeafReport, MembershipId};
 use crate::replication::leader::change;
 use crate::replication::partition::{Partition, leader};
 use crate::snapshot::leafs::{LEAF, LeafInfo, key};
@@ -35,7 +35,7 @@
     p: &mut Partition,
     now: Tick,
     g: VoterGroup,
-    fence: (u64, u64),
+    fence: MembershipId,
     list: Vec<LeafInfo>,
     counts: &mut Counts,
     out: &mut Vec<Command>,
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -12,10 +12,9 @@
 use crate::control_plane::membership_log;
 use crate::control_plane::membership_log::{MembershipLog, Older};
 use crate::control_plane::retirement;
-use crate::identifiers::{COHORT, VoterSlot};
-use crate::membership::attestation::id;
+use crate::identifiers::{COHORT, Term, VoterSlot};
 use crate::protocol::message::{
-    Member, MemberProgress, Membership, MembershipId, Memberships, Message, OperationResult,
+    Member, MemberProgress, Membership, Memberships, Message, OperationResult,
 };
 use crate::replication::partition::Role;
 use crate::time::{Tick, ms, since};
@@ -38,7 +37,7 @@
     /// good.
     pub gone: IndexMap<String, Gone>,
     /// Epoch for which `heard` was begun, and when.
-    pub reign: Option<(u64, Tick)>,
+    pub reign: Option<(Term, Tick)>,
     /// No membership was handed down to us, and a lease has not passed since we
     /// began: there may be members that we have not heard yet.
     pub blind: bool,
@@ -70,7 +69,7 @@
 }
 
 /// The term under which we keep the leases, if we do.
-pub fn reign(core: &ControllerState) -> Option<u64> {
+pub fn reign(core: &ControllerState) -> Option<Term> {
     match &core.partitions[0].role {
         Role::Leader(o) if o.serves => Some(o.term),
         _ => None,
@@ -92,10 +91,10 @@
     let Some(term) = reign(core) else {
         // Hand over to the leader, once; a seat never hands on what a seat gave.
         if from.is_none()
-            && let Role::Follower { leader: Some((slot, _)), .. } = core.partitions[0].role
+            && let Role::Follower { leader: Some(leader), .. } = core.partitions[0].role
         {
             out.push(Command::ToVoter {
-                slot,
+                slot: leader.slot,
                 message: Message::RenewLease { member, count, far },
             });
         }
@@ -141,11 +140,11 @@
 /// Whether a member goes by a membership that it should tell us of, since we
 /// have never heard of it.
 fn is_unknown(core: &mut ControllerState, now: Tick, far: &MemberProgress) -> bool {
-    let which = MembershipId { term: far.saw.0, turn: far.saw.1 };
+    let which = far.saw;
     let m = &core.members;
-    let may_count = m.blind || which > id(&m.membership);
+    let may_count = m.blind || which > m.membership.id();
     let due = m.asked_at == 0 || since(m.asked_at, now) >= consts::OBEY_LOOK;
-    let ask = which.term > 0 && may_count && due && !membership_log::knows(core, which);
+    let ask = which.term > Term::ZERO && may_count && due && !membership_log::knows(core, which);
     if ask {
         core.members.asked_at = now;
     }
@@ -172,7 +171,7 @@
 
 /// Begins to keep leases under a new term: who was a member stays one for
 /// a lease, since we may not have heard it yet.
-fn begin(core: &mut ControllerState, now: Tick, term: u64) {
+fn begin(core: &mut ControllerState, now: Tick, term: Term) {
     let m = &mut core.members;
     if m.reign.is_some_and(|(e, _)| e == term) {
         return;
@@ -238,7 +237,7 @@
 /// Takes over what a voter knew whose slot we take, unless we know a membership.
 pub fn inherit(core: &mut ControllerState, memberships: Memberships) {
     let m = &mut core.members;
-    if m.membership.term == 0 && m.log.older.is_empty() {
+    if m.membership.term == Term::ZERO && m.log.older.is_empty() {
         m.membership = memberships.current;
         membership_log::inherit_from(&mut m.log, memberships.others);
     }
@@ -254,7 +253,7 @@
     // Who is there is told soon, but nothing of it is settled before a lease
     // has passed, and only what is settled gives shares.
     let reigns = since(began, now);
-    m.blind |= m.membership.term == 0;
+    m.blind |= m.membership.term == Term::ZERO;
     m.blind &= reigns < consts::TENURE_GRACE;
     if m.blind && reigns < consts::TENURE_GATHER {
         return;
@@ -270,11 +269,11 @@
 
 /// Issues a new membership if there is anything new, once the one before is in
 /// nobody's way.
-fn propose(m: &mut Members, now: Tick, term: u64, revision: u64) {
+fn propose(m: &mut Members, now: Tick, term: Term, revision: u64) {
     let log = &m.log;
     // One newer than the current one was inherited from a leader that may have told
     // it to some: they leave it only for a newer one.
-    let newer = |o: &Older| id(&o.membership) > id(&m.membership);
+    let newer = |o: &Older| o.membership.id() > m.membership.id();
     let clear = log.proposed.is_none()
         && log.older.iter().all(|older| older.retired.is_some() || newer(older));
     if !clear || log.older.len() >= consts::MEMBERSHIPS_KEPT {
@@ -331,7 +330,7 @@
 /// The membership is settled once all its members have seen it and nobody serves on
 /// by a former one.
 fn settle(m: &mut Members) -> bool {
-    let seen = (m.membership.term, m.membership.turn);
+    let seen = m.membership.id();
     let saw = |k: &Member| m.heard.get(&k.name).is_some_and(|h| h.far.saw >= seen);
     let ready = !m.blind && m.log.proposed.is_none() && m.log.older.is_empty();
     if ready && m.membership.settled < m.membership.turn && m.membership.members.iter().all(saw) {
@@ -390,7 +389,7 @@
 /// A state of the membership as one number that only rises: within a turn it is
 /// told once before all have seen it and once after.
 pub fn mark(c: &Membership) -> u64 {
-    c.term << 32 | c.turn << 1 | u64::from(c.term > 0 && c.settled == c.turn)
+    c.term.as_u64() << 32 | c.turn << 1 | u64::from(c.term > Term::ZERO && c.settled == c.turn)
 }
 
 /// A member tells the membership that it goes by: to the leader, by way of us or
@@ -404,8 +403,9 @@
 ) {
     match core.partitions[0].role {
         Role::Leader(_) => membership_log::learn(core, now, membership),
-        Role::Follower { leader: Some((slot, _)), .. } if direct => {
-            out.push(Command::ToVoter { slot, message: Message::MembershipUpdate(membership) });
+        Role::Follower { leader: Some(leader), .. } if direct => {
+            let message = Message::MembershipUpdate(membership);
+            out.push(Command::ToVoter { slot: leader.slot, message });
         }
         _ => {}
     }
@@ -413,7 +413,7 @@
 
 /// Sends the state to a follower that just said where it stands.
 pub fn greet(core: &ControllerState, connection: ConnectionId, out: &mut Vec<Command>) {
-    if core.members.membership.term > 0 {
+    if core.members.membership.term > Term::ZERO {
         let message = Message::MembershipUpdate(core.members.membership.clone());
         out.push(Command::ToConnection { connection, message });
     }
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -13,8 +13,7 @@
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::members;
 use crate::control_plane::members::newer;
-use crate::identifiers::VoterSlot;
-use crate::membership::attestation::id;
+use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Membership, MembershipId, Memberships, Message};
 use crate::time::{Tick, since};
 use crate::voter_set::{majority, others};
@@ -28,7 +27,7 @@
     /// Former ones that some member may still go by.
     pub older: Vec<Older>,
     /// The highest term under which a leader spoke to us; lower ones are refused.
-    term: u64,
+    term: Term,
     leading: Leading,
 }
 
@@ -62,7 +61,7 @@
 }
 
 /// A new term of ours begins: what the other voters hold is to be asked.
-pub fn begin(core: &mut ControllerState, term: u64) {
+pub fn begin(core: &mut ControllerState, term: Term) {
     let group = here(core);
     let members = &mut core.members;
     let own = held(&members.membership, &members.log);
@@ -93,7 +92,7 @@
 
 /// Whether this leader knows all memberships that members may go by. Asks the
 /// other voters until it does.
-pub fn inherit(core: &mut ControllerState, now: Tick, term: u64, out: &mut Vec<Command>) -> bool {
+pub fn inherit(core: &mut ControllerState, now: Tick, term: Term, out: &mut Vec<Command>) -> bool {
     count_anew(core);
     let group = here(core);
     let leading = &mut core.members.log.leading;
@@ -138,15 +137,15 @@
     leading.inherited = true;
     leading.sent = None;
     let fetched: Vec<_> = std::mem::take(&mut leading.fetched).into_iter().flatten().collect();
-    let rank = |c: &Membership| (id(c), c.settled);
+    let rank = |c: &Membership| (c.id(), c.settled);
     let Some((current, mut rest)) = fetched.iter().max_by_key(|f| rank(&f.0)).cloned() else {
         return;
     };
-    let newest = id(&current);
-    rest.extend(fetched.into_iter().flat_map(|f| f.1).filter(|c| id(c) > newest));
-    rest.retain(|c| id(c) != newest && !c.members.is_empty());
-    rest.sort_by_key(id);
-    rest.dedup_by_key(|c| id(c));
+    let newest = current.id();
+    rest.extend(fetched.into_iter().flat_map(|f| f.1).filter(|c| c.id() > newest));
+    rest.retain(|c| c.id() != newest && !c.members.is_empty());
+    rest.sort_by_key(Membership::id);
+    rest.dedup_by_key(|c| c.id());
     members.membership = current;
     members.log.proposed = None;
     members.log.older =
@@ -163,12 +162,17 @@
 
 /// Sends the newest membership to the voters that don't hold it, and confirms it
 /// once a majority does. Tells whether members have something new to be told.
-pub fn replicate(core: &mut ControllerState, now: Tick, term: u64, out: &mut Vec<Command>) -> bool {
+pub fn replicate(
+    core: &mut ControllerState,
+    now: Tick,
+    term: Term,
+    out: &mut Vec<Command>,
+) -> bool {
     let group = here(core);
     let members = &mut core.members;
     let mut confirmed = false;
     if let Some(proposed) = &members.log.proposed {
-        let version = Version { id: id(proposed), settled: proposed.settled, confirmed: false };
+        let version = Version { id: proposed.id(), settled: proposed.settled, confirmed: false };
         let holds = |v: &&Version| v.id >= version.id;
         let count = members.log.leading.acknowledged.iter().flatten().filter(holds).count();
         if count + 1 >= majority(group.size) {
@@ -190,14 +194,14 @@
     }
 }
 
-fn send(core: &mut ControllerState, now: Tick, term: u64, out: &mut Vec<Command>) {
+fn send(core: &mut ControllerState, now: Tick, term: Term, out: &mut Vec<Command>) {
     let group = here(core);
     let members = &mut core.members;
     let (current, confirmed) = match &members.log.proposed {
         Some(proposed) => (proposed, false),
         None => (&members.membership, true),
     };
-    let version = Version { id: id(current), settled: current.settled, confirmed };
+    let version = Version { id: current.id(), settled: current.settled, confirmed };
     let leading = &mut members.log.leading;
     let again = leading
         .sent
@@ -205,7 +209,7 @@
     let lacking: Vec<VoterSlot> = others(group)
         .filter(|slot| leading.acknowledged[usize::from(*slot)] != Some(version))
         .collect();
-    if !again || lacking.is_empty() || current.term == 0 {
+    if !again || lacking.is_empty() || current.term == Term::ZERO {
         return;
     }
     leading.sent = Some((version, now));
@@ -218,7 +222,7 @@
 }
 
 /// Whether a leader of this term has been followed by another.
-fn refuses(core: &ControllerState, term: u64) -> bool {
+fn refuses(core: &ControllerState, term: Term) -> bool {
     term < core.members.log.term || term < core.partitions[0].copy.promised
 }
 
@@ -226,7 +230,7 @@
 pub fn take(
     core: &mut ControllerState,
     from: VoterSlot,
-    term: u64,
+    term: Term,
     (current, confirmed): (Membership, bool),
     older: Vec<Membership>,
     out: &mut Vec<Command>,
@@ -234,12 +238,12 @@
     if refuses(core, term) {
         return;
     }
-    let version = Version { id: id(&current), settled: current.settled, confirmed };
+    let version = Version { id: current.id(), settled: current.settled, confirmed };
     let log = &mut core.members.log;
     log.term = term;
     log.older = older.into_iter().map(|membership| Older { membership, retired: None }).collect();
     if confirmed {
-        log.proposed = log.proposed.take().filter(|p| id(p) > version.id);
+        log.proposed = log.proposed.take().filter(|p| p.id() > version.id);
         if newer(&current, &core.members.membership) {
             core.members.membership = current;
             members::tell(core, out);
@@ -256,7 +260,7 @@
 pub fn acknowledged(
     core: &mut ControllerState,
     from: VoterSlot,
-    term: u64,
+    term: Term,
     (id, settled): (MembershipId, u64),
     confirmed: bool,
 ) {
@@ -269,7 +273,7 @@
 }
 
 /// A new leader asks which memberships we hold.
-pub fn asked(core: &mut ControllerState, from: VoterSlot, term: u64, out: &mut Vec<Command>) {
+pub fn asked(core: &mut ControllerState, from: VoterSlot, term: Term, out: &mut Vec<Command>) {
     if refuses(core, term) {
         return;
     }
@@ -283,7 +287,7 @@
 pub fn fetched(
     core: &mut ControllerState,
     from: VoterSlot,
-    term: u64,
+    term: Term,
     current: Membership,
     others: Vec<Membership>,
 ) {
@@ -300,13 +304,13 @@
 pub fn knows(core: &ControllerState, which: MembershipId) -> bool {
     let members = &core.members;
     let older = members.log.older.iter().map(|o| &o.membership);
-    older.chain([&members.membership]).chain(&members.log.proposed).any(|c| id(c) == which)
+    older.chain([&members.membership]).chain(&members.log.proposed).any(|c| c.id() == which)
 }
 
 /// A member told a membership that we did not know of.
 pub fn learn(core: &mut ControllerState, now: Tick, membership: Membership) {
     let Some((term, _)) = core.members.reign else { return };
-    let which = id(&membership);
+    let which = membership.id();
     let log = &mut core.members.log;
     let room = log.older.len() < consts::MEMBERSHIPS_KEPT;
     if !log.leading.inherited || which.term >= term || !room || knows(core, which) {
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -14,7 +14,7 @@
     ControllerState, ForwardedOperation, Forwarding, PendingRequest,
 };
 use crate::control_plane::operations::{Request, at_owner};
-use crate::identifiers::VoterSlot;
+use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Message, Operation, OperationResult};
 use crate::replication::leader::tell;
 use crate::replication::partition::{OperationOrigin, Role};
@@ -27,7 +27,7 @@
 /// once: at hundreds of orders a second those of ten seconds.
 const ATTEMPTS_KEPT: usize = 4_096;
 /// Term of an attempt that asks for no certain leader: the receiver finds one.
-const ANY_TERM: u64 = 0;
+const ANY_TERM: Term = Term::ZERO;
 
 /// A request from one of our own operators.
 pub fn operate(
@@ -73,8 +73,8 @@
 fn known_leader(core: &ControllerState) -> Option<Forwarding> {
     match &core.partitions[0].role {
         Role::Leader(o) if o.serves => Some(Forwarding { slot: core.slot, term: o.term }),
-        Role::Follower { leader: Some((slot, term)), .. } => {
-            Some(Forwarding { slot: *slot, term: *term })
+        Role::Follower { leader: Some(leader), .. } => {
+            Some(Forwarding { slot: leader.slot, term: leader.term })
         }
         _ => None,
     }
@@ -148,7 +148,7 @@
     core: &mut ControllerState,
     now: Tick,
     from: OperationOrigin,
-    term: u64,
+    term: Term,
     request: Request,
     out: &mut Vec<Command>,
 ) {
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -5,8 +5,7 @@
 //! have gathered before are out of date.
 
 use crate::control_plane::members::{Members, is_live};
-use crate::membership::attestation::id;
-use crate::protocol::message::{Member, MemberProgress, Membership, MembershipId};
+use crate::protocol::message::{Member, Membership};
 use crate::time::{Tick, ms, since};
 use crate::{consts, quorum};
 
@@ -25,10 +24,9 @@
 /// Whether a process that a membership names has left it: it goes by a newer
 /// one, or is no more. Either way it attests no more for that one.
 pub fn has_left(m: &Members, membership: &Membership, member: &Member) -> bool {
-    let saw = |far: &MemberProgress| MembershipId { term: far.saw.0, turn: far.saw.1 };
     let gone = m.gone.get(&member.name).is_some_and(|g| g.incarnation == member.incarnation);
     gone || m.heard.get(&member.name).is_some_and(|h| {
-        h.spoke && (h.member.incarnation != member.incarnation || saw(&h.far) > id(membership))
+        h.spoke && (h.member.incarnation != member.incarnation || h.far.saw > membership.id())
     })
 }
 
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -7,11 +7,13 @@
 use crate::control_plane::{
     acceptance, endpoints, feed, forgotten_members, members, membership_log, operation_forwarding,
 };
-use crate::identifiers::{COHORT, PartitionId, VoterSlot};
+use crate::identifiers::{COHORT, PartitionId, Position, VoterSlot};
 use crate::protocol::message::{Message, ReplicaCondition};
-use crate::replication::partition::{AfterWrite, OperationOrigin, ReplicaStatus, Role, able};
+use crate::replication::partition::{
+    AfterWrite, OperationOrigin, ReplicaStatus, Role, Sender, able,
+};
 use crate::replication::{catch_up, election, leader, replica};
-use crate::storage::record::LogRecord;
+use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::{Tick, ms};
 use crate::voter_set::NOBODY;
 use crate::voters::handover;
@@ -165,9 +167,14 @@
         for after in write.after {
             match after {
                 AfterWrite::Send(to, message) => out.push(Command::ToVoter { slot: to, message }),
-                AfterWrite::OwnAppendSynced { term, revision } => {
-                    leader::append_acked(p, now, (g, g.slot), term, revision, out)
-                }
+                AfterWrite::OwnAppendSynced { term, revision } => leader::append_acked(
+                    p,
+                    now,
+                    Sender { group: g, slot: g.slot },
+                    term,
+                    revision,
+                    out,
+                ),
                 AfterWrite::OwnVoteSynced { term } => {
                     election::own_vote_synced(p, now, g, term, out)
                 }
@@ -235,29 +242,38 @@
 ) {
     let g = here(core);
     if let Some(id) = part_named(&message) {
+        let sender = Sender { group: g, slot: from };
         let Some(p) = core.partitions.get_mut(id.0 as usize) else { return };
         let owned = matches!(p.role, Role::Leader(_));
         match message {
             Message::StatusRequest { nonce, .. } => catch_up::stand(p, from, nonce, out),
             Message::ReplicaStatus { nonce, life, promised, term, revision, .. } => {
                 let s = ReplicaStatus { life, promised, term, revision };
-                catch_up::stood(p, now, (g, from), nonce, s, out);
+                catch_up::stood(p, now, sender, nonce, s, out);
             }
             Message::FetchReplica { nonce, .. } => catch_up::give(p, from, nonce, out),
             Message::ReplicaFetched { nonce, promised, term, revision, map, .. } if able(p) => {
                 let _ = promised;
-                election::fetched(p, now, (g, from), nonce, (term, revision), map, out);
+                election::fetched(p, now, sender, nonce, Position { term, revision }, map, out);
             }
             Message::ReplicaFetched { nonce, promised, term, revision, map, .. } => {
-                catch_up::fetched(p, now, from, nonce, (promised, (term, revision)), map, out);
+                let theirs = ReplicaState { promised, term, revision, map };
+                catch_up::fetched(p, now, from, nonce, theirs, out);
             }
             Message::PreVoteRequest { term, .. } => replica::pre_vote(p, now, from, term, out),
             Message::PreVoteResponse { term, yes, promised, .. } => {
-                election::pre_vote_answered(p, now, (g, from), term, (yes, promised), out);
+                election::pre_vote_answered(p, now, sender, term, (yes, promised), out);
             }
             Message::VoteRequest { term, .. } => replica::vote(p, now, from, term, out),
             Message::VoteGranted { term, at_term, revision, .. } => {
-                election::vote_granted(p, now, (g, from), term, (at_term, revision), out);
+                election::vote_granted(
+                    p,
+                    now,
+                    sender,
+                    term,
+                    Position { term: at_term, revision },
+                    out,
+                );
             }
             Message::LeadershipTransfer { term, .. } => {
                 election::transferred(p, now, g, from, term, out);
@@ -266,13 +282,13 @@
                 election::vote_rejected(p, now, g, term, promised, out);
             }
             Message::Snapshot { term, revision, map, .. } => {
-                replica::snapshot(p, now, from, (term, revision), map, out);
+                replica::snapshot(p, now, from, Position { term, revision }, map, out);
             }
             Message::Append { term, revision, entries, .. } => {
                 replica::append(p, now, from, LogRecord::Change { term, revision, entries }, out);
             }
             Message::AppendAck { term, revision, .. } => {
-                leader::append_acked(p, now, (g, from), term, revision, out)
+                leader::append_acked(p, now, sender, term, revision, out)
             }
             Message::SnapshotRequest { term, .. } => {
                 core.counts.swept += 1;
@@ -282,7 +298,7 @@
                 replica::heartbeat(p, now, from, (term, round), (done, sum), out);
             }
             Message::HeartbeatAck { term, round, revision, kept, .. } => {
-                leader::heartbeat_acked(p, now, (g, from), (term, round), (revision, kept), out);
+                leader::heartbeat_acked(p, now, sender, (term, round), (revision, kept), out);
             }
             _ => {}
         }
@@ -411,8 +427,8 @@
             Message::LeafReports { words, .. } => endpoints::words(p, now, g, words, out),
             _ => {}
         },
-        Role::Follower { leader: Some((to, _)), .. } if fresh => {
-            out.push(Command::ToVoter { slot: *to, message });
+        Role::Follower { leader: Some(leader), .. } if fresh => {
+            out.push(Command::ToVoter { slot: leader.slot, message });
         }
         _ => {}
     }
--- a/crates/core/src/identifiers.rs
+++ b/crates/core/src/identifiers.rs
@@ -44,3 +44,65 @@
 
 /// One of the places of a replica group: an index into the table of the seats.
 pub type VoterSlot = u8;
+
+/// The term of a leader of a partition. Each term belongs to one voter slot alone, and
+/// a higher one wins over a lower one. Zero: no leader yet.
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    nanoserde::DeBin,
+    nanoserde::SerBin,
+)]
+pub struct Term(pub u64);
+
+impl Term {
+    /// Before every term that a leader ever has.
+    pub const ZERO: Term = Term(0);
+
+    /// Distance between two terms of one voter slot (count): above the most slots, and
+    /// the same for any number of them, so that a term is one slot's for ever.
+    pub const STRIDE: u64 = 16;
+
+    /// The next term above this one that only `slot` uses.
+    pub fn next_of(self, slot: VoterSlot) -> Term {
+        Term((self.0 / Term::STRIDE + 1) * Term::STRIDE + u64::from(slot))
+    }
+
+    /// The bare number, for JSON and metrics.
+    pub fn as_u64(self) -> u64 {
+        self.0
+    }
+}
+
+impl fmt::Display for Term {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(f, "{}", self.0)
+    }
+}
+
+/// How new a replica of a partition is: the term under which it was last written, then
+/// the revision that it has reached.
+#[derive(
+    Clone,
+    Copy,
+    Debug,
+    Default,
+    PartialEq,
+    Eq,
+    PartialOrd,
+    Ord,
+    Hash,
+    nanoserde::DeBin,
+    nanoserde::SerBin,
+)]
+pub struct Position {
+    pub term: Term,
+    pub revision: u64,
+}
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -70,7 +70,7 @@
             return;
         }
     };
-    let fence = (w.membership.term, w.membership.turn);
+    let fence = w.membership.id();
     for partition in ours(w) {
         let known = w.held.get(&partition).map(|h| endpoints::all(&h.map)).unwrap_or_default();
         let mine: Vec<LeafInfo> =
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -8,9 +8,10 @@
 //! all in a few rounds, and counts them exactly (`crate::quorum`).
 
 use crate::consts;
+use crate::identifiers::Term;
 use crate::membership::node_agent::Watch;
 use crate::membership::status::core_age;
-use crate::protocol::message::{Attestation, Membership, MembershipId, NO_PROOF};
+use crate::protocol::message::{Attestation, MembershipId, NO_PROOF};
 use crate::quorum;
 use crate::time::{MILLI, Tick, ms, since};
 
@@ -31,14 +32,9 @@
     until: Tick,
 }
 
-/// The identity of a membership.
-pub fn id(membership: &Membership) -> MembershipId {
-    MembershipId { term: membership.term, turn: membership.turn }
-}
-
 /// The membership changed: proofs about the former one count no more.
 pub fn adopt(watch: &mut Watch) {
-    let membership = id(&watch.membership);
+    let membership = watch.membership.id();
     if watch.proofs.membership == membership {
         return;
     }
@@ -71,7 +67,7 @@
 /// What we attest now, if anything. Whoever has the core's word attests nothing:
 /// its membership lives on without those who lack it.
 pub fn attest(watch: &mut Watch, now: Tick) -> Option<Attestation> {
-    if !is_restless(watch, now) || watch.membership.term == 0 {
+    if !is_restless(watch, now) || watch.membership.term == Term::ZERO {
         return None;
     }
     watch.proofs.attested = now;
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -60,7 +60,7 @@
     }
     let far = MemberProgress {
         obeys: w.view.as_ref().map_or(0, |v| v.revision),
-        saw: (w.membership.term, w.membership.turn),
+        saw: w.membership.id(),
         knows: w.knows,
         quiet_ms: attestation::quiet_ms(w, now),
         ready: w.ready,
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -2,7 +2,7 @@
 
 use crate::consts;
 use crate::control_plane::members::newer;
-use crate::identifiers::CONFIG;
+use crate::identifiers::{CONFIG, Term};
 use crate::membership::neighbour_ring::ring;
 use crate::membership::node_agent::{Command, Event, Watch, learn, places};
 use crate::membership::{assignments, attestation, feed, status, updates};
@@ -37,7 +37,7 @@
                     if incarnation == w.me.incarnation {
                         status::granted(w, Some(slot), count, revision);
                     }
-                    if tell_membership && w.membership.term > 0 {
+                    if tell_membership && w.membership.term > Term::ZERO {
                         out.push(Command::ToSeat {
                             slot,
                             message: Message::MembershipUpdate(w.membership.clone()),
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -5,7 +5,7 @@
 use nanoserde::{DeBin, SerBin};
 
 use crate::config::change::Entry;
-use crate::identifiers::{PartitionId, VoterSlot};
+use crate::identifiers::{PartitionId, Term, VoterSlot};
 use crate::snapshot::leafs::LeafInfo;
 use crate::voter_set::{SlotHolder, VoterSet};
 
@@ -53,7 +53,7 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, DeBin, SerBin)]
 pub struct MembershipId {
     /// Term of the leader that issued it.
-    pub term: u64,
+    pub term: Term,
     pub turn: u64,
 }
 
@@ -62,7 +62,7 @@
 #[derive(Clone, Debug, PartialEq, Default, DeBin, SerBin)]
 pub struct Membership {
     /// Epoch of the configuration's owner that says so: the fence.
-    pub term: u64,
+    pub term: Term,
     pub turn: u64,
     /// Every live member has seen the membership at this turn or later. A member
     /// has a share only once the turn in which it joined is settled.
@@ -73,6 +73,13 @@
     pub members: Vec<Member>,
 }
 
+impl Membership {
+    /// Which membership this is a state of.
+    pub fn id(&self) -> MembershipId {
+        MembershipId { term: self.term, turn: self.turn }
+    }
+}
+
 /// What a leaf said of itself to one of us.
 #[derive(Clone, Debug, PartialEq, Default, DeBin, SerBin)]
 pub struct LeafReport {
@@ -89,8 +96,8 @@
 pub struct MemberProgress {
     /// Configuration revision that it obeys.
     pub obeys: u64,
-    /// (term, turn) of the membership that it has seen.
-    pub saw: (u64, u64),
+    /// The membership that it has seen.
+    pub saw: MembershipId,
     /// The newest configuration revision that it knows to exist.
     pub knows: u64,
     /// Time since it last attested, or since its start if it never did (ms).
@@ -171,9 +178,9 @@
 pub struct HandedOverReplica {
     pub partition: PartitionId,
     /// The highest term that it voted for or obeyed.
-    pub promised: u64,
+    pub promised: Term,
     /// Term under which `map` was last written.
-    pub term: u64,
+    pub term: Term,
     pub revision: u64,
     pub map: EntryMap,
 }
@@ -254,7 +261,7 @@
     /// to ask for votes at once.
     LeadershipTransfer {
         partition: PartitionId,
-        term: u64,
+        term: Term,
     },
 
     // ---- replica groups, between seats; `stamp` is that of the sender's table,
@@ -268,8 +275,8 @@
         partition: PartitionId,
         nonce: u64,
         life: ReplicaCondition,
-        promised: u64,
-        term: u64,
+        promised: Term,
+        term: Term,
         revision: u64,
         stamp: u64,
     },
@@ -280,73 +287,73 @@
     ReplicaFetched {
         partition: PartitionId,
         nonce: u64,
-        promised: u64,
-        term: u64,
+        promised: Term,
+        term: Term,
         revision: u64,
         map: EntryMap,
     },
     /// Would you grant a claim? Changes nothing.
     PreVoteRequest {
         partition: PartitionId,
-        term: u64,
+        term: Term,
     },
     PreVoteResponse {
         partition: PartitionId,
-        term: u64,
+        term: Term,
         yes: bool,
-        promised: u64,
+        promised: Term,
     },
     VoteRequest {
         partition: PartitionId,
-        term: u64,
+        term: Term,
     },
     VoteGranted {
         partition: PartitionId,
-        term: u64,
-        at_term: u64,
+        term: Term,
+        at_term: Term,
         revision: u64,
         stamp: u64,
     },
     /// Refused, because this higher term was promised.
     VoteRejected {
         partition: PartitionId,
-        term: u64,
-        promised: u64,
+        term: Term,
+        promised: Term,
     },
     Snapshot {
         partition: PartitionId,
-        term: u64,
+        term: Term,
         revision: u64,
         map: EntryMap,
     },
     Append {
         partition: PartitionId,
-        term: u64,
+        term: Term,
         revision: u64,
         entries: Vec<Entry>,
     },
     /// Synced up to here.
     AppendAck {
         partition: PartitionId,
-        term: u64,
+        term: Term,
         revision: u64,
         stamp: u64,
     },
     /// Can't follow: send the whole.
     SnapshotRequest {
         partition: PartitionId,
-        term: u64,
+        term: Term,
     },
     Heartbeat {
         partition: PartitionId,
-        term: u64,
+        term: Term,
         round: u64,
         done: u64,
         sum: u64,
     },
     HeartbeatAck {
         partition: PartitionId,
-        term: u64,
+        term: Term,
         round: u64,
         revision: u64,
         /// Synced up to here; zero: nothing of this term.
@@ -387,7 +394,7 @@
         /// The process that asked: a grant is not for its successor.
         incarnation: u64,
         count: u64,
-        term: u64,
+        term: Term,
         revision: u64,
         /// The leader does not know the membership that the member goes by, and
         /// asks to be told.
@@ -401,13 +408,13 @@
     /// (`confirmed`) one that a majority holds. `older` are those that some
     /// member may still go by.
     ReplicateMembership {
-        term: u64,
+        term: Term,
         current: Membership,
         confirmed: bool,
         older: Vec<Membership>,
     },
     MembershipReplicated {
-        term: u64,
+        term: Term,
         id: MembershipId,
         settled: u64,
         confirmed: bool,
@@ -416,10 +423,10 @@
     /// A new leader asks which memberships there are. Whoever answers takes none
     /// from former leaders any more.
     FetchMembership {
-        term: u64,
+        term: Term,
     },
     MembershipFetched {
-        term: u64,
+        term: Term,
         current: Membership,
         /// Those that some member may go by beside or instead of `current`.
         others: Vec<Membership>,
@@ -444,7 +451,7 @@
     /// The platform's list for one part, from the holder of that duty.
     LeafList {
         partition: PartitionId,
-        fence: (u64, u64),
+        fence: MembershipId,
         leafs: Vec<LeafInfo>,
     },
     /// First-hand words of leafs about themselves, all of one part.
@@ -459,7 +466,7 @@
     OperationRequest {
         op: u64,
         attempt: u64,
-        term: u64,
+        term: Term,
         request: String,
         expect: Option<u64>,
         deed: Operation,
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -11,10 +11,10 @@
 
 use crate::command::Command;
 use crate::consts;
-use crate::identifiers::VoterSlot;
-use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
+use crate::identifiers::{Term, VoterSlot};
+use crate::protocol::message::{Message, ReplicaCondition};
 use crate::random::{Random, draw};
-use crate::replication::partition::{AfterWrite, Partition, ReplicaStatus};
+use crate::replication::partition::{AfterWrite, Partition, ReplicaStatus, Sender};
 use crate::replication::replica::keep_whole;
 use crate::storage::record::ReplicaState;
 use crate::time::Tick;
@@ -76,9 +76,9 @@
     let bare = |s: &ReplicaStatus| {
         s.life == ReplicaCondition::Empty
             || (s.life == ReplicaCondition::Voting
-                && s.term == 0
+                && s.term == Term::ZERO
                 && s.revision == 0
-                && s.promised == 0)
+                && s.promised == Term::ZERO)
     };
     let first = |s: &VoterSlot| g.firsts >> *s & 1 == 1;
     g.first
@@ -120,7 +120,7 @@
 pub fn stood(
     p: &mut Partition,
     now: Tick,
-    (g, from): (VoterGroup, VoterSlot),
+    from: Sender,
     nonce: u64,
     s: ReplicaStatus,
     out: &mut Vec<Command>,
@@ -128,9 +128,9 @@
     if p.life == ReplicaCondition::Voting || nonce != p.relearn.nonce || !p.writes.is_empty() {
         return;
     }
-    let Some(cell) = p.relearn.stands.get_mut(usize::from(from)) else { return };
+    let Some(cell) = p.relearn.stands.get_mut(usize::from(from.slot)) else { return };
     *cell = Some(s);
-    consider(p, now, g, out);
+    consider(p, now, from.group, out);
 }
 
 /// Goes on once enough have answered.
@@ -152,7 +152,7 @@
         return keep_whole(p, now, vec![AfterWrite::StartVoting], out);
     }
     if formed.len() >= majority(g.size) || vouched {
-        let best = formed.iter().max_by_key(|(_, s)| (s.term, s.revision));
+        let best = formed.iter().max_by_key(|(_, s)| s.position());
         if let Some((slot, _)) = best {
             let nonce = p.relearn.nonce;
             p.relearn.fetch = Some(*slot as VoterSlot);
@@ -169,21 +169,20 @@
     now: Tick,
     from: VoterSlot,
     nonce: u64,
-    (promised, at): (u64, (u64, u64)),
-    map: EntryMap,
+    theirs: ReplicaState,
     out: &mut Vec<Command>,
 ) {
     let r = &p.relearn;
     if p.life == ReplicaCondition::Voting || nonce != r.nonce || r.fetch != Some(from) {
         return;
     }
-    let most = r.stands.iter().flatten().map(|s| s.promised).max().unwrap_or(0);
-    let least = r.stands.iter().flatten().map(|s| (s.term, s.revision)).max().unwrap_or_default();
-    if at < least || !p.writes.is_empty() {
+    let most = r.stands.iter().flatten().map(|s| s.promised).max().unwrap_or_default();
+    let least = r.stands.iter().flatten().map(ReplicaStatus::position).max().unwrap_or_default();
+    if theirs.position() < least || !p.writes.is_empty() {
         return;
     }
-    crate::control_plane::feed::reseed(p, at.1, &map);
-    p.copy = ReplicaState { promised: promised.max(most), term: at.0, revision: at.1, map };
+    crate::control_plane::feed::reseed(p, theirs.revision, &theirs.map);
+    p.copy = ReplicaState { promised: theirs.promised.max(most), ..theirs };
     keep_whole(p, now, vec![AfterWrite::StartVoting], out);
 }
 
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -5,22 +5,19 @@
 use crate::consts;
 use crate::control_plane::controller::ControllerState;
 use crate::digest::{hash, pair};
-use crate::identifiers::{PartitionId, VoterSlot};
+use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
 use crate::random::{Random, below};
 use crate::replication::leader;
-use crate::replication::partition::{AfterWrite, Candidacy, Partition, Role, able};
+use crate::replication::partition::{
+    AfterWrite, Candidacy, KnownLeader, Partition, Role, Sender, able,
+};
 use crate::replication::replica::{follow, keep, keep_whole};
 use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::time::{Span, Tick, since};
 use crate::voter_set::{VoterGroup, majority, others};
 use crate::voters::voter_slots::here;
 
-/// The next term above `seen` that only this seat uses.
-pub fn next_epoch(seen: u64, slot: VoterSlot) -> u64 {
-    (seen / consts::EPOCH_STRIDE + 1) * consts::EPOCH_STRIDE + u64::from(slot)
-}
-
 /// A seat's rank for a part among those that may lead it: 0 claims first.
 /// Spreads the leaders. The leader that fell silent is not waited for.
 pub fn rank(id: PartitionId, g: VoterGroup, silent: Option<VoterSlot>) -> u64 {
@@ -42,7 +39,7 @@
             + below(luck, consts::CLAIM_BOOT_STAGGER / 2);
     }
     let silent = match &p.role {
-        Role::Follower { leader: Some((slot, _)), .. } => Some(*slot),
+        Role::Follower { leader: Some(leader), .. } => Some(leader.slot),
         _ => None,
     };
     consts::OWNER_SILENCE
@@ -63,7 +60,7 @@
     }
     match &p.role {
         Role::Follower { heard, .. } if since(*heard, now) >= patience(p, g, luck) => {
-            let term = next_epoch(p.copy.promised, g.slot);
+            let term = p.copy.promised.next_of(g.slot);
             start_pre_vote(p, now, g, term, out);
         }
         Role::PreVoting { until, .. } if now >= *until => {
@@ -77,7 +74,7 @@
 }
 
 /// Asks the others whether they would grant.
-fn start_pre_vote(p: &mut Partition, now: Tick, g: VoterGroup, term: u64, out: &mut Vec<Command>) {
+fn start_pre_vote(p: &mut Partition, now: Tick, g: VoterGroup, term: Term, out: &mut Vec<Command>) {
     let mut yes = vec![false; g.size];
     yes[usize::from(g.slot)] = true;
     p.role = Role::PreVoting { term, yes, until: now + consts::CLAIM_PATIENCE };
@@ -96,9 +93,9 @@
 pub fn pre_vote_answered(
     p: &mut Partition,
     now: Tick,
-    (g, from): (VoterGroup, VoterSlot),
-    term: u64,
-    (yes, promised): (bool, u64),
+    from: Sender,
+    term: Term,
+    (yes, promised): (bool, Term),
     out: &mut Vec<Command>,
 ) {
     let Role::PreVoting { term: ours, yes: all, .. } = &mut p.role else { return };
@@ -107,12 +104,12 @@
     }
     if promised >= term {
         // Somebody is further than we knew; sound again above that.
-        let term = next_epoch(promised, g.slot);
-        return start_pre_vote(p, now, g, term, out);
+        let term = promised.next_of(from.group.slot);
+        return start_pre_vote(p, now, from.group, term, out);
     }
-    all[usize::from(from)] = yes;
-    if all.iter().filter(|y| **y).count() >= majority(g.size) {
-        start_election(p, now, g, term, out);
+    all[usize::from(from.slot)] = yes;
+    if all.iter().filter(|y| **y).count() >= majority(from.group.size) {
+        start_election(p, now, from.group, term, out);
     }
 }
 
@@ -121,7 +118,7 @@
     p: &mut Partition,
     now: Tick,
     g: VoterGroup,
-    term: u64,
+    term: Term,
     out: &mut Vec<Command>,
 ) {
     if term <= p.copy.promised || !able(p) {
@@ -143,10 +140,10 @@
     p: &mut Partition,
     now: Tick,
     g: VoterGroup,
-    term: u64,
+    term: Term,
     out: &mut Vec<Command>,
 ) {
-    let here = (p.copy.term, p.copy.revision);
+    let here = p.copy.position();
     let Role::Candidate(c) = &mut p.role else { return };
     if c.term != term {
         return;
@@ -165,33 +162,33 @@
 pub fn vote_granted(
     p: &mut Partition,
     now: Tick,
-    (g, from): (VoterGroup, VoterSlot),
-    term: u64,
-    at: (u64, u64),
+    from: Sender,
+    term: Term,
+    at: Position,
     out: &mut Vec<Command>,
 ) {
     let Role::Candidate(c) = &mut p.role else { return };
     if c.term != term || c.fetch.is_some() {
         return;
     }
-    c.grants[usize::from(from)] = Some(at);
-    gathered(p, now, g, term, out);
+    c.grants[usize::from(from.slot)] = Some(at);
+    gathered(p, now, from.group, term, out);
 }
 
 /// Goes on once a majority has granted.
-fn gathered(p: &mut Partition, now: Tick, g: VoterGroup, term: u64, out: &mut Vec<Command>) {
+fn gathered(p: &mut Partition, now: Tick, g: VoterGroup, term: Term, out: &mut Vec<Command>) {
     let Role::Candidate(c) = &mut p.role else { return };
-    let list: Vec<(VoterSlot, (u64, u64))> =
+    let list: Vec<(VoterSlot, Position)> =
         c.grants.iter().enumerate().filter_map(|(s, g)| g.map(|g| (s as VoterSlot, g))).collect();
     if list.len() < majority(g.size) {
         return;
     }
-    let own = (p.copy.term, p.copy.revision);
+    let own = p.copy.position();
     match list.iter().max_by_key(|(_, at)| *at) {
         Some((best, at)) if *at > own && *best != g.slot => {
             c.fetch = Some(*best);
             c.until = now + consts::CLAIM_PATIENCE;
-            let message = Message::FetchReplica { partition: p.id, nonce: term };
+            let message = Message::FetchReplica { partition: p.id, nonce: term.as_u64() };
             out.push(Command::ToVoter { slot: *best, message });
         }
         _ => adopt(p, now, g, term, out),
@@ -202,31 +199,31 @@
 pub fn fetched(
     p: &mut Partition,
     now: Tick,
-    (g, from): (VoterGroup, VoterSlot),
+    from: Sender,
     nonce: u64,
-    at: (u64, u64),
+    at: Position,
     map: EntryMap,
     out: &mut Vec<Command>,
 ) {
     let Role::Candidate(c) = &p.role else { return };
-    let (term, known) = (c.term, c.grants[usize::from(from)]);
-    if term != nonce || c.fetch != Some(from) || known.is_none_or(|k| at < k) {
+    let (term, known) = (c.term, c.grants[usize::from(from.slot)]);
+    if term.as_u64() != nonce || c.fetch != Some(from.slot) || known.is_none_or(|k| at < k) {
         return;
     }
-    if at.0 > term {
+    if at.term > term {
         // Somebody with a higher term wrote there meanwhile.
         follow(p, now, None);
         return;
     }
     let promised = p.copy.promised;
-    crate::control_plane::feed::reseed(p, at.1, &map);
-    p.copy = ReplicaState { promised, term: at.0, revision: at.1, map };
-    adopt(p, now, g, term, out);
+    crate::control_plane::feed::reseed(p, at.revision, &map);
+    p.copy = ReplicaState { promised, term: at.term, revision: at.revision, map };
+    adopt(p, now, from.group, term, out);
 }
 
 /// Re-writes the adopted copy under our term. We serve once a majority,
 /// ourselves or not, has synced that.
-fn adopt(p: &mut Partition, now: Tick, g: VoterGroup, term: u64, out: &mut Vec<Command>) {
+fn adopt(p: &mut Partition, now: Tick, g: VoterGroup, term: Term, out: &mut Vec<Command>) {
     p.copy.term = term;
     let revision = p.copy.revision;
     p.role = Role::Leader(Box::new(leader::fresh(g, term, now)));
@@ -238,8 +235,8 @@
     p: &mut Partition,
     now: Tick,
     g: VoterGroup,
-    term: u64,
-    promised: u64,
+    term: Term,
+    promised: Term,
     out: &mut Vec<Command>,
 ) {
     match &p.role {
@@ -252,7 +249,7 @@
             let live = leader::answering(o, g, now);
             crate::replication::replica::resign(p, now, None, out);
             if live {
-                start_election(p, now, g, next_epoch(promised.max(p.copy.promised), g.slot), out);
+                start_election(p, now, g, promised.max(p.copy.promised).next_of(g.slot), out);
             }
         }
         _ => {}
@@ -289,12 +286,11 @@
     now: Tick,
     g: VoterGroup,
     from: VoterSlot,
-    term: u64,
+    term: Term,
     out: &mut Vec<Command>,
 ) {
-    let follows =
-        matches!(p.role, Role::Follower { leader: Some(leader), .. } if leader == (from, term));
+    let follows = matches!(p.role, Role::Follower { leader: Some(leader), .. } if leader == KnownLeader { slot: from, term });
     if follows && p.copy.promised == term {
-        start_election(p, now, g, next_epoch(term, g.slot), out);
+        start_election(p, now, g, term.next_of(g.slot), out);
     }
 }
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -5,10 +5,10 @@
 use crate::command::Command;
 use crate::config::change::Entry;
 use crate::consts;
-use crate::identifiers::VoterSlot;
-use crate::protocol::message::{EntryMap, Message, OperationResult};
+use crate::identifiers::{Term, VoterSlot};
+use crate::protocol::message::{EntryMap, MembershipId, Message, OperationResult};
 use crate::replication::partition::{
-    AfterWrite, Leader, OperationOrigin, Partition, Role, Waiting, leader,
+    AfterWrite, Leader, OperationOrigin, Partition, Role, Sender, Waiting, leader,
 };
 use crate::replication::replica::{keep, resign};
 use crate::replication::{heartbeat_rounds, pending_operations};
@@ -21,7 +21,7 @@
 const PROOF_RETRY: Span = ms(50);
 
 /// A leader that has adopted the newest copy and not yet re-written it.
-pub fn fresh(g: VoterGroup, term: u64, now: Tick) -> Leader {
+pub fn fresh(g: VoterGroup, term: Term, now: Tick) -> Leader {
     Leader {
         term,
         since: now,
@@ -46,7 +46,7 @@
         absent: BTreeMap::new(),
         seen: BTreeMap::new(),
         ages_at: now,
-        fence: (0, 0),
+        fence: MembershipId::default(),
     }
 }
 
@@ -133,7 +133,7 @@
     p: &mut Partition,
     now: Tick,
     from: VoterSlot,
-    term: u64,
+    term: Term,
     out: &mut Vec<Command>,
 ) {
     let Some(o) = leader(p) else { return };
@@ -148,8 +148,8 @@
 pub fn heartbeat_acked(
     p: &mut Partition,
     now: Tick,
-    (g, from): (VoterGroup, VoterSlot),
-    (term, round): (u64, u64),
+    from: Sender,
+    (term, round): (Term, u64),
     (revision, safe): (u64, u64),
     out: &mut Vec<Command>,
 ) {
@@ -159,35 +159,35 @@
         return;
     }
     let (at, head) = heartbeat_rounds::begun(o, round).unwrap_or((o.since, 0));
-    let last = &mut o.answered[usize::from(from)];
+    let last = &mut o.answered[usize::from(from.slot)];
     if round > last.0 {
         *last = (round, at.max(last.1));
     }
     // What we sent before this heartbeat has not come: it was lost on the way.
-    if revision < head && o.kept[usize::from(from)].is_some() {
+    if revision < head && o.kept[usize::from(from.slot)].is_some() {
         let next = p.changes.iter().filter(|(r, _)| *r > revision);
         if next.clone().next().is_some_and(|(r, _)| *r == revision + 1) {
             for (revision, entries) in next {
                 let (revision, entries) = (*revision, entries.clone());
                 let message = Message::Append { partition: id, term, revision, entries };
-                out.push(Command::ToVoter { slot: from, message });
+                out.push(Command::ToVoter { slot: from.slot, message });
             }
         } else {
-            snapshot_requested(p, now, from, term, out);
+            snapshot_requested(p, now, from.slot, term, out);
         }
     }
     if safe > 0 {
-        return append_acked(p, now, (g, from), term, safe, out);
+        return append_acked(p, now, from, term, safe, out);
     }
-    settle(p, now, g, out);
+    settle(p, now, from.group, out);
 }
 
 /// A seat (or we ourselves) synced a revision of our term.
 pub fn append_acked(
     p: &mut Partition,
     now: Tick,
-    (g, who): (VoterGroup, VoterSlot),
-    term: u64,
+    from: Sender,
+    term: Term,
     revision: u64,
     out: &mut Vec<Command>,
 ) {
@@ -196,11 +196,11 @@
     if o.term != term || revision > head {
         return;
     }
-    let cell = &mut o.kept[usize::from(who)];
+    let cell = &mut o.kept[usize::from(from.slot)];
     *cell = Some(cell.map_or(revision, |c| c.max(revision)));
     let mut all: Vec<u64> = o.kept.iter().flatten().copied().collect();
     all.sort_unstable_by(|a, b| b.cmp(a));
-    if let Some(done) = all.get(majority(g.size) - 1).copied() {
+    if let Some(done) = all.get(majority(from.group.size) - 1).copied() {
         let first = !o.serves;
         o.serves = true;
         if first || done > o.done {
@@ -208,7 +208,7 @@
             crate::control_plane::feed::show(p, done);
         }
     }
-    settle(p, now, g, out);
+    settle(p, now, from.group, out);
 }
 
 /// Changes the part. The caller has checked that we serve.
--- a/crates/core/src/replication/partition.rs
+++ b/crates/core/src/replication/partition.rs
@@ -3,10 +3,11 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::config::change::Entry;
-use crate::identifiers::{PartitionId, VoterSlot};
-use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
+use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
+use crate::protocol::message::{EntryMap, MembershipId, Message, ReplicaCondition};
 use crate::storage::record::ReplicaState;
 use crate::time::Tick;
+use crate::voter_set::VoterGroup;
 
 use crate::replication::pending_operations::PendingOperation;
 
@@ -57,12 +58,12 @@
     Send(VoterSlot, Message),
     /// Our own copy holds this revision of our term.
     OwnAppendSynced {
-        term: u64,
+        term: Term,
         revision: u64,
     },
     /// Our own promise for an election stands.
     OwnVoteSynced {
-        term: u64,
+        term: Term,
     },
     StartVoting,
 }
@@ -71,11 +72,11 @@
 pub enum Role {
     Follower {
         heard: Tick,
-        leader: Option<(VoterSlot, u64)>,
+        leader: Option<KnownLeader>,
     },
     /// Asks whether it would be voted for; changes nothing anywhere.
     PreVoting {
-        term: u64,
+        term: Term,
         yes: Vec<bool>,
         until: Tick,
     },
@@ -83,11 +84,25 @@
     Leader(Box<Leader>),
 }
 
+/// The leader that a follower hears.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct KnownLeader {
+    pub slot: VoterSlot,
+    pub term: Term,
+}
+
+/// Another voter, from which a message came, in the group as this one sees it.
+#[derive(Clone, Copy, Debug)]
+pub struct Sender {
+    pub group: VoterGroup,
+    pub slot: VoterSlot,
+}
+
 /// An election on the way: votes are gathered, then the newest copy fetched.
 pub struct Candidacy {
-    pub term: u64,
-    /// (term, revision) of the copy of each seat that granted.
-    pub grants: Vec<Option<(u64, u64)>>,
+    pub term: Term,
+    /// Where the copy of each seat that granted stands.
+    pub grants: Vec<Option<Position>>,
     /// The seat whose newer copy is being fetched.
     pub fetch: Option<VoterSlot>,
     pub until: Tick,
@@ -99,7 +114,7 @@
 /// else; `serves` only once a majority holds that; `done` is synced by a
 /// majority and never falls.
 pub struct Leader {
-    pub term: u64,
+    pub term: Term,
     pub since: Tick,
     pub serves: bool,
     /// Highest revision of this term that each seat has synced.
@@ -141,7 +156,7 @@
     /// When ages that grew by themselves are next written, all together.
     pub ages_at: Tick,
     /// Highest fence seen in a proposal of the list's duty.
-    pub fence: (u64, u64),
+    pub fence: MembershipId,
 }
 
 /// A change whose operator waits.
@@ -185,11 +200,18 @@
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaStatus {
     pub life: ReplicaCondition,
-    pub promised: u64,
-    pub term: u64,
+    pub promised: Term,
+    pub term: Term,
     pub revision: u64,
 }
 
+impl ReplicaStatus {
+    /// How new the copy there is.
+    pub fn position(&self) -> Position {
+        Position { term: self.term, revision: self.revision }
+    }
+}
+
 /// A part as found on disk at a start.
 pub fn partition(
     id: PartitionId,
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -2,9 +2,11 @@
 
 use crate::command::Command;
 use crate::consts;
-use crate::identifiers::VoterSlot;
+use crate::identifiers::{Position, Term, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
-use crate::replication::partition::{AfterWrite, Partition, Role, Write, able, leader};
+use crate::replication::partition::{
+    AfterWrite, KnownLeader, Partition, Role, Write, able, leader,
+};
 use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::time::{Tick, since};
 use crate::voter_set::VoterGroup;
@@ -70,7 +72,7 @@
 }
 
 /// Another seat asks whether it would be voted for.
-pub fn pre_vote(p: &mut Partition, now: Tick, from: VoterSlot, term: u64, out: &mut Vec<Command>) {
+pub fn pre_vote(p: &mut Partition, now: Tick, from: VoterSlot, term: Term, out: &mut Vec<Command>) {
     let yes = able(p) && term > p.copy.promised && !hears_owner(p, now);
     let message =
         Message::PreVoteResponse { partition: p.id, term, yes, promised: p.copy.promised };
@@ -78,7 +80,7 @@
 }
 
 /// Another seat claims the part.
-pub fn vote(p: &mut Partition, now: Tick, from: VoterSlot, term: u64, out: &mut Vec<Command>) {
+pub fn vote(p: &mut Partition, now: Tick, from: VoterSlot, term: Term, out: &mut Vec<Command>) {
     if !able(p) {
         return;
     }
@@ -105,7 +107,7 @@
 pub fn follow(
     p: &mut Partition,
     now: Tick,
-    of: Option<(VoterSlot, u64)>,
+    of: Option<KnownLeader>,
 ) -> Option<Box<crate::replication::partition::Leader>> {
     let old = std::mem::replace(&mut p.role, Role::Follower { heard: now, leader: of });
     match old {
@@ -119,7 +121,7 @@
     p: &mut Partition,
     now: Tick,
     from: VoterSlot,
-    term: u64,
+    term: Term,
     out: &mut Vec<Command>,
 ) -> bool {
     if !able(p) {
@@ -128,7 +130,7 @@
             && let Role::Follower { heard, leader } = &mut p.role
         {
             *heard = now;
-            *leader = Some((from, term));
+            *leader = Some(KnownLeader { slot: from, term });
         }
         return false;
     }
@@ -141,18 +143,18 @@
     match &mut p.role {
         Role::Follower { heard, leader } => {
             *heard = now;
-            *leader = Some((from, term));
+            *leader = Some(KnownLeader { slot: from, term });
         }
         _ => {
             // Our own higher term is promised first, so this one is newer.
-            resign(p, now, Some((from, term)), out);
+            resign(p, now, Some(KnownLeader { slot: from, term }), out);
         }
     }
     true
 }
 
 /// Gives up whatever role we had for that of a follower.
-pub fn resign(p: &mut Partition, now: Tick, of: Option<(VoterSlot, u64)>, out: &mut Vec<Command>) {
+pub fn resign(p: &mut Partition, now: Tick, of: Option<KnownLeader>, out: &mut Vec<Command>) {
     if let Some(old) = follow(p, now, of) {
         crate::replication::leader::dismiss(p, *old, out);
     }
@@ -163,7 +165,7 @@
     p: &mut Partition,
     now: Tick,
     from: VoterSlot,
-    (term, revision): (u64, u64),
+    Position { term, revision }: Position,
     map: EntryMap,
     out: &mut Vec<Command>,
 ) {
@@ -218,7 +220,7 @@
     p: &mut Partition,
     now: Tick,
     from: VoterSlot,
-    (term, round): (u64, u64),
+    (term, round): (Term, u64),
     (done, sum): (u64, u64),
     out: &mut Vec<Command>,
 ) {
@@ -265,7 +267,7 @@
             crate::replication::leader::moved(o, now, g, moved)
         }
         Role::Leader(_) => resign(p, now, None, out),
-        Role::Follower { leader, .. } => *leader = leader.filter(|(slot, _)| !gone(*slot)),
+        Role::Follower { leader, .. } => *leader = leader.filter(|leader| !gone(leader.slot)),
         Role::PreVoting { .. } | Role::Candidate(_) => {
             follow(p, now, None);
         }
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -3,6 +3,7 @@
 use nanoserde::{DeBin, SerBin};
 
 use crate::config::change::Entry;
+use crate::identifiers::{Position, Term};
 use crate::protocol::message::EntryMap;
 
 /// A replica's copy of a part.
@@ -12,18 +13,25 @@
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct ReplicaState {
     /// Highest term that this replica has granted or obeyed.
-    pub promised: u64,
+    pub promised: Term,
     /// Epoch under which `map` was last written.
-    pub term: u64,
+    pub term: Term,
     pub revision: u64,
     pub map: EntryMap,
 }
 
+impl ReplicaState {
+    /// How new this copy is.
+    pub fn position(&self) -> Position {
+        Position { term: self.term, revision: self.revision }
+    }
+}
+
 /// One step of a copy, as the log holds it.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum LogRecord {
-    Vote { term: u64 },
-    Change { term: u64, revision: u64, entries: Vec<Entry> },
+    Vote { term: Term },
+    Change { term: Term, revision: u64, entries: Vec<Entry> },
 }
 
 /// Applies a record that fits; false (and no change) if it does not.
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -10,7 +10,7 @@
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::{ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
-use grebepath_core::identifiers::PartitionId;
+use grebepath_core::identifiers::{PartitionId, Term};
 use grebepath_core::protocol::message::{
     Member, MemberProgress, Message, Operation, OperationResult, ReplicaCondition,
 };
@@ -400,9 +400,9 @@
 pub fn leader(cluster: &Cluster) -> Option<usize> {
     let term = |node: &usize| match &cluster.nodes[*node].core.partitions[0].role {
         Role::Leader(leader) if leader.serves => leader.term,
-        _ => 0,
+        _ => Term::ZERO,
     };
-    (0..cluster.nodes.len()).max_by_key(|node| term(node)).filter(|node| term(node) > 0)
+    (0..cluster.nodes.len()).max_by_key(|node| term(node)).filter(|node| term(node) > Term::ZERO)
 }
 
 /// Whether this controller believes that it leads the configuration.
--- a/crates/core/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -2,6 +2,7 @@
 //! truth, a prefix whose tail was never acknowledged, or reported damage.
 
 use googletest::prelude::*;
+use grebepath_core::identifiers::Term;
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
 use grebepath_core::storage::writer;
@@ -13,7 +14,7 @@
         (format!("key-{}", revision % 3), Some(vec![revision as u8, 0, 7])),
         (format!("old-{revision}"), None),
     ];
-    LogRecord::Change { term: 4, revision, entries }
+    LogRecord::Change { term: Term(4), revision, entries }
 }
 
 /// Slots, log, and the copy at each record's end.
@@ -22,13 +23,14 @@
 /// Two slots and a log as a life leaves them: slot 2 is the newest, and the
 /// log holds a few records after it.
 fn files() -> Files {
-    let mut copy = ReplicaState { promised: 4, term: 4, revision: 10, ..ReplicaState::default() };
+    let mut copy =
+        ReplicaState { promised: Term(4), term: Term(4), revision: 10, ..ReplicaState::default() };
     let older = writer::slot(PART, 1, &copy);
     assert!(apply(&mut copy, &change(11)));
     let newer = writer::slot(PART, 2, &copy);
     let mut log = writer::log_head(PART, 2);
     let mut at = vec![(log.len(), copy.clone())];
-    let recs = [change(12), LogRecord::Vote { term: 7 }, change(13)];
+    let recs = [change(12), LogRecord::Vote { term: Term(7) }, change(13)];
     for (i, rec) in recs.iter().enumerate() {
         assert!(apply(&mut copy, rec));
         log.extend(writer::rec(2, i as u32, rec));
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use grebepath_core::consts;
 use grebepath_core::control_plane::controller;
-use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartitionId, VoterSlot};
+use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartitionId, Term, VoterSlot};
 use grebepath_core::membership::neighbour_ring::ring;
 use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
 use grebepath_core::membership::step::step;
@@ -19,7 +19,13 @@
 }
 
 fn membership(n: usize) -> Membership {
-    Membership { term: 3, turn: 1, settled: 1, revision: 0, members: (0..n).map(member).collect() }
+    Membership {
+        term: Term(3),
+        turn: 1,
+        settled: 1,
+        revision: 0,
+        members: (0..n).map(member).collect(),
+    }
 }
 
 const SEATS: usize = consts::SEATS as usize;
--- a/crates/core/tests/format_fixtures/messages.rs
+++ b/crates/core/tests/format_fixtures/messages.rs
@@ -5,13 +5,13 @@
 use std::collections::BTreeMap;
 
 use grebepath_core::protocol::message::{
-    Attestation, LeafReport, Memberships, Message, NO_PROOF, Operation, OperationResult,
-    PeerIdentity, ReplicaCondition,
+    Attestation, LeafReport, MembershipId, Memberships, Message, NO_PROOF, Operation,
+    OperationResult, PeerIdentity, ReplicaCondition,
 };
 
 use super::values::{
     entries, holding, leaf, leaving_progress, map, member, membership, membership_id, narrow,
-    partition, places, ready_progress, replica_state, table, wide,
+    partition, places, ready_progress, replica_state, table, term, wide,
 };
 
 /// All of them, in the order of the fixture file.
@@ -73,7 +73,7 @@
             },
         },
         Message::HandoverDone { slot: 10, generation: narrow(6) },
-        Message::LeadershipTransfer { partition: partition(), term: wide(1) },
+        Message::LeadershipTransfer { partition: partition(), term: term(1) },
     ]
 }
 
@@ -82,8 +82,8 @@
         partition: partition(),
         nonce: wide(1),
         life,
-        promised: wide(2),
-        term: wide(3),
+        promised: term(2),
+        term: term(3),
         revision: wide(4),
         stamp: wide(5),
     };
@@ -96,8 +96,8 @@
         Message::ReplicaFetched {
             partition: partition(),
             nonce: wide(1),
-            promised: wide(2),
-            term: wide(3),
+            promised: term(2),
+            term: term(3),
             revision: wide(4),
             map: map(),
         },
@@ -107,37 +107,37 @@
 fn elections() -> Vec<Message> {
     let partition = partition();
     vec![
-        Message::PreVoteRequest { partition, term: wide(1) },
-        Message::PreVoteResponse { partition, term: wide(1), yes: true, promised: wide(2) },
-        Message::VoteRequest { partition, term: wide(2) },
+        Message::PreVoteRequest { partition, term: term(1) },
+        Message::PreVoteResponse { partition, term: term(1), yes: true, promised: term(2) },
+        Message::VoteRequest { partition, term: term(2) },
         Message::VoteGranted {
             partition,
-            term: wide(1),
-            at_term: wide(2),
+            term: term(1),
+            at_term: term(2),
             revision: wide(3),
             stamp: wide(4),
         },
-        Message::VoteRejected { partition, term: wide(1), promised: wide(2) },
+        Message::VoteRejected { partition, term: term(1), promised: term(2) },
     ]
 }
 
 fn replication() -> Vec<Message> {
     let partition = partition();
     vec![
-        Message::Snapshot { partition, term: wide(1), revision: wide(2), map: map() },
-        Message::Append { partition, term: wide(1), revision: wide(2), entries: entries() },
-        Message::AppendAck { partition, term: wide(1), revision: wide(2), stamp: wide(3) },
-        Message::SnapshotRequest { partition, term: wide(1) },
+        Message::Snapshot { partition, term: term(1), revision: wide(2), map: map() },
+        Message::Append { partition, term: term(1), revision: wide(2), entries: entries() },
+        Message::AppendAck { partition, term: term(1), revision: wide(2), stamp: wide(3) },
+        Message::SnapshotRequest { partition, term: term(1) },
         Message::Heartbeat {
             partition,
-            term: wide(1),
+            term: term(1),
             round: wide(2),
             done: wide(3),
             sum: wide(4),
         },
         Message::HeartbeatAck {
             partition,
-            term: wide(1),
+            term: term(1),
             round: wide(2),
             revision: wide(3),
             kept: wide(4),
@@ -164,7 +164,7 @@
             name: "querier-1".into(),
             incarnation: wide(1),
             count: wide(2),
-            term: wide(3),
+            term: term(3),
             revision: wide(4),
             tell_membership: true,
         },
@@ -175,21 +175,21 @@
 fn memberships() -> Vec<Message> {
     vec![
         Message::ReplicateMembership {
-            term: wide(1),
+            term: term(1),
             current: membership(1),
             confirmed: true,
             older: vec![membership(2), membership(3)],
         },
         Message::MembershipReplicated {
-            term: wide(1),
+            term: term(1),
             id: membership_id(),
             settled: wide(2),
             confirmed: true,
             stamp: wide(3),
         },
-        Message::FetchMembership { term: wide(1) },
+        Message::FetchMembership { term: term(1) },
         Message::MembershipFetched {
-            term: wide(1),
+            term: term(1),
             current: membership(1),
             others: vec![membership(2)],
             stamp: wide(2),
@@ -225,7 +225,7 @@
     vec![
         Message::LeafList {
             partition: partition(),
-            fence: (wide(1), wide(2)),
+            fence: MembershipId { term: term(1), turn: wide(2) },
             leafs: vec![leaf(1, true), leaf(2, false)],
         },
         Message::LeafReports { partition: partition(), words: vec![leaving, gone] },
@@ -236,7 +236,7 @@
     let operate = |expect, deed| Message::OperationRequest {
         op: wide(1),
         attempt: wide(2),
-        term: wide(3),
+        term: term(3),
         request: "request-1".into(),
         expect,
         deed,
@@ -277,7 +277,7 @@
 pub fn small() -> Message {
     Message::Heartbeat {
         partition: partition(),
-        term: wide(1),
+        term: term(1),
         round: wide(2),
         done: wide(3),
         sum: wide(4),
@@ -292,5 +292,5 @@
 /// A message of three pieces. Its last field is the long one.
 pub fn large() -> Message {
     let map = BTreeMap::from([("filler".into(), vec![FILLER; FILLER_COUNT])]);
-    Message::Snapshot { partition: partition(), term: wide(1), revision: wide(2), map }
+    Message::Snapshot { partition: partition(), term: term(1), revision: wide(2), map }
 }
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -6,6 +6,7 @@
 use grebepath_core::config::types::{Class, Config, Form, Pool, Search, Steer, Terms, Turn, Zone};
 use grebepath_core::control_plane::order_memory::{Fingerprint, Horizon, fingerprint, remember};
 use grebepath_core::digest::digest;
+use grebepath_core::identifiers::Term;
 use grebepath_core::protocol::message::EntryMap;
 use grebepath_core::snapshot::leafs::{LeafInfo, key};
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply, put};
@@ -20,11 +21,11 @@
 /// Sequence number of the newer slot, which the log follows.
 pub const NEWER_SEQUENCE: u64 = 7;
 /// The term under which all changes of the fixtures were made.
-const TERM: u64 = 0x0102_0304_0506_0708;
+const TERM: Term = Term(0x0102_0304_0506_0708);
 /// What is promised in the slots.
-const PROMISED: u64 = TERM + 16;
+const PROMISED: Term = Term(TERM.0 + 16);
 /// What the record of a promise in the log promises.
-const PROMISED_LATER: u64 = TERM + 48;
+const PROMISED_LATER: Term = Term(TERM.0 + 48);
 
 /// The files of a partition, as values.
 pub struct StoredPartition {
--- a/crates/core/tests/format_fixtures/values.rs
+++ b/crates/core/tests/format_fixtures/values.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 
 use grebepath_core::config::change::Entry;
-use grebepath_core::identifiers::PartitionId;
+use grebepath_core::identifiers::{PartitionId, Term};
 use grebepath_core::protocol::message::{
     EntryMap, FeedPosition, HandedOverReplica, Member, MemberProgress, Membership, MembershipId,
 };
@@ -16,6 +16,11 @@
     0xa1b2_c3d4_e5f6_0000 + n
 }
 
+/// A term that fills all eight bytes, another one for each `n`.
+pub fn term(n: u64) -> Term {
+    Term(wide(n))
+}
+
 /// A number that fills all four bytes, another one for each `n`.
 pub fn narrow(n: u32) -> u32 {
     0x5a4b_3c00 + n
@@ -67,7 +72,7 @@
 pub fn membership(n: u32) -> Membership {
     let number = 10 * u64::from(n);
     Membership {
-        term: wide(500 + number),
+        term: term(500 + number),
         turn: wide(501 + number),
         settled: wide(502 + number),
         revision: wide(503 + number),
@@ -76,13 +81,13 @@
 }
 
 pub fn membership_id() -> MembershipId {
-    MembershipId { term: wide(601), turn: wide(602) }
+    MembershipId { term: term(601), turn: wide(602) }
 }
 
 pub fn ready_progress() -> MemberProgress {
     MemberProgress {
         obeys: wide(701),
-        saw: (wide(702), wide(703)),
+        saw: MembershipId { term: term(702), turn: wide(703) },
         knows: wide(704),
         quiet_ms: wide(705),
         ready: true,
@@ -93,7 +98,7 @@
 pub fn leaving_progress() -> MemberProgress {
     MemberProgress {
         obeys: wide(711),
-        saw: (wide(712), wide(713)),
+        saw: MembershipId { term: term(712), turn: wide(713) },
         knows: wide(714),
         quiet_ms: wide(715),
         ready: false,
@@ -121,8 +126,8 @@
 pub fn replica_state() -> HandedOverReplica {
     HandedOverReplica {
         partition: partition(),
-        promised: wide(901),
-        term: wide(902),
+        promised: term(901),
+        term: term(902),
         revision: wide(903),
         map: map(),
     }
--- a/crates/core/tests/memberships.rs
+++ b/crates/core/tests/memberships.rs
@@ -6,16 +6,19 @@
 use cluster::*;
 use googletest::prelude::*;
 use grebepath_core::control_plane::controller::ControllerState;
-use grebepath_core::protocol::message::MemberProgress;
+use grebepath_core::identifiers::Term;
+use grebepath_core::protocol::message::{MemberProgress, MembershipId};
 use grebepath_core::time::{MILLI, SECOND, ms};
 
-/// The membership that a controller tells members: its term and turn.
-fn told(cluster: &Cluster, node: usize) -> (u64, u64) {
-    let membership = &core_of(cluster, node).members.membership;
-    (membership.term, membership.turn)
+/// What a member that has seen no membership says.
+const NONE: MembershipId = MembershipId { term: Term::ZERO, turn: 0 };
+
+/// The membership that a controller tells members.
+fn told(cluster: &Cluster, node: usize) -> MembershipId {
+    core_of(cluster, node).members.membership.id()
 }
 
-fn far(saw: (u64, u64)) -> MemberProgress {
+fn far(saw: MembershipId) -> MemberProgress {
     MemberProgress { saw, quiet_ms: 60_000, ready: true, ..MemberProgress::default() }
 }
 
@@ -28,20 +31,20 @@
     let (mut cluster, first, other) = led(3);
     let third = 3 - first - other;
     let mut count = 0;
-    let mut everybody = |cluster: &mut Cluster, node: usize, list: &[(&str, (u64, u64))]| {
+    let mut everybody = |cluster: &mut Cluster, node: usize, list: &[(&str, MembershipId)]| {
         count += 1;
         for (name, saw) in list {
             renew(cluster, node, name, count, far(*saw));
         }
     };
-    everybody(&mut cluster, first, &[("a", (0, 0)), ("b", (0, 0))]);
+    everybody(&mut cluster, first, &[("a", NONE), ("b", NONE)]);
     run(&mut cluster, SECOND);
     let before = told(&cluster, first);
     expect_that!(names(core_of(&cluster, first)), elements_are![eq("a"), eq("b")]);
     everybody(&mut cluster, first, &[("a", before), ("b", before)]);
     run(&mut cluster, ms(100));
     // Another one joins. One voter has the new membership, and hears no more of it.
-    everybody(&mut cluster, first, &[("a", before), ("b", before), ("c", (0, 0))]);
+    everybody(&mut cluster, first, &[("a", before), ("b", before), ("c", NONE)]);
     while core_of(&cluster, other).members.log.proposed.is_none() {
         assert!(cluster.now < 60 * SECOND, "nothing was proposed");
         run(&mut cluster, MILLI / 5);
@@ -55,7 +58,7 @@
     restart(&mut cluster, third, 72);
     cluster.cut.clear();
     until(&mut cluster, |cluster| leader(cluster).is_some());
-    let list = [("a", new), ("b", before), ("c", before), ("d", (0, 0))];
+    let list = [("a", new), ("b", before), ("c", before), ("d", NONE)];
     for _ in 0..40 {
         let now = leader(&cluster).unwrap_or(first);
         everybody(&mut cluster, now, &list);
--- a/crates/core/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -7,7 +7,8 @@
 use cluster::*;
 use googletest::prelude::*;
 use grebepath_core::control_plane::step::WAKE;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::identifiers::Term;
+use grebepath_core::protocol::message::{MemberProgress, MembershipId, Operation, OperationResult};
 use grebepath_core::time::{SECOND, ms};
 use serde_json::json;
 
@@ -160,9 +161,9 @@
 /// Three members join, and two of them fall silent: the leader hears no majority
 /// of them and keeps them all.
 fn with_silent_members(cluster: &mut Cluster, leader: usize) {
-    let far = |turn| grebepath_core::protocol::message::MemberProgress {
+    let far = |turn| MemberProgress {
         obeys: 0,
-        saw: (0, turn),
+        saw: MembershipId { term: Term::ZERO, turn },
         ..Default::default()
     };
     for name in ["q1", "q2", "q3"] {
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -5,7 +5,7 @@
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::{ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
-use grebepath_core::identifiers::{CONFIG, VoterSlot, partitions};
+use grebepath_core::identifiers::{CONFIG, Term, VoterSlot, partitions};
 use grebepath_core::protocol::message::{Message, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::ReplicaState;
@@ -265,7 +265,7 @@
 }
 
 /// Makes the seat the configuration's owner by the votes of seat 2.
-fn owns(b: &mut Bench) -> u64 {
+fn owns(b: &mut Bench) -> Term {
     let partition = CONFIG;
     let sounds = |c: Command| match c {
         Command::ToVoter {
@@ -275,11 +275,15 @@
         _ => None,
     };
     let term = (0..100).find_map(|_| wake(b, WAKE).into_iter().find_map(sounds)).unwrap();
-    let yes = from(b, 2, Message::PreVoteResponse { partition, term, yes: true, promised: 0 });
+    let yes =
+        from(b, 2, Message::PreVoteResponse { partition, term, yes: true, promised: Term::ZERO });
     one(b, yes);
     let stamp = b.core.seating.stamp;
-    let grant =
-        from(b, 2, Message::VoteGranted { partition, term, at_term: 0, revision: 0, stamp });
+    let grant = from(
+        b,
+        2,
+        Message::VoteGranted { partition, term, at_term: Term::ZERO, revision: 0, stamp },
+    );
     one(b, grant);
     term
 }
--- a/crates/server/src/controller/door.rs
+++ b/crates/server/src/controller/door.rs
@@ -227,8 +227,7 @@
                     })
                 })
                 .collect();
-            body["cohort"] =
-                json!({ "epoch": membership.term, "turn": membership.turn, "members": members });
+            body["cohort"] = json!({ "epoch": membership.term.as_u64(), "turn": membership.turn, "members": members });
         }
         OperationResult::Rejected { why } | OperationResult::Unknown { why } => {
             body["cohort"] = Value::Null;
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -34,7 +34,7 @@
         .map(|p| {
             let owner = match &p.role {
                 Role::Leader(_) => Some(core.slot),
-                Role::Follower { leader, .. } => leader.map(|o| o.0),
+                Role::Follower { leader, .. } => leader.map(|known| known.slot),
                 _ => None,
             };
             let silent = match &p.role {
@@ -43,7 +43,7 @@
             };
             json!({
                 "part": p.id.to_string(), "role": role(p), "owner": owner,
-                "epoch": p.copy.term, "promised": p.copy.promised, "revision": p.copy.revision,
+                "epoch": p.copy.term.as_u64(), "promised": p.copy.promised.as_u64(), "revision": p.copy.revision,
                 "shown": p.committed_revision, "owner_silent_ms": silent, "sick": p.sick,
                 "writes_waiting": p.writes.len(),
             })
