--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -381,17 +381,6 @@
     }
 }
 
-/// Whether a state of the membership comes after another.
-pub fn newer(a: &Membership, b: &Membership) -> bool {
-    (a.term, a.turn, a.settled) > (b.term, b.turn, b.settled)
-}
-
-/// A state of the membership as one number that only rises: within a turn it is
-/// told once before all have seen it and once after.
-pub fn mark(c: &Membership) -> u64 {
-    c.term.as_u64() << 32 | c.turn << 1 | u64::from(c.term > Term::ZERO && c.settled == c.turn)
-}
-
 /// A member tells the membership that it goes by: to the leader, by way of us or
 /// as it is.
 pub fn told(
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -12,7 +12,6 @@
 use crate::consts;
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::members;
-use crate::control_plane::members::newer;
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Membership, MembershipId, Memberships, Message};
 use crate::time::{Tick, since};
@@ -244,7 +243,7 @@
     log.older = older.into_iter().map(|membership| Older { membership, retired: None }).collect();
     if confirmed {
         log.proposed = log.proposed.take().filter(|p| p.id() > version.id);
-        if newer(&current, &core.members.membership) {
+        if current.is_newer_than(&core.members.membership) {
             core.members.membership = current;
             members::tell(core, out);
         }
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -73,13 +73,6 @@
     pub members: Vec<Member>,
 }
 
-impl Membership {
-    /// Which membership this is a state of.
-    pub fn id(&self) -> MembershipId {
-        MembershipId { term: self.term, turn: self.turn }
-    }
-}
-
 /// What a leaf said of itself to one of us.
 #[derive(Clone, Debug, PartialEq, Default, DeBin, SerBin)]
 pub struct LeafReport {
