--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -69,7 +69,7 @@
         }
         print(&controller, begin, end);
     }
-    memory_alone(&controller.core.partitions[0].copy.map, orders);
+    memory_alone(&controller.core.partitions[0].state.entries, orders);
 }
 
 /// Times what the memory of orders does for each of them, on a full map.
@@ -91,7 +91,7 @@
 
 fn print(controller: &Controller, begin: u64, end: u64) {
     let (cost, count) = (&controller.cost, end - begin);
-    let copy = &controller.core.partitions[0].copy;
+    let copy = &controller.core.partitions[0].state;
     println!(
         "{:>6}..{:<6} {:>9.1} {:>8.1} {:>9.1} {:>7} {:>11}",
         begin,
--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -39,27 +39,27 @@
     note_commits(core, now);
     let group = here(core);
     let Role::Leader(leader) = &mut core.partitions[0].role else { return };
-    let Some(until) = leader.waits.iter().map(|w| w.until).min() else {
-        leader.obeyed = 0;
+    let Some(until) = leader.waiting_changes.iter().map(|w| w.until).min() else {
+        leader.obeyed_up_to = 0;
         return;
     };
-    if now < leader.look_at {
+    if now < leader.acceptance_check_at {
         return;
     }
-    leader.look_at = now + consts::OBEY_LOOK;
-    let mut waited: Vec<u64> = leader.waits.iter().map(|w| w.revision).collect();
+    leader.acceptance_check_at = now + consts::OBEY_LOOK;
+    let mut waited: Vec<u64> = leader.waiting_changes.iter().map(|w| w.revision).collect();
     let names_needed = now + consts::OWNER_BEAT >= until;
     waited.sort_unstable_by(|a, b| b.cmp(a));
     waited.dedup();
     let accepted = waited.into_iter().find(|revision| is_accepted(&core.members, now, *revision));
-    let head = core.partitions[0].copy.revision;
+    let head = core.partitions[0].state.revision;
     let behind = names_needed.then(|| behind(&core.members, head));
     let Role::Leader(leader) = &mut core.partitions[0].role else { return };
     // The names are needed only when somebody's patience ends.
-    leader.behind = behind.unwrap_or_default();
+    leader.lagging_members = behind.unwrap_or_default();
     let accepted = accepted.unwrap_or(0);
-    if leader.obeyed != accepted {
-        leader.obeyed = accepted;
+    if leader.obeyed_up_to != accepted {
+        leader.obeyed_up_to = accepted;
         crate::replication::leader::settle(&mut core.partitions[0], now, group, out);
     }
 }
@@ -68,8 +68,9 @@
 fn note_commits(core: &mut ControllerState, now: Tick) {
     let Role::Leader(leader) = &core.partitions[0].role else { return };
     let commits = &mut core.members.acceptance.commits;
-    if leader.serves && commits.back().is_none_or(|(revision, _)| *revision < leader.done) {
-        commits.push_back((leader.done, now));
+    if leader.is_serving && commits.back().is_none_or(|(revision, _)| *revision < leader.committed)
+    {
+        commits.push_back((leader.committed, now));
         if commits.len() > COMMITS_KEPT {
             commits.pop_front();
         }
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -32,9 +32,9 @@
     out: &mut Vec<Command>,
 ) {
     let id = p.id;
-    let known = leafs_in(&p.copy.map);
+    let known = leafs_in(&p.state.entries);
     let Some(o) = leader(p) else { return };
-    if !o.serves {
+    if !o.is_serving {
         return;
     }
     if fence < o.fence {
@@ -61,23 +61,23 @@
     }
     for (name, info) in &known {
         if list.contains_key(name) {
-            o.absent.remove(name);
+            o.absent_leafs.remove(name);
             continue;
         }
         // A new identity at its address: the old one is surely gone. But if
         // most of a service vanishes from the list, doubt the list.
         let taken = list.values().any(|l| l.addr == info.addr && !known.contains_key(&l.leaf));
-        let at = *o.absent.entry(name.clone()).or_insert(now);
+        let at = *o.absent_leafs.entry(name.clone()).or_insert(now);
         let peers = known.values().filter(|l| l.service == info.service).count();
         let stay = list.values().filter(|l| l.service == info.service).count();
         let doubt = stay * 2 < peers && !info.leaving;
         let patience = if doubt { consts::LEAF_ABSENCE * 6 } else { consts::LEAF_ABSENCE };
         if taken || since(at, now) >= patience {
             entries.push((key(name), None));
-            o.absent.remove(name);
+            o.absent_leafs.remove(name);
         }
     }
-    o.absent.retain(|name, _| known.contains_key(name));
+    o.absent_leafs.retain(|name, _| known.contains_key(name));
     if !entries.is_empty() {
         change(p, now, g, entries, out);
     }
@@ -89,12 +89,12 @@
 /// it, and how long ago that was.
 pub fn grow(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
     let Some(o) = leader(p) else { return };
-    if !o.serves || now < o.ages_at {
+    if !o.is_serving || now < o.ages_at {
         return;
     }
     o.ages_at = now + consts::AGES_BEAT;
-    let mut seen = std::mem::take(&mut o.seen);
-    let known = leafs_in(&p.copy.map);
+    let mut seen = std::mem::take(&mut o.first_seen);
+    let known = leafs_in(&p.state.entries);
     seen.retain(|name, _| known.contains_key(name));
     let mut entries: Vec<Entry> = Vec::new();
     for (name, info) in known {
@@ -107,7 +107,7 @@
         }
     }
     if let Some(o) = leader(p) {
-        o.seen = seen;
+        o.first_seen = seen;
     }
     if !entries.is_empty() {
         change(p, now, g, entries, out);
@@ -122,10 +122,10 @@
     words: Vec<LeafReport>,
     out: &mut Vec<Command>,
 ) {
-    if !leader(p).is_some_and(|o| o.serves) {
+    if !leader(p).is_some_and(|o| o.is_serving) {
         return;
     }
-    let known = leafs_in(&p.copy.map);
+    let known = leafs_in(&p.state.entries);
     let mut entries: Vec<Entry> = Vec::new();
     for word in words {
         let Some(info) = known.get(&word.leaf) else { continue };
--- a/crates/core/src/control_plane/feed.rs
+++ b/crates/core/src/control_plane/feed.rs
@@ -11,14 +11,14 @@
 
 /// Shows everything up to the committed revision `done` that we have.
 pub fn show(p: &mut Partition, done: u64) {
-    if p.seed.as_ref().is_some_and(|(revision, _)| *revision <= done)
-        && let Some((revision, map)) = p.seed.take()
+    if p.uncommitted_snapshot.as_ref().is_some_and(|(revision, _)| *revision <= done)
+        && let Some((revision, map)) = p.uncommitted_snapshot.take()
         && revision > p.committed_revision
     {
         p.committed = map;
         p.committed_revision = revision;
     }
-    if p.seed.is_none() {
+    if p.uncommitted_snapshot.is_none() {
         for (revision, entries) in &p.changes {
             if *revision == p.committed_revision + 1 && *revision <= done {
                 put(&mut p.committed, entries);
@@ -36,11 +36,11 @@
 /// Takes over a copy whose way here is not known.
 pub fn reseed(p: &mut Partition, revision: u64, map: &EntryMap) {
     // A leader that re-writes what we have already tells us nothing new.
-    if p.copy.revision == revision && p.copy.map == *map {
+    if p.state.revision == revision && p.state.entries == *map {
         return;
     }
     p.changes.clear();
-    p.seed = Some((revision, map.clone()));
+    p.uncommitted_snapshot = Some((revision, map.clone()));
 }
 
 /// The news that takes a follower from `place` to what is committed now.
@@ -50,7 +50,7 @@
     }
     let first = p.changes.front().map_or(u64::MAX, |(revision, _)| *revision);
     let revision = p.committed_revision;
-    if place > 0 && p.seed.is_none() && first <= place + 1 {
+    if place > 0 && p.uncommitted_snapshot.is_none() && first <= place + 1 {
         let entries = p
             .changes
             .iter()
@@ -119,7 +119,7 @@
     let stamp = core.seating.stamp;
     let able = core.partitions.iter().filter(|p| crate::replication::partition::able(p));
     let mut places: Vec<FeedPosition> =
-        able.map(|p| FeedPosition { partition: p.id, revision: p.copy.revision }).collect();
+        able.map(|p| FeedPosition { partition: p.id, revision: p.state.revision }).collect();
     places.push(FeedPosition {
         partition: COHORT,
         revision: core.members.membership.feed_revision(),
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -66,13 +66,13 @@
     let group = here(core);
     let incarnation = members::silent_incarnation(&core.members, now, name);
     let p = &mut core.partitions[0];
-    let known = entries(&p.copy.map).get(name).map(|entry| entry.incarnation);
+    let known = entries(&p.state.entries).get(name).map(|entry| entry.incarnation);
     match incarnation {
         Some(incarnation) if known != Some(incarnation) => {
-            let entry = Forgotten { incarnation, revision: p.copy.revision + 1 };
-            let entries = changes(&p.copy.map, name, entry);
+            let entry = Forgotten { incarnation, revision: p.state.revision + 1 };
+            let entries = changes(&p.state.entries, name, entry);
             change(p, now, group, entries, out);
-            leader::wait(p, now, from, p.copy.revision, false);
+            leader::wait(p, now, from, p.state.revision, false);
             leader::settle(p, now, group, out);
         }
         // It is forgotten already.
@@ -82,7 +82,7 @@
             pending_operations::add(p, now, group, from, answer, out);
         }
         _ => {
-            leader::wait_again(p, now, from, p.copy.revision, false);
+            leader::wait_again(p, now, from, p.state.revision, false);
             crate::replication::heartbeat_rounds::request(p, now, group, out);
             leader::settle(p, now, group, out);
         }
@@ -105,7 +105,7 @@
             .and_then(|value| read_entry(value))
             .is_some_and(|entry| entry.incarnation == member.incarnation)
     };
-    let (newest, committed) = (names(&p.copy.map), names(&p.committed));
+    let (newest, committed) = (names(&p.state.entries), names(&p.committed));
     if newest {
         change(p, now, group, vec![(key, None)], out);
     }
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -71,7 +71,7 @@
 /// The term under which we keep the leases, if we do.
 pub fn reign(core: &ControllerState) -> Option<Term> {
     match &core.partitions[0].role {
-        Role::Leader(o) if o.serves => Some(o.term),
+        Role::Leader(o) if o.is_serving => Some(o.term),
         _ => None,
     }
 }
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -222,7 +222,7 @@
 
 /// Whether a leader of this term has been followed by another.
 fn refuses(core: &ControllerState, term: Term) -> bool {
-    term < core.members.log.term || term < core.partitions[0].copy.promised
+    term < core.members.log.term || term < core.partitions[0].state.current_term
 }
 
 /// A leader replicates a membership to us.
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -72,7 +72,7 @@
 /// The leader of the configuration as we know it, ourselves if we serve.
 fn known_leader(core: &ControllerState) -> Option<Forwarding> {
     match &core.partitions[0].role {
-        Role::Leader(o) if o.serves => Some(Forwarding { slot: core.slot, term: o.term }),
+        Role::Leader(o) if o.is_serving => Some(Forwarding { slot: core.slot, term: o.term }),
         Role::Follower { leader: Some(leader), .. } => {
             Some(Forwarding { slot: leader.slot, term: leader.term })
         }
@@ -155,7 +155,7 @@
     if !first_time(core, from.attempt) {
         return;
     }
-    if matches!(&core.partitions[0].role, Role::Leader(o) if o.serves && o.term == term) {
+    if matches!(&core.partitions[0].role, Role::Leader(o) if o.is_serving && o.term == term) {
         at_owner(core, now, from, request, out);
     } else {
         let why = "the seat it was handed to does not own the configuration".to_string();
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -83,7 +83,7 @@
         }
         Judged::Change(entries) => {
             change(p, now, g, entries, out);
-            leader::wait(p, now, from, p.copy.revision, true);
+            leader::wait(p, now, from, p.state.revision, true);
             leader::settle(p, now, g, out);
         }
     }
@@ -101,7 +101,7 @@
 
 /// Judges a change by our newest state.
 fn judge(p: &Partition, request: &Request, whole: bool, text: &[u8]) -> Judged {
-    let map = &p.copy.map;
+    let map = &p.state.entries;
     let order = order_memory::fingerprint(&request.id, whole, text);
     match order_memory::recall(map, &request.id, &order) {
         Recall::Accepted { revision } => return Judged::Made { revision },
@@ -111,9 +111,9 @@
         }
         Recall::Absent => {}
     }
-    if request.expect.is_some_and(|want| want != p.copy.revision) {
+    if request.expect.is_some_and(|want| want != p.state.revision) {
         let base = OrderBase { revision: request.expect, ..OrderBase::default() };
-        let moved = OperationResult::Conflict { revision: p.copy.revision };
+        let moved = OperationResult::Conflict { revision: p.state.revision };
         return Judged::Refused(forgotten(map, &base).unwrap_or(moved));
     }
     let (mut entries, edition) = match planned(map, request.expect, whole, text) {
@@ -124,7 +124,7 @@
             return Judged::Refused(OperationResult::Invalid(list));
         }
     };
-    entries.extend(order_memory::remember(map, &order, p.copy.revision + 1, edition));
+    entries.extend(order_memory::remember(map, &order, p.state.revision + 1, edition));
     Judged::Change(entries)
 }
 
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -66,8 +66,10 @@
                 operation_forwarding::operate(self, now, op, request, &mut out);
             }
             Event::ForceRecovery => {
-                for p in self.partitions.iter_mut().filter(|p| p.life != ReplicaCondition::Voting) {
-                    p.relearn.vouched = true;
+                for p in
+                    self.partitions.iter_mut().filter(|p| p.condition != ReplicaCondition::Voting)
+                {
+                    p.catch_up.is_forced = true;
                     let text = format!("part {}: an operator vouches for what is left", p.id);
                     out.push(Command::Alarm(text));
                 }
@@ -103,7 +105,7 @@
     voter_slots::wake(core, now, out);
     let g = here(core);
     for p in core.partitions.iter_mut().filter(|_| core.slot != NOBODY) {
-        if p.sick.is_some() {
+        if p.disk_failure.is_some() {
             mend(p, now, out);
         } else if replica::stalled(p, now) {
             replica::step_back(p, now, "the disk stalls".into(), out);
@@ -148,8 +150,8 @@
 
 /// A seat that stepped back tries its disk again by writing a whole slot.
 fn mend(p: &mut crate::replication::partition::Partition, now: Tick, out: &mut Vec<Command>) {
-    if p.life == ReplicaCondition::Voting && p.writes.is_empty() && now >= p.mend_at {
-        p.mend_at = now + consts::DISK_STALL;
+    if p.condition == ReplicaCondition::Voting && p.writes.is_empty() && now >= p.disk_retry_at {
+        p.disk_retry_at = now + consts::DISK_STALL;
         replica::keep_whole(p, now, Vec::new(), out);
     }
 }
@@ -184,8 +186,8 @@
             }
         }
     }
-    if p.writes.is_empty() && p.sick.is_some() {
-        p.sick = None;
+    if p.writes.is_empty() && p.disk_failure.is_some() {
+        p.disk_failure = None;
         replica::follow(p, now, None);
         out.push(Command::Alarm(format!("part {partition}: the disk works again")));
         core.counts.mended += 1;
@@ -249,25 +251,56 @@
         let owned = matches!(p.role, Role::Leader(_));
         match message {
             Message::StatusRequest { nonce, .. } => catch_up::stand(p, from, nonce, out),
-            Message::ReplicaStatus { nonce, life, promised, term, revision, .. } => {
-                let s = ReplicaStatus { life, promised, term, revision };
+            Message::ReplicaStatus {
+                nonce,
+                condition: life,
+                current_term: promised,
+                written_term: term,
+                revision,
+                ..
+            } => {
+                let s = ReplicaStatus {
+                    condition: life,
+                    current_term: promised,
+                    written_term: term,
+                    revision,
+                };
                 catch_up::stood(p, now, sender, nonce, s, out);
             }
             Message::FetchReplica { nonce, .. } => catch_up::give(p, from, nonce, out),
-            Message::ReplicaFetched { nonce, promised, term, revision, map, .. } if able(p) => {
+            Message::ReplicaFetched {
+                nonce,
+                current_term: promised,
+                written_term: term,
+                revision,
+                entries: map,
+                ..
+            } if able(p) => {
                 let _ = promised;
                 election::fetched(p, now, sender, nonce, Position { term, revision }, map, out);
             }
-            Message::ReplicaFetched { nonce, promised, term, revision, map, .. } => {
-                let theirs = ReplicaState { promised, term, revision, map };
+            Message::ReplicaFetched {
+                nonce,
+                current_term: promised,
+                written_term: term,
+                revision,
+                entries: map,
+                ..
+            } => {
+                let theirs = ReplicaState {
+                    current_term: promised,
+                    written_term: term,
+                    revision,
+                    entries: map,
+                };
                 catch_up::fetched(p, now, from, nonce, theirs, out);
             }
             Message::PreVoteRequest { term, .. } => replica::pre_vote(p, now, from, term, out),
-            Message::PreVoteResponse { term, yes, promised, .. } => {
+            Message::PreVoteResponse { term, granted: yes, current_term: promised, .. } => {
                 election::pre_vote_answered(p, now, sender, term, (yes, promised), out);
             }
             Message::VoteRequest { term, .. } => replica::vote(p, now, from, term, out),
-            Message::VoteGranted { term, at_term, revision, .. } => {
+            Message::VoteGranted { term, written_term: at_term, revision, .. } => {
                 election::vote_granted(
                     p,
                     now,
@@ -280,10 +313,10 @@
             Message::LeadershipTransfer { term, .. } => {
                 election::transferred(p, now, g, from, term, out);
             }
-            Message::VoteRejected { term, promised, .. } => {
+            Message::VoteRejected { term, current_term: promised, .. } => {
                 election::vote_rejected(p, now, g, term, promised, out);
             }
-            Message::Snapshot { term, revision, map, .. } => {
+            Message::Snapshot { term, revision, entries: map, .. } => {
                 replica::snapshot(p, now, from, Position { term, revision }, map, out);
             }
             Message::Append { term, revision, entries, .. } => {
@@ -296,10 +329,10 @@
                 core.counts.swept += 1;
                 leader::snapshot_requested(p, now, from, term, out);
             }
-            Message::Heartbeat { term, round, done, sum, .. } => {
+            Message::Heartbeat { term, round, committed: done, checksum: sum, .. } => {
                 replica::heartbeat(p, now, from, (term, round), (done, sum), out);
             }
-            Message::HeartbeatAck { term, round, revision, kept, .. } => {
+            Message::HeartbeatAck { term, round, revision, synced: kept, .. } => {
                 leader::heartbeat_acked(p, now, sender, (term, round), (revision, kept), out);
             }
             _ => {}
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -171,11 +171,11 @@
 pub struct HandedOverReplica {
     pub partition: PartitionId,
     /// The highest term that it voted for or obeyed.
-    pub promised: Term,
+    pub current_term: Term,
     /// Term under which `map` was last written.
-    pub term: Term,
+    pub written_term: Term,
     pub revision: u64,
-    pub map: EntryMap,
+    pub entries: EntryMap,
 }
 
 /// The memberships that a voter knows.
@@ -267,9 +267,9 @@
     ReplicaStatus {
         partition: PartitionId,
         nonce: u64,
-        life: ReplicaCondition,
-        promised: Term,
-        term: Term,
+        condition: ReplicaCondition,
+        current_term: Term,
+        written_term: Term,
         revision: u64,
         stamp: u64,
     },
@@ -280,10 +280,10 @@
     ReplicaFetched {
         partition: PartitionId,
         nonce: u64,
-        promised: Term,
-        term: Term,
+        current_term: Term,
+        written_term: Term,
         revision: u64,
-        map: EntryMap,
+        entries: EntryMap,
     },
     /// Would you grant a claim? Changes nothing.
     PreVoteRequest {
@@ -293,8 +293,8 @@
     PreVoteResponse {
         partition: PartitionId,
         term: Term,
-        yes: bool,
-        promised: Term,
+        granted: bool,
+        current_term: Term,
     },
     VoteRequest {
         partition: PartitionId,
@@ -303,7 +303,7 @@
     VoteGranted {
         partition: PartitionId,
         term: Term,
-        at_term: Term,
+        written_term: Term,
         revision: u64,
         stamp: u64,
     },
@@ -311,13 +311,13 @@
     VoteRejected {
         partition: PartitionId,
         term: Term,
-        promised: Term,
+        current_term: Term,
     },
     Snapshot {
         partition: PartitionId,
         term: Term,
         revision: u64,
-        map: EntryMap,
+        entries: EntryMap,
     },
     Append {
         partition: PartitionId,
@@ -341,8 +341,8 @@
         partition: PartitionId,
         term: Term,
         round: u64,
-        done: u64,
-        sum: u64,
+        committed: u64,
+        checksum: u64,
     },
     HeartbeatAck {
         partition: PartitionId,
@@ -350,7 +350,7 @@
         round: u64,
         revision: u64,
         /// Synced up to here; zero: nothing of this term.
-        kept: u64,
+        synced: u64,
         stamp: u64,
     },
 
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -31,18 +31,18 @@
     luck: &mut Random,
     out: &mut Vec<Command>,
 ) {
-    if p.life == ReplicaCondition::Voting || now < p.relearn.ask_at || !p.writes.is_empty() {
+    if p.condition == ReplicaCondition::Voting || now < p.catch_up.ask_at || !p.writes.is_empty() {
         return;
     }
-    let r = &mut p.relearn;
-    if answered(g, &r.stands) && g.size > 1 {
+    let r = &mut p.catch_up;
+    if answered(g, &r.statuses) && g.size > 1 {
         r.rounds += 1;
         if r.rounds.is_multiple_of(LOUD_AFTER) {
             let text = format!(
                 "part {}: this replica can't relearn, since another is {}; if {} disks are lost, \
                  see the handbook on restoring",
                 p.id,
-                if r.stands.iter().flatten().any(|s| s.life == ReplicaCondition::Damaged) {
+                if r.statuses.iter().flatten().any(|s| s.condition == ReplicaCondition::Damaged) {
                     "damaged"
                 } else {
                     "empty"
@@ -55,8 +55,8 @@
     // A fresh nonce: only answers to this life and this round count.
     r.nonce = draw(luck);
     r.ask_at = now + consts::ASK_AROUND;
-    r.stands = vec![None; g.size];
-    r.fetch = None;
+    r.statuses = vec![None; g.size];
+    r.fetching_from = None;
     for to in others(g) {
         let message = Message::StatusRequest { partition: p.id, nonce: r.nonce };
         out.push(Command::ToVoter { slot: to, message });
@@ -74,11 +74,11 @@
 /// majority still, or what was accepted since might be held by others alone.
 fn first_boot(g: VoterGroup, stands: &[Option<ReplicaStatus>]) -> bool {
     let bare = |s: &ReplicaStatus| {
-        s.life == ReplicaCondition::Empty
-            || (s.life == ReplicaCondition::Voting
-                && s.term == Term::ZERO
+        s.condition == ReplicaCondition::Empty
+            || (s.condition == ReplicaCondition::Voting
+                && s.written_term == Term::ZERO
                 && s.revision == 0
-                && s.promised == Term::ZERO)
+                && s.current_term == Term::ZERO)
     };
     let first = |s: &VoterSlot| g.firsts >> *s & 1 == 1;
     g.first
@@ -90,16 +90,16 @@
 
 /// Another replica asks how we stand.
 pub fn stand(p: &Partition, from: VoterSlot, nonce: u64, out: &mut Vec<Command>) {
-    if p.sick.is_some() {
+    if p.disk_failure.is_some() {
         return;
     }
-    let (promised, term, revision) = (p.copy.promised, p.copy.term, p.copy.revision);
+    let (promised, term, revision) = (p.state.current_term, p.state.written_term, p.state.revision);
     let message = Message::ReplicaStatus {
         partition: p.id,
         nonce,
-        life: p.life,
-        promised,
-        term,
+        condition: p.condition,
+        current_term: promised,
+        written_term: term,
         revision,
         stamp: 0,
     };
@@ -111,8 +111,16 @@
     if !crate::replication::partition::able(p) {
         return;
     }
-    let ReplicaState { promised, term, revision, map } = p.copy.clone();
-    let message = Message::ReplicaFetched { partition: p.id, nonce, promised, term, revision, map };
+    let ReplicaState { current_term: promised, written_term: term, revision, entries: map } =
+        p.state.clone();
+    let message = Message::ReplicaFetched {
+        partition: p.id,
+        nonce,
+        current_term: promised,
+        written_term: term,
+        revision,
+        entries: map,
+    };
     out.push(Command::ToVoter { slot: from, message });
 }
 
@@ -125,38 +133,39 @@
     s: ReplicaStatus,
     out: &mut Vec<Command>,
 ) {
-    if p.life == ReplicaCondition::Voting || nonce != p.relearn.nonce || !p.writes.is_empty() {
+    if p.condition == ReplicaCondition::Voting || nonce != p.catch_up.nonce || !p.writes.is_empty()
+    {
         return;
     }
-    let Some(cell) = p.relearn.stands.get_mut(usize::from(from.slot)) else { return };
+    let Some(cell) = p.catch_up.statuses.get_mut(usize::from(from.slot)) else { return };
     *cell = Some(s);
     consider(p, now, from.group, out);
 }
 
 /// Goes on once enough have answered.
 fn consider(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
-    let stands = &p.relearn.stands;
-    if p.relearn.fetch.is_some() || stands.len() != g.size {
+    let stands = &p.catch_up.statuses;
+    if p.catch_up.fetching_from.is_some() || stands.len() != g.size {
         return;
     }
     let formed: Vec<(usize, ReplicaStatus)> = stands
         .iter()
         .enumerate()
-        .filter_map(|(i, s)| s.filter(|s| s.life == ReplicaCondition::Voting).map(|s| (i, s)))
+        .filter_map(|(i, s)| s.filter(|s| s.condition == ReplicaCondition::Voting).map(|s| (i, s)))
         .collect();
-    let vouched = p.relearn.vouched && answered(g, stands);
-    if (p.life == ReplicaCondition::Empty && first_boot(g, stands))
+    let vouched = p.catch_up.is_forced && answered(g, stands);
+    if (p.condition == ReplicaCondition::Empty && first_boot(g, stands))
         || (vouched && formed.is_empty())
     {
-        p.copy = ReplicaState::default();
+        p.state = ReplicaState::default();
         return keep_whole(p, now, vec![AfterWrite::StartVoting], out);
     }
     if formed.len() >= majority(g.size) || vouched {
         let best = formed.iter().max_by_key(|(_, s)| s.position());
         if let Some((slot, _)) = best {
-            let nonce = p.relearn.nonce;
-            p.relearn.fetch = Some(*slot as VoterSlot);
-            p.relearn.ask_at = now + consts::CLAIM_PATIENCE;
+            let nonce = p.catch_up.nonce;
+            p.catch_up.fetching_from = Some(*slot as VoterSlot);
+            p.catch_up.ask_at = now + consts::CLAIM_PATIENCE;
             let message = Message::FetchReplica { partition: p.id, nonce };
             out.push(Command::ToVoter { slot: *slot as VoterSlot, message });
         }
@@ -172,25 +181,26 @@
     theirs: ReplicaState,
     out: &mut Vec<Command>,
 ) {
-    let r = &p.relearn;
-    if p.life == ReplicaCondition::Voting || nonce != r.nonce || r.fetch != Some(from) {
+    let r = &p.catch_up;
+    if p.condition == ReplicaCondition::Voting || nonce != r.nonce || r.fetching_from != Some(from)
+    {
         return;
     }
-    let most = r.stands.iter().flatten().map(|s| s.promised).max().unwrap_or_default();
-    let least = r.stands.iter().flatten().map(ReplicaStatus::position).max().unwrap_or_default();
+    let most = r.statuses.iter().flatten().map(|s| s.current_term).max().unwrap_or_default();
+    let least = r.statuses.iter().flatten().map(ReplicaStatus::position).max().unwrap_or_default();
     if theirs.position() < least || !p.writes.is_empty() {
         return;
     }
-    crate::control_plane::feed::reseed(p, theirs.revision, &theirs.map);
-    p.copy = ReplicaState { promised: theirs.promised.max(most), ..theirs };
+    crate::control_plane::feed::reseed(p, theirs.revision, &theirs.entries);
+    p.state = ReplicaState { current_term: theirs.current_term.max(most), ..theirs };
     keep_whole(p, now, vec![AfterWrite::StartVoting], out);
 }
 
 /// The first copy is on disk: from here on this replica votes.
 pub fn formed(p: &mut Partition, now: Tick, out: &mut Vec<Command>) {
-    if p.life != ReplicaCondition::Voting {
-        p.life = ReplicaCondition::Voting;
+    if p.condition != ReplicaCondition::Voting {
+        p.condition = ReplicaCondition::Voting;
         crate::replication::replica::follow(p, now, None);
-        out.push(Command::Alarm(format!("part {}: formed at revision {}", p.id, p.copy.revision)));
+        out.push(Command::Alarm(format!("part {}: formed at revision {}", p.id, p.state.revision)));
     }
 }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -33,7 +33,7 @@
 /// not taken from it, since the others who hear that leader say no to a
 /// pre-vote. So it asks soon, and all that restart together are served soon.
 fn patience(p: &Partition, g: VoterGroup, luck: &mut Random) -> Span {
-    if p.fresh {
+    if p.unled_since_start {
         return consts::OWNER_BOOT
             + rank(p.id, g, None) * consts::CLAIM_BOOT_STAGGER
             + below(luck, consts::CLAIM_BOOT_STAGGER / 2);
@@ -59,8 +59,8 @@
         return;
     }
     match &p.role {
-        Role::Follower { heard, .. } if since(*heard, now) >= patience(p, g, luck) => {
-            let term = p.copy.promised.next_of(g.slot);
+        Role::Follower { last_heard: heard, .. } if since(*heard, now) >= patience(p, g, luck) => {
+            let term = p.state.current_term.next_of(g.slot);
             start_pre_vote(p, now, g, term, out);
         }
         Role::PreVoting { until, .. } if now >= *until => {
@@ -77,7 +77,7 @@
 fn start_pre_vote(p: &mut Partition, now: Tick, g: VoterGroup, term: Term, out: &mut Vec<Command>) {
     let mut yes = vec![false; g.size];
     yes[usize::from(g.slot)] = true;
-    p.role = Role::PreVoting { term, yes, until: now + consts::CLAIM_PATIENCE };
+    p.role = Role::PreVoting { term, granted: yes, until: now + consts::CLAIM_PATIENCE };
     for to in others(g) {
         out.push(Command::ToVoter {
             slot: to,
@@ -98,7 +98,7 @@
     (yes, promised): (bool, Term),
     out: &mut Vec<Command>,
 ) {
-    let Role::PreVoting { term: ours, yes: all, .. } = &mut p.role else { return };
+    let Role::PreVoting { term: ours, granted: all, .. } = &mut p.role else { return };
     if *ours != term {
         return;
     }
@@ -121,15 +121,15 @@
     term: Term,
     out: &mut Vec<Command>,
 ) {
-    if term <= p.copy.promised || !able(p) {
+    if term <= p.state.current_term || !able(p) {
         follow(p, now, None);
         return;
     }
-    apply(&mut p.copy, &LogRecord::Vote { term });
+    apply(&mut p.state, &LogRecord::Vote { term });
     p.role = Role::Candidate(Candidacy {
         term,
         grants: vec![None; g.size],
-        fetch: None,
+        fetching_from: None,
         until: now + consts::CLAIM_PATIENCE,
     });
     keep(p, now, LogRecord::Vote { term }, vec![AfterWrite::OwnVoteSynced { term }], out);
@@ -143,7 +143,7 @@
     term: Term,
     out: &mut Vec<Command>,
 ) {
-    let here = p.copy.position();
+    let here = p.state.position();
     let Role::Candidate(c) = &mut p.role else { return };
     if c.term != term {
         return;
@@ -168,7 +168,7 @@
     out: &mut Vec<Command>,
 ) {
     let Role::Candidate(c) = &mut p.role else { return };
-    if c.term != term || c.fetch.is_some() {
+    if c.term != term || c.fetching_from.is_some() {
         return;
     }
     c.grants[usize::from(from.slot)] = Some(at);
@@ -183,10 +183,10 @@
     if list.len() < majority(g.size) {
         return;
     }
-    let own = p.copy.position();
+    let own = p.state.position();
     match list.iter().max_by_key(|(_, at)| *at) {
         Some((best, at)) if *at > own && *best != g.slot => {
-            c.fetch = Some(*best);
+            c.fetching_from = Some(*best);
             c.until = now + consts::CLAIM_PATIENCE;
             let message = Message::FetchReplica { partition: p.id, nonce: term.as_u64() };
             out.push(Command::ToVoter { slot: *best, message });
@@ -207,7 +207,8 @@
 ) {
     let Role::Candidate(c) = &p.role else { return };
     let (term, known) = (c.term, c.grants[usize::from(from.slot)]);
-    if term.as_u64() != nonce || c.fetch != Some(from.slot) || known.is_none_or(|k| at < k) {
+    if term.as_u64() != nonce || c.fetching_from != Some(from.slot) || known.is_none_or(|k| at < k)
+    {
         return;
     }
     if at.term > term {
@@ -215,17 +216,22 @@
         follow(p, now, None);
         return;
     }
-    let promised = p.copy.promised;
+    let promised = p.state.current_term;
     crate::control_plane::feed::reseed(p, at.revision, &map);
-    p.copy = ReplicaState { promised, term: at.term, revision: at.revision, map };
+    p.state = ReplicaState {
+        current_term: promised,
+        written_term: at.term,
+        revision: at.revision,
+        entries: map,
+    };
     adopt(p, now, from.group, term, out);
 }
 
 /// Re-writes the adopted copy under our term. We serve once a majority,
 /// ourselves or not, has synced that.
 fn adopt(p: &mut Partition, now: Tick, g: VoterGroup, term: Term, out: &mut Vec<Command>) {
-    p.copy.term = term;
-    let revision = p.copy.revision;
+    p.state.written_term = term;
+    let revision = p.state.revision;
     p.role = Role::Leader(Box::new(leader::fresh(g, term, now)));
     keep_whole(p, now, vec![AfterWrite::OwnAppendSynced { term, revision }], out);
 }
@@ -249,7 +255,7 @@
             let live = leader::answering(o, g, now);
             crate::replication::replica::resign(p, now, None, out);
             if live {
-                start_election(p, now, g, promised.max(p.copy.promised).next_of(g.slot), out);
+                start_election(p, now, g, promised.max(p.state.current_term).next_of(g.slot), out);
             }
         }
         _ => {}
@@ -261,7 +267,7 @@
     let group = here(core);
     for p in &mut core.partitions {
         let successor = successor(p, group);
-        let (partition, term) = (p.id, p.copy.promised);
+        let (partition, term) = (p.id, p.state.current_term);
         crate::replication::replica::resign(p, now, None, out);
         if let Some(slot) = successor {
             out.push(Command::ToVoter {
@@ -275,7 +281,7 @@
 /// Who should lead after us, if we lead: the follower that has synced most.
 fn successor(p: &Partition, g: VoterGroup) -> Option<VoterSlot> {
     let Role::Leader(o) = &p.role else { return None };
-    let synced = |s: &VoterSlot| o.kept[usize::from(*s)];
+    let synced = |s: &VoterSlot| o.synced[usize::from(*s)];
     others(g).filter(|s| synced(s).is_some()).max_by_key(synced)
 }
 
@@ -290,7 +296,7 @@
     out: &mut Vec<Command>,
 ) {
     let follows = matches!(p.role, Role::Follower { leader: Some(leader), .. } if leader == KnownLeader { slot: from, term });
-    if follows && p.copy.promised == term {
+    if follows && p.state.current_term == term {
         start_election(p, now, g, term.next_of(g.slot), out);
     }
 }
--- a/crates/core/src/replication/heartbeat_rounds.rs
+++ b/crates/core/src/replication/heartbeat_rounds.rs
@@ -25,25 +25,25 @@
 
 /// Begins a round now: a heartbeat to every other voter.
 pub fn begin(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
-    let (partition, term, revision) = (p.id, p.copy.term, p.copy.revision);
+    let (partition, term, revision) = (p.id, p.state.written_term, p.state.revision);
     let Some(o) = leader(p) else { return };
     o.round += 1;
-    o.round_began = now;
-    o.round_asked = false;
-    o.beat_at = now + consts::OWNER_BEAT;
+    o.round_began_at = now;
+    o.round_requested = false;
+    o.heartbeat_at = now + consts::OWNER_BEAT;
     o.rounds.push_back((o.round, now, revision));
     if o.rounds.len() > ROUNDS_KEPT {
         o.rounds.pop_front();
     }
     // Sums are comparable only when nothing is under way.
-    let sweeps = now >= o.sweep_at && o.serves && o.done == revision;
+    let sweeps = now >= o.checksum_at && o.is_serving && o.committed == revision;
     if sweeps {
-        o.sweep_at = now + consts::SWEEP;
+        o.checksum_at = now + consts::SWEEP;
     }
-    let (round, done) = (o.round, o.done);
-    let sum = if sweeps { sum(&p.copy.map) } else { 0 };
+    let (round, done) = (o.round, o.committed);
+    let sum = if sweeps { sum(&p.state.entries) } else { 0 };
     for to in others(g) {
-        let message = Message::Heartbeat { partition, term, round, done, sum };
+        let message = Message::Heartbeat { partition, term, round, committed: done, checksum: sum };
         out.push(Command::ToVoter { slot: to, message });
     }
 }
@@ -69,7 +69,7 @@
 /// The round that the newest of the waiting operations needs; zero if none does.
 fn needed(o: &Leader) -> u64 {
     let pending = o.pending.iter().map(|operation| operation.round);
-    pending.chain(o.waits.iter().map(|wait| wait.round)).max().unwrap_or(0)
+    pending.chain(o.waiting_changes.iter().map(|wait| wait.round)).max().unwrap_or(0)
 }
 
 /// Whether an operation waits for a round that is not proved yet.
@@ -84,11 +84,11 @@
     if needed(o) <= o.round {
         return;
     }
-    let past = since(o.round_began, now);
+    let past = since(o.round_began_at, now);
     if past >= PROOF_GAP {
         begin(p, now, g, out);
-    } else if !o.round_asked {
-        o.round_asked = true;
+    } else if !o.round_requested {
+        o.round_requested = true;
         out.push(Command::WakeAfter { span: PROOF_GAP - past });
     }
 }
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -25,26 +25,26 @@
     Leader {
         term,
         since: now,
-        serves: false,
-        kept: vec![None; g.size],
-        done: 0,
-        whole_at: vec![None; g.size],
+        is_serving: false,
+        synced: vec![None; g.size],
+        committed: 0,
+        snapshot_sent_at: vec![None; g.size],
         round: 0,
-        base: 0,
-        beat_at: now,
-        round_began: now,
-        round_asked: false,
-        sweep_at: now + consts::SWEEP,
+        valid_after: 0,
+        heartbeat_at: now,
+        round_began_at: now,
+        round_requested: false,
+        checksum_at: now + consts::SWEEP,
         rounds: VecDeque::new(),
         answered: vec![(0, now); g.size],
-        obeyed: 0,
-        look_at: now,
-        behind: Vec::new(),
-        waits: Vec::new(),
+        obeyed_up_to: 0,
+        acceptance_check_at: now,
+        lagging_members: Vec::new(),
+        waiting_changes: Vec::new(),
         pending: Vec::new(),
         proved_status: Vec::new(),
-        absent: BTreeMap::new(),
-        seen: BTreeMap::new(),
+        absent_leafs: BTreeMap::new(),
+        first_seen: BTreeMap::new(),
         ages_at: now,
         fence: MembershipId::default(),
     }
@@ -77,14 +77,14 @@
         if s == usize::from(g.slot) {
             continue;
         }
-        o.kept[s] = None;
-        o.whole_at[s] = (!moved).then_some(now);
+        o.synced[s] = None;
+        o.snapshot_sent_at[s] = (!moved).then_some(now);
         o.answered[s] = (0, if *moved { 0 } else { o.answered[s].1 });
     }
     // A round that began before must not prove anything now.
     o.since = now;
     o.rounds.clear();
-    o.base = o.round;
+    o.valid_after = o.round;
 }
 
 /// Time passes for the leader: heartbeats, re-sending, patience with operators.
@@ -95,14 +95,14 @@
         out.push(Command::Alarm(format!("part {id}: no majority answers, ownership given up")));
         return resign(p, now, None, out);
     }
-    let retry = heartbeat_rounds::unproved(o, g) && since(o.round_began, now) >= PROOF_RETRY;
-    let due = now >= o.beat_at || retry;
+    let retry = heartbeat_rounds::unproved(o, g) && since(o.round_began_at, now) >= PROOF_RETRY;
+    let due = now >= o.heartbeat_at || retry;
     let lag: Vec<VoterSlot> = others(g)
         .filter(|s| {
             let s = usize::from(*s);
             // Asked for a whole copy too long ago, or never sent one at all.
-            o.kept[s].is_none()
-                && o.whole_at[s].is_none_or(|t| since(t, now) > consts::CLAIM_PATIENCE)
+            o.synced[s].is_none()
+                && o.snapshot_sent_at[s].is_none_or(|t| since(t, now) > consts::CLAIM_PATIENCE)
         })
         .collect();
     if due {
@@ -118,13 +118,13 @@
 
 /// Sends the whole copy to a seat.
 pub fn send_whole(p: &mut Partition, now: Tick, to: VoterSlot, out: &mut Vec<Command>) {
-    let (term, revision, map) = (p.copy.term, p.copy.revision, p.copy.map.clone());
+    let (term, revision, map) = (p.state.written_term, p.state.revision, p.state.entries.clone());
     let id = p.id;
     let Some(o) = leader(p) else { return };
-    o.whole_at[usize::from(to)] = Some(now);
+    o.snapshot_sent_at[usize::from(to)] = Some(now);
     out.push(Command::ToVoter {
         slot: to,
-        message: Message::Snapshot { partition: id, term, revision, map },
+        message: Message::Snapshot { partition: id, term, revision, entries: map },
     });
 }
 
@@ -137,9 +137,9 @@
     out: &mut Vec<Command>,
 ) {
     let Some(o) = leader(p) else { return };
-    let sent = o.whole_at[usize::from(from)];
+    let sent = o.snapshot_sent_at[usize::from(from)];
     if o.term == term && sent.is_none_or(|t| since(t, now) > consts::CLAIM_PATIENCE) {
-        o.kept[usize::from(from)] = None;
+        o.synced[usize::from(from)] = None;
         send_whole(p, now, from, out);
     }
 }
@@ -155,7 +155,7 @@
 ) {
     let id = p.id;
     let Role::Leader(o) = &mut p.role else { return };
-    if o.term != term || round > o.round || round <= o.base {
+    if o.term != term || round > o.round || round <= o.valid_after {
         return;
     }
     let (at, head) = heartbeat_rounds::begun(o, round).unwrap_or((o.since, 0));
@@ -164,7 +164,7 @@
         *last = (round, at.max(last.1));
     }
     // What we sent before this heartbeat has not come: it was lost on the way.
-    if revision < head && o.kept[usize::from(from.slot)].is_some() {
+    if revision < head && o.synced[usize::from(from.slot)].is_some() {
         let next = p.changes.iter().filter(|(r, _)| *r > revision);
         if next.clone().next().is_some_and(|(r, _)| *r == revision + 1) {
             for (revision, entries) in next {
@@ -191,20 +191,20 @@
     revision: u64,
     out: &mut Vec<Command>,
 ) {
-    let head = p.copy.revision;
+    let head = p.state.revision;
     let Some(o) = leader(p) else { return };
     if o.term != term || revision > head {
         return;
     }
-    let cell = &mut o.kept[usize::from(from.slot)];
+    let cell = &mut o.synced[usize::from(from.slot)];
     *cell = Some(cell.map_or(revision, |c| c.max(revision)));
-    let mut all: Vec<u64> = o.kept.iter().flatten().copied().collect();
+    let mut all: Vec<u64> = o.synced.iter().flatten().copied().collect();
     all.sort_unstable_by(|a, b| b.cmp(a));
     if let Some(done) = all.get(majority(from.group.size) - 1).copied() {
-        let first = !o.serves;
-        o.serves = true;
-        if first || done > o.done {
-            o.done = done;
+        let first = !o.is_serving;
+        o.is_serving = true;
+        if first || done > o.committed {
+            o.committed = done;
             crate::control_plane::feed::show(p, done);
         }
     }
@@ -219,9 +219,9 @@
     entries: Vec<Entry>,
     out: &mut Vec<Command>,
 ) {
-    let (term, revision) = (p.copy.term, p.copy.revision + 1);
+    let (term, revision) = (p.state.written_term, p.state.revision + 1);
     let rec = LogRecord::Change { term, revision, entries: entries.clone() };
-    if !apply(&mut p.copy, &rec) {
+    if !apply(&mut p.state, &rec) {
         return;
     }
     p.changes.push_back((revision, entries.clone()));
@@ -237,7 +237,15 @@
     if let Some(o) = leader(p) {
         let until = now + consts::OWNER_PATIENCE;
         let (again, round) = (false, 0);
-        o.waits.push(Waiting { revision, op, again, round, until_obeyed, done_at: None, until });
+        o.waiting_changes.push(Waiting {
+            revision,
+            op,
+            again,
+            round,
+            until_obeyed,
+            done_at: None,
+            until,
+        });
     }
 }
 
@@ -252,25 +260,33 @@
     if let Some(o) = leader(p) {
         let until = now + consts::OWNER_PATIENCE;
         let (again, round) = (true, o.round + 1);
-        o.waits.push(Waiting { revision, op, again, round, until_obeyed, done_at: None, until });
+        o.waiting_changes.push(Waiting {
+            revision,
+            op,
+            again,
+            round,
+            until_obeyed,
+            done_at: None,
+            until,
+        });
     }
 }
 
 /// The revision up to which a waiting change counts as accepted.
 fn accepted_up_to(o: &Leader, w: &Waiting) -> u64 {
-    if w.until_obeyed { o.done.min(o.obeyed) } else { o.done }
+    if w.until_obeyed { o.committed.min(o.obeyed_up_to) } else { o.committed }
 }
 
 /// Tells those operators whose outcome is known.
 pub fn settle(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
     let Role::Leader(o) = &mut p.role else { return };
     let proved = heartbeat_rounds::proved(o, g);
-    let waits = std::mem::take(&mut o.waits);
+    let waits = std::mem::take(&mut o.waiting_changes);
     let mut left = Vec::with_capacity(waits.len());
     for mut w in waits {
         if w.revision <= accepted_up_to(o, &w) && proved >= w.round {
             let at = *w.done_at.get_or_insert(now);
-            let copies = o.kept.iter().flatten().filter(|k| **k >= w.revision).count() as u32;
+            let copies = o.synced.iter().flatten().filter(|k| **k >= w.revision).count() as u32;
             if copies < g.taken.count_ones() && since(at, now) < consts::THIRD_WAIT {
                 left.push(w);
                 continue;
@@ -286,16 +302,16 @@
             left.push(w);
         }
     }
-    o.waits = left;
+    o.waiting_changes = left;
     pending_operations::settle(p, now, g, out);
 }
 
 /// Why a change has no outcome when the patience with it ends.
 fn overdue(o: &Leader, w: &Waiting) -> String {
-    if w.revision > o.done {
+    if w.revision > o.committed {
         "no majority synced the change in time".to_string()
     } else if w.revision > accepted_up_to(o, w) {
-        format!("synced, but not obeyed yet by {}", o.behind.join(", "))
+        format!("synced, but not obeyed yet by {}", o.lagging_members.join(", "))
     } else {
         "the change stands, but no majority proved in time who leads now".to_string()
     }
@@ -315,9 +331,9 @@
 /// A leader that has been dismissed: what it had not proved is unknown, and
 /// what it had only judged has not been done.
 pub fn dismiss(_p: &Partition, old: Leader, out: &mut Vec<Command>) {
-    for w in &old.waits {
+    for w in &old.waiting_changes {
         let done = if w.revision <= accepted_up_to(&old, w) && !w.again {
-            let copies = majority(old.kept.len()) as u32;
+            let copies = majority(old.synced.len()) as u32;
             OperationResult::Accepted { revision: w.revision, copies, again: w.again }
         } else {
             OperationResult::Unknown {
--- a/crates/core/src/replication/partition.rs
+++ b/crates/core/src/replication/partition.rs
@@ -19,31 +19,31 @@
 /// `committed` is the committed state at `committed_revision` and never goes back.
 pub struct Partition {
     pub id: PartitionId,
-    pub life: ReplicaCondition,
-    pub copy: ReplicaState,
+    pub condition: ReplicaCondition,
+    pub state: ReplicaState,
     pub role: Role,
     pub writes: VecDeque<Write>,
     /// When a write was last synced.
     pub synced_at: Tick,
     pub next_token: u64,
     /// Bytes that went to the log since the last slot.
-    pub log_len: u64,
+    pub log_bytes: u64,
     /// Why this seat has stepped back, if it has.
-    pub sick: Option<String>,
+    pub disk_failure: Option<String>,
     /// When a stepped-back seat tries its disk again.
-    pub mend_at: Tick,
+    pub disk_retry_at: Tick,
     pub committed: EntryMap,
     pub committed_revision: u64,
     /// A whole copy that is not known to be committed yet: (revision, map).
-    pub seed: Option<(u64, EntryMap)>,
+    pub uncommitted_snapshot: Option<(u64, EntryMap)>,
     /// Changes without a gap up to `copy.revision`, from `seed` on if there is one;
     /// those up to `committed_revision` are committed and kept for followers.
     pub changes: VecDeque<(u64, Vec<Entry>)>,
     /// The leader's sum differs from ours: take its next whole copy.
-    pub doubt: bool,
+    pub suspect: bool,
     /// Nobody has owned or claimed this part since we started.
-    pub fresh: bool,
-    pub relearn: CatchUp,
+    pub unled_since_start: bool,
+    pub catch_up: CatchUp,
 }
 
 /// A write that is on its way to the disk, and what rests on it.
@@ -71,13 +71,13 @@
 /// What a seat does in a part.
 pub enum Role {
     Follower {
-        heard: Tick,
+        last_heard: Tick,
         leader: Option<KnownLeader>,
     },
     /// Asks whether it would be voted for; changes nothing anywhere.
     PreVoting {
         term: Term,
-        yes: Vec<bool>,
+        granted: Vec<bool>,
         until: Tick,
     },
     Candidate(Candidacy),
@@ -104,7 +104,7 @@
     /// Where the copy of each seat that granted stands.
     pub grants: Vec<Option<Position>>,
     /// The seat whose newer copy is being fetched.
-    pub fetch: Option<VoterSlot>,
+    pub fetching_from: Option<VoterSlot>,
     pub until: Tick,
 }
 
@@ -116,43 +116,43 @@
 pub struct Leader {
     pub term: Term,
     pub since: Tick,
-    pub serves: bool,
+    pub is_serving: bool,
     /// Highest revision of this term that each seat has synced.
-    pub kept: Vec<Option<u64>>,
-    pub done: u64,
+    pub synced: Vec<Option<u64>>,
+    pub committed: u64,
     /// Whether a whole copy is on its way to a seat, and since when.
-    pub whole_at: Vec<Option<Tick>>,
+    pub snapshot_sent_at: Vec<Option<Tick>>,
     pub round: u64,
     /// Rounds up to this one count no more: the seats have changed since.
-    pub base: u64,
-    pub beat_at: Tick,
+    pub valid_after: u64,
+    pub heartbeat_at: Tick,
     /// When the last round began.
-    pub round_began: Tick,
+    pub round_began_at: Tick,
     /// A wake was asked for, to begin a round that operations wait for.
-    pub round_asked: bool,
+    pub round_requested: bool,
     /// When the replicas' checksums are next compared.
-    pub sweep_at: Tick,
+    pub checksum_at: Tick,
     /// Rounds of heartbeats: number, begin, and our revision then.
     pub rounds: VecDeque<(u64, Tick, u64)>,
     /// The last round each seat answered, and when that round began.
     pub answered: Vec<(u64, Tick)>,
     /// Revision up to which the members' part in a change's acceptance is done
     /// (`state::acceptance`).
-    pub obeyed: u64,
+    pub obeyed_up_to: u64,
     /// When we next look at that.
-    pub look_at: Tick,
+    pub acceptance_check_at: Tick,
     /// Members that do not obey our newest revision yet, when an operator's patience ends.
-    pub behind: Vec<String>,
-    pub waits: Vec<Waiting>,
+    pub lagging_members: Vec<String>,
+    pub waiting_changes: Vec<Waiting>,
     /// Operations whose answers wait until a majority has proved that we lead.
     pub pending: Vec<PendingOperation>,
     /// Status requests that are proved and wait for the membership's word.
     pub proved_status: Vec<OperationOrigin>,
     /// Leafs that the list no longer names, since when.
-    pub absent: BTreeMap<String, Tick>,
+    pub absent_leafs: BTreeMap<String, Tick>,
     /// When we first saw each leaf, and how old it surely was then (ms): an
     /// identity is at least as old as our knowledge of it.
-    pub seen: BTreeMap<String, (Tick, u64)>,
+    pub first_seen: BTreeMap<String, (Tick, u64)>,
     /// When ages that grew by themselves are next written, all together.
     pub ages_at: Tick,
     /// Highest fence seen in a proposal of the list's duty.
@@ -190,25 +190,25 @@
     pub nonce: u64,
     pub rounds: u64,
     /// An operator vouches that what the others lost is lost for good.
-    pub vouched: bool,
+    pub is_forced: bool,
     pub ask_at: Tick,
-    pub stands: Vec<Option<ReplicaStatus>>,
-    pub fetch: Option<VoterSlot>,
+    pub statuses: Vec<Option<ReplicaStatus>>,
+    pub fetching_from: Option<VoterSlot>,
 }
 
 /// How another seat says it stands.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaStatus {
-    pub life: ReplicaCondition,
-    pub promised: Term,
-    pub term: Term,
+    pub condition: ReplicaCondition,
+    pub current_term: Term,
+    pub written_term: Term,
     pub revision: u64,
 }
 
 impl ReplicaStatus {
     /// How new the copy there is.
     pub fn position(&self) -> Position {
-        Position { term: self.term, revision: self.revision }
+        Position { term: self.written_term, revision: self.revision }
     }
 }
 
@@ -220,31 +220,31 @@
     log_len: u64,
     now: Tick,
 ) -> Partition {
-    let seed = (copy.revision > 0).then(|| (copy.revision, copy.map.clone()));
+    let seed = (copy.revision > 0).then(|| (copy.revision, copy.entries.clone()));
     Partition {
         id,
-        life,
-        copy,
-        role: Role::Follower { heard: now, leader: None },
+        condition: life,
+        state: copy,
+        role: Role::Follower { last_heard: now, leader: None },
         writes: VecDeque::new(),
         synced_at: now,
         next_token: 1,
-        log_len,
-        sick: None,
-        mend_at: 0,
+        log_bytes: log_len,
+        disk_failure: None,
+        disk_retry_at: 0,
         committed: EntryMap::new(),
         committed_revision: 0,
-        seed,
+        uncommitted_snapshot: seed,
         changes: VecDeque::new(),
-        doubt: false,
-        fresh: true,
-        relearn: CatchUp::default(),
+        suspect: false,
+        unled_since_start: true,
+        catch_up: CatchUp::default(),
     }
 }
 
 /// Whether this seat may vote and accept.
 pub fn able(p: &Partition) -> bool {
-    p.life == ReplicaCondition::Voting && p.sick.is_none()
+    p.condition == ReplicaCondition::Voting && p.disk_failure.is_none()
 }
 
 /// The leader's state if this seat owns the part.
--- a/crates/core/src/replication/pending_operations.rs
+++ b/crates/core/src/replication/pending_operations.rs
@@ -48,7 +48,7 @@
 
 /// Whether no further operation may wait here.
 pub fn full(o: &Leader) -> bool {
-    o.pending.len() + o.waits.len() >= PENDING_LIMIT
+    o.pending.len() + o.waiting_changes.len() >= PENDING_LIMIT
 }
 
 /// Puts an operation in line that was judged by our newest state.
@@ -60,11 +60,11 @@
     answer: PendingAnswer,
     out: &mut Vec<Command>,
 ) {
-    let newest = p.copy.revision;
+    let newest = p.state.revision;
     let Some(o) = leader(p) else { return };
     let revision = match answer {
         PendingAnswer::Refusal(_) => newest,
-        PendingAnswer::Read | PendingAnswer::Status => o.done,
+        PendingAnswer::Read | PendingAnswer::Status => o.committed,
     };
     let until = now + consts::OWNER_PATIENCE;
     o.pending.push(PendingOperation { origin, round: o.round + 1, revision, answer, until });
@@ -79,8 +79,8 @@
     if o.pending.is_empty() {
         return;
     }
-    let proved = if o.serves { heartbeat_rounds::proved(o, g) } else { 0 };
-    let committed_up_to = o.done.min(committed_revision);
+    let proved = if o.is_serving { heartbeat_rounds::proved(o, g) } else { 0 };
+    let committed_up_to = o.committed.min(committed_revision);
     let mut left = Vec::with_capacity(o.pending.len());
     for operation in std::mem::take(&mut o.pending) {
         if proved >= operation.round && committed_up_to >= operation.revision {
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -23,7 +23,7 @@
     p.next_token += 1;
     p.writes.push_back(Write { token, at: now, after });
     // A rough size is enough: it only decides when to write a slot.
-    p.log_len += match &rec {
+    p.log_bytes += match &rec {
         LogRecord::Vote { .. } => 32,
         LogRecord::Change { entries, .. } => entries
             .iter()
@@ -31,9 +31,9 @@
             .sum(),
     };
     // The map is measured only once the log is long.
-    if p.log_len > consts::LOG_LIMIT && p.log_len > map_len(&p.copy.map) / 2 {
-        p.log_len = 0;
-        out.push(Command::WriteSnapshot { partition: p.id, token, copy: p.copy.clone() });
+    if p.log_bytes > consts::LOG_LIMIT && p.log_bytes > map_len(&p.state.entries) / 2 {
+        p.log_bytes = 0;
+        out.push(Command::WriteSnapshot { partition: p.id, token, copy: p.state.clone() });
     } else {
         out.push(Command::AppendRecord { partition: p.id, token, rec });
     }
@@ -44,8 +44,8 @@
     let token = p.next_token;
     p.next_token += 1;
     p.writes.push_back(Write { token, at: now, after });
-    p.log_len = 0;
-    out.push(Command::WriteSnapshot { partition: p.id, token, copy: p.copy.clone() });
+    p.log_bytes = 0;
+    out.push(Command::WriteSnapshot { partition: p.id, token, copy: p.state.clone() });
 }
 
 fn map_len(map: &EntryMap) -> u64 {
@@ -63,7 +63,7 @@
 /// Whether the seat still hears a leader, so that an election would only disturb.
 pub fn hears_owner(p: &Partition, now: Tick) -> bool {
     match &p.role {
-        Role::Follower { heard, leader } => {
+        Role::Follower { last_heard: heard, leader } => {
             leader.is_some() && since(*heard, now) < consts::OWNER_SILENCE
         }
         Role::Leader(_) => true,
@@ -73,9 +73,13 @@
 
 /// Another seat asks whether it would be voted for.
 pub fn pre_vote(p: &mut Partition, now: Tick, from: VoterSlot, term: Term, out: &mut Vec<Command>) {
-    let yes = able(p) && term > p.copy.promised && !hears_owner(p, now);
-    let message =
-        Message::PreVoteResponse { partition: p.id, term, yes, promised: p.copy.promised };
+    let yes = able(p) && term > p.state.current_term && !hears_owner(p, now);
+    let message = Message::PreVoteResponse {
+        partition: p.id,
+        term,
+        granted: yes,
+        current_term: p.state.current_term,
+    };
     out.push(Command::ToVoter { slot: from, message });
 }
 
@@ -84,19 +88,20 @@
     if !able(p) {
         return;
     }
-    if term <= p.copy.promised {
-        let message = Message::VoteRejected { partition: p.id, term, promised: p.copy.promised };
+    if term <= p.state.current_term {
+        let message =
+            Message::VoteRejected { partition: p.id, term, current_term: p.state.current_term };
         out.push(Command::ToVoter { slot: from, message });
         return;
     }
     resign(p, now, None, out);
-    p.fresh = false;
-    apply(&mut p.copy, &LogRecord::Vote { term });
+    p.unled_since_start = false;
+    apply(&mut p.state, &LogRecord::Vote { term });
     let message = Message::VoteGranted {
         partition: p.id,
         term,
-        at_term: p.copy.term,
-        revision: p.copy.revision,
+        written_term: p.state.written_term,
+        revision: p.state.revision,
         stamp: 0,
     };
     keep(p, now, LogRecord::Vote { term }, vec![AfterWrite::Send(from, message)], out);
@@ -109,7 +114,7 @@
     now: Tick,
     of: Option<KnownLeader>,
 ) -> Option<Box<crate::replication::partition::Leader>> {
-    let old = std::mem::replace(&mut p.role, Role::Follower { heard: now, leader: of });
+    let old = std::mem::replace(&mut p.role, Role::Follower { last_heard: now, leader: of });
     match old {
         Role::Leader(o) => Some(o),
         _ => None,
@@ -126,22 +131,23 @@
 ) -> bool {
     if !able(p) {
         // It can't vote or accept, but it still hands requests over.
-        if term >= p.copy.promised
-            && let Role::Follower { heard, leader } = &mut p.role
+        if term >= p.state.current_term
+            && let Role::Follower { last_heard: heard, leader } = &mut p.role
         {
             *heard = now;
             *leader = Some(KnownLeader { slot: from, term });
         }
         return false;
     }
-    if term < p.copy.promised {
-        let message = Message::VoteRejected { partition: p.id, term, promised: p.copy.promised };
+    if term < p.state.current_term {
+        let message =
+            Message::VoteRejected { partition: p.id, term, current_term: p.state.current_term };
         out.push(Command::ToVoter { slot: from, message });
         return false;
     }
-    p.fresh = false;
+    p.unled_since_start = false;
     match &mut p.role {
-        Role::Follower { heard, leader } => {
+        Role::Follower { last_heard: heard, leader } => {
             *heard = now;
             *leader = Some(KnownLeader { slot: from, term });
         }
@@ -173,13 +179,13 @@
         return;
     }
     let kept = Message::AppendAck { partition: p.id, term, revision, stamp: 0 };
-    if p.copy.term == term && p.copy.revision >= revision && !p.doubt {
+    if p.state.written_term == term && p.state.revision >= revision && !p.suspect {
         return after_writes(p, from, kept, out);
     }
-    p.doubt = false;
-    let promised = p.copy.promised.max(term);
+    p.suspect = false;
+    let promised = p.state.current_term.max(term);
     crate::control_plane::feed::reseed(p, revision, &map);
-    p.copy = ReplicaState { promised, term, revision, map };
+    p.state = ReplicaState { current_term: promised, written_term: term, revision, entries: map };
     keep_whole(p, now, vec![AfterWrite::Send(from, kept)], out);
 }
 
@@ -196,12 +202,12 @@
     if !obey(p, now, from, term, out) {
         return;
     }
-    if p.copy.term == term && p.copy.revision >= revision {
+    if p.state.written_term == term && p.state.revision >= revision {
         let kept =
-            Message::AppendAck { partition: p.id, term, revision: p.copy.revision, stamp: 0 };
+            Message::AppendAck { partition: p.id, term, revision: p.state.revision, stamp: 0 };
         return after_writes(p, from, kept, out);
     }
-    if !apply(&mut p.copy, &rec) {
+    if !apply(&mut p.state, &rec) {
         out.push(Command::ToVoter {
             slot: from,
             message: Message::SnapshotRequest { partition: p.id, term },
@@ -227,19 +233,19 @@
     if !obey(p, now, from, term, out) {
         return;
     }
-    let same = p.copy.term == term;
+    let same = p.state.written_term == term;
     if same {
         crate::control_plane::feed::show(p, done);
     }
     if same
         && sum != 0
-        && p.copy.revision == done
-        && crate::replication::leader::sum(&p.copy.map) != sum
+        && p.state.revision == done
+        && crate::replication::leader::sum(&p.state.entries) != sum
     {
         out.push(Command::Alarm(format!("part {}: our copy differs from the leader's", p.id)));
-        p.doubt = true;
+        p.suspect = true;
     }
-    if !same || p.doubt {
+    if !same || p.suspect {
         out.push(Command::ToVoter {
             slot: from,
             message: Message::SnapshotRequest { partition: p.id, term },
@@ -248,22 +254,23 @@
     // How far our memory is, and how far our disk: with nothing on its way
     // there they are one. A `Kept` may have been lost, or said under a table of
     // the seats that is no more.
-    let revision = if same { p.copy.revision } else { 0 };
-    let kept = if p.writes.is_empty() && !p.doubt { revision } else { 0 };
-    let message = Message::HeartbeatAck { partition: p.id, term, round, revision, kept, stamp: 0 };
+    let revision = if same { p.state.revision } else { 0 };
+    let kept = if p.writes.is_empty() && !p.suspect { revision } else { 0 };
+    let message =
+        Message::HeartbeatAck { partition: p.id, term, round, revision, synced: kept, stamp: 0 };
     out.push(Command::ToVoter { slot: from, message });
 }
 
 /// The table of the seats changed: whatever is counted is counted anew.
 pub fn moved(p: &mut Partition, now: Tick, g: VoterGroup, moved: &[bool], out: &mut Vec<Command>) {
-    let r = &mut p.relearn;
-    (r.stands, r.fetch) = (Vec::new(), None);
+    let r = &mut p.catch_up;
+    (r.statuses, r.fetching_from) = (Vec::new(), None);
     // Answers that are under way were asked for under the old table.
     r.nonce = r.nonce.wrapping_add(1);
     r.ask_at = r.ask_at.min(now + consts::ASK_AROUND);
     let gone = |s: VoterSlot| moved.get(usize::from(s)).is_some_and(|m| *m);
     match &mut p.role {
-        Role::Leader(o) if o.kept.len() == g.size => {
+        Role::Leader(o) if o.synced.len() == g.size => {
             crate::replication::leader::moved(o, now, g, moved)
         }
         Role::Leader(_) => resign(p, now, None, out),
@@ -282,11 +289,11 @@
 
 /// The disk failed or stalls: step back and say so.
 pub fn step_back(p: &mut Partition, now: Tick, why: String, out: &mut Vec<Command>) {
-    if p.sick.is_none() {
+    if p.disk_failure.is_none() {
         out.push(Command::Alarm(format!("part {} steps back: {why}", p.id)));
     }
-    p.sick = Some(why);
-    p.mend_at = now + consts::ASK_AROUND;
+    p.disk_failure = Some(why);
+    p.disk_retry_at = now + consts::ASK_AROUND;
     // What rested on writes that may never be synced must never be said.
     for w in &mut p.writes {
         w.after.retain(|a| matches!(a, AfterWrite::StartVoting));
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -13,17 +13,17 @@
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct ReplicaState {
     /// Highest term that this replica has granted or obeyed.
-    pub promised: Term,
-    /// Epoch under which `map` was last written.
-    pub term: Term,
+    pub current_term: Term,
+    /// Term under which `entries` was last written.
+    pub written_term: Term,
     pub revision: u64,
-    pub map: EntryMap,
+    pub entries: EntryMap,
 }
 
 impl ReplicaState {
     /// How new this copy is.
     pub fn position(&self) -> Position {
-        Position { term: self.term, revision: self.revision }
+        Position { term: self.written_term, revision: self.revision }
     }
 }
 
@@ -38,15 +38,15 @@
 pub fn apply(copy: &mut ReplicaState, rec: &LogRecord) -> bool {
     match rec {
         LogRecord::Vote { term } => {
-            copy.promised = copy.promised.max(*term);
+            copy.current_term = copy.current_term.max(*term);
             true
         }
         LogRecord::Change { term, revision, entries } => {
-            if *term != copy.term || *revision != copy.revision + 1 {
+            if *term != copy.written_term || *revision != copy.revision + 1 {
                 return false;
             }
             copy.revision = *revision;
-            put(&mut copy.map, entries);
+            put(&mut copy.entries, entries);
             true
         }
     }
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -287,8 +287,15 @@
 }
 
 fn replica_state(p: &Partition) -> HandedOverReplica {
-    let ReplicaState { promised, term, revision, map } = p.copy.clone();
-    HandedOverReplica { partition: p.id, promised, term, revision, map }
+    let ReplicaState { current_term: promised, written_term: term, revision, entries: map } =
+        p.state.clone();
+    HandedOverReplica {
+        partition: p.id,
+        current_term: promised,
+        written_term: term,
+        revision,
+        entries: map,
+    }
 }
 
 /// What a voter that leaves hands to us.
@@ -322,7 +329,7 @@
             install(p, now, state, out);
         }
     }
-    if core.partitions.iter().all(|p| p.life == ReplicaCondition::Voting) {
+    if core.partitions.iter().all(|p| p.condition == ReplicaCondition::Voting) {
         let message = Message::HandoverDone { slot, generation };
         out.push(Command::ToConnection { connection, message });
     }
@@ -330,12 +337,18 @@
 
 /// Writes a replica that was handed over, unless ours votes already.
 fn install(p: &mut Partition, now: Tick, state: HandedOverReplica, out: &mut Vec<Command>) {
-    if p.life == ReplicaCondition::Voting || !p.writes.is_empty() {
+    if p.condition == ReplicaCondition::Voting || !p.writes.is_empty() {
         return;
     }
-    let HandedOverReplica { promised, term, revision, map, .. } = state;
+    let HandedOverReplica {
+        current_term: promised,
+        written_term: term,
+        revision,
+        entries: map,
+        ..
+    } = state;
     feed::reseed(p, revision, &map);
-    p.copy = ReplicaState { promised, term, revision, map };
+    p.state = ReplicaState { current_term: promised, written_term: term, revision, entries: map };
     replica::keep_whole(p, now, vec![AfterWrite::StartVoting], out);
 }
 
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -174,7 +174,7 @@
         // What our address granted in a former life must have run out.
         let from = core.seating.began + consts::OWNER_SILENCE;
         for p in &mut core.partitions {
-            p.relearn.ask_at = now.max(from);
+            p.catch_up.ask_at = now.max(from);
         }
     }
     if moved.iter().any(|m| *m) {
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -53,16 +53,16 @@
 }
 
 fn copy(cluster: &Cluster, node: usize) -> &ReplicaState {
-    &core_of(cluster, node).partitions[0].copy
+    &core_of(cluster, node).partitions[0].state
 }
 
 /// Two replicas that hold one revision of one term and differ, if there are any.
 fn differing_replicas(cluster: &Cluster) -> Option<(usize, usize)> {
-    let place = |node: usize| (copy(cluster, node).term, copy(cluster, node).revision);
+    let place = |node: usize| (copy(cluster, node).written_term, copy(cluster, node).revision);
     let pairs = (0..3).flat_map(|a| (0..a).map(move |b| (a, b)));
     pairs
         .filter(|(a, b)| place(*a) == place(*b))
-        .find(|(a, b)| copy(cluster, *a).map != copy(cluster, *b).map)
+        .find(|(a, b)| copy(cluster, *a).entries != copy(cluster, *b).entries)
 }
 
 /// How long it takes until a replica holds on its disk what the leader holds.
@@ -71,9 +71,9 @@
     until(cluster, |cluster| {
         let Some(leader) = leader(cluster) else { return false };
         let p = &core_of(cluster, node).partitions[0];
-        p.life == ReplicaCondition::Voting
+        p.condition == ReplicaCondition::Voting
             && p.writes.is_empty()
-            && p.copy == *copy(cluster, leader)
+            && p.state == *copy(cluster, leader)
     });
     cluster.now - began
 }
@@ -249,7 +249,7 @@
     let mut operator = operator(64);
     change(&mut cluster, &mut operator, first, 16_000);
     let size = |cluster: &Cluster, node: usize| -> usize {
-        copy(cluster, node).map.iter().map(|(key, value)| key.len() + value.len()).sum()
+        copy(cluster, node).entries.iter().map(|(key, value)| key.len() + value.len()).sum()
     };
     let before = size(&cluster, other);
     change(&mut cluster, &mut operator, first, 4_000);
@@ -260,12 +260,12 @@
         let core = core_of(&cluster, node);
         let p = &core.partitions[0];
         expect_that!(p.changes.len(), le(consts::FEED_KEPT + 8));
-        expect_that!(p.log_len, le(consts::LOG_LIMIT + size(&cluster, node) as u64));
+        expect_that!(p.log_bytes, le(consts::LOG_LIMIT + size(&cluster, node) as u64));
         expect_that!(core.attempts_seen.len(), le(4_096));
         expect_that!(core.ops.len() + core.lent.len(), eq(0));
         if let Role::Leader(leader) = &p.role {
             expect_that!(leader.rounds.len(), le(256));
-            expect_that!(leader.waits.len() + leader.pending.len(), eq(0));
+            expect_that!(leader.waiting_changes.len() + leader.pending.len(), eq(0));
         }
     }
     // And one that stops and starts finds all of it.
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -264,7 +264,7 @@
 /// The controller that leads the configuration's partition and serves.
 pub fn leader(cluster: &Cluster) -> Option<usize> {
     let term = |node: &usize| match &cluster.nodes[*node].core.as_ref()?.partitions[0].role {
-        Role::Leader(owner) if owner.serves => Some(owner.term),
+        Role::Leader(owner) if owner.is_serving => Some(owner.term),
         _ => None,
     };
     let term = |node: &usize| term(node).filter(|_| !cluster.nodes[*node].frozen);
@@ -321,7 +321,7 @@
 pub fn tamper(cluster: &mut Cluster, with: impl Fn(&mut ReplicaState)) {
     for node in &mut cluster.nodes {
         if let Some(core) = &mut node.core {
-            with(&mut core.partitions[0].copy);
+            with(&mut core.partitions[0].state);
         }
         if let Some(copy) = node.disk.kept.get_mut(&CONFIG) {
             with(copy);
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -359,7 +359,9 @@
 fn carry_out(cluster: &mut Cluster, node: usize, command: Command) {
     match command {
         Command::ToVoter { slot, mut message } => {
-            if let (true, Message::Snapshot { map, .. }) = (cluster.lossy_snapshots, &mut message) {
+            if let (true, Message::Snapshot { entries: map, .. }) =
+                (cluster.lossy_snapshots, &mut message)
+            {
                 map.pop_last();
             }
             let word = format!("{message:?}");
@@ -399,7 +401,7 @@
 /// The serving leader of the configuration of the highest term, if any.
 pub fn leader(cluster: &Cluster) -> Option<usize> {
     let term = |node: &usize| match &cluster.nodes[*node].core.partitions[0].role {
-        Role::Leader(leader) if leader.serves => leader.term,
+        Role::Leader(leader) if leader.is_serving => leader.term,
         _ => Term::ZERO,
     };
     (0..cluster.nodes.len()).max_by_key(|node| term(node)).filter(|node| term(node) > Term::ZERO)
@@ -407,7 +409,7 @@
 
 /// Whether this controller believes that it leads the configuration.
 pub fn believes(cluster: &Cluster, node: usize) -> bool {
-    matches!(&cluster.nodes[node].core.partitions[0].role, Role::Leader(leader) if leader.serves)
+    matches!(&cluster.nodes[node].core.partitions[0].role, Role::Leader(leader) if leader.is_serving)
 }
 
 /// The controller itself.
--- a/crates/core/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -23,8 +23,12 @@
 /// Two slots and a log as a life leaves them: slot 2 is the newest, and the
 /// log holds a few records after it.
 fn files() -> Files {
-    let mut copy =
-        ReplicaState { promised: Term(4), term: Term(4), revision: 10, ..ReplicaState::default() };
+    let mut copy = ReplicaState {
+        current_term: Term(4),
+        written_term: Term(4),
+        revision: 10,
+        ..ReplicaState::default()
+    };
     let older = writer::slot(PART, 1, &copy);
     assert!(apply(&mut copy, &change(11)));
     let newer = writer::slot(PART, 2, &copy);
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -151,11 +151,11 @@
     expected.zones.clear();
     let west = grebepath_core::config::types::Zone { name: "west".into(), drained: true };
     expected.zones.insert("west".into(), west);
-    expect_that!(config(&newest(&configuration, 0).map), ok(eq(&expected)));
+    expect_that!(config(&newest(&configuration, 0).entries), ok(eq(&expected)));
     let mut expected = stored::configuration();
     expected.terms = stored::terms(78);
-    expect_that!(config(&newest(&older_orders, 0).map), ok(eq(&expected)));
-    let leafs = leafs_in(&newest(&services, 3).map);
+    expect_that!(config(&newest(&older_orders, 0).entries), ok(eq(&expected)));
+    let leafs = leafs_in(&newest(&services, 3).entries);
     expect_that!(leafs.into_values().collect::<Vec<_>>(), eq(&stored::leafs()));
 }
 
@@ -173,13 +173,13 @@
 #[googletest::test]
 fn orders_are_remembered_from_files_of_both_forms() {
     let [(newer_form, _), (older_form, _), _] = partitions();
-    let map = newest(&newer_form, 0).map;
+    let map = newest(&newer_form, 0).entries;
     for order in stored::orders() {
         expect_known(&map, &order);
     }
     expect_that!(horizon(&map), eq(stored::HORIZON));
 
-    let map = newest(&older_form, 0).map;
+    let map = newest(&older_form, 0).entries;
     for order in stored::legacy_orders() {
         expect_known(&map, &order);
     }
@@ -206,7 +206,7 @@
 }
 
 fn stored_map(cluster: &Cluster) -> &EntryMap {
-    &cluster.nodes[0].core.as_ref().expect("the controller runs").partitions[0].copy.map
+    &cluster.nodes[0].core.as_ref().expect("the controller runs").partitions[0].state.entries
 }
 
 #[googletest::test]
--- a/crates/core/tests/format_fixtures/messages.rs
+++ b/crates/core/tests/format_fixtures/messages.rs
@@ -81,9 +81,9 @@
     let status = |life| Message::ReplicaStatus {
         partition: partition(),
         nonce: wide(1),
-        life,
-        promised: term(2),
-        term: term(3),
+        condition: life,
+        current_term: term(2),
+        written_term: term(3),
         revision: wide(4),
         stamp: wide(5),
     };
@@ -96,10 +96,10 @@
         Message::ReplicaFetched {
             partition: partition(),
             nonce: wide(1),
-            promised: term(2),
-            term: term(3),
+            current_term: term(2),
+            written_term: term(3),
             revision: wide(4),
-            map: map(),
+            entries: map(),
         },
     ]
 }
@@ -108,23 +108,23 @@
     let partition = partition();
     vec![
         Message::PreVoteRequest { partition, term: term(1) },
-        Message::PreVoteResponse { partition, term: term(1), yes: true, promised: term(2) },
+        Message::PreVoteResponse { partition, term: term(1), granted: true, current_term: term(2) },
         Message::VoteRequest { partition, term: term(2) },
         Message::VoteGranted {
             partition,
             term: term(1),
-            at_term: term(2),
+            written_term: term(2),
             revision: wide(3),
             stamp: wide(4),
         },
-        Message::VoteRejected { partition, term: term(1), promised: term(2) },
+        Message::VoteRejected { partition, term: term(1), current_term: term(2) },
     ]
 }
 
 fn replication() -> Vec<Message> {
     let partition = partition();
     vec![
-        Message::Snapshot { partition, term: term(1), revision: wide(2), map: map() },
+        Message::Snapshot { partition, term: term(1), revision: wide(2), entries: map() },
         Message::Append { partition, term: term(1), revision: wide(2), entries: entries() },
         Message::AppendAck { partition, term: term(1), revision: wide(2), stamp: wide(3) },
         Message::SnapshotRequest { partition, term: term(1) },
@@ -132,15 +132,15 @@
             partition,
             term: term(1),
             round: wide(2),
-            done: wide(3),
-            sum: wide(4),
+            committed: wide(3),
+            checksum: wide(4),
         },
         Message::HeartbeatAck {
             partition,
             term: term(1),
             round: wide(2),
             revision: wide(3),
-            kept: wide(4),
+            synced: wide(4),
             stamp: wide(5),
         },
     ]
@@ -279,8 +279,8 @@
         partition: partition(),
         term: term(1),
         round: wide(2),
-        done: wide(3),
-        sum: wide(4),
+        committed: wide(3),
+        checksum: wide(4),
     }
 }
 
@@ -292,5 +292,5 @@
 /// A message of three pieces. Its last field is the long one.
 pub fn large() -> Message {
     let map = BTreeMap::from([("filler".into(), vec![FILLER; FILLER_COUNT])]);
-    Message::Snapshot { partition: partition(), term: term(1), revision: wide(2), map }
+    Message::Snapshot { partition: partition(), term: term(1), revision: wide(2), entries: map }
 }
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -51,7 +51,7 @@
 }
 
 fn copy(revision: u64, map: &EntryMap) -> ReplicaState {
-    ReplicaState { promised: PROMISED, term: TERM, revision, map: map.clone() }
+    ReplicaState { current_term: PROMISED, written_term: TERM, revision, entries: map.clone() }
 }
 
 // ---- configuration ---------------------------------------------------------
--- a/crates/core/tests/format_fixtures/values.rs
+++ b/crates/core/tests/format_fixtures/values.rs
@@ -126,9 +126,9 @@
 pub fn replica_state() -> HandedOverReplica {
     HandedOverReplica {
         partition: partition(),
-        promised: term(901),
-        term: term(902),
+        current_term: term(901),
+        written_term: term(902),
         revision: wide(903),
-        map: map(),
+        entries: map(),
     }
 }
--- a/crates/core/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -252,7 +252,7 @@
             break;
         }
     }
-    let map = &core_of(&cluster, leader).partitions[0].copy.map;
+    let map = &core_of(&cluster, leader).partitions[0].state.entries;
     let kept = map.keys().filter(|key| key.starts_with("forgotten/")).count();
     expect_that!(kept, eq(64));
 }
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -346,7 +346,7 @@
 #[googletest::test]
 fn files_of_an_older_build_are_read_and_their_orders_known() {
     let mut copy = older_files();
-    expect_that!((copy.revision, edition(&copy.map)), eq((5, 5)));
+    expect_that!((copy.revision, edition(&copy.entries)), eq((5, 5)));
     let text = |n: u64| {
         let zone = r#""zones":[{"name":"z","state":"open"}]"#;
         format!(r#"{{"terms":{{"after":{n},"edition":{}}},{zone}}}"#, n + 1)
@@ -358,9 +358,9 @@
             expect_that!(told, eq(Recall::Accepted { revision: n + 1 }));
         }
     };
-    known(&copy.map);
-    let entries = remember(&copy.map, &fingerprint("new", false, b"x"), 6, 6);
-    put(&mut copy.map, &entries);
+    known(&copy.entries);
+    let entries = remember(&copy.entries, &fingerprint("new", false, b"x"), 6, 6);
+    put(&mut copy.entries, &entries);
     copy.revision = 6;
     // And back through files of this build.
     let (slot, log) = (writer::slot(0, 2, &copy), writer::log_head(0, 2));
@@ -368,5 +368,5 @@
         Found::Good { copy: again, .. } => expect_that!(again, eq(&copy)),
         other => panic!("{other:?}"),
     }
-    known(&copy.map);
+    known(&copy.entries);
 }
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -62,18 +62,18 @@
     for base in 1..ACCEPTED {
         let Operation::Patch(text) = order(base) else { unreachable!() };
         let print = fingerprint(&format!("order-{base}"), false, &text);
-        let entries = remember(&copy.map, &print, base + 1, base + 1);
-        put(&mut copy.map, &entries);
+        let entries = remember(&copy.entries, &print, base + 1, base + 1);
+        put(&mut copy.entries, &entries);
     }
     let terms = grebepath_core::config::types::Terms { edition: ACCEPTED, ..Default::default() };
-    copy.map.insert("terms".into(), prost::Message::encode_to_vec(&terms));
+    copy.entries.insert("terms".into(), prost::Message::encode_to_vec(&terms));
     copy.revision = ACCEPTED;
     for node in &mut c.nodes {
-        let promised = node.disk.kept[&CONFIG].promised;
-        node.disk.kept.insert(CONFIG, ReplicaState { promised, ..copy.clone() });
+        let promised = node.disk.kept[&CONFIG].current_term;
+        node.disk.kept.insert(CONFIG, ReplicaState { current_term: promised, ..copy.clone() });
     }
     restart_all(&mut c, true);
-    let horizon = horizon(&copy.map).revision;
+    let horizon = horizon(&copy.entries).revision;
     assert!(horizon > 2_000 && horizon < ACCEPTED - 16_000, "{horizon}");
     (c, horizon)
 }
@@ -193,8 +193,8 @@
     let Found::Good { copy, .. } = read(0, [None, Some(slot)], Some(log)) else { unreachable!() };
     let mut c = cluster(3);
     for node in &mut c.nodes {
-        let promised = node.disk.kept[&CONFIG].promised.max(copy.promised);
-        node.disk.kept.insert(CONFIG, ReplicaState { promised, ..copy.clone() });
+        let promised = node.disk.kept[&CONFIG].current_term.max(copy.current_term);
+        node.disk.kept.insert(CONFIG, ReplicaState { current_term: promised, ..copy.clone() });
     }
     restart_all(&mut c, true);
     c
--- a/crates/core/tests/races/mod.rs
+++ b/crates/core/tests/races/mod.rs
@@ -154,7 +154,7 @@
     check_stage(&c, race, old_leader);
     let late = strike(&mut c, race, old_leader);
     if race.forgets {
-        tamper(&mut c, |copy| copy.map.retain(|key, _| !key.starts_with("order/")));
+        tamper(&mut c, |copy| copy.entries.retain(|key, _| !key.starts_with("order/")));
     }
     go_on(&mut c, race, &mut history, (at, late));
     let leader_changed = leader(&c).is_some_and(|node| node != old_leader);
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -275,21 +275,24 @@
         _ => None,
     };
     let term = (0..100).find_map(|_| wake(b, WAKE).into_iter().find_map(sounds)).unwrap();
-    let yes =
-        from(b, 2, Message::PreVoteResponse { partition, term, yes: true, promised: Term::ZERO });
+    let yes = from(
+        b,
+        2,
+        Message::PreVoteResponse { partition, term, granted: true, current_term: Term::ZERO },
+    );
     one(b, yes);
     let stamp = b.core.seating.stamp;
     let grant = from(
         b,
         2,
-        Message::VoteGranted { partition, term, at_term: Term::ZERO, revision: 0, stamp },
+        Message::VoteGranted { partition, term, written_term: Term::ZERO, revision: 0, stamp },
     );
     one(b, grant);
     term
 }
 
 fn serves(b: &Bench) -> bool {
-    matches!(&b.core.partitions[0].role, Role::Leader(o) if o.serves)
+    matches!(&b.core.partitions[0].role, Role::Leader(o) if o.is_serving)
 }
 
 #[googletest::test]
@@ -337,7 +340,7 @@
     let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
     one(&mut b, news);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
-    expect_that!((o.kept[1], o.kept[2], o.answered[2]), eq((None, None, (0, 0))));
+    expect_that!((o.synced[1], o.synced[2], o.answered[2]), eq((None, None, (0, 0))));
     expect_that!(b.core.seating.stamp, not(eq(old)));
     // What the old holder still says is nobody's word.
     let late = Event::FromVoter {
@@ -348,7 +351,7 @@
     };
     one(&mut b, late);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
-    expect_that!(o.kept[2], none());
+    expect_that!(o.synced[2], none());
 }
 
 #[googletest::test]
@@ -370,7 +373,10 @@
     // Our own seat is another's: everything is given up, under a new name.
     let todo = b.core.step(b.now, Event::VoterFileWritten { token: token.unwrap() });
     expect_that!(b.core.slot, eq(NOBODY));
-    expect_that!(b.core.partitions.iter().all(|p| p.life == ReplicaCondition::Empty), eq(true));
+    expect_that!(
+        b.core.partitions.iter().all(|p| p.condition == ReplicaCondition::Empty),
+        eq(true)
+    );
     let clears =
         |c: &Command| matches!(c, Command::WriteVoterFile { clear: true, roll, .. } if !roll.first);
     expect_that!(todo.iter().any(clears), eq(true));
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -15,13 +15,13 @@
 
 fn role(p: &Partition) -> &'static str {
     match &p.role {
-        _ if p.life == ReplicaCondition::Damaged => "damaged",
-        _ if p.life == ReplicaCondition::Empty => "empty",
-        _ if p.sick.is_some() => "sick",
+        _ if p.condition == ReplicaCondition::Damaged => "damaged",
+        _ if p.condition == ReplicaCondition::Empty => "empty",
+        _ if p.disk_failure.is_some() => "sick",
         Role::Follower { .. } => "follower",
         Role::PreVoting { .. } => "sounding",
         Role::Candidate(_) => "claiming",
-        Role::Leader(o) if o.serves => "owner",
+        Role::Leader(o) if o.is_serving => "owner",
         Role::Leader(_) => "owner-to-be",
     }
 }
@@ -38,13 +38,13 @@
                 _ => None,
             };
             let silent = match &p.role {
-                Role::Follower { heard, .. } => since(*heard, now) / MILLI,
+                Role::Follower { last_heard, .. } => since(*last_heard, now) / MILLI,
                 _ => 0,
             };
             json!({
                 "part": p.id.to_string(), "role": role(p), "owner": owner,
-                "epoch": p.copy.term.as_u64(), "promised": p.copy.promised.as_u64(), "revision": p.copy.revision,
-                "shown": p.committed_revision, "owner_silent_ms": silent, "sick": p.sick,
+                "epoch": p.state.written_term.as_u64(), "promised": p.state.current_term.as_u64(), "revision": p.state.revision,
+                "shown": p.committed_revision, "owner_silent_ms": silent, "sick": p.disk_failure,
                 "writes_waiting": p.writes.len(),
             })
         })
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -155,9 +155,10 @@
 /// Whether all voters hold the same configuration.
 fn one_state(w: &World) -> bool {
     let mut copies =
-        w.seats.iter().filter(|n| n.up && world::seated(n)).map(|n| &n.core.partitions[0].copy);
+        w.seats.iter().filter(|n| n.up && world::seated(n)).map(|n| &n.core.partitions[0].state);
     let Some(first) = copies.next() else { return false };
     copies.all(|copy| {
-        (copy.term, copy.revision) == (first.term, first.revision) && copy.map == first.map
+        (copy.written_term, copy.revision) == (first.written_term, first.revision)
+            && copy.entries == first.entries
     })
 }
--- a/crates/simulator/src/scale_model/weight.rs
+++ b/crates/simulator/src/scale_model/weight.rs
@@ -86,8 +86,8 @@
         .iter()
         .map(|p| {
             let feed: usize = p.changes.iter().map(|(_, list)| entries(list)).sum();
-            let seed = p.seed.as_ref().map_or(0, |(_, m)| map(m));
-            map(&p.copy.map) + map(&p.committed) + feed + seed
+            let seed = p.uncommitted_snapshot.as_ref().map_or(0, |(_, m)| map(m));
+            map(&p.state.entries) + map(&p.committed) + feed + seed
         })
         .sum();
     let heard: usize = c.members.heard.values().map(|h| 2 * member(&h.member) + 80).sum();
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -683,8 +683,9 @@
         return false;
     };
     let table = &best.core.seating.roll.table;
-    let whole =
-        |n: &ControllerNode| n.core.partitions.iter().all(|p| p.life == ReplicaCondition::Voting);
+    let whole = |n: &ControllerNode| {
+        n.core.partitions.iter().all(|p| p.condition == ReplicaCondition::Voting)
+    };
     table.slots.iter().enumerate().all(|(k, h)| {
         let held: Vec<_> =
             seated_up(w).filter(|n| usize::from(n.core.slot) == k && whole(n)).collect();
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -42,7 +42,7 @@
                 assert!(accepted(&w) > 400, "{name}, {seed}: {} accepted", accepted(&w));
                 // The last changes may be under way: let them come to rest.
                 let same = world::until(&mut w, 5 * SECOND, |w| {
-                    let copy = |s: usize| &w.seats[s].core.partitions[0].copy;
+                    let copy = |s: usize| &w.seats[s].core.partitions[0].state;
                     (1..3).all(|s| copy(s) == copy(0))
                 });
                 assert!(same, "{name}, {seed}: the replicas differ");
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -45,7 +45,7 @@
 /// The machine whose controller leads the configuration.
 fn leader(world: &World) -> Option<usize> {
     use grebepath_core::replication::partition::Role;
-    let leads = |n: &world::ControllerNode| matches!(&n.core.partitions[0].role, Role::Leader(o) if o.serves);
+    let leads = |n: &world::ControllerNode| matches!(&n.core.partitions[0].role, Role::Leader(o) if o.is_serving);
     world.seats.iter().position(|n| n.up && leads(n))
 }
 
@@ -212,7 +212,7 @@
 /// Every controller's memory of orders is lost.
 fn forget(site: &mut Site) {
     for node in &mut site.world.seats {
-        node.core.partitions[0].copy.map.retain(|key, _| !key.starts_with("order/"));
+        node.core.partitions[0].state.entries.retain(|key, _| !key.starts_with("order/"));
     }
 }
 
@@ -231,10 +231,10 @@
 #[test]
 fn two_orders_accepted_on_one_edition_are_caught() {
     let mut site = fleet(5);
-    let before = site.world.seats[0].core.partitions[0].copy.map["terms"].clone();
+    let before = site.world.seats[0].core.partitions[0].state.entries["terms"].clone();
     revision(ask(&mut site, 0, &patch("first-of-two", Some((1, 2)))));
     for node in &mut site.world.seats {
-        node.core.partitions[0].copy.map.insert("terms".into(), before.clone());
+        node.core.partitions[0].state.entries.insert("terms".into(), before.clone());
     }
     revision(ask(&mut site, 1, &patch("other", Some((1, 2)))));
     let why = judged(&site).unwrap_err();
--- a/crates/simulator/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -41,7 +41,8 @@
 fn state(w: &World) -> String {
     let mut out = String::new();
     for (i, n) in w.seats.iter().enumerate() {
-        let lives: Vec<_> = n.core.partitions.iter().map(|p| format!("{:?}", p.life)).collect();
+        let lives: Vec<_> =
+            n.core.partitions.iter().map(|p| format!("{:?}", p.condition)).collect();
         let table = &n.core.seating.roll.table.slots;
         let list: Vec<_> = table.iter().map(|h| format!("{}:{}", h.generation, h.addr)).collect();
         out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.core.slot);
