--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -12,7 +12,7 @@
 use crate::consts;
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::members;
-use crate::identifiers::VoterSlot;
+use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Membership, MembershipId, Memberships, Message};
 use crate::time::{Tick, since};
 use crate::voter_set::{majority, others};
@@ -26,7 +26,7 @@
     /// Former ones that some member may still go by.
     pub older: Vec<Older>,
     /// The highest term under which a leader spoke to us; lower ones are refused.
-    term: u64,
+    term: Term,
     leading: Leading,
 }
 
@@ -60,7 +60,7 @@
 }
 
 /// A new term of ours begins: what the other voters hold is to be asked.
-pub fn begin(core: &mut ControllerState, term: u64) {
+pub fn begin(core: &mut ControllerState, term: Term) {
     let group = here(core);
     let members = &mut core.members;
     let own = held(&members.membership, &members.log);
@@ -91,7 +91,7 @@
 
 /// Whether this leader knows all memberships that members may go by. Asks the
 /// other voters until it does.
-pub fn inherit(core: &mut ControllerState, now: Tick, term: u64, out: &mut Vec<Command>) -> bool {
+pub fn inherit(core: &mut ControllerState, now: Tick, term: Term, out: &mut Vec<Command>) -> bool {
     count_anew(core);
     let group = here(core);
     let leading = &mut core.members.log.leading;
@@ -161,7 +161,12 @@
 
 /// Sends the newest membership to the voters that don't hold it, and confirms it
 /// once a majority does. Tells whether members have something new to be told.
-pub fn replicate(core: &mut ControllerState, now: Tick, term: u64, out: &mut Vec<Command>) -> bool {
+pub fn replicate(
+    core: &mut ControllerState,
+    now: Tick,
+    term: Term,
+    out: &mut Vec<Command>,
+) -> bool {
     let group = here(core);
     let members = &mut core.members;
     let mut confirmed = false;
@@ -188,7 +193,7 @@
     }
 }
 
-fn send(core: &mut ControllerState, now: Tick, term: u64, out: &mut Vec<Command>) {
+fn send(core: &mut ControllerState, now: Tick, term: Term, out: &mut Vec<Command>) {
     let group = here(core);
     let members = &mut core.members;
     let (current, confirmed) = match &members.log.proposed {
@@ -203,7 +208,7 @@
     let lacking: Vec<VoterSlot> = others(group)
         .filter(|slot| leading.acknowledged[usize::from(*slot)] != Some(version))
         .collect();
-    if !again || lacking.is_empty() || current.term == 0 {
+    if !again || lacking.is_empty() || current.term == Term::ZERO {
         return;
     }
     leading.sent = Some((version, now));
@@ -216,15 +221,15 @@
 }
 
 /// Whether a leader of this term has been followed by another.
-fn refuses(core: &ControllerState, term: u64) -> bool {
-    term < core.members.log.term || term < core.partitions[0].copy.promised
+fn refuses(core: &ControllerState, term: Term) -> bool {
+    term < core.members.log.term || term < core.partitions[0].state.current_term
 }
 
 /// A leader replicates a membership to us.
 pub fn take(
     core: &mut ControllerState,
     from: VoterSlot,
-    term: u64,
+    term: Term,
     (current, confirmed): (Membership, bool),
     older: Vec<Membership>,
     out: &mut Vec<Command>,
@@ -254,7 +259,7 @@
 pub fn acknowledged(
     core: &mut ControllerState,
     from: VoterSlot,
-    term: u64,
+    term: Term,
     (id, settled): (MembershipId, u64),
     confirmed: bool,
 ) {
@@ -267,7 +272,7 @@
 }
 
 /// A new leader asks which memberships we hold.
-pub fn asked(core: &mut ControllerState, from: VoterSlot, term: u64, out: &mut Vec<Command>) {
+pub fn asked(core: &mut ControllerState, from: VoterSlot, term: Term, out: &mut Vec<Command>) {
     if refuses(core, term) {
         return;
     }
@@ -281,7 +286,7 @@
 pub fn fetched(
     core: &mut ControllerState,
     from: VoterSlot,
-    term: u64,
+    term: Term,
     current: Membership,
     others: Vec<Membership>,
 ) {
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -14,7 +14,7 @@
     ControllerState, ForwardedOperation, Forwarding, PendingRequest,
 };
 use crate::control_plane::operations::{Request, at_owner};
-use crate::identifiers::VoterSlot;
+use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Message, Operation, OperationResult};
 use crate::replication::leader::tell;
 use crate::replication::partition::{OperationOrigin, Role};
@@ -27,7 +27,7 @@
 /// once: at hundreds of orders a second those of ten seconds.
 const ATTEMPTS_KEPT: usize = 4_096;
 /// Term of an attempt that asks for no certain leader: the receiver finds one.
-const ANY_TERM: u64 = 0;
+const ANY_TERM: Term = Term::ZERO;
 
 /// A request from one of our own operators.
 pub fn operate(
@@ -72,9 +72,9 @@
 /// The leader of the configuration as we know it, ourselves if we serve.
 fn known_leader(core: &ControllerState) -> Option<Forwarding> {
     match &core.partitions[0].role {
-        Role::Leader(o) if o.serves => Some(Forwarding { slot: core.slot, term: o.term }),
-        Role::Follower { leader: Some((slot, term)), .. } => {
-            Some(Forwarding { slot: *slot, term: *term })
+        Role::Leader(o) if o.is_serving => Some(Forwarding { slot: core.slot, term: o.term }),
+        Role::Follower { leader: Some(leader), .. } => {
+            Some(Forwarding { slot: leader.slot, term: leader.term })
         }
         _ => None,
     }
@@ -148,14 +148,14 @@
     core: &mut ControllerState,
     now: Tick,
     from: OperationOrigin,
-    term: u64,
+    term: Term,
     request: Request,
     out: &mut Vec<Command>,
 ) {
     if !first_time(core, from.attempt) {
         return;
     }
-    if matches!(&core.partitions[0].role, Role::Leader(o) if o.serves && o.term == term) {
+    if matches!(&core.partitions[0].role, Role::Leader(o) if o.is_serving && o.term == term) {
         at_owner(core, now, from, request, out);
     } else {
         let why = "the seat it was handed to does not own the configuration".to_string();
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -7,11 +7,13 @@
 use crate::control_plane::{
     acceptance, endpoints, feed, forgotten_members, members, membership_log, operation_forwarding,
 };
-use crate::identifiers::{COHORT, PartitionId, VoterSlot};
+use crate::identifiers::{COHORT, PartitionId, Position, VoterSlot};
 use crate::protocol::message::{Message, ReplicaCondition};
-use crate::replication::partition::{AfterWrite, OperationOrigin, ReplicaStatus, Role, able};
+use crate::replication::partition::{
+    AfterWrite, OperationOrigin, ReplicaStatus, Role, Sender, able,
+};
 use crate::replication::{catch_up, election, leader, replica};
-use crate::storage::record::LogRecord;
+use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::{Tick, ms};
 use crate::voter_set::NOBODY;
 use crate::voters::handover;
@@ -64,8 +66,10 @@
                 operation_forwarding::operate(self, now, op, request, &mut out);
             }
             Event::ForceRecovery => {
-                for p in self.partitions.iter_mut().filter(|p| p.life != ReplicaCondition::Voting) {
-                    p.relearn.vouched = true;
+                for p in
+                    self.partitions.iter_mut().filter(|p| p.condition != ReplicaCondition::Voting)
+                {
+                    p.catch_up.is_forced = true;
                     let text = format!("part {}: an operator vouches for what is left", p.id);
                     out.push(Command::Alarm(text));
                 }
@@ -101,7 +105,7 @@
     voter_slots::wake(core, now, out);
     let g = here(core);
     for p in core.partitions.iter_mut().filter(|_| core.slot != NOBODY) {
-        if p.sick.is_some() {
+        if p.disk_failure.is_some() {
             mend(p, now, out);
         } else if replica::stalled(p, now) {
             replica::step_back(p, now, "the disk stalls".into(), out);
@@ -146,8 +150,8 @@
 
 /// A seat that stepped back tries its disk again by writing a whole slot.
 fn mend(p: &mut crate::replication::partition::Partition, now: Tick, out: &mut Vec<Command>) {
-    if p.life == ReplicaCondition::Voting && p.writes.is_empty() && now >= p.mend_at {
-        p.mend_at = now + consts::DISK_STALL;
+    if p.condition == ReplicaCondition::Voting && p.writes.is_empty() && now >= p.disk_retry_at {
+        p.disk_retry_at = now + consts::DISK_STALL;
         replica::keep_whole(p, now, Vec::new(), out);
     }
 }
@@ -167,9 +171,14 @@
         for after in write.after {
             match after {
                 AfterWrite::Send(to, message) => out.push(Command::ToVoter { slot: to, message }),
-                AfterWrite::OwnAppendSynced { term, revision } => {
-                    leader::append_acked(p, now, (g, g.slot), term, revision, out)
-                }
+                AfterWrite::OwnAppendSynced { term, revision } => leader::append_acked(
+                    p,
+                    now,
+                    Sender { group: g, slot: g.slot },
+                    term,
+                    revision,
+                    out,
+                ),
                 AfterWrite::OwnVoteSynced { term } => {
                     election::own_vote_synced(p, now, g, term, out)
                 }
@@ -177,8 +186,8 @@
             }
         }
     }
-    if p.writes.is_empty() && p.sick.is_some() {
-        p.sick = None;
+    if p.writes.is_empty() && p.disk_failure.is_some() {
+        p.disk_failure = None;
         replica::follow(p, now, None);
         out.push(Command::Alarm(format!("part {partition}: the disk works again")));
         core.counts.mended += 1;
@@ -237,54 +246,94 @@
 ) {
     let g = here(core);
     if let Some(id) = part_named(&message) {
+        let sender = Sender { group: g, slot: from };
         let Some(p) = core.partitions.get_mut(id.0 as usize) else { return };
         let owned = matches!(p.role, Role::Leader(_));
         match message {
             Message::StatusRequest { nonce, .. } => catch_up::stand(p, from, nonce, out),
-            Message::ReplicaStatus { nonce, life, promised, term, revision, .. } => {
-                let s = ReplicaStatus { life, promised, term, revision };
-                catch_up::stood(p, now, (g, from), nonce, s, out);
+            Message::ReplicaStatus {
+                nonce,
+                condition: life,
+                current_term: promised,
+                written_term: term,
+                revision,
+                ..
+            } => {
+                let s = ReplicaStatus {
+                    condition: life,
+                    current_term: promised,
+                    written_term: term,
+                    revision,
+                };
+                catch_up::stood(p, now, sender, nonce, s, out);
             }
             Message::FetchReplica { nonce, .. } => catch_up::give(p, from, nonce, out),
-            Message::ReplicaFetched { nonce, promised, term, revision, map, .. } if able(p) => {
+            Message::ReplicaFetched {
+                nonce,
+                current_term: promised,
+                written_term: term,
+                revision,
+                entries: map,
+                ..
+            } if able(p) => {
                 let _ = promised;
-                election::fetched(p, now, (g, from), nonce, (term, revision), map, out);
+                election::fetched(p, now, sender, nonce, Position { term, revision }, map, out);
             }
-            Message::ReplicaFetched { nonce, promised, term, revision, map, .. } => {
-                catch_up::fetched(p, now, from, nonce, (promised, (term, revision)), map, out);
+            Message::ReplicaFetched {
+                nonce,
+                current_term: promised,
+                written_term: term,
+                revision,
+                entries: map,
+                ..
+            } => {
+                let theirs = ReplicaState {
+                    current_term: promised,
+                    written_term: term,
+                    revision,
+                    entries: map,
+                };
+                catch_up::fetched(p, now, from, nonce, theirs, out);
             }
             Message::PreVoteRequest { term, .. } => replica::pre_vote(p, now, from, term, out),
-            Message::PreVoteResponse { term, yes, promised, .. } => {
-                election::pre_vote_answered(p, now, (g, from), term, (yes, promised), out);
+            Message::PreVoteResponse { term, granted: yes, current_term: promised, .. } => {
+                election::pre_vote_answered(p, now, sender, term, (yes, promised), out);
             }
             Message::VoteRequest { term, .. } => replica::vote(p, now, from, term, out),
-            Message::VoteGranted { term, at_term, revision, .. } => {
-                election::vote_granted(p, now, (g, from), term, (at_term, revision), out);
+            Message::VoteGranted { term, written_term: at_term, revision, .. } => {
+                election::vote_granted(
+                    p,
+                    now,
+                    sender,
+                    term,
+                    Position { term: at_term, revision },
+                    out,
+                );
             }
             Message::LeadershipTransfer { term, .. } => {
                 election::transferred(p, now, g, from, term, out);
             }
-            Message::VoteRejected { term, promised, .. } => {
+            Message::VoteRejected { term, current_term: promised, .. } => {
                 election::vote_rejected(p, now, g, term, promised, out);
             }
-            Message::Snapshot { term, revision, map, .. } => {
-                replica::snapshot(p, now, from, (term, revision), map, out);
+            Message::Snapshot { term, revision, entries: map, .. } => {
+                replica::snapshot(p, now, from, Position { term, revision }, map, out);
             }
             Message::Append { term, revision, entries, .. } => {
                 replica::append(p, now, from, LogRecord::Change { term, revision, entries }, out);
             }
             Message::AppendAck { term, revision, .. } => {
-                leader::append_acked(p, now, (g, from), term, revision, out)
+                leader::append_acked(p, now, sender, term, revision, out)
             }
             Message::SnapshotRequest { term, .. } => {
                 core.counts.swept += 1;
                 leader::snapshot_requested(p, now, from, term, out);
             }
-            Message::Heartbeat { term, round, done, sum, .. } => {
+            Message::Heartbeat { term, round, committed: done, checksum: sum, .. } => {
                 replica::heartbeat(p, now, from, (term, round), (done, sum), out);
             }
-            Message::HeartbeatAck { term, round, revision, kept, .. } => {
-                leader::heartbeat_acked(p, now, (g, from), (term, round), (revision, kept), out);
+            Message::HeartbeatAck { term, round, revision, synced: kept, .. } => {
+                leader::heartbeat_acked(p, now, sender, (term, round), (revision, kept), out);
             }
             _ => {}
         }
@@ -413,8 +462,8 @@
             Message::LeafReports { words, .. } => endpoints::words(p, now, g, words, out),
             _ => {}
         },
-        Role::Follower { leader: Some((to, _)), .. } if fresh => {
-            out.push(Command::ToVoter { slot: *to, message });
+        Role::Follower { leader: Some(leader), .. } if fresh => {
+            out.push(Command::ToVoter { slot: leader.slot, message });
         }
         _ => {}
     }
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -86,7 +86,10 @@
         listed: Vec<LeafInfo>,
         commands: &mut Vec<Command>,
     ) {
-        let is_known = self.partitions.get(&partition).is_some_and(|p| shows(&p.entries, &listed));
+        let is_known = self
+            .partitions
+            .get(&partition)
+            .map_or(listed.is_empty(), |p| shows(&p.entries, &listed));
         // With the controllers out of reach nobody is told the list; that a leaf
         // leaves can be said among members too.
         for info in listed.iter().filter(|info| info.leaving) {
@@ -95,7 +98,7 @@
             self.on_leaf_report(now, info.service.clone(), report);
         }
         if !is_known {
-            let fence = (self.membership.term, self.membership.turn);
+            let fence = self.membership.id();
             self.send_to_core(Message::LeafList { partition, fence, leafs: listed }, commands);
         }
     }
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -8,6 +8,7 @@
 //! all in a few rounds, and counts them exactly (`crate::quorum`).
 
 use crate::consts;
+use crate::identifiers::Term;
 use crate::membership::node_agent::NodeAgent;
 use crate::protocol::message::{Attestation, Member, Membership, MembershipId, NO_PROOF};
 use crate::quorum;
@@ -98,7 +99,7 @@
     /// What we attest now, if anything. Whoever hears the controllers attests
     /// nothing: its membership lives on without those who don't.
     pub(super) fn attest(&mut self, now: Tick) -> Option<Attestation> {
-        if !self.is_restless(now) || self.membership.term == 0 {
+        if !self.is_restless(now) || self.membership.term == Term::ZERO {
             return None;
         }
         Some(self.proofs.attest(now, self.known_revision))
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -142,7 +142,7 @@
     fn progress(&self, now: Tick) -> MemberProgress {
         MemberProgress {
             obeys: self.view.as_ref().map_or(0, |view| view.revision),
-            saw: (self.membership.term, self.membership.turn),
+            saw: self.membership.id(),
             knows: self.known_revision,
             quiet_ms: self.quiet_ms(now),
             ready: self.ready,
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -1,7 +1,7 @@
 //! Dispatch of a node agent's events.
 
 use crate::consts;
-use crate::identifiers::VoterSlot;
+use crate::identifiers::{Term, VoterSlot};
 use crate::membership::gossip::Gossip;
 use crate::membership::neighbour_ring::NeighbourRing;
 use crate::membership::node_agent::{Command, Event, NodeAgent};
@@ -75,7 +75,7 @@
                 if incarnation == self.member.incarnation {
                     self.on_lease_granted(Some(slot), count, revision);
                 }
-                if tell_membership && self.membership.term > 0 {
+                if tell_membership && self.membership.term > Term::ZERO {
                     let message = Message::MembershipUpdate(self.membership.clone());
                     commands.push(Command::ToVoter { slot, message });
                 }
