--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -51,10 +51,6 @@
 pub const ASK_AROUND: Span = ms(250);
 /// How often an owner compares its copies with the others' (the sweep).
 pub const SWEEP: Span = 5 * SECOND;
-/// How often a seat reads one of its parts' files again to see whether they
-/// still are what was written. All five take 20 s; a part of several MiB then
-/// costs a small disk well below a hundredth of what it can read.
-pub const ROT_LOOK: Span = 4 * SECOND;
 /// Log bytes after which the other slot is written (bytes). A small part's
 /// slot is cheap; replaying 256 KiB takes a few milliseconds.
 pub const LOG_LIMIT: u64 = 256 * 1024;
@@ -139,12 +135,6 @@
 /// After this long without renewal a member asks its neighbours to hand its
 /// renewals over: two lost in a row.
 pub const TENURE_WORRY: Span = ms(1_100);
-/// A new owner of the configuration counts the old members as live for one
-/// lease, since it has not heard them itself yet.
-pub const TENURE_GRACE: Span = TENURE;
-/// How long an owner that knows of no membership gathers members before it says
-/// who they are; they seek ten times a second.
-pub const TENURE_GATHER: Span = ms(300);
 /// How often membership members speak with each other when the core is not heard:
 /// between `COHORT_UNREST` and the end of a lease lie six rounds. Members' last
 /// renewals lie up to one renewal beat (two rounds) apart, which leaves four for
@@ -170,21 +160,6 @@
 /// others are silent (count): a twentieth, so that a change is accepted with 95
 /// of 100 members gone.
 pub const ACCEPTANCE_FRACTION: usize = 20;
-/// A member whose renewals were not heard for this long is not waited for: two
-/// in a row, and a fifth of one for their way. Less would take one lost renewal
-/// for a lost member.
-pub const RENEWAL_SILENCE: Span = ms(1_100);
-/// A change that has been committed for this long waits no longer for members
-/// that are heard and don't obey it: all grants since name it, so they serve by
-/// nothing older for more than a lease. Twice the silence above, less than half
-/// of what an operator is promised.
-pub const ACCEPTANCE_LATEST: Span = ms(2_000);
-/// While no majority of the members is heard, silent ones keep their shares for
-/// this long. They most likely come back, and twice is no hurry.
-pub const REMOVAL_BY_FEW: Span = 2 * TENURE;
-/// Memberships that some member may still go by (count). More than that come to
-/// be only if that many leaders follow each other and none of them is heard.
-pub const MEMBERSHIPS_KEPT: usize = 8;
 /// A membership member not heard for this long counts as silent.
 pub const COHORT_SILENCE: Span = ms(1_600);
 /// A lone cut-off member turns not ready after this long without the core, a
--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -8,38 +8,41 @@
 //! And it should be *in force* wherever that is not up to fencing: most members
 //! obey it, or each of the others is silent or has nothing to serve by yet.
 
-use std::collections::VecDeque;
-
 use crate::command::Command;
-use crate::consts;
-use crate::control_plane::controller::ControllerState;
-use crate::control_plane::members::{Heard, Members, is_live};
-use crate::control_plane::retirement::has_left;
-use crate::protocol::message::Member;
-use crate::quorum;
-use crate::replication::partition::Role;
-use crate::time::{Tick, since};
-use crate::voters::voter_slots::here;
-
-/// What the leader needs to judge changes.
-#[derive(Default)]
-pub struct Acceptance {
-    /// Committed revisions, and when we came to know: the newest last.
-    commits: VecDeque<(u64, Tick)>,
-}
+use crate::control_plane::members::{Heard, Members};
+use crate::protocol::message::{Member, Membership};
+use crate::replication::leader;
+use crate::replication::partition::{Partition, Role};
+use crate::time::{Span, Tick, ms, since};
+use crate::voter_set::VoterGroup;
+use crate::{consts, quorum};
 
-/// Revisions whose commit is remembered (count): orders are waited for within
-/// seconds, and older ones count as committed long ago.
-const COMMITS_KEPT: usize = 256;
+/// A member whose renewals were not heard for this long is not waited for: two
+/// in a row, and a fifth of one for their way. Less would take one lost renewal
+/// for a lost member.
+const RENEWAL_SILENCE: Span = ms(1_100);
+/// A change that has been committed for this long waits no longer for members
+/// that are heard and don't obey it: all grants since name it, so they serve by
+/// nothing older for more than a lease. Twice the silence above, less than half
+/// of what an operator is promised.
+const ACCEPTANCE_LATEST: Span = ms(2_000);
 
 /// Tells the configuration's leader up to which revision changes are accepted.
 /// Only an operator who waits makes that worth a look at all members, and then
 /// now and again: until the first look nothing counts as accepted.
-pub fn look(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    note_commits(core, now);
-    let group = here(core);
-    let Role::Leader(leader) = &mut core.partitions[0].role else { return };
-    let Some(until) = leader.waits.iter().map(|w| w.until).min() else {
+pub fn update(
+    configuration: &mut Partition,
+    members: &mut Members,
+    now: Tick,
+    group: VoterGroup,
+    commands: &mut Vec<Command>,
+) {
+    let newest = configuration.copy.revision;
+    let Role::Leader(leader) = &mut configuration.role else { return };
+    if leader.serves {
+        members.commit_times.note(now, leader.done);
+    }
+    let Some(until) = leader.waits.iter().map(|waiting| waiting.until).min() else {
         leader.obeyed = 0;
         return;
     };
@@ -47,84 +50,80 @@
         return;
     }
     leader.look_at = now + consts::OBEY_LOOK;
-    let mut waited: Vec<u64> = leader.waits.iter().map(|w| w.revision).collect();
-    let names_needed = now + consts::OWNER_BEAT >= until;
+    let mut waited: Vec<u64> = leader.waits.iter().map(|waiting| waiting.revision).collect();
     waited.sort_unstable_by(|a, b| b.cmp(a));
     waited.dedup();
-    let accepted = waited.into_iter().find(|revision| is_accepted(&core.members, now, *revision));
-    let head = core.partitions[0].copy.revision;
-    let behind = names_needed.then(|| behind(&core.members, head));
-    let Role::Leader(leader) = &mut core.partitions[0].role else { return };
+    let accepted = waited.into_iter().find(|revision| members.have_accepted(now, *revision));
     // The names are needed only when somebody's patience ends.
-    leader.behind = behind.unwrap_or_default();
+    let needs_names = now + consts::OWNER_BEAT >= until;
+    leader.behind = if needs_names { members.lagging_behind(newest) } else { Vec::new() };
     let accepted = accepted.unwrap_or(0);
     if leader.obeyed != accepted {
         leader.obeyed = accepted;
-        crate::replication::leader::settle(&mut core.partitions[0], now, group, out);
+        leader::settle(configuration, now, group, commands);
     }
 }
 
-/// Remembers since when each revision is committed.
-fn note_commits(core: &mut ControllerState, now: Tick) {
-    let Role::Leader(leader) = &core.partitions[0].role else { return };
-    let commits = &mut core.members.acceptance.commits;
-    if leader.serves && commits.back().is_none_or(|(revision, _)| *revision < leader.done) {
-        commits.push_back((leader.done, now));
-        if commits.len() > COMMITS_KEPT {
-            commits.pop_front();
-        }
+impl Members {
+    /// Whether a revision may be told as accepted once it is committed.
+    fn have_accepted(&self, now: Tick, revision: u64) -> bool {
+        let Some((term, _)) = self.reign else { return false };
+        // A leader that nobody handed a membership down to gathers members first.
+        let knows_members =
+            self.log.is_inherited() && (!self.blind || self.membership.term == term);
+        knows_members && self.is_safe(now, revision) && self.is_in_force(now, revision)
     }
-}
 
-/// Whether a revision may be told as accepted once it is committed.
-fn is_accepted(members: &Members, now: Tick, revision: u64) -> bool {
-    let Some((term, _)) = members.reign else { return false };
-    // A leader that nobody handed a membership down to gathers members first.
-    let knows_members =
-        members.log.is_inherited() && (!members.blind || members.membership.term == term);
-    knows_members && is_safe(members, now, revision) && is_in_force(members, now, revision)
-}
+    /// Whether nobody can serve on by an older revision for longer than a lease.
+    fn is_safe(&self, now: Tick, revision: u64) -> bool {
+        let in_use = self.log.older.iter().filter(|former| former.retired.is_none());
+        let mut all = in_use.map(|former| &former.membership).chain([&self.membership]);
+        all.all(|membership| self.is_safe_among(now, membership, revision))
+    }
 
-/// Whether nobody can serve on by an older revision for longer than a lease.
-fn is_safe(members: &Members, now: Tick, revision: u64) -> bool {
-    let older = members.log.older.iter().filter(|o| o.retired.is_none()).map(|o| &o.membership);
-    older.chain([&members.membership]).all(|membership| {
+    /// Whether nobody can serve on by this membership with an older revision.
+    fn is_safe_among(&self, now: Tick, membership: &Membership, revision: u64) -> bool {
         let list = &membership.members;
-        let knows = |k: &&Member| {
-            has_left(members, membership, k)
-                || members.heard.get(&k.name).is_some_and(|h| h.far.knows >= revision)
+        let knows = |member: &&Member| {
+            let heard = self.heard.get(&member.name);
+            self.has_left(membership, member)
+                || heard.is_some_and(|heard| heard.far.knows >= revision)
         };
         // Who goes by a membership knows the revision under which it was issued.
         membership.revision >= revision
             || list.is_empty()
             || list.iter().filter(knows).count() >= quorum::acceptance(list.len())
-            || (list.len() == 1 && !is_live(members, now, &list[0].name))
-    })
-}
+            || (list.len() == 1 && !self.is_live(now, &list[0].name))
+    }
 
-/// Whether a revision is in force wherever we can wait for it.
-fn is_in_force(members: &Members, now: Tick, revision: u64) -> bool {
-    let list = &members.membership.members;
-    let heard = |k: &Member| members.heard.get(&k.name);
-    let obeys = |k: &&Member| heard(k).is_some_and(|h| h.far.obeys >= revision);
-    if 2 * list.iter().filter(obeys).count() > list.len() {
-        return true;
+    /// Whether a revision is in force wherever we can wait for it.
+    fn is_in_force(&self, now: Tick, revision: u64) -> bool {
+        let list = &self.membership.members;
+        let obeys = |member: &&Member| {
+            self.heard.get(&member.name).is_some_and(|heard| heard.far.obeys >= revision)
+        };
+        if 2 * list.iter().filter(obeys).count() > list.len() {
+            return true;
+        }
+        let committed_at = self.commit_times.committed_at(revision);
+        committed_at.is_some_and(|at| since(at, now) >= ACCEPTANCE_LATEST)
+            || list.iter().all(|member| obeys(&member) || self.is_excused(now, member))
+    }
+
+    /// Whether a change does not wait for this member to obey it.
+    fn is_excused(&self, now: Tick, member: &Member) -> bool {
+        let is_silent = |heard: &Heard| since(heard.at, now) >= RENEWAL_SILENCE;
+        // A process that has just started holds nothing to serve by.
+        let is_idle = |heard: &Heard| heard.spoke && heard.far.obeys == 0;
+        let heard = self.heard.get(&member.name);
+        heard.is_none_or(|heard| is_silent(heard) || is_idle(heard))
+            || !self.is_live(now, &member.name)
     }
-    let silent = |h: &Heard| since(h.at, now) >= consts::RENEWAL_SILENCE;
-    // A process that has just started holds nothing to serve by.
-    let idle = |h: &Heard| h.spoke && h.far.obeys == 0;
-    let excused = |k: &Member| {
-        heard(k).is_none_or(|h| silent(h) || idle(h)) || !is_live(members, now, &k.name)
-    };
-    let commits = &members.acceptance.commits;
-    let committed = commits.iter().find(|(r, _)| *r >= revision).map(|(_, at)| *at);
-    committed.is_some_and(|at| since(at, now) >= consts::ACCEPTANCE_LATEST)
-        || list.iter().all(|k| obeys(&k) || excused(k))
-}
 
-/// The members that do not obey a revision, with what they obey.
-fn behind(members: &Members, revision: u64) -> Vec<String> {
-    let obeys = |k: &Member| members.heard.get(&k.name).map_or(0, |h| h.far.obeys);
-    let list = members.membership.members.iter().filter(|k| obeys(k) < revision);
-    list.map(|k| format!("{} (obeys {})", k.name, obeys(k))).collect()
+    /// The members that do not obey a revision, with what they obey.
+    fn lagging_behind(&self, revision: u64) -> Vec<String> {
+        let obeys = |member: &Member| self.heard.get(&member.name).map_or(0, |h| h.far.obeys);
+        let lagging = self.membership.members.iter().filter(|member| obeys(member) < revision);
+        lagging.map(|member| format!("{} (obeys {})", member.name, obeys(member))).collect()
+    }
 }
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -5,18 +5,23 @@
 
 use indexmap::{IndexMap, IndexSet};
 
-use crate::consts::ROT_LOOK;
 use crate::control_plane::members::Members;
+use crate::control_plane::pending_requests::{ForwardedOperation, PendingRequest};
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
 use crate::protocol::message::{Message, Operation, ReplicaCondition};
 use crate::random::{Random, luck, mix};
 use crate::replication::partition::{Partition, partition};
 use crate::storage::record::ReplicaState;
 use crate::storage::voter_file::VoterFile;
-use crate::time::Tick;
+use crate::time::{SECOND, Span, Tick};
 use crate::voter_set::{NOBODY, seat_of};
 use crate::voters::voter_slots::{VoterSlots, seating};
 
+/// How often a voter reads the files of one of its partitions again to see whether
+/// they still are what was written. All five take 20 s; a partition of several MiB
+/// then costs a small disk well below a hundredth of what it can read.
+pub(super) const SCRUB_INTERVAL: Span = 4 * SECOND;
+
 /// Numbers of lent requests begin here, beyond those that the daemon gives.
 const LENT: u64 = 1 << 63;
 
@@ -51,40 +56,6 @@
     pub counts: Counts,
 }
 
-/// An operator's request in hand at the seat it came to.
-pub struct PendingRequest {
-    pub request: String,
-    pub expect: Option<u64>,
-    pub deed: Operation,
-    /// To whom it was handed; `None` while no leader is known.
-    pub sent: Option<Forwarding>,
-    /// Number of the latest attempt.
-    pub attempt: u64,
-    /// An earlier try ended without a word: it may have been applied.
-    pub maybe: bool,
-    /// An attempt was not meant for one term alone.
-    pub unfenced: bool,
-    /// Why the last try ended without a result.
-    pub said: Option<String>,
-    pub until: Tick,
-}
-
-/// To whom a request was handed.
-#[derive(Clone, Copy, PartialEq, Debug)]
-pub struct Forwarding {
-    pub slot: VoterSlot,
-    /// The term of the leader that it is meant for; zero for any.
-    pub term: u64,
-}
-
-/// Where a request came from that was lent to us.
-pub struct ForwardedOperation {
-    pub connection: ConnectionId,
-    /// Its number there.
-    pub number: u64,
-    pub attempt: u64,
-}
-
 /// What is counted.
 #[derive(Clone, Default, Debug)]
 pub struct Counts {
@@ -195,7 +166,7 @@
             next_lent: LENT,
             next_attempt: mix(mix(seed) ^ ATTEMPTS),
             attempts_seen: IndexSet::new(),
-            look_at: now + ROT_LOOK,
+            look_at: now + SCRUB_INTERVAL,
             look_next: 0,
             counts: Counts::default(),
         }
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -10,17 +10,13 @@
 
 use crate::command::Command;
 use crate::config::change::Entry;
-use crate::control_plane::controller::ControllerState;
-use crate::control_plane::members;
-use crate::control_plane::members::Gone;
+use crate::control_plane::members::{Gone, Members};
 use crate::protocol::message::{EntryMap, Member, OperationResult};
-use crate::replication::leader;
-use crate::replication::leader::change;
-use crate::replication::partition::OperationOrigin;
-use crate::replication::pending_operations;
+use crate::replication::partition::{OperationOrigin, Partition};
 use crate::replication::pending_operations::PendingAnswer;
+use crate::replication::{heartbeat_rounds, leader, pending_operations};
 use crate::time::Tick;
-use crate::voters::voter_slots::here;
+use crate::voter_set::VoterGroup;
 
 /// Key prefix of the entries: incarnation and revision, as text.
 const FORGOTTEN: &str = "forgotten/";
@@ -37,6 +33,10 @@
     revision: u64,
 }
 
+fn entry_key(name: &str) -> String {
+    format!("{FORGOTTEN}{name}")
+}
+
 fn read_entry(value: &[u8]) -> Option<Forgotten> {
     let (incarnation, revision) = std::str::from_utf8(value).ok()?.split_once(' ')?;
     Some(Forgotten { incarnation: incarnation.parse().ok()?, revision: revision.parse().ok()? })
@@ -56,35 +56,36 @@
 
 /// An operator declares a member down for good, at the leader.
 pub fn forget(
-    core: &mut ControllerState,
+    configuration: &mut Partition,
+    members: &Members,
     now: Tick,
-    from: OperationOrigin,
+    group: VoterGroup,
+    origin: OperationOrigin,
     name: &str,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
-    members::begin_reign(core, now);
-    let group = here(core);
-    let incarnation = members::silent_incarnation(&core.members, now, name);
-    let p = &mut core.partitions[0];
-    let known = entries(&p.copy.map).get(name).map(|entry| entry.incarnation);
+    let incarnation = members.silent_incarnation(now, name);
+    let newest = configuration.copy.revision;
+    let known = entries(&configuration.copy.map).get(name).map(|entry| entry.incarnation);
     match incarnation {
         Some(incarnation) if known != Some(incarnation) => {
-            let entry = Forgotten { incarnation, revision: p.copy.revision + 1 };
-            let entries = changes(&p.copy.map, name, entry);
-            change(p, now, group, entries, out);
-            leader::wait(p, now, from, p.copy.revision, false);
-            leader::settle(p, now, group, out);
+            let entry = Forgotten { incarnation, revision: newest + 1 };
+            let entries = changes(&configuration.copy.map, name, entry);
+            leader::change(configuration, now, group, entries, commands);
+            let revision = configuration.copy.revision;
+            leader::wait(configuration, now, origin, revision, false);
+            leader::settle(configuration, now, group, commands);
         }
         // It is forgotten already.
-        None if known.is_none() || members::is_live(&core.members, now, name) => {
+        None if known.is_none() || members.is_live(now, name) => {
             let why = "no such member, or it still renews its tenure".to_string();
             let answer = PendingAnswer::Refusal(OperationResult::Rejected { why });
-            pending_operations::add(p, now, group, from, answer, out);
+            pending_operations::add(configuration, now, group, origin, answer, commands);
         }
         _ => {
-            leader::wait_again(p, now, from, p.copy.revision, false);
-            crate::replication::heartbeat_rounds::request(p, now, group, out);
-            leader::settle(p, now, group, out);
+            leader::wait_again(configuration, now, origin, newest, false);
+            heartbeat_rounds::request(configuration, now, group, commands);
+            leader::settle(configuration, now, group, commands);
         }
     }
 }
@@ -92,24 +93,24 @@
 /// A process that was forgotten renews after all. It gets no lease before its
 /// entry is gone: a leader that finds the entry counts the process as gone.
 pub fn readmit(
-    core: &mut ControllerState,
+    configuration: &mut Partition,
     now: Tick,
+    group: VoterGroup,
     member: &Member,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) -> bool {
-    let group = here(core);
-    let p = &mut core.partitions[0];
-    let key = format!("{FORGOTTEN}{}", member.name);
+    let key = entry_key(&member.name);
     let names = |map: &EntryMap| {
         map.get(&key)
             .and_then(|value| read_entry(value))
             .is_some_and(|entry| entry.incarnation == member.incarnation)
     };
-    let (newest, committed) = (names(&p.copy.map), names(&p.committed));
-    if newest {
-        change(p, now, group, vec![(key, None)], out);
+    let is_newest = names(&configuration.copy.map);
+    let is_committed = names(&configuration.committed);
+    if is_newest {
+        leader::change(configuration, now, group, vec![(key, None)], commands);
     }
-    newest || committed
+    is_newest || is_committed
 }
 
 /// The change that forgets a member, and drops the oldest entries.
@@ -122,24 +123,22 @@
         .collect();
     oldest.sort_unstable();
     let over = (oldest.len() + 1).saturating_sub(FORGOTTEN_KEPT);
-    let key = |name: &str| format!("{FORGOTTEN}{name}");
-    let dropped = oldest.iter().take(over).map(|(_, name)| (key(name), None));
-    dropped.chain([(key(name), Some(write_entry(entry)))]).collect()
+    let dropped = oldest.iter().take(over).map(|(_, name)| (entry_key(name), None));
+    dropped.chain([(entry_key(name), Some(write_entry(entry)))]).collect()
 }
 
 /// Notes the members whose forgetting has been committed since the last look.
 /// Who has renewed with us is alive after all, and stays.
-pub fn apply(core: &mut ControllerState, now: Tick) {
-    let committed = &core.partitions[0];
-    let members = &mut core.members;
-    if members.forgotten_at == committed.committed_revision || members.reign.is_none() {
+pub fn apply(configuration: &Partition, members: &mut Members, now: Tick) {
+    let committed_revision = configuration.committed_revision;
+    if members.forgotten_at == committed_revision || members.reign.is_none() {
         return;
     }
-    members.forgotten_at = committed.committed_revision;
-    for (name, entry) in entries(&committed.committed) {
-        let alive = members.heard.get(name).is_some_and(|heard| heard.spoke)
-            && members::is_live(members, now, name);
-        if !alive {
+    members.forgotten_at = committed_revision;
+    for (name, entry) in entries(&configuration.committed) {
+        let is_alive =
+            members.heard.get(name).is_some_and(|heard| heard.spoke) && members.is_live(now, name);
+        if !is_alive {
             let gone = Gone { incarnation: entry.incarnation, stopped: false };
             members.gone.insert(name.to_string(), gone);
         }
--- /dev/null
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -0,0 +1,126 @@
+//! What comes on connections that others opened to us: from members, and from
+//! controllers without a voter slot.
+
+use crate::command::{Command, ConnectionId};
+use crate::control_plane::controller::ControllerState;
+use crate::control_plane::endpoints;
+use crate::control_plane::leases::{LeaseRenewal, RenewalSource};
+use crate::control_plane::membership_updates::MembershipSource;
+use crate::control_plane::operations::Request;
+use crate::control_plane::pending_requests::ForwardedOperation;
+use crate::protocol::message::Message;
+use crate::replication::partition::Role;
+use crate::time::Tick;
+use crate::voter_set::NOBODY;
+use crate::voters::handover::Received;
+use crate::voters::voter_slots::here;
+use crate::voters::{handover, slot_takeover, voter_slots};
+
+/// How a report about leafs came to us.
+#[derive(Clone, Copy, PartialEq)]
+pub(super) enum ReportSource {
+    /// From the member that reports.
+    Member,
+    /// From a voter that forwarded it.
+    Voter,
+}
+
+impl ControllerState {
+    /// A member or a controller without a voter slot says something.
+    pub(super) fn on_connection_message(
+        &mut self,
+        now: Tick,
+        connection: ConnectionId,
+        message: Message,
+        commands: &mut Vec<Command>,
+    ) {
+        match message {
+            Message::Subscribe { places, stamp } => {
+                self.on_subscribe(connection, places, stamp, commands);
+            }
+            Message::RenewLease { member, count, far } => {
+                let renewal = LeaseRenewal { member, count, progress: far };
+                self.on_lease_renewal(now, RenewalSource::Member(connection), renewal, commands);
+            }
+            Message::MembershipUpdate(membership) => {
+                self.on_membership_told(now, MembershipSource::Member, membership, commands);
+            }
+            Message::OperationRequest { op, attempt, .. } if self.slot == NOBODY => {
+                commands.push(ForwardedOperation { connection, number: op, attempt }.misdirected());
+            }
+            Message::OperationRequest { op, attempt, request, expect, deed, .. } => {
+                let request = Request { id: request, expect, deed };
+                let origin = ForwardedOperation { connection, number: op, attempt };
+                self.on_forwarded_operation(now, origin, request, commands);
+            }
+            Message::LeafList { .. } | Message::LeafReports { .. } => {
+                self.on_leaf_report(now, ReportSource::Member, message, commands);
+            }
+            message => self.on_spare_message(now, connection, message, commands),
+        }
+    }
+
+    /// A controller that has no voter slot, or leaves its own, says something about
+    /// the voter slots.
+    fn on_spare_message(
+        &mut self,
+        now: Tick,
+        connection: ConnectionId,
+        message: Message,
+        commands: &mut Vec<Command>,
+    ) {
+        match message {
+            Message::VoterSetUpdate { table, .. } => {
+                voter_slots::learn(self, now, &table, commands);
+            }
+            Message::JoinRequest { holder, addr, zone, stamp } => {
+                let applicant = (holder, addr.as_str(), zone.as_str());
+                slot_takeover::asked(self, now, connection, applicant, stamp, commands);
+            }
+            Message::HandoverAccept { slot, holding } => {
+                handover::accepted(self, now, slot, holding, commands);
+            }
+            Message::Handover { slot, generation, table, replicas, memberships } => {
+                let state = Received { slot, generation, table, replicas, memberships };
+                handover::received(self, now, connection, state, commands);
+            }
+            Message::SlotTakeover { slot, holding } => {
+                slot_takeover::taken(self, now, slot, holding, commands);
+            }
+            _ => {}
+        }
+    }
+
+    /// Reports about leafs go to the leader of their partition, forwarded once.
+    pub(super) fn on_leaf_report(
+        &mut self,
+        now: Tick,
+        source: ReportSource,
+        message: Message,
+        commands: &mut Vec<Command>,
+    ) {
+        let group = here(self);
+        let (Message::LeafList { partition: id, .. } | Message::LeafReports { partition: id, .. }) =
+            &message
+        else {
+            return;
+        };
+        let Some(partition) = self.partitions.get_mut(id.0 as usize) else { return };
+        match partition.role {
+            Role::Leader(_) => match message {
+                Message::LeafList { fence, leafs, .. } => {
+                    let counts = &mut self.counts;
+                    endpoints::listed(partition, now, group, fence, leafs, counts, commands);
+                }
+                Message::LeafReports { words, .. } => {
+                    endpoints::words(partition, now, group, words, commands);
+                }
+                _ => {}
+            },
+            Role::Follower { leader: Some((slot, _)), .. } if source == ReportSource::Member => {
+                commands.push(Command::ToVoter { slot, message });
+            }
+            _ => {}
+        }
+    }
+}
--- /dev/null
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -0,0 +1,121 @@
+//! Which memberships the leader of the configuration issues, and when one of them
+//! is settled.
+
+use crate::control_plane::members::{Heard, Members};
+use crate::control_plane::membership_log::{FormerMembership, MEMBERSHIPS_KEPT};
+use crate::protocol::message::{Member, Membership};
+use crate::time::{Span, Tick, ms, since};
+use crate::{consts, quorum};
+
+/// While no majority of the members is heard, silent ones keep their shares for
+/// this long. They most likely come back, and twice is no hurry.
+const REMOVAL_BY_FEW: Span = 2 * consts::TENURE;
+/// A new leader of the configuration counts the old members as live for one
+/// lease, since it has not heard them itself yet.
+const TENURE_GRACE: Span = consts::TENURE;
+/// How long a leader that knows of no membership gathers members before it says
+/// who they are; they seek ten times a second.
+const TENURE_GATHER: Span = ms(300);
+
+impl Members {
+    /// Whether we know too few members to issue a membership: with nothing handed
+    /// down to us, issuing one now would give the members we know shares that others
+    /// still hold. Who is there is told soon, but nothing of it is settled before a
+    /// lease has passed, and only what is settled gives shares.
+    pub fn is_gathering(&mut self, now: Tick) -> bool {
+        let Some((_, began)) = self.reign else { return true };
+        let age = since(began, now);
+        self.blind |= self.membership.term == 0;
+        self.blind &= age < TENURE_GRACE;
+        self.blind && age < TENURE_GATHER
+    }
+
+    /// Issues a new membership if there is anything new, once the one before is in
+    /// nobody's way.
+    pub fn issue(&mut self, now: Tick, term: u64, revision: u64) {
+        let log = &self.log;
+        // One newer than the current one was inherited from a leader that may have told
+        // it to some: they leave it only for a newer one.
+        let is_newer = |former: &FormerMembership| former.membership.id() > self.membership.id();
+        let is_clear = log.proposed.is_none()
+            && log.older.iter().all(|former| former.retired.is_some() || is_newer(former));
+        if !is_clear || log.older.len() >= MEMBERSHIPS_KEPT {
+            return;
+        }
+        let turn = self.membership.turn + 1;
+        let members = self.list(now, turn);
+        if self.membership.term != term || self.membership.members != members {
+            let settled = self.membership.settled;
+            self.log.proposed = Some(Membership { term, turn, settled, revision, members });
+        }
+    }
+
+    /// Who is a member now, by name; who is new joins in this turn.
+    fn list(&self, now: Tick, turn: u64) -> Vec<Member> {
+        let live = self.heard.iter().filter(|(name, _)| self.is_live(now, name));
+        let mut list: Vec<Member> = live.map(|(_, heard)| heard.member.clone()).collect();
+        let is_scarce = !self.hears_most(now);
+        let silent = self.membership.members.iter().filter(|member| {
+            !self.is_live(now, &member.name)
+                && !self.gone.contains_key(&member.name)
+                && is_scarce
+                && self.stays(now, member)
+        });
+        list.extend(silent.cloned());
+        list.sort_by(|a, b| a.name.cmp(&b.name));
+        for member in &mut list {
+            member.joined = self.joined_in(member).unwrap_or(turn);
+        }
+        list
+    }
+
+    /// The turn in which a member joined, if the current membership names it with as
+    /// many threads.
+    fn joined_in(&self, member: &Member) -> Option<u64> {
+        // The members stand in the order of their names.
+        let known = &self.membership.members;
+        let at = known.binary_search_by(|other| other.name.cmp(&member.name)).ok()?;
+        (known[at].threads == member.threads).then_some(known[at].joined)
+    }
+
+    /// Whether a silent member stays one while most are silent. It does for a while,
+    /// since they most likely come back; and for good where so few are heard without
+    /// a break that the silent ones may serve on.
+    fn stays(&self, now: Tick, member: &Member) -> bool {
+        let known = &self.membership.members;
+        let is_long_silent =
+            self.heard.get(&member.name).is_none_or(|heard| since(heard.at, now) >= REMOVAL_BY_FEW);
+        let is_quiet =
+            |heard: &Heard| heard.spoke && ms(heard.far.quiet_ms) >= consts::ATTESTATION_QUIET;
+        let is_steady = |other: &&Member| {
+            self.is_live(now, &other.name) && self.heard.get(&other.name).is_some_and(is_quiet)
+        };
+        let are_enough = known.iter().filter(is_steady).count() >= quorum::acceptance(known.len());
+        known.len() > 1 && !(is_long_silent && are_enough)
+    }
+
+    /// Whether most of the membership renews with us.
+    fn hears_most(&self, now: Tick) -> bool {
+        let known = &self.membership.members;
+        let heard = known.iter().filter(|member| self.is_live(now, &member.name)).count();
+        known.is_empty() || heard * 2 > known.len()
+    }
+
+    /// Settles the membership once all its members have seen it and nobody serves on
+    /// by a former one; tells whether it did.
+    pub fn settle_if_seen(&mut self) -> bool {
+        let id = self.membership.id();
+        let has_seen = |member: &Member| {
+            self.heard.get(&member.name).is_some_and(|heard| heard.far.membership_id() >= id)
+        };
+        let is_ready = !self.blind && self.log.proposed.is_none() && self.log.older.is_empty();
+        if is_ready
+            && self.membership.settled < self.membership.turn
+            && self.membership.members.iter().all(has_seen)
+        {
+            self.membership.settled = self.membership.turn;
+            return true;
+        }
+        false
+    }
+}
--- a/crates/core/src/control_plane/mod.rs
+++ b/crates/core/src/control_plane/mod.rs
@@ -1,15 +1,34 @@
 //! The control plane: configuration, endpoints, members and operators' requests on
 //! top of the replicated partitions, all as one `step` without I/O.
+//!
+//! Lower modules never import higher ones. Plain state, with functions that take
+//! just the parts they need: [`order_memory`], [`commit_times`], [`membership_log`],
+//! [`members`] and what is done to [`members::Members`] (`membership_replication`,
+//! `membership_issue`, `retirement`, [`acceptance`], [`forgotten_members`]),
+//! [`endpoints`], [`feed`], [`operations`], [`pending_requests`]. Above them
+//! [`controller`] has the whole state of a controller, and the modules above that
+//! what needs several of its parts, a concern each; [`step`] dispatches the events.
 
 pub mod acceptance;
+pub mod commit_times;
 pub mod controller;
+mod disk_events;
 pub mod endpoints;
 pub mod feed;
 pub mod forgotten_members;
+mod from_connections;
+mod from_controllers;
+mod from_voters;
+mod leases;
 pub mod members;
+mod membership_issue;
 pub mod membership_log;
-pub mod operation_forwarding;
+mod membership_replication;
+mod membership_updates;
+mod operation_forwarding;
 pub mod operations;
 pub mod order_memory;
-pub mod retirement;
+pub mod pending_requests;
+mod retirement;
 pub mod step;
+mod subscriptions;
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -6,19 +6,15 @@
 use crate::config::change::{Entry, changes, config, patched, replaced};
 use crate::config::types::Turn;
 use crate::config::{build, read};
-use crate::control_plane::controller::ControllerState;
 use crate::control_plane::order_memory;
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
 use crate::protocol::message::{EntryMap, Operation, OperationResult};
-use crate::replication::leader;
-use crate::replication::leader::{change, tell};
 use crate::replication::partition::{OperationOrigin, Partition};
-use crate::replication::pending_operations;
 use crate::replication::pending_operations::PendingAnswer;
+use crate::replication::{heartbeat_rounds, leader, partition, pending_operations};
 use crate::routing_language::diagnostic::Diagnostic;
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
-use crate::voters::voter_slots::here;
 
 /// An operator's request without its origin.
 pub struct Request {
@@ -28,63 +24,70 @@
     pub deed: Operation,
 }
 
-/// Judges a request as the leader of the configuration.
-pub fn at_owner(
-    core: &mut ControllerState,
-    now: Tick,
-    from: OperationOrigin,
-    request: Request,
-    out: &mut Vec<Command>,
-) {
-    let group = here(core);
-    if crate::replication::partition::leader(&mut core.partitions[0])
-        .is_none_or(|o| pending_operations::full(o))
-    {
+/// Rejects a request if too many wait at the leader; tells whether it did.
+pub fn reject_if_full(
+    configuration: &mut Partition,
+    origin: OperationOrigin,
+    commands: &mut Vec<Command>,
+) -> bool {
+    let is_full =
+        partition::leader(configuration).is_none_or(|leader| pending_operations::full(leader));
+    if is_full {
         let why = "too many requests wait at the leader".to_string();
-        return tell(from, OperationResult::Rejected { why }, out);
+        leader::tell(origin, OperationResult::Rejected { why }, commands);
     }
-    let p = &mut core.partitions[0];
-    match &request.deed {
-        Operation::Read => pending_operations::add(p, now, group, from, PendingAnswer::Read, out),
-        Operation::Status => {
-            pending_operations::add(p, now, group, from, PendingAnswer::Status, out)
-        }
-        Operation::ForgetMember(name) => {
-            crate::control_plane::forgotten_members::forget(core, now, from, name, out)
-        }
+    is_full
+}
+
+/// Judges a request about the configuration, as its leader.
+pub fn execute(
+    configuration: &mut Partition,
+    now: Tick,
+    group: VoterGroup,
+    origin: OperationOrigin,
+    request: &Request,
+    commands: &mut Vec<Command>,
+) {
+    let answer = match &request.deed {
+        Operation::Read => PendingAnswer::Read,
+        // What an operator forgets is up to `forgotten_members`.
+        Operation::Status | Operation::ForgetMember(_) => PendingAnswer::Status,
         Operation::Replace(text) => {
-            let judged = judge(p, &request, true, text);
-            carry_out(p, now, group, from, judged, out);
+            let judged = judge(configuration, request, true, text);
+            return carry_out(configuration, now, group, origin, judged, commands);
         }
         Operation::Patch(text) => {
-            let judged = judge(p, &request, false, text);
-            carry_out(p, now, group, from, judged, out);
+            let judged = judge(configuration, request, false, text);
+            return carry_out(configuration, now, group, origin, judged, commands);
         }
-    }
+    };
+    pending_operations::add(configuration, now, group, origin, answer, commands);
 }
 
 /// Carries out what an order was judged to come to.
 fn carry_out(
-    p: &mut Partition,
+    configuration: &mut Partition,
     now: Tick,
-    g: VoterGroup,
-    from: OperationOrigin,
+    group: VoterGroup,
+    origin: OperationOrigin,
     judged: Judged,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     match judged {
         Judged::Refused(done) => {
-            pending_operations::add(p, now, g, from, PendingAnswer::Refusal(done), out);
+            let answer = PendingAnswer::Refusal(done);
+            pending_operations::add(configuration, now, group, origin, answer, commands);
         }
         Judged::Made { revision } => {
-            leader::wait_again(p, now, from, revision, true);
-            crate::replication::heartbeat_rounds::request(p, now, g, out);
-            leader::settle(p, now, g, out);
+            leader::wait_again(configuration, now, origin, revision, true);
+            heartbeat_rounds::request(configuration, now, group, commands);
+            leader::settle(configuration, now, group, commands);
         }
         Judged::Change(entries) => {
-            change(p, now, g, entries, out);
-            leader::wait(p, now, from, p.copy.revision, true);
-            leader::settle(p, now, g, out);
+            leader::change(configuration, now, group, entries, commands);
+            let revision = configuration.copy.revision;
+            leader::wait(configuration, now, origin, revision, true);
+            leader::settle(configuration, now, group, commands);
         }
     }
 }
--- /dev/null
+++ b/crates/core/src/control_plane/pending_requests.rs
@@ -0,0 +1,152 @@
+//! Operators' requests that wait at the controller that they came to, and what may
+//! be told of them.
+
+use crate::command::{Command, ConnectionId};
+use crate::control_plane::operations::Request;
+use crate::identifiers::VoterSlot;
+use crate::protocol::message::{Message, Operation, OperationResult};
+use crate::time::Tick;
+
+/// Term of an attempt that is meant for no certain leader: the receiver finds one.
+pub const ANY_TERM: u64 = 0;
+
+/// An operator's request in hand at the controller it came to.
+pub struct PendingRequest {
+    /// The request's own id, which makes it safe to send it again.
+    pub request: String,
+    /// The revision that it expects to change.
+    pub expect: Option<u64>,
+    /// What is asked.
+    pub deed: Operation,
+    /// To whom it was handed; `None` while no leader is known.
+    pub sent: Option<Forwarding>,
+    /// Number of the latest attempt.
+    pub attempt: u64,
+    /// An earlier attempt ended without an answer: it may have been applied.
+    pub maybe: bool,
+    /// An attempt was not meant for one term alone.
+    pub unfenced: bool,
+    /// Why the last attempt ended without a result.
+    pub said: Option<String>,
+    /// When the patience with it ends.
+    pub until: Tick,
+}
+
+/// To whom a request was handed.
+#[derive(Clone, Copy, PartialEq, Debug)]
+pub struct Forwarding {
+    /// The voter that is to carry it out, or to find the one that does.
+    pub slot: VoterSlot,
+    /// The term of the leader that it is meant for; [`ANY_TERM`] for any.
+    pub term: u64,
+}
+
+/// Where a request came from that another controller forwarded to us.
+#[derive(Clone, Copy)]
+pub struct ForwardedOperation {
+    /// The connection on which it came.
+    pub connection: ConnectionId,
+    /// Its number there.
+    pub number: u64,
+    /// The attempt there.
+    pub attempt: u64,
+}
+
+/// Names one attempt to have an operator's request carried out.
+#[derive(Clone, Copy)]
+pub struct AttemptId {
+    /// The request, as numbered by the controller that it came to.
+    pub op: u64,
+    /// Number of the attempt.
+    pub attempt: u64,
+}
+
+impl ForwardedOperation {
+    /// The answer to this attempt.
+    pub fn response(self, done: OperationResult) -> Command {
+        let ForwardedOperation { connection, number, attempt } = self;
+        let message = Message::OperationResponse { op: number, attempt, done };
+        Command::ToConnection { connection, message }
+    }
+
+    /// A controller without a voter slot took us for a voter. It is to ask another.
+    pub fn misdirected(self) -> Command {
+        let why = "this controller has no voter slot".to_string();
+        self.response(OperationResult::Rejected { why })
+    }
+}
+
+impl PendingRequest {
+    /// A request that has just come.
+    pub fn new(request: Request, until: Tick) -> Self {
+        let Request { id, expect, deed } = request;
+        Self {
+            request: id,
+            expect,
+            deed,
+            sent: None,
+            attempt: 0,
+            maybe: false,
+            unfenced: false,
+            said: None,
+            until,
+        }
+    }
+
+    /// The request without what became of its attempts.
+    pub fn to_request(&self) -> Request {
+        Request { id: self.request.clone(), expect: self.expect, deed: self.deed.clone() }
+    }
+
+    /// Notes that the latest attempt goes to this controller.
+    pub fn begin_attempt(&mut self, number: u64, to: Forwarding) {
+        self.sent = Some(to);
+        self.attempt = number;
+        self.unfenced |= to.term == ANY_TERM;
+    }
+
+    /// The latest attempt may never be answered: another is to be made.
+    pub fn give_up_attempt(&mut self) {
+        self.maybe = true;
+        self.sent = None;
+    }
+
+    /// Whether an answer to this attempt counts.
+    pub fn waits_for(&self, attempt: u64) -> bool {
+        self.attempt == attempt && self.sent.is_some()
+    }
+
+    /// What may be told of a result, with what became of earlier attempts.
+    pub fn certain(&self, done: OperationResult) -> OperationResult {
+        match done {
+            OperationResult::Accepted { .. }
+            | OperationResult::Configuration { .. }
+            | OperationResult::Status { .. }
+            | OperationResult::Unknown { .. } => done,
+            OperationResult::Rejected { why } if self.maybe => OperationResult::Unknown { why },
+            OperationResult::Rejected { .. } => done,
+            // An earlier attempt may still reach any leader and be carried out.
+            _ if self.maybe && self.unfenced => {
+                let why = "refused, but an earlier attempt may still be carried out".to_string();
+                OperationResult::Unknown { why }
+            }
+            refusal => refusal,
+        }
+    }
+
+    /// What an operator is told when the patience with its request ends.
+    pub fn overdue(&self) -> OperationResult {
+        match self.sent {
+            None if !self.maybe => {
+                OperationResult::Rejected { why: "the configuration has no leader now".into() }
+            }
+            _ if matches!(self.deed, Operation::Read | Operation::Status) => {
+                OperationResult::Rejected { why: "no answer in time".into() }
+            }
+            _ => {
+                let silent = || "the leader did not answer in time".to_string();
+                OperationResult::Unknown { why: self.said.clone().unwrap_or_else(silent) }
+            }
+        }
+    }
+}
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -4,51 +4,57 @@
 //! gather no more proofs to serve on by it, and *over* once those that they may
 //! have gathered before are out of date.
 
-use crate::control_plane::members::{Members, is_live};
-use crate::protocol::message::{Member, MemberProgress, Membership, MembershipId};
+use crate::control_plane::members::Members;
+use crate::protocol::message::{Member, Membership};
 use crate::time::{Tick, ms, since};
 use crate::{consts, quorum};
 
-/// Notes which former memberships nobody can serve on by any more.
-pub fn retire(m: &mut Members, now: Tick) {
-    let mut older = std::mem::take(&mut m.log.older);
-    for o in &mut older {
-        if o.retired.is_none() && is_left(m, now, &o.membership) {
-            o.retired = Some(now);
+impl Members {
+    /// Notes which former memberships nobody can serve on by any more.
+    pub fn retire_former(&mut self, now: Tick) {
+        let mut older = std::mem::take(&mut self.log.older);
+        for former in &mut older {
+            if former.retired.is_none() && self.is_left(now, &former.membership) {
+                former.retired = Some(now);
+            }
         }
+        older.retain(|former| {
+            !former.retired.is_some_and(|at| self.is_over(now, &former.membership, at))
+        });
+        self.log.older = older;
     }
-    older.retain(|o| !o.retired.is_some_and(|at| is_over(m, now, &o.membership, at)));
-    m.log.older = older;
-}
 
-/// Whether a process that a membership names has left it: it goes by a newer
-/// one, or is no more. Either way it attests no more for that one.
-pub fn has_left(m: &Members, membership: &Membership, member: &Member) -> bool {
-    let saw = |far: &MemberProgress| MembershipId { term: far.saw.0, turn: far.saw.1 };
-    let gone = m.gone.get(&member.name).is_some_and(|g| g.incarnation == member.incarnation);
-    gone || m.heard.get(&member.name).is_some_and(|h| {
-        h.spoke && (h.member.incarnation != member.incarnation || saw(&h.far) > membership.id())
-    })
-}
+    /// Whether a process that a membership names has left it: it goes by a newer
+    /// one, or is no more. Either way it attests no more for that one.
+    pub fn has_left(&self, membership: &Membership, member: &Member) -> bool {
+        self.is_gone(member)
+            || self.heard.get(&member.name).is_some_and(|heard| {
+                let is_another = heard.member.incarnation != member.incarnation;
+                heard.spoke && (is_another || heard.far.membership_id() > membership.id())
+            })
+    }
 
-/// Whether so many have left a membership that the others can't serve on by it.
-/// A lone member never does.
-fn is_left(m: &Members, now: Tick, membership: &Membership) -> bool {
-    let list = &membership.members;
-    let left = list.iter().filter(|k| has_left(m, membership, k)).count();
-    left >= quorum::acceptance(list.len()) || (list.len() == 1 && !is_live(m, now, &list[0].name))
-}
+    /// Whether so many have left a membership that the others can't serve on by it.
+    /// A lone member never does.
+    fn is_left(&self, now: Tick, membership: &Membership) -> bool {
+        let list = &membership.members;
+        let left = list.iter().filter(|member| self.has_left(membership, member)).count();
+        left >= quorum::acceptance(list.len())
+            || (list.len() == 1 && !self.is_live(now, &list[0].name))
+    }
 
-/// Whether nobody serves on any more by a membership that was left at `retired`:
-/// the proofs that those who left it may have given before are out of date.
-fn is_over(m: &Members, now: Tick, membership: &Membership, retired: Tick) -> bool {
-    let list = &membership.members;
-    let quiet = |k: &&Member| {
-        has_left(m, membership, k)
-            && m.heard.get(&k.name).is_some_and(|h| ms(h.far.quiet_ms) >= consts::ATTESTATION_QUIET)
-    };
-    since(retired, now) >= consts::ATTESTATION_QUIET
-        || list.iter().filter(quiet).count() >= quorum::acceptance(list.len())
-        || list.len() == 1
-        || list.iter().all(|k| has_left(m, membership, k))
+    /// Whether nobody serves on any more by a membership that was left at `retired`:
+    /// the proofs that those who left it may have given before are out of date.
+    fn is_over(&self, now: Tick, membership: &Membership, retired: Tick) -> bool {
+        let list = &membership.members;
+        let is_quiet = |member: &&Member| {
+            let quiet_ms = self.heard.get(&member.name).map(|heard| heard.far.quiet_ms);
+            self.has_left(membership, member)
+                && quiet_ms.is_some_and(|quiet_ms| ms(quiet_ms) >= consts::ATTESTATION_QUIET)
+        };
+        since(retired, now) >= consts::ATTESTATION_QUIET
+            || list.iter().filter(is_quiet).count() >= quorum::acceptance(list.len())
+            || list.len() == 1
+            || list.iter().all(|member| self.has_left(membership, member))
+    }
 }
--- /dev/null
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -0,0 +1,87 @@
+//! Whom we feed: the connections that subscribed, and how far each was brought.
+
+use crate::command::{Command, ConnectionId};
+use crate::control_plane::controller::ControllerState;
+use crate::control_plane::feed;
+use crate::identifiers::COHORT;
+use crate::protocol::message::{FeedPosition, Message};
+use crate::replication::partition::able;
+use crate::voters::voter_slots;
+
+impl ControllerState {
+    /// Brings every follower up to what is committed, if that has changed. Each is
+    /// sent a thing once; one that lost it says where it stands in its next
+    /// `Subscribe`.
+    pub(super) fn broadcast(&mut self, commands: &mut Vec<Command>) {
+        let membership = self.members.membership.feed_revision();
+        let committed = self.partitions.iter().map(|partition| partition.committed_revision);
+        let heads: Vec<u64> = committed.chain([membership]).collect();
+        if heads == self.pushed {
+            return;
+        }
+        self.pushed = heads;
+        let connections: Vec<ConnectionId> = self.followers.keys().copied().collect();
+        for connection in connections {
+            self.bring_up_to_date(connection, commands);
+        }
+    }
+
+    /// Brings one follower up to what is committed.
+    fn bring_up_to_date(&mut self, connection: ConnectionId, commands: &mut Vec<Command>) {
+        let Some(places) = self.followers.get_mut(&connection) else { return };
+        let membership = &self.members.membership;
+        if let Some(revision) = places.get_mut(&COHORT)
+            && *revision < membership.feed_revision()
+        {
+            *revision = membership.feed_revision();
+            let message = Message::MembershipUpdate(membership.clone());
+            commands.push(Command::ToConnection { connection, message });
+        }
+        for partition in &self.partitions {
+            let revision = places.entry(partition.id).or_insert(0);
+            if let Some(message) = feed::update_after(partition, *revision) {
+                *revision = partition.committed_revision;
+                self.counts.news += 1;
+                commands.push(Command::ToConnection { connection, message });
+            }
+        }
+    }
+
+    /// A follower says where it stands in each partition, under the voter set of this
+    /// stamp.
+    pub(super) fn on_subscribe(
+        &mut self,
+        connection: ConnectionId,
+        places: Vec<FeedPosition>,
+        stamp: u64,
+        commands: &mut Vec<Command>,
+    ) {
+        let wants_membership = places.iter().any(|place| place.partition == COHORT);
+        if !wants_membership && !self.followers.contains_key(&connection) {
+            self.greet(connection, commands);
+        }
+        if stamp != self.seating.stamp {
+            voter_slots::tell(self, connection, commands);
+        }
+        let known = self.followers.entry(connection).or_default();
+        for place in places {
+            known.insert(place.partition, place.revision);
+        }
+        commands.push(Command::ToConnection { connection, message: self.feed_positions() });
+        self.bring_up_to_date(connection, commands);
+    }
+
+    /// How far we have accepted each partition of which we can say so.
+    fn feed_positions(&self) -> Message {
+        let able = self.partitions.iter().filter(|partition| able(partition));
+        let mut places: Vec<FeedPosition> = able
+            .map(|partition| FeedPosition {
+                partition: partition.id,
+                revision: partition.copy.revision,
+            })
+            .collect();
+        let revision = self.members.membership.feed_revision();
+        places.push(FeedPosition { partition: COHORT, revision });
+        Message::FeedPositions { places, stamp: self.seating.stamp }
+    }
+}
--- a/crates/core/src/protocol/membership.rs
+++ b/crates/core/src/protocol/membership.rs
@@ -1,7 +1,7 @@
 //! What follows from a membership alone: its identity, its order among others, and
 //! its place in the feed.
 
-use crate::protocol::message::{Membership, MembershipId};
+use crate::protocol::message::{MemberProgress, Membership, MembershipId};
 
 impl Membership {
     /// The identity of this membership, whatever its settled turn.
@@ -21,3 +21,10 @@
         self.term << 32 | self.turn << 1 | u64::from(is_settled)
     }
 }
+
+impl MemberProgress {
+    /// The identity of the membership that the member goes by.
+    pub fn membership_id(&self) -> MembershipId {
+        MembershipId { term: self.saw.0, turn: self.saw.1 }
+    }
+}
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -26,8 +26,6 @@
 use crate::consts;
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::feed;
-use crate::control_plane::members;
-use crate::control_plane::membership_log;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{HandedOverReplica, Memberships, Message, ReplicaCondition};
 use crate::replication::partition::{AfterWrite, Partition, Role, able};
@@ -273,7 +271,7 @@
     }
     let generation = holding.generation;
     let replicas = core.partitions.iter().filter(|p| able(p)).map(replica_state).collect();
-    let memberships = membership_log::held_here(core);
+    let memberships = core.members.held_memberships();
     let state = Message::Handover { slot, generation, table, replicas, memberships };
     let stage = Stage::Sending { state: Box::new(state), slot, sent_at: None };
     if let Some(leaving) = &mut core.seating.handovers.leaving {
@@ -316,7 +314,7 @@
     if core.slot != slot || !holds || merge(ours, &table).is_some() {
         return;
     }
-    members::inherit(core, memberships);
+    core.members.inherit(memberships);
     for state in replicas {
         if let Some(p) = core.partitions.get_mut(state.partition.0 as usize) {
             install(p, now, state, out);
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -6,7 +6,6 @@
 use crate::command::{Command, ConnectionId};
 use crate::consts;
 use crate::control_plane::controller::ControllerState;
-use crate::control_plane::operation_forwarding;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{Message, ReplicaCondition};
 use crate::random::draw;
@@ -151,7 +150,7 @@
     let moved: Vec<bool> = (0..size)
         .map(|i| old.table.slots.get(i).map(ballot) != s.roll.table.slots.get(i).map(ballot))
         .collect();
-    operation_forwarding::slots_moved(core, &moved);
+    core.retry_requests_to(&moved);
     let s = &mut core.seating;
     for (i, _) in moved.iter().enumerate().filter(|(_, m)| **m) {
         s.quiet[i] = 0;
@@ -163,7 +162,7 @@
     let slot = seat_of(&s.roll.table, s.roll.me).unwrap_or(NOBODY);
     if core.slot != slot {
         let had = std::mem::replace(&mut core.slot, slot);
-        operation_forwarding::hand_all_anew(core);
+        core.retry_all_requests();
         if had != NOBODY {
             // Given to another: what we hold may not count any more, for good.
             if handover::yielded(core, now, out) {
