--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -8,11 +8,11 @@
 use crate::config::{build, read};
 use crate::control_plane::order_memory;
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
+use crate::diagnostic::Diagnostic;
 use crate::protocol::message::{EntryMap, Operation, OperationResult};
 use crate::replication::partition::{OperationOrigin, Partition};
 use crate::replication::pending_operations::PendingAnswer;
 use crate::replication::{heartbeat_rounds, leader, partition, pending_operations};
-use crate::routing_language::diagnostic::Diagnostic;
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -12,16 +12,16 @@
 use grebepath_core::http_api::{caller, list};
 use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
 use grebepath_core::membership::node_agent as wat;
-use grebepath_core::membership::node_agent::Watch;
+use grebepath_core::membership::node_agent::NodeAgent;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::message::{
     LeafReport, Member, Message, Operation, OperationResult, ReplicaCondition,
 };
-use grebepath_core::query::dispatch as dstep;
-use grebepath_core::query::engine;
-use grebepath_core::query::engine::{Door, QueryEngine, Sending, desk};
+use grebepath_core::query::engine::{Door, QueryEngine, desk};
+use grebepath_core::query::event::Sending;
 use grebepath_core::query::request::Outcome;
-use grebepath_core::random::{Random, below, draw, luck};
+use grebepath_core::query::{event, progress, step};
+use grebepath_core::random::Random;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::storage::reader::Found;
 use grebepath_core::storage::record::ReplicaState;
@@ -140,7 +140,7 @@
         q: usize,
         life: u64,
         t: usize,
-        event: engine::Event,
+        event: event::Event,
     },
     DeskWake {
         q: usize,
@@ -244,7 +244,7 @@
     pub zone: String,
     pub life: u64,
     pub up: bool,
-    pub watch: Watch,
+    pub watch: NodeAgent,
     pub desks: Vec<QueryEngine>,
     wakes: Vec<Tick>,
     pub began: Tick,
@@ -376,7 +376,7 @@
         now: BEGIN,
         haps: BTreeMap::new(),
         next: 0,
-        luck: luck(seed),
+        luck: Random::new(seed),
         net: Net::default(),
         seats: Vec::new(),
         core,
@@ -460,7 +460,7 @@
 fn gap(w: &mut World, kind: usize) -> Span {
     // Between half and one and a half of the mean: uneven, but not wild.
     let mean = 1e6 / (w.kinds[kind].per_s * w.factor).max(0.001);
-    (mean * (0.5 + below(&mut w.luck, 1000) as f64 / 1000.0)) as Span
+    (mean * (0.5 + w.luck.below(1000) as f64 / 1000.0)) as Span
 }
 
 /// Plans the troubles of a scenario.
@@ -556,16 +556,16 @@
             step_watch(w, q, wat::Event::Wake);
         }
         ScheduledEvent::ToWatch { q, life, event } if live(w, q, life) => {
-            if matches!(event, wat::Event::List(_)) {
+            if matches!(event, wat::Event::LeafList(_)) {
                 w.queriers[q].polling = false;
             }
             step_watch(w, q, event);
         }
         ScheduledEvent::FromSeat { q, life, holder, message } if live(w, q, life) => {
             let event = match message {
-                Message::VoterSetUpdate { table, .. } => wat::Event::Seats(table),
-                message => match seat_of(&w.queriers[q].watch.table, holder) {
-                    Some(seat) => wat::Event::FromSeat { slot: seat, message },
+                Message::VoterSetUpdate { table, .. } => wat::Event::VoterSet(table),
+                message => match seat_of(&w.queriers[q].watch.voter_set, holder) {
+                    Some(seat) => wat::Event::FromVoter { slot: seat, message },
                     None => return,
                 },
             };
@@ -578,7 +578,7 @@
             if live(w, q, life) && w.queriers[q].wakes[t] == at =>
         {
             w.queriers[q].wakes[t] = 0;
-            step_desk(w, q, t, engine::Event::Wake);
+            step_desk(w, q, t, event::Event::Wake);
         }
         ScheduledEvent::LeafGets { q, life, t, sending } => leaf_gets(w, (q, life, t), *sending),
         ScheduledEvent::LeafDone { run } => leaf_done(w, run),
