--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -37,29 +37,30 @@
     group: VoterGroup,
     commands: &mut Vec<Command>,
 ) {
-    let newest = configuration.copy.revision;
+    let newest = configuration.state.revision;
     let Role::Leader(leader) = &mut configuration.role else { return };
-    if leader.serves {
-        members.commit_times.note(now, leader.done);
+    if leader.is_serving {
+        members.commit_times.note(now, leader.committed);
     }
-    let Some(until) = leader.waits.iter().map(|waiting| waiting.until).min() else {
-        leader.obeyed = 0;
+    let Some(until) = leader.waiting_changes.iter().map(|waiting| waiting.until).min() else {
+        leader.obeyed_up_to = 0;
         return;
     };
-    if now < leader.look_at {
+    if now < leader.acceptance_check_at {
         return;
     }
-    leader.look_at = now + consts::OBEY_LOOK;
-    let mut waited: Vec<u64> = leader.waits.iter().map(|waiting| waiting.revision).collect();
+    leader.acceptance_check_at = now + consts::OBEY_LOOK;
+    let mut waited: Vec<u64> =
+        leader.waiting_changes.iter().map(|waiting| waiting.revision).collect();
     waited.sort_unstable_by(|a, b| b.cmp(a));
     waited.dedup();
     let accepted = waited.into_iter().find(|revision| members.have_accepted(now, *revision));
     // The names are needed only when somebody's patience ends.
     let needs_names = now + consts::OWNER_BEAT >= until;
-    leader.behind = if needs_names { members.lagging_behind(newest) } else { Vec::new() };
+    leader.lagging_members = if needs_names { members.lagging_behind(newest) } else { Vec::new() };
     let accepted = accepted.unwrap_or(0);
-    if leader.obeyed != accepted {
-        leader.obeyed = accepted;
+    if leader.obeyed_up_to != accepted {
+        leader.obeyed_up_to = accepted;
         leader::settle(configuration, now, group, commands);
     }
 }
--- a/crates/core/src/control_plane/disk_events.rs
+++ b/crates/core/src/control_plane/disk_events.rs
@@ -6,7 +6,7 @@
 use crate::control_plane::controller::{ControllerState, SCRUB_INTERVAL};
 use crate::identifiers::PartitionId;
 use crate::protocol::message::ReplicaCondition;
-use crate::replication::partition::{AfterWrite, Partition, able};
+use crate::replication::partition::{AfterWrite, Partition, Sender, able};
 use crate::replication::{catch_up, election, leader, replica};
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
@@ -30,8 +30,8 @@
                 after_write(replica, now, group, after, commands);
             }
         }
-        if replica.writes.is_empty() && replica.sick.is_some() {
-            replica.sick = None;
+        if replica.writes.is_empty() && replica.disk_failure.is_some() {
+            replica.disk_failure = None;
             replica::follow(replica, now, None);
             commands.push(Command::Alarm(format!("part {partition}: the disk works again")));
             self.counts.mended += 1;
@@ -94,7 +94,14 @@
     match after {
         AfterWrite::Send(slot, message) => commands.push(Command::ToVoter { slot, message }),
         AfterWrite::OwnAppendSynced { term, revision } => {
-            leader::append_acked(replica, now, (group, group.slot), term, revision, commands);
+            leader::append_acked(
+                replica,
+                now,
+                Sender { group, slot: group.slot },
+                term,
+                revision,
+                commands,
+            );
         }
         AfterWrite::OwnVoteSynced { term } => {
             election::own_vote_synced(replica, now, group, term, commands);
@@ -106,7 +113,7 @@
 /// Time passes for a replica's disk: one that stepped back tries it again, and one
 /// whose write takes too long steps back.
 pub(super) fn wake_disk(replica: &mut Partition, now: Tick, commands: &mut Vec<Command>) {
-    if replica.sick.is_some() {
+    if replica.disk_failure.is_some() {
         retry_disk(replica, now, commands);
     } else if replica::stalled(replica, now) {
         replica::step_back(replica, now, "the disk stalls".into(), commands);
@@ -115,9 +122,9 @@
 
 /// A replica that stepped back tries its disk again by writing a whole slot.
 fn retry_disk(replica: &mut Partition, now: Tick, commands: &mut Vec<Command>) {
-    let is_voting = replica.life == ReplicaCondition::Voting;
-    if is_voting && replica.writes.is_empty() && now >= replica.mend_at {
-        replica.mend_at = now + consts::DISK_STALL;
+    let is_voting = replica.condition == ReplicaCondition::Voting;
+    if is_voting && replica.writes.is_empty() && now >= replica.disk_retry_at {
+        replica.disk_retry_at = now + consts::DISK_STALL;
         replica::keep_whole(replica, now, Vec::new(), commands);
     }
 }
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -65,14 +65,14 @@
     commands: &mut Vec<Command>,
 ) {
     let incarnation = members.silent_incarnation(now, name);
-    let newest = configuration.copy.revision;
-    let known = entries(&configuration.copy.map).get(name).map(|entry| entry.incarnation);
+    let newest = configuration.state.revision;
+    let known = entries(&configuration.state.entries).get(name).map(|entry| entry.incarnation);
     match incarnation {
         Some(incarnation) if known != Some(incarnation) => {
             let entry = Forgotten { incarnation, revision: newest + 1 };
-            let entries = changes(&configuration.copy.map, name, entry);
+            let entries = changes(&configuration.state.entries, name, entry);
             leader::change(configuration, now, group, entries, commands);
-            let revision = configuration.copy.revision;
+            let revision = configuration.state.revision;
             leader::wait(configuration, now, origin, revision, false);
             leader::settle(configuration, now, group, commands);
         }
@@ -105,7 +105,7 @@
             .and_then(|value| read_entry(value))
             .is_some_and(|entry| entry.incarnation == member.incarnation)
     };
-    let is_newest = names(&configuration.copy.map);
+    let is_newest = names(&configuration.state.entries);
     let is_committed = names(&configuration.committed);
     if is_newest {
         leader::change(configuration, now, group, vec![(key, None)], commands);
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -117,8 +117,8 @@
                 }
                 _ => {}
             },
-            Role::Follower { leader: Some((slot, _)), .. } if source == ReportSource::Member => {
-                commands.push(Command::ToVoter { slot, message });
+            Role::Follower { leader: Some(leader), .. } if source == ReportSource::Member => {
+                commands.push(Command::ToVoter { slot: leader.slot, message });
             }
             _ => {}
         }
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -9,13 +9,15 @@
 use crate::control_plane::membership_updates::MembershipSource;
 use crate::control_plane::operations::Request;
 use crate::control_plane::pending_requests::AttemptId;
-use crate::identifiers::{PartitionId, VoterSlot};
+use crate::identifiers::{PartitionId, Position, VoterSlot};
 use crate::protocol::message::{Memberships, Message};
-use crate::replication::partition::{OperationOrigin, Partition, ReplicaStatus, Role, able};
+use crate::replication::partition::{
+    OperationOrigin, Partition, ReplicaStatus, Role, Sender, able,
+};
 use crate::replication::{catch_up, election, leader, replica};
-use crate::storage::record::LogRecord;
+use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::Tick;
-use crate::voter_set::{NOBODY, VoterGroup};
+use crate::voter_set::NOBODY;
 use crate::voters::voter_slots;
 use crate::voters::voter_slots::here;
 
@@ -80,11 +82,11 @@
         message: Message,
         commands: &mut Vec<Command>,
     ) {
-        let group = here(self);
+        let sender = Sender { group: here(self), slot: from };
         let Some(partition) = self.partitions.get_mut(id.0 as usize) else { return };
         let led_before = matches!(partition.role, Role::Leader(_));
         self.counts.swept += u64::from(matches!(message, Message::SnapshotRequest { .. }));
-        on_replica_message(partition, now, group, from, message, commands);
+        on_replica_message(partition, now, sender, message, commands);
         let leads = matches!(partition.role, Role::Leader(_));
         self.counts.owned += u64::from(!led_before && leads);
         self.counts.resigned += u64::from(led_before && !leads);
@@ -178,42 +180,33 @@
 fn on_replica_message(
     partition: &mut Partition,
     now: Tick,
-    group: VoterGroup,
-    from: VoterSlot,
+    sender: Sender,
     message: Message,
     commands: &mut Vec<Command>,
 ) {
+    let from = sender.slot;
     match message {
         Message::StatusRequest { nonce, .. } => catch_up::stand(partition, from, nonce, commands),
-        Message::ReplicaStatus { nonce, life, promised, term, revision, .. } => {
-            let s = ReplicaStatus { life, promised, term, revision };
-            catch_up::stood(partition, now, (group, from), nonce, s, commands);
+        Message::ReplicaStatus {
+            nonce, condition, current_term, written_term, revision, ..
+        } => {
+            let status = ReplicaStatus { condition, current_term, written_term, revision };
+            catch_up::stood(partition, now, sender, nonce, status, commands);
         }
         Message::FetchReplica { nonce, .. } => catch_up::give(partition, from, nonce, commands),
-        Message::ReplicaFetched { nonce, promised, term, revision, map, .. } if able(partition) => {
-            let _ = promised;
-            election::fetched(
-                partition,
-                now,
-                (group, from),
-                nonce,
-                (term, revision),
-                map,
-                commands,
-            );
+        Message::ReplicaFetched { nonce, written_term: term, revision, entries, .. }
+            if able(partition) =>
+        {
+            let position = Position { term, revision };
+            election::fetched(partition, now, sender, nonce, position, entries, commands);
         }
-        Message::ReplicaFetched { nonce, promised, term, revision, map, .. } => {
-            catch_up::fetched(
-                partition,
-                now,
-                from,
-                nonce,
-                (promised, (term, revision)),
-                map,
-                commands,
-            );
+        Message::ReplicaFetched {
+            nonce, current_term, written_term, revision, entries, ..
+        } => {
+            let theirs = ReplicaState { current_term, written_term, revision, entries };
+            catch_up::fetched(partition, now, from, nonce, theirs, commands);
         }
-        message => on_election_message(partition, now, group, from, message, commands),
+        message => on_election_message(partition, now, sender, message, commands),
     }
 }
 
@@ -221,43 +214,31 @@
 fn on_election_message(
     partition: &mut Partition,
     now: Tick,
-    group: VoterGroup,
-    from: VoterSlot,
+    sender: Sender,
     message: Message,
     commands: &mut Vec<Command>,
 ) {
+    let Sender { group, slot: from } = sender;
     match message {
         Message::PreVoteRequest { term, .. } => {
             replica::pre_vote(partition, now, from, term, commands)
         }
-        Message::PreVoteResponse { term, yes, promised, .. } => {
-            election::pre_vote_answered(
-                partition,
-                now,
-                (group, from),
-                term,
-                (yes, promised),
-                commands,
-            );
+        Message::PreVoteResponse { term, granted, current_term, .. } => {
+            let vote = (granted, current_term);
+            election::pre_vote_answered(partition, now, sender, term, vote, commands);
         }
         Message::VoteRequest { term, .. } => replica::vote(partition, now, from, term, commands),
-        Message::VoteGranted { term, at_term, revision, .. } => {
-            election::vote_granted(
-                partition,
-                now,
-                (group, from),
-                term,
-                (at_term, revision),
-                commands,
-            );
+        Message::VoteGranted { term, written_term, revision, .. } => {
+            let position = Position { term: written_term, revision };
+            election::vote_granted(partition, now, sender, term, position, commands);
         }
         Message::LeadershipTransfer { term, .. } => {
             election::transferred(partition, now, group, from, term, commands);
         }
-        Message::VoteRejected { term, promised, .. } => {
-            election::vote_rejected(partition, now, group, term, promised, commands);
+        Message::VoteRejected { term, current_term, .. } => {
+            election::vote_rejected(partition, now, group, term, current_term, commands);
         }
-        message => on_log_message(partition, now, group, from, message, commands),
+        message => on_log_message(partition, now, sender, message, commands),
     }
 }
 
@@ -265,40 +246,43 @@
 fn on_log_message(
     partition: &mut Partition,
     now: Tick,
-    group: VoterGroup,
-    from: VoterSlot,
+    sender: Sender,
     message: Message,
     commands: &mut Vec<Command>,
 ) {
+    let from = sender.slot;
     match message {
-        Message::Snapshot { term, revision, map, .. } => {
-            replica::snapshot(partition, now, from, (term, revision), map, commands);
+        Message::Snapshot { term, revision, entries, .. } => {
+            let position = Position { term, revision };
+            replica::snapshot(partition, now, from, position, entries, commands);
         }
         Message::Append { term, revision, entries, .. } => {
-            replica::append(
-                partition,
-                now,
-                from,
-                LogRecord::Change { term, revision, entries },
-                commands,
-            );
+            let record = LogRecord::Change { term, revision, entries };
+            replica::append(partition, now, from, record, commands);
         }
         Message::AppendAck { term, revision, .. } => {
-            leader::append_acked(partition, now, (group, from), term, revision, commands)
+            leader::append_acked(partition, now, sender, term, revision, commands)
         }
         Message::SnapshotRequest { term, .. } => {
             leader::snapshot_requested(partition, now, from, term, commands);
         }
-        Message::Heartbeat { term, round, done, sum, .. } => {
-            replica::heartbeat(partition, now, from, (term, round), (done, sum), commands);
+        Message::Heartbeat { term, round, committed, checksum, .. } => {
+            replica::heartbeat(
+                partition,
+                now,
+                from,
+                (term, round),
+                (committed, checksum),
+                commands,
+            );
         }
-        Message::HeartbeatAck { term, round, revision, kept, .. } => {
+        Message::HeartbeatAck { term, round, revision, synced, .. } => {
             leader::heartbeat_acked(
                 partition,
                 now,
-                (group, from),
+                sender,
                 (term, round),
-                (revision, kept),
+                (revision, synced),
                 commands,
             );
         }
--- a/crates/core/src/control_plane/leases.rs
+++ b/crates/core/src/control_plane/leases.rs
@@ -5,7 +5,7 @@
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::forgotten_members;
 use crate::control_plane::membership_log::Voters;
-use crate::identifiers::VoterSlot;
+use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Member, MemberProgress, Message};
 use crate::replication::leader;
 use crate::replication::partition::Role;
@@ -33,9 +33,9 @@
 
 impl ControllerState {
     /// The term under which we keep the leases, if we do.
-    pub(super) fn lease_term(&self) -> Option<u64> {
+    pub(super) fn lease_term(&self) -> Option<Term> {
         match &self.partitions[0].role {
-            Role::Leader(leader) if leader.serves => Some(leader.term),
+            Role::Leader(leader) if leader.is_serving => Some(leader.term),
             _ => None,
         }
     }
@@ -89,11 +89,11 @@
         commands: &mut Vec<Command>,
     ) {
         if matches!(source, RenewalSource::Member(_))
-            && let Role::Follower { leader: Some((slot, _)), .. } = self.partitions[0].role
+            && let Role::Follower { leader: Some(leader), .. } = self.partitions[0].role
         {
             let LeaseRenewal { member, count, progress: far } = renewal;
             let message = Message::RenewLease { member, count, far };
-            commands.push(Command::ToVoter { slot, message });
+            commands.push(Command::ToVoter { slot: leader.slot, message });
         }
     }
 
@@ -109,7 +109,7 @@
     fn grant_lease(
         &mut self,
         now: Tick,
-        term: u64,
+        term: Term,
         source: RenewalSource,
         renewal: LeaseRenewal,
         commands: &mut Vec<Command>,
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -8,6 +8,7 @@
 use crate::consts;
 use crate::control_plane::commit_times::CommitTimes;
 use crate::control_plane::membership_log::MembershipLog;
+use crate::identifiers::Term;
 use crate::protocol::message::{Member, MemberProgress, Membership, MembershipId, Memberships};
 use crate::time::{MILLI, Tick, since};
 
@@ -27,7 +28,7 @@
     /// Members that stopped in order, or that an operator declared down for good.
     pub gone: IndexMap<String, Gone>,
     /// Term for which `heard` was begun, and when.
-    pub reign: Option<(u64, Tick)>,
+    pub reign: Option<(Term, Tick)>,
     /// No membership was handed down to us, and a lease has not passed since we
     /// began: there may be members that we have not heard yet.
     pub blind: bool,
@@ -64,12 +65,12 @@
 
 impl Members {
     /// Whether we keep the leases under this term.
-    pub fn is_leading_in(&self, term: u64) -> bool {
+    pub fn is_leading_in(&self, term: Term) -> bool {
         self.reign.is_some_and(|(ours, _)| ours == term)
     }
 
     /// Empties what was kept under a former term.
-    pub(super) fn reset_for_term(&mut self, now: Tick, term: u64) {
+    pub(super) fn reset_for_term(&mut self, now: Tick, term: Term) {
         self.reign = Some((term, now));
         // Whom operators forgot is noted anew under each term.
         self.forgotten_at = 0;
@@ -94,10 +95,10 @@
     /// Whether a member goes by a membership that it should tell us of, since we
     /// have never heard of it.
     pub fn asks_for_membership(&mut self, now: Tick, progress: &MemberProgress) -> bool {
-        let id = progress.membership_id();
+        let id = progress.saw;
         let may_count = self.blind || id > self.membership.id();
         let is_due = self.asked_at == 0 || since(self.asked_at, now) >= consts::OBEY_LOOK;
-        let asks = id.term > 0 && may_count && is_due && !self.knows(id);
+        let asks = id.term > Term::ZERO && may_count && is_due && !self.knows(id);
         if asks {
             self.asked_at = now;
         }
@@ -154,7 +155,7 @@
 
     /// Takes over what a voter knew whose slot we take, unless we know a membership.
     pub fn inherit(&mut self, memberships: Memberships) {
-        if self.membership.term == 0 && self.log.older.is_empty() {
+        if self.membership.term == Term::ZERO && self.log.older.is_empty() {
             self.membership = memberships.current;
             self.log.inherit(memberships.others);
         }
--- a/crates/core/src/control_plane/membership_issue.rs
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -3,6 +3,7 @@
 
 use crate::control_plane::members::{Heard, Members};
 use crate::control_plane::membership_log::{FormerMembership, MEMBERSHIPS_KEPT};
+use crate::identifiers::Term;
 use crate::protocol::message::{Member, Membership};
 use crate::time::{Span, Tick, ms, since};
 use crate::{consts, quorum};
@@ -25,14 +26,14 @@
     pub fn is_gathering(&mut self, now: Tick) -> bool {
         let Some((_, began)) = self.reign else { return true };
         let age = since(began, now);
-        self.blind |= self.membership.term == 0;
+        self.blind |= self.membership.term == Term::ZERO;
         self.blind &= age < TENURE_GRACE;
         self.blind && age < TENURE_GATHER
     }
 
     /// Issues a new membership if there is anything new, once the one before is in
     /// nobody's way.
-    pub fn issue(&mut self, now: Tick, term: u64, revision: u64) {
+    pub fn issue(&mut self, now: Tick, term: Term, revision: u64) {
         let log = &self.log;
         // One newer than the current one was inherited from a leader that may have told
         // it to some: they leave it only for a newer one.
@@ -105,9 +106,8 @@
     /// by a former one; tells whether it did.
     pub fn settle_if_seen(&mut self) -> bool {
         let id = self.membership.id();
-        let has_seen = |member: &Member| {
-            self.heard.get(&member.name).is_some_and(|heard| heard.far.membership_id() >= id)
-        };
+        let has_seen =
+            |member: &Member| self.heard.get(&member.name).is_some_and(|heard| heard.far.saw >= id);
         let is_ready = !self.blind && self.log.proposed.is_none() && self.log.older.is_empty();
         if is_ready
             && self.membership.settled < self.membership.turn
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -4,7 +4,7 @@
 //! Voters keep this in memory only; what a fleet loses with it is told in
 //! `docs/limits.md`.
 
-use crate::identifiers::VoterSlot;
+use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Membership, MembershipId, Memberships};
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
@@ -30,7 +30,7 @@
     /// Former ones that some member may still go by.
     pub older: Vec<FormerMembership>,
     /// The highest term under which a leader spoke to us; lower ones are refused.
-    pub(super) term: u64,
+    pub(super) term: Term,
     pub(super) leading: LeaderLog,
 }
 
@@ -102,7 +102,7 @@
     }
 
     /// A new term of ours begins: what the other voters hold is to be asked.
-    pub(super) fn begin_term(&mut self, term: u64, voters: Voters, own: Memberships) {
+    pub(super) fn begin_term(&mut self, term: Term, voters: Voters, own: Memberships) {
         self.term = self.term.max(term);
         self.leading = LeaderLog::new(voters, own);
     }
--- a/crates/core/src/control_plane/membership_replication.rs
+++ b/crates/core/src/control_plane/membership_replication.rs
@@ -12,7 +12,7 @@
 use crate::control_plane::membership_log::{
     FormerMembership, MEMBERSHIPS_KEPT, MembershipVersion, Voters,
 };
-use crate::identifiers::VoterSlot;
+use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Membership, MembershipId, Memberships, Message};
 use crate::time::{Tick, since};
 use crate::voter_set::{VoterGroup, majority, others};
@@ -20,7 +20,7 @@
 /// A membership that a leader replicates to us.
 pub struct ReplicatedMembership {
     /// Term of the leader.
-    pub term: u64,
+    pub term: Term,
     /// The newest membership.
     pub current: Membership,
     /// A majority holds it.
@@ -40,7 +40,7 @@
 impl Members {
     /// Begins to keep leases under a new term: who was a member stays one for
     /// a lease, since we may not have heard it yet.
-    pub fn begin_term(&mut self, now: Tick, term: u64, voters: Voters) {
+    pub fn begin_term(&mut self, now: Tick, term: Term, voters: Voters) {
         if self.is_leading_in(term) {
             return;
         }
@@ -59,7 +59,7 @@
     pub fn inherit_from_voters(
         &mut self,
         now: Tick,
-        term: u64,
+        term: Term,
         voters: Voters,
         commands: &mut Vec<Command>,
     ) -> bool {
@@ -111,7 +111,7 @@
     pub fn replicate(
         &mut self,
         now: Tick,
-        term: u64,
+        term: Term,
         group: VoterGroup,
         commands: &mut Vec<Command>,
     ) -> bool {
@@ -146,7 +146,7 @@
     fn send_newest(
         &mut self,
         now: Tick,
-        term: u64,
+        term: Term,
         group: VoterGroup,
         commands: &mut Vec<Command>,
     ) {
@@ -162,7 +162,7 @@
         let lacking: Vec<VoterSlot> = others(group)
             .filter(|slot| leading.acknowledged[usize::from(*slot)] != Some(version))
             .collect();
-        if !is_due || lacking.is_empty() || current.term == 0 {
+        if !is_due || lacking.is_empty() || current.term == Term::ZERO {
             return;
         }
         leading.sent = Some((version, now));
@@ -177,14 +177,14 @@
 
     /// Whether a leader of this term has been followed by another, as far as we
     /// obeyed (`obeyed_term`) or were spoken to.
-    fn is_superseded(&self, term: u64, obeyed_term: u64) -> bool {
+    fn is_superseded(&self, term: Term, obeyed_term: Term) -> bool {
         term < self.log.term || term < obeyed_term
     }
 
     /// A leader replicates a membership to us; `None` if it leads no more.
     pub fn take_replicated(
         &mut self,
-        obeyed_term: u64,
+        obeyed_term: Term,
         replicated: ReplicatedMembership,
     ) -> Option<TakenMembership> {
         let ReplicatedMembership { term, current, confirmed, older } = replicated;
@@ -211,14 +211,14 @@
     }
 
     /// A voter holds what we sent under this term.
-    pub fn on_replicated(&mut self, from: VoterSlot, term: u64, version: MembershipVersion) {
+    pub fn on_replicated(&mut self, from: VoterSlot, term: Term, version: MembershipVersion) {
         if self.is_leading_in(term) {
             self.log.note_acknowledged(from, version);
         }
     }
 
     /// A new leader asks which memberships we hold; `None` if it leads no more.
-    pub fn answer_fetch(&mut self, obeyed_term: u64, term: u64) -> Option<Message> {
+    pub fn answer_fetch(&mut self, obeyed_term: Term, term: Term) -> Option<Message> {
         if self.is_superseded(term, obeyed_term) {
             return None;
         }
@@ -228,7 +228,7 @@
     }
 
     /// A voter told which memberships it holds.
-    pub fn on_fetched(&mut self, from: VoterSlot, term: u64, held: Memberships) {
+    pub fn on_fetched(&mut self, from: VoterSlot, term: Term, held: Memberships) {
         if self.is_leading_in(term) {
             self.log.note_fetched(from, held);
         }
--- a/crates/core/src/control_plane/membership_updates.rs
+++ b/crates/core/src/control_plane/membership_updates.rs
@@ -4,7 +4,7 @@
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::membership_replication::ReplicatedMembership;
-use crate::identifiers::{COHORT, VoterSlot};
+use crate::identifiers::{COHORT, Term, VoterSlot};
 use crate::protocol::message::{Membership, Message, OperationResult};
 use crate::replication::leader;
 use crate::replication::partition::Role;
@@ -70,7 +70,7 @@
 
     /// Sends the state to a follower that just said where it stands.
     pub(super) fn greet(&self, connection: ConnectionId, commands: &mut Vec<Command>) {
-        if self.members.membership.term > 0 {
+        if self.members.membership.term > Term::ZERO {
             commands.push(self.membership_for(connection));
         }
     }
@@ -86,11 +86,9 @@
     ) {
         match self.partitions[0].role {
             Role::Leader(_) => self.members.learn_of(now, membership),
-            Role::Follower { leader: Some((slot, _)), .. }
-                if source == MembershipSource::Member =>
-            {
+            Role::Follower { leader: Some(leader), .. } if source == MembershipSource::Member => {
                 let message = Message::MembershipUpdate(membership);
-                commands.push(Command::ToVoter { slot, message });
+                commands.push(Command::ToVoter { slot: leader.slot, message });
             }
             _ => {}
         }
@@ -103,7 +101,7 @@
         replicated: ReplicatedMembership,
         commands: &mut Vec<Command>,
     ) {
-        let obeyed_term = self.partitions[0].copy.promised;
+        let obeyed_term = self.partitions[0].state.current_term;
         let Some(taken) = self.members.take_replicated(obeyed_term, replicated) else { return };
         if taken.is_news {
             self.notify_members(commands);
@@ -115,10 +113,10 @@
     pub(super) fn on_fetch_membership(
         &mut self,
         from: VoterSlot,
-        term: u64,
+        term: Term,
         commands: &mut Vec<Command>,
     ) {
-        let obeyed_term = self.partitions[0].copy.promised;
+        let obeyed_term = self.partitions[0].state.current_term;
         if let Some(message) = self.members.answer_fetch(obeyed_term, term) {
             commands.push(Command::ToVoter { slot: from, message });
         }
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -17,7 +17,7 @@
 use crate::control_plane::pending_requests::{
     ANY_TERM, AttemptId, ForwardedOperation, Forwarding, PendingRequest,
 };
-use crate::identifiers::VoterSlot;
+use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Message, Operation, OperationResult};
 use crate::replication::leader;
 use crate::replication::partition::{OperationOrigin, Role};
@@ -64,11 +64,11 @@
     /// The leader of the configuration as we know it, ourselves if we serve.
     fn known_leader(&self) -> Option<Forwarding> {
         match &self.partitions[0].role {
-            Role::Leader(leader) if leader.serves => {
+            Role::Leader(leader) if leader.is_serving => {
                 Some(Forwarding { slot: self.slot, term: leader.term })
             }
-            Role::Follower { leader: Some((slot, term)), .. } => {
-                Some(Forwarding { slot: *slot, term: *term })
+            Role::Follower { leader: Some(leader), .. } => {
+                Some(Forwarding { slot: leader.slot, term: leader.term })
             }
             _ => None,
         }
@@ -159,7 +159,7 @@
         &mut self,
         now: Tick,
         origin: OperationOrigin,
-        term: u64,
+        term: Term,
         request: Request,
         commands: &mut Vec<Command>,
     ) {
--- a/crates/core/src/control_plane/pending_requests.rs
+++ b/crates/core/src/control_plane/pending_requests.rs
@@ -3,12 +3,12 @@
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::operations::Request;
-use crate::identifiers::VoterSlot;
+use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Message, Operation, OperationResult};
 use crate::time::Tick;
 
 /// Term of an attempt that is meant for no certain leader: the receiver finds one.
-pub const ANY_TERM: u64 = 0;
+pub const ANY_TERM: Term = Term::ZERO;
 
 /// An operator's request in hand at the controller it came to.
 pub struct PendingRequest {
@@ -38,7 +38,7 @@
     /// The voter that is to carry it out, or to find the one that does.
     pub slot: VoterSlot,
     /// The term of the leader that it is meant for; [`ANY_TERM`] for any.
-    pub term: u64,
+    pub term: Term,
 }
 
 /// Where a request came from that another controller forwarded to us.
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -30,7 +30,7 @@
         self.is_gone(member)
             || self.heard.get(&member.name).is_some_and(|heard| {
                 let is_another = heard.member.incarnation != member.incarnation;
-                heard.spoke && (is_another || heard.far.membership_id() > membership.id())
+                heard.spoke && (is_another || heard.far.saw > membership.id())
             })
     }
 
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -84,9 +84,9 @@
 
     /// An operator vouches that lost replicas are lost for good.
     fn force_recovery(&mut self, commands: &mut Vec<Command>) {
-        let lost = |life: ReplicaCondition| life != ReplicaCondition::Voting;
-        for partition in self.partitions.iter_mut().filter(|partition| lost(partition.life)) {
-            partition.relearn.vouched = true;
+        let lost = |condition: ReplicaCondition| condition != ReplicaCondition::Voting;
+        for partition in self.partitions.iter_mut().filter(|partition| lost(partition.condition)) {
+            partition.catch_up.is_forced = true;
             let text = format!("part {}: an operator vouches for what is left", partition.id);
             commands.push(Command::Alarm(text));
         }
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -77,7 +77,7 @@
         let mut places: Vec<FeedPosition> = able
             .map(|partition| FeedPosition {
                 partition: partition.id,
-                revision: partition.copy.revision,
+                revision: partition.state.revision,
             })
             .collect();
         let revision = self.members.membership.feed_revision();
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -70,7 +70,7 @@
             return;
         }
     };
-    let fence = (w.membership.term, w.membership.turn);
+    let fence = w.membership.id();
     for partition in ours(w) {
         let known = w.partitions.get(&partition).map(|h| leafs_in(&h.entries)).unwrap_or_default();
         let mine: Vec<LeafInfo> =
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -8,6 +8,7 @@
 //! all in a few rounds, and counts them exactly (`crate::quorum`).
 
 use crate::consts;
+use crate::identifiers::Term;
 use crate::membership::node_agent::NodeAgent;
 use crate::membership::status::core_age;
 use crate::protocol::message::{Attestation, MembershipId, NO_PROOF};
@@ -66,7 +67,7 @@
 /// What we attest now, if anything. Whoever has the core's word attests nothing:
 /// its membership lives on without those who lack it.
 pub fn attest(watch: &mut NodeAgent, now: Tick) -> Option<Attestation> {
-    if !is_restless(watch, now) || watch.membership.term == 0 {
+    if !is_restless(watch, now) || watch.membership.term == Term::ZERO {
         return None;
     }
     watch.proofs.attested = now;
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -61,7 +61,7 @@
     }
     let far = MemberProgress {
         obeys: w.view.as_ref().map_or(0, |v| v.revision),
-        saw: (w.membership.term, w.membership.turn),
+        saw: w.membership.id(),
         knows: w.known_revision,
         quiet_ms: attestation::quiet_ms(w, now),
         ready: w.ready,
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -1,7 +1,7 @@
 //! `step` of a querier's control thread.
 
 use crate::consts;
-use crate::identifiers::CONFIG;
+use crate::identifiers::{CONFIG, Term};
 use crate::membership::neighbour_ring::ring;
 use crate::membership::node_agent::{Command, Event, NodeAgent, learn, places};
 use crate::membership::{assignments, attestation, feed, status, updates};
@@ -36,7 +36,7 @@
                     if incarnation == w.member.incarnation {
                         status::granted(w, Some(slot), count, revision);
                     }
-                    if tell_membership && w.membership.term > 0 {
+                    if tell_membership && w.membership.term > Term::ZERO {
                         out.push(Command::ToVoter {
                             slot,
                             message: Message::MembershipUpdate(w.membership.clone()),
--- a/crates/core/src/protocol/membership.rs
+++ b/crates/core/src/protocol/membership.rs
@@ -1,7 +1,8 @@
 //! What follows from a membership alone: its identity, its order among others, and
 //! its place in the feed.
 
-use crate::protocol::message::{MemberProgress, Membership, MembershipId};
+use crate::identifiers::Term;
+use crate::protocol::message::{Membership, MembershipId};
 
 impl Membership {
     /// The identity of this membership, whatever its settled turn.
@@ -17,14 +18,7 @@
     /// This state as one number that only rises, which serves as its revision in the
     /// feed: within a turn it is sent once before all have seen it and once after.
     pub fn feed_revision(&self) -> u64 {
-        let is_settled = self.term > 0 && self.settled == self.turn;
-        self.term << 32 | self.turn << 1 | u64::from(is_settled)
-    }
-}
-
-impl MemberProgress {
-    /// The identity of the membership that the member goes by.
-    pub fn membership_id(&self) -> MembershipId {
-        MembershipId { term: self.saw.0, turn: self.saw.1 }
+        let is_settled = self.term > Term::ZERO && self.settled == self.turn;
+        self.term.as_u64() << 32 | self.turn << 1 | u64::from(is_settled)
     }
 }
