--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -64,7 +64,7 @@
             voter_slots::tell_again(self, now, slot, connection, commands);
             return false;
         }
-        self.seating.quiet[usize::from(slot)] = 0;
+        self.seating.silence[usize::from(slot)] = 0;
         let ours = self.seating.stamp;
         let has_same_set = voter_slots::stamp_of(message).is_none_or(|stamp| stamp == ours);
         if !has_same_set {
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -177,7 +177,7 @@
 /// the last one that was asked, if there are several.
 fn offer(core: &mut ControllerState, now: Tick, last: Option<u64>, out: &mut Vec<Command>) {
     let slot = core.slot;
-    let table = &core.seating.roll.table;
+    let table = &core.seating.voter_file.table;
     let next = table.slots.get(usize::from(slot)).and_then(|h| after_handover(h.generation));
     let handovers = &core.seating.handovers;
     let fits = |(holder, a): &(&u64, &Applicant)| {
@@ -217,14 +217,14 @@
         .reserved
         .as_ref()
         .is_some_and(|r| now < r.until && (r.slot, r.generation) != (slot, generation));
-    let free = core.slot == NOBODY && s.roll.me != 0 && s.next.is_none();
+    let free = core.slot == NOBODY && s.voter_file.me != 0 && s.pending_write.is_none();
     if !free || claims || waits || s.handovers.leaving.is_some() {
         return;
     }
     let until = now + consts::HANDOVER_PATIENCE;
     s.handovers.reserved = Some(Reservation { slot, generation, until });
     s.offers.fill(None);
-    let (holder, addr, zone) = (s.roll.me, s.addr.clone(), s.zone.clone());
+    let (holder, addr, zone) = (s.voter_file.me, s.addr.clone(), s.zone.clone());
     let holding = SlotHolder { generation, holder, addr, zone };
     out.push(Command::Broadcast { message: Message::HandoverAccept { slot, holding } });
 }
@@ -243,7 +243,7 @@
     // After a pause of ours the spare may wait for us no more.
     let fresh = since(asked_at, now) < 2 * consts::HANDOVER_RETRY;
     let seated = table.slots.iter().any(|h| h.holder == holder);
-    let ours = core.slot == slot && core.seating.next.is_none() && fresh && !seated;
+    let ours = core.slot == slot && core.seating.pending_write.is_none() && fresh && !seated;
     let next = table.slots.get(usize::from(slot)).and_then(|h| after_handover(h.generation));
     if !ours || holder != holding.holder || next != Some(holding.generation) {
         return;
@@ -264,7 +264,7 @@
     else {
         return false;
     };
-    let table = core.seating.roll.table.clone();
+    let table = core.seating.voter_file.table.clone();
     let holding = &table.slots[usize::from(slot)];
     if holding.holder != successor {
         return false;
@@ -316,7 +316,7 @@
 ) {
     let Received { slot, generation, table, replicas, memberships } = received;
     voter_slots::learn(core, now, &table, out);
-    let ours = &core.seating.roll.table;
+    let ours = &core.seating.voter_file.table;
     let holds = ours.slots.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
     if core.slot != slot || !holds || merge(ours, &table).is_some() {
         return;
@@ -352,7 +352,7 @@
 
 /// The successor votes: nothing keeps us any longer.
 pub fn done(core: &mut ControllerState, slot: VoterSlot, generation: u32) {
-    let table = &core.seating.roll.table;
+    let table = &core.seating.voter_file.table;
     let same = table.slots.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
     let leaving = core.seating.handovers.leaving.as_ref();
     let sending = leaving
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -24,11 +24,11 @@
 /// Time passes for a controller that has no seat.
 pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     let s = &mut core.seating;
-    if now < s.apply_at || s.roll.me == 0 || s.handovers.leaving.is_some() {
+    if now < s.join_request_at || s.voter_file.me == 0 || s.handovers.leaving.is_some() {
         return;
     }
-    s.apply_at = now + consts::APPLY_BEAT;
-    let (holder, addr, zone) = (s.roll.me, s.addr.clone(), s.zone.clone());
+    s.join_request_at = now + consts::APPLY_BEAT;
+    let (holder, addr, zone) = (s.voter_file.me, s.addr.clone(), s.zone.clone());
     let stamp = s.stamp;
     out.push(Command::Broadcast { message: Message::JoinRequest { holder, addr, zone, stamp } });
 }
@@ -56,9 +56,9 @@
     }
     let fits = balanced(table, k, zone);
     if h.holder == 0 {
-        return fits || since(s.began, now) >= consts::SEAT_BALANCE;
+        return fits || since(s.started_at, now) >= consts::SEAT_BALANCE;
     }
-    fits && s.quiet.get(usize::from(k)).is_some_and(|q| *q >= consts::SEAT_SILENCE)
+    fits && s.silence.get(usize::from(k)).is_some_and(|q| *q >= consts::SEAT_SILENCE)
 }
 
 /// A controller without a seat asks what we would give it.
@@ -81,7 +81,7 @@
         // What we would give is ours alone, and is offered by `handover`.
         return;
     }
-    let size = core.seating.roll.table.slots.len() as VoterSlot;
+    let size = core.seating.voter_file.table.slots.len() as VoterSlot;
     let free = (0..size).filter(|k| gives(core, now, *k, (holder, addr, zone))).collect();
     let (slot, stamp) = (core.slot, core.seating.stamp);
     out.push(Command::ToConnection {
@@ -100,10 +100,10 @@
 ) {
     let is_reserved = handover::is_reserved(core, now);
     let s = &mut core.seating;
-    if let Some(quiet) = s.quiet.get_mut(usize::from(slot)) {
+    if let Some(quiet) = s.silence.get_mut(usize::from(slot)) {
         *quiet = 0;
     }
-    if core.slot != NOBODY || stamp != s.stamp || s.next.is_some() || is_reserved {
+    if core.slot != NOBODY || stamp != s.stamp || s.pending_write.is_some() || is_reserved {
         return;
     }
     let Some(cell) = s.offers.get_mut(usize::from(slot)) else { return };
@@ -115,13 +115,15 @@
             .filter(|o| since(o.at, now) < 2 * consts::APPLY_BEAT && o.free.contains(&k))
             .count()
     };
-    let ours = |k: &VoterSlot| s.roll.table.slots[usize::from(*k)].addr == s.addr;
+    let ours = |k: &VoterSlot| s.voter_file.table.slots[usize::from(*k)].addr == s.addr;
     let open = (0..size as VoterSlot).filter(|k| yes(*k) >= majority(size));
     // Our own from before first; else applicants spread over what is free.
-    let Some(k) = open.max_by_key(|k| (ours(k), pair(s.roll.me, u64::from(*k)))) else { return };
-    let generation = after_takeover(s.roll.table.slots[usize::from(k)].generation);
+    let Some(k) = open.max_by_key(|k| (ours(k), pair(s.voter_file.me, u64::from(*k)))) else {
+        return;
+    };
+    let generation = after_takeover(s.voter_file.table.slots[usize::from(k)].generation);
     let (addr, zone) = (s.addr.clone(), s.zone.clone());
-    let holding = SlotHolder { generation, holder: s.roll.me, addr, zone };
+    let holding = SlotHolder { generation, holder: s.voter_file.me, addr, zone };
     s.offers = vec![None; size];
     s.handovers.claimed_at = Some(now);
     out.push(Command::Broadcast { message: Message::SlotTakeover { slot: k, holding } });
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -23,39 +23,39 @@
 /// Invariants: `roll` is on disk; what is told, counted or done rests on it
 /// alone; `next` follows it and is on its way to the disk.
 pub struct VoterSlots {
-    pub roll: VoterFile,
+    pub voter_file: VoterFile,
     pub stamp: u64,
     /// Where others reach us, and our zone.
     pub addr: String,
     pub zone: String,
-    pub next: Option<Next>,
-    pub token: u64,
-    pub began: Tick,
-    pub woke: Tick,
+    pub pending_write: Option<PendingVoterFile>,
+    pub last_token: u64,
+    pub started_at: Tick,
+    pub woken_at: Tick,
     /// For how long each seat's holder was not heard, while we were awake: a
     /// process that was paused must not take its pause for others' silence.
-    pub quiet: Vec<Span>,
+    pub silence: Vec<Span>,
     /// When we last sent something to each seat, and told it the table.
     pub sent: Vec<Tick>,
-    pub told: Vec<Tick>,
+    pub voter_set_sent_at: Vec<Tick>,
     /// Wires that others opened to us.
     pub connections: IndexSet<ConnectionId>,
-    pub apply_at: Tick,
+    pub join_request_at: Tick,
     /// The seats that each seat would give us, while we have none.
     pub offers: Vec<Option<Offer>>,
     /// Counts the requests handed over without a seat, to spread them.
-    pub turns: usize,
+    pub forwarding_turns: usize,
     pub handovers: Handovers,
 }
 
 /// A roll on its way to the disk.
-pub struct Next {
-    pub roll: VoterFile,
+pub struct PendingVoterFile {
+    pub voter_file: VoterFile,
     pub token: u64,
     /// The parts' files are set aside first: they are of a former life.
-    pub clear: bool,
+    pub set_aside: bool,
     /// When it is tried again after a trouble.
-    pub again: Option<Tick>,
+    pub retry_at: Option<Tick>,
 }
 
 /// The seating of a controller that has read its disk.
@@ -63,37 +63,41 @@
     let size = roll.table.slots.len();
     VoterSlots {
         stamp: stamp(&roll.table),
-        roll,
+        voter_file: roll,
         addr: addr.to_string(),
         zone: zone.to_string(),
-        next: None,
-        token: 0,
-        began: now,
-        woke: now,
-        quiet: vec![0; size],
+        pending_write: None,
+        last_token: 0,
+        started_at: now,
+        woken_at: now,
+        silence: vec![0; size],
         sent: vec![0; size],
-        told: vec![0; size],
+        voter_set_sent_at: vec![0; size],
         connections: IndexSet::new(),
-        apply_at: now,
+        join_request_at: now,
         offers: vec![None; size],
-        turns: 0,
+        forwarding_turns: 0,
         handovers: Handovers::default(),
     }
 }
 
 /// The group of replicas as this controller sees it.
 pub fn here(core: &ControllerState) -> VoterGroup {
-    group(&core.seating.roll.table, core.slot, core.seating.roll.first)
+    group(&core.seating.voter_file.table, core.slot, core.seating.voter_file.first)
 }
 
 /// The newest table we know, on disk or on its way there.
 pub fn newest(s: &VoterSlots) -> &VoterSet {
-    s.next.as_ref().map_or(&s.roll.table, |n| &n.roll.table)
+    s.pending_write.as_ref().map_or(&s.voter_file.table, |n| &n.voter_file.table)
 }
 
 /// Whether `holder` has `seat` by the table that we hold.
 pub fn holds(s: &VoterSlots, slot: VoterSlot, holder: u64) -> bool {
-    s.roll.table.slots.get(usize::from(slot)).is_some_and(|h| h.holder == holder && holder != 0)
+    s.voter_file
+        .table
+        .slots
+        .get(usize::from(slot))
+        .is_some_and(|h| h.holder == holder && holder != 0)
 }
 
 /// Takes in a table that somebody told us.
@@ -106,8 +110,10 @@
 /// Sends a newer table to the disk; it is adopted once it is there.
 pub fn put(core: &mut ControllerState, now: Tick, table: VoterSet, out: &mut Vec<Command>) {
     let s = &core.seating;
-    let (mut roll, clear) =
-        s.next.as_ref().map_or((s.roll.clone(), false), |n| (n.roll.clone(), n.clear));
+    let (mut roll, clear) = s
+        .pending_write
+        .as_ref()
+        .map_or((s.voter_file.clone(), false), |n| (n.voter_file.clone(), n.set_aside));
     roll.table = table;
     keep(core, now, roll, clear, out);
 }
@@ -120,16 +126,17 @@
     out: &mut Vec<Command>,
 ) {
     let s = &mut core.seating;
-    s.token += 1;
-    let token = s.token;
+    s.last_token += 1;
+    let token = s.last_token;
     out.push(Command::WriteVoterFile { token, roll: roll.clone(), clear });
-    s.next = Some(Next { roll, token, clear, again: None });
+    s.pending_write =
+        Some(PendingVoterFile { voter_file: roll, token, set_aside: clear, retry_at: None });
 }
 
 /// The disk failed to keep the roll: it is tried again.
 pub fn trouble(core: &mut ControllerState, now: Tick, why: &str, out: &mut Vec<Command>) {
-    if let Some(next) = &mut core.seating.next {
-        next.again = Some(now + consts::DISK_STALL);
+    if let Some(next) = &mut core.seating.pending_write {
+        next.retry_at = Some(now + consts::DISK_STALL);
         out.push(Command::Alarm(format!("the table of the seats can't be kept: {why}")));
     }
 }
@@ -137,28 +144,28 @@
 /// A roll is on disk: from here on we act by it.
 pub fn kept(core: &mut ControllerState, now: Tick, token: u64, out: &mut Vec<Command>) {
     // An older one that is there too is only part of the newest.
-    let Some(next) = core.seating.next.take_if(|n| n.token == token) else { return };
+    let Some(next) = core.seating.pending_write.take_if(|n| n.token == token) else { return };
     let s = &mut core.seating;
-    let old = std::mem::replace(&mut s.roll, next.roll);
-    s.stamp = stamp(&s.roll.table);
-    let size = s.roll.table.slots.len();
-    s.quiet.resize(size, 0);
+    let old = std::mem::replace(&mut s.voter_file, next.voter_file);
+    s.stamp = stamp(&s.voter_file.table);
+    let size = s.voter_file.table.slots.len();
+    s.silence.resize(size, 0);
     s.sent.resize(size, 0);
-    s.told.resize(size, 0);
+    s.voter_set_sent_at.resize(size, 0);
     s.offers = vec![None; size];
     let moved: Vec<bool> = (0..size)
-        .map(|i| old.table.slots.get(i).map(ballot) != s.roll.table.slots.get(i).map(ballot))
+        .map(|i| old.table.slots.get(i).map(ballot) != s.voter_file.table.slots.get(i).map(ballot))
         .collect();
     core.retry_requests_to(&moved);
     let s = &mut core.seating;
     for (i, _) in moved.iter().enumerate().filter(|(_, m)| **m) {
-        s.quiet[i] = 0;
-        let h = &s.roll.table.slots[i];
+        s.silence[i] = 0;
+        let h = &s.voter_file.table.slots[i];
         let text = format!("seat {i}: {} has it, generation {}", h.addr, h.generation);
         out.push(Command::Alarm(text));
     }
     out.push(Command::VoterSetChanged);
-    let slot = seat_of(&s.roll.table, s.roll.me).unwrap_or(NOBODY);
+    let slot = seat_of(&s.voter_file.table, s.voter_file.me).unwrap_or(NOBODY);
     if core.slot != slot {
         let had = std::mem::replace(&mut core.slot, slot);
         core.retry_all_requests();
@@ -170,7 +177,7 @@
             return renounce(core, now, out);
         }
         // What our address granted in a former life must have run out.
-        let from = core.seating.began + consts::OWNER_SILENCE;
+        let from = core.seating.started_at + consts::OWNER_SILENCE;
         for p in &mut core.partitions {
             p.catch_up.ask_at = now.max(from);
         }
@@ -193,9 +200,9 @@
     }
     core.members = Default::default();
     let me = core.luck.next_u64() | 1;
-    let roll = VoterFile { me, first: false, table: core.seating.roll.table.clone() };
+    let roll = VoterFile { me, first: false, table: core.seating.voter_file.table.clone() };
     // The former id is nobody's any more; nobody is told a new one yet.
-    core.seating.roll.me = 0;
+    core.seating.voter_file.me = 0;
     keep(core, now, roll, true, out);
 }
 
@@ -208,7 +215,7 @@
 }
 
 fn telling(s: &VoterSlots) -> Message {
-    Message::VoterSetUpdate { me: s.roll.me, table: s.roll.table.clone() }
+    Message::VoterSetUpdate { me: s.voter_file.me, table: s.voter_file.table.clone() }
 }
 
 /// Tells everyone the table.
@@ -224,7 +231,7 @@
 
 /// Tells the table on one connection.
 pub fn tell(core: &ControllerState, connection: ConnectionId, out: &mut Vec<Command>) {
-    if !core.seating.roll.table.slots.is_empty() {
+    if !core.seating.voter_file.table.slots.is_empty() {
         out.push(Command::ToConnection { connection, message: telling(&core.seating) });
     }
 }
@@ -237,7 +244,7 @@
     connection: ConnectionId,
     out: &mut Vec<Command>,
 ) {
-    let Some(at) = core.seating.told.get_mut(usize::from(slot)) else { return };
+    let Some(at) = core.seating.voter_set_sent_at.get_mut(usize::from(slot)) else { return };
     if since(*at, now) >= consts::TABLE_AGAIN {
         *at = now;
         tell(core, connection, out);
@@ -254,8 +261,8 @@
 ) {
     learn(core, now, theirs, out);
     // It lacks something that we hold.
-    if merge(theirs, &core.seating.roll.table).is_some()
-        && let Some(slot) = seat_of(&core.seating.roll.table, me)
+    if merge(theirs, &core.seating.voter_file.table).is_some()
+        && let Some(slot) = seat_of(&core.seating.voter_file.table, me)
     {
         out.push(Command::ToVoter { slot, message: telling(&core.seating) });
     }
@@ -306,16 +313,16 @@
 /// Time passes: silence is counted, and we show that we live.
 pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
     let s = &mut core.seating;
-    let past = since(s.woke, now).min(2 * crate::control_plane::step::WAKE);
-    s.woke = now;
-    for quiet in &mut s.quiet {
+    let past = since(s.woken_at, now).min(2 * crate::control_plane::step::WAKE);
+    s.woken_at = now;
+    for quiet in &mut s.silence {
         *quiet += past;
     }
-    if let Some(next) = &mut s.next
-        && next.again.is_some_and(|at| now >= at)
+    if let Some(next) = &mut s.pending_write
+        && next.retry_at.is_some_and(|at| now >= at)
     {
-        next.again = None;
-        let (token, roll, clear) = (next.token, next.roll.clone(), next.clear);
+        next.retry_at = None;
+        let (token, roll, clear) = (next.token, next.voter_file.clone(), next.set_aside);
         out.push(Command::WriteVoterFile { token, roll, clear });
     }
     handover::wake(core, now, out);
@@ -324,11 +331,11 @@
     }
     // Our own zone, where the seeds could not tell it.
     let own = usize::from(core.slot);
-    if core.seating.next.is_none()
-        && core.seating.roll.table.slots[own].zone.is_empty()
+    if core.seating.pending_write.is_none()
+        && core.seating.voter_file.table.slots[own].zone.is_empty()
         && !core.seating.zone.is_empty()
     {
-        let mut table = core.seating.roll.table.clone();
+        let mut table = core.seating.voter_file.table.clone();
         table.slots[own].zone.clone_from(&core.seating.zone);
         put(core, now, table, out);
     }
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -186,7 +186,7 @@
 }
 
 fn from(b: &Bench, slot: VoterSlot, message: Message) -> Event {
-    let holder = b.core.seating.roll.table.slots[usize::from(slot)].holder;
+    let holder = b.core.seating.voter_file.table.slots[usize::from(slot)].holder;
     Event::FromVoter { slot, holder, connection: u64::from(slot), message }
 }
 
@@ -235,17 +235,17 @@
     // of a handover is its holder's alone to give.
     let next = after_takeover(1);
     take(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.seating.roll.table.slots[1].generation, eq(1));
+    expect_that!(b.core.seating.voter_file.table.slots[1].generation, eq(1));
     wake(&mut b, 3 * SECOND);
     for wrong in [2, 3, next - 1, next + 1, after_takeover(next)] {
         take(&mut b, 1, wrong, 90, "b");
-        expect_that!(b.core.seating.roll.table.slots[1].generation, eq(1), "{wrong}");
+        expect_that!(b.core.seating.voter_file.table.slots[1].generation, eq(1), "{wrong}");
     }
     take(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.seating.roll.table.slots[1].holder, eq(90));
+    expect_that!(b.core.seating.voter_file.table.slots[1].holder, eq(90));
     // And one generation has one holder.
     take(&mut b, 1, next, 91, "b");
-    expect_that!(b.core.seating.roll.table.slots[1].holder, eq(90));
+    expect_that!(b.core.seating.voter_file.table.slots[1].holder, eq(90));
 }
 
 #[googletest::test]
@@ -336,7 +336,7 @@
     expect_that!(serves(&b), eq(true));
     let old = b.core.seating.stamp;
     // Seat 1 tells that seat 2 is another's.
-    let table = held(&b.core.seating.roll.table, 2, 2, 90);
+    let table = held(&b.core.seating.voter_file.table, 2, 2, 90);
     let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
     one(&mut b, news);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
@@ -357,7 +357,7 @@
 #[googletest::test]
 fn a_table_is_told_and_obeyed_only_once_it_is_on_disk() {
     let mut b = bench(0);
-    let table = held(&b.core.seating.roll.table, 0, 2, 90);
+    let table = held(&b.core.seating.voter_file.table, 0, 2, 90);
     let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
     let todo = b.core.step(b.now, news);
     let tells = |c: &Command| {
