--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -32,7 +32,7 @@
 pub struct ControllerState {
     /// Ours by the table that we hold, or `NOBODY`.
     pub slot: VoterSlot,
-    pub seating: VoterSlots,
+    pub voter_slots: VoterSlots,
     pub partitions: Vec<Partition>,
     pub members: Members,
     /// Followers by connection: the place of each part up to which we sent.
@@ -156,7 +156,7 @@
         Self {
             slot,
             luck: Random::new(seed ^ roll.me),
-            seating: seating(roll, here, now),
+            voter_slots: seating(roll, here, now),
             partitions: list,
             members: Members::default(),
             followers: IndexMap::new(),
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -60,12 +60,12 @@
         if let Message::VoterSetUpdate { table, .. } = message {
             voter_slots::learn(self, now, table, commands);
         }
-        if !voter_slots::holds(&self.seating, slot, replica_id) {
+        if !voter_slots::holds(&self.voter_slots, slot, replica_id) {
             voter_slots::tell_again(self, now, slot, connection, commands);
             return false;
         }
-        self.seating.silence[usize::from(slot)] = 0;
-        let ours = self.seating.stamp;
+        self.voter_slots.silence[usize::from(slot)] = 0;
+        let ours = self.voter_slots.stamp;
         let has_same_set = voter_slots::stamp_of(message).is_none_or(|stamp| stamp == ours);
         if !has_same_set {
             voter_slots::tell_again(self, now, slot, connection, commands);
--- a/crates/core/src/control_plane/leases.rs
+++ b/crates/core/src/control_plane/leases.rs
@@ -42,7 +42,7 @@
 
     /// The voters among which memberships are replicated.
     pub(super) fn voters(&self) -> Voters {
-        Voters { group: here(self), stamp: self.seating.stamp }
+        Voters { group: here(self), stamp: self.voter_slots.stamp }
     }
 
     /// Begins to keep leases if we lead and have not begun.
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -50,14 +50,14 @@
         if self.slot != NOBODY {
             return self.known_leader();
         }
-        let quiet = &self.seating.silence;
+        let quiet = &self.voter_slots.silence;
         // A controller that is leaving asks nobody for a slot, and so hears nobody.
         let leaving = handover::is_leaving(self);
         let is_awake =
             |slot: &VoterSlot| leaving || quiet[usize::from(*slot)] < consts::APPLY_SILENCE;
         let list: Vec<VoterSlot> = others(here(self)).filter(is_awake).collect();
-        let slot = list.get(self.seating.forwarding_turns % list.len().max(1)).copied()?;
-        self.seating.forwarding_turns += 1;
+        let slot = list.get(self.voter_slots.forwarding_turns % list.len().max(1)).copied()?;
+        self.voter_slots.forwarding_turns += 1;
         Some(Forwarding { slot, term: ANY_TERM })
     }
 
@@ -259,9 +259,9 @@
     fn retry_superseded(&mut self) {
         let leader = self.known_leader();
         let leaving = handover::is_leaving(self);
-        let ControllerState { slot, seating, ops, .. } = self;
+        let ControllerState { slot, voter_slots, ops, .. } = self;
         let is_silent = |to: &Forwarding| {
-            let quiet = seating.silence.get(usize::from(to.slot));
+            let quiet = voter_slots.silence.get(usize::from(to.slot));
             quiet.is_none_or(|quiet| *quiet >= consts::APPLY_SILENCE)
         };
         let is_superseded = |to: &Forwarding| match *slot {
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -60,12 +60,12 @@
     fn on_io_event(&mut self, now: Tick, event: Event, commands: &mut Vec<Command>) {
         match event {
             Event::ConnectionOpened { connection } => {
-                self.seating.connections.insert(connection);
+                self.voter_slots.connections.insert(connection);
                 voter_slots::tell(self, connection, commands);
             }
             Event::ConnectionClosed { connection } => {
                 self.followers.swap_remove(&connection);
-                self.seating.connections.swap_remove(&connection);
+                self.voter_slots.connections.swap_remove(&connection);
                 self.drop_forwarded_from(connection);
                 self.members.connections.retain(|_, known| *known != connection);
             }
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -60,7 +60,7 @@
         if !wants_membership && !self.followers.contains_key(&connection) {
             self.greet(connection, commands);
         }
-        if stamp != self.seating.stamp {
+        if stamp != self.voter_slots.stamp {
             voter_slots::tell(self, connection, commands);
         }
         let known = self.followers.entry(connection).or_default();
@@ -82,6 +82,6 @@
             .collect();
         let revision = self.members.membership.feed_revision();
         places.push(FeedPosition { partition: COHORT, revision });
-        Message::FeedPositions { places, stamp: self.seating.stamp }
+        Message::FeedPositions { places, stamp: self.voter_slots.stamp }
     }
 }
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -85,14 +85,14 @@
 
 /// The process was asked to stop.
 pub fn begin(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    if core.seating.handovers.leaving.is_some() {
+    if core.voter_slots.handovers.leaving.is_some() {
         return;
     }
     election::transfer_all(core, now, out);
-    let nobody_waits = core.seating.handovers.applicants.is_empty();
+    let nobody_waits = core.voter_slots.handovers.applicants.is_empty();
     let alone = core.slot == NOBODY || nobody_waits;
     let stage = Stage::TransferringLeadership;
-    core.seating.handovers.leaving = Some(Leaving { began: now, stage });
+    core.voter_slots.handovers.leaving = Some(Leaving { began: now, stage });
     if alone {
         return finish(core);
     }
@@ -101,7 +101,7 @@
 
 /// Whether a process that was asked to stop may end.
 pub fn may_end(core: &ControllerState, now: Tick) -> bool {
-    let Some(leaving) = &core.seating.handovers.leaving else { return false };
+    let Some(leaving) = &core.voter_slots.handovers.leaving else { return false };
     let Stage::Answering { operations } = &leaving.stage else { return false };
     since(leaving.began, now) >= consts::HANDOVER_PATIENCE
         || !operations.iter().any(|operation| core.ops.contains_key(operation))
@@ -110,7 +110,7 @@
 /// The slot is another's, or nobody is there to take it.
 fn finish(core: &mut ControllerState) {
     let operations = core.ops.keys().copied().collect();
-    if let Some(leaving) = &mut core.seating.handovers.leaving
+    if let Some(leaving) = &mut core.voter_slots.handovers.leaving
         && !matches!(leaving.stage, Stage::Answering { .. })
     {
         leaving.stage = Stage::Answering { operations };
@@ -119,7 +119,7 @@
 
 /// Whether this process was asked to stop.
 pub fn is_leaving(core: &ControllerState) -> bool {
-    core.seating.handovers.leaving.is_some()
+    core.voter_slots.handovers.leaving.is_some()
 }
 
 /// Notes that a spare asked us for a slot.
@@ -131,12 +131,12 @@
     zone: &str,
 ) {
     let applicant = Applicant { connection, zone: zone.to_string(), at: now };
-    core.seating.handovers.applicants.insert(holder, applicant);
+    core.voter_slots.handovers.applicants.insert(holder, applicant);
 }
 
 /// Time passes.
 pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    let handovers = &mut core.seating.handovers;
+    let handovers = &mut core.voter_slots.handovers;
     handovers.applicants.retain(|_, a| since(a.at, now) < consts::APPLY_SILENCE);
     let Some(leaving) = &mut handovers.leaving else { return };
     let spent = since(leaving.began, now);
@@ -177,9 +177,9 @@
 /// the last one that was asked, if there are several.
 fn offer(core: &mut ControllerState, now: Tick, last: Option<u64>, out: &mut Vec<Command>) {
     let slot = core.slot;
-    let table = &core.seating.voter_file.table;
+    let table = &core.voter_slots.voter_file.table;
     let next = table.slots.get(usize::from(slot)).and_then(|h| after_handover(h.generation));
-    let handovers = &core.seating.handovers;
+    let handovers = &core.voter_slots.handovers;
     let fits = |(holder, a): &(&u64, &Applicant)| {
         let seated = table.slots.iter().any(|h| h.holder == **holder);
         !seated && balanced(table, slot, &a.zone)
@@ -197,7 +197,7 @@
         connection,
         message: Message::HandoverOffer { slot, generation },
     });
-    if let Some(leaving) = &mut core.seating.handovers.leaving {
+    if let Some(leaving) = &mut core.voter_slots.handovers.leaving {
         leaving.stage = Stage::Offering { asked: Some((holder, now)) };
     }
 }
@@ -210,7 +210,7 @@
     generation: u32,
     out: &mut Vec<Command>,
 ) {
-    let s = &mut core.seating;
+    let s = &mut core.voter_slots;
     let claims = s.handovers.claimed_at.is_some_and(|at| since(at, now) < consts::SEAT_SILENCE);
     let waits = s
         .handovers
@@ -237,20 +237,20 @@
     holding: SlotHolder,
     out: &mut Vec<Command>,
 ) {
-    let table = voter_slots::newest(&core.seating);
-    let Some(leaving) = &core.seating.handovers.leaving else { return };
+    let table = voter_slots::newest(&core.voter_slots);
+    let Some(leaving) = &core.voter_slots.handovers.leaving else { return };
     let Stage::Offering { asked: Some((holder, asked_at)) } = leaving.stage else { return };
     // After a pause of ours the spare may wait for us no more.
     let fresh = since(asked_at, now) < 2 * consts::HANDOVER_RETRY;
     let seated = table.slots.iter().any(|h| h.holder == holder);
-    let ours = core.slot == slot && core.seating.pending_write.is_none() && fresh && !seated;
+    let ours = core.slot == slot && core.voter_slots.pending_write.is_none() && fresh && !seated;
     let next = table.slots.get(usize::from(slot)).and_then(|h| after_handover(h.generation));
     if !ours || holder != holding.holder || next != Some(holding.generation) {
         return;
     }
     let mut table: VoterSet = table.clone();
     table.slots[usize::from(slot)] = holding;
-    if let Some(leaving) = &mut core.seating.handovers.leaving {
+    if let Some(leaving) = &mut core.voter_slots.handovers.leaving {
         leaving.stage = Stage::Yielding { slot, successor: holder };
     }
     voter_slots::put(core, now, table, out);
@@ -260,11 +260,11 @@
 /// successor that we chose, what our replicas hold goes there; tells whether so.
 pub fn yielded(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) -> bool {
     let Some(Leaving { stage: Stage::Yielding { slot, successor }, .. }) =
-        core.seating.handovers.leaving
+        core.voter_slots.handovers.leaving
     else {
         return false;
     };
-    let table = core.seating.voter_file.table.clone();
+    let table = core.voter_slots.voter_file.table.clone();
     let holding = &table.slots[usize::from(slot)];
     if holding.holder != successor {
         return false;
@@ -274,7 +274,7 @@
     let memberships = core.members.held_memberships();
     let state = Message::Handover { slot, generation, table, replicas, memberships };
     let stage = Stage::Sending { state: Box::new(state), slot, sent_at: None };
-    if let Some(leaving) = &mut core.seating.handovers.leaving {
+    if let Some(leaving) = &mut core.voter_slots.handovers.leaving {
         leaving.stage = stage;
     }
     for p in &mut core.partitions {
@@ -316,7 +316,7 @@
 ) {
     let Received { slot, generation, table, replicas, memberships } = received;
     voter_slots::learn(core, now, &table, out);
-    let ours = &core.seating.voter_file.table;
+    let ours = &core.voter_slots.voter_file.table;
     let holds = ours.slots.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
     if core.slot != slot || !holds || merge(ours, &table).is_some() {
         return;
@@ -352,9 +352,9 @@
 
 /// The successor votes: nothing keeps us any longer.
 pub fn done(core: &mut ControllerState, slot: VoterSlot, generation: u32) {
-    let table = &core.seating.voter_file.table;
+    let table = &core.voter_slots.voter_file.table;
     let same = table.slots.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
-    let leaving = core.seating.handovers.leaving.as_ref();
+    let leaving = core.voter_slots.handovers.leaving.as_ref();
     let sending = leaving
         .is_some_and(|l| matches!(l.stage, Stage::Sending { slot: ours, .. } if ours == slot));
     if sending && same {
@@ -364,6 +364,6 @@
 
 /// Whether we wait for a slot that a leaving voter hands to us.
 pub fn is_reserved(core: &ControllerState, now: Tick) -> bool {
-    let reserved = core.seating.handovers.reserved.as_ref();
+    let reserved = core.voter_slots.handovers.reserved.as_ref();
     core.slot == NOBODY && reserved.is_some_and(|r| now < r.until)
 }
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -23,7 +23,7 @@
 
 /// Time passes for a controller that has no seat.
 pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    let s = &mut core.seating;
+    let s = &mut core.voter_slots;
     if now < s.join_request_at || s.voter_file.me == 0 || s.handovers.leaving.is_some() {
         return;
     }
@@ -41,7 +41,7 @@
     k: VoterSlot,
     (holder, addr, zone): (u64, &str, &str),
 ) -> bool {
-    let s = &core.seating;
+    let s = &core.voter_slots;
     let table = newest(s);
     let Some(h) = table.slots.get(usize::from(k)) else { return false };
     if k == core.slot || h.holder == holder {
@@ -70,7 +70,7 @@
     stamp: u64,
     out: &mut Vec<Command>,
 ) {
-    if stamp != core.seating.stamp {
+    if stamp != core.voter_slots.stamp {
         voter_slots::tell(core, connection, out);
     }
     if core.slot == NOBODY {
@@ -81,9 +81,9 @@
         // What we would give is ours alone, and is offered by `handover`.
         return;
     }
-    let size = core.seating.voter_file.table.slots.len() as VoterSlot;
+    let size = core.voter_slots.voter_file.table.slots.len() as VoterSlot;
     let free = (0..size).filter(|k| gives(core, now, *k, (holder, addr, zone))).collect();
-    let (slot, stamp) = (core.slot, core.seating.stamp);
+    let (slot, stamp) = (core.slot, core.voter_slots.stamp);
     out.push(Command::ToConnection {
         connection,
         message: Message::JoinOffer { slot, stamp, free },
@@ -99,7 +99,7 @@
     out: &mut Vec<Command>,
 ) {
     let is_reserved = handover::is_reserved(core, now);
-    let s = &mut core.seating;
+    let s = &mut core.voter_slots;
     if let Some(quiet) = s.silence.get_mut(usize::from(slot)) {
         *quiet = 0;
     }
@@ -141,7 +141,7 @@
     if core.slot == NOBODY || !gives(core, now, k, (new.holder, &new.addr, &new.zone)) {
         return;
     }
-    let mut table = newest(&core.seating).clone();
+    let mut table = newest(&core.voter_slots).clone();
     let cell = &mut table.slots[usize::from(k)];
     if new.holder == 0 || new.generation != after_takeover(cell.generation) {
         return;
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -83,7 +83,7 @@
 
 /// The group of replicas as this controller sees it.
 pub fn here(core: &ControllerState) -> VoterGroup {
-    group(&core.seating.voter_file.table, core.slot, core.seating.voter_file.first)
+    group(&core.voter_slots.voter_file.table, core.slot, core.voter_slots.voter_file.first)
 }
 
 /// The newest table we know, on disk or on its way there.
@@ -102,14 +102,14 @@
 
 /// Takes in a table that somebody told us.
 pub fn learn(core: &mut ControllerState, now: Tick, theirs: &VoterSet, out: &mut Vec<Command>) {
-    if let Some(table) = merge(newest(&core.seating), theirs) {
+    if let Some(table) = merge(newest(&core.voter_slots), theirs) {
         put(core, now, table, out);
     }
 }
 
 /// Sends a newer table to the disk; it is adopted once it is there.
 pub fn put(core: &mut ControllerState, now: Tick, table: VoterSet, out: &mut Vec<Command>) {
-    let s = &core.seating;
+    let s = &core.voter_slots;
     let (mut roll, clear) = s
         .pending_write
         .as_ref()
@@ -125,7 +125,7 @@
     clear: bool,
     out: &mut Vec<Command>,
 ) {
-    let s = &mut core.seating;
+    let s = &mut core.voter_slots;
     s.last_token += 1;
     let token = s.last_token;
     out.push(Command::WriteVoterFile { token, roll: roll.clone(), clear });
@@ -135,7 +135,7 @@
 
 /// The disk failed to keep the roll: it is tried again.
 pub fn trouble(core: &mut ControllerState, now: Tick, why: &str, out: &mut Vec<Command>) {
-    if let Some(next) = &mut core.seating.pending_write {
+    if let Some(next) = &mut core.voter_slots.pending_write {
         next.retry_at = Some(now + consts::DISK_STALL);
         out.push(Command::Alarm(format!("the table of the seats can't be kept: {why}")));
     }
@@ -144,8 +144,8 @@
 /// A roll is on disk: from here on we act by it.
 pub fn kept(core: &mut ControllerState, now: Tick, token: u64, out: &mut Vec<Command>) {
     // An older one that is there too is only part of the newest.
-    let Some(next) = core.seating.pending_write.take_if(|n| n.token == token) else { return };
-    let s = &mut core.seating;
+    let Some(next) = core.voter_slots.pending_write.take_if(|n| n.token == token) else { return };
+    let s = &mut core.voter_slots;
     let old = std::mem::replace(&mut s.voter_file, next.voter_file);
     s.stamp = stamp(&s.voter_file.table);
     let size = s.voter_file.table.slots.len();
@@ -157,7 +157,7 @@
         .map(|i| old.table.slots.get(i).map(ballot) != s.voter_file.table.slots.get(i).map(ballot))
         .collect();
     core.retry_requests_to(&moved);
-    let s = &mut core.seating;
+    let s = &mut core.voter_slots;
     for (i, _) in moved.iter().enumerate().filter(|(_, m)| **m) {
         s.silence[i] = 0;
         let h = &s.voter_file.table.slots[i];
@@ -177,7 +177,7 @@
             return renounce(core, now, out);
         }
         // What our address granted in a former life must have run out.
-        let from = core.seating.started_at + consts::OWNER_SILENCE;
+        let from = core.voter_slots.started_at + consts::OWNER_SILENCE;
         for p in &mut core.partitions {
             p.catch_up.ask_at = now.max(from);
         }
@@ -200,9 +200,9 @@
     }
     core.members = Default::default();
     let me = core.luck.next_u64() | 1;
-    let roll = VoterFile { me, first: false, table: core.seating.voter_file.table.clone() };
+    let roll = VoterFile { me, first: false, table: core.voter_slots.voter_file.table.clone() };
     // The former id is nobody's any more; nobody is told a new one yet.
-    core.seating.voter_file.me = 0;
+    core.voter_slots.voter_file.me = 0;
     keep(core, now, roll, true, out);
 }
 
@@ -220,19 +220,19 @@
 
 /// Tells everyone the table.
 fn tell_all(core: &mut ControllerState, out: &mut Vec<Command>) {
-    let message = telling(&core.seating);
+    let message = telling(&core.voter_slots);
     for slot in others(here(core)) {
         out.push(Command::ToVoter { slot, message: message.clone() });
     }
-    for connection in &core.seating.connections {
+    for connection in &core.voter_slots.connections {
         out.push(Command::ToConnection { connection: *connection, message: message.clone() });
     }
 }
 
 /// Tells the table on one connection.
 pub fn tell(core: &ControllerState, connection: ConnectionId, out: &mut Vec<Command>) {
-    if !core.seating.voter_file.table.slots.is_empty() {
-        out.push(Command::ToConnection { connection, message: telling(&core.seating) });
+    if !core.voter_slots.voter_file.table.slots.is_empty() {
+        out.push(Command::ToConnection { connection, message: telling(&core.voter_slots) });
     }
 }
 
@@ -244,7 +244,7 @@
     connection: ConnectionId,
     out: &mut Vec<Command>,
 ) {
-    let Some(at) = core.seating.voter_set_sent_at.get_mut(usize::from(slot)) else { return };
+    let Some(at) = core.voter_slots.voter_set_sent_at.get_mut(usize::from(slot)) else { return };
     if since(*at, now) >= consts::TABLE_AGAIN {
         *at = now;
         tell(core, connection, out);
@@ -261,10 +261,10 @@
 ) {
     learn(core, now, theirs, out);
     // It lacks something that we hold.
-    if merge(theirs, &core.seating.voter_file.table).is_some()
-        && let Some(slot) = seat_of(&core.seating.voter_file.table, me)
+    if merge(theirs, &core.voter_slots.voter_file.table).is_some()
+        && let Some(slot) = seat_of(&core.voter_slots.voter_file.table, me)
     {
-        out.push(Command::ToVoter { slot, message: telling(&core.seating) });
+        out.push(Command::ToVoter { slot, message: telling(&core.voter_slots) });
     }
 }
 
@@ -301,9 +301,9 @@
     for command in out {
         if let Command::ToVoter { slot, message } = command {
             if let Some(stamp) = stamped(message) {
-                *stamp = core.seating.stamp;
+                *stamp = core.voter_slots.stamp;
             }
-            if let Some(at) = core.seating.sent.get_mut(usize::from(*slot)) {
+            if let Some(at) = core.voter_slots.sent.get_mut(usize::from(*slot)) {
                 *at = now;
             }
         }
@@ -312,7 +312,7 @@
 
 /// Time passes: silence is counted, and we show that we live.
 pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    let s = &mut core.seating;
+    let s = &mut core.voter_slots;
     let past = since(s.woken_at, now).min(2 * crate::control_plane::step::WAKE);
     s.woken_at = now;
     for quiet in &mut s.silence {
@@ -331,16 +331,16 @@
     }
     // Our own zone, where the seeds could not tell it.
     let own = usize::from(core.slot);
-    if core.seating.pending_write.is_none()
-        && core.seating.voter_file.table.slots[own].zone.is_empty()
-        && !core.seating.zone.is_empty()
+    if core.voter_slots.pending_write.is_none()
+        && core.voter_slots.voter_file.table.slots[own].zone.is_empty()
+        && !core.voter_slots.zone.is_empty()
     {
-        let mut table = core.seating.voter_file.table.clone();
-        table.slots[own].zone.clone_from(&core.seating.zone);
+        let mut table = core.voter_slots.voter_file.table.clone();
+        table.slots[own].zone.clone_from(&core.voter_slots.zone);
         put(core, now, table, out);
     }
     for slot in others(here(core)) {
-        if since(core.seating.sent[usize::from(slot)], now) >= consts::HERE_BEAT {
+        if since(core.voter_slots.sent[usize::from(slot)], now) >= consts::HERE_BEAT {
             out.push(Command::ToVoter { slot, message: Message::VoterAlive { stamp: 0 } });
         }
     }
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -144,7 +144,7 @@
 pub fn give(cluster: &mut Cluster, node: usize, event: Event) {
     let now = cluster.now;
     let Some(core) = &mut cluster.nodes[node].core else { return };
-    let holder = core.seating.voter_file.me;
+    let holder = core.voter_slots.voter_file.me;
     for command in core.step(now, event) {
         let disk = &mut cluster.nodes[node].disk;
         match command {
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -149,7 +149,7 @@
     let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
     let roll = VoterFile { me: told_holder(0), first: true, table: told_table(&seeds) };
     let mut c = controller::ControllerState::new(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
-    let stamp = c.seating.stamp;
+    let stamp = c.voter_slots.stamp;
     c.partitions[0].committed.insert("zone/a".into(), vec![1]);
     (c.partitions[0].committed_revision, c.members.membership) = (5, membership(3));
     let ask = |c: &mut controller::ControllerState, revision: u64| {
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -186,12 +186,12 @@
 }
 
 fn from(b: &Bench, slot: VoterSlot, message: Message) -> Event {
-    let holder = b.core.seating.voter_file.table.slots[usize::from(slot)].holder;
+    let holder = b.core.voter_slots.voter_file.table.slots[usize::from(slot)].holder;
     Event::FromVoter { slot, holder, connection: u64::from(slot), message }
 }
 
 fn apply(b: &mut Bench, holder: u64, n: usize, zone: &str) -> Vec<VoterSlot> {
-    let (zone, stamp) = (zone.to_string(), b.core.seating.stamp);
+    let (zone, stamp) = (zone.to_string(), b.core.voter_slots.stamp);
     let message = Message::JoinRequest { holder, addr: addr(n), zone, stamp };
     let out = one(b, Event::FromConnection { connection: 99, message });
     let offer = out.into_iter().find_map(|c| match c {
@@ -235,17 +235,17 @@
     // of a handover is its holder's alone to give.
     let next = after_takeover(1);
     take(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.seating.voter_file.table.slots[1].generation, eq(1));
+    expect_that!(b.core.voter_slots.voter_file.table.slots[1].generation, eq(1));
     wake(&mut b, 3 * SECOND);
     for wrong in [2, 3, next - 1, next + 1, after_takeover(next)] {
         take(&mut b, 1, wrong, 90, "b");
-        expect_that!(b.core.seating.voter_file.table.slots[1].generation, eq(1), "{wrong}");
+        expect_that!(b.core.voter_slots.voter_file.table.slots[1].generation, eq(1), "{wrong}");
     }
     take(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.seating.voter_file.table.slots[1].holder, eq(90));
+    expect_that!(b.core.voter_slots.voter_file.table.slots[1].holder, eq(90));
     // And one generation has one holder.
     take(&mut b, 1, next, 91, "b");
-    expect_that!(b.core.seating.voter_file.table.slots[1].holder, eq(90));
+    expect_that!(b.core.voter_slots.voter_file.table.slots[1].holder, eq(90));
 }
 
 #[googletest::test]
@@ -281,7 +281,7 @@
         Message::PreVoteResponse { partition, term, granted: true, current_term: Term::ZERO },
     );
     one(b, yes);
-    let stamp = b.core.seating.stamp;
+    let stamp = b.core.voter_slots.stamp;
     let grant = from(
         b,
         2,
@@ -302,7 +302,7 @@
     let partition = CONFIG;
     expect_that!(serves(&b), eq(false));
     let kept = |stamp| Message::AppendAck { partition, term, revision: 0, stamp };
-    let other = from(&b, 2, kept(b.core.seating.stamp ^ 1));
+    let other = from(&b, 2, kept(b.core.voter_slots.stamp ^ 1));
     let out = one(&mut b, other);
     expect_that!(serves(&b), eq(false));
     // It is told our table instead.
@@ -313,11 +313,15 @@
         )
     };
     expect_that!(out.iter().any(told), eq(true));
-    let stranger =
-        Event::FromVoter { slot: 2, holder: 5, connection: 2, message: kept(b.core.seating.stamp) };
+    let stranger = Event::FromVoter {
+        slot: 2,
+        holder: 5,
+        connection: 2,
+        message: kept(b.core.voter_slots.stamp),
+    };
     one(&mut b, stranger);
     expect_that!(serves(&b), eq(false));
-    let good = from(&b, 2, kept(b.core.seating.stamp));
+    let good = from(&b, 2, kept(b.core.voter_slots.stamp));
     one(&mut b, good);
     expect_that!(serves(&b), eq(true));
 }
@@ -330,24 +334,29 @@
     let good = from(
         &b,
         2,
-        Message::AppendAck { partition, term, revision: 0, stamp: b.core.seating.stamp },
+        Message::AppendAck { partition, term, revision: 0, stamp: b.core.voter_slots.stamp },
     );
     one(&mut b, good);
     expect_that!(serves(&b), eq(true));
-    let old = b.core.seating.stamp;
+    let old = b.core.voter_slots.stamp;
     // Seat 1 tells that seat 2 is another's.
-    let table = held(&b.core.seating.voter_file.table, 2, 2, 90);
+    let table = held(&b.core.voter_slots.voter_file.table, 2, 2, 90);
     let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
     one(&mut b, news);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
     expect_that!((o.synced[1], o.synced[2], o.answered[2]), eq((None, None, (0, 0))));
-    expect_that!(b.core.seating.stamp, not(eq(old)));
+    expect_that!(b.core.voter_slots.stamp, not(eq(old)));
     // What the old holder still says is nobody's word.
     let late = Event::FromVoter {
         slot: 2,
         holder: first_holder(&addr(2)),
         connection: 2,
-        message: Message::AppendAck { partition, term, revision: 0, stamp: b.core.seating.stamp },
+        message: Message::AppendAck {
+            partition,
+            term,
+            revision: 0,
+            stamp: b.core.voter_slots.stamp,
+        },
     };
     one(&mut b, late);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
@@ -357,7 +366,7 @@
 #[googletest::test]
 fn a_table_is_told_and_obeyed_only_once_it_is_on_disk() {
     let mut b = bench(0);
-    let table = held(&b.core.seating.voter_file.table, 0, 2, 90);
+    let table = held(&b.core.voter_slots.voter_file.table, 0, 2, 90);
     let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
     let todo = b.core.step(b.now, news);
     let tells = |c: &Command| {
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -49,7 +49,7 @@
             })
         })
         .collect();
-    let seats: Vec<Value> = core.seating.voter_file.table.slots.iter().map(seat).collect();
+    let seats: Vec<Value> = core.voter_slots.voter_file.table.slots.iter().map(seat).collect();
     let own = (core.slot != NOBODY).then_some(core.slot);
     json!({
         "seat": own, "zone": zone, "parts": parts, "seats": seats,
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -82,7 +82,7 @@
     let connections = HashMap::new();
     let mut io =
         Io { ways, looked: 0, connections, disk, tells: HashMap::new(), next_op: 1, wake_at: None };
-    io.ways.arrange(who(&core), &core.seating.voter_file.table);
+    io.ways.arrange(who(&core), &core.voter_slots.voter_file.table);
     for (part, why) in sick {
         let todo = core.step(clock.now(), Event::DiskFailed { partition: part, why });
         carry_out(&mut io, &core, todo);
@@ -163,7 +163,7 @@
 
 /// As whom we dial.
 fn who(core: &ControllerState) -> PeerIdentity {
-    let holder = core.seating.voter_file.me;
+    let holder = core.voter_slots.voter_file.me;
     match core.slot {
         NOBODY => PeerIdentity::Spare { holder },
         seat => PeerIdentity::Voter { slot: seat, holder },
@@ -175,7 +175,7 @@
 fn look(io: &mut Io, core: &ControllerState) {
     io.looked += 1;
     if io.looked.is_multiple_of(LOOK_WAKES) {
-        io.ways.arrange(who(core), &core.seating.voter_file.table);
+        io.ways.arrange(who(core), &core.voter_slots.voter_file.table);
     }
 }
 
@@ -213,7 +213,7 @@
 }
 
 fn carry_out(io: &mut Io, core: &ControllerState, todo: Vec<Command>) {
-    let table = &core.seating.voter_file.table;
+    let table = &core.voter_slots.voter_file.table;
     for command in todo {
         match command {
             Command::ToVoter { slot: seat, message } => {
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -39,7 +39,7 @@
                 From::VoterSlot(seat) => {
                     let n = &w.seats[usize::from(seat)];
                     let connection = seat_wire(usize::from(seat), n.life);
-                    let holder = n.core.seating.voter_file.me;
+                    let holder = n.core.voter_slots.voter_file.me;
                     (connection, st::Event::FromVoter { slot: seat, holder, connection, message })
                 }
                 From::Front(f, life) => {
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -677,19 +677,19 @@
 /// and no machine thinks it has another's.
 pub fn seats_whole(w: &World) -> bool {
     let Some(best) = seated_up(w).max_by_key(|n| {
-        let list = &n.core.seating.voter_file.table.slots;
+        let list = &n.core.voter_slots.voter_file.table.slots;
         list.iter().map(|h| u64::from(h.generation)).sum::<u64>()
     }) else {
         return false;
     };
-    let table = &best.core.seating.voter_file.table;
+    let table = &best.core.voter_slots.voter_file.table;
     let whole = |n: &ControllerNode| {
         n.core.partitions.iter().all(|p| p.condition == ReplicaCondition::Voting)
     };
     table.slots.iter().enumerate().all(|(k, h)| {
         let held: Vec<_> =
             seated_up(w).filter(|n| usize::from(n.core.slot) == k && whole(n)).collect();
-        held.len() == 1 && held[0].core.seating.voter_file.me == h.holder
+        held.len() == 1 && held[0].core.voter_slots.voter_file.me == h.holder
     })
 }
 
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -70,7 +70,7 @@
 
 /// The machines to which a controller has connections.
 fn ways(w: &World, s: usize) -> Vec<usize> {
-    let table = &w.seats[s].core.seating.voter_file.table;
+    let table = &w.seats[s].core.voter_slots.voter_file.table;
     let known = table.slots.iter().filter_map(|h| machine(w, &h.addr));
     let mut list: Vec<usize> = known.chain(w.core.seeds.iter().copied()).collect();
     list.retain(|to| *to != s && *to < w.seats.len());
@@ -100,10 +100,10 @@
         | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
         | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
         CoreEvent::FromVoter { slot: seat, holder, message, .. } => {
-            let table = &core.seating.voter_file.table;
+            let table = &core.voter_slots.voter_file.table;
             *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
             if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(message) {
-                *stamp = core.seating.stamp;
+                *stamp = core.voter_slots.stamp;
             }
         }
         _ => {}
@@ -188,7 +188,7 @@
     let life = w.seats[s].life;
     match command {
         grebepath_core::command::Command::ToVoter { slot: seat, message } => {
-            let table = &w.seats[s].core.seating.voter_file.table;
+            let table = &w.seats[s].core.voter_slots.voter_file.table;
             let Some(to) = table.slots.get(usize::from(seat)) else { return };
             let Some(to) = machine(w, &to.addr) else { return };
             to_machine(w, s, to, message);
@@ -228,7 +228,7 @@
             let from = (Node::Controller(s as u8), zone.as_str());
             let at = send(&mut w.net, w.now, from, (to.0, &to.1), &mut w.luck);
             if let Some(at) = at {
-                let holder = w.seats[s].core.seating.voter_file.me;
+                let holder = w.seats[s].core.voter_slots.voter_file.me;
                 push_at(w, at, ScheduledEvent::FromSeat { q, life: qlife, holder, message });
             }
         }
@@ -276,7 +276,7 @@
     let event = if seated(n) {
         CoreEvent::FromVoter {
             slot: n.core.slot,
-            holder: n.core.seating.voter_file.me,
+            holder: n.core.voter_slots.voter_file.me,
             connection,
             message,
         }
--- a/crates/simulator/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -43,7 +43,7 @@
     for (i, n) in w.seats.iter().enumerate() {
         let lives: Vec<_> =
             n.core.partitions.iter().map(|p| format!("{:?}", p.condition)).collect();
-        let table = &n.core.seating.voter_file.table.slots;
+        let table = &n.core.voter_slots.voter_file.table.slots;
         let list: Vec<_> = table.iter().map(|h| format!("{}:{}", h.generation, h.addr)).collect();
         out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.core.slot);
     }
