--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -15,7 +15,7 @@
 use crate::storage::voter_file::VoterFile;
 use crate::time::{SECOND, Span, Tick};
 use crate::voter_set::{NOBODY, seat_of};
-use crate::voters::voter_slots::{VoterSlots, seating};
+use crate::voters::voter_slots::VoterSlots;
 
 /// How often a voter reads the files of one of its partitions again to see whether
 /// they still are what was written. All five take 20 s; a partition of several MiB
@@ -156,7 +156,7 @@
         Self {
             slot,
             luck: Random::new(seed ^ roll.me),
-            voter_slots: seating(roll, here, now),
+            voter_slots: VoterSlots::new(roll, here.0, here.1, now),
             partitions: list,
             members: Members::default(),
             followers: IndexMap::new(),
--- a/crates/core/src/control_plane/disk_events.rs
+++ b/crates/core/src/control_plane/disk_events.rs
@@ -10,7 +10,6 @@
 use crate::replication::{catch_up, election, leader, replica};
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
-use crate::voters::voter_slots::here;
 
 impl ControllerState {
     /// Every write of a partition up to this token is synced.
@@ -21,7 +20,7 @@
         token: u64,
         commands: &mut Vec<Command>,
     ) {
-        let group = here(self);
+        let group = self.group();
         let replica = &mut self.partitions[partition.0 as usize];
         while replica.writes.front().is_some_and(|write| write.token <= token) {
             let Some(write) = replica.writes.pop_front() else { break };
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -4,6 +4,7 @@
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::endpoints;
+use crate::control_plane::handover::ReceivedHandover;
 use crate::control_plane::leases::{LeaseRenewal, RenewalSource};
 use crate::control_plane::membership_updates::MembershipSource;
 use crate::control_plane::operations::Request;
@@ -12,9 +13,7 @@
 use crate::replication::partition::Role;
 use crate::time::Tick;
 use crate::voter_set::NOBODY;
-use crate::voters::handover::Received;
-use crate::voters::voter_slots::here;
-use crate::voters::{handover, slot_takeover, voter_slots};
+use crate::voters::slot_takeover::Candidate;
 
 /// How a report about leafs came to us.
 #[derive(Clone, Copy, PartialEq)]
@@ -71,21 +70,22 @@
     ) {
         match message {
             Message::VoterSetUpdate { table, .. } => {
-                voter_slots::learn(self, now, &table, commands);
+                self.voter_slots.learn(&table, commands);
             }
             Message::JoinRequest { holder, addr, zone, stamp } => {
-                let applicant = (holder, addr.as_str(), zone.as_str());
-                slot_takeover::asked(self, now, connection, applicant, stamp, commands);
+                let candidate = Candidate { replica_id: holder, addr: &addr, zone: &zone };
+                self.on_join_request(now, connection, candidate, stamp, commands);
             }
             Message::HandoverAccept { slot, holding } => {
-                handover::accepted(self, now, slot, holding, commands);
+                self.on_handover_accept(now, slot, holding, commands);
             }
             Message::Handover { slot, generation, table, replicas, memberships } => {
-                let state = Received { slot, generation, table, replicas, memberships };
-                handover::received(self, now, connection, state, commands);
+                let received =
+                    ReceivedHandover { slot, generation, voter_set: table, replicas, memberships };
+                self.on_handover(now, connection, received, commands);
             }
             Message::SlotTakeover { slot, holding } => {
-                slot_takeover::taken(self, now, slot, holding, commands);
+                self.on_slot_takeover(now, slot, holding, commands);
             }
             _ => {}
         }
@@ -99,7 +99,7 @@
         message: Message,
         commands: &mut Vec<Command>,
     ) {
-        let group = here(self);
+        let group = self.group();
         let (Message::LeafList { partition: id, .. } | Message::LeafReports { partition: id, .. }) =
             &message
         else {
--- a/crates/core/src/control_plane/from_controllers.rs
+++ b/crates/core/src/control_plane/from_controllers.rs
@@ -5,7 +5,6 @@
 use crate::control_plane::pending_requests::AttemptId;
 use crate::protocol::message::Message;
 use crate::time::Tick;
-use crate::voters::{handover, slot_takeover, voter_slots};
 
 impl ControllerState {
     /// A controller answers on a connection that we opened.
@@ -17,18 +16,18 @@
     ) {
         match message {
             Message::VoterSetUpdate { me, table } => {
-                voter_slots::answered(self, now, me, &table, commands);
+                self.voter_slots.on_voter_set_answer(me, &table, commands);
             }
             Message::JoinOffer { slot, stamp, free } => {
-                slot_takeover::offered(self, now, (slot, stamp), free, commands);
+                self.on_join_offer(now, slot, stamp, free, commands);
             }
             Message::OperationResponse { op, attempt, done } => {
                 self.on_operation_response(now, AttemptId { op, attempt }, done, commands);
             }
             Message::HandoverOffer { slot, generation } => {
-                handover::offered(self, now, slot, generation, commands);
+                self.on_handover_offer(now, slot, generation, commands);
             }
-            Message::HandoverDone { slot, generation } => handover::done(self, slot, generation),
+            Message::HandoverDone { slot, generation } => self.on_handover_done(slot, generation),
             _ => {}
         }
     }
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -18,8 +18,7 @@
 use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::Tick;
 use crate::voter_set::NOBODY;
-use crate::voters::voter_slots;
-use crate::voters::voter_slots::here;
+use crate::voters::stamp::stamp_of;
 
 /// Who says something as the holder of a voter slot, and where.
 #[derive(Clone, Copy)]
@@ -58,17 +57,17 @@
     ) -> bool {
         let VoterSender { slot, replica_id, connection } = sender;
         if let Message::VoterSetUpdate { table, .. } = message {
-            voter_slots::learn(self, now, table, commands);
+            self.voter_slots.learn(table, commands);
         }
-        if !voter_slots::holds(&self.voter_slots, slot, replica_id) {
-            voter_slots::tell_again(self, now, slot, connection, commands);
+        if !self.voter_slots.is_held_by(slot, replica_id) {
+            self.voter_slots.resend_voter_set(now, slot, connection, commands);
             return false;
         }
         self.voter_slots.silence[usize::from(slot)] = 0;
         let ours = self.voter_slots.stamp;
-        let has_same_set = voter_slots::stamp_of(message).is_none_or(|stamp| stamp == ours);
+        let has_same_set = stamp_of(message).is_none_or(|stamp| stamp == ours);
         if !has_same_set {
-            voter_slots::tell_again(self, now, slot, connection, commands);
+            self.voter_slots.resend_voter_set(now, slot, connection, commands);
         }
         has_same_set && self.slot != NOBODY
     }
@@ -82,7 +81,7 @@
         message: Message,
         commands: &mut Vec<Command>,
     ) {
-        let sender = Sender { group: here(self), slot: from };
+        let sender = Sender { group: self.group(), slot: from };
         let Some(partition) = self.partitions.get_mut(id.0 as usize) else { return };
         let led_before = matches!(partition.role, Role::Leader(_));
         self.counts.swept += u64::from(matches!(message, Message::SnapshotRequest { .. }));
--- a/crates/core/src/control_plane/leases.rs
+++ b/crates/core/src/control_plane/leases.rs
@@ -10,7 +10,6 @@
 use crate::replication::leader;
 use crate::replication::partition::Role;
 use crate::time::Tick;
-use crate::voters::voter_slots::here;
 
 /// A member's renewal of its lease.
 pub struct LeaseRenewal {
@@ -42,7 +41,7 @@
 
     /// The voters among which memberships are replicated.
     pub(super) fn voters(&self) -> Voters {
-        Voters { group: here(self), stamp: self.voter_slots.stamp }
+        Voters { group: self.group(), stamp: self.voter_slots.stamp }
     }
 
     /// Begins to keep leases if we lead and have not begun.
@@ -72,7 +71,7 @@
             return;
         }
         self.begin_leases(now);
-        let group = here(self);
+        let group = self.group();
         let configuration = &mut self.partitions[0];
         if forgotten_members::readmit(configuration, now, group, &renewal.member, commands) {
             return;
@@ -100,7 +99,7 @@
     /// Whether a majority of the voters followed us a moment ago.
     fn is_followed(&self, now: Tick) -> bool {
         match &self.partitions[0].role {
-            Role::Leader(leader) => leader::answering(leader, here(self), now),
+            Role::Leader(leader) => leader::answering(leader, self.group(), now),
             _ => false,
         }
     }
--- a/crates/core/src/control_plane/membership_updates.rs
+++ b/crates/core/src/control_plane/membership_updates.rs
@@ -9,7 +9,6 @@
 use crate::replication::leader;
 use crate::replication::partition::Role;
 use crate::time::Tick;
-use crate::voters::voter_slots::here;
 
 /// How a membership that a member goes by came to us.
 #[derive(Clone, Copy, PartialEq)]
@@ -42,7 +41,7 @@
             return;
         }
         let revision = self.partitions[0].committed_revision;
-        let group = here(self);
+        let group = self.group();
         let members = &mut self.members;
         members.retire_former(now);
         members.issue(now, term, revision);
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -23,8 +23,6 @@
 use crate::replication::partition::{OperationOrigin, Role};
 use crate::time::Tick;
 use crate::voter_set::{NOBODY, others};
-use crate::voters::handover;
-use crate::voters::voter_slots::here;
 
 /// Attempts that are remembered (count), so that one that comes twice is taken
 /// once: at hundreds of orders a second those of ten seconds.
@@ -52,10 +50,10 @@
         }
         let quiet = &self.voter_slots.silence;
         // A controller that is leaving asks nobody for a slot, and so hears nobody.
-        let leaving = handover::is_leaving(self);
+        let leaving = self.is_leaving();
         let is_awake =
             |slot: &VoterSlot| leaving || quiet[usize::from(*slot)] < consts::APPLY_SILENCE;
-        let list: Vec<VoterSlot> = others(here(self)).filter(is_awake).collect();
+        let list: Vec<VoterSlot> = others(self.group()).filter(is_awake).collect();
         let slot = list.get(self.voter_slots.forwarding_turns % list.len().max(1)).copied()?;
         self.voter_slots.forwarding_turns += 1;
         Some(Forwarding { slot, term: ANY_TERM })
@@ -103,7 +101,7 @@
         request: Request,
         commands: &mut Vec<Command>,
     ) {
-        let group = here(self);
+        let group = self.group();
         if operations::reject_if_full(&mut self.partitions[0], origin, commands) {
             return;
         }
@@ -258,7 +256,7 @@
     /// that has fallen silent.
     fn retry_superseded(&mut self) {
         let leader = self.known_leader();
-        let leaving = handover::is_leaving(self);
+        let leaving = self.is_leaving();
         let ControllerState { slot, voter_slots, ops, .. } = self;
         let is_silent = |to: &Forwarding| {
             let quiet = voter_slots.silence.get(usize::from(to.slot));
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -11,8 +11,6 @@
 use crate::replication::{catch_up, election, leader};
 use crate::time::{Tick, ms};
 use crate::voter_set::NOBODY;
-use crate::voters::voter_slots::here;
-use crate::voters::{handover, voter_slots};
 
 /// How often a controller looks around when nothing happens.
 pub const WAKE: crate::time::Span = ms(50);
@@ -22,7 +20,7 @@
     pub fn step(&mut self, now: Tick, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         self.on_event(now, event, &mut commands);
-        let group = here(self);
+        let group = self.group();
         forgotten_members::apply(&self.partitions[0], &mut self.members, now);
         self.answer_status(now, &mut commands);
         let configuration = &mut self.partitions[0];
@@ -30,7 +28,7 @@
         self.take_own_responses(now, &mut commands);
         self.return_forwarded(&mut commands);
         self.broadcast(&mut commands);
-        voter_slots::mark(self, now, &mut commands);
+        self.voter_slots.stamp_messages(now, &mut commands);
         commands
     }
 
@@ -50,7 +48,7 @@
                 self.on_operate(now, op, request, commands);
             }
             Event::ForceRecovery => self.force_recovery(commands),
-            Event::Stop => handover::begin(self, now, commands),
+            Event::Stop => self.begin_handover(now, commands),
             Event::Wake => self.wake(now, commands),
             event => self.on_io_event(now, event, commands),
         }
@@ -61,7 +59,7 @@
         match event {
             Event::ConnectionOpened { connection } => {
                 self.voter_slots.connections.insert(connection);
-                voter_slots::tell(self, connection, commands);
+                self.voter_slots.send_voter_set(connection, commands);
             }
             Event::ConnectionClosed { connection } => {
                 self.followers.swap_remove(&connection);
@@ -69,8 +67,8 @@
                 self.drop_forwarded_from(connection);
                 self.members.connections.retain(|_, known| *known != connection);
             }
-            Event::VoterFileWritten { token } => voter_slots::kept(self, now, token, commands),
-            Event::VoterFileFailed { why } => voter_slots::trouble(self, now, &why, commands),
+            Event::VoterFileWritten { token } => self.on_voter_file_written(now, token, commands),
+            Event::VoterFileFailed { why } => self.voter_slots.on_write_failed(now, &why, commands),
             Event::Synced { partition, token } => self.on_synced(now, partition, token, commands),
             Event::DiskFailed { partition, why } => {
                 self.on_disk_failed(now, partition, why, commands);
@@ -94,7 +92,7 @@
 
     /// Time passes.
     fn wake(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        voter_slots::wake(self, now, commands);
+        self.wake_voter_slots(now, commands);
         if self.slot != NOBODY {
             self.wake_partitions(now, commands);
         }
@@ -105,7 +103,7 @@
 
     /// Time passes for the replicas of a voter.
     fn wake_partitions(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let group = here(self);
+        let group = self.group();
         for partition in &mut self.partitions {
             wake_disk(partition, now, commands);
             catch_up::wake(partition, now, group, &mut self.luck, commands);
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -6,7 +6,6 @@
 use crate::identifiers::COHORT;
 use crate::protocol::message::{FeedPosition, Message};
 use crate::replication::partition::able;
-use crate::voters::voter_slots;
 
 impl ControllerState {
     /// Brings every follower up to what is committed, if that has changed. Each is
@@ -61,7 +60,7 @@
             self.greet(connection, commands);
         }
         if stamp != self.voter_slots.stamp {
-            voter_slots::tell(self, connection, commands);
+            self.voter_slots.send_voter_set(connection, commands);
         }
         let known = self.followers.entry(connection).or_default();
         for place in places {
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -3,7 +3,6 @@
 
 use crate::command::Command;
 use crate::consts;
-use crate::control_plane::controller::ControllerState;
 use crate::digest::{hash, pair};
 use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
@@ -16,7 +15,6 @@
 use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::time::{Span, Tick, since};
 use crate::voter_set::{VoterGroup, majority, others};
-use crate::voters::voter_slots::here;
 
 /// A seat's rank for a part among those that may lead it: 0 claims first.
 /// Spreads the leaders. The leader that fell silent is not waited for.
@@ -262,19 +260,14 @@
     }
 }
 
-/// Gives up all partitions, each to the follower whose copy is furthest.
-pub fn transfer_all(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    let group = here(core);
-    for p in &mut core.partitions {
-        let successor = successor(p, group);
-        let (partition, term) = (p.id, p.state.current_term);
-        crate::replication::replica::resign(p, now, None, out);
-        if let Some(slot) = successor {
-            out.push(Command::ToVoter {
-                slot,
-                message: Message::LeadershipTransfer { partition, term },
-            });
-        }
+/// Gives up a partition, to the follower whose state is newest.
+pub fn transfer(p: &mut Partition, now: Tick, group: VoterGroup, out: &mut Vec<Command>) {
+    let successor = successor(p, group);
+    let (partition, term) = (p.id, p.state.current_term);
+    crate::replication::replica::resign(p, now, None, out);
+    if let Some(slot) = successor {
+        let message = Message::LeadershipTransfer { partition, term };
+        out.push(Command::ToVoter { slot, message });
     }
 }
 
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -1,44 +1,40 @@
 //! How a controller that is asked to stop hands its voter slot to a spare.
 //!
-//! 1. It gives up leadership: each partition that it leads goes to the follower
-//!    whose copy is furthest (`election::transfer`), and it waits until it hears the
-//!    new leaders.
-//! 2. It offers its slot to a spare that asked for one lately. The spare accepts,
-//!    and takes no other slot for a while.
-//! 3. It writes a voter set in which the spare holds the slot. From the moment
-//!    that this is on its disk it votes no more, for good.
+//! 1. It gives up leadership: each partition that it leads goes to the follower whose
+//!    state is newest (`election`), and it waits until it hears the new leaders.
+//! 2. It offers its slot to a spare that asked for one lately. The spare accepts, and
+//!    takes no other slot for a while.
+//! 3. It writes a voter set in which the spare holds the slot. From the moment that
+//!    this is on its disk it votes no more, for good.
 //! 4. It sends the spare the voter set with all that its replicas hold. The spare
-//!    writes that and votes from then on, in its place. It needs nobody else for
-//!    it: one more voter may be lost at this very moment.
+//!    writes that and votes from then on, in its place. It needs nobody else for it:
+//!    one more voter may be lost at this very moment.
 //! 5. It ends when the spare confirms, or when its patience ends.
 //!
-//! **Why it is safe.** The process that leaves and its successor never vote both,
-//! and the successor begins with all that the former had promised and accepted,
-//! so the two count as one process whose voter set has risen; the argument in
-//! `seats` holds as it stands. A takeover of the same slot that a majority agreed
-//! to meanwhile wins, since its generation is above that of any handover
-//! (`table::after_takeover`): a majority of the other voters then goes by the
-//! takeover's voter set, and too few are left for one with the successor.
+//! **Why it is safe.** The process that leaves and its successor never vote both, and
+//! the successor begins with all that the former had voted for and accepted, so the two
+//! count as one process whose voter set has risen; the argument in `voters` holds as it
+//! stands. A takeover of the same slot that a majority agreed to meanwhile wins, since
+//! its generation is above that of any handover (`voter_set::after_takeover`): a
+//! majority of the other voters then goes by the takeover's voter set, and too few are
+//! left for one with the successor.
 
 use indexmap::IndexMap;
 
-use crate::command::{Command, ConnectionId};
+use crate::command::ConnectionId;
 use crate::consts;
-use crate::control_plane::controller::ControllerState;
-use crate::control_plane::feed;
 use crate::identifiers::VoterSlot;
-use crate::protocol::message::{HandedOverReplica, Memberships, Message, ReplicaCondition};
-use crate::replication::partition::{AfterWrite, Partition, Role, able};
-use crate::replication::{election, replica};
-use crate::storage::record::ReplicaState;
+use crate::protocol::message::Message;
 use crate::time::{Tick, since};
-use crate::voter_set::{NOBODY, SlotHolder, VoterSet, after_handover, balanced, merge};
-use crate::voters::voter_slots;
+use crate::voter_set::{SlotHolder, VoterSet, after_handover, balanced};
 
 /// A controller without a voter slot that asked us for one.
 pub struct Applicant {
+    /// The connection on which it asked.
     pub connection: ConnectionId,
+    /// Its zone.
     pub zone: String,
+    /// When it last asked.
     pub at: Tick,
 }
 
@@ -48,15 +44,15 @@
     /// Who asked us for a slot, by replica id.
     pub applicants: IndexMap<u64, Applicant>,
     /// Our own departure, once we were asked to stop.
-    pub leaving: Option<Leaving>,
+    pub departure: Option<Departure>,
     /// The slot that we agreed to take over.
-    pub reserved: Option<Reservation>,
+    pub reservation: Option<Reservation>,
     /// When we last claimed a slot by a majority's offers.
     pub claimed_at: Option<Tick>,
 }
 
-/// A slot that a spare waits for. Two voters that leave at the same time must
-/// not hand theirs to the same spare.
+/// A slot that a spare waits for. Two voters that leave at the same time must not hand
+/// theirs to the same spare.
 pub struct Reservation {
     slot: VoterSlot,
     generation: u32,
@@ -64,306 +60,192 @@
 }
 
 /// The departure of a controller that was asked to stop.
-pub struct Leaving {
-    began: Tick,
-    stage: Stage,
+pub struct Departure {
+    /// When it was asked to.
+    pub began_at: Tick,
+    /// How far it is.
+    pub stage: Stage,
 }
 
 /// How far a departure is. It only goes on, from one to the next.
-enum Stage {
+pub enum Stage {
     /// The partitions that we led get other leaders.
     TransferringLeadership,
     /// A spare is asked to take the slot over.
-    Offering { asked: Option<(u64, Tick)> },
+    Offering {
+        /// The spare that was last asked.
+        asked: Option<OfferSent>,
+    },
     /// The voter set without us is on its way to our disk.
-    Yielding { slot: VoterSlot, successor: u64 },
+    Yielding {
+        /// Our slot.
+        slot: VoterSlot,
+        /// Replica id of the spare that takes it over.
+        successor: u64,
+    },
     /// We vote no more; the successor is sent our state.
-    Sending { state: Box<Message>, slot: VoterSlot, sent_at: Option<Tick> },
+    Sending {
+        /// The message that carries it.
+        state: Box<Message>,
+        /// The slot that was ours.
+        slot: VoterSlot,
+        /// When it was last sent.
+        sent_at: Option<Tick>,
+    },
     /// Nothing is left to do but to answer the operators who waited by then.
-    Answering { operations: Vec<u64> },
-}
-
-/// The process was asked to stop.
-pub fn begin(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    if core.voter_slots.handovers.leaving.is_some() {
-        return;
-    }
-    election::transfer_all(core, now, out);
-    let nobody_waits = core.voter_slots.handovers.applicants.is_empty();
-    let alone = core.slot == NOBODY || nobody_waits;
-    let stage = Stage::TransferringLeadership;
-    core.voter_slots.handovers.leaving = Some(Leaving { began: now, stage });
-    if alone {
-        return finish(core);
-    }
-    wake(core, now, out);
-}
-
-/// Whether a process that was asked to stop may end.
-pub fn may_end(core: &ControllerState, now: Tick) -> bool {
-    let Some(leaving) = &core.voter_slots.handovers.leaving else { return false };
-    let Stage::Answering { operations } = &leaving.stage else { return false };
-    since(leaving.began, now) >= consts::HANDOVER_PATIENCE
-        || !operations.iter().any(|operation| core.ops.contains_key(operation))
-}
-
-/// The slot is another's, or nobody is there to take it.
-fn finish(core: &mut ControllerState) {
-    let operations = core.ops.keys().copied().collect();
-    if let Some(leaving) = &mut core.voter_slots.handovers.leaving
-        && !matches!(leaving.stage, Stage::Answering { .. })
-    {
-        leaving.stage = Stage::Answering { operations };
-    }
-}
-
-/// Whether this process was asked to stop.
-pub fn is_leaving(core: &ControllerState) -> bool {
-    core.voter_slots.handovers.leaving.is_some()
-}
-
-/// Notes that a spare asked us for a slot.
-pub fn note_applicant(
-    core: &mut ControllerState,
-    now: Tick,
-    connection: ConnectionId,
-    holder: u64,
-    zone: &str,
-) {
-    let applicant = Applicant { connection, zone: zone.to_string(), at: now };
-    core.voter_slots.handovers.applicants.insert(holder, applicant);
-}
-
-/// Time passes.
-pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    let handovers = &mut core.voter_slots.handovers;
-    handovers.applicants.retain(|_, a| since(a.at, now) < consts::APPLY_SILENCE);
-    let Some(leaving) = &mut handovers.leaving else { return };
-    let spent = since(leaving.began, now);
-    if spent >= consts::HANDOVER_PATIENCE {
-        return finish(core);
-    }
-    match &mut leaving.stage {
-        Stage::TransferringLeadership => {
-            if spent >= consts::LEADERSHIP_TRANSFER || all_are_led(core) {
-                offer(core, now, None, out);
-            }
-        }
-        Stage::Offering { asked } => {
-            let asked = *asked;
-            if asked.is_none_or(|(_, at)| since(at, now) >= consts::HANDOVER_RETRY) {
-                offer(core, now, asked.map(|(holder, _)| holder), out);
-            }
-        }
-        // A takeover may have been quicker than we were.
-        Stage::Yielding { .. } if core.slot == NOBODY => finish(core),
-        Stage::Yielding { .. } | Stage::Answering { .. } => {}
-        Stage::Sending { state, slot, sent_at } => {
-            if sent_at.is_none_or(|at| since(at, now) >= consts::HANDOVER_RETRY) {
-                *sent_at = Some(now);
-                out.push(Command::ToVoter { slot: *slot, message: (**state).clone() });
-            }
-        }
-    }
-}
-
-/// Whether every partition has a leader that is not this process.
-fn all_are_led(core: &ControllerState) -> bool {
-    let led = |p: &Partition| matches!(p.role, Role::Follower { leader: Some(_), .. });
-    core.partitions.iter().all(led)
-}
-
-/// Offers our slot to a spare, if there is one that may have it; to another than
-/// the last one that was asked, if there are several.
-fn offer(core: &mut ControllerState, now: Tick, last: Option<u64>, out: &mut Vec<Command>) {
-    let slot = core.slot;
-    let table = &core.voter_slots.voter_file.table;
-    let next = table.slots.get(usize::from(slot)).and_then(|h| after_handover(h.generation));
-    let handovers = &core.voter_slots.handovers;
-    let fits = |(holder, a): &(&u64, &Applicant)| {
-        let seated = table.slots.iter().any(|h| h.holder == **holder);
-        !seated && balanced(table, slot, &a.zone)
-    };
-    let successor = handovers
-        .applicants
-        .iter()
-        .filter(fits)
-        .max_by_key(|(holder, a)| (Some(**holder) != last, a.at, **holder))
-        .map(|(holder, a)| (*holder, a.connection));
-    let (Some(generation), Some((holder, connection))) = (next, successor) else {
-        return finish(core);
-    };
-    out.push(Command::ToConnection {
-        connection,
-        message: Message::HandoverOffer { slot, generation },
-    });
-    if let Some(leaving) = &mut core.voter_slots.handovers.leaving {
-        leaving.stage = Stage::Offering { asked: Some((holder, now)) };
-    }
+    Answering {
+        /// Numbers of their requests.
+        operations: Vec<u64>,
+    },
+}
+
+/// An offer of our slot to a spare.
+#[derive(Clone, Copy)]
+pub struct OfferSent {
+    /// Replica id of the spare.
+    pub replica_id: u64,
+    /// When it was asked.
+    pub at: Tick,
 }
 
-/// A voter that leaves offers us its slot.
-pub fn offered(
-    core: &mut ControllerState,
-    now: Tick,
-    slot: VoterSlot,
-    generation: u32,
-    out: &mut Vec<Command>,
-) {
-    let s = &mut core.voter_slots;
-    let claims = s.handovers.claimed_at.is_some_and(|at| since(at, now) < consts::SEAT_SILENCE);
-    let waits = s
-        .handovers
-        .reserved
-        .as_ref()
-        .is_some_and(|r| now < r.until && (r.slot, r.generation) != (slot, generation));
-    let free = core.slot == NOBODY && s.voter_file.me != 0 && s.pending_write.is_none();
-    if !free || claims || waits || s.handovers.leaving.is_some() {
-        return;
-    }
-    let until = now + consts::HANDOVER_PATIENCE;
-    s.handovers.reserved = Some(Reservation { slot, generation, until });
-    s.offers.fill(None);
-    let (holder, addr, zone) = (s.voter_file.me, s.addr.clone(), s.zone.clone());
-    let holding = SlotHolder { generation, holder, addr, zone };
-    out.push(Command::Broadcast { message: Message::HandoverAccept { slot, holding } });
+/// A spare that may have our slot.
+pub struct Successor {
+    /// Its replica id.
+    pub replica_id: u64,
+    /// The connection on which it asked for a slot.
+    pub connection: ConnectionId,
+    /// Generation in which it would hold the slot.
+    pub generation: u32,
 }
 
-/// The spare that we asked is ready: we give the slot up, first on our disk.
-pub fn accepted(
-    core: &mut ControllerState,
-    now: Tick,
-    slot: VoterSlot,
-    holding: SlotHolder,
-    out: &mut Vec<Command>,
-) {
-    let table = voter_slots::newest(&core.voter_slots);
-    let Some(leaving) = &core.voter_slots.handovers.leaving else { return };
-    let Stage::Offering { asked: Some((holder, asked_at)) } = leaving.stage else { return };
-    // After a pause of ours the spare may wait for us no more.
-    let fresh = since(asked_at, now) < 2 * consts::HANDOVER_RETRY;
-    let seated = table.slots.iter().any(|h| h.holder == holder);
-    let ours = core.slot == slot && core.voter_slots.pending_write.is_none() && fresh && !seated;
-    let next = table.slots.get(usize::from(slot)).and_then(|h| after_handover(h.generation));
-    if !ours || holder != holding.holder || next != Some(holding.generation) {
-        return;
-    }
-    let mut table: VoterSet = table.clone();
-    table.slots[usize::from(slot)] = holding;
-    if let Some(leaving) = &mut core.voter_slots.handovers.leaving {
-        leaving.stage = Stage::Yielding { slot, successor: holder };
+impl Handovers {
+    /// Whether this process was asked to stop.
+    pub fn is_leaving(&self) -> bool {
+        self.departure.is_some()
     }
-    voter_slots::put(core, now, table, out);
-}
 
-/// Our slot is another's by the voter set that was just written. If that is the
-/// successor that we chose, what our replicas hold goes there; tells whether so.
-pub fn yielded(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) -> bool {
-    let Some(Leaving { stage: Stage::Yielding { slot, successor }, .. }) =
-        core.voter_slots.handovers.leaving
-    else {
-        return false;
-    };
-    let table = core.voter_slots.voter_file.table.clone();
-    let holding = &table.slots[usize::from(slot)];
-    if holding.holder != successor {
-        return false;
-    }
-    let generation = holding.generation;
-    let replicas = core.partitions.iter().filter(|p| able(p)).map(replica_state).collect();
-    let memberships = core.members.held_memberships();
-    let state = Message::Handover { slot, generation, table, replicas, memberships };
-    let stage = Stage::Sending { state: Box::new(state), slot, sent_at: None };
-    if let Some(leaving) = &mut core.voter_slots.handovers.leaving {
-        leaving.stage = stage;
-    }
-    for p in &mut core.partitions {
-        voter_slots::forget(p, now, out);
+    /// The process was asked to stop.
+    pub fn begin(&mut self, now: Tick) {
+        self.departure = Some(Departure { began_at: now, stage: Stage::TransferringLeadership });
     }
-    core.members = Default::default();
-    true
-}
 
-fn replica_state(p: &Partition) -> HandedOverReplica {
-    let ReplicaState { current_term: promised, written_term: term, revision, entries: map } =
-        p.state.clone();
-    HandedOverReplica {
-        partition: p.id,
-        current_term: promised,
-        written_term: term,
-        revision,
-        entries: map,
+    /// Goes on to the next stage of our departure.
+    pub fn enter(&mut self, stage: Stage) {
+        if let Some(departure) = &mut self.departure {
+            departure.stage = stage;
+        }
     }
-}
-
-/// What a voter that leaves hands to us.
-pub struct Received {
-    pub slot: VoterSlot,
-    pub generation: u32,
-    pub table: VoterSet,
-    pub replicas: Vec<HandedOverReplica>,
-    pub memberships: Memberships,
-}
 
-/// The state of a voter whose slot we take over. It is written once the voter
-/// set that gives us the slot is on our disk; until then it is sent again.
-pub fn received(
-    core: &mut ControllerState,
-    now: Tick,
-    connection: ConnectionId,
-    received: Received,
-    out: &mut Vec<Command>,
-) {
-    let Received { slot, generation, table, replicas, memberships } = received;
-    voter_slots::learn(core, now, &table, out);
-    let ours = &core.voter_slots.voter_file.table;
-    let holds = ours.slots.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
-    if core.slot != slot || !holds || merge(ours, &table).is_some() {
-        return;
-    }
-    core.members.inherit(memberships);
-    for state in replicas {
-        if let Some(p) = core.partitions.get_mut(state.partition.0 as usize) {
-            install(p, now, state, out);
+    /// The slot is another's, or nobody is there to take it. `operations` are the
+    /// requests of operators that wait.
+    pub fn finish(&mut self, operations: impl Iterator<Item = u64>) {
+        if let Some(departure) = &mut self.departure
+            && !matches!(departure.stage, Stage::Answering { .. })
+        {
+            departure.stage = Stage::Answering { operations: operations.collect() };
         }
     }
-    if core.partitions.iter().all(|p| p.condition == ReplicaCondition::Voting) {
-        let message = Message::HandoverDone { slot, generation };
-        out.push(Command::ToConnection { connection, message });
-    }
-}
 
-/// Writes a replica that was handed over, unless ours votes already.
-fn install(p: &mut Partition, now: Tick, state: HandedOverReplica, out: &mut Vec<Command>) {
-    if p.condition == ReplicaCondition::Voting || !p.writes.is_empty() {
-        return;
+    /// Whether a process that was asked to stop may end: nobody waits for an answer
+    /// any more, or its patience has ended.
+    pub fn may_end(&self, now: Tick, is_waiting: impl Fn(u64) -> bool) -> bool {
+        let Some(departure) = &self.departure else { return false };
+        let Stage::Answering { operations } = &departure.stage else { return false };
+        since(departure.began_at, now) >= consts::HANDOVER_PATIENCE
+            || !operations.iter().any(|operation| is_waiting(*operation))
+    }
+
+    /// Notes that a spare asked us for a slot.
+    pub fn note_applicant(&mut self, replica_id: u64, applicant: Applicant) {
+        self.applicants.insert(replica_id, applicant);
+    }
+
+    /// Forgets the spares that ask no more.
+    pub fn drop_silent_applicants(&mut self, now: Tick) {
+        self.applicants.retain(|_, a| since(a.at, now) < consts::APPLY_SILENCE);
+    }
+
+    /// A spare that may have `slot`, if there is one; another than `last`, if there are
+    /// several.
+    pub fn choose_successor(
+        &self,
+        voter_set: &VoterSet,
+        slot: VoterSlot,
+        last: Option<u64>,
+    ) -> Option<Successor> {
+        let generation = next_generation(voter_set, slot)?;
+        let fits = |(replica_id, applicant): &(&u64, &Applicant)| {
+            let has_slot = voter_set.slots.iter().any(|h| h.holder == **replica_id);
+            !has_slot && balanced(voter_set, slot, &applicant.zone)
+        };
+        self.applicants
+            .iter()
+            .filter(fits)
+            .max_by_key(|(replica_id, a)| (Some(**replica_id) != last, a.at, **replica_id))
+            .map(|(replica_id, a)| Successor {
+                replica_id: *replica_id,
+                connection: a.connection,
+                generation,
+            })
+    }
+
+    /// Whether we wait for a slot that a leaving voter hands to us, who have none.
+    pub fn is_reserved(&self, now: Tick) -> bool {
+        self.reservation.as_ref().is_some_and(|reservation| now < reservation.until)
+    }
+
+    /// Whether we may agree to take over a slot: we don't leave, wait for no other one,
+    /// and did not claim one just now.
+    pub fn may_reserve(&self, now: Tick, slot: VoterSlot, generation: u32) -> bool {
+        let has_claimed = self.claimed_at.is_some_and(|at| since(at, now) < consts::SEAT_SILENCE);
+        let waits_for_other = self.reservation.as_ref().is_some_and(|reserved| {
+            now < reserved.until && (reserved.slot, reserved.generation) != (slot, generation)
+        });
+        !has_claimed && !waits_for_other && !self.is_leaving()
+    }
+
+    /// Waits for a slot that was offered to us.
+    pub fn reserve(&mut self, now: Tick, slot: VoterSlot, generation: u32) {
+        let until = now + consts::HANDOVER_PATIENCE;
+        self.reservation = Some(Reservation { slot, generation, until });
+    }
+
+    /// The voter set with `holder` in `slot`, if that is the spare that we asked and
+    /// that still waits for us.
+    pub fn with_successor(
+        &self,
+        now: Tick,
+        newest: &VoterSet,
+        slot: VoterSlot,
+        holder: SlotHolder,
+    ) -> Option<VoterSet> {
+        let Some(Departure { stage: Stage::Offering { asked: Some(asked) }, .. }) = &self.departure
+        else {
+            return None;
+        };
+        // After a pause of ours the spare may wait for us no more.
+        let is_fresh = since(asked.at, now) < 2 * consts::HANDOVER_RETRY;
+        let has_slot = newest.slots.iter().any(|h| h.holder == asked.replica_id);
+        let is_asked = asked.replica_id == holder.holder
+            && next_generation(newest, slot) == Some(holder.generation);
+        if !is_fresh || has_slot || !is_asked {
+            return None;
+        }
+        let mut voter_set = newest.clone();
+        voter_set.slots[usize::from(slot)] = holder;
+        Some(voter_set)
     }
-    let HandedOverReplica {
-        current_term: promised,
-        written_term: term,
-        revision,
-        entries: map,
-        ..
-    } = state;
-    feed::reseed(p, revision, &map);
-    p.state = ReplicaState { current_term: promised, written_term: term, revision, entries: map };
-    replica::keep_whole(p, now, vec![AfterWrite::StartVoting], out);
-}
 
-/// The successor votes: nothing keeps us any longer.
-pub fn done(core: &mut ControllerState, slot: VoterSlot, generation: u32) {
-    let table = &core.voter_slots.voter_file.table;
-    let same = table.slots.get(usize::from(slot)).is_some_and(|h| h.generation == generation);
-    let leaving = core.voter_slots.handovers.leaving.as_ref();
-    let sending = leaving
-        .is_some_and(|l| matches!(l.stage, Stage::Sending { slot: ours, .. } if ours == slot));
-    if sending && same {
-        finish(core);
+    /// Whether we send our state to the successor in `slot`.
+    pub fn is_sending(&self, slot: VoterSlot) -> bool {
+        let departure = self.departure.as_ref();
+        departure
+            .is_some_and(|d| matches!(d.stage, Stage::Sending { slot: ours, .. } if ours == slot))
     }
 }
 
-/// Whether we wait for a slot that a leaving voter hands to us.
-pub fn is_reserved(core: &ControllerState, now: Tick) -> bool {
-    let reserved = core.voter_slots.handovers.reserved.as_ref();
-    core.slot == NOBODY && reserved.is_some_and(|r| now < r.until)
+/// The generation in which a successor would hold `slot`, if one is left before the
+/// next takeover.
+fn next_generation(voter_set: &VoterSet, slot: VoterSlot) -> Option<u32> {
+    voter_set.slots.get(usize::from(slot)).and_then(|h| after_handover(h.generation))
 }
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -1,151 +1,165 @@
-//! How a controller without a seat comes to one: it asks whether a majority
-//! would give it a seat, and only then takes it. While no seat is free it goes
-//! on asking, and is at hand.
+//! How a controller without a voter slot comes to one: it asks whether a majority
+//! would give it a slot, and only then takes it. While no slot is free it goes on
+//! asking, and is a spare.
 
-use crate::command::{Command, ConnectionId};
+use crate::command::Command;
 use crate::consts;
-use crate::control_plane::controller::ControllerState;
 use crate::digest::pair;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::time::{Tick, since};
-use crate::voter_set::{NOBODY, SlotHolder, after_takeover, balanced, majority};
-use crate::voters::handover;
-use crate::voters::voter_slots;
-use crate::voters::voter_slots::newest;
+use crate::voter_set::{NOBODY, SlotHolder, VoterSet, after_takeover, balanced, majority};
+use crate::voters::voter_slots::VoterSlots;
 
-/// The seats that a seat would give us, and when it said so.
+/// The slots that a voter would give us, and when it said so.
 #[derive(Clone)]
-pub struct Offer {
+pub struct JoinOffer {
+    /// When it said so.
     pub at: Tick,
+    /// The slots that it would give us.
     pub free: Vec<VoterSlot>,
 }
 
-/// Time passes for a controller that has no seat.
-pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    let s = &mut core.voter_slots;
-    if now < s.join_request_at || s.voter_file.me == 0 || s.handovers.leaving.is_some() {
-        return;
-    }
-    s.join_request_at = now + consts::APPLY_BEAT;
-    let (holder, addr, zone) = (s.voter_file.me, s.addr.clone(), s.zone.clone());
-    let stamp = s.stamp;
-    out.push(Command::Broadcast { message: Message::JoinRequest { holder, addr, zone, stamp } });
+/// A controller that asks for a slot.
+#[derive(Clone, Copy)]
+pub struct Candidate<'a> {
+    /// Its replica id.
+    pub replica_id: u64,
+    /// Its address.
+    pub addr: &'a str,
+    /// Its zone.
+    pub zone: &'a str,
 }
 
-/// Whether we would give seat `k` to a controller: it is vacant, or it is the
-/// controller's own from before its disk was lost, or its holder is silent.
-fn gives(
-    core: &ControllerState,
-    now: Tick,
-    k: VoterSlot,
-    (holder, addr, zone): (u64, &str, &str),
-) -> bool {
-    let s = &core.voter_slots;
-    let table = newest(s);
-    let Some(h) = table.slots.get(usize::from(k)) else { return false };
-    if k == core.slot || h.holder == holder {
-        return false;
-    }
-    if h.holder != 0 && h.addr == addr {
-        return true;
-    }
-    // One that has a seat elsewhere, or had one under this address, takes that.
-    if table.slots.iter().any(|h| h.holder == holder || (h.holder != 0 && h.addr == addr)) {
-        return false;
+impl VoterSlots {
+    /// Asks for a slot, if it is time. For a controller that has none.
+    pub fn request_slot(&mut self, now: Tick, commands: &mut Vec<Command>) {
+        let replica_id = self.replica_id();
+        if now < self.join_request_at || replica_id == 0 || self.handovers.is_leaving() {
+            return;
+        }
+        self.join_request_at = now + consts::APPLY_BEAT;
+        let message = Message::JoinRequest {
+            holder: replica_id,
+            addr: self.addr.clone(),
+            zone: self.zone.clone(),
+            stamp: self.stamp,
+        };
+        commands.push(Command::Broadcast { message });
     }
-    let fits = balanced(table, k, zone);
-    if h.holder == 0 {
-        return fits || since(s.started_at, now) >= consts::SEAT_BALANCE;
-    }
-    fits && s.silence.get(usize::from(k)).is_some_and(|q| *q >= consts::SEAT_SILENCE)
-}
 
-/// A controller without a seat asks what we would give it.
-pub fn asked(
-    core: &mut ControllerState,
-    now: Tick,
-    connection: ConnectionId,
-    (holder, addr, zone): (u64, &str, &str),
-    stamp: u64,
-    out: &mut Vec<Command>,
-) {
-    if stamp != core.voter_slots.stamp {
-        voter_slots::tell(core, connection, out);
+    /// The slots that we, the holder of `own`, would give to a candidate.
+    pub fn slots_for(&self, now: Tick, own: VoterSlot, candidate: Candidate) -> Vec<VoterSlot> {
+        let size = self.voter_set().slots.len() as VoterSlot;
+        (0..size).filter(|slot| self.would_give(now, own, *slot, candidate)).collect()
     }
-    if core.slot == NOBODY {
-        return;
+
+    /// Whether we, the holder of `own`, would give `slot` to a candidate: it is vacant,
+    /// or it is the candidate's own from before its disk was lost, or its replica is
+    /// silent.
+    fn would_give(&self, now: Tick, own: VoterSlot, slot: VoterSlot, candidate: Candidate) -> bool {
+        let voter_set = self.newest();
+        let Some(holder) = voter_set.slots.get(usize::from(slot)) else { return false };
+        if slot == own || holder.holder == candidate.replica_id {
+            return false;
+        }
+        let is_at_its_address = |h: &SlotHolder| h.holder != 0 && h.addr == candidate.addr;
+        if is_at_its_address(holder) {
+            return true;
+        }
+        // One that has a slot elsewhere, or had one under this address, takes that.
+        let has_another = |h: &SlotHolder| h.holder == candidate.replica_id || is_at_its_address(h);
+        if voter_set.slots.iter().any(has_another) {
+            return false;
+        }
+        let fits = balanced(voter_set, slot, candidate.zone);
+        if holder.holder == 0 {
+            return fits || since(self.started_at, now) >= consts::SEAT_BALANCE;
+        }
+        let silence = self.silence.get(usize::from(slot));
+        fits && silence.is_some_and(|silence| *silence >= consts::SEAT_SILENCE)
     }
-    handover::note_applicant(core, now, connection, holder, zone);
-    if handover::is_leaving(core) {
-        // What we would give is ours alone, and is offered by `handover`.
-        return;
+
+    /// A voter says which slots it would give us, who have none. We claim one that a
+    /// majority would give us.
+    pub fn on_join_offer(
+        &mut self,
+        now: Tick,
+        from: VoterSlot,
+        stamp: u64,
+        free: Vec<VoterSlot>,
+        commands: &mut Vec<Command>,
+    ) {
+        let is_reserved = self.handovers.is_reserved(now);
+        if stamp != self.stamp || self.pending_write.is_some() || is_reserved {
+            return;
+        }
+        let Some(offer) = self.offers.get_mut(usize::from(from)) else { return };
+        *offer = Some(JoinOffer { at: now, free });
+        if let Some(slot) = self.choose_slot(now) {
+            self.claim(now, slot, commands);
+        }
     }
-    let size = core.voter_slots.voter_file.table.slots.len() as VoterSlot;
-    let free = (0..size).filter(|k| gives(core, now, *k, (holder, addr, zone))).collect();
-    let (slot, stamp) = (core.slot, core.voter_slots.stamp);
-    out.push(Command::ToConnection {
-        connection,
-        message: Message::JoinOffer { slot, stamp, free },
-    });
-}
 
-/// A seat says what it would give us.
-pub fn offered(
-    core: &mut ControllerState,
-    now: Tick,
-    (slot, stamp): (VoterSlot, u64),
-    free: Vec<VoterSlot>,
-    out: &mut Vec<Command>,
-) {
-    let is_reserved = handover::is_reserved(core, now);
-    let s = &mut core.voter_slots;
-    if let Some(quiet) = s.silence.get_mut(usize::from(slot)) {
-        *quiet = 0;
+    /// The slot to claim of those that a majority would give us: our own from before
+    /// first; else applicants spread over what is free.
+    fn choose_slot(&self, now: Tick) -> Option<VoterSlot> {
+        let size = self.offers.len();
+        let offers_it = |slot: VoterSlot, offer: &JoinOffer| {
+            since(offer.at, now) < 2 * consts::APPLY_BEAT && offer.free.contains(&slot)
+        };
+        let offers_of = |slot: VoterSlot| {
+            let others = self.offers.iter().enumerate().filter(|(i, _)| *i != usize::from(slot));
+            others
+                .filter_map(|(_, offer)| offer.as_ref())
+                .filter(|offer| offers_it(slot, offer))
+                .count()
+        };
+        let was_ours =
+            |slot: &VoterSlot| self.voter_set().slots[usize::from(*slot)].addr == self.addr;
+        (0..size as VoterSlot)
+            .filter(|slot| offers_of(*slot) >= majority(size))
+            .max_by_key(|slot| (was_ours(slot), pair(self.replica_id(), u64::from(*slot))))
     }
-    if core.slot != NOBODY || stamp != s.stamp || s.pending_write.is_some() || is_reserved {
-        return;
+
+    fn claim(&mut self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
+        let former = self.voter_set().slots[usize::from(slot)].generation;
+        let holding = self.own_holder(after_takeover(former));
+        self.offers = vec![None; self.offers.len()];
+        self.handovers.claimed_at = Some(now);
+        commands.push(Command::Broadcast { message: Message::SlotTakeover { slot, holding } });
     }
-    let Some(cell) = s.offers.get_mut(usize::from(slot)) else { return };
-    *cell = Some(Offer { at: now, free });
-    let size = s.offers.len();
-    let yes = |k: VoterSlot| {
-        let list = s.offers.iter().enumerate().filter(|(i, _)| *i != usize::from(k));
-        list.filter_map(|(_, o)| o.as_ref())
-            .filter(|o| since(o.at, now) < 2 * consts::APPLY_BEAT && o.free.contains(&k))
-            .count()
-    };
-    let ours = |k: &VoterSlot| s.voter_file.table.slots[usize::from(*k)].addr == s.addr;
-    let open = (0..size as VoterSlot).filter(|k| yes(*k) >= majority(size));
-    // Our own from before first; else applicants spread over what is free.
-    let Some(k) = open.max_by_key(|k| (ours(k), pair(s.voter_file.me, u64::from(*k)))) else {
-        return;
-    };
-    let generation = after_takeover(s.voter_file.table.slots[usize::from(k)].generation);
-    let (addr, zone) = (s.addr.clone(), s.zone.clone());
-    let holding = SlotHolder { generation, holder: s.voter_file.me, addr, zone };
-    s.offers = vec![None; size];
-    s.handovers.claimed_at = Some(now);
-    out.push(Command::Broadcast { message: Message::SlotTakeover { slot: k, holding } });
-}
 
-/// A controller takes a seat that a majority would give it. We agree by
-/// holding the table with it; that is told once it is on our disk.
-pub fn taken(
-    core: &mut ControllerState,
-    now: Tick,
-    k: VoterSlot,
-    new: SlotHolder,
-    out: &mut Vec<Command>,
-) {
-    if core.slot == NOBODY || !gives(core, now, k, (new.holder, &new.addr, &new.zone)) {
-        return;
+    /// Ourselves as holder of a slot in a generation.
+    pub fn own_holder(&self, generation: u32) -> SlotHolder {
+        SlotHolder {
+            generation,
+            holder: self.replica_id(),
+            addr: self.addr.clone(),
+            zone: self.zone.clone(),
+        }
     }
-    let mut table = newest(&core.voter_slots).clone();
-    let cell = &mut table.slots[usize::from(k)];
-    if new.holder == 0 || new.generation != after_takeover(cell.generation) {
-        return;
+
+    /// The voter set in which a controller has taken over `slot`, if we, the holder of
+    /// `own`, agree.
+    pub fn with_takeover(
+        &self,
+        now: Tick,
+        own: VoterSlot,
+        slot: VoterSlot,
+        holder: SlotHolder,
+    ) -> Option<VoterSet> {
+        let candidate =
+            Candidate { replica_id: holder.holder, addr: &holder.addr, zone: &holder.zone };
+        if own == NOBODY || !self.would_give(now, own, slot, candidate) {
+            return None;
+        }
+        let mut voter_set = self.newest().clone();
+        let cell = &mut voter_set.slots[usize::from(slot)];
+        if holder.holder == 0 || holder.generation != after_takeover(cell.generation) {
+            return None;
+        }
+        *cell = holder;
+        Some(voter_set)
     }
-    *cell = new;
-    voter_slots::put(core, now, table, out);
 }
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -1,347 +1,318 @@
-//! A controller's knowledge of the seats: hearing, keeping and telling the
-//! table, and what follows for its own parts when it changes.
+//! What a controller knows of the voter slots: receiving, writing and sending the
+//! voter set.
 
 use indexmap::IndexSet;
 
 use crate::command::{Command, ConnectionId};
 use crate::consts;
-use crate::control_plane::controller::ControllerState;
 use crate::identifiers::VoterSlot;
-use crate::protocol::message::{Message, ReplicaCondition};
-use crate::replication::{partition, replica};
+use crate::protocol::message::Message;
 use crate::storage::voter_file::VoterFile;
 use crate::time::{Span, Tick, since};
-use crate::voter_set::{
-    NOBODY, VoterGroup, VoterSet, ballot, group, merge, others, seat_of, stamp,
-};
-use crate::voters::handover;
+use crate::voter_set::{VoterGroup, VoterSet, ballot, group, merge, others, seat_of, stamp};
 use crate::voters::handover::Handovers;
-use crate::voters::slot_takeover::Offer;
+use crate::voters::slot_takeover::JoinOffer;
+use crate::voters::stamp::stamp_of_mut;
 
-/// What a controller knows of the seats.
+/// What a controller knows of the voter slots.
 ///
-/// Invariants: `roll` is on disk; what is told, counted or done rests on it
-/// alone; `next` follows it and is on its way to the disk.
+/// Invariants: `voter_file` is on disk; what is sent, counted or done rests on it
+/// alone; `pending_write` follows it and is on its way to the disk.
 pub struct VoterSlots {
+    /// Our replica id and the voter set, as they are on disk.
     pub voter_file: VoterFile,
+    /// Stamp of that voter set.
     pub stamp: u64,
-    /// Where others reach us, and our zone.
+    /// The address at which other controllers reach us.
     pub addr: String,
+    /// Our zone.
     pub zone: String,
+    /// A newer voter file on its way to the disk.
     pub pending_write: Option<PendingVoterFile>,
+    /// Token of the last voter file that was sent to the disk.
     pub last_token: u64,
+    /// When this process started.
     pub started_at: Tick,
+    /// When silence was last counted.
     pub woken_at: Tick,
-    /// For how long each seat's holder was not heard, while we were awake: a
-    /// process that was paused must not take its pause for others' silence.
+    /// For how long each slot's replica was not heard, while we were awake: a process
+    /// that was paused must not take its pause for others' silence.
     pub silence: Vec<Span>,
-    /// When we last sent something to each seat, and told it the table.
+    /// When we last sent something to each slot.
     pub sent: Vec<Tick>,
+    /// When we last sent each slot the voter set because it had another.
     pub voter_set_sent_at: Vec<Tick>,
-    /// Wires that others opened to us.
+    /// Connections that others opened to us.
     pub connections: IndexSet<ConnectionId>,
+    /// When we next ask for a slot, while we have none.
     pub join_request_at: Tick,
-    /// The seats that each seat would give us, while we have none.
-    pub offers: Vec<Option<Offer>>,
-    /// Counts the requests handed over without a seat, to spread them.
+    /// The slots that each voter would give us, while we have none.
+    pub offers: Vec<Option<JoinOffer>>,
+    /// Counts the requests that were forwarded without a slot, to spread them.
     pub forwarding_turns: usize,
+    /// Handovers of slots, ours and others'.
     pub handovers: Handovers,
 }
 
-/// A roll on its way to the disk.
+/// A voter file on its way to the disk.
 pub struct PendingVoterFile {
+    /// What is written.
     pub voter_file: VoterFile,
+    /// Names the write when the disk reports its end.
     pub token: u64,
-    /// The parts' files are set aside first: they are of a former life.
-    pub set_aside: bool,
-    /// When it is tried again after a trouble.
+    /// What becomes of the partitions' files.
+    pub partition_files: PartitionFiles,
+    /// When the write is retried after a failure.
     pub retry_at: Option<Tick>,
 }
 
-/// The seating of a controller that has read its disk.
-pub fn seating(roll: VoterFile, (addr, zone): (&str, &str), now: Tick) -> VoterSlots {
-    let size = roll.table.slots.len();
-    VoterSlots {
-        stamp: stamp(&roll.table),
-        voter_file: roll,
-        addr: addr.to_string(),
-        zone: zone.to_string(),
-        pending_write: None,
-        last_token: 0,
-        started_at: now,
-        woken_at: now,
-        silence: vec![0; size],
-        sent: vec![0; size],
-        voter_set_sent_at: vec![0; size],
-        connections: IndexSet::new(),
-        join_request_at: now,
-        offers: vec![None; size],
-        forwarding_turns: 0,
-        handovers: Handovers::default(),
-    }
-}
-
-/// The group of replicas as this controller sees it.
-pub fn here(core: &ControllerState) -> VoterGroup {
-    group(&core.voter_slots.voter_file.table, core.slot, core.voter_slots.voter_file.first)
+/// What becomes of the partitions' files when a voter file is written.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum PartitionFiles {
+    /// They go on being used.
+    Keep,
+    /// They are set aside first: they belong to a replica id that is given up.
+    SetAside,
 }
 
-/// The newest table we know, on disk or on its way there.
-pub fn newest(s: &VoterSlots) -> &VoterSet {
-    s.pending_write.as_ref().map_or(&s.voter_file.table, |n| &n.voter_file.table)
-}
-
-/// Whether `holder` has `seat` by the table that we hold.
-pub fn holds(s: &VoterSlots, slot: VoterSlot, holder: u64) -> bool {
-    s.voter_file
-        .table
-        .slots
-        .get(usize::from(slot))
-        .is_some_and(|h| h.holder == holder && holder != 0)
-}
+impl VoterSlots {
+    /// The voter slots of a controller that has read its disk, which others reach at
+    /// `addr`.
+    pub fn new(voter_file: VoterFile, addr: &str, zone: &str, now: Tick) -> VoterSlots {
+        let size = voter_file.table.slots.len();
+        VoterSlots {
+            stamp: stamp(&voter_file.table),
+            voter_file,
+            addr: addr.to_string(),
+            zone: zone.to_string(),
+            pending_write: None,
+            last_token: 0,
+            started_at: now,
+            woken_at: now,
+            silence: vec![0; size],
+            sent: vec![0; size],
+            voter_set_sent_at: vec![0; size],
+            connections: IndexSet::new(),
+            join_request_at: now,
+            offers: vec![None; size],
+            forwarding_turns: 0,
+            handovers: Handovers::default(),
+        }
+    }
 
-/// Takes in a table that somebody told us.
-pub fn learn(core: &mut ControllerState, now: Tick, theirs: &VoterSet, out: &mut Vec<Command>) {
-    if let Some(table) = merge(newest(&core.voter_slots), theirs) {
-        put(core, now, table, out);
+    /// The voter set on disk.
+    pub fn voter_set(&self) -> &VoterSet {
+        &self.voter_file.table
     }
-}
 
-/// Sends a newer table to the disk; it is adopted once it is there.
-pub fn put(core: &mut ControllerState, now: Tick, table: VoterSet, out: &mut Vec<Command>) {
-    let s = &core.voter_slots;
-    let (mut roll, clear) = s
-        .pending_write
-        .as_ref()
-        .map_or((s.voter_file.clone(), false), |n| (n.voter_file.clone(), n.set_aside));
-    roll.table = table;
-    keep(core, now, roll, clear, out);
-}
+    /// Our replica id; zero while a new one is on its way to the disk.
+    pub fn replica_id(&self) -> u64 {
+        self.voter_file.me
+    }
 
-fn keep(
-    core: &mut ControllerState,
-    _now: Tick,
-    roll: VoterFile,
-    clear: bool,
-    out: &mut Vec<Command>,
-) {
-    let s = &mut core.voter_slots;
-    s.last_token += 1;
-    let token = s.last_token;
-    out.push(Command::WriteVoterFile { token, roll: roll.clone(), clear });
-    s.pending_write =
-        Some(PendingVoterFile { voter_file: roll, token, set_aside: clear, retry_at: None });
-}
+    /// The replica group as the holder of `slot` sees it.
+    pub fn group(&self, slot: VoterSlot) -> VoterGroup {
+        group(&self.voter_file.table, slot, self.voter_file.first)
+    }
 
-/// The disk failed to keep the roll: it is tried again.
-pub fn trouble(core: &mut ControllerState, now: Tick, why: &str, out: &mut Vec<Command>) {
-    if let Some(next) = &mut core.voter_slots.pending_write {
-        next.retry_at = Some(now + consts::DISK_STALL);
-        out.push(Command::Alarm(format!("the table of the seats can't be kept: {why}")));
+    /// The newest voter set that we know, on disk or on its way there.
+    pub fn newest(&self) -> &VoterSet {
+        self.pending_write.as_ref().map_or(self.voter_set(), |write| &write.voter_file.table)
     }
-}
 
-/// A roll is on disk: from here on we act by it.
-pub fn kept(core: &mut ControllerState, now: Tick, token: u64, out: &mut Vec<Command>) {
-    // An older one that is there too is only part of the newest.
-    let Some(next) = core.voter_slots.pending_write.take_if(|n| n.token == token) else { return };
-    let s = &mut core.voter_slots;
-    let old = std::mem::replace(&mut s.voter_file, next.voter_file);
-    s.stamp = stamp(&s.voter_file.table);
-    let size = s.voter_file.table.slots.len();
-    s.silence.resize(size, 0);
-    s.sent.resize(size, 0);
-    s.voter_set_sent_at.resize(size, 0);
-    s.offers = vec![None; size];
-    let moved: Vec<bool> = (0..size)
-        .map(|i| old.table.slots.get(i).map(ballot) != s.voter_file.table.slots.get(i).map(ballot))
-        .collect();
-    core.retry_requests_to(&moved);
-    let s = &mut core.voter_slots;
-    for (i, _) in moved.iter().enumerate().filter(|(_, m)| **m) {
-        s.silence[i] = 0;
-        let h = &s.voter_file.table.slots[i];
-        let text = format!("seat {i}: {} has it, generation {}", h.addr, h.generation);
-        out.push(Command::Alarm(text));
+    /// Whether a replica holds `slot` by the voter set on disk.
+    pub fn is_held_by(&self, slot: VoterSlot, replica_id: u64) -> bool {
+        let holder = self.voter_set().slots.get(usize::from(slot));
+        holder.is_some_and(|h| h.holder == replica_id && replica_id != 0)
     }
-    out.push(Command::VoterSetChanged);
-    let slot = seat_of(&s.voter_file.table, s.voter_file.me).unwrap_or(NOBODY);
-    if core.slot != slot {
-        let had = std::mem::replace(&mut core.slot, slot);
-        core.retry_all_requests();
-        if had != NOBODY {
-            // Given to another: what we hold may not count any more, for good.
-            if handover::yielded(core, now, out) {
-                return tell_all(core, out);
-            }
-            return renounce(core, now, out);
-        }
-        // What our address granted in a former life must have run out.
-        let from = core.voter_slots.started_at + consts::OWNER_SILENCE;
-        for p in &mut core.partitions {
-            p.catch_up.ask_at = now.max(from);
+
+    /// Takes in a voter set that somebody sent.
+    pub fn learn(&mut self, theirs: &VoterSet, commands: &mut Vec<Command>) {
+        if let Some(merged) = merge(self.newest(), theirs) {
+            self.write_voter_set(merged, commands);
         }
     }
-    if moved.iter().any(|m| *m) {
-        let g = here(core);
-        for p in &mut core.partitions {
-            replica::moved(p, now, g, &moved, out);
-        }
+
+    /// Sends a newer voter set to the disk; it is adopted once it is there.
+    pub fn write_voter_set(&mut self, voter_set: VoterSet, commands: &mut Vec<Command>) {
+        let (mut voter_file, partition_files) = match &self.pending_write {
+            Some(write) => (write.voter_file.clone(), write.partition_files),
+            None => (self.voter_file.clone(), PartitionFiles::Keep),
+        };
+        voter_file.table = voter_set;
+        self.write_voter_file(voter_file, partition_files, commands);
     }
-    tell_all(core, out);
-}
 
-/// Our seat is another's: we begin anew, as a controller that has nothing.
-fn renounce(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    out.push(Command::Alarm("our seat was given to another: we begin anew without one".into()));
-    core.slot = NOBODY;
-    for p in &mut core.partitions {
-        forget(p, now, out);
+    /// Sends a voter file to the disk; it is adopted once it is there.
+    pub fn write_voter_file(
+        &mut self,
+        voter_file: VoterFile,
+        partition_files: PartitionFiles,
+        commands: &mut Vec<Command>,
+    ) {
+        self.last_token += 1;
+        let pending = PendingVoterFile {
+            voter_file,
+            token: self.last_token,
+            partition_files,
+            retry_at: None,
+        };
+        commands.push(pending.command());
+        self.pending_write = Some(pending);
     }
-    core.members = Default::default();
-    let me = core.luck.next_u64() | 1;
-    let roll = VoterFile { me, first: false, table: core.voter_slots.voter_file.table.clone() };
-    // The former id is nobody's any more; nobody is told a new one yet.
-    core.voter_slots.voter_file.me = 0;
-    keep(core, now, roll, true, out);
-}
 
-/// Empties a replica in memory: what it holds counts no more.
-pub fn forget(p: &mut partition::Partition, now: Tick, out: &mut Vec<Command>) {
-    replica::resign(p, now, None, out);
-    let mut fresh = partition::partition(p.id, ReplicaCondition::Empty, Default::default(), 0, now);
-    fresh.next_token = p.next_token;
-    *p = fresh;
-}
+    /// The disk failed to write the voter file: it is retried.
+    pub fn on_write_failed(&mut self, now: Tick, why: &str, commands: &mut Vec<Command>) {
+        if let Some(write) = &mut self.pending_write {
+            write.retry_at = Some(now + consts::DISK_STALL);
+            let text = format!("the table of the seats can't be kept: {why}");
+            commands.push(Command::Alarm(text));
+        }
+    }
 
-fn telling(s: &VoterSlots) -> Message {
-    Message::VoterSetUpdate { me: s.voter_file.me, table: s.voter_file.table.clone() }
-}
+    /// Retries a write that failed, if it is time.
+    pub fn retry_write(&mut self, now: Tick, commands: &mut Vec<Command>) {
+        if let Some(write) = &mut self.pending_write
+            && write.retry_at.is_some_and(|at| now >= at)
+        {
+            write.retry_at = None;
+            commands.push(write.command());
+        }
+    }
 
-/// Tells everyone the table.
-fn tell_all(core: &mut ControllerState, out: &mut Vec<Command>) {
-    let message = telling(&core.voter_slots);
-    for slot in others(here(core)) {
-        out.push(Command::ToVoter { slot, message: message.clone() });
+    /// A voter file is on disk: from here on we act by it. Tells which slots changed
+    /// hands; nothing if a newer one is on its way.
+    pub fn adopt_written(&mut self, token: u64) -> Option<Vec<bool>> {
+        // An older one that is there too is only part of the newest.
+        let write = self.pending_write.take_if(|write| write.token == token)?;
+        let former = std::mem::replace(&mut self.voter_file, write.voter_file);
+        self.stamp = stamp(self.voter_set());
+        let size = self.voter_set().slots.len();
+        self.silence.resize(size, 0);
+        self.sent.resize(size, 0);
+        self.voter_set_sent_at.resize(size, 0);
+        self.offers = vec![None; size];
+        let held = |voter_set: &VoterSet, slot: usize| voter_set.slots.get(slot).map(ballot);
+        let is_moved = |slot| held(&former.table, slot) != held(self.voter_set(), slot);
+        Some((0..size).map(is_moved).collect())
     }
-    for connection in &core.voter_slots.connections {
-        out.push(Command::ToConnection { connection: *connection, message: message.clone() });
+
+    /// Says which slots changed hands. Their new replicas were not silent yet.
+    pub fn announce_moves(&mut self, moved: &[bool], commands: &mut Vec<Command>) {
+        for (slot, _) in moved.iter().enumerate().filter(|(_, moved)| **moved) {
+            self.silence[slot] = 0;
+            let holder = &self.voter_file.table.slots[slot];
+            let text =
+                format!("seat {slot}: {} has it, generation {}", holder.addr, holder.generation);
+            commands.push(Command::Alarm(text));
+        }
+        commands.push(Command::VoterSetChanged);
     }
-}
 
-/// Tells the table on one connection.
-pub fn tell(core: &ControllerState, connection: ConnectionId, out: &mut Vec<Command>) {
-    if !core.voter_slots.voter_file.table.slots.is_empty() {
-        out.push(Command::ToConnection { connection, message: telling(&core.voter_slots) });
+    fn update_message(&self) -> Message {
+        Message::VoterSetUpdate { me: self.replica_id(), table: self.voter_set().clone() }
     }
-}
 
-/// Tells the table to a seat that has another, not too often.
-pub fn tell_again(
-    core: &mut ControllerState,
-    now: Tick,
-    slot: VoterSlot,
-    connection: ConnectionId,
-    out: &mut Vec<Command>,
-) {
-    let Some(at) = core.voter_slots.voter_set_sent_at.get_mut(usize::from(slot)) else { return };
-    if since(*at, now) >= consts::TABLE_AGAIN {
-        *at = now;
-        tell(core, connection, out);
+    /// Sends the voter set to everyone, as the holder of `slot`.
+    pub fn broadcast_voter_set(&self, slot: VoterSlot, commands: &mut Vec<Command>) {
+        let message = self.update_message();
+        for slot in others(self.group(slot)) {
+            commands.push(Command::ToVoter { slot, message: message.clone() });
+        }
+        for connection in &self.connections {
+            commands
+                .push(Command::ToConnection { connection: *connection, message: message.clone() });
+        }
     }
-}
 
-/// Somebody told us its table on a connection that we opened.
-pub fn answered(
-    core: &mut ControllerState,
-    now: Tick,
-    me: u64,
-    theirs: &VoterSet,
-    out: &mut Vec<Command>,
-) {
-    learn(core, now, theirs, out);
-    // It lacks something that we hold.
-    if merge(theirs, &core.voter_slots.voter_file.table).is_some()
-        && let Some(slot) = seat_of(&core.voter_slots.voter_file.table, me)
-    {
-        out.push(Command::ToVoter { slot, message: telling(&core.voter_slots) });
+    /// Sends the voter set on one connection.
+    pub fn send_voter_set(&self, connection: ConnectionId, commands: &mut Vec<Command>) {
+        if !self.voter_set().slots.is_empty() {
+            commands.push(Command::ToConnection { connection, message: self.update_message() });
+        }
     }
-}
 
-/// The stamp of a message that counts only under equal tables.
-pub fn stamp_of(message: &Message) -> Option<u64> {
-    match message {
-        Message::VoteGranted { stamp, .. }
-        | Message::AppendAck { stamp, .. }
-        | Message::HeartbeatAck { stamp, .. }
-        | Message::ReplicaStatus { stamp, .. }
-        | Message::MembershipReplicated { stamp, .. }
-        | Message::MembershipFetched { stamp, .. }
-        | Message::VoterAlive { stamp } => Some(*stamp),
-        _ => None,
+    /// Sends the voter set to a voter that has another, not too often.
+    pub fn resend_voter_set(
+        &mut self,
+        now: Tick,
+        slot: VoterSlot,
+        connection: ConnectionId,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(at) = self.voter_set_sent_at.get_mut(usize::from(slot)) else { return };
+        if since(*at, now) >= consts::TABLE_AGAIN {
+            *at = now;
+            self.send_voter_set(connection, commands);
+        }
     }
-}
 
-/// The same, to be set.
-pub fn stamped(message: &mut Message) -> Option<&mut u64> {
-    match message {
-        Message::VoteGranted { stamp, .. }
-        | Message::AppendAck { stamp, .. }
-        | Message::HeartbeatAck { stamp, .. }
-        | Message::ReplicaStatus { stamp, .. }
-        | Message::MembershipReplicated { stamp, .. }
-        | Message::MembershipFetched { stamp, .. }
-        | Message::VoterAlive { stamp } => Some(stamp),
-        _ => None,
+    /// A controller sent its voter set on a connection that we opened. It is sent ours
+    /// if it lacks something that we have.
+    pub fn on_voter_set_answer(
+        &mut self,
+        replica_id: u64,
+        theirs: &VoterSet,
+        commands: &mut Vec<Command>,
+    ) {
+        self.learn(theirs, commands);
+        if merge(theirs, self.voter_set()).is_some()
+            && let Some(slot) = seat_of(self.voter_set(), replica_id)
+        {
+            commands.push(Command::ToVoter { slot, message: self.update_message() });
+        }
     }
-}
 
-/// Puts our stamp on what needs it, and notes to whom we spoke.
-pub fn mark(core: &mut ControllerState, now: Tick, out: &mut [Command]) {
-    for command in out {
-        if let Command::ToVoter { slot, message } = command {
-            if let Some(stamp) = stamped(message) {
-                *stamp = core.voter_slots.stamp;
+    /// Puts our stamp on the messages that need it, and notes to whom we speak.
+    pub fn stamp_messages(&mut self, now: Tick, commands: &mut [Command]) {
+        for command in commands {
+            let Command::ToVoter { slot, message } = command else { continue };
+            if let Some(stamp) = stamp_of_mut(message) {
+                *stamp = self.stamp;
             }
-            if let Some(at) = core.voter_slots.sent.get_mut(usize::from(*slot)) {
+            if let Some(at) = self.sent.get_mut(usize::from(*slot)) {
                 *at = now;
             }
         }
     }
-}
 
-/// Time passes: silence is counted, and we show that we live.
-pub fn wake(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    let s = &mut core.voter_slots;
-    let past = since(s.woken_at, now).min(2 * crate::control_plane::step::WAKE);
-    s.woken_at = now;
-    for quiet in &mut s.silence {
-        *quiet += past;
-    }
-    if let Some(next) = &mut s.pending_write
-        && next.retry_at.is_some_and(|at| now >= at)
-    {
-        next.retry_at = None;
-        let (token, roll, clear) = (next.token, next.voter_file.clone(), next.set_aside);
-        out.push(Command::WriteVoterFile { token, roll, clear });
+    /// Counts everybody's silence since the last time, but at most `longest`.
+    pub fn count_silence(&mut self, now: Tick, longest: Span) {
+        let passed = since(self.woken_at, now).min(longest);
+        self.woken_at = now;
+        for silence in &mut self.silence {
+            *silence += passed;
+        }
     }
-    handover::wake(core, now, out);
-    if core.slot == NOBODY {
-        return crate::voters::slot_takeover::wake(core, now, out);
+
+    /// Fills in the zone of our own slot, where the seeds could not name it.
+    pub fn fill_in_zone(&mut self, slot: VoterSlot, commands: &mut Vec<Command>) {
+        let own = usize::from(slot);
+        let is_unknown = self.voter_set().slots[own].zone.is_empty();
+        if self.pending_write.is_none() && is_unknown && !self.zone.is_empty() {
+            let mut voter_set = self.voter_set().clone();
+            voter_set.slots[own].zone.clone_from(&self.zone);
+            self.write_voter_set(voter_set, commands);
+        }
     }
-    // Our own zone, where the seeds could not tell it.
-    let own = usize::from(core.slot);
-    if core.voter_slots.pending_write.is_none()
-        && core.voter_slots.voter_file.table.slots[own].zone.is_empty()
-        && !core.voter_slots.zone.is_empty()
-    {
-        let mut table = core.voter_slots.voter_file.table.clone();
-        table.slots[own].zone.clone_from(&core.voter_slots.zone);
-        put(core, now, table, out);
+
+    /// Shows the other voters that the holder of `slot` lives, where nothing else did
+    /// lately.
+    pub fn show_alive(&self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
+        for slot in others(self.group(slot)) {
+            if since(self.sent[usize::from(slot)], now) >= consts::HERE_BEAT {
+                commands.push(Command::ToVoter { slot, message: Message::VoterAlive { stamp: 0 } });
+            }
+        }
     }
-    for slot in others(here(core)) {
-        if since(core.voter_slots.sent[usize::from(slot)], now) >= consts::HERE_BEAT {
-            out.push(Command::ToVoter { slot, message: Message::VoterAlive { stamp: 0 } });
+}
+
+impl PendingVoterFile {
+    fn command(&self) -> Command {
+        Command::WriteVoterFile {
+            token: self.token,
+            roll: self.voter_file.clone(),
+            clear: self.partition_files == PartitionFiles::SetAside,
         }
     }
 }
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -11,7 +11,6 @@
 use grebepath_core::protocol::message::{Operation, OperationResult, PeerIdentity};
 use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_core::voter_set::NOBODY;
-use grebepath_core::voters::handover;
 use grebepath_runtime::clock::{Clock, duration};
 use grebepath_runtime::connections::Connections;
 use grebepath_runtime::peer_connection::{ConnectionEvent, Greeting, MessageSender, accept};
@@ -95,10 +94,10 @@
     tokio::pin!(stop);
     // Asked to stop, we go on until our voter slot is in other hands, or nobody
     // is there to take it.
-    while !handover::may_end(&core, clock.now()) {
+    while !core.may_end(clock.now()) {
         let event = tokio::select! {
             biased;
-            _ = &mut stop, if !handover::is_leaving(&core) => Some(Event::Stop),
+            _ = &mut stop, if !core.is_leaving() => Some(Event::Stop),
             _ = files.changed() => None,
             _ = wake.tick() => {
                 look(&mut io, &core);
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -102,7 +102,7 @@
         CoreEvent::FromVoter { slot: seat, holder, message, .. } => {
             let table = &core.voter_slots.voter_file.table;
             *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
-            if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(message) {
+            if let Some(stamp) = grebepath_core::voters::stamp::stamp_of_mut(message) {
                 *stamp = core.voter_slots.stamp;
             }
         }
@@ -177,9 +177,7 @@
     for command in todo {
         seat_does(w, s, command);
     }
-    if w.seats[s].stopping.is_some()
-        && grebepath_core::voters::handover::may_end(&w.seats[s].core, local)
-    {
+    if w.seats[s].stopping.is_some() && w.seats[s].core.may_end(local) {
         end_seat(w, s);
     }
 }
