--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -140,7 +140,7 @@
     let op = controller.next_op;
     controller.next_op += 1;
     let request = request.to_string();
-    feed(controller, Event::Operate { op, request, expect: None, deed });
+    feed(controller, Event::Operate { op, request, expected_revision: None, operation: deed });
     while controller.accepted <= op {
         wake(controller);
     }
--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -9,7 +9,7 @@
 //! obey it, or each of the others is silent or has nothing to serve by yet.
 
 use crate::command::Command;
-use crate::control_plane::members::{Heard, Members};
+use crate::control_plane::members::{LastRenewal, Members};
 use crate::protocol::message::{Member, Membership};
 use crate::replication::leader;
 use crate::replication::partition::{Partition, Role};
@@ -68,10 +68,10 @@
 impl Members {
     /// Whether a revision may be told as accepted once it is committed.
     fn have_accepted(&self, now: Tick, revision: u64) -> bool {
-        let Some((term, _)) = self.reign else { return false };
+        let Some((term, _)) = self.leadership else { return false };
         // A leader that nobody handed a membership down to gathers members first.
         let knows_members =
-            self.log.is_inherited() && (!self.blind || self.membership.term == term);
+            self.log.is_inherited() && (!self.gathering || self.membership.term == term);
         knows_members && self.is_safe(now, revision) && self.is_in_force(now, revision)
     }
 
@@ -86,9 +86,9 @@
     fn is_safe_among(&self, now: Tick, membership: &Membership, revision: u64) -> bool {
         let list = &membership.members;
         let knows = |member: &&Member| {
-            let heard = self.heard.get(&member.name);
+            let heard = self.last_renewals.get(&member.name);
             self.has_left(membership, member)
-                || heard.is_some_and(|heard| heard.far.knows >= revision)
+                || heard.is_some_and(|heard| heard.progress.knows >= revision)
         };
         // Who goes by a membership knows the revision under which it was issued.
         membership.revision >= revision
@@ -101,7 +101,9 @@
     fn is_in_force(&self, now: Tick, revision: u64) -> bool {
         let list = &self.membership.members;
         let obeys = |member: &&Member| {
-            self.heard.get(&member.name).is_some_and(|heard| heard.far.obeys >= revision)
+            self.last_renewals
+                .get(&member.name)
+                .is_some_and(|heard| heard.progress.obeys >= revision)
         };
         if 2 * list.iter().filter(obeys).count() > list.len() {
             return true;
@@ -113,17 +115,18 @@
 
     /// Whether a change does not wait for this member to obey it.
     fn is_excused(&self, now: Tick, member: &Member) -> bool {
-        let is_silent = |heard: &Heard| since(heard.at, now) >= RENEWAL_SILENCE;
+        let is_silent = |heard: &LastRenewal| since(heard.at, now) >= RENEWAL_SILENCE;
         // A process that has just started holds nothing to serve by.
-        let is_idle = |heard: &Heard| heard.spoke && heard.far.obeys == 0;
-        let heard = self.heard.get(&member.name);
+        let is_idle = |heard: &LastRenewal| heard.has_renewed && heard.progress.obeys == 0;
+        let heard = self.last_renewals.get(&member.name);
         heard.is_none_or(|heard| is_silent(heard) || is_idle(heard))
             || !self.is_live(now, &member.name)
     }
 
     /// The members that do not obey a revision, with what they obey.
     fn lagging_behind(&self, revision: u64) -> Vec<String> {
-        let obeys = |member: &Member| self.heard.get(&member.name).map_or(0, |h| h.far.obeys);
+        let obeys =
+            |member: &Member| self.last_renewals.get(&member.name).map_or(0, |h| h.progress.obeys);
         let lagging = self.membership.members.iter().filter(|member| obeys(member) < revision);
         lagging.map(|member| format!("{} (obeys {})", member.name, obeys(member))).collect()
     }
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -38,39 +38,39 @@
     /// Followers by connection: the place of each part up to which we sent.
     pub followers: IndexMap<ConnectionId, BTreeMap<PartitionId, u64>>,
     /// How far the followers were last brought: each part, then the membership.
-    pub pushed: Vec<u64>,
+    pub broadcast_up_to: Vec<u64>,
     /// Requests of our own operators that were handed over or wait.
-    pub ops: IndexMap<u64, PendingRequest>,
+    pub pending_requests: IndexMap<u64, PendingRequest>,
     /// Those of them that a controller without a seat handed to us.
-    pub lent: IndexMap<u64, ForwardedOperation>,
-    pub next_lent: u64,
+    pub forwarded: IndexMap<u64, ForwardedOperation>,
+    pub next_forwarded: u64,
     /// Number of the last attempt to have a request carried out. Begins anywhere,
     /// so that no number of a former process comes again.
     pub next_attempt: u64,
     /// Attempts of others that reached us, the oldest first.
     pub attempts_seen: IndexSet<u64>,
     /// When the next part's files are read again, and which it is.
-    pub look_at: Tick,
-    pub look_next: usize,
-    pub luck: Random,
-    pub counts: Counts,
+    pub scrub_at: Tick,
+    pub scrub_next: usize,
+    pub random: Random,
+    pub counters: Counters,
 }
 
 /// What is counted.
 #[derive(Clone, Default, Debug)]
-pub struct Counts {
+pub struct Counters {
     pub accepted: u64,
-    pub bounced: u64,
-    pub claims: u64,
-    pub owned: u64,
-    pub resigned: u64,
-    pub mended: u64,
-    pub swept: u64,
+    pub rejected: u64,
+    pub candidacies: u64,
+    pub leaderships_won: u64,
+    pub leaderships_lost: u64,
+    pub disks_recovered: u64,
+    pub snapshot_requests: u64,
     /// Parts whose files had rotted while we ran.
-    pub rotted: u64,
-    pub news: u64,
-    pub news_bytes: u64,
-    pub fenced: u64,
+    pub corruptions: u64,
+    pub updates_sent: u64,
+    pub update_bytes_sent: u64,
+    pub fenced_lists: u64,
 }
 
 /// What happens to a controller.
@@ -78,7 +78,7 @@
     /// On a connection that `holder` opened as the holder of `seat`.
     FromVoter {
         slot: VoterSlot,
-        holder: u64,
+        replica_id: u64,
         connection: ConnectionId,
         message: Message,
     },
@@ -116,13 +116,13 @@
     /// A part's files were read again; what is wrong with them, if anything.
     Scrubbed {
         partition: PartitionId,
-        trouble: Option<String>,
+        corruption: Option<String>,
     },
     Operate {
         op: u64,
         request: String,
-        expect: Option<u64>,
-        deed: Operation,
+        expected_revision: Option<u64>,
+        operation: Operation,
     },
     /// An operator vouches that lost copies are lost for good.
     ForceRecovery,
@@ -155,20 +155,20 @@
             .collect();
         Self {
             slot,
-            luck: Random::new(seed ^ roll.me),
+            random: Random::new(seed ^ roll.me),
             seating: seating(roll, here, now),
             partitions: list,
             members: Members::default(),
             followers: IndexMap::new(),
-            pushed: Vec::new(),
-            ops: IndexMap::new(),
-            lent: IndexMap::new(),
-            next_lent: LENT,
+            broadcast_up_to: Vec::new(),
+            pending_requests: IndexMap::new(),
+            forwarded: IndexMap::new(),
+            next_forwarded: LENT,
             next_attempt: mix(mix(seed) ^ ATTEMPTS),
             attempts_seen: IndexSet::new(),
-            look_at: now + SCRUB_INTERVAL,
-            look_next: 0,
-            counts: Counts::default(),
+            scrub_at: now + SCRUB_INTERVAL,
+            scrub_next: 0,
+            counters: Counters::default(),
         }
     }
 }
--- a/crates/core/src/control_plane/disk_events.rs
+++ b/crates/core/src/control_plane/disk_events.rs
@@ -34,7 +34,7 @@
             replica.disk_failure = None;
             replica::follow(replica, now, None);
             commands.push(Command::Alarm(format!("part {partition}: the disk works again")));
-            self.counts.mended += 1;
+            self.counters.disks_recovered += 1;
         }
     }
 
@@ -62,7 +62,7 @@
     ) {
         let replica = &mut self.partitions[partition.0 as usize];
         if able(replica) {
-            self.counts.rotted += 1;
+            self.counters.corruptions += 1;
             let text = format!("part {partition}: its files have rotted: {why}");
             commands.push(Command::Alarm(text));
             replica::keep_whole(replica, now, Vec::new(), commands);
@@ -71,12 +71,12 @@
 
     /// Time passes: the next partition's files are read again when that is due.
     pub(super) fn wake_scrub(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        if now < self.look_at {
+        if now < self.scrub_at {
             return;
         }
-        self.look_at = now + SCRUB_INTERVAL;
-        let replica = &self.partitions[self.look_next];
-        self.look_next = (self.look_next + 1) % self.partitions.len();
+        self.scrub_at = now + SCRUB_INTERVAL;
+        let replica = &self.partitions[self.scrub_next];
+        self.scrub_next = (self.scrub_next + 1) % self.partitions.len();
         if able(replica) {
             commands.push(Command::Scrub { partition: replica.id });
         }
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -8,7 +8,7 @@
 use crate::command::Command;
 use crate::config::change::Entry;
 use crate::consts;
-use crate::control_plane::controller::Counts;
+use crate::control_plane::controller::Counters;
 use crate::identifiers::part_of;
 use crate::protocol::message::{LeafReport, MembershipId};
 use crate::replication::leader::change;
@@ -28,7 +28,7 @@
     g: VoterGroup,
     fence: MembershipId,
     list: Vec<LeafInfo>,
-    counts: &mut Counts,
+    counts: &mut Counters,
     out: &mut Vec<Command>,
 ) {
     let id = p.id;
@@ -38,7 +38,7 @@
         return;
     }
     if fence < o.fence {
-        counts.fenced += 1;
+        counts.fenced_lists += 1;
         return;
     }
     o.fence = fence;
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -10,7 +10,7 @@
 
 use crate::command::Command;
 use crate::config::change::Entry;
-use crate::control_plane::members::{Gone, Members};
+use crate::control_plane::members::{Departure, Members};
 use crate::protocol::message::{EntryMap, Member, OperationResult};
 use crate::replication::partition::{OperationOrigin, Partition};
 use crate::replication::pending_operations::PendingAnswer;
@@ -131,16 +131,16 @@
 /// Who has renewed with us is alive after all, and stays.
 pub fn apply(configuration: &Partition, members: &mut Members, now: Tick) {
     let committed_revision = configuration.committed_revision;
-    if members.forgotten_at == committed_revision || members.reign.is_none() {
+    if members.forgotten_at == committed_revision || members.leadership.is_none() {
         return;
     }
     members.forgotten_at = committed_revision;
     for (name, entry) in entries(&configuration.committed) {
-        let is_alive =
-            members.heard.get(name).is_some_and(|heard| heard.spoke) && members.is_live(now, name);
+        let is_alive = members.last_renewals.get(name).is_some_and(|heard| heard.has_renewed)
+            && members.is_live(now, name);
         if !is_alive {
-            let gone = Gone { incarnation: entry.incarnation, stopped: false };
-            members.gone.insert(name.to_string(), gone);
+            let gone = Departure { incarnation: entry.incarnation, said_itself: false };
+            members.departed.insert(name.to_string(), gone);
         }
     }
 }
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -49,7 +49,7 @@
                 commands.push(ForwardedOperation { connection, number: op, attempt }.misdirected());
             }
             Message::OperationRequest { op, attempt, request, expect, deed, .. } => {
-                let request = Request { id: request, expect, deed };
+                let request = Request { id: request, expected_revision: expect, operation: deed };
                 let origin = ForwardedOperation { connection, number: op, attempt };
                 self.on_forwarded_operation(now, origin, request, commands);
             }
@@ -109,7 +109,7 @@
         match partition.role {
             Role::Leader(_) => match message {
                 Message::LeafList { fence, leafs, .. } => {
-                    let counts = &mut self.counts;
+                    let counts = &mut self.counters;
                     endpoints::listed(partition, now, group, fence, leafs, counts, commands);
                 }
                 Message::LeafReports { words, .. } => {
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -85,11 +85,12 @@
         let sender = Sender { group: here(self), slot: from };
         let Some(partition) = self.partitions.get_mut(id.0 as usize) else { return };
         let led_before = matches!(partition.role, Role::Leader(_));
-        self.counts.swept += u64::from(matches!(message, Message::SnapshotRequest { .. }));
+        self.counters.snapshot_requests +=
+            u64::from(matches!(message, Message::SnapshotRequest { .. }));
         on_replica_message(partition, now, sender, message, commands);
         let leads = matches!(partition.role, Role::Leader(_));
-        self.counts.owned += u64::from(!led_before && leads);
-        self.counts.resigned += u64::from(led_before && !leads);
+        self.counters.leaderships_won += u64::from(!led_before && leads);
+        self.counters.leaderships_lost += u64::from(led_before && !leads);
     }
 
     /// A voter says something that is not about a partition's replica.
@@ -113,7 +114,7 @@
             }
             Message::OperationRequest { op, attempt, term, request, expect, deed } => {
                 let origin = OperationOrigin { slot: Some(from), op, attempt };
-                let request = Request { id: request, expect, deed };
+                let request = Request { id: request, expected_revision: expect, operation: deed };
                 self.on_operation_request(now, origin, term, request, commands);
             }
             Message::OperationResponse { op, attempt, done } => {
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -24,14 +24,14 @@
     /// Memberships beside `membership`: on their way, or not yet out of use.
     pub log: MembershipLog,
     /// The last renewal of each member.
-    pub heard: IndexMap<String, Heard>,
+    pub last_renewals: IndexMap<String, LastRenewal>,
     /// Members that stopped in order, or that an operator declared down for good.
-    pub gone: IndexMap<String, Gone>,
+    pub departed: IndexMap<String, Departure>,
     /// Term for which `heard` was begun, and when.
-    pub reign: Option<(Term, Tick)>,
+    pub leadership: Option<(Term, Tick)>,
     /// No membership was handed down to us, and a lease has not passed since we
     /// began: there may be members that we have not heard yet.
-    pub blind: bool,
+    pub gathering: bool,
     /// The connection on which each member speaks to this voter.
     pub connections: IndexMap<String, ConnectionId>,
     /// The revision up to which members that operators forgot were noted.
@@ -39,68 +39,69 @@
     /// When revisions were committed, which the acceptance of changes goes by.
     pub commit_times: CommitTimes,
     /// When a member was last asked for a membership that we don't know.
-    asked_at: Tick,
+    membership_asked_at: Tick,
 }
 
 /// A member's last renewal.
-pub struct Heard {
+pub struct LastRenewal {
     /// When it came.
     pub at: Tick,
     /// The member, as it described itself.
     pub member: Member,
     /// How far the member was.
-    pub far: MemberProgress,
+    pub progress: MemberProgress,
     /// It renewed with us; else we only know that it is a member, and `at` is
     /// when we came to know.
-    pub spoke: bool,
+    pub has_renewed: bool,
 }
 
 /// A process that serves no more.
-pub struct Gone {
+pub struct Departure {
     /// Which process of the member's.
     pub incarnation: u64,
     /// It said so itself. Else an operator did, who may be mistaken.
-    pub stopped: bool,
+    pub said_itself: bool,
 }
 
 impl Members {
     /// Whether we keep the leases under this term.
     pub fn is_leading_in(&self, term: Term) -> bool {
-        self.reign.is_some_and(|(ours, _)| ours == term)
+        self.leadership.is_some_and(|(ours, _)| ours == term)
     }
 
     /// Empties what was kept under a former term.
     pub(super) fn reset_for_term(&mut self, now: Tick, term: Term) {
-        self.reign = Some((term, now));
+        self.leadership = Some((term, now));
         // Whom operators forgot is noted anew under each term.
         self.forgotten_at = 0;
-        self.blind = false;
-        self.heard.clear();
-        self.gone.clear();
+        self.gathering = false;
+        self.last_renewals.clear();
+        self.departed.clear();
         self.commit_times = CommitTimes::default();
     }
 
     /// Whether a member was heard within a lease, and has not gone since.
     pub fn is_live(&self, now: Tick, name: &str) -> bool {
-        self.heard.get(name).is_some_and(|heard| {
+        self.last_renewals.get(name).is_some_and(|heard| {
             !self.is_gone(&heard.member) && since(heard.at, now) < consts::TENURE
         })
     }
 
     /// Whether this very process of a member is known to serve no more.
     pub fn is_gone(&self, member: &Member) -> bool {
-        self.gone.get(&member.name).is_some_and(|gone| gone.incarnation == member.incarnation)
+        self.departed.get(&member.name).is_some_and(|gone| gone.incarnation == member.incarnation)
     }
 
     /// Whether a member goes by a membership that it should tell us of, since we
     /// have never heard of it.
     pub fn asks_for_membership(&mut self, now: Tick, progress: &MemberProgress) -> bool {
         let id = progress.saw;
-        let may_count = self.blind || id > self.membership.id();
-        let is_due = self.asked_at == 0 || since(self.asked_at, now) >= consts::OBEY_LOOK;
+        let may_count = self.gathering || id > self.membership.id();
+        let is_due = self.membership_asked_at == 0
+            || since(self.membership_asked_at, now) >= consts::OBEY_LOOK;
         let asks = id.term > Term::ZERO && may_count && is_due && !self.knows(id);
         if asks {
-            self.asked_at = now;
+            self.membership_asked_at = now;
         }
         asks
     }
@@ -116,16 +117,19 @@
     pub fn note_renewal(&mut self, now: Tick, member: Member, progress: MemberProgress) -> bool {
         let name = member.name.clone();
         let incarnation = member.incarnation;
-        let gone = self.gone.get(&name).filter(|gone| gone.incarnation == incarnation);
-        if gone.is_some_and(|gone| gone.stopped) {
+        let gone = self.departed.get(&name).filter(|gone| gone.incarnation == incarnation);
+        if gone.is_some_and(|gone| gone.said_itself) {
             // It was on its way while the process ended.
             return false;
         }
-        self.gone.swap_remove(&name);
+        self.departed.swap_remove(&name);
         if progress.leaving {
-            self.gone.insert(name, Gone { incarnation, stopped: true });
+            self.departed.insert(name, Departure { incarnation, said_itself: true });
         } else {
-            self.heard.insert(name, Heard { at: now, member, far: progress, spoke: true });
+            self.last_renewals.insert(
+                name,
+                LastRenewal { at: now, member, progress, has_renewed: true },
+            );
         }
         true
     }
@@ -134,9 +138,9 @@
     pub fn expect_all(&mut self, now: Tick) {
         let older = self.log.older.iter().map(|former| &former.membership);
         for member in older.chain([&self.membership]).flat_map(|c| &c.members) {
-            let (member, far) = (member.clone(), MemberProgress::default());
-            let new = Heard { at: now, member: member.clone(), far, spoke: false };
-            self.heard.entry(member.name).or_insert(new);
+            let (member, progress) = (member.clone(), MemberProgress::default());
+            let new = LastRenewal { at: now, member: member.clone(), progress, has_renewed: false };
+            self.last_renewals.entry(member.name).or_insert(new);
         }
     }
 
@@ -146,11 +150,11 @@
         let all = older.chain([&self.membership]).chain(&self.log.proposed);
         let named: HashSet<&str> =
             all.flat_map(|c| &c.members).map(|member| member.name.as_str()).collect();
-        self.heard.retain(|name, heard| {
+        self.last_renewals.retain(|name, heard| {
             named.contains(name.as_str()) || since(heard.at, now) < consts::TENURE
         });
-        let heard = &self.heard;
-        self.gone.retain(|name, _| named.contains(name.as_str()) || heard.contains_key(name));
+        let heard = &self.last_renewals;
+        self.departed.retain(|name, _| named.contains(name.as_str()) || heard.contains_key(name));
     }
 
     /// Takes over what a voter knew whose slot we take, unless we know a membership.
@@ -169,8 +173,8 @@
 
     /// What the leader knows of the members' progress: name, ms since heard, how far.
     pub fn status(&self, now: Tick) -> Vec<(String, u64, MemberProgress)> {
-        let age_ms = |heard: &Heard| since(heard.at, now) / MILLI;
-        let all = self.heard.iter();
-        all.map(|(name, heard)| (name.clone(), age_ms(heard), heard.far.clone())).collect()
+        let age_ms = |heard: &LastRenewal| since(heard.at, now) / MILLI;
+        let all = self.last_renewals.iter();
+        all.map(|(name, heard)| (name.clone(), age_ms(heard), heard.progress.clone())).collect()
     }
 }
--- a/crates/core/src/control_plane/membership_issue.rs
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -1,7 +1,7 @@
 //! Which memberships the leader of the configuration issues, and when one of them
 //! is settled.
 
-use crate::control_plane::members::{Heard, Members};
+use crate::control_plane::members::{LastRenewal, Members};
 use crate::control_plane::membership_log::{FormerMembership, MEMBERSHIPS_KEPT};
 use crate::identifiers::Term;
 use crate::protocol::message::{Member, Membership};
@@ -24,11 +24,11 @@
     /// still hold. Who is there is told soon, but nothing of it is settled before a
     /// lease has passed, and only what is settled gives shares.
     pub fn is_gathering(&mut self, now: Tick) -> bool {
-        let Some((_, began)) = self.reign else { return true };
+        let Some((_, began)) = self.leadership else { return true };
         let age = since(began, now);
-        self.blind |= self.membership.term == Term::ZERO;
-        self.blind &= age < TENURE_GRACE;
-        self.blind && age < TENURE_GATHER
+        self.gathering |= self.membership.term == Term::ZERO;
+        self.gathering &= age < TENURE_GRACE;
+        self.gathering && age < TENURE_GATHER
     }
 
     /// Issues a new membership if there is anything new, once the one before is in
@@ -53,12 +53,12 @@
 
     /// Who is a member now, by name; who is new joins in this turn.
     fn list(&self, now: Tick, turn: u64) -> Vec<Member> {
-        let live = self.heard.iter().filter(|(name, _)| self.is_live(now, name));
+        let live = self.last_renewals.iter().filter(|(name, _)| self.is_live(now, name));
         let mut list: Vec<Member> = live.map(|(_, heard)| heard.member.clone()).collect();
         let is_scarce = !self.hears_most(now);
         let silent = self.membership.members.iter().filter(|member| {
             !self.is_live(now, &member.name)
-                && !self.gone.contains_key(&member.name)
+                && !self.departed.contains_key(&member.name)
                 && is_scarce
                 && self.stays(now, member)
         });
@@ -84,12 +84,16 @@
     /// a break that the silent ones may serve on.
     fn stays(&self, now: Tick, member: &Member) -> bool {
         let known = &self.membership.members;
-        let is_long_silent =
-            self.heard.get(&member.name).is_none_or(|heard| since(heard.at, now) >= REMOVAL_BY_FEW);
-        let is_quiet =
-            |heard: &Heard| heard.spoke && ms(heard.far.quiet_ms) >= consts::ATTESTATION_QUIET;
+        let is_long_silent = self
+            .last_renewals
+            .get(&member.name)
+            .is_none_or(|heard| since(heard.at, now) >= REMOVAL_BY_FEW);
+        let is_quiet = |heard: &LastRenewal| {
+            heard.has_renewed && ms(heard.progress.quiet_ms) >= consts::ATTESTATION_QUIET
+        };
         let is_steady = |other: &&Member| {
-            self.is_live(now, &other.name) && self.heard.get(&other.name).is_some_and(is_quiet)
+            self.is_live(now, &other.name)
+                && self.last_renewals.get(&other.name).is_some_and(is_quiet)
         };
         let are_enough = known.iter().filter(is_steady).count() >= quorum::acceptance(known.len());
         known.len() > 1 && !(is_long_silent && are_enough)
@@ -106,9 +110,10 @@
     /// by a former one; tells whether it did.
     pub fn settle_if_seen(&mut self) -> bool {
         let id = self.membership.id();
-        let has_seen =
-            |member: &Member| self.heard.get(&member.name).is_some_and(|heard| heard.far.saw >= id);
-        let is_ready = !self.blind && self.log.proposed.is_none() && self.log.older.is_empty();
+        let has_seen = |member: &Member| {
+            self.last_renewals.get(&member.name).is_some_and(|heard| heard.progress.saw >= id)
+        };
+        let is_ready = !self.gathering && self.log.proposed.is_none() && self.log.older.is_empty();
         if is_ready
             && self.membership.settled < self.membership.turn
             && self.membership.members.iter().all(has_seen)
--- a/crates/core/src/control_plane/membership_replication.rs
+++ b/crates/core/src/control_plane/membership_replication.rs
@@ -236,7 +236,7 @@
 
     /// A member told a membership that we did not know of.
     pub fn learn_of(&mut self, now: Tick, membership: Membership) {
-        let Some((term, _)) = self.reign else { return };
+        let Some((term, _)) = self.leadership else { return };
         let id = membership.id();
         let has_room = self.log.older.len() < MEMBERSHIPS_KEPT;
         if !self.log.is_inherited() || id.term >= term || !has_room || self.knows(id) {
--- a/crates/core/src/control_plane/membership_updates.rs
+++ b/crates/core/src/control_plane/membership_updates.rs
@@ -24,7 +24,7 @@
     /// Time passes: leases end, and the membership's state is told when it changed.
     pub(super) fn wake_members(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let Some(term) = self.lease_term() else {
-            self.members.reign = None;
+            self.members.leadership = None;
             return;
         };
         self.begin_leases(now);
@@ -37,7 +37,7 @@
 
     /// Moves the membership on as far as it goes now.
     pub(super) fn advance_membership(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let Some((term, _)) = self.members.reign else { return };
+        let Some((term, _)) = self.members.leadership else { return };
         if self.members.is_gathering(now) {
             return;
         }
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -40,7 +40,7 @@
         commands: &mut Vec<Command>,
     ) {
         let until = now + consts::OPERATE_PATIENCE;
-        self.ops.insert(op, PendingRequest::new(request, until));
+        self.pending_requests.insert(op, PendingRequest::new(request, until));
         self.forward(now, op, commands);
     }
 
@@ -76,20 +76,20 @@
 
     /// Hands a request to the leader, if one is known and it was not yet handed.
     fn forward(&mut self, now: Tick, op: u64, commands: &mut Vec<Command>) {
-        if self.ops.get(&op).is_none_or(|pending| pending.sent.is_some()) {
+        if self.pending_requests.get(&op).is_none_or(|pending| pending.forwarded_to.is_some()) {
             return;
         }
         let Some(to) = self.forwarding_target() else { return };
         self.next_attempt = self.next_attempt.wrapping_add(1);
         let attempt = self.next_attempt;
-        let Some(pending) = self.ops.get_mut(&op) else { return };
+        let Some(pending) = self.pending_requests.get_mut(&op) else { return };
         pending.begin_attempt(attempt, to);
         let request = pending.to_request();
         if to.slot == self.slot {
             let origin = OperationOrigin { slot: None, op, attempt };
             return self.execute_as_leader(now, origin, request, commands);
         }
-        let Request { id: request, expect, deed } = request;
+        let Request { id: request, expected_revision: expect, operation: deed } = request;
         let term = to.term;
         let message = Message::OperationRequest { op, attempt, term, request, expect, deed };
         commands.push(Command::ToVoter { slot: to.slot, message });
@@ -107,7 +107,7 @@
         if operations::reject_if_full(&mut self.partitions[0], origin, commands) {
             return;
         }
-        if let Operation::ForgetMember(name) = &request.deed {
+        if let Operation::ForgetMember(name) = &request.operation {
             self.begin_leases(now);
             let (configuration, members) = (&mut self.partitions[0], &self.members);
             return forgotten_members::forget(
@@ -126,7 +126,9 @@
     /// We came to a voter slot or lost ours: what is answered to us under our former
     /// name does not reach us, so every request is handed over anew.
     pub(crate) fn retry_all_requests(&mut self) {
-        for pending in self.ops.values_mut().filter(|pending| pending.sent.is_some()) {
+        for pending in
+            self.pending_requests.values_mut().filter(|pending| pending.forwarded_to.is_some())
+        {
             pending.give_up_attempt();
         }
     }
@@ -135,10 +137,10 @@
     /// over anew, since nobody may be left there to answer.
     pub(crate) fn retry_requests_to(&mut self, moved: &[bool]) {
         let went_to_moved = |pending: &&mut PendingRequest| {
-            let slot = pending.sent.map(|to| usize::from(to.slot));
+            let slot = pending.forwarded_to.map(|to| usize::from(to.slot));
             slot.is_some_and(|slot| moved.get(slot).is_some_and(|moved| *moved))
         };
-        for pending in self.ops.values_mut().filter(went_to_moved) {
+        for pending in self.pending_requests.values_mut().filter(went_to_moved) {
             pending.give_up_attempt();
         }
     }
@@ -186,9 +188,9 @@
         if !self.is_first_time(origin.attempt) {
             return;
         }
-        self.next_lent += 1;
-        let op = self.next_lent;
-        self.lent.insert(op, origin);
+        self.next_forwarded += 1;
+        let op = self.next_forwarded;
+        self.forwarded.insert(op, origin);
         self.on_operate(now, op, request, commands);
     }
 
@@ -200,7 +202,7 @@
         done: OperationResult,
         commands: &mut Vec<Command>,
     ) {
-        if self.ops.get(&id.op).is_some_and(|pending| pending.waits_for(id.attempt)) {
+        if self.pending_requests.get(&id.op).is_some_and(|pending| pending.waits_for(id.attempt)) {
             self.on_result(now, id.op, done, commands);
         }
     }
@@ -215,23 +217,23 @@
         done: OperationResult,
         commands: &mut Vec<Command>,
     ) {
-        let Some(pending) = self.ops.get_mut(&op) else { return };
+        let Some(pending) = self.pending_requests.get_mut(&op) else { return };
         if let OperationResult::Unknown { why } = &done {
-            pending.maybe = true;
-            pending.said = Some(why.clone());
+            pending.may_be_applied = true;
+            pending.last_failure = Some(why.clone());
         }
         let may_retry =
             matches!(done, OperationResult::Rejected { .. } | OperationResult::Unknown { .. });
-        if may_retry && now < pending.until {
-            pending.sent = None;
+        if may_retry && now < pending.deadline {
+            pending.forwarded_to = None;
             return;
         }
         let done = pending.certain(done);
-        self.ops.swap_remove(&op);
+        self.pending_requests.swap_remove(&op);
         match done {
-            OperationResult::Accepted { .. } => self.counts.accepted += 1,
+            OperationResult::Accepted { .. } => self.counters.accepted += 1,
             OperationResult::Configuration { .. } | OperationResult::Status { .. } => {}
-            _ => self.counts.bounced += 1,
+            _ => self.counters.rejected += 1,
         }
         commands.push(Command::Respond { op, done });
     }
@@ -239,16 +241,16 @@
     /// Time passes: requests wait for a leader, but not for ever.
     pub(super) fn wake_requests(&mut self, now: Tick, commands: &mut Vec<Command>) {
         self.retry_superseded();
-        let ids: Vec<u64> = self.ops.keys().copied().collect();
+        let ids: Vec<u64> = self.pending_requests.keys().copied().collect();
         for id in ids {
-            let Some(pending) = self.ops.get(&id) else { continue };
-            if now < pending.until {
+            let Some(pending) = self.pending_requests.get(&id) else { continue };
+            if now < pending.deadline {
                 self.forward(now, id, commands);
                 continue;
             }
             let done = pending.overdue();
-            self.ops.swap_remove(&id);
-            self.counts.bounced += 1;
+            self.pending_requests.swap_remove(&id);
+            self.counters.rejected += 1;
             commands.push(Command::Respond { op: id, done });
         }
     }
@@ -259,7 +261,7 @@
     fn retry_superseded(&mut self) {
         let leader = self.known_leader();
         let leaving = handover::is_leaving(self);
-        let ControllerState { slot, seating, ops, .. } = self;
+        let ControllerState { slot, seating, pending_requests: ops, .. } = self;
         let is_silent = |to: &Forwarding| {
             let quiet = seating.quiet.get(usize::from(to.slot));
             quiet.is_none_or(|quiet| *quiet >= consts::APPLY_SILENCE)
@@ -269,7 +271,7 @@
             _ => leader.is_some_and(|leader| leader != *to),
         };
         for pending in ops.values_mut() {
-            if pending.sent.as_ref().is_some_and(is_superseded) {
+            if pending.forwarded_to.as_ref().is_some_and(is_superseded) {
                 pending.give_up_attempt();
             }
         }
@@ -292,7 +294,7 @@
     pub(super) fn return_forwarded(&mut self, commands: &mut [Command]) {
         for command in commands {
             if let Command::Respond { op, done } = command
-                && let Some(origin) = self.lent.swap_remove(op)
+                && let Some(origin) = self.forwarded.swap_remove(op)
             {
                 *command = origin.response(done.clone());
             }
@@ -301,6 +303,6 @@
 
     /// A connection is gone, and with it those who wait on it.
     pub(super) fn drop_forwarded_from(&mut self, connection: ConnectionId) {
-        self.lent.retain(|_, origin| origin.connection != connection);
+        self.forwarded.retain(|_, origin| origin.connection != connection);
     }
 }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -20,8 +20,8 @@
 pub struct Request {
     pub id: String,
     /// The revision that it expects to change.
-    pub expect: Option<u64>,
-    pub deed: Operation,
+    pub expected_revision: Option<u64>,
+    pub operation: Operation,
 }
 
 /// Rejects a request if too many wait at the leader; tells whether it did.
@@ -48,7 +48,7 @@
     request: &Request,
     commands: &mut Vec<Command>,
 ) {
-    let answer = match &request.deed {
+    let answer = match &request.operation {
         Operation::Read => PendingAnswer::Read,
         // What an operator forgets is up to `forgotten_members`.
         Operation::Status | Operation::ForgetMember(_) => PendingAnswer::Status,
@@ -114,12 +114,12 @@
         }
         Recall::Absent => {}
     }
-    if request.expect.is_some_and(|want| want != p.state.revision) {
-        let base = OrderBase { revision: request.expect, ..OrderBase::default() };
+    if request.expected_revision.is_some_and(|want| want != p.state.revision) {
+        let base = OrderBase { revision: request.expected_revision, ..OrderBase::default() };
         let moved = OperationResult::Conflict { revision: p.state.revision };
         return Judged::Refused(forgotten(map, &base).unwrap_or(moved));
     }
-    let (mut entries, edition) = match planned(map, request.expect, whole, text) {
+    let (mut entries, edition) = match planned(map, request.expected_revision, whole, text) {
         Ok(Planned::Entries(entries, edition)) => (entries, edition),
         Ok(Planned::Refused(done)) => return Judged::Refused(done),
         Err(all) => {
--- a/crates/core/src/control_plane/pending_requests.rs
+++ b/crates/core/src/control_plane/pending_requests.rs
@@ -13,23 +13,23 @@
 /// An operator's request in hand at the controller it came to.
 pub struct PendingRequest {
     /// The request's own id, which makes it safe to send it again.
-    pub request: String,
+    pub request_id: String,
     /// The revision that it expects to change.
-    pub expect: Option<u64>,
+    pub expected_revision: Option<u64>,
     /// What is asked.
-    pub deed: Operation,
+    pub operation: Operation,
     /// To whom it was handed; `None` while no leader is known.
-    pub sent: Option<Forwarding>,
+    pub forwarded_to: Option<Forwarding>,
     /// Number of the latest attempt.
     pub attempt: u64,
     /// An earlier attempt ended without an answer: it may have been applied.
-    pub maybe: bool,
+    pub may_be_applied: bool,
     /// An attempt was not meant for one term alone.
-    pub unfenced: bool,
+    pub is_unfenced: bool,
     /// Why the last attempt ended without a result.
-    pub said: Option<String>,
+    pub last_failure: Option<String>,
     /// When the patience with it ends.
-    pub until: Tick,
+    pub deadline: Tick,
 }
 
 /// To whom a request was handed.
@@ -79,41 +79,45 @@
 impl PendingRequest {
     /// A request that has just come.
     pub fn new(request: Request, until: Tick) -> Self {
-        let Request { id, expect, deed } = request;
+        let Request { id, expected_revision, operation } = request;
         Self {
-            request: id,
-            expect,
-            deed,
-            sent: None,
+            request_id: id,
+            expected_revision,
+            operation,
+            forwarded_to: None,
             attempt: 0,
-            maybe: false,
-            unfenced: false,
-            said: None,
-            until,
+            may_be_applied: false,
+            is_unfenced: false,
+            last_failure: None,
+            deadline: until,
         }
     }
 
     /// The request without what became of its attempts.
     pub fn to_request(&self) -> Request {
-        Request { id: self.request.clone(), expect: self.expect, deed: self.deed.clone() }
+        Request {
+            id: self.request_id.clone(),
+            expected_revision: self.expected_revision,
+            operation: self.operation.clone(),
+        }
     }
 
     /// Notes that the latest attempt goes to this controller.
     pub fn begin_attempt(&mut self, number: u64, to: Forwarding) {
-        self.sent = Some(to);
+        self.forwarded_to = Some(to);
         self.attempt = number;
-        self.unfenced |= to.term == ANY_TERM;
+        self.is_unfenced |= to.term == ANY_TERM;
     }
 
     /// The latest attempt may never be answered: another is to be made.
     pub fn give_up_attempt(&mut self) {
-        self.maybe = true;
-        self.sent = None;
+        self.may_be_applied = true;
+        self.forwarded_to = None;
     }
 
     /// Whether an answer to this attempt counts.
     pub fn waits_for(&self, attempt: u64) -> bool {
-        self.attempt == attempt && self.sent.is_some()
+        self.attempt == attempt && self.forwarded_to.is_some()
     }
 
     /// What may be told of a result, with what became of earlier attempts.
@@ -123,10 +127,12 @@
             | OperationResult::Configuration { .. }
             | OperationResult::Status { .. }
             | OperationResult::Unknown { .. } => done,
-            OperationResult::Rejected { why } if self.maybe => OperationResult::Unknown { why },
+            OperationResult::Rejected { why } if self.may_be_applied => {
+                OperationResult::Unknown { why }
+            }
             OperationResult::Rejected { .. } => done,
             // An earlier attempt may still reach any leader and be carried out.
-            _ if self.maybe && self.unfenced => {
+            _ if self.may_be_applied && self.is_unfenced => {
                 let why = "refused, but an earlier attempt may still be carried out".to_string();
                 OperationResult::Unknown { why }
             }
@@ -136,16 +142,16 @@
 
     /// What an operator is told when the patience with its request ends.
     pub fn overdue(&self) -> OperationResult {
-        match self.sent {
-            None if !self.maybe => {
+        match self.forwarded_to {
+            None if !self.may_be_applied => {
                 OperationResult::Rejected { why: "the configuration has no leader now".into() }
             }
-            _ if matches!(self.deed, Operation::Read | Operation::Status) => {
+            _ if matches!(self.operation, Operation::Read | Operation::Status) => {
                 OperationResult::Rejected { why: "no answer in time".into() }
             }
             _ => {
                 let silent = || "the leader did not answer in time".to_string();
-                OperationResult::Unknown { why: self.said.clone().unwrap_or_else(silent) }
+                OperationResult::Unknown { why: self.last_failure.clone().unwrap_or_else(silent) }
             }
         }
     }
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -28,9 +28,9 @@
     /// one, or is no more. Either way it attests no more for that one.
     pub fn has_left(&self, membership: &Membership, member: &Member) -> bool {
         self.is_gone(member)
-            || self.heard.get(&member.name).is_some_and(|heard| {
+            || self.last_renewals.get(&member.name).is_some_and(|heard| {
                 let is_another = heard.member.incarnation != member.incarnation;
-                heard.spoke && (is_another || heard.far.saw > membership.id())
+                heard.has_renewed && (is_another || heard.progress.saw > membership.id())
             })
     }
 
@@ -48,7 +48,8 @@
     fn is_over(&self, now: Tick, membership: &Membership, retired: Tick) -> bool {
         let list = &membership.members;
         let is_quiet = |member: &&Member| {
-            let quiet_ms = self.heard.get(&member.name).map(|heard| heard.far.quiet_ms);
+            let quiet_ms =
+                self.last_renewals.get(&member.name).map(|heard| heard.progress.quiet_ms);
             self.has_left(membership, member)
                 && quiet_ms.is_some_and(|quiet_ms| ms(quiet_ms) >= consts::ATTESTATION_QUIET)
         };
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -37,16 +37,16 @@
     /// Dispatches an event by its source.
     fn on_event(&mut self, now: Tick, event: Event, commands: &mut Vec<Command>) {
         match event {
-            Event::FromVoter { slot, holder, connection, message } => {
-                let sender = VoterSender { slot, replica_id: holder, connection };
+            Event::FromVoter { slot, replica_id, connection, message } => {
+                let sender = VoterSender { slot, replica_id, connection };
                 self.on_voter_message(now, sender, message, commands);
             }
             Event::FromController { message } => self.on_controller_message(now, message, commands),
             Event::FromConnection { connection, message } => {
                 self.on_connection_message(now, connection, message, commands);
             }
-            Event::Operate { op, request, expect, deed } => {
-                let request = Request { id: request, expect, deed };
+            Event::Operate { op, request, expected_revision, operation } => {
+                let request = Request { id: request, expected_revision, operation };
                 self.on_operate(now, op, request, commands);
             }
             Event::ForceRecovery => self.force_recovery(commands),
@@ -75,7 +75,7 @@
             Event::DiskFailed { partition, why } => {
                 self.on_disk_failed(now, partition, why, commands);
             }
-            Event::Scrubbed { partition, trouble: Some(why) } => {
+            Event::Scrubbed { partition, corruption: Some(why) } => {
                 self.on_corruption(now, partition, &why, commands);
             }
             _ => {}
@@ -108,14 +108,14 @@
         let group = here(self);
         for partition in &mut self.partitions {
             wake_disk(partition, now, commands);
-            catch_up::wake(partition, now, group, &mut self.luck, commands);
+            catch_up::wake(partition, now, group, &mut self.random, commands);
             let was_candidate = matches!(partition.role, Role::Candidate(_));
             match &partition.role {
                 Role::Leader(_) => leader::wake(partition, now, group, commands),
-                _ => election::wake(partition, now, group, &mut self.luck, commands),
+                _ => election::wake(partition, now, group, &mut self.random, commands),
             }
             let is_candidate = matches!(partition.role, Role::Candidate(_));
-            self.counts.claims += u64::from(!was_candidate && is_candidate);
+            self.counters.candidacies += u64::from(!was_candidate && is_candidate);
         }
     }
 }
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -16,10 +16,10 @@
         let membership = self.members.membership.feed_revision();
         let committed = self.partitions.iter().map(|partition| partition.committed_revision);
         let heads: Vec<u64> = committed.chain([membership]).collect();
-        if heads == self.pushed {
+        if heads == self.broadcast_up_to {
             return;
         }
-        self.pushed = heads;
+        self.broadcast_up_to = heads;
         let connections: Vec<ConnectionId> = self.followers.keys().copied().collect();
         for connection in connections {
             self.bring_up_to_date(connection, commands);
@@ -41,7 +41,7 @@
             let revision = places.entry(partition.id).or_insert(0);
             if let Some(message) = feed::update_after(partition, *revision) {
                 *revision = partition.committed_revision;
-                self.counts.news += 1;
+                self.counters.updates_sent += 1;
                 commands.push(Command::ToConnection { connection, message });
             }
         }
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -104,12 +104,12 @@
     let Some(leaving) = &core.seating.handovers.leaving else { return false };
     let Stage::Answering { operations } = &leaving.stage else { return false };
     since(leaving.began, now) >= consts::HANDOVER_PATIENCE
-        || !operations.iter().any(|operation| core.ops.contains_key(operation))
+        || !operations.iter().any(|operation| core.pending_requests.contains_key(operation))
 }
 
 /// The slot is another's, or nobody is there to take it.
 fn finish(core: &mut ControllerState) {
-    let operations = core.ops.keys().copied().collect();
+    let operations = core.pending_requests.keys().copied().collect();
     if let Some(leaving) = &mut core.seating.handovers.leaving
         && !matches!(leaving.stage, Stage::Answering { .. })
     {
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -192,7 +192,7 @@
         forget(p, now, out);
     }
     core.members = Default::default();
-    let me = core.luck.next_u64() | 1;
+    let me = core.random.next_u64() | 1;
     let roll = VoterFile { me, first: false, table: core.seating.roll.table.clone() };
     // The former id is nobody's any more; nobody is told a new one yet.
     core.seating.roll.me = 0;
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -262,7 +262,7 @@
         expect_that!(p.changes.len(), le(consts::FEED_KEPT + 8));
         expect_that!(p.log_bytes, le(consts::LOG_LIMIT + size(&cluster, node) as u64));
         expect_that!(core.attempts_seen.len(), le(4_096));
-        expect_that!(core.ops.len() + core.lent.len(), eq(0));
+        expect_that!(core.pending_requests.len() + core.forwarded.len(), eq(0));
         if let Role::Leader(leader) = &p.role {
             expect_that!(leader.rounds.len(), le(256));
             expect_that!(leader.waiting_changes.len() + leader.pending.len(), eq(0));
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -184,7 +184,7 @@
             if !cluster.nodes[from].cut && !cluster.nodes[to].cut {
                 let event = Event::FromVoter {
                     slot: from as VoterSlot,
-                    holder,
+                    replica_id: holder,
                     connection: from as u64,
                     message,
                 };
@@ -192,7 +192,11 @@
             }
         }
         Work::Call { node, op, request, expect, deed } => {
-            give(cluster, node, Event::Operate { op, request, expect, deed });
+            give(
+                cluster,
+                node,
+                Event::Operate { op, request, expected_revision: expect, operation: deed },
+            );
         }
         Work::Sync { node, partition, token } => {
             let disk = &mut cluster.nodes[node].disk;
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -372,7 +372,8 @@
                 return;
             }
             let (slot, connection) = (node as u8, node as u64);
-            let event = Event::FromVoter { slot, holder: told_holder(slot), connection, message };
+            let event =
+                Event::FromVoter { slot, replica_id: told_holder(slot), connection, message };
             let after = transit(cluster, node, to);
             push(cluster, to, after, Delivery::Event(event));
         }
@@ -436,7 +437,11 @@
 pub fn ask(cluster: &mut Cluster, node: usize, request: &str, deed: Operation) -> u64 {
     let operation = number(cluster);
     let request = request.to_string();
-    take(cluster, node, Event::Operate { op: operation, request, expect: None, deed });
+    take(
+        cluster,
+        node,
+        Event::Operate { op: operation, request, expected_revision: None, operation: deed },
+    );
     operation
 }
 
@@ -444,7 +449,7 @@
 pub fn ask_later(cluster: &mut Cluster, node: usize, request: &str, deed: Operation) -> u64 {
     let operation = number(cluster);
     let request = request.to_string();
-    let event = Event::Operate { op: operation, request, expect: None, deed };
+    let event = Event::Operate { op: operation, request, expected_revision: None, operation: deed };
     push(cluster, node, 0, Delivery::Event(event));
     operation
 }
@@ -513,5 +518,9 @@
 ) {
     cluster.asked.insert(number, cluster.now);
     let request = request.to_string();
-    take(cluster, node, Event::Operate { op: number, request, expect: None, deed });
+    take(
+        cluster,
+        node,
+        Event::Operate { op: number, request, expected_revision: None, operation: deed },
+    );
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -58,7 +58,7 @@
     for (request, deed) in asks {
         let (op, request) = (o.ops, request.to_string());
         o.ops += 1;
-        feed(o, Event::Operate { op, request, expect: None, deed });
+        feed(o, Event::Operate { op, request, expected_revision: None, operation: deed });
     }
     for _ in 0..1_000 {
         if o.done.len() as u64 == n {
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -187,7 +187,7 @@
 
 fn from(b: &Bench, slot: VoterSlot, message: Message) -> Event {
     let holder = b.core.seating.roll.table.slots[usize::from(slot)].holder;
-    Event::FromVoter { slot, holder, connection: u64::from(slot), message }
+    Event::FromVoter { slot, replica_id: holder, connection: u64::from(slot), message }
 }
 
 fn apply(b: &mut Bench, holder: u64, n: usize, zone: &str) -> Vec<VoterSlot> {
@@ -313,8 +313,12 @@
         )
     };
     expect_that!(out.iter().any(told), eq(true));
-    let stranger =
-        Event::FromVoter { slot: 2, holder: 5, connection: 2, message: kept(b.core.seating.stamp) };
+    let stranger = Event::FromVoter {
+        slot: 2,
+        replica_id: 5,
+        connection: 2,
+        message: kept(b.core.seating.stamp),
+    };
     one(&mut b, stranger);
     expect_that!(serves(&b), eq(false));
     let good = from(&b, 2, kept(b.core.seating.stamp));
@@ -345,7 +349,7 @@
     // What the old holder still says is nobody's word.
     let late = Event::FromVoter {
         slot: 2,
-        holder: first_holder(&addr(2)),
+        replica_id: first_holder(&addr(2)),
         connection: 2,
         message: Message::AppendAck { partition, term, revision: 0, stamp: b.core.seating.stamp },
     };
--- a/crates/server/src/controller/disk.rs
+++ b/crates/server/src/controller/disk.rs
@@ -95,7 +95,8 @@
         }
         for part in looks {
             let trouble = stores[part.0 as usize].scrub().err().map(|e| e.to_string());
-            let _ = events.send(Input::Controller(Event::Scrubbed { partition: part, trouble }));
+            let _ = events
+                .send(Input::Controller(Event::Scrubbed { partition: part, corruption: trouble }));
         }
     }
 }
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -91,20 +91,20 @@
 /// Prometheus text.
 pub fn text(core: &ControllerState) -> String {
     let mut out = String::new();
-    let c = &core.counts;
+    let c = &core.counters;
     let mut count = |name: &str, help: &str, val: u64| {
         let _ = writeln!(out, "# HELP {name} {help}\n# TYPE {name} counter\n{name} {val}");
     };
     count("grebe_accepted_total", "Operators' changes accepted.", c.accepted);
-    count("grebe_not_accepted_total", "Operators' requests not accepted.", c.bounced);
-    count("grebe_claims_total", "Claims of parts begun.", c.claims);
-    count("grebe_owned_total", "Parts that came to be owned.", c.owned);
-    count("grebe_resigned_total", "Ownerships given up.", c.resigned);
-    count("grebe_disk_mended_total", "Times a disk worked again after trouble.", c.mended);
-    count("grebe_rotted_total", "Parts whose files had rotted while we ran.", c.rotted);
-    count("grebe_lacking_total", "Times a replica asked for a whole copy.", c.swept);
-    count("grebe_news_total", "Messages of news sent to followers.", c.news);
-    count("grebe_fenced_total", "Reports turned away by a fence.", c.fenced);
+    count("grebe_not_accepted_total", "Operators' requests not accepted.", c.rejected);
+    count("grebe_claims_total", "Claims of parts begun.", c.candidacies);
+    count("grebe_owned_total", "Parts that came to be owned.", c.leaderships_won);
+    count("grebe_resigned_total", "Ownerships given up.", c.leaderships_lost);
+    count("grebe_disk_mended_total", "Times a disk worked again after trouble.", c.disks_recovered);
+    count("grebe_rotted_total", "Parts whose files had rotted while we ran.", c.corruptions);
+    count("grebe_lacking_total", "Times a replica asked for a whole copy.", c.snapshot_requests);
+    count("grebe_news_total", "Messages of news sent to followers.", c.updates_sent);
+    count("grebe_fenced_total", "Reports turned away by a fence.", c.fenced_lists);
     let _ = writeln!(out, "# HELP grebe_followers Wires that follow the feed.");
     let _ = writeln!(out, "# TYPE grebe_followers gauge\ngrebe_followers {}", core.followers.len());
     let _ = writeln!(out, "# HELP grebe_part_revision Committed revision shown, by part.");
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -148,7 +148,7 @@
             let op = io.next_op;
             io.next_op += 1;
             io.tells.insert(op, tell);
-            Some(Event::Operate { op, request, expect, deed })
+            Some(Event::Operate { op, request, expected_revision: expect, operation: deed })
         }
         Input::Own(tell) => {
             let _ = tell.send(crate::metrics::own(core, &p.zone, clock.now()));
@@ -194,7 +194,7 @@
             Some(match who {
                 PeerIdentity::Voter { slot: seat, holder } => {
                     io.ways.note_contact();
-                    Event::FromVoter { slot: seat, holder, connection, message }
+                    Event::FromVoter { slot: seat, replica_id: holder, connection, message }
                 }
                 PeerIdentity::Member(_) | PeerIdentity::Spare { .. } => {
                     Event::FromConnection { connection, message }
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -40,7 +40,15 @@
                     let n = &w.seats[usize::from(seat)];
                     let connection = seat_wire(usize::from(seat), n.life);
                     let holder = n.core.seating.roll.me;
-                    (connection, st::Event::FromVoter { slot: seat, holder, connection, message })
+                    (
+                        connection,
+                        st::Event::FromVoter {
+                            slot: seat,
+                            replica_id: holder,
+                            connection,
+                            message,
+                        },
+                    )
                 }
                 From::Front(f, life) => {
                     let connection = connection(f, life);
@@ -192,7 +200,7 @@
             job(w, s, part, token, Job::Slot(copy));
         }
         grebepath_core::command::Command::Scrub { partition: part } => {
-            let event = Box::new(st::Event::Scrubbed { partition: part, trouble: None });
+            let event = Box::new(st::Event::Scrubbed { partition: part, corruption: None });
             push(w, ms(3), ScheduledEvent::SeatTakes { s, life, event });
         }
         grebepath_core::command::Command::Respond { op, done } => {
--- a/crates/simulator/src/scale_model/phases.rs
+++ b/crates/simulator/src/scale_model/phases.rs
@@ -170,8 +170,8 @@
     let event = grebepath_core::control_plane::controller::Event::Operate {
         op,
         request,
-        expect: None,
-        deed,
+        expected_revision: None,
+        operation: deed,
     };
     world::push(w, MILLI, ScheduledEvent::SeatTakes { s: 0, life, event: Box::new(event) });
 }
--- a/crates/simulator/src/world/deviations.rs
+++ b/crates/simulator/src/world/deviations.rs
@@ -141,12 +141,14 @@
 
 fn copied(event: &CoreEvent) -> Option<CoreEvent> {
     Some(match event {
-        CoreEvent::FromVoter { slot: seat, holder, connection, message } => CoreEvent::FromVoter {
-            slot: *seat,
-            holder: *holder,
-            connection: *connection,
-            message: message.clone(),
-        },
+        CoreEvent::FromVoter { slot: seat, replica_id: holder, connection, message } => {
+            CoreEvent::FromVoter {
+                slot: *seat,
+                replica_id: *holder,
+                connection: *connection,
+                message: message.clone(),
+            }
+        }
         CoreEvent::FromConnection { connection, message } => {
             CoreEvent::FromConnection { connection: *connection, message: message.clone() }
         }
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -99,8 +99,8 @@
     let event = CoreEvent::Operate {
         op: id as u64,
         request: w.orders[id].request.clone().unwrap_or_else(|| format!("order-{id}")),
-        expect: w.orders[id].expect,
-        deed: w.orders[id].deed.clone(),
+        expected_revision: w.orders[id].expect,
+        operation: w.orders[id].deed.clone(),
     };
     push(w, ms(1), ScheduledEvent::ToSeat { s, life, event });
 }
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -99,7 +99,7 @@
         CoreEvent::FromVoter { message: Message::VoterSetUpdate { .. }, .. }
         | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
         | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
-        CoreEvent::FromVoter { slot: seat, holder, message, .. } => {
+        CoreEvent::FromVoter { slot: seat, replica_id: holder, message, .. } => {
             let table = &core.seating.roll.table;
             *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
             if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(message) {
@@ -247,7 +247,7 @@
                     ScheduledEvent::ToSeat {
                         s,
                         life,
-                        event: CoreEvent::Scrubbed { partition: part, trouble },
+                        event: CoreEvent::Scrubbed { partition: part, corruption: trouble },
                     },
                 );
             }
@@ -276,7 +276,7 @@
     let event = if seated(n) {
         CoreEvent::FromVoter {
             slot: n.core.slot,
-            holder: n.core.seating.roll.me,
+            replica_id: n.core.seating.roll.me,
             connection,
             message,
         }
