--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -31,7 +31,7 @@
 
     /// Whether a process that was asked to stop may end.
     pub fn may_end(&self, now: Tick) -> bool {
-        let is_waiting = |operation| self.ops.contains_key(&operation);
+        let is_waiting = |operation| self.pending_requests.contains_key(&operation);
         self.voter_slots.handovers.may_end(now, is_waiting)
     }
 
@@ -53,7 +53,7 @@
 
     /// The slot is another's, or nobody is there to take it.
     fn finish_handover(&mut self) {
-        self.voter_slots.handovers.finish(self.ops.keys().copied());
+        self.voter_slots.handovers.finish(self.pending_requests.keys().copied());
     }
 
     /// Time passes.
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -72,7 +72,7 @@
         commands.push(Command::Alarm(text.into()));
         self.slot = NOBODY;
         self.forget_replicas(now, commands);
-        let me = self.luck.next_u64() | 1;
+        let me = self.random.next_u64() | 1;
         let table = self.voter_slots.voter_set().clone();
         let voter_file = VoterFile { me, first: false, table };
         // The former id is nobody's any more; nobody is told a new one yet.
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/seats.rs
@@ -99,7 +99,7 @@
         CoreEvent::FromVoter { message: Message::VoterSetUpdate { .. }, .. }
         | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
         | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
-        CoreEvent::FromVoter { slot: seat, holder, message, .. } => {
+        CoreEvent::FromVoter { slot: seat, replica_id: holder, message, .. } => {
             let table = &core.voter_slots.voter_file.table;
             *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
             if let Some(stamp) = grebepath_core::voters::stamp::stamp_of_mut(message) {
@@ -245,7 +245,7 @@
                     ScheduledEvent::ToSeat {
                         s,
                         life,
-                        event: CoreEvent::Scrubbed { partition: part, trouble },
+                        event: CoreEvent::Scrubbed { partition: part, corruption: trouble },
                     },
                 );
             }
@@ -274,7 +274,7 @@
     let event = if seated(n) {
         CoreEvent::FromVoter {
             slot: n.core.slot,
-            holder: n.core.voter_slots.voter_file.me,
+            replica_id: n.core.voter_slots.voter_file.me,
             connection,
             message,
         }
