--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -67,29 +67,9 @@
 
 // ---- seats ----------------------------------------------------------------
 
-/// How often a seat shows another that it lives, if nothing else does.
-pub const HERE_BEAT: Span = ms(500);
-/// Silence after which a seat's holder may be replaced. Five of the beats above
-/// and more than a restart takes; moving a seat costs a whole copy of the state.
-pub const SEAT_SILENCE: Span = ms(2_500);
-/// How long a vacant seat is kept for a zone that balances the seats better.
-pub const SEAT_BALANCE: Span = 10 * SECOND;
-/// How often a controller without a seat asks for one, and so hears who lives.
-pub const APPLY_BEAT: Span = ms(500);
 /// A seat that a controller without one has not heard for this long is passed
 /// over when operators' requests are handed over: three of the beats above.
 pub const APPLY_SILENCE: Span = ms(1_700);
-/// How long a controller that was asked to stop waits for the new leaders of the
-/// partitions that it led: an election without a fault takes a tenth of it.
-pub const LEADERSHIP_TRANSFER: Span = ms(500);
-/// How often a handover of a voter slot is offered or sent again: above a few
-/// round trips and two syncs of a slow disk.
-pub const HANDOVER_RETRY: Span = ms(150);
-/// How long a controller that was asked to stop tries to hand its voter slot
-/// over. Half of the usual time between SIGTERM and SIGKILL.
-pub const HANDOVER_PATIENCE: Span = 3 * SECOND;
-/// Least time between two tellings of the table to one that has another.
-pub const TABLE_AGAIN: Span = ms(200);
 
 // ---- connections between our processes -----------------------------------------
 
@@ -111,38 +91,8 @@
 
 // ---- members --------------------------------------------------------------
 
-/// How often a member renews its lease.
-pub const TENURE_BEAT: Span = ms(500);
-/// The same for a member that has none yet, and for one that lacks news it
-/// needs to serve at all.
-pub const TENURE_SEEK: Span = ms(100);
 /// How long a lease lasts at the core without renewal.
 pub const TENURE: Span = 3 * SECOND;
-/// After this long without renewal, counted from when the renewal was sent, a
-/// member no longer trusts its share. Shorter than `TENURE`, so that it knows
-/// before the core gives the share to others.
-pub const TENURE_TRUST: Span = ms(2_600);
-/// After this long without renewal a member asks its neighbours to hand its
-/// renewals over: two lost in a row.
-pub const TENURE_WORRY: Span = ms(1_100);
-/// How often membership members speak with each other when the core is not heard:
-/// between `COHORT_UNREST` and the end of a lease lie six rounds. Members' last
-/// renewals lie up to one renewal beat (two rounds) apart, which leaves four for
-/// proofs to go from neighbour to neighbour.
-pub const COHORT_BEAT: Span = ms(250);
-/// How often they do while the core's word is fresh: nothing rests on company
-/// then, and this only finds connections that have died before they are needed.
-pub const COHORT_CALM: Span = 2 * SECOND;
-/// Age of the core's word from which members speak at `COHORT_BEAT`: one
-/// renewal is lost. Two more beats before the grip would end at `TENURE_TRUST`.
-pub const COHORT_UNREST: Span = 2 * TENURE_BEAT;
-/// Neighbours each member speaks with (count): each member is heard by this
-/// many others, and the cost does not grow with the membership.
-pub const COHORT_NEIGHBOURS: usize = 4;
-/// A member whose lease has run out serves on by proofs about the others no
-/// older than this. Like a lease, it is shorter than the 3 s in which a change
-/// must be in force everywhere, also by a clock that is a tenth slow.
-pub const ATTESTATION_WINDOW: Span = TENURE_TRUST;
 /// A member that has not attested for this long is in no group that serves on:
 /// the window above by a clock that is a tenth slow.
 pub const ATTESTATION_QUIET: Span = ms(2_900);
@@ -150,41 +100,14 @@
 /// others are silent (count): a twentieth, so that a change is accepted with 95
 /// of 100 members gone.
 pub const ACCEPTANCE_FRACTION: usize = 20;
-/// A membership member not heard for this long counts as silent.
-pub const COHORT_SILENCE: Span = ms(1_600);
-/// A lone cut-off member turns not ready after this long without the core, a
-/// second before it bounces: the platform checks readiness each second.
-pub const LONE_NOTICE: Span = ms(1_600);
-/// A member that can't prove by then that it may serve on turns not ready: a
-/// round before its lease ends.
-pub const PROOF_NOTICE: Span = TENURE_TRUST - COHORT_BEAT;
-/// How often a querier asks the seat that feeds it for news it may have missed.
-pub const FOLLOW_BEAT: Span = ms(400);
-/// How often it asks the other seats how far they are. News that its own seat
-/// lacks then comes at most this, a beat and a round trip late: half of the
-/// 3 s in which a change must be obeyed.
-pub const OTHERS_BEAT: Span = 2 * FOLLOW_BEAT;
-/// A seat that did not say for this long how far it is does not feed us: three
-/// asked in vain, less what the answer takes.
-pub const FEED_SILENCE: Span = ms(1_100);
-/// Least time between two views that differ in leafs only: a burst of changes
-/// to a large pool must not keep a light front busy building views.
-pub const VIEW_GAP: Span = ms(100);
-/// A starting querier that heard fewer than two seats waits this long
-/// before it takes its view from a ready membership member alone.
-pub const START_PATIENCE: Span = 3 * SECOND;
 
 // ---- duties ---------------------------------------------------------------
 
 /// How often the holder of that duty polls the platform's list ...
 pub const LIST_POLL: Span = ms(600);
-/// ... and who would hold it next: within the 3 s in which a leaving leaf must
-/// be known, with a second to spare for the way.
-pub const LIST_POLL_NEXT: Span = ms(1_800);
 /// How often the holder polls while leafs are going, and for how long after
 /// word of one that is gone.
 pub const LIST_HURRY: Span = ms(250);
-pub const LIST_HURRIED: Span = 3 * SECOND;
 /// A list poll that takes longer is given up.
 pub const LIST_PATIENCE: Span = ms(2_000);
 /// Largest platform list that is read (bytes).
@@ -192,15 +115,8 @@
 /// A leaf that the list no longer names is taken out after this long; a list
 /// that lags or flaps must not empty a pool.
 pub const LEAF_ABSENCE: Span = 5 * SECOND;
-/// How often each leaf is probed, by one member for all.
-pub const PROBE_BEAT: Span = ms(1_000);
-/// Wait before leafs of unknown age are probed: lets a list's leafs gather.
-pub const PROBE_SOON: Span = ms(100);
 /// A probe that takes longer is given up.
 pub const PROBE_PATIENCE: Span = ms(1_000);
-/// Keys into which the probing is cut (count): enough to spread over a large
-/// membership, few enough to find their holders at each beat.
-pub const PROBE_KEYS: u64 = 64;
 /// A leaf's age is told anew when it has grown by this factor, so that a leaf
 /// costs a handful of changes in its whole life.
 pub const AGE_FACTOR: u64 = 2;
@@ -210,8 +126,6 @@
 pub const AGE_FIRST_MS: u64 = 1_000;
 /// How often the owner of a part looks which leafs have grown older.
 pub const AGES_BEAT: Span = SECOND;
-/// How often an unsent first-hand finding is sent again.
-pub const REPORT_AGAIN: Span = ms(500);
 
 // ---- queries --------------------------------------------------------------
 
@@ -402,9 +316,6 @@
 pub const PARAMS_LOOK: Span = 5 * SECOND;
 /// Lines the log ring holds (count).
 pub const RING_LINES: usize = 4_096;
-/// Time a stopping querier leaves between "not ready" and closing its door:
-/// the platform checks readiness each second.
-pub const DRAIN_NOTICE: Span = ms(1_500);
 /// Share of a told grace that passes before the door is shut (percent): two
 /// checks, each a second apart, must have been missed, and callers gone.
 pub const NOTICE_PCT: u64 = 45;
--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -2,7 +2,6 @@
 //! the spare that takes its place see them.
 
 use crate::command::{Command, ConnectionId};
-use crate::consts;
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::feed;
 use crate::identifiers::VoterSlot;
@@ -10,9 +9,14 @@
 use crate::replication::partition::{AfterWrite, Partition, Role, able};
 use crate::replication::{election, replica};
 use crate::storage::record::ReplicaState;
-use crate::time::{Tick, since};
+use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{NOBODY, SlotHolder, VoterSet, merge};
 use crate::voters::handover::{Departure, OfferSent, Stage};
+use crate::voters::handover::{HANDOVER_PATIENCE, HANDOVER_RETRY};
+
+/// How long a controller that was asked to stop waits for the new leaders of the
+/// partitions that it led: an election without a fault takes a tenth of it.
+const LEADERSHIP_TRANSFER: Span = ms(500);
 
 /// What a voter that leaves hands to us.
 pub(super) struct ReceivedHandover {
@@ -63,18 +67,18 @@
         handovers.drop_silent_applicants(now);
         let Some(departure) = &mut handovers.departure else { return };
         let spent = since(departure.began_at, now);
-        if spent >= consts::HANDOVER_PATIENCE {
+        if spent >= HANDOVER_PATIENCE {
             return self.finish_handover();
         }
         match &mut departure.stage {
             Stage::TransferringLeadership => {
-                if spent >= consts::LEADERSHIP_TRANSFER || self.others_lead_all() {
+                if spent >= LEADERSHIP_TRANSFER || self.others_lead_all() {
                     self.offer_slot(now, None, commands);
                 }
             }
             Stage::Offering { asked } => {
                 let asked = *asked;
-                if asked.is_none_or(|asked| since(asked.at, now) >= consts::HANDOVER_RETRY) {
+                if asked.is_none_or(|asked| since(asked.at, now) >= HANDOVER_RETRY) {
                     let last = asked.map(|asked| asked.replica_id);
                     self.offer_slot(now, last, commands);
                 }
@@ -83,7 +87,7 @@
             Stage::Yielding { .. } if slot == NOBODY => self.finish_handover(),
             Stage::Yielding { .. } | Stage::Answering { .. } => {}
             Stage::Sending { state, slot, sent_at } => {
-                if sent_at.is_none_or(|at| since(at, now) >= consts::HANDOVER_RETRY) {
+                if sent_at.is_none_or(|at| since(at, now) >= HANDOVER_RETRY) {
                     *sent_at = Some(now);
                     let message = (**state).clone();
                     commands.push(Command::ToVoter { slot: *slot, message });
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -4,10 +4,26 @@
 use crate::consts;
 use crate::digest::hash;
 use crate::identifiers::{CONFIG, PartitionId, part_of, partitions};
+use crate::membership::lease::LEASE_TRUST;
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{EntryMap, LeafReport, Message};
 use crate::snapshot::leafs::{LeafInfo, leafs_in};
-use crate::time::{Span, Tick, since};
+use crate::time::{SECOND, Span, Tick, ms, since};
+
+/// How often who would hold the assignment next polls the platform's list: within the
+/// 3 s in which a leaving leaf must be known, with a second to spare for the way.
+const LIST_POLL_NEXT: Span = ms(1_800);
+
+/// For how long the holder polls more often (`consts::LIST_HURRY`) after word of a leaf
+/// that is gone.
+const HURRIED_FOR: Span = 3 * SECOND;
+
+/// How often each leaf is health-checked, by one member for all.
+const PROBE_INTERVAL: Span = ms(1_000);
+
+/// Keys among which the health checks are divided (count): enough to spread over a large
+/// membership, few enough to find their holders at each change of it.
+pub const PROBE_KEYS: u64 = 64;
 
 /// The assignment of polling the platform's list, for all partitions at once: a poll
 /// brings the whole list, and each costs the platform.
@@ -24,11 +40,11 @@
     /// Nobody knows what the others hear; it is polled sooner after word of a leaf
     /// that is gone, since most come back under a new name.
     fn list_poll_period(&self, now: Tick) -> Option<Span> {
-        let hurried = since(self.leaf_gone_at, now) < consts::LIST_HURRIED && self.leaf_gone_at > 0;
+        let hurried = since(self.leaf_gone_at, now) < HURRIED_FOR && self.leaf_gone_at > 0;
         match self.ring.list_rank? {
             0 if hurried => Some(consts::LIST_HURRY),
             0 => Some(consts::LIST_POLL),
-            1 => Some(consts::LIST_POLL_NEXT),
+            1 => Some(LIST_POLL_NEXT),
             _ => None,
         }
     }
@@ -43,8 +59,7 @@
 
     /// Polls the list if it is due and the assignment is ours under a good lease.
     pub(super) fn poll_leaf_list(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let trusted =
-            self.lease.granted && since(self.lease.renewed_at, now) < consts::TENURE_TRUST;
+        let trusted = self.lease.granted && since(self.lease.renewed_at, now) < LEASE_TRUST;
         if !trusted || self.stopping_since.is_some() {
             return;
         }
@@ -109,9 +124,9 @@
         if now < self.probe_at || self.stopping_since.is_some() {
             return;
         }
-        self.probe_at = now + consts::PROBE_BEAT;
+        self.probe_at = now + PROBE_INTERVAL;
         let is_ours = |leaf: &str| {
-            let key = hash(leaf) % consts::PROBE_KEYS;
+            let key = hash(leaf) % PROBE_KEYS;
             self.ring.probe_keys.get(key as usize) == Some(&true)
         };
         let leafs: Vec<_> =
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -7,12 +7,22 @@
 //! asked. Members pass on how old their proofs are, so that each comes to hear of
 //! all in a few rounds, and counts them exactly (`crate::quorum`).
 
-use crate::consts;
 use crate::identifiers::Term;
+use crate::membership::lease::{LEASE_TRUST, RENEWAL_INTERVAL};
 use crate::membership::node_agent::NodeAgent;
 use crate::protocol::message::{Attestation, Member, Membership, MembershipId, NO_PROOF};
 use crate::quorum;
-use crate::time::{MILLI, Tick, ms, since};
+use crate::time::{MILLI, Span, Tick, ms, since};
+
+/// Age of the controllers' last word from which members attest, and speak at
+/// `GOSSIP_INTERVAL`: one renewal is lost. Two more are sent before the lease would end
+/// at `LEASE_TRUST`.
+const ATTEST_AFTER: Span = 2 * RENEWAL_INTERVAL;
+
+/// A member whose lease has run out serves on by proofs about the others no older than
+/// this. Like a lease, it is shorter than the 3 s in which a change must be in force
+/// everywhere, also by a clock that is a tenth slow.
+const ATTESTATION_WINDOW: Span = LEASE_TRUST;
 
 /// The proofs that a member holds about the others of its membership.
 #[derive(Default)]
@@ -52,7 +62,7 @@
     fn attest(&mut self, now: Tick, known_revision: u64) -> Attestation {
         self.attested_at = now;
         let age = |asked: Tick| match since(asked, now) {
-            age if asked > 0 && age <= consts::ATTESTATION_WINDOW => (age / MILLI) as u16 + 1,
+            age if asked > 0 && age <= ATTESTATION_WINDOW => (age / MILLI) as u16 + 1,
             _ => NO_PROOF,
         };
         let mut ages: Vec<u16> = self.asked.iter().map(|at| age(*at)).collect();
@@ -80,7 +90,7 @@
         let mut asked: Vec<Tick> = others.map(|(_, at)| *at).collect();
         // We ourselves are one of those needed.
         let (_, oldest, _) = asked.select_nth_unstable_by(needed - 2, |a, b| b.cmp(a));
-        if *oldest == 0 { 0 } else { *oldest + consts::ATTESTATION_WINDOW }
+        if *oldest == 0 { 0 } else { *oldest + ATTESTATION_WINDOW }
     }
 }
 
@@ -93,7 +103,7 @@
     /// Whether the controllers were not heard for long enough to ask for proofs and
     /// to give them.
     pub(super) fn is_restless(&self, now: Tick) -> bool {
-        self.core_age(now) >= consts::COHORT_UNREST
+        self.core_age(now) >= ATTEST_AFTER
     }
 
     /// What we attest now, if anything. Whoever hears the controllers attests
--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -6,12 +6,25 @@
 
 use std::collections::BTreeMap;
 
-use crate::consts;
 use crate::digest::{hash, pair};
 use crate::identifiers::{BEYOND, COHORT, VoterSlot};
+use crate::membership::lease::{RENEWAL_OVERDUE, SEEK_INTERVAL};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{FeedPosition, Message};
-use crate::time::{Tick, since};
+use crate::time::{Span, Tick, ms, since};
+
+/// How often a querier asks the voter that sends it updates for those it may have
+/// missed.
+pub const SUBSCRIBE_INTERVAL: Span = ms(400);
+
+/// How often it asks the other voters how far they are. Updates that its own voter lacks
+/// then come at most this, an interval and a round trip late: half of the 3 s in which a
+/// change must be obeyed.
+const ASK_OTHERS_INTERVAL: Span = 2 * SUBSCRIBE_INTERVAL;
+
+/// A voter that did not say for this long how far it is sends us no updates: three asked
+/// in vain, less what the answer takes.
+pub const FEED_SILENCE: Span = ms(1_100);
 
 /// What is known of the voters as sources of updates.
 #[derive(Default)]
@@ -37,7 +50,7 @@
         let own = hash(name);
         let answered = |slot: &VoterSlot| {
             let at = *self.answered_at.get(slot).unwrap_or(&started_at);
-            since(at, now) < consts::FEED_SILENCE
+            since(at, now) < FEED_SILENCE
         };
         slots.iter().copied().filter(answered).max_by_key(|slot| pair(own, u64::from(*slot)))
     }
@@ -49,11 +62,11 @@
         if now < self.subscribe_at {
             return;
         }
-        let period = if self.is_caught_up { consts::FOLLOW_BEAT } else { consts::TENURE_SEEK };
+        let period = if self.is_caught_up { SUBSCRIBE_INTERVAL } else { SEEK_INTERVAL };
         self.subscribe_at = now + period;
         let ask_others = now >= self.feed.ask_others_at;
         if ask_others {
-            self.feed.ask_others_at = now + consts::OTHERS_BEAT;
+            self.feed.ask_others_at = now + ASK_OTHERS_INTERVAL;
         }
         let (for_updates, for_positions) = self.subscriptions();
         if self.voter_set.slots.is_empty() {
@@ -95,7 +108,7 @@
 
     /// Whether we heard the controllers and do so no more.
     fn lacks_core(&self, now: Tick) -> bool {
-        self.lease.granted && self.core_age(now) >= consts::TENURE_WORRY
+        self.lease.granted && self.core_age(now) >= RENEWAL_OVERDUE
     }
 
     /// Whether a voter said that it is further than we are. It said so a period ago:
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,11 +1,24 @@
 //! What members say to each other directly: how old their word from the
 //! controllers is, and how far they are.
 
-use crate::consts;
 use crate::identifiers::CONFIG;
+use crate::membership::lease::RENEWAL_OVERDUE;
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{Attestation, FeedPosition, Message};
-use crate::time::{MILLI, Span, Tick, ms, since};
+use crate::time::{MILLI, SECOND, Span, Tick, ms, since};
+
+/// How often members speak with each other when the controllers are not heard:
+/// between `attestation::ATTEST_AFTER` and the end of a lease lie six rounds. Members'
+/// last renewals lie up to one renewal (two rounds) apart, which leaves four for proofs
+/// to go from neighbour to neighbour.
+pub(super) const GOSSIP_INTERVAL: Span = ms(250);
+
+/// How often they do while the controllers are heard: nothing rests on it then, and this
+/// only finds connections that have died before they are needed.
+const CALM_GOSSIP_INTERVAL: Span = 2 * SECOND;
+
+/// A member not heard for this long counts as silent.
+const PEER_SILENCE: Span = ms(1_600);
 
 /// A member is forgotten after this many times the silence in which it counts.
 const FORGET_AFTER_SILENCES: u64 = 4;
@@ -38,9 +51,7 @@
 impl NodeAgent {
     /// Members that answered us lately.
     pub(super) fn heard_peers(&self, now: Tick) -> impl Iterator<Item = (&String, &Peer)> {
-        self.peers
-            .iter()
-            .filter(move |(_, peer)| since(peer.asked_at, now) < consts::COHORT_SILENCE)
+        self.peers.iter().filter(move |(_, peer)| since(peer.asked_at, now) < PEER_SILENCE)
     }
 
     /// Until when most of our neighbourhood, ourselves counted, hears us.
@@ -56,14 +67,14 @@
             .filter_map(|name| self.peers.get(name).map(|peer| peer.asked_at))
             .collect();
         asked_at.sort_unstable_by(|a, b| b.cmp(a));
-        asked_at.get(needed - 1).map_or(0, |at| at + consts::COHORT_SILENCE)
+        asked_at.get(needed - 1).map_or(0, |at| at + PEER_SILENCE)
     }
 
     /// Asks the neighbours: seldom while the controllers are heard, since only who
     /// lacks their word needs company.
     pub(super) fn gossip(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let calm = self.lease.granted && !self.is_restless(now);
-        let period = if calm { consts::COHORT_CALM } else { consts::COHORT_BEAT };
+        let period = if calm { CALM_GOSSIP_INTERVAL } else { GOSSIP_INTERVAL };
         if now < self.gossiped_at + period {
             return;
         }
@@ -72,9 +83,8 @@
         for name in asked {
             self.send_to_member(name, self.gossip_question(now), commands);
         }
-        self.peers.retain(|_, peer| {
-            since(peer.asked_at, now) < consts::COHORT_SILENCE * FORGET_AFTER_SILENCES
-        });
+        self.peers
+            .retain(|_, peer| since(peer.asked_at, now) < PEER_SILENCE * FORGET_AFTER_SILENCES);
     }
 
     /// A question to another member. How far we are is said in answers alone: who
@@ -132,7 +142,7 @@
             self.send_to_member(name, answer, commands);
         }
         // Ask a member only for what the controllers did not bring us in time.
-        let overdue = self.core_age(now) >= consts::TENURE_WORRY;
+        let overdue = self.core_age(now) >= RENEWAL_OVERDUE;
         if is_ahead && configuration > 0 && overdue {
             let message =
                 Message::Subscribe { places: self.positions(), stamp: self.voter_set_stamp };
--- a/crates/core/src/membership/leaf_reports.rs
+++ b/crates/core/src/membership/leaf_reports.rs
@@ -11,7 +11,10 @@
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{LeafReport, Message};
 use crate::snapshot::leafs::{LeafInfo, key};
-use crate::time::{Tick, since};
+use crate::time::{Span, Tick, ms, since};
+
+/// How often a leaf's report that the update stream does not show is sent again.
+const REPORT_RETRY: Span = ms(500);
 
 /// A leaf's report that the update stream does not show yet.
 pub struct PendingLeafReport {
@@ -144,9 +147,9 @@
             (ReportsByPartition::new(), ReportsByPartition::new());
         let ages_are_due = now >= self.ages_at;
         if ages_are_due {
-            self.ages_at = now + consts::REPORT_AGAIN;
+            self.ages_at = now + REPORT_RETRY;
         }
-        let is_due = |at: Tick| at == 0 || since(at, now) >= consts::REPORT_AGAIN;
+        let is_due = |at: Tick| at == 0 || since(at, now) >= REPORT_RETRY;
         for pending in self.leaf_reports.values_mut() {
             let partition = part_of(&pending.service);
             if is_due(pending.sent_at) && (pending.is_urgent() || ages_are_due) {
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -6,14 +6,29 @@
 
 use std::collections::BTreeMap;
 
-use crate::consts;
 use crate::identifiers::VoterSlot;
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{MemberProgress, Message};
-use crate::time::{Span, Tick, since};
+use crate::time::{Span, Tick, ms, since};
+
+/// How often a member renews its lease.
+pub(super) const RENEWAL_INTERVAL: Span = ms(500);
+
+/// The same for a member that has no lease yet, and for one that lacks updates that it
+/// needs to serve at all.
+pub const SEEK_INTERVAL: Span = ms(100);
+
+/// After this long without renewal, counted from when the renewal was sent, a member
+/// no longer trusts its lease. Shorter than `consts::TENURE`, so that it knows before the
+/// leader gives its share to others.
+pub(super) const LEASE_TRUST: Span = ms(2_600);
+
+/// After this long without renewal a member asks its neighbours to forward its
+/// renewals: two lost in a row.
+pub(super) const RENEWAL_OVERDUE: Span = ms(1_100);
 
 /// Renewals and grants that are kept (count): several more than are on their way
-/// at a time, at one renewal in `TENURE_SEEK`.
+/// at a time, at one renewal in `SEEK_INTERVAL`.
 const KEPT: usize = 16;
 
 /// Members that are asked to forward a renewal (count): one may itself have just
@@ -51,12 +66,12 @@
 impl Lease {
     /// Until when the lease is trusted; zero if there was none.
     pub fn valid_until(&self) -> Tick {
-        if self.granted { self.renewed_at + consts::TENURE_TRUST } else { 0 }
+        if self.granted { self.renewed_at + LEASE_TRUST } else { 0 }
     }
 
     /// Notes a renewal that is sent now and returns its number.
     fn next_renewal(&mut self, now: Tick) -> u64 {
-        let period = if self.granted { consts::TENURE_BEAT } else { consts::TENURE_SEEK };
+        let period = if self.granted { RENEWAL_INTERVAL } else { SEEK_INTERVAL };
         self.renew_at = now + period;
         self.last_number += 1;
         self.unanswered.insert(self.last_number, now);
@@ -112,7 +127,7 @@
             count: number,
             far: self.progress(now),
         };
-        let overdue = self.core_age(now) >= consts::TENURE_WORRY;
+        let overdue = self.core_age(now) >= RENEWAL_OVERDUE;
         match self.lease.slot {
             Some(slot) if !overdue => {
                 commands.push(Command::ToVoter { slot, message: message.clone() });
@@ -129,7 +144,7 @@
     fn renew_by_members(&self, now: Tick, message: &Message, commands: &mut Vec<Command>) {
         let forwarders: Vec<&String> = self
             .heard_peers(now)
-            .filter(|(_, peer)| peer.core_age < consts::TENURE_TRUST)
+            .filter(|(_, peer)| peer.core_age < LEASE_TRUST)
             .map(|(name, _)| name)
             .take(FORWARDERS)
             .collect();
--- a/crates/core/src/membership/neighbour_ring.rs
+++ b/crates/core/src/membership/neighbour_ring.rs
@@ -5,11 +5,15 @@
 //! The member that holds an assignment is the highest by rendezvous among those
 //! whose joining is settled; who would hold it next is the second.
 
-use crate::consts;
 use crate::digest::{hash, pair};
 use crate::membership::assignments;
+use crate::membership::assignments::PROBE_KEYS;
 use crate::protocol::message::Membership;
 
+/// Neighbours that each member speaks with, either way on the ring (count): each member
+/// is heard by twice as many others, and the cost does not grow with the membership.
+pub const NEIGHBOURS_EACH_WAY: usize = 4;
+
 /// A member's place among the members of one state of the membership.
 #[derive(Default)]
 pub struct NeighbourRing {
@@ -60,7 +64,7 @@
             .map(|(_, ring_member)| *ring_member)
             .collect();
         let list_rank = list_rank(&eligible, own);
-        let probe_keys = (0..consts::PROBE_KEYS)
+        let probe_keys = (0..PROBE_KEYS)
             .map(|key| is_holder(&eligible, own, &assignments::probe_key(key)))
             .collect();
         members.sort_unstable();
@@ -91,12 +95,12 @@
 }
 
 fn neighbours(ring: &[RingMember], own: usize) -> Vec<String> {
-    around(ring, own, 1..ring.len().min(consts::COHORT_NEIGHBOURS + 1))
+    around(ring, own, 1..ring.len().min(NEIGHBOURS_EACH_WAY + 1))
 }
 
 fn proof_peers(ring: &[RingMember], own: usize) -> Vec<String> {
     let size = ring.len();
-    if size <= 2 * consts::COHORT_NEIGHBOURS + 1 {
+    if size <= 2 * NEIGHBOURS_EACH_WAY + 1 {
         return neighbours(ring, own);
     }
     let powers = std::iter::successors(Some(1), |step| Some(2 * step));
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -6,7 +6,6 @@
 use indexmap::IndexMap;
 
 use crate::config::build::Built;
-use crate::consts::DRAIN_NOTICE;
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
 use crate::membership::attestation::Proofs;
 use crate::membership::feed::FeedSources;
@@ -18,9 +17,13 @@
 use crate::query::engine::Door;
 use crate::snapshot::cluster_view::ClusterView;
 use crate::snapshot::leafs::LeafInfo;
-use crate::time::{Span, Tick};
+use crate::time::{Span, Tick, ms};
 use crate::voter_set::{VoterSet, ballot, merge, stamp};
 
+/// Time that a stopping querier leaves between "not ready" and rejecting new calls,
+/// unless it is told otherwise: the platform checks readiness each second.
+const DRAIN_NOTICE: Span = ms(1_500);
+
 /// What a querier knows of the cluster, and what it has told its traffic threads.
 ///
 /// Invariants: a partition's revision in `partitions` only rises; `configuration`
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -8,11 +8,21 @@
 //! - else we are cut off, alone or with others: we turn not ready and then reject
 //!   calls, before the leader gives our share away.
 
-use crate::consts;
+use crate::membership::gossip::GOSSIP_INTERVAL;
 use crate::membership::gossip::Peer;
+use crate::membership::lease::{LEASE_TRUST, RENEWAL_INTERVAL, RENEWAL_OVERDUE};
 use crate::membership::node_agent::{Command, LeafClient, NodeAgent, QuotaMember};
+use crate::membership::updates::START_PATIENCE;
 use crate::query::engine::Door;
-use crate::time::{Span, Tick, since};
+use crate::time::{Span, Tick, ms, since};
+
+/// A lone cut-off member turns not ready after this long without the controllers, a
+/// second before it rejects calls: the platform checks readiness each second.
+const LONE_NOTICE: Span = ms(1_600);
+
+/// A member that can't prove by then that it may serve on turns not ready: a round
+/// before its lease ends.
+const PROOF_NOTICE: Span = LEASE_TRUST - GOSSIP_INTERVAL;
 
 /// What is known of our way to the controllers at one moment.
 struct CoreContact {
@@ -54,12 +64,11 @@
         let age = self.core_age(now);
         // Somebody near hears the controllers and we don't, for longer than a
         // renewal takes: then it is we who are cut off, not they who are gone.
-        let hears = |peer: &Peer| peer.core_age + since(peer.asked_at, now) < consts::TENURE_WORRY;
-        let passed =
-            age >= consts::TENURE_WORRY && self.heard_peers(now).any(|(_, peer)| hears(peer));
+        let hears = |peer: &Peer| peer.core_age + since(peer.asked_at, now) < RENEWAL_OVERDUE;
+        let passed = age >= RENEWAL_OVERDUE && self.heard_peers(now).any(|(_, peer)| hears(peer));
         self.bypassed_since = if passed { self.bypassed_since.or(Some(now)) } else { None };
         let is_bypassed =
-            self.bypassed_since.is_some_and(|at| since(at, now) >= 2 * consts::TENURE_BEAT);
+            self.bypassed_since.is_some_and(|at| since(at, now) >= 2 * RENEWAL_INTERVAL);
         // Proofs are gathered only while they may be needed.
         let proved_until =
             if self.is_restless(now) && !is_bypassed { self.proved_until() } else { 0 };
@@ -71,7 +80,7 @@
     }
 
     fn decide_admission(&self, now: Tick, contact: &CoreContact) -> Door {
-        let lapsed = contact.age >= consts::TENURE_TRUST;
+        let lapsed = contact.age >= LEASE_TRUST;
         // The platform needs a moment to see that we are not ready: until then
         // callers still come, and are served.
         let stopping = self.stopping_since.is_some_and(|at| since(at, now) >= self.drain_notice);
@@ -103,15 +112,15 @@
 
     fn update_readiness(&mut self, now: Tick, contact: &CoreContact, commands: &mut Vec<Command>) {
         self.has_served |=
-            self.serving_some_since.is_some_and(|at| since(at, now) >= consts::START_PATIENCE);
+            self.serving_some_since.is_some_and(|at| since(at, now) >= START_PATIENCE);
         let is_alone =
             self.lease.granted && (now > self.accompanied_until() || contact.is_bypassed);
         let ready = self.admission == Door::Open
             && self.stopping_since.is_none()
             && self.has_served
             && !self.quota_members.is_empty()
-            && !(is_alone && contact.age >= consts::LONE_NOTICE)
-            && !(self.is_unproved(now, contact) && contact.age >= consts::PROOF_NOTICE);
+            && !(is_alone && contact.age >= LONE_NOTICE)
+            && !(self.is_unproved(now, contact) && contact.age >= PROOF_NOTICE);
         if ready != self.ready {
             self.ready = ready;
             commands.push(Command::Ready(ready));
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -1,8 +1,8 @@
 //! Dispatch of a node agent's events.
 
-use crate::consts;
 use crate::identifiers::{Term, VoterSlot};
 use crate::membership::gossip::Gossip;
+use crate::membership::lease::RENEWAL_OVERDUE;
 use crate::membership::neighbour_ring::NeighbourRing;
 use crate::membership::node_agent::{Command, Event, NodeAgent};
 use crate::protocol::message::{FeedPosition, Membership, Message};
@@ -110,7 +110,7 @@
             }
             // Forward a neighbour's renewal, if our own way to the controllers works.
             Message::RenewLease { member, count, far } => {
-                if self.core_age(now) < consts::TENURE_WORRY {
+                if self.core_age(now) < RENEWAL_OVERDUE {
                     self.forwarded_renewals.insert(member.name.clone(), now);
                     self.counters.forwarded_renewals += 1;
                     self.send_to_core(Message::RenewLease { member, count, far }, commands);
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -4,16 +4,26 @@
 
 use crate::config::build::{Built, Route, Shard};
 use crate::config::{build, change};
-use crate::consts;
 use crate::identifiers::{CONFIG, PartitionId, partitions};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{EntryMap, FeedPosition, Message};
 use crate::snapshot::cluster_view::{ClusterView, open, view};
 use crate::snapshot::leafs::{LeafInfo, leafs_in};
 use crate::storage::record::put;
-use crate::time::{Tick, since};
+use crate::time::{SECOND, Span, Tick, ms, since};
 use crate::voter_set::majority;
 
+/// Least time between two views that differ in leafs only: a burst of changes to a large
+/// pool must not keep a light querier busy building views.
+const VIEW_INTERVAL: Span = ms(100);
+
+/// A starting querier that heard fewer than two voters waits this long before it takes
+/// its view from a ready member alone.
+pub(super) const START_PATIENCE: Span = 3 * SECOND;
+
+/// Wait before leafs of unknown age are health-checked: lets a list's leafs gather.
+const FIRST_PROBE_DELAY: Span = ms(100);
+
 impl NodeAgent {
     /// Applies an update of one partition; tells whether it was new. An update that
     /// does not reach beyond what is held, or that would leave a gap, changes nothing.
@@ -90,7 +100,7 @@
         if self.is_caught_up || self.configuration_revision == 0 {
             return;
         }
-        let waited = since(self.started_at, now) > consts::START_PATIENCE;
+        let waited = since(self.started_at, now) > START_PATIENCE;
         let reached_member = waited
             && self.peers.values().any(|peer| {
                 let reached = |theirs: &FeedPosition| {
@@ -137,12 +147,12 @@
             return;
         }
         self.view_is_stale = false;
-        self.publish_at = now + consts::VIEW_GAP;
+        self.publish_at = now + VIEW_INTERVAL;
         let view = Arc::new(self.build_view());
         self.note_searches_served(now, &view);
         if view.leafs.values().any(|leaf| leaf.age_ms == 0) {
             // Nobody knows yet how much load these take: ask soon.
-            self.probe_at = self.probe_at.min(now + consts::PROBE_SOON);
+            self.probe_at = self.probe_at.min(now + FIRST_PROBE_DELAY);
         }
         if obeyed.is_none_or(|revision| revision < view.revision) {
             // Operators wait to hear that we obey.
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -25,9 +25,22 @@
 use crate::consts;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
-use crate::time::{Tick, since};
+use crate::time::{SECOND, Span, Tick, ms, since};
 use crate::voter_set::{SlotHolder, VoterSet, after_handover, balanced};
 
+/// Silence after which a slot's replica may be replaced. Five times the interval at which
+/// it shows that it lives, and more than a restart takes; replacing it costs a whole copy
+/// of the state.
+pub(super) const REPLACE_AFTER_SILENCE: Span = ms(2_500);
+
+/// How often a handover of a voter slot is offered or sent again: above a few round trips
+/// and two syncs of a slow disk.
+pub const HANDOVER_RETRY: Span = ms(150);
+
+/// How long a controller that was asked to stop tries to hand its voter slot over. Half of
+/// the usual time between SIGTERM and SIGKILL.
+pub const HANDOVER_PATIENCE: Span = 3 * SECOND;
+
 /// A controller without a voter slot that asked us for one.
 pub struct Applicant {
     /// The connection on which it asked.
@@ -151,7 +164,7 @@
     pub fn may_end(&self, now: Tick, is_waiting: impl Fn(u64) -> bool) -> bool {
         let Some(departure) = &self.departure else { return false };
         let Stage::Answering { operations } = &departure.stage else { return false };
-        since(departure.began_at, now) >= consts::HANDOVER_PATIENCE
+        since(departure.began_at, now) >= HANDOVER_PATIENCE
             || !operations.iter().any(|operation| is_waiting(*operation))
     }
 
@@ -197,7 +210,7 @@
     /// Whether we may agree to take over a slot: we don't leave, wait for no other one,
     /// and did not claim one just now.
     pub fn may_reserve(&self, now: Tick, slot: VoterSlot, generation: u32) -> bool {
-        let has_claimed = self.claimed_at.is_some_and(|at| since(at, now) < consts::SEAT_SILENCE);
+        let has_claimed = self.claimed_at.is_some_and(|at| since(at, now) < REPLACE_AFTER_SILENCE);
         let waits_for_other = self.reservation.as_ref().is_some_and(|reserved| {
             now < reserved.until && (reserved.slot, reserved.generation) != (slot, generation)
         });
@@ -206,7 +219,7 @@
 
     /// Waits for a slot that was offered to us.
     pub fn reserve(&mut self, now: Tick, slot: VoterSlot, generation: u32) {
-        let until = now + consts::HANDOVER_PATIENCE;
+        let until = now + HANDOVER_PATIENCE;
         self.reservation = Some(Reservation { slot, generation, until });
     }
 
@@ -224,7 +237,7 @@
             return None;
         };
         // After a pause of ours the spare may wait for us no more.
-        let is_fresh = since(asked.at, now) < 2 * consts::HANDOVER_RETRY;
+        let is_fresh = since(asked.at, now) < 2 * HANDOVER_RETRY;
         let has_slot = newest.slots.iter().any(|h| h.holder == asked.replica_id);
         let is_asked = asked.replica_id == holder.holder
             && next_generation(newest, slot) == Some(holder.generation);
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -3,22 +3,19 @@
 //! asking, and is a spare.
 
 use crate::command::Command;
-use crate::consts;
 use crate::digest::pair;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
-use crate::time::{Tick, since};
+use crate::time::{SECOND, Span, Tick, ms, since};
 use crate::voter_set::{NOBODY, SlotHolder, VoterSet, after_takeover, balanced, majority};
-use crate::voters::voter_slots::VoterSlots;
+use crate::voters::handover::REPLACE_AFTER_SILENCE;
+use crate::voters::voter_slots::{JoinOffer, VoterSlots};
 
-/// The slots that a voter would give us, and when it said so.
-#[derive(Clone)]
-pub struct JoinOffer {
-    /// When it said so.
-    pub at: Tick,
-    /// The slots that it would give us.
-    pub free: Vec<VoterSlot>,
-}
+/// How long a vacant slot is kept for a zone that balances the slots better.
+const BALANCE_WAIT: Span = 10 * SECOND;
+
+/// How often a controller without a slot asks for one, and so hears who lives.
+const JOIN_REQUEST_INTERVAL: Span = ms(500);
 
 /// A controller that asks for a slot.
 #[derive(Clone, Copy)]
@@ -38,7 +35,7 @@
         if now < self.join_request_at || replica_id == 0 || self.handovers.is_leaving() {
             return;
         }
-        self.join_request_at = now + consts::APPLY_BEAT;
+        self.join_request_at = now + JOIN_REQUEST_INTERVAL;
         let message = Message::JoinRequest {
             holder: replica_id,
             addr: self.addr.clone(),
@@ -74,10 +71,10 @@
         }
         let fits = balanced(voter_set, slot, candidate.zone);
         if holder.holder == 0 {
-            return fits || since(self.started_at, now) >= consts::SEAT_BALANCE;
+            return fits || since(self.started_at, now) >= BALANCE_WAIT;
         }
         let silence = self.silence.get(usize::from(slot));
-        fits && silence.is_some_and(|silence| *silence >= consts::SEAT_SILENCE)
+        fits && silence.is_some_and(|silence| *silence >= REPLACE_AFTER_SILENCE)
     }
 
     /// A voter says which slots it would give us, who have none. We claim one that a
@@ -106,7 +103,7 @@
     fn choose_slot(&self, now: Tick) -> Option<VoterSlot> {
         let size = self.offers.len();
         let offers_it = |slot: VoterSlot, offer: &JoinOffer| {
-            since(offer.at, now) < 2 * consts::APPLY_BEAT && offer.free.contains(&slot)
+            since(offer.at, now) < 2 * JOIN_REQUEST_INTERVAL && offer.free.contains(&slot)
         };
         let offers_of = |slot: VoterSlot| {
             let others = self.offers.iter().enumerate().filter(|(i, _)| *i != usize::from(slot));
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -8,12 +8,17 @@
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::storage::voter_file::VoterFile;
-use crate::time::{Span, Tick, since};
+use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, VoterSet, ballot, group, merge, others, seat_of, stamp};
 use crate::voters::handover::Handovers;
-use crate::voters::slot_takeover::JoinOffer;
 use crate::voters::stamp::stamp_of_mut;
 
+/// How often a voter shows another that it lives, if nothing else does.
+const ALIVE_INTERVAL: Span = ms(500);
+
+/// Least time between two sendings of the voter set to a voter that has another.
+const VOTER_SET_RESEND: Span = ms(200);
+
 /// What a controller knows of the voter slots.
 ///
 /// Invariants: `voter_file` is on disk; what is sent, counted or done rests on it
@@ -54,6 +59,15 @@
     pub handovers: Handovers,
 }
 
+/// The slots that a voter would give us, and when it said so.
+#[derive(Clone)]
+pub struct JoinOffer {
+    /// When it said so.
+    pub at: Tick,
+    /// The slots that it would give us.
+    pub free: Vec<VoterSlot>,
+}
+
 /// A voter file on its way to the disk.
 pub struct PendingVoterFile {
     /// What is written.
@@ -241,7 +255,7 @@
         commands: &mut Vec<Command>,
     ) {
         let Some(at) = self.voter_set_sent_at.get_mut(usize::from(slot)) else { return };
-        if since(*at, now) >= consts::TABLE_AGAIN {
+        if since(*at, now) >= VOTER_SET_RESEND {
             *at = now;
             self.send_voter_set(connection, commands);
         }
@@ -300,7 +314,7 @@
     /// lately.
     pub fn show_alive(&self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
         for slot in others(self.group(slot)) {
-            if since(self.sent[usize::from(slot)], now) >= consts::HERE_BEAT {
+            if since(self.sent[usize::from(slot)], now) >= ALIVE_INTERVAL {
                 commands.push(Command::ToVoter { slot, message: Message::VoterAlive { stamp: 0 } });
             }
         }
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -5,6 +5,10 @@
 use grebepath_core::consts;
 use grebepath_core::control_plane::controller;
 use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartitionId, Term, VoterSlot};
+use grebepath_core::membership::assignments::PROBE_KEYS;
+use grebepath_core::membership::feed::{FEED_SILENCE, SUBSCRIBE_INTERVAL};
+use grebepath_core::membership::lease::SEEK_INTERVAL;
+use grebepath_core::membership::neighbour_ring::NEIGHBOURS_EACH_WAY;
 use grebepath_core::membership::neighbour_ring::NeighbourRing;
 use grebepath_core::membership::node_agent::{Command, Event, NodeAgent};
 use grebepath_core::protocol::message::{FeedPosition, Member, Membership, Message};
@@ -74,7 +78,7 @@
     expect_that!(whole.len(), eq(1));
     expect_that!(only.len(), eq(SEATS - 1));
     // The others are asked at every second beat only.
-    let (again, none) = asked(&w.step(BOOT + consts::FOLLOW_BEAT, Event::Wake));
+    let (again, none) = asked(&w.step(BOOT + SUBSCRIBE_INTERVAL, Event::Wake));
     expect_that!(again, eq(&whole));
     expect_that!(none, is_empty());
 }
@@ -83,9 +87,9 @@
 fn all_seats_feed_a_member_that_starts_and_are_asked_often() {
     let mut w = starts();
     for (sure, granted, beat) in [
-        (false, false, consts::TENURE_SEEK),
-        (false, true, consts::TENURE_SEEK),
-        (true, false, consts::FOLLOW_BEAT),
+        (false, false, SEEK_INTERVAL),
+        (false, true, SEEK_INTERVAL),
+        (true, false, SUBSCRIBE_INTERVAL),
     ] {
         let now = w.subscribe_at;
         (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (sure, granted, now);
@@ -101,7 +105,7 @@
     let mut w = serves();
     let (whole, _) = asked(&w.step(BOOT, Event::Wake));
     let first = whole[0];
-    let now = BOOT + consts::FEED_SILENCE;
+    let now = BOOT + FEED_SILENCE;
     for slot in 0..SEATS as VoterSlot {
         reach(&mut w, now, slot, CONFIG, 0);
     }
@@ -182,14 +186,14 @@
 fn a_seat_that_is_silent_feeds_no_longer() {
     let mut w = serves();
     let (whole, only) = asked(&w.step(BOOT, Event::Wake));
-    let now = BOOT + consts::FEED_SILENCE + ms(1);
+    let now = BOOT + FEED_SILENCE + ms(1);
     w.lease.renewed_at = now;
     reach(&mut w, now - ms(100), only[0], CONFIG, 0);
     let (next, _) = asked(&w.step(now, Event::Wake));
     expect_that!(next, elements_are![eq(&only[0])]);
     expect_that!(whole, not(eq(&next)));
     // With all silent, all are followed.
-    let later = now + 2 * consts::FEED_SILENCE;
+    let later = now + 2 * FEED_SILENCE;
     w.lease.renewed_at = later;
     let (all, _) = asked(&w.step(later, Event::Wake));
     expect_that!(all.len(), eq(SEATS));
@@ -246,7 +250,7 @@
 fn duties_have_one_holder_and_neighbours_are_mutual() {
     let all = membership(40);
     let rings: Vec<_> = all.members.iter().map(|m| NeighbourRing::new(&all, &m.name)).collect();
-    for key in 0..consts::PROBE_KEYS as usize {
+    for key in 0..PROBE_KEYS as usize {
         expect_that!(rings.iter().filter(|r| r.probe_keys[key]).count(), eq(1));
     }
     // Everyone has another place for the list: one holds it, one is next.
@@ -254,7 +258,7 @@
     places.sort_unstable();
     expect_that!(places, eq(&(0..40).collect::<Vec<_>>()));
     for (m, r) in all.members.iter().zip(&rings) {
-        expect_that!(r.neighbours.len(), eq(2 * consts::COHORT_NEIGHBOURS));
+        expect_that!(r.neighbours.len(), eq(2 * NEIGHBOURS_EACH_WAY));
         for name in &r.neighbours {
             let n: usize = name[1..].parse().unwrap();
             expect_that!(rings[n].neighbours, contains(eq(&m.name)));
