--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -1,6 +1,33 @@
 //! Callers: what they ask, and what they are told.
 
-use super::*;
+use grebepath_core::http_api::caller;
+use grebepath_core::query::engine;
+use grebepath_core::query::request::Outcome;
+use grebepath_core::random::below;
+use grebepath_core::time::{Span, ms};
+use serde_json::json;
+
+use super::events::{ScheduledEvent, push};
+use super::faulty_variant::Broken;
+use super::nodes::{Call, Tally, live};
+use super::{BEGIN, THREADS, World};
+use crate::check::{Asked, success};
+use crate::rules;
+
+/// Begins the callers' load, at the spec's rates times `factor`.
+pub fn begin_calls(w: &mut World, factor: f64) {
+    w.factor = factor;
+    for kind in 0..w.kinds.len() {
+        let gap = gap(w, kind);
+        push(w, gap, ScheduledEvent::Call { kind });
+    }
+}
+
+pub(super) fn gap(w: &mut World, kind: usize) -> Span {
+    // Between half and one and a half of the mean: uneven, but not wild.
+    let mean = 1e6 / (w.kinds[kind].per_s * w.factor).max(0.001);
+    (mean * (0.5 + below(&mut w.luck, 1000) as f64 / 1000.0)) as Span
+}
 
 pub(super) fn tally(w: &mut World, kind: usize) -> &mut Tally {
     let name = w.kinds[kind].search.clone();
--- a/crates/simulator/src/world/seats.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -1,6 +1,28 @@
 //! Controllers' machines: starts, deaths, disks, and what their core wants done.
 
-use super::*;
+use grebepath_core::control_plane::controller as st;
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::control_plane::step as cstep;
+use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
+use grebepath_core::protocol::message::{Message, ReplicaCondition};
+use grebepath_core::random::{draw, luck};
+use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::record::ReplicaState;
+use grebepath_core::storage::voter_file;
+use grebepath_core::storage::voter_file::Start;
+use grebepath_core::time::{BOOT, SECOND, Span, ms};
+
+use super::build::{address, machine};
+use super::events::{DueKey, ScheduledEvent, later, push, push_at};
+use super::faulty_variant::Broken;
+use super::nodes::{ControllerNode, Stopping, seated};
+use super::operators::told;
+use super::{BEGIN, World};
+use crate::mock_backends::ZONES;
+use crate::net::{Node, send, weigh};
+use crate::rules;
+use crate::simulated_disk;
+use crate::simulated_disk::{Health, Job};
 
 /// From the wish that a controller stops to its end by force.
 const STOP_GRACE: Span = 6 * SECOND;
--- a/crates/simulator/src/world/deviations.rs
+++ b/crates/simulator/src/world/deviations.rs
@@ -2,13 +2,22 @@
 //! arrives at one, or a write that its disk finishes. `crate::explore` tries them
 //! all.
 
-use super::*;
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::protocol::message::Message;
+use grebepath_core::time::{Span, Tick, ms};
+
+use super::controllers::kill_seat;
+use super::events::{DueKey, ScheduledEvent, later, push};
+use super::{BEGIN, World};
+use crate::simulated_disk;
 
 /// How long a delayed message stays behind: longer than an election, so that a
 /// whole leadership passes in between.
 const DELAY: Span = ms(1_600);
+
 /// How long a paused process stands still: longer than a lease.
 const PAUSE: Span = ms(1_300);
+
 /// How long a machine is down that comes back.
 const DOWN: Span = ms(300);
 
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -1,6 +1,21 @@
 //! Dispatches on their way to leafs and back.
 
-use super::*;
+use grebepath_core::digest::digest;
+use grebepath_core::http_api::leaf::{Heads, MISDIRECTED, Raw, Trouble};
+use grebepath_core::query::engine;
+use grebepath_core::query::engine::Sending;
+use grebepath_core::time::ms;
+use serde_json::{Value, json};
+
+use super::events::{RunKey, ScheduledEvent, push};
+use super::faulty_variant::Broken;
+use super::nodes::Run;
+use super::queriers::learn;
+use super::{BEGIN, World};
+use crate::mock_backends;
+use crate::mock_backends::Alive;
+use crate::net::latency;
+use crate::rules;
 
 pub(super) fn dispatch(w: &mut World, (q, life, t): (usize, u64, usize), mut sending: Sending) {
     let now = w.now - BEGIN;
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -1,6 +1,19 @@
 //! Operators: their orders, how these end, and the checks of the end.
 
-use super::*;
+use std::collections::BTreeSet;
+
+use grebepath_core::config::{change, types::Config};
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::random::below;
+use grebepath_core::time::{SECOND, Span, ms};
+use serde_json::{Value, json};
+
+use super::events::{ScheduledEvent, push};
+use super::nodes::{Order, seated};
+use super::status::seated_up;
+use super::{BEGIN, THREADS, World};
+use crate::rules;
 
 /// Sends an operator's order after a while.
 pub fn order(w: &mut World, after: Span, order: Order) -> usize {
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -1,6 +1,31 @@
 //! Queriers' machines: starts, deaths, and what their watch and desks want done.
 
-use super::*;
+use grebepath_core::consts;
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::http_api::list;
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::membership::node_agent as wat;
+use grebepath_core::membership::step as qstep;
+use grebepath_core::protocol::message::{LeafReport, Message};
+use grebepath_core::query::dispatch as dstep;
+use grebepath_core::query::engine;
+use grebepath_core::query::engine::{Door, desk};
+use grebepath_core::random::{below, draw};
+use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::time::{BOOT, MILLI, ms};
+
+use super::build::{machine, member};
+use super::callers::{outcome_told, tally};
+use super::controllers::below_ms;
+use super::events::{DueKey, RunKey, ScheduledEvent, later, push, push_at};
+use super::faulty_variant::Broken;
+use super::leafs::dispatch;
+use super::nodes::live;
+use super::{BEGIN, THREADS, World};
+use crate::mock_backends;
+use crate::mock_backends::Alive;
+use crate::net::{Node, send, weigh};
+use crate::rules;
 
 /// Starts a querier, which knows nothing.
 pub fn start_querier(w: &mut World, q: usize) {
