--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -219,11 +219,15 @@
 /// Whether a reply in this mode stands for the shard. One record alone can't
 /// be out of order.
 pub fn true_reply(mode: Mode, limit: u64) -> bool {
-    use Mode::*;
-    (mode == Disorder && limit == 1)
+    (mode == Mode::Disorder && limit == 1)
         || !matches!(
             mode,
-            Garbage | Disorder | NoPostmark | TwoPostmarks | StalePostmark | WrongCut
+            Mode::Garbage
+                | Mode::Disorder
+                | Mode::NoPostmark
+                | Mode::TwoPostmarks
+                | Mode::StalePostmark
+                | Mode::WrongCut
         )
 }
 
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -14,7 +14,10 @@
 use grebepath_core::storage::writer;
 use grebepath_core::time::{BOOT, MILLI, ms};
 
-use super::world::*;
+use super::world::{
+    From, Raw, ScheduledEvent, World, arrival, connection, push, push_at, seat_wire, start_front,
+    start_seat,
+};
 use crate::scale_model::cost::{add, kind, timed};
 use crate::scale_model::plan;
 use crate::simulated_disk;
