--- a/crates/simulator/examples/run_digest.rs
+++ b/crates/simulator/examples/run_digest.rs
@@ -11,7 +11,7 @@
 
 use grebepath_simulator::net::traced;
 use grebepath_simulator::scenario::{Scenario, play_traced, read};
-use grebepath_simulator::world::{Deviation, Deviations, FAULTS, World};
+use grebepath_simulator::world::{FAULTS, FaultInjection, InjectedFault, World};
 use serde_json::Value;
 
 /// Seeds that every run is played with.
@@ -56,7 +56,7 @@
     name: String,
     scenario: Scenario,
     seed: u64,
-    deviations: Deviations,
+    injected: FaultInjection,
 }
 
 fn main() {
@@ -86,59 +86,59 @@
     for (name, extra) in RUNS {
         for seed in SEEDS {
             let mut scenario = load(name);
-            let mut deviations = Deviations::default();
+            let mut injected = FaultInjection::default();
             match extra {
                 Extra::Nothing => {}
                 Extra::Drawn => {
-                    scenario.troubles.extend(grebepath_simulator::chaos::chaos(seed, &scenario))
+                    scenario.faults.extend(grebepath_simulator::chaos::chaos(seed, &scenario))
                 }
                 Extra::Explored => {
-                    let at = |n: u64| Deviation {
+                    let at = |n: u64| InjectedFault {
                         event: (seed + n) * EXPLORED_STEP,
                         fault: FAULTS[(seed + n) as usize % FAULTS.len()],
                     };
                     let list = vec![at(0), at(3)];
-                    deviations = Deviations { window: EXPLORED, list, ..deviations };
+                    injected = FaultInjection { window: EXPLORED, list, ..injected };
                 }
             }
             let name = match extra {
                 Extra::Nothing => name.to_string(),
                 other => format!("{name} ({})", format!("{other:?}").to_lowercase()),
             };
-            out.push(Run { name, scenario, seed, deviations });
+            out.push(Run { name, scenario, seed, injected });
         }
     }
     out
 }
 
 fn digest(run: &Run) -> u64 {
-    let deviations = Deviations {
-        window: run.deviations.window,
-        list: run.deviations.list.clone(),
-        ..Deviations::default()
+    let injected = FaultInjection {
+        window: run.injected.window,
+        list: run.injected.list.clone(),
+        ..FaultInjection::default()
     };
-    let w = play_traced(&run.scenario, run.seed, deviations);
-    let mut hash = w.net.trace.expect("the run keeps the hash of its messages");
-    for number in figures(&w) {
+    let world = play_traced(&run.scenario, run.seed, injected);
+    let mut hash = world.net.trace.expect("the run keeps the hash of its messages");
+    for number in figures(&world) {
         hash = traced(hash, &number.to_le_bytes());
     }
     hash
 }
 
 /// What a run came to, as numbers.
-fn figures(w: &World) -> Vec<u64> {
-    let mut out = vec![w.now, w.events, w.net.sent, w.net.lost];
-    for tally in w.tally.values() {
-        let rejected = tally.bounced.values().sum();
-        out.extend([tally.full, tally.partial, rejected, tally.unreachable, tally.late]);
-        out.extend(&tally.waits);
+fn figures(world: &World) -> Vec<u64> {
+    let mut out = vec![world.now, world.events, world.net.sent, world.net.lost];
+    for tally in world.tallies.values() {
+        let rejected = tally.rejected.values().sum();
+        out.extend([tally.full, tally.partial, rejected, tally.unreachable, tally.timed_out]);
+        out.extend(&tally.latencies);
     }
-    out.extend([w.rules.firsts.len() as u64, w.rules.seconds.len() as u64]);
-    for order in &w.orders {
-        out.extend([order.at, u64::from(order.done.is_some())]);
+    out.extend([world.rules.firsts.len() as u64, world.rules.seconds.len() as u64]);
+    for order in &world.operator_requests {
+        out.extend([order.at, u64::from(order.result.is_some())]);
     }
-    out.extend(w.told_at.values());
-    out.extend(w.rules.counts.values().copied());
+    out.extend(world.acknowledged_at.values());
+    out.extend(world.rules.counts.values().copied());
     out
 }
 
--- a/crates/simulator/src/chaos.rs
+++ b/crates/simulator/src/chaos.rs
@@ -5,7 +5,7 @@
 use serde_json::{Value, json};
 
 use crate::mock_backends::ZONES;
-use crate::scenario::{Scenario, Trouble, drawn};
+use crate::scenario::{Scenario, ScheduledFault, generated_fault};
 
 /// A trouble at a time.
 pub fn at(at_s: f64, mut val: Value) -> Value {
@@ -15,7 +15,7 @@
 
 /// Seconds before the end at which all is mended: 12 s to be back, and 3 s in
 /// which nearly all calls must be full.
-const MEND_BEFORE: f64 = 16.0;
+const RECOVERY_BEFORE_END: f64 = 16.0;
 /// Seconds that a lost or spoilt disk needs before another may be lost: a
 /// controller looks at all its files in 20 s.
 const DISK_GAP: f64 = 26.0;
@@ -27,29 +27,29 @@
 
 /// What a draw may choose from.
 struct Scene<'a> {
-    s: &'a Scenario,
-    luck: Random,
+    scenario: &'a Scenario,
+    random: Random,
     from: f64,
     span: f64,
 }
 
-fn pick<'a, T>(luck: &mut Random, list: &'a [T]) -> &'a T {
-    &list[below(luck, list.len() as u64) as usize]
+fn pick<'a, T>(random: &mut Random, list: &'a [T]) -> &'a T {
+    &list[below(random, list.len() as u64) as usize]
 }
 
 /// How many kinds of trouble there are.
 const KINDS: u64 = 34;
 
 /// One trouble of the kind, with what ends it.
-fn draw(c: &mut Scene, kind: u64) -> Vec<Value> {
-    let (from, span) = (c.from, c.span);
-    let machines = c.s.core.machines;
-    let luck = &mut c.luck;
-    let seat = below(luck, machines as u64);
-    let querier = below(luck, c.s.queriers as u64);
-    let service = pick(luck, &c.s.spec.services).name.clone();
-    let other = pick(luck, &c.s.spec.services).name.clone();
-    let zone = *pick(luck, &ZONES);
+fn draw(scene: &mut Scene, kind: u64) -> Vec<Value> {
+    let (from, span) = (scene.from, scene.span);
+    let machines = scene.scenario.control_plane.machines;
+    let random = &mut scene.random;
+    let seat = below(random, machines as u64);
+    let querier = below(random, scene.scenario.queriers as u64);
+    let service = pick(random, &scene.scenario.spec.services).name.clone();
+    let other = pick(random, &scene.scenario.spec.services).name.clone();
+    let zone = *pick(random, &ZONES);
     let modes = [
         "slow",
         "dark",
@@ -62,10 +62,10 @@
         "wrong-cut",
         "unrun",
     ];
-    let mode = *pick(luck, &modes);
-    let coin = chance(luck, 1, 2);
-    let count = 1 + below(luck, 4);
-    let ms = 100 + below(luck, 500);
+    let mode = *pick(random, &modes);
+    let coin = chance(random, 1, 2);
+    let count = 1 + below(random, 4);
+    let ms = 100 + below(random, 500);
     let end = |val: Value| at(from + span, val);
     let heal = end(json!({ "do": "heal" }));
     let one = |val: Value| vec![at(from, val)];
@@ -73,7 +73,7 @@
     let cut = |a: Value, b: Value, one_way: bool| {
         two(json!({ "do": "cut", "a": a, "b": b, "one_way": one_way }), heal.clone())
     };
-    let fine = |what: Value| {
+    let until_healed = |what: Value| {
         let mut good = what.clone();
         good["do"] = json!("leafs");
         good["mode"] = json!("good");
@@ -90,7 +90,7 @@
         3 => one(json!({ "do": "pause-seat", "which": seat, "for_s": span })),
         4 => one(json!({ "do": "pause-querier", "which": querier, "for_s": span })),
         5 => {
-            let health = *pick(luck, &["full", "stalled", "slow"]);
+            let health = *pick(random, &["full", "stalled", "slow"]);
             let bad = json!({ "do": "disk", "which": seat, "health": health, "ms": 200 });
             two(bad, end(json!({ "do": "disk", "which": seat, "health": "good" })))
         }
@@ -101,22 +101,26 @@
         7 => cut(json!([seatname]), json!(["all"]), coin),
         8 => cut(json!([format!("q{querier}")]), json!(["all"]), coin),
         9 => cut(json!([format!("zone-{zone}")]), json!(["all"]), coin),
-        10 => two(json!({ "do": "loss", "per_mille": 10 + below(luck, 200) }), heal),
-        11 => fine(json!({ "do": "leafs", "service": service, "count": count, "mode": mode,
-                           "ms": ms })),
+        10 => two(json!({ "do": "loss", "per_mille": 10 + below(random, 200) }), heal),
+        11 => {
+            until_healed(json!({ "do": "leafs", "service": service, "count": count, "mode": mode,
+                           "ms": ms }))
+        }
         12 => two(
             json!({ "do": "drain", "zone": zone }),
             end(json!({ "do": "undrain", "zone": zone })),
         ),
         13 => one(json!({ "do": "restart-leafs", "service": service, "count": count })),
-        14 => one(json!({ "do": "storm", "count": 10 * count, "gap_ms": 20 + below(luck, 60) })),
+        14 => one(json!({ "do": "storm", "count": 10 * count, "gap_ms": 20 + below(random, 60) })),
         15 => {
             let new = end(json!({ "do": "add-leafs", "service": service, "count": count }));
             two(json!({ "do": "leave-leafs", "service": service, "count": count }), new)
         }
-        16 => fine(json!({ "do": "leafs", "service": service, "mode": mode, "ms": ms })),
-        17 => fine(json!({ "do": "leafs", "zone": zone, "mode": mode, "ms": ms })),
-        18 => fine(json!({ "do": "leafs", "mode": *pick(luck, &["slow", "pauses"]), "ms": ms })),
+        16 => until_healed(json!({ "do": "leafs", "service": service, "mode": mode, "ms": ms })),
+        17 => until_healed(json!({ "do": "leafs", "zone": zone, "mode": mode, "ms": ms })),
+        18 => until_healed(
+            json!({ "do": "leafs", "mode": *pick(random, &["slow", "pauses"]), "ms": ms }),
+        ),
         19 => {
             let new = end(json!({ "do": "add-leafs", "service": service, "count": count }));
             let dead = json!({ "do": "kill-leafs", "service": service, "count": count,
@@ -131,7 +135,7 @@
             two(take, new)
         }
         23 => {
-            let mode = *pick(luck, &["empty", "garbage", "dead", "stale"]);
+            let mode = *pick(random, &["empty", "garbage", "dead", "stale"]);
             two(json!({ "do": "list", "mode": mode }), end(json!({ "do": "list", "mode": "good" })))
         }
         24 => one(json!({ "do": "race", "count": 4 + 2 * count })),
@@ -141,7 +145,7 @@
         28 => (0..machines)
             .flat_map(|i| cut(json!([format!("seat{i}")]), json!(["seats"]), coin))
             .collect(),
-        29 => two(json!({ "do": "slow-net", "ms": 5 + below(luck, 60) }), heal),
+        29 => two(json!({ "do": "slow-net", "ms": 5 + below(random, 60) }), heal),
         // A link that comes and goes.
         30 => (0..6)
             .map(|i| {
@@ -156,11 +160,11 @@
             let word = if coin { "stop-seat" } else { "kill-seat" };
             let seats =
                 (0..machines).map(|i| (i as f64, json!({ "do": word, "which": i, "for_s": 0.7 })));
-            let fronts = (0..c.s.queriers).map(|i| {
+            let fronts = (0..scene.scenario.queriers).map(|i| {
                 (i as f64 * 0.8, json!({ "do": "stop-querier", "which": i, "for_s": 2.4 }))
             });
-            let all: Vec<_> = seats.map(|(t, v)| (t * 2.0, v)).chain(fronts).collect();
-            all.into_iter().map(|(t, v)| at(from + t, v)).collect()
+            let all: Vec<_> = seats.map(|(fault, v)| (fault * 2.0, v)).chain(fronts).collect();
+            all.into_iter().map(|(fault, v)| at(from + fault, v)).collect()
         }
         // Controllers that leave in order, several at once at times.
         32 => (0..count.min(2))
@@ -170,17 +174,17 @@
             })
             .collect(),
         _ => {
-            let more = c.s.factor * (2.0 + below(luck, 10) as f64 / 10.0);
+            let more = scene.scenario.factor * (2.0 + below(random, 10) as f64 / 10.0);
             two(
                 json!({ "do": "load", "factor": more }),
-                end(json!({ "do": "load", "factor": c.s.factor })),
+                end(json!({ "do": "load", "factor": scene.scenario.factor })),
             )
         }
     }
 }
 
 /// A change to another cut of the index, where the deployment holds two.
-fn recut(c: &mut Scene) -> Vec<Value> {
+fn change_index_version(scene: &mut Scene) -> Vec<Value> {
     let plan = |cut: &str| {
         let text = format!(
             "from index = \"notices\" and cut = \"{cut}\" by shard\nsend wide\nwait 30%\n\
@@ -189,65 +193,74 @@
         json!({ "do": "patch", "config": { "searches": [{ "name": "browse", "class": "ordinary",
             "promise_ms": 900, "quorum": 0.75, "attempts": 3, "plan": text }] } })
     };
-    vec![at(c.from, plan("w49")), at(c.from + c.span, plan("w48"))]
+    vec![at(scene.from, plan("w49")), at(scene.from + scene.span, plan("w48"))]
 }
 
 /// Whether troubles take what lies on a disk.
-fn loses(list: &[Value]) -> bool {
-    list.iter().any(|t| t["do"] == "flip" || t["lose"] == true)
+fn loses_disk(list: &[Value]) -> bool {
+    list.iter().any(|fault| fault["do"] == "flip" || fault["lose"] == true)
 }
 
 /// Whether leafs are fresh for a while after this.
-fn freshens(list: &[Value]) -> bool {
+fn replaces_leafs(list: &[Value]) -> bool {
     let words = ["restart-leafs", "add-leafs", "reuse", "kill-leafs", "leave-leafs"];
-    list.iter().any(|t| words.iter().any(|w| t["do"] == *w))
+    list.iter().any(|fault| words.iter().any(|word| fault["do"] == *word))
 }
 
 /// Troubles at times, spans and overlaps drawn by the seed, then one last one,
 /// then the end of all of them.
-pub fn chaos(seed: u64, s: &Scenario) -> Vec<Trouble> {
-    let mend = (s.seconds as f64 - MEND_BEFORE).max(1.0);
-    let mut c = Scene { s, luck: luck(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
-    let storm = json!({ "do": "storm", "count": (mend * 3.0) as u64, "gap_ms": 250 });
+pub fn chaos(seed: u64, scenario: &Scenario) -> Vec<ScheduledFault> {
+    let recovery_at = (scenario.seconds as f64 - RECOVERY_BEFORE_END).max(1.0);
+    let mut scene = Scene { scenario, random: luck(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
+    let storm = json!({ "do": "storm", "count": (recovery_at * 3.0) as u64, "gap_ms": 250 });
     let mut all = vec![at(1.0, storm)];
-    let two_cuts = s.spec.services.iter().any(|s| s.cut == "w49");
+    let two_cuts = scenario.spec.services.iter().any(|service| service.cut == "w49");
     let mut lost_at = -DISK_GAP;
     let mut from = 1.5;
     loop {
         // From close together to a while apart.
-        from += below(&mut c.luck, 70) as f64 / 10.0;
-        c.from = from;
-        c.span = 0.3 + below(&mut c.luck, SPAN * 10) as f64 / 10.0;
-        let last = from + c.span + 2.0 >= mend;
+        from += below(&mut scene.random, 70) as f64 / 10.0;
+        scene.from = from;
+        scene.span = 0.3 + below(&mut scene.random, SPAN * 10) as f64 / 10.0;
+        let last = from + scene.span + 2.0 >= recovery_at;
         if last {
-            c.from = (mend - c.span - 1.0).max(1.0);
+            scene.from = (recovery_at - scene.span - 1.0).max(1.0);
         }
-        let kind = below(&mut c.luck, KINDS + u64::from(two_cuts));
-        let mut list = if kind == KINDS { recut(&mut c) } else { draw(&mut c, kind) };
+        let kind = below(&mut scene.random, KINDS + u64::from(two_cuts));
+        let mut list =
+            if kind == KINDS { change_index_version(&mut scene) } else { draw(&mut scene, kind) };
         // Three copies bear the loss of one disk at a time.
-        let late = c.from + c.span > mend - FRESH_GAP;
-        while (loses(&list) && c.from - lost_at < DISK_GAP) || (late && freshens(&list)) {
-            let kind = below(&mut c.luck, KINDS);
-            list = draw(&mut c, kind);
+        let late = scene.from + scene.span > recovery_at - FRESH_GAP;
+        while (loses_disk(&list) && scene.from - lost_at < DISK_GAP)
+            || (late && replaces_leafs(&list))
+        {
+            let kind = below(&mut scene.random, KINDS);
+            list = draw(&mut scene, kind);
         }
-        if loses(&list) {
-            lost_at = c.from;
+        if loses_disk(&list) {
+            lost_at = scene.from;
         }
         all.extend(list);
         if last {
             break;
         }
     }
-    let mut all: Vec<Trouble> = all.iter().map(drawn).collect();
+    let mut all: Vec<ScheduledFault> = all.iter().map(generated_fault).collect();
     // Nothing may come after the end of all troubles.
-    all.retain(|t| (t.at_ms as f64) < mend * 1_000.0);
-    all.push(drawn(&at(mend, json!({ "do": "mend-all", "factor": s.factor }))));
+    all.retain(|fault| (fault.at_ms as f64) < recovery_at * 1_000.0);
+    all.push(generated_fault(&at(
+        recovery_at,
+        json!({ "do": "mend-all", "factor": scenario.factor }),
+    )));
     all
 }
 
 /// The fewest troubles that still fail, found by leaving out one after the
 /// other, larger runs of them first.
-pub fn shrink(all: &[Trouble], fails: impl Fn(&[Trouble]) -> bool) -> Vec<Trouble> {
+pub fn shrink(
+    all: &[ScheduledFault],
+    fails: impl Fn(&[ScheduledFault]) -> bool,
+) -> Vec<ScheduledFault> {
     let mut list = all.to_vec();
     let mut step = (list.len() / 2).max(1);
     loop {
--- a/crates/simulator/src/exploration.rs
+++ b/crates/simulator/src/exploration.rs
@@ -2,7 +2,7 @@
 
 use grebepath_simulator::explore::{Failure, Pairs, Scope, explore, play_once};
 use grebepath_simulator::scenario::Scenario;
-use grebepath_simulator::world::{Deviation, FAULTS, Fault};
+use grebepath_simulator::world::{FAULTS, Fault, InjectedFault};
 
 use crate::{Args, EXIT_BROKEN, EXIT_USAGE};
 
@@ -27,7 +27,7 @@
             faults: FAULTS.to_vec(),
             seed: args.seed,
             tolerates: args.tolerates,
-            broken: None,
+            faulty_variant: None,
         };
         broken |=
             if once.is_empty() { explored(&scope, args.pairs) } else { replayed(&scope, &once) };
@@ -52,8 +52,8 @@
     !report.failures.is_empty()
 }
 
-fn replayed(scope: &Scope, deviations: &[Deviation]) -> bool {
-    let played = play_once(scope, deviations.to_vec());
+fn replayed(scope: &Scope, injected: &[InjectedFault]) -> bool {
+    let played = play_once(scope, injected.to_vec());
     match &played.failure {
         Some(failure) => show(failure),
         None if played.beyond => println!("beyond what is tolerated: not judged"),
@@ -64,7 +64,7 @@
 
 fn show(failure: &Failure) {
     let list: Vec<String> = failure
-        .deviations
+        .injected
         .iter()
         .map(|d| format!("{}:{}", d.event, format!("{:?}", d.fault).to_lowercase()))
         .collect();
@@ -80,13 +80,13 @@
     (from < to).then_some((from, to))
 }
 
-fn read_faults(text: &str) -> Option<Vec<Deviation>> {
+fn read_faults(text: &str) -> Option<Vec<InjectedFault>> {
     text.split(',')
         .map(|item| {
             let (event, word) = item.split_once(':')?;
             let named = |fault: &&Fault| format!("{fault:?}").to_lowercase() == word;
             let fault = FAULTS.iter().find(named).copied()?;
-            Some(Deviation { event: event.parse().ok()?, fault })
+            Some(InjectedFault { event: event.parse().ok()?, fault })
         })
         .collect()
 }
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -14,8 +14,10 @@
 use grebepath_core::random::{below, luck};
 use grebepath_core::time::SECOND;
 
-use crate::scenario::{Scenario, play_deviating};
-use crate::world::{self, Broken, Deviation, Deviations, Fault, World, seats_whole};
+use crate::scenario::{Scenario, play_with_faults};
+use crate::world::{
+    self, Fault, FaultInjection, FaultyVariant, InjectedFault, World, all_slots_voting,
+};
 
 /// What is explored.
 pub struct Scope {
@@ -28,7 +30,7 @@
     /// How many replicas may be lost for good at once: a play that loses more is
     /// not judged.
     pub tolerates: usize,
-    pub broken: Option<Broken>,
+    pub faulty_variant: Option<FaultyVariant>,
 }
 
 /// How pairs of faults are tried.
@@ -53,7 +55,7 @@
 
 /// A play that broke something. It can be played again by its deviations.
 pub struct Failure {
-    pub deviations: Vec<Deviation>,
+    pub injected: Vec<InjectedFault>,
     pub story: Vec<String>,
     pub wrong: Vec<String>,
 }
@@ -63,7 +65,7 @@
     let base = play_once(scope, Vec::new());
     let events = base.events;
     let singles = singles(events, &scope.faults);
-    let mut plans: Vec<Vec<Deviation>> = singles.iter().map(|one| vec![*one]).collect();
+    let mut plans: Vec<Vec<InjectedFault>> = singles.iter().map(|one| vec![*one]).collect();
     plans.extend(drawn_pairs(&singles, pairs, scope.seed));
     let next = AtomicUsize::new(0);
     let beyond = AtomicUsize::new(0);
@@ -82,23 +84,24 @@
     });
     let mut failures = failures.into_inner().unwrap_or_else(|e| e.into_inner());
     failures.sort_by_key(|failure| {
-        (failure.deviations.len(), failure.deviations.iter().map(|d| d.event).collect::<Vec<_>>())
+        (failure.injected.len(), failure.injected.iter().map(|d| d.event).collect::<Vec<_>>())
     });
     Report { events, plays: plans.len() + 1, beyond: beyond.into_inner(), failures }
 }
 
 /// Every fault at every event.
-fn singles(events: u64, faults: &[Fault]) -> Vec<Deviation> {
-    let at = |event| faults.iter().map(move |fault| Deviation { event, fault: *fault });
+fn singles(events: u64, faults: &[Fault]) -> Vec<InjectedFault> {
+    let at = |event| faults.iter().map(move |fault| InjectedFault { event, fault: *fault });
     (0..events).flat_map(at).collect()
 }
 
-fn drawn_pairs(singles: &[Deviation], pairs: Pairs, seed: u64) -> Vec<Vec<Deviation>> {
+fn drawn_pairs(singles: &[InjectedFault], pairs: Pairs, seed: u64) -> Vec<Vec<InjectedFault>> {
     let count = singles.len() as u64;
     match pairs {
         Pairs::None => Vec::new(),
         Pairs::All => {
-            let behind = |n: usize| singles[n + 1..].iter().map(move |b| vec![singles[n], *b]);
+            let behind =
+                |node: usize| singles[node + 1..].iter().map(move |b| vec![singles[node], *b]);
             (0..singles.len()).flat_map(behind).collect()
         }
         Pairs::Sampled(wanted) => {
@@ -119,43 +122,49 @@
 }
 
 /// Plays a scope with these deviations.
-pub fn play_once(scope: &Scope, deviations: Vec<Deviation>) -> Played {
+pub fn play_once(scope: &Scope, injected: Vec<InjectedFault>) -> Played {
     let micros = |seconds: f64| (seconds * SECOND as f64) as u64;
     let window = (micros(scope.window.0), micros(scope.window.1));
-    let list = Deviations { window, list: deviations.clone(), ..Deviations::default() };
-    let mut w = play_deviating(&scope.scenario, scope.seed, scope.broken, list);
-    let beyond = w.deviations.losses > scope.tolerates;
-    let wrong = if beyond { Vec::new() } else { judge(&mut w) };
-    let events = w.deviations.seen;
-    let story = w.deviations.story.clone();
-    let failure = (!wrong.is_empty()).then_some(Failure { deviations, story, wrong });
+    let list = FaultInjection { window, list: injected.clone(), ..FaultInjection::default() };
+    let mut world = play_with_faults(&scope.scenario, scope.seed, scope.faulty_variant, list);
+    let beyond = world.injected.losses > scope.tolerates;
+    let wrong = if beyond { Vec::new() } else { judge(&mut world) };
+    let events = world.injected.seen;
+    let story = world.injected.story.clone();
+    let failure = (!wrong.is_empty()).then_some(Failure { injected, story, wrong });
     Played { events, beyond, failure }
 }
 
 /// All that is wrong with a play that has ended.
-fn judge(w: &mut World) -> Vec<String> {
-    let whole = world::until(w, 12 * SECOND, |w| world::settled(w) && seats_whole(w));
-    let mut wrong: Vec<String> = w.rules.found.iter().map(|found| format!("{found:?}")).collect();
+fn judge(world: &mut World) -> Vec<String> {
+    let whole =
+        world::until(world, 12 * SECOND, |world| world::settled(world) && all_slots_voting(world));
+    let mut wrong: Vec<String> =
+        world.rules.found.iter().map(|found| format!("{found:?}")).collect();
     if !whole {
         wrong.push("not all voter slots are held by replicas that vote".into());
         return wrong;
     }
-    let last = world::order(w, 0, world::marked(w.orders.len()));
-    let accepted =
-        |w: &World| matches!(w.orders[last].done, Some(OperationResult::Accepted { .. }));
-    if !world::until(w, 5 * SECOND, accepted) {
-        wrong.push(format!("the last order came to {:?}", w.orders[last].done));
+    let last = world::submit(world, 0, world::marked(world.operator_requests.len()));
+    let accepted = |world: &World| {
+        matches!(world.operator_requests[last].result, Some(OperationResult::Accepted { .. }))
+    };
+    if !world::until(world, 5 * SECOND, accepted) {
+        wrong.push(format!("the last order came to {:?}", world.operator_requests[last].result));
     }
-    if !world::until(w, 5 * SECOND, one_state) {
+    if !world::until(world, 5 * SECOND, one_state) {
         wrong.push("replicas of one revision differ, or one stays behind".into());
     }
     wrong
 }
 
 /// Whether all voters hold the same configuration.
-fn one_state(w: &World) -> bool {
-    let mut copies =
-        w.seats.iter().filter(|n| n.up && world::seated(n)).map(|n| &n.core.partitions[0].copy);
+fn one_state(world: &World) -> bool {
+    let mut copies = world
+        .controllers
+        .iter()
+        .filter(|node| node.up && world::has_voter_slot(node))
+        .map(|node| &node.state.partitions[0].copy);
     let Some(first) = copies.next() else { return false };
     copies.all(|copy| {
         (copy.term, copy.revision) == (first.term, first.revision) && copy.map == first.map
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -100,7 +100,7 @@
     let mut list: Vec<Scenario> = Vec::new();
     for file in &args.files {
         match load(file, &args.deploy) {
-            Ok(s) => list.push(s),
+            Ok(scenario) => list.push(scenario),
             Err(all) => {
                 eprintln!("simulator: {file}:\n{}", lines(&all));
                 std::process::exit(EXIT_USAGE);
@@ -113,16 +113,16 @@
     }
     for seed in args.seed..args.seed + args.seeds {
         let mut rows = Vec::new();
-        for s in &list {
-            let mut s = if args.chaos { stirred(s, seed) } else { s.clone() };
-            s.queriers = args.queriers.unwrap_or(s.queriers);
-            let w = play_weighed(&s, seed, None, args.weigh);
-            broken |= !w.rules.counts.is_empty();
-            show(&args, &s, seed, &w);
-            if args.shrink && !w.rules.counts.is_empty() {
-                shrunk(&s, seed, &w);
+        for scenario in &list {
+            let mut scenario = if args.chaos { stirred(scenario, seed) } else { scenario.clone() };
+            scenario.queriers = args.queriers.unwrap_or(scenario.queriers);
+            let world = play_weighed(&scenario, seed, None, args.weigh);
+            broken |= !world.rules.counts.is_empty();
+            show(&args, &scenario, seed, &world);
+            if args.shrink && !world.rules.counts.is_empty() {
+                shrunk(&scenario, seed, &world);
             }
-            rows.push(sums(&w));
+            rows.push(sums(&world));
         }
         if args.compare && !args.json {
             println!("seed {seed}: {}", difference(&rows));
@@ -132,23 +132,23 @@
 }
 
 /// The scenario with troubles drawn by the seed.
-fn stirred(s: &Scenario, seed: u64) -> Scenario {
-    let mut out = s.clone();
-    out.troubles.extend(grebepath_simulator::chaos::chaos(seed, s));
+fn stirred(scenario: &Scenario, seed: u64) -> Scenario {
+    let mut out = scenario.clone();
+    out.faults.extend(grebepath_simulator::chaos::chaos(seed, scenario));
     out
 }
 
 /// Prints the fewest troubles that still break one of the promises that broke.
-fn shrunk(s: &Scenario, seed: u64, w: &World) {
-    let rules: Vec<u8> = w.rules.counts.keys().copied().collect();
-    let list = grebepath_simulator::chaos::shrink(&s.troubles, |list| {
-        let less = Scenario { troubles: list.to_vec(), ..s.clone() };
-        let w = play_weighed(&less, seed, None, false);
-        rules.iter().any(|r| w.rules.counts.contains_key(r))
+fn shrunk(scenario: &Scenario, seed: u64, world: &World) {
+    let rules: Vec<u8> = world.rules.counts.keys().copied().collect();
+    let list = grebepath_simulator::chaos::shrink(&scenario.faults, |list| {
+        let less = Scenario { faults: list.to_vec(), ..scenario.clone() };
+        let world = play_weighed(&less, seed, None, false);
+        rules.iter().any(|r| world.rules.counts.contains_key(r))
     });
-    println!("seed {seed}: {} of {} troubles still fail:", list.len(), s.troubles.len());
-    for t in &list {
-        println!("  {:>6} ms {t}", t.at_ms);
+    println!("seed {seed}: {} of {} troubles still fail:", list.len(), scenario.faults.len());
+    for fault in &list {
+        println!("  {:>6} ms {fault}", fault.at_ms);
     }
 }
 
@@ -162,32 +162,35 @@
     })
 }
 
-fn show(args: &Args, s: &Scenario, seed: u64, w: &World) {
+fn show(args: &Args, scenario: &Scenario, seed: u64, world: &World) {
     if args.json {
-        println!("{}", json!({ "scenario": s.name, "seed": seed, "run": report::json(w) }));
+        println!(
+            "{}",
+            json!({ "scenario": scenario.name, "seed": seed, "run": report::json(world) })
+        );
     } else {
-        println!("== {} (seed {seed}, {} s) ==", s.name, s.seconds);
-        print!("{}", report::table(w));
+        println!("== {} (seed {seed}, {} s) ==", scenario.name, scenario.seconds);
+        print!("{}", report::table(world));
     }
-    for (kind, (n, bytes)) in w.net.weights.iter().flatten() {
+    for (kind, (n, bytes)) in world.net.weights.iter().flatten() {
         println!("  {kind:<32} {n:>9} messages {bytes:>12} bytes");
     }
-    if args.story || !w.rules.counts.is_empty() {
-        for line in &w.rules.story {
+    if args.story || !world.rules.counts.is_empty() {
+        for line in &world.rules.story {
             println!("  {line}");
         }
     }
 }
 
 /// Full, partial and all other ends of calls, and second tries.
-fn sums(w: &World) -> [u64; 4] {
+fn sums(world: &World) -> [u64; 4] {
     let (mut full, mut part, mut other) = (0, 0, 0);
-    for t in w.tally.values() {
-        full += t.full;
-        part += t.partial;
-        other += t.bounced.values().sum::<u64>() + t.unreachable + t.late;
+    for fault in world.tallies.values() {
+        full += fault.full;
+        part += fault.partial;
+        other += fault.rejected.values().sum::<u64>() + fault.unreachable + fault.timed_out;
     }
-    [full, part, other, w.rules.seconds.len() as u64]
+    [full, part, other, world.rules.seconds.len() as u64]
 }
 
 fn difference(rows: &[[u64; 4]]) -> String {
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -201,7 +201,7 @@
 }
 
 /// How long the leaf takes for a question that it begins now.
-pub fn takes(l: &MockLeaf, now: Tick, luck: &mut Random) -> Span {
+pub fn takes(l: &MockLeaf, now: Tick, random: &mut Random) -> Span {
     let base = ms(l.service.took_ms);
     let bear = u64::from(bears(l, now));
     // Beyond what it bears a leaf thrashes: its time grows with the square.
@@ -213,7 +213,7 @@
         Mode::Pauses { every, pause } => pause.saturating_sub(now % every),
         _ => 0,
     };
-    base / 2 + below(luck, base / 2 + 1) + over + extra
+    base / 2 + below(random, base / 2 + 1) + over + extra
 }
 
 /// Whether a reply in this mode stands for the shard. One record alone can't
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -57,8 +57,8 @@
 }
 
 /// One way between two zones, in microseconds.
-pub fn latency(a: &str, b: &str, luck: &mut Random) -> Span {
-    if a == b { 80 + below(luck, 80) } else { 500 + below(luck, 1_000) }
+pub fn latency(a: &str, b: &str, random: &mut Random) -> Span {
+    if a == b { 80 + below(random, 80) } else { 500 + below(random, 1_000) }
 }
 
 /// When a message sent now arrives, if it does.
@@ -67,15 +67,15 @@
     now: Tick,
     from: (Node, &str),
     to: (Node, &str),
-    luck: &mut Random,
+    random: &mut Random,
 ) -> Option<Tick> {
     net.sent += 1;
     let pair = (from.0, to.0);
-    if net.cuts.contains(&pair) || (net.loss > 0 && chance(luck, net.loss, 1000)) {
+    if net.cuts.contains(&pair) || (net.loss > 0 && chance(random, net.loss, 1000)) {
         net.lost += 1;
         return None;
     }
-    let at = now + latency(from.1, to.1, luck) + net.slow;
+    let at = now + latency(from.1, to.1, random) + net.slow;
     let last = net.last.entry(pair).or_insert(0);
     *last = at.max(*last + 1);
     if let Some(hash) = net.trace {
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -12,55 +12,55 @@
 }
 
 /// A run as JSON.
-pub fn json(w: &World) -> Value {
+pub fn json(world: &World) -> Value {
     let mut kinds = serde_json::Map::new();
-    for (name, t) in &w.tally {
-        let mut waits = t.waits.clone();
+    for (name, tally) in &world.tallies {
+        let mut waits = tally.latencies.clone();
         waits.sort_unstable();
-        let bounced: u64 = t.bounced.values().sum();
-        let calls = t.full + t.partial + bounced + t.unreachable + t.late;
+        let rejected: u64 = tally.rejected.values().sum();
+        let calls = tally.full + tally.partial + rejected + tally.unreachable + tally.timed_out;
         kinds.insert(
             name.clone(),
             json!({
-                "calls": calls, "full": t.full, "partial": t.partial, "bounced": t.bounced,
-                "unreachable": t.unreachable, "late": t.late,
+                "calls": calls, "full": tally.full, "partial": tally.partial, "bounced": tally.rejected,
+                "unreachable": tally.unreachable, "late": tally.timed_out,
                 "wait_ms": { "p50": quantile(&waits, 50), "p90": quantile(&waits, 90),
                              "p99": quantile(&waits, 99), "max": quantile(&waits, 100) },
             }),
         );
     }
-    let (over, most) = rules::retries(&w.rules);
-    let worst = w.backs.leafs.values().max_by_key(|l| l.worst_pct);
+    let (over, most) = rules::retries(&world.rules);
+    let worst = world.backends.leafs.values().max_by_key(|leaf| leaf.worst_pct);
     let orders = |want: fn(&grebepath_core::protocol::message::OperationResult) -> bool| {
-        w.orders.iter().filter(|o| o.done.as_ref().is_some_and(want)).count()
+        world.operator_requests.iter().filter(|o| o.result.as_ref().is_some_and(want)).count()
     };
     use grebepath_core::protocol::message::OperationResult;
     json!({
-        "violations": w.rules.counts,
-        "first": w.rules.found.iter().take(10).map(|v| json!({
+        "violations": world.rules.counts,
+        "first": world.rules.found.iter().take(10).map(|v| json!({
             "at_s": v.at as f64 / 1e6, "rule": v.rule, "text": v.text })).collect::<Vec<_>>(),
         "kinds": kinds,
-        "first_dispatches": w.rules.firsts.len(), "second_tries": w.rules.seconds.len(),
+        "first_dispatches": world.rules.firsts.len(), "second_tries": world.rules.seconds.len(),
         "worst_10s": { "second_tries": most, "over_a_fifth": over },
-        "worst_leaf": worst.map(|l| json!({ "leaf": l.name, "pct_of_bears": l.worst_pct })),
-        "begun_beyond_bearing": w.backs.leafs.values().map(|l| l.over).sum::<u64>(),
+        "worst_leaf": worst.map(|leaf| json!({ "leaf": leaf.name, "pct_of_bears": leaf.worst_pct })),
+        "begun_beyond_bearing": world.backends.leafs.values().map(|leaf| leaf.over).sum::<u64>(),
         "orders": { "accepted": orders(|d| matches!(d, OperationResult::Accepted { .. })),
                     "bounced": orders(|d| matches!(d, OperationResult::Rejected { .. })),
                     "unknown": orders(|d| matches!(d, OperationResult::Unknown { .. })),
                     "wrong": orders(|d| matches!(d, OperationResult::Invalid(_))) },
-        "restarts": w.rules.backs.iter().map(|b| json!({
+        "restarts": world.rules.backs.iter().map(|b| json!({
             "at_s": b.at as f64 / 1e6,
-            "first_full_ms": b.first.iter().map(|(k, at)| (k.clone(), json!((at - b.at) / MILLI)))
+            "first_full_ms": b.first.iter().map(|(kind, at)| (kind.clone(), json!((at - b.at) / MILLI)))
                 .collect::<serde_json::Map<_, _>>(),
             "accepted_ms": b.accepted.map(|at| (at - b.at) / MILLI),
             "made": b.made, "full": b.full })).collect::<Vec<_>>(),
-        "events": w.events, "messages": w.net.sent, "messages_lost": w.net.lost,
+        "events": world.events, "messages": world.net.sent, "messages_lost": world.net.lost,
     })
 }
 
 /// A run as a table.
-pub fn table(w: &World) -> String {
-    let j = json(w);
+pub fn table(world: &World) -> String {
+    let report = json(world);
     let mut out = format!(
         "{:<10} {:>7} {:>7} {:>7} {:>7} {:>7} {:>6} {:>8} {:>8} {:>8}\n",
         "search",
@@ -74,48 +74,48 @@
         "p99 ms",
         "max ms"
     );
-    for (name, k) in j["kinds"].as_object().into_iter().flatten() {
-        let bounced: u64 =
-            k["bounced"].as_object().into_iter().flatten().filter_map(|b| b.1.as_u64()).sum();
+    for (name, kind) in report["kinds"].as_object().into_iter().flatten() {
+        let rejected: u64 =
+            kind["bounced"].as_object().into_iter().flatten().filter_map(|b| b.1.as_u64()).sum();
         out += &format!(
-            "{name:<10} {:>7} {:>7} {:>7} {bounced:>7} {:>7} {:>6} {:>8.1} {:>8.1} {:>8.1}\n",
-            k["calls"],
-            k["full"],
-            k["partial"],
-            k["unreachable"],
-            k["late"],
-            k["wait_ms"]["p50"].as_f64().unwrap_or(0.0),
-            k["wait_ms"]["p99"].as_f64().unwrap_or(0.0),
-            k["wait_ms"]["max"].as_f64().unwrap_or(0.0),
+            "{name:<10} {:>7} {:>7} {:>7} {rejected:>7} {:>7} {:>6} {:>8.1} {:>8.1} {:>8.1}\n",
+            kind["calls"],
+            kind["full"],
+            kind["partial"],
+            kind["unreachable"],
+            kind["late"],
+            kind["wait_ms"]["p50"].as_f64().unwrap_or(0.0),
+            kind["wait_ms"]["p99"].as_f64().unwrap_or(0.0),
+            kind["wait_ms"]["max"].as_f64().unwrap_or(0.0),
         );
     }
     out += &format!(
         "dispatches {} first, {} second; worst 10 s: {} second, {} beyond a fifth\n",
-        j["first_dispatches"],
-        j["second_tries"],
-        j["worst_10s"]["second_tries"],
-        j["worst_10s"]["over_a_fifth"]
+        report["first_dispatches"],
+        report["second_tries"],
+        report["worst_10s"]["second_tries"],
+        report["worst_10s"]["over_a_fifth"]
     );
     out += &format!(
         "worst leaf {} at {}% of what it bears, {} begun beyond it; orders {}\n",
-        j["worst_leaf"]["leaf"],
-        j["worst_leaf"]["pct_of_bears"],
-        j["begun_beyond_bearing"],
-        j["orders"]
+        report["worst_leaf"]["leaf"],
+        report["worst_leaf"]["pct_of_bears"],
+        report["begun_beyond_bearing"],
+        report["orders"]
     );
-    for back in j["restarts"].as_array().into_iter().flatten() {
+    for back in report["restarts"].as_array().into_iter().flatten() {
         out += &format!(
             "restart at {} s: first full answers after {} ms, a change accepted after {} ms\n",
             back["at_s"], back["first_full_ms"], back["accepted_ms"]
         );
     }
-    if w.rules.counts.is_empty() {
+    if world.rules.counts.is_empty() {
         out += "violations: none\n";
     } else {
-        for (rule, n) in &w.rules.counts {
+        for (rule, n) in &world.rules.counts {
             out += &format!("VIOLATIONS of rule {rule}: {n}\n");
         }
-        for v in w.rules.found.iter().take(5) {
+        for v in world.rules.found.iter().take(5) {
             out += &format!("  at {:.3} s, rule {}: {}\n", v.at as f64 / 1e6, v.rule, v.text);
         }
     }
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -95,7 +95,7 @@
 }
 
 /// Notes a violation.
-pub fn broken(r: &mut Rules, at: Tick, rule: u8, text: String) {
+pub fn violated(r: &mut Rules, at: Tick, rule: u8, text: String) {
     *r.counts.entry(rule).or_default() += 1;
     if r.found.is_empty() {
         r.story = r.ring.iter().cloned().collect();
@@ -115,7 +115,7 @@
     let list = r.ran.remove(query).unwrap_or_default();
     for service in services {
         if !list.iter().any(|(s, q)| s == service && q == question) {
-            broken(r, now, 1, format!("{query} claims {service}, which never answered it"));
+            violated(r, now, 1, format!("{query} claims {service}, which never answered it"));
         }
     }
 }
@@ -123,7 +123,7 @@
 /// Rule 5: a leaf runs a question; somebody must have asked it just so.
 pub fn runs(r: &mut Rules, now: Tick, leaf: &str, question: &str) {
     if !r.asked.contains(question) {
-        broken(r, now, 5, format!("{leaf} ran {question:?}, which nobody asked"));
+        violated(r, now, 5, format!("{leaf} ran {question:?}, which nobody asked"));
     }
 }
 
@@ -148,7 +148,7 @@
         .unwrap_or(0);
     if revision < due {
         let text = format!("{who} answers by revision {revision}, {due} is 3 s old");
-        broken(r, now, 9, text);
+        violated(r, now, 9, text);
     }
 }
 
@@ -159,7 +159,7 @@
     *old = was.max(revision);
     if revision < was {
         let text = format!("querier {querier} slips from revision {was} to {revision}");
-        broken(r, now, 9, text);
+        violated(r, now, 9, text);
     }
 }
 
@@ -167,7 +167,7 @@
 pub fn same(r: &mut Rules, now: Tick, part: u32, revision: u64, sum: u64) {
     let first = *r.truth.entry((part, revision)).or_insert(sum);
     if first != sum {
-        broken(r, now, 12, format!("part {part} has two truths at revision {revision}"));
+        violated(r, now, 12, format!("part {part} has two truths at revision {revision}"));
     }
 }
 
@@ -184,13 +184,13 @@
         && now > at + 3 * SECOND
     {
         let late = (now - at) as f64 / 1e6;
-        broken(r, now, 7, format!("{who} sends to {leaf}, known to leave for {late:.2} s"));
+        violated(r, now, 7, format!("{who} sends to {leaf}, known to leave for {late:.2} s"));
     }
     if let Some(from) = r.drained.get(zone)
         && now > *from
     {
         let late = (now - from) as f64 / 1e6;
-        broken(
+        violated(
             r,
             now,
             8,
@@ -202,7 +202,7 @@
 /// Rule 11: a fresh leaf has `live` in hand and bears `bears`.
 pub fn carries(r: &mut Rules, now: Tick, leaf: &str, live: u32, bears: u32) {
     if live * 2 > bears * 3 + 1 {
-        broken(r, now, 11, format!("fresh {leaf} has {live} in hand and bears {bears}"));
+        violated(r, now, 11, format!("fresh {leaf} has {live} in hand and bears {bears}"));
     }
 }
 
@@ -218,7 +218,7 @@
 /// Rule 6: a request arrives at a leaf, run or turned away.
 pub fn arrives(r: &mut Rules, now: Tick, who: &str, leaf: &str, is: &str, meant: &str) {
     if is != meant {
-        broken(r, now, 6, format!("{who}'s request for {meant} reaches {leaf} of {is}"));
+        violated(r, now, 6, format!("{who}'s request for {meant} reaches {leaf} of {is}"));
     }
 }
 
@@ -255,7 +255,7 @@
     let ((worst, _), allowed) = (retries(r), slack(r, threads));
     if worst > allowed as i64 {
         let text = format!("{worst} second tries over a fifth in 10 s, {allowed} allowed");
-        broken(r, now, 10, text);
+        violated(r, now, 10, text);
     }
     for back in std::mem::take(&mut r.restarts) {
         let when = back.at as f64 / 1e6;
@@ -266,13 +266,13 @@
                 let text = format!(
                     "12 s after the restart at {when:.1} s {full} of {made} {kind} are full"
                 );
-                broken(r, now, 12, text);
+                violated(r, now, 12, text);
             }
         }
         let late = back.accepted.is_none_or(|at| at > back.at + 12 * SECOND);
         if !back.disturbed && back.order.is_some() && late && now > back.at + 12 * SECOND {
             let text = format!("12 s after the restart at {when:.1} s no change is accepted");
-            broken(r, now, 12, text);
+            violated(r, now, 12, text);
         }
         r.backs.push(back);
     }
--- a/crates/simulator/src/scale_model/cli.rs
+++ b/crates/simulator/src/scale_model/cli.rs
@@ -4,14 +4,14 @@
 use grebepath_core::time::SECOND;
 
 use crate::scale_model::fan;
-use crate::scale_model::phases::{Wish, measure};
+use crate::scale_model::phases::{Measurements, measure};
 use crate::scale_model::plan::Size;
 use crate::scale_model::show;
 
 /// What the caller wants.
 pub struct Args {
     seed: u64,
-    calm: u64,
+    idle: u64,
     calm_only: bool,
     no_restarts: bool,
     fan: bool,
@@ -35,7 +35,7 @@
 /// The parser of the flags.
 pub fn options() -> OptionParser<Args> {
     let seed = long("seed").help("the seed of the run").argument::<u64>("N").fallback(1);
-    let calm = long("calm").help("seconds of calm to measure").argument::<u64>("N").fallback(20);
+    let idle = long("calm").help("seconds of calm to measure").argument::<u64>("N").fallback(20);
     let calm_only = long("calm-only").help("nothing but start and calm").switch();
     let no_restarts = long("no-restarts").help("no restarts of many").switch();
     let fan = long("fan").help("sizes are shards a query, and threads that share").switch();
@@ -43,15 +43,15 @@
         .help("a size to measure; without leafs, 5300 for 1200 members")
         .parse(size)
         .some("name a size");
-    construct!(Args { seed, calm, calm_only, no_restarts, fan, sizes })
+    construct!(Args { seed, idle, calm_only, no_restarts, fan, sizes })
         .to_options()
         .descr("weighs control: the daemons' owners at a size, under a virtual clock")
 }
 
 /// Measures and prints each size.
 pub fn run(args: &Args) {
-    let wish = Wish {
-        calm: args.calm.max(1) * SECOND,
+    let wish = Measurements {
+        idle: args.idle.max(1) * SECOND,
         single: !args.calm_only,
         restarts: !args.calm_only && !args.no_restarts,
     };
--- a/crates/simulator/src/scale_model/cost.rs
+++ b/crates/simulator/src/scale_model/cost.rs
@@ -21,13 +21,13 @@
     pub steps: u64,
     /// Processor time in `step`, and in writing and reading messages (ns).
     pub step_ns: u64,
-    pub code_ns: u64,
+    pub codec_ns: u64,
     /// What it gave to its disk (bytes), and in how many writes.
     pub disk: Cell,
 }
 
 /// Messages by what carries them and by kind.
-pub type Ways = BTreeMap<(&'static str, &'static str), Cell>;
+pub type Traffic = BTreeMap<(&'static str, &'static str), Cell>;
 
 /// Adds one message.
 pub fn add(cell: &mut Cell, bytes: usize) {
@@ -36,21 +36,21 @@
 }
 
 /// Processor time of this thread so far (ns).
-pub fn cpu() -> u64 {
+pub fn thread_cpu_time() -> u64 {
     let t = clock_gettime(ClockId::ThreadCPUTime);
     t.tv_sec as u64 * 1_000_000_000 + t.tv_nsec as u64
 }
 
 /// Runs `f` and adds what it took.
 pub fn timed<T>(sum: &mut u64, f: impl FnOnce() -> T) -> T {
-    let from = cpu();
+    let from = thread_cpu_time();
     let out = f();
-    *sum += cpu() - from;
+    *sum += thread_cpu_time() - from;
     out
 }
 
 /// Memory of this whole process (bytes), as the system counts it.
-pub fn resident() -> u64 {
+pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
     line.trim().trim_end_matches(" kB").parse::<u64>().unwrap_or(0) * 1024
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -15,8 +15,8 @@
 use grebepath_core::time::{BOOT, MILLI, ms};
 
 use super::world::{
-    From, Raw, ScheduledEvent, World, arrival, connection, push, push_at, seat_wire, start_front,
-    start_seat,
+    Raw, ScheduledEvent, Sender, World, arrival, connection, controller_connection, push, push_at,
+    start_controller, start_querier,
 };
 use crate::scale_model::cost::{add, kind, timed};
 use crate::scale_model::plan;
@@ -28,98 +28,119 @@
 const SHARED: usize = 4_096;
 
 /// Something happens.
-pub fn happen(w: &mut World, hap: ScheduledEvent) {
-    match hap {
-        ScheduledEvent::SeatWake { s, life } if alive(w, s, life) => {
-            push(w, cstep::WAKE, ScheduledEvent::SeatWake { s, life });
-            step_seat(w, s, st::Event::Wake);
+pub fn handle(world: &mut World, event: ScheduledEvent) {
+    match event {
+        ScheduledEvent::ControllerTimer { controller, life } if alive(world, controller, life) => {
+            push(world, cstep::WAKE, ScheduledEvent::ControllerTimer { controller, life });
+            step_controller(world, controller, st::Event::Wake);
         }
-        ScheduledEvent::SeatGets { s, life, from, raw } if alive(w, s, life) => {
-            let n = &mut w.seats[s];
-            add(&mut n.meter.got, size(&raw));
-            let Some(message) = timed(&mut n.meter.code_ns, || read(&raw)) else { return };
+        ScheduledEvent::ControllerMessage { controller, life, from, raw }
+            if alive(world, controller, life) =>
+        {
+            let node = &mut world.controllers[controller];
+            add(&mut node.meter.got, size(&raw));
+            let Some(message) = timed(&mut node.meter.codec_ns, || read(&raw)) else { return };
             let (connection, event) = match from {
-                From::VoterSlot(seat) => {
-                    let n = &w.seats[usize::from(seat)];
-                    let connection = seat_wire(usize::from(seat), n.life);
-                    let holder = n.core.seating.roll.me;
+                Sender::VoterSlot(seat) => {
+                    let node = &world.controllers[usize::from(seat)];
+                    let connection = controller_connection(usize::from(seat), node.life);
+                    let holder = node.state.seating.roll.me;
                     (connection, st::Event::FromVoter { slot: seat, holder, connection, message })
                 }
-                From::Front(f, life) => {
-                    let connection = connection(f, life);
+                Sender::Querier(querier, life) => {
+                    let connection = connection(querier, life);
                     (connection, st::Event::FromConnection { connection, message })
                 }
-                From::Answer => return step_seat(w, s, st::Event::FromController { message }),
+                Sender::ConnectedController => {
+                    return step_controller(
+                        world,
+                        controller,
+                        st::Event::FromController { message },
+                    );
+                }
             };
             // What comes on a new connection is preceded by its opening.
-            if w.opened.insert((s, life, connection)) {
-                step_seat(w, s, st::Event::ConnectionOpened { connection });
+            if world.opened.insert((controller, life, connection)) {
+                step_controller(world, controller, st::Event::ConnectionOpened { connection });
             }
-            step_seat(w, s, event);
+            step_controller(world, controller, event);
         }
-        ScheduledEvent::SeatTakes { s, life, event } if alive(w, s, life) => {
-            step_seat(w, s, *event)
+        ScheduledEvent::ControllerEvent { controller, life, event }
+            if alive(world, controller, life) =>
+        {
+            step_controller(world, controller, *event)
         }
-        ScheduledEvent::Disk { s, life, part, token } if alive(w, s, life) => {
-            let event = match simulated_disk::done(&mut w.seats[s].disk, part, token) {
-                Some(Ok(())) => st::Event::Synced { partition: part, token },
-                Some(Err(why)) => st::Event::DiskFailed { partition: part, why },
-                None => return,
-            };
-            step_seat(w, s, event);
+        ScheduledEvent::DiskJobDone { controller, life, part, token }
+            if alive(world, controller, life) =>
+        {
+            let event =
+                match simulated_disk::done(&mut world.controllers[controller].disk, part, token) {
+                    Some(Ok(())) => st::Event::Synced { partition: part, token },
+                    Some(Err(why)) => st::Event::DiskFailed { partition: part, why },
+                    None => return,
+                };
+            step_controller(world, controller, event);
         }
-        ScheduledEvent::Kept { s, life, token } if alive(w, s, life) => {
-            let event = match simulated_disk::kept(&mut w.seats[s].disk, token) {
+        ScheduledEvent::VoterFileDone { controller, life, token }
+            if alive(world, controller, life) =>
+        {
+            let event = match simulated_disk::kept(&mut world.controllers[controller].disk, token) {
                 Some(Ok(())) => st::Event::VoterFileWritten { token },
                 Some(Err(why)) => st::Event::VoterFileFailed { why },
                 None => return,
             };
-            step_seat(w, s, event);
+            step_controller(world, controller, event);
         }
-        ScheduledEvent::FrontWake { f, life } if live(w, f, life) => {
-            push(w, qstep::WAKE, ScheduledEvent::FrontWake { f, life });
-            step_front(w, f, wat::Event::Wake);
+        ScheduledEvent::QuerierTimer { querier, life } if live(world, querier, life) => {
+            push(world, qstep::WAKE, ScheduledEvent::QuerierTimer { querier, life });
+            step_querier(world, querier, wat::Event::Wake);
         }
-        ScheduledEvent::FrontGets { f, life, from, raw } if live(w, f, life) => {
-            let n = &mut w.fronts[f];
-            add(&mut n.meter.got, size(&raw));
-            let Some(message) = timed(&mut n.meter.code_ns, || read(&raw)) else { return };
+        ScheduledEvent::QuerierMessage { querier, life, from, raw }
+            if live(world, querier, life) =>
+        {
+            let node = &mut world.queriers[querier];
+            add(&mut node.meter.got, size(&raw));
+            let Some(message) = timed(&mut node.meter.codec_ns, || read(&raw)) else { return };
             let event = match (from, message) {
-                (From::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
+                (Sender::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
                     wat::Event::Seats(table)
                 }
-                (From::VoterSlot(seat), message) => wat::Event::FromSeat { slot: seat, message },
-                (From::Front(g, _), message) => {
-                    wat::Event::FromMember { name: w.fronts[g].me.name.clone(), message }
+                (Sender::VoterSlot(seat), message) => wat::Event::FromSeat { slot: seat, message },
+                (Sender::Querier(g, _), message) => {
+                    wat::Event::FromMember { name: world.queriers[g].me.name.clone(), message }
                 }
-                (From::Answer, _) => return,
+                (Sender::ConnectedController, _) => return,
             };
-            step_front(w, f, event);
+            step_querier(world, querier, event);
+        }
+        ScheduledEvent::QuerierEvent { querier, life, event } if live(world, querier, life) => {
+            step_querier(world, querier, *event)
+        }
+        ScheduledEvent::ListResponse { querier, life } if live(world, querier, life) => {
+            let text = world.list.clone();
+            add(&mut world.list_polls, text.len());
+            let node = &mut world.queriers[querier];
+            node.polling = false;
+            let got = timed(&mut node.meter.codec_ns, || list::read(text.as_bytes()));
+            let got = got.map(|(all, _)| all).map_err(|querier| querier.to_string());
+            step_querier(world, querier, wat::Event::List(got));
         }
-        ScheduledEvent::FrontTakes { f, life, event } if live(w, f, life) => {
-            step_front(w, f, *event)
+        ScheduledEvent::StartQuerier { querier } if !world.queriers[querier].up => {
+            start_querier(world, querier)
         }
-        ScheduledEvent::List { f, life } if live(w, f, life) => {
-            let text = w.list.clone();
-            add(&mut w.polls, text.len());
-            let n = &mut w.fronts[f];
-            n.polling = false;
-            let got = timed(&mut n.meter.code_ns, || list::read(text.as_bytes()));
-            let got = got.map(|(all, _)| all).map_err(|f| f.to_string());
-            step_front(w, f, wat::Event::List(got));
+        ScheduledEvent::StartController { controller } if !world.controllers[controller].up => {
+            start_controller(world, controller)
         }
-        ScheduledEvent::StartFront { f } if !w.fronts[f].up => start_front(w, f),
-        ScheduledEvent::StartSeat { s } if !w.seats[s].up => start_seat(w, s),
         _ => {}
     }
 }
 
-fn alive(w: &World, s: usize, life: u64) -> bool {
-    w.seats[s].up && w.seats[s].life == life
+fn alive(world: &World, controller: usize, life: u64) -> bool {
+    world.controllers[controller].up && world.controllers[controller].life == life
 }
 
-fn live(w: &World, f: usize, life: u64) -> bool {
-    w.fronts[f].up && w.fronts[f].life == life
+fn live(world: &World, querier: usize, life: u64) -> bool {
+    world.queriers[querier].up && world.queriers[querier].life == life
 }
 
 fn size(raw: &Raw) -> usize {
@@ -139,27 +160,31 @@
     None
 }
 
-fn step_seat(w: &mut World, s: usize, event: st::Event) {
-    let n = &mut w.seats[s];
-    let local = w.now - n.began + BOOT;
-    n.meter.steps += 1;
-    let todo = timed(&mut n.meter.step_ns, || cstep::step(&mut n.core, local, event));
-    for command in todo {
-        seat_does(w, s, command);
+fn step_controller(world: &mut World, controller: usize, event: st::Event) {
+    let node = &mut world.controllers[controller];
+    let local = world.now - node.began + BOOT;
+    node.meter.steps += 1;
+    let commands = timed(&mut node.meter.step_ns, || cstep::step(&mut node.state, local, event));
+    for command in commands {
+        run_controller_command(world, controller, command);
     }
 }
 
-fn seat_does(w: &mut World, s: usize, command: grebepath_core::command::Command) {
-    let life = w.seats[s].life;
-    let here = plan::seat_zone(s as VoterSlot);
-    let from = From::VoterSlot(s as VoterSlot);
+fn run_controller_command(
+    world: &mut World,
+    controller: usize,
+    command: grebepath_core::command::Command,
+) {
+    let life = world.controllers[controller].life;
+    let here = plan::controller_zone(controller as VoterSlot);
+    let from = Sender::VoterSlot(controller as VoterSlot);
     match command {
         grebepath_core::command::Command::ToVoter { slot: seat, message } => {
-            seat_tells(w, s, usize::from(seat), from, &message)
+            controller_sends(world, controller, usize::from(seat), from, &message)
         }
         grebepath_core::command::Command::Broadcast { message } => {
-            for to in (0..w.seats.len()).filter(|to| *to != s) {
-                seat_tells(w, s, to, from, &message);
+            for to in (0..world.controllers.len()).filter(|to| *to != controller) {
+                controller_sends(world, controller, to, from, &message);
             }
         }
         grebepath_core::command::Command::ToConnection { connection, message }
@@ -167,122 +192,157 @@
         {
             let (to, life) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
             // A connection ends with the life that opened it.
-            if life == w.seats[to].life {
-                seat_tells(w, s, to, From::Answer, &message);
+            if life == world.controllers[to].life {
+                controller_sends(world, controller, to, Sender::ConnectedController, &message);
             }
         }
         // Nobody moves here: all connections are as they were.
         grebepath_core::command::Command::VoterSetChanged => {}
         grebepath_core::command::Command::WriteVoterFile { token, roll, clear } => {
-            add(&mut w.seats[s].meter.disk, voter_file::write(&roll).len());
-            let disk = &mut w.seats[s].disk;
-            if let Some(at) = simulated_disk::keep(disk, w.now, token, roll, clear, &mut w.luck) {
-                push_at(w, at, ScheduledEvent::Kept { s, life, token });
+            add(&mut world.controllers[controller].meter.disk, voter_file::write(&roll).len());
+            let disk = &mut world.controllers[controller].disk;
+            if let Some(at) =
+                simulated_disk::keep(disk, world.now, token, roll, clear, &mut world.random)
+            {
+                push_at(world, at, ScheduledEvent::VoterFileDone { controller, life, token });
             }
         }
         grebepath_core::command::Command::ToConnection { connection, message } => {
-            let (f, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
-            let raw = seat_writes(w, s, "seat-front", &message);
-            let at = arrival(w, (s, here), (f + w.seats.len(), w.fronts[f].zone));
-            push_at(w, at, ScheduledEvent::FrontGets { f, life, from, raw });
+            let (querier, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
+            let raw = encode_from_controller(world, controller, "seat-front", &message);
+            let at = arrival(
+                world,
+                (controller, here),
+                (querier + world.controllers.len(), world.queriers[querier].zone),
+            );
+            push_at(world, at, ScheduledEvent::QuerierMessage { querier, life, from, raw });
         }
         grebepath_core::command::Command::AppendRecord { partition: part, token, rec } => {
-            add(&mut w.seats[s].meter.disk, writer::rec(0, 0, &rec).len());
-            job(w, s, part, token, Job::Append(rec));
+            add(&mut world.controllers[controller].meter.disk, writer::rec(0, 0, &rec).len());
+            job(world, controller, part, token, Job::Append(rec));
         }
         grebepath_core::command::Command::WriteSnapshot { partition: part, token, copy } => {
-            add(&mut w.seats[s].meter.disk, writer::slot(part.0, 0, &copy).len());
-            job(w, s, part, token, Job::Slot(copy));
+            add(
+                &mut world.controllers[controller].meter.disk,
+                writer::slot(part.0, 0, &copy).len(),
+            );
+            job(world, controller, part, token, Job::Slot(copy));
         }
         grebepath_core::command::Command::Scrub { partition: part } => {
             let event = Box::new(st::Event::Scrubbed { partition: part, trouble: None });
-            push(w, ms(3), ScheduledEvent::SeatTakes { s, life, event });
+            push(world, ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
         }
         grebepath_core::command::Command::Respond { op, done } => {
-            w.done.insert(op, (w.now, done));
+            world.results.insert(op, (world.now, done));
         }
         grebepath_core::command::Command::OwnResponse { .. } => {}
         grebepath_core::command::Command::WakeAfter { span } => {
             let event = Box::new(st::Event::Wake);
-            push(w, span, ScheduledEvent::SeatTakes { s, life, event });
+            push(world, span, ScheduledEvent::ControllerEvent { controller, life, event });
+        }
+        grebepath_core::command::Command::Alarm(text) => {
+            *world.alarms.entry(text).or_default() += 1
         }
-        grebepath_core::command::Command::Alarm(text) => *w.alarms.entry(text).or_default() += 1,
     }
 }
 
-fn seat_tells(w: &mut World, s: usize, to: usize, from: From, message: &Message) {
-    let raw = seat_writes(w, s, "seat-seat", message);
-    let zones = (plan::seat_zone(s as VoterSlot), plan::seat_zone(to as VoterSlot));
-    let at = arrival(w, (s, zones.0), (to, zones.1));
-    let life = w.seats[to].life;
-    push_at(w, at, ScheduledEvent::SeatGets { s: to, life, from, raw });
+fn controller_sends(
+    world: &mut World,
+    controller: usize,
+    to: usize,
+    from: Sender,
+    message: &Message,
+) {
+    let raw = encode_from_controller(world, controller, "seat-seat", message);
+    let zones =
+        (plan::controller_zone(controller as VoterSlot), plan::controller_zone(to as VoterSlot));
+    let at = arrival(world, (controller, zones.0), (to, zones.1));
+    let life = world.controllers[to].life;
+    push_at(world, at, ScheduledEvent::ControllerMessage { controller: to, life, from, raw });
 }
 
-fn seat_writes(w: &mut World, s: usize, way: &'static str, message: &Message) -> Raw {
-    let n = &mut w.seats[s];
-    let mut raw = Rc::new(timed(&mut n.meter.code_ns, || frame::split(&frame::encode(message))));
+fn encode_from_controller(
+    world: &mut World,
+    controller: usize,
+    way: &'static str,
+    message: &Message,
+) -> Raw {
+    let node = &mut world.controllers[controller];
+    let mut raw =
+        Rc::new(timed(&mut node.meter.codec_ns, || frame::split(&frame::encode(message))));
     let bytes = size(&raw);
     if bytes >= SHARED {
-        match &n.last {
+        match &node.last {
             Some(last) if **last == *raw => raw = last.clone(),
-            _ => n.last = Some(raw.clone()),
+            _ => node.last = Some(raw.clone()),
         }
     }
-    add(&mut n.meter.sent, bytes);
-    add(w.ways.entry((way, kind(message))).or_default(), bytes);
+    add(&mut node.meter.sent, bytes);
+    add(world.traffic.entry((way, kind(message))).or_default(), bytes);
     raw
 }
 
 fn job(
-    w: &mut World,
-    s: usize,
+    world: &mut World,
+    controller: usize,
     part: grebepath_core::identifiers::PartitionId,
     token: u64,
     job: Job,
 ) {
-    let life = w.seats[s].life;
-    let at = simulated_disk::begin(&mut w.seats[s].disk, w.now, part, token, job, &mut w.luck);
+    let life = world.controllers[controller].life;
+    let at = simulated_disk::begin(
+        &mut world.controllers[controller].disk,
+        world.now,
+        part,
+        token,
+        job,
+        &mut world.random,
+    );
     if let Some(at) = at {
-        push_at(w, at, ScheduledEvent::Disk { s, life, part, token });
+        push_at(world, at, ScheduledEvent::DiskJobDone { controller, life, part, token });
     }
 }
 
-fn step_front(w: &mut World, f: usize, event: wat::Event) {
-    let n = &mut w.fronts[f];
-    let local = w.now - n.began + BOOT;
-    n.meter.steps += 1;
-    let todo = timed(&mut n.meter.step_ns, || qstep::step(&mut n.watch, local, event));
-    for command in todo {
-        front_does(w, f, command);
+fn step_querier(world: &mut World, querier: usize, event: wat::Event) {
+    let node = &mut world.queriers[querier];
+    let local = world.now - node.began + BOOT;
+    node.meter.steps += 1;
+    let commands = timed(&mut node.meter.step_ns, || qstep::step(&mut node.watch, local, event));
+    for command in commands {
+        run_querier_command(world, querier, command);
     }
 }
 
-fn front_does(w: &mut World, f: usize, command: wat::Command) {
-    let (life, here) = (w.fronts[f].life, w.fronts[f].zone);
-    let (from, own) = (From::Front(f, life), f + w.seats.len());
+fn run_querier_command(world: &mut World, querier: usize, command: wat::Command) {
+    let (life, here) = (world.queriers[querier].life, world.queriers[querier].zone);
+    let (from, own) = (Sender::Querier(querier, life), querier + world.controllers.len());
     match command {
         wat::Command::ToSeat { slot: seat, message } => {
-            front_tells(w, f, usize::from(seat), &message)
+            querier_sends(world, querier, usize::from(seat), &message)
         }
         wat::Command::ToAll { message } => {
-            for s in 0..w.seats.len() {
-                front_tells(w, f, s, &message);
+            for controller in 0..world.controllers.len() {
+                querier_sends(world, querier, controller, &message);
             }
         }
         wat::Command::ToMember { name, message, .. } => {
-            let raw = front_writes(w, f, "front-front", &message);
-            let Some(to) = w.by_name.get(&name).copied() else { return };
-            let at = arrival(w, (own, here), (to + w.seats.len(), w.fronts[to].zone));
-            let life = w.fronts[to].life;
-            push_at(w, at, ScheduledEvent::FrontGets { f: to, life, from, raw });
+            let raw = encode_from_querier(world, querier, "front-front", &message);
+            let Some(to) = world.by_name.get(&name).copied() else { return };
+            let at = arrival(
+                world,
+                (own, here),
+                (to + world.controllers.len(), world.queriers[to].zone),
+            );
+            let life = world.queriers[to].life;
+            push_at(world, at, ScheduledEvent::QuerierMessage { querier: to, life, from, raw });
         }
-        wat::Command::Ready(ready) => w.fronts[f].ready = ready,
-        wat::Command::PollList if !w.fronts[f].polling => {
-            w.fronts[f].polling = true;
-            push(w, 2 * MILLI, ScheduledEvent::List { f, life });
+        wat::Command::Ready(ready) => world.queriers[querier].ready = ready,
+        wat::Command::PollList if !world.queriers[querier].polling => {
+            world.queriers[querier].polling = true;
+            push(world, 2 * MILLI, ScheduledEvent::ListResponse { querier, life });
         }
         wat::Command::Probe(list) => {
-            w.probes += list.len() as u64;
+            world.probes += list.len() as u64;
             for info in list {
                 let word = LeafReport {
                     leaf: info.leaf.clone(),
@@ -290,29 +350,39 @@
                     ..LeafReport::default()
                 };
                 let event = Box::new(wat::Event::Word { service: info.service.clone(), word });
-                push(w, 2 * MILLI, ScheduledEvent::FrontTakes { f, life, event });
+                push(world, 2 * MILLI, ScheduledEvent::QuerierEvent { querier, life, event });
             }
         }
-        wat::Command::Alarm(text) => *w.alarms.entry(text).or_default() += 1,
+        wat::Command::Alarm(text) => *world.alarms.entry(text).or_default() += 1,
         // What threads are told costs no message.
         _ => {}
     }
 }
 
-fn front_tells(w: &mut World, f: usize, s: usize, message: &Message) {
-    let (from, zone) = (From::Front(f, w.fronts[f].life), w.fronts[f].zone);
-    let raw = front_writes(w, f, "front-seat", message);
-    let at = arrival(w, (f + w.seats.len(), zone), (s, plan::seat_zone(s as VoterSlot)));
-    let life = w.seats[s].life;
-    push_at(w, at, ScheduledEvent::SeatGets { s, life, from, raw });
+fn querier_sends(world: &mut World, querier: usize, controller: usize, message: &Message) {
+    let (from, zone) =
+        (Sender::Querier(querier, world.queriers[querier].life), world.queriers[querier].zone);
+    let raw = encode_from_querier(world, querier, "front-seat", message);
+    let at = arrival(
+        world,
+        (querier + world.controllers.len(), zone),
+        (controller, plan::controller_zone(controller as VoterSlot)),
+    );
+    let life = world.controllers[controller].life;
+    push_at(world, at, ScheduledEvent::ControllerMessage { controller, life, from, raw });
 }
 
-fn front_writes(w: &mut World, f: usize, way: &'static str, message: &Message) -> Raw {
-    let n = &mut w.fronts[f];
-    let raw = timed(&mut n.meter.code_ns, || frame::split(&frame::encode(message)));
+fn encode_from_querier(
+    world: &mut World,
+    querier: usize,
+    way: &'static str,
+    message: &Message,
+) -> Raw {
+    let node = &mut world.queriers[querier];
+    let raw = timed(&mut node.meter.codec_ns, || frame::split(&frame::encode(message)));
     let bytes = size_of(&raw);
-    add(&mut n.meter.sent, bytes);
-    add(w.ways.entry((way, kind(message))).or_default(), bytes);
+    add(&mut node.meter.sent, bytes);
+    add(world.traffic.entry((way, kind(message))).or_default(), bytes);
     Rc::new(raw)
 }
 
--- a/crates/simulator/src/scale_model/plan.rs
+++ b/crates/simulator/src/scale_model/plan.rs
@@ -46,24 +46,24 @@
 }
 
 /// The zone in which a seat stands: each in a region of its own.
-pub fn seat_zone(seat: VoterSlot) -> usize {
-    usize::from(seat) * ZONES / REGIONS % ZONES + 1
+pub fn controller_zone(slot: VoterSlot) -> usize {
+    usize::from(slot) * ZONES / REGIONS % ZONES + 1
 }
 
 /// Where a seat is reached.
-pub fn seat_addr(seat: usize) -> String {
-    format!("10.100.0.{seat}:9000")
+pub fn controller_address(slot: usize) -> String {
+    format!("10.100.0.{slot}:9000")
 }
 
 /// One way between two zones.
-pub fn way(a: usize, b: usize, luck: &mut Random) -> Span {
+pub fn way(a: usize, b: usize, random: &mut Random) -> Span {
     let gap = region(a).abs_diff(region(b)) as Span;
     let base = match (a == b, gap) {
         (true, _) => NEAR,
         (false, 0) => REGION,
         (false, n) => FAR * n,
     };
-    base + below(luck, base * WOBBLE_PCT / 100)
+    base + below(random, base * WOBBLE_PCT / 100)
 }
 
 /// The shard of the `n`th leaf.
--- a/crates/simulator/src/scale_model/show.rs
+++ b/crates/simulator/src/scale_model/show.rs
@@ -6,25 +6,25 @@
 use grebepath_core::time::{MILLI, SECOND, Span};
 
 use crate::scale_model::cost::{Cell, Meter};
-use crate::scale_model::phases::{Event, Found, Sum};
+use crate::scale_model::phases::{Event, Findings, Totals};
 
 /// All lines of one size.
-pub fn text(f: &Found) -> String {
+pub fn text(f: &Findings) -> String {
     let mut out = String::new();
     let o = &mut out;
     let _ = writeln!(o, "== {} members, {} leafs ==", f.size.members, f.size.leafs);
-    let _ = writeln!(o, "state of a querier      {:>12} bytes", f.calm.front_state);
-    let _ = writeln!(o, "state of a controller   {:>12} bytes", f.calm.seat_state);
-    let _ = writeln!(o, "what is stored          {:>12} bytes", f.calm.stored);
-    let _ = writeln!(o, "the platform's list     {:>12} bytes", f.calm.list_bytes);
-    let _ = writeln!(o, "~ memory of the process {:>12} bytes", f.resident);
-    let _ = writeln!(o, "~ a view is made in    {:>13.2} ms", f.calm.view_ns as f64 / 1e6);
+    let _ = writeln!(o, "state of a querier      {:>12} bytes", f.idle.querier_state);
+    let _ = writeln!(o, "state of a controller   {:>12} bytes", f.idle.controller_state);
+    let _ = writeln!(o, "what is stored          {:>12} bytes", f.idle.stored);
+    let _ = writeln!(o, "the platform's list     {:>12} bytes", f.idle.list_bytes);
+    let _ = writeln!(o, "~ memory of the process {:>12} bytes", f.resident_bytes);
+    let _ = writeln!(o, "~ a view is made in    {:>13.2} ms", f.idle.view_ns as f64 / 1e6);
     let _ = writeln!(o, "alarms                  {:>12}", f.alarms);
-    rates(o, &f.calm.sum);
+    rates(o, &f.idle.sum);
     let _ = writeln!(o, "first start: whole after {}", span(f.start));
     total(o, &f.start_sum, &f.start_sum, f.size.members);
     for (name, event) in &f.events {
-        happened(o, name, event, &f.calm.sum, f.size.members);
+        happened(o, name, event, &f.idle.sum, f.size.members);
     }
     out
 }
@@ -33,18 +33,18 @@
     n as f64 * SECOND as f64 / span.max(1) as f64
 }
 
-fn rates(o: &mut String, sum: &Sum) {
+fn rates(o: &mut String, sum: &Totals) {
     let _ = writeln!(o, "calm, {} s, a second:", sum.span / SECOND);
     let _ = writeln!(o, "  {:<24} {:>12} {:>14}", "kind", "messages", "bytes");
-    for ((way, kind), c) in &sum.ways {
+    for ((way, kind), c) in &sum.traffic {
         let name = format!("{way} {kind}");
         let (n, bytes) = (rate(c.n, sum.span), rate(c.bytes, sum.span));
         let _ = writeln!(o, "  {name:<24} {n:>12.1} {bytes:>14.0}");
     }
-    let (n, bytes) = (rate(sum.polls.n, sum.span), rate(sum.polls.bytes, sum.span));
+    let (n, bytes) = (rate(sum.list_polls.n, sum.span), rate(sum.list_polls.bytes, sum.span));
     let _ = writeln!(o, "  {:<24} {n:>12.1} {bytes:>14.0}", "polls of the list");
     let _ = writeln!(o, "  {:<24} {:>12.1}", "probes of leafs", rate(sum.probes, sum.span));
-    for (name, list) in [("querier", &sum.fronts), ("controller", &sum.seats)] {
+    for (name, list) in [("querier", &sum.queriers), ("controller", &sum.controllers)] {
         node(o, name, list, sum.span);
     }
 }
@@ -71,8 +71,8 @@
         o,
         "~ a {name}: processor {:.2}% in step, {:.2}% in writing and reading; worst {:.2}%",
         mean(&|m| m.step_ns) / 1e7,
-        mean(&|m| m.code_ns) / 1e7,
-        most(&|m| m.step_ns + m.code_ns) / 1e7,
+        mean(&|m| m.codec_ns) / 1e7,
+        most(&|m| m.step_ns + m.codec_ns) / 1e7,
     );
 }
 
@@ -80,18 +80,18 @@
     s.map_or("never".into(), |s| format!("{} ms", s / MILLI))
 }
 
-fn happened(o: &mut String, name: &str, e: &Event, calm: &Sum, members: usize) {
-    let told = e.told.map_or(String::new(), |t| format!("accepted after {}, ", t / MILLI));
-    let _ = writeln!(o, "{name}: {told}last member after {}", span(e.last));
-    total(o, &e.sum, &over(&e.sum, calm), members);
+fn happened(o: &mut String, name: &str, e: &Event, idle: &Totals, members: usize) {
+    let accepted = e.accepted.map_or(String::new(), |t| format!("accepted after {}, ", t / MILLI));
+    let _ = writeln!(o, "{name}: {accepted}last member after {}", span(e.last));
+    total(o, &e.sum, &over(&e.sum, idle), members);
 }
 
 /// What passed beyond that of a calm time of the same length.
-fn over(sum: &Sum, calm: &Sum) -> Sum {
-    let part = |n: u64| (n as f64 * sum.span as f64 / calm.span.max(1) as f64) as u64;
+fn over(sum: &Totals, idle: &Totals) -> Totals {
+    let part = |n: u64| (n as f64 * sum.span as f64 / idle.span.max(1) as f64) as u64;
     let mut out = sum.clone();
-    for (key, cell) in &mut out.ways {
-        let base = calm.ways.get(key).copied().unwrap_or(Cell::default());
+    for (key, cell) in &mut out.traffic {
+        let base = idle.traffic.get(key).copied().unwrap_or(Cell::default());
         cell.n = cell.n.saturating_sub(part(base.n));
         cell.bytes = cell.bytes.saturating_sub(part(base.bytes));
     }
@@ -99,8 +99,8 @@
 }
 
 /// The kinds that made most bytes beyond calm, and processor time in all.
-fn total(o: &mut String, sum: &Sum, over: &Sum, members: usize) {
-    let mut list: Vec<_> = over.ways.iter().collect();
+fn total(o: &mut String, sum: &Totals, over: &Totals, members: usize) {
+    let mut list: Vec<_> = over.traffic.iter().collect();
     list.sort_by_key(|(key, c)| (std::cmp::Reverse(c.bytes), **key));
     let n: u64 = list.iter().map(|(_, c)| c.n).sum();
     let bytes: u64 = list.iter().map(|(_, c)| c.bytes).sum();
@@ -110,15 +110,15 @@
         let name = format!("{way} {kind}");
         let _ = writeln!(o, "    {name:<24} {:>10} messages {:>14} bytes", c.n, c.bytes);
     }
-    let disk: u64 = sum.seats.iter().map(|m| m.disk.bytes).sum();
-    let syncs: u64 = sum.seats.iter().map(|m| m.disk.n).sum();
+    let disk: u64 = sum.controllers.iter().map(|m| m.disk.bytes).sum();
+    let syncs: u64 = sum.controllers.iter().map(|m| m.disk.n).sum();
     let _ = writeln!(o, "  disks of all controllers: {syncs} writes, {disk} bytes");
-    let most = |list: &[Meter]| list.iter().map(|m| m.step_ns + m.code_ns).max().unwrap_or(0);
+    let most = |list: &[Meter]| list.iter().map(|m| m.step_ns + m.codec_ns).max().unwrap_or(0);
     let _ = writeln!(
         o,
         "~ processor time of the busiest: querier {:.1} ms, controller {:.1} ms, in {} ms",
-        most(&sum.fronts) as f64 / 1e6,
-        most(&sum.seats) as f64 / 1e6,
+        most(&sum.queriers) as f64 / 1e6,
+        most(&sum.controllers) as f64 / 1e6,
         sum.span / MILLI,
     );
 }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -18,7 +18,7 @@
 use grebepath_core::storage::voter_file::Start;
 use grebepath_core::time::{BOOT, MILLI, Span, Tick, ms};
 
-use crate::scale_model::cost::{Cell, Meter, Ways};
+use crate::scale_model::cost::{Cell, Meter, Traffic};
 use crate::scale_model::plan;
 use crate::scale_model::plan::Size;
 use crate::simulated_disk;
@@ -26,17 +26,17 @@
 
 /// What happens, and to whom. A life ends with its process.
 pub enum ScheduledEvent {
-    SeatWake { s: usize, life: u64 },
-    SeatGets { s: usize, life: u64, from: From, raw: Raw },
-    SeatTakes { s: usize, life: u64, event: Box<st::Event> },
-    Disk { s: usize, life: u64, part: PartitionId, token: u64 },
-    Kept { s: usize, life: u64, token: u64 },
-    FrontWake { f: usize, life: u64 },
-    FrontGets { f: usize, life: u64, from: From, raw: Raw },
-    FrontTakes { f: usize, life: u64, event: Box<wat::Event> },
-    List { f: usize, life: u64 },
-    StartFront { f: usize },
-    StartSeat { s: usize },
+    ControllerTimer { controller: usize, life: u64 },
+    ControllerMessage { controller: usize, life: u64, from: Sender, raw: Raw },
+    ControllerEvent { controller: usize, life: u64, event: Box<st::Event> },
+    DiskJobDone { controller: usize, life: u64, part: PartitionId, token: u64 },
+    VoterFileDone { controller: usize, life: u64, token: u64 },
+    QuerierTimer { querier: usize, life: u64 },
+    QuerierMessage { querier: usize, life: u64, from: Sender, raw: Raw },
+    QuerierEvent { querier: usize, life: u64, event: Box<wat::Event> },
+    ListResponse { querier: usize, life: u64 },
+    StartQuerier { querier: usize },
+    StartController { controller: usize },
 }
 
 /// A message's pieces on their way; large ones are shared by all who get them.
@@ -44,17 +44,17 @@
 
 /// Who sent a message.
 #[derive(Clone, Copy)]
-pub enum From {
+pub enum Sender {
     VoterSlot(VoterSlot),
     /// A seat, on a connection that was opened to it.
-    Answer,
+    ConnectedController,
     /// A front, and in which of its lives.
-    Front(usize, u64),
+    Querier(usize, u64),
 }
 
 /// A controller.
 pub struct ControllerNode {
-    pub core: ControllerState,
+    pub state: ControllerState,
     pub disk: Disk,
     pub up: bool,
     pub life: u64,
@@ -65,7 +65,7 @@
 }
 
 /// A querier without traffic threads.
-pub struct Front {
+pub struct QuerierNode {
     pub me: Member,
     pub zone: usize,
     pub watch: Watch,
@@ -81,21 +81,21 @@
 pub struct World {
     pub now: Tick,
     pub size: Size,
-    haps: BTreeMap<(Tick, u64), ScheduledEvent>,
+    queue: BTreeMap<(Tick, u64), ScheduledEvent>,
     next: u64,
-    pub luck: Random,
-    pub seats: Vec<ControllerNode>,
-    pub fronts: Vec<Front>,
+    pub random: Random,
+    pub controllers: Vec<ControllerNode>,
+    pub queriers: Vec<QuerierNode>,
     pub by_name: HashMap<String, usize>,
     pub leafs: Vec<LeafInfo>,
     /// The platform's list as it is served.
     pub list: Rc<String>,
-    pub ways: Ways,
+    pub traffic: Traffic,
     /// Polls of the list and probes of leafs, which are not our messages.
-    pub polls: Cell,
+    pub list_polls: Cell,
     pub probes: u64,
     /// Outcomes of operators' requests, with their times.
-    pub done: BTreeMap<u64, (Tick, OperationResult)>,
+    pub results: BTreeMap<u64, (Tick, OperationResult)>,
     pub alarms: BTreeMap<String, u64>,
     last: HashMap<(usize, usize), Tick>,
     /// Wires that each controller has seen opened, by its life.
@@ -109,29 +109,29 @@
 
 /// A fleet that is just being started.
 pub fn world(size: Size, seed: u64) -> World {
-    let mut w = World {
+    let mut world = World {
         now: BEGIN,
         size,
-        haps: BTreeMap::new(),
+        queue: BTreeMap::new(),
         next: 0,
-        luck: luck(seed),
-        seats: Vec::new(),
-        fronts: Vec::new(),
+        random: luck(seed),
+        controllers: Vec::new(),
+        queriers: Vec::new(),
         by_name: HashMap::new(),
-        leafs: (0..size.leafs).map(|n| plan::leaf(n, size.leafs)).collect(),
+        leafs: (0..size.leafs).map(|node| plan::leaf(node, size.leafs)).collect(),
         list: Rc::default(),
-        ways: Ways::new(),
-        polls: Cell::default(),
+        traffic: Traffic::new(),
+        list_polls: Cell::default(),
         probes: 0,
-        done: BTreeMap::new(),
+        results: BTreeMap::new(),
         alarms: BTreeMap::new(),
         last: HashMap::new(),
         opened: HashSet::new(),
     };
-    w.list = Rc::new(plan::list(&w.leafs));
-    for s in 0..consts::SEATS as usize {
-        w.seats.push(ControllerNode {
-            core: st::core(Default::default(), ("", ""), Vec::new(), 0, BOOT),
+    world.list = Rc::new(plan::list(&world.leafs));
+    for controller in 0..consts::SEATS as usize {
+        world.controllers.push(ControllerNode {
+            state: st::core(Default::default(), ("", ""), Vec::new(), 0, BOOT),
             disk: simulated_disk::disk(partitions().count()),
             up: false,
             life: 0,
@@ -139,22 +139,22 @@
             meter: Meter::default(),
             last: None,
         });
-        start_seat(&mut w, s);
+        start_controller(&mut world, controller);
     }
-    for f in 0..size.members {
-        add_front(&mut w);
-        let after = below(&mut w.luck, SPREAD);
-        push(&mut w, after, ScheduledEvent::StartFront { f });
+    for querier in 0..size.members {
+        add_querier(&mut world);
+        let after = below(&mut world.random, SPREAD);
+        push(&mut world, after, ScheduledEvent::StartQuerier { querier });
     }
-    w
+    world
 }
 
 /// A machine for one more front, which is down.
-pub fn add_front(w: &mut World) -> usize {
-    let f = w.fronts.len();
-    let zone = plan::zone(f);
-    let name = format!("front-{}-{f:04}", plan::name(zone));
-    let addr = format!("10.200.{}.{}:9000", f >> 8, f & 255);
+pub fn add_querier(world: &mut World) -> usize {
+    let querier = world.queriers.len();
+    let zone = plan::zone(querier);
+    let name = format!("front-{}-{querier:04}", plan::name(zone));
+    let addr = format!("10.200.{}.{}:9000", querier >> 8, querier & 255);
     let me = Member {
         name: name.clone(),
         addr,
@@ -163,10 +163,10 @@
         joined: 0,
         incarnation: 0,
     };
-    w.by_name.insert(name, f);
+    world.by_name.insert(name, querier);
     let watch = wat::watch(me.clone(), BOOT);
     let meter = Meter::default();
-    let node = Front {
+    let node = QuerierNode {
         me,
         zone,
         watch,
@@ -177,46 +177,46 @@
         polling: false,
         meter,
     };
-    w.fronts.push(node);
-    f
+    world.queriers.push(node);
+    querier
 }
 
 /// Starts a front, which knows nothing.
-pub fn start_front(w: &mut World, f: usize) {
-    let n = &mut w.fronts[f];
-    n.life += 1;
-    (n.up, n.ready, n.polling, n.began) = (true, false, false, w.now);
-    n.me.incarnation = n.life;
-    n.watch = wat::watch(n.me.clone(), BOOT);
-    let life = n.life;
-    let after = below(&mut w.luck, qstep::WAKE);
-    push(w, after, ScheduledEvent::FrontWake { f, life });
+pub fn start_querier(world: &mut World, querier: usize) {
+    let node = &mut world.queriers[querier];
+    node.life += 1;
+    (node.up, node.ready, node.polling, node.began) = (true, false, false, world.now);
+    node.me.incarnation = node.life;
+    node.watch = wat::watch(node.me.clone(), BOOT);
+    let life = node.life;
+    let after = below(&mut world.random, qstep::WAKE);
+    push(world, after, ScheduledEvent::QuerierTimer { querier, life });
 }
 
 /// Ends a front at once.
-pub fn kill_front(w: &mut World, f: usize) {
-    let life = w.fronts[f].life;
-    let n = &mut w.fronts[f];
-    (n.up, n.ready) = (false, false);
-    n.watch = wat::watch(n.me.clone(), BOOT);
-    for s in 0..w.seats.len() {
-        let event = Box::new(st::Event::ConnectionClosed { connection: connection(f, life) });
-        let life = w.seats[s].life;
-        push(w, ms(2), ScheduledEvent::SeatTakes { s, life, event });
+pub fn kill_querier(world: &mut World, querier: usize) {
+    let life = world.queriers[querier].life;
+    let node = &mut world.queriers[querier];
+    (node.up, node.ready) = (false, false);
+    node.watch = wat::watch(node.me.clone(), BOOT);
+    for controller in 0..world.controllers.len() {
+        let event = Box::new(st::Event::ConnectionClosed { connection: connection(querier, life) });
+        let life = world.controllers[controller].life;
+        push(world, ms(2), ScheduledEvent::ControllerEvent { controller, life, event });
     }
 }
 
 /// Starts a controller on its disk.
-pub fn start_seat(w: &mut World, s: usize) {
-    let seed = grebepath_core::random::draw(&mut w.luck);
+pub fn start_controller(world: &mut World, controller: usize) {
+    let seed = grebepath_core::random::draw(&mut world.random);
     let start = Start {
-        slot: Some(s as VoterSlot),
-        first: w.now == BEGIN,
-        seeds: (0..consts::SEATS as usize).map(plan::seat_addr).collect(),
+        slot: Some(controller as VoterSlot),
+        first: world.now == BEGIN,
+        seeds: (0..consts::SEATS as usize).map(plan::controller_address).collect(),
         size: consts::SEATS as usize,
-        addr: plan::seat_addr(s),
+        addr: plan::controller_address(controller),
     };
-    let disk = &mut w.seats[s].disk;
+    let disk = &mut world.controllers[controller].disk;
     let bare = simulated_disk::bare(disk);
     let (roll, clear) = voter_file::begin(simulated_disk::roll(disk), &start, bare, seed);
     simulated_disk::put_roll(disk, &roll, clear);
@@ -235,94 +235,95 @@
             ),
         })
         .collect();
-    let n = &mut w.seats[s];
-    n.life += 1;
-    (n.up, n.began) = (true, w.now);
-    let zone = plan::name(plan::seat_zone(s as VoterSlot));
-    n.core = st::core(roll, (&start.addr, &zone), list, seed, BOOT);
-    let life = n.life;
-    push(w, below_wake(seed), ScheduledEvent::SeatWake { s, life });
+    let node = &mut world.controllers[controller];
+    node.life += 1;
+    (node.up, node.began) = (true, world.now);
+    let zone = plan::name(plan::controller_zone(controller as VoterSlot));
+    node.state = st::core(roll, (&start.addr, &zone), list, seed, BOOT);
+    let life = node.life;
+    push(world, start_delay(seed), ScheduledEvent::ControllerTimer { controller, life });
 }
 
-fn below_wake(seed: u64) -> Span {
+fn start_delay(seed: u64) -> Span {
     seed % cstep::WAKE
 }
 
 /// Ends a controller at once; its system writes what it was given.
-pub fn kill_seat(w: &mut World, s: usize) {
-    let n = &mut w.seats[s];
-    n.up = false;
-    for (part, token) in simulated_disk::waiting(&n.disk) {
-        simulated_disk::done(&mut n.disk, part, token);
+pub fn kill_controller(world: &mut World, controller: usize) {
+    let node = &mut world.controllers[controller];
+    node.up = false;
+    for (part, token) in simulated_disk::waiting(&node.disk) {
+        simulated_disk::done(&mut node.disk, part, token);
     }
-    for token in simulated_disk::rolls(&n.disk) {
-        simulated_disk::kept(&mut n.disk, token);
+    for token in simulated_disk::rolls(&node.disk) {
+        simulated_disk::kept(&mut node.disk, token);
     }
 }
 
 /// A front's connection to a seat, in one of its lives.
-pub fn connection(f: usize, life: u64) -> u64 {
-    ((f as u64) << 32) | life
+pub fn connection(querier: usize, life: u64) -> u64 {
+    ((querier as u64) << 32) | life
 }
 
 /// The connection that a seat opens to others, in one of its lives.
-pub fn seat_wire(s: usize, life: u64) -> u64 {
-    1 << 63 | (s as u64) << 32 | life
+pub fn controller_connection(controller: usize, life: u64) -> u64 {
+    1 << 63 | (controller as u64) << 32 | life
 }
 
 /// Lets something happen after a while.
-pub fn push(w: &mut World, after: Span, hap: ScheduledEvent) {
-    let at = w.now + after;
-    push_at(w, at, hap);
+pub fn push(world: &mut World, after: Span, event: ScheduledEvent) {
+    let at = world.now + after;
+    push_at(world, at, event);
 }
 
 /// Lets something happen at a time.
-pub fn push_at(w: &mut World, at: Tick, hap: ScheduledEvent) {
-    w.next += 1;
-    w.haps.insert((at, w.next), hap);
+pub fn push_at(world: &mut World, at: Tick, event: ScheduledEvent) {
+    world.next += 1;
+    world.queue.insert((at, world.next), event);
 }
 
 /// When a message sent now arrives: those of one connection keep their order.
-pub fn arrival(w: &mut World, from: (usize, usize), to: (usize, usize)) -> Tick {
-    let at = w.now + plan::way(from.1, to.1, &mut w.luck);
-    let last = w.last.entry((from.0, to.0)).or_insert(0);
+pub fn arrival(world: &mut World, from: (usize, usize), to: (usize, usize)) -> Tick {
+    let at = world.now + plan::way(from.1, to.1, &mut world.random);
+    let last = world.last.entry((from.0, to.0)).or_insert(0);
     *last = at.max(*last + 1);
     *last
 }
 
 /// Lets `span` pass.
-pub fn run(w: &mut World, span: Span) {
-    let end = w.now + span;
-    while let Some(entry) = w.haps.first_entry() {
+pub fn run(world: &mut World, span: Span) {
+    let end = world.now + span;
+    while let Some(entry) = world.queue.first_entry() {
         let at = entry.key().0;
         if at > end {
             break;
         }
-        let hap = entry.remove();
-        w.now = w.now.max(at);
-        crate::scale_model::does::happen(w, hap);
+        let event = entry.remove();
+        world.now = world.now.max(at);
+        crate::scale_model::does::handle(world, event);
     }
-    w.now = end;
+    world.now = end;
 }
 
 /// Lets time pass until `done`, at most `span`; the time it took.
-pub fn until(w: &mut World, span: Span, done: impl Fn(&World) -> bool) -> Option<Span> {
-    let begin = w.now;
-    while w.now < begin + span {
-        if done(w) {
-            return Some(w.now - begin);
+pub fn until(world: &mut World, span: Span, done: impl Fn(&World) -> bool) -> Option<Span> {
+    let begin = world.now;
+    while world.now < begin + span {
+        if done(world) {
+            return Some(world.now - begin);
         }
-        run(w, 10 * MILLI);
+        run(world, 10 * MILLI);
     }
-    done(w).then_some(w.now - begin)
+    done(world).then_some(world.now - begin)
 }
 
 /// The revision of a part that the seats show.
-pub fn top(w: &World, part: usize) -> u64 {
-    w.seats
+pub fn committed_revision_of(world: &World, part: usize) -> u64 {
+    world
+        .controllers
         .iter()
-        .filter(|s| s.up)
-        .map(|s| s.core.partitions[part].committed_revision)
+        .filter(|controller| controller.up)
+        .map(|controller| controller.state.partitions[part].committed_revision)
         .max()
         .unwrap_or(0)
 }
@@ -330,20 +331,22 @@
 /// Whether every front that is up obeys the newest configuration, knows every
 /// leaf, is ready, and has its settled place in the same membership, and every
 /// controller shows as much. Ages of leafs may still be under way.
-pub fn whole(w: &World) -> bool {
-    let up = w.fronts.iter().filter(|f| f.up);
-    let (revision, count) = (top(w, 0), up.clone().count());
-    let shows = |s: &ControllerNode| {
-        let leafs: usize = s.core.partitions[1..].iter().map(|p| p.committed.len()).sum();
-        s.up && s.core.partitions[0].committed_revision == revision && leafs == w.leafs.len()
+pub fn whole(world: &World) -> bool {
+    let up = world.queriers.iter().filter(|querier| querier.up);
+    let (revision, count) = (committed_revision_of(world, 0), up.clone().count());
+    let shows = |controller: &ControllerNode| {
+        let leafs: usize = controller.state.partitions[1..].iter().map(|p| p.committed.len()).sum();
+        controller.up
+            && controller.state.partitions[0].committed_revision == revision
+            && leafs == world.leafs.len()
     };
-    let whole = |f: &Front| {
-        let c = &f.watch.membership;
-        let view = f.watch.view.as_ref();
-        f.ready
+    let whole = |querier: &QuerierNode| {
+        let c = &querier.watch.membership;
+        let view = querier.watch.view.as_ref();
+        querier.ready
             && c.settled == c.turn
             && c.members.len() == count
-            && view.is_some_and(|v| v.revision == revision && v.leafs.len() == w.leafs.len())
+            && view.is_some_and(|v| v.revision == revision && v.leafs.len() == world.leafs.len())
     };
-    revision > 0 && w.seats.iter().all(shows) && up.clone().all(whole)
+    revision > 0 && world.controllers.iter().all(shows) && up.clone().all(whole)
 }
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -13,9 +13,9 @@
 mod read;
 mod values;
 
-pub use apply::befall;
-pub use play::{play, play_deviating, play_traced, play_weighed};
-pub use read::{drawn, read};
+pub use apply::apply_fault;
+pub use play::{play, play_traced, play_weighed, play_with_faults};
+pub use read::{generated_fault, read};
 
 /// A whole scenario.
 #[derive(Clone)]
@@ -27,22 +27,22 @@
     pub factor: f64,
     pub spec: Spec,
     pub config: Value,
-    pub troubles: Vec<Trouble>,
+    pub faults: Vec<ScheduledFault>,
     /// Whether leafs tell their age.
     pub ages: bool,
-    pub core: world::Cores,
+    pub control_plane: world::ControlPlaneSetup,
 }
 
 /// One trouble, at its time.
 #[derive(Clone, Debug)]
-pub struct Trouble {
+pub struct ScheduledFault {
     pub at_ms: u64,
-    pub what: String,
-    pub val: Value,
+    pub action: String,
+    pub parameters: Value,
 }
 
-impl fmt::Display for Trouble {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{} {}", self.what, self.val)
+impl fmt::Display for ScheduledFault {
+    fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
+        write!(formatter, "{} {}", self.action, self.parameters)
     }
 }
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -6,66 +6,78 @@
 use crate::world::{self, World};
 
 /// Runs a scenario to its end.
-pub fn play(s: &Scenario, seed: u64, broken: Option<world::Broken>) -> World {
-    play_weighed(s, seed, broken, false)
+pub fn play(scenario: &Scenario, seed: u64, faulty_variant: Option<world::FaultyVariant>) -> World {
+    play_weighed(scenario, seed, faulty_variant, false)
 }
 
 /// `play`, with messages weighed from the moment the fleet has come up.
-pub fn play_weighed(s: &Scenario, seed: u64, broken: Option<world::Broken>, weigh: bool) -> World {
-    let mut w = come_up(s, seed, broken);
-    w.net.weights = weigh.then(Default::default);
-    play_on(&mut w, s);
-    w
+pub fn play_weighed(
+    scenario: &Scenario,
+    seed: u64,
+    faulty_variant: Option<world::FaultyVariant>,
+    weigh: bool,
+) -> World {
+    let mut world = come_up(scenario, seed, faulty_variant);
+    world.net.weights = weigh.then(Default::default);
+    play_on(&mut world, scenario);
+    world
 }
 
 /// `play`, with faults at numbered events of the controllers. Their window is
 /// given in time of the scenario.
-pub fn play_deviating(
-    s: &Scenario,
+pub fn play_with_faults(
+    scenario: &Scenario,
     seed: u64,
-    broken: Option<world::Broken>,
-    deviations: world::Deviations,
+    faulty_variant: Option<world::FaultyVariant>,
+    injected: world::FaultInjection,
 ) -> World {
-    let mut w = come_up(s, seed, broken);
-    let began = world::since_begin(&w);
-    let (from, to) = deviations.window;
-    w.deviations = world::Deviations { window: (began + from, began + to), ..deviations };
-    play_on(&mut w, s);
-    w
+    let mut world = come_up(scenario, seed, faulty_variant);
+    let began = world::since_begin(&world);
+    let (from, to) = injected.window;
+    world.injected = world::FaultInjection { window: (began + from, began + to), ..injected };
+    play_on(&mut world, scenario);
+    world
 }
 
 /// `play_deviating`, with the hash of all messages kept from the moment the fleet
 /// has come up.
-pub fn play_traced(s: &Scenario, seed: u64, deviations: world::Deviations) -> World {
-    let mut w = come_up(s, seed, None);
-    w.net.trace = Some(0);
-    let began = world::since_begin(&w);
-    let (from, to) = deviations.window;
-    w.deviations = world::Deviations { window: (began + from, began + to), ..deviations };
-    play_on(&mut w, s);
-    w
+pub fn play_traced(scenario: &Scenario, seed: u64, injected: world::FaultInjection) -> World {
+    let mut world = come_up(scenario, seed, None);
+    world.net.trace = Some(0);
+    let began = world::since_begin(&world);
+    let (from, to) = injected.window;
+    world.injected = world::FaultInjection { window: (began + from, began + to), ..injected };
+    play_on(&mut world, scenario);
+    world
 }
 
 /// A fleet that has come up, before anything happens.
-pub(super) fn come_up(s: &Scenario, seed: u64, broken: Option<world::Broken>) -> World {
-    let mut w = world::world(&s.spec, s.core.clone(), s.queriers, seed);
-    w.broken = broken;
-    w.backs.ages = s.ages;
-    world::order(&mut w, ms(200), world::whole(&s.config));
-    world::until(&mut w, 20 * SECOND, |w| {
-        world::settled(w) && !w.orders.is_empty() && w.orders[0].done.is_some()
+pub(super) fn come_up(
+    scenario: &Scenario,
+    seed: u64,
+    faulty_variant: Option<world::FaultyVariant>,
+) -> World {
+    let mut world =
+        world::world(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
+    world.faulty_variant = faulty_variant;
+    world.backends.ages = scenario.ages;
+    world::submit(&mut world, ms(200), world::whole(&scenario.config));
+    world::until(&mut world, 20 * SECOND, |world| {
+        world::settled(world)
+            && !world.operator_requests.is_empty()
+            && world.operator_requests[0].result.is_some()
     });
-    world::run(&mut w, 2 * SECOND);
-    w
+    world::run(&mut world, 2 * SECOND);
+    world
 }
 
 /// Lets the scenario happen to a fleet that has come up.
-pub(super) fn play_on(w: &mut World, s: &Scenario) {
-    let troubles = s.troubles.clone();
-    world::plan(w, troubles);
-    world::begin_calls(w, s.factor);
-    world::run(w, s.seconds * SECOND);
-    w.calls_end = w.now;
-    world::run(w, 3 * SECOND);
-    world::finish(w);
+pub(super) fn play_on(world: &mut World, scenario: &Scenario) {
+    let troubles = scenario.faults.clone();
+    world::plan(world, troubles);
+    world::start_calls(world, scenario.factor);
+    world::run(world, scenario.seconds * SECOND);
+    world.calls_end_at = world.now;
+    world::run(world, 3 * SECOND);
+    world::finish(world);
 }
--- a/crates/simulator/src/scenario/read.rs
+++ b/crates/simulator/src/scenario/read.rs
@@ -3,13 +3,13 @@
 use grebepath_core::routing_language::diagnostic::{Diagnostic, find};
 use serde_json::Value;
 
-use super::values::{health, list_mode, mode, nodes};
-use super::{Scenario, Trouble};
+use super::values::{disk_health, leaf_mode, list_mode, named_nodes};
+use super::{Scenario, ScheduledFault};
 use crate::spec;
 use crate::world;
 
 /// The words for troubles, each with the fields it may have beside `at_s`.
-pub(super) const WORDS: &[(&str, &[&str])] = &[
+pub(super) const ACTIONS: &[(&str, &[&str])] = &[
     ("kill-seat", &["which", "for_s", "power", "lose"]),
     ("stop-seat", &["which", "for_s"]),
     ("kill-querier", &["which", "for_s"]),
@@ -50,12 +50,16 @@
     text: &[u8],
     load: &dyn Fn(&str) -> Result<Value, String>,
 ) -> Result<Scenario, Vec<Diagnostic>> {
-    let mut all = Vec::new();
-    let val: Value = match serde_json::from_slice(text) {
-        Ok(val) => val,
+    let mut diagnostics = Vec::new();
+    let value: Value = match serde_json::from_slice(text) {
+        Ok(value) => value,
         Err(e) => {
-            find(&mut all, format!("$:{}:{}", e.line(), e.column()), format!("not JSON: {e}"));
-            return Err(all);
+            find(
+                &mut diagnostics,
+                format!("$:{}:{}", e.line(), e.column()),
+                format!("not JSON: {e}"),
+            );
+            return Err(diagnostics);
         }
     };
     let known = [
@@ -70,129 +74,150 @@
         "seats",
         "controllers",
     ];
-    for key in val.as_object().into_iter().flat_map(|m| m.keys()) {
+    for key in value.as_object().into_iter().flat_map(|fields| fields.keys()) {
         if !known.contains(&key.as_str()) {
-            find(&mut all, key, format!("unknown field; known are {}", known.join(", ")));
+            find(&mut diagnostics, key, format!("unknown field; known are {}", known.join(", ")));
         }
     }
-    let name = val["deployment"].as_str().unwrap_or("mohalla");
+    let name = value["deployment"].as_str().unwrap_or("mohalla");
     let spec = load(&format!("{name}.standins.json")).and_then(|v| spec::parse(&v));
-    let config = match val.get("config") {
-        Some(conf) => Ok(conf.clone()),
+    let config = match value.get("config") {
+        Some(config) => Ok(config.clone()),
         None => load(&format!("{name}.json")),
     };
     for e in [spec.as_ref().err(), config.as_ref().err()].into_iter().flatten() {
-        find(&mut all, "deployment", e.clone());
+        find(&mut diagnostics, "deployment", e.clone());
     }
-    let seconds = whole(&val, "seconds", 1, 86_400, &mut all);
-    let queriers = whole(&val, "queriers", 1, 200, &mut all) as usize;
-    let factor = val["factor"].as_f64().unwrap_or(1.0);
+    let seconds = read_integer(&value, "seconds", 1, 86_400, &mut diagnostics);
+    let queriers = read_integer(&value, "queriers", 1, 200, &mut diagnostics) as usize;
+    let factor = value["factor"].as_f64().unwrap_or(1.0);
     if !(0.001..=100.0).contains(&factor) {
-        find(&mut all, "factor", "expected a number from 0.001 to 100");
-    }
-    let core = cores(&val, &mut all);
-    let listed = val["troubles"].as_array().into_iter().flatten();
-    let machines = core.machines + listed.filter(|t| t["do"] == "add-seat").count();
-    let mut troubles = Vec::new();
-    for (i, t) in val["troubles"].as_array().into_iter().flatten().enumerate() {
-        if let Some(t) = trouble(&format!("troubles[{i}]"), t, (queriers, machines), &mut all) {
-            troubles.push(t);
+        find(&mut diagnostics, "factor", "expected a number from 0.001 to 100");
+    }
+    let control_plane = control_plane(&value, &mut diagnostics);
+    let listed = value["troubles"].as_array().into_iter().flatten();
+    let machines =
+        control_plane.machines + listed.filter(|fault| fault["do"] == "add-seat").count();
+    let mut faults = Vec::new();
+    for (i, fault) in value["troubles"].as_array().into_iter().flatten().enumerate() {
+        if let Some(fault) =
+            read_fault(&format!("troubles[{i}]"), fault, (queriers, machines), &mut diagnostics)
+        {
+            faults.push(fault);
         }
     }
     match (spec, config) {
-        (Ok(spec), Ok(config)) if all.is_empty() => Ok(Scenario {
-            name: val["name"].as_str().unwrap_or("unnamed").to_string(),
+        (Ok(spec), Ok(config)) if diagnostics.is_empty() => Ok(Scenario {
+            name: value["name"].as_str().unwrap_or("unnamed").to_string(),
             seconds,
             queriers,
             factor,
             spec,
             config,
-            troubles,
-            ages: val["ages"].as_bool().unwrap_or(true),
-            core,
+            faults: faults,
+            ages: value["ages"].as_bool().unwrap_or(true),
+            control_plane,
         }),
-        _ => Err(all),
+        _ => Err(diagnostics),
     }
 }
 
 /// The core: three controllers that are told their seats, unless the scenario
 /// says how many seats there are, or how many controllers.
-pub(super) fn cores(val: &Value, all: &mut Vec<Diagnostic>) -> world::Cores {
-    if val.get("seats").is_none() && val.get("controllers").is_none() {
-        return world::three();
+pub(super) fn control_plane(
+    value: &Value,
+    diagnostics: &mut Vec<Diagnostic>,
+) -> world::ControlPlaneSetup {
+    if value.get("seats").is_none() && value.get("controllers").is_none() {
+        return world::three_voters();
     }
-    let seats = whole(val, "seats", 1, 9, all) as usize;
-    let machines = whole(val, "controllers", 1, 12, all) as usize;
+    let seats = read_integer(value, "seats", 1, 9, diagnostics) as usize;
+    let machines = read_integer(value, "controllers", 1, 12, diagnostics) as usize;
     if seats.is_multiple_of(2) || machines < seats {
-        find(all, "seats", "expected an odd number of seats and a controller for each");
+        find(diagnostics, "seats", "expected an odd number of seats and a controller for each");
+    }
+    world::ControlPlaneSetup {
+        voter_slots: seats,
+        machines,
+        slots_assigned: false,
+        seeds: (0..machines.min(3)).collect(),
     }
-    world::Cores { seats, machines, told: false, seeds: (0..machines.min(3)).collect() }
 }
 
-pub(super) fn whole(val: &Value, key: &str, low: u64, high: u64, all: &mut Vec<Diagnostic>) -> u64 {
-    match val[key].as_u64() {
+pub(super) fn read_integer(
+    value: &Value,
+    key: &str,
+    low: u64,
+    high: u64,
+    diagnostics: &mut Vec<Diagnostic>,
+) -> u64 {
+    match value[key].as_u64() {
         Some(n) if (low..=high).contains(&n) => n,
         _ => {
-            find(all, key, format!("expected a whole number from {low} to {high}"));
+            find(diagnostics, key, format!("expected a whole number from {low} to {high}"));
             low
         }
     }
 }
 
-pub(super) fn trouble(
+pub(super) fn read_fault(
     at: &str,
-    val: &Value,
+    value: &Value,
     (queriers, seats): (usize, usize),
-    all: &mut Vec<Diagnostic>,
-) -> Option<Trouble> {
-    let before = all.len();
-    let what = val["do"].as_str().unwrap_or_default().to_string();
-    let Some((_, fields)) = WORDS.iter().find(|w| w.0 == what) else {
-        let words: Vec<&str> = WORDS.iter().map(|w| w.0).collect();
-        find(all, format!("{at}.do"), format!("expected one of {}", words.join(", ")));
+    diagnostics: &mut Vec<Diagnostic>,
+) -> Option<ScheduledFault> {
+    let before = diagnostics.len();
+    let action = value["do"].as_str().unwrap_or_default().to_string();
+    let Some((_, fields)) = ACTIONS.iter().find(|known| known.0 == action) else {
+        let words: Vec<&str> = ACTIONS.iter().map(|known| known.0).collect();
+        find(diagnostics, format!("{at}.do"), format!("expected one of {}", words.join(", ")));
         return None;
     };
-    let Some(at_s) = val["at_s"].as_f64().filter(|t| (0.0..=86_400.0).contains(t)) else {
-        find(all, format!("{at}.at_s"), "expected a time in seconds");
+    let Some(at_s) = value["at_s"].as_f64().filter(|fault| (0.0..=86_400.0).contains(fault)) else {
+        find(diagnostics, format!("{at}.at_s"), "expected a time in seconds");
         return None;
     };
-    for key in val.as_object().into_iter().flat_map(|m| m.keys()) {
+    for key in value.as_object().into_iter().flat_map(|fields| fields.keys()) {
         if key != "do" && key != "at_s" && !fields.contains(&key.as_str()) {
-            find(all, format!("{at}.{key}"), format!("`{what}` has no such field"));
+            find(diagnostics, format!("{at}.{key}"), format!("`{action}` has no such field"));
         }
     }
     if fields.contains(&"which") {
-        let top = if what.ends_with("querier") { queriers } else { seats };
-        if val["which"].as_u64().is_none_or(|n| n as usize >= top) {
-            find(all, format!("{at}.which"), format!("expected a number below {top}"));
+        let top = if action.ends_with("querier") { queriers } else { seats };
+        if value["which"].as_u64().is_none_or(|n| n as usize >= top) {
+            find(diagnostics, format!("{at}.which"), format!("expected a number below {top}"));
         }
     }
-    if fields.contains(&"mode") && what == "leafs" && mode(val).is_none() {
-        find(all, format!("{at}.mode"), "unknown mode of leafs");
+    if fields.contains(&"mode") && action == "leafs" && leaf_mode(value).is_none() {
+        find(diagnostics, format!("{at}.mode"), "unknown mode of leafs");
     }
-    if what == "list" && list_mode(val).is_none() {
-        find(all, format!("{at}.mode"), "expected good, empty, garbage, dead or stale");
+    if action == "list" && list_mode(value).is_none() {
+        find(diagnostics, format!("{at}.mode"), "expected good, empty, garbage, dead or stale");
     }
-    if what == "disk" && health(val).is_none() {
-        find(all, format!("{at}.health"), "expected good, slow, full or stalled");
+    if action == "disk" && disk_health(value).is_none() {
+        find(diagnostics, format!("{at}.health"), "expected good, slow, full or stalled");
     }
-    if what == "cut" {
+    if action == "cut" {
         for side in ["a", "b"] {
-            for n in val[side].as_array().into_iter().flatten() {
-                if n.as_str().is_none_or(|n| nodes(n, queriers, seats).is_empty()) {
-                    find(all, format!("{at}.{side}"), format!("{n} names no machine"));
+            for n in value[side].as_array().into_iter().flatten() {
+                if n.as_str().is_none_or(|n| named_nodes(n, queriers, seats).is_empty()) {
+                    find(diagnostics, format!("{at}.{side}"), format!("{n} names no machine"));
                 }
             }
         }
     }
-    (all.len() == before).then(|| Trouble { at_ms: (at_s * 1000.0) as u64, what, val: val.clone() })
+    (diagnostics.len() == before).then(|| ScheduledFault {
+        at_ms: (at_s * 1000.0) as u64,
+        action,
+        parameters: value.clone(),
+    })
 }
 
 /// A trouble that a generator made, which is well formed.
-pub fn drawn(val: &Value) -> Trouble {
-    Trouble {
-        at_ms: (val["at_s"].as_f64().unwrap_or(0.0) * 1000.0) as u64,
-        what: val["do"].as_str().unwrap_or_default().to_string(),
-        val: val.clone(),
+pub fn generated_fault(value: &Value) -> ScheduledFault {
+    ScheduledFault {
+        at_ms: (value["at_s"].as_f64().unwrap_or(0.0) * 1000.0) as u64,
+        action: value["do"].as_str().unwrap_or_default().to_string(),
+        parameters: value.clone(),
     }
 }
--- a/crates/simulator/src/scenario/values.rs
+++ b/crates/simulator/src/scenario/values.rs
@@ -8,19 +8,19 @@
 use crate::simulated_disk::Health;
 
 /// The machines that a word names.
-pub(super) fn nodes(word: &str, queriers: usize, machines: usize) -> Vec<Node> {
-    let seats = (0..machines as u8).map(Node::Controller);
-    let all = (0..queriers).map(Node::Querier);
+pub(super) fn named_nodes(word: &str, queriers: usize, machines: usize) -> Vec<Node> {
+    let controllers = (0..machines as u8).map(Node::Controller);
+    let queriers_named = (0..queriers).map(Node::Querier);
     match word {
         "list" => vec![Node::List],
-        "seats" => seats.collect(),
-        "queriers" => all.collect(),
-        "all" => seats.chain(all).chain([Node::List]).collect(),
+        "seats" => controllers.collect(),
+        "queriers" => queriers_named.collect(),
+        "all" => controllers.chain(queriers_named).chain([Node::List]).collect(),
         _ => {
             if let Some(zone) = word.strip_prefix("zone-") {
-                let Some(z) = ZONES.iter().position(|n| *n == zone) else { return Vec::new() };
-                let own = (0..queriers).filter(|q| q % 3 == z).map(Node::Querier);
-                return seats.skip(z).step_by(ZONES.len()).chain(own).collect();
+                let Some(index) = ZONES.iter().position(|n| *n == zone) else { return Vec::new() };
+                let own = (0..queriers).filter(|querier| querier % 3 == index).map(Node::Querier);
+                return controllers.skip(index).step_by(ZONES.len()).chain(own).collect();
             }
             if let Some(n) = word.strip_prefix("seat").and_then(|n| n.parse::<u8>().ok()) {
                 let known = usize::from(n) < machines;
@@ -34,13 +34,15 @@
     }
 }
 
-pub(super) fn mode(val: &Value) -> Option<Mode> {
-    let span = ms(val["ms"].as_u64().unwrap_or(200));
-    Some(match val["mode"].as_str()? {
+pub(super) fn leaf_mode(value: &Value) -> Option<Mode> {
+    let span = ms(value["ms"].as_u64().unwrap_or(200));
+    Some(match value["mode"].as_str()? {
         "good" => Mode::Good,
         "slow" => Mode::Slow(span),
         "dark" => Mode::Dark,
-        "pauses" => Mode::Pauses { every: ms(val["every"].as_u64().unwrap_or(3_000)), pause: span },
+        "pauses" => {
+            Mode::Pauses { every: ms(value["every"].as_u64().unwrap_or(3_000)), pause: span }
+        }
         "garbage" => Mode::Garbage,
         "disorder" => Mode::Disorder,
         "no-postmark" => Mode::NoPostmark,
@@ -52,8 +54,8 @@
     })
 }
 
-pub(super) fn list_mode(val: &Value) -> Option<ListMode> {
-    Some(match val["mode"].as_str()? {
+pub(super) fn list_mode(value: &Value) -> Option<ListMode> {
+    Some(match value["mode"].as_str()? {
         "good" => ListMode::Good,
         "empty" => ListMode::Empty,
         "garbage" => ListMode::Garbage,
@@ -63,10 +65,10 @@
     })
 }
 
-pub(super) fn health(val: &Value) -> Option<Health> {
-    Some(match val["health"].as_str()? {
+pub(super) fn disk_health(value: &Value) -> Option<Health> {
+    Some(match value["health"].as_str()? {
         "good" => Health::Good,
-        "slow" => Health::Slow(ms(val["ms"].as_u64().unwrap_or(100))),
+        "slow" => Health::Slow(ms(value["ms"].as_u64().unwrap_or(100))),
         "full" => Health::Full,
         "stalled" => Health::Stalled,
         _ => return None,
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -75,10 +75,10 @@
     part: PartitionId,
     token: u64,
     job: Job,
-    luck: &mut Random,
+    random: &mut Random,
 ) -> Option<Tick> {
     let took = ms(1)
-        + below(luck, ms(3))
+        + below(random, ms(3))
         + match d.health {
             Health::Slow(more) => more,
             _ => 0,
@@ -98,11 +98,11 @@
     token: u64,
     roll: VoterFile,
     clear: bool,
-    luck: &mut Random,
+    random: &mut Random,
 ) -> Option<Tick> {
     d.rolls.push((token, roll, clear));
     let slow = if let Health::Slow(more) = d.health { more } else { 0 };
-    let took = ms(1) + below(luck, ms(3)) + slow;
+    let took = ms(1) + below(random, ms(3)) + slow;
     if d.health == Health::Stalled {
         return None;
     }
@@ -190,11 +190,11 @@
 }
 
 /// Power is lost: what was under way lasts in part, by chance.
-pub fn power_loss(d: &mut Disk, luck: &mut Random) {
+pub fn power_loss(d: &mut Disk, random: &mut Random) {
     let line = std::mem::take(&mut d.line);
     // A file that is renamed is there or it is not.
     for (_, roll, clear) in std::mem::take(&mut d.rolls) {
-        if chance(luck, 1, 2) {
+        if chance(random, 1, 2) {
             break;
         }
         put_roll(d, &roll, clear);
@@ -205,7 +205,7 @@
         if broken[at] {
             continue;
         }
-        broken[at] = !partly(&mut d.parts[at], part, job, luck);
+        broken[at] = !partly(&mut d.parts[at], part, job, random);
     }
     d.busy = 0;
     for f in &mut d.parts {
@@ -214,15 +214,15 @@
 }
 
 /// Lets a job take effect in part; true if all of it lasts.
-fn partly(f: &mut Files, part: PartitionId, job: Job, luck: &mut Random) -> bool {
-    let whole = chance(luck, 1, 3);
+fn partly(f: &mut Files, part: PartitionId, job: Job, random: &mut Random) -> bool {
+    let whole = chance(random, 1, 3);
     match job {
         Job::Append(_) if !f.open => false,
         Job::Append(rec) => {
             let mut raw = writer::rec(f.seq, f.num, &rec);
             if !whole {
-                let keep = below(luck, raw.len() as u64) as usize;
-                if chance(luck, 1, 2) {
+                let keep = below(random, raw.len() as u64) as usize;
+                if chance(random, 1, 2) {
                     // The file's length came through, its bytes did not.
                     raw[keep..].fill(0);
                 } else {
@@ -236,9 +236,9 @@
         Job::Slot(copy) => {
             let seq = f.seq + 1;
             let mut raw = writer::slot(part.0, seq, &copy);
-            let torn = chance(luck, 1, 2);
+            let torn = chance(random, 1, 2);
             if torn {
-                raw.truncate(below(luck, raw.len() as u64) as usize);
+                raw.truncate(below(random, raw.len() as u64) as usize);
             }
             f.slots[(seq % 2) as usize] = Some(raw);
             if !torn {
@@ -260,17 +260,17 @@
 }
 
 /// Flips one bit of what lies on the disk; false if nothing lies there.
-pub fn flip(d: &mut Disk, luck: &mut Random) -> bool {
-    let at = below(luck, d.parts.len() as u64) as usize;
+pub fn flip(d: &mut Disk, random: &mut Random) -> bool {
+    let at = below(random, d.parts.len() as u64) as usize;
     let f = &mut d.parts[at];
     let newest = (f.seq % 2) as usize;
     let raw = match (&mut f.slots[newest], &mut f.log) {
-        (_, Some(log)) if chance(luck, 1, 2) && log.len() > 40 => log,
+        (_, Some(log)) if chance(random, 1, 2) && log.len() > 40 => log,
         (Some(slot), _) => slot,
         _ => return false,
     };
-    let i = below(luck, raw.len() as u64) as usize;
-    raw[i] ^= 1 << below(luck, 8);
+    let i = below(random, raw.len() as u64) as usize;
+    raw[i] ^= 1 << below(random, 8);
     true
 }
 
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -7,9 +7,9 @@
 use grebepath_core::random::luck;
 use grebepath_core::time::{Tick, ms};
 
-use super::controllers::add_seat;
-use super::deviations::Deviations;
+use super::controllers::add_controller;
 use super::events::{ScheduledEvent, push};
+use super::injected_faults::FaultInjection;
 use super::nodes::QuerierNode;
 use super::queriers::start_querier;
 use super::{BEGIN, THREADS, World};
@@ -21,72 +21,72 @@
 
 /// How the core is set up.
 #[derive(Clone, Debug)]
-pub struct Cores {
-    pub seats: usize,
+pub struct ControlPlaneSetup {
+    pub voter_slots: usize,
     /// Machines that begin; those beyond `seats` are spares.
     pub machines: usize,
     /// Controllers are told their seats; else they find them.
-    pub told: bool,
+    pub slots_assigned: bool,
     /// The machines that a start is told of.
     pub seeds: Vec<usize>,
 }
 
 /// The core of most scenarios: three machines that know their seats.
-pub fn three() -> Cores {
-    Cores { seats: 3, machines: 3, told: true, seeds: vec![0, 1, 2] }
+pub fn three_voters() -> ControlPlaneSetup {
+    ControlPlaneSetup { voter_slots: 3, machines: 3, slots_assigned: true, seeds: vec![0, 1, 2] }
 }
 
 /// Where a controller's machine is reached.
-pub fn address(s: usize) -> String {
-    format!("127.1.0.{}:8000", s + 1)
+pub fn address(controller: usize) -> String {
+    format!("127.1.0.{}:8000", controller + 1)
 }
 
 /// The machine at an address.
-pub(super) fn machine(w: &World, addr: &str) -> Option<usize> {
-    (0..w.seats.len()).find(|s| address(*s) == addr)
+pub(super) fn machine(world: &World, addr: &str) -> Option<usize> {
+    (0..world.controllers.len()).find(|controller| address(*controller) == addr)
 }
 
 /// A fleet that is just being started.
-pub fn world(spec: &Spec, core: Cores, queriers: usize, seed: u64) -> World {
-    let mut w = World {
+pub fn world(spec: &Spec, control_plane: ControlPlaneSetup, queriers: usize, seed: u64) -> World {
+    let mut world = World {
         now: BEGIN,
-        haps: BTreeMap::new(),
+        queue: BTreeMap::new(),
         next: 0,
-        luck: luck(seed),
+        random: luck(seed),
         net: Net::default(),
-        seats: Vec::new(),
-        core,
-        opened: BTreeSet::new(),
+        controllers: Vec::new(),
+        control_plane,
+        opened_connections: BTreeSet::new(),
         queriers: Vec::new(),
-        backs: mock_backends::backs(spec, BEGIN),
-        kinds: spec.kinds.clone(),
+        backends: mock_backends::backs(spec, BEGIN),
+        call_kinds: spec.kinds.clone(),
         factor: 1.0,
-        platform: Vec::new(),
+        ready_queriers: Vec::new(),
         runs: BTreeMap::new(),
-        by_key: BTreeMap::new(),
+        runs_by_attempt: BTreeMap::new(),
         connections: BTreeMap::new(),
         calls: BTreeMap::new(),
-        orders: Vec::new(),
+        operator_requests: Vec::new(),
         rules: Rules::default(),
-        tally: BTreeMap::new(),
-        broken: None,
-        troubles: Vec::new(),
-        calls_end: Tick::MAX,
-        any_querier: false,
-        told_at: BTreeMap::new(),
+        tallies: BTreeMap::new(),
+        faulty_variant: None,
+        faults: Vec::new(),
+        calls_end_at: Tick::MAX,
+        ignore_readiness: false,
+        acknowledged_at: BTreeMap::new(),
         alarms: BTreeMap::new(),
         lost_disks: 0,
-        deviations: Deviations::default(),
+        injected: FaultInjection::default(),
         events: 0,
     };
-    for _ in 0..w.core.machines {
-        add_seat(&mut w, None);
+    for _ in 0..world.control_plane.machines {
+        add_controller(&mut world, None);
     }
-    for q in 0..queriers {
-        let zone = ZONES[q % ZONES.len()].to_string();
-        let name = format!("q{q}");
-        let watch = wat::watch(member(&name, &zone, q, 0), 1);
-        w.queriers.push(QuerierNode {
+    for querier in 0..queriers {
+        let zone = ZONES[querier % ZONES.len()].to_string();
+        let name = format!("q{querier}");
+        let watch = wat::watch(member(&name, &zone, querier, 0), 1);
+        world.queriers.push(QuerierNode {
             name,
             zone,
             life: 0,
@@ -99,13 +99,13 @@
             paused: 0,
             polling: false,
         });
-        start_querier(&mut w, q);
+        start_querier(&mut world, querier);
     }
-    push(&mut w, ms(500), ScheduledEvent::Platform);
-    w
+    push(&mut world, ms(500), ScheduledEvent::ReadinessPoll);
+    world
 }
 
-pub(super) fn member(name: &str, zone: &str, q: usize, incarnation: u64) -> Member {
-    let addr = format!("127.2.0.{}:9000", q + 1);
+pub(super) fn member(name: &str, zone: &str, querier: usize, incarnation: u64) -> Member {
+    let addr = format!("127.2.0.{}:9000", querier + 1);
     Member { name: name.into(), addr, zone: zone.into(), threads: THREADS, joined: 0, incarnation }
 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -8,97 +8,106 @@
 use serde_json::json;
 
 use super::events::{ScheduledEvent, push};
-use super::faulty_variant::Broken;
-use super::nodes::{Call, Tally, live};
+use super::faulty_variant::FaultyVariant;
+use super::nodes::{Call, CallOutcomes, querier_runs};
 use super::{BEGIN, THREADS, World};
 use crate::check::{Asked, success};
 use crate::rules;
 
 /// Begins the callers' load, at the spec's rates times `factor`.
-pub fn begin_calls(w: &mut World, factor: f64) {
-    w.factor = factor;
-    for kind in 0..w.kinds.len() {
-        let gap = gap(w, kind);
-        push(w, gap, ScheduledEvent::Call { kind });
+pub fn start_calls(world: &mut World, factor: f64) {
+    world.factor = factor;
+    for kind in 0..world.call_kinds.len() {
+        let gap = gap(world, kind);
+        push(world, gap, ScheduledEvent::NewCall { kind });
     }
 }
 
-pub(super) fn gap(w: &mut World, kind: usize) -> Span {
+pub(super) fn gap(world: &mut World, kind: usize) -> Span {
     // Between half and one and a half of the mean: uneven, but not wild.
-    let mean = 1e6 / (w.kinds[kind].per_s * w.factor).max(0.001);
-    (mean * (0.5 + below(&mut w.luck, 1000) as f64 / 1000.0)) as Span
+    let mean = 1e6 / (world.call_kinds[kind].per_s * world.factor).max(0.001);
+    (mean * (0.5 + below(&mut world.random, 1000) as f64 / 1000.0)) as Span
 }
 
-pub(super) fn tally(w: &mut World, kind: usize) -> &mut Tally {
-    let name = w.kinds[kind].search.clone();
-    w.tally.entry(name).or_default()
+pub(super) fn tally(world: &mut World, kind: usize) -> &mut CallOutcomes {
+    let name = world.call_kinds[kind].search.clone();
+    world.tallies.entry(name).or_default()
 }
 
-pub(super) fn call(w: &mut World, kind: usize) {
-    if w.now >= w.calls_end {
+pub(super) fn start_call(world: &mut World, kind: usize) {
+    if world.now >= world.calls_end_at {
         return;
     }
-    let gap = gap(w, kind);
-    push(w, gap, ScheduledEvent::Call { kind });
-    w.next += 1;
-    let id = w.next;
-    let k = &w.kinds[kind];
-    let question = format!("{}-{id}", k.search);
-    let asked = Asked { question, key: k.lookup.then(|| format!("key-{id}")) };
-    let up = |q: &usize| w.queriers[*q].up;
-    let list: Vec<usize> = match w.any_querier {
-        true => (0..w.queriers.len()).filter(up).collect(),
-        false => w.platform.clone(),
+    let gap = gap(world, kind);
+    push(world, gap, ScheduledEvent::NewCall { kind });
+    world.next += 1;
+    let id = world.next;
+    let call_kind = &world.call_kinds[kind];
+    let question = format!("{}-{id}", call_kind.search);
+    let asked = Asked { question, key: call_kind.lookup.then(|| format!("key-{id}")) };
+    let up = |querier: &usize| world.queriers[*querier].up;
+    let list: Vec<usize> = match world.ignore_readiness {
+        true => (0..world.queriers.len()).filter(up).collect(),
+        false => world.ready_queriers.clone(),
     };
     if list.is_empty() {
-        let name = w.kinds[kind].search.clone();
-        rules::ends(&mut w.rules, w.now - BEGIN, w.now - BEGIN, &name, false);
-        tally(w, kind).unreachable += 1;
+        let name = world.call_kinds[kind].search.clone();
+        rules::ends(&mut world.rules, world.now - BEGIN, world.now - BEGIN, &name, false);
+        tally(world, kind).unreachable += 1;
         return;
     }
-    let q = list[below(&mut w.luck, list.len() as u64) as usize];
-    if !w.queriers[q].up {
-        tally(w, kind).unreachable += 1;
+    let querier = list[below(&mut world.random, list.len() as u64) as usize];
+    if !world.queriers[querier].up {
+        tally(world, kind).unreachable += 1;
         return;
     }
-    w.rules.asked.insert(asked.question.clone());
-    let life = w.queriers[q].life;
-    let wait = ms(w.kinds[kind].budget_ms);
-    w.calls.insert(id, Call { kind, asked, q, life, began: w.now });
-    push(w, ms(1), ScheduledEvent::Arrive { call: id });
-    push(w, wait + ms(5), ScheduledEvent::CallDue { call: id });
+    world.rules.asked.insert(asked.question.clone());
+    let life = world.queriers[querier].life;
+    let wait = ms(world.call_kinds[kind].budget_ms);
+    world.calls.insert(id, Call { kind, asked, querier, life, began: world.now });
+    push(world, ms(1), ScheduledEvent::CallArrival { call: id });
+    push(world, wait + ms(5), ScheduledEvent::CallTimeout { call: id });
 }
 
-pub(super) fn arrive(w: &mut World, id: u64) {
-    let Some(c) = w.calls.get_mut(&id) else { return };
-    c.began = w.now;
-    let (q, life, kind, asked) = (c.q, c.life, c.kind, c.asked.clone());
-    if !live(w, q, life) {
+pub(super) fn call_arrives(world: &mut World, id: u64) {
+    let Some(call) = world.calls.get_mut(&id) else { return };
+    call.began = world.now;
+    let (querier, life, kind, asked) = (call.querier, call.life, call.kind, call.asked.clone());
+    if !querier_runs(world, querier, life) {
         return;
     }
-    let k = &w.kinds[kind];
-    let mut body = json!({ "question": asked.question, "limit": k.limit });
+    let call_kind = &world.call_kinds[kind];
+    let mut body = json!({ "question": asked.question, "limit": call_kind.limit });
     if let Some(key) = &asked.key {
         body["key"] = json!(key);
     }
-    let budget = k.budget_ms.to_string();
-    let read = caller::read_post(&k.search, Some(&budget), body.to_string().as_bytes());
+    let budget = call_kind.budget_ms.to_string();
+    let read = caller::read_post(&call_kind.search, Some(&budget), body.to_string().as_bytes());
     let Ok(ask) = read else { return };
-    let t = (id % u64::from(THREADS)) as usize;
-    push(w, 10, ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Ask { call: id, ask } });
+    let thread = (id % u64::from(THREADS)) as usize;
+    push(
+        world,
+        10,
+        ScheduledEvent::QueryEngineEvent {
+            querier,
+            life,
+            thread,
+            event: engine::Event::Ask { call: id, ask },
+        },
+    );
 }
 
-pub(super) fn tampered(w: &mut World, kind: usize, outcome: Outcome) -> Outcome {
+pub(super) fn altered_outcome(world: &mut World, kind: usize, outcome: Outcome) -> Outcome {
     let Outcome::Full(mut full) = outcome else {
-        if w.broken == Some(Broken::BelowQuorum)
-            && let Outcome::Rejection(b) = &outcome
-            && b.query.is_some()
+        if world.faulty_variant == Some(FaultyVariant::SucceedsBelowQuorum)
+            && let Outcome::Rejection(rejection) = &outcome
+            && rejection.query.is_some()
         {
-            let cut = w.kinds[kind].shards[0].0.clone();
-            let planned = w.kinds[kind].shards.iter().filter(|s| s.0 == cut).count();
+            let cut = world.call_kinds[kind].shards[0].0.clone();
+            let planned = world.call_kinds[kind].shards.iter().filter(|s| s.0 == cut).count();
             return Outcome::Full(grebepath_core::query::request::Full {
-                query: b.query.clone().unwrap_or_default(),
-                mapping: w.kinds[kind].search.clone(),
+                query: rejection.query.clone().unwrap_or_default(),
+                mapping: world.call_kinds[kind].search.clone(),
                 cut,
                 revision: u64::MAX,
                 shards: Vec::new(),
@@ -108,55 +117,55 @@
         }
         return outcome;
     };
-    match w.broken {
-        Some(Broken::ClaimAll) if full.missing > 0 => {
-            let all = w.kinds[kind].shards.iter().filter(|s| s.0 == full.cut);
+    match world.faulty_variant {
+        Some(FaultyVariant::ClaimsAllShards) if full.missing > 0 => {
+            let all = world.call_kinds[kind].shards.iter().filter(|s| s.0 == full.cut);
             full.shards = all.map(|s| s.1.clone()).collect();
             full.missing = 0;
         }
-        Some(Broken::ClaimTwice) => full.shards.push(full.shards[0].clone()),
-        Some(Broken::MixCut) => full.cut = "w47".into(),
-        Some(Broken::Disorder) if full.records.len() > 1 => full.records.swap(0, 1),
+        Some(FaultyVariant::RepeatsShard) => full.shards.push(full.shards[0].clone()),
+        Some(FaultyVariant::WrongIndexVersion) => full.cut = "w47".into(),
+        Some(FaultyVariant::MisordersRecords) if full.records.len() > 1 => full.records.swap(0, 1),
         _ => {}
     }
     Outcome::Full(full)
 }
 
-pub(super) fn outcome_told(w: &mut World, id: u64, outcome: Outcome) {
-    let Some(c) = w.calls.remove(&id) else { return };
-    let now = w.now - BEGIN;
-    let outcome = tampered(w, c.kind, outcome);
+pub(super) fn finish_call(world: &mut World, id: u64, outcome: Outcome) {
+    let Some(call) = world.calls.remove(&id) else { return };
+    let now = world.now - BEGIN;
+    let outcome = altered_outcome(world, call.kind, outcome);
     let written = caller::write(&outcome);
-    let kind = w.kinds[c.kind].clone();
+    let kind = world.call_kinds[call.kind].clone();
     let full = matches!(&outcome, Outcome::Full(f) if f.missing == 0);
-    rules::ends(&mut w.rules, c.began - BEGIN, now, &kind.search, full);
+    rules::ends(&mut world.rules, call.began - BEGIN, now, &kind.search, full);
     match outcome {
         Outcome::Passed(_) | Outcome::Joined(_) => {}
-        Outcome::Rejection(b) => {
-            *tally(w, c.kind).bounced.entry(b.reason.to_string()).or_default() += 1;
+        Outcome::Rejection(rejection) => {
+            *tally(world, call.kind).rejected.entry(rejection.reason.to_string()).or_default() += 1;
         }
         Outcome::Full(full) => {
-            let took = w.now - c.began;
-            let t = tally(w, c.kind);
+            let took = world.now - call.began;
+            let tally = tally(world, call.kind);
             if full.missing == 0 {
-                t.full += 1
+                tally.full += 1
             } else {
-                t.partial += 1
+                tally.partial += 1
             }
-            t.waits.push(took);
+            tally.latencies.push(took);
             let missing = written.missing.map(|n| n.to_string());
-            let (bad, services) = success(&kind, &c.asked, missing.as_deref(), &written.body);
+            let (bad, services) = success(&kind, &call.asked, missing.as_deref(), &written.body);
             for text in bad {
-                rules::broken(
-                    &mut w.rules,
+                rules::violated(
+                    &mut world.rules,
                     now,
                     rules::rule_of(&text),
                     format!("{}: {text}", full.query),
                 );
             }
-            rules::claims(&mut w.rules, now, &full.query, &services, &c.asked.question);
-            let who = w.queriers[c.q].name.clone();
-            rules::obeys(&mut w.rules, now, c.began - BEGIN, full.revision, &who);
+            rules::claims(&mut world.rules, now, &full.query, &services, &call.asked.question);
+            let who = world.queriers[call.querier].name.clone();
+            rules::obeys(&mut world.rules, now, call.began - BEGIN, full.revision, &who);
         }
     }
 }
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -13,10 +13,10 @@
 use grebepath_core::time::{BOOT, SECOND, Span, ms};
 
 use super::build::{address, machine};
-use super::events::{DueKey, ScheduledEvent, later, push, push_at};
-use super::faulty_variant::Broken;
-use super::nodes::{ControllerNode, Stopping, seated};
-use super::operators::told;
+use super::events::{FollowUp, ScheduledEvent, later, push, push_at};
+use super::faulty_variant::FaultyVariant;
+use super::nodes::{ControllerNode, Stopping, has_voter_slot};
+use super::operators::acknowledge;
 use super::{BEGIN, World};
 use crate::mock_backends::ZONES;
 use crate::net::{Node, send, weigh};
@@ -28,93 +28,110 @@
 const STOP_GRACE: Span = 6 * SECOND;
 
 /// One more machine for a controller, with an empty disk; gives its number.
-pub fn add_seat(w: &mut World, zone: Option<&str>) -> usize {
-    let s = w.seats.len();
+pub fn add_controller(world: &mut World, zone: Option<&str>) -> usize {
+    let controller = world.controllers.len();
     let disk = simulated_disk::disk(partitions().count());
-    let core = st::core(Default::default(), ("", ""), Vec::new(), 0, 1);
-    let zone = zone.unwrap_or(ZONES[s % ZONES.len()]).to_string();
-    w.seats.push(ControllerNode {
+    let state = st::core(Default::default(), ("", ""), Vec::new(), 0, 1);
+    let zone = zone.unwrap_or(ZONES[controller % ZONES.len()]).to_string();
+    world.controllers.push(ControllerNode {
         zone,
         life: 0,
         up: false,
-        core,
+        state,
         began: 0,
         disk,
         paused: 0,
         stopping: None,
     });
-    start_seat(w, s);
-    s
+    start_controller(world, controller);
+    controller
 }
 
 /// Starts a controller on its disk.
-pub fn start_seat(w: &mut World, s: usize) {
-    let seed = draw(&mut w.luck);
+pub fn start_controller(world: &mut World, controller: usize) {
+    let seed = draw(&mut world.random);
     let start = Start {
-        slot: w.core.told.then_some(s as VoterSlot).filter(|s| usize::from(*s) < w.core.seats),
-        first: w.now == BEGIN,
-        seeds: w.core.seeds.iter().map(|s| address(*s)).collect(),
-        size: w.core.seats,
-        addr: address(s),
+        slot: world
+            .control_plane
+            .slots_assigned
+            .then_some(controller as VoterSlot)
+            .filter(|controller| usize::from(*controller) < world.control_plane.voter_slots),
+        first: world.now == BEGIN,
+        seeds: world.control_plane.seeds.iter().map(|controller| address(*controller)).collect(),
+        size: world.control_plane.voter_slots,
+        addr: address(controller),
     };
-    let disk = &mut w.seats[s].disk;
+    let disk = &mut world.controllers[controller].disk;
     let bare = simulated_disk::bare(disk);
     let (roll, clear) = voter_file::begin(simulated_disk::roll(disk), &start, bare, seed);
     simulated_disk::put_roll(disk, &roll, clear);
     let found = simulated_disk::start(disk);
-    let forgets = w.broken == Some(Broken::Amnesia) && bare && !start.first;
+    let votes_after_loss =
+        world.faulty_variant == Some(FaultyVariant::VotesAfterDiskLoss) && bare && !start.first;
     let list = found
         .into_iter()
         .map(|(part, found)| match found {
-            Found::Empty if forgets => (part, ReplicaCondition::Voting, ReplicaState::default(), 0),
+            Found::Empty if votes_after_loss => {
+                (part, ReplicaCondition::Voting, ReplicaState::default(), 0)
+            }
             Found::Empty => (part, ReplicaCondition::Empty, ReplicaState::default(), 0),
             Found::Damaged(why) => {
-                *w.alarms.entry(format!("damaged: {why}")).or_default() += 1;
+                *world.alarms.entry(format!("damaged: {why}")).or_default() += 1;
                 (part, ReplicaCondition::Damaged, ReplicaState::default(), 0)
             }
             Found::Good { copy, .. } => (part, ReplicaCondition::Voting, copy, 0),
         })
         .collect();
-    let n = &mut w.seats[s];
-    n.life += 1;
-    n.up = true;
-    n.began = w.now;
-    n.paused = 0;
-    n.stopping = None;
-    n.core = st::core(roll, (&start.addr, &n.zone), list, seed, BOOT);
-    let life = n.life;
-    push(w, below_ms(seed, 50), ScheduledEvent::SeatWake { s, life });
+    let node = &mut world.controllers[controller];
+    node.life += 1;
+    node.up = true;
+    node.began = world.now;
+    node.paused = 0;
+    node.stopping = None;
+    node.state = st::core(roll, (&start.addr, &node.zone), list, seed, BOOT);
+    let life = node.life;
+    push(world, start_delay(seed, 50), ScheduledEvent::ControllerTimer { controller, life });
     // It dials its seeds and all whom it knows, who tell it the table.
-    for to in ways(w, s) {
-        introduce(w, to, CoreEvent::ConnectionOpened { connection: wire_of(s, life) });
+    for to in connected_controllers(world, controller) {
+        announce_connection(
+            world,
+            to,
+            CoreEvent::ConnectionOpened { connection: controller_connection(controller, life) },
+        );
     }
 }
 
 /// The machines to which a controller has connections.
-fn ways(w: &World, s: usize) -> Vec<usize> {
-    let table = &w.seats[s].core.seating.roll.table;
-    let known = table.slots.iter().filter_map(|h| machine(w, &h.addr));
-    let mut list: Vec<usize> = known.chain(w.core.seeds.iter().copied()).collect();
-    list.retain(|to| *to != s && *to < w.seats.len());
+fn connected_controllers(world: &World, controller: usize) -> Vec<usize> {
+    let table = &world.controllers[controller].state.seating.roll.table;
+    let known = table.slots.iter().filter_map(|h| machine(world, &h.addr));
+    let mut list: Vec<usize> = known.chain(world.control_plane.seeds.iter().copied()).collect();
+    list.retain(|to| *to != controller && *to < world.controllers.len());
     list.sort_unstable();
     list.dedup();
     list
 }
 
 /// The connection that a controller's machine opens to others.
-fn wire_of(s: usize, life: u64) -> u64 {
-    1 << 63 | (s as u64) << 32 | life
+fn controller_connection(controller: usize, life: u64) -> u64 {
+    1 << 63 | (controller as u64) << 32 | life
 }
 
-fn introduce(w: &mut World, to: usize, event: CoreEvent) {
-    let life = w.seats[to].life;
-    push(w, ms(2), ScheduledEvent::ToSeat { s: to, life, event });
+fn announce_connection(world: &mut World, to: usize, event: CoreEvent) {
+    let life = world.controllers[to].life;
+    push(world, ms(2), ScheduledEvent::ControllerEvent { controller: to, life, event });
 }
 
 /// What a seat hears when seats go by tables of their own.
-pub(super) fn deafened(w: &World, s: usize, mut event: CoreEvent) -> Option<CoreEvent> {
-    let core = &w.seats[s].core;
-    if w.broken != Some(Broken::OwnTables) || !seated(&w.seats[s]) {
+pub(super) fn as_seen_by_faulty_voter(
+    world: &World,
+    controller: usize,
+    mut event: CoreEvent,
+) -> Option<CoreEvent> {
+    let core = &world.controllers[controller].state;
+    if world.faulty_variant != Some(FaultyVariant::IgnoresOtherVoterSets)
+        || !has_voter_slot(&world.controllers[controller])
+    {
         return Some(event);
     }
     match &mut event {
@@ -134,207 +151,269 @@
 }
 
 /// What comes on a new connection is preceded by its opening.
-pub(super) fn open_wire(w: &mut World, s: usize, event: &CoreEvent) {
+pub(super) fn open_connection(world: &mut World, controller: usize, event: &CoreEvent) {
     let connection = match event {
         CoreEvent::FromVoter { connection, .. }
         | CoreEvent::FromConnection { connection, .. }
         | CoreEvent::ConnectionOpened { connection } => *connection,
         _ => return,
     };
-    let new = w.opened.insert((s, w.seats[s].life, connection));
+    let new = world.opened_connections.insert((
+        controller,
+        world.controllers[controller].life,
+        connection,
+    ));
     if new && !matches!(event, CoreEvent::ConnectionOpened { .. }) {
-        step_seat(w, s, CoreEvent::ConnectionOpened { connection });
+        step_controller(world, controller, CoreEvent::ConnectionOpened { connection });
     }
 }
 
-pub(super) fn below_ms(seed: u64, n: u64) -> Span {
-    ms(1 + seed % n)
+pub(super) fn start_delay(seed: u64, limit: u64) -> Span {
+    ms(1 + seed % limit)
 }
 
 /// Ends a controller at once; power may be lost with it.
-pub fn kill_seat(w: &mut World, s: usize, power: bool) {
-    w.seats[s].up = false;
-    w.seats[s].life += 1;
+pub fn kill_controller(world: &mut World, controller: usize, power: bool) {
+    world.controllers[controller].up = false;
+    world.controllers[controller].life += 1;
     if power {
-        let mut luck = luck(draw(&mut w.luck));
-        simulated_disk::power_loss(&mut w.seats[s].disk, &mut luck);
+        let mut random = luck(draw(&mut world.random));
+        simulated_disk::power_loss(&mut world.controllers[controller].disk, &mut random);
     } else {
         // What was handed to the system is written whether we live or not.
-        for (part, token) in simulated_disk::waiting(&w.seats[s].disk) {
-            simulated_disk::done(&mut w.seats[s].disk, part, token);
+        for (part, token) in simulated_disk::waiting(&world.controllers[controller].disk) {
+            simulated_disk::done(&mut world.controllers[controller].disk, part, token);
         }
-        for token in simulated_disk::rolls(&w.seats[s].disk) {
-            simulated_disk::kept(&mut w.seats[s].disk, token);
+        for token in simulated_disk::rolls(&world.controllers[controller].disk) {
+            simulated_disk::kept(&mut world.controllers[controller].disk, token);
         }
     }
 }
 
 /// Asks a controller to stop, as SIGTERM does. It ends when it says so, or by
 /// force when the platform's patience ends, and starts again after `restart`.
-pub fn stop_seat(w: &mut World, s: usize, restart: Option<Span>) {
-    if !w.seats[s].up {
+pub fn stop_controller(world: &mut World, controller: usize, restart: Option<Span>) {
+    if !world.controllers[controller].up {
         return;
     }
-    w.seats[s].stopping = Some(Stopping { restart });
-    if w.broken == Some(Broken::LeaveAtOnce) {
-        return end_seat(w, s);
+    world.controllers[controller].stopping = Some(Stopping { restart });
+    if world.faulty_variant == Some(FaultyVariant::StopsBeforeHandover) {
+        return end_controller(world, controller);
     }
-    let life = w.seats[s].life;
-    later(w, STOP_GRACE, DueKey::ForceStop { controller: s, life });
-    step_seat(w, s, CoreEvent::Stop);
+    let life = world.controllers[controller].life;
+    later(world, STOP_GRACE, FollowUp::ForceStop { controller: controller, life });
+    step_controller(world, controller, CoreEvent::Stop);
 }
 
 /// A controller that was asked to stop has ended.
-pub(super) fn end_seat(w: &mut World, s: usize) {
-    let Some(Stopping { restart }) = w.seats[s].stopping.take() else { return };
-    kill_seat(w, s, false);
+pub(super) fn end_controller(world: &mut World, controller: usize) {
+    let Some(Stopping { restart }) = world.controllers[controller].stopping.take() else { return };
+    kill_controller(world, controller, false);
     if let Some(span) = restart {
-        later(w, span, DueKey::StartSeat(s));
+        later(world, span, FollowUp::StartController(controller));
     }
 }
 
-pub(super) fn step_seat(w: &mut World, s: usize, event: CoreEvent) {
-    let local = w.now - w.seats[s].began + BOOT;
-    let todo = cstep::step(&mut w.seats[s].core, local, event);
+pub(super) fn step_controller(world: &mut World, controller: usize, event: CoreEvent) {
+    let local = world.now - world.controllers[controller].began + BOOT;
+    let todo = cstep::step(&mut world.controllers[controller].state, local, event);
     for command in todo {
-        seat_does(w, s, command);
+        run_controller_command(world, controller, command);
     }
-    if w.seats[s].stopping.is_some()
-        && grebepath_core::voters::handover::may_end(&w.seats[s].core, local)
+    if world.controllers[controller].stopping.is_some()
+        && grebepath_core::voters::handover::may_end(&world.controllers[controller].state, local)
     {
-        end_seat(w, s);
+        end_controller(world, controller);
     }
 }
 
-pub(super) fn seat_does(w: &mut World, s: usize, command: grebepath_core::command::Command) {
-    let life = w.seats[s].life;
+pub(super) fn run_controller_command(
+    world: &mut World,
+    controller: usize,
+    command: grebepath_core::command::Command,
+) {
+    let life = world.controllers[controller].life;
     match command {
         grebepath_core::command::Command::ToVoter { slot: seat, message } => {
-            let table = &w.seats[s].core.seating.roll.table;
+            let table = &world.controllers[controller].state.seating.roll.table;
             let Some(to) = table.slots.get(usize::from(seat)) else { return };
-            let Some(to) = machine(w, &to.addr) else { return };
-            to_machine(w, s, to, message);
+            let Some(to) = machine(world, &to.addr) else { return };
+            send_to_controller(world, controller, to, message);
         }
         grebepath_core::command::Command::Broadcast { message } => {
-            for to in ways(w, s) {
-                to_machine(w, s, to, message.clone());
+            for to in connected_controllers(world, controller) {
+                send_to_controller(world, controller, to, message.clone());
             }
         }
         // Wires are not played; who is new tells its table when it is heard.
         grebepath_core::command::Command::VoterSetChanged => {}
         grebepath_core::command::Command::WriteVoterFile { token, roll, clear } => {
-            let at =
-                simulated_disk::keep(&mut w.seats[s].disk, w.now, token, roll, clear, &mut w.luck);
+            let at = simulated_disk::keep(
+                &mut world.controllers[controller].disk,
+                world.now,
+                token,
+                roll,
+                clear,
+                &mut world.random,
+            );
             if let Some(at) = at {
-                push_at(w, at, ScheduledEvent::Kept { s, life, token });
+                push_at(world, at, ScheduledEvent::VoterFileDone { controller, life, token });
             }
         }
         grebepath_core::command::Command::ToConnection { connection, message }
             if connection >> 63 == 1 =>
         {
-            weigh(&mut w.net, "seat-seat", &message);
+            weigh(&mut world.net, "seat-seat", &message);
             let (to, tolife) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
-            let ends = (Node::Controller(s as u8), Node::Controller(to as u8));
-            let zones = (w.seats[s].zone.clone(), w.seats[to].zone.clone());
-            let at = send(&mut w.net, w.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut w.luck);
+            let ends = (Node::Controller(controller as u8), Node::Controller(to as u8));
+            let zones =
+                (world.controllers[controller].zone.clone(), world.controllers[to].zone.clone());
+            let at = send(
+                &mut world.net,
+                world.now,
+                (ends.0, &zones.0),
+                (ends.1, &zones.1),
+                &mut world.random,
+            );
             if let Some(at) = at {
                 let event = CoreEvent::FromController { message };
-                push_at(w, at, ScheduledEvent::ToSeat { s: to, life: tolife, event });
+                push_at(
+                    world,
+                    at,
+                    ScheduledEvent::ControllerEvent { controller: to, life: tolife, event },
+                );
             }
         }
         grebepath_core::command::Command::ToConnection { connection, message } => {
-            weigh(&mut w.net, "seat-querier", &message);
-            let (q, qlife) = ((connection >> 32) as usize, connection & 0xffff_ffff);
-            let to = (Node::Querier(q), w.queriers[q].zone.clone());
-            let zone = w.seats[s].zone.clone();
-            let from = (Node::Controller(s as u8), zone.as_str());
-            let at = send(&mut w.net, w.now, from, (to.0, &to.1), &mut w.luck);
+            weigh(&mut world.net, "seat-querier", &message);
+            let (querier, qlife) = ((connection >> 32) as usize, connection & 0xffff_ffff);
+            let to = (Node::Querier(querier), world.queriers[querier].zone.clone());
+            let zone = world.controllers[controller].zone.clone();
+            let from = (Node::Controller(controller as u8), zone.as_str());
+            let at = send(&mut world.net, world.now, from, (to.0, &to.1), &mut world.random);
             if let Some(at) = at {
-                let holder = w.seats[s].core.seating.roll.me;
-                push_at(w, at, ScheduledEvent::FromSeat { q, life: qlife, holder, message });
+                let holder = world.controllers[controller].state.seating.roll.me;
+                push_at(
+                    world,
+                    at,
+                    ScheduledEvent::ControllerMessage { querier, life: qlife, holder, message },
+                );
             }
         }
         grebepath_core::command::Command::AppendRecord { partition: part, token, rec } => {
-            disk_job(w, s, part, token, Job::Append(rec))
+            start_disk_job(world, controller, part, token, Job::Append(rec))
         }
         grebepath_core::command::Command::WriteSnapshot { partition: part, token, copy } => {
-            disk_job(w, s, part, token, Job::Slot(copy))
+            start_disk_job(world, controller, part, token, Job::Slot(copy))
         }
         grebepath_core::command::Command::Scrub { partition: part } => {
-            if w.seats[s].disk.health != Health::Stalled && w.broken != Some(Broken::NoLook) {
-                let trouble = simulated_disk::look(&w.seats[s].disk, part);
+            if world.controllers[controller].disk.health != Health::Stalled
+                && world.faulty_variant != Some(FaultyVariant::NoScrub)
+            {
+                let trouble = simulated_disk::look(&world.controllers[controller].disk, part);
                 push(
-                    w,
+                    world,
                     ms(3),
-                    ScheduledEvent::ToSeat {
-                        s,
+                    ScheduledEvent::ControllerEvent {
+                        controller,
                         life,
                         event: CoreEvent::Scrubbed { partition: part, trouble },
                     },
                 );
             }
         }
-        grebepath_core::command::Command::Respond { op, done } => told(w, op as usize, done),
+        grebepath_core::command::Command::Respond { op, done } => {
+            acknowledge(world, op as usize, done)
+        }
         grebepath_core::command::Command::OwnResponse { .. } => {}
         grebepath_core::command::Command::WakeAfter { span } => {
-            push(w, span, ScheduledEvent::ToSeat { s, life, event: CoreEvent::Wake });
+            push(
+                world,
+                span,
+                ScheduledEvent::ControllerEvent { controller, life, event: CoreEvent::Wake },
+            );
         }
         grebepath_core::command::Command::Alarm(text) => {
-            rules::tell(&mut w.rules, w.now - BEGIN, || format!("seat {s} (life {life}): {text}"));
-            *w.alarms.entry(text).or_default() += 1;
+            rules::tell(&mut world.rules, world.now - BEGIN, || {
+                format!("seat {controller} (life {life}): {text}")
+            });
+            *world.alarms.entry(text).or_default() += 1;
         }
     }
 }
 
 /// A controller sends to another's machine, as who it is just now.
-fn to_machine(w: &mut World, s: usize, to: usize, message: Message) {
-    weigh(&mut w.net, "seat-seat", &message);
-    let ends = (Node::Controller(s as u8), Node::Controller(to as u8));
-    let zones = (w.seats[s].zone.clone(), w.seats[to].zone.clone());
-    let at = send(&mut w.net, w.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut w.luck);
+fn send_to_controller(world: &mut World, controller: usize, to: usize, message: Message) {
+    weigh(&mut world.net, "seat-seat", &message);
+    let ends = (Node::Controller(controller as u8), Node::Controller(to as u8));
+    let zones = (world.controllers[controller].zone.clone(), world.controllers[to].zone.clone());
+    let at =
+        send(&mut world.net, world.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut world.random);
     let Some(at) = at else { return };
-    let n = &w.seats[s];
-    let connection = wire_of(s, n.life);
-    let event = if seated(n) {
+    let node = &world.controllers[controller];
+    let connection = controller_connection(controller, node.life);
+    let event = if has_voter_slot(node) {
         CoreEvent::FromVoter {
-            slot: n.core.slot,
-            holder: n.core.seating.roll.me,
+            slot: node.state.slot,
+            holder: node.state.seating.roll.me,
             connection,
             message,
         }
     } else {
         CoreEvent::FromConnection { connection, message }
     };
-    let life = w.seats[to].life;
-    push_at(w, at, ScheduledEvent::ToSeat { s: to, life, event });
+    let life = world.controllers[to].life;
+    push_at(world, at, ScheduledEvent::ControllerEvent { controller: to, life, event });
 }
 
-pub(super) fn disk_job(w: &mut World, s: usize, part: PartitionId, token: u64, job: Job) {
-    let life = w.seats[s].life;
-    let at = simulated_disk::begin(&mut w.seats[s].disk, w.now, part, token, job, &mut w.luck);
+pub(super) fn start_disk_job(
+    world: &mut World,
+    controller: usize,
+    part: PartitionId,
+    token: u64,
+    job: Job,
+) {
+    let life = world.controllers[controller].life;
+    let at = simulated_disk::begin(
+        &mut world.controllers[controller].disk,
+        world.now,
+        part,
+        token,
+        job,
+        &mut world.random,
+    );
     if let Some(at) = at {
-        push_at(w, at, ScheduledEvent::Disk { s, life, part, token });
+        push_at(world, at, ScheduledEvent::DiskJobDone { controller, life, part, token });
     }
-    if w.broken == Some(Broken::EarlyYes) {
+    if world.faulty_variant == Some(FaultyVariant::AcknowledgesBeforeSync) {
         push(
-            w,
+            world,
             10,
-            ScheduledEvent::ToSeat { s, life, event: CoreEvent::Synced { partition: part, token } },
+            ScheduledEvent::ControllerEvent {
+                controller,
+                life,
+                event: CoreEvent::Synced { partition: part, token },
+            },
         );
     }
 }
 
 /// Changes the health of a disk; a stall that ends lets the line go on.
-pub fn disk_health(w: &mut World, s: usize, health: Health) {
-    let was = std::mem::replace(&mut w.seats[s].disk.health, health);
+pub fn set_disk_health(world: &mut World, controller: usize, health: Health) {
+    let was = std::mem::replace(&mut world.controllers[controller].disk.health, health);
     if was == Health::Stalled && health != Health::Stalled {
-        let life = w.seats[s].life;
-        for (i, (part, token)) in simulated_disk::waiting(&w.seats[s].disk).into_iter().enumerate()
+        let life = world.controllers[controller].life;
+        for (i, (part, token)) in
+            simulated_disk::waiting(&world.controllers[controller].disk).into_iter().enumerate()
         {
-            push(w, ms(2 + i as u64), ScheduledEvent::Disk { s, life, part, token });
+            push(
+                world,
+                ms(2 + i as u64),
+                ScheduledEvent::DiskJobDone { controller, life, part, token },
+            );
         }
-        for token in simulated_disk::rolls(&w.seats[s].disk) {
-            push(w, ms(2), ScheduledEvent::Kept { s, life, token });
+        for token in simulated_disk::rolls(&world.controllers[controller].disk) {
+            push(world, ms(2), ScheduledEvent::VoterFileDone { controller, life, token });
         }
     }
 }
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -10,106 +10,106 @@
 use grebepath_core::time::{Span, Tick, ms};
 
 use super::World;
-use super::deviations::Fault;
+use super::injected_faults::Fault;
 
 /// What happens, and to whom.
 pub(super) enum ScheduledEvent {
-    SeatWake {
-        s: usize,
+    ControllerTimer {
+        controller: usize,
         life: u64,
     },
-    ToSeat {
-        s: usize,
+    ControllerEvent {
+        controller: usize,
         life: u64,
         event: CoreEvent,
     },
-    Disk {
-        s: usize,
+    DiskJobDone {
+        controller: usize,
         life: u64,
         part: PartitionId,
         token: u64,
     },
-    Kept {
-        s: usize,
+    VoterFileDone {
+        controller: usize,
         life: u64,
         token: u64,
     },
-    QWake {
-        q: usize,
+    QuerierTimer {
+        querier: usize,
         life: u64,
     },
-    ToWatch {
-        q: usize,
+    NodeAgentEvent {
+        querier: usize,
         life: u64,
         event: wat::Event,
     },
     /// A controller that says it is `holder` speaks to a querier.
-    FromSeat {
-        q: usize,
+    ControllerMessage {
+        querier: usize,
         life: u64,
         holder: u64,
         message: Message,
     },
-    ToDesk {
-        q: usize,
+    QueryEngineEvent {
+        querier: usize,
         life: u64,
-        t: usize,
+        thread: usize,
         event: engine::Event,
     },
-    DeskWake {
-        q: usize,
+    QueryEngineTimer {
+        querier: usize,
         life: u64,
-        t: usize,
+        thread: usize,
         at: Tick,
     },
-    LeafGets {
-        q: usize,
+    LeafRequest {
+        querier: usize,
         life: u64,
-        t: usize,
+        thread: usize,
         sending: Box<Sending>,
     },
-    LeafDone {
+    LeafResponse {
         run: u64,
     },
-    LeafDrop {
-        key: RunKey,
+    LeafDisconnect {
+        key: AttemptKey,
     },
     Probe {
-        q: usize,
+        querier: usize,
         life: u64,
         info: std::sync::Arc<LeafInfo>,
     },
-    ListAsked {
-        q: usize,
+    ListRequest {
+        querier: usize,
         life: u64,
     },
-    Call {
+    NewCall {
         kind: usize,
     },
-    Arrive {
+    CallArrival {
         call: u64,
     },
-    CallDue {
+    CallTimeout {
         call: u64,
     },
-    Platform,
-    Operate {
-        order: usize,
+    ReadinessPoll,
+    OperatorRequest {
+        request: usize,
     },
-    Trouble {
+    Fault {
         at: usize,
     },
-    Due {
-        key: DueKey,
+    FollowUp {
+        key: FollowUp,
     },
 }
 
-pub(super) type RunKey = (usize, u64, usize, u64);
+pub(super) type AttemptKey = (usize, u64, usize, u64);
 
 /// Later steps of troubles: restarts that follow a kill.
 #[derive(Clone, Copy)]
-pub enum DueKey {
-    StartSeat(usize),
+pub enum FollowUp {
+    StartController(usize),
     /// A fault ends a controller's process.
     Fault {
         controller: usize,
@@ -122,36 +122,36 @@
     },
     StartQuerier(usize),
     /// A querier that is asked to stop ends once nothing is in hand.
-    EndQuerier(usize, u64),
-    Storm {
+    EndDrainedQuerier(usize, u64),
+    RequestStorm {
         left: u64,
         gap: Span,
     },
     /// An operator's change that shows whether the core is back.
-    Proof {
+    ChangeAfterRestart {
         restart: usize,
     },
 }
 
-pub(super) fn push(w: &mut World, after: Span, hap: ScheduledEvent) {
-    push_at(w, w.now + after, hap);
+pub(super) fn push(world: &mut World, after: Span, event: ScheduledEvent) {
+    push_at(world, world.now + after, event);
 }
 
-pub(super) fn push_at(w: &mut World, at: Tick, hap: ScheduledEvent) {
-    w.next += 1;
-    w.haps.insert((at, w.next), hap);
+pub(super) fn push_at(world: &mut World, at: Tick, event: ScheduledEvent) {
+    world.next += 1;
+    world.queue.insert((at, world.next), event);
 }
 
 /// Lets something follow after a while.
-pub fn later(w: &mut World, after: Span, key: DueKey) {
-    push(w, after, ScheduledEvent::Due { key });
+pub fn later(world: &mut World, after: Span, key: FollowUp) {
+    push(world, after, ScheduledEvent::FollowUp { key });
 }
 
 /// Plans the troubles of a scenario.
-pub fn plan(w: &mut World, troubles: Vec<crate::scenario::Trouble>) {
-    w.troubles = troubles;
-    for at in 0..w.troubles.len() {
-        let after = ms(w.troubles[at].at_ms);
-        push(w, after, ScheduledEvent::Trouble { at });
+pub fn plan(world: &mut World, faults: Vec<crate::scenario::ScheduledFault>) {
+    world.faults = faults;
+    for at in 0..world.faults.len() {
+        let after = ms(world.faults[at].at_ms);
+        push(world, after, ScheduledEvent::Fault { at });
     }
 }
--- a/crates/simulator/src/world/faulty_variant.rs
+++ b/crates/simulator/src/world/faulty_variant.rs
@@ -2,44 +2,44 @@
 
 /// A part of the fleet that is broken on purpose, to see a checker catch it.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Broken {
+pub enum FaultyVariant {
     /// Answers claim all planned shards.
-    ClaimAll,
+    ClaimsAllShards,
     /// Answers name a shard twice.
-    ClaimTwice,
+    RepeatsShard,
     /// Answers name another cut.
-    MixCut,
+    WrongIndexVersion,
     /// The first two records change places.
-    Disorder,
+    MisordersRecords,
     /// Dispatches carry another question, well signed.
-    ChangeQuestion,
+    AltersQuestion,
     /// Queriers never hear that a leaf leaves.
-    IgnoreLeaving,
+    IgnoresLeavingLeafs,
     /// Queriers never hear that a zone is emptied.
-    IgnoreDrain,
+    IgnoresDrainedZones,
     /// The threads of one querier keep their first view.
-    StaleView,
+    KeepsStaleSnapshot,
     /// Restarted queriers begin with what they are first told.
-    SlipBack,
+    RevertsConfiguration,
     /// Every thread takes all of the retry rule's credit it likes.
-    NoRule,
+    NoRetryBudget,
     /// Every thread takes the whole of every leaf's allowance.
-    NoShare,
+    NoAllocation,
     /// Disks say yes before anything lasts.
-    EarlyYes,
+    AcknowledgesBeforeSync,
     /// Answers below quorum are sent as successes.
-    BelowQuorum,
+    SucceedsBelowQuorum,
     /// Dispatches go out on new connections without asking who is there.
-    NoGreeting,
+    NoIdentityCheck,
     /// Members keep what leafs tell them to themselves and the core.
-    NoWords,
+    NoLeafReports,
     /// Seats never look at their files again.
-    NoLook,
+    NoScrub,
     /// A lost disk's seat votes at once, as if it had never held anything.
-    Amnesia,
+    VotesAfterDiskLoss,
     /// Seats count by a table of the seats of their own, whoever speaks under
     /// whichever other.
-    OwnTables,
+    IgnoresOtherVoterSets,
     /// A controller that is asked to stop ends before its successor holds the data.
-    LeaveAtOnce,
+    StopsBeforeHandover,
 }
--- a/crates/simulator/src/world/deviations.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -6,8 +6,8 @@
 use grebepath_core::protocol::message::Message;
 use grebepath_core::time::{Span, Tick, ms};
 
-use super::controllers::kill_seat;
-use super::events::{DueKey, ScheduledEvent, later, push};
+use super::controllers::kill_controller;
+use super::events::{FollowUp, ScheduledEvent, later, push};
 use super::{BEGIN, World};
 use crate::simulated_disk;
 
@@ -56,17 +56,17 @@
 
 /// A fault at an event, counted from the beginning of the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Deviation {
+pub struct InjectedFault {
     pub event: u64,
     pub fault: Fault,
 }
 
 /// The deviations of one play.
 #[derive(Clone, Debug, Default)]
-pub struct Deviations {
+pub struct FaultInjection {
     /// Time in the scenario (microseconds) from which and up to which events count.
     pub window: (Tick, Tick),
-    pub list: Vec<Deviation>,
+    pub list: Vec<InjectedFault>,
     /// Events of the window so far.
     pub seen: u64,
     /// Replicas that were lost for good: disks, machines, and controllers that
@@ -77,37 +77,40 @@
 }
 
 /// Applies the deviations that strike now; gives the event if it still happens.
-pub(super) fn deviate(w: &mut World, hap: ScheduledEvent) -> Option<ScheduledEvent> {
-    let (from, to) = w.deviations.window;
-    let at = w.now - BEGIN;
-    let controller = reaches(&hap).filter(|_| from <= at && at < to);
-    let Some(controller) = controller else { return Some(hap) };
-    let number = w.deviations.seen;
-    w.deviations.seen += 1;
+pub(super) fn inject(world: &mut World, event: ScheduledEvent) -> Option<ScheduledEvent> {
+    let (from, to) = world.injected.window;
+    let at = world.now - BEGIN;
+    let controller = reaches(&event).filter(|_| from <= at && at < to);
+    let Some(controller) = controller else { return Some(event) };
+    let number = world.injected.seen;
+    world.injected.seen += 1;
     let due: Vec<Fault> =
-        w.deviations.list.iter().filter(|d| d.event == number).map(|d| d.fault).collect();
-    let mut left = Some(hap);
+        world.injected.list.iter().filter(|d| d.event == number).map(|d| d.fault).collect();
+    let mut left = Some(event);
     for fault in due {
-        let Some(hap) = left.take() else { break };
-        let line = format!("{:.3} s: {fault:?} at {}", at as f64 / 1e6, describe(&hap));
-        w.deviations.story.push(line);
-        left = strike(w, controller, fault, hap);
+        let Some(event) = left.take() else { break };
+        let line = format!("{:.3} s: {fault:?} at {}", at as f64 / 1e6, describe(&event));
+        world.injected.story.push(line);
+        left = strike(world, controller, fault, event);
     }
     left
 }
 
 /// The running controller that an event reaches, if it is one that counts: a
 /// message of another controller, or the end of a write.
-fn reaches(hap: &ScheduledEvent) -> Option<usize> {
-    match hap {
-        ScheduledEvent::ToSeat { s, event, .. } => match event {
+fn reaches(event: &ScheduledEvent) -> Option<usize> {
+    match event {
+        ScheduledEvent::ControllerEvent { controller, event, .. } => match event {
             CoreEvent::FromVoter { message, .. } | CoreEvent::FromController { message } => {
-                (!is_heartbeat(message)).then_some(*s)
+                (!is_heartbeat(message)).then_some(*controller)
+            }
+            CoreEvent::FromConnection { connection, .. } if connection >> 63 == 1 => {
+                Some(*controller)
             }
-            CoreEvent::FromConnection { connection, .. } if connection >> 63 == 1 => Some(*s),
             _ => None,
         },
-        ScheduledEvent::Disk { s, .. } | ScheduledEvent::Kept { s, .. } => Some(*s),
+        ScheduledEvent::DiskJobDone { controller, .. }
+        | ScheduledEvent::VoterFileDone { controller, .. } => Some(*controller),
         _ => None,
     }
 }
@@ -119,33 +122,50 @@
         || matches!(message, Message::Heartbeat { partition: part, .. } | Message::HeartbeatAck { partition: part, .. } if part.0 != 0)
 }
 
-fn strike(w: &mut World, s: usize, fault: Fault, hap: ScheduledEvent) -> Option<ScheduledEvent> {
-    let message = matches!(hap, ScheduledEvent::ToSeat { .. });
+fn strike(
+    world: &mut World,
+    controller: usize,
+    fault: Fault,
+    event: ScheduledEvent,
+) -> Option<ScheduledEvent> {
+    let message = matches!(event, ScheduledEvent::ControllerEvent { .. });
     match fault {
         Fault::Lose if message => return None,
         Fault::Delay if message => {
-            push(w, DELAY, hap);
+            push(world, DELAY, event);
             return None;
         }
         Fault::Repeat => {
-            if let ScheduledEvent::ToSeat { s, life, event } = &hap {
+            if let ScheduledEvent::ControllerEvent { controller, life, event } = &event {
                 let event = copied(event);
                 if let Some(event) = event {
-                    push(w, 0, ScheduledEvent::ToSeat { s: *s, life: *life, event });
+                    push(
+                        world,
+                        0,
+                        ScheduledEvent::ControllerEvent {
+                            controller: *controller,
+                            life: *life,
+                            event,
+                        },
+                    );
                 }
             }
         }
         Fault::Pause => {
-            w.seats[s].paused = w.now + PAUSE;
-            push(w, PAUSE, hap);
+            world.controllers[controller].paused = world.now + PAUSE;
+            push(world, PAUSE, event);
             return None;
         }
         Fault::Lose | Fault::Delay => {}
         Fault::Kill | Fault::Power | Fault::DiskLost | Fault::Gone => {
-            push(w, 0, ScheduledEvent::Due { key: DueKey::Fault { controller: s, fault } });
+            push(
+                world,
+                0,
+                ScheduledEvent::FollowUp { key: FollowUp::Fault { controller: controller, fault } },
+            );
         }
     }
-    Some(hap)
+    Some(event)
 }
 
 fn copied(event: &CoreEvent) -> Option<CoreEvent> {
@@ -167,46 +187,51 @@
 }
 
 /// A fault that ends a controller's process.
-pub(super) fn fall(w: &mut World, s: usize, fault: Fault) {
-    if !w.seats[s].up {
+pub(super) fn end_process(world: &mut World, controller: usize, fault: Fault) {
+    if !world.controllers[controller].up {
         return;
     }
-    let restarts = !matches!(fault, Fault::Gone) && w.seats[s].stopping.is_none();
-    kill_seat(w, s, !matches!(fault, Fault::Kill));
+    let restarts =
+        !matches!(fault, Fault::Gone) && world.controllers[controller].stopping.is_none();
+    kill_controller(world, controller, !matches!(fault, Fault::Kill));
     if fault == Fault::DiskLost {
-        simulated_disk::lose(&mut w.seats[s].disk);
-        w.lost_disks += 1;
+        simulated_disk::lose(&mut world.controllers[controller].disk);
+        world.lost_disks += 1;
     }
-    w.deviations.losses += usize::from(fault == Fault::DiskLost || !restarts);
+    world.injected.losses += usize::from(fault == Fault::DiskLost || !restarts);
     if restarts {
-        later(w, DOWN, DueKey::StartSeat(s));
+        later(world, DOWN, FollowUp::StartController(controller));
     }
 }
 
-fn describe(hap: &ScheduledEvent) -> String {
+fn describe(event: &ScheduledEvent) -> String {
     let word = |message: &Message| {
         let text = format!("{message:?}");
         text.split([' ', '(', '{']).next().unwrap_or_default().to_string()
     };
-    match hap {
-        ScheduledEvent::ToSeat { s, event, .. } => match event {
+    match event {
+        ScheduledEvent::ControllerEvent { controller, event, .. } => match event {
             CoreEvent::FromVoter { slot: seat, message, .. } => {
-                format!("{} from slot {seat} to controller {s}", word(message))
+                format!("{} from slot {seat} to controller {controller}", word(message))
             }
             CoreEvent::FromConnection { connection, message } => {
                 format!(
-                    "{} from controller {} to controller {s}",
+                    "{} from controller {} to controller {controller}",
                     word(message),
                     connection << 1 >> 33
                 )
             }
             CoreEvent::FromController { message } => {
-                format!("{} in answer to controller {s}", word(message))
+                format!("{} in answer to controller {controller}", word(message))
             }
-            _ => format!("an event of controller {s}"),
+            _ => format!("an event of controller {controller}"),
         },
-        ScheduledEvent::Disk { s, part, .. } => format!("a write of {part} on controller {s}"),
-        ScheduledEvent::Kept { s, .. } => format!("the voter set's write on controller {s}"),
+        ScheduledEvent::DiskJobDone { controller, part, .. } => {
+            format!("a write of {part} on controller {controller}")
+        }
+        ScheduledEvent::VoterFileDone { controller, .. } => {
+            format!("the voter set's write on controller {controller}")
+        }
         _ => "another event".into(),
     }
 }
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -7,8 +7,8 @@
 use grebepath_core::time::ms;
 use serde_json::{Value, json};
 
-use super::events::{RunKey, ScheduledEvent, push};
-use super::faulty_variant::Broken;
+use super::events::{AttemptKey, ScheduledEvent, push};
+use super::faulty_variant::FaultyVariant;
 use super::nodes::Run;
 use super::queriers::learn;
 use super::{BEGIN, World};
@@ -17,15 +17,19 @@
 use crate::net::latency;
 use crate::rules;
 
-pub(super) fn dispatch(w: &mut World, (q, life, t): (usize, u64, usize), mut sending: Sending) {
-    let now = w.now - BEGIN;
-    rules::tries(&mut w.rules, now, &sending.id, &sending.service);
-    let who = w.queriers[q].name.clone();
-    if let Some(l) = w.backs.leafs.get(&sending.leaf) {
-        let (zone, known) = (l.zone.clone(), l.known_leaving.map(|k| k - BEGIN));
-        rules::sends(&mut w.rules, now, &who, &sending.leaf, &zone, known);
+pub(super) fn dispatch(
+    world: &mut World,
+    (querier, life, thread): (usize, u64, usize),
+    mut sending: Sending,
+) {
+    let now = world.now - BEGIN;
+    rules::tries(&mut world.rules, now, &sending.id, &sending.service);
+    let who = world.queriers[querier].name.clone();
+    if let Some(leaf) = world.backends.leafs.get(&sending.leaf) {
+        let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
+        rules::sends(&mut world.rules, now, &who, &sending.leaf, &zone, known);
     }
-    if w.broken == Some(Broken::ChangeQuestion) {
+    if world.faulty_variant == Some(FaultyVariant::AltersQuestion) {
         let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         val["question"] = json!("something else");
         let body = val.to_string().into_bytes();
@@ -34,138 +38,162 @@
     }
     // Whatever becomes of it, the sender gives up at the end of its budget.
     let event = engine::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
-    push(w, sending.budget, ScheduledEvent::ToDesk { q, life, t, event });
+    push(world, sending.budget, ScheduledEvent::QueryEngineEvent { querier, life, thread, event });
     // Giving up closes the connection, which the leaf sees a moment later.
-    let key = (q, life, t, sending.dispatch);
-    push(w, sending.budget + ms(1), ScheduledEvent::LeafDrop { key });
-    let zone = w.queriers[q].zone.clone();
-    let leaf_zone = w.backs.leafs.get(&sending.leaf).map_or("a".into(), |l| l.zone.clone());
-    let after = latency(&zone, &leaf_zone, &mut w.luck) + w.net.slow;
-    push(w, after, ScheduledEvent::LeafGets { q, life, t, sending: Box::new(sending) });
+    let key = (querier, life, thread, sending.dispatch);
+    push(world, sending.budget + ms(1), ScheduledEvent::LeafDisconnect { key });
+    let zone = world.queriers[querier].zone.clone();
+    let leaf_zone =
+        world.backends.leafs.get(&sending.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
+    let after = latency(&zone, &leaf_zone, &mut world.random) + world.net.slow;
+    push(
+        world,
+        after,
+        ScheduledEvent::LeafRequest { querier, life, thread, sending: Box::new(sending) },
+    );
 }
 
-pub(super) fn answer(w: &mut World, key: RunKey, zone: &str, mut got: Result<Raw, Trouble>) {
-    let (q, life, t, dispatch) = key;
+pub(super) fn answer(
+    world: &mut World,
+    key: AttemptKey,
+    zone: &str,
+    mut got: Result<Raw, Trouble>,
+) {
+    let (querier, life, thread, dispatch) = key;
     if let Ok(raw) = &mut got
-        && !w.backs.ages
+        && !world.backends.ages
     {
         raw.heads.age = None;
     }
-    let qzone = w.queriers[q].zone.clone();
-    let after = latency(&qzone, zone, &mut w.luck) + w.net.slow;
+    let qzone = world.queriers[querier].zone.clone();
+    let after = latency(&qzone, zone, &mut world.random) + world.net.slow;
     push(
-        w,
+        world,
         after,
-        ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Reply { dispatch, got } },
+        ScheduledEvent::QueryEngineEvent {
+            querier,
+            life,
+            thread,
+            event: engine::Event::Reply { dispatch, got },
+        },
     );
 }
 
-pub(super) fn leaf_gets(w: &mut World, (q, life, t): (usize, u64, usize), s: Sending) {
-    let now = w.now;
-    let key = (q, life, t, s.dispatch);
-    let name = w.backs.at.get(&s.addr).cloned().unwrap_or_default();
-    let Some(l) = w.backs.leafs.get_mut(&name) else { return };
-    let zone = l.zone.clone();
-    match l.alive {
+pub(super) fn leaf_gets(
+    world: &mut World,
+    (querier, life, thread): (usize, u64, usize),
+    sending: Sending,
+) {
+    let now = world.now;
+    let key = (querier, life, thread, sending.dispatch);
+    let name = world.backends.at.get(&sending.addr).cloned().unwrap_or_default();
+    let Some(leaf) = world.backends.leafs.get_mut(&name) else { return };
+    let zone = leaf.zone.clone();
+    match leaf.alive {
         Alive::Vanished => return,
-        Alive::Down => return answer(w, key, &zone, Err(Trouble::Unreachable)),
+        Alive::Down => return answer(world, key, &zone, Err(Trouble::Unreachable)),
         Alive::Up => {}
     }
     // A connection ends with the process behind it, and on a new one the leaf is
     // asked who it is before any work is sent.
-    let misdirected = s.leaf != l.name || s.service != l.service.name;
-    let connection = (q, life, t, s.addr.clone());
-    let known = w.connections.get(&connection) == Some(&name);
-    if !known && w.broken != Some(Broken::NoGreeting) {
+    let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
+    let connection = (querier, life, thread, sending.addr.clone());
+    let known = world.connections.get(&connection) == Some(&name);
+    if !known && world.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
         if misdirected {
-            let raw = mock_backends::turned_away(l, now, MISDIRECTED);
-            return answer(w, key, &zone, Ok(raw));
+            let raw = mock_backends::turned_away(leaf, now, MISDIRECTED);
+            return answer(world, key, &zone, Ok(raw));
         }
-        w.connections.insert(connection, name);
-        let after = 2 * latency(&w.queriers[q].zone.clone(), &zone, &mut w.luck);
-        return push(w, after, ScheduledEvent::LeafGets { q, life, t, sending: Box::new(s) });
+        world.connections.insert(connection, name);
+        let after = 2 * latency(&world.queriers[querier].zone.clone(), &zone, &mut world.random);
+        return push(
+            world,
+            after,
+            ScheduledEvent::LeafRequest { querier, life, thread, sending: Box::new(sending) },
+        );
     }
-    let who = &w.queriers[q].name;
-    rules::arrives(&mut w.rules, now - BEGIN, who, &name, &l.service.name, &s.service);
+    let who = &world.queriers[querier].name;
+    rules::arrives(&mut world.rules, now - BEGIN, who, &name, &leaf.service.name, &sending.service);
     if misdirected {
-        let raw = mock_backends::turned_away(l, now, MISDIRECTED);
-        return answer(w, key, &zone, Ok(raw));
+        let raw = mock_backends::turned_away(leaf, now, MISDIRECTED);
+        return answer(world, key, &zone, Ok(raw));
     }
-    if digest(&s.body) != s.digest {
-        let raw = mock_backends::turned_away(l, now, 400);
-        return answer(w, key, &zone, Ok(raw));
+    if digest(&sending.body) != sending.digest {
+        let raw = mock_backends::turned_away(leaf, now, 400);
+        return answer(world, key, &zone, Ok(raw));
     }
-    l.live += 1;
-    let bear = mock_backends::bears(l, now);
-    l.worst_pct = l.worst_pct.max(l.live * 100 / bear);
-    l.over += u64::from(l.live > bear);
-    let (live, fresh) = (l.live, mock_backends::fresh(l, now));
+    leaf.live += 1;
+    let bear = mock_backends::bears(leaf, now);
+    leaf.worst_pct = leaf.worst_pct.max(leaf.live * 100 / bear);
+    leaf.over += u64::from(leaf.live > bear);
+    let (live, fresh) = (leaf.live, mock_backends::fresh(leaf, now));
     if fresh {
-        rules::carries(&mut w.rules, now - BEGIN, &name, live, bear);
+        rules::carries(&mut world.rules, now - BEGIN, &name, live, bear);
     }
-    if l.mode == mock_backends::Mode::Unrun || live > bear * 3 {
-        l.live -= 1;
-        let raw = mock_backends::turned_away(l, now, 503);
-        if l.leaving {
-            learn(w, &name);
+    if leaf.mode == mock_backends::Mode::Unrun || live > bear * 3 {
+        leaf.live -= 1;
+        let raw = mock_backends::turned_away(leaf, now, 503);
+        if leaf.leaving {
+            learn(world, &name);
         }
-        return answer(w, key, &zone, Ok(raw));
+        return answer(world, key, &zone, Ok(raw));
     }
-    l.ran += 1;
-    let took = mock_backends::takes(l, now, &mut w.luck);
-    let asked: Value = serde_json::from_slice(&s.body).unwrap_or(Value::Null);
+    leaf.ran += 1;
+    let took = mock_backends::takes(leaf, now, &mut world.random);
+    let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
     let question = asked["question"].as_str().unwrap_or_default();
-    rules::runs(&mut w.rules, now - BEGIN, &name, question);
-    w.next += 1;
-    let run = w.next;
-    w.by_key.insert(key, run);
-    w.runs.insert(run, Run { key, leaf: name, sending: s });
-    push(w, took, ScheduledEvent::LeafDone { run });
+    rules::runs(&mut world.rules, now - BEGIN, &name, question);
+    world.next += 1;
+    let run = world.next;
+    world.runs_by_attempt.insert(key, run);
+    world.runs.insert(run, Run { key, leaf: name, sending });
+    push(world, took, ScheduledEvent::LeafResponse { run });
 }
 
-pub(super) fn end_run(w: &mut World, run: u64) -> Option<Run> {
-    let r = w.runs.remove(&run)?;
-    w.by_key.remove(&r.key);
-    if let Some(l) = w.backs.leafs.get_mut(&r.leaf) {
-        l.live = l.live.saturating_sub(1);
+pub(super) fn end_run(world: &mut World, run: u64) -> Option<Run> {
+    let run = world.runs.remove(&run)?;
+    world.runs_by_attempt.remove(&run.key);
+    if let Some(leaf) = world.backends.leafs.get_mut(&run.leaf) {
+        leaf.live = leaf.live.saturating_sub(1);
     }
-    Some(r)
+    Some(run)
 }
 
-pub(super) fn leaf_done(w: &mut World, run: u64) {
-    let Some(r) = end_run(w, run) else { return };
-    let now = w.now;
-    let Some(l) = w.backs.leafs.get_mut(&r.leaf) else { return };
-    let zone = l.zone.clone();
-    if l.alive != Alive::Up {
+pub(super) fn leaf_done(world: &mut World, run: u64) {
+    let Some(run) = end_run(world, run) else { return };
+    let now = world.now;
+    let Some(leaf) = world.backends.leafs.get_mut(&run.leaf) else { return };
+    let zone = leaf.zone.clone();
+    if leaf.alive != Alive::Up {
         return;
     }
-    let mut raw = mock_backends::reply(l, now, &r.sending);
-    let asked: Value = serde_json::from_slice(&r.sending.body).unwrap_or(Value::Null);
-    if mock_backends::true_reply(l.mode, asked["limit"].as_u64().unwrap_or(0)) {
+    let mut raw = mock_backends::reply(leaf, now, &run.sending);
+    let asked: Value = serde_json::from_slice(&run.sending.body).unwrap_or(Value::Null);
+    if mock_backends::true_reply(leaf.mode, asked["limit"].as_u64().unwrap_or(0)) {
         let question = asked["question"].as_str().unwrap_or_default();
-        rules::answers(&mut w.rules, &l.service.name, &r.sending.id, question);
+        rules::answers(&mut world.rules, &leaf.service.name, &run.sending.id, question);
     }
-    if l.leaving {
-        learn(w, &r.leaf);
-        if w.broken == Some(Broken::IgnoreLeaving) {
+    if leaf.leaving {
+        learn(world, &run.leaf);
+        if world.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs) {
             raw.heads = Heads { state: None, ..raw.heads };
         }
     }
-    answer(w, r.key, &zone, Ok(raw));
+    answer(world, run.key, &zone, Ok(raw));
 }
 
 /// A leaf's process ends: its work is lost, and callers hear of it.
-pub fn kill_leaf(w: &mut World, name: &str, how: Alive) {
-    let Some(l) = w.backs.leafs.get_mut(name) else { return };
-    l.alive = how;
-    let zone = l.zone.clone();
-    let runs: Vec<u64> = w.runs.iter().filter(|(_, r)| r.leaf == name).map(|(id, _)| *id).collect();
+pub fn kill_leaf(world: &mut World, name: &str, how: Alive) {
+    let Some(leaf) = world.backends.leafs.get_mut(name) else { return };
+    leaf.alive = how;
+    let zone = leaf.zone.clone();
+    let runs: Vec<u64> =
+        world.runs.iter().filter(|(_, run)| run.leaf == name).map(|(id, _)| *id).collect();
     for run in runs {
-        if let Some(r) = end_run(w, run)
+        if let Some(run) = end_run(world, run)
             && how == Alive::Down
         {
-            answer(w, r.key, &zone, Err(Trouble::Cut));
+            answer(world, run.key, &zone, Err(Trouble::Cut));
         }
     }
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -13,9 +13,9 @@
 mod build;
 mod callers;
 mod controllers;
-mod deviations;
 mod events;
 mod faulty_variant;
+mod injected_faults;
 mod leafs;
 mod nodes;
 mod operators;
@@ -23,61 +23,65 @@
 mod status;
 mod time_loop;
 
-pub use build::{Cores, address, three, world};
-pub use callers::begin_calls;
-pub use controllers::{add_seat, disk_health, kill_seat, start_seat, stop_seat};
-pub use deviations::{Deviation, Deviations, FAULTS, Fault};
-pub use events::{DueKey, later, plan};
-use events::{RunKey, ScheduledEvent};
-pub use faulty_variant::Broken;
+pub use build::{ControlPlaneSetup, address, three_voters, world};
+pub use callers::start_calls;
+pub use controllers::{
+    add_controller, kill_controller, set_disk_health, start_controller, stop_controller,
+};
+use events::{AttemptKey, ScheduledEvent};
+pub use events::{FollowUp, later, plan};
+pub use faulty_variant::FaultyVariant;
+pub use injected_faults::{FAULTS, Fault, FaultInjection, InjectedFault};
 pub use leafs::kill_leaf;
 use nodes::{Call, Run};
-pub use nodes::{ControllerNode, Order, QuerierNode, Stopping, Tally, seated};
-pub use operators::{committed, drain, drained, finish, grown, marked, order, patch, race, whole};
+pub use nodes::{
+    CallOutcomes, ControllerNode, OperatorRequest, QuerierNode, Stopping, has_voter_slot,
+};
+pub use operators::{committed, drain, drained, finish, grown, marked, patch, race, submit, whole};
 pub use queriers::{kill_querier, start_querier, stop_querier};
-pub use status::{age, seated_up, seats_whole, settled, since_begin};
+pub use status::{age, all_slots_voting, running_voters, settled, since_begin};
 pub use time_loop::{run, until};
 
 /// The world.
 pub struct World {
     pub now: Tick,
-    haps: BTreeMap<(Tick, u64), ScheduledEvent>,
+    queue: BTreeMap<(Tick, u64), ScheduledEvent>,
     next: u64,
-    pub luck: Random,
+    pub random: Random,
     pub net: Net,
     /// The controllers' machines, with a seat or without.
-    pub seats: Vec<ControllerNode>,
-    pub core: Cores,
+    pub controllers: Vec<ControllerNode>,
+    pub control_plane: ControlPlaneSetup,
     /// Wires on which something came: (seat's machine, its life, connection).
-    opened: BTreeSet<(usize, u64, u64)>,
+    opened_connections: BTreeSet<(usize, u64, u64)>,
     pub queriers: Vec<QuerierNode>,
-    pub backs: MockBackends,
-    pub kinds: Vec<Kind>,
+    pub backends: MockBackends,
+    pub call_kinds: Vec<Kind>,
     pub factor: f64,
-    platform: Vec<usize>,
+    ready_queriers: Vec<usize>,
     runs: BTreeMap<u64, Run>,
-    by_key: BTreeMap<RunKey, u64>,
+    runs_by_attempt: BTreeMap<AttemptKey, u64>,
     /// Who was found at the other end of each connection to a leaf.
     connections: BTreeMap<(usize, u64, usize, String), String>,
     calls: BTreeMap<u64, Call>,
-    pub orders: Vec<Order>,
+    pub operator_requests: Vec<OperatorRequest>,
     pub rules: Rules,
-    pub tally: BTreeMap<String, Tally>,
-    pub broken: Option<Broken>,
+    pub tallies: BTreeMap<String, CallOutcomes>,
+    pub faulty_variant: Option<FaultyVariant>,
     /// Set from a scenario: run when their time comes.
-    pub troubles: Vec<crate::scenario::Trouble>,
+    pub faults: Vec<crate::scenario::ScheduledFault>,
     /// No more calls from here on.
-    pub calls_end: Tick,
+    pub calls_end_at: Tick,
     /// Callers call any querier that runs, ready or not.
-    pub any_querier: bool,
+    pub ignore_readiness: bool,
     /// When the outcome of each order was told.
-    pub told_at: BTreeMap<usize, Tick>,
+    pub acknowledged_at: BTreeMap<usize, Tick>,
     pub alarms: BTreeMap<String, u64>,
     /// Seats whose disks were lost, for the report.
     pub lost_disks: u64,
     pub events: u64,
     /// Faults at numbered events of the controllers.
-    pub deviations: Deviations,
+    pub injected: FaultInjection,
 }
 
 /// Threads of each querier.
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -9,7 +9,7 @@
 use grebepath_core::time::{Span, Tick};
 
 use super::World;
-use super::events::RunKey;
+use super::events::AttemptKey;
 use crate::check::Asked;
 use crate::simulated_disk::Disk;
 
@@ -18,7 +18,7 @@
     pub zone: String,
     pub life: u64,
     pub up: bool,
-    pub core: ControllerState,
+    pub state: ControllerState,
     pub began: Tick,
     pub disk: Disk,
     pub paused: Tick,
@@ -49,7 +49,7 @@
 
 /// A dispatch that a leaf works on.
 pub(super) struct Run {
-    pub(super) key: RunKey,
+    pub(super) key: AttemptKey,
     pub(super) leaf: String,
     pub(super) sending: Sending,
 }
@@ -58,47 +58,47 @@
 pub(super) struct Call {
     pub(super) kind: usize,
     pub(super) asked: Asked,
-    pub(super) q: usize,
+    pub(super) querier: usize,
     pub(super) life: u64,
     pub(super) began: Tick,
 }
 
 /// An operator's request on its way.
-pub struct Order {
+pub struct OperatorRequest {
     /// Its request id, if another order had it before: it is sent again.
     pub request: Option<String>,
-    pub deed: Operation,
+    pub operation: Operation,
     pub at: Tick,
-    pub seat: Option<usize>,
-    pub done: Option<OperationResult>,
+    pub controller: Option<usize>,
+    pub result: Option<OperationResult>,
     /// Zone that it empties or fills.
     pub zone: Option<(String, bool)>,
     /// An object that only this order sets, to look for at the end.
-    pub mark: Option<String>,
+    pub marker: Option<String>,
     /// The revision that the operator read before.
     pub expect: Option<u64>,
 }
 
 /// What calls of a kind came to.
 #[derive(Default, Clone)]
-pub struct Tally {
+pub struct CallOutcomes {
     pub full: u64,
     pub partial: u64,
-    pub bounced: BTreeMap<String, u64>,
+    pub rejected: BTreeMap<String, u64>,
     pub unreachable: u64,
-    pub late: u64,
-    pub waits: Vec<u64>,
+    pub timed_out: u64,
+    pub latencies: Vec<u64>,
 }
 
-pub(super) fn alive(w: &World, s: usize, life: u64) -> bool {
-    w.seats[s].up && w.seats[s].life == life
+pub(super) fn controller_runs(world: &World, controller: usize, life: u64) -> bool {
+    world.controllers[controller].up && world.controllers[controller].life == life
 }
 
-pub(super) fn live(w: &World, q: usize, life: u64) -> bool {
-    w.queriers[q].up && w.queriers[q].life == life
+pub(super) fn querier_runs(world: &World, querier: usize, life: u64) -> bool {
+    world.queriers[querier].up && world.queriers[querier].life == life
 }
 
 /// Whether this machine's controller has a seat.
-pub fn seated(n: &ControllerNode) -> bool {
-    n.core.slot != grebepath_core::voter_set::NOBODY
+pub fn has_voter_slot(node: &ControllerNode) -> bool {
+    node.state.slot != grebepath_core::voter_set::NOBODY
 }
