--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -10,36 +10,45 @@
 use serde_json::{Value, json};
 
 use super::events::{ScheduledEvent, push};
-use super::nodes::{Order, seated};
-use super::status::seated_up;
+use super::nodes::{OperatorRequest, has_voter_slot};
+use super::status::running_voters;
 use super::{BEGIN, THREADS, World};
 use crate::rules;
 
 /// Sends an operator's order after a while.
-pub fn order(w: &mut World, after: Span, order: Order) -> usize {
-    w.orders.push(order);
-    let id = w.orders.len() - 1;
-    push(w, after, ScheduledEvent::Operate { order: id });
+pub fn submit(world: &mut World, after: Span, order: OperatorRequest) -> usize {
+    world.operator_requests.push(order);
+    let id = world.operator_requests.len() - 1;
+    push(world, after, ScheduledEvent::OperatorRequest { request: id });
     id
 }
 
 /// An order that sets a whole configuration.
-pub fn whole(conf: &Value) -> Order {
-    plain(Operation::Replace(conf.to_string().into_bytes()))
+pub fn whole(conf: &Value) -> OperatorRequest {
+    unmarked(Operation::Replace(conf.to_string().into_bytes()))
 }
 
 /// An order that changes some of it.
-pub fn patch(val: &Value) -> Order {
-    plain(Operation::Patch(val.to_string().into_bytes()))
+pub fn patch(val: &Value) -> OperatorRequest {
+    unmarked(Operation::Patch(val.to_string().into_bytes()))
 }
 
-pub(super) fn plain(deed: Operation) -> Order {
+pub(super) fn unmarked(operation: Operation) -> OperatorRequest {
     let request = None;
-    Order { request, deed, at: 0, seat: None, done: None, zone: None, mark: None, expect: None }
+    OperatorRequest {
+        request,
+        operation,
+        at: 0,
+        controller: None,
+        result: None,
+        zone: None,
+        marker: None,
+        expect: None,
+    }
 }
 
 /// An order that adds pools with much text: a large configuration.
-pub fn grown(pools: u64, bytes: usize) -> Order {
+pub fn grown(pools: u64, bytes: usize) -> OperatorRequest {
     let list: Vec<Value> = (0..pools)
         .map(|i| {
             json!({ "name": format!("spare-{i}"), "service": format!("spare-{i}"),
@@ -50,83 +59,94 @@
 }
 
 /// An order that empties or fills a zone.
-pub fn drain(zone: &str, on: bool) -> Order {
+pub fn drain(zone: &str, on: bool) -> OperatorRequest {
     let state = if on { "drained" } else { "open" };
-    let mut o = patch(&json!({ "zones": [{ "name": zone, "state": state }] }));
-    o.zone = Some((zone.to_string(), on));
-    o
+    let mut request = patch(&json!({ "zones": [{ "name": zone, "state": state }] }));
+    request.zone = Some((zone.to_string(), on));
+    request
 }
 
 /// An order whose trace can be looked for at the end.
-pub fn marked(n: usize) -> Order {
+pub fn marked(n: usize) -> OperatorRequest {
     let name = format!("mark-{n}");
-    let mut o = patch(&json!({ "zones": [{ "name": name, "state": "open" }] }));
-    o.mark = Some(name);
-    o
+    let mut request = patch(&json!({ "zones": [{ "name": name, "state": "open" }] }));
+    request.marker = Some(name);
+    request
 }
 
 /// Operators send whole and partial changes at the same moment, to any seat.
 /// Who sends a whole one has read the configuration and says which it was, so
 /// nothing that is accepted in between may be lost.
-pub fn race(w: &mut World, count: u64) {
-    let fits = |s: &usize| w.seats[*s].up && seated(&w.seats[*s]);
-    let seats: Vec<usize> = (0..w.seats.len()).filter(fits).collect();
+pub fn race(world: &mut World, count: u64) {
+    let fits = |controller: &usize| {
+        world.controllers[*controller].up && has_voter_slot(&world.controllers[*controller])
+    };
+    let seats: Vec<usize> = (0..world.controllers.len()).filter(fits).collect();
     for i in 0..count {
-        let n = w.orders.len();
-        let mut o = marked(n);
+        let n = world.operator_requests.len();
+        let mut request = marked(n);
         if i % 2 == 0 {
-            let Some(s) = seats.get(below(&mut w.luck, seats.len() as u64) as usize) else {
+            let Some(controller) = seats.get(below(&mut world.random, seats.len() as u64) as usize)
+            else {
                 return;
             };
-            let part = &w.seats[*s].core.partitions[0];
+            let part = &world.controllers[*controller].state.partitions[0];
             let Ok(conf) = change::config(&part.committed) else { return };
             let mut val = grebepath_core::config::show::json(&conf);
             if let Some(zones) = val["zones"].as_array_mut() {
                 zones.push(json!({ "name": format!("mark-{n}"), "state": "open" }));
             }
-            (o.deed, o.expect) = (whole(&val).deed, Some(part.committed_revision));
+            (request.operation, request.expect) =
+                (whole(&val).operation, Some(part.committed_revision));
         }
-        order(w, 0, o);
+        submit(world, 0, request);
     }
 }
 
-pub(super) fn operate(w: &mut World, id: usize) {
-    let up: Vec<usize> = (0..w.seats.len()).filter(|s| w.seats[*s].up).collect();
+pub(super) fn send_operator_request(world: &mut World, id: usize) {
+    let up: Vec<usize> = (0..world.controllers.len())
+        .filter(|controller| world.controllers[*controller].up)
+        .collect();
     if up.is_empty() {
         // Nobody to ask; the operator tries again, as grebectl does.
-        return push(w, ms(500), ScheduledEvent::Operate { order: id });
+        return push(world, ms(500), ScheduledEvent::OperatorRequest { request: id });
     }
-    let s = w.orders[id]
-        .seat
-        .filter(|s| up.contains(s))
-        .unwrap_or_else(|| up[below(&mut w.luck, up.len() as u64) as usize]);
-    if w.orders[id].at == 0 {
-        w.orders[id].at = w.now;
+    let controller = world.operator_requests[id]
+        .controller
+        .filter(|controller| up.contains(controller))
+        .unwrap_or_else(|| up[below(&mut world.random, up.len() as u64) as usize]);
+    if world.operator_requests[id].at == 0 {
+        world.operator_requests[id].at = world.now;
     }
     // Once filling is asked it may come to be before its outcome is told.
-    if let Some((zone, false)) = &w.orders[id].zone {
-        w.rules.drained.remove(zone);
+    if let Some((zone, false)) = &world.operator_requests[id].zone {
+        world.rules.drained.remove(zone);
     }
-    rules::tell(&mut w.rules, w.now - BEGIN, || format!("order {id} sent to controller {s}"));
-    let life = w.seats[s].life;
+    rules::tell(&mut world.rules, world.now - BEGIN, || {
+        format!("order {id} sent to controller {controller}")
+    });
+    let life = world.controllers[controller].life;
     let event = CoreEvent::Operate {
         op: id as u64,
-        request: w.orders[id].request.clone().unwrap_or_else(|| format!("order-{id}")),
-        expect: w.orders[id].expect,
-        deed: w.orders[id].deed.clone(),
+        request: world.operator_requests[id]
+            .request
+            .clone()
+            .unwrap_or_else(|| format!("order-{id}")),
+        expect: world.operator_requests[id].expect,
+        deed: world.operator_requests[id].operation.clone(),
     };
-    push(w, ms(1), ScheduledEvent::ToSeat { s, life, event });
+    push(world, ms(1), ScheduledEvent::ControllerEvent { controller, life, event });
 }
 
-pub(super) fn told(w: &mut World, id: usize, done: OperationResult) {
-    if id >= w.orders.len() {
+pub(super) fn acknowledge(world: &mut World, id: usize, result: OperationResult) {
+    if id >= world.operator_requests.len() {
         // A request that a controller without a seat had handed on, and whose
         // connection is gone: as in the daemon, nobody waits for the outcome.
         return;
     }
-    let now = w.now - BEGIN;
-    rules::tell(&mut w.rules, now, || {
-        let text = match &done {
+    let now = world.now - BEGIN;
+    rules::tell(&mut world.rules, now, || {
+        let text = match &result {
             OperationResult::Accepted { revision, copies, .. } => {
                 format!("accepted as {revision}, {copies} copies")
             }
@@ -136,14 +156,14 @@
         };
         format!("order {id} {text}")
     });
-    if let OperationResult::Accepted { revision, .. } = &done {
-        w.rules.accepted.push((now, *revision));
-        for back in w.rules.restarts.iter_mut().filter(|b| b.order == Some(id)) {
+    if let OperationResult::Accepted { revision, .. } = &result {
+        world.rules.accepted.push((now, *revision));
+        for back in world.rules.restarts.iter_mut().filter(|b| b.order == Some(id)) {
             back.accepted = Some(now);
         }
-        let asked = w.orders[id].at - BEGIN;
-        let zone = w.orders[id].zone.clone().filter(|(zone, _)| {
-            let last = w.rules.zone_rev.entry(zone.clone()).or_insert(0);
+        let asked = world.operator_requests[id].at - BEGIN;
+        let zone = world.operator_requests[id].zone.clone().filter(|(zone, _)| {
+            let last = world.rules.zone_rev.entry(zone.clone()).or_insert(0);
             let newer = *revision > *last;
             *last = (*last).max(*revision);
             newer
@@ -151,41 +171,50 @@
         match zone {
             Some((zone, true)) => {
                 let from = (asked + 5 * SECOND).max(now + 3 * SECOND);
-                w.rules.drained.insert(zone, from);
+                world.rules.drained.insert(zone, from);
             }
             Some((zone, false)) => {
-                w.rules.drained.remove(&zone);
+                world.rules.drained.remove(&zone);
             }
             None => {}
         }
     }
-    w.told_at.insert(id, w.now);
-    w.orders[id].done = Some(done);
+    world.acknowledged_at.insert(id, world.now);
+    world.operator_requests[id].result = Some(result);
 }
 
 /// The configuration that most seats have committed.
-pub fn committed(w: &World) -> Config {
-    let best = seated_up(w).max_by_key(|s| s.core.partitions[0].committed_revision);
-    best.and_then(|s| change::config(&s.core.partitions[0].committed).ok()).unwrap_or_default()
+pub fn committed(world: &World) -> Config {
+    let best = running_voters(world)
+        .max_by_key(|controller| controller.state.partitions[0].committed_revision);
+    best.and_then(|controller| change::config(&controller.state.partitions[0].committed).ok())
+        .unwrap_or_default()
 }
 
 /// Ends a run: the checks that only the end allows.
-pub fn finish(w: &mut World) {
-    let now = w.now - BEGIN;
-    let conf = committed(w);
-    let top = seated_up(w).map(|s| s.core.partitions[0].committed_revision).max().unwrap_or(0);
-    for id in 0..w.orders.len() {
-        let (Some(done), mark) = (&w.orders[id].done, &w.orders[id].mark) else { continue };
-        match done {
+pub fn finish(world: &mut World) {
+    let now = world.now - BEGIN;
+    let conf = committed(world);
+    let top = running_voters(world)
+        .map(|controller| controller.state.partitions[0].committed_revision)
+        .max()
+        .unwrap_or(0);
+    for id in 0..world.operator_requests.len() {
+        let (Some(result), mark) =
+            (&world.operator_requests[id].result, &world.operator_requests[id].marker)
+        else {
+            continue;
+        };
+        match result {
             OperationResult::Accepted { revision, .. } => {
                 if *revision > top {
                     let text = format!("order {id} was accepted as {revision}, the end is {top}");
-                    rules::broken(&mut w.rules, now, 12, text);
+                    rules::violated(&mut world.rules, now, 12, text);
                 } else if let Some(mark) = mark
                     && !conf.zones.contains_key(mark)
                 {
                     let text = format!("order {id} was accepted as {revision} and is lost");
-                    rules::broken(&mut w.rules, now, 12, text);
+                    rules::violated(&mut world.rules, now, 12, text);
                 }
             }
             OperationResult::Rejected { .. } => {
@@ -193,17 +222,17 @@
                     && conf.zones.contains_key(mark)
                 {
                     let text = format!("order {id} was said not to be applied, but it is");
-                    rules::broken(&mut w.rules, now, 12, text);
+                    rules::violated(&mut world.rules, now, 12, text);
                 }
             }
             _ => {}
         }
     }
-    let threads = w.queriers.len() * THREADS as usize;
-    rules::finish(&mut w.rules, now, threads);
+    let threads = world.queriers.len() * THREADS as usize;
+    rules::finish(&mut world.rules, now, threads);
 }
 
 /// Zones that the committed configuration empties.
-pub fn drained(w: &World) -> BTreeSet<String> {
-    committed(w).zones.values().filter(|z| z.drained).map(|z| z.name.clone()).collect()
+pub fn drained(world: &World) -> BTreeSet<String> {
+    committed(world).zones.values().filter(|z| z.drained).map(|z| z.name.clone()).collect()
 }
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -15,12 +15,12 @@
 use grebepath_core::time::{BOOT, MILLI, ms};
 
 use super::build::{machine, member};
-use super::callers::{outcome_told, tally};
-use super::controllers::below_ms;
-use super::events::{DueKey, RunKey, ScheduledEvent, later, push, push_at};
-use super::faulty_variant::Broken;
+use super::callers::{finish_call, tally};
+use super::controllers::start_delay;
+use super::events::{AttemptKey, FollowUp, ScheduledEvent, later, push, push_at};
+use super::faulty_variant::FaultyVariant;
 use super::leafs::dispatch;
-use super::nodes::live;
+use super::nodes::querier_runs;
 use super::{BEGIN, THREADS, World};
 use crate::mock_backends;
 use crate::mock_backends::Alive;
@@ -28,327 +28,400 @@
 use crate::rules;
 
 /// Starts a querier, which knows nothing.
-pub fn start_querier(w: &mut World, q: usize) {
-    let seed = draw(&mut w.luck);
-    let n = &mut w.queriers[q];
-    n.life += 1;
-    n.up = true;
-    n.ready = false;
-    n.paused = 0;
-    n.polling = false;
-    n.began = w.now;
-    n.watch = wat::watch(member(&n.name, &n.zone, q, n.life), BOOT);
-    n.desks = (0..THREADS)
-        .map(|t| {
-            let name = format!("{}-{t}-{:x}", n.name, n.life);
-            let mut desk = desk(&name, &n.zone, seed ^ u64::from(t), BOOT);
-            desk.slot = grebepath_core::query::quota::slot(&n.name, t);
+pub fn start_querier(world: &mut World, querier: usize) {
+    let seed = draw(&mut world.random);
+    let node = &mut world.queriers[querier];
+    node.life += 1;
+    node.up = true;
+    node.ready = false;
+    node.paused = 0;
+    node.polling = false;
+    node.began = world.now;
+    node.watch = wat::watch(member(&node.name, &node.zone, querier, node.life), BOOT);
+    node.desks = (0..THREADS)
+        .map(|thread| {
+            let name = format!("{}-{thread}-{:x}", node.name, node.life);
+            let mut desk = desk(&name, &node.zone, seed ^ u64::from(thread), BOOT);
+            desk.slot = grebepath_core::query::quota::slot(&node.name, thread);
             desk
         })
         .collect();
-    n.wakes = vec![0; THREADS as usize];
-    let life = n.life;
-    push(w, below_ms(seed, 50), ScheduledEvent::QWake { q, life });
+    node.wakes = vec![0; THREADS as usize];
+    let life = node.life;
+    push(world, start_delay(seed, 50), ScheduledEvent::QuerierTimer { querier, life });
 }
 
 /// Ends a querier at once.
-pub fn kill_querier(w: &mut World, q: usize) {
-    let life = w.queriers[q].life;
-    w.queriers[q].up = false;
-    w.queriers[q].ready = false;
-    w.queriers[q].life += 1;
-    let connection = ((q as u64) << 32) | life;
-    for s in 0..w.seats.len() {
-        let life = w.seats[s].life;
+pub fn kill_querier(world: &mut World, querier: usize) {
+    let life = world.queriers[querier].life;
+    world.queriers[querier].up = false;
+    world.queriers[querier].ready = false;
+    world.queriers[querier].life += 1;
+    let connection = ((querier as u64) << 32) | life;
+    for controller in 0..world.controllers.len() {
+        let life = world.controllers[controller].life;
         push(
-            w,
+            world,
             ms(2),
-            ScheduledEvent::ToSeat { s, life, event: CoreEvent::ConnectionClosed { connection } },
+            ScheduledEvent::ControllerEvent {
+                controller,
+                life,
+                event: CoreEvent::ConnectionClosed { connection },
+            },
         );
     }
-    let gone: Vec<u64> =
-        w.calls.iter().filter(|(_, c)| c.q == q && c.life == life).map(|(id, _)| *id).collect();
+    let gone: Vec<u64> = world
+        .calls
+        .iter()
+        .filter(|(_, c)| c.querier == querier && c.life == life)
+        .map(|(id, _)| *id)
+        .collect();
     for id in gone {
-        if let Some(c) = w.calls.remove(&id) {
-            tally(w, c.kind).unreachable += 1;
+        if let Some(c) = world.calls.remove(&id) {
+            tally(world, c.kind).unreachable += 1;
         }
     }
-    let runs: Vec<RunKey> = w.by_key.keys().filter(|k| k.0 == q && k.1 == life).copied().collect();
+    let runs: Vec<AttemptKey> =
+        world.runs_by_attempt.keys().filter(|k| k.0 == querier && k.1 == life).copied().collect();
     for key in runs {
-        push(w, ms(1), ScheduledEvent::LeafDrop { key });
+        push(world, ms(1), ScheduledEvent::LeafDisconnect { key });
     }
 }
 
-pub(super) fn step_watch(w: &mut World, q: usize, event: wat::Event) {
-    let local = w.now - w.queriers[q].began + BOOT;
-    let todo = qstep::step(&mut w.queriers[q].watch, local, event);
-    if w.broken == Some(Broken::SlipBack) && w.queriers[q].watch.built_revision > 0 {
-        w.queriers[q].watch.sure = true;
+pub(super) fn step_node_agent(world: &mut World, querier: usize, event: wat::Event) {
+    let local = world.now - world.queriers[querier].began + BOOT;
+    let todo = qstep::step(&mut world.queriers[querier].watch, local, event);
+    if world.faulty_variant == Some(FaultyVariant::RevertsConfiguration)
+        && world.queriers[querier].watch.built_revision > 0
+    {
+        world.queriers[querier].watch.sure = true;
     }
     for command in todo {
-        watch_does(w, q, command);
+        run_node_agent_command(world, querier, command);
     }
-    let held = &w.queriers[q].watch.held;
+    let held = &world.queriers[querier].watch.held;
     let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
     for (part, revision) in places {
-        if revision > 0 && !seen(w, q, part, revision) {
+        if revision > 0 && !seen(world, querier, part, revision) {
             let sum = grebepath_core::replication::leader::sum(
-                &w.queriers[q].watch.held[&PartitionId(part)].map,
+                &world.queriers[querier].watch.held[&PartitionId(part)].map,
             );
-            rules::same(&mut w.rules, w.now - BEGIN, part, revision, sum);
+            rules::same(&mut world.rules, world.now - BEGIN, part, revision, sum);
         }
     }
 }
 
 /// Whether this querier's holding of a revision was compared already.
-pub(super) fn seen(w: &mut World, q: usize, part: u32, revision: u64) -> bool {
-    let key = (1_000 + part + 100 * q as u32, 0);
-    w.rules.truth.insert(key, revision) == Some(revision)
+pub(super) fn seen(world: &mut World, querier: usize, part: u32, revision: u64) -> bool {
+    let key = (1_000 + part + 100 * querier as u32, 0);
+    world.rules.truth.insert(key, revision) == Some(revision)
 }
 
-pub(super) fn watch_does(w: &mut World, q: usize, command: wat::Command) {
-    let life = w.queriers[q].life;
-    let zone = w.queriers[q].zone.clone();
+pub(super) fn run_node_agent_command(world: &mut World, querier: usize, command: wat::Command) {
+    let life = world.queriers[querier].life;
+    let zone = world.queriers[querier].zone.clone();
     match command {
         wat::Command::ToSeat { slot: seat, message } => {
-            let Some(h) = w.queriers[q].watch.table.slots.get(usize::from(seat)) else { return };
-            let Some(s) = machine(w, &h.addr) else { return };
-            to_controller(w, q, s, message);
+            let Some(h) = world.queriers[querier].watch.table.slots.get(usize::from(seat)) else {
+                return;
+            };
+            let Some(controller) = machine(world, &h.addr) else { return };
+            send_from_querier(world, querier, controller, message);
         }
         wat::Command::ToAll { message } => {
-            for s in w.core.seeds.clone() {
-                to_controller(w, q, s, message.clone());
+            for controller in world.control_plane.seeds.clone() {
+                send_from_querier(world, querier, controller, message.clone());
             }
         }
         wat::Command::Seats => {}
         wat::Command::ToMember { message: Message::LeafReports { .. }, .. }
-            if w.broken == Some(Broken::NoWords) => {}
+            if world.faulty_variant == Some(FaultyVariant::NoLeafReports) => {}
         wat::Command::ToMember { name, message, .. } => {
-            weigh(&mut w.net, "querier-querier", &message);
-            let Some(to) = w.queriers.iter().position(|n| n.name == name) else { return };
-            let tozone = w.queriers[to].zone.clone();
-            let from = (Node::Querier(q), zone.as_str());
-            let at = send(&mut w.net, w.now, from, (Node::Querier(to), &tozone), &mut w.luck);
+            weigh(&mut world.net, "querier-querier", &message);
+            let Some(to) = world.queriers.iter().position(|node| node.name == name) else { return };
+            let tozone = world.queriers[to].zone.clone();
+            let from = (Node::Querier(querier), zone.as_str());
+            let at = send(
+                &mut world.net,
+                world.now,
+                from,
+                (Node::Querier(to), &tozone),
+                &mut world.random,
+            );
             if let Some(at) = at {
-                let event = wat::Event::FromMember { name: w.queriers[q].name.clone(), message };
-                let life = w.queriers[to].life;
-                push_at(w, at, ScheduledEvent::ToWatch { q: to, life, event });
+                let event =
+                    wat::Event::FromMember { name: world.queriers[querier].name.clone(), message };
+                let life = world.queriers[to].life;
+                push_at(world, at, ScheduledEvent::NodeAgentEvent { querier: to, life, event });
             }
         }
         wat::Command::ClusterView(view) => {
-            rules::views(&mut w.rules, w.now - BEGIN, q, view.revision);
-            if w.broken == Some(Broken::StaleView) && q == 0 && view.revision > 1 {
+            rules::views(&mut world.rules, world.now - BEGIN, querier, view.revision);
+            if world.faulty_variant == Some(FaultyVariant::KeepsStaleSnapshot)
+                && querier == 0
+                && view.revision > 1
+            {
                 return;
             }
             let mut view = view;
-            if w.broken == Some(Broken::IgnoreDrain) || w.broken == Some(Broken::IgnoreLeaving) {
+            if world.faulty_variant == Some(FaultyVariant::IgnoresDrainedZones)
+                || world.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs)
+            {
                 let mut own = (*view).clone();
-                if w.broken == Some(Broken::IgnoreDrain) {
+                if world.faulty_variant == Some(FaultyVariant::IgnoresDrainedZones) {
                     let mut built = (*own.built).clone();
                     built.drained.clear();
                     own.built = std::sync::Arc::new(built);
                 } else {
-                    deafen(&mut own);
+                    hide_leaving(&mut own);
                 }
                 view = std::sync::Arc::new(own);
             }
-            for t in 0..THREADS as usize {
+            for thread in 0..THREADS as usize {
                 let event = engine::Event::ClusterView(view.clone());
-                push(w, 20, ScheduledEvent::ToDesk { q, life, t, event });
+                push(world, 20, ScheduledEvent::QueryEngineEvent { querier, life, thread, event });
             }
         }
         wat::Command::Shares(list) => {
-            for t in 0..THREADS {
-                let name = w.queriers[q].name.clone();
-                let mut share = grebepath_core::query::quota::share(&list, &name, t);
-                if w.broken == Some(Broken::NoShare) && !share.slots.is_empty() {
+            for thread in 0..THREADS {
+                let name = world.queriers[querier].name.clone();
+                let mut share = grebepath_core::query::quota::share(&list, &name, thread);
+                if world.faulty_variant == Some(FaultyVariant::NoAllocation)
+                    && !share.slots.is_empty()
+                {
                     share.slots = vec![share.mine];
                 }
                 let event = engine::Event::Share(share);
-                push(w, 20, ScheduledEvent::ToDesk { q, life, t: t as usize, event });
+                push(
+                    world,
+                    20,
+                    ScheduledEvent::QueryEngineEvent {
+                        querier,
+                        life,
+                        thread: thread as usize,
+                        event,
+                    },
+                );
             }
         }
         wat::Command::Peers(list) => {
             let peers = grebepath_core::query::quota::peers(&list);
-            for t in 0..THREADS as usize {
+            for thread in 0..THREADS as usize {
                 push(
-                    w,
+                    world,
                     20,
-                    ScheduledEvent::ToDesk {
-                        q,
+                    ScheduledEvent::QueryEngineEvent {
+                        querier,
                         life,
-                        t,
+                        thread,
                         event: engine::Event::Peers(peers.clone()),
                     },
                 );
             }
         }
         wat::Command::Door(door) => {
-            for t in 0..THREADS as usize {
+            for thread in 0..THREADS as usize {
                 push(
-                    w,
+                    world,
                     20,
-                    ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Door(door) },
+                    ScheduledEvent::QueryEngineEvent {
+                        querier,
+                        life,
+                        thread,
+                        event: engine::Event::Door(door),
+                    },
                 );
             }
             if door == Door::Stopping {
-                later(w, ms(20), DueKey::EndQuerier(q, life));
+                later(world, ms(20), FollowUp::EndDrainedQuerier(querier, life));
             }
         }
         wat::Command::Grip(until) => {
-            for t in 0..THREADS as usize {
+            for thread in 0..THREADS as usize {
                 push(
-                    w,
+                    world,
                     20,
-                    ScheduledEvent::ToDesk { q, life, t, event: engine::Event::Grip(until) },
+                    ScheduledEvent::QueryEngineEvent {
+                        querier,
+                        life,
+                        thread,
+                        event: engine::Event::Grip(until),
+                    },
                 );
             }
         }
-        wat::Command::Ready(ready) => w.queriers[q].ready = ready,
+        wat::Command::Ready(ready) => world.queriers[querier].ready = ready,
         wat::Command::PollList => {
-            if !w.queriers[q].polling {
-                w.queriers[q].polling = true;
-                let from = (Node::Querier(q), zone.as_str());
-                match send(&mut w.net, w.now, from, (Node::List, "a"), &mut w.luck) {
-                    Some(at) => push_at(w, at, ScheduledEvent::ListAsked { q, life }),
-                    None => list_late(w, q, life),
+            if !world.queriers[querier].polling {
+                world.queriers[querier].polling = true;
+                let from = (Node::Querier(querier), zone.as_str());
+                match send(&mut world.net, world.now, from, (Node::List, "a"), &mut world.random) {
+                    Some(at) => push_at(world, at, ScheduledEvent::ListRequest { querier, life }),
+                    None => list_timed_out(world, querier, life),
                 }
             }
         }
         wat::Command::Probe(list) => {
             for info in list {
-                let after = below(&mut w.luck, ms(50)) + ms(1);
-                push(w, after, ScheduledEvent::Probe { q, life, info });
+                let after = below(&mut world.random, ms(50)) + ms(1);
+                push(world, after, ScheduledEvent::Probe { querier, life, info });
             }
         }
         wat::Command::Alarm(text) => {
-            let name = w.queriers[q].name.clone();
-            rules::tell(&mut w.rules, w.now - BEGIN, || format!("{name}: {text}"));
-            *w.alarms.entry(text).or_default() += 1;
+            let name = world.queriers[querier].name.clone();
+            rules::tell(&mut world.rules, world.now - BEGIN, || format!("{name}: {text}"));
+            *world.alarms.entry(text).or_default() += 1;
         }
     }
 }
 
 /// Hides that leafs leave.
-pub(super) fn deafen(view: &mut grebepath_core::snapshot::cluster_view::ClusterView) {
-    let hide = |l: &std::sync::Arc<LeafInfo>| {
-        let mut own = (**l).clone();
+pub(super) fn hide_leaving(view: &mut grebepath_core::snapshot::cluster_view::ClusterView) {
+    let hide = |leaf: &std::sync::Arc<LeafInfo>| {
+        let mut own = (**leaf).clone();
         own.leaving = false;
         std::sync::Arc::new(own)
     };
-    for l in view.leafs.values_mut() {
-        *l = hide(l);
+    for leaf in view.leafs.values_mut() {
+        *leaf = hide(leaf);
     }
     for list in view.services.values_mut() {
-        for l in list {
-            *l = hide(l);
+        for leaf in list {
+            *leaf = hide(leaf);
         }
     }
 }
 
-pub(super) fn list_late(w: &mut World, q: usize, life: u64) {
+pub(super) fn list_timed_out(world: &mut World, querier: usize, life: u64) {
     let event = wat::Event::List(Err("no answer in time".into()));
-    push(w, consts::LIST_PATIENCE, ScheduledEvent::ToWatch { q, life, event });
+    push(world, consts::LIST_PATIENCE, ScheduledEvent::NodeAgentEvent { querier, life, event });
 }
 
-pub(super) fn list_asked(w: &mut World, q: usize, life: u64) {
-    let now = w.now;
-    let Some(text) = mock_backends::list(&mut w.backs, now) else { return list_late(w, q, life) };
+pub(super) fn answer_list_request(world: &mut World, querier: usize, life: u64) {
+    let now = world.now;
+    let Some(text) = mock_backends::list(&mut world.backends, now) else {
+        return list_timed_out(world, querier, life);
+    };
     let got = match list::read(text.as_bytes()) {
         Ok((list, _)) => {
-            for l in list.iter().filter(|l| l.leaving) {
-                learn(w, &l.leaf.clone());
+            for leaf in list.iter().filter(|leaf| leaf.leaving) {
+                learn(world, &leaf.leaf.clone());
             }
             Ok(list)
         }
         Err(f) => Err(f.to_string()),
     };
-    let pair = (Node::List, Node::Querier(q));
-    let zone = w.queriers[q].zone.clone();
-    match send(&mut w.net, now, (pair.0, "a"), (pair.1, &zone), &mut w.luck) {
-        Some(at) => {
-            push_at(w, at, ScheduledEvent::ToWatch { q, life, event: wat::Event::List(got) })
-        }
-        None => list_late(w, q, life),
+    let pair = (Node::List, Node::Querier(querier));
+    let zone = world.queriers[querier].zone.clone();
+    match send(&mut world.net, now, (pair.0, "a"), (pair.1, &zone), &mut world.random) {
+        Some(at) => push_at(
+            world,
+            at,
+            ScheduledEvent::NodeAgentEvent { querier, life, event: wat::Event::List(got) },
+        ),
+        None => list_timed_out(world, querier, life),
     }
 }
 
 /// One of our nodes is being told that a leaf leaves.
-pub(super) fn learn(w: &mut World, leaf: &str) {
-    let now = w.now;
-    if let Some(l) = w.backs.leafs.get_mut(leaf)
-        && l.known_leaving.is_none()
+pub(super) fn learn(world: &mut World, leaf: &str) {
+    let now = world.now;
+    if let Some(leaf) = world.backends.leafs.get_mut(leaf)
+        && leaf.known_leaving.is_none()
     {
-        l.known_leaving = Some(now + ms(2));
+        leaf.known_leaving = Some(now + ms(2));
     }
 }
 
-pub(super) fn probed(w: &mut World, q: usize, life: u64, info: &LeafInfo) {
-    if !live(w, q, life) {
+pub(super) fn answer_probe(world: &mut World, querier: usize, life: u64, info: &LeafInfo) {
+    if !querier_runs(world, querier, life) {
         return;
     }
-    let Some(l) = w.backs.at.get(&info.addr).and_then(|n| w.backs.leafs.get(n)) else { return };
-    if l.alive != Alive::Up || l.mode == mock_backends::Mode::Dark {
+    let Some(leaf) =
+        world.backends.at.get(&info.addr).and_then(|node| world.backends.leafs.get(node))
+    else {
+        return;
+    };
+    if leaf.alive != Alive::Up || leaf.mode == mock_backends::Mode::Dark {
         return;
     }
     let mut word = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
-    if l.name == info.leaf {
-        word.leaving = l.leaving && w.broken != Some(Broken::IgnoreLeaving);
-        if w.backs.ages {
-            word.age_ms = grebepath_core::time::since(l.born, w.now) / MILLI;
+    if leaf.name == info.leaf {
+        word.leaving =
+            leaf.leaving && world.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs);
+        if world.backends.ages {
+            word.age_ms = grebepath_core::time::since(leaf.born, world.now) / MILLI;
         }
-        if l.leaving {
-            learn(w, &info.leaf.clone());
+        if leaf.leaving {
+            learn(world, &info.leaf.clone());
         }
     } else {
         word.gone = true;
     }
     let event = wat::Event::Word { service: info.service.clone(), word };
-    push(w, ms(1), ScheduledEvent::ToWatch { q, life, event });
+    push(world, ms(1), ScheduledEvent::NodeAgentEvent { querier, life, event });
 }
 
-pub(super) fn step_desk(w: &mut World, q: usize, t: usize, event: engine::Event) {
-    let local = w.now - w.queriers[q].began + BOOT;
-    let deaf = w.broken == Some(Broken::IgnoreLeaving);
-    let n = &mut w.queriers[q];
-    if w.broken == Some(Broken::NoRule) {
-        grebepath_core::query::retry_budget::slack(&mut n.desks[t].rule, 1_000_000);
+pub(super) fn step_query_engine(
+    world: &mut World,
+    querier: usize,
+    thread: usize,
+    event: engine::Event,
+) {
+    let local = world.now - world.queriers[querier].began + BOOT;
+    let deaf = world.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs);
+    let node = &mut world.queriers[querier];
+    if world.faulty_variant == Some(FaultyVariant::NoRetryBudget) {
+        grebepath_core::query::retry_budget::slack(&mut node.desks[thread].rule, 1_000_000);
     }
-    let todo = dstep::step(&mut n.desks[t], local, event);
+    let todo = dstep::step(&mut node.desks[thread], local, event);
     if deaf {
-        for l in n.desks[t].leafs.values_mut() {
-            l.leaving = false;
+        for leaf in node.desks[thread].leafs.values_mut() {
+            leaf.leaving = false;
         }
     }
-    let (life, began) = (n.life, n.began);
-    if let Some(at) = dstep::next(&n.desks[t]) {
-        let at = (at + began).saturating_sub(BOOT).max(w.now + 1);
-        let known = n.wakes[t];
-        if known == 0 || at < known || known <= w.now {
-            n.wakes[t] = at;
-            push_at(w, at, ScheduledEvent::DeskWake { q, life, t, at });
+    let (life, began) = (node.life, node.began);
+    if let Some(at) = dstep::next(&node.desks[thread]) {
+        let at = (at + began).saturating_sub(BOOT).max(world.now + 1);
+        let known = node.wakes[thread];
+        if known == 0 || at < known || known <= world.now {
+            node.wakes[thread] = at;
+            push_at(world, at, ScheduledEvent::QueryEngineTimer { querier, life, thread, at });
         }
     }
     for command in todo {
-        desk_does(w, q, t, command);
+        run_query_engine_command(world, querier, thread, command);
     }
 }
 
-pub(super) fn desk_does(w: &mut World, q: usize, t: usize, command: engine::Command) {
-    let life = w.queriers[q].life;
+pub(super) fn run_query_engine_command(
+    world: &mut World,
+    querier: usize,
+    thread: usize,
+    command: engine::Command,
+) {
+    let life = world.queriers[querier].life;
     match command {
-        engine::Command::Send(sending) => dispatch(w, (q, life, t), sending),
+        engine::Command::Send(sending) => dispatch(world, (querier, life, thread), sending),
         engine::Command::Drop { dispatch } => {
             let after = ms(1);
-            push(w, after, ScheduledEvent::LeafDrop { key: (q, life, t, dispatch) });
+            push(
+                world,
+                after,
+                ScheduledEvent::LeafDisconnect { key: (querier, life, thread, dispatch) },
+            );
         }
-        engine::Command::Tell { call, outcome } => outcome_told(w, call, outcome),
+        engine::Command::Tell { call, outcome } => finish_call(world, call, outcome),
         engine::Command::Word { service, word } => {
-            if w.broken != Some(Broken::IgnoreLeaving) {
+            if world.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs) {
                 push(
-                    w,
+                    world,
                     20,
-                    ScheduledEvent::ToWatch { q, life, event: wat::Event::Word { service, word } },
+                    ScheduledEvent::NodeAgentEvent {
+                        querier,
+                        life,
+                        event: wat::Event::Word { service, word },
+                    },
                 );
             }
         }
@@ -356,24 +429,25 @@
 }
 
 /// Puts a wish to stop to a querier; it is down a moment after it drained.
-pub fn stop_querier(w: &mut World, q: usize) {
-    let life = w.queriers[q].life;
-    push(w, 1, ScheduledEvent::ToWatch { q, life, event: wat::Event::Stop });
+pub fn stop_querier(world: &mut World, querier: usize) {
+    let life = world.queriers[querier].life;
+    push(world, 1, ScheduledEvent::NodeAgentEvent { querier, life, event: wat::Event::Stop });
 }
 
-fn to_controller(w: &mut World, q: usize, s: usize, message: Message) {
-    weigh(&mut w.net, "querier-seat", &message);
-    let zones = (w.queriers[q].zone.clone(), w.seats[s].zone.clone());
-    let ends = (Node::Querier(q), Node::Controller(s as u8));
-    let at = send(&mut w.net, w.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut w.luck);
+fn send_from_querier(world: &mut World, querier: usize, controller: usize, message: Message) {
+    weigh(&mut world.net, "querier-seat", &message);
+    let zones = (world.queriers[querier].zone.clone(), world.controllers[controller].zone.clone());
+    let ends = (Node::Querier(querier), Node::Controller(controller as u8));
+    let at =
+        send(&mut world.net, world.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut world.random);
     if let Some(at) = at {
-        let connection = ((q as u64) << 32) | w.queriers[q].life;
-        let life = w.seats[s].life;
+        let connection = ((querier as u64) << 32) | world.queriers[querier].life;
+        let life = world.controllers[controller].life;
         push_at(
-            w,
+            world,
             at,
-            ScheduledEvent::ToSeat {
-                s,
+            ScheduledEvent::ControllerEvent {
+                controller,
                 life,
                 event: CoreEvent::FromConnection { connection, message },
             },
--- a/crates/simulator/src/world/status.rs
+++ b/crates/simulator/src/world/status.rs
@@ -3,51 +3,52 @@
 use grebepath_core::protocol::message::ReplicaCondition;
 use grebepath_core::time::{Span, Tick};
 
-use super::nodes::{ControllerNode, seated};
+use super::nodes::{ControllerNode, has_voter_slot};
 use super::{BEGIN, World};
 
 /// The machines that are up and have a seat.
-pub fn seated_up(w: &World) -> impl Iterator<Item = &ControllerNode> {
-    w.seats.iter().filter(|s| s.up && seated(s))
+pub fn running_voters(world: &World) -> impl Iterator<Item = &ControllerNode> {
+    world.controllers.iter().filter(|node| node.up && has_voter_slot(node))
 }
 
 /// Whether every seat is held by one living machine that has formed all parts,
 /// and no machine thinks it has another's.
-pub fn seats_whole(w: &World) -> bool {
-    let Some(best) = seated_up(w).max_by_key(|n| {
-        let list = &n.core.seating.roll.table.slots;
-        list.iter().map(|h| u64::from(h.generation)).sum::<u64>()
+pub fn all_slots_voting(world: &World) -> bool {
+    let Some(best) = running_voters(world).max_by_key(|node| {
+        let list = &node.state.seating.roll.table.slots;
+        list.iter().map(|voter| u64::from(voter.generation)).sum::<u64>()
     }) else {
         return false;
     };
-    let table = &best.core.seating.roll.table;
-    let whole =
-        |n: &ControllerNode| n.core.partitions.iter().all(|p| p.life == ReplicaCondition::Voting);
-    table.slots.iter().enumerate().all(|(k, h)| {
-        let held: Vec<_> =
-            seated_up(w).filter(|n| usize::from(n.core.slot) == k && whole(n)).collect();
-        held.len() == 1 && held[0].core.seating.roll.me == h.holder
+    let table = &best.state.seating.roll.table;
+    let whole = |node: &ControllerNode| {
+        node.state.partitions.iter().all(|p| p.life == ReplicaCondition::Voting)
+    };
+    table.slots.iter().enumerate().all(|(slot, voter)| {
+        let held: Vec<_> = running_voters(world)
+            .filter(|node| usize::from(node.state.slot) == slot && whole(node))
+            .collect();
+        held.len() == 1 && held[0].state.seating.roll.me == voter.holder
     })
 }
 
 /// Whether all seats that are up show the same configuration and all
 /// queriers that are up obey it.
-pub fn settled(w: &World) -> bool {
-    let top = seated_up(w).map(|s| s.core.partitions[0].committed_revision).max();
+pub fn settled(world: &World) -> bool {
+    let top = running_voters(world).map(|node| node.state.partitions[0].committed_revision).max();
     let Some(top) = top else { return false };
-    seated_up(w).all(|s| s.core.partitions[0].committed_revision == top)
-        && w.queriers
-            .iter()
-            .filter(|q| q.up)
-            .all(|q| q.ready && q.watch.view.as_ref().is_some_and(|v| v.revision == top))
+    running_voters(world).all(|node| node.state.partitions[0].committed_revision == top)
+        && world.queriers.iter().filter(|querier| querier.up).all(|querier| {
+            querier.ready && querier.watch.view.as_ref().is_some_and(|v| v.revision == top)
+        })
 }
 
 /// Time since the world began.
-pub fn age(w: &World) -> Tick {
-    w.now - BEGIN
+pub fn age(world: &World) -> Tick {
+    world.now - BEGIN
 }
 
 /// Time since the world began, before the fleet had come up.
-pub fn since_begin(w: &World) -> Span {
-    w.now - BEGIN
+pub fn since_begin(world: &World) -> Span {
+    world.now - BEGIN
 }
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -9,192 +9,233 @@
 use grebepath_core::time::{SECOND, Span, ms};
 use grebepath_core::voter_set::seat_of;
 
-use super::callers::{arrive, call, tally};
-use super::controllers::{deafened, end_seat, open_wire, start_seat, step_seat};
-use super::deviations;
-use super::events::{DueKey, ScheduledEvent, later, push, push_at};
-use super::faulty_variant::Broken;
+use super::callers::{call_arrives, start_call, tally};
+use super::controllers::{
+    as_seen_by_faulty_voter, end_controller, open_connection, start_controller, step_controller,
+};
+use super::events::{FollowUp, ScheduledEvent, later, push, push_at};
+use super::faulty_variant::FaultyVariant;
+use super::injected_faults;
 use super::leafs::{end_run, leaf_done, leaf_gets};
-use super::nodes::{alive, live};
-use super::operators::{marked, operate, order};
-use super::queriers::{kill_querier, list_asked, probed, start_querier, step_desk, step_watch};
+use super::nodes::{controller_runs, querier_runs};
+use super::operators::{marked, send_operator_request, submit};
+use super::queriers::{
+    answer_list_request, answer_probe, kill_querier, start_querier, step_node_agent,
+    step_query_engine,
+};
 use super::{BEGIN, World};
 use crate::rules;
 use crate::simulated_disk;
 use crate::simulated_disk::Health;
 
 /// Lets `span` pass.
-pub fn run(w: &mut World, span: Span) {
-    let end = w.now + span;
-    while let Some(entry) = w.haps.first_entry() {
+pub fn run(world: &mut World, span: Span) {
+    let end = world.now + span;
+    while let Some(entry) = world.queue.first_entry() {
         let at = entry.key().0;
         if at > end {
             break;
         }
-        let hap = entry.remove();
-        w.now = w.now.max(at);
-        w.events += 1;
-        happen(w, hap);
+        let event = entry.remove();
+        world.now = world.now.max(at);
+        world.events += 1;
+        handle(world, event);
     }
-    w.now = end;
+    world.now = end;
 }
 
 /// Lets time pass until `done`, at most `span`; tells whether it came to be.
-pub fn until(w: &mut World, span: Span, done: impl Fn(&World) -> bool) -> bool {
-    let end = w.now + span;
-    while w.now < end {
-        if done(w) {
+pub fn until(world: &mut World, span: Span, done: impl Fn(&World) -> bool) -> bool {
+    let end = world.now + span;
+    while world.now < end {
+        if done(world) {
             return true;
         }
-        run(w, ms(20));
+        run(world, ms(20));
     }
-    done(w)
+    done(world)
 }
 
-pub(super) fn happen(w: &mut World, hap: ScheduledEvent) {
+pub(super) fn handle(world: &mut World, event: ScheduledEvent) {
     // A paused process does nothing; all of it comes at once when it wakes.
-    let until = match &hap {
-        ScheduledEvent::SeatWake { s, .. }
-        | ScheduledEvent::ToSeat { s, .. }
-        | ScheduledEvent::Disk { s, .. }
-        | ScheduledEvent::Kept { s, .. } => w.seats[*s].paused,
-        ScheduledEvent::QWake { q, .. }
-        | ScheduledEvent::ToWatch { q, .. }
-        | ScheduledEvent::FromSeat { q, .. }
-        | ScheduledEvent::ToDesk { q, .. }
-        | ScheduledEvent::DeskWake { q, .. } => w.queriers[*q].paused,
+    let until = match &event {
+        ScheduledEvent::ControllerTimer { controller, .. }
+        | ScheduledEvent::ControllerEvent { controller, .. }
+        | ScheduledEvent::DiskJobDone { controller, .. }
+        | ScheduledEvent::VoterFileDone { controller, .. } => world.controllers[*controller].paused,
+        ScheduledEvent::QuerierTimer { querier, .. }
+        | ScheduledEvent::NodeAgentEvent { querier, .. }
+        | ScheduledEvent::ControllerMessage { querier, .. }
+        | ScheduledEvent::QueryEngineEvent { querier, .. }
+        | ScheduledEvent::QueryEngineTimer { querier, .. } => world.queriers[*querier].paused,
         _ => 0,
     };
-    if until > w.now {
-        return push_at(w, until, hap);
+    if until > world.now {
+        return push_at(world, until, event);
     }
-    let Some(hap) = deviations::deviate(w, hap) else { return };
-    match hap {
-        ScheduledEvent::SeatWake { s, life } if alive(w, s, life) => {
-            push(w, cstep::WAKE, ScheduledEvent::SeatWake { s, life });
-            step_seat(w, s, CoreEvent::Wake);
-        }
-        ScheduledEvent::ToSeat { s, life, event } if alive(w, s, life) => {
-            let Some(event) = deafened(w, s, event) else { return };
-            open_wire(w, s, &event);
-            step_seat(w, s, event);
-        }
-        ScheduledEvent::Disk { s, life, part, token } if alive(w, s, life) => {
-            if w.seats[s].disk.health == Health::Stalled {
+    let Some(event) = injected_faults::inject(world, event) else { return };
+    match event {
+        ScheduledEvent::ControllerTimer { controller, life }
+            if controller_runs(world, controller, life) =>
+        {
+            push(world, cstep::WAKE, ScheduledEvent::ControllerTimer { controller, life });
+            step_controller(world, controller, CoreEvent::Wake);
+        }
+        ScheduledEvent::ControllerEvent { controller, life, event }
+            if controller_runs(world, controller, life) =>
+        {
+            let Some(event) = as_seen_by_faulty_voter(world, controller, event) else { return };
+            open_connection(world, controller, &event);
+            step_controller(world, controller, event);
+        }
+        ScheduledEvent::DiskJobDone { controller, life, part, token }
+            if controller_runs(world, controller, life) =>
+        {
+            if world.controllers[controller].disk.health == Health::Stalled {
                 return;
             }
-            let event = match simulated_disk::done(&mut w.seats[s].disk, part, token) {
-                Some(Ok(())) => CoreEvent::Synced { partition: part, token },
-                Some(Err(why)) => CoreEvent::DiskFailed { partition: part, why },
-                None => return,
-            };
-            if w.broken != Some(Broken::EarlyYes) || matches!(event, CoreEvent::DiskFailed { .. }) {
-                step_seat(w, s, event);
+            let event =
+                match simulated_disk::done(&mut world.controllers[controller].disk, part, token) {
+                    Some(Ok(())) => CoreEvent::Synced { partition: part, token },
+                    Some(Err(why)) => CoreEvent::DiskFailed { partition: part, why },
+                    None => return,
+                };
+            if world.faulty_variant != Some(FaultyVariant::AcknowledgesBeforeSync)
+                || matches!(event, CoreEvent::DiskFailed { .. })
+            {
+                step_controller(world, controller, event);
             }
         }
-        ScheduledEvent::Kept { s, life, token } if alive(w, s, life) => {
-            if w.seats[s].disk.health == Health::Stalled {
+        ScheduledEvent::VoterFileDone { controller, life, token }
+            if controller_runs(world, controller, life) =>
+        {
+            if world.controllers[controller].disk.health == Health::Stalled {
                 return;
             }
-            match simulated_disk::kept(&mut w.seats[s].disk, token) {
-                Some(Ok(())) => step_seat(w, s, CoreEvent::VoterFileWritten { token }),
-                Some(Err(why)) => step_seat(w, s, CoreEvent::VoterFileFailed { why }),
+            match simulated_disk::kept(&mut world.controllers[controller].disk, token) {
+                Some(Ok(())) => {
+                    step_controller(world, controller, CoreEvent::VoterFileWritten { token })
+                }
+                Some(Err(why)) => {
+                    step_controller(world, controller, CoreEvent::VoterFileFailed { why })
+                }
                 None => {}
             }
         }
-        ScheduledEvent::QWake { q, life } if live(w, q, life) => {
-            push(w, qstep::WAKE, ScheduledEvent::QWake { q, life });
-            step_watch(w, q, wat::Event::Wake);
+        ScheduledEvent::QuerierTimer { querier, life } if querier_runs(world, querier, life) => {
+            push(world, qstep::WAKE, ScheduledEvent::QuerierTimer { querier, life });
+            step_node_agent(world, querier, wat::Event::Wake);
         }
-        ScheduledEvent::ToWatch { q, life, event } if live(w, q, life) => {
+        ScheduledEvent::NodeAgentEvent { querier, life, event }
+            if querier_runs(world, querier, life) =>
+        {
             if matches!(event, wat::Event::List(_)) {
-                w.queriers[q].polling = false;
+                world.queriers[querier].polling = false;
             }
-            step_watch(w, q, event);
+            step_node_agent(world, querier, event);
         }
-        ScheduledEvent::FromSeat { q, life, holder, message } if live(w, q, life) => {
+        ScheduledEvent::ControllerMessage { querier, life, holder, message }
+            if querier_runs(world, querier, life) =>
+        {
             let event = match message {
                 Message::VoterSetUpdate { table, .. } => wat::Event::Seats(table),
-                message => match seat_of(&w.queriers[q].watch.table, holder) {
+                message => match seat_of(&world.queriers[querier].watch.table, holder) {
                     Some(seat) => wat::Event::FromSeat { slot: seat, message },
                     None => return,
                 },
             };
-            step_watch(w, q, event);
+            step_node_agent(world, querier, event);
         }
-        ScheduledEvent::ToDesk { q, life, t, event } if live(w, q, life) => {
-            step_desk(w, q, t, event)
+        ScheduledEvent::QueryEngineEvent { querier, life, thread, event }
+            if querier_runs(world, querier, life) =>
+        {
+            step_query_engine(world, querier, thread, event)
         }
-        ScheduledEvent::DeskWake { q, life, t, at }
-            if live(w, q, life) && w.queriers[q].wakes[t] == at =>
+        ScheduledEvent::QueryEngineTimer { querier, life, thread, at }
+            if querier_runs(world, querier, life)
+                && world.queriers[querier].wakes[thread] == at =>
         {
-            w.queriers[q].wakes[t] = 0;
-            step_desk(w, q, t, engine::Event::Wake);
-        }
-        ScheduledEvent::LeafGets { q, life, t, sending } => leaf_gets(w, (q, life, t), *sending),
-        ScheduledEvent::LeafDone { run } => leaf_done(w, run),
-        ScheduledEvent::LeafDrop { key } => {
-            if let Some(run) = w.by_key.remove(&key) {
-                end_run(w, run);
+            world.queriers[querier].wakes[thread] = 0;
+            step_query_engine(world, querier, thread, engine::Event::Wake);
+        }
+        ScheduledEvent::LeafRequest { querier, life, thread, sending } => {
+            leaf_gets(world, (querier, life, thread), *sending)
+        }
+        ScheduledEvent::LeafResponse { run } => leaf_done(world, run),
+        ScheduledEvent::LeafDisconnect { key } => {
+            if let Some(run) = world.runs_by_attempt.remove(&key) {
+                end_run(world, run);
             }
         }
-        ScheduledEvent::Probe { q, life, info } => probed(w, q, life, &info),
-        ScheduledEvent::ListAsked { q, life } => list_asked(w, q, life),
-        ScheduledEvent::Call { kind } => call(w, kind),
-        ScheduledEvent::Arrive { call } => arrive(w, call),
-        ScheduledEvent::CallDue { call } => {
-            if let Some(c) = w.calls.remove(&call) {
-                let name = w.kinds[c.kind].search.clone();
-                let now = w.now - BEGIN;
-                rules::ends(&mut w.rules, c.began - BEGIN, now, &name, false);
-                tally(w, c.kind).late += 1;
+        ScheduledEvent::Probe { querier, life, info } => answer_probe(world, querier, life, &info),
+        ScheduledEvent::ListRequest { querier, life } => answer_list_request(world, querier, life),
+        ScheduledEvent::NewCall { kind } => start_call(world, kind),
+        ScheduledEvent::CallArrival { call } => call_arrives(world, call),
+        ScheduledEvent::CallTimeout { call } => {
+            if let Some(c) = world.calls.remove(&call) {
+                let name = world.call_kinds[c.kind].search.clone();
+                let now = world.now - BEGIN;
+                rules::ends(&mut world.rules, c.began - BEGIN, now, &name, false);
+                tally(world, c.kind).timed_out += 1;
             }
         }
-        ScheduledEvent::Platform => {
-            w.platform = (0..w.queriers.len())
-                .filter(|q| w.queriers[*q].up && w.queriers[*q].ready)
+        ScheduledEvent::ReadinessPoll => {
+            world.ready_queriers = (0..world.queriers.len())
+                .filter(|querier| world.queriers[*querier].up && world.queriers[*querier].ready)
                 .collect();
-            push(w, SECOND, ScheduledEvent::Platform);
+            push(world, SECOND, ScheduledEvent::ReadinessPoll);
         }
-        ScheduledEvent::Operate { order } => operate(w, order),
-        ScheduledEvent::Trouble { at } => {
-            let trouble = w.troubles[at].clone();
-            rules::tell(&mut w.rules, w.now - BEGIN, || format!("trouble: {trouble}"));
-            rules::disturb(&mut w.rules, w.now - BEGIN);
-            crate::scenario::befall(w, &trouble);
+        ScheduledEvent::OperatorRequest { request } => send_operator_request(world, request),
+        ScheduledEvent::Fault { at } => {
+            let fault = world.faults[at].clone();
+            rules::tell(&mut world.rules, world.now - BEGIN, || format!("fault: {fault}"));
+            rules::disturb(&mut world.rules, world.now - BEGIN);
+            crate::scenario::apply_fault(world, &fault);
         }
-        ScheduledEvent::Due { key } => due(w, key),
+        ScheduledEvent::FollowUp { key } => follow_up(world, key),
         _ => {}
     }
 }
 
-pub(super) fn due(w: &mut World, key: DueKey) {
+pub(super) fn follow_up(world: &mut World, key: FollowUp) {
     match key {
-        DueKey::StartSeat(s) if !w.seats[s].up => start_seat(w, s),
-        DueKey::Fault { controller, fault } => deviations::fall(w, controller, fault),
-        DueKey::ForceStop { controller, life } if alive(w, controller, life) => {
-            end_seat(w, controller);
-        }
-        DueKey::StartQuerier(q) if !w.queriers[q].up => start_querier(w, q),
-        DueKey::EndQuerier(q, life) if live(w, q, life) => {
-            if w.queriers[q].desks.iter().any(|d| !d.queries.is_empty()) {
-                return later(w, ms(20), key);
+        FollowUp::StartController(controller) if !world.controllers[controller].up => {
+            start_controller(world, controller)
+        }
+        FollowUp::Fault { controller, fault } => {
+            injected_faults::end_process(world, controller, fault)
+        }
+        FollowUp::ForceStop { controller, life } if controller_runs(world, controller, life) => {
+            end_controller(world, controller);
+        }
+        FollowUp::StartQuerier(querier) if !world.queriers[querier].up => {
+            start_querier(world, querier)
+        }
+        FollowUp::EndDrainedQuerier(querier, life) if querier_runs(world, querier, life) => {
+            if world.queriers[querier].desks.iter().any(|d| !d.queries.is_empty()) {
+                return later(world, ms(20), key);
             }
-            step_watch(w, q, wat::Event::Drained);
-            kill_querier(w, q);
+            step_node_agent(world, querier, wat::Event::Drained);
+            kill_querier(world, querier);
         }
-        DueKey::Proof { restart } => {
-            let n = w.orders.len();
-            order(w, 0, marked(n));
-            if let Some(back) = w.rules.restarts.get_mut(restart) {
+        FollowUp::ChangeAfterRestart { restart } => {
+            let n = world.operator_requests.len();
+            submit(world, 0, marked(n));
+            if let Some(back) = world.rules.restarts.get_mut(restart) {
                 back.order = Some(n);
             }
         }
-        DueKey::Storm { left, gap } => {
-            let n = w.orders.len();
-            order(w, 0, marked(n));
+        FollowUp::RequestStorm { left, gap } => {
+            let n = world.operator_requests.len();
+            submit(world, 0, marked(n));
             if left > 1 {
-                push(w, gap, ScheduledEvent::Due { key: DueKey::Storm { left: left - 1, gap } });
+                push(
+                    world,
+                    gap,
+                    ScheduledEvent::FollowUp {
+                        key: FollowUp::RequestStorm { left: left - 1, gap },
+                    },
+                );
             }
         }
         _ => {}
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -7,7 +7,7 @@
 use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use grebepath_simulator::net::{Node, cut};
-use grebepath_simulator::world::{self, DueKey, World};
+use grebepath_simulator::world::{self, FollowUp, World};
 
 /// Half of the time in which operators are promised an acknowledgement.
 const ACKNOWLEDGED_WITHIN: Span = ms(2_500);
@@ -43,17 +43,17 @@
 /// A fleet in calm, whose callers call whom they like, ready or not.
 fn fleet(queriers: usize, seed: u64) -> World {
     let s = common::fleet("acknowledgement", queriers, 0.05);
-    let mut w = world::world(&s.spec, s.core.clone(), s.queriers, seed);
-    world::order(&mut w, ms(200), world::whole(&s.config));
-    let up = world::until(&mut w, 30 * SECOND, |w| {
-        world::settled(w) && w.orders.first().is_some_and(|o| o.done.is_some())
+    let mut world = world::world(&s.spec, s.control_plane.clone(), s.queriers, seed);
+    world::submit(&mut world, ms(200), world::whole(&s.config));
+    let up = world::until(&mut world, 30 * SECOND, |world| {
+        world::settled(world) && world.operator_requests.first().is_some_and(|o| o.result.is_some())
     });
     assert!(up, "the fleet of {queriers} came up");
-    world::run(&mut w, 2 * SECOND);
-    w.any_querier = true;
-    world::begin_calls(&mut w, s.factor);
-    world::run(&mut w, 500 * MILLI);
-    w
+    world::run(&mut world, 2 * SECOND);
+    world.ignore_readiness = true;
+    world::start_calls(&mut world, s.factor);
+    world::run(&mut world, 500 * MILLI);
+    world
 }
 
 /// The queriers that are lost: so many of a hundred, at least one is left.
@@ -67,29 +67,30 @@
     order
 }
 
-fn befall(w: &mut World, loss: Loss, list: &[usize]) {
+fn apply_fault(world: &mut World, loss: Loss, list: &[usize]) {
     match loss {
         Loss::Killed | Loss::Restarted => {
             let down = if loss == Loss::Killed { TROUBLE } else { 600 * MILLI };
             for q in list {
-                world::kill_querier(w, *q);
-                world::later(w, down, DueKey::StartQuerier(*q));
+                world::kill_querier(world, *q);
+                world::later(world, down, FollowUp::StartQuerier(*q));
             }
         }
         Loss::Frozen => {
             for q in list {
-                w.queriers[*q].paused = w.now + TROUBLE;
+                world.queriers[*q].paused = world.now + TROUBLE;
             }
         }
         Loss::Dark | Loss::DarkTogether | Loss::ZoneLost => {
             let together = loss != Loss::Dark;
-            let seats = (0..w.seats.len() as u8).map(Node::Controller);
-            let all: Vec<Node> = seats.chain((0..w.queriers.len()).map(Node::Querier)).collect();
+            let seats = (0..world.controllers.len() as u8).map(Node::Controller);
+            let all: Vec<Node> =
+                seats.chain((0..world.queriers.len()).map(Node::Querier)).collect();
             for q in list {
                 for other in &all {
                     let with = matches!(other, Node::Querier(o) if list.contains(o));
                     if !(together && with) {
-                        cut(&mut w.net, Node::Querier(*q), *other);
+                        cut(&mut world.net, Node::Querier(*q), *other);
                     }
                 }
             }
@@ -99,28 +100,28 @@
 
 /// Plays one case; says what was wrong.
 fn case(queriers: usize, loss: Loss, percent: usize, after: i64, seed: u64) -> Result<(), String> {
-    let mut w = fleet(queriers, seed);
+    let mut world = fleet(queriers, seed);
     let list = lost(queriers, percent, loss);
-    let n = w.orders.len();
-    let from = w.now + 100 * MILLI;
+    let n = world.operator_requests.len();
+    let from = world.now + 100 * MILLI;
     let late = |span: i64| if span > 0 { ms(span as u64) } else { 0 };
-    world::order(&mut w, 100 * MILLI + late(after), world::marked(n));
-    world::run(&mut w, 100 * MILLI + late(-after));
-    befall(&mut w, loss, &list);
+    world::submit(&mut world, 100 * MILLI + late(after), world::marked(n));
+    world::run(&mut world, 100 * MILLI + late(-after));
+    apply_fault(&mut world, loss, &list);
     // Some more, so that one waits at every moment.
     for k in 1..4 {
-        let n = w.orders.len();
-        world::order(&mut w, ms(400 * k), world::marked(n));
+        let n = world.operator_requests.len();
+        world::submit(&mut world, ms(400 * k), world::marked(n));
     }
-    let began = w.now.max(from);
-    world::run(&mut w, TROUBLE + 4 * SECOND);
-    w.net.cuts.clear();
-    world::run(&mut w, 6 * SECOND);
+    let began = world.now.max(from);
+    world::run(&mut world, TROUBLE + 4 * SECOND);
+    world.net.cuts.clear();
+    world::run(&mut world, 6 * SECOND);
     let mut wrong = Vec::new();
-    for (id, order) in w.orders.iter().enumerate().skip(n) {
-        let told = w.told_at.get(&id).copied();
+    for (id, order) in world.operator_requests.iter().enumerate().skip(n) {
+        let told = world.acknowledged_at.get(&id).copied();
         let waited = told.map(|at| at.saturating_sub(order.at.max(began)));
-        match (&order.done, waited) {
+        match (&order.result, waited) {
             (Some(OperationResult::Accepted { .. }), Some(waited))
                 if waited <= ACKNOWLEDGED_WITHIN => {}
             (done, waited) => wrong.push(format!(
@@ -130,11 +131,11 @@
             )),
         }
     }
-    let stale = w.rules.stalest;
+    let stale = world.rules.stalest;
     if stale > IN_FORCE_WITHIN {
         wrong.push(format!("an old configuration served for {} ms", stale / MILLI));
     }
-    wrong.extend(w.rules.found.iter().map(|v| v.text.clone()));
+    wrong.extend(world.rules.found.iter().map(|v| v.text.clone()));
     let case = format!("{queriers} queriers, {percent}% {loss:?}, order at {after} ms");
     if wrong.is_empty() { Ok(()) } else { Err(format!("{case}: {}", wrong.join("; "))) }
 }
--- a/crates/simulator/tests/broken.rs
+++ b/crates/simulator/tests/broken.rs
@@ -5,19 +5,19 @@
 
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::play;
-use grebepath_simulator::world::Broken;
+use grebepath_simulator::world::FaultyVariant;
 use serde_json::{Value, json};
 
 /// Plays a case in both deployments, each with a seed of its own.
-fn case(name: &str, rule: u8, broken: Broken, troubles: Vec<Value>) {
-    play_case(name, (18, 0.06), rule, broken, troubles);
+fn case(name: &str, rule: u8, variant: FaultyVariant, troubles: Vec<Value>) {
+    play_case(name, (18, 0.06), rule, variant, troubles);
 }
 
 fn play_case(
     name: &str,
     (seconds, factor): (u64, f64),
     rule: u8,
-    broken: Broken,
+    variant: FaultyVariant,
     troubles: Vec<Value>,
 ) {
     for (deployment, seed) in [("mohalla", 7), ("kahurangi", 8)] {
@@ -29,10 +29,10 @@
         let sound = play(&s, seed, None);
         let found = &sound.rules.found;
         assert!(found.is_empty(), "sound {name}, {deployment}: {found:?}");
-        let bad = play(&s, seed, Some(broken));
+        let bad = play(&s, seed, Some(variant));
         assert!(
             bad.rules.counts.contains_key(&rule),
-            "{name}, {deployment}: {broken:?} broke nothing of rule {rule}, only {:?}",
+            "{name}, {deployment}: {variant:?} broke nothing of rule {rule}, only {:?}",
             bad.rules.counts
         );
         assert!(!bad.rules.story.is_empty(), "{name}: a violation comes with its story");
@@ -62,14 +62,14 @@
 
 #[test]
 fn a_claimed_shard_that_did_not_answer_is_caught() {
-    case("claim", 1, Broken::ClaimAll, dark_shard());
-    case("twice", 1, Broken::ClaimTwice, Vec::new());
+    case("claim", 1, FaultyVariant::ClaimsAllShards, dark_shard());
+    case("twice", 1, FaultyVariant::RepeatsShard, Vec::new());
 }
 
 #[test]
 fn another_cut_and_disorder_are_caught() {
-    case("cut", 2, Broken::MixCut, Vec::new());
-    case("order", 4, Broken::Disorder, Vec::new());
+    case("cut", 2, FaultyVariant::WrongIndexVersion, Vec::new());
+    case("order", 4, FaultyVariant::MisordersRecords, Vec::new());
 }
 
 #[test]
@@ -78,40 +78,45 @@
         at(1.0, json!({ "do": "leafs", "service": "mohalla-notices-w48-2", "mode": "dark" })),
         at(1.0, json!({ "do": "leafs", "service": "mohalla-notices-w48-1", "mode": "dark" })),
     ];
-    case("quorum", 3, Broken::BelowQuorum, two);
+    case("quorum", 3, FaultyVariant::SucceedsBelowQuorum, two);
 }
 
 #[test]
 fn a_question_changed_on_the_way_is_caught() {
-    case("question", 5, Broken::ChangeQuestion, Vec::new());
+    case("question", 5, FaultyVariant::AltersQuestion, Vec::new());
 }
 
 #[test]
 fn a_request_that_reaches_another_service_is_caught() {
     let reuse = json!({ "do": "reuse", "service": "mohalla-archive-w48-0", "count": 20,
                         "by": "mohalla-history-w48-0" });
-    case("reuse", 6, Broken::NoGreeting, vec![at(2.0, reuse)]);
+    case("reuse", 6, FaultyVariant::NoIdentityCheck, vec![at(2.0, reuse)]);
 }
 
 #[test]
 fn work_for_a_leaf_that_only_another_member_heard_leaving_is_caught() {
     let gone = (0..3).map(|i| at(2.0, json!({ "do": "kill-seat", "which": i, "for_s": 16 })));
     let leave = json!({ "do": "leave-leafs", "service": "mohalla-archive-w48-0", "count": 14 });
-    case("words", 7, Broken::NoWords, gone.chain([at(4.0, leave)]).collect());
+    case("words", 7, FaultyVariant::NoLeafReports, gone.chain([at(4.0, leave)]).collect());
 }
 
 #[test]
 fn work_for_a_leaving_leaf_or_an_emptied_zone_is_caught() {
     let leave =
         at(2.0, json!({ "do": "leave-leafs", "service": "mohalla-notices-w48-0", "count": 2 }));
-    case("leave", 7, Broken::IgnoreLeaving, vec![leave]);
-    case("drain", 8, Broken::IgnoreDrain, vec![at(2.0, json!({ "do": "drain", "zone": "a" }))]);
+    case("leave", 7, FaultyVariant::IgnoresLeavingLeafs, vec![leave]);
+    case(
+        "drain",
+        8,
+        FaultyVariant::IgnoresDrainedZones,
+        vec![at(2.0, json!({ "do": "drain", "zone": "a" }))],
+    );
 }
 
 #[test]
 fn disobedience_and_slipping_back_are_caught() {
     let storm = at(2.0, json!({ "do": "storm", "count": 20, "gap_ms": 100 }));
-    case("deaf", 9, Broken::StaleView, vec![storm.clone()]);
+    case("deaf", 9, FaultyVariant::KeepsStaleSnapshot, vec![storm.clone()]);
     // A seat that was cut off through the storm is all that a restarted
     // querier hears.
     let slip = vec![
@@ -121,7 +126,7 @@
         at(5.2, json!({ "do": "cut", "a": ["q3"], "b": ["seat1", "seat2"] })),
         at(9.0, json!({ "do": "heal" })),
     ];
-    case("slip", 9, Broken::SlipBack, slip);
+    case("slip", 9, FaultyVariant::RevertsConfiguration, slip);
 }
 
 #[test]
@@ -134,7 +139,7 @@
             at(3.0, json!({ "do": "leafs", "service": service, "mode": "unrun" }))
         })
         .collect();
-    play_case("retries", (18, 0.5), 10, Broken::NoRule, busy);
+    play_case("retries", (18, 0.5), 10, FaultyVariant::NoRetryBudget, busy);
 }
 
 #[test]
@@ -145,7 +150,7 @@
         at(2.0, json!({ "do": "kill-leafs", "service": service, "count": 3 })),
         at(2.0, json!({ "do": "restart-leafs", "service": service })),
     ];
-    play_case("ramp", (12, 1.0), 11, Broken::NoShare, restart);
+    play_case("ramp", (12, 1.0), 11, FaultyVariant::NoAllocation, restart);
 }
 
 #[test]
@@ -163,7 +168,7 @@
         let s = common::scenario("early", 20, 0.02, troubles);
         let sound = play(&s, seed, None);
         assert!(sound.rules.counts.is_empty(), "seed {seed}: {:?}", sound.rules.found);
-        let bad = play(&s, seed, Some(Broken::EarlyYes));
+        let bad = play(&s, seed, Some(FaultyVariant::AcknowledgesBeforeSync));
         caught += u64::from(bad.rules.counts.contains_key(&12));
     }
     assert!(caught > 0, "no early yes was caught in six runs");
@@ -175,5 +180,5 @@
     let flips =
         (0..18).map(|i| at(5.0 + f64::from(i) / 20.0, json!({ "do": "flip", "which": i % 3 })));
     let power = at(30.0, json!({ "do": "restart-all", "power": true, "for_s": 1.0 }));
-    play_case("rot", (50, 0.04), 12, Broken::NoLook, flips.chain([power]).collect());
+    play_case("rot", (50, 0.04), 12, FaultyVariant::NoScrub, flips.chain([power]).collect());
 }
--- a/crates/simulator/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -4,7 +4,7 @@
 
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play};
-use grebepath_simulator::world::Broken;
+use grebepath_simulator::world::FaultyVariant;
 use grebepath_simulator::{report, world};
 use serde_json::json;
 
@@ -34,23 +34,22 @@
         grebepath_simulator::spec::parse(&common::load(&format!("{name}.standins.json")).unwrap())
             .unwrap();
     s.config = common::load(&format!("{name}.json")).unwrap();
-    s.troubles = grebepath_simulator::chaos::chaos(seed, &s);
+    s.faults = grebepath_simulator::chaos::chaos(seed, &s);
     s
 }
 
 fn one(seed: u64) -> Option<String> {
     let s = scene(seed);
-    let mut w = play(&s, seed, None);
-    let settled = world::until(&mut w, grebepath_core::time::SECOND * 20, world::settled);
-    if w.rules.counts.is_empty() && settled {
+    let mut world = play(&s, seed, None);
+    let settled = world::until(&mut world, grebepath_core::time::SECOND * 20, world::settled);
+    if world.rules.counts.is_empty() && settled {
         return None;
     }
-    let troubles: Vec<String> =
-        s.troubles.iter().map(|t| format!("  {} ms {t}", t.at_ms)).collect();
-    let story = w.rules.story.join("\n");
+    let troubles: Vec<String> = s.faults.iter().map(|t| format!("  {} ms {t}", t.at_ms)).collect();
+    let story = world.rules.story.join("\n");
     Some(format!(
         "seed {seed}, settled {settled}\n{}\n{}\n{story}",
-        report::table(&w),
+        report::table(&world),
         troubles.join("\n")
     ))
 }
@@ -63,14 +62,14 @@
         json!({ "do": "leave-leafs", "service": "kahurangi-fleet-w48-0",
                                 "count": 2 }),
     );
-    s.troubles.push(grebepath_simulator::scenario::drawn(&leave));
+    s.faults.push(grebepath_simulator::scenario::generated_fault(&leave));
     s.seconds = 20;
-    let fails = |list: &[grebepath_simulator::scenario::Trouble]| {
-        let less = Scenario { troubles: list.to_vec(), ..s.clone() };
-        play(&less, 1, Some(Broken::IgnoreLeaving)).rules.counts.contains_key(&7)
+    let fails = |list: &[grebepath_simulator::scenario::ScheduledFault]| {
+        let less = Scenario { faults: list.to_vec(), ..s.clone() };
+        play(&less, 1, Some(FaultyVariant::IgnoresLeavingLeafs)).rules.counts.contains_key(&7)
     };
-    assert!(fails(&s.troubles));
-    let list = grebepath_simulator::chaos::shrink(&s.troubles, fails);
+    assert!(fails(&s.faults));
+    let list = grebepath_simulator::chaos::shrink(&s.faults, fails);
     assert_eq!(list.len(), 1, "{list:?}");
-    assert_eq!(list[0].what, "leave-leafs");
+    assert_eq!(list[0].action, "leave-leafs");
 }
--- a/crates/simulator/tests/explore.rs
+++ b/crates/simulator/tests/explore.rs
@@ -6,7 +6,7 @@
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::explore::{Pairs, Report, Scope, explore};
 use grebepath_simulator::scenario::read;
-use grebepath_simulator::world::{Broken, FAULTS, Fault};
+use grebepath_simulator::world::{FAULTS, Fault, FaultyVariant};
 use serde_json::{Value, json};
 
 /// Threads of an exploration (count).
@@ -23,7 +23,7 @@
         panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all))
     });
     let faults = FAULTS.to_vec();
-    Scope { scenario, window, faults, seed: 3, tolerates: seats / 2, broken: None }
+    Scope { scenario, window, faults, seed: 3, tolerates: seats / 2, faulty_variant: None }
 }
 
 fn print(name: &str, report: &Report) {
@@ -35,12 +35,7 @@
         report.failures.len()
     );
     for failure in report.failures.iter().take(6) {
-        println!(
-            "{:?}\n  {}\n  {:?}",
-            failure.deviations,
-            failure.story.join("\n  "),
-            failure.wrong
-        );
+        println!("{:?}\n  {}\n  {:?}", failure.injected, failure.story.join("\n  "), failure.wrong);
     }
 }
 
@@ -108,10 +103,10 @@
 }
 
 /// How many plays break something when a part of the controllers is broken.
-fn found(scope: Scope, broken: Broken, pairs: Pairs) -> usize {
-    let scope = Scope { broken: Some(broken), ..scope };
+fn found(scope: Scope, variant: FaultyVariant, pairs: Pairs) -> usize {
+    let scope = Scope { faulty_variant: Some(variant), ..scope };
     let report = explore(&scope, pairs, THREADS);
-    print(&format!("{broken:?}"), &report);
+    print(&format!("{variant:?}"), &report);
     report.failures.len()
 }
 
@@ -119,7 +114,7 @@
 fn a_voter_that_leaves_at_once_is_caught() {
     let stop = at(0.5, json!({ "do": "stop-seat", "which": 0 }));
     let scope = scope(3, 9, (0.5, 0.8), vec![stop]);
-    assert!(found(scope, Broken::LeaveAtOnce, Pairs::None) > 0);
+    assert!(found(scope, FaultyVariant::StopsBeforeHandover, Pairs::None) > 0);
 }
 
 #[test]
@@ -134,7 +129,7 @@
     let sound = explore(&scope, Pairs::All, THREADS);
     print("two losses of power", &sound);
     assert!(sound.failures.is_empty());
-    assert!(found(scope, Broken::EarlyYes, Pairs::All) > 0);
+    assert!(found(scope, FaultyVariant::AcknowledgesBeforeSync, Pairs::All) > 0);
 }
 
 #[test]
@@ -148,7 +143,7 @@
     let sound = explore(&scope, Pairs::None, THREADS);
     print("a disk lost", &sound);
     assert!(sound.failures.is_empty());
-    assert!(found(scope, Broken::Amnesia, Pairs::None) > 0);
+    assert!(found(scope, FaultyVariant::VotesAfterDiskLoss, Pairs::None) > 0);
 }
 
 #[test]
@@ -156,5 +151,5 @@
     let gone = at(0.2, json!({ "do": "kill-seat", "which": 1 }));
     let mut scope = scope(3, 9, (2.65, 3.35), vec![gone]);
     scope.tolerates = 0;
-    assert!(found(scope, Broken::OwnTables, Pairs::None) > 0);
+    assert!(found(scope, FaultyVariant::IgnoresOtherVoterSets, Pairs::None) > 0);
 }
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -8,7 +8,7 @@
 use grebepath_core::time::{SECOND, ms};
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
-use grebepath_simulator::world::{self, Broken, World, seats_whole};
+use grebepath_simulator::world::{self, FaultyVariant, World, all_slots_voting};
 use serde_json::{Value, json};
 
 /// Milliseconds after the wish to stop at which a second loss strikes.
@@ -32,27 +32,33 @@
 }
 
 /// Plays, and lets all become whole again.
-fn played(scenario: &Scenario, seed: u64, broken: Option<Broken>) -> (World, bool) {
-    let mut w = play(scenario, seed, broken);
-    let whole = world::until(&mut w, 20 * SECOND, |w| world::settled(w) && seats_whole(w));
-    (w, whole)
+fn played(scenario: &Scenario, seed: u64, faulty_variant: Option<FaultyVariant>) -> (World, bool) {
+    let mut world = play(scenario, seed, faulty_variant);
+    let whole = world::until(&mut world, 20 * SECOND, |world| {
+        world::settled(world) && all_slots_voting(world)
+    });
+    (world, whole)
 }
 
 fn sound(name: &str, scenario: &Scenario, seed: u64) -> World {
-    let (w, whole) = played(scenario, seed, None);
-    let story = || w.rules.story.join("\n");
-    assert!(w.rules.found.is_empty(), "{name}, {seed}: {:?}\n{}", w.rules.found, story());
+    let (world, whole) = played(scenario, seed, None);
+    let story = || world.rules.story.join("\n");
+    assert!(world.rules.found.is_empty(), "{name}, {seed}: {:?}\n{}", world.rules.found, story());
     assert!(whole, "{name}, {seed}: not whole\n{}", story());
-    w
+    world
 }
 
 /// Which machine has a voter slot.
-fn holder(w: &World, slot: u8) -> Option<usize> {
-    w.seats.iter().position(|n| n.up && n.core.slot == slot)
+fn holder(world: &World, slot: u8) -> Option<usize> {
+    world.controllers.iter().position(|n| n.up && n.state.slot == slot)
 }
 
-fn accepted(w: &World) -> usize {
-    w.orders.iter().filter(|o| matches!(o.done, Some(OperationResult::Accepted { .. }))).count()
+fn accepted(world: &World) -> usize {
+    world
+        .operator_requests
+        .iter()
+        .filter(|o| matches!(o.result, Some(OperationResult::Accepted { .. })))
+        .count()
 }
 
 /// Runs the cases on several threads.
@@ -70,12 +76,12 @@
     // Machine 3 is the spare; the voter in its zone leaves.
     let scenario = scene(3, 4, 5, vec![storm(100), stop(0)]);
     each(&[1u64, 2, 3, 4], |_, seed| {
-        let mut w = play(&scenario, *seed, None);
-        assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
-        let story = w.rules.story.join("\n");
-        assert_eq!(holder(&w, 0), Some(3), "{story}");
-        assert!(!w.seats[0].up, "still there\n{story}");
-        assert!(world::until(&mut w, ms(1), seats_whole), "{story}");
+        let mut world = play(&scenario, *seed, None);
+        assert!(world.rules.found.is_empty(), "{:?}", world.rules.found);
+        let story = world.rules.story.join("\n");
+        assert_eq!(holder(&world, 0), Some(3), "{story}");
+        assert!(!world.controllers[0].up, "still there\n{story}");
+        assert!(world::until(&mut world, ms(1), all_slots_voting), "{story}");
     });
 }
 
@@ -93,8 +99,8 @@
         // A spare in each zone, so that any of them may succeed.
         let scenario = scene(3, 6, 14, vec![storm(120), stop(*leaving), lost]);
         let name = format!("{leaving} leaves, {other} lost after {after} ms");
-        let w = sound(&name, &scenario, number as u64);
-        assert!(accepted(&w) > 100, "{name}: {} accepted", accepted(&w));
+        let world = sound(&name, &scenario, number as u64);
+        assert!(accepted(&world) > 100, "{name}: {} accepted", accepted(&world));
     });
 }
 
@@ -104,9 +110,10 @@
         let lost = json!({ "do": "kill-seat", "which": 3, "lose": true });
         let lost = at(4.0 + *after as f64 / 1_000.0, lost);
         let scenario = scene(3, 7, 16, vec![storm(120), stop(0), lost]);
-        let w = sound(&format!("the successor lost after {after} ms"), &scenario, number as u64);
+        let world =
+            sound(&format!("the successor lost after {after} ms"), &scenario, number as u64);
         // Another spare of the same zone has the slot in the end.
-        assert_eq!(holder(&w, 0), Some(6), "{after}");
+        assert_eq!(holder(&world, 0), Some(6), "{after}");
     });
 }
 
@@ -159,15 +166,15 @@
     }
     let scenario = scene(3, 6, 18, troubles);
     each(&[1u64, 2, 3, 4], |_, seed| {
-        let w = sound("restarts in turn", &scenario, *seed);
-        let story = || w.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n");
+        let world = sound("restarts in turn", &scenario, *seed);
+        let story = || world.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n");
         for slot in 0..3 {
-            assert_eq!(holder(&w, slot), Some(usize::from(slot)), "{}", story());
+            assert_eq!(holder(&world, slot), Some(usize::from(slot)), "{}", story());
         }
         // One may be on its way to a process at the moment when it ends.
-        let unanswered = w.orders.iter().filter(|o| o.done.is_none()).count();
+        let unanswered = world.operator_requests.iter().filter(|o| o.result.is_none()).count();
         assert!(unanswered <= 6, "{unanswered} without an answer\n{}", story());
-        assert_eq!(accepted(&w) + unanswered, w.orders.len(), "{}", story());
+        assert_eq!(accepted(&world) + unanswered, world.operator_requests.len(), "{}", story());
     });
 }
 
@@ -178,9 +185,10 @@
     for leaving in [[0, 1], [0, 3], [1, 3], [1, 4]] {
         let scenario = scene(5, 6, 12, vec![storm(120), stop(leaving[0]), stop(leaving[1])]);
         each(&[1u64, 2, 3, 4], |_, seed| {
-            let w = sound("two leave, one spare", &scenario, *seed);
-            let given = w.alarms.keys().filter(|text| text.contains("given to another")).count();
-            assert_eq!(given, 0, "{leaving:?}, {seed}: {:?}", w.alarms);
+            let world = sound("two leave, one spare", &scenario, *seed);
+            let given =
+                world.alarms.keys().filter(|text| text.contains("given to another")).count();
+            assert_eq!(given, 0, "{leaving:?}, {seed}: {:?}", world.alarms);
         });
     }
 }
@@ -195,8 +203,9 @@
         let lost = json!({ "do": "kill-seat", "which": 1, "for_s": 1.0, "lose": true });
         let lost = at(4.0 + *after as f64 / 1_000.0, lost);
         let scenario = scene(3, 6, 14, vec![storm(120), stop(0), lost]);
-        let (w, whole) = played(&scenario, number as u64, Some(Broken::LeaveAtOnce));
-        if !whole || !w.rules.found.is_empty() {
+        let (world, whole) =
+            played(&scenario, number as u64, Some(FaultyVariant::StopsBeforeHandover));
+        if !whole || !world.rules.found.is_empty() {
             caught.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         }
     });
--- a/crates/simulator/tests/hollow.rs
+++ b/crates/simulator/tests/hollow.rs
@@ -2,19 +2,19 @@
 
 use googletest::prelude::*;
 use grebepath_core::time::SECOND;
-use grebepath_simulator::scale_model::phases::{Found, Wish, measure};
+use grebepath_simulator::scale_model::phases::{Findings, Measurements, measure};
 use grebepath_simulator::scale_model::plan;
 use grebepath_simulator::scale_model::plan::Size;
 use grebepath_simulator::scale_model::show;
 use grebepath_simulator::scale_model::world;
 
-fn found(members: usize, leafs: usize, seed: u64) -> Found {
-    let wish = Wish { calm: 4 * SECOND, single: true, restarts: true };
+fn found(members: usize, leafs: usize, seed: u64) -> Findings {
+    let wish = Measurements { idle: 4 * SECOND, single: true, restarts: true };
     measure(Size { members, leafs }, seed, wish)
 }
 
 /// The lines that a seed replays.
-fn counted(f: &Found) -> Vec<String> {
+fn counted(f: &Findings) -> Vec<String> {
     show::text(f).lines().filter(|l| !l.starts_with('~')).map(str::to_string).collect()
 }
 
@@ -27,18 +27,18 @@
     for (name, event) in &a.events {
         expect_that!(event.last, some(lt(12 * SECOND)), "{name}");
     }
-    expect_that!(a.events[0].1.told, some(lt(8 * SECOND)));
+    expect_that!(a.events[0].1.accepted, some(lt(8 * SECOND)));
 }
 
 #[gtest]
 fn a_member_costs_no_more_in_a_larger_cohort_and_state_grows_with_leafs() {
     let (few, many) = (found(12, 48, 3), found(24, 480, 3));
-    let bytes = |f: &Found| {
-        let sent: u64 = f.calm.sum.fronts.iter().map(|m| m.sent.bytes).sum();
-        sent as f64 / f.calm.sum.fronts.len() as f64
+    let bytes = |f: &Findings| {
+        let sent: u64 = f.idle.sum.queriers.iter().map(|m| m.sent.bytes).sum();
+        sent as f64 / f.idle.sum.queriers.len() as f64
     };
     expect_that!(bytes(&many), lt(bytes(&few) * 1.1));
-    let state = |f: &Found| f.calm.front_state as f64;
+    let state = |f: &Findings| f.idle.querier_state as f64;
     expect_that!(state(&many) / state(&few), gt(6.0));
     expect_that!(state(&many) / state(&few), lt(12.0));
 }
@@ -46,11 +46,11 @@
 #[gtest]
 fn every_message_is_counted_where_it_goes_and_where_it_comes() {
     let f = found(10, 40, 5);
-    let sum = &f.calm.sum;
-    let ways: u64 = sum.ways.values().map(|c| c.bytes).sum();
-    let sent: u64 = sum.fronts.iter().chain(&sum.seats).map(|m| m.sent.bytes).sum();
-    let got: u64 = sum.fronts.iter().chain(&sum.seats).map(|m| m.got.bytes).sum();
-    expect_that!(sent, eq(ways));
+    let sum = &f.idle.sum;
+    let traffic: u64 = sum.traffic.values().map(|c| c.bytes).sum();
+    let sent: u64 = sum.queriers.iter().chain(&sum.controllers).map(|m| m.sent.bytes).sum();
+    let got: u64 = sum.queriers.iter().chain(&sum.controllers).map(|m| m.got.bytes).sum();
+    expect_that!(sent, eq(traffic));
     // What is on the way at either end of the time is small.
     expect_that!((sent as f64 - got as f64).abs(), lt(sent as f64 / 50.0));
 }
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -8,7 +8,7 @@
 use grebepath_core::time::SECOND;
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
-use grebepath_simulator::world::{self, World, seats_whole};
+use grebepath_simulator::world::{self, World, all_slots_voting};
 use serde_json::{Value, json};
 
 fn scene(seconds: u64, more: Vec<Value>) -> Scenario {
@@ -24,8 +24,12 @@
     })
 }
 
-fn accepted(w: &World) -> usize {
-    w.orders.iter().filter(|o| matches!(o.done, Some(OperationResult::Accepted { .. }))).count()
+fn accepted(world: &World) -> usize {
+    world
+        .operator_requests
+        .iter()
+        .filter(|o| matches!(o.result, Some(OperationResult::Accepted { .. })))
+        .count()
 }
 
 /// Plays with several seeds; each ends whole, with one state on all voters.
@@ -33,16 +37,17 @@
     std::thread::scope(|scope| {
         for seed in 0..4 {
             scope.spawn(move || {
-                let mut w = play(scenario, seed, None);
-                let whole =
-                    world::until(&mut w, 20 * SECOND, |w| world::settled(w) && seats_whole(w));
-                let ring = || w.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n");
-                assert!(w.rules.found.is_empty(), "{name}, {seed}: {:?}", w.rules.found);
+                let mut world = play(scenario, seed, None);
+                let whole = world::until(&mut world, 20 * SECOND, |world| {
+                    world::settled(world) && all_slots_voting(world)
+                });
+                let ring = || world.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n");
+                assert!(world.rules.found.is_empty(), "{name}, {seed}: {:?}", world.rules.found);
                 assert!(whole, "{name}, {seed}: not whole\n{}", ring());
-                assert!(accepted(&w) > 400, "{name}, {seed}: {} accepted", accepted(&w));
+                assert!(accepted(&world) > 400, "{name}, {seed}: {} accepted", accepted(&world));
                 // The last changes may be under way: let them come to rest.
-                let same = world::until(&mut w, 5 * SECOND, |w| {
-                    let copy = |s: usize| &w.seats[s].core.partitions[0].copy;
+                let same = world::until(&mut world, 5 * SECOND, |world| {
+                    let copy = |s: usize| &world.controllers[s].state.partitions[0].copy;
                     (1..3).all(|s| copy(s) == copy(0))
                 });
                 assert!(same, "{name}, {seed}: the replicas differ");
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -40,7 +40,7 @@
 #[derive(Clone)]
 pub struct Change {
     pub request: String,
-    pub deed: Operation,
+    pub operation: Operation,
     base: Base,
     effect: Effect,
 }
@@ -55,7 +55,7 @@
     let text = value.to_string();
     let request = digest(format!("PATCH {text}").as_bytes());
     let base = Base { revision: None, edition: base.map(|b| b.0) };
-    Change { request, deed: Operation::Patch(text.into_bytes()), base, effect }
+    Change { request, operation: Operation::Patch(text.into_bytes()), base, effect }
 }
 
 /// The whole configuration of the scenario with one more zone.
@@ -73,7 +73,7 @@
     let text = value.to_string();
     let request = digest(format!("PUT {text}").as_bytes());
     let base = Base { revision: None, edition: base.map(|b| b.0) };
-    Change { request, deed: Operation::Replace(text.into_bytes()), base, effect }
+    Change { request, operation: Operation::Replace(text.into_bytes()), base, effect }
 }
 
 fn named(value: &mut Value, base: Option<(u64, u64)>) {
@@ -84,7 +84,8 @@
 
 /// A fleet that has come up with its first configuration, which is edition 1.
 pub fn site(scenario: &Scenario, seed: u64) -> Site {
-    let mut world = world::world(&scenario.spec, scenario.core.clone(), scenario.queriers, seed);
+    let mut world =
+        world::world(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
     world::run(&mut world, SECOND);
     let config = scenario.config.clone();
     let mut site = Site { world, recorder: Recorder::default(), sent: Vec::new(), config };
@@ -92,7 +93,7 @@
     let call = send(&mut site, 0, &first, false);
     assert!(until(&mut site, 20, |s| answer(s, call).is_some()), "no first configuration");
     assert!(until(&mut site, 20, |s| world::settled(&s.world)), "the fleet does not come up");
-    world::begin_calls(&mut site.world, scenario.factor);
+    world::start_calls(&mut site.world, scenario.factor);
     site
 }
 
@@ -104,7 +105,7 @@
 /// Sends a change through a machine; gives the number of the call. With `lost`
 /// the operator never hears the answer.
 pub fn send(site: &mut Site, machine: usize, change: &Change, lost: bool) -> usize {
-    let text = match &change.deed {
+    let text = match &change.operation {
         Operation::Replace(text) | Operation::Patch(text) => text.clone(),
         _ => Vec::new(),
     };
@@ -114,7 +115,7 @@
     let via = format!("machine {machine}");
     let effect = || change.effect.clone();
     let write = site.recorder.send_write(now, via, id, change.base, effect);
-    call(site, machine, Some(change.request.clone()), change.deed.clone(), Some(write), lost)
+    call(site, machine, Some(change.request.clone()), change.operation.clone(), Some(write), lost)
 }
 
 /// Reads the configuration through a machine.
@@ -126,14 +127,14 @@
     site: &mut Site,
     machine: usize,
     request: Option<String>,
-    deed: Operation,
+    operation: Operation,
     write: Option<AttemptNumber>,
     lost: bool,
 ) -> usize {
     let mut order = world::patch(&Value::Null);
-    (order.request, order.deed, order.seat) = (request, deed, Some(machine));
+    (order.request, order.operation, order.controller) = (request, operation, Some(machine));
     let sent = site.world.now;
-    let order = world::order(&mut site.world, 0, order);
+    let order = world::submit(&mut site.world, 0, order);
     site.sent.push(Sent { order, write, via: machine, sent, lost, noted: false });
     site.sent.len() - 1
 }
@@ -160,7 +161,7 @@
 /// What a call was answered, if it was and the operator heard it.
 pub fn answer(site: &Site, call: usize) -> Option<&OperationResult> {
     let sent = &site.sent[call];
-    site.world.orders[sent.order].done.as_ref().filter(|_| !sent.lost)
+    site.world.operator_requests[sent.order].result.as_ref().filter(|_| !sent.lost)
 }
 
 /// Sends a change and waits for the answer.
@@ -191,7 +192,7 @@
 fn note(site: &mut Site) {
     let now = site.world.now;
     for sent in site.sent.iter_mut().filter(|sent| !sent.noted && !sent.lost) {
-        let Some(done) = &site.world.orders[sent.order].done else { continue };
+        let Some(done) = &site.world.operator_requests[sent.order].result else { continue };
         sent.noted = true;
         match (sent.write, done) {
             (Some(number), done) => site.recorder.answer_write(now, number, told(done)),
@@ -229,7 +230,7 @@
 pub fn tally(site: &Site) -> std::collections::BTreeMap<&'static str, usize> {
     let mut out = std::collections::BTreeMap::new();
     for sent in &site.sent {
-        let kind = match &site.world.orders[sent.order].done {
+        let kind = match &site.world.operator_requests[sent.order].result {
             _ if sent.lost => "lost",
             None => "none",
             Some(OperationResult::Accepted { .. }) => "accepted",
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -8,7 +8,7 @@
 use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::random::{below, chance, luck};
 use grebepath_simulator::chaos::at;
-use grebepath_simulator::scenario::{Trouble, befall, drawn, read};
+use grebepath_simulator::scenario::{ScheduledFault, apply_fault, generated_fault, read};
 use grebepath_simulator::world::{self, World};
 use operators::{
     Change, Site, answer, ask, judged, pass, patch, read_back, send, site, tally, until, whole_of,
@@ -30,13 +30,13 @@
 }
 
 fn strike(site: &mut Site, what: serde_json::Value) {
-    let trouble: Trouble = drawn(&at(0.0, what));
-    befall(&mut site.world, &trouble);
+    let fault: ScheduledFault = generated_fault(&at(0.0, what));
+    apply_fault(&mut site.world, &fault);
 }
 
 /// All controllers lose power at once and are back half a second later.
 fn power_loss(site: &mut Site) {
-    for machine in 0..site.world.seats.len() {
+    for machine in 0..site.world.controllers.len() {
         let what = json!({ "do": "kill-seat", "which": machine, "power": true, "for_s": 0.5 });
         strike(site, what);
     }
@@ -45,8 +45,8 @@
 /// The machine whose controller leads the configuration.
 fn leader(world: &World) -> Option<usize> {
     use grebepath_core::replication::partition::Role;
-    let leads = |n: &world::ControllerNode| matches!(&n.core.partitions[0].role, Role::Leader(o) if o.serves);
-    world.seats.iter().position(|n| n.up && leads(n))
+    let leads = |n: &world::ControllerNode| matches!(&n.state.partitions[0].role, Role::Leader(o) if o.serves);
+    world.controllers.iter().position(|n| n.up && leads(n))
 }
 
 fn revision(done: Option<OperationResult>) -> u64 {
@@ -58,7 +58,7 @@
 
 /// So many changes by others, of one zone, some on the way at once.
 fn others(site: &mut Site, count: u64) {
-    let first = site.world.orders.len();
+    let first = site.world.operator_requests.len();
     for number in 0..count {
         let mut change = patch("busy", None);
         change.request = format!("other-{first}-{number}");
@@ -112,7 +112,7 @@
 /// drawn at random, while controllers fall.
 fn race(seed: u64, rounds: u64) -> Site {
     let mut site = if seed.is_multiple_of(2) { fleet(seed) } else { fleet_with_spare(seed) };
-    let machines = site.world.seats.len() as u64;
+    let machines = site.world.controllers.len() as u64;
     let mut random = luck(seed);
     let mut edition = 1;
     for round in 0..rounds {
@@ -153,7 +153,7 @@
 
 fn fault(site: &mut Site, kind: u64, seed: u64) {
     let leads = leader(&site.world).unwrap_or(0);
-    let other = (leads + 1 + (seed % 2) as usize) % site.world.seats.len();
+    let other = (leads + 1 + (seed % 2) as usize) % site.world.controllers.len();
     let what = match kind {
         0 => json!({ "do": "kill-seat", "which": leads, "for_s": 1.5, "power": true }),
         1 => json!({ "do": "kill-seat", "which": other, "for_s": 2.0, "power": true }),
@@ -211,8 +211,8 @@
 
 /// Every controller's memory of orders is lost.
 fn forget(site: &mut Site) {
-    for node in &mut site.world.seats {
-        node.core.partitions[0].copy.map.retain(|key, _| !key.starts_with("order/"));
+    for node in &mut site.world.controllers {
+        node.state.partitions[0].copy.map.retain(|key, _| !key.starts_with("order/"));
     }
 }
 
@@ -231,10 +231,10 @@
 #[test]
 fn two_orders_accepted_on_one_edition_are_caught() {
     let mut site = fleet(5);
-    let before = site.world.seats[0].core.partitions[0].copy.map["terms"].clone();
+    let before = site.world.controllers[0].state.partitions[0].copy.map["terms"].clone();
     revision(ask(&mut site, 0, &patch("first-of-two", Some((1, 2)))));
-    for node in &mut site.world.seats {
-        node.core.partitions[0].copy.map.insert("terms".into(), before.clone());
+    for node in &mut site.world.controllers {
+        node.state.partitions[0].copy.map.insert("terms".into(), before.clone());
     }
     revision(ask(&mut site, 1, &patch("other", Some((1, 2)))));
     let why = judged(&site).unwrap_err();
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -44,25 +44,25 @@
     if !name.starts_with("overload") && !heavy.contains(&name) {
         s.factor *= PART;
     }
-    let mut w = play(&s, 3, None);
+    let mut world = play(&s, 3, None);
     if !["two-disks-lost"].contains(&s.name.as_str()) {
-        let settled = world::until(&mut w, 20 * SECOND, world::settled);
+        let settled = world::until(&mut world, 20 * SECOND, world::settled);
         assert!(settled, "{name}: the fleet is not whole 20 s after the last trouble");
     }
-    (name.trim_end_matches(".json").to_string(), w)
+    (name.trim_end_matches(".json").to_string(), world)
 }
 
-fn share(w: &World, kind: &str) -> (u64, u64, u64) {
-    let t = &w.tally[kind];
-    let all = t.full + t.partial + t.bounced.values().sum::<u64>() + t.unreachable + t.late;
+fn share(world: &World, kind: &str) -> (u64, u64, u64) {
+    let t = &world.tallies[kind];
+    let all = t.full + t.partial + t.rejected.values().sum::<u64>() + t.unreachable + t.timed_out;
     (t.full, t.partial, all)
 }
 
 #[test]
 fn no_scenario_breaks_a_promise() {
     let worlds = all();
-    for (name, w) in &worlds {
-        let found: Vec<_> = w.rules.found.iter().map(|v| &v.text).collect();
+    for (name, world) in &worlds {
+        let found: Vec<_> = world.rules.found.iter().map(|v| &v.text).collect();
         assert!(found.is_empty(), "{name}: {found:?}");
     }
     let get = |name: &str| &worlds[name];
@@ -85,7 +85,7 @@
     let weak = get("weak-leafs");
     let (full, partial, all) = share(weak, "browse");
     assert!(full * 100 >= all * 75, "weak leafs: {full} {partial} of {all}");
-    let over: u64 = weak.backs.leafs.values().map(|l| l.over).sum();
+    let over: u64 = weak.backends.leafs.values().map(|l| l.over).sum();
     assert!(over < 1_500, "{over} dispatches begun beyond what leafs bear");
     // Two disks lost: said aloud, and queries served on.
     let two = get("two-disks-lost");
@@ -108,9 +108,9 @@
         0.02,
         vec![deaf, json!({ "at_s": 1.2, "do": "storm", "count": 1 })],
     );
-    let w = play(&s, 5, None);
-    assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
-    match &w.orders[1].done {
+    let world = play(&s, 5, None);
+    assert!(world.rules.found.is_empty(), "{:?}", world.rules.found);
+    match &world.operator_requests[1].result {
         Some(grebepath_core::protocol::message::OperationResult::Unknown { why }) => {
             assert!(why.contains("q0 (obeys 1)") && why.contains("q6 (obeys 1)"), "{why}");
         }
@@ -121,7 +121,7 @@
 #[test]
 fn a_seed_replays_exactly() {
     let dir = format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR"));
-    let print = |w: &World| grebepath_simulator::report::json(w).to_string();
+    let print = |world: &World| grebepath_simulator::report::json(world).to_string();
     let (one_, two) = (one(&dir, "rough.json").1, one(&dir, "rough.json").1);
     assert_eq!(print(&one_), print(&two));
 }
--- a/crates/simulator/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -7,7 +7,7 @@
 use grebepath_core::time::{SECOND, ms};
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
-use grebepath_simulator::world::{self, Broken, World, seats_whole};
+use grebepath_simulator::world::{self, FaultyVariant, World, all_slots_voting};
 use serde_json::{Value, json};
 
 fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
@@ -25,28 +25,29 @@
         for seed in 0..4 {
             let check = &check;
             scope.spawn(move || {
-                let mut w = play(s, seed, None);
-                let whole =
-                    world::until(&mut w, 20 * SECOND, |w| world::settled(w) && seats_whole(w));
-                let found = &w.rules.found;
-                let story = || w.rules.story.join("\n");
+                let mut world = play(s, seed, None);
+                let whole = world::until(&mut world, 20 * SECOND, |world| {
+                    world::settled(world) && all_slots_voting(world)
+                });
+                let found = &world.rules.found;
+                let story = || world.rules.story.join("\n");
                 assert!(found.is_empty(), "{name}, {seed}: {found:?}\n{}", story());
-                assert!(whole, "{name}, {seed}: not whole\n{}", state(&w));
-                check(&mut w, seed);
+                assert!(whole, "{name}, {seed}: not whole\n{}", state(&world));
+                check(&mut world, seed);
             });
         }
     });
 }
 
-fn state(w: &World) -> String {
+fn state(world: &World) -> String {
     let mut out = String::new();
-    for (i, n) in w.seats.iter().enumerate() {
-        let lives: Vec<_> = n.core.partitions.iter().map(|p| format!("{:?}", p.life)).collect();
-        let table = &n.core.seating.roll.table.slots;
+    for (i, n) in world.controllers.iter().enumerate() {
+        let lives: Vec<_> = n.state.partitions.iter().map(|p| format!("{:?}", p.life)).collect();
+        let table = &n.state.seating.roll.table.slots;
         let list: Vec<_> = table.iter().map(|h| format!("{}:{}", h.generation, h.addr)).collect();
-        out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.core.slot);
+        out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.state.slot);
     }
-    out + &w.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n")
+    out + &world.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n")
 }
 
 /// Orders all the time.
@@ -55,12 +56,16 @@
 }
 
 /// Which machine has a seat.
-fn holder(w: &World, seat: u8) -> Option<usize> {
-    w.seats.iter().position(|n| n.up && n.core.slot == seat)
+fn holder(world: &World, seat: u8) -> Option<usize> {
+    world.controllers.iter().position(|n| n.up && n.state.slot == seat)
 }
 
-fn accepted(w: &World) -> usize {
-    w.orders.iter().filter(|o| matches!(o.done, Some(OperationResult::Accepted { .. }))).count()
+fn accepted(world: &World) -> usize {
+    world
+        .operator_requests
+        .iter()
+        .filter(|o| matches!(o.result, Some(OperationResult::Accepted { .. })))
+        .count()
 }
 
 /// A spare in the zone, from the first second on.
@@ -75,9 +80,9 @@
     for (gone, zone) in ZONES.into_iter().enumerate() {
         let kill = at(4.0, json!({ "do": "kill-seat", "which": gone as u64 }));
         let s = scene(3, 3, 25, vec![storm(120), spare(zone), kill]);
-        sound("takeover", &s, |w, _| {
-            assert_eq!(holder(w, gone as u8), Some(3));
-            assert!(accepted(w) > 100, "{} accepted", accepted(w));
+        sound("takeover", &s, |world, _| {
+            assert_eq!(holder(world, gone as u8), Some(3));
+            assert!(accepted(world) > 100, "{} accepted", accepted(world));
         });
     }
 }
@@ -86,9 +91,12 @@
 fn no_zone_gains_a_majority_of_the_seats() {
     let kill = at(4.0, json!({ "do": "kill-seat", "which": 1 }));
     let s = scene(3, 3, 20, vec![storm(60), spare("a"), kill]);
-    let w = play(&s, 5, None);
-    assert!(w.rules.found.is_empty(), "{:?}", w.rules.found);
-    assert_eq!((holder(&w, 1), w.seats[3].core.slot), (None, grebepath_core::voter_set::NOBODY));
+    let world = play(&s, 5, None);
+    assert!(world.rules.found.is_empty(), "{:?}", world.rules.found);
+    assert_eq!(
+        (holder(&world, 1), world.controllers[3].state.slot),
+        (None, grebepath_core::voter_set::NOBODY)
+    );
 }
 
 #[test]
@@ -106,7 +114,7 @@
                 at(20.0, json!({ "do": "kill-seat", "which": 3, "power": power })),
             ],
         );
-        sound("returns", &s, |w, _| assert_eq!(holder(w, 1), Some(1)));
+        sound("returns", &s, |world, _| assert_eq!(holder(world, 1), Some(1)));
     }
 }
 
@@ -124,10 +132,10 @@
                 at(15.0, json!({ "do": "heal" })),
             ],
         );
-        sound("cut off", &s, |w, _| {
-            assert_eq!(holder(w, cut as u8), Some(3));
+        sound("cut off", &s, |world, _| {
+            assert_eq!(holder(world, cut as u8), Some(3));
             // The old holder is a spare now, under another name.
-            assert_eq!(w.seats[cut].core.slot, grebepath_core::voter_set::NOBODY);
+            assert_eq!(world.controllers[cut].state.slot, grebepath_core::voter_set::NOBODY);
         });
     }
 }
@@ -144,11 +152,13 @@
             at(15.0, json!({ "do": "heal" })),
         ],
     );
-    sound("half cut", &s, |w, _| assert_eq!(holder(w, 3), None));
+    sound("half cut", &s, |world, _| assert_eq!(holder(world, 3), None));
     for n in [0, 1, 2] {
         let paused =
             vec![storm(100), at(3.0, json!({ "do": "pause-seat", "which": n, "for_s": 2 }))];
-        sound("paused", &scene(3, 4, 20, paused), |w, _| assert_eq!(holder(w, n), Some(n.into())));
+        sound("paused", &scene(3, 4, 20, paused), |world, _| {
+            assert_eq!(holder(world, n), Some(n.into()))
+        });
     }
 }
 
@@ -158,15 +168,15 @@
     let many = || vec![storm(160), spare("a"), spare("a"), spare("a")];
     let mut list = many();
     list.push(kill(4.0, 0));
-    sound("two spares", &scene(3, 3, 20, list), |w, _| {
-        assert_eq!((3..6).filter(|n| world::seated(&w.seats[*n])).count(), 1);
+    sound("two spares", &scene(3, 3, 20, list), |world, _| {
+        assert_eq!((3..6).filter(|n| world::has_voter_slot(&world.controllers[*n])).count(), 1);
     });
     // The applicants themselves die at any time.
     for t in [6.4, 6.6, 6.8, 7.0, 7.2] {
         let mut list = many();
         list.extend([kill(4.0, 0), kill(t, 3), kill(t + 0.3, 4)]);
-        sound("dying spares", &scene(3, 3, 30, list), |w, _| {
-            assert_eq!(holder(w, 0), Some(5));
+        sound("dying spares", &scene(3, 3, 30, list), |world, _| {
+            assert_eq!(holder(world, 0), Some(5));
         });
     }
 }
@@ -176,7 +186,7 @@
     for n in 0..3u64 {
         let lost = json!({ "do": "kill-seat", "which": n, "for_s": 1.0, "lose": true });
         let s = scene(3, 3, 20, vec![storm(60), at(6.02, lost)]);
-        sound("lost disk", &s, |w, _| assert_eq!(holder(w, n as u8), Some(n as usize)));
+        sound("lost disk", &s, |world, _| assert_eq!(holder(world, n as u8), Some(n as usize)));
         let all = json!({ "do": "restart-all", "power": true, "lose": n });
         sound("lost disk, all off", &scene(3, 3, 20, vec![storm(60), at(4.02, all)]), |_, _| {});
     }
@@ -188,7 +198,7 @@
         for power in [false, true] {
             let all = json!({ "do": "restart-all", "power": power, "lose": lose });
             let s = scene(5, 6, 25, vec![storm(80), at(5.02, all)]);
-            sound("two of five", &s, |w, _| assert!(accepted(w) > 20));
+            sound("two of five", &s, |world, _| assert!(accepted(world) > 20));
         }
     }
 }
@@ -197,7 +207,7 @@
 fn two_of_five_machines_are_replaced_while_operators_go_on() {
     let kill = |t: f64, n: u64| at(t, json!({ "do": "kill-seat", "which": n }));
     let s = scene(5, 7, 30, vec![storm(180), kill(3.0, 0), kill(3.3, 3)]);
-    sound("two gone", &s, |w, _| assert!(accepted(w) > 120, "{}", accepted(w)));
+    sound("two gone", &s, |world, _| assert!(accepted(world) > 120, "{}", accepted(world)));
 }
 
 #[test]
@@ -214,9 +224,9 @@
         list.push(at(t + 8.0, json!({ "do": "kill-querier", "which": n, "for_s": 1 })));
     }
     list.push(at(52.0, json!({ "do": "restart-all", "power": true })));
-    sound("exchanged", &scene(3, 3, 70, list), |w, _| {
+    sound("exchanged", &scene(3, 3, 70, list), |world, _| {
         for k in 0..3 {
-            assert_eq!(holder(w, k), Some(usize::from(k) + 3));
+            assert_eq!(holder(world, k), Some(usize::from(k) + 3));
         }
     });
 }
@@ -224,8 +234,8 @@
 #[test]
 fn five_seats_begin_with_three_seeds() {
     for controllers in [5, 6, 8] {
-        sound("first boot", &scene(5, controllers, 15, vec![storm(40)]), |w, _| {
-            assert!(accepted(w) >= 40);
+        sound("first boot", &scene(5, controllers, 15, vec![storm(40)]), |world, _| {
+            assert!(accepted(world) >= 40);
         });
     }
 }
@@ -233,47 +243,48 @@
 #[test]
 fn operators_are_served_by_controllers_without_a_seat() {
     let s = scene(3, 5, 12, Vec::new());
-    sound("spare's operators", &s, |w, _| {
-        let ask = |w: &mut World, spare: usize| {
-            let n = w.orders.len();
+    sound("spare's operators", &s, |world, _| {
+        let ask = |world: &mut World, spare: usize| {
+            let n = world.operator_requests.len();
             let mut order = world::marked(n);
-            order.seat = Some(spare);
-            let id = world::order(w, 0, order);
-            world::until(w, 6 * SECOND, |w| w.orders[id].done.is_some());
-            matches!(w.orders[id].done, Some(OperationResult::Accepted { .. }))
+            order.controller = Some(spare);
+            let id = world::submit(world, 0, order);
+            world::until(world, 6 * SECOND, |world| world.operator_requests[id].result.is_some());
+            matches!(world.operator_requests[id].result, Some(OperationResult::Accepted { .. }))
         };
-        let spares: Vec<usize> =
-            (0..5).filter(|n| w.seats[*n].core.slot == grebepath_core::voter_set::NOBODY).collect();
+        let spares: Vec<usize> = (0..5)
+            .filter(|n| world.controllers[*n].state.slot == grebepath_core::voter_set::NOBODY)
+            .collect();
         assert_eq!(spares.len(), 2);
         for spare in &spares {
-            assert!(ask(w, *spare));
+            assert!(ask(world, *spare));
         }
         // With the owner gone it finds the next one, or takes the seat itself.
-        let owner = w.seats.iter().position(|n| {
+        let owner = world.controllers.iter().position(|n| {
             matches!(
-                n.core.partitions[0].role,
+                n.state.partitions[0].role,
                 grebepath_core::replication::partition::Role::Leader(_)
             )
         });
-        world::kill_seat(w, owner.unwrap(), false);
+        world::kill_controller(world, owner.unwrap(), false);
         for spare in spares {
-            assert!(ask(w, spare));
+            assert!(ask(world, spare));
         }
-        world::run(w, ms(100));
+        world::run(world, ms(100));
     });
 }
 
 #[test]
 fn a_takeover_takes_a_few_seconds() {
     for (gone, zone) in ZONES.into_iter().enumerate() {
-        let mut w = play(&scene(3, 3, 3, vec![spare(zone)]), gone as u64, None);
-        assert!(world::until(&mut w, 5 * SECOND, seats_whole));
-        let at = w.now;
-        world::kill_seat(&mut w, gone, true);
+        let mut world = play(&scene(3, 3, 3, vec![spare(zone)]), gone as u64, None);
+        assert!(world::until(&mut world, 5 * SECOND, all_slots_voting));
+        let at = world.now;
+        world::kill_controller(&mut world, gone, true);
         // Two spares of one seat never count both: not whole until it is moved.
-        assert!(world::until(&mut w, 20 * SECOND, |w| holder(w, gone as u8) == Some(3)));
-        assert!(world::until(&mut w, 20 * SECOND, seats_whole));
-        let took = w.now - at;
+        assert!(world::until(&mut world, 20 * SECOND, |world| holder(world, gone as u8) == Some(3)));
+        assert!(world::until(&mut world, 20 * SECOND, all_slots_voting));
+        let took = world.now - at;
         println!("seat {gone} moved in {} ms", took / 1000);
         assert!(took < 6 * SECOND, "{took}");
     }
@@ -310,10 +321,10 @@
                 for seed in (0..96u64).filter(|seed| seed % 8 == thread) {
                     let (a, old, both) = cases[seed as usize % cases.len()];
                     let s = split(a, old, both);
-                    let w = play(&s, seed, None);
-                    assert!(w.rules.found.is_empty(), "sound: {:?}", w.rules.found);
-                    assert_eq!(holder(&w, old as u8), Some(5), "{}", state(&w));
-                    let bad = play(&s, seed, Some(Broken::OwnTables));
+                    let world = play(&s, seed, None);
+                    assert!(world.rules.found.is_empty(), "sound: {:?}", world.rules.found);
+                    assert_eq!(holder(&world, old as u8), Some(5), "{}", state(&world));
+                    let bad = play(&s, seed, Some(FaultyVariant::IgnoresOtherVoterSets));
                     let seen = u64::from(!bad.rules.counts.is_empty());
                     caught.fetch_add(seen, std::sync::atomic::Ordering::Relaxed);
                 }
@@ -341,7 +352,7 @@
     let s = common::scenario("amnesia", 25, 0.02, troubles);
     let sound = play(&s, 3, None);
     assert!(sound.rules.found.is_empty(), "{:?}", sound.rules.found);
-    let bad = play(&s, 3, Some(Broken::Amnesia));
+    let bad = play(&s, 3, Some(FaultyVariant::VotesAfterDiskLoss));
     assert!(bad.rules.counts.contains_key(&12), "{:?}", bad.rules.counts);
 }
 
@@ -353,18 +364,18 @@
                 for seed in (0..12u64).filter(|n| n % 4 == t) {
                     let (seats, controllers) = [(3, 4), (5, 6), (3, 3), (5, 5)][seed as usize % 4];
                     let mut s = scene(seats, controllers, 70, Vec::new());
-                    s.troubles = grebepath_simulator::chaos::chaos(seed, &s);
-                    let mut w = play(&s, seed, None);
-                    let whole = world::until(&mut w, 20 * SECOND, world::settled);
-                    let found = &w.rules.found;
+                    s.faults = grebepath_simulator::chaos::chaos(seed, &s);
+                    let mut world = play(&s, seed, None);
+                    let whole = world::until(&mut world, 20 * SECOND, world::settled);
+                    let found = &world.rules.found;
                     let list: Vec<String> =
-                        s.troubles.iter().map(|t| format!("{} {t}", t.at_ms)).collect();
+                        s.faults.iter().map(|t| format!("{} {t}", t.at_ms)).collect();
                     assert!(
                         found.is_empty() && whole,
                         "seed {seed}, whole {whole}: {found:?}\n{}\n{}\n{}",
                         list.join("\n"),
-                        w.rules.story.join("\n"),
-                        state(&w)
+                        world.rules.story.join("\n"),
+                        state(&world)
                     );
                 }
             });
