--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -15,9 +15,7 @@
 use grebepath_core::time::SECOND;
 
 use crate::scenario::{Scenario, play_with_faults};
-use crate::world::{
-    self, Fault, FaultInjection, FaultyVariant, InjectedFault, World, all_slots_voting,
-};
+use crate::world::{self, Fault, FaultInjection, FaultyVariant, InjectedFault, World};
 
 /// What is explored.
 pub struct Scope {
@@ -137,22 +135,21 @@
 
 /// All that is wrong with a play that has ended.
 fn judge(world: &mut World) -> Vec<String> {
-    let whole =
-        world::until(world, 12 * SECOND, |world| world::settled(world) && all_slots_voting(world));
+    let whole = world.until(12 * SECOND, |world| world.settled() && world.all_slots_voting());
     let mut wrong: Vec<String> =
         world.rules.found.iter().map(|found| format!("{found:?}")).collect();
     if !whole {
         wrong.push("not all voter slots are held by replicas that vote".into());
         return wrong;
     }
-    let last = world::submit(world, 0, world::marked(world.operator_requests.len()));
+    let last = world.submit(0, world::marked(world.operator_requests.len()));
     let accepted = |world: &World| {
         matches!(world.operator_requests[last].result, Some(OperationResult::Accepted { .. }))
     };
-    if !world::until(world, 5 * SECOND, accepted) {
+    if !world.until(5 * SECOND, accepted) {
         wrong.push(format!("the last order came to {:?}", world.operator_requests[last].result));
     }
-    if !world::until(world, 5 * SECOND, one_state) {
+    if !world.until(5 * SECOND, one_state) {
         wrong.push("replicas of one revision differ, or one stays behind".into());
     }
     wrong
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -13,7 +13,6 @@
 mod read;
 mod values;
 
-pub use apply::apply_fault;
 pub use play::{play, play_traced, play_weighed, play_with_faults};
 pub use read::{generated_fault, read};
 
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -32,7 +32,7 @@
     injected: world::FaultInjection,
 ) -> World {
     let mut world = come_up(scenario, seed, faulty_variant);
-    let began = world::since_begin(&world);
+    let began = world.since_begin();
     let (from, to) = injected.window;
     world.injected = world::FaultInjection { window: (began + from, began + to), ..injected };
     play_on(&mut world, scenario);
@@ -44,7 +44,7 @@
 pub fn play_traced(scenario: &Scenario, seed: u64, injected: world::FaultInjection) -> World {
     let mut world = come_up(scenario, seed, None);
     world.net.trace = Some(0);
-    let began = world::since_begin(&world);
+    let began = world.since_begin();
     let (from, to) = injected.window;
     world.injected = world::FaultInjection { window: (began + from, began + to), ..injected };
     play_on(&mut world, scenario);
@@ -58,26 +58,26 @@
     faulty_variant: Option<world::FaultyVariant>,
 ) -> World {
     let mut world =
-        world::world(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
+        World::new(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
     world.faulty_variant = faulty_variant;
     world.backends.ages = scenario.ages;
-    world::submit(&mut world, ms(200), world::whole(&scenario.config));
-    world::until(&mut world, 20 * SECOND, |world| {
-        world::settled(world)
+    world.submit(ms(200), world::whole(&scenario.config));
+    world.until(20 * SECOND, |world| {
+        world.settled()
             && !world.operator_requests.is_empty()
             && world.operator_requests[0].result.is_some()
     });
-    world::run(&mut world, 2 * SECOND);
+    world.run(2 * SECOND);
     world
 }
 
 /// Lets the scenario happen to a fleet that has come up.
 pub(super) fn play_on(world: &mut World, scenario: &Scenario) {
     let troubles = scenario.faults.clone();
-    world::plan(world, troubles);
-    world::start_calls(world, scenario.factor);
-    world::run(world, scenario.seconds * SECOND);
+    world.plan(troubles);
+    world.start_calls(scenario.factor);
+    world.run(scenario.seconds * SECOND);
     world.calls_end_at = world.now;
-    world::run(world, 3 * SECOND);
-    world::finish(world);
+    world.run(3 * SECOND);
+    world.finish();
 }
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -7,11 +7,9 @@
 use grebepath_core::random::luck;
 use grebepath_core::time::{Tick, ms};
 
-use super::controllers::add_controller;
-use super::events::{ScheduledEvent, push};
+use super::events::ScheduledEvent;
 use super::injected_faults::FaultInjection;
 use super::nodes::QuerierNode;
-use super::queriers::start_querier;
 use super::{BEGIN, THREADS, World};
 use crate::mock_backends;
 use crate::mock_backends::ZONES;
@@ -31,6 +29,72 @@
     pub seeds: Vec<usize>,
 }
 
+impl World {
+    /// A fleet that is just being started.
+    pub fn new(spec: &Spec, control_plane: ControlPlaneSetup, queriers: usize, seed: u64) -> Self {
+        let mut world = Self {
+            now: BEGIN,
+            queue: BTreeMap::new(),
+            next: 0,
+            random: luck(seed),
+            net: Net::default(),
+            controllers: Vec::new(),
+            control_plane,
+            opened_connections: BTreeSet::new(),
+            queriers: Vec::new(),
+            backends: mock_backends::backs(spec, BEGIN),
+            call_kinds: spec.kinds.clone(),
+            factor: 1.0,
+            ready_queriers: Vec::new(),
+            runs: BTreeMap::new(),
+            runs_by_attempt: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            operator_requests: Vec::new(),
+            rules: Rules::default(),
+            tallies: BTreeMap::new(),
+            faulty_variant: None,
+            faults: Vec::new(),
+            calls_end_at: Tick::MAX,
+            ignore_readiness: false,
+            acknowledged_at: BTreeMap::new(),
+            alarms: BTreeMap::new(),
+            lost_disks: 0,
+            injected: FaultInjection::default(),
+            events: 0,
+        };
+        for _ in 0..world.control_plane.machines {
+            world.add_controller(None);
+        }
+        for querier in 0..queriers {
+            let zone = ZONES[querier % ZONES.len()].to_string();
+            let name = format!("q{querier}");
+            let watch = wat::watch(member(&name, &zone, querier, 0), 1);
+            world.queriers.push(QuerierNode {
+                name,
+                zone,
+                life: 0,
+                up: false,
+                watch,
+                desks: Vec::new(),
+                wakes: Vec::new(),
+                began: 0,
+                ready: false,
+                paused: 0,
+                polling: false,
+            });
+            world.start_querier(querier);
+        }
+        world.push(ms(500), ScheduledEvent::ReadinessPoll);
+        world
+    }
+
+    /// The machine at an address.
+    pub(super) fn machine(&self, addr: &str) -> Option<usize> {
+        (0..self.controllers.len()).find(|controller| address(*controller) == addr)
+    }
+}
+
 /// The core of most scenarios: three machines that know their seats.
 pub fn three_voters() -> ControlPlaneSetup {
     ControlPlaneSetup { voter_slots: 3, machines: 3, slots_assigned: true, seeds: vec![0, 1, 2] }
@@ -41,70 +105,6 @@
     format!("127.1.0.{}:8000", controller + 1)
 }
 
-/// The machine at an address.
-pub(super) fn machine(world: &World, addr: &str) -> Option<usize> {
-    (0..world.controllers.len()).find(|controller| address(*controller) == addr)
-}
-
-/// A fleet that is just being started.
-pub fn world(spec: &Spec, control_plane: ControlPlaneSetup, queriers: usize, seed: u64) -> World {
-    let mut world = World {
-        now: BEGIN,
-        queue: BTreeMap::new(),
-        next: 0,
-        random: luck(seed),
-        net: Net::default(),
-        controllers: Vec::new(),
-        control_plane,
-        opened_connections: BTreeSet::new(),
-        queriers: Vec::new(),
-        backends: mock_backends::backs(spec, BEGIN),
-        call_kinds: spec.kinds.clone(),
-        factor: 1.0,
-        ready_queriers: Vec::new(),
-        runs: BTreeMap::new(),
-        runs_by_attempt: BTreeMap::new(),
-        connections: BTreeMap::new(),
-        calls: BTreeMap::new(),
-        operator_requests: Vec::new(),
-        rules: Rules::default(),
-        tallies: BTreeMap::new(),
-        faulty_variant: None,
-        faults: Vec::new(),
-        calls_end_at: Tick::MAX,
-        ignore_readiness: false,
-        acknowledged_at: BTreeMap::new(),
-        alarms: BTreeMap::new(),
-        lost_disks: 0,
-        injected: FaultInjection::default(),
-        events: 0,
-    };
-    for _ in 0..world.control_plane.machines {
-        add_controller(&mut world, None);
-    }
-    for querier in 0..queriers {
-        let zone = ZONES[querier % ZONES.len()].to_string();
-        let name = format!("q{querier}");
-        let watch = wat::watch(member(&name, &zone, querier, 0), 1);
-        world.queriers.push(QuerierNode {
-            name,
-            zone,
-            life: 0,
-            up: false,
-            watch,
-            desks: Vec::new(),
-            wakes: Vec::new(),
-            began: 0,
-            ready: false,
-            paused: 0,
-            polling: false,
-        });
-        start_querier(&mut world, querier);
-    }
-    push(&mut world, ms(500), ScheduledEvent::ReadinessPoll);
-    world
-}
-
 pub(super) fn member(name: &str, zone: &str, querier: usize, incarnation: u64) -> Member {
     let addr = format!("127.2.0.{}:9000", querier + 1);
     Member { name: name.into(), addr, zone: zone.into(), threads: THREADS, joined: 0, incarnation }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -7,165 +7,170 @@
 use grebepath_core::time::{Span, ms};
 use serde_json::json;
 
-use super::events::{ScheduledEvent, push};
+use super::events::ScheduledEvent;
 use super::faulty_variant::FaultyVariant;
-use super::nodes::{Call, CallOutcomes, querier_runs};
+use super::nodes::{Call, CallOutcomes};
 use super::{BEGIN, THREADS, World};
 use crate::check::{Asked, success};
 use crate::rules;
 
-/// Begins the callers' load, at the spec's rates times `factor`.
-pub fn start_calls(world: &mut World, factor: f64) {
-    world.factor = factor;
-    for kind in 0..world.call_kinds.len() {
-        let gap = gap(world, kind);
-        push(world, gap, ScheduledEvent::NewCall { kind });
+impl World {
+    /// Begins the callers' load, at the spec's rates times `factor`.
+    pub fn start_calls(&mut self, factor: f64) {
+        self.factor = factor;
+        for kind in 0..self.call_kinds.len() {
+            let gap = self.gap(kind);
+            self.push(gap, ScheduledEvent::NewCall { kind });
+        }
     }
-}
-
-pub(super) fn gap(world: &mut World, kind: usize) -> Span {
-    // Between half and one and a half of the mean: uneven, but not wild.
-    let mean = 1e6 / (world.call_kinds[kind].per_s * world.factor).max(0.001);
-    (mean * (0.5 + below(&mut world.random, 1000) as f64 / 1000.0)) as Span
-}
-
-pub(super) fn tally(world: &mut World, kind: usize) -> &mut CallOutcomes {
-    let name = world.call_kinds[kind].search.clone();
-    world.tallies.entry(name).or_default()
-}
 
-pub(super) fn start_call(world: &mut World, kind: usize) {
-    if world.now >= world.calls_end_at {
-        return;
-    }
-    let gap = gap(world, kind);
-    push(world, gap, ScheduledEvent::NewCall { kind });
-    world.next += 1;
-    let id = world.next;
-    let call_kind = &world.call_kinds[kind];
-    let question = format!("{}-{id}", call_kind.search);
-    let asked = Asked { question, key: call_kind.lookup.then(|| format!("key-{id}")) };
-    let up = |querier: &usize| world.queriers[*querier].up;
-    let list: Vec<usize> = match world.ignore_readiness {
-        true => (0..world.queriers.len()).filter(up).collect(),
-        false => world.ready_queriers.clone(),
-    };
-    if list.is_empty() {
-        let name = world.call_kinds[kind].search.clone();
-        rules::ends(&mut world.rules, world.now - BEGIN, world.now - BEGIN, &name, false);
-        tally(world, kind).unreachable += 1;
-        return;
-    }
-    let querier = list[below(&mut world.random, list.len() as u64) as usize];
-    if !world.queriers[querier].up {
-        tally(world, kind).unreachable += 1;
-        return;
+    pub(super) fn gap(&mut self, kind: usize) -> Span {
+        // Between half and one and a half of the mean: uneven, but not wild.
+        let mean = 1e6 / (self.call_kinds[kind].per_s * self.factor).max(0.001);
+        (mean * (0.5 + below(&mut self.random, 1000) as f64 / 1000.0)) as Span
     }
-    world.rules.asked.insert(asked.question.clone());
-    let life = world.queriers[querier].life;
-    let wait = ms(world.call_kinds[kind].budget_ms);
-    world.calls.insert(id, Call { kind, asked, querier, life, began: world.now });
-    push(world, ms(1), ScheduledEvent::CallArrival { call: id });
-    push(world, wait + ms(5), ScheduledEvent::CallTimeout { call: id });
-}
 
-pub(super) fn call_arrives(world: &mut World, id: u64) {
-    let Some(call) = world.calls.get_mut(&id) else { return };
-    call.began = world.now;
-    let (querier, life, kind, asked) = (call.querier, call.life, call.kind, call.asked.clone());
-    if !querier_runs(world, querier, life) {
-        return;
+    pub(super) fn tally(&mut self, kind: usize) -> &mut CallOutcomes {
+        let name = self.call_kinds[kind].search.clone();
+        self.tallies.entry(name).or_default()
     }
-    let call_kind = &world.call_kinds[kind];
-    let mut body = json!({ "question": asked.question, "limit": call_kind.limit });
-    if let Some(key) = &asked.key {
-        body["key"] = json!(key);
+
+    pub(super) fn start_call(&mut self, kind: usize) {
+        if self.now >= self.calls_end_at {
+            return;
+        }
+        let gap = self.gap(kind);
+        self.push(gap, ScheduledEvent::NewCall { kind });
+        self.next += 1;
+        let id = self.next;
+        let call_kind = &self.call_kinds[kind];
+        let question = format!("{}-{id}", call_kind.search);
+        let asked = Asked { question, key: call_kind.lookup.then(|| format!("key-{id}")) };
+        let up = |querier: &usize| self.queriers[*querier].up;
+        let list: Vec<usize> = match self.ignore_readiness {
+            true => (0..self.queriers.len()).filter(up).collect(),
+            false => self.ready_queriers.clone(),
+        };
+        if list.is_empty() {
+            let name = self.call_kinds[kind].search.clone();
+            rules::ends(&mut self.rules, self.now - BEGIN, self.now - BEGIN, &name, false);
+            self.tally(kind).unreachable += 1;
+            return;
+        }
+        let querier = list[below(&mut self.random, list.len() as u64) as usize];
+        if !self.queriers[querier].up {
+            self.tally(kind).unreachable += 1;
+            return;
+        }
+        self.rules.asked.insert(asked.question.clone());
+        let life = self.queriers[querier].life;
+        let wait = ms(self.call_kinds[kind].budget_ms);
+        self.calls.insert(id, Call { kind, asked, querier, life, began: self.now });
+        self.push(ms(1), ScheduledEvent::CallArrival { call: id });
+        self.push(wait + ms(5), ScheduledEvent::CallTimeout { call: id });
     }
-    let budget = call_kind.budget_ms.to_string();
-    let read = caller::read_post(&call_kind.search, Some(&budget), body.to_string().as_bytes());
-    let Ok(ask) = read else { return };
-    let thread = (id % u64::from(THREADS)) as usize;
-    push(
-        world,
-        10,
-        ScheduledEvent::QueryEngineEvent {
-            querier,
-            life,
-            thread,
-            event: engine::Event::Ask { call: id, ask },
-        },
-    );
-}
 
-pub(super) fn altered_outcome(world: &mut World, kind: usize, outcome: Outcome) -> Outcome {
-    let Outcome::Full(mut full) = outcome else {
-        if world.faulty_variant == Some(FaultyVariant::SucceedsBelowQuorum)
-            && let Outcome::Rejection(rejection) = &outcome
-            && rejection.query.is_some()
-        {
-            let cut = world.call_kinds[kind].shards[0].0.clone();
-            let planned = world.call_kinds[kind].shards.iter().filter(|s| s.0 == cut).count();
-            return Outcome::Full(grebepath_core::query::request::Full {
-                query: rejection.query.clone().unwrap_or_default(),
-                mapping: world.call_kinds[kind].search.clone(),
-                cut,
-                revision: u64::MAX,
-                shards: Vec::new(),
-                missing: planned,
-                records: Vec::new(),
-            });
+    pub(super) fn call_arrives(&mut self, id: u64) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        call.began = self.now;
+        let (querier, life, kind, asked) = (call.querier, call.life, call.kind, call.asked.clone());
+        if !self.querier_runs(querier, life) {
+            return;
         }
-        return outcome;
-    };
-    match world.faulty_variant {
-        Some(FaultyVariant::ClaimsAllShards) if full.missing > 0 => {
-            let all = world.call_kinds[kind].shards.iter().filter(|s| s.0 == full.cut);
-            full.shards = all.map(|s| s.1.clone()).collect();
-            full.missing = 0;
+        let call_kind = &self.call_kinds[kind];
+        let mut body = json!({ "question": asked.question, "limit": call_kind.limit });
+        if let Some(key) = &asked.key {
+            body["key"] = json!(key);
         }
-        Some(FaultyVariant::RepeatsShard) => full.shards.push(full.shards[0].clone()),
-        Some(FaultyVariant::WrongIndexVersion) => full.cut = "w47".into(),
-        Some(FaultyVariant::MisordersRecords) if full.records.len() > 1 => full.records.swap(0, 1),
-        _ => {}
+        let budget = call_kind.budget_ms.to_string();
+        let read = caller::read_post(&call_kind.search, Some(&budget), body.to_string().as_bytes());
+        let Ok(ask) = read else { return };
+        let thread = (id % u64::from(THREADS)) as usize;
+        self.push(
+            10,
+            ScheduledEvent::QueryEngineEvent {
+                querier,
+                life,
+                thread,
+                event: engine::Event::Ask { call: id, ask },
+            },
+        );
     }
-    Outcome::Full(full)
-}
 
-pub(super) fn finish_call(world: &mut World, id: u64, outcome: Outcome) {
-    let Some(call) = world.calls.remove(&id) else { return };
-    let now = world.now - BEGIN;
-    let outcome = altered_outcome(world, call.kind, outcome);
-    let written = caller::write(&outcome);
-    let kind = world.call_kinds[call.kind].clone();
-    let full = matches!(&outcome, Outcome::Full(f) if f.missing == 0);
-    rules::ends(&mut world.rules, call.began - BEGIN, now, &kind.search, full);
-    match outcome {
-        Outcome::Passed(_) | Outcome::Joined(_) => {}
-        Outcome::Rejection(rejection) => {
-            *tally(world, call.kind).rejected.entry(rejection.reason.to_string()).or_default() += 1;
+    pub(super) fn altered_outcome(&mut self, kind: usize, outcome: Outcome) -> Outcome {
+        let Outcome::Full(mut full) = outcome else {
+            if self.faulty_variant == Some(FaultyVariant::SucceedsBelowQuorum)
+                && let Outcome::Rejection(rejection) = &outcome
+                && rejection.query.is_some()
+            {
+                let cut = self.call_kinds[kind].shards[0].0.clone();
+                let planned = self.call_kinds[kind].shards.iter().filter(|s| s.0 == cut).count();
+                return Outcome::Full(grebepath_core::query::request::Full {
+                    query: rejection.query.clone().unwrap_or_default(),
+                    mapping: self.call_kinds[kind].search.clone(),
+                    cut,
+                    revision: u64::MAX,
+                    shards: Vec::new(),
+                    missing: planned,
+                    records: Vec::new(),
+                });
+            }
+            return outcome;
+        };
+        match self.faulty_variant {
+            Some(FaultyVariant::ClaimsAllShards) if full.missing > 0 => {
+                let all = self.call_kinds[kind].shards.iter().filter(|s| s.0 == full.cut);
+                full.shards = all.map(|s| s.1.clone()).collect();
+                full.missing = 0;
+            }
+            Some(FaultyVariant::RepeatsShard) => full.shards.push(full.shards[0].clone()),
+            Some(FaultyVariant::WrongIndexVersion) => full.cut = "w47".into(),
+            Some(FaultyVariant::MisordersRecords) if full.records.len() > 1 => {
+                full.records.swap(0, 1)
+            }
+            _ => {}
         }
-        Outcome::Full(full) => {
-            let took = world.now - call.began;
-            let tally = tally(world, call.kind);
-            if full.missing == 0 {
-                tally.full += 1
-            } else {
-                tally.partial += 1
+        Outcome::Full(full)
+    }
+
+    pub(super) fn finish_call(&mut self, id: u64, outcome: Outcome) {
+        let Some(call) = self.calls.remove(&id) else { return };
+        let now = self.now - BEGIN;
+        let outcome = self.altered_outcome(call.kind, outcome);
+        let written = caller::write(&outcome);
+        let kind = self.call_kinds[call.kind].clone();
+        let full = matches!(&outcome, Outcome::Full(f) if f.missing == 0);
+        rules::ends(&mut self.rules, call.began - BEGIN, now, &kind.search, full);
+        match outcome {
+            Outcome::Passed(_) | Outcome::Joined(_) => {}
+            Outcome::Rejection(rejection) => {
+                *self.tally(call.kind).rejected.entry(rejection.reason.to_string()).or_default() +=
+                    1;
             }
-            tally.latencies.push(took);
-            let missing = written.missing.map(|n| n.to_string());
-            let (bad, services) = success(&kind, &call.asked, missing.as_deref(), &written.body);
-            for text in bad {
-                rules::violated(
-                    &mut world.rules,
-                    now,
-                    rules::rule_of(&text),
-                    format!("{}: {text}", full.query),
-                );
+            Outcome::Full(full) => {
+                let took = self.now - call.began;
+                let tally = self.tally(call.kind);
+                if full.missing == 0 {
+                    tally.full += 1
+                } else {
+                    tally.partial += 1
+                }
+                tally.latencies.push(took);
+                let missing = written.missing.map(|n| n.to_string());
+                let (bad, services) =
+                    success(&kind, &call.asked, missing.as_deref(), &written.body);
+                for text in bad {
+                    rules::violated(
+                        &mut self.rules,
+                        now,
+                        rules::rule_of(&text),
+                        format!("{}: {text}", full.query),
+                    );
+                }
+                rules::claims(&mut self.rules, now, &full.query, &services, &call.asked.question);
+                let who = self.queriers[call.querier].name.clone();
+                rules::obeys(&mut self.rules, now, call.began - BEGIN, full.revision, &who);
             }
-            rules::claims(&mut world.rules, now, &full.query, &services, &call.asked.question);
-            let who = world.queriers[call.querier].name.clone();
-            rules::obeys(&mut world.rules, now, call.began - BEGIN, full.revision, &who);
         }
     }
 }
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -133,25 +133,27 @@
     },
 }
 
-pub(super) fn push(world: &mut World, after: Span, event: ScheduledEvent) {
-    push_at(world, world.now + after, event);
-}
+impl World {
+    pub(super) fn push(&mut self, after: Span, event: ScheduledEvent) {
+        self.push_at(self.now + after, event);
+    }
 
-pub(super) fn push_at(world: &mut World, at: Tick, event: ScheduledEvent) {
-    world.next += 1;
-    world.queue.insert((at, world.next), event);
-}
+    pub(super) fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
+        self.next += 1;
+        self.queue.insert((at, self.next), event);
+    }
 
-/// Lets something follow after a while.
-pub fn later(world: &mut World, after: Span, key: FollowUp) {
-    push(world, after, ScheduledEvent::FollowUp { key });
-}
+    /// Lets something follow after a while.
+    pub fn later(&mut self, after: Span, key: FollowUp) {
+        self.push(after, ScheduledEvent::FollowUp { key });
+    }
 
-/// Plans the troubles of a scenario.
-pub fn plan(world: &mut World, faults: Vec<crate::scenario::ScheduledFault>) {
-    world.faults = faults;
-    for at in 0..world.faults.len() {
-        let after = ms(world.faults[at].at_ms);
-        push(world, after, ScheduledEvent::Fault { at });
+    /// Plans the troubles of a scenario.
+    pub fn plan(&mut self, faults: Vec<crate::scenario::ScheduledFault>) {
+        self.faults = faults;
+        for at in 0..self.faults.len() {
+            let after = ms(self.faults[at].at_ms);
+            self.push(after, ScheduledEvent::Fault { at });
+        }
     }
 }
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -6,8 +6,7 @@
 use grebepath_core::protocol::message::Message;
 use grebepath_core::time::{Span, Tick, ms};
 
-use super::controllers::kill_controller;
-use super::events::{FollowUp, ScheduledEvent, later, push};
+use super::events::{FollowUp, ScheduledEvent};
 use super::{BEGIN, World};
 use crate::simulated_disk;
 
@@ -76,24 +75,90 @@
     pub story: Vec<String>,
 }
 
-/// Applies the deviations that strike now; gives the event if it still happens.
-pub(super) fn inject(world: &mut World, event: ScheduledEvent) -> Option<ScheduledEvent> {
-    let (from, to) = world.injected.window;
-    let at = world.now - BEGIN;
-    let controller = reaches(&event).filter(|_| from <= at && at < to);
-    let Some(controller) = controller else { return Some(event) };
-    let number = world.injected.seen;
-    world.injected.seen += 1;
-    let due: Vec<Fault> =
-        world.injected.list.iter().filter(|d| d.event == number).map(|d| d.fault).collect();
-    let mut left = Some(event);
-    for fault in due {
-        let Some(event) = left.take() else { break };
-        let line = format!("{:.3} s: {fault:?} at {}", at as f64 / 1e6, describe(&event));
-        world.injected.story.push(line);
-        left = strike(world, controller, fault, event);
+impl World {
+    /// Applies the deviations that strike now; gives the event if it still happens.
+    pub(super) fn inject(&mut self, event: ScheduledEvent) -> Option<ScheduledEvent> {
+        let (from, to) = self.injected.window;
+        let at = self.now - BEGIN;
+        let controller = reaches(&event).filter(|_| from <= at && at < to);
+        let Some(controller) = controller else { return Some(event) };
+        let number = self.injected.seen;
+        self.injected.seen += 1;
+        let due: Vec<Fault> =
+            self.injected.list.iter().filter(|d| d.event == number).map(|d| d.fault).collect();
+        let mut left = Some(event);
+        for fault in due {
+            let Some(event) = left.take() else { break };
+            let line = format!("{:.3} s: {fault:?} at {}", at as f64 / 1e6, describe(&event));
+            self.injected.story.push(line);
+            left = self.strike(controller, fault, event);
+        }
+        left
+    }
+
+    fn strike(
+        &mut self,
+        controller: usize,
+        fault: Fault,
+        event: ScheduledEvent,
+    ) -> Option<ScheduledEvent> {
+        let message = matches!(event, ScheduledEvent::ControllerEvent { .. });
+        match fault {
+            Fault::Lose if message => return None,
+            Fault::Delay if message => {
+                self.push(DELAY, event);
+                return None;
+            }
+            Fault::Repeat => {
+                if let ScheduledEvent::ControllerEvent { controller, life, event } = &event {
+                    let event = copied(event);
+                    if let Some(event) = event {
+                        self.push(
+                            0,
+                            ScheduledEvent::ControllerEvent {
+                                controller: *controller,
+                                life: *life,
+                                event,
+                            },
+                        );
+                    }
+                }
+            }
+            Fault::Pause => {
+                self.controllers[controller].paused = self.now + PAUSE;
+                self.push(PAUSE, event);
+                return None;
+            }
+            Fault::Lose | Fault::Delay => {}
+            Fault::Kill | Fault::Power | Fault::DiskLost | Fault::Gone => {
+                self.push(
+                    0,
+                    ScheduledEvent::FollowUp {
+                        key: FollowUp::Fault { controller: controller, fault },
+                    },
+                );
+            }
+        }
+        Some(event)
+    }
+
+    /// A fault that ends a controller's process.
+    pub(super) fn end_process(&mut self, controller: usize, fault: Fault) {
+        if !self.controllers[controller].up {
+            return;
+        }
+        let restarts =
+            !matches!(fault, Fault::Gone) && self.controllers[controller].stopping.is_none();
+        self.kill_controller(controller, !matches!(fault, Fault::Kill));
+        if fault == Fault::DiskLost {
+            simulated_disk::lose(&mut self.controllers[controller].disk);
+            self.lost_disks += 1;
+        }
+        self.injected.losses += usize::from(fault == Fault::DiskLost || !restarts);
+        if restarts {
+            self.later(DOWN, FollowUp::StartController(controller));
+        }
     }
-    left
 }
 
 /// The running controller that an event reaches, if it is one that counts: a
@@ -122,52 +187,6 @@
         || matches!(message, Message::Heartbeat { partition: part, .. } | Message::HeartbeatAck { partition: part, .. } if part.0 != 0)
 }
 
-fn strike(
-    world: &mut World,
-    controller: usize,
-    fault: Fault,
-    event: ScheduledEvent,
-) -> Option<ScheduledEvent> {
-    let message = matches!(event, ScheduledEvent::ControllerEvent { .. });
-    match fault {
-        Fault::Lose if message => return None,
-        Fault::Delay if message => {
-            push(world, DELAY, event);
-            return None;
-        }
-        Fault::Repeat => {
-            if let ScheduledEvent::ControllerEvent { controller, life, event } = &event {
-                let event = copied(event);
-                if let Some(event) = event {
-                    push(
-                        world,
-                        0,
-                        ScheduledEvent::ControllerEvent {
-                            controller: *controller,
-                            life: *life,
-                            event,
-                        },
-                    );
-                }
-            }
-        }
-        Fault::Pause => {
-            world.controllers[controller].paused = world.now + PAUSE;
-            push(world, PAUSE, event);
-            return None;
-        }
-        Fault::Lose | Fault::Delay => {}
-        Fault::Kill | Fault::Power | Fault::DiskLost | Fault::Gone => {
-            push(
-                world,
-                0,
-                ScheduledEvent::FollowUp { key: FollowUp::Fault { controller: controller, fault } },
-            );
-        }
-    }
-    Some(event)
-}
-
 fn copied(event: &CoreEvent) -> Option<CoreEvent> {
     Some(match event {
         CoreEvent::FromVoter { slot: seat, holder, connection, message } => CoreEvent::FromVoter {
@@ -186,24 +205,6 @@
     })
 }
 
-/// A fault that ends a controller's process.
-pub(super) fn end_process(world: &mut World, controller: usize, fault: Fault) {
-    if !world.controllers[controller].up {
-        return;
-    }
-    let restarts =
-        !matches!(fault, Fault::Gone) && world.controllers[controller].stopping.is_none();
-    kill_controller(world, controller, !matches!(fault, Fault::Kill));
-    if fault == Fault::DiskLost {
-        simulated_disk::lose(&mut world.controllers[controller].disk);
-        world.lost_disks += 1;
-    }
-    world.injected.losses += usize::from(fault == Fault::DiskLost || !restarts);
-    if restarts {
-        later(world, DOWN, FollowUp::StartController(controller));
-    }
-}
-
 fn describe(event: &ScheduledEvent) -> String {
     let word = |message: &Message| {
         let text = format!("{message:?}");
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -7,193 +7,197 @@
 use grebepath_core::time::ms;
 use serde_json::{Value, json};
 
-use super::events::{AttemptKey, ScheduledEvent, push};
+use super::events::{AttemptKey, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
 use super::nodes::Run;
-use super::queriers::learn;
 use super::{BEGIN, World};
 use crate::mock_backends;
 use crate::mock_backends::Alive;
 use crate::net::latency;
 use crate::rules;
 
-pub(super) fn dispatch(
-    world: &mut World,
-    (querier, life, thread): (usize, u64, usize),
-    mut sending: Sending,
-) {
-    let now = world.now - BEGIN;
-    rules::tries(&mut world.rules, now, &sending.id, &sending.service);
-    let who = world.queriers[querier].name.clone();
-    if let Some(leaf) = world.backends.leafs.get(&sending.leaf) {
-        let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
-        rules::sends(&mut world.rules, now, &who, &sending.leaf, &zone, known);
-    }
-    if world.faulty_variant == Some(FaultyVariant::AltersQuestion) {
-        let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
-        val["question"] = json!("something else");
-        let body = val.to_string().into_bytes();
-        sending.digest = digest(&body);
-        sending.body = std::sync::Arc::new(body);
+impl World {
+    pub(super) fn dispatch(
+        &mut self,
+        (querier, life, thread): (usize, u64, usize),
+        mut sending: Sending,
+    ) {
+        let now = self.now - BEGIN;
+        rules::tries(&mut self.rules, now, &sending.id, &sending.service);
+        let who = self.queriers[querier].name.clone();
+        if let Some(leaf) = self.backends.leafs.get(&sending.leaf) {
+            let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
+            rules::sends(&mut self.rules, now, &who, &sending.leaf, &zone, known);
+        }
+        if self.faulty_variant == Some(FaultyVariant::AltersQuestion) {
+            let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
+            val["question"] = json!("something else");
+            let body = val.to_string().into_bytes();
+            sending.digest = digest(&body);
+            sending.body = std::sync::Arc::new(body);
+        }
+        // Whatever becomes of it, the sender gives up at the end of its budget.
+        let event =
+            engine::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
+        self.push(
+            sending.budget,
+            ScheduledEvent::QueryEngineEvent { querier, life, thread, event },
+        );
+        // Giving up closes the connection, which the leaf sees a moment later.
+        let key = (querier, life, thread, sending.dispatch);
+        self.push(sending.budget + ms(1), ScheduledEvent::LeafDisconnect { key });
+        let zone = self.queriers[querier].zone.clone();
+        let leaf_zone =
+            self.backends.leafs.get(&sending.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
+        let after = latency(&zone, &leaf_zone, &mut self.random) + self.net.slow;
+        self.push(
+            after,
+            ScheduledEvent::LeafRequest { querier, life, thread, sending: Box::new(sending) },
+        );
     }
-    // Whatever becomes of it, the sender gives up at the end of its budget.
-    let event = engine::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
-    push(world, sending.budget, ScheduledEvent::QueryEngineEvent { querier, life, thread, event });
-    // Giving up closes the connection, which the leaf sees a moment later.
-    let key = (querier, life, thread, sending.dispatch);
-    push(world, sending.budget + ms(1), ScheduledEvent::LeafDisconnect { key });
-    let zone = world.queriers[querier].zone.clone();
-    let leaf_zone =
-        world.backends.leafs.get(&sending.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
-    let after = latency(&zone, &leaf_zone, &mut world.random) + world.net.slow;
-    push(
-        world,
-        after,
-        ScheduledEvent::LeafRequest { querier, life, thread, sending: Box::new(sending) },
-    );
-}
 
-pub(super) fn answer(
-    world: &mut World,
-    key: AttemptKey,
-    zone: &str,
-    mut got: Result<Raw, Trouble>,
-) {
-    let (querier, life, thread, dispatch) = key;
-    if let Ok(raw) = &mut got
-        && !world.backends.ages
-    {
-        raw.heads.age = None;
+    pub(super) fn answer(&mut self, key: AttemptKey, zone: &str, mut got: Result<Raw, Trouble>) {
+        let (querier, life, thread, dispatch) = key;
+        if let Ok(raw) = &mut got
+            && !self.backends.ages
+        {
+            raw.heads.age = None;
+        }
+        let qzone = self.queriers[querier].zone.clone();
+        let after = latency(&qzone, zone, &mut self.random) + self.net.slow;
+        self.push(
+            after,
+            ScheduledEvent::QueryEngineEvent {
+                querier,
+                life,
+                thread,
+                event: engine::Event::Reply { dispatch, got },
+            },
+        );
     }
-    let qzone = world.queriers[querier].zone.clone();
-    let after = latency(&qzone, zone, &mut world.random) + world.net.slow;
-    push(
-        world,
-        after,
-        ScheduledEvent::QueryEngineEvent {
-            querier,
-            life,
-            thread,
-            event: engine::Event::Reply { dispatch, got },
-        },
-    );
-}
 
-pub(super) fn leaf_gets(
-    world: &mut World,
-    (querier, life, thread): (usize, u64, usize),
-    sending: Sending,
-) {
-    let now = world.now;
-    let key = (querier, life, thread, sending.dispatch);
-    let name = world.backends.at.get(&sending.addr).cloned().unwrap_or_default();
-    let Some(leaf) = world.backends.leafs.get_mut(&name) else { return };
-    let zone = leaf.zone.clone();
-    match leaf.alive {
-        Alive::Vanished => return,
-        Alive::Down => return answer(world, key, &zone, Err(Trouble::Unreachable)),
-        Alive::Up => {}
-    }
-    // A connection ends with the process behind it, and on a new one the leaf is
-    // asked who it is before any work is sent.
-    let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
-    let connection = (querier, life, thread, sending.addr.clone());
-    let known = world.connections.get(&connection) == Some(&name);
-    if !known && world.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
+    pub(super) fn leaf_gets(
+        &mut self,
+        (querier, life, thread): (usize, u64, usize),
+        sending: Sending,
+    ) {
+        let now = self.now;
+        let key = (querier, life, thread, sending.dispatch);
+        let name = self.backends.at.get(&sending.addr).cloned().unwrap_or_default();
+        let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
+        let zone = leaf.zone.clone();
+        match leaf.alive {
+            Alive::Vanished => return,
+            Alive::Down => return self.answer(key, &zone, Err(Trouble::Unreachable)),
+            Alive::Up => {}
+        }
+        // A connection ends with the process behind it, and on a new one the leaf is
+        // asked who it is before any work is sent.
+        let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
+        let connection = (querier, life, thread, sending.addr.clone());
+        let known = self.connections.get(&connection) == Some(&name);
+        if !known && self.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
+            if misdirected {
+                let raw = mock_backends::turned_away(leaf, now, MISDIRECTED);
+                return self.answer(key, &zone, Ok(raw));
+            }
+            self.connections.insert(connection, name);
+            let after = 2 * latency(&self.queriers[querier].zone.clone(), &zone, &mut self.random);
+            return self.push(
+                after,
+                ScheduledEvent::LeafRequest { querier, life, thread, sending: Box::new(sending) },
+            );
+        }
+        let who = &self.queriers[querier].name;
+        rules::arrives(
+            &mut self.rules,
+            now - BEGIN,
+            who,
+            &name,
+            &leaf.service.name,
+            &sending.service,
+        );
         if misdirected {
             let raw = mock_backends::turned_away(leaf, now, MISDIRECTED);
-            return answer(world, key, &zone, Ok(raw));
+            return self.answer(key, &zone, Ok(raw));
         }
-        world.connections.insert(connection, name);
-        let after = 2 * latency(&world.queriers[querier].zone.clone(), &zone, &mut world.random);
-        return push(
-            world,
-            after,
-            ScheduledEvent::LeafRequest { querier, life, thread, sending: Box::new(sending) },
-        );
-    }
-    let who = &world.queriers[querier].name;
-    rules::arrives(&mut world.rules, now - BEGIN, who, &name, &leaf.service.name, &sending.service);
-    if misdirected {
-        let raw = mock_backends::turned_away(leaf, now, MISDIRECTED);
-        return answer(world, key, &zone, Ok(raw));
-    }
-    if digest(&sending.body) != sending.digest {
-        let raw = mock_backends::turned_away(leaf, now, 400);
-        return answer(world, key, &zone, Ok(raw));
-    }
-    leaf.live += 1;
-    let bear = mock_backends::bears(leaf, now);
-    leaf.worst_pct = leaf.worst_pct.max(leaf.live * 100 / bear);
-    leaf.over += u64::from(leaf.live > bear);
-    let (live, fresh) = (leaf.live, mock_backends::fresh(leaf, now));
-    if fresh {
-        rules::carries(&mut world.rules, now - BEGIN, &name, live, bear);
-    }
-    if leaf.mode == mock_backends::Mode::Unrun || live > bear * 3 {
-        leaf.live -= 1;
-        let raw = mock_backends::turned_away(leaf, now, 503);
-        if leaf.leaving {
-            learn(world, &name);
+        if digest(&sending.body) != sending.digest {
+            let raw = mock_backends::turned_away(leaf, now, 400);
+            return self.answer(key, &zone, Ok(raw));
         }
-        return answer(world, key, &zone, Ok(raw));
+        leaf.live += 1;
+        let bear = mock_backends::bears(leaf, now);
+        leaf.worst_pct = leaf.worst_pct.max(leaf.live * 100 / bear);
+        leaf.over += u64::from(leaf.live > bear);
+        let (live, fresh) = (leaf.live, mock_backends::fresh(leaf, now));
+        if fresh {
+            rules::carries(&mut self.rules, now - BEGIN, &name, live, bear);
+        }
+        if leaf.mode == mock_backends::Mode::Unrun || live > bear * 3 {
+            leaf.live -= 1;
+            let raw = mock_backends::turned_away(leaf, now, 503);
+            if leaf.leaving {
+                self.learn(&name);
+            }
+            return self.answer(key, &zone, Ok(raw));
+        }
+        leaf.ran += 1;
+        let took = mock_backends::takes(leaf, now, &mut self.random);
+        let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
+        let question = asked["question"].as_str().unwrap_or_default();
+        rules::runs(&mut self.rules, now - BEGIN, &name, question);
+        self.next += 1;
+        let run = self.next;
+        self.runs_by_attempt.insert(key, run);
+        self.runs.insert(run, Run { key, leaf: name, sending });
+        self.push(took, ScheduledEvent::LeafResponse { run });
     }
-    leaf.ran += 1;
-    let took = mock_backends::takes(leaf, now, &mut world.random);
-    let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
-    let question = asked["question"].as_str().unwrap_or_default();
-    rules::runs(&mut world.rules, now - BEGIN, &name, question);
-    world.next += 1;
-    let run = world.next;
-    world.runs_by_attempt.insert(key, run);
-    world.runs.insert(run, Run { key, leaf: name, sending });
-    push(world, took, ScheduledEvent::LeafResponse { run });
-}
 
-pub(super) fn end_run(world: &mut World, run: u64) -> Option<Run> {
-    let run = world.runs.remove(&run)?;
-    world.runs_by_attempt.remove(&run.key);
-    if let Some(leaf) = world.backends.leafs.get_mut(&run.leaf) {
-        leaf.live = leaf.live.saturating_sub(1);
+    pub(super) fn end_run(&mut self, run: u64) -> Option<Run> {
+        let run = self.runs.remove(&run)?;
+        self.runs_by_attempt.remove(&run.key);
+        if let Some(leaf) = self.backends.leafs.get_mut(&run.leaf) {
+            leaf.live = leaf.live.saturating_sub(1);
+        }
+        Some(run)
     }
-    Some(run)
-}
 
-pub(super) fn leaf_done(world: &mut World, run: u64) {
-    let Some(run) = end_run(world, run) else { return };
-    let now = world.now;
-    let Some(leaf) = world.backends.leafs.get_mut(&run.leaf) else { return };
-    let zone = leaf.zone.clone();
-    if leaf.alive != Alive::Up {
-        return;
-    }
-    let mut raw = mock_backends::reply(leaf, now, &run.sending);
-    let asked: Value = serde_json::from_slice(&run.sending.body).unwrap_or(Value::Null);
-    if mock_backends::true_reply(leaf.mode, asked["limit"].as_u64().unwrap_or(0)) {
-        let question = asked["question"].as_str().unwrap_or_default();
-        rules::answers(&mut world.rules, &leaf.service.name, &run.sending.id, question);
-    }
-    if leaf.leaving {
-        learn(world, &run.leaf);
-        if world.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs) {
-            raw.heads = Heads { state: None, ..raw.heads };
+    pub(super) fn leaf_done(&mut self, run: u64) {
+        let Some(run) = self.end_run(run) else { return };
+        let now = self.now;
+        let Some(leaf) = self.backends.leafs.get_mut(&run.leaf) else { return };
+        let zone = leaf.zone.clone();
+        if leaf.alive != Alive::Up {
+            return;
+        }
+        let mut raw = mock_backends::reply(leaf, now, &run.sending);
+        let asked: Value = serde_json::from_slice(&run.sending.body).unwrap_or(Value::Null);
+        if mock_backends::true_reply(leaf.mode, asked["limit"].as_u64().unwrap_or(0)) {
+            let question = asked["question"].as_str().unwrap_or_default();
+            rules::answers(&mut self.rules, &leaf.service.name, &run.sending.id, question);
         }
+        if leaf.leaving {
+            self.learn(&run.leaf);
+            if self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs) {
+                raw.heads = Heads { state: None, ..raw.heads };
+            }
+        }
+        self.answer(run.key, &zone, Ok(raw));
     }
-    answer(world, run.key, &zone, Ok(raw));
-}
 
-/// A leaf's process ends: its work is lost, and callers hear of it.
-pub fn kill_leaf(world: &mut World, name: &str, how: Alive) {
-    let Some(leaf) = world.backends.leafs.get_mut(name) else { return };
-    leaf.alive = how;
-    let zone = leaf.zone.clone();
-    let runs: Vec<u64> =
-        world.runs.iter().filter(|(_, run)| run.leaf == name).map(|(id, _)| *id).collect();
-    for run in runs {
-        if let Some(run) = end_run(world, run)
-            && how == Alive::Down
-        {
-            answer(world, run.key, &zone, Err(Trouble::Cut));
+    /// A leaf's process ends: its work is lost, and callers hear of it.
+    pub fn kill_leaf(&mut self, name: &str, how: Alive) {
+        let Some(leaf) = self.backends.leafs.get_mut(name) else { return };
+        leaf.alive = how;
+        let zone = leaf.zone.clone();
+        let runs: Vec<u64> =
+            self.runs.iter().filter(|(_, run)| run.leaf == name).map(|(id, _)| *id).collect();
+        for run in runs {
+            if let Some(run) = self.end_run(run)
+                && how == Alive::Down
+            {
+                self.answer(run.key, &zone, Err(Trouble::Cut));
+            }
         }
     }
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -23,24 +23,16 @@
 mod status;
 mod time_loop;
 
-pub use build::{ControlPlaneSetup, address, three_voters, world};
-pub use callers::start_calls;
-pub use controllers::{
-    add_controller, kill_controller, set_disk_health, start_controller, stop_controller,
-};
+pub use build::{ControlPlaneSetup, address, three_voters};
+pub use events::FollowUp;
 use events::{AttemptKey, ScheduledEvent};
-pub use events::{FollowUp, later, plan};
 pub use faulty_variant::FaultyVariant;
 pub use injected_faults::{FAULTS, Fault, FaultInjection, InjectedFault};
-pub use leafs::kill_leaf;
 use nodes::{Call, Run};
 pub use nodes::{
     CallOutcomes, ControllerNode, OperatorRequest, QuerierNode, Stopping, has_voter_slot,
 };
-pub use operators::{committed, drain, drained, finish, grown, marked, patch, race, submit, whole};
-pub use queriers::{kill_querier, start_querier, stop_querier};
-pub use status::{age, all_slots_voting, running_voters, settled, since_begin};
-pub use time_loop::{run, until};
+pub use operators::{drain, grown, marked, patch, whole};
 
 /// The world.
 pub struct World {
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -90,12 +90,14 @@
     pub latencies: Vec<u64>,
 }
 
-pub(super) fn controller_runs(world: &World, controller: usize, life: u64) -> bool {
-    world.controllers[controller].up && world.controllers[controller].life == life
-}
+impl World {
+    pub(super) fn controller_runs(&self, controller: usize, life: u64) -> bool {
+        self.controllers[controller].up && self.controllers[controller].life == life
+    }
 
-pub(super) fn querier_runs(world: &World, querier: usize, life: u64) -> bool {
-    world.queriers[querier].up && world.queriers[querier].life == life
+    pub(super) fn querier_runs(&self, querier: usize, life: u64) -> bool {
+        self.queriers[querier].up && self.queriers[querier].life == life
+    }
 }
 
 /// Whether this machine's controller has a seat.
--- a/crates/simulator/src/world/status.rs
+++ b/crates/simulator/src/world/status.rs
@@ -6,49 +6,53 @@
 use super::nodes::{ControllerNode, has_voter_slot};
 use super::{BEGIN, World};
 
-/// The machines that are up and have a seat.
-pub fn running_voters(world: &World) -> impl Iterator<Item = &ControllerNode> {
-    world.controllers.iter().filter(|node| node.up && has_voter_slot(node))
-}
-
-/// Whether every seat is held by one living machine that has formed all parts,
-/// and no machine thinks it has another's.
-pub fn all_slots_voting(world: &World) -> bool {
-    let Some(best) = running_voters(world).max_by_key(|node| {
-        let list = &node.state.seating.roll.table.slots;
-        list.iter().map(|voter| u64::from(voter.generation)).sum::<u64>()
-    }) else {
-        return false;
-    };
-    let table = &best.state.seating.roll.table;
-    let whole = |node: &ControllerNode| {
-        node.state.partitions.iter().all(|p| p.life == ReplicaCondition::Voting)
-    };
-    table.slots.iter().enumerate().all(|(slot, voter)| {
-        let held: Vec<_> = running_voters(world)
-            .filter(|node| usize::from(node.state.slot) == slot && whole(node))
-            .collect();
-        held.len() == 1 && held[0].state.seating.roll.me == voter.holder
-    })
-}
+impl World {
+    /// The machines that are up and have a seat.
+    pub fn running_voters(&self) -> impl Iterator<Item = &ControllerNode> {
+        self.controllers.iter().filter(|node| node.up && has_voter_slot(node))
+    }
 
-/// Whether all seats that are up show the same configuration and all
-/// queriers that are up obey it.
-pub fn settled(world: &World) -> bool {
-    let top = running_voters(world).map(|node| node.state.partitions[0].committed_revision).max();
-    let Some(top) = top else { return false };
-    running_voters(world).all(|node| node.state.partitions[0].committed_revision == top)
-        && world.queriers.iter().filter(|querier| querier.up).all(|querier| {
-            querier.ready && querier.watch.view.as_ref().is_some_and(|v| v.revision == top)
+    /// Whether every seat is held by one living machine that has formed all parts,
+    /// and no machine thinks it has another's.
+    pub fn all_slots_voting(&self) -> bool {
+        let Some(best) = self.running_voters().max_by_key(|node| {
+            let list = &node.state.seating.roll.table.slots;
+            list.iter().map(|voter| u64::from(voter.generation)).sum::<u64>()
+        }) else {
+            return false;
+        };
+        let table = &best.state.seating.roll.table;
+        let whole = |node: &ControllerNode| {
+            node.state.partitions.iter().all(|p| p.life == ReplicaCondition::Voting)
+        };
+        table.slots.iter().enumerate().all(|(slot, voter)| {
+            let held: Vec<_> = self
+                .running_voters()
+                .filter(|node| usize::from(node.state.slot) == slot && whole(node))
+                .collect();
+            held.len() == 1 && held[0].state.seating.roll.me == voter.holder
         })
-}
+    }
 
-/// Time since the world began.
-pub fn age(world: &World) -> Tick {
-    world.now - BEGIN
-}
+    /// Whether all seats that are up show the same configuration and all
+    /// queriers that are up obey it.
+    pub fn settled(&self) -> bool {
+        let top =
+            self.running_voters().map(|node| node.state.partitions[0].committed_revision).max();
+        let Some(top) = top else { return false };
+        self.running_voters().all(|node| node.state.partitions[0].committed_revision == top)
+            && self.queriers.iter().filter(|querier| querier.up).all(|querier| {
+                querier.ready && querier.watch.view.as_ref().is_some_and(|v| v.revision == top)
+            })
+    }
+
+    /// Time since the world began.
+    pub fn age(&self) -> Tick {
+        self.now - BEGIN
+    }
 
-/// Time since the world began, before the fleet had come up.
-pub fn since_begin(world: &World) -> Span {
-    world.now - BEGIN
+    /// Time since the world began, before the fleet had come up.
+    pub fn since_begin(&self) -> Span {
+        self.now - BEGIN
+    }
 }
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -43,16 +43,16 @@
 /// A fleet in calm, whose callers call whom they like, ready or not.
 fn fleet(queriers: usize, seed: u64) -> World {
     let s = common::fleet("acknowledgement", queriers, 0.05);
-    let mut world = world::world(&s.spec, s.control_plane.clone(), s.queriers, seed);
-    world::submit(&mut world, ms(200), world::whole(&s.config));
-    let up = world::until(&mut world, 30 * SECOND, |world| {
-        world::settled(world) && world.operator_requests.first().is_some_and(|o| o.result.is_some())
+    let mut world = World::new(&s.spec, s.control_plane.clone(), s.queriers, seed);
+    world.submit(ms(200), world::whole(&s.config));
+    let up = world.until(30 * SECOND, |world| {
+        world.settled() && world.operator_requests.first().is_some_and(|o| o.result.is_some())
     });
     assert!(up, "the fleet of {queriers} came up");
-    world::run(&mut world, 2 * SECOND);
+    world.run(2 * SECOND);
     world.ignore_readiness = true;
-    world::start_calls(&mut world, s.factor);
-    world::run(&mut world, 500 * MILLI);
+    world.start_calls(s.factor);
+    world.run(500 * MILLI);
     world
 }
 
@@ -67,13 +67,13 @@
     order
 }
 
-fn apply_fault(world: &mut World, loss: Loss, list: &[usize]) {
+fn apply_loss(world: &mut World, loss: Loss, list: &[usize]) {
     match loss {
         Loss::Killed | Loss::Restarted => {
             let down = if loss == Loss::Killed { TROUBLE } else { 600 * MILLI };
             for q in list {
-                world::kill_querier(world, *q);
-                world::later(world, down, FollowUp::StartQuerier(*q));
+                world.kill_querier(*q);
+                world.later(down, FollowUp::StartQuerier(*q));
             }
         }
         Loss::Frozen => {
@@ -105,18 +105,18 @@
     let n = world.operator_requests.len();
     let from = world.now + 100 * MILLI;
     let late = |span: i64| if span > 0 { ms(span as u64) } else { 0 };
-    world::submit(&mut world, 100 * MILLI + late(after), world::marked(n));
-    world::run(&mut world, 100 * MILLI + late(-after));
-    apply_fault(&mut world, loss, &list);
+    world.submit(100 * MILLI + late(after), world::marked(n));
+    world.run(100 * MILLI + late(-after));
+    apply_loss(&mut world, loss, &list);
     // Some more, so that one waits at every moment.
     for k in 1..4 {
         let n = world.operator_requests.len();
-        world::submit(&mut world, ms(400 * k), world::marked(n));
+        world.submit(ms(400 * k), world::marked(n));
     }
     let began = world.now.max(from);
-    world::run(&mut world, TROUBLE + 4 * SECOND);
+    world.run(TROUBLE + 4 * SECOND);
     world.net.cuts.clear();
-    world::run(&mut world, 6 * SECOND);
+    world.run(6 * SECOND);
     let mut wrong = Vec::new();
     for (id, order) in world.operator_requests.iter().enumerate().skip(n) {
         let told = world.acknowledged_at.get(&id).copied();
--- a/crates/simulator/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -3,9 +3,9 @@
 mod common;
 
 use grebepath_simulator::chaos::at;
+use grebepath_simulator::report;
 use grebepath_simulator::scenario::{Scenario, play};
-use grebepath_simulator::world::FaultyVariant;
-use grebepath_simulator::{report, world};
+use grebepath_simulator::world::{FaultyVariant, World};
 use serde_json::json;
 
 /// Seeds played in every run of the tests.
@@ -41,7 +41,7 @@
 fn one(seed: u64) -> Option<String> {
     let s = scene(seed);
     let mut world = play(&s, seed, None);
-    let settled = world::until(&mut world, grebepath_core::time::SECOND * 20, world::settled);
+    let settled = world.until(grebepath_core::time::SECOND * 20, World::settled);
     if world.rules.counts.is_empty() && settled {
         return None;
     }
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -8,7 +8,7 @@
 use grebepath_core::time::{SECOND, ms};
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
-use grebepath_simulator::world::{self, FaultyVariant, World, all_slots_voting};
+use grebepath_simulator::world::{FaultyVariant, World};
 use serde_json::{Value, json};
 
 /// Milliseconds after the wish to stop at which a second loss strikes.
@@ -34,9 +34,7 @@
 /// Plays, and lets all become whole again.
 fn played(scenario: &Scenario, seed: u64, faulty_variant: Option<FaultyVariant>) -> (World, bool) {
     let mut world = play(scenario, seed, faulty_variant);
-    let whole = world::until(&mut world, 20 * SECOND, |world| {
-        world::settled(world) && all_slots_voting(world)
-    });
+    let whole = world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
     (world, whole)
 }
 
@@ -81,7 +79,7 @@
         let story = world.rules.story.join("\n");
         assert_eq!(holder(&world, 0), Some(3), "{story}");
         assert!(!world.controllers[0].up, "still there\n{story}");
-        assert!(world::until(&mut world, ms(1), all_slots_voting), "{story}");
+        assert!(world.until(ms(1), World::all_slots_voting), "{story}");
     });
 }
 
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -8,7 +8,7 @@
 use grebepath_core::time::SECOND;
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
-use grebepath_simulator::world::{self, World, all_slots_voting};
+use grebepath_simulator::world::World;
 use serde_json::{Value, json};
 
 fn scene(seconds: u64, more: Vec<Value>) -> Scenario {
@@ -38,15 +38,14 @@
         for seed in 0..4 {
             scope.spawn(move || {
                 let mut world = play(scenario, seed, None);
-                let whole = world::until(&mut world, 20 * SECOND, |world| {
-                    world::settled(world) && all_slots_voting(world)
-                });
+                let whole =
+                    world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
                 let ring = || world.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n");
                 assert!(world.rules.found.is_empty(), "{name}, {seed}: {:?}", world.rules.found);
                 assert!(whole, "{name}, {seed}: not whole\n{}", ring());
                 assert!(accepted(&world) > 400, "{name}, {seed}: {} accepted", accepted(&world));
                 // The last changes may be under way: let them come to rest.
-                let same = world::until(&mut world, 5 * SECOND, |world| {
+                let same = world.until(5 * SECOND, |world| {
                     let copy = |s: usize| &world.controllers[s].state.partitions[0].copy;
                     (1..3).all(|s| copy(s) == copy(0))
                 });
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -85,15 +85,15 @@
 /// A fleet that has come up with its first configuration, which is edition 1.
 pub fn site(scenario: &Scenario, seed: u64) -> Site {
     let mut world =
-        world::world(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
-    world::run(&mut world, SECOND);
+        World::new(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
+    world.run(SECOND);
     let config = scenario.config.clone();
     let mut site = Site { world, recorder: Recorder::default(), sent: Vec::new(), config };
     let first = whole(&site.config, "first", Some((0, 1)));
     let call = send(&mut site, 0, &first, false);
     assert!(until(&mut site, 20, |s| answer(s, call).is_some()), "no first configuration");
-    assert!(until(&mut site, 20, |s| world::settled(&s.world)), "the fleet does not come up");
-    world::start_calls(&mut site.world, scenario.factor);
+    assert!(until(&mut site, 20, |s| s.world.settled()), "the fleet does not come up");
+    site.world.start_calls(scenario.factor);
     site
 }
 
@@ -134,7 +134,7 @@
     let mut order = world::patch(&Value::Null);
     (order.request, order.operation, order.controller) = (request, operation, Some(machine));
     let sent = site.world.now;
-    let order = world::submit(&mut site.world, 0, order);
+    let order = site.world.submit(0, order);
     site.sent.push(Sent { order, write, via: machine, sent, lost, noted: false });
     site.sent.len() - 1
 }
@@ -144,7 +144,7 @@
     let end = site.world.now + ms(millis);
     while site.world.now < end {
         let span = ms(10).min(end - site.world.now);
-        world::run(&mut site.world, span);
+        site.world.run(span);
         note(site);
     }
 }
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -8,7 +8,7 @@
 use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::random::{below, chance, luck};
 use grebepath_simulator::chaos::at;
-use grebepath_simulator::scenario::{ScheduledFault, apply_fault, generated_fault, read};
+use grebepath_simulator::scenario::{ScheduledFault, generated_fault, read};
 use grebepath_simulator::world::{self, World};
 use operators::{
     Change, Site, answer, ask, judged, pass, patch, read_back, send, site, tally, until, whole_of,
@@ -31,7 +31,7 @@
 
 fn strike(site: &mut Site, what: serde_json::Value) {
     let fault: ScheduledFault = generated_fault(&at(0.0, what));
-    apply_fault(&mut site.world, &fault);
+    site.world.apply_fault(&fault);
 }
 
 /// All controllers lose power at once and are back half a second later.
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -7,7 +7,7 @@
 
 use grebepath_core::time::SECOND;
 use grebepath_simulator::scenario::{play, read};
-use grebepath_simulator::world::{self, World};
+use grebepath_simulator::world::World;
 use serde_json::json;
 
 /// Part of each scenario's load that is played in the tests.
@@ -46,7 +46,7 @@
     }
     let mut world = play(&s, 3, None);
     if !["two-disks-lost"].contains(&s.name.as_str()) {
-        let settled = world::until(&mut world, 20 * SECOND, world::settled);
+        let settled = world.until(20 * SECOND, World::settled);
         assert!(settled, "{name}: the fleet is not whole 20 s after the last trouble");
     }
     (name.trim_end_matches(".json").to_string(), world)
--- a/crates/simulator/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -7,7 +7,7 @@
 use grebepath_core::time::{SECOND, ms};
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
-use grebepath_simulator::world::{self, FaultyVariant, World, all_slots_voting};
+use grebepath_simulator::world::{self, FaultyVariant, World};
 use serde_json::{Value, json};
 
 fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
@@ -26,9 +26,8 @@
             let check = &check;
             scope.spawn(move || {
                 let mut world = play(s, seed, None);
-                let whole = world::until(&mut world, 20 * SECOND, |world| {
-                    world::settled(world) && all_slots_voting(world)
-                });
+                let whole =
+                    world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
                 let found = &world.rules.found;
                 let story = || world.rules.story.join("\n");
                 assert!(found.is_empty(), "{name}, {seed}: {found:?}\n{}", story());
@@ -248,8 +247,8 @@
             let n = world.operator_requests.len();
             let mut order = world::marked(n);
             order.controller = Some(spare);
-            let id = world::submit(world, 0, order);
-            world::until(world, 6 * SECOND, |world| world.operator_requests[id].result.is_some());
+            let id = world.submit(0, order);
+            world.until(6 * SECOND, |world| world.operator_requests[id].result.is_some());
             matches!(world.operator_requests[id].result, Some(OperationResult::Accepted { .. }))
         };
         let spares: Vec<usize> = (0..5)
@@ -266,11 +265,11 @@
                 grebepath_core::replication::partition::Role::Leader(_)
             )
         });
-        world::kill_controller(world, owner.unwrap(), false);
+        world.kill_controller(owner.unwrap(), false);
         for spare in spares {
             assert!(ask(world, spare));
         }
-        world::run(world, ms(100));
+        world.run(ms(100));
     });
 }
 
@@ -278,12 +277,12 @@
 fn a_takeover_takes_a_few_seconds() {
     for (gone, zone) in ZONES.into_iter().enumerate() {
         let mut world = play(&scene(3, 3, 3, vec![spare(zone)]), gone as u64, None);
-        assert!(world::until(&mut world, 5 * SECOND, all_slots_voting));
+        assert!(world.until(5 * SECOND, World::all_slots_voting));
         let at = world.now;
-        world::kill_controller(&mut world, gone, true);
+        world.kill_controller(gone, true);
         // Two spares of one seat never count both: not whole until it is moved.
-        assert!(world::until(&mut world, 20 * SECOND, |world| holder(world, gone as u8) == Some(3)));
-        assert!(world::until(&mut world, 20 * SECOND, all_slots_voting));
+        assert!(world.until(20 * SECOND, |world| holder(world, gone as u8) == Some(3)));
+        assert!(world.until(20 * SECOND, World::all_slots_voting));
         let took = world.now - at;
         println!("seat {gone} moved in {} ms", took / 1000);
         assert!(took < 6 * SECOND, "{took}");
@@ -366,7 +365,7 @@
                     let mut s = scene(seats, controllers, 70, Vec::new());
                     s.faults = grebepath_simulator::chaos::chaos(seed, &s);
                     let mut world = play(&s, seed, None);
-                    let whole = world::until(&mut world, 20 * SECOND, world::settled);
+                    let whole = world.until(20 * SECOND, World::settled);
                     let found = &world.rules.found;
                     let list: Vec<String> =
                         s.faults.iter().map(|t| format!("{} {t}", t.at_ms)).collect();
