--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -36,58 +36,60 @@
     pub trace: Option<u64>,
 }
 
+impl Net {
+    /// Weighs a message, if messages are weighed.
+    pub fn weigh(&mut self, way: &str, message: &Message) {
+        if let Some(hash) = self.trace {
+            self.trace = Some(traced(hash, &grebepath_core::protocol::frame::encode(message)));
+        }
+        if let Some(all) = &mut self.weights {
+            let text = format!("{message:?}");
+            let kind = text.split([' ', '(', '{']).next().unwrap_or_default();
+            let cell = all.entry(format!("{way} {kind}")).or_default();
+            cell.0 += 1;
+            cell.1 += grebepath_core::protocol::frame::encode(message).len() as u64;
+        }
+    }
+
+    /// When a message sent now arrives, if it does.
+    pub fn send(
+        &mut self,
+        now: Tick,
+        from: (Node, &str),
+        to: (Node, &str),
+        random: &mut Random,
+    ) -> Option<Tick> {
+        self.sent += 1;
+        let pair = (from.0, to.0);
+        if self.cuts.contains(&pair) || (self.loss > 0 && chance(random, self.loss, 1000)) {
+            self.lost += 1;
+            return None;
+        }
+        let at = now + latency(from.1, to.1, random) + self.slow;
+        let last = self.last.entry(pair).or_insert(0);
+        *last = at.max(*last + 1);
+        if let Some(hash) = self.trace {
+            self.trace = Some(traced(hash, &last.to_le_bytes()));
+        }
+        Some(*last)
+    }
+
+    /// Cuts two nodes off from each other, both ways.
+    pub fn cut(&mut self, a: Node, b: Node) {
+        if a != b {
+            self.cuts.insert((a, b));
+            self.cuts.insert((b, a));
+        }
+    }
+}
+
 /// Adds bytes to a running hash (FNV-1a, 64 bits).
 pub fn traced(hash: u64, bytes: &[u8]) -> u64 {
     const PRIME: u64 = 0x0000_0100_0000_01b3;
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
 
-/// Weighs a message, if messages are weighed.
-pub fn weigh(net: &mut Net, way: &str, message: &Message) {
-    if let Some(hash) = net.trace {
-        net.trace = Some(traced(hash, &grebepath_core::protocol::frame::encode(message)));
-    }
-    if let Some(all) = &mut net.weights {
-        let text = format!("{message:?}");
-        let kind = text.split([' ', '(', '{']).next().unwrap_or_default();
-        let cell = all.entry(format!("{way} {kind}")).or_default();
-        cell.0 += 1;
-        cell.1 += grebepath_core::protocol::frame::encode(message).len() as u64;
-    }
-}
-
 /// One way between two zones, in microseconds.
 pub fn latency(a: &str, b: &str, random: &mut Random) -> Span {
     if a == b { 80 + below(random, 80) } else { 500 + below(random, 1_000) }
 }
-
-/// When a message sent now arrives, if it does.
-pub fn send(
-    net: &mut Net,
-    now: Tick,
-    from: (Node, &str),
-    to: (Node, &str),
-    random: &mut Random,
-) -> Option<Tick> {
-    net.sent += 1;
-    let pair = (from.0, to.0);
-    if net.cuts.contains(&pair) || (net.loss > 0 && chance(random, net.loss, 1000)) {
-        net.lost += 1;
-        return None;
-    }
-    let at = now + latency(from.1, to.1, random) + net.slow;
-    let last = net.last.entry(pair).or_insert(0);
-    *last = at.max(*last + 1);
-    if let Some(hash) = net.trace {
-        net.trace = Some(traced(hash, &last.to_le_bytes()));
-    }
-    Some(*last)
-}
-
-/// Cuts two nodes off from each other, both ways.
-pub fn cut(net: &mut Net, a: Node, b: Node) {
-    if a != b {
-        net.cuts.insert((a, b));
-        net.cuts.insert((b, a));
-    }
-}
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -3,7 +3,6 @@
 use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
 
-use crate::rules;
 use crate::world::World;
 
 fn quantile(list: &[u64], pct: usize) -> f64 {
@@ -29,7 +28,7 @@
             }),
         );
     }
-    let (over, most) = rules::retries(&world.rules);
+    let (over, most) = world.rules.retries();
     let worst = world.backends.leafs.values().max_by_key(|leaf| leaf.worst_pct);
     let orders = |want: fn(&grebepath_core::protocol::message::OperationResult) -> bool| {
         world.operator_requests.iter().filter(|o| o.result.as_ref().is_some_and(want)).count()
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -71,233 +71,245 @@
 
 /// Lines that the ring keeps.
 const RING: usize = 400;
+
 /// Violations that are kept with their text.
 const KEPT: usize = 40;
+
 /// What the brief allows, in its own numbers: a fifth, and as the small slack
 /// 20 tries over all nodes, one try a thread, and a fifth of the most that 200 ms
 /// of traffic held (see `docs/topics/overload.md`).
 const FIFTH: usize = 5;
+
 const SLACK: usize = 20;
+
 const BURST: Tick = ms(200);
+
 const WINDOW: Tick = 10 * SECOND;
+
 /// Of a hundred calls of a kind so many must be full 12 s after a restart.
 const BACK_PCT: u64 = 95;
 
-/// Notes a line of the story.
-pub fn tell(r: &mut Rules, at: Tick, text: impl FnOnce() -> String) {
-    if !r.story.is_empty() {
-        return;
-    }
-    if r.ring.len() >= RING {
-        r.ring.pop_front();
+impl Rules {
+    /// Notes a line of the story.
+    pub fn tell(&mut self, at: Tick, text: impl FnOnce() -> String) {
+        if !self.story.is_empty() {
+            return;
+        }
+        if self.ring.len() >= RING {
+            self.ring.pop_front();
+        }
+        self.ring.push_back(format!("{:>9.3} s {}", at as f64 / 1e6, text()));
     }
-    r.ring.push_back(format!("{:>9.3} s {}", at as f64 / 1e6, text()));
-}
 
-/// Notes a violation.
-pub fn violated(r: &mut Rules, at: Tick, rule: u8, text: String) {
-    *r.counts.entry(rule).or_default() += 1;
-    if r.found.is_empty() {
-        r.story = r.ring.iter().cloned().collect();
-    }
-    if r.found.len() < KEPT {
-        r.found.push(Violation { at, rule, text });
+    /// Notes a violation.
+    pub fn violated(&mut self, at: Tick, rule: u8, text: String) {
+        *self.counts.entry(rule).or_default() += 1;
+        if self.found.is_empty() {
+            self.story = self.ring.iter().cloned().collect();
+        }
+        if self.found.len() < KEPT {
+            self.found.push(Violation { at, rule, text });
+        }
     }
-}
-
-/// Rule of a text of `check`: they begin with `rule N:`.
-pub fn rule_of(text: &str) -> u8 {
-    text.strip_prefix("rule ").and_then(|t| t.split(':').next()?.parse().ok()).unwrap_or(3)
-}
 
-/// Rule 1: every claimed service answered this very question for this query.
-pub fn claims(r: &mut Rules, now: Tick, query: &str, services: &[String], question: &str) {
-    let list = r.ran.remove(query).unwrap_or_default();
-    for service in services {
-        if !list.iter().any(|(s, q)| s == service && q == question) {
-            violated(r, now, 1, format!("{query} claims {service}, which never answered it"));
+    /// Rule 1: every claimed service answered this very question for this query.
+    pub fn claims(&mut self, now: Tick, query: &str, services: &[String], question: &str) {
+        let list = self.ran.remove(query).unwrap_or_default();
+        for service in services {
+            if !list.iter().any(|(s, q)| s == service && q == question) {
+                self.violated(now, 1, format!("{query} claims {service}, which never answered it"));
+            }
         }
     }
-}
 
-/// Rule 5: a leaf runs a question; somebody must have asked it just so.
-pub fn runs(r: &mut Rules, now: Tick, leaf: &str, question: &str) {
-    if !r.asked.contains(question) {
-        violated(r, now, 5, format!("{leaf} ran {question:?}, which nobody asked"));
+    /// Rule 5: a leaf runs a question; somebody must have asked it just so.
+    pub fn runs(&mut self, now: Tick, leaf: &str, question: &str) {
+        if !self.asked.contains(question) {
+            self.violated(now, 5, format!("{leaf} ran {question:?}, which nobody asked"));
+        }
     }
-}
 
-/// A leaf has truly answered a dispatch.
-pub fn answers(r: &mut Rules, service: &str, id: &str, question: &str) {
-    let query = id.rsplit_once('.').map_or(id, |q| q.0);
-    let row = (service.to_string(), question.to_string());
-    r.ran.entry(query.to_string()).or_default().push(row);
-}
-
-/// Rule 9: an answer that began at `began` was given under `revision`.
-pub fn obeys(r: &mut Rules, now: Tick, began: Tick, revision: u64, who: &str) {
-    let newer =
-        r.accepted.iter().filter(|(_, accepted)| *accepted > revision).map(|(at, _)| *at).min();
-    r.stalest = r.stalest.max(newer.map_or(0, |at| began.saturating_sub(at)));
-    let due = r
-        .accepted
-        .iter()
-        .filter(|(at, _)| at + 3 * SECOND <= began)
-        .map(|(_, revision)| *revision)
-        .max()
-        .unwrap_or(0);
-    if revision < due {
-        let text = format!("{who} answers by revision {revision}, {due} is 3 s old");
-        violated(r, now, 9, text);
+    /// A leaf has truly answered a dispatch.
+    pub fn answers(&mut self, service: &str, id: &str, question: &str) {
+        let query = id.rsplit_once('.').map_or(id, |q| q.0);
+        let row = (service.to_string(), question.to_string());
+        self.ran.entry(query.to_string()).or_default().push(row);
     }
-}
 
-/// Rule 9: a querier takes a view; it must never go back.
-pub fn views(r: &mut Rules, now: Tick, querier: usize, revision: u64) {
-    let old = r.obeyed.entry(querier).or_insert(0);
-    let was = *old;
-    *old = was.max(revision);
-    if revision < was {
-        let text = format!("querier {querier} slips from revision {was} to {revision}");
-        violated(r, now, 9, text);
+    /// Rule 9: an answer that began at `began` was given under `revision`.
+    pub fn obeys(&mut self, now: Tick, began: Tick, revision: u64, who: &str) {
+        let newer = self
+            .accepted
+            .iter()
+            .filter(|(_, accepted)| *accepted > revision)
+            .map(|(at, _)| *at)
+            .min();
+        self.stalest = self.stalest.max(newer.map_or(0, |at| began.saturating_sub(at)));
+        let due = self
+            .accepted
+            .iter()
+            .filter(|(at, _)| at + 3 * SECOND <= began)
+            .map(|(_, revision)| *revision)
+            .max()
+            .unwrap_or(0);
+        if revision < due {
+            let text = format!("{who} answers by revision {revision}, {due} is 3 s old");
+            self.violated(now, 9, text);
+        }
     }
-}
 
-/// Rule 12: a revision of a part is the same for everybody.
-pub fn same(r: &mut Rules, now: Tick, part: u32, revision: u64, sum: u64) {
-    let first = *r.truth.entry((part, revision)).or_insert(sum);
-    if first != sum {
-        violated(r, now, 12, format!("part {part} has two truths at revision {revision}"));
+    /// Rule 9: a querier takes a view; it must never go back.
+    pub fn views(&mut self, now: Tick, querier: usize, revision: u64) {
+        let old = self.obeyed.entry(querier).or_insert(0);
+        let was = *old;
+        *old = was.max(revision);
+        if revision < was {
+            let text = format!("querier {querier} slips from revision {was} to {revision}");
+            self.violated(now, 9, text);
+        }
     }
-}
 
-/// Rules 7 and 8: a dispatch goes to a leaf.
-pub fn sends(
-    r: &mut Rules,
-    now: Tick,
-    who: &str,
-    leaf: &str,
-    zone: &str,
-    known_leaving: Option<Tick>,
-) {
-    if let Some(at) = known_leaving
-        && now > at + 3 * SECOND
-    {
-        let late = (now - at) as f64 / 1e6;
-        violated(r, now, 7, format!("{who} sends to {leaf}, known to leave for {late:.2} s"));
-    }
-    if let Some(from) = r.drained.get(zone)
-        && now > *from
-    {
-        let late = (now - from) as f64 / 1e6;
-        violated(
-            r,
-            now,
-            8,
-            format!("{who} sends to {leaf} in emptied zone {zone}, {late:.2} s late"),
-        );
+    /// Rule 12: a revision of a part is the same for everybody.
+    pub fn same(&mut self, now: Tick, part: u32, revision: u64, sum: u64) {
+        let first = *self.truth.entry((part, revision)).or_insert(sum);
+        if first != sum {
+            self.violated(now, 12, format!("part {part} has two truths at revision {revision}"));
+        }
     }
-}
 
-/// Rule 11: a fresh leaf has `live` in hand and bears `bears`.
-pub fn carries(r: &mut Rules, now: Tick, leaf: &str, live: u32, bears: u32) {
-    if live * 2 > bears * 3 + 1 {
-        violated(r, now, 11, format!("fresh {leaf} has {live} in hand and bears {bears}"));
+    /// Rules 7 and 8: a dispatch goes to a leaf.
+    pub fn sends(
+        &mut self,
+        now: Tick,
+        who: &str,
+        leaf: &str,
+        zone: &str,
+        known_leaving: Option<Tick>,
+    ) {
+        if let Some(at) = known_leaving
+            && now > at + 3 * SECOND
+        {
+            let late = (now - at) as f64 / 1e6;
+            self.violated(now, 7, format!("{who} sends to {leaf}, known to leave for {late:.2} s"));
+        }
+        if let Some(from) = self.drained.get(zone)
+            && now > *from
+        {
+            let late = (now - from) as f64 / 1e6;
+            self.violated(
+                now,
+                8,
+                format!("{who} sends to {leaf} in emptied zone {zone}, {late:.2} s late"),
+            );
+        }
     }
-}
 
-/// A dispatch for a service of a query: the first of its kind, or a second try?
-pub fn tries(r: &mut Rules, now: Tick, id: &str, service: &str) {
-    let query = id.rsplit_once('.').map_or(id, |q| q.0);
-    let mut hash = DefaultHasher::new();
-    (query, service).hash(&mut hash);
-    let list = if r.sent.insert(hash.finish()) { &mut r.firsts } else { &mut r.seconds };
-    list.push(now);
-}
-
-/// Rule 6: a request arrives at a leaf, run or turned away.
-pub fn arrives(r: &mut Rules, now: Tick, who: &str, leaf: &str, is: &str, meant: &str) {
-    if is != meant {
-        violated(r, now, 6, format!("{who}'s request for {meant} reaches {leaf} of {is}"));
+    /// Rule 11: a fresh leaf has `live` in hand and bears `bears`.
+    pub fn carries(&mut self, now: Tick, leaf: &str, live: u32, bears: u32) {
+        if live * 2 > bears * 3 + 1 {
+            self.violated(now, 11, format!("fresh {leaf} has {live} in hand and bears {bears}"));
+        }
     }
-}
 
-/// How many of a list, which is in order, lie in the window that begins at `from`.
-fn within(list: &[Tick], from: Tick, span: Tick) -> usize {
-    let a = list.partition_point(|t| *t < from);
-    list.partition_point(|t| *t < from + span) - a
-}
+    /// A dispatch for a service of a query: the first of its kind, or a second try?
+    pub fn tries(&mut self, now: Tick, id: &str, service: &str) {
+        let query = id.rsplit_once('.').map_or(id, |q| q.0);
+        let mut hash = DefaultHasher::new();
+        (query, service).hash(&mut hash);
+        let list =
+            if self.sent.insert(hash.finish()) { &mut self.firsts } else { &mut self.seconds };
+        list.push(now);
+    }
 
-/// Rule 10, over any window of 10 s: the most second tries beyond a fifth of
-/// the first dispatches; also their greatest number in such a window.
-pub fn retries(r: &Rules) -> (i64, usize) {
-    let (mut worst, mut most) = (0i64, 0);
-    // The worst windows begin or end with a second try.
-    let starts = r.seconds.iter().copied();
-    let ends = r.seconds.iter().map(|t| (t + 1).saturating_sub(WINDOW));
-    for from in starts.chain(ends) {
-        let n = within(&r.seconds, from, WINDOW);
-        let fair = within(&r.firsts, from, WINDOW) / FIFTH;
-        worst = worst.max(n as i64 - fair as i64);
-        most = most.max(n);
+    /// Rule 6: a request arrives at a leaf, run or turned away.
+    pub fn arrives(&mut self, now: Tick, who: &str, leaf: &str, is: &str, meant: &str) {
+        if is != meant {
+            self.violated(now, 6, format!("{who}'s request for {meant} reaches {leaf} of {is}"));
+        }
     }
-    (worst, most)
-}
 
-/// The small slack: what may come on top of a fifth.
-pub fn slack(r: &Rules, threads: usize) -> usize {
-    let burst = r.firsts.iter().map(|t| within(&r.firsts, *t, BURST)).max().unwrap_or(0);
-    SLACK + threads + burst / FIFTH
-}
+    /// Rule 10, over any window of 10 s: the most second tries beyond a fifth of
+    /// the first dispatches; also their greatest number in such a window.
+    pub fn retries(&self) -> (i64, usize) {
+        let (mut worst, mut most) = (0i64, 0);
+        // The worst windows begin or end with a second try.
+        let starts = self.seconds.iter().copied();
+        let ends = self.seconds.iter().map(|t| (t + 1).saturating_sub(WINDOW));
+        for from in starts.chain(ends) {
+            let n = within(&self.seconds, from, WINDOW);
+            let fair = within(&self.firsts, from, WINDOW) / FIFTH;
+            worst = worst.max(n as i64 - fair as i64);
+            most = most.max(n);
+        }
+        (worst, most)
+    }
 
-/// Checks that can be made only at the end.
-pub fn finish(r: &mut Rules, now: Tick, threads: usize) {
-    let ((worst, _), allowed) = (retries(r), slack(r, threads));
-    if worst > allowed as i64 {
-        let text = format!("{worst} second tries over a fifth in 10 s, {allowed} allowed");
-        violated(r, now, 10, text);
+    /// The small slack: what may come on top of a fifth.
+    pub fn slack(&self, threads: usize) -> usize {
+        let burst = self.firsts.iter().map(|t| within(&self.firsts, *t, BURST)).max().unwrap_or(0);
+        SLACK + threads + burst / FIFTH
     }
-    for back in std::mem::take(&mut r.restarts) {
-        let when = back.at as f64 / 1e6;
-        for (kind, made) in back.made.iter().filter(|_| !back.disturbed) {
-            let full = back.full.get(kind).copied().unwrap_or(0);
-            // One call may always be unlucky.
-            if full < (made * BACK_PCT / 100).min(made - 1) {
-                let text = format!(
-                    "12 s after the restart at {when:.1} s {full} of {made} {kind} are full"
-                );
-                violated(r, now, 12, text);
-            }
+
+    /// Checks that can be made only at the end.
+    pub fn finish(&mut self, now: Tick, threads: usize) {
+        let ((worst, _), allowed) = (self.retries(), self.slack(threads));
+        if worst > allowed as i64 {
+            let text = format!("{worst} second tries over a fifth in 10 s, {allowed} allowed");
+            self.violated(now, 10, text);
         }
-        let late = back.accepted.is_none_or(|at| at > back.at + 12 * SECOND);
-        if !back.disturbed && back.order.is_some() && late && now > back.at + 12 * SECOND {
-            let text = format!("12 s after the restart at {when:.1} s no change is accepted");
-            violated(r, now, 12, text);
+        for back in std::mem::take(&mut self.restarts) {
+            let when = back.at as f64 / 1e6;
+            for (kind, made) in back.made.iter().filter(|_| !back.disturbed) {
+                let full = back.full.get(kind).copied().unwrap_or(0);
+                // One call may always be unlucky.
+                if full < (made * BACK_PCT / 100).min(made - 1) {
+                    let text = format!(
+                        "12 s after the restart at {when:.1} s {full} of {made} {kind} are full"
+                    );
+                    self.violated(now, 12, text);
+                }
+            }
+            let late = back.accepted.is_none_or(|at| at > back.at + 12 * SECOND);
+            if !back.disturbed && back.order.is_some() && late && now > back.at + 12 * SECOND {
+                let text = format!("12 s after the restart at {when:.1} s no change is accepted");
+                self.violated(now, 12, text);
+            }
+            self.backs.push(back);
         }
-        r.backs.push(back);
     }
-}
 
-/// A call of a kind began at `began` and has come to its end.
-pub fn ends(r: &mut Rules, began: Tick, now: Tick, kind: &str, full: bool) {
-    for back in &mut r.restarts {
-        if began < back.at {
-            continue;
-        }
-        if full {
-            back.first.entry(kind.to_string()).or_insert(now);
+    /// A call of a kind began at `began` and has come to its end.
+    pub fn ends(&mut self, began: Tick, now: Tick, kind: &str, full: bool) {
+        for back in &mut self.restarts {
+            if began < back.at {
+                continue;
+            }
+            if full {
+                back.first.entry(kind.to_string()).or_insert(now);
+            }
+            if began >= back.at + ms(12_000) && began < back.at + ms(15_000) {
+                *back.made.entry(kind.to_string()).or_default() += 1;
+                *back.full.entry(kind.to_string()).or_default() += u64::from(full);
+            }
         }
-        if began >= back.at + ms(12_000) && began < back.at + ms(15_000) {
-            *back.made.entry(kind.to_string()).or_default() += 1;
-            *back.full.entry(kind.to_string()).or_default() += u64::from(full);
+    }
+
+    /// Something befalls the fleet: a restart that is not yet over is no longer
+    /// the only trouble.
+    pub fn disturb(&mut self, now: Tick) {
+        for back in self.restarts.iter_mut().filter(|b| now < b.at + 15 * SECOND) {
+            back.disturbed = true;
         }
     }
 }
 
-/// Something befalls the fleet: a restart that is not yet over is no longer
-/// the only trouble.
-pub fn disturb(r: &mut Rules, now: Tick) {
-    for back in r.restarts.iter_mut().filter(|b| now < b.at + 15 * SECOND) {
-        back.disturbed = true;
-    }
+/// Rule of a text of `check`: they begin with `rule N:`.
+pub fn rule_of(text: &str) -> u8 {
+    text.strip_prefix("rule ").and_then(|t| t.split(':').next()?.parse().ok()).unwrap_or(3)
+}
+
+/// How many of a list, which is in order, lie in the window that begins at `from`.
+fn within(list: &[Tick], from: Tick, span: Tick) -> usize {
+    let a = list.partition_point(|t| *t < from);
+    list.partition_point(|t| *t < from + span) - a
 }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -21,7 +21,6 @@
 use crate::scale_model::cost::{Cell, Meter, Traffic};
 use crate::scale_model::plan;
 use crate::scale_model::plan::Size;
-use crate::simulated_disk;
 use crate::simulated_disk::Disk;
 
 /// What happens, and to whom. A life ends with its process.
@@ -104,162 +103,247 @@
 
 /// Fronts that start together come within this time, as machines do.
 const SPREAD: Span = ms(1_000);
+
 /// The world's beginning.
 const BEGIN: Tick = ms(1_000);
 
-/// A fleet that is just being started.
-pub fn world(size: Size, seed: u64) -> World {
-    let mut world = World {
-        now: BEGIN,
-        size,
-        queue: BTreeMap::new(),
-        next: 0,
-        random: luck(seed),
-        controllers: Vec::new(),
-        queriers: Vec::new(),
-        by_name: HashMap::new(),
-        leafs: (0..size.leafs).map(|node| plan::leaf(node, size.leafs)).collect(),
-        list: Rc::default(),
-        traffic: Traffic::new(),
-        list_polls: Cell::default(),
-        probes: 0,
-        results: BTreeMap::new(),
-        alarms: BTreeMap::new(),
-        last: HashMap::new(),
-        opened: HashSet::new(),
-    };
-    world.list = Rc::new(plan::list(&world.leafs));
-    for controller in 0..consts::SEATS as usize {
-        world.controllers.push(ControllerNode {
-            state: st::core(Default::default(), ("", ""), Vec::new(), 0, BOOT),
-            disk: simulated_disk::disk(partitions().count()),
+impl World {
+    /// A fleet that is just being started.
+    pub fn new(size: Size, seed: u64) -> Self {
+        let mut world = World {
+            now: BEGIN,
+            size,
+            queue: BTreeMap::new(),
+            next: 0,
+            random: luck(seed),
+            controllers: Vec::new(),
+            queriers: Vec::new(),
+            by_name: HashMap::new(),
+            leafs: (0..size.leafs).map(|node| plan::leaf(node, size.leafs)).collect(),
+            list: Rc::default(),
+            traffic: Traffic::new(),
+            list_polls: Cell::default(),
+            probes: 0,
+            results: BTreeMap::new(),
+            alarms: BTreeMap::new(),
+            last: HashMap::new(),
+            opened: HashSet::new(),
+        };
+        world.list = Rc::new(plan::list(&world.leafs));
+        for controller in 0..consts::SEATS as usize {
+            world.controllers.push(ControllerNode {
+                state: st::core(Default::default(), ("", ""), Vec::new(), 0, BOOT),
+                disk: Disk::new(partitions().count()),
+                up: false,
+                life: 0,
+                began: 0,
+                meter: Meter::default(),
+                last: None,
+            });
+            world.start_controller(controller);
+        }
+        for querier in 0..size.members {
+            world.add_querier();
+            let after = below(&mut world.random, SPREAD);
+            world.push(after, ScheduledEvent::StartQuerier { querier });
+        }
+        world
+    }
+
+    /// A machine for one more front, which is down.
+    pub fn add_querier(&mut self) -> usize {
+        let querier = self.queriers.len();
+        let zone = plan::zone(querier);
+        let name = format!("front-{}-{querier:04}", plan::name(zone));
+        let addr = format!("10.200.{}.{}:9000", querier >> 8, querier & 255);
+        let me = Member {
+            name: name.clone(),
+            addr,
+            zone: plan::name(zone),
+            threads: 1,
+            joined: 0,
+            incarnation: 0,
+        };
+        self.by_name.insert(name, querier);
+        let watch = wat::watch(me.clone(), BOOT);
+        let meter = Meter::default();
+        let node = QuerierNode {
+            me,
+            zone,
+            watch,
             up: false,
             life: 0,
             began: 0,
-            meter: Meter::default(),
-            last: None,
-        });
-        start_controller(&mut world, controller);
+            ready: false,
+            polling: false,
+            meter,
+        };
+        self.queriers.push(node);
+        querier
     }
-    for querier in 0..size.members {
-        add_querier(&mut world);
-        let after = below(&mut world.random, SPREAD);
-        push(&mut world, after, ScheduledEvent::StartQuerier { querier });
+
+    /// Starts a front, which knows nothing.
+    pub fn start_querier(&mut self, querier: usize) {
+        let node = &mut self.queriers[querier];
+        node.life += 1;
+        (node.up, node.ready, node.polling, node.began) = (true, false, false, self.now);
+        node.me.incarnation = node.life;
+        node.watch = wat::watch(node.me.clone(), BOOT);
+        let life = node.life;
+        let after = below(&mut self.random, qstep::WAKE);
+        self.push(after, ScheduledEvent::QuerierTimer { querier, life });
     }
-    world
-}
 
-/// A machine for one more front, which is down.
-pub fn add_querier(world: &mut World) -> usize {
-    let querier = world.queriers.len();
-    let zone = plan::zone(querier);
-    let name = format!("front-{}-{querier:04}", plan::name(zone));
-    let addr = format!("10.200.{}.{}:9000", querier >> 8, querier & 255);
-    let me = Member {
-        name: name.clone(),
-        addr,
-        zone: plan::name(zone),
-        threads: 1,
-        joined: 0,
-        incarnation: 0,
-    };
-    world.by_name.insert(name, querier);
-    let watch = wat::watch(me.clone(), BOOT);
-    let meter = Meter::default();
-    let node = QuerierNode {
-        me,
-        zone,
-        watch,
-        up: false,
-        life: 0,
-        began: 0,
-        ready: false,
-        polling: false,
-        meter,
-    };
-    world.queriers.push(node);
-    querier
-}
+    /// Ends a front at once.
+    pub fn kill_querier(&mut self, querier: usize) {
+        let life = self.queriers[querier].life;
+        let node = &mut self.queriers[querier];
+        (node.up, node.ready) = (false, false);
+        node.watch = wat::watch(node.me.clone(), BOOT);
+        for controller in 0..self.controllers.len() {
+            let event =
+                Box::new(st::Event::ConnectionClosed { connection: connection(querier, life) });
+            let life = self.controllers[controller].life;
+            self.push(ms(2), ScheduledEvent::ControllerEvent { controller, life, event });
+        }
+    }
 
-/// Starts a front, which knows nothing.
-pub fn start_querier(world: &mut World, querier: usize) {
-    let node = &mut world.queriers[querier];
-    node.life += 1;
-    (node.up, node.ready, node.polling, node.began) = (true, false, false, world.now);
-    node.me.incarnation = node.life;
-    node.watch = wat::watch(node.me.clone(), BOOT);
-    let life = node.life;
-    let after = below(&mut world.random, qstep::WAKE);
-    push(world, after, ScheduledEvent::QuerierTimer { querier, life });
-}
+    /// Starts a controller on its disk.
+    pub fn start_controller(&mut self, controller: usize) {
+        let seed = grebepath_core::random::draw(&mut self.random);
+        let start = Start {
+            slot: Some(controller as VoterSlot),
+            first: self.now == BEGIN,
+            seeds: (0..consts::SEATS as usize).map(plan::controller_address).collect(),
+            size: consts::SEATS as usize,
+            addr: plan::controller_address(controller),
+        };
+        let disk = &mut self.controllers[controller].disk;
+        let bare = disk.bare();
+        let (roll, clear) = voter_file::begin(disk.roll(), &start, bare, seed);
+        disk.put_roll(&roll, clear);
+        let found = disk.start();
+        let list = found
+            .into_iter()
+            .map(|(part, found)| match found {
+                grebepath_core::storage::reader::Found::Good { copy, .. } => {
+                    (part, ReplicaCondition::Voting, copy, 0)
+                }
+                _ => (
+                    part,
+                    ReplicaCondition::Empty,
+                    grebepath_core::storage::record::ReplicaState::default(),
+                    0,
+                ),
+            })
+            .collect();
+        let node = &mut self.controllers[controller];
+        node.life += 1;
+        (node.up, node.began) = (true, self.now);
+        let zone = plan::name(plan::controller_zone(controller as VoterSlot));
+        node.state = st::core(roll, (&start.addr, &zone), list, seed, BOOT);
+        let life = node.life;
+        self.push(start_delay(seed), ScheduledEvent::ControllerTimer { controller, life });
+    }
 
-/// Ends a front at once.
-pub fn kill_querier(world: &mut World, querier: usize) {
-    let life = world.queriers[querier].life;
-    let node = &mut world.queriers[querier];
-    (node.up, node.ready) = (false, false);
-    node.watch = wat::watch(node.me.clone(), BOOT);
-    for controller in 0..world.controllers.len() {
-        let event = Box::new(st::Event::ConnectionClosed { connection: connection(querier, life) });
-        let life = world.controllers[controller].life;
-        push(world, ms(2), ScheduledEvent::ControllerEvent { controller, life, event });
+    /// Ends a controller at once; its system writes what it was given.
+    pub fn kill_controller(&mut self, controller: usize) {
+        let node = &mut self.controllers[controller];
+        node.up = false;
+        for (part, token) in node.disk.waiting() {
+            node.disk.done(part, token);
+        }
+        for token in node.disk.rolls() {
+            node.disk.kept(token);
+        }
+    }
+
+    /// Lets something happen after a while.
+    pub fn push(&mut self, after: Span, event: ScheduledEvent) {
+        let at = self.now + after;
+        self.push_at(at, event);
+    }
+
+    /// Lets something happen at a time.
+    pub fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
+        self.next += 1;
+        self.queue.insert((at, self.next), event);
+    }
+
+    /// When a message sent now arrives: those of one connection keep their order.
+    pub fn arrival(&mut self, from: (usize, usize), to: (usize, usize)) -> Tick {
+        let at = self.now + plan::way(from.1, to.1, &mut self.random);
+        let last = self.last.entry((from.0, to.0)).or_insert(0);
+        *last = at.max(*last + 1);
+        *last
     }
-}
 
-/// Starts a controller on its disk.
-pub fn start_controller(world: &mut World, controller: usize) {
-    let seed = grebepath_core::random::draw(&mut world.random);
-    let start = Start {
-        slot: Some(controller as VoterSlot),
-        first: world.now == BEGIN,
-        seeds: (0..consts::SEATS as usize).map(plan::controller_address).collect(),
-        size: consts::SEATS as usize,
-        addr: plan::controller_address(controller),
-    };
-    let disk = &mut world.controllers[controller].disk;
-    let bare = simulated_disk::bare(disk);
-    let (roll, clear) = voter_file::begin(simulated_disk::roll(disk), &start, bare, seed);
-    simulated_disk::put_roll(disk, &roll, clear);
-    let found = simulated_disk::start(disk);
-    let list = found
-        .into_iter()
-        .map(|(part, found)| match found {
-            grebepath_core::storage::reader::Found::Good { copy, .. } => {
-                (part, ReplicaCondition::Voting, copy, 0)
+    /// Lets `span` pass.
+    pub fn run(&mut self, span: Span) {
+        let end = self.now + span;
+        while let Some(entry) = self.queue.first_entry() {
+            let at = entry.key().0;
+            if at > end {
+                break;
             }
-            _ => (
-                part,
-                ReplicaCondition::Empty,
-                grebepath_core::storage::record::ReplicaState::default(),
-                0,
-            ),
-        })
-        .collect();
-    let node = &mut world.controllers[controller];
-    node.life += 1;
-    (node.up, node.began) = (true, world.now);
-    let zone = plan::name(plan::controller_zone(controller as VoterSlot));
-    node.state = st::core(roll, (&start.addr, &zone), list, seed, BOOT);
-    let life = node.life;
-    push(world, start_delay(seed), ScheduledEvent::ControllerTimer { controller, life });
-}
+            let event = entry.remove();
+            self.now = self.now.max(at);
+            self.handle(event);
+        }
+        self.now = end;
+    }
 
-fn start_delay(seed: u64) -> Span {
-    seed % cstep::WAKE
-}
+    /// Lets time pass until `done`, at most `span`; the time it took.
+    pub fn until(&mut self, span: Span, done: impl Fn(&World) -> bool) -> Option<Span> {
+        let begin = self.now;
+        while self.now < begin + span {
+            if done(self) {
+                return Some(self.now - begin);
+            }
+            self.run(10 * MILLI);
+        }
+        done(self).then_some(self.now - begin)
+    }
 
-/// Ends a controller at once; its system writes what it was given.
-pub fn kill_controller(world: &mut World, controller: usize) {
-    let node = &mut world.controllers[controller];
-    node.up = false;
-    for (part, token) in simulated_disk::waiting(&node.disk) {
-        simulated_disk::done(&mut node.disk, part, token);
+    /// The revision of a part that the seats show.
+    pub fn committed_revision_of(&self, part: usize) -> u64 {
+        self.controllers
+            .iter()
+            .filter(|controller| controller.up)
+            .map(|controller| controller.state.partitions[part].committed_revision)
+            .max()
+            .unwrap_or(0)
     }
-    for token in simulated_disk::rolls(&node.disk) {
-        simulated_disk::kept(&mut node.disk, token);
+
+    /// Whether every front that is up obeys the newest configuration, knows every
+    /// leaf, is ready, and has its settled place in the same membership, and every
+    /// controller shows as much. Ages of leafs may still be under way.
+    pub fn whole(&self) -> bool {
+        let up = self.queriers.iter().filter(|querier| querier.up);
+        let (revision, count) = (self.committed_revision_of(0), up.clone().count());
+        let shows = |controller: &ControllerNode| {
+            let leafs: usize =
+                controller.state.partitions[1..].iter().map(|p| p.committed.len()).sum();
+            controller.up
+                && controller.state.partitions[0].committed_revision == revision
+                && leafs == self.leafs.len()
+        };
+        let whole = |querier: &QuerierNode| {
+            let c = &querier.watch.membership;
+            let view = querier.watch.view.as_ref();
+            querier.ready
+                && c.settled == c.turn
+                && c.members.len() == count
+                && view.is_some_and(|v| v.revision == revision && v.leafs.len() == self.leafs.len())
+        };
+        revision > 0 && self.controllers.iter().all(shows) && up.clone().all(whole)
     }
 }
 
+fn start_delay(seed: u64) -> Span {
+    seed % cstep::WAKE
+}
+
 /// A front's connection to a seat, in one of its lives.
 pub fn connection(querier: usize, life: u64) -> u64 {
     ((querier as u64) << 32) | life
@@ -269,84 +353,3 @@
 pub fn controller_connection(controller: usize, life: u64) -> u64 {
     1 << 63 | (controller as u64) << 32 | life
 }
-
-/// Lets something happen after a while.
-pub fn push(world: &mut World, after: Span, event: ScheduledEvent) {
-    let at = world.now + after;
-    push_at(world, at, event);
-}
-
-/// Lets something happen at a time.
-pub fn push_at(world: &mut World, at: Tick, event: ScheduledEvent) {
-    world.next += 1;
-    world.queue.insert((at, world.next), event);
-}
-
-/// When a message sent now arrives: those of one connection keep their order.
-pub fn arrival(world: &mut World, from: (usize, usize), to: (usize, usize)) -> Tick {
-    let at = world.now + plan::way(from.1, to.1, &mut world.random);
-    let last = world.last.entry((from.0, to.0)).or_insert(0);
-    *last = at.max(*last + 1);
-    *last
-}
-
-/// Lets `span` pass.
-pub fn run(world: &mut World, span: Span) {
-    let end = world.now + span;
-    while let Some(entry) = world.queue.first_entry() {
-        let at = entry.key().0;
-        if at > end {
-            break;
-        }
-        let event = entry.remove();
-        world.now = world.now.max(at);
-        crate::scale_model::does::handle(world, event);
-    }
-    world.now = end;
-}
-
-/// Lets time pass until `done`, at most `span`; the time it took.
-pub fn until(world: &mut World, span: Span, done: impl Fn(&World) -> bool) -> Option<Span> {
-    let begin = world.now;
-    while world.now < begin + span {
-        if done(world) {
-            return Some(world.now - begin);
-        }
-        run(world, 10 * MILLI);
-    }
-    done(world).then_some(world.now - begin)
-}
-
-/// The revision of a part that the seats show.
-pub fn committed_revision_of(world: &World, part: usize) -> u64 {
-    world
-        .controllers
-        .iter()
-        .filter(|controller| controller.up)
-        .map(|controller| controller.state.partitions[part].committed_revision)
-        .max()
-        .unwrap_or(0)
-}
-
-/// Whether every front that is up obeys the newest configuration, knows every
-/// leaf, is ready, and has its settled place in the same membership, and every
-/// controller shows as much. Ages of leafs may still be under way.
-pub fn whole(world: &World) -> bool {
-    let up = world.queriers.iter().filter(|querier| querier.up);
-    let (revision, count) = (committed_revision_of(world, 0), up.clone().count());
-    let shows = |controller: &ControllerNode| {
-        let leafs: usize = controller.state.partitions[1..].iter().map(|p| p.committed.len()).sum();
-        controller.up
-            && controller.state.partitions[0].committed_revision == revision
-            && leafs == world.leafs.len()
-    };
-    let whole = |querier: &QuerierNode| {
-        let c = &querier.watch.membership;
-        let view = querier.watch.view.as_ref();
-        querier.ready
-            && c.settled == c.turn
-            && c.members.len() == count
-            && view.is_some_and(|v| v.revision == revision && v.leafs.len() == world.leafs.len())
-    };
-    revision > 0 && world.controllers.iter().all(shows) && up.clone().all(whole)
-}
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -1,14 +1,15 @@
 //! Applies the steps of a scenario to the world.
 
+use grebepath_core::time::{SECOND, ms};
+use serde_json::Value;
+
 use super::ScheduledFault;
 use super::values::{disk_health, leaf_mode, list_mode, named_nodes};
 use crate::mock_backends;
 use crate::mock_backends::{Alive, ListMode, Mode};
-use crate::net::{Node, cut};
+use crate::net::Node;
 use crate::simulated_disk::Health;
 use crate::world::{self, FollowUp, World};
-use grebepath_core::time::{SECOND, ms};
-use serde_json::Value;
 
 impl World {
     /// A trouble befalls the world.
@@ -20,7 +21,7 @@
             "kill-seat" => {
                 self.kill_controller(which, parameters["power"].as_bool().unwrap_or(false));
                 if parameters["lose"].as_bool().unwrap_or(false) {
-                    crate::simulated_disk::lose(&mut self.controllers[which].disk);
+                    self.controllers[which].disk.lose();
                     self.lost_disks += 1;
                 }
                 if let Some(span) = duration {
@@ -66,7 +67,7 @@
             "flip" => {
                 let mut random =
                     grebepath_core::random::luck(grebepath_core::random::draw(&mut self.random));
-                crate::simulated_disk::flip(&mut self.controllers[which].disk, &mut random);
+                self.controllers[which].disk.flip(&mut random);
             }
             "cut" => self.partition_network(parameters),
             "heal" => {
@@ -125,7 +126,7 @@
         }
         for controller in lose {
             if let Some(n) = self.controllers.get_mut(controller) {
-                crate::simulated_disk::lose(&mut n.disk);
+                n.disk.lose();
                 self.lost_disks += 1;
             }
         }
@@ -157,10 +158,10 @@
         for i in 0..parameters["count"].as_u64().unwrap_or(1) as usize {
             let zone =
                 parameters["zone"].as_str().unwrap_or(mock_backends::ZONES[i % 3]).to_string();
-            let addr = mock_backends::address(&self.backends);
-            mock_backends::begin(&mut self.backends, service.clone(), &zone, addr, now);
+            let addr = self.backends.address();
+            self.backends.begin(service.clone(), &zone, addr, now);
         }
-        mock_backends::changed(&mut self.backends, now);
+        self.backends.changed(now);
     }
 
     /// All troubles end: from now on the fleet has 12 s to be whole again.
@@ -217,7 +218,7 @@
                 if parameters["one_way"].as_bool().unwrap_or(false) {
                     self.net.cuts.insert((*x, *y));
                 } else {
-                    cut(&mut self.net, *x, *y);
+                    self.net.cut(*x, *y);
                 }
             }
         }
@@ -255,12 +256,12 @@
                         service = known.map_or(service, |leaf| leaf.service.clone());
                         service.name = by.to_string();
                     }
-                    mock_backends::begin(&mut self.backends, service, &zone, addr, now);
+                    self.backends.begin(service, &zone, addr, now);
                 }
                 _ => {}
             }
         }
-        mock_backends::changed(&mut self.backends, now);
+        self.backends.changed(now);
     }
 
     pub(super) fn selected_leafs(&self, parameters: &Value) -> Vec<String> {
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -55,272 +55,278 @@
     line: Vec<(PartitionId, u64, Job)>,
 }
 
-/// An empty disk.
-pub fn disk(parts: usize) -> Disk {
-    Disk {
-        parts: vec![Files::default(); parts],
-        health: Health::Good,
-        roll: None,
-        rolls: Vec::new(),
-        busy: 0,
-        line: Vec::new(),
+impl Disk {
+    /// An empty disk.
+    pub fn new(parts: usize) -> Self {
+        Disk {
+            parts: vec![Files::default(); parts],
+            health: Health::Good,
+            roll: None,
+            rolls: Vec::new(),
+            busy: 0,
+            line: Vec::new(),
+        }
     }
-}
 
-/// Puts a job in line; gives the time at which it will be done, or `None`
-/// while the disk stalls.
-pub fn begin(
-    d: &mut Disk,
-    now: Tick,
-    part: PartitionId,
-    token: u64,
-    job: Job,
-    random: &mut Random,
-) -> Option<Tick> {
-    let took = ms(1)
-        + below(random, ms(3))
-        + match d.health {
-            Health::Slow(more) => more,
-            _ => 0,
-        };
-    d.line.push((part, token, job));
-    if d.health == Health::Stalled {
-        return None;
+    /// Puts a job in line; gives the time at which it will be done, or `None`
+    /// while the disk stalls.
+    pub fn begin(
+        &mut self,
+        now: Tick,
+        part: PartitionId,
+        token: u64,
+        job: Job,
+        random: &mut Random,
+    ) -> Option<Tick> {
+        let took = ms(1)
+            + below(random, ms(3))
+            + match self.health {
+                Health::Slow(more) => more,
+                _ => 0,
+            };
+        self.line.push((part, token, job));
+        if self.health == Health::Stalled {
+            return None;
+        }
+        self.busy = self.busy.max(now) + took;
+        Some(self.busy)
     }
-    d.busy = d.busy.max(now) + took;
-    Some(d.busy)
-}
 
-/// Puts a roll in line, as `begin` does with what belongs to a part.
-pub fn keep(
-    d: &mut Disk,
-    now: Tick,
-    token: u64,
-    roll: VoterFile,
-    clear: bool,
-    random: &mut Random,
-) -> Option<Tick> {
-    d.rolls.push((token, roll, clear));
-    let slow = if let Health::Slow(more) = d.health { more } else { 0 };
-    let took = ms(1) + below(random, ms(3)) + slow;
-    if d.health == Health::Stalled {
-        return None;
+    /// Puts a roll in line, as `begin` does with what belongs to a part.
+    pub fn keep(
+        &mut self,
+        now: Tick,
+        token: u64,
+        roll: VoterFile,
+        clear: bool,
+        random: &mut Random,
+    ) -> Option<Tick> {
+        self.rolls.push((token, roll, clear));
+        let slow = if let Health::Slow(more) = self.health { more } else { 0 };
+        let took = ms(1) + below(random, ms(3)) + slow;
+        if self.health == Health::Stalled {
+            return None;
+        }
+        self.busy = self.busy.max(now) + took;
+        Some(self.busy)
     }
-    d.busy = d.busy.max(now) + took;
-    Some(d.busy)
-}
 
-/// A roll is kept, or could not be.
-pub fn kept(d: &mut Disk, token: u64) -> Option<Result<(), String>> {
-    let at = d.rolls.iter().position(|(t, _, _)| *t == token)?;
-    let (_, roll, clear) = d.rolls.remove(at);
-    if d.health == Health::Full {
-        return Some(Err("no space left on device".into()));
-    }
-    if clear {
-        set_aside(d);
+    /// A roll is kept, or could not be.
+    pub fn kept(&mut self, token: u64) -> Option<Result<(), String>> {
+        let at = self.rolls.iter().position(|(t, _, _)| *t == token)?;
+        let (_, roll, clear) = self.rolls.remove(at);
+        if self.health == Health::Full {
+            return Some(Err("no space left on device".into()));
+        }
+        if clear {
+            self.set_aside();
+        }
+        self.roll = Some(voter_file::write(&roll));
+        Some(Ok(()))
     }
-    d.roll = Some(voter_file::write(&roll));
-    Some(Ok(()))
-}
 
-/// Rolls that remain in line when a stall ends, oldest first.
-pub fn rolls(d: &Disk) -> Vec<u64> {
-    d.rolls.iter().map(|(t, _, _)| *t).collect()
-}
+    /// Rolls that remain in line when a stall ends, oldest first.
+    pub fn rolls(&self) -> Vec<u64> {
+        self.rolls.iter().map(|(t, _, _)| *t).collect()
+    }
 
-/// The roll as a start finds it; what was not kept is forgotten.
-pub fn roll(d: &mut Disk) -> Option<VoterFile> {
-    d.rolls.clear();
-    voter_file::read(d.roll.as_deref()?)
-}
+    /// The roll as a start finds it; what was not kept is forgotten.
+    pub fn roll(&mut self) -> Option<VoterFile> {
+        self.rolls.clear();
+        voter_file::read(self.roll.as_deref()?)
+    }
 
-/// Writes the roll of a start, which waits for it.
-pub fn put_roll(d: &mut Disk, roll: &VoterFile, clear: bool) {
-    if clear {
-        set_aside(d);
+    /// Writes the roll of a start, which waits for it.
+    pub fn put_roll(&mut self, roll: &VoterFile, clear: bool) {
+        if clear {
+            self.set_aside();
+        }
+        self.roll = Some(voter_file::write(roll));
     }
-    d.roll = Some(voter_file::write(roll));
-}
 
-fn set_aside(d: &mut Disk) {
-    for f in &mut d.parts {
-        *f = Files { aside: f.aside || f.seq > 0, ..Files::default() };
+    fn set_aside(&mut self) {
+        for f in &mut self.parts {
+            *f = Files { aside: f.aside || f.seq > 0, ..Files::default() };
+        }
     }
-}
 
-/// Whether no part has any files.
-pub fn bare(d: &Disk) -> bool {
-    d.parts.iter().all(|f| f.slots.iter().all(Option::is_none) && f.log.is_none())
-}
+    /// Whether no part has any files.
+    pub fn bare(&self) -> bool {
+        self.parts.iter().all(|f| f.slots.iter().all(Option::is_none) && f.log.is_none())
+    }
 
-/// What remains in line when a stall ends, oldest first.
-pub fn waiting(d: &Disk) -> Vec<(PartitionId, u64)> {
-    d.line.iter().map(|(p, t, _)| (*p, *t)).collect()
-}
+    /// What remains in line when a stall ends, oldest first.
+    pub fn waiting(&self) -> Vec<(PartitionId, u64)> {
+        self.line.iter().map(|(p, t, _)| (*p, *t)).collect()
+    }
 
-/// A job is done: it lasts now, or it failed.
-pub fn done(d: &mut Disk, part: PartitionId, token: u64) -> Option<Result<(), String>> {
-    let at = d.line.iter().position(|(p, t, _)| *p == part && *t == token)?;
-    let (_, _, job) = d.line.remove(at);
-    let full = d.health == Health::Full;
-    let files = &mut d.parts[part.0 as usize];
-    if full {
-        files.open = false;
-        return Some(Err("no space left on device".into()));
+    /// A job is done: it lasts now, or it failed.
+    pub fn done(&mut self, part: PartitionId, token: u64) -> Option<Result<(), String>> {
+        let at = self.line.iter().position(|(p, t, _)| *p == part && *t == token)?;
+        let (_, _, job) = self.line.remove(at);
+        let full = self.health == Health::Full;
+        let files = &mut self.parts[part.0 as usize];
+        if full {
+            files.open = false;
+            return Some(Err("no space left on device".into()));
+        }
+        Some(match job {
+            Job::Append(_) if !files.open => Err("no log is open since the last trouble".into()),
+            Job::Append(rec) => {
+                let raw = writer::rec(files.seq, files.num, &rec);
+                files.log.get_or_insert_default().extend(raw);
+                files.num += 1;
+                Ok(())
+            }
+            Job::Slot(copy) => {
+                files.seq += 1;
+                let raw = writer::slot(part.0, files.seq, &copy);
+                files.slots[(files.seq % 2) as usize] = Some(raw);
+                files.log = Some(writer::log_head(part.0, files.seq));
+                files.num = 0;
+                files.open = true;
+                Ok(())
+            }
+        })
     }
-    Some(match job {
-        Job::Append(_) if !files.open => Err("no log is open since the last trouble".into()),
-        Job::Append(rec) => {
-            let raw = writer::rec(files.seq, files.num, &rec);
-            files.log.get_or_insert_default().extend(raw);
-            files.num += 1;
-            Ok(())
+
+    /// Power is lost: what was under way lasts in part, by chance.
+    pub fn power_loss(&mut self, random: &mut Random) {
+        let line = std::mem::take(&mut self.line);
+        // A file that is renamed is there or it is not.
+        for (_, roll, clear) in std::mem::take(&mut self.rolls) {
+            if chance(random, 1, 2) {
+                break;
+            }
+            self.put_roll(&roll, clear);
         }
-        Job::Slot(copy) => {
-            files.seq += 1;
-            let raw = writer::slot(part.0, files.seq, &copy);
-            files.slots[(files.seq % 2) as usize] = Some(raw);
-            files.log = Some(writer::log_head(part.0, files.seq));
-            files.num = 0;
-            files.open = true;
-            Ok(())
+        let mut broken = vec![false; self.parts.len()];
+        for (part, _, job) in line {
+            let at = part.0 as usize;
+            if broken[at] {
+                continue;
+            }
+            broken[at] = !self.parts[at].partly(part, job, random);
         }
-    })
-}
-
-/// Power is lost: what was under way lasts in part, by chance.
-pub fn power_loss(d: &mut Disk, random: &mut Random) {
-    let line = std::mem::take(&mut d.line);
-    // A file that is renamed is there or it is not.
-    for (_, roll, clear) in std::mem::take(&mut d.rolls) {
-        if chance(random, 1, 2) {
-            break;
+        self.busy = 0;
+        for f in &mut self.parts {
+            f.open = false;
         }
-        put_roll(d, &roll, clear);
     }
-    let mut broken = vec![false; d.parts.len()];
-    for (part, _, job) in line {
-        let at = part.0 as usize;
-        if broken[at] {
-            continue;
-        }
-        broken[at] = !partly(&mut d.parts[at], part, job, random);
+
+    /// The machine is replaced by one with an empty disk.
+    pub fn lose(&mut self) {
+        *self = Disk::new(self.parts.len());
     }
-    d.busy = 0;
-    for f in &mut d.parts {
-        f.open = false;
+
+    /// Flips one bit of what lies on the disk; false if nothing lies there.
+    pub fn flip(&mut self, random: &mut Random) -> bool {
+        let at = below(random, self.parts.len() as u64) as usize;
+        let f = &mut self.parts[at];
+        let newest = (f.seq % 2) as usize;
+        let raw = match (&mut f.slots[newest], &mut f.log) {
+            (_, Some(log)) if chance(random, 1, 2) && log.len() > 40 => log,
+            (Some(slot), _) => slot,
+            _ => return false,
+        };
+        let i = below(random, raw.len() as u64) as usize;
+        raw[i] ^= 1 << below(random, 8);
+        true
     }
-}
 
-/// Lets a job take effect in part; true if all of it lasts.
-fn partly(f: &mut Files, part: PartitionId, job: Job, random: &mut Random) -> bool {
-    let whole = chance(random, 1, 3);
-    match job {
-        Job::Append(_) if !f.open => false,
-        Job::Append(rec) => {
-            let mut raw = writer::rec(f.seq, f.num, &rec);
-            if !whole {
-                let keep = below(random, raw.len() as u64) as usize;
-                if chance(random, 1, 2) {
-                    // The file's length came through, its bytes did not.
-                    raw[keep..].fill(0);
-                } else {
-                    raw.truncate(keep);
-                }
+    /// Reads the disk as a start does; a slot of this life comes first.
+    pub fn start(&mut self) -> Vec<(PartitionId, Found)> {
+        self.line.clear();
+        self.busy = 0;
+        let full = self.health == Health::Full;
+        let mut out = Vec::new();
+        for (i, f) in self.parts.iter_mut().enumerate() {
+            let part = PartitionId(i as u32);
+            let slots = [f.slots[0].as_deref(), f.slots[1].as_deref()];
+            let mut found = read(part.0, slots, f.log.as_deref());
+            if found == Found::Empty && f.aside {
+                found = Found::Damaged("set aside earlier".into());
             }
-            f.log.get_or_insert_default().extend(raw);
-            f.num += 1;
-            whole
-        }
-        Job::Slot(copy) => {
-            let seq = f.seq + 1;
-            let mut raw = writer::slot(part.0, seq, &copy);
-            let torn = chance(random, 1, 2);
-            if torn {
-                raw.truncate(below(random, raw.len() as u64) as usize);
-            }
-            f.slots[(seq % 2) as usize] = Some(raw);
-            if !torn {
-                f.seq = seq;
-                if whole {
-                    f.log = Some(writer::log_head(part.0, seq));
-                    f.num = 0;
-                    return true;
+            match &found {
+                Found::Empty => *f = Files { aside: f.aside, ..Files::default() },
+                Found::Damaged(_) => *f = Files { aside: true, ..Files::default() },
+                Found::Good { copy, seq, .. } => {
+                    f.seq = *seq;
+                    f.open = false;
+                    if !full {
+                        f.seq += 1;
+                        f.slots[(f.seq % 2) as usize] = Some(writer::slot(part.0, f.seq, copy));
+                        f.log = Some(writer::log_head(part.0, f.seq));
+                        f.num = 0;
+                        f.open = true;
+                    }
                 }
             }
-            false
+            out.push((part, found));
         }
+        out
     }
-}
 
-/// The machine is replaced by one with an empty disk.
-pub fn lose(d: &mut Disk) {
-    *d = disk(d.parts.len());
-}
-
-/// Flips one bit of what lies on the disk; false if nothing lies there.
-pub fn flip(d: &mut Disk, random: &mut Random) -> bool {
-    let at = below(random, d.parts.len() as u64) as usize;
-    let f = &mut d.parts[at];
-    let newest = (f.seq % 2) as usize;
-    let raw = match (&mut f.slots[newest], &mut f.log) {
-        (_, Some(log)) if chance(random, 1, 2) && log.len() > 40 => log,
-        (Some(slot), _) => slot,
-        _ => return false,
-    };
-    let i = below(random, raw.len() as u64) as usize;
-    raw[i] ^= 1 << below(random, 8);
-    true
-}
-
-/// Reads the disk as a start does; a slot of this life comes first.
-pub fn start(d: &mut Disk) -> Vec<(PartitionId, Found)> {
-    d.line.clear();
-    d.busy = 0;
-    let full = d.health == Health::Full;
-    let mut out = Vec::new();
-    for (i, f) in d.parts.iter_mut().enumerate() {
-        let part = PartitionId(i as u32);
-        let slots = [f.slots[0].as_deref(), f.slots[1].as_deref()];
-        let mut found = read(part.0, slots, f.log.as_deref());
-        if found == Found::Empty && f.aside {
-            found = Found::Damaged("set aside earlier".into());
+    /// Reads a part's files again, as a running controller does.
+    pub fn look(&self, part: PartitionId) -> Option<String> {
+        let f = &self.parts[part.0 as usize];
+        // What is under way behind this look may have begun to take effect.
+        if !f.open || self.line.iter().any(|(p, _, _)| *p == part) {
+            return None;
         }
-        match &found {
-            Found::Empty => *f = Files { aside: f.aside, ..Files::default() },
-            Found::Damaged(_) => *f = Files { aside: true, ..Files::default() },
-            Found::Good { copy, seq, .. } => {
-                f.seq = *seq;
-                f.open = false;
-                if !full {
-                    f.seq += 1;
-                    f.slots[(f.seq % 2) as usize] = Some(writer::slot(part.0, f.seq, copy));
-                    f.log = Some(writer::log_head(part.0, f.seq));
-                    f.num = 0;
-                    f.open = true;
-                }
+        let slots = [f.slots[0].as_deref(), f.slots[1].as_deref()];
+        match read(part.0, slots, f.log.as_deref()) {
+            Found::Good { seq, records, torn, .. }
+                if (seq, records, torn) == (f.seq, f.num, false) =>
+            {
+                None
             }
+            Found::Good { .. } => Some("what was written last is not there".into()),
+            Found::Empty => Some("the files are gone".into()),
+            Found::Damaged(why) => Some(why),
         }
-        out.push((part, found));
     }
-    out
 }
 
-/// Reads a part's files again, as a running controller does.
-pub fn look(d: &Disk, part: PartitionId) -> Option<String> {
-    let f = &d.parts[part.0 as usize];
-    // What is under way behind this look may have begun to take effect.
-    if !f.open || d.line.iter().any(|(p, _, _)| *p == part) {
-        return None;
-    }
-    let slots = [f.slots[0].as_deref(), f.slots[1].as_deref()];
-    match read(part.0, slots, f.log.as_deref()) {
-        Found::Good { seq, records, torn, .. } if (seq, records, torn) == (f.seq, f.num, false) => {
-            None
+impl Files {
+    /// Lets a job take effect in part; true if all of it lasts.
+    fn partly(&mut self, part: PartitionId, job: Job, random: &mut Random) -> bool {
+        let whole = chance(random, 1, 3);
+        match job {
+            Job::Append(_) if !self.open => false,
+            Job::Append(rec) => {
+                let mut raw = writer::rec(self.seq, self.num, &rec);
+                if !whole {
+                    let keep = below(random, raw.len() as u64) as usize;
+                    if chance(random, 1, 2) {
+                        // The file's length came through, its bytes did not.
+                        raw[keep..].fill(0);
+                    } else {
+                        raw.truncate(keep);
+                    }
+                }
+                self.log.get_or_insert_default().extend(raw);
+                self.num += 1;
+                whole
+            }
+            Job::Slot(copy) => {
+                let seq = self.seq + 1;
+                let mut raw = writer::slot(part.0, seq, &copy);
+                let torn = chance(random, 1, 2);
+                if torn {
+                    raw.truncate(below(random, raw.len() as u64) as usize);
+                }
+                self.slots[(seq % 2) as usize] = Some(raw);
+                if !torn {
+                    self.seq = seq;
+                    if whole {
+                        self.log = Some(writer::log_head(part.0, seq));
+                        self.num = 0;
+                        return true;
+                    }
+                }
+                false
+            }
         }
-        Found::Good { .. } => Some("what was written last is not there".into()),
-        Found::Empty => Some("the files are gone".into()),
-        Found::Damaged(why) => Some(why),
     }
 }
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -11,8 +11,7 @@
 use super::injected_faults::FaultInjection;
 use super::nodes::QuerierNode;
 use super::{BEGIN, THREADS, World};
-use crate::mock_backends;
-use crate::mock_backends::ZONES;
+use crate::mock_backends::{MockBackends, ZONES};
 use crate::net::Net;
 use crate::rules::Rules;
 use crate::spec::Spec;
@@ -42,7 +41,7 @@
             control_plane,
             opened_connections: BTreeSet::new(),
             queriers: Vec::new(),
-            backends: mock_backends::backs(spec, BEGIN),
+            backends: MockBackends::new(spec, BEGIN),
             call_kinds: spec.kinds.clone(),
             factor: 1.0,
             ready_queriers: Vec::new(),
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -53,7 +53,7 @@
         };
         if list.is_empty() {
             let name = self.call_kinds[kind].search.clone();
-            rules::ends(&mut self.rules, self.now - BEGIN, self.now - BEGIN, &name, false);
+            self.rules.ends(self.now - BEGIN, self.now - BEGIN, &name, false);
             self.tally(kind).unreachable += 1;
             return;
         }
@@ -140,7 +140,7 @@
         let written = caller::write(&outcome);
         let kind = self.call_kinds[call.kind].clone();
         let full = matches!(&outcome, Outcome::Full(f) if f.missing == 0);
-        rules::ends(&mut self.rules, call.began - BEGIN, now, &kind.search, full);
+        self.rules.ends(call.began - BEGIN, now, &kind.search, full);
         match outcome {
             Outcome::Passed(_) | Outcome::Joined(_) => {}
             Outcome::Rejection(rejection) => {
@@ -160,16 +160,15 @@
                 let (bad, services) =
                     success(&kind, &call.asked, missing.as_deref(), &written.body);
                 for text in bad {
-                    rules::violated(
-                        &mut self.rules,
+                    self.rules.violated(
                         now,
                         rules::rule_of(&text),
                         format!("{}: {text}", full.query),
                     );
                 }
-                rules::claims(&mut self.rules, now, &full.query, &services, &call.asked.question);
+                self.rules.claims(now, &full.query, &services, &call.asked.question);
                 let who = self.queriers[call.querier].name.clone();
-                rules::obeys(&mut self.rules, now, call.began - BEGIN, full.revision, &who);
+                self.rules.obeys(now, call.began - BEGIN, full.revision, &who);
             }
         }
     }
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -18,10 +18,8 @@
 use super::nodes::{ControllerNode, Stopping, has_voter_slot};
 use super::{BEGIN, World};
 use crate::mock_backends::ZONES;
-use crate::net::{Node, send, weigh};
-use crate::rules;
-use crate::simulated_disk;
-use crate::simulated_disk::{Health, Job};
+use crate::net::Node;
+use crate::simulated_disk::{Disk, Health, Job};
 
 /// From the wish that a controller stops to its end by force.
 const STOP_GRACE: Span = 6 * SECOND;
@@ -30,7 +28,7 @@
     /// One more machine for a controller, with an empty disk; gives its number.
     pub fn add_controller(&mut self, zone: Option<&str>) -> usize {
         let controller = self.controllers.len();
-        let disk = simulated_disk::disk(partitions().count());
+        let disk = Disk::new(partitions().count());
         let state = st::core(Default::default(), ("", ""), Vec::new(), 0, 1);
         let zone = zone.unwrap_or(ZONES[controller % ZONES.len()]).to_string();
         self.controllers.push(ControllerNode {
@@ -62,10 +60,10 @@
             addr: address(controller),
         };
         let disk = &mut self.controllers[controller].disk;
-        let bare = simulated_disk::bare(disk);
-        let (roll, clear) = voter_file::begin(simulated_disk::roll(disk), &start, bare, seed);
-        simulated_disk::put_roll(disk, &roll, clear);
-        let found = simulated_disk::start(disk);
+        let bare = disk.bare();
+        let (roll, clear) = voter_file::begin(disk.roll(), &start, bare, seed);
+        disk.put_roll(&roll, clear);
+        let found = disk.start();
         let votes_after_loss =
             self.faulty_variant == Some(FaultyVariant::VotesAfterDiskLoss) && bare && !start.first;
         let list = found
@@ -168,14 +166,14 @@
         self.controllers[controller].life += 1;
         if power {
             let mut random = luck(draw(&mut self.random));
-            simulated_disk::power_loss(&mut self.controllers[controller].disk, &mut random);
+            self.controllers[controller].disk.power_loss(&mut random);
         } else {
             // What was handed to the system is written whether we live or not.
-            for (part, token) in simulated_disk::waiting(&self.controllers[controller].disk) {
-                simulated_disk::done(&mut self.controllers[controller].disk, part, token);
+            for (part, token) in self.controllers[controller].disk.waiting() {
+                self.controllers[controller].disk.done(part, token);
             }
-            for token in simulated_disk::rolls(&self.controllers[controller].disk) {
-                simulated_disk::kept(&mut self.controllers[controller].disk, token);
+            for token in self.controllers[controller].disk.rolls() {
+                self.controllers[controller].disk.kept(token);
             }
         }
     }
@@ -240,8 +238,7 @@
             // Wires are not played; who is new tells its table when it is heard.
             grebepath_core::command::Command::VoterSetChanged => {}
             grebepath_core::command::Command::WriteVoterFile { token, roll, clear } => {
-                let at = simulated_disk::keep(
-                    &mut self.controllers[controller].disk,
+                let at = self.controllers[controller].disk.keep(
                     self.now,
                     token,
                     roll,
@@ -255,13 +252,12 @@
             grebepath_core::command::Command::ToConnection { connection, message }
                 if connection >> 63 == 1 =>
             {
-                weigh(&mut self.net, "seat-seat", &message);
+                self.net.weigh("seat-seat", &message);
                 let (to, tolife) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
                 let ends = (Node::Controller(controller as u8), Node::Controller(to as u8));
                 let zones =
                     (self.controllers[controller].zone.clone(), self.controllers[to].zone.clone());
-                let at = send(
-                    &mut self.net,
+                let at = self.net.send(
                     self.now,
                     (ends.0, &zones.0),
                     (ends.1, &zones.1),
@@ -276,12 +272,12 @@
                 }
             }
             grebepath_core::command::Command::ToConnection { connection, message } => {
-                weigh(&mut self.net, "seat-querier", &message);
+                self.net.weigh("seat-querier", &message);
                 let (querier, qlife) = ((connection >> 32) as usize, connection & 0xffff_ffff);
                 let to = (Node::Querier(querier), self.queriers[querier].zone.clone());
                 let zone = self.controllers[controller].zone.clone();
                 let from = (Node::Controller(controller as u8), zone.as_str());
-                let at = send(&mut self.net, self.now, from, (to.0, &to.1), &mut self.random);
+                let at = self.net.send(self.now, from, (to.0, &to.1), &mut self.random);
                 if let Some(at) = at {
                     let holder = self.controllers[controller].state.seating.roll.me;
                     self.push_at(
@@ -300,7 +296,7 @@
                 if self.controllers[controller].disk.health != Health::Stalled
                     && self.faulty_variant != Some(FaultyVariant::NoScrub)
                 {
-                    let trouble = simulated_disk::look(&self.controllers[controller].disk, part);
+                    let trouble = self.controllers[controller].disk.look(part);
                     self.push(
                         ms(3),
                         ScheduledEvent::ControllerEvent {
@@ -322,9 +318,8 @@
                 );
             }
             grebepath_core::command::Command::Alarm(text) => {
-                rules::tell(&mut self.rules, self.now - BEGIN, || {
-                    format!("seat {controller} (life {life}): {text}")
-                });
+                self.rules
+                    .tell(self.now - BEGIN, || format!("seat {controller} (life {life}): {text}"));
                 *self.alarms.entry(text).or_default() += 1;
             }
         }
@@ -332,11 +327,10 @@
 
     /// A controller sends to another's machine, as who it is just now.
     fn send_to_controller(&mut self, controller: usize, to: usize, message: Message) {
-        weigh(&mut self.net, "seat-seat", &message);
+        self.net.weigh("seat-seat", &message);
         let ends = (Node::Controller(controller as u8), Node::Controller(to as u8));
         let zones = (self.controllers[controller].zone.clone(), self.controllers[to].zone.clone());
-        let at =
-            send(&mut self.net, self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
+        let at = self.net.send(self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
         let Some(at) = at else { return };
         let node = &self.controllers[controller];
         let connection = controller_connection(controller, node.life);
@@ -362,14 +356,8 @@
         job: Job,
     ) {
         let life = self.controllers[controller].life;
-        let at = simulated_disk::begin(
-            &mut self.controllers[controller].disk,
-            self.now,
-            part,
-            token,
-            job,
-            &mut self.random,
-        );
+        let at =
+            self.controllers[controller].disk.begin(self.now, part, token, job, &mut self.random);
         if let Some(at) = at {
             self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, part, token });
         }
@@ -391,14 +379,14 @@
         if was == Health::Stalled && health != Health::Stalled {
             let life = self.controllers[controller].life;
             for (i, (part, token)) in
-                simulated_disk::waiting(&self.controllers[controller].disk).into_iter().enumerate()
+                self.controllers[controller].disk.waiting().into_iter().enumerate()
             {
                 self.push(
                     ms(2 + i as u64),
                     ScheduledEvent::DiskJobDone { controller, life, part, token },
                 );
             }
-            for token in simulated_disk::rolls(&self.controllers[controller].disk) {
+            for token in self.controllers[controller].disk.rolls() {
                 self.push(ms(2), ScheduledEvent::VoterFileDone { controller, life, token });
             }
         }
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -8,7 +8,6 @@
 
 use super::events::{FollowUp, ScheduledEvent};
 use super::{BEGIN, World};
-use crate::simulated_disk;
 
 /// How long a delayed message stays behind: longer than an election, so that a
 /// whole leadership passes in between.
@@ -151,7 +150,7 @@
             !matches!(fault, Fault::Gone) && self.controllers[controller].stopping.is_none();
         self.kill_controller(controller, !matches!(fault, Fault::Kill));
         if fault == Fault::DiskLost {
-            simulated_disk::lose(&mut self.controllers[controller].disk);
+            self.controllers[controller].disk.lose();
             self.lost_disks += 1;
         }
         self.injected.losses += usize::from(fault == Fault::DiskLost || !restarts);
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -14,7 +14,6 @@
 use crate::mock_backends;
 use crate::mock_backends::Alive;
 use crate::net::latency;
-use crate::rules;
 
 impl World {
     pub(super) fn dispatch(
@@ -23,11 +22,11 @@
         mut sending: Sending,
     ) {
         let now = self.now - BEGIN;
-        rules::tries(&mut self.rules, now, &sending.id, &sending.service);
+        self.rules.tries(now, &sending.id, &sending.service);
         let who = self.queriers[querier].name.clone();
         if let Some(leaf) = self.backends.leafs.get(&sending.leaf) {
             let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
-            rules::sends(&mut self.rules, now, &who, &sending.leaf, &zone, known);
+            self.rules.sends(now, &who, &sending.leaf, &zone, known);
         }
         if self.faulty_variant == Some(FaultyVariant::AltersQuestion) {
             let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
@@ -98,7 +97,7 @@
         let known = self.connections.get(&connection) == Some(&name);
         if !known && self.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
             if misdirected {
-                let raw = mock_backends::turned_away(leaf, now, MISDIRECTED);
+                let raw = leaf.turned_away(now, MISDIRECTED);
                 return self.answer(key, &zone, Ok(raw));
             }
             self.connections.insert(connection, name);
@@ -109,43 +108,36 @@
             );
         }
         let who = &self.queriers[querier].name;
-        rules::arrives(
-            &mut self.rules,
-            now - BEGIN,
-            who,
-            &name,
-            &leaf.service.name,
-            &sending.service,
-        );
+        self.rules.arrives(now - BEGIN, who, &name, &leaf.service.name, &sending.service);
         if misdirected {
-            let raw = mock_backends::turned_away(leaf, now, MISDIRECTED);
+            let raw = leaf.turned_away(now, MISDIRECTED);
             return self.answer(key, &zone, Ok(raw));
         }
         if digest(&sending.body) != sending.digest {
-            let raw = mock_backends::turned_away(leaf, now, 400);
+            let raw = leaf.turned_away(now, 400);
             return self.answer(key, &zone, Ok(raw));
         }
         leaf.live += 1;
-        let bear = mock_backends::bears(leaf, now);
+        let bear = leaf.bears(now);
         leaf.worst_pct = leaf.worst_pct.max(leaf.live * 100 / bear);
         leaf.over += u64::from(leaf.live > bear);
-        let (live, fresh) = (leaf.live, mock_backends::fresh(leaf, now));
+        let (live, fresh) = (leaf.live, leaf.fresh(now));
         if fresh {
-            rules::carries(&mut self.rules, now - BEGIN, &name, live, bear);
+            self.rules.carries(now - BEGIN, &name, live, bear);
         }
         if leaf.mode == mock_backends::Mode::Unrun || live > bear * 3 {
             leaf.live -= 1;
-            let raw = mock_backends::turned_away(leaf, now, 503);
+            let raw = leaf.turned_away(now, 503);
             if leaf.leaving {
                 self.learn(&name);
             }
             return self.answer(key, &zone, Ok(raw));
         }
         leaf.ran += 1;
-        let took = mock_backends::takes(leaf, now, &mut self.random);
+        let took = leaf.takes(now, &mut self.random);
         let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
-        rules::runs(&mut self.rules, now - BEGIN, &name, question);
+        self.rules.runs(now - BEGIN, &name, question);
         self.next += 1;
         let run = self.next;
         self.runs_by_attempt.insert(key, run);
@@ -170,11 +162,11 @@
         if leaf.alive != Alive::Up {
             return;
         }
-        let mut raw = mock_backends::reply(leaf, now, &run.sending);
+        let mut raw = leaf.reply(now, &run.sending);
         let asked: Value = serde_json::from_slice(&run.sending.body).unwrap_or(Value::Null);
         if mock_backends::true_reply(leaf.mode, asked["limit"].as_u64().unwrap_or(0)) {
             let question = asked["question"].as_str().unwrap_or_default();
-            rules::answers(&mut self.rules, &leaf.service.name, &run.sending.id, question);
+            self.rules.answers(&leaf.service.name, &run.sending.id, question);
         }
         if leaf.leaving {
             self.learn(&run.leaf);
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -12,7 +12,6 @@
 use super::events::ScheduledEvent;
 use super::nodes::{OperatorRequest, has_voter_slot};
 use super::{BEGIN, THREADS, World};
-use crate::rules;
 
 impl World {
     /// Sends an operator's order after a while.
@@ -72,9 +71,7 @@
         if let Some((zone, false)) = &self.operator_requests[id].zone {
             self.rules.drained.remove(zone);
         }
-        rules::tell(&mut self.rules, self.now - BEGIN, || {
-            format!("order {id} sent to controller {controller}")
-        });
+        self.rules.tell(self.now - BEGIN, || format!("order {id} sent to controller {controller}"));
         let life = self.controllers[controller].life;
         let event = CoreEvent::Operate {
             op: id as u64,
@@ -95,7 +92,7 @@
             return;
         }
         let now = self.now - BEGIN;
-        rules::tell(&mut self.rules, now, || {
+        self.rules.tell(now, || {
             let text = match &result {
                 OperationResult::Accepted { revision, copies, .. } => {
                     format!("accepted as {revision}, {copies} copies")
@@ -162,12 +159,12 @@
                     if *revision > top {
                         let text =
                             format!("order {id} was accepted as {revision}, the end is {top}");
-                        rules::violated(&mut self.rules, now, 12, text);
+                        self.rules.violated(now, 12, text);
                     } else if let Some(mark) = mark
                         && !conf.zones.contains_key(mark)
                     {
                         let text = format!("order {id} was accepted as {revision} and is lost");
-                        rules::violated(&mut self.rules, now, 12, text);
+                        self.rules.violated(now, 12, text);
                     }
                 }
                 OperationResult::Rejected { .. } => {
@@ -175,14 +172,14 @@
                         && conf.zones.contains_key(mark)
                     {
                         let text = format!("order {id} was said not to be applied, but it is");
-                        rules::violated(&mut self.rules, now, 12, text);
+                        self.rules.violated(now, 12, text);
                     }
                 }
                 _ => {}
             }
         }
         let threads = self.queriers.len() * THREADS as usize;
-        rules::finish(&mut self.rules, now, threads);
+        self.rules.finish(now, threads);
     }
 
     /// Zones that the committed configuration empties.
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -21,8 +21,7 @@
 use super::{BEGIN, THREADS, World};
 use crate::mock_backends;
 use crate::mock_backends::Alive;
-use crate::net::{Node, send, weigh};
-use crate::rules;
+use crate::net::Node;
 
 impl World {
     /// Starts a querier, which knows nothing.
@@ -107,7 +106,7 @@
                 let sum = grebepath_core::replication::leader::sum(
                     &self.queriers[querier].watch.held[&PartitionId(part)].map,
                 );
-                rules::same(&mut self.rules, self.now - BEGIN, part, revision, sum);
+                self.rules.same(self.now - BEGIN, part, revision, sum);
             }
         }
     }
@@ -139,19 +138,14 @@
             wat::Command::ToMember { message: Message::LeafReports { .. }, .. }
                 if self.faulty_variant == Some(FaultyVariant::NoLeafReports) => {}
             wat::Command::ToMember { name, message, .. } => {
-                weigh(&mut self.net, "querier-querier", &message);
+                self.net.weigh("querier-querier", &message);
                 let Some(to) = self.queriers.iter().position(|node| node.name == name) else {
                     return;
                 };
                 let tozone = self.queriers[to].zone.clone();
                 let from = (Node::Querier(querier), zone.as_str());
-                let at = send(
-                    &mut self.net,
-                    self.now,
-                    from,
-                    (Node::Querier(to), &tozone),
-                    &mut self.random,
-                );
+                let at =
+                    self.net.send(self.now, from, (Node::Querier(to), &tozone), &mut self.random);
                 if let Some(at) = at {
                     let event = wat::Event::FromMember {
                         name: self.queriers[querier].name.clone(),
@@ -162,7 +156,7 @@
                 }
             }
             wat::Command::ClusterView(view) => {
-                rules::views(&mut self.rules, self.now - BEGIN, querier, view.revision);
+                self.rules.views(self.now - BEGIN, querier, view.revision);
                 if self.faulty_variant == Some(FaultyVariant::KeepsStaleSnapshot)
                     && querier == 0
                     && view.revision > 1
@@ -260,7 +254,7 @@
                 if !self.queriers[querier].polling {
                     self.queriers[querier].polling = true;
                     let from = (Node::Querier(querier), zone.as_str());
-                    match send(&mut self.net, self.now, from, (Node::List, "a"), &mut self.random) {
+                    match self.net.send(self.now, from, (Node::List, "a"), &mut self.random) {
                         Some(at) => self.push_at(at, ScheduledEvent::ListRequest { querier, life }),
                         None => self.list_timed_out(querier, life),
                     }
@@ -274,7 +268,7 @@
             }
             wat::Command::Alarm(text) => {
                 let name = self.queriers[querier].name.clone();
-                rules::tell(&mut self.rules, self.now - BEGIN, || format!("{name}: {text}"));
+                self.rules.tell(self.now - BEGIN, || format!("{name}: {text}"));
                 *self.alarms.entry(text).or_default() += 1;
             }
         }
@@ -287,7 +281,7 @@
 
     pub(super) fn answer_list_request(&mut self, querier: usize, life: u64) {
         let now = self.now;
-        let Some(text) = mock_backends::list(&mut self.backends, now) else {
+        let Some(text) = self.backends.list(now) else {
             return self.list_timed_out(querier, life);
         };
         let got = match list::read(text.as_bytes()) {
@@ -301,7 +295,7 @@
         };
         let pair = (Node::List, Node::Querier(querier));
         let zone = self.queriers[querier].zone.clone();
-        match send(&mut self.net, now, (pair.0, "a"), (pair.1, &zone), &mut self.random) {
+        match self.net.send(now, (pair.0, "a"), (pair.1, &zone), &mut self.random) {
             Some(at) => self.push_at(
                 at,
                 ScheduledEvent::NodeAgentEvent { querier, life, event: wat::Event::List(got) },
@@ -420,12 +414,11 @@
     }
 
     fn send_from_querier(&mut self, querier: usize, controller: usize, message: Message) {
-        weigh(&mut self.net, "querier-seat", &message);
+        self.net.weigh("querier-seat", &message);
         let zones =
             (self.queriers[querier].zone.clone(), self.controllers[controller].zone.clone());
         let ends = (Node::Querier(querier), Node::Controller(controller as u8));
-        let at =
-            send(&mut self.net, self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
+        let at = self.net.send(self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
         if let Some(at) = at {
             let connection = ((querier as u64) << 32) | self.queriers[querier].life;
             let life = self.controllers[controller].life;
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -13,8 +13,6 @@
 use super::faulty_variant::FaultyVariant;
 use super::operators::marked;
 use super::{BEGIN, World};
-use crate::rules;
-use crate::simulated_disk;
 use crate::simulated_disk::Health;
 
 impl World {
@@ -86,13 +84,11 @@
                 if self.controllers[controller].disk.health == Health::Stalled {
                     return;
                 }
-                let event =
-                    match simulated_disk::done(&mut self.controllers[controller].disk, part, token)
-                    {
-                        Some(Ok(())) => CoreEvent::Synced { partition: part, token },
-                        Some(Err(why)) => CoreEvent::DiskFailed { partition: part, why },
-                        None => return,
-                    };
+                let event = match self.controllers[controller].disk.done(part, token) {
+                    Some(Ok(())) => CoreEvent::Synced { partition: part, token },
+                    Some(Err(why)) => CoreEvent::DiskFailed { partition: part, why },
+                    None => return,
+                };
                 if self.faulty_variant != Some(FaultyVariant::AcknowledgesBeforeSync)
                     || matches!(event, CoreEvent::DiskFailed { .. })
                 {
@@ -105,7 +101,7 @@
                 if self.controllers[controller].disk.health == Health::Stalled {
                     return;
                 }
-                match simulated_disk::kept(&mut self.controllers[controller].disk, token) {
+                match self.controllers[controller].disk.kept(token) {
                     Some(Ok(())) => {
                         self.step_controller(controller, CoreEvent::VoterFileWritten { token })
                     }
@@ -172,7 +168,7 @@
                 if let Some(c) = self.calls.remove(&call) {
                     let name = self.call_kinds[c.kind].search.clone();
                     let now = self.now - BEGIN;
-                    rules::ends(&mut self.rules, c.began - BEGIN, now, &name, false);
+                    self.rules.ends(c.began - BEGIN, now, &name, false);
                     self.tally(c.kind).timed_out += 1;
                 }
             }
@@ -185,8 +181,8 @@
             ScheduledEvent::OperatorRequest { request } => self.send_operator_request(request),
             ScheduledEvent::Fault { at } => {
                 let fault = self.faults[at].clone();
-                rules::tell(&mut self.rules, self.now - BEGIN, || format!("fault: {fault}"));
-                rules::disturb(&mut self.rules, self.now - BEGIN);
+                self.rules.tell(self.now - BEGIN, || format!("fault: {fault}"));
+                self.rules.disturb(self.now - BEGIN);
                 self.apply_fault(&fault);
             }
             ScheduledEvent::FollowUp { key } => self.follow_up(key),
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -6,7 +6,7 @@
 
 use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
-use grebepath_simulator::net::{Node, cut};
+use grebepath_simulator::net::Node;
 use grebepath_simulator::world::{self, FollowUp, World};
 
 /// Half of the time in which operators are promised an acknowledgement.
@@ -90,7 +90,7 @@
                 for other in &all {
                     let with = matches!(other, Node::Querier(o) if list.contains(o));
                     if !(together && with) {
-                        cut(&mut world.net, Node::Querier(*q), *other);
+                        world.net.cut(Node::Querier(*q), *other);
                     }
                 }
             }
--- a/crates/simulator/tests/hollow.rs
+++ b/crates/simulator/tests/hollow.rs
@@ -6,7 +6,7 @@
 use grebepath_simulator::scale_model::plan;
 use grebepath_simulator::scale_model::plan::Size;
 use grebepath_simulator::scale_model::show;
-use grebepath_simulator::scale_model::world;
+use grebepath_simulator::scale_model::world::World;
 
 fn found(members: usize, leafs: usize, seed: u64) -> Findings {
     let wish = Measurements { idle: 4 * SECOND, single: true, restarts: true };
@@ -66,7 +66,7 @@
     let conf = grebepath_core::config::read::whole(conf.as_bytes()).unwrap();
     let built = grebepath_core::config::build::build(&conf).unwrap();
     expect_that!(built.mappings["wide"].shards.len(), eq(1_300));
-    let w = world::world(Size { members: 3, leafs: 30 }, 1);
+    let w = World::new(Size { members: 3, leafs: 30 }, 1);
     let (list, wrong) = grebepath_core::http_api::list::read(w.list.as_bytes()).unwrap();
     expect_that!(list.len(), eq(30));
     expect_that!(wrong.len(), eq(0));
