--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -1,359 +1,447 @@
 //! Queriers' machines: starts, deaths, and what their watch and desks want done.
 
-use super::*;
+use grebepath_core::consts;
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::http_api::list;
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::membership::node_agent as wat;
+use grebepath_core::membership::step as qstep;
+use grebepath_core::protocol::message::{LeafReport, Message};
+use grebepath_core::query::engine::{Door, desk};
+use grebepath_core::query::event;
+use grebepath_core::query::progress;
+use grebepath_core::query::step as dstep;
+use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::time::{BOOT, MILLI, ms};
 
-/// Starts a querier, which knows nothing.
-pub fn start_querier(w: &mut World, q: usize) {
-    let seed = w.luck.next_u64();
-    let n = &mut w.queriers[q];
-    n.life += 1;
-    n.up = true;
-    n.ready = false;
-    n.paused = 0;
-    n.polling = false;
-    n.began = w.now;
-    n.watch = wat::watch(member(&n.name, &n.zone, q, n.life), BOOT);
-    n.desks = (0..THREADS)
-        .map(|t| {
-            let name = format!("{}-{t}-{:x}", n.name, n.life);
-            let mut desk = desk(&name, &n.zone, seed ^ u64::from(t), BOOT);
-            desk.slot = grebepath_core::query::quota::slot(&n.name, t);
-            desk
-        })
-        .collect();
-    n.wakes = vec![0; THREADS as usize];
-    let life = n.life;
-    push(w, below_ms(seed, 50), ScheduledEvent::QWake { q, life });
-}
+use super::build::member;
+use super::controllers::start_delay;
+use super::events::{AttemptKey, FollowUp, ScheduledEvent};
+use super::faulty_variant::FaultyVariant;
+use super::{BEGIN, THREADS, World};
+use crate::mock_backends;
+use crate::mock_backends::Alive;
+use crate::net::Node;
 
-/// Ends a querier at once.
-pub fn kill_querier(w: &mut World, q: usize) {
-    let life = w.queriers[q].life;
-    w.queriers[q].up = false;
-    w.queriers[q].ready = false;
-    w.queriers[q].life += 1;
-    let connection = ((q as u64) << 32) | life;
-    for s in 0..w.seats.len() {
-        let life = w.seats[s].life;
-        push(
-            w,
-            ms(2),
-            ScheduledEvent::ToSeat { s, life, event: CoreEvent::ConnectionClosed { connection } },
-        );
-    }
-    let gone: Vec<u64> =
-        w.calls.iter().filter(|(_, c)| c.q == q && c.life == life).map(|(id, _)| *id).collect();
-    for id in gone {
-        if let Some(c) = w.calls.remove(&id) {
-            tally(w, c.kind).unreachable += 1;
-        }
+impl World {
+    /// Starts a querier, which knows nothing.
+    pub fn start_querier(&mut self, querier: usize) {
+        let seed = self.random.next_u64();
+        let node = &mut self.queriers[querier];
+        node.life += 1;
+        node.up = true;
+        node.ready = false;
+        node.paused = 0;
+        node.polling = false;
+        node.began = self.now;
+        node.watch = wat::watch(member(&node.name, &node.zone, querier, node.life), BOOT);
+        node.desks = (0..THREADS)
+            .map(|thread| {
+                let name = format!("{}-{thread}-{:x}", node.name, node.life);
+                let mut desk = desk(&name, &node.zone, seed ^ u64::from(thread), BOOT);
+                desk.slot = grebepath_core::query::quota::slot(&node.name, thread);
+                desk
+            })
+            .collect();
+        node.wakes = vec![0; THREADS as usize];
+        let life = node.life;
+        self.push(start_delay(seed, 50), ScheduledEvent::QuerierTimer { querier, life });
     }
-    let runs: Vec<RunKey> = w.by_key.keys().filter(|k| k.0 == q && k.1 == life).copied().collect();
-    for key in runs {
-        push(w, ms(1), ScheduledEvent::LeafDrop { key });
-    }
-}
 
-pub(super) fn step_watch(w: &mut World, q: usize, event: wat::Event) {
-    let local = w.now - w.queriers[q].began + BOOT;
-    let todo = qstep::step(&mut w.queriers[q].watch, local, event);
-    if w.broken == Some(Broken::SlipBack) && w.queriers[q].watch.configuration_revision > 0 {
-        w.queriers[q].watch.is_caught_up = true;
-    }
-    for command in todo {
-        watch_does(w, q, command);
-    }
-    let held = &w.queriers[q].watch.partitions;
-    let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
-    for (part, revision) in places {
-        if revision > 0 && !seen(w, q, part, revision) {
-            let sum = grebepath_core::replication::leader::sum(
-                &w.queriers[q].watch.partitions[&PartitionId(part)].entries,
+    /// Ends a querier at once.
+    pub fn kill_querier(&mut self, querier: usize) {
+        let life = self.queriers[querier].life;
+        self.queriers[querier].up = false;
+        self.queriers[querier].ready = false;
+        self.queriers[querier].life += 1;
+        let connection = ((querier as u64) << 32) | life;
+        for controller in 0..self.controllers.len() {
+            let life = self.controllers[controller].life;
+            self.push(
+                ms(2),
+                ScheduledEvent::ControllerEvent {
+                    controller,
+                    life,
+                    event: CoreEvent::ConnectionClosed { connection },
+                },
             );
-            rules::same(&mut w.rules, w.now - BEGIN, part, revision, sum);
+        }
+        let gone: Vec<u64> = self
+            .calls
+            .iter()
+            .filter(|(_, c)| c.querier == querier && c.life == life)
+            .map(|(id, _)| *id)
+            .collect();
+        for id in gone {
+            if let Some(c) = self.calls.remove(&id) {
+                self.tally(c.kind).unreachable += 1;
+            }
+        }
+        let runs: Vec<AttemptKey> = self
+            .runs_by_attempt
+            .keys()
+            .filter(|k| k.0 == querier && k.1 == life)
+            .copied()
+            .collect();
+        for key in runs {
+            self.push(ms(1), ScheduledEvent::LeafDisconnect { key });
         }
     }
-}
 
-/// Whether this querier's holding of a revision was compared already.
-pub(super) fn seen(w: &mut World, q: usize, part: u32, revision: u64) -> bool {
-    let key = (1_000 + part + 100 * q as u32, 0);
-    w.rules.truth.insert(key, revision) == Some(revision)
-}
-
-pub(super) fn watch_does(w: &mut World, q: usize, command: wat::Command) {
-    let life = w.queriers[q].life;
-    let zone = w.queriers[q].zone.clone();
-    match command {
-        wat::Command::ToVoter { slot: seat, message } => {
-            let Some(h) = w.queriers[q].watch.voter_set.slots.get(usize::from(seat)) else {
-                return;
-            };
-            let Some(s) = machine(w, &h.addr) else { return };
-            to_controller(w, q, s, message);
+    pub(super) fn step_node_agent(&mut self, querier: usize, event: wat::Event) {
+        let local = self.now - self.queriers[querier].began + BOOT;
+        let todo = qstep::step(&mut self.queriers[querier].watch, local, event);
+        if self.faulty_variant == Some(FaultyVariant::RevertsConfiguration)
+            && self.queriers[querier].watch.configuration_revision > 0
+        {
+            self.queriers[querier].watch.is_caught_up = true;
         }
-        wat::Command::Broadcast { message } => {
-            for s in w.core.seeds.clone() {
-                to_controller(w, q, s, message.clone());
-            }
+        for command in todo {
+            self.run_node_agent_command(querier, command);
         }
-        wat::Command::VoterSetChanged => {}
-        wat::Command::ToMember { message: Message::LeafReports { .. }, .. }
-            if w.broken == Some(Broken::NoWords) => {}
-        wat::Command::ToMember { name, message, .. } => {
-            weigh(&mut w.net, "querier-querier", &message);
-            let Some(to) = w.queriers.iter().position(|n| n.name == name) else { return };
-            let tozone = w.queriers[to].zone.clone();
-            let from = (Node::Querier(q), zone.as_str());
-            let at = send(&mut w.net, w.now, from, (Node::Querier(to), &tozone), &mut w.luck);
-            if let Some(at) = at {
-                let event = wat::Event::FromMember { name: w.queriers[q].name.clone(), message };
-                let life = w.queriers[to].life;
-                push_at(w, at, ScheduledEvent::ToWatch { q: to, life, event });
+        let held = &self.queriers[querier].watch.partitions;
+        let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
+        for (part, revision) in places {
+            if revision > 0 && !self.seen(querier, part, revision) {
+                let sum = grebepath_core::replication::leader::sum(
+                    &self.queriers[querier].watch.partitions[&PartitionId(part)].entries,
+                );
+                self.rules.same(self.now - BEGIN, part, revision, sum);
             }
         }
-        wat::Command::ClusterView(view) => {
-            rules::views(&mut w.rules, w.now - BEGIN, q, view.revision);
-            if w.broken == Some(Broken::StaleView) && q == 0 && view.revision > 1 {
-                return;
+    }
+
+    /// Whether this querier's holding of a revision was compared already.
+    pub(super) fn seen(&mut self, querier: usize, part: u32, revision: u64) -> bool {
+        let key = (1_000 + part + 100 * querier as u32, 0);
+        self.rules.truth.insert(key, revision) == Some(revision)
+    }
+
+    pub(super) fn run_node_agent_command(&mut self, querier: usize, command: wat::Command) {
+        let life = self.queriers[querier].life;
+        let zone = self.queriers[querier].zone.clone();
+        match command {
+            wat::Command::ToVoter { slot: seat, message } => {
+                let Some(h) = self.queriers[querier].watch.voter_set.slots.get(usize::from(seat))
+                else {
+                    return;
+                };
+                let Some(controller) = self.machine(&h.addr) else { return };
+                self.send_from_querier(querier, controller, message);
             }
-            let mut view = view;
-            if w.broken == Some(Broken::IgnoreDrain) || w.broken == Some(Broken::IgnoreLeaving) {
-                let mut own = (*view).clone();
-                if w.broken == Some(Broken::IgnoreDrain) {
-                    let mut built = (*own.built).clone();
-                    built.drained.clear();
-                    own.built = std::sync::Arc::new(built);
-                } else {
-                    deafen(&mut own);
+            wat::Command::Broadcast { message } => {
+                for controller in self.control_plane.seeds.clone() {
+                    self.send_from_querier(querier, controller, message.clone());
                 }
-                view = std::sync::Arc::new(own);
             }
-            for t in 0..THREADS as usize {
-                let event = event::Event::ClusterView(view.clone());
-                push(w, 20, ScheduledEvent::ToDesk { q, life, t, event });
+            wat::Command::VoterSetChanged => {}
+            wat::Command::ToMember { message: Message::LeafReports { .. }, .. }
+                if self.faulty_variant == Some(FaultyVariant::NoLeafReports) => {}
+            wat::Command::ToMember { name, message, .. } => {
+                self.net.weigh("querier-querier", &message);
+                let Some(to) = self.queriers.iter().position(|node| node.name == name) else {
+                    return;
+                };
+                let tozone = self.queriers[to].zone.clone();
+                let from = (Node::Querier(querier), zone.as_str());
+                let at =
+                    self.net.send(self.now, from, (Node::Querier(to), &tozone), &mut self.random);
+                if let Some(at) = at {
+                    let event = wat::Event::FromMember {
+                        name: self.queriers[querier].name.clone(),
+                        message,
+                    };
+                    let life = self.queriers[to].life;
+                    self.push_at(at, ScheduledEvent::NodeAgentEvent { querier: to, life, event });
+                }
             }
-        }
-        wat::Command::QuotaMembers(list) => {
-            for t in 0..THREADS {
-                let name = w.queriers[q].name.clone();
-                let mut share = grebepath_core::query::quota::share(&list, &name, t);
-                if w.broken == Some(Broken::NoShare) && !share.slots.is_empty() {
-                    share.slots = vec![share.mine];
+            wat::Command::ClusterView(view) => {
+                self.rules.views(self.now - BEGIN, querier, view.revision);
+                if self.faulty_variant == Some(FaultyVariant::KeepsStaleSnapshot)
+                    && querier == 0
+                    && view.revision > 1
+                {
+                    return;
+                }
+                let mut view = view;
+                if self.faulty_variant == Some(FaultyVariant::IgnoresDrainedZones)
+                    || self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs)
+                {
+                    let mut own = (*view).clone();
+                    if self.faulty_variant == Some(FaultyVariant::IgnoresDrainedZones) {
+                        let mut built = (*own.built).clone();
+                        built.drained.clear();
+                        own.built = std::sync::Arc::new(built);
+                    } else {
+                        hide_leaving(&mut own);
+                    }
+                    view = std::sync::Arc::new(own);
+                }
+                for thread in 0..THREADS as usize {
+                    let event = event::Event::ClusterView(view.clone());
+                    self.push(
+                        20,
+                        ScheduledEvent::QueryEngineEvent { querier, life, thread, event },
+                    );
                 }
-                let event = event::Event::Share(share);
-                push(w, 20, ScheduledEvent::ToDesk { q, life, t: t as usize, event });
             }
-        }
-        wat::Command::LeafClients(list) => {
-            let peers = grebepath_core::query::quota::peers(&list);
-            for t in 0..THREADS as usize {
-                push(
-                    w,
-                    20,
-                    ScheduledEvent::ToDesk {
-                        q,
-                        life,
-                        t,
-                        event: event::Event::Peers(peers.clone()),
-                    },
-                );
+            wat::Command::QuotaMembers(list) => {
+                for thread in 0..THREADS {
+                    let name = self.queriers[querier].name.clone();
+                    let mut share = grebepath_core::query::quota::share(&list, &name, thread);
+                    if self.faulty_variant == Some(FaultyVariant::NoAllocation)
+                        && !share.slots.is_empty()
+                    {
+                        share.slots = vec![share.mine];
+                    }
+                    let event = event::Event::Share(share);
+                    self.push(
+                        20,
+                        ScheduledEvent::QueryEngineEvent {
+                            querier,
+                            life,
+                            thread: thread as usize,
+                            event,
+                        },
+                    );
+                }
             }
-        }
-        wat::Command::Admission(door) => {
-            for t in 0..THREADS as usize {
-                push(w, 20, ScheduledEvent::ToDesk { q, life, t, event: event::Event::Door(door) });
+            wat::Command::LeafClients(list) => {
+                let peers = grebepath_core::query::quota::peers(&list);
+                for thread in 0..THREADS as usize {
+                    self.push(
+                        20,
+                        ScheduledEvent::QueryEngineEvent {
+                            querier,
+                            life,
+                            thread,
+                            event: event::Event::Peers(peers.clone()),
+                        },
+                    );
+                }
             }
-            if door == Door::Stopping {
-                later(w, ms(20), DueKey::EndQuerier(q, life));
+            wat::Command::Admission(door) => {
+                for thread in 0..THREADS as usize {
+                    self.push(
+                        20,
+                        ScheduledEvent::QueryEngineEvent {
+                            querier,
+                            life,
+                            thread,
+                            event: event::Event::Door(door),
+                        },
+                    );
+                }
+                if door == Door::Stopping {
+                    self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
+                }
             }
-        }
-        wat::Command::ServingUntil(until) => {
-            for t in 0..THREADS as usize {
-                push(
-                    w,
-                    20,
-                    ScheduledEvent::ToDesk { q, life, t, event: event::Event::Grip(until) },
-                );
+            wat::Command::ServingUntil(until) => {
+                for thread in 0..THREADS as usize {
+                    self.push(
+                        20,
+                        ScheduledEvent::QueryEngineEvent {
+                            querier,
+                            life,
+                            thread,
+                            event: event::Event::Grip(until),
+                        },
+                    );
+                }
             }
-        }
-        wat::Command::Ready(ready) => w.queriers[q].ready = ready,
-        wat::Command::PollLeafList => {
-            if !w.queriers[q].polling {
-                w.queriers[q].polling = true;
-                let from = (Node::Querier(q), zone.as_str());
-                match send(&mut w.net, w.now, from, (Node::List, "a"), &mut w.luck) {
-                    Some(at) => push_at(w, at, ScheduledEvent::ListAsked { q, life }),
-                    None => list_late(w, q, life),
+            wat::Command::Ready(ready) => self.queriers[querier].ready = ready,
+            wat::Command::PollLeafList => {
+                if !self.queriers[querier].polling {
+                    self.queriers[querier].polling = true;
+                    let from = (Node::Querier(querier), zone.as_str());
+                    match self.net.send(self.now, from, (Node::List, "a"), &mut self.random) {
+                        Some(at) => self.push_at(at, ScheduledEvent::ListRequest { querier, life }),
+                        None => self.list_timed_out(querier, life),
+                    }
                 }
             }
-        }
-        wat::Command::ProbeLeafs(list) => {
-            for info in list {
-                let after = w.luck.below(ms(50)) + ms(1);
-                push(w, after, ScheduledEvent::Probe { q, life, info });
+            wat::Command::ProbeLeafs(list) => {
+                for info in list {
+                    let after = self.random.below(ms(50)) + ms(1);
+                    self.push(after, ScheduledEvent::Probe { querier, life, info });
+                }
+            }
+            wat::Command::Alarm(text) => {
+                let name = self.queriers[querier].name.clone();
+                self.rules.tell(self.now - BEGIN, || format!("{name}: {text}"));
+                *self.alarms.entry(text).or_default() += 1;
             }
-        }
-        wat::Command::Alarm(text) => {
-            let name = w.queriers[q].name.clone();
-            rules::tell(&mut w.rules, w.now - BEGIN, || format!("{name}: {text}"));
-            *w.alarms.entry(text).or_default() += 1;
         }
     }
-}
 
-/// Hides that leafs leave.
-pub(super) fn deafen(view: &mut grebepath_core::snapshot::cluster_view::ClusterView) {
-    let hide = |l: &std::sync::Arc<LeafInfo>| {
-        let mut own = (**l).clone();
-        own.leaving = false;
-        std::sync::Arc::new(own)
-    };
-    for l in view.leafs.values_mut() {
-        *l = hide(l);
+    pub(super) fn list_timed_out(&mut self, querier: usize, life: u64) {
+        let event = wat::Event::LeafList(Err("no answer in time".into()));
+        self.push(consts::LIST_PATIENCE, ScheduledEvent::NodeAgentEvent { querier, life, event });
     }
-    for list in view.services.values_mut() {
-        for l in list {
-            *l = hide(l);
-        }
-    }
-}
-
-pub(super) fn list_late(w: &mut World, q: usize, life: u64) {
-    let event = wat::Event::LeafList(Err("no answer in time".into()));
-    push(w, consts::LIST_PATIENCE, ScheduledEvent::ToWatch { q, life, event });
-}
 
-pub(super) fn list_asked(w: &mut World, q: usize, life: u64) {
-    let now = w.now;
-    let Some(text) = mock_backends::list(&mut w.backs, now) else { return list_late(w, q, life) };
-    let got = match list::read(text.as_bytes()) {
-        Ok((list, _)) => {
-            for l in list.iter().filter(|l| l.leaving) {
-                learn(w, &l.leaf.clone());
+    pub(super) fn answer_list_request(&mut self, querier: usize, life: u64) {
+        let now = self.now;
+        let Some(text) = self.backends.list(now) else {
+            return self.list_timed_out(querier, life);
+        };
+        let got = match list::read(text.as_bytes()) {
+            Ok((list, _)) => {
+                for leaf in list.iter().filter(|leaf| leaf.leaving) {
+                    self.learn(&leaf.leaf.clone());
+                }
+                Ok(list)
             }
-            Ok(list)
-        }
-        Err(f) => Err(f.to_string()),
-    };
-    let pair = (Node::List, Node::Querier(q));
-    let zone = w.queriers[q].zone.clone();
-    match send(&mut w.net, now, (pair.0, "a"), (pair.1, &zone), &mut w.luck) {
-        Some(at) => {
-            push_at(w, at, ScheduledEvent::ToWatch { q, life, event: wat::Event::LeafList(got) })
+            Err(f) => Err(f.to_string()),
+        };
+        let pair = (Node::List, Node::Querier(querier));
+        let zone = self.queriers[querier].zone.clone();
+        match self.net.send(now, (pair.0, "a"), (pair.1, &zone), &mut self.random) {
+            Some(at) => self.push_at(
+                at,
+                ScheduledEvent::NodeAgentEvent { querier, life, event: wat::Event::LeafList(got) },
+            ),
+            None => self.list_timed_out(querier, life),
         }
-        None => list_late(w, q, life),
     }
-}
 
-/// One of our nodes is being told that a leaf leaves.
-pub(super) fn learn(w: &mut World, leaf: &str) {
-    let now = w.now;
-    if let Some(l) = w.backs.leafs.get_mut(leaf)
-        && l.known_leaving.is_none()
-    {
-        l.known_leaving = Some(now + ms(2));
+    /// One of our nodes is being told that a leaf leaves.
+    pub(super) fn learn(&mut self, leaf: &str) {
+        let now = self.now;
+        if let Some(leaf) = self.backends.leafs.get_mut(leaf)
+            && leaf.known_leaving.is_none()
+        {
+            leaf.known_leaving = Some(now + ms(2));
+        }
     }
-}
 
-pub(super) fn probed(w: &mut World, q: usize, life: u64, info: &LeafInfo) {
-    if !live(w, q, life) {
-        return;
-    }
-    let Some(l) = w.backs.at.get(&info.addr).and_then(|n| w.backs.leafs.get(n)) else { return };
-    if l.alive != Alive::Up || l.mode == mock_backends::Mode::Dark {
-        return;
-    }
-    let mut word = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
-    if l.name == info.leaf {
-        word.leaving = l.leaving && w.broken != Some(Broken::IgnoreLeaving);
-        if w.backs.ages {
-            word.age_ms = grebepath_core::time::since(l.born, w.now) / MILLI;
+    pub(super) fn answer_probe(&mut self, querier: usize, life: u64, info: &LeafInfo) {
+        if !self.querier_runs(querier, life) {
+            return;
         }
-        if l.leaving {
-            learn(w, &info.leaf.clone());
+        let Some(leaf) =
+            self.backends.at.get(&info.addr).and_then(|node| self.backends.leafs.get(node))
+        else {
+            return;
+        };
+        if leaf.alive != Alive::Up || leaf.mode == mock_backends::Mode::Dark {
+            return;
+        }
+        let mut word = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
+        if leaf.name == info.leaf {
+            word.leaving =
+                leaf.leaving && self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs);
+            if self.backends.ages {
+                word.age_ms = grebepath_core::time::since(leaf.born, self.now) / MILLI;
+            }
+            if leaf.leaving {
+                self.learn(&info.leaf.clone());
+            }
+        } else {
+            word.gone = true;
         }
-    } else {
-        word.gone = true;
+        let event = wat::Event::LeafReport { service: info.service.clone(), report: word };
+        self.push(ms(1), ScheduledEvent::NodeAgentEvent { querier, life, event });
     }
-    let event = wat::Event::LeafReport { service: info.service.clone(), report: word };
-    push(w, ms(1), ScheduledEvent::ToWatch { q, life, event });
-}
 
-pub(super) fn step_desk(w: &mut World, q: usize, t: usize, event: event::Event) {
-    let local = w.now - w.queriers[q].began + BOOT;
-    let deaf = w.broken == Some(Broken::IgnoreLeaving);
-    let n = &mut w.queriers[q];
-    if w.broken == Some(Broken::NoRule) {
-        grebepath_core::query::retry_budget::slack(&mut n.desks[t].rule, 1_000_000);
-    }
-    let todo = step::step(&mut n.desks[t], local, event);
-    if deaf {
-        for l in n.desks[t].leafs.values_mut() {
-            l.leaving = false;
+    pub(super) fn step_query_engine(&mut self, querier: usize, thread: usize, event: event::Event) {
+        let local = self.now - self.queriers[querier].began + BOOT;
+        let deaf = self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs);
+        let node = &mut self.queriers[querier];
+        if self.faulty_variant == Some(FaultyVariant::NoRetryBudget) {
+            grebepath_core::query::retry_budget::slack(&mut node.desks[thread].rule, 1_000_000);
         }
-    }
-    let (life, began) = (n.life, n.began);
-    if let Some(at) = progress::next(&n.desks[t]) {
-        let at = (at + began).saturating_sub(BOOT).max(w.now + 1);
-        let known = n.wakes[t];
-        if known == 0 || at < known || known <= w.now {
-            n.wakes[t] = at;
-            push_at(w, at, ScheduledEvent::DeskWake { q, life, t, at });
+        let todo = dstep::step(&mut node.desks[thread], local, event);
+        if deaf {
+            for leaf in node.desks[thread].leafs.values_mut() {
+                leaf.leaving = false;
+            }
+        }
+        let (life, began) = (node.life, node.began);
+        if let Some(at) = progress::next(&node.desks[thread]) {
+            let at = (at + began).saturating_sub(BOOT).max(self.now + 1);
+            let known = node.wakes[thread];
+            if known == 0 || at < known || known <= self.now {
+                node.wakes[thread] = at;
+                self.push_at(at, ScheduledEvent::QueryEngineTimer { querier, life, thread, at });
+            }
+        }
+        for command in todo {
+            self.run_query_engine_command(querier, thread, command);
         }
     }
-    for command in todo {
-        desk_does(w, q, t, command);
-    }
-}
 
-pub(super) fn desk_does(w: &mut World, q: usize, t: usize, command: event::Command) {
-    let life = w.queriers[q].life;
-    match command {
-        event::Command::Send(sending) => dispatch(w, (q, life, t), sending),
-        event::Command::Drop { dispatch } => {
-            let after = ms(1);
-            push(w, after, ScheduledEvent::LeafDrop { key: (q, life, t, dispatch) });
-        }
-        event::Command::Tell { call, outcome } => outcome_told(w, call, outcome),
-        event::Command::Word { service, word } => {
-            if w.broken != Some(Broken::IgnoreLeaving) {
-                push(
-                    w,
-                    20,
-                    ScheduledEvent::ToWatch {
-                        q,
-                        life,
-                        event: wat::Event::LeafReport { service, report: word },
-                    },
+    pub(super) fn run_query_engine_command(
+        &mut self,
+        querier: usize,
+        thread: usize,
+        command: event::Command,
+    ) {
+        let life = self.queriers[querier].life;
+        match command {
+            event::Command::Send(sending) => self.dispatch((querier, life, thread), sending),
+            event::Command::Drop { dispatch } => {
+                let after = ms(1);
+                self.push(
+                    after,
+                    ScheduledEvent::LeafDisconnect { key: (querier, life, thread, dispatch) },
                 );
             }
+            event::Command::Tell { call, outcome } => self.finish_call(call, outcome),
+            event::Command::Word { service, word } => {
+                if self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs) {
+                    self.push(
+                        20,
+                        ScheduledEvent::NodeAgentEvent {
+                            querier,
+                            life,
+                            event: wat::Event::LeafReport { service, report: word },
+                        },
+                    );
+                }
+            }
         }
     }
-}
 
-/// Puts a wish to stop to a querier; it is down a moment after it drained.
-pub fn stop_querier(w: &mut World, q: usize) {
-    let life = w.queriers[q].life;
-    push(w, 1, ScheduledEvent::ToWatch { q, life, event: wat::Event::Stop });
+    /// Puts a wish to stop to a querier; it is down a moment after it drained.
+    pub fn stop_querier(&mut self, querier: usize) {
+        let life = self.queriers[querier].life;
+        self.push(1, ScheduledEvent::NodeAgentEvent { querier, life, event: wat::Event::Stop });
+    }
+
+    fn send_from_querier(&mut self, querier: usize, controller: usize, message: Message) {
+        self.net.weigh("querier-seat", &message);
+        let zones =
+            (self.queriers[querier].zone.clone(), self.controllers[controller].zone.clone());
+        let ends = (Node::Querier(querier), Node::Controller(controller as u8));
+        let at = self.net.send(self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
+        if let Some(at) = at {
+            let connection = ((querier as u64) << 32) | self.queriers[querier].life;
+            let life = self.controllers[controller].life;
+            self.push_at(
+                at,
+                ScheduledEvent::ControllerEvent {
+                    controller,
+                    life,
+                    event: CoreEvent::FromConnection { connection, message },
+                },
+            );
+        }
+    }
 }
 
-fn to_controller(w: &mut World, q: usize, s: usize, message: Message) {
-    weigh(&mut w.net, "querier-seat", &message);
-    let zones = (w.queriers[q].zone.clone(), w.seats[s].zone.clone());
-    let ends = (Node::Querier(q), Node::Controller(s as u8));
-    let at = send(&mut w.net, w.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut w.luck);
-    if let Some(at) = at {
-        let connection = ((q as u64) << 32) | w.queriers[q].life;
-        let life = w.seats[s].life;
-        push_at(
-            w,
-            at,
-            ScheduledEvent::ToSeat {
-                s,
-                life,
-                event: CoreEvent::FromConnection { connection, message },
-            },
-        );
+/// Hides that leafs leave.
+pub(super) fn hide_leaving(view: &mut grebepath_core::snapshot::cluster_view::ClusterView) {
+    let hide = |leaf: &std::sync::Arc<LeafInfo>| {
+        let mut own = (**leaf).clone();
+        own.leaving = false;
+        std::sync::Arc::new(own)
+    };
+    for leaf in view.leafs.values_mut() {
+        *leaf = hide(leaf);
+    }
+    for list in view.services.values_mut() {
+        for leaf in list {
+            *leaf = hide(leaf);
+        }
     }
 }
