--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -147,8 +147,7 @@
         let node = &mut self.controllers[controller];
         let local = self.now - node.began + BOOT;
         node.meter.steps += 1;
-        let commands =
-            timed(&mut node.meter.step_ns, || cstep::step(&mut node.state, local, event));
+        let commands = timed(&mut node.meter.step_ns, || node.state.step(local, event));
         for command in commands {
             self.run_controller_command(controller, command);
         }
--- a/crates/simulator/src/scale_model/phases.rs
+++ b/crates/simulator/src/scale_model/phases.rs
@@ -256,7 +256,7 @@
         let list = world
             .held
             .values()
-            .flat_map(|h| grebepath_core::control_plane::endpoints::all(&h.map).into_values());
+            .flat_map(|h| grebepath_core::snapshot::leafs::leafs_in(&h.map).into_values());
         grebepath_core::snapshot::cluster_view::view(
             world.built_revision,
             world.built.clone(),
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -132,7 +132,7 @@
         world.list = Rc::new(plan::list(&world.leafs));
         for controller in 0..consts::SEATS as usize {
             world.controllers.push(ControllerNode {
-                state: st::core(Default::default(), ("", ""), Vec::new(), 0, BOOT),
+                state: ControllerState::new(Default::default(), ("", ""), Vec::new(), 0, BOOT),
                 disk: Disk::new(partitions().count()),
                 up: false,
                 life: 0,
@@ -241,7 +241,7 @@
         node.life += 1;
         (node.up, node.began) = (true, self.now);
         let zone = plan::name(plan::controller_zone(controller as VoterSlot));
-        node.state = st::core(roll, (&start.addr, &zone), list, seed, BOOT);
+        node.state = ControllerState::new(roll, (&start.addr, &zone), list, seed, BOOT);
         let life = node.life;
         self.push(start_delay(seed), ScheduledEvent::ControllerTimer { controller, life });
     }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -1,7 +1,7 @@
 //! Callers: what they ask, and what they are told.
 
 use grebepath_core::http_api::caller;
-use grebepath_core::query::engine;
+use grebepath_core::query::event as query_event;
 use grebepath_core::query::request::Outcome;
 use grebepath_core::random::below;
 use grebepath_core::time::{Span, ms};
@@ -92,7 +92,7 @@
                 querier,
                 life,
                 thread,
-                event: engine::Event::Ask { call: id, ask },
+                event: query_event::Event::Ask { call: id, ask },
             },
         );
     }
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -1,8 +1,7 @@
 //! Controllers' machines: starts, deaths, disks, and what their core wants done.
 
-use grebepath_core::control_plane::controller as st;
+use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::control_plane::controller::Event as CoreEvent;
-use grebepath_core::control_plane::step as cstep;
 use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
 use grebepath_core::protocol::message::{Message, ReplicaCondition};
 use grebepath_core::random::{draw, luck};
@@ -29,7 +28,7 @@
     pub fn add_controller(&mut self, zone: Option<&str>) -> usize {
         let controller = self.controllers.len();
         let disk = Disk::new(partitions().count());
-        let state = st::core(Default::default(), ("", ""), Vec::new(), 0, 1);
+        let state = ControllerState::new(Default::default(), ("", ""), Vec::new(), 0, 1);
         let zone = zone.unwrap_or(ZONES[controller % ZONES.len()]).to_string();
         self.controllers.push(ControllerNode {
             zone,
@@ -86,7 +85,7 @@
         node.began = self.now;
         node.paused = 0;
         node.stopping = None;
-        node.state = st::core(roll, (&start.addr, &node.zone), list, seed, BOOT);
+        node.state = ControllerState::new(roll, (&start.addr, &node.zone), list, seed, BOOT);
         let life = node.life;
         self.push(start_delay(seed, 50), ScheduledEvent::ControllerTimer { controller, life });
         // It dials its seeds and all whom it knows, who tell it the table.
@@ -206,7 +205,7 @@
 
     pub(super) fn step_controller(&mut self, controller: usize, event: CoreEvent) {
         let local = self.now - self.controllers[controller].began + BOOT;
-        let todo = cstep::step(&mut self.controllers[controller].state, local, event);
+        let todo = self.controllers[controller].state.step(local, event);
         for command in todo {
             self.run_controller_command(controller, command);
         }
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -4,8 +4,8 @@
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::membership::node_agent as wat;
 use grebepath_core::protocol::message::Message;
-use grebepath_core::query::engine;
-use grebepath_core::query::engine::Sending;
+use grebepath_core::query::event as query_event;
+use grebepath_core::query::event::Sending;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{Span, Tick, ms};
 
@@ -54,7 +54,7 @@
         querier: usize,
         life: u64,
         thread: usize,
-        event: engine::Event,
+        event: query_event::Event,
     },
     QueryEngineTimer {
         querier: usize,
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -2,8 +2,8 @@
 
 use grebepath_core::digest::digest;
 use grebepath_core::http_api::leaf::{Heads, MISDIRECTED, Raw, Trouble};
-use grebepath_core::query::engine;
-use grebepath_core::query::engine::Sending;
+use grebepath_core::query::event as query_event;
+use grebepath_core::query::event::Sending;
 use grebepath_core::time::ms;
 use serde_json::{Value, json};
 
@@ -37,7 +37,7 @@
         }
         // Whatever becomes of it, the sender gives up at the end of its budget.
         let event =
-            engine::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
+            query_event::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
         self.push(
             sending.budget,
             ScheduledEvent::QueryEngineEvent { querier, life, thread, event },
@@ -70,7 +70,7 @@
                 querier,
                 life,
                 thread,
-                event: engine::Event::Reply { dispatch, got },
+                event: query_event::Event::Reply { dispatch, got },
             },
         );
     }
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -5,7 +5,8 @@
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::membership::node_agent::Watch;
 use grebepath_core::protocol::message::{Operation, OperationResult};
-use grebepath_core::query::engine::{QueryEngine, Sending};
+use grebepath_core::query::engine::QueryEngine;
+use grebepath_core::query::event::Sending;
 use grebepath_core::time::{Span, Tick};
 
 use super::World;
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -7,9 +7,9 @@
 use grebepath_core::membership::node_agent as wat;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::message::{LeafReport, Message};
-use grebepath_core::query::dispatch as dstep;
-use grebepath_core::query::engine;
 use grebepath_core::query::engine::{Door, desk};
+use grebepath_core::query::event as query_event;
+use grebepath_core::query::{progress, step};
 use grebepath_core::random::{below, draw};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, MILLI, ms};
@@ -178,7 +178,7 @@
                     view = std::sync::Arc::new(own);
                 }
                 for thread in 0..THREADS as usize {
-                    let event = engine::Event::ClusterView(view.clone());
+                    let event = query_event::Event::ClusterView(view.clone());
                     self.push(
                         20,
                         ScheduledEvent::QueryEngineEvent { querier, life, thread, event },
@@ -194,7 +194,7 @@
                     {
                         share.slots = vec![share.mine];
                     }
-                    let event = engine::Event::Share(share);
+                    let event = query_event::Event::Share(share);
                     self.push(
                         20,
                         ScheduledEvent::QueryEngineEvent {
@@ -215,7 +215,7 @@
                             querier,
                             life,
                             thread,
-                            event: engine::Event::Peers(peers.clone()),
+                            event: query_event::Event::Peers(peers.clone()),
                         },
                     );
                 }
@@ -228,7 +228,7 @@
                             querier,
                             life,
                             thread,
-                            event: engine::Event::Door(door),
+                            event: query_event::Event::Door(door),
                         },
                     );
                 }
@@ -244,7 +244,7 @@
                             querier,
                             life,
                             thread,
-                            event: engine::Event::Grip(until),
+                            event: query_event::Event::Grip(until),
                         },
                     );
                 }
@@ -347,7 +347,7 @@
         &mut self,
         querier: usize,
         thread: usize,
-        event: engine::Event,
+        event: query_event::Event,
     ) {
         let local = self.now - self.queriers[querier].began + BOOT;
         let deaf = self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs);
@@ -355,14 +355,14 @@
         if self.faulty_variant == Some(FaultyVariant::NoRetryBudget) {
             grebepath_core::query::retry_budget::slack(&mut node.desks[thread].rule, 1_000_000);
         }
-        let todo = dstep::step(&mut node.desks[thread], local, event);
+        let todo = step::step(&mut node.desks[thread], local, event);
         if deaf {
             for leaf in node.desks[thread].leafs.values_mut() {
                 leaf.leaving = false;
             }
         }
         let (life, began) = (node.life, node.began);
-        if let Some(at) = dstep::next(&node.desks[thread]) {
+        if let Some(at) = progress::next(&node.desks[thread]) {
             let at = (at + began).saturating_sub(BOOT).max(self.now + 1);
             let known = node.wakes[thread];
             if known == 0 || at < known || known <= self.now {
@@ -379,20 +379,20 @@
         &mut self,
         querier: usize,
         thread: usize,
-        command: engine::Command,
+        command: query_event::Command,
     ) {
         let life = self.queriers[querier].life;
         match command {
-            engine::Command::Send(sending) => self.dispatch((querier, life, thread), sending),
-            engine::Command::Drop { dispatch } => {
+            query_event::Command::Send(sending) => self.dispatch((querier, life, thread), sending),
+            query_event::Command::Drop { dispatch } => {
                 let after = ms(1);
                 self.push(
                     after,
                     ScheduledEvent::LeafDisconnect { key: (querier, life, thread, dispatch) },
                 );
             }
-            engine::Command::Tell { call, outcome } => self.finish_call(call, outcome),
-            engine::Command::Word { service, word } => {
+            query_event::Command::Tell { call, outcome } => self.finish_call(call, outcome),
+            query_event::Command::Word { service, word } => {
                 if self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs) {
                     self.push(
                         20,
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -5,7 +5,7 @@
 use grebepath_core::membership::node_agent as wat;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::message::Message;
-use grebepath_core::query::engine;
+use grebepath_core::query::event as query_event;
 use grebepath_core::time::{SECOND, Span, ms};
 use grebepath_core::voter_set::seat_of;
 
@@ -145,7 +145,7 @@
                     && self.queriers[querier].wakes[thread] == at =>
             {
                 self.queriers[querier].wakes[thread] = 0;
-                self.step_query_engine(querier, thread, engine::Event::Wake);
+                self.step_query_engine(querier, thread, query_event::Event::Wake);
             }
             ScheduledEvent::LeafRequest { querier, life, thread, sending } => {
                 self.leaf_gets((querier, life, thread), *sending)
