--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -7,7 +7,7 @@
 use grebepath_core::time::{Span, ms};
 use serde_json::json;
 
-use super::events::ScheduledEvent;
+use super::events::{QueryEngineId, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
 use super::nodes::{Call, CallOutcomes};
 use super::{BEGIN, THREADS, World};
@@ -70,6 +70,15 @@
         self.push(wait + ms(5), ScheduledEvent::CallTimeout { call: id });
     }
 
+    /// A caller's patience has ended.
+    pub(super) fn call_times_out(&mut self, id: u64) {
+        let Some(call) = self.calls.remove(&id) else { return };
+        let name = self.call_kinds[call.kind].search.clone();
+        let now = self.now - BEGIN;
+        self.rules.ends(call.began - BEGIN, now, &name, false);
+        self.tally(call.kind).timed_out += 1;
+    }
+
     pub(super) fn call_arrives(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.began = self.now;
@@ -89,9 +98,7 @@
         self.push(
             10,
             ScheduledEvent::QueryEngineEvent {
-                querier,
-                life,
-                thread,
+                engine: QueryEngineId { querier, life, thread },
                 event: query_event::Event::Ask { call: id, ask },
             },
         );
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -1,8 +1,9 @@
-//! Controllers' machines: starts, deaths, disks, and what their core wants done.
+//! Controllers' machines: starts, ends, connections, and the steps of their state
+//! machines.
 
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::control_plane::controller::Event as CoreEvent;
-use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
+use grebepath_core::identifiers::{VoterSlot, partitions};
 use grebepath_core::protocol::message::{Message, ReplicaCondition};
 use grebepath_core::random::{draw, luck};
 use grebepath_core::storage::reader::Found;
@@ -17,8 +18,7 @@
 use super::nodes::{ControllerNode, Stopping, has_voter_slot};
 use super::{BEGIN, World};
 use crate::mock_backends::ZONES;
-use crate::net::Node;
-use crate::simulated_disk::{Disk, Health, Job};
+use crate::simulated_disk::Disk;
 
 /// From the wish that a controller stops to its end by force.
 const STOP_GRACE: Span = 6 * SECOND;
@@ -98,7 +98,7 @@
     }
 
     /// The machines to which a controller has connections.
-    fn connected_controllers(&self, controller: usize) -> Vec<usize> {
+    pub(super) fn connected_controllers(&self, controller: usize) -> Vec<usize> {
         let table = &self.controllers[controller].state.seating.roll.table;
         let known = table.slots.iter().filter_map(|h| self.machine(&h.addr));
         let mut list: Vec<usize> = known.chain(self.control_plane.seeds.iter().copied()).collect();
@@ -216,184 +216,17 @@
         }
     }
 
-    pub(super) fn run_controller_command(
-        &mut self,
-        controller: usize,
-        command: grebepath_core::command::Command,
-    ) {
-        let life = self.controllers[controller].life;
-        match command {
-            grebepath_core::command::Command::ToVoter { slot: seat, message } => {
-                let table = &self.controllers[controller].state.seating.roll.table;
-                let Some(to) = table.slots.get(usize::from(seat)) else { return };
-                let Some(to) = self.machine(&to.addr) else { return };
-                self.send_to_controller(controller, to, message);
-            }
-            grebepath_core::command::Command::Broadcast { message } => {
-                for to in self.connected_controllers(controller) {
-                    self.send_to_controller(controller, to, message.clone());
-                }
-            }
-            // Wires are not played; who is new tells its table when it is heard.
-            grebepath_core::command::Command::VoterSetChanged => {}
-            grebepath_core::command::Command::WriteVoterFile { token, roll, clear } => {
-                let at = self.controllers[controller].disk.keep(
-                    self.now,
-                    token,
-                    roll,
-                    clear,
-                    &mut self.random,
-                );
-                if let Some(at) = at {
-                    self.push_at(at, ScheduledEvent::VoterFileDone { controller, life, token });
-                }
-            }
-            grebepath_core::command::Command::ToConnection { connection, message }
-                if connection >> 63 == 1 =>
-            {
-                self.net.weigh("seat-seat", &message);
-                let (to, tolife) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
-                let ends = (Node::Controller(controller as u8), Node::Controller(to as u8));
-                let zones =
-                    (self.controllers[controller].zone.clone(), self.controllers[to].zone.clone());
-                let at = self.net.send(
-                    self.now,
-                    (ends.0, &zones.0),
-                    (ends.1, &zones.1),
-                    &mut self.random,
-                );
-                if let Some(at) = at {
-                    let event = CoreEvent::FromController { message };
-                    self.push_at(
-                        at,
-                        ScheduledEvent::ControllerEvent { controller: to, life: tolife, event },
-                    );
-                }
-            }
-            grebepath_core::command::Command::ToConnection { connection, message } => {
-                self.net.weigh("seat-querier", &message);
-                let (querier, qlife) = ((connection >> 32) as usize, connection & 0xffff_ffff);
-                let to = (Node::Querier(querier), self.queriers[querier].zone.clone());
-                let zone = self.controllers[controller].zone.clone();
-                let from = (Node::Controller(controller as u8), zone.as_str());
-                let at = self.net.send(self.now, from, (to.0, &to.1), &mut self.random);
-                if let Some(at) = at {
-                    let holder = self.controllers[controller].state.seating.roll.me;
-                    self.push_at(
-                        at,
-                        ScheduledEvent::ControllerMessage { querier, life: qlife, holder, message },
-                    );
-                }
-            }
-            grebepath_core::command::Command::AppendRecord { partition: part, token, rec } => {
-                self.start_disk_job(controller, part, token, Job::Append(rec))
-            }
-            grebepath_core::command::Command::WriteSnapshot { partition: part, token, copy } => {
-                self.start_disk_job(controller, part, token, Job::Slot(copy))
-            }
-            grebepath_core::command::Command::Scrub { partition: part } => {
-                if self.controllers[controller].disk.health != Health::Stalled
-                    && self.faulty_variant != Some(FaultyVariant::NoScrub)
-                {
-                    let trouble = self.controllers[controller].disk.look(part);
-                    self.push(
-                        ms(3),
-                        ScheduledEvent::ControllerEvent {
-                            controller,
-                            life,
-                            event: CoreEvent::Scrubbed { partition: part, trouble },
-                        },
-                    );
-                }
-            }
-            grebepath_core::command::Command::Respond { op, done } => {
-                self.acknowledge(op as usize, done)
-            }
-            grebepath_core::command::Command::OwnResponse { .. } => {}
-            grebepath_core::command::Command::WakeAfter { span } => {
-                self.push(
-                    span,
-                    ScheduledEvent::ControllerEvent { controller, life, event: CoreEvent::Wake },
-                );
-            }
-            grebepath_core::command::Command::Alarm(text) => {
-                self.rules
-                    .tell(self.now - BEGIN, || format!("seat {controller} (life {life}): {text}"));
-                *self.alarms.entry(text).or_default() += 1;
-            }
-        }
-    }
-
-    /// A controller sends to another's machine, as who it is just now.
-    fn send_to_controller(&mut self, controller: usize, to: usize, message: Message) {
-        self.net.weigh("seat-seat", &message);
-        let ends = (Node::Controller(controller as u8), Node::Controller(to as u8));
-        let zones = (self.controllers[controller].zone.clone(), self.controllers[to].zone.clone());
-        let at = self.net.send(self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
-        let Some(at) = at else { return };
-        let node = &self.controllers[controller];
-        let connection = controller_connection(controller, node.life);
-        let event = if has_voter_slot(node) {
-            CoreEvent::FromVoter {
-                slot: node.state.slot,
-                holder: node.state.seating.roll.me,
-                connection,
-                message,
-            }
-        } else {
-            CoreEvent::FromConnection { connection, message }
-        };
-        let life = self.controllers[to].life;
-        self.push_at(at, ScheduledEvent::ControllerEvent { controller: to, life, event });
-    }
-
-    pub(super) fn start_disk_job(
-        &mut self,
-        controller: usize,
-        part: PartitionId,
-        token: u64,
-        job: Job,
-    ) {
-        let life = self.controllers[controller].life;
-        let at =
-            self.controllers[controller].disk.begin(self.now, part, token, job, &mut self.random);
-        if let Some(at) = at {
-            self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, part, token });
-        }
-        if self.faulty_variant == Some(FaultyVariant::AcknowledgesBeforeSync) {
-            self.push(
-                10,
-                ScheduledEvent::ControllerEvent {
-                    controller,
-                    life,
-                    event: CoreEvent::Synced { partition: part, token },
-                },
-            );
-        }
-    }
-
-    /// Changes the health of a disk; a stall that ends lets the line go on.
-    pub fn set_disk_health(&mut self, controller: usize, health: Health) {
-        let was = std::mem::replace(&mut self.controllers[controller].disk.health, health);
-        if was == Health::Stalled && health != Health::Stalled {
-            let life = self.controllers[controller].life;
-            for (i, (part, token)) in
-                self.controllers[controller].disk.waiting().into_iter().enumerate()
-            {
-                self.push(
-                    ms(2 + i as u64),
-                    ScheduledEvent::DiskJobDone { controller, life, part, token },
-                );
-            }
-            for token in self.controllers[controller].disk.rolls() {
-                self.push(ms(2), ScheduledEvent::VoterFileDone { controller, life, token });
-            }
-        }
+    /// An event reaches a controller; what comes on a new connection is preceded by
+    /// its opening.
+    pub(super) fn deliver_to_controller(&mut self, controller: usize, event: CoreEvent) {
+        let Some(event) = self.as_seen_by_faulty_voter(controller, event) else { return };
+        self.open_connection(controller, &event);
+        self.step_controller(controller, event);
     }
 }
 
 /// The connection that a controller's machine opens to others.
-fn controller_connection(controller: usize, life: u64) -> u64 {
+pub(super) fn controller_connection(controller: usize, life: u64) -> u64 {
     1 << 63 | (controller as u64) << 32 | life
 }
 
--- /dev/null
+++ b/crates/simulator/src/world/discovery.rs
@@ -0,0 +1,104 @@
+//! How queriers learn of leafs: the platform's list and probes of single leafs.
+
+use grebepath_core::consts;
+use grebepath_core::http_api::list;
+use grebepath_core::membership::node_agent;
+use grebepath_core::protocol::message::LeafReport;
+use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::time::{MILLI, ms};
+
+use super::World;
+use super::events::ScheduledEvent;
+use super::faulty_variant::FaultyVariant;
+use crate::mock_backends;
+use crate::mock_backends::Alive;
+use crate::net::Node;
+
+impl World {
+    /// Asks the platform for its list, unless an answer is awaited.
+    pub(super) fn poll_list(&mut self, querier: usize) {
+        if self.queriers[querier].polling {
+            return;
+        }
+        self.queriers[querier].polling = true;
+        let life = self.queriers[querier].life;
+        let from = (Node::Querier(querier), self.queriers[querier].zone.as_str());
+        match self.net.send(self.now, from, (Node::List, "a"), &mut self.random) {
+            Some(at) => self.push_at(at, ScheduledEvent::ListRequest { querier, life }),
+            None => self.list_timed_out(querier, life),
+        }
+    }
+
+    pub(super) fn list_timed_out(&mut self, querier: usize, life: u64) {
+        let event = node_agent::Event::List(Err("no answer in time".into()));
+        self.push(consts::LIST_PATIENCE, ScheduledEvent::NodeAgentEvent { querier, life, event });
+    }
+
+    pub(super) fn answer_list_request(&mut self, querier: usize, life: u64) {
+        let now = self.now;
+        let Some(text) = self.backends.list(now) else {
+            return self.list_timed_out(querier, life);
+        };
+        let got = match list::read(text.as_bytes()) {
+            Ok((list, _)) => {
+                for leaf in list.iter().filter(|leaf| leaf.leaving) {
+                    self.learn(&leaf.leaf.clone());
+                }
+                Ok(list)
+            }
+            Err(f) => Err(f.to_string()),
+        };
+        let pair = (Node::List, Node::Querier(querier));
+        let zone = self.queriers[querier].zone.clone();
+        match self.net.send(now, (pair.0, "a"), (pair.1, &zone), &mut self.random) {
+            Some(at) => self.push_at(
+                at,
+                ScheduledEvent::NodeAgentEvent {
+                    querier,
+                    life,
+                    event: node_agent::Event::List(got),
+                },
+            ),
+            None => self.list_timed_out(querier, life),
+        }
+    }
+
+    /// One of our nodes is being told that a leaf leaves.
+    pub(super) fn learn(&mut self, leaf: &str) {
+        let now = self.now;
+        if let Some(leaf) = self.backends.leafs.get_mut(leaf)
+            && leaf.known_leaving.is_none()
+        {
+            leaf.known_leaving = Some(now + ms(2));
+        }
+    }
+
+    pub(super) fn answer_probe(&mut self, querier: usize, life: u64, info: &LeafInfo) {
+        if !self.querier_runs(querier, life) {
+            return;
+        }
+        let Some(leaf) =
+            self.backends.at.get(&info.addr).and_then(|node| self.backends.leafs.get(node))
+        else {
+            return;
+        };
+        if leaf.alive != Alive::Up || leaf.mode == mock_backends::Mode::Dark {
+            return;
+        }
+        let mut word = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
+        if leaf.name == info.leaf {
+            word.leaving =
+                leaf.leaving && self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs);
+            if self.backends.ages {
+                word.age_ms = grebepath_core::time::since(leaf.born, self.now) / MILLI;
+            }
+            if leaf.leaving {
+                self.learn(&info.leaf.clone());
+            }
+        } else {
+            word.gone = true;
+        }
+        let event = node_agent::Event::Word { service: info.service.clone(), word };
+        self.push(ms(1), ScheduledEvent::NodeAgentEvent { querier, life, event });
+    }
+}
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -51,21 +51,15 @@
         message: Message,
     },
     QueryEngineEvent {
-        querier: usize,
-        life: u64,
-        thread: usize,
+        engine: QueryEngineId,
         event: query_event::Event,
     },
     QueryEngineTimer {
-        querier: usize,
-        life: u64,
-        thread: usize,
+        engine: QueryEngineId,
         at: Tick,
     },
     LeafRequest {
-        querier: usize,
-        life: u64,
-        thread: usize,
+        engine: QueryEngineId,
         sending: Box<Sending>,
     },
     LeafResponse {
@@ -104,7 +98,20 @@
     },
 }
 
-pub(super) type AttemptKey = (usize, u64, usize, u64);
+/// One thread's query engine, in one life of its querier.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
+pub(super) struct QueryEngineId {
+    pub querier: usize,
+    pub life: u64,
+    pub thread: usize,
+}
+
+/// One attempt that a query engine sent to a leaf.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
+pub(super) struct AttemptKey {
+    pub engine: QueryEngineId,
+    pub attempt: u64,
+}
 
 /// Later steps of troubles: restarts that follow a kill.
 #[derive(Clone, Copy)]
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -7,7 +7,7 @@
 use grebepath_core::time::ms;
 use serde_json::{Value, json};
 
-use super::events::{AttemptKey, ScheduledEvent};
+use super::events::{AttemptKey, QueryEngineId, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
 use super::nodes::Run;
 use super::{BEGIN, World};
@@ -16,14 +16,10 @@
 use crate::net::latency;
 
 impl World {
-    pub(super) fn dispatch(
-        &mut self,
-        (querier, life, thread): (usize, u64, usize),
-        mut sending: Sending,
-    ) {
+    pub(super) fn dispatch(&mut self, engine: QueryEngineId, mut sending: Sending) {
         let now = self.now - BEGIN;
         self.rules.tries(now, &sending.id, &sending.service);
-        let who = self.queriers[querier].name.clone();
+        let who = self.queriers[engine.querier].name.clone();
         if let Some(leaf) = self.backends.leafs.get(&sending.leaf) {
             let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
             self.rules.sends(now, &who, &sending.leaf, &zone, known);
@@ -38,50 +34,38 @@
         // Whatever becomes of it, the sender gives up at the end of its budget.
         let event =
             query_event::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
-        self.push(
-            sending.budget,
-            ScheduledEvent::QueryEngineEvent { querier, life, thread, event },
-        );
+        self.push(sending.budget, ScheduledEvent::QueryEngineEvent { engine, event });
         // Giving up closes the connection, which the leaf sees a moment later.
-        let key = (querier, life, thread, sending.dispatch);
+        let key = AttemptKey { engine, attempt: sending.dispatch };
         self.push(sending.budget + ms(1), ScheduledEvent::LeafDisconnect { key });
-        let zone = self.queriers[querier].zone.clone();
+        let zone = self.queriers[engine.querier].zone.clone();
         let leaf_zone =
             self.backends.leafs.get(&sending.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
         let after = latency(&zone, &leaf_zone, &mut self.random) + self.net.slow;
-        self.push(
-            after,
-            ScheduledEvent::LeafRequest { querier, life, thread, sending: Box::new(sending) },
-        );
+        self.push(after, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
     }
 
     pub(super) fn answer(&mut self, key: AttemptKey, zone: &str, mut got: Result<Raw, Trouble>) {
-        let (querier, life, thread, dispatch) = key;
+        let AttemptKey { engine, attempt: dispatch } = key;
         if let Ok(raw) = &mut got
             && !self.backends.ages
         {
             raw.heads.age = None;
         }
-        let qzone = self.queriers[querier].zone.clone();
+        let qzone = self.queriers[engine.querier].zone.clone();
         let after = latency(&qzone, zone, &mut self.random) + self.net.slow;
         self.push(
             after,
             ScheduledEvent::QueryEngineEvent {
-                querier,
-                life,
-                thread,
+                engine,
                 event: query_event::Event::Reply { dispatch, got },
             },
         );
     }
 
-    pub(super) fn leaf_gets(
-        &mut self,
-        (querier, life, thread): (usize, u64, usize),
-        sending: Sending,
-    ) {
+    pub(super) fn leaf_gets(&mut self, engine: QueryEngineId, sending: Sending) {
         let now = self.now;
-        let key = (querier, life, thread, sending.dispatch);
+        let key = AttemptKey { engine, attempt: sending.dispatch };
         let name = self.backends.at.get(&sending.addr).cloned().unwrap_or_default();
         let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
         let zone = leaf.zone.clone();
@@ -93,7 +77,7 @@
         // A connection ends with the process behind it, and on a new one the leaf is
         // asked who it is before any work is sent.
         let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
-        let connection = (querier, life, thread, sending.addr.clone());
+        let connection = (engine, sending.addr.clone());
         let known = self.connections.get(&connection) == Some(&name);
         if !known && self.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
             if misdirected {
@@ -101,13 +85,12 @@
                 return self.answer(key, &zone, Ok(raw));
             }
             self.connections.insert(connection, name);
-            let after = 2 * latency(&self.queriers[querier].zone.clone(), &zone, &mut self.random);
-            return self.push(
-                after,
-                ScheduledEvent::LeafRequest { querier, life, thread, sending: Box::new(sending) },
-            );
+            let after =
+                2 * latency(&self.queriers[engine.querier].zone.clone(), &zone, &mut self.random);
+            return self
+                .push(after, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
         }
-        let who = &self.queriers[querier].name;
+        let who = &self.queriers[engine.querier].name;
         self.rules.arrives(now - BEGIN, who, &name, &leaf.service.name, &sending.service);
         if misdirected {
             let raw = leaf.turned_away(now, MISDIRECTED);
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -12,20 +12,25 @@
 
 mod build;
 mod callers;
+mod controller_commands;
+mod controller_disks;
 mod controllers;
+mod discovery;
 mod events;
 mod faulty_variant;
 mod injected_faults;
 mod leafs;
+mod node_agents;
 mod nodes;
 mod operators;
 mod queriers;
+mod query_engines;
 mod status;
 mod time_loop;
 
 pub use build::{ControlPlaneSetup, address, three_voters};
 pub use events::FollowUp;
-use events::{AttemptKey, ScheduledEvent};
+use events::{AttemptKey, QueryEngineId, ScheduledEvent};
 pub use faulty_variant::FaultyVariant;
 pub use injected_faults::{FAULTS, Fault, FaultInjection, InjectedFault};
 use nodes::{Call, Run};
@@ -54,7 +59,7 @@
     runs: BTreeMap<u64, Run>,
     runs_by_attempt: BTreeMap<AttemptKey, u64>,
     /// Who was found at the other end of each connection to a leaf.
-    connections: BTreeMap<(usize, u64, usize, String), String>,
+    connections: BTreeMap<(QueryEngineId, String), String>,
     calls: BTreeMap<u64, Call>,
     pub operator_requests: Vec<OperatorRequest>,
     pub rules: Rules,
--- /dev/null
+++ b/crates/simulator/src/world/node_agents.rs
@@ -0,0 +1,176 @@
+//! What the node agents of queriers want done: messages to controllers and to each
+//! other, and news for the threads that answer queries.
+
+use std::sync::Arc;
+
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::membership::node_agent;
+use grebepath_core::protocol::message::Message;
+use grebepath_core::query::engine::Door;
+use grebepath_core::query::event as query_event;
+use grebepath_core::random::below;
+use grebepath_core::snapshot::cluster_view::ClusterView;
+use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::time::{Span, ms};
+
+use super::events::{FollowUp, QueryEngineId, ScheduledEvent};
+use super::faulty_variant::FaultyVariant;
+use super::{BEGIN, THREADS, World};
+use crate::net::Node;
+
+/// Between a node agent and the threads of its process: one way (us).
+pub(super) const THREAD_DELAY: Span = 20;
+
+impl World {
+    /// Runs what a querier's node agent wants done.
+    pub(super) fn run_node_agent_command(&mut self, querier: usize, command: node_agent::Command) {
+        let life = self.queriers[querier].life;
+        match command {
+            node_agent::Command::ToSeat { slot, message } => {
+                let table = &self.queriers[querier].watch.table;
+                let Some(voter) = table.slots.get(usize::from(slot)) else { return };
+                let Some(controller) = self.machine(&voter.addr) else { return };
+                self.send_from_querier(querier, controller, message);
+            }
+            node_agent::Command::ToAll { message } => {
+                for controller in self.control_plane.seeds.clone() {
+                    self.send_from_querier(querier, controller, message.clone());
+                }
+            }
+            node_agent::Command::Seats => {}
+            node_agent::Command::ToMember { name, message, .. } => {
+                self.send_to_member(querier, &name, message);
+            }
+            node_agent::Command::ClusterView(view) => self.publish_snapshot(querier, view),
+            node_agent::Command::Shares(list) => {
+                let name = self.queriers[querier].name.clone();
+                for thread in 0..THREADS {
+                    let mut share = grebepath_core::query::quota::share(&list, &name, thread);
+                    if self.faulty_variant == Some(FaultyVariant::NoAllocation)
+                        && !share.slots.is_empty()
+                    {
+                        share.slots = vec![share.mine];
+                    }
+                    let engine = QueryEngineId { querier, life, thread: thread as usize };
+                    let event = query_event::Event::Share(share);
+                    self.push(THREAD_DELAY, ScheduledEvent::QueryEngineEvent { engine, event });
+                }
+            }
+            node_agent::Command::Peers(list) => {
+                let peers = grebepath_core::query::quota::peers(&list);
+                self.tell_threads(querier, || query_event::Event::Peers(peers.clone()));
+            }
+            node_agent::Command::Door(door) => {
+                self.tell_threads(querier, || query_event::Event::Door(door));
+                if door == Door::Stopping {
+                    self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
+                }
+            }
+            node_agent::Command::Grip(until) => {
+                self.tell_threads(querier, || query_event::Event::Grip(until));
+            }
+            node_agent::Command::Ready(ready) => self.queriers[querier].ready = ready,
+            node_agent::Command::PollList => self.poll_list(querier),
+            node_agent::Command::Probe(list) => {
+                for info in list {
+                    let after = below(&mut self.random, ms(50)) + ms(1);
+                    self.push(after, ScheduledEvent::Probe { querier, life, info });
+                }
+            }
+            node_agent::Command::Alarm(text) => {
+                let name = self.queriers[querier].name.clone();
+                self.rules.tell(self.now - BEGIN, || format!("{name}: {text}"));
+                *self.alarms.entry(text).or_default() += 1;
+            }
+        }
+    }
+
+    /// Gives an event to each thread of a querier.
+    fn tell_threads(&mut self, querier: usize, event: impl Fn() -> query_event::Event) {
+        let life = self.queriers[querier].life;
+        for thread in 0..THREADS as usize {
+            let engine = QueryEngineId { querier, life, thread };
+            let event = event();
+            self.push(THREAD_DELAY, ScheduledEvent::QueryEngineEvent { engine, event });
+        }
+    }
+
+    /// Sends a message to another querier.
+    fn send_to_member(&mut self, querier: usize, name: &str, message: Message) {
+        if self.faulty_variant == Some(FaultyVariant::NoLeafReports)
+            && matches!(message, Message::LeafReports { .. })
+        {
+            return;
+        }
+        self.net.weigh("querier-querier", &message);
+        let Some(to) = self.queriers.iter().position(|node| node.name == name) else { return };
+        let from = (Node::Querier(querier), self.queriers[querier].zone.as_str());
+        let to_node = (Node::Querier(to), self.queriers[to].zone.as_str());
+        let at = self.net.send(self.now, from, to_node, &mut self.random);
+        if let Some(at) = at {
+            let name = self.queriers[querier].name.clone();
+            let event = node_agent::Event::FromMember { name, message };
+            let life = self.queriers[to].life;
+            self.push_at(at, ScheduledEvent::NodeAgentEvent { querier: to, life, event });
+        }
+    }
+
+    /// Gives a new snapshot of configuration and leafs to the threads of a querier.
+    fn publish_snapshot(&mut self, querier: usize, view: Arc<ClusterView>) {
+        self.rules.views(self.now - BEGIN, querier, view.revision);
+        let view = match self.faulty_variant {
+            Some(FaultyVariant::KeepsStaleSnapshot) if querier == 0 && view.revision > 1 => return,
+            Some(FaultyVariant::IgnoresDrainedZones) => {
+                let mut own = (*view).clone();
+                let mut built = (*own.built).clone();
+                built.drained.clear();
+                own.built = Arc::new(built);
+                Arc::new(own)
+            }
+            Some(FaultyVariant::IgnoresLeavingLeafs) => {
+                let mut own = (*view).clone();
+                hide_leaving(&mut own);
+                Arc::new(own)
+            }
+            _ => view,
+        };
+        self.tell_threads(querier, || query_event::Event::ClusterView(view.clone()));
+    }
+
+    fn send_from_querier(&mut self, querier: usize, controller: usize, message: Message) {
+        self.net.weigh("querier-seat", &message);
+        let zones =
+            (self.queriers[querier].zone.clone(), self.controllers[controller].zone.clone());
+        let ends = (Node::Querier(querier), Node::Controller(controller as u8));
+        let at = self.net.send(self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
+        if let Some(at) = at {
+            let connection = ((querier as u64) << 32) | self.queriers[querier].life;
+            let life = self.controllers[controller].life;
+            self.push_at(
+                at,
+                ScheduledEvent::ControllerEvent {
+                    controller,
+                    life,
+                    event: CoreEvent::FromConnection { connection, message },
+                },
+            );
+        }
+    }
+}
+
+/// Hides that leafs leave.
+fn hide_leaving(view: &mut ClusterView) {
+    let hide = |leaf: &Arc<LeafInfo>| {
+        let mut own = (**leaf).clone();
+        own.leaving = false;
+        Arc::new(own)
+    };
+    for leaf in view.leafs.values_mut() {
+        *leaf = hide(leaf);
+    }
+    for list in view.services.values_mut() {
+        for leaf in list {
+            *leaf = hide(leaf);
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/world/query_engines.rs
@@ -0,0 +1,99 @@
+//! The query engines of queriers: one a thread.
+
+use grebepath_core::membership::node_agent;
+use grebepath_core::query::event as query_event;
+use grebepath_core::query::{progress, step};
+use grebepath_core::time::{BOOT, Tick, ms};
+
+use super::World;
+use super::events::{AttemptKey, QueryEngineId, ScheduledEvent};
+use super::faulty_variant::FaultyVariant;
+use super::node_agents::THREAD_DELAY;
+
+impl World {
+    /// A query engine's timer rings, unless it was set anew meanwhile.
+    pub(super) fn wake_query_engine(&mut self, engine: QueryEngineId, at: Tick) {
+        let wakes = &mut self.queriers[engine.querier].wakes[engine.thread];
+        if *wakes == at {
+            *wakes = 0;
+            self.step_query_engine(engine.querier, engine.thread, query_event::Event::Wake);
+        }
+    }
+
+    pub(super) fn step_query_engine(
+        &mut self,
+        querier: usize,
+        thread: usize,
+        event: query_event::Event,
+    ) {
+        let local = self.now - self.queriers[querier].began + BOOT;
+        let deaf = self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs);
+        let node = &mut self.queriers[querier];
+        if self.faulty_variant == Some(FaultyVariant::NoRetryBudget) {
+            grebepath_core::query::retry_budget::slack(&mut node.desks[thread].rule, 1_000_000);
+        }
+        let todo = step::step(&mut node.desks[thread], local, event);
+        if deaf {
+            for leaf in node.desks[thread].leafs.values_mut() {
+                leaf.leaving = false;
+            }
+        }
+        let (life, began) = (node.life, node.began);
+        if let Some(at) = progress::next(&node.desks[thread]) {
+            let at = (at + began).saturating_sub(BOOT).max(self.now + 1);
+            let known = node.wakes[thread];
+            if known == 0 || at < known || known <= self.now {
+                node.wakes[thread] = at;
+                self.push_at(
+                    at,
+                    ScheduledEvent::QueryEngineTimer {
+                        engine: QueryEngineId { querier, life, thread },
+                        at,
+                    },
+                );
+            }
+        }
+        for command in todo {
+            self.run_query_engine_command(querier, thread, command);
+        }
+    }
+
+    pub(super) fn run_query_engine_command(
+        &mut self,
+        querier: usize,
+        thread: usize,
+        command: query_event::Command,
+    ) {
+        let life = self.queriers[querier].life;
+        match command {
+            query_event::Command::Send(sending) => {
+                self.dispatch(QueryEngineId { querier, life, thread }, sending)
+            }
+            query_event::Command::Drop { dispatch } => {
+                let after = ms(1);
+                self.push(
+                    after,
+                    ScheduledEvent::LeafDisconnect {
+                        key: AttemptKey {
+                            engine: QueryEngineId { querier, life, thread },
+                            attempt: dispatch,
+                        },
+                    },
+                );
+            }
+            query_event::Command::Tell { call, outcome } => self.finish_call(call, outcome),
+            query_event::Command::Word { service, word } => {
+                if self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs) {
+                    self.push(
+                        THREAD_DELAY,
+                        ScheduledEvent::NodeAgentEvent {
+                            querier,
+                            life,
+                            event: node_agent::Event::Word { service, word },
+                        },
+                    );
+                }
+            }
+        }
+    }
+}
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -1,19 +1,14 @@
 //! The loop that lets virtual time pass and hands each event to whom it is for.
 
 use grebepath_core::control_plane::controller::Event as CoreEvent;
-use grebepath_core::control_plane::step as cstep;
-use grebepath_core::membership::node_agent as wat;
-use grebepath_core::membership::step as qstep;
-use grebepath_core::protocol::message::Message;
-use grebepath_core::query::event as query_event;
-use grebepath_core::time::{SECOND, Span, ms};
-use grebepath_core::voter_set::seat_of;
+use grebepath_core::control_plane::step as control_plane_step;
+use grebepath_core::membership::node_agent;
+use grebepath_core::membership::step as membership_step;
+use grebepath_core::time::{SECOND, Span, Tick, ms};
 
 use super::events::{FollowUp, ScheduledEvent};
-use super::faulty_variant::FaultyVariant;
 use super::operators::marked;
 use super::{BEGIN, World};
-use crate::simulated_disk::Health;
 
 impl World {
     /// Lets `span` pass.
@@ -44,112 +39,49 @@
         done(self)
     }
 
+    /// Handles an event that is due.
     pub(super) fn handle(&mut self, event: ScheduledEvent) {
         // A paused process does nothing; all of it comes at once when it wakes.
-        let until = match &event {
-            ScheduledEvent::ControllerTimer { controller, .. }
-            | ScheduledEvent::ControllerEvent { controller, .. }
-            | ScheduledEvent::DiskJobDone { controller, .. }
-            | ScheduledEvent::VoterFileDone { controller, .. } => {
-                self.controllers[*controller].paused
-            }
-            ScheduledEvent::QuerierTimer { querier, .. }
-            | ScheduledEvent::NodeAgentEvent { querier, .. }
-            | ScheduledEvent::ControllerMessage { querier, .. }
-            | ScheduledEvent::QueryEngineEvent { querier, .. }
-            | ScheduledEvent::QueryEngineTimer { querier, .. } => self.queriers[*querier].paused,
-            _ => 0,
-        };
-        if until > self.now {
-            return self.push_at(until, event);
+        let paused_until = self.paused_until(&event);
+        if paused_until > self.now {
+            return self.push_at(paused_until, event);
         }
         let Some(event) = self.inject(event) else { return };
+        if self.is_stale(&event) {
+            return;
+        }
         match event {
-            ScheduledEvent::ControllerTimer { controller, life }
-                if self.controller_runs(controller, life) =>
-            {
-                self.push(cstep::WAKE, ScheduledEvent::ControllerTimer { controller, life });
+            ScheduledEvent::ControllerTimer { controller, life } => {
+                self.push(
+                    control_plane_step::WAKE,
+                    ScheduledEvent::ControllerTimer { controller, life },
+                );
                 self.step_controller(controller, CoreEvent::Wake);
             }
-            ScheduledEvent::ControllerEvent { controller, life, event }
-                if self.controller_runs(controller, life) =>
-            {
-                let Some(event) = self.as_seen_by_faulty_voter(controller, event) else { return };
-                self.open_connection(controller, &event);
-                self.step_controller(controller, event);
-            }
-            ScheduledEvent::DiskJobDone { controller, life, part, token }
-                if self.controller_runs(controller, life) =>
-            {
-                if self.controllers[controller].disk.health == Health::Stalled {
-                    return;
-                }
-                let event = match self.controllers[controller].disk.done(part, token) {
-                    Some(Ok(())) => CoreEvent::Synced { partition: part, token },
-                    Some(Err(why)) => CoreEvent::DiskFailed { partition: part, why },
-                    None => return,
-                };
-                if self.faulty_variant != Some(FaultyVariant::AcknowledgesBeforeSync)
-                    || matches!(event, CoreEvent::DiskFailed { .. })
-                {
-                    self.step_controller(controller, event);
-                }
+            ScheduledEvent::ControllerEvent { controller, event, .. } => {
+                self.deliver_to_controller(controller, event);
             }
-            ScheduledEvent::VoterFileDone { controller, life, token }
-                if self.controller_runs(controller, life) =>
-            {
-                if self.controllers[controller].disk.health == Health::Stalled {
-                    return;
-                }
-                match self.controllers[controller].disk.kept(token) {
-                    Some(Ok(())) => {
-                        self.step_controller(controller, CoreEvent::VoterFileWritten { token })
-                    }
-                    Some(Err(why)) => {
-                        self.step_controller(controller, CoreEvent::VoterFileFailed { why })
-                    }
-                    None => {}
-                }
+            ScheduledEvent::DiskJobDone { controller, part, token, .. } => {
+                self.finish_disk_job(controller, part, token);
             }
-            ScheduledEvent::QuerierTimer { querier, life } if self.querier_runs(querier, life) => {
-                self.push(qstep::WAKE, ScheduledEvent::QuerierTimer { querier, life });
-                self.step_node_agent(querier, wat::Event::Wake);
+            ScheduledEvent::VoterFileDone { controller, token, .. } => {
+                self.finish_voter_file(controller, token);
             }
-            ScheduledEvent::NodeAgentEvent { querier, life, event }
-                if self.querier_runs(querier, life) =>
-            {
-                if matches!(event, wat::Event::List(_)) {
-                    self.queriers[querier].polling = false;
-                }
-                self.step_node_agent(querier, event);
-            }
-            ScheduledEvent::ControllerMessage { querier, life, holder, message }
-                if self.querier_runs(querier, life) =>
-            {
-                let event = match message {
-                    Message::VoterSetUpdate { table, .. } => wat::Event::Seats(table),
-                    message => match seat_of(&self.queriers[querier].watch.table, holder) {
-                        Some(seat) => wat::Event::FromSeat { slot: seat, message },
-                        None => return,
-                    },
-                };
-                self.step_node_agent(querier, event);
-            }
-            ScheduledEvent::QueryEngineEvent { querier, life, thread, event }
-                if self.querier_runs(querier, life) =>
-            {
-                self.step_query_engine(querier, thread, event)
-            }
-            ScheduledEvent::QueryEngineTimer { querier, life, thread, at }
-                if self.querier_runs(querier, life)
-                    && self.queriers[querier].wakes[thread] == at =>
-            {
-                self.queriers[querier].wakes[thread] = 0;
-                self.step_query_engine(querier, thread, query_event::Event::Wake);
-            }
-            ScheduledEvent::LeafRequest { querier, life, thread, sending } => {
-                self.leaf_gets((querier, life, thread), *sending)
+            ScheduledEvent::QuerierTimer { querier, life } => {
+                self.push(membership_step::WAKE, ScheduledEvent::QuerierTimer { querier, life });
+                self.step_node_agent(querier, node_agent::Event::Wake);
+            }
+            ScheduledEvent::NodeAgentEvent { querier, event, .. } => {
+                self.deliver_to_node_agent(querier, event);
             }
+            ScheduledEvent::ControllerMessage { querier, holder, message, .. } => {
+                self.deliver_from_controller(querier, holder, message);
+            }
+            ScheduledEvent::QueryEngineEvent { engine, event } => {
+                self.step_query_engine(engine.querier, engine.thread, event);
+            }
+            ScheduledEvent::QueryEngineTimer { engine, at } => self.wake_query_engine(engine, at),
+            ScheduledEvent::LeafRequest { engine, sending } => self.leaf_gets(engine, *sending),
             ScheduledEvent::LeafResponse { run } => self.leaf_done(run),
             ScheduledEvent::LeafDisconnect { key } => {
                 if let Some(run) = self.runs_by_attempt.remove(&key) {
@@ -157,78 +89,120 @@
                 }
             }
             ScheduledEvent::Probe { querier, life, info } => {
-                self.answer_probe(querier, life, &info)
+                self.answer_probe(querier, life, &info);
             }
             ScheduledEvent::ListRequest { querier, life } => {
-                self.answer_list_request(querier, life)
+                self.answer_list_request(querier, life);
             }
             ScheduledEvent::NewCall { kind } => self.start_call(kind),
             ScheduledEvent::CallArrival { call } => self.call_arrives(call),
-            ScheduledEvent::CallTimeout { call } => {
-                if let Some(c) = self.calls.remove(&call) {
-                    let name = self.call_kinds[c.kind].search.clone();
-                    let now = self.now - BEGIN;
-                    self.rules.ends(c.began - BEGIN, now, &name, false);
-                    self.tally(c.kind).timed_out += 1;
-                }
+            ScheduledEvent::CallTimeout { call } => self.call_times_out(call),
+            ScheduledEvent::ReadinessPoll => self.poll_readiness(),
+            ScheduledEvent::OperatorRequest { request } => self.send_operator_request(request),
+            ScheduledEvent::Fault { at } => self.start_fault(at),
+            ScheduledEvent::FollowUp { key } => self.follow_up(key),
+        }
+    }
+
+    /// Until when the process that an event reaches is paused; 0 if it has none.
+    fn paused_until(&self, event: &ScheduledEvent) -> Tick {
+        match event {
+            ScheduledEvent::ControllerTimer { controller, .. }
+            | ScheduledEvent::ControllerEvent { controller, .. }
+            | ScheduledEvent::DiskJobDone { controller, .. }
+            | ScheduledEvent::VoterFileDone { controller, .. } => {
+                self.controllers[*controller].paused
             }
-            ScheduledEvent::ReadinessPoll => {
-                self.ready_queriers = (0..self.queriers.len())
-                    .filter(|querier| self.queriers[*querier].up && self.queriers[*querier].ready)
-                    .collect();
-                self.push(SECOND, ScheduledEvent::ReadinessPoll);
+            ScheduledEvent::QuerierTimer { querier, .. }
+            | ScheduledEvent::NodeAgentEvent { querier, .. }
+            | ScheduledEvent::ControllerMessage { querier, .. } => self.queriers[*querier].paused,
+            ScheduledEvent::QueryEngineEvent { engine, .. }
+            | ScheduledEvent::QueryEngineTimer { engine, .. } => {
+                self.queriers[engine.querier].paused
             }
-            ScheduledEvent::OperatorRequest { request } => self.send_operator_request(request),
-            ScheduledEvent::Fault { at } => {
-                let fault = self.faults[at].clone();
-                self.rules.tell(self.now - BEGIN, || format!("fault: {fault}"));
-                self.rules.disturb(self.now - BEGIN);
-                self.apply_fault(&fault);
+            _ => 0,
+        }
+    }
+
+    /// Whether the process that an event was meant for has ended.
+    fn is_stale(&self, event: &ScheduledEvent) -> bool {
+        match event {
+            ScheduledEvent::ControllerTimer { controller, life }
+            | ScheduledEvent::ControllerEvent { controller, life, .. }
+            | ScheduledEvent::DiskJobDone { controller, life, .. }
+            | ScheduledEvent::VoterFileDone { controller, life, .. } => {
+                !self.controller_runs(*controller, *life)
             }
-            ScheduledEvent::FollowUp { key } => self.follow_up(key),
-            _ => {}
+            ScheduledEvent::QuerierTimer { querier, life }
+            | ScheduledEvent::NodeAgentEvent { querier, life, .. }
+            | ScheduledEvent::ControllerMessage { querier, life, .. } => {
+                !self.querier_runs(*querier, *life)
+            }
+            ScheduledEvent::QueryEngineEvent { engine, .. }
+            | ScheduledEvent::QueryEngineTimer { engine, .. } => {
+                !self.querier_runs(engine.querier, engine.life)
+            }
+            _ => false,
         }
     }
 
-    pub(super) fn follow_up(&mut self, key: FollowUp) {
+    /// Notes which queriers are ready, as the platform does every second.
+    fn poll_readiness(&mut self) {
+        self.ready_queriers = (0..self.queriers.len())
+            .filter(|querier| self.queriers[*querier].up && self.queriers[*querier].ready)
+            .collect();
+        self.push(SECOND, ScheduledEvent::ReadinessPoll);
+    }
+
+    /// Applies the scenario's fault of this number.
+    fn start_fault(&mut self, at: usize) {
+        let fault = self.faults[at].clone();
+        self.rules.tell(self.now - BEGIN, || format!("fault: {fault}"));
+        self.rules.disturb(self.now - BEGIN);
+        self.apply_fault(&fault);
+    }
+
+    /// Does what was planned to follow an earlier event.
+    fn follow_up(&mut self, key: FollowUp) {
         match key {
-            FollowUp::StartController(controller) if !self.controllers[controller].up => {
-                self.start_controller(controller)
+            FollowUp::StartController(controller) => {
+                if !self.controllers[controller].up {
+                    self.start_controller(controller);
+                }
             }
             FollowUp::Fault { controller, fault } => self.end_process(controller, fault),
-            FollowUp::ForceStop { controller, life } if self.controller_runs(controller, life) => {
-                self.end_controller(controller);
+            FollowUp::ForceStop { controller, life } => {
+                if self.controller_runs(controller, life) {
+                    self.end_controller(controller);
+                }
             }
-            FollowUp::StartQuerier(querier) if !self.queriers[querier].up => {
-                self.start_querier(querier)
+            FollowUp::StartQuerier(querier) => {
+                if !self.queriers[querier].up {
+                    self.start_querier(querier);
+                }
             }
-            FollowUp::EndDrainedQuerier(querier, life) if self.querier_runs(querier, life) => {
-                if self.queriers[querier].desks.iter().any(|d| !d.queries.is_empty()) {
-                    return self.later(ms(20), key);
+            FollowUp::EndDrainedQuerier(querier, life) => {
+                if self.querier_runs(querier, life) {
+                    self.end_drained_querier(querier, life);
                 }
-                self.step_node_agent(querier, wat::Event::Drained);
-                self.kill_querier(querier);
             }
             FollowUp::ChangeAfterRestart { restart } => {
-                let n = self.operator_requests.len();
-                self.submit(0, marked(n));
+                let request = self.submit_marked();
                 if let Some(back) = self.rules.restarts.get_mut(restart) {
-                    back.order = Some(n);
+                    back.order = Some(request);
                 }
             }
             FollowUp::RequestStorm { left, gap } => {
-                let n = self.operator_requests.len();
-                self.submit(0, marked(n));
+                self.submit_marked();
                 if left > 1 {
-                    self.push(
-                        gap,
-                        ScheduledEvent::FollowUp {
-                            key: FollowUp::RequestStorm { left: left - 1, gap },
-                        },
-                    );
+                    self.later(gap, FollowUp::RequestStorm { left: left - 1, gap });
                 }
             }
-            _ => {}
         }
     }
+
+    /// An operator asks for a change that can be looked for at the end.
+    fn submit_marked(&mut self) -> usize {
+        self.submit(0, marked(self.operator_requests.len()))
+    }
 }
