--- a/crates/server/src/local_cluster/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -42,7 +42,8 @@
         name: args.name.clone(),
         queriers: args.queriers,
     };
-    let spec = spec::read(&format!("{}/{}.standins.json", args.deploy, args.name))?;
+    let spec = spec::read(&format!("{}/{}.standins.json", args.deploy, args.name))
+        .map_err(|e| e.to_string())?;
     let begun = Instant::now();
     let mut f = local_cluster::up(layout).await?;
     for i in 0..f.queriers.len() {
--- a/crates/server/src/mock_backends/main.rs
+++ b/crates/server/src/mock_backends/main.rs
@@ -40,7 +40,7 @@
 }
 
 async fn serve_backs(file: String, listen: SocketAddr, seed: u64) -> Result<(), String> {
-    let spec = spec::read(&file)?;
+    let spec = spec::read(&file).map_err(|e| e.to_string())?;
     let backs = mock_backends::start(&spec, seed).await.map_err(|e| e.to_string())?;
     let door = tokio::net::TcpListener::bind(listen).await.map_err(|e| e.to_string())?;
     let addr = door.local_addr().map_err(|e| e.to_string())?;
@@ -60,7 +60,7 @@
     factor: f64,
     seed: u64,
 ) -> Result<(), String> {
-    let spec = spec::read(&file)?;
+    let spec = spec::read(&file).map_err(|e| e.to_string())?;
     let http = grebepath_runtime::http::client(64);
     let seen = Rc::new(RefCell::new(Seen::default()));
     let ready = Rc::new(RefCell::new(targets.clone()));
--- a/crates/simulator/examples/run_digest.rs
+++ b/crates/simulator/examples/run_digest.rs
@@ -9,10 +9,10 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+use grebepath_simulator::files::read_json;
 use grebepath_simulator::net::traced;
 use grebepath_simulator::scenario::{Scenario, play_traced, read};
 use grebepath_simulator::world::{FAULTS, FaultInjection, InjectedFault, World};
-use serde_json::Value;
 
 /// Seeds that every run is played with.
 const SEEDS: [u64; 2] = [1, 2];
@@ -144,12 +144,9 @@
 
 fn load(name: &str) -> Scenario {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
-    let file = |path: String| std::fs::read(&path).map_err(|e| format!("{path}: {e}"));
-    let deployment = |name: &str| -> Result<Value, String> {
-        let raw = file(format!("{root}/deploy/{name}"))?;
-        serde_json::from_slice(&raw).map_err(|e| e.to_string())
-    };
-    let text = file(format!("{root}/scenarios/{name}.json")).expect("the scenario's file is there");
+    let deployment = |name: &str| read_json(&format!("{root}/deploy/{name}"));
+    let text = std::fs::read(format!("{root}/scenarios/{name}.json"))
+        .expect("the scenario's file is there");
     match read(&text, &deployment) {
         Ok(scenario) => scenario,
         Err(all) => panic!("{name}: {}", grebepath_core::routing_language::diagnostic::lines(&all)),
--- a/crates/simulator/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -36,8 +36,8 @@
     let table: BTreeMap<&str, &str> = kind
         .shards
         .iter()
-        .filter(|(c, _, _)| c == cut)
-        .map(|(_, shard, service)| (shard.as_str(), service.as_str()))
+        .filter(|entry| entry.cut == cut)
+        .map(|entry| (entry.shard.as_str(), entry.service.as_str()))
         .collect();
     if table.is_empty() {
         bad.push(format!("rule 2: unknown cut {cut:?}"));
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -4,6 +4,7 @@
 pub mod chaos;
 pub mod check;
 pub mod explore;
+pub mod files;
 pub mod linearizability;
 pub mod mock_backends;
 pub mod net;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -4,9 +4,10 @@
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use grebepath_core::routing_language::diagnostic::{Diagnostic, lines};
+use grebepath_simulator::files::read_json;
 use grebepath_simulator::scenario::{Scenario, play_weighed, read};
 use grebepath_simulator::{report, world::World};
-use serde_json::{Value, json};
+use serde_json::json;
 
 /// Exit code when a promise was broken.
 const EXIT_BROKEN: i32 = 1;
@@ -155,11 +156,7 @@
 fn load(file: &str, deploy: &str) -> Result<Scenario, Vec<Diagnostic>> {
     let whole = |text: String| vec![Diagnostic { place: "$".into(), text }];
     let text = std::fs::read(file).map_err(|e| whole(e.to_string()))?;
-    read(&text, &|name| {
-        let path = format!("{deploy}/{name}");
-        let raw = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
-        serde_json::from_slice::<Value>(&raw).map_err(|e| format!("{path}: {e}"))
-    })
+    read(&text, &|name| read_json(&format!("{deploy}/{name}")))
 }
 
 fn show(args: &Args, scenario: &Scenario, seed: u64, world: &World) {
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -74,7 +74,9 @@
             {
                 let event = match self.controllers[controller].disk.done(part, token) {
                     Some(Ok(())) => st::Event::Synced { partition: part, token },
-                    Some(Err(why)) => st::Event::DiskFailed { partition: part, why },
+                    Some(Err(error)) => {
+                        st::Event::DiskFailed { partition: part, why: error.to_string() }
+                    }
                     None => return,
                 };
                 self.step_controller(controller, event);
@@ -84,7 +86,7 @@
             {
                 let event = match self.controllers[controller].disk.kept(token) {
                     Some(Ok(())) => st::Event::VoterFileWritten { token },
-                    Some(Err(why)) => st::Event::VoterFileFailed { why },
+                    Some(Err(error)) => st::Event::VoterFileFailed { why: error.to_string() },
                     None => return,
                 };
                 self.step_controller(controller, event);
--- a/crates/simulator/src/scenario/read.rs
+++ b/crates/simulator/src/scenario/read.rs
@@ -5,7 +5,8 @@
 
 use super::values::{disk_health, leaf_mode, list_mode, named_nodes};
 use super::{Scenario, ScheduledFault};
-use crate::spec;
+use crate::files::FileError;
+use crate::spec::{self, SpecError};
 use crate::world;
 
 /// The words for troubles, each with the fields it may have beside `at_s`.
@@ -48,7 +49,7 @@
 /// Reads a scenario. `load` fetches a deployment's files by name.
 pub fn read(
     text: &[u8],
-    load: &dyn Fn(&str) -> Result<Value, String>,
+    load: &dyn Fn(&str) -> Result<Value, FileError>,
 ) -> Result<Scenario, Vec<Diagnostic>> {
     let mut diagnostics = Vec::new();
     let value: Value = match serde_json::from_slice(text) {
@@ -80,13 +81,19 @@
         }
     }
     let name = value["deployment"].as_str().unwrap_or("mohalla");
-    let spec = load(&format!("{name}.standins.json")).and_then(|v| spec::parse(&v));
+    let spec = load(&format!("{name}.standins.json"))
+        .map_err(SpecError::from)
+        .and_then(|value| spec::parse(&value));
     let config = match value.get("config") {
         Some(config) => Ok(config.clone()),
         None => load(&format!("{name}.json")),
     };
-    for e in [spec.as_ref().err(), config.as_ref().err()].into_iter().flatten() {
-        find(&mut diagnostics, "deployment", e.clone());
+    let errors = [
+        spec.as_ref().err().map(ToString::to_string),
+        config.as_ref().err().map(ToString::to_string),
+    ];
+    for error in errors.into_iter().flatten() {
+        find(&mut diagnostics, "deployment", error);
     }
     let seconds = read_integer(&value, "seconds", 1, 86_400, &mut diagnostics);
     let queriers = read_integer(&value, "queriers", 1, 200, &mut diagnostics) as usize;
@@ -114,7 +121,7 @@
             factor,
             spec,
             config,
-            faults: faults,
+            faults,
             ages: value["ages"].as_bool().unwrap_or(true),
             control_plane,
         }),
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -32,6 +32,17 @@
     Slot(ReplicaState),
 }
 
+/// Why a write failed.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
+pub enum DiskError {
+    /// The disk is full.
+    #[error("no space left on device")]
+    Full,
+    /// An earlier write failed: only a snapshot opens a log again.
+    #[error("no log is open since the last trouble")]
+    NoOpenLog,
+}
+
 /// The health of a whole disk.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Health {
@@ -112,11 +123,11 @@
     }
 
     /// A roll is kept, or could not be.
-    pub fn kept(&mut self, token: u64) -> Option<Result<(), String>> {
+    pub fn kept(&mut self, token: u64) -> Option<Result<(), DiskError>> {
         let at = self.rolls.iter().position(|(t, _, _)| *t == token)?;
         let (_, roll, clear) = self.rolls.remove(at);
         if self.health == Health::Full {
-            return Some(Err("no space left on device".into()));
+            return Some(Err(DiskError::Full));
         }
         if clear {
             self.set_aside();
@@ -161,17 +172,17 @@
     }
 
     /// A job is done: it lasts now, or it failed.
-    pub fn done(&mut self, part: PartitionId, token: u64) -> Option<Result<(), String>> {
+    pub fn done(&mut self, part: PartitionId, token: u64) -> Option<Result<(), DiskError>> {
         let at = self.line.iter().position(|(p, t, _)| *p == part && *t == token)?;
         let (_, _, job) = self.line.remove(at);
         let full = self.health == Health::Full;
         let files = &mut self.parts[part.0 as usize];
         if full {
             files.open = false;
-            return Some(Err("no space left on device".into()));
+            return Some(Err(DiskError::Full));
         }
         Some(match job {
-            Job::Append(_) if !files.open => Err("no log is open since the last trouble".into()),
+            Job::Append(_) if !files.open => Err(DiskError::NoOpenLog),
             Job::Append(rec) => {
                 let raw = writer::rec(files.seq, files.num, &rec);
                 files.log.get_or_insert_default().extend(raw);
--- a/crates/simulator/src/spec.rs
+++ b/crates/simulator/src/spec.rs
@@ -2,6 +2,8 @@
 
 use serde_json::Value;
 
+use crate::files::{FileError, read_json};
+
 /// One service and its leafs.
 #[derive(Clone, Debug)]
 pub struct Service {
@@ -25,8 +27,16 @@
     pub limit: usize,
     pub lookup: bool,
     pub quorum: f64,
-    /// Shard name and its service, for each cut: (cut, shard, service).
-    pub shards: Vec<(String, String, String)>,
+    /// The shards of each index version.
+    pub shards: Vec<ShardService>,
+}
+
+/// The service that holds a shard of an index version.
+#[derive(Clone, Debug)]
+pub struct ShardService {
+    pub cut: String,
+    pub shard: String,
+    pub service: String,
 }
 
 /// A whole deployment.
@@ -38,53 +48,77 @@
     pub list_lag_ms: u64,
 }
 
+/// What is wrong with a spec.
+#[derive(Debug, thiserror::Error)]
+pub enum SpecError {
+    /// A field is missing, or is of another type.
+    #[error("`{field}` is missing in {object}")]
+    Missing { field: String, object: Value },
+    /// A field is not the list that it must be.
+    #[error("`{field}` is no list")]
+    NotAList { field: String },
+    /// The file can't be read as JSON.
+    #[error(transparent)]
+    File(#[from] FileError),
+    /// A file with a mistake in it.
+    #[error("{path}: {source}")]
+    In { path: String, source: Box<SpecError> },
+}
+
 /// Reads a spec file. It is a tool's own input: the first mistake ends it.
-pub fn read(path: &str) -> Result<Spec, String> {
-    let raw = std::fs::read(path).map_err(|e| format!("{path}: {e}"))?;
-    let val: Value = serde_json::from_slice(&raw).map_err(|e| format!("{path}: {e}"))?;
-    parse(&val).map_err(|e| format!("{path}: {e}"))
+pub fn read(path: &str) -> Result<Spec, SpecError> {
+    let val = read_json(path)?;
+    parse(&val).map_err(|e| SpecError::In { path: path.into(), source: Box::new(e) })
+}
+
+fn missing(field: &str, object: &Value) -> SpecError {
+    SpecError::Missing { field: field.into(), object: object.clone() }
 }
 
-fn text(v: &Value, key: &str) -> Result<String, String> {
-    v[key].as_str().map(str::to_string).ok_or_else(|| format!("`{key}` is missing in {v}"))
+fn text(object: &Value, field: &str) -> Result<String, SpecError> {
+    object[field].as_str().map(str::to_string).ok_or_else(|| missing(field, object))
 }
 
-fn num(v: &Value, key: &str) -> Result<f64, String> {
-    v[key].as_f64().ok_or_else(|| format!("`{key}` is missing in {v}"))
+fn number(object: &Value, field: &str) -> Result<f64, SpecError> {
+    object[field].as_f64().ok_or_else(|| missing(field, object))
 }
 
-fn list<'a>(v: &'a Value, key: &str) -> Result<&'a Vec<Value>, String> {
-    v[key].as_array().ok_or_else(|| format!("`{key}` is no list"))
+fn list<'a>(object: &'a Value, field: &str) -> Result<&'a Vec<Value>, SpecError> {
+    object[field].as_array().ok_or_else(|| SpecError::NotAList { field: field.into() })
 }
 
 /// A spec from JSON.
-pub fn parse(val: &Value) -> Result<Spec, String> {
+pub fn parse(val: &Value) -> Result<Spec, SpecError> {
     let mut services = Vec::new();
     for s in list(val, "services")? {
         services.push(Service {
             name: text(s, "service")?,
             cut: text(s, "cut")?,
-            leafs: num(s, "leafs")? as usize,
-            bears: num(s, "bears")? as u32,
-            took_ms: num(s, "took_ms")? as u64,
-            ramp_ms: num(s, "ramp_ms")? as u64,
+            leafs: number(s, "leafs")? as usize,
+            bears: number(s, "bears")? as u32,
+            took_ms: number(s, "took_ms")? as u64,
+            ramp_ms: number(s, "ramp_ms")? as u64,
         });
     }
     let mut kinds = Vec::new();
     for k in list(val, "callers")? {
         let mut shards = Vec::new();
         for s in list(k, "shards")? {
-            shards.push((text(s, "cut")?, text(s, "shard")?, text(s, "service")?));
+            shards.push(ShardService {
+                cut: text(s, "cut")?,
+                shard: text(s, "shard")?,
+                service: text(s, "service")?,
+            });
         }
         kinds.push(Kind {
             search: text(k, "search")?,
-            per_s: num(k, "per_s")?,
-            budget_ms: num(k, "budget_ms")? as u64,
-            limit: num(k, "limit")? as usize,
+            per_s: number(k, "per_s")?,
+            budget_ms: number(k, "budget_ms")? as u64,
+            limit: number(k, "limit")? as usize,
             lookup: k["lookup"].as_bool().unwrap_or(false),
-            quorum: num(k, "quorum")?,
+            quorum: number(k, "quorum")?,
             shards,
         });
     }
-    Ok(Spec { services, kinds, list_lag_ms: num(val, "list_lag_ms")? as u64 })
+    Ok(Spec { services, kinds, list_lag_ms: number(val, "list_lag_ms")? as u64 })
 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -110,8 +110,9 @@
                 && let Outcome::Rejection(rejection) = &outcome
                 && rejection.query.is_some()
             {
-                let cut = self.call_kinds[kind].shards[0].0.clone();
-                let planned = self.call_kinds[kind].shards.iter().filter(|s| s.0 == cut).count();
+                let cut = self.call_kinds[kind].shards[0].cut.clone();
+                let planned =
+                    self.call_kinds[kind].shards.iter().filter(|shard| shard.cut == cut).count();
                 return Outcome::Full(grebepath_core::query::request::Full {
                     query: rejection.query.clone().unwrap_or_default(),
                     mapping: self.call_kinds[kind].search.clone(),
@@ -126,8 +127,8 @@
         };
         match self.faulty_variant {
             Some(FaultyVariant::ClaimsAllShards) if full.missing > 0 => {
-                let all = self.call_kinds[kind].shards.iter().filter(|s| s.0 == full.cut);
-                full.shards = all.map(|s| s.1.clone()).collect();
+                let all = self.call_kinds[kind].shards.iter().filter(|shard| shard.cut == full.cut);
+                full.shards = all.map(|shard| shard.shard.clone()).collect();
                 full.missing = 0;
             }
             Some(FaultyVariant::RepeatsShard) => full.shards.push(full.shards[0].clone()),
--- a/crates/simulator/src/world/controller_disks.rs
+++ b/crates/simulator/src/world/controller_disks.rs
@@ -18,7 +18,7 @@
         }
         let event = match disk.done(part, token) {
             Some(Ok(())) => CoreEvent::Synced { partition: part, token },
-            Some(Err(why)) => CoreEvent::DiskFailed { partition: part, why },
+            Some(Err(error)) => CoreEvent::DiskFailed { partition: part, why: error.to_string() },
             None => return,
         };
         // The faulty variant has acknowledged it already.
@@ -37,7 +37,7 @@
         }
         let event = match disk.kept(token) {
             Some(Ok(())) => CoreEvent::VoterFileWritten { token },
-            Some(Err(why)) => CoreEvent::VoterFileFailed { why },
+            Some(Err(error)) => CoreEvent::VoterFileFailed { why: error.to_string() },
             None => return,
         };
         self.step_controller(controller, event);
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -188,7 +188,7 @@
             return self.end_controller(controller);
         }
         let life = self.controllers[controller].life;
-        self.later(STOP_GRACE, FollowUp::ForceStop { controller: controller, life });
+        self.later(STOP_GRACE, FollowUp::ForceStop { controller, life });
         self.step_controller(controller, CoreEvent::Stop);
     }
 
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -132,9 +132,7 @@
             Fault::Kill | Fault::Power | Fault::DiskLost | Fault::Gone => {
                 self.push(
                     0,
-                    ScheduledEvent::FollowUp {
-                        key: FollowUp::Fault { controller: controller, fault },
-                    },
+                    ScheduledEvent::FollowUp { key: FollowUp::Fault { controller, fault } },
                 );
             }
         }
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -1,14 +1,13 @@
 //! What the simulated tests share: the deployments' files.
 #![allow(dead_code)]
 
+use grebepath_simulator::files::{FileError, read_json};
 use grebepath_simulator::scenario::{Scenario, read};
 use serde_json::{Value, json};
 
 /// The deployment's files from the repository.
-pub fn load(name: &str) -> Result<Value, String> {
-    let path = format!("{}/../../deploy/{name}", env!("CARGO_MANIFEST_DIR"));
-    let raw = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
-    serde_json::from_slice(&raw).map_err(|e| e.to_string())
+pub fn load(name: &str) -> Result<Value, FileError> {
+    read_json(&format!("{}/../../deploy/{name}", env!("CARGO_MANIFEST_DIR")))
 }
 
 /// A scenario with these troubles.
