--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -72,7 +72,7 @@
             ScheduledEvent::DiskJobDone { controller, life, part, token }
                 if self.alive(controller, life) =>
             {
-                let event = match self.controllers[controller].disk.done(part, token) {
+                let event = match self.controllers[controller].disk.finish_job(part, token) {
                     Some(Ok(())) => st::Event::Synced { partition: part, token },
                     Some(Err(error)) => {
                         st::Event::DiskFailed { partition: part, why: error.to_string() }
@@ -84,7 +84,7 @@
             ScheduledEvent::VoterFileDone { controller, life, token }
                 if self.alive(controller, life) =>
             {
-                let event = match self.controllers[controller].disk.kept(token) {
+                let event = match self.controllers[controller].disk.finish_voter_file(token) {
                     Some(Ok(())) => st::Event::VoterFileWritten { token },
                     Some(Err(error)) => st::Event::VoterFileFailed { why: error.to_string() },
                     None => return,
@@ -186,7 +186,9 @@
             grebepath_core::command::Command::WriteVoterFile { token, roll, clear } => {
                 add(&mut self.controllers[controller].meter.disk, voter_file::write(&roll).len());
                 let disk = &mut self.controllers[controller].disk;
-                if let Some(at) = disk.keep(self.now, token, roll, clear, &mut self.random) {
+                if let Some(at) =
+                    disk.write_voter_file(self.now, token, roll, clear, &mut self.random)
+                {
                     self.push_at(at, ScheduledEvent::VoterFileDone { controller, life, token });
                 }
             }
@@ -208,7 +210,7 @@
                     &mut self.controllers[controller].meter.disk,
                     writer::slot(part.0, 0, &copy).len(),
                 );
-                self.job(controller, part, token, Job::Slot(copy));
+                self.job(controller, part, token, Job::Snapshot(copy));
             }
             grebepath_core::command::Command::Scrub { partition: part } => {
                 let event = Box::new(st::Event::Scrubbed { partition: part, trouble: None });
@@ -268,8 +270,13 @@
         job: Job,
     ) {
         let life = self.controllers[controller].life;
-        let at =
-            self.controllers[controller].disk.begin(self.now, part, token, job, &mut self.random);
+        let at = self.controllers[controller].disk.start_job(
+            self.now,
+            part,
+            token,
+            job,
+            &mut self.random,
+        );
         if let Some(at) = at {
             self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, part, token });
         }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -219,9 +219,9 @@
             addr: plan::controller_address(controller),
         };
         let disk = &mut self.controllers[controller].disk;
-        let bare = disk.bare();
-        let (roll, clear) = voter_file::begin(disk.roll(), &start, bare, seed);
-        disk.put_roll(&roll, clear);
+        let bare = disk.is_empty();
+        let (roll, clear) = voter_file::begin(disk.read_voter_file(), &start, bare, seed);
+        disk.put_voter_file(&roll, clear);
         let found = disk.start();
         let list = found
             .into_iter()
@@ -250,11 +250,11 @@
     pub fn kill_controller(&mut self, controller: usize) {
         let node = &mut self.controllers[controller];
         node.up = false;
-        for (part, token) in node.disk.waiting() {
-            node.disk.done(part, token);
+        for (part, token) in node.disk.pending_jobs() {
+            node.disk.finish_job(part, token);
         }
-        for token in node.disk.rolls() {
-            node.disk.kept(token);
+        for token in node.disk.pending_voter_files() {
+            node.disk.finish_voter_file(token);
         }
     }
 
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -21,7 +21,7 @@
             "kill-seat" => {
                 self.kill_controller(which, parameters["power"].as_bool().unwrap_or(false));
                 if parameters["lose"].as_bool().unwrap_or(false) {
-                    self.controllers[which].disk.lose();
+                    self.controllers[which].disk.replace();
                     self.lost_disks += 1;
                 }
                 if let Some(span) = duration {
@@ -67,7 +67,7 @@
             "flip" => {
                 let mut random =
                     grebepath_core::random::luck(grebepath_core::random::draw(&mut self.random));
-                self.controllers[which].disk.flip(&mut random);
+                self.controllers[which].disk.flip_bit(&mut random);
             }
             "cut" => self.partition_network(parameters),
             "heal" => {
@@ -126,7 +126,7 @@
         }
         for controller in lose {
             if let Some(n) = self.controllers.get_mut(controller) {
-                n.disk.lose();
+                n.disk.replace();
                 self.lost_disks += 1;
             }
         }
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -11,7 +11,10 @@
 use grebepath_core::storage::writer;
 use grebepath_core::time::{Span, Tick, ms};
 
-/// One part's files and what is being written.
+/// A log this short has nothing but its head, in which no bit is flipped (bytes).
+const LOG_HEAD: usize = 40;
+
+/// One partition's files and what is being written.
 ///
 /// Invariant: `log` and `slots` are what a start would find now; jobs take
 /// effect when they are done, or in part when power is lost.
@@ -19,17 +22,38 @@
 pub struct Files {
     slots: [Option<Vec<u8>>; 2],
     log: Option<Vec<u8>>,
-    seq: u64,
-    num: u32,
+    /// Sequence number of the newest slot.
+    sequence: u64,
+    /// Records in the log.
+    records: u32,
+    /// Whether the log takes records.
     open: bool,
-    aside: bool,
+    /// Whether earlier files were set aside, because they were damaged or of another voter.
+    set_aside: bool,
 }
 
 /// What a disk is asked.
 #[derive(Clone)]
 pub enum Job {
+    /// Appends a record to the log.
     Append(LogRecord),
-    Slot(ReplicaState),
+    /// Writes a slot and begins a new log.
+    Snapshot(ReplicaState),
+}
+
+/// A job that has not ended.
+struct PendingJob {
+    partition: PartitionId,
+    token: u64,
+    job: Job,
+}
+
+/// A voter file on its way to the disk.
+struct PendingVoterFile {
+    token: u64,
+    contents: VoterFile,
+    /// Whether the partitions' files are set aside before.
+    clear: bool,
 }
 
 /// Why a write failed.
@@ -43,255 +67,224 @@
     NoOpenLog,
 }
 
-/// The health of a whole disk.
+/// The health of a disk.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Health {
+    /// Every write lasts after a few milliseconds.
     Good,
+    /// Every write takes this much longer.
     Slow(Span),
+    /// Every write fails.
     Full,
+    /// No write ends.
     Stalled,
 }
 
 /// A machine's disk.
 pub struct Disk {
-    pub parts: Vec<Files>,
+    /// How it behaves from now on.
     pub health: Health,
-    /// The file that holds the roll, and rolls on their way to it: token, roll,
-    /// and whether the parts' files are set aside before.
-    roll: Option<Vec<u8>>,
-    rolls: Vec<(u64, VoterFile, bool)>,
-    /// When the last job in line will be done.
-    busy: Tick,
-    /// Jobs that are under way: part, token, done at.
-    line: Vec<(PartitionId, u64, Job)>,
+    partitions: Vec<Files>,
+    voter_file: Option<Vec<u8>>,
+    pending_voter_files: Vec<PendingVoterFile>,
+    /// When the last job that is queued will be done.
+    busy_until: Tick,
+    pending_jobs: Vec<PendingJob>,
 }
 
 impl Disk {
     /// An empty disk.
-    pub fn new(parts: usize) -> Self {
+    pub fn new(partitions: usize) -> Self {
         Disk {
-            parts: vec![Files::default(); parts],
+            partitions: vec![Files::default(); partitions],
             health: Health::Good,
-            roll: None,
-            rolls: Vec::new(),
-            busy: 0,
-            line: Vec::new(),
+            voter_file: None,
+            pending_voter_files: Vec::new(),
+            busy_until: 0,
+            pending_jobs: Vec::new(),
         }
     }
 
-    /// Puts a job in line; gives the time at which it will be done, or `None`
-    /// while the disk stalls.
-    pub fn begin(
+    /// Queues a job; gives the time at which it will be done, or `None` while the
+    /// disk stalls.
+    pub fn start_job(
         &mut self,
         now: Tick,
-        part: PartitionId,
+        partition: PartitionId,
         token: u64,
         job: Job,
         random: &mut Random,
     ) -> Option<Tick> {
-        let took = ms(1)
-            + below(random, ms(3))
-            + match self.health {
-                Health::Slow(more) => more,
-                _ => 0,
-            };
-        self.line.push((part, token, job));
-        if self.health == Health::Stalled {
-            return None;
-        }
-        self.busy = self.busy.max(now) + took;
-        Some(self.busy)
+        self.pending_jobs.push(PendingJob { partition, token, job });
+        self.schedule(now, random)
     }
 
-    /// Puts a roll in line, as `begin` does with what belongs to a part.
-    pub fn keep(
+    /// Queues a voter file, as `start_job` does with what belongs to a partition.
+    pub fn write_voter_file(
         &mut self,
         now: Tick,
         token: u64,
-        roll: VoterFile,
+        contents: VoterFile,
         clear: bool,
         random: &mut Random,
     ) -> Option<Tick> {
-        self.rolls.push((token, roll, clear));
+        self.pending_voter_files.push(PendingVoterFile { token, contents, clear });
+        self.schedule(now, random)
+    }
+
+    /// When a job that is queued now will be done; `None` while the disk stalls.
+    fn schedule(&mut self, now: Tick, random: &mut Random) -> Option<Tick> {
         let slow = if let Health::Slow(more) = self.health { more } else { 0 };
         let took = ms(1) + below(random, ms(3)) + slow;
         if self.health == Health::Stalled {
             return None;
         }
-        self.busy = self.busy.max(now) + took;
-        Some(self.busy)
+        self.busy_until = self.busy_until.max(now) + took;
+        Some(self.busy_until)
     }
 
-    /// A roll is kept, or could not be.
-    pub fn kept(&mut self, token: u64) -> Option<Result<(), DiskError>> {
-        let at = self.rolls.iter().position(|(t, _, _)| *t == token)?;
-        let (_, roll, clear) = self.rolls.remove(at);
+    /// A voter file is written, or could not be; `None` if it is not under way.
+    pub fn finish_voter_file(&mut self, token: u64) -> Option<Result<(), DiskError>> {
+        let at = self.pending_voter_files.iter().position(|pending| pending.token == token)?;
+        let pending = self.pending_voter_files.remove(at);
         if self.health == Health::Full {
             return Some(Err(DiskError::Full));
         }
-        if clear {
-            self.set_aside();
-        }
-        self.roll = Some(voter_file::write(&roll));
+        self.put_voter_file(&pending.contents, pending.clear);
         Some(Ok(()))
     }
 
-    /// Rolls that remain in line when a stall ends, oldest first.
-    pub fn rolls(&self) -> Vec<u64> {
-        self.rolls.iter().map(|(t, _, _)| *t).collect()
+    /// Tokens of the voter files that remain when a stall ends, oldest first.
+    pub fn pending_voter_files(&self) -> Vec<u64> {
+        self.pending_voter_files.iter().map(|pending| pending.token).collect()
     }
 
-    /// The roll as a start finds it; what was not kept is forgotten.
-    pub fn roll(&mut self) -> Option<VoterFile> {
-        self.rolls.clear();
-        voter_file::read(self.roll.as_deref()?)
+    /// The voter file as a start finds it; what was not written is forgotten.
+    pub fn read_voter_file(&mut self) -> Option<VoterFile> {
+        self.pending_voter_files.clear();
+        voter_file::read(self.voter_file.as_deref()?)
     }
 
-    /// Writes the roll of a start, which waits for it.
-    pub fn put_roll(&mut self, roll: &VoterFile, clear: bool) {
+    /// Writes the voter file of a start, which waits for it.
+    pub fn put_voter_file(&mut self, contents: &VoterFile, clear: bool) {
         if clear {
-            self.set_aside();
-        }
-        self.roll = Some(voter_file::write(roll));
-    }
-
-    fn set_aside(&mut self) {
-        for f in &mut self.parts {
-            *f = Files { aside: f.aside || f.seq > 0, ..Files::default() };
+            for files in &mut self.partitions {
+                let set_aside = files.set_aside || files.sequence > 0;
+                *files = Files { set_aside, ..Files::default() };
+            }
         }
+        self.voter_file = Some(voter_file::write(contents));
     }
 
-    /// Whether no part has any files.
-    pub fn bare(&self) -> bool {
-        self.parts.iter().all(|f| f.slots.iter().all(Option::is_none) && f.log.is_none())
+    /// Whether no partition has any files.
+    pub fn is_empty(&self) -> bool {
+        let empty = |files: &Files| files.slots.iter().all(Option::is_none) && files.log.is_none();
+        self.partitions.iter().all(empty)
     }
 
-    /// What remains in line when a stall ends, oldest first.
-    pub fn waiting(&self) -> Vec<(PartitionId, u64)> {
-        self.line.iter().map(|(p, t, _)| (*p, *t)).collect()
+    /// The jobs that remain when a stall ends, oldest first.
+    pub fn pending_jobs(&self) -> Vec<(PartitionId, u64)> {
+        self.pending_jobs.iter().map(|pending| (pending.partition, pending.token)).collect()
     }
 
-    /// A job is done: it lasts now, or it failed.
-    pub fn done(&mut self, part: PartitionId, token: u64) -> Option<Result<(), DiskError>> {
-        let at = self.line.iter().position(|(p, t, _)| *p == part && *t == token)?;
-        let (_, _, job) = self.line.remove(at);
+    /// A job is done: it lasts now, or it failed; `None` if it is not under way.
+    pub fn finish_job(
+        &mut self,
+        partition: PartitionId,
+        token: u64,
+    ) -> Option<Result<(), DiskError>> {
+        let wanted =
+            |pending: &PendingJob| pending.partition == partition && pending.token == token;
+        let at = self.pending_jobs.iter().position(wanted)?;
+        let pending = self.pending_jobs.remove(at);
         let full = self.health == Health::Full;
-        let files = &mut self.parts[part.0 as usize];
+        let files = &mut self.partitions[partition.0 as usize];
         if full {
             files.open = false;
             return Some(Err(DiskError::Full));
         }
-        Some(match job {
-            Job::Append(_) if !files.open => Err(DiskError::NoOpenLog),
-            Job::Append(rec) => {
-                let raw = writer::rec(files.seq, files.num, &rec);
-                files.log.get_or_insert_default().extend(raw);
-                files.num += 1;
-                Ok(())
-            }
-            Job::Slot(copy) => {
-                files.seq += 1;
-                let raw = writer::slot(part.0, files.seq, &copy);
-                files.slots[(files.seq % 2) as usize] = Some(raw);
-                files.log = Some(writer::log_head(part.0, files.seq));
-                files.num = 0;
-                files.open = true;
-                Ok(())
-            }
-        })
+        Some(files.apply(partition, pending.job))
+    }
+
+    /// What was handed to the system is written whether the process lives or not.
+    pub fn finish_all(&mut self) {
+        for (partition, token) in self.pending_jobs() {
+            self.finish_job(partition, token);
+        }
+        for token in self.pending_voter_files() {
+            self.finish_voter_file(token);
+        }
     }
 
     /// Power is lost: what was under way lasts in part, by chance.
     pub fn power_loss(&mut self, random: &mut Random) {
-        let line = std::mem::take(&mut self.line);
+        let jobs = std::mem::take(&mut self.pending_jobs);
         // A file that is renamed is there or it is not.
-        for (_, roll, clear) in std::mem::take(&mut self.rolls) {
+        for pending in std::mem::take(&mut self.pending_voter_files) {
             if chance(random, 1, 2) {
                 break;
             }
-            self.put_roll(&roll, clear);
+            self.put_voter_file(&pending.contents, pending.clear);
         }
-        let mut broken = vec![false; self.parts.len()];
-        for (part, _, job) in line {
-            let at = part.0 as usize;
-            if broken[at] {
+        let mut torn = vec![false; self.partitions.len()];
+        for pending in jobs {
+            let at = pending.partition.0 as usize;
+            if torn[at] {
                 continue;
             }
-            broken[at] = !self.parts[at].partly(part, job, random);
+            torn[at] = !self.partitions[at].apply_partly(pending.partition, pending.job, random);
         }
-        self.busy = 0;
-        for f in &mut self.parts {
-            f.open = false;
+        self.busy_until = 0;
+        for files in &mut self.partitions {
+            files.open = false;
         }
     }
 
     /// The machine is replaced by one with an empty disk.
-    pub fn lose(&mut self) {
-        *self = Disk::new(self.parts.len());
+    pub fn replace(&mut self) {
+        *self = Disk::new(self.partitions.len());
     }
 
     /// Flips one bit of what lies on the disk; false if nothing lies there.
-    pub fn flip(&mut self, random: &mut Random) -> bool {
-        let at = below(random, self.parts.len() as u64) as usize;
-        let f = &mut self.parts[at];
-        let newest = (f.seq % 2) as usize;
-        let raw = match (&mut f.slots[newest], &mut f.log) {
-            (_, Some(log)) if chance(random, 1, 2) && log.len() > 40 => log,
+    pub fn flip_bit(&mut self, random: &mut Random) -> bool {
+        let at = below(random, self.partitions.len() as u64) as usize;
+        let files = &mut self.partitions[at];
+        let newest = (files.sequence % 2) as usize;
+        let raw = match (&mut files.slots[newest], &mut files.log) {
+            (_, Some(log)) if chance(random, 1, 2) && log.len() > LOG_HEAD => log,
             (Some(slot), _) => slot,
             _ => return false,
         };
-        let i = below(random, raw.len() as u64) as usize;
-        raw[i] ^= 1 << below(random, 8);
+        let byte = below(random, raw.len() as u64) as usize;
+        raw[byte] ^= 1 << below(random, 8);
         true
     }
 
     /// Reads the disk as a start does; a slot of this life comes first.
     pub fn start(&mut self) -> Vec<(PartitionId, Found)> {
-        self.line.clear();
-        self.busy = 0;
+        self.pending_jobs.clear();
+        self.busy_until = 0;
         let full = self.health == Health::Full;
-        let mut out = Vec::new();
-        for (i, f) in self.parts.iter_mut().enumerate() {
-            let part = PartitionId(i as u32);
-            let slots = [f.slots[0].as_deref(), f.slots[1].as_deref()];
-            let mut found = read(part.0, slots, f.log.as_deref());
-            if found == Found::Empty && f.aside {
-                found = Found::Damaged("set aside earlier".into());
-            }
-            match &found {
-                Found::Empty => *f = Files { aside: f.aside, ..Files::default() },
-                Found::Damaged(_) => *f = Files { aside: true, ..Files::default() },
-                Found::Good { copy, seq, .. } => {
-                    f.seq = *seq;
-                    f.open = false;
-                    if !full {
-                        f.seq += 1;
-                        f.slots[(f.seq % 2) as usize] = Some(writer::slot(part.0, f.seq, copy));
-                        f.log = Some(writer::log_head(part.0, f.seq));
-                        f.num = 0;
-                        f.open = true;
-                    }
-                }
-            }
-            out.push((part, found));
-        }
-        out
+        let partitions = self.partitions.iter_mut().enumerate();
+        partitions
+            .map(|(number, files)| {
+                let partition = PartitionId(number as u32);
+                (partition, files.start(partition, full))
+            })
+            .collect()
     }
 
-    /// Reads a part's files again, as a running controller does.
-    pub fn look(&self, part: PartitionId) -> Option<String> {
-        let f = &self.parts[part.0 as usize];
-        // What is under way behind this look may have begun to take effect.
-        if !f.open || self.line.iter().any(|(p, _, _)| *p == part) {
+    /// Reads a partition's files again, as a running controller does; gives what is
+    /// wrong with them.
+    pub fn scrub(&self, partition: PartitionId) -> Option<String> {
+        let files = &self.partitions[partition.0 as usize];
+        // What is under way behind this scrub may have begun to take effect.
+        if !files.open || self.pending_jobs.iter().any(|pending| pending.partition == partition) {
             return None;
         }
-        let slots = [f.slots[0].as_deref(), f.slots[1].as_deref()];
-        match read(part.0, slots, f.log.as_deref()) {
-            Found::Good { seq, records, torn, .. }
-                if (seq, records, torn) == (f.seq, f.num, false) =>
-            {
-                None
-            }
+        let written = (files.sequence, files.records, false);
+        match files.read(partition) {
+            Found::Good { seq, records, torn, .. } if (seq, records, torn) == written => None,
             Found::Good { .. } => Some("what was written last is not there".into()),
             Found::Empty => Some("the files are gone".into()),
             Found::Damaged(why) => Some(why),
@@ -300,14 +293,47 @@
 }
 
 impl Files {
+    fn read(&self, partition: PartitionId) -> Found {
+        let slots = [self.slots[0].as_deref(), self.slots[1].as_deref()];
+        read(partition.0, slots, self.log.as_deref())
+    }
+
+    /// Begins an empty log behind the newest slot.
+    fn begin_log(&mut self, partition: PartitionId) {
+        self.log = Some(writer::log_head(partition.0, self.sequence));
+        self.records = 0;
+    }
+
+    /// Writes the next slot and opens a log behind it.
+    fn write_slot(&mut self, partition: PartitionId, copy: &ReplicaState) {
+        self.sequence += 1;
+        let raw = writer::slot(partition.0, self.sequence, copy);
+        self.slots[(self.sequence % 2) as usize] = Some(raw);
+        self.begin_log(partition);
+        self.open = true;
+    }
+
+    fn apply(&mut self, partition: PartitionId, job: Job) -> Result<(), DiskError> {
+        match job {
+            Job::Append(_) if !self.open => return Err(DiskError::NoOpenLog),
+            Job::Append(record) => {
+                let raw = writer::rec(self.sequence, self.records, &record);
+                self.log.get_or_insert_default().extend(raw);
+                self.records += 1;
+            }
+            Job::Snapshot(copy) => self.write_slot(partition, &copy),
+        }
+        Ok(())
+    }
+
     /// Lets a job take effect in part; true if all of it lasts.
-    fn partly(&mut self, part: PartitionId, job: Job, random: &mut Random) -> bool {
-        let whole = chance(random, 1, 3);
+    fn apply_partly(&mut self, partition: PartitionId, job: Job, random: &mut Random) -> bool {
+        let complete = chance(random, 1, 3);
         match job {
             Job::Append(_) if !self.open => false,
-            Job::Append(rec) => {
-                let mut raw = writer::rec(self.seq, self.num, &rec);
-                if !whole {
+            Job::Append(record) => {
+                let mut raw = writer::rec(self.sequence, self.records, &record);
+                if !complete {
                     let keep = below(random, raw.len() as u64) as usize;
                     if chance(random, 1, 2) {
                         // The file's length came through, its bytes did not.
@@ -317,27 +343,46 @@
                     }
                 }
                 self.log.get_or_insert_default().extend(raw);
-                self.num += 1;
-                whole
+                self.records += 1;
+                complete
             }
-            Job::Slot(copy) => {
-                let seq = self.seq + 1;
-                let mut raw = writer::slot(part.0, seq, &copy);
+            Job::Snapshot(copy) => {
+                let sequence = self.sequence + 1;
+                let mut raw = writer::slot(partition.0, sequence, &copy);
                 let torn = chance(random, 1, 2);
                 if torn {
                     raw.truncate(below(random, raw.len() as u64) as usize);
                 }
-                self.slots[(seq % 2) as usize] = Some(raw);
-                if !torn {
-                    self.seq = seq;
-                    if whole {
-                        self.log = Some(writer::log_head(part.0, seq));
-                        self.num = 0;
-                        return true;
-                    }
+                self.slots[(sequence % 2) as usize] = Some(raw);
+                if torn {
+                    return false;
+                }
+                self.sequence = sequence;
+                if complete {
+                    self.begin_log(partition);
+                }
+                complete
+            }
+        }
+    }
+
+    /// Reads the files as a start does, and opens a new log unless the disk is full.
+    fn start(&mut self, partition: PartitionId, full: bool) -> Found {
+        let mut found = self.read(partition);
+        if found == Found::Empty && self.set_aside {
+            found = Found::Damaged("set aside earlier".into());
+        }
+        match &found {
+            Found::Empty => *self = Files { set_aside: self.set_aside, ..Files::default() },
+            Found::Damaged(_) => *self = Files { set_aside: true, ..Files::default() },
+            Found::Good { copy, seq, .. } => {
+                self.sequence = *seq;
+                self.open = false;
+                if !full {
+                    self.write_slot(partition, copy);
                 }
-                false
             }
         }
+        found
     }
 }
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -32,7 +32,7 @@
             // Connections are not simulated; a new voter announces its voter set itself.
             Command::VoterSetChanged => {}
             Command::WriteVoterFile { token, roll, clear } => {
-                let at = self.controllers[controller].disk.keep(
+                let at = self.controllers[controller].disk.write_voter_file(
                     self.now,
                     token,
                     roll,
@@ -53,7 +53,7 @@
                 self.start_disk_job(controller, part, token, Job::Append(rec))
             }
             Command::WriteSnapshot { partition: part, token, copy } => {
-                self.start_disk_job(controller, part, token, Job::Slot(copy))
+                self.start_disk_job(controller, part, token, Job::Snapshot(copy))
             }
             Command::Scrub { partition } => self.scrub(controller, partition),
             Command::Respond { op, done } => self.acknowledge(op as usize, done),
@@ -106,7 +106,7 @@
         {
             return;
         }
-        let trouble = node.disk.look(partition);
+        let trouble = node.disk.scrub(partition);
         let (life, event) = (node.life, CoreEvent::Scrubbed { partition, trouble });
         self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
     }
--- a/crates/simulator/src/world/controller_disks.rs
+++ b/crates/simulator/src/world/controller_disks.rs
@@ -16,7 +16,7 @@
         if disk.health == Health::Stalled {
             return;
         }
-        let event = match disk.done(part, token) {
+        let event = match disk.finish_job(part, token) {
             Some(Ok(())) => CoreEvent::Synced { partition: part, token },
             Some(Err(error)) => CoreEvent::DiskFailed { partition: part, why: error.to_string() },
             None => return,
@@ -35,7 +35,7 @@
         if disk.health == Health::Stalled {
             return;
         }
-        let event = match disk.kept(token) {
+        let event = match disk.finish_voter_file(token) {
             Some(Ok(())) => CoreEvent::VoterFileWritten { token },
             Some(Err(error)) => CoreEvent::VoterFileFailed { why: error.to_string() },
             None => return,
@@ -51,8 +51,13 @@
         job: Job,
     ) {
         let life = self.controllers[controller].life;
-        let at =
-            self.controllers[controller].disk.begin(self.now, part, token, job, &mut self.random);
+        let at = self.controllers[controller].disk.start_job(
+            self.now,
+            part,
+            token,
+            job,
+            &mut self.random,
+        );
         if let Some(at) = at {
             self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, part, token });
         }
@@ -74,14 +79,14 @@
         if was == Health::Stalled && health != Health::Stalled {
             let life = self.controllers[controller].life;
             for (i, (part, token)) in
-                self.controllers[controller].disk.waiting().into_iter().enumerate()
+                self.controllers[controller].disk.pending_jobs().into_iter().enumerate()
             {
                 self.push(
                     ms(2 + i as u64),
                     ScheduledEvent::DiskJobDone { controller, life, part, token },
                 );
             }
-            for token in self.controllers[controller].disk.rolls() {
+            for token in self.controllers[controller].disk.pending_voter_files() {
                 self.push(ms(2), ScheduledEvent::VoterFileDone { controller, life, token });
             }
         }
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -59,9 +59,9 @@
             addr: address(controller),
         };
         let disk = &mut self.controllers[controller].disk;
-        let bare = disk.bare();
-        let (roll, clear) = voter_file::begin(disk.roll(), &start, bare, seed);
-        disk.put_roll(&roll, clear);
+        let bare = disk.is_empty();
+        let (roll, clear) = voter_file::begin(disk.read_voter_file(), &start, bare, seed);
+        disk.put_voter_file(&roll, clear);
         let found = disk.start();
         let votes_after_loss =
             self.faulty_variant == Some(FaultyVariant::VotesAfterDiskLoss) && bare && !start.first;
@@ -168,11 +168,11 @@
             self.controllers[controller].disk.power_loss(&mut random);
         } else {
             // What was handed to the system is written whether we live or not.
-            for (part, token) in self.controllers[controller].disk.waiting() {
-                self.controllers[controller].disk.done(part, token);
+            for (part, token) in self.controllers[controller].disk.pending_jobs() {
+                self.controllers[controller].disk.finish_job(part, token);
             }
-            for token in self.controllers[controller].disk.rolls() {
-                self.controllers[controller].disk.kept(token);
+            for token in self.controllers[controller].disk.pending_voter_files() {
+                self.controllers[controller].disk.finish_voter_file(token);
             }
         }
     }
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -148,7 +148,7 @@
             !matches!(fault, Fault::Gone) && self.controllers[controller].stopping.is_none();
         self.kill_controller(controller, !matches!(fault, Fault::Kill));
         if fault == Fault::DiskLost {
-            self.controllers[controller].disk.lose();
+            self.controllers[controller].disk.replace();
             self.lost_disks += 1;
         }
         self.injected.losses += usize::from(fault == Fault::DiskLost || !restarts);
