--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -1,6 +1,5 @@
 //! Applies the steps of a scenario to the world.
 
-use grebepath_core::random::Random;
 use grebepath_core::time::{SECOND, ms};
 use serde_json::Value;
 
@@ -22,7 +21,7 @@
             "kill-seat" => {
                 self.kill_controller(which, parameters["power"].as_bool().unwrap_or(false));
                 if parameters["lose"].as_bool().unwrap_or(false) {
-                    self.controllers[which].disk.lose();
+                    self.controllers[which].disk.replace();
                     self.lost_disks += 1;
                 }
                 if let Some(span) = duration {
@@ -66,8 +65,8 @@
                 }
             }
             "flip" => {
-                let mut random = Random::new(self.random.next_u64());
-                self.controllers[which].disk.flip(&mut random);
+                let mut random = grebepath_core::random::Random::new(self.random.next_u64());
+                self.controllers[which].disk.flip_bit(&mut random);
             }
             "cut" => self.partition_network(parameters),
             "heal" => {
@@ -126,7 +125,7 @@
         }
         for controller in lose {
             if let Some(n) = self.controllers.get_mut(controller) {
-                n.disk.lose();
+                n.disk.replace();
                 self.lost_disks += 1;
             }
         }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -1,12 +1,12 @@
 //! Callers: what they ask, and what they are told.
 
 use grebepath_core::http_api::caller;
-use grebepath_core::query::event;
+use grebepath_core::query::event as query_event;
 use grebepath_core::query::request::Outcome;
 use grebepath_core::time::{Span, ms};
 use serde_json::json;
 
-use super::events::ScheduledEvent;
+use super::events::{QueryEngineId, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
 use super::nodes::{Call, CallOutcomes};
 use super::{BEGIN, THREADS, World};
@@ -69,6 +69,15 @@
         self.push(wait + ms(5), ScheduledEvent::CallTimeout { call: id });
     }
 
+    /// A caller's patience has ended.
+    pub(super) fn call_times_out(&mut self, id: u64) {
+        let Some(call) = self.calls.remove(&id) else { return };
+        let name = self.call_kinds[call.kind].search.clone();
+        let now = self.now - BEGIN;
+        self.rules.ends(call.began - BEGIN, now, &name, false);
+        self.tally(call.kind).timed_out += 1;
+    }
+
     pub(super) fn call_arrives(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.began = self.now;
@@ -88,10 +97,8 @@
         self.push(
             10,
             ScheduledEvent::QueryEngineEvent {
-                querier,
-                life,
-                thread,
-                event: event::Event::Ask { call: id, ask },
+                engine: QueryEngineId { querier, life, thread },
+                event: query_event::Event::Ask { call: id, ask },
             },
         );
     }
@@ -102,8 +109,9 @@
                 && let Outcome::Rejection(rejection) = &outcome
                 && rejection.query.is_some()
             {
-                let cut = self.call_kinds[kind].shards[0].0.clone();
-                let planned = self.call_kinds[kind].shards.iter().filter(|s| s.0 == cut).count();
+                let cut = self.call_kinds[kind].shards[0].cut.clone();
+                let planned =
+                    self.call_kinds[kind].shards.iter().filter(|shard| shard.cut == cut).count();
                 return Outcome::Full(grebepath_core::query::request::Full {
                     query: rejection.query.clone().unwrap_or_default(),
                     mapping: self.call_kinds[kind].search.clone(),
@@ -118,8 +126,8 @@
         };
         match self.faulty_variant {
             Some(FaultyVariant::ClaimsAllShards) if full.missing > 0 => {
-                let all = self.call_kinds[kind].shards.iter().filter(|s| s.0 == full.cut);
-                full.shards = all.map(|s| s.1.clone()).collect();
+                let all = self.call_kinds[kind].shards.iter().filter(|shard| shard.cut == full.cut);
+                full.shards = all.map(|shard| shard.shard.clone()).collect();
                 full.missing = 0;
             }
             Some(FaultyVariant::RepeatsShard) => full.shards.push(full.shards[0].clone()),
