--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -5,7 +5,8 @@
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use grebepath_core::routing_language::diagnostic::{Diagnostic, lines};
 use grebepath_simulator::files::read_json;
-use grebepath_simulator::scenario::{Scenario, play_weighed, read};
+use grebepath_simulator::net::MessageCount;
+use grebepath_simulator::scenario::{Scenario, play_counting_messages, read};
 use grebepath_simulator::{report, world::World};
 use serde_json::json;
 
@@ -117,7 +118,7 @@
         for scenario in &list {
             let mut scenario = if args.chaos { stirred(scenario, seed) } else { scenario.clone() };
             scenario.queriers = args.queriers.unwrap_or(scenario.queriers);
-            let world = play_weighed(&scenario, seed, None, args.weigh);
+            let world = play_counting_messages(&scenario, seed, None, args.weigh);
             broken |= !world.rules.counts.is_empty();
             show(&args, &scenario, seed, &world);
             if args.shrink && !world.rules.counts.is_empty() {
@@ -144,7 +145,7 @@
     let rules: Vec<u8> = world.rules.counts.keys().copied().collect();
     let list = grebepath_simulator::chaos::shrink(&scenario.faults, |list| {
         let less = Scenario { faults: list.to_vec(), ..scenario.clone() };
-        let world = play_weighed(&less, seed, None, false);
+        let world = play_counting_messages(&less, seed, None, false);
         rules.iter().any(|r| world.rules.counts.contains_key(r))
     });
     println!("seed {seed}: {} of {} troubles still fail:", list.len(), scenario.faults.len());
@@ -169,7 +170,7 @@
         println!("== {} (seed {seed}, {} s) ==", scenario.name, scenario.seconds);
         print!("{}", report::table(world));
     }
-    for (kind, (n, bytes)) in world.net.weights.iter().flatten() {
+    for (kind, MessageCount { messages: n, bytes }) in world.net.message_counts.iter().flatten() {
         println!("  {kind:<32} {n:>9} messages {bytes:>12} bytes");
     }
     if args.story || !world.rules.counts.is_empty() {
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -1,7 +1,9 @@
-//! The net under the virtual clock: latency by zone, loss, cuts each way.
+//! The net under the virtual clock: latency by zone, loss, and partitions
+//! in each direction.
 
 use std::collections::{BTreeMap, BTreeSet};
 
+use grebepath_core::protocol::frame::encode;
 use grebepath_core::protocol::message::Message;
 use grebepath_core::random::{Random, below, chance};
 use grebepath_core::time::{Span, Tick};
@@ -9,45 +11,63 @@
 /// A machine on the net.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Node {
+    /// A controller's machine, by its number.
     Controller(u8),
+    /// A querier's machine, by its number.
     Querier(usize),
     /// The platform's list.
     List,
 }
 
+/// A machine and the zone in which it stands.
+#[derive(Clone, Copy)]
+pub struct Endpoint<'a> {
+    pub node: Node,
+    pub zone: &'a str,
+}
+
+/// Messages of a kind, and their bytes.
+#[derive(Clone, Copy, Default, Debug)]
+pub struct MessageCount {
+    pub messages: u64,
+    pub bytes: u64,
+}
+
 /// State of the net.
 ///
 /// Invariant: between two nodes, in one direction, messages arrive in the
 /// order in which they were sent, as on one connection.
 #[derive(Default)]
 pub struct Net {
-    /// Directed pairs that nothing passes.
-    pub cuts: BTreeSet<(Node, Node)>,
-    /// Messages lost, in thousandths.
-    pub loss: u64,
-    /// Added to every message.
-    pub slow: Span,
-    last: BTreeMap<(Node, Node), Tick>,
+    /// Directed pairs that nothing passes: one direction each.
+    pub blocked: BTreeSet<(Node, Node)>,
+    /// Messages lost at random (per mille).
+    pub loss_per_mille: u64,
+    /// Added to the latency of every message.
+    pub extra_latency: Span,
+    /// When the last message of each direction arrives.
+    last_arrivals: BTreeMap<(Node, Node), Tick>,
+    /// Messages that were sent, and those of them that were lost.
     pub sent: u64,
     pub lost: u64,
-    /// Messages and bytes by kind and by what carries them, if they are weighed.
-    pub weights: Option<BTreeMap<String, (u64, u64)>>,
+    /// Messages by their kind and by who sends to whom, if they are counted.
+    pub message_counts: Option<BTreeMap<String, MessageCount>>,
     /// A running hash of the bytes and times of all messages, if it is kept.
     pub trace: Option<u64>,
 }
 
 impl Net {
-    /// Weighs a message, if messages are weighed.
-    pub fn weigh(&mut self, way: &str, message: &Message) {
+    /// Adds a message to the hash and to the counts, if these are kept.
+    pub fn record(&mut self, link: &str, message: &Message) {
         if let Some(hash) = self.trace {
-            self.trace = Some(traced(hash, &grebepath_core::protocol::frame::encode(message)));
+            self.trace = Some(traced(hash, &encode(message)));
         }
-        if let Some(all) = &mut self.weights {
+        if let Some(counts) = &mut self.message_counts {
             let text = format!("{message:?}");
             let kind = text.split([' ', '(', '{']).next().unwrap_or_default();
-            let cell = all.entry(format!("{way} {kind}")).or_default();
-            cell.0 += 1;
-            cell.1 += grebepath_core::protocol::frame::encode(message).len() as u64;
+            let count = counts.entry(format!("{link} {kind}")).or_default();
+            count.messages += 1;
+            count.bytes += encode(message).len() as u64;
         }
     }
 
@@ -55,18 +75,20 @@
     pub fn send(
         &mut self,
         now: Tick,
-        from: (Node, &str),
-        to: (Node, &str),
+        from: Endpoint,
+        to: Endpoint,
         random: &mut Random,
     ) -> Option<Tick> {
         self.sent += 1;
-        let pair = (from.0, to.0);
-        if self.cuts.contains(&pair) || (self.loss > 0 && chance(random, self.loss, 1000)) {
+        let direction = (from.node, to.node);
+        if self.blocked.contains(&direction)
+            || (self.loss_per_mille > 0 && chance(random, self.loss_per_mille, 1000))
+        {
             self.lost += 1;
             return None;
         }
-        let at = now + latency(from.1, to.1, random) + self.slow;
-        let last = self.last.entry(pair).or_insert(0);
+        let at = now + latency(from.zone, to.zone, random) + self.extra_latency;
+        let last = self.last_arrivals.entry(direction).or_insert(0);
         *last = at.max(*last + 1);
         if let Some(hash) = self.trace {
             self.trace = Some(traced(hash, &last.to_le_bytes()));
@@ -74,11 +96,11 @@
         Some(*last)
     }
 
-    /// Cuts two nodes off from each other, both ways.
-    pub fn cut(&mut self, a: Node, b: Node) {
+    /// Separates two nodes, in both directions.
+    pub fn partition(&mut self, a: Node, b: Node) {
         if a != b {
-            self.cuts.insert((a, b));
-            self.cuts.insert((b, a));
+            self.blocked.insert((a, b));
+            self.blocked.insert((b, a));
         }
     }
 }
@@ -89,7 +111,7 @@
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
 
-/// One way between two zones, in microseconds.
+/// Latency of one way between two zones (us).
 pub fn latency(a: &str, b: &str, random: &mut Random) -> Span {
     if a == b { 80 + below(random, 80) } else { 500 + below(random, 1_000) }
 }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -250,12 +250,7 @@
     pub fn kill_controller(&mut self, controller: usize) {
         let node = &mut self.controllers[controller];
         node.up = false;
-        for (part, token) in node.disk.pending_jobs() {
-            node.disk.finish_job(part, token);
-        }
-        for token in node.disk.pending_voter_files() {
-            node.disk.finish_voter_file(token);
-        }
+        node.disk.finish_all();
     }
 
     /// Lets something happen after a while.
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -71,12 +71,12 @@
             }
             "cut" => self.partition_network(parameters),
             "heal" => {
-                self.net.cuts.clear();
-                self.net.loss = 0;
-                self.net.slow = 0;
+                self.net.blocked.clear();
+                self.net.loss_per_mille = 0;
+                self.net.extra_latency = 0;
             }
-            "loss" => self.net.loss = parameters["per_mille"].as_u64().unwrap_or(10),
-            "slow-net" => self.net.slow = ms(parameters["ms"].as_u64().unwrap_or(20)),
+            "loss" => self.net.loss_per_mille = parameters["per_mille"].as_u64().unwrap_or(10),
+            "slow-net" => self.net.extra_latency = ms(parameters["ms"].as_u64().unwrap_or(20)),
             "list" => self.backends.list_mode = list_mode(parameters).unwrap_or(ListMode::Good),
             "drain" => self.request_zone_state(parameters, true),
             "undrain" => self.request_zone_state(parameters, false),
@@ -166,8 +166,8 @@
 
     /// All troubles end: from now on the fleet has 12 s to be whole again.
     pub(super) fn end_all_faults(&mut self, factor: f64) {
-        self.net.cuts.clear();
-        (self.net.loss, self.net.slow) = (0, 0);
+        self.net.blocked.clear();
+        (self.net.loss_per_mille, self.net.extra_latency) = (0, 0);
         self.backends.list_mode = ListMode::Good;
         self.factor = factor;
         for leaf in self.backends.leafs.values_mut() {
@@ -216,9 +216,9 @@
         for x in &a {
             for y in b.iter().filter(|y| !a.contains(y)) {
                 if parameters["one_way"].as_bool().unwrap_or(false) {
-                    self.net.cuts.insert((*x, *y));
+                    self.net.blocked.insert((*x, *y));
                 } else {
-                    self.net.cut(*x, *y);
+                    self.net.partition(*x, *y);
                 }
             }
         }
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -13,7 +13,7 @@
 mod read;
 mod values;
 
-pub use play::{play, play_traced, play_weighed, play_with_faults};
+pub use play::{play, play_counting_messages, play_traced, play_with_faults};
 pub use read::{generated_fault, read};
 
 /// A whole scenario.
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -7,18 +7,18 @@
 
 /// Runs a scenario to its end.
 pub fn play(scenario: &Scenario, seed: u64, faulty_variant: Option<world::FaultyVariant>) -> World {
-    play_weighed(scenario, seed, faulty_variant, false)
+    play_counting_messages(scenario, seed, faulty_variant, false)
 }
 
 /// `play`, with messages weighed from the moment the fleet has come up.
-pub fn play_weighed(
+pub fn play_counting_messages(
     scenario: &Scenario,
     seed: u64,
     faulty_variant: Option<world::FaultyVariant>,
     weigh: bool,
 ) -> World {
     let mut world = come_up(scenario, seed, faulty_variant);
-    world.net.weights = weigh.then(Default::default);
+    world.net.message_counts = weigh.then(Default::default);
     play_on(&mut world, scenario);
     world
 }
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -11,7 +11,6 @@
 use super::faulty_variant::FaultyVariant;
 use super::nodes::has_voter_slot;
 use super::{BEGIN, World};
-use crate::net::Node;
 use crate::simulated_disk::{Health, Job};
 
 impl World {
@@ -74,11 +73,11 @@
 
     /// A controller answers another on the connection that the other opened.
     fn answer_controller(&mut self, controller: usize, connection: u64, message: Message) {
-        self.net.weigh("seat-seat", &message);
+        self.net.record("seat-seat", &message);
         let (to, life) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
-        let from = (Node::Controller(controller as u8), self.controllers[controller].zone.as_str());
-        let to_node = (Node::Controller(to as u8), self.controllers[to].zone.as_str());
-        let at = self.net.send(self.now, from, to_node, &mut self.random);
+        let from = self.controllers[controller].endpoint(controller);
+        let receiver = self.controllers[to].endpoint(to);
+        let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let event = CoreEvent::FromController { message };
             self.push_at(at, ScheduledEvent::ControllerEvent { controller: to, life, event });
@@ -87,11 +86,11 @@
 
     /// A controller sends to a querier on the connection that the querier opened.
     fn answer_querier(&mut self, controller: usize, connection: u64, message: Message) {
-        self.net.weigh("seat-querier", &message);
+        self.net.record("seat-querier", &message);
         let (querier, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
-        let from = (Node::Controller(controller as u8), self.controllers[controller].zone.as_str());
-        let to_node = (Node::Querier(querier), self.queriers[querier].zone.as_str());
-        let at = self.net.send(self.now, from, to_node, &mut self.random);
+        let from = self.controllers[controller].endpoint(controller);
+        let receiver = self.queriers[querier].endpoint(querier);
+        let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let holder = self.controllers[controller].state.seating.roll.me;
             self.push_at(at, ScheduledEvent::ControllerMessage { querier, life, holder, message });
@@ -113,10 +112,10 @@
 
     /// A controller sends to another's machine, as who it is just now.
     pub(super) fn send_to_controller(&mut self, controller: usize, to: usize, message: Message) {
-        self.net.weigh("seat-seat", &message);
-        let ends = (Node::Controller(controller as u8), Node::Controller(to as u8));
-        let zones = (self.controllers[controller].zone.clone(), self.controllers[to].zone.clone());
-        let at = self.net.send(self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
+        self.net.record("seat-seat", &message);
+        let from = self.controllers[controller].endpoint(controller);
+        let receiver = self.controllers[to].endpoint(to);
+        let at = self.net.send(self.now, from, receiver, &mut self.random);
         let Some(at) = at else { return };
         let node = &self.controllers[controller];
         let connection = controller_connection(controller, node.life);
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -167,13 +167,7 @@
             let mut random = luck(draw(&mut self.random));
             self.controllers[controller].disk.power_loss(&mut random);
         } else {
-            // What was handed to the system is written whether we live or not.
-            for (part, token) in self.controllers[controller].disk.pending_jobs() {
-                self.controllers[controller].disk.finish_job(part, token);
-            }
-            for token in self.controllers[controller].disk.pending_voter_files() {
-                self.controllers[controller].disk.finish_voter_file(token);
-            }
+            self.controllers[controller].disk.finish_all();
         }
     }
 
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -12,7 +12,10 @@
 use super::faulty_variant::FaultyVariant;
 use crate::mock_backends;
 use crate::mock_backends::Alive;
-use crate::net::Node;
+use crate::net::{Endpoint, Node};
+
+/// Where the platform's list is served.
+const LIST: Endpoint = Endpoint { node: Node::List, zone: "a" };
 
 impl World {
     /// Asks the platform for its list, unless an answer is awaited.
@@ -22,8 +25,8 @@
         }
         self.queriers[querier].polling = true;
         let life = self.queriers[querier].life;
-        let from = (Node::Querier(querier), self.queriers[querier].zone.as_str());
-        match self.net.send(self.now, from, (Node::List, "a"), &mut self.random) {
+        let from = self.queriers[querier].endpoint(querier);
+        match self.net.send(self.now, from, LIST, &mut self.random) {
             Some(at) => self.push_at(at, ScheduledEvent::ListRequest { querier, life }),
             None => self.list_timed_out(querier, life),
         }
@@ -48,9 +51,8 @@
             }
             Err(f) => Err(f.to_string()),
         };
-        let pair = (Node::List, Node::Querier(querier));
-        let zone = self.queriers[querier].zone.clone();
-        match self.net.send(now, (pair.0, "a"), (pair.1, &zone), &mut self.random) {
+        let receiver = self.queriers[querier].endpoint(querier);
+        match self.net.send(now, LIST, receiver, &mut self.random) {
             Some(at) => self.push_at(
                 at,
                 ScheduledEvent::NodeAgentEvent {
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -41,7 +41,7 @@
         let zone = self.queriers[engine.querier].zone.clone();
         let leaf_zone =
             self.backends.leafs.get(&sending.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
-        let after = latency(&zone, &leaf_zone, &mut self.random) + self.net.slow;
+        let after = latency(&zone, &leaf_zone, &mut self.random) + self.net.extra_latency;
         self.push(after, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
     }
 
@@ -53,7 +53,7 @@
             raw.heads.age = None;
         }
         let qzone = self.queriers[engine.querier].zone.clone();
-        let after = latency(&qzone, zone, &mut self.random) + self.net.slow;
+        let after = latency(&qzone, zone, &mut self.random) + self.net.extra_latency;
         self.push(
             after,
             ScheduledEvent::QueryEngineEvent {
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -16,7 +16,6 @@
 use super::events::{FollowUp, QueryEngineId, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
 use super::{BEGIN, THREADS, World};
-use crate::net::Node;
 
 /// Between a node agent and the threads of its process: one way (us).
 pub(super) const THREAD_DELAY: Span = 20;
@@ -102,11 +101,11 @@
         {
             return;
         }
-        self.net.weigh("querier-querier", &message);
+        self.net.record("querier-querier", &message);
         let Some(to) = self.queriers.iter().position(|node| node.name == name) else { return };
-        let from = (Node::Querier(querier), self.queriers[querier].zone.as_str());
-        let to_node = (Node::Querier(to), self.queriers[to].zone.as_str());
-        let at = self.net.send(self.now, from, to_node, &mut self.random);
+        let from = self.queriers[querier].endpoint(querier);
+        let receiver = self.queriers[to].endpoint(to);
+        let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let name = self.queriers[querier].name.clone();
             let event = node_agent::Event::FromMember { name, message };
@@ -138,11 +137,10 @@
     }
 
     fn send_from_querier(&mut self, querier: usize, controller: usize, message: Message) {
-        self.net.weigh("querier-seat", &message);
-        let zones =
-            (self.queriers[querier].zone.clone(), self.controllers[controller].zone.clone());
-        let ends = (Node::Querier(querier), Node::Controller(controller as u8));
-        let at = self.net.send(self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
+        self.net.record("querier-seat", &message);
+        let from = self.queriers[querier].endpoint(querier);
+        let receiver = self.controllers[controller].endpoint(controller);
+        let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let connection = ((querier as u64) << 32) | self.queriers[querier].life;
             let life = self.controllers[controller].life;
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -12,6 +12,7 @@
 use super::World;
 use super::events::AttemptKey;
 use crate::check::Asked;
+use crate::net::{Endpoint, Node};
 use crate::simulated_disk::Disk;
 
 /// A controller's machine.
@@ -27,6 +28,13 @@
     pub stopping: Option<Stopping>,
 }
 
+impl ControllerNode {
+    /// The end of its connections, as the controller of this number.
+    pub(super) fn endpoint(&self, number: usize) -> Endpoint<'_> {
+        Endpoint { node: Node::Controller(number as u8), zone: &self.zone }
+    }
+}
+
 /// What follows when a controller that was asked to stop has ended.
 pub struct Stopping {
     /// When it starts again; never if it was removed.
@@ -48,6 +56,13 @@
     pub(super) polling: bool,
 }
 
+impl QuerierNode {
+    /// The end of its connections, as the querier of this number.
+    pub(super) fn endpoint(&self, number: usize) -> Endpoint<'_> {
+        Endpoint { node: Node::Querier(number), zone: &self.zone }
+    }
+}
+
 /// A dispatch that a leaf works on.
 pub(super) struct Run {
     pub(super) key: AttemptKey,
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -90,7 +90,7 @@
                 for other in &all {
                     let with = matches!(other, Node::Querier(o) if list.contains(o));
                     if !(together && with) {
-                        world.net.cut(Node::Querier(*q), *other);
+                        world.net.partition(Node::Querier(*q), *other);
                     }
                 }
             }
@@ -115,7 +115,7 @@
     }
     let began = world.now.max(from);
     world.run(TROUBLE + 4 * SECOND);
-    world.net.cuts.clear();
+    world.net.blocked.clear();
     world.run(6 * SECOND);
     let mut wrong = Vec::new();
     for (id, order) in world.operator_requests.iter().enumerate().skip(n) {
