--- a/crates/simulator/examples/run_digest.rs
+++ b/crates/simulator/examples/run_digest.rs
@@ -133,12 +133,12 @@
         out.extend([tally.full, tally.partial, rejected, tally.unreachable, tally.timed_out]);
         out.extend(&tally.latencies);
     }
-    out.extend([world.rules.firsts.len() as u64, world.rules.seconds.len() as u64]);
+    out.extend([world.rules.first_attempts.len() as u64, world.rules.retries.len() as u64]);
     for order in &world.operator_requests {
         out.extend([order.at, u64::from(order.result.is_some())]);
     }
     out.extend(world.acknowledged_at.values());
-    out.extend(world.rules.counts.values().copied());
+    out.extend(world.rules.violation_counts.values().copied());
     out
 }
 
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -137,7 +137,7 @@
 fn judge(world: &mut World) -> Vec<String> {
     let whole = world.until(12 * SECOND, |world| world.settled() && world.all_slots_voting());
     let mut wrong: Vec<String> =
-        world.rules.found.iter().map(|found| format!("{found:?}")).collect();
+        world.rules.violations.iter().map(|found| format!("{found:?}")).collect();
     if !whole {
         wrong.push("not all voter slots are held by replicas that vote".into());
         return wrong;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -119,9 +119,9 @@
             let mut scenario = if args.chaos { stirred(scenario, seed) } else { scenario.clone() };
             scenario.queriers = args.queriers.unwrap_or(scenario.queriers);
             let world = play_counting_messages(&scenario, seed, None, args.weigh);
-            broken |= !world.rules.counts.is_empty();
+            broken |= !world.rules.violation_counts.is_empty();
             show(&args, &scenario, seed, &world);
-            if args.shrink && !world.rules.counts.is_empty() {
+            if args.shrink && !world.rules.violation_counts.is_empty() {
                 shrunk(&scenario, seed, &world);
             }
             rows.push(sums(&world));
@@ -142,11 +142,11 @@
 
 /// Prints the fewest troubles that still break one of the promises that broke.
 fn shrunk(scenario: &Scenario, seed: u64, world: &World) {
-    let rules: Vec<u8> = world.rules.counts.keys().copied().collect();
+    let rules: Vec<u8> = world.rules.violation_counts.keys().copied().collect();
     let list = grebepath_simulator::chaos::shrink(&scenario.faults, |list| {
         let less = Scenario { faults: list.to_vec(), ..scenario.clone() };
         let world = play_counting_messages(&less, seed, None, false);
-        rules.iter().any(|r| world.rules.counts.contains_key(r))
+        rules.iter().any(|r| world.rules.violation_counts.contains_key(r))
     });
     println!("seed {seed}: {} of {} troubles still fail:", list.len(), scenario.faults.len());
     for fault in &list {
@@ -173,7 +173,7 @@
     for (kind, MessageCount { messages: n, bytes }) in world.net.message_counts.iter().flatten() {
         println!("  {kind:<32} {n:>9} messages {bytes:>12} bytes");
     }
-    if args.story || !world.rules.counts.is_empty() {
+    if args.story || !world.rules.violation_counts.is_empty() {
         for line in &world.rules.story {
             println!("  {line}");
         }
@@ -188,7 +188,7 @@
         part += fault.partial;
         other += fault.rejected.values().sum::<u64>() + fault.unreachable + fault.timed_out;
     }
-    [full, part, other, world.rules.seconds.len() as u64]
+    [full, part, other, world.rules.retries.len() as u64]
 }
 
 fn difference(rows: &[[u64; 4]]) -> String {
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -52,24 +52,24 @@
     /// When the first of our nodes learned that it leaves.
     pub known_leaving: Option<Tick>,
     pub born: Tick,
-    pub live: u32,
+    pub in_progress: u32,
     pub ran: u64,
     pub worst_pct: u32,
     /// Dispatches that came when it had all it bears.
     pub over: u64,
-    pub mark: Option<String>,
+    pub postmark: Option<String>,
 }
 
 /// All leafs, and the list as the platform shows it.
 pub struct MockBackends {
     pub leafs: BTreeMap<String, MockLeaf>,
     /// Which leaf listens at an address.
-    pub at: BTreeMap<String, String>,
-    pub committed: Vec<(Tick, String)>,
+    pub by_address: BTreeMap<String, String>,
+    pub list_versions: Vec<(Tick, String)>,
     pub list_mode: ListMode,
     /// Whether leafs tell their age.
     pub ages: bool,
-    pub lag: Span,
+    pub list_lag: Span,
     pub next: u64,
 }
 
@@ -93,36 +93,36 @@
 impl MockBackends {
     /// The leafs of a spec, warm; the world begins at `now`.
     pub fn new(spec: &Spec, now: Tick) -> Self {
-        let mut b = MockBackends {
+        let mut backends = MockBackends {
             leafs: BTreeMap::new(),
-            at: BTreeMap::new(),
-            committed: Vec::new(),
+            by_address: BTreeMap::new(),
+            list_versions: Vec::new(),
             list_mode: ListMode::Good,
             ages: true,
-            lag: ms(spec.list_lag_ms),
+            list_lag: ms(spec.list_lag_ms),
             next: 1,
         };
         for s in &spec.services {
             for i in 0..s.leafs {
-                let addr = b.address();
-                b.begin(s.clone(), ZONES[i % 3], addr, now.saturating_sub(WARM));
+                let addr = backends.unused_address();
+                backends.start_leaf(s.clone(), ZONES[i % 3], addr, now.saturating_sub(WARM));
             }
         }
-        let text = b.truth();
-        b.committed.push((now, text));
-        b
+        let text = backends.true_list();
+        backends.list_versions.push((now, text));
+        backends
     }
 
     /// An address that no leaf has had.
-    pub fn address(&self) -> String {
+    pub fn unused_address(&self) -> String {
         format!("127.1.{}.{}:8000", self.next / 200, 1 + self.next % 200)
     }
 
     /// Starts a leaf at an address.
-    pub fn begin(&mut self, service: Service, zone: &str, addr: String, born: Tick) -> String {
+    pub fn start_leaf(&mut self, service: Service, zone: &str, addr: String, born: Tick) -> String {
         let name = format!("{}.{}", service.name, self.next);
         self.next += 1;
-        self.at.insert(addr.clone(), name.clone());
+        self.by_address.insert(addr.clone(), name.clone());
         self.leafs.insert(
             name.clone(),
             MockLeaf {
@@ -136,18 +136,18 @@
                 leaving: false,
                 known_leaving: None,
                 born,
-                live: 0,
+                in_progress: 0,
                 ran: 0,
                 worst_pct: 0,
                 over: 0,
-                mark: None,
+                postmark: None,
             },
         );
         name
     }
 
     /// The list as it truly is.
-    fn truth(&self) -> String {
+    fn true_list(&self) -> String {
         let leafs: Vec<Value> = self
             .leafs
             .values()
@@ -162,21 +162,21 @@
     }
 
     /// Notes a change; the list shows it later.
-    pub fn changed(&mut self, now: Tick) {
-        let text = self.truth();
-        self.committed.push((now + self.lag, text));
+    pub fn list_changed(&mut self, now: Tick) {
+        let text = self.true_list();
+        self.list_versions.push((now + self.list_lag, text));
     }
 
     /// What the list answers now; `None` if it does not.
-    pub fn list(&mut self, now: Tick) -> Option<String> {
+    pub fn served_list(&mut self, now: Tick) -> Option<String> {
         while self.list_mode != ListMode::Stale
-            && self.committed.len() > 1
-            && self.committed[1].0 <= now
+            && self.list_versions.len() > 1
+            && self.list_versions[1].0 <= now
         {
-            self.committed.remove(0);
+            self.list_versions.remove(0);
         }
         match self.list_mode {
-            ListMode::Good | ListMode::Stale => self.committed.first().map(|s| s.1.clone()),
+            ListMode::Good | ListMode::Stale => self.list_versions.first().map(|s| s.1.clone()),
             ListMode::Empty => Some("{\"leafs\":[]}".into()),
             ListMode::Garbage => Some("{\"leafs\":[{\"leaf\":1},".into()),
             ListMode::Dead => None,
@@ -186,7 +186,7 @@
 
 impl MockLeaf {
     /// What a leaf bears at its age.
-    pub fn bears(&self, now: Tick) -> u32 {
+    pub fn capacity(&self, now: Tick) -> u32 {
         let (age, ramp) = (since(self.born, now), ms(self.service.ramp_ms));
         let full = (u64::from(self.service.bears) * u64::from(self.strength) / 100).max(1);
         if age >= ramp {
@@ -196,17 +196,17 @@
     }
 
     /// Whether the leaf is still warming up.
-    pub fn fresh(&self, now: Tick) -> bool {
+    pub fn is_warming_up(&self, now: Tick) -> bool {
         since(self.born, now) < ms(self.service.ramp_ms)
     }
 
     /// How long the leaf takes for a question that it begins now.
-    pub fn takes(&self, now: Tick, random: &mut Random) -> Span {
+    pub fn service_time(&self, now: Tick, random: &mut Random) -> Span {
         let base = ms(self.service.took_ms);
-        let bear = u64::from(self.bears(now));
+        let capacity = u64::from(self.capacity(now));
         // Beyond what it bears a leaf thrashes: its time grows with the square.
-        let live = u64::from(self.live).max(bear);
-        let over = base * (live * live - bear * bear) / (bear * bear);
+        let in_progress = u64::from(self.in_progress).max(capacity);
+        let over = base * (in_progress * in_progress - capacity * capacity) / (capacity * capacity);
         let extra = match self.mode {
             Mode::Slow(more) => more,
             Mode::Dark => ms(3_600_000),
@@ -217,8 +217,8 @@
     }
 
     /// Heads that every reply carries.
-    pub fn heads(&self, now: Tick) -> Heads {
-        let busy = (f64::from(self.live) / f64::from(self.bears(now))).min(1.0);
+    pub fn headers(&self, now: Tick) -> Heads {
+        let busy = (f64::from(self.in_progress) / f64::from(self.capacity(now))).min(1.0);
         Heads {
             postmarks: Vec::new(),
             busy: Some(format!("{busy:.2}")),
@@ -229,13 +229,13 @@
     }
 
     /// A reply without a run.
-    pub fn turned_away(&self, now: Tick, status: u16) -> Raw {
-        Raw { status, heads: Heads { unrun: true, ..self.heads(now) }, body: Vec::new() }
+    pub fn rejection(&self, now: Tick, status: u16) -> Raw {
+        Raw { status, heads: Heads { unrun: true, ..self.headers(now) }, body: Vec::new() }
     }
 
     /// The reply to a dispatch that was run.
-    pub fn reply(&mut self, now: Tick, s: &Sending) -> Raw {
-        let asked: Value = serde_json::from_slice(&s.body).unwrap_or(Value::Null);
+    pub fn response(&mut self, now: Tick, sending: &Sending) -> Raw {
+        let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
         let limit = asked["limit"].as_u64().unwrap_or(0) as usize;
         let mut recs = oracle::records(&self.service.name, question, asked["key"].as_str(), limit);
@@ -247,16 +247,16 @@
             .map(|r| json!({ "id": r.id, "score": r.score, "data": { "service": r.service } }))
             .collect();
         let mut body = json!({ "records": list }).to_string().into_bytes();
-        let mark = edge::postmark(&self.name, &s.id, &s.digest);
-        let old = self.mark.replace(mark.clone());
-        let mut heads = self.heads(now);
+        let postmark = edge::postmark(&self.name, &sending.id, &sending.digest);
+        let previous = self.postmark.replace(postmark.clone());
+        let mut heads = self.headers(now);
         heads.cut =
             Some(if self.mode == Mode::WrongCut { "w00".into() } else { self.service.cut.clone() });
         heads.postmarks = match self.mode {
             Mode::NoPostmark => Vec::new(),
-            Mode::TwoPostmarks => vec![mark.clone(), mark],
-            Mode::StalePostmark => vec![old.unwrap_or_default()],
-            _ => vec![mark],
+            Mode::TwoPostmarks => vec![postmark.clone(), postmark],
+            Mode::StalePostmark => vec![previous.unwrap_or_default()],
+            _ => vec![postmark],
         };
         if self.mode == Mode::Garbage {
             body.truncate(body.len() / 2);
@@ -267,7 +267,7 @@
 
 /// Whether a reply in this mode stands for the shard. One record alone can't
 /// be out of order.
-pub fn true_reply(mode: Mode, limit: u64) -> bool {
+pub fn answers_correctly(mode: Mode, limit: u64) -> bool {
     (mode == Mode::Disorder && limit == 1)
         || !matches!(
             mode,
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -28,18 +28,18 @@
             }),
         );
     }
-    let (over, most) = world.rules.retries();
+    let (over, most) = world.rules.retry_excess();
     let worst = world.backends.leafs.values().max_by_key(|leaf| leaf.worst_pct);
     let orders = |want: fn(&grebepath_core::protocol::message::OperationResult) -> bool| {
         world.operator_requests.iter().filter(|o| o.result.as_ref().is_some_and(want)).count()
     };
     use grebepath_core::protocol::message::OperationResult;
     json!({
-        "violations": world.rules.counts,
-        "first": world.rules.found.iter().take(10).map(|v| json!({
+        "violations": world.rules.violation_counts,
+        "first": world.rules.violations.iter().take(10).map(|v| json!({
             "at_s": v.at as f64 / 1e6, "rule": v.rule, "text": v.text })).collect::<Vec<_>>(),
         "kinds": kinds,
-        "first_dispatches": world.rules.firsts.len(), "second_tries": world.rules.seconds.len(),
+        "first_dispatches": world.rules.first_attempts.len(), "second_tries": world.rules.retries.len(),
         "worst_10s": { "second_tries": most, "over_a_fifth": over },
         "worst_leaf": worst.map(|leaf| json!({ "leaf": leaf.name, "pct_of_bears": leaf.worst_pct })),
         "begun_beyond_bearing": world.backends.leafs.values().map(|leaf| leaf.over).sum::<u64>(),
@@ -47,12 +47,12 @@
                     "bounced": orders(|d| matches!(d, OperationResult::Rejected { .. })),
                     "unknown": orders(|d| matches!(d, OperationResult::Unknown { .. })),
                     "wrong": orders(|d| matches!(d, OperationResult::Invalid(_))) },
-        "restarts": world.rules.backs.iter().map(|b| json!({
-            "at_s": b.at as f64 / 1e6,
-            "first_full_ms": b.first.iter().map(|(kind, at)| (kind.clone(), json!((at - b.at) / MILLI)))
+        "restarts": world.rules.judged_restarts.iter().map(|restart| json!({
+            "at_s": restart.at as f64 / 1e6,
+            "first_full_ms": restart.first.iter().map(|(kind, at)| (kind.clone(), json!((at - restart.at) / MILLI)))
                 .collect::<serde_json::Map<_, _>>(),
-            "accepted_ms": b.accepted.map(|at| (at - b.at) / MILLI),
-            "made": b.made, "full": b.full })).collect::<Vec<_>>(),
+            "accepted_ms": restart.accepted.map(|at| (at - restart.at) / MILLI),
+            "made": restart.made, "full": restart.full })).collect::<Vec<_>>(),
         "events": world.events, "messages": world.net.sent, "messages_lost": world.net.lost,
     })
 }
@@ -74,8 +74,12 @@
         "max ms"
     );
     for (name, kind) in report["kinds"].as_object().into_iter().flatten() {
-        let rejected: u64 =
-            kind["bounced"].as_object().into_iter().flatten().filter_map(|b| b.1.as_u64()).sum();
+        let rejected: u64 = kind["bounced"]
+            .as_object()
+            .into_iter()
+            .flatten()
+            .filter_map(|reason| reason.1.as_u64())
+            .sum();
         out += &format!(
             "{name:<10} {:>7} {:>7} {:>7} {rejected:>7} {:>7} {:>6} {:>8.1} {:>8.1} {:>8.1}\n",
             kind["calls"],
@@ -102,19 +106,19 @@
         report["begun_beyond_bearing"],
         report["orders"]
     );
-    for back in report["restarts"].as_array().into_iter().flatten() {
+    for restart in report["restarts"].as_array().into_iter().flatten() {
         out += &format!(
             "restart at {} s: first full answers after {} ms, a change accepted after {} ms\n",
-            back["at_s"], back["first_full_ms"], back["accepted_ms"]
+            restart["at_s"], restart["first_full_ms"], restart["accepted_ms"]
         );
     }
-    if world.rules.counts.is_empty() {
+    if world.rules.violation_counts.is_empty() {
         out += "violations: none\n";
     } else {
-        for (rule, n) in &world.rules.counts {
+        for (rule, n) in &world.rules.violation_counts {
             out += &format!("VIOLATIONS of rule {rule}: {n}\n");
         }
-        for v in world.rules.found.iter().take(5) {
+        for v in world.rules.violations.iter().take(5) {
             out += &format!("  at {:.3} s, rule {}: {}\n", v.at as f64 / 1e6, v.rule, v.text);
         }
     }
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -158,10 +158,10 @@
         for i in 0..parameters["count"].as_u64().unwrap_or(1) as usize {
             let zone =
                 parameters["zone"].as_str().unwrap_or(mock_backends::ZONES[i % 3]).to_string();
-            let addr = self.backends.address();
-            self.backends.begin(service.clone(), &zone, addr, now);
+            let addr = self.backends.unused_address();
+            self.backends.start_leaf(service.clone(), &zone, addr, now);
         }
-        self.backends.changed(now);
+        self.backends.list_changed(now);
     }
 
     /// All troubles end: from now on the fleet has 12 s to be whole again.
@@ -195,9 +195,9 @@
     /// After `span` service has 12 s to be back.
     pub(super) fn expect_recovery(&mut self, span: u64) {
         let at = self.age() + span;
-        self.rules.restarts.push(crate::rules::Restart { at, ..Default::default() });
+        self.rules.pending_restarts.push(crate::rules::RestartCheck { at, ..Default::default() });
         // The operator's patience is less than what is left of the 12 s.
-        let restart = self.rules.restarts.len() - 1;
+        let restart = self.rules.pending_restarts.len() - 1;
         self.later(span + 6 * SECOND, FollowUp::ChangeAfterRestart { restart });
     }
 
@@ -256,12 +256,12 @@
                         service = known.map_or(service, |leaf| leaf.service.clone());
                         service.name = by.to_string();
                     }
-                    self.backends.begin(service, &zone, addr, now);
+                    self.backends.start_leaf(service, &zone, addr, now);
                 }
                 _ => {}
             }
         }
-        self.backends.changed(now);
+        self.backends.list_changed(now);
     }
 
     pub(super) fn selected_leafs(&self, parameters: &Value) -> Vec<String> {
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -53,7 +53,7 @@
         };
         if list.is_empty() {
             let name = self.call_kinds[kind].search.clone();
-            self.rules.ends(self.now - BEGIN, self.now - BEGIN, &name, false);
+            self.rules.end_call(self.now - BEGIN, self.now - BEGIN, &name, false);
             self.tally(kind).unreachable += 1;
             return;
         }
@@ -75,7 +75,7 @@
         let Some(call) = self.calls.remove(&id) else { return };
         let name = self.call_kinds[call.kind].search.clone();
         let now = self.now - BEGIN;
-        self.rules.ends(call.began - BEGIN, now, &name, false);
+        self.rules.end_call(call.began - BEGIN, now, &name, false);
         self.tally(call.kind).timed_out += 1;
     }
 
@@ -148,7 +148,7 @@
         let written = caller::write(&outcome);
         let kind = self.call_kinds[call.kind].clone();
         let full = matches!(&outcome, Outcome::Full(f) if f.missing == 0);
-        self.rules.ends(call.began - BEGIN, now, &kind.search, full);
+        self.rules.end_call(call.began - BEGIN, now, &kind.search, full);
         match outcome {
             Outcome::Passed(_) | Outcome::Joined(_) => {}
             Outcome::Rejection(rejection) => {
@@ -174,9 +174,9 @@
                         format!("{}: {text}", full.query),
                     );
                 }
-                self.rules.claims(now, &full.query, &services, &call.asked.question);
+                self.rules.check_claims(now, &full.query, &services, &call.asked.question);
                 let who = self.queriers[call.querier].name.clone();
-                self.rules.obeys(now, call.began - BEGIN, full.revision, &who);
+                self.rules.check_revision(now, call.began - BEGIN, full.revision, &who);
             }
         }
     }
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -65,7 +65,7 @@
             }
             Command::Alarm(text) => {
                 self.rules
-                    .tell(self.now - BEGIN, || format!("seat {controller} (life {life}): {text}"));
+                    .note(self.now - BEGIN, || format!("seat {controller} (life {life}): {text}"));
                 *self.alarms.entry(text).or_default() += 1;
             }
         }
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -39,7 +39,7 @@
 
     pub(super) fn answer_list_request(&mut self, querier: usize, life: u64) {
         let now = self.now;
-        let Some(text) = self.backends.list(now) else {
+        let Some(text) = self.backends.served_list(now) else {
             return self.list_timed_out(querier, life);
         };
         let got = match list::read(text.as_bytes()) {
@@ -80,7 +80,7 @@
             return;
         }
         let Some(leaf) =
-            self.backends.at.get(&info.addr).and_then(|node| self.backends.leafs.get(node))
+            self.backends.by_address.get(&info.addr).and_then(|node| self.backends.leafs.get(node))
         else {
             return;
         };
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -18,11 +18,11 @@
 impl World {
     pub(super) fn dispatch(&mut self, engine: QueryEngineId, mut sending: Sending) {
         let now = self.now - BEGIN;
-        self.rules.tries(now, &sending.id, &sending.service);
+        self.rules.record_attempt(now, &sending.id, &sending.service);
         let who = self.queriers[engine.querier].name.clone();
         if let Some(leaf) = self.backends.leafs.get(&sending.leaf) {
             let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
-            self.rules.sends(now, &who, &sending.leaf, &zone, known);
+            self.rules.check_dispatch(now, &who, &sending.leaf, &zone, known);
         }
         if self.faulty_variant == Some(FaultyVariant::AltersQuestion) {
             let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
@@ -66,7 +66,7 @@
     pub(super) fn leaf_gets(&mut self, engine: QueryEngineId, sending: Sending) {
         let now = self.now;
         let key = AttemptKey { engine, attempt: sending.dispatch };
-        let name = self.backends.at.get(&sending.addr).cloned().unwrap_or_default();
+        let name = self.backends.by_address.get(&sending.addr).cloned().unwrap_or_default();
         let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
         let zone = leaf.zone.clone();
         match leaf.alive {
@@ -81,7 +81,7 @@
         let known = self.connections.get(&connection) == Some(&name);
         if !known && self.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
             if misdirected {
-                let raw = leaf.turned_away(now, MISDIRECTED);
+                let raw = leaf.rejection(now, MISDIRECTED);
                 return self.answer(key, &zone, Ok(raw));
             }
             self.connections.insert(connection, name);
@@ -91,36 +91,36 @@
                 .push(after, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
         }
         let who = &self.queriers[engine.querier].name;
-        self.rules.arrives(now - BEGIN, who, &name, &leaf.service.name, &sending.service);
+        self.rules.check_destination(now - BEGIN, who, &name, &leaf.service.name, &sending.service);
         if misdirected {
-            let raw = leaf.turned_away(now, MISDIRECTED);
+            let raw = leaf.rejection(now, MISDIRECTED);
             return self.answer(key, &zone, Ok(raw));
         }
         if digest(&sending.body) != sending.digest {
-            let raw = leaf.turned_away(now, 400);
+            let raw = leaf.rejection(now, 400);
             return self.answer(key, &zone, Ok(raw));
         }
-        leaf.live += 1;
-        let bear = leaf.bears(now);
-        leaf.worst_pct = leaf.worst_pct.max(leaf.live * 100 / bear);
-        leaf.over += u64::from(leaf.live > bear);
-        let (live, fresh) = (leaf.live, leaf.fresh(now));
+        leaf.in_progress += 1;
+        let bear = leaf.capacity(now);
+        leaf.worst_pct = leaf.worst_pct.max(leaf.in_progress * 100 / bear);
+        leaf.over += u64::from(leaf.in_progress > bear);
+        let (live, fresh) = (leaf.in_progress, leaf.is_warming_up(now));
         if fresh {
-            self.rules.carries(now - BEGIN, &name, live, bear);
+            self.rules.check_warm_up_load(now - BEGIN, &name, live, bear);
         }
         if leaf.mode == mock_backends::Mode::Unrun || live > bear * 3 {
-            leaf.live -= 1;
-            let raw = leaf.turned_away(now, 503);
+            leaf.in_progress -= 1;
+            let raw = leaf.rejection(now, 503);
             if leaf.leaving {
                 self.learn(&name);
             }
             return self.answer(key, &zone, Ok(raw));
         }
         leaf.ran += 1;
-        let took = leaf.takes(now, &mut self.random);
+        let took = leaf.service_time(now, &mut self.random);
         let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
-        self.rules.runs(now - BEGIN, &name, question);
+        self.rules.check_question(now - BEGIN, &name, question);
         self.next += 1;
         let run = self.next;
         self.runs_by_attempt.insert(key, run);
@@ -132,7 +132,7 @@
         let run = self.runs.remove(&run)?;
         self.runs_by_attempt.remove(&run.key);
         if let Some(leaf) = self.backends.leafs.get_mut(&run.leaf) {
-            leaf.live = leaf.live.saturating_sub(1);
+            leaf.in_progress = leaf.in_progress.saturating_sub(1);
         }
         Some(run)
     }
@@ -145,11 +145,11 @@
         if leaf.alive != Alive::Up {
             return;
         }
-        let mut raw = leaf.reply(now, &run.sending);
+        let mut raw = leaf.response(now, &run.sending);
         let asked: Value = serde_json::from_slice(&run.sending.body).unwrap_or(Value::Null);
-        if mock_backends::true_reply(leaf.mode, asked["limit"].as_u64().unwrap_or(0)) {
+        if mock_backends::answers_correctly(leaf.mode, asked["limit"].as_u64().unwrap_or(0)) {
             let question = asked["question"].as_str().unwrap_or_default();
-            self.rules.answers(&leaf.service.name, &run.sending.id, question);
+            self.rules.record_answer(&leaf.service.name, &run.sending.id, question);
         }
         if leaf.leaving {
             self.learn(&run.leaf);
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -78,7 +78,7 @@
             }
             node_agent::Command::Alarm(text) => {
                 let name = self.queriers[querier].name.clone();
-                self.rules.tell(self.now - BEGIN, || format!("{name}: {text}"));
+                self.rules.note(self.now - BEGIN, || format!("{name}: {text}"));
                 *self.alarms.entry(text).or_default() += 1;
             }
         }
@@ -116,7 +116,7 @@
 
     /// Gives a new snapshot of configuration and leafs to the threads of a querier.
     fn publish_snapshot(&mut self, querier: usize, view: Arc<ClusterView>) {
-        self.rules.views(self.now - BEGIN, querier, view.revision);
+        self.rules.check_snapshot(self.now - BEGIN, querier, view.revision);
         let view = match self.faulty_variant {
             Some(FaultyVariant::KeepsStaleSnapshot) if querier == 0 && view.revision > 1 => return,
             Some(FaultyVariant::IgnoresDrainedZones) => {
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -71,7 +71,7 @@
         if let Some((zone, false)) = &self.operator_requests[id].zone {
             self.rules.drained.remove(zone);
         }
-        self.rules.tell(self.now - BEGIN, || format!("order {id} sent to controller {controller}"));
+        self.rules.note(self.now - BEGIN, || format!("order {id} sent to controller {controller}"));
         let life = self.controllers[controller].life;
         let event = CoreEvent::Operate {
             op: id as u64,
@@ -92,7 +92,7 @@
             return;
         }
         let now = self.now - BEGIN;
-        self.rules.tell(now, || {
+        self.rules.note(now, || {
             let text = match &result {
                 OperationResult::Accepted { revision, copies, .. } => {
                     format!("accepted as {revision}, {copies} copies")
@@ -105,12 +105,12 @@
         });
         if let OperationResult::Accepted { revision, .. } = &result {
             self.rules.accepted.push((now, *revision));
-            for back in self.rules.restarts.iter_mut().filter(|b| b.order == Some(id)) {
+            for back in self.rules.pending_restarts.iter_mut().filter(|b| b.order == Some(id)) {
                 back.accepted = Some(now);
             }
             let asked = self.operator_requests[id].at - BEGIN;
             let zone = self.operator_requests[id].zone.clone().filter(|(zone, _)| {
-                let last = self.rules.zone_rev.entry(zone.clone()).or_insert(0);
+                let last = self.rules.zone_revisions.entry(zone.clone()).or_insert(0);
                 let newer = *revision > *last;
                 *last = (*last).max(*revision);
                 newer
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -142,7 +142,7 @@
                 let sum = grebepath_core::replication::leader::sum(
                     &self.queriers[querier].watch.held[&PartitionId(part)].map,
                 );
-                self.rules.same(self.now - BEGIN, part, revision, sum);
+                self.rules.check_replica(self.now - BEGIN, part, revision, sum);
             }
         }
     }
@@ -150,6 +150,6 @@
     /// Whether this querier's holding of a revision was compared already.
     pub(super) fn already_compared(&mut self, querier: usize, part: u32, revision: u64) -> bool {
         let key = (1_000 + part + 100 * querier as u32, 0);
-        self.rules.truth.insert(key, revision) == Some(revision)
+        self.rules.replica_sums.insert(key, revision) == Some(revision)
     }
 }
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -157,8 +157,8 @@
     /// Applies the scenario's fault of this number.
     fn start_fault(&mut self, at: usize) {
         let fault = self.faults[at].clone();
-        self.rules.tell(self.now - BEGIN, || format!("fault: {fault}"));
-        self.rules.disturb(self.now - BEGIN);
+        self.rules.note(self.now - BEGIN, || format!("fault: {fault}"));
+        self.rules.disturb_recoveries(self.now - BEGIN);
         self.apply_fault(&fault);
     }
 
@@ -188,7 +188,7 @@
             }
             FollowUp::ChangeAfterRestart { restart } => {
                 let request = self.submit_marked();
-                if let Some(back) = self.rules.restarts.get_mut(restart) {
+                if let Some(back) = self.rules.pending_restarts.get_mut(restart) {
                     back.order = Some(request);
                 }
             }
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -131,11 +131,11 @@
             )),
         }
     }
-    let stale = world.rules.stalest;
+    let stale = world.rules.longest_staleness;
     if stale > IN_FORCE_WITHIN {
         wrong.push(format!("an old configuration served for {} ms", stale / MILLI));
     }
-    wrong.extend(world.rules.found.iter().map(|v| v.text.clone()));
+    wrong.extend(world.rules.violations.iter().map(|v| v.text.clone()));
     let case = format!("{queriers} queriers, {percent}% {loss:?}, order at {after} ms");
     if wrong.is_empty() { Ok(()) } else { Err(format!("{case}: {}", wrong.join("; "))) }
 }
--- a/crates/simulator/tests/broken.rs
+++ b/crates/simulator/tests/broken.rs
@@ -27,13 +27,13 @@
         s.spec = grebepath_simulator::spec::parse(&stands).unwrap();
         s.config = common::load(&format!("{deployment}.json")).unwrap();
         let sound = play(&s, seed, None);
-        let found = &sound.rules.found;
+        let found = &sound.rules.violations;
         assert!(found.is_empty(), "sound {name}, {deployment}: {found:?}");
         let bad = play(&s, seed, Some(variant));
         assert!(
-            bad.rules.counts.contains_key(&rule),
+            bad.rules.violation_counts.contains_key(&rule),
             "{name}, {deployment}: {variant:?} broke nothing of rule {rule}, only {:?}",
-            bad.rules.counts
+            bad.rules.violation_counts
         );
         assert!(!bad.rules.story.is_empty(), "{name}: a violation comes with its story");
     }
@@ -167,9 +167,13 @@
         ];
         let s = common::scenario("early", 20, 0.02, troubles);
         let sound = play(&s, seed, None);
-        assert!(sound.rules.counts.is_empty(), "seed {seed}: {:?}", sound.rules.found);
+        assert!(
+            sound.rules.violation_counts.is_empty(),
+            "seed {seed}: {:?}",
+            sound.rules.violations
+        );
         let bad = play(&s, seed, Some(FaultyVariant::AcknowledgesBeforeSync));
-        caught += u64::from(bad.rules.counts.contains_key(&12));
+        caught += u64::from(bad.rules.violation_counts.contains_key(&12));
     }
     assert!(caught > 0, "no early yes was caught in six runs");
 }
--- a/crates/simulator/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -42,7 +42,7 @@
     let s = scene(seed);
     let mut world = play(&s, seed, None);
     let settled = world.until(grebepath_core::time::SECOND * 20, World::settled);
-    if world.rules.counts.is_empty() && settled {
+    if world.rules.violation_counts.is_empty() && settled {
         return None;
     }
     let troubles: Vec<String> = s.faults.iter().map(|t| format!("  {} ms {t}", t.at_ms)).collect();
@@ -66,7 +66,10 @@
     s.seconds = 20;
     let fails = |list: &[grebepath_simulator::scenario::ScheduledFault]| {
         let less = Scenario { faults: list.to_vec(), ..s.clone() };
-        play(&less, 1, Some(FaultyVariant::IgnoresLeavingLeafs)).rules.counts.contains_key(&7)
+        play(&less, 1, Some(FaultyVariant::IgnoresLeavingLeafs))
+            .rules
+            .violation_counts
+            .contains_key(&7)
     };
     assert!(fails(&s.faults));
     let list = grebepath_simulator::chaos::shrink(&s.faults, fails);
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -41,7 +41,12 @@
 fn sound(name: &str, scenario: &Scenario, seed: u64) -> World {
     let (world, whole) = played(scenario, seed, None);
     let story = || world.rules.story.join("\n");
-    assert!(world.rules.found.is_empty(), "{name}, {seed}: {:?}\n{}", world.rules.found, story());
+    assert!(
+        world.rules.violations.is_empty(),
+        "{name}, {seed}: {:?}\n{}",
+        world.rules.violations,
+        story()
+    );
     assert!(whole, "{name}, {seed}: not whole\n{}", story());
     world
 }
@@ -75,7 +80,7 @@
     let scenario = scene(3, 4, 5, vec![storm(100), stop(0)]);
     each(&[1u64, 2, 3, 4], |_, seed| {
         let mut world = play(&scenario, *seed, None);
-        assert!(world.rules.found.is_empty(), "{:?}", world.rules.found);
+        assert!(world.rules.violations.is_empty(), "{:?}", world.rules.violations);
         let story = world.rules.story.join("\n");
         assert_eq!(holder(&world, 0), Some(3), "{story}");
         assert!(!world.controllers[0].up, "still there\n{story}");
@@ -165,7 +170,7 @@
     let scenario = scene(3, 6, 18, troubles);
     each(&[1u64, 2, 3, 4], |_, seed| {
         let world = sound("restarts in turn", &scenario, *seed);
-        let story = || world.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n");
+        let story = || world.rules.recent_lines.iter().cloned().collect::<Vec<_>>().join("\n");
         for slot in 0..3 {
             assert_eq!(holder(&world, slot), Some(usize::from(slot)), "{}", story());
         }
@@ -203,7 +208,7 @@
         let scenario = scene(3, 6, 14, vec![storm(120), stop(0), lost]);
         let (world, whole) =
             played(&scenario, number as u64, Some(FaultyVariant::StopsBeforeHandover));
-        if !whole || !world.rules.found.is_empty() {
+        if !whole || !world.rules.violations.is_empty() {
             caught.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         }
     });
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -40,8 +40,13 @@
                 let mut world = play(scenario, seed, None);
                 let whole =
                     world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
-                let ring = || world.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n");
-                assert!(world.rules.found.is_empty(), "{name}, {seed}: {:?}", world.rules.found);
+                let ring =
+                    || world.rules.recent_lines.iter().cloned().collect::<Vec<_>>().join("\n");
+                assert!(
+                    world.rules.violations.is_empty(),
+                    "{name}, {seed}: {:?}",
+                    world.rules.violations
+                );
                 assert!(whole, "{name}, {seed}: not whole\n{}", ring());
                 assert!(accepted(&world) > 400, "{name}, {seed}: {} accepted", accepted(&world));
                 // The last changes may be under way: let them come to rest.
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -62,7 +62,7 @@
 fn no_scenario_breaks_a_promise() {
     let worlds = all();
     for (name, world) in &worlds {
-        let found: Vec<_> = world.rules.found.iter().map(|v| &v.text).collect();
+        let found: Vec<_> = world.rules.violations.iter().map(|v| &v.text).collect();
         assert!(found.is_empty(), "{name}: {found:?}");
     }
     let get = |name: &str| &worlds[name];
@@ -109,7 +109,7 @@
         vec![deaf, json!({ "at_s": 1.2, "do": "storm", "count": 1 })],
     );
     let world = play(&s, 5, None);
-    assert!(world.rules.found.is_empty(), "{:?}", world.rules.found);
+    assert!(world.rules.violations.is_empty(), "{:?}", world.rules.violations);
     match &world.operator_requests[1].result {
         Some(grebepath_core::protocol::message::OperationResult::Unknown { why }) => {
             assert!(why.contains("q0 (obeys 1)") && why.contains("q6 (obeys 1)"), "{why}");
--- a/crates/simulator/tests/seats.rs
+++ b/crates/simulator/tests/seats.rs
@@ -28,7 +28,7 @@
                 let mut world = play(s, seed, None);
                 let whole =
                     world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
-                let found = &world.rules.found;
+                let found = &world.rules.violations;
                 let story = || world.rules.story.join("\n");
                 assert!(found.is_empty(), "{name}, {seed}: {found:?}\n{}", story());
                 assert!(whole, "{name}, {seed}: not whole\n{}", state(&world));
@@ -46,7 +46,7 @@
         let list: Vec<_> = table.iter().map(|h| format!("{}:{}", h.generation, h.addr)).collect();
         out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.state.slot);
     }
-    out + &world.rules.ring.iter().cloned().collect::<Vec<_>>().join("\n")
+    out + &world.rules.recent_lines.iter().cloned().collect::<Vec<_>>().join("\n")
 }
 
 /// Orders all the time.
@@ -91,7 +91,7 @@
     let kill = at(4.0, json!({ "do": "kill-seat", "which": 1 }));
     let s = scene(3, 3, 20, vec![storm(60), spare("a"), kill]);
     let world = play(&s, 5, None);
-    assert!(world.rules.found.is_empty(), "{:?}", world.rules.found);
+    assert!(world.rules.violations.is_empty(), "{:?}", world.rules.violations);
     assert_eq!(
         (holder(&world, 1), world.controllers[3].state.slot),
         (None, grebepath_core::voter_set::NOBODY)
@@ -321,10 +321,14 @@
                     let (a, old, both) = cases[seed as usize % cases.len()];
                     let s = split(a, old, both);
                     let world = play(&s, seed, None);
-                    assert!(world.rules.found.is_empty(), "sound: {:?}", world.rules.found);
+                    assert!(
+                        world.rules.violations.is_empty(),
+                        "sound: {:?}",
+                        world.rules.violations
+                    );
                     assert_eq!(holder(&world, old as u8), Some(5), "{}", state(&world));
                     let bad = play(&s, seed, Some(FaultyVariant::IgnoresOtherVoterSets));
-                    let seen = u64::from(!bad.rules.counts.is_empty());
+                    let seen = u64::from(!bad.rules.violation_counts.is_empty());
                     caught.fetch_add(seen, std::sync::atomic::Ordering::Relaxed);
                 }
             });
@@ -350,9 +354,9 @@
     ];
     let s = common::scenario("amnesia", 25, 0.02, troubles);
     let sound = play(&s, 3, None);
-    assert!(sound.rules.found.is_empty(), "{:?}", sound.rules.found);
+    assert!(sound.rules.violations.is_empty(), "{:?}", sound.rules.violations);
     let bad = play(&s, 3, Some(FaultyVariant::VotesAfterDiskLoss));
-    assert!(bad.rules.counts.contains_key(&12), "{:?}", bad.rules.counts);
+    assert!(bad.rules.violation_counts.contains_key(&12), "{:?}", bad.rules.violation_counts);
 }
 
 #[test]
@@ -366,7 +370,7 @@
                     s.faults = grebepath_simulator::chaos::chaos(seed, &s);
                     let mut world = play(&s, seed, None);
                     let whole = world.until(20 * SECOND, World::settled);
-                    let found = &world.rules.found;
+                    let found = &world.rules.violations;
                     let list: Vec<String> =
                         s.faults.iter().map(|t| format!("{} {t}", t.at_ms)).collect();
                     assert!(
