--- a/crates/simulator/src/scale_model/cli.rs
+++ b/crates/simulator/src/scale_model/cli.rs
@@ -3,10 +3,10 @@
 use bpaf::{OptionParser, Parser, construct, long};
 use grebepath_core::time::SECOND;
 
-use crate::scale_model::fan;
-use crate::scale_model::phases::{Measurements, measure};
-use crate::scale_model::plan::Size;
-use crate::scale_model::show;
+use crate::scale_model::fan_out;
+use crate::scale_model::measure::{Measurements, measure};
+use crate::scale_model::report;
+use crate::scale_model::topology::Size;
 
 /// What the caller wants.
 pub struct Args {
@@ -57,9 +57,9 @@
     };
     for size in &args.sizes {
         if args.fan {
-            print!("{}", fan::text(&fan::fan(size.members, size.leafs)));
+            print!("{}", fan_out::text(&fan_out::measure(size.members, size.leafs)));
             continue;
         }
-        print!("{}", show::text(&measure(*size, args.seed, wish)));
+        print!("{}", report::text(&measure(*size, args.seed, wish)));
     }
 }
--- a/crates/simulator/src/scale_model/fan.rs
+++ b/crates/simulator/src/scale_model/fan_out.rs
@@ -16,8 +16,8 @@
 use grebepath_core::time::{BOOT, MILLI, SECOND, Tick};
 use serde_json::json;
 
-use crate::scale_model::cost::timed;
-use crate::scale_model::plan;
+use crate::scale_model::meter::timed;
+use crate::scale_model::topology;
 
 /// Queries that are measured (count), after as many that are not.
 const QUERIES: u64 = 20;
@@ -26,7 +26,7 @@
 
 /// What was found.
 #[derive(Default)]
-pub struct Fan {
+pub struct FanOut {
     pub shards: usize,
     pub of: usize,
     pub queries: u64,
@@ -41,19 +41,19 @@
 }
 
 /// A thread among `of` of equal share, with a view of this many shards.
-fn open(shards: usize, of: usize) -> QueryEngine {
-    let leafs = shards * plan::LEAFS_A_SHARD;
-    let conf = plan::config(leafs).to_string();
+fn open_engine(shards: usize, of: usize) -> QueryEngine {
+    let leafs = shards * topology::LEAFS_A_SHARD;
+    let conf = topology::config(leafs).to_string();
     let conf = read::whole(conf.as_bytes()).and_then(|c| build::build(&c)).unwrap_or_default();
-    let leaf = |n: usize| LeafInfo { age_ms: plan::OLD_MS, ..plan::leaf(n, leafs) };
+    let leaf = |n: usize| LeafInfo { age_ms: topology::OLD_MS, ..topology::leaf(n, leafs) };
     let view = cluster_view::view(1, Arc::new(conf), (0..leafs).map(leaf).collect());
-    let mut d = desk("front", &plan::name(0), 1, BOOT);
+    let mut engine = desk("front", &topology::name(0), 1, BOOT);
     let members: Vec<(String, u32)> = (0..of).map(|n| (format!("front-{n}"), 1)).collect();
-    step(&mut d, BOOT, Event::ClusterView(Arc::new(view)));
-    step(&mut d, BOOT, Event::Share(share(&members, "front-0", 0)));
-    step(&mut d, BOOT, Event::Grip(Tick::MAX));
-    step(&mut d, BOOT, Event::Door(grebepath_core::query::engine::Door::Open));
-    d
+    step(&mut engine, BOOT, Event::ClusterView(Arc::new(view)));
+    step(&mut engine, BOOT, Event::Share(share(&members, "front-0", 0)));
+    step(&mut engine, BOOT, Event::Grip(Tick::MAX));
+    step(&mut engine, BOOT, Event::Door(grebepath_core::query::engine::Door::Open));
+    engine
 }
 
 fn reply(s: &Sending) -> Raw {
@@ -64,12 +64,12 @@
 }
 
 /// Asks wide queries one after the other.
-pub fn fan(shards: usize, of: usize) -> Fan {
-    let mut d = open(shards, of);
-    let mut f = Fan { shards, of, queries: QUERIES, ..Fan::default() };
+pub fn measure(shards: usize, of: usize) -> FanOut {
+    let mut engine = open_engine(shards, of);
+    let mut result = FanOut { shards, of, queries: QUERIES, ..FanOut::default() };
     for call in 0..2 * QUERIES {
         if call == QUERIES {
-            f = Fan { shards, of, queries: QUERIES, ..Fan::default() };
+            result = FanOut { shards, of, queries: QUERIES, ..FanOut::default() };
         }
         let now = BOOT + (call + 1) * SECOND;
         let ask = Ask {
@@ -79,42 +79,46 @@
             limit: RECORDS as u32,
             budget: 400 * MILLI,
         };
-        let todo = timed(&mut f.ask_ns, || step(&mut d, now, Event::Ask { call, ask }));
+        let todo = timed(&mut result.ask_ns, || step(&mut engine, now, Event::Ask { call, ask }));
         for command in todo {
             let Command::Send(s) = command else { continue };
-            f.dispatches += 1;
-            f.asked += s.body.len() as u64;
+            result.dispatches += 1;
+            result.asked += s.body.len() as u64;
             let got = reply(&s);
-            f.replied += got.body.len() as u64;
+            result.replied += got.body.len() as u64;
             let event = Event::Reply { dispatch: s.dispatch, got: Ok(got) };
-            let done = timed(&mut f.take_ns, || step(&mut d, now + 20 * MILLI, event));
+            let done = timed(&mut result.take_ns, || step(&mut engine, now + 20 * MILLI, event));
             let full = |c: &Command| matches!(c, Command::Tell { outcome: Outcome::Full(_), .. });
-            f.full += done.iter().filter(|c| full(c)).count() as u64;
+            result.full += done.iter().filter(|c| full(c)).count() as u64;
         }
         let late = now + 450 * MILLI;
-        timed(&mut f.take_ns, || step(&mut d, late, Event::Wake));
+        timed(&mut result.take_ns, || step(&mut engine, late, Event::Wake));
     }
-    f
+    result
 }
 
 /// The lines of one fan.
-pub fn text(f: &Fan) -> String {
+pub fn text(result: &FanOut) -> String {
     let mut out = String::new();
-    let n = f.dispatches.max(1);
-    let _ = writeln!(out, "== {} shards a query, a thread of {} ==", f.shards, f.of);
+    let n = result.dispatches.max(1);
+    let _ = writeln!(out, "== {} shards a query, a thread of {} ==", result.shards, result.of);
     let _ = writeln!(
         out,
         "{} queries, {} answered in full, {} dispatches",
-        f.queries, f.full, f.dispatches
+        result.queries, result.full, result.dispatches
+    );
+    let _ = writeln!(
+        out,
+        "a dispatch: question {} bytes, reply {} bytes",
+        result.asked / n,
+        result.replied / n
     );
-    let _ =
-        writeln!(out, "a dispatch: question {} bytes, reply {} bytes", f.asked / n, f.replied / n);
     let _ = writeln!(
         out,
         "~ a query {:.2} ms: asking {:.2} us and taking {:.2} us a dispatch",
-        (f.ask_ns + f.take_ns) as f64 / 1e6 / f.queries as f64,
-        f.ask_ns as f64 / 1e3 / n as f64,
-        f.take_ns as f64 / 1e3 / n as f64,
+        (result.ask_ns + result.take_ns) as f64 / 1e6 / result.queries as f64,
+        result.ask_ns as f64 / 1e3 / n as f64,
+        result.take_ns as f64 / 1e3 / n as f64,
     );
     out
 }
--- a/crates/simulator/src/scale_model/phases.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -4,11 +4,11 @@
 use grebepath_core::time::{MILLI, SECOND, Span, Tick};
 use serde_json::json;
 
-use crate::scale_model::cost;
-use crate::scale_model::cost::{Cell, Meter, Traffic};
-use crate::scale_model::plan;
-use crate::scale_model::plan::Size;
-use crate::scale_model::weight;
+use crate::scale_model::memory;
+use crate::scale_model::meter;
+use crate::scale_model::meter::{Count, Meter, Traffic};
+use crate::scale_model::topology;
+use crate::scale_model::topology::Size;
 use crate::scale_model::world::{ScheduledEvent, World};
 
 /// Longest time that anything here may take before it is given up.
@@ -51,7 +51,7 @@
     pub traffic: Traffic,
     pub controllers: Vec<Meter>,
     pub queriers: Vec<Meter>,
-    pub list_polls: Cell,
+    pub list_polls: Count,
     pub probes: u64,
 }
 
@@ -81,7 +81,7 @@
 impl World {
     fn reset(&mut self) {
         self.traffic.clear();
-        self.list_polls = Cell::default();
+        self.list_polls = Count::default();
         self.probes = 0;
         for n in &mut self.controllers {
             n.meter = Meter::default();
@@ -110,15 +110,15 @@
         self.run(span);
         let sum = self.take(from);
         let querier_state =
-            self.queriers.iter().map(|querier| weight::watch(&querier.watch)).max().unwrap_or(0);
+            self.queriers.iter().map(|querier| memory::watch(&querier.watch)).max().unwrap_or(0);
         let controller_state = self
             .controllers
             .iter()
-            .map(|controller| weight::core(&controller.state))
+            .map(|controller| memory::core(&controller.state))
             .max()
             .unwrap_or(0);
         let stored =
-            self.controllers[0].state.partitions.iter().map(|p| weight::map(&p.committed)).sum();
+            self.controllers[0].state.partitions.iter().map(|p| memory::map(&p.committed)).sum();
         let view_ns = self.queriers.first().map_or(0, |querier| view(&querier.watch));
         Idle { sum, querier_state, controller_state, stored, list_bytes: self.list.len(), view_ns }
     }
@@ -167,12 +167,14 @@
     fn leaf_comes(&mut self) -> Event {
         self.reset();
         let begin = self.now;
-        let mut new =
-            plan::leaf(self.leafs.len() + plan::LEAFS_A_SHARD * plan::SHARDS, self.size.leafs);
+        let mut new = topology::leaf(
+            self.leafs.len() + topology::LEAFS_A_SHARD * topology::SHARDS,
+            self.size.leafs,
+        );
         new.leaf = format!("{}-new", new.service);
         let name = new.leaf.clone();
         self.leafs.push(new);
-        self.list = std::rc::Rc::new(plan::list(&self.leafs));
+        self.list = std::rc::Rc::new(topology::list(&self.leafs));
         let holds = |world: &World| {
             world.queriers.iter().filter(|querier| querier.up).all(|querier| {
                 querier.watch.view.as_ref().is_some_and(|v| v.leafs.contains_key(&name))
@@ -220,12 +222,12 @@
     let mut world = World::new(size, seed);
     let begin = world.now;
     world.reset();
-    let conf = plan::config(size.leafs).to_string().into_bytes();
+    let conf = topology::config(size.leafs).to_string().into_bytes();
     world.operate(1, Operation::Replace(conf));
     let start = world.until(PATIENCE, World::whole);
     let start_sum = world.take(begin);
     world.run(SETTLE);
-    let resident_bytes = cost::resident_bytes();
+    let resident_bytes = meter::resident_bytes();
     let idle = world.idle(wish.idle);
     let mut events = Vec::new();
     if wish.single {
@@ -237,7 +239,7 @@
         let n = world.queriers.len();
         let few: Vec<usize> = (0..n.div_ceil(100)).map(|i| i * 100 % n).collect();
         events.push(("restart of 1%", world.restart(&few, &[])));
-        let zone = plan::controller_zone(1);
+        let zone = topology::controller_zone(1);
         let list: Vec<usize> =
             (0..n).filter(|querier| world.queriers[*querier].zone == zone).collect();
         events.push(("restart of a zone", world.restart(&list, &[1])));
@@ -252,7 +254,7 @@
 /// What it takes to read all leafs that are held and to make a view of them.
 fn view(world: &grebepath_core::membership::node_agent::Watch) -> u64 {
     let mut took = 0;
-    cost::timed(&mut took, || {
+    meter::timed(&mut took, || {
         let list = world
             .held
             .values()
--- a/crates/simulator/src/scale_model/cost.rs
+++ b/crates/simulator/src/scale_model/meter.rs
@@ -7,31 +7,31 @@
 
 /// Messages and their bytes.
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
-pub struct Cell {
-    pub n: u64,
+pub struct Count {
+    pub messages: u64,
     pub bytes: u64,
 }
 
 /// What one node spent since it was last reset.
 #[derive(Clone, Copy, Default)]
 pub struct Meter {
-    pub sent: Cell,
-    pub got: Cell,
+    pub sent: Count,
+    pub got: Count,
     /// Events that its owner took.
     pub steps: u64,
     /// Processor time in `step`, and in writing and reading messages (ns).
     pub step_ns: u64,
     pub codec_ns: u64,
     /// What it gave to its disk (bytes), and in how many writes.
-    pub disk: Cell,
+    pub disk: Count,
 }
 
 /// Messages by what carries them and by kind.
-pub type Traffic = BTreeMap<(&'static str, &'static str), Cell>;
+pub type Traffic = BTreeMap<(&'static str, &'static str), Count>;
 
 /// Adds one message.
-pub fn add(cell: &mut Cell, bytes: usize) {
-    cell.n += 1;
+pub fn add(cell: &mut Count, bytes: usize) {
+    cell.messages += 1;
     cell.bytes += bytes as u64;
 }
 
@@ -60,22 +60,22 @@
 pub fn kind(message: &Message) -> &'static str {
     match message {
         Message::Hello { .. } => "hello",
-        Message::Snapshot { .. } => "whole",
-        Message::Append { .. } => "change",
-        Message::AppendAck { .. } => "kept",
-        Message::Heartbeat { .. } => "beat",
-        Message::HeartbeatAck { .. } => "beaten",
-        Message::Subscribe { .. } => "follow",
-        Message::Update { .. } => "news",
-        Message::FeedPositions { .. } => "reach",
-        Message::RenewLease { .. } => "renew",
-        Message::LeaseGranted { .. } => "tenure",
-        Message::MembershipUpdate { .. } => "tell",
-        Message::VoterSetUpdate { .. } => "seats",
+        Message::Snapshot { .. } => "snapshot",
+        Message::Append { .. } => "append",
+        Message::AppendAck { .. } => "append ack",
+        Message::Heartbeat { .. } => "heartbeat",
+        Message::HeartbeatAck { .. } => "heartbeat ack",
+        Message::Subscribe { .. } => "subscribe",
+        Message::Update { .. } => "update",
+        Message::FeedPositions { .. } => "feed positions",
+        Message::RenewLease { .. } => "renew lease",
+        Message::LeaseGranted { .. } => "lease granted",
+        Message::MembershipUpdate { .. } => "membership update",
+        Message::VoterSetUpdate { .. } => "voter set update",
         Message::Gossip { .. } => "gossip",
-        Message::LeafList { .. } => "listed",
-        Message::LeafReports { .. } => "words",
-        Message::OperationRequest { .. } | Message::OperationResponse { .. } => "operate",
-        _ => "claim",
+        Message::LeafList { .. } => "leaf list",
+        Message::LeafReports { .. } => "leaf reports",
+        Message::OperationRequest { .. } | Message::OperationResponse { .. } => "operation",
+        _ => "election",
     }
 }
--- a/crates/simulator/src/scale_model/mod.rs
+++ b/crates/simulator/src/scale_model/mod.rs
@@ -6,11 +6,11 @@
 //! process's memory differ between two runs of the same seed.
 
 pub mod cli;
-pub mod cost;
-pub mod does;
-pub mod fan;
-pub mod phases;
-pub mod plan;
-pub mod show;
-pub mod weight;
+pub mod fan_out;
+pub mod measure;
+pub mod memory;
+pub mod meter;
+pub mod report;
+pub mod step;
+pub mod topology;
 pub mod world;
--- a/crates/simulator/src/scale_model/show.rs
+++ b/crates/simulator/src/scale_model/report.rs
@@ -5,8 +5,8 @@
 
 use grebepath_core::time::{MILLI, SECOND, Span};
 
-use crate::scale_model::cost::{Cell, Meter};
-use crate::scale_model::phases::{Event, Findings, Totals};
+use crate::scale_model::measure::{Event, Findings, Totals};
+use crate::scale_model::meter::{Count, Meter};
 
 /// All lines of one size.
 pub fn text(f: &Findings) -> String {
@@ -35,15 +35,16 @@
 
 fn rates(o: &mut String, sum: &Totals) {
     let _ = writeln!(o, "calm, {} s, a second:", sum.span / SECOND);
-    let _ = writeln!(o, "  {:<24} {:>12} {:>14}", "kind", "messages", "bytes");
+    let _ = writeln!(o, "  {:<42} {:>12} {:>14}", "kind", "messages", "bytes");
     for ((way, kind), c) in &sum.traffic {
         let name = format!("{way} {kind}");
-        let (n, bytes) = (rate(c.n, sum.span), rate(c.bytes, sum.span));
-        let _ = writeln!(o, "  {name:<24} {n:>12.1} {bytes:>14.0}");
+        let (n, bytes) = (rate(c.messages, sum.span), rate(c.bytes, sum.span));
+        let _ = writeln!(o, "  {name:<42} {n:>12.1} {bytes:>14.0}");
     }
-    let (n, bytes) = (rate(sum.list_polls.n, sum.span), rate(sum.list_polls.bytes, sum.span));
-    let _ = writeln!(o, "  {:<24} {n:>12.1} {bytes:>14.0}", "polls of the list");
-    let _ = writeln!(o, "  {:<24} {:>12.1}", "probes of leafs", rate(sum.probes, sum.span));
+    let (n, bytes) =
+        (rate(sum.list_polls.messages, sum.span), rate(sum.list_polls.bytes, sum.span));
+    let _ = writeln!(o, "  {:<42} {n:>12.1} {bytes:>14.0}", "polls of the list");
+    let _ = writeln!(o, "  {:<42} {:>12.1}", "probes of leafs", rate(sum.probes, sum.span));
     for (name, list) in [("querier", &sum.queriers), ("controller", &sum.controllers)] {
         node(o, name, list, sum.span);
     }
@@ -60,9 +61,9 @@
         o,
         "  a {name}: sent {:.1} messages {:.0} bytes, got {:.1} messages {:.0} bytes, \
          worst {:.0} bytes, {:.0} steps",
-        mean(&|m| m.sent.n),
+        mean(&|m| m.sent.messages),
         mean(&|m| m.sent.bytes),
-        mean(&|m| m.got.n),
+        mean(&|m| m.got.messages),
         mean(&|m| m.got.bytes),
         most(&both),
         mean(&|m| m.steps),
@@ -91,8 +92,8 @@
     let part = |n: u64| (n as f64 * sum.span as f64 / idle.span.max(1) as f64) as u64;
     let mut out = sum.clone();
     for (key, cell) in &mut out.traffic {
-        let base = idle.traffic.get(key).copied().unwrap_or(Cell::default());
-        cell.n = cell.n.saturating_sub(part(base.n));
+        let base = idle.traffic.get(key).copied().unwrap_or(Count::default());
+        cell.messages = cell.messages.saturating_sub(part(base.messages));
         cell.bytes = cell.bytes.saturating_sub(part(base.bytes));
     }
     out
@@ -102,16 +103,16 @@
 fn total(o: &mut String, sum: &Totals, over: &Totals, members: usize) {
     let mut list: Vec<_> = over.traffic.iter().collect();
     list.sort_by_key(|(key, c)| (std::cmp::Reverse(c.bytes), **key));
-    let n: u64 = list.iter().map(|(_, c)| c.n).sum();
+    let n: u64 = list.iter().map(|(_, c)| c.messages).sum();
     let bytes: u64 = list.iter().map(|(_, c)| c.bytes).sum();
     let each = bytes / members.max(1) as u64;
     let _ = writeln!(o, "  beyond calm: {n} messages, {bytes} bytes, {each} bytes a member");
     for ((way, kind), c) in list.into_iter().take(4).filter(|(_, c)| c.bytes > 0) {
         let name = format!("{way} {kind}");
-        let _ = writeln!(o, "    {name:<24} {:>10} messages {:>14} bytes", c.n, c.bytes);
+        let _ = writeln!(o, "    {name:<42} {:>10} messages {:>14} bytes", c.messages, c.bytes);
     }
     let disk: u64 = sum.controllers.iter().map(|m| m.disk.bytes).sum();
-    let syncs: u64 = sum.controllers.iter().map(|m| m.disk.n).sum();
+    let syncs: u64 = sum.controllers.iter().map(|m| m.disk.messages).sum();
     let _ = writeln!(o, "  disks of all controllers: {syncs} writes, {disk} bytes");
     let most = |list: &[Meter]| list.iter().map(|m| m.step_ns + m.codec_ns).max().unwrap_or(0);
     let _ = writeln!(
--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -15,8 +15,8 @@
 use grebepath_core::time::{BOOT, MILLI, ms};
 
 use super::world::{Raw, ScheduledEvent, Sender, World, connection, controller_connection};
-use crate::scale_model::cost::{add, kind, timed};
-use crate::scale_model::plan;
+use crate::scale_model::meter::{add, kind, timed};
+use crate::scale_model::topology;
 use crate::simulated_disk::Job;
 
 /// Messages from here on are kept once however many get them (bytes): it
@@ -161,7 +161,7 @@
         command: grebepath_core::command::Command,
     ) {
         let life = self.controllers[controller].life;
-        let here = plan::controller_zone(controller as VoterSlot);
+        let here = topology::controller_zone(controller as VoterSlot);
         let from = Sender::VoterSlot(controller as VoterSlot);
         match command {
             grebepath_core::command::Command::ToVoter { slot: seat, message } => {
@@ -194,7 +194,7 @@
             }
             grebepath_core::command::Command::ToConnection { connection, message } => {
                 let (querier, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
-                let raw = self.encode_from_controller(controller, "seat-front", &message);
+                let raw = self.encode_from_controller(controller, "controller-querier", &message);
                 let at = self.arrival(
                     (controller, here),
                     (querier + self.controllers.len(), self.queriers[querier].zone),
@@ -231,10 +231,10 @@
     }
 
     fn controller_sends(&mut self, controller: usize, to: usize, from: Sender, message: &Message) {
-        let raw = self.encode_from_controller(controller, "seat-seat", message);
+        let raw = self.encode_from_controller(controller, "controller-controller", message);
         let zones = (
-            plan::controller_zone(controller as VoterSlot),
-            plan::controller_zone(to as VoterSlot),
+            topology::controller_zone(controller as VoterSlot),
+            topology::controller_zone(to as VoterSlot),
         );
         let at = self.arrival((controller, zones.0), (to, zones.1));
         let life = self.controllers[to].life;
@@ -306,7 +306,7 @@
                 }
             }
             wat::Command::ToMember { name, message, .. } => {
-                let raw = self.encode_from_querier(querier, "front-front", &message);
+                let raw = self.encode_from_querier(querier, "querier-querier", &message);
                 let Some(to) = self.by_name.get(&name).copied() else { return };
                 let at = self
                     .arrival((own, here), (to + self.controllers.len(), self.queriers[to].zone));
@@ -323,7 +323,7 @@
                 for info in list {
                     let word = LeafReport {
                         leaf: info.leaf.clone(),
-                        age_ms: plan::OLD_MS,
+                        age_ms: topology::OLD_MS,
                         ..LeafReport::default()
                     };
                     let event = Box::new(wat::Event::Word { service: info.service.clone(), word });
@@ -339,10 +339,10 @@
     fn querier_sends(&mut self, querier: usize, controller: usize, message: &Message) {
         let (from, zone) =
             (Sender::Querier(querier, self.queriers[querier].life), self.queriers[querier].zone);
-        let raw = self.encode_from_querier(querier, "front-seat", message);
+        let raw = self.encode_from_querier(querier, "querier-controller", message);
         let at = self.arrival(
             (querier + self.controllers.len(), zone),
-            (controller, plan::controller_zone(controller as VoterSlot)),
+            (controller, topology::controller_zone(controller as VoterSlot)),
         );
         let life = self.controllers[controller].life;
         self.push_at(at, ScheduledEvent::ControllerMessage { controller, life, from, raw });
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -18,9 +18,9 @@
 use grebepath_core::storage::voter_file::Start;
 use grebepath_core::time::{BOOT, MILLI, Span, Tick, ms};
 
-use crate::scale_model::cost::{Cell, Meter, Traffic};
-use crate::scale_model::plan;
-use crate::scale_model::plan::Size;
+use crate::scale_model::meter::{Count, Meter, Traffic};
+use crate::scale_model::topology;
+use crate::scale_model::topology::Size;
 use crate::simulated_disk::Disk;
 
 /// What happens, and to whom. A life ends with its process.
@@ -91,7 +91,7 @@
     pub list: Rc<String>,
     pub traffic: Traffic,
     /// Polls of the list and probes of leafs, which are not our messages.
-    pub list_polls: Cell,
+    pub list_polls: Count,
     pub probes: u64,
     /// Outcomes of operators' requests, with their times.
     pub results: BTreeMap<u64, (Tick, OperationResult)>,
@@ -119,17 +119,17 @@
             controllers: Vec::new(),
             queriers: Vec::new(),
             by_name: HashMap::new(),
-            leafs: (0..size.leafs).map(|node| plan::leaf(node, size.leafs)).collect(),
+            leafs: (0..size.leafs).map(|node| topology::leaf(node, size.leafs)).collect(),
             list: Rc::default(),
             traffic: Traffic::new(),
-            list_polls: Cell::default(),
+            list_polls: Count::default(),
             probes: 0,
             results: BTreeMap::new(),
             alarms: BTreeMap::new(),
             last: HashMap::new(),
             opened: HashSet::new(),
         };
-        world.list = Rc::new(plan::list(&world.leafs));
+        world.list = Rc::new(topology::list(&world.leafs));
         for controller in 0..consts::SEATS as usize {
             world.controllers.push(ControllerNode {
                 state: ControllerState::new(Default::default(), ("", ""), Vec::new(), 0, BOOT),
@@ -153,13 +153,13 @@
     /// A machine for one more front, which is down.
     pub fn add_querier(&mut self) -> usize {
         let querier = self.queriers.len();
-        let zone = plan::zone(querier);
-        let name = format!("front-{}-{querier:04}", plan::name(zone));
+        let zone = topology::zone(querier);
+        let name = format!("front-{}-{querier:04}", topology::name(zone));
         let addr = format!("10.200.{}.{}:9000", querier >> 8, querier & 255);
         let me = Member {
             name: name.clone(),
             addr,
-            zone: plan::name(zone),
+            zone: topology::name(zone),
             threads: 1,
             joined: 0,
             incarnation: 0,
@@ -214,9 +214,9 @@
         let start = Start {
             slot: Some(controller as VoterSlot),
             first: self.now == BEGIN,
-            seeds: (0..consts::SEATS as usize).map(plan::controller_address).collect(),
+            seeds: (0..consts::SEATS as usize).map(topology::controller_address).collect(),
             size: consts::SEATS as usize,
-            addr: plan::controller_address(controller),
+            addr: topology::controller_address(controller),
         };
         let disk = &mut self.controllers[controller].disk;
         let bare = disk.is_empty();
@@ -240,7 +240,7 @@
         let node = &mut self.controllers[controller];
         node.life += 1;
         (node.up, node.began) = (true, self.now);
-        let zone = plan::name(plan::controller_zone(controller as VoterSlot));
+        let zone = topology::name(topology::controller_zone(controller as VoterSlot));
         node.state = ControllerState::new(roll, (&start.addr, &zone), list, seed, BOOT);
         let life = node.life;
         self.push(start_delay(seed), ScheduledEvent::ControllerTimer { controller, life });
@@ -267,7 +267,7 @@
 
     /// When a message sent now arrives: those of one connection keep their order.
     pub fn arrival(&mut self, from: (usize, usize), to: (usize, usize)) -> Tick {
-        let at = self.now + plan::way(from.1, to.1, &mut self.random);
+        let at = self.now + topology::way(from.1, to.1, &mut self.random);
         let last = self.last.entry((from.0, to.0)).or_insert(0);
         *last = at.max(*last + 1);
         *last
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -73,7 +73,7 @@
 
     /// A controller answers another on the connection that the other opened.
     fn answer_controller(&mut self, controller: usize, connection: u64, message: Message) {
-        self.net.record("seat-seat", &message);
+        self.net.record("controller-controller", &message);
         let (to, life) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
         let from = self.controllers[controller].endpoint(controller);
         let receiver = self.controllers[to].endpoint(to);
@@ -86,7 +86,7 @@
 
     /// A controller sends to a querier on the connection that the querier opened.
     fn answer_querier(&mut self, controller: usize, connection: u64, message: Message) {
-        self.net.record("seat-querier", &message);
+        self.net.record("controller-querier", &message);
         let (querier, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
         let from = self.controllers[controller].endpoint(controller);
         let receiver = self.queriers[querier].endpoint(querier);
@@ -112,7 +112,7 @@
 
     /// A controller sends to another's machine, as who it is just now.
     pub(super) fn send_to_controller(&mut self, controller: usize, to: usize, message: Message) {
-        self.net.record("seat-seat", &message);
+        self.net.record("controller-controller", &message);
         let from = self.controllers[controller].endpoint(controller);
         let receiver = self.controllers[to].endpoint(to);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -137,7 +137,7 @@
     }
 
     fn send_from_querier(&mut self, querier: usize, controller: usize, message: Message) {
-        self.net.record("querier-seat", &message);
+        self.net.record("querier-controller", &message);
         let from = self.queriers[querier].endpoint(querier);
         let receiver = self.controllers[controller].endpoint(controller);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
--- a/crates/simulator/tests/hollow.rs
+++ b/crates/simulator/tests/scale_model.rs
@@ -2,10 +2,10 @@
 
 use googletest::prelude::*;
 use grebepath_core::time::SECOND;
-use grebepath_simulator::scale_model::phases::{Findings, Measurements, measure};
-use grebepath_simulator::scale_model::plan;
-use grebepath_simulator::scale_model::plan::Size;
-use grebepath_simulator::scale_model::show;
+use grebepath_simulator::scale_model::measure::{Findings, Measurements, measure};
+use grebepath_simulator::scale_model::report;
+use grebepath_simulator::scale_model::topology;
+use grebepath_simulator::scale_model::topology::Size;
 use grebepath_simulator::scale_model::world::World;
 
 fn found(members: usize, leafs: usize, seed: u64) -> Findings {
@@ -15,7 +15,7 @@
 
 /// The lines that a seed replays.
 fn counted(f: &Findings) -> Vec<String> {
-    show::text(f).lines().filter(|l| !l.starts_with('~')).map(str::to_string).collect()
+    report::text(f).lines().filter(|l| !l.starts_with('~')).map(str::to_string).collect()
 }
 
 #[gtest]
@@ -58,11 +58,12 @@
 #[gtest]
 fn the_plan_has_the_zones_and_shards_of_the_size() {
     let zones: std::collections::BTreeSet<String> =
-        (0..plan::ZONES).map(|z| plan::name(plan::zone(z))).collect();
+        (0..topology::ZONES).map(|z| topology::name(topology::zone(z))).collect();
     expect_that!(zones.len(), eq(14));
-    let regions: std::collections::BTreeSet<usize> = (0..plan::ZONES).map(plan::region).collect();
+    let regions: std::collections::BTreeSet<usize> =
+        (0..topology::ZONES).map(topology::region).collect();
     expect_that!(regions.len(), eq(5));
-    let conf = plan::config(5_300).to_string();
+    let conf = topology::config(5_300).to_string();
     let conf = grebepath_core::config::read::whole(conf.as_bytes()).unwrap();
     let built = grebepath_core::config::build::build(&conf).unwrap();
     expect_that!(built.mappings["wide"].shards.len(), eq(1_300));
