--- a/crates/simulator/examples/run_digest.rs
+++ b/crates/simulator/examples/run_digest.rs
@@ -149,6 +149,6 @@
         .expect("the scenario's file is there");
     match read(&text, &deployment) {
         Ok(scenario) => scenario,
-        Err(all) => panic!("{name}: {}", grebepath_core::routing_language::diagnostic::lines(&all)),
+        Err(all) => panic!("{name}: {}", grebepath_core::diagnostic::lines(&all)),
     }
 }
--- a/crates/simulator/src/chaos.rs
+++ b/crates/simulator/src/chaos.rs
@@ -1,7 +1,7 @@
 //! Troubles drawn by seed: alone, together, at any time, and one last fault;
 //! then all is mended and the fleet must be whole again.
 
-use grebepath_core::random::{Random, below, chance, luck};
+use grebepath_core::random::Random;
 use serde_json::{Value, json};
 
 use crate::mock_backends::ZONES;
@@ -34,7 +34,7 @@
 }
 
 fn pick<'a, T>(random: &mut Random, list: &'a [T]) -> &'a T {
-    &list[below(random, list.len() as u64) as usize]
+    &list[random.below(list.len() as u64) as usize]
 }
 
 /// How many kinds of trouble there are.
@@ -45,8 +45,8 @@
     let (from, span) = (scene.from, scene.span);
     let machines = scene.scenario.control_plane.machines;
     let random = &mut scene.random;
-    let seat = below(random, machines as u64);
-    let querier = below(random, scene.scenario.queriers as u64);
+    let seat = random.below(machines as u64);
+    let querier = random.below(scene.scenario.queriers as u64);
     let service = pick(random, &scene.scenario.spec.services).name.clone();
     let other = pick(random, &scene.scenario.spec.services).name.clone();
     let zone = *pick(random, &ZONES);
@@ -63,9 +63,9 @@
         "unrun",
     ];
     let mode = *pick(random, &modes);
-    let coin = chance(random, 1, 2);
-    let count = 1 + below(random, 4);
-    let ms = 100 + below(random, 500);
+    let coin = random.chance(1, 2);
+    let count = 1 + random.below(4);
+    let ms = 100 + random.below(500);
     let end = |val: Value| at(from + span, val);
     let heal = end(json!({ "do": "heal" }));
     let one = |val: Value| vec![at(from, val)];
@@ -101,7 +101,7 @@
         7 => cut(json!([seatname]), json!(["all"]), coin),
         8 => cut(json!([format!("q{querier}")]), json!(["all"]), coin),
         9 => cut(json!([format!("zone-{zone}")]), json!(["all"]), coin),
-        10 => two(json!({ "do": "loss", "per_mille": 10 + below(random, 200) }), heal),
+        10 => two(json!({ "do": "loss", "per_mille": 10 + random.below(200) }), heal),
         11 => {
             until_healed(json!({ "do": "leafs", "service": service, "count": count, "mode": mode,
                            "ms": ms }))
@@ -111,7 +111,7 @@
             end(json!({ "do": "undrain", "zone": zone })),
         ),
         13 => one(json!({ "do": "restart-leafs", "service": service, "count": count })),
-        14 => one(json!({ "do": "storm", "count": 10 * count, "gap_ms": 20 + below(random, 60) })),
+        14 => one(json!({ "do": "storm", "count": 10 * count, "gap_ms": 20 + random.below(60) })),
         15 => {
             let new = end(json!({ "do": "add-leafs", "service": service, "count": count }));
             two(json!({ "do": "leave-leafs", "service": service, "count": count }), new)
@@ -145,7 +145,7 @@
         28 => (0..machines)
             .flat_map(|i| cut(json!([format!("seat{i}")]), json!(["seats"]), coin))
             .collect(),
-        29 => two(json!({ "do": "slow-net", "ms": 5 + below(random, 60) }), heal),
+        29 => two(json!({ "do": "slow-net", "ms": 5 + random.below(60) }), heal),
         // A link that comes and goes.
         30 => (0..6)
             .map(|i| {
@@ -174,7 +174,7 @@
             })
             .collect(),
         _ => {
-            let more = scene.scenario.factor * (2.0 + below(random, 10) as f64 / 10.0);
+            let more = scene.scenario.factor * (2.0 + random.below(10) as f64 / 10.0);
             two(
                 json!({ "do": "load", "factor": more }),
                 end(json!({ "do": "load", "factor": scene.scenario.factor })),
@@ -211,7 +211,7 @@
 /// then the end of all of them.
 pub fn chaos(seed: u64, scenario: &Scenario) -> Vec<ScheduledFault> {
     let recovery_at = (scenario.seconds as f64 - RECOVERY_BEFORE_END).max(1.0);
-    let mut scene = Scene { scenario, random: luck(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
+    let mut scene = Scene { scenario, random: Random::new(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
     let storm = json!({ "do": "storm", "count": (recovery_at * 3.0) as u64, "gap_ms": 250 });
     let mut all = vec![at(1.0, storm)];
     let two_cuts = scenario.spec.services.iter().any(|service| service.cut == "w49");
@@ -219,14 +219,14 @@
     let mut from = 1.5;
     loop {
         // From close together to a while apart.
-        from += below(&mut scene.random, 70) as f64 / 10.0;
+        from += scene.random.below(70) as f64 / 10.0;
         scene.from = from;
-        scene.span = 0.3 + below(&mut scene.random, SPAN * 10) as f64 / 10.0;
+        scene.span = 0.3 + scene.random.below(SPAN * 10) as f64 / 10.0;
         let last = from + scene.span + 2.0 >= recovery_at;
         if last {
             scene.from = (recovery_at - scene.span - 1.0).max(1.0);
         }
-        let kind = below(&mut scene.random, KINDS + u64::from(two_cuts));
+        let kind = scene.random.below(KINDS + u64::from(two_cuts));
         let mut list =
             if kind == KINDS { change_index_version(&mut scene) } else { draw(&mut scene, kind) };
         // Three copies bear the loss of one disk at a time.
@@ -234,7 +234,7 @@
         while (loses_disk(&list) && scene.from - lost_at < DISK_GAP)
             || (late && replaces_leafs(&list))
         {
-            let kind = below(&mut scene.random, KINDS);
+            let kind = scene.random.below(KINDS);
             list = draw(&mut scene, kind);
         }
         if loses_disk(&list) {
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -3,7 +3,7 @@
 mod exploration;
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
-use grebepath_core::routing_language::diagnostic::{Diagnostic, lines};
+use grebepath_core::diagnostic::{Diagnostic, lines};
 use grebepath_simulator::files::read_json;
 use grebepath_simulator::net::MessageCount;
 use grebepath_simulator::scenario::{Scenario, play_counting_messages, read};
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -5,7 +5,7 @@
 
 use grebepath_core::protocol::frame::encode;
 use grebepath_core::protocol::message::Message;
-use grebepath_core::random::{Random, below, chance};
+use grebepath_core::random::Random;
 use grebepath_core::time::{Span, Tick};
 
 /// A machine on the net.
@@ -82,7 +82,7 @@
         self.sent += 1;
         let direction = (from.node, to.node);
         if self.blocked.contains(&direction)
-            || (self.loss_per_mille > 0 && chance(random, self.loss_per_mille, 1000))
+            || (self.loss_per_mille > 0 && random.chance(self.loss_per_mille, 1000))
         {
             self.lost += 1;
             return None;
@@ -113,5 +113,5 @@
 
 /// Latency of one way between two zones (us).
 pub fn latency(a: &str, b: &str, random: &mut Random) -> Span {
-    if a == b { 80 + below(random, 80) } else { 500 + below(random, 1_000) }
+    if a == b { 80 + random.below(80) } else { 500 + random.below(1_000) }
 }
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -252,16 +252,16 @@
 }
 
 /// What it takes to read all leafs that are held and to make a view of them.
-fn view(world: &grebepath_core::membership::node_agent::Watch) -> u64 {
+fn view(world: &grebepath_core::membership::node_agent::NodeAgent) -> u64 {
     let mut took = 0;
     meter::timed(&mut took, || {
         let list = world
-            .held
+            .partitions
             .values()
-            .flat_map(|h| grebepath_core::snapshot::leafs::leafs_in(&h.map).into_values());
+            .flat_map(|h| grebepath_core::snapshot::leafs::leafs_in(&h.entries).into_values());
         grebepath_core::snapshot::cluster_view::view(
-            world.built_revision,
-            world.built.clone(),
+            world.configuration_revision,
+            world.configuration.clone(),
             list.collect(),
         )
     });
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -6,7 +6,7 @@
 use grebepath_core::control_plane::step as cstep;
 use grebepath_core::http_api::list;
 use grebepath_core::identifiers::VoterSlot;
-use grebepath_core::membership::node_agent as wat;
+use grebepath_core::membership::node_agent;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::message::{LeafReport, Message};
@@ -93,7 +93,7 @@
             }
             ScheduledEvent::QuerierTimer { querier, life } if self.live(querier, life) => {
                 self.push(qstep::WAKE, ScheduledEvent::QuerierTimer { querier, life });
-                self.step_querier(querier, wat::Event::Wake);
+                self.step_querier(querier, node_agent::Event::Wake);
             }
             ScheduledEvent::QuerierMessage { querier, life, from, raw }
                 if self.live(querier, life) =>
@@ -103,14 +103,15 @@
                 let Some(message) = timed(&mut node.meter.codec_ns, || read(&raw)) else { return };
                 let event = match (from, message) {
                     (Sender::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
-                        wat::Event::Seats(table)
+                        node_agent::Event::VoterSet(table)
                     }
                     (Sender::VoterSlot(seat), message) => {
-                        wat::Event::FromSeat { slot: seat, message }
-                    }
-                    (Sender::Querier(g, _), message) => {
-                        wat::Event::FromMember { name: self.queriers[g].me.name.clone(), message }
+                        node_agent::Event::FromVoter { slot: seat, message }
                     }
+                    (Sender::Querier(g, _), message) => node_agent::Event::FromMember {
+                        name: self.queriers[g].me.name.clone(),
+                        message,
+                    },
                     (Sender::ConnectedController, _) => return,
                 };
                 self.step_querier(querier, event);
@@ -125,7 +126,7 @@
                 node.polling = false;
                 let got = timed(&mut node.meter.codec_ns, || list::read(text.as_bytes()));
                 let got = got.map(|(all, _)| all).map_err(|querier| querier.to_string());
-                self.step_querier(querier, wat::Event::List(got));
+                self.step_querier(querier, node_agent::Event::LeafList(got));
             }
             ScheduledEvent::StartQuerier { querier } if !self.queriers[querier].up => {
                 self.start_querier(querier)
@@ -282,7 +283,7 @@
         }
     }
 
-    fn step_querier(&mut self, querier: usize, event: wat::Event) {
+    fn step_querier(&mut self, querier: usize, event: node_agent::Event) {
         let node = &mut self.queriers[querier];
         let local = self.now - node.began + BOOT;
         node.meter.steps += 1;
@@ -293,19 +294,19 @@
         }
     }
 
-    fn run_querier_command(&mut self, querier: usize, command: wat::Command) {
+    fn run_querier_command(&mut self, querier: usize, command: node_agent::Command) {
         let (life, here) = (self.queriers[querier].life, self.queriers[querier].zone);
         let (from, own) = (Sender::Querier(querier, life), querier + self.controllers.len());
         match command {
-            wat::Command::ToSeat { slot: seat, message } => {
+            node_agent::Command::ToVoter { slot: seat, message } => {
                 self.querier_sends(querier, usize::from(seat), &message)
             }
-            wat::Command::ToAll { message } => {
+            node_agent::Command::Broadcast { message } => {
                 for controller in 0..self.controllers.len() {
                     self.querier_sends(querier, controller, &message);
                 }
             }
-            wat::Command::ToMember { name, message, .. } => {
+            node_agent::Command::ToMember { name, message, .. } => {
                 let raw = self.encode_from_querier(querier, "querier-querier", &message);
                 let Some(to) = self.by_name.get(&name).copied() else { return };
                 let at = self
@@ -313,12 +314,12 @@
                 let life = self.queriers[to].life;
                 self.push_at(at, ScheduledEvent::QuerierMessage { querier: to, life, from, raw });
             }
-            wat::Command::Ready(ready) => self.queriers[querier].ready = ready,
-            wat::Command::PollList if !self.queriers[querier].polling => {
+            node_agent::Command::Ready(ready) => self.queriers[querier].ready = ready,
+            node_agent::Command::PollLeafList if !self.queriers[querier].polling => {
                 self.queriers[querier].polling = true;
                 self.push(2 * MILLI, ScheduledEvent::ListResponse { querier, life });
             }
-            wat::Command::Probe(list) => {
+            node_agent::Command::ProbeLeafs(list) => {
                 self.probes += list.len() as u64;
                 for info in list {
                     let word = LeafReport {
@@ -326,11 +327,14 @@
                         age_ms: topology::OLD_MS,
                         ..LeafReport::default()
                     };
-                    let event = Box::new(wat::Event::Word { service: info.service.clone(), word });
+                    let event = Box::new(node_agent::Event::LeafReport {
+                        service: info.service.clone(),
+                        report: word,
+                    });
                     self.push(2 * MILLI, ScheduledEvent::QuerierEvent { querier, life, event });
                 }
             }
-            wat::Command::Alarm(text) => *self.alarms.entry(text).or_default() += 1,
+            node_agent::Command::Alarm(text) => *self.alarms.entry(text).or_default() += 1,
             // What threads are told costs no message.
             _ => {}
         }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -8,11 +8,11 @@
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::control_plane::step as cstep;
 use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
-use grebepath_core::membership::node_agent as wat;
-use grebepath_core::membership::node_agent::Watch;
+use grebepath_core::membership::node_agent;
+use grebepath_core::membership::node_agent::NodeAgent;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::message::{Member, OperationResult, ReplicaCondition};
-use grebepath_core::random::{Random, below, luck};
+use grebepath_core::random::Random;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::storage::voter_file;
 use grebepath_core::storage::voter_file::Start;
@@ -32,7 +32,7 @@
     VoterFileDone { controller: usize, life: u64, token: u64 },
     QuerierTimer { querier: usize, life: u64 },
     QuerierMessage { querier: usize, life: u64, from: Sender, raw: Raw },
-    QuerierEvent { querier: usize, life: u64, event: Box<wat::Event> },
+    QuerierEvent { querier: usize, life: u64, event: Box<node_agent::Event> },
     ListResponse { querier: usize, life: u64 },
     StartQuerier { querier: usize },
     StartController { controller: usize },
@@ -67,7 +67,7 @@
 pub struct QuerierNode {
     pub me: Member,
     pub zone: usize,
-    pub watch: Watch,
+    pub watch: NodeAgent,
     pub up: bool,
     pub life: u64,
     pub began: Tick,
@@ -115,7 +115,7 @@
             size,
             queue: BTreeMap::new(),
             next: 0,
-            random: luck(seed),
+            random: Random::new(seed),
             controllers: Vec::new(),
             queriers: Vec::new(),
             by_name: HashMap::new(),
@@ -144,7 +144,7 @@
         }
         for querier in 0..size.members {
             world.add_querier();
-            let after = below(&mut world.random, SPREAD);
+            let after = world.random.below(SPREAD);
             world.push(after, ScheduledEvent::StartQuerier { querier });
         }
         world
@@ -165,7 +165,7 @@
             incarnation: 0,
         };
         self.by_name.insert(name, querier);
-        let watch = wat::watch(me.clone(), BOOT);
+        let watch = node_agent::watch(me.clone(), BOOT);
         let meter = Meter::default();
         let node = QuerierNode {
             me,
@@ -188,9 +188,9 @@
         node.life += 1;
         (node.up, node.ready, node.polling, node.began) = (true, false, false, self.now);
         node.me.incarnation = node.life;
-        node.watch = wat::watch(node.me.clone(), BOOT);
+        node.watch = node_agent::watch(node.me.clone(), BOOT);
         let life = node.life;
-        let after = below(&mut self.random, qstep::WAKE);
+        let after = self.random.below(qstep::WAKE);
         self.push(after, ScheduledEvent::QuerierTimer { querier, life });
     }
 
@@ -199,7 +199,7 @@
         let life = self.queriers[querier].life;
         let node = &mut self.queriers[querier];
         (node.up, node.ready) = (false, false);
-        node.watch = wat::watch(node.me.clone(), BOOT);
+        node.watch = node_agent::watch(node.me.clone(), BOOT);
         for controller in 0..self.controllers.len() {
             let event =
                 Box::new(st::Event::ConnectionClosed { connection: connection(querier, life) });
@@ -210,7 +210,7 @@
 
     /// Starts a controller on its disk.
     pub fn start_controller(&mut self, controller: usize) {
-        let seed = grebepath_core::random::draw(&mut self.random);
+        let seed = self.random.next_u64();
         let start = Start {
             slot: Some(controller as VoterSlot),
             first: self.now == BEGIN,
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -1,5 +1,6 @@
 //! Applies the steps of a scenario to the world.
 
+use grebepath_core::random::Random;
 use grebepath_core::time::{SECOND, ms};
 use serde_json::Value;
 
@@ -65,8 +66,7 @@
                 }
             }
             "flip" => {
-                let mut random =
-                    grebepath_core::random::luck(grebepath_core::random::draw(&mut self.random));
+                let mut random = Random::new(self.random.next_u64());
                 self.controllers[which].disk.flip_bit(&mut random);
             }
             "cut" => self.partition_network(parameters),
--- a/crates/simulator/src/scenario/read.rs
+++ b/crates/simulator/src/scenario/read.rs
@@ -1,6 +1,6 @@
 //! Reads a scenario from JSON, with all findings at their places.
 
-use grebepath_core::routing_language::diagnostic::{Diagnostic, find};
+use grebepath_core::diagnostic::{Diagnostic, find};
 use serde_json::Value;
 
 use super::values::{disk_health, leaf_mode, list_mode, named_nodes};
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -3,7 +3,7 @@
 //! the middle of anything.
 
 use grebepath_core::identifiers::PartitionId;
-use grebepath_core::random::{Random, below, chance};
+use grebepath_core::random::Random;
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::voter_file;
@@ -135,7 +135,7 @@
     /// When a job that is queued now will be done; `None` while the disk stalls.
     fn schedule(&mut self, now: Tick, random: &mut Random) -> Option<Tick> {
         let slow = if let Health::Slow(more) = self.health { more } else { 0 };
-        let took = ms(1) + below(random, ms(3)) + slow;
+        let took = ms(1) + random.below(ms(3)) + slow;
         if self.health == Health::Stalled {
             return None;
         }
@@ -221,7 +221,7 @@
         let jobs = std::mem::take(&mut self.pending_jobs);
         // A file that is renamed is there or it is not.
         for pending in std::mem::take(&mut self.pending_voter_files) {
-            if chance(random, 1, 2) {
+            if random.chance(1, 2) {
                 break;
             }
             self.put_voter_file(&pending.contents, pending.clear);
@@ -247,16 +247,16 @@
 
     /// Flips one bit of what lies on the disk; false if nothing lies there.
     pub fn flip_bit(&mut self, random: &mut Random) -> bool {
-        let at = below(random, self.partitions.len() as u64) as usize;
+        let at = random.below(self.partitions.len() as u64) as usize;
         let files = &mut self.partitions[at];
         let newest = (files.sequence % 2) as usize;
         let raw = match (&mut files.slots[newest], &mut files.log) {
-            (_, Some(log)) if chance(random, 1, 2) && log.len() > LOG_HEAD => log,
+            (_, Some(log)) if random.chance(1, 2) && log.len() > LOG_HEAD => log,
             (Some(slot), _) => slot,
             _ => return false,
         };
-        let byte = below(random, raw.len() as u64) as usize;
-        raw[byte] ^= 1 << below(random, 8);
+        let byte = random.below(raw.len() as u64) as usize;
+        raw[byte] ^= 1 << random.below(8);
         true
     }
 
@@ -328,14 +328,14 @@
 
     /// Lets a job take effect in part; true if all of it lasts.
     fn apply_partly(&mut self, partition: PartitionId, job: Job, random: &mut Random) -> bool {
-        let complete = chance(random, 1, 3);
+        let complete = random.chance(1, 3);
         match job {
             Job::Append(_) if !self.open => false,
             Job::Append(record) => {
                 let mut raw = writer::rec(self.sequence, self.records, &record);
                 if !complete {
-                    let keep = below(random, raw.len() as u64) as usize;
-                    if chance(random, 1, 2) {
+                    let keep = random.below(raw.len() as u64) as usize;
+                    if random.chance(1, 2) {
                         // The file's length came through, its bytes did not.
                         raw[keep..].fill(0);
                     } else {
@@ -349,9 +349,9 @@
             Job::Snapshot(copy) => {
                 let sequence = self.sequence + 1;
                 let mut raw = writer::slot(partition.0, sequence, &copy);
-                let torn = chance(random, 1, 2);
+                let torn = random.chance(1, 2);
                 if torn {
-                    raw.truncate(below(random, raw.len() as u64) as usize);
+                    raw.truncate(random.below(raw.len() as u64) as usize);
                 }
                 self.slots[(sequence % 2) as usize] = Some(raw);
                 if torn {
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -2,9 +2,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebepath_core::membership::node_agent as wat;
+use grebepath_core::membership::node_agent;
 use grebepath_core::protocol::message::Member;
-use grebepath_core::random::luck;
+use grebepath_core::random::Random;
 use grebepath_core::time::{Tick, ms};
 
 use super::events::ScheduledEvent;
@@ -35,7 +35,7 @@
             now: BEGIN,
             queue: BTreeMap::new(),
             next: 0,
-            random: luck(seed),
+            random: Random::new(seed),
             net: Net::default(),
             controllers: Vec::new(),
             control_plane,
@@ -68,7 +68,7 @@
         for querier in 0..queriers {
             let zone = ZONES[querier % ZONES.len()].to_string();
             let name = format!("q{querier}");
-            let watch = wat::watch(member(&name, &zone, querier, 0), 1);
+            let watch = node_agent::watch(member(&name, &zone, querier, 0), 1);
             world.queriers.push(QuerierNode {
                 name,
                 zone,
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -3,7 +3,6 @@
 use grebepath_core::http_api::caller;
 use grebepath_core::query::event as query_event;
 use grebepath_core::query::request::Outcome;
-use grebepath_core::random::below;
 use grebepath_core::time::{Span, ms};
 use serde_json::json;
 
@@ -27,7 +26,7 @@
     pub(super) fn gap(&mut self, kind: usize) -> Span {
         // Between half and one and a half of the mean: uneven, but not wild.
         let mean = 1e6 / (self.call_kinds[kind].per_s * self.factor).max(0.001);
-        (mean * (0.5 + below(&mut self.random, 1000) as f64 / 1000.0)) as Span
+        (mean * (0.5 + self.random.below(1000) as f64 / 1000.0)) as Span
     }
 
     pub(super) fn tally(&mut self, kind: usize) -> &mut CallOutcomes {
@@ -57,7 +56,7 @@
             self.tally(kind).unreachable += 1;
             return;
         }
-        let querier = list[below(&mut self.random, list.len() as u64) as usize];
+        let querier = list[self.random.below(list.len() as u64) as usize];
         if !self.queriers[querier].up {
             self.tally(kind).unreachable += 1;
             return;
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -5,7 +5,7 @@
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::{VoterSlot, partitions};
 use grebepath_core::protocol::message::{Message, ReplicaCondition};
-use grebepath_core::random::{draw, luck};
+use grebepath_core::random::Random;
 use grebepath_core::storage::reader::Found;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file;
@@ -46,7 +46,7 @@
 
     /// Starts a controller on its disk.
     pub fn start_controller(&mut self, controller: usize) {
-        let seed = draw(&mut self.random);
+        let seed = self.random.next_u64();
         let start = Start {
             slot: self
                 .control_plane
@@ -164,7 +164,7 @@
         self.controllers[controller].up = false;
         self.controllers[controller].life += 1;
         if power {
-            let mut random = luck(draw(&mut self.random));
+            let mut random = Random::new(self.random.next_u64());
             self.controllers[controller].disk.power_loss(&mut random);
         } else {
             self.controllers[controller].disk.finish_all();
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -33,7 +33,7 @@
     }
 
     pub(super) fn list_timed_out(&mut self, querier: usize, life: u64) {
-        let event = node_agent::Event::List(Err("no answer in time".into()));
+        let event = node_agent::Event::LeafList(Err("no answer in time".into()));
         self.push(consts::LIST_PATIENCE, ScheduledEvent::NodeAgentEvent { querier, life, event });
     }
 
@@ -58,7 +58,7 @@
                 ScheduledEvent::NodeAgentEvent {
                     querier,
                     life,
-                    event: node_agent::Event::List(got),
+                    event: node_agent::Event::LeafList(got),
                 },
             ),
             None => self.list_timed_out(querier, life),
@@ -100,7 +100,7 @@
         } else {
             word.gone = true;
         }
-        let event = node_agent::Event::Word { service: info.service.clone(), word };
+        let event = node_agent::Event::LeafReport { service: info.service.clone(), report: word };
         self.push(ms(1), ScheduledEvent::NodeAgentEvent { querier, life, event });
     }
 }
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -8,7 +8,6 @@
 use grebepath_core::protocol::message::Message;
 use grebepath_core::query::engine::Door;
 use grebepath_core::query::event as query_event;
-use grebepath_core::random::below;
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{Span, ms};
@@ -25,23 +24,23 @@
     pub(super) fn run_node_agent_command(&mut self, querier: usize, command: node_agent::Command) {
         let life = self.queriers[querier].life;
         match command {
-            node_agent::Command::ToSeat { slot, message } => {
-                let table = &self.queriers[querier].watch.table;
+            node_agent::Command::ToVoter { slot, message } => {
+                let table = &self.queriers[querier].watch.voter_set;
                 let Some(voter) = table.slots.get(usize::from(slot)) else { return };
                 let Some(controller) = self.machine(&voter.addr) else { return };
                 self.send_from_querier(querier, controller, message);
             }
-            node_agent::Command::ToAll { message } => {
+            node_agent::Command::Broadcast { message } => {
                 for controller in self.control_plane.seeds.clone() {
                     self.send_from_querier(querier, controller, message.clone());
                 }
             }
-            node_agent::Command::Seats => {}
+            node_agent::Command::VoterSetChanged => {}
             node_agent::Command::ToMember { name, message, .. } => {
                 self.send_to_member(querier, &name, message);
             }
             node_agent::Command::ClusterView(view) => self.publish_snapshot(querier, view),
-            node_agent::Command::Shares(list) => {
+            node_agent::Command::QuotaMembers(list) => {
                 let name = self.queriers[querier].name.clone();
                 for thread in 0..THREADS {
                     let mut share = grebepath_core::query::quota::share(&list, &name, thread);
@@ -55,24 +54,24 @@
                     self.push(THREAD_DELAY, ScheduledEvent::QueryEngineEvent { engine, event });
                 }
             }
-            node_agent::Command::Peers(list) => {
+            node_agent::Command::LeafClients(list) => {
                 let peers = grebepath_core::query::quota::peers(&list);
                 self.tell_threads(querier, || query_event::Event::Peers(peers.clone()));
             }
-            node_agent::Command::Door(door) => {
+            node_agent::Command::Admission(door) => {
                 self.tell_threads(querier, || query_event::Event::Door(door));
                 if door == Door::Stopping {
                     self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
                 }
             }
-            node_agent::Command::Grip(until) => {
+            node_agent::Command::ServingUntil(until) => {
                 self.tell_threads(querier, || query_event::Event::Grip(until));
             }
             node_agent::Command::Ready(ready) => self.queriers[querier].ready = ready,
-            node_agent::Command::PollList => self.poll_list(querier),
-            node_agent::Command::Probe(list) => {
+            node_agent::Command::PollLeafList => self.poll_list(querier),
+            node_agent::Command::ProbeLeafs(list) => {
                 for info in list {
-                    let after = below(&mut self.random, ms(50)) + ms(1);
+                    let after = self.random.below(ms(50)) + ms(1);
                     self.push(after, ScheduledEvent::Probe { querier, life, info });
                 }
             }
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use grebepath_core::control_plane::controller::ControllerState;
-use grebepath_core::membership::node_agent::Watch;
+use grebepath_core::membership::node_agent::NodeAgent;
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::query::engine::QueryEngine;
 use grebepath_core::query::event::Sending;
@@ -47,7 +47,7 @@
     pub zone: String,
     pub life: u64,
     pub up: bool,
-    pub watch: Watch,
+    pub watch: NodeAgent,
     pub desks: Vec<QueryEngine>,
     pub(super) wakes: Vec<Tick>,
     pub began: Tick,
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -5,7 +5,6 @@
 use grebepath_core::config::{change, types::Config};
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::protocol::message::{Operation, OperationResult};
-use grebepath_core::random::below;
 use grebepath_core::time::{SECOND, Span, ms};
 use serde_json::{Value, json};
 
@@ -34,8 +33,7 @@
             let n = self.operator_requests.len();
             let mut request = marked(n);
             if i % 2 == 0 {
-                let Some(controller) =
-                    seats.get(below(&mut self.random, seats.len() as u64) as usize)
+                let Some(controller) = seats.get(self.random.below(seats.len() as u64) as usize)
                 else {
                     return;
                 };
@@ -63,7 +61,7 @@
         let controller = self.operator_requests[id]
             .controller
             .filter(|controller| up.contains(controller))
-            .unwrap_or_else(|| up[below(&mut self.random, up.len() as u64) as usize]);
+            .unwrap_or_else(|| up[self.random.below(up.len() as u64) as usize]);
         if self.operator_requests[id].at == 0 {
             self.operator_requests[id].at = self.now;
         }
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -6,7 +6,6 @@
 use grebepath_core::membership::step as membership_step;
 use grebepath_core::protocol::message::Message;
 use grebepath_core::query::engine::desk;
-use grebepath_core::random::draw;
 use grebepath_core::time::{BOOT, ms};
 use grebepath_core::voter_set::seat_of;
 
@@ -19,7 +18,7 @@
 impl World {
     /// Starts a querier, which knows nothing.
     pub fn start_querier(&mut self, querier: usize) {
-        let seed = draw(&mut self.random);
+        let seed = self.random.next_u64();
         let node = &mut self.queriers[querier];
         node.life += 1;
         node.up = true;
@@ -101,7 +100,7 @@
 
     /// An event reaches a querier's node agent.
     pub(super) fn deliver_to_node_agent(&mut self, querier: usize, event: node_agent::Event) {
-        if matches!(event, node_agent::Event::List(_)) {
+        if matches!(event, node_agent::Event::LeafList(_)) {
             self.queriers[querier].polling = false;
         }
         self.step_node_agent(querier, event);
@@ -115,9 +114,9 @@
         message: Message,
     ) {
         let event = match message {
-            Message::VoterSetUpdate { table, .. } => node_agent::Event::Seats(table),
-            message => match seat_of(&self.queriers[querier].watch.table, holder) {
-                Some(slot) => node_agent::Event::FromSeat { slot, message },
+            Message::VoterSetUpdate { table, .. } => node_agent::Event::VoterSet(table),
+            message => match seat_of(&self.queriers[querier].watch.voter_set, holder) {
+                Some(slot) => node_agent::Event::FromVoter { slot, message },
                 None => return,
             },
         };
@@ -128,19 +127,19 @@
         let local = self.now - self.queriers[querier].began + BOOT;
         let todo = membership_step::step(&mut self.queriers[querier].watch, local, event);
         if self.faulty_variant == Some(FaultyVariant::RevertsConfiguration)
-            && self.queriers[querier].watch.built_revision > 0
+            && self.queriers[querier].watch.configuration_revision > 0
         {
-            self.queriers[querier].watch.sure = true;
+            self.queriers[querier].watch.is_caught_up = true;
         }
         for command in todo {
             self.run_node_agent_command(querier, command);
         }
-        let held = &self.queriers[querier].watch.held;
+        let held = &self.queriers[querier].watch.partitions;
         let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
         for (part, revision) in places {
             if revision > 0 && !self.already_compared(querier, part, revision) {
                 let sum = grebepath_core::replication::leader::sum(
-                    &self.queriers[querier].watch.held[&PartitionId(part)].map,
+                    &self.queriers[querier].watch.partitions[&PartitionId(part)].entries,
                 );
                 self.rules.check_replica(self.now - BEGIN, part, revision, sum);
             }
--- a/crates/simulator/src/world/query_engines.rs
+++ b/crates/simulator/src/world/query_engines.rs
@@ -89,7 +89,7 @@
                         ScheduledEvent::NodeAgentEvent {
                             querier,
                             life,
-                            event: node_agent::Event::Word { service, word },
+                            event: node_agent::Event::LeafReport { service, report: word },
                         },
                     );
                 }
