--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -6,7 +6,7 @@
 use grebepath_core::control_plane::step as cstep;
 use grebepath_core::http_api::list;
 use grebepath_core::identifiers::VoterSlot;
-use grebepath_core::membership::node_agent as wat;
+use grebepath_core::membership::node_agent;
 use grebepath_core::membership::step as qstep;
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::message::{LeafReport, Message};
@@ -15,8 +15,8 @@
 use grebepath_core::time::{BOOT, MILLI, ms};
 
 use super::world::{Raw, ScheduledEvent, Sender, World, connection, controller_connection};
-use crate::scale_model::cost::{add, kind, timed};
-use crate::scale_model::plan;
+use crate::scale_model::meter::{add, kind, timed};
+use crate::scale_model::topology;
 use crate::simulated_disk::Job;
 
 /// Messages from here on are kept once however many get them (bytes): it
@@ -93,7 +93,7 @@
             }
             ScheduledEvent::QuerierTimer { querier, life } if self.live(querier, life) => {
                 self.push(qstep::WAKE, ScheduledEvent::QuerierTimer { querier, life });
-                self.step_querier(querier, wat::Event::Wake);
+                self.step_querier(querier, node_agent::Event::Wake);
             }
             ScheduledEvent::QuerierMessage { querier, life, from, raw }
                 if self.live(querier, life) =>
@@ -103,14 +103,15 @@
                 let Some(message) = timed(&mut node.meter.codec_ns, || read(&raw)) else { return };
                 let event = match (from, message) {
                     (Sender::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
-                        wat::Event::VoterSet(table)
+                        node_agent::Event::VoterSet(table)
                     }
                     (Sender::VoterSlot(seat), message) => {
-                        wat::Event::FromVoter { slot: seat, message }
-                    }
-                    (Sender::Querier(g, _), message) => {
-                        wat::Event::FromMember { name: self.queriers[g].me.name.clone(), message }
+                        node_agent::Event::FromVoter { slot: seat, message }
                     }
+                    (Sender::Querier(g, _), message) => node_agent::Event::FromMember {
+                        name: self.queriers[g].me.name.clone(),
+                        message,
+                    },
                     (Sender::ConnectedController, _) => return,
                 };
                 self.step_querier(querier, event);
@@ -125,7 +126,7 @@
                 node.polling = false;
                 let got = timed(&mut node.meter.codec_ns, || list::read(text.as_bytes()));
                 let got = got.map(|(all, _)| all).map_err(|querier| querier.to_string());
-                self.step_querier(querier, wat::Event::LeafList(got));
+                self.step_querier(querier, node_agent::Event::LeafList(got));
             }
             ScheduledEvent::StartQuerier { querier } if !self.queriers[querier].up => {
                 self.start_querier(querier)
@@ -161,7 +162,7 @@
         command: grebepath_core::command::Command,
     ) {
         let life = self.controllers[controller].life;
-        let here = plan::controller_zone(controller as VoterSlot);
+        let here = topology::controller_zone(controller as VoterSlot);
         let from = Sender::VoterSlot(controller as VoterSlot);
         match command {
             grebepath_core::command::Command::ToVoter { slot: seat, message } => {
@@ -194,7 +195,7 @@
             }
             grebepath_core::command::Command::ToConnection { connection, message } => {
                 let (querier, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
-                let raw = self.encode_from_controller(controller, "seat-front", &message);
+                let raw = self.encode_from_controller(controller, "controller-querier", &message);
                 let at = self.arrival(
                     (controller, here),
                     (querier + self.controllers.len(), self.queriers[querier].zone),
@@ -231,10 +232,10 @@
     }
 
     fn controller_sends(&mut self, controller: usize, to: usize, from: Sender, message: &Message) {
-        let raw = self.encode_from_controller(controller, "seat-seat", message);
+        let raw = self.encode_from_controller(controller, "controller-controller", message);
         let zones = (
-            plan::controller_zone(controller as VoterSlot),
-            plan::controller_zone(to as VoterSlot),
+            topology::controller_zone(controller as VoterSlot),
+            topology::controller_zone(to as VoterSlot),
         );
         let at = self.arrival((controller, zones.0), (to, zones.1));
         let life = self.controllers[to].life;
@@ -282,7 +283,7 @@
         }
     }
 
-    fn step_querier(&mut self, querier: usize, event: wat::Event) {
+    fn step_querier(&mut self, querier: usize, event: node_agent::Event) {
         let node = &mut self.queriers[querier];
         let local = self.now - node.began + BOOT;
         node.meter.steps += 1;
@@ -293,47 +294,47 @@
         }
     }
 
-    fn run_querier_command(&mut self, querier: usize, command: wat::Command) {
+    fn run_querier_command(&mut self, querier: usize, command: node_agent::Command) {
         let (life, here) = (self.queriers[querier].life, self.queriers[querier].zone);
         let (from, own) = (Sender::Querier(querier, life), querier + self.controllers.len());
         match command {
-            wat::Command::ToVoter { slot: seat, message } => {
+            node_agent::Command::ToVoter { slot: seat, message } => {
                 self.querier_sends(querier, usize::from(seat), &message)
             }
-            wat::Command::Broadcast { message } => {
+            node_agent::Command::Broadcast { message } => {
                 for controller in 0..self.controllers.len() {
                     self.querier_sends(querier, controller, &message);
                 }
             }
-            wat::Command::ToMember { name, message, .. } => {
-                let raw = self.encode_from_querier(querier, "front-front", &message);
+            node_agent::Command::ToMember { name, message, .. } => {
+                let raw = self.encode_from_querier(querier, "querier-querier", &message);
                 let Some(to) = self.by_name.get(&name).copied() else { return };
                 let at = self
                     .arrival((own, here), (to + self.controllers.len(), self.queriers[to].zone));
                 let life = self.queriers[to].life;
                 self.push_at(at, ScheduledEvent::QuerierMessage { querier: to, life, from, raw });
             }
-            wat::Command::Ready(ready) => self.queriers[querier].ready = ready,
-            wat::Command::PollLeafList if !self.queriers[querier].polling => {
+            node_agent::Command::Ready(ready) => self.queriers[querier].ready = ready,
+            node_agent::Command::PollLeafList if !self.queriers[querier].polling => {
                 self.queriers[querier].polling = true;
                 self.push(2 * MILLI, ScheduledEvent::ListResponse { querier, life });
             }
-            wat::Command::ProbeLeafs(list) => {
+            node_agent::Command::ProbeLeafs(list) => {
                 self.probes += list.len() as u64;
                 for info in list {
                     let word = LeafReport {
                         leaf: info.leaf.clone(),
-                        age_ms: plan::OLD_MS,
+                        age_ms: topology::OLD_MS,
                         ..LeafReport::default()
                     };
-                    let event = Box::new(wat::Event::LeafReport {
+                    let event = Box::new(node_agent::Event::LeafReport {
                         service: info.service.clone(),
                         report: word,
                     });
                     self.push(2 * MILLI, ScheduledEvent::QuerierEvent { querier, life, event });
                 }
             }
-            wat::Command::Alarm(text) => *self.alarms.entry(text).or_default() += 1,
+            node_agent::Command::Alarm(text) => *self.alarms.entry(text).or_default() += 1,
             // What threads are told costs no message.
             _ => {}
         }
@@ -342,10 +343,10 @@
     fn querier_sends(&mut self, querier: usize, controller: usize, message: &Message) {
         let (from, zone) =
             (Sender::Querier(querier, self.queriers[querier].life), self.queriers[querier].zone);
-        let raw = self.encode_from_querier(querier, "front-seat", message);
+        let raw = self.encode_from_querier(querier, "querier-controller", message);
         let at = self.arrival(
             (querier + self.controllers.len(), zone),
-            (controller, plan::controller_zone(controller as VoterSlot)),
+            (controller, topology::controller_zone(controller as VoterSlot)),
         );
         let life = self.controllers[controller].life;
         self.push_at(at, ScheduledEvent::ControllerMessage { controller, life, from, raw });
