--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -3,6 +3,7 @@
 use nanoserde::{DeBin, SerBin};
 
 use crate::config::change::Entry;
+use crate::identifiers::{Position, Term};
 use crate::protocol::message::EntryMap;
 
 /// A replica's copy of a part.
@@ -12,33 +13,40 @@
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct ReplicaState {
     /// Highest term that this replica has granted or obeyed.
-    pub promised: u64,
-    /// Epoch under which `map` was last written.
-    pub term: u64,
+    pub current_term: Term,
+    /// Term under which `entries` was last written.
+    pub written_term: Term,
     pub revision: u64,
-    pub map: EntryMap,
+    pub entries: EntryMap,
+}
+
+impl ReplicaState {
+    /// How new this copy is.
+    pub fn position(&self) -> Position {
+        Position { term: self.written_term, revision: self.revision }
+    }
 }
 
 /// One step of a copy, as the log holds it.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum LogRecord {
-    Vote { term: u64 },
-    Change { term: u64, revision: u64, entries: Vec<Entry> },
+    Vote { term: Term },
+    Change { term: Term, revision: u64, entries: Vec<Entry> },
 }
 
 /// Applies a record that fits; false (and no change) if it does not.
 pub fn apply(copy: &mut ReplicaState, rec: &LogRecord) -> bool {
     match rec {
         LogRecord::Vote { term } => {
-            copy.promised = copy.promised.max(*term);
+            copy.current_term = copy.current_term.max(*term);
             true
         }
         LogRecord::Change { term, revision, entries } => {
-            if *term != copy.term || *revision != copy.revision + 1 {
+            if *term != copy.written_term || *revision != copy.revision + 1 {
                 return false;
             }
             copy.revision = *revision;
-            put(&mut copy.map, entries);
+            put(&mut copy.entries, entries);
             true
         }
     }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -165,7 +165,7 @@
             incarnation: 0,
         };
         self.by_name.insert(name, querier);
-        let watch = node_agent::watch(me.clone(), BOOT);
+        let watch = node_agent::NodeAgent::new(me.clone(), BOOT);
         let meter = Meter::default();
         let node = QuerierNode {
             me,
@@ -188,7 +188,7 @@
         node.life += 1;
         (node.up, node.ready, node.polling, node.began) = (true, false, false, self.now);
         node.me.incarnation = node.life;
-        node.watch = node_agent::watch(node.me.clone(), BOOT);
+        node.watch = node_agent::NodeAgent::new(node.me.clone(), BOOT);
         let life = node.life;
         let after = self.random.below(qstep::WAKE);
         self.push(after, ScheduledEvent::QuerierTimer { querier, life });
@@ -199,7 +199,7 @@
         let life = self.queriers[querier].life;
         let node = &mut self.queriers[querier];
         (node.up, node.ready) = (false, false);
-        node.watch = node_agent::watch(node.me.clone(), BOOT);
+        node.watch = node_agent::NodeAgent::new(node.me.clone(), BOOT);
         for controller in 0..self.controllers.len() {
             let event =
                 Box::new(st::Event::ConnectionClosed { connection: connection(querier, life) });
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -99,7 +99,7 @@
 
     /// The machines to which a controller has connections.
     pub(super) fn connected_controllers(&self, controller: usize) -> Vec<usize> {
-        let table = &self.controllers[controller].state.seating.roll.table;
+        let table = &self.controllers[controller].state.voter_slots.voter_file.table;
         let known = table.slots.iter().filter_map(|h| self.machine(&h.addr));
         let mut list: Vec<usize> = known.chain(self.control_plane.seeds.iter().copied()).collect();
         list.retain(|to| *to != controller && *to < self.controllers.len());
@@ -130,10 +130,10 @@
             | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
             | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
             CoreEvent::FromVoter { slot: seat, holder, message, .. } => {
-                let table = &core.seating.roll.table;
+                let table = &core.voter_slots.voter_file.table;
                 *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
                 if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(message) {
-                    *stamp = core.seating.stamp;
+                    *stamp = core.voter_slots.stamp;
                 }
             }
             _ => {}
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -40,7 +40,8 @@
                 self.send_to_member(querier, &name, message);
             }
             node_agent::Command::ClusterView(view) => self.publish_snapshot(querier, view),
-            node_agent::Command::QuotaMembers(list) => {
+            node_agent::Command::QuotaMembers(members) => {
+                let list: Vec<_> = members.into_iter().map(|m| (m.name, m.threads)).collect();
                 let name = self.queriers[querier].name.clone();
                 for thread in 0..THREADS {
                     let mut share = grebepath_core::query::quota::share(&list, &name, thread);
@@ -54,7 +55,9 @@
                     self.push(THREAD_DELAY, ScheduledEvent::QueryEngineEvent { engine, event });
                 }
             }
-            node_agent::Command::LeafClients(list) => {
+            node_agent::Command::LeafClients(clients) => {
+                let list: Vec<_> =
+                    clients.into_iter().map(|c| (c.name, c.threads, c.zone)).collect();
                 let peers = grebepath_core::query::quota::peers(&list);
                 self.tell_threads(querier, || query_event::Event::Peers(peers.clone()));
             }
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -50,7 +50,7 @@
                 assert!(accepted(&world) > 400, "{name}, {seed}: {} accepted", accepted(&world));
                 // The last changes may be under way: let them come to rest.
                 let same = world.until(5 * SECOND, |world| {
-                    let copy = |s: usize| &world.controllers[s].state.partitions[0].copy;
+                    let copy = |s: usize| &world.controllers[s].state.partitions[0].state;
                     (1..3).all(|s| copy(s) == copy(0))
                 });
                 assert!(same, "{name}, {seed}: the replicas differ");
