--- a/crates/simulator/src/scale_model/does.rs
+++ b/crates/simulator/src/scale_model/does.rs
@@ -14,303 +14,368 @@
 use grebepath_core::storage::writer;
 use grebepath_core::time::{BOOT, MILLI, ms};
 
-use super::world::*;
+use super::world::{Raw, ScheduledEvent, Sender, World, connection, controller_connection};
 use crate::scale_model::cost::{add, kind, timed};
 use crate::scale_model::plan;
-use crate::simulated_disk;
 use crate::simulated_disk::Job;
 
 /// Messages from here on are kept once however many get them (bytes): it
 /// saves this process's memory and changes no count.
 const SHARED: usize = 4_096;
 
-/// Something happens.
-pub fn happen(w: &mut World, hap: ScheduledEvent) {
-    match hap {
-        ScheduledEvent::SeatWake { s, life } if alive(w, s, life) => {
-            push(w, cstep::WAKE, ScheduledEvent::SeatWake { s, life });
-            step_seat(w, s, st::Event::Wake);
-        }
-        ScheduledEvent::SeatGets { s, life, from, raw } if alive(w, s, life) => {
-            let n = &mut w.seats[s];
-            add(&mut n.meter.got, size(&raw));
-            let Some(message) = timed(&mut n.meter.code_ns, || read(&raw)) else { return };
-            let (connection, event) = match from {
-                From::VoterSlot(seat) => {
-                    let n = &w.seats[usize::from(seat)];
-                    let connection = seat_wire(usize::from(seat), n.life);
-                    let holder = n.core.seating.roll.me;
-                    (connection, st::Event::FromVoter { slot: seat, holder, connection, message })
-                }
-                From::Front(f, life) => {
-                    let connection = connection(f, life);
-                    (connection, st::Event::FromConnection { connection, message })
-                }
-                From::Answer => return step_seat(w, s, st::Event::FromController { message }),
-            };
-            // What comes on a new connection is preceded by its opening.
-            if w.opened.insert((s, life, connection)) {
-                step_seat(w, s, st::Event::ConnectionOpened { connection });
+impl World {
+    /// Something happens.
+    pub fn handle(&mut self, event: ScheduledEvent) {
+        match event {
+            ScheduledEvent::ControllerTimer { controller, life }
+                if self.alive(controller, life) =>
+            {
+                self.push(cstep::WAKE, ScheduledEvent::ControllerTimer { controller, life });
+                self.step_controller(controller, st::Event::Wake);
             }
-            step_seat(w, s, event);
-        }
-        ScheduledEvent::SeatTakes { s, life, event } if alive(w, s, life) => {
-            step_seat(w, s, *event)
-        }
-        ScheduledEvent::Disk { s, life, part, token } if alive(w, s, life) => {
-            let event = match simulated_disk::done(&mut w.seats[s].disk, part, token) {
-                Some(Ok(())) => st::Event::Synced { partition: part, token },
-                Some(Err(why)) => st::Event::DiskFailed { partition: part, why },
-                None => return,
-            };
-            step_seat(w, s, event);
-        }
-        ScheduledEvent::Kept { s, life, token } if alive(w, s, life) => {
-            let event = match simulated_disk::kept(&mut w.seats[s].disk, token) {
-                Some(Ok(())) => st::Event::VoterFileWritten { token },
-                Some(Err(why)) => st::Event::VoterFileFailed { why },
-                None => return,
-            };
-            step_seat(w, s, event);
-        }
-        ScheduledEvent::FrontWake { f, life } if live(w, f, life) => {
-            push(w, qstep::WAKE, ScheduledEvent::FrontWake { f, life });
-            step_front(w, f, wat::Event::Wake);
-        }
-        ScheduledEvent::FrontGets { f, life, from, raw } if live(w, f, life) => {
-            let n = &mut w.fronts[f];
-            add(&mut n.meter.got, size(&raw));
-            let Some(message) = timed(&mut n.meter.code_ns, || read(&raw)) else { return };
-            let event = match (from, message) {
-                (From::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
-                    wat::Event::Seats(table)
-                }
-                (From::VoterSlot(seat), message) => wat::Event::FromSeat { slot: seat, message },
-                (From::Front(g, _), message) => {
-                    wat::Event::FromMember { name: w.fronts[g].me.name.clone(), message }
+            ScheduledEvent::ControllerMessage { controller, life, from, raw }
+                if self.alive(controller, life) =>
+            {
+                let node = &mut self.controllers[controller];
+                add(&mut node.meter.got, size(&raw));
+                let Some(message) = timed(&mut node.meter.codec_ns, || read(&raw)) else { return };
+                let (connection, event) = match from {
+                    Sender::VoterSlot(seat) => {
+                        let node = &self.controllers[usize::from(seat)];
+                        let connection = controller_connection(usize::from(seat), node.life);
+                        let holder = node.state.seating.roll.me;
+                        (
+                            connection,
+                            st::Event::FromVoter { slot: seat, holder, connection, message },
+                        )
+                    }
+                    Sender::Querier(querier, life) => {
+                        let connection = connection(querier, life);
+                        (connection, st::Event::FromConnection { connection, message })
+                    }
+                    Sender::ConnectedController => {
+                        return self
+                            .step_controller(controller, st::Event::FromController { message });
+                    }
+                };
+                // What comes on a new connection is preceded by its opening.
+                if self.opened.insert((controller, life, connection)) {
+                    self.step_controller(controller, st::Event::ConnectionOpened { connection });
                 }
-                (From::Answer, _) => return,
-            };
-            step_front(w, f, event);
-        }
-        ScheduledEvent::FrontTakes { f, life, event } if live(w, f, life) => {
-            step_front(w, f, *event)
-        }
-        ScheduledEvent::List { f, life } if live(w, f, life) => {
-            let text = w.list.clone();
-            add(&mut w.polls, text.len());
-            let n = &mut w.fronts[f];
-            n.polling = false;
-            let got = timed(&mut n.meter.code_ns, || list::read(text.as_bytes()));
-            let got = got.map(|(all, _)| all).map_err(|f| f.to_string());
-            step_front(w, f, wat::Event::List(got));
+                self.step_controller(controller, event);
+            }
+            ScheduledEvent::ControllerEvent { controller, life, event }
+                if self.alive(controller, life) =>
+            {
+                self.step_controller(controller, *event)
+            }
+            ScheduledEvent::DiskJobDone { controller, life, part, token }
+                if self.alive(controller, life) =>
+            {
+                let event = match self.controllers[controller].disk.finish_job(part, token) {
+                    Some(Ok(())) => st::Event::Synced { partition: part, token },
+                    Some(Err(error)) => {
+                        st::Event::DiskFailed { partition: part, why: error.to_string() }
+                    }
+                    None => return,
+                };
+                self.step_controller(controller, event);
+            }
+            ScheduledEvent::VoterFileDone { controller, life, token }
+                if self.alive(controller, life) =>
+            {
+                let event = match self.controllers[controller].disk.finish_voter_file(token) {
+                    Some(Ok(())) => st::Event::VoterFileWritten { token },
+                    Some(Err(error)) => st::Event::VoterFileFailed { why: error.to_string() },
+                    None => return,
+                };
+                self.step_controller(controller, event);
+            }
+            ScheduledEvent::QuerierTimer { querier, life } if self.live(querier, life) => {
+                self.push(qstep::WAKE, ScheduledEvent::QuerierTimer { querier, life });
+                self.step_querier(querier, wat::Event::Wake);
+            }
+            ScheduledEvent::QuerierMessage { querier, life, from, raw }
+                if self.live(querier, life) =>
+            {
+                let node = &mut self.queriers[querier];
+                add(&mut node.meter.got, size(&raw));
+                let Some(message) = timed(&mut node.meter.codec_ns, || read(&raw)) else { return };
+                let event = match (from, message) {
+                    (Sender::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
+                        wat::Event::VoterSet(table)
+                    }
+                    (Sender::VoterSlot(seat), message) => {
+                        wat::Event::FromVoter { slot: seat, message }
+                    }
+                    (Sender::Querier(g, _), message) => {
+                        wat::Event::FromMember { name: self.queriers[g].me.name.clone(), message }
+                    }
+                    (Sender::ConnectedController, _) => return,
+                };
+                self.step_querier(querier, event);
+            }
+            ScheduledEvent::QuerierEvent { querier, life, event } if self.live(querier, life) => {
+                self.step_querier(querier, *event)
+            }
+            ScheduledEvent::ListResponse { querier, life } if self.live(querier, life) => {
+                let text = self.list.clone();
+                add(&mut self.list_polls, text.len());
+                let node = &mut self.queriers[querier];
+                node.polling = false;
+                let got = timed(&mut node.meter.codec_ns, || list::read(text.as_bytes()));
+                let got = got.map(|(all, _)| all).map_err(|querier| querier.to_string());
+                self.step_querier(querier, wat::Event::LeafList(got));
+            }
+            ScheduledEvent::StartQuerier { querier } if !self.queriers[querier].up => {
+                self.start_querier(querier)
+            }
+            ScheduledEvent::StartController { controller } if !self.controllers[controller].up => {
+                self.start_controller(controller)
+            }
+            _ => {}
         }
-        ScheduledEvent::StartFront { f } if !w.fronts[f].up => start_front(w, f),
-        ScheduledEvent::StartSeat { s } if !w.seats[s].up => start_seat(w, s),
-        _ => {}
     }
-}
 
-fn alive(w: &World, s: usize, life: u64) -> bool {
-    w.seats[s].up && w.seats[s].life == life
-}
-
-fn live(w: &World, f: usize, life: u64) -> bool {
-    w.fronts[f].up && w.fronts[f].life == life
-}
-
-fn size(raw: &Raw) -> usize {
-    raw.iter().map(Vec::len).sum()
-}
-
-/// Reads a message as a connection does.
-fn read(raw: &Raw) -> Option<Message> {
-    let mut reassembler = frame::Reassembler::default();
-    for piece in raw.iter() {
-        let (head, body) = piece.split_first_chunk::<{ frame::HEADER_BYTES }>()?;
-        let head = frame::PieceHeader::parse(head).ok()?;
-        if let Some(message) = reassembler.push(&head, body).ok()? {
-            return Some(message);
-        }
+    fn alive(&self, controller: usize, life: u64) -> bool {
+        self.controllers[controller].up && self.controllers[controller].life == life
     }
-    None
-}
 
-fn step_seat(w: &mut World, s: usize, event: st::Event) {
-    let n = &mut w.seats[s];
-    let local = w.now - n.began + BOOT;
-    n.meter.steps += 1;
-    let todo = timed(&mut n.meter.step_ns, || n.core.step(local, event));
-    for command in todo {
-        seat_does(w, s, command);
+    fn live(&self, querier: usize, life: u64) -> bool {
+        self.queriers[querier].up && self.queriers[querier].life == life
     }
-}
 
-fn seat_does(w: &mut World, s: usize, command: grebepath_core::command::Command) {
-    let life = w.seats[s].life;
-    let here = plan::seat_zone(s as VoterSlot);
-    let from = From::VoterSlot(s as VoterSlot);
-    match command {
-        grebepath_core::command::Command::ToVoter { slot: seat, message } => {
-            seat_tells(w, s, usize::from(seat), from, &message)
+    fn step_controller(&mut self, controller: usize, event: st::Event) {
+        let node = &mut self.controllers[controller];
+        let local = self.now - node.began + BOOT;
+        node.meter.steps += 1;
+        let commands = timed(&mut node.meter.step_ns, || node.state.step(local, event));
+        for command in commands {
+            self.run_controller_command(controller, command);
         }
-        grebepath_core::command::Command::Broadcast { message } => {
-            for to in (0..w.seats.len()).filter(|to| *to != s) {
-                seat_tells(w, s, to, from, &message);
+    }
+
+    fn run_controller_command(
+        &mut self,
+        controller: usize,
+        command: grebepath_core::command::Command,
+    ) {
+        let life = self.controllers[controller].life;
+        let here = plan::controller_zone(controller as VoterSlot);
+        let from = Sender::VoterSlot(controller as VoterSlot);
+        match command {
+            grebepath_core::command::Command::ToVoter { slot: seat, message } => {
+                self.controller_sends(controller, usize::from(seat), from, &message)
             }
-        }
-        grebepath_core::command::Command::ToConnection { connection, message }
-            if connection >> 63 == 1 =>
-        {
-            let (to, life) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
-            // A connection ends with the life that opened it.
-            if life == w.seats[to].life {
-                seat_tells(w, s, to, From::Answer, &message);
+            grebepath_core::command::Command::Broadcast { message } => {
+                for to in (0..self.controllers.len()).filter(|to| *to != controller) {
+                    self.controller_sends(controller, to, from, &message);
+                }
             }
-        }
-        // Nobody moves here: all connections are as they were.
-        grebepath_core::command::Command::VoterSetChanged => {}
-        grebepath_core::command::Command::WriteVoterFile { token, roll, clear } => {
-            add(&mut w.seats[s].meter.disk, voter_file::write(&roll).len());
-            let disk = &mut w.seats[s].disk;
-            if let Some(at) = simulated_disk::keep(disk, w.now, token, roll, clear, &mut w.luck) {
-                push_at(w, at, ScheduledEvent::Kept { s, life, token });
+            grebepath_core::command::Command::ToConnection { connection, message }
+                if connection >> 63 == 1 =>
+            {
+                let (to, life) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
+                // A connection ends with the life that opened it.
+                if life == self.controllers[to].life {
+                    self.controller_sends(controller, to, Sender::ConnectedController, &message);
+                }
+            }
+            // Nobody moves here: all connections are as they were.
+            grebepath_core::command::Command::VoterSetChanged => {}
+            grebepath_core::command::Command::WriteVoterFile { token, roll, clear } => {
+                add(&mut self.controllers[controller].meter.disk, voter_file::write(&roll).len());
+                let disk = &mut self.controllers[controller].disk;
+                if let Some(at) =
+                    disk.write_voter_file(self.now, token, roll, clear, &mut self.random)
+                {
+                    self.push_at(at, ScheduledEvent::VoterFileDone { controller, life, token });
+                }
+            }
+            grebepath_core::command::Command::ToConnection { connection, message } => {
+                let (querier, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
+                let raw = self.encode_from_controller(controller, "seat-front", &message);
+                let at = self.arrival(
+                    (controller, here),
+                    (querier + self.controllers.len(), self.queriers[querier].zone),
+                );
+                self.push_at(at, ScheduledEvent::QuerierMessage { querier, life, from, raw });
+            }
+            grebepath_core::command::Command::AppendRecord { partition: part, token, rec } => {
+                add(&mut self.controllers[controller].meter.disk, writer::rec(0, 0, &rec).len());
+                self.job(controller, part, token, Job::Append(rec));
+            }
+            grebepath_core::command::Command::WriteSnapshot { partition: part, token, copy } => {
+                add(
+                    &mut self.controllers[controller].meter.disk,
+                    writer::slot(part.0, 0, &copy).len(),
+                );
+                self.job(controller, part, token, Job::Snapshot(copy));
+            }
+            grebepath_core::command::Command::Scrub { partition: part } => {
+                let event = Box::new(st::Event::Scrubbed { partition: part, trouble: None });
+                self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
+            }
+            grebepath_core::command::Command::Respond { op, done } => {
+                self.results.insert(op, (self.now, done));
+            }
+            grebepath_core::command::Command::OwnResponse { .. } => {}
+            grebepath_core::command::Command::WakeAfter { span } => {
+                let event = Box::new(st::Event::Wake);
+                self.push(span, ScheduledEvent::ControllerEvent { controller, life, event });
+            }
+            grebepath_core::command::Command::Alarm(text) => {
+                *self.alarms.entry(text).or_default() += 1
             }
         }
-        grebepath_core::command::Command::ToConnection { connection, message } => {
-            let (f, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
-            let raw = seat_writes(w, s, "seat-front", &message);
-            let at = arrival(w, (s, here), (f + w.seats.len(), w.fronts[f].zone));
-            push_at(w, at, ScheduledEvent::FrontGets { f, life, from, raw });
-        }
-        grebepath_core::command::Command::AppendRecord { partition: part, token, rec } => {
-            add(&mut w.seats[s].meter.disk, writer::rec(0, 0, &rec).len());
-            job(w, s, part, token, Job::Append(rec));
-        }
-        grebepath_core::command::Command::WriteSnapshot { partition: part, token, copy } => {
-            add(&mut w.seats[s].meter.disk, writer::slot(part.0, 0, &copy).len());
-            job(w, s, part, token, Job::Slot(copy));
-        }
-        grebepath_core::command::Command::Scrub { partition: part } => {
-            let event = Box::new(st::Event::Scrubbed { partition: part, trouble: None });
-            push(w, ms(3), ScheduledEvent::SeatTakes { s, life, event });
-        }
-        grebepath_core::command::Command::Respond { op, done } => {
-            w.done.insert(op, (w.now, done));
-        }
-        grebepath_core::command::Command::OwnResponse { .. } => {}
-        grebepath_core::command::Command::WakeAfter { span } => {
-            let event = Box::new(st::Event::Wake);
-            push(w, span, ScheduledEvent::SeatTakes { s, life, event });
-        }
-        grebepath_core::command::Command::Alarm(text) => *w.alarms.entry(text).or_default() += 1,
     }
-}
 
-fn seat_tells(w: &mut World, s: usize, to: usize, from: From, message: &Message) {
-    let raw = seat_writes(w, s, "seat-seat", message);
-    let zones = (plan::seat_zone(s as VoterSlot), plan::seat_zone(to as VoterSlot));
-    let at = arrival(w, (s, zones.0), (to, zones.1));
-    let life = w.seats[to].life;
-    push_at(w, at, ScheduledEvent::SeatGets { s: to, life, from, raw });
-}
+    fn controller_sends(&mut self, controller: usize, to: usize, from: Sender, message: &Message) {
+        let raw = self.encode_from_controller(controller, "seat-seat", message);
+        let zones = (
+            plan::controller_zone(controller as VoterSlot),
+            plan::controller_zone(to as VoterSlot),
+        );
+        let at = self.arrival((controller, zones.0), (to, zones.1));
+        let life = self.controllers[to].life;
+        self.push_at(at, ScheduledEvent::ControllerMessage { controller: to, life, from, raw });
+    }
 
-fn seat_writes(w: &mut World, s: usize, way: &'static str, message: &Message) -> Raw {
-    let n = &mut w.seats[s];
-    let mut raw = Rc::new(timed(&mut n.meter.code_ns, || frame::split(&frame::encode(message))));
-    let bytes = size(&raw);
-    if bytes >= SHARED {
-        match &n.last {
-            Some(last) if **last == *raw => raw = last.clone(),
-            _ => n.last = Some(raw.clone()),
+    fn encode_from_controller(
+        &mut self,
+        controller: usize,
+        way: &'static str,
+        message: &Message,
+    ) -> Raw {
+        let node = &mut self.controllers[controller];
+        let mut raw =
+            Rc::new(timed(&mut node.meter.codec_ns, || frame::split(&frame::encode(message))));
+        let bytes = size(&raw);
+        if bytes >= SHARED {
+            match &node.last {
+                Some(last) if **last == *raw => raw = last.clone(),
+                _ => node.last = Some(raw.clone()),
+            }
         }
+        add(&mut node.meter.sent, bytes);
+        add(self.traffic.entry((way, kind(message))).or_default(), bytes);
+        raw
     }
-    add(&mut n.meter.sent, bytes);
-    add(w.ways.entry((way, kind(message))).or_default(), bytes);
-    raw
-}
 
-fn job(
-    w: &mut World,
-    s: usize,
-    part: grebepath_core::identifiers::PartitionId,
-    token: u64,
-    job: Job,
-) {
-    let life = w.seats[s].life;
-    let at = simulated_disk::begin(&mut w.seats[s].disk, w.now, part, token, job, &mut w.luck);
-    if let Some(at) = at {
-        push_at(w, at, ScheduledEvent::Disk { s, life, part, token });
+    fn job(
+        &mut self,
+        controller: usize,
+        part: grebepath_core::identifiers::PartitionId,
+        token: u64,
+        job: Job,
+    ) {
+        let life = self.controllers[controller].life;
+        let at = self.controllers[controller].disk.start_job(
+            self.now,
+            part,
+            token,
+            job,
+            &mut self.random,
+        );
+        if let Some(at) = at {
+            self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, part, token });
+        }
     }
-}
 
-fn step_front(w: &mut World, f: usize, event: wat::Event) {
-    let n = &mut w.fronts[f];
-    let local = w.now - n.began + BOOT;
-    n.meter.steps += 1;
-    let todo = timed(&mut n.meter.step_ns, || qstep::step(&mut n.watch, local, event));
-    for command in todo {
-        front_does(w, f, command);
+    fn step_querier(&mut self, querier: usize, event: wat::Event) {
+        let node = &mut self.queriers[querier];
+        let local = self.now - node.began + BOOT;
+        node.meter.steps += 1;
+        let commands =
+            timed(&mut node.meter.step_ns, || qstep::step(&mut node.watch, local, event));
+        for command in commands {
+            self.run_querier_command(querier, command);
+        }
     }
-}
 
-fn front_does(w: &mut World, f: usize, command: wat::Command) {
-    let (life, here) = (w.fronts[f].life, w.fronts[f].zone);
-    let (from, own) = (From::Front(f, life), f + w.seats.len());
-    match command {
-        wat::Command::ToSeat { slot: seat, message } => {
-            front_tells(w, f, usize::from(seat), &message)
-        }
-        wat::Command::ToAll { message } => {
-            for s in 0..w.seats.len() {
-                front_tells(w, f, s, &message);
+    fn run_querier_command(&mut self, querier: usize, command: wat::Command) {
+        let (life, here) = (self.queriers[querier].life, self.queriers[querier].zone);
+        let (from, own) = (Sender::Querier(querier, life), querier + self.controllers.len());
+        match command {
+            wat::Command::ToVoter { slot: seat, message } => {
+                self.querier_sends(querier, usize::from(seat), &message)
             }
-        }
-        wat::Command::ToMember { name, message, .. } => {
-            let raw = front_writes(w, f, "front-front", &message);
-            let Some(to) = w.by_name.get(&name).copied() else { return };
-            let at = arrival(w, (own, here), (to + w.seats.len(), w.fronts[to].zone));
-            let life = w.fronts[to].life;
-            push_at(w, at, ScheduledEvent::FrontGets { f: to, life, from, raw });
-        }
-        wat::Command::Ready(ready) => w.fronts[f].ready = ready,
-        wat::Command::PollList if !w.fronts[f].polling => {
-            w.fronts[f].polling = true;
-            push(w, 2 * MILLI, ScheduledEvent::List { f, life });
-        }
-        wat::Command::Probe(list) => {
-            w.probes += list.len() as u64;
-            for info in list {
-                let word = LeafReport {
-                    leaf: info.leaf.clone(),
-                    age_ms: plan::OLD_MS,
-                    ..LeafReport::default()
-                };
-                let event = Box::new(wat::Event::Word { service: info.service.clone(), word });
-                push(w, 2 * MILLI, ScheduledEvent::FrontTakes { f, life, event });
+            wat::Command::Broadcast { message } => {
+                for controller in 0..self.controllers.len() {
+                    self.querier_sends(querier, controller, &message);
+                }
             }
+            wat::Command::ToMember { name, message, .. } => {
+                let raw = self.encode_from_querier(querier, "front-front", &message);
+                let Some(to) = self.by_name.get(&name).copied() else { return };
+                let at = self
+                    .arrival((own, here), (to + self.controllers.len(), self.queriers[to].zone));
+                let life = self.queriers[to].life;
+                self.push_at(at, ScheduledEvent::QuerierMessage { querier: to, life, from, raw });
+            }
+            wat::Command::Ready(ready) => self.queriers[querier].ready = ready,
+            wat::Command::PollLeafList if !self.queriers[querier].polling => {
+                self.queriers[querier].polling = true;
+                self.push(2 * MILLI, ScheduledEvent::ListResponse { querier, life });
+            }
+            wat::Command::ProbeLeafs(list) => {
+                self.probes += list.len() as u64;
+                for info in list {
+                    let word = LeafReport {
+                        leaf: info.leaf.clone(),
+                        age_ms: plan::OLD_MS,
+                        ..LeafReport::default()
+                    };
+                    let event = Box::new(wat::Event::LeafReport {
+                        service: info.service.clone(),
+                        report: word,
+                    });
+                    self.push(2 * MILLI, ScheduledEvent::QuerierEvent { querier, life, event });
+                }
+            }
+            wat::Command::Alarm(text) => *self.alarms.entry(text).or_default() += 1,
+            // What threads are told costs no message.
+            _ => {}
         }
-        wat::Command::Alarm(text) => *w.alarms.entry(text).or_default() += 1,
-        // What threads are told costs no message.
-        _ => {}
+    }
+
+    fn querier_sends(&mut self, querier: usize, controller: usize, message: &Message) {
+        let (from, zone) =
+            (Sender::Querier(querier, self.queriers[querier].life), self.queriers[querier].zone);
+        let raw = self.encode_from_querier(querier, "front-seat", message);
+        let at = self.arrival(
+            (querier + self.controllers.len(), zone),
+            (controller, plan::controller_zone(controller as VoterSlot)),
+        );
+        let life = self.controllers[controller].life;
+        self.push_at(at, ScheduledEvent::ControllerMessage { controller, life, from, raw });
+    }
+
+    fn encode_from_querier(&mut self, querier: usize, way: &'static str, message: &Message) -> Raw {
+        let node = &mut self.queriers[querier];
+        let raw = timed(&mut node.meter.codec_ns, || frame::split(&frame::encode(message)));
+        let bytes = size_of(&raw);
+        add(&mut node.meter.sent, bytes);
+        add(self.traffic.entry((way, kind(message))).or_default(), bytes);
+        Rc::new(raw)
     }
 }
 
-fn front_tells(w: &mut World, f: usize, s: usize, message: &Message) {
-    let (from, zone) = (From::Front(f, w.fronts[f].life), w.fronts[f].zone);
-    let raw = front_writes(w, f, "front-seat", message);
-    let at = arrival(w, (f + w.seats.len(), zone), (s, plan::seat_zone(s as VoterSlot)));
-    let life = w.seats[s].life;
-    push_at(w, at, ScheduledEvent::SeatGets { s, life, from, raw });
+fn size(raw: &Raw) -> usize {
+    raw.iter().map(Vec::len).sum()
 }
 
-fn front_writes(w: &mut World, f: usize, way: &'static str, message: &Message) -> Raw {
-    let n = &mut w.fronts[f];
-    let raw = timed(&mut n.meter.code_ns, || frame::split(&frame::encode(message)));
-    let bytes = size_of(&raw);
-    add(&mut n.meter.sent, bytes);
-    add(w.ways.entry((way, kind(message))).or_default(), bytes);
-    Rc::new(raw)
+/// Reads a message as a connection does.
+fn read(raw: &Raw) -> Option<Message> {
+    let mut reassembler = frame::Reassembler::default();
+    for piece in raw.iter() {
+        let (head, body) = piece.split_first_chunk::<{ frame::HEADER_BYTES }>()?;
+        let head = frame::PieceHeader::parse(head).ok()?;
+        if let Some(message) = reassembler.push(&head, body).ok()? {
+            return Some(message);
+        }
+    }
+    None
 }
 
 fn size_of(raw: &[Vec<u8>]) -> usize {
--- /dev/null
+++ b/crates/simulator/src/scenario/play.rs
@@ -0,0 +1,83 @@
+//! Plays a scenario from the start of the fleet to the checks of the end.
+
+use grebepath_core::time::{SECOND, ms};
+
+use super::Scenario;
+use crate::world::{self, World};
+
+/// Runs a scenario to its end.
+pub fn play(scenario: &Scenario, seed: u64, faulty_variant: Option<world::FaultyVariant>) -> World {
+    play_weighed(scenario, seed, faulty_variant, false)
+}
+
+/// `play`, with messages weighed from the moment the fleet has come up.
+pub fn play_weighed(
+    scenario: &Scenario,
+    seed: u64,
+    faulty_variant: Option<world::FaultyVariant>,
+    weigh: bool,
+) -> World {
+    let mut world = come_up(scenario, seed, faulty_variant);
+    world.net.weights = weigh.then(Default::default);
+    play_on(&mut world, scenario);
+    world
+}
+
+/// `play`, with faults at numbered events of the controllers. Their window is
+/// given in time of the scenario.
+pub fn play_with_faults(
+    scenario: &Scenario,
+    seed: u64,
+    faulty_variant: Option<world::FaultyVariant>,
+    injected: world::FaultInjection,
+) -> World {
+    let mut world = come_up(scenario, seed, faulty_variant);
+    let began = world.since_begin();
+    let (from, to) = injected.window;
+    world.injected = world::FaultInjection { window: (began + from, began + to), ..injected };
+    play_on(&mut world, scenario);
+    world
+}
+
+/// `play_deviating`, with the hash of all messages kept from the moment the fleet
+/// has come up.
+pub fn play_traced(scenario: &Scenario, seed: u64, injected: world::FaultInjection) -> World {
+    let mut world = come_up(scenario, seed, None);
+    world.net.trace = Some(0);
+    let began = world.since_begin();
+    let (from, to) = injected.window;
+    world.injected = world::FaultInjection { window: (began + from, began + to), ..injected };
+    play_on(&mut world, scenario);
+    world
+}
+
+/// A fleet that has come up, before anything happens.
+pub(super) fn come_up(
+    scenario: &Scenario,
+    seed: u64,
+    faulty_variant: Option<world::FaultyVariant>,
+) -> World {
+    let mut world =
+        World::new(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
+    world.faulty_variant = faulty_variant;
+    world.backends.ages = scenario.ages;
+    world.submit(ms(200), world::whole(&scenario.config));
+    world.until(20 * SECOND, |world| {
+        world.settled()
+            && !world.operator_requests.is_empty()
+            && world.operator_requests[0].result.is_some()
+    });
+    world.run(2 * SECOND);
+    world
+}
+
+/// Lets the scenario happen to a fleet that has come up.
+pub(super) fn play_on(world: &mut World, scenario: &Scenario) {
+    let troubles = scenario.faults.clone();
+    world.plan(troubles);
+    world.start_calls(scenario.factor);
+    world.run(scenario.seconds * SECOND);
+    world.calls_end_at = world.now;
+    world.run(3 * SECOND);
+    world.finish();
+}
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -1,156 +1,178 @@
 //! Dispatches on their way to leafs and back.
 
-use super::*;
+use grebepath_core::digest::digest;
+use grebepath_core::http_api::leaf::{Heads, MISDIRECTED, Raw, Trouble};
+use grebepath_core::query::event as query_event;
+use grebepath_core::query::event::Sending;
+use grebepath_core::time::ms;
+use serde_json::{Value, json};
 
-pub(super) fn dispatch(w: &mut World, (q, life, t): (usize, u64, usize), mut sending: Sending) {
-    let now = w.now - BEGIN;
-    rules::tries(&mut w.rules, now, &sending.id, &sending.service);
-    let who = w.queriers[q].name.clone();
-    if let Some(l) = w.backs.leafs.get(&sending.leaf) {
-        let (zone, known) = (l.zone.clone(), l.known_leaving.map(|k| k - BEGIN));
-        rules::sends(&mut w.rules, now, &who, &sending.leaf, &zone, known);
-    }
-    if w.broken == Some(Broken::ChangeQuestion) {
-        let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
-        val["question"] = json!("something else");
-        let body = val.to_string().into_bytes();
-        sending.digest = digest(&body);
-        sending.body = std::sync::Arc::new(body);
-    }
-    // Whatever becomes of it, the sender gives up at the end of its budget.
-    let event = event::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
-    push(w, sending.budget, ScheduledEvent::ToDesk { q, life, t, event });
-    // Giving up closes the connection, which the leaf sees a moment later.
-    let key = (q, life, t, sending.dispatch);
-    push(w, sending.budget + ms(1), ScheduledEvent::LeafDrop { key });
-    let zone = w.queriers[q].zone.clone();
-    let leaf_zone = w.backs.leafs.get(&sending.leaf).map_or("a".into(), |l| l.zone.clone());
-    let after = latency(&zone, &leaf_zone, &mut w.luck) + w.net.slow;
-    push(w, after, ScheduledEvent::LeafGets { q, life, t, sending: Box::new(sending) });
-}
+use super::events::{AttemptKey, QueryEngineId, ScheduledEvent};
+use super::faulty_variant::FaultyVariant;
+use super::nodes::Run;
+use super::{BEGIN, World};
+use crate::mock_backends;
+use crate::mock_backends::Alive;
+use crate::net::latency;
 
-pub(super) fn answer(w: &mut World, key: RunKey, zone: &str, mut got: Result<Raw, Trouble>) {
-    let (q, life, t, dispatch) = key;
-    if let Ok(raw) = &mut got
-        && !w.backs.ages
-    {
-        raw.heads.age = None;
+impl World {
+    pub(super) fn dispatch(&mut self, engine: QueryEngineId, mut sending: Sending) {
+        let now = self.now - BEGIN;
+        self.rules.tries(now, &sending.id, &sending.service);
+        let who = self.queriers[engine.querier].name.clone();
+        if let Some(leaf) = self.backends.leafs.get(&sending.leaf) {
+            let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
+            self.rules.sends(now, &who, &sending.leaf, &zone, known);
+        }
+        if self.faulty_variant == Some(FaultyVariant::AltersQuestion) {
+            let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
+            val["question"] = json!("something else");
+            let body = val.to_string().into_bytes();
+            sending.digest = digest(&body);
+            sending.body = std::sync::Arc::new(body);
+        }
+        // Whatever becomes of it, the sender gives up at the end of its budget.
+        let event =
+            query_event::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
+        self.push(sending.budget, ScheduledEvent::QueryEngineEvent { engine, event });
+        // Giving up closes the connection, which the leaf sees a moment later.
+        let key = AttemptKey { engine, attempt: sending.dispatch };
+        self.push(sending.budget + ms(1), ScheduledEvent::LeafDisconnect { key });
+        let zone = self.queriers[engine.querier].zone.clone();
+        let leaf_zone =
+            self.backends.leafs.get(&sending.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
+        let after = latency(&zone, &leaf_zone, &mut self.random) + self.net.slow;
+        self.push(after, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
     }
-    let qzone = w.queriers[q].zone.clone();
-    let after = latency(&qzone, zone, &mut w.luck) + w.net.slow;
-    push(
-        w,
-        after,
-        ScheduledEvent::ToDesk { q, life, t, event: event::Event::Reply { dispatch, got } },
-    );
-}
 
-pub(super) fn leaf_gets(w: &mut World, (q, life, t): (usize, u64, usize), s: Sending) {
-    let now = w.now;
-    let key = (q, life, t, s.dispatch);
-    let name = w.backs.at.get(&s.addr).cloned().unwrap_or_default();
-    let Some(l) = w.backs.leafs.get_mut(&name) else { return };
-    let zone = l.zone.clone();
-    match l.alive {
-        Alive::Vanished => return,
-        Alive::Down => return answer(w, key, &zone, Err(Trouble::Unreachable)),
-        Alive::Up => {}
+    pub(super) fn answer(&mut self, key: AttemptKey, zone: &str, mut got: Result<Raw, Trouble>) {
+        let AttemptKey { engine, attempt: dispatch } = key;
+        if let Ok(raw) = &mut got
+            && !self.backends.ages
+        {
+            raw.heads.age = None;
+        }
+        let qzone = self.queriers[engine.querier].zone.clone();
+        let after = latency(&qzone, zone, &mut self.random) + self.net.slow;
+        self.push(
+            after,
+            ScheduledEvent::QueryEngineEvent {
+                engine,
+                event: query_event::Event::Reply { dispatch, got },
+            },
+        );
     }
-    // A connection ends with the process behind it, and on a new one the leaf is
-    // asked who it is before any work is sent.
-    let misdirected = s.leaf != l.name || s.service != l.service.name;
-    let connection = (q, life, t, s.addr.clone());
-    let known = w.connections.get(&connection) == Some(&name);
-    if !known && w.broken != Some(Broken::NoGreeting) {
+
+    pub(super) fn leaf_gets(&mut self, engine: QueryEngineId, sending: Sending) {
+        let now = self.now;
+        let key = AttemptKey { engine, attempt: sending.dispatch };
+        let name = self.backends.at.get(&sending.addr).cloned().unwrap_or_default();
+        let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
+        let zone = leaf.zone.clone();
+        match leaf.alive {
+            Alive::Vanished => return,
+            Alive::Down => return self.answer(key, &zone, Err(Trouble::Unreachable)),
+            Alive::Up => {}
+        }
+        // A connection ends with the process behind it, and on a new one the leaf is
+        // asked who it is before any work is sent.
+        let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
+        let connection = (engine, sending.addr.clone());
+        let known = self.connections.get(&connection) == Some(&name);
+        if !known && self.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
+            if misdirected {
+                let raw = leaf.turned_away(now, MISDIRECTED);
+                return self.answer(key, &zone, Ok(raw));
+            }
+            self.connections.insert(connection, name);
+            let after =
+                2 * latency(&self.queriers[engine.querier].zone.clone(), &zone, &mut self.random);
+            return self
+                .push(after, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
+        }
+        let who = &self.queriers[engine.querier].name;
+        self.rules.arrives(now - BEGIN, who, &name, &leaf.service.name, &sending.service);
         if misdirected {
-            let raw = mock_backends::turned_away(l, now, MISDIRECTED);
-            return answer(w, key, &zone, Ok(raw));
+            let raw = leaf.turned_away(now, MISDIRECTED);
+            return self.answer(key, &zone, Ok(raw));
         }
-        w.connections.insert(connection, name);
-        let after = 2 * latency(&w.queriers[q].zone.clone(), &zone, &mut w.luck);
-        return push(w, after, ScheduledEvent::LeafGets { q, life, t, sending: Box::new(s) });
-    }
-    let who = &w.queriers[q].name;
-    rules::arrives(&mut w.rules, now - BEGIN, who, &name, &l.service.name, &s.service);
-    if misdirected {
-        let raw = mock_backends::turned_away(l, now, MISDIRECTED);
-        return answer(w, key, &zone, Ok(raw));
-    }
-    if digest(&s.body) != s.digest {
-        let raw = mock_backends::turned_away(l, now, 400);
-        return answer(w, key, &zone, Ok(raw));
-    }
-    l.live += 1;
-    let bear = mock_backends::bears(l, now);
-    l.worst_pct = l.worst_pct.max(l.live * 100 / bear);
-    l.over += u64::from(l.live > bear);
-    let (live, fresh) = (l.live, mock_backends::fresh(l, now));
-    if fresh {
-        rules::carries(&mut w.rules, now - BEGIN, &name, live, bear);
-    }
-    if l.mode == mock_backends::Mode::Unrun || live > bear * 3 {
-        l.live -= 1;
-        let raw = mock_backends::turned_away(l, now, 503);
-        if l.leaving {
-            learn(w, &name);
+        if digest(&sending.body) != sending.digest {
+            let raw = leaf.turned_away(now, 400);
+            return self.answer(key, &zone, Ok(raw));
+        }
+        leaf.live += 1;
+        let bear = leaf.bears(now);
+        leaf.worst_pct = leaf.worst_pct.max(leaf.live * 100 / bear);
+        leaf.over += u64::from(leaf.live > bear);
+        let (live, fresh) = (leaf.live, leaf.fresh(now));
+        if fresh {
+            self.rules.carries(now - BEGIN, &name, live, bear);
         }
-        return answer(w, key, &zone, Ok(raw));
+        if leaf.mode == mock_backends::Mode::Unrun || live > bear * 3 {
+            leaf.live -= 1;
+            let raw = leaf.turned_away(now, 503);
+            if leaf.leaving {
+                self.learn(&name);
+            }
+            return self.answer(key, &zone, Ok(raw));
+        }
+        leaf.ran += 1;
+        let took = leaf.takes(now, &mut self.random);
+        let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
+        let question = asked["question"].as_str().unwrap_or_default();
+        self.rules.runs(now - BEGIN, &name, question);
+        self.next += 1;
+        let run = self.next;
+        self.runs_by_attempt.insert(key, run);
+        self.runs.insert(run, Run { key, leaf: name, sending });
+        self.push(took, ScheduledEvent::LeafResponse { run });
     }
-    l.ran += 1;
-    let took = mock_backends::takes(l, now, &mut w.luck);
-    let asked: Value = serde_json::from_slice(&s.body).unwrap_or(Value::Null);
-    let question = asked["question"].as_str().unwrap_or_default();
-    rules::runs(&mut w.rules, now - BEGIN, &name, question);
-    w.next += 1;
-    let run = w.next;
-    w.by_key.insert(key, run);
-    w.runs.insert(run, Run { key, leaf: name, sending: s });
-    push(w, took, ScheduledEvent::LeafDone { run });
-}
 
-pub(super) fn end_run(w: &mut World, run: u64) -> Option<Run> {
-    let r = w.runs.remove(&run)?;
-    w.by_key.remove(&r.key);
-    if let Some(l) = w.backs.leafs.get_mut(&r.leaf) {
-        l.live = l.live.saturating_sub(1);
+    pub(super) fn end_run(&mut self, run: u64) -> Option<Run> {
+        let run = self.runs.remove(&run)?;
+        self.runs_by_attempt.remove(&run.key);
+        if let Some(leaf) = self.backends.leafs.get_mut(&run.leaf) {
+            leaf.live = leaf.live.saturating_sub(1);
+        }
+        Some(run)
     }
-    Some(r)
-}
 
-pub(super) fn leaf_done(w: &mut World, run: u64) {
-    let Some(r) = end_run(w, run) else { return };
-    let now = w.now;
-    let Some(l) = w.backs.leafs.get_mut(&r.leaf) else { return };
-    let zone = l.zone.clone();
-    if l.alive != Alive::Up {
-        return;
-    }
-    let mut raw = mock_backends::reply(l, now, &r.sending);
-    let asked: Value = serde_json::from_slice(&r.sending.body).unwrap_or(Value::Null);
-    if mock_backends::true_reply(l.mode, asked["limit"].as_u64().unwrap_or(0)) {
-        let question = asked["question"].as_str().unwrap_or_default();
-        rules::answers(&mut w.rules, &l.service.name, &r.sending.id, question);
-    }
-    if l.leaving {
-        learn(w, &r.leaf);
-        if w.broken == Some(Broken::IgnoreLeaving) {
-            raw.heads = Heads { state: None, ..raw.heads };
+    pub(super) fn leaf_done(&mut self, run: u64) {
+        let Some(run) = self.end_run(run) else { return };
+        let now = self.now;
+        let Some(leaf) = self.backends.leafs.get_mut(&run.leaf) else { return };
+        let zone = leaf.zone.clone();
+        if leaf.alive != Alive::Up {
+            return;
+        }
+        let mut raw = leaf.reply(now, &run.sending);
+        let asked: Value = serde_json::from_slice(&run.sending.body).unwrap_or(Value::Null);
+        if mock_backends::true_reply(leaf.mode, asked["limit"].as_u64().unwrap_or(0)) {
+            let question = asked["question"].as_str().unwrap_or_default();
+            self.rules.answers(&leaf.service.name, &run.sending.id, question);
         }
+        if leaf.leaving {
+            self.learn(&run.leaf);
+            if self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs) {
+                raw.heads = Heads { state: None, ..raw.heads };
+            }
+        }
+        self.answer(run.key, &zone, Ok(raw));
     }
-    answer(w, r.key, &zone, Ok(raw));
-}
 
-/// A leaf's process ends: its work is lost, and callers hear of it.
-pub fn kill_leaf(w: &mut World, name: &str, how: Alive) {
-    let Some(l) = w.backs.leafs.get_mut(name) else { return };
-    l.alive = how;
-    let zone = l.zone.clone();
-    let runs: Vec<u64> = w.runs.iter().filter(|(_, r)| r.leaf == name).map(|(id, _)| *id).collect();
-    for run in runs {
-        if let Some(r) = end_run(w, run)
-            && how == Alive::Down
-        {
-            answer(w, r.key, &zone, Err(Trouble::Cut));
+    /// A leaf's process ends: its work is lost, and callers hear of it.
+    pub fn kill_leaf(&mut self, name: &str, how: Alive) {
+        let Some(leaf) = self.backends.leafs.get_mut(name) else { return };
+        leaf.alive = how;
+        let zone = leaf.zone.clone();
+        let runs: Vec<u64> =
+            self.runs.iter().filter(|(_, run)| run.leaf == name).map(|(id, _)| *id).collect();
+        for run in runs {
+            if let Some(run) = self.end_run(run)
+                && how == Alive::Down
+            {
+                self.answer(run.key, &zone, Err(Trouble::Cut));
+            }
         }
     }
 }
