--- a/crates/core/src/control_plane/disk_events.rs
+++ b/crates/core/src/control_plane/disk_events.rs
@@ -10,7 +10,6 @@
 use crate::replication::{catch_up, election, leader, replica};
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
-use crate::voters::voter_slots::here;
 
 impl ControllerState {
     /// Every write of a partition up to this token is synced.
@@ -21,7 +20,7 @@
         token: u64,
         commands: &mut Vec<Command>,
     ) {
-        let group = here(self);
+        let group = self.group();
         let replica = &mut self.partitions[partition.0 as usize];
         while replica.writes.front().is_some_and(|write| write.token <= token) {
             let Some(write) = replica.writes.pop_front() else { break };
@@ -34,7 +33,7 @@
             replica.disk_failure = None;
             replica::follow(replica, now, None);
             commands.push(Command::Alarm(format!("part {partition}: the disk works again")));
-            self.counts.mended += 1;
+            self.counters.disks_recovered += 1;
         }
     }
 
@@ -62,7 +61,7 @@
     ) {
         let replica = &mut self.partitions[partition.0 as usize];
         if able(replica) {
-            self.counts.rotted += 1;
+            self.counters.corruptions += 1;
             let text = format!("part {partition}: its files have rotted: {why}");
             commands.push(Command::Alarm(text));
             replica::keep_whole(replica, now, Vec::new(), commands);
@@ -71,12 +70,12 @@
 
     /// Time passes: the next partition's files are read again when that is due.
     pub(super) fn wake_scrub(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        if now < self.look_at {
+        if now < self.scrub_at {
             return;
         }
-        self.look_at = now + SCRUB_INTERVAL;
-        let replica = &self.partitions[self.look_next];
-        self.look_next = (self.look_next + 1) % self.partitions.len();
+        self.scrub_at = now + SCRUB_INTERVAL;
+        let replica = &self.partitions[self.scrub_next];
+        self.scrub_next = (self.scrub_next + 1) % self.partitions.len();
         if able(replica) {
             commands.push(Command::Scrub { partition: replica.id });
         }
--- a/crates/core/src/control_plane/membership_updates.rs
+++ b/crates/core/src/control_plane/membership_updates.rs
@@ -9,7 +9,6 @@
 use crate::replication::leader;
 use crate::replication::partition::Role;
 use crate::time::Tick;
-use crate::voters::voter_slots::here;
 
 /// How a membership that a member goes by came to us.
 #[derive(Clone, Copy, PartialEq)]
@@ -24,7 +23,7 @@
     /// Time passes: leases end, and the membership's state is told when it changed.
     pub(super) fn wake_members(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let Some(term) = self.lease_term() else {
-            self.members.reign = None;
+            self.members.leadership = None;
             return;
         };
         self.begin_leases(now);
@@ -37,12 +36,12 @@
 
     /// Moves the membership on as far as it goes now.
     pub(super) fn advance_membership(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let Some((term, _)) = self.members.reign else { return };
+        let Some((term, _)) = self.members.leadership else { return };
         if self.members.is_gathering(now) {
             return;
         }
         let revision = self.partitions[0].committed_revision;
-        let group = here(self);
+        let group = self.group();
         let members = &mut self.members;
         members.retire_former(now);
         members.issue(now, term, revision);
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -6,7 +6,6 @@
 use crate::identifiers::COHORT;
 use crate::protocol::message::{FeedPosition, Message};
 use crate::replication::partition::able;
-use crate::voters::voter_slots;
 
 impl ControllerState {
     /// Brings every follower up to what is committed, if that has changed. Each is
@@ -16,10 +15,10 @@
         let membership = self.members.membership.feed_revision();
         let committed = self.partitions.iter().map(|partition| partition.committed_revision);
         let heads: Vec<u64> = committed.chain([membership]).collect();
-        if heads == self.pushed {
+        if heads == self.broadcast_up_to {
             return;
         }
-        self.pushed = heads;
+        self.broadcast_up_to = heads;
         let connections: Vec<ConnectionId> = self.followers.keys().copied().collect();
         for connection in connections {
             self.bring_up_to_date(connection, commands);
@@ -41,7 +40,7 @@
             let revision = places.entry(partition.id).or_insert(0);
             if let Some(message) = feed::update_after(partition, *revision) {
                 *revision = partition.committed_revision;
-                self.counts.news += 1;
+                self.counters.updates_sent += 1;
                 commands.push(Command::ToConnection { connection, message });
             }
         }
@@ -61,7 +60,7 @@
             self.greet(connection, commands);
         }
         if stamp != self.voter_slots.stamp {
-            voter_slots::tell(self, connection, commands);
+            self.voter_slots.send_voter_set(connection, commands);
         }
         let known = self.followers.entry(connection).or_default();
         for place in places {
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -129,8 +129,8 @@
         let event = grebepath_core::control_plane::controller::Event::Operate {
             op,
             request,
-            expect: None,
-            deed: operation,
+            expected_revision: None,
+            operation,
         };
         self.push(
             MILLI,
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -46,7 +46,12 @@
                         let holder = node.state.voter_slots.voter_file.me;
                         (
                             connection,
-                            st::Event::FromVoter { slot: seat, holder, connection, message },
+                            st::Event::FromVoter {
+                                slot: seat,
+                                replica_id: holder,
+                                connection,
+                                message,
+                            },
                         )
                     }
                     Sender::Querier(querier, life) => {
@@ -214,7 +219,7 @@
                 self.job(controller, part, token, Job::Snapshot(copy));
             }
             grebepath_core::command::Command::Scrub { partition: part } => {
-                let event = Box::new(st::Event::Scrubbed { partition: part, trouble: None });
+                let event = Box::new(st::Event::Scrubbed { partition: part, corruption: None });
                 self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
             }
             grebepath_core::command::Command::Respond { op, done } => {
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -106,7 +106,7 @@
             return;
         }
         let trouble = node.disk.scrub(partition);
-        let (life, event) = (node.life, CoreEvent::Scrubbed { partition, trouble });
+        let (life, event) = (node.life, CoreEvent::Scrubbed { partition, corruption: trouble });
         self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
     }
 
@@ -122,7 +122,7 @@
         let event = if has_voter_slot(node) {
             CoreEvent::FromVoter {
                 slot: node.state.slot,
-                holder: node.state.voter_slots.voter_file.me,
+                replica_id: node.state.voter_slots.voter_file.me,
                 connection,
                 message,
             }
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -129,10 +129,10 @@
             CoreEvent::FromVoter { message: Message::VoterSetUpdate { .. }, .. }
             | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
             | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
-            CoreEvent::FromVoter { slot: seat, holder, message, .. } => {
+            CoreEvent::FromVoter { slot: seat, replica_id: holder, message, .. } => {
                 let table = &core.voter_slots.voter_file.table;
                 *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
-                if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(message) {
+                if let Some(stamp) = grebepath_core::voters::stamp::stamp_of_mut(message) {
                     *stamp = core.voter_slots.stamp;
                 }
             }
@@ -204,7 +204,7 @@
             self.run_controller_command(controller, command);
         }
         if self.controllers[controller].stopping.is_some()
-            && grebepath_core::voters::handover::may_end(&self.controllers[controller].state, local)
+            && self.controllers[controller].state.may_end(local)
         {
             self.end_controller(controller);
         }
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -186,12 +186,14 @@
 
 fn copied(event: &CoreEvent) -> Option<CoreEvent> {
     Some(match event {
-        CoreEvent::FromVoter { slot: seat, holder, connection, message } => CoreEvent::FromVoter {
-            slot: *seat,
-            holder: *holder,
-            connection: *connection,
-            message: message.clone(),
-        },
+        CoreEvent::FromVoter { slot: seat, replica_id: holder, connection, message } => {
+            CoreEvent::FromVoter {
+                slot: *seat,
+                replica_id: *holder,
+                connection: *connection,
+                message: message.clone(),
+            }
+        }
         CoreEvent::FromConnection { connection, message } => {
             CoreEvent::FromConnection { connection: *connection, message: message.clone() }
         }
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -77,8 +77,8 @@
                 .request
                 .clone()
                 .unwrap_or_else(|| format!("order-{id}")),
-            expect: self.operator_requests[id].expect,
-            deed: self.operator_requests[id].operation.clone(),
+            expected_revision: self.operator_requests[id].expect,
+            operation: self.operator_requests[id].operation.clone(),
         };
         self.push(ms(1), ScheduledEvent::ControllerEvent { controller, life, event });
     }
