--- /dev/null
+++ b/crates/simulator/src/world/time_loop.rs
@@ -0,0 +1,208 @@
+//! The loop that lets virtual time pass and hands each event to whom it is for.
+
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::control_plane::step as control_plane_step;
+use grebepath_core::membership::node_agent;
+use grebepath_core::membership::step as membership_step;
+use grebepath_core::time::{SECOND, Span, Tick, ms};
+
+use super::events::{FollowUp, ScheduledEvent};
+use super::operators::marked;
+use super::{BEGIN, World};
+
+impl World {
+    /// Lets `span` pass.
+    pub fn run(&mut self, span: Span) {
+        let end = self.now + span;
+        while let Some(entry) = self.queue.first_entry() {
+            let at = entry.key().0;
+            if at > end {
+                break;
+            }
+            let event = entry.remove();
+            self.now = self.now.max(at);
+            self.events += 1;
+            self.handle(event);
+        }
+        self.now = end;
+    }
+
+    /// Lets time pass until `done`, at most `span`; tells whether it came to be.
+    pub fn until(&mut self, span: Span, done: impl Fn(&World) -> bool) -> bool {
+        let end = self.now + span;
+        while self.now < end {
+            if done(self) {
+                return true;
+            }
+            self.run(ms(20));
+        }
+        done(self)
+    }
+
+    /// Handles an event that is due.
+    pub(super) fn handle(&mut self, event: ScheduledEvent) {
+        // A paused process does nothing; all of it comes at once when it wakes.
+        let paused_until = self.paused_until(&event);
+        if paused_until > self.now {
+            return self.push_at(paused_until, event);
+        }
+        let Some(event) = self.inject(event) else { return };
+        if self.is_stale(&event) {
+            return;
+        }
+        match event {
+            ScheduledEvent::ControllerTimer { controller, life } => {
+                self.push(
+                    control_plane_step::WAKE,
+                    ScheduledEvent::ControllerTimer { controller, life },
+                );
+                self.step_controller(controller, CoreEvent::Wake);
+            }
+            ScheduledEvent::ControllerEvent { controller, event, .. } => {
+                self.deliver_to_controller(controller, event);
+            }
+            ScheduledEvent::DiskJobDone { controller, part, token, .. } => {
+                self.finish_disk_job(controller, part, token);
+            }
+            ScheduledEvent::VoterFileDone { controller, token, .. } => {
+                self.finish_voter_file(controller, token);
+            }
+            ScheduledEvent::QuerierTimer { querier, life } => {
+                self.push(membership_step::WAKE, ScheduledEvent::QuerierTimer { querier, life });
+                self.step_node_agent(querier, node_agent::Event::Wake);
+            }
+            ScheduledEvent::NodeAgentEvent { querier, event, .. } => {
+                self.deliver_to_node_agent(querier, event);
+            }
+            ScheduledEvent::ControllerMessage { querier, holder, message, .. } => {
+                self.deliver_from_controller(querier, holder, message);
+            }
+            ScheduledEvent::QueryEngineEvent { engine, event } => {
+                self.step_query_engine(engine.querier, engine.thread, event);
+            }
+            ScheduledEvent::QueryEngineTimer { engine, at } => self.wake_query_engine(engine, at),
+            ScheduledEvent::LeafRequest { engine, sending } => self.leaf_gets(engine, *sending),
+            ScheduledEvent::LeafResponse { run } => self.leaf_done(run),
+            ScheduledEvent::LeafDisconnect { key } => {
+                if let Some(run) = self.runs_by_attempt.remove(&key) {
+                    self.end_run(run);
+                }
+            }
+            ScheduledEvent::Probe { querier, life, info } => {
+                self.answer_probe(querier, life, &info);
+            }
+            ScheduledEvent::ListRequest { querier, life } => {
+                self.answer_list_request(querier, life);
+            }
+            ScheduledEvent::NewCall { kind } => self.start_call(kind),
+            ScheduledEvent::CallArrival { call } => self.call_arrives(call),
+            ScheduledEvent::CallTimeout { call } => self.call_times_out(call),
+            ScheduledEvent::ReadinessPoll => self.poll_readiness(),
+            ScheduledEvent::OperatorRequest { request } => self.send_operator_request(request),
+            ScheduledEvent::Fault { at } => self.start_fault(at),
+            ScheduledEvent::FollowUp { key } => self.follow_up(key),
+        }
+    }
+
+    /// Until when the process that an event reaches is paused; 0 if it has none.
+    fn paused_until(&self, event: &ScheduledEvent) -> Tick {
+        match event {
+            ScheduledEvent::ControllerTimer { controller, .. }
+            | ScheduledEvent::ControllerEvent { controller, .. }
+            | ScheduledEvent::DiskJobDone { controller, .. }
+            | ScheduledEvent::VoterFileDone { controller, .. } => {
+                self.controllers[*controller].paused
+            }
+            ScheduledEvent::QuerierTimer { querier, .. }
+            | ScheduledEvent::NodeAgentEvent { querier, .. }
+            | ScheduledEvent::ControllerMessage { querier, .. } => self.queriers[*querier].paused,
+            ScheduledEvent::QueryEngineEvent { engine, .. }
+            | ScheduledEvent::QueryEngineTimer { engine, .. } => {
+                self.queriers[engine.querier].paused
+            }
+            _ => 0,
+        }
+    }
+
+    /// Whether the process that an event was meant for has ended.
+    fn is_stale(&self, event: &ScheduledEvent) -> bool {
+        match event {
+            ScheduledEvent::ControllerTimer { controller, life }
+            | ScheduledEvent::ControllerEvent { controller, life, .. }
+            | ScheduledEvent::DiskJobDone { controller, life, .. }
+            | ScheduledEvent::VoterFileDone { controller, life, .. } => {
+                !self.controller_runs(*controller, *life)
+            }
+            ScheduledEvent::QuerierTimer { querier, life }
+            | ScheduledEvent::NodeAgentEvent { querier, life, .. }
+            | ScheduledEvent::ControllerMessage { querier, life, .. } => {
+                !self.querier_runs(*querier, *life)
+            }
+            ScheduledEvent::QueryEngineEvent { engine, .. }
+            | ScheduledEvent::QueryEngineTimer { engine, .. } => {
+                !self.querier_runs(engine.querier, engine.life)
+            }
+            _ => false,
+        }
+    }
+
+    /// Notes which queriers are ready, as the platform does every second.
+    fn poll_readiness(&mut self) {
+        self.ready_queriers = (0..self.queriers.len())
+            .filter(|querier| self.queriers[*querier].up && self.queriers[*querier].ready)
+            .collect();
+        self.push(SECOND, ScheduledEvent::ReadinessPoll);
+    }
+
+    /// Applies the scenario's fault of this number.
+    fn start_fault(&mut self, at: usize) {
+        let fault = self.faults[at].clone();
+        self.rules.note(self.now - BEGIN, || format!("fault: {fault}"));
+        self.rules.disturb_recoveries(self.now - BEGIN);
+        self.apply_fault(&fault);
+    }
+
+    /// Does what was planned to follow an earlier event.
+    fn follow_up(&mut self, key: FollowUp) {
+        match key {
+            FollowUp::StartController(controller) => {
+                if !self.controllers[controller].up {
+                    self.start_controller(controller);
+                }
+            }
+            FollowUp::Fault { controller, fault } => self.end_process(controller, fault),
+            FollowUp::ForceStop { controller, life } => {
+                if self.controller_runs(controller, life) {
+                    self.end_controller(controller);
+                }
+            }
+            FollowUp::StartQuerier(querier) => {
+                if !self.queriers[querier].up {
+                    self.start_querier(querier);
+                }
+            }
+            FollowUp::EndDrainedQuerier(querier, life) => {
+                if self.querier_runs(querier, life) {
+                    self.end_drained_querier(querier, life);
+                }
+            }
+            FollowUp::ChangeAfterRestart { restart } => {
+                let request = self.submit_marked();
+                if let Some(back) = self.rules.pending_restarts.get_mut(restart) {
+                    back.order = Some(request);
+                }
+            }
+            FollowUp::RequestStorm { left, gap } => {
+                self.submit_marked();
+                if left > 1 {
+                    self.later(gap, FollowUp::RequestStorm { left: left - 1, gap });
+                }
+            }
+        }
+    }
+
+    /// An operator asks for a change that can be looked for at the end.
+    fn submit_marked(&mut self) -> usize {
+        self.submit(0, marked(self.operator_requests.len()))
+    }
+}
