--- /dev/null
+++ b/crates/simulator/src/connection_id.rs
@@ -0,0 +1,40 @@
+//! The ids of simulated connections to controllers. As in the daemons, a connection
+//! ends with the process that opened it, so the id names that process and which of
+//! its lives it was.
+
+/// Set in the ids of connections that controllers open.
+const OPENED_BY_CONTROLLER: u64 = 1 << 63;
+/// Bits of the id that hold the opener's life.
+const LIFE_BITS: u32 = 32;
+const LIFE_MASK: u64 = (1 << LIFE_BITS) - 1;
+
+/// Who opened a connection to a controller.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub enum Opener {
+    /// Another controller, and in which of its lives.
+    Controller { number: usize, life: u64 },
+    /// A querier, and in which of its lives.
+    Querier { number: usize, life: u64 },
+}
+
+impl Opener {
+    /// The opener of a connection.
+    pub fn of(connection: u64) -> Opener {
+        let number = ((connection & !OPENED_BY_CONTROLLER) >> LIFE_BITS) as usize;
+        let life = connection & LIFE_MASK;
+        match connection & OPENED_BY_CONTROLLER {
+            0 => Opener::Querier { number, life },
+            _ => Opener::Controller { number, life },
+        }
+    }
+
+    /// The id of the connection.
+    pub fn connection(self) -> u64 {
+        match self {
+            Opener::Controller { number, life } => {
+                OPENED_BY_CONTROLLER | (number as u64) << LIFE_BITS | life
+            }
+            Opener::Querier { number, life } => (number as u64) << LIFE_BITS | life,
+        }
+    }
+}
--- /dev/null
+++ b/crates/simulator/src/controller_start.rs
@@ -0,0 +1,75 @@
+//! What a controller finds on its simulated disk when it starts, as the daemon does.
+
+use grebepath_core::control_plane::controller::{ControllerState, Event};
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::protocol::message::ReplicaCondition;
+use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::record::ReplicaState;
+use grebepath_core::storage::voter_file;
+use grebepath_core::storage::voter_file::{Start, VoterFile};
+use grebepath_core::time::BOOT;
+
+use crate::simulated_disk::{Disk, DiskError};
+
+/// What was found on a disk.
+pub struct Recovered {
+    voter_file: VoterFile,
+    replicas: Vec<(PartitionId, ReplicaCondition, ReplicaState, u64)>,
+    /// Whether the disk was empty.
+    pub was_empty: bool,
+    /// What is wrong with the files that are damaged.
+    pub damage: Vec<String>,
+}
+
+impl Recovered {
+    /// Reads the disk, and writes the voter file of this start.
+    pub fn read(disk: &mut Disk, start: &Start, seed: u64) -> Recovered {
+        let was_empty = disk.is_empty();
+        let (voter_file, clear) = voter_file::begin(disk.read_voter_file(), start, was_empty, seed);
+        disk.put_voter_file(&voter_file, clear);
+        let mut damage = Vec::new();
+        let mut replicas = Vec::new();
+        for (partition, found) in disk.start() {
+            let (condition, copy) = match found {
+                Found::Empty => (ReplicaCondition::Empty, ReplicaState::default()),
+                Found::Damaged(why) => {
+                    damage.push(why);
+                    (ReplicaCondition::Damaged, ReplicaState::default())
+                }
+                Found::Good { copy, .. } => (ReplicaCondition::Voting, copy),
+            };
+            replicas.push((partition, condition, copy, 0));
+        }
+        Recovered { voter_file, replicas, was_empty, damage }
+    }
+
+    /// Lets replicas without files vote at once: only a faulty variant does so.
+    pub fn vote_without_files(&mut self) {
+        for (_, condition, _, _) in &mut self.replicas {
+            if *condition == ReplicaCondition::Empty {
+                *condition = ReplicaCondition::Voting;
+            }
+        }
+    }
+
+    /// The state machine that goes on from here.
+    pub fn into_state(self, address: &str, zone: &str, seed: u64) -> ControllerState {
+        ControllerState::new(self.voter_file, (address, zone), self.replicas, seed, BOOT)
+    }
+}
+
+/// The event that tells a controller how a partition's write ended.
+pub fn disk_event(partition: PartitionId, token: u64, result: Result<(), DiskError>) -> Event {
+    match result {
+        Ok(()) => Event::Synced { partition, token },
+        Err(error) => Event::DiskFailed { partition, why: error.to_string() },
+    }
+}
+
+/// The event that tells a controller how the write of its voter file ended.
+pub fn voter_file_event(token: u64, result: Result<(), DiskError>) -> Event {
+    match result {
+        Ok(()) => Event::VoterFileWritten { token },
+        Err(error) => Event::VoterFileFailed { why: error.to_string() },
+    }
+}
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -3,6 +3,9 @@
 
 pub mod chaos;
 pub mod check;
+pub mod connection_id;
+pub mod controller_start;
+pub mod event_queue;
 pub mod explore;
 pub mod files;
 pub mod linearizability;
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -2,19 +2,22 @@
 
 use std::rc::Rc;
 
-use grebepath_core::control_plane::controller as st;
-use grebepath_core::control_plane::step as cstep;
+use grebepath_core::command::Command;
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::control_plane::step as control_plane_step;
 use grebepath_core::http_api::list;
 use grebepath_core::identifiers::VoterSlot;
 use grebepath_core::membership::node_agent;
-use grebepath_core::membership::step as qstep;
+use grebepath_core::membership::step as membership_step;
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::message::{LeafReport, Message};
 use grebepath_core::storage::voter_file;
 use grebepath_core::storage::writer;
 use grebepath_core::time::{BOOT, MILLI, ms};
 
-use super::world::{Raw, ScheduledEvent, Sender, World, connection, controller_connection};
+use super::world::{Raw, ScheduledEvent, Sender, World};
+use crate::connection_id::Opener;
+use crate::controller_start::{disk_event, voter_file_event};
 use crate::scale_model::meter::{add, kind, timed};
 use crate::scale_model::topology;
 use crate::simulated_disk::Job;
@@ -24,129 +27,140 @@
 const SHARED: usize = 4_096;
 
 impl World {
-    /// Something happens.
+    /// Handles an event that is due.
     pub fn handle(&mut self, event: ScheduledEvent) {
+        if self.is_stale(&event) {
+            return;
+        }
         match event {
-            ScheduledEvent::ControllerTimer { controller, life }
-                if self.alive(controller, life) =>
-            {
-                self.push(cstep::WAKE, ScheduledEvent::ControllerTimer { controller, life });
-                self.step_controller(controller, st::Event::Wake);
-            }
-            ScheduledEvent::ControllerMessage { controller, life, from, raw }
-                if self.alive(controller, life) =>
-            {
-                let node = &mut self.controllers[controller];
-                add(&mut node.meter.got, size(&raw));
-                let Some(message) = timed(&mut node.meter.codec_ns, || read(&raw)) else { return };
-                let (connection, event) = match from {
-                    Sender::VoterSlot(seat) => {
-                        let node = &self.controllers[usize::from(seat)];
-                        let connection = controller_connection(usize::from(seat), node.life);
-                        let holder = node.state.seating.roll.me;
-                        (
-                            connection,
-                            st::Event::FromVoter { slot: seat, holder, connection, message },
-                        )
-                    }
-                    Sender::Querier(querier, life) => {
-                        let connection = connection(querier, life);
-                        (connection, st::Event::FromConnection { connection, message })
-                    }
-                    Sender::ConnectedController => {
-                        return self
-                            .step_controller(controller, st::Event::FromController { message });
-                    }
-                };
-                // What comes on a new connection is preceded by its opening.
-                if self.opened.insert((controller, life, connection)) {
-                    self.step_controller(controller, st::Event::ConnectionOpened { connection });
-                }
-                self.step_controller(controller, event);
-            }
-            ScheduledEvent::ControllerEvent { controller, life, event }
-                if self.alive(controller, life) =>
-            {
-                self.step_controller(controller, *event)
-            }
-            ScheduledEvent::DiskJobDone { controller, life, part, token }
-                if self.alive(controller, life) =>
-            {
-                let event = match self.controllers[controller].disk.finish_job(part, token) {
-                    Some(Ok(())) => st::Event::Synced { partition: part, token },
-                    Some(Err(error)) => {
-                        st::Event::DiskFailed { partition: part, why: error.to_string() }
-                    }
-                    None => return,
-                };
-                self.step_controller(controller, event);
-            }
-            ScheduledEvent::VoterFileDone { controller, life, token }
-                if self.alive(controller, life) =>
-            {
-                let event = match self.controllers[controller].disk.finish_voter_file(token) {
-                    Some(Ok(())) => st::Event::VoterFileWritten { token },
-                    Some(Err(error)) => st::Event::VoterFileFailed { why: error.to_string() },
-                    None => return,
-                };
-                self.step_controller(controller, event);
-            }
-            ScheduledEvent::QuerierTimer { querier, life } if self.live(querier, life) => {
-                self.push(qstep::WAKE, ScheduledEvent::QuerierTimer { querier, life });
+            ScheduledEvent::ControllerTimer { controller, life } => {
+                self.push(
+                    control_plane_step::WAKE,
+                    ScheduledEvent::ControllerTimer { controller, life },
+                );
+                self.step_controller(controller, CoreEvent::Wake);
+            }
+            ScheduledEvent::ControllerMessage { controller, life, from, raw } => {
+                self.deliver_to_controller(controller, life, from, &raw);
+            }
+            ScheduledEvent::ControllerEvent { controller, event, .. } => {
+                self.step_controller(controller, *event);
+            }
+            ScheduledEvent::DiskJobDone { controller, part, token, .. } => {
+                let disk = &mut self.controllers[controller].disk;
+                let Some(result) = disk.finish_job(part, token) else { return };
+                self.step_controller(controller, disk_event(part, token, result));
+            }
+            ScheduledEvent::VoterFileDone { controller, token, .. } => {
+                let disk = &mut self.controllers[controller].disk;
+                let Some(result) = disk.finish_voter_file(token) else { return };
+                self.step_controller(controller, voter_file_event(token, result));
+            }
+            ScheduledEvent::QuerierTimer { querier, life } => {
+                self.push(membership_step::WAKE, ScheduledEvent::QuerierTimer { querier, life });
                 self.step_querier(querier, node_agent::Event::Wake);
             }
-            ScheduledEvent::QuerierMessage { querier, life, from, raw }
-                if self.live(querier, life) =>
-            {
-                let node = &mut self.queriers[querier];
-                add(&mut node.meter.got, size(&raw));
-                let Some(message) = timed(&mut node.meter.codec_ns, || read(&raw)) else { return };
-                let event = match (from, message) {
-                    (Sender::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
-                        node_agent::Event::VoterSet(table)
-                    }
-                    (Sender::VoterSlot(seat), message) => {
-                        node_agent::Event::FromVoter { slot: seat, message }
-                    }
-                    (Sender::Querier(g, _), message) => node_agent::Event::FromMember {
-                        name: self.queriers[g].me.name.clone(),
-                        message,
-                    },
-                    (Sender::ConnectedController, _) => return,
-                };
-                self.step_querier(querier, event);
-            }
-            ScheduledEvent::QuerierEvent { querier, life, event } if self.live(querier, life) => {
-                self.step_querier(querier, *event)
-            }
-            ScheduledEvent::ListResponse { querier, life } if self.live(querier, life) => {
-                let text = self.list.clone();
-                add(&mut self.list_polls, text.len());
-                let node = &mut self.queriers[querier];
-                node.polling = false;
-                let got = timed(&mut node.meter.codec_ns, || list::read(text.as_bytes()));
-                let got = got.map(|(all, _)| all).map_err(|querier| querier.to_string());
-                self.step_querier(querier, node_agent::Event::LeafList(got));
-            }
-            ScheduledEvent::StartQuerier { querier } if !self.queriers[querier].up => {
-                self.start_querier(querier)
-            }
-            ScheduledEvent::StartController { controller } if !self.controllers[controller].up => {
-                self.start_controller(controller)
+            ScheduledEvent::QuerierMessage { querier, from, raw, .. } => {
+                self.deliver_to_querier(querier, from, &raw);
+            }
+            ScheduledEvent::QuerierEvent { querier, event, .. } => {
+                self.step_querier(querier, *event);
+            }
+            ScheduledEvent::ListResponse { querier, .. } => self.deliver_list(querier),
+            ScheduledEvent::StartQuerier { querier } => {
+                if !self.queriers[querier].up {
+                    self.start_querier(querier);
+                }
+            }
+            ScheduledEvent::StartController { controller } => {
+                if !self.controllers[controller].up {
+                    self.start_controller(controller);
+                }
             }
-            _ => {}
         }
     }
 
-    fn alive(&self, controller: usize, life: u64) -> bool {
-        self.controllers[controller].up && self.controllers[controller].life == life
+    /// Whether the process that an event was meant for has ended.
+    fn is_stale(&self, event: &ScheduledEvent) -> bool {
+        match event {
+            ScheduledEvent::ControllerTimer { controller, life }
+            | ScheduledEvent::ControllerMessage { controller, life, .. }
+            | ScheduledEvent::ControllerEvent { controller, life, .. }
+            | ScheduledEvent::DiskJobDone { controller, life, .. }
+            | ScheduledEvent::VoterFileDone { controller, life, .. } => {
+                let node = &self.controllers[*controller];
+                !node.up || node.life != *life
+            }
+            ScheduledEvent::QuerierTimer { querier, life }
+            | ScheduledEvent::QuerierMessage { querier, life, .. }
+            | ScheduledEvent::QuerierEvent { querier, life, .. }
+            | ScheduledEvent::ListResponse { querier, life } => {
+                let node = &self.queriers[*querier];
+                !node.up || node.life != *life
+            }
+            ScheduledEvent::StartQuerier { .. } | ScheduledEvent::StartController { .. } => false,
+        }
     }
 
-    fn live(&self, querier: usize, life: u64) -> bool {
-        self.queriers[querier].up && self.queriers[querier].life == life
+    /// A message reaches a controller.
+    fn deliver_to_controller(&mut self, controller: usize, life: u64, from: Sender, raw: &Raw) {
+        let node = &mut self.controllers[controller];
+        add(&mut node.meter.got, size(raw));
+        let Some(message) = timed(&mut node.meter.codec_ns, || read(raw)) else { return };
+        let (connection, event) = match from {
+            Sender::VoterSlot(slot) => {
+                let number = usize::from(slot);
+                let node = &self.controllers[number];
+                let connection = Opener::Controller { number, life: node.life }.connection();
+                let holder = node.state.seating.roll.me;
+                (connection, CoreEvent::FromVoter { slot, holder, connection, message })
+            }
+            Sender::Querier(number, life) => {
+                let connection = Opener::Querier { number, life }.connection();
+                (connection, CoreEvent::FromConnection { connection, message })
+            }
+            Sender::ConnectedController => {
+                return self.step_controller(controller, CoreEvent::FromController { message });
+            }
+        };
+        // What comes on a new connection is preceded by its opening.
+        if self.opened.insert((controller, life, connection)) {
+            self.step_controller(controller, CoreEvent::ConnectionOpened { connection });
+        }
+        self.step_controller(controller, event);
+    }
+
+    /// A message reaches a querier.
+    fn deliver_to_querier(&mut self, querier: usize, from: Sender, raw: &Raw) {
+        let node = &mut self.queriers[querier];
+        add(&mut node.meter.got, size(raw));
+        let Some(message) = timed(&mut node.meter.codec_ns, || read(raw)) else { return };
+        let event = match (from, message) {
+            (Sender::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
+                node_agent::Event::VoterSet(table)
+            }
+            (Sender::VoterSlot(slot), message) => node_agent::Event::FromVoter { slot, message },
+            (Sender::Querier(sender, _), message) => {
+                let name = self.queriers[sender].me.name.clone();
+                node_agent::Event::FromMember { name, message }
+            }
+            (Sender::ConnectedController, _) => return,
+        };
+        self.step_querier(querier, event);
+    }
+
+    /// The platform's list reaches a querier.
+    fn deliver_list(&mut self, querier: usize) {
+        let text = self.list.clone();
+        add(&mut self.list_polls, text.len());
+        let node = &mut self.queriers[querier];
+        node.polling = false;
+        let list = timed(&mut node.meter.codec_ns, || list::read(text.as_bytes()));
+        let list = list.map(|(leafs, _)| leafs).map_err(|error| error.to_string());
+        self.step_querier(querier, node_agent::Event::LeafList(list));
     }
 
-    fn step_controller(&mut self, controller: usize, event: st::Event) {
+    fn step_controller(&mut self, controller: usize, event: CoreEvent) {
         let node = &mut self.controllers[controller];
         let local = self.now - node.began + BOOT;
         node.meter.steps += 1;
@@ -156,35 +170,21 @@
         }
     }
 
-    fn run_controller_command(
-        &mut self,
-        controller: usize,
-        command: grebepath_core::command::Command,
-    ) {
+    fn run_controller_command(&mut self, controller: usize, command: Command) {
         let life = self.controllers[controller].life;
-        let here = topology::controller_zone(controller as VoterSlot);
         let from = Sender::VoterSlot(controller as VoterSlot);
         match command {
-            grebepath_core::command::Command::ToVoter { slot: seat, message } => {
+            Command::ToVoter { slot: seat, message } => {
                 self.controller_sends(controller, usize::from(seat), from, &message)
             }
-            grebepath_core::command::Command::Broadcast { message } => {
+            Command::Broadcast { message } => {
                 for to in (0..self.controllers.len()).filter(|to| *to != controller) {
                     self.controller_sends(controller, to, from, &message);
                 }
             }
-            grebepath_core::command::Command::ToConnection { connection, message }
-                if connection >> 63 == 1 =>
-            {
-                let (to, life) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
-                // A connection ends with the life that opened it.
-                if life == self.controllers[to].life {
-                    self.controller_sends(controller, to, Sender::ConnectedController, &message);
-                }
-            }
             // Nobody moves here: all connections are as they were.
-            grebepath_core::command::Command::VoterSetChanged => {}
-            grebepath_core::command::Command::WriteVoterFile { token, roll, clear } => {
+            Command::VoterSetChanged => {}
+            Command::WriteVoterFile { token, roll, clear } => {
                 add(&mut self.controllers[controller].meter.disk, voter_file::write(&roll).len());
                 let disk = &mut self.controllers[controller].disk;
                 if let Some(at) =
@@ -193,40 +193,55 @@
                     self.push_at(at, ScheduledEvent::VoterFileDone { controller, life, token });
                 }
             }
-            grebepath_core::command::Command::ToConnection { connection, message } => {
-                let (querier, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
-                let raw = self.encode_from_controller(controller, "controller-querier", &message);
-                let at = self.arrival(
-                    (controller, here),
-                    (querier + self.controllers.len(), self.queriers[querier].zone),
-                );
-                self.push_at(at, ScheduledEvent::QuerierMessage { querier, life, from, raw });
+            Command::ToConnection { connection, message } => {
+                self.answer(controller, Opener::of(connection), &message);
             }
-            grebepath_core::command::Command::AppendRecord { partition: part, token, rec } => {
+            Command::AppendRecord { partition: part, token, rec } => {
                 add(&mut self.controllers[controller].meter.disk, writer::rec(0, 0, &rec).len());
                 self.job(controller, part, token, Job::Append(rec));
             }
-            grebepath_core::command::Command::WriteSnapshot { partition: part, token, copy } => {
+            Command::WriteSnapshot { partition: part, token, copy } => {
                 add(
                     &mut self.controllers[controller].meter.disk,
                     writer::slot(part.0, 0, &copy).len(),
                 );
                 self.job(controller, part, token, Job::Snapshot(copy));
             }
-            grebepath_core::command::Command::Scrub { partition: part } => {
-                let event = Box::new(st::Event::Scrubbed { partition: part, trouble: None });
+            Command::Scrub { partition: part } => {
+                let event = Box::new(CoreEvent::Scrubbed { partition: part, trouble: None });
                 self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
             }
-            grebepath_core::command::Command::Respond { op, done } => {
+            Command::Respond { op, done } => {
                 self.results.insert(op, (self.now, done));
             }
-            grebepath_core::command::Command::OwnResponse { .. } => {}
-            grebepath_core::command::Command::WakeAfter { span } => {
-                let event = Box::new(st::Event::Wake);
+            Command::OwnResponse { .. } => {}
+            Command::WakeAfter { span } => {
+                let event = Box::new(CoreEvent::Wake);
                 self.push(span, ScheduledEvent::ControllerEvent { controller, life, event });
             }
-            grebepath_core::command::Command::Alarm(text) => {
-                *self.alarms.entry(text).or_default() += 1
+            Command::Alarm(text) => *self.alarms.entry(text).or_default() += 1,
+        }
+    }
+
+    /// A controller answers on a connection that was opened to it.
+    fn answer(&mut self, controller: usize, opener: Opener, message: &Message) {
+        match opener {
+            Opener::Controller { number, life } => {
+                // A connection ends with the life that opened it.
+                if life == self.controllers[number].life {
+                    self.controller_sends(controller, number, Sender::ConnectedController, message);
+                }
+            }
+            Opener::Querier { number, life } => {
+                let raw = self.encode_from_controller(controller, "controller-querier", message);
+                let zone = topology::controller_zone(controller as VoterSlot);
+                let to = (number + self.controllers.len(), self.queriers[number].zone);
+                let at = self.arrival((controller, zone), to);
+                let from = Sender::VoterSlot(controller as VoterSlot);
+                self.push_at(
+                    at,
+                    ScheduledEvent::QuerierMessage { querier: number, life, from, raw },
+                );
             }
         }
     }
@@ -288,7 +303,7 @@
         let local = self.now - node.began + BOOT;
         node.meter.steps += 1;
         let commands =
-            timed(&mut node.meter.step_ns, || qstep::step(&mut node.watch, local, event));
+            timed(&mut node.meter.step_ns, || membership_step::step(&mut node.watch, local, event));
         for command in commands {
             self.run_querier_command(querier, command);
         }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -11,13 +11,15 @@
 use grebepath_core::membership::node_agent;
 use grebepath_core::membership::node_agent::NodeAgent;
 use grebepath_core::membership::step as qstep;
-use grebepath_core::protocol::message::{Member, OperationResult, ReplicaCondition};
+use grebepath_core::protocol::message::{Member, OperationResult};
 use grebepath_core::random::Random;
 use grebepath_core::snapshot::leafs::LeafInfo;
-use grebepath_core::storage::voter_file;
 use grebepath_core::storage::voter_file::Start;
 use grebepath_core::time::{BOOT, MILLI, Span, Tick, ms};
 
+use crate::connection_id::Opener;
+use crate::controller_start::Recovered;
+use crate::event_queue::EventQueue;
 use crate::scale_model::meter::{Count, Meter, Traffic};
 use crate::scale_model::topology;
 use crate::scale_model::topology::Size;
@@ -80,8 +82,7 @@
 pub struct World {
     pub now: Tick,
     pub size: Size,
-    queue: BTreeMap<(Tick, u64), ScheduledEvent>,
-    next: u64,
+    queue: EventQueue<ScheduledEvent>,
     pub random: Random,
     pub controllers: Vec<ControllerNode>,
     pub queriers: Vec<QuerierNode>,
@@ -113,8 +114,7 @@
         let mut world = World {
             now: BEGIN,
             size,
-            queue: BTreeMap::new(),
-            next: 0,
+            queue: EventQueue::default(),
             random: Random::new(seed),
             controllers: Vec::new(),
             queriers: Vec::new(),
@@ -200,9 +200,9 @@
         let node = &mut self.queriers[querier];
         (node.up, node.ready) = (false, false);
         node.watch = node_agent::watch(node.me.clone(), BOOT);
+        let connection = Opener::Querier { number: querier, life }.connection();
         for controller in 0..self.controllers.len() {
-            let event =
-                Box::new(st::Event::ConnectionClosed { connection: connection(querier, life) });
+            let event = Box::new(st::Event::ConnectionClosed { connection });
             let life = self.controllers[controller].life;
             self.push(ms(2), ScheduledEvent::ControllerEvent { controller, life, event });
         }
@@ -219,29 +219,12 @@
             addr: topology::controller_address(controller),
         };
         let disk = &mut self.controllers[controller].disk;
-        let bare = disk.is_empty();
-        let (roll, clear) = voter_file::begin(disk.read_voter_file(), &start, bare, seed);
-        disk.put_voter_file(&roll, clear);
-        let found = disk.start();
-        let list = found
-            .into_iter()
-            .map(|(part, found)| match found {
-                grebepath_core::storage::reader::Found::Good { copy, .. } => {
-                    (part, ReplicaCondition::Voting, copy, 0)
-                }
-                _ => (
-                    part,
-                    ReplicaCondition::Empty,
-                    grebepath_core::storage::record::ReplicaState::default(),
-                    0,
-                ),
-            })
-            .collect();
+        let recovered = Recovered::read(disk, &start, seed);
         let node = &mut self.controllers[controller];
         node.life += 1;
         (node.up, node.began) = (true, self.now);
         let zone = topology::name(topology::controller_zone(controller as VoterSlot));
-        node.state = ControllerState::new(roll, (&start.addr, &zone), list, seed, BOOT);
+        node.state = recovered.into_state(&start.addr, &zone, seed);
         let life = node.life;
         self.push(start_delay(seed), ScheduledEvent::ControllerTimer { controller, life });
     }
@@ -261,8 +244,7 @@
 
     /// Lets something happen at a time.
     pub fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
-        self.next += 1;
-        self.queue.insert((at, self.next), event);
+        self.queue.push(at, event);
     }
 
     /// When a message sent now arrives: those of one connection keep their order.
@@ -276,12 +258,7 @@
     /// Lets `span` pass.
     pub fn run(&mut self, span: Span) {
         let end = self.now + span;
-        while let Some(entry) = self.queue.first_entry() {
-            let at = entry.key().0;
-            if at > end {
-                break;
-            }
-            let event = entry.remove();
+        while let Some((at, event)) = self.queue.pop_until(end) {
             self.now = self.now.max(at);
             self.handle(event);
         }
@@ -338,13 +315,3 @@
 fn start_delay(seed: u64) -> Span {
     seed % cstep::WAKE
 }
-
-/// A front's connection to a seat, in one of its lives.
-pub fn connection(querier: usize, life: u64) -> u64 {
-    ((querier as u64) << 32) | life
-}
-
-/// The connection that a seat opens to others, in one of its lives.
-pub fn controller_connection(controller: usize, life: u64) -> u64 {
-    1 << 63 | (controller as u64) << 32 | life
-}
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -11,6 +11,7 @@
 use super::injected_faults::FaultInjection;
 use super::nodes::QuerierNode;
 use super::{BEGIN, THREADS, World};
+use crate::event_queue::EventQueue;
 use crate::mock_backends::{MockBackends, ZONES};
 use crate::net::Net;
 use crate::rules::Rules;
@@ -33,8 +34,7 @@
     pub fn new(spec: &Spec, control_plane: ControlPlaneSetup, queriers: usize, seed: u64) -> Self {
         let mut world = Self {
             now: BEGIN,
-            queue: BTreeMap::new(),
-            next: 0,
+            queue: EventQueue::default(),
             random: Random::new(seed),
             net: Net::default(),
             controllers: Vec::new(),
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -40,8 +40,7 @@
         }
         let gap = self.gap(kind);
         self.push(gap, ScheduledEvent::NewCall { kind });
-        self.next += 1;
-        let id = self.next;
+        let id = self.queue.next_number();
         let call_kind = &self.call_kinds[kind];
         let question = format!("{}-{id}", call_kind.search);
         let asked = Asked { question, key: call_kind.lookup.then(|| format!("key-{id}")) };
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -6,11 +6,11 @@
 use grebepath_core::protocol::message::Message;
 use grebepath_core::time::ms;
 
-use super::controllers::controller_connection;
 use super::events::ScheduledEvent;
 use super::faulty_variant::FaultyVariant;
 use super::nodes::has_voter_slot;
 use super::{BEGIN, World};
+use crate::connection_id::Opener;
 use crate::simulated_disk::{Health, Job};
 
 impl World {
@@ -42,12 +42,14 @@
                     self.push_at(at, ScheduledEvent::VoterFileDone { controller, life, token });
                 }
             }
-            Command::ToConnection { connection, message } if connection >> 63 == 1 => {
-                self.answer_controller(controller, connection, message);
-            }
-            Command::ToConnection { connection, message } => {
-                self.answer_querier(controller, connection, message);
-            }
+            Command::ToConnection { connection, message } => match Opener::of(connection) {
+                Opener::Controller { number, life } => {
+                    self.answer_controller(controller, number, life, message);
+                }
+                Opener::Querier { number, life } => {
+                    self.answer_querier(controller, number, life, message);
+                }
+            },
             Command::AppendRecord { partition: part, token, rec } => {
                 self.start_disk_job(controller, part, token, Job::Append(rec))
             }
@@ -72,9 +74,8 @@
     }
 
     /// A controller answers another on the connection that the other opened.
-    fn answer_controller(&mut self, controller: usize, connection: u64, message: Message) {
+    fn answer_controller(&mut self, controller: usize, to: usize, life: u64, message: Message) {
         self.net.record("controller-controller", &message);
-        let (to, life) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
         let from = self.controllers[controller].endpoint(controller);
         let receiver = self.controllers[to].endpoint(to);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
@@ -85,9 +86,8 @@
     }
 
     /// A controller sends to a querier on the connection that the querier opened.
-    fn answer_querier(&mut self, controller: usize, connection: u64, message: Message) {
+    fn answer_querier(&mut self, controller: usize, querier: usize, life: u64, message: Message) {
         self.net.record("controller-querier", &message);
-        let (querier, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
         let from = self.controllers[controller].endpoint(controller);
         let receiver = self.queriers[querier].endpoint(querier);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
@@ -118,7 +118,7 @@
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         let Some(at) = at else { return };
         let node = &self.controllers[controller];
-        let connection = controller_connection(controller, node.life);
+        let connection = Opener::Controller { number: controller, life: node.life }.connection();
         let event = if has_voter_slot(node) {
             CoreEvent::FromVoter {
                 slot: node.state.slot,
--- a/crates/simulator/src/world/controller_disks.rs
+++ b/crates/simulator/src/world/controller_disks.rs
@@ -7,6 +7,7 @@
 use super::World;
 use super::events::ScheduledEvent;
 use super::faulty_variant::FaultyVariant;
+use crate::controller_start::{disk_event, voter_file_event};
 use crate::simulated_disk::{Health, Job};
 
 impl World {
@@ -16,15 +17,10 @@
         if disk.health == Health::Stalled {
             return;
         }
-        let event = match disk.finish_job(part, token) {
-            Some(Ok(())) => CoreEvent::Synced { partition: part, token },
-            Some(Err(error)) => CoreEvent::DiskFailed { partition: part, why: error.to_string() },
-            None => return,
-        };
+        let Some(result) = disk.finish_job(part, token) else { return };
+        let event = disk_event(part, token, result);
         // The faulty variant has acknowledged it already.
-        if self.faulty_variant != Some(FaultyVariant::AcknowledgesBeforeSync)
-            || matches!(event, CoreEvent::DiskFailed { .. })
-        {
+        if self.faulty_variant != Some(FaultyVariant::AcknowledgesBeforeSync) || result.is_err() {
             self.step_controller(controller, event);
         }
     }
@@ -35,12 +31,8 @@
         if disk.health == Health::Stalled {
             return;
         }
-        let event = match disk.finish_voter_file(token) {
-            Some(Ok(())) => CoreEvent::VoterFileWritten { token },
-            Some(Err(error)) => CoreEvent::VoterFileFailed { why: error.to_string() },
-            None => return,
-        };
-        self.step_controller(controller, event);
+        let Some(result) = disk.finish_voter_file(token) else { return };
+        self.step_controller(controller, voter_file_event(token, result));
     }
 
     pub(super) fn start_disk_job(
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -4,11 +4,8 @@
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::{VoterSlot, partitions};
-use grebepath_core::protocol::message::{Message, ReplicaCondition};
+use grebepath_core::protocol::message::Message;
 use grebepath_core::random::Random;
-use grebepath_core::storage::reader::Found;
-use grebepath_core::storage::record::ReplicaState;
-use grebepath_core::storage::voter_file;
 use grebepath_core::storage::voter_file::Start;
 use grebepath_core::time::{BOOT, SECOND, Span, ms};
 
@@ -17,6 +14,8 @@
 use super::faulty_variant::FaultyVariant;
 use super::nodes::{ControllerNode, Stopping, has_voter_slot};
 use super::{BEGIN, World};
+use crate::connection_id::Opener;
+use crate::controller_start::Recovered;
 use crate::mock_backends::ZONES;
 use crate::simulated_disk::Disk;
 
@@ -59,41 +58,29 @@
             addr: address(controller),
         };
         let disk = &mut self.controllers[controller].disk;
-        let bare = disk.is_empty();
-        let (roll, clear) = voter_file::begin(disk.read_voter_file(), &start, bare, seed);
-        disk.put_voter_file(&roll, clear);
-        let found = disk.start();
-        let votes_after_loss =
-            self.faulty_variant == Some(FaultyVariant::VotesAfterDiskLoss) && bare && !start.first;
-        let list = found
-            .into_iter()
-            .map(|(part, found)| match found {
-                Found::Empty if votes_after_loss => {
-                    (part, ReplicaCondition::Voting, ReplicaState::default(), 0)
-                }
-                Found::Empty => (part, ReplicaCondition::Empty, ReplicaState::default(), 0),
-                Found::Damaged(why) => {
-                    *self.alarms.entry(format!("damaged: {why}")).or_default() += 1;
-                    (part, ReplicaCondition::Damaged, ReplicaState::default(), 0)
-                }
-                Found::Good { copy, .. } => (part, ReplicaCondition::Voting, copy, 0),
-            })
-            .collect();
+        let mut recovered = Recovered::read(disk, &start, seed);
+        for why in &recovered.damage {
+            *self.alarms.entry(format!("damaged: {why}")).or_default() += 1;
+        }
+        if self.faulty_variant == Some(FaultyVariant::VotesAfterDiskLoss)
+            && recovered.was_empty
+            && !start.first
+        {
+            recovered.vote_without_files();
+        }
         let node = &mut self.controllers[controller];
         node.life += 1;
         node.up = true;
         node.began = self.now;
         node.paused = 0;
         node.stopping = None;
-        node.state = ControllerState::new(roll, (&start.addr, &node.zone), list, seed, BOOT);
+        node.state = recovered.into_state(&start.addr, &node.zone, seed);
         let life = node.life;
         self.push(start_delay(seed, 50), ScheduledEvent::ControllerTimer { controller, life });
         // It dials its seeds and all whom it knows, who tell it the table.
+        let connection = Opener::Controller { number: controller, life }.connection();
         for to in self.connected_controllers(controller) {
-            self.announce_connection(
-                to,
-                CoreEvent::ConnectionOpened { connection: controller_connection(controller, life) },
-            );
+            self.announce_connection(to, CoreEvent::ConnectionOpened { connection });
         }
     }
 
@@ -219,11 +206,6 @@
     }
 }
 
-/// The connection that a controller's machine opens to others.
-pub(super) fn controller_connection(controller: usize, life: u64) -> u64 {
-    1 << 63 | (controller as u64) << 32 | life
-}
-
 pub(super) fn start_delay(seed: u64, limit: u64) -> Span {
     ms(1 + seed % limit)
 }
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -146,8 +146,7 @@
     }
 
     pub(super) fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
-        self.next += 1;
-        self.queue.insert((at, self.next), event);
+        self.queue.push(at, event);
     }
 
     /// Lets something follow after a while.
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -8,6 +8,7 @@
 
 use super::events::{FollowUp, ScheduledEvent};
 use super::{BEGIN, World};
+use crate::connection_id::Opener;
 
 /// How long a delayed message stays behind: longer than an election, so that a
 /// whole leadership passes in between.
@@ -166,8 +167,8 @@
             CoreEvent::FromVoter { message, .. } | CoreEvent::FromController { message } => {
                 (!is_heartbeat(message)).then_some(*controller)
             }
-            CoreEvent::FromConnection { connection, .. } if connection >> 63 == 1 => {
-                Some(*controller)
+            CoreEvent::FromConnection { connection, .. } => {
+                matches!(Opener::of(*connection), Opener::Controller { .. }).then_some(*controller)
             }
             _ => None,
         },
@@ -213,11 +214,9 @@
                 format!("{} from slot {seat} to controller {controller}", word(message))
             }
             CoreEvent::FromConnection { connection, message } => {
-                format!(
-                    "{} from controller {} to controller {controller}",
-                    word(message),
-                    connection << 1 >> 33
-                )
+                let (Opener::Controller { number, .. } | Opener::Querier { number, .. }) =
+                    Opener::of(*connection);
+                format!("{} from controller {} to controller {controller}", word(message), number)
             }
             CoreEvent::FromController { message } => {
                 format!("{} in answer to controller {controller}", word(message))
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -121,8 +121,7 @@
         let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
         self.rules.check_question(now - BEGIN, &name, question);
-        self.next += 1;
-        let run = self.next;
+        let run = self.queue.next_number();
         self.runs_by_attempt.insert(key, run);
         self.runs.insert(run, Run { key, leaf: name, sending });
         self.push(took, ScheduledEvent::LeafResponse { run });
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -5,6 +5,7 @@
 use grebepath_core::random::Random;
 use grebepath_core::time::{Tick, ms};
 
+use crate::event_queue::EventQueue;
 use crate::mock_backends::MockBackends;
 use crate::net::Net;
 use crate::rules::Rules;
@@ -42,8 +43,7 @@
 /// The world.
 pub struct World {
     pub now: Tick,
-    queue: BTreeMap<(Tick, u64), ScheduledEvent>,
-    next: u64,
+    queue: EventQueue<ScheduledEvent>,
     pub random: Random,
     pub net: Net,
     /// The controllers' machines, with a seat or without.
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -15,6 +15,7 @@
 use super::events::{FollowUp, QueryEngineId, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
 use super::{BEGIN, THREADS, World};
+use crate::connection_id::Opener;
 
 /// Between a node agent and the threads of its process: one way (us).
 pub(super) const THREAD_DELAY: Span = 20;
@@ -141,7 +142,8 @@
         let receiver = self.controllers[controller].endpoint(controller);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
-            let connection = ((querier as u64) << 32) | self.queriers[querier].life;
+            let connection =
+                Opener::Querier { number: querier, life: self.queriers[querier].life }.connection();
             let life = self.controllers[controller].life;
             self.push_at(
                 at,
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -14,6 +14,7 @@
 use super::events::{AttemptKey, FollowUp, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
 use super::{BEGIN, THREADS, World};
+use crate::connection_id::Opener;
 
 impl World {
     /// Starts a querier, which knows nothing.
@@ -46,7 +47,7 @@
         self.queriers[querier].up = false;
         self.queriers[querier].ready = false;
         self.queriers[querier].life += 1;
-        let connection = ((querier as u64) << 32) | life;
+        let connection = Opener::Querier { number: querier, life }.connection();
         for controller in 0..self.controllers.len() {
             let life = self.controllers[controller].life;
             self.push(
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -14,12 +14,7 @@
     /// Lets `span` pass.
     pub fn run(&mut self, span: Span) {
         let end = self.now + span;
-        while let Some(entry) = self.queue.first_entry() {
-            let at = entry.key().0;
-            if at > end {
-                break;
-            }
-            let event = entry.remove();
+        while let Some((at, event)) = self.queue.pop_until(end) {
             self.now = self.now.max(at);
             self.events += 1;
             self.handle(event);
