--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -96,6 +96,13 @@
         Some(*last)
     }
 
+    /// Ends all faults of the net.
+    pub fn heal(&mut self) {
+        self.blocked.clear();
+        self.loss_per_mille = 0;
+        self.extra_latency = 0;
+    }
+
     /// Separates two nodes, in both directions.
     pub fn partition(&mut self, a: Node, b: Node) {
         if a != b {
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -1,37 +1,37 @@
 //! Applies the steps of a scenario to the world.
 
 use grebepath_core::random::Random;
-use grebepath_core::time::{SECOND, ms};
+use grebepath_core::time::{SECOND, Span, ms};
 use serde_json::Value;
 
 use super::ScheduledFault;
-use super::values::{disk_health, leaf_mode, list_mode, named_nodes};
+use super::values::{Fleet, disk_health, leaf_mode, list_mode};
 use crate::mock_backends;
 use crate::mock_backends::{Alive, ListMode, Mode};
 use crate::net::Node;
 use crate::simulated_disk::Health;
 use crate::world::{self, FollowUp, World};
 
+/// How long a process is paused if the scenario does not say.
+const PAUSE_DEFAULT: Span = 5 * SECOND;
+
 impl World {
-    /// A trouble befalls the world.
+    /// Applies a fault, or another action of a scenario.
     pub fn apply_fault(&mut self, fault: &ScheduledFault) {
         let parameters = &fault.parameters;
-        let which = parameters["which"].as_u64().unwrap_or(0) as usize;
         let duration = parameters["for_s"].as_f64().map(|seconds| (seconds * SECOND as f64) as u64);
         match fault.action.as_str() {
-            "kill-seat" => {
-                self.kill_controller(which, parameters["power"].as_bool().unwrap_or(false));
-                if parameters["lose"].as_bool().unwrap_or(false) {
-                    self.controllers[which].disk.replace();
-                    self.lost_disks += 1;
-                }
-                if let Some(span) = duration {
-                    self.later(span, FollowUp::StartController(which));
-                }
+            "kill-seat" | "stop-seat" | "start-seat" | "pause-seat" | "disk" | "flip" => {
+                self.apply_to_controller(fault, duration);
             }
-            "stop-seat" => self.stop_controller(which, duration),
-            "start-seat" if !self.controllers[which].up => self.start_controller(which),
-            "start-seat" => {}
+            "kill-querier" | "stop-querier" | "pause-querier" => {
+                self.apply_to_querier(fault, duration);
+            }
+            "cut" | "heal" | "loss" | "slow-net" => self.apply_to_net(fault),
+            "drain" | "undrain" | "apply" | "patch" | "grow" | "storm" | "race" => {
+                self.apply_by_operator(fault);
+            }
+            "restart-all" => self.restart_all(parameters, duration),
             "add-seat" => {
                 self.add_controller(parameters["zone"].as_str());
             }
@@ -40,25 +40,33 @@
                 self.control_plane.seeds =
                     list.filter_map(|n| Some(n.as_u64()? as usize)).collect();
             }
-            "kill-querier" => {
-                self.kill_querier(which);
-                if let Some(span) = duration {
-                    self.later(span, FollowUp::StartQuerier(which));
+            "list" => self.backends.list_mode = list_mode(parameters).unwrap_or(ListMode::Good),
+            "add-leafs" => self.add_leafs(parameters),
+            "mend-all" => self.end_all_faults(parameters["factor"].as_f64().unwrap_or(self.factor)),
+            "load" => self.factor = parameters["factor"].as_f64().unwrap_or(1.0),
+            _ => self.apply_to_leafs(fault),
+        }
+    }
+
+    /// Applies a fault of one controller's machine.
+    fn apply_to_controller(&mut self, fault: &ScheduledFault, duration: Option<Span>) {
+        let parameters = &fault.parameters;
+        let which = parameters["which"].as_u64().unwrap_or(0) as usize;
+        match fault.action.as_str() {
+            "kill-seat" => {
+                self.kill_controller(which, parameters["power"].as_bool().unwrap_or(false));
+                if parameters["lose"].as_bool().unwrap_or(false) {
+                    self.controllers[which].disk.replace();
+                    self.lost_disks += 1;
                 }
-            }
-            "stop-querier" => {
-                self.stop_querier(which);
-                // It drains, ends, and is started again.
                 if let Some(span) = duration {
-                    self.later(span, FollowUp::StartQuerier(which));
+                    self.later(span, FollowUp::StartController(which));
                 }
             }
-            "restart-all" => self.restart_all(parameters, duration),
+            "stop-seat" => self.stop_controller(which, duration),
+            "start-seat" if !self.controllers[which].up => self.start_controller(which),
             "pause-seat" => {
-                self.controllers[which].paused = self.now + duration.unwrap_or(5 * SECOND)
-            }
-            "pause-querier" => {
-                self.queriers[which].paused = self.now + duration.unwrap_or(5 * SECOND)
+                self.controllers[which].paused = self.now + duration.unwrap_or(PAUSE_DEFAULT);
             }
             "disk" => {
                 if let Some(health) = disk_health(parameters) {
@@ -69,15 +77,42 @@
                 let mut random = Random::new(self.random.next_u64());
                 self.controllers[which].disk.flip_bit(&mut random);
             }
-            "cut" => self.partition_network(parameters),
-            "heal" => {
-                self.net.blocked.clear();
-                self.net.loss_per_mille = 0;
-                self.net.extra_latency = 0;
+            _ => {}
+        }
+    }
+
+    /// Applies a fault of one querier.
+    fn apply_to_querier(&mut self, fault: &ScheduledFault, duration: Option<Span>) {
+        let which = fault.parameters["which"].as_u64().unwrap_or(0) as usize;
+        match fault.action.as_str() {
+            "pause-querier" => {
+                self.queriers[which].paused = self.now + duration.unwrap_or(PAUSE_DEFAULT);
+                return;
             }
+            "stop-querier" => self.stop_querier(which),
+            _ => self.kill_querier(which),
+        }
+        // One that was asked to stop drains and ends before.
+        if let Some(span) = duration {
+            self.later(span, FollowUp::StartQuerier(which));
+        }
+    }
+
+    /// Applies a fault of the net, or ends all of them.
+    fn apply_to_net(&mut self, fault: &ScheduledFault) {
+        let parameters = &fault.parameters;
+        match fault.action.as_str() {
+            "cut" => self.partition_network(parameters),
             "loss" => self.net.loss_per_mille = parameters["per_mille"].as_u64().unwrap_or(10),
             "slow-net" => self.net.extra_latency = ms(parameters["ms"].as_u64().unwrap_or(20)),
-            "list" => self.backends.list_mode = list_mode(parameters).unwrap_or(ListMode::Good),
+            _ => self.net.heal(),
+        }
+    }
+
+    /// An operator asks for something.
+    fn apply_by_operator(&mut self, fault: &ScheduledFault) {
+        let parameters = &fault.parameters;
+        match fault.action.as_str() {
             "drain" => self.request_zone_state(parameters, true),
             "undrain" => self.request_zone_state(parameters, false),
             "apply" => {
@@ -96,17 +131,13 @@
                 let gap = ms(parameters["gap_ms"].as_u64().unwrap_or(20));
                 self.later(0, FollowUp::RequestStorm { left, gap });
             }
-            "race" => self.race(parameters["count"].as_u64().unwrap_or(8)),
-            "add-leafs" => self.add_leafs(parameters),
-            "mend-all" => self.end_all_faults(parameters["factor"].as_f64().unwrap_or(self.factor)),
-            "load" => self.factor = parameters["factor"].as_f64().unwrap_or(1.0),
-            _ => self.apply_to_leafs(fault),
+            _ => self.race(parameters["count"].as_u64().unwrap_or(8)),
         }
     }
 
     /// Everything ends and starts again; the seat `down` stays down, and those
     /// named by `lose` come back with empty disks.
-    pub(super) fn restart_all(&mut self, parameters: &Value, duration: Option<u64>) {
+    fn restart_all(&mut self, parameters: &Value, duration: Option<u64>) {
         let power = parameters["power"].as_bool().unwrap_or(false);
         let seat = |key: &str| {
             parameters[key].as_u64().map(|n| n as usize).filter(|n| *n < self.controllers.len())
@@ -142,7 +173,7 @@
     }
 
     /// New leafs on new machines for a service.
-    pub(super) fn add_leafs(&mut self, parameters: &Value) {
+    fn add_leafs(&mut self, parameters: &Value) {
         let now = self.now;
         let name = parameters["service"].as_str().unwrap_or_default();
         let Some(service) = self
@@ -165,9 +196,8 @@
     }
 
     /// All troubles end: from now on the fleet has 12 s to be whole again.
-    pub(super) fn end_all_faults(&mut self, factor: f64) {
-        self.net.blocked.clear();
-        (self.net.loss_per_mille, self.net.extra_latency) = (0, 0);
+    fn end_all_faults(&mut self, factor: f64) {
+        self.net.heal();
         self.backends.list_mode = ListMode::Good;
         self.factor = factor;
         for leaf in self.backends.leafs.values_mut() {
@@ -193,7 +223,7 @@
     }
 
     /// After `span` service has 12 s to be back.
-    pub(super) fn expect_recovery(&mut self, span: u64) {
+    fn expect_recovery(&mut self, span: u64) {
         let at = self.age() + span;
         self.rules.pending_restarts.push(crate::rules::RestartCheck { at, ..Default::default() });
         // The operator's patience is less than what is left of the 12 s.
@@ -201,35 +231,35 @@
         self.later(span + 6 * SECOND, FollowUp::ChangeAfterRestart { restart });
     }
 
-    pub(super) fn partition_network(&mut self, parameters: &Value) {
-        let (n, seats) = (self.queriers.len(), self.controllers.len());
+    fn partition_network(&mut self, parameters: &Value) {
+        let fleet = Fleet { controllers: self.controllers.len(), queriers: self.queriers.len() };
         let side = |key: &str| -> Vec<Node> {
             parameters[key]
                 .as_array()
                 .into_iter()
                 .flatten()
-                .filter_map(|v| v.as_str())
-                .flat_map(|word| named_nodes(word, n, seats))
+                .filter_map(Value::as_str)
+                .flat_map(|word| fleet.nodes_named(word))
                 .collect()
         };
         let (a, b) = (side("a"), side("b"));
-        for x in &a {
-            for y in b.iter().filter(|y| !a.contains(y)) {
+        for from in &a {
+            for to in b.iter().filter(|to| !a.contains(to)) {
                 if parameters["one_way"].as_bool().unwrap_or(false) {
-                    self.net.blocked.insert((*x, *y));
+                    self.net.blocked.insert((*from, *to));
                 } else {
-                    self.net.partition(*x, *y);
+                    self.net.partition(*from, *to);
                 }
             }
         }
     }
 
-    pub(super) fn request_zone_state(&mut self, parameters: &Value, on: bool) {
+    fn request_zone_state(&mut self, parameters: &Value, on: bool) {
         let zone = parameters["zone"].as_str().unwrap_or("a").to_string();
         self.submit(0, world::drain(&zone, on));
     }
 
-    pub(super) fn apply_to_leafs(&mut self, fault: &ScheduledFault) {
+    fn apply_to_leafs(&mut self, fault: &ScheduledFault) {
         let now = self.now;
         for name in self.selected_leafs(&fault.parameters) {
             let Some(leaf) = self.backends.leafs.get_mut(&name) else { continue };
@@ -264,7 +294,7 @@
         self.backends.list_changed(now);
     }
 
-    pub(super) fn selected_leafs(&self, parameters: &Value) -> Vec<String> {
+    fn selected_leafs(&self, parameters: &Value) -> Vec<String> {
         let fits = |key: &str, has: &str| parameters[key].as_str().is_none_or(|want| want == has);
         let mut list: Vec<String> = self
             .backends
--- a/crates/simulator/src/scenario/read.rs
+++ b/crates/simulator/src/scenario/read.rs
@@ -1,16 +1,16 @@
-//! Reads a scenario from JSON, with all findings at their places.
+//! Reads a scenario from JSON, with all diagnostics at their places.
 
 use grebepath_core::diagnostic::{Diagnostic, find};
 use serde_json::Value;
 
-use super::values::{disk_health, leaf_mode, list_mode, named_nodes};
+use super::values::{Fleet, disk_health, leaf_mode, list_mode};
 use super::{Scenario, ScheduledFault};
 use crate::files::FileError;
-use crate::spec::{self, SpecError};
+use crate::spec::{self, Spec, SpecError};
 use crate::world;
 
-/// The words for troubles, each with the fields it may have beside `at_s`.
-pub(super) const ACTIONS: &[(&str, &[&str])] = &[
+/// The actions of scenarios, each with the fields it may have beside `at_s`.
+const ACTIONS: &[(&str, &[&str])] = &[
     ("kill-seat", &["which", "for_s", "power", "lose"]),
     ("stop-seat", &["which", "for_s"]),
     ("kill-querier", &["which", "for_s"]),
@@ -46,55 +46,40 @@
     ("load", &["factor"]),
 ];
 
-/// Reads a scenario. `load` fetches a deployment's files by name.
-pub fn read(
-    text: &[u8],
-    load: &dyn Fn(&str) -> Result<Value, FileError>,
-) -> Result<Scenario, Vec<Diagnostic>> {
+/// The fields of a scenario.
+const FIELDS: [&str; 10] = [
+    "name",
+    "seconds",
+    "queriers",
+    "factor",
+    "deployment",
+    "config",
+    "troubles",
+    "ages",
+    "seats",
+    "controllers",
+];
+
+/// Fetches a deployment's file by its name.
+pub type LoadFile<'a> = &'a dyn Fn(&str) -> Result<Value, FileError>;
+
+/// Reads a scenario, with all that is wrong with it.
+pub fn read(text: &[u8], load: LoadFile) -> Result<Scenario, Vec<Diagnostic>> {
     let mut diagnostics = Vec::new();
     let value: Value = match serde_json::from_slice(text) {
         Ok(value) => value,
         Err(e) => {
-            find(
-                &mut diagnostics,
-                format!("$:{}:{}", e.line(), e.column()),
-                format!("not JSON: {e}"),
-            );
+            let place = format!("$:{}:{}", e.line(), e.column());
+            find(&mut diagnostics, place, format!("not JSON: {e}"));
             return Err(diagnostics);
         }
     };
-    let known = [
-        "name",
-        "seconds",
-        "queriers",
-        "factor",
-        "deployment",
-        "config",
-        "troubles",
-        "ages",
-        "seats",
-        "controllers",
-    ];
     for key in value.as_object().into_iter().flat_map(|fields| fields.keys()) {
-        if !known.contains(&key.as_str()) {
-            find(&mut diagnostics, key, format!("unknown field; known are {}", known.join(", ")));
+        if !FIELDS.contains(&key.as_str()) {
+            find(&mut diagnostics, key, format!("unknown field; known are {}", FIELDS.join(", ")));
         }
     }
-    let name = value["deployment"].as_str().unwrap_or("mohalla");
-    let spec = load(&format!("{name}.standins.json"))
-        .map_err(SpecError::from)
-        .and_then(|value| spec::parse(&value));
-    let config = match value.get("config") {
-        Some(config) => Ok(config.clone()),
-        None => load(&format!("{name}.json")),
-    };
-    let errors = [
-        spec.as_ref().err().map(ToString::to_string),
-        config.as_ref().err().map(ToString::to_string),
-    ];
-    for error in errors.into_iter().flatten() {
-        find(&mut diagnostics, "deployment", error);
-    }
+    let deployment = load_deployment(&value, load, &mut diagnostics);
     let seconds = read_integer(&value, "seconds", 1, 86_400, &mut diagnostics);
     let queriers = read_integer(&value, "queriers", 1, 200, &mut diagnostics) as usize;
     let factor = value["factor"].as_f64().unwrap_or(1.0);
@@ -102,19 +87,9 @@
         find(&mut diagnostics, "factor", "expected a number from 0.001 to 100");
     }
     let control_plane = control_plane(&value, &mut diagnostics);
-    let listed = value["troubles"].as_array().into_iter().flatten();
-    let machines =
-        control_plane.machines + listed.filter(|fault| fault["do"] == "add-seat").count();
-    let mut faults = Vec::new();
-    for (i, fault) in value["troubles"].as_array().into_iter().flatten().enumerate() {
-        if let Some(fault) =
-            read_fault(&format!("troubles[{i}]"), fault, (queriers, machines), &mut diagnostics)
-        {
-            faults.push(fault);
-        }
-    }
-    match (spec, config) {
-        (Ok(spec), Ok(config)) if diagnostics.is_empty() => Ok(Scenario {
+    let faults = read_faults(&value, queriers, control_plane.machines, &mut diagnostics);
+    match deployment {
+        Some((spec, config)) if diagnostics.is_empty() => Ok(Scenario {
             name: value["name"].as_str().unwrap_or("unnamed").to_string(),
             seconds,
             queriers,
@@ -129,12 +104,44 @@
     }
 }
 
-/// The core: three controllers that are told their seats, unless the scenario
-/// says how many seats there are, or how many controllers.
-pub(super) fn control_plane(
+/// The spec of the leafs and the configuration that a scenario names.
+fn load_deployment(
     value: &Value,
+    load: LoadFile,
     diagnostics: &mut Vec<Diagnostic>,
-) -> world::ControlPlaneSetup {
+) -> Option<(Spec, Value)> {
+    let name = value["deployment"].as_str().unwrap_or("mohalla");
+    let spec = load(&format!("{name}.standins.json"))
+        .map_err(SpecError::from)
+        .and_then(|value| spec::parse(&value))
+        .map_err(|error| find(diagnostics, "deployment", error.to_string()));
+    let config = match value.get("config") {
+        Some(config) => Ok(config.clone()),
+        None => load(&format!("{name}.json"))
+            .map_err(|error| find(diagnostics, "deployment", error.to_string())),
+    };
+    Some((spec.ok()?, config.ok()?))
+}
+
+/// The faults of a scenario, in the order in which it lists them.
+fn read_faults(
+    value: &Value,
+    queriers: usize,
+    machines: usize,
+    diagnostics: &mut Vec<Diagnostic>,
+) -> Vec<ScheduledFault> {
+    let Some(list) = value["troubles"].as_array() else { return Vec::new() };
+    let added = list.iter().filter(|fault| fault["do"] == "add-seat").count();
+    let fleet = Fleet { queriers, controllers: machines + added };
+    let listed = list.iter().enumerate();
+    listed
+        .filter_map(|(i, fault)| read_fault(&format!("troubles[{i}]"), fault, fleet, diagnostics))
+        .collect()
+}
+
+/// The control plane: three controllers that are told their voter slots, unless the
+/// scenario says how many slots there are, or how many controllers.
+fn control_plane(value: &Value, diagnostics: &mut Vec<Diagnostic>) -> world::ControlPlaneSetup {
     if value.get("seats").is_none() && value.get("controllers").is_none() {
         return world::three_voters();
     }
@@ -151,7 +158,8 @@
     }
 }
 
-pub(super) fn read_integer(
+/// A whole number within bounds; the lower one if it is wrong.
+fn read_integer(
     value: &Value,
     key: &str,
     low: u64,
@@ -167,10 +175,11 @@
     }
 }
 
-pub(super) fn read_fault(
+/// Reads the fault at a place of the scenario.
+fn read_fault(
     at: &str,
     value: &Value,
-    (queriers, seats): (usize, usize),
+    fleet: Fleet,
     diagnostics: &mut Vec<Diagnostic>,
 ) -> Option<ScheduledFault> {
     let before = diagnostics.len();
@@ -180,7 +189,8 @@
         find(diagnostics, format!("{at}.do"), format!("expected one of {}", words.join(", ")));
         return None;
     };
-    let Some(at_s) = value["at_s"].as_f64().filter(|fault| (0.0..=86_400.0).contains(fault)) else {
+    let Some(at_s) = value["at_s"].as_f64().filter(|seconds| (0.0..=86_400.0).contains(seconds))
+    else {
         find(diagnostics, format!("{at}.at_s"), "expected a time in seconds");
         return None;
     };
@@ -189,13 +199,31 @@
             find(diagnostics, format!("{at}.{key}"), format!("`{action}` has no such field"));
         }
     }
-    if fields.contains(&"which") {
-        let top = if action.ends_with("querier") { queriers } else { seats };
-        if value["which"].as_u64().is_none_or(|n| n as usize >= top) {
+    check_values(at, &action, value, fleet, diagnostics);
+    (diagnostics.len() == before).then(|| ScheduledFault {
+        at_ms: (at_s * 1000.0) as u64,
+        action,
+        parameters: value.clone(),
+    })
+}
+
+/// Checks the values of a fault's fields.
+fn check_values(
+    at: &str,
+    action: &str,
+    value: &Value,
+    fleet: Fleet,
+    diagnostics: &mut Vec<Diagnostic>,
+) {
+    let has =
+        |field: &str| ACTIONS.iter().any(|known| known.0 == action && known.1.contains(&field));
+    if has("which") {
+        let top = if action.ends_with("querier") { fleet.queriers } else { fleet.controllers };
+        if value["which"].as_u64().is_none_or(|number| number as usize >= top) {
             find(diagnostics, format!("{at}.which"), format!("expected a number below {top}"));
         }
     }
-    if fields.contains(&"mode") && action == "leafs" && leaf_mode(value).is_none() {
+    if action == "leafs" && leaf_mode(value).is_none() {
         find(diagnostics, format!("{at}.mode"), "unknown mode of leafs");
     }
     if action == "list" && list_mode(value).is_none() {
@@ -206,21 +234,16 @@
     }
     if action == "cut" {
         for side in ["a", "b"] {
-            for n in value[side].as_array().into_iter().flatten() {
-                if n.as_str().is_none_or(|n| named_nodes(n, queriers, seats).is_empty()) {
-                    find(diagnostics, format!("{at}.{side}"), format!("{n} names no machine"));
+            for word in value[side].as_array().into_iter().flatten() {
+                if word.as_str().is_none_or(|word| fleet.nodes_named(word).is_empty()) {
+                    find(diagnostics, format!("{at}.{side}"), format!("{word} names no machine"));
                 }
             }
         }
     }
-    (diagnostics.len() == before).then(|| ScheduledFault {
-        at_ms: (at_s * 1000.0) as u64,
-        action,
-        parameters: value.clone(),
-    })
 }
 
-/// A trouble that a generator made, which is well formed.
+/// A fault that a generator made, which is well formed.
 pub fn generated_fault(value: &Value) -> ScheduledFault {
     ScheduledFault {
         at_ms: (value["at_s"].as_f64().unwrap_or(0.0) * 1000.0) as u64,
--- a/crates/simulator/src/scenario/values.rs
+++ b/crates/simulator/src/scenario/values.rs
@@ -1,4 +1,5 @@
-//! The values that steps of a scenario name: machines, modes of leafs and of the list, health of disks.
+//! The values that actions of a scenario name: machines, modes of leafs and of the
+//! platform's list, health of disks.
 
 use grebepath_core::time::ms;
 use serde_json::Value;
@@ -7,33 +8,47 @@
 use crate::net::Node;
 use crate::simulated_disk::Health;
 
-/// The machines that a word names.
-pub(super) fn named_nodes(word: &str, queriers: usize, machines: usize) -> Vec<Node> {
-    let controllers = (0..machines as u8).map(Node::Controller);
-    let queriers_named = (0..queriers).map(Node::Querier);
-    match word {
-        "list" => vec![Node::List],
-        "seats" => controllers.collect(),
-        "queriers" => queriers_named.collect(),
-        "all" => controllers.chain(queriers_named).chain([Node::List]).collect(),
-        _ => {
-            if let Some(zone) = word.strip_prefix("zone-") {
-                let Some(index) = ZONES.iter().position(|n| *n == zone) else { return Vec::new() };
-                let own = (0..queriers).filter(|querier| querier % 3 == index).map(Node::Querier);
-                return controllers.skip(index).step_by(ZONES.len()).chain(own).collect();
-            }
-            if let Some(n) = word.strip_prefix("seat").and_then(|n| n.parse::<u8>().ok()) {
-                let known = usize::from(n) < machines;
-                return if known { vec![Node::Controller(n)] } else { Vec::new() };
-            }
-            match word.strip_prefix('q').and_then(|n| n.parse::<usize>().ok()) {
-                Some(n) if n < queriers => vec![Node::Querier(n)],
-                _ => Vec::new(),
-            }
+/// How many machines there are.
+#[derive(Clone, Copy)]
+pub(super) struct Fleet {
+    pub controllers: usize,
+    pub queriers: usize,
+}
+
+impl Fleet {
+    /// The machines that a word names; none if it is no such word.
+    pub fn nodes_named(self, word: &str) -> Vec<Node> {
+        let controllers = (0..self.controllers as u8).map(Node::Controller);
+        let queriers = (0..self.queriers).map(Node::Querier);
+        match word {
+            "list" => return vec![Node::List],
+            "seats" => return controllers.collect(),
+            "queriers" => return queriers.collect(),
+            "all" => return controllers.chain(queriers).chain([Node::List]).collect(),
+            _ => {}
+        }
+        if let Some(zone) = word.strip_prefix("zone-") {
+            let Some(index) = ZONES.iter().position(|name| *name == zone) else {
+                return Vec::new();
+            };
+            let stride = ZONES.len();
+            return controllers
+                .skip(index)
+                .step_by(stride)
+                .chain(queriers.skip(index).step_by(stride))
+                .collect();
+        }
+        if let Some(number) = word.strip_prefix("seat").and_then(|n| n.parse::<u8>().ok()) {
+            return controllers.filter(|node| *node == Node::Controller(number)).collect();
+        }
+        match word.strip_prefix('q').and_then(|n| n.parse::<usize>().ok()) {
+            Some(number) => queriers.filter(|node| *node == Node::Querier(number)).collect(),
+            None => Vec::new(),
         }
     }
 }
 
+/// How leafs misbehave from now on.
 pub(super) fn leaf_mode(value: &Value) -> Option<Mode> {
     let span = ms(value["ms"].as_u64().unwrap_or(200));
     Some(match value["mode"].as_str()? {
@@ -54,6 +69,7 @@
     })
 }
 
+/// How the platform's list misbehaves from now on.
 pub(super) fn list_mode(value: &Value) -> Option<ListMode> {
     Some(match value["mode"].as_str()? {
         "good" => ListMode::Good,
@@ -65,6 +81,7 @@
     })
 }
 
+/// How a disk behaves from now on.
 pub(super) fn disk_health(value: &Value) -> Option<Health> {
     Some(match value["health"].as_str()? {
         "good" => Health::Good,
