--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -15,7 +15,9 @@
 use grebepath_core::time::SECOND;
 
 use crate::scenario::{Scenario, play_with_faults};
-use crate::world::{self, Fault, FaultInjection, FaultyVariant, InjectedFault, World};
+use crate::world::{
+    self, Fault, FaultInjection, FaultyVariant, InjectedFault, OperatorRequest, World,
+};
 
 /// What is explored.
 pub struct Scope {
@@ -142,7 +144,7 @@
         wrong.push("not all voter slots are held by replicas that vote".into());
         return wrong;
     }
-    let last = world.submit(0, world::marked(world.operator_requests.len()));
+    let last = world.submit(0, OperatorRequest::marked(world.operator_requests.len()));
     let accepted = |world: &World| {
         matches!(world.operator_requests[last].result, Some(OperationResult::Accepted { .. }))
     };
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -10,7 +10,7 @@
 use crate::mock_backends::{Alive, ListMode, Mode};
 use crate::net::Node;
 use crate::simulated_disk::Health;
-use crate::world::{self, FollowUp, World};
+use crate::world::{FollowUp, OperatorRequest, World};
 
 /// How long a process is paused if the scenario does not say.
 const PAUSE_DEFAULT: Span = 5 * SECOND;
@@ -112,19 +112,24 @@
     /// An operator asks for something.
     fn apply_by_operator(&mut self, fault: &ScheduledFault) {
         let parameters = &fault.parameters;
+        let zone = parameters["zone"].as_str().unwrap_or("a");
         match fault.action.as_str() {
-            "drain" => self.request_zone_state(parameters, true),
-            "undrain" => self.request_zone_state(parameters, false),
+            "drain" => {
+                self.submit(0, OperatorRequest::drain(zone));
+            }
+            "undrain" => {
+                self.submit(0, OperatorRequest::undrain(zone));
+            }
             "apply" => {
-                self.submit(0, world::whole(&parameters["config"]));
+                self.submit(0, OperatorRequest::replace(&parameters["config"]));
             }
             "patch" => {
-                self.submit(0, world::patch(&parameters["config"]));
+                self.submit(0, OperatorRequest::patch(&parameters["config"]));
             }
             "grow" => {
                 let pools = parameters["pools"].as_u64().unwrap_or(500);
                 let bytes = parameters["bytes"].as_u64().unwrap_or(2_000) as usize;
-                self.submit(0, world::grown(pools, bytes));
+                self.submit(0, OperatorRequest::add_pools(pools, bytes));
             }
             "storm" => {
                 let left = parameters["count"].as_u64().unwrap_or(50).max(1);
@@ -217,7 +222,7 @@
             }
         }
         for zone in mock_backends::ZONES {
-            self.submit(0, world::drain(zone, false));
+            self.submit(0, OperatorRequest::undrain(zone));
         }
         self.expect_recovery(0);
     }
@@ -254,11 +259,6 @@
         }
     }
 
-    fn request_zone_state(&mut self, parameters: &Value, on: bool) {
-        let zone = parameters["zone"].as_str().unwrap_or("a").to_string();
-        self.submit(0, world::drain(&zone, on));
-    }
-
     fn apply_to_leafs(&mut self, fault: &ScheduledFault) {
         let now = self.now;
         for name in self.selected_leafs(&fault.parameters) {
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -3,7 +3,7 @@
 use grebepath_core::time::{SECOND, ms};
 
 use super::Scenario;
-use crate::world::{self, World};
+use crate::world::{self, OperatorRequest, World};
 
 /// Runs a scenario to its end.
 pub fn play(scenario: &Scenario, seed: u64, faulty_variant: Option<world::FaultyVariant>) -> World {
@@ -61,7 +61,7 @@
         World::new(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
     world.faulty_variant = faulty_variant;
     world.backends.ages = scenario.ages;
-    world.submit(ms(200), world::whole(&scenario.config));
+    world.submit(ms(200), OperatorRequest::replace(&scenario.config));
     world.until(20 * SECOND, |world| {
         world.settled()
             && !world.operator_requests.is_empty()
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -23,6 +23,7 @@
 mod leafs;
 mod node_agents;
 mod nodes;
+mod operator_request;
 mod operators;
 mod queriers;
 mod query_engines;
@@ -35,10 +36,8 @@
 pub use faulty_variant::FaultyVariant;
 pub use injected_faults::{FAULTS, Fault, FaultInjection, InjectedFault};
 use nodes::{Call, Run};
-pub use nodes::{
-    CallOutcomes, ControllerNode, OperatorRequest, QuerierNode, Stopping, has_voter_slot,
-};
-pub use operators::{drain, grown, marked, patch, whole};
+pub use nodes::{CallOutcomes, ControllerNode, QuerierNode, Stopping, has_voter_slot};
+pub use operator_request::{OperatorRequest, ZoneChange};
 
 /// The world.
 pub struct World {
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -4,7 +4,6 @@
 
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::membership::node_agent::NodeAgent;
-use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::query::engine::QueryEngine;
 use grebepath_core::query::event::Sending;
 use grebepath_core::time::{Span, Tick};
@@ -79,22 +78,6 @@
     pub(super) began: Tick,
 }
 
-/// An operator's request on its way.
-pub struct OperatorRequest {
-    /// Its request id, if another order had it before: it is sent again.
-    pub request: Option<String>,
-    pub operation: Operation,
-    pub at: Tick,
-    pub controller: Option<usize>,
-    pub result: Option<OperationResult>,
-    /// Zone that it empties or fills.
-    pub zone: Option<(String, bool)>,
-    /// An object that only this order sets, to look for at the end.
-    pub marker: Option<String>,
-    /// The revision that the operator read before.
-    pub expect: Option<u64>,
-}
-
 /// What calls of a kind came to.
 #[derive(Default, Clone)]
 pub struct CallOutcomes {
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -4,12 +4,13 @@
 
 use grebepath_core::config::{change, types::Config};
 use grebepath_core::control_plane::controller::Event as CoreEvent;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::time::{SECOND, Span, ms};
-use serde_json::{Value, json};
+use serde_json::json;
 
 use super::events::ScheduledEvent;
-use super::nodes::{OperatorRequest, has_voter_slot};
+use super::nodes::has_voter_slot;
+use super::operator_request::{OperatorRequest, ZoneChange};
 use super::{BEGIN, THREADS, World};
 
 impl World {
@@ -31,7 +32,7 @@
         let seats: Vec<usize> = (0..self.controllers.len()).filter(fits).collect();
         for i in 0..count {
             let n = self.operator_requests.len();
-            let mut request = marked(n);
+            let mut request = OperatorRequest::marked(n);
             if i % 2 == 0 {
                 let Some(controller) = seats.get(self.random.below(seats.len() as u64) as usize)
                 else {
@@ -44,7 +45,7 @@
                     zones.push(json!({ "name": format!("mark-{n}"), "state": "open" }));
                 }
                 (request.operation, request.expect) =
-                    (whole(&val).operation, Some(part.committed_revision));
+                    (OperatorRequest::replace(&val).operation, Some(part.committed_revision));
             }
             self.submit(0, request);
         }
@@ -66,7 +67,7 @@
             self.operator_requests[id].at = self.now;
         }
         // Once filling is asked it may come to be before its outcome is told.
-        if let Some((zone, false)) = &self.operator_requests[id].zone {
+        if let Some(ZoneChange { zone, drained: false }) = &self.operator_requests[id].zone {
             self.rules.drained.remove(zone);
         }
         self.rules.note(self.now - BEGIN, || format!("order {id} sent to controller {controller}"));
@@ -107,18 +108,18 @@
                 back.accepted = Some(now);
             }
             let asked = self.operator_requests[id].at - BEGIN;
-            let zone = self.operator_requests[id].zone.clone().filter(|(zone, _)| {
-                let last = self.rules.zone_revisions.entry(zone.clone()).or_insert(0);
+            let zone = self.operator_requests[id].zone.clone().filter(|change| {
+                let last = self.rules.zone_revisions.entry(change.zone.clone()).or_insert(0);
                 let newer = *revision > *last;
                 *last = (*last).max(*revision);
                 newer
             });
             match zone {
-                Some((zone, true)) => {
+                Some(ZoneChange { zone, drained: true }) => {
                     let from = (asked + 5 * SECOND).max(now + 3 * SECOND);
                     self.rules.drained.insert(zone, from);
                 }
-                Some((zone, false)) => {
+                Some(ZoneChange { zone, drained: false }) => {
                     self.rules.drained.remove(&zone);
                 }
                 None => {}
@@ -185,54 +186,3 @@
         self.committed().zones.values().filter(|z| z.drained).map(|z| z.name.clone()).collect()
     }
 }
-
-/// An order that sets a whole configuration.
-pub fn whole(conf: &Value) -> OperatorRequest {
-    unmarked(Operation::Replace(conf.to_string().into_bytes()))
-}
-
-/// An order that changes some of it.
-pub fn patch(val: &Value) -> OperatorRequest {
-    unmarked(Operation::Patch(val.to_string().into_bytes()))
-}
-
-pub(super) fn unmarked(operation: Operation) -> OperatorRequest {
-    let request = None;
-    OperatorRequest {
-        request,
-        operation,
-        at: 0,
-        controller: None,
-        result: None,
-        zone: None,
-        marker: None,
-        expect: None,
-    }
-}
-
-/// An order that adds pools with much text: a large configuration.
-pub fn grown(pools: u64, bytes: usize) -> OperatorRequest {
-    let list: Vec<Value> = (0..pools)
-        .map(|i| {
-            json!({ "name": format!("spare-{i}"), "service": format!("spare-{i}"),
-                    "labels": { "note": "x".repeat(bytes) } })
-        })
-        .collect();
-    patch(&json!({ "pools": list }))
-}
-
-/// An order that empties or fills a zone.
-pub fn drain(zone: &str, on: bool) -> OperatorRequest {
-    let state = if on { "drained" } else { "open" };
-    let mut request = patch(&json!({ "zones": [{ "name": zone, "state": state }] }));
-    request.zone = Some((zone.to_string(), on));
-    request
-}
-
-/// An order whose trace can be looked for at the end.
-pub fn marked(n: usize) -> OperatorRequest {
-    let name = format!("mark-{n}");
-    let mut request = patch(&json!({ "zones": [{ "name": name, "state": "open" }] }));
-    request.marker = Some(name);
-    request
-}
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -7,7 +7,7 @@
 use grebepath_core::time::{SECOND, Span, Tick, ms};
 
 use super::events::{FollowUp, ScheduledEvent};
-use super::operators::marked;
+use super::operator_request::OperatorRequest;
 use super::{BEGIN, World};
 
 impl World {
@@ -198,6 +198,6 @@
 
     /// An operator asks for a change that can be looked for at the end.
     fn submit_marked(&mut self) -> usize {
-        self.submit(0, marked(self.operator_requests.len()))
+        self.submit(0, OperatorRequest::marked(self.operator_requests.len()))
     }
 }
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -7,7 +7,7 @@
 use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use grebepath_simulator::net::Node;
-use grebepath_simulator::world::{self, FollowUp, World};
+use grebepath_simulator::world::{FollowUp, OperatorRequest, World};
 
 /// Half of the time in which operators are promised an acknowledgement.
 const ACKNOWLEDGED_WITHIN: Span = ms(2_500);
@@ -44,7 +44,7 @@
 fn fleet(queriers: usize, seed: u64) -> World {
     let s = common::fleet("acknowledgement", queriers, 0.05);
     let mut world = World::new(&s.spec, s.control_plane.clone(), s.queriers, seed);
-    world.submit(ms(200), world::whole(&s.config));
+    world.submit(ms(200), OperatorRequest::replace(&s.config));
     let up = world.until(30 * SECOND, |world| {
         world.settled() && world.operator_requests.first().is_some_and(|o| o.result.is_some())
     });
@@ -105,13 +105,13 @@
     let n = world.operator_requests.len();
     let from = world.now + 100 * MILLI;
     let late = |span: i64| if span > 0 { ms(span as u64) } else { 0 };
-    world.submit(100 * MILLI + late(after), world::marked(n));
+    world.submit(100 * MILLI + late(after), OperatorRequest::marked(n));
     world.run(100 * MILLI + late(-after));
     apply_loss(&mut world, loss, &list);
     // Some more, so that one waits at every moment.
     for k in 1..4 {
         let n = world.operator_requests.len();
-        world.submit(ms(400 * k), world::marked(n));
+        world.submit(ms(400 * k), OperatorRequest::marked(n));
     }
     let began = world.now.max(from);
     world.run(TROUBLE + 4 * SECOND);
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -11,7 +11,7 @@
     Answer, AttemptNumber, Base, Effect, Recorder, Verdict, check,
 };
 use grebepath_simulator::scenario::Scenario;
-use grebepath_simulator::world::{self, World};
+use grebepath_simulator::world::{OperatorRequest, World};
 use serde_json::{Value, json};
 
 /// Zones by name with their states: what the history follows.
@@ -131,7 +131,7 @@
     write: Option<AttemptNumber>,
     lost: bool,
 ) -> usize {
-    let mut order = world::patch(&Value::Null);
+    let mut order = OperatorRequest::patch(&Value::Null);
     (order.request, order.operation, order.controller) = (request, operation, Some(machine));
     let sent = site.world.now;
     let order = site.world.submit(0, order);
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -7,7 +7,7 @@
 use grebepath_core::time::{SECOND, ms};
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
-use grebepath_simulator::world::{self, FaultyVariant, World};
+use grebepath_simulator::world::{self, FaultyVariant, OperatorRequest, World};
 use serde_json::{Value, json};
 
 fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
@@ -245,7 +245,7 @@
     sound("spare's operators", &s, |world, _| {
         let ask = |world: &mut World, spare: usize| {
             let n = world.operator_requests.len();
-            let mut order = world::marked(n);
+            let mut order = OperatorRequest::marked(n);
             order.controller = Some(spare);
             let id = world.submit(0, order);
             world.until(6 * SECOND, |world| world.operator_requests[id].result.is_some());
