--- a/crates/simulator/src/bin/scale_model.rs
+++ b/crates/simulator/src/bin/scale_model.rs
@@ -1,4 +1,4 @@
-//! Weighs what control costs at a size.
+//! Measures what the control plane costs at a size.
 
 use grebepath_simulator::scale_model::cli;
 
--- a/crates/simulator/src/chaos.rs
+++ b/crates/simulator/src/chaos.rs
@@ -1,5 +1,5 @@
-//! Troubles drawn by seed: alone, together, at any time, and one last fault;
-//! then all is mended and the fleet must be whole again.
+//! Faults drawn by seed: alone, together, at any time, and one last fault;
+//! then all faults end and the fleet must recover.
 
 use grebepath_core::random::Random;
 use serde_json::{Value, json};
@@ -7,22 +7,22 @@
 use crate::mock_backends::ZONES;
 use crate::scenario::{Scenario, ScheduledFault, generated_fault};
 
-/// A trouble at a time.
+/// An action at a time (s).
 pub fn at(at_s: f64, mut val: Value) -> Value {
     val["at_s"] = json!(at_s);
     val
 }
 
-/// Seconds before the end at which all is mended: 12 s to be back, and 3 s in
+/// Seconds before the end at which all faults end: 12 s to recover, and 3 s in
 /// which nearly all calls must be full.
 const RECOVERY_BEFORE_END: f64 = 16.0;
 /// Seconds that a lost or spoilt disk needs before another may be lost: a
 /// controller looks at all its files in 20 s.
 const DISK_GAP: f64 = 26.0;
-/// Seconds before the mending from which on no leafs are replaced: fresh ones
+/// Seconds before the recovery from which on no leafs are replaced: fresh ones
 /// bear too little, whatever we do.
 const FRESH_GAP: f64 = 12.0;
-/// How long a trouble may last at the most (s).
+/// How long a fault may last at the most (s).
 const SPAN: u64 = 8;
 
 /// What a draw may choose from.
@@ -37,10 +37,10 @@
     &list[random.below(list.len() as u64) as usize]
 }
 
-/// How many kinds of trouble there are.
+/// How many kinds of faults there are.
 const KINDS: u64 = 34;
 
-/// One trouble of the kind, with what ends it.
+/// One fault of the kind, with what ends it.
 fn draw(scene: &mut Scene, kind: u64) -> Vec<Value> {
     let (from, span) = (scene.from, scene.span);
     let machines = scene.scenario.control_plane.machines;
@@ -183,7 +183,7 @@
     }
 }
 
-/// A change to another cut of the index, where the deployment holds two.
+/// A change to another version of the index, where the deployment holds two.
 fn change_index_version(scene: &mut Scene) -> Vec<Value> {
     let plan = |cut: &str| {
         let text = format!(
@@ -196,7 +196,7 @@
     vec![at(scene.from, plan("w49")), at(scene.from + scene.span, plan("w48"))]
 }
 
-/// Whether troubles take what lies on a disk.
+/// Whether faults lose what lies on a disk.
 fn loses_disk(list: &[Value]) -> bool {
     list.iter().any(|fault| fault["do"] == "flip" || fault["lose"] == true)
 }
@@ -207,7 +207,7 @@
     list.iter().any(|fault| words.iter().any(|word| fault["do"] == *word))
 }
 
-/// Troubles at times, spans and overlaps drawn by the seed, then one last one,
+/// Faults at times, spans and overlaps drawn by the seed, then one last one,
 /// then the end of all of them.
 pub fn chaos(seed: u64, scenario: &Scenario) -> Vec<ScheduledFault> {
     let recovery_at = (scenario.seconds as f64 - RECOVERY_BEFORE_END).max(1.0);
@@ -229,7 +229,7 @@
         let kind = scene.random.below(KINDS + u64::from(two_cuts));
         let mut list =
             if kind == KINDS { change_index_version(&mut scene) } else { draw(&mut scene, kind) };
-        // Three copies bear the loss of one disk at a time.
+        // Three replicas tolerate the loss of one disk at a time.
         let late = scene.from + scene.span > recovery_at - FRESH_GAP;
         while (loses_disk(&list) && scene.from - lost_at < DISK_GAP)
             || (late && replaces_leafs(&list))
@@ -246,7 +246,7 @@
         }
     }
     let mut all: Vec<ScheduledFault> = all.iter().map(generated_fault).collect();
-    // Nothing may come after the end of all troubles.
+    // Nothing may come after the end of all faults.
     all.retain(|fault| (fault.at_ms as f64) < recovery_at * 1_000.0);
     all.push(generated_fault(&at(
         recovery_at,
@@ -255,7 +255,7 @@
     all
 }
 
-/// The fewest troubles that still fail, found by leaving out one after the
+/// The fewest faults that still fail, found by leaving out one after the
 /// other, larger runs of them first.
 pub fn shrink(
     all: &[ScheduledFault],
--- a/crates/simulator/src/exploration.rs
+++ b/crates/simulator/src/exploration.rs
@@ -1,4 +1,4 @@
-//! The command line's way to `grebepath_simulator::explore`.
+//! The flags of the command line for `grebepath_simulator::explore`.
 
 use grebepath_simulator::explore::{Failure, Pairs, Scope, explore, play_once};
 use grebepath_simulator::scenario::Scenario;
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -1,11 +1,11 @@
 //! Exploration: a scope is a short scenario that is played once for every fault
 //! at every event of the controllers within a window, and for pairs of them. The
-//! events of a play are the same up to its first deviation, so one deviation at a
+//! events of a play are the same up to its first injected fault, so one fault at a
 //! time is exhaustive; pairs are tried exhaustively or by a seeded sample.
 //!
 //! Every play is judged by the rules of all simulated runs (`crate::rules`) and
 //! must end with all voter slots held by replicas that vote, one state on all of
-//! them, and every order of the end accepted.
+//! them, and every request of the end accepted.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -49,11 +49,11 @@
     pub plays: usize,
     /// Plays that lost more than the scope tolerates.
     pub beyond: usize,
-    /// Plays that broke something; the fewest deviations first.
+    /// Plays that broke something; the fewest faults first.
     pub failures: Vec<Failure>,
 }
 
-/// A play that broke something. It can be played again by its deviations.
+/// A play that broke something. It can be played again by its injected faults.
 pub struct Failure {
     pub injected: Vec<InjectedFault>,
     pub story: Vec<String>,
@@ -121,7 +121,7 @@
     pub failure: Option<Failure>,
 }
 
-/// Plays a scope with these deviations.
+/// Plays a scope with these injected faults.
 pub fn play_once(scope: &Scope, injected: Vec<InjectedFault>) -> Played {
     let micros = |seconds: f64| (seconds * SECOND as f64) as u64;
     let window = (micros(scope.window.0), micros(scope.window.1));
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,4 +1,4 @@
-//! A whole fleet under a virtual clock: the daemons' own `step` functions
+//! A fleet under a virtual clock: the daemons' own state machines
 //! with seeded net, disks, leafs, list, callers and operators.
 
 pub mod chaos;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -10,7 +10,7 @@
 use grebepath_simulator::{report, world::World};
 use serde_json::json;
 
-/// Exit code when a promise was broken.
+/// Exit code when a rule was broken.
 const EXIT_BROKEN: i32 = 1;
 /// Exit code when the scenario or the command line is wrong.
 const EXIT_USAGE: i32 = 2;
@@ -133,14 +133,14 @@
     std::process::exit(if broken { EXIT_BROKEN } else { 0 });
 }
 
-/// The scenario with troubles drawn by the seed.
+/// The scenario with faults drawn by the seed.
 fn stirred(scenario: &Scenario, seed: u64) -> Scenario {
     let mut out = scenario.clone();
     out.faults.extend(grebepath_simulator::chaos::chaos(seed, scenario));
     out
 }
 
-/// Prints the fewest troubles that still break one of the promises that broke.
+/// Prints the fewest faults that still break one of the rules that broke.
 fn shrunk(scenario: &Scenario, seed: u64, world: &World) {
     let rules: Vec<u8> = world.rules.violation_counts.keys().copied().collect();
     let list = grebepath_simulator::chaos::shrink(&scenario.faults, |list| {
@@ -180,7 +180,7 @@
     }
 }
 
-/// Full, partial and all other ends of calls, and second tries.
+/// Full, partial and all other ends of calls, and retries.
 fn sums(world: &World) -> [u64; 4] {
     let (mut full, mut part, mut other) = (0, 0, 0);
     for fault in world.tallies.values() {
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -46,7 +46,7 @@
     pub addr: String,
     pub mode: Mode,
     pub alive: Alive,
-    /// Percent of what its service bears that this leaf bears.
+    /// Its capacity, as a percentage of its service's.
     pub strength: u32,
     pub leaving: bool,
     /// When the first of our nodes learned that it leaves.
@@ -55,7 +55,7 @@
     pub in_progress: u32,
     pub ran: u64,
     pub worst_pct: u32,
-    /// Dispatches that came when it had all it bears.
+    /// Attempts that came when it was at its capacity.
     pub over: u64,
     pub postmark: Option<String>,
 }
@@ -185,7 +185,7 @@
 }
 
 impl MockLeaf {
-    /// What a leaf bears at its age.
+    /// How many attempts the leaf bears at once at its age.
     pub fn capacity(&self, now: Tick) -> u32 {
         let (age, ramp) = (since(self.born, now), ms(self.service.ramp_ms));
         let full = (u64::from(self.service.bears) * u64::from(self.strength) / 100).max(1);
@@ -200,7 +200,7 @@
         since(self.born, now) < ms(self.service.ramp_ms)
     }
 
-    /// How long the leaf takes for a question that it begins now.
+    /// Time that the leaf takes for a question that it begins now.
     pub fn service_time(&self, now: Tick, random: &mut Random) -> Span {
         let base = ms(self.service.took_ms);
         let capacity = u64::from(self.capacity(now));
@@ -216,7 +216,7 @@
         base / 2 + random.below(base / 2 + 1) + over + extra
     }
 
-    /// Heads that every reply carries.
+    /// Headers that every response carries.
     pub fn headers(&self, now: Tick) -> Heads {
         let busy = (f64::from(self.in_progress) / f64::from(self.capacity(now))).min(1.0);
         Heads {
@@ -228,12 +228,12 @@
         }
     }
 
-    /// A reply without a run.
+    /// The response to an attempt that was not run.
     pub fn rejection(&self, now: Tick, status: u16) -> Raw {
         Raw { status, heads: Heads { unrun: true, ..self.headers(now) }, body: Vec::new() }
     }
 
-    /// The reply to a dispatch that was run.
+    /// The response to an attempt that was run.
     pub fn response(&mut self, now: Tick, sending: &Sending) -> Raw {
         let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
--- a/crates/simulator/src/oracle.rs
+++ b/crates/simulator/src/oracle.rs
@@ -1,4 +1,4 @@
-//! The records that a stand-in leaf has. They follow from the service, the
+//! The records that a mock leaf has. They follow from the service, the
 //! question and the key alone, so a checker can tell what any shard's true
 //! answer is without asking anyone.
 
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -6,7 +6,7 @@
 
 use grebepath_core::time::{SECOND, Tick, ms};
 
-/// A broken promise.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
     pub at: Tick,
@@ -21,7 +21,7 @@
     pub violation_counts: BTreeMap<u8, u64>,
     /// Lines of what happened lately, written out with a violation.
     pub recent_lines: VecDeque<String>,
-    /// Ring at the first violation.
+    /// The recent lines at the first violation.
     pub story: Vec<String>,
     /// Questions that callers asked.
     pub asked: BTreeSet<String>,
@@ -32,20 +32,20 @@
     /// The longest time after a newer configuration was accepted at which a
     /// call began that was answered by an old one.
     pub longest_staleness: Tick,
-    /// Highest revision each querier has obeyed, over all its lives.
+    /// Highest revision each querier has served by, over all its lives.
     pub obeyed: BTreeMap<usize, u64>,
-    /// What a part holds at a revision, as first seen by anyone.
+    /// Checksum of a partition at a revision, as first seen by anyone.
     pub replica_sums: BTreeMap<(u32, u64), u64>,
     /// Emptied zones, with the time from which they must get nothing.
     pub drained: BTreeMap<String, Tick>,
-    /// Revision of the last order about a zone whose outcome is known:
-    /// outcomes may be told in another order than they came to be.
+    /// Revision of the last request about a zone whose outcome is known:
+    /// outcomes may arrive in another order than they took effect.
     pub zone_revisions: BTreeMap<String, u64>,
     pub first_attempts: Vec<Tick>,
     pub retries: Vec<Tick>,
-    /// (query, service) pairs that were dispatched: the next is a second try.
+    /// (query, service) pairs that were dispatched: the next is a retry.
     pub attempted_services: HashSet<u64>,
-    /// Restarts after which service must be back.
+    /// Restarts after which service must recover.
     pub pending_restarts: Vec<RestartCheck>,
     /// Restarts that were judged, for the report.
     pub judged_restarts: Vec<RestartCheck>,
@@ -64,12 +64,12 @@
     /// accepted.
     pub order: Option<usize>,
     pub accepted: Option<Tick>,
-    /// Something else befell the fleet before service had to be back: then the
-    /// end of all troubles is judged, not this.
+    /// Something else happened to the fleet before it had to recover: then the
+    /// end of all faults is judged, not this.
     pub disturbed: bool,
 }
 
-/// Lines that the ring keeps.
+/// Recent lines that are kept (count).
 const RECENT_LINES: usize = 400;
 
 /// Violations that are kept with their text.
@@ -90,7 +90,7 @@
 const RECOVERED_PCT: u64 = 95;
 
 impl Rules {
-    /// Notes a line of the story.
+    /// Notes a line of what happened.
     pub fn note(&mut self, at: Tick, text: impl FnOnce() -> String) {
         if !self.story.is_empty() {
             return;
@@ -159,7 +159,7 @@
         }
     }
 
-    /// Rule 9: a querier takes a view; it must never go back.
+    /// Rule 9: a querier takes a snapshot; it must never go back.
     pub fn check_snapshot(&mut self, now: Tick, querier: usize, revision: u64) {
         let old = self.obeyed.entry(querier).or_insert(0);
         let was = *old;
@@ -170,7 +170,7 @@
         }
     }
 
-    /// Rule 12: a revision of a part is the same for everybody.
+    /// Rule 12: a revision of a partition is the same for everybody.
     pub fn check_replica(&mut self, now: Tick, part: u32, revision: u64, sum: u64) {
         let first = *self.replica_sums.entry((part, revision)).or_insert(sum);
         if first != sum {
@@ -212,7 +212,7 @@
         }
     }
 
-    /// A dispatch for a service of a query: the first of its kind, or a second try?
+    /// A dispatch for a service of a query: the first of its kind, or a retry?
     pub fn record_attempt(&mut self, now: Tick, id: &str, service: &str) {
         let query = id.rsplit_once('.').map_or(id, |q| q.0);
         let mut hash = DefaultHasher::new();
@@ -232,11 +232,11 @@
         }
     }
 
-    /// Rule 10, over any window of 10 s: the most second tries beyond a fifth of
+    /// Rule 10, over any window of 10 s: the most retries beyond a fifth of
     /// the first dispatches; also their greatest number in such a window.
     pub fn retry_excess(&self) -> (i64, usize) {
         let (mut worst, mut most) = (0i64, 0);
-        // The worst windows begin or end with a second try.
+        // The worst windows begin or end with a retry.
         let starts = self.retries.iter().copied();
         let ends = self.retries.iter().map(|t| (t + 1).saturating_sub(RETRY_WINDOW));
         for from in starts.chain(ends) {
@@ -307,8 +307,8 @@
         }
     }
 
-    /// Something befalls the fleet: a restart that is not yet over is no longer
-    /// the only trouble.
+    /// Something happens to the fleet: a restart that is not yet over is no longer
+    /// the only fault.
     pub fn disturb_recoveries(&mut self, now: Tick) {
         for restart in
             self.pending_restarts.iter_mut().filter(|restart| now < restart.at + 15 * SECOND)
--- a/crates/simulator/src/scale_model/fan_out.rs
+++ b/crates/simulator/src/scale_model/fan_out.rs
@@ -1,4 +1,4 @@
-//! What a query of many shards costs a front's own thread: the daemon's desk,
+//! What a query of many shards costs a querier's own thread: its query engine,
 //! its dispatches and the replies to them, without the connections to leafs.
 
 use std::fmt::Write;
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -1,4 +1,4 @@
-//! What is done with a hollow fleet, and what is read off it.
+//! What is done with the scale model, and what is measured.
 
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::time::{MILLI, SECOND, Span, Tick};
@@ -14,7 +14,7 @@
 /// Longest time that anything here may take before it is given up.
 const PATIENCE: Span = 60 * SECOND;
 
-/// Time that a front needs from its end to its next start.
+/// Time that a querier needs from its end to its next start.
 const RESTART: Span = SECOND;
 
 /// Time after a phase in which its last messages settle.
@@ -23,7 +23,7 @@
 /// What is to be measured.
 #[derive(Clone, Copy)]
 pub struct Measurements {
-    /// Length of the calm time that is measured.
+    /// Length of the idle time that is measured.
     pub idle: Span,
     /// The cost of single changes.
     pub single: bool,
@@ -34,12 +34,12 @@
 /// What one size came to.
 pub struct Findings {
     pub size: Size,
-    /// Time until all were whole after the first start.
+    /// Time until all were up after the first start.
     pub start: Option<Span>,
     pub start_sum: Totals,
     pub idle: Idle,
     pub events: Vec<(&'static str, Event)>,
-    /// Memory of this process when all were whole (bytes).
+    /// Memory of this process when all were up (bytes).
     pub resident_bytes: u64,
     pub alarms: u64,
 }
@@ -55,7 +55,7 @@
     pub probes: u64,
 }
 
-/// A calm time, and what is held meanwhile.
+/// An idle time, and the memory that state takes meanwhile.
 pub struct Idle {
     pub sum: Totals,
     /// State of the heaviest querier and controller (bytes).
@@ -74,7 +74,7 @@
     pub accepted: Option<Span>,
     /// When the last member was there.
     pub last: Option<Span>,
-    /// All that passed until then, and what a calm time of that length costs.
+    /// All that passed until then.
     pub sum: Totals,
 }
 
@@ -181,12 +181,12 @@
             })
         };
         let last = self.until(PATIENCE, holds);
-        // Its age is told after its first probe.
+        // Its age is known after its first probe.
         self.run(SETTLE);
         Event { accepted: None, last, sum: self.take(begin) }
     }
 
-    /// One more front, until it has its share and all know it.
+    /// One more querier, until it has its allocation and all know it.
     fn member_comes(&mut self) -> Event {
         self.reset();
         let begin = self.now;
@@ -197,7 +197,7 @@
         Event { accepted: None, last, sum: self.take(begin) }
     }
 
-    /// Fronts and controllers end at once and start again, until all is whole.
+    /// Queriers and controllers end at once and start again, until all are up.
     fn restart(&mut self, queriers: &[usize], seats: &[usize]) -> Event {
         self.reset();
         for querier in queriers {
--- a/crates/simulator/src/scale_model/mod.rs
+++ b/crates/simulator/src/scale_model/mod.rs
@@ -1,4 +1,4 @@
-//! A hollow fleet: the daemons' own owners at the size to design for, without
+//! The scale model: the daemons' own state machines at the size to design for, without
 //! callers and without threads. Every message is written and read in its real
 //! form, so what it costs is counted, not guessed.
 //!
--- a/crates/simulator/src/scale_model/report.rs
+++ b/crates/simulator/src/scale_model/report.rs
@@ -87,7 +87,7 @@
     total(o, &e.sum, &over(&e.sum, idle), members);
 }
 
-/// What passed beyond that of a calm time of the same length.
+/// What passed beyond an idle time of the same length.
 fn over(sum: &Totals, idle: &Totals) -> Totals {
     let part = |n: u64| (n as f64 * sum.span as f64 / idle.span.max(1) as f64) as u64;
     let mut out = sum.clone();
@@ -99,7 +99,7 @@
     out
 }
 
-/// The kinds that made most bytes beyond calm, and processor time in all.
+/// The kinds that made most bytes beyond idle, and processor time in all.
 fn total(o: &mut String, sum: &Totals, over: &Totals, members: usize) {
     let mut list: Vec<_> = over.traffic.iter().collect();
     list.sort_by_key(|(key, c)| (std::cmp::Reverse(c.bytes), **key));
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -1,4 +1,4 @@
-//! What happens to nodes, and what they do about it.
+//! Events of the scale model, and the commands that they cause.
 
 use std::rc::Rc;
 
@@ -350,7 +350,7 @@
                 }
             }
             node_agent::Command::Alarm(text) => *self.alarms.entry(text).or_default() += 1,
-            // What threads are told costs no message.
+            // What goes to threads costs no message.
             _ => {}
         }
     }
--- a/crates/simulator/src/scale_model/topology.rs
+++ b/crates/simulator/src/scale_model/topology.rs
@@ -1,4 +1,4 @@
-//! The plan of a hollow fleet: its zones, its leafs and its configuration.
+//! The topology of the scale model: zones, leafs and configuration.
 
 use grebepath_core::identifiers::VoterSlot;
 use grebepath_core::random::Random;
@@ -45,12 +45,12 @@
     format!("r{}-z{zone}", region(zone))
 }
 
-/// The zone in which a seat stands: each in a region of its own.
+/// The zone of a voter slot: each is in a region of its own.
 pub fn controller_zone(slot: VoterSlot) -> usize {
     usize::from(slot) * ZONES / REGIONS % ZONES + 1
 }
 
-/// Where a seat is reached.
+/// Where the controller of a voter slot is reached.
 pub fn controller_address(slot: usize) -> String {
     format!("10.100.0.{slot}:9000")
 }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -1,4 +1,4 @@
-//! The world of a hollow fleet: virtual time, nodes, and what passes.
+//! The world of the scale model: virtual time, nodes, and messages.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
@@ -47,9 +47,9 @@
 #[derive(Clone, Copy)]
 pub enum Sender {
     VoterSlot(VoterSlot),
-    /// A seat, on a connection that was opened to it.
+    /// A controller, on a connection that was opened to it.
     ConnectedController,
-    /// A front, and in which of its lives.
+    /// A querier, and in which of its lives.
     Querier(usize, u64),
 }
 
@@ -98,11 +98,11 @@
     pub results: BTreeMap<u64, (Tick, OperationResult)>,
     pub alarms: BTreeMap<String, u64>,
     last: HashMap<(usize, usize), Tick>,
-    /// Wires that each controller has seen opened, by its life.
+    /// Connections that each controller has seen opened, by its life.
     pub opened: HashSet<(usize, u64, u64)>,
 }
 
-/// Fronts that start together come within this time, as machines do.
+/// Queriers that start together come up within this time, as machines do.
 const SPREAD: Span = ms(1_000);
 
 /// The world's beginning.
@@ -150,7 +150,7 @@
         world
     }
 
-    /// A machine for one more front, which is down.
+    /// A machine for one more querier, which is down.
     pub fn add_querier(&mut self) -> usize {
         let querier = self.queriers.len();
         let zone = topology::zone(querier);
@@ -182,7 +182,7 @@
         querier
     }
 
-    /// Starts a front, which knows nothing.
+    /// Starts a querier, which knows nothing.
     pub fn start_querier(&mut self, querier: usize) {
         let node = &mut self.queriers[querier];
         node.life += 1;
@@ -194,7 +194,7 @@
         self.push(after, ScheduledEvent::QuerierTimer { querier, life });
     }
 
-    /// Ends a front at once.
+    /// Ends a querier at once.
     pub fn kill_querier(&mut self, querier: usize) {
         let life = self.queriers[querier].life;
         let node = &mut self.queriers[querier];
@@ -277,7 +277,7 @@
         done(self).then_some(self.now - begin)
     }
 
-    /// The revision of a part that the seats show.
+    /// The newest committed revision of a partition.
     pub fn committed_revision_of(&self, part: usize) -> u64 {
         self.controllers
             .iter()
@@ -287,7 +287,7 @@
             .unwrap_or(0)
     }
 
-    /// Whether every front that is up obeys the newest configuration, knows every
+    /// Whether every querier that is up serves by the newest configuration, knows every
     /// leaf, is ready, and has its settled place in the same membership, and every
     /// controller shows as much. Ages of leafs may still be under way.
     pub fn whole(&self) -> bool {
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -140,7 +140,7 @@
         }
     }
 
-    /// Everything ends and starts again; the seat `down` stays down, and those
+    /// All processes end and start again; the controller `down` stays down, and those
     /// named by `lose` come back with empty disks.
     fn restart_all(&mut self, parameters: &Value, duration: Option<u64>) {
         let power = parameters["power"].as_bool().unwrap_or(false);
@@ -200,7 +200,7 @@
         self.backends.list_changed(now);
     }
 
-    /// All troubles end: from now on the fleet has 12 s to be whole again.
+    /// All faults end: from now on the fleet has 12 s to recover.
     fn end_all_faults(&mut self, factor: f64) {
         self.net.heal();
         self.backends.list_mode = ListMode::Good;
@@ -227,7 +227,7 @@
         self.expect_recovery(0);
     }
 
-    /// After `span` service has 12 s to be back.
+    /// After `span` the fleet has 12 s to recover.
     fn expect_recovery(&mut self, span: u64) {
         let at = self.age() + span;
         self.rules.pending_restarts.push(crate::rules::RestartCheck { at, ..Default::default() });
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -16,13 +16,13 @@
 pub use play::{play, play_counting_messages, play_traced, play_with_faults};
 pub use read::{generated_fault, read};
 
-/// A whole scenario.
+/// A scenario.
 #[derive(Clone)]
 pub struct Scenario {
     pub name: String,
     pub seconds: u64,
     pub queriers: usize,
-    /// Times the spec's rates of calls.
+    /// Multiplies the spec's rates of calls.
     pub factor: f64,
     pub spec: Spec,
     pub config: Value,
@@ -32,7 +32,7 @@
     pub control_plane: world::ControlPlaneSetup,
 }
 
-/// One trouble, at its time.
+/// A fault, or another action, at its time.
 #[derive(Clone, Debug)]
 pub struct ScheduledFault {
     pub at_ms: u64,
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -10,7 +10,7 @@
     play_counting_messages(scenario, seed, faulty_variant, false)
 }
 
-/// `play`, with messages weighed from the moment the fleet has come up.
+/// `play`, with messages counted from the moment the fleet has come up.
 pub fn play_counting_messages(
     scenario: &Scenario,
     seed: u64,
@@ -39,7 +39,7 @@
     world
 }
 
-/// `play_deviating`, with the hash of all messages kept from the moment the fleet
+/// `play_with_faults`, with the hash of all messages kept from the moment the fleet
 /// has come up.
 pub fn play_traced(scenario: &Scenario, seed: u64, injected: world::FaultInjection) -> World {
     let mut world = come_up(scenario, seed, None);
--- a/crates/simulator/src/spec.rs
+++ b/crates/simulator/src/spec.rs
@@ -1,4 +1,4 @@
-//! A deployment of stand-ins: its services, and the searches its callers ask.
+//! A deployment of mock backends: its services, and the searches its callers ask.
 
 use serde_json::Value;
 
@@ -10,7 +10,7 @@
     pub name: String,
     pub cut: String,
     pub leafs: usize,
-    /// Dispatches a warm leaf bears at once.
+    /// Attempts that a warm leaf bears at once.
     pub bears: u32,
     /// Time a leaf takes for one question when it is not busy.
     pub took_ms: u64,
@@ -39,7 +39,7 @@
     pub service: String,
 }
 
-/// A whole deployment.
+/// A deployment.
 #[derive(Clone, Debug)]
 pub struct Spec {
     pub services: Vec<Service>,
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -17,15 +17,15 @@
 use crate::rules::Rules;
 use crate::spec::Spec;
 
-/// How the core is set up.
+/// How the control plane is set up.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneSetup {
     pub voter_slots: usize,
-    /// Machines that begin; those beyond `seats` are spares.
+    /// Machines that begin; those beyond the voter slots are spares.
     pub machines: usize,
-    /// Controllers are told their seats; else they find them.
+    /// Controllers are given their voter slots; else they find them.
     pub slots_assigned: bool,
-    /// The machines that a start is told of.
+    /// The machines that a starting controller knows.
     pub seeds: Vec<usize>,
 }
 
@@ -94,7 +94,7 @@
     }
 }
 
-/// The core of most scenarios: three machines that know their seats.
+/// The control plane of most scenarios: three machines with assigned voter slots.
 pub fn three_voters() -> ControlPlaneSetup {
     ControlPlaneSetup { voter_slots: 3, machines: 3, slots_assigned: true, seeds: vec![0, 1, 2] }
 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: what they ask, and what they are told.
+//! Callers: their calls, the responses, and the checks of these.
 
 use grebepath_core::http_api::caller;
 use grebepath_core::query::event as query_event;
--- a/crates/simulator/src/world/controller_disks.rs
+++ b/crates/simulator/src/world/controller_disks.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// Changes the health of a disk; a stall that ends lets the line go on.
+    /// Changes the health of a disk; after a stall the pending jobs go on.
     pub fn set_disk_health(&mut self, controller: usize, health: Health) {
         let was = std::mem::replace(&mut self.controllers[controller].disk.health, health);
         if was == Health::Stalled && health != Health::Stalled {
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -19,7 +19,7 @@
 use crate::mock_backends::ZONES;
 use crate::simulated_disk::Disk;
 
-/// From the wish that a controller stops to its end by force.
+/// Time from a request to stop to the forced end of the process.
 const STOP_GRACE: Span = 6 * SECOND;
 
 impl World {
@@ -77,7 +77,7 @@
         node.state = recovered.into_state(&start.addr, &node.zone, seed);
         let life = node.life;
         self.push(start_delay(seed, 50), ScheduledEvent::ControllerTimer { controller, life });
-        // It dials its seeds and all whom it knows, who tell it the table.
+        // It connects to its seeds and all known voters, which send it the voter set.
         let connection = Opener::Controller { number: controller, life }.connection();
         for to in self.connected_controllers(controller) {
             self.announce_connection(to, CoreEvent::ConnectionOpened { connection });
@@ -100,7 +100,7 @@
         self.push(ms(2), ScheduledEvent::ControllerEvent { controller: to, life, event });
     }
 
-    /// What a seat hears when seats go by tables of their own.
+    /// An event as a faulty voter sees it that counts by a voter set of its own.
     pub(super) fn as_seen_by_faulty_voter(
         &self,
         controller: usize,
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -65,7 +65,7 @@
         }
     }
 
-    /// One of our nodes is being told that a leaf leaves.
+    /// One of our nodes learns that a leaf is leaving.
     pub(super) fn learn(&mut self, leaf: &str) {
         let now = self.now;
         if let Some(leaf) = self.backends.leafs.get_mut(leaf)
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -113,7 +113,7 @@
     pub attempt: u64,
 }
 
-/// Later steps of troubles: restarts that follow a kill.
+/// What follows an earlier event, as the restart that follows a kill.
 #[derive(Clone, Copy)]
 pub enum FollowUp {
     StartController(usize),
@@ -128,13 +128,13 @@
         life: u64,
     },
     StartQuerier(usize),
-    /// A querier that is asked to stop ends once nothing is in hand.
+    /// A querier that is asked to stop ends once no query is in progress.
     EndDrainedQuerier(usize, u64),
     RequestStorm {
         left: u64,
         gap: Span,
     },
-    /// An operator's change that shows whether the core is back.
+    /// An operator's change that shows whether the control plane has recovered.
     ChangeAfterRestart {
         restart: usize,
     },
@@ -154,7 +154,7 @@
         self.push(after, ScheduledEvent::FollowUp { key });
     }
 
-    /// Plans the troubles of a scenario.
+    /// Schedules the faults of a scenario.
     pub fn plan(&mut self, faults: Vec<crate::scenario::ScheduledFault>) {
         self.faults = faults;
         for at in 0..self.faults.len() {
--- a/crates/simulator/src/world/faulty_variant.rs
+++ b/crates/simulator/src/world/faulty_variant.rs
@@ -1,43 +1,43 @@
-//! Variants that are broken on purpose, to see that a checker catches them.
+//! Faulty variants of the fleet, which show that each checker catches what it is for.
 
-/// A part of the fleet that is broken on purpose, to see a checker catch it.
+/// One way in which the fleet is faulty on purpose.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum FaultyVariant {
     /// Answers claim all planned shards.
     ClaimsAllShards,
     /// Answers name a shard twice.
     RepeatsShard,
-    /// Answers name another cut.
+    /// Answers name another index version.
     WrongIndexVersion,
     /// The first two records change places.
     MisordersRecords,
-    /// Dispatches carry another question, well signed.
+    /// Attempts carry another question, with a valid digest.
     AltersQuestion,
-    /// Queriers never hear that a leaf leaves.
+    /// Queriers never learn that a leaf is leaving.
     IgnoresLeavingLeafs,
-    /// Queriers never hear that a zone is emptied.
+    /// Queriers never learn that a zone is drained.
     IgnoresDrainedZones,
-    /// The threads of one querier keep their first view.
+    /// The threads of one querier keep their first snapshot.
     KeepsStaleSnapshot,
-    /// Restarted queriers begin with what they are first told.
+    /// Restarted queriers serve by the first configuration that they receive.
     RevertsConfiguration,
-    /// Every thread takes all of the retry rule's credit it likes.
+    /// Every thread retries as much as it likes.
     NoRetryBudget,
-    /// Every thread takes the whole of every leaf's allowance.
+    /// Every thread uses each leaf's allocation as if it were alone.
     NoAllocation,
-    /// Disks say yes before anything lasts.
+    /// Disks acknowledge writes before they last.
     AcknowledgesBeforeSync,
     /// Answers below quorum are sent as successes.
     SucceedsBelowQuorum,
-    /// Dispatches go out on new connections without asking who is there.
+    /// Attempts are sent on new connections without asking which leaf is there.
     NoIdentityCheck,
-    /// Members keep what leafs tell them to themselves and the core.
+    /// Members report to the controllers, not to each other, what leafs tell them.
     NoLeafReports,
-    /// Seats never look at their files again.
+    /// Controllers never scrub their files.
     NoScrub,
-    /// A lost disk's seat votes at once, as if it had never held anything.
+    /// A voter whose disk was lost votes at once.
     VotesAfterDiskLoss,
-    /// Seats count by a table of the seats of their own, whoever speaks under
+    /// Voters count by a voter set of their own, whoever speaks under
     /// whichever other.
     IgnoresOtherVoterSets,
     /// A controller that is asked to stop ends before its successor holds the data.
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -1,4 +1,4 @@
-//! Faults that strike at one numbered event of the controllers: a message that
+//! Faults that are injected at one numbered event of the controllers: a message that
 //! arrives at one, or a write that its disk finishes. `crate::explore` tries them
 //! all.
 
@@ -20,7 +20,7 @@
 /// How long a machine is down that comes back.
 const DOWN: Span = ms(300);
 
-/// What befalls an event or the controller that it reaches.
+/// What happens to an event or to the controller that it reaches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// The message is lost.
@@ -60,7 +60,7 @@
     pub fault: Fault,
 }
 
-/// The deviations of one play.
+/// The faults that are injected in one run.
 #[derive(Clone, Debug, Default)]
 pub struct FaultInjection {
     /// Time in the scenario (microseconds) from which and up to which events count.
@@ -76,7 +76,7 @@
 }
 
 impl World {
-    /// Applies the deviations that strike now; gives the event if it still happens.
+    /// Injects the faults that are due; gives the event if it still happens.
     pub(super) fn inject(&mut self, event: ScheduledEvent) -> Option<ScheduledEvent> {
         let (from, to) = self.injected.window;
         let at = self.now - BEGIN;
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -1,4 +1,4 @@
-//! Dispatches on their way to leafs and back.
+//! Attempts that are sent to leafs, and their replies.
 
 use grebepath_core::digest::digest;
 use grebepath_core::http_api::leaf::{Heads, MISDIRECTED, Raw, Trouble};
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -45,10 +45,10 @@
     queue: EventQueue<ScheduledEvent>,
     pub random: Random,
     pub net: Net,
-    /// The controllers' machines, with a seat or without.
+    /// The controllers' machines, with a voter slot or without.
     pub controllers: Vec<ControllerNode>,
     pub control_plane: ControlPlaneSetup,
-    /// Wires on which something came: (seat's machine, its life, connection).
+    /// Connections on which something came: (controller, its life, connection).
     opened_connections: BTreeSet<(usize, u64, u64)>,
     pub queriers: Vec<QuerierNode>,
     pub backends: MockBackends,
@@ -70,10 +70,10 @@
     pub calls_end_at: Tick,
     /// Callers call any querier that runs, ready or not.
     pub ignore_readiness: bool,
-    /// When the outcome of each order was told.
+    /// When each request was acknowledged.
     pub acknowledged_at: BTreeMap<usize, Tick>,
     pub alarms: BTreeMap<String, u64>,
-    /// Seats whose disks were lost, for the report.
+    /// How many disks were lost, for the report.
     pub lost_disks: u64,
     pub events: u64,
     /// Faults at numbered events of the controllers.
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -1,5 +1,5 @@
 //! What the node agents of queriers want done: messages to controllers and to each
-//! other, and news for the threads that answer queries.
+//! other, and updates for the threads that answer queries.
 
 use std::sync::Arc;
 
@@ -157,7 +157,7 @@
     }
 }
 
-/// Hides that leafs leave.
+/// Hides that leafs are leaving.
 fn hide_leaving(view: &mut ClusterView) {
     let hide = |leaf: &Arc<LeafInfo>| {
         let mut own = (**leaf).clone();
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! The machines of a world, and what is under way between them.
+//! The machines of a world, and what is in progress between them.
 
 use std::collections::BTreeMap;
 
@@ -62,14 +62,14 @@
     }
 }
 
-/// A dispatch that a leaf works on.
+/// An attempt that a leaf works on.
 pub(super) struct Run {
     pub(super) key: AttemptKey,
     pub(super) leaf: String,
     pub(super) sending: Sending,
 }
 
-/// A call on its way.
+/// A call that is in progress.
 pub(super) struct Call {
     pub(super) kind: usize,
     pub(super) asked: Asked,
@@ -78,7 +78,7 @@
     pub(super) began: Tick,
 }
 
-/// What calls of a kind came to.
+/// How the calls of a kind ended.
 #[derive(Default, Clone)]
 pub struct CallOutcomes {
     pub full: u64,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Whether this machine's controller has a seat.
+/// Whether this machine's controller has a voter slot.
 pub fn has_voter_slot(node: &ControllerNode) -> bool {
     node.state.slot != grebepath_core::voter_set::NOBODY
 }
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: their orders, how these end, and the checks of the end.
+//! Operators: what they ask for, how it ends, and the checks of the end.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 use super::{BEGIN, THREADS, World};
 
 impl World {
-    /// Sends an operator's order after a while.
+    /// Sends an operator's request after a while; gives its number.
     pub fn submit(&mut self, after: Span, order: OperatorRequest) -> usize {
         self.operator_requests.push(order);
         let id = self.operator_requests.len() - 1;
@@ -22,8 +22,8 @@
         id
     }
 
-    /// Operators send whole and partial changes at the same moment, to any seat.
-    /// Who sends a whole one has read the configuration and says which it was, so
+    /// Operators send replacements and patches at the same moment, to any voter.
+    /// Who sends a replacement has read the configuration and says which it was, so
     /// nothing that is accepted in between may be lost.
     pub fn race(&mut self, count: u64) {
         let fits = |controller: &usize| {
@@ -66,7 +66,7 @@
         if self.operator_requests[id].at == 0 {
             self.operator_requests[id].at = self.now;
         }
-        // Once filling is asked it may come to be before its outcome is told.
+        // Once opening is requested it may take effect before it is acknowledged.
         if let Some(ZoneChange { zone, drained: false }) = &self.operator_requests[id].zone {
             self.rules.drained.remove(zone);
         }
@@ -86,7 +86,7 @@
 
     pub(super) fn acknowledge(&mut self, id: usize, result: OperationResult) {
         if id >= self.operator_requests.len() {
-            // A request that a controller without a seat had handed on, and whose
+            // A request that a controller without a voter slot had forwarded, and whose
             // connection is gone: as in the daemon, nobody waits for the outcome.
             return;
         }
@@ -129,7 +129,7 @@
         self.operator_requests[id].result = Some(result);
     }
 
-    /// The configuration that most seats have committed.
+    /// The newest configuration that a voter has committed.
     pub fn committed(&self) -> Config {
         let best = self
             .running_voters()
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -81,7 +81,7 @@
         }
     }
 
-    /// Puts a wish to stop to a querier; it is down a moment after it drained.
+    /// Asks a querier to stop, as SIGTERM does; it ends once it has drained.
     pub fn stop_querier(&mut self, querier: usize) {
         let life = self.queriers[querier].life;
         self.push(
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Whether this querier's holding of a revision was compared already.
+    /// Whether this querier's copy of a revision was compared already.
     pub(super) fn already_compared(&mut self, querier: usize, part: u32, revision: u64) -> bool {
         let key = (1_000 + part + 100 * querier as u32, 0);
         self.rules.replica_sums.insert(key, revision) == Some(revision)
--- a/crates/simulator/src/world/query_engines.rs
+++ b/crates/simulator/src/world/query_engines.rs
@@ -11,7 +11,7 @@
 use super::node_agents::THREAD_DELAY;
 
 impl World {
-    /// A query engine's timer rings, unless it was set anew meanwhile.
+    /// A query engine's timer fires, unless it was set anew meanwhile.
     pub(super) fn wake_query_engine(&mut self, engine: QueryEngineId, at: Tick) {
         let wakes = &mut self.queriers[engine.querier].wakes[engine.thread];
         if *wakes == at {
