--- a/crates/simulator/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -10,7 +10,9 @@
 /// What a caller asked.
 #[derive(Clone, Debug)]
 pub struct Asked {
+    /// The question.
     pub question: String,
+    /// The key of a lookup.
     pub key: Option<String>,
 }
 
--- a/crates/simulator/src/connection_id.rs
+++ b/crates/simulator/src/connection_id.rs
@@ -12,9 +12,19 @@
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Opener {
     /// Another controller, and in which of its lives.
-    Controller { number: usize, life: u64 },
+    Controller {
+        /// Its number.
+        number: usize,
+        /// Its life.
+        life: u64,
+    },
     /// A querier, and in which of its lives.
-    Querier { number: usize, life: u64 },
+    Querier {
+        /// Its number.
+        number: usize,
+        /// Its life.
+        life: u64,
+    },
 }
 
 impl Opener {
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -21,24 +21,29 @@
 
 /// What is explored.
 pub struct Scope {
+    /// The scenario that is played.
     pub scenario: Scenario,
     /// The window in which faults strike, in seconds of the scenario.
     pub window: (f64, f64),
     /// The faults that are tried.
     pub faults: Vec<Fault>,
+    /// The seed of every run, and of the pairs that are drawn.
     pub seed: u64,
     /// How many replicas may be lost for good at once: a play that loses more is
     /// not judged.
     pub tolerates: usize,
+    /// The way in which the fleet is faulty on purpose.
     pub faulty_variant: Option<FaultyVariant>,
 }
 
 /// How pairs of faults are tried.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Pairs {
+    /// No pairs.
     None,
     /// So many pairs, drawn by the seed.
     Sampled(usize),
+    /// All pairs.
     All,
 }
 
@@ -46,6 +51,7 @@
 pub struct Report {
     /// Events of the controllers within the window when nothing strikes.
     pub events: u64,
+    /// Runs of the scenario.
     pub plays: usize,
     /// Plays that lost more than the scope tolerates.
     pub beyond: usize,
@@ -55,8 +61,11 @@
 
 /// A play that broke something. It can be played again by its injected faults.
 pub struct Failure {
+    /// The faults that were injected.
     pub injected: Vec<InjectedFault>,
+    /// What happened, to be read by people.
     pub story: Vec<String>,
+    /// What was broken.
     pub wrong: Vec<String>,
 }
 
@@ -118,6 +127,7 @@
     pub events: u64,
     /// It lost more replicas than the scope tolerates.
     pub beyond: bool,
+    /// What was broken, if anything was.
     pub failure: Option<Failure>,
 }
 
--- a/crates/simulator/src/files.rs
+++ b/crates/simulator/src/files.rs
@@ -7,10 +7,20 @@
 pub enum FileError {
     /// The file can't be read.
     #[error("{path}: {source}")]
-    Unreadable { path: String, source: std::io::Error },
+    Unreadable {
+        /// The file.
+        path: String,
+        /// Why it can't be read.
+        source: std::io::Error,
+    },
     /// The file holds something else than JSON.
     #[error("{path}: {source}")]
-    NotJson { path: String, source: serde_json::Error },
+    NotJson {
+        /// The file.
+        path: String,
+        /// Where and why it is no JSON.
+        source: serde_json::Error,
+    },
 }
 
 /// Reads a JSON file.
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -15,22 +15,39 @@
 /// How a leaf misbehaves.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Mode {
+    /// As it should be.
     Good,
+    /// Takes this much longer.
     Slow(Span),
+    /// Takes requests and never answers.
     Dark,
-    Pauses { every: Span, pause: Span },
+    /// Stands still for a while, again and again.
+    Pauses {
+        /// From one pause to the next.
+        every: Span,
+        /// How long a pause lasts.
+        pause: Span,
+    },
+    /// Answers with something that is no JSON.
     Garbage,
+    /// Answers with records in the wrong order.
     Disorder,
+    /// Answers without a postmark.
     NoPostmark,
+    /// Answers with two postmarks.
     TwoPostmarks,
+    /// Answers with the postmark of an earlier response.
     StalePostmark,
+    /// Answers for another index version.
     WrongCut,
+    /// Rejects every request before work.
     Unrun,
 }
 
 /// Whether a leaf's process and machine are there.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Alive {
+    /// The process runs.
     Up,
     /// The process is gone; its machine refuses connections.
     Down,
@@ -40,45 +57,66 @@
 
 /// A leaf.
 pub struct MockLeaf {
+    /// Its name in the list.
     pub name: String,
+    /// The service that it serves.
     pub service: Service,
+    /// The zone in which it stands.
     pub zone: String,
+    /// Where it listens.
     pub addr: String,
+    /// How it misbehaves.
     pub mode: Mode,
+    /// Whether it is there.
     pub alive: Alive,
     /// Its capacity, as a percentage of its service's.
     pub strength: u32,
+    /// Whether it says that it is leaving.
     pub leaving: bool,
     /// When the first of our nodes learned that it leaves.
     pub known_leaving: Option<Tick>,
+    /// When its process started.
     pub born: Tick,
+    /// Attempts that it works on.
     pub in_progress: u32,
+    /// Attempts that it ran, over all its time.
     pub ran: u64,
+    /// The most attempts at once, as a percentage of its capacity.
     pub worst_pct: u32,
     /// Attempts that came when it was at its capacity.
     pub over: u64,
+    /// The postmark of its last response.
     pub postmark: Option<String>,
 }
 
 /// All leafs, and the list as the platform shows it.
 pub struct MockBackends {
+    /// All leafs by their names.
     pub leafs: BTreeMap<String, MockLeaf>,
     /// Which leaf listens at an address.
     pub by_address: BTreeMap<String, String>,
+    /// The list as it was and will be shown, each from a time on.
     pub list_versions: Vec<(Tick, String)>,
+    /// How the list misbehaves.
     pub list_mode: ListMode,
     /// Whether leafs tell their age.
     pub ages: bool,
+    /// Time from a change until the list shows it.
     pub list_lag: Span,
+    /// The number of the next leaf.
     pub next: u64,
 }
 
 /// How the list misbehaves.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum ListMode {
+    /// As it should be.
     Good,
+    /// Answers without any leaf.
     Empty,
+    /// Answers with something that is no JSON.
     Garbage,
+    /// Never answers.
     Dead,
     /// Shows what it showed when it began to.
     Stale,
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -22,14 +22,18 @@
 /// A machine and the zone in which it stands.
 #[derive(Clone, Copy)]
 pub struct Endpoint<'a> {
+    /// The machine.
     pub node: Node,
+    /// Its zone.
     pub zone: &'a str,
 }
 
 /// Messages of a kind, and their bytes.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct MessageCount {
+    /// Messages (count).
     pub messages: u64,
+    /// Their encoded size (bytes).
     pub bytes: u64,
 }
 
@@ -49,6 +53,7 @@
     last_arrivals: BTreeMap<(Node, Node), Tick>,
     /// Messages that were sent, and those of them that were lost.
     pub sent: u64,
+    /// Messages that were lost.
     pub lost: u64,
     /// Messages by their kind and by who sends to whom, if they are counted.
     pub message_counts: Option<BTreeMap<String, MessageCount>>,
--- a/crates/simulator/src/oracle.rs
+++ b/crates/simulator/src/oracle.rs
@@ -11,8 +11,11 @@
 /// A record as the oracle knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Known {
+    /// Its id.
     pub id: String,
+    /// Its score.
     pub score: f64,
+    /// The service that holds it.
     pub service: String,
 }
 
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -9,15 +9,20 @@
 /// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
+    /// When, since the run began.
     pub at: Tick,
+    /// The number of the rule in `docs/rules.md`.
     pub rule: u8,
+    /// What happened.
     pub text: String,
 }
 
 /// What the checkers have noted.
 #[derive(Default)]
 pub struct Rules {
+    /// The first violations, with their texts.
     pub violations: Vec<Violation>,
+    /// How many violations there are of each rule.
     pub violation_counts: BTreeMap<u8, u64>,
     /// Lines of what happened lately, written out with a violation.
     pub recent_lines: VecDeque<String>,
@@ -41,7 +46,9 @@
     /// Revision of the last request about a zone whose outcome is known:
     /// outcomes may arrive in another order than they took effect.
     pub zone_revisions: BTreeMap<String, u64>,
+    /// When each first attempt was sent.
     pub first_attempts: Vec<Tick>,
+    /// When each retry was sent.
     pub retries: Vec<Tick>,
     /// (query, service) pairs that were dispatched: the next is a retry.
     pub attempted_services: HashSet<u64>,
@@ -55,14 +62,18 @@
 /// how many of each kind, and how many of them were answered in full.
 #[derive(Default)]
 pub struct RestartCheck {
+    /// When, since the run began.
     pub at: Tick,
+    /// Calls by kind.
     pub made: BTreeMap<String, u64>,
+    /// Calls by kind that were answered in full.
     pub full: BTreeMap<String, u64>,
     /// When the first full answer of each kind was given.
     pub first: BTreeMap<String, Tick>,
     /// A change that an operator asks for after the restart, and when it was
     /// accepted.
     pub order: Option<usize>,
+    /// When that change was accepted.
     pub accepted: Option<Tick>,
     /// Something else happened to the fleet before it had to recover: then the
     /// end of all faults is judged, not this.
--- a/crates/simulator/src/scale_model/fan_out.rs
+++ b/crates/simulator/src/scale_model/fan_out.rs
@@ -27,16 +27,23 @@
 /// What was found.
 #[derive(Default)]
 pub struct FanOut {
+    /// Shards of a query.
     pub shards: usize,
+    /// Threads that share the leafs.
     pub of: usize,
+    /// Queries that were measured.
     pub queries: u64,
+    /// Queries that were answered in full.
     pub full: u64,
+    /// Attempts that were sent.
     pub dispatches: u64,
     /// Bytes of all questions and replies, without heads.
     pub asked: u64,
+    /// Bytes of all replies.
     pub replied: u64,
     /// Processor time in asking and in taking replies (ns).
     pub ask_ns: u64,
+    /// Processor time in taking replies (ns).
     pub take_ns: u64,
 }
 
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -33,36 +33,50 @@
 
 /// What one size came to.
 pub struct Findings {
+    /// The size that was measured.
     pub size: Size,
     /// Time until all were up after the first start.
     pub start: Option<Span>,
+    /// What passed during the first start.
     pub start_sum: Totals,
+    /// What passed while nothing happened.
     pub idle: Idle,
+    /// Single events, and what each cost.
     pub events: Vec<(&'static str, Event)>,
     /// Memory of this process when all were up (bytes).
     pub resident_bytes: u64,
+    /// Alarms over the whole run.
     pub alarms: u64,
 }
 
 /// What passed in some time.
 #[derive(Clone, Default)]
 pub struct Totals {
+    /// Length of that time.
     pub span: Span,
+    /// Messages by link and kind.
     pub traffic: Traffic,
+    /// What each controller spent.
     pub controllers: Vec<Meter>,
+    /// What each querier spent.
     pub queriers: Vec<Meter>,
+    /// Polls of the platform's list.
     pub list_polls: Count,
+    /// Probes of leafs.
     pub probes: u64,
 }
 
 /// An idle time, and the memory that state takes meanwhile.
 pub struct Idle {
+    /// What passed.
     pub sum: Totals,
     /// State of the heaviest querier and controller (bytes).
     pub querier_state: usize,
+    /// State of the heaviest controller (bytes).
     pub controller_state: usize,
     /// Of these, one copy of what is stored.
     pub stored: usize,
+    /// The platform's list (bytes).
     pub list_bytes: usize,
     /// Processor time for a view of all leafs, made once more (ns).
     pub view_ns: u64,
--- a/crates/simulator/src/scale_model/meter.rs
+++ b/crates/simulator/src/scale_model/meter.rs
@@ -8,19 +8,24 @@
 /// Messages and their bytes.
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
 pub struct Count {
+    /// Messages (count).
     pub messages: u64,
+    /// Their encoded size (bytes).
     pub bytes: u64,
 }
 
 /// What one node spent since it was last reset.
 #[derive(Clone, Copy, Default)]
 pub struct Meter {
+    /// Messages that it sent.
     pub sent: Count,
+    /// Messages that it received.
     pub got: Count,
     /// Events that its owner took.
     pub steps: u64,
     /// Processor time in `step`, and in writing and reading messages (ns).
     pub step_ns: u64,
+    /// Processor time in encoding and decoding messages (ns).
     pub codec_ns: u64,
     /// What it gave to its disk (bytes), and in how many writes.
     pub disk: Count,
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -28,7 +28,7 @@
 
 impl World {
     /// Handles an event that is due.
-    pub fn handle(&mut self, event: ScheduledEvent) {
+    pub(super) fn handle(&mut self, event: ScheduledEvent) {
         if self.is_stale(&event) {
             return;
         }
--- a/crates/simulator/src/scale_model/topology.rs
+++ b/crates/simulator/src/scale_model/topology.rs
@@ -8,6 +8,7 @@
 
 /// Zones (count), and the regions they lie in (count): issue 11.
 pub const ZONES: usize = 14;
+/// Regions in which the zones lie (count).
 pub const REGIONS: usize = 5;
 /// Leafs that hold the same shard (count): 5,300 leafs over 1,300 shards.
 pub const LEAFS_A_SHARD: usize = 4;
@@ -26,7 +27,9 @@
 /// A size to measure.
 #[derive(Clone, Copy)]
 pub struct Size {
+    /// Queriers (count).
     pub members: usize,
+    /// Leafs (count).
     pub leafs: usize,
 }
 
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -26,7 +26,7 @@
 use crate::simulated_disk::Disk;
 
 /// What happens, and to whom. A life ends with its process.
-pub enum ScheduledEvent {
+pub(super) enum ScheduledEvent {
     ControllerTimer { controller: usize, life: u64 },
     ControllerMessage { controller: usize, life: u64, from: Sender, raw: Raw },
     ControllerEvent { controller: usize, life: u64, event: Box<st::Event> },
@@ -46,6 +46,7 @@
 /// Who sent a message.
 #[derive(Clone, Copy)]
 pub enum Sender {
+    /// The controller of a voter slot, on the connection that it opened.
     VoterSlot(VoterSlot),
     /// A controller, on a connection that was opened to it.
     ConnectedController,
@@ -55,11 +56,17 @@
 
 /// A controller.
 pub struct ControllerNode {
+    /// Its state machine.
     pub state: ControllerState,
+    /// Its disk.
     pub disk: Disk,
+    /// Whether its process runs.
     pub up: bool,
+    /// How often its process was started.
     pub life: u64,
+    /// When its process was started.
     pub began: Tick,
+    /// What it spent since it was last reset.
     pub meter: Meter,
     /// The last large message that was written: many get the same.
     pub last: Option<Raw>,
@@ -67,35 +74,54 @@
 
 /// A querier without traffic threads.
 pub struct QuerierNode {
+    /// How it names itself to other members.
     pub me: Member,
+    /// Its zone.
     pub zone: usize,
+    /// Its node agent.
     pub watch: NodeAgent,
+    /// Whether its process runs.
     pub up: bool,
+    /// How often its process was started.
     pub life: u64,
+    /// When its process was started.
     pub began: Tick,
+    /// Whether it says that it is ready.
     pub ready: bool,
+    /// Whether an answer of the platform's list is awaited.
     pub polling: bool,
+    /// What it spent since it was last reset.
     pub meter: Meter,
 }
 
 /// The world.
 pub struct World {
+    /// The virtual time.
     pub now: Tick,
+    /// The size of the fleet.
     pub size: Size,
     queue: EventQueue<ScheduledEvent>,
+    /// Draws latencies and seeds.
     pub random: Random,
+    /// The controllers, by voter slot.
     pub controllers: Vec<ControllerNode>,
+    /// The queriers.
     pub queriers: Vec<QuerierNode>,
+    /// Numbers of the queriers by their names.
     pub by_name: HashMap<String, usize>,
+    /// All leafs.
     pub leafs: Vec<LeafInfo>,
     /// The platform's list as it is served.
     pub list: Rc<String>,
+    /// Messages by link and kind.
     pub traffic: Traffic,
     /// Polls of the list and probes of leafs, which are not our messages.
     pub list_polls: Count,
+    /// Probes of leafs (count).
     pub probes: u64,
     /// Outcomes of operators' requests, with their times.
     pub results: BTreeMap<u64, (Tick, OperationResult)>,
+    /// Alarms by their texts.
     pub alarms: BTreeMap<String, u64>,
     last: HashMap<(usize, usize), Tick>,
     /// Connections that each controller has seen opened, by its life.
@@ -237,13 +263,13 @@
     }
 
     /// Lets something happen after a while.
-    pub fn push(&mut self, after: Span, event: ScheduledEvent) {
+    pub(super) fn push(&mut self, after: Span, event: ScheduledEvent) {
         let at = self.now + after;
         self.push_at(at, event);
     }
 
     /// Lets something happen at a time.
-    pub fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
+    pub(super) fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
         self.queue.push(at, event);
     }
 
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -19,24 +19,34 @@
 /// A scenario.
 #[derive(Clone)]
 pub struct Scenario {
+    /// Its name.
     pub name: String,
+    /// How long it lasts (s).
     pub seconds: u64,
+    /// Queriers (count).
     pub queriers: usize,
     /// Multiplies the spec's rates of calls.
     pub factor: f64,
+    /// The mock backends and callers.
     pub spec: Spec,
+    /// The configuration that the fleet begins with.
     pub config: Value,
+    /// What happens, at which time.
     pub faults: Vec<ScheduledFault>,
     /// Whether leafs tell their age.
     pub ages: bool,
+    /// How the control plane is set up.
     pub control_plane: world::ControlPlaneSetup,
 }
 
 /// A fault, or another action, at its time.
 #[derive(Clone, Debug)]
 pub struct ScheduledFault {
+    /// When, since the scenario began (ms).
     pub at_ms: u64,
+    /// The word that names the action.
     pub action: String,
+    /// The fields of the action.
     pub parameters: Value,
 }
 
--- a/crates/simulator/src/spec.rs
+++ b/crates/simulator/src/spec.rs
@@ -7,8 +7,11 @@
 /// One service and its leafs.
 #[derive(Clone, Debug)]
 pub struct Service {
+    /// Its name.
     pub name: String,
+    /// The index version that it serves.
     pub cut: String,
+    /// Leafs at the start (count).
     pub leafs: usize,
     /// Attempts that a warm leaf bears at once.
     pub bears: u32,
@@ -21,11 +24,17 @@
 /// One kind of call.
 #[derive(Clone, Debug)]
 pub struct Kind {
+    /// The search that is called.
     pub search: String,
+    /// Calls a second.
     pub per_s: f64,
+    /// The caller's deadline (ms).
     pub budget_ms: u64,
+    /// Records that the caller asks for (count).
     pub limit: usize,
+    /// Whether the call names a key and needs one shard.
     pub lookup: bool,
+    /// The part of the shards that a success needs.
     pub quorum: f64,
     /// The shards of each index version.
     pub shards: Vec<ShardService>,
@@ -34,15 +43,20 @@
 /// The service that holds a shard of an index version.
 #[derive(Clone, Debug)]
 pub struct ShardService {
+    /// The index version that it serves.
     pub cut: String,
+    /// The shard's name.
     pub shard: String,
+    /// The service that holds it.
     pub service: String,
 }
 
 /// A deployment.
 #[derive(Clone, Debug)]
 pub struct Spec {
+    /// Its services.
     pub services: Vec<Service>,
+    /// The kinds of calls.
     pub kinds: Vec<Kind>,
     /// How far the platform's list lags behind the truth.
     pub list_lag_ms: u64,
@@ -53,16 +67,29 @@
 pub enum SpecError {
     /// A field is missing, or is of another type.
     #[error("`{field}` is missing in {object}")]
-    Missing { field: String, object: Value },
+    Missing {
+        /// The field.
+        field: String,
+        /// What should have it.
+        object: Value,
+    },
     /// A field is not the list that it must be.
     #[error("`{field}` is no list")]
-    NotAList { field: String },
+    NotAList {
+        /// The field.
+        field: String,
+    },
     /// The file can't be read as JSON.
     #[error(transparent)]
     File(#[from] FileError),
     /// A file with a mistake in it.
     #[error("{path}: {source}")]
-    In { path: String, source: Box<SpecError> },
+    In {
+        /// The file.
+        path: String,
+        /// The mistake.
+        source: Box<SpecError>,
+    },
 }
 
 /// Reads a spec file. It is a tool's own input: the first mistake ends it.
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -20,6 +20,7 @@
 /// How the control plane is set up.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneSetup {
+    /// Voter slots (count).
     pub voter_slots: usize,
     /// Machines that begin; those beyond the voter slots are spares.
     pub machines: usize,
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -116,26 +116,36 @@
 /// What follows an earlier event, as the restart that follows a kill.
 #[derive(Clone, Copy)]
 pub enum FollowUp {
+    /// A controller's process is started.
     StartController(usize),
     /// A fault ends a controller's process.
     Fault {
+        /// The number of its machine.
         controller: usize,
+        /// What ends it.
         fault: Fault,
     },
     /// A controller that was asked to stop is ended by force.
     ForceStop {
+        /// The number of its machine.
         controller: usize,
+        /// The life that was asked to stop.
         life: u64,
     },
+    /// A querier's process is started.
     StartQuerier(usize),
     /// A querier that is asked to stop ends once no query is in progress.
     EndDrainedQuerier(usize, u64),
+    /// An operator asks for changes, one after the other.
     RequestStorm {
+        /// Changes that are left (count).
         left: u64,
+        /// Time between two changes.
         gap: Span,
     },
     /// An operator's change that shows whether the control plane has recovered.
     ChangeAfterRestart {
+        /// The number of the restart among those that are judged.
         restart: usize,
     },
 }
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -56,7 +56,9 @@
 /// A fault at an event, counted from the beginning of the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InjectedFault {
+    /// The number of the event.
     pub event: u64,
+    /// What happens to it.
     pub fault: Fault,
 }
 
@@ -65,6 +67,7 @@
 pub struct FaultInjection {
     /// Time in the scenario (microseconds) from which and up to which events count.
     pub window: (Tick, Tick),
+    /// The faults.
     pub list: Vec<InjectedFault>,
     /// Events of the window so far.
     pub seen: u64,
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -41,18 +41,26 @@
 
 /// The world.
 pub struct World {
+    /// The virtual time.
     pub now: Tick,
     queue: EventQueue<ScheduledEvent>,
+    /// Draws everything that is left to chance.
     pub random: Random,
+    /// The net between our processes.
     pub net: Net,
     /// The controllers' machines, with a voter slot or without.
     pub controllers: Vec<ControllerNode>,
+    /// How the control plane is set up.
     pub control_plane: ControlPlaneSetup,
     /// Connections on which something came: (controller, its life, connection).
     opened_connections: BTreeSet<(usize, u64, u64)>,
+    /// The queriers' machines.
     pub queriers: Vec<QuerierNode>,
+    /// The leafs and the platform's list.
     pub backends: MockBackends,
+    /// The kinds of calls.
     pub call_kinds: Vec<Kind>,
+    /// Multiplies the rates of calls.
     pub factor: f64,
     ready_queriers: Vec<usize>,
     runs: BTreeMap<u64, Run>,
@@ -60,9 +68,13 @@
     /// Who was found at the other end of each connection to a leaf.
     connections: BTreeMap<(QueryEngineId, String), String>,
     calls: BTreeMap<u64, Call>,
+    /// All operators' requests.
     pub operator_requests: Vec<OperatorRequest>,
+    /// The checkers.
     pub rules: Rules,
+    /// How calls ended, by search.
     pub tallies: BTreeMap<String, CallOutcomes>,
+    /// The way in which the fleet is faulty on purpose.
     pub faulty_variant: Option<FaultyVariant>,
     /// Set from a scenario: run when their time comes.
     pub faults: Vec<crate::scenario::ScheduledFault>,
@@ -72,9 +84,11 @@
     pub ignore_readiness: bool,
     /// When each request was acknowledged.
     pub acknowledged_at: BTreeMap<usize, Tick>,
+    /// Alarms by their texts.
     pub alarms: BTreeMap<String, u64>,
     /// How many disks were lost, for the report.
     pub lost_disks: u64,
+    /// Events that were handled (count).
     pub events: u64,
     /// Faults at numbered events of the controllers.
     pub injected: FaultInjection,
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -16,12 +16,19 @@
 
 /// A controller's machine.
 pub struct ControllerNode {
+    /// The zone in which it stands.
     pub zone: String,
+    /// How often its process was started or ended.
     pub life: u64,
+    /// Whether its process runs.
     pub up: bool,
+    /// Its state machine.
     pub state: ControllerState,
+    /// When its process was started.
     pub began: Tick,
+    /// Its disk.
     pub disk: Disk,
+    /// Until when its process is paused.
     pub paused: Tick,
     /// It was asked to stop.
     pub stopping: Option<Stopping>,
@@ -42,15 +49,24 @@
 
 /// A querier's machine.
 pub struct QuerierNode {
+    /// Its name as a member.
     pub name: String,
+    /// The zone in which it stands.
     pub zone: String,
+    /// How often its process was started or ended.
     pub life: u64,
+    /// Whether its process runs.
     pub up: bool,
+    /// Its node agent.
     pub watch: NodeAgent,
+    /// Its query engines, one a thread.
     pub desks: Vec<QueryEngine>,
     pub(super) wakes: Vec<Tick>,
+    /// When its process was started.
     pub began: Tick,
+    /// Whether it says that it is ready.
     pub ready: bool,
+    /// Until when its process is paused.
     pub paused: Tick,
     pub(super) polling: bool,
 }
@@ -81,11 +97,17 @@
 /// How the calls of a kind ended.
 #[derive(Default, Clone)]
 pub struct CallOutcomes {
+    /// Answered in full.
     pub full: u64,
+    /// Answered in part.
     pub partial: u64,
+    /// Rejected, by reason.
     pub rejected: BTreeMap<String, u64>,
+    /// Calls that found no querier, or whose querier ended.
     pub unreachable: u64,
+    /// Not answered before the deadline.
     pub timed_out: u64,
+    /// Times to the answers (us).
     pub latencies: Vec<u64>,
 }
 
