--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -15,9 +15,7 @@
 use grebepath_core::time::SECOND;
 
 use crate::scenario::{Scenario, play_with_faults};
-use crate::world::{
-    self, Fault, FaultInjection, FaultyVariant, InjectedFault, OperatorRequest, World,
-};
+use crate::world::{Fault, FaultInjection, FaultyVariant, InjectedFault, OperatorRequest, World};
 
 /// What is explored.
 pub struct Scope {
@@ -172,7 +170,7 @@
     let mut copies = world
         .controllers
         .iter()
-        .filter(|node| node.up && world::has_voter_slot(node))
+        .filter(|node| node.up && node.has_voter_slot())
         .map(|node| &node.state.partitions[0].copy);
     let Some(first) = copies.next() else { return false };
     copies.all(|copy| {
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -123,8 +123,12 @@
         let from = self.now;
         self.run(span);
         let sum = self.take(from);
-        let querier_state =
-            self.queriers.iter().map(|querier| memory::watch(&querier.watch)).max().unwrap_or(0);
+        let querier_state = self
+            .queriers
+            .iter()
+            .map(|querier| memory::watch(&querier.node_agent))
+            .max()
+            .unwrap_or(0);
         let controller_state = self
             .controllers
             .iter()
@@ -133,7 +137,7 @@
             .unwrap_or(0);
         let stored =
             self.controllers[0].state.partitions.iter().map(|p| memory::map(&p.committed)).sum();
-        let view_ns = self.queriers.first().map_or(0, |querier| view(&querier.watch));
+        let view_ns = self.queriers.first().map_or(0, |querier| view(&querier.node_agent));
         Idle { sum, querier_state, controller_state, stored, list_bytes: self.list.len(), view_ns }
     }
 
@@ -160,13 +164,12 @@
         let text = json!({ "zones": [{ "name": "mark", "state": "open" }] }).to_string();
         self.operate(op, Operation::Patch(text.into_bytes()));
         let old = self.committed_revision_of(0);
-        let obeys = |world: &World| {
-            world
-                .queriers
-                .iter()
-                .filter(|querier| querier.up)
-                .all(|querier| querier.watch.view.as_ref().is_some_and(|v| v.revision > old))
-        };
+        let obeys =
+            |world: &World| {
+                world.queriers.iter().filter(|querier| querier.up).all(|querier| {
+                    querier.node_agent.view.as_ref().is_some_and(|v| v.revision > old)
+                })
+            };
         let last = self.until(PATIENCE, obeys);
         self.until(PATIENCE, |world| world.results.contains_key(&op));
         let accepted = match self.results.get(&op) {
@@ -191,7 +194,7 @@
         self.list = std::rc::Rc::new(topology::list(&self.leafs));
         let holds = |world: &World| {
             world.queriers.iter().filter(|querier| querier.up).all(|querier| {
-                querier.watch.view.as_ref().is_some_and(|v| v.leafs.contains_key(&name))
+                querier.node_agent.view.as_ref().is_some_and(|v| v.leafs.contains_key(&name))
             })
         };
         let last = self.until(PATIENCE, holds);
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -6,7 +6,7 @@
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::control_plane::step as control_plane_step;
 use grebepath_core::http_api::list;
-use grebepath_core::identifiers::VoterSlot;
+use grebepath_core::identifiers::{PartitionId, VoterSlot};
 use grebepath_core::membership::node_agent;
 use grebepath_core::membership::step as membership_step;
 use grebepath_core::protocol::frame;
@@ -46,10 +46,10 @@
             ScheduledEvent::ControllerEvent { controller, event, .. } => {
                 self.step_controller(controller, *event);
             }
-            ScheduledEvent::DiskJobDone { controller, part, token, .. } => {
+            ScheduledEvent::DiskJobDone { controller, partition, token, .. } => {
                 let disk = &mut self.controllers[controller].disk;
-                let Some(result) = disk.finish_job(part, token) else { return };
-                self.step_controller(controller, disk_event(part, token, result));
+                let Some(result) = disk.finish_job(partition, token) else { return };
+                self.step_controller(controller, disk_event(partition, token, result));
             }
             ScheduledEvent::VoterFileDone { controller, token, .. } => {
                 let disk = &mut self.controllers[controller].disk;
@@ -196,19 +196,19 @@
             Command::ToConnection { connection, message } => {
                 self.answer(controller, Opener::of(connection), &message);
             }
-            Command::AppendRecord { partition: part, token, rec } => {
+            Command::AppendRecord { partition, token, rec } => {
                 add(&mut self.controllers[controller].meter.disk, writer::rec(0, 0, &rec).len());
-                self.job(controller, part, token, Job::Append(rec));
+                self.start_disk_job(controller, partition, token, Job::Append(rec));
             }
-            Command::WriteSnapshot { partition: part, token, copy } => {
+            Command::WriteSnapshot { partition, token, copy } => {
                 add(
                     &mut self.controllers[controller].meter.disk,
-                    writer::slot(part.0, 0, &copy).len(),
+                    writer::slot(partition.0, 0, &copy).len(),
                 );
-                self.job(controller, part, token, Job::Snapshot(copy));
+                self.start_disk_job(controller, partition, token, Job::Snapshot(copy));
             }
-            Command::Scrub { partition: part } => {
-                let event = Box::new(CoreEvent::Scrubbed { partition: part, trouble: None });
+            Command::Scrub { partition } => {
+                let event = Box::new(CoreEvent::Scrubbed { partition, trouble: None });
                 self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
             }
             Command::Respond { op, done } => {
@@ -278,23 +278,17 @@
         raw
     }
 
-    fn job(
-        &mut self,
-        controller: usize,
-        part: grebepath_core::identifiers::PartitionId,
-        token: u64,
-        job: Job,
-    ) {
+    fn start_disk_job(&mut self, controller: usize, partition: PartitionId, token: u64, job: Job) {
         let life = self.controllers[controller].life;
         let at = self.controllers[controller].disk.start_job(
             self.now,
-            part,
+            partition,
             token,
             job,
             &mut self.random,
         );
         if let Some(at) = at {
-            self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, part, token });
+            self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, partition, token });
         }
     }
 
@@ -302,8 +296,9 @@
         let node = &mut self.queriers[querier];
         let local = self.now - node.began + BOOT;
         node.meter.steps += 1;
-        let commands =
-            timed(&mut node.meter.step_ns, || membership_step::step(&mut node.watch, local, event));
+        let commands = timed(&mut node.meter.step_ns, || {
+            membership_step::step(&mut node.node_agent, local, event)
+        });
         for command in commands {
             self.run_querier_command(querier, command);
         }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -30,7 +30,7 @@
     ControllerTimer { controller: usize, life: u64 },
     ControllerMessage { controller: usize, life: u64, from: Sender, raw: Raw },
     ControllerEvent { controller: usize, life: u64, event: Box<st::Event> },
-    DiskJobDone { controller: usize, life: u64, part: PartitionId, token: u64 },
+    DiskJobDone { controller: usize, life: u64, partition: PartitionId, token: u64 },
     VoterFileDone { controller: usize, life: u64, token: u64 },
     QuerierTimer { querier: usize, life: u64 },
     QuerierMessage { querier: usize, life: u64, from: Sender, raw: Raw },
@@ -79,7 +79,7 @@
     /// Its zone.
     pub zone: usize,
     /// Its node agent.
-    pub watch: NodeAgent,
+    pub node_agent: NodeAgent,
     /// Whether its process runs.
     pub up: bool,
     /// How often its process was started.
@@ -191,12 +191,12 @@
             incarnation: 0,
         };
         self.by_name.insert(name, querier);
-        let watch = node_agent::watch(me.clone(), BOOT);
+        let node_agent = node_agent::watch(me.clone(), BOOT);
         let meter = Meter::default();
         let node = QuerierNode {
             me,
             zone,
-            watch,
+            node_agent,
             up: false,
             life: 0,
             began: 0,
@@ -214,7 +214,7 @@
         node.life += 1;
         (node.up, node.ready, node.polling, node.began) = (true, false, false, self.now);
         node.me.incarnation = node.life;
-        node.watch = node_agent::watch(node.me.clone(), BOOT);
+        node.node_agent = node_agent::watch(node.me.clone(), BOOT);
         let life = node.life;
         let after = self.random.below(qstep::WAKE);
         self.push(after, ScheduledEvent::QuerierTimer { querier, life });
@@ -225,7 +225,7 @@
         let life = self.queriers[querier].life;
         let node = &mut self.queriers[querier];
         (node.up, node.ready) = (false, false);
-        node.watch = node_agent::watch(node.me.clone(), BOOT);
+        node.node_agent = node_agent::watch(node.me.clone(), BOOT);
         let connection = Opener::Querier { number: querier, life }.connection();
         for controller in 0..self.controllers.len() {
             let event = Box::new(st::Event::ConnectionClosed { connection });
@@ -327,8 +327,8 @@
                 && leafs == self.leafs.len()
         };
         let whole = |querier: &QuerierNode| {
-            let c = &querier.watch.membership;
-            let view = querier.watch.view.as_ref();
+            let c = &querier.node_agent.membership;
+            let view = querier.node_agent.view.as_ref();
             querier.ready
                 && c.settled == c.turn
                 && c.members.len() == count
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -69,15 +69,15 @@
         for querier in 0..queriers {
             let zone = ZONES[querier % ZONES.len()].to_string();
             let name = format!("q{querier}");
-            let watch = node_agent::watch(member(&name, &zone, querier, 0), 1);
+            let node_agent = node_agent::watch(member(&name, &zone, querier, 0), 1);
             world.queriers.push(QuerierNode {
                 name,
                 zone,
                 life: 0,
                 up: false,
-                watch,
-                desks: Vec::new(),
-                wakes: Vec::new(),
+                node_agent,
+                query_engines: Vec::new(),
+                wake_at: Vec::new(),
                 began: 0,
                 ready: false,
                 paused: 0,
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -8,7 +8,6 @@
 
 use super::events::ScheduledEvent;
 use super::faulty_variant::FaultyVariant;
-use super::nodes::has_voter_slot;
 use super::{BEGIN, World};
 use crate::connection_id::Opener;
 use crate::simulated_disk::{Health, Job};
@@ -50,11 +49,11 @@
                     self.answer_querier(controller, number, life, message);
                 }
             },
-            Command::AppendRecord { partition: part, token, rec } => {
-                self.start_disk_job(controller, part, token, Job::Append(rec))
+            Command::AppendRecord { partition, token, rec } => {
+                self.start_disk_job(controller, partition, token, Job::Append(rec))
             }
-            Command::WriteSnapshot { partition: part, token, copy } => {
-                self.start_disk_job(controller, part, token, Job::Snapshot(copy))
+            Command::WriteSnapshot { partition, token, copy } => {
+                self.start_disk_job(controller, partition, token, Job::Snapshot(copy))
             }
             Command::Scrub { partition } => self.scrub(controller, partition),
             Command::Respond { op, done } => self.acknowledge(op as usize, done),
@@ -119,7 +118,7 @@
         let Some(at) = at else { return };
         let node = &self.controllers[controller];
         let connection = Opener::Controller { number: controller, life: node.life }.connection();
-        let event = if has_voter_slot(node) {
+        let event = if node.has_voter_slot() {
             CoreEvent::FromVoter {
                 slot: node.state.slot,
                 holder: node.state.seating.roll.me,
--- a/crates/simulator/src/world/controller_disks.rs
+++ b/crates/simulator/src/world/controller_disks.rs
@@ -12,13 +12,18 @@
 
 impl World {
     /// A disk has finished a job of a partition.
-    pub(super) fn finish_disk_job(&mut self, controller: usize, part: PartitionId, token: u64) {
+    pub(super) fn finish_disk_job(
+        &mut self,
+        controller: usize,
+        partition: PartitionId,
+        token: u64,
+    ) {
         let disk = &mut self.controllers[controller].disk;
         if disk.health == Health::Stalled {
             return;
         }
-        let Some(result) = disk.finish_job(part, token) else { return };
-        let event = disk_event(part, token, result);
+        let Some(result) = disk.finish_job(partition, token) else { return };
+        let event = disk_event(partition, token, result);
         // The faulty variant has acknowledged it already.
         if self.faulty_variant != Some(FaultyVariant::AcknowledgesBeforeSync) || result.is_err() {
             self.step_controller(controller, event);
@@ -38,20 +43,20 @@
     pub(super) fn start_disk_job(
         &mut self,
         controller: usize,
-        part: PartitionId,
+        partition: PartitionId,
         token: u64,
         job: Job,
     ) {
         let life = self.controllers[controller].life;
         let at = self.controllers[controller].disk.start_job(
             self.now,
-            part,
+            partition,
             token,
             job,
             &mut self.random,
         );
         if let Some(at) = at {
-            self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, part, token });
+            self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, partition, token });
         }
         if self.faulty_variant == Some(FaultyVariant::AcknowledgesBeforeSync) {
             self.push(
@@ -59,7 +64,7 @@
                 ScheduledEvent::ControllerEvent {
                     controller,
                     life,
-                    event: CoreEvent::Synced { partition: part, token },
+                    event: CoreEvent::Synced { partition, token },
                 },
             );
         }
@@ -70,12 +75,12 @@
         let was = std::mem::replace(&mut self.controllers[controller].disk.health, health);
         if was == Health::Stalled && health != Health::Stalled {
             let life = self.controllers[controller].life;
-            for (i, (part, token)) in
+            for (i, (partition, token)) in
                 self.controllers[controller].disk.pending_jobs().into_iter().enumerate()
             {
                 self.push(
                     ms(2 + i as u64),
-                    ScheduledEvent::DiskJobDone { controller, life, part, token },
+                    ScheduledEvent::DiskJobDone { controller, life, partition, token },
                 );
             }
             for token in self.controllers[controller].disk.pending_voter_files() {
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -12,7 +12,7 @@
 use super::build::address;
 use super::events::{FollowUp, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
-use super::nodes::{ControllerNode, Stopping, has_voter_slot};
+use super::nodes::{ControllerNode, Stopping};
 use super::{BEGIN, World};
 use crate::connection_id::Opener;
 use crate::controller_start::Recovered;
@@ -108,7 +108,7 @@
     ) -> Option<CoreEvent> {
         let core = &self.controllers[controller].state;
         if self.faulty_variant != Some(FaultyVariant::IgnoresOtherVoterSets)
-            || !has_voter_slot(&self.controllers[controller])
+            || !self.controllers[controller].has_voter_slot()
         {
             return Some(event);
         }
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -26,7 +26,7 @@
     DiskJobDone {
         controller: usize,
         life: u64,
-        part: PartitionId,
+        partition: PartitionId,
         token: u64,
     },
     VoterFileDone {
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -185,7 +185,7 @@
 /// that the others do not change.
 fn is_heartbeat(message: &Message) -> bool {
     matches!(message, Message::VoterAlive { .. })
-        || matches!(message, Message::Heartbeat { partition: part, .. } | Message::HeartbeatAck { partition: part, .. } if part.0 != 0)
+        || matches!(message, Message::Heartbeat { partition, .. } | Message::HeartbeatAck { partition, .. } if partition.0 != 0)
 }
 
 fn copied(event: &CoreEvent) -> Option<CoreEvent> {
@@ -226,8 +226,8 @@
             }
             _ => format!("an event of controller {controller}"),
         },
-        ScheduledEvent::DiskJobDone { controller, part, .. } => {
-            format!("a write of {part} on controller {controller}")
+        ScheduledEvent::DiskJobDone { controller, partition, .. } => {
+            format!("a write of {partition} on controller {controller}")
         }
         ScheduledEvent::VoterFileDone { controller, .. } => {
             format!("the voter set's write on controller {controller}")
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -36,7 +36,7 @@
 pub use faulty_variant::FaultyVariant;
 pub use injected_faults::{FAULTS, Fault, FaultInjection, InjectedFault};
 use nodes::{Call, Run};
-pub use nodes::{CallOutcomes, ControllerNode, QuerierNode, Stopping, has_voter_slot};
+pub use nodes::{CallOutcomes, ControllerNode, QuerierNode, Stopping};
 pub use operator_request::{OperatorRequest, ZoneChange};
 
 /// The world.
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -26,7 +26,7 @@
         let life = self.queriers[querier].life;
         match command {
             node_agent::Command::ToVoter { slot, message } => {
-                let table = &self.queriers[querier].watch.voter_set;
+                let table = &self.queriers[querier].node_agent.voter_set;
                 let Some(voter) = table.slots.get(usize::from(slot)) else { return };
                 let Some(controller) = self.machine(&voter.addr) else { return };
                 self.send_from_querier(querier, controller, message);
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -35,6 +35,11 @@
 }
 
 impl ControllerNode {
+    /// Whether its controller has a voter slot.
+    pub fn has_voter_slot(&self) -> bool {
+        self.state.slot != grebepath_core::voter_set::NOBODY
+    }
+
     /// The end of its connections, as the controller of this number.
     pub(super) fn endpoint(&self, number: usize) -> Endpoint<'_> {
         Endpoint { node: Node::Controller(number as u8), zone: &self.zone }
@@ -58,10 +63,10 @@
     /// Whether its process runs.
     pub up: bool,
     /// Its node agent.
-    pub watch: NodeAgent,
+    pub node_agent: NodeAgent,
     /// Its query engines, one a thread.
-    pub desks: Vec<QueryEngine>,
-    pub(super) wakes: Vec<Tick>,
+    pub query_engines: Vec<QueryEngine>,
+    pub(super) wake_at: Vec<Tick>,
     /// When its process was started.
     pub began: Tick,
     /// Whether it says that it is ready.
@@ -120,8 +125,3 @@
         self.queriers[querier].up && self.queriers[querier].life == life
     }
 }
-
-/// Whether this machine's controller has a voter slot.
-pub fn has_voter_slot(node: &ControllerNode) -> bool {
-    node.state.slot != grebepath_core::voter_set::NOBODY
-}
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -9,7 +9,6 @@
 use serde_json::json;
 
 use super::events::ScheduledEvent;
-use super::nodes::has_voter_slot;
 use super::operator_request::{OperatorRequest, ZoneChange};
 use super::{BEGIN, THREADS, World};
 
@@ -27,7 +26,7 @@
     /// nothing that is accepted in between may be lost.
     pub fn race(&mut self, count: u64) {
         let fits = |controller: &usize| {
-            self.controllers[*controller].up && has_voter_slot(&self.controllers[*controller])
+            self.controllers[*controller].up && self.controllers[*controller].has_voter_slot()
         };
         let seats: Vec<usize> = (0..self.controllers.len()).filter(fits).collect();
         for i in 0..count {
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -27,8 +27,9 @@
         node.paused = 0;
         node.polling = false;
         node.began = self.now;
-        node.watch = node_agent::watch(member(&node.name, &node.zone, querier, node.life), BOOT);
-        node.desks = (0..THREADS)
+        node.node_agent =
+            node_agent::watch(member(&node.name, &node.zone, querier, node.life), BOOT);
+        node.query_engines = (0..THREADS)
             .map(|thread| {
                 let name = format!("{}-{thread}-{:x}", node.name, node.life);
                 let mut desk = desk(&name, &node.zone, seed ^ u64::from(thread), BOOT);
@@ -36,7 +37,7 @@
                 desk
             })
             .collect();
-        node.wakes = vec![0; THREADS as usize];
+        node.wake_at = vec![0; THREADS as usize];
         let life = node.life;
         self.push(start_delay(seed, 50), ScheduledEvent::QuerierTimer { querier, life });
     }
@@ -92,7 +93,7 @@
 
     /// Ends a querier that was asked to stop, once no query is in progress.
     pub(super) fn end_drained_querier(&mut self, querier: usize, life: u64) {
-        if self.queriers[querier].desks.iter().any(|engine| !engine.queries.is_empty()) {
+        if self.queriers[querier].query_engines.iter().any(|engine| !engine.queries.is_empty()) {
             return self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
         }
         self.step_node_agent(querier, node_agent::Event::Drained);
@@ -116,7 +117,7 @@
     ) {
         let event = match message {
             Message::VoterSetUpdate { table, .. } => node_agent::Event::VoterSet(table),
-            message => match seat_of(&self.queriers[querier].watch.voter_set, holder) {
+            message => match seat_of(&self.queriers[querier].node_agent.voter_set, holder) {
                 Some(slot) => node_agent::Event::FromVoter { slot, message },
                 None => return,
             },
@@ -126,21 +127,21 @@
 
     pub(super) fn step_node_agent(&mut self, querier: usize, event: node_agent::Event) {
         let local = self.now - self.queriers[querier].began + BOOT;
-        let todo = membership_step::step(&mut self.queriers[querier].watch, local, event);
+        let todo = membership_step::step(&mut self.queriers[querier].node_agent, local, event);
         if self.faulty_variant == Some(FaultyVariant::RevertsConfiguration)
-            && self.queriers[querier].watch.configuration_revision > 0
+            && self.queriers[querier].node_agent.configuration_revision > 0
         {
-            self.queriers[querier].watch.is_caught_up = true;
+            self.queriers[querier].node_agent.is_caught_up = true;
         }
         for command in todo {
             self.run_node_agent_command(querier, command);
         }
-        let held = &self.queriers[querier].watch.partitions;
+        let held = &self.queriers[querier].node_agent.partitions;
         let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
         for (part, revision) in places {
             if revision > 0 && !self.already_compared(querier, part, revision) {
                 let sum = grebepath_core::replication::leader::sum(
-                    &self.queriers[querier].watch.partitions[&PartitionId(part)].entries,
+                    &self.queriers[querier].node_agent.partitions[&PartitionId(part)].entries,
                 );
                 self.rules.check_replica(self.now - BEGIN, part, revision, sum);
             }
--- a/crates/simulator/src/world/query_engines.rs
+++ b/crates/simulator/src/world/query_engines.rs
@@ -13,7 +13,7 @@
 impl World {
     /// A query engine's timer fires, unless it was set anew meanwhile.
     pub(super) fn wake_query_engine(&mut self, engine: QueryEngineId, at: Tick) {
-        let wakes = &mut self.queriers[engine.querier].wakes[engine.thread];
+        let wakes = &mut self.queriers[engine.querier].wake_at[engine.thread];
         if *wakes == at {
             *wakes = 0;
             self.step_query_engine(engine.querier, engine.thread, query_event::Event::Wake);
@@ -30,20 +30,23 @@
         let deaf = self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs);
         let node = &mut self.queriers[querier];
         if self.faulty_variant == Some(FaultyVariant::NoRetryBudget) {
-            grebepath_core::query::retry_budget::slack(&mut node.desks[thread].rule, 1_000_000);
+            grebepath_core::query::retry_budget::slack(
+                &mut node.query_engines[thread].rule,
+                1_000_000,
+            );
         }
-        let todo = step::step(&mut node.desks[thread], local, event);
+        let todo = step::step(&mut node.query_engines[thread], local, event);
         if deaf {
-            for leaf in node.desks[thread].leafs.values_mut() {
+            for leaf in node.query_engines[thread].leafs.values_mut() {
                 leaf.leaving = false;
             }
         }
         let (life, began) = (node.life, node.began);
-        if let Some(at) = progress::next(&node.desks[thread]) {
+        if let Some(at) = progress::next(&node.query_engines[thread]) {
             let at = (at + began).saturating_sub(BOOT).max(self.now + 1);
-            let known = node.wakes[thread];
+            let known = node.wake_at[thread];
             if known == 0 || at < known || known <= self.now {
-                node.wakes[thread] = at;
+                node.wake_at[thread] = at;
                 self.push_at(
                     at,
                     ScheduledEvent::QueryEngineTimer {
--- a/crates/simulator/src/world/status.rs
+++ b/crates/simulator/src/world/status.rs
@@ -3,13 +3,13 @@
 use grebepath_core::protocol::message::ReplicaCondition;
 use grebepath_core::time::{Span, Tick};
 
-use super::nodes::{ControllerNode, has_voter_slot};
+use super::nodes::ControllerNode;
 use super::{BEGIN, World};
 
 impl World {
     /// The machines that are up and have a seat.
     pub fn running_voters(&self) -> impl Iterator<Item = &ControllerNode> {
-        self.controllers.iter().filter(|node| node.up && has_voter_slot(node))
+        self.controllers.iter().filter(|node| node.up && node.has_voter_slot())
     }
 
     /// Whether every seat is held by one living machine that has formed all parts,
@@ -42,7 +42,7 @@
         let Some(top) = top else { return false };
         self.running_voters().all(|node| node.state.partitions[0].committed_revision == top)
             && self.queriers.iter().filter(|querier| querier.up).all(|querier| {
-                querier.ready && querier.watch.view.as_ref().is_some_and(|v| v.revision == top)
+                querier.ready && querier.node_agent.view.as_ref().is_some_and(|v| v.revision == top)
             })
     }
 
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -56,8 +56,8 @@
             ScheduledEvent::ControllerEvent { controller, event, .. } => {
                 self.deliver_to_controller(controller, event);
             }
-            ScheduledEvent::DiskJobDone { controller, part, token, .. } => {
-                self.finish_disk_job(controller, part, token);
+            ScheduledEvent::DiskJobDone { controller, partition, token, .. } => {
+                self.finish_disk_job(controller, partition, token);
             }
             ScheduledEvent::VoterFileDone { controller, token, .. } => {
                 self.finish_voter_file(controller, token);
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -7,7 +7,7 @@
 use grebepath_core::time::{SECOND, ms};
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
-use grebepath_simulator::world::{self, FaultyVariant, OperatorRequest, World};
+use grebepath_simulator::world::{FaultyVariant, OperatorRequest, World};
 use serde_json::{Value, json};
 
 fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
@@ -168,7 +168,7 @@
     let mut list = many();
     list.push(kill(4.0, 0));
     sound("two spares", &scene(3, 3, 20, list), |world, _| {
-        assert_eq!((3..6).filter(|n| world::has_voter_slot(&world.controllers[*n])).count(), 1);
+        assert_eq!((3..6).filter(|n| world.controllers[*n].has_voter_slot()).count(), 1);
     });
     // The applicants themselves die at any time.
     for t in [6.4, 6.6, 6.8, 7.0, 7.2] {
