--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -12,9 +12,16 @@
 use super::nodes::Run;
 use super::{BEGIN, World};
 use crate::mock_backends;
-use crate::mock_backends::Alive;
+use crate::mock_backends::{Alive, Mode};
 use crate::net::latency;
 
+/// Status of a response to a request whose digest is wrong.
+const BAD_REQUEST: u16 = 400;
+/// Status of a response of a leaf that can't take more work.
+const UNAVAILABLE: u16 = 503;
+/// Times its capacity from which on a leaf rejects attempts.
+const REJECTS_BEYOND: u32 = 3;
+
 impl World {
     pub(super) fn dispatch(&mut self, engine: QueryEngineId, mut sending: Sending) {
         let now = self.now - BEGIN;
@@ -63,58 +70,68 @@
         );
     }
 
+    /// A request reaches the machine of a leaf.
     pub(super) fn leaf_gets(&mut self, engine: QueryEngineId, sending: Sending) {
         let now = self.now;
         let key = AttemptKey { engine, attempt: sending.dispatch };
         let name = self.backends.by_address.get(&sending.addr).cloned().unwrap_or_default();
-        let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
+        let Some(leaf) = self.backends.leafs.get(&name) else { return };
         let zone = leaf.zone.clone();
         match leaf.alive {
             Alive::Vanished => return,
             Alive::Down => return self.answer(key, &zone, Err(Trouble::Unreachable)),
             Alive::Up => {}
         }
+        let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
+        let rejection = |status| Ok(leaf.rejection(now, status));
         // A connection ends with the process behind it, and on a new one the leaf is
         // asked who it is before any work is sent.
-        let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
         let connection = (engine, sending.addr.clone());
         let known = self.connections.get(&connection) == Some(&name);
         if !known && self.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
             if misdirected {
-                let raw = leaf.rejection(now, MISDIRECTED);
-                return self.answer(key, &zone, Ok(raw));
+                let response = rejection(MISDIRECTED);
+                return self.answer(key, &zone, response);
             }
             self.connections.insert(connection, name);
-            let after =
-                2 * latency(&self.queriers[engine.querier].zone.clone(), &zone, &mut self.random);
-            return self
-                .push(after, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
+            let own_zone = self.queriers[engine.querier].zone.clone();
+            let after = 2 * latency(&own_zone, &zone, &mut self.random);
+            let sending = Box::new(sending);
+            return self.push(after, ScheduledEvent::LeafRequest { engine, sending });
         }
         let who = &self.queriers[engine.querier].name;
-        self.rules.check_destination(now - BEGIN, who, &name, &leaf.service.name, &sending.service);
+        let service = &leaf.service.name;
+        self.rules.check_destination(now - BEGIN, who, &name, service, &sending.service);
         if misdirected {
-            let raw = leaf.rejection(now, MISDIRECTED);
-            return self.answer(key, &zone, Ok(raw));
+            let response = rejection(MISDIRECTED);
+            return self.answer(key, &zone, response);
         }
         if digest(&sending.body) != sending.digest {
-            let raw = leaf.rejection(now, 400);
-            return self.answer(key, &zone, Ok(raw));
+            let response = rejection(BAD_REQUEST);
+            return self.answer(key, &zone, response);
         }
+        self.start_work(key, name, sending);
+    }
+
+    /// A leaf starts to work on an attempt, unless it rejects it.
+    fn start_work(&mut self, key: AttemptKey, name: String, sending: Sending) {
+        let now = self.now;
+        let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
         leaf.in_progress += 1;
-        let bear = leaf.capacity(now);
-        leaf.worst_pct = leaf.worst_pct.max(leaf.in_progress * 100 / bear);
-        leaf.over += u64::from(leaf.in_progress > bear);
-        let (live, fresh) = (leaf.in_progress, leaf.is_warming_up(now));
-        if fresh {
-            self.rules.check_warm_up_load(now - BEGIN, &name, live, bear);
+        let capacity = leaf.capacity(now);
+        leaf.worst_pct = leaf.worst_pct.max(leaf.in_progress * 100 / capacity);
+        leaf.over += u64::from(leaf.in_progress > capacity);
+        let in_progress = leaf.in_progress;
+        if leaf.is_warming_up(now) {
+            self.rules.check_warm_up_load(now - BEGIN, &name, in_progress, capacity);
         }
-        if leaf.mode == mock_backends::Mode::Unrun || live > bear * 3 {
+        if leaf.mode == Mode::Unrun || in_progress > capacity * REJECTS_BEYOND {
             leaf.in_progress -= 1;
-            let raw = leaf.rejection(now, 503);
+            let (zone, response) = (leaf.zone.clone(), leaf.rejection(now, UNAVAILABLE));
             if leaf.leaving {
                 self.learn(&name);
             }
-            return self.answer(key, &zone, Ok(raw));
+            return self.answer(key, &zone, Ok(response));
         }
         leaf.ran += 1;
         let took = leaf.service_time(now, &mut self.random);
