--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -22,14 +22,18 @@
 /// A machine and the zone in which it stands.
 #[derive(Clone, Copy)]
 pub struct Endpoint<'a> {
+    /// The machine.
     pub node: Node,
+    /// Its zone.
     pub zone: &'a str,
 }
 
 /// Messages of a kind, and their bytes.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct MessageCount {
+    /// Messages (count).
     pub messages: u64,
+    /// Their encoded size (bytes).
     pub bytes: u64,
 }
 
@@ -49,6 +53,7 @@
     last_arrivals: BTreeMap<(Node, Node), Tick>,
     /// Messages that were sent, and those of them that were lost.
     pub sent: u64,
+    /// Messages that were lost.
     pub lost: u64,
     /// Messages by their kind and by who sends to whom, if they are counted.
     pub message_counts: Option<BTreeMap<String, MessageCount>>,
@@ -96,6 +101,13 @@
         Some(*last)
     }
 
+    /// Ends all faults of the net.
+    pub fn heal(&mut self) {
+        self.blocked.clear();
+        self.loss_per_mille = 0;
+        self.extra_latency = 0;
+    }
+
     /// Separates two nodes, in both directions.
     pub fn partition(&mut self, a: Node, b: Node) {
         if a != b {
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -1,4 +1,4 @@
-//! What is done with a hollow fleet, and what is read off it.
+//! What is done with the scale model, and what is measured.
 
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::time::{MILLI, SECOND, Span, Tick};
@@ -14,7 +14,7 @@
 /// Longest time that anything here may take before it is given up.
 const PATIENCE: Span = 60 * SECOND;
 
-/// Time that a front needs from its end to its next start.
+/// Time that a querier needs from its end to its next start.
 const RESTART: Span = SECOND;
 
 /// Time after a phase in which its last messages settle.
@@ -23,7 +23,7 @@
 /// What is to be measured.
 #[derive(Clone, Copy)]
 pub struct Measurements {
-    /// Length of the calm time that is measured.
+    /// Length of the idle time that is measured.
     pub idle: Span,
     /// The cost of single changes.
     pub single: bool,
@@ -33,36 +33,50 @@
 
 /// What one size came to.
 pub struct Findings {
+    /// The size that was measured.
     pub size: Size,
-    /// Time until all were whole after the first start.
+    /// Time until all were up after the first start.
     pub start: Option<Span>,
+    /// What passed during the first start.
     pub start_sum: Totals,
+    /// What passed while nothing happened.
     pub idle: Idle,
+    /// Single events, and what each cost.
     pub events: Vec<(&'static str, Event)>,
-    /// Memory of this process when all were whole (bytes).
+    /// Memory of this process when all were up (bytes).
     pub resident_bytes: u64,
+    /// Alarms over the whole run.
     pub alarms: u64,
 }
 
 /// What passed in some time.
 #[derive(Clone, Default)]
 pub struct Totals {
+    /// Length of that time.
     pub span: Span,
+    /// Messages by link and kind.
     pub traffic: Traffic,
+    /// What each controller spent.
     pub controllers: Vec<Meter>,
+    /// What each querier spent.
     pub queriers: Vec<Meter>,
+    /// Polls of the platform's list.
     pub list_polls: Count,
+    /// Probes of leafs.
     pub probes: u64,
 }
 
-/// A calm time, and what is held meanwhile.
+/// An idle time, and the memory that state takes meanwhile.
 pub struct Idle {
+    /// What passed.
     pub sum: Totals,
     /// State of the heaviest querier and controller (bytes).
     pub querier_state: usize,
+    /// State of the heaviest controller (bytes).
     pub controller_state: usize,
     /// Of these, one copy of what is stored.
     pub stored: usize,
+    /// The platform's list (bytes).
     pub list_bytes: usize,
     /// Processor time for a view of all leafs, made once more (ns).
     pub view_ns: u64,
@@ -74,7 +88,7 @@
     pub accepted: Option<Span>,
     /// When the last member was there.
     pub last: Option<Span>,
-    /// All that passed until then, and what a calm time of that length costs.
+    /// All that passed until then.
     pub sum: Totals,
 }
 
@@ -109,8 +123,12 @@
         let from = self.now;
         self.run(span);
         let sum = self.take(from);
-        let querier_state =
-            self.queriers.iter().map(|querier| memory::watch(&querier.watch)).max().unwrap_or(0);
+        let querier_state = self
+            .queriers
+            .iter()
+            .map(|querier| memory::watch(&querier.node_agent))
+            .max()
+            .unwrap_or(0);
         let controller_state = self
             .controllers
             .iter()
@@ -119,7 +137,7 @@
             .unwrap_or(0);
         let stored =
             self.controllers[0].state.partitions.iter().map(|p| memory::map(&p.committed)).sum();
-        let view_ns = self.queriers.first().map_or(0, |querier| view(&querier.watch));
+        let view_ns = self.queriers.first().map_or(0, |querier| view(&querier.node_agent));
         Idle { sum, querier_state, controller_state, stored, list_bytes: self.list.len(), view_ns }
     }
 
@@ -146,13 +164,12 @@
         let text = json!({ "zones": [{ "name": "mark", "state": "open" }] }).to_string();
         self.operate(op, Operation::Patch(text.into_bytes()));
         let old = self.committed_revision_of(0);
-        let obeys = |world: &World| {
-            world
-                .queriers
-                .iter()
-                .filter(|querier| querier.up)
-                .all(|querier| querier.watch.view.as_ref().is_some_and(|v| v.revision > old))
-        };
+        let obeys =
+            |world: &World| {
+                world.queriers.iter().filter(|querier| querier.up).all(|querier| {
+                    querier.node_agent.view.as_ref().is_some_and(|v| v.revision > old)
+                })
+            };
         let last = self.until(PATIENCE, obeys);
         self.until(PATIENCE, |world| world.results.contains_key(&op));
         let accepted = match self.results.get(&op) {
@@ -177,16 +194,16 @@
         self.list = std::rc::Rc::new(topology::list(&self.leafs));
         let holds = |world: &World| {
             world.queriers.iter().filter(|querier| querier.up).all(|querier| {
-                querier.watch.view.as_ref().is_some_and(|v| v.leafs.contains_key(&name))
+                querier.node_agent.view.as_ref().is_some_and(|v| v.leafs.contains_key(&name))
             })
         };
         let last = self.until(PATIENCE, holds);
-        // Its age is told after its first probe.
+        // Its age is known after its first probe.
         self.run(SETTLE);
         Event { accepted: None, last, sum: self.take(begin) }
     }
 
-    /// One more front, until it has its share and all know it.
+    /// One more querier, until it has its allocation and all know it.
     fn member_comes(&mut self) -> Event {
         self.reset();
         let begin = self.now;
@@ -197,7 +214,7 @@
         Event { accepted: None, last, sum: self.take(begin) }
     }
 
-    /// Fronts and controllers end at once and start again, until all is whole.
+    /// Queriers and controllers end at once and start again, until all are up.
     fn restart(&mut self, queriers: &[usize], seats: &[usize]) -> Event {
         self.reset();
         for querier in queriers {
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -1,4 +1,4 @@
-//! The world of a hollow fleet: virtual time, nodes, and what passes.
+//! The world of the scale model: virtual time, nodes, and messages.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
@@ -11,24 +11,26 @@
 use grebepath_core::membership::node_agent;
 use grebepath_core::membership::node_agent::NodeAgent;
 use grebepath_core::membership::step as qstep;
-use grebepath_core::protocol::message::{Member, OperationResult, ReplicaCondition};
+use grebepath_core::protocol::message::{Member, OperationResult};
 use grebepath_core::random::Random;
 use grebepath_core::snapshot::leafs::LeafInfo;
-use grebepath_core::storage::voter_file;
 use grebepath_core::storage::voter_file::Start;
 use grebepath_core::time::{BOOT, MILLI, Span, Tick, ms};
 
+use crate::connection_id::Opener;
+use crate::controller_start::Recovered;
+use crate::event_queue::EventQueue;
 use crate::scale_model::meter::{Count, Meter, Traffic};
 use crate::scale_model::topology;
 use crate::scale_model::topology::Size;
 use crate::simulated_disk::Disk;
 
 /// What happens, and to whom. A life ends with its process.
-pub enum ScheduledEvent {
+pub(super) enum ScheduledEvent {
     ControllerTimer { controller: usize, life: u64 },
     ControllerMessage { controller: usize, life: u64, from: Sender, raw: Raw },
     ControllerEvent { controller: usize, life: u64, event: Box<st::Event> },
-    DiskJobDone { controller: usize, life: u64, part: PartitionId, token: u64 },
+    DiskJobDone { controller: usize, life: u64, partition: PartitionId, token: u64 },
     VoterFileDone { controller: usize, life: u64, token: u64 },
     QuerierTimer { querier: usize, life: u64 },
     QuerierMessage { querier: usize, life: u64, from: Sender, raw: Raw },
@@ -44,20 +46,27 @@
 /// Who sent a message.
 #[derive(Clone, Copy)]
 pub enum Sender {
+    /// The controller of a voter slot, on the connection that it opened.
     VoterSlot(VoterSlot),
-    /// A seat, on a connection that was opened to it.
+    /// A controller, on a connection that was opened to it.
     ConnectedController,
-    /// A front, and in which of its lives.
+    /// A querier, and in which of its lives.
     Querier(usize, u64),
 }
 
 /// A controller.
 pub struct ControllerNode {
+    /// Its state machine.
     pub state: ControllerState,
+    /// Its disk.
     pub disk: Disk,
+    /// Whether its process runs.
     pub up: bool,
+    /// How often its process was started.
     pub life: u64,
+    /// When its process was started.
     pub began: Tick,
+    /// What it spent since it was last reset.
     pub meter: Meter,
     /// The last large message that was written: many get the same.
     pub last: Option<Raw>,
@@ -65,43 +74,61 @@
 
 /// A querier without traffic threads.
 pub struct QuerierNode {
+    /// How it names itself to other members.
     pub me: Member,
+    /// Its zone.
     pub zone: usize,
-    pub watch: NodeAgent,
+    /// Its node agent.
+    pub node_agent: NodeAgent,
+    /// Whether its process runs.
     pub up: bool,
+    /// How often its process was started.
     pub life: u64,
+    /// When its process was started.
     pub began: Tick,
+    /// Whether it says that it is ready.
     pub ready: bool,
+    /// Whether an answer of the platform's list is awaited.
     pub polling: bool,
+    /// What it spent since it was last reset.
     pub meter: Meter,
 }
 
 /// The world.
 pub struct World {
+    /// The virtual time.
     pub now: Tick,
+    /// The size of the fleet.
     pub size: Size,
-    queue: BTreeMap<(Tick, u64), ScheduledEvent>,
-    next: u64,
+    queue: EventQueue<ScheduledEvent>,
+    /// Draws latencies and seeds.
     pub random: Random,
+    /// The controllers, by voter slot.
     pub controllers: Vec<ControllerNode>,
+    /// The queriers.
     pub queriers: Vec<QuerierNode>,
+    /// Numbers of the queriers by their names.
     pub by_name: HashMap<String, usize>,
+    /// All leafs.
     pub leafs: Vec<LeafInfo>,
     /// The platform's list as it is served.
     pub list: Rc<String>,
+    /// Messages by link and kind.
     pub traffic: Traffic,
     /// Polls of the list and probes of leafs, which are not our messages.
     pub list_polls: Count,
+    /// Probes of leafs (count).
     pub probes: u64,
     /// Outcomes of operators' requests, with their times.
     pub results: BTreeMap<u64, (Tick, OperationResult)>,
+    /// Alarms by their texts.
     pub alarms: BTreeMap<String, u64>,
     last: HashMap<(usize, usize), Tick>,
-    /// Wires that each controller has seen opened, by its life.
+    /// Connections that each controller has seen opened, by its life.
     pub opened: HashSet<(usize, u64, u64)>,
 }
 
-/// Fronts that start together come within this time, as machines do.
+/// Queriers that start together come up within this time, as machines do.
 const SPREAD: Span = ms(1_000);
 
 /// The world's beginning.
@@ -113,8 +140,7 @@
         let mut world = World {
             now: BEGIN,
             size,
-            queue: BTreeMap::new(),
-            next: 0,
+            queue: EventQueue::default(),
             random: Random::new(seed),
             controllers: Vec::new(),
             queriers: Vec::new(),
@@ -150,7 +176,7 @@
         world
     }
 
-    /// A machine for one more front, which is down.
+    /// A machine for one more querier, which is down.
     pub fn add_querier(&mut self) -> usize {
         let querier = self.queriers.len();
         let zone = topology::zone(querier);
@@ -165,12 +191,12 @@
             incarnation: 0,
         };
         self.by_name.insert(name, querier);
-        let watch = node_agent::NodeAgent::new(me.clone(), BOOT);
+        let node_agent = node_agent::NodeAgent::new(me.clone(), BOOT);
         let meter = Meter::default();
         let node = QuerierNode {
             me,
             zone,
-            watch,
+            node_agent,
             up: false,
             life: 0,
             began: 0,
@@ -182,27 +208,27 @@
         querier
     }
 
-    /// Starts a front, which knows nothing.
+    /// Starts a querier, which knows nothing.
     pub fn start_querier(&mut self, querier: usize) {
         let node = &mut self.queriers[querier];
         node.life += 1;
         (node.up, node.ready, node.polling, node.began) = (true, false, false, self.now);
         node.me.incarnation = node.life;
-        node.watch = node_agent::NodeAgent::new(node.me.clone(), BOOT);
+        node.node_agent = node_agent::NodeAgent::new(node.me.clone(), BOOT);
         let life = node.life;
         let after = self.random.below(qstep::WAKE);
         self.push(after, ScheduledEvent::QuerierTimer { querier, life });
     }
 
-    /// Ends a front at once.
+    /// Ends a querier at once.
     pub fn kill_querier(&mut self, querier: usize) {
         let life = self.queriers[querier].life;
         let node = &mut self.queriers[querier];
         (node.up, node.ready) = (false, false);
-        node.watch = node_agent::NodeAgent::new(node.me.clone(), BOOT);
+        node.node_agent = node_agent::NodeAgent::new(node.me.clone(), BOOT);
+        let connection = Opener::Querier { number: querier, life }.connection();
         for controller in 0..self.controllers.len() {
-            let event =
-                Box::new(st::Event::ConnectionClosed { connection: connection(querier, life) });
+            let event = Box::new(st::Event::ConnectionClosed { connection });
             let life = self.controllers[controller].life;
             self.push(ms(2), ScheduledEvent::ControllerEvent { controller, life, event });
         }
@@ -219,29 +245,12 @@
             addr: topology::controller_address(controller),
         };
         let disk = &mut self.controllers[controller].disk;
-        let bare = disk.is_empty();
-        let (roll, clear) = voter_file::begin(disk.read_voter_file(), &start, bare, seed);
-        disk.put_voter_file(&roll, clear);
-        let found = disk.start();
-        let list = found
-            .into_iter()
-            .map(|(part, found)| match found {
-                grebepath_core::storage::reader::Found::Good { copy, .. } => {
-                    (part, ReplicaCondition::Voting, copy, 0)
-                }
-                _ => (
-                    part,
-                    ReplicaCondition::Empty,
-                    grebepath_core::storage::record::ReplicaState::default(),
-                    0,
-                ),
-            })
-            .collect();
+        let recovered = Recovered::read(disk, &start, seed);
         let node = &mut self.controllers[controller];
         node.life += 1;
         (node.up, node.began) = (true, self.now);
         let zone = topology::name(topology::controller_zone(controller as VoterSlot));
-        node.state = ControllerState::new(roll, (&start.addr, &zone), list, seed, BOOT);
+        node.state = recovered.into_state(&start.addr, &zone, seed);
         let life = node.life;
         self.push(start_delay(seed), ScheduledEvent::ControllerTimer { controller, life });
     }
@@ -254,15 +263,14 @@
     }
 
     /// Lets something happen after a while.
-    pub fn push(&mut self, after: Span, event: ScheduledEvent) {
+    pub(super) fn push(&mut self, after: Span, event: ScheduledEvent) {
         let at = self.now + after;
         self.push_at(at, event);
     }
 
     /// Lets something happen at a time.
-    pub fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
-        self.next += 1;
-        self.queue.insert((at, self.next), event);
+    pub(super) fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
+        self.queue.push(at, event);
     }
 
     /// When a message sent now arrives: those of one connection keep their order.
@@ -276,12 +284,7 @@
     /// Lets `span` pass.
     pub fn run(&mut self, span: Span) {
         let end = self.now + span;
-        while let Some(entry) = self.queue.first_entry() {
-            let at = entry.key().0;
-            if at > end {
-                break;
-            }
-            let event = entry.remove();
+        while let Some((at, event)) = self.queue.pop_until(end) {
             self.now = self.now.max(at);
             self.handle(event);
         }
@@ -300,7 +303,7 @@
         done(self).then_some(self.now - begin)
     }
 
-    /// The revision of a part that the seats show.
+    /// The newest committed revision of a partition.
     pub fn committed_revision_of(&self, part: usize) -> u64 {
         self.controllers
             .iter()
@@ -310,7 +313,7 @@
             .unwrap_or(0)
     }
 
-    /// Whether every front that is up obeys the newest configuration, knows every
+    /// Whether every querier that is up serves by the newest configuration, knows every
     /// leaf, is ready, and has its settled place in the same membership, and every
     /// controller shows as much. Ages of leafs may still be under way.
     pub fn whole(&self) -> bool {
@@ -324,8 +327,8 @@
                 && leafs == self.leafs.len()
         };
         let whole = |querier: &QuerierNode| {
-            let c = &querier.watch.membership;
-            let view = querier.watch.view.as_ref();
+            let c = &querier.node_agent.membership;
+            let view = querier.node_agent.view.as_ref();
             querier.ready
                 && c.settled == c.turn
                 && c.members.len() == count
@@ -338,13 +341,3 @@
 fn start_delay(seed: u64) -> Span {
     seed % cstep::WAKE
 }
-
-/// A front's connection to a seat, in one of its lives.
-pub fn connection(querier: usize, life: u64) -> u64 {
-    ((querier as u64) << 32) | life
-}
-
-/// The connection that a seat opens to others, in one of its lives.
-pub fn controller_connection(controller: usize, life: u64) -> u64 {
-    1 << 63 | (controller as u64) << 32 | life
-}
--- a/crates/simulator/src/world/controller_disks.rs
+++ b/crates/simulator/src/world/controller_disks.rs
@@ -7,24 +7,25 @@
 use super::World;
 use super::events::ScheduledEvent;
 use super::faulty_variant::FaultyVariant;
+use crate::controller_start::{disk_event, voter_file_event};
 use crate::simulated_disk::{Health, Job};
 
 impl World {
     /// A disk has finished a job of a partition.
-    pub(super) fn finish_disk_job(&mut self, controller: usize, part: PartitionId, token: u64) {
+    pub(super) fn finish_disk_job(
+        &mut self,
+        controller: usize,
+        partition: PartitionId,
+        token: u64,
+    ) {
         let disk = &mut self.controllers[controller].disk;
         if disk.health == Health::Stalled {
             return;
         }
-        let event = match disk.finish_job(part, token) {
-            Some(Ok(())) => CoreEvent::Synced { partition: part, token },
-            Some(Err(error)) => CoreEvent::DiskFailed { partition: part, why: error.to_string() },
-            None => return,
-        };
+        let Some(result) = disk.finish_job(partition, token) else { return };
+        let event = disk_event(partition, token, result);
         // The faulty variant has acknowledged it already.
-        if self.faulty_variant != Some(FaultyVariant::AcknowledgesBeforeSync)
-            || matches!(event, CoreEvent::DiskFailed { .. })
-        {
+        if self.faulty_variant != Some(FaultyVariant::AcknowledgesBeforeSync) || result.is_err() {
             self.step_controller(controller, event);
         }
     }
@@ -35,31 +36,27 @@
         if disk.health == Health::Stalled {
             return;
         }
-        let event = match disk.finish_voter_file(token) {
-            Some(Ok(())) => CoreEvent::VoterFileWritten { token },
-            Some(Err(error)) => CoreEvent::VoterFileFailed { why: error.to_string() },
-            None => return,
-        };
-        self.step_controller(controller, event);
+        let Some(result) = disk.finish_voter_file(token) else { return };
+        self.step_controller(controller, voter_file_event(token, result));
     }
 
     pub(super) fn start_disk_job(
         &mut self,
         controller: usize,
-        part: PartitionId,
+        partition: PartitionId,
         token: u64,
         job: Job,
     ) {
         let life = self.controllers[controller].life;
         let at = self.controllers[controller].disk.start_job(
             self.now,
-            part,
+            partition,
             token,
             job,
             &mut self.random,
         );
         if let Some(at) = at {
-            self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, part, token });
+            self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, partition, token });
         }
         if self.faulty_variant == Some(FaultyVariant::AcknowledgesBeforeSync) {
             self.push(
@@ -67,23 +64,23 @@
                 ScheduledEvent::ControllerEvent {
                     controller,
                     life,
-                    event: CoreEvent::Synced { partition: part, token },
+                    event: CoreEvent::Synced { partition, token },
                 },
             );
         }
     }
 
-    /// Changes the health of a disk; a stall that ends lets the line go on.
+    /// Changes the health of a disk; after a stall the pending jobs go on.
     pub fn set_disk_health(&mut self, controller: usize, health: Health) {
         let was = std::mem::replace(&mut self.controllers[controller].disk.health, health);
         if was == Health::Stalled && health != Health::Stalled {
             let life = self.controllers[controller].life;
-            for (i, (part, token)) in
+            for (i, (partition, token)) in
                 self.controllers[controller].disk.pending_jobs().into_iter().enumerate()
             {
                 self.push(
                     ms(2 + i as u64),
-                    ScheduledEvent::DiskJobDone { controller, life, part, token },
+                    ScheduledEvent::DiskJobDone { controller, life, partition, token },
                 );
             }
             for token in self.controllers[controller].disk.pending_voter_files() {
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -1,4 +1,4 @@
-//! Faults that strike at one numbered event of the controllers: a message that
+//! Faults that are injected at one numbered event of the controllers: a message that
 //! arrives at one, or a write that its disk finishes. `crate::explore` tries them
 //! all.
 
@@ -8,6 +8,7 @@
 
 use super::events::{FollowUp, ScheduledEvent};
 use super::{BEGIN, World};
+use crate::connection_id::Opener;
 
 /// How long a delayed message stays behind: longer than an election, so that a
 /// whole leadership passes in between.
@@ -19,7 +20,7 @@
 /// How long a machine is down that comes back.
 const DOWN: Span = ms(300);
 
-/// What befalls an event or the controller that it reaches.
+/// What happens to an event or to the controller that it reaches.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// The message is lost.
@@ -55,15 +56,18 @@
 /// A fault at an event, counted from the beginning of the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InjectedFault {
+    /// The number of the event.
     pub event: u64,
+    /// What happens to it.
     pub fault: Fault,
 }
 
-/// The deviations of one play.
+/// The faults that are injected in one run.
 #[derive(Clone, Debug, Default)]
 pub struct FaultInjection {
     /// Time in the scenario (microseconds) from which and up to which events count.
     pub window: (Tick, Tick),
+    /// The faults.
     pub list: Vec<InjectedFault>,
     /// Events of the window so far.
     pub seen: u64,
@@ -75,7 +79,7 @@
 }
 
 impl World {
-    /// Applies the deviations that strike now; gives the event if it still happens.
+    /// Injects the faults that are due; gives the event if it still happens.
     pub(super) fn inject(&mut self, event: ScheduledEvent) -> Option<ScheduledEvent> {
         let (from, to) = self.injected.window;
         let at = self.now - BEGIN;
@@ -166,8 +170,8 @@
             CoreEvent::FromVoter { message, .. } | CoreEvent::FromController { message } => {
                 (!is_heartbeat(message)).then_some(*controller)
             }
-            CoreEvent::FromConnection { connection, .. } if connection >> 63 == 1 => {
-                Some(*controller)
+            CoreEvent::FromConnection { connection, .. } => {
+                matches!(Opener::of(*connection), Opener::Controller { .. }).then_some(*controller)
             }
             _ => None,
         },
@@ -181,7 +185,7 @@
 /// that the others do not change.
 fn is_heartbeat(message: &Message) -> bool {
     matches!(message, Message::VoterAlive { .. })
-        || matches!(message, Message::Heartbeat { partition: part, .. } | Message::HeartbeatAck { partition: part, .. } if part.0 != 0)
+        || matches!(message, Message::Heartbeat { partition, .. } | Message::HeartbeatAck { partition, .. } if partition.0 != 0)
 }
 
 fn copied(event: &CoreEvent) -> Option<CoreEvent> {
@@ -215,19 +219,17 @@
                 format!("{} from slot {seat} to controller {controller}", word(message))
             }
             CoreEvent::FromConnection { connection, message } => {
-                format!(
-                    "{} from controller {} to controller {controller}",
-                    word(message),
-                    connection << 1 >> 33
-                )
+                let (Opener::Controller { number, .. } | Opener::Querier { number, .. }) =
+                    Opener::of(*connection);
+                format!("{} from controller {} to controller {controller}", word(message), number)
             }
             CoreEvent::FromController { message } => {
                 format!("{} in answer to controller {controller}", word(message))
             }
             _ => format!("an event of controller {controller}"),
         },
-        ScheduledEvent::DiskJobDone { controller, part, .. } => {
-            format!("a write of {part} on controller {controller}")
+        ScheduledEvent::DiskJobDone { controller, partition, .. } => {
+            format!("a write of {partition} on controller {controller}")
         }
         ScheduledEvent::VoterFileDone { controller, .. } => {
             format!("the voter set's write on controller {controller}")
