--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -1,14 +1,19 @@
-//! Settings from a file (a JSON object) and from flags, flags first. All that
-//! is wrong is found at once, before any port is opened.
+//! Reads and checks single settings. What is wrong is collected, each with its place.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
 use grebepath_core::routing_language::diagnostic::{Diagnostic, find};
+use grebepath_core::time::Span;
 use serde_json::Value;
 
-/// Exit code of a process whose settings are wrong.
-pub const EXIT_SETTINGS: i32 = 2;
+use super::EXIT_SETTINGS;
+use crate::platform_api::PlatformApi;
+
+/// A day.
+const SECONDS_MAX: f64 = 86_400.0;
+/// How callers, leafs and operators may speak: as ours or as the platform's.
+const DIALECTS: [&str; 2] = ["own", "platform"];
 
 /// Settings being read: where each came from, and the diagnostics.
 pub struct SettingsReader {
@@ -20,17 +25,16 @@
 }
 
 impl SettingsReader {
-    /// A reader over `--name value` pairs and an optional file.
-    pub fn new(flags: Vec<(&str, Option<String>)>, file: Option<&str>) -> SettingsReader {
+    /// A reader over flags, by their names in the file, and an optional file.
+    pub fn new(flags: Vec<(String, String)>, file: Option<&str>) -> SettingsReader {
         let mut diagnostics = Vec::new();
         let mut settings = serde_json::Map::new();
         if let Some(path) = file {
             match std::fs::read(path) {
-                Err(e) => find(
-                    &mut diagnostics,
-                    format!("--params {path}"),
-                    format!("can't be read: {e}"),
-                ),
+                Err(e) => {
+                    let place = format!("--params {path}");
+                    find(&mut diagnostics, place, format!("can't be read: {e}"));
+                }
                 Ok(raw) => match serde_json::from_slice(&raw) {
                     Ok(Value::Object(object)) => settings = object,
                     Ok(_) => find(&mut diagnostics, path, "expected a JSON object"),
@@ -41,7 +45,7 @@
                 },
             }
         }
-        let flags = flags.into_iter().filter_map(|(k, v)| Some((k.to_string(), v?))).collect();
+        let flags = flags.into_iter().collect();
         SettingsReader { flags, file: settings, known: Vec::new(), diagnostics }
     }
 
@@ -167,6 +171,20 @@
         list
     }
 
+    /// The inner addresses of controllers, up to `most`; `seed_port` stands in for each
+    /// one's port.
+    pub fn seeds(&mut self, most: usize) -> Vec<SocketAddr> {
+        let port = self.number("seed_port", 0, u64::from(u16::MAX), Some(0)) as u16;
+        self.addresses("seeds", 1, most, (port > 0).then_some(port))
+    }
+
+    /// `api`, if the setting `dialect` asks for the platform's interface beside or in
+    /// place of our own.
+    pub fn platform_api(&mut self, api: &'static PlatformApi) -> Option<&'static PlatformApi> {
+        let dialect = self.choice("dialect", &DIALECTS, DIALECTS[0]);
+        (dialect == DIALECTS[1]).then_some(api)
+    }
+
     /// Yes or no: `true` or `false`.
     pub fn yes_or_no(&mut self, name: &'static str, default: bool) -> bool {
         match self.value(name) {
@@ -201,41 +219,37 @@
 
     /// A share from 0 to 1, in thousandths.
     pub fn share_in_thousandths(&mut self, name: &'static str, default: u64) -> u64 {
-        match self.value(name) {
-            None => default,
-            Some((place, val)) => match val.parse::<f64>() {
-                Ok(n) if (0.0..=1.0).contains(&n) => (n * 1000.0) as u64,
-                _ => {
-                    self.report(place, "expected a share from 0 to 1");
-                    default
-                }
-            },
-        }
+        let share = self.decimal(name, "a share from 0 to 1", |n| (0.0..=1.0).contains(&n));
+        share.map_or(default, |n| (n * 1000.0) as u64)
     }
 
     /// Seconds, fractions included, as a span.
-    pub fn optional_seconds(&mut self, name: &'static str) -> Option<grebepath_core::time::Span> {
-        let (place, val) = self.value(name)?;
-        match val.parse::<f64>() {
-            Ok(n) if (0.0..=86_400.0).contains(&n) => Some((n * 1e6) as grebepath_core::time::Span),
-            _ => {
-                self.report(place, "expected seconds, up to a day");
-                None
-            }
-        }
+    pub fn optional_seconds(&mut self, name: &'static str) -> Option<Span> {
+        let fits = |n: f64| (0.0..=SECONDS_MAX).contains(&n);
+        let seconds = self.decimal(name, "seconds, up to a day", fits)?;
+        Some((seconds * 1e6) as Span)
     }
 
     /// An amount above zero, fractions dropped.
     pub fn positive_amount(&mut self, name: &'static str, default: u64) -> u64 {
-        match self.value(name) {
-            None => default,
-            Some((place, val)) => match val.parse::<f64>() {
-                Ok(n) if n > 0.0 => (n as u64).max(1),
-                _ => {
-                    self.report(place, "expected a number above zero");
-                    default
-                }
-            },
+        let amount = self.decimal(name, "a number above zero", |n| n > 0.0);
+        amount.map_or(default, |n| (n as u64).max(1))
+    }
+
+    /// A decimal number that fits; nothing if it is absent or does not.
+    fn decimal(
+        &mut self,
+        name: &'static str,
+        expected: &str,
+        fits: impl Fn(f64) -> bool,
+    ) -> Option<f64> {
+        let (place, text) = self.value(name)?;
+        match text.parse::<f64>() {
+            Ok(number) if fits(number) => Some(number),
+            _ => {
+                self.report(place, format!("expected {expected}"));
+                None
+            }
         }
     }
 
--- /dev/null
+++ b/crates/server/src/controller/disk_thread.rs
@@ -0,0 +1,159 @@
+//! The disk's thread: writes in order, syncs what came together at once.
+
+use std::collections::BTreeMap;
+use std::path::PathBuf;
+use std::sync::mpsc::Receiver;
+
+use grebepath_core::control_plane::controller::Event;
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::storage::voter_file::VoterFile;
+use grebepath_runtime::disk::data_folder;
+use grebepath_runtime::disk::error::StorageError;
+use grebepath_runtime::disk::partition_store::PartitionStore;
+use tokio::sync::mpsc::UnboundedSender;
+
+use crate::messages::{ControllerInput, DiskJob};
+
+/// The files of all partitions, and whom to tell what became of the jobs.
+pub struct DiskThread {
+    data: PathBuf,
+    /// By the partitions' numbers.
+    stores: Vec<PartitionStore>,
+    events: UnboundedSender<ControllerInput>,
+}
+
+/// How a partition fared in one batch.
+#[derive(Default)]
+struct PartitionOutcome {
+    /// Of the last job that went well.
+    token: u64,
+    unsynced: bool,
+    error: Option<StorageError>,
+}
+
+/// A voter file that is to be written at the end of a batch.
+struct VoterFileJob {
+    token: u64,
+    file: VoterFile,
+    set_aside: bool,
+}
+
+impl DiskThread {
+    /// The thread's state, with the stores by the partitions' numbers.
+    pub fn new(
+        data: PathBuf,
+        stores: Vec<PartitionStore>,
+        events: UnboundedSender<ControllerInput>,
+    ) -> DiskThread {
+        DiskThread { data, stores, events }
+    }
+
+    /// Serves until nobody can send a job any more, or nobody listens.
+    pub fn serve(mut self, jobs: Receiver<DiskJob>) {
+        while let Ok(first) = jobs.recv() {
+            let mut batch = vec![first];
+            // A voter file ends a batch: it may set aside what came before.
+            while !matches!(batch.last(), Some(DiskJob::WriteVoterFile { .. }))
+                && let Ok(job) = jobs.try_recv()
+            {
+                batch.push(job);
+            }
+            if self.run(batch).is_err() {
+                return;
+            }
+        }
+    }
+
+    /// Runs a batch and tells its end. An error means that nobody listens.
+    fn run(&mut self, batch: Vec<DiskJob>) -> Result<(), ()> {
+        let mut outcomes: BTreeMap<PartitionId, PartitionOutcome> = BTreeMap::new();
+        let mut scrubs: Vec<PartitionId> = Vec::new();
+        let mut voter_file = None;
+        for job in batch {
+            match job {
+                DiskJob::Append { partition, token, record } => {
+                    let written = self.store(partition).append(&record);
+                    let outcome = outcomes.entry(partition).or_default();
+                    outcome.note_append(token, written);
+                }
+                DiskJob::WriteSnapshot { partition, token, state } => {
+                    let written = self.store(partition).write_snapshot(&state);
+                    let outcome = outcomes.entry(partition).or_default();
+                    outcome.note_snapshot(token, written);
+                }
+                DiskJob::Scrub { partition } => scrubs.push(partition),
+                DiskJob::WriteVoterFile { token, file, set_aside } => {
+                    voter_file = Some(VoterFileJob { token, file, set_aside });
+                }
+            }
+        }
+        for (partition, outcome) in outcomes {
+            let event = self.synced(partition, outcome);
+            self.tell(event)?;
+        }
+        if let Some(job) = voter_file {
+            let event = match self.write_voter_file(&job) {
+                Ok(()) => Event::VoterFileWritten { token: job.token },
+                Err(error) => Event::VoterFileFailed { why: error.to_string() },
+            };
+            let _ = self.tell(event);
+        }
+        for partition in scrubs {
+            let trouble = self.store(partition).scrub().err().map(|error| error.to_string());
+            let _ = self.tell(Event::Scrubbed { partition, trouble });
+        }
+        Ok(())
+    }
+
+    fn store(&mut self, partition: PartitionId) -> &mut PartitionStore {
+        &mut self.stores[partition.0 as usize]
+    }
+
+    fn tell(&self, event: Event) -> Result<(), ()> {
+        self.events.send(ControllerInput::Event(event)).map_err(|_| ())
+    }
+
+    /// Syncs what a batch appended; the event that ends its jobs of one partition.
+    fn synced(&mut self, partition: PartitionId, mut outcome: PartitionOutcome) -> Event {
+        if outcome.unsynced && outcome.error.is_none() {
+            outcome.error = self.store(partition).sync().err();
+        }
+        match outcome.error {
+            Some(error) => Event::DiskFailed { partition, why: error.to_string() },
+            None => Event::Synced { partition, token: outcome.token },
+        }
+    }
+
+    /// Writes the voter file; what it says of the partitions must hold before.
+    fn write_voter_file(&mut self, job: &VoterFileJob) -> Result<(), StorageError> {
+        if job.set_aside {
+            for store in &mut self.stores {
+                store.set_aside()?;
+            }
+        }
+        data_folder::write_voter_file(&self.data, &job.file)
+    }
+}
+
+impl PartitionOutcome {
+    fn note_append(&mut self, token: u64, written: Result<(), StorageError>) {
+        match written {
+            Ok(()) => {
+                self.token = token;
+                self.unsynced = true;
+            }
+            Err(error) => self.error = Some(error),
+        }
+    }
+
+    fn note_snapshot(&mut self, token: u64, written: Result<(), StorageError>) {
+        match written {
+            Ok(()) => {
+                // A snapshot holds everything that came before it, so it also ends a
+                // failure within this batch.
+                *self = PartitionOutcome { token, unsynced: false, error: None };
+            }
+            Err(error) => self.error = Some(error),
+        }
+    }
+}
--- a/crates/server/src/controller/door.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -1,4 +1,4 @@
-//! The door for operators: HTTP with JSON.
+//! The listener for operators: HTTP with JSON, on a thread of its own.
 
 use axum::Router;
 use axum::body::Bytes;
@@ -22,29 +22,31 @@
 use tower::ServiceBuilder;
 use tracing::error;
 
-use crate::owner::Input;
+use crate::messages::ControllerInput;
 
-type Owner = UnboundedSender<Input>;
+type Controller = UnboundedSender<ControllerInput>;
 
 /// Serves operators until told to stop.
 pub fn serve(
     listener: std::net::TcpListener,
-    owner: Owner,
-    dialect: Option<&'static PlatformApi>,
+    controller: Controller,
+    platform_api: Option<&'static PlatformApi>,
     mut stop: tokio::sync::watch::Receiver<bool>,
 ) {
-    let rt = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(rt) => rt,
+    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+        Ok(runtime) => runtime,
         Err(e) => return error!("the operators' door can't be served: {e}"),
     };
     let router = Router::new()
-        .route(CONFIG, get(read).put(whole).patch(patch))
+        .route(CONFIG, get(read_config).put(replace).patch(patch))
         .route(STATUS, get(status))
-        .route("/v1/vouch", axum::routing::post(vouch))
-        .route("/v1/members/{name}", axum::routing::delete(forget))
+        .route("/v1/vouch", axum::routing::post(force_recovery))
+        .route("/v1/members/{name}", axum::routing::delete(forget_member))
         .route("/metrics", get(metrics))
         .route("/livez", get(async || "ok\n"))
-        .fallback(move |owner: State<Owner>, req: Request| foreign(owner, dialect, req))
+        .fallback(move |controller: State<Controller>, req: Request| {
+            platform_request(controller, platform_api, req)
+        })
         .layer(DefaultBodyLimit::max(consts::CONFIG_LIMIT))
         // Large requests are few: more than this at once are turned away
         // rather than held in memory.
@@ -56,11 +58,11 @@
                 .load_shed()
                 .concurrency_limit(consts::OPERATORS_AT_ONCE),
         )
-        .with_state(owner);
+        .with_state(controller);
     let until = async move {
         let _ = stop.wait_for(|s| *s).await;
     };
-    if let Err(e) = rt.block_on(grebepath_runtime::http::server::serve(
+    if let Err(e) = runtime.block_on(grebepath_runtime::http::server::serve(
         listener,
         consts::OPERATOR_WIRES,
         router,
@@ -70,24 +72,24 @@
     }
 }
 
-/// A call in another manner of speaking than ours.
-async fn foreign(
-    State(owner): State<Owner>,
-    dialect: Option<&'static PlatformApi>,
+/// A request by the platform's interface, at any path that is not ours.
+async fn platform_request(
+    State(controller): State<Controller>,
+    platform_api: Option<&'static PlatformApi>,
     req: Request,
 ) -> Response {
-    let Some(dialect) = dialect else {
+    let Some(api) = platform_api else {
         return answer(404, &json!({ "error": "no such path" }));
     };
     let (head, body) = req.into_parts();
     let Ok(body) = axum::body::to_bytes(body, consts::CONFIG_LIMIT).await else {
         return answer(413, &json!({ "error": "the body can't be read, or is too large" }));
     };
-    let resp = match (dialect.read_operator_request)(&head, &body) {
+    let resp = match (api.read_operator_request)(&head, &body) {
         OperatorRequest::Malformed(resp) => resp,
-        OperatorRequest::Operation { operation: deed, request_id: request } => {
-            let request = request.unwrap_or_else(own_id);
-            (dialect.write_operation_result)(operate(&owner, request, None, deed).await)
+        OperatorRequest::Operation { operation, request_id } => {
+            let request_id = request_id.unwrap_or_else(own_id);
+            (api.write_operation_result)(operate(&controller, request_id, None, operation).await)
         }
     };
     resp.map(axum::body::Body::from)
@@ -108,11 +110,11 @@
     (code, [(header::CONTENT_TYPE, "application/json")], text).into_response()
 }
 
-/// Reads the request's heads; a request without an id gets one of its own.
-fn heads(map: &HeaderMap) -> Result<(String, Option<u64>), Diagnostic> {
+/// Reads the request's headers; a request without an id gets one of its own.
+fn request_headers(headers: &HeaderMap) -> Result<(String, Option<u64>), Diagnostic> {
     let bad =
         |place: &str, text: &str| Diagnostic { place: place.to_string(), text: text.to_string() };
-    let text = |name: &str| map.get(name).map(|v| v.to_str().map(str::to_string));
+    let text = |name: &str| headers.get(name).map(|v| v.to_str().map(str::to_string));
     let request = match text(REQUEST_ID) {
         None => own_id(),
         Some(Ok(id)) if (1..=128).contains(&id.len()) => id,
@@ -127,63 +129,76 @@
 }
 
 async fn operate(
-    owner: &Owner,
-    request: String,
-    expect: Option<u64>,
-    deed: Operation,
+    controller: &Controller,
+    request_id: String,
+    expected_revision: Option<u64>,
+    operation: Operation,
 ) -> OperationResult {
-    let (tell, told) = oneshot::channel();
-    if owner.send(Input::Operate { request, expect, deed, tell }).is_err() {
+    let (reply, result) = oneshot::channel();
+    if controller
+        .send(ControllerInput::Operate { request_id, expected_revision, operation, reply })
+        .is_err()
+    {
         return OperationResult::Rejected { why: "this controller is going down".into() };
     }
-    told.await.unwrap_or(OperationResult::Unknown { why: "this controller went down".into() })
+    result.await.unwrap_or(OperationResult::Unknown { why: "this controller went down".into() })
 }
 
-async fn read(State(owner): State<Owner>) -> Response {
-    match operate(&owner, String::new(), None, Operation::Read).await {
+async fn read_config(State(controller): State<Controller>) -> Response {
+    match operate(&controller, String::new(), None, Operation::Read).await {
         OperationResult::Configuration { revision, map } => match change::config(&map) {
             Ok(conf) => answer(200, &json!({ "revision": revision, "config": show::json(&conf) })),
             Err(e) => answer(500, &json!({ "error": "unreadable", "text": e })),
         },
-        other => outcome(other),
+        other => write_result(other),
     }
 }
 
-/// An operator vouches that copies lost on other seats are lost for good.
-async fn vouch(State(owner): State<Owner>) -> Response {
-    match owner
-        .send(Input::Controller(grebepath_core::control_plane::controller::Event::ForceRecovery))
-    {
+/// An operator affirms that replicas lost on other voters are lost for good.
+async fn force_recovery(State(controller): State<Controller>) -> Response {
+    match controller.send(ControllerInput::Event(
+        grebepath_core::control_plane::controller::Event::ForceRecovery,
+    )) {
         Ok(()) => answer(200, &json!({ "vouched": true })),
         Err(_) => answer(503, &json!({ "error": "stopping" })),
     }
 }
 
-async fn forget(
-    State(owner): State<Owner>,
+async fn forget_member(
+    State(controller): State<Controller>,
     axum::extract::Path(name): axum::extract::Path<String>,
 ) -> Response {
-    outcome(operate(&owner, String::new(), None, Operation::ForgetMember(name)).await)
+    write_result(operate(&controller, String::new(), None, Operation::ForgetMember(name)).await)
 }
 
-async fn whole(State(owner): State<Owner>, map: HeaderMap, body: Bytes) -> Response {
-    changed(owner, map, Operation::Replace(body.to_vec())).await
+async fn replace(
+    State(controller): State<Controller>,
+    headers: HeaderMap,
+    body: Bytes,
+) -> Response {
+    change_config(controller, headers, Operation::Replace(body.to_vec())).await
 }
 
-async fn patch(State(owner): State<Owner>, map: HeaderMap, body: Bytes) -> Response {
-    changed(owner, map, Operation::Patch(body.to_vec())).await
+async fn patch(State(controller): State<Controller>, headers: HeaderMap, body: Bytes) -> Response {
+    change_config(controller, headers, Operation::Patch(body.to_vec())).await
 }
 
-async fn changed(owner: Owner, map: HeaderMap, deed: Operation) -> Response {
-    match heads(&map) {
+async fn change_config(
+    controller: Controller,
+    headers: HeaderMap,
+    operation: Operation,
+) -> Response {
+    match request_headers(&headers) {
         Err(f) => {
             answer(400, &json!({ "error": "bad-request", "findings": operator::findings(&[f]) }))
         }
-        Ok((request, expect)) => outcome(operate(&owner, request, expect, deed).await),
+        Ok((request_id, expected_revision)) => {
+            write_result(operate(&controller, request_id, expected_revision, operation).await)
+        }
     }
 }
 
-fn outcome(done: OperationResult) -> Response {
+fn write_result(done: OperationResult) -> Response {
     let op = match done {
         OperationResult::Accepted { revision, copies, again } => {
             Operated::Accepted { revision, copies, again }
@@ -206,15 +221,15 @@
     answer(code, &body)
 }
 
-/// What this seat knows, and what the configuration's owner knows of members.
-async fn status(State(owner): State<Owner>) -> Response {
-    let (tell, told) = oneshot::channel();
-    if owner.send(Input::Own(tell)).is_err() {
+/// What this controller knows, and what the configuration's leader knows of members.
+async fn status(State(controller): State<Controller>) -> Response {
+    let (reply, result) = oneshot::channel();
+    if controller.send(ControllerInput::Status(reply)).is_err() {
         return answer(503, &json!({ "error": "stopping" }));
     }
-    let own = told.await.unwrap_or(Value::Null);
+    let own = result.await.unwrap_or(Value::Null);
     let mut body = json!({ "here": own });
-    match operate(&owner, String::new(), None, Operation::Status).await {
+    match operate(&controller, String::new(), None, Operation::Status).await {
         OperationResult::Status { membership, far } => {
             let members: Vec<Value> = membership
                 .members
@@ -242,10 +257,10 @@
     answer(200, &body)
 }
 
-async fn metrics(State(owner): State<Owner>) -> Response {
-    let (tell, told) = oneshot::channel();
-    if owner.send(Input::Metrics(tell)).is_err() {
+async fn metrics(State(controller): State<Controller>) -> Response {
+    let (reply, result) = oneshot::channel();
+    if controller.send(ControllerInput::Metrics(reply)).is_err() {
         return answer(503, &json!({ "error": "stopping" }));
     }
-    told.await.unwrap_or_default().into_response()
+    result.await.unwrap_or_default().into_response()
 }
--- /dev/null
+++ b/crates/server/src/controller/settings.rs
@@ -0,0 +1,190 @@
+//! The controller's settings.
+
+use std::io::Write;
+use std::net::SocketAddr;
+use std::path::PathBuf;
+
+use grebepath_core::consts::{SEATS, SEATS_MAX};
+use grebepath_core::storage::voter_file::Start;
+use grebepath_runtime::platform_api::PlatformApi;
+use grebepath_runtime::settings::command_line::{CommandLine, Flag};
+use grebepath_runtime::settings::reader::{SettingsReader, exit_if_any};
+
+use crate::error::ControllerError;
+
+/// The file in the data folder that says to which voter slot the folder belongs.
+const SLOT_FILE: &str = "seat";
+
+const DESCRIPTION: &str = "grebepath's control plane";
+
+/// The flags, in the order of the help text.
+const FLAGS: [Flag; 12] = [
+    Flag {
+        name: "seat",
+        argument: "N",
+        help: "which of the seeds this is, from 0; without it a seat is found",
+    },
+    Flag { name: "zone", argument: "NAME", help: "the zone this machine stands in" },
+    Flag { name: "listen", argument: "IP:PORT", help: "address for operators" },
+    Flag { name: "inner", argument: "IP:PORT", help: "address for the other processes" },
+    Flag {
+        name: "seeds",
+        argument: "IP:PORT,..",
+        help: "inner addresses of controllers, with commas; with --seat all, by seat",
+    },
+    Flag {
+        name: "first",
+        argument: "true|false",
+        help: "whether the whole fleet starts for the first time (false)",
+    },
+    Flag {
+        name: "seats",
+        argument: "N",
+        help: "seats of the core, an odd number: twice the machines that may be lost, and 1 (3)",
+    },
+    Flag {
+        name: "bear",
+        argument: "N",
+        help: "machines of the core that may be lost at once, instead of `seats`",
+    },
+    Flag { name: "data", argument: "DIR", help: "folder for this controller's files" },
+    Flag {
+        name: "fleet",
+        argument: "NAME",
+        help: "the fleet's name, the same for all its processes (grebe)",
+    },
+    Flag {
+        name: "dialect",
+        argument: "NAME",
+        help: "how operators may speak beside our own manner: own (default) or platform",
+    },
+    Flag {
+        name: "seed-port",
+        argument: "N",
+        help: "port of the seeds' inner addresses, if `seeds` gives others",
+    },
+];
+
+/// Everything a controller must be told.
+#[derive(Clone)]
+pub struct Settings {
+    /// Which of the seeds it is, where an operator gives the voter slots away.
+    pub slot: Option<u8>,
+    /// The zone its machine stands in.
+    pub zone: String,
+    /// Where operators reach it.
+    pub listen: SocketAddr,
+    /// Where the other processes reach it.
+    pub inner: SocketAddr,
+    /// Where the other processes find it: `inner`, with the port it got.
+    pub advertised: SocketAddr,
+    /// Inner addresses of controllers: with `slot` all of them by their slots,
+    /// else any that are likely to be up; at the first start those that begin.
+    pub seeds: Vec<SocketAddr>,
+    /// The fleet starts for the first time.
+    pub first: bool,
+    /// How many voter slots it begins with.
+    pub slots: usize,
+    /// The folder of its files.
+    pub data: PathBuf,
+    /// The fleet it belongs to; a number that all its processes share.
+    pub fleet: u64,
+    /// How operators speak beside our own interface.
+    pub platform_api: Option<&'static PlatformApi>,
+}
+
+impl Settings {
+    /// Reads and checks the settings; ends the process with 2 if anything is wrong.
+    pub fn read_or_exit() -> Settings {
+        let mut reader = CommandLine::read_or_exit(DESCRIPTION, &FLAGS).into_reader();
+        let settings = Settings::read(&mut reader);
+        settings.check(&mut reader);
+        exit_if_any("controller", &reader.finish());
+        settings
+    }
+
+    /// Reads all settings. The order is that of the diagnostics.
+    fn read(reader: &mut SettingsReader) -> Settings {
+        let slots_max = u64::from(SEATS_MAX);
+        let slot = reader.optional_number("seat", 0, slots_max - 1).map(|slot| slot as u8);
+        let seeds = reader.seeds(SEATS_MAX.into());
+        let inner = reader.address("inner");
+        let platform_api = reader.platform_api(&platform::DIALECT);
+        let losses = reader.number("bear", 0, (slots_max - 1) / 2, Some(SEATS / 2));
+        Settings {
+            slot,
+            fleet: reader.fleet_id(),
+            zone: reader.name("zone"),
+            listen: reader.address("listen"),
+            inner,
+            advertised: inner,
+            seeds,
+            first: reader.yes_or_no("first", false),
+            slots: reader.number("seats", 1, slots_max, Some(2 * losses + 1)) as usize,
+            platform_api,
+            data: PathBuf::from(reader.text("data", None)),
+        }
+    }
+
+    /// Checks what must hold between settings.
+    fn check(&self, reader: &mut SettingsReader) {
+        if self.slots.is_multiple_of(2) {
+            reader.report("--seats", "expected an odd number");
+        }
+        if let Some(slot) = self.slot {
+            self.check_given_slot(slot, reader);
+        }
+    }
+
+    /// What must hold where an operator gives the voter slots away.
+    fn check_given_slot(&self, slot: u8, reader: &mut SettingsReader) {
+        if self.seeds.len().is_multiple_of(2) {
+            reader.report("--seeds", "with --seat, expected an odd number of addresses");
+        }
+        match self.seeds.get(usize::from(slot)) {
+            None => reader.report("--seat", format!("there are {} seeds", self.seeds.len())),
+            Some(seed) if self.inner.port() != 0 && *seed != self.inner => {
+                let text = format!(
+                    "seed {slot} is {seed}, but this seat's inner address is {}",
+                    self.inner
+                );
+                reader.report("--seeds", text);
+            }
+            Some(_) => {}
+        }
+    }
+
+    /// What decides who this controller is at its start.
+    pub fn start(&self) -> Start {
+        Start {
+            slot: self.slot,
+            first: self.first,
+            seeds: self.seeds.iter().map(|seed| seed.to_string()).collect(),
+            size: self.slots,
+            addr: self.advertised.to_string(),
+        }
+    }
+
+    /// Checks that the data folder belongs to the voter slot that the settings name, or
+    /// gives it to that slot. It belongs to one for ever: used by another, it would vote
+    /// twice.
+    pub fn claim_data_folder(&self) -> Result<(), ControllerError> {
+        let Some(slot) = self.slot else { return Ok(()) };
+        let path = self.data.join(SLOT_FILE);
+        match std::fs::read_to_string(&path) {
+            Ok(text) if text.trim() == slot.to_string() => Ok(()),
+            Ok(text) if !text.trim().is_empty() => Err(ControllerError::FolderOfAnotherSlot {
+                folder: self.data.clone(),
+                found: text.trim().to_string(),
+                expected: slot,
+            }),
+            _ => {
+                let mut file = std::fs::File::create(&path)?;
+                writeln!(file, "{slot}")?;
+                file.sync_all()?;
+                std::fs::File::open(&self.data)?.sync_all()?;
+                Ok(())
+            }
+        }
+    }
+}
--- /dev/null
+++ b/crates/server/src/controller/startup.rs
@@ -0,0 +1,78 @@
+//! What a controller finds on its disk when it starts, and what it makes of it.
+
+use grebepath_core::identifiers::{PartitionId, partitions};
+use grebepath_core::protocol::message::ReplicaCondition;
+use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::record::ReplicaState;
+use grebepath_core::storage::voter_file::{VoterFile, begin};
+use grebepath_runtime::clock::nonce;
+use grebepath_runtime::disk::data_folder;
+use grebepath_runtime::disk::error::StorageError;
+use grebepath_runtime::disk::partition_store::{PartitionStore, is_blank};
+use tracing::warn;
+
+use crate::FoundReplica;
+use crate::settings::Settings;
+
+/// The disk at the start, ready for use.
+pub struct Disk {
+    /// Who this controller is and the voter set it knows; it is on disk.
+    pub voter_file: VoterFile,
+    /// The partitions' files, by their numbers.
+    pub stores: Vec<PartitionStore>,
+    /// Each partition as it was found.
+    pub replicas: Vec<FoundReplica>,
+    /// Partitions whose first snapshot could not be written, and why.
+    pub failed: Vec<(PartitionId, String)>,
+}
+
+/// Reads all files and settles who this controller is.
+pub fn read_disk(settings: &Settings) -> Result<Disk, StorageError> {
+    let data = &settings.data;
+    let known = data_folder::read_voter_file(data)?;
+    let nonce = nonce();
+    let blank = partitions().all(|partition| is_blank(data, partition));
+    let (voter_file, set_aside) = begin(known, &settings.start(), blank, nonce);
+    let (stores, replicas, failed) = (Vec::new(), Vec::new(), Vec::new());
+    let mut disk = Disk { voter_file, stores, replicas, failed };
+    for partition in partitions() {
+        let (mut store, mut found) = PartitionStore::open(data, partition)?;
+        if set_aside {
+            warn!(part = %partition, "the files are of a seat given to another; set aside");
+            store.set_aside()?;
+            found = Found::Empty;
+        }
+        let (condition, state) = take(&mut store, partition, found, &mut disk.failed);
+        disk.replicas.push((partition, condition, state, 0));
+        disk.stores.push(store);
+    }
+    // Nothing may be said as who we are before that is on disk.
+    data_folder::write_voter_file(data, &disk.voter_file)?;
+    Ok(disk)
+}
+
+/// What a partition begins with. Where there is something, a snapshot of it is written,
+/// so that records can be appended behind it.
+fn take(
+    store: &mut PartitionStore,
+    partition: PartitionId,
+    found: Found,
+    failed: &mut Vec<(PartitionId, String)>,
+) -> (ReplicaCondition, ReplicaState) {
+    match found {
+        Found::Empty => (ReplicaCondition::Empty, ReplicaState::default()),
+        Found::Damaged(why) => {
+            warn!(part = %partition, why, "the files are damaged and set aside; relearning");
+            (ReplicaCondition::Damaged, ReplicaState::default())
+        }
+        Found::Good { copy: state, torn, .. } => {
+            if torn {
+                warn!(part = %partition, "a torn tail of the log was dropped");
+            }
+            if let Err(error) = store.write_snapshot(&state) {
+                failed.push((partition, error.to_string()));
+            }
+            (ReplicaCondition::Voting, state)
+        }
+    }
+}
--- a/crates/server/src/querier/door.rs
+++ b/crates/server/src/querier/caller_listener.rs
@@ -1,4 +1,4 @@
-//! The door for callers and for the platform's checks.
+//! The listeners for callers and for the platform's checks of readiness.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -15,38 +15,28 @@
 use grebepath_core::http_api::caller::{BUDGET, MISSING_PARTS, RETRY_AFTER};
 use grebepath_core::query::engine::{Event, room_of};
 use grebepath_core::query::request::{Ask, Outcome, Reason, Rejection};
-use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_runtime::forwarding_server::ForwardingServer;
+use grebepath_runtime::http::server;
 use grebepath_runtime::platform_api::PlatformApi;
 use tokio::sync::mpsc::UnboundedSender;
-use tokio::sync::{oneshot, watch};
+use tokio::sync::oneshot;
 
-use crate::control::Input;
-use crate::traffic::{Called, Work};
+use crate::messages::{CallerRequest, MembershipInput, Threads, TrafficInput};
 
 /// Calls are numbered over all threads of the process.
 static NEXT_CALL: AtomicU64 = AtomicU64::new(1);
 
-/// Everyone a door may have to ask.
 #[derive(Clone)]
-pub struct All {
-    pub desks: Vec<UnboundedSender<Work>>,
-    pub control: UnboundedSender<Input>,
-    pub ready: watch::Receiver<bool>,
-    /// The view, for the classes of the searches.
-    pub view: watch::Receiver<Arc<ClusterView>>,
-}
-
-#[derive(Clone)]
-struct Door {
-    all: All,
-    here: UnboundedSender<Work>,
-    /// Calls of this door that have no outcome yet.
+struct Listener {
+    threads: Threads,
+    /// The thread that serves this listener's calls.
+    traffic: UnboundedSender<TrafficInput>,
+    /// Calls of this listener that have no outcome yet.
     calls: Arc<AtomicUsize>,
 }
 
-/// The paths of one traffic thread's door.
-pub fn router(all: All, here: UnboundedSender<Work>) -> Router {
+/// The paths of one traffic thread's listener.
+pub fn router(threads: Threads, traffic: UnboundedSender<TrafficInput>) -> Router {
     Router::new()
         .route("/v1/search/{mapping}", get(search_get).post(search_post))
         .route("/readyz", get(ready))
@@ -58,22 +48,22 @@
         })
         // One byte over the limit still comes through, and gets our own 413.
         .layer(DefaultBodyLimit::max(consts::QUESTION_LIMIT + 1))
-        .with_state(Door { all, here, calls: Arc::default() })
+        .with_state(Listener { threads, traffic, calls: Arc::default() })
 }
 
-/// Tells the desk when the caller goes away before its outcome.
-struct Guard {
+/// A call in flight. Tells the engine when the caller goes away before its outcome.
+struct CallGuard {
     call: u64,
-    here: UnboundedSender<Work>,
+    traffic: UnboundedSender<TrafficInput>,
     calls: Arc<AtomicUsize>,
     done: bool,
 }
 
-impl Drop for Guard {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         self.calls.fetch_sub(1, Ordering::Relaxed);
         if !self.done {
-            let _ = self.here.send(Work::Event(Event::Gone { call: self.call }));
+            let _ = self.traffic.send(TrafficInput::Event(Event::Gone { call: self.call }));
         }
     }
 }
@@ -83,16 +73,16 @@
 }
 
 async fn search_get(
-    State(door): State<Door>,
+    State(listener): State<Listener>,
     Path(mapping): Path<String>,
     Query(params): Query<Vec<(String, String)>>,
     heads: HeaderMap,
 ) -> Response {
-    search(door, caller::read_get(&mapping, budget(&heads), &params)).await
+    search(listener, caller::read_get(&mapping, budget(&heads), &params)).await
 }
 
 async fn search_post(
-    State(door): State<Door>,
+    State(listener): State<Listener>,
     Path(mapping): Path<String>,
     heads: HeaderMap,
     body: Result<Bytes, axum::extract::rejection::BytesRejection>,
@@ -104,22 +94,22 @@
         }
         Err(e) => Err(Rejection::new(Reason::BadCall, e.to_string())),
     };
-    search(door, ask).await
+    search(listener, ask).await
 }
 
-async fn search(door: Door, ask: Result<Ask, Rejection>) -> Response {
+async fn search(listener: Listener, ask: Result<Ask, Rejection>) -> Response {
     let ask = match ask {
         Ok(ask) => ask,
         Err(b) => return written(&Outcome::Rejection(b)),
     };
     // What waits before the desk is bounded here, each class to its part: this
     // is the one place where calls could pile up.
-    let class = door.all.view.borrow().mappings.get(&ask.mapping).map(|m| m.class);
+    let class = listener.threads.view.borrow().mappings.get(&ask.mapping).map(|m| m.class);
     let most = room_of(class.unwrap_or_default()) * consts::DOOR_CALLS / consts::QUERIES_LIVE;
     let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
-    let (here, calls) = (door.here.clone(), door.calls.clone());
+    let (traffic, calls) = (listener.traffic.clone(), listener.calls.clone());
     let busy = calls.fetch_add(1, Ordering::Relaxed);
-    let mut guard = Guard { call, here, calls, done: false };
+    let mut guard = CallGuard { call, traffic, calls, done: false };
     if busy >= most {
         guard.done = true;
         let mut b = Rejection::new(Reason::Crowded, "this node's door has all the calls it may");
@@ -127,11 +117,11 @@
         b.again_s = Some(consts::AGAIN_MIN_S + call % spread);
         return written(&Outcome::Rejection(b));
     }
-    let (tell, told) = oneshot::channel();
-    let outcome = if door.here.send(Work::Call { call, called: Called::Own(ask), tell }).is_ok() {
-        told.await.ok()
-    } else {
-        None
+    let (reply, outcome) = oneshot::channel();
+    let request = CallerRequest::Search(ask);
+    let outcome = match listener.traffic.send(TrafficInput::Call { call, request, reply }) {
+        Ok(()) => outcome.await.ok(),
+        Err(_) => None,
     };
     guard.done = true;
     let outcome = outcome.unwrap_or_else(|| {
@@ -140,60 +130,63 @@
     written(&outcome)
 }
 
-/// Serves the door for calls that are handed over.
-pub async fn hand(
+/// Serves calls that are forwarded.
+pub async fn forward(
     listener: std::net::TcpListener,
-    door: Rc<ForwardingServer>,
-    here: UnboundedSender<Work>,
-    dialect: &'static PlatformApi,
+    server: Rc<ForwardingServer>,
+    traffic: UnboundedSender<TrafficInput>,
+    api: &'static PlatformApi,
 ) {
     let calls = Arc::new(AtomicUsize::new(0));
     let answer = move |head, body| {
-        let (here, calls) = (here.clone(), calls.clone());
+        let (traffic, calls) = (traffic.clone(), calls.clone());
         async move {
-            let parcel = Arc::new((dialect.read_call)(head, body));
+            let request = CallerRequest::Forward(Arc::new((api.read_call)(head, body)));
             let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
             calls.fetch_add(1, Ordering::Relaxed);
-            let mut guard = Guard { call, here: here.clone(), calls, done: false };
-            let (tell, told) = oneshot::channel();
-            let called = Called::Handed(parcel);
-            let outcome = match here.send(Work::Call { call, called, tell }) {
-                Ok(()) => told.await.ok(),
+            let mut guard = CallGuard { call, traffic: traffic.clone(), calls, done: false };
+            let (reply, outcome) = oneshot::channel();
+            let outcome = match traffic.send(TrafficInput::Call { call, request, reply }) {
+                Ok(()) => outcome.await.ok(),
                 Err(_) => None,
             };
             guard.done = true;
             let gone = || Rejection::new(Reason::Stopping, "this node is going down");
-            (dialect.write_outcome)(outcome.unwrap_or_else(|| Outcome::Rejection(gone())))
+            (api.write_outcome)(outcome.unwrap_or_else(|| Outcome::Rejection(gone())))
         }
     };
-    door.serve(listener, answer).await;
+    server.serve(listener, answer).await;
 }
 
-/// Serves the address at which readiness alone is asked.
-pub async fn check(
-    listener: std::net::TcpListener,
-    path: &str,
-    ready: watch::Receiver<bool>,
-    (all, here): (All, UnboundedSender<Work>),
-) {
-    // Our own paths beside it: metrics, and searches of our own.
-    let router = router(all, here).route(
-        path,
-        get(async move || {
-            if *ready.borrow() {
-                return "ready\n".into_response();
-            }
-            (StatusCode::SERVICE_UNAVAILABLE, "not ready\n").into_response()
-        }),
-    );
-    let never = std::future::pending();
-    if let Err(e) =
-        grebepath_runtime::http::server::serve(listener, consts::CHECK_WIRES, router, never).await
-    {
-        tracing::error!("the door for checks: {e}");
+/// The address at which readiness alone is asked.
+pub struct ReadinessListener {
+    /// Listens for the checks.
+    pub listener: std::net::TcpListener,
+    /// All threads of the process.
+    pub threads: Threads,
+}
+
+impl ReadinessListener {
+    /// Serves the checks at `path`, and our own paths beside it: metrics, and searches
+    /// of our own, which `traffic` answers.
+    pub async fn serve(self, path: &'static str, traffic: UnboundedSender<TrafficInput>) {
+        let ready = self.threads.ready.clone();
+        let check = get(async move || readiness(*ready.borrow()));
+        let router = router(self.threads, traffic).route(path, check);
+        let never = std::future::pending();
+        if let Err(e) = server::serve(self.listener, consts::CHECK_WIRES, router, never).await {
+            tracing::error!("the door for checks: {e}");
+        }
     }
 }
 
+fn readiness(ready: bool) -> Response {
+    if ready {
+        return "ready\n".into_response();
+    }
+    (StatusCode::SERVICE_UNAVAILABLE, "not ready\n").into_response()
+}
+
 fn written(outcome: &Outcome) -> Response {
     let out = caller::write(outcome);
     let code = StatusCode::from_u16(out.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
@@ -207,29 +200,26 @@
     resp
 }
 
-async fn ready(State(door): State<Door>) -> Response {
-    if *door.all.ready.borrow() {
-        return "ready\n".into_response();
-    }
-    (StatusCode::SERVICE_UNAVAILABLE, "not ready\n").into_response()
+async fn ready(State(listener): State<Listener>) -> Response {
+    readiness(*listener.threads.ready.borrow())
 }
 
-async fn metrics(State(door): State<Door>) -> Response {
-    let (tell, told) = oneshot::channel();
-    let _ = door.all.control.send(Input::Counts(tell));
-    let mut asked = Vec::new();
-    for desk in &door.all.desks {
-        let (tell, told) = oneshot::channel();
-        if desk.send(Work::Counts(tell)).is_ok() {
-            asked.push(told);
+async fn metrics(State(listener): State<Listener>) -> Response {
+    let (reply, membership) = oneshot::channel();
+    let _ = listener.threads.membership.send(MembershipInput::Metrics(reply));
+    let mut pending = Vec::new();
+    for thread in &listener.threads.traffic {
+        let (reply, counts) = oneshot::channel();
+        if thread.send(TrafficInput::Metrics(reply)).is_ok() {
+            pending.push(counts);
         }
     }
-    let mut counts = Vec::new();
-    for told in asked {
-        if let Ok(c) = told.await {
-            counts.push(c);
+    let mut all = Vec::new();
+    for counts in pending {
+        if let Ok(counts) = counts.await {
+            all.push(counts);
         }
     }
-    let ready = *door.all.ready.borrow();
-    crate::metrics::text(&counts, told.await.ok(), ready).into_response()
+    let ready = *listener.threads.ready.borrow();
+    crate::metrics::text(&all, membership.await.ok(), ready).into_response()
 }
--- a/crates/server/src/querier/leafs.rs
+++ b/crates/server/src/querier/leaf_client.rs
@@ -1,4 +1,4 @@
-//! Sends a dispatch to a leaf and reads what comes back, unjudged.
+//! Sends an attempt to a leaf and reads what comes back, unjudged.
 
 use std::net::SocketAddr;
 
@@ -17,62 +17,71 @@
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, Response};
 
-/// Sends one dispatch, to this very leaf or to nobody.
-pub async fn send(pool: &LeafPool, s: Sending) -> Result<Raw, Trouble> {
-    let addr: SocketAddr = s.addr.parse().map_err(|_| Trouble::Unreachable)?;
-    let request = |req: hyper::http::request::Builder| {
-        req.header(hyper::header::HOST, &s.addr)
-            .header(leaf::EXPECT_LEAF, &s.leaf)
-            .header(leaf::EXPECT_SERVICE, &s.service)
+/// Bytes of a probe's response that are read at most.
+const PROBE_REPLY_LIMIT: usize = 64 * 1024;
+
+/// Sends an attempt, to this very leaf or to nobody.
+pub async fn send(pool: &LeafPool, sending: Sending) -> Result<Raw, Trouble> {
+    let leaf = address(&sending)?;
+    let request = |request: hyper::http::request::Builder| {
+        request
+            .header(hyper::header::HOST, &sending.addr)
+            .header(leaf::EXPECT_LEAF, &sending.leaf)
+            .header(leaf::EXPECT_SERVICE, &sending.service)
     };
     let work = request(Request::post(leaf::PATH))
-        .header(leaf::QUERY_ID, &s.id)
-        .header(leaf::QUESTION_DIGEST, &s.digest)
-        .header(leaf::BUDGET, (s.budget / MILLI).max(1).to_string())
+        .header(leaf::QUERY_ID, &sending.id)
+        .header(leaf::QUESTION_DIGEST, &sending.digest)
+        .header(leaf::BUDGET, (sending.budget / MILLI).max(1).to_string())
         .header("content-type", "application/json")
-        .body(Full::new(Bytes::copy_from_slice(&s.body)))
+        .body(Full::new(Bytes::copy_from_slice(&sending.body)))
         .map_err(|_| Trouble::Unreachable)?;
     let greeting = || request(Request::get(leaf::SELF_PATH)).body(Full::default());
     greeting().map_err(|_| Trouble::Unreachable)?;
     let greeting = || greeting().unwrap_or_default();
     // A leaf that leaves, or another identity, gets no work.
-    let fits = |r: &Response<Bytes>| {
-        r.status().as_u16() == 200 && !leaf::self_word(&heads(r.headers())).leaving
+    let fits = |response: &Response<Bytes>| {
+        response.status().as_u16() == 200 && !leaf::self_word(&heads(response.headers())).leaving
     };
-    let leaf = LeafAddress { address: addr, leaf: s.leaf.clone() };
     let sent = pool.exchange(leaf, greeting, fits, work, REPLY_LIMIT);
-    match tokio::time::timeout(duration(s.budget), sent).await {
-        Ok(Ok(Exchange::Answered(r))) => Ok(raw(r)),
-        Ok(Ok(Exchange::Declined(r))) => {
-            let mut raw = raw(r);
+    match tokio::time::timeout(duration(sending.budget), sent).await {
+        Ok(Ok(Exchange::Answered(response))) => Ok(raw(response)),
+        Ok(Ok(Exchange::Declined(response))) => {
+            let mut raw = raw(response);
             // It is the leaf, and it leaves: no work was sent.
             raw.heads.unrun |= raw.status == 200;
             Ok(raw)
         }
-        Ok(Err(e)) => Err(trouble(&e)),
+        Ok(Err(error)) => Err(trouble(&error)),
         Err(_) => Err(Trouble::OutOfTime),
     }
 }
 
-/// Sends one dispatch of a call that is handed over.
-pub async fn hand(
+/// Sends an attempt of a request that is forwarded.
+pub async fn forward(
     pool: &LeafPool,
-    s: Sending,
-    dialect: &'static PlatformApi,
+    sending: Sending,
+    api: &'static PlatformApi,
 ) -> Result<Raw, Trouble> {
-    let addr: SocketAddr = s.addr.parse().map_err(|_| Trouble::Unreachable)?;
-    let work = (dialect.write_attempt)(&s).ok_or(Trouble::Unreachable)?;
-    let leaf = LeafAddress { address: addr, leaf: s.leaf.clone() };
-    let fits = |r: &Response<Bytes>| !(dialect.read_reply)(&s, r.clone()).heads.foreign;
-    let options = ForwardOptions { reply_limit: REPLY_LIMIT, once: s.once, keep: s.keep };
+    let leaf = address(&sending)?;
+    let work = (api.write_attempt)(&sending).ok_or(Trouble::Unreachable)?;
+    let fits =
+        |response: &Response<Bytes>| !(api.read_reply)(&sending, response.clone()).heads.foreign;
+    let options =
+        ForwardOptions { reply_limit: REPLY_LIMIT, once: sending.once, keep: sending.keep };
     let sent = pool.forward(leaf, work, options, fits);
-    match tokio::time::timeout(duration(s.budget), sent).await {
-        Ok(Ok(resp)) => Ok((dialect.read_reply)(&s, resp)),
-        Ok(Err(e)) => Err(trouble(&e)),
+    match tokio::time::timeout(duration(sending.budget), sent).await {
+        Ok(Ok(response)) => Ok((api.read_reply)(&sending, response)),
+        Ok(Err(error)) => Err(trouble(&error)),
         Err(_) => Err(Trouble::OutOfTime),
     }
 }
 
+fn address(sending: &Sending) -> Result<LeafAddress, Trouble> {
+    let address: SocketAddr = sending.addr.parse().map_err(|_| Trouble::Unreachable)?;
+    Ok(LeafAddress { address, leaf: sending.leaf.clone() })
+}
+
 /// What a failed exchange means for the attempt.
 fn trouble(error: &HttpError) -> Trouble {
     match error {
@@ -92,23 +101,24 @@
 
 /// Asks a leaf about itself; `None` when it could not be reached.
 pub async fn probe(http: &HttpClient, info: &LeafInfo) -> Option<LeafReport> {
-    let req = Request::get(format!("http://{}{}", info.addr, leaf::SELF_PATH))
+    let request = Request::get(format!("http://{}{}", info.addr, leaf::SELF_PATH))
         .header(leaf::EXPECT_LEAF, &info.leaf)
         .header(leaf::EXPECT_SERVICE, &info.service)
         .body(Full::default())
         .ok()?;
-    let resp = http.call_within(req, 64 * 1024, duration(PROBE_PATIENCE)).await.ok()?;
-    let mut word = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
-    match resp.status().as_u16() {
-        leaf::MISDIRECTED => word.gone = true,
+    let timeout = duration(PROBE_PATIENCE);
+    let response = http.call_within(request, PROBE_REPLY_LIMIT, timeout).await.ok()?;
+    let mut report = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
+    match response.status().as_u16() {
+        leaf::MISDIRECTED => report.gone = true,
         200 => {
-            let said = leaf::self_word(&heads(resp.headers()));
-            word.leaving = said.leaving;
-            word.age_ms = said.age_ms.unwrap_or(0);
+            let said = leaf::self_word(&heads(response.headers()));
+            report.leaving = said.leaving;
+            report.age_ms = said.age_ms.unwrap_or(0);
         }
         _ => return None,
     }
-    Some(word)
+    Some(report)
 }
 
 fn heads(map: &HeaderMap) -> Heads {
--- a/crates/server/src/querier/main.rs
+++ b/crates/server/src/querier/main.rs
@@ -1,80 +1,112 @@
 //! The data plane: takes callers' questions and answers them from the leafs.
+//!
+//! The main thread is the membership thread ([`membership_thread`]); beside it run the
+//! traffic threads ([`traffic_thread`]), each with a listener and a query engine.
 
-mod control;
-mod door;
-mod leafs;
+mod caller_listener;
+mod error;
+mod leaf_client;
+mod leaf_list;
+mod membership_io;
+mod membership_thread;
+mod messages;
 mod metrics;
-mod params;
-mod traffic;
+mod settings;
+mod traffic_thread;
 
+use std::net::TcpListener;
+use std::thread::JoinHandle;
+
+use grebepath_core::query::quota;
+use grebepath_runtime::clock::{Clock, nonce};
+use grebepath_runtime::http::server::listen;
+use tokio::sync::mpsc::{UnboundedReceiver, unbounded_channel};
+use tokio::sync::watch;
 use tracing::error;
 
+use crate::caller_listener::ReadinessListener;
+use crate::error::QuerierError;
+use crate::membership_io::Published;
+use crate::messages::{Threads, TrafficInput};
+use crate::settings::Settings;
+
 fn main() {
     grebepath_runtime::log_buffer::install();
-    let p = params::read();
-    if let Err(e) = run(p) {
+    let settings = Settings::read_or_exit();
+    if let Err(e) = run(settings) {
         error!("{e}");
         eprintln!("querier: {e}");
         std::process::exit(1);
     }
 }
 
-fn run(p: params::Params) -> Result<(), std::io::Error> {
+fn run(settings: Settings) -> Result<(), QuerierError> {
     // One listener for each traffic thread, all on one address.
-    let listeners = grebepath_runtime::http::server::listen(p.listen, p.threads)?;
-    let addr = listeners[0].local_addr()?;
-    let inner = std::net::TcpListener::bind(p.inner)?;
-    let check = match p.check {
-        Some(addr) => Some(grebepath_runtime::http::server::listen(addr, 1)?.remove(0)),
+    let listeners = listen(settings.listen, settings.threads)?;
+    let door = listeners[0].local_addr()?;
+    let inner = TcpListener::bind(settings.inner)?;
+    let readiness = match settings.check {
+        Some(address) => Some(listen(address, 1)?.remove(0)),
         None => None,
     };
-    println!("querier {} inner {} door {addr}", p.name, inner.local_addr()?);
-    let clock = grebepath_runtime::clock::Clock::new();
-    let life = grebepath_runtime::clock::nonce();
-    let (tx, rx) = tokio::sync::mpsc::unbounded_channel();
-    let (ready_tx, ready_rx) = tokio::sync::watch::channel(false);
-    let (view_tx, view_rx) = tokio::sync::watch::channel(Default::default());
-    let (stop_tx, stop_rx) = tokio::sync::watch::channel(false);
-    let mut desks = Vec::new();
-    let mut ends = Vec::new();
-    for _ in 0..p.threads {
-        let (work_tx, work_rx) = tokio::sync::mpsc::unbounded_channel();
-        desks.push(work_tx);
-        ends.push(work_rx);
-    }
-    let ready = ready_rx.clone();
-    let all =
-        door::All { desks: desks.clone(), control: tx.clone(), ready: ready_rx, view: view_rx };
-    let checks = check.map(|listener| (listener, ready, all.clone()));
-    let mut threads = Vec::new();
-    for (i, (listener, rx)) in listeners.into_iter().zip(ends).enumerate() {
-        let setup = traffic::Setup {
-            name: format!("{}-{i}-{:08x}", p.name, life as u32),
-            zone: p.zone.clone(),
-            seed: life ^ i as u64,
+    println!("querier {} inner {} door {door}", settings.name, inner.local_addr()?);
+    let clock = Clock::new();
+    let (membership, inputs) = unbounded_channel();
+    // These hold the newest value alone; they never fill up.
+    let (ready_sender, ready) = watch::channel(false);
+    let (view_sender, view) = watch::channel(Default::default());
+    let (stop, stopped) = watch::channel(false);
+    let (traffic, traffic_inputs): (Vec<_>, Vec<_>) =
+        (0..settings.threads).map(|_| unbounded_channel()).unzip();
+    let threads = Threads { traffic, membership, ready, view };
+    let readiness =
+        readiness.map(|listener| ReadinessListener { listener, threads: threads.clone() });
+    let ends = listeners.into_iter().zip(traffic_inputs).collect();
+    let joins = start_traffic(&settings, clock, &threads, &stopped, ends)?;
+    let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
+    let local = tokio::task::LocalSet::new();
+    let start = membership_thread::Start {
+        settings,
+        clock,
+        listener: inner,
+        readiness,
+        traffic: threads.traffic,
+        published: Published { ready: ready_sender, view: view_sender },
+        inputs: threads.membership,
+    };
+    let end = local.block_on(&runtime, membership_thread::serve(start, inputs));
+    let _ = stop.send(true);
+    let joined = joins.into_iter().all(|thread| thread.join().is_ok());
+    end?;
+    if joined { Ok(()) } else { Err(QuerierError::ThreadFailed) }
+}
+
+/// Starts the traffic threads, each with a listener and the end of its channel.
+fn start_traffic(
+    settings: &Settings,
+    clock: Clock,
+    threads: &Threads,
+    stop: &watch::Receiver<bool>,
+    ends: Vec<(TcpListener, UnboundedReceiver<TrafficInput>)>,
+) -> std::io::Result<Vec<JoinHandle<()>>> {
+    let incarnation = nonce();
+    let mut joins = Vec::new();
+    for (index, (listener, inputs)) in ends.into_iter().enumerate() {
+        let start = traffic_thread::Start {
+            name: format!("{}-{index}-{:08x}", settings.name, incarnation as u32),
+            zone: settings.zone.clone(),
+            seed: incarnation ^ index as u64,
             clock,
             listener,
-            here: desks[i].clone(),
-            all: all.clone(),
-            control: tx.clone(),
-            stop: stop_rx.clone(),
-            dialect: p.dialect,
-            rate: p.rate,
-            slot: grebepath_core::query::quota::slot(&p.name, i as u32),
+            inputs: threads.traffic[index].clone(),
+            threads: threads.clone(),
+            stop: stop.clone(),
+            platform_api: settings.platform_api,
+            retry_rate: settings.retry_rate,
+            slot: quota::slot(&settings.name, index as u32),
         };
-        threads.push(
-            std::thread::Builder::new()
-                .name(format!("traffic-{i}"))
-                .spawn(move || traffic::serve(setup, rx))?,
-        );
+        let thread = std::thread::Builder::new().name(format!("traffic-{index}"));
+        joins.push(thread.spawn(move || traffic_thread::serve(start, inputs))?);
     }
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-    let local = tokio::task::LocalSet::new();
-    let end = local.block_on(
-        &rt,
-        control::serve(p, clock, (inner, checks), desks, (ready_tx, view_tx), tx, rx),
-    );
-    let _ = stop_tx.send(true);
-    let joined = threads.into_iter().all(|t| t.join().is_ok());
-    end.and(if joined { Ok(()) } else { Err(std::io::Error::other("a thread failed")) })
+    Ok(joins)
 }
--- a/crates/server/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -6,21 +6,21 @@
 use grebepath_core::query::engine::{Counts, TOOK_MS};
 use indexmap::IndexMap;
 
-/// What the control thread tells.
-pub struct Control {
+/// What the membership thread tells.
+pub struct MembershipMetrics {
     counts: WatchCounts,
     revision: u64,
     members: u64,
     shares: u64,
 }
 
-/// The control thread's part.
-pub fn control(w: &Watch) -> Control {
-    Control {
-        counts: w.counts.clone(),
-        revision: w.view.as_ref().map_or(0, |v| v.revision),
-        members: w.membership.members.len() as u64,
-        shares: w.shared.iter().map(|(_, n)| u64::from(*n)).sum(),
+/// The membership thread's part.
+pub fn membership(agent: &Watch) -> MembershipMetrics {
+    MembershipMetrics {
+        counts: agent.counts.clone(),
+        revision: agent.view.as_ref().map_or(0, |v| v.revision),
+        members: agent.membership.members.len() as u64,
+        shares: agent.shared.iter().map(|(_, n)| u64::from(*n)).sum(),
     }
 }
 
@@ -67,7 +67,7 @@
 }
 
 /// The whole text.
-pub fn text(all: &[Counts], control: Option<Control>, ready: bool) -> String {
+pub fn text(all: &[Counts], membership: Option<MembershipMetrics>, ready: bool) -> String {
     let c = sum(all);
     let mut out = String::new();
     let o = &mut out;
@@ -94,7 +94,7 @@
     n += c.took[TOOK_MS.len()];
     let _ = writeln!(o, "grebe_outcome_ms_bucket{{le=\"+Inf\"}} {n}\ngrebe_outcome_ms_count {n}");
     one(o, "gauge", "grebe_ready", "Whether this node is ready.", u64::from(ready));
-    if let Some(k) = control {
+    if let Some(k) = membership {
         one(o, "gauge", "grebe_revision", "Configuration revision obeyed.", k.revision);
         one(o, "gauge", "grebe_members", "Members of the cohort.", k.members);
         one(o, "gauge", "grebe_shares", "Threads that divide the fleet's limits.", k.shares);
