--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -9,7 +9,6 @@
 use crate::control_plane::operation_forwarding;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{Message, ReplicaCondition};
-use crate::random::draw;
 use crate::replication::{partition, replica};
 use crate::storage::voter_file::VoterFile;
 use crate::time::{Span, Tick, since};
@@ -194,7 +193,7 @@
         forget(p, now, out);
     }
     core.members = Default::default();
-    let me = draw(&mut core.luck) | 1;
+    let me = core.luck.next_u64() | 1;
     let roll = VoterFile { me, first: false, table: core.seating.roll.table.clone() };
     // The former id is nobody's any more; nobody is told a new one yet.
     core.seating.roll.me = 0;
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -8,13 +8,13 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use grebepath_core::command::Command;
-use grebepath_core::control_plane::controller::{ControllerState, Event, core};
-use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{ControllerState, Event};
+use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::protocol::message::{
     Member, MemberProgress, Message, Operation, OperationResult, ReplicaCondition,
 };
-use grebepath_core::random::{Random, below, luck};
+use grebepath_core::random::Random;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
 use grebepath_core::storage::voter_file::{Start, begin};
@@ -119,7 +119,7 @@
         .iter()
         .map(|(partition, copy)| (*partition, ReplicaCondition::Voting, copy.clone(), 0))
         .collect();
-    core(roll, (&address(node), "a"), found, seed, BOOT)
+    ControllerState::new(roll, (&address(node), "a"), found, seed, BOOT)
 }
 
 /// So many controllers, each with a voter slot and a disk that holds nothing.
@@ -149,7 +149,7 @@
         asked: BTreeMap::new(),
         next_operation: 1,
         jitter: 0,
-        chance: luck(1),
+        chance: Random::new(1),
         last_arrival: BTreeMap::new(),
         unproved: false,
         lossy_snapshots: false,
@@ -318,7 +318,7 @@
         Event::Operate { .. } | Event::FromVoter { message: Message::OperationRequest { .. }, .. }
     );
     let answered = (cluster.unproved && order).then(|| pretend_proof(core));
-    let commands = step(core, now, event);
+    let commands = core.step(now, event);
     if let (Some(answered), Role::Leader(leader)) = (answered, &mut core.partitions[0].role) {
         leader.answered = answered;
     }
@@ -338,7 +338,7 @@
 
 /// How long a message takes that is sent now, behind all that was sent before.
 fn transit(cluster: &mut Cluster, from: usize, to: usize) -> Span {
-    let arrival = cluster.now + LATENCY + below(&mut cluster.chance, cluster.jitter);
+    let arrival = cluster.now + LATENCY + cluster.chance.below(cluster.jitter);
     let last = cluster.last_arrival.entry((from, to)).or_insert(0);
     *last = arrival.max(*last);
     *last - cluster.now
--- a/crates/runtime/src/settings/reader.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use grebepath_core::routing_language::diagnostic::{Diagnostic, find};
+use grebepath_core::diagnostic::{Diagnostic, find};
 use grebepath_core::time::Span;
 use serde_json::Value;
 
@@ -294,6 +294,6 @@
         return;
     }
     eprintln!("{program}: {} thing(s) wrong with the params:", diagnostics.len());
-    eprintln!("{}", grebepath_core::routing_language::diagnostic::lines(diagnostics));
+    eprintln!("{}", grebepath_core::diagnostic::lines(diagnostics));
     std::process::exit(EXIT_SETTINGS);
 }
--- a/crates/server/src/controller/controller_thread.rs
+++ b/crates/server/src/controller/controller_thread.rs
@@ -4,8 +4,8 @@
 use std::net::SocketAddr;
 use std::sync::mpsc;
 
-use grebepath_core::control_plane::controller::{ControllerState, Event, core};
-use grebepath_core::control_plane::step::{WAKE, step};
+use grebepath_core::control_plane::controller::{ControllerState, Event};
+use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_core::voters::handover;
@@ -62,7 +62,7 @@
     tokio::task::spawn_local(accept(listener, settings.fleet, events.clone()));
     let address = settings.advertised.to_string();
     let place = (address.as_str(), settings.zone.as_str());
-    let state = core(start.voter_file, place, start.replicas, nonce(), clock.now());
+    let state = ControllerState::new(start.voter_file, place, start.replicas, nonce(), clock.now());
     let io = ControllerIo::new(&settings, &state, start.disk, events);
     let mut thread = ControllerThread { settings, clock, state, io };
     for (partition, why) in start.failed {
@@ -118,7 +118,7 @@
     }
 
     fn step(&mut self, event: Event) {
-        let commands = step(&mut self.state, self.clock.now(), event);
+        let commands = self.state.step(self.clock.now(), event);
         self.io.carry_out(&self.state, commands);
     }
 
--- a/crates/server/src/querier/leaf_list.rs
+++ b/crates/server/src/querier/leaf_list.rs
@@ -5,8 +5,8 @@
 
 use bytes::Bytes;
 use grebepath_core::consts;
+use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::list;
-use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_runtime::clock::duration;
 use grebepath_runtime::http::client::{HttpClient, HttpError};
--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -6,9 +6,9 @@
 use std::sync::Arc;
 
 use grebepath_core::consts;
-use grebepath_core::membership::node_agent::{Command, Event, Watch};
+use grebepath_core::membership::node_agent::{Command, Event, NodeAgent};
 use grebepath_core::protocol::message::{Message, PeerIdentity};
-use grebepath_core::query::{engine, quota};
+use grebepath_core::query::{engine, event, quota};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::voter_set::seat_of;
@@ -107,13 +107,13 @@
     }
 
     /// Opens and drops connections to controllers as the voter set asks.
-    pub fn arrange(&mut self, agent: &Watch) {
+    pub fn arrange(&mut self, agent: &NodeAgent) {
         let identity = PeerIdentity::Member(self.name.clone());
-        self.controllers.arrange(identity, &agent.table);
+        self.controllers.arrange(identity, &agent.voter_set);
     }
 
     /// Arranges the connections to controllers now and then.
-    pub fn note_wake(&mut self, agent: &Watch) {
+    pub fn note_wake(&mut self, agent: &NodeAgent) {
         self.wakes += 1;
         if self.wakes.is_multiple_of(ARRANGE_WAKES) {
             self.arrange(agent);
@@ -124,7 +124,7 @@
     /// change nothing.
     pub fn reload_settings(&self) {
         match Settings::read_again() {
-            Ok(settings) => self.tell_engines(|| engine::Event::Rate(settings.retry_rate)),
+            Ok(settings) => self.tell_engines(|| event::Event::Rate(settings.retry_rate)),
             Err(diagnostics) => {
                 for diagnostic in diagnostics {
                     warn!(me = self.name, "changed params are not taken up: {diagnostic}");
@@ -140,21 +140,20 @@
         }
     }
 
-    fn tell_engines(&self, event: impl Fn() -> engine::Event) {
+    fn tell_engines(&self, event: impl Fn() -> event::Event) {
         self.tell_traffic(|| TrafficInput::Event(event()));
     }
 
     /// What a connection's event means for the node agent, if anything.
-    pub fn take(&mut self, agent: &Watch, event: ConnectionEvent<Tag>) -> Option<Event> {
+    pub fn take(&mut self, agent: &NodeAgent, event: ConnectionEvent<Tag>) -> Option<Event> {
         match event {
             ConnectionEvent::Received { tag: Tag::Controller(address), message } => {
                 let holder = self.controllers.note_message(address, &message);
                 match message {
-                    Message::VoterSetUpdate { table, .. } => Some(Event::Seats(table)),
+                    Message::VoterSetUpdate { table, .. } => Some(Event::VoterSet(table)),
                     // Who has no voter slot has no say.
-                    message => {
-                        seat_of(&agent.table, holder).map(|slot| Event::FromSeat { slot, message })
-                    }
+                    message => seat_of(&agent.voter_set, holder)
+                        .map(|slot| Event::FromVoter { slot, message }),
                 }
             }
             ConnectionEvent::Received { tag: Tag::Member(name), message }
@@ -176,43 +175,43 @@
     }
 
     /// Carries out what the node agent asks.
-    pub fn carry_out(&mut self, agent: &Watch, commands: Vec<Command>) {
+    pub fn carry_out(&mut self, agent: &NodeAgent, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::ToSeat { slot, message } => {
-                    self.controllers.send_to_voter(&agent.table, slot, &message);
+                Command::ToVoter { slot, message } => {
+                    self.controllers.send_to_voter(&agent.voter_set, slot, &message);
                 }
-                Command::ToAll { message } => self.controllers.broadcast(&message),
-                Command::Seats => self.arrange(agent),
+                Command::Broadcast { message } => self.controllers.broadcast(&message),
+                Command::VoterSetChanged => self.arrange(agent),
                 Command::ToMember { name, addr, message } => {
                     self.send_to_member(name, &addr, &message);
                 }
                 Command::ClusterView(view) => self.publish_view(agent, view),
-                Command::Shares(list) => self.tell_shares(&list),
-                Command::Peers(list) => {
+                Command::QuotaMembers(list) => self.tell_shares(&list),
+                Command::LeafClients(list) => {
                     let peers = quota::peers(&list);
-                    self.tell_engines(|| engine::Event::Peers(peers.clone()));
+                    self.tell_engines(|| event::Event::Peers(peers.clone()));
                 }
-                Command::Door(door) => {
+                Command::Admission(door) => {
                     self.closed |= door == engine::Door::Stopping;
-                    self.tell_engines(|| engine::Event::Door(door));
+                    self.tell_engines(|| event::Event::Door(door));
                 }
-                Command::Grip(until) => self.tell_engines(|| engine::Event::Grip(until)),
+                Command::ServingUntil(until) => self.tell_engines(|| event::Event::Grip(until)),
                 Command::Ready(ready) => {
                     let _ = self.published.ready.send(ready);
                 }
-                Command::PollList => self.leaf_list.poll(),
-                Command::Probe(leafs) if self.probes => self.probe(leafs),
-                Command::Probe(_) => {}
+                Command::PollLeafList => self.leaf_list.poll(),
+                Command::ProbeLeafs(leafs) if self.probes => self.probe(leafs),
+                Command::ProbeLeafs(_) => {}
                 Command::Alarm(text) => self.alarm(&text),
             }
         }
     }
 
-    fn publish_view(&mut self, agent: &Watch, view: Arc<ClusterView>) {
+    fn publish_view(&mut self, agent: &NodeAgent, view: Arc<ClusterView>) {
         let members = &agent.membership.members;
         self.members.retain(|name, _| members.iter().any(|member| member.name == *name));
-        self.tell_engines(|| engine::Event::ClusterView(view.clone()));
+        self.tell_engines(|| event::Event::ClusterView(view.clone()));
         let _ = self.published.view.send(view);
     }
 
@@ -220,7 +219,7 @@
     fn tell_shares(&self, list: &[(String, u32)]) {
         for (index, thread) in self.traffic.iter().enumerate() {
             let share = quota::share(list, &self.name, index as u32);
-            let _ = thread.send(TrafficInput::Event(engine::Event::Share(share)));
+            let _ = thread.send(TrafficInput::Event(event::Event::Share(share)));
         }
     }
 
--- a/crates/server/src/querier/membership_thread.rs
+++ b/crates/server/src/querier/membership_thread.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use grebepath_core::consts;
-use grebepath_core::membership::node_agent::{Event, Watch, watch};
+use grebepath_core::membership::node_agent::{Event, NodeAgent, watch};
 use grebepath_core::membership::step::{WAKE, step};
 use grebepath_core::protocol::message::Member;
 use grebepath_core::time::Span;
@@ -43,7 +43,7 @@
 /// The node agent with everything around it.
 struct MembershipThread {
     clock: Clock,
-    agent: Watch,
+    agent: NodeAgent,
     io: MembershipIo,
     /// How long calls in flight may take after the request to stop.
     drain_max: Span,
@@ -78,7 +78,7 @@
     let mut agent = watch(me, clock.now());
     let mut drain_max = consts::DRAIN_MAX;
     if let Some(grace) = settings.grace {
-        agent.notice = grace * consts::NOTICE_PCT / 100;
+        agent.drain_notice = grace * consts::NOTICE_PCT / 100;
         drain_max = grace.saturating_sub(consts::GRACE_KEEP);
     }
     if let (Some(readiness), Some(api)) = (readiness, settings.platform_api) {
@@ -151,12 +151,12 @@
     /// What another thread's or a task's input means for the node agent, if anything.
     fn take(&mut self, input: MembershipInput) -> Option<Event> {
         match input {
-            MembershipInput::LeafReport { service, report: word } => {
-                Some(Event::Word { service, word })
+            MembershipInput::LeafReport { service, report } => {
+                Some(Event::LeafReport { service, report })
             }
             MembershipInput::LeafList { leafs, pages } => {
                 self.io.leaf_list.note_end(pages);
-                Some(Event::List(leafs.map_err(|error| error.to_string())))
+                Some(Event::LeafList(leafs.map_err(|error| error.to_string())))
             }
             MembershipInput::Metrics(reply) => {
                 let _ = reply.send(crate::metrics::membership(&self.agent));
--- a/crates/server/src/querier/messages.rs
+++ b/crates/server/src/querier/messages.rs
@@ -7,9 +7,10 @@
 use std::sync::Arc;
 
 use grebepath_core::protocol::message::LeafReport;
-use grebepath_core::query::engine::{Counts, Event};
+use grebepath_core::query::event::Event;
 use grebepath_core::query::forwarded_request::ForwardedRequest;
 use grebepath_core::query::request::{Ask, Outcome};
+use grebepath_core::query::statistics::Counts;
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use tokio::sync::mpsc::UnboundedSender;
--- a/crates/server/src/querier/settings.rs
+++ b/crates/server/src/querier/settings.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 
 use grebepath_core::consts::{self, SEATS_MAX};
+use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::query::service_retry_budget::{Rate, own};
-use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::time::Span;
 use grebepath_runtime::platform_api::PlatformApi;
 use grebepath_runtime::settings::command_line::{CommandLine, Flag};
--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -7,10 +7,12 @@
 
 use grebepath_core::config::types::Terms;
 use grebepath_core::consts;
-use grebepath_core::query::dispatch::{next, step};
-use grebepath_core::query::engine::{Command, Event, QueryEngine, Sending, counts, desk};
+use grebepath_core::query::engine::{QueryEngine, counts, desk};
+use grebepath_core::query::event::{Command, Event, Sending};
+use grebepath_core::query::progress::next;
 use grebepath_core::query::request::Outcome;
 use grebepath_core::query::service_retry_budget::{Rate, quota};
+use grebepath_core::query::step::step;
 use grebepath_core::time::ms;
 use grebepath_runtime::clock::{Clock, duration};
 use grebepath_runtime::forwarding_server::{ForwardingServer, ListenerLimits};
