--- a/crates/server/src/grebectl/cli.rs
+++ b/crates/server/src/grebectl/cli.rs
@@ -3,6 +3,7 @@
 use std::net::SocketAddr;
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
+use thiserror::Error;
 
 /// All is well.
 pub const EXIT_OK: i32 = 0;
@@ -155,12 +156,27 @@
     }
 }
 
-/// The controllers' addresses, or a message.
-pub fn addresses(args: &Args) -> Result<Vec<SocketAddr>, String> {
-    let Some(text) = &args.at else {
-        return Err("say where the controllers are: --at or GREBE_AT".into());
-    };
+/// Why it is unknown where the controllers are.
+#[derive(Debug, Error)]
+pub enum AddressError {
+    /// Neither the flag nor the environment says it.
+    #[error("say where the controllers are: --at or GREBE_AT")]
+    Missing,
+    /// One of them can't be read.
+    #[error("`{found}` is not an IP address with a port")]
+    Unreadable {
+        /// What stands in its place.
+        found: String,
+    },
+}
+
+/// The controllers' addresses.
+pub fn addresses(args: &Args) -> Result<Vec<SocketAddr>, AddressError> {
+    let text = args.at.as_ref().ok_or(AddressError::Missing)?;
     text.split(',')
-        .map(|a| a.trim().parse().map_err(|_| format!("`{a}` is not an IP address with a port")))
+        .map(|found| {
+            let address = found.trim().parse();
+            address.map_err(|_| AddressError::Unreadable { found: found.to_string() })
+        })
         .collect()
 }
--- a/crates/server/src/grebectl/main.rs
+++ b/crates/server/src/grebectl/main.rs
@@ -1,7 +1,7 @@
 //! The operators' command line.
 
 mod cli;
-mod net;
+mod controller_client;
 mod show;
 mod verbs;
 
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -1,5 +1,7 @@
 //! What is printed, for people or as JSON.
 
+use std::net::SocketAddr;
+
 use grebepath_core::config::build::{Route, needed};
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::findings;
@@ -8,6 +10,8 @@
 use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
 
+use crate::controller_client::RequestError;
+
 /// Prints findings.
 pub fn wrong(all: &[Diagnostic], as_json: bool) {
     if as_json {
@@ -92,12 +96,19 @@
     v.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// The status of all controllers, for people. `seats` are the answers, each
-/// with its address.
-pub fn status_text(seats: &[(String, Result<Value, String>)]) -> String {
+/// What one controller says of itself and of the members.
+pub struct ControllerStatus {
+    /// Its address.
+    pub address: SocketAddr,
+    /// Its answer, or why there is none.
+    pub status: Result<Value, RequestError>,
+}
+
+/// The status of all controllers, for people.
+pub fn status_text(controllers: &[ControllerStatus]) -> String {
     let mut out = String::new();
-    for (addr, got) in seats {
-        match got {
+    for ControllerStatus { address: addr, status } in controllers {
+        match status {
             Err(e) => out += &format!("controller at {addr}: {e}\n"),
             Ok(v) => {
                 let here = &v["here"];
@@ -121,7 +132,7 @@
             }
         }
     }
-    let here = seats.iter().find_map(|(_, v)| v.as_ref().ok());
+    let here = controllers.iter().find_map(|c| c.status.as_ref().ok());
     for u in here.map_or(&[][..], |v| list(&v["here"]["uncovered"])) {
         let shards: Vec<String> = list(&u["shards"]).iter().map(text).collect();
         out += &format!(
@@ -131,7 +142,7 @@
             if u["serves"] == true { "answers without them" } else { "BELOW QUORUM" }
         );
     }
-    let membership = seats.iter().find_map(|(_, v)| match v {
+    let membership = controllers.iter().find_map(|c| match &c.status {
         Ok(v) if !v["cohort"].is_null() => Some(&v["cohort"]),
         _ => None,
     });
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -11,15 +11,35 @@
 use hyper::Method;
 use serde_json::{Value, json};
 
-use crate::cli::*;
-use crate::net::{Ask, ask, one, reading};
-use crate::show;
+use crate::cli::{
+    Args, EXIT_DIFFERS, EXIT_MOVED, EXIT_OK, EXIT_TROUBLE, EXIT_UNKNOWN, EXIT_USAGE, EXIT_WAIT,
+    EXIT_WRONG, Verb, addresses,
+};
+use crate::controller_client::{Answer, ControllerRequest, RequestError};
+use crate::show::{self, ControllerStatus};
 
-/// Why a verb ends early: a message and an exit code.
-struct End(String, i32);
+/// Why a verb ends early.
+struct Failure {
+    /// For people; nothing if it was printed already.
+    message: String,
+    exit_code: i32,
+}
+
+impl Failure {
+    fn new(message: impl Into<String>, exit_code: i32) -> Failure {
+        Failure { message: message.into(), exit_code }
+    }
+
+    /// Nobody could be reached, or the request was certainly not applied.
+    fn not_applied(message: impl Into<String>) -> Failure {
+        Failure::new(message, EXIT_TROUBLE)
+    }
+}
 
-fn trouble(text: impl Into<String>) -> End {
-    End(text.into(), EXIT_TROUBLE)
+impl From<RequestError> for Failure {
+    fn from(error: RequestError) -> Failure {
+        Failure::not_applied(error.to_string())
+    }
 }
 
 /// Runs a verb and gives the exit code.
@@ -27,41 +47,41 @@
     let http = grebepath_runtime::http::client::HttpClient::new(1);
     match verb(&args, &http).await {
         Ok(code) => code,
-        Err(End(text, code)) => {
-            if !text.is_empty() {
-                eprintln!("grebectl: {text}");
+        Err(Failure { message, exit_code }) => {
+            if !message.is_empty() {
+                eprintln!("grebectl: {message}");
             }
-            code
+            exit_code
         }
     }
 }
 
-fn at(args: &Args) -> Result<Vec<SocketAddr>, End> {
-    addresses(args).map_err(|e| End(e, EXIT_USAGE))
+fn controllers(args: &Args) -> Result<Vec<SocketAddr>, Failure> {
+    addresses(args).map_err(|error| Failure::new(error.to_string(), EXIT_USAGE))
 }
 
-fn load(file: &str) -> Result<Vec<u8>, End> {
+fn read_file(file: &str) -> Result<Vec<u8>, Failure> {
     let got = if file == "-" {
         let mut raw = Vec::new();
         std::io::Read::read_to_end(&mut std::io::stdin(), &mut raw).map(|_| raw)
     } else {
         std::fs::read(file)
     };
-    got.map_err(|e| End(format!("{file}: {e}"), EXIT_USAGE))
+    got.map_err(|error| Failure::new(format!("{file}: {error}"), EXIT_USAGE))
 }
 
-fn checked(args: &Args, raw: &[u8]) -> Result<(Config, build::Built), End> {
+fn checked(args: &Args, raw: &[u8]) -> Result<(Config, build::Built), Failure> {
     let got = read::whole(raw).and_then(|c| build::build(&c).map(|b| (c, b)));
     got.map_err(|all| {
         show::wrong(&all, args.json);
-        End(String::new(), EXIT_WRONG)
+        Failure::new("", EXIT_WRONG)
     })
 }
 
-async fn verb(args: &Args, http: &HttpClient) -> Result<i32, End> {
+async fn verb(args: &Args, http: &HttpClient) -> Result<i32, Failure> {
     match &args.verb {
         Verb::Check { file } => {
-            let (_, built) = checked(args, &load(file)?)?;
+            let (_, built) = checked(args, &read_file(file)?)?;
             if args.json {
                 println!("{}", json!({ "searches": built.mappings.len() }));
             } else {
@@ -69,8 +89,8 @@
             }
             Ok(EXIT_OK)
         }
-        Verb::Apply { file } => send(args, http, Method::PUT, load(file)?).await,
-        Verb::Patch { file } => send(args, http, Method::PATCH, load(file)?).await,
+        Verb::Apply { file } => send(args, http, Method::PUT, read_file(file)?).await,
+        Verb::Patch { file } => send(args, http, Method::PATCH, read_file(file)?).await,
         Verb::Drain { zone } => send(args, http, Method::PATCH, zone_patch(zone, "drained")).await,
         Verb::Undrain { zone } => send(args, http, Method::PATCH, zone_patch(zone, "open")).await,
         Verb::Get => {
@@ -84,78 +104,83 @@
             }
             Ok(EXIT_OK)
         }
-        Verb::Diff { file } => diff(args, http, &load(file)?).await,
+        Verb::Diff { file } => diff(args, http, &read_file(file)?).await,
         Verb::Status => status(args, http).await,
-        Verb::Vouch { seat } => {
-            let addr = seat.parse().map_err(|_| {
-                End(format!("`{seat}` is not an IP address with a port"), EXIT_USAGE)
-            })?;
-            let what = Ask {
-                method: Method::POST,
-                path: "/v1/vouch".into(),
-                body: Vec::new(),
-                request: None,
-                expect: None,
-            };
-            let (code, body) = one(http, addr, &what).await.map_err(trouble)?;
-            if code != 200 {
-                return Err(trouble(format!("status {code}: {body}")));
-            }
-            println!("vouched; `grebectl status` shows when its parts are formed");
-            Ok(EXIT_OK)
-        }
-        Verb::Forget { member } => {
-            let path = format!("/v1/members/{member}");
-            let what =
-                Ask { method: Method::DELETE, path, body: Vec::new(), request: None, expect: None };
-            let (code, body) = ask(http, &at(args)?, &what).await.map_err(trouble)?;
-            if code != 200 {
-                return Err(trouble(format!("status {code}: {body}")));
-            }
-            println!("forgotten");
-            Ok(EXIT_OK)
-        }
+        Verb::Vouch { seat } => force_recovery(http, seat).await,
+        Verb::Forget { member } => forget_member(args, http, member).await,
         Verb::Explain { search, key, file } => {
-            let built = match file {
-                Some(file) => checked(args, &load(file)?)?.1,
-                None => {
-                    let (_, conf) = get(args, http).await?;
-                    build::build(&conf)
-                        .map_err(|_| trouble("the configuration in force does not build here"))?
-                }
-            };
-            let Some(map) = built.mappings.get(search) else {
-                let known: Vec<_> = built.mappings.keys().map(String::as_str).collect();
-                let text = format!("no search `{search}`; known are {}", known.join(", "));
-                return Err(trouble(text));
-            };
-            let plan = show::plan(map, key.as_deref());
-            if args.json {
-                println!("{plan}");
-            } else {
-                print!("{}", show::plan_text(&plan));
-            }
-            Ok(EXIT_OK)
+            explain(args, http, search, key.as_deref(), file.as_deref()).await
         }
     }
 }
 
+async fn force_recovery(http: &HttpClient, controller: &str) -> Result<i32, Failure> {
+    let address = controller.parse().map_err(|_| {
+        let text = format!("`{controller}` is not an IP address with a port");
+        Failure::new(text, EXIT_USAGE)
+    })?;
+    let request = ControllerRequest::new(Method::POST, "/v1/vouch");
+    request.send_to(http, address).await?.into_ok()?;
+    println!("vouched; `grebectl status` shows when its parts are formed");
+    Ok(EXIT_OK)
+}
+
+async fn forget_member(args: &Args, http: &HttpClient, member: &str) -> Result<i32, Failure> {
+    let request = ControllerRequest::new(Method::DELETE, format!("/v1/members/{member}"));
+    request.send_to_any(http, &controllers(args)?).await?.into_ok()?;
+    println!("forgotten");
+    Ok(EXIT_OK)
+}
+
+async fn explain(
+    args: &Args,
+    http: &HttpClient,
+    search: &str,
+    key: Option<&str>,
+    file: Option<&str>,
+) -> Result<i32, Failure> {
+    let built = match file {
+        Some(file) => checked(args, &read_file(file)?)?.1,
+        None => {
+            let (_, conf) = get(args, http).await?;
+            build::build(&conf).map_err(|_| {
+                Failure::not_applied("the configuration in force does not build here")
+            })?
+        }
+    };
+    let Some(route) = built.mappings.get(search) else {
+        let known: Vec<_> = built.mappings.keys().map(String::as_str).collect();
+        let text = format!("no search `{search}`; known are {}", known.join(", "));
+        return Err(Failure::not_applied(text));
+    };
+    let plan = show::plan(route, key);
+    if args.json {
+        println!("{plan}");
+    } else {
+        print!("{}", show::plan_text(&plan));
+    }
+    Ok(EXIT_OK)
+}
+
 fn zone_patch(zone: &str, state: &str) -> Vec<u8> {
     json!({ "zones": [{ "name": zone, "state": state }] }).to_string().into_bytes()
 }
 
-async fn get(args: &Args, http: &HttpClient) -> Result<(u64, Config), End> {
-    let (code, body) = ask(http, &at(args)?, &reading(CONFIG)).await.map_err(trouble)?;
-    if code != 200 {
-        return Err(trouble(format!("status {code}: {body}")));
-    }
+async fn get(args: &Args, http: &HttpClient) -> Result<(u64, Config), Failure> {
+    let request = ControllerRequest::new(Method::GET, CONFIG);
+    let body = request.send_to_any(http, &controllers(args)?).await?.into_ok()?;
     let conf = read::whole(body["config"].to_string().as_bytes())
-        .map_err(|_| trouble("the configuration in force can't be read here"))?;
+        .map_err(|_| Failure::not_applied("the configuration in force can't be read here"))?;
     Ok((body["revision"].as_u64().unwrap_or(0), conf))
 }
 
-async fn send(args: &Args, http: &HttpClient, method: Method, body: Vec<u8>) -> Result<i32, End> {
-    let list = at(args)?;
+async fn send(
+    args: &Args,
+    http: &HttpClient,
+    method: Method,
+    body: Vec<u8>,
+) -> Result<i32, Failure> {
+    let list = controllers(args)?;
     // Findings that need no controller are told without one.
     if method == Method::PUT {
         checked(args, &body)?;
@@ -167,16 +192,16 @@
             grebepath_runtime::clock::nonce()
         )
     });
-    let what = Ask {
-        method,
-        path: CONFIG.to_string(),
+    let request = ControllerRequest {
         body,
-        request: Some(id.clone()),
-        expect: args.expect,
+        request_id: Some(id.clone()),
+        expected_revision: args.expect,
+        ..ControllerRequest::new(method, CONFIG)
     };
-    let (code, answer) = ask(http, &list, &what)
-        .await
-        .map_err(|e| End(format!("{e}; ask again with --request-id {id}"), EXIT_UNKNOWN))?;
+    let answer = request.send_to_any(http, &list).await.map_err(|error| {
+        Failure::new(format!("{error}; ask again with --request-id {id}"), EXIT_UNKNOWN)
+    })?;
+    let Answer { code, body: answer } = answer;
     let exit = match code {
         200 => EXIT_OK,
         422 | 400 => EXIT_WRONG,
@@ -217,11 +242,12 @@
     list: &[SocketAddr],
     revision: u64,
     secs: u64,
-) -> Result<i32, End> {
+) -> Result<i32, Failure> {
     let end = Instant::now() + Duration::from_secs(secs);
+    let status = ControllerRequest::new(Method::GET, STATUS);
     loop {
         let mut late = vec!["the members are unknown".to_string()];
-        if let Ok((200, body)) = ask(http, list, &reading(STATUS)).await
+        if let Ok(Answer { code: 200, body }) = status.send_to_any(http, list).await
             && body["cohort"]["epoch"].as_u64().is_some_and(|e| e > 0)
             && let Some(members) = body["cohort"]["members"].as_array()
         {
@@ -238,13 +264,14 @@
             }
         }
         if Instant::now() >= end {
-            return Err(End(format!("not obeyed in time by: {}", late.join(", ")), EXIT_WAIT));
+            let text = format!("not obeyed in time by: {}", late.join(", "));
+            return Err(Failure::new(text, EXIT_WAIT));
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
-async fn diff(args: &Args, http: &HttpClient, raw: &[u8]) -> Result<i32, End> {
+async fn diff(args: &Args, http: &HttpClient, raw: &[u8]) -> Result<i32, Failure> {
     let (new, _) = checked(args, raw)?;
     let (revision, old) = get(args, http).await?;
     let (before, list) = (change::entries(&old), change::changes(&old, &new));
@@ -271,28 +298,27 @@
     Ok(if rows.is_empty() { EXIT_OK } else { EXIT_DIFFERS })
 }
 
-async fn status(args: &Args, http: &HttpClient) -> Result<i32, End> {
-    let mut seats = Vec::new();
-    for addr in at(args)? {
-        let got = match one(http, addr, &reading(STATUS)).await {
-            Ok((200, body)) => Ok(body),
-            Ok((code, body)) => Err(format!("status {code}: {body}")),
-            Err(e) => Err(e),
-        };
-        seats.push((addr.to_string(), got));
+async fn status(args: &Args, http: &HttpClient) -> Result<i32, Failure> {
+    let request = ControllerRequest::new(Method::GET, STATUS);
+    let mut answers = Vec::new();
+    for address in controllers(args)? {
+        let status = request.send_to(http, address).await.and_then(Answer::into_ok);
+        answers.push(ControllerStatus { address, status });
     }
-    let good = seats.iter().any(|(_, got)| got.is_ok());
+    let good = answers.iter().any(|answer| answer.status.is_ok());
     if args.json {
-        let list: Vec<Value> = seats
+        let list: Vec<Value> = answers
             .iter()
-            .map(|(addr, got)| match got {
-                Ok(v) => json!({ "at": addr, "status": v }),
-                Err(e) => json!({ "at": addr, "trouble": e }),
+            .map(|answer| match &answer.status {
+                Ok(status) => json!({ "at": answer.address.to_string(), "status": status }),
+                Err(error) => {
+                    json!({ "at": answer.address.to_string(), "trouble": error.to_string() })
+                }
             })
             .collect();
         println!("{}", Value::Array(list));
     } else {
-        print!("{}", show::status_text(&seats));
+        print!("{}", show::status_text(&answers));
     }
     Ok(if good { EXIT_OK } else { EXIT_TROUBLE })
 }
