--- a/crates/server/src/mock_backends/main.rs
+++ b/crates/server/src/mock_backends/main.rs
@@ -12,7 +12,8 @@
 use hyper::Request;
 use serde_json::Value;
 use testbed::callers::{self, Seen, load, watch_ready};
-use testbed::{control_listener, mock_backends};
+use testbed::control_listener;
+use testbed::mock_backends::MockBackends;
 
 fn main() {
     let verb = cli::read();
@@ -41,7 +42,7 @@
 
 async fn serve_backs(file: String, listen: SocketAddr, seed: u64) -> Result<(), String> {
     let spec = spec::read(&file).map_err(|e| e.to_string())?;
-    let backs = mock_backends::start(&spec, seed).await.map_err(|e| e.to_string())?;
+    let backs = MockBackends::start(&spec, seed).await.map_err(|e| e.to_string())?;
     let door = tokio::net::TcpListener::bind(listen).await.map_err(|e| e.to_string())?;
     let addr = door.local_addr().map_err(|e| e.to_string())?;
     println!("mock-backends list {addr} leafs {}", backs.borrow().leafs.len());
--- a/crates/server/src/testbed/control_listener.rs
+++ b/crates/server/src/testbed/control_listener.rs
@@ -1,4 +1,4 @@
-//! The stand-ins' own door: the platform's list, and orders to misbehave.
+//! The mock backends' own listener: the platform's list, and orders to misbehave.
 //!
 //! `GET /leafs` is the platform's list. `POST /control` takes
 //! `{"do": .., "leaf": .., "service": .., "zone": .., "ms": .., "every": ..}`:
@@ -17,37 +17,38 @@
 use hyper::{Method, Request, Response};
 use hyper_util::rt::TokioIo;
 use serde_json::{Value, json};
+use thiserror::Error;
 use tokio::net::TcpListener;
 
-use crate::mock_backends::{Backs, Leaf, Mode, begin, changed, committed, kill};
+use crate::mock_backends::{Leaf, MockBackends, Mode, start_leaf};
 
-type Shared = Rc<RefCell<Backs>>;
+type Shared = Rc<RefCell<MockBackends>>;
 
-/// Serves the door until the process ends.
-pub async fn serve(listener: TcpListener, backs: Shared) {
+/// Serves it until the process ends.
+pub async fn serve(listener: TcpListener, backends: Shared) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
-        let backs = backs.clone();
+        let backends = backends.clone();
         tokio::task::spawn_local(async move {
-            let service = service_fn(move |req| handle(backs.clone(), req));
+            let service = service_fn(move |req| handle(backends.clone(), req));
             let _ = http1::Builder::new().serve_connection(TokioIo::new(stream), service).await;
         });
     }
 }
 
 async fn handle(
-    backs: Shared,
+    backends: Shared,
     req: Request<hyper::body::Incoming>,
 ) -> Result<Response<Full<Bytes>>, Infallible> {
     let (method, path) = (req.method().clone(), req.uri().path().to_string());
     let body = req.into_body().collect().await.map(|b| b.to_bytes()).unwrap_or_default();
     let (code, text) = match (method, path.as_str()) {
-        (Method::GET, grebepath_core::http_api::list::PATH) => list(&backs).await,
-        (Method::GET, "/state") => (200, state(&backs.borrow()).to_string()),
-        (Method::GET, "/runs") => (200, runs(&backs.borrow()).to_string()),
-        (Method::POST, "/control") => match control(&backs, &body).await {
+        (Method::GET, grebepath_core::http_api::list::PATH) => list(&backends).await,
+        (Method::GET, "/state") => (200, state(&backends.borrow()).to_string()),
+        (Method::GET, "/runs") => (200, runs(&backends.borrow()).to_string()),
+        (Method::POST, "/control") => match control(&backends, &body).await {
             Ok(val) => (200, val.to_string()),
-            Err(e) => (400, json!({ "error": e }).to_string()),
+            Err(e) => (400, json!({ "error": e.to_string() }).to_string()),
         },
         _ => (404, json!({ "error": "no such path" }).to_string()),
     };
@@ -56,8 +57,8 @@
     Ok(resp)
 }
 
-async fn list(backs: &Shared) -> (u16, String) {
-    let mode = backs.borrow().list_mode.clone();
+async fn list(backends: &Shared) -> (u16, String) {
+    let mode = backends.borrow().list_mode.clone();
     match mode.as_deref() {
         Some("empty") => (200, json!({ "leafs": [] }).to_string()),
         Some("garbage") => (200, "{\"leafs\": [{\"leaf\": 3}, nonsense".into()),
@@ -65,12 +66,12 @@
             tokio::time::sleep(Duration::from_secs(3600)).await;
             (500, String::new())
         }
-        _ => (200, committed(&mut backs.borrow_mut()).to_string()),
+        _ => (200, backends.borrow_mut().committed_list().to_string()),
     }
 }
 
-fn state(b: &Backs) -> Value {
-    let leafs: Vec<Value> = b
+fn state(backends: &MockBackends) -> Value {
+    let leafs: Vec<Value> = backends
         .leafs
         .values()
         .map(|l| {
@@ -84,11 +85,11 @@
             })
         })
         .collect();
-    json!({ "now_ms": b.zero.elapsed().as_millis() as u64, "leafs": leafs })
+    json!({ "now_ms": backends.zero.elapsed().as_millis() as u64, "leafs": leafs })
 }
 
-fn runs(b: &Backs) -> Value {
-    let list: Vec<Value> = b
+fn runs(backends: &MockBackends) -> Value {
+    let list: Vec<Value> = backends
         .runs
         .borrow()
         .iter()
@@ -101,30 +102,45 @@
     Value::Array(list)
 }
 
+/// Why an order is not carried out.
+#[derive(Debug, Error)]
+enum OrderError {
+    #[error("{0}")]
+    NotJson(#[from] serde_json::Error),
+    #[error("`do` is missing")]
+    Missing,
+    #[error("no leaf matches")]
+    NoMatch,
+    #[error("unknown order `{0}`")]
+    Unknown(String),
+    #[error("{0}")]
+    Start(#[from] std::io::Error),
+}
+
 /// Carries out an order; tells the leafs it was for.
-async fn control(backs: &Shared, body: &[u8]) -> Result<Value, String> {
-    let val: Value = serde_json::from_slice(body).map_err(|e| e.to_string())?;
-    let order = val["do"].as_str().ok_or("`do` is missing")?.to_string();
+async fn control(backends: &Shared, body: &[u8]) -> Result<Value, OrderError> {
+    let val: Value = serde_json::from_slice(body)?;
+    let order = val["do"].as_str().ok_or(OrderError::Missing)?.to_string();
     let ms = val["ms"].as_u64().unwrap_or(0);
     if let Some(mode) = order.strip_prefix("list-") {
-        backs.borrow_mut().list_mode = (mode != "good").then(|| mode.to_string());
+        backends.borrow_mut().list_mode = (mode != "good").then(|| mode.to_string());
         return Ok(json!({ "list": mode }));
     }
-    let hits = matching(&backs.borrow(), &val);
+    let hits = matching(&backends.borrow(), &val);
     if hits.is_empty() {
-        return Err("no leaf matches".into());
+        return Err(OrderError::NoMatch);
     }
     let mut out = Vec::new();
     for leaf in &hits {
-        out.push(one(backs, leaf, &order, ms, &val).await?);
+        out.push(one(backends, leaf, &order, ms, &val).await?);
     }
-    changed(&mut backs.borrow_mut());
+    backends.borrow_mut().note_change();
     Ok(json!({ "leafs": out }))
 }
 
-fn matching(b: &Backs, val: &Value) -> Vec<Rc<RefCell<Leaf>>> {
+fn matching(backends: &MockBackends, val: &Value) -> Vec<Rc<RefCell<Leaf>>> {
     let fits = |key: &str, has: &str| val[key].as_str().is_none_or(|want| want == has);
-    let mut hits: Vec<_> = b
+    let mut hits: Vec<_> = backends
         .leafs
         .values()
         .filter(|l| {
@@ -144,12 +160,12 @@
 }
 
 async fn one(
-    backs: &Shared,
+    backends: &Shared,
     leaf: &Rc<RefCell<Leaf>>,
     order: &str,
     ms: u64,
     val: &Value,
-) -> Result<Value, String> {
+) -> Result<Value, OrderError> {
     let mode = match order {
         "good" => Mode::Good,
         "slow" => Mode::Slow(ms),
@@ -177,7 +193,7 @@
                 let l = leaf.borrow();
                 (l.service.clone(), l.zone.clone(), l.addr)
             };
-            kill(leaf);
+            leaf.borrow_mut().kill();
             if order == "kill" {
                 return Ok(json!(leaf.borrow().name));
             }
@@ -185,10 +201,10 @@
                 // Another service takes the address over.
                 service.name = val["by"].as_str().unwrap_or("stranger").to_string();
             }
-            let got = begin(backs, service, &zone, addr, Duration::ZERO).await;
-            return got.map(|name| json!(name)).map_err(|e| e.to_string());
+            let got = start_leaf(backends, service, &zone, addr, Duration::ZERO).await;
+            return Ok(json!(got?));
         }
-        other => return Err(format!("unknown order `{other}`")),
+        other => return Err(OrderError::Unknown(other.to_string())),
     };
     let mut l = leaf.borrow_mut();
     l.mode = mode;
--- a/crates/server/src/testbed/mock_backends.rs
+++ b/crates/server/src/testbed/mock_backends/leaf_server.rs
@@ -1,10 +1,7 @@
-//! Stand-in back ends in one process: leafs with their own ports, and the
-//! platform's list. Leafs log what they ran, for the checker.
+//! Serves the requests of one mock leaf, each as its mode asks.
 
 use std::cell::RefCell;
-use std::collections::BTreeMap;
 use std::convert::Infallible;
-use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
@@ -19,219 +16,14 @@
 use hyper_util::rt::TokioIo;
 use serde_json::{Value, json};
 use tokio::net::TcpListener;
-use tokio::task::{AbortHandle, JoinSet};
+use tokio::task::JoinSet;
 
 use grebepath_simulator::oracle;
-use grebepath_simulator::spec::{Service, Spec};
 
-/// How a leaf misbehaves.
-#[derive(Clone, Debug, PartialEq)]
-pub enum Mode {
-    Good,
-    /// Takes so much longer.
-    Slow(u64),
-    /// Takes connections and requests and never answers.
-    Dark,
-    /// Stops for so long (ms) every so often (ms).
-    Pauses {
-        every: u64,
-        pause: u64,
-    },
-    Garbage,
-    CutShort,
-    Disorder,
-    NoPostmark,
-    TwoPostmarks,
-    StalePostmark,
-    WrongCut,
-    Overlong,
-    /// Turns every request away unrun.
-    Unrun,
-}
-
-/// A leaf's state.
-pub struct Leaf {
-    pub name: String,
-    pub service: Service,
-    pub addr: SocketAddr,
-    pub zone: String,
-    pub mode: Mode,
-    pub leaving: bool,
-    pub born: Instant,
-    pub live: u32,
-    /// Most dispatches it had at once over what it could bear then, in
-    /// hundredths.
-    pub worst_pct: u32,
-    pub ran: u64,
-    /// Requests for another leaf, another service, or with a changed question:
-    /// all turned away unrun.
-    pub misdirected: u64,
-    /// Those of them that brought work, rather than asking who is here.
-    pub reached: u64,
-    pub changed: u64,
-    pub postmark: Option<String>,
-    pub alive: Option<AbortHandle>,
-    /// When it was told to leave, and new work it got after that.
-    pub left_at: Option<Instant>,
-    pub late_work_ms: u64,
-}
-
-/// A line of the log of runs.
-#[derive(Clone, Debug, PartialEq)]
-pub struct Run {
-    pub leaf: String,
-    pub service: String,
-    pub cut: String,
-    pub zone: String,
-    pub query: String,
-    pub question: String,
-    pub key: Option<String>,
-    /// Milliseconds since the process began.
-    pub at_ms: u64,
-    /// Whether it was truly answered in the end.
-    pub answered: bool,
-}
+use super::leaf::{Leaf, Mode, Run};
 
-/// All stand-in back ends of one process.
-pub struct Backs {
-    pub leafs: BTreeMap<String, Rc<RefCell<Leaf>>>,
-    pub runs: Rc<RefCell<Vec<Run>>>,
-    /// States of the list with the time from which each is committed.
-    pub committed: Vec<(Instant, Value)>,
-    pub lag: Duration,
-    /// Overrides the list's answer: `empty`, `garbage` or `dead`.
-    pub list_mode: Option<String>,
-    pub luck: Rc<RefCell<Random>>,
-    pub zero: Instant,
-    pub next: u64,
-}
-
-/// The zones of the stand-ins' machines.
-pub const ZONES: [&str; 3] = ["a", "b", "c"];
-
-/// Starts all leafs of a spec, warm.
-pub async fn start(spec: &Spec, seed: u64) -> std::io::Result<Rc<RefCell<Backs>>> {
-    let backs = Rc::new(RefCell::new(Backs {
-        leafs: BTreeMap::new(),
-        runs: Rc::default(),
-        committed: Vec::new(),
-        lag: Duration::from_millis(spec.list_lag_ms),
-        list_mode: None,
-        luck: Rc::new(RefCell::new(Random::new(seed))),
-        zero: Instant::now(),
-        next: 1,
-    }));
-    for service in &spec.services {
-        for i in 0..service.leafs {
-            let zone = ZONES[i % ZONES.len()];
-            let addr = SocketAddr::from(([127, 0, 0, 1], 0));
-            let warm = Duration::from_millis(service.ramp_ms);
-            begin(&backs, service.clone(), zone, addr, warm).await?;
-        }
-    }
-    let now = Instant::now();
-    let list = list_now(&backs.borrow());
-    backs.borrow_mut().committed.push((now, list));
-    Ok(backs)
-}
-
-/// Starts one leaf that has run for `age`.
-pub async fn begin(
-    backs: &Rc<RefCell<Backs>>,
-    service: Service,
-    zone: &str,
-    addr: SocketAddr,
-    age: Duration,
-) -> std::io::Result<String> {
-    let listener = bind(addr).await?;
-    let addr = listener.local_addr()?;
-    let mut b = backs.borrow_mut();
-    let name = format!("{}.{}", service.name, b.next);
-    b.next += 1;
-    let now = Instant::now();
-    let leaf = Rc::new(RefCell::new(Leaf {
-        name: name.clone(),
-        service,
-        addr,
-        zone: zone.to_string(),
-        mode: Mode::Good,
-        leaving: false,
-        born: now.checked_sub(age).unwrap_or(now),
-        live: 0,
-        worst_pct: 0,
-        ran: 0,
-        misdirected: 0,
-        reached: 0,
-        changed: 0,
-        postmark: None,
-        alive: None,
-        left_at: None,
-        late_work_ms: 0,
-    }));
-    let serving = serve(listener, leaf.clone(), b.runs.clone(), b.luck.clone(), b.zero);
-    let task = tokio::task::spawn_local(serving);
-    leaf.borrow_mut().alive = Some(task.abort_handle());
-    b.leafs.insert(name.clone(), leaf);
-    Ok(name)
-}
-
-/// Binds, trying again for a moment: a killed leaf's port frees up late.
-async fn bind(addr: SocketAddr) -> std::io::Result<TcpListener> {
-    let mut tries = 0;
-    loop {
-        let sock = tokio::net::TcpSocket::new_v4()?;
-        sock.set_reuseaddr(true)?;
-        match sock.bind(addr).and_then(|()| sock.listen(1024)) {
-            Ok(listener) => return Ok(listener),
-            Err(e) if tries >= 40 => return Err(e),
-            Err(_) => tries += 1,
-        }
-        tokio::time::sleep(Duration::from_millis(25)).await;
-    }
-}
-
-/// Ends a leaf with all its connections, as a kill does.
-pub fn kill(leaf: &Rc<RefCell<Leaf>>) {
-    if let Some(task) = leaf.borrow_mut().alive.take() {
-        task.abort();
-    }
-}
-
-/// The list as it truly is now.
-pub fn list_now(b: &Backs) -> Value {
-    let leafs: Vec<Value> = b
-        .leafs
-        .values()
-        .filter(|l| l.borrow().alive.is_some())
-        .map(|l| {
-            let l = l.borrow();
-            json!({
-                "leaf": l.name, "service": l.service.name, "addr": l.addr.to_string(),
-                "labels": { "zone": l.zone, "cut": l.service.cut,
-                            "state": if l.leaving { "leaving" } else { "ready" } },
-            })
-        })
-        .collect();
-    json!({ "leafs": leafs })
-}
-
-/// Notes that the truth has changed; the list shows it later.
-pub fn changed(b: &mut Backs) {
-    let at = Instant::now() + b.lag;
-    let list = list_now(b);
-    b.committed.push((at, list));
-}
-
-/// The list as the platform shows it now.
-pub fn committed(b: &mut Backs) -> Value {
-    let now = Instant::now();
-    while b.committed.len() > 1 && b.committed[1].0 <= now {
-        b.committed.remove(0);
-    }
-    b.committed.first().map_or(json!({ "leafs": [] }), |s| s.1.clone())
-}
-
-async fn serve(
+/// Serves a leaf until its task is aborted.
+pub async fn serve(
     listener: TcpListener,
     leaf: Rc<RefCell<Leaf>>,
     runs: Rc<RefCell<Vec<Run>>>,
@@ -259,16 +51,6 @@
     }
 }
 
-/// What the leaf bears at its age.
-fn bears(l: &Leaf) -> u32 {
-    let age = l.born.elapsed().as_millis() as u64;
-    let full = u64::from(l.service.bears);
-    if l.service.ramp_ms == 0 || age >= l.service.ramp_ms {
-        return l.service.bears;
-    }
-    ((full * (10 * l.service.ramp_ms + 90 * age) / (100 * l.service.ramp_ms)) as u32).max(1)
-}
-
 /// A body that may break off before its end.
 pub struct Body {
     bytes: Option<Bytes>,
@@ -335,7 +117,7 @@
     let (live, bear, mode) = {
         let mut l = leaf.borrow_mut();
         l.live += 1;
-        let bear = bears(&l);
+        let bear = l.capacity();
         l.worst_pct = l.worst_pct.max(l.live * 100 / bear);
         if let Some(at) = l.left_at {
             l.late_work_ms = l.late_work_ms.max(at.elapsed().as_millis() as u64);
@@ -417,7 +199,7 @@
 
 fn dressed(leaf: &Rc<RefCell<Leaf>>, code: u16) -> hyper::http::response::Builder {
     let l = leaf.borrow();
-    let busy = (f64::from(l.live) / f64::from(bears(&l))).min(1.0);
+    let busy = (f64::from(l.live) / f64::from(l.capacity())).min(1.0);
     let mut out = Response::builder()
         .status(code)
         .header(edge::BUSY, format!("{busy:.2}"))
--- /dev/null
+++ b/crates/server/src/testbed/mock_backends/mod.rs
@@ -0,0 +1,163 @@
+//! Mock back ends in one process: leafs with their own ports, and the platform's list.
+//! Leafs log what they ran, for the checker.
+
+mod leaf;
+mod leaf_server;
+
+use std::cell::RefCell;
+use std::collections::BTreeMap;
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::{Duration, Instant};
+
+use grebepath_core::random::Random;
+use grebepath_simulator::spec::{Service, Spec};
+use serde_json::{Value, json};
+use tokio::net::TcpListener;
+
+pub use leaf::{Leaf, Mode, Run};
+
+/// The zones of the mock leafs' machines.
+pub const ZONES: [&str; 3] = ["a", "b", "c"];
+/// Attempts to bind an address, with a pause between them: a killed leaf's port frees up
+/// late.
+const BIND_ATTEMPTS: u32 = 41;
+/// The pause between two of them.
+const BIND_PAUSE: Duration = Duration::from_millis(25);
+
+/// All mock back ends of one process.
+pub struct MockBackends {
+    /// By name.
+    pub leafs: BTreeMap<String, Rc<RefCell<Leaf>>>,
+    /// What the leafs ran.
+    pub runs: Rc<RefCell<Vec<Run>>>,
+    /// States of the list with the time from which each is committed.
+    committed: Vec<(Instant, Value)>,
+    /// How late the list shows a change.
+    lag: Duration,
+    /// Overrides the list's answer: `empty`, `garbage` or `dead`.
+    pub list_mode: Option<String>,
+    random: Rc<RefCell<Random>>,
+    /// When the process began.
+    pub zero: Instant,
+    next_leaf: u64,
+}
+
+impl MockBackends {
+    /// Starts all leafs of a spec, warm.
+    pub async fn start(spec: &Spec, seed: u64) -> std::io::Result<Rc<RefCell<MockBackends>>> {
+        let backends = Rc::new(RefCell::new(MockBackends {
+            leafs: BTreeMap::new(),
+            runs: Rc::default(),
+            committed: Vec::new(),
+            lag: Duration::from_millis(spec.list_lag_ms),
+            list_mode: None,
+            random: Rc::new(RefCell::new(Random::new(seed))),
+            zero: Instant::now(),
+            next_leaf: 1,
+        }));
+        for service in &spec.services {
+            for i in 0..service.leafs {
+                let zone = ZONES[i % ZONES.len()];
+                let address = SocketAddr::from(([127, 0, 0, 1], 0));
+                let warm = Duration::from_millis(service.ramp_ms);
+                start_leaf(&backends, service.clone(), zone, address, warm).await?;
+            }
+        }
+        let now = Instant::now();
+        let list = backends.borrow().list_now();
+        backends.borrow_mut().committed.push((now, list));
+        Ok(backends)
+    }
+
+    /// The list as it truly is now.
+    fn list_now(&self) -> Value {
+        let leafs: Vec<Value> = self
+            .leafs
+            .values()
+            .filter(|leaf| leaf.borrow().alive.is_some())
+            .map(|leaf| {
+                let leaf = leaf.borrow();
+                json!({
+                    "leaf": leaf.name, "service": leaf.service.name,
+                    "addr": leaf.addr.to_string(),
+                    "labels": { "zone": leaf.zone, "cut": leaf.service.cut,
+                                "state": if leaf.leaving { "leaving" } else { "ready" } },
+                })
+            })
+            .collect();
+        json!({ "leafs": leafs })
+    }
+
+    /// Notes that the truth has changed; the list shows it later.
+    pub fn note_change(&mut self) {
+        let at = Instant::now() + self.lag;
+        let list = self.list_now();
+        self.committed.push((at, list));
+    }
+
+    /// The list as the platform shows it now.
+    pub fn committed_list(&mut self) -> Value {
+        let now = Instant::now();
+        while self.committed.len() > 1 && self.committed[1].0 <= now {
+            self.committed.remove(0);
+        }
+        self.committed.first().map_or(json!({ "leafs": [] }), |state| state.1.clone())
+    }
+}
+
+/// Starts one leaf that has run for `age`. Gives its name.
+pub async fn start_leaf(
+    backends: &Rc<RefCell<MockBackends>>,
+    service: Service,
+    zone: &str,
+    address: SocketAddr,
+    age: Duration,
+) -> std::io::Result<String> {
+    let listener = bind(address).await?;
+    let addr = listener.local_addr()?;
+    let mut all = backends.borrow_mut();
+    let name = format!("{}.{}", service.name, all.next_leaf);
+    all.next_leaf += 1;
+    let now = Instant::now();
+    let leaf = Rc::new(RefCell::new(Leaf {
+        name: name.clone(),
+        service,
+        addr,
+        zone: zone.to_string(),
+        mode: Mode::Good,
+        leaving: false,
+        born: now.checked_sub(age).unwrap_or(now),
+        live: 0,
+        worst_pct: 0,
+        ran: 0,
+        misdirected: 0,
+        reached: 0,
+        changed: 0,
+        postmark: None,
+        alive: None,
+        left_at: None,
+        late_work_ms: 0,
+    }));
+    let (runs, random) = (all.runs.clone(), all.random.clone());
+    let serving = leaf_server::serve(listener, leaf.clone(), runs, random, all.zero);
+    let task = tokio::task::spawn_local(serving);
+    leaf.borrow_mut().alive = Some(task.abort_handle());
+    all.leafs.insert(name.clone(), leaf);
+    Ok(name)
+}
+
+/// Binds, trying again for a moment.
+async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
+    let mut attempts = 1;
+    loop {
+        let socket = tokio::net::TcpSocket::new_v4()?;
+        socket.set_reuseaddr(true)?;
+        match socket.bind(address).and_then(|()| socket.listen(1024)) {
+            Ok(listener) => return Ok(listener),
+            Err(error) if attempts >= BIND_ATTEMPTS => return Err(error),
+            Err(_) => attempts += 1,
+        }
+        tokio::time::sleep(BIND_PAUSE).await;
+    }
+}
