--- a/crates/server/src/local_cluster/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -2,7 +2,7 @@
 //! a deployment, sends its callers, lets troubles befall it and reports.
 
 mod cli;
-mod troubles;
+mod fault_schedule;
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -12,7 +12,8 @@
 use serde_json::{Value, json};
 use testbed::callers::{Seen, load, report, watch_ready};
 use testbed::local_cluster;
-use testbed::local_cluster::{Fleet, Layout};
+use testbed::local_cluster::error::LocalClusterError;
+use testbed::local_cluster::{Layout, LocalCluster};
 
 fn main() {
     let args = cli::read();
@@ -24,7 +25,7 @@
     match local.block_on(&rt, run(args)) {
         Ok(true) => {}
         Ok(false) => std::process::exit(1),
-        Err(e) => fail(&e),
+        Err(e) => fail(&e.to_string()),
     }
 }
 
@@ -33,8 +34,8 @@
     std::process::exit(1);
 }
 
-async fn run(args: cli::Args) -> Result<bool, String> {
-    let exe = std::env::current_exe().map_err(|e| e.to_string())?;
+async fn run(args: cli::Args) -> Result<bool, Box<dyn std::error::Error>> {
+    let exe = std::env::current_exe()?;
     let layout = Layout {
         bin: local_cluster::bin_dir(&exe),
         dir: args.dir.clone().into(),
@@ -45,10 +46,11 @@
     let spec = spec::read(&format!("{}/{}.standins.json", args.deploy, args.name))
         .map_err(|e| e.to_string())?;
     let begun = Instant::now();
-    let mut f = local_cluster::up(layout).await?;
+    let mut f = LocalCluster::up(layout).await?;
     for i in 0..f.queriers.len() {
-        if !local_cluster::until(Duration::from_secs(15), || local_cluster::ready(&f, i)).await {
-            return Err(format!("querier {i} did not become ready; see its log in {}", args.dir));
+        if !local_cluster::until(Duration::from_secs(15), || f.is_ready(i)).await {
+            let text = format!("querier {i} did not become ready; see its log in {}", args.dir);
+            return Err(text.into());
         }
     }
     let doors: Vec<String> = f.doors.iter().map(|d| d.to_string()).collect();
@@ -81,9 +83,9 @@
             load(http.clone(), kind.clone(), args.factor, ready.clone(), seen.clone(), seed, until);
         loads.push(tokio::task::spawn_local(task));
     }
-    troubles::befall(&mut f, &args.troubles).await?;
+    fault_schedule::run(&mut f, &args.troubles).await?;
     for task in loads {
-        task.await.map_err(|e| e.to_string())?;
+        task.await?;
     }
     // Every call has ended: what was seen does not change any more.
     let seen = seen.take();
@@ -93,9 +95,9 @@
 }
 
 /// What callers saw, what leafs ran, and what the queriers counted.
-async fn summary(f: &Fleet, seen: &Seen) -> Result<Value, String> {
-    let runs = local_cluster::ask_backs(f, "/runs").await?;
-    let state = local_cluster::ask_backs(f, "/state").await?;
+async fn summary(f: &LocalCluster, seen: &Seen) -> Result<Value, LocalClusterError> {
+    let runs = f.ask_backends("/runs").await?;
+    let state = f.ask_backends("/state").await?;
     let leafs = state["leafs"].as_array().cloned().unwrap_or_default();
     let worst = leafs.iter().max_by_key(|l| l["worst_pct"].as_u64());
     let sum = |key: &str| leafs.iter().filter_map(|l| l[key].as_u64()).sum::<u64>();
@@ -108,14 +110,14 @@
         let mut n = 0;
         for (i, front) in f.fronts.iter().enumerate() {
             if f.queriers[i].child.is_some() {
-                n += local_cluster::metric(f, *front, name).await.unwrap_or(0);
+                n += f.metric(*front, name).await.unwrap_or(0);
             }
         }
         counts.insert(name.to_string(), json!(n));
     }
     let mut bounces = serde_json::Map::new();
     for (i, front) in f.fronts.iter().enumerate() {
-        let n = local_cluster::metric(f, *front, "grebe_bounces_total").await;
+        let n = f.metric(*front, "grebe_bounces_total").await;
         bounces.insert(f.queriers[i].name.clone(), json!(n));
     }
     Ok(json!({
--- /dev/null
+++ b/crates/server/src/testbed/local_cluster/process.rs
@@ -0,0 +1,142 @@
+//! One process of a local cluster.
+
+use std::io::{BufRead, BufReader};
+use std::path::PathBuf;
+use std::process::{Child, Command, Stdio};
+use std::time::{Duration, Instant};
+
+use super::Layout;
+use super::error::LocalClusterError;
+
+/// Runs a program with limits on its files.
+const SHELL: &str = "sh";
+/// Pause between two looks whether a process has ended.
+const END_PAUSE: Duration = Duration::from_millis(10);
+
+/// One process, running or not.
+pub struct Process {
+    /// Its name in the cluster.
+    pub name: String,
+    pub(super) args: Vec<String>,
+    program: PathBuf,
+    /// The running process, if there is one.
+    pub child: Option<Child>,
+    /// What it printed when it was ready.
+    pub first: String,
+    log: PathBuf,
+}
+
+impl Process {
+    /// A process that is not started.
+    pub fn new(layout: &Layout, name: &str, program: &str, args: Vec<String>) -> Process {
+        Process {
+            name: name.to_string(),
+            args,
+            program: layout.bin.join(program),
+            child: None,
+            first: String::new(),
+            log: layout.dir.join(format!("{name}.log")),
+        }
+    }
+
+    /// A controller with settings of the caller's choice; it is not started.
+    pub fn controller(layout: &Layout, name: &str, settings: &[(&str, String)]) -> Process {
+        Process::new(layout, name, "controller", flags(&[], settings))
+    }
+
+    /// A querier with settings of the caller's choice; it is not started.
+    pub fn querier(layout: &Layout, name: &str, settings: &[(&str, String)]) -> Process {
+        Process::new(layout, name, "querier", flags(&[], settings))
+    }
+
+    /// Starts it and waits for the line that says it is up.
+    pub fn start(&mut self) -> Result<(), LocalClusterError> {
+        let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log);
+        let log =
+            log.map_err(|source| LocalClusterError::File { path: self.log.clone(), source })?;
+        let mut child = Command::new(&self.program)
+            .args(&self.args)
+            .stdin(Stdio::null())
+            .stdout(Stdio::piped())
+            .stderr(log)
+            .spawn()
+            .map_err(|source| LocalClusterError::File { path: self.program.clone(), source })?;
+        let out = child.stdout.take().expect("stdout is piped");
+        let mut line = String::new();
+        // An end without a line means that the process has ended.
+        BufReader::new(out).read_line(&mut line)?;
+        self.child = Some(child);
+        if line.is_empty() {
+            let log = std::fs::read_to_string(&self.log).unwrap_or_default();
+            return Err(LocalClusterError::NotUp { process: self.name.clone(), log });
+        }
+        self.first = line;
+        Ok(())
+    }
+
+    /// Kills it at once, as `kill -9` does.
+    pub fn kill(&mut self) {
+        if let Some(mut child) = self.child.take() {
+            let _ = child.kill();
+            let _ = child.wait();
+        }
+    }
+
+    /// Sends it a signal by name (`TERM`, `STOP`, `CONT`).
+    pub fn signal(&self, name: &str) -> Result<(), LocalClusterError> {
+        let Some(child) = &self.child else {
+            return Err(LocalClusterError::NotRunning { process: self.name.clone() });
+        };
+        let status =
+            Command::new("kill").args([format!("-{name}"), child.id().to_string()]).status()?;
+        if status.success() {
+            Ok(())
+        } else {
+            Err(LocalClusterError::Signal { signal: name.to_string() })
+        }
+    }
+
+    /// Waits for it to end; gives its exit code.
+    pub fn wait_for_end(&mut self, wait: Duration) -> Option<i32> {
+        let end = Instant::now() + wait;
+        let child = self.child.as_mut()?;
+        loop {
+            if let Ok(Some(status)) = child.try_wait() {
+                self.child = None;
+                return status.code();
+            }
+            if Instant::now() >= end {
+                return None;
+            }
+            std::thread::sleep(END_PAUSE);
+        }
+    }
+
+    /// Lets it write no file beyond so many blocks of 512 bytes, from its next start
+    /// on: its disk then behaves as a full one. `None` lifts that.
+    pub fn limit_file_size(&mut self, blocks: Option<u32>) {
+        if self.program.as_os_str() == SHELL {
+            self.program = PathBuf::from(self.args[2].clone());
+            self.args.drain(..3);
+        }
+        if let Some(n) = blocks {
+            let script = format!("trap '' XFSZ; ulimit -f {n}; exec \"$0\" \"$@\"");
+            let program = std::mem::replace(&mut self.program, SHELL.into());
+            let program = program.display().to_string();
+            self.args.splice(0..0, ["-c".to_string(), script, program]);
+        }
+    }
+
+    /// The argument of a flag.
+    pub(super) fn argument(&self, flag: &'static str) -> Result<String, LocalClusterError> {
+        let at = self.args.iter().position(|arg| arg == flag);
+        let argument = at.and_then(|at| self.args.get(at + 1)).cloned();
+        argument.ok_or(LocalClusterError::NoFlag { flag })
+    }
+}
+
+/// A command line: some words, then flags with an argument each.
+pub(super) fn flags(first: &[&str], pairs: &[(&str, String)]) -> Vec<String> {
+    let pairs = pairs.iter().flat_map(|(name, value)| [format!("--{name}"), value.clone()]);
+    first.iter().map(|word| word.to_string()).chain(pairs).collect()
+}
--- /dev/null
+++ b/crates/server/src/testbed/local_cluster/requests.rs
@@ -0,0 +1,138 @@
+//! Requests to the processes of a local cluster.
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use bytes::Bytes;
+use grebepath_runtime::http::client::HttpClient;
+use http_body_util::Full;
+use hyper::{Method, Request};
+use serde_json::{Value, json};
+
+use super::LocalCluster;
+use super::error::LocalClusterError;
+
+/// Attempts to send a change, each to the next controller.
+const CHANGE_ATTEMPTS: usize = 10;
+
+/// Sends one small request; gives status and JSON.
+pub async fn request(
+    http: &HttpClient,
+    method: Method,
+    url: String,
+    body: Vec<u8>,
+    heads: &[(&str, &str)],
+) -> Result<(u16, Value), LocalClusterError> {
+    let mut req = Request::builder().method(method).uri(url);
+    for (name, val) in heads {
+        req = req.header(*name, *val);
+    }
+    let req = req.body(Full::new(Bytes::from(body)))?;
+    let resp = http.call_within(req, 1 << 28, Duration::from_secs(12)).await?;
+    let val = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
+    Ok((resp.status().as_u16(), val))
+}
+
+/// A text, such as that of a process's metrics.
+pub async fn text(http: &HttpClient, url: String) -> Option<String> {
+    let req = Request::get(url).body(Full::default()).ok()?;
+    let resp = http.call_within(req, 1 << 20, Duration::from_secs(2)).await.ok()?;
+    String::from_utf8(resp.body().to_vec()).ok()
+}
+
+impl LocalCluster {
+    /// Changes the configuration through any controller that answers, under one
+    /// request id, until it is accepted. Gives its revision.
+    pub async fn change(
+        &self,
+        method: Method,
+        body: &[u8],
+        id: &str,
+    ) -> Result<u64, LocalClusterError> {
+        let mut last = LocalClusterError::NoController;
+        for attempt in 0..CHANGE_ATTEMPTS {
+            let addr = self.doors[attempt % self.doors.len()];
+            let url = format!("http://{addr}/v1/config");
+            let heads = [("request-id", id)];
+            match request(&self.http, method.clone(), url, body.to_vec(), &heads).await {
+                Ok((200, val)) => {
+                    return val["revision"].as_u64().ok_or(LocalClusterError::NoRevision);
+                }
+                Ok((code, body)) if code < 500 => {
+                    return Err(LocalClusterError::Status { code, body });
+                }
+                Ok((code, body)) => last = LocalClusterError::Status { code, body },
+                Err(error) => last = error,
+            }
+        }
+        Err(last)
+    }
+
+    /// Sets single objects. Gives the change's revision.
+    pub async fn patch(&self, val: &Value, id: &str) -> Result<u64, LocalClusterError> {
+        self.change(Method::PATCH, val.to_string().as_bytes(), id).await
+    }
+
+    /// Tells the mock backends to misbehave.
+    pub async fn order(&self, val: Value) -> Result<Value, LocalClusterError> {
+        let url = format!("http://{}/control", self.list);
+        let body = val.to_string().into_bytes();
+        let (code, got) = request(&self.http, Method::POST, url, body, &[]).await?;
+        if code == 200 { Ok(got) } else { Err(LocalClusterError::Rejected(got)) }
+    }
+
+    /// Asks the mock backends for `/runs` or `/state`.
+    pub async fn ask_backends(&self, path: &str) -> Result<Value, LocalClusterError> {
+        let url = format!("http://{}{path}", self.list);
+        Ok(request(&self.http, Method::GET, url, Vec::new(), &[]).await?.1)
+    }
+
+    /// Whether a querier is ready.
+    pub async fn is_ready(&self, querier: usize) -> bool {
+        crate::callers::is_ready(&self.http, self.fronts[querier]).await
+    }
+
+    /// The revision that a querier obeys, by its own metrics.
+    pub async fn obeyed(&self, querier: usize) -> Option<u64> {
+        self.metric(self.fronts[querier], "grebe_revision").await
+    }
+
+    /// One metric of a process, summed over its labels.
+    pub async fn metric(&self, addr: SocketAddr, name: &str) -> Option<u64> {
+        let text = text(&self.http, format!("http://{addr}/metrics")).await?;
+        let mut sum = None;
+        for line in text.lines().filter(|line| !line.starts_with('#')) {
+            let (key, val) = line.rsplit_once(' ')?;
+            if key.split('{').next() == Some(name) {
+                sum = Some(sum.unwrap_or(0) + val.parse::<u64>().ok()?);
+            }
+        }
+        sum
+    }
+
+    /// What one controller says of itself and of the members.
+    pub async fn status(&self, controller: usize) -> Result<Value, LocalClusterError> {
+        let url = format!("http://{}/v1/status", self.doors[controller]);
+        let (code, val) = request(&self.http, Method::GET, url, Vec::new(), &[]).await?;
+        if code == 200 {
+            Ok(val)
+        } else {
+            Err(LocalClusterError::Rejected(json!({ "status": code, "body": val })))
+        }
+    }
+
+    /// The voter slot that leads the configuration, as the first controller that answers
+    /// sees it.
+    pub async fn config_leader(&self) -> Option<usize> {
+        for i in 0..self.doors.len() {
+            if self.controllers[i].child.is_some()
+                && let Ok(val) = self.status(i).await
+                && let Some(n) = val["here"]["parts"][0]["owner"].as_u64()
+                && self.controllers[n as usize].child.is_some()
+            {
+                return Some(n as usize);
+            }
+        }
+        None
+    }
+}
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -12,7 +12,7 @@
 use serde_json::{Value, json};
 use testbed::callers::{Seen, load, report, watch_ready};
 use testbed::local_cluster;
-use testbed::local_cluster::{Fleet, Layout};
+use testbed::local_cluster::{Layout, LocalCluster};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(20);
@@ -34,23 +34,19 @@
     tokio::task::LocalSet::new().block_on(&rt, body)
 }
 
-async fn all_ready(f: &Fleet) {
+async fn all_ready(f: &LocalCluster) {
     for i in 0..f.queriers.len() {
         if f.queriers[i].child.is_some() {
-            assert!(
-                local_cluster::until(LONG, || local_cluster::ready(f, i)).await,
-                "querier {i} is not ready"
-            );
+            assert!(local_cluster::until(LONG, || f.is_ready(i)).await, "querier {i} is not ready");
         }
     }
 }
 
 /// Waits until every running querier obeys a revision.
-async fn all_obey(f: &Fleet, revision: u64) {
+async fn all_obey(f: &LocalCluster, revision: u64) {
     for i in 0..f.queriers.len() {
         if f.queriers[i].child.is_some() {
-            let obeys =
-                || async { local_cluster::obeyed(f, i).await.is_some_and(|r| r >= revision) };
+            let obeys = || async { f.obeyed(i).await.is_some_and(|r| r >= revision) };
             assert!(
                 local_cluster::until(LONG, obeys).await,
                 "querier {i} does not obey {revision}"
@@ -59,7 +55,7 @@
     }
 }
 
-async fn search(f: &Fleet, i: usize, path: &str, body: Value, budget: &str) -> (u16, Value) {
+async fn search(f: &LocalCluster, i: usize, path: &str, body: Value, budget: &str) -> (u16, Value) {
     let url = format!("http://{}/v1/search/{path}", f.fronts[i]);
     let heads = [("budget-ms", budget)];
     let heads = if budget.is_empty() { &heads[..0] } else { &heads[..] };
@@ -69,7 +65,7 @@
 }
 
 /// Runs grebectl against the fleet; gives exit code and output.
-fn ctl(f: &Fleet, args: &[&str]) -> (i32, String) {
+fn ctl(f: &LocalCluster, args: &[&str]) -> (i32, String) {
     let at: Vec<String> = f.doors.iter().map(|d| d.to_string()).collect();
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_grebectl"))
         .env("GREBE_AT", at.join(","))
@@ -86,12 +82,12 @@
     block(async {
         let (layout, spec) = layout("served", "kahurangi", 3);
         let dir = layout.dir.clone();
-        let f = local_cluster::up(layout).await.unwrap();
+        let f = LocalCluster::up(layout).await.unwrap();
         all_ready(&f).await;
         callers(&f, &spec).await;
         false_leafs(&f, &spec).await;
         operators(&f, &dir).await;
-        let state = local_cluster::ask_backs(&f, "/state").await.unwrap();
+        let state = f.ask_backends("/state").await.unwrap();
         for leaf in state["leafs"].as_array().unwrap() {
             expect_that!(leaf["changed"].as_u64(), some(eq(0)));
             expect_that!(leaf["misdirected"].as_u64(), some(eq(0)));
@@ -99,7 +95,7 @@
     });
 }
 
-async fn callers(f: &Fleet, spec: &Spec) {
+async fn callers(f: &LocalCluster, spec: &Spec) {
     for (n, kind) in spec.kinds.iter().enumerate() {
         let asked =
             Asked { question: format!("what-{n}"), key: kind.lookup.then(|| format!("unit-{n}")) };
@@ -132,7 +128,7 @@
 
 /// Leafs that answer falsely on the connection never spoil an answer, and each kind
 /// of it is counted.
-async fn false_leafs(f: &Fleet, spec: &Spec) {
+async fn false_leafs(f: &LocalCluster, spec: &Spec) {
     let kind = &spec.kinds[0];
     let service = "kahurangi-fleet-w48-0";
     let modes = [
@@ -143,9 +139,7 @@
         ("two-postmarks", "two-postmarks"),
     ];
     for (n, (mode, counted)) in modes.into_iter().enumerate() {
-        local_cluster::order(f, json!({ "do": mode, "service": service, "count": 2 }))
-            .await
-            .unwrap();
+        f.order(json!({ "do": mode, "service": service, "count": 2 })).await.unwrap();
         let seen = async || {
             let url = format!("http://{}/metrics", f.fronts[0]);
             let text = local_cluster::text(&f.http, url).await.unwrap();
@@ -163,11 +157,11 @@
             let (bad, _) = success(kind, &what, Some(&missing), val.to_string().as_bytes());
             expect_that!(bad, is_empty());
         }
-        local_cluster::order(f, json!({ "do": "good", "service": service })).await.unwrap();
+        f.order(json!({ "do": "good", "service": service })).await.unwrap();
     }
 }
 
-async fn operators(f: &Fleet, dir: &std::path::Path) {
+async fn operators(f: &LocalCluster, dir: &std::path::Path) {
     let (code, out) = ctl(f, &["explain", "fleet"]);
     expect_that!(code, eq(0));
     expect_that!(out, contains_substring("answers with 3 of 4 shards or bounces"));
@@ -217,7 +211,7 @@
 }
 
 /// A configuration of several MiB passes through every part of the path.
-async fn large(f: &Fleet, dir: &std::path::Path) {
+async fn large(f: &LocalCluster, dir: &std::path::Path) {
     let (_, out) = ctl(f, &["--output", "json", "get"]);
     let mut conf = serde_json::from_str::<Value>(&out).unwrap()["config"].clone();
     let pools = conf["pools"].as_array_mut().unwrap();
@@ -237,10 +231,10 @@
 /// Sends light traffic for as long as `body` takes, then checks every answer
 /// against the leafs' own log.
 async fn under_traffic<T>(
-    f: Fleet,
+    f: LocalCluster,
     spec: &Spec,
-    body: impl AsyncFnOnce(&mut Fleet) -> T,
-) -> (Fleet, T, Value) {
+    body: impl AsyncFnOnce(&mut LocalCluster) -> T,
+) -> (LocalCluster, T, Value) {
     let mut f = f;
     let seen = Rc::new(RefCell::new(Seen::default()));
     let ready = Rc::new(RefCell::new(f.fronts.clone()));
@@ -271,7 +265,7 @@
     };
     // The dropped set ends all calls under way; what was answered is checked.
     drop(local);
-    let runs = local_cluster::ask_backs(&f, "/runs").await.unwrap();
+    let runs = f.ask_backends("/runs").await.unwrap();
     let out = report(&seen.borrow(), runs.as_array().unwrap());
     (f, got, out)
 }
@@ -284,27 +278,27 @@
 fn any_one_process_may_die() {
     block(async {
         let (layout, spec) = layout("die", "mohalla", 3);
-        let f = local_cluster::up(layout).await.unwrap();
+        let f = LocalCluster::up(layout).await.unwrap();
         all_ready(&f).await;
         let (f, _, out) = under_traffic(f, &spec, async |f| {
             // The owner of the configuration, then the other two seats.
-            let owner = local_cluster::config_owner(f).await.unwrap();
+            let owner = f.config_leader().await.unwrap();
             for (n, seat) in [owner, (owner + 1) % 3, (owner + 2) % 3].into_iter().enumerate() {
-                local_cluster::kill(&mut f.seats[seat]);
+                f.controllers[seat].kill();
                 // Addresses of leafs pass to another service meanwhile.
                 let reuse = json!({ "do": "reuse", "service": "mohalla-archive-w48-0",
                                     "count": 9, "by": "mohalla-history-w48-0" });
-                local_cluster::order(f, reuse).await.unwrap();
+                f.order(reuse).await.unwrap();
                 let val = json!({ "zones": [{ "name": format!("mark-{n}"), "state": "open" }] });
-                let revision = local_cluster::patch(f, &val, &format!("mark-{n}")).await.unwrap();
+                let revision = f.patch(&val, &format!("mark-{n}")).await.unwrap();
                 all_obey(f, revision).await;
                 // The second comes back as an empty machine.
                 if n == 1 {
                     std::fs::remove_dir_all(f.layout.dir.join(format!("seat-{seat}"))).unwrap();
                 }
-                local_cluster::start(&mut f.seats[seat]).unwrap();
+                f.controllers[seat].start().unwrap();
                 let back = || async {
-                    local_cluster::status(f, seat).await.is_ok_and(|s| {
+                    f.status(seat).await.is_ok_and(|s| {
                         s["here"]["parts"].as_array().is_some_and(|p| {
                             p.iter().all(|p| p["role"] == "follower" || p["role"] == "owner")
                         }) && s["here"]["parts"][0]["shown"].as_u64() >= Some(revision)
@@ -313,10 +307,10 @@
                 assert!(local_cluster::until(LONG, back).await, "seat {seat} is not whole again");
             }
             for i in 0..f.queriers.len() {
-                local_cluster::kill(&mut f.queriers[i]);
-                local_cluster::start(&mut f.queriers[i]).unwrap();
+                f.queriers[i].kill();
+                f.queriers[i].start().unwrap();
                 assert!(
-                    local_cluster::until(LONG, || local_cluster::ready(f, i)).await,
+                    local_cluster::until(LONG, || f.is_ready(i)).await,
                     "querier {i} is not back"
                 );
             }
@@ -324,7 +318,7 @@
         .await;
         expect_that!(out["violations"].as_u64(), some(eq(0)), "{out}");
         expect_that!(successes(&out), gt(50));
-        let state = local_cluster::ask_backs(&f, "/state").await.unwrap();
+        let state = f.ask_backends("/state").await.unwrap();
         let (mut asked, mut reached) = (0, 0);
         for leaf in state["leafs"].as_array().unwrap() {
             asked += leaf["misdirected"].as_u64().unwrap();
@@ -345,28 +339,28 @@
 fn everything_restarts_within_its_time_and_stops_cleanly() {
     block(async {
         let (layout, _) = layout("restart", "mohalla", 3);
-        let mut f = local_cluster::up(layout).await.unwrap();
+        let mut f = LocalCluster::up(layout).await.unwrap();
         all_ready(&f).await;
         let val = json!({ "zones": [{ "name": "kept", "state": "open" }] });
-        let revision = local_cluster::patch(&f, &val, "kept").await.unwrap();
-        for p in f.seats.iter_mut().chain(&mut f.queriers) {
-            local_cluster::kill(p);
+        let revision = f.patch(&val, "kept").await.unwrap();
+        for p in f.controllers.iter_mut().chain(&mut f.queriers) {
+            p.kill();
         }
         let begun = Instant::now();
-        for p in f.seats.iter_mut().chain(&mut f.queriers) {
-            local_cluster::start(p).unwrap();
+        for p in f.controllers.iter_mut().chain(&mut f.queriers) {
+            p.start().unwrap();
         }
         all_ready(&f).await;
         expect_that!(begun.elapsed(), lt(Duration::from_secs(12)));
         all_obey(&f, revision).await;
         // A wish to stop: not ready at once, then a clean end.
-        local_cluster::signal(&f.queriers[1], "TERM").unwrap();
-        let gone = || async { !local_cluster::ready(&f, 1).await };
+        f.queriers[1].signal("TERM").unwrap();
+        let gone = || async { !f.is_ready(1).await };
         assert!(local_cluster::until(LONG, gone).await);
-        expect_that!(local_cluster::ended(&mut f.queriers[1], LONG), some(eq(0)));
+        expect_that!(f.queriers[1].wait_for_end(LONG), some(eq(0)));
         for i in 0..3 {
-            local_cluster::signal(&f.seats[i], "TERM").unwrap();
-            expect_that!(local_cluster::ended(&mut f.seats[i], LONG), some(eq(0)));
+            f.controllers[i].signal("TERM").unwrap();
+            expect_that!(f.controllers[i].wait_for_end(LONG), some(eq(0)));
         }
     });
 }
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -15,7 +15,9 @@
 use serde_json::{Value, json};
 use testbed::foreign::{self, Mode, Shared, begin, filled, leave, let_go, records, stamp};
 use testbed::local_cluster;
-use testbed::local_cluster::{Layout, Proc, until};
+use testbed::local_cluster::error::LocalClusterError;
+use testbed::local_cluster::process::Process;
+use testbed::local_cluster::{Layout, until};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// How long anything may take that is only waited for.
@@ -34,8 +36,8 @@
 
 /// A running site. Dropping it kills its processes, and no others.
 struct Site {
-    seats: Vec<Proc>,
-    queriers: Vec<Proc>,
+    seats: Vec<Process>,
+    queriers: Vec<Process>,
     doors: Vec<SocketAddr>,
     fronts: Vec<SocketAddr>,
     checks: Vec<SocketAddr>,
@@ -48,7 +50,7 @@
 impl Drop for Site {
     fn drop(&mut self) {
         for p in self.seats.iter_mut().chain(&mut self.queriers) {
-            local_cluster::kill(p);
+            p.kill();
         }
     }
 }
@@ -111,18 +113,18 @@
             let pairs = [("params", file.display().to_string())];
             let label = format!("{name}-{i}");
             all.push(match name {
-                "controller" => local_cluster::controller(&layout, &label, &pairs),
-                _ => local_cluster::querier(&layout, &label, &pairs),
+                "controller" => Process::controller(&layout, &label, &pairs),
+                _ => Process::querier(&layout, &label, &pairs),
             });
             site.files.push(file);
         }
-        let started: std::result::Result<(), String> =
-            all.iter_mut().try_for_each(local_cluster::start);
+        let started: std::result::Result<(), LocalClusterError> =
+            all.iter_mut().try_for_each(Process::start);
         site.queriers = all.split_off(3);
         site.seats = all;
         match started {
             Ok(()) => return site,
-            Err(e) => trouble = e,
+            Err(e) => trouble = e.to_string(),
         }
     }
     panic!("{trouble}");
@@ -576,7 +578,7 @@
             let end = async {
                 let held = || site.world.borrow().runs.len() >= before + 4;
                 assert!(until(LONG, async || held()).await, "the calls did not arrive");
-                local_cluster::signal(&site.queriers[0], "TERM").unwrap();
+                site.queriers[0].signal("TERM").unwrap();
                 let told = until(LONG, async || !is_ready(site, 0).await).await;
                 let_go(&site.world);
                 for leaf in LEAFS {
@@ -592,7 +594,7 @@
             expect_that!(true_pass(&id, &resp), eq(true), "{resp:?}");
             expect_that!(head(&resp, "connection"), eq("close"));
         }
-        expect_that!(local_cluster::ended(&mut s.queriers[0], LONG), some(eq(0)));
+        expect_that!(s.queriers[0].wait_for_end(LONG), some(eq(0)));
         // The other one serves on.
         let (id, resp) = call(&s, 1, "GET", "/pass/x", "").await.unwrap();
         expect_that!(true_pass(&id, &resp), eq(true));
@@ -608,14 +610,14 @@
                 let good = std::fs::read_to_string(file).unwrap();
                 std::fs::write(file, text).unwrap();
                 for p in s.seats.iter().chain(&s.queriers) {
-                    local_cluster::signal(p, "HUP").unwrap();
+                    p.signal("HUP").unwrap();
                 }
                 serves(&s, "/pass/x", 200).await;
                 std::fs::write(file, good).unwrap();
             }
         }
         for p in s.seats.iter().chain(&s.queriers) {
-            local_cluster::signal(p, "HUP").unwrap();
+            p.signal("HUP").unwrap();
         }
         expect_that!(put(&s, 5, &whole(6)).await, eq(200));
         serves(&s, "/join/x", 200).await;
--- a/crates/server/tests/paused_leader.rs
+++ b/crates/server/tests/paused_leader.rs
@@ -12,7 +12,8 @@
 use hyper::Method;
 use serde_json::{Value, json};
 use testbed::local_cluster;
-use testbed::local_cluster::{Layout, Proc};
+use testbed::local_cluster::Layout;
+use testbed::local_cluster::process::Process;
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
@@ -23,7 +24,7 @@
 
 /// Three controllers with a voter slot each; killed when dropped.
 struct Controllers {
-    processes: Vec<Proc>,
+    processes: Vec<Process>,
     doors: Vec<SocketAddr>,
     http: HttpClient,
     began: Instant,
@@ -33,8 +34,8 @@
     fn drop(&mut self) {
         for process in &mut self.processes {
             // One that is stopped would not end.
-            let _ = local_cluster::signal(process, "CONT");
-            local_cluster::kill(process);
+            let _ = process.signal("CONT");
+            process.kill();
         }
     }
 }
@@ -55,7 +56,7 @@
         ports.iter().map(|port| SocketAddr::from(([127, 0, 0, 1], *port))).collect();
     let (doors, inner) = addresses.split_at(CONTROLLERS);
     let seeds: Vec<String> = inner.iter().map(|address| address.to_string()).collect();
-    let mut processes: Vec<Proc> = (0..CONTROLLERS)
+    let mut processes: Vec<Process> = (0..CONTROLLERS)
         .map(|i| {
             let pairs = [
                 ("seat", i.to_string()),
@@ -66,10 +67,10 @@
                 ("first", "true".to_string()),
                 ("data", layout.dir.join(format!("data-{i}")).display().to_string()),
             ];
-            local_cluster::controller(&layout, &format!("controller-{i}"), &pairs)
+            Process::controller(&layout, &format!("controller-{i}"), &pairs)
         })
         .collect();
-    processes.iter_mut().for_each(|process| local_cluster::start(process).unwrap());
+    processes.iter_mut().for_each(|process| process.start().unwrap());
     let http = grebepath_runtime::http::client::HttpClient::new(16);
     Controllers { processes, doors: doors.to_vec(), http, began: Instant::now() }
 }
@@ -192,7 +193,7 @@
     let old = leader(c).await.unwrap();
     let other = (old + 1) % CONTROLLERS;
     let revision = read(c, history, other).await;
-    local_cluster::signal(&c.processes[old], "STOP").unwrap();
+    c.processes[old].signal("STOP").unwrap();
     let stopped = Instant::now();
     // One builds on what will be accepted elsewhere, one on what will be past.
     let next = Change { id: format!("next-{round}"), expect: revision + 1 };
@@ -216,7 +217,7 @@
             assert!(stopped.elapsed() < LONG, "no change is accepted elsewhere in time");
         }
         assert!(local_cluster::until(LONG, || async { stopped.elapsed() >= PAUSE }).await);
-        local_cluster::signal(&c.processes[old], "CONT").unwrap();
+        c.processes[old].signal("CONT").unwrap();
     };
     let ((next_got, late_got, read_got, status_got), ()) = tokio::join!(waiting, elsewhere);
     let at = now(c);
--- a/crates/server/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -15,21 +15,23 @@
 use platform_orders::{BASE_HEADER, CONFIG_PATH, Order, patch, whole};
 use serde_json::{Value, json};
 use testbed::local_cluster;
-use testbed::local_cluster::{Layout, Proc, until};
+use testbed::local_cluster::error::LocalClusterError;
+use testbed::local_cluster::process::Process;
+use testbed::local_cluster::{Layout, until};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
 
 /// Three controllers without queriers. Dropping it kills its processes.
 struct ControllerState {
-    procs: Vec<Proc>,
+    procs: Vec<Process>,
     doors: Vec<SocketAddr>,
     http: HttpClient,
 }
 
 impl Drop for ControllerState {
     fn drop(&mut self) {
-        self.procs.iter_mut().for_each(local_cluster::kill);
+        self.procs.iter_mut().for_each(Process::kill);
     }
 }
 
@@ -48,13 +50,13 @@
                 assert!(until(LONG, async || leader(&core).await.is_some()).await, "no leader");
                 return core;
             }
-            Err(why) => trouble = why,
+            Err(why) => trouble = why.to_string(),
         }
     }
     panic!("{trouble}");
 }
 
-fn started(test: &str) -> std::result::Result<ControllerState, String> {
+fn started(test: &str) -> std::result::Result<ControllerState, LocalClusterError> {
     let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
     let _ = std::fs::remove_dir_all(&dir);
     std::fs::create_dir_all(&dir).unwrap();
@@ -64,7 +66,7 @@
     let ports = local_cluster::free_ports(6).unwrap();
     let at = |n: usize| SocketAddr::from(([127, 0, 0, 1], ports[n]));
     let seeds = (3..6).map(|n| at(n).to_string()).collect::<Vec<_>>().join(",");
-    let procs: Vec<Proc> = (0..3)
+    let procs: Vec<Process> = (0..3)
         .map(|n| {
             let pairs = [
                 ("seat", n.to_string()),
@@ -75,13 +77,13 @@
                 ("data", dir.join(format!("data-{n}")).display().to_string()),
                 ("dialect", "platform".to_string()),
             ];
-            local_cluster::controller(&layout, &format!("controller-{n}"), &pairs)
+            Process::controller(&layout, &format!("controller-{n}"), &pairs)
         })
         .collect();
     let doors = (0..3).map(at).collect();
     let mut core =
         ControllerState { procs, doors, http: grebepath_runtime::http::client::HttpClient::new(8) };
-    core.procs.iter_mut().try_for_each(local_cluster::start)?;
+    core.procs.iter_mut().try_for_each(Process::start)?;
     Ok(core)
 }
 
@@ -147,9 +149,9 @@
         // Its answer, if there is one, is not looked at.
         let _ = tokio::time::timeout(wait, sending).await;
     }
-    local_cluster::kill(&mut core.procs[leads]);
+    core.procs[leads].kill();
     let round = race(core, leads + 1, [a, b]).await;
-    local_cluster::start(&mut core.procs[leads]).unwrap();
+    core.procs[leads].start().unwrap();
     round
 }
 
@@ -213,10 +215,10 @@
         }
         all_again(&core, &rounds, "at the end").await;
         let leads = leader(&core).await.expect("a leader");
-        local_cluster::kill(&mut core.procs[leads]);
+        core.procs[leads].kill();
         all_again(&core, &rounds, "without the leader").await;
-        core.procs.iter_mut().for_each(local_cluster::kill);
-        core.procs.iter_mut().for_each(|p| local_cluster::start(p).unwrap());
+        core.procs.iter_mut().for_each(Process::kill);
+        core.procs.iter_mut().for_each(|p| p.start().unwrap());
         all_again(&core, &rounds, "after all were killed").await;
     });
 }
--- a/crates/server/tests/seats.rs
+++ b/crates/server/tests/seats.rs
@@ -8,7 +8,9 @@
 use hyper::Method;
 use serde_json::{Value, json};
 use testbed::local_cluster;
-use testbed::local_cluster::{Fleet, Layout, Proc};
+use testbed::local_cluster::error::LocalClusterError;
+use testbed::local_cluster::process::Process;
+use testbed::local_cluster::{Layout, LocalCluster};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
@@ -39,7 +41,7 @@
     (formed || here["seat"].is_null()).then(|| here["seat"].clone())
 }
 
-async fn has_seat(f: &Fleet, i: usize, want: Value) -> bool {
+async fn has_seat(f: &LocalCluster, i: usize, want: Value) -> bool {
     local_cluster::until(LONG, || async { seat(&f.http, f.doors[i]).await == Some(want.clone()) })
         .await
 }
@@ -58,9 +60,9 @@
     local_cluster::request(http, Method::PATCH, url, body, &heads).await.unwrap_or((0, Value::Null))
 }
 
-async fn obeyed(f: &Fleet, revision: u64) {
+async fn obeyed(f: &LocalCluster, revision: u64) {
     for i in 0..f.queriers.len() {
-        let ask = || async { local_cluster::obeyed(f, i).await.is_some_and(|r| r >= revision) };
+        let ask = || async { f.obeyed(i).await.is_some_and(|r| r >= revision) };
         assert!(local_cluster::until(LONG, ask).await, "querier {i} does not obey {revision}");
     }
 }
@@ -68,37 +70,37 @@
 #[googletest::test]
 fn a_spare_takes_over_and_the_old_holder_becomes_the_spare() {
     block(async {
-        let mut f = local_cluster::up(layout("seats-spare")).await.unwrap();
-        let owner = local_cluster::config_owner(&f).await.unwrap();
+        let mut f = LocalCluster::up(layout("seats-spare")).await.unwrap();
+        let owner = f.config_leader().await.unwrap();
         // Of the same zone: no zone may gain a majority of the seats.
-        let spare = local_cluster::add_spare(&mut f, ["a", "b", "c"][owner]).unwrap();
+        let spare = f.add_spare(["a", "b", "c"][owner]).unwrap();
         for i in 0..f.queriers.len() {
-            assert!(local_cluster::until(LONG, || local_cluster::ready(&f, i)).await);
+            assert!(local_cluster::until(LONG, || f.is_ready(i)).await);
         }
         // A controller without a seat takes operators' requests.
         expect_that!(seat(&f.http, f.doors[spare]).await, some(eq(&Value::Null)));
         let (code, val) = patch_at(&f.http, f.doors[spare], 0).await;
         expect_that!(code, eq(200), "{val}");
-        local_cluster::kill(&mut f.seats[owner]);
+        f.controllers[owner].kill();
         let (code, val) = patch_at(&f.http, f.doors[spare], 1).await;
         expect_that!(code, eq(200), "{val}");
         assert!(has_seat(&f, spare, json!(owner)).await, "the seat was not taken over");
         // The old holder comes back on its disk and finds its seat given away.
-        local_cluster::start(&mut f.seats[owner]).unwrap();
+        f.controllers[owner].start().unwrap();
         assert!(has_seat(&f, owner, Value::Null).await, "the old holder still has its seat");
         // The newcomer counts: with another one down a change is accepted, and
         // the queriers hear of it although no params of theirs name it.
         let other = (owner + 1) % 3;
-        local_cluster::signal(&f.seats[other], "STOP").unwrap();
+        f.controllers[other].signal("STOP").unwrap();
         let (code, val) = patch_at(&f.http, f.doors[spare], 2).await;
-        local_cluster::signal(&f.seats[other], "CONT").unwrap();
+        f.controllers[other].signal("CONT").unwrap();
         expect_that!(code, eq(200), "{val}");
         obeyed(&f, val["revision"].as_u64().unwrap()).await;
         // All off at once: everyone comes back as who it was.
-        let procs = f.seats.iter_mut().chain(&mut f.queriers);
-        procs.for_each(local_cluster::kill);
-        for p in f.seats.iter_mut().chain(&mut f.queriers) {
-            local_cluster::start(p).unwrap();
+        let procs = f.controllers.iter_mut().chain(&mut f.queriers);
+        procs.for_each(Process::kill);
+        for p in f.controllers.iter_mut().chain(&mut f.queriers) {
+            p.start().unwrap();
         }
         assert!(has_seat(&f, spare, json!(owner)).await, "the seat was forgotten");
         let (code, val) = patch_at(&f.http, f.doors[owner], 3).await;
@@ -115,14 +117,14 @@
 
 /// Controllers that find their seats; killed when dropped.
 struct ControllerState {
-    procs: Vec<Proc>,
+    procs: Vec<Process>,
     doors: Vec<SocketAddr>,
     dir: PathBuf,
 }
 
 impl Drop for ControllerState {
     fn drop(&mut self) {
-        self.procs.iter_mut().for_each(local_cluster::kill);
+        self.procs.iter_mut().for_each(Process::kill);
     }
 }
 
@@ -132,13 +134,17 @@
     for _ in 0..4 {
         match started(test, seats, count) {
             Ok(core) => return core,
-            Err(why) => trouble = why,
+            Err(why) => trouble = why.to_string(),
         }
     }
     panic!("{trouble}");
 }
 
-fn started(test: &str, seats: usize, count: usize) -> std::result::Result<ControllerState, String> {
+fn started(
+    test: &str,
+    seats: usize,
+    count: usize,
+) -> std::result::Result<ControllerState, LocalClusterError> {
     let lay = layout(test);
     let _ = std::fs::remove_dir_all(&lay.dir);
     std::fs::create_dir_all(&lay.dir).unwrap();
@@ -147,7 +153,7 @@
         ports.iter().map(|p| SocketAddr::from(([127, 0, 0, 1], *p))).collect();
     let (doors, inners) = addrs.split_at(count);
     let texts: Vec<String> = inners[..3].iter().map(|a| a.to_string()).collect();
-    let procs: Vec<Proc> = (0..count)
+    let procs: Vec<Process> = (0..count)
         .map(|i| {
             // Everything comes from a file, as a platform lays it down.
             let file = lay.dir.join(format!("params-{i}.json"));
@@ -159,11 +165,11 @@
             });
             std::fs::write(&file, params.to_string()).unwrap();
             let args = [("params", file.display().to_string())];
-            local_cluster::controller(&lay, &format!("controller-{i}"), &args)
+            Process::controller(&lay, &format!("controller-{i}"), &args)
         })
         .collect();
     let mut core = ControllerState { procs, doors: doors.to_vec(), dir: lay.dir };
-    core.procs.iter_mut().try_for_each(local_cluster::start)?;
+    core.procs.iter_mut().try_for_each(Process::start)?;
     Ok(core)
 }
 
@@ -214,7 +220,7 @@
         let (code, val) = patch_at(&http, c.doors[3], 7).await;
         expect_that!(code, eq(200), "{val}");
         // At once all die, and two come back with nothing; seeds may be others.
-        c.procs.iter_mut().for_each(local_cluster::kill);
+        c.procs.iter_mut().for_each(Process::kill);
         for i in 0..6 {
             let old: Value = serde_json::from_slice(
                 &std::fs::read(c.dir.join(format!("params-{i}.json"))).unwrap(),
@@ -227,7 +233,7 @@
         for i in [0, 1] {
             std::fs::remove_dir_all(c.dir.join(format!("data-{i}"))).unwrap();
         }
-        c.procs.iter_mut().for_each(|p| local_cluster::start(p).unwrap());
+        c.procs.iter_mut().for_each(|p| p.start().unwrap());
         assert!(held(&c, &http, 5).await, "the seats are not whole again");
         let url = format!("http://{}/v1/config", c.doors[0]);
         let (_, got) =
@@ -257,22 +263,22 @@
             marks.push(10 + leaving);
             // The spares ask for a slot twice a second.
             tokio::time::sleep(Duration::from_millis(700)).await;
-            local_cluster::signal(&c.procs[leaving], "TERM").unwrap();
+            c.procs[leaving].signal("TERM").unwrap();
             let patience = Duration::from_secs(4);
-            expect_that!(local_cluster::ended(&mut c.procs[leaving], patience), some(eq(0)));
+            expect_that!(c.procs[leaving].wait_for_end(patience), some(eq(0)));
             // It has ended, so its successor votes: another disk may be lost now.
             let other = (leaving + 1) % 3 + if leaving == 2 { 3 } else { 0 };
-            local_cluster::kill(&mut c.procs[other]);
+            c.procs[other].kill();
             std::fs::remove_dir_all(c.dir.join(format!("data-{other}"))).unwrap();
             no_longer_first(&c, other, None);
             let (code, val) = patch_at(&http, c.doors[5], 20 + leaving).await;
             expect_that!(code, eq(200), "{val}");
             marks.push(20 + leaving);
-            local_cluster::start(&mut c.procs[other]).unwrap();
+            c.procs[other].start().unwrap();
             assert!(held(&c, &http, 3).await, "not three slots after {leaving} left");
             // It comes back as a spare; the seeds name it.
             no_longer_first(&c, leaving, None);
-            local_cluster::start(&mut c.procs[leaving]).unwrap();
+            c.procs[leaving].start().unwrap();
         }
         let url = format!("http://{}/v1/config", c.doors[4]);
         let (_, got) =
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -17,7 +17,7 @@
 use hyper::Method;
 use serde_json::json;
 use testbed::local_cluster;
-use testbed::local_cluster::{Fleet, Layout};
+use testbed::local_cluster::{Layout, LocalCluster};
 use testbed::relay::Relay;
 
 /// How long anything may take that is only waited for.
@@ -205,16 +205,13 @@
     });
 }
 
-async fn all_ready(f: &Fleet) {
+async fn all_ready(f: &LocalCluster) {
     for i in 0..f.queriers.len() {
-        assert!(
-            local_cluster::until(LONG, || local_cluster::ready(f, i)).await,
-            "querier {i} is not ready"
-        );
+        assert!(local_cluster::until(LONG, || f.is_ready(i)).await, "querier {i} is not ready");
     }
 }
 
-async fn ask(f: &Fleet, i: usize) -> Option<(u16, serde_json::Value)> {
+async fn ask(f: &LocalCluster, i: usize) -> Option<(u16, serde_json::Value)> {
     let url = format!("http://{}/v1/search/browse", f.fronts[i]);
     let body = json!({ "question": "q", "limit": 3 }).to_string().into_bytes();
     local_cluster::request(&f.http, Method::POST, url, body, &[("budget-ms", "900")]).await.ok()
@@ -223,15 +220,15 @@
 #[googletest::test]
 fn a_frozen_querier_wakes_and_never_answers_by_the_old_configuration() {
     block(async {
-        let f = local_cluster::up(layout("frozen")).await.unwrap();
+        let f = LocalCluster::up(layout("frozen")).await.unwrap();
         all_ready(&f).await;
-        local_cluster::signal(&f.queriers[1], "STOP").unwrap();
+        f.queriers[1].signal("STOP").unwrap();
         // Accepted without the frozen one: the two others are most.
         let val = json!({ "zones": [{ "name": "later", "state": "open" }] });
-        let revision = local_cluster::patch(&f, &val, "later").await.unwrap();
+        let revision = f.patch(&val, "later").await.unwrap();
         // The core lets the frozen one go; then its old view is out of date.
         let gone = || async {
-            local_cluster::status(&f, 0)
+            f.status(0)
                 .await
                 .is_ok_and(|s| s["cohort"]["members"].as_array().is_some_and(|m| m.len() == 2))
         };
@@ -240,7 +237,7 @@
         let calls: Vec<_> = (0..8).map(|_| ask(&f, 1)).collect();
         let woken = async {
             tokio::task::yield_now().await;
-            local_cluster::signal(&f.queriers[1], "CONT").unwrap();
+            f.queriers[1].signal("CONT").unwrap();
         };
         let (answers, ()) = tokio::join!(at_once(calls), woken);
         for (code, val) in answers.into_iter().flatten() {
@@ -250,7 +247,7 @@
                 expect_that!(val["error"].as_str(), some(eq("cut-off")));
             }
         }
-        assert!(local_cluster::until(LONG, || local_cluster::ready(&f, 1)).await);
+        assert!(local_cluster::until(LONG, || f.is_ready(1)).await);
         // It serves again, by the new one.
         let serves = || async {
             ask(&f, 1).await.is_some_and(|(code, val)| {
@@ -295,7 +292,7 @@
         // All that the last querier says to and hears from the others passes
         // through relays, which can be cut.
         let mut relays: Vec<Relay> = Vec::new();
-        let f = local_cluster::up_with(layout("cut"), async |wanted: SocketAddr| {
+        let f = LocalCluster::up_with(layout("cut"), async |wanted: SocketAddr| {
             let relay = Relay::open(wanted).await?;
             let addr = relay.addr;
             relays.push(relay);
@@ -311,14 +308,14 @@
             relay.cut(true);
         }
         let val = json!({ "zones": [{ "name": "early", "state": "open" }] });
-        let revision = local_cluster::patch(&f, &val, "early").await.unwrap();
-        let obeys = || async { local_cluster::obeyed(&f, 2).await.is_some_and(|r| r >= revision) };
+        let revision = f.patch(&val, "early").await.unwrap();
+        let obeys = || async { f.obeyed(2).await.is_some_and(|r| r >= revision) };
         assert!(local_cluster::until(LONG, obeys).await, "no news came by the cohort");
         expect_that!(ask(&f, 2).await.unwrap().0, eq(200));
         // Now nobody reaches it.
         relays[4].cut(true);
         let begun = Instant::now();
-        assert!(local_cluster::until(LONG, || async { !local_cluster::ready(&f, 2).await }).await);
+        assert!(local_cluster::until(LONG, || async { !f.is_ready(2).await }).await);
         // First not ready, then bouncing; the others go on.
         let bounced = || async {
             ask(&f, 2).await.is_some_and(|(code, val)| code == 503 && val["error"] == "cut-off")
@@ -326,12 +323,12 @@
         assert!(local_cluster::until(LONG, bounced).await);
         expect_that!(begun.elapsed(), lt(Duration::from_secs(6)));
         let val = json!({ "zones": [{ "name": "later", "state": "open" }] });
-        let revision = local_cluster::patch(&f, &val, "later").await.unwrap();
+        let revision = f.patch(&val, "later").await.unwrap();
         expect_that!(ask(&f, 0).await.unwrap().0, eq(200));
         for relay in &relays {
             relay.cut(false);
         }
-        assert!(local_cluster::until(LONG, || local_cluster::ready(&f, 2)).await);
+        assert!(local_cluster::until(LONG, || f.is_ready(2)).await);
         expect_that!(ask(&f, 2).await.unwrap().1["revision"].as_u64(), ge(Some(revision)));
     });
 }
@@ -339,37 +336,36 @@
 #[googletest::test]
 fn a_full_disk_makes_its_seat_step_back_and_costs_nothing_accepted() {
     block(async {
-        let mut f = local_cluster::up(layout("full")).await.unwrap();
+        let mut f = LocalCluster::up(layout("full")).await.unwrap();
         all_ready(&f).await;
         // The owner of the configuration comes back on a disk with 64 KiB left.
-        let seat = local_cluster::config_owner(&f).await.unwrap();
-        local_cluster::kill(&mut f.seats[seat]);
-        local_cluster::limit_files(&mut f.seats[seat], Some(128));
-        local_cluster::start(&mut f.seats[seat]).unwrap();
-        let role = async |f: &Fleet| {
-            let s = local_cluster::status(f, seat).await.ok()?;
+        let seat = f.config_leader().await.unwrap();
+        f.controllers[seat].kill();
+        f.controllers[seat].limit_file_size(Some(128));
+        f.controllers[seat].start().unwrap();
+        let role = async |f: &LocalCluster| {
+            let s = f.status(seat).await.ok()?;
             Some(s["here"]["parts"][0].clone())
         };
         let whole = || async { role(&f).await.is_some_and(|p| p["role"] == "follower") };
         assert!(local_cluster::until(LONG, whole).await);
         let val = json!({ "pools": [{ "name": "wide", "service": "wide",
                                       "labels": { "note": "x".repeat(100_000) } }] });
-        let revision = local_cluster::patch(&f, &val, "wide").await.unwrap();
+        let revision = f.patch(&val, "wide").await.unwrap();
         let sick = || async { role(&f).await.is_some_and(|p| p["role"] == "sick") };
         assert!(local_cluster::until(LONG, sick).await, "{:?}", role(&f).await);
         expect_that!(role(&f).await.unwrap()["sick"].as_str(), some(contains_substring("large")));
         // The two others go on accepting, and all queriers obey.
         let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
-        let revision = revision.max(local_cluster::patch(&f, &val, "after").await.unwrap());
+        let revision = revision.max(f.patch(&val, "after").await.unwrap());
         for i in 0..3 {
-            let obeys =
-                || async { local_cluster::obeyed(&f, i).await.is_some_and(|r| r >= revision) };
+            let obeys = || async { f.obeyed(i).await.is_some_and(|r| r >= revision) };
             assert!(local_cluster::until(LONG, obeys).await);
         }
         // With room again it comes back whole.
-        local_cluster::kill(&mut f.seats[seat]);
-        local_cluster::limit_files(&mut f.seats[seat], None);
-        local_cluster::start(&mut f.seats[seat]).unwrap();
+        f.controllers[seat].kill();
+        f.controllers[seat].limit_file_size(None);
+        f.controllers[seat].start().unwrap();
         let back = || async {
             role(&f)
                 .await
@@ -380,14 +376,14 @@
 }
 
 /// One number of a process's metrics.
-async fn metric(f: &Fleet, addr: SocketAddr, name: &str) -> Option<u64> {
+async fn metric(f: &LocalCluster, addr: SocketAddr, name: &str) -> Option<u64> {
     let text = local_cluster::text(&f.http, format!("http://{addr}/metrics")).await?;
     text.lines().find_map(|l| l.strip_prefix(name)?.trim().parse().ok())
 }
 
 /// Whether a seat has a role in every part.
-async fn whole(f: &Fleet, seat: usize) -> bool {
-    local_cluster::status(f, seat).await.is_ok_and(|s| {
+async fn whole(f: &LocalCluster, seat: usize) -> bool {
+    f.status(seat).await.is_ok_and(|s| {
         s["here"]["parts"]
             .as_array()
             .is_some_and(|p| p.iter().all(|p| p["role"] == "follower" || p["role"] == "owner"))
@@ -397,18 +393,18 @@
 #[googletest::test]
 fn a_seat_moves_to_a_new_machine_while_queriers_serve() {
     block(async {
-        let mut f = local_cluster::up(layout("moved")).await.unwrap();
+        let mut f = LocalCluster::up(layout("moved")).await.unwrap();
         all_ready(&f).await;
         let val = json!({ "zones": [{ "name": "before", "state": "open" }] });
-        local_cluster::patch(&f, &val, "before").await.unwrap();
+        f.patch(&val, "before").await.unwrap();
         // The machine is gone, disk and all; another takes the seat elsewhere.
-        local_cluster::kill(&mut f.seats[2]);
+        f.controllers[2].kill();
         std::fs::remove_dir_all(f.layout.dir.join("seat-2")).unwrap();
-        local_cluster::move_seat(&mut f, 2).unwrap();
-        local_cluster::start(&mut f.seats[2]).unwrap();
+        f.move_voter(2).unwrap();
+        f.controllers[2].start().unwrap();
         for seat in [0, 1] {
-            local_cluster::kill(&mut f.seats[seat]);
-            local_cluster::start(&mut f.seats[seat]).unwrap();
+            f.controllers[seat].kill();
+            f.controllers[seat].start().unwrap();
             assert!(local_cluster::until(LONG, || whole(&f, seat)).await, "seat {seat}");
             // Queriers have not heard of the new address, and serve on.
             for i in 0..f.queriers.len() {
@@ -418,21 +414,17 @@
         }
         assert!(local_cluster::until(LONG, || whole(&f, 2)).await, "the new seat did not relearn");
         for i in 0..f.queriers.len() {
-            local_cluster::signal(&f.queriers[i], "TERM").unwrap();
-            expect_that!(local_cluster::ended(&mut f.queriers[i], LONG), some(eq(0)));
-            local_cluster::start(&mut f.queriers[i]).unwrap();
-            assert!(
-                local_cluster::until(LONG, || local_cluster::ready(&f, i)).await,
-                "querier {i}"
-            );
+            f.queriers[i].signal("TERM").unwrap();
+            expect_that!(f.queriers[i].wait_for_end(LONG), some(eq(0)));
+            f.queriers[i].start().unwrap();
+            assert!(local_cluster::until(LONG, || f.is_ready(i)).await, "querier {i}");
         }
         // The new seat counts: with another one down a change is accepted.
-        local_cluster::kill(&mut f.seats[0]);
+        f.controllers[0].kill();
         let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
-        let revision = local_cluster::patch(&f, &val, "after").await.unwrap();
+        let revision = f.patch(&val, "after").await.unwrap();
         for i in 0..f.queriers.len() {
-            let obeys =
-                || async { local_cluster::obeyed(&f, i).await.is_some_and(|r| r >= revision) };
+            let obeys = || async { f.obeyed(i).await.is_some_and(|r| r >= revision) };
             assert!(
                 local_cluster::until(LONG, obeys).await,
                 "querier {i} does not obey {revision}"
@@ -450,7 +442,7 @@
 #[googletest::test]
 fn files_that_rot_under_a_running_controller_are_written_anew() {
     block(async {
-        let mut f = local_cluster::up(layout("rot")).await.unwrap();
+        let mut f = LocalCluster::up(layout("rot")).await.unwrap();
         all_ready(&f).await;
         let dir = f.layout.dir.join("seat-1/part-0");
         // Whatever lies on the disk is spoilt, as it lies there.
@@ -475,8 +467,8 @@
         };
         assert!(local_cluster::until(LONG, good).await, "the files were not written anew");
         // It starts from its own files again, and sets nothing aside.
-        local_cluster::kill(&mut f.seats[1]);
-        local_cluster::start(&mut f.seats[1]).unwrap();
+        f.controllers[1].kill();
+        f.controllers[1].start().unwrap();
         assert!(local_cluster::until(LONG, || whole(&f, 1)).await);
         expect_that!(dir.join("damaged-0").exists(), eq(false));
     });
@@ -485,7 +477,7 @@
 #[googletest::test]
 fn a_flood_of_calls_is_bounced_at_the_door_urgent_last() {
     block(async {
-        let f = local_cluster::up(layout("flood")).await.unwrap();
+        let f = LocalCluster::up(layout("flood")).await.unwrap();
         all_ready(&f).await;
         let one = async |search: &str| {
             let http = grebepath_runtime::http::client::HttpClient::new(1);
@@ -533,7 +525,7 @@
 #[googletest::test]
 fn whole_and_partial_changes_at_one_moment_lose_nothing() {
     block(async {
-        let f = local_cluster::up(layout("race")).await.unwrap();
+        let f = LocalCluster::up(layout("race")).await.unwrap();
         all_ready(&f).await;
         let read = async || {
             let url = format!("http://{}/v1/config", f.doors[0]);
@@ -579,7 +571,7 @@
         expect_that!(revs.len(), eq(accepted.len()), "two changes got one revision");
         let last = accepted.iter().map(|a| a.1).max().unwrap();
         for i in 0..f.queriers.len() {
-            let obeys = || async { local_cluster::obeyed(&f, i).await.is_some_and(|r| r >= last) };
+            let obeys = || async { f.obeyed(i).await.is_some_and(|r| r >= last) };
             assert!(local_cluster::until(LONG, obeys).await, "querier {i} does not obey {last}");
         }
     });
