--- /dev/null
+++ b/crates/server/tests/disk_faults.rs
@@ -0,0 +1,101 @@
+//! Real controllers whose disk is full, or whose files are corrupted.
+
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
+use std::net::SocketAddr;
+use std::time::Duration;
+
+use googletest::prelude::*;
+use grebepath_core::storage::reader::{Found, read};
+use serde_json::json;
+use testbed::local_cluster;
+use testbed::local_cluster::LocalCluster;
+
+use common::{all_ready, block, has_all_roles, layout};
+
+/// How long anything may take that is only waited for.
+const LONG: Duration = Duration::from_secs(20);
+
+#[googletest::test]
+fn a_full_disk_makes_its_voter_step_back_and_costs_nothing_accepted() {
+    block(async {
+        let mut f = LocalCluster::up(layout("full", "mohalla", 3)).await.unwrap();
+        all_ready(&f).await;
+        // The owner of the configuration comes back on a disk with 64 KiB left.
+        let seat = f.config_leader().await.unwrap();
+        f.controllers[seat].kill();
+        f.controllers[seat].limit_file_size(Some(128));
+        f.controllers[seat].start().unwrap();
+        let role = async |f: &LocalCluster| {
+            let s = f.status(seat).await.ok()?;
+            Some(s["here"]["parts"][0].clone())
+        };
+        let whole = || async { role(&f).await.is_some_and(|p| p["role"] == "follower") };
+        assert!(local_cluster::until(LONG, whole).await);
+        let val = json!({ "pools": [{ "name": "wide", "service": "wide",
+                                      "labels": { "note": "x".repeat(100_000) } }] });
+        let revision = f.patch(&val, "wide").await.unwrap();
+        let sick = || async { role(&f).await.is_some_and(|p| p["role"] == "sick") };
+        assert!(local_cluster::until(LONG, sick).await, "{:?}", role(&f).await);
+        expect_that!(role(&f).await.unwrap()["sick"].as_str(), some(contains_substring("large")));
+        // The two others go on accepting, and all queriers obey.
+        let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
+        let revision = revision.max(f.patch(&val, "after").await.unwrap());
+        for i in 0..3 {
+            let obeys = || async { f.obeyed(i).await.is_some_and(|r| r >= revision) };
+            assert!(local_cluster::until(LONG, obeys).await);
+        }
+        // With room again it comes back whole.
+        f.controllers[seat].kill();
+        f.controllers[seat].limit_file_size(None);
+        f.controllers[seat].start().unwrap();
+        let back = || async {
+            role(&f)
+                .await
+                .is_some_and(|p| p["role"] == "follower" && p["shown"].as_u64() >= Some(revision))
+        };
+        assert!(local_cluster::until(LONG, back).await, "{:?}", role(&f).await);
+    });
+}
+
+/// One number of a process's metrics.
+async fn metric(f: &LocalCluster, addr: SocketAddr, name: &str) -> Option<u64> {
+    let text = local_cluster::text(&f.http, format!("http://{addr}/metrics")).await?;
+    text.lines().find_map(|l| l.strip_prefix(name)?.trim().parse().ok())
+}
+
+#[googletest::test]
+fn files_corrupted_under_a_running_controller_are_written_anew() {
+    block(async {
+        let mut f = LocalCluster::up(layout("rot", "mohalla", 3)).await.unwrap();
+        all_ready(&f).await;
+        let dir = f.layout.dir.join("seat-1/part-0");
+        // Whatever lies on the disk is spoilt, as it lies there.
+        for name in ["slot-0", "slot-1", "log"] {
+            let path = dir.join(name);
+            if let Ok(raw) = std::fs::read(&path) {
+                use std::os::unix::fs::FileExt;
+                let at = raw.len() / 2;
+                let file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
+                file.write_all_at(&[raw[at] ^ 0x10], at as u64).unwrap();
+            }
+        }
+        let door = f.doors[1];
+        let found = async || metric(&f, door, "grebe_rotted_total").await > Some(0);
+        assert!(local_cluster::until(2 * LONG, found).await, "nothing was found to have rotted");
+        // What was found is being written: let it be whole before the kill.
+        let get = |name: &str| std::fs::read(dir.join(name)).ok();
+        let good = async || {
+            let (zero, one, log) = (get("slot-0"), get("slot-1"), get("log"));
+            let found = read(0, [zero.as_deref(), one.as_deref()], log.as_deref());
+            matches!(found, Found::Good { .. })
+        };
+        assert!(local_cluster::until(LONG, good).await, "the files were not written anew");
+        // It starts from its own files again, and sets nothing aside.
+        f.controllers[1].kill();
+        f.controllers[1].start().unwrap();
+        assert!(local_cluster::until(LONG, || has_all_roles(&f, 1)).await);
+        expect_that!(dir.join("damaged-0").exists(), eq(false));
+    });
+}
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/local_cluster.rs
@@ -1,10 +1,14 @@
 //! Real processes on loopback: the whole path, and the death of any one.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
 use std::cell::RefCell;
 use std::path::PathBuf;
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
+use common::block;
 use googletest::prelude::*;
 use grebepath_simulator::check::{Asked, success};
 use grebepath_simulator::spec::{self, Spec};
@@ -18,20 +22,11 @@
 const LONG: Duration = Duration::from_secs(20);
 
 fn layout(test: &str, name: &str, queriers: usize) -> (Layout, Spec) {
-    let root = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../..");
-    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
-    let _ = std::fs::remove_dir_all(&dir);
-    let deploy = root.join("deploy");
-    let spec = spec::read(&deploy.join(format!("{name}.standins.json")).display().to_string());
-    let bin = PathBuf::from(env!("CARGO_BIN_EXE_controller"));
-    let bin = bin.parent().unwrap().to_path_buf();
-    (Layout { bin, dir, deploy, name: name.into(), queriers }, spec.unwrap())
-}
-
-/// Runs a test's body on one thread, as the daemons do.
-fn block<F: Future>(body: F) -> F::Output {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&rt, body)
+    let layout = common::layout(test, name, queriers);
+    let _ = std::fs::remove_dir_all(&layout.dir);
+    let spec = layout.deploy.join(format!("{name}.standins.json"));
+    let spec = spec::read(&spec.display().to_string());
+    (layout, spec.unwrap())
 }
 
 async fn all_ready(f: &LocalCluster) {
@@ -366,7 +361,7 @@
 }
 
 #[googletest::test]
-fn wrong_params_are_found_together_before_any_port_opens() {
+fn wrong_settings_are_found_together_before_any_port_opens() {
     let run = |program: &str, args: &[&str]| {
         let out = std::process::Command::new(program).args(args).output().unwrap();
         (out.status.code(), String::from_utf8_lossy(&out.stderr).to_string())
--- a/crates/server/tests/paused_leader.rs
+++ b/crates/server/tests/paused_leader.rs
@@ -1,18 +1,20 @@
 //! Real controllers whose leader is stopped for seconds and goes on with orders
 //! in its sockets that came meanwhile.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
+use common::{block, empty_folder, layout};
 use googletest::prelude::*;
 use grebepath_runtime::http::client::HttpClient;
 use grebepath_simulator::linearizability::{Answer, Base, Effect, Recorder, Verdict, check};
 use hyper::Method;
 use serde_json::{Value, json};
 use testbed::local_cluster;
-use testbed::local_cluster::Layout;
 use testbed::local_cluster::process::Process;
 
 /// How long anything may take that is only waited for.
@@ -40,17 +42,9 @@
     }
 }
 
-fn layout(test: &str) -> Layout {
-    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
-    let bin = PathBuf::from(env!("CARGO_BIN_EXE_controller")).parent().unwrap().to_path_buf();
-    let deploy = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    Layout { bin, dir, deploy, name: "mohalla".into(), queriers: 0 }
-}
-
 fn controllers(test: &str) -> Controllers {
-    let layout = layout(test);
-    let _ = std::fs::remove_dir_all(&layout.dir);
-    std::fs::create_dir_all(&layout.dir).unwrap();
+    let layout = layout(test, "mohalla", 0);
+    empty_folder(&layout);
     let ports = local_cluster::free_ports(2 * CONTROLLERS).unwrap();
     let addresses: Vec<SocketAddr> =
         ports.iter().map(|port| SocketAddr::from(([127, 0, 0, 1], *port))).collect();
@@ -75,12 +69,6 @@
     Controllers { processes, doors: doors.to_vec(), http, began: Instant::now() }
 }
 
-/// Runs a test's body on one thread, as the daemons do.
-fn block<F: Future>(body: F) -> F::Output {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&rt, body)
-}
-
 /// Microseconds since the test began.
 fn now(c: &Controllers) -> u64 {
     c.began.elapsed().as_micros() as u64
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/platform_api.rs
@@ -1,6 +1,9 @@
 //! Real processes that speak another manner than ours: a trio of controllers
 //! and two queriers, started by the templates as their platform fills them.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,6 +11,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use common::block;
 use googletest::prelude::*;
 use grebepath_runtime::http::client::HttpClient;
 use http_body_util::Full;
@@ -17,7 +21,7 @@
 use testbed::local_cluster;
 use testbed::local_cluster::error::LocalClusterError;
 use testbed::local_cluster::process::Process;
-use testbed::local_cluster::{Layout, until};
+use testbed::local_cluster::until;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// How long anything may take that is only waited for.
@@ -55,21 +59,13 @@
     }
 }
 
-fn block<F: Future>(body: F) -> F::Output {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&rt, body)
-}
-
 /// Starts everything, each machine at an address of its own: the inner port is
 /// the same on all of them.
 async fn up(test: &str) -> Site {
     let manifest = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
-    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
-    let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).unwrap();
-    let bin = PathBuf::from(env!("CARGO_BIN_EXE_controller")).parent().unwrap().to_path_buf();
-    let deploy = manifest.join("../../deploy");
-    let layout = Layout { bin, dir: dir.clone(), deploy, name: test.into(), queriers: 2 };
+    let layout = common::layout(test, test, 2);
+    common::empty_folder(&layout);
+    let dir = layout.dir.clone();
     let (world, list) = begin(&LEAFS).await.unwrap();
     let mut trouble = String::new();
     // Another process may take a port between our look and our start.
--- /dev/null
+++ b/crates/server/tests/querier_faults.rs
@@ -0,0 +1,106 @@
+//! Real queriers that freeze, or are cut off from all others.
+
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
+use std::net::SocketAddr;
+use std::time::{Duration, Instant};
+
+use googletest::prelude::*;
+use serde_json::json;
+use testbed::local_cluster;
+use testbed::local_cluster::LocalCluster;
+use testbed::relay::Relay;
+
+use common::{all_ready, ask, at_once, block, layout};
+
+/// How long anything may take that is only waited for.
+const LONG: Duration = Duration::from_secs(20);
+
+#[googletest::test]
+fn a_frozen_querier_wakes_and_never_answers_by_the_old_configuration() {
+    block(async {
+        let f = LocalCluster::up(layout("frozen", "mohalla", 3)).await.unwrap();
+        all_ready(&f).await;
+        f.queriers[1].signal("STOP").unwrap();
+        // Accepted without the frozen one: the two others are most.
+        let val = json!({ "zones": [{ "name": "later", "state": "open" }] });
+        let revision = f.patch(&val, "later").await.unwrap();
+        // The core lets the frozen one go; then its old view is out of date.
+        let gone = || async {
+            f.status(0)
+                .await
+                .is_ok_and(|s| s["cohort"]["members"].as_array().is_some_and(|m| m.len() == 2))
+        };
+        assert!(local_cluster::until(LONG, gone).await);
+        // Calls that wait at its door when it wakes.
+        let calls: Vec<_> = (0..8).map(|_| ask(&f, 1)).collect();
+        let woken = async {
+            tokio::task::yield_now().await;
+            f.queriers[1].signal("CONT").unwrap();
+        };
+        let (answers, ()) = tokio::join!(at_once(calls), woken);
+        for (code, val) in answers.into_iter().flatten() {
+            if code == 200 {
+                expect_that!(val["revision"].as_u64(), ge(Some(revision)));
+            } else {
+                expect_that!(val["error"].as_str(), some(eq("cut-off")));
+            }
+        }
+        assert!(local_cluster::until(LONG, || f.is_ready(1)).await);
+        // It serves again, by the new one.
+        let serves = || async {
+            ask(&f, 1).await.is_some_and(|(code, val)| {
+                code == 200 && val["revision"].as_u64() >= Some(revision)
+            })
+        };
+        assert!(local_cluster::until(LONG, serves).await);
+    });
+}
+
+#[googletest::test]
+fn a_querier_cut_off_alone_steps_aside_and_comes_back() {
+    block(async {
+        // All that the last querier says to and hears from the others passes
+        // through relays, which can be cut.
+        let mut relays: Vec<Relay> = Vec::new();
+        let f = LocalCluster::up_with(layout("cut", "mohalla", 3), async |wanted: SocketAddr| {
+            let relay = Relay::open(wanted).await?;
+            let addr = relay.addr;
+            relays.push(relay);
+            Ok(addr)
+        })
+        .await
+        .unwrap();
+        all_ready(&f).await;
+        expect_that!(ask(&f, 2).await.unwrap().0, eq(200));
+        // Only the ways to core and list are cut: neighbours hand renewals over
+        // and news on, and the node serves by the newest configuration.
+        for relay in &relays[..4] {
+            relay.cut(true);
+        }
+        let val = json!({ "zones": [{ "name": "early", "state": "open" }] });
+        let revision = f.patch(&val, "early").await.unwrap();
+        let obeys = || async { f.obeyed(2).await.is_some_and(|r| r >= revision) };
+        assert!(local_cluster::until(LONG, obeys).await, "no news came by the cohort");
+        expect_that!(ask(&f, 2).await.unwrap().0, eq(200));
+        // Now nobody reaches it.
+        relays[4].cut(true);
+        let begun = Instant::now();
+        assert!(local_cluster::until(LONG, || async { !f.is_ready(2).await }).await);
+        // First not ready, then bouncing; the others go on.
+        let bounced = || async {
+            ask(&f, 2).await.is_some_and(|(code, val)| code == 503 && val["error"] == "cut-off")
+        };
+        assert!(local_cluster::until(LONG, bounced).await);
+        expect_that!(begun.elapsed(), lt(Duration::from_secs(6)));
+        let val = json!({ "zones": [{ "name": "later", "state": "open" }] });
+        let revision = f.patch(&val, "later").await.unwrap();
+        expect_that!(ask(&f, 0).await.unwrap().0, eq(200));
+        for relay in &relays {
+            relay.cut(false);
+        }
+        assert!(local_cluster::until(LONG, || f.is_ready(2)).await);
+        expect_that!(ask(&f, 2).await.unwrap().1["revision"].as_u64(), ge(Some(revision)));
+    });
+}
--- a/crates/server/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -2,6 +2,8 @@
 //! one edition at the same time through two of them, answers get lost, the leader
 //! is killed in the middle of a write, and orders are sent again.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
 #[path = "platform_orders/foreign.rs"]
 mod platform_orders;
 
@@ -9,6 +11,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+use common::{block, empty_folder, layout, start_again};
 use googletest::prelude::*;
 use grebepath_runtime::http::client::HttpClient;
 use hyper::Method;
@@ -17,7 +20,7 @@
 use testbed::local_cluster;
 use testbed::local_cluster::error::LocalClusterError;
 use testbed::local_cluster::process::Process;
-use testbed::local_cluster::{Layout, until};
+use testbed::local_cluster::until;
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
@@ -35,34 +38,15 @@
     }
 }
 
-/// Runs a test's body on one thread, as the daemons do.
-fn block<F: Future>(body: F) -> F::Output {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&rt, body)
-}
-
 async fn core(test: &str) -> ControllerState {
-    let mut trouble = String::new();
-    // Another process may take a port between our look and our start.
-    for _ in 0..4 {
-        match started(test) {
-            Ok(core) => {
-                assert!(until(LONG, async || leader(&core).await.is_some()).await, "no leader");
-                return core;
-            }
-            Err(why) => trouble = why.to_string(),
-        }
-    }
-    panic!("{trouble}");
+    let core = start_again(|| started(test));
+    assert!(until(LONG, async || leader(&core).await.is_some()).await, "no leader");
+    core
 }
 
 fn started(test: &str) -> std::result::Result<ControllerState, LocalClusterError> {
-    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
-    let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).unwrap();
-    let bin = PathBuf::from(env!("CARGO_BIN_EXE_controller")).parent().unwrap().to_path_buf();
-    let deploy = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    let layout = Layout { bin, dir: dir.clone(), deploy, name: test.into(), queriers: 0 };
+    let layout = layout(test, test, 0);
+    empty_folder(&layout);
     let ports = local_cluster::free_ports(6).unwrap();
     let at = |n: usize| SocketAddr::from(([127, 0, 0, 1], ports[n]));
     let seeds = (3..6).map(|n| at(n).to_string()).collect::<Vec<_>>().join(",");
@@ -74,7 +58,7 @@
                 ("listen", at(n).to_string()),
                 ("inner", at(n + 3).to_string()),
                 ("seeds", seeds.clone()),
-                ("data", dir.join(format!("data-{n}")).display().to_string()),
+                ("data", layout.dir.join(format!("data-{n}")).display().to_string()),
                 ("dialect", "platform".to_string()),
             ];
             Process::controller(&layout, &format!("controller-{n}"), &pairs)
--- a/crates/server/tests/seats.rs
+++ b/crates/server/tests/slot_takeover.rs
@@ -1,33 +1,24 @@
 //! Seats of real controllers that change hands without an operator.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
+use common::{block, empty_folder, layout, start_again};
 use googletest::prelude::*;
 use hyper::Method;
 use serde_json::{Value, json};
 use testbed::local_cluster;
+use testbed::local_cluster::LocalCluster;
 use testbed::local_cluster::error::LocalClusterError;
 use testbed::local_cluster::process::Process;
-use testbed::local_cluster::{Layout, LocalCluster};
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
 
-fn layout(test: &str) -> Layout {
-    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
-    let bin = PathBuf::from(env!("CARGO_BIN_EXE_controller")).parent().unwrap().to_path_buf();
-    let deploy = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    Layout { bin, dir, deploy, name: "mohalla".into(), queriers: 2 }
-}
-
-/// Runs a test's body on one thread, as the daemons do.
-fn block<F: Future>(body: F) -> F::Output {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&rt, body)
-}
-
 /// The seat of a controller that has formed all its parts; no seat is `Null`.
 async fn seat(
     http: &grebepath_runtime::http::client::HttpClient,
@@ -70,7 +61,7 @@
 #[googletest::test]
 fn a_spare_takes_over_and_the_old_holder_becomes_the_spare() {
     block(async {
-        let mut f = LocalCluster::up(layout("seats-spare")).await.unwrap();
+        let mut f = LocalCluster::up(layout("seats-spare", "mohalla", 2)).await.unwrap();
         let owner = f.config_leader().await.unwrap();
         // Of the same zone: no zone may gain a majority of the seats.
         let spare = f.add_spare(["a", "b", "c"][owner]).unwrap();
@@ -129,15 +120,7 @@
 }
 
 fn core(test: &str, seats: usize, count: usize) -> ControllerState {
-    let mut trouble = String::new();
-    // Another process may take a port between our look and our start.
-    for _ in 0..4 {
-        match started(test, seats, count) {
-            Ok(core) => return core,
-            Err(why) => trouble = why.to_string(),
-        }
-    }
-    panic!("{trouble}");
+    start_again(|| started(test, seats, count))
 }
 
 fn started(
@@ -145,9 +128,8 @@
     seats: usize,
     count: usize,
 ) -> std::result::Result<ControllerState, LocalClusterError> {
-    let lay = layout(test);
-    let _ = std::fs::remove_dir_all(&lay.dir);
-    std::fs::create_dir_all(&lay.dir).unwrap();
+    let lay = layout(test, "mohalla", 2);
+    empty_folder(&lay);
     let ports = local_cluster::free_ports(2 * count).unwrap();
     let addrs: Vec<SocketAddr> =
         ports.iter().map(|p| SocketAddr::from(([127, 0, 0, 1], *p))).collect();
