--- a/crates/runtime/src/settings/command_line.rs
+++ b/crates/runtime/src/settings/command_line.rs
@@ -10,6 +10,22 @@
 const FILE_FLAG: Flag =
     Flag { name: "params", argument: "FILE", help: "JSON file with params; flags go first" };
 
+/// The zone of the machine; each daemon has it.
+pub const ZONE_FLAG: Flag =
+    Flag { name: "zone", argument: "NAME", help: "the zone this machine stands in" };
+/// The fleet's name; each daemon has it.
+pub const FLEET_FLAG: Flag = Flag {
+    name: "fleet",
+    argument: "NAME",
+    help: "the fleet's name, the same for all its processes (grebe)",
+};
+/// The port of the seeds; each daemon has it.
+pub const SEED_PORT_FLAG: Flag = Flag {
+    name: "seed-port",
+    argument: "N",
+    help: "port of the seeds' inner addresses, if `seeds` gives others",
+};
+
 /// A flag with one argument.
 #[derive(Clone, Copy, Debug)]
 pub struct Flag {
--- a/crates/server/src/controller/settings.rs
+++ b/crates/server/src/controller/settings.rs
@@ -7,7 +7,9 @@
 use grebepath_core::consts::{SEATS, SEATS_MAX};
 use grebepath_core::storage::voter_file::Start;
 use grebepath_runtime::platform_api::PlatformApi;
-use grebepath_runtime::settings::command_line::{CommandLine, Flag};
+use grebepath_runtime::settings::command_line::{
+    CommandLine, FLEET_FLAG, Flag, SEED_PORT_FLAG, ZONE_FLAG,
+};
 use grebepath_runtime::settings::reader::{SettingsReader, exit_if_any};
 
 use crate::error::ControllerError;
@@ -24,7 +26,7 @@
         argument: "N",
         help: "which of the seeds this is, from 0; without it a seat is found",
     },
-    Flag { name: "zone", argument: "NAME", help: "the zone this machine stands in" },
+    ZONE_FLAG,
     Flag { name: "listen", argument: "IP:PORT", help: "address for operators" },
     Flag { name: "inner", argument: "IP:PORT", help: "address for the other processes" },
     Flag {
@@ -48,21 +50,13 @@
         help: "machines of the core that may be lost at once, instead of `seats`",
     },
     Flag { name: "data", argument: "DIR", help: "folder for this controller's files" },
-    Flag {
-        name: "fleet",
-        argument: "NAME",
-        help: "the fleet's name, the same for all its processes (grebe)",
-    },
+    FLEET_FLAG,
     Flag {
         name: "dialect",
         argument: "NAME",
         help: "how operators may speak beside our own manner: own (default) or platform",
     },
-    Flag {
-        name: "seed-port",
-        argument: "N",
-        help: "port of the seeds' inner addresses, if `seeds` gives others",
-    },
+    SEED_PORT_FLAG,
 ];
 
 /// Everything a controller must be told.
--- a/crates/server/src/querier/settings.rs
+++ b/crates/server/src/querier/settings.rs
@@ -7,7 +7,9 @@
 use grebepath_core::query::service_retry_budget::{Rate, own};
 use grebepath_core::time::Span;
 use grebepath_runtime::platform_api::PlatformApi;
-use grebepath_runtime::settings::command_line::{CommandLine, Flag};
+use grebepath_runtime::settings::command_line::{
+    CommandLine, FLEET_FLAG, Flag, SEED_PORT_FLAG, ZONE_FLAG,
+};
 use grebepath_runtime::settings::reader::{SettingsReader, exit_if_any};
 
 /// Most traffic threads of a querier.
@@ -20,7 +22,7 @@
 /// The flags, in the order of the help text.
 const FLAGS: [Flag; 17] = [
     Flag { name: "name", argument: "NAME", help: "this querier's name, its own in the fleet" },
-    Flag { name: "zone", argument: "NAME", help: "the zone this machine stands in" },
+    ZONE_FLAG,
     Flag { name: "listen", argument: "IP:PORT", help: "address for callers" },
     Flag { name: "inner", argument: "IP:PORT", help: "address for the other queriers" },
     Flag {
@@ -28,11 +30,7 @@
         argument: "IP:PORT",
         help: "the inner address that others should use, if it is another",
     },
-    Flag {
-        name: "fleet",
-        argument: "NAME",
-        help: "the fleet's name, the same for all its processes (grebe)",
-    },
+    FLEET_FLAG,
     Flag {
         name: "seeds",
         argument: "IP:PORT,..",
@@ -50,11 +48,7 @@
         argument: "IP:PORT",
         help: "address at which readiness is asked, if it is another",
     },
-    Flag {
-        name: "seed-port",
-        argument: "N",
-        help: "port of the seeds' inner addresses, if `seeds` gives others",
-    },
+    SEED_PORT_FLAG,
     Flag {
         name: "second-share",
         argument: "SHARE",
