--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -5,7 +5,7 @@
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::control_plane::step::WAKE;
-use grebepath_core::identifiers::{CONFIG, VoterSlot, partitions};
+use grebepath_core::identifiers::{CONFIG, Term, VoterSlot, partitions};
 use grebepath_core::protocol::message::{Message, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::ReplicaState;
@@ -186,12 +186,12 @@
 }
 
 fn from(b: &Bench, slot: VoterSlot, message: Message) -> Event {
-    let holder = b.core.seating.roll.table.slots[usize::from(slot)].holder;
+    let holder = b.core.voter_slots.voter_file.table.slots[usize::from(slot)].holder;
     Event::FromVoter { slot, holder, connection: u64::from(slot), message }
 }
 
 fn apply(b: &mut Bench, holder: u64, n: usize, zone: &str) -> Vec<VoterSlot> {
-    let (zone, stamp) = (zone.to_string(), b.core.seating.stamp);
+    let (zone, stamp) = (zone.to_string(), b.core.voter_slots.stamp);
     let message = Message::JoinRequest { holder, addr: addr(n), zone, stamp };
     let out = one(b, Event::FromConnection { connection: 99, message });
     let offer = out.into_iter().find_map(|c| match c {
@@ -235,17 +235,17 @@
     // of a handover is its holder's alone to give.
     let next = after_takeover(1);
     take(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.seating.roll.table.slots[1].generation, eq(1));
+    expect_that!(b.core.voter_slots.voter_file.table.slots[1].generation, eq(1));
     wake(&mut b, 3 * SECOND);
     for wrong in [2, 3, next - 1, next + 1, after_takeover(next)] {
         take(&mut b, 1, wrong, 90, "b");
-        expect_that!(b.core.seating.roll.table.slots[1].generation, eq(1), "{wrong}");
+        expect_that!(b.core.voter_slots.voter_file.table.slots[1].generation, eq(1), "{wrong}");
     }
     take(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.seating.roll.table.slots[1].holder, eq(90));
+    expect_that!(b.core.voter_slots.voter_file.table.slots[1].holder, eq(90));
     // And one generation has one holder.
     take(&mut b, 1, next, 91, "b");
-    expect_that!(b.core.seating.roll.table.slots[1].holder, eq(90));
+    expect_that!(b.core.voter_slots.voter_file.table.slots[1].holder, eq(90));
 }
 
 #[googletest::test]
@@ -265,7 +265,7 @@
 }
 
 /// Makes the seat the configuration's owner by the votes of seat 2.
-fn owns(b: &mut Bench) -> u64 {
+fn owns(b: &mut Bench) -> Term {
     let partition = CONFIG;
     let sounds = |c: Command| match c {
         Command::ToVoter {
@@ -275,17 +275,24 @@
         _ => None,
     };
     let term = (0..100).find_map(|_| wake(b, WAKE).into_iter().find_map(sounds)).unwrap();
-    let yes = from(b, 2, Message::PreVoteResponse { partition, term, yes: true, promised: 0 });
+    let yes = from(
+        b,
+        2,
+        Message::PreVoteResponse { partition, term, granted: true, current_term: Term::ZERO },
+    );
     one(b, yes);
-    let stamp = b.core.seating.stamp;
-    let grant =
-        from(b, 2, Message::VoteGranted { partition, term, at_term: 0, revision: 0, stamp });
+    let stamp = b.core.voter_slots.stamp;
+    let grant = from(
+        b,
+        2,
+        Message::VoteGranted { partition, term, written_term: Term::ZERO, revision: 0, stamp },
+    );
     one(b, grant);
     term
 }
 
 fn serves(b: &Bench) -> bool {
-    matches!(&b.core.partitions[0].role, Role::Leader(o) if o.serves)
+    matches!(&b.core.partitions[0].role, Role::Leader(o) if o.is_serving)
 }
 
 #[googletest::test]
@@ -295,7 +302,7 @@
     let partition = CONFIG;
     expect_that!(serves(&b), eq(false));
     let kept = |stamp| Message::AppendAck { partition, term, revision: 0, stamp };
-    let other = from(&b, 2, kept(b.core.seating.stamp ^ 1));
+    let other = from(&b, 2, kept(b.core.voter_slots.stamp ^ 1));
     let out = one(&mut b, other);
     expect_that!(serves(&b), eq(false));
     // It is told our table instead.
@@ -306,11 +313,15 @@
         )
     };
     expect_that!(out.iter().any(told), eq(true));
-    let stranger =
-        Event::FromVoter { slot: 2, holder: 5, connection: 2, message: kept(b.core.seating.stamp) };
+    let stranger = Event::FromVoter {
+        slot: 2,
+        holder: 5,
+        connection: 2,
+        message: kept(b.core.voter_slots.stamp),
+    };
     one(&mut b, stranger);
     expect_that!(serves(&b), eq(false));
-    let good = from(&b, 2, kept(b.core.seating.stamp));
+    let good = from(&b, 2, kept(b.core.voter_slots.stamp));
     one(&mut b, good);
     expect_that!(serves(&b), eq(true));
 }
@@ -323,34 +334,39 @@
     let good = from(
         &b,
         2,
-        Message::AppendAck { partition, term, revision: 0, stamp: b.core.seating.stamp },
+        Message::AppendAck { partition, term, revision: 0, stamp: b.core.voter_slots.stamp },
     );
     one(&mut b, good);
     expect_that!(serves(&b), eq(true));
-    let old = b.core.seating.stamp;
+    let old = b.core.voter_slots.stamp;
     // Seat 1 tells that seat 2 is another's.
-    let table = held(&b.core.seating.roll.table, 2, 2, 90);
+    let table = held(&b.core.voter_slots.voter_file.table, 2, 2, 90);
     let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
     one(&mut b, news);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
-    expect_that!((o.kept[1], o.kept[2], o.answered[2]), eq((None, None, (0, 0))));
-    expect_that!(b.core.seating.stamp, not(eq(old)));
+    expect_that!((o.synced[1], o.synced[2], o.answered[2]), eq((None, None, (0, 0))));
+    expect_that!(b.core.voter_slots.stamp, not(eq(old)));
     // What the old holder still says is nobody's word.
     let late = Event::FromVoter {
         slot: 2,
         holder: first_holder(&addr(2)),
         connection: 2,
-        message: Message::AppendAck { partition, term, revision: 0, stamp: b.core.seating.stamp },
+        message: Message::AppendAck {
+            partition,
+            term,
+            revision: 0,
+            stamp: b.core.voter_slots.stamp,
+        },
     };
     one(&mut b, late);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
-    expect_that!(o.kept[2], none());
+    expect_that!(o.synced[2], none());
 }
 
 #[googletest::test]
 fn a_table_is_told_and_obeyed_only_once_it_is_on_disk() {
     let mut b = bench(0);
-    let table = held(&b.core.seating.roll.table, 0, 2, 90);
+    let table = held(&b.core.voter_slots.voter_file.table, 0, 2, 90);
     let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
     let todo = b.core.step(b.now, news);
     let tells = |c: &Command| {
@@ -366,7 +382,10 @@
     // Our own seat is another's: everything is given up, under a new name.
     let todo = b.core.step(b.now, Event::VoterFileWritten { token: token.unwrap() });
     expect_that!(b.core.slot, eq(NOBODY));
-    expect_that!(b.core.partitions.iter().all(|p| p.life == ReplicaCondition::Empty), eq(true));
+    expect_that!(
+        b.core.partitions.iter().all(|p| p.condition == ReplicaCondition::Empty),
+        eq(true)
+    );
     let clears =
         |c: &Command| matches!(c, Command::WriteVoterFile { clear: true, roll, .. } if !roll.first);
     expect_that!(todo.iter().any(clears), eq(true));
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -62,7 +62,7 @@
     }
 
     fn arrange(&mut self, state: &ControllerState) {
-        self.controllers.arrange(identity(state), &state.seating.roll.table);
+        self.controllers.arrange(identity(state), &state.voter_slots.voter_file.table);
     }
 
     /// Arranges the connections now and then: a seed that never spoke is given up, or
@@ -126,7 +126,7 @@
 
     /// Carries out what the state machine asks.
     pub fn carry_out(&mut self, state: &ControllerState, commands: Vec<Command>) {
-        let voters = &state.seating.roll.table;
+        let voters = &state.voter_slots.voter_file.table;
         for command in commands {
             match command {
                 Command::ToVoter { slot, message } => {
@@ -174,7 +174,7 @@
 
 /// As whom we dial.
 fn identity(state: &ControllerState) -> PeerIdentity {
-    let holder = state.seating.roll.me;
+    let holder = state.voter_slots.voter_file.me;
     match state.slot {
         NOBODY => PeerIdentity::Spare { holder },
         slot => PeerIdentity::Voter { slot, holder },
--- a/crates/server/src/controller/operator_listener.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -245,8 +245,7 @@
                     })
                 })
                 .collect();
-            body["cohort"] =
-                json!({ "epoch": membership.term, "turn": membership.turn, "members": members });
+            body["cohort"] = json!({ "epoch": membership.term.as_u64(), "turn": membership.turn, "members": members });
         }
         OperationResult::Rejected { why } | OperationResult::Unknown { why } => {
             body["cohort"] = Value::Null;
--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -187,8 +187,13 @@
                     self.send_to_member(name, &addr, &message);
                 }
                 Command::ClusterView(view) => self.publish_view(agent, view),
-                Command::QuotaMembers(list) => self.tell_shares(&list),
-                Command::LeafClients(list) => {
+                Command::QuotaMembers(members) => {
+                    let list: Vec<_> = members.into_iter().map(|m| (m.name, m.threads)).collect();
+                    self.tell_shares(&list);
+                }
+                Command::LeafClients(clients) => {
+                    let list: Vec<_> =
+                        clients.into_iter().map(|c| (c.name, c.threads, c.zone)).collect();
                     let peers = quota::peers(&list);
                     self.tell_engines(|| event::Event::Peers(peers.clone()));
                 }
--- a/crates/server/src/querier/membership_thread.rs
+++ b/crates/server/src/querier/membership_thread.rs
@@ -4,8 +4,8 @@
 use std::time::Duration;
 
 use grebepath_core::consts;
-use grebepath_core::membership::node_agent::{Event, NodeAgent, watch};
-use grebepath_core::membership::step::{WAKE, step};
+use grebepath_core::membership::node_agent::{Event, NodeAgent};
+use grebepath_core::membership::step::WAKE;
 use grebepath_core::protocol::message::Member;
 use grebepath_core::time::Span;
 use grebepath_runtime::clock::{Clock, duration, nonce};
@@ -75,7 +75,7 @@
         joined: 0,
         incarnation: nonce(),
     };
-    let mut agent = watch(me, clock.now());
+    let mut agent = NodeAgent::new(me, clock.now());
     let mut drain_max = consts::DRAIN_MAX;
     if let Some(grace) = settings.grace {
         agent.drain_notice = grace * consts::NOTICE_PCT / 100;
@@ -144,7 +144,7 @@
     }
 
     fn step(&mut self, event: Event) {
-        let commands = step(&mut self.agent, self.clock.now(), event);
+        let commands = self.agent.step(self.clock.now(), event);
         self.io.carry_out(&self.agent, commands);
     }
 
--- a/crates/server/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -20,7 +20,7 @@
         counts: agent.counters.clone(),
         revision: agent.view.as_ref().map_or(0, |v| v.revision),
         members: agent.membership.members.len() as u64,
-        shares: agent.quota_members.iter().map(|(_, n)| u64::from(*n)).sum(),
+        shares: agent.quota_members.iter().map(|m| u64::from(m.threads)).sum(),
     }
 }
 
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -43,7 +43,7 @@
                     Sender::VoterSlot(seat) => {
                         let node = &self.controllers[usize::from(seat)];
                         let connection = controller_connection(usize::from(seat), node.life);
-                        let holder = node.state.seating.roll.me;
+                        let holder = node.state.voter_slots.voter_file.me;
                         (
                             connection,
                             st::Event::FromVoter { slot: seat, holder, connection, message },
@@ -287,8 +287,7 @@
         let node = &mut self.queriers[querier];
         let local = self.now - node.began + BOOT;
         node.meter.steps += 1;
-        let commands =
-            timed(&mut node.meter.step_ns, || qstep::step(&mut node.watch, local, event));
+        let commands = timed(&mut node.meter.step_ns, || node.watch.step(local, event));
         for command in commands {
             self.run_querier_command(querier, command);
         }
