--- /dev/null
+++ b/crates/core/src/control_plane/from_controllers.rs
@@ -0,0 +1,34 @@
+//! What controllers answer on connections that we opened.
+
+use crate::command::Command;
+use crate::control_plane::controller::ControllerState;
+use crate::control_plane::pending_requests::AttemptId;
+use crate::protocol::message::Message;
+use crate::time::Tick;
+
+impl ControllerState {
+    /// A controller answers on a connection that we opened.
+    pub(super) fn on_controller_message(
+        &mut self,
+        now: Tick,
+        message: Message,
+        commands: &mut Vec<Command>,
+    ) {
+        match message {
+            Message::VoterSetUpdate { me, table } => {
+                self.voter_slots.on_voter_set_answer(me, &table, commands);
+            }
+            Message::JoinOffer { slot, stamp, free } => {
+                self.on_join_offer(now, slot, stamp, free, commands);
+            }
+            Message::OperationResponse { op, attempt, done } => {
+                self.on_operation_response(now, AttemptId { op, attempt }, done, commands);
+            }
+            Message::HandoverOffer { slot, generation } => {
+                self.on_handover_offer(now, slot, generation, commands);
+            }
+            Message::HandoverDone { slot, generation } => self.on_handover_done(slot, generation),
+            _ => {}
+        }
+    }
+}
--- a/crates/core/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -7,7 +7,8 @@
 use cluster::*;
 use googletest::prelude::*;
 use grebepath_core::control_plane::step::WAKE;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::identifiers::Term;
+use grebepath_core::protocol::message::{MemberProgress, MembershipId, Operation, OperationResult};
 use grebepath_core::time::{SECOND, ms};
 use serde_json::json;
 
@@ -160,9 +161,9 @@
 /// Three members join, and two of them fall silent: the leader hears no majority
 /// of them and keeps them all.
 fn with_silent_members(cluster: &mut Cluster, leader: usize) {
-    let far = |turn| grebepath_core::protocol::message::MemberProgress {
+    let far = |turn| MemberProgress {
         obeys: 0,
-        saw: (0, turn),
+        saw: MembershipId { term: Term::ZERO, turn },
         ..Default::default()
     };
     for name in ["q1", "q2", "q3"] {
@@ -251,7 +252,7 @@
             break;
         }
     }
-    let map = &core_of(&cluster, leader).partitions[0].copy.map;
+    let map = &core_of(&cluster, leader).partitions[0].state.entries;
     let kept = map.keys().filter(|key| key.starts_with("forgotten/")).count();
     expect_that!(kept, eq(64));
 }
--- a/crates/server/src/controller/owner.rs
+++ b/crates/server/src/controller/owner.rs
@@ -11,7 +11,6 @@
 use grebepath_core::protocol::message::{Operation, OperationResult, PeerIdentity};
 use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_core::voter_set::NOBODY;
-use grebepath_core::voters::handover;
 use grebepath_runtime::clock::{Clock, duration};
 use grebepath_runtime::connections::Connections;
 use grebepath_runtime::peer_connection::{ConnectionEvent, Greeting, MessageSender, accept};
@@ -82,7 +81,7 @@
     let connections = HashMap::new();
     let mut io =
         Io { ways, looked: 0, connections, disk, tells: HashMap::new(), next_op: 1, wake_at: None };
-    io.ways.arrange(who(&core), &core.seating.roll.table);
+    io.ways.arrange(who(&core), &core.voter_slots.voter_file.table);
     for (part, why) in sick {
         let todo = core.step(clock.now(), Event::DiskFailed { partition: part, why });
         carry_out(&mut io, &core, todo);
@@ -95,10 +94,10 @@
     tokio::pin!(stop);
     // Asked to stop, we go on until our voter slot is in other hands, or nobody
     // is there to take it.
-    while !handover::may_end(&core, clock.now()) {
+    while !core.may_end(clock.now()) {
         let event = tokio::select! {
             biased;
-            _ = &mut stop, if !handover::is_leaving(&core) => Some(Event::Stop),
+            _ = &mut stop, if !core.is_leaving() => Some(Event::Stop),
             _ = files.changed() => None,
             _ = wake.tick() => {
                 look(&mut io, &core);
@@ -148,7 +147,7 @@
             let op = io.next_op;
             io.next_op += 1;
             io.tells.insert(op, tell);
-            Some(Event::Operate { op, request, expect, deed })
+            Some(Event::Operate { op, request, expected_revision: expect, operation: deed })
         }
         Input::Own(tell) => {
             let _ = tell.send(crate::metrics::own(core, &p.zone, clock.now()));
@@ -163,7 +162,7 @@
 
 /// As whom we dial.
 fn who(core: &ControllerState) -> PeerIdentity {
-    let holder = core.seating.roll.me;
+    let holder = core.voter_slots.voter_file.me;
     match core.slot {
         NOBODY => PeerIdentity::Spare { holder },
         seat => PeerIdentity::Voter { slot: seat, holder },
@@ -175,7 +174,7 @@
 fn look(io: &mut Io, core: &ControllerState) {
     io.looked += 1;
     if io.looked.is_multiple_of(LOOK_WAKES) {
-        io.ways.arrange(who(core), &core.seating.roll.table);
+        io.ways.arrange(who(core), &core.voter_slots.voter_file.table);
     }
 }
 
@@ -194,7 +193,7 @@
             Some(match who {
                 PeerIdentity::Voter { slot: seat, holder } => {
                     io.ways.note_contact();
-                    Event::FromVoter { slot: seat, holder, connection, message }
+                    Event::FromVoter { slot: seat, replica_id: holder, connection, message }
                 }
                 PeerIdentity::Member(_) | PeerIdentity::Spare { .. } => {
                     Event::FromConnection { connection, message }
@@ -213,7 +212,7 @@
 }
 
 fn carry_out(io: &mut Io, core: &ControllerState, todo: Vec<Command>) {
-    let table = &core.seating.roll.table;
+    let table = &core.voter_slots.voter_file.table;
     for command in todo {
         match command {
             Command::ToVoter { slot: seat, message } => {
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -171,9 +171,10 @@
         .controllers
         .iter()
         .filter(|node| node.up && node.has_voter_slot())
-        .map(|node| &node.state.partitions[0].copy);
+        .map(|node| &node.state.partitions[0].state);
     let Some(first) = copies.next() else { return false };
     copies.all(|copy| {
-        (copy.term, copy.revision) == (first.term, first.revision) && copy.map == first.map
+        (copy.written_term, copy.revision) == (first.written_term, first.revision)
+            && copy.entries == first.entries
     })
 }
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -112,8 +112,8 @@
                 let number = usize::from(slot);
                 let node = &self.controllers[number];
                 let connection = Opener::Controller { number, life: node.life }.connection();
-                let holder = node.state.seating.roll.me;
-                (connection, CoreEvent::FromVoter { slot, holder, connection, message })
+                let holder = node.state.voter_slots.voter_file.me;
+                (connection, CoreEvent::FromVoter { slot, replica_id: holder, connection, message })
             }
             Sender::Querier(number, life) => {
                 let connection = Opener::Querier { number, life }.connection();
@@ -208,7 +208,7 @@
                 self.start_disk_job(controller, partition, token, Job::Snapshot(copy));
             }
             Command::Scrub { partition } => {
-                let event = Box::new(CoreEvent::Scrubbed { partition, trouble: None });
+                let event = Box::new(CoreEvent::Scrubbed { partition, corruption: None });
                 self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
             }
             Command::Respond { op, done } => {
@@ -296,9 +296,7 @@
         let node = &mut self.queriers[querier];
         let local = self.now - node.began + BOOT;
         node.meter.steps += 1;
-        let commands = timed(&mut node.meter.step_ns, || {
-            membership_step::step(&mut node.node_agent, local, event)
-        });
+        let commands = timed(&mut node.meter.step_ns, || node.node_agent.step(local, event));
         for command in commands {
             self.run_querier_command(querier, command);
         }
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -69,7 +69,7 @@
         for querier in 0..queriers {
             let zone = ZONES[querier % ZONES.len()].to_string();
             let name = format!("q{querier}");
-            let node_agent = node_agent::watch(member(&name, &zone, querier, 0), 1);
+            let node_agent = node_agent::NodeAgent::new(member(&name, &zone, querier, 0), 1);
             world.queriers.push(QuerierNode {
                 name,
                 zone,
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -17,7 +17,7 @@
         let life = self.controllers[controller].life;
         match command {
             Command::ToVoter { slot, message } => {
-                let table = &self.controllers[controller].state.seating.roll.table;
+                let table = &self.controllers[controller].state.voter_slots.voter_file.table;
                 let Some(to) = table.slots.get(usize::from(slot)) else { return };
                 let Some(to) = self.machine(&to.addr) else { return };
                 self.send_to_controller(controller, to, message);
@@ -91,7 +91,7 @@
         let receiver = self.queriers[querier].endpoint(querier);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
-            let holder = self.controllers[controller].state.seating.roll.me;
+            let holder = self.controllers[controller].state.voter_slots.voter_file.me;
             self.push_at(at, ScheduledEvent::ControllerMessage { querier, life, holder, message });
         }
     }
@@ -105,7 +105,7 @@
             return;
         }
         let trouble = node.disk.scrub(partition);
-        let (life, event) = (node.life, CoreEvent::Scrubbed { partition, trouble });
+        let (life, event) = (node.life, CoreEvent::Scrubbed { partition, corruption: trouble });
         self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
     }
 
@@ -121,7 +121,7 @@
         let event = if node.has_voter_slot() {
             CoreEvent::FromVoter {
                 slot: node.state.slot,
-                holder: node.state.seating.roll.me,
+                replica_id: node.state.voter_slots.voter_file.me,
                 connection,
                 message,
             }
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -3,7 +3,6 @@
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::membership::node_agent;
-use grebepath_core::membership::step as membership_step;
 use grebepath_core::protocol::message::Message;
 use grebepath_core::query::engine::desk;
 use grebepath_core::time::{BOOT, ms};
@@ -28,7 +27,7 @@
         node.polling = false;
         node.began = self.now;
         node.node_agent =
-            node_agent::watch(member(&node.name, &node.zone, querier, node.life), BOOT);
+            node_agent::NodeAgent::new(member(&node.name, &node.zone, querier, node.life), BOOT);
         node.query_engines = (0..THREADS)
             .map(|thread| {
                 let name = format!("{}-{thread}-{:x}", node.name, node.life);
@@ -127,7 +126,7 @@
 
     pub(super) fn step_node_agent(&mut self, querier: usize, event: node_agent::Event) {
         let local = self.now - self.queriers[querier].began + BOOT;
-        let todo = membership_step::step(&mut self.queriers[querier].node_agent, local, event);
+        let todo = self.queriers[querier].node_agent.step(local, event);
         if self.faulty_variant == Some(FaultyVariant::RevertsConfiguration)
             && self.queriers[querier].node_agent.configuration_revision > 0
         {
--- a/crates/simulator/src/world/status.rs
+++ b/crates/simulator/src/world/status.rs
@@ -16,21 +16,21 @@
     /// and no machine thinks it has another's.
     pub fn all_slots_voting(&self) -> bool {
         let Some(best) = self.running_voters().max_by_key(|node| {
-            let list = &node.state.seating.roll.table.slots;
+            let list = &node.state.voter_slots.voter_file.table.slots;
             list.iter().map(|voter| u64::from(voter.generation)).sum::<u64>()
         }) else {
             return false;
         };
-        let table = &best.state.seating.roll.table;
+        let table = &best.state.voter_slots.voter_file.table;
         let whole = |node: &ControllerNode| {
-            node.state.partitions.iter().all(|p| p.life == ReplicaCondition::Voting)
+            node.state.partitions.iter().all(|p| p.condition == ReplicaCondition::Voting)
         };
         table.slots.iter().enumerate().all(|(slot, voter)| {
             let held: Vec<_> = self
                 .running_voters()
                 .filter(|node| usize::from(node.state.slot) == slot && whole(node))
                 .collect();
-            held.len() == 1 && held[0].state.seating.roll.me == voter.holder
+            held.len() == 1 && held[0].state.voter_slots.voter_file.me == voter.holder
         })
     }
 
