--- a/crates/simulator/src/world/status.rs
+++ b/crates/simulator/src/world/status.rs
@@ -7,12 +7,12 @@
 use super::{BEGIN, World};
 
 impl World {
-    /// The machines that are up and have a seat.
+    /// The machines that are up and have a voter slot.
     pub fn running_voters(&self) -> impl Iterator<Item = &ControllerNode> {
         self.controllers.iter().filter(|node| node.up && node.has_voter_slot())
     }
 
-    /// Whether every seat is held by one living machine that has formed all parts,
+    /// Whether every voter slot is held by one running machine that votes in all partitions,
     /// and no machine thinks it has another's.
     pub fn all_slots_voting(&self) -> bool {
         let Some(best) = self.running_voters().max_by_key(|node| {
@@ -34,7 +34,7 @@
         })
     }
 
-    /// Whether all seats that are up show the same configuration and all
+    /// Whether all voters that are up show the same configuration and all
     /// queriers that are up obey it.
     pub fn settled(&self) -> bool {
         let top =
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -13,13 +13,13 @@
 const ACKNOWLEDGED_WITHIN: Span = ms(2_500);
 /// A change is in force everywhere this long after it was acknowledged.
 const IN_FORCE_WITHIN: Span = ms(3_000);
-/// How long the trouble lasts.
+/// How long the fault lasts.
 const TROUBLE: Span = 8 * SECOND;
 
 /// What befalls the queriers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loss {
-    /// Power is lost, for the whole of the trouble.
+    /// Power is lost, while the fault lasts.
     Killed,
     /// Each is cut off from everyone.
     Dark,
--- a/crates/simulator/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -1,4 +1,4 @@
-//! Whole fleets under troubles drawn by seed, alone, in pairs, and one last.
+//! Fleets under faults drawn by seed, alone, in pairs, and one last.
 
 mod common;
 
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -10,7 +10,7 @@
     read_json(&format!("{}/../../deploy/{name}", env!("CARGO_MANIFEST_DIR")))
 }
 
-/// A scenario with these troubles.
+/// A scenario with these faults.
 pub fn scenario(name: &str, seconds: u64, factor: f64, troubles: Vec<Value>) -> Scenario {
     let val = json!({ "name": name, "seconds": seconds, "queriers": 7, "factor": factor,
                       "troubles": troubles });
--- a/crates/simulator/tests/faulty_variants.rs
+++ b/crates/simulator/tests/faulty_variants.rs
@@ -39,7 +39,7 @@
     }
 }
 
-/// A trouble of the one deployment as it befalls the other.
+/// A fault of the one deployment as it is in the other.
 fn there(trouble: &Value, deployment: &str) -> Value {
     let mut text = trouble.to_string();
     if deployment == "kahurangi" {
@@ -117,7 +117,7 @@
 fn disobedience_and_slipping_back_are_caught() {
     let storm = at(2.0, json!({ "do": "storm", "count": 20, "gap_ms": 100 }));
     case("deaf", 9, FaultyVariant::KeepsStaleSnapshot, vec![storm.clone()]);
-    // A seat that was cut off through the storm is all that a restarted
+    // A voter that was cut off through the storm is all that a restarted
     // querier hears.
     let slip = vec![
         at(1.0, json!({ "do": "cut", "a": ["seat0"], "b": ["seats"] })),
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -19,7 +19,7 @@
     site(&common::scenario("orders", 600, 0.01, Vec::new()), seed)
 }
 
-/// A fleet with a fourth controller that has no seat: a spare.
+/// A fleet with a fourth controller that has no voter slot: a spare.
 fn fleet_with_spare(seed: u64) -> Site {
     let value = json!({ "name": "orders", "seconds": 600, "queriers": 7, "factor": 0.01,
         "seats": 3, "controllers": 4 });
--- a/crates/simulator/tests/scale_model.rs
+++ b/crates/simulator/tests/scale_model.rs
@@ -1,4 +1,4 @@
-//! The hollow fleet at small sizes: it comes up, replays, and grows as it must.
+//! The scale model at small sizes: it comes up, replays, and grows as it must.
 
 use googletest::prelude::*;
 use grebepath_core::time::SECOND;
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -19,7 +19,7 @@
     }
 }
 
-/// Plays with several seeds; each must end with whole seats and no violation.
+/// Plays with several seeds; each must end with all voter slots voting and no violation.
 fn sound(name: &str, s: &Scenario, check: impl Fn(&mut World, u64) + Sync) {
     std::thread::scope(|scope| {
         for seed in 0..4 {
@@ -55,7 +55,7 @@
     at(0.5, json!({ "do": "storm", "count": count, "gap_ms": 150 }))
 }
 
-/// Which machine has a seat.
+/// Which machine has a voter slot.
 fn holder(world: &World, seat: u8) -> Option<usize> {
     world.controllers.iter().position(|n| n.up && n.state.slot == seat)
 }
@@ -259,7 +259,7 @@
         for spare in &spares {
             assert!(ask(world, *spare));
         }
-        // With the owner gone it finds the next one, or takes the seat itself.
+        // With the leader gone it finds the next one, or takes the slot itself.
         let owner = world.controllers.iter().position(|n| {
             matches!(
                 n.state.partitions[0].role,
@@ -281,7 +281,7 @@
         assert!(world.until(5 * SECOND, World::all_slots_voting));
         let at = world.now;
         world.kill_controller(gone, true);
-        // Two spares of one seat never count both: not whole until it is moved.
+        // Two spares of one slot never count both: not complete until it is moved.
         assert!(world.until(20 * SECOND, |world| holder(world, gone as u8) == Some(3)));
         assert!(world.until(20 * SECOND, World::all_slots_voting));
         let took = world.now - at;
@@ -290,7 +290,7 @@
     }
 }
 
-/// Two seats that do not hear each other count by tables of their own: one
+/// Two voters that do not hear each other count by voter sets of their own: one
 /// still counts a holder whom the others have replaced.
 fn split(a: usize, old: usize, both: usize) -> Scenario {
     let name = |n: usize| format!("seat{n}");
@@ -313,7 +313,7 @@
 fn counting_by_tables_of_their_own_is_caught() {
     let cases = [(0, 1, 2), (0, 2, 1), (1, 0, 2), (1, 2, 0), (2, 0, 1), (2, 1, 0)];
     let caught = std::sync::atomic::AtomicU64::new(0);
-    // Which seat owns what is by chance: several draws of each case.
+    // Which voter leads what is by chance: several draws of each case.
     std::thread::scope(|scope| {
         for thread in 0..8 {
             let caught = &caught;
