--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -189,9 +189,6 @@
 pub const LIST_PATIENCE: Span = ms(2_000);
 /// Largest platform list that is read (bytes).
 pub const LIST_LIMIT: usize = 8 * 1024 * 1024;
-/// A leaf that the list no longer names is taken out after this long; a list
-/// that lags or flaps must not empty a pool.
-pub const LEAF_ABSENCE: Span = 5 * SECOND;
 /// How often each leaf is probed, by one member for all.
 pub const PROBE_BEAT: Span = ms(1_000);
 /// Wait before leafs of unknown age are probed: lets a list's leafs gather.
@@ -208,8 +205,6 @@
 pub const AGE_TOLD_MS: u64 = 3_600_000;
 /// The first age that is told (ms): below it nothing is worth a change.
 pub const AGE_FIRST_MS: u64 = 1_000;
-/// How often the owner of a part looks which leafs have grown older.
-pub const AGES_BEAT: Span = SECOND;
 /// How often an unsent first-hand finding is sent again.
 pub const REPORT_AGAIN: Span = ms(500);
 
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -1,5 +1,5 @@
-//! The leafs of a part's services: the platform's list merged with what is
-//! known at first hand.
+//! The leafs of a partition's services: the platform's list merged with what
+//! members report of them at first hand.
 
 use std::collections::BTreeMap;
 
@@ -12,135 +12,175 @@
 use crate::identifiers::part_of;
 use crate::protocol::message::{LeafReport, MembershipId};
 use crate::replication::leader::change;
-use crate::replication::partition::{Partition, leader};
+use crate::replication::partition::{Leader, Partition, leader};
 use crate::snapshot::leafs::{LeafInfo, key, leafs_in};
-use crate::time::{MILLI, Tick, since};
+use crate::time::{MILLI, SECOND, Span, Tick, since};
 use crate::voter_set::VoterGroup;
 
-fn entry(info: &LeafInfo) -> Entry {
+/// A leaf that the list no longer names is taken out after this long; a list
+/// that lags or flaps must not empty a pool.
+const LEAF_ABSENCE: Span = 5 * SECOND;
+/// The same while most of a service's leafs have vanished from the list.
+const LEAF_ABSENCE_DOUBTED: Span = 6 * LEAF_ABSENCE;
+/// How often the leader of a partition looks which leafs have grown older.
+const AGES_INTERVAL: Span = SECOND;
+
+/// Leafs by name.
+type Leafs = BTreeMap<String, LeafInfo>;
+
+fn stored_entry(info: &LeafInfo) -> Entry {
     (key(&info.leaf), Some(info.serialize_bin()))
 }
 
-/// The holder of the list's duty reports what the list names for this part.
-pub fn listed(
-    p: &mut Partition,
+/// Changes the partition, unless there is nothing to change.
+fn change_if_any(
+    partition: &mut Partition,
+    now: Tick,
+    group: VoterGroup,
+    entries: Vec<Entry>,
+    commands: &mut Vec<Command>,
+) {
+    if !entries.is_empty() {
+        change(partition, now, group, entries, commands);
+    }
+}
+
+/// The holder of the list's duty reports what the list names for this partition.
+/// Under a fence below the highest seen it holds that duty no more, and is counted
+/// only.
+pub fn on_list(
+    partition: &mut Partition,
     now: Tick,
-    g: VoterGroup,
+    group: VoterGroup,
     fence: MembershipId,
     list: Vec<LeafInfo>,
-    counts: &mut Counters,
-    out: &mut Vec<Command>,
+    counters: &mut Counters,
+    commands: &mut Vec<Command>,
 ) {
-    let id = p.id;
-    let known = leafs_in(&p.state.entries);
-    let Some(o) = leader(p) else { return };
-    if !o.is_serving {
+    let id = partition.id;
+    let known = leafs_in(&partition.state.entries);
+    let Some(leader) = leader(partition) else { return };
+    if !leader.is_serving {
         return;
     }
-    if fence < o.fence {
-        counts.fenced_lists += 1;
+    if fence < leader.fence {
+        counters.fenced_lists += 1;
         return;
     }
-    o.fence = fence;
-    let list: BTreeMap<String, LeafInfo> = list
+    leader.fence = fence;
+    let list: Leafs = list
         .into_iter()
-        .filter(|l| part_of(&l.service) == id)
-        .map(|l| (l.leaf.clone(), l))
+        .filter(|info| part_of(&info.service) == id)
+        .map(|info| (info.leaf.clone(), info))
         .collect();
-    let mut entries: Vec<Entry> = Vec::new();
-    for (name, info) in &list {
+    let mut entries = listed_entries(&list, &known);
+    entries.extend(removed_entries(leader, now, &list, &known));
+    change_if_any(partition, now, group, entries, commands);
+}
+
+/// The entries of the leafs that a list names, where they differ from what is known.
+fn listed_entries(list: &Leafs, known: &Leafs) -> Vec<Entry> {
+    let mut entries = Vec::new();
+    for (name, info) in list {
         let mut info = info.clone();
         let old = known.get(name);
         // The list lags: who once said that it leaves does not come back
         // under the same identity.
-        info.leaving |= old.is_some_and(|o| o.leaving);
-        info.age_ms = old.map_or(0, |o| o.age_ms);
+        info.leaving |= old.is_some_and(|old| old.leaving);
+        info.age_ms = old.map_or(0, |old| old.age_ms);
         if old != Some(&info) {
-            entries.push(entry(&info));
+            entries.push(stored_entry(&info));
         }
     }
-    for (name, info) in &known {
+    entries
+}
+
+/// The entries that remove the known leafs which a list has not named for too long.
+fn removed_entries(leader: &mut Leader, now: Tick, list: &Leafs, known: &Leafs) -> Vec<Entry> {
+    let mut entries = Vec::new();
+    for (name, info) in known {
         if list.contains_key(name) {
-            o.absent_leafs.remove(name);
+            leader.absent_leafs.remove(name);
             continue;
         }
-        // A new identity at its address: the old one is surely gone. But if
-        // most of a service vanishes from the list, doubt the list.
-        let taken = list.values().any(|l| l.addr == info.addr && !known.contains_key(&l.leaf));
-        let at = *o.absent_leafs.entry(name.clone()).or_insert(now);
-        let peers = known.values().filter(|l| l.service == info.service).count();
-        let stay = list.values().filter(|l| l.service == info.service).count();
-        let doubt = stay * 2 < peers && !info.leaving;
-        let patience = if doubt { consts::LEAF_ABSENCE * 6 } else { consts::LEAF_ABSENCE };
-        if taken || since(at, now) >= patience {
+        // A new identity at its address: the old one is surely gone.
+        let is_replaced =
+            list.values().any(|other| other.addr == info.addr && !known.contains_key(&other.leaf));
+        let absent_since = *leader.absent_leafs.entry(name.clone()).or_insert(now);
+        let patience =
+            if is_doubtful(info, list, known) { LEAF_ABSENCE_DOUBTED } else { LEAF_ABSENCE };
+        if is_replaced || since(absent_since, now) >= patience {
             entries.push((key(name), None));
-            o.absent_leafs.remove(name);
+            leader.absent_leafs.remove(name);
         }
     }
-    o.absent_leafs.retain(|name, _| known.contains_key(name));
-    if !entries.is_empty() {
-        change(p, now, g, entries, out);
-    }
+    leader.absent_leafs.retain(|name, _| known.contains_key(name));
+    entries
+}
+
+/// Whether to doubt a list that does not name a leaf: most of its service has
+/// vanished from the list.
+fn is_doubtful(info: &LeafInfo, list: &Leafs, known: &Leafs) -> bool {
+    let count = |leafs: &Leafs| leafs.values().filter(|l| l.service == info.service).count();
+    count(list) * 2 < count(known) && !info.leaving
 }
 
 /// Time passes, and leafs grow older: not all of them tell their age, and none
 /// must be taken for new when all of us start again. What is written is what
 /// an identity has surely reached: how old it was when this leader first saw
 /// it, and how long ago that was.
-pub fn grow(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
-    let Some(o) = leader(p) else { return };
-    if !o.is_serving || now < o.ages_at {
-        return;
-    }
-    o.ages_at = now + consts::AGES_BEAT;
-    let mut seen = std::mem::take(&mut o.first_seen);
-    let known = leafs_in(&p.state.entries);
-    seen.retain(|name, _| known.contains_key(name));
+pub fn grow(partition: &mut Partition, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
+    let known = match leader(partition) {
+        Some(leader) if leader.is_serving && now >= leader.ages_at => {
+            leafs_in(&partition.state.entries)
+        }
+        _ => return,
+    };
+    let Some(leader) = leader(partition) else { return };
+    leader.ages_at = now + AGES_INTERVAL;
+    leader.first_seen.retain(|name, _| known.contains_key(name));
     let mut entries: Vec<Entry> = Vec::new();
     for (name, info) in known {
-        let (at, base) = *seen.entry(name).or_insert((now, info.age_ms));
-        let age = base + since(at, now) / MILLI;
-        let told = info.age_ms >= consts::AGE_TOLD_MS
-            || age < info.age_ms * consts::AGE_FACTOR + consts::AGE_FIRST_MS;
-        if !told {
-            entries.push(entry(&LeafInfo { age_ms: age, ..info }));
+        let (seen_at, age_then) = *leader.first_seen.entry(name).or_insert((now, info.age_ms));
+        let age_ms = age_then + since(seen_at, now) / MILLI;
+        if is_worth_telling(&info, age_ms) {
+            entries.push(stored_entry(&LeafInfo { age_ms, ..info }));
         }
     }
-    if let Some(o) = leader(p) {
-        o.first_seen = seen;
-    }
-    if !entries.is_empty() {
-        change(p, now, g, entries, out);
-    }
+    change_if_any(partition, now, group, entries, commands);
 }
 
-/// Leafs spoke of themselves at first hand.
-pub fn words(
-    p: &mut Partition,
+/// Whether a leaf has grown so much older than what is stored that it is written.
+fn is_worth_telling(stored: &LeafInfo, age_ms: u64) -> bool {
+    stored.age_ms < consts::AGE_TOLD_MS
+        && age_ms >= stored.age_ms * consts::AGE_FACTOR + consts::AGE_FIRST_MS
+}
+
+/// Members report what leafs said of themselves.
+pub fn on_reports(
+    partition: &mut Partition,
     now: Tick,
-    g: VoterGroup,
-    words: Vec<LeafReport>,
-    out: &mut Vec<Command>,
+    group: VoterGroup,
+    reports: Vec<LeafReport>,
+    commands: &mut Vec<Command>,
 ) {
-    if !leader(p).is_some_and(|o| o.is_serving) {
+    if !leader(partition).is_some_and(|leader| leader.is_serving) {
         return;
     }
-    let known = leafs_in(&p.state.entries);
+    let known = leafs_in(&partition.state.entries);
     let mut entries: Vec<Entry> = Vec::new();
-    for word in words {
-        let Some(info) = known.get(&word.leaf) else { continue };
+    for report in reports {
+        let Some(info) = known.get(&report.leaf) else { continue };
         // Who is gone stays as one that leaves until the list forgets it:
         // taken out at once, a list that lags would bring it back.
         let new = LeafInfo {
-            leaving: info.leaving || word.leaving || word.gone,
-            age_ms: info.age_ms.max(word.age_ms),
+            leaving: info.leaving || report.leaving || report.gone,
+            age_ms: info.age_ms.max(report.age_ms),
             ..info.clone()
         };
         if new != *info {
-            entries.push(entry(&new));
+            entries.push(stored_entry(&new));
         }
     }
-    if !entries.is_empty() {
-        change(p, now, g, entries, out);
-    }
+    change_if_any(partition, now, group, entries, commands);
 }
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -109,11 +109,11 @@
         match partition.role {
             Role::Leader(_) => match message {
                 Message::LeafList { fence, leafs, .. } => {
-                    let counts = &mut self.counters;
-                    endpoints::listed(partition, now, group, fence, leafs, counts, commands);
+                    let counters = &mut self.counters;
+                    endpoints::on_list(partition, now, group, fence, leafs, counters, commands);
                 }
                 Message::LeafReports { words, .. } => {
-                    endpoints::words(partition, now, group, words, commands);
+                    endpoints::on_reports(partition, now, group, words, commands);
                 }
                 _ => {}
             },
