--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -1,10 +1,10 @@
 //! The controller's whole state, its events and its commands.
 
-use crate::command::ConnectionId;
 use std::collections::BTreeMap;
 
 use indexmap::{IndexMap, IndexSet};
 
+use crate::command::ConnectionId;
 use crate::control_plane::members::Members;
 use crate::control_plane::pending_requests::{ForwardedOperation, PendingRequest};
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
@@ -22,117 +22,165 @@
 /// then costs a small disk well below a hundredth of what it can read.
 pub(super) const SCRUB_INTERVAL: Span = 4 * SECOND;
 
-/// Numbers of lent requests begin here, beyond those that the daemon gives.
-const LENT: u64 = 1 << 63;
+/// Numbers of forwarded requests begin here, beyond those that the daemon gives.
+const FORWARDED_NUMBERS: u64 = 1 << 63;
 
 /// Sets the numbers of attempts apart from all else that a seed gives.
 const ATTEMPTS: u64 = 0x6174_7465_6d70_7473;
 
-/// The leader of a controller's state.
+/// Everything that a controller knows. It changes by
+/// [`step`](ControllerState::step) alone.
 pub struct ControllerState {
-    /// Ours by the table that we hold, or `NOBODY`.
+    /// Our voter slot by the voter set that we hold, or `NOBODY`.
     pub slot: VoterSlot,
+    /// The voter set, and what we know of the other voters.
     pub seating: VoterSlots,
+    /// Our replica of each partition, in the order of their ids.
     pub partitions: Vec<Partition>,
+    /// The members, their leases and memberships.
     pub members: Members,
-    /// Followers by connection: the place of each part up to which we sent.
+    /// Subscribers by connection: the revision of each partition up to which we sent.
     pub followers: IndexMap<ConnectionId, BTreeMap<PartitionId, u64>>,
-    /// How far the followers were last brought: each part, then the membership.
+    /// The revisions that all subscribers were last brought up to: of each partition,
+    /// then of the membership.
     pub broadcast_up_to: Vec<u64>,
-    /// Requests of our own operators that were handed over or wait.
+    /// Operators' requests that came to us and have no certain result yet.
     pub pending_requests: IndexMap<u64, PendingRequest>,
-    /// Those of them that a controller without a seat handed to us.
+    /// Where those of them came from that a controller without a voter slot forwarded.
     pub forwarded: IndexMap<u64, ForwardedOperation>,
+    /// Number of the last of these.
     pub next_forwarded: u64,
     /// Number of the last attempt to have a request carried out. Begins anywhere,
     /// so that no number of a former process comes again.
     pub next_attempt: u64,
     /// Attempts of others that reached us, the oldest first.
     pub attempts_seen: IndexSet<u64>,
-    /// When the next part's files are read again, and which it is.
+    /// When the next partition's files are read again.
     pub scrub_at: Tick,
+    /// Index of that partition.
     pub scrub_next: usize,
+    /// Our random numbers: jitter, nonces, replica ids.
     pub random: Random,
+    /// What the metrics show.
     pub counters: Counters,
 }
 
-/// What is counted.
+/// What is counted since the process started.
 #[derive(Clone, Default, Debug)]
 pub struct Counters {
+    /// Operators' requests that were accepted.
     pub accepted: u64,
+    /// Operators' requests that ended otherwise, reads excepted.
     pub rejected: u64,
+    /// Elections in which we asked for votes.
     pub candidacies: u64,
+    /// Times that we became the leader of a partition.
     pub leaderships_won: u64,
+    /// Times that we ceased to be the leader of a partition.
     pub leaderships_lost: u64,
+    /// Times that a replica's disk worked again after it had failed.
     pub disks_recovered: u64,
+    /// Snapshots that followers asked us for.
     pub snapshot_requests: u64,
-    /// Parts whose files had rotted while we ran.
+    /// Times that files of a partition were found corrupted while we ran.
     pub corruptions: u64,
+    /// Updates sent to subscribers.
     pub updates_sent: u64,
-    pub update_bytes_sent: u64,
+    /// Leaf lists that were refused, since a later holder of that duty had spoken.
     pub fenced_lists: u64,
 }
 
 /// What happens to a controller.
 pub enum Event {
-    /// On a connection that `holder` opened as the holder of `seat`.
+    /// A message on a connection that the controller of this id opened as the holder
+    /// of a voter slot.
     FromVoter {
+        /// The slot that the sender claims to hold.
         slot: VoterSlot,
+        /// Who the sender is.
         replica_id: u64,
+        /// Where an answer reaches it.
         connection: ConnectionId,
+        /// What it says.
         message: Message,
     },
-    /// On a connection that we opened to a controller.
+    /// A message on a connection that we opened to a controller.
     FromController {
+        /// What it says.
         message: Message,
     },
     /// Somebody opened a connection to us.
     ConnectionOpened {
+        /// Which.
         connection: ConnectionId,
     },
-    /// The roll of this token is on disk.
+    /// The voter file of this token is on disk.
     VoterFileWritten {
+        /// Token of the command that wrote it.
         token: u64,
     },
+    /// The voter file could not be written.
     VoterFileFailed {
+        /// What the disk said.
         why: String,
     },
+    /// A message on a connection that a member or a spare controller opened to us.
     FromConnection {
+        /// Which.
         connection: ConnectionId,
+        /// What it says.
         message: Message,
     },
+    /// A connection that somebody had opened to us is gone.
     ConnectionClosed {
+        /// Which.
         connection: ConnectionId,
     },
-    /// Every write of the part up to this token is synced.
+    /// Every write of the partition up to this token is synced.
     Synced {
+        /// Whose files.
         partition: PartitionId,
+        /// Token of the last command that is synced.
         token: u64,
     },
+    /// A write of the partition failed.
     DiskFailed {
+        /// Whose files.
         partition: PartitionId,
+        /// What the disk said.
         why: String,
     },
-    /// A part's files were read again; what is wrong with them, if anything.
+    /// A partition's files were read again.
     Scrubbed {
+        /// Whose files.
         partition: PartitionId,
+        /// What is wrong with them, if anything.
         corruption: Option<String>,
     },
+    /// An operator asks something of us.
     Operate {
+        /// Number of the request, which its response names.
         op: u64,
+        /// Id of the request, under which it may be sent again.
         request: String,
+        /// The revision that it expects to change.
         expected_revision: Option<u64>,
+        /// What is asked.
         operation: Operation,
     },
-    /// An operator vouches that lost copies are lost for good.
+    /// An operator vouches that lost replicas are lost for good.
     ForceRecovery,
-    /// The process goes down: give up every part now.
+    /// The process goes down: step down from every leadership now, and hand over the
+    /// voter slot.
     Stop,
+    /// Time has passed ([`WAKE`](crate::control_plane::step::WAKE) at most).
     Wake,
 }
 
 impl ControllerState {
-    /// A controller that has read its disk. Parts not given are empty.
+    /// A controller that has read its disk: `found` has the condition, state and log
+    /// length (bytes) of each partition that it holds, all others are empty. `here` is
+    /// the address at which others reach it, and its zone.
     pub fn new(
         roll: VoterFile,
         here: (&str, &str),
@@ -141,29 +189,31 @@
         now: Tick,
     ) -> Self {
         let slot = seat_of(&roll.table, roll.me).unwrap_or(NOBODY);
-        let mut found: BTreeMap<PartitionId, _> =
-            found.into_iter().map(|(id, life, copy, len)| (id, (life, copy, len))).collect();
-        let list = partitions()
+        let mut found: BTreeMap<PartitionId, _> = found
+            .into_iter()
+            .map(|(id, condition, state, log_bytes)| (id, (condition, state, log_bytes)))
+            .collect();
+        let partitions = partitions()
             .map(|id| {
-                let (life, copy, len) = found.remove(&id).unwrap_or((
+                let (condition, state, log_bytes) = found.remove(&id).unwrap_or((
                     ReplicaCondition::Empty,
                     ReplicaState::default(),
                     0,
                 ));
-                partition(id, life, copy, len, now)
+                partition(id, condition, state, log_bytes, now)
             })
             .collect();
         Self {
             slot,
             random: Random::new(seed ^ roll.me),
             seating: seating(roll, here, now),
-            partitions: list,
+            partitions,
             members: Members::default(),
             followers: IndexMap::new(),
             broadcast_up_to: Vec::new(),
             pending_requests: IndexMap::new(),
             forwarded: IndexMap::new(),
-            next_forwarded: LENT,
+            next_forwarded: FORWARDED_NUMBERS,
             next_attempt: mix(mix(seed) ^ ATTEMPTS),
             attempts_seen: IndexSet::new(),
             scrub_at: now + SCRUB_INTERVAL,
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -126,10 +126,8 @@
         if progress.leaving {
             self.departed.insert(name, Departure { incarnation, said_itself: true });
         } else {
-            self.last_renewals.insert(
-                name,
-                LastRenewal { at: now, member, progress, has_renewed: true },
-            );
+            self.last_renewals
+                .insert(name, LastRenewal { at: now, member, progress, has_renewed: true });
         }
         true
     }
