--- /dev/null
+++ b/crates/simulator/src/scenario/read.rs
@@ -0,0 +1,230 @@
+//! Reads a scenario from JSON, with all findings at their places.
+
+use grebepath_core::diagnostic::{Diagnostic, find};
+use serde_json::Value;
+
+use super::values::{disk_health, leaf_mode, list_mode, named_nodes};
+use super::{Scenario, ScheduledFault};
+use crate::files::FileError;
+use crate::spec::{self, SpecError};
+use crate::world;
+
+/// The words for troubles, each with the fields it may have beside `at_s`.
+pub(super) const ACTIONS: &[(&str, &[&str])] = &[
+    ("kill-seat", &["which", "for_s", "power", "lose"]),
+    ("stop-seat", &["which", "for_s"]),
+    ("kill-querier", &["which", "for_s"]),
+    ("stop-querier", &["which", "for_s"]),
+    ("restart-all", &["power", "for_s", "down", "lose"]),
+    ("start-seat", &["which"]),
+    ("add-seat", &["zone"]),
+    ("seeds", &["list"]),
+    ("pause-seat", &["which", "for_s"]),
+    ("pause-querier", &["which", "for_s"]),
+    ("disk", &["which", "health", "ms"]),
+    ("flip", &["which"]),
+    ("cut", &["a", "b", "one_way"]),
+    ("heal", &[]),
+    ("loss", &["per_mille"]),
+    ("slow-net", &["ms"]),
+    ("leafs", &["service", "zone", "count", "mode", "ms", "every"]),
+    ("weaken-leafs", &["service", "zone", "count", "pct"]),
+    ("kill-leafs", &["service", "zone", "count", "vanish"]),
+    ("restart-leafs", &["service", "zone", "count"]),
+    ("leave-leafs", &["service", "zone", "count"]),
+    ("reuse", &["service", "zone", "count", "by"]),
+    ("list", &["mode"]),
+    ("drain", &["zone"]),
+    ("undrain", &["zone"]),
+    ("apply", &["config"]),
+    ("patch", &["config"]),
+    ("grow", &["pools", "bytes"]),
+    ("storm", &["count", "gap_ms"]),
+    ("race", &["count"]),
+    ("add-leafs", &["service", "zone", "count"]),
+    ("mend-all", &["factor"]),
+    ("load", &["factor"]),
+];
+
+/// Reads a scenario. `load` fetches a deployment's files by name.
+pub fn read(
+    text: &[u8],
+    load: &dyn Fn(&str) -> Result<Value, FileError>,
+) -> Result<Scenario, Vec<Diagnostic>> {
+    let mut diagnostics = Vec::new();
+    let value: Value = match serde_json::from_slice(text) {
+        Ok(value) => value,
+        Err(e) => {
+            find(
+                &mut diagnostics,
+                format!("$:{}:{}", e.line(), e.column()),
+                format!("not JSON: {e}"),
+            );
+            return Err(diagnostics);
+        }
+    };
+    let known = [
+        "name",
+        "seconds",
+        "queriers",
+        "factor",
+        "deployment",
+        "config",
+        "troubles",
+        "ages",
+        "seats",
+        "controllers",
+    ];
+    for key in value.as_object().into_iter().flat_map(|fields| fields.keys()) {
+        if !known.contains(&key.as_str()) {
+            find(&mut diagnostics, key, format!("unknown field; known are {}", known.join(", ")));
+        }
+    }
+    let name = value["deployment"].as_str().unwrap_or("mohalla");
+    let spec = load(&format!("{name}.standins.json"))
+        .map_err(SpecError::from)
+        .and_then(|value| spec::parse(&value));
+    let config = match value.get("config") {
+        Some(config) => Ok(config.clone()),
+        None => load(&format!("{name}.json")),
+    };
+    let errors = [
+        spec.as_ref().err().map(ToString::to_string),
+        config.as_ref().err().map(ToString::to_string),
+    ];
+    for error in errors.into_iter().flatten() {
+        find(&mut diagnostics, "deployment", error);
+    }
+    let seconds = read_integer(&value, "seconds", 1, 86_400, &mut diagnostics);
+    let queriers = read_integer(&value, "queriers", 1, 200, &mut diagnostics) as usize;
+    let factor = value["factor"].as_f64().unwrap_or(1.0);
+    if !(0.001..=100.0).contains(&factor) {
+        find(&mut diagnostics, "factor", "expected a number from 0.001 to 100");
+    }
+    let control_plane = control_plane(&value, &mut diagnostics);
+    let listed = value["troubles"].as_array().into_iter().flatten();
+    let machines =
+        control_plane.machines + listed.filter(|fault| fault["do"] == "add-seat").count();
+    let mut faults = Vec::new();
+    for (i, fault) in value["troubles"].as_array().into_iter().flatten().enumerate() {
+        if let Some(fault) =
+            read_fault(&format!("troubles[{i}]"), fault, (queriers, machines), &mut diagnostics)
+        {
+            faults.push(fault);
+        }
+    }
+    match (spec, config) {
+        (Ok(spec), Ok(config)) if diagnostics.is_empty() => Ok(Scenario {
+            name: value["name"].as_str().unwrap_or("unnamed").to_string(),
+            seconds,
+            queriers,
+            factor,
+            spec,
+            config,
+            faults,
+            ages: value["ages"].as_bool().unwrap_or(true),
+            control_plane,
+        }),
+        _ => Err(diagnostics),
+    }
+}
+
+/// The core: three controllers that are told their seats, unless the scenario
+/// says how many seats there are, or how many controllers.
+pub(super) fn control_plane(
+    value: &Value,
+    diagnostics: &mut Vec<Diagnostic>,
+) -> world::ControlPlaneSetup {
+    if value.get("seats").is_none() && value.get("controllers").is_none() {
+        return world::three_voters();
+    }
+    let seats = read_integer(value, "seats", 1, 9, diagnostics) as usize;
+    let machines = read_integer(value, "controllers", 1, 12, diagnostics) as usize;
+    if seats.is_multiple_of(2) || machines < seats {
+        find(diagnostics, "seats", "expected an odd number of seats and a controller for each");
+    }
+    world::ControlPlaneSetup {
+        voter_slots: seats,
+        machines,
+        slots_assigned: false,
+        seeds: (0..machines.min(3)).collect(),
+    }
+}
+
+pub(super) fn read_integer(
+    value: &Value,
+    key: &str,
+    low: u64,
+    high: u64,
+    diagnostics: &mut Vec<Diagnostic>,
+) -> u64 {
+    match value[key].as_u64() {
+        Some(n) if (low..=high).contains(&n) => n,
+        _ => {
+            find(diagnostics, key, format!("expected a whole number from {low} to {high}"));
+            low
+        }
+    }
+}
+
+pub(super) fn read_fault(
+    at: &str,
+    value: &Value,
+    (queriers, seats): (usize, usize),
+    diagnostics: &mut Vec<Diagnostic>,
+) -> Option<ScheduledFault> {
+    let before = diagnostics.len();
+    let action = value["do"].as_str().unwrap_or_default().to_string();
+    let Some((_, fields)) = ACTIONS.iter().find(|known| known.0 == action) else {
+        let words: Vec<&str> = ACTIONS.iter().map(|known| known.0).collect();
+        find(diagnostics, format!("{at}.do"), format!("expected one of {}", words.join(", ")));
+        return None;
+    };
+    let Some(at_s) = value["at_s"].as_f64().filter(|fault| (0.0..=86_400.0).contains(fault)) else {
+        find(diagnostics, format!("{at}.at_s"), "expected a time in seconds");
+        return None;
+    };
+    for key in value.as_object().into_iter().flat_map(|fields| fields.keys()) {
+        if key != "do" && key != "at_s" && !fields.contains(&key.as_str()) {
+            find(diagnostics, format!("{at}.{key}"), format!("`{action}` has no such field"));
+        }
+    }
+    if fields.contains(&"which") {
+        let top = if action.ends_with("querier") { queriers } else { seats };
+        if value["which"].as_u64().is_none_or(|n| n as usize >= top) {
+            find(diagnostics, format!("{at}.which"), format!("expected a number below {top}"));
+        }
+    }
+    if fields.contains(&"mode") && action == "leafs" && leaf_mode(value).is_none() {
+        find(diagnostics, format!("{at}.mode"), "unknown mode of leafs");
+    }
+    if action == "list" && list_mode(value).is_none() {
+        find(diagnostics, format!("{at}.mode"), "expected good, empty, garbage, dead or stale");
+    }
+    if action == "disk" && disk_health(value).is_none() {
+        find(diagnostics, format!("{at}.health"), "expected good, slow, full or stalled");
+    }
+    if action == "cut" {
+        for side in ["a", "b"] {
+            for n in value[side].as_array().into_iter().flatten() {
+                if n.as_str().is_none_or(|n| named_nodes(n, queriers, seats).is_empty()) {
+                    find(diagnostics, format!("{at}.{side}"), format!("{n} names no machine"));
+                }
+            }
+        }
+    }
+    (diagnostics.len() == before).then(|| ScheduledFault {
+        at_ms: (at_s * 1000.0) as u64,
+        action,
+        parameters: value.clone(),
+    })
+}
+
+/// A trouble that a generator made, which is well formed.
+pub fn generated_fault(value: &Value) -> ScheduledFault {
+    ScheduledFault {
+        at_ms: (value["at_s"].as_f64().unwrap_or(0.0) * 1000.0) as u64,
+        action: value["do"].as_str().unwrap_or_default().to_string(),
+        parameters: value.clone(),
+    }
+}
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -11,7 +11,10 @@
 use grebepath_core::storage::writer;
 use grebepath_core::time::{Span, Tick, ms};
 
-/// One part's files and what is being written.
+/// A log this short has nothing but its head, in which no bit is flipped (bytes).
+const LOG_HEAD: usize = 40;
+
+/// One partition's files and what is being written.
 ///
 /// Invariant: `log` and `slots` are what a start would find now; jobs take
 /// effect when they are done, or in part when power is lost.
@@ -19,308 +22,367 @@
 pub struct Files {
     slots: [Option<Vec<u8>>; 2],
     log: Option<Vec<u8>>,
-    seq: u64,
-    num: u32,
+    /// Sequence number of the newest slot.
+    sequence: u64,
+    /// Records in the log.
+    records: u32,
+    /// Whether the log takes records.
     open: bool,
-    aside: bool,
+    /// Whether earlier files were set aside, because they were damaged or of another voter.
+    set_aside: bool,
 }
 
 /// What a disk is asked.
 #[derive(Clone)]
 pub enum Job {
+    /// Appends a record to the log.
     Append(LogRecord),
-    Slot(ReplicaState),
+    /// Writes a slot and begins a new log.
+    Snapshot(ReplicaState),
+}
+
+/// A job that has not ended.
+struct PendingJob {
+    partition: PartitionId,
+    token: u64,
+    job: Job,
+}
+
+/// A voter file on its way to the disk.
+struct PendingVoterFile {
+    token: u64,
+    contents: VoterFile,
+    /// Whether the partitions' files are set aside before.
+    clear: bool,
+}
+
+/// Why a write failed.
+#[derive(Clone, Copy, PartialEq, Eq, Debug, thiserror::Error)]
+pub enum DiskError {
+    /// The disk is full.
+    #[error("no space left on device")]
+    Full,
+    /// An earlier write failed: only a snapshot opens a log again.
+    #[error("no log is open since the last trouble")]
+    NoOpenLog,
 }
 
-/// The health of a whole disk.
+/// The health of a disk.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Health {
+    /// Every write lasts after a few milliseconds.
     Good,
+    /// Every write takes this much longer.
     Slow(Span),
+    /// Every write fails.
     Full,
+    /// No write ends.
     Stalled,
 }
 
 /// A machine's disk.
 pub struct Disk {
-    pub parts: Vec<Files>,
+    /// How it behaves from now on.
     pub health: Health,
-    /// The file that holds the roll, and rolls on their way to it: token, roll,
-    /// and whether the parts' files are set aside before.
-    roll: Option<Vec<u8>>,
-    rolls: Vec<(u64, VoterFile, bool)>,
-    /// When the last job in line will be done.
-    busy: Tick,
-    /// Jobs that are under way: part, token, done at.
-    line: Vec<(PartitionId, u64, Job)>,
+    partitions: Vec<Files>,
+    voter_file: Option<Vec<u8>>,
+    pending_voter_files: Vec<PendingVoterFile>,
+    /// When the last job that is queued will be done.
+    busy_until: Tick,
+    pending_jobs: Vec<PendingJob>,
 }
 
-/// An empty disk.
-pub fn disk(parts: usize) -> Disk {
-    Disk {
-        parts: vec![Files::default(); parts],
-        health: Health::Good,
-        roll: None,
-        rolls: Vec::new(),
-        busy: 0,
-        line: Vec::new(),
+impl Disk {
+    /// An empty disk.
+    pub fn new(partitions: usize) -> Self {
+        Disk {
+            partitions: vec![Files::default(); partitions],
+            health: Health::Good,
+            voter_file: None,
+            pending_voter_files: Vec::new(),
+            busy_until: 0,
+            pending_jobs: Vec::new(),
+        }
     }
-}
 
-/// Puts a job in line; gives the time at which it will be done, or `None`
-/// while the disk stalls.
-pub fn begin(
-    d: &mut Disk,
-    now: Tick,
-    part: PartitionId,
-    token: u64,
-    job: Job,
-    luck: &mut Random,
-) -> Option<Tick> {
-    let took = ms(1)
-        + luck.below(ms(3))
-        + match d.health {
-            Health::Slow(more) => more,
-            _ => 0,
-        };
-    d.line.push((part, token, job));
-    if d.health == Health::Stalled {
-        return None;
+    /// Queues a job; gives the time at which it will be done, or `None` while the
+    /// disk stalls.
+    pub fn start_job(
+        &mut self,
+        now: Tick,
+        partition: PartitionId,
+        token: u64,
+        job: Job,
+        random: &mut Random,
+    ) -> Option<Tick> {
+        self.pending_jobs.push(PendingJob { partition, token, job });
+        self.schedule(now, random)
     }
-    d.busy = d.busy.max(now) + took;
-    Some(d.busy)
-}
 
-/// Puts a roll in line, as `begin` does with what belongs to a part.
-pub fn keep(
-    d: &mut Disk,
-    now: Tick,
-    token: u64,
-    roll: VoterFile,
-    clear: bool,
-    luck: &mut Random,
-) -> Option<Tick> {
-    d.rolls.push((token, roll, clear));
-    let slow = if let Health::Slow(more) = d.health { more } else { 0 };
-    let took = ms(1) + luck.below(ms(3)) + slow;
-    if d.health == Health::Stalled {
-        return None;
+    /// Queues a voter file, as `start_job` does with what belongs to a partition.
+    pub fn write_voter_file(
+        &mut self,
+        now: Tick,
+        token: u64,
+        contents: VoterFile,
+        clear: bool,
+        random: &mut Random,
+    ) -> Option<Tick> {
+        self.pending_voter_files.push(PendingVoterFile { token, contents, clear });
+        self.schedule(now, random)
     }
-    d.busy = d.busy.max(now) + took;
-    Some(d.busy)
-}
 
-/// A roll is kept, or could not be.
-pub fn kept(d: &mut Disk, token: u64) -> Option<Result<(), String>> {
-    let at = d.rolls.iter().position(|(t, _, _)| *t == token)?;
-    let (_, roll, clear) = d.rolls.remove(at);
-    if d.health == Health::Full {
-        return Some(Err("no space left on device".into()));
-    }
-    if clear {
-        set_aside(d);
+    /// When a job that is queued now will be done; `None` while the disk stalls.
+    fn schedule(&mut self, now: Tick, random: &mut Random) -> Option<Tick> {
+        let slow = if let Health::Slow(more) = self.health { more } else { 0 };
+        let took = ms(1) + random.below(ms(3)) + slow;
+        if self.health == Health::Stalled {
+            return None;
+        }
+        self.busy_until = self.busy_until.max(now) + took;
+        Some(self.busy_until)
     }
-    d.roll = Some(voter_file::write(&roll));
-    Some(Ok(()))
-}
 
-/// Rolls that remain in line when a stall ends, oldest first.
-pub fn rolls(d: &Disk) -> Vec<u64> {
-    d.rolls.iter().map(|(t, _, _)| *t).collect()
-}
+    /// A voter file is written, or could not be; `None` if it is not under way.
+    pub fn finish_voter_file(&mut self, token: u64) -> Option<Result<(), DiskError>> {
+        let at = self.pending_voter_files.iter().position(|pending| pending.token == token)?;
+        let pending = self.pending_voter_files.remove(at);
+        if self.health == Health::Full {
+            return Some(Err(DiskError::Full));
+        }
+        self.put_voter_file(&pending.contents, pending.clear);
+        Some(Ok(()))
+    }
 
-/// The roll as a start finds it; what was not kept is forgotten.
-pub fn roll(d: &mut Disk) -> Option<VoterFile> {
-    d.rolls.clear();
-    voter_file::read(d.roll.as_deref()?)
-}
+    /// Tokens of the voter files that remain when a stall ends, oldest first.
+    pub fn pending_voter_files(&self) -> Vec<u64> {
+        self.pending_voter_files.iter().map(|pending| pending.token).collect()
+    }
 
-/// Writes the roll of a start, which waits for it.
-pub fn put_roll(d: &mut Disk, roll: &VoterFile, clear: bool) {
-    if clear {
-        set_aside(d);
+    /// The voter file as a start finds it; what was not written is forgotten.
+    pub fn read_voter_file(&mut self) -> Option<VoterFile> {
+        self.pending_voter_files.clear();
+        voter_file::read(self.voter_file.as_deref()?)
     }
-    d.roll = Some(voter_file::write(roll));
-}
 
-fn set_aside(d: &mut Disk) {
-    for f in &mut d.parts {
-        *f = Files { aside: f.aside || f.seq > 0, ..Files::default() };
+    /// Writes the voter file of a start, which waits for it.
+    pub fn put_voter_file(&mut self, contents: &VoterFile, clear: bool) {
+        if clear {
+            for files in &mut self.partitions {
+                let set_aside = files.set_aside || files.sequence > 0;
+                *files = Files { set_aside, ..Files::default() };
+            }
+        }
+        self.voter_file = Some(voter_file::write(contents));
     }
-}
 
-/// Whether no part has any files.
-pub fn bare(d: &Disk) -> bool {
-    d.parts.iter().all(|f| f.slots.iter().all(Option::is_none) && f.log.is_none())
-}
+    /// Whether no partition has any files.
+    pub fn is_empty(&self) -> bool {
+        let empty = |files: &Files| files.slots.iter().all(Option::is_none) && files.log.is_none();
+        self.partitions.iter().all(empty)
+    }
 
-/// What remains in line when a stall ends, oldest first.
-pub fn waiting(d: &Disk) -> Vec<(PartitionId, u64)> {
-    d.line.iter().map(|(p, t, _)| (*p, *t)).collect()
-}
+    /// The jobs that remain when a stall ends, oldest first.
+    pub fn pending_jobs(&self) -> Vec<(PartitionId, u64)> {
+        self.pending_jobs.iter().map(|pending| (pending.partition, pending.token)).collect()
+    }
 
-/// A job is done: it lasts now, or it failed.
-pub fn done(d: &mut Disk, part: PartitionId, token: u64) -> Option<Result<(), String>> {
-    let at = d.line.iter().position(|(p, t, _)| *p == part && *t == token)?;
-    let (_, _, job) = d.line.remove(at);
-    let full = d.health == Health::Full;
-    let files = &mut d.parts[part.0 as usize];
-    if full {
-        files.open = false;
-        return Some(Err("no space left on device".into()));
+    /// A job is done: it lasts now, or it failed; `None` if it is not under way.
+    pub fn finish_job(
+        &mut self,
+        partition: PartitionId,
+        token: u64,
+    ) -> Option<Result<(), DiskError>> {
+        let wanted =
+            |pending: &PendingJob| pending.partition == partition && pending.token == token;
+        let at = self.pending_jobs.iter().position(wanted)?;
+        let pending = self.pending_jobs.remove(at);
+        let full = self.health == Health::Full;
+        let files = &mut self.partitions[partition.0 as usize];
+        if full {
+            files.open = false;
+            return Some(Err(DiskError::Full));
+        }
+        Some(files.apply(partition, pending.job))
     }
-    Some(match job {
-        Job::Append(_) if !files.open => Err("no log is open since the last trouble".into()),
-        Job::Append(rec) => {
-            let raw = writer::rec(files.seq, files.num, &rec);
-            files.log.get_or_insert_default().extend(raw);
-            files.num += 1;
-            Ok(())
+
+    /// What was handed to the system is written whether the process lives or not.
+    pub fn finish_all(&mut self) {
+        for (partition, token) in self.pending_jobs() {
+            self.finish_job(partition, token);
         }
-        Job::Slot(copy) => {
-            files.seq += 1;
-            let raw = writer::slot(part.0, files.seq, &copy);
-            files.slots[(files.seq % 2) as usize] = Some(raw);
-            files.log = Some(writer::log_head(part.0, files.seq));
-            files.num = 0;
-            files.open = true;
-            Ok(())
+        for token in self.pending_voter_files() {
+            self.finish_voter_file(token);
         }
-    })
-}
+    }
 
-/// Power is lost: what was under way lasts in part, by chance.
-pub fn power_loss(d: &mut Disk, luck: &mut Random) {
-    let line = std::mem::take(&mut d.line);
-    // A file that is renamed is there or it is not.
-    for (_, roll, clear) in std::mem::take(&mut d.rolls) {
-        if luck.chance(1, 2) {
-            break;
+    /// Power is lost: what was under way lasts in part, by chance.
+    pub fn power_loss(&mut self, random: &mut Random) {
+        let jobs = std::mem::take(&mut self.pending_jobs);
+        // A file that is renamed is there or it is not.
+        for pending in std::mem::take(&mut self.pending_voter_files) {
+            if random.chance(1, 2) {
+                break;
+            }
+            self.put_voter_file(&pending.contents, pending.clear);
         }
-        put_roll(d, &roll, clear);
-    }
-    let mut broken = vec![false; d.parts.len()];
-    for (part, _, job) in line {
-        let at = part.0 as usize;
-        if broken[at] {
-            continue;
+        let mut torn = vec![false; self.partitions.len()];
+        for pending in jobs {
+            let at = pending.partition.0 as usize;
+            if torn[at] {
+                continue;
+            }
+            torn[at] = !self.partitions[at].apply_partly(pending.partition, pending.job, random);
         }
-        broken[at] = !partly(&mut d.parts[at], part, job, luck);
+        self.busy_until = 0;
+        for files in &mut self.partitions {
+            files.open = false;
+        }
+    }
+
+    /// The machine is replaced by one with an empty disk.
+    pub fn replace(&mut self) {
+        *self = Disk::new(self.partitions.len());
     }
-    d.busy = 0;
-    for f in &mut d.parts {
-        f.open = false;
+
+    /// Flips one bit of what lies on the disk; false if nothing lies there.
+    pub fn flip_bit(&mut self, random: &mut Random) -> bool {
+        let at = random.below(self.partitions.len() as u64) as usize;
+        let files = &mut self.partitions[at];
+        let newest = (files.sequence % 2) as usize;
+        let raw = match (&mut files.slots[newest], &mut files.log) {
+            (_, Some(log)) if random.chance(1, 2) && log.len() > LOG_HEAD => log,
+            (Some(slot), _) => slot,
+            _ => return false,
+        };
+        let byte = random.below(raw.len() as u64) as usize;
+        raw[byte] ^= 1 << random.below(8);
+        true
+    }
+
+    /// Reads the disk as a start does; a slot of this life comes first.
+    pub fn start(&mut self) -> Vec<(PartitionId, Found)> {
+        self.pending_jobs.clear();
+        self.busy_until = 0;
+        let full = self.health == Health::Full;
+        let partitions = self.partitions.iter_mut().enumerate();
+        partitions
+            .map(|(number, files)| {
+                let partition = PartitionId(number as u32);
+                (partition, files.start(partition, full))
+            })
+            .collect()
+    }
+
+    /// Reads a partition's files again, as a running controller does; gives what is
+    /// wrong with them.
+    pub fn scrub(&self, partition: PartitionId) -> Option<String> {
+        let files = &self.partitions[partition.0 as usize];
+        // What is under way behind this scrub may have begun to take effect.
+        if !files.open || self.pending_jobs.iter().any(|pending| pending.partition == partition) {
+            return None;
+        }
+        let written = (files.sequence, files.records, false);
+        match files.read(partition) {
+            Found::Good { seq, records, torn, .. } if (seq, records, torn) == written => None,
+            Found::Good { .. } => Some("what was written last is not there".into()),
+            Found::Empty => Some("the files are gone".into()),
+            Found::Damaged(why) => Some(why),
+        }
     }
 }
 
-/// Lets a job take effect in part; true if all of it lasts.
-fn partly(f: &mut Files, part: PartitionId, job: Job, luck: &mut Random) -> bool {
-    let whole = luck.chance(1, 3);
-    match job {
-        Job::Append(_) if !f.open => false,
-        Job::Append(rec) => {
-            let mut raw = writer::rec(f.seq, f.num, &rec);
-            if !whole {
-                let keep = luck.below(raw.len() as u64) as usize;
-                if luck.chance(1, 2) {
-                    // The file's length came through, its bytes did not.
-                    raw[keep..].fill(0);
-                } else {
-                    raw.truncate(keep);
-                }
+impl Files {
+    fn read(&self, partition: PartitionId) -> Found {
+        let slots = [self.slots[0].as_deref(), self.slots[1].as_deref()];
+        read(partition.0, slots, self.log.as_deref())
+    }
+
+    /// Begins an empty log behind the newest slot.
+    fn begin_log(&mut self, partition: PartitionId) {
+        self.log = Some(writer::log_head(partition.0, self.sequence));
+        self.records = 0;
+    }
+
+    /// Writes the next slot and opens a log behind it.
+    fn write_slot(&mut self, partition: PartitionId, copy: &ReplicaState) {
+        self.sequence += 1;
+        let raw = writer::slot(partition.0, self.sequence, copy);
+        self.slots[(self.sequence % 2) as usize] = Some(raw);
+        self.begin_log(partition);
+        self.open = true;
+    }
+
+    fn apply(&mut self, partition: PartitionId, job: Job) -> Result<(), DiskError> {
+        match job {
+            Job::Append(_) if !self.open => return Err(DiskError::NoOpenLog),
+            Job::Append(record) => {
+                let raw = writer::rec(self.sequence, self.records, &record);
+                self.log.get_or_insert_default().extend(raw);
+                self.records += 1;
             }
-            f.log.get_or_insert_default().extend(raw);
-            f.num += 1;
-            whole
+            Job::Snapshot(copy) => self.write_slot(partition, &copy),
         }
-        Job::Slot(copy) => {
-            let seq = f.seq + 1;
-            let mut raw = writer::slot(part.0, seq, &copy);
-            let torn = luck.chance(1, 2);
-            if torn {
-                raw.truncate(luck.below(raw.len() as u64) as usize);
+        Ok(())
+    }
+
+    /// Lets a job take effect in part; true if all of it lasts.
+    fn apply_partly(&mut self, partition: PartitionId, job: Job, random: &mut Random) -> bool {
+        let complete = random.chance(1, 3);
+        match job {
+            Job::Append(_) if !self.open => false,
+            Job::Append(record) => {
+                let mut raw = writer::rec(self.sequence, self.records, &record);
+                if !complete {
+                    let keep = random.below(raw.len() as u64) as usize;
+                    if random.chance(1, 2) {
+                        // The file's length came through, its bytes did not.
+                        raw[keep..].fill(0);
+                    } else {
+                        raw.truncate(keep);
+                    }
+                }
+                self.log.get_or_insert_default().extend(raw);
+                self.records += 1;
+                complete
             }
-            f.slots[(seq % 2) as usize] = Some(raw);
-            if !torn {
-                f.seq = seq;
-                if whole {
-                    f.log = Some(writer::log_head(part.0, seq));
-                    f.num = 0;
-                    return true;
+            Job::Snapshot(copy) => {
+                let sequence = self.sequence + 1;
+                let mut raw = writer::slot(partition.0, sequence, &copy);
+                let torn = random.chance(1, 2);
+                if torn {
+                    raw.truncate(random.below(raw.len() as u64) as usize);
+                }
+                self.slots[(sequence % 2) as usize] = Some(raw);
+                if torn {
+                    return false;
                 }
+                self.sequence = sequence;
+                if complete {
+                    self.begin_log(partition);
+                }
+                complete
             }
-            false
         }
     }
-}
 
-/// The machine is replaced by one with an empty disk.
-pub fn lose(d: &mut Disk) {
-    *d = disk(d.parts.len());
-}
-
-/// Flips one bit of what lies on the disk; false if nothing lies there.
-pub fn flip(d: &mut Disk, luck: &mut Random) -> bool {
-    let at = luck.below(d.parts.len() as u64) as usize;
-    let f = &mut d.parts[at];
-    let newest = (f.seq % 2) as usize;
-    let raw = match (&mut f.slots[newest], &mut f.log) {
-        (_, Some(log)) if luck.chance(1, 2) && log.len() > 40 => log,
-        (Some(slot), _) => slot,
-        _ => return false,
-    };
-    let i = luck.below(raw.len() as u64) as usize;
-    raw[i] ^= 1 << luck.below(8);
-    true
-}
-
-/// Reads the disk as a start does; a slot of this life comes first.
-pub fn start(d: &mut Disk) -> Vec<(PartitionId, Found)> {
-    d.line.clear();
-    d.busy = 0;
-    let full = d.health == Health::Full;
-    let mut out = Vec::new();
-    for (i, f) in d.parts.iter_mut().enumerate() {
-        let part = PartitionId(i as u32);
-        let slots = [f.slots[0].as_deref(), f.slots[1].as_deref()];
-        let mut found = read(part.0, slots, f.log.as_deref());
-        if found == Found::Empty && f.aside {
+    /// Reads the files as a start does, and opens a new log unless the disk is full.
+    fn start(&mut self, partition: PartitionId, full: bool) -> Found {
+        let mut found = self.read(partition);
+        if found == Found::Empty && self.set_aside {
             found = Found::Damaged("set aside earlier".into());
         }
         match &found {
-            Found::Empty => *f = Files { aside: f.aside, ..Files::default() },
-            Found::Damaged(_) => *f = Files { aside: true, ..Files::default() },
+            Found::Empty => *self = Files { set_aside: self.set_aside, ..Files::default() },
+            Found::Damaged(_) => *self = Files { set_aside: true, ..Files::default() },
             Found::Good { copy, seq, .. } => {
-                f.seq = *seq;
-                f.open = false;
+                self.sequence = *seq;
+                self.open = false;
                 if !full {
-                    f.seq += 1;
-                    f.slots[(f.seq % 2) as usize] = Some(writer::slot(part.0, f.seq, copy));
-                    f.log = Some(writer::log_head(part.0, f.seq));
-                    f.num = 0;
-                    f.open = true;
+                    self.write_slot(partition, copy);
                 }
             }
         }
-        out.push((part, found));
-    }
-    out
-}
-
-/// Reads a part's files again, as a running controller does.
-pub fn look(d: &Disk, part: PartitionId) -> Option<String> {
-    let f = &d.parts[part.0 as usize];
-    // What is under way behind this look may have begun to take effect.
-    if !f.open || d.line.iter().any(|(p, _, _)| *p == part) {
-        return None;
-    }
-    let slots = [f.slots[0].as_deref(), f.slots[1].as_deref()];
-    match read(part.0, slots, f.log.as_deref()) {
-        Found::Good { seq, records, torn, .. } if (seq, records, torn) == (f.seq, f.num, false) => {
-            None
-        }
-        Found::Good { .. } => Some("what was written last is not there".into()),
-        Found::Empty => Some("the files are gone".into()),
-        Found::Damaged(why) => Some(why),
+        found
     }
 }
--- /dev/null
+++ b/crates/simulator/src/world/events.rs
@@ -0,0 +1,166 @@
+//! The events of a run, and the queue that orders them by time.
+
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::identifiers::PartitionId;
+use grebepath_core::membership::node_agent;
+use grebepath_core::protocol::message::Message;
+use grebepath_core::query::event as query_event;
+use grebepath_core::query::event::Sending;
+use grebepath_core::snapshot::leafs::LeafInfo;
+use grebepath_core::time::{Span, Tick, ms};
+
+use super::World;
+use super::injected_faults::Fault;
+
+/// What happens, and to whom.
+pub(super) enum ScheduledEvent {
+    ControllerTimer {
+        controller: usize,
+        life: u64,
+    },
+    ControllerEvent {
+        controller: usize,
+        life: u64,
+        event: CoreEvent,
+    },
+    DiskJobDone {
+        controller: usize,
+        life: u64,
+        part: PartitionId,
+        token: u64,
+    },
+    VoterFileDone {
+        controller: usize,
+        life: u64,
+        token: u64,
+    },
+    QuerierTimer {
+        querier: usize,
+        life: u64,
+    },
+    NodeAgentEvent {
+        querier: usize,
+        life: u64,
+        event: node_agent::Event,
+    },
+    /// A controller that says it is `holder` speaks to a querier.
+    ControllerMessage {
+        querier: usize,
+        life: u64,
+        holder: u64,
+        message: Message,
+    },
+    QueryEngineEvent {
+        engine: QueryEngineId,
+        event: query_event::Event,
+    },
+    QueryEngineTimer {
+        engine: QueryEngineId,
+        at: Tick,
+    },
+    LeafRequest {
+        engine: QueryEngineId,
+        sending: Box<Sending>,
+    },
+    LeafResponse {
+        run: u64,
+    },
+    LeafDisconnect {
+        key: AttemptKey,
+    },
+    Probe {
+        querier: usize,
+        life: u64,
+        info: std::sync::Arc<LeafInfo>,
+    },
+    ListRequest {
+        querier: usize,
+        life: u64,
+    },
+    NewCall {
+        kind: usize,
+    },
+    CallArrival {
+        call: u64,
+    },
+    CallTimeout {
+        call: u64,
+    },
+    ReadinessPoll,
+    OperatorRequest {
+        request: usize,
+    },
+    Fault {
+        at: usize,
+    },
+    FollowUp {
+        key: FollowUp,
+    },
+}
+
+/// One thread's query engine, in one life of its querier.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
+pub(super) struct QueryEngineId {
+    pub querier: usize,
+    pub life: u64,
+    pub thread: usize,
+}
+
+/// One attempt that a query engine sent to a leaf.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
+pub(super) struct AttemptKey {
+    pub engine: QueryEngineId,
+    pub attempt: u64,
+}
+
+/// Later steps of troubles: restarts that follow a kill.
+#[derive(Clone, Copy)]
+pub enum FollowUp {
+    StartController(usize),
+    /// A fault ends a controller's process.
+    Fault {
+        controller: usize,
+        fault: Fault,
+    },
+    /// A controller that was asked to stop is ended by force.
+    ForceStop {
+        controller: usize,
+        life: u64,
+    },
+    StartQuerier(usize),
+    /// A querier that is asked to stop ends once nothing is in hand.
+    EndDrainedQuerier(usize, u64),
+    RequestStorm {
+        left: u64,
+        gap: Span,
+    },
+    /// An operator's change that shows whether the core is back.
+    ChangeAfterRestart {
+        restart: usize,
+    },
+}
+
+impl World {
+    pub(super) fn push(&mut self, after: Span, event: ScheduledEvent) {
+        self.push_at(self.now + after, event);
+    }
+
+    pub(super) fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
+        self.next += 1;
+        self.queue.insert((at, self.next), event);
+    }
+
+    /// Lets something follow after a while.
+    pub fn later(&mut self, after: Span, key: FollowUp) {
+        self.push(after, ScheduledEvent::FollowUp { key });
+    }
+
+    /// Plans the troubles of a scenario.
+    pub fn plan(&mut self, faults: Vec<crate::scenario::ScheduledFault>) {
+        self.faults = faults;
+        for at in 0..self.faults.len() {
+            let after = ms(self.faults[at].at_ms);
+            self.push(after, ScheduledEvent::Fault { at });
+        }
+    }
+}
