--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -7,7 +7,7 @@
 use crate::digest::{hash, pair};
 use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
-use crate::random::{Random, below};
+use crate::random::Random;
 use crate::replication::leader;
 use crate::replication::partition::{
     AfterWrite, Candidacy, KnownLeader, Partition, Role, Sender, able,
@@ -36,7 +36,7 @@
     if p.unled_since_start {
         return consts::OWNER_BOOT
             + rank(p.id, g, None) * consts::CLAIM_BOOT_STAGGER
-            + below(luck, consts::CLAIM_BOOT_STAGGER / 2);
+            + luck.below(consts::CLAIM_BOOT_STAGGER / 2);
     }
     let silent = match &p.role {
         Role::Follower { leader: Some(leader), .. } => Some(leader.slot),
@@ -44,7 +44,7 @@
     };
     consts::OWNER_SILENCE
         + rank(p.id, g, silent) * consts::CLAIM_STAGGER
-        + below(luck, consts::CLAIM_JITTER)
+        + luck.below(consts::CLAIM_JITTER)
 }
 
 /// Time passes for a seat that does not own the part.
--- /dev/null
+++ b/crates/simulator/src/world/build.rs
@@ -0,0 +1,110 @@
+//! Building a world: its controllers, queriers and leafs, all just being started.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use grebepath_core::membership::node_agent as wat;
+use grebepath_core::protocol::message::Member;
+use grebepath_core::random::Random;
+use grebepath_core::time::{Tick, ms};
+
+use super::events::ScheduledEvent;
+use super::injected_faults::FaultInjection;
+use super::nodes::QuerierNode;
+use super::{BEGIN, THREADS, World};
+use crate::mock_backends::{MockBackends, ZONES};
+use crate::net::Net;
+use crate::rules::Rules;
+use crate::spec::Spec;
+
+/// How the core is set up.
+#[derive(Clone, Debug)]
+pub struct ControlPlaneSetup {
+    pub voter_slots: usize,
+    /// Machines that begin; those beyond `seats` are spares.
+    pub machines: usize,
+    /// Controllers are told their seats; else they find them.
+    pub slots_assigned: bool,
+    /// The machines that a start is told of.
+    pub seeds: Vec<usize>,
+}
+
+impl World {
+    /// A fleet that is just being started.
+    pub fn new(spec: &Spec, control_plane: ControlPlaneSetup, queriers: usize, seed: u64) -> Self {
+        let mut world = Self {
+            now: BEGIN,
+            queue: BTreeMap::new(),
+            next: 0,
+            random: Random::new(seed),
+            net: Net::default(),
+            controllers: Vec::new(),
+            control_plane,
+            opened_connections: BTreeSet::new(),
+            queriers: Vec::new(),
+            backends: MockBackends::new(spec, BEGIN),
+            call_kinds: spec.kinds.clone(),
+            factor: 1.0,
+            ready_queriers: Vec::new(),
+            runs: BTreeMap::new(),
+            runs_by_attempt: BTreeMap::new(),
+            connections: BTreeMap::new(),
+            calls: BTreeMap::new(),
+            operator_requests: Vec::new(),
+            rules: Rules::default(),
+            tallies: BTreeMap::new(),
+            faulty_variant: None,
+            faults: Vec::new(),
+            calls_end_at: Tick::MAX,
+            ignore_readiness: false,
+            acknowledged_at: BTreeMap::new(),
+            alarms: BTreeMap::new(),
+            lost_disks: 0,
+            injected: FaultInjection::default(),
+            events: 0,
+        };
+        for _ in 0..world.control_plane.machines {
+            world.add_controller(None);
+        }
+        for querier in 0..queriers {
+            let zone = ZONES[querier % ZONES.len()].to_string();
+            let name = format!("q{querier}");
+            let watch = wat::watch(member(&name, &zone, querier, 0), 1);
+            world.queriers.push(QuerierNode {
+                name,
+                zone,
+                life: 0,
+                up: false,
+                watch,
+                desks: Vec::new(),
+                wakes: Vec::new(),
+                began: 0,
+                ready: false,
+                paused: 0,
+                polling: false,
+            });
+            world.start_querier(querier);
+        }
+        world.push(ms(500), ScheduledEvent::ReadinessPoll);
+        world
+    }
+
+    /// The machine at an address.
+    pub(super) fn machine(&self, addr: &str) -> Option<usize> {
+        (0..self.controllers.len()).find(|controller| address(*controller) == addr)
+    }
+}
+
+/// The core of most scenarios: three machines that know their seats.
+pub fn three_voters() -> ControlPlaneSetup {
+    ControlPlaneSetup { voter_slots: 3, machines: 3, slots_assigned: true, seeds: vec![0, 1, 2] }
+}
+
+/// Where a controller's machine is reached.
+pub fn address(controller: usize) -> String {
+    format!("127.1.0.{}:8000", controller + 1)
+}
+
+pub(super) fn member(name: &str, zone: &str, querier: usize, incarnation: u64) -> Member {
+    let addr = format!("127.2.0.{}:9000", querier + 1);
+    Member { name: name.into(), addr, zone: zone.into(), threads: THREADS, joined: 0, incarnation }
+}
