--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -60,7 +60,7 @@
     let accepted = accepted.unwrap_or(0);
     if leader.obeyed_up_to != accepted {
         leader.obeyed_up_to = accepted;
-        crate::replication::leader::settle(&mut core.partitions[0], now, group, out);
+        core.partitions[0].complete_operations(now, group, out);
     }
 }
 
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -10,7 +10,7 @@
 use crate::identifiers::{PartitionId, Term, VoterSlot, partitions};
 use crate::protocol::message::{Message, Operation, ReplicaCondition};
 use crate::random::{Random, mix};
-use crate::replication::partition::{Partition, partition};
+use crate::replication::partition::Partition;
 use crate::storage::record::ReplicaState;
 use crate::storage::voter_file::VoterFile;
 use crate::time::Tick;
@@ -179,7 +179,7 @@
                     ReplicaState::default(),
                     0,
                 ));
-                partition(id, life, copy, len, now)
+                Partition::new(id, life, copy, len, now)
             })
             .collect();
         Self {
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -11,8 +11,7 @@
 use crate::control_plane::controller::Counts;
 use crate::identifiers::part_of;
 use crate::protocol::message::{LeafReport, MembershipId};
-use crate::replication::leader::change;
-use crate::replication::partition::{Partition, leader};
+use crate::replication::partition::Partition;
 use crate::snapshot::leafs::{LeafInfo, key, leafs_in};
 use crate::time::{MILLI, Tick, since};
 use crate::voter_set::VoterGroup;
@@ -33,7 +32,7 @@
 ) {
     let id = p.id;
     let known = leafs_in(&p.state.entries);
-    let Some(o) = leader(p) else { return };
+    let Some(o) = p.leader_mut() else { return };
     if !o.is_serving {
         return;
     }
@@ -79,7 +78,7 @@
     }
     o.absent_leafs.retain(|name, _| known.contains_key(name));
     if !entries.is_empty() {
-        change(p, now, g, entries, out);
+        p.propose(now, g, entries, out);
     }
 }
 
@@ -88,7 +87,7 @@
 /// an identity has surely reached: how old it was when this leader first saw
 /// it, and how long ago that was.
 pub fn grow(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
-    let Some(o) = leader(p) else { return };
+    let Some(o) = p.leader_mut() else { return };
     if !o.is_serving || now < o.ages_at {
         return;
     }
@@ -106,11 +105,11 @@
             entries.push(entry(&LeafInfo { age_ms: age, ..info }));
         }
     }
-    if let Some(o) = leader(p) {
+    if let Some(o) = p.leader_mut() {
         o.first_seen = seen;
     }
     if !entries.is_empty() {
-        change(p, now, g, entries, out);
+        p.propose(now, g, entries, out);
     }
 }
 
@@ -122,7 +121,7 @@
     words: Vec<LeafReport>,
     out: &mut Vec<Command>,
 ) {
-    if !leader(p).is_some_and(|o| o.is_serving) {
+    if !p.leader().is_some_and(|o| o.is_serving) {
         return;
     }
     let known = leafs_in(&p.state.entries);
@@ -141,6 +140,6 @@
         }
     }
     if !entries.is_empty() {
-        change(p, now, g, entries, out);
+        p.propose(now, g, entries, out);
     }
 }
--- a/crates/core/src/control_plane/feed.rs
+++ b/crates/core/src/control_plane/feed.rs
@@ -1,47 +1,11 @@
 //! What is committed, committed to followers as a numbered feed.
 
 use crate::command::{Command, ConnectionId};
-use crate::consts;
 use crate::control_plane::controller::ControllerState;
-use crate::control_plane::order_memory::{is_memory, without_memory};
 use crate::identifiers::{COHORT, PartitionId};
-use crate::protocol::message::{EntryMap, FeedPosition, Message};
+use crate::protocol::message::{FeedPosition, Message};
 use crate::replication::partition::Partition;
-use crate::storage::record::put;
-
-/// Shows everything up to the committed revision `done` that we have.
-pub fn show(p: &mut Partition, done: u64) {
-    if p.uncommitted_snapshot.as_ref().is_some_and(|(revision, _)| *revision <= done)
-        && let Some((revision, map)) = p.uncommitted_snapshot.take()
-        && revision > p.committed_revision
-    {
-        p.committed = map;
-        p.committed_revision = revision;
-    }
-    if p.uncommitted_snapshot.is_none() {
-        for (revision, entries) in &p.changes {
-            if *revision == p.committed_revision + 1 && *revision <= done {
-                put(&mut p.committed, entries);
-                p.committed_revision = *revision;
-            }
-        }
-    }
-    while p.changes.len() > consts::FEED_KEPT
-        && p.changes.front().is_some_and(|(revision, _)| *revision <= p.committed_revision)
-    {
-        p.changes.pop_front();
-    }
-}
-
-/// Takes over a copy whose way here is not known.
-pub fn reseed(p: &mut Partition, revision: u64, map: &EntryMap) {
-    // A leader that re-writes what we have already tells us nothing new.
-    if p.state.revision == revision && p.state.entries == *map {
-        return;
-    }
-    p.changes.clear();
-    p.uncommitted_snapshot = Some((revision, map.clone()));
-}
+use crate::replication::private_entries::{is_private, public_entries};
 
 /// The news that takes a follower from `place` to what is committed now.
 pub fn news(p: &Partition, place: u64) -> Option<Message> {
@@ -55,11 +19,11 @@
             .changes
             .iter()
             .filter(|(r, _)| *r > place && *r <= revision)
-            .flat_map(|(_, entries)| entries.iter().filter(|e| !is_memory(&e.0)).cloned())
+            .flat_map(|(_, entries)| entries.iter().filter(|e| !is_private(&e.0)).cloned())
             .collect();
         return Some(Message::Update { partition: p.id, from: Some(place), revision, entries });
     }
-    let entries = without_memory(&p.committed).into_iter().map(|(k, v)| (k, Some(v))).collect();
+    let entries = public_entries(&p.committed).into_iter().map(|(k, v)| (k, Some(v))).collect();
     Some(Message::Update { partition: p.id, from: None, revision, entries })
 }
 
@@ -117,7 +81,7 @@
         known.insert(place.partition, place.revision);
     }
     let stamp = core.seating.stamp;
-    let able = core.partitions.iter().filter(|p| crate::replication::partition::able(p));
+    let able = core.partitions.iter().filter(|p| p.can_vote());
     let mut places: Vec<FeedPosition> =
         able.map(|p| FeedPosition { partition: p.id, revision: p.state.revision }).collect();
     places.push(FeedPosition {
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -14,11 +14,7 @@
 use crate::control_plane::members;
 use crate::control_plane::members::Gone;
 use crate::protocol::message::{EntryMap, Member, OperationResult};
-use crate::replication::leader;
-use crate::replication::leader::change;
-use crate::replication::partition::OperationOrigin;
-use crate::replication::pending_operations;
-use crate::replication::pending_operations::PendingAnswer;
+use crate::replication::operations::{ChangeAcceptance, OperationOrigin, PendingAnswer};
 use crate::time::Tick;
 use crate::voters::voter_slots::here;
 
@@ -71,20 +67,21 @@
         Some(incarnation) if known != Some(incarnation) => {
             let entry = Forgotten { incarnation, revision: p.state.revision + 1 };
             let entries = changes(&p.state.entries, name, entry);
-            change(p, now, group, entries, out);
-            leader::wait(p, now, from, p.state.revision, false);
-            leader::settle(p, now, group, out);
+            p.propose(now, group, entries, out);
+            p.wait_for_change(now, from, p.state.revision, ChangeAcceptance::Committed);
+            p.complete_operations(now, group, out);
         }
         // It is forgotten already.
         None if known.is_none() || members::is_live(&core.members, now, name) => {
             let why = "no such member, or it still renews its tenure".to_string();
             let answer = PendingAnswer::Refusal(OperationResult::Rejected { why });
-            pending_operations::add(p, now, group, from, answer, out);
+            p.add_pending(now, group, from, answer, out);
         }
         _ => {
-            leader::wait_again(p, now, from, p.state.revision, false);
-            crate::replication::heartbeat_rounds::request(p, now, group, out);
-            leader::settle(p, now, group, out);
+            let revision = p.state.revision;
+            p.wait_for_repeated_change(now, from, revision, ChangeAcceptance::Committed);
+            p.request_round(now, group, out);
+            p.complete_operations(now, group, out);
         }
     }
 }
@@ -107,7 +104,7 @@
     };
     let (newest, committed) = (names(&p.state.entries), names(&p.committed));
     if newest {
-        change(p, now, group, vec![(key, None)], out);
+        p.propose(now, group, vec![(key, None)], out);
     }
     newest || committed
 }
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -132,7 +132,7 @@
 /// Whether a majority of the seats followed us a moment ago.
 fn is_followed(core: &ControllerState, now: Tick) -> bool {
     match &core.partitions[0].role {
-        Role::Leader(o) => crate::replication::leader::answering(o, here(core), now),
+        Role::Leader(o) => o.hears_majority(here(core), now),
         _ => false,
     }
 }
@@ -356,11 +356,7 @@
     begin_reign(core, now);
     for from in proved {
         let membership = core.members.membership.clone();
-        crate::replication::leader::tell(
-            from,
-            OperationResult::Status { membership, far: status(core, now) },
-            out,
-        );
+        from.respond(OperationResult::Status { membership, far: status(core, now) }, out);
     }
 }
 
--- a/crates/core/src/control_plane/mod.rs
+++ b/crates/core/src/control_plane/mod.rs
@@ -6,6 +6,7 @@
 pub mod endpoints;
 pub mod feed;
 pub mod forgotten_members;
+pub mod leadership_transfer;
 pub mod members;
 pub mod membership_log;
 pub mod operation_forwarding;
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -16,8 +16,8 @@
 use crate::control_plane::operations::{Request, at_owner};
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Message, Operation, OperationResult};
-use crate::replication::leader::tell;
-use crate::replication::partition::{OperationOrigin, Role};
+use crate::replication::operations::OperationOrigin;
+use crate::replication::partition::Role;
 use crate::time::Tick;
 use crate::voter_set::{NOBODY, others};
 use crate::voters::handover;
@@ -159,7 +159,7 @@
         at_owner(core, now, from, request, out);
     } else {
         let why = "the seat it was handed to does not own the configuration".to_string();
-        tell(from, OperationResult::Rejected { why }, out);
+        from.respond(OperationResult::Rejected { why }, out);
     }
 }
 
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -11,11 +11,9 @@
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
 use crate::diagnostic::Diagnostic;
 use crate::protocol::message::{EntryMap, Operation, OperationResult};
-use crate::replication::leader;
-use crate::replication::leader::{change, tell};
-use crate::replication::partition::{OperationOrigin, Partition};
-use crate::replication::pending_operations;
-use crate::replication::pending_operations::PendingAnswer;
+use crate::replication::leader::Leader;
+use crate::replication::operations::{ChangeAcceptance, OperationOrigin, PendingAnswer};
+use crate::replication::partition::Partition;
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 use crate::voters::voter_slots::here;
@@ -37,18 +35,14 @@
     out: &mut Vec<Command>,
 ) {
     let group = here(core);
-    if crate::replication::partition::leader(&mut core.partitions[0])
-        .is_none_or(|o| pending_operations::full(o))
-    {
+    if core.partitions[0].leader().is_none_or(Leader::is_full) {
         let why = "too many requests wait at the leader".to_string();
-        return tell(from, OperationResult::Rejected { why }, out);
+        return from.respond(OperationResult::Rejected { why }, out);
     }
     let p = &mut core.partitions[0];
     match &request.deed {
-        Operation::Read => pending_operations::add(p, now, group, from, PendingAnswer::Read, out),
-        Operation::Status => {
-            pending_operations::add(p, now, group, from, PendingAnswer::Status, out)
-        }
+        Operation::Read => p.add_pending(now, group, from, PendingAnswer::Read, out),
+        Operation::Status => p.add_pending(now, group, from, PendingAnswer::Status, out),
         Operation::ForgetMember(name) => {
             crate::control_plane::forgotten_members::forget(core, now, from, name, out)
         }
@@ -74,17 +68,17 @@
 ) {
     match judged {
         Judged::Refused(done) => {
-            pending_operations::add(p, now, g, from, PendingAnswer::Refusal(done), out);
+            p.add_pending(now, g, from, PendingAnswer::Refusal(done), out);
         }
         Judged::Made { revision } => {
-            leader::wait_again(p, now, from, revision, true);
-            crate::replication::heartbeat_rounds::request(p, now, g, out);
-            leader::settle(p, now, g, out);
+            p.wait_for_repeated_change(now, from, revision, ChangeAcceptance::Obeyed);
+            p.request_round(now, g, out);
+            p.complete_operations(now, g, out);
         }
         Judged::Change(entries) => {
-            change(p, now, g, entries, out);
-            leader::wait(p, now, from, p.state.revision, true);
-            leader::settle(p, now, g, out);
+            p.propose(now, g, entries, out);
+            p.wait_for_change(now, from, p.state.revision, ChangeAcceptance::Obeyed);
+            p.complete_operations(now, g, out);
         }
     }
 }
--- a/crates/core/src/control_plane/order_memory/legacy.rs
+++ b/crates/core/src/control_plane/order_memory/legacy.rs
@@ -9,20 +9,14 @@
     Fingerprint, Horizon, Recall, fingerprint_of_digest,
 };
 use crate::protocol::message::EntryMap;
+use crate::replication::private_entries::OLDER_ORDER_PREFIX as PREFIX;
 
-/// Prefix of the entries.
-const PREFIX: &str = "request/";
 /// Entries that were kept (count): with so many, older ones may have been
 /// forgotten.
 const KEPT: usize = 512;
 /// Hex digits of the digest of a text.
 const DIGEST_DIGITS: usize = 32;
 
-/// Whether an entry is of this form.
-pub fn is_memory(key: &str) -> bool {
-    key.starts_with(PREFIX)
-}
-
 /// Whether there is anything to carry over.
 pub fn present(map: &EntryMap) -> bool {
     with_prefix(map, PREFIX).next().is_some()
--- a/crates/core/src/control_plane/order_memory/mod.rs
+++ b/crates/core/src/control_plane/order_memory/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::config::change::{Entry, edition};
 use crate::protocol::message::EntryMap;
-use record::{BUCKETS, NUMBER_BYTES, PREFIX, Record, bucket, bucket_key, number, record_bytes};
+use record::{BUCKETS, NUMBER_BYTES, Record, bucket, bucket_key, number, record_bytes};
 pub use record::{Fingerprint, Horizon, OrderBase, Recall, fingerprint};
 
 /// Orders that are remembered at least (count): two days of 7,200 changes
@@ -98,17 +98,6 @@
     entries
 }
 
-/// Whether an entry of the map belongs to the memory. Only replicas need it.
-pub fn is_memory(key: &str) -> bool {
-    key.starts_with(PREFIX) || legacy::is_memory(key)
-}
-
-/// The map without the memory, as it is given to queriers and operators.
-pub fn without_memory(map: &EntryMap) -> EntryMap {
-    let rest = map.iter().filter(|(key, _)| !is_memory(key));
-    rest.map(|(key, value)| (key.clone(), value.clone())).collect()
-}
-
 /// Takes the orders of the older form into `buckets` and removes their
 /// entries; gives the marks that hold from then on.
 fn carry_over(
--- a/crates/core/src/control_plane/order_memory/record.rs
+++ b/crates/core/src/control_plane/order_memory/record.rs
@@ -3,9 +3,8 @@
 
 use crate::digest::digest_bytes;
 use crate::protocol::message::EntryMap;
+use crate::replication::private_entries::ORDER_PREFIX;
 
-/// Prefix of all keys of the memory.
-pub(super) const PREFIX: &str = "order/";
 /// Buckets (count). A full memory has four records in each: an accepted order
 /// rewrites some 100 bytes, and the keys stay a fifth of the whole.
 pub(super) const BUCKETS: u64 = 4_096;
@@ -96,7 +95,7 @@
 }
 
 pub(super) fn bucket_key(number: u16) -> String {
-    format!("{PREFIX}{number:03x}")
+    format!("{ORDER_PREFIX}{number:03x}")
 }
 
 /// The records of a bucket, in the order in which they were accepted.
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -7,13 +7,11 @@
 use crate::control_plane::{
     acceptance, endpoints, feed, forgotten_members, members, membership_log, operation_forwarding,
 };
-use crate::identifiers::{COHORT, PartitionId, Position, VoterSlot};
+use crate::identifiers::{COHORT, PartitionId, VoterSlot};
 use crate::protocol::message::{Message, ReplicaCondition};
-use crate::replication::partition::{
-    AfterWrite, OperationOrigin, ReplicaStatus, Role, Sender, able,
-};
-use crate::replication::{catch_up, election, leader, replica};
-use crate::storage::record::{LogRecord, ReplicaState};
+use crate::replication::messages::partition_of;
+use crate::replication::operations::OperationOrigin;
+use crate::replication::partition::{Role, Sender};
 use crate::time::{Tick, ms};
 use crate::voter_set::NOBODY;
 use crate::voters::handover;
@@ -55,7 +53,7 @@
             Event::DiskFailed { partition, why } => {
                 let p = &mut self.partitions[partition.0 as usize];
                 p.writes.clear();
-                replica::step_back(p, now, why, &mut out);
+                p.on_disk_failed(now, why, &mut out);
             }
             Event::Scrubbed { partition, trouble: Some(why) } => {
                 rotted(self, now, partition, &why, &mut out)
@@ -106,15 +104,20 @@
     let g = here(core);
     for p in core.partitions.iter_mut().filter(|_| core.slot != NOBODY) {
         if p.disk_failure.is_some() {
-            mend(p, now, out);
-        } else if replica::stalled(p, now) {
-            replica::step_back(p, now, "the disk stalls".into(), out);
+            p.retry_disk(now, out);
+        } else if p.is_disk_stalled(now) {
+            p.on_disk_failed(now, "the disk stalls".into(), out);
         }
-        catch_up::wake(p, now, g, &mut core.luck, out);
+        p.wake_catch_up(now, g, &mut core.luck, out);
         let was = matches!(p.role, Role::Candidate(_));
         match &p.role {
-            Role::Leader(_) => leader::wake(p, now, g, out),
-            _ => election::wake(p, now, g, &mut core.luck, out),
+            Role::Leader(_) => {
+                p.wake_leader(now, g, out);
+                endpoints::grow(p, now, g, out);
+                p.request_round(now, g, out);
+                p.complete_operations(now, g, out);
+            }
+            _ => p.wake_election(now, g, &mut core.luck, out),
         }
         core.counts.claims += u64::from(!was && matches!(p.role, Role::Candidate(_)));
     }
@@ -122,7 +125,7 @@
         core.look_at = now + consts::ROT_LOOK;
         let p = &core.partitions[core.look_next];
         core.look_next = (core.look_next + 1) % core.partitions.len();
-        if able(p) {
+        if p.can_vote() {
             out.push(Command::Scrub { partition: p.id });
         }
     }
@@ -141,18 +144,10 @@
     out: &mut Vec<Command>,
 ) {
     let p = &mut core.partitions[partition.0 as usize];
-    if able(p) {
+    if p.can_vote() {
         core.counts.rotted += 1;
         out.push(Command::Alarm(format!("part {partition}: its files have rotted: {why}")));
-        replica::keep_whole(p, now, Vec::new(), out);
-    }
-}
-
-/// A seat that stepped back tries its disk again by writing a whole slot.
-fn mend(p: &mut crate::replication::partition::Partition, now: Tick, out: &mut Vec<Command>) {
-    if p.condition == ReplicaCondition::Voting && p.writes.is_empty() && now >= p.disk_retry_at {
-        p.disk_retry_at = now + consts::DISK_STALL;
-        replica::keep_whole(p, now, Vec::new(), out);
+        p.persist_snapshot(now, Vec::new(), out);
     }
 }
 
@@ -165,31 +160,7 @@
 ) {
     let g = here(core);
     let p = &mut core.partitions[partition.0 as usize];
-    while p.writes.front().is_some_and(|w| w.token <= token) {
-        let Some(write) = p.writes.pop_front() else { break };
-        p.synced_at = now;
-        for after in write.after {
-            match after {
-                AfterWrite::Send(to, message) => out.push(Command::ToVoter { slot: to, message }),
-                AfterWrite::OwnAppendSynced { term, revision } => leader::append_acked(
-                    p,
-                    now,
-                    Sender { group: g, slot: g.slot },
-                    term,
-                    revision,
-                    out,
-                ),
-                AfterWrite::OwnVoteSynced { term } => {
-                    election::own_vote_synced(p, now, g, term, out)
-                }
-                AfterWrite::StartVoting => catch_up::formed(p, now, out),
-            }
-        }
-    }
-    if p.writes.is_empty() && p.disk_failure.is_some() {
-        p.disk_failure = None;
-        replica::follow(p, now, None);
-        out.push(Command::Alarm(format!("part {partition}: the disk works again")));
+    if p.on_synced(now, g, token, out) {
         core.counts.mended += 1;
     }
 }
@@ -245,98 +216,11 @@
     out: &mut Vec<Command>,
 ) {
     let g = here(core);
-    if let Some(id) = part_named(&message) {
-        let sender = Sender { group: g, slot: from };
+    if let Some(id) = partition_of(&message) {
         let Some(p) = core.partitions.get_mut(id.0 as usize) else { return };
         let owned = matches!(p.role, Role::Leader(_));
-        match message {
-            Message::StatusRequest { nonce, .. } => catch_up::stand(p, from, nonce, out),
-            Message::ReplicaStatus {
-                nonce,
-                condition: life,
-                current_term: promised,
-                written_term: term,
-                revision,
-                ..
-            } => {
-                let s = ReplicaStatus {
-                    condition: life,
-                    current_term: promised,
-                    written_term: term,
-                    revision,
-                };
-                catch_up::stood(p, now, sender, nonce, s, out);
-            }
-            Message::FetchReplica { nonce, .. } => catch_up::give(p, from, nonce, out),
-            Message::ReplicaFetched {
-                nonce,
-                current_term: promised,
-                written_term: term,
-                revision,
-                entries: map,
-                ..
-            } if able(p) => {
-                let _ = promised;
-                election::fetched(p, now, sender, nonce, Position { term, revision }, map, out);
-            }
-            Message::ReplicaFetched {
-                nonce,
-                current_term: promised,
-                written_term: term,
-                revision,
-                entries: map,
-                ..
-            } => {
-                let theirs = ReplicaState {
-                    current_term: promised,
-                    written_term: term,
-                    revision,
-                    entries: map,
-                };
-                catch_up::fetched(p, now, from, nonce, theirs, out);
-            }
-            Message::PreVoteRequest { term, .. } => replica::pre_vote(p, now, from, term, out),
-            Message::PreVoteResponse { term, granted: yes, current_term: promised, .. } => {
-                election::pre_vote_answered(p, now, sender, term, (yes, promised), out);
-            }
-            Message::VoteRequest { term, .. } => replica::vote(p, now, from, term, out),
-            Message::VoteGranted { term, written_term: at_term, revision, .. } => {
-                election::vote_granted(
-                    p,
-                    now,
-                    sender,
-                    term,
-                    Position { term: at_term, revision },
-                    out,
-                );
-            }
-            Message::LeadershipTransfer { term, .. } => {
-                election::transferred(p, now, g, from, term, out);
-            }
-            Message::VoteRejected { term, current_term: promised, .. } => {
-                election::vote_rejected(p, now, g, term, promised, out);
-            }
-            Message::Snapshot { term, revision, entries: map, .. } => {
-                replica::snapshot(p, now, from, Position { term, revision }, map, out);
-            }
-            Message::Append { term, revision, entries, .. } => {
-                replica::append(p, now, from, LogRecord::Change { term, revision, entries }, out);
-            }
-            Message::AppendAck { term, revision, .. } => {
-                leader::append_acked(p, now, sender, term, revision, out)
-            }
-            Message::SnapshotRequest { term, .. } => {
-                core.counts.swept += 1;
-                leader::snapshot_requested(p, now, from, term, out);
-            }
-            Message::Heartbeat { term, round, committed: done, checksum: sum, .. } => {
-                replica::heartbeat(p, now, from, (term, round), (done, sum), out);
-            }
-            Message::HeartbeatAck { term, round, revision, synced: kept, .. } => {
-                leader::heartbeat_acked(p, now, sender, (term, round), (revision, kept), out);
-            }
-            _ => {}
-        }
+        core.counts.swept += u64::from(matches!(message, Message::SnapshotRequest { .. }));
+        p.on_message(now, Sender { group: g, slot: from }, message, out);
         let owns = matches!(p.role, Role::Leader(_));
         core.counts.owned += u64::from(!owned && owns);
         core.counts.resigned += u64::from(owned && !owns);
@@ -373,28 +257,6 @@
     }
 }
 
-fn part_named(message: &Message) -> Option<PartitionId> {
-    Some(match message {
-        Message::StatusRequest { partition, .. }
-        | Message::ReplicaStatus { partition, .. }
-        | Message::FetchReplica { partition, .. }
-        | Message::ReplicaFetched { partition, .. }
-        | Message::PreVoteRequest { partition, .. }
-        | Message::PreVoteResponse { partition, .. }
-        | Message::VoteRequest { partition, .. }
-        | Message::VoteGranted { partition, .. }
-        | Message::VoteRejected { partition, .. }
-        | Message::LeadershipTransfer { partition, .. }
-        | Message::Snapshot { partition, .. }
-        | Message::Append { partition, .. }
-        | Message::AppendAck { partition, .. }
-        | Message::SnapshotRequest { partition, .. }
-        | Message::Heartbeat { partition, .. }
-        | Message::HeartbeatAck { partition, .. } => *partition,
-        _ => return None,
-    })
-}
-
 fn from_wire(
     core: &mut ControllerState,
     now: Tick,
--- /dev/null
+++ b/crates/core/src/replication/commit.rs
@@ -0,0 +1,48 @@
+//! What is committed of a partition, as far as this replica has it.
+
+use crate::consts;
+use crate::protocol::message::EntryMap;
+use crate::replication::partition::Partition;
+use crate::storage::record::put;
+
+impl Partition {
+    /// Commits everything that we have up to `revision`, which a majority has synced.
+    pub fn commit_up_to(&mut self, revision: u64) {
+        self.commit_snapshot(revision);
+        if self.uncommitted_snapshot.is_none() {
+            for (number, entries) in &self.changes {
+                if *number == self.committed_revision + 1 && *number <= revision {
+                    put(&mut self.committed, entries);
+                    self.committed_revision = *number;
+                }
+            }
+        }
+        let committed = self.committed_revision;
+        while self.changes.len() > consts::FEED_KEPT
+            && self.changes.front().is_some_and(|(number, _)| *number <= committed)
+        {
+            self.changes.pop_front();
+        }
+    }
+
+    fn commit_snapshot(&mut self, revision: u64) {
+        let is_due = |(number, _): &mut (u64, EntryMap)| *number <= revision;
+        if let Some((number, entries)) = self.uncommitted_snapshot.take_if(is_due)
+            && number > self.committed_revision
+        {
+            self.committed = entries;
+            self.committed_revision = number;
+        }
+    }
+
+    /// A whole state is about to replace ours, and the changes that led to it are not
+    /// known: none of it counts as committed until the leader says so.
+    pub fn restart_changes(&mut self, revision: u64, entries: &EntryMap) {
+        // A leader that re-writes what we have already tells us nothing new.
+        if self.state.revision == revision && self.state.entries == *entries {
+            return;
+        }
+        self.changes.clear();
+        self.uncommitted_snapshot = Some((revision, entries.clone()));
+    }
+}
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -1,302 +1,317 @@
-//! How a seat comes to own a part: sound, promise, gather grants, adopt the
-//! newest copy, re-write it under the new term, then serve.
+//! How a voter comes to lead a partition: it asks whether it would be voted for, votes
+//! for itself, gathers votes, adopts the newest replica, re-writes it under the new term,
+//! then serves.
 
 use crate::command::Command;
 use crate::consts;
-use crate::control_plane::controller::ControllerState;
 use crate::digest::{hash, pair};
 use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
 use crate::random::Random;
-use crate::replication::leader;
-use crate::replication::partition::{
-    AfterWrite, Candidacy, KnownLeader, Partition, Role, Sender, able,
-};
-use crate::replication::replica::{follow, keep, keep_whole};
+use crate::replication::leader::Leader;
+use crate::replication::partition::{AfterWrite, Candidacy, KnownLeader, Partition, Role, Sender};
 use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::time::{Span, Tick, since};
 use crate::voter_set::{VoterGroup, majority, others};
-use crate::voters::voter_slots::here;
 
-/// A seat's rank for a part among those that may lead it: 0 claims first.
-/// Spreads the leaders. The leader that fell silent is not waited for.
-pub fn rank(id: PartitionId, g: VoterGroup, silent: Option<VoterSlot>) -> u64 {
-    let thing = hash(&id.to_string());
-    let mine = pair(thing, u64::from(g.slot));
-    let before = |s: &VoterSlot| Some(*s) != silent && pair(thing, u64::from(*s)) < mine;
-    others(g).filter(before).count() as u64
+/// A voter's rank for a partition among those that may lead it: 0 stands first. Spreads
+/// the leaders. The leader that fell silent is not waited for.
+fn rank(id: PartitionId, group: VoterGroup, silent: Option<VoterSlot>) -> u64 {
+    let partition = hash(&id.to_string());
+    let ours = pair(partition, u64::from(group.slot));
+    let stands_before =
+        |slot: &VoterSlot| Some(*slot) != silent && pair(partition, u64::from(*slot)) < ours;
+    others(group).filter(stands_before).count() as u64
 }
 
-/// How long this seat lets a part be without a leader before it sounds.
-///
-/// A seat that has just started has nobody to wait for: a part with a leader is
-/// not taken from it, since the others who hear that leader say no to a
-/// pre-vote. So it asks soon, and all that restart together are served soon.
-fn patience(p: &Partition, g: VoterGroup, luck: &mut Random) -> Span {
-    if p.unled_since_start {
-        return consts::OWNER_BOOT
-            + rank(p.id, g, None) * consts::CLAIM_BOOT_STAGGER
-            + luck.below(consts::CLAIM_BOOT_STAGGER / 2);
+impl Partition {
+    /// How long this voter lets a partition be without a leader before it asks for
+    /// pre-votes.
+    ///
+    /// A voter that has just started has nobody to wait for: a partition with a leader
+    /// is not taken from it, since the others who hear that leader say no to a
+    /// pre-vote. So it asks soon, and all that restart together are served soon.
+    fn election_timeout(&self, group: VoterGroup, random: &mut Random) -> Span {
+        if self.unled_since_start {
+            return consts::OWNER_BOOT
+                + rank(self.id, group, None) * consts::CLAIM_BOOT_STAGGER
+                + random.below(consts::CLAIM_BOOT_STAGGER / 2);
+        }
+        let silent = match &self.role {
+            Role::Follower { leader: Some(leader), .. } => Some(leader.slot),
+            _ => None,
+        };
+        consts::OWNER_SILENCE
+            + rank(self.id, group, silent) * consts::CLAIM_STAGGER
+            + random.below(consts::CLAIM_JITTER)
     }
-    let silent = match &p.role {
-        Role::Follower { leader: Some(leader), .. } => Some(leader.slot),
-        _ => None,
-    };
-    consts::OWNER_SILENCE
-        + rank(p.id, g, silent) * consts::CLAIM_STAGGER
-        + luck.below(consts::CLAIM_JITTER)
-}
 
-/// Time passes for a seat that does not own the part.
-pub fn wake(
-    p: &mut Partition,
-    now: Tick,
-    g: VoterGroup,
-    luck: &mut Random,
-    out: &mut Vec<Command>,
-) {
-    if !able(p) {
-        return;
-    }
-    match &p.role {
-        Role::Follower { last_heard: heard, .. } if since(*heard, now) >= patience(p, g, luck) => {
-            let term = p.state.current_term.next_of(g.slot);
-            start_pre_vote(p, now, g, term, out);
+    /// Time passes for a voter that does not lead the partition.
+    pub fn wake_election(
+        &mut self,
+        now: Tick,
+        group: VoterGroup,
+        random: &mut Random,
+        commands: &mut Vec<Command>,
+    ) {
+        if !self.can_vote() {
+            return;
         }
-        Role::PreVoting { until, .. } if now >= *until => {
-            follow(p, now, None);
-        }
-        Role::Candidate(c) if now >= c.until => {
-            follow(p, now, None);
+        match &self.role {
+            Role::Follower { last_heard, .. }
+                if since(*last_heard, now) >= self.election_timeout(group, random) =>
+            {
+                let term = self.state.current_term.next_of(group.slot);
+                self.start_pre_vote(now, group, term, commands);
+            }
+            Role::PreVoting { until, .. } if now >= *until => {
+                self.become_follower(now, None);
+            }
+            Role::Candidate(candidacy) if now >= candidacy.until => {
+                self.become_follower(now, None);
+            }
+            _ => {}
         }
-        _ => {}
     }
-}
 
-/// Asks the others whether they would grant.
-fn start_pre_vote(p: &mut Partition, now: Tick, g: VoterGroup, term: Term, out: &mut Vec<Command>) {
-    let mut yes = vec![false; g.size];
-    yes[usize::from(g.slot)] = true;
-    p.role = Role::PreVoting { term, granted: yes, until: now + consts::CLAIM_PATIENCE };
-    for to in others(g) {
-        out.push(Command::ToVoter {
-            slot: to,
-            message: Message::PreVoteRequest { partition: p.id, term },
-        });
-    }
-    if majority(g.size) == 1 {
-        start_election(p, now, g, term, out);
-    }
-}
-
-/// An answer to a pre-vote.
-pub fn pre_vote_answered(
-    p: &mut Partition,
-    now: Tick,
-    from: Sender,
-    term: Term,
-    (yes, promised): (bool, Term),
-    out: &mut Vec<Command>,
-) {
-    let Role::PreVoting { term: ours, granted: all, .. } = &mut p.role else { return };
-    if *ours != term {
-        return;
-    }
-    if promised >= term {
-        // Somebody is further than we knew; sound again above that.
-        let term = promised.next_of(from.group.slot);
-        return start_pre_vote(p, now, from.group, term, out);
-    }
-    all[usize::from(from.slot)] = yes;
-    if all.iter().filter(|y| **y).count() >= majority(from.group.size) {
-        start_election(p, now, from.group, term, out);
+    /// Asks the others whether they would vote for us.
+    fn start_pre_vote(
+        &mut self,
+        now: Tick,
+        group: VoterGroup,
+        term: Term,
+        commands: &mut Vec<Command>,
+    ) {
+        let mut granted = vec![false; group.size];
+        granted[usize::from(group.slot)] = true;
+        self.role = Role::PreVoting { term, granted, until: now + consts::CLAIM_PATIENCE };
+        for slot in others(group) {
+            let message = Message::PreVoteRequest { partition: self.id, term };
+            commands.push(Command::ToVoter { slot, message });
+        }
+        if majority(group.size) == 1 {
+            self.start_election(now, group, term, commands);
+        }
     }
-}
 
-/// Promises to ourselves first; the others are asked once that is synced.
-pub fn start_election(
-    p: &mut Partition,
-    now: Tick,
-    g: VoterGroup,
-    term: Term,
-    out: &mut Vec<Command>,
-) {
-    if term <= p.state.current_term || !able(p) {
-        follow(p, now, None);
-        return;
+    /// An answer to a pre-vote: whether it was granted, and the sender's term.
+    pub fn on_pre_vote_response(
+        &mut self,
+        now: Tick,
+        from: Sender,
+        asked: Term,
+        granted: bool,
+        current_term: Term,
+        commands: &mut Vec<Command>,
+    ) {
+        let Role::PreVoting { term, granted: all, .. } = &mut self.role else { return };
+        if *term != asked {
+            return;
+        }
+        if current_term >= asked {
+            // Somebody is further than we knew; ask again above that.
+            let term = current_term.next_of(from.group.slot);
+            return self.start_pre_vote(now, from.group, term, commands);
+        }
+        all[usize::from(from.slot)] = granted;
+        if all.iter().filter(|granted| **granted).count() >= majority(from.group.size) {
+            self.start_election(now, from.group, asked, commands);
+        }
     }
-    apply(&mut p.state, &LogRecord::Vote { term });
-    p.role = Role::Candidate(Candidacy {
-        term,
-        grants: vec![None; g.size],
-        fetching_from: None,
-        until: now + consts::CLAIM_PATIENCE,
-    });
-    keep(p, now, LogRecord::Vote { term }, vec![AfterWrite::OwnVoteSynced { term }], out);
-}
 
-/// Our own promise is synced: ask the others.
-pub fn own_vote_synced(
-    p: &mut Partition,
-    now: Tick,
-    g: VoterGroup,
-    term: Term,
-    out: &mut Vec<Command>,
-) {
-    let here = p.state.position();
-    let Role::Candidate(c) = &mut p.role else { return };
-    if c.term != term {
-        return;
-    }
-    c.grants[usize::from(g.slot)] = Some(here);
-    for to in others(g) {
-        out.push(Command::ToVoter {
-            slot: to,
-            message: Message::VoteRequest { partition: p.id, term },
+    /// Votes for ourselves first; the others are asked once that is synced.
+    fn start_election(
+        &mut self,
+        now: Tick,
+        group: VoterGroup,
+        term: Term,
+        commands: &mut Vec<Command>,
+    ) {
+        if term <= self.state.current_term || !self.can_vote() {
+            self.become_follower(now, None);
+            return;
+        }
+        apply(&mut self.state, &LogRecord::Vote { term });
+        self.role = Role::Candidate(Candidacy {
+            term,
+            grants: vec![None; group.size],
+            fetching_from: None,
+            until: now + consts::CLAIM_PATIENCE,
         });
+        let after = vec![AfterWrite::OwnVoteSynced { term }];
+        self.persist_record(now, LogRecord::Vote { term }, after, commands);
     }
-    gathered(p, now, g, term, out);
-}
 
-/// A seat voted for us, with the place of its copy.
-pub fn vote_granted(
-    p: &mut Partition,
-    now: Tick,
-    from: Sender,
-    term: Term,
-    at: Position,
-    out: &mut Vec<Command>,
-) {
-    let Role::Candidate(c) = &mut p.role else { return };
-    if c.term != term || c.fetching_from.is_some() {
-        return;
+    /// Our own vote is synced: ask the others.
+    pub fn on_own_vote_synced(
+        &mut self,
+        now: Tick,
+        group: VoterGroup,
+        term: Term,
+        commands: &mut Vec<Command>,
+    ) {
+        let position = self.state.position();
+        let Role::Candidate(candidacy) = &mut self.role else { return };
+        if candidacy.term != term {
+            return;
+        }
+        candidacy.grants[usize::from(group.slot)] = Some(position);
+        for slot in others(group) {
+            let message = Message::VoteRequest { partition: self.id, term };
+            commands.push(Command::ToVoter { slot, message });
+        }
+        self.count_votes(now, group, term, commands);
     }
-    c.grants[usize::from(from.slot)] = Some(at);
-    gathered(p, now, from.group, term, out);
-}
 
-/// Goes on once a majority has granted.
-fn gathered(p: &mut Partition, now: Tick, g: VoterGroup, term: Term, out: &mut Vec<Command>) {
-    let Role::Candidate(c) = &mut p.role else { return };
-    let list: Vec<(VoterSlot, Position)> =
-        c.grants.iter().enumerate().filter_map(|(s, g)| g.map(|g| (s as VoterSlot, g))).collect();
-    if list.len() < majority(g.size) {
-        return;
-    }
-    let own = p.state.position();
-    match list.iter().max_by_key(|(_, at)| *at) {
-        Some((best, at)) if *at > own && *best != g.slot => {
-            c.fetching_from = Some(*best);
-            c.until = now + consts::CLAIM_PATIENCE;
-            let message = Message::FetchReplica { partition: p.id, nonce: term.as_u64() };
-            out.push(Command::ToVoter { slot: *best, message });
+    /// A voter voted for us, and says how new its replica is.
+    pub fn on_vote_granted(
+        &mut self,
+        now: Tick,
+        from: Sender,
+        term: Term,
+        position: Position,
+        commands: &mut Vec<Command>,
+    ) {
+        let Role::Candidate(candidacy) = &mut self.role else { return };
+        if candidacy.term != term || candidacy.fetching_from.is_some() {
+            return;
         }
-        _ => adopt(p, now, g, term, out),
+        candidacy.grants[usize::from(from.slot)] = Some(position);
+        self.count_votes(now, from.group, term, commands);
     }
-}
 
-/// The newest copy has come.
-pub fn fetched(
-    p: &mut Partition,
-    now: Tick,
-    from: Sender,
-    nonce: u64,
-    at: Position,
-    map: EntryMap,
-    out: &mut Vec<Command>,
-) {
-    let Role::Candidate(c) = &p.role else { return };
-    let (term, known) = (c.term, c.grants[usize::from(from.slot)]);
-    if term.as_u64() != nonce || c.fetching_from != Some(from.slot) || known.is_none_or(|k| at < k)
-    {
-        return;
+    /// Goes on once a majority has voted for us.
+    fn count_votes(
+        &mut self,
+        now: Tick,
+        group: VoterGroup,
+        term: Term,
+        commands: &mut Vec<Command>,
+    ) {
+        let own = self.state.position();
+        let Role::Candidate(candidacy) = &mut self.role else { return };
+        let granted = |(slot, position): (usize, &Option<Position>)| {
+            position.map(|position| (slot as VoterSlot, position))
+        };
+        let votes: Vec<(VoterSlot, Position)> =
+            candidacy.grants.iter().enumerate().filter_map(granted).collect();
+        if votes.len() < majority(group.size) {
+            return;
+        }
+        match votes.iter().max_by_key(|(_, position)| *position) {
+            Some((slot, position)) if *position > own && *slot != group.slot => {
+                candidacy.fetching_from = Some(*slot);
+                candidacy.until = now + consts::CLAIM_PATIENCE;
+                let message = Message::FetchReplica { partition: self.id, nonce: term.as_u64() };
+                commands.push(Command::ToVoter { slot: *slot, message });
+            }
+            _ => self.lead(now, group, term, commands),
+        }
     }
-    if at.term > term {
-        // Somebody with a higher term wrote there meanwhile.
-        follow(p, now, None);
-        return;
+
+    /// The newest replica has come.
+    pub fn on_newest_fetched(
+        &mut self,
+        now: Tick,
+        from: Sender,
+        nonce: u64,
+        position: Position,
+        entries: EntryMap,
+        commands: &mut Vec<Command>,
+    ) {
+        let Role::Candidate(candidacy) = &self.role else { return };
+        let (term, promised) = (candidacy.term, candidacy.grants[usize::from(from.slot)]);
+        let is_expected = term.as_u64() == nonce && candidacy.fetching_from == Some(from.slot);
+        if !is_expected || promised.is_none_or(|promised| position < promised) {
+            return;
+        }
+        if position.term > term {
+            // Somebody with a higher term wrote there meanwhile.
+            self.become_follower(now, None);
+            return;
+        }
+        let Position { term: written_term, revision } = position;
+        let current_term = self.state.current_term;
+        self.restart_changes(revision, &entries);
+        self.state = ReplicaState { current_term, written_term, revision, entries };
+        self.lead(now, from.group, term, commands);
     }
-    let promised = p.state.current_term;
-    crate::control_plane::feed::reseed(p, at.revision, &map);
-    p.state = ReplicaState {
-        current_term: promised,
-        written_term: at.term,
-        revision: at.revision,
-        entries: map,
-    };
-    adopt(p, now, from.group, term, out);
-}
 
-/// Re-writes the adopted copy under our term. We serve once a majority,
-/// ourselves or not, has synced that.
-fn adopt(p: &mut Partition, now: Tick, g: VoterGroup, term: Term, out: &mut Vec<Command>) {
-    p.state.written_term = term;
-    let revision = p.state.revision;
-    p.role = Role::Leader(Box::new(leader::fresh(g, term, now)));
-    keep_whole(p, now, vec![AfterWrite::OwnAppendSynced { term, revision }], out);
-}
+    /// Re-writes the adopted state under our term. We serve once a majority, ourselves
+    /// or not, has synced that.
+    fn lead(&mut self, now: Tick, group: VoterGroup, term: Term, commands: &mut Vec<Command>) {
+        self.state.written_term = term;
+        let revision = self.state.revision;
+        self.role = Role::Leader(Box::new(Leader::new(group, term, now)));
+        let after = vec![AfterWrite::OwnAppendSynced { term, revision }];
+        self.persist_snapshot(now, after, commands);
+    }
 
-/// A denial: a higher term was promised somewhere.
-pub fn vote_rejected(
-    p: &mut Partition,
-    now: Tick,
-    g: VoterGroup,
-    term: Term,
-    promised: Term,
-    out: &mut Vec<Command>,
-) {
-    match &p.role {
-        Role::Candidate(c) if c.term == term => {
-            follow(p, now, None);
-        }
-        // A seat promised a term in which nobody came to lead. It would refuse us
-        // for ever; if most still follow us we stand for election again above it.
-        Role::Leader(o) if o.term == term => {
-            let live = leader::answering(o, g, now);
-            crate::replication::replica::resign(p, now, None, out);
-            if live {
-                start_election(p, now, g, promised.max(p.state.current_term).next_of(g.slot), out);
+    /// A vote or a message of ours was rejected: the sender has voted in a higher term.
+    pub fn on_vote_rejected(
+        &mut self,
+        now: Tick,
+        group: VoterGroup,
+        term: Term,
+        current_term: Term,
+        commands: &mut Vec<Command>,
+    ) {
+        match &self.role {
+            Role::Candidate(candidacy) if candidacy.term == term => {
+                self.become_follower(now, None);
+            }
+            // A voter voted in a term in which nobody came to lead. It would reject us
+            // for ever; if most still follow us we stand for election again above it.
+            Role::Leader(leader) if leader.term == term => {
+                let is_followed = leader.hears_majority(group, now);
+                self.step_down(now, None, commands);
+                if is_followed {
+                    let highest = current_term.max(self.state.current_term);
+                    self.start_election(now, group, highest.next_of(group.slot), commands);
+                }
             }
+            _ => {}
         }
-        _ => {}
     }
-}
 
-/// Gives up all partitions, each to the follower whose copy is furthest.
-pub fn transfer_all(core: &mut ControllerState, now: Tick, out: &mut Vec<Command>) {
-    let group = here(core);
-    for p in &mut core.partitions {
-        let successor = successor(p, group);
-        let (partition, term) = (p.id, p.state.current_term);
-        crate::replication::replica::resign(p, now, None, out);
+    /// Steps down in favour of the follower that has synced most, if we lead.
+    pub fn transfer_leadership(
+        &mut self,
+        now: Tick,
+        group: VoterGroup,
+        commands: &mut Vec<Command>,
+    ) {
+        let successor = self.successor(group);
+        let (partition, term) = (self.id, self.state.current_term);
+        self.step_down(now, None, commands);
         if let Some(slot) = successor {
-            out.push(Command::ToVoter {
-                slot,
-                message: Message::LeadershipTransfer { partition, term },
-            });
+            let message = Message::LeadershipTransfer { partition, term };
+            commands.push(Command::ToVoter { slot, message });
         }
     }
-}
 
-/// Who should lead after us, if we lead: the follower that has synced most.
-fn successor(p: &Partition, g: VoterGroup) -> Option<VoterSlot> {
-    let Role::Leader(o) = &p.role else { return None };
-    let synced = |s: &VoterSlot| o.synced[usize::from(*s)];
-    others(g).filter(|s| synced(s).is_some()).max_by_key(synced)
-}
+    /// Who should lead after us, if we lead: the follower that has synced most.
+    fn successor(&self, group: VoterGroup) -> Option<VoterSlot> {
+        let leader = self.leader()?;
+        let synced = |slot: &VoterSlot| leader.synced[usize::from(*slot)];
+        others(group).filter(|slot| synced(slot).is_some()).max_by_key(synced)
+    }
 
-/// The leader that we follow steps down in our favour. The others would not
-/// grant a pre-vote, since they heard it a moment ago; a vote they grant.
-pub fn transferred(
-    p: &mut Partition,
-    now: Tick,
-    g: VoterGroup,
-    from: VoterSlot,
-    term: Term,
-    out: &mut Vec<Command>,
-) {
-    let follows = matches!(p.role, Role::Follower { leader: Some(leader), .. } if leader == KnownLeader { slot: from, term });
-    if follows && p.state.current_term == term {
-        start_election(p, now, g, term.next_of(g.slot), out);
+    /// The leader that we follow steps down in our favour. The others would not grant a
+    /// pre-vote, since they heard it a moment ago; a vote they grant.
+    pub fn on_leadership_transfer(
+        &mut self,
+        now: Tick,
+        from: Sender,
+        term: Term,
+        commands: &mut Vec<Command>,
+    ) {
+        let sender = KnownLeader { slot: from.slot, term };
+        let follows =
+            matches!(self.role, Role::Follower { leader: Some(leader), .. } if leader == sender);
+        if follows && self.state.current_term == term {
+            let next = term.next_of(from.group.slot);
+            self.start_election(now, from.group, next, commands);
+        }
     }
 }
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -1,346 +1,169 @@
-//! A seat as the leader of a part: it alone changes it, under its term.
+//! What the leader of a partition knows: it alone changes the partition, in its term.
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::command::Command;
-use crate::config::change::Entry;
 use crate::consts;
 use crate::identifiers::{Term, VoterSlot};
-use crate::protocol::message::{EntryMap, MembershipId, Message, OperationResult};
-use crate::replication::partition::{
-    AfterWrite, Leader, OperationOrigin, Partition, Role, Sender, Waiting, leader,
+use crate::protocol::message::MembershipId;
+use crate::replication::operations::{
+    ChangeAcceptance, OperationOrigin, PendingOperation, WaitingChange,
 };
-use crate::replication::replica::{keep, resign};
-use crate::replication::{heartbeat_rounds, pending_operations};
-use crate::storage::record::{LogRecord, apply};
-use crate::time::{Span, Tick, ms, since};
+use crate::time::{Tick, since};
 use crate::voter_set::{VoterGroup, majority, others};
 
-/// Time after which a round that operations wait for is begun anew: a message
-/// of it was lost, and the next heartbeat is four times as far.
-const PROOF_RETRY: Span = ms(50);
-
-/// A leader that has adopted the newest copy and not yet re-written it.
-pub fn fresh(g: VoterGroup, term: Term, now: Tick) -> Leader {
-    Leader {
-        term,
-        since: now,
-        is_serving: false,
-        synced: vec![None; g.size],
-        committed: 0,
-        snapshot_sent_at: vec![None; g.size],
-        round: 0,
-        valid_after: 0,
-        heartbeat_at: now,
-        round_began_at: now,
-        round_requested: false,
-        checksum_at: now + consts::SWEEP,
-        rounds: VecDeque::new(),
-        answered: vec![(0, now); g.size],
-        obeyed_up_to: 0,
-        acceptance_check_at: now,
-        lagging_members: Vec::new(),
-        waiting_changes: Vec::new(),
-        pending: Vec::new(),
-        proved_status: Vec::new(),
-        absent_leafs: BTreeMap::new(),
-        first_seen: BTreeMap::new(),
-        ages_at: now,
-        fence: MembershipId::default(),
-    }
-}
-
-/// Whether a majority, with ourselves, answered our heartbeats lately.
-pub fn answering(o: &Leader, g: VoterGroup, now: Tick) -> bool {
-    let live = others(g)
-        .filter(|s| since(o.answered[usize::from(*s)].1, now) < consts::OWNER_GRIP)
-        .count();
-    live + 1 >= majority(g.size)
-}
-
-/// A checksum of a map, for the sweep.
-pub fn sum(map: &EntryMap) -> u64 {
-    let mut hash = crc32fast::Hasher::new();
-    for (key, val) in map {
-        hash.update(key.as_bytes());
-        hash.update(&(val.len() as u32).to_le_bytes());
-        hash.update(val);
-    }
-    u64::from(hash.finalize()) << 1 | 1
-}
-
-/// The table of the seats changed: what was counted under the old one counts
-/// no more. Who is still there says with the next heartbeat how far it is; only who
-/// is new needs the whole.
-pub fn moved(o: &mut Leader, now: Tick, g: VoterGroup, moved: &[bool]) {
-    for (s, moved) in moved.iter().enumerate() {
-        if s == usize::from(g.slot) {
-            continue;
+/// The leader of a partition.
+///
+/// Invariants: its state was written under its own `term` before anything else;
+/// `is_serving` only once a majority holds that; `committed` is synced by a majority and
+/// never falls.
+pub struct Leader {
+    /// The term in which it leads.
+    pub term: Term,
+    /// When it began to lead, or when the voters last changed.
+    pub since: Tick,
+    /// Whether a majority holds what it adopted: only then it takes operations.
+    pub is_serving: bool,
+    /// Highest revision of this term that each voter has synced, by slot.
+    pub synced: Vec<Option<u64>>,
+    /// Highest revision that a majority has synced.
+    pub committed: u64,
+    /// When a snapshot was last sent to each voter, by slot.
+    pub snapshot_sent_at: Vec<Option<Tick>>,
+    /// Number of the last heartbeat round.
+    pub round: u64,
+    /// Rounds up to this one count no more: the voters have changed since.
+    pub valid_after: u64,
+    /// When the next heartbeat is due.
+    pub heartbeat_at: Tick,
+    /// When the last round began.
+    pub round_began_at: Tick,
+    /// A wake was asked for, to begin a round that operations wait for.
+    pub round_requested: bool,
+    /// When the replicas' checksums are next compared.
+    pub checksum_at: Tick,
+    /// Rounds whose begin is remembered, the oldest first, without a gap.
+    pub rounds: VecDeque<HeartbeatRound>,
+    /// What each voter last answered, by slot.
+    pub answered: Vec<AnsweredRound>,
+    /// Revision up to which the members' part in a change's acceptance is done.
+    pub obeyed_up_to: u64,
+    /// When we next look at that.
+    pub acceptance_check_at: Tick,
+    /// Members that do not go by our newest revision yet when an operator's patience
+    /// ends.
+    pub lagging_members: Vec<String>,
+    /// Changes whose operators wait.
+    pub waiting_changes: Vec<WaitingChange>,
+    /// Operations whose answers wait until a majority has proved that we lead.
+    pub pending: Vec<PendingOperation>,
+    /// Status requests that are proved and wait for what the membership says.
+    pub proved_status: Vec<OperationOrigin>,
+    /// Leafs that the list no longer names, since when.
+    pub absent_leafs: BTreeMap<String, Tick>,
+    /// When we first saw each leaf, and how old it surely was then (ms): an identity is
+    /// at least as old as our knowledge of it.
+    pub first_seen: BTreeMap<String, (Tick, u64)>,
+    /// When ages that grew by themselves are next written, all together.
+    pub ages_at: Tick,
+    /// Highest fencing token seen in a leaf list.
+    pub fence: MembershipId,
+}
+
+/// A heartbeat round that began.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct HeartbeatRound {
+    /// Its number.
+    pub number: u64,
+    /// When it began.
+    pub began_at: Tick,
+    /// The leader's revision then.
+    pub revision: u64,
+}
+
+/// The last heartbeat round that a voter answered.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct AnsweredRound {
+    /// Its number; zero: none.
+    pub number: u64,
+    /// When that round began.
+    pub began_at: Tick,
+}
+
+impl Leader {
+    /// A leader that has adopted the newest state and not yet re-written it.
+    pub fn new(group: VoterGroup, term: Term, now: Tick) -> Leader {
+        Leader {
+            term,
+            since: now,
+            is_serving: false,
+            synced: vec![None; group.size],
+            committed: 0,
+            snapshot_sent_at: vec![None; group.size],
+            round: 0,
+            valid_after: 0,
+            heartbeat_at: now,
+            round_began_at: now,
+            round_requested: false,
+            checksum_at: now + consts::SWEEP,
+            rounds: VecDeque::new(),
+            answered: vec![AnsweredRound { number: 0, began_at: now }; group.size],
+            obeyed_up_to: 0,
+            acceptance_check_at: now,
+            lagging_members: Vec::new(),
+            waiting_changes: Vec::new(),
+            pending: Vec::new(),
+            proved_status: Vec::new(),
+            absent_leafs: BTreeMap::new(),
+            first_seen: BTreeMap::new(),
+            ages_at: now,
+            fence: MembershipId::default(),
         }
-        o.synced[s] = None;
-        o.snapshot_sent_at[s] = (!moved).then_some(now);
-        o.answered[s] = (0, if *moved { 0 } else { o.answered[s].1 });
     }
-    // A round that began before must not prove anything now.
-    o.since = now;
-    o.rounds.clear();
-    o.valid_after = o.round;
-}
 
-/// Time passes for the leader: heartbeats, re-sending, patience with operators.
-pub fn wake(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
-    let id = p.id;
-    let Some(o) = leader(p) else { return };
-    if !answering(o, g, now) {
-        out.push(Command::Alarm(format!("part {id}: no majority answers, ownership given up")));
-        return resign(p, now, None, out);
-    }
-    let retry = heartbeat_rounds::unproved(o, g) && since(o.round_began_at, now) >= PROOF_RETRY;
-    let due = now >= o.heartbeat_at || retry;
-    let lag: Vec<VoterSlot> = others(g)
-        .filter(|s| {
-            let s = usize::from(*s);
-            // Asked for a whole copy too long ago, or never sent one at all.
-            o.synced[s].is_none()
-                && o.snapshot_sent_at[s].is_none_or(|t| since(t, now) > consts::CLAIM_PATIENCE)
-        })
-        .collect();
-    if due {
-        heartbeat_rounds::begin(p, now, g, out);
-    }
-    for to in lag {
-        send_whole(p, now, to, out);
-    }
-    crate::control_plane::endpoints::grow(p, now, g, out);
-    heartbeat_rounds::request(p, now, g, out);
-    settle(p, now, g, out);
-}
-
-/// Sends the whole copy to a seat.
-pub fn send_whole(p: &mut Partition, now: Tick, to: VoterSlot, out: &mut Vec<Command>) {
-    let (term, revision, map) = (p.state.written_term, p.state.revision, p.state.entries.clone());
-    let id = p.id;
-    let Some(o) = leader(p) else { return };
-    o.snapshot_sent_at[usize::from(to)] = Some(now);
-    out.push(Command::ToVoter {
-        slot: to,
-        message: Message::Snapshot { partition: id, term, revision, entries: map },
-    });
-}
-
-/// A seat can't follow our changes.
-pub fn snapshot_requested(
-    p: &mut Partition,
-    now: Tick,
-    from: VoterSlot,
-    term: Term,
-    out: &mut Vec<Command>,
-) {
-    let Some(o) = leader(p) else { return };
-    let sent = o.snapshot_sent_at[usize::from(from)];
-    if o.term == term && sent.is_none_or(|t| since(t, now) > consts::CLAIM_PATIENCE) {
-        o.synced[usize::from(from)] = None;
-        send_whole(p, now, from, out);
+    /// Whether a majority, with ourselves, answered our heartbeats lately.
+    pub fn hears_majority(&self, group: VoterGroup, now: Tick) -> bool {
+        let answers_lately = |slot: &VoterSlot| {
+            since(self.answered[usize::from(*slot)].began_at, now) < consts::OWNER_GRIP
+        };
+        others(group).filter(answers_lately).count() + 1 >= majority(group.size)
     }
-}
 
-/// A seat answered a heartbeat.
-pub fn heartbeat_acked(
-    p: &mut Partition,
-    now: Tick,
-    from: Sender,
-    (term, round): (Term, u64),
-    (revision, safe): (u64, u64),
-    out: &mut Vec<Command>,
-) {
-    let id = p.id;
-    let Role::Leader(o) = &mut p.role else { return };
-    if o.term != term || round > o.round || round <= o.valid_after {
-        return;
-    }
-    let (at, head) = heartbeat_rounds::begun(o, round).unwrap_or((o.since, 0));
-    let last = &mut o.answered[usize::from(from.slot)];
-    if round > last.0 {
-        *last = (round, at.max(last.1));
-    }
-    // What we sent before this heartbeat has not come: it was lost on the way.
-    if revision < head && o.synced[usize::from(from.slot)].is_some() {
-        let next = p.changes.iter().filter(|(r, _)| *r > revision);
-        if next.clone().next().is_some_and(|(r, _)| *r == revision + 1) {
-            for (revision, entries) in next {
-                let (revision, entries) = (*revision, entries.clone());
-                let message = Message::Append { partition: id, term, revision, entries };
-                out.push(Command::ToVoter { slot: from.slot, message });
+    /// The voters changed: what was counted under the old voter set counts no more. Who
+    /// is still there says with its next answer how far it is; only who is new needs a
+    /// snapshot.
+    pub fn on_voter_set_changed(&mut self, now: Tick, group: VoterGroup, replaced: &[bool]) {
+        for (slot, is_new) in replaced.iter().enumerate() {
+            if slot == usize::from(group.slot) {
+                continue;
             }
-        } else {
-            snapshot_requested(p, now, from.slot, term, out);
-        }
-    }
-    if safe > 0 {
-        return append_acked(p, now, from, term, safe, out);
-    }
-    settle(p, now, from.group, out);
-}
-
-/// A seat (or we ourselves) synced a revision of our term.
-pub fn append_acked(
-    p: &mut Partition,
-    now: Tick,
-    from: Sender,
-    term: Term,
-    revision: u64,
-    out: &mut Vec<Command>,
-) {
-    let head = p.state.revision;
-    let Some(o) = leader(p) else { return };
-    if o.term != term || revision > head {
-        return;
-    }
-    let cell = &mut o.synced[usize::from(from.slot)];
-    *cell = Some(cell.map_or(revision, |c| c.max(revision)));
-    let mut all: Vec<u64> = o.synced.iter().flatten().copied().collect();
-    all.sort_unstable_by(|a, b| b.cmp(a));
-    if let Some(done) = all.get(majority(from.group.size) - 1).copied() {
-        let first = !o.is_serving;
-        o.is_serving = true;
-        if first || done > o.committed {
-            o.committed = done;
-            crate::control_plane::feed::show(p, done);
+            self.synced[slot] = None;
+            self.snapshot_sent_at[slot] = (!is_new).then_some(now);
+            let began_at = if *is_new { 0 } else { self.answered[slot].began_at };
+            self.answered[slot] = AnsweredRound { number: 0, began_at };
         }
+        // A round that began before must not prove anything now.
+        self.since = now;
+        self.rounds.clear();
+        self.valid_after = self.round;
     }
-    settle(p, now, from.group, out);
-}
 
-/// Changes the part. The caller has checked that we serve.
-pub fn change(
-    p: &mut Partition,
-    now: Tick,
-    g: VoterGroup,
-    entries: Vec<Entry>,
-    out: &mut Vec<Command>,
-) {
-    let (term, revision) = (p.state.written_term, p.state.revision + 1);
-    let rec = LogRecord::Change { term, revision, entries: entries.clone() };
-    if !apply(&mut p.state, &rec) {
-        return;
+    /// The highest revision that a majority has synced, if a majority holds any.
+    pub fn majority_revision(&self, group: VoterGroup) -> Option<u64> {
+        let mut revisions: Vec<u64> = self.synced.iter().flatten().copied().collect();
+        revisions.sort_unstable_by(|a, b| b.cmp(a));
+        revisions.get(majority(group.size) - 1).copied()
     }
-    p.changes.push_back((revision, entries.clone()));
-    for to in others(g) {
-        let message = Message::Append { partition: p.id, term, revision, entries: entries.clone() };
-        out.push(Command::ToVoter { slot: to, message });
-    }
-    keep(p, now, rec, vec![AfterWrite::OwnAppendSynced { term, revision }], out);
-}
 
-/// An operator waits for a new change of ours.
-pub fn wait(p: &mut Partition, now: Tick, op: OperationOrigin, revision: u64, until_obeyed: bool) {
-    if let Some(o) = leader(p) {
-        let until = now + consts::OWNER_PATIENCE;
-        let (again, round) = (false, 0);
-        o.waiting_changes.push(Waiting {
-            revision,
-            op,
-            again,
-            round,
-            until_obeyed,
-            done_at: None,
-            until,
-        });
+    /// How many replicas have synced a revision (count).
+    pub fn replicas_with(&self, revision: u64) -> u32 {
+        self.synced.iter().flatten().filter(|synced| **synced >= revision).count() as u32
     }
-}
 
-/// An operator waits to hear that a change which was made before stands.
-pub fn wait_again(
-    p: &mut Partition,
-    now: Tick,
-    op: OperationOrigin,
-    revision: u64,
-    until_obeyed: bool,
-) {
-    if let Some(o) = leader(p) {
-        let until = now + consts::OWNER_PATIENCE;
-        let (again, round) = (true, o.round + 1);
-        o.waiting_changes.push(Waiting {
-            revision,
-            op,
-            again,
-            round,
-            until_obeyed,
-            done_at: None,
-            until,
-        });
-    }
-}
-
-/// The revision up to which a waiting change counts as accepted.
-fn accepted_up_to(o: &Leader, w: &Waiting) -> u64 {
-    if w.until_obeyed { o.committed.min(o.obeyed_up_to) } else { o.committed }
-}
-
-/// Tells those operators whose outcome is known.
-pub fn settle(p: &mut Partition, now: Tick, g: VoterGroup, out: &mut Vec<Command>) {
-    let Role::Leader(o) = &mut p.role else { return };
-    let proved = heartbeat_rounds::proved(o, g);
-    let waits = std::mem::take(&mut o.waiting_changes);
-    let mut left = Vec::with_capacity(waits.len());
-    for mut w in waits {
-        if w.revision <= accepted_up_to(o, &w) && proved >= w.round {
-            let at = *w.done_at.get_or_insert(now);
-            let copies = o.synced.iter().flatten().filter(|k| **k >= w.revision).count() as u32;
-            if copies < g.taken.count_ones() && since(at, now) < consts::THIRD_WAIT {
-                left.push(w);
-                continue;
-            }
-            tell(
-                w.op,
-                OperationResult::Accepted { revision: w.revision, copies, again: w.again },
-                out,
-            );
-        } else if now >= w.until {
-            tell(w.op, OperationResult::Unknown { why: overdue(o, &w) }, out);
-        } else {
-            left.push(w);
-        }
-    }
-    o.waiting_changes = left;
-    pending_operations::settle(p, now, g, out);
-}
-
-/// Why a change has no outcome when the patience with it ends.
-fn overdue(o: &Leader, w: &Waiting) -> String {
-    if w.revision > o.committed {
-        "no majority synced the change in time".to_string()
-    } else if w.revision > accepted_up_to(o, w) {
-        format!("synced, but not obeyed yet by {}", o.lagging_members.join(", "))
-    } else {
-        "the change stands, but no majority proved in time who leads now".to_string()
-    }
-}
-
-/// Sends an outcome to where the request came from.
-pub fn tell(op: OperationOrigin, done: OperationResult, out: &mut Vec<Command>) {
-    out.push(match op.slot {
-        None => Command::OwnResponse { op: op.op, attempt: op.attempt, done },
-        Some(slot) => {
-            let message = Message::OperationResponse { op: op.op, attempt: op.attempt, done };
-            Command::ToVoter { slot, message }
+    /// The revision up to which changes of this kind count as accepted.
+    pub fn accepted_up_to(&self, acceptance: ChangeAcceptance) -> u64 {
+        match acceptance {
+            ChangeAcceptance::Committed => self.committed,
+            ChangeAcceptance::Obeyed => self.committed.min(self.obeyed_up_to),
         }
-    });
-}
-
-/// A leader that has been dismissed: what it had not proved is unknown, and
-/// what it had only judged has not been done.
-pub fn dismiss(_p: &Partition, old: Leader, out: &mut Vec<Command>) {
-    for w in &old.waiting_changes {
-        let done = if w.revision <= accepted_up_to(&old, w) && !w.again {
-            let copies = majority(old.synced.len()) as u32;
-            OperationResult::Accepted { revision: w.revision, copies, again: w.again }
-        } else {
-            OperationResult::Unknown {
-                why: "the leader changed while the change was on its way".into(),
-            }
-        };
-        tell(w.op, done, out);
     }
-    pending_operations::dismiss(old, out);
 }
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -1,304 +1,263 @@
-//! A seat as a replica: it grants claims, accepts writes and keeps them.
+//! A voter as a replica: it grants votes, accepts the leader's changes and keeps them.
 
 use crate::command::Command;
 use crate::consts;
 use crate::identifiers::{Position, Term, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
-use crate::replication::partition::{
-    AfterWrite, KnownLeader, Partition, Role, Write, able, leader,
-};
-use crate::storage::record::{LogRecord, ReplicaState, apply};
+use crate::replication::leader::Leader;
+use crate::replication::partition::{AfterWrite, KnownLeader, Partition, Role};
+use crate::storage::record::{LogRecord, ReplicaState, apply, checksum};
 use crate::time::{Tick, since};
 use crate::voter_set::VoterGroup;
 
-/// Sends a record to the disk and hangs `after` on it.
-pub fn keep(
-    p: &mut Partition,
-    now: Tick,
-    rec: LogRecord,
-    after: Vec<AfterWrite>,
-    out: &mut Vec<Command>,
-) {
-    let token = p.next_token;
-    p.next_token += 1;
-    p.writes.push_back(Write { token, at: now, after });
-    // A rough size is enough: it only decides when to write a slot.
-    p.log_bytes += match &rec {
-        LogRecord::Vote { .. } => 32,
-        LogRecord::Change { entries, .. } => entries
-            .iter()
-            .map(|(k, v)| 48 + k.len() as u64 + v.as_ref().map_or(0, |v| v.len() as u64))
-            .sum(),
-    };
-    // The map is measured only once the log is long.
-    if p.log_bytes > consts::LOG_LIMIT && p.log_bytes > map_len(&p.state.entries) / 2 {
-        p.log_bytes = 0;
-        out.push(Command::WriteSnapshot { partition: p.id, token, copy: p.state.clone() });
-    } else {
-        out.push(Command::AppendRecord { partition: p.id, token, rec });
-    }
-}
-
-/// Sends the whole copy to the disk.
-pub fn keep_whole(p: &mut Partition, now: Tick, after: Vec<AfterWrite>, out: &mut Vec<Command>) {
-    let token = p.next_token;
-    p.next_token += 1;
-    p.writes.push_back(Write { token, at: now, after });
-    p.log_bytes = 0;
-    out.push(Command::WriteSnapshot { partition: p.id, token, copy: p.state.clone() });
+/// What a leader says with a heartbeat.
+#[derive(Clone, Copy, Debug)]
+pub struct Heartbeat {
+    /// Its term.
+    pub term: Term,
+    /// The round to answer.
+    pub round: u64,
+    /// The revision up to which all is committed.
+    pub committed: u64,
+    /// The checksum of its entries at that revision; zero: none.
+    pub checksum: u64,
 }
 
-fn map_len(map: &EntryMap) -> u64 {
-    map.iter().map(|(k, v)| (k.len() + v.len()) as u64).sum()
-}
+impl Partition {
+    /// Whether this voter hears a leader, so that an election would only disturb.
+    fn hears_leader(&self, now: Tick) -> bool {
+        match &self.role {
+            Role::Follower { last_heard, leader } => {
+                leader.is_some() && since(*last_heard, now) < consts::OWNER_SILENCE
+            }
+            Role::Leader(_) => true,
+            Role::PreVoting { .. } | Role::Candidate(_) => false,
+        }
+    }
 
-/// Sends a message as soon as everything accepted so far is synced.
-pub fn after_writes(p: &mut Partition, to: VoterSlot, message: Message, out: &mut Vec<Command>) {
-    match p.writes.back_mut() {
-        Some(w) => w.after.push(AfterWrite::Send(to, message)),
-        None => out.push(Command::ToVoter { slot: to, message }),
+    /// Another voter asks whether it would be voted for.
+    pub fn on_pre_vote_request(
+        &mut self,
+        now: Tick,
+        from: VoterSlot,
+        term: Term,
+        commands: &mut Vec<Command>,
+    ) {
+        let (partition, current_term) = (self.id, self.state.current_term);
+        let granted = self.can_vote() && term > current_term && !self.hears_leader(now);
+        let message = Message::PreVoteResponse { partition, term, granted, current_term };
+        commands.push(Command::ToVoter { slot: from, message });
     }
-}
 
-/// Whether the seat still hears a leader, so that an election would only disturb.
-pub fn hears_owner(p: &Partition, now: Tick) -> bool {
-    match &p.role {
-        Role::Follower { last_heard: heard, leader } => {
-            leader.is_some() && since(*heard, now) < consts::OWNER_SILENCE
+    /// Another voter stands for election.
+    pub fn on_vote_request(
+        &mut self,
+        now: Tick,
+        from: VoterSlot,
+        term: Term,
+        commands: &mut Vec<Command>,
+    ) {
+        if !self.can_vote() {
+            return;
+        }
+        if term <= self.state.current_term {
+            return self.reject_term(from, term, commands);
         }
-        Role::Leader(_) => true,
-        Role::PreVoting { .. } | Role::Candidate(_) => false,
+        self.step_down(now, None, commands);
+        self.unled_since_start = false;
+        apply(&mut self.state, &LogRecord::Vote { term });
+        let message = Message::VoteGranted {
+            partition: self.id,
+            term,
+            written_term: self.state.written_term,
+            revision: self.state.revision,
+            stamp: 0,
+        };
+        let after = vec![AfterWrite::Send(from, message)];
+        self.persist_record(now, LogRecord::Vote { term }, after, commands);
     }
-}
 
-/// Another seat asks whether it would be voted for.
-pub fn pre_vote(p: &mut Partition, now: Tick, from: VoterSlot, term: Term, out: &mut Vec<Command>) {
-    let yes = able(p) && term > p.state.current_term && !hears_owner(p, now);
-    let message = Message::PreVoteResponse {
-        partition: p.id,
-        term,
-        granted: yes,
-        current_term: p.state.current_term,
-    };
-    out.push(Command::ToVoter { slot: from, message });
-}
-
-/// Another seat claims the part.
-pub fn vote(p: &mut Partition, now: Tick, from: VoterSlot, term: Term, out: &mut Vec<Command>) {
-    if !able(p) {
-        return;
+    /// Tells a voter that its term is over.
+    fn reject_term(&self, to: VoterSlot, term: Term, commands: &mut Vec<Command>) {
+        let current_term = self.state.current_term;
+        let message = Message::VoteRejected { partition: self.id, term, current_term };
+        commands.push(Command::ToVoter { slot: to, message });
     }
-    if term <= p.state.current_term {
-        let message =
-            Message::VoteRejected { partition: p.id, term, current_term: p.state.current_term };
-        out.push(Command::ToVoter { slot: from, message });
-        return;
-    }
-    resign(p, now, None, out);
-    p.unled_since_start = false;
-    apply(&mut p.state, &LogRecord::Vote { term });
-    let message = Message::VoteGranted {
-        partition: p.id,
-        term,
-        written_term: p.state.written_term,
-        revision: p.state.revision,
-        stamp: 0,
-    };
-    keep(p, now, LogRecord::Vote { term }, vec![AfterWrite::Send(from, message)], out);
-}
 
-/// Becomes a follower; the one way out of every other role. Those who wait
-/// on a leader that resigns are handed back so that they can be told.
-pub fn follow(
-    p: &mut Partition,
-    now: Tick,
-    of: Option<KnownLeader>,
-) -> Option<Box<crate::replication::partition::Leader>> {
-    let old = std::mem::replace(&mut p.role, Role::Follower { last_heard: now, leader: of });
-    match old {
-        Role::Leader(o) => Some(o),
-        _ => None,
+    /// Becomes a follower; the one way out of every other role. What the leader knew is
+    /// handed back, so that those who wait for an answer get one.
+    pub fn become_follower(
+        &mut self,
+        now: Tick,
+        leader: Option<KnownLeader>,
+    ) -> Option<Box<Leader>> {
+        let follower = Role::Follower { last_heard: now, leader };
+        match std::mem::replace(&mut self.role, follower) {
+            Role::Leader(former) => Some(former),
+            _ => None,
+        }
     }
-}
 
-/// Whether a message of a leader of `term` is to be obeyed; denies if not.
-pub fn obey(
-    p: &mut Partition,
-    now: Tick,
-    from: VoterSlot,
-    term: Term,
-    out: &mut Vec<Command>,
-) -> bool {
-    if !able(p) {
-        // It can't vote or accept, but it still hands requests over.
-        if term >= p.state.current_term
-            && let Role::Follower { last_heard: heard, leader } = &mut p.role
-        {
-            *heard = now;
-            *leader = Some(KnownLeader { slot: from, term });
+    /// Gives up whatever role we had for that of a follower, and answers those who wait.
+    pub fn step_down(
+        &mut self,
+        now: Tick,
+        leader: Option<KnownLeader>,
+        commands: &mut Vec<Command>,
+    ) {
+        if let Some(former) = self.become_follower(now, leader) {
+            former.on_leadership_lost(commands);
         }
-        return false;
-    }
-    if term < p.state.current_term {
-        let message =
-            Message::VoteRejected { partition: p.id, term, current_term: p.state.current_term };
-        out.push(Command::ToVoter { slot: from, message });
-        return false;
     }
-    p.unled_since_start = false;
-    match &mut p.role {
-        Role::Follower { last_heard: heard, leader } => {
-            *heard = now;
-            *leader = Some(KnownLeader { slot: from, term });
+
+    /// Whether a message of this leader counts; rejects it if its term is over.
+    fn accept_leader(&mut self, now: Tick, from: KnownLeader, commands: &mut Vec<Command>) -> bool {
+        let is_over = from.term < self.state.current_term;
+        if !self.can_vote() {
+            // It can't vote or accept, but it still hands requests over.
+            if !is_over {
+                self.note_leader(now, from);
+            }
+            return false;
+        }
+        if is_over {
+            self.reject_term(from.slot, from.term, commands);
+            return false;
         }
-        _ => {
-            // Our own higher term is promised first, so this one is newer.
-            resign(p, now, Some(KnownLeader { slot: from, term }), out);
+        self.unled_since_start = false;
+        if !self.note_leader(now, from) {
+            // We voted for our own higher term first, so this one is newer.
+            self.step_down(now, Some(from), commands);
         }
+        true
     }
-    true
-}
 
-/// Gives up whatever role we had for that of a follower.
-pub fn resign(p: &mut Partition, now: Tick, of: Option<KnownLeader>, out: &mut Vec<Command>) {
-    if let Some(old) = follow(p, now, of) {
-        crate::replication::leader::dismiss(p, *old, out);
+    /// Notes who leads, if we follow.
+    fn note_leader(&mut self, now: Tick, from: KnownLeader) -> bool {
+        let Role::Follower { last_heard, leader } = &mut self.role else { return false };
+        *last_heard = now;
+        *leader = Some(from);
+        true
     }
-}
 
-/// A whole copy from the leader.
-pub fn snapshot(
-    p: &mut Partition,
-    now: Tick,
-    from: VoterSlot,
-    Position { term, revision }: Position,
-    map: EntryMap,
-    out: &mut Vec<Command>,
-) {
-    if !obey(p, now, from, term, out) {
-        return;
-    }
-    let kept = Message::AppendAck { partition: p.id, term, revision, stamp: 0 };
-    if p.state.written_term == term && p.state.revision >= revision && !p.suspect {
-        return after_writes(p, from, kept, out);
+    /// A whole state from the leader.
+    pub fn on_snapshot(
+        &mut self,
+        now: Tick,
+        from: VoterSlot,
+        position: Position,
+        entries: EntryMap,
+        commands: &mut Vec<Command>,
+    ) {
+        let Position { term, revision } = position;
+        if !self.accept_leader(now, KnownLeader { slot: from, term }, commands) {
+            return;
+        }
+        let ack = Message::AppendAck { partition: self.id, term, revision, stamp: 0 };
+        let has_it = self.state.written_term == term && self.state.revision >= revision;
+        if has_it && !self.suspect {
+            return self.send_when_synced(from, ack, commands);
+        }
+        self.suspect = false;
+        let current_term = self.state.current_term.max(term);
+        self.restart_changes(revision, &entries);
+        self.state = ReplicaState { current_term, written_term: term, revision, entries };
+        self.persist_snapshot(now, vec![AfterWrite::Send(from, ack)], commands);
     }
-    p.suspect = false;
-    let promised = p.state.current_term.max(term);
-    crate::control_plane::feed::reseed(p, revision, &map);
-    p.state = ReplicaState { current_term: promised, written_term: term, revision, entries: map };
-    keep_whole(p, now, vec![AfterWrite::Send(from, kept)], out);
-}
 
-/// A change from the leader.
-pub fn append(
-    p: &mut Partition,
-    now: Tick,
-    from: VoterSlot,
-    rec: LogRecord,
-    out: &mut Vec<Command>,
-) {
-    let LogRecord::Change { term, revision, .. } = &rec else { return };
-    let (term, revision) = (*term, *revision);
-    if !obey(p, now, from, term, out) {
-        return;
-    }
-    if p.state.written_term == term && p.state.revision >= revision {
-        let kept =
-            Message::AppendAck { partition: p.id, term, revision: p.state.revision, stamp: 0 };
-        return after_writes(p, from, kept, out);
-    }
-    if !apply(&mut p.state, &rec) {
-        out.push(Command::ToVoter {
-            slot: from,
-            message: Message::SnapshotRequest { partition: p.id, term },
-        });
-        return;
-    }
-    if let LogRecord::Change { entries, .. } = &rec {
-        p.changes.push_back((revision, entries.clone()));
+    /// A change from the leader.
+    pub fn on_append(
+        &mut self,
+        now: Tick,
+        from: VoterSlot,
+        record: LogRecord,
+        commands: &mut Vec<Command>,
+    ) {
+        let LogRecord::Change { term, revision, entries } = &record else { return };
+        let (term, revision) = (*term, *revision);
+        if !self.accept_leader(now, KnownLeader { slot: from, term }, commands) {
+            return;
+        }
+        let ack = |revision| Message::AppendAck { partition: self.id, term, revision, stamp: 0 };
+        if self.state.written_term == term && self.state.revision >= revision {
+            let ack = ack(self.state.revision);
+            return self.send_when_synced(from, ack, commands);
+        }
+        let after = vec![AfterWrite::Send(from, ack(revision))];
+        if !apply(&mut self.state, &record) {
+            return self.request_snapshot(from, term, commands);
+        }
+        self.changes.push_back((revision, entries.clone()));
+        self.persist_record(now, record, after, commands);
     }
-    let kept = Message::AppendAck { partition: p.id, term, revision, stamp: 0 };
-    keep(p, now, rec, vec![AfterWrite::Send(from, kept)], out);
-}
 
-/// A heartbeat: the leader lives, and so much is committed.
-pub fn heartbeat(
-    p: &mut Partition,
-    now: Tick,
-    from: VoterSlot,
-    (term, round): (Term, u64),
-    (done, sum): (u64, u64),
-    out: &mut Vec<Command>,
-) {
-    if !obey(p, now, from, term, out) {
-        return;
-    }
-    let same = p.state.written_term == term;
-    if same {
-        crate::control_plane::feed::show(p, done);
-    }
-    if same
-        && sum != 0
-        && p.state.revision == done
-        && crate::replication::leader::sum(&p.state.entries) != sum
-    {
-        out.push(Command::Alarm(format!("part {}: our copy differs from the leader's", p.id)));
-        p.suspect = true;
+    /// Asks the leader for its whole state.
+    fn request_snapshot(&self, leader: VoterSlot, term: Term, commands: &mut Vec<Command>) {
+        let message = Message::SnapshotRequest { partition: self.id, term };
+        commands.push(Command::ToVoter { slot: leader, message });
     }
-    if !same || p.suspect {
-        out.push(Command::ToVoter {
-            slot: from,
-            message: Message::SnapshotRequest { partition: p.id, term },
-        });
-    }
-    // How far our memory is, and how far our disk: with nothing on its way
-    // there they are one. A `Kept` may have been lost, or said under a table of
-    // the seats that is no more.
-    let revision = if same { p.state.revision } else { 0 };
-    let kept = if p.writes.is_empty() && !p.suspect { revision } else { 0 };
-    let message =
-        Message::HeartbeatAck { partition: p.id, term, round, revision, synced: kept, stamp: 0 };
-    out.push(Command::ToVoter { slot: from, message });
-}
 
-/// The table of the seats changed: whatever is counted is counted anew.
-pub fn moved(p: &mut Partition, now: Tick, g: VoterGroup, moved: &[bool], out: &mut Vec<Command>) {
-    let r = &mut p.catch_up;
-    (r.statuses, r.fetching_from) = (Vec::new(), None);
-    // Answers that are under way were asked for under the old table.
-    r.nonce = r.nonce.wrapping_add(1);
-    r.ask_at = r.ask_at.min(now + consts::ASK_AROUND);
-    let gone = |s: VoterSlot| moved.get(usize::from(s)).is_some_and(|m| *m);
-    match &mut p.role {
-        Role::Leader(o) if o.synced.len() == g.size => {
-            crate::replication::leader::moved(o, now, g, moved)
+    /// A heartbeat: the leader lives, and so much is committed.
+    pub fn on_heartbeat(
+        &mut self,
+        now: Tick,
+        from: VoterSlot,
+        heartbeat: Heartbeat,
+        commands: &mut Vec<Command>,
+    ) {
+        let Heartbeat { term, round, .. } = heartbeat;
+        if !self.accept_leader(now, KnownLeader { slot: from, term }, commands) {
+            return;
+        }
+        let has_term = self.state.written_term == term;
+        if has_term {
+            self.commit_up_to(heartbeat.committed);
+            self.compare_checksums(heartbeat, commands);
         }
-        Role::Leader(_) => resign(p, now, None, out),
-        Role::Follower { leader, .. } => *leader = leader.filter(|leader| !gone(leader.slot)),
-        Role::PreVoting { .. } | Role::Candidate(_) => {
-            follow(p, now, None);
+        if !has_term || self.suspect {
+            self.request_snapshot(from, term, commands);
         }
+        // How far our memory is, and how far our disk: with nothing on its way there
+        // they are one. An `AppendAck` may have been lost, or sent under a voter set
+        // that is no more.
+        let revision = if has_term { self.state.revision } else { 0 };
+        let synced = if self.writes.is_empty() && !self.suspect { revision } else { 0 };
+        let message =
+            Message::HeartbeatAck { partition: self.id, term, round, revision, synced, stamp: 0 };
+        commands.push(Command::ToVoter { slot: from, message });
     }
-}
 
-/// Whether the disk has finished nothing for too long. One that is slow and has
-/// many writes in line is not stalled.
-pub fn stalled(p: &Partition, now: Tick) -> bool {
-    p.writes.front().is_some_and(|w| since(w.at.max(p.synced_at), now) > consts::DISK_STALL)
-}
-
-/// The disk failed or stalls: step back and say so.
-pub fn step_back(p: &mut Partition, now: Tick, why: String, out: &mut Vec<Command>) {
-    if p.disk_failure.is_none() {
-        out.push(Command::Alarm(format!("part {} steps back: {why}", p.id)));
-    }
-    p.disk_failure = Some(why);
-    p.disk_retry_at = now + consts::ASK_AROUND;
-    // What rested on writes that may never be synced must never be said.
-    for w in &mut p.writes {
-        w.after.retain(|a| matches!(a, AfterWrite::StartVoting));
+    fn compare_checksums(&mut self, heartbeat: Heartbeat, commands: &mut Vec<Command>) {
+        let is_comparable = heartbeat.checksum != 0 && self.state.revision == heartbeat.committed;
+        if is_comparable && checksum(&self.state.entries) != heartbeat.checksum {
+            let text = format!("part {}: our copy differs from the leader's", self.id);
+            commands.push(Command::Alarm(text));
+            self.suspect = true;
+        }
     }
-    if leader(p).is_some() || !matches!(p.role, Role::Follower { .. }) {
-        resign(p, now, None, out);
+
+    /// The voter set changed: whatever is counted is counted anew. `replaced` says which
+    /// slots have another replica now.
+    pub fn on_voter_set_changed(
+        &mut self,
+        now: Tick,
+        group: VoterGroup,
+        replaced: &[bool],
+        commands: &mut Vec<Command>,
+    ) {
+        self.catch_up.restart(now);
+        let is_replaced = |slot: VoterSlot| replaced.get(usize::from(slot)).is_some_and(|r| *r);
+        match &mut self.role {
+            Role::Leader(leader) if leader.synced.len() == group.size => {
+                leader.on_voter_set_changed(now, group, replaced);
+            }
+            Role::Leader(_) => self.step_down(now, None, commands),
+            Role::Follower { leader, .. } => {
+                leader.take_if(|known| is_replaced(known.slot));
+            }
+            Role::PreVoting { .. } | Role::Candidate(_) => {
+                self.become_follower(now, None);
+            }
+        }
     }
 }
--- /dev/null
+++ b/crates/core/src/replication/replicate.rs
@@ -0,0 +1,199 @@
+//! What the leader of a partition does: it sends its changes to the other voters and
+//! counts who has synced them.
+
+use crate::command::Command;
+use crate::config::change::Entry;
+use crate::consts;
+use crate::identifiers::{Term, VoterSlot};
+use crate::protocol::message::Message;
+use crate::replication::leader::{AnsweredRound, HeartbeatRound, Leader};
+use crate::replication::partition::{AfterWrite, Partition, Role, Sender};
+use crate::storage::record::{LogRecord, apply};
+use crate::time::{Span, Tick, ms, since};
+use crate::voter_set::{VoterGroup, others};
+
+/// Time after which a round that operations wait for is begun anew: a message
+/// of it was lost, and the next heartbeat is four times as far.
+const PROOF_RETRY: Span = ms(50);
+
+/// What a voter says in answer to a heartbeat.
+#[derive(Clone, Copy, Debug)]
+pub struct HeartbeatAck {
+    /// The term of the heartbeat.
+    pub term: Term,
+    /// The round that it answers.
+    pub round: u64,
+    /// The revision that the voter has in memory; zero: nothing of this term.
+    pub revision: u64,
+    /// The revision that it has synced; zero: nothing of this term.
+    pub synced: u64,
+}
+
+impl Partition {
+    /// Time passes for the leader: heartbeats are due, and snapshots to who lacks one.
+    pub fn wake_leader(&mut self, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
+        let id = self.id;
+        let Some(leader) = self.leader_mut() else { return };
+        if !leader.hears_majority(group, now) {
+            let text = format!("part {id}: no majority answers, ownership given up");
+            commands.push(Command::Alarm(text));
+            return self.step_down(now, None, commands);
+        }
+        let is_retry_due =
+            leader.needs_proof(group) && since(leader.round_began_at, now) >= PROOF_RETRY;
+        let is_round_due = now >= leader.heartbeat_at || is_retry_due;
+        let lacking: Vec<VoterSlot> =
+            others(group).filter(|slot| leader.lacks_snapshot(now, *slot)).collect();
+        if is_round_due {
+            self.begin_round(now, group, commands);
+        }
+        for slot in lacking {
+            self.send_snapshot(now, slot, commands);
+        }
+    }
+
+    /// Sends the whole state to a voter.
+    fn send_snapshot(&mut self, now: Tick, to: VoterSlot, commands: &mut Vec<Command>) {
+        let (partition, term, revision) = (self.id, self.state.written_term, self.state.revision);
+        let entries = self.state.entries.clone();
+        let Some(leader) = self.leader_mut() else { return };
+        leader.snapshot_sent_at[usize::from(to)] = Some(now);
+        let message = Message::Snapshot { partition, term, revision, entries };
+        commands.push(Command::ToVoter { slot: to, message });
+    }
+
+    /// A voter can't follow our changes.
+    pub fn on_snapshot_request(
+        &mut self,
+        now: Tick,
+        from: VoterSlot,
+        term: Term,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(leader) = self.leader_mut() else { return };
+        if leader.term == term && leader.may_send_snapshot(now, from) {
+            leader.synced[usize::from(from)] = None;
+            self.send_snapshot(now, from, commands);
+        }
+    }
+
+    /// A voter answered a heartbeat.
+    pub fn on_heartbeat_ack(
+        &mut self,
+        now: Tick,
+        from: Sender,
+        ack: HeartbeatAck,
+        commands: &mut Vec<Command>,
+    ) {
+        let Role::Leader(leader) = &mut self.role else { return };
+        if leader.term != ack.term || ack.round > leader.round || ack.round <= leader.valid_after {
+            return;
+        }
+        let sent = leader.note_answer(from.slot, ack.round);
+        // What we sent before this heartbeat has not come: it was lost on the way.
+        if ack.revision < sent.revision && leader.synced[usize::from(from.slot)].is_some() {
+            self.send_again(now, from.slot, ack, commands);
+        }
+        if ack.synced > 0 {
+            return self.on_append_ack(now, from, ack.term, ack.synced, commands);
+        }
+        self.complete_operations(now, from.group, commands);
+    }
+
+    /// Sends a voter the changes after its revision again, or the whole state if they are
+    /// not kept any more.
+    fn send_again(
+        &mut self,
+        now: Tick,
+        to: VoterSlot,
+        ack: HeartbeatAck,
+        commands: &mut Vec<Command>,
+    ) {
+        let (partition, term) = (self.id, ack.term);
+        let mut missing =
+            self.changes.iter().filter(|(revision, _)| *revision > ack.revision).peekable();
+        if missing.peek().is_none_or(|(revision, _)| *revision != ack.revision + 1) {
+            return self.on_snapshot_request(now, to, term, commands);
+        }
+        for (revision, entries) in missing {
+            let (revision, entries) = (*revision, entries.clone());
+            let message = Message::Append { partition, term, revision, entries };
+            commands.push(Command::ToVoter { slot: to, message });
+        }
+    }
+
+    /// A voter (or we ourselves) synced a revision of our term.
+    pub fn on_append_ack(
+        &mut self,
+        now: Tick,
+        from: Sender,
+        term: Term,
+        revision: u64,
+        commands: &mut Vec<Command>,
+    ) {
+        let newest = self.state.revision;
+        let Some(leader) = self.leader_mut() else { return };
+        if leader.term != term || revision > newest {
+            return;
+        }
+        let synced = &mut leader.synced[usize::from(from.slot)];
+        *synced = Some(synced.map_or(revision, |known| known.max(revision)));
+        if let Some(committed) = leader.majority_revision(from.group) {
+            let is_first = !leader.is_serving;
+            leader.is_serving = true;
+            if is_first || committed > leader.committed {
+                leader.committed = committed;
+                self.commit_up_to(committed);
+            }
+        }
+        self.complete_operations(now, from.group, commands);
+    }
+
+    /// Changes the partition. The caller has checked that we lead it and serve.
+    pub fn propose(
+        &mut self,
+        now: Tick,
+        group: VoterGroup,
+        entries: Vec<Entry>,
+        commands: &mut Vec<Command>,
+    ) {
+        let (partition, term) = (self.id, self.state.written_term);
+        let revision = self.state.revision + 1;
+        let record = LogRecord::Change { term, revision, entries: entries.clone() };
+        if !apply(&mut self.state, &record) {
+            return;
+        }
+        self.changes.push_back((revision, entries.clone()));
+        for slot in others(group) {
+            let entries = entries.clone();
+            let message = Message::Append { partition, term, revision, entries };
+            commands.push(Command::ToVoter { slot, message });
+        }
+        let after = vec![AfterWrite::OwnAppendSynced { term, revision }];
+        self.persist_record(now, record, after, commands);
+    }
+}
+
+impl Leader {
+    /// Whether a voter has synced nothing of this term, and no snapshot that was sent
+    /// lately may still be on its way to it.
+    fn lacks_snapshot(&self, now: Tick, slot: VoterSlot) -> bool {
+        self.synced[usize::from(slot)].is_none() && self.may_send_snapshot(now, slot)
+    }
+
+    fn may_send_snapshot(&self, now: Tick, slot: VoterSlot) -> bool {
+        let sent_at = self.snapshot_sent_at[usize::from(slot)];
+        sent_at.is_none_or(|at| since(at, now) > consts::CLAIM_PATIENCE)
+    }
+
+    /// Notes which round a voter has answered; gives that round.
+    fn note_answer(&mut self, slot: VoterSlot, number: u64) -> HeartbeatRound {
+        let forgotten = HeartbeatRound { number, began_at: self.since, revision: 0 };
+        let round = self.round_begun(number).unwrap_or(forgotten);
+        let last = &mut self.answered[usize::from(slot)];
+        if number > last.number {
+            *last = AnsweredRound { number, began_at: round.began_at.max(last.began_at) };
+        }
+        round
+    }
+}
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -61,3 +61,14 @@
         };
     }
 }
+
+/// A checksum of a state's entries, by which replicas are compared. Never zero.
+pub fn checksum(entries: &EntryMap) -> u64 {
+    let mut hash = crc32fast::Hasher::new();
+    for (key, value) in entries {
+        hash.update(key.as_bytes());
+        hash.update(&(value.len() as u32).to_le_bytes());
+        hash.update(value);
+    }
+    u64::from(hash.finalize()) << 1 | 1
+}
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -25,13 +25,11 @@
 use crate::command::{Command, ConnectionId};
 use crate::consts;
 use crate::control_plane::controller::ControllerState;
-use crate::control_plane::feed;
 use crate::control_plane::members;
 use crate::control_plane::membership_log;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{HandedOverReplica, Memberships, Message, ReplicaCondition};
-use crate::replication::partition::{AfterWrite, Partition, Role, able};
-use crate::replication::{election, replica};
+use crate::replication::partition::{AfterWrite, Partition, Role};
 use crate::storage::record::ReplicaState;
 use crate::time::{Tick, since};
 use crate::voter_set::{NOBODY, SlotHolder, VoterSet, after_handover, balanced, merge};
@@ -90,7 +88,7 @@
     if core.seating.handovers.leaving.is_some() {
         return;
     }
-    election::transfer_all(core, now, out);
+    core.transfer_leadership(now, out);
     let nobody_waits = core.seating.handovers.applicants.is_empty();
     let alone = core.slot == NOBODY || nobody_waits;
     let stage = Stage::TransferringLeadership;
@@ -272,7 +270,7 @@
         return false;
     }
     let generation = holding.generation;
-    let replicas = core.partitions.iter().filter(|p| able(p)).map(replica_state).collect();
+    let replicas = core.partitions.iter().filter(|p| p.can_vote()).map(replica_state).collect();
     let memberships = membership_log::held_here(core);
     let state = Message::Handover { slot, generation, table, replicas, memberships };
     let stage = Stage::Sending { state: Box::new(state), slot, sent_at: None };
@@ -347,9 +345,9 @@
         entries: map,
         ..
     } = state;
-    feed::reseed(p, revision, &map);
+    p.restart_changes(revision, &map);
     p.state = ReplicaState { current_term: promised, written_term: term, revision, entries: map };
-    replica::keep_whole(p, now, vec![AfterWrite::StartVoting], out);
+    p.persist_snapshot(now, vec![AfterWrite::StartVoting], out);
 }
 
 /// The successor votes: nothing keeps us any longer.
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -9,7 +9,7 @@
 use crate::control_plane::operation_forwarding;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{Message, ReplicaCondition};
-use crate::replication::{partition, replica};
+use crate::replication::partition::Partition;
 use crate::storage::voter_file::VoterFile;
 use crate::time::{Span, Tick, since};
 use crate::voter_set::{
@@ -179,7 +179,7 @@
     if moved.iter().any(|m| *m) {
         let g = here(core);
         for p in &mut core.partitions {
-            replica::moved(p, now, g, &moved, out);
+            p.on_voter_set_changed(now, g, &moved, out);
         }
     }
     tell_all(core, out);
@@ -201,9 +201,9 @@
 }
 
 /// Empties a replica in memory: what it holds counts no more.
-pub fn forget(p: &mut partition::Partition, now: Tick, out: &mut Vec<Command>) {
-    replica::resign(p, now, None, out);
-    let mut fresh = partition::partition(p.id, ReplicaCondition::Empty, Default::default(), 0, now);
+pub fn forget(p: &mut Partition, now: Tick, out: &mut Vec<Command>) {
+    p.step_down(now, None, out);
+    let mut fresh = Partition::new(p.id, ReplicaCondition::Empty, Default::default(), 0, now);
     fresh.next_token = p.next_token;
     *p = fresh;
 }
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -15,6 +15,7 @@
     Member, MemberProgress, Message, Operation, OperationResult, ReplicaCondition,
 };
 use grebepath_core::random::Random;
+use grebepath_core::replication::leader::AnsweredRound;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
 use grebepath_core::storage::voter_file::{Start, begin};
@@ -328,11 +329,11 @@
 }
 
 /// Lets a leader take the next round as answered by all; gives what was true.
-fn pretend_proof(core: &mut ControllerState) -> Vec<(u64, Tick)> {
+fn pretend_proof(core: &mut ControllerState) -> Vec<AnsweredRound> {
     let Role::Leader(leader) = &mut core.partitions[0].role else { return Vec::new() };
     let answered = leader.answered.clone();
     let next = leader.round + 1;
-    leader.answered.iter_mut().for_each(|answer| answer.0 = next);
+    leader.answered.iter_mut().for_each(|answer| answer.number = next);
     answered
 }
 
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -4,11 +4,12 @@
 use grebepath_core::config::change::{Entry, edition};
 use grebepath_core::config::types::Terms;
 use grebepath_core::control_plane::order_memory::{
-    Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, is_memory, may_be_forgotten,
-    recall, remember, without_memory,
+    Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, may_be_forgotten, recall,
+    remember,
 };
 use grebepath_core::protocol::message::EntryMap;
 use grebepath_core::random::Random;
+use grebepath_core::replication::private_entries::{is_private, public_entries};
 use grebepath_core::storage::reader::{Found, read};
 use grebepath_core::storage::record::{ReplicaState, put};
 use grebepath_core::storage::writer;
@@ -84,7 +85,7 @@
 }
 
 fn memory_bytes(map: &EntryMap) -> usize {
-    map.iter().filter(|(k, _)| is_memory(k)).map(|(k, v)| k.len() + v.len()).sum()
+    map.iter().filter(|(k, _)| is_private(k)).map(|(k, v)| k.len() + v.len()).sum()
 }
 
 /// Everything that holds of the memory at any time.
@@ -201,7 +202,7 @@
         accept(&mut model, &mut random, 1);
     }
     model.map.insert("zone/a".into(), vec![1]);
-    let rest = without_memory(&model.map);
+    let rest = public_entries(&model.map);
     expect_that!(rest.keys().collect::<Vec<_>>(), elements_are![eq(&"terms"), eq(&"zone/a")]);
 }
 
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -7,6 +7,7 @@
 use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::{CONFIG, Term, VoterSlot, partitions};
 use grebepath_core::protocol::message::{Message, ReplicaCondition};
+use grebepath_core::replication::leader::AnsweredRound;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file::{Start, VoterFile, begin, read, write};
@@ -340,7 +341,8 @@
     let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
     one(&mut b, news);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
-    expect_that!((o.synced[1], o.synced[2], o.answered[2]), eq((None, None, (0, 0))));
+    let unheard = AnsweredRound { number: 0, began_at: 0 };
+    expect_that!((o.synced[1], o.synced[2], o.answered[2]), eq((None, None, unheard)));
     expect_that!(b.core.seating.stamp, not(eq(old)));
     // What the old holder still says is nobody's word.
     let late = Event::FromVoter {
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -103,7 +103,7 @@
         let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
         for (part, revision) in places {
             if revision > 0 && !self.seen(querier, part, revision) {
-                let sum = grebepath_core::replication::leader::sum(
+                let sum = grebepath_core::storage::record::checksum(
                     &self.queriers[querier].watch.partitions[&PartitionId(part)].entries,
                 );
                 self.rules.same(self.now - BEGIN, part, revision, sum);
