--- a/crates/simulator/examples/run_digest.rs
+++ b/crates/simulator/examples/run_digest.rs
@@ -9,10 +9,10 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
+use grebepath_simulator::files::read_json;
 use grebepath_simulator::net::traced;
 use grebepath_simulator::scenario::{Scenario, play_traced, read};
 use grebepath_simulator::world::{FAULTS, FaultInjection, InjectedFault, World};
-use serde_json::Value;
 
 /// Seeds that every run is played with.
 const SEEDS: [u64; 2] = [1, 2];
@@ -133,23 +133,20 @@
         out.extend([tally.full, tally.partial, rejected, tally.unreachable, tally.timed_out]);
         out.extend(&tally.latencies);
     }
-    out.extend([world.rules.firsts.len() as u64, world.rules.seconds.len() as u64]);
+    out.extend([world.rules.first_attempts.len() as u64, world.rules.retries.len() as u64]);
     for order in &world.operator_requests {
         out.extend([order.at, u64::from(order.result.is_some())]);
     }
     out.extend(world.acknowledged_at.values());
-    out.extend(world.rules.counts.values().copied());
+    out.extend(world.rules.violation_counts.values().copied());
     out
 }
 
 fn load(name: &str) -> Scenario {
     let root = concat!(env!("CARGO_MANIFEST_DIR"), "/../..");
-    let file = |path: String| std::fs::read(&path).map_err(|e| format!("{path}: {e}"));
-    let deployment = |name: &str| -> Result<Value, String> {
-        let raw = file(format!("{root}/deploy/{name}"))?;
-        serde_json::from_slice(&raw).map_err(|e| e.to_string())
-    };
-    let text = file(format!("{root}/scenarios/{name}.json")).expect("the scenario's file is there");
+    let deployment = |name: &str| read_json(&format!("{root}/deploy/{name}"));
+    let text = std::fs::read(format!("{root}/scenarios/{name}.json"))
+        .expect("the scenario's file is there");
     match read(&text, &deployment) {
         Ok(scenario) => scenario,
         Err(all) => panic!("{name}: {}", grebepath_core::diagnostic::lines(&all)),
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -22,7 +22,7 @@
             "kill-seat" => {
                 self.kill_controller(which, parameters["power"].as_bool().unwrap_or(false));
                 if parameters["lose"].as_bool().unwrap_or(false) {
-                    self.controllers[which].disk.lose();
+                    self.controllers[which].disk.replace();
                     self.lost_disks += 1;
                 }
                 if let Some(span) = duration {
@@ -67,16 +67,16 @@
             }
             "flip" => {
                 let mut random = Random::new(self.random.next_u64());
-                self.controllers[which].disk.flip(&mut random);
+                self.controllers[which].disk.flip_bit(&mut random);
             }
             "cut" => self.partition_network(parameters),
             "heal" => {
-                self.net.cuts.clear();
-                self.net.loss = 0;
-                self.net.slow = 0;
+                self.net.blocked.clear();
+                self.net.loss_per_mille = 0;
+                self.net.extra_latency = 0;
             }
-            "loss" => self.net.loss = parameters["per_mille"].as_u64().unwrap_or(10),
-            "slow-net" => self.net.slow = ms(parameters["ms"].as_u64().unwrap_or(20)),
+            "loss" => self.net.loss_per_mille = parameters["per_mille"].as_u64().unwrap_or(10),
+            "slow-net" => self.net.extra_latency = ms(parameters["ms"].as_u64().unwrap_or(20)),
             "list" => self.backends.list_mode = list_mode(parameters).unwrap_or(ListMode::Good),
             "drain" => self.request_zone_state(parameters, true),
             "undrain" => self.request_zone_state(parameters, false),
@@ -126,7 +126,7 @@
         }
         for controller in lose {
             if let Some(n) = self.controllers.get_mut(controller) {
-                n.disk.lose();
+                n.disk.replace();
                 self.lost_disks += 1;
             }
         }
@@ -158,16 +158,16 @@
         for i in 0..parameters["count"].as_u64().unwrap_or(1) as usize {
             let zone =
                 parameters["zone"].as_str().unwrap_or(mock_backends::ZONES[i % 3]).to_string();
-            let addr = self.backends.address();
-            self.backends.begin(service.clone(), &zone, addr, now);
+            let addr = self.backends.unused_address();
+            self.backends.start_leaf(service.clone(), &zone, addr, now);
         }
-        self.backends.changed(now);
+        self.backends.list_changed(now);
     }
 
     /// All troubles end: from now on the fleet has 12 s to be whole again.
     pub(super) fn end_all_faults(&mut self, factor: f64) {
-        self.net.cuts.clear();
-        (self.net.loss, self.net.slow) = (0, 0);
+        self.net.blocked.clear();
+        (self.net.loss_per_mille, self.net.extra_latency) = (0, 0);
         self.backends.list_mode = ListMode::Good;
         self.factor = factor;
         for leaf in self.backends.leafs.values_mut() {
@@ -195,9 +195,9 @@
     /// After `span` service has 12 s to be back.
     pub(super) fn expect_recovery(&mut self, span: u64) {
         let at = self.age() + span;
-        self.rules.restarts.push(crate::rules::Restart { at, ..Default::default() });
+        self.rules.pending_restarts.push(crate::rules::RestartCheck { at, ..Default::default() });
         // The operator's patience is less than what is left of the 12 s.
-        let restart = self.rules.restarts.len() - 1;
+        let restart = self.rules.pending_restarts.len() - 1;
         self.later(span + 6 * SECOND, FollowUp::ChangeAfterRestart { restart });
     }
 
@@ -216,9 +216,9 @@
         for x in &a {
             for y in b.iter().filter(|y| !a.contains(y)) {
                 if parameters["one_way"].as_bool().unwrap_or(false) {
-                    self.net.cuts.insert((*x, *y));
+                    self.net.blocked.insert((*x, *y));
                 } else {
-                    self.net.cut(*x, *y);
+                    self.net.partition(*x, *y);
                 }
             }
         }
@@ -256,12 +256,12 @@
                         service = known.map_or(service, |leaf| leaf.service.clone());
                         service.name = by.to_string();
                     }
-                    self.backends.begin(service, &zone, addr, now);
+                    self.backends.start_leaf(service, &zone, addr, now);
                 }
                 _ => {}
             }
         }
-        self.backends.changed(now);
+        self.backends.list_changed(now);
     }
 
     pub(super) fn selected_leafs(&self, parameters: &Value) -> Vec<String> {
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -90,7 +90,7 @@
                 for other in &all {
                     let with = matches!(other, Node::Querier(o) if list.contains(o));
                     if !(together && with) {
-                        world.net.cut(Node::Querier(*q), *other);
+                        world.net.partition(Node::Querier(*q), *other);
                     }
                 }
             }
@@ -115,7 +115,7 @@
     }
     let began = world.now.max(from);
     world.run(TROUBLE + 4 * SECOND);
-    world.net.cuts.clear();
+    world.net.blocked.clear();
     world.run(6 * SECOND);
     let mut wrong = Vec::new();
     for (id, order) in world.operator_requests.iter().enumerate().skip(n) {
@@ -131,11 +131,11 @@
             )),
         }
     }
-    let stale = world.rules.stalest;
+    let stale = world.rules.longest_staleness;
     if stale > IN_FORCE_WITHIN {
         wrong.push(format!("an old configuration served for {} ms", stale / MILLI));
     }
-    wrong.extend(world.rules.found.iter().map(|v| v.text.clone()));
+    wrong.extend(world.rules.violations.iter().map(|v| v.text.clone()));
     let case = format!("{queriers} queriers, {percent}% {loss:?}, order at {after} ms");
     if wrong.is_empty() { Ok(()) } else { Err(format!("{case}: {}", wrong.join("; "))) }
 }
