--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -161,7 +161,7 @@
         for command in commands {
             match command {
                 Command::AppendRecord { partition, token, rec } => {
-                    controller.cost.log_bytes += writer::rec(1, 1, &rec).len();
+                    controller.cost.log_bytes += writer::record(1, 1, &rec).len();
                     if let grebepath_core::storage::record::LogRecord::Change {
                         term,
                         revision,
--- a/crates/core/src/storage/reader.rs
+++ b/crates/core/src/storage/reader.rs
@@ -6,21 +6,21 @@
 use crate::consts::{DISK_VERSION, RECORD_LIMIT};
 use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::storage::writer::{
-    LOG_HEAD, LOG_MARK, REC_END, REC_HEAD, SLOT_HEAD, SLOT_MARK, rec_sum,
+    LOG_HEAD, LOG_MARK, RECORD_END, RECORD_HEAD, SLOT_HEAD, SLOT_MARK, record_checksum,
 };
 
 /// What a part's folder holds.
 #[derive(Debug, PartialEq)]
-pub enum Found {
+pub enum StoredReplica {
     Empty,
     /// Can't be trusted; the text says why.
     Damaged(String),
-    Good {
-        copy: ReplicaState,
-        seq: u64,
+    Intact {
+        state: ReplicaState,
+        sequence: u64,
         records: u32,
-        log_len: u64,
-        torn: bool,
+        log_bytes: u64,
+        is_torn: bool,
     },
 }
 
@@ -77,9 +77,9 @@
 /// only after slot `n` is synced, and slot `n + 1` is written over slot
 /// `n - 1` while log `n` still stands. So at any time one good slot has the
 /// number of the log, and a broken other slot is a write that never ended.
-pub fn read(partition: u32, slots: [Option<&[u8]>; 2], log: Option<&[u8]>) -> Found {
+pub fn read(partition: u32, slots: [Option<&[u8]>; 2], log: Option<&[u8]>) -> StoredReplica {
     if slots[0].is_none() && slots[1].is_none() && log.is_none() {
-        return Found::Empty;
+        return StoredReplica::Empty;
     }
     let mut best: Option<(u64, ReplicaState)> = None;
     let mut newest_broken = false;
@@ -91,7 +91,9 @@
                 }
             }
             Err(Bad::Version(v)) => {
-                return Found::Damaged(format!("slot of version {v}, we read {DISK_VERSION}"));
+                return StoredReplica::Damaged(format!(
+                    "slot of version {v}, we read {DISK_VERSION}"
+                ));
             }
             Err(Bad::Short | Bad::Broken) => newest_broken = true,
         }
@@ -102,13 +104,15 @@
         Some(raw) => {
             let ver = u16::from_le_bytes([raw[6], raw[7]]);
             if raw[..6] == LOG_MARK && ver != DISK_VERSION {
-                return Found::Damaged(format!("log of version {ver}, we read {DISK_VERSION}"));
+                return StoredReplica::Damaged(format!(
+                    "log of version {ver}, we read {DISK_VERSION}"
+                ));
             }
             if raw[..6] != LOG_MARK
                 || u32_at(raw, 8) != partition
                 || crc32fast::hash(&raw[..20]) != u32_at(raw, 20)
             {
-                return Found::Damaged("the log's head is broken".into());
+                return StoredReplica::Damaged("the log's head is broken".into());
             }
             Some(u64_at(raw, 12))
         }
@@ -116,28 +120,44 @@
     let Some((seq, mut copy)) = best else {
         // Not even the first slot was finished: nothing was ever promised.
         return match log_seq {
-            None => Found::Empty,
-            Some(_) => Found::Damaged("a log stands, but no slot can be read".into()),
+            None => StoredReplica::Empty,
+            Some(_) => StoredReplica::Damaged("a log stands, but no slot can be read".into()),
         };
     };
     match log_seq {
         // The slot is newer than the log: the log's records are within it.
-        Some(n) if n < seq => Found::Good { copy, seq, records: 0, log_len: 0, torn: false },
-        Some(n) if n > seq => {
-            Found::Damaged(format!("the log follows slot {n}, the newest that stands is {seq}"))
-        }
+        Some(n) if n < seq => StoredReplica::Intact {
+            state: copy,
+            sequence: seq,
+            records: 0,
+            log_bytes: 0,
+            is_torn: false,
+        },
+        Some(n) if n > seq => StoredReplica::Damaged(format!(
+            "the log follows slot {n}, the newest that stands is {seq}"
+        )),
         None if newest_broken || seq > 1 => {
             // A slot write replaces the log by renaming; it is never absent.
-            Found::Damaged("the log is gone".into())
+            StoredReplica::Damaged("the log is gone".into())
         }
-        None => Found::Good { copy, seq, records: 0, log_len: 0, torn: false },
+        None => StoredReplica::Intact {
+            state: copy,
+            sequence: seq,
+            records: 0,
+            log_bytes: 0,
+            is_torn: false,
+        },
         Some(_) => {
             let raw = log.unwrap_or_default();
             match records(seq, &raw[LOG_HEAD..], &mut copy) {
-                Err(why) => Found::Damaged(why),
-                Ok((records, len, torn)) => {
-                    Found::Good { copy, seq, records, log_len: (LOG_HEAD + len) as u64, torn }
-                }
+                Err(why) => StoredReplica::Damaged(why),
+                Ok((records, len, torn)) => StoredReplica::Intact {
+                    state: copy,
+                    sequence: seq,
+                    records,
+                    log_bytes: (LOG_HEAD + len) as u64,
+                    is_torn: torn,
+                },
             }
         }
     }
@@ -149,13 +169,13 @@
     let (mut at, mut num) = (0, 0u32);
     while at < raw.len() {
         let (rec, end) = match one(seq, num, raw, at) {
-            Next::LogRecord(rec, end) => (rec, end),
-            Next::Flipped => return Err(format!("record {num} of the log was changed")),
+            Parsed::Record(rec, end) => (rec, end),
+            Parsed::Flipped => return Err(format!("record {num} of the log was changed")),
             // Torn, unless a whole record of this log stands behind it.
-            Next::Torn if later(seq, num, raw, at + 1) => {
+            Parsed::Torn if later(seq, num, raw, at + 1) => {
                 return Err(format!("record {num} of the log is broken amid good ones"));
             }
-            Next::Torn => return Ok((num, at, true)),
+            Parsed::Torn => return Ok((num, at, true)),
         };
         if !apply(copy, &rec) {
             return Err(format!("record {num} of the log does not follow the one before"));
@@ -167,43 +187,43 @@
 }
 
 /// What stands at a place of the log.
-enum Next {
-    LogRecord(LogRecord, usize),
+enum Parsed {
+    Record(LogRecord, usize),
     Torn,
     Flipped,
 }
 
-fn one(seq: u64, num: u32, raw: &[u8], at: usize) -> Next {
-    if raw.len() < at + REC_HEAD {
-        return Next::Torn;
+fn one(seq: u64, num: u32, raw: &[u8], at: usize) -> Parsed {
+    if raw.len() < at + RECORD_HEAD {
+        return Parsed::Torn;
     }
-    let head = &raw[at..at + REC_HEAD];
+    let head = &raw[at..at + RECORD_HEAD];
     if crc32fast::hash(&head[..12]) != u32_at(head, 12) || u32_at(head, 4) != num {
         // A torn write leaves zeros behind what it reached; a whole record
         // would end in its mark.
         let torn = raw.last() == Some(&0);
-        return if torn { Next::Torn } else { Next::Flipped };
+        return if torn { Parsed::Torn } else { Parsed::Flipped };
     }
     let len = u32_at(head, 0);
-    let end = at + REC_HEAD + len as usize;
+    let end = at + RECORD_HEAD + len as usize;
     if len > RECORD_LIMIT || end >= raw.len() || raw[end] == 0 {
-        return Next::Torn;
+        return Parsed::Torn;
     }
-    let body = &raw[at + REC_HEAD..end];
-    if raw[end] != REC_END || rec_sum(seq, num, body) != u32_at(head, 8) {
-        return Next::Flipped;
+    let body = &raw[at + RECORD_HEAD..end];
+    if raw[end] != RECORD_END || record_checksum(seq, num, body) != u32_at(head, 8) {
+        return Parsed::Flipped;
     }
     match LogRecord::deserialize_bin(body) {
-        Ok(rec) => Next::LogRecord(rec, end + 1),
-        Err(_) => Next::Flipped,
+        Ok(rec) => Parsed::Record(rec, end + 1),
+        Err(_) => Parsed::Flipped,
     }
 }
 
 /// Whether a good record with a higher number than `num` begins at or after
 /// `from`.
 fn later(seq: u64, num: u32, raw: &[u8], from: usize) -> bool {
-    (from..raw.len().saturating_sub(REC_HEAD)).any(|at| {
+    (from..raw.len().saturating_sub(RECORD_HEAD)).any(|at| {
         let n = u32_at(raw, at + 4);
-        n > num && n - num < 1_000_000 && matches!(one(seq, n, raw, at), Next::LogRecord(..))
+        n > num && n - num < 1_000_000 && matches!(one(seq, n, raw, at), Parsed::Record(..))
     })
 }
--- a/crates/core/src/storage/writer.rs
+++ b/crates/core/src/storage/writer.rs
@@ -14,12 +14,12 @@
 /// Log: mark, version u16, part u32, sequence u64, checksum u32.
 pub const LOG_HEAD: usize = 24;
 /// Record: length u32, its place in the log u32, checksum of the body u32,
-/// checksum of these three u32; behind the body stands `REC_END`.
-pub const REC_HEAD: usize = 16;
+/// checksum of these three u32; behind the body stands `RECORD_END`.
+pub const RECORD_HEAD: usize = 16;
 /// Last byte of a record. A write that was torn leaves the file short or
 /// ends in zeros; a record that has its end and a wrong checksum was whole
 /// once, and what was synced has been changed since.
-pub const REC_END: u8 = 0xa5;
+pub const RECORD_END: u8 = 0xa5;
 
 /// A whole slot file.
 pub fn slot(partition: u32, seq: u64, copy: &ReplicaState) -> Vec<u8> {
@@ -43,20 +43,20 @@
 
 /// One record of the log of `seq`, the `num`-th. The sequence is part of the
 /// checksum, so that leftovers of an older log are never read as its tail.
-pub fn rec(seq: u64, num: u32, rec: &LogRecord) -> Vec<u8> {
-    let body = rec.serialize_bin();
-    let mut out = Vec::with_capacity(REC_HEAD + body.len() + 1);
+pub fn record(seq: u64, num: u32, record: &LogRecord) -> Vec<u8> {
+    let body = record.serialize_bin();
+    let mut out = Vec::with_capacity(RECORD_HEAD + body.len() + 1);
     out.extend((body.len() as u32).to_le_bytes());
     out.extend(num.to_le_bytes());
-    out.extend(rec_sum(seq, num, &body).to_le_bytes());
+    out.extend(record_checksum(seq, num, &body).to_le_bytes());
     out.extend(crc32fast::hash(&out).to_le_bytes());
     out.extend(body);
-    out.push(REC_END);
+    out.push(RECORD_END);
     out
 }
 
 /// Checksum of a record.
-pub fn rec_sum(seq: u64, num: u32, body: &[u8]) -> u32 {
+pub fn record_checksum(seq: u64, num: u32, body: &[u8]) -> u32 {
     let mut sum = crc32fast::Hasher::new();
     sum.update(&seq.to_le_bytes());
     sum.update(&num.to_le_bytes());
--- a/crates/core/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -3,7 +3,7 @@
 
 use googletest::prelude::*;
 use grebepath_core::identifiers::Term;
-use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
 use grebepath_core::storage::writer;
 
@@ -37,13 +37,13 @@
     let recs = [change(12), LogRecord::Vote { term: Term(7) }, change(13)];
     for (i, rec) in recs.iter().enumerate() {
         assert!(apply(&mut copy, rec));
-        log.extend(writer::rec(2, i as u32, rec));
+        log.extend(writer::record(2, i as u32, rec));
         at.push((log.len(), copy.clone()));
     }
     ([newer, older], log, at)
 }
 
-fn found(slots: &[Vec<u8>; 2], log: &[u8]) -> Found {
+fn found(slots: &[Vec<u8>; 2], log: &[u8]) -> StoredReplica {
     read(PART, [Some(&slots[0]), Some(&slots[1])], Some(log))
 }
 
@@ -56,7 +56,9 @@
             torn.extend(vec![0u8; zeros]);
             let whole = at.iter().rev().find(|(end, _)| *end <= cut).unwrap();
             match found(&slots, &torn) {
-                Found::Good { copy, .. } => assert_eq!(copy, whole.1, "cut {cut}, {zeros} zeros"),
+                StoredReplica::Intact { state: copy, .. } => {
+                    assert_eq!(copy, whole.1, "cut {cut}, {zeros} zeros")
+                }
                 other => panic!("cut {cut}, {zeros} zeros: {other:?}"),
             }
         }
@@ -72,9 +74,11 @@
         let mut bad = log.clone();
         bad[i / 8] ^= 1 << (i % 8);
         match found(&slots, &bad) {
-            Found::Damaged(_) => damaged += 1,
-            Found::Good { copy, .. } => assert_eq!(&copy, truth, "bit {i} of the log"),
-            Found::Empty => panic!("bit {i} of the log makes the disk look empty"),
+            StoredReplica::Damaged(_) => damaged += 1,
+            StoredReplica::Intact { state: copy, .. } => {
+                assert_eq!(&copy, truth, "bit {i} of the log")
+            }
+            StoredReplica::Empty => panic!("bit {i} of the log makes the disk look empty"),
         }
     }
     for (slot, name) in [(0, "newest"), (1, "older")] {
@@ -82,9 +86,13 @@
             let mut bad = slots.clone();
             bad[slot][i / 8] ^= 1 << (i % 8);
             match found(&bad, &log) {
-                Found::Damaged(_) => damaged += 1,
-                Found::Good { copy, .. } => assert_eq!(&copy, truth, "bit {i} of the {name} slot"),
-                Found::Empty => panic!("bit {i} of the {name} slot makes the disk look empty"),
+                StoredReplica::Damaged(_) => damaged += 1,
+                StoredReplica::Intact { state: copy, .. } => {
+                    assert_eq!(&copy, truth, "bit {i} of the {name} slot")
+                }
+                StoredReplica::Empty => {
+                    panic!("bit {i} of the {name} slot makes the disk look empty")
+                }
             }
         }
     }
@@ -100,12 +108,14 @@
     for cut in 0..next.len() {
         let torn = [slots[0].clone(), next[..cut].to_vec()];
         match found(&torn, &log) {
-            Found::Good { copy, .. } => assert_eq!(copy, truth, "cut {cut}"),
+            StoredReplica::Intact { state: copy, .. } => assert_eq!(copy, truth, "cut {cut}"),
             other => panic!("cut {cut}: {other:?}"),
         }
     }
     match found(&[slots[0].clone(), next], &log) {
-        Found::Good { copy, seq, .. } => expect_that!((copy, seq), eq(&(truth, 3))),
+        StoredReplica::Intact { state: copy, sequence: seq, .. } => {
+            expect_that!((copy, seq), eq(&(truth, 3)))
+        }
         other => panic!("{other:?}"),
     }
 }
@@ -115,12 +125,12 @@
     let (mut slots, log, _) = files();
     expect_that!(
         read(PART + 1, [Some(&slots[0]), None], Some(&log)),
-        matches_pattern!(Found::Damaged(anything()))
+        matches_pattern!(StoredReplica::Damaged(anything()))
     );
     slots[0][6] += 1;
     match found(&slots, &log) {
-        Found::Damaged(why) => expect_that!(why, contains_substring("version 2")),
+        StoredReplica::Damaged(why) => expect_that!(why, contains_substring("version 2")),
         other => panic!("{other:?}"),
     }
-    expect_that!(read(PART, [None, None], None), eq(&Found::Empty));
+    expect_that!(read(PART, [None, None], None), eq(&StoredReplica::Empty));
 }
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -29,10 +29,10 @@
     EntryMap, Member, MemberProgress, Message, Operation, OperationResult,
 };
 use grebepath_core::snapshot::leafs::leafs_in;
-use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file;
-use grebepath_core::storage::writer::{LOG_HEAD, log_head, rec, slot};
+use grebepath_core::storage::writer::{LOG_HEAD, log_head, record, slot};
 use grebepath_core::time::{SECOND, ms};
 use nanoserde::DeBin;
 
@@ -95,7 +95,13 @@
     let number = expected.number;
     let good = |copy: ReplicaState, seq, records, log_len: usize| {
         let (records, log_len) = (records as u32, log_len as u64);
-        Found::Good { copy, seq, records, log_len, torn: false }
+        StoredReplica::Intact {
+            state: copy,
+            sequence: seq,
+            records,
+            log_bytes: log_len,
+            is_torn: false,
+        }
     };
     // Each slot by itself: with both, the older one decides nothing.
     for (slot, seq, copy) in [
@@ -113,8 +119,8 @@
 fn write_partition(stored: &StoredPartition) -> PartitionFiles {
     let number = stored.number;
     let mut log = log_head(number, NEWER_SEQUENCE);
-    for (place, record) in stored.records.iter().enumerate() {
-        log.extend(rec(NEWER_SEQUENCE, place as u32, record));
+    for (place, entry) in stored.records.iter().enumerate() {
+        log.extend(record(NEWER_SEQUENCE, place as u32, entry));
     }
     PartitionFiles {
         older_slot: slot(number, OLDER_SEQUENCE, &stored.older),
@@ -138,7 +144,7 @@
 fn newest(files: &PartitionFiles, number: u32) -> ReplicaState {
     let slots = [Some(&files.newer_slot[..]), Some(&files.older_slot[..])];
     match read(number, slots, Some(&files.log)) {
-        Found::Good { copy, .. } => copy,
+        StoredReplica::Intact { state: copy, .. } => copy,
         other => panic!("{other:?}"),
     }
 }
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -10,7 +10,7 @@
 use grebepath_core::protocol::message::EntryMap;
 use grebepath_core::random::Random;
 use grebepath_core::replication::private_entries::{is_private, public_entries};
-use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::{ReplicaState, put};
 use grebepath_core::storage::writer;
 use prost::Message;
@@ -339,7 +339,7 @@
     let slot = include_bytes!("fixtures/orders-older-form.slot");
     let log = include_bytes!("fixtures/orders-older-form.log");
     match read(0, [None, Some(slot)], Some(log)) {
-        Found::Good { copy, records: 5, .. } => copy,
+        StoredReplica::Intact { state: copy, records: 5, .. } => copy,
         other => panic!("{other:?}"),
     }
 }
@@ -366,7 +366,7 @@
     // And back through files of this build.
     let (slot, log) = (writer::slot(0, 2, &copy), writer::log_head(0, 2));
     match read(0, [Some(&slot), None], Some(&log)) {
-        Found::Good { copy: again, .. } => expect_that!(again, eq(&copy)),
+        StoredReplica::Intact { state: again, .. } => expect_that!(again, eq(&copy)),
         other => panic!("{other:?}"),
     }
     known(&copy.entries);
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -11,7 +11,7 @@
 use grebepath_core::control_plane::order_memory::{fingerprint, horizon, remember};
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::message::{Operation, OperationResult};
-use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::{ReplicaState, put};
 use grebepath_core::time::SECOND;
 use serde_json::{Value, json};
@@ -190,7 +190,9 @@
 fn upgraded() -> Cluster {
     let slot = include_bytes!("fixtures/orders-older-form.slot");
     let log = include_bytes!("fixtures/orders-older-form.log");
-    let Found::Good { copy, .. } = read(0, [None, Some(slot)], Some(log)) else { unreachable!() };
+    let StoredReplica::Intact { state: copy, .. } = read(0, [None, Some(slot)], Some(log)) else {
+        unreachable!()
+    };
     let mut c = cluster(3);
     for node in &mut c.nodes {
         let promised = node.disk.kept[&CONFIG].current_term.max(copy.current_term);
--- a/crates/runtime/src/disk/partition_store.rs
+++ b/crates/runtime/src/disk/partition_store.rs
@@ -6,7 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use grebepath_core::identifiers::PartitionId;
-use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::writer;
 
@@ -37,21 +37,21 @@
     pub fn open(
         data: &Path,
         partition: PartitionId,
-    ) -> Result<(PartitionStore, Found), StorageError> {
+    ) -> Result<(PartitionStore, StoredReplica), StorageError> {
         let folder = folder_of(data, partition);
         if !folder.exists() {
             fs::create_dir_all(&folder)?;
             sync_folder(data)?;
         }
         let mut found = read_files(partition, |name| read_if_present(&folder.join(name)))?;
-        if found == Found::Empty && folder.join("damaged-0").exists() {
+        if found == StoredReplica::Empty && folder.join("damaged-0").exists() {
             // Set aside at an earlier start, and no snapshot was written since.
-            found = Found::Damaged("its files were damaged and set aside earlier".into());
+            found = StoredReplica::Damaged("its files were damaged and set aside earlier".into());
         }
         let sequence = match &found {
-            Found::Good { seq, .. } => *seq,
-            Found::Empty => 0,
-            Found::Damaged(_) => {
+            StoredReplica::Intact { sequence: seq, .. } => *seq,
+            StoredReplica::Empty => 0,
+            StoredReplica::Damaged(_) => {
                 // Kept for whoever wants to look; new files begin beside them.
                 set_aside(&folder)?;
                 0
@@ -69,7 +69,7 @@
     /// Appends a record; it lasts only after [`PartitionStore::sync`].
     pub fn append(&mut self, record: &LogRecord) -> Result<(), StorageError> {
         let Some(log) = &mut self.log else { return Err(StorageError::NoLog) };
-        let raw = writer::rec(self.sequence, self.records, record);
+        let raw = writer::record(self.sequence, self.records, record);
         if let Err(e) = log.write_all(&raw) {
             self.log = None;
             return Err(e.into());
@@ -115,14 +115,14 @@
             return Ok(());
         }
         match read_files(self.partition, |name| read_uncached(&self.folder.join(name)))? {
-            Found::Good { seq, records, torn, .. }
+            StoredReplica::Intact { sequence: seq, records, is_torn: torn, .. }
                 if (seq, records, torn) == (self.sequence, self.records, false) =>
             {
                 Ok(())
             }
-            Found::Good { .. } => Err(ScrubError::Outdated),
-            Found::Empty => Err(ScrubError::Missing),
-            Found::Damaged(why) => Err(ScrubError::Damaged(why)),
+            StoredReplica::Intact { .. } => Err(ScrubError::Outdated),
+            StoredReplica::Empty => Err(ScrubError::Missing),
+            StoredReplica::Damaged(why) => Err(ScrubError::Damaged(why)),
         }
     }
 
@@ -149,7 +149,7 @@
 fn read_files(
     partition: PartitionId,
     read_file: impl Fn(&str) -> Result<Option<Vec<u8>>, StorageError>,
-) -> Result<Found, StorageError> {
+) -> Result<StoredReplica, StorageError> {
     let [zero, one, log] = FILES;
     let (zero, one, log) = (read_file(zero)?, read_file(one)?, read_file(log)?);
     Ok(read(partition.0, [zero.as_deref(), one.as_deref()], log.as_deref()))
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -12,7 +12,7 @@
 
 use grebepath_core::identifiers::{PartitionId, partitions};
 use grebepath_core::protocol::message::ReplicaCondition;
-use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::reader::StoredReplica;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file::begin;
 use grebepath_runtime::disk::data_folder;
@@ -52,12 +52,14 @@
                 store.set_aside()?;
                 found.push((part, ReplicaCondition::Empty, ReplicaState::default(), 0));
             }
-            Found::Empty => found.push((part, ReplicaCondition::Empty, ReplicaState::default(), 0)),
-            Found::Damaged(why) => {
+            StoredReplica::Empty => {
+                found.push((part, ReplicaCondition::Empty, ReplicaState::default(), 0))
+            }
+            StoredReplica::Damaged(why) => {
                 warn!(%part, why, "the files are damaged and set aside; relearning");
                 found.push((part, ReplicaCondition::Damaged, ReplicaState::default(), 0));
             }
-            Found::Good { copy, torn, .. } => {
+            StoredReplica::Intact { state: copy, is_torn: torn, .. } => {
                 if torn {
                     warn!(%part, "a torn tail of the log was dropped");
                 }
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -11,7 +11,7 @@
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::message::{FeedPosition, Message, PeerIdentity};
-use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_runtime::leaf_connections::{Exchange, LeafAddress, LeafPool};
 use grebepath_runtime::peer_connection::{ConnectionEvent, Greeting, accept, dial};
 use hyper::Method;
@@ -471,7 +471,7 @@
         let good = async || {
             let (zero, one, log) = (get("slot-0"), get("slot-1"), get("log"));
             let found = read(0, [zero.as_deref(), one.as_deref()], log.as_deref());
-            matches!(found, Found::Good { .. })
+            matches!(found, StoredReplica::Intact { .. })
         };
         assert!(local_cluster::until(LONG, good).await, "the files were not written anew");
         // It starts from its own files again, and sets nothing aside.
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -203,7 +203,7 @@
                 self.push_at(at, ScheduledEvent::QuerierMessage { querier, life, from, raw });
             }
             grebepath_core::command::Command::AppendRecord { partition: part, token, rec } => {
-                add(&mut self.controllers[controller].meter.disk, writer::rec(0, 0, &rec).len());
+                add(&mut self.controllers[controller].meter.disk, writer::record(0, 0, &rec).len());
                 self.job(controller, part, token, Job::Append(rec));
             }
             grebepath_core::command::Command::WriteSnapshot { partition: part, token, copy } => {
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -226,7 +226,7 @@
         let list = found
             .into_iter()
             .map(|(part, found)| match found {
-                grebepath_core::storage::reader::Found::Good { copy, .. } => {
+                grebepath_core::storage::reader::StoredReplica::Intact { state: copy, .. } => {
                     (part, ReplicaCondition::Voting, copy, 0)
                 }
                 _ => (
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -4,7 +4,7 @@
 
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::random::Random;
-use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::voter_file;
 use grebepath_core::storage::voter_file::VoterFile;
@@ -261,7 +261,7 @@
     }
 
     /// Reads the disk as a start does; a slot of this life comes first.
-    pub fn start(&mut self) -> Vec<(PartitionId, Found)> {
+    pub fn start(&mut self) -> Vec<(PartitionId, StoredReplica)> {
         self.pending_jobs.clear();
         self.busy_until = 0;
         let full = self.health == Health::Full;
@@ -284,16 +284,20 @@
         }
         let written = (files.sequence, files.records, false);
         match files.read(partition) {
-            Found::Good { seq, records, torn, .. } if (seq, records, torn) == written => None,
-            Found::Good { .. } => Some("what was written last is not there".into()),
-            Found::Empty => Some("the files are gone".into()),
-            Found::Damaged(why) => Some(why),
+            StoredReplica::Intact { sequence: seq, records, is_torn: torn, .. }
+                if (seq, records, torn) == written =>
+            {
+                None
+            }
+            StoredReplica::Intact { .. } => Some("what was written last is not there".into()),
+            StoredReplica::Empty => Some("the files are gone".into()),
+            StoredReplica::Damaged(why) => Some(why),
         }
     }
 }
 
 impl Files {
-    fn read(&self, partition: PartitionId) -> Found {
+    fn read(&self, partition: PartitionId) -> StoredReplica {
         let slots = [self.slots[0].as_deref(), self.slots[1].as_deref()];
         read(partition.0, slots, self.log.as_deref())
     }
@@ -317,7 +321,7 @@
         match job {
             Job::Append(_) if !self.open => return Err(DiskError::NoOpenLog),
             Job::Append(record) => {
-                let raw = writer::rec(self.sequence, self.records, &record);
+                let raw = writer::record(self.sequence, self.records, &record);
                 self.log.get_or_insert_default().extend(raw);
                 self.records += 1;
             }
@@ -332,7 +336,7 @@
         match job {
             Job::Append(_) if !self.open => false,
             Job::Append(record) => {
-                let mut raw = writer::rec(self.sequence, self.records, &record);
+                let mut raw = writer::record(self.sequence, self.records, &record);
                 if !complete {
                     let keep = random.below(raw.len() as u64) as usize;
                     if random.chance(1, 2) {
@@ -367,15 +371,15 @@
     }
 
     /// Reads the files as a start does, and opens a new log unless the disk is full.
-    fn start(&mut self, partition: PartitionId, full: bool) -> Found {
+    fn start(&mut self, partition: PartitionId, full: bool) -> StoredReplica {
         let mut found = self.read(partition);
-        if found == Found::Empty && self.set_aside {
-            found = Found::Damaged("set aside earlier".into());
+        if found == StoredReplica::Empty && self.set_aside {
+            found = StoredReplica::Damaged("set aside earlier".into());
         }
         match &found {
-            Found::Empty => *self = Files { set_aside: self.set_aside, ..Files::default() },
-            Found::Damaged(_) => *self = Files { set_aside: true, ..Files::default() },
-            Found::Good { copy, seq, .. } => {
+            StoredReplica::Empty => *self = Files { set_aside: self.set_aside, ..Files::default() },
+            StoredReplica::Damaged(_) => *self = Files { set_aside: true, ..Files::default() },
+            StoredReplica::Intact { state: copy, sequence: seq, .. } => {
                 self.sequence = *seq;
                 self.open = false;
                 if !full {
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -6,7 +6,7 @@
 use grebepath_core::identifiers::{VoterSlot, partitions};
 use grebepath_core::protocol::message::{Message, ReplicaCondition};
 use grebepath_core::random::Random;
-use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::reader::StoredReplica;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file;
 use grebepath_core::storage::voter_file::Start;
@@ -68,15 +68,17 @@
         let list = found
             .into_iter()
             .map(|(part, found)| match found {
-                Found::Empty if votes_after_loss => {
+                StoredReplica::Empty if votes_after_loss => {
                     (part, ReplicaCondition::Voting, ReplicaState::default(), 0)
                 }
-                Found::Empty => (part, ReplicaCondition::Empty, ReplicaState::default(), 0),
-                Found::Damaged(why) => {
+                StoredReplica::Empty => (part, ReplicaCondition::Empty, ReplicaState::default(), 0),
+                StoredReplica::Damaged(why) => {
                     *self.alarms.entry(format!("damaged: {why}")).or_default() += 1;
                     (part, ReplicaCondition::Damaged, ReplicaState::default(), 0)
                 }
-                Found::Good { copy, .. } => (part, ReplicaCondition::Voting, copy, 0),
+                StoredReplica::Intact { state: copy, .. } => {
+                    (part, ReplicaCondition::Voting, copy, 0)
+                }
             })
             .collect();
         let node = &mut self.controllers[controller];
