--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -10,7 +10,7 @@
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
 use crate::protocol::message::{Message, Operation, ReplicaCondition};
 use crate::random::{Random, mix};
-use crate::replication::partition::{Partition, partition};
+use crate::replication::partition::Partition;
 use crate::storage::record::ReplicaState;
 use crate::storage::voter_file::VoterFile;
 use crate::time::{SECOND, Span, Tick};
@@ -200,7 +200,7 @@
                     ReplicaState::default(),
                     0,
                 ));
-                partition(id, condition, state, log_bytes, now)
+                Partition::new(id, condition, state, log_bytes, now)
             })
             .collect();
         Self {
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -11,8 +11,8 @@
 use crate::control_plane::controller::Counters;
 use crate::identifiers::part_of;
 use crate::protocol::message::{LeafReport, MembershipId};
-use crate::replication::leader::change;
-use crate::replication::partition::{Leader, Partition, leader};
+use crate::replication::leader::Leader;
+use crate::replication::partition::Partition;
 use crate::snapshot::leafs::{LeafInfo, key, leafs_in};
 use crate::time::{MILLI, SECOND, Span, Tick, since};
 use crate::voter_set::VoterGroup;
@@ -41,7 +41,7 @@
     commands: &mut Vec<Command>,
 ) {
     if !entries.is_empty() {
-        change(partition, now, group, entries, commands);
+        partition.propose(now, group, entries, commands);
     }
 }
 
@@ -59,7 +59,7 @@
 ) {
     let id = partition.id;
     let known = leafs_in(&partition.state.entries);
-    let Some(leader) = leader(partition) else { return };
+    let Some(leader) = partition.leader_mut() else { return };
     if !leader.is_serving {
         return;
     }
@@ -130,13 +130,13 @@
 /// an identity has surely reached: how old it was when this leader first saw
 /// it, and how long ago that was.
 pub fn grow(partition: &mut Partition, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
-    let known = match leader(partition) {
+    let known = match partition.leader() {
         Some(leader) if leader.is_serving && now >= leader.ages_at => {
             leafs_in(&partition.state.entries)
         }
         _ => return,
     };
-    let Some(leader) = leader(partition) else { return };
+    let Some(leader) = partition.leader_mut() else { return };
     leader.ages_at = now + AGES_INTERVAL;
     leader.first_seen.retain(|name, _| known.contains_key(name));
     let mut entries: Vec<Entry> = Vec::new();
@@ -164,7 +164,7 @@
     reports: Vec<LeafReport>,
     commands: &mut Vec<Command>,
 ) {
-    if !leader(partition).is_some_and(|leader| leader.is_serving) {
+    if !partition.leader().is_some_and(|leader| leader.is_serving) {
         return;
     }
     let known = leafs_in(&partition.state.entries);
--- a/crates/core/src/control_plane/leases.rs
+++ b/crates/core/src/control_plane/leases.rs
@@ -7,7 +7,6 @@
 use crate::control_plane::membership_log::Voters;
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Member, MemberProgress, Message};
-use crate::replication::leader;
 use crate::replication::partition::Role;
 use crate::time::Tick;
 use crate::voters::voter_slots::here;
@@ -100,7 +99,7 @@
     /// Whether a majority of the voters followed us a moment ago.
     fn is_followed(&self, now: Tick) -> bool {
         match &self.partitions[0].role {
-            Role::Leader(leader) => leader::answering(leader, here(self), now),
+            Role::Leader(leader) => leader.hears_majority(here(self), now),
             _ => false,
         }
     }
--- a/crates/core/src/control_plane/mod.rs
+++ b/crates/core/src/control_plane/mod.rs
@@ -19,6 +19,7 @@
 mod from_connections;
 mod from_controllers;
 mod from_voters;
+pub mod leadership_transfer;
 mod leases;
 pub mod members;
 mod membership_issue;
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -19,8 +19,8 @@
 };
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Message, Operation, OperationResult};
-use crate::replication::leader;
-use crate::replication::partition::{OperationOrigin, Role};
+use crate::replication::operations::OperationOrigin;
+use crate::replication::partition::Role;
 use crate::time::Tick;
 use crate::voter_set::{NOBODY, others};
 use crate::voters::handover;
@@ -104,7 +104,7 @@
         commands: &mut Vec<Command>,
     ) {
         let group = here(self);
-        if operations::reject_if_full(&mut self.partitions[0], origin, commands) {
+        if operations::reject_if_full(&self.partitions[0], origin, commands) {
             return;
         }
         if let Operation::ForgetMember(name) = &request.operation {
@@ -172,7 +172,7 @@
             self.execute_as_leader(now, origin, request, commands);
         } else {
             let why = "the seat it was handed to does not own the configuration".to_string();
-            leader::tell(origin, OperationResult::Rejected { why }, commands);
+            origin.respond(OperationResult::Rejected { why }, commands);
         }
     }
 
