--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -34,7 +34,7 @@
     /// Our voter slot by the voter set that we hold, or `NOBODY`.
     pub slot: VoterSlot,
     /// The voter set, and what we know of the other voters.
-    pub seating: VoterSlots,
+    pub voter_slots: VoterSlots,
     /// Our replica of each partition, in the order of their ids.
     pub partitions: Vec<Partition>,
     /// The members, their leases and memberships.
@@ -206,7 +206,7 @@
         Self {
             slot,
             random: Random::new(seed ^ roll.me),
-            seating: seating(roll, here, now),
+            voter_slots: seating(roll, here, now),
             partitions,
             members: Members::default(),
             followers: IndexMap::new(),
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -50,14 +50,14 @@
         if self.slot != NOBODY {
             return self.known_leader();
         }
-        let quiet = &self.seating.quiet;
+        let quiet = &self.voter_slots.silence;
         // A controller that is leaving asks nobody for a slot, and so hears nobody.
         let leaving = handover::is_leaving(self);
         let is_awake =
             |slot: &VoterSlot| leaving || quiet[usize::from(*slot)] < consts::APPLY_SILENCE;
         let list: Vec<VoterSlot> = others(here(self)).filter(is_awake).collect();
-        let slot = list.get(self.seating.turns % list.len().max(1)).copied()?;
-        self.seating.turns += 1;
+        let slot = list.get(self.voter_slots.forwarding_turns % list.len().max(1)).copied()?;
+        self.voter_slots.forwarding_turns += 1;
         Some(Forwarding { slot, term: ANY_TERM })
     }
 
@@ -261,16 +261,16 @@
     fn retry_superseded(&mut self) {
         let leader = self.known_leader();
         let leaving = handover::is_leaving(self);
-        let ControllerState { slot, seating, pending_requests: ops, .. } = self;
+        let ControllerState { slot, voter_slots, pending_requests, .. } = self;
         let is_silent = |to: &Forwarding| {
-            let quiet = seating.quiet.get(usize::from(to.slot));
+            let quiet = voter_slots.silence.get(usize::from(to.slot));
             quiet.is_none_or(|quiet| *quiet >= consts::APPLY_SILENCE)
         };
         let is_superseded = |to: &Forwarding| match *slot {
             NOBODY => !leaving && is_silent(to),
             _ => leader.is_some_and(|leader| leader != *to),
         };
-        for pending in ops.values_mut() {
+        for pending in pending_requests.values_mut() {
             if pending.forwarded_to.as_ref().is_some_and(is_superseded) {
                 pending.give_up_attempt();
             }
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -18,7 +18,7 @@
         let life = self.controllers[controller].life;
         match command {
             Command::ToVoter { slot, message } => {
-                let table = &self.controllers[controller].state.seating.roll.table;
+                let table = &self.controllers[controller].state.voter_slots.voter_file.table;
                 let Some(to) = table.slots.get(usize::from(slot)) else { return };
                 let Some(to) = self.machine(&to.addr) else { return };
                 self.send_to_controller(controller, to, message);
@@ -92,7 +92,7 @@
         let receiver = self.queriers[querier].endpoint(querier);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
-            let holder = self.controllers[controller].state.seating.roll.me;
+            let holder = self.controllers[controller].state.voter_slots.voter_file.me;
             self.push_at(at, ScheduledEvent::ControllerMessage { querier, life, holder, message });
         }
     }
@@ -122,7 +122,7 @@
         let event = if has_voter_slot(node) {
             CoreEvent::FromVoter {
                 slot: node.state.slot,
-                replica_id: node.state.seating.roll.me,
+                replica_id: node.state.voter_slots.voter_file.me,
                 connection,
                 message,
             }
