--- a/crates/core/src/control_plane/mod.rs
+++ b/crates/core/src/control_plane/mod.rs
@@ -20,6 +20,7 @@
 mod from_controllers;
 mod from_voters;
 mod handover;
+pub mod leadership_transfer;
 mod leases;
 pub mod members;
 mod membership_issue;
--- a/crates/server/src/controller/startup.rs
+++ b/crates/server/src/controller/startup.rs
@@ -2,7 +2,7 @@
 
 use grebepath_core::identifiers::{PartitionId, partitions};
 use grebepath_core::protocol::message::ReplicaCondition;
-use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::reader::StoredReplica;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file::{VoterFile, begin};
 use grebepath_runtime::clock::nonce;
@@ -40,7 +40,7 @@
         if set_aside {
             warn!(part = %partition, "the files are of a seat given to another; set aside");
             store.set_aside()?;
-            found = Found::Empty;
+            found = StoredReplica::Empty;
         }
         let (condition, state) = take(&mut store, partition, found, &mut disk.failed);
         disk.replicas.push((partition, condition, state, 0));
@@ -56,16 +56,16 @@
 fn take(
     store: &mut PartitionStore,
     partition: PartitionId,
-    found: Found,
+    found: StoredReplica,
     failed: &mut Vec<(PartitionId, String)>,
 ) -> (ReplicaCondition, ReplicaState) {
     match found {
-        Found::Empty => (ReplicaCondition::Empty, ReplicaState::default()),
-        Found::Damaged(why) => {
+        StoredReplica::Empty => (ReplicaCondition::Empty, ReplicaState::default()),
+        StoredReplica::Damaged(why) => {
             warn!(part = %partition, why, "the files are damaged and set aside; relearning");
             (ReplicaCondition::Damaged, ReplicaState::default())
         }
-        Found::Good { copy: state, torn, .. } => {
+        StoredReplica::Intact { state: state, is_torn: torn, .. } => {
             if torn {
                 warn!(part = %partition, "a torn tail of the log was dropped");
             }
--- a/crates/server/tests/disk_faults.rs
+++ b/crates/server/tests/disk_faults.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use googletest::prelude::*;
-use grebepath_core::storage::reader::{Found, read};
+use grebepath_core::storage::reader::{StoredReplica, read};
 use serde_json::json;
 use testbed::local_cluster;
 use testbed::local_cluster::LocalCluster;
@@ -89,7 +89,7 @@
         let good = async || {
             let (zero, one, log) = (get("slot-0"), get("slot-1"), get("log"));
             let found = read(0, [zero.as_deref(), one.as_deref()], log.as_deref());
-            matches!(found, Found::Good { .. })
+            matches!(found, StoredReplica::Intact { .. })
         };
         assert!(local_cluster::until(LONG, good).await, "the files were not written anew");
         // It starts from its own files again, and sets nothing aside.
--- a/crates/simulator/src/controller_start.rs
+++ b/crates/simulator/src/controller_start.rs
@@ -3,7 +3,7 @@
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::protocol::message::ReplicaCondition;
-use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::reader::StoredReplica;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file;
 use grebepath_core::storage::voter_file::{Start, VoterFile};
@@ -31,12 +31,12 @@
         let mut replicas = Vec::new();
         for (partition, found) in disk.start() {
             let (condition, copy) = match found {
-                Found::Empty => (ReplicaCondition::Empty, ReplicaState::default()),
-                Found::Damaged(why) => {
+                StoredReplica::Empty => (ReplicaCondition::Empty, ReplicaState::default()),
+                StoredReplica::Damaged(why) => {
                     damage.push(why);
                     (ReplicaCondition::Damaged, ReplicaState::default())
                 }
-                Found::Good { copy, .. } => (ReplicaCondition::Voting, copy),
+                StoredReplica::Intact { state: copy, .. } => (ReplicaCondition::Voting, copy),
             };
             replicas.push((partition, condition, copy, 0));
         }
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -197,7 +197,7 @@
                 self.answer(controller, Opener::of(connection), &message);
             }
             Command::AppendRecord { partition, token, rec } => {
-                add(&mut self.controllers[controller].meter.disk, writer::rec(0, 0, &rec).len());
+                add(&mut self.controllers[controller].meter.disk, writer::record(0, 0, &rec).len());
                 self.start_disk_job(controller, partition, token, Job::Append(rec));
             }
             Command::WriteSnapshot { partition, token, copy } => {
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -139,7 +139,7 @@
         let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
         for (part, revision) in places {
             if revision > 0 && !self.already_compared(querier, part, revision) {
-                let sum = grebepath_core::replication::leader::sum(
+                let sum = grebepath_core::storage::record::checksum(
                     &self.queriers[querier].node_agent.partitions[&PartitionId(part)].entries,
                 );
                 self.rules.check_replica(self.now - BEGIN, part, revision, sum);
