--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -5,6 +5,7 @@
 use crate::digest::hash;
 use crate::identifiers::{CONFIG, PartitionId, part_of, partitions};
 use crate::membership::lease::LEASE_TRUST;
+use crate::membership::neighbour_ring::PROBE_KEYS;
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{EntryMap, LeafReport, Message};
 use crate::snapshot::leafs::{LeafInfo, leafs_in};
@@ -21,19 +22,6 @@
 /// How often each leaf is health-checked, by one member for all.
 const PROBE_INTERVAL: Span = ms(1_000);
 
-/// Keys among which the health checks are divided (count): enough to spread over a large
-/// membership, few enough to find their holders at each change of it.
-pub const PROBE_KEYS: u64 = 64;
-
-/// The assignment of polling the platform's list, for all partitions at once: a poll
-/// brings the whole list, and each costs the platform.
-pub const LIST: &str = "list";
-
-/// The assignment of health-checking the leafs of a key.
-pub fn probe_key(key: u64) -> String {
-    format!("probe/{key}")
-}
-
 impl NodeAgent {
     /// How often we poll the list: its holder often, and the next one seldom, so
     /// that a holder that dies does not leave everyone blind for a whole lease.
--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -4,14 +4,11 @@
 //! word all send us updates, and so they do at a start, until we have a view and a
 //! lease.
 
-use std::collections::BTreeMap;
-
-use crate::digest::{hash, pair};
 use crate::identifiers::{BEYOND, COHORT, VoterSlot};
 use crate::membership::lease::{RENEWAL_OVERDUE, SEEK_INTERVAL};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{FeedPosition, Message};
-use crate::time::{Span, Tick, ms, since};
+use crate::time::{Span, Tick, ms};
 
 /// How often a querier asks the voter that sends it updates for those it may have
 /// missed.
@@ -22,40 +19,6 @@
 /// change must be obeyed.
 const ASK_OTHERS_INTERVAL: Span = 2 * SUBSCRIBE_INTERVAL;
 
-/// A voter that did not say for this long how far it is sends us no updates: three asked
-/// in vain, less what the answer takes.
-pub const FEED_SILENCE: Span = ms(1_100);
-
-/// What is known of the voters as sources of updates.
-#[derive(Default)]
-pub struct FeedSources {
-    /// When each voter slot last said how far it is.
-    pub answered_at: BTreeMap<VoterSlot, Tick>,
-    /// When those that send us no updates are next asked how far they are.
-    pub ask_others_at: Tick,
-}
-
-impl FeedSources {
-    /// The voter that sends us updates, of those in `slots`: the first by rendezvous
-    /// that answered lately, so that followers are spread evenly. At a start each
-    /// counts as having answered; a replica that has just taken its slot does not
-    /// before it answers.
-    fn preferred(
-        &self,
-        slots: &[VoterSlot],
-        name: &str,
-        started_at: Tick,
-        now: Tick,
-    ) -> Option<VoterSlot> {
-        let own = hash(name);
-        let answered = |slot: &VoterSlot| {
-            let at = *self.answered_at.get(slot).unwrap_or(&started_at);
-            since(at, now) < FEED_SILENCE
-        };
-        slots.iter().copied().filter(answered).max_by_key(|slot| pair(own, u64::from(*slot)))
-    }
-}
-
 impl NodeAgent {
     /// Asks the voters for updates if it is time; without a view often, and all.
     pub(super) fn subscribe(&mut self, now: Tick, commands: &mut Vec<Command>) {
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -4,6 +4,7 @@
 use crate::identifiers::CONFIG;
 use crate::membership::lease::RENEWAL_OVERDUE;
 use crate::membership::node_agent::{Command, NodeAgent};
+use crate::membership::peer::{PEER_SILENCE, Peer};
 use crate::protocol::message::{Attestation, FeedPosition, Message};
 use crate::time::{MILLI, SECOND, Span, Tick, ms, since};
 
@@ -17,25 +18,9 @@
 /// only finds connections that have died before they are needed.
 const CALM_GOSSIP_INTERVAL: Span = 2 * SECOND;
 
-/// A member not heard for this long counts as silent.
-const PEER_SILENCE: Span = ms(1_600);
-
 /// A member is forgotten after this many times the silence in which it counts.
 const FORGET_AFTER_SILENCES: u64 = 4;
 
-/// Another member, as it last answered us.
-pub struct Peer {
-    /// When we sent the question that it last answered: a process that was paused
-    /// must not take old messages in its buffers for fresh ones.
-    pub asked_at: Tick,
-    /// Age of its word from the controllers when it answered.
-    pub core_age: Span,
-    /// How far it is in each partition.
-    pub positions: Vec<FeedPosition>,
-    /// Whether it is ready.
-    pub ready: bool,
-}
-
 /// A gossip message of a member, without its question.
 pub(super) struct Gossip {
     pub(super) core_age_ms: u64,
--- a/crates/core/src/membership/leaf_reports.rs
+++ b/crates/core/src/membership/leaf_reports.rs
@@ -9,6 +9,7 @@
 use crate::consts;
 use crate::identifiers::{PartitionId, part_of};
 use crate::membership::node_agent::{Command, NodeAgent};
+use crate::membership::pending_report::PendingLeafReport;
 use crate::protocol::message::{LeafReport, Message};
 use crate::snapshot::leafs::{LeafInfo, key};
 use crate::time::{Span, Tick, ms, since};
@@ -16,48 +17,6 @@
 /// How often a leaf's report that the update stream does not show is sent again.
 const REPORT_RETRY: Span = ms(500);
 
-/// A leaf's report that the update stream does not show yet.
-pub struct PendingLeafReport {
-    /// The leaf's service.
-    pub service: String,
-    /// All that the leaf reported, put together.
-    pub report: LeafReport,
-    /// When we last sent it to the voters; zero before the first time.
-    pub sent_at: Tick,
-    /// When we last passed it on to our neighbours; zero before the first time.
-    pub passed_on_at: Tick,
-}
-
-impl PendingLeafReport {
-    fn new(service: String, leaf: String) -> PendingLeafReport {
-        PendingLeafReport {
-            service,
-            report: LeafReport { leaf, ..LeafReport::default() },
-            sent_at: 0,
-            passed_on_at: 0,
-        }
-    }
-
-    /// An age can wait for others; that a leaf leaves or is gone can't.
-    fn is_urgent(&self) -> bool {
-        self.report.leaving || self.report.gone
-    }
-
-    /// Adds what a report says; tells whether it must be sent at once.
-    fn add(&mut self, report: &LeafReport) -> bool {
-        let is_news =
-            (report.leaving && !self.report.leaving) || (report.gone && !self.report.gone);
-        if is_news {
-            self.sent_at = 0;
-            self.passed_on_at = 0;
-        }
-        self.report.leaving |= report.leaving;
-        self.report.gone |= report.gone;
-        self.report.age_ms = self.report.age_ms.max(report.age_ms);
-        is_news
-    }
-}
-
 /// Reports by partition.
 type ReportsByPartition = BTreeMap<PartitionId, Vec<LeafReport>>;
 
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -7,9 +7,7 @@
 use std::collections::BTreeMap;
 
 use crate::identifiers::VoterSlot;
-use crate::membership::node_agent::{Command, NodeAgent};
-use crate::protocol::message::{MemberProgress, Message};
-use crate::time::{Span, Tick, ms, since};
+use crate::time::{Span, Tick, ms};
 
 /// How often a member renews its lease.
 pub(super) const RENEWAL_INTERVAL: Span = ms(500);
@@ -31,10 +29,6 @@
 /// at a time, at one renewal in `SEEK_INTERVAL`.
 const KEPT: usize = 16;
 
-/// Members that are asked to forward a renewal (count): one may itself have just
-/// lost the controllers.
-const FORWARDERS: usize = 2;
-
 /// The lease of this querier.
 #[derive(Default)]
 pub struct Lease {
@@ -70,7 +64,7 @@
     }
 
     /// Notes a renewal that is sent now and returns its number.
-    fn next_renewal(&mut self, now: Tick) -> u64 {
+    pub(super) fn next_renewal(&mut self, now: Tick) -> u64 {
         let period = if self.granted { RENEWAL_INTERVAL } else { SEEK_INTERVAL };
         self.renew_at = now + period;
         self.last_number += 1;
@@ -82,7 +76,12 @@
     }
 
     /// Notes the grant of a renewal; tells whether it was still waited for.
-    fn on_granted(&mut self, slot: Option<VoterSlot>, number: u64, revision: u64) -> bool {
+    pub(super) fn on_granted(
+        &mut self,
+        slot: Option<VoterSlot>,
+        number: u64,
+        revision: u64,
+    ) -> bool {
         let Some(sent_at) = self.unanswered.get(&number).copied() else { return false };
         self.unanswered = self.unanswered.split_off(&(number + 1));
         self.slot = slot;
@@ -105,72 +104,3 @@
         }
     }
 }
-
-impl NodeAgent {
-    /// How long ago the controllers were last known to hear us.
-    pub(super) fn core_age(&self, now: Tick) -> Span {
-        if self.lease.granted {
-            since(self.lease.renewed_at, now)
-        } else {
-            since(self.started_at, now)
-        }
-    }
-
-    /// Renews the lease when it is due.
-    pub(super) fn renew_lease(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        if now < self.lease.renew_at {
-            return;
-        }
-        let number = self.lease.next_renewal(now);
-        let message = Message::RenewLease {
-            member: self.member.clone(),
-            count: number,
-            far: self.progress(now),
-        };
-        let overdue = self.core_age(now) >= RENEWAL_OVERDUE;
-        match self.lease.slot {
-            Some(slot) if !overdue => {
-                commands.push(Command::ToVoter { slot, message: message.clone() });
-            }
-            _ => self.send_to_voters(&message, commands),
-        }
-        if overdue && self.lease.granted {
-            self.renew_by_members(now, &message, commands);
-        }
-    }
-
-    /// Asks members to forward a renewal: perhaps only our own way to the
-    /// controllers is cut.
-    fn renew_by_members(&self, now: Tick, message: &Message, commands: &mut Vec<Command>) {
-        let forwarders: Vec<&String> = self
-            .heard_peers(now)
-            .filter(|(_, peer)| peer.core_age < LEASE_TRUST)
-            .map(|(name, _)| name)
-            .take(FORWARDERS)
-            .collect();
-        for name in forwarders {
-            self.send_to_member(name, message.clone(), commands);
-        }
-    }
-
-    /// How far we are, as told with each renewal.
-    fn progress(&self, now: Tick) -> MemberProgress {
-        MemberProgress {
-            obeys: self.view.as_ref().map_or(0, |view| view.revision),
-            saw: self.membership.id(),
-            knows: self.known_revision,
-            quiet_ms: self.quiet_ms(now),
-            ready: self.ready,
-            leaving: self.is_drained,
-        }
-    }
-
-    /// A renewal was granted, when the configuration was at `revision`; through a
-    /// voter slot, or by a member.
-    pub(super) fn on_lease_granted(&mut self, slot: Option<VoterSlot>, number: u64, revision: u64) {
-        if self.lease.on_granted(slot, number, revision) {
-            self.learn_revision(revision);
-            self.lease.take_up_grants(self.configuration_revision);
-        }
-    }
-}
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -8,11 +8,16 @@
 pub mod assignments;
 pub mod attestation;
 pub mod feed;
+pub mod feed_sources;
 pub mod gossip;
 pub mod leaf_reports;
 pub mod lease;
+pub mod lease_renewal;
 pub mod neighbour_ring;
 pub mod node_agent;
+pub mod peer;
+pub mod pending_report;
+pub mod proofs;
 pub mod status;
 pub mod step;
 pub mod updates;
--- a/crates/core/src/membership/neighbour_ring.rs
+++ b/crates/core/src/membership/neighbour_ring.rs
@@ -6,14 +6,25 @@
 //! whose joining is settled; who would hold it next is the second.
 
 use crate::digest::{hash, pair};
-use crate::membership::assignments;
-use crate::membership::assignments::PROBE_KEYS;
 use crate::protocol::message::Membership;
 
 /// Neighbours that each member speaks with, either way on the ring (count): each member
 /// is heard by twice as many others, and the cost does not grow with the membership.
 pub const NEIGHBOURS_EACH_WAY: usize = 4;
 
+/// Keys among which the health checks are divided (count): enough to spread over a large
+/// membership, few enough to find their holders at each change of it.
+pub const PROBE_KEYS: u64 = 64;
+
+/// The assignment of polling the platform's list, for all partitions at once: a poll
+/// brings the whole list, and each costs the platform.
+pub const LIST: &str = "list";
+
+/// The assignment of health-checking the leafs of a key.
+pub fn probe_key(key: u64) -> String {
+    format!("probe/{key}")
+}
+
 /// A member's place among the members of one state of the membership.
 #[derive(Default)]
 pub struct NeighbourRing {
@@ -64,9 +75,8 @@
             .map(|(_, ring_member)| *ring_member)
             .collect();
         let list_rank = list_rank(&eligible, own);
-        let probe_keys = (0..PROBE_KEYS)
-            .map(|key| is_holder(&eligible, own, &assignments::probe_key(key)))
-            .collect();
+        let probe_keys =
+            (0..PROBE_KEYS).map(|key| is_holder(&eligible, own, &probe_key(key))).collect();
         members.sort_unstable();
         let (neighbours, proof_peers) = match members.iter().position(|m| m.name == own) {
             Some(own) => (neighbours(&members, own), proof_peers(&members, own)),
@@ -89,7 +99,7 @@
 }
 
 fn list_rank(eligible: &[RingMember], own: &str) -> Option<usize> {
-    let assignment = hash(assignments::LIST);
+    let assignment = hash(LIST);
     let own = eligible.iter().find(|member| member.name == own)?.rank(assignment);
     Some(eligible.iter().filter(|member| member.rank(assignment) > own).count())
 }
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -7,12 +7,12 @@
 
 use crate::config::build::Built;
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
-use crate::membership::attestation::Proofs;
-use crate::membership::feed::FeedSources;
-use crate::membership::gossip::Peer;
-use crate::membership::leaf_reports::PendingLeafReport;
+use crate::membership::feed_sources::FeedSources;
 use crate::membership::lease::Lease;
 use crate::membership::neighbour_ring::NeighbourRing;
+use crate::membership::peer::Peer;
+use crate::membership::pending_report::PendingLeafReport;
+use crate::membership::proofs::Proofs;
 use crate::protocol::message::{EntryMap, FeedPosition, LeafReport, Member, Membership, Message};
 use crate::query::engine::Door;
 use crate::snapshot::cluster_view::ClusterView;
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -9,9 +9,9 @@
 //!   calls, before the leader gives our share away.
 
 use crate::membership::gossip::GOSSIP_INTERVAL;
-use crate::membership::gossip::Peer;
 use crate::membership::lease::{LEASE_TRUST, RENEWAL_INTERVAL, RENEWAL_OVERDUE};
 use crate::membership::node_agent::{Command, LeafClient, NodeAgent, QuotaMember};
+use crate::membership::peer::Peer;
 use crate::membership::updates::START_PATIENCE;
 use crate::query::engine::Door;
 use crate::time::{Span, Tick, ms, since};
