--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -3,11 +3,9 @@
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
-use crate::control_plane::feed;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{HandedOverReplica, Memberships, Message, ReplicaCondition};
-use crate::replication::partition::{AfterWrite, Partition, Role, able};
-use crate::replication::{election, replica};
+use crate::replication::partition::{AfterWrite, Partition, Role};
 use crate::storage::record::ReplicaState;
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{NOBODY, SlotHolder, VoterSet, merge};
@@ -44,10 +42,7 @@
         if self.is_leaving() {
             return;
         }
-        let group = self.group();
-        for partition in &mut self.partitions {
-            election::transfer(partition, now, group, commands);
-        }
+        self.transfer_leadership(now, commands);
         self.voter_slots.handovers.begin(now);
         if self.slot == NOBODY || self.voter_slots.handovers.applicants.is_empty() {
             return self.finish_handover();
@@ -176,7 +171,7 @@
             return false;
         }
         let generation = holder.generation;
-        let replicas = self.partitions.iter().filter(|p| able(p)).map(handed_over).collect();
+        let replicas = self.partitions.iter().filter(|p| p.can_vote()).map(handed_over).collect();
         let memberships = self.members.held_memberships();
         let state = Message::Handover { slot, generation, table, replicas, memberships };
         let state = Box::new(state);
@@ -245,7 +240,7 @@
         return;
     }
     let HandedOverReplica { current_term, written_term, revision, entries, .. } = handed_over;
-    feed::reseed(replica, revision, &entries);
+    replica.restart_changes(revision, &entries);
     replica.state = ReplicaState { current_term, written_term, revision, entries };
-    replica::keep_whole(replica, now, vec![AfterWrite::StartVoting], commands);
+    replica.persist_snapshot(now, vec![AfterWrite::StartVoting], commands);
 }
--- a/crates/core/src/control_plane/membership_updates.rs
+++ b/crates/core/src/control_plane/membership_updates.rs
@@ -6,7 +6,6 @@
 use crate::control_plane::membership_replication::ReplicatedMembership;
 use crate::identifiers::{COHORT, Term, VoterSlot};
 use crate::protocol::message::{Membership, Message, OperationResult};
-use crate::replication::leader;
 use crate::replication::partition::Role;
 use crate::time::Tick;
 
@@ -132,7 +131,7 @@
         for origin in proved {
             let membership = self.members.membership.clone();
             let far = self.members.status(now);
-            leader::tell(origin, OperationResult::Status { membership, far }, commands);
+            origin.respond(OperationResult::Status { membership, far }, commands);
         }
     }
 }
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -19,8 +19,8 @@
 };
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Message, Operation, OperationResult};
-use crate::replication::leader;
-use crate::replication::partition::{OperationOrigin, Role};
+use crate::replication::operations::OperationOrigin;
+use crate::replication::partition::Role;
 use crate::time::Tick;
 use crate::voter_set::{NOBODY, others};
 
@@ -102,7 +102,7 @@
         commands: &mut Vec<Command>,
     ) {
         let group = self.group();
-        if operations::reject_if_full(&mut self.partitions[0], origin, commands) {
+        if operations::reject_if_full(&self.partitions[0], origin, commands) {
             return;
         }
         if let Operation::ForgetMember(name) = &request.operation {
@@ -170,7 +170,7 @@
             self.execute_as_leader(now, origin, request, commands);
         } else {
             let why = "the seat it was handed to does not own the configuration".to_string();
-            leader::tell(origin, OperationResult::Rejected { why }, commands);
+            origin.respond(OperationResult::Rejected { why }, commands);
         }
     }
 
@@ -259,7 +259,7 @@
     fn retry_superseded(&mut self) {
         let leader = self.known_leader();
         let leaving = self.is_leaving();
-        let ControllerState { slot, voter_slots, pending_requests: ops, .. } = self;
+        let ControllerState { slot, voter_slots, pending_requests, .. } = self;
         let is_silent = |to: &Forwarding| {
             let quiet = voter_slots.silence.get(usize::from(to.slot));
             quiet.is_none_or(|quiet| *quiet >= consts::APPLY_SILENCE)
@@ -268,7 +268,7 @@
             NOBODY => !leaving && is_silent(to),
             _ => leader.is_some_and(|leader| leader != *to),
         };
-        for pending in ops.values_mut() {
+        for pending in pending_requests.values_mut() {
             if pending.forwarded_to.as_ref().is_some_and(is_superseded) {
                 pending.give_up_attempt();
             }
