--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -11,6 +11,7 @@
 use crate::command::Command;
 use crate::config::change::Entry;
 use crate::control_plane::members::{Departure, Members};
+use crate::control_plane::rejection::Rejection;
 use crate::protocol::message::{EntryMap, Member, OperationResult};
 use crate::replication::operations::{ChangeAcceptance, OperationOrigin, PendingAnswer};
 use crate::replication::partition::Partition;
@@ -77,7 +78,7 @@
         }
         // It is forgotten already.
         None if known.is_none() || members.is_live(now, name) => {
-            let why = "no such member, or it still renews its tenure".to_string();
+            let why = Rejection::MemberUnknownOrLive.to_string();
             let answer = PendingAnswer::Refusal(OperationResult::Rejected { why });
             configuration.add_pending(now, group, origin, answer, commands);
         }
--- a/crates/core/src/control_plane/mod.rs
+++ b/crates/core/src/control_plane/mod.rs
@@ -5,7 +5,7 @@
 //! just the parts they need: [`order_memory`], [`commit_times`], [`membership_log`],
 //! [`members`] and what is done to [`members::Members`] (`membership_replication`,
 //! `membership_issue`, `retirement`, [`acceptance`], [`forgotten_members`]),
-//! [`endpoints`], [`feed`], [`operations`], [`pending_requests`]. Above them
+//! [`endpoints`], [`feed`], [`operations`], [`pending_requests`], [`rejection`]. Above them
 //! [`controller`] has the whole state of a controller, and the modules above that
 //! what needs several of its parts, a concern each; [`step`] dispatches the events.
 
@@ -30,6 +30,7 @@
 pub mod operations;
 pub mod order_memory;
 pub mod pending_requests;
+pub mod rejection;
 mod retirement;
 pub mod step;
 mod subscriptions;
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -17,6 +17,7 @@
 use crate::control_plane::pending_requests::{
     ANY_TERM, AttemptId, ForwardedOperation, Forwarding, PendingRequest,
 };
+use crate::control_plane::rejection::Rejection;
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Message, Operation, OperationResult};
 use crate::replication::operations::OperationOrigin;
@@ -171,7 +172,7 @@
         if self.lease_term() == Some(term) {
             self.execute_as_leader(now, origin, request, commands);
         } else {
-            let why = "the seat it was handed to does not own the configuration".to_string();
+            let why = Rejection::NotLeader.to_string();
             origin.respond(OperationResult::Rejected { why }, commands);
         }
     }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -8,6 +8,7 @@
 use crate::config::{build, read};
 use crate::control_plane::order_memory;
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
+use crate::control_plane::rejection::Rejection;
 use crate::diagnostic::Diagnostic;
 use crate::protocol::message::{EntryMap, Operation, OperationResult};
 use crate::replication::leader::Leader;
@@ -32,7 +33,7 @@
 ) -> bool {
     let is_full = configuration.leader().is_none_or(Leader::is_full);
     if is_full {
-        let why = "too many requests wait at the leader".to_string();
+        let why = Rejection::TooManyRequests.to_string();
         origin.respond(OperationResult::Rejected { why }, commands);
     }
     is_full
--- a/crates/core/src/control_plane/pending_requests.rs
+++ b/crates/core/src/control_plane/pending_requests.rs
@@ -3,6 +3,7 @@
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::operations::Request;
+use crate::control_plane::rejection::Rejection;
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Message, Operation, OperationResult};
 use crate::time::Tick;
@@ -71,7 +72,7 @@
 
     /// A controller without a voter slot took us for a voter. It is to ask another.
     pub fn misdirected(self) -> Command {
-        let why = "this controller has no voter slot".to_string();
+        let why = Rejection::NoVoterSlot.to_string();
         self.response(OperationResult::Rejected { why })
     }
 }
@@ -133,7 +134,7 @@
             OperationResult::Rejected { .. } => done,
             // An earlier attempt may still reach any leader and be carried out.
             _ if self.may_be_applied && self.is_unfenced => {
-                let why = "refused, but an earlier attempt may still be carried out".to_string();
+                let why = Rejection::EarlierAttemptPending.to_string();
                 OperationResult::Unknown { why }
             }
             refusal => refusal,
@@ -144,13 +145,13 @@
     pub fn overdue(&self) -> OperationResult {
         match self.forwarded_to {
             None if !self.may_be_applied => {
-                OperationResult::Rejected { why: "the configuration has no leader now".into() }
+                OperationResult::Rejected { why: Rejection::NoLeader.to_string() }
             }
             _ if matches!(self.operation, Operation::Read | Operation::Status) => {
-                OperationResult::Rejected { why: "no answer in time".into() }
+                OperationResult::Rejected { why: Rejection::ReadTimedOut.to_string() }
             }
             _ => {
-                let silent = || "the leader did not answer in time".to_string();
+                let silent = || Rejection::LeaderTimedOut.to_string();
                 OperationResult::Unknown { why: self.last_failure.clone().unwrap_or_else(silent) }
             }
         }
