--- a/crates/core/src/control_plane/rejection.rs
+++ b/crates/core/src/control_plane/rejection.rs
@@ -13,10 +13,10 @@
     #[error("too many requests wait at the leader")]
     TooManyRequests,
     /// A member that is to be forgotten is unknown or alive.
-    #[error("no such member, or it still renews its lease")]
+    #[error("no such member, or it still renews its tenure")]
     MemberUnknownOrLive,
     /// It was meant for a term in which we do not lead.
-    #[error("the voter it was handed to does not lead the configuration")]
+    #[error("the seat it was handed to does not own the configuration")]
     NotLeader,
     /// A later leader refused it, but an attempt that was not meant for one term alone
     /// may still reach any leader.
