--- a/crates/core/src/control_plane/disk_events.rs
+++ b/crates/core/src/control_plane/disk_events.rs
@@ -6,7 +6,6 @@
 use crate::identifiers::PartitionId;
 use crate::replication::partition::Partition;
 use crate::time::Tick;
-use crate::voters::voter_slots::here;
 
 impl ControllerState {
     /// Every write of a partition up to this token is synced.
@@ -17,7 +16,7 @@
         token: u64,
         commands: &mut Vec<Command>,
     ) {
-        let group = here(self);
+        let group = self.group();
         let replica = &mut self.partitions[partition.0 as usize];
         if replica.on_synced(now, group, token, commands) {
             self.counters.disks_recovered += 1;
--- a/crates/core/src/control_plane/leases.rs
+++ b/crates/core/src/control_plane/leases.rs
@@ -9,7 +9,6 @@
 use crate::protocol::message::{Member, MemberProgress, Message};
 use crate::replication::partition::Role;
 use crate::time::Tick;
-use crate::voters::voter_slots::here;
 
 /// A member's renewal of its lease.
 pub struct LeaseRenewal {
@@ -41,7 +40,7 @@
 
     /// The voters among which memberships are replicated.
     pub(super) fn voters(&self) -> Voters {
-        Voters { group: here(self), stamp: self.voter_slots.stamp }
+        Voters { group: self.group(), stamp: self.voter_slots.stamp }
     }
 
     /// Begins to keep leases if we lead and have not begun.
@@ -71,7 +70,7 @@
             return;
         }
         self.begin_leases(now);
-        let group = here(self);
+        let group = self.group();
         let configuration = &mut self.partitions[0];
         if forgotten_members::readmit(configuration, now, group, &renewal.member, commands) {
             return;
@@ -99,7 +98,7 @@
     /// Whether a majority of the voters followed us a moment ago.
     fn is_followed(&self, now: Tick) -> bool {
         match &self.partitions[0].role {
-            Role::Leader(leader) => leader.hears_majority(here(self), now),
+            Role::Leader(leader) => leader.hears_majority(self.group(), now),
             _ => false,
         }
     }
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/platform_api.rs
@@ -1,6 +1,9 @@
 //! Real processes that speak another manner than ours: a trio of controllers
 //! and two queriers, started by the templates as their platform fills them.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
@@ -8,6 +11,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
+use common::block;
 use googletest::prelude::*;
 use grebepath_runtime::http::client::HttpClient;
 use http_body_util::Full;
@@ -15,7 +19,9 @@
 use serde_json::{Value, json};
 use testbed::foreign::{self, Mode, Shared, begin, filled, leave, let_go, records, stamp};
 use testbed::local_cluster;
-use testbed::local_cluster::{Layout, Proc, until};
+use testbed::local_cluster::error::LocalClusterError;
+use testbed::local_cluster::process::Process;
+use testbed::local_cluster::until;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
 /// How long anything may take that is only waited for.
@@ -34,8 +40,8 @@
 
 /// A running site. Dropping it kills its processes, and no others.
 struct Site {
-    seats: Vec<Proc>,
-    queriers: Vec<Proc>,
+    seats: Vec<Process>,
+    queriers: Vec<Process>,
     doors: Vec<SocketAddr>,
     fronts: Vec<SocketAddr>,
     checks: Vec<SocketAddr>,
@@ -48,26 +54,18 @@
 impl Drop for Site {
     fn drop(&mut self) {
         for p in self.seats.iter_mut().chain(&mut self.queriers) {
-            local_cluster::kill(p);
+            p.kill();
         }
     }
 }
 
-fn block<F: Future>(body: F) -> F::Output {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&rt, body)
-}
-
 /// Starts everything, each machine at an address of its own: the inner port is
 /// the same on all of them.
 async fn up(test: &str) -> Site {
     let manifest = PathBuf::from(env!("CARGO_MANIFEST_DIR"));
-    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
-    let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).unwrap();
-    let bin = PathBuf::from(env!("CARGO_BIN_EXE_controller")).parent().unwrap().to_path_buf();
-    let deploy = manifest.join("../../deploy");
-    let layout = Layout { bin, dir: dir.clone(), deploy, name: test.into(), queriers: 2 };
+    let layout = common::layout(test, test, 2);
+    common::empty_folder(&layout);
+    let dir = layout.dir.clone();
     let (world, list) = begin(&LEAFS).await.unwrap();
     let mut trouble = String::new();
     // Another process may take a port between our look and our start.
@@ -111,18 +109,18 @@
             let pairs = [("params", file.display().to_string())];
             let label = format!("{name}-{i}");
             all.push(match name {
-                "controller" => local_cluster::controller(&layout, &label, &pairs),
-                _ => local_cluster::querier(&layout, &label, &pairs),
+                "controller" => Process::controller(&layout, &label, &pairs),
+                _ => Process::querier(&layout, &label, &pairs),
             });
             site.files.push(file);
         }
-        let started: std::result::Result<(), String> =
-            all.iter_mut().try_for_each(local_cluster::start);
+        let started: std::result::Result<(), LocalClusterError> =
+            all.iter_mut().try_for_each(Process::start);
         site.queriers = all.split_off(3);
         site.seats = all;
         match started {
             Ok(()) => return site,
-            Err(e) => trouble = e,
+            Err(e) => trouble = e.to_string(),
         }
     }
     panic!("{trouble}");
@@ -576,7 +574,7 @@
             let end = async {
                 let held = || site.world.borrow().runs.len() >= before + 4;
                 assert!(until(LONG, async || held()).await, "the calls did not arrive");
-                local_cluster::signal(&site.queriers[0], "TERM").unwrap();
+                site.queriers[0].signal("TERM").unwrap();
                 let told = until(LONG, async || !is_ready(site, 0).await).await;
                 let_go(&site.world);
                 for leaf in LEAFS {
@@ -592,7 +590,7 @@
             expect_that!(true_pass(&id, &resp), eq(true), "{resp:?}");
             expect_that!(head(&resp, "connection"), eq("close"));
         }
-        expect_that!(local_cluster::ended(&mut s.queriers[0], LONG), some(eq(0)));
+        expect_that!(s.queriers[0].wait_for_end(LONG), some(eq(0)));
         // The other one serves on.
         let (id, resp) = call(&s, 1, "GET", "/pass/x", "").await.unwrap();
         expect_that!(true_pass(&id, &resp), eq(true));
@@ -608,14 +606,14 @@
                 let good = std::fs::read_to_string(file).unwrap();
                 std::fs::write(file, text).unwrap();
                 for p in s.seats.iter().chain(&s.queriers) {
-                    local_cluster::signal(p, "HUP").unwrap();
+                    p.signal("HUP").unwrap();
                 }
                 serves(&s, "/pass/x", 200).await;
                 std::fs::write(file, good).unwrap();
             }
         }
         for p in s.seats.iter().chain(&s.queriers) {
-            local_cluster::signal(p, "HUP").unwrap();
+            p.signal("HUP").unwrap();
         }
         expect_that!(put(&s, 5, &whole(6)).await, eq(200));
         serves(&s, "/join/x", 200).await;
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -4,23 +4,22 @@
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::{VoterSlot, partitions};
-use grebepath_core::protocol::message::{Message, ReplicaCondition};
+use grebepath_core::protocol::message::Message;
 use grebepath_core::random::Random;
-use grebepath_core::storage::reader::StoredReplica;
-use grebepath_core::storage::record::ReplicaState;
-use grebepath_core::storage::voter_file;
 use grebepath_core::storage::voter_file::Start;
 use grebepath_core::time::{BOOT, SECOND, Span, ms};
 
 use super::build::address;
 use super::events::{FollowUp, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
-use super::nodes::{ControllerNode, Stopping, has_voter_slot};
+use super::nodes::{ControllerNode, Stopping};
 use super::{BEGIN, World};
+use crate::connection_id::Opener;
+use crate::controller_start::Recovered;
 use crate::mock_backends::ZONES;
 use crate::simulated_disk::Disk;
 
-/// From the wish that a controller stops to its end by force.
+/// Time from a request to stop to the forced end of the process.
 const STOP_GRACE: Span = 6 * SECOND;
 
 impl World {
@@ -59,43 +58,29 @@
             addr: address(controller),
         };
         let disk = &mut self.controllers[controller].disk;
-        let bare = disk.is_empty();
-        let (roll, clear) = voter_file::begin(disk.read_voter_file(), &start, bare, seed);
-        disk.put_voter_file(&roll, clear);
-        let found = disk.start();
-        let votes_after_loss =
-            self.faulty_variant == Some(FaultyVariant::VotesAfterDiskLoss) && bare && !start.first;
-        let list = found
-            .into_iter()
-            .map(|(part, found)| match found {
-                StoredReplica::Empty if votes_after_loss => {
-                    (part, ReplicaCondition::Voting, ReplicaState::default(), 0)
-                }
-                StoredReplica::Empty => (part, ReplicaCondition::Empty, ReplicaState::default(), 0),
-                StoredReplica::Damaged(why) => {
-                    *self.alarms.entry(format!("damaged: {why}")).or_default() += 1;
-                    (part, ReplicaCondition::Damaged, ReplicaState::default(), 0)
-                }
-                StoredReplica::Intact { state: copy, .. } => {
-                    (part, ReplicaCondition::Voting, copy, 0)
-                }
-            })
-            .collect();
+        let mut recovered = Recovered::read(disk, &start, seed);
+        for why in &recovered.damage {
+            *self.alarms.entry(format!("damaged: {why}")).or_default() += 1;
+        }
+        if self.faulty_variant == Some(FaultyVariant::VotesAfterDiskLoss)
+            && recovered.was_empty
+            && !start.first
+        {
+            recovered.vote_without_files();
+        }
         let node = &mut self.controllers[controller];
         node.life += 1;
         node.up = true;
         node.began = self.now;
         node.paused = 0;
         node.stopping = None;
-        node.state = ControllerState::new(roll, (&start.addr, &node.zone), list, seed, BOOT);
+        node.state = recovered.into_state(&start.addr, &node.zone, seed);
         let life = node.life;
         self.push(start_delay(seed, 50), ScheduledEvent::ControllerTimer { controller, life });
-        // It dials its seeds and all whom it knows, who tell it the table.
+        // It connects to its seeds and all known voters, which send it the voter set.
+        let connection = Opener::Controller { number: controller, life }.connection();
         for to in self.connected_controllers(controller) {
-            self.announce_connection(
-                to,
-                CoreEvent::ConnectionOpened { connection: controller_connection(controller, life) },
-            );
+            self.announce_connection(to, CoreEvent::ConnectionOpened { connection });
         }
     }
 
@@ -115,7 +100,7 @@
         self.push(ms(2), ScheduledEvent::ControllerEvent { controller: to, life, event });
     }
 
-    /// What a seat hears when seats go by tables of their own.
+    /// An event as a faulty voter sees it that counts by a voter set of its own.
     pub(super) fn as_seen_by_faulty_voter(
         &self,
         controller: usize,
@@ -123,7 +108,7 @@
     ) -> Option<CoreEvent> {
         let core = &self.controllers[controller].state;
         if self.faulty_variant != Some(FaultyVariant::IgnoresOtherVoterSets)
-            || !has_voter_slot(&self.controllers[controller])
+            || !self.controllers[controller].has_voter_slot()
         {
             return Some(event);
         }
@@ -134,7 +119,7 @@
             CoreEvent::FromVoter { slot: seat, replica_id: holder, message, .. } => {
                 let table = &core.voter_slots.voter_file.table;
                 *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
-                if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(message) {
+                if let Some(stamp) = grebepath_core::voters::stamp::stamp_of_mut(message) {
                     *stamp = core.voter_slots.stamp;
                 }
             }
@@ -206,7 +191,7 @@
             self.run_controller_command(controller, command);
         }
         if self.controllers[controller].stopping.is_some()
-            && grebepath_core::voters::handover::may_end(&self.controllers[controller].state, local)
+            && self.controllers[controller].state.may_end(local)
         {
             self.end_controller(controller);
         }
@@ -221,11 +206,6 @@
     }
 }
 
-/// The connection that a controller's machine opens to others.
-pub(super) fn controller_connection(controller: usize, life: u64) -> u64 {
-    1 << 63 | (controller as u64) << 32 | life
-}
-
 pub(super) fn start_delay(seed: u64, limit: u64) -> Span {
     ms(1 + seed % limit)
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -5,6 +5,7 @@
 use grebepath_core::random::Random;
 use grebepath_core::time::{Tick, ms};
 
+use crate::event_queue::EventQueue;
 use crate::mock_backends::MockBackends;
 use crate::net::Net;
 use crate::rules::Rules;
@@ -22,6 +23,7 @@
 mod leafs;
 mod node_agents;
 mod nodes;
+mod operator_request;
 mod operators;
 mod queriers;
 mod query_engines;
@@ -34,26 +36,31 @@
 pub use faulty_variant::FaultyVariant;
 pub use injected_faults::{FAULTS, Fault, FaultInjection, InjectedFault};
 use nodes::{Call, Run};
-pub use nodes::{
-    CallOutcomes, ControllerNode, OperatorRequest, QuerierNode, Stopping, has_voter_slot,
-};
-pub use operators::{drain, grown, marked, patch, whole};
+pub use nodes::{CallOutcomes, ControllerNode, QuerierNode, Stopping};
+pub use operator_request::{OperatorRequest, ZoneChange};
 
 /// The world.
 pub struct World {
+    /// The virtual time.
     pub now: Tick,
-    queue: BTreeMap<(Tick, u64), ScheduledEvent>,
-    next: u64,
+    queue: EventQueue<ScheduledEvent>,
+    /// Draws everything that is left to chance.
     pub random: Random,
+    /// The net between our processes.
     pub net: Net,
-    /// The controllers' machines, with a seat or without.
+    /// The controllers' machines, with a voter slot or without.
     pub controllers: Vec<ControllerNode>,
+    /// How the control plane is set up.
     pub control_plane: ControlPlaneSetup,
-    /// Wires on which something came: (seat's machine, its life, connection).
+    /// Connections on which something came: (controller, its life, connection).
     opened_connections: BTreeSet<(usize, u64, u64)>,
+    /// The queriers' machines.
     pub queriers: Vec<QuerierNode>,
+    /// The leafs and the platform's list.
     pub backends: MockBackends,
+    /// The kinds of calls.
     pub call_kinds: Vec<Kind>,
+    /// Multiplies the rates of calls.
     pub factor: f64,
     ready_queriers: Vec<usize>,
     runs: BTreeMap<u64, Run>,
@@ -61,9 +68,13 @@
     /// Who was found at the other end of each connection to a leaf.
     connections: BTreeMap<(QueryEngineId, String), String>,
     calls: BTreeMap<u64, Call>,
+    /// All operators' requests.
     pub operator_requests: Vec<OperatorRequest>,
+    /// The checkers.
     pub rules: Rules,
+    /// How calls ended, by search.
     pub tallies: BTreeMap<String, CallOutcomes>,
+    /// The way in which the fleet is faulty on purpose.
     pub faulty_variant: Option<FaultyVariant>,
     /// Set from a scenario: run when their time comes.
     pub faults: Vec<crate::scenario::ScheduledFault>,
@@ -71,11 +82,13 @@
     pub calls_end_at: Tick,
     /// Callers call any querier that runs, ready or not.
     pub ignore_readiness: bool,
-    /// When the outcome of each order was told.
+    /// When each request was acknowledged.
     pub acknowledged_at: BTreeMap<usize, Tick>,
+    /// Alarms by their texts.
     pub alarms: BTreeMap<String, u64>,
-    /// Seats whose disks were lost, for the report.
+    /// How many disks were lost, for the report.
     pub lost_disks: u64,
+    /// Events that were handled (count).
     pub events: u64,
     /// Faults at numbered events of the controllers.
     pub injected: FaultInjection,
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -7,19 +7,14 @@
 use grebepath_core::time::{SECOND, Span, Tick, ms};
 
 use super::events::{FollowUp, ScheduledEvent};
-use super::operators::marked;
+use super::operator_request::OperatorRequest;
 use super::{BEGIN, World};
 
 impl World {
     /// Lets `span` pass.
     pub fn run(&mut self, span: Span) {
         let end = self.now + span;
-        while let Some(entry) = self.queue.first_entry() {
-            let at = entry.key().0;
-            if at > end {
-                break;
-            }
-            let event = entry.remove();
+        while let Some((at, event)) = self.queue.pop_until(end) {
             self.now = self.now.max(at);
             self.events += 1;
             self.handle(event);
@@ -61,8 +56,8 @@
             ScheduledEvent::ControllerEvent { controller, event, .. } => {
                 self.deliver_to_controller(controller, event);
             }
-            ScheduledEvent::DiskJobDone { controller, part, token, .. } => {
-                self.finish_disk_job(controller, part, token);
+            ScheduledEvent::DiskJobDone { controller, partition, token, .. } => {
+                self.finish_disk_job(controller, partition, token);
             }
             ScheduledEvent::VoterFileDone { controller, token, .. } => {
                 self.finish_voter_file(controller, token);
@@ -203,6 +198,6 @@
 
     /// An operator asks for a change that can be looked for at the end.
     fn submit_marked(&mut self) -> usize {
-        self.submit(0, marked(self.operator_requests.len()))
+        self.submit(0, OperatorRequest::marked(self.operator_requests.len()))
     }
 }
