--- a/crates/core/src/control_plane/feed.rs
+++ b/crates/core/src/control_plane/feed.rs
@@ -5,21 +5,29 @@
 use crate::replication::private_entries::{is_private, public_entries};
 
 /// The update that takes a follower from `place` to what is committed now.
-pub fn update_after(p: &Partition, place: u64) -> Option<Message> {
-    if place >= p.committed_revision {
+pub fn update_after(partition: &Partition, place: u64) -> Option<Message> {
+    if place >= partition.committed_revision {
         return None;
     }
-    let first = p.changes.front().map_or(u64::MAX, |(revision, _)| *revision);
-    let revision = p.committed_revision;
-    if place > 0 && p.uncommitted_snapshot.is_none() && first <= place + 1 {
-        let entries = p
+    let first = partition.changes.front().map_or(u64::MAX, |(revision, _)| *revision);
+    let revision = partition.committed_revision;
+    if place > 0 && partition.uncommitted_snapshot.is_none() && first <= place + 1 {
+        let entries = partition
             .changes
             .iter()
-            .filter(|(r, _)| *r > place && *r <= revision)
-            .flat_map(|(_, entries)| entries.iter().filter(|e| !is_private(&e.0)).cloned())
+            .filter(|(changed_at, _)| *changed_at > place && *changed_at <= revision)
+            .flat_map(|(_, entries)| entries.iter().filter(|(key, _)| !is_private(key)).cloned())
             .collect();
-        return Some(Message::Update { partition: p.id, from: Some(place), revision, entries });
+        return Some(Message::Update {
+            partition: partition.id,
+            from: Some(place),
+            revision,
+            entries,
+        });
     }
-    let entries = public_entries(&p.committed).into_iter().map(|(k, v)| (k, Some(v))).collect();
-    Some(Message::Update { partition: p.id, from: None, revision, entries })
+    let entries = public_entries(&partition.committed)
+        .into_iter()
+        .map(|(key, value)| (key, Some(value)))
+        .collect();
+    Some(Message::Update { partition: partition.id, from: None, revision, entries })
 }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -19,9 +19,11 @@
 
 /// An operator's request without its origin.
 pub struct Request {
+    /// The id under which it may be sent again.
     pub id: String,
     /// The revision that it expects to change.
     pub expected_revision: Option<u64>,
+    /// What is asked.
     pub operation: Operation,
 }
 
--- a/crates/core/src/control_plane/order_memory/record.rs
+++ b/crates/core/src/control_plane/order_memory/record.rs
@@ -32,7 +32,10 @@
     /// Not remembered: never accepted, or accepted beyond the horizon.
     Absent,
     /// Accepted as this revision.
-    Accepted { revision: u64 },
+    Accepted {
+        /// The revision that it made.
+        revision: u64,
+    },
     /// The request id belongs to an accepted order with another text.
     OtherText,
 }
@@ -41,7 +44,9 @@
 /// revision, when this edition stood, may be forgotten. Zeros: nothing is.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Horizon {
+    /// The newest revision that may be forgotten.
     pub revision: u64,
+    /// The edition that stood at that revision.
     pub edition: u64,
 }
 
