--- a/crates/core/src/storage/mod.rs
+++ b/crates/core/src/storage/mod.rs
@@ -5,6 +5,7 @@
 //! number. All of it is checksummed and length-checked, and this module does
 //! no I/O: it turns copies and records into bytes and back.
 
+pub mod damage;
 pub mod reader;
 pub mod record;
 pub mod voter_file;
--- a/crates/core/src/storage/reader.rs
+++ b/crates/core/src/storage/reader.rs
@@ -1,229 +1,240 @@
-//! Bytes of slots and logs back to a copy: a torn tail is dropped, any other
-//! damage is reported and never read as truth.
+//! Bytes of slots and logs back to a replica's state: a torn tail is dropped, any
+//! other damage is reported and never read as truth.
 
 use nanoserde::DeBin;
 
 use crate::consts::{DISK_VERSION, RECORD_LIMIT};
+use crate::storage::damage::Damage;
 use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::storage::writer::{
     LOG_HEAD, LOG_MARK, RECORD_END, RECORD_HEAD, SLOT_HEAD, SLOT_MARK, record_checksum,
 };
 
-/// What a part's folder holds.
+/// Most records that a broken one is taken to stand before (count): a number beyond
+/// that is not one of this log.
+const RECORDS_AHEAD: u32 = 1_000_000;
+
+/// What the files of a partition hold.
 #[derive(Debug, PartialEq)]
 pub enum StoredReplica {
+    /// Nothing was ever finished.
     Empty,
-    /// Can't be trusted; the text says why.
-    Damaged(String),
+    /// Something that can't be trusted.
+    Damaged(Damage),
+    /// A state that was synced, with all that followed it.
     Intact {
+        /// The newest slot's state, with the log's records applied.
         state: ReplicaState,
+        /// Sequence number of the newest slot.
         sequence: u64,
+        /// Records in its log (count).
         records: u32,
+        /// Bytes of the log up to its last whole record.
         log_bytes: u64,
+        /// Whether a torn tail of the log was dropped.
         is_torn: bool,
     },
 }
 
+/// A slot that is whole.
+struct Slot {
+    sequence: u64,
+    state: ReplicaState,
+}
+
 /// Why a slot is not used.
-enum Bad {
-    /// Nothing, or less than a head: a write that never ended.
-    Short,
+enum SlotError {
+    /// It was written by a build with another format.
     Version(u16),
+    /// It was never finished, or is not what was written.
     Broken,
 }
 
-fn u32_at(raw: &[u8], at: usize) -> u32 {
-    let mut b = [0u8; 4];
-    b.copy_from_slice(&raw[at..at + 4]);
-    u32::from_le_bytes(b)
+/// The records of a log that are whole.
+struct Records {
+    count: u32,
+    bytes: usize,
+    is_torn: bool,
 }
 
-fn u64_at(raw: &[u8], at: usize) -> u64 {
-    let mut b = [0u8; 8];
-    b.copy_from_slice(&raw[at..at + 8]);
-    u64::from_le_bytes(b)
+/// What stands at a place of the log.
+enum Parsed {
+    /// A whole record, and where it ends.
+    Record(LogRecord, usize),
+    /// A write that never ended.
+    Torn,
+    /// What was whole once has been changed since.
+    Flipped,
 }
 
-fn slot(partition: u32, raw: &[u8]) -> Result<(u64, ReplicaState), Bad> {
-    if raw.len() < SLOT_HEAD {
-        return Err(Bad::Short);
-    }
-    if raw[..6] != SLOT_MARK {
-        return Err(Bad::Broken);
-    }
-    let ver = u16::from_le_bytes([raw[6], raw[7]]);
-    if ver != DISK_VERSION {
-        return Err(Bad::Version(ver));
-    }
-    let len = u32_at(raw, 20);
-    let sum = u32_at(raw, 24);
-    if u32_at(raw, 8) != partition || len > RECORD_LIMIT {
-        return Err(Bad::Broken);
-    }
-    let body = raw.get(SLOT_HEAD..SLOT_HEAD + len as usize).ok_or(Bad::Broken)?;
-    let mut hash = crc32fast::Hasher::new();
-    hash.update(&raw[..24]);
-    hash.update(body);
-    if hash.finalize() != sum {
-        return Err(Bad::Broken);
-    }
-    let copy = ReplicaState::deserialize_bin(body).map_err(|_| Bad::Broken)?;
-    Ok((u64_at(raw, 12), copy))
+/// Reads the files of a partition; each may be absent.
+pub fn read(partition: u32, slots: [Option<&[u8]>; 2], log: Option<&[u8]>) -> StoredReplica {
+    read_files(partition, slots, log).unwrap_or_else(StoredReplica::Damaged)
 }
 
-/// Reads a part's folder; each file may be absent.
-///
 /// How writing goes on decides what is damage. The log of slot `n` is begun
 /// only after slot `n` is synced, and slot `n + 1` is written over slot
 /// `n - 1` while log `n` still stands. So at any time one good slot has the
 /// number of the log, and a broken other slot is a write that never ended.
-pub fn read(partition: u32, slots: [Option<&[u8]>; 2], log: Option<&[u8]>) -> StoredReplica {
+fn read_files(
+    partition: u32,
+    slots: [Option<&[u8]>; 2],
+    log: Option<&[u8]>,
+) -> Result<StoredReplica, Damage> {
     if slots[0].is_none() && slots[1].is_none() && log.is_none() {
-        return StoredReplica::Empty;
+        return Ok(StoredReplica::Empty);
     }
-    let mut best: Option<(u64, ReplicaState)> = None;
-    let mut newest_broken = false;
-    for raw in slots.into_iter().flatten() {
-        match slot(partition, raw) {
-            Ok(s) => {
-                if best.as_ref().is_none_or(|b| b.0 < s.0) {
-                    best = Some(s);
-                }
-            }
-            Err(Bad::Version(v)) => {
-                return StoredReplica::Damaged(format!(
-                    "slot of version {v}, we read {DISK_VERSION}"
-                ));
-            }
-            Err(Bad::Short | Bad::Broken) => newest_broken = true,
-        }
-    }
-    let log_seq = match log {
-        None => None,
-        Some(raw) if raw.len() < LOG_HEAD => None,
-        Some(raw) => {
-            let ver = u16::from_le_bytes([raw[6], raw[7]]);
-            if raw[..6] == LOG_MARK && ver != DISK_VERSION {
-                return StoredReplica::Damaged(format!(
-                    "log of version {ver}, we read {DISK_VERSION}"
-                ));
-            }
-            if raw[..6] != LOG_MARK
-                || u32_at(raw, 8) != partition
-                || crc32fast::hash(&raw[..20]) != u32_at(raw, 20)
-            {
-                return StoredReplica::Damaged("the log's head is broken".into());
-            }
-            Some(u64_at(raw, 12))
-        }
-    };
-    let Some((seq, mut copy)) = best else {
+    let (newest, has_broken_slot) = newest_slot(partition, slots)?;
+    let log_sequence = log_sequence(partition, log)?;
+    let Some(Slot { sequence, state }) = newest else {
         // Not even the first slot was finished: nothing was ever promised.
-        return match log_seq {
-            None => StoredReplica::Empty,
-            Some(_) => StoredReplica::Damaged("a log stands, but no slot can be read".into()),
+        return match log_sequence {
+            None => Ok(StoredReplica::Empty),
+            Some(_) => Err(Damage::NoSlot),
         };
     };
-    match log_seq {
-        // The slot is newer than the log: the log's records are within it.
-        Some(n) if n < seq => StoredReplica::Intact {
-            state: copy,
-            sequence: seq,
-            records: 0,
-            log_bytes: 0,
-            is_torn: false,
-        },
-        Some(n) if n > seq => StoredReplica::Damaged(format!(
-            "the log follows slot {n}, the newest that stands is {seq}"
-        )),
-        None if newest_broken || seq > 1 => {
-            // A slot write replaces the log by renaming; it is never absent.
-            StoredReplica::Damaged("the log is gone".into())
+    match log_sequence {
+        Some(log) if log > sequence => Err(Damage::SlotMissing { log, slot: sequence }),
+        // A slot write replaces the log by renaming; it is never absent.
+        None if has_broken_slot || sequence > 1 => Err(Damage::LogMissing),
+        Some(same) if same == sequence => with_log(sequence, state, log.unwrap_or_default()),
+        // The slot is newer than the log: the log's records are within it. Or it is the
+        // first, and its log was never begun.
+        Some(_) | None => {
+            Ok(StoredReplica::Intact { state, sequence, records: 0, log_bytes: 0, is_torn: false })
         }
-        None => StoredReplica::Intact {
-            state: copy,
-            sequence: seq,
-            records: 0,
-            log_bytes: 0,
-            is_torn: false,
-        },
-        Some(_) => {
-            let raw = log.unwrap_or_default();
-            match records(seq, &raw[LOG_HEAD..], &mut copy) {
-                Err(why) => StoredReplica::Damaged(why),
-                Ok((records, len, torn)) => StoredReplica::Intact {
-                    state: copy,
-                    sequence: seq,
-                    records,
-                    log_bytes: (LOG_HEAD + len) as u64,
-                    is_torn: torn,
-                },
+    }
+}
+
+/// A slot's state with its log applied.
+fn with_log(sequence: u64, mut state: ReplicaState, log: &[u8]) -> Result<StoredReplica, Damage> {
+    let Records { count, bytes, is_torn } = apply_records(sequence, &log[LOG_HEAD..], &mut state)?;
+    let log_bytes = (LOG_HEAD + bytes) as u64;
+    Ok(StoredReplica::Intact { state, sequence, records: count, log_bytes, is_torn })
+}
+
+/// The newest slot that is whole, and whether another is not.
+fn newest_slot(partition: u32, slots: [Option<&[u8]>; 2]) -> Result<(Option<Slot>, bool), Damage> {
+    let mut newest: Option<Slot> = None;
+    let mut has_broken_slot = false;
+    for raw in slots.into_iter().flatten() {
+        match read_slot(partition, raw) {
+            Ok(slot) if newest.as_ref().is_none_or(|n| n.sequence < slot.sequence) => {
+                newest = Some(slot);
             }
+            Ok(_) => {}
+            Err(SlotError::Version(found)) => return Err(Damage::SlotVersion { found }),
+            Err(SlotError::Broken) => has_broken_slot = true,
         }
     }
+    Ok((newest, has_broken_slot))
+}
+
+fn read_slot(partition: u32, raw: &[u8]) -> Result<Slot, SlotError> {
+    if raw.len() < SLOT_HEAD || raw[..6] != SLOT_MARK {
+        return Err(SlotError::Broken);
+    }
+    let version = u16::from_le_bytes([raw[6], raw[7]]);
+    if version != DISK_VERSION {
+        return Err(SlotError::Version(version));
+    }
+    let (length, checksum) = (u32_at(raw, 20), u32_at(raw, 24));
+    if u32_at(raw, 8) != partition || length > RECORD_LIMIT {
+        return Err(SlotError::Broken);
+    }
+    let body = raw.get(SLOT_HEAD..SLOT_HEAD + length as usize).ok_or(SlotError::Broken)?;
+    let mut hash = crc32fast::Hasher::new();
+    hash.update(&raw[..24]);
+    hash.update(body);
+    if hash.finalize() != checksum {
+        return Err(SlotError::Broken);
+    }
+    let state = ReplicaState::deserialize_bin(body).map_err(|_| SlotError::Broken)?;
+    Ok(Slot { sequence: u64_at(raw, 12), state })
 }
 
-/// Applies the records of a log; gives their count, their length and whether
-/// a torn tail was dropped.
-fn records(seq: u64, raw: &[u8], copy: &mut ReplicaState) -> Result<(u32, usize, bool), String> {
-    let (mut at, mut num) = (0, 0u32);
-    while at < raw.len() {
-        let (rec, end) = match one(seq, num, raw, at) {
-            Parsed::Record(rec, end) => (rec, end),
-            Parsed::Flipped => return Err(format!("record {num} of the log was changed")),
+/// The sequence number of the slot that a log follows, if the log was begun.
+fn log_sequence(partition: u32, log: Option<&[u8]>) -> Result<Option<u64>, Damage> {
+    let Some(raw) = log.filter(|raw| raw.len() >= LOG_HEAD) else { return Ok(None) };
+    let found = u16::from_le_bytes([raw[6], raw[7]]);
+    let has_mark = raw[..6] == LOG_MARK;
+    if has_mark && found != DISK_VERSION {
+        return Err(Damage::LogVersion { found });
+    }
+    let is_sound = crc32fast::hash(&raw[..20]) == u32_at(raw, 20);
+    if !has_mark || u32_at(raw, 8) != partition || !is_sound {
+        return Err(Damage::LogHead);
+    }
+    Ok(Some(u64_at(raw, 12)))
+}
+
+/// Applies the records of a log, up to a torn tail.
+fn apply_records(sequence: u64, raw: &[u8], state: &mut ReplicaState) -> Result<Records, Damage> {
+    let (mut bytes, mut number) = (0, 0u32);
+    while bytes < raw.len() {
+        let (record, end) = match parse_record(sequence, number, raw, bytes) {
+            Parsed::Record(record, end) => (record, end),
+            Parsed::Flipped => return Err(Damage::RecordChanged { number }),
             // Torn, unless a whole record of this log stands behind it.
-            Parsed::Torn if later(seq, num, raw, at + 1) => {
-                return Err(format!("record {num} of the log is broken amid good ones"));
+            Parsed::Torn if has_later_record(sequence, number, raw, bytes + 1) => {
+                return Err(Damage::RecordBroken { number });
             }
-            Parsed::Torn => return Ok((num, at, true)),
+            Parsed::Torn => return Ok(Records { count: number, bytes, is_torn: true }),
         };
-        if !apply(copy, &rec) {
-            return Err(format!("record {num} of the log does not follow the one before"));
+        if !apply(state, &record) {
+            return Err(Damage::RecordOutOfOrder { number });
         }
-        at = end;
-        num += 1;
+        bytes = end;
+        number += 1;
     }
-    Ok((num, at, false))
-}
-
-/// What stands at a place of the log.
-enum Parsed {
-    Record(LogRecord, usize),
-    Torn,
-    Flipped,
+    Ok(Records { count: number, bytes, is_torn: false })
 }
 
-fn one(seq: u64, num: u32, raw: &[u8], at: usize) -> Parsed {
+fn parse_record(sequence: u64, number: u32, raw: &[u8], at: usize) -> Parsed {
     if raw.len() < at + RECORD_HEAD {
         return Parsed::Torn;
     }
     let head = &raw[at..at + RECORD_HEAD];
-    if crc32fast::hash(&head[..12]) != u32_at(head, 12) || u32_at(head, 4) != num {
+    if crc32fast::hash(&head[..12]) != u32_at(head, 12) || u32_at(head, 4) != number {
         // A torn write leaves zeros behind what it reached; a whole record
         // would end in its mark.
-        let torn = raw.last() == Some(&0);
-        return if torn { Parsed::Torn } else { Parsed::Flipped };
+        let is_torn = raw.last() == Some(&0);
+        return if is_torn { Parsed::Torn } else { Parsed::Flipped };
     }
-    let len = u32_at(head, 0);
-    let end = at + RECORD_HEAD + len as usize;
-    if len > RECORD_LIMIT || end >= raw.len() || raw[end] == 0 {
+    let length = u32_at(head, 0);
+    let end = at + RECORD_HEAD + length as usize;
+    if length > RECORD_LIMIT || end >= raw.len() || raw[end] == 0 {
         return Parsed::Torn;
     }
     let body = &raw[at + RECORD_HEAD..end];
-    if raw[end] != RECORD_END || record_checksum(seq, num, body) != u32_at(head, 8) {
+    if raw[end] != RECORD_END || record_checksum(sequence, number, body) != u32_at(head, 8) {
         return Parsed::Flipped;
     }
     match LogRecord::deserialize_bin(body) {
-        Ok(rec) => Parsed::Record(rec, end + 1),
+        Ok(record) => Parsed::Record(record, end + 1),
         Err(_) => Parsed::Flipped,
     }
 }
 
-/// Whether a good record with a higher number than `num` begins at or after
-/// `from`.
-fn later(seq: u64, num: u32, raw: &[u8], from: usize) -> bool {
-    (from..raw.len().saturating_sub(RECORD_HEAD)).any(|at| {
-        let n = u32_at(raw, at + 4);
-        n > num && n - num < 1_000_000 && matches!(one(seq, n, raw, at), Parsed::Record(..))
-    })
+/// Whether a good record with a higher number than `number` begins at or after `from`.
+fn has_later_record(sequence: u64, number: u32, raw: &[u8], from: usize) -> bool {
+    let is_later = |at: usize| {
+        let later = u32_at(raw, at + 4);
+        later > number
+            && later - number < RECORDS_AHEAD
+            && matches!(parse_record(sequence, later, raw, at), Parsed::Record(..))
+    };
+    (from..raw.len().saturating_sub(RECORD_HEAD)).any(is_later)
+}
+
+fn u32_at(raw: &[u8], at: usize) -> u32 {
+    let mut bytes = [0u8; 4];
+    bytes.copy_from_slice(&raw[at..at + 4]);
+    u32::from_le_bytes(bytes)
+}
+
+fn u64_at(raw: &[u8], at: usize) -> u64 {
+    let mut bytes = [0u8; 8];
+    bytes.copy_from_slice(&raw[at..at + 8]);
+    u64::from_le_bytes(bytes)
 }
--- a/crates/core/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -3,6 +3,7 @@
 
 use googletest::prelude::*;
 use grebepath_core::identifiers::Term;
+use grebepath_core::storage::damage::Damage;
 use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
 use grebepath_core::storage::writer;
@@ -129,7 +130,10 @@
     );
     slots[0][6] += 1;
     match found(&slots, &log) {
-        StoredReplica::Damaged(why) => expect_that!(why, contains_substring("version 2")),
+        StoredReplica::Damaged(why) => {
+            expect_that!(why, eq(&Damage::SlotVersion { found: 2 }));
+            expect_that!(why.to_string(), contains_substring("version 2"));
+        }
         other => panic!("{other:?}"),
     }
     expect_that!(read(PART, [None, None], None), eq(&StoredReplica::Empty));
--- a/crates/runtime/src/disk/error.rs
+++ b/crates/runtime/src/disk/error.rs
@@ -2,6 +2,7 @@
 
 use std::fs::TryLockError;
 
+use grebepath_core::storage::damage::Damage;
 use thiserror::Error;
 
 /// Why a file could not be read or written.
@@ -30,7 +31,7 @@
     /// There are none.
     #[error("the files are gone")]
     Missing,
-    /// They are not what was written; the text says where.
-    #[error("{0}")]
-    Damaged(String),
+    /// They are not what was written.
+    #[error(transparent)]
+    Damaged(#[from] Damage),
 }
--- a/crates/runtime/src/disk/partition_store.rs
+++ b/crates/runtime/src/disk/partition_store.rs
@@ -6,6 +6,7 @@
 use std::path::{Path, PathBuf};
 
 use grebepath_core::identifiers::PartitionId;
+use grebepath_core::storage::damage::Damage;
 use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::writer;
@@ -46,7 +47,7 @@
         let mut found = read_files(partition, |name| read_if_present(&folder.join(name)))?;
         if found == StoredReplica::Empty && folder.join("damaged-0").exists() {
             // Set aside at an earlier start, and no snapshot was written since.
-            found = StoredReplica::Damaged("its files were damaged and set aside earlier".into());
+            found = StoredReplica::Damaged(Damage::SetAside);
         }
         let sequence = match &found {
             StoredReplica::Intact { sequence: seq, .. } => *seq,
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -56,7 +56,7 @@
                 found.push((part, ReplicaCondition::Empty, ReplicaState::default(), 0))
             }
             StoredReplica::Damaged(why) => {
-                warn!(%part, why, "the files are damaged and set aside; relearning");
+                warn!(%part, why = why.to_string(), "the files are damaged and set aside; relearning");
                 found.push((part, ReplicaCondition::Damaged, ReplicaState::default(), 0));
             }
             StoredReplica::Intact { state: copy, is_torn: torn, .. } => {
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -4,6 +4,7 @@
 
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::random::Random;
+use grebepath_core::storage::damage::Damage;
 use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::voter_file;
@@ -291,7 +292,7 @@
             }
             StoredReplica::Intact { .. } => Some("what was written last is not there".into()),
             StoredReplica::Empty => Some("the files are gone".into()),
-            StoredReplica::Damaged(why) => Some(why),
+            StoredReplica::Damaged(why) => Some(why.to_string()),
         }
     }
 }
@@ -374,7 +375,7 @@
     fn start(&mut self, partition: PartitionId, full: bool) -> StoredReplica {
         let mut found = self.read(partition);
         if found == StoredReplica::Empty && self.set_aside {
-            found = StoredReplica::Damaged("set aside earlier".into());
+            found = StoredReplica::Damaged(Damage::SetAside);
         }
         match &found {
             StoredReplica::Empty => *self = Files { set_aside: self.set_aside, ..Files::default() },
