--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -6,7 +6,6 @@
 use crate::config::change::{Entry, changes, config, patched, replaced};
 use crate::config::types::Turn;
 use crate::config::{build, read};
-use crate::control_plane::controller::ControllerState;
 use crate::control_plane::order_memory;
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
 use crate::diagnostic::Diagnostic;
@@ -16,69 +15,79 @@
 use crate::replication::partition::Partition;
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
-use crate::voters::voter_slots::here;
 
 /// An operator's request without its origin.
 pub struct Request {
     pub id: String,
     /// The revision that it expects to change.
-    pub expect: Option<u64>,
-    pub deed: Operation,
+    pub expected_revision: Option<u64>,
+    pub operation: Operation,
 }
 
-/// Judges a request as the leader of the configuration.
-pub fn at_owner(
-    core: &mut ControllerState,
-    now: Tick,
-    from: OperationOrigin,
-    request: Request,
-    out: &mut Vec<Command>,
-) {
-    let group = here(core);
-    if core.partitions[0].leader().is_none_or(Leader::is_full) {
+/// Rejects a request if too many wait at the leader; tells whether it did.
+pub fn reject_if_full(
+    configuration: &mut Partition,
+    origin: OperationOrigin,
+    commands: &mut Vec<Command>,
+) -> bool {
+    let is_full = configuration.leader().is_none_or(Leader::is_full);
+    if is_full {
         let why = "too many requests wait at the leader".to_string();
-        return from.respond(OperationResult::Rejected { why }, out);
+        origin.respond(OperationResult::Rejected { why }, commands);
     }
-    let p = &mut core.partitions[0];
-    match &request.deed {
-        Operation::Read => p.add_pending(now, group, from, PendingAnswer::Read, out),
-        Operation::Status => p.add_pending(now, group, from, PendingAnswer::Status, out),
-        Operation::ForgetMember(name) => {
-            crate::control_plane::forgotten_members::forget(core, now, from, name, out)
-        }
+    is_full
+}
+
+/// Judges a request about the configuration, as its leader.
+pub fn execute(
+    configuration: &mut Partition,
+    now: Tick,
+    group: VoterGroup,
+    origin: OperationOrigin,
+    request: &Request,
+    commands: &mut Vec<Command>,
+) {
+    let answer = match &request.operation {
+        Operation::Read => PendingAnswer::Read,
+        // What an operator forgets is up to `forgotten_members`.
+        Operation::Status | Operation::ForgetMember(_) => PendingAnswer::Status,
         Operation::Replace(text) => {
-            let judged = judge(p, &request, true, text);
-            carry_out(p, now, group, from, judged, out);
+            let judged = judge(configuration, request, true, text);
+            return carry_out(configuration, now, group, origin, judged, commands);
         }
         Operation::Patch(text) => {
-            let judged = judge(p, &request, false, text);
-            carry_out(p, now, group, from, judged, out);
+            let judged = judge(configuration, request, false, text);
+            return carry_out(configuration, now, group, origin, judged, commands);
         }
-    }
+    };
+    configuration.add_pending(now, group, origin, answer, commands);
 }
 
 /// Carries out what an order was judged to come to.
 fn carry_out(
-    p: &mut Partition,
+    configuration: &mut Partition,
     now: Tick,
-    g: VoterGroup,
-    from: OperationOrigin,
+    group: VoterGroup,
+    origin: OperationOrigin,
     judged: Judged,
-    out: &mut Vec<Command>,
+    commands: &mut Vec<Command>,
 ) {
     match judged {
         Judged::Refused(done) => {
-            p.add_pending(now, g, from, PendingAnswer::Refusal(done), out);
+            let answer = PendingAnswer::Refusal(done);
+            configuration.add_pending(now, group, origin, answer, commands);
         }
         Judged::Made { revision } => {
-            p.wait_for_repeated_change(now, from, revision, ChangeAcceptance::Obeyed);
-            p.request_round(now, g, out);
-            p.complete_operations(now, g, out);
+            let acceptance = ChangeAcceptance::Obeyed;
+            configuration.wait_for_repeated_change(now, origin, revision, acceptance);
+            configuration.request_round(now, group, commands);
+            configuration.complete_operations(now, group, commands);
         }
         Judged::Change(entries) => {
-            p.propose(now, g, entries, out);
-            p.wait_for_change(now, from, p.state.revision, ChangeAcceptance::Obeyed);
-            p.complete_operations(now, g, out);
+            configuration.propose(now, group, entries, commands);
+            let revision = configuration.state.revision;
+            configuration.wait_for_change(now, origin, revision, ChangeAcceptance::Obeyed);
+            configuration.complete_operations(now, group, commands);
         }
     }
 }
@@ -105,12 +114,12 @@
         }
         Recall::Absent => {}
     }
-    if request.expect.is_some_and(|want| want != p.state.revision) {
-        let base = OrderBase { revision: request.expect, ..OrderBase::default() };
+    if request.expected_revision.is_some_and(|want| want != p.state.revision) {
+        let base = OrderBase { revision: request.expected_revision, ..OrderBase::default() };
         let moved = OperationResult::Conflict { revision: p.state.revision };
         return Judged::Refused(forgotten(map, &base).unwrap_or(moved));
     }
-    let (mut entries, edition) = match planned(map, request.expect, whole, text) {
+    let (mut entries, edition) = match planned(map, request.expected_revision, whole, text) {
         Ok(Planned::Entries(entries, edition)) => (entries, edition),
         Ok(Planned::Refused(done)) => return Judged::Refused(done),
         Err(all) => {
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -144,7 +144,7 @@
 pub fn give(cluster: &mut Cluster, node: usize, event: Event) {
     let now = cluster.now;
     let Some(core) = &mut cluster.nodes[node].core else { return };
-    let holder = core.seating.roll.me;
+    let holder = core.voter_slots.voter_file.me;
     for command in core.step(now, event) {
         let disk = &mut cluster.nodes[node].disk;
         match command {
@@ -184,7 +184,7 @@
             if !cluster.nodes[from].cut && !cluster.nodes[to].cut {
                 let event = Event::FromVoter {
                     slot: from as VoterSlot,
-                    holder,
+                    replica_id: holder,
                     connection: from as u64,
                     message,
                 };
@@ -192,7 +192,11 @@
             }
         }
         Work::Call { node, op, request, expect, deed } => {
-            give(cluster, node, Event::Operate { op, request, expect, deed });
+            give(
+                cluster,
+                node,
+                Event::Operate { op, request, expected_revision: expect, operation: deed },
+            );
         }
         Work::Sync { node, partition, token } => {
             let disk = &mut cluster.nodes[node].disk;
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -43,10 +43,15 @@
                     Sender::VoterSlot(seat) => {
                         let node = &self.controllers[usize::from(seat)];
                         let connection = controller_connection(usize::from(seat), node.life);
-                        let holder = node.state.seating.roll.me;
+                        let holder = node.state.voter_slots.voter_file.me;
                         (
                             connection,
-                            st::Event::FromVoter { slot: seat, holder, connection, message },
+                            st::Event::FromVoter {
+                                slot: seat,
+                                replica_id: holder,
+                                connection,
+                                message,
+                            },
                         )
                     }
                     Sender::Querier(querier, life) => {
@@ -214,7 +219,7 @@
                 self.job(controller, part, token, Job::Snapshot(copy));
             }
             grebepath_core::command::Command::Scrub { partition: part } => {
-                let event = Box::new(st::Event::Scrubbed { partition: part, trouble: None });
+                let event = Box::new(st::Event::Scrubbed { partition: part, corruption: None });
                 self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
             }
             grebepath_core::command::Command::Respond { op, done } => {
@@ -287,8 +292,7 @@
         let node = &mut self.queriers[querier];
         let local = self.now - node.began + BOOT;
         node.meter.steps += 1;
-        let commands =
-            timed(&mut node.meter.step_ns, || qstep::step(&mut node.watch, local, event));
+        let commands = timed(&mut node.meter.step_ns, || node.watch.step(local, event));
         for command in commands {
             self.run_querier_command(querier, command);
         }
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -3,7 +3,6 @@
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::membership::node_agent;
-use grebepath_core::membership::step as membership_step;
 use grebepath_core::protocol::message::Message;
 use grebepath_core::query::engine::desk;
 use grebepath_core::time::{BOOT, ms};
@@ -26,7 +25,8 @@
         node.paused = 0;
         node.polling = false;
         node.began = self.now;
-        node.watch = node_agent::watch(member(&node.name, &node.zone, querier, node.life), BOOT);
+        node.watch =
+            node_agent::NodeAgent::new(member(&node.name, &node.zone, querier, node.life), BOOT);
         node.desks = (0..THREADS)
             .map(|thread| {
                 let name = format!("{}-{thread}-{:x}", node.name, node.life);
@@ -125,7 +125,7 @@
 
     pub(super) fn step_node_agent(&mut self, querier: usize, event: node_agent::Event) {
         let local = self.now - self.queriers[querier].began + BOOT;
-        let todo = membership_step::step(&mut self.queriers[querier].watch, local, event);
+        let todo = self.queriers[querier].watch.step(local, event);
         if self.faulty_variant == Some(FaultyVariant::RevertsConfiguration)
             && self.queriers[querier].watch.configuration_revision > 0
         {
