--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -4,9 +4,6 @@
 
 // ---- versions -------------------------------------------------------------
 
-/// Version of the files on disk; another one is reported, never read.
-pub const DISK_VERSION: u16 = 1;
-
 // ---- state and its replicas -----------------------------------------------
 
 /// Parts that hold services (count). Four spread owners over three seats
@@ -17,53 +14,12 @@
 pub const SEATS: u64 = 3;
 /// Most seats (count): seven machines lost at once is beyond any brief.
 pub const SEATS_MAX: u8 = 15;
-/// How often an owner shows its replicas that it lives. A fifth of the
-/// election wait, so that four lost beats in a row do not cost an owner.
-pub const OWNER_BEAT: Span = ms(200);
-/// Silence after which a replica may claim a part. Above the longest sync
-/// stall we expect of a healthy small disk, far below the 3 s of obedience.
-pub const OWNER_SILENCE: Span = ms(1_000);
-/// Extra wait per rank, so that the preferred seat claims first.
-pub const CLAIM_STAGGER: Span = ms(300);
-/// Random part of the wait before a claim; breaks ties between seats.
-pub const CLAIM_JITTER: Span = ms(150);
-/// The same for a seat that has just started and heard of no owner yet: long
-/// enough for the other seats' connections to come up and their first beats.
-pub const OWNER_BOOT: Span = ms(150);
-/// Extra wait per rank then.
-pub const CLAIM_BOOT_STAGGER: Span = ms(100);
-/// An owner that no majority has acknowledged for this long steps down.
-/// Below the silence, so it is gone before a successor can be chosen.
-pub const OWNER_GRIP: Span = ms(900);
-/// A claim that gathered no majority in this time is given up.
-pub const CLAIM_PATIENCE: Span = ms(800);
-/// How long an accepted change waits for the last replicas before the operator
-/// hears of it: a majority is enough, more survive more lost disks.
-pub const THIRD_WAIT: Span = ms(150);
-/// A replica whose disk has not finished a write for this long steps back.
-pub const DISK_STALL: Span = ms(2_000);
-/// How often a part without an owner, or an empty replica, asks around.
-pub const ASK_AROUND: Span = ms(250);
-/// How often an owner compares its copies with the others' (the sweep).
-pub const SWEEP: Span = 5 * SECOND;
-/// Log bytes after which the other slot is written (bytes). A small part's
-/// slot is cheap; replaying 256 KiB takes a few milliseconds.
-pub const LOG_LIMIT: u64 = 256 * 1024;
-/// Largest record or slot body a disk may claim to hold (bytes).
-pub const RECORD_LIMIT: u32 = 64 * 1024 * 1024;
-/// Changes a part keeps in memory so that followers need no snapshot (count).
-pub const FEED_KEPT: usize = 256;
 /// An operator's request without a result for this long is "unknown". Twice the
 /// leader's patience: longer than anything that is going to be accepted takes.
-pub const OPERATE_PATIENCE: Span = 2 * OWNER_PATIENCE;
+pub const OPERATE_PATIENCE: Span = 2 * crate::replication::timing::OPERATION_PATIENCE;
 /// How often an owner looks what all members obey while an operator waits: a
 /// look at a thousand takes a tenth of a millisecond, an operator feels none.
 pub const OBEY_LOOK: Span = ms(20);
-/// How long an owner waits with a change before it tells the seat that handed
-/// it over what is lacking; the seat asks again. Twice within the operator's
-/// patience, so that the reason is known when that ends; above
-/// `ACCEPTANCE_LATEST` by a few looks and round trips.
-pub const OWNER_PATIENCE: Span = ms(2_400);
 
 // ---- seats ----------------------------------------------------------------
 
--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -12,6 +12,7 @@
 use crate::control_plane::members::{LastRenewal, Members};
 use crate::protocol::message::{Member, Membership};
 use crate::replication::partition::{Partition, Role};
+use crate::replication::timing::HEARTBEAT_INTERVAL;
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::VoterGroup;
 use crate::{consts, quorum};
@@ -55,7 +56,7 @@
     waited.dedup();
     let accepted = waited.into_iter().find(|revision| members.have_accepted(now, *revision));
     // The names are needed only when somebody's patience ends.
-    let needs_names = now + consts::OWNER_BEAT >= until;
+    let needs_names = now + HEARTBEAT_INTERVAL >= until;
     leader.lagging_members = if needs_names { members.lagging_behind(newest) } else { Vec::new() };
     let accepted = accepted.unwrap_or(0);
     if leader.obeyed_up_to != accepted {
--- a/crates/core/src/control_plane/membership_replication.rs
+++ b/crates/core/src/control_plane/membership_replication.rs
@@ -7,13 +7,13 @@
 //! them, so that the rest can't gather the proofs to serve on by them.
 
 use crate::command::Command;
-use crate::consts;
 use crate::control_plane::members::Members;
 use crate::control_plane::membership_log::{
     FormerMembership, MEMBERSHIPS_KEPT, MembershipVersion, Voters,
 };
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Membership, MembershipId, Memberships, Message};
+use crate::replication::timing::HEARTBEAT_INTERVAL;
 use crate::time::{Tick, since};
 use crate::voter_set::{VoterGroup, majority, others};
 
@@ -72,7 +72,7 @@
             self.take_over(now);
             return true;
         }
-        if leading.sent.is_none_or(|(_, at)| since(at, now) >= consts::OWNER_BEAT) {
+        if leading.sent.is_none_or(|(_, at)| since(at, now) >= HEARTBEAT_INTERVAL) {
             let id = MembershipId::default();
             leading.sent = Some((MembershipVersion { id, settled: 0, confirmed: false }, now));
             for slot in others(voters.group) {
@@ -158,7 +158,7 @@
         let leading = &mut self.log.leading;
         let is_due = leading
             .sent
-            .is_none_or(|(sent, at)| sent != version || since(at, now) >= consts::OWNER_BEAT);
+            .is_none_or(|(sent, at)| sent != version || since(at, now) >= HEARTBEAT_INTERVAL);
         let lacking: Vec<VoterSlot> = others(group)
             .filter(|slot| leading.acknowledged[usize::from(*slot)] != Some(version))
             .collect();
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -2,11 +2,11 @@
 //! other voters that it lives.
 
 use crate::command::Command;
-use crate::consts;
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::step::WAKE;
 use crate::protocol::message::ReplicaCondition;
 use crate::replication::partition::Partition;
+use crate::replication::timing::LEADER_SILENCE;
 use crate::storage::voter_file::VoterFile;
 use crate::time::Tick;
 use crate::voter_set::{NOBODY, VoterGroup, seat_of};
@@ -50,7 +50,7 @@
     /// We hold a slot. What a replica at our address voted for before a lost disk must
     /// have run out before we catch up.
     fn on_slot_won(&mut self, now: Tick) {
-        let from = self.voter_slots.started_at + consts::OWNER_SILENCE;
+        let from = self.voter_slots.started_at + LEADER_SILENCE;
         for partition in &mut self.partitions {
             partition.catch_up.ask_at = now.max(from);
         }
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -11,11 +11,11 @@
 //! never the system.
 
 use crate::command::Command;
-use crate::consts;
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::{Message, ReplicaCondition};
 use crate::random::Random;
 use crate::replication::partition::{AfterWrite, CatchUp, Partition, ReplicaStatus, Sender};
+use crate::replication::timing::{ANSWER_TIMEOUT, CATCH_UP_INTERVAL};
 use crate::storage::record::ReplicaState;
 use crate::time::Tick;
 use crate::voter_set::{VoterGroup, majority, others};
@@ -30,7 +30,7 @@
         self.statuses = Vec::new();
         self.fetching_from = None;
         self.nonce = self.nonce.wrapping_add(1);
-        self.ask_at = self.ask_at.min(now + consts::ASK_AROUND);
+        self.ask_at = self.ask_at.min(now + CATCH_UP_INTERVAL);
     }
 
     /// Whether all others have answered.
@@ -109,7 +109,7 @@
         }
         // A fresh nonce: only answers to this process and this round count.
         catch_up.nonce = random.next_u64();
-        catch_up.ask_at = now + consts::ASK_AROUND;
+        catch_up.ask_at = now + CATCH_UP_INTERVAL;
         catch_up.statuses = vec![None; group.size];
         catch_up.fetching_from = None;
         for slot in others(group) {
@@ -192,7 +192,7 @@
         if let Some((slot, _)) = voting.iter().max_by_key(|(_, status)| status.position()) {
             let (slot, nonce) = (*slot as VoterSlot, catch_up.nonce);
             catch_up.fetching_from = Some(slot);
-            catch_up.ask_at = now + consts::CLAIM_PATIENCE;
+            catch_up.ask_at = now + ANSWER_TIMEOUT;
             let message = Message::FetchReplica { partition: self.id, nonce };
             commands.push(Command::ToVoter { slot, message });
         }
--- a/crates/core/src/replication/commit.rs
+++ b/crates/core/src/replication/commit.rs
@@ -1,10 +1,13 @@
 //! What is committed of a partition, as far as this replica has it.
 
-use crate::consts;
 use crate::protocol::message::EntryMap;
 use crate::replication::partition::Partition;
 use crate::storage::record::put;
 
+/// Changes a partition keeps in memory so that subscribers of its feed need no snapshot
+/// (count).
+pub const CHANGES_KEPT: usize = 256;
+
 impl Partition {
     /// Commits everything that we have up to `revision`, which a majority has synced.
     pub fn commit_up_to(&mut self, revision: u64) {
@@ -18,7 +21,7 @@
             }
         }
         let committed = self.committed_revision;
-        while self.changes.len() > consts::FEED_KEPT
+        while self.changes.len() > CHANGES_KEPT
             && self.changes.front().is_some_and(|(number, _)| *number <= committed)
         {
             self.changes.pop_front();
--- a/crates/core/src/replication/disk_writes.rs
+++ b/crates/core/src/replication/disk_writes.rs
@@ -1,14 +1,17 @@
 //! What a replica writes to its disk, and what waits until that is synced.
 
 use crate::command::Command;
-use crate::consts;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
 use crate::replication::partition::{AfterWrite, Partition, Role, Sender, Write};
+use crate::replication::timing::{CATCH_UP_INTERVAL, DISK_STALL};
 use crate::storage::record::LogRecord;
 use crate::time::{Tick, since};
 use crate::voter_set::VoterGroup;
 
+/// Log bytes after which the other slot is written (bytes). A small partition's slot is
+/// cheap; replaying 256 KiB takes a few milliseconds.
+pub const LOG_LIMIT: u64 = 256 * 1024;
 /// Bytes that a vote takes in the log, roughly.
 const VOTE_BYTES: u64 = 32;
 /// Bytes that an entry takes in the log beside its key and value, roughly.
@@ -27,8 +30,8 @@
         let token = self.begin_write(now, after);
         self.log_bytes += rough_size(&record);
         // The entries are measured only once the log is long.
-        let is_long = self.log_bytes > consts::LOG_LIMIT
-            && self.log_bytes > bytes_of(&self.state.entries) / 2;
+        let is_long =
+            self.log_bytes > LOG_LIMIT && self.log_bytes > bytes_of(&self.state.entries) / 2;
         if is_long {
             self.write_snapshot(token, commands);
         } else {
@@ -121,7 +124,7 @@
     /// many writes in line is not stalled.
     pub fn is_disk_stalled(&self, now: Tick) -> bool {
         let oldest = self.writes.front();
-        oldest.is_some_and(|w| since(w.at.max(self.synced_at), now) > consts::DISK_STALL)
+        oldest.is_some_and(|w| since(w.at.max(self.synced_at), now) > DISK_STALL)
     }
 
     /// The disk failed or stalls: this voter steps back from the partition.
@@ -130,7 +133,7 @@
             commands.push(Command::Alarm(format!("part {} steps back: {why}", self.id)));
         }
         self.disk_failure = Some(why);
-        self.disk_retry_at = now + consts::ASK_AROUND;
+        self.disk_retry_at = now + CATCH_UP_INTERVAL;
         // What rested on writes that may never be synced must never be said.
         for write in &mut self.writes {
             write.after.retain(|after| matches!(after, AfterWrite::StartVoting));
@@ -144,7 +147,7 @@
     pub fn retry_disk(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let is_voting = self.condition == ReplicaCondition::Voting;
         if is_voting && self.writes.is_empty() && now >= self.disk_retry_at {
-            self.disk_retry_at = now + consts::DISK_STALL;
+            self.disk_retry_at = now + DISK_STALL;
             self.persist_snapshot(now, Vec::new(), commands);
         }
     }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -3,17 +3,27 @@
 //! then serves.
 
 use crate::command::Command;
-use crate::consts;
 use crate::digest::{hash, pair};
 use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
 use crate::random::Random;
 use crate::replication::leader::Leader;
 use crate::replication::partition::{AfterWrite, Candidacy, KnownLeader, Partition, Role, Sender};
+use crate::replication::timing::{ANSWER_TIMEOUT, LEADER_SILENCE};
 use crate::storage::record::{LogRecord, ReplicaState, apply};
-use crate::time::{Span, Tick, since};
+use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, majority, others};
 
+/// Extra wait per rank, so that the preferred voter stands first.
+const ELECTION_STAGGER: Span = ms(300);
+/// Random part of the wait before an election; breaks ties between voters.
+const ELECTION_JITTER: Span = ms(150);
+/// The wait of a voter that has just started and heard of no leader yet: long enough for
+/// the other voters' connections to come up and their first heartbeats.
+const FIRST_ELECTION_WAIT: Span = ms(150);
+/// Extra wait per rank then.
+const FIRST_ELECTION_STAGGER: Span = ms(100);
+
 /// A voter's rank for a partition among those that may lead it: 0 stands first. Spreads
 /// the leaders. The leader that fell silent is not waited for.
 fn rank(id: PartitionId, group: VoterGroup, silent: Option<VoterSlot>) -> u64 {
@@ -33,17 +43,17 @@
     /// pre-vote. So it asks soon, and all that restart together are served soon.
     fn election_timeout(&self, group: VoterGroup, random: &mut Random) -> Span {
         if self.unled_since_start {
-            return consts::OWNER_BOOT
-                + rank(self.id, group, None) * consts::CLAIM_BOOT_STAGGER
-                + random.below(consts::CLAIM_BOOT_STAGGER / 2);
+            return FIRST_ELECTION_WAIT
+                + rank(self.id, group, None) * FIRST_ELECTION_STAGGER
+                + random.below(FIRST_ELECTION_STAGGER / 2);
         }
         let silent = match &self.role {
             Role::Follower { leader: Some(leader), .. } => Some(leader.slot),
             _ => None,
         };
-        consts::OWNER_SILENCE
-            + rank(self.id, group, silent) * consts::CLAIM_STAGGER
-            + random.below(consts::CLAIM_JITTER)
+        LEADER_SILENCE
+            + rank(self.id, group, silent) * ELECTION_STAGGER
+            + random.below(ELECTION_JITTER)
     }
 
     /// Time passes for a voter that does not lead the partition.
@@ -84,7 +94,7 @@
     ) {
         let mut granted = vec![false; group.size];
         granted[usize::from(group.slot)] = true;
-        self.role = Role::PreVoting { term, granted, until: now + consts::CLAIM_PATIENCE };
+        self.role = Role::PreVoting { term, granted, until: now + ANSWER_TIMEOUT };
         for slot in others(group) {
             let message = Message::PreVoteRequest { partition: self.id, term };
             commands.push(Command::ToVoter { slot, message });
@@ -136,7 +146,7 @@
             term,
             grants: vec![None; group.size],
             fetching_from: None,
-            until: now + consts::CLAIM_PATIENCE,
+            until: now + ANSWER_TIMEOUT,
         });
         let after = vec![AfterWrite::OwnVoteSynced { term }];
         self.persist_record(now, LogRecord::Vote { term }, after, commands);
@@ -201,7 +211,7 @@
         match votes.iter().max_by_key(|(_, position)| *position) {
             Some((slot, position)) if *position > own && *slot != group.slot => {
                 candidacy.fetching_from = Some(*slot);
-                candidacy.until = now + consts::CLAIM_PATIENCE;
+                candidacy.until = now + ANSWER_TIMEOUT;
                 let message = Message::FetchReplica { partition: self.id, nonce: term.as_u64() };
                 commands.push(Command::ToVoter { slot: *slot, message });
             }
--- a/crates/core/src/replication/heartbeat_rounds.rs
+++ b/crates/core/src/replication/heartbeat_rounds.rs
@@ -7,11 +7,11 @@
 //! a round, begun after their request came.
 
 use crate::command::Command;
-use crate::consts;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::replication::leader::{HeartbeatRound, Leader};
 use crate::replication::partition::Partition;
+use crate::replication::timing::{CHECKSUM_INTERVAL, HEARTBEAT_INTERVAL};
 use crate::storage::record::checksum;
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, majority, others};
@@ -63,7 +63,7 @@
         leader.round += 1;
         leader.round_began_at = now;
         leader.round_requested = false;
-        leader.heartbeat_at = now + consts::OWNER_BEAT;
+        leader.heartbeat_at = now + HEARTBEAT_INTERVAL;
         leader.rounds.push_back(HeartbeatRound { number: leader.round, began_at: now, revision });
         if leader.rounds.len() > ROUNDS_KEPT {
             leader.rounds.pop_front();
@@ -72,7 +72,7 @@
         let compares =
             now >= leader.checksum_at && leader.is_serving && leader.committed == revision;
         if compares {
-            leader.checksum_at = now + consts::SWEEP;
+            leader.checksum_at = now + CHECKSUM_INTERVAL;
         }
         let (round, committed) = (leader.round, leader.committed);
         let checksum = if compares { checksum(&self.state.entries) } else { 0 };
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -2,12 +2,12 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::consts;
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::MembershipId;
 use crate::replication::operations::{
     ChangeAcceptance, OperationOrigin, PendingOperation, WaitingChange,
 };
+use crate::replication::timing::{CHECKSUM_INTERVAL, LEADER_LEASE};
 use crate::time::{Tick, since};
 use crate::voter_set::{VoterGroup, majority, others};
 
@@ -104,7 +104,7 @@
             heartbeat_at: now,
             round_began_at: now,
             round_requested: false,
-            checksum_at: now + consts::SWEEP,
+            checksum_at: now + CHECKSUM_INTERVAL,
             rounds: VecDeque::new(),
             answered: vec![AnsweredRound { number: 0, began_at: now }; group.size],
             obeyed_up_to: 0,
@@ -123,7 +123,7 @@
     /// Whether a majority, with ourselves, answered our heartbeats lately.
     pub fn hears_majority(&self, group: VoterGroup, now: Tick) -> bool {
         let answers_lately = |slot: &VoterSlot| {
-            since(self.answered[usize::from(*slot)].began_at, now) < consts::OWNER_GRIP
+            since(self.answered[usize::from(*slot)].began_at, now) < LEADER_LEASE
         };
         others(group).filter(answers_lately).count() + 1 >= majority(group.size)
     }
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -18,4 +18,5 @@
 pub mod private_entries;
 pub mod replica;
 pub mod replicate;
+pub mod timing;
 pub mod waiting_changes;
--- a/crates/core/src/replication/pending_operations.rs
+++ b/crates/core/src/replication/pending_operations.rs
@@ -13,12 +13,12 @@
 //! are.
 
 use crate::command::Command;
-use crate::consts;
 use crate::protocol::message::{EntryMap, OperationResult};
 use crate::replication::leader::Leader;
 use crate::replication::operations::{OperationOrigin, PendingAnswer, PendingOperation};
 use crate::replication::partition::{Partition, Role};
 use crate::replication::private_entries::public_entries;
+use crate::replication::timing::OPERATION_PATIENCE;
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
@@ -58,7 +58,7 @@
             PendingAnswer::Refusal(_) => newest,
             PendingAnswer::Read | PendingAnswer::Status => leader.committed,
         };
-        let (round, until) = (leader.round + 1, now + consts::OWNER_PATIENCE);
+        let (round, until) = (leader.round + 1, now + OPERATION_PATIENCE);
         leader.pending.push(PendingOperation { origin, round, revision, answer, until });
         self.request_round(now, group, commands);
         self.complete_operations(now, group, commands);
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -1,11 +1,11 @@
 //! A voter as a replica: it grants votes, accepts the leader's changes and keeps them.
 
 use crate::command::Command;
-use crate::consts;
 use crate::identifiers::{Position, Term, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
 use crate::replication::leader::Leader;
 use crate::replication::partition::{AfterWrite, KnownLeader, Partition, Role};
+use crate::replication::timing::LEADER_SILENCE;
 use crate::storage::record::{LogRecord, ReplicaState, apply, checksum};
 use crate::time::{Tick, since};
 use crate::voter_set::VoterGroup;
@@ -28,7 +28,7 @@
     fn hears_leader(&self, now: Tick) -> bool {
         match &self.role {
             Role::Follower { last_heard, leader } => {
-                leader.is_some() && since(*last_heard, now) < consts::OWNER_SILENCE
+                leader.is_some() && since(*last_heard, now) < LEADER_SILENCE
             }
             Role::Leader(_) => true,
             Role::PreVoting { .. } | Role::Candidate(_) => false,
--- a/crates/core/src/replication/replicate.rs
+++ b/crates/core/src/replication/replicate.rs
@@ -3,11 +3,11 @@
 
 use crate::command::Command;
 use crate::config::change::Entry;
-use crate::consts;
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::Message;
 use crate::replication::leader::{AnsweredRound, HeartbeatRound, Leader};
 use crate::replication::partition::{AfterWrite, Partition, Role, Sender};
+use crate::replication::timing::ANSWER_TIMEOUT;
 use crate::storage::record::{LogRecord, apply};
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, others};
@@ -183,7 +183,7 @@
 
     fn may_send_snapshot(&self, now: Tick, slot: VoterSlot) -> bool {
         let sent_at = self.snapshot_sent_at[usize::from(slot)];
-        sent_at.is_none_or(|at| since(at, now) > consts::CLAIM_PATIENCE)
+        sent_at.is_none_or(|at| since(at, now) > ANSWER_TIMEOUT)
     }
 
     /// Notes which round a voter has answered; gives that round.
--- a/crates/core/src/replication/waiting_changes.rs
+++ b/crates/core/src/replication/waiting_changes.rs
@@ -1,14 +1,18 @@
 //! Changes that a leader has made and whose operators wait for the outcome.
 
 use crate::command::Command;
-use crate::consts;
 use crate::protocol::message::OperationResult;
 use crate::replication::leader::Leader;
 use crate::replication::operations::{ChangeAcceptance, OperationOrigin, WaitingChange};
 use crate::replication::partition::{Partition, Role};
-use crate::time::{Tick, since};
+use crate::replication::timing::OPERATION_PATIENCE;
+use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, majority};
 
+/// How long an accepted change waits for the last replicas before the operator hears of
+/// it: a majority is enough, more survive more lost disks.
+const LAST_REPLICAS_WAIT: Span = ms(150);
+
 impl Partition {
     /// An operator waits for a new change of ours.
     pub fn wait_for_change(
@@ -26,7 +30,7 @@
                 round: 0,
                 acceptance,
                 accepted_at: None,
-                until: now + consts::OWNER_PATIENCE,
+                until: now + OPERATION_PATIENCE,
             });
         }
     }
@@ -47,7 +51,7 @@
                 round: leader.round + 1,
                 acceptance,
                 accepted_at: None,
-                until: now + consts::OWNER_PATIENCE,
+                until: now + OPERATION_PATIENCE,
             });
         }
     }
@@ -92,7 +96,7 @@
         let accepted_at = *change.accepted_at.get_or_insert(now);
         let copies = self.replicas_with(change.revision);
         let all_have_it = copies >= group.taken.count_ones();
-        if !all_have_it && since(accepted_at, now) < consts::THIRD_WAIT {
+        if !all_have_it && since(accepted_at, now) < LAST_REPLICAS_WAIT {
             return None;
         }
         let (revision, again) = (change.revision, change.is_repeat);
--- a/crates/core/src/storage/damage.rs
+++ b/crates/core/src/storage/damage.rs
@@ -2,7 +2,7 @@
 
 use thiserror::Error;
 
-use crate::consts::DISK_VERSION;
+use crate::storage::format::DISK_VERSION;
 
 /// Why the files of a partition can't be trusted: what was found, and where.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
--- a/crates/core/src/storage/mod.rs
+++ b/crates/core/src/storage/mod.rs
@@ -6,6 +6,7 @@
 //! no I/O: it turns copies and records into bytes and back.
 
 pub mod damage;
+pub mod format;
 pub mod reader;
 pub mod record;
 pub mod voter_file;
--- a/crates/core/src/storage/reader.rs
+++ b/crates/core/src/storage/reader.rs
@@ -3,8 +3,8 @@
 
 use nanoserde::DeBin;
 
-use crate::consts::{DISK_VERSION, RECORD_LIMIT};
 use crate::storage::damage::Damage;
+use crate::storage::format::{DISK_VERSION, RECORD_LIMIT};
 use crate::storage::record::{LogRecord, ReplicaState, apply};
 use crate::storage::writer::{
     LOG_HEAD, LOG_MARK, RECORD_END, RECORD_HEAD, SLOT_HEAD, SLOT_MARK, record_checksum,
--- a/crates/core/src/storage/voter_file.rs
+++ b/crates/core/src/storage/voter_file.rs
@@ -2,8 +2,8 @@
 
 use nanoserde::{DeBin, SerBin};
 
-use crate::consts::{DISK_VERSION, RECORD_LIMIT};
 use crate::identifiers::VoterSlot;
+use crate::storage::format::{DISK_VERSION, RECORD_LIMIT};
 use crate::voter_set::{
     VoterSet, first_holder, first_table, merge, seat_of, told_holder, told_table,
 };
--- a/crates/core/src/storage/writer.rs
+++ b/crates/core/src/storage/writer.rs
@@ -2,7 +2,7 @@
 
 use nanoserde::SerBin;
 
-use crate::consts::DISK_VERSION;
+use crate::storage::format::DISK_VERSION;
 use crate::storage::record::{LogRecord, ReplicaState};
 
 /// First bytes of a slot.
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -8,9 +8,10 @@
 use cluster::*;
 use googletest::prelude::*;
 use grebepath_core::config::change::config;
-use grebepath_core::consts;
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::protocol::message::{Operation, OperationResult, ReplicaCondition};
+use grebepath_core::replication::commit::CHANGES_KEPT;
+use grebepath_core::replication::disk_writes::LOG_LIMIT;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
@@ -259,8 +260,8 @@
     for node in 0..3 {
         let core = core_of(&cluster, node);
         let p = &core.partitions[0];
-        expect_that!(p.changes.len(), le(consts::FEED_KEPT + 8));
-        expect_that!(p.log_bytes, le(consts::LOG_LIMIT + size(&cluster, node) as u64));
+        expect_that!(p.changes.len(), le(CHANGES_KEPT + 8));
+        expect_that!(p.log_bytes, le(LOG_LIMIT + size(&cluster, node) as u64));
         expect_that!(core.attempts_seen.len(), le(4_096));
         expect_that!(core.pending_requests.len() + core.forwarded.len(), eq(0));
         if let Role::Leader(leader) = &p.role {
