--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -10,7 +10,7 @@
 use crate::protocol::message::{EntryMap, FeedPosition, Message};
 use crate::snapshot::cluster_view::{ClusterView, open, view};
 use crate::snapshot::leafs::{LeafInfo, leafs_in};
-use crate::storage::record::put;
+use crate::storage::record::apply_entries;
 use crate::time::{Tick, since};
 use crate::voter_set::majority;
 
@@ -33,7 +33,7 @@
         if from.is_none() {
             state.entries.clear();
         }
-        put(&mut state.entries, entries);
+        apply_entries(&mut state.entries, entries);
         state.revision = revision;
         self.view_is_stale = true;
         self.reports_unchecked = true;
--- a/crates/core/src/replication/commit.rs
+++ b/crates/core/src/replication/commit.rs
@@ -2,7 +2,7 @@
 
 use crate::protocol::message::EntryMap;
 use crate::replication::partition::Partition;
-use crate::storage::record::put;
+use crate::storage::record::apply_entries;
 
 /// Changes a partition keeps in memory so that subscribers of its feed need no snapshot
 /// (count).
@@ -15,7 +15,7 @@
         if self.uncommitted_snapshot.is_none() {
             for (number, entries) in &self.changes {
                 if *number == self.committed_revision + 1 && *number <= revision {
-                    put(&mut self.committed, entries);
+                    apply_entries(&mut self.committed, entries);
                     self.committed_revision = *number;
                 }
             }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -10,7 +10,7 @@
 use crate::replication::leader::Leader;
 use crate::replication::partition::{AfterWrite, Candidacy, KnownLeader, Partition, Role, Sender};
 use crate::replication::timing::{ANSWER_TIMEOUT, LEADER_SILENCE};
-use crate::storage::record::{LogRecord, ReplicaState, apply};
+use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, majority, others};
 
@@ -141,7 +141,7 @@
             self.become_follower(now, None);
             return;
         }
-        apply(&mut self.state, &LogRecord::Vote { term });
+        self.state.apply(&LogRecord::Vote { term });
         self.role = Role::Candidate(Candidacy {
             term,
             grants: vec![None; group.size],
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -6,7 +6,7 @@
 use crate::replication::leader::Leader;
 use crate::replication::partition::{AfterWrite, KnownLeader, Partition, Role};
 use crate::replication::timing::LEADER_SILENCE;
-use crate::storage::record::{LogRecord, ReplicaState, apply, checksum};
+use crate::storage::record::{LogRecord, ReplicaState, checksum};
 use crate::time::{Tick, since};
 use crate::voter_set::VoterGroup;
 
@@ -65,7 +65,7 @@
         }
         self.step_down(now, None, commands);
         self.unled_since_start = false;
-        apply(&mut self.state, &LogRecord::Vote { term });
+        self.state.apply(&LogRecord::Vote { term });
         let message = Message::VoteGranted {
             partition: self.id,
             term,
@@ -184,7 +184,7 @@
             return self.send_when_synced(from, ack, commands);
         }
         let after = vec![AfterWrite::Send(from, ack(revision))];
-        if !apply(&mut self.state, &record) {
+        if !self.state.apply(&record) {
             return self.request_snapshot(from, term, commands);
         }
         self.changes.push_back((revision, entries.clone()));
--- a/crates/core/src/replication/replicate.rs
+++ b/crates/core/src/replication/replicate.rs
@@ -8,7 +8,7 @@
 use crate::replication::leader::{AnsweredRound, HeartbeatRound, Leader};
 use crate::replication::partition::{AfterWrite, Partition, Role, Sender};
 use crate::replication::timing::ANSWER_TIMEOUT;
-use crate::storage::record::{LogRecord, apply};
+use crate::storage::record::LogRecord;
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, others};
 
@@ -160,7 +160,7 @@
         let (partition, term) = (self.id, self.state.written_term);
         let revision = self.state.revision + 1;
         let record = LogRecord::Change { term, revision, entries: entries.clone() };
-        if !apply(&mut self.state, &record) {
+        if !self.state.apply(&record) {
             return;
         }
         self.changes.push_back((revision, entries.clone()));
--- a/crates/core/src/storage/reader.rs
+++ b/crates/core/src/storage/reader.rs
@@ -5,7 +5,7 @@
 
 use crate::storage::damage::Damage;
 use crate::storage::format::{DISK_VERSION, RECORD_LIMIT};
-use crate::storage::record::{LogRecord, ReplicaState, apply};
+use crate::storage::record::{LogRecord, ReplicaState};
 use crate::storage::writer::{
     LOG_HEAD, LOG_MARK, RECORD_END, RECORD_HEAD, SLOT_HEAD, SLOT_MARK, record_checksum,
 };
@@ -181,7 +181,7 @@
             }
             Parsed::Torn => return Ok(Records { count: number, bytes, is_torn: true }),
         };
-        if !apply(state, &record) {
+        if !state.apply(&record) {
             return Err(Damage::RecordOutOfOrder { number });
         }
         bytes = end;
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -25,6 +25,24 @@
     pub fn position(&self) -> Position {
         Position { term: self.written_term, revision: self.revision }
     }
+
+    /// Applies a record that fits; false (and no change) if it does not.
+    pub fn apply(&mut self, record: &LogRecord) -> bool {
+        match record {
+            LogRecord::Vote { term } => {
+                self.current_term = self.current_term.max(*term);
+                true
+            }
+            LogRecord::Change { term, revision, entries } => {
+                if *term != self.written_term || *revision != self.revision + 1 {
+                    return false;
+                }
+                self.revision = *revision;
+                apply_entries(&mut self.entries, entries);
+                true
+            }
+        }
+    }
 }
 
 /// One step of a copy, as the log holds it.
@@ -34,30 +52,12 @@
     Change { term: Term, revision: u64, entries: Vec<Entry> },
 }
 
-/// Applies a record that fits; false (and no change) if it does not.
-pub fn apply(copy: &mut ReplicaState, rec: &LogRecord) -> bool {
-    match rec {
-        LogRecord::Vote { term } => {
-            copy.current_term = copy.current_term.max(*term);
-            true
-        }
-        LogRecord::Change { term, revision, entries } => {
-            if *term != copy.written_term || *revision != copy.revision + 1 {
-                return false;
-            }
-            copy.revision = *revision;
-            put(&mut copy.entries, entries);
-            true
-        }
-    }
-}
-
-/// Puts entries into a map.
-pub fn put(map: &mut EntryMap, entries: &[Entry]) {
-    for (key, val) in entries {
-        match val {
-            Some(val) => map.insert(key.clone(), val.clone()),
-            None => map.remove(key),
+/// Applies changed entries to a state's: a new value, or none where a key is removed.
+pub fn apply_entries(entries: &mut EntryMap, changed: &[Entry]) {
+    for (key, value) in changed {
+        match value {
+            Some(value) => entries.insert(key.clone(), value.clone()),
+            None => entries.remove(key),
         };
     }
 }
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -13,7 +13,7 @@
 use grebepath_core::identifiers::{CONFIG, PartitionId, VoterSlot};
 use grebepath_core::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
-use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
+use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::voter_file::{Start, VoterFile, begin};
 use grebepath_core::time::{BOOT, SECOND, Span, Tick};
 
@@ -134,7 +134,7 @@
         }
         Job::Append(rec) => {
             if let Some(copy) = disk.kept.get_mut(&partition) {
-                assert!(apply(copy, &rec), "a record that does not follow the one before");
+                assert!(copy.apply(&rec), "a record that does not follow the one before");
             }
         }
     }
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -17,7 +17,7 @@
 use grebepath_core::random::Random;
 use grebepath_core::replication::leader::AnsweredRound;
 use grebepath_core::replication::partition::Role;
-use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
+use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
 use grebepath_core::voter_set::told_holder;
@@ -299,7 +299,7 @@
 fn written(disk: &mut BTreeMap<PartitionId, ReplicaState>, write: Write) -> Event {
     match write {
         Write::Append { partition, token, record } => {
-            apply(disk.entry(partition).or_default(), &record);
+            disk.entry(partition).or_default().apply(&record);
             Event::Synced { partition, token }
         }
         Write::Slot { partition, token, copy } => {
--- a/crates/core/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -5,7 +5,7 @@
 use grebepath_core::identifiers::Term;
 use grebepath_core::storage::damage::Damage;
 use grebepath_core::storage::reader::{StoredReplica, read};
-use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
+use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::writer;
 
 const PART: u32 = 3;
@@ -31,13 +31,13 @@
         ..ReplicaState::default()
     };
     let older = writer::slot(PART, 1, &copy);
-    assert!(apply(&mut copy, &change(11)));
+    assert!(copy.apply(&change(11)));
     let newer = writer::slot(PART, 2, &copy);
     let mut log = writer::log_head(PART, 2);
     let mut at = vec![(log.len(), copy.clone())];
     let recs = [change(12), LogRecord::Vote { term: Term(7) }, change(13)];
     for (i, rec) in recs.iter().enumerate() {
-        assert!(apply(&mut copy, rec));
+        assert!(copy.apply(rec));
         log.extend(writer::record(2, i as u32, rec));
         at.push((log.len(), copy.clone()));
     }
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -9,7 +9,7 @@
 use grebepath_core::identifiers::Term;
 use grebepath_core::protocol::message::EntryMap;
 use grebepath_core::snapshot::leafs::{LeafInfo, key};
-use grebepath_core::storage::record::{LogRecord, ReplicaState, apply, put};
+use grebepath_core::storage::record::{LogRecord, ReplicaState, apply_entries};
 use grebepath_core::storage::voter_file::VoterFile;
 use nanoserde::SerBin;
 use prost::Message;
@@ -44,7 +44,7 @@
     pub fn newest(&self) -> ReplicaState {
         let mut copy = self.newer.clone();
         for record in &self.records {
-            assert!(apply(&mut copy, record), "{record:?} does not follow");
+            assert!(copy.apply(record), "{record:?} does not follow");
         }
         copy
     }
@@ -168,7 +168,7 @@
 
 fn accept(map: &mut EntryMap, order: &AcceptedOrder) {
     let changes = remember(map, &order.fingerprint(), order.revision, order.edition);
-    put(map, &changes);
+    apply_entries(map, &changes);
     set_edition(map, order.edition);
 }
 
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -11,7 +11,7 @@
 use grebepath_core::random::Random;
 use grebepath_core::replication::private_entries::{is_private, public_entries};
 use grebepath_core::storage::reader::{StoredReplica, read};
-use grebepath_core::storage::record::{ReplicaState, put};
+use grebepath_core::storage::record::{ReplicaState, apply_entries};
 use grebepath_core::storage::writer;
 use prost::Message;
 
@@ -70,7 +70,7 @@
     let size = entry_bytes(&entries);
     model.bytes += size;
     model.largest = model.largest.max(size);
-    put(&mut model.map, &entries);
+    apply_entries(&mut model.map, &entries);
     set_edition(&mut model.map, model.edition);
     model.accepted.push(order);
 }
@@ -187,7 +187,7 @@
                 revision += 1;
                 let order = fingerprint(id, true, &round.to_le_bytes());
                 let entries = remember(&map, &order, revision, revision);
-                put(&mut map, &entries);
+                apply_entries(&mut map, &entries);
             }
         }
         expect_that!(memory_bytes(&map), lt(MOST_BYTES), "phase {phase}");
@@ -272,7 +272,7 @@
         expect_that!(before.revision, eq(lost));
         let order = fingerprint("new", true, b"x");
         let entries = remember(&map, &order, newest + 1, newest + 1);
-        put(&mut map, &entries);
+        apply_entries(&mut map, &entries);
         set_edition(&mut map, newest + 1);
         known(&map);
         expect_that!(recall(&map, "new", &order), eq(Recall::Accepted { revision: newest + 1 }));
@@ -293,7 +293,7 @@
     for revision in 1..=20_000u64 {
         let order = fingerprint(&format!("n-{revision}"), false, b"");
         let entries = remember(&map, &order, revision, revision);
-        put(&mut map, &entries);
+        apply_entries(&mut map, &entries);
     }
     set_edition(&mut map, 20_000);
     let before = horizon(&map);
@@ -304,7 +304,7 @@
         expect_that!(known, eq(Recall::Accepted { revision: 20_001 }));
         let order = fingerprint(&format!("n-{revision}"), false, b"");
         let entries = remember(&map, &order, revision, revision);
-        put(&mut map, &entries);
+        apply_entries(&mut map, &entries);
         expect_that!(horizon(&map), eq(before));
         for old in [before.revision + 1, 20_000] {
             let order = fingerprint(&format!("n-{old}"), false, b"");
@@ -329,7 +329,7 @@
         expect_that!(known, eq(Recall::Absent));
     }
     let entries = remember(&map, &fingerprint("new", true, b""), 7, 1);
-    put(&mut map, &entries);
+    apply_entries(&mut map, &entries);
     expect_that!(map.len(), eq(2), "{:?}", map.keys());
 }
 
@@ -361,7 +361,7 @@
     };
     known(&copy.entries);
     let entries = remember(&copy.entries, &fingerprint("new", false, b"x"), 6, 6);
-    put(&mut copy.entries, &entries);
+    apply_entries(&mut copy.entries, &entries);
     copy.revision = 6;
     // And back through files of this build.
     let (slot, log) = (writer::slot(0, 2, &copy), writer::log_head(0, 2));
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -12,7 +12,7 @@
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::storage::reader::{StoredReplica, read};
-use grebepath_core::storage::record::{ReplicaState, put};
+use grebepath_core::storage::record::{ReplicaState, apply_entries};
 use grebepath_core::time::SECOND;
 use serde_json::{Value, json};
 
@@ -63,7 +63,7 @@
         let Operation::Patch(text) = order(base) else { unreachable!() };
         let print = fingerprint(&format!("order-{base}"), false, &text);
         let entries = remember(&copy.entries, &print, base + 1, base + 1);
-        put(&mut copy.entries, &entries);
+        apply_entries(&mut copy.entries, &entries);
     }
     let terms = grebepath_core::config::types::Terms { edition: ACCEPTED, ..Default::default() };
     copy.entries.insert("terms".into(), prost::Message::encode_to_vec(&terms));
