--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -1,4 +1,4 @@
-//! What is kept on disk of a part.
+//! What is kept on disk of a partition.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -6,22 +6,24 @@
 use crate::identifiers::{Position, Term};
 use crate::protocol::message::EntryMap;
 
-/// A replica's copy of a part.
+/// A replica's state of a partition.
 ///
-/// Invariants: `promised >= term`; a copy with a higher (`term`, `revision`) is
-/// newer; nothing below `promised` is accepted any more.
+/// Invariants: `current_term >= written_term`; a state at a higher position is newer;
+/// nothing of a term below `current_term` is accepted any more.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct ReplicaState {
-    /// Highest term that this replica has granted or obeyed.
+    /// Highest term that this replica has voted for or accepted.
     pub current_term: Term,
     /// Term under which `entries` was last written.
     pub written_term: Term,
+    /// Number of the last change; each change has the next one.
     pub revision: u64,
+    /// What the partition holds.
     pub entries: EntryMap,
 }
 
 impl ReplicaState {
-    /// How new this copy is.
+    /// How new this state is.
     pub fn position(&self) -> Position {
         Position { term: self.written_term, revision: self.revision }
     }
@@ -45,11 +47,23 @@
     }
 }
 
-/// One step of a copy, as the log holds it.
+/// One step of a state, as the log holds it.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum LogRecord {
-    Vote { term: Term },
-    Change { term: Term, revision: u64, entries: Vec<Entry> },
+    /// The replica voted in this term.
+    Vote {
+        /// The term.
+        term: Term,
+    },
+    /// The leader of a term changed entries.
+    Change {
+        /// The leader's term, in which the state was written before.
+        term: Term,
+        /// Number of the change: one more than that of the state before.
+        revision: u64,
+        /// The new values, or none where a key is removed.
+        entries: Vec<Entry>,
+    },
 }
 
 /// Applies changed entries to a state's: a new value, or none where a key is removed.
--- a/crates/core/src/storage/voter_file.rs
+++ b/crates/core/src/storage/voter_file.rs
@@ -1,4 +1,4 @@
-//! What a controller keeps on disk of the seats: who it is, and the table.
+//! What a controller keeps on disk beside the partitions: who it is, and the voter set.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -8,18 +8,21 @@
     VoterSet, first_holder, first_table, merge, seat_of, told_holder, told_table,
 };
 
+/// First bytes of the file.
 const MARK: &[u8; 6] = b"GRBrol";
 /// Bytes before the body: mark, version u16, length u32, checksum u32.
 const HEAD: usize = 16;
 
-/// A controller's identity and what it knows of the seats.
+/// A controller's identity and what it knows of the voter slots.
 ///
 /// Invariant: `me` is on disk before anybody hears it.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct VoterFile {
+    /// Our replica id.
     pub me: u64,
     /// This disk was there, empty, when the fleet first began.
     pub first: bool,
+    /// The newest voter set that we know.
     pub table: VoterSet,
 }
 
@@ -49,22 +52,23 @@
         .then_some(roll)
 }
 
-/// What a controller is told of the seats at its start.
+/// What a controller is told of the voter slots at its start.
 pub struct Start {
-    /// Its seat, where an operator gives the seats away.
+    /// Its slot, where an operator assigns the slots.
     pub slot: Option<VoterSlot>,
     /// Whether this is the fleet's first start of all.
     pub first: bool,
+    /// Addresses of the controllers with which the fleet begins.
     pub seeds: Vec<String>,
-    /// How many seats a fleet begins with.
+    /// How many voter slots a fleet begins with.
     pub size: usize,
     /// Where others reach it.
     pub addr: String,
 }
 
 /// Who a controller is at its start, by what it is told and what it found on
-/// its disk, and whether the parts found there must be set aside. `bare`: there
-/// are none. The roll must be on disk before anything else is done.
+/// its disk, and whether the partitions found there must be set aside. `bare`: there
+/// are none. The file must be on disk before anything else is done.
 pub fn begin(found: Option<VoterFile>, p: &Start, bare: bool, nonce: u64) -> (VoterFile, bool) {
     let fresh = |table: VoterSet| (VoterFile { me: nonce | 1, first: false, table }, !bare);
     match (found, p.slot) {
