--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -82,8 +82,12 @@
             configuration.add_pending(now, group, origin, answer, commands);
         }
         _ => {
-            let acceptance = ChangeAcceptance::Committed;
-            configuration.wait_for_repeated_change(now, origin, newest, acceptance);
+            configuration.wait_for_repeated_change(
+                now,
+                origin,
+                newest,
+                ChangeAcceptance::Committed,
+            );
             configuration.request_round(now, group, commands);
             configuration.complete_operations(now, group, commands);
         }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -26,7 +26,7 @@
 
 /// Rejects a request if too many wait at the leader; tells whether it did.
 pub fn reject_if_full(
-    configuration: &mut Partition,
+    configuration: &Partition,
     origin: OperationOrigin,
     commands: &mut Vec<Command>,
 ) -> bool {
@@ -78,8 +78,7 @@
             configuration.add_pending(now, group, origin, answer, commands);
         }
         Judged::Made { revision } => {
-            let acceptance = ChangeAcceptance::Obeyed;
-            configuration.wait_for_repeated_change(now, origin, revision, acceptance);
+            configuration.wait_for_repeated_change(now, origin, revision, ChangeAcceptance::Obeyed);
             configuration.request_round(now, group, commands);
             configuration.complete_operations(now, group, commands);
         }
--- a/crates/server/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -2,6 +2,8 @@
 //! one edition at the same time through two of them, answers get lost, the leader
 //! is killed in the middle of a write, and orders are sent again.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
 #[path = "platform_orders/foreign.rs"]
 mod platform_orders;
 
@@ -9,62 +11,46 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
+use common::{block, empty_folder, layout, start_again};
 use googletest::prelude::*;
 use grebepath_runtime::http::client::HttpClient;
 use hyper::Method;
 use platform_orders::{BASE_HEADER, CONFIG_PATH, Order, patch, whole};
 use serde_json::{Value, json};
 use testbed::local_cluster;
-use testbed::local_cluster::{Layout, Proc, until};
+use testbed::local_cluster::error::LocalClusterError;
+use testbed::local_cluster::process::Process;
+use testbed::local_cluster::until;
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
 
 /// Three controllers without queriers. Dropping it kills its processes.
 struct ControllerState {
-    procs: Vec<Proc>,
+    procs: Vec<Process>,
     doors: Vec<SocketAddr>,
     http: HttpClient,
 }
 
 impl Drop for ControllerState {
     fn drop(&mut self) {
-        self.procs.iter_mut().for_each(local_cluster::kill);
+        self.procs.iter_mut().for_each(Process::kill);
     }
 }
 
-/// Runs a test's body on one thread, as the daemons do.
-fn block<F: Future>(body: F) -> F::Output {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&rt, body)
-}
-
 async fn core(test: &str) -> ControllerState {
-    let mut trouble = String::new();
-    // Another process may take a port between our look and our start.
-    for _ in 0..4 {
-        match started(test) {
-            Ok(core) => {
-                assert!(until(LONG, async || leader(&core).await.is_some()).await, "no leader");
-                return core;
-            }
-            Err(why) => trouble = why,
-        }
-    }
-    panic!("{trouble}");
+    let core = start_again(|| started(test));
+    assert!(until(LONG, async || leader(&core).await.is_some()).await, "no leader");
+    core
 }
 
-fn started(test: &str) -> std::result::Result<ControllerState, String> {
-    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
-    let _ = std::fs::remove_dir_all(&dir);
-    std::fs::create_dir_all(&dir).unwrap();
-    let bin = PathBuf::from(env!("CARGO_BIN_EXE_controller")).parent().unwrap().to_path_buf();
-    let deploy = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    let layout = Layout { bin, dir: dir.clone(), deploy, name: test.into(), queriers: 0 };
+fn started(test: &str) -> std::result::Result<ControllerState, LocalClusterError> {
+    let layout = layout(test, test, 0);
+    empty_folder(&layout);
     let ports = local_cluster::free_ports(6).unwrap();
     let at = |n: usize| SocketAddr::from(([127, 0, 0, 1], ports[n]));
     let seeds = (3..6).map(|n| at(n).to_string()).collect::<Vec<_>>().join(",");
-    let procs: Vec<Proc> = (0..3)
+    let procs: Vec<Process> = (0..3)
         .map(|n| {
             let pairs = [
                 ("seat", n.to_string()),
@@ -72,16 +58,16 @@
                 ("listen", at(n).to_string()),
                 ("inner", at(n + 3).to_string()),
                 ("seeds", seeds.clone()),
-                ("data", dir.join(format!("data-{n}")).display().to_string()),
+                ("data", layout.dir.join(format!("data-{n}")).display().to_string()),
                 ("dialect", "platform".to_string()),
             ];
-            local_cluster::controller(&layout, &format!("controller-{n}"), &pairs)
+            Process::controller(&layout, &format!("controller-{n}"), &pairs)
         })
         .collect();
     let doors = (0..3).map(at).collect();
     let mut core =
         ControllerState { procs, doors, http: grebepath_runtime::http::client::HttpClient::new(8) };
-    core.procs.iter_mut().try_for_each(local_cluster::start)?;
+    core.procs.iter_mut().try_for_each(Process::start)?;
     Ok(core)
 }
 
@@ -147,9 +133,9 @@
         // Its answer, if there is one, is not looked at.
         let _ = tokio::time::timeout(wait, sending).await;
     }
-    local_cluster::kill(&mut core.procs[leads]);
+    core.procs[leads].kill();
     let round = race(core, leads + 1, [a, b]).await;
-    local_cluster::start(&mut core.procs[leads]).unwrap();
+    core.procs[leads].start().unwrap();
     round
 }
 
@@ -213,10 +199,10 @@
         }
         all_again(&core, &rounds, "at the end").await;
         let leads = leader(&core).await.expect("a leader");
-        local_cluster::kill(&mut core.procs[leads]);
+        core.procs[leads].kill();
         all_again(&core, &rounds, "without the leader").await;
-        core.procs.iter_mut().for_each(local_cluster::kill);
-        core.procs.iter_mut().for_each(|p| local_cluster::start(p).unwrap());
+        core.procs.iter_mut().for_each(Process::kill);
+        core.procs.iter_mut().for_each(|p| p.start().unwrap());
         all_again(&core, &rounds, "after all were killed").await;
     });
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,8 +1,11 @@
-//! A whole fleet under a virtual clock: the daemons' own `step` functions
+//! A fleet under a virtual clock: the daemons' own state machines
 //! with seeded net, disks, leafs, list, callers and operators.
 
 pub mod chaos;
 pub mod check;
+pub mod connection_id;
+pub mod controller_start;
+pub mod event_queue;
 pub mod explore;
 pub mod files;
 pub mod linearizability;
--- a/crates/simulator/src/oracle.rs
+++ b/crates/simulator/src/oracle.rs
@@ -1,4 +1,4 @@
-//! The records that a stand-in leaf has. They follow from the service, the
+//! The records that a mock leaf has. They follow from the service, the
 //! question and the key alone, so a checker can tell what any shard's true
 //! answer is without asking anyone.
 
@@ -11,8 +11,11 @@
 /// A record as the oracle knows it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Known {
+    /// Its id.
     pub id: String,
+    /// Its score.
     pub score: f64,
+    /// The service that holds it.
     pub service: String,
 }
 
--- a/crates/simulator/src/scale_model/topology.rs
+++ b/crates/simulator/src/scale_model/topology.rs
@@ -1,4 +1,4 @@
-//! The plan of a hollow fleet: its zones, its leafs and its configuration.
+//! The topology of the scale model: zones, leafs and configuration.
 
 use grebepath_core::identifiers::VoterSlot;
 use grebepath_core::random::Random;
@@ -8,6 +8,7 @@
 
 /// Zones (count), and the regions they lie in (count): issue 11.
 pub const ZONES: usize = 14;
+/// Regions in which the zones lie (count).
 pub const REGIONS: usize = 5;
 /// Leafs that hold the same shard (count): 5,300 leafs over 1,300 shards.
 pub const LEAFS_A_SHARD: usize = 4;
@@ -26,7 +27,9 @@
 /// A size to measure.
 #[derive(Clone, Copy)]
 pub struct Size {
+    /// Queriers (count).
     pub members: usize,
+    /// Leafs (count).
     pub leafs: usize,
 }
 
@@ -45,12 +48,12 @@
     format!("r{}-z{zone}", region(zone))
 }
 
-/// The zone in which a seat stands: each in a region of its own.
+/// The zone of a voter slot: each is in a region of its own.
 pub fn controller_zone(slot: VoterSlot) -> usize {
     usize::from(slot) * ZONES / REGIONS % ZONES + 1
 }
 
-/// Where a seat is reached.
+/// Where the controller of a voter slot is reached.
 pub fn controller_address(slot: usize) -> String {
     format!("10.100.0.{slot}:9000")
 }
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -1,10 +1,9 @@
-//! The machines of a world, and what is under way between them.
+//! The machines of a world, and what is in progress between them.
 
 use std::collections::BTreeMap;
 
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::membership::node_agent::NodeAgent;
-use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::query::engine::QueryEngine;
 use grebepath_core::query::event::Sending;
 use grebepath_core::time::{Span, Tick};
@@ -17,18 +16,30 @@
 
 /// A controller's machine.
 pub struct ControllerNode {
+    /// The zone in which it stands.
     pub zone: String,
+    /// How often its process was started or ended.
     pub life: u64,
+    /// Whether its process runs.
     pub up: bool,
+    /// Its state machine.
     pub state: ControllerState,
+    /// When its process was started.
     pub began: Tick,
+    /// Its disk.
     pub disk: Disk,
+    /// Until when its process is paused.
     pub paused: Tick,
     /// It was asked to stop.
     pub stopping: Option<Stopping>,
 }
 
 impl ControllerNode {
+    /// Whether its controller has a voter slot.
+    pub fn has_voter_slot(&self) -> bool {
+        self.state.slot != grebepath_core::voter_set::NOBODY
+    }
+
     /// The end of its connections, as the controller of this number.
     pub(super) fn endpoint(&self, number: usize) -> Endpoint<'_> {
         Endpoint { node: Node::Controller(number as u8), zone: &self.zone }
@@ -43,15 +54,24 @@
 
 /// A querier's machine.
 pub struct QuerierNode {
+    /// Its name as a member.
     pub name: String,
+    /// The zone in which it stands.
     pub zone: String,
+    /// How often its process was started or ended.
     pub life: u64,
+    /// Whether its process runs.
     pub up: bool,
-    pub watch: NodeAgent,
-    pub desks: Vec<QueryEngine>,
-    pub(super) wakes: Vec<Tick>,
+    /// Its node agent.
+    pub node_agent: NodeAgent,
+    /// Its query engines, one a thread.
+    pub query_engines: Vec<QueryEngine>,
+    pub(super) wake_at: Vec<Tick>,
+    /// When its process was started.
     pub began: Tick,
+    /// Whether it says that it is ready.
     pub ready: bool,
+    /// Until when its process is paused.
     pub paused: Tick,
     pub(super) polling: bool,
 }
@@ -63,14 +83,14 @@
     }
 }
 
-/// A dispatch that a leaf works on.
+/// An attempt that a leaf works on.
 pub(super) struct Run {
     pub(super) key: AttemptKey,
     pub(super) leaf: String,
     pub(super) sending: Sending,
 }
 
-/// A call on its way.
+/// A call that is in progress.
 pub(super) struct Call {
     pub(super) kind: usize,
     pub(super) asked: Asked,
@@ -79,30 +99,20 @@
     pub(super) began: Tick,
 }
 
-/// An operator's request on its way.
-pub struct OperatorRequest {
-    /// Its request id, if another order had it before: it is sent again.
-    pub request: Option<String>,
-    pub operation: Operation,
-    pub at: Tick,
-    pub controller: Option<usize>,
-    pub result: Option<OperationResult>,
-    /// Zone that it empties or fills.
-    pub zone: Option<(String, bool)>,
-    /// An object that only this order sets, to look for at the end.
-    pub marker: Option<String>,
-    /// The revision that the operator read before.
-    pub expect: Option<u64>,
-}
-
-/// What calls of a kind came to.
+/// How the calls of a kind ended.
 #[derive(Default, Clone)]
 pub struct CallOutcomes {
+    /// Answered in full.
     pub full: u64,
+    /// Answered in part.
     pub partial: u64,
+    /// Rejected, by reason.
     pub rejected: BTreeMap<String, u64>,
+    /// Calls that found no querier, or whose querier ended.
     pub unreachable: u64,
+    /// Not answered before the deadline.
     pub timed_out: u64,
+    /// Times to the answers (us).
     pub latencies: Vec<u64>,
 }
 
@@ -115,8 +125,3 @@
         self.queriers[querier].up && self.queriers[querier].life == life
     }
 }
-
-/// Whether this machine's controller has a seat.
-pub fn has_voter_slot(node: &ControllerNode) -> bool {
-    node.state.slot != grebepath_core::voter_set::NOBODY
-}
