--- a/crates/core/src/replication/commit.rs
+++ b/crates/core/src/replication/commit.rs
@@ -1,9 +1,12 @@
 //! What is committed of a partition, as far as this replica has it.
 
-use crate::consts;
 use crate::protocol::message::EntryMap;
 use crate::replication::partition::Partition;
-use crate::storage::record::put;
+use crate::storage::record::apply_entries;
+
+/// Changes a partition keeps in memory so that subscribers of its feed need no snapshot
+/// (count).
+pub const CHANGES_KEPT: usize = 256;
 
 impl Partition {
     /// Commits everything that we have up to `revision`, which a majority has synced.
@@ -12,13 +15,13 @@
         if self.uncommitted_snapshot.is_none() {
             for (number, entries) in &self.changes {
                 if *number == self.committed_revision + 1 && *number <= revision {
-                    put(&mut self.committed, entries);
+                    apply_entries(&mut self.committed, entries);
                     self.committed_revision = *number;
                 }
             }
         }
         let committed = self.committed_revision;
-        while self.changes.len() > consts::FEED_KEPT
+        while self.changes.len() > CHANGES_KEPT
             && self.changes.front().is_some_and(|(number, _)| *number <= committed)
         {
             self.changes.pop_front();
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -1,12 +1,12 @@
 //! A voter as a replica: it grants votes, accepts the leader's changes and keeps them.
 
 use crate::command::Command;
-use crate::consts;
 use crate::identifiers::{Position, Term, VoterSlot};
 use crate::protocol::message::{EntryMap, Message};
 use crate::replication::leader::Leader;
 use crate::replication::partition::{AfterWrite, KnownLeader, Partition, Role};
-use crate::storage::record::{LogRecord, ReplicaState, apply, checksum};
+use crate::replication::timing::LEADER_SILENCE;
+use crate::storage::record::{LogRecord, ReplicaState, checksum};
 use crate::time::{Tick, since};
 use crate::voter_set::VoterGroup;
 
@@ -28,7 +28,7 @@
     fn hears_leader(&self, now: Tick) -> bool {
         match &self.role {
             Role::Follower { last_heard, leader } => {
-                leader.is_some() && since(*last_heard, now) < consts::OWNER_SILENCE
+                leader.is_some() && since(*last_heard, now) < LEADER_SILENCE
             }
             Role::Leader(_) => true,
             Role::PreVoting { .. } | Role::Candidate(_) => false,
@@ -65,7 +65,7 @@
         }
         self.step_down(now, None, commands);
         self.unled_since_start = false;
-        apply(&mut self.state, &LogRecord::Vote { term });
+        self.state.apply(&LogRecord::Vote { term });
         let message = Message::VoteGranted {
             partition: self.id,
             term,
@@ -184,7 +184,7 @@
             return self.send_when_synced(from, ack, commands);
         }
         let after = vec![AfterWrite::Send(from, ack(revision))];
-        if !apply(&mut self.state, &record) {
+        if !self.state.apply(&record) {
             return self.request_snapshot(from, term, commands);
         }
         self.changes.push_back((revision, entries.clone()));
