--- /dev/null
+++ b/crates/simulator/src/chaos/mod.rs
@@ -0,0 +1,118 @@
+//! Faults drawn by seed: alone, together, at any time, and one last fault;
+//! then all faults end and the fleet must recover.
+
+use grebepath_core::random::Random;
+use serde_json::{Value, json};
+
+use crate::scenario::{Scenario, ScheduledFault, generated_fault};
+
+mod draw;
+
+use draw::{KINDS, Scene};
+
+/// An action at a time (s).
+pub fn at(at_s: f64, mut val: Value) -> Value {
+    val["at_s"] = json!(at_s);
+    val
+}
+
+/// Seconds before the end at which all faults end: 12 s to recover, and 3 s in
+/// which nearly all calls must be full.
+const RECOVERY_BEFORE_END: f64 = 16.0;
+/// Seconds that a lost or spoilt disk needs before another may be lost: a
+/// controller looks at all its files in 20 s.
+const DISK_GAP: f64 = 26.0;
+/// Seconds before the recovery from which on no leafs are replaced: fresh ones
+/// bear too little, whatever we do.
+const FRESH_GAP: f64 = 12.0;
+/// How long a fault may last at the most (s).
+const SPAN: u64 = 8;
+
+/// Whether faults lose what lies on a disk.
+fn loses_disk(list: &[Value]) -> bool {
+    list.iter().any(|fault| fault["do"] == "flip" || fault["lose"] == true)
+}
+
+/// Whether leafs are fresh for a while after this.
+fn replaces_leafs(list: &[Value]) -> bool {
+    let words = ["restart-leafs", "add-leafs", "reuse", "kill-leafs", "leave-leafs"];
+    list.iter().any(|fault| words.iter().any(|word| fault["do"] == *word))
+}
+
+/// Faults at times, spans and overlaps drawn by the seed, then one last one,
+/// then the end of all of them.
+pub fn chaos(seed: u64, scenario: &Scenario) -> Vec<ScheduledFault> {
+    let recovery_at = (scenario.seconds as f64 - RECOVERY_BEFORE_END).max(1.0);
+    let mut scene = Scene { scenario, random: Random::new(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
+    let storm = json!({ "do": "storm", "count": (recovery_at * 3.0) as u64, "gap_ms": 250 });
+    let mut all = vec![at(1.0, storm)];
+    let two_cuts = scenario.spec.services.iter().any(|service| service.cut == "w49");
+    let mut lost_at = -DISK_GAP;
+    let mut from = 1.5;
+    loop {
+        // From close together to a while apart.
+        from += scene.random.below(70) as f64 / 10.0;
+        scene.from = from;
+        scene.span = 0.3 + scene.random.below(SPAN * 10) as f64 / 10.0;
+        let last = from + scene.span + 2.0 >= recovery_at;
+        if last {
+            scene.from = (recovery_at - scene.span - 1.0).max(1.0);
+        }
+        let drawn = scene.random.below(KINDS.len() as u64 + u64::from(two_cuts));
+        let mut list = match KINDS.get(drawn as usize) {
+            Some(kind) => scene.draw(*kind),
+            None => scene.change_index_version(),
+        };
+        // Three replicas tolerate the loss of one disk at a time.
+        let late = scene.from + scene.span > recovery_at - FRESH_GAP;
+        while (loses_disk(&list) && scene.from - lost_at < DISK_GAP)
+            || (late && replaces_leafs(&list))
+        {
+            let drawn = scene.random.below(KINDS.len() as u64);
+            list = scene.draw(KINDS[drawn as usize]);
+        }
+        if loses_disk(&list) {
+            lost_at = scene.from;
+        }
+        all.extend(list);
+        if last {
+            break;
+        }
+    }
+    let mut all: Vec<ScheduledFault> = all.iter().map(generated_fault).collect();
+    // Nothing may come after the end of all faults.
+    all.retain(|fault| (fault.at_ms as f64) < recovery_at * 1_000.0);
+    all.push(generated_fault(&at(
+        recovery_at,
+        json!({ "do": "mend-all", "factor": scenario.factor }),
+    )));
+    all
+}
+
+/// The fewest faults that still fail, found by leaving out one after the
+/// other, larger runs of them first.
+pub fn shrink(
+    all: &[ScheduledFault],
+    fails: impl Fn(&[ScheduledFault]) -> bool,
+) -> Vec<ScheduledFault> {
+    let mut list = all.to_vec();
+    let mut step = (list.len() / 2).max(1);
+    loop {
+        let mut i = 0;
+        let mut less = false;
+        while i < list.len() {
+            let mut fewer = list.clone();
+            fewer.drain(i..(i + step).min(list.len()));
+            if fails(&fewer) {
+                list = fewer;
+                less = true;
+            } else {
+                i += step;
+            }
+        }
+        if step == 1 && !less {
+            return list;
+        }
+        step = (step / 2).max(1);
+    }
+}
