--- a/crates/core/src/control_plane/disk_events.rs
+++ b/crates/core/src/control_plane/disk_events.rs
@@ -2,14 +2,10 @@
 //! read again.
 
 use crate::command::Command;
-use crate::consts;
 use crate::control_plane::controller::{ControllerState, SCRUB_INTERVAL};
 use crate::identifiers::PartitionId;
-use crate::protocol::message::ReplicaCondition;
-use crate::replication::partition::{AfterWrite, Partition, Sender, able};
-use crate::replication::{catch_up, election, leader, replica};
+use crate::replication::partition::Partition;
 use crate::time::Tick;
-use crate::voter_set::VoterGroup;
 
 impl ControllerState {
     /// Every write of a partition up to this token is synced.
@@ -22,17 +18,7 @@
     ) {
         let group = self.group();
         let replica = &mut self.partitions[partition.0 as usize];
-        while replica.writes.front().is_some_and(|write| write.token <= token) {
-            let Some(write) = replica.writes.pop_front() else { break };
-            replica.synced_at = now;
-            for after in write.after {
-                after_write(replica, now, group, after, commands);
-            }
-        }
-        if replica.writes.is_empty() && replica.disk_failure.is_some() {
-            replica.disk_failure = None;
-            replica::follow(replica, now, None);
-            commands.push(Command::Alarm(format!("part {partition}: the disk works again")));
+        if replica.on_synced(now, group, token, commands) {
             self.counters.disks_recovered += 1;
         }
     }
@@ -47,7 +33,7 @@
     ) {
         let replica = &mut self.partitions[partition.0 as usize];
         replica.writes.clear();
-        replica::step_back(replica, now, why, commands);
+        replica.on_disk_failed(now, why, commands);
     }
 
     /// Files were corrupted while we ran. What they held we still have, and the
@@ -60,11 +46,11 @@
         commands: &mut Vec<Command>,
     ) {
         let replica = &mut self.partitions[partition.0 as usize];
-        if able(replica) {
+        if replica.can_vote() {
             self.counters.corruptions += 1;
             let text = format!("part {partition}: its files have rotted: {why}");
             commands.push(Command::Alarm(text));
-            replica::keep_whole(replica, now, Vec::new(), commands);
+            replica.persist_snapshot(now, Vec::new(), commands);
         }
     }
 
@@ -76,54 +62,18 @@
         self.scrub_at = now + SCRUB_INTERVAL;
         let replica = &self.partitions[self.scrub_next];
         self.scrub_next = (self.scrub_next + 1) % self.partitions.len();
-        if able(replica) {
+        if replica.can_vote() {
             commands.push(Command::Scrub { partition: replica.id });
         }
     }
 }
 
-/// Does what waited for a write.
-fn after_write(
-    replica: &mut Partition,
-    now: Tick,
-    group: VoterGroup,
-    after: AfterWrite,
-    commands: &mut Vec<Command>,
-) {
-    match after {
-        AfterWrite::Send(slot, message) => commands.push(Command::ToVoter { slot, message }),
-        AfterWrite::OwnAppendSynced { term, revision } => {
-            leader::append_acked(
-                replica,
-                now,
-                Sender { group, slot: group.slot },
-                term,
-                revision,
-                commands,
-            );
-        }
-        AfterWrite::OwnVoteSynced { term } => {
-            election::own_vote_synced(replica, now, group, term, commands);
-        }
-        AfterWrite::StartVoting => catch_up::formed(replica, now, commands),
-    }
-}
-
 /// Time passes for a replica's disk: one that stepped back tries it again, and one
 /// whose write takes too long steps back.
 pub(super) fn wake_disk(replica: &mut Partition, now: Tick, commands: &mut Vec<Command>) {
     if replica.disk_failure.is_some() {
-        retry_disk(replica, now, commands);
-    } else if replica::stalled(replica, now) {
-        replica::step_back(replica, now, "the disk stalls".into(), commands);
-    }
-}
-
-/// A replica that stepped back tries its disk again by writing a whole slot.
-fn retry_disk(replica: &mut Partition, now: Tick, commands: &mut Vec<Command>) {
-    let is_voting = replica.condition == ReplicaCondition::Voting;
-    if is_voting && replica.writes.is_empty() && now >= replica.disk_retry_at {
-        replica.disk_retry_at = now + consts::DISK_STALL;
-        replica::keep_whole(replica, now, Vec::new(), commands);
+        replica.retry_disk(now, commands);
+    } else if replica.is_disk_stalled(now) {
+        replica.on_disk_failed(now, "the disk stalls".into(), commands);
     }
 }
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -5,12 +5,11 @@
 use crate::control_plane::disk_events::wake_disk;
 use crate::control_plane::from_voters::VoterSender;
 use crate::control_plane::operations::Request;
-use crate::control_plane::{acceptance, forgotten_members};
+use crate::control_plane::{acceptance, endpoints, forgotten_members};
 use crate::protocol::message::ReplicaCondition;
-use crate::replication::partition::Role;
-use crate::replication::{catch_up, election, leader};
+use crate::replication::partition::{Partition, Role};
 use crate::time::{Tick, ms};
-use crate::voter_set::NOBODY;
+use crate::voter_set::{NOBODY, VoterGroup};
 
 /// How often a controller looks around when nothing happens.
 pub const WAKE: crate::time::Span = ms(50);
@@ -106,14 +105,27 @@
         let group = self.group();
         for partition in &mut self.partitions {
             wake_disk(partition, now, commands);
-            catch_up::wake(partition, now, group, &mut self.random, commands);
+            partition.wake_catch_up(now, group, &mut self.random, commands);
             let was_candidate = matches!(partition.role, Role::Candidate(_));
             match &partition.role {
-                Role::Leader(_) => leader::wake(partition, now, group, commands),
-                _ => election::wake(partition, now, group, &mut self.random, commands),
+                Role::Leader(_) => wake_leader(partition, now, group, commands),
+                _ => partition.wake_election(now, group, &mut self.random, commands),
             }
             let is_candidate = matches!(partition.role, Role::Candidate(_));
             self.counters.candidacies += u64::from(!was_candidate && is_candidate);
         }
     }
 }
+
+/// Time passes for the leader of a partition.
+fn wake_leader(
+    partition: &mut Partition,
+    now: Tick,
+    group: VoterGroup,
+    commands: &mut Vec<Command>,
+) {
+    partition.wake_leader(now, group, commands);
+    endpoints::grow(partition, now, group, commands);
+    partition.request_round(now, group, commands);
+    partition.complete_operations(now, group, commands);
+}
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -6,8 +6,7 @@
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::step::WAKE;
 use crate::protocol::message::ReplicaCondition;
-use crate::replication::partition::{Partition, partition};
-use crate::replication::replica;
+use crate::replication::partition::Partition;
 use crate::storage::voter_file::VoterFile;
 use crate::time::Tick;
 use crate::voter_set::{NOBODY, VoterGroup, seat_of};
@@ -42,7 +41,7 @@
         if moved.contains(&true) {
             let group = self.group();
             for partition in &mut self.partitions {
-                replica::moved(partition, now, group, &moved, commands);
+                partition.on_voter_set_changed(now, group, &moved, commands);
             }
         }
         self.voter_slots.broadcast_voter_set(self.slot, commands);
@@ -103,8 +102,8 @@
 
 /// Empties a replica in memory. Writes on their way keep their tokens.
 fn forget(replica: &mut Partition, now: Tick, commands: &mut Vec<Command>) {
-    replica::resign(replica, now, None, commands);
-    let empty = partition(replica.id, ReplicaCondition::Empty, Default::default(), 0, now);
+    replica.step_down(now, None, commands);
+    let empty = Partition::new(replica.id, ReplicaCondition::Empty, Default::default(), 0, now);
     let next_token = replica.next_token;
     *replica = empty;
     replica.next_token = next_token;
--- a/crates/server/tests/paused_leader.rs
+++ b/crates/server/tests/paused_leader.rs
@@ -1,18 +1,21 @@
 //! Real controllers whose leader is stopped for seconds and goes on with orders
 //! in its sockets that came meanwhile.
 
+#[allow(dead_code)] // Each test file uses a part of it.
+mod common;
+
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
-use std::path::PathBuf;
 use std::time::{Duration, Instant};
 
+use common::{block, empty_folder, layout};
 use googletest::prelude::*;
 use grebepath_runtime::http::client::HttpClient;
 use grebepath_simulator::linearizability::{Answer, Base, Effect, Recorder, Verdict, check};
 use hyper::Method;
 use serde_json::{Value, json};
 use testbed::local_cluster;
-use testbed::local_cluster::{Layout, Proc};
+use testbed::local_cluster::process::Process;
 
 /// How long anything may take that is only waited for.
 const LONG: Duration = Duration::from_secs(30);
@@ -23,7 +26,7 @@
 
 /// Three controllers with a voter slot each; killed when dropped.
 struct Controllers {
-    processes: Vec<Proc>,
+    processes: Vec<Process>,
     doors: Vec<SocketAddr>,
     http: HttpClient,
     began: Instant,
@@ -33,29 +36,21 @@
     fn drop(&mut self) {
         for process in &mut self.processes {
             // One that is stopped would not end.
-            let _ = local_cluster::signal(process, "CONT");
-            local_cluster::kill(process);
+            let _ = process.signal("CONT");
+            process.kill();
         }
     }
 }
 
-fn layout(test: &str) -> Layout {
-    let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join(test);
-    let bin = PathBuf::from(env!("CARGO_BIN_EXE_controller")).parent().unwrap().to_path_buf();
-    let deploy = PathBuf::from(env!("CARGO_MANIFEST_DIR")).join("../../deploy");
-    Layout { bin, dir, deploy, name: "mohalla".into(), queriers: 0 }
-}
-
 fn controllers(test: &str) -> Controllers {
-    let layout = layout(test);
-    let _ = std::fs::remove_dir_all(&layout.dir);
-    std::fs::create_dir_all(&layout.dir).unwrap();
+    let layout = layout(test, "mohalla", 0);
+    empty_folder(&layout);
     let ports = local_cluster::free_ports(2 * CONTROLLERS).unwrap();
     let addresses: Vec<SocketAddr> =
         ports.iter().map(|port| SocketAddr::from(([127, 0, 0, 1], *port))).collect();
     let (doors, inner) = addresses.split_at(CONTROLLERS);
     let seeds: Vec<String> = inner.iter().map(|address| address.to_string()).collect();
-    let mut processes: Vec<Proc> = (0..CONTROLLERS)
+    let mut processes: Vec<Process> = (0..CONTROLLERS)
         .map(|i| {
             let pairs = [
                 ("seat", i.to_string()),
@@ -66,20 +61,14 @@
                 ("first", "true".to_string()),
                 ("data", layout.dir.join(format!("data-{i}")).display().to_string()),
             ];
-            local_cluster::controller(&layout, &format!("controller-{i}"), &pairs)
+            Process::controller(&layout, &format!("controller-{i}"), &pairs)
         })
         .collect();
-    processes.iter_mut().for_each(|process| local_cluster::start(process).unwrap());
+    processes.iter_mut().for_each(|process| process.start().unwrap());
     let http = grebepath_runtime::http::client::HttpClient::new(16);
     Controllers { processes, doors: doors.to_vec(), http, began: Instant::now() }
 }
 
-/// Runs a test's body on one thread, as the daemons do.
-fn block<F: Future>(body: F) -> F::Output {
-    let rt = tokio::runtime::Builder::new_current_thread().enable_all().build().unwrap();
-    tokio::task::LocalSet::new().block_on(&rt, body)
-}
-
 /// Microseconds since the test began.
 fn now(c: &Controllers) -> u64 {
     c.began.elapsed().as_micros() as u64
@@ -192,7 +181,7 @@
     let old = leader(c).await.unwrap();
     let other = (old + 1) % CONTROLLERS;
     let revision = read(c, history, other).await;
-    local_cluster::signal(&c.processes[old], "STOP").unwrap();
+    c.processes[old].signal("STOP").unwrap();
     let stopped = Instant::now();
     // One builds on what will be accepted elsewhere, one on what will be past.
     let next = Change { id: format!("next-{round}"), expect: revision + 1 };
@@ -216,7 +205,7 @@
             assert!(stopped.elapsed() < LONG, "no change is accepted elsewhere in time");
         }
         assert!(local_cluster::until(LONG, || async { stopped.elapsed() >= PAUSE }).await);
-        local_cluster::signal(&c.processes[old], "CONT").unwrap();
+        c.processes[old].signal("CONT").unwrap();
     };
     let ((next_got, late_got, read_got, status_got), ()) = tokio::join!(waiting, elsewhere);
     let at = now(c);
