--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -4,6 +4,9 @@
 //! `step(state, now, event) -> commands`. The daemons drive these functions
 //! with sockets and disks, the tests and `simulator` with a virtual clock.
 
+// Not all public items have their comment yet (issue 20).
+#![allow(missing_docs)]
+
 pub mod command;
 pub mod config;
 pub mod consts;
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -1,5 +1,7 @@
 //! When bounced callers are told to come back.
 
+#![allow(clippy::unwrap_used)]
+
 use googletest::prelude::*;
 use grebepath_core::query::request::Reason;
 use grebepath_core::query::retry::{LoadPressure, again_s, note};
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -2,6 +2,8 @@
 //! date in a time that does not grow with what it missed, and it never leads or
 //! answers with old state.
 
+#![allow(clippy::unwrap_used)]
+
 #[path = "common/cluster.rs"]
 mod cluster;
 
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -3,7 +3,7 @@
 //! The net keeps the order of the messages between two controllers, as one
 //! connection does. A test says who is cut off, paused, stalled, restarted or has
 //! a clock that runs fast or slow; only the latency may vary, by the net's seed.
-#![allow(dead_code)]
+#![allow(dead_code, clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,5 +1,7 @@
 //! A core of one seat with a disk that does at once what it is asked.
 
+#![allow(clippy::unwrap_used)]
+
 use grebepath_core::command::Command;
 use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
--- a/crates/core/tests/desk.rs
+++ b/crates/core/tests/desk.rs
@@ -1,5 +1,7 @@
 //! The owner of queries, event by event.
 
+#![allow(clippy::unwrap_used)]
+
 use std::sync::Arc;
 
 use googletest::prelude::*;
--- a/crates/core/tests/framing.rs
+++ b/crates/core/tests/framing.rs
@@ -1,5 +1,7 @@
 //! Messages in pieces: together again, whatever their size, or refused.
 
+#![allow(clippy::unwrap_used)]
+
 use googletest::prelude::*;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::protocol::frame::{
--- a/crates/core/tests/hand.rs
+++ b/crates/core/tests/hand.rs
@@ -1,5 +1,7 @@
 //! Calls that are handed over, at the owner of queries, event by event.
 
+#![allow(clippy::unwrap_used)]
+
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
--- a/crates/core/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -1,6 +1,8 @@
 //! What an operator is told rests on a majority that was asked after the order
 //! came, and on committed state: never on what one controller believes.
 
+#![allow(clippy::unwrap_used)]
+
 #[path = "common/cluster.rs"]
 mod cluster;
 
--- a/crates/core/tests/order_schedules.rs
+++ b/crates/core/tests/order_schedules.rs
@@ -2,6 +2,8 @@
 //! restarted and have clocks of their own: what operators are told must be a
 //! history of one register, whatever happens when.
 
+#![allow(clippy::unwrap_used)]
+
 #[path = "common/cluster.rs"]
 mod cluster;
 #[path = "common/edition_register.rs"]
--- a/crates/core/tests/races/judge.rs
+++ b/crates/core/tests/races/judge.rs
@@ -1,5 +1,7 @@
 //! What must hold of a race, whatever happened in it.
 
+#![allow(clippy::unwrap_used)]
+
 use grebepath_core::protocol::message::OperationResult;
 
 use super::{History, Race};
--- a/crates/core/tests/races/mod.rs
+++ b/crates/core/tests/races/mod.rs
@@ -1,7 +1,7 @@
 //! Races of two orders through three controllers, with a fault at a chosen step
 //! of the write: what is played, and how.
 
-#![allow(dead_code)]
+#![allow(dead_code, clippy::unwrap_used)]
 
 pub mod judge;
 pub mod list;
--- a/crates/core/tests/rule.rs
+++ b/crates/core/tests/rule.rs
@@ -1,5 +1,7 @@
 //! The retry rule over many threads, against a count of every 10 s window.
 
+#![allow(clippy::unwrap_used)]
+
 use googletest::prelude::*;
 use grebepath_core::consts::{RETRY_PCT, RETRY_SLACK};
 use grebepath_core::query::{quota, retry_budget};
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -1,6 +1,8 @@
 //! The table of the seats: how it merges, who is given a seat, what is kept,
 //! and whose votes count.
 
+#![allow(clippy::unwrap_used)]
+
 use googletest::prelude::*;
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
--- a/crates/core/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -1,5 +1,7 @@
 //! The learned wait before a second try.
 
+#![allow(clippy::unwrap_used)]
+
 use googletest::prelude::*;
 use grebepath_core::consts::{WAIT_MIN, WAIT_MORE, WAIT_STRETCH_PCT, WAIT_TARGET_PCT};
 use grebepath_core::query::latency_estimate::{LatencyEstimate, keep, note, wait};
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -11,7 +11,10 @@
 use hyper::Method;
 use serde_json::{Value, json};
 
-use crate::cli::*;
+use crate::cli::{
+    Args, EXIT_DIFFERS, EXIT_MOVED, EXIT_OK, EXIT_TROUBLE, EXIT_UNKNOWN, EXIT_USAGE, EXIT_WAIT,
+    EXIT_WRONG, Verb, addresses,
+};
 use crate::net::{Ask, ask, one, reading};
 use crate::show;
 
--- a/crates/server/tests/ci_verdict.rs
+++ b/crates/server/tests/ci_verdict.rs
@@ -1,5 +1,7 @@
 //! The judgement of a test run against the list of tests that are known to fail.
 
+#![allow(clippy::unwrap_used)]
+
 use std::fs;
 use std::path::{Path, PathBuf};
 use std::process::Command;
--- a/crates/server/tests/fleet.rs
+++ b/crates/server/tests/fleet.rs
@@ -1,5 +1,7 @@
 //! Real processes on loopback: the whole path, and the death of any one.
 
+#![allow(clippy::unwrap_used)]
+
 use std::cell::RefCell;
 use std::path::PathBuf;
 use std::rc::Rc;
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -1,6 +1,8 @@
 //! Real processes that speak another manner than ours: a trio of controllers
 //! and two queriers, started by the templates as their platform fills them.
 
+#![allow(clippy::unwrap_used)]
+
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/server/tests/oncall.rs
+++ b/crates/server/tests/oncall.rs
@@ -1,5 +1,7 @@
 //! Each line that the daemons log at level warn or above has its entry in the on-call page.
 
+#![allow(clippy::unwrap_used)]
+
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::{Path, PathBuf};
--- a/crates/server/tests/paused_leader.rs
+++ b/crates/server/tests/paused_leader.rs
@@ -1,6 +1,8 @@
 //! Real controllers whose leader is stopped for seconds and goes on with orders
 //! in its sockets that came meanwhile.
 
+#![allow(clippy::unwrap_used)]
+
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/server/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -2,6 +2,8 @@
 //! one edition at the same time through two of them, answers get lost, the leader
 //! is killed in the middle of a write, and orders are sent again.
 
+#![allow(clippy::unwrap_used)]
+
 #[path = "platform_orders/foreign.rs"]
 mod platform_orders;
 
--- a/crates/server/tests/seats.rs
+++ b/crates/server/tests/seats.rs
@@ -1,5 +1,7 @@
 //! Seats of real controllers that change hands without an operator.
 
+#![allow(clippy::unwrap_used)]
+
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
--- a/crates/server/tests/wires.rs
+++ b/crates/server/tests/wires.rs
@@ -1,6 +1,8 @@
 //! Troubles of real processes: a stranger's connection, a frozen process, a cut net,
 //! a full disk.
 
+#![allow(clippy::unwrap_used)]
+
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::PathBuf;
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,6 +1,9 @@
 //! A whole fleet under a virtual clock: the daemons' own `step` functions
 //! with seeded net, disks, leafs, list, callers and operators.
 
+// Not all public items have their comment yet (issue 20).
+#![allow(missing_docs)]
+
 pub mod chaos;
 pub mod check;
 pub mod explore;
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -2,6 +2,8 @@
 //! most queriers are gone, however they went; and who is gone serves by an old
 //! configuration for no longer than the brief allows.
 
+#![allow(clippy::unwrap_used)]
+
 mod common;
 
 use grebepath_core::protocol::message::OperationResult;
--- a/crates/simulator/tests/broken.rs
+++ b/crates/simulator/tests/broken.rs
@@ -1,6 +1,8 @@
 //! Each checker catches a fleet that is broken on purpose in just its way,
 //! and is silent on the same scenario when nothing is broken.
 
+#![allow(clippy::unwrap_used)]
+
 mod common;
 
 use grebepath_simulator::chaos::at;
--- a/crates/simulator/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -1,5 +1,7 @@
 //! Whole fleets under troubles drawn by seed, alone, in pairs, and one last.
 
+#![allow(clippy::unwrap_used)]
+
 mod common;
 
 use grebepath_simulator::chaos::at;
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -2,6 +2,8 @@
 //! and go: logs are rotated, transfers are cut, disks fill, stall, rot and lose
 //! power in the middle. What was accepted is there at the end, on every voter.
 
+#![allow(clippy::unwrap_used)]
+
 mod common;
 
 use grebepath_core::protocol::message::OperationResult;
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -1,6 +1,8 @@
 //! Every scenario of the repository, at a part of its load, without a
 //! violation; and what each is there to show.
 
+#![allow(clippy::unwrap_used)]
+
 mod common;
 
 use std::collections::BTreeMap;
