--- a/crates/core/src/protocol/membership.rs
+++ b/crates/core/src/protocol/membership.rs
@@ -1,6 +1,7 @@
 //! What follows from a membership alone: its identity, its order among others, and
 //! its place in the feed.
 
+use crate::identifiers::Term;
 use crate::protocol::message::{Membership, MembershipId};
 
 impl Membership {
@@ -17,7 +18,7 @@
     /// This state as one number that only rises, which serves as its revision in the
     /// feed: within a turn it is sent once before all have seen it and once after.
     pub fn feed_revision(&self) -> u64 {
-        let is_settled = self.term > 0 && self.settled == self.turn;
-        self.term << 32 | self.turn << 1 | u64::from(is_settled)
+        let is_settled = self.term > Term::ZERO && self.settled == self.turn;
+        self.term.as_u64() << 32 | self.turn << 1 | u64::from(is_settled)
     }
 }
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -10,7 +10,7 @@
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::control_plane::step::WAKE;
-use grebepath_core::identifiers::PartitionId;
+use grebepath_core::identifiers::{PartitionId, Term};
 use grebepath_core::protocol::message::{
     Member, MemberProgress, Message, Operation, OperationResult, ReplicaCondition,
 };
@@ -359,7 +359,9 @@
 fn carry_out(cluster: &mut Cluster, node: usize, command: Command) {
     match command {
         Command::ToVoter { slot, mut message } => {
-            if let (true, Message::Snapshot { map, .. }) = (cluster.lossy_snapshots, &mut message) {
+            if let (true, Message::Snapshot { entries: map, .. }) =
+                (cluster.lossy_snapshots, &mut message)
+            {
                 map.pop_last();
             }
             let word = format!("{message:?}");
@@ -370,7 +372,8 @@
                 return;
             }
             let (slot, connection) = (node as u8, node as u64);
-            let event = Event::FromVoter { slot, holder: told_holder(slot), connection, message };
+            let event =
+                Event::FromVoter { slot, replica_id: told_holder(slot), connection, message };
             let after = transit(cluster, node, to);
             push(cluster, to, after, Delivery::Event(event));
         }
@@ -399,15 +402,15 @@
 /// The serving leader of the configuration of the highest term, if any.
 pub fn leader(cluster: &Cluster) -> Option<usize> {
     let term = |node: &usize| match &cluster.nodes[*node].core.partitions[0].role {
-        Role::Leader(leader) if leader.serves => leader.term,
-        _ => 0,
+        Role::Leader(leader) if leader.is_serving => leader.term,
+        _ => Term::ZERO,
     };
-    (0..cluster.nodes.len()).max_by_key(|node| term(node)).filter(|node| term(node) > 0)
+    (0..cluster.nodes.len()).max_by_key(|node| term(node)).filter(|node| term(node) > Term::ZERO)
 }
 
 /// Whether this controller believes that it leads the configuration.
 pub fn believes(cluster: &Cluster, node: usize) -> bool {
-    matches!(&cluster.nodes[node].core.partitions[0].role, Role::Leader(leader) if leader.serves)
+    matches!(&cluster.nodes[node].core.partitions[0].role, Role::Leader(leader) if leader.is_serving)
 }
 
 /// The controller itself.
@@ -434,7 +437,11 @@
 pub fn ask(cluster: &mut Cluster, node: usize, request: &str, deed: Operation) -> u64 {
     let operation = number(cluster);
     let request = request.to_string();
-    take(cluster, node, Event::Operate { op: operation, request, expect: None, deed });
+    take(
+        cluster,
+        node,
+        Event::Operate { op: operation, request, expected_revision: None, operation: deed },
+    );
     operation
 }
 
@@ -442,7 +449,7 @@
 pub fn ask_later(cluster: &mut Cluster, node: usize, request: &str, deed: Operation) -> u64 {
     let operation = number(cluster);
     let request = request.to_string();
-    let event = Event::Operate { op: operation, request, expect: None, deed };
+    let event = Event::Operate { op: operation, request, expected_revision: None, operation: deed };
     push(cluster, node, 0, Delivery::Event(event));
     operation
 }
@@ -511,5 +518,9 @@
 ) {
     cluster.asked.insert(number, cluster.now);
     let request = request.to_string();
-    take(cluster, node, Event::Operate { op: number, request, expect: None, deed });
+    take(
+        cluster,
+        node,
+        Event::Operate { op: number, request, expected_revision: None, operation: deed },
+    );
 }
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -137,7 +137,7 @@
 fn judge(world: &mut World) -> Vec<String> {
     let whole = world.until(12 * SECOND, |world| world.settled() && world.all_slots_voting());
     let mut wrong: Vec<String> =
-        world.rules.found.iter().map(|found| format!("{found:?}")).collect();
+        world.rules.violations.iter().map(|found| format!("{found:?}")).collect();
     if !whole {
         wrong.push("not all voter slots are held by replicas that vote".into());
         return wrong;
@@ -161,9 +161,10 @@
         .controllers
         .iter()
         .filter(|node| node.up && world::has_voter_slot(node))
-        .map(|node| &node.state.partitions[0].copy);
+        .map(|node| &node.state.partitions[0].state);
     let Some(first) = copies.next() else { return false };
     copies.all(|copy| {
-        (copy.term, copy.revision) == (first.term, first.revision) && copy.map == first.map
+        (copy.written_term, copy.revision) == (first.written_term, first.revision)
+            && copy.entries == first.entries
     })
 }
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -1,5 +1,6 @@
 //! Applies the steps of a scenario to the world.
 
+use grebepath_core::random::Random;
 use grebepath_core::time::{SECOND, ms};
 use serde_json::Value;
 
@@ -65,17 +66,17 @@
                 }
             }
             "flip" => {
-                let mut random = grebepath_core::random::Random::new(self.random.next_u64());
+                let mut random = Random::new(self.random.next_u64());
                 self.controllers[which].disk.flip_bit(&mut random);
             }
             "cut" => self.partition_network(parameters),
             "heal" => {
-                self.net.cuts.clear();
-                self.net.loss = 0;
-                self.net.slow = 0;
+                self.net.blocked.clear();
+                self.net.loss_per_mille = 0;
+                self.net.extra_latency = 0;
             }
-            "loss" => self.net.loss = parameters["per_mille"].as_u64().unwrap_or(10),
-            "slow-net" => self.net.slow = ms(parameters["ms"].as_u64().unwrap_or(20)),
+            "loss" => self.net.loss_per_mille = parameters["per_mille"].as_u64().unwrap_or(10),
+            "slow-net" => self.net.extra_latency = ms(parameters["ms"].as_u64().unwrap_or(20)),
             "list" => self.backends.list_mode = list_mode(parameters).unwrap_or(ListMode::Good),
             "drain" => self.request_zone_state(parameters, true),
             "undrain" => self.request_zone_state(parameters, false),
@@ -157,16 +158,16 @@
         for i in 0..parameters["count"].as_u64().unwrap_or(1) as usize {
             let zone =
                 parameters["zone"].as_str().unwrap_or(mock_backends::ZONES[i % 3]).to_string();
-            let addr = self.backends.address();
-            self.backends.begin(service.clone(), &zone, addr, now);
+            let addr = self.backends.unused_address();
+            self.backends.start_leaf(service.clone(), &zone, addr, now);
         }
-        self.backends.changed(now);
+        self.backends.list_changed(now);
     }
 
     /// All troubles end: from now on the fleet has 12 s to be whole again.
     pub(super) fn end_all_faults(&mut self, factor: f64) {
-        self.net.cuts.clear();
-        (self.net.loss, self.net.slow) = (0, 0);
+        self.net.blocked.clear();
+        (self.net.loss_per_mille, self.net.extra_latency) = (0, 0);
         self.backends.list_mode = ListMode::Good;
         self.factor = factor;
         for leaf in self.backends.leafs.values_mut() {
@@ -194,9 +195,9 @@
     /// After `span` service has 12 s to be back.
     pub(super) fn expect_recovery(&mut self, span: u64) {
         let at = self.age() + span;
-        self.rules.restarts.push(crate::rules::Restart { at, ..Default::default() });
+        self.rules.pending_restarts.push(crate::rules::RestartCheck { at, ..Default::default() });
         // The operator's patience is less than what is left of the 12 s.
-        let restart = self.rules.restarts.len() - 1;
+        let restart = self.rules.pending_restarts.len() - 1;
         self.later(span + 6 * SECOND, FollowUp::ChangeAfterRestart { restart });
     }
 
@@ -215,9 +216,9 @@
         for x in &a {
             for y in b.iter().filter(|y| !a.contains(y)) {
                 if parameters["one_way"].as_bool().unwrap_or(false) {
-                    self.net.cuts.insert((*x, *y));
+                    self.net.blocked.insert((*x, *y));
                 } else {
-                    self.net.cut(*x, *y);
+                    self.net.partition(*x, *y);
                 }
             }
         }
@@ -255,12 +256,12 @@
                         service = known.map_or(service, |leaf| leaf.service.clone());
                         service.name = by.to_string();
                     }
-                    self.backends.begin(service, &zone, addr, now);
+                    self.backends.start_leaf(service, &zone, addr, now);
                 }
                 _ => {}
             }
         }
-        self.backends.changed(now);
+        self.backends.list_changed(now);
     }
 
     pub(super) fn selected_leafs(&self, parameters: &Value) -> Vec<String> {
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -99,7 +99,7 @@
 
     /// The machines to which a controller has connections.
     pub(super) fn connected_controllers(&self, controller: usize) -> Vec<usize> {
-        let table = &self.controllers[controller].state.seating.roll.table;
+        let table = &self.controllers[controller].state.voter_slots.voter_file.table;
         let known = table.slots.iter().filter_map(|h| self.machine(&h.addr));
         let mut list: Vec<usize> = known.chain(self.control_plane.seeds.iter().copied()).collect();
         list.retain(|to| *to != controller && *to < self.controllers.len());
@@ -129,11 +129,11 @@
             CoreEvent::FromVoter { message: Message::VoterSetUpdate { .. }, .. }
             | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
             | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
-            CoreEvent::FromVoter { slot: seat, holder, message, .. } => {
-                let table = &core.seating.roll.table;
+            CoreEvent::FromVoter { slot: seat, replica_id: holder, message, .. } => {
+                let table = &core.voter_slots.voter_file.table;
                 *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
-                if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(message) {
-                    *stamp = core.seating.stamp;
+                if let Some(stamp) = grebepath_core::voters::stamp::stamp_of_mut(message) {
+                    *stamp = core.voter_slots.stamp;
                 }
             }
             _ => {}
@@ -167,13 +167,7 @@
             let mut random = Random::new(self.random.next_u64());
             self.controllers[controller].disk.power_loss(&mut random);
         } else {
-            // What was handed to the system is written whether we live or not.
-            for (part, token) in self.controllers[controller].disk.pending_jobs() {
-                self.controllers[controller].disk.finish_job(part, token);
-            }
-            for token in self.controllers[controller].disk.pending_voter_files() {
-                self.controllers[controller].disk.finish_voter_file(token);
-            }
+            self.controllers[controller].disk.finish_all();
         }
     }
 
@@ -210,7 +204,7 @@
             self.run_controller_command(controller, command);
         }
         if self.controllers[controller].stopping.is_some()
-            && grebepath_core::voters::handover::may_end(&self.controllers[controller].state, local)
+            && self.controllers[controller].state.may_end(local)
         {
             self.end_controller(controller);
         }
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -2,7 +2,7 @@
 
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::PartitionId;
-use grebepath_core::membership::node_agent as wat;
+use grebepath_core::membership::node_agent;
 use grebepath_core::protocol::message::Message;
 use grebepath_core::query::event as query_event;
 use grebepath_core::query::event::Sending;
@@ -41,7 +41,7 @@
     NodeAgentEvent {
         querier: usize,
         life: u64,
-        event: wat::Event,
+        event: node_agent::Event,
     },
     /// A controller that says it is `holder` speaks to a querier.
     ControllerMessage {
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -15,7 +15,6 @@
 use super::events::{FollowUp, QueryEngineId, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
 use super::{BEGIN, THREADS, World};
-use crate::net::Node;
 
 /// Between a node agent and the threads of its process: one way (us).
 pub(super) const THREAD_DELAY: Span = 20;
@@ -41,7 +40,8 @@
                 self.send_to_member(querier, &name, message);
             }
             node_agent::Command::ClusterView(view) => self.publish_snapshot(querier, view),
-            node_agent::Command::QuotaMembers(list) => {
+            node_agent::Command::QuotaMembers(members) => {
+                let list: Vec<_> = members.into_iter().map(|m| (m.name, m.threads)).collect();
                 let name = self.queriers[querier].name.clone();
                 for thread in 0..THREADS {
                     let mut share = grebepath_core::query::quota::share(&list, &name, thread);
@@ -55,7 +55,9 @@
                     self.push(THREAD_DELAY, ScheduledEvent::QueryEngineEvent { engine, event });
                 }
             }
-            node_agent::Command::LeafClients(list) => {
+            node_agent::Command::LeafClients(clients) => {
+                let list: Vec<_> =
+                    clients.into_iter().map(|c| (c.name, c.threads, c.zone)).collect();
                 let peers = grebepath_core::query::quota::peers(&list);
                 self.tell_threads(querier, || query_event::Event::Peers(peers.clone()));
             }
@@ -78,7 +80,7 @@
             }
             node_agent::Command::Alarm(text) => {
                 let name = self.queriers[querier].name.clone();
-                self.rules.tell(self.now - BEGIN, || format!("{name}: {text}"));
+                self.rules.note(self.now - BEGIN, || format!("{name}: {text}"));
                 *self.alarms.entry(text).or_default() += 1;
             }
         }
@@ -101,11 +103,11 @@
         {
             return;
         }
-        self.net.weigh("querier-querier", &message);
+        self.net.record("querier-querier", &message);
         let Some(to) = self.queriers.iter().position(|node| node.name == name) else { return };
-        let from = (Node::Querier(querier), self.queriers[querier].zone.as_str());
-        let to_node = (Node::Querier(to), self.queriers[to].zone.as_str());
-        let at = self.net.send(self.now, from, to_node, &mut self.random);
+        let from = self.queriers[querier].endpoint(querier);
+        let receiver = self.queriers[to].endpoint(to);
+        let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let name = self.queriers[querier].name.clone();
             let event = node_agent::Event::FromMember { name, message };
@@ -116,7 +118,7 @@
 
     /// Gives a new snapshot of configuration and leafs to the threads of a querier.
     fn publish_snapshot(&mut self, querier: usize, view: Arc<ClusterView>) {
-        self.rules.views(self.now - BEGIN, querier, view.revision);
+        self.rules.check_snapshot(self.now - BEGIN, querier, view.revision);
         let view = match self.faulty_variant {
             Some(FaultyVariant::KeepsStaleSnapshot) if querier == 0 && view.revision > 1 => return,
             Some(FaultyVariant::IgnoresDrainedZones) => {
@@ -137,11 +139,10 @@
     }
 
     fn send_from_querier(&mut self, querier: usize, controller: usize, message: Message) {
-        self.net.weigh("querier-seat", &message);
-        let zones =
-            (self.queriers[querier].zone.clone(), self.controllers[controller].zone.clone());
-        let ends = (Node::Querier(querier), Node::Controller(controller as u8));
-        let at = self.net.send(self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
+        self.net.record("querier-controller", &message);
+        let from = self.queriers[querier].endpoint(querier);
+        let receiver = self.controllers[controller].endpoint(controller);
+        let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let connection = ((querier as u64) << 32) | self.queriers[querier].life;
             let life = self.controllers[controller].life;
