--- a/crates/server/tests/oncall.rs
+++ b/crates/server/tests/oncall.rs
@@ -12,7 +12,10 @@
 const TOOLS: [&str; 5] = ["grebectl", "local_cluster", "mock_backends", "simulator", "testbed"];
 
 /// What begins a line of level warn or above, or makes the text of one.
-const MARKERS: [&str; 5] = ["Alarm(", "WireEvent::Trouble {", "warn!(", "error!(", "eprintln!("];
+const MARKERS: [&str; 4] = ["Alarm(", "warn!(", "error!(", "eprintln!("];
+
+/// Errors that are logged as they are, by their variants' texts.
+const LOGGED_ERRORS: [&str; 1] = ["pub enum ConnectionError {"];
 
 /// Lines that only pass a text on, which another line of this list makes. By file and count.
 const PASSED_ON: [(&str, usize); 5] = [
@@ -87,13 +90,20 @@
             }
             let text = literal(made).or_else(|| {
                 // A variable: its text is made by the nearest statement of that name above.
-                let variable = format!("let {} = ", made.trim());
-                literal(&source[source[..at].rfind(&variable)?..])
+                let name = made.trim().split('.').next().unwrap();
+                literal(&source[source[..at].rfind(&format!("let {name} ="))?..])
             });
             let text = text.unwrap_or_else(|| panic!("`{marker}{made}` has no text of its own"));
             texts.push(if text == ".." { String::new() } else { text });
         }
     }
+    for definition in LOGGED_ERRORS {
+        let Some(at) = source.find(definition) else { continue };
+        let variants = bracketed(&source[at + definition.len()..]);
+        for (at, marker) in variants.match_indices("#[error(") {
+            texts.push(literal(&variants[at + marker.len()..]).unwrap());
+        }
+    }
     texts
 }
 
