--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -11,7 +11,6 @@
 use crate::command::Command;
 use crate::control_plane::members::{LastRenewal, Members};
 use crate::protocol::message::{Member, Membership};
-use crate::replication::leader;
 use crate::replication::partition::{Partition, Role};
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::VoterGroup;
@@ -61,7 +60,7 @@
     let accepted = accepted.unwrap_or(0);
     if leader.obeyed_up_to != accepted {
         leader.obeyed_up_to = accepted;
-        leader::settle(configuration, now, group, commands);
+        configuration.complete_operations(now, group, commands);
     }
 }
 
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -12,9 +12,8 @@
 use crate::config::change::Entry;
 use crate::control_plane::members::{Departure, Members};
 use crate::protocol::message::{EntryMap, Member, OperationResult};
-use crate::replication::partition::{OperationOrigin, Partition};
-use crate::replication::pending_operations::PendingAnswer;
-use crate::replication::{heartbeat_rounds, leader, pending_operations};
+use crate::replication::operations::{ChangeAcceptance, OperationOrigin, PendingAnswer};
+use crate::replication::partition::Partition;
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
@@ -71,21 +70,26 @@
         Some(incarnation) if known != Some(incarnation) => {
             let entry = Forgotten { incarnation, revision: newest + 1 };
             let entries = changes(&configuration.state.entries, name, entry);
-            leader::change(configuration, now, group, entries, commands);
+            configuration.propose(now, group, entries, commands);
             let revision = configuration.state.revision;
-            leader::wait(configuration, now, origin, revision, false);
-            leader::settle(configuration, now, group, commands);
+            configuration.wait_for_change(now, origin, revision, ChangeAcceptance::Committed);
+            configuration.complete_operations(now, group, commands);
         }
         // It is forgotten already.
         None if known.is_none() || members.is_live(now, name) => {
             let why = "no such member, or it still renews its tenure".to_string();
             let answer = PendingAnswer::Refusal(OperationResult::Rejected { why });
-            pending_operations::add(configuration, now, group, origin, answer, commands);
+            configuration.add_pending(now, group, origin, answer, commands);
         }
         _ => {
-            leader::wait_again(configuration, now, origin, newest, false);
-            heartbeat_rounds::request(configuration, now, group, commands);
-            leader::settle(configuration, now, group, commands);
+            configuration.wait_for_repeated_change(
+                now,
+                origin,
+                newest,
+                ChangeAcceptance::Committed,
+            );
+            configuration.request_round(now, group, commands);
+            configuration.complete_operations(now, group, commands);
         }
     }
 }
@@ -108,7 +112,7 @@
     let is_newest = names(&configuration.state.entries);
     let is_committed = names(&configuration.committed);
     if is_newest {
-        leader::change(configuration, now, group, vec![(key, None)], commands);
+        configuration.propose(now, group, vec![(key, None)], commands);
     }
     is_newest || is_committed
 }
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -9,13 +9,11 @@
 use crate::control_plane::membership_updates::MembershipSource;
 use crate::control_plane::operations::Request;
 use crate::control_plane::pending_requests::AttemptId;
-use crate::identifiers::{PartitionId, Position, VoterSlot};
+use crate::identifiers::{PartitionId, VoterSlot};
 use crate::protocol::message::{Memberships, Message};
-use crate::replication::partition::{
-    OperationOrigin, Partition, ReplicaStatus, Role, Sender, able,
-};
-use crate::replication::{catch_up, election, leader, replica};
-use crate::storage::record::{LogRecord, ReplicaState};
+use crate::replication::messages::partition_of;
+use crate::replication::operations::OperationOrigin;
+use crate::replication::partition::{Role, Sender};
 use crate::time::Tick;
 use crate::voter_set::NOBODY;
 use crate::voters::stamp::stamp_of;
@@ -86,7 +84,7 @@
         let led_before = matches!(partition.role, Role::Leader(_));
         self.counters.snapshot_requests +=
             u64::from(matches!(message, Message::SnapshotRequest { .. }));
-        on_replica_message(partition, now, sender, message, commands);
+        partition.on_message(now, sender, message, commands);
         let leads = matches!(partition.role, Role::Leader(_));
         self.counters.leaderships_won += u64::from(!led_before && leads);
         self.counters.leaderships_lost += u64::from(led_before && !leads);
@@ -152,140 +150,3 @@
         }
     }
 }
-
-/// The partition that a message between replicas is about.
-fn partition_of(message: &Message) -> Option<PartitionId> {
-    Some(match message {
-        Message::StatusRequest { partition, .. }
-        | Message::ReplicaStatus { partition, .. }
-        | Message::FetchReplica { partition, .. }
-        | Message::ReplicaFetched { partition, .. }
-        | Message::PreVoteRequest { partition, .. }
-        | Message::PreVoteResponse { partition, .. }
-        | Message::VoteRequest { partition, .. }
-        | Message::VoteGranted { partition, .. }
-        | Message::VoteRejected { partition, .. }
-        | Message::LeadershipTransfer { partition, .. }
-        | Message::Snapshot { partition, .. }
-        | Message::Append { partition, .. }
-        | Message::AppendAck { partition, .. }
-        | Message::SnapshotRequest { partition, .. }
-        | Message::Heartbeat { partition, .. }
-        | Message::HeartbeatAck { partition, .. } => *partition,
-        _ => return None,
-    })
-}
-
-/// Another replica asks how we stand, votes, or leads.
-fn on_replica_message(
-    partition: &mut Partition,
-    now: Tick,
-    sender: Sender,
-    message: Message,
-    commands: &mut Vec<Command>,
-) {
-    let from = sender.slot;
-    match message {
-        Message::StatusRequest { nonce, .. } => catch_up::stand(partition, from, nonce, commands),
-        Message::ReplicaStatus {
-            nonce, condition, current_term, written_term, revision, ..
-        } => {
-            let status = ReplicaStatus { condition, current_term, written_term, revision };
-            catch_up::stood(partition, now, sender, nonce, status, commands);
-        }
-        Message::FetchReplica { nonce, .. } => catch_up::give(partition, from, nonce, commands),
-        Message::ReplicaFetched { nonce, written_term: term, revision, entries, .. }
-            if able(partition) =>
-        {
-            let position = Position { term, revision };
-            election::fetched(partition, now, sender, nonce, position, entries, commands);
-        }
-        Message::ReplicaFetched {
-            nonce, current_term, written_term, revision, entries, ..
-        } => {
-            let theirs = ReplicaState { current_term, written_term, revision, entries };
-            catch_up::fetched(partition, now, from, nonce, theirs, commands);
-        }
-        message => on_election_message(partition, now, sender, message, commands),
-    }
-}
-
-/// Another replica takes part in an election.
-fn on_election_message(
-    partition: &mut Partition,
-    now: Tick,
-    sender: Sender,
-    message: Message,
-    commands: &mut Vec<Command>,
-) {
-    let Sender { group, slot: from } = sender;
-    match message {
-        Message::PreVoteRequest { term, .. } => {
-            replica::pre_vote(partition, now, from, term, commands)
-        }
-        Message::PreVoteResponse { term, granted, current_term, .. } => {
-            let vote = (granted, current_term);
-            election::pre_vote_answered(partition, now, sender, term, vote, commands);
-        }
-        Message::VoteRequest { term, .. } => replica::vote(partition, now, from, term, commands),
-        Message::VoteGranted { term, written_term, revision, .. } => {
-            let position = Position { term: written_term, revision };
-            election::vote_granted(partition, now, sender, term, position, commands);
-        }
-        Message::LeadershipTransfer { term, .. } => {
-            election::transferred(partition, now, group, from, term, commands);
-        }
-        Message::VoteRejected { term, current_term, .. } => {
-            election::vote_rejected(partition, now, group, term, current_term, commands);
-        }
-        message => on_log_message(partition, now, sender, message, commands),
-    }
-}
-
-/// A leader replicates, or a follower answers it.
-fn on_log_message(
-    partition: &mut Partition,
-    now: Tick,
-    sender: Sender,
-    message: Message,
-    commands: &mut Vec<Command>,
-) {
-    let from = sender.slot;
-    match message {
-        Message::Snapshot { term, revision, entries, .. } => {
-            let position = Position { term, revision };
-            replica::snapshot(partition, now, from, position, entries, commands);
-        }
-        Message::Append { term, revision, entries, .. } => {
-            let record = LogRecord::Change { term, revision, entries };
-            replica::append(partition, now, from, record, commands);
-        }
-        Message::AppendAck { term, revision, .. } => {
-            leader::append_acked(partition, now, sender, term, revision, commands)
-        }
-        Message::SnapshotRequest { term, .. } => {
-            leader::snapshot_requested(partition, now, from, term, commands);
-        }
-        Message::Heartbeat { term, round, committed, checksum, .. } => {
-            replica::heartbeat(
-                partition,
-                now,
-                from,
-                (term, round),
-                (committed, checksum),
-                commands,
-            );
-        }
-        Message::HeartbeatAck { term, round, revision, synced, .. } => {
-            leader::heartbeat_acked(
-                partition,
-                now,
-                sender,
-                (term, round),
-                (revision, synced),
-                commands,
-            );
-        }
-        _ => {}
-    }
-}
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -10,9 +10,9 @@
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
 use crate::diagnostic::Diagnostic;
 use crate::protocol::message::{EntryMap, Operation, OperationResult};
-use crate::replication::partition::{OperationOrigin, Partition};
-use crate::replication::pending_operations::PendingAnswer;
-use crate::replication::{heartbeat_rounds, leader, partition, pending_operations};
+use crate::replication::leader::Leader;
+use crate::replication::operations::{ChangeAcceptance, OperationOrigin, PendingAnswer};
+use crate::replication::partition::Partition;
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
@@ -26,15 +26,14 @@
 
 /// Rejects a request if too many wait at the leader; tells whether it did.
 pub fn reject_if_full(
-    configuration: &mut Partition,
+    configuration: &Partition,
     origin: OperationOrigin,
     commands: &mut Vec<Command>,
 ) -> bool {
-    let is_full =
-        partition::leader(configuration).is_none_or(|leader| pending_operations::full(leader));
+    let is_full = configuration.leader().is_none_or(Leader::is_full);
     if is_full {
         let why = "too many requests wait at the leader".to_string();
-        leader::tell(origin, OperationResult::Rejected { why }, commands);
+        origin.respond(OperationResult::Rejected { why }, commands);
     }
     is_full
 }
@@ -61,7 +60,7 @@
             return carry_out(configuration, now, group, origin, judged, commands);
         }
     };
-    pending_operations::add(configuration, now, group, origin, answer, commands);
+    configuration.add_pending(now, group, origin, answer, commands);
 }
 
 /// Carries out what an order was judged to come to.
@@ -76,18 +75,18 @@
     match judged {
         Judged::Refused(done) => {
             let answer = PendingAnswer::Refusal(done);
-            pending_operations::add(configuration, now, group, origin, answer, commands);
+            configuration.add_pending(now, group, origin, answer, commands);
         }
         Judged::Made { revision } => {
-            leader::wait_again(configuration, now, origin, revision, true);
-            heartbeat_rounds::request(configuration, now, group, commands);
-            leader::settle(configuration, now, group, commands);
+            configuration.wait_for_repeated_change(now, origin, revision, ChangeAcceptance::Obeyed);
+            configuration.request_round(now, group, commands);
+            configuration.complete_operations(now, group, commands);
         }
         Judged::Change(entries) => {
-            leader::change(configuration, now, group, entries, commands);
+            configuration.propose(now, group, entries, commands);
             let revision = configuration.state.revision;
-            leader::wait(configuration, now, origin, revision, true);
-            leader::settle(configuration, now, group, commands);
+            configuration.wait_for_change(now, origin, revision, ChangeAcceptance::Obeyed);
+            configuration.complete_operations(now, group, commands);
         }
     }
 }
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -5,7 +5,6 @@
 use crate::control_plane::feed;
 use crate::identifiers::COHORT;
 use crate::protocol::message::{FeedPosition, Message};
-use crate::replication::partition::able;
 
 impl ControllerState {
     /// Brings every follower up to what is committed, if that has changed. Each is
@@ -72,7 +71,7 @@
 
     /// How far we have accepted each partition of which we can say so.
     fn feed_positions(&self) -> Message {
-        let able = self.partitions.iter().filter(|partition| able(partition));
+        let able = self.partitions.iter().filter(|partition| partition.can_vote());
         let mut places: Vec<FeedPosition> = able
             .map(|partition| FeedPosition {
                 partition: partition.id,
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -1,11 +1,11 @@
 //! Exploration: a scope is a short scenario that is played once for every fault
 //! at every event of the controllers within a window, and for pairs of them. The
-//! events of a play are the same up to its first deviation, so one deviation at a
+//! events of a play are the same up to its first injected fault, so one fault at a
 //! time is exhaustive; pairs are tried exhaustively or by a seeded sample.
 //!
 //! Every play is judged by the rules of all simulated runs (`crate::rules`) and
 //! must end with all voter slots held by replicas that vote, one state on all of
-//! them, and every order of the end accepted.
+//! them, and every request of the end accepted.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -15,28 +15,33 @@
 use grebepath_core::time::SECOND;
 
 use crate::scenario::{Scenario, play_with_faults};
-use crate::world::{self, Fault, FaultInjection, FaultyVariant, InjectedFault, World};
+use crate::world::{Fault, FaultInjection, FaultyVariant, InjectedFault, OperatorRequest, World};
 
 /// What is explored.
 pub struct Scope {
+    /// The scenario that is played.
     pub scenario: Scenario,
     /// The window in which faults strike, in seconds of the scenario.
     pub window: (f64, f64),
     /// The faults that are tried.
     pub faults: Vec<Fault>,
+    /// The seed of every run, and of the pairs that are drawn.
     pub seed: u64,
     /// How many replicas may be lost for good at once: a play that loses more is
     /// not judged.
     pub tolerates: usize,
+    /// The way in which the fleet is faulty on purpose.
     pub faulty_variant: Option<FaultyVariant>,
 }
 
 /// How pairs of faults are tried.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Pairs {
+    /// No pairs.
     None,
     /// So many pairs, drawn by the seed.
     Sampled(usize),
+    /// All pairs.
     All,
 }
 
@@ -44,17 +49,21 @@
 pub struct Report {
     /// Events of the controllers within the window when nothing strikes.
     pub events: u64,
+    /// Runs of the scenario.
     pub plays: usize,
     /// Plays that lost more than the scope tolerates.
     pub beyond: usize,
-    /// Plays that broke something; the fewest deviations first.
+    /// Plays that broke something; the fewest faults first.
     pub failures: Vec<Failure>,
 }
 
-/// A play that broke something. It can be played again by its deviations.
+/// A play that broke something. It can be played again by its injected faults.
 pub struct Failure {
+    /// The faults that were injected.
     pub injected: Vec<InjectedFault>,
+    /// What happened, to be read by people.
     pub story: Vec<String>,
+    /// What was broken.
     pub wrong: Vec<String>,
 }
 
@@ -116,10 +125,11 @@
     pub events: u64,
     /// It lost more replicas than the scope tolerates.
     pub beyond: bool,
+    /// What was broken, if anything was.
     pub failure: Option<Failure>,
 }
 
-/// Plays a scope with these deviations.
+/// Plays a scope with these injected faults.
 pub fn play_once(scope: &Scope, injected: Vec<InjectedFault>) -> Played {
     let micros = |seconds: f64| (seconds * SECOND as f64) as u64;
     let window = (micros(scope.window.0), micros(scope.window.1));
@@ -142,7 +152,7 @@
         wrong.push("not all voter slots are held by replicas that vote".into());
         return wrong;
     }
-    let last = world.submit(0, world::marked(world.operator_requests.len()));
+    let last = world.submit(0, OperatorRequest::marked(world.operator_requests.len()));
     let accepted = |world: &World| {
         matches!(world.operator_requests[last].result, Some(OperationResult::Accepted { .. }))
     };
@@ -160,7 +170,7 @@
     let mut copies = world
         .controllers
         .iter()
-        .filter(|node| node.up && world::has_voter_slot(node))
+        .filter(|node| node.up && node.has_voter_slot())
         .map(|node| &node.state.partitions[0].state);
     let Some(first) = copies.next() else { return false };
     copies.all(|copy| {
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -15,22 +15,39 @@
 /// How a leaf misbehaves.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Mode {
+    /// As it should be.
     Good,
+    /// Takes this much longer.
     Slow(Span),
+    /// Takes requests and never answers.
     Dark,
-    Pauses { every: Span, pause: Span },
+    /// Stands still for a while, again and again.
+    Pauses {
+        /// From one pause to the next.
+        every: Span,
+        /// How long a pause lasts.
+        pause: Span,
+    },
+    /// Answers with something that is no JSON.
     Garbage,
+    /// Answers with records in the wrong order.
     Disorder,
+    /// Answers without a postmark.
     NoPostmark,
+    /// Answers with two postmarks.
     TwoPostmarks,
+    /// Answers with the postmark of an earlier response.
     StalePostmark,
+    /// Answers for another index version.
     WrongCut,
+    /// Rejects every request before work.
     Unrun,
 }
 
 /// Whether a leaf's process and machine are there.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Alive {
+    /// The process runs.
     Up,
     /// The process is gone; its machine refuses connections.
     Down,
@@ -40,45 +57,66 @@
 
 /// A leaf.
 pub struct MockLeaf {
+    /// Its name in the list.
     pub name: String,
+    /// The service that it serves.
     pub service: Service,
+    /// The zone in which it stands.
     pub zone: String,
+    /// Where it listens.
     pub addr: String,
+    /// How it misbehaves.
     pub mode: Mode,
+    /// Whether it is there.
     pub alive: Alive,
-    /// Percent of what its service bears that this leaf bears.
+    /// Its capacity, as a percentage of its service's.
     pub strength: u32,
+    /// Whether it says that it is leaving.
     pub leaving: bool,
     /// When the first of our nodes learned that it leaves.
     pub known_leaving: Option<Tick>,
+    /// When its process started.
     pub born: Tick,
+    /// Attempts that it works on.
     pub in_progress: u32,
+    /// Attempts that it ran, over all its time.
     pub ran: u64,
+    /// The most attempts at once, as a percentage of its capacity.
     pub worst_pct: u32,
-    /// Dispatches that came when it had all it bears.
+    /// Attempts that came when it was at its capacity.
     pub over: u64,
+    /// The postmark of its last response.
     pub postmark: Option<String>,
 }
 
 /// All leafs, and the list as the platform shows it.
 pub struct MockBackends {
+    /// All leafs by their names.
     pub leafs: BTreeMap<String, MockLeaf>,
     /// Which leaf listens at an address.
     pub by_address: BTreeMap<String, String>,
+    /// The list as it was and will be shown, each from a time on.
     pub list_versions: Vec<(Tick, String)>,
+    /// How the list misbehaves.
     pub list_mode: ListMode,
     /// Whether leafs tell their age.
     pub ages: bool,
+    /// Time from a change until the list shows it.
     pub list_lag: Span,
+    /// The number of the next leaf.
     pub next: u64,
 }
 
 /// How the list misbehaves.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum ListMode {
+    /// As it should be.
     Good,
+    /// Answers without any leaf.
     Empty,
+    /// Answers with something that is no JSON.
     Garbage,
+    /// Never answers.
     Dead,
     /// Shows what it showed when it began to.
     Stale,
@@ -185,7 +223,7 @@
 }
 
 impl MockLeaf {
-    /// What a leaf bears at its age.
+    /// How many attempts the leaf bears at once at its age.
     pub fn capacity(&self, now: Tick) -> u32 {
         let (age, ramp) = (since(self.born, now), ms(self.service.ramp_ms));
         let full = (u64::from(self.service.bears) * u64::from(self.strength) / 100).max(1);
@@ -200,7 +238,7 @@
         since(self.born, now) < ms(self.service.ramp_ms)
     }
 
-    /// How long the leaf takes for a question that it begins now.
+    /// Time that the leaf takes for a question that it begins now.
     pub fn service_time(&self, now: Tick, random: &mut Random) -> Span {
         let base = ms(self.service.took_ms);
         let capacity = u64::from(self.capacity(now));
@@ -216,7 +254,7 @@
         base / 2 + random.below(base / 2 + 1) + over + extra
     }
 
-    /// Heads that every reply carries.
+    /// Headers that every response carries.
     pub fn headers(&self, now: Tick) -> Heads {
         let busy = (f64::from(self.in_progress) / f64::from(self.capacity(now))).min(1.0);
         Heads {
@@ -228,12 +266,12 @@
         }
     }
 
-    /// A reply without a run.
+    /// The response to an attempt that was not run.
     pub fn rejection(&self, now: Tick, status: u16) -> Raw {
         Raw { status, heads: Heads { unrun: true, ..self.headers(now) }, body: Vec::new() }
     }
 
-    /// The reply to a dispatch that was run.
+    /// The response to an attempt that was run.
     pub fn response(&mut self, now: Tick, sending: &Sending) -> Raw {
         let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -11,20 +11,22 @@
 use super::injected_faults::FaultInjection;
 use super::nodes::QuerierNode;
 use super::{BEGIN, THREADS, World};
+use crate::event_queue::EventQueue;
 use crate::mock_backends::{MockBackends, ZONES};
 use crate::net::Net;
 use crate::rules::Rules;
 use crate::spec::Spec;
 
-/// How the core is set up.
+/// How the control plane is set up.
 #[derive(Clone, Debug)]
 pub struct ControlPlaneSetup {
+    /// Voter slots (count).
     pub voter_slots: usize,
-    /// Machines that begin; those beyond `seats` are spares.
+    /// Machines that begin; those beyond the voter slots are spares.
     pub machines: usize,
-    /// Controllers are told their seats; else they find them.
+    /// Controllers are given their voter slots; else they find them.
     pub slots_assigned: bool,
-    /// The machines that a start is told of.
+    /// The machines that a starting controller knows.
     pub seeds: Vec<usize>,
 }
 
@@ -33,8 +35,7 @@
     pub fn new(spec: &Spec, control_plane: ControlPlaneSetup, queriers: usize, seed: u64) -> Self {
         let mut world = Self {
             now: BEGIN,
-            queue: BTreeMap::new(),
-            next: 0,
+            queue: EventQueue::default(),
             random: Random::new(seed),
             net: Net::default(),
             controllers: Vec::new(),
@@ -68,15 +69,15 @@
         for querier in 0..queriers {
             let zone = ZONES[querier % ZONES.len()].to_string();
             let name = format!("q{querier}");
-            let watch = node_agent::NodeAgent::new(member(&name, &zone, querier, 0), 1);
+            let node_agent = node_agent::NodeAgent::new(member(&name, &zone, querier, 0), 1);
             world.queriers.push(QuerierNode {
                 name,
                 zone,
                 life: 0,
                 up: false,
-                watch,
-                desks: Vec::new(),
-                wakes: Vec::new(),
+                node_agent,
+                query_engines: Vec::new(),
+                wake_at: Vec::new(),
                 began: 0,
                 ready: false,
                 paused: 0,
@@ -94,7 +95,7 @@
     }
 }
 
-/// The core of most scenarios: three machines that know their seats.
+/// The control plane of most scenarios: three machines with assigned voter slots.
 pub fn three_voters() -> ControlPlaneSetup {
     ControlPlaneSetup { voter_slots: 3, machines: 3, slots_assigned: true, seeds: vec![0, 1, 2] }
 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: what they ask, and what they are told.
+//! Callers: their calls, the responses, and the checks of these.
 
 use grebepath_core::http_api::caller;
 use grebepath_core::query::event as query_event;
@@ -40,8 +40,7 @@
         }
         let gap = self.gap(kind);
         self.push(gap, ScheduledEvent::NewCall { kind });
-        self.next += 1;
-        let id = self.next;
+        let id = self.queue.next_number();
         let call_kind = &self.call_kinds[kind];
         let question = format!("{}-{id}", call_kind.search);
         let asked = Asked { question, key: call_kind.lookup.then(|| format!("key-{id}")) };
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -26,7 +26,7 @@
     DiskJobDone {
         controller: usize,
         life: u64,
-        part: PartitionId,
+        partition: PartitionId,
         token: u64,
     },
     VoterFileDone {
@@ -113,29 +113,39 @@
     pub attempt: u64,
 }
 
-/// Later steps of troubles: restarts that follow a kill.
+/// What follows an earlier event, as the restart that follows a kill.
 #[derive(Clone, Copy)]
 pub enum FollowUp {
+    /// A controller's process is started.
     StartController(usize),
     /// A fault ends a controller's process.
     Fault {
+        /// The number of its machine.
         controller: usize,
+        /// What ends it.
         fault: Fault,
     },
     /// A controller that was asked to stop is ended by force.
     ForceStop {
+        /// The number of its machine.
         controller: usize,
+        /// The life that was asked to stop.
         life: u64,
     },
+    /// A querier's process is started.
     StartQuerier(usize),
-    /// A querier that is asked to stop ends once nothing is in hand.
+    /// A querier that is asked to stop ends once no query is in progress.
     EndDrainedQuerier(usize, u64),
+    /// An operator asks for changes, one after the other.
     RequestStorm {
+        /// Changes that are left (count).
         left: u64,
+        /// Time between two changes.
         gap: Span,
     },
-    /// An operator's change that shows whether the core is back.
+    /// An operator's change that shows whether the control plane has recovered.
     ChangeAfterRestart {
+        /// The number of the restart among those that are judged.
         restart: usize,
     },
 }
@@ -146,8 +156,7 @@
     }
 
     pub(super) fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
-        self.next += 1;
-        self.queue.insert((at, self.next), event);
+        self.queue.push(at, event);
     }
 
     /// Lets something follow after a while.
@@ -155,7 +164,7 @@
         self.push(after, ScheduledEvent::FollowUp { key });
     }
 
-    /// Plans the troubles of a scenario.
+    /// Schedules the faults of a scenario.
     pub fn plan(&mut self, faults: Vec<crate::scenario::ScheduledFault>) {
         self.faults = faults;
         for at in 0..self.faults.len() {
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -1,5 +1,5 @@
 //! What the node agents of queriers want done: messages to controllers and to each
-//! other, and news for the threads that answer queries.
+//! other, and updates for the threads that answer queries.
 
 use std::sync::Arc;
 
@@ -15,6 +15,7 @@
 use super::events::{FollowUp, QueryEngineId, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
 use super::{BEGIN, THREADS, World};
+use crate::connection_id::Opener;
 
 /// Between a node agent and the threads of its process: one way (us).
 pub(super) const THREAD_DELAY: Span = 20;
@@ -25,7 +26,7 @@
         let life = self.queriers[querier].life;
         match command {
             node_agent::Command::ToVoter { slot, message } => {
-                let table = &self.queriers[querier].watch.voter_set;
+                let table = &self.queriers[querier].node_agent.voter_set;
                 let Some(voter) = table.slots.get(usize::from(slot)) else { return };
                 let Some(controller) = self.machine(&voter.addr) else { return };
                 self.send_from_querier(querier, controller, message);
@@ -144,7 +145,8 @@
         let receiver = self.controllers[controller].endpoint(controller);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
-            let connection = ((querier as u64) << 32) | self.queriers[querier].life;
+            let connection =
+                Opener::Querier { number: querier, life: self.queriers[querier].life }.connection();
             let life = self.controllers[controller].life;
             self.push_at(
                 at,
@@ -158,7 +160,7 @@
     }
 }
 
-/// Hides that leafs leave.
+/// Hides that leafs are leaving.
 fn hide_leaving(view: &mut ClusterView) {
     let hide = |leaf: &Arc<LeafInfo>| {
         let mut own = (**leaf).clone();
