--- a/crates/server/tests/connections.rs
+++ b/crates/server/tests/connections.rs
@@ -1,5 +1,7 @@
 //! Connections of real sockets: who is let in, and that work is sent once.
 
+#![allow(clippy::unwrap_used)]
+
 #[allow(dead_code)] // Each test file uses a part of it.
 mod common;
 
--- a/crates/server/tests/local_cluster.rs
+++ b/crates/server/tests/local_cluster.rs
@@ -1,5 +1,7 @@
 //! Real processes on loopback: the whole path, and the death of any one.
 
+#![allow(clippy::unwrap_used)]
+
 #[allow(dead_code)] // Each test file uses a part of it.
 mod common;
 
--- a/crates/server/tests/platform_api.rs
+++ b/crates/server/tests/platform_api.rs
@@ -1,6 +1,8 @@
 //! Real processes that speak another manner than ours: a trio of controllers
 //! and two queriers, started by the templates as their platform fills them.
 
+#![allow(clippy::unwrap_used)]
+
 #[allow(dead_code)] // Each test file uses a part of it.
 mod common;
 
--- a/crates/server/tests/slot_takeover.rs
+++ b/crates/server/tests/slot_takeover.rs
@@ -1,5 +1,7 @@
 //! Seats of real controllers that change hands without an operator.
 
+#![allow(clippy::unwrap_used)]
+
 #[allow(dead_code)] // Each test file uses a part of it.
 mod common;
 
--- a/crates/simulator/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -1,5 +1,7 @@
 //! Fleets under faults drawn by seed, alone, in pairs, and one last.
 
+#![allow(clippy::unwrap_used)]
+
 mod common;
 
 use grebepath_simulator::chaos::at;
