--- /dev/null
+++ b/crates/core/src/config/object_reader.rs
@@ -0,0 +1,250 @@
+//! Reads the fields of one JSON object and notes what is wrong with each.
+
+use std::collections::BTreeMap;
+use std::ops::RangeInclusive;
+
+use serde_json::{Map, Value};
+
+use super::field_error::{FieldError, NAME_LIMIT};
+use crate::diagnostic::Diagnostics;
+
+/// One JSON object being read: which fields were asked for, and the diagnostics.
+pub(super) struct ObjectReader<'a> {
+    map: &'a Map<String, Value>,
+    place: String,
+    diagnostics: &'a mut Diagnostics,
+    known: Vec<&'static str>,
+}
+
+impl<'a> ObjectReader<'a> {
+    /// A reader of the object that stands at `place`.
+    pub(super) fn new(
+        map: &'a Map<String, Value>,
+        place: impl Into<String>,
+        diagnostics: &'a mut Diagnostics,
+    ) -> Self {
+        ObjectReader { map, place: place.into(), diagnostics, known: Vec::new() }
+    }
+
+    /// Notes what is wrong with a field.
+    pub(super) fn report(&mut self, key: &str, error: FieldError) {
+        self.diagnostics.report(format!("{}.{key}", self.place), error);
+    }
+
+    /// Whether the field stands in the object.
+    pub(super) fn has(&self, key: &str) -> bool {
+        self.map.contains_key(key)
+    }
+
+    /// The field's value; from then on the field is known.
+    fn field(&mut self, key: &'static str) -> Option<&'a Value> {
+        self.known.push(key);
+        self.map.get(key)
+    }
+
+    /// A text, empty if the field does not stand.
+    pub(super) fn optional_text(&mut self, key: &'static str) -> String {
+        match self.field(key) {
+            None => String::new(),
+            Some(value) => self.text_of(key, value),
+        }
+    }
+
+    /// A text that must stand.
+    pub(super) fn required_text(&mut self, key: &'static str) -> String {
+        match self.field(key) {
+            None => {
+                self.report(key, FieldError::Missing);
+                String::new()
+            }
+            Some(value) => self.text_of(key, value),
+        }
+    }
+
+    fn text_of(&mut self, key: &str, value: &Value) -> String {
+        match value {
+            Value::String(text) => text.clone(),
+            other => {
+                self.report(key, FieldError::wrong_type("a text", other));
+                String::new()
+            }
+        }
+    }
+
+    /// A text that must stand and have characters.
+    pub(super) fn nonempty_text(&mut self, key: &'static str) -> String {
+        let text = self.required_text(key);
+        if text.is_empty() && self.map.get(key).is_some_and(Value::is_string) {
+            self.report(key, FieldError::Empty);
+        }
+        text
+    }
+
+    /// A name that must stand.
+    pub(super) fn name(&mut self, key: &'static str) -> String {
+        let name = self.required_text(key);
+        let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+        let valid = (1..=NAME_LIMIT).contains(&name.len()) && name.chars().all(fits);
+        if !valid && self.map.get(key).is_some_and(Value::is_string) {
+            self.report(key, FieldError::InvalidName { found: name.clone() });
+        }
+        name
+    }
+
+    /// A whole number that must stand; the lowest of its range if it is wrong.
+    pub(super) fn required_number(&mut self, key: &'static str, range: RangeInclusive<u64>) -> u64 {
+        match self.field(key) {
+            None => {
+                self.report(key, FieldError::Missing);
+                *range.start()
+            }
+            Some(value) => self.number_of(key, value, range),
+        }
+    }
+
+    /// A whole number, `default` if the field does not stand.
+    pub(super) fn number_or(
+        &mut self,
+        key: &'static str,
+        range: RangeInclusive<u64>,
+        default: u64,
+    ) -> u64 {
+        match self.field(key) {
+            None => default,
+            Some(value) => self.number_of(key, value, range),
+        }
+    }
+
+    /// A whole number of 32 bits, `default` if the field does not stand.
+    pub(super) fn number_u32_or(
+        &mut self,
+        key: &'static str,
+        range: RangeInclusive<u32>,
+        default: u32,
+    ) -> u32 {
+        let wide = u64::from(*range.start())..=u64::from(*range.end());
+        let number = self.number_or(key, wide, u64::from(default));
+        u32::try_from(number).expect("the range has 32 bits")
+    }
+
+    fn number_of(&mut self, key: &str, value: &Value, range: RangeInclusive<u64>) -> u64 {
+        let (low, high) = range.into_inner();
+        match value.as_u64() {
+            Some(number) if (low..=high).contains(&number) => number,
+            _ => {
+                self.report(key, FieldError::OutOfRange { low, high, found: value.clone() });
+                low
+            }
+        }
+    }
+
+    /// True or false, false if the field does not stand.
+    pub(super) fn flag(&mut self, key: &'static str) -> bool {
+        match self.field(key) {
+            None => false,
+            Some(Value::Bool(flag)) => *flag,
+            Some(other) => {
+                self.report(key, FieldError::wrong_type("true or false", other));
+                false
+            }
+        }
+    }
+
+    /// What one of the known words means; the first word's meaning if the field
+    /// does not stand.
+    pub(super) fn word<T: Copy>(&mut self, key: &'static str, meanings: &[(&'static str, T)]) -> T {
+        let word = self.optional_text(key);
+        self.meaning(key, word, meanings)
+    }
+
+    /// The same for a field that must stand.
+    pub(super) fn required_word<T: Copy>(
+        &mut self,
+        key: &'static str,
+        meanings: &[(&'static str, T)],
+    ) -> T {
+        let word = self.required_text(key);
+        self.meaning(key, word, meanings)
+    }
+
+    fn meaning<T: Copy>(&mut self, key: &str, found: String, meanings: &[(&'static str, T)]) -> T {
+        let default = meanings[0].1;
+        if found.is_empty() {
+            return default;
+        }
+        if let Some((_, meaning)) = meanings.iter().find(|(word, _)| *word == found) {
+            return *meaning;
+        }
+        let known = meanings.iter().map(|(word, _)| *word).collect();
+        self.report(key, FieldError::UnknownWord { found, known });
+        default
+    }
+
+    /// A value that `read` understands, `default` if the field does not stand
+    /// or is not `expected`.
+    pub(super) fn value_or<T>(
+        &mut self,
+        key: &'static str,
+        expected: &'static str,
+        default: T,
+        read: impl Fn(&Value) -> Option<T>,
+    ) -> T {
+        let Some(value) = self.field(key) else { return default };
+        match read(value) {
+            Some(value) => value,
+            None => {
+                self.report(key, FieldError::wrong_type(expected, value));
+                default
+            }
+        }
+    }
+
+    /// An object whose values are all of one type, empty if it does not stand.
+    pub(super) fn entries<T>(
+        &mut self,
+        key: &'static str,
+        expected: &'static str,
+        expected_value: &'static str,
+        read: impl Fn(&Value) -> Option<T>,
+    ) -> BTreeMap<String, T> {
+        let mut entries = BTreeMap::new();
+        let map = match self.field(key) {
+            None => return entries,
+            Some(Value::Object(map)) => map,
+            Some(other) => {
+                self.report(key, FieldError::wrong_type(expected, other));
+                return entries;
+            }
+        };
+        for (name, value) in map {
+            match read(value) {
+                Some(value) => {
+                    entries.insert(name.clone(), value);
+                }
+                None => {
+                    let error = FieldError::wrong_type(expected_value, value);
+                    self.report(&format!("{key}.{name}"), error);
+                }
+            }
+        }
+        entries
+    }
+
+    /// Ends the reading: fields that nobody asked for are reported.
+    pub(super) fn finish(self) {
+        report_unknown_fields(self.map, &self.place, &self.known, self.diagnostics);
+    }
+}
+
+/// Reports the fields of the object at `place` that are not `known`.
+pub(super) fn report_unknown_fields(
+    map: &Map<String, Value>,
+    place: &str,
+    known: &[&'static str],
+    diagnostics: &mut Diagnostics,
+) {
+    for key in map.keys().filter(|key| !known.contains(&key.as_str())) {
+        let place = if place == "$" { key.clone() } else { format!("{place}.{key}") };
+        diagnostics.report(place, FieldError::UnknownField { known: known.to_vec() });
+    }
+}
--- /dev/null
+++ b/crates/core/src/config/read_objects.rs
@@ -0,0 +1,139 @@
+//! The objects of a configuration from JSON: searches, pools and zones.
+
+use serde_json::Value;
+
+use super::field_error::FieldError;
+use super::object_reader::ObjectReader;
+use super::types::{Class, Form, Pool, Search, Steer, Zone};
+use crate::consts;
+use crate::time::MILLI;
+
+/// A quorum of all shards, in thousandths.
+const QUORUM_ALL: u32 = 1000;
+/// Most bytes of one record where answers are joined by bytes.
+const WIDTH_MAX: u32 = 4_096;
+/// Most records of one answer.
+const TOP_MAX: u32 = 1_000_000;
+/// Most dispatches that one leaf may bear at once.
+const BEARS_MAX: u32 = 100_000;
+/// Longest slow start of a leaf (one hour), in milliseconds.
+const RAMP_MAX_MS: u32 = 3_600_000;
+
+/// Reads a search, with its name.
+///
+/// The order of the fields is that in which operators are told of them.
+pub(super) fn search(reader: &mut ObjectReader) -> (String, Search) {
+    let name = reader.name("name");
+    let class = reader.word(
+        "class",
+        &[("ordinary", Class::Ordinary), ("lookup", Class::Lookup), ("urgent", Class::Urgent)],
+    );
+    let form =
+        reader.word("form", &[("own", Form::Own), ("pass", Form::Pass), ("join", Form::Join)]);
+    let promise_range = match form {
+        Form::Own => consts::BUDGET_MIN_MS..=consts::BUDGET_MAX_MS,
+        Form::Pass | Form::Join => 1..=consts::PROMISE_MAX_MS,
+    };
+    let promise_ms = reader.required_number("promise_ms", promise_range);
+    let attempts = reader.number_or("attempts", 1..=consts::ATTEMPTS_MAX, 3) as u32;
+    let quorum = quorum(reader, form);
+    let plan = reader.required_text("plan");
+    let (host, path) = host_and_path(reader, form);
+    let once = once(reader, form);
+    let target_ms = reader.number_or("target_ms", 0..=consts::PROMISE_MAX_MS, 0);
+    let rank = reader.number_u32_or("rank", 0..=u32::MAX, 0);
+    let width = reader.number_u32_or("width", 1..=WIDTH_MAX, 1);
+    let top = reader.number_u32_or("top", 1..=TOP_MAX, consts::RECORDS_DEFAULT);
+    let weights = reader.entries("weights", "an object of numbers", "a whole number", |value| {
+        u32::try_from(value.as_u64()?).ok()
+    });
+    let origin = reader.optional_text("origin");
+    let place = reader.number_u32_or("place", 0..=u32::MAX, 0);
+    let needs = reader.value_or("needs", "a list of pools' names", Vec::new(), names);
+    let search = Search {
+        needs,
+        name: name.clone(),
+        class: class as i32,
+        promise_ms,
+        quorum,
+        attempts,
+        plan,
+        host,
+        path,
+        form: form as i32,
+        once,
+        target_ms,
+        rank,
+        width,
+        top,
+        weights,
+        origin,
+        place,
+    };
+    (name, search)
+}
+
+/// The required share of the shards, in thousandths, rounded up.
+fn quorum(reader: &mut ObjectReader, form: Form) -> u32 {
+    let expected = "a share above 0 and up to 1";
+    reader.value_or("quorum", expected, QUORUM_ALL, |value| {
+        let share = value.as_f64()?;
+        let above_zero = share > 0.0 || form != Form::Own && share == 0.0;
+        let valid = above_zero && share <= 1.0;
+        valid.then(|| ((share * f64::from(QUORUM_ALL)).ceil() as u32).clamp(1, QUORUM_ALL))
+    })
+}
+
+fn host_and_path(reader: &mut ObjectReader, form: Form) -> (String, String) {
+    let host = reader.optional_text("host");
+    let path = reader.optional_text("path");
+    if host.is_empty() != path.is_empty() || (!path.is_empty() && !path.starts_with('/')) {
+        reader.report("path", FieldError::HostWithoutPath);
+    }
+    if form != Form::Own && host.is_empty() {
+        reader.report("host", FieldError::HostMissing);
+    }
+    (host, path)
+}
+
+fn once(reader: &mut ObjectReader, form: Form) -> bool {
+    let once = reader.flag("once");
+    if once && form != Form::Pass {
+        reader.report("once", FieldError::OnceNotPassed);
+    }
+    once
+}
+
+/// A list of nothing but texts.
+fn names(value: &Value) -> Option<Vec<String>> {
+    value.as_array()?.iter().map(|name| name.as_str().map(str::to_string)).collect()
+}
+
+/// Reads a pool, with its name.
+pub(super) fn pool(reader: &mut ObjectReader) -> (String, Pool) {
+    let name = reader.name("name");
+    let ramp_default = (consts::RAMP / MILLI) as u32;
+    let pool = Pool {
+        name: name.clone(),
+        service: reader.nonempty_text("service"),
+        selector: reader.optional_text("selector"),
+        bears: reader.number_u32_or("bears", 1..=BEARS_MAX, consts::LEAF_BEARS),
+        ramp_ms: reader.number_u32_or("ramp_ms", 0..=RAMP_MAX_MS, ramp_default),
+        labels: reader.entries("labels", "an object of texts", "a text", |value| {
+            value.as_str().map(str::to_string)
+        }),
+        steer: reader.word("steer", &[("share", Steer::Share), ("seen", Steer::Seen)]) as i32,
+        connections: reader.number_u32_or("wires", 0..=u32::MAX, 0),
+        cold_rate: reader.number_u32_or("cold_rate", 0..=u32::MAX, 0),
+        origin: reader.optional_text("origin"),
+        place: reader.number_u32_or("place", 0..=u32::MAX, 0),
+    };
+    (name, pool)
+}
+
+/// Reads a zone, with its name.
+pub(super) fn zone(reader: &mut ObjectReader) -> (String, Zone) {
+    let name = reader.name("name");
+    let drained = reader.required_word("state", &[("open", false), ("drained", true)]);
+    (name.clone(), Zone { name, drained })
+}
--- /dev/null
+++ b/crates/core/src/config/route.rs
@@ -0,0 +1,111 @@
+//! What a checked configuration says of routes: which shards each search has,
+//! and which pools of leafs hold them.
+
+use std::collections::BTreeSet;
+
+use indexmap::IndexMap;
+
+use super::types::{Class, Form, Steer, Terms};
+use crate::routing_language::compile::Send;
+use crate::routing_language::selector::Selector;
+use crate::time::Span;
+
+/// The label that tells which version of the index a pool or a leaf holds.
+pub const CUT: &str = "cut";
+
+/// A search, ready to serve.
+///
+/// Invariants: `shards` is not empty, its names are in order and each stands
+/// once; all its pools hold the index version `cut`; no service stands under
+/// two shards.
+#[derive(Clone, PartialEq, Debug)]
+pub struct Route {
+    /// The search's name.
+    pub name: String,
+    /// How urgent its queries are.
+    pub class: Class,
+    /// Time within which callers get an outcome.
+    pub promise: Span,
+    /// Required share of the planned shards, in thousandths.
+    pub quorum: u32,
+    /// Most dispatches for one shard of one query.
+    pub attempts: u32,
+    /// The version of the index that all its pools hold; empty if they name none.
+    pub cut: String,
+    /// Which shards a query is planned for.
+    pub send: Send,
+    /// Share of the time left that a dispatch may use before a retry, in percent.
+    pub wait_pct: u64,
+    /// Share of the promise after which a quorum is enough, in percent.
+    pub stop_pct: u64,
+    /// Leafs of the querier's own zone come first.
+    pub local: bool,
+    /// The shards, in the order of their names.
+    pub shards: Vec<Shard>,
+    /// Host by which calls come here; empty if by name.
+    pub host: String,
+    /// Path that such calls begin with; empty if by name.
+    pub path: String,
+    /// How calls and answers are treated.
+    pub form: Form,
+    /// A call may run at most once.
+    pub once: bool,
+    /// Time within which an answer has its full value.
+    pub target: Option<Span>,
+    /// Order among searches of one class, the lowest first.
+    pub rank: u32,
+    /// Bytes of one record where answers are joined by bytes.
+    pub width: usize,
+    /// Most records of a joined answer.
+    pub top: usize,
+    /// Weight of each shard, in their order.
+    pub weights: Vec<u64>,
+}
+
+impl Route {
+    /// How many of `planned` shards make the quorum: at least one.
+    pub fn required_shards(&self, planned: usize) -> usize {
+        (planned * self.quorum as usize).div_ceil(1000).clamp(1, planned.max(1))
+    }
+}
+
+/// A shard of a route and the pools that hold it.
+#[derive(Clone, PartialEq, Debug)]
+pub struct Shard {
+    /// The shard's name: a value of the label that the plan shards by.
+    pub name: String,
+    /// The pools that hold it, in the order of their names.
+    pub pools: Vec<PoolPlan>,
+}
+
+/// A pool, ready to choose leafs from.
+#[derive(Clone, PartialEq, Debug)]
+pub struct PoolPlan {
+    /// The pool's name.
+    pub name: String,
+    /// The service whose leafs it takes.
+    pub service: String,
+    /// Chooses among the service's leafs by their labels.
+    pub sel: Selector,
+    /// Dispatches that a warm leaf bears at once, over all nodes.
+    pub bears: u32,
+    /// Time that a fresh leaf takes to bear all of that.
+    pub ramp: Span,
+    /// How dispatches are spread over the leafs.
+    pub steer: Steer,
+    /// Most connections that a leaf takes from all nodes; zero if not said.
+    pub connections: u32,
+    /// Thousandths of a dispatch that a cold leaf bears a second.
+    pub cold_rate: u32,
+}
+
+/// A checked configuration.
+#[derive(Clone, PartialEq, Debug, Default)]
+pub struct Built {
+    /// The routes by their searches' names.
+    pub mappings: IndexMap<String, Route>,
+    /// Zones whose leafs get no new work.
+    pub drained: BTreeSet<String>,
+    /// Limits for clients, and the edition.
+    pub terms: Terms,
+}
--- a/crates/core/src/config/show.rs
+++ b/crates/core/src/config/show.rs
@@ -4,75 +4,82 @@
 
 use super::types::{Class, Config, Form, Pool, Search, Steer, Terms, Zone};
 
-/// The word for a class.
-pub fn class_word(class: i32) -> &'static str {
-    match Class::try_from(class) {
-        Ok(Class::Urgent) => "urgent",
-        Ok(Class::Lookup) => "lookup",
-        _ => "ordinary",
+impl Class {
+    /// The word that stands for it in a configuration.
+    pub fn word(self) -> &'static str {
+        match self {
+            Class::Urgent => "urgent",
+            Class::Lookup => "lookup",
+            Class::Ordinary => "ordinary",
+        }
     }
 }
 
-/// A whole configuration as JSON, objects by name.
-pub fn json(conf: &Config) -> Value {
-    let mut out = json!({
-        "searches": conf.searches.values().map(search).collect::<Vec<_>>(),
-        "pools": conf.pools.values().map(pool).collect::<Vec<_>>(),
-        "zones": conf.zones.values().map(zone).collect::<Vec<_>>(),
-    });
-    if conf.terms != Terms::default() {
-        let t = &conf.terms;
-        out["terms"] = json!({
-            "edition": t.edition, "head_max": t.head_max, "body_max": t.body_max,
-            "head_wait_ms": t.head_wait_ms, "idle_ms": t.idle_ms,
+impl Config {
+    /// The whole configuration as JSON, objects by name.
+    pub fn to_json(&self) -> Value {
+        let mut out = json!({
+            "searches": self.searches.values().map(search).collect::<Vec<_>>(),
+            "pools": self.pools.values().map(pool).collect::<Vec<_>>(),
+            "zones": self.zones.values().map(zone).collect::<Vec<_>>(),
         });
+        if self.terms != Terms::default() {
+            out["terms"] = terms(&self.terms);
+        }
+        out
     }
-    out
 }
 
-fn search(s: &Search) -> Value {
+fn terms(terms: &Terms) -> Value {
+    json!({
+        "edition": terms.edition, "head_max": terms.head_max, "body_max": terms.body_max,
+        "head_wait_ms": terms.head_wait_ms, "idle_ms": terms.idle_ms,
+    })
+}
+
+fn search(search: &Search) -> Value {
     let mut out = json!({
-        "name": s.name, "class": class_word(s.class), "promise_ms": s.promise_ms,
-        "quorum": f64::from(s.quorum) / 1000.0, "attempts": s.attempts, "plan": s.plan,
+        "name": search.name, "class": Class::try_from(search.class).unwrap_or(Class::Ordinary).word(), "promise_ms": search.promise_ms,
+        "quorum": f64::from(search.quorum) / 1000.0, "attempts": search.attempts, "plan": search.plan,
     });
-    if !s.host.is_empty() {
-        (out["host"], out["path"]) = (json!(s.host), json!(s.path));
+    if !search.host.is_empty() {
+        (out["host"], out["path"]) = (json!(search.host), json!(search.path));
     }
-    let form = Form::try_from(s.form).unwrap_or(Form::Own);
+    let form = Form::try_from(search.form).unwrap_or(Form::Own);
     if form != Form::Own {
         out["form"] = json!(if form == Form::Pass { "pass" } else { "join" });
-        (out["once"], out["rank"]) = (json!(s.once), json!(s.rank));
-        (out["width"], out["top"]) = (json!(s.width), json!(s.top));
+        (out["once"], out["rank"]) = (json!(search.once), json!(search.rank));
+        (out["width"], out["top"]) = (json!(search.width), json!(search.top));
     }
-    if !s.needs.is_empty() {
-        out["needs"] = json!(s.needs);
+    if !search.needs.is_empty() {
+        out["needs"] = json!(search.needs);
     }
-    if s.target_ms > 0 {
-        out["target_ms"] = json!(s.target_ms);
+    if search.target_ms > 0 {
+        out["target_ms"] = json!(search.target_ms);
     }
-    if !s.weights.is_empty() {
-        out["weights"] = json!(s.weights);
+    if !search.weights.is_empty() {
+        out["weights"] = json!(search.weights);
     }
     out
 }
 
-fn pool(p: &Pool) -> Value {
+fn pool(pool: &Pool) -> Value {
     let mut out = json!({
-        "name": p.name, "service": p.service, "selector": p.selector, "labels": p.labels,
-        "bears": p.bears, "ramp_ms": p.ramp_ms,
+        "name": pool.name, "service": pool.service, "selector": pool.selector, "labels": pool.labels,
+        "bears": pool.bears, "ramp_ms": pool.ramp_ms,
     });
-    if p.steer == Steer::Seen as i32 {
+    if pool.steer == Steer::Seen as i32 {
         out["steer"] = json!("seen");
     }
-    if p.connections > 0 {
-        out["wires"] = json!(p.connections);
+    if pool.connections > 0 {
+        out["wires"] = json!(pool.connections);
     }
-    if p.cold_rate > 0 {
-        out["cold_rate"] = json!(p.cold_rate);
+    if pool.cold_rate > 0 {
+        out["cold_rate"] = json!(pool.cold_rate);
     }
     out
 }
 
-fn zone(z: &Zone) -> Value {
-    json!({ "name": z.name, "state": if z.drained { "drained" } else { "open" } })
+fn zone(zone: &Zone) -> Value {
+    json!({ "name": zone.name, "state": if zone.drained { "drained" } else { "open" } })
 }
--- /dev/null
+++ b/crates/core/src/config/stored.rs
@@ -0,0 +1,85 @@
+//! The configuration as entries of its partition: one entry an object.
+
+use std::collections::BTreeMap;
+use std::ops::Bound::{Included, Unbounded};
+
+use prost::Message;
+
+use super::types::{Config, Terms};
+
+/// An entry of a partition: a new value, or `None` where it is removed.
+pub type Entry = (String, Option<Vec<u8>>);
+
+const SEARCH: &str = "search/";
+const POOL: &str = "pool/";
+const ZONE: &str = "zone/";
+const TERMS: &str = "terms";
+
+/// An entry of the stored configuration that can't be read.
+#[derive(Clone, PartialEq, Debug, thiserror::Error)]
+#[error("entry {key} can't be read")]
+pub struct EntryError {
+    /// The entry's key.
+    pub key: String,
+    /// Why its value can't be read.
+    pub source: prost::DecodeError,
+}
+
+impl Config {
+    /// The entries of the whole configuration.
+    pub fn to_entries(&self) -> BTreeMap<String, Vec<u8>> {
+        let mut entries = BTreeMap::new();
+        for (name, search) in &self.searches {
+            entries.insert(format!("{SEARCH}{name}"), search.encode_to_vec());
+        }
+        for (name, pool) in &self.pools {
+            entries.insert(format!("{POOL}{name}"), pool.encode_to_vec());
+        }
+        for (name, zone) in &self.zones {
+            entries.insert(format!("{ZONE}{name}"), zone.encode_to_vec());
+        }
+        if self.terms != Terms::default() {
+            entries.insert(TERMS.into(), self.terms.encode_to_vec());
+        }
+        entries
+    }
+
+    /// The configuration that lies in a partition; other entries are passed over.
+    /// Fails at the first entry that can't be read.
+    pub fn from_entries(map: &BTreeMap<String, Vec<u8>>) -> Result<Config, EntryError> {
+        let mut config = Config::default();
+        for (name, value) in with_prefix(map, POOL) {
+            config.pools.insert(name.into(), decoded(POOL, name, value)?);
+        }
+        for (name, value) in with_prefix(map, SEARCH) {
+            config.searches.insert(name.into(), decoded(SEARCH, name, value)?);
+        }
+        if let Some(value) = map.get(TERMS) {
+            config.terms = decoded(TERMS, "", value)?;
+        }
+        for (name, value) in with_prefix(map, ZONE) {
+            config.zones.insert(name.into(), decoded(ZONE, name, value)?);
+        }
+        Ok(config)
+    }
+}
+
+/// The entries whose keys begin with `prefix`, with what follows it. What else
+/// lies in the map is not walked.
+pub fn with_prefix<'a>(
+    map: &'a BTreeMap<String, Vec<u8>>,
+    prefix: &'a str,
+) -> impl Iterator<Item = (&'a str, &'a Vec<u8>)> {
+    map.range::<str, _>((Included(prefix), Unbounded))
+        .map_while(move |(key, value)| Some((key.strip_prefix(prefix)?, value)))
+}
+
+fn decoded<T: Message + Default>(prefix: &str, name: &str, value: &[u8]) -> Result<T, EntryError> {
+    T::decode(value).map_err(|source| EntryError { key: format!("{prefix}{name}"), source })
+}
+
+/// The edition that stands; zero if the entry that holds it can't be read.
+pub fn edition(map: &BTreeMap<String, Vec<u8>>) -> u64 {
+    let terms = map.get(TERMS).and_then(|value| Terms::decode(value.as_slice()).ok());
+    terms.map_or(0, |terms| terms.edition)
+}
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -6,7 +6,7 @@
 use nanoserde::{DeBin, SerBin};
 
 use crate::command::Command;
-use crate::config::change::Entry;
+use crate::config::stored::Entry;
 use crate::consts;
 use crate::control_plane::controller::Counts;
 use crate::identifiers::part_of;
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeMap;
 
 use crate::command::Command;
-use crate::config::change::Entry;
+use crate::config::stored::Entry;
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::members;
 use crate::control_plane::members::Gone;
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -3,9 +3,9 @@
 //! else waits for the proof that we still lead (`pending_operations`).
 
 use crate::command::Command;
-use crate::config::change::{Entry, changes, config, patched, replaced};
-use crate::config::types::Turn;
-use crate::config::{build, read};
+use crate::config::route::Built;
+use crate::config::stored::Entry;
+use crate::config::types::{Config, Patch, Turn};
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::order_memory;
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
@@ -120,7 +120,7 @@
         Ok(Planned::Entries(entries, edition)) => (entries, edition),
         Ok(Planned::Refused(done)) => return Judged::Refused(done),
         Err(all) => {
-            let list = all.into_iter().map(|f| (f.place, f.text)).collect();
+            let list = all.into_iter().map(|d| (d.place.clone(), d.text())).collect();
             return Judged::Refused(OperationResult::Invalid(list));
         }
     };
@@ -145,12 +145,12 @@
     whole: bool,
     text: &[u8],
 ) -> Result<Planned, Vec<Diagnostic>> {
-    let old = config(map)
-        .map_err(|text| vec![Diagnostic { place: "stored configuration".into(), text }])?;
+    let old = Config::from_entries(map)
+        .map_err(|error| vec![Diagnostic::new("stored configuration", error)])?;
     let new = if whole {
-        replaced(&old, read::whole(text)?)
+        old.replaced_by(Config::from_json(text)?)
     } else {
-        patched(old.clone(), &read::patch(text)?)
+        old.clone().patched(&Patch::from_json(text)?)
     };
     let Turn { after, edition, .. } = new.turn;
     let base = OrderBase { revision: expect, edition: after, next_edition: edition };
@@ -163,10 +163,10 @@
             return Ok(Planned::Refused(done));
         }
         let text = format!("must be above {}, the one that stands", old.terms.edition);
-        return Err(vec![Diagnostic { place: "terms.edition".into(), text }]);
+        return Err(vec![Diagnostic::new("terms.edition", text)]);
     }
-    build::build(&new)?;
-    Ok(Planned::Entries(changes(&old, &new), new.terms.edition))
+    Built::build(&new)?;
+    Ok(Planned::Entries(old.changes_to(&new), new.terms.edition))
 }
 
 /// No clear answer, if an order that would be refused may have been accepted
--- a/crates/core/src/control_plane/order_memory.rs
+++ b/crates/core/src/control_plane/order_memory.rs
@@ -16,7 +16,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::config::change::{Entry, edition};
+use crate::config::stored::{Entry, edition};
 use crate::control_plane::order_memory_legacy as legacy;
 use crate::digest::digest_bytes;
 use crate::protocol::message::EntryMap;
--- a/crates/core/src/control_plane/order_memory_legacy.rs
+++ b/crates/core/src/control_plane/order_memory_legacy.rs
@@ -4,7 +4,7 @@
 //! Such entries are read as long as there are any; the next accepted order
 //! carries them over (`crate::control_plane::order_memory`) and removes them.
 
-use crate::config::change::{Entry, with_prefix};
+use crate::config::stored::{Entry, with_prefix};
 use crate::control_plane::order_memory::{Fingerprint, Horizon, Recall, fingerprint_of_digest};
 use crate::protocol::message::EntryMap;
 
--- a/crates/core/src/http_api/list.rs
+++ b/crates/core/src/http_api/list.rs
@@ -14,7 +14,7 @@
 /// Reads the list. A list that is not one at all, or that is empty, is an
 /// error as a whole; single bad entries are found and passed over.
 pub fn read(body: &[u8]) -> Result<(Vec<LeafInfo>, Vec<Diagnostic>), Diagnostic> {
-    let whole = |text: String| Diagnostic { place: "$".into(), text };
+    let whole = |text: String| Diagnostic::new("$", text);
     let val: Value =
         serde_json::from_slice(body).map_err(|e| whole(format!("the list is not JSON: {e}")))?;
     let Some(items) = val.get("leafs").and_then(Value::as_array) else {
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::config::build::Built;
+use crate::config::route::Built;
 use crate::consts::DRAIN_NOTICE;
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
 use crate::membership::attestation::Proofs;
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -2,14 +2,15 @@
 
 use std::sync::Arc;
 
-use crate::config::build::{Route, Shard};
-use crate::config::{build, change};
+use crate::config::route::{Built, Route, Shard};
+use crate::config::stored::Entry;
+use crate::config::types::Config;
 use crate::consts;
 use crate::control_plane::endpoints;
 use crate::identifiers::{CONFIG, PartitionId, partitions};
 use crate::membership::node_agent::{Command, Watch};
 use crate::protocol::message::{FeedPosition, Message};
-use crate::snapshot::cluster_view::{ClusterView, open, view};
+use crate::snapshot::cluster_view::ClusterView;
 use crate::snapshot::leafs::LeafInfo;
 use crate::storage::record::put;
 use crate::time::{Tick, since};
@@ -22,7 +23,7 @@
     partition: PartitionId,
     from: Option<u64>,
     revision: u64,
-    entries: &[change::Entry],
+    entries: &[Entry],
     out: &mut Vec<Command>,
 ) -> bool {
     let Some(held) = w.held.get_mut(&partition) else { return false };
@@ -39,9 +40,9 @@
     w.counts.news += 1;
     if partition == CONFIG {
         w.knows = w.knows.max(revision);
-        match change::config(&held.map).map_err(|text| vec![text]).and_then(|c| {
-            build::build(&c).map_err(|all| all.iter().map(|f| f.to_string()).collect())
-        }) {
+        match Config::from_entries(&held.map).map_err(|error| vec![error.to_string()]).and_then(
+            |c| Built::build(&c).map_err(|all| all.iter().map(|f| f.to_string()).collect()),
+        ) {
             Ok(built) => {
                 w.built = Arc::new(built);
                 w.built_revision = revision;
@@ -125,7 +126,7 @@
         .flat_map(|h| endpoints::all(&h.map).into_values())
         .filter_map(|info| overlaid(w, info))
         .collect();
-    let new = Arc::new(view(w.built_revision, w.built.clone(), list));
+    let new = Arc::new(ClusterView::new(w.built_revision, w.built.clone(), list));
     let good = new.mappings.values().filter(|m| serves(&new, m)).count();
     if good > 0 {
         w.serves_some.get_or_insert(now);
@@ -158,6 +159,6 @@
 
 /// Whether a mapping has leafs for its quorum.
 fn serves(view: &ClusterView, map: &Route) -> bool {
-    let has = |s: &&Shard| s.pools.iter().any(|p| open(view, p, &map.cut).next().is_some());
-    map.shards.iter().filter(has).count() >= build::needed(map.quorum, map.shards.len())
+    let has = |s: &&Shard| s.pools.iter().any(|p| view.open_leafs(p, &map.cut).next().is_some());
+    map.shards.iter().filter(has).count() >= map.required_shards(map.shards.len())
 }
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -4,7 +4,7 @@
 
 use nanoserde::{DeBin, SerBin};
 
-use crate::config::change::Entry;
+use crate::config::stored::Entry;
 use crate::identifiers::{PartitionId, VoterSlot};
 use crate::snapshot::leafs::LeafInfo;
 use crate::voter_set::{SlotHolder, VoterSet};
--- a/crates/core/src/query/connection_subset.rs
+++ b/crates/core/src/query/connection_subset.rs
@@ -10,7 +10,7 @@
 //! and such a dispatch has not arrived.
 
 use crate::digest::{hash, pair};
-use crate::snapshot::leafs::{LeafInfo, zone};
+use crate::snapshot::leafs::LeafInfo;
 
 /// One node that takes part.
 #[derive(Clone, Debug, PartialEq)]
@@ -43,7 +43,7 @@
     for (i, peer) in peers.iter().enumerate().take(here + 1) {
         let mut order: Vec<usize> = (0..leafs.len()).collect();
         order.sort_unstable_by_key(|k| {
-            (zone(leafs[*k]) != peer.zone, std::cmp::Reverse(pair(things[*k], peer.slot)))
+            (leafs[*k].zone() != peer.zone, std::cmp::Reverse(pair(things[*k], peer.slot)))
         });
         let mut got = 0;
         // Who comes late finds few leafs with connections left, and takes more of
--- a/crates/core/src/query/coverage.rs
+++ b/crates/core/src/query/coverage.rs
@@ -1,6 +1,6 @@
 //! The coverage check: which planned shard a reply stands for, if any.
 
-use crate::config::build::Route;
+use crate::config::route::Route;
 use crate::snapshot::cluster_view::ClusterView;
 
 /// The shard that a reply of `leaf` served. The leaf's service is taken from
--- a/crates/core/src/query/dispatch.rs
+++ b/crates/core/src/query/dispatch.rs
@@ -1,7 +1,9 @@
 //! `step` of the owner of queries.
 
+use std::collections::BTreeSet;
+
 use super::engine::*;
-use crate::config::build::{PoolPlan, Route, needed};
+use crate::config::route::{PoolPlan, Route};
 use crate::config::types::{Class, Form, Steer};
 use crate::consts;
 use crate::digest::{digest, hash};
@@ -19,10 +21,8 @@
     service_retry_budget, slow_start,
 };
 use crate::routing_language::compile::Send;
-use crate::snapshot::cluster_view::open;
-use crate::snapshot::leafs::{LeafInfo, zone};
+use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick, since};
-use std::collections::BTreeSet;
 
 /// Takes one event and says what to do.
 pub fn step(d: &mut QueryEngine, now: Tick, event: Event) -> Vec<Command> {
@@ -120,7 +120,7 @@
         // Leafs of emptied zones and those that leave have no new work.
         let stand: Vec<&LeafInfo> = list
             .iter()
-            .filter(|l| !l.leaving && !view.built.drained.contains(zone(l)))
+            .filter(|l| !l.leaving && !view.built.drained.contains(l.zone()))
             .map(|l| l.as_ref())
             .collect();
         let mine = d.slot;
@@ -157,7 +157,7 @@
 }
 
 pub(super) fn need(q: &Query) -> usize {
-    needed(q.map.quorum, q.slots.len())
+    q.map.required_shards(q.slots.len())
 }
 
 pub(super) fn count_in(q: &Query) -> usize {
@@ -668,7 +668,7 @@
     let lost = q.slots.iter().filter(|s| s.state != SlotState::In);
     let soonest = |s: &Slot| {
         let shard = &q.map.shards[s.shard];
-        let list = shard.pools.iter().flat_map(|p| open(&d.view, p, &q.map.cut));
+        let list = shard.pools.iter().flat_map(|p| d.view.open_leafs(p, &q.map.cut));
         let rests = list.filter_map(|i| d.leafs.get(&i.leaf)).map(|l| since(now, l.rest_until));
         rests.min().unwrap_or(consts::LIST_POLL)
     };
--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -5,7 +5,7 @@
 use indexmap::IndexMap;
 use serde_json::Value;
 
-use crate::config::build::Route;
+use crate::config::route::Route;
 use crate::config::types::Class;
 use crate::consts;
 use crate::http_api::leaf::{Raw, Trouble};
--- a/crates/core/src/query/forwarding.rs
+++ b/crates/core/src/query/forwarding.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use super::engine::*;
-use crate::config::build::Route;
+use crate::config::route::Route;
 use crate::config::types::Form;
 use crate::consts;
 use crate::http_api::leaf::{MISDIRECTED, Raw, Trouble};
@@ -18,7 +18,6 @@
 use crate::query::request::{Outcome, Reason, Rejection};
 use crate::random::Random;
 use crate::routing_language::compile::Send;
-use crate::snapshot::cluster_view::found;
 use crate::time::{Tick, since};
 
 /// A call has come.
@@ -40,7 +39,7 @@
     parcel: Arc<ForwardedRequest>,
 ) -> Result<Query, Rejection> {
     taken(d, now)?;
-    let Some(map) = found(&d.view, &parcel.host, &parcel.path).cloned() else {
+    let Some(map) = d.view.route_for(&parcel.host, &parcel.path).cloned() else {
         let text = "no search takes calls of this host and path";
         return Err(Rejection::new(Reason::NoMapping, text));
     };
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use crate::config::build::{PoolPlan, Route};
+use crate::config::route::{PoolPlan, Route};
 use crate::config::types::{Form, Steer};
 use crate::consts::REST_AFTER;
 use crate::query::connection_subset::Peer;
@@ -12,8 +12,8 @@
 use crate::query::quota::{Share, part};
 use crate::query::{observed_load, slow_start};
 use crate::random::Random;
-use crate::snapshot::cluster_view::{ClusterView, open};
-use crate::snapshot::leafs::{LeafInfo, zone};
+use crate::snapshot::cluster_view::ClusterView;
+use crate::snapshot::leafs::LeafInfo;
 use crate::time::Tick;
 
 /// Leafs up to which all are compared rather than two drawn ones (count):
@@ -51,7 +51,7 @@
     // Whether a leaf that is steered by what is seen, is ours and stands well.
     let mut healthy = false;
     for pool in &map.shards[shard].pools {
-        for info in open(s.view, pool, &map.cut) {
+        for info in s.view.open_leafs(pool, &map.cut) {
             if tried.contains(&info.leaf) {
                 continue;
             }
@@ -61,7 +61,7 @@
             }
             stand = true;
             let rested = leaf.rest_until > s.now;
-            let near = map.local && zone(info) == s.zone;
+            let near = map.local && info.zone() == s.zone;
             if pool.steer == Steer::Seen {
                 let rate = u64::from(pool.cold_rate);
                 if info.cold
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::command::Command;
-use crate::config::change::Entry;
+use crate::config::stored::Entry;
 use crate::consts;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::{EntryMap, Message, OperationResult};
--- a/crates/core/src/replication/partition.rs
+++ b/crates/core/src/replication/partition.rs
@@ -2,14 +2,13 @@
 
 use std::collections::{BTreeMap, VecDeque};
 
-use crate::config::change::Entry;
+use crate::config::stored::Entry;
 use crate::identifiers::{PartitionId, VoterSlot};
 use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
+use crate::replication::pending_operations::PendingOperation;
 use crate::storage::record::ReplicaState;
 use crate::time::Tick;
 
-use crate::replication::pending_operations::PendingOperation;
-
 /// A part at this seat.
 ///
 /// Invariants: `copy` is what the disk holds once every write in `writes` is
--- a/crates/core/src/routing_language/compile.rs
+++ b/crates/core/src/routing_language/compile.rs
@@ -1,14 +1,22 @@
-//! Stages to a plain policy: defaults filled in, contradictions found.
+//! Stages to a plain policy: defaults filled in, contradictions reported.
 
-use crate::diagnostic::{Diagnostic, find};
-use crate::routing_language::lexer::place;
-use crate::routing_language::parser::{Verb, stages};
-use crate::routing_language::selector::Selector;
+use super::lexer::TextPosition;
+use super::parser::{Stage, Verb, stages};
+use super::selector::Selector;
+use super::syntax_error::SyntaxError;
+use crate::diagnostic::Diagnostics;
+
+/// Share of the time left that a dispatch may use before a retry, in percent,
+/// if the plan does not say.
+const WAIT_DEFAULT_PCT: u64 = 40;
+/// Share of the promise after which a quorum is enough, in percent, if the
+/// plan does not say.
+const STOP_DEFAULT_PCT: u64 = 80;
 
 /// Which shards a query is planned for.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Send {
-    /// Every shard of the cut.
+    /// Every shard of the index version.
     Wide,
     /// The one shard that the caller's key falls on.
     One,
@@ -19,54 +27,76 @@
 /// A compiled plan, before its pools are looked up.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Policy {
-    /// Chooses the pools of the mapping by their labels.
+    /// Chooses the pools of the route by their labels.
     pub sel: Selector,
     /// The label whose values are the shards' names.
     pub by: String,
+    /// Which shards a query is planned for.
     pub send: Send,
-    /// Share of the time left that a dispatch may use before a second try.
+    /// Share of the time left that a dispatch may use before a retry, in percent.
     pub wait_pct: u64,
-    /// Share of the promise after which quorum is enough.
+    /// Share of the promise after which a quorum is enough, in percent.
     pub stop_pct: u64,
+    /// Leafs of the querier's own zone come first.
     pub local: bool,
 }
 
-/// Compiles a plan; `None` when it has findings.
-pub fn compile(at: &str, text: &str, all: &mut Vec<Diagnostic>) -> Option<Policy> {
-    let before = all.len();
-    let list = stages(at, text, all);
-    let (mut from, mut send, mut wait, mut stop, mut local) = (None, None, None, None, None);
-    for s in list {
-        let spot = place(at, s.line, s.col);
-        let twice = match s.verb {
-            Verb::From { sel, by } => from.replace((sel, by)).is_some(),
-            Verb::SendWide => send.replace(Send::Wide).is_some(),
-            Verb::SendOne => send.replace(Send::One).is_some(),
-            Verb::SendWeighed => send.replace(Send::Weighed).is_some(),
-            Verb::Wait(n) => wait.replace(n).is_some(),
-            Verb::Stop(n) => stop.replace(n).is_some(),
-            Verb::Prefer { local: l } => local.replace(l).is_some(),
-        };
-        if twice {
-            find(all, spot, "this stage stands twice");
+/// What the stages of a plan say, each at most once.
+#[derive(Default)]
+struct Plan {
+    from: Option<(Selector, String)>,
+    send: Option<Send>,
+    wait_pct: Option<u64>,
+    stop_pct: Option<u64>,
+    local: Option<bool>,
+}
+
+impl Policy {
+    /// Compiles the plan that stands at `text_place`; `None` when something is
+    /// wrong with it.
+    pub fn compile(text_place: &str, text: &str, diagnostics: &mut Diagnostics) -> Option<Policy> {
+        let before = diagnostics.len();
+        let mut plan = Plan::default();
+        for Stage { verb, position } in stages(text_place, text, diagnostics) {
+            if plan.set(verb) {
+                diagnostics.report(position.place(text_place), SyntaxError::DuplicateStage);
+            }
         }
+        if diagnostics.len() > before {
+            return None;
+        }
+        let start = TextPosition::START.place(text_place);
+        if plan.from.is_none() {
+            diagnostics.report(start.clone(), SyntaxError::FromMissing);
+        }
+        if plan.send.is_none() {
+            diagnostics.report(start, SyntaxError::SendMissing);
+        }
+        let ((sel, by), send) = (plan.from?, plan.send?);
+        Some(Policy {
+            sel,
+            by,
+            send,
+            wait_pct: plan.wait_pct.unwrap_or(WAIT_DEFAULT_PCT),
+            stop_pct: plan.stop_pct.unwrap_or(STOP_DEFAULT_PCT),
+            local: plan.local.unwrap_or(true),
+        })
     }
-    if all.len() > before {
-        return None;
-    }
-    if from.is_none() {
-        find(all, place(at, 1, 1), "a plan needs a stage `from <selector> by <label>`");
-    }
-    if send.is_none() {
-        find(all, place(at, 1, 1), "a plan needs a stage `send wide` or `send one by key`");
+}
+
+impl Plan {
+    /// Takes what a stage says; true if another stage has said it before.
+    fn set(&mut self, verb: Verb) -> bool {
+        match verb {
+            Verb::From { selector, shard_label } => {
+                self.from.replace((selector, shard_label)).is_some()
+            }
+            Verb::SendWide => self.send.replace(Send::Wide).is_some(),
+            Verb::SendOne => self.send.replace(Send::One).is_some(),
+            Verb::SendWeighed => self.send.replace(Send::Weighed).is_some(),
+            Verb::Wait(percent) => self.wait_pct.replace(percent).is_some(),
+            Verb::Stop(percent) => self.stop_pct.replace(percent).is_some(),
+            Verb::Prefer { local } => self.local.replace(local).is_some(),
+        }
     }
-    let ((sel, by), send) = (from?, send?);
-    Some(Policy {
-        sel,
-        by,
-        send,
-        wait_pct: wait.unwrap_or(40),
-        stop_pct: stop.unwrap_or(80),
-        local: local.unwrap_or(true),
-    })
 }
--- a/crates/core/src/routing_language/lexer.rs
+++ b/crates/core/src/routing_language/lexer.rs
@@ -1,113 +1,159 @@
-//! Cuts a text of the small language into words.
+//! Splits a text of the routing language into tokens.
 
-use crate::diagnostic::{Diagnostic, find};
+use std::fmt;
 
-/// What a word is.
+use super::syntax_error::SyntaxError;
+use crate::diagnostic::Diagnostics;
+
+/// What a token is.
 #[derive(Clone, PartialEq, Debug)]
-pub enum Kind {
+pub enum TokenKind {
+    /// A name or a word of the language.
     Name(String),
+    /// A text in quotes, without them.
     Text(String),
+    /// A number that ends in a percent sign.
     Percent(u64),
+    /// An operator, a bracket or a comma.
     Sign(&'static str),
     /// End of a stage: a line end or `;`.
     End,
 }
 
-/// A word with the line and column where it begins, both from 1.
-#[derive(Clone, Debug)]
-pub struct Word {
-    pub kind: Kind,
+impl fmt::Display for TokenKind {
+    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
+        match self {
+            TokenKind::Name(name) => write!(f, "`{name}`"),
+            TokenKind::Text(text) => write!(f, "\"{text}\""),
+            TokenKind::Percent(number) => write!(f, "{number}%"),
+            TokenKind::Sign(sign) => write!(f, "`{sign}`"),
+            TokenKind::End => write!(f, "the end of the stage"),
+        }
+    }
+}
+
+/// Where a token begins; both count from 1.
+#[derive(Clone, Copy, PartialEq, Eq, Debug)]
+pub struct TextPosition {
+    /// The line within the text.
     pub line: usize,
-    pub col: usize,
+    /// The character within the line.
+    pub column: usize,
 }
 
-/// The place of a word within the text that stands at `at`.
-pub fn place(at: &str, line: usize, col: usize) -> String {
-    format!("{at}:{line}:{col}")
+impl TextPosition {
+    /// Where a text begins.
+    pub const START: TextPosition = TextPosition { line: 1, column: 1 };
+
+    /// The place of this position within the text that stands at `text_place`.
+    pub fn place(self, text_place: &str) -> String {
+        format!("{text_place}:{}:{}", self.line, self.column)
+    }
 }
 
-/// Cuts `text` into words; what can't be read becomes a finding.
-pub fn words(at: &str, text: &str, all: &mut Vec<Diagnostic>) -> Vec<Word> {
-    let mut out = Vec::new();
+/// A token with the position where it begins.
+#[derive(Clone, Debug)]
+pub struct Token {
+    /// What it is.
+    pub kind: TokenKind,
+    /// Where it begins.
+    pub position: TextPosition,
+}
+
+/// Splits the text that stands at `text_place` into tokens; what can't be read
+/// becomes a diagnostic.
+pub fn tokens(text_place: &str, text: &str, diagnostics: &mut Diagnostics) -> Vec<Token> {
+    let mut tokens = Vec::new();
     for (row, line) in text.split('\n').enumerate() {
-        line_words(at, row + 1, line, &mut out, all);
-        out.push(Word { kind: Kind::End, line: row + 1, col: line.chars().count() + 1 });
+        let mut lexer = LineLexer::new(line);
+        while let Some((column, read)) = lexer.next_token() {
+            let position = TextPosition { line: row + 1, column };
+            match read {
+                Ok(kind) => tokens.push(Token { kind, position }),
+                Err(error) => diagnostics.report(position.place(text_place), error),
+            }
+        }
+        let position = TextPosition { line: row + 1, column: line.chars().count() + 1 };
+        tokens.push(Token { kind: TokenKind::End, position });
     }
-    out
+    tokens
 }
 
-fn line_words(at: &str, row: usize, line: &str, out: &mut Vec<Word>, all: &mut Vec<Diagnostic>) {
-    let chars: Vec<char> = line.chars().collect();
-    let mut i = 0;
-    while i < chars.len() {
-        let c = chars[i];
-        let col = i + 1;
-        if c.is_whitespace() {
-            i += 1;
-            continue;
-        }
-        if c == '#' || (c == '/' && chars.get(i + 1) == Some(&'/')) {
-            return;
+/// A cursor over the characters of one line.
+struct LineLexer {
+    characters: Vec<char>,
+    next: usize,
+}
+
+impl LineLexer {
+    fn new(line: &str) -> Self {
+        LineLexer { characters: line.chars().collect(), next: 0 }
+    }
+
+    /// The next token and the column where it begins; none at the end of the
+    /// line and where a comment begins.
+    fn next_token(&mut self) -> Option<(usize, Result<TokenKind, SyntaxError>)> {
+        self.take_while(char::is_whitespace);
+        let first = *self.characters.get(self.next)?;
+        let second = self.characters.get(self.next + 1);
+        if first == '#' || (first == '/' && second == Some(&'/')) {
+            return None;
         }
-        let kind = if c == '"' {
-            let end = chars[i + 1..].iter().position(|c| *c == '"').map(|n| i + 1 + n);
-            let Some(end) = end else {
-                find(all, place(at, row, col), "text without a closing quote");
-                return;
-            };
-            let text = chars[i + 1..end].iter().collect();
-            i = end + 1;
-            Kind::Text(text)
-        } else if c.is_ascii_digit() {
-            let end = run(&chars, i, |c| c.is_ascii_digit());
-            let num: String = chars[i..end].iter().collect();
-            i = end;
-            if chars.get(i) != Some(&'%') {
-                find(all, place(at, row, col), "a number here is a percentage and ends in %");
-                continue;
-            }
-            i += 1;
-            match num.parse() {
-                Ok(n) => Kind::Percent(n),
-                Err(_) => {
-                    find(all, place(at, row, col), "number too large");
-                    continue;
-                }
-            }
-        } else if c.is_alphabetic() || c == '_' {
-            let end = run(&chars, i, |c| c.is_alphanumeric() || matches!(c, '_' | '-' | '.'));
-            let name = chars[i..end].iter().collect();
-            i = end;
-            Kind::Name(name)
-        } else {
-            let two = c == '!' && chars.get(i + 1) == Some(&'=');
-            let sign = match c {
-                _ if two => "!=",
-                '=' => "=",
-                '(' => "(",
-                ')' => ")",
-                ',' => ",",
-                ';' => ";",
-                _ => "",
-            };
-            i += if two { 2 } else { 1 };
-            match sign {
-                "" => {
-                    find(all, place(at, row, col), format!("unexpected character {c:?}"));
-                    continue;
-                }
-                ";" => Kind::End,
-                sign => Kind::Sign(sign),
-            }
+        let column = self.next + 1;
+        let token = match first {
+            '"' => self.text(),
+            _ if first.is_ascii_digit() => self.percent(),
+            _ if first.is_alphabetic() || first == '_' => Ok(self.name()),
+            _ => self.sign(first),
         };
-        out.push(Word { kind, line: row, col });
+        Some((column, token))
     }
-}
 
-fn run(chars: &[char], from: usize, fit: impl Fn(char) -> bool) -> usize {
-    let mut end = from;
-    while end < chars.len() && fit(chars[end]) {
-        end += 1;
+    /// The characters from here on that fit, and goes behind them.
+    fn take_while(&mut self, fits: impl Fn(char) -> bool) -> String {
+        let rest = &self.characters[self.next..];
+        let taken: String = rest.iter().copied().take_while(|c| fits(*c)).collect();
+        self.next += taken.chars().count();
+        taken
+    }
+
+    fn text(&mut self) -> Result<TokenKind, SyntaxError> {
+        self.next += 1;
+        let text = self.take_while(|c| c != '"');
+        if self.next == self.characters.len() {
+            return Err(SyntaxError::UnclosedText);
+        }
+        self.next += 1;
+        Ok(TokenKind::Text(text))
+    }
+
+    fn percent(&mut self) -> Result<TokenKind, SyntaxError> {
+        let digits = self.take_while(|c| c.is_ascii_digit());
+        if self.characters.get(self.next) != Some(&'%') {
+            return Err(SyntaxError::NumberWithoutPercent);
+        }
+        self.next += 1;
+        digits.parse().map(TokenKind::Percent).map_err(|_| SyntaxError::NumberTooLarge)
+    }
+
+    fn name(&mut self) -> TokenKind {
+        TokenKind::Name(self.take_while(|c| c.is_alphanumeric() || matches!(c, '_' | '-' | '.')))
+    }
+
+    fn sign(&mut self, first: char) -> Result<TokenKind, SyntaxError> {
+        self.next += 1;
+        let sign = match first {
+            '!' if self.characters.get(self.next) == Some(&'=') => {
+                self.next += 1;
+                "!="
+            }
+            '=' => "=",
+            '(' => "(",
+            ')' => ")",
+            ',' => ",",
+            ';' => return Ok(TokenKind::End),
+            other => return Err(SyntaxError::UnexpectedCharacter(other)),
+        };
+        Ok(TokenKind::Sign(sign))
     }
-    end
 }
--- a/crates/core/src/routing_language/mod.rs
+++ b/crates/core/src/routing_language/mod.rs
@@ -15,3 +15,4 @@
 pub mod lexer;
 pub mod parser;
 pub mod selector;
+pub mod syntax_error;
--- a/crates/core/src/routing_language/parser.rs
+++ b/crates/core/src/routing_language/parser.rs
@@ -1,225 +1,266 @@
-//! Words to stages. Reads on after a mistake, so that all are reported.
+//! Parses tokens into stages and selectors. Reads on after a mistake, so that
+//! all are reported.
 
-use crate::diagnostic::{Diagnostic, find};
-use crate::routing_language::lexer::{Kind, Word, place, words};
-use crate::routing_language::selector::Selector;
+use super::lexer::{TextPosition, Token, TokenKind, tokens};
+use super::selector::Selector;
+use super::syntax_error::SyntaxError;
+use crate::diagnostic::{Diagnostic, Diagnostics};
 
-/// One stage with the place of its first word.
+/// One stage with the position of its first token.
 #[derive(Clone, Debug)]
 pub struct Stage {
+    /// What it says.
     pub verb: Verb,
-    pub line: usize,
-    pub col: usize,
+    /// Where it begins.
+    pub position: TextPosition,
 }
 
 /// What a stage says.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Verb {
-    From { sel: Selector, by: String },
+    /// `from SELECTOR by LABEL`: which pools, and the label that names their shards.
+    From {
+        /// Chooses the pools.
+        selector: Selector,
+        /// The label whose values are the shards' names.
+        shard_label: String,
+    },
+    /// `send wide`: to every shard.
     SendWide,
+    /// `send one by key`: to the shard of the caller's key.
     SendOne,
+    /// `send one by weight`: to a shard drawn by weight.
     SendWeighed,
+    /// `wait N%`: share of the time left before a retry.
     Wait(u64),
+    /// `stop at quorum after N%`: share of the promise after which a quorum is enough.
     Stop(u64),
-    Prefer { local: bool },
+    /// `prefer local` or `prefer any`.
+    Prefer {
+        /// Leafs of the querier's own zone come first.
+        local: bool,
+    },
 }
 
-/// A cursor over the words of one text.
-struct Reader<'a> {
-    at: &'a str,
-    words: Vec<Word>,
-    pos: usize,
-}
-
-/// Reads a whole plan.
-pub fn stages(at: &str, text: &str, all: &mut Vec<Diagnostic>) -> Vec<Stage> {
-    let mut r = Reader { at, words: words(at, text, all), pos: 0 };
-    let mut out = Vec::new();
-    while r.pos < r.words.len() {
-        let Word { kind, line, col } = r.words[r.pos].clone();
-        if kind == Kind::End {
-            r.pos += 1;
+/// Parses a whole plan, the text that stands at `text_place`.
+pub fn stages(text_place: &str, text: &str, diagnostics: &mut Diagnostics) -> Vec<Stage> {
+    let mut parser = Parser::new(text_place, text, diagnostics);
+    let mut stages = Vec::new();
+    while let Some(Token { kind, position }) = parser.tokens.get(parser.next).cloned() {
+        if kind == TokenKind::End {
+            parser.next += 1;
             continue;
         }
-        match stage(&mut r) {
-            Ok(verb) => out.push(Stage { verb, line, col }),
-            Err(f) => {
-                all.push(f);
-                while r.pos < r.words.len() && r.words[r.pos].kind != Kind::End {
-                    r.pos += 1;
-                }
+        match parser.stage() {
+            Ok(verb) => stages.push(Stage { verb, position }),
+            Err(diagnostic) => {
+                diagnostics.push(diagnostic);
+                parser.skip_stage();
             }
         }
     }
-    out
+    stages
 }
 
-/// Reads a selector that stands alone; an empty text chooses all.
-pub fn selector(at: &str, text: &str, all: &mut Vec<Diagnostic>) -> Option<Selector> {
-    if text.trim().is_empty() {
-        return Some(Selector::All);
-    }
-    let before = all.len();
-    let mut r = Reader { at, words: words(at, text, all), pos: 0 };
-    let sel = expr(&mut r);
-    while matches!(r.words.get(r.pos), Some(w) if w.kind == Kind::End) {
-        r.pos += 1;
-    }
-    match sel {
-        Err(f) => all.push(f),
-        Ok(_) if r.pos < r.words.len() => all.push(wrong(&r, "the end of the selector")),
-        Ok(sel) if all.len() == before => return Some(sel),
-        Ok(_) => {}
+impl Selector {
+    /// Parses a selector that stands alone; an empty text chooses all.
+    pub fn parse(text_place: &str, text: &str, diagnostics: &mut Diagnostics) -> Option<Selector> {
+        if text.trim().is_empty() {
+            return Some(Selector::All);
+        }
+        let before = diagnostics.len();
+        let mut parser = Parser::new(text_place, text, diagnostics);
+        let selector = parser.selector();
+        while parser.kind() == Some(&TokenKind::End) {
+            parser.next += 1;
+        }
+        match selector {
+            Err(diagnostic) => diagnostics.push(diagnostic),
+            Ok(_) if parser.next < parser.tokens.len() => {
+                diagnostics.push(parser.unexpected("the end of the selector"));
+            }
+            Ok(selector) if diagnostics.len() == before => return Some(selector),
+            Ok(_) => {}
+        }
+        None
     }
-    None
 }
 
-fn wrong(r: &Reader, want: &str) -> Diagnostic {
-    let (got, line, col) = match r.words.get(r.pos) {
-        Some(w) => (show(&w.kind), w.line, w.col),
-        None => ("the end".into(), r.words.last().map_or(1, |w| w.line), 1),
-    };
-    let mut one = Vec::new();
-    find(&mut one, place(r.at, line, col), format!("expected {want}, found {got}"));
-    one.remove(0)
+/// A cursor over the tokens of one text.
+struct Parser<'a> {
+    text_place: &'a str,
+    tokens: Vec<Token>,
+    next: usize,
 }
 
-fn show(kind: &Kind) -> String {
-    match kind {
-        Kind::Name(n) => format!("`{n}`"),
-        Kind::Text(t) => format!("\"{t}\""),
-        Kind::Percent(n) => format!("{n}%"),
-        Kind::Sign(s) => format!("`{s}`"),
-        Kind::End => "the end of the stage".into(),
+impl<'a> Parser<'a> {
+    fn new(text_place: &'a str, text: &str, diagnostics: &mut Diagnostics) -> Self {
+        Parser { text_place, tokens: tokens(text_place, text, diagnostics), next: 0 }
     }
-}
 
-fn name(r: &mut Reader, want: &str) -> Result<String, Diagnostic> {
-    match r.words.get(r.pos).map(|w| w.kind.clone()) {
-        Some(Kind::Name(n)) => {
-            r.pos += 1;
-            Ok(n)
-        }
-        _ => Err(wrong(r, want)),
+    /// What the next token is; none at the end of the text.
+    fn kind(&self) -> Option<&TokenKind> {
+        self.tokens.get(self.next).map(|token| &token.kind)
     }
-}
 
-fn text(r: &mut Reader) -> Result<String, Diagnostic> {
-    match r.words.get(r.pos).map(|w| w.kind.clone()) {
-        Some(Kind::Text(t)) => {
-            r.pos += 1;
-            Ok(t)
+    /// Goes to the end of a stage that can't be read.
+    fn skip_stage(&mut self) {
+        while self.kind().is_some_and(|kind| *kind != TokenKind::End) {
+            self.next += 1;
         }
-        _ => Err(wrong(r, "a text in quotes")),
     }
-}
 
-fn word(r: &mut Reader, want: &str) -> Result<(), Diagnostic> {
-    if take(r, want) { Ok(()) } else { Err(wrong(r, &format!("`{want}`"))) }
-}
+    /// The next token is not what the grammar has here.
+    fn unexpected(&self, expected: &str) -> Diagnostic {
+        let last_line = || self.tokens.last().map_or(1, |token| token.position.line);
+        let position = match self.tokens.get(self.next) {
+            Some(token) => token.position,
+            None => TextPosition { line: last_line(), column: 1 },
+        };
+        let (expected, found) = (expected.to_string(), self.kind().cloned());
+        let error = SyntaxError::UnexpectedToken { expected, found };
+        Diagnostic::new(position.place(self.text_place), error)
+    }
 
-/// Takes the word if it is next.
-fn take(r: &mut Reader, want: &str) -> bool {
-    let hit = match r.words.get(r.pos).map(|w| &w.kind) {
-        Some(Kind::Name(n)) => n == want,
-        Some(Kind::Sign(s)) => *s == want,
-        _ => false,
-    };
-    r.pos += usize::from(hit);
-    hit
-}
+    fn name(&mut self, expected: &str) -> Result<String, Diagnostic> {
+        let Some(TokenKind::Name(name)) = self.kind().cloned() else {
+            return Err(self.unexpected(expected));
+        };
+        self.next += 1;
+        Ok(name)
+    }
 
-fn percent(r: &mut Reader) -> Result<u64, Diagnostic> {
-    match r.words.get(r.pos).map(|w| w.kind.clone()) {
-        Some(Kind::Percent(n)) if (1..=100).contains(&n) => {
-            r.pos += 1;
-            Ok(n)
-        }
-        _ => Err(wrong(r, "a percentage from 1% to 100%")),
+    fn text(&mut self) -> Result<String, Diagnostic> {
+        let Some(TokenKind::Text(text)) = self.kind().cloned() else {
+            return Err(self.unexpected("a text in quotes"));
+        };
+        self.next += 1;
+        Ok(text)
     }
-}
 
-fn stage(r: &mut Reader) -> Result<Verb, Diagnostic> {
-    let verb = match name(r, "a stage")?.as_str() {
-        "from" => {
-            let sel = expr(r)?;
-            word(r, "by")?;
-            Verb::From { sel, by: name(r, "a label's name")? }
-        }
-        "send" if take(r, "wide") => Verb::SendWide,
-        "send" => {
-            if !take(r, "one") {
-                return Err(wrong(r, "`wide` or `one by key`"));
-            }
-            word(r, "by")?;
-            if take(r, "weight") {
-                Verb::SendWeighed
-            } else {
-                word(r, "key")?;
-                Verb::SendOne
+    fn percent(&mut self) -> Result<u64, Diagnostic> {
+        match self.kind() {
+            Some(&TokenKind::Percent(number)) if (1..=100).contains(&number) => {
+                self.next += 1;
+                Ok(number)
             }
+            _ => Err(self.unexpected("a percentage from 1% to 100%")),
         }
-        "wait" => Verb::Wait(percent(r)?),
-        "stop" => {
-            word(r, "at")?;
-            word(r, "quorum")?;
-            word(r, "after")?;
-            Verb::Stop(percent(r)?)
-        }
-        "prefer" if take(r, "local") => Verb::Prefer { local: true },
-        "prefer" if take(r, "any") => Verb::Prefer { local: false },
-        "prefer" => return Err(wrong(r, "`local` or `any`")),
-        _ => {
-            r.pos -= 1;
-            return Err(wrong(r, "one of `from`, `send`, `wait`, `stop`, `prefer`"));
-        }
-    };
-    match r.words.get(r.pos).map(|w| &w.kind) {
-        None | Some(Kind::End) => Ok(verb),
-        _ => Err(wrong(r, "the end of the stage")),
     }
-}
 
-fn expr(r: &mut Reader) -> Result<Selector, Diagnostic> {
-    let mut subs = vec![both(r)?];
-    while take(r, "or") {
-        subs.push(both(r)?);
+    /// Takes the word or sign, which must be next.
+    fn expect(&mut self, word: &str) -> Result<(), Diagnostic> {
+        if self.take(word) { Ok(()) } else { Err(self.unexpected(&format!("`{word}`"))) }
     }
-    Ok(if subs.len() == 1 { subs.remove(0) } else { Selector::Or(subs) })
-}
 
-fn both(r: &mut Reader) -> Result<Selector, Diagnostic> {
-    let mut subs = vec![term(r)?];
-    while take(r, "and") {
-        subs.push(term(r)?);
+    /// Takes the word or sign if it is next.
+    fn take(&mut self, word: &str) -> bool {
+        let is_next = match self.kind() {
+            Some(TokenKind::Name(name)) => name == word,
+            Some(TokenKind::Sign(sign)) => *sign == word,
+            _ => false,
+        };
+        self.next += usize::from(is_next);
+        is_next
     }
-    Ok(if subs.len() == 1 { subs.remove(0) } else { Selector::And(subs) })
-}
 
-fn term(r: &mut Reader) -> Result<Selector, Diagnostic> {
-    if take(r, "not") {
-        return Ok(Selector::Not(Box::new(term(r)?)));
+    fn stage(&mut self) -> Result<Verb, Diagnostic> {
+        let verb = match self.name("a stage")?.as_str() {
+            "from" => self.parse_from()?,
+            "send" => self.parse_send()?,
+            "wait" => Verb::Wait(self.percent()?),
+            "stop" => self.parse_stop()?,
+            "prefer" if self.take("local") => Verb::Prefer { local: true },
+            "prefer" if self.take("any") => Verb::Prefer { local: false },
+            "prefer" => return Err(self.unexpected("`local` or `any`")),
+            _ => {
+                self.next -= 1;
+                return Err(self.unexpected("one of `from`, `send`, `wait`, `stop`, `prefer`"));
+            }
+        };
+        match self.kind() {
+            None | Some(TokenKind::End) => Ok(verb),
+            _ => Err(self.unexpected("the end of the stage")),
+        }
     }
-    if take(r, "(") {
-        let sub = expr(r)?;
-        word(r, ")")?;
-        return Ok(sub);
+
+    fn parse_from(&mut self) -> Result<Verb, Diagnostic> {
+        let selector = self.selector()?;
+        self.expect("by")?;
+        Ok(Verb::From { selector, shard_label: self.name("a label's name")? })
     }
-    let key = name(r, "a label's name, `not` or `(`")?;
-    if take(r, "=") {
-        return Ok(Selector::Is(key, text(r)?));
+
+    fn parse_send(&mut self) -> Result<Verb, Diagnostic> {
+        if self.take("wide") {
+            return Ok(Verb::SendWide);
+        }
+        if !self.take("one") {
+            return Err(self.unexpected("`wide` or `one by key`"));
+        }
+        self.expect("by")?;
+        if self.take("weight") {
+            return Ok(Verb::SendWeighed);
+        }
+        self.expect("key")?;
+        Ok(Verb::SendOne)
+    }
+
+    fn parse_stop(&mut self) -> Result<Verb, Diagnostic> {
+        self.expect("at")?;
+        self.expect("quorum")?;
+        self.expect("after")?;
+        Ok(Verb::Stop(self.percent()?))
+    }
+
+    /// A selector: one or more conjunctions joined by `or`.
+    fn selector(&mut self) -> Result<Selector, Diagnostic> {
+        let mut parts = vec![self.conjunction()?];
+        while self.take("or") {
+            parts.push(self.conjunction()?);
+        }
+        Ok(if parts.len() == 1 { parts.remove(0) } else { Selector::Or(parts) })
     }
-    if take(r, "!=") {
-        return Ok(Selector::Not(Box::new(Selector::Is(key, text(r)?))));
+
+    /// One or more terms joined by `and`.
+    fn conjunction(&mut self) -> Result<Selector, Diagnostic> {
+        let mut parts = vec![self.term()?];
+        while self.take("and") {
+            parts.push(self.term()?);
+        }
+        Ok(if parts.len() == 1 { parts.remove(0) } else { Selector::And(parts) })
     }
-    if !take(r, "in") {
-        return Err(wrong(r, "`=`, `!=` or `in`"));
+
+    /// A comparison of one label, a selector in brackets, or `not` before either.
+    fn term(&mut self) -> Result<Selector, Diagnostic> {
+        if self.take("not") {
+            return Ok(Selector::Not(Box::new(self.term()?)));
+        }
+        if self.take("(") {
+            let inner = self.selector()?;
+            self.expect(")")?;
+            return Ok(inner);
+        }
+        let label = self.name("a label's name, `not` or `(`")?;
+        if self.take("=") {
+            return Ok(Selector::Is(label, self.text()?));
+        }
+        if self.take("!=") {
+            return Ok(Selector::Not(Box::new(Selector::Is(label, self.text()?))));
+        }
+        if !self.take("in") {
+            return Err(self.unexpected("`=`, `!=` or `in`"));
+        }
+        Ok(Selector::In(label, self.text_list()?))
     }
-    word(r, "(")?;
-    let mut vals = vec![text(r)?];
-    while take(r, ",") {
-        vals.push(text(r)?);
+
+    /// Texts in brackets, separated by commas.
+    fn text_list(&mut self) -> Result<Vec<String>, Diagnostic> {
+        self.expect("(")?;
+        let mut texts = vec![self.text()?];
+        while self.take(",") {
+            texts.push(self.text()?);
+        }
+        self.expect(")")?;
+        Ok(texts)
     }
-    word(r, ")")?;
-    Ok(Selector::In(key, vals))
 }
--- a/crates/core/src/routing_language/selector.rs
+++ b/crates/core/src/routing_language/selector.rs
@@ -1,4 +1,4 @@
-//! Selectors over labels: their compiled form and how it is matched.
+//! Selectors over labels: their compiled form and how they match.
 
 use std::collections::BTreeMap;
 
@@ -9,22 +9,32 @@
 /// fails `=` and `in`, and passes `!=`.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Selector {
+    /// Chooses everything.
     All,
+    /// The label has this value.
     Is(String, String),
+    /// The inner selector does not match.
     Not(Box<Selector>),
+    /// The label has one of these values.
     In(String, Vec<String>),
+    /// All of these match.
     And(Vec<Selector>),
+    /// At least one of these matches.
     Or(Vec<Selector>),
 }
 
-/// Whether `labels` are chosen.
-pub fn fits(sel: &Selector, labels: &Labels) -> bool {
-    match sel {
-        Selector::All => true,
-        Selector::Is(key, val) => labels.get(key) == Some(val),
-        Selector::Not(sub) => !fits(sub, labels),
-        Selector::In(key, vals) => labels.get(key).is_some_and(|v| vals.contains(v)),
-        Selector::And(subs) => subs.iter().all(|s| fits(s, labels)),
-        Selector::Or(subs) => subs.iter().any(|s| fits(s, labels)),
+impl Selector {
+    /// Whether something with these labels is chosen.
+    pub fn matches(&self, labels: &Labels) -> bool {
+        match self {
+            Selector::All => true,
+            Selector::Is(label, value) => labels.get(label) == Some(value),
+            Selector::Not(inner) => !inner.matches(labels),
+            Selector::In(label, values) => {
+                labels.get(label).is_some_and(|value| values.contains(value))
+            }
+            Selector::And(parts) => parts.iter().all(|part| part.matches(labels)),
+            Selector::Or(parts) => parts.iter().any(|part| part.matches(labels)),
+        }
     }
 }
--- a/crates/core/src/snapshot/cluster_view.rs
+++ b/crates/core/src/snapshot/cluster_view.rs
@@ -4,9 +4,8 @@
 
 use indexmap::IndexMap;
 
-use crate::config::build::{Built, CUT, PoolPlan, Route};
-use crate::routing_language::selector::fits;
-use crate::snapshot::leafs::{LeafInfo, zone};
+use crate::config::route::{Built, CUT, PoolPlan, Route};
+use crate::snapshot::leafs::LeafInfo;
 
 /// Everything a query needs to know.
 ///
@@ -14,56 +13,71 @@
 /// later view of the same process has a lower revision.
 #[derive(Clone, Default)]
 pub struct ClusterView {
+    /// Revision of the configuration that `built` was made from.
     pub revision: u64,
+    /// The checked configuration.
     pub built: Arc<Built>,
-    /// Mappings by name, each pinned by the queries that use it.
+    /// Routes by name, each pinned by the queries that use it.
     pub mappings: IndexMap<String, Arc<Route>>,
-    /// Mappings by host, those with the longest path first.
+    /// Routes by host in lower case, those with the longest path first.
     pub hosts: IndexMap<String, Vec<Arc<Route>>>,
+    /// Leafs by service, in the order in which they were listed.
     pub services: IndexMap<String, Vec<Arc<LeafInfo>>>,
+    /// Leafs by identity.
     pub leafs: IndexMap<String, Arc<LeafInfo>>,
 }
 
-/// A view from its sources.
-pub fn view(revision: u64, built: Arc<Built>, leafs: Vec<LeafInfo>) -> ClusterView {
-    let mappings: IndexMap<_, _> =
-        built.mappings.iter().map(|(n, m)| (n.clone(), Arc::new(m.clone()))).collect();
-    let mut hosts: IndexMap<String, Vec<Arc<Route>>> = IndexMap::new();
-    for map in mappings.values().filter(|m| !m.host.is_empty()) {
-        hosts.entry(map.host.to_ascii_lowercase()).or_default().push(map.clone());
-    }
-    for list in hosts.values_mut() {
-        list.sort_by_key(|m| std::cmp::Reverse(m.path.len()));
+impl ClusterView {
+    /// A view of the configuration of `revision` and of these leafs.
+    pub fn new(revision: u64, built: Arc<Built>, leafs: Vec<LeafInfo>) -> Self {
+        let mappings: IndexMap<_, _> = built
+            .mappings
+            .iter()
+            .map(|(name, route)| (name.clone(), Arc::new(route.clone())))
+            .collect();
+        let hosts = routes_by_host(&mappings);
+        let mut view = ClusterView { revision, built, mappings, hosts, ..ClusterView::default() };
+        for leaf in leafs {
+            let leaf = Arc::new(leaf);
+            view.services.entry(leaf.service.clone()).or_default().push(leaf.clone());
+            view.leafs.insert(leaf.leaf.clone(), leaf);
+        }
+        view
     }
-    let mut out = ClusterView { revision, built, mappings, hosts, ..ClusterView::default() };
-    for leaf in leafs {
-        let leaf = Arc::new(leaf);
-        out.services.entry(leaf.service.clone()).or_default().push(leaf.clone());
-        out.leafs.insert(leaf.leaf.clone(), leaf);
+
+    /// The route of a call: of its host's, the one with the longest path that
+    /// begins the call's. The host may name a port.
+    pub fn route_for(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
+        let host = host.to_ascii_lowercase();
+        let bare = host.rsplit_once(':').map_or(host.as_str(), |(name, _)| name);
+        let routes = self.hosts.get(&host).or_else(|| self.hosts.get(bare))?;
+        routes.iter().find(|route| path.starts_with(&route.path))
     }
-    out
-}
 
-/// The mapping of a call: of its host's, the longest path that begins its own.
-pub fn found<'a>(view: &'a ClusterView, host: &str, path: &str) -> Option<&'a Arc<Route>> {
-    let host = host.to_ascii_lowercase();
-    let bare = host.rsplit_once(':').map_or(host.as_str(), |(name, _)| name);
-    let list = view.hosts.get(&host).or_else(|| view.hosts.get(bare))?;
-    list.iter().find(|m| path.starts_with(&m.path))
+    /// The leafs of a pool that may get new work under this view: chosen by the
+    /// pool, of the index version, not leaving, in no drained zone.
+    pub fn open_leafs<'a>(
+        &'a self,
+        pool: &'a PoolPlan,
+        cut: &'a str,
+    ) -> impl Iterator<Item = &'a Arc<LeafInfo>> {
+        let leafs = self.services.get(&pool.service).map_or(&[][..], Vec::as_slice);
+        leafs.iter().filter(move |leaf| {
+            !leaf.leaving
+                && !self.built.drained.contains(leaf.zone())
+                && leaf.labels.get(CUT).is_none_or(|version| version == cut)
+                && pool.sel.matches(&leaf.labels)
+        })
+    }
 }
 
-/// The leafs of a pool that may get new work under this view: chosen by the
-/// pool, of the mapping's cut, not leaving, in no emptied zone.
-pub fn open<'a>(
-    view: &'a ClusterView,
-    pool: &'a PoolPlan,
-    cut: &'a str,
-) -> impl Iterator<Item = &'a Arc<LeafInfo>> {
-    let list = view.services.get(&pool.service).map_or(&[][..], Vec::as_slice);
-    list.iter().filter(move |l| {
-        !l.leaving
-            && !view.built.drained.contains(zone(l))
-            && l.labels.get(CUT).is_none_or(|c| c == cut)
-            && fits(&pool.sel, &l.labels)
-    })
+fn routes_by_host(routes: &IndexMap<String, Arc<Route>>) -> IndexMap<String, Vec<Arc<Route>>> {
+    let mut hosts: IndexMap<String, Vec<Arc<Route>>> = IndexMap::new();
+    for route in routes.values().filter(|route| !route.host.is_empty()) {
+        hosts.entry(route.host.to_ascii_lowercase()).or_default().push(route.clone());
+    }
+    for list in hosts.values_mut() {
+        list.sort_by_key(|route| std::cmp::Reverse(route.path.len()));
+    }
+    hosts
 }
--- a/crates/core/src/snapshot/leafs.rs
+++ b/crates/core/src/snapshot/leafs.rs
@@ -26,7 +26,9 @@
     format!("{LEAF}{leaf}")
 }
 
-/// The zone of a leaf, empty if it has none.
-pub fn zone(info: &LeafInfo) -> &str {
-    info.labels.get("zone").map_or("", String::as_str)
+impl LeafInfo {
+    /// The zone of the leaf, empty if it has none.
+    pub fn zone(&self) -> &str {
+        self.labels.get("zone").map_or("", String::as_str)
+    }
 }
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -2,7 +2,7 @@
 
 use nanoserde::{DeBin, SerBin};
 
-use crate::config::change::Entry;
+use crate::config::stored::Entry;
 use crate::protocol::message::EntryMap;
 
 /// A replica's copy of a part.
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -7,7 +7,7 @@
 
 use cluster::*;
 use googletest::prelude::*;
-use grebepath_core::config::change::config;
+use grebepath_core::config::types::Config;
 use grebepath_core::consts;
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::protocol::message::{Operation, OperationResult, ReplicaCondition};
@@ -144,7 +144,9 @@
 fn read(cluster: &mut Cluster, node: usize) -> u64 {
     let order = ask(cluster, node, "read", Operation::Read);
     match answered(cluster, order) {
-        OperationResult::Configuration { map, .. } => config(&map).unwrap().terms.edition,
+        OperationResult::Configuration { map, .. } => {
+            Config::from_entries(&map).unwrap().terms.edition
+        }
         done => panic!("{done:?}"),
     }
 }
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -6,7 +6,6 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use grebepath_core::command::Command;
-use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::{ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
@@ -297,7 +296,7 @@
 /// The configuration as it is read through a controller.
 pub fn read_back(cluster: &mut Cluster, node: usize) -> Option<Config> {
     match answer(cluster, node, "read", None, Operation::Read) {
-        Some(OperationResult::Configuration { map, .. }) => change::config(&map).ok(),
+        Some(OperationResult::Configuration { map, .. }) => Config::from_entries(&map).ok(),
         _ => None,
     }
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,7 +1,6 @@
 //! A core of one seat with a disk that does at once what it is asked.
 
 use grebepath_core::command::Command;
-use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::{ControllerState, Event, core};
 use grebepath_core::control_plane::step::{WAKE, step};
@@ -82,7 +81,7 @@
 #[allow(dead_code)]
 pub fn standing(o: &mut One) -> Config {
     match operate(o, "read", Operation::Read) {
-        OperationResult::Configuration { map, .. } => change::config(&map).unwrap(),
+        OperationResult::Configuration { map, .. } => Config::from_entries(&map).unwrap(),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -1,7 +1,8 @@
 //! Reading and checking configurations: every finding, each at its place.
 
 use googletest::prelude::*;
-use grebepath_core::config::{build, change, read, show};
+use grebepath_core::config::route::Built;
+use grebepath_core::config::types::Config;
 
 fn good() -> String {
     r#"{
@@ -25,17 +26,17 @@
 
 #[googletest::test]
 fn a_good_configuration_builds_and_survives_its_stored_form() {
-    let conf = read::whole(good().as_bytes()).unwrap();
-    let built = build::build(&conf).unwrap();
+    let conf = Config::from_json(good().as_bytes()).unwrap();
+    let built = Built::build(&conf).unwrap();
     let map = &built.mappings["notices"];
     expect_that!(map.cut, eq("w48"));
     expect_that!(map.shards.len(), eq(2));
     expect_that!(map.wait_pct, eq(30));
     expect_that!(map.quorum, eq(750));
     expect_true!(built.drained.contains("a"));
-    let back = change::config(&change::entries(&conf)).unwrap();
+    let back = Config::from_entries(&conf.to_entries()).unwrap();
     expect_that!(&back, eq(&conf));
-    let committed = read::whole(show::json(&conf).to_string().as_bytes()).unwrap();
+    let committed = Config::from_json(conf.to_json().to_string().as_bytes()).unwrap();
     expect_that!(&committed, eq(&conf));
 }
 
@@ -49,7 +50,7 @@
       ],
       "zones": [{"name": "a b", "state": "half"}]
     }"#;
-    let all = read::whole(text.as_bytes()).unwrap_err();
+    let all = Config::from_json(text.as_bytes()).unwrap_err();
     let places: Vec<_> = all.iter().map(|f| f.place.as_str()).collect();
     for want in [
         "searchs",
@@ -67,9 +68,9 @@
 #[googletest::test]
 fn plans_are_checked_by_line_and_column_and_against_the_pools() {
     let with = |plan: &str| {
-        let mut conf = read::whole(good().as_bytes()).unwrap();
+        let mut conf = Config::from_json(good().as_bytes()).unwrap();
         conf.searches.get_mut("notices").unwrap().plan = plan.to_string();
-        build::build(&conf)
+        Built::build(&conf)
             .map(|_| ())
             .unwrap_err()
             .iter()
--- a/crates/core/tests/desk.rs
+++ b/crates/core/tests/desk.rs
@@ -3,14 +3,15 @@
 use std::sync::Arc;
 
 use googletest::prelude::*;
-use grebepath_core::config::{build, read};
+use grebepath_core::config::route::Built;
+use grebepath_core::config::types::Config;
 use grebepath_core::http_api::leaf::{Heads, Raw, Trouble, postmark};
 use grebepath_core::query::dispatch::{next, step};
 use grebepath_core::query::engine::{Command, Door, Event, QueryEngine, Sending, desk};
 use grebepath_core::query::quota::share;
 use grebepath_core::query::request::{Ask, Outcome, Reason};
 use grebepath_core::routing_language::selector::Labels;
-use grebepath_core::snapshot::cluster_view::{ClusterView, view};
+use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
 use serde_json::json;
@@ -43,8 +44,8 @@
         "searches": [{ "name": "s", "promise_ms": 1000, "quorum": 0.5, "attempts": 2,
             "plan": format!("from cut = \"{cut}\" by shard\nsend wide\nwait 20%\nstop at quorum after 50%") }],
         "zones": [{ "name": drained, "state": "drained" }] });
-    let conf = read::whole(conf.to_string().as_bytes()).unwrap();
-    view(7, Arc::new(build::build(&conf).unwrap()), leafs)
+    let conf = Config::from_json(conf.to_string().as_bytes()).unwrap();
+    ClusterView::new(7, Arc::new(Built::build(&conf).unwrap()), leafs)
 }
 
 fn open(v: ClusterView) -> QueryEngine {
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -20,7 +20,7 @@
 
 use cluster::{Cluster, answer, cluster as started_cluster, give, kill, leader, pass, pass_until};
 use googletest::prelude::*;
-use grebepath_core::config::change::config;
+use grebepath_core::config::types::{Config, Zone};
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::control_plane::endpoints;
 use grebepath_core::control_plane::order_memory::{Recall, fingerprint, horizon, recall};
@@ -35,7 +35,6 @@
 use grebepath_core::storage::writer::{LOG_HEAD, log_head, rec, slot};
 use grebepath_core::time::{SECOND, ms};
 use nanoserde::DeBin;
-
 use stored::{AcceptedOrder, NEWER_SEQUENCE, OLDER_SEQUENCE, StoredPartition};
 
 const MESSAGES: &[u8] = include_bytes!("fixtures/formats/messages.bodies");
@@ -149,12 +148,12 @@
     let mut expected = stored::configuration();
     expected.terms = stored::terms(44);
     expected.zones.clear();
-    let west = grebepath_core::config::types::Zone { name: "west".into(), drained: true };
+    let west = Zone { name: "west".into(), drained: true };
     expected.zones.insert("west".into(), west);
-    expect_that!(config(&newest(&configuration, 0).map), ok(eq(&expected)));
+    expect_that!(Config::from_entries(&newest(&configuration, 0).map), ok(eq(&expected)));
     let mut expected = stored::configuration();
     expected.terms = stored::terms(78);
-    expect_that!(config(&newest(&older_orders, 0).map), ok(eq(&expected)));
+    expect_that!(Config::from_entries(&newest(&older_orders, 0).map), ok(eq(&expected)));
     let leafs = endpoints::all(&newest(&services, 3).map);
     expect_that!(leafs.into_values().collect::<Vec<_>>(), eq(&stored::leafs()));
 }
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -2,7 +2,6 @@
 
 use std::collections::BTreeMap;
 
-use grebepath_core::config::change::entries;
 use grebepath_core::config::types::{Class, Config, Form, Pool, Search, Steer, Terms, Turn, Zone};
 use grebepath_core::control_plane::order_memory::{Fingerprint, Horizon, fingerprint, remember};
 use grebepath_core::digest::digest;
@@ -175,7 +174,7 @@
 /// memory of orders in its newer form.
 pub fn configuration_partition() -> StoredPartition {
     let [first, second, third, fourth] = orders();
-    let mut map = entries(&configuration());
+    let mut map = configuration().to_entries();
     map.extend([forgotten_entry(FORGOTTEN_NAME, FORGOTTEN_INCARNATION, FORGOTTEN_REVISION)]);
     accept(&mut map, &first);
     accept(&mut map, &second);
@@ -232,7 +231,7 @@
 
 /// The configuration's partition with the memory of orders in its older form.
 pub fn legacy_configuration_partition() -> StoredPartition {
-    let mut map = entries(&configuration());
+    let mut map = configuration().to_entries();
     set_edition(&mut map, LEGACY_EDITION);
     let older = copy(FIRST_LEGACY_REVISION - 1, &map);
     let last = FIRST_LEGACY_REVISION + LEGACY_ORDERS_KEPT - 1;
--- a/crates/core/tests/format_fixtures/values.rs
+++ b/crates/core/tests/format_fixtures/values.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeMap;
 
-use grebepath_core::config::change::Entry;
+use grebepath_core::config::stored::Entry;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::protocol::message::{
     EntryMap, FeedPosition, HandedOverReplica, Member, MemberProgress, Membership, MembershipId,
--- a/crates/core/tests/hand.rs
+++ b/crates/core/tests/hand.rs
@@ -4,7 +4,8 @@
 use std::sync::Arc;
 
 use googletest::prelude::*;
-use grebepath_core::config::{build, read};
+use grebepath_core::config::route::Built;
+use grebepath_core::config::types::Config;
 use grebepath_core::consts;
 use grebepath_core::http_api::leaf::{Heads, Raw, Trouble};
 use grebepath_core::query::dispatch::{next, step};
@@ -14,7 +15,7 @@
 use grebepath_core::query::request::{Outcome, Reason, Rejection};
 use grebepath_core::query::service_retry_budget;
 use grebepath_core::random::Random;
-use grebepath_core::snapshot::cluster_view::{ClusterView, view};
+use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
 use serde_json::{Value, json};
@@ -46,7 +47,7 @@
         .collect();
     let conf = json!({ "pools": pools, "searches": w.searches,
         "zones": [{ "name": w.drained, "state": "drained" }] });
-    let conf = read::whole(conf.to_string().as_bytes()).unwrap();
+    let conf = Config::from_json(conf.to_string().as_bytes()).unwrap();
     let mut leafs = Vec::new();
     for (s, n) in &w.services {
         for i in 0..*n {
@@ -63,7 +64,7 @@
             });
         }
     }
-    view(7, Arc::new(build::build(&conf).unwrap()), leafs)
+    ClusterView::new(7, Arc::new(Built::build(&conf).unwrap()), leafs)
 }
 
 /// A desk with a saved quota of second tries for every service.
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -1,7 +1,7 @@
 //! The memory of accepted orders, against a plain list of what was accepted.
 
 use googletest::prelude::*;
-use grebepath_core::config::change::{Entry, edition};
+use grebepath_core::config::stored::{Entry, edition};
 use grebepath_core::config::types::Terms;
 use grebepath_core::control_plane::order_memory::{
     Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, is_memory, may_be_forgotten,
--- a/crates/core/tests/order_schedules.rs
+++ b/crates/core/tests/order_schedules.rs
@@ -12,7 +12,7 @@
 use cluster::*;
 use edition_register::{Asked, Told, check};
 use googletest::prelude::*;
-use grebepath_core::config::change;
+use grebepath_core::config::types::Config;
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::random::Random;
 use grebepath_core::replication::partition::Role;
@@ -51,7 +51,7 @@
 
 /// The orders that a configuration holds, and its edition.
 fn edition(map: &grebepath_core::protocol::message::EntryMap) -> (BTreeSet<String>, u64) {
-    let conf = change::config(map).unwrap();
+    let conf = Config::from_entries(map).unwrap();
     (conf.zones.keys().cloned().collect(), conf.terms.edition)
 }
 
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -254,7 +254,7 @@
     let asked = std::mem::take(&mut r.asked);
     for key in r.file.keys().filter(|k| !asked.contains(&k.as_str())) {
         let text = format!("unknown; known are {}", asked.join(", "));
-        r.all.push(Diagnostic { place: format!("params.{key}"), text });
+        r.all.push(Diagnostic::new(format!("params.{key}"), text));
     }
     std::mem::take(&mut r.all)
 }
--- a/crates/server/src/controller/door.rs
+++ b/crates/server/src/controller/door.rs
@@ -7,7 +7,7 @@
 use axum::http::{HeaderMap, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use axum::routing::get;
-use grebepath_core::config::{change, show};
+use grebepath_core::config::types::Config;
 use grebepath_core::consts;
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator;
@@ -107,8 +107,7 @@
 
 /// Reads the request's heads; a request without an id gets one of its own.
 fn heads(map: &HeaderMap) -> Result<(String, Option<u64>), Diagnostic> {
-    let bad =
-        |place: &str, text: &str| Diagnostic { place: place.to_string(), text: text.to_string() };
+    let bad = |place: &str, text: &str| Diagnostic::new(place, text);
     let text = |name: &str| map.get(name).map(|v| v.to_str().map(str::to_string));
     let request = match text(REQUEST_ID) {
         None => own_id(),
@@ -138,9 +137,9 @@
 
 async fn read(State(owner): State<Owner>) -> Response {
     match operate(&owner, String::new(), None, Operation::Read).await {
-        OperationResult::Configuration { revision, map } => match change::config(&map) {
-            Ok(conf) => answer(200, &json!({ "revision": revision, "config": show::json(&conf) })),
-            Err(e) => answer(500, &json!({ "error": "unreadable", "text": e })),
+        OperationResult::Configuration { revision, map } => match Config::from_entries(&map) {
+            Ok(conf) => answer(200, &json!({ "revision": revision, "config": conf.to_json() })),
+            Err(e) => answer(500, &json!({ "error": "unreadable", "text": e.to_string() })),
         },
         other => outcome(other),
     }
@@ -186,7 +185,7 @@
             Operated::Accepted { revision, copies, again }
         }
         OperationResult::Invalid(list) => {
-            let all = list.into_iter().map(|(place, text)| Diagnostic { place, text }).collect();
+            let all = list.into_iter().map(|(place, text)| Diagnostic::new(place, text)).collect();
             Operated::Wrong(all)
         }
         OperationResult::Conflict { revision } => Operated::Moved { revision },
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -3,12 +3,13 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use grebepath_core::config::{build, change};
+use grebepath_core::config::route::Built;
+use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::control_plane::endpoints;
 use grebepath_core::protocol::message::ReplicaCondition;
 use grebepath_core::replication::partition::{Partition, Role};
-use grebepath_core::snapshot::cluster_view::{open, view};
+use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::time::{MILLI, Tick, since};
 use grebepath_core::voter_set::{NOBODY, SlotHolder};
 use serde_json::{Value, json};
@@ -66,24 +67,24 @@
 /// a zone may hold the last ones of a shard when it is emptied.
 fn uncovered(core: &ControllerState) -> Vec<Value> {
     let config = &core.partitions[0];
-    let Ok(conf) = change::config(&config.committed) else { return Vec::new() };
-    let Ok(built) = build::build(&conf) else { return Vec::new() };
+    let Ok(conf) = Config::from_entries(&config.committed) else { return Vec::new() };
+    let Ok(built) = Built::build(&conf) else { return Vec::new() };
     let list = core.partitions[1..]
         .iter()
         .flat_map(|p| endpoints::all(&p.committed).into_values())
         .collect();
-    let view = view(config.committed_revision, Arc::new(built), list);
+    let view = ClusterView::new(config.committed_revision, Arc::new(built), list);
     let mut out = Vec::new();
     for map in view.mappings.values() {
         let bare: Vec<&str> = map
             .shards
             .iter()
-            .filter(|s| s.pools.iter().all(|p| open(&view, p, &map.cut).next().is_none()))
+            .filter(|s| s.pools.iter().all(|p| view.open_leafs(p, &map.cut).next().is_none()))
             .map(|s| s.name.as_str())
             .collect();
         if !bare.is_empty() {
             let have = map.shards.len() - bare.len();
-            let serves = have >= build::needed(map.quorum, map.shards.len());
+            let serves = have >= map.required_shards(map.shards.len());
             out.push(json!({ "search": map.name, "shards": bare, "serves": serves }));
         }
     }
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -1,6 +1,6 @@
 //! What is printed, for people or as JSON.
 
-use grebepath_core::config::build::{Route, needed};
+use grebepath_core::config::route::Route;
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::findings;
 use grebepath_core::query::dispatch::shard_of;
@@ -41,12 +41,12 @@
         })
         .collect();
     json!({
-        "search": m.name, "class": grebepath_core::config::show::class_word(m.class as i32),
+        "search": m.name, "class": m.class.word(),
         "cut": m.cut, "send": if m.send == Send::Wide { "wide" } else { "one by key" },
         "promise_ms": m.promise / MILLI, "attempts": m.attempts,
         "wait_pct": m.wait_pct, "stop_pct": m.stop_pct,
         "prefer": if m.local { "local" } else { "any" },
-        "planned": planned.len(), "needed": needed(m.quorum, planned.len()), "shards": shards,
+        "planned": planned.len(), "needed": m.required_shards(planned.len()), "shards": shards,
     })
 }
 
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use grebepath_core::config::route::Built;
 use grebepath_core::config::types::Config;
-use grebepath_core::config::{build, change, read, show as conf_show};
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::{CONFIG, STATUS};
 use grebepath_runtime::http::Http;
@@ -50,8 +50,8 @@
     got.map_err(|e| End(format!("{file}: {e}"), EXIT_USAGE))
 }
 
-fn checked(args: &Args, raw: &[u8]) -> Result<(Config, build::Built), End> {
-    let got = read::whole(raw).and_then(|c| build::build(&c).map(|b| (c, b)));
+fn checked(args: &Args, raw: &[u8]) -> Result<(Config, Built), End> {
+    let got = Config::from_json(raw).and_then(|c| Built::build(&c).map(|b| (c, b)));
     got.map_err(|all| {
         show::wrong(&all, args.json);
         End(String::new(), EXIT_WRONG)
@@ -75,7 +75,7 @@
         Verb::Undrain { zone } => send(args, http, Method::PATCH, zone_patch(zone, "open")).await,
         Verb::Get => {
             let (revision, conf) = get(args, http).await?;
-            let val = conf_show::json(&conf);
+            let val = conf.to_json();
             if args.json {
                 println!("{}", json!({ "revision": revision, "config": val }));
             } else {
@@ -120,7 +120,7 @@
                 Some(file) => checked(args, &load(file)?)?.1,
                 None => {
                     let (_, conf) = get(args, http).await?;
-                    build::build(&conf)
+                    Built::build(&conf)
                         .map_err(|_| trouble("the configuration in force does not build here"))?
                 }
             };
@@ -149,7 +149,7 @@
     if code != 200 {
         return Err(trouble(format!("status {code}: {body}")));
     }
-    let conf = read::whole(body["config"].to_string().as_bytes())
+    let conf = Config::from_json(body["config"].to_string().as_bytes())
         .map_err(|_| trouble("the configuration in force can't be read here"))?;
     Ok((body["revision"].as_u64().unwrap_or(0), conf))
 }
@@ -207,7 +207,7 @@
 fn findings(answer: &Value) -> Vec<Diagnostic> {
     let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
     let list = answer["findings"].as_array().cloned().unwrap_or_default();
-    list.iter().map(|f| Diagnostic { place: text(&f["place"]), text: text(&f["text"]) }).collect()
+    list.iter().map(|f| Diagnostic::new(text(&f["place"]), text(&f["text"]))).collect()
 }
 
 /// Waits until every live member obeys a revision.
@@ -247,7 +247,7 @@
 async fn diff(args: &Args, http: &Http, raw: &[u8]) -> Result<i32, End> {
     let (new, _) = checked(args, raw)?;
     let (revision, old) = get(args, http).await?;
-    let (before, list) = (change::entries(&old), change::changes(&old, &new));
+    let (before, list) = (old.to_entries(), old.changes_to(&new));
     let rows: Vec<(&str, &str)> = list
         .iter()
         .map(|(key, val)| {
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -153,7 +153,7 @@
 }
 
 fn load(file: &str, deploy: &str) -> Result<Scenario, Vec<Diagnostic>> {
-    let whole = |text: String| vec![Diagnostic { place: "$".into(), text }];
+    let whole = |text: String| vec![Diagnostic::new("$", text)];
     let text = std::fs::read(file).map_err(|e| whole(e.to_string()))?;
     read(&text, &|name| {
         let path = format!("{deploy}/{name}");
--- a/crates/simulator/src/scale_model/fan.rs
+++ b/crates/simulator/src/scale_model/fan.rs
@@ -4,13 +4,14 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use grebepath_core::config::{build, read};
+use grebepath_core::config::route::Built;
+use grebepath_core::config::types::Config;
 use grebepath_core::http_api::leaf::{Heads, Raw, postmark};
 use grebepath_core::query::dispatch::step;
 use grebepath_core::query::engine::{Command, Event, QueryEngine, Sending, desk};
 use grebepath_core::query::quota::share;
 use grebepath_core::query::request::{Ask, Outcome};
-use grebepath_core::snapshot::cluster_view;
+use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, MILLI, SECOND, Tick};
 use serde_json::json;
@@ -43,9 +44,10 @@
 fn open(shards: usize, of: usize) -> QueryEngine {
     let leafs = shards * plan::LEAFS_A_SHARD;
     let conf = plan::config(leafs).to_string();
-    let conf = read::whole(conf.as_bytes()).and_then(|c| build::build(&c)).unwrap_or_default();
+    let conf =
+        Config::from_json(conf.as_bytes()).and_then(|c| Built::build(&c)).unwrap_or_default();
     let leaf = |n: usize| LeafInfo { age_ms: plan::OLD_MS, ..plan::leaf(n, leafs) };
-    let view = cluster_view::view(1, Arc::new(conf), (0..leafs).map(leaf).collect());
+    let view = ClusterView::new(1, Arc::new(conf), (0..leafs).map(leaf).collect());
     let mut d = desk("front", &plan::name(0), 1, BOOT);
     let members: Vec<(String, u32)> = (0..of).map(|n| (format!("front-{n}"), 1)).collect();
     step(&mut d, BOOT, Event::ClusterView(Arc::new(view)));
--- a/crates/simulator/src/scale_model/phases.rs
+++ b/crates/simulator/src/scale_model/phases.rs
@@ -1,6 +1,7 @@
 //! What is done with a hollow fleet, and what is read off it.
 
 use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::time::{MILLI, SECOND, Span, Tick};
 use serde_json::json;
 
@@ -155,11 +156,7 @@
             .held
             .values()
             .flat_map(|h| grebepath_core::control_plane::endpoints::all(&h.map).into_values());
-        grebepath_core::snapshot::cluster_view::view(
-            w.built_revision,
-            w.built.clone(),
-            list.collect(),
-        )
+        ClusterView::new(w.built_revision, w.built.clone(), list.collect())
     });
     took
 }
--- a/crates/simulator/src/scale_model/weight.rs
+++ b/crates/simulator/src/scale_model/weight.rs
@@ -2,7 +2,7 @@
 //! has no allocator of its own: lengths are exact, what the allocator adds is
 //! taken from the constants below. The process's own memory checks the sum.
 
-use grebepath_core::config::build::Built;
+use grebepath_core::config::route::Built;
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::membership::node_agent::Watch;
 use grebepath_core::protocol::message::{EntryMap, Member, Membership};
@@ -44,10 +44,10 @@
 }
 
 fn built(b: &Built) -> usize {
-    let pool = |p: &grebepath_core::config::build::PoolPlan| {
+    let pool = |p: &grebepath_core::config::route::PoolPlan| {
         std::mem::size_of_val(p) + p.name.len() + p.service.len() + 3 * BLOCK
     };
-    let shard = |s: &grebepath_core::config::build::Shard| {
+    let shard = |s: &grebepath_core::config::route::Shard| {
         text(&s.name) + TEXT + s.pools.iter().map(pool).sum::<usize>()
     };
     b.mappings.values().map(|m| m.shards.iter().map(shard).sum::<usize>()).sum()
@@ -78,7 +78,7 @@
 
 /// A controller's state.
 pub fn core(c: &ControllerState) -> usize {
-    let entries = |list: &Vec<grebepath_core::config::change::Entry>| -> usize {
+    let entries = |list: &Vec<grebepath_core::config::stored::Entry>| -> usize {
         list.iter().map(|(k, v)| text(k) + TEXT + v.as_ref().map_or(0, Vec::len)).sum()
     };
     let parts: usize = c
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -2,7 +2,6 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use grebepath_core::config::{change, types::Config};
 use grebepath_core::consts;
 use grebepath_core::control_plane::controller as st;
 use grebepath_core::control_plane::controller::{ControllerState, Event as CoreEvent};
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -1,5 +1,7 @@
 //! Operators: their orders, how these end, and the checks of the end.
 
+use grebepath_core::config::types::Config;
+
 use super::*;
 
 /// Sends an operator's order after a while.
@@ -66,8 +68,8 @@
                 return;
             };
             let part = &w.seats[*s].core.partitions[0];
-            let Ok(conf) = change::config(&part.committed) else { return };
-            let mut val = grebepath_core::config::show::json(&conf);
+            let Ok(conf) = Config::from_entries(&part.committed) else { return };
+            let mut val = conf.to_json();
             if let Some(zones) = val["zones"].as_array_mut() {
                 zones.push(json!({ "name": format!("mark-{n}"), "state": "open" }));
             }
@@ -153,7 +155,8 @@
 /// The configuration that most seats have committed.
 pub fn committed(w: &World) -> Config {
     let best = seated_up(w).max_by_key(|s| s.core.partitions[0].committed_revision);
-    best.and_then(|s| change::config(&s.core.partitions[0].committed).ok()).unwrap_or_default()
+    best.and_then(|s| Config::from_entries(&s.core.partitions[0].committed).ok())
+        .unwrap_or_default()
 }
 
 /// Ends a run: the checks that only the end allows.
--- a/crates/simulator/tests/hollow.rs
+++ b/crates/simulator/tests/hollow.rs
@@ -1,6 +1,8 @@
 //! The hollow fleet at small sizes: it comes up, replays, and grows as it must.
 
 use googletest::prelude::*;
+use grebepath_core::config::route::Built;
+use grebepath_core::config::types::Config;
 use grebepath_core::time::SECOND;
 use grebepath_simulator::scale_model::phases::{Found, Wish, measure};
 use grebepath_simulator::scale_model::plan;
@@ -63,8 +65,8 @@
     let regions: std::collections::BTreeSet<usize> = (0..plan::ZONES).map(plan::region).collect();
     expect_that!(regions.len(), eq(5));
     let conf = plan::config(5_300).to_string();
-    let conf = grebepath_core::config::read::whole(conf.as_bytes()).unwrap();
-    let built = grebepath_core::config::build::build(&conf).unwrap();
+    let conf = Config::from_json(conf.as_bytes()).unwrap();
+    let built = Built::build(&conf).unwrap();
     expect_that!(built.mappings["wide"].shards.len(), eq(1_300));
     let w = world::world(Size { members: 3, leafs: 30 }, 1);
     let (list, wrong) = grebepath_core::http_api::list::read(w.list.as_bytes()).unwrap();
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -3,7 +3,7 @@
 
 #![allow(dead_code)]
 
-use grebepath_core::config::change;
+use grebepath_core::config::types::Config;
 use grebepath_core::digest::digest;
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::time::{SECOND, ms};
@@ -181,7 +181,7 @@
 }
 
 fn objects(map: &grebepath_core::protocol::message::EntryMap) -> Option<(Objects, u64)> {
-    let config = change::config(map).ok()?;
+    let config = Config::from_entries(map).ok()?;
     let state = |drained| if drained { "drained" } else { "open" }.to_string();
     let zones = config.zones.values().map(|z| (z.name.clone(), state(z.drained))).collect();
     Some((zones, config.terms.edition))
