--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -3,7 +3,7 @@
 use grebepath_core::config::route::Route;
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::findings;
-use grebepath_core::query::dispatch::shard_of;
+use grebepath_core::query::planning::shard_of;
 use grebepath_core::routing_language::compile::Send;
 use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
--- /dev/null
+++ b/crates/simulator/src/world/controllers.rs
@@ -0,0 +1,235 @@
+//! Controllers' machines: starts, ends, connections, and the steps of their state
+//! machines.
+
+use grebepath_core::control_plane::controller::ControllerState;
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::identifiers::{VoterSlot, partitions};
+use grebepath_core::protocol::message::{Message, ReplicaCondition};
+use grebepath_core::random::Random;
+use grebepath_core::storage::reader::Found;
+use grebepath_core::storage::record::ReplicaState;
+use grebepath_core::storage::voter_file;
+use grebepath_core::storage::voter_file::Start;
+use grebepath_core::time::{BOOT, SECOND, Span, ms};
+
+use super::build::address;
+use super::events::{FollowUp, ScheduledEvent};
+use super::faulty_variant::FaultyVariant;
+use super::nodes::{ControllerNode, Stopping, has_voter_slot};
+use super::{BEGIN, World};
+use crate::mock_backends::ZONES;
+use crate::simulated_disk::Disk;
+
+/// From the wish that a controller stops to its end by force.
+const STOP_GRACE: Span = 6 * SECOND;
+
+impl World {
+    /// One more machine for a controller, with an empty disk; gives its number.
+    pub fn add_controller(&mut self, zone: Option<&str>) -> usize {
+        let controller = self.controllers.len();
+        let disk = Disk::new(partitions().count());
+        let state = ControllerState::new(Default::default(), ("", ""), Vec::new(), 0, 1);
+        let zone = zone.unwrap_or(ZONES[controller % ZONES.len()]).to_string();
+        self.controllers.push(ControllerNode {
+            zone,
+            life: 0,
+            up: false,
+            state,
+            began: 0,
+            disk,
+            paused: 0,
+            stopping: None,
+        });
+        self.start_controller(controller);
+        controller
+    }
+
+    /// Starts a controller on its disk.
+    pub fn start_controller(&mut self, controller: usize) {
+        let seed = self.random.next_u64();
+        let start = Start {
+            slot: self
+                .control_plane
+                .slots_assigned
+                .then_some(controller as VoterSlot)
+                .filter(|controller| usize::from(*controller) < self.control_plane.voter_slots),
+            first: self.now == BEGIN,
+            seeds: self.control_plane.seeds.iter().map(|controller| address(*controller)).collect(),
+            size: self.control_plane.voter_slots,
+            addr: address(controller),
+        };
+        let disk = &mut self.controllers[controller].disk;
+        let bare = disk.is_empty();
+        let (roll, clear) = voter_file::begin(disk.read_voter_file(), &start, bare, seed);
+        disk.put_voter_file(&roll, clear);
+        let found = disk.start();
+        let votes_after_loss =
+            self.faulty_variant == Some(FaultyVariant::VotesAfterDiskLoss) && bare && !start.first;
+        let list = found
+            .into_iter()
+            .map(|(part, found)| match found {
+                Found::Empty if votes_after_loss => {
+                    (part, ReplicaCondition::Voting, ReplicaState::default(), 0)
+                }
+                Found::Empty => (part, ReplicaCondition::Empty, ReplicaState::default(), 0),
+                Found::Damaged(why) => {
+                    *self.alarms.entry(format!("damaged: {why}")).or_default() += 1;
+                    (part, ReplicaCondition::Damaged, ReplicaState::default(), 0)
+                }
+                Found::Good { copy, .. } => (part, ReplicaCondition::Voting, copy, 0),
+            })
+            .collect();
+        let node = &mut self.controllers[controller];
+        node.life += 1;
+        node.up = true;
+        node.began = self.now;
+        node.paused = 0;
+        node.stopping = None;
+        node.state = ControllerState::new(roll, (&start.addr, &node.zone), list, seed, BOOT);
+        let life = node.life;
+        self.push(start_delay(seed, 50), ScheduledEvent::ControllerTimer { controller, life });
+        // It dials its seeds and all whom it knows, who tell it the table.
+        for to in self.connected_controllers(controller) {
+            self.announce_connection(
+                to,
+                CoreEvent::ConnectionOpened { connection: controller_connection(controller, life) },
+            );
+        }
+    }
+
+    /// The machines to which a controller has connections.
+    pub(super) fn connected_controllers(&self, controller: usize) -> Vec<usize> {
+        let table = &self.controllers[controller].state.seating.roll.table;
+        let known = table.slots.iter().filter_map(|h| self.machine(&h.addr));
+        let mut list: Vec<usize> = known.chain(self.control_plane.seeds.iter().copied()).collect();
+        list.retain(|to| *to != controller && *to < self.controllers.len());
+        list.sort_unstable();
+        list.dedup();
+        list
+    }
+
+    fn announce_connection(&mut self, to: usize, event: CoreEvent) {
+        let life = self.controllers[to].life;
+        self.push(ms(2), ScheduledEvent::ControllerEvent { controller: to, life, event });
+    }
+
+    /// What a seat hears when seats go by tables of their own.
+    pub(super) fn as_seen_by_faulty_voter(
+        &self,
+        controller: usize,
+        mut event: CoreEvent,
+    ) -> Option<CoreEvent> {
+        let core = &self.controllers[controller].state;
+        if self.faulty_variant != Some(FaultyVariant::IgnoresOtherVoterSets)
+            || !has_voter_slot(&self.controllers[controller])
+        {
+            return Some(event);
+        }
+        match &mut event {
+            CoreEvent::FromVoter { message: Message::VoterSetUpdate { .. }, .. }
+            | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
+            | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
+            CoreEvent::FromVoter { slot: seat, holder, message, .. } => {
+                let table = &core.seating.roll.table;
+                *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
+                if let Some(stamp) = grebepath_core::voters::voter_slots::stamped(message) {
+                    *stamp = core.seating.stamp;
+                }
+            }
+            _ => {}
+        }
+        Some(event)
+    }
+
+    /// What comes on a new connection is preceded by its opening.
+    pub(super) fn open_connection(&mut self, controller: usize, event: &CoreEvent) {
+        let connection = match event {
+            CoreEvent::FromVoter { connection, .. }
+            | CoreEvent::FromConnection { connection, .. }
+            | CoreEvent::ConnectionOpened { connection } => *connection,
+            _ => return,
+        };
+        let new = self.opened_connections.insert((
+            controller,
+            self.controllers[controller].life,
+            connection,
+        ));
+        if new && !matches!(event, CoreEvent::ConnectionOpened { .. }) {
+            self.step_controller(controller, CoreEvent::ConnectionOpened { connection });
+        }
+    }
+
+    /// Ends a controller at once; power may be lost with it.
+    pub fn kill_controller(&mut self, controller: usize, power: bool) {
+        self.controllers[controller].up = false;
+        self.controllers[controller].life += 1;
+        if power {
+            let mut random = Random::new(self.random.next_u64());
+            self.controllers[controller].disk.power_loss(&mut random);
+        } else {
+            // What was handed to the system is written whether we live or not.
+            for (part, token) in self.controllers[controller].disk.pending_jobs() {
+                self.controllers[controller].disk.finish_job(part, token);
+            }
+            for token in self.controllers[controller].disk.pending_voter_files() {
+                self.controllers[controller].disk.finish_voter_file(token);
+            }
+        }
+    }
+
+    /// Asks a controller to stop, as SIGTERM does. It ends when it says so, or by
+    /// force when the platform's patience ends, and starts again after `restart`.
+    pub fn stop_controller(&mut self, controller: usize, restart: Option<Span>) {
+        if !self.controllers[controller].up {
+            return;
+        }
+        self.controllers[controller].stopping = Some(Stopping { restart });
+        if self.faulty_variant == Some(FaultyVariant::StopsBeforeHandover) {
+            return self.end_controller(controller);
+        }
+        let life = self.controllers[controller].life;
+        self.later(STOP_GRACE, FollowUp::ForceStop { controller, life });
+        self.step_controller(controller, CoreEvent::Stop);
+    }
+
+    /// A controller that was asked to stop has ended.
+    pub(super) fn end_controller(&mut self, controller: usize) {
+        let Some(Stopping { restart }) = self.controllers[controller].stopping.take() else {
+            return;
+        };
+        self.kill_controller(controller, false);
+        if let Some(span) = restart {
+            self.later(span, FollowUp::StartController(controller));
+        }
+    }
+
+    pub(super) fn step_controller(&mut self, controller: usize, event: CoreEvent) {
+        let local = self.now - self.controllers[controller].began + BOOT;
+        let todo = self.controllers[controller].state.step(local, event);
+        for command in todo {
+            self.run_controller_command(controller, command);
+        }
+        if self.controllers[controller].stopping.is_some()
+            && grebepath_core::voters::handover::may_end(&self.controllers[controller].state, local)
+        {
+            self.end_controller(controller);
+        }
+    }
+
+    /// An event reaches a controller; what comes on a new connection is preceded by
+    /// its opening.
+    pub(super) fn deliver_to_controller(&mut self, controller: usize, event: CoreEvent) {
+        let Some(event) = self.as_seen_by_faulty_voter(controller, event) else { return };
+        self.open_connection(controller, &event);
+        self.step_controller(controller, event);
+    }
+}
+
+/// The connection that a controller's machine opens to others.
+pub(super) fn controller_connection(controller: usize, life: u64) -> u64 {
+    1 << 63 | (controller as u64) << 32 | life
+}
+
+pub(super) fn start_delay(seed: u64, limit: u64) -> Span {
+    ms(1 + seed % limit)
+}
--- /dev/null
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -0,0 +1,235 @@
+//! Faults that strike at one numbered event of the controllers: a message that
+//! arrives at one, or a write that its disk finishes. `crate::explore` tries them
+//! all.
+
+use grebepath_core::control_plane::controller::Event as CoreEvent;
+use grebepath_core::protocol::message::Message;
+use grebepath_core::time::{Span, Tick, ms};
+
+use super::events::{FollowUp, ScheduledEvent};
+use super::{BEGIN, World};
+
+/// How long a delayed message stays behind: longer than an election, so that a
+/// whole leadership passes in between.
+const DELAY: Span = ms(1_600);
+
+/// How long a paused process stands still: longer than a lease.
+const PAUSE: Span = ms(1_300);
+
+/// How long a machine is down that comes back.
+const DOWN: Span = ms(300);
+
+/// What befalls an event or the controller that it reaches.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub enum Fault {
+    /// The message is lost.
+    Lose,
+    /// The message comes behind all others.
+    Delay,
+    /// The message comes twice.
+    Repeat,
+    /// The controller stands still for a while before it takes the event.
+    Pause,
+    /// Its process is killed right after the event, and starts again.
+    Kill,
+    /// Its machine loses power right after the event, and starts again.
+    Power,
+    /// Its machine comes back with an empty disk.
+    DiskLost,
+    /// Its machine is gone for good.
+    Gone,
+}
+
+/// All faults.
+pub const FAULTS: [Fault; 8] = [
+    Fault::Lose,
+    Fault::Delay,
+    Fault::Repeat,
+    Fault::Pause,
+    Fault::Kill,
+    Fault::Power,
+    Fault::DiskLost,
+    Fault::Gone,
+];
+
+/// A fault at an event, counted from the beginning of the window.
+#[derive(Clone, Copy, Debug, PartialEq)]
+pub struct InjectedFault {
+    pub event: u64,
+    pub fault: Fault,
+}
+
+/// The deviations of one play.
+#[derive(Clone, Debug, Default)]
+pub struct FaultInjection {
+    /// Time in the scenario (microseconds) from which and up to which events count.
+    pub window: (Tick, Tick),
+    pub list: Vec<InjectedFault>,
+    /// Events of the window so far.
+    pub seen: u64,
+    /// Replicas that were lost for good: disks, machines, and controllers that
+    /// were about to leave and are not started again.
+    pub losses: usize,
+    /// What was done, to be read by people.
+    pub story: Vec<String>,
+}
+
+impl World {
+    /// Applies the deviations that strike now; gives the event if it still happens.
+    pub(super) fn inject(&mut self, event: ScheduledEvent) -> Option<ScheduledEvent> {
+        let (from, to) = self.injected.window;
+        let at = self.now - BEGIN;
+        let controller = reaches(&event).filter(|_| from <= at && at < to);
+        let Some(controller) = controller else { return Some(event) };
+        let number = self.injected.seen;
+        self.injected.seen += 1;
+        let due: Vec<Fault> =
+            self.injected.list.iter().filter(|d| d.event == number).map(|d| d.fault).collect();
+        let mut left = Some(event);
+        for fault in due {
+            let Some(event) = left.take() else { break };
+            let line = format!("{:.3} s: {fault:?} at {}", at as f64 / 1e6, describe(&event));
+            self.injected.story.push(line);
+            left = self.strike(controller, fault, event);
+        }
+        left
+    }
+
+    fn strike(
+        &mut self,
+        controller: usize,
+        fault: Fault,
+        event: ScheduledEvent,
+    ) -> Option<ScheduledEvent> {
+        let message = matches!(event, ScheduledEvent::ControllerEvent { .. });
+        match fault {
+            Fault::Lose if message => return None,
+            Fault::Delay if message => {
+                self.push(DELAY, event);
+                return None;
+            }
+            Fault::Repeat => {
+                if let ScheduledEvent::ControllerEvent { controller, life, event } = &event {
+                    let event = copied(event);
+                    if let Some(event) = event {
+                        self.push(
+                            0,
+                            ScheduledEvent::ControllerEvent {
+                                controller: *controller,
+                                life: *life,
+                                event,
+                            },
+                        );
+                    }
+                }
+            }
+            Fault::Pause => {
+                self.controllers[controller].paused = self.now + PAUSE;
+                self.push(PAUSE, event);
+                return None;
+            }
+            Fault::Lose | Fault::Delay => {}
+            Fault::Kill | Fault::Power | Fault::DiskLost | Fault::Gone => {
+                self.push(
+                    0,
+                    ScheduledEvent::FollowUp { key: FollowUp::Fault { controller, fault } },
+                );
+            }
+        }
+        Some(event)
+    }
+
+    /// A fault that ends a controller's process.
+    pub(super) fn end_process(&mut self, controller: usize, fault: Fault) {
+        if !self.controllers[controller].up {
+            return;
+        }
+        let restarts =
+            !matches!(fault, Fault::Gone) && self.controllers[controller].stopping.is_none();
+        self.kill_controller(controller, !matches!(fault, Fault::Kill));
+        if fault == Fault::DiskLost {
+            self.controllers[controller].disk.replace();
+            self.lost_disks += 1;
+        }
+        self.injected.losses += usize::from(fault == Fault::DiskLost || !restarts);
+        if restarts {
+            self.later(DOWN, FollowUp::StartController(controller));
+        }
+    }
+}
+
+/// The running controller that an event reaches, if it is one that counts: a
+/// message of another controller, or the end of a write.
+fn reaches(event: &ScheduledEvent) -> Option<usize> {
+    match event {
+        ScheduledEvent::ControllerEvent { controller, event, .. } => match event {
+            CoreEvent::FromVoter { message, .. } | CoreEvent::FromController { message } => {
+                (!is_heartbeat(message)).then_some(*controller)
+            }
+            CoreEvent::FromConnection { connection, .. } if connection >> 63 == 1 => {
+                Some(*controller)
+            }
+            _ => None,
+        },
+        ScheduledEvent::DiskJobDone { controller, .. }
+        | ScheduledEvent::VoterFileDone { controller, .. } => Some(*controller),
+        _ => None,
+    }
+}
+
+/// Messages that are sent again all the time; one more or less changes nothing
+/// that the others do not change.
+fn is_heartbeat(message: &Message) -> bool {
+    matches!(message, Message::VoterAlive { .. })
+        || matches!(message, Message::Heartbeat { partition: part, .. } | Message::HeartbeatAck { partition: part, .. } if part.0 != 0)
+}
+
+fn copied(event: &CoreEvent) -> Option<CoreEvent> {
+    Some(match event {
+        CoreEvent::FromVoter { slot: seat, holder, connection, message } => CoreEvent::FromVoter {
+            slot: *seat,
+            holder: *holder,
+            connection: *connection,
+            message: message.clone(),
+        },
+        CoreEvent::FromConnection { connection, message } => {
+            CoreEvent::FromConnection { connection: *connection, message: message.clone() }
+        }
+        CoreEvent::FromController { message } => {
+            CoreEvent::FromController { message: message.clone() }
+        }
+        _ => return None,
+    })
+}
+
+fn describe(event: &ScheduledEvent) -> String {
+    let word = |message: &Message| {
+        let text = format!("{message:?}");
+        text.split([' ', '(', '{']).next().unwrap_or_default().to_string()
+    };
+    match event {
+        ScheduledEvent::ControllerEvent { controller, event, .. } => match event {
+            CoreEvent::FromVoter { slot: seat, message, .. } => {
+                format!("{} from slot {seat} to controller {controller}", word(message))
+            }
+            CoreEvent::FromConnection { connection, message } => {
+                format!(
+                    "{} from controller {} to controller {controller}",
+                    word(message),
+                    connection << 1 >> 33
+                )
+            }
+            CoreEvent::FromController { message } => {
+                format!("{} in answer to controller {controller}", word(message))
+            }
+            _ => format!("an event of controller {controller}"),
+        },
+        ScheduledEvent::DiskJobDone { controller, part, .. } => {
+            format!("a write of {part} on controller {controller}")
+        }
+        ScheduledEvent::VoterFileDone { controller, .. } => {
+            format!("the voter set's write on controller {controller}")
+        }
+        _ => "another event".into(),
+    }
+}
