--- a/crates/core/src/config/build.rs
+++ b/crates/core/src/config/build.rs
@@ -5,32 +5,32 @@
 use indexmap::IndexMap;
 
 use super::consistency_error::ConsistencyError;
-use super::route::{Built, CUT, PoolPlan, Route, Shard};
-use super::types::{Class, Config, Form, Pool, Search, Steer};
+use super::route::{CompiledPool, INDEX_VERSION_LABEL, Route, RouteShard, RoutingTable};
+use super::types::{BalancingMode, Config, PoolConfig, PriorityClass, SearchConfig, ServingMode};
 use crate::diagnostic::{Diagnostic, Diagnostics};
-use crate::routing_language::compile::{Policy, Send};
+use crate::routing_language::compile::{CompiledPlan, FanOut};
 use crate::routing_language::selector::{Labels, Selector};
 use crate::time::ms;
 
 /// The pools that compiled, by name.
-type CompiledPools<'a> = BTreeMap<&'a str, CompiledPool<'a>>;
+type LabelledPools<'a> = BTreeMap<&'a str, LabelledPool<'a>>;
 
 /// A pool that compiled, and the labels by which plans choose it.
-struct CompiledPool<'a> {
-    plan: PoolPlan,
+struct LabelledPool<'a> {
+    plan: CompiledPool,
     labels: &'a Labels,
 }
 
 /// The pools that a plan chooses.
 #[derive(Default)]
 struct ChosenPools<'a> {
-    shards: BTreeMap<&'a str, Vec<PoolPlan>>,
+    shards: BTreeMap<&'a str, Vec<CompiledPool>>,
     index_versions: BTreeSet<&'a str>,
 }
 
-impl Built {
+impl RoutingTable {
     /// Builds all routes, or tells everything that is wrong.
-    pub fn build(conf: &Config) -> Result<Built, Vec<Diagnostic>> {
+    pub fn build(conf: &Config) -> Result<RoutingTable, Vec<Diagnostic>> {
         let mut diagnostics = Diagnostics::new();
         let pools = compile_pools(conf, &mut diagnostics);
         let all_compiled = pools.len() == conf.pools.len();
@@ -48,16 +48,16 @@
         check_host_paths(conf, &mut diagnostics);
         let drained = conf.zones.values().filter(|zone| zone.drained);
         let drained = drained.map(|zone| zone.name.clone()).collect();
-        diagnostics.into_result(Built { mappings, drained, terms: conf.terms.clone() })
+        diagnostics.into_result(RoutingTable { mappings, drained, terms: conf.terms.clone() })
     }
 }
 
 /// Where the plan of a search stands.
-fn plan_place(search: &Search) -> String {
+fn plan_place(search: &SearchConfig) -> String {
     format!("searches[{}].plan", search.name)
 }
 
-fn compile_pools<'a>(conf: &'a Config, diagnostics: &mut Diagnostics) -> CompiledPools<'a> {
+fn compile_pools<'a>(conf: &'a Config, diagnostics: &mut Diagnostics) -> LabelledPools<'a> {
     let mut pools = BTreeMap::new();
     for pool in conf.pools.values() {
         let place = format!("pools[{}].selector", pool.name);
@@ -65,26 +65,30 @@
             continue;
         };
         let plan = pool_plan(pool, selector);
-        pools.insert(pool.name.as_str(), CompiledPool { plan, labels: &pool.labels });
+        pools.insert(pool.name.as_str(), LabelledPool { plan, labels: &pool.labels });
     }
     pools
 }
 
-fn pool_plan(pool: &Pool, sel: Selector) -> PoolPlan {
-    PoolPlan {
+fn pool_plan(pool: &PoolConfig, sel: Selector) -> CompiledPool {
+    CompiledPool {
         name: pool.name.clone(),
         service: pool.service.clone(),
         sel,
         bears: pool.bears.max(1),
         ramp: ms(u64::from(pool.ramp_ms)),
-        steer: Steer::try_from(pool.steer).unwrap_or(Steer::Share),
+        steer: BalancingMode::try_from(pool.steer).unwrap_or(BalancingMode::Partitioned),
         connections: pool.connections,
         cold_rate: pool.cold_rate,
     }
 }
 
 /// Checks what a search says by itself, and compiles its plan.
-fn check_search(search: &Search, conf: &Config, diagnostics: &mut Diagnostics) -> Option<Policy> {
+fn check_search(
+    search: &SearchConfig,
+    conf: &Config,
+    diagnostics: &mut Diagnostics,
+) -> Option<CompiledPlan> {
     let name = &search.name;
     if search.promise_ms == 0 {
         let place = format!("searches[{name}].promise_ms");
@@ -94,7 +98,7 @@
         let error = ConsistencyError::UnknownPool { pool: pool.clone() };
         diagnostics.report(format!("searches[{name}].needs"), error);
     }
-    Policy::compile(&plan_place(search), &search.plan, diagnostics)
+    CompiledPlan::compile(&plan_place(search), &search.plan, diagnostics)
 }
 
 /// Reports searches that are called by the same host and path.
@@ -111,9 +115,9 @@
 
 /// Looks up the pools of a search's plan and builds its route, if they agree.
 fn build_route(
-    search: &Search,
-    policy: &Policy,
-    pools: &CompiledPools,
+    search: &SearchConfig,
+    policy: &CompiledPlan,
+    pools: &LabelledPools,
     diagnostics: &mut Diagnostics,
 ) -> Option<Route> {
     let before = diagnostics.len();
@@ -128,7 +132,7 @@
     }
     let weight = |name: &&str| search.weights.get(*name).map_or(0, |weight| u64::from(*weight));
     let weights: Vec<u64> = chosen.shards.keys().map(weight).collect();
-    if policy.send == Send::Weighed && weights.iter().sum::<u64>() == 0 {
+    if policy.send == FanOut::ByWeight && weights.iter().sum::<u64>() == 0 {
         let place = format!("searches[{}].weights", search.name);
         diagnostics.report(place, ConsistencyError::NoWeight);
     }
@@ -137,8 +141,8 @@
 
 /// The pools that a plan chooses, by the shard that each holds.
 fn choose_pools<'a>(
-    policy: &Policy,
-    pools: &'a CompiledPools,
+    policy: &CompiledPlan,
+    pools: &'a LabelledPools,
     place: &str,
     diagnostics: &mut Diagnostics,
 ) -> ChosenPools<'a> {
@@ -151,7 +155,9 @@
             diagnostics.report(place, ConsistencyError::ShardLabelMissing { pool, label });
             continue;
         };
-        chosen.index_versions.insert(pool.labels.get(CUT).map_or("", String::as_str));
+        chosen
+            .index_versions
+            .insert(pool.labels.get(INDEX_VERSION_LABEL).map_or("", String::as_str));
         if let Some(first) = shard_of_service.insert(&plan.service, shard)
             && first != shard
         {
@@ -164,11 +170,16 @@
     chosen
 }
 
-fn route(search: &Search, policy: &Policy, chosen: ChosenPools, weights: Vec<u64>) -> Route {
-    let shard = |(name, pools): (&str, _)| Shard { name: name.to_string(), pools };
+fn route(
+    search: &SearchConfig,
+    policy: &CompiledPlan,
+    chosen: ChosenPools,
+    weights: Vec<u64>,
+) -> Route {
+    let shard = |(name, pools): (&str, _)| RouteShard { name: name.to_string(), pools };
     Route {
         name: search.name.clone(),
-        class: Class::try_from(search.class).unwrap_or(Class::Ordinary),
+        class: PriorityClass::try_from(search.class).unwrap_or(PriorityClass::Ordinary),
         promise: ms(search.promise_ms),
         quorum: search.quorum.clamp(1, 1000),
         attempts: search.attempts.max(1),
@@ -180,7 +191,7 @@
         shards: chosen.shards.into_iter().map(shard).collect(),
         host: search.host.clone(),
         path: search.path.clone(),
-        form: Form::try_from(search.form).unwrap_or(Form::Own),
+        form: ServingMode::try_from(search.form).unwrap_or(ServingMode::Native),
         once: search.once,
         target: (search.target_ms > 0).then(|| ms(search.target_ms)),
         rank: search.rank,
--- a/crates/core/src/config/change.rs
+++ b/crates/core/src/config/change.rs
@@ -1,7 +1,7 @@
 //! Changes between versions of a configuration.
 
 use super::stored::Entry;
-use super::types::{Config, Patch, Terms};
+use super::types::{ClientLimits, Config, Patch};
 
 impl Config {
     /// What `patch` makes of this configuration.
@@ -25,7 +25,7 @@
     /// Sets searches: a replaced one keeps its place in the operators' list, a
     /// new one goes behind all others.
     fn set_searches(&mut self, set: &Config) {
-        let behind = |search: &super::types::Search| search.place + 1;
+        let behind = |search: &super::types::SearchConfig| search.place + 1;
         let mut last = self.searches.values().map(behind).max().unwrap_or(0);
         let mut searches: Vec<_> = set.searches.values().cloned().collect();
         searches.sort_by_key(|search| search.place);
@@ -38,7 +38,7 @@
 
     /// Sets pools, which take their places as searches do.
     fn set_pools(&mut self, set: &Config) {
-        let behind = |pool: &super::types::Pool| pool.place + 1;
+        let behind = |pool: &super::types::PoolConfig| pool.place + 1;
         let mut last = self.pools.values().map(behind).max().unwrap_or(0);
         let mut pools: Vec<_> = set.pools.values().cloned().collect();
         pools.sort_by_key(|pool| pool.place);
@@ -54,14 +54,14 @@
         if new.keep_zones {
             new.zones = self.zones.clone();
         }
-        new.terms = Terms { edition: self.terms.edition, ..Terms::default() };
+        new.terms = ClientLimits { edition: self.terms.edition, ..ClientLimits::default() };
         new.with_terms_of_change()
     }
 
     /// Applies what a change says of the edition and the limits.
     fn with_terms_of_change(mut self) -> Config {
         if let Some(terms) = self.turn.terms.take() {
-            self.terms = Terms { edition: self.terms.edition, ..terms };
+            self.terms = ClientLimits { edition: self.terms.edition, ..terms };
         }
         if let Some(edition) = self.turn.edition {
             self.terms.edition = edition;
--- a/crates/core/src/config/read.rs
+++ b/crates/core/src/config/read.rs
@@ -8,7 +8,7 @@
 use super::field_error::FieldError;
 use super::object_reader::{ObjectReader, report_unknown_fields};
 use super::read_objects::{pool, search, zone};
-use super::types::{Config, Patch, Terms, Turn};
+use super::types::{ChangeHeader, ClientLimits, Config, Patch};
 use crate::diagnostic::{Diagnostic, Diagnostics};
 
 /// Fields of the object `terms`: what a change builds on, its own number, and
@@ -118,18 +118,18 @@
 }
 
 /// Reads what a change builds on and which limits it sets.
-fn turn(map: &Map<String, Value>, diagnostics: &mut Diagnostics) -> Turn {
-    let Some(value) = map.get("terms") else { return Turn::default() };
+fn turn(map: &Map<String, Value>, diagnostics: &mut Diagnostics) -> ChangeHeader {
+    let Some(value) = map.get("terms") else { return ChangeHeader::default() };
     let Some(map) = value.as_object() else {
         diagnostics.report("terms", FieldError::wrong_type("an object", value));
-        return Turn::default();
+        return ChangeHeader::default();
     };
     let mut reader = ObjectReader::new(map, "terms", diagnostics);
     let any = 0..=u64::MAX;
     let after = reader.has("after").then(|| reader.required_number("after", any.clone()));
     let edition = reader.has("edition").then(|| reader.required_number("edition", any.clone()));
     let sets_limits = LIMIT_FIELDS.iter().any(|key| reader.has(key));
-    let terms = sets_limits.then(|| Terms {
+    let terms = sets_limits.then(|| ClientLimits {
         edition: 0,
         head_max: reader.number_or("head_max", any.clone(), 0),
         body_max: reader.number_or("body_max", any.clone(), 0),
@@ -138,7 +138,7 @@
         origin: reader.optional_text("origin"),
     });
     report_unknown_fields(map, "terms", &TERMS_FIELDS, diagnostics);
-    Turn { after, edition, terms }
+    ChangeHeader { after, edition, terms }
 }
 
 /// Reads a list of objects, each with a name of its own.
--- a/crates/core/src/config/read_objects.rs
+++ b/crates/core/src/config/read_objects.rs
@@ -4,7 +4,9 @@
 
 use super::field_error::FieldError;
 use super::object_reader::ObjectReader;
-use super::types::{Class, Form, Pool, Search, Steer, Zone};
+use super::types::{
+    BalancingMode, PoolConfig, PriorityClass, SearchConfig, ServingMode, ZoneConfig,
+};
 use crate::consts;
 use crate::time::MILLI;
 
@@ -22,17 +24,27 @@
 /// Reads a search, with its name.
 ///
 /// The order of the fields is that in which operators are told of them.
-pub(super) fn search(reader: &mut ObjectReader) -> (String, Search) {
+pub(super) fn search(reader: &mut ObjectReader) -> (String, SearchConfig) {
     let name = reader.name("name");
     let class = reader.word(
         "class",
-        &[("ordinary", Class::Ordinary), ("lookup", Class::Lookup), ("urgent", Class::Urgent)],
+        &[
+            ("ordinary", PriorityClass::Ordinary),
+            ("lookup", PriorityClass::Lookup),
+            ("urgent", PriorityClass::Urgent),
+        ],
+    );
+    let form = reader.word(
+        "form",
+        &[
+            ("own", ServingMode::Native),
+            ("pass", ServingMode::PassThrough),
+            ("join", ServingMode::Join),
+        ],
     );
-    let form =
-        reader.word("form", &[("own", Form::Own), ("pass", Form::Pass), ("join", Form::Join)]);
     let promise_range = match form {
-        Form::Own => consts::BUDGET_MIN_MS..=consts::BUDGET_MAX_MS,
-        Form::Pass | Form::Join => 1..=consts::PROMISE_MAX_MS,
+        ServingMode::Native => consts::BUDGET_MIN_MS..=consts::BUDGET_MAX_MS,
+        ServingMode::PassThrough | ServingMode::Join => 1..=consts::PROMISE_MAX_MS,
     };
     let promise_ms = reader.required_number("promise_ms", promise_range);
     let attempts = reader.number_or("attempts", 1..=consts::ATTEMPTS_MAX, 3) as u32;
@@ -50,7 +62,7 @@
     let origin = reader.optional_text("origin");
     let place = reader.number_u32_or("place", 0..=u32::MAX, 0);
     let needs = reader.value_or("needs", "a list of pools' names", Vec::new(), names);
-    let search = Search {
+    let search = SearchConfig {
         needs,
         name: name.clone(),
         class: class as i32,
@@ -74,31 +86,31 @@
 }
 
 /// The required share of the shards, in thousandths, rounded up.
-fn quorum(reader: &mut ObjectReader, form: Form) -> u32 {
+fn quorum(reader: &mut ObjectReader, form: ServingMode) -> u32 {
     let expected = "a share above 0 and up to 1";
     reader.value_or("quorum", expected, QUORUM_ALL, |value| {
         let share = value.as_f64()?;
-        let above_zero = share > 0.0 || form != Form::Own && share == 0.0;
+        let above_zero = share > 0.0 || form != ServingMode::Native && share == 0.0;
         let valid = above_zero && share <= 1.0;
         valid.then(|| ((share * f64::from(QUORUM_ALL)).ceil() as u32).clamp(1, QUORUM_ALL))
     })
 }
 
-fn host_and_path(reader: &mut ObjectReader, form: Form) -> (String, String) {
+fn host_and_path(reader: &mut ObjectReader, form: ServingMode) -> (String, String) {
     let host = reader.optional_text("host");
     let path = reader.optional_text("path");
     if host.is_empty() != path.is_empty() || (!path.is_empty() && !path.starts_with('/')) {
         reader.report("path", FieldError::HostWithoutPath);
     }
-    if form != Form::Own && host.is_empty() {
+    if form != ServingMode::Native && host.is_empty() {
         reader.report("host", FieldError::HostMissing);
     }
     (host, path)
 }
 
-fn once(reader: &mut ObjectReader, form: Form) -> bool {
+fn once(reader: &mut ObjectReader, form: ServingMode) -> bool {
     let once = reader.flag("once");
-    if once && form != Form::Pass {
+    if once && form != ServingMode::PassThrough {
         reader.report("once", FieldError::OnceNotPassed);
     }
     once
@@ -110,10 +122,10 @@
 }
 
 /// Reads a pool, with its name.
-pub(super) fn pool(reader: &mut ObjectReader) -> (String, Pool) {
+pub(super) fn pool(reader: &mut ObjectReader) -> (String, PoolConfig) {
     let name = reader.name("name");
     let ramp_default = (consts::RAMP / MILLI) as u32;
-    let pool = Pool {
+    let pool = PoolConfig {
         name: name.clone(),
         service: reader.nonempty_text("service"),
         selector: reader.optional_text("selector"),
@@ -122,7 +134,10 @@
         labels: reader.entries("labels", "an object of texts", "a text", |value| {
             value.as_str().map(str::to_string)
         }),
-        steer: reader.word("steer", &[("share", Steer::Share), ("seen", Steer::Seen)]) as i32,
+        steer: reader.word(
+            "steer",
+            &[("share", BalancingMode::Partitioned), ("seen", BalancingMode::LoadAware)],
+        ) as i32,
         connections: reader.number_u32_or("wires", 0..=u32::MAX, 0),
         cold_rate: reader.number_u32_or("cold_rate", 0..=u32::MAX, 0),
         origin: reader.optional_text("origin"),
@@ -132,8 +147,8 @@
 }
 
 /// Reads a zone, with its name.
-pub(super) fn zone(reader: &mut ObjectReader) -> (String, Zone) {
+pub(super) fn zone(reader: &mut ObjectReader) -> (String, ZoneConfig) {
     let name = reader.name("name");
     let drained = reader.required_word("state", &[("open", false), ("drained", true)]);
-    (name.clone(), Zone { name, drained })
+    (name.clone(), ZoneConfig { name, drained })
 }
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -5,13 +5,13 @@
 
 use indexmap::IndexMap;
 
-use super::types::{Class, Form, Steer, Terms};
-use crate::routing_language::compile::Send;
+use super::types::{BalancingMode, ClientLimits, PriorityClass, ServingMode};
+use crate::routing_language::compile::FanOut;
 use crate::routing_language::selector::Selector;
 use crate::time::Span;
 
 /// The label that tells which version of the index a pool or a leaf holds.
-pub const CUT: &str = "cut";
+pub const INDEX_VERSION_LABEL: &str = "cut";
 
 /// A search, ready to serve.
 ///
@@ -23,7 +23,7 @@
     /// The search's name.
     pub name: String,
     /// How urgent its queries are.
-    pub class: Class,
+    pub class: PriorityClass,
     /// Time within which callers get an outcome.
     pub promise: Span,
     /// Required share of the planned shards, in thousandths.
@@ -33,7 +33,7 @@
     /// The version of the index that all its pools hold; empty if they name none.
     pub cut: String,
     /// Which shards a query is planned for.
-    pub send: Send,
+    pub send: FanOut,
     /// Share of the time left that a dispatch may use before a retry, in percent.
     pub wait_pct: u64,
     /// Share of the promise after which a quorum is enough, in percent.
@@ -41,13 +41,13 @@
     /// Leafs of the querier's own zone come first.
     pub local: bool,
     /// The shards, in the order of their names.
-    pub shards: Vec<Shard>,
+    pub shards: Vec<RouteShard>,
     /// Host by which calls come here; empty if by name.
     pub host: String,
     /// Path that such calls begin with; empty if by name.
     pub path: String,
     /// How calls and answers are treated.
-    pub form: Form,
+    pub form: ServingMode,
     /// A call may run at most once.
     pub once: bool,
     /// Time within which an answer has its full value.
@@ -71,16 +71,16 @@
 
 /// A shard of a route and the pools that hold it.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Shard {
+pub struct RouteShard {
     /// The shard's name: a value of the label that the plan shards by.
     pub name: String,
     /// The pools that hold it, in the order of their names.
-    pub pools: Vec<PoolPlan>,
+    pub pools: Vec<CompiledPool>,
 }
 
 /// A pool, ready to choose leafs from.
 #[derive(Clone, PartialEq, Debug)]
-pub struct PoolPlan {
+pub struct CompiledPool {
     /// The pool's name.
     pub name: String,
     /// The service whose leafs it takes.
@@ -92,7 +92,7 @@
     /// Time that a fresh leaf takes to bear all of that.
     pub ramp: Span,
     /// How dispatches are spread over the leafs.
-    pub steer: Steer,
+    pub steer: BalancingMode,
     /// Most connections that a leaf takes from all nodes; zero if not said.
     pub connections: u32,
     /// Thousandths of a dispatch that a cold leaf bears a second.
@@ -101,11 +101,11 @@
 
 /// A checked configuration.
 #[derive(Clone, PartialEq, Debug, Default)]
-pub struct Built {
+pub struct RoutingTable {
     /// The routes by their searches' names.
     pub mappings: IndexMap<String, Route>,
     /// Zones whose leafs get no new work.
     pub drained: BTreeSet<String>,
     /// Limits for clients, and the edition.
-    pub terms: Terms,
+    pub terms: ClientLimits,
 }
--- a/crates/core/src/config/show.rs
+++ b/crates/core/src/config/show.rs
@@ -2,15 +2,18 @@
 
 use serde_json::{Value, json};
 
-use super::types::{Class, Config, Form, Pool, Search, Steer, Terms, Zone};
+use super::types::{
+    BalancingMode, ClientLimits, Config, PoolConfig, PriorityClass, SearchConfig, ServingMode,
+    ZoneConfig,
+};
 
-impl Class {
+impl PriorityClass {
     /// The word that stands for it in a configuration.
     pub fn word(self) -> &'static str {
         match self {
-            Class::Urgent => "urgent",
-            Class::Lookup => "lookup",
-            Class::Ordinary => "ordinary",
+            PriorityClass::Urgent => "urgent",
+            PriorityClass::Lookup => "lookup",
+            PriorityClass::Ordinary => "ordinary",
         }
     }
 }
@@ -23,31 +26,31 @@
             "pools": self.pools.values().map(pool).collect::<Vec<_>>(),
             "zones": self.zones.values().map(zone).collect::<Vec<_>>(),
         });
-        if self.terms != Terms::default() {
+        if self.terms != ClientLimits::default() {
             out["terms"] = terms(&self.terms);
         }
         out
     }
 }
 
-fn terms(terms: &Terms) -> Value {
+fn terms(terms: &ClientLimits) -> Value {
     json!({
         "edition": terms.edition, "head_max": terms.head_max, "body_max": terms.body_max,
         "head_wait_ms": terms.head_wait_ms, "idle_ms": terms.idle_ms,
     })
 }
 
-fn search(search: &Search) -> Value {
+fn search(search: &SearchConfig) -> Value {
     let mut out = json!({
-        "name": search.name, "class": Class::try_from(search.class).unwrap_or(Class::Ordinary).word(), "promise_ms": search.promise_ms,
+        "name": search.name, "class": PriorityClass::try_from(search.class).unwrap_or(PriorityClass::Ordinary).word(), "promise_ms": search.promise_ms,
         "quorum": f64::from(search.quorum) / 1000.0, "attempts": search.attempts, "plan": search.plan,
     });
     if !search.host.is_empty() {
         (out["host"], out["path"]) = (json!(search.host), json!(search.path));
     }
-    let form = Form::try_from(search.form).unwrap_or(Form::Own);
-    if form != Form::Own {
-        out["form"] = json!(if form == Form::Pass { "pass" } else { "join" });
+    let form = ServingMode::try_from(search.form).unwrap_or(ServingMode::Native);
+    if form != ServingMode::Native {
+        out["form"] = json!(if form == ServingMode::PassThrough { "pass" } else { "join" });
         (out["once"], out["rank"]) = (json!(search.once), json!(search.rank));
         (out["width"], out["top"]) = (json!(search.width), json!(search.top));
     }
@@ -63,12 +66,12 @@
     out
 }
 
-fn pool(pool: &Pool) -> Value {
+fn pool(pool: &PoolConfig) -> Value {
     let mut out = json!({
         "name": pool.name, "service": pool.service, "selector": pool.selector, "labels": pool.labels,
         "bears": pool.bears, "ramp_ms": pool.ramp_ms,
     });
-    if pool.steer == Steer::Seen as i32 {
+    if pool.steer == BalancingMode::LoadAware as i32 {
         out["steer"] = json!("seen");
     }
     if pool.connections > 0 {
@@ -80,6 +83,6 @@
     out
 }
 
-fn zone(zone: &Zone) -> Value {
+fn zone(zone: &ZoneConfig) -> Value {
     json!({ "name": zone.name, "state": if zone.drained { "drained" } else { "open" } })
 }
--- a/crates/core/src/config/stored.rs
+++ b/crates/core/src/config/stored.rs
@@ -5,7 +5,7 @@
 
 use prost::Message;
 
-use super::types::{Config, Terms};
+use super::types::{ClientLimits, Config};
 
 /// An entry of a partition: a new value, or `None` where it is removed.
 pub type Entry = (String, Option<Vec<u8>>);
@@ -38,7 +38,7 @@
         for (name, zone) in &self.zones {
             entries.insert(format!("{ZONE}{name}"), zone.encode_to_vec());
         }
-        if self.terms != Terms::default() {
+        if self.terms != ClientLimits::default() {
             entries.insert(TERMS.into(), self.terms.encode_to_vec());
         }
         entries
@@ -80,6 +80,6 @@
 
 /// The edition that stands; zero if the entry that holds it can't be read.
 pub fn edition(map: &BTreeMap<String, Vec<u8>>) -> u64 {
-    let terms = map.get(TERMS).and_then(|value| Terms::decode(value.as_slice()).ok());
+    let terms = map.get(TERMS).and_then(|value| ClientLimits::decode(value.as_slice()).ok());
     terms.map_or(0, |terms| terms.edition)
 }
--- a/crates/core/src/config/types.rs
+++ b/crates/core/src/config/types.rs
@@ -5,7 +5,7 @@
 /// How urgent a search is; the bounce order under overload follows it.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Class {
+pub enum PriorityClass {
     Ordinary = 0,
     Lookup = 1,
     Urgent = 2,
@@ -16,10 +16,10 @@
 /// Invariants once accepted: `quorum` is 1..=1000, `attempts` 1..=10,
 /// `promise_ms` above zero, and `plan` compiles against the pools.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Search {
+pub struct SearchConfig {
     #[prost(string, tag = "1")]
     pub name: String,
-    #[prost(enumeration = "Class", tag = "2")]
+    #[prost(enumeration = "PriorityClass", tag = "2")]
     pub class: i32,
     /// Time within which callers are promised an outcome.
     #[prost(uint64, tag = "3")]
@@ -38,7 +38,7 @@
     /// Path that such calls begin with; the longest that fits is taken.
     #[prost(string, tag = "8")]
     pub path: String,
-    #[prost(enumeration = "Form", tag = "9")]
+    #[prost(enumeration = "ServingMode", tag = "9")]
     pub form: i32,
     /// A call may run at most once.
     #[prost(bool, tag = "10")]
@@ -71,11 +71,11 @@
 /// What a search's questions and answers are to us.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Form {
+pub enum ServingMode {
     /// Our own: a question of ours, records of ours.
-    Own = 0,
+    Native = 0,
     /// Handed over unchanged; one leaf's answer goes back unchanged.
-    Pass = 1,
+    PassThrough = 1,
     /// Handed over unchanged; the parts' records are joined by their bytes.
     Join = 2,
 }
@@ -83,16 +83,16 @@
 /// How the leafs of a pool are spared.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, Hash, PartialOrd, Ord, prost::Enumeration)]
 #[repr(i32)]
-pub enum Steer {
+pub enum BalancingMode {
     /// Places are divided over all threads: a hard sum.
-    Share = 0,
+    Partitioned = 0,
     /// By what is seen: dispatches in hand, what leafs say, work turned away.
-    Seen = 1,
+    LoadAware = 1,
 }
 
 /// What holds for the whole configuration.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Terms {
+pub struct ClientLimits {
     /// The operators' own number; rises with each change that names one.
     #[prost(uint64, tag = "1")]
     pub edition: u64,
@@ -113,17 +113,17 @@
 
 /// The terms of a change: what it builds on and what it sets.
 #[derive(Clone, PartialEq, Default, Debug)]
-pub struct Turn {
+pub struct ChangeHeader {
     /// The edition that it builds on, if it says so.
     pub after: Option<u64>,
     pub edition: Option<u64>,
     /// All other terms, if it sets them.
-    pub terms: Option<Terms>,
+    pub terms: Option<ClientLimits>,
 }
 
 /// A pool: the leafs of one service of the platform, labelled.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Pool {
+pub struct PoolConfig {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(string, tag = "2")]
@@ -139,7 +139,7 @@
     /// Time a fresh leaf takes to bear all of that.
     #[prost(uint32, tag = "6")]
     pub ramp_ms: u32,
-    #[prost(enumeration = "Steer", tag = "7")]
+    #[prost(enumeration = "BalancingMode", tag = "7")]
     pub steer: i32,
     /// Most connections that a leaf takes from all nodes; zero if not said.
     #[prost(uint32, tag = "8")]
@@ -155,7 +155,7 @@
 
 /// A zone and whether it is emptied.
 #[derive(Clone, PartialEq, prost::Message)]
-pub struct Zone {
+pub struct ZoneConfig {
     #[prost(string, tag = "1")]
     pub name: String,
     #[prost(bool, tag = "2")]
@@ -165,12 +165,12 @@
 /// A whole configuration, by name of each object.
 #[derive(Clone, PartialEq, Default, Debug)]
 pub struct Config {
-    pub searches: BTreeMap<String, Search>,
-    pub pools: BTreeMap<String, Pool>,
-    pub zones: BTreeMap<String, Zone>,
-    pub terms: Terms,
+    pub searches: BTreeMap<String, SearchConfig>,
+    pub pools: BTreeMap<String, PoolConfig>,
+    pub zones: BTreeMap<String, ZoneConfig>,
+    pub terms: ClientLimits,
     /// Not stored: what the change that brought this builds on.
-    pub turn: Turn,
+    pub turn: ChangeHeader,
     /// Not stored: a whole configuration leaves the zones as they are.
     pub keep_zones: bool,
 }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -3,9 +3,9 @@
 //! else waits for the proof that we still lead (`pending_operations`).
 
 use crate::command::Command;
-use crate::config::route::Built;
+use crate::config::route::RoutingTable;
 use crate::config::stored::Entry;
-use crate::config::types::{Config, Patch, Turn};
+use crate::config::types::{ChangeHeader, Config, Patch};
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::order_memory;
 use crate::control_plane::order_memory::{Horizon, OrderBase, Recall, may_be_forgotten};
@@ -152,7 +152,7 @@
     } else {
         old.clone().patched(&Patch::from_json(text)?)
     };
-    let Turn { after, edition, .. } = new.turn;
+    let ChangeHeader { after, edition, .. } = new.turn;
     let base = OrderBase { revision: expect, edition: after, next_edition: edition };
     if base.edition.is_some_and(|n| n != old.terms.edition) {
         let moved = OperationResult::Conflict { revision: old.terms.edition };
@@ -165,7 +165,7 @@
         let text = format!("must be above {}, the one that stands", old.terms.edition);
         return Err(vec![Diagnostic::new("terms.edition", text)]);
     }
-    Built::build(&new)?;
+    RoutingTable::build(&new)?;
     Ok(Planned::Entries(old.changes_to(&new), new.terms.edition))
 }
 
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::config::route::Built;
+use crate::config::route::RoutingTable;
 use crate::consts::DRAIN_NOTICE;
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
 use crate::membership::attestation::Proofs;
@@ -33,7 +33,7 @@
     pub voter_set_stamp: u64,
     /// Whether our first view is known not to be an old one.
     pub is_caught_up: bool,
-    pub configuration: Arc<Built>,
+    pub configuration: Arc<RoutingTable>,
     pub configuration_revision: u64,
     pub view: Option<Arc<ClusterView>>,
     /// What we hold differs from `view`.
@@ -218,7 +218,7 @@
         voter_set: VoterSet::default(),
         voter_set_stamp: stamp(&VoterSet::default()),
         is_caught_up: false,
-        configuration: Arc::new(Built::default()),
+        configuration: Arc::new(RoutingTable::default()),
         configuration_revision: 0,
         view: None,
         view_is_stale: false,
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::config::route::{Built, Route, Shard};
+use crate::config::route::{Route, RouteShard, RoutingTable};
 use crate::config::stored::Entry;
 use crate::config::types::Config;
 use crate::consts;
@@ -40,7 +40,7 @@
     if partition == CONFIG {
         w.known_revision = w.known_revision.max(revision);
         match Config::from_entries(&held.entries).map_err(|error| vec![error.to_string()]).and_then(
-            |c| Built::build(&c).map_err(|all| all.iter().map(|f| f.to_string()).collect()),
+            |c| RoutingTable::build(&c).map_err(|all| all.iter().map(|f| f.to_string()).collect()),
         ) {
             Ok(built) => {
                 w.configuration = Arc::new(built);
@@ -165,6 +165,7 @@
 
 /// Whether a mapping has leafs for its quorum.
 fn serves(view: &ClusterView, map: &Route) -> bool {
-    let has = |s: &&Shard| s.pools.iter().any(|p| view.open_leafs(p, &map.cut).next().is_some());
+    let has =
+        |s: &&RouteShard| s.pools.iter().any(|p| view.open_leafs(p, &map.cut).next().is_some());
     map.shards.iter().filter(has).count() >= map.required_shards(map.shards.len())
 }
--- a/crates/core/src/query/admission.rs
+++ b/crates/core/src/query/admission.rs
@@ -3,16 +3,16 @@
 use super::engine::{Door, QueryEngine};
 use super::planned_query::wanting;
 use super::request::{Reason, Rejection};
-use crate::config::types::Class;
+use crate::config::types::PriorityClass;
 use crate::consts;
 use crate::time::Tick;
 
 /// Queries open to a class on one desk.
-pub fn room_of(class: Class) -> usize {
+pub fn room_of(class: PriorityClass) -> usize {
     let pct = match class {
-        Class::Ordinary => consts::ROOM_ORDINARY_PCT,
-        Class::Lookup => consts::ROOM_LOOKUP_PCT,
-        Class::Urgent => consts::ROOM_URGENT_PCT,
+        PriorityClass::Ordinary => consts::ROOM_ORDINARY_PCT,
+        PriorityClass::Lookup => consts::ROOM_LOOKUP_PCT,
+        PriorityClass::Urgent => consts::ROOM_URGENT_PCT,
     };
     consts::QUERIES_LIVE * pct / 100
 }
@@ -33,7 +33,7 @@
 }
 
 /// Whether there is room for one more query of a class.
-pub(super) fn room(d: &QueryEngine, class: Class) -> Result<(), Rejection> {
+pub(super) fn room(d: &QueryEngine, class: PriorityClass) -> Result<(), Rejection> {
     let say = |reason, text: &str| Err(Rejection::new(reason, text));
     if d.queries.len() >= room_of(class) {
         return say(Reason::Crowded, "this node works on all it may for this class");
--- a/crates/core/src/query/cluster_update.rs
+++ b/crates/core/src/query/cluster_update.rs
@@ -7,8 +7,8 @@
 use super::leaf::leaf;
 use super::quota::Share;
 use super::{connection_subset, latency_estimate, leaf, quota, retry_budget, service_retry_budget};
-use crate::config::route::PoolPlan;
-use crate::config::types::Steer;
+use crate::config::route::CompiledPool;
+use crate::config::types::BalancingMode;
 use crate::consts;
 use crate::digest::hash;
 use crate::snapshot::cluster_view::ClusterView;
@@ -57,7 +57,7 @@
 pub(super) fn deal(d: &mut QueryEngine) {
     let view = d.view.clone();
     for map in view.mappings.values() {
-        let shared = |p: &&PoolPlan| p.steer == Steer::Share;
+        let shared = |p: &&CompiledPool| p.steer == BalancingMode::Partitioned;
         for pool in map.shards.iter().flat_map(|s| &s.pools).filter(shared) {
             let Some(list) = view.services.get(&pool.service) else { continue };
             let totals = vec![u64::from(pool.bears); list.len()];
--- a/crates/core/src/query/finishing.rs
+++ b/crates/core/src/query/finishing.rs
@@ -13,7 +13,7 @@
 use super::request::{Full, Outcome, Reason, Rejection};
 use super::retry;
 use super::statistics::TOOK_MS;
-use crate::config::types::Form;
+use crate::config::types::ServingMode;
 use crate::http_api::leaf::{Raw, Trouble};
 use crate::time::{MILLI, Tick, since};
 
@@ -74,7 +74,7 @@
 fn finish_failed(d: &mut QueryEngine, now: Tick, q: Query, why: Reason, out: &mut Vec<Command>) {
     // A leaf's own failure says more than ours would.
     if let (Some(parcel), Some(raw)) = (&q.parcel, &q.last)
-        && q.map.form == Form::Pass
+        && q.map.form == ServingMode::PassThrough
     {
         let passed = Passed { id: parcel.id.clone(), raw: raw.clone() };
         return out.push(Command::Tell { call: q.call, outcome: Outcome::Passed(passed) });
@@ -118,7 +118,7 @@
     let parts: Vec<&Arc<Raw>> = q.slots.iter().filter_map(|s| s.part.as_ref()).collect();
     debug_assert!(parts.len() >= need(q));
     let outcome = match (q.map.form, parts.first()) {
-        (Form::Pass, Some(raw)) => {
+        (ServingMode::PassThrough, Some(raw)) => {
             Outcome::Passed(Passed { id: parcel.id.clone(), raw: (*raw).clone() })
         }
         _ => {
--- a/crates/core/src/query/forwarded_reply.rs
+++ b/crates/core/src/query/forwarded_reply.rs
@@ -1,6 +1,6 @@
 //! What a leaf's reply is to a call that is forwarded unchanged.
 
-use crate::config::types::Form;
+use crate::config::types::ServingMode;
 use crate::http_api::leaf::{MISDIRECTED, Raw, Trouble};
 
 /// What a reply is to a call that is handed over.
@@ -33,7 +33,7 @@
 
 /// Judges a reply. Only a whole success with one stamp that answers just this
 /// dispatch is a part.
-pub(super) fn judge(raw: &Raw, form: Form) -> Word {
+pub(super) fn judge(raw: &Raw, form: ServingMode) -> Word {
     // Whatever another call's answer says, it says nothing of this one.
     if raw.heads.foreign {
         return Word::Failed(Trouble::WrongPostmark);
@@ -43,17 +43,19 @@
     }
     if raw.heads.unrun {
         // What is wrong with the call itself is wrong elsewhere too.
-        let own = raw.status == 400 && form == Form::Pass;
+        let own = raw.status == 400 && form == ServingMode::PassThrough;
         return if own { Word::Answer } else { Word::Unrun(Trouble::Unrun) };
     }
     let good = (200..300).contains(&raw.status);
     match (good, raw.heads.postmarks.len(), form) {
-        (true, 1, Form::Pass) => Word::Answer,
+        (true, 1, ServingMode::PassThrough) => Word::Answer,
         (true, 1, _) => Word::Partial,
         (true, 0, _) => Word::Failed(Trouble::NoPostmark),
         (true, _, _) => Word::Failed(Trouble::TwoPostmarks),
         // The leaf's own word on the call, not a failure of the leaf.
-        (false, _, Form::Pass) if raw.status < 500 && !promises(raw.status) => Word::Answer,
+        (false, _, ServingMode::PassThrough) if raw.status < 500 && !promises(raw.status) => {
+            Word::Answer
+        }
         (false, _, _) => Word::Failed(Trouble::Status),
     }
 }
--- a/crates/core/src/query/forwarding.rs
+++ b/crates/core/src/query/forwarding.rs
@@ -13,7 +13,7 @@
 use super::planned_query::{Query, Slot, SlotState, failed, shift};
 use super::request::Reason;
 use crate::config::route::Route;
-use crate::config::types::Form;
+use crate::config::types::ServingMode;
 use crate::consts;
 use crate::http_api::leaf::{MISDIRECTED, Raw, Trouble};
 use crate::time::{Tick, since};
@@ -103,7 +103,7 @@
         Ok(raw) if raw.status < 500 && !raw.heads.unrun && raw.status != MISDIRECTED => {
             Word::Partial
         }
-        Ok(raw) => judge(raw, Form::Join),
+        Ok(raw) => judge(raw, ServingMode::Join),
         Err(why) => Word::without_reply(*why),
     };
     note(d, now, sent, word.how());
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -4,8 +4,8 @@
 
 use indexmap::IndexMap;
 
-use crate::config::route::{PoolPlan, Route};
-use crate::config::types::{Form, Steer};
+use crate::config::route::{CompiledPool, Route};
+use crate::config::types::{BalancingMode, ServingMode};
 use crate::consts::REST_AFTER;
 use crate::query::connection_subset::Peer;
 use crate::query::leaf::{Leaf, bears, load, used, warm};
@@ -90,8 +90,8 @@
 }
 
 /// The least loaded of a few leafs, or the less loaded of two drawn from many.
-fn best<'a>(set: &[&Candidate<'a>], luck: &mut Random, form: Form) -> &'a Arc<LeafInfo> {
-    if set.len() <= SMALL && form != Form::Own {
+fn best<'a>(set: &[&Candidate<'a>], luck: &mut Random, form: ServingMode) -> &'a Arc<LeafInfo> {
+    if set.len() <= SMALL && form != ServingMode::Native {
         // So few can all be looked at; chance breaks ties.
         let from = luck.below(set.len() as u64) as usize;
         let all = set[from..].iter().chain(&set[..from]);
@@ -119,14 +119,14 @@
             found.stand = true;
             let near = map.local && info.zone() == s.zone;
             let candidate = match pool.steer {
-                Steer::Seen => {
+                BalancingMode::LoadAware => {
                     if kept_cold(s, leaf, info, pool) {
                         continue;
                     }
                     found.healthy |= leaf.connections != Some(0) && leaf.rest_until <= s.now;
                     by_seen(s, leaf, info, near || !map.local)
                 }
-                Steer::Share => by_share(s, leaf, info, pool, near),
+                BalancingMode::Partitioned => by_share(s, leaf, info, pool, near),
             };
             found.fit.extend(candidate);
         }
@@ -135,7 +135,7 @@
 }
 
 /// Whether a leaf is cold and not ours to send to now.
-fn kept_cold(s: &Scene, leaf: &Leaf, info: &LeafInfo, pool: &PoolPlan) -> bool {
+fn kept_cold(s: &Scene, leaf: &Leaf, info: &LeafInfo, pool: &CompiledPool) -> bool {
     let rate = u64::from(pool.cold_rate);
     info.cold
         && rate > 0
@@ -168,7 +168,7 @@
     s: &Scene,
     leaf: &Leaf,
     info: &'a Arc<LeafInfo>,
-    pool: &PoolPlan,
+    pool: &CompiledPool,
     near: bool,
 ) -> Option<Candidate<'a>> {
     let own = room(s, leaf, pool);
@@ -181,7 +181,7 @@
 }
 
 /// Dispatches that we may have in hand at a leaf.
-pub fn room(s: &Scene, leaf: &Leaf, pool: &PoolPlan) -> u64 {
+pub fn room(s: &Scene, leaf: &Leaf, pool: &CompiledPool) -> u64 {
     let rank = if warm(leaf, pool.ramp, s.now) { leaf.dealt } else { leaf.rank };
     let part = part(s.share, rank, bears(leaf, pool.bears, pool.ramp, s.now));
     used(leaf, part, s.share.mine, s.now)
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -10,11 +10,11 @@
 use super::planned_query::{Query, slot};
 use super::request::{Ask, Reason, Rejection};
 use crate::config::route::Route;
-use crate::config::types::Form;
+use crate::config::types::ServingMode;
 use crate::consts;
 use crate::digest::{digest, hash};
 use crate::random::Random;
-use crate::routing_language::compile::Send;
+use crate::routing_language::compile::FanOut;
 use crate::time::{Span, Tick};
 
 /// Fixes everything about a query: its mapping, its shards, its times.
@@ -29,7 +29,7 @@
     let Some(map) = d.view.mappings.get(&ask.mapping).cloned() else {
         return say(Reason::NoMapping, "no search of that name is configured");
     };
-    if map.form != Form::Own {
+    if map.form != ServingMode::Native {
         return say(Reason::NoMapping, "this search is called by host and path");
     }
     room(d, map.class)?;
@@ -119,10 +119,10 @@
     luck: &mut Random,
 ) -> Result<Vec<usize>, Rejection> {
     match (map.send, key) {
-        (Send::Wide, _) => Ok((0..map.shards.len()).collect()),
-        (Send::One, Some(key)) => Ok(vec![shard_of(map, key)]),
-        (Send::Weighed, _) => Ok(vec![drawn(map, luck)]),
-        (Send::One, None) => {
+        (FanOut::AllShards, _) => Ok((0..map.shards.len()).collect()),
+        (FanOut::ByKey, Some(key)) => Ok(vec![shard_of(map, key)]),
+        (FanOut::ByWeight, _) => Ok(vec![drawn(map, luck)]),
+        (FanOut::ByKey, None) => {
             let text = "this search looks up one thing: give its `key`";
             Err(Rejection::new(Reason::NoKey, text))
         }
--- a/crates/core/src/routing_language/compile.rs
+++ b/crates/core/src/routing_language/compile.rs
@@ -15,24 +15,24 @@
 
 /// Which shards a query is planned for.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Send {
+pub enum FanOut {
     /// Every shard of the index version.
-    Wide,
+    AllShards,
     /// The one shard that the caller's key falls on.
-    One,
+    ByKey,
     /// One shard, drawn by the search's weights.
-    Weighed,
+    ByWeight,
 }
 
 /// A compiled plan, before its pools are looked up.
 #[derive(Clone, PartialEq, Debug)]
-pub struct Policy {
+pub struct CompiledPlan {
     /// Chooses the pools of the route by their labels.
     pub sel: Selector,
     /// The label whose values are the shards' names.
     pub by: String,
     /// Which shards a query is planned for.
-    pub send: Send,
+    pub send: FanOut,
     /// Share of the time left that a dispatch may use before a retry, in percent.
     pub wait_pct: u64,
     /// Share of the promise after which a quorum is enough, in percent.
@@ -45,16 +45,20 @@
 #[derive(Default)]
 struct Plan {
     from: Option<(Selector, String)>,
-    send: Option<Send>,
+    send: Option<FanOut>,
     wait_pct: Option<u64>,
     stop_pct: Option<u64>,
     local: Option<bool>,
 }
 
-impl Policy {
+impl CompiledPlan {
     /// Compiles the plan that stands at `text_place`; `None` when something is
     /// wrong with it.
-    pub fn compile(text_place: &str, text: &str, diagnostics: &mut Diagnostics) -> Option<Policy> {
+    pub fn compile(
+        text_place: &str,
+        text: &str,
+        diagnostics: &mut Diagnostics,
+    ) -> Option<CompiledPlan> {
         let before = diagnostics.len();
         let mut plan = Plan::default();
         for Stage { verb, position } in stages(text_place, text, diagnostics) {
@@ -73,7 +77,7 @@
             diagnostics.report(start, SyntaxError::SendMissing);
         }
         let ((sel, by), send) = (plan.from?, plan.send?);
-        Some(Policy {
+        Some(CompiledPlan {
             sel,
             by,
             send,
@@ -91,9 +95,9 @@
             Verb::From { selector, shard_label } => {
                 self.from.replace((selector, shard_label)).is_some()
             }
-            Verb::SendWide => self.send.replace(Send::Wide).is_some(),
-            Verb::SendOne => self.send.replace(Send::One).is_some(),
-            Verb::SendWeighed => self.send.replace(Send::Weighed).is_some(),
+            Verb::SendWide => self.send.replace(FanOut::AllShards).is_some(),
+            Verb::SendOne => self.send.replace(FanOut::ByKey).is_some(),
+            Verb::SendWeighed => self.send.replace(FanOut::ByWeight).is_some(),
             Verb::Wait(percent) => self.wait_pct.replace(percent).is_some(),
             Verb::Stop(percent) => self.stop_pct.replace(percent).is_some(),
             Verb::Prefer { local } => self.local.replace(local).is_some(),
--- a/crates/core/src/snapshot/cluster_view.rs
+++ b/crates/core/src/snapshot/cluster_view.rs
@@ -4,7 +4,7 @@
 
 use indexmap::IndexMap;
 
-use crate::config::route::{Built, CUT, PoolPlan, Route};
+use crate::config::route::{CompiledPool, INDEX_VERSION_LABEL, Route, RoutingTable};
 use crate::snapshot::leafs::LeafInfo;
 
 /// Everything a query needs to know.
@@ -16,7 +16,7 @@
     /// Revision of the configuration that `built` was made from.
     pub revision: u64,
     /// The checked configuration.
-    pub built: Arc<Built>,
+    pub built: Arc<RoutingTable>,
     /// Routes by name, each pinned by the queries that use it.
     pub mappings: IndexMap<String, Arc<Route>>,
     /// Routes by host in lower case, those with the longest path first.
@@ -29,7 +29,7 @@
 
 impl ClusterView {
     /// A view of the configuration of `revision` and of these leafs.
-    pub fn new(revision: u64, built: Arc<Built>, leafs: Vec<LeafInfo>) -> Self {
+    pub fn new(revision: u64, built: Arc<RoutingTable>, leafs: Vec<LeafInfo>) -> Self {
         let mappings: IndexMap<_, _> = built
             .mappings
             .iter()
@@ -58,14 +58,14 @@
     /// pool, of the index version, not leaving, in no drained zone.
     pub fn open_leafs<'a>(
         &'a self,
-        pool: &'a PoolPlan,
+        pool: &'a CompiledPool,
         cut: &'a str,
     ) -> impl Iterator<Item = &'a Arc<LeafInfo>> {
         let leafs = self.services.get(&pool.service).map_or(&[][..], Vec::as_slice);
         leafs.iter().filter(move |leaf| {
             !leaf.leaving
                 && !self.built.drained.contains(leaf.zone())
-                && leaf.labels.get(CUT).is_none_or(|version| version == cut)
+                && leaf.labels.get(INDEX_VERSION_LABEL).is_none_or(|version| version == cut)
                 && pool.sel.matches(&leaf.labels)
         })
     }
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -1,7 +1,7 @@
 //! Reading and checking configurations: every finding, each at its place.
 
 use googletest::prelude::*;
-use grebepath_core::config::route::Built;
+use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
 
 fn good() -> String {
@@ -27,7 +27,7 @@
 #[googletest::test]
 fn a_good_configuration_builds_and_survives_its_stored_form() {
     let conf = Config::from_json(good().as_bytes()).unwrap();
-    let built = Built::build(&conf).unwrap();
+    let built = RoutingTable::build(&conf).unwrap();
     let map = &built.mappings["notices"];
     expect_that!(map.cut, eq("w48"));
     expect_that!(map.shards.len(), eq(2));
@@ -70,7 +70,7 @@
     let with = |plan: &str| {
         let mut conf = Config::from_json(good().as_bytes()).unwrap();
         conf.searches.get_mut("notices").unwrap().plan = plan.to_string();
-        Built::build(&conf)
+        RoutingTable::build(&conf)
             .map(|_| ())
             .unwrap_err()
             .iter()
--- a/crates/core/tests/desk.rs
+++ b/crates/core/tests/desk.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use googletest::prelude::*;
-use grebepath_core::config::route::Built;
+use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
 use grebepath_core::http_api::leaf::{Heads, Raw, Trouble, postmark};
 use grebepath_core::query::engine::{Door, QueryEngine, desk};
@@ -47,7 +47,7 @@
             "plan": format!("from cut = \"{cut}\" by shard\nsend wide\nwait 20%\nstop at quorum after 50%") }],
         "zones": [{ "name": drained, "state": "drained" }] });
     let conf = Config::from_json(conf.to_string().as_bytes()).unwrap();
-    ClusterView::new(7, Arc::new(Built::build(&conf).unwrap()), leafs)
+    ClusterView::new(7, Arc::new(RoutingTable::build(&conf).unwrap()), leafs)
 }
 
 fn open(v: ClusterView) -> QueryEngine {
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -20,7 +20,7 @@
 
 use cluster::{Cluster, answer, cluster as started_cluster, give, kill, leader, pass, pass_until};
 use googletest::prelude::*;
-use grebepath_core::config::types::{Config, Zone};
+use grebepath_core::config::types::{Config, ZoneConfig};
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::control_plane::order_memory::{Recall, fingerprint, horizon, recall};
 use grebepath_core::identifiers::CONFIG;
@@ -148,7 +148,7 @@
     let mut expected = stored::configuration();
     expected.terms = stored::terms(44);
     expected.zones.clear();
-    let west = Zone { name: "west".into(), drained: true };
+    let west = ZoneConfig { name: "west".into(), drained: true };
     expected.zones.insert("west".into(), west);
     expect_that!(Config::from_entries(&newest(&configuration, 0).map), ok(eq(&expected)));
     let mut expected = stored::configuration();
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -2,7 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use grebepath_core::config::types::{Class, Config, Form, Pool, Search, Steer, Terms, Turn, Zone};
+use grebepath_core::config::types::{
+    BalancingMode, ChangeHeader, ClientLimits, Config, PoolConfig, PriorityClass, SearchConfig,
+    ServingMode, ZoneConfig,
+};
 use grebepath_core::control_plane::order_memory::{Fingerprint, Horizon, fingerprint, remember};
 use grebepath_core::digest::digest;
 use grebepath_core::protocol::message::EntryMap;
@@ -56,16 +59,16 @@
 
 /// A configuration of which every stored field says something.
 pub fn configuration() -> Config {
-    let search = Search {
+    let search = SearchConfig {
         name: "books".into(),
-        class: Class::Urgent as i32,
+        class: PriorityClass::Urgent as i32,
         promise_ms: 901,
         quorum: 902,
         attempts: 3,
         plan: "all shards of books".into(),
         host: "books.example".into(),
         path: "/find/".into(),
-        form: Form::Join as i32,
+        form: ServingMode::Join as i32,
         once: true,
         target_ms: 903,
         rank: 904,
@@ -76,33 +79,33 @@
         place: 909,
         needs: vec!["main".into(), "spare".into()],
     };
-    let pool = Pool {
+    let pool = PoolConfig {
         name: "main".into(),
         service: "books-leafs".into(),
         selector: "tier = hot".into(),
         labels: BTreeMap::from([("region".into(), "north".into()), ("shard".into(), "1".into())]),
         bears: 911,
         ramp_ms: 912,
-        steer: Steer::Seen as i32,
+        steer: BalancingMode::LoadAware as i32,
         connections: 913,
         cold_rate: 914,
         origin: r#"{"name":"main"}"#.into(),
         place: 915,
     };
-    let zone = Zone { name: "east".into(), drained: true };
+    let zone = ZoneConfig { name: "east".into(), drained: true };
     Config {
         searches: BTreeMap::from([(search.name.clone(), search)]),
         pools: BTreeMap::from([(pool.name.clone(), pool)]),
         zones: BTreeMap::from([(zone.name.clone(), zone)]),
         terms: terms(41),
-        turn: Turn::default(),
+        turn: ChangeHeader::default(),
         keep_zones: false,
     }
 }
 
 /// Terms of which every field says something.
-pub fn terms(edition: u64) -> Terms {
-    Terms {
+pub fn terms(edition: u64) -> ClientLimits {
+    ClientLimits {
         edition,
         head_max: 921,
         body_max: 922,
@@ -193,7 +196,7 @@
 }
 
 fn zone_west() -> Vec<u8> {
-    Zone { name: "west".into(), drained: true }.encode_to_vec()
+    ZoneConfig { name: "west".into(), drained: true }.encode_to_vec()
 }
 
 // ---- orders of the older form ----------------------------------------------
--- a/crates/core/tests/hand.rs
+++ b/crates/core/tests/hand.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 
 use googletest::prelude::*;
-use grebepath_core::config::route::Built;
+use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
 use grebepath_core::consts;
 use grebepath_core::http_api::leaf::{Heads, Raw, Trouble};
@@ -66,7 +66,7 @@
             });
         }
     }
-    ClusterView::new(7, Arc::new(Built::build(&conf).unwrap()), leafs)
+    ClusterView::new(7, Arc::new(RoutingTable::build(&conf).unwrap()), leafs)
 }
 
 /// A desk with a saved quota of second tries for every service.
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use grebepath_core::config::stored::{Entry, edition};
-use grebepath_core::config::types::Terms;
+use grebepath_core::config::types::ClientLimits;
 use grebepath_core::control_plane::order_memory::{
     Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, is_memory, may_be_forgotten,
     recall, remember, without_memory,
@@ -75,7 +75,7 @@
 }
 
 fn set_edition(map: &mut EntryMap, edition: u64) {
-    let terms = Terms { edition, ..Terms::default() };
+    let terms = ClientLimits { edition, ..ClientLimits::default() };
     map.insert("terms".into(), terms.encode_to_vec());
 }
 
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -65,7 +65,8 @@
         let entries = remember(&copy.map, &print, base + 1, base + 1);
         put(&mut copy.map, &entries);
     }
-    let terms = grebepath_core::config::types::Terms { edition: ACCEPTED, ..Default::default() };
+    let terms =
+        grebepath_core::config::types::ClientLimits { edition: ACCEPTED, ..Default::default() };
     copy.map.insert("terms".into(), prost::Message::encode_to_vec(&terms));
     copy.revision = ACCEPTED;
     for node in &mut c.nodes {
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use grebepath_core::config::route::Built;
+use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::protocol::message::ReplicaCondition;
@@ -68,7 +68,7 @@
 fn uncovered(core: &ControllerState) -> Vec<Value> {
     let config = &core.partitions[0];
     let Ok(conf) = Config::from_entries(&config.committed) else { return Vec::new() };
-    let Ok(built) = Built::build(&conf) else { return Vec::new() };
+    let Ok(built) = RoutingTable::build(&conf) else { return Vec::new() };
     let list =
         core.partitions[1..].iter().flat_map(|p| leafs_in(&p.committed).into_values()).collect();
     let view = ClusterView::new(config.committed_revision, Arc::new(built), list);
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -4,7 +4,7 @@
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::findings;
 use grebepath_core::query::planning::shard_of;
-use grebepath_core::routing_language::compile::Send;
+use grebepath_core::routing_language::compile::FanOut;
 use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
 
@@ -22,7 +22,7 @@
 /// The plan of a mapping, and of a key's lookup.
 pub fn plan(m: &Route, key: Option<&str>) -> Value {
     let planned: Vec<usize> = match (m.send, key) {
-        (Send::One, Some(key)) => vec![shard_of(m, key)],
+        (FanOut::ByKey, Some(key)) => vec![shard_of(m, key)],
         _ => (0..m.shards.len()).collect(),
     };
     let shards: Vec<Value> = planned
@@ -42,7 +42,7 @@
         .collect();
     json!({
         "search": m.name, "class": m.class.word(),
-        "cut": m.cut, "send": if m.send == Send::Wide { "wide" } else { "one by key" },
+        "cut": m.cut, "send": if m.send == FanOut::AllShards { "wide" } else { "one by key" },
         "promise_ms": m.promise / MILLI, "attempts": m.attempts,
         "wait_pct": m.wait_pct, "stop_pct": m.stop_pct,
         "prefer": if m.local { "local" } else { "any" },
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use grebepath_core::config::route::Built;
+use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::{CONFIG, STATUS};
@@ -50,8 +50,8 @@
     got.map_err(|e| End(format!("{file}: {e}"), EXIT_USAGE))
 }
 
-fn checked(args: &Args, raw: &[u8]) -> Result<(Config, Built), End> {
-    let got = Config::from_json(raw).and_then(|c| Built::build(&c).map(|b| (c, b)));
+fn checked(args: &Args, raw: &[u8]) -> Result<(Config, RoutingTable), End> {
+    let got = Config::from_json(raw).and_then(|c| RoutingTable::build(&c).map(|b| (c, b)));
     got.map_err(|all| {
         show::wrong(&all, args.json);
         End(String::new(), EXIT_WRONG)
@@ -120,7 +120,7 @@
                 Some(file) => checked(args, &load(file)?)?.1,
                 None => {
                     let (_, conf) = get(args, http).await?;
-                    Built::build(&conf)
+                    RoutingTable::build(&conf)
                         .map_err(|_| trouble("the configuration in force does not build here"))?
                 }
             };
--- a/crates/server/src/querier/traffic.rs
+++ b/crates/server/src/querier/traffic.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use grebepath_core::config::types::Terms;
+use grebepath_core::config::types::ClientLimits;
 use grebepath_core::query::engine::{QueryEngine, counts, desk};
 use grebepath_core::query::event::{Command, Event};
 use grebepath_core::query::forwarded_request::ForwardedRequest;
@@ -201,7 +201,7 @@
 }
 
 /// Holds callers to what the configuration allows them.
-fn limit(door: &ForwardingServer, terms: &Terms) {
+fn limit(door: &ForwardingServer, terms: &ClientLimits) {
     let own = ListenerLimits::default();
     let size = |n: u64, own| if n > 0 { n as usize } else { own };
     let time = |n: u64, own| if n > 0 { duration(ms(n)) } else { own };
--- a/crates/simulator/src/scale_model/fan.rs
+++ b/crates/simulator/src/scale_model/fan.rs
@@ -4,7 +4,7 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use grebepath_core::config::route::Built;
+use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
 use grebepath_core::http_api::leaf::{Heads, Raw, postmark};
 use grebepath_core::query::engine::{QueryEngine, desk};
@@ -45,8 +45,9 @@
 fn open(shards: usize, of: usize) -> QueryEngine {
     let leafs = shards * plan::LEAFS_A_SHARD;
     let conf = plan::config(leafs).to_string();
-    let conf =
-        Config::from_json(conf.as_bytes()).and_then(|c| Built::build(&c)).unwrap_or_default();
+    let conf = Config::from_json(conf.as_bytes())
+        .and_then(|c| RoutingTable::build(&c))
+        .unwrap_or_default();
     let leaf = |n: usize| LeafInfo { age_ms: plan::OLD_MS, ..plan::leaf(n, leafs) };
     let view = ClusterView::new(1, Arc::new(conf), (0..leafs).map(leaf).collect());
     let mut d = desk("front", &plan::name(0), 1, BOOT);
--- a/crates/simulator/src/scale_model/weight.rs
+++ b/crates/simulator/src/scale_model/weight.rs
@@ -2,7 +2,7 @@
 //! has no allocator of its own: lengths are exact, what the allocator adds is
 //! taken from the constants below. The process's own memory checks the sum.
 
-use grebepath_core::config::route::Built;
+use grebepath_core::config::route::RoutingTable;
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::membership::node_agent::NodeAgent;
 use grebepath_core::protocol::message::{EntryMap, Member, Membership};
@@ -43,11 +43,11 @@
         + ARC
 }
 
-fn built(b: &Built) -> usize {
-    let pool = |p: &grebepath_core::config::route::PoolPlan| {
+fn built(b: &RoutingTable) -> usize {
+    let pool = |p: &grebepath_core::config::route::CompiledPool| {
         std::mem::size_of_val(p) + p.name.len() + p.service.len() + 3 * BLOCK
     };
-    let shard = |s: &grebepath_core::config::route::Shard| {
+    let shard = |s: &grebepath_core::config::route::RouteShard| {
         text(&s.name) + TEXT + s.pools.iter().map(pool).sum::<usize>()
     };
     b.mappings.values().map(|m| m.shards.iter().map(shard).sum::<usize>()).sum()
--- a/crates/simulator/tests/hollow.rs
+++ b/crates/simulator/tests/hollow.rs
@@ -1,7 +1,7 @@
 //! The hollow fleet at small sizes: it comes up, replays, and grows as it must.
 
 use googletest::prelude::*;
-use grebepath_core::config::route::Built;
+use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
 use grebepath_core::time::SECOND;
 use grebepath_simulator::scale_model::phases::{Findings, Measurements, measure};
@@ -66,7 +66,7 @@
     expect_that!(regions.len(), eq(5));
     let conf = plan::config(5_300).to_string();
     let conf = Config::from_json(conf.as_bytes()).unwrap();
-    let built = Built::build(&conf).unwrap();
+    let built = RoutingTable::build(&conf).unwrap();
     expect_that!(built.mappings["wide"].shards.len(), eq(1_300));
     let w = World::new(Size { members: 3, leafs: 30 }, 1);
     let (list, wrong) = grebepath_core::http_api::list::read(w.list.as_bytes()).unwrap();
