--- a/crates/core/src/config/show.rs
+++ b/crates/core/src/config/show.rs
@@ -41,9 +41,11 @@
 }
 
 fn search(search: &SearchConfig) -> Value {
+    let class = PriorityClass::try_from(search.class).unwrap_or(PriorityClass::Ordinary);
     let mut out = json!({
-        "name": search.name, "class": PriorityClass::try_from(search.class).unwrap_or(PriorityClass::Ordinary).word(), "promise_ms": search.promise_ms,
-        "quorum": f64::from(search.quorum) / 1000.0, "attempts": search.attempts, "plan": search.plan,
+        "name": search.name, "class": class.word(), "promise_ms": search.promise_ms,
+        "quorum": f64::from(search.quorum) / 1000.0, "attempts": search.attempts,
+        "plan": search.plan,
     });
     if !search.host.is_empty() {
         (out["host"], out["path"]) = (json!(search.host), json!(search.path));
--- a/crates/core/src/digest.rs
+++ b/crates/core/src/digest.rs
@@ -1,8 +1,10 @@
-//! Digests of questions and stable hashes of names.
+//! Digests of requests and stable hashes of names. Their values are stored and
+//! travel between processes: they never change.
 
 use sha2::{Digest, Sha256};
 
-/// Hex digest (128 bits) that ties a dispatch to the exact bytes it asks.
+/// Hex digest (128 bits of SHA-256) that ties a dispatch to the exact bytes of
+/// its request.
 pub fn digest(bytes: &[u8]) -> String {
     digest_bytes(bytes).iter().map(|b| format!("{b:02x}")).collect()
 }
--- a/crates/core/src/quorum.rs
+++ b/crates/core/src/quorum.rs
@@ -15,8 +15,8 @@
     (members / ACCEPTANCE_FRACTION).max(1)
 }
 
-/// Members, the asker counted, that must be accounted for before one of them
-/// serves on without a lease. One that is alone can't prove anything.
+/// Members, the one that asks counted, that must be accounted for before it
+/// serves on without a lease. One that is alone can't prove anything: `None`.
 pub fn serving(members: usize) -> Option<usize> {
     (members > 1).then(|| members - acceptance(members) + 1)
 }
--- a/crates/core/src/snapshot/leafs.rs
+++ b/crates/core/src/snapshot/leafs.rs
@@ -9,12 +9,18 @@
 /// One leaf. `leaf` is its identity: a new start is a new identity.
 #[derive(Clone, PartialEq, Debug, nanoserde::DeBin, nanoserde::SerBin)]
 pub struct LeafInfo {
+    /// Identity, new at each start.
     pub leaf: String,
+    /// The service that it belongs to.
     pub service: String,
+    /// IP address and port.
     pub addr: String,
+    /// Labels by which pools choose it.
     pub labels: Labels,
+    /// It shuts down and gets no new work.
     pub leaving: bool,
-    /// The leaf is at least this old: what it said when it was last probed.
+    /// The leaf is at least this old, in milliseconds: its own word at the last
+    /// health check.
     pub age_ms: u64,
     /// Dispatches it works on at once, if the list says so; else zero.
     pub slots: u32,
