--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -16,13 +16,13 @@
 
 fn role(p: &Partition) -> &'static str {
     match &p.role {
-        _ if p.life == ReplicaCondition::Damaged => "damaged",
-        _ if p.life == ReplicaCondition::Empty => "empty",
-        _ if p.sick.is_some() => "sick",
+        _ if p.condition == ReplicaCondition::Damaged => "damaged",
+        _ if p.condition == ReplicaCondition::Empty => "empty",
+        _ if p.disk_failure.is_some() => "sick",
         Role::Follower { .. } => "follower",
         Role::PreVoting { .. } => "sounding",
         Role::Candidate(_) => "claiming",
-        Role::Leader(o) if o.serves => "owner",
+        Role::Leader(o) if o.is_serving => "owner",
         Role::Leader(_) => "owner-to-be",
     }
 }
@@ -35,22 +35,22 @@
         .map(|p| {
             let owner = match &p.role {
                 Role::Leader(_) => Some(core.slot),
-                Role::Follower { leader, .. } => leader.map(|o| o.0),
+                Role::Follower { leader, .. } => leader.map(|known| known.slot),
                 _ => None,
             };
             let silent = match &p.role {
-                Role::Follower { heard, .. } => since(*heard, now) / MILLI,
+                Role::Follower { last_heard, .. } => since(*last_heard, now) / MILLI,
                 _ => 0,
             };
             json!({
                 "part": p.id.to_string(), "role": role(p), "owner": owner,
-                "epoch": p.copy.term, "promised": p.copy.promised, "revision": p.copy.revision,
-                "shown": p.committed_revision, "owner_silent_ms": silent, "sick": p.sick,
+                "epoch": p.state.written_term.as_u64(), "promised": p.state.current_term.as_u64(), "revision": p.state.revision,
+                "shown": p.committed_revision, "owner_silent_ms": silent, "sick": p.disk_failure,
                 "writes_waiting": p.writes.len(),
             })
         })
         .collect();
-    let seats: Vec<Value> = core.seating.roll.table.slots.iter().map(seat).collect();
+    let seats: Vec<Value> = core.voter_slots.voter_file.table.slots.iter().map(seat).collect();
     let own = (core.slot != NOBODY).then_some(core.slot);
     json!({
         "seat": own, "zone": zone, "parts": parts, "seats": seats,
@@ -92,20 +92,20 @@
 /// Prometheus text.
 pub fn text(core: &ControllerState) -> String {
     let mut out = String::new();
-    let c = &core.counts;
+    let c = &core.counters;
     let mut count = |name: &str, help: &str, val: u64| {
         let _ = writeln!(out, "# HELP {name} {help}\n# TYPE {name} counter\n{name} {val}");
     };
     count("grebe_accepted_total", "Operators' changes accepted.", c.accepted);
-    count("grebe_not_accepted_total", "Operators' requests not accepted.", c.bounced);
-    count("grebe_claims_total", "Claims of parts begun.", c.claims);
-    count("grebe_owned_total", "Parts that came to be owned.", c.owned);
-    count("grebe_resigned_total", "Ownerships given up.", c.resigned);
-    count("grebe_disk_mended_total", "Times a disk worked again after trouble.", c.mended);
-    count("grebe_rotted_total", "Parts whose files had rotted while we ran.", c.rotted);
-    count("grebe_lacking_total", "Times a replica asked for a whole copy.", c.swept);
-    count("grebe_news_total", "Messages of news sent to followers.", c.news);
-    count("grebe_fenced_total", "Reports turned away by a fence.", c.fenced);
+    count("grebe_not_accepted_total", "Operators' requests not accepted.", c.rejected);
+    count("grebe_claims_total", "Claims of parts begun.", c.candidacies);
+    count("grebe_owned_total", "Parts that came to be owned.", c.leaderships_won);
+    count("grebe_resigned_total", "Ownerships given up.", c.leaderships_lost);
+    count("grebe_disk_mended_total", "Times a disk worked again after trouble.", c.disks_recovered);
+    count("grebe_rotted_total", "Parts whose files had rotted while we ran.", c.corruptions);
+    count("grebe_lacking_total", "Times a replica asked for a whole copy.", c.snapshot_requests);
+    count("grebe_news_total", "Messages of news sent to followers.", c.updates_sent);
+    count("grebe_fenced_total", "Reports turned away by a fence.", c.fenced_lists);
     let _ = writeln!(out, "# HELP grebe_followers Wires that follow the feed.");
     let _ = writeln!(out, "# TYPE grebe_followers gauge\ngrebe_followers {}", core.followers.len());
     let _ = writeln!(out, "# HELP grebe_part_revision Committed revision shown, by part.");
--- a/crates/simulator/src/scale_model/mod.rs
+++ b/crates/simulator/src/scale_model/mod.rs
@@ -1,4 +1,4 @@
-//! A hollow fleet: the daemons' own owners at the size to design for, without
+//! The scale model: the daemons' own state machines at the size to design for, without
 //! callers and without threads. Every message is written and read in its real
 //! form, so what it costs is counted, not guessed.
 //!
@@ -6,11 +6,11 @@
 //! process's memory differ between two runs of the same seed.
 
 pub mod cli;
-pub mod cost;
-pub mod does;
-pub mod fan;
-pub mod phases;
-pub mod plan;
-pub mod show;
-pub mod weight;
+pub mod fan_out;
+pub mod measure;
+pub mod memory;
+pub mod meter;
+pub mod report;
+pub mod step;
+pub mod topology;
 pub mod world;
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -3,22 +3,22 @@
 use grebepath_core::time::{SECOND, ms};
 
 use super::Scenario;
-use crate::world::{self, World};
+use crate::world::{self, OperatorRequest, World};
 
 /// Runs a scenario to its end.
 pub fn play(scenario: &Scenario, seed: u64, faulty_variant: Option<world::FaultyVariant>) -> World {
-    play_weighed(scenario, seed, faulty_variant, false)
+    play_counting_messages(scenario, seed, faulty_variant, false)
 }
 
-/// `play`, with messages weighed from the moment the fleet has come up.
-pub fn play_weighed(
+/// `play`, with messages counted from the moment the fleet has come up.
+pub fn play_counting_messages(
     scenario: &Scenario,
     seed: u64,
     faulty_variant: Option<world::FaultyVariant>,
     weigh: bool,
 ) -> World {
     let mut world = come_up(scenario, seed, faulty_variant);
-    world.net.weights = weigh.then(Default::default);
+    world.net.message_counts = weigh.then(Default::default);
     play_on(&mut world, scenario);
     world
 }
@@ -39,7 +39,7 @@
     world
 }
 
-/// `play_deviating`, with the hash of all messages kept from the moment the fleet
+/// `play_with_faults`, with the hash of all messages kept from the moment the fleet
 /// has come up.
 pub fn play_traced(scenario: &Scenario, seed: u64, injected: world::FaultInjection) -> World {
     let mut world = come_up(scenario, seed, None);
@@ -61,7 +61,7 @@
         World::new(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
     world.faulty_variant = faulty_variant;
     world.backends.ages = scenario.ages;
-    world.submit(ms(200), world::whole(&scenario.config));
+    world.submit(ms(200), OperatorRequest::replace(&scenario.config));
     world.until(20 * SECOND, |world| {
         world.settled()
             && !world.operator_requests.is_empty()
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -6,12 +6,10 @@
 use grebepath_core::protocol::message::Message;
 use grebepath_core::time::ms;
 
-use super::controllers::controller_connection;
 use super::events::ScheduledEvent;
 use super::faulty_variant::FaultyVariant;
-use super::nodes::has_voter_slot;
 use super::{BEGIN, World};
-use crate::net::Node;
+use crate::connection_id::Opener;
 use crate::simulated_disk::{Health, Job};
 
 impl World {
@@ -19,7 +17,7 @@
         let life = self.controllers[controller].life;
         match command {
             Command::ToVoter { slot, message } => {
-                let table = &self.controllers[controller].state.seating.roll.table;
+                let table = &self.controllers[controller].state.voter_slots.voter_file.table;
                 let Some(to) = table.slots.get(usize::from(slot)) else { return };
                 let Some(to) = self.machine(&to.addr) else { return };
                 self.send_to_controller(controller, to, message);
@@ -43,17 +41,19 @@
                     self.push_at(at, ScheduledEvent::VoterFileDone { controller, life, token });
                 }
             }
-            Command::ToConnection { connection, message } if connection >> 63 == 1 => {
-                self.answer_controller(controller, connection, message);
-            }
-            Command::ToConnection { connection, message } => {
-                self.answer_querier(controller, connection, message);
-            }
-            Command::AppendRecord { partition: part, token, rec } => {
-                self.start_disk_job(controller, part, token, Job::Append(rec))
+            Command::ToConnection { connection, message } => match Opener::of(connection) {
+                Opener::Controller { number, life } => {
+                    self.answer_controller(controller, number, life, message);
+                }
+                Opener::Querier { number, life } => {
+                    self.answer_querier(controller, number, life, message);
+                }
+            },
+            Command::AppendRecord { partition, token, rec } => {
+                self.start_disk_job(controller, partition, token, Job::Append(rec))
             }
-            Command::WriteSnapshot { partition: part, token, copy } => {
-                self.start_disk_job(controller, part, token, Job::Snapshot(copy))
+            Command::WriteSnapshot { partition, token, copy } => {
+                self.start_disk_job(controller, partition, token, Job::Snapshot(copy))
             }
             Command::Scrub { partition } => self.scrub(controller, partition),
             Command::Respond { op, done } => self.acknowledge(op as usize, done),
@@ -66,19 +66,18 @@
             }
             Command::Alarm(text) => {
                 self.rules
-                    .tell(self.now - BEGIN, || format!("seat {controller} (life {life}): {text}"));
+                    .note(self.now - BEGIN, || format!("seat {controller} (life {life}): {text}"));
                 *self.alarms.entry(text).or_default() += 1;
             }
         }
     }
 
     /// A controller answers another on the connection that the other opened.
-    fn answer_controller(&mut self, controller: usize, connection: u64, message: Message) {
-        self.net.weigh("seat-seat", &message);
-        let (to, life) = ((connection << 1 >> 33) as usize, connection & 0xffff_ffff);
-        let from = (Node::Controller(controller as u8), self.controllers[controller].zone.as_str());
-        let to_node = (Node::Controller(to as u8), self.controllers[to].zone.as_str());
-        let at = self.net.send(self.now, from, to_node, &mut self.random);
+    fn answer_controller(&mut self, controller: usize, to: usize, life: u64, message: Message) {
+        self.net.record("controller-controller", &message);
+        let from = self.controllers[controller].endpoint(controller);
+        let receiver = self.controllers[to].endpoint(to);
+        let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let event = CoreEvent::FromController { message };
             self.push_at(at, ScheduledEvent::ControllerEvent { controller: to, life, event });
@@ -86,14 +85,13 @@
     }
 
     /// A controller sends to a querier on the connection that the querier opened.
-    fn answer_querier(&mut self, controller: usize, connection: u64, message: Message) {
-        self.net.weigh("seat-querier", &message);
-        let (querier, life) = ((connection >> 32) as usize, connection & 0xffff_ffff);
-        let from = (Node::Controller(controller as u8), self.controllers[controller].zone.as_str());
-        let to_node = (Node::Querier(querier), self.queriers[querier].zone.as_str());
-        let at = self.net.send(self.now, from, to_node, &mut self.random);
+    fn answer_querier(&mut self, controller: usize, querier: usize, life: u64, message: Message) {
+        self.net.record("controller-querier", &message);
+        let from = self.controllers[controller].endpoint(controller);
+        let receiver = self.queriers[querier].endpoint(querier);
+        let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
-            let holder = self.controllers[controller].state.seating.roll.me;
+            let holder = self.controllers[controller].state.voter_slots.voter_file.me;
             self.push_at(at, ScheduledEvent::ControllerMessage { querier, life, holder, message });
         }
     }
@@ -107,23 +105,23 @@
             return;
         }
         let trouble = node.disk.scrub(partition);
-        let (life, event) = (node.life, CoreEvent::Scrubbed { partition, trouble });
+        let (life, event) = (node.life, CoreEvent::Scrubbed { partition, corruption: trouble });
         self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
     }
 
     /// A controller sends to another's machine, as who it is just now.
     pub(super) fn send_to_controller(&mut self, controller: usize, to: usize, message: Message) {
-        self.net.weigh("seat-seat", &message);
-        let ends = (Node::Controller(controller as u8), Node::Controller(to as u8));
-        let zones = (self.controllers[controller].zone.clone(), self.controllers[to].zone.clone());
-        let at = self.net.send(self.now, (ends.0, &zones.0), (ends.1, &zones.1), &mut self.random);
+        self.net.record("controller-controller", &message);
+        let from = self.controllers[controller].endpoint(controller);
+        let receiver = self.controllers[to].endpoint(to);
+        let at = self.net.send(self.now, from, receiver, &mut self.random);
         let Some(at) = at else { return };
         let node = &self.controllers[controller];
-        let connection = controller_connection(controller, node.life);
-        let event = if has_voter_slot(node) {
+        let connection = Opener::Controller { number: controller, life: node.life }.connection();
+        let event = if node.has_voter_slot() {
             CoreEvent::FromVoter {
                 slot: node.state.slot,
-                holder: node.state.seating.roll.me,
+                replica_id: node.state.voter_slots.voter_file.me,
                 connection,
                 message,
             }
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -1,4 +1,4 @@
-//! Dispatches on their way to leafs and back.
+//! Attempts that are sent to leafs, and their replies.
 
 use grebepath_core::digest::digest;
 use grebepath_core::http_api::leaf::{Heads, MISDIRECTED, Raw, Trouble};
@@ -12,17 +12,24 @@
 use super::nodes::Run;
 use super::{BEGIN, World};
 use crate::mock_backends;
-use crate::mock_backends::Alive;
+use crate::mock_backends::{Alive, Mode};
 use crate::net::latency;
 
+/// Status of a response to a request whose digest is wrong.
+const BAD_REQUEST: u16 = 400;
+/// Status of a response of a leaf that can't take more work.
+const UNAVAILABLE: u16 = 503;
+/// Times its capacity from which on a leaf rejects attempts.
+const REJECTS_BEYOND: u32 = 3;
+
 impl World {
     pub(super) fn dispatch(&mut self, engine: QueryEngineId, mut sending: Sending) {
         let now = self.now - BEGIN;
-        self.rules.tries(now, &sending.id, &sending.service);
+        self.rules.record_attempt(now, &sending.id, &sending.service);
         let who = self.queriers[engine.querier].name.clone();
         if let Some(leaf) = self.backends.leafs.get(&sending.leaf) {
             let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
-            self.rules.sends(now, &who, &sending.leaf, &zone, known);
+            self.rules.check_dispatch(now, &who, &sending.leaf, &zone, known);
         }
         if self.faulty_variant == Some(FaultyVariant::AltersQuestion) {
             let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
@@ -41,7 +48,7 @@
         let zone = self.queriers[engine.querier].zone.clone();
         let leaf_zone =
             self.backends.leafs.get(&sending.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
-        let after = latency(&zone, &leaf_zone, &mut self.random) + self.net.slow;
+        let after = latency(&zone, &leaf_zone, &mut self.random) + self.net.extra_latency;
         self.push(after, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
     }
 
@@ -53,7 +60,7 @@
             raw.heads.age = None;
         }
         let qzone = self.queriers[engine.querier].zone.clone();
-        let after = latency(&qzone, zone, &mut self.random) + self.net.slow;
+        let after = latency(&qzone, zone, &mut self.random) + self.net.extra_latency;
         self.push(
             after,
             ScheduledEvent::QueryEngineEvent {
@@ -63,66 +70,75 @@
         );
     }
 
+    /// A request reaches the machine of a leaf.
     pub(super) fn leaf_gets(&mut self, engine: QueryEngineId, sending: Sending) {
         let now = self.now;
         let key = AttemptKey { engine, attempt: sending.dispatch };
-        let name = self.backends.at.get(&sending.addr).cloned().unwrap_or_default();
-        let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
+        let name = self.backends.by_address.get(&sending.addr).cloned().unwrap_or_default();
+        let Some(leaf) = self.backends.leafs.get(&name) else { return };
         let zone = leaf.zone.clone();
         match leaf.alive {
             Alive::Vanished => return,
             Alive::Down => return self.answer(key, &zone, Err(Trouble::Unreachable)),
             Alive::Up => {}
         }
+        let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
+        let rejection = |status| Ok(leaf.rejection(now, status));
         // A connection ends with the process behind it, and on a new one the leaf is
         // asked who it is before any work is sent.
-        let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
         let connection = (engine, sending.addr.clone());
         let known = self.connections.get(&connection) == Some(&name);
         if !known && self.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
             if misdirected {
-                let raw = leaf.turned_away(now, MISDIRECTED);
-                return self.answer(key, &zone, Ok(raw));
+                let response = rejection(MISDIRECTED);
+                return self.answer(key, &zone, response);
             }
             self.connections.insert(connection, name);
-            let after =
-                2 * latency(&self.queriers[engine.querier].zone.clone(), &zone, &mut self.random);
-            return self
-                .push(after, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
+            let own_zone = self.queriers[engine.querier].zone.clone();
+            let after = 2 * latency(&own_zone, &zone, &mut self.random);
+            let sending = Box::new(sending);
+            return self.push(after, ScheduledEvent::LeafRequest { engine, sending });
         }
         let who = &self.queriers[engine.querier].name;
-        self.rules.arrives(now - BEGIN, who, &name, &leaf.service.name, &sending.service);
+        let service = &leaf.service.name;
+        self.rules.check_destination(now - BEGIN, who, &name, service, &sending.service);
         if misdirected {
-            let raw = leaf.turned_away(now, MISDIRECTED);
-            return self.answer(key, &zone, Ok(raw));
+            let response = rejection(MISDIRECTED);
+            return self.answer(key, &zone, response);
         }
         if digest(&sending.body) != sending.digest {
-            let raw = leaf.turned_away(now, 400);
-            return self.answer(key, &zone, Ok(raw));
+            let response = rejection(BAD_REQUEST);
+            return self.answer(key, &zone, response);
         }
-        leaf.live += 1;
-        let bear = leaf.bears(now);
-        leaf.worst_pct = leaf.worst_pct.max(leaf.live * 100 / bear);
-        leaf.over += u64::from(leaf.live > bear);
-        let (live, fresh) = (leaf.live, leaf.fresh(now));
-        if fresh {
-            self.rules.carries(now - BEGIN, &name, live, bear);
+        self.start_work(key, name, sending);
+    }
+
+    /// A leaf starts to work on an attempt, unless it rejects it.
+    fn start_work(&mut self, key: AttemptKey, name: String, sending: Sending) {
+        let now = self.now;
+        let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
+        leaf.in_progress += 1;
+        let capacity = leaf.capacity(now);
+        leaf.worst_pct = leaf.worst_pct.max(leaf.in_progress * 100 / capacity);
+        leaf.over += u64::from(leaf.in_progress > capacity);
+        let in_progress = leaf.in_progress;
+        if leaf.is_warming_up(now) {
+            self.rules.check_warm_up_load(now - BEGIN, &name, in_progress, capacity);
         }
-        if leaf.mode == mock_backends::Mode::Unrun || live > bear * 3 {
-            leaf.live -= 1;
-            let raw = leaf.turned_away(now, 503);
+        if leaf.mode == Mode::Unrun || in_progress > capacity * REJECTS_BEYOND {
+            leaf.in_progress -= 1;
+            let (zone, response) = (leaf.zone.clone(), leaf.rejection(now, UNAVAILABLE));
             if leaf.leaving {
                 self.learn(&name);
             }
-            return self.answer(key, &zone, Ok(raw));
+            return self.answer(key, &zone, Ok(response));
         }
         leaf.ran += 1;
-        let took = leaf.takes(now, &mut self.random);
+        let took = leaf.service_time(now, &mut self.random);
         let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
-        self.rules.runs(now - BEGIN, &name, question);
-        self.next += 1;
-        let run = self.next;
+        self.rules.check_question(now - BEGIN, &name, question);
+        let run = self.queue.next_number();
         self.runs_by_attempt.insert(key, run);
         self.runs.insert(run, Run { key, leaf: name, sending });
         self.push(took, ScheduledEvent::LeafResponse { run });
@@ -132,7 +148,7 @@
         let run = self.runs.remove(&run)?;
         self.runs_by_attempt.remove(&run.key);
         if let Some(leaf) = self.backends.leafs.get_mut(&run.leaf) {
-            leaf.live = leaf.live.saturating_sub(1);
+            leaf.in_progress = leaf.in_progress.saturating_sub(1);
         }
         Some(run)
     }
@@ -145,11 +161,11 @@
         if leaf.alive != Alive::Up {
             return;
         }
-        let mut raw = leaf.reply(now, &run.sending);
+        let mut raw = leaf.response(now, &run.sending);
         let asked: Value = serde_json::from_slice(&run.sending.body).unwrap_or(Value::Null);
-        if mock_backends::true_reply(leaf.mode, asked["limit"].as_u64().unwrap_or(0)) {
+        if mock_backends::answers_correctly(leaf.mode, asked["limit"].as_u64().unwrap_or(0)) {
             let question = asked["question"].as_str().unwrap_or_default();
-            self.rules.answers(&leaf.service.name, &run.sending.id, question);
+            self.rules.record_answer(&leaf.service.name, &run.sending.id, question);
         }
         if leaf.leaving {
             self.learn(&run.leaf);
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -3,7 +3,6 @@
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::membership::node_agent;
-use grebepath_core::membership::step as membership_step;
 use grebepath_core::protocol::message::Message;
 use grebepath_core::query::engine::desk;
 use grebepath_core::time::{BOOT, ms};
@@ -14,6 +13,7 @@
 use super::events::{AttemptKey, FollowUp, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
 use super::{BEGIN, THREADS, World};
+use crate::connection_id::Opener;
 
 impl World {
     /// Starts a querier, which knows nothing.
@@ -26,8 +26,9 @@
         node.paused = 0;
         node.polling = false;
         node.began = self.now;
-        node.watch = node_agent::watch(member(&node.name, &node.zone, querier, node.life), BOOT);
-        node.desks = (0..THREADS)
+        node.node_agent =
+            node_agent::NodeAgent::new(member(&node.name, &node.zone, querier, node.life), BOOT);
+        node.query_engines = (0..THREADS)
             .map(|thread| {
                 let name = format!("{}-{thread}-{:x}", node.name, node.life);
                 let mut desk = desk(&name, &node.zone, seed ^ u64::from(thread), BOOT);
@@ -35,7 +36,7 @@
                 desk
             })
             .collect();
-        node.wakes = vec![0; THREADS as usize];
+        node.wake_at = vec![0; THREADS as usize];
         let life = node.life;
         self.push(start_delay(seed, 50), ScheduledEvent::QuerierTimer { querier, life });
     }
@@ -46,7 +47,7 @@
         self.queriers[querier].up = false;
         self.queriers[querier].ready = false;
         self.queriers[querier].life += 1;
-        let connection = ((querier as u64) << 32) | life;
+        let connection = Opener::Querier { number: querier, life }.connection();
         for controller in 0..self.controllers.len() {
             let life = self.controllers[controller].life;
             self.push(
@@ -80,7 +81,7 @@
         }
     }
 
-    /// Puts a wish to stop to a querier; it is down a moment after it drained.
+    /// Asks a querier to stop, as SIGTERM does; it ends once it has drained.
     pub fn stop_querier(&mut self, querier: usize) {
         let life = self.queriers[querier].life;
         self.push(
@@ -91,7 +92,7 @@
 
     /// Ends a querier that was asked to stop, once no query is in progress.
     pub(super) fn end_drained_querier(&mut self, querier: usize, life: u64) {
-        if self.queriers[querier].desks.iter().any(|engine| !engine.queries.is_empty()) {
+        if self.queriers[querier].query_engines.iter().any(|engine| !engine.queries.is_empty()) {
             return self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
         }
         self.step_node_agent(querier, node_agent::Event::Drained);
@@ -115,7 +116,7 @@
     ) {
         let event = match message {
             Message::VoterSetUpdate { table, .. } => node_agent::Event::VoterSet(table),
-            message => match seat_of(&self.queriers[querier].watch.voter_set, holder) {
+            message => match seat_of(&self.queriers[querier].node_agent.voter_set, holder) {
                 Some(slot) => node_agent::Event::FromVoter { slot, message },
                 None => return,
             },
@@ -125,30 +126,30 @@
 
     pub(super) fn step_node_agent(&mut self, querier: usize, event: node_agent::Event) {
         let local = self.now - self.queriers[querier].began + BOOT;
-        let todo = membership_step::step(&mut self.queriers[querier].watch, local, event);
+        let todo = self.queriers[querier].node_agent.step(local, event);
         if self.faulty_variant == Some(FaultyVariant::RevertsConfiguration)
-            && self.queriers[querier].watch.configuration_revision > 0
+            && self.queriers[querier].node_agent.configuration_revision > 0
         {
-            self.queriers[querier].watch.is_caught_up = true;
+            self.queriers[querier].node_agent.is_caught_up = true;
         }
         for command in todo {
             self.run_node_agent_command(querier, command);
         }
-        let held = &self.queriers[querier].watch.partitions;
+        let held = &self.queriers[querier].node_agent.partitions;
         let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
         for (part, revision) in places {
             if revision > 0 && !self.already_compared(querier, part, revision) {
                 let sum = grebepath_core::replication::leader::sum(
-                    &self.queriers[querier].watch.partitions[&PartitionId(part)].entries,
+                    &self.queriers[querier].node_agent.partitions[&PartitionId(part)].entries,
                 );
-                self.rules.same(self.now - BEGIN, part, revision, sum);
+                self.rules.check_replica(self.now - BEGIN, part, revision, sum);
             }
         }
     }
 
-    /// Whether this querier's holding of a revision was compared already.
+    /// Whether this querier's copy of a revision was compared already.
     pub(super) fn already_compared(&mut self, querier: usize, part: u32, revision: u64) -> bool {
         let key = (1_000 + part + 100 * querier as u32, 0);
-        self.rules.truth.insert(key, revision) == Some(revision)
+        self.rules.replica_sums.insert(key, revision) == Some(revision)
     }
 }
