--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -5,7 +5,7 @@
 
 use indexmap::IndexMap;
 
-use crate::config::build::Built;
+use crate::config::route::RoutingTable;
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
 use crate::membership::feed_sources::FeedSources;
 use crate::membership::lease::Lease;
@@ -45,7 +45,7 @@
     /// Whether the first view is known not to be an old one.
     pub is_caught_up: bool,
     /// The configuration that is obeyed.
-    pub configuration: Arc<Built>,
+    pub configuration: Arc<RoutingTable>,
     /// Revision of `configuration`; zero before the first.
     pub configuration_revision: u64,
     /// The view that the traffic threads were last given.
@@ -263,7 +263,7 @@
             voter_set: VoterSet::default(),
             voter_set_stamp: stamp(&VoterSet::default()),
             is_caught_up: false,
-            configuration: Arc::new(Built::default()),
+            configuration: Arc::new(RoutingTable::default()),
             configuration_revision: 0,
             view: None,
             view_is_stale: false,
--- a/crates/core/src/query/planned_query.rs
+++ b/crates/core/src/query/planned_query.rs
@@ -4,7 +4,7 @@
 
 use super::forwarded_request::ForwardedRequest;
 use super::request::{Reason, Record};
-use crate::config::build::{Route, needed};
+use crate::config::route::Route;
 use crate::consts;
 use crate::http_api::leaf::Raw;
 use crate::time::Tick;
@@ -89,7 +89,7 @@
 }
 
 pub(super) fn need(q: &Query) -> usize {
-    needed(q.map.quorum, q.slots.len())
+    q.map.required_shards(q.slots.len())
 }
 
 pub(super) fn count_in(q: &Query) -> usize {
--- a/crates/core/src/replication/replicate.rs
+++ b/crates/core/src/replication/replicate.rs
@@ -2,7 +2,7 @@
 //! counts who has synced them.
 
 use crate::command::Command;
-use crate::config::change::Entry;
+use crate::config::stored::Entry;
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::Message;
 use crate::replication::leader::{AnsweredRound, HeartbeatRound, Leader};
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -2,7 +2,7 @@
 
 use nanoserde::{DeBin, SerBin};
 
-use crate::config::change::Entry;
+use crate::config::stored::Entry;
 use crate::identifiers::{Position, Term};
 use crate::protocol::message::EntryMap;
 
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -3,7 +3,6 @@
 #![allow(clippy::unwrap_used)]
 
 use grebepath_core::command::Command;
-use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::control_plane::step::WAKE;
@@ -84,7 +83,7 @@
 #[allow(dead_code)]
 pub fn standing(o: &mut One) -> Config {
     match operate(o, "read", Operation::Read) {
-        OperationResult::Configuration { map, .. } => change::config(&map).unwrap(),
+        OperationResult::Configuration { map, .. } => Config::from_entries(&map).unwrap(),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -1,8 +1,8 @@
 //! The memory of accepted orders, against a plain list of what was accepted.
 
 use googletest::prelude::*;
-use grebepath_core::config::change::{Entry, edition};
-use grebepath_core::config::types::Terms;
+use grebepath_core::config::stored::{Entry, edition};
+use grebepath_core::config::types::ClientLimits;
 use grebepath_core::control_plane::order_memory::{
     Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, may_be_forgotten, recall,
     remember,
@@ -76,7 +76,7 @@
 }
 
 fn set_edition(map: &mut EntryMap, edition: u64) {
-    let terms = Terms { edition, ..Terms::default() };
+    let terms = ClientLimits { edition, ..ClientLimits::default() };
     map.insert("terms".into(), terms.encode_to_vec());
 }
 
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -65,7 +65,8 @@
         let entries = remember(&copy.entries, &print, base + 1, base + 1);
         apply_entries(&mut copy.entries, &entries);
     }
-    let terms = grebepath_core::config::types::Terms { edition: ACCEPTED, ..Default::default() };
+    let terms =
+        grebepath_core::config::types::ClientLimits { edition: ACCEPTED, ..Default::default() };
     copy.entries.insert("terms".into(), prost::Message::encode_to_vec(&terms));
     copy.revision = ACCEPTED;
     for node in &mut c.nodes {
--- a/crates/runtime/src/settings/reader.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -277,14 +277,14 @@
         let known = std::mem::take(&mut self.known);
         for key in self.file.keys().filter(|k| !known.contains(&k.as_str())) {
             let text = format!("unknown; known are {}", known.join(", "));
-            self.diagnostics.push(Diagnostic { place: format!("params.{key}"), text });
+            self.diagnostics.push(Diagnostic::new(format!("params.{key}"), text));
         }
         std::mem::take(&mut self.diagnostics)
     }
 
     /// Notes what is wrong with a setting.
     pub fn report(&mut self, place: impl Into<String>, text: impl Into<String>) {
-        find(&mut self.diagnostics, place, text);
+        find(&mut self.diagnostics, place, text.into());
     }
 }
 
--- a/crates/server/src/controller/operator_listener.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -7,7 +7,7 @@
 use axum::http::{HeaderMap, StatusCode, header};
 use axum::response::{IntoResponse, Response};
 use axum::routing::get;
-use grebepath_core::config::{change, show};
+use grebepath_core::config::types::Config;
 use grebepath_core::consts;
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator;
@@ -112,8 +112,7 @@
 
 /// Reads the request's headers; a request without an id gets one of its own.
 fn request_headers(headers: &HeaderMap) -> Result<(String, Option<u64>), Diagnostic> {
-    let bad =
-        |place: &str, text: &str| Diagnostic { place: place.to_string(), text: text.to_string() };
+    let bad = |place: &str, text: &str| Diagnostic::new(place, text);
     let text = |name: &str| headers.get(name).map(|v| v.to_str().map(str::to_string));
     let request = match text(REQUEST_ID) {
         None => own_id(),
@@ -146,9 +145,9 @@
 
 async fn read_config(State(controller): State<Controller>) -> Response {
     match operate(&controller, String::new(), None, Operation::Read).await {
-        OperationResult::Configuration { revision, map } => match change::config(&map) {
-            Ok(conf) => answer(200, &json!({ "revision": revision, "config": show::json(&conf) })),
-            Err(e) => answer(500, &json!({ "error": "unreadable", "text": e })),
+        OperationResult::Configuration { revision, map } => match Config::from_entries(&map) {
+            Ok(conf) => answer(200, &json!({ "revision": revision, "config": conf.to_json() })),
+            Err(e) => answer(500, &json!({ "error": "unreadable", "text": e.to_string() })),
         },
         other => write_result(other),
     }
@@ -204,7 +203,7 @@
             Operated::Accepted { revision, copies, again }
         }
         OperationResult::Invalid(list) => {
-            let all = list.into_iter().map(|(place, text)| Diagnostic { place, text }).collect();
+            let all = list.into_iter().map(|(place, text)| Diagnostic::new(place, text)).collect();
             Operated::Wrong(all)
         }
         OperationResult::Conflict { revision } => Operated::Moved { revision },
--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -5,7 +5,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use grebepath_core::config::types::Terms;
+use grebepath_core::config::types::ClientLimits;
 use grebepath_core::consts;
 use grebepath_core::query::engine::{QueryEngine, counts, desk};
 use grebepath_core::query::event::{Command, Event, Sending};
@@ -211,7 +211,7 @@
     }
 
     /// Holds callers to what the configuration allows them; zero stands for our default.
-    fn set_limits(&self, terms: &Terms) {
+    fn set_limits(&self, terms: &ClientLimits) {
         let default = ListenerLimits::default();
         let size = |bytes: u64, default| if bytes > 0 { bytes as usize } else { default };
         let time = |millis: u64, default| if millis > 0 { duration(ms(millis)) } else { default };
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -155,7 +155,7 @@
 }
 
 fn load(file: &str, deploy: &str) -> Result<Scenario, Vec<Diagnostic>> {
-    let whole = |text: String| vec![Diagnostic { place: "$".into(), text }];
+    let whole = |text: String| vec![Diagnostic::new("$", text)];
     let text = std::fs::read(file).map_err(|e| whole(e.to_string()))?;
     read(&text, &|name| read_json(&format!("{deploy}/{name}")))
 }
