--- a/crates/core/src/http_api/caller.rs
+++ b/crates/core/src/http_api/caller.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 use crate::consts;
-use crate::query::request::{Ask, Full, Outcome, Reason, Rejection};
+use crate::query::request::{Outcome, Rejection, RejectionReason, SearchAnswer, SearchRequest};
 use crate::time::ms;
 
 /// Header with the time the caller will wait, in milliseconds.
@@ -14,9 +14,9 @@
 pub const RETRY_AFTER: &str = "retry-after";
 
 /// An answer towards a caller, ready for any HTTP library.
-pub struct Written {
+pub struct CallerResponse {
     pub status: u16,
-    pub missing: Option<usize>,
+    pub missing_shards: Option<usize>,
     pub retry_after: Option<u64>,
     pub body: Vec<u8>,
 }
@@ -26,7 +26,7 @@
     mapping: &str,
     budget: Option<&str>,
     params: &[(String, String)],
-) -> Result<Ask, Rejection> {
+) -> Result<SearchRequest, Rejection> {
     let mut map = serde_json::Map::new();
     for (key, val) in params {
         let val = match key.as_str() {
@@ -46,9 +46,16 @@
 }
 
 /// Reads a call from a POST's body.
-pub fn read_post(mapping: &str, budget: Option<&str>, body: &[u8]) -> Result<Ask, Rejection> {
+pub fn read_post(
+    mapping: &str,
+    budget: Option<&str>,
+    body: &[u8],
+) -> Result<SearchRequest, Rejection> {
     if body.len() > consts::QUESTION_LIMIT {
-        return Err(Rejection::new(Reason::TooLarge, "the question is larger than 64 KiB"));
+        return Err(Rejection::new(
+            RejectionReason::TooLarge,
+            "the question is larger than 64 KiB",
+        ));
     }
     match serde_json::from_slice(body) {
         Ok(Value::Object(map)) => read(mapping, budget, map),
@@ -61,7 +68,7 @@
     mapping: &str,
     budget: Option<&str>,
     map: serde_json::Map<String, Value>,
-) -> Result<Ask, Rejection> {
+) -> Result<SearchRequest, Rejection> {
     let Some(text) = budget else {
         return Err(bad("the header Budget-Ms is missing: say how long you will wait"));
     };
@@ -96,46 +103,61 @@
         },
     };
     if question.to_string().len() > consts::QUESTION_LIMIT {
-        return Err(Rejection::new(Reason::TooLarge, "the question is larger than 64 KiB"));
+        return Err(Rejection::new(
+            RejectionReason::TooLarge,
+            "the question is larger than 64 KiB",
+        ));
     }
-    Ok(Ask { mapping: mapping.to_string(), question, key, limit, budget })
+    Ok(SearchRequest {
+        route: mapping.to_string(),
+        question,
+        key,
+        record_limit: limit,
+        timeout: budget,
+    })
 }
 
 fn bad(text: impl Into<String>) -> Rejection {
-    Rejection::new(Reason::BadCall, text)
+    Rejection::new(RejectionReason::InvalidRequest, text)
 }
 
 /// The status for a reason.
-pub fn status(reason: Reason) -> u16 {
+pub fn status(reason: RejectionReason) -> u16 {
     match reason {
-        Reason::BadCall | Reason::NoKey => 400,
-        Reason::NoMapping => 404,
-        Reason::TooLarge => 413,
-        Reason::Crowded => 429,
-        Reason::NoRoom | Reason::Stopping | Reason::CutOff | Reason::NoView => 503,
-        Reason::BelowQuorum | Reason::NoLeafs => 503,
-        Reason::OutOfTime => 504,
+        RejectionReason::InvalidRequest | RejectionReason::MissingKey => 400,
+        RejectionReason::UnknownRoute => 404,
+        RejectionReason::TooLarge => 413,
+        RejectionReason::ConcurrencyLimit => 429,
+        RejectionReason::NoCapacity
+        | RejectionReason::ShuttingDown
+        | RejectionReason::Isolated
+        | RejectionReason::NoSnapshot => 503,
+        RejectionReason::BelowQuorum | RejectionReason::NoLeaf => 503,
+        RejectionReason::DeadlineExceeded => 504,
     }
 }
 
 /// Writes an outcome.
-pub fn write(out: &Outcome) -> Written {
+pub fn write(out: &Outcome) -> CallerResponse {
     match out {
-        Outcome::Full(full) => write_full(full),
+        Outcome::Answered(full) => write_full(full),
         // Calls that are handed over come by another door.
-        Outcome::Passed(_) | Outcome::Joined(_) => {
-            let b = Rejection::new(Reason::NoMapping, "this search is called by host and path");
-            write(&Outcome::Rejection(b))
+        Outcome::Forwarded(_) | Outcome::Merged(_) => {
+            let b = Rejection::new(
+                RejectionReason::UnknownRoute,
+                "this search is called by host and path",
+            );
+            write(&Outcome::Rejected(b))
         }
-        Outcome::Rejection(b) => {
+        Outcome::Rejected(b) => {
             let code = status(b.reason);
             let body = json!({ "error": b.reason.to_string(), "text": b.text, "query": b.query });
             // Whoever is sent away for now is told when to come back.
-            let least = b.again_s.unwrap_or(consts::AGAIN_MIN_S);
+            let least = b.retry_after_seconds.unwrap_or(consts::AGAIN_MIN_S);
             let again = (code == 429 || code >= 500).then_some(least);
-            Written {
+            CallerResponse {
                 status: code,
-                missing: None,
+                missing_shards: None,
                 retry_after: again,
                 body: body.to_string().into_bytes(),
             }
@@ -143,19 +165,19 @@
     }
 }
 
-fn write_full(full: &Full) -> Written {
+fn write_full(full: &SearchAnswer) -> CallerResponse {
     let records: Vec<Value> = full
         .records
         .iter()
         .map(|r| json!({ "id": r.id, "score": r.score, "shard": r.shard, "data": r.data }))
         .collect();
     let body = json!({
-        "query": full.query, "mapping": full.mapping, "cut": full.cut, "revision": full.revision,
+        "query": full.query, "mapping": full.route, "cut": full.index_version, "revision": full.revision,
         "shards": full.shards, "missing": full.missing, "records": records,
     });
-    Written {
+    CallerResponse {
         status: 200,
-        missing: Some(full.missing),
+        missing_shards: Some(full.missing),
         retry_after: None,
         body: body.to_string().into_bytes(),
     }
--- a/crates/core/src/http_api/leaf.rs
+++ b/crates/core/src/http_api/leaf.rs
@@ -3,7 +3,7 @@
 use serde_json::{Value, json};
 
 use crate::digest::digest;
-use crate::query::observed_load::Load;
+use crate::query::observed_load::ReportedLoad;
 use crate::query::request::Record;
 
 /// Path of the one call a leaf takes.
@@ -38,79 +38,79 @@
 
 /// Why a dispatch brought nothing. Each kind has its own counter.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
-pub enum Trouble {
+pub enum AttemptFailure {
     Unreachable,
-    Cut,
-    Overlong,
-    OutOfTime,
+    Truncated,
+    ReplyTooLarge,
+    DeadlineExceeded,
     Misdirected,
-    Unrun,
-    Status,
-    NoPostmark,
-    TwoPostmarks,
-    WrongPostmark,
-    WrongCut,
-    Garbage,
-    Disorder,
-    WrongService,
+    Rejected,
+    ErrorStatus,
+    MissingPostmark,
+    DuplicatePostmark,
+    PostmarkMismatch,
+    IndexVersionMismatch,
+    MalformedReply,
+    RecordsOutOfOrder,
+    ServiceMismatch,
     /// A second try elsewhere answered first.
     Overtaken,
 }
 
-impl std::fmt::Display for Trouble {
+impl std::fmt::Display for AttemptFailure {
     fn fmt(&self, f: &mut std::fmt::Formatter<'_>) -> std::fmt::Result {
         f.write_str(match self {
-            Trouble::Unreachable => "unreachable",
-            Trouble::Cut => "cut-short",
-            Trouble::Overlong => "overlong",
-            Trouble::OutOfTime => "out-of-time",
-            Trouble::Misdirected => "misdirected",
-            Trouble::Unrun => "unrun",
-            Trouble::Status => "status",
-            Trouble::NoPostmark => "no-postmark",
-            Trouble::TwoPostmarks => "two-postmarks",
-            Trouble::WrongPostmark => "wrong-postmark",
-            Trouble::WrongCut => "wrong-cut",
-            Trouble::Garbage => "garbage",
-            Trouble::Disorder => "disorder",
-            Trouble::WrongService => "wrong-service",
-            Trouble::Overtaken => "overtaken",
+            AttemptFailure::Unreachable => "unreachable",
+            AttemptFailure::Truncated => "cut-short",
+            AttemptFailure::ReplyTooLarge => "overlong",
+            AttemptFailure::DeadlineExceeded => "out-of-time",
+            AttemptFailure::Misdirected => "misdirected",
+            AttemptFailure::Rejected => "unrun",
+            AttemptFailure::ErrorStatus => "status",
+            AttemptFailure::MissingPostmark => "no-postmark",
+            AttemptFailure::DuplicatePostmark => "two-postmarks",
+            AttemptFailure::PostmarkMismatch => "wrong-postmark",
+            AttemptFailure::IndexVersionMismatch => "wrong-cut",
+            AttemptFailure::MalformedReply => "garbage",
+            AttemptFailure::RecordsOutOfOrder => "disorder",
+            AttemptFailure::ServiceMismatch => "wrong-service",
+            AttemptFailure::Overtaken => "overtaken",
         })
     }
 }
 
 /// Heads of a reply that matter, as they came; `postmarks` may be several.
 #[derive(Clone, Debug, Default)]
-pub struct Heads {
+pub struct ReplyHeaders {
     pub postmarks: Vec<String>,
     pub busy: Option<String>,
     pub age: Option<String>,
     pub state: Option<String>,
-    pub cut: Option<String>,
-    pub unrun: bool,
+    pub index_version: Option<String>,
+    pub rejected: bool,
     /// What it says of its load, where it tells that in numbers.
-    pub load: Option<Load>,
+    pub load: Option<ReportedLoad>,
     /// The reply is not one to this dispatch.
     pub foreign: bool,
     /// Every head that may go back to a caller, as it came.
-    pub all: Vec<(String, Vec<u8>)>,
+    pub end_to_end: Vec<(String, Vec<u8>)>,
 }
 
 /// A reply as it came off the connection.
 #[derive(Clone, Debug)]
-pub struct Raw {
+pub struct LeafReply {
     pub status: u16,
-    pub heads: Heads,
+    pub headers: ReplyHeaders,
     pub body: Vec<u8>,
 }
 
 /// What a leaf says about itself with every reply, run or unrun.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct SelfWord {
+pub struct SelfReport {
     /// Thousandths of the leaf that are busy.
-    pub busy: Option<u32>,
+    pub busy_permille: Option<u32>,
     pub age_ms: Option<u64>,
-    pub leaving: bool,
+    pub draining: bool,
 }
 
 /// The body of a dispatch: the exact question, the same for every leaf.
@@ -131,59 +131,69 @@
 }
 
 /// What the leaf says of itself, read leniently: it is advice, not proof.
-pub fn self_word(heads: &Heads) -> SelfWord {
+pub fn self_word(heads: &ReplyHeaders) -> SelfReport {
     let busy = heads.busy.as_ref().and_then(|b| b.trim().parse::<f64>().ok());
-    SelfWord {
-        busy: busy.filter(|b| b.is_finite()).map(|b| (b.clamp(0.0, 1.0) * 1000.0) as u32),
+    SelfReport {
+        busy_permille: busy.filter(|b| b.is_finite()).map(|b| (b.clamp(0.0, 1.0) * 1000.0) as u32),
         age_ms: heads.age.as_ref().and_then(|a| a.trim().parse().ok()),
-        leaving: heads.state.as_deref() == Some("leaving"),
+        draining: heads.state.as_deref() == Some("leaving"),
     }
 }
 
 /// What was expected of a reply.
-pub struct Expect<'a> {
+pub struct ExpectedReply<'a> {
     pub leaf: &'a str,
-    pub query: &'a str,
+    pub attempt: &'a str,
     pub digest: &'a str,
-    pub cut: &'a str,
-    pub limit: u32,
+    pub index_version: &'a str,
+    pub record_limit: u32,
 }
 
 /// Checks a reply; only a reply that passes may stand for a shard.
-pub fn check(raw: &Raw, want: &Expect) -> Result<Vec<Record>, Trouble> {
+pub fn check(raw: &LeafReply, want: &ExpectedReply) -> Result<Vec<Record>, AttemptFailure> {
     if raw.status == MISDIRECTED {
-        return Err(Trouble::Misdirected);
+        return Err(AttemptFailure::Misdirected);
     }
-    if raw.heads.unrun {
-        return Err(Trouble::Unrun);
+    if raw.headers.rejected {
+        return Err(AttemptFailure::Rejected);
     }
     if raw.status != 200 {
-        return Err(Trouble::Status);
+        return Err(AttemptFailure::ErrorStatus);
     }
-    match raw.heads.postmarks.as_slice() {
-        [] => return Err(Trouble::NoPostmark),
-        [one] if *one == postmark(want.leaf, want.query, want.digest) => {}
-        [_] => return Err(Trouble::WrongPostmark),
-        _ => return Err(Trouble::TwoPostmarks),
+    match raw.headers.postmarks.as_slice() {
+        [] => return Err(AttemptFailure::MissingPostmark),
+        [one] if *one == postmark(want.leaf, want.attempt, want.digest) => {}
+        [_] => return Err(AttemptFailure::PostmarkMismatch),
+        _ => return Err(AttemptFailure::DuplicatePostmark),
     }
-    if raw.heads.cut.as_deref().is_some_and(|c| !want.cut.is_empty() && c != want.cut) {
-        return Err(Trouble::WrongCut);
+    if raw
+        .headers
+        .index_version
+        .as_deref()
+        .is_some_and(|c| !want.index_version.is_empty() && c != want.index_version)
+    {
+        return Err(AttemptFailure::IndexVersionMismatch);
     }
-    records(&raw.body, want.limit)
+    records(&raw.body, want.record_limit)
 }
 
-fn records(body: &[u8], limit: u32) -> Result<Vec<Record>, Trouble> {
-    let val: Value = serde_json::from_slice(body).map_err(|_| Trouble::Garbage)?;
-    let Value::Object(mut map) = val else { return Err(Trouble::Garbage) };
-    let Some(Value::Array(list)) = map.remove("records") else { return Err(Trouble::Garbage) };
+fn records(body: &[u8], limit: u32) -> Result<Vec<Record>, AttemptFailure> {
+    let val: Value = serde_json::from_slice(body).map_err(|_| AttemptFailure::MalformedReply)?;
+    let Value::Object(mut map) = val else { return Err(AttemptFailure::MalformedReply) };
+    let Some(Value::Array(list)) = map.remove("records") else {
+        return Err(AttemptFailure::MalformedReply);
+    };
     if list.len() > limit as usize {
-        return Err(Trouble::Disorder);
+        return Err(AttemptFailure::RecordsOutOfOrder);
     }
     let mut out: Vec<Record> = Vec::with_capacity(list.len());
     for item in list {
-        let Value::Object(mut item) = item else { return Err(Trouble::Garbage) };
-        let Some(Value::String(id)) = item.remove("id") else { return Err(Trouble::Garbage) };
-        let score = item.get("score").and_then(Value::as_f64).ok_or(Trouble::Garbage)?;
+        let Value::Object(mut item) = item else { return Err(AttemptFailure::MalformedReply) };
+        let Some(Value::String(id)) = item.remove("id") else {
+            return Err(AttemptFailure::MalformedReply);
+        };
+        let score =
+            item.get("score").and_then(Value::as_f64).ok_or(AttemptFailure::MalformedReply)?;
         // Adding zero folds -0.0 into 0.0, so equal scores are equal bits.
         let score = score + 0.0;
         let data = item.remove("data").unwrap_or(Value::Null);
@@ -192,7 +202,7 @@
             use std::cmp::Ordering::*;
             match crate::query::merge::order(last, &rec) {
                 Less => {}
-                Equal | Greater => return Err(Trouble::Disorder),
+                Equal | Greater => return Err(AttemptFailure::RecordsOutOfOrder),
             }
         }
         out.push(rec);
--- a/crates/core/src/http_api/operator.rs
+++ b/crates/core/src/http_api/operator.rs
@@ -15,31 +15,37 @@
 
 /// What came of a request that changes the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Operated {
+pub enum OperatorOutcome {
     /// Synced by a majority; `copies` tells by how many replicas so far.
-    Accepted { revision: u64, copies: u32, again: bool },
+    Accepted { revision: u64, replicas: u32, repeated: bool },
     /// Found wrong as a whole; nothing was applied.
-    Wrong(Vec<Diagnostic>),
+    Invalid(Vec<Diagnostic>),
     /// The revision has moved on from the expected one.
-    Moved { revision: u64 },
+    RevisionMoved { revision: u64 },
     /// Certainly not applied; safe to send again.
-    Bounced { why: String },
+    Rejected { reason: String },
     /// May or may not be applied; ask again under the same request id.
-    Unknown { why: String },
+    Unknown { reason: String },
 }
 
 /// Status and body for an outcome.
-pub fn write(op: &Operated) -> (u16, Value) {
+pub fn write(op: &OperatorOutcome) -> (u16, Value) {
     match op {
-        Operated::Accepted { revision, copies, again } => {
+        OperatorOutcome::Accepted { revision, replicas: copies, repeated: again } => {
             (200, json!({ "revision": revision, "copies": copies, "again": again }))
         }
-        Operated::Wrong(all) => (422, json!({ "error": "wrong", "findings": findings(all) })),
-        Operated::Moved { revision } => {
+        OperatorOutcome::Invalid(all) => {
+            (422, json!({ "error": "wrong", "findings": findings(all) }))
+        }
+        OperatorOutcome::RevisionMoved { revision } => {
             (412, json!({ "error": "revision-moved", "revision": revision }))
         }
-        Operated::Bounced { why } => (503, json!({ "error": "not-applied", "text": why })),
-        Operated::Unknown { why } => (504, json!({ "error": "unknown", "text": why })),
+        OperatorOutcome::Rejected { reason: why } => {
+            (503, json!({ "error": "not-applied", "text": why }))
+        }
+        OperatorOutcome::Unknown { reason: why } => {
+            (504, json!({ "error": "unknown", "text": why }))
+        }
     }
 }
 
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -12,7 +12,7 @@
 use crate::membership::feed::Feed;
 use crate::membership::neighbour_ring::NeighbourRing;
 use crate::protocol::message::{EntryMap, FeedPosition, LeafReport, Member, Membership, Message};
-use crate::query::engine::Door;
+use crate::query::engine::ServingState;
 use crate::snapshot::cluster_view::ClusterView;
 use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick};
@@ -60,7 +60,7 @@
     pub passed_by: Option<Tick>,
     /// Until when the threads may act on their view.
     pub grip: Tick,
-    pub door: Door,
+    pub door: ServingState,
     pub ready: bool,
     /// When we were told to stop.
     pub stopping: Option<Tick>,
@@ -199,7 +199,7 @@
     /// Unlike shares these are told before they are settled; a deal that is
     /// not everyone's for a moment costs a reset connection at most.
     Peers(Vec<(String, u32, String)>),
-    Door(Door),
+    Door(ServingState),
     /// Until when the threads may act on their view, if nothing else is said.
     Grip(Tick),
     Ready(bool),
@@ -235,7 +235,7 @@
         serves_some: None,
         passed_by: None,
         grip: 0,
-        door: Door::Shut,
+        door: ServingState::NoSnapshot,
         ready: false,
         stopping: None,
         notice: DRAIN_NOTICE,
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -13,7 +13,7 @@
 use crate::membership::attestation;
 use crate::membership::node_agent::{Command, Peer, Watch, places, slots};
 use crate::protocol::message::{Attestation, MemberProgress, Message};
-use crate::query::engine::Door;
+use crate::query::engine::ServingState;
 use crate::time::{MILLI, Span, Tick, ms, since};
 
 /// How old our word from the core is.
@@ -196,12 +196,12 @@
     // callers still come, and are served.
     let shut = w.stopping.is_some_and(|at| since(at, now) >= w.notice);
     let door = match (&w.view, shut) {
-        (_, true) => Door::Stopping,
-        (None, _) => Door::Shut,
-        _ if unproved && lapsed => Door::CutOff,
-        _ => Door::Open,
+        (_, true) => ServingState::ShuttingDown,
+        (None, _) => ServingState::NoSnapshot,
+        _ if unproved && lapsed => ServingState::Isolated,
+        _ => ServingState::Serving,
     };
-    let cut = door == Door::CutOff;
+    let cut = door == ServingState::Isolated;
     if w.ring.shared != Some(cut) {
         w.ring.shared = Some(cut);
         divide(w, cut, out);
@@ -211,7 +211,7 @@
     // paused wakes with an old grip and does nothing until it has a new one.
     let held = if w.lease.granted { w.lease.held_from + consts::TENURE_TRUST } else { 0 };
     let grip = match door {
-        Door::CutOff | Door::Shut => 0,
+        ServingState::Isolated | ServingState::NoSnapshot => 0,
         _ => held.max(proved),
     };
     if grip != w.grip {
@@ -219,7 +219,7 @@
         out.push(Command::Grip(grip));
     }
     if door != w.door {
-        if door == Door::CutOff {
+        if door == ServingState::Isolated {
             w.counts.lapses += 1;
             out.push(Command::Alarm(
                 "cut off: no word from the core, and no proof that all others lack it too".into(),
@@ -229,7 +229,7 @@
         out.push(Command::Door(door));
     }
     w.served |= w.serves_some.is_some_and(|at| since(at, now) >= consts::START_PATIENCE);
-    let ready = door == Door::Open
+    let ready = door == ServingState::Serving
         && w.stopping.is_none()
         && w.served
         && !w.shared.is_empty()
--- a/crates/core/src/query/admission.rs
+++ b/crates/core/src/query/admission.rs
@@ -1,8 +1,8 @@
 //! Whether a call is taken at all.
 
-use super::engine::{Door, QueryEngine};
+use super::engine::{QueryEngine, ServingState};
 use super::planned_query::wanting;
-use super::request::{Reason, Rejection};
+use super::request::{Rejection, RejectionReason};
 use crate::config::types::Class;
 use crate::consts;
 use crate::time::Tick;
@@ -20,14 +20,20 @@
 /// Whether calls are taken now.
 pub(super) fn taken(d: &QueryEngine, now: Tick) -> Result<(), Rejection> {
     let say = |reason, text: &str| Err(Rejection::new(reason, text));
-    match d.door {
-        Door::Open => {}
-        Door::Shut => return say(Reason::NoView, "this node holds no view yet"),
-        Door::CutOff => return say(Reason::CutOff, "this node is cut off from the others"),
-        Door::Stopping => return say(Reason::Stopping, "this node is going down"),
+    match d.serving_state {
+        ServingState::Serving => {}
+        ServingState::NoSnapshot => {
+            return say(RejectionReason::NoSnapshot, "this node holds no view yet");
+        }
+        ServingState::Isolated => {
+            return say(RejectionReason::Isolated, "this node is cut off from the others");
+        }
+        ServingState::ShuttingDown => {
+            return say(RejectionReason::ShuttingDown, "this node is going down");
+        }
     }
-    if now > d.grip {
-        return say(Reason::CutOff, "this node's view may be old: it has no tenure now");
+    if now > d.lease_valid_until {
+        return say(RejectionReason::Isolated, "this node's view may be old: it has no tenure now");
     }
     Ok(())
 }
@@ -36,11 +42,17 @@
 pub(super) fn room(d: &QueryEngine, class: Class) -> Result<(), Rejection> {
     let say = |reason, text: &str| Err(Rejection::new(reason, text));
     if d.queries.len() >= room_of(class) {
-        return say(Reason::Crowded, "this node works on all it may for this class");
+        return say(
+            RejectionReason::ConcurrencyLimit,
+            "this node works on all it may for this class",
+        );
     }
     let buffered = d.queries.values().filter(|q| wanting(q) > 0).count();
     if buffered * 100 >= room_of(class) * consts::BUFFER_PCT {
-        return say(Reason::NoRoom, "too many queries already wait for room at the leafs");
+        return say(
+            RejectionReason::NoCapacity,
+            "too many queries already wait for room at the leafs",
+        );
     }
     Ok(())
 }
--- a/crates/core/src/query/attempt.rs
+++ b/crates/core/src/query/attempt.rs
@@ -3,13 +3,13 @@
 use crate::time::Tick;
 
 /// One dispatch: tied to a query, a planned shard and a leaf.
-pub struct Dispatch {
+pub struct Attempt {
     pub query: u64,
-    pub slot: usize,
+    pub shard: usize,
     pub leaf: String,
     pub service: String,
     pub id: String,
-    pub at: Tick,
+    pub sent_at: Tick,
     /// It belongs to a call that is handed over.
-    pub handed: bool,
+    pub forwarded: bool,
 }
--- a/crates/core/src/query/cluster_update.rs
+++ b/crates/core/src/query/cluster_update.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use super::engine::{Door, QueryEngine};
+use super::engine::{QueryEngine, ServingState};
 use super::leaf::leaf;
-use super::quota::Share;
+use super::quota::QuotaShare;
 use super::{connection_subset, latency_estimate, leaf, quota, retry_budget, service_retry_budget};
 use crate::config::build::PoolPlan;
 use crate::config::types::Steer;
@@ -20,51 +20,54 @@
     for (name, info) in &view.leafs {
         if !d.leafs.contains_key(name) {
             let mut new = leaf(name, now);
-            new.rank = quota::rank(&d.share, new.thing);
+            new.rank = quota::rank(&d.quota_share, new.hash);
             d.leafs.insert(name.clone(), new);
         }
         if let Some(l) = d.leafs.get_mut(name) {
             leaf::at_least(l, info.age_ms, now);
         }
     }
-    d.leafs.retain(|name, l| l.live > 0 || view.leafs.contains_key(name));
-    service_retry_budget::keep(&mut d.quota, |s| view.services.contains_key(s));
-    latency_estimate::keep(&mut d.waits, |s| view.mappings.contains_key(s));
-    let same = d.view.services == view.services && d.view.revision == view.revision;
-    d.view = view;
+    d.leafs.retain(|name, l| l.in_flight > 0 || view.leafs.contains_key(name));
+    service_retry_budget::keep(&mut d.service_retry_budget, |s| view.services.contains_key(s));
+    latency_estimate::keep(&mut d.latency_estimate, |s| view.mappings.contains_key(s));
+    let same = d.cluster_view.services == view.services && d.cluster_view.revision == view.revision;
+    d.cluster_view = view;
     if !same {
         deal(d);
         wired(d);
     }
-    if d.door == Door::Shut {
-        d.door = Door::Open;
+    if d.serving_state == ServingState::NoSnapshot {
+        d.serving_state = ServingState::Serving;
     }
 }
 
 /// Takes a new share of what the fleet may do over.
-pub(super) fn share_changed(d: &mut QueryEngine, new: Share) {
-    d.share = new;
+pub(super) fn share_changed(d: &mut QueryEngine, new: QuotaShare) {
+    d.quota_share = new;
     for leaf in d.leafs.values_mut() {
-        leaf.rank = quota::rank(&d.share, leaf.thing);
+        leaf.rank = quota::rank(&d.quota_share, leaf.hash);
     }
     deal(d);
-    service_retry_budget::among(&mut d.quota, d.share.slots.len() as u64);
-    let rank = quota::rank(&d.share, hash("retry-slack"));
-    retry_budget::slack(&mut d.rule, quota::part(&d.share, rank, consts::RETRY_SLACK));
+    service_retry_budget::among(&mut d.service_retry_budget, d.quota_share.threads.len() as u64);
+    let rank = quota::rank(&d.quota_share, hash("retry-slack"));
+    retry_budget::slack(
+        &mut d.retry_budget,
+        quota::part(&d.quota_share, rank, consts::RETRY_SLACK),
+    );
 }
 
 /// Deals the leafs of each service out to the threads of the membership.
 pub(super) fn deal(d: &mut QueryEngine) {
-    let view = d.view.clone();
+    let view = d.cluster_view.clone();
     for map in view.mappings.values() {
         let shared = |p: &&PoolPlan| p.steer == Steer::Share;
         for pool in map.shards.iter().flat_map(|s| &s.pools).filter(shared) {
             let Some(list) = view.services.get(&pool.service) else { continue };
             let totals = vec![u64::from(pool.bears); list.len()];
-            let ranks = quota::deal(&d.share, hash(&pool.service), &totals);
+            let ranks = quota::deal(&d.quota_share, hash(&pool.service), &totals);
             for (info, rank) in list.iter().zip(ranks) {
                 if let Some(l) = d.leafs.get_mut(&info.leaf) {
-                    l.dealt = rank;
+                    l.balanced_rank = rank;
                 }
             }
         }
@@ -73,7 +76,7 @@
 
 /// Deals out the connections to leafs that take few.
 pub(super) fn wired(d: &mut QueryEngine) {
-    let view = d.view.clone();
+    let view = d.cluster_view.clone();
     let pools = view.mappings.values().flat_map(|m| &m.shards).flat_map(|s| &s.pools);
     let mut done: BTreeSet<&str> = BTreeSet::new();
     for pool in pools.filter(|p| p.connections > 0) {
@@ -87,13 +90,13 @@
             .filter(|l| !l.leaving && !view.built.drained.contains(zone(l)))
             .map(|l| l.as_ref())
             .collect();
-        let mine = d.slot;
+        let mine = d.thread_id;
         let connections =
             connection_subset::deal(&d.peers, mine, &stand, u64::from(pool.connections));
         for (info, n) in stand.iter().zip(connections) {
             if let Some(l) = d.leafs.get_mut(&info.leaf) {
                 // Before we know of anyone else, one connection at a time.
-                l.connections = Some(if d.peers.is_empty() { 1 } else { n });
+                l.connection_limit = Some(if d.peers.is_empty() { 1 } else { n });
             }
         }
     }
--- a/crates/core/src/query/connection_subset.rs
+++ b/crates/core/src/query/connection_subset.rs
@@ -14,9 +14,9 @@
 
 /// One node that takes part.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Peer {
+pub struct ConnectingThread {
     /// The stable number of its traffic thread.
-    pub slot: u64,
+    pub thread_id: u64,
     pub zone: String,
 }
 
@@ -27,8 +27,8 @@
 
 /// The connections that each of the `leafs` of one service may have from the node
 /// `mine`; zero where it should have none.
-pub fn deal(peers: &[Peer], mine: u64, leafs: &[&LeafInfo], limit: u64) -> Vec<u64> {
-    let here = peers.iter().position(|p| p.slot == mine);
+pub fn deal(peers: &[ConnectingThread], mine: u64, leafs: &[&LeafInfo], limit: u64) -> Vec<u64> {
+    let here = peers.iter().position(|p| p.thread_id == mine);
     let (Some(here), false) = (here, leafs.is_empty() || limit == 0) else {
         return vec![0; leafs.len()];
     };
@@ -43,7 +43,7 @@
     for (i, peer) in peers.iter().enumerate().take(here + 1) {
         let mut order: Vec<usize> = (0..leafs.len()).collect();
         order.sort_unstable_by_key(|k| {
-            (zone(leafs[*k]) != peer.zone, std::cmp::Reverse(pair(things[*k], peer.slot)))
+            (zone(leafs[*k]) != peer.zone, std::cmp::Reverse(pair(things[*k], peer.thread_id)))
         });
         let mut got = 0;
         // Who comes late finds few leafs with connections left, and takes more of
--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -4,30 +4,30 @@
 
 use indexmap::IndexMap;
 
-use super::attempt::Dispatch;
-use super::connection_subset::Peer;
+use super::attempt::Attempt;
+use super::connection_subset::ConnectingThread;
 use super::latency_estimate::LatencyEstimate;
-use super::leaf::Leaf;
+use super::leaf::LeafState;
 use super::planned_query::{Query, wanting};
-use super::quota::Share;
+use super::quota::QuotaShare;
 use super::retry::LoadPressure;
-use super::retry_budget::Rule;
+use super::retry_budget::RetryBudget;
 use super::service_retry_budget::ServiceRetryBudget;
-use super::statistics::Counts;
+use super::statistics::EngineStatistics;
 use crate::random::Random;
 use crate::snapshot::cluster_view::ClusterView;
 use crate::time::Tick;
 
 /// Which calls are taken.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Door {
+pub enum ServingState {
     /// No view is held yet.
-    Shut,
-    Open,
+    NoSnapshot,
+    Serving,
     /// This node is cut off alone.
-    CutOff,
+    Isolated,
     /// This process is going down; what is in hand is finished.
-    Stopping,
+    ShuttingDown,
 }
 
 /// The owner of one traffic thread's queries.
@@ -38,28 +38,28 @@
 pub struct QueryEngine {
     pub name: String,
     pub zone: String,
-    pub door: Door,
-    pub view: Arc<ClusterView>,
+    pub serving_state: ServingState,
+    pub cluster_view: Arc<ClusterView>,
     /// Until when we may act on the view; later we neither take calls nor
     /// send dispatches.
-    pub grip: Tick,
-    pub share: Share,
+    pub lease_valid_until: Tick,
+    pub quota_share: QuotaShare,
     /// Our own stable number among the threads of all nodes.
-    pub slot: u64,
+    pub thread_id: u64,
     pub queries: IndexMap<u64, Query>,
-    pub dispatches: IndexMap<u64, Dispatch>,
-    pub leafs: IndexMap<String, Leaf>,
-    pub rule: Rule,
+    pub attempts: IndexMap<u64, Attempt>,
+    pub leafs: IndexMap<String, LeafState>,
+    pub retry_budget: RetryBudget,
     /// Second tries of calls that are handed over, by service.
-    pub quota: ServiceRetryBudget,
+    pub service_retry_budget: ServiceRetryBudget,
     /// All nodes that open connections to leafs, in order.
-    pub peers: Vec<Peer>,
-    pub waits: LatencyEstimate,
-    pub strain: LoadPressure,
-    pub luck: Random,
-    pub counts: Counts,
+    pub peers: Vec<ConnectingThread>,
+    pub latency_estimate: LatencyEstimate,
+    pub load_pressure: LoadPressure,
+    pub random: Random,
+    pub statistics: EngineStatistics,
     pub next_query: u64,
-    pub next_dispatch: u64,
+    pub next_attempt: u64,
 }
 
 /// A desk without a view. `name` must be unique to this life of the process.
@@ -67,31 +67,33 @@
     QueryEngine {
         name: name.to_string(),
         zone: zone.to_string(),
-        door: Door::Shut,
-        view: Arc::new(ClusterView::default()),
-        grip: 0,
-        share: Share::default(),
-        slot: 0,
+        serving_state: ServingState::NoSnapshot,
+        cluster_view: Arc::new(ClusterView::default()),
+        lease_valid_until: 0,
+        quota_share: QuotaShare::default(),
+        thread_id: 0,
         queries: IndexMap::new(),
-        dispatches: IndexMap::new(),
+        attempts: IndexMap::new(),
         leafs: IndexMap::new(),
-        rule: crate::query::retry_budget::rule(now),
-        quota: crate::query::service_retry_budget::quota(crate::query::service_retry_budget::own()),
+        retry_budget: crate::query::retry_budget::rule(now),
+        service_retry_budget: crate::query::service_retry_budget::quota(
+            crate::query::service_retry_budget::own(),
+        ),
         peers: Vec::new(),
-        waits: LatencyEstimate::default(),
-        strain: LoadPressure::default(),
-        luck: crate::random::luck(seed),
-        counts: Counts::default(),
+        latency_estimate: LatencyEstimate::default(),
+        load_pressure: LoadPressure::default(),
+        random: crate::random::luck(seed),
+        statistics: EngineStatistics::default(),
         next_query: 0,
-        next_dispatch: 0,
+        next_attempt: 0,
     }
 }
 
 /// The counts with the gauges of this moment.
-pub fn counts(desk: &QueryEngine) -> Counts {
-    let mut out = desk.counts.clone();
+pub fn counts(desk: &QueryEngine) -> EngineStatistics {
+    let mut out = desk.statistics.clone();
     out.queries = desk.queries.len() as u64;
-    out.out = desk.dispatches.len() as u64;
-    out.wanting = desk.queries.values().map(|q| wanting(q) as u64).sum();
+    out.in_flight = desk.attempts.len() as u64;
+    out.queued = desk.queries.values().map(|q| wanting(q) as u64).sum();
     out
 }
--- a/crates/core/src/query/event.rs
+++ b/crates/core/src/query/event.rs
@@ -2,81 +2,81 @@
 
 use std::sync::Arc;
 
-use super::connection_subset::Peer;
-use super::engine::Door;
+use super::connection_subset::ConnectingThread;
+use super::engine::ServingState;
 use super::forwarded_request::ForwardedRequest;
-use super::quota::Share;
-use super::request::{Ask, Outcome};
-use super::service_retry_budget::Rate;
-use crate::http_api::leaf::{Raw, Trouble};
+use super::quota::QuotaShare;
+use super::request::{Outcome, SearchRequest};
+use super::service_retry_budget::RetryRate;
+use crate::http_api::leaf::{AttemptFailure, LeafReply};
 use crate::protocol::message::LeafReport;
 use crate::snapshot::cluster_view::ClusterView;
 use crate::time::{Span, Tick};
 
 /// What happens to a desk.
 pub enum Event {
-    Ask {
+    Search {
         call: u64,
-        ask: Ask,
+        request: SearchRequest,
     },
     /// A call that is handed over.
-    Hand {
+    Forward {
         call: u64,
-        parcel: Arc<ForwardedRequest>,
+        request: Arc<ForwardedRequest>,
     },
     /// A dispatch has ended.
-    Reply {
-        dispatch: u64,
-        got: Result<Raw, Trouble>,
+    AttemptEnded {
+        attempt: u64,
+        result: Result<LeafReply, AttemptFailure>,
     },
     /// The caller went away.
-    Gone {
+    CallerGone {
         call: u64,
     },
     ClusterView(Arc<ClusterView>),
-    Share(Share),
+    QuotaShare(QuotaShare),
     /// All nodes that open connections to leafs.
-    Peers(Vec<Peer>),
+    Peers(Vec<ConnectingThread>),
     /// The fleet's rule of second tries for calls that are handed over.
-    Rate(Rate),
-    Door(Door),
-    Grip(Tick),
+    RetryRate(RetryRate),
+    ServingState(ServingState),
+    LeaseValidUntil(Tick),
     /// Time has passed.
-    Wake,
+    Timer,
 }
 
 /// What a desk wants done.
 pub enum Command {
-    Send(Sending),
+    Send(OutgoingAttempt),
     /// Give up a dispatch; no reply event may follow.
-    Drop {
-        dispatch: u64,
+    CancelAttempt {
+        attempt: u64,
     },
-    Tell {
+    Respond {
         call: u64,
         outcome: Outcome,
     },
     /// A leaf's word about itself that the fleet should hear.
-    Word {
+    ReportLeaf {
         service: String,
-        word: LeafReport,
+        report: LeafReport,
     },
 }
 
 /// A dispatch to be sent.
-pub struct Sending {
-    pub dispatch: u64,
+pub struct OutgoingAttempt {
+    pub attempt: u64,
     pub addr: String,
     pub leaf: String,
     pub service: String,
     pub id: String,
-    pub digest: String,
+    pub body_digest: String,
     pub body: Arc<Vec<u8>>,
-    pub budget: Span,
+    pub timeout: Span,
     /// What is handed over, instead of `body`.
-    pub parcel: Option<Arc<ForwardedRequest>>,
+    pub forwarded: Option<Arc<ForwardedRequest>>,
     /// It may run once at most: it must not go out on a doubtful connection.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Its connection may be kept for later.
-    pub keep: bool,
+    pub keep_connection: bool,
 }
--- a/crates/core/src/query/forwarded_reply.rs
+++ b/crates/core/src/query/forwarded_reply.rs
@@ -1,60 +1,64 @@
 //! What a leaf's reply is to a call that is forwarded unchanged.
 
 use crate::config::types::Form;
-use crate::http_api::leaf::{MISDIRECTED, Raw, Trouble};
+use crate::http_api::leaf::{AttemptFailure, LeafReply, MISDIRECTED};
 
 /// What a reply is to a call that is handed over.
-pub(super) enum Word {
+pub(super) enum ReplyClass {
     /// It stands for its shard.
     Partial,
     /// One leaf's answer that goes back as it is.
-    Answer,
+    Final,
     /// A failure after the leaf worked, or may have; given back if nothing
     /// better comes.
-    Failed(Trouble),
+    Failed(AttemptFailure),
     /// The leaf did not run it.
-    Unrun(Trouble),
+    Rejected(AttemptFailure),
 }
 
-impl Word {
+impl ReplyClass {
     /// What an attempt is that ended without a reply.
-    pub(super) fn without_reply(why: Trouble) -> Word {
-        if ran(why) { Word::Failed(why) } else { Word::Unrun(why) }
+    pub(super) fn without_reply(why: AttemptFailure) -> ReplyClass {
+        if ran(why) { ReplyClass::Failed(why) } else { ReplyClass::Rejected(why) }
     }
 
     /// Whether it stands for its shard, and why not.
-    pub(super) fn how(&self) -> Result<(), Trouble> {
+    pub(super) fn how(&self) -> Result<(), AttemptFailure> {
         match self {
-            Word::Partial | Word::Answer => Ok(()),
-            Word::Failed(why) | Word::Unrun(why) => Err(*why),
+            ReplyClass::Partial | ReplyClass::Final => Ok(()),
+            ReplyClass::Failed(why) | ReplyClass::Rejected(why) => Err(*why),
         }
     }
 }
 
 /// Judges a reply. Only a whole success with one stamp that answers just this
 /// dispatch is a part.
-pub(super) fn judge(raw: &Raw, form: Form) -> Word {
+pub(super) fn judge(raw: &LeafReply, form: Form) -> ReplyClass {
     // Whatever another call's answer says, it says nothing of this one.
-    if raw.heads.foreign {
-        return Word::Failed(Trouble::WrongPostmark);
+    if raw.headers.foreign {
+        return ReplyClass::Failed(AttemptFailure::PostmarkMismatch);
     }
     if raw.status == MISDIRECTED {
-        return Word::Unrun(Trouble::Misdirected);
+        return ReplyClass::Rejected(AttemptFailure::Misdirected);
     }
-    if raw.heads.unrun {
+    if raw.headers.rejected {
         // What is wrong with the call itself is wrong elsewhere too.
         let own = raw.status == 400 && form == Form::Pass;
-        return if own { Word::Answer } else { Word::Unrun(Trouble::Unrun) };
+        return if own {
+            ReplyClass::Final
+        } else {
+            ReplyClass::Rejected(AttemptFailure::Rejected)
+        };
     }
     let good = (200..300).contains(&raw.status);
-    match (good, raw.heads.postmarks.len(), form) {
-        (true, 1, Form::Pass) => Word::Answer,
-        (true, 1, _) => Word::Partial,
-        (true, 0, _) => Word::Failed(Trouble::NoPostmark),
-        (true, _, _) => Word::Failed(Trouble::TwoPostmarks),
+    match (good, raw.headers.postmarks.len(), form) {
+        (true, 1, Form::Pass) => ReplyClass::Final,
+        (true, 1, _) => ReplyClass::Partial,
+        (true, 0, _) => ReplyClass::Failed(AttemptFailure::MissingPostmark),
+        (true, _, _) => ReplyClass::Failed(AttemptFailure::DuplicatePostmark),
         // The leaf's own word on the call, not a failure of the leaf.
-        (false, _, Form::Pass) if raw.status < 500 && !promises(raw.status) => Word::Answer,
-        (false, _, _) => Word::Failed(Trouble::Status),
+        (false, _, Form::Pass) if raw.status < 500 && !promises(raw.status) => ReplyClass::Final,
+        (false, _, _) => ReplyClass::Failed(AttemptFailure::ErrorStatus),
     }
 }
 
@@ -65,6 +69,9 @@
 }
 
 /// Whether a dispatch that ended so may have been worked on.
-fn ran(why: Trouble) -> bool {
-    !matches!(why, Trouble::Unreachable | Trouble::Unrun | Trouble::Misdirected)
+fn ran(why: AttemptFailure) -> bool {
+    !matches!(
+        why,
+        AttemptFailure::Unreachable | AttemptFailure::Rejected | AttemptFailure::Misdirected
+    )
 }
--- a/crates/core/src/query/forwarded_request.rs
+++ b/crates/core/src/query/forwarded_request.rs
@@ -2,7 +2,7 @@
 
 use std::sync::Arc;
 
-use crate::http_api::leaf::Raw;
+use crate::http_api::leaf::LeafReply;
 use crate::time::Span;
 
 /// A call as it came: nothing of it is changed on the way to a leaf.
@@ -15,12 +15,12 @@
     /// The path without its query, by which the mapping is found.
     pub path: String,
     /// Path and query, as they came.
-    pub target: String,
+    pub path_and_query: String,
     /// The heads that go on to the leaf.
-    pub heads: Vec<(String, Vec<u8>)>,
+    pub headers: Vec<(String, Vec<u8>)>,
     pub body: Vec<u8>,
     /// How long the caller waits, if it says so.
-    pub budget: Option<Span>,
+    pub timeout: Option<Span>,
 }
 
 /// Parts of several shards, joined.
@@ -28,18 +28,18 @@
 /// Invariants: `stamps` holds one stamp for each shard that is in and names
 /// none twice; `body` holds the greatest records of just these parts.
 #[derive(Clone, Debug)]
-pub struct Joined {
+pub struct MergedReply {
     pub id: String,
-    pub stamps: Vec<String>,
+    pub postmarks: Vec<String>,
     pub missing: usize,
     pub body: Vec<u8>,
 }
 
 /// One leaf's answer, to be given back as it is.
 #[derive(Clone, Debug)]
-pub struct Passed {
+pub struct ForwardedReply {
     pub id: String,
-    pub raw: Arc<Raw>,
+    pub reply: Arc<LeafReply>,
 }
 
 /// The greatest `top` records of `width` bytes in all parts, falling. What is
--- a/crates/core/src/query/latency_estimate.rs
+++ b/crates/core/src/query/latency_estimate.rs
@@ -9,7 +9,7 @@
 /// The learned quantile of each search.
 #[derive(Default)]
 pub struct LatencyEstimate {
-    known: IndexMap<String, Span>,
+    by_route: IndexMap<String, Span>,
 }
 
 /// Notes how long a dispatch took. The mark moves up by much for each one
@@ -17,9 +17,9 @@
 /// wanted part of them lies below.
 pub fn note(w: &mut LatencyEstimate, search: &str, took: Span) {
     let q = consts::WAIT_QUANTILE;
-    match w.known.get_mut(search) {
+    match w.by_route.get_mut(search) {
         None => {
-            w.known.insert(search.to_string(), took.max(MILLI) * 2);
+            w.by_route.insert(search.to_string(), took.max(MILLI) * 2);
         }
         Some(mark) => {
             let stride = (*mark / 16).max(MILLI / 10);
@@ -34,7 +34,7 @@
 
 /// The wait before a second try of a search, with its target if it has one.
 pub fn wait(w: &LatencyEstimate, search: &str, target: Option<Span>) -> Option<Span> {
-    match (w.known.get(search), target) {
+    match (w.by_route.get(search), target) {
         (Some(mark), _) => {
             let stretched = mark * consts::WAIT_STRETCH_PCT / 100 + consts::WAIT_MORE;
             Some(stretched.max(consts::WAIT_MIN))
@@ -48,5 +48,5 @@
 
 /// Forgets searches that are no longer known.
 pub fn keep(w: &mut LatencyEstimate, known: impl Fn(&str) -> bool) {
-    w.known.retain(|s, _| known(s));
+    w.by_route.retain(|s, _| known(s));
 }
--- a/crates/core/src/query/leaf_feedback.rs
+++ b/crates/core/src/query/leaf_feedback.rs
@@ -1,17 +1,22 @@
 //! What the end of an attempt says of its leaf.
 
-use super::attempt::Dispatch;
+use super::attempt::Attempt;
 use super::cancellation::drop_out;
 use super::engine::QueryEngine;
 use super::event::Command;
 use super::leaf;
-use crate::http_api::leaf::Trouble;
+use crate::http_api::leaf::AttemptFailure;
 use crate::time::{Tick, since};
 
 /// What a reply says of its leaf.
-pub(super) fn note(d: &mut QueryEngine, now: Tick, sent: &Dispatch, how: Result<(), Trouble>) {
+pub(super) fn note(
+    d: &mut QueryEngine,
+    now: Tick,
+    sent: &Attempt,
+    how: Result<(), AttemptFailure>,
+) {
     let Some(l) = d.leafs.get_mut(&sent.leaf) else { return };
-    let took = since(sent.at, now);
+    let took = since(sent.sent_at, now);
     match how {
         Ok(()) => {
             leaf::good(l, took);
@@ -19,7 +24,7 @@
         }
         // Turning work away unrun is good manners, not a fault: it has
         // more than it bears, and we give it less.
-        Err(Trouble::Unrun) => leaf::turned(l, now),
+        Err(AttemptFailure::Rejected) => leaf::turned(l, now),
         Err(_) => leaf::bad(l, now),
     }
 }
@@ -29,17 +34,17 @@
 pub(super) fn overtaken(
     d: &mut QueryEngine,
     now: Tick,
-    sent: &Dispatch,
+    sent: &Attempt,
     others: &[u64],
     out: &mut Vec<Command>,
 ) {
     for other in others {
-        if let Some(late) = d.dispatches.get(other)
-            && late.at < sent.at
+        if let Some(late) = d.attempts.get(other)
+            && late.sent_at < sent.sent_at
             && let Some(l) = d.leafs.get_mut(&late.leaf)
         {
             leaf::bad(l, now);
-            *d.counts.trouble.entry(Trouble::Overtaken).or_default() += 1;
+            *d.statistics.failures.entry(AttemptFailure::Overtaken).or_default() += 1;
         }
         drop_out(d, *other, out);
     }
--- a/crates/core/src/query/observed_load.rs
+++ b/crates/core/src/query/observed_load.rs
@@ -5,31 +5,31 @@
 //! load with each answer, and work that it turned away.
 
 use crate::consts;
-use crate::query::leaf::{Leaf, used};
+use crate::query::leaf::{LeafState, used};
 use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick};
 
 /// What a leaf says of its load.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Load {
+pub struct ReportedLoad {
     pub running: u32,
     pub waiting: u32,
     pub slots: u32,
 }
 
 /// Notes what a leaf says of its load; what of it is not ours is others'.
-pub fn hear(leaf: &mut Leaf, load: Load) {
-    leaf.slots = u64::from(load.slots);
+pub fn hear(leaf: &mut LeafState, load: ReportedLoad) {
+    leaf.reported_slots = u64::from(load.slots);
     let all = u64::from(load.running) + u64::from(load.waiting);
     // Its answer is counted out already on its side, and not yet on ours.
-    let others = all.saturating_sub(leaf.live.saturating_sub(1)) * 1_000;
+    let others = all.saturating_sub(leaf.in_flight.saturating_sub(1)) * 1_000;
     let n = consts::SEEN_WEIGHT;
-    leaf.others = leaf.others - leaf.others / n + others / n;
+    leaf.foreign_load = leaf.foreign_load - leaf.foreign_load / n + others / n;
 }
 
 /// The slots of a leaf, by its own word, the list's or our guess.
-pub fn slots(leaf: &Leaf, info: &LeafInfo) -> u64 {
-    match (leaf.slots, info.slots) {
+pub fn slots(leaf: &LeafState, info: &LeafInfo) -> u64 {
+    match (leaf.reported_slots, info.slots) {
         (0, 0) => consts::SEEN_SLOTS,
         (0, listed) => u64::from(listed),
         (said, _) => said,
@@ -38,19 +38,19 @@
 
 /// Dispatches that we may have in hand at a leaf: a little more than it works
 /// on at once, less where it turns work away or its connections are few.
-pub fn room(leaf: &Leaf, info: &LeafInfo, now: Tick) -> u64 {
+pub fn room(leaf: &LeafState, info: &LeafInfo, now: Tick) -> u64 {
     let full = slots(leaf, info) * consts::SEEN_SLOTS_PCT / 100;
     let most = used(leaf, full, 0, now).max(1);
     // A leaf that we have no connection to is asked in need, with one.
-    leaf.connections.map_or(most, |connections| most.min(connections.max(1)))
+    leaf.connection_limit.map_or(most, |connections| most.min(connections.max(1)))
 }
 
 /// When the leaf would likely answer one dispatch more.
-pub fn likely(leaf: &Leaf, info: &LeafInfo, near: bool) -> Span {
-    let time = if leaf.typical == 0 { consts::UNTRIED } else { leaf.typical };
+pub fn likely(leaf: &LeafState, info: &LeafInfo, near: bool) -> Span {
+    let time = if leaf.typical_latency == 0 { consts::UNTRIED } else { leaf.typical_latency };
     let slots = slots(leaf, info).max(1);
     // Load in thousandths of a slot, this dispatch included.
-    let load = (leaf.live + 1) * 1_000 + leaf.others;
+    let load = (leaf.in_flight + 1) * 1_000 + leaf.foreign_load;
     let ease = slots * 10 * consts::SEEN_EASE_PCT;
     let mut likely = time + time * load.saturating_sub(ease) / (slots * 1_000);
     if info.cold {
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -8,7 +8,7 @@
 use super::engine::QueryEngine;
 use super::forwarded_request::ForwardedRequest;
 use super::planned_query::{Query, slot};
-use super::request::{Ask, Reason, Rejection};
+use super::request::{Rejection, RejectionReason, SearchRequest};
 use crate::config::build::Route;
 use crate::config::types::Form;
 use crate::consts;
@@ -23,29 +23,29 @@
     d: &mut QueryEngine,
     now: Tick,
     call: u64,
-    ask: Ask,
+    ask: SearchRequest,
 ) -> Result<Query, Rejection> {
     let say = |reason, text: &str| Err(Rejection::new(reason, text));
     taken(d, now)?;
-    let Some(map) = d.view.mappings.get(&ask.mapping).cloned() else {
-        return say(Reason::NoMapping, "no search of that name is configured");
+    let Some(map) = d.cluster_view.mappings.get(&ask.route).cloned() else {
+        return say(RejectionReason::UnknownRoute, "no search of that name is configured");
     };
     if map.form != Form::Own {
-        return say(Reason::NoMapping, "this search is called by host and path");
+        return say(RejectionReason::UnknownRoute, "this search is called by host and path");
     }
     room(d, map.class)?;
-    let shards = planned_shards(&map, ask.key.as_deref(), &mut d.luck)?;
-    let usable = usable(ask.budget, map.promise)?;
-    let body = question(&map, &ask.question, ask.key.as_deref(), ask.limit);
-    let times = Times {
-        start: now,
-        stop_at: now + usable * map.stop_pct / 100,
-        hold: now + usable,
-        end: now + usable,
+    let shards = planned_shards(&map, ask.key.as_deref(), &mut d.random)?;
+    let usable = usable(ask.timeout, map.promise)?;
+    let body = question(&map, &ask.question, ask.key.as_deref(), ask.record_limit);
+    let times = QueryTimes {
+        started_at: now,
+        quorum_suffices_from: now + usable * map.stop_pct / 100,
+        queue_until: now + usable,
+        deadline: now + usable,
     };
     let mut q = query(d, call, map, shards, times);
-    q.limit = ask.limit;
-    q.digest = digest(&body);
+    q.record_limit = ask.record_limit;
+    q.body_digest = digest(&body);
     q.body = Arc::new(body);
     Ok(q)
 }
@@ -58,13 +58,13 @@
     parcel: Arc<ForwardedRequest>,
 ) -> Result<Query, Rejection> {
     taken(d, now)?;
-    let Some(map) = found(&d.view, &parcel.host, &parcel.path).cloned() else {
+    let Some(map) = found(&d.cluster_view, &parcel.host, &parcel.path).cloned() else {
         let text = "no search takes calls of this host and path";
-        return Err(Rejection::new(Reason::NoMapping, text));
+        return Err(Rejection::new(RejectionReason::UnknownRoute, text));
     };
     room(d, map.class)?;
-    let shards = planned_shards(&map, Some(&parcel.id), &mut d.luck)?;
-    let usable = usable(parcel.budget.unwrap_or(map.promise), map.promise)?;
+    let shards = planned_shards(&map, Some(&parcel.id), &mut d.random)?;
+    let usable = usable(parcel.timeout.unwrap_or(map.promise), map.promise)?;
     let (stop, hold) = match map.target {
         None => (usable * map.stop_pct / 100, usable),
         Some(target) => {
@@ -73,43 +73,49 @@
             (target.saturating_sub(keep), target * consts::HOLD_PCT / 100)
         }
     };
-    let times = Times {
-        start: now,
-        stop_at: now + stop.min(usable),
-        hold: now + hold.min(usable),
-        end: now + usable,
+    let times = QueryTimes {
+        started_at: now,
+        quorum_suffices_from: now + stop.min(usable),
+        queue_until: now + hold.min(usable),
+        deadline: now + usable,
     };
     let mut q = query(d, call, map, shards, times);
-    q.parcel = Some(parcel);
+    q.forwarded = Some(parcel);
     Ok(q)
 }
 
 /// When what happens to a query.
-struct Times {
-    start: Tick,
-    stop_at: Tick,
-    hold: Tick,
-    end: Tick,
+struct QueryTimes {
+    started_at: Tick,
+    quorum_suffices_from: Tick,
+    queue_until: Tick,
+    deadline: Tick,
 }
 
 /// A query whose body is still empty.
-fn query(d: &QueryEngine, call: u64, map: Arc<Route>, shards: Vec<usize>, times: Times) -> Query {
+fn query(
+    d: &QueryEngine,
+    call: u64,
+    map: Arc<Route>,
+    shards: Vec<usize>,
+    times: QueryTimes,
+) -> Query {
     Query {
         call,
         name: format!("{}-{}", d.name, d.next_query),
-        revision: d.view.revision,
-        start: times.start,
-        stop_at: times.stop_at,
-        end: times.end,
-        limit: 0,
-        digest: String::new(),
+        revision: d.cluster_view.revision,
+        started_at: times.started_at,
+        quorum_suffices_from: times.quorum_suffices_from,
+        deadline: times.deadline,
+        record_limit: 0,
+        body_digest: String::new(),
         body: Arc::default(),
-        slots: shards.into_iter().map(slot).collect(),
-        parcel: None,
-        hold: times.hold,
-        ran: false,
-        last: None,
-        map,
+        shards: shards.into_iter().map(slot).collect(),
+        forwarded: None,
+        queue_until: times.queue_until,
+        executed: false,
+        last_failure: None,
+        route: map,
     }
 }
 
@@ -125,7 +131,7 @@
         (Send::Weighed, _) => Ok(vec![drawn(map, luck)]),
         (Send::One, None) => {
             let text = "this search looks up one thing: give its `key`";
-            Err(Rejection::new(Reason::NoKey, text))
+            Err(Rejection::new(RejectionReason::MissingKey, text))
         }
     }
 }
@@ -135,7 +141,10 @@
     let keep = (budget * consts::MERGE_KEEP_PCT / 100)
         .clamp(consts::MERGE_KEEP_MIN, consts::MERGE_KEEP_MAX);
     match budget.saturating_sub(keep).min(promise) {
-        0 => Err(Rejection::new(Reason::OutOfTime, "the budget leaves no time to ask anyone")),
+        0 => Err(Rejection::new(
+            RejectionReason::DeadlineExceeded,
+            "the budget leaves no time to ask anyone",
+        )),
         usable => Ok(usable),
     }
 }
--- a/crates/core/src/query/progress.rs
+++ b/crates/core/src/query/progress.rs
@@ -3,9 +3,9 @@
 use super::engine::QueryEngine;
 use super::event::Command;
 use super::finishing::finish;
-use super::planned_query::{Query, SlotState, count_in, due, enough, need, wanting};
+use super::planned_query::{Query, ShardState, count_in, due, enough, need, wanting};
 use super::rejection::bounce;
-use super::request::{Reason, Rejection};
+use super::request::{Rejection, RejectionReason};
 use super::sending::{again, fill};
 use crate::time::Tick;
 
@@ -40,7 +40,7 @@
         .queries
         .iter()
         .filter(|(_, q)| due(q) <= now || wanting(q) > 0)
-        .map(|(id, q)| (std::cmp::Reverse(q.map.class), q.map.rank, q.end, *id))
+        .map(|(id, q)| (std::cmp::Reverse(q.route.class), q.route.rank, q.deadline, *id))
         .collect();
     ids.sort_unstable();
     for (_, _, _, id) in ids {
@@ -51,21 +51,26 @@
 /// Moves one query as far as it goes now.
 pub(super) fn advance(d: &mut QueryEngine, now: Tick, id: u64, out: &mut Vec<Command>) {
     let Some(mut q) = d.queries.swap_remove(&id) else { return };
-    if now < q.end {
-        for i in 0..q.slots.len() {
-            match q.slots[i].state {
-                SlotState::Wanting => fill(d, now, id, &mut q, i, out),
-                SlotState::Out if q.slots[i].next_at <= now => again(d, now, id, &mut q, i, out),
+    if now < q.deadline {
+        for i in 0..q.shards.len() {
+            match q.shards[i].state {
+                ShardState::Queued => fill(d, now, id, &mut q, i, out),
+                ShardState::InFlight if q.shards[i].hedge_at <= now => {
+                    again(d, now, id, &mut q, i, out)
+                }
                 _ => {}
             }
         }
     }
     let (have, need) = (count_in(&q), need(&q));
-    let open =
-        q.slots.iter().filter(|s| matches!(s.state, SlotState::Wanting | SlotState::Out)).count();
-    let outcome = if open == 0 || now >= q.end {
+    let open = q
+        .shards
+        .iter()
+        .filter(|s| matches!(s.state, ShardState::Queued | ShardState::InFlight))
+        .count();
+    let outcome = if open == 0 || now >= q.deadline {
         if have >= need { Ok(()) } else { Err(reason(&q, now)) }
-    } else if have >= need && now >= q.stop_at && enough(&q, have) {
+    } else if have >= need && now >= q.quorum_suffices_from && enough(&q, have) {
         Ok(())
     } else if have + open < need {
         Err(reason(&q, now))
@@ -77,15 +82,15 @@
 }
 
 /// Why a query is bounced: the gravest of what its slots met.
-pub(super) fn reason(q: &Query, now: Tick) -> Reason {
-    let lost = q.slots.iter().filter_map(|s| match s.state {
-        SlotState::Lost(why) => Some(why),
-        SlotState::Wanting => Some(Reason::NoRoom),
+pub(super) fn reason(q: &Query, now: Tick) -> RejectionReason {
+    let lost = q.shards.iter().filter_map(|s| match s.state {
+        ShardState::Failed(why) => Some(why),
+        ShardState::Queued => Some(RejectionReason::NoCapacity),
         _ => None,
     });
-    match lost.max_by_key(|r| matches!(r, Reason::NoLeafs)) {
+    match lost.max_by_key(|r| matches!(r, RejectionReason::NoLeaf)) {
         Some(why) => why,
-        None if now >= q.end => Reason::OutOfTime,
-        None => Reason::BelowQuorum,
+        None if now >= q.deadline => RejectionReason::DeadlineExceeded,
+        None => RejectionReason::BelowQuorum,
     }
 }
--- a/crates/core/src/query/quota.rs
+++ b/crates/core/src/query/quota.rs
@@ -1,16 +1,16 @@
 //! A thread's share of what the whole fleet may do at once.
 
 use crate::digest::{hash, pair};
-use crate::query::connection_subset::Peer;
+use crate::query::connection_subset::ConnectingThread;
 
 /// The traffic threads of the live membership and which of them is ours.
 ///
 /// Invariant: `slots` are in order, stand once each, and hold `mine` unless
 /// this thread has no share at all.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Share {
-    pub slots: Vec<u64>,
-    pub mine: u64,
+pub struct QuotaShare {
+    pub threads: Vec<u64>,
+    pub own_thread: u64,
 }
 
 /// The stable number of a traffic thread.
@@ -19,43 +19,43 @@
 }
 
 /// A share among the threads of the members, given as (name, threads).
-pub fn share(members: &[(String, u32)], me: &str, thread: u32) -> Share {
+pub fn share(members: &[(String, u32)], me: &str, thread: u32) -> QuotaShare {
     let mut slots: Vec<u64> =
         members.iter().flat_map(|(name, n)| (0..*n).map(|t| slot(name, t))).collect();
     slots.sort_unstable();
     slots.dedup();
-    Share { slots, mine: slot(me, thread) }
+    QuotaShare { threads: slots, own_thread: slot(me, thread) }
 }
 
 /// The nodes that open connections, of the members given as (name, threads, zone).
-pub fn peers(members: &[(String, u32, String)]) -> Vec<Peer> {
-    let mut out: Vec<Peer> = members
+pub fn peers(members: &[(String, u32, String)]) -> Vec<ConnectingThread> {
+    let mut out: Vec<ConnectingThread> = members
         .iter()
         .flat_map(|(name, n, zone)| (0..*n).map(move |t| (slot(name, t), zone)))
-        .map(|(slot, zone)| Peer { slot, zone: zone.clone() })
+        .map(|(slot, zone)| ConnectingThread { thread_id: slot, zone: zone.clone() })
         .collect();
-    out.sort_unstable_by_key(|p| p.slot);
+    out.sort_unstable_by_key(|p| p.thread_id);
     out
 }
 
 /// Our rank for a thing among all threads: each thing has its own order, so
 /// that remainders fall on different threads.
-pub fn rank(share: &Share, thing: u64) -> Option<u64> {
-    if share.slots.binary_search(&share.mine).is_err() {
+pub fn rank(share: &QuotaShare, thing: u64) -> Option<u64> {
+    if share.threads.binary_search(&share.own_thread).is_err() {
         return None;
     }
-    let mine = pair(thing, share.mine);
-    Some(share.slots.iter().filter(|s| pair(thing, **s) < mine).count() as u64)
+    let mine = pair(thing, share.own_thread);
+    Some(share.threads.iter().filter(|s| pair(thing, **s) < mine).count() as u64)
 }
 
 /// Our rank for each of a row of things that are dealt out in turn: where one
 /// thing's remainder ends the next one's begins. `first` says where the row
 /// begins, `totals` what each thing has.
-pub fn deal(share: &Share, first: u64, totals: &[u64]) -> Vec<Option<u64>> {
-    let Ok(mine) = share.slots.binary_search(&share.mine) else {
+pub fn deal(share: &QuotaShare, first: u64, totals: &[u64]) -> Vec<Option<u64>> {
+    let Ok(mine) = share.threads.binary_search(&share.own_thread) else {
         return vec![None; totals.len()];
     };
-    let n = share.slots.len() as u64;
+    let n = share.threads.len() as u64;
     let mut from = first % n;
     totals
         .iter()
@@ -69,8 +69,8 @@
 
 /// Our part of `total`. Over all threads of one membership the parts add up to
 /// exactly `total`.
-pub fn part(share: &Share, rank: Option<u64>, total: u64) -> u64 {
+pub fn part(share: &QuotaShare, rank: Option<u64>, total: u64) -> u64 {
     let Some(rank) = rank else { return 0 };
-    let n = share.slots.len() as u64;
+    let n = share.threads.len() as u64;
     total / n + u64::from(rank < total % n)
 }
--- a/crates/core/src/query/request.rs
+++ b/crates/core/src/query/request.rs
@@ -4,18 +4,18 @@
 
 use serde_json::Value;
 
-use crate::query::forwarded_request::{Joined, Passed};
+use crate::query::forwarded_request::{ForwardedReply, MergedReply};
 use crate::time::Span;
 
 /// A caller's question, read and checked for form.
 #[derive(Clone, Debug)]
-pub struct Ask {
-    pub mapping: String,
+pub struct SearchRequest {
+    pub route: String,
     pub question: Value,
     pub key: Option<String>,
-    pub limit: u32,
+    pub record_limit: u32,
     /// The time the caller will wait.
-    pub budget: Span,
+    pub timeout: Span,
 }
 
 /// A record of an answer.
@@ -32,10 +32,10 @@
 /// Invariants: names in `shards` stand once; `shards.len() + missing` is the
 /// number of planned shards; `records` are the best of those shards, in order.
 #[derive(Clone, Debug)]
-pub struct Full {
+pub struct SearchAnswer {
     pub query: String,
-    pub mapping: String,
-    pub cut: String,
+    pub route: String,
+    pub index_version: String,
     pub revision: u64,
     pub shards: Vec<String>,
     pub missing: usize,
@@ -44,41 +44,41 @@
 
 /// Why a call was bounced.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
-pub enum Reason {
-    BadCall,
-    NoKey,
-    NoMapping,
+pub enum RejectionReason {
+    InvalidRequest,
+    MissingKey,
+    UnknownRoute,
     TooLarge,
     /// This node works on all it may for this class.
-    Crowded,
+    ConcurrencyLimit,
     /// No leaf had room in time.
-    NoRoom,
+    NoCapacity,
     /// No leaf at all is known for a needed shard.
-    NoLeafs,
+    NoLeaf,
     /// Dispatches failed and no more tries were allowed.
     BelowQuorum,
     /// The budget ran out below quorum.
-    OutOfTime,
-    Stopping,
-    CutOff,
-    NoView,
+    DeadlineExceeded,
+    ShuttingDown,
+    Isolated,
+    NoSnapshot,
 }
 
-impl fmt::Display for Reason {
+impl fmt::Display for RejectionReason {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Reason::BadCall => "bad-call",
-            Reason::NoKey => "no-key",
-            Reason::NoMapping => "no-mapping",
-            Reason::TooLarge => "too-large",
-            Reason::Crowded => "crowded",
-            Reason::NoRoom => "no-room",
-            Reason::NoLeafs => "no-leafs",
-            Reason::BelowQuorum => "below-quorum",
-            Reason::OutOfTime => "out-of-time",
-            Reason::Stopping => "stopping",
-            Reason::CutOff => "cut-off",
-            Reason::NoView => "no-view",
+            RejectionReason::InvalidRequest => "bad-call",
+            RejectionReason::MissingKey => "no-key",
+            RejectionReason::UnknownRoute => "no-mapping",
+            RejectionReason::TooLarge => "too-large",
+            RejectionReason::ConcurrencyLimit => "crowded",
+            RejectionReason::NoCapacity => "no-room",
+            RejectionReason::NoLeaf => "no-leafs",
+            RejectionReason::BelowQuorum => "below-quorum",
+            RejectionReason::DeadlineExceeded => "out-of-time",
+            RejectionReason::ShuttingDown => "stopping",
+            RejectionReason::Isolated => "cut-off",
+            RejectionReason::NoSnapshot => "no-view",
         })
     }
 }
@@ -86,30 +86,37 @@
 /// A call that is turned away, with a reason for machines and one for people.
 #[derive(Clone, Debug)]
 pub struct Rejection {
-    pub reason: Reason,
+    pub reason: RejectionReason,
     pub text: String,
     pub query: Option<String>,
     /// Seconds after which the caller may ask again, where that helps.
-    pub again_s: Option<u64>,
+    pub retry_after_seconds: Option<u64>,
     /// The same, exactly, for those who can tell it so.
-    pub again: Option<Span>,
+    pub retry_after: Option<Span>,
     /// A leaf has worked on the call, or may have.
-    pub ran: bool,
+    pub executed: bool,
 }
 
 impl Rejection {
-    pub fn new(reason: Reason, text: impl Into<String>) -> Rejection {
-        Rejection { reason, text: text.into(), query: None, again_s: None, again: None, ran: false }
+    pub fn new(reason: RejectionReason, text: impl Into<String>) -> Rejection {
+        Rejection {
+            reason,
+            text: text.into(),
+            query: None,
+            retry_after_seconds: None,
+            retry_after: None,
+            executed: false,
+        }
     }
 }
 
 /// The end of a call.
 #[derive(Clone, Debug)]
 pub enum Outcome {
-    Full(Full),
-    Rejection(Rejection),
+    Answered(SearchAnswer),
+    Rejected(Rejection),
     /// Of a call that was handed over: one leaf's answer.
-    Passed(Passed),
+    Forwarded(ForwardedReply),
     /// Of a call that was handed over: the parts of several shards.
-    Joined(Joined),
+    Merged(MergedReply),
 }
--- a/crates/core/src/query/retry.rs
+++ b/crates/core/src/query/retry.rs
@@ -2,7 +2,7 @@
 //! spread by chance so that callers bounced together do not return together.
 
 use crate::consts::{AGAIN_MAX_S, AGAIN_MIN_S, AGAIN_SOON, STRAIN_HALF};
-use crate::query::request::Reason;
+use crate::query::request::RejectionReason;
 use crate::random::{Random, below};
 use crate::time::{SECOND, Span, Tick, since};
 
@@ -11,24 +11,24 @@
 /// Invariant: both sums have been halved for each `STRAIN_HALF` before `at`.
 #[derive(Default)]
 pub struct LoadPressure {
-    at: Tick,
-    came: u64,
-    away: u64,
+    decayed_at: Tick,
+    arrived: u64,
+    rejected: u64,
 }
 
 /// Notes the end of a call; `away` if it was sent away for want of room.
 pub fn note(s: &mut LoadPressure, now: Tick, away: bool) {
     settle(s, now);
-    s.came += 1_000;
-    s.away += if away { 1_000 } else { 0 };
+    s.arrived += 1_000;
+    s.rejected += if away { 1_000 } else { 0 };
 }
 
 fn settle(s: &mut LoadPressure, now: Tick) {
-    let halves = since(s.at, now) / STRAIN_HALF;
+    let halves = since(s.decayed_at, now) / STRAIN_HALF;
     if halves > 0 {
-        s.came = s.came.checked_shr(halves as u32).unwrap_or(0);
-        s.away = s.away.checked_shr(halves as u32).unwrap_or(0);
-        s.at += halves * STRAIN_HALF;
+        s.arrived = s.arrived.checked_shr(halves as u32).unwrap_or(0);
+        s.rejected = s.rejected.checked_shr(halves as u32).unwrap_or(0);
+        s.decayed_at += halves * STRAIN_HALF;
     }
 }
 
@@ -36,7 +36,7 @@
 /// most troubles of one node or leaf are over before its budget ends.
 pub fn soon(s: &mut LoadPressure, now: Tick, rest: Span, luck: &mut Random) -> Span {
     settle(s, now);
-    let base = (AGAIN_SOON * s.came).checked_div((s.came - s.away).max(1)).unwrap_or(0);
+    let base = (AGAIN_SOON * s.arrived).checked_div((s.arrived - s.rejected).max(1)).unwrap_or(0);
     let base = base.max(rest).clamp(AGAIN_SOON, AGAIN_MIN_S * SECOND);
     base + below(luck, base / 2 + 1)
 }
@@ -47,14 +47,22 @@
 /// Under overload: if of all that comes a share `r` is sent away, then what we
 /// can bear is `1 - r` of it, and all of it would fit into `1 / (1 - r)` of the
 /// time. So that is what the callers are asked to take.
-pub fn again_s(s: &mut LoadPressure, now: Tick, why: Reason, rest: Span, luck: &mut Random) -> u64 {
+pub fn again_s(
+    s: &mut LoadPressure,
+    now: Tick,
+    why: RejectionReason,
+    rest: Span,
+    luck: &mut Random,
+) -> u64 {
     settle(s, now);
     let base = match why {
-        Reason::Crowded | Reason::NoRoom | Reason::OutOfTime => {
-            let stays = (s.came - s.away).max(s.came / AGAIN_MAX_S).max(1);
-            (AGAIN_MIN_S * s.came).div_ceil(stays)
+        RejectionReason::ConcurrencyLimit
+        | RejectionReason::NoCapacity
+        | RejectionReason::DeadlineExceeded => {
+            let stays = (s.arrived - s.rejected).max(s.arrived / AGAIN_MAX_S).max(1);
+            (AGAIN_MIN_S * s.arrived).div_ceil(stays)
         }
-        Reason::NoLeafs | Reason::BelowQuorum => rest.div_ceil(SECOND),
+        RejectionReason::NoLeaf | RejectionReason::BelowQuorum => rest.div_ceil(SECOND),
         // Another node serves; the platform needs a moment to send nobody here.
         _ => AGAIN_MIN_S,
     };
--- a/crates/core/src/query/retry_budget.rs
+++ b/crates/core/src/query/retry_budget.rs
@@ -17,10 +17,10 @@
 /// older than the window; `credit` is in hundredths of a second try. A fresh
 /// rule has no credit and no slack: a restart brings none.
 #[derive(Default)]
-pub struct Rule {
-    firsts: VecDeque<Tick>,
+pub struct RetryBudget {
+    first_attempts: VecDeque<Tick>,
     /// Each second try, and whether credit paid for it (else the slack did).
-    seconds: VecDeque<(Tick, bool)>,
+    retries: VecDeque<(Tick, bool)>,
     credit: u64,
     slack: u64,
     /// No slack before this time: what a former life spent must be past.
@@ -28,48 +28,49 @@
 }
 
 /// A rule for a thread that starts now.
-pub fn rule(now: Tick) -> Rule {
-    Rule { slack_from: now + RETRY_WINDOW, ..Rule::default() }
+pub fn rule(now: Tick) -> RetryBudget {
+    RetryBudget { slack_from: now + RETRY_WINDOW, ..RetryBudget::default() }
 }
 
 /// Sets the thread's part of the small slack.
-pub fn slack(rule: &mut Rule, part: u64) {
+pub fn slack(rule: &mut RetryBudget, part: u64) {
     rule.slack = part;
 }
 
 /// Notes a first dispatch.
-pub fn first(rule: &mut Rule, now: Tick) {
+pub fn first(rule: &mut RetryBudget, now: Tick) {
     prune(rule, now);
-    rule.firsts.push_back(now);
-    let burst = rule.firsts.iter().rev().take_while(|t| since(**t, now) < RETRY_BURST).count();
+    rule.first_attempts.push_back(now);
+    let burst =
+        rule.first_attempts.iter().rev().take_while(|t| since(**t, now) < RETRY_BURST).count();
     rule.credit = (rule.credit + RETRY_PCT).min(burst as u64 * RETRY_PCT + 100);
 }
 
 /// Takes leave for a second try; false when the rule has none to give.
-pub fn second(rule: &mut Rule, now: Tick) -> bool {
+pub fn second(rule: &mut RetryBudget, now: Tick) -> bool {
     prune(rule, now);
     let slack = if now >= rule.slack_from { rule.slack } else { 0 };
-    let room = rule.firsts.len() as u64 * RETRY_PCT / 100 + slack;
-    let spent = rule.seconds.len() as u64;
+    let room = rule.first_attempts.len() as u64 * RETRY_PCT / 100 + slack;
+    let spent = rule.retries.len() as u64;
     // Slack carries a try that the credit alone would not.
     let paid = rule.credit >= 100;
-    let lent = rule.seconds.iter().filter(|s| !s.1).count() as u64;
+    let lent = rule.retries.iter().filter(|s| !s.1).count() as u64;
     if spent >= room || (!paid && lent >= slack) {
         return false;
     }
     if paid {
         rule.credit -= 100;
     }
-    rule.seconds.push_back((now, paid));
+    rule.retries.push_back((now, paid));
     true
 }
 
-fn prune(rule: &mut Rule, now: Tick) {
+fn prune(rule: &mut RetryBudget, now: Tick) {
     let old = |t: Option<&Tick>| t.is_some_and(|t| since(*t, now) >= RETRY_WINDOW);
-    while old(rule.firsts.front()) {
-        rule.firsts.pop_front();
+    while old(rule.first_attempts.front()) {
+        rule.first_attempts.pop_front();
     }
-    while old(rule.seconds.front().map(|s| &s.0)) {
-        rule.seconds.pop_front();
+    while old(rule.retries.front().map(|s| &s.0)) {
+        rule.retries.pop_front();
     }
 }
--- a/crates/core/src/query/service_retry_budget.rs
+++ b/crates/core/src/query/service_retry_budget.rs
@@ -14,34 +14,34 @@
 
 /// The fleet's rule.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Rate {
+pub struct RetryRate {
     /// Second tries for each thousand calls.
-    pub share: u64,
+    pub per_thousand: u64,
     /// Second tries beyond that, over the whole fleet.
-    pub slack: u64,
+    pub fleet_slack: u64,
 }
 
 /// The project's own rule (`consts`).
-pub fn own() -> Rate {
-    Rate { share: consts::RETRY_PCT * 10, slack: consts::RETRY_SLACK }
+pub fn own() -> RetryRate {
+    RetryRate { per_thousand: consts::RETRY_PCT * 10, fleet_slack: consts::RETRY_SLACK }
 }
 
 /// What is saved up for each service.
 ///
 /// Invariant: no service has saved more than `most`, in thousandths of a try.
 pub struct ServiceRetryBudget {
-    rate: Rate,
-    most: u64,
-    saved: IndexMap<String, u64>,
+    rate: RetryRate,
+    credit_limit: u64,
+    credits: IndexMap<String, u64>,
 }
 
 /// A quota with nothing saved, for a node that knows of no other.
-pub fn quota(rate: Rate) -> ServiceRetryBudget {
-    ServiceRetryBudget { rate, most: 1_000, saved: IndexMap::new() }
+pub fn quota(rate: RetryRate) -> ServiceRetryBudget {
+    ServiceRetryBudget { rate, credit_limit: 1_000, credits: IndexMap::new() }
 }
 
 /// Another rule holds from now on.
-pub fn rated(q: &mut ServiceRetryBudget, rate: Rate, threads: u64) {
+pub fn rated(q: &mut ServiceRetryBudget, rate: RetryRate, threads: u64) {
     q.rate = rate;
     among(q, threads);
 }
@@ -50,28 +50,28 @@
 pub fn among(q: &mut ServiceRetryBudget, threads: u64) {
     // Without a place in the membership nobody knows what others spend.
     let threads = if threads == 0 { u64::MAX } else { threads };
-    let part = q.rate.slack * 1_000 * consts::SECOND_KEEP_PCT / 100 / threads;
+    let part = q.rate.fleet_slack * 1_000 * consts::SECOND_KEEP_PCT / 100 / threads;
     // Less than a whole try could never be spent.
-    q.most = part.max(1_000);
-    for saved in q.saved.values_mut() {
-        *saved = (*saved).min(q.most);
+    q.credit_limit = part.max(1_000);
+    for saved in q.credits.values_mut() {
+        *saved = (*saved).min(q.credit_limit);
     }
 }
 
 /// A call for a service has come and goes to a leaf.
 pub fn first(q: &mut ServiceRetryBudget, service: &str) {
-    let earned = q.rate.share * consts::SECOND_KEEP_PCT / 100;
-    match q.saved.get_mut(service) {
-        Some(saved) => *saved = (*saved + earned).min(q.most),
+    let earned = q.rate.per_thousand * consts::SECOND_KEEP_PCT / 100;
+    match q.credits.get_mut(service) {
+        Some(saved) => *saved = (*saved + earned).min(q.credit_limit),
         None => {
-            q.saved.insert(service.to_string(), earned);
+            q.credits.insert(service.to_string(), earned);
         }
     }
 }
 
 /// Takes leave for a second try.
 pub fn second(q: &mut ServiceRetryBudget, service: &str) -> bool {
-    match q.saved.get_mut(service) {
+    match q.credits.get_mut(service) {
         Some(saved) if *saved >= 1_000 => {
             *saved -= 1_000;
             true
@@ -82,5 +82,5 @@
 
 /// Forgets services that are no longer known.
 pub fn keep(q: &mut ServiceRetryBudget, known: impl Fn(&str) -> bool) {
-    q.saved.retain(|s, _| known(s));
+    q.credits.retain(|s, _| known(s));
 }
--- a/crates/core/src/query/statistics.rs
+++ b/crates/core/src/query/statistics.rs
@@ -2,28 +2,28 @@
 
 use indexmap::IndexMap;
 
-use super::request::Reason;
-use crate::http_api::leaf::Trouble;
+use super::request::RejectionReason;
+use crate::http_api::leaf::AttemptFailure;
 
 /// What is counted, for metrics and measurements.
 #[derive(Clone, Default, Debug)]
-pub struct Counts {
+pub struct EngineStatistics {
     pub full: u64,
     pub partial: u64,
-    pub bounced: IndexMap<Reason, u64>,
-    pub trouble: IndexMap<Trouble, u64>,
-    pub firsts: u64,
-    pub seconds: u64,
+    pub rejected: IndexMap<RejectionReason, u64>,
+    pub failures: IndexMap<AttemptFailure, u64>,
+    pub first_attempts: u64,
+    pub retries: u64,
     /// Second tries that the fleet's rule did not allow.
-    pub denied: u64,
-    pub dropped: u64,
+    pub retries_denied: u64,
+    pub cancelled: u64,
     /// Outcomes by time taken: upper bounds in ms, last one without bound.
-    pub took: [u64; 12],
+    pub latency_buckets: [u64; 12],
     /// Queries, dispatches out and shards waiting for room, now.
     pub queries: u64,
-    pub out: u64,
-    pub wanting: u64,
+    pub in_flight: u64,
+    pub queued: u64,
 }
 
 /// Upper bounds of `Counts::took` in milliseconds.
-pub const TOOK_MS: [u64; 11] = [2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000];
+pub const LATENCY_BUCKETS_MS: [u64; 11] = [2, 5, 10, 20, 50, 100, 200, 500, 1000, 2000, 5000];
--- a/crates/core/src/query/step.rs
+++ b/crates/core/src/query/step.rs
@@ -14,21 +14,23 @@
 pub fn step(d: &mut QueryEngine, now: Tick, event: Event) -> Vec<Command> {
     let mut out = Vec::new();
     match event {
-        Event::Ask { call, ask } => {
+        Event::Search { call, request: ask } => {
             let q = plan(d, now, call, ask);
             start(d, now, call, q, &mut out);
         }
-        Event::Hand { call, parcel } => {
+        Event::Forward { call, request: parcel } => {
             let q = plan_forwarded(d, now, call, parcel);
             start(d, now, call, q, &mut out);
         }
-        Event::Reply { dispatch, got } => reply(d, now, dispatch, got, &mut out),
-        Event::Gone { call } => gone(d, call, &mut out),
+        Event::AttemptEnded { attempt: dispatch, result: got } => {
+            reply(d, now, dispatch, got, &mut out)
+        }
+        Event::CallerGone { call } => gone(d, call, &mut out),
         Event::ClusterView(view) => {
             view_changed(d, now, view);
             sweep(d, now, &mut out);
         }
-        Event::Share(share) => {
+        Event::QuotaShare(share) => {
             share_changed(d, share);
             sweep(d, now, &mut out);
         }
@@ -36,18 +38,20 @@
             d.peers = peers;
             wired(d);
         }
-        Event::Rate(rate) => {
-            service_retry_budget::rated(&mut d.quota, rate, d.share.slots.len() as u64)
-        }
-        Event::Door(door) => d.door = door,
-        Event::Grip(until) => {
-            d.grip = until;
+        Event::RetryRate(rate) => service_retry_budget::rated(
+            &mut d.service_retry_budget,
+            rate,
+            d.quota_share.threads.len() as u64,
+        ),
+        Event::ServingState(door) => d.serving_state = door,
+        Event::LeaseValidUntil(until) => {
+            d.lease_valid_until = until;
             sweep(d, now, &mut out);
         }
-        Event::Wake => sweep(d, now, &mut out),
+        Event::Timer => sweep(d, now, &mut out),
     }
     // Given-up dispatches leave room behind that waiting queries can use.
-    if out.iter().any(|c| matches!(c, Command::Drop { .. })) {
+    if out.iter().any(|c| matches!(c, Command::CancelAttempt { .. })) {
         sweep(d, now, &mut out);
     }
     out
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -1,14 +1,14 @@
 //! When bounced callers are told to come back.
 
 use googletest::prelude::*;
-use grebepath_core::query::request::Reason;
+use grebepath_core::query::request::RejectionReason;
 use grebepath_core::query::retry::{LoadPressure, again_s, note};
 use grebepath_core::random::luck;
 use grebepath_core::time::{SECOND, ms};
 
 /// Least and most of what 200 callers are told, after `n` calls of which each
 /// `each`th was sent away.
-fn told(n: u64, each: u64, why: Reason, rest: u64, after: u64) -> (u64, u64) {
+fn told(n: u64, each: u64, why: RejectionReason, rest: u64, after: u64) -> (u64, u64) {
     let mut s = LoadPressure::default();
     let mut luck = luck(5);
     for i in 0..n {
@@ -22,18 +22,18 @@
 #[googletest::test]
 fn callers_come_back_when_there_is_room_and_not_all_at_once() {
     // A tenth sent away: soon; a half: twice the time; all of them: the cap.
-    expect_that!(told(1_000, 10, Reason::Crowded, 0, 0), eq((2, 4)));
-    expect_that!(told(1_000, 2, Reason::NoRoom, 0, 0), eq((2, 4)));
-    expect_that!(told(1_000, 1, Reason::NoRoom, 0, 0), eq((30, 30)));
+    expect_that!(told(1_000, 10, RejectionReason::ConcurrencyLimit, 0, 0), eq((2, 4)));
+    expect_that!(told(1_000, 2, RejectionReason::NoCapacity, 0, 0), eq((2, 4)));
+    expect_that!(told(1_000, 1, RejectionReason::NoCapacity, 0, 0), eq((30, 30)));
     // Half a minute later nothing is left of the strain.
-    expect_that!(told(1_000, 2, Reason::Crowded, 0, 30 * SECOND).1, le(4));
-    expect_that!(told(1_000, 2, Reason::Crowded, 0, 60 * SECOND), eq((1, 2)));
+    expect_that!(told(1_000, 2, RejectionReason::ConcurrencyLimit, 0, 30 * SECOND).1, le(4));
+    expect_that!(told(1_000, 2, RejectionReason::ConcurrencyLimit, 0, 60 * SECOND), eq((1, 2)));
 }
 
 #[googletest::test]
 fn callers_come_back_when_a_needed_leaf_is_asked_again() {
-    expect_that!(told(10, 20, Reason::BelowQuorum, 0, 0), eq((1, 2)));
-    expect_that!(told(10, 20, Reason::BelowQuorum, 4 * SECOND + 1, 0), eq((5, 10)));
+    expect_that!(told(10, 20, RejectionReason::BelowQuorum, 0, 0), eq((1, 2)));
+    expect_that!(told(10, 20, RejectionReason::BelowQuorum, 4 * SECOND + 1, 0), eq((5, 10)));
     // Another node serves meanwhile: soon, whatever befell this one.
-    expect_that!(told(1_000, 1, Reason::CutOff, 9 * SECOND, 0), eq((1, 2)));
+    expect_that!(told(1_000, 1, RejectionReason::Isolated, 9 * SECOND, 0), eq((1, 2)));
 }
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -2,14 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use grebepath_core::query::connection_subset::Peer;
+use grebepath_core::query::connection_subset::ConnectingThread;
 use grebepath_core::query::leaf::leaf;
 use grebepath_core::query::slow_start::{keeps, saved, spend};
 use grebepath_core::random::{below, chance, luck};
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
 
-fn nodes(n: usize) -> Vec<Peer> {
-    (0..n).map(|i| Peer { slot: i as u64 * 7_919 + 3, zone: "z".into() }).collect()
+fn nodes(n: usize) -> Vec<ConnectingThread> {
+    (0..n).map(|i| ConnectingThread { thread_id: i as u64 * 7_919 + 3, zone: "z".into() }).collect()
 }
 
 #[googletest::test]
@@ -20,15 +20,16 @@
     for i in 0..900 {
         let l = leaf(&format!("i-{i}"), BOOT);
         let who: Vec<u64> =
-            peers.iter().filter(|p| keeps(&l, &peers, p.slot)).map(|p| p.slot).collect();
-        assert_eq!(who.len(), 1, "{}", l.thing);
+            peers.iter().filter(|p| keeps(&l, &peers, p.thread_id)).map(|p| p.thread_id).collect();
+        assert_eq!(who.len(), 1, "{}", l.hash);
         *kept.entry(who[0]).or_default() += 1;
         // Nobody else's leaf changes hands when a node goes.
-        let rest: Vec<Peer> = peers.iter().filter(|p| p.slot != peers[4].slot).cloned().collect();
-        let then = rest.iter().find(|p| keeps(&l, &rest, p.slot)).unwrap();
-        assert!(who[0] == peers[4].slot || then.slot == who[0]);
+        let rest: Vec<ConnectingThread> =
+            peers.iter().filter(|p| p.thread_id != peers[4].thread_id).cloned().collect();
+        let then = rest.iter().find(|p| keeps(&l, &rest, p.thread_id)).unwrap();
+        assert!(who[0] == peers[4].thread_id || then.thread_id == who[0]);
         // Before anyone else is known, nobody sends.
-        assert!(!keeps(&l, &[], peers[0].slot));
+        assert!(!keeps(&l, &[], peers[0].thread_id));
     }
     assert!(kept.len() == 9 && kept.values().all(|n| (60..=140).contains(n)), "{kept:?}");
 }
--- a/crates/core/tests/desk.rs
+++ b/crates/core/tests/desk.rs
@@ -4,12 +4,12 @@
 
 use googletest::prelude::*;
 use grebepath_core::config::{build, read};
-use grebepath_core::http_api::leaf::{Heads, Raw, Trouble, postmark};
-use grebepath_core::query::engine::{Door, QueryEngine, desk};
-use grebepath_core::query::event::{Command, Event, Sending};
+use grebepath_core::http_api::leaf::{AttemptFailure, LeafReply, ReplyHeaders, postmark};
+use grebepath_core::query::engine::{QueryEngine, ServingState, desk};
+use grebepath_core::query::event::{Command, Event, OutgoingAttempt};
 use grebepath_core::query::progress::next;
 use grebepath_core::query::quota::share;
-use grebepath_core::query::request::{Ask, Outcome, Reason};
+use grebepath_core::query::request::{Outcome, RejectionReason, SearchRequest};
 use grebepath_core::query::step::step;
 use grebepath_core::routing_language::selector::Labels;
 use grebepath_core::snapshot::cluster_view::{ClusterView, view};
@@ -52,52 +52,59 @@
 fn open(v: ClusterView) -> QueryEngine {
     let mut d = desk("q", "a", 1, BOOT);
     step(&mut d, BOOT, Event::ClusterView(Arc::new(v)));
-    step(&mut d, BOOT, Event::Share(share(&[("q".into(), 1)], "q", 0)));
-    step(&mut d, BOOT, Event::Grip(Tick::MAX));
+    step(&mut d, BOOT, Event::QuotaShare(share(&[("q".into(), 1)], "q", 0)));
+    step(&mut d, BOOT, Event::LeaseValidUntil(Tick::MAX));
     // Enough first dispatches in the past that the retry rule is no hindrance.
     for i in 0..400 {
-        grebepath_core::query::retry_budget::first(&mut d.rule, BOOT + i);
+        grebepath_core::query::retry_budget::first(&mut d.retry_budget, BOOT + i);
     }
     d
 }
 
 fn ask(d: &mut QueryEngine, now: Tick, call: u64) -> Vec<Command> {
-    let ask = Ask {
-        mapping: "s".into(),
+    let ask = SearchRequest {
+        route: "s".into(),
         question: json!("what"),
         key: None,
-        limit: 3,
-        budget: 2 * SECOND,
+        record_limit: 3,
+        timeout: 2 * SECOND,
     };
-    step(d, now, Event::Ask { call, ask })
+    step(d, now, Event::Search { call, request: ask })
 }
 
-fn sent(todo: Vec<Command>) -> Vec<Sending> {
+fn sent(todo: Vec<Command>) -> Vec<OutgoingAttempt> {
     todo.into_iter().filter_map(|c| if let Command::Send(s) = c { Some(s) } else { None }).collect()
 }
 
 fn told(todo: &[Command]) -> Option<&Outcome> {
     todo.iter()
-        .find_map(|c| if let Command::Tell { outcome, .. } = c { Some(outcome) } else { None })
+        .find_map(|c| if let Command::Respond { outcome, .. } = c { Some(outcome) } else { None })
 }
 
-fn good(s: &Sending, scores: &[u64]) -> Raw {
+fn good(s: &OutgoingAttempt, scores: &[u64]) -> LeafReply {
     let recs: Vec<_> = scores
         .iter()
         .enumerate()
         .map(|(i, n)| json!({ "id": format!("{}{i}", s.service), "score": n }))
         .collect();
-    let heads = Heads { postmarks: vec![postmark(&s.leaf, &s.id, &s.digest)], ..Heads::default() };
-    Raw { status: 200, heads, body: json!({ "records": recs }).to_string().into_bytes() }
+    let heads = ReplyHeaders {
+        postmarks: vec![postmark(&s.leaf, &s.id, &s.body_digest)],
+        ..ReplyHeaders::default()
+    };
+    LeafReply {
+        status: 200,
+        headers: heads,
+        body: json!({ "records": recs }).to_string().into_bytes(),
+    }
 }
 
 fn reply(
     d: &mut QueryEngine,
     now: Tick,
-    s: &Sending,
-    got: std::result::Result<Raw, Trouble>,
+    s: &OutgoingAttempt,
+    got: std::result::Result<LeafReply, AttemptFailure>,
 ) -> Vec<Command> {
-    step(d, now, Event::Reply { dispatch: s.dispatch, got })
+    step(d, now, Event::AttemptEnded { attempt: s.attempt, result: got })
 }
 
 #[googletest::test]
@@ -111,30 +118,34 @@
     let one = reply(&mut d, now + 5, &list[1], Ok(good(&list[1], &[9, 5, 5])));
     expect_that!(told(&one).is_none(), eq(true));
     let two = reply(&mut d, now + 6, &list[0], Ok(good(&list[0], &[9, 7])));
-    let Some(Outcome::Full(full)) = told(&two) else { panic!("no answer") };
+    let Some(Outcome::Answered(full)) = told(&two) else { panic!("no answer") };
     let ids: Vec<&str> = full.records.iter().map(|r| r.id.as_str()).collect();
     expect_that!(ids, elements_are![eq(&"w1-00"), eq(&"w1-10"), eq(&"w1-01")]);
-    expect_that!((full.missing, full.cut.as_str()), eq((0, "w1")));
-    expect_that!(d.queries.len() + d.dispatches.len(), eq(0));
+    expect_that!((full.missing, full.index_version.as_str()), eq((0, "w1")));
+    expect_that!(d.queries.len() + d.attempts.len(), eq(0));
     // A late copy of a reply changes nothing.
     expect_that!(reply(&mut d, now + 7, &list[0], Ok(good(&list[0], &[1]))).len(), eq(0));
 }
 
 #[googletest::test]
 fn false_replies_never_stand_for_a_shard_and_go_to_another_leaf() {
-    type Spoil = fn(&mut Raw, &Sending);
-    let spoils: [(Trouble, Spoil); 9] = [
-        (Trouble::NoPostmark, |r, _| r.heads.postmarks.clear()),
-        (Trouble::TwoPostmarks, |r, _| r.heads.postmarks.push(r.heads.postmarks[0].clone())),
-        (Trouble::WrongPostmark, |r, s| {
-            r.heads.postmarks[0] = postmark(&s.leaf, "q-0.99", &s.digest);
+    type Spoil = fn(&mut LeafReply, &OutgoingAttempt);
+    let spoils: [(AttemptFailure, Spoil); 9] = [
+        (AttemptFailure::MissingPostmark, |r, _| r.headers.postmarks.clear()),
+        (AttemptFailure::DuplicatePostmark, |r, _| {
+            r.headers.postmarks.push(r.headers.postmarks[0].clone())
+        }),
+        (AttemptFailure::PostmarkMismatch, |r, s| {
+            r.headers.postmarks[0] = postmark(&s.leaf, "q-0.99", &s.body_digest);
+        }),
+        (AttemptFailure::PostmarkMismatch, |r, s| {
+            r.headers.postmarks[0] = postmark("other", &s.id, &s.body_digest)
         }),
-        (Trouble::WrongPostmark, |r, s| r.heads.postmarks[0] = postmark("other", &s.id, &s.digest)),
-        (Trouble::WrongCut, |r, _| r.heads.cut = Some("w2".into())),
-        (Trouble::Garbage, |r, _| r.body.truncate(9)),
-        (Trouble::Misdirected, |r, _| r.status = 421),
-        (Trouble::Unrun, |r, _| r.heads.unrun = true),
-        (Trouble::Disorder, |r, _| {
+        (AttemptFailure::IndexVersionMismatch, |r, _| r.headers.index_version = Some("w2".into())),
+        (AttemptFailure::MalformedReply, |r, _| r.body.truncate(9)),
+        (AttemptFailure::Misdirected, |r, _| r.status = 421),
+        (AttemptFailure::Rejected, |r, _| r.headers.rejected = true),
+        (AttemptFailure::RecordsOutOfOrder, |r, _| {
             let recs = json!([{ "id": "a", "score": 1 }, { "id": "b", "score": 2 }]);
             r.body = json!({ "records": recs }).to_string().into_bytes();
         }),
@@ -149,7 +160,7 @@
         expect_that!(again.len(), eq(1), "{kind}");
         expect_that!(again[0].service, eq(&list[0].service));
         expect_that!(again[0].leaf, not(eq(&list[0].leaf)));
-        expect_that!(d.counts.trouble.get(&kind), some(eq(&1)));
+        expect_that!(d.statistics.failures.get(&kind), some(eq(&1)));
     }
 }
 
@@ -161,14 +172,14 @@
     reply(&mut d, now + ms(5), &list[0], Ok(good(&list[0], &[3])));
     // The wait is 20 % of a second; then the other zone is asked too.
     expect_that!(next(&d), some(eq(now + ms(200))));
-    let second = sent(step(&mut d, now + ms(200), Event::Wake));
+    let second = sent(step(&mut d, now + ms(200), Event::Timer));
     expect_that!(second.len(), eq(1));
     expect_that!(second[0].leaf, eq("w1-1-b"));
-    let end = step(&mut d, now + ms(500), Event::Wake);
-    let Some(Outcome::Full(full)) = told(&end) else { panic!("no answer at quorum") };
+    let end = step(&mut d, now + ms(500), Event::Timer);
+    let Some(Outcome::Answered(full)) = told(&end) else { panic!("no answer at quorum") };
     expect_that!((full.missing, full.shards.len()), eq((1, 1)));
     // Both dispatches of the missing shard are given up.
-    expect_that!(end.iter().filter(|c| matches!(c, Command::Drop { .. })).count(), eq(2));
+    expect_that!(end.iter().filter(|c| matches!(c, Command::CancelAttempt { .. })).count(), eq(2));
 }
 
 #[googletest::test]
@@ -179,11 +190,11 @@
     let list = sent(ask(&mut d, now, 1));
     let mut todo = Vec::new();
     for s in &list {
-        let again = sent(reply(&mut d, now + 5, s, Err(Trouble::Unreachable)));
-        todo = reply(&mut d, now + 9, &again[0], Err(Trouble::Unreachable));
+        let again = sent(reply(&mut d, now + 5, s, Err(AttemptFailure::Unreachable)));
+        todo = reply(&mut d, now + 9, &again[0], Err(AttemptFailure::Unreachable));
     }
-    let Some(Outcome::Rejection(b)) = told(&todo) else { panic!("no outcome at 9 µs") };
-    expect_that!(b.reason, eq(Reason::BelowQuorum));
+    let Some(Outcome::Rejected(b)) = told(&todo) else { panic!("no outcome at 9 µs") };
+    expect_that!(b.reason, eq(RejectionReason::BelowQuorum));
 }
 
 #[googletest::test]
@@ -193,11 +204,11 @@
     let list = sent(ask(&mut d, now, 1));
     // Amid the query the index is recut and zone b emptied.
     step(&mut d, now + 10, Event::ClusterView(Arc::new(world("w2", "b"))));
-    let todo = reply(&mut d, now + 20, &list[0], Err(Trouble::Cut));
+    let todo = reply(&mut d, now + 20, &list[0], Err(AttemptFailure::Truncated));
     expect_that!(sent(todo).len(), eq(0), "the only other leaf stands in zone b");
     let end = reply(&mut d, now + 30, &list[1], Ok(good(&list[1], &[1])));
-    let Some(Outcome::Full(full)) = told(&end) else { panic!("no answer") };
-    expect_that!((full.cut.as_str(), full.missing), eq(("w1", 1)));
+    let Some(Outcome::Answered(full)) = told(&end) else { panic!("no answer") };
+    expect_that!((full.index_version.as_str(), full.missing), eq(("w1", 1)));
     let later = sent(ask(&mut d, now + 40, 2));
     expect_that!(later.iter().all(|s| s.service.starts_with("w2")), eq(true));
 }
@@ -206,9 +217,9 @@
 fn a_caller_that_goes_away_takes_its_dispatches_along() {
     let mut d = open(world("w1", "z"));
     let list = sent(ask(&mut d, BOOT + SECOND, 1));
-    let todo = step(&mut d, BOOT + SECOND + 5, Event::Gone { call: 1 });
+    let todo = step(&mut d, BOOT + SECOND + 5, Event::CallerGone { call: 1 });
     expect_that!(todo.len(), eq(list.len()));
-    expect_that!(d.leafs.values().map(|l| l.live).sum::<u64>(), eq(0));
+    expect_that!(d.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
 }
 
 #[googletest::test]
@@ -216,19 +227,19 @@
     let mut d = open(world("w1", "z"));
     let now = BOOT + SECOND;
     let list = sent(ask(&mut d, now, 1));
-    step(&mut d, now, Event::Grip(now + 50));
-    let todo = reply(&mut d, now + 60, &list[0], Err(Trouble::Cut));
+    step(&mut d, now, Event::LeaseValidUntil(now + 50));
+    let todo = reply(&mut d, now + 60, &list[0], Err(AttemptFailure::Truncated));
     expect_that!(sent(todo).len(), eq(0));
     let todo = ask(&mut d, now + 70, 2);
-    let Some(Outcome::Rejection(b)) = told(&todo) else { panic!("taken without a grip") };
-    expect_that!(b.reason, eq(Reason::CutOff));
+    let Some(Outcome::Rejected(b)) = told(&todo) else { panic!("taken without a grip") };
+    expect_that!(b.reason, eq(RejectionReason::Isolated));
     // With a new one, what waited goes on.
-    let todo = step(&mut d, now + 80, Event::Grip(Tick::MAX));
+    let todo = step(&mut d, now + 80, Event::LeaseValidUntil(Tick::MAX));
     expect_that!(sent(todo).len(), eq(1));
-    step(&mut d, now + 90, Event::Door(Door::Stopping));
+    step(&mut d, now + 90, Event::ServingState(ServingState::ShuttingDown));
     let todo = ask(&mut d, now + 91, 3);
-    let Some(Outcome::Rejection(b)) = told(&todo) else { panic!("taken while stopping") };
-    expect_that!(b.reason, eq(Reason::Stopping));
+    let Some(Outcome::Rejected(b)) = told(&todo) else { panic!("taken while stopping") };
+    expect_that!(b.reason, eq(RejectionReason::ShuttingDown));
 }
 
 #[googletest::test]
--- a/crates/core/tests/hand.rs
+++ b/crates/core/tests/hand.rs
@@ -6,13 +6,15 @@
 use googletest::prelude::*;
 use grebepath_core::config::{build, read};
 use grebepath_core::consts;
-use grebepath_core::http_api::leaf::{Heads, Raw, Trouble};
+use grebepath_core::http_api::leaf::{AttemptFailure, LeafReply, ReplyHeaders};
 use grebepath_core::query::engine::{QueryEngine, desk};
-use grebepath_core::query::event::{Command, Event, Sending};
-use grebepath_core::query::forwarded_request::{ForwardedRequest, Joined, Passed, join};
+use grebepath_core::query::event::{Command, Event, OutgoingAttempt};
+use grebepath_core::query::forwarded_request::{
+    ForwardedReply, ForwardedRequest, MergedReply, join,
+};
 use grebepath_core::query::progress::next;
 use grebepath_core::query::quota::share;
-use grebepath_core::query::request::{Outcome, Reason, Rejection};
+use grebepath_core::query::request::{Outcome, Rejection, RejectionReason};
 use grebepath_core::query::service_retry_budget;
 use grebepath_core::query::step::step;
 use grebepath_core::random::{Random, below, chance, draw, luck};
@@ -72,11 +74,11 @@
 fn open(w: &World) -> QueryEngine {
     let mut d = desk("q", "a", 1, BOOT);
     step(&mut d, BOOT, Event::ClusterView(Arc::new(seen(w))));
-    step(&mut d, BOOT, Event::Share(share(&[("q".into(), 1)], "q", 0)));
-    step(&mut d, BOOT, Event::Grip(Tick::MAX));
+    step(&mut d, BOOT, Event::QuotaShare(share(&[("q".into(), 1)], "q", 0)));
+    step(&mut d, BOOT, Event::LeaseValidUntil(Tick::MAX));
     for (s, _) in &w.services {
         for _ in 0..200 {
-            service_retry_budget::first(&mut d.quota, s);
+            service_retry_budget::first(&mut d.service_retry_budget, s);
         }
     }
     d
@@ -112,77 +114,77 @@
         method: "POST".into(),
         host: host.into(),
         path: path.into(),
-        target: format!("{path}?q=%20"),
-        heads: vec![("x-own".into(), b"v\xff".to_vec())],
+        path_and_query: format!("{path}?q=%20"),
+        headers: vec![("x-own".into(), b"v\xff".to_vec())],
         body: b"body".to_vec(),
-        budget: Some(ms(800)),
+        timeout: Some(ms(800)),
     }
 }
 
 fn hand(d: &mut QueryEngine, now: Tick, call: u64, host: &str, path: &str) -> Vec<Command> {
-    step(d, now, Event::Hand { call, parcel: Arc::new(parcel(host, path)) })
+    step(d, now, Event::Forward { call, request: Arc::new(parcel(host, path)) })
 }
 
-fn call(d: &mut QueryEngine, now: Tick, call: u64) -> Vec<Sending> {
+fn call(d: &mut QueryEngine, now: Tick, call: u64) -> Vec<OutgoingAttempt> {
     sent(hand(d, now, call, "h.example", "/x/y"))
 }
 
-fn sent(todo: Vec<Command>) -> Vec<Sending> {
+fn sent(todo: Vec<Command>) -> Vec<OutgoingAttempt> {
     todo.into_iter().filter_map(|c| if let Command::Send(s) = c { Some(s) } else { None }).collect()
 }
 
 fn told(todo: &[Command]) -> Option<&Outcome> {
     todo.iter()
-        .find_map(|c| if let Command::Tell { outcome, .. } = c { Some(outcome) } else { None })
+        .find_map(|c| if let Command::Respond { outcome, .. } = c { Some(outcome) } else { None })
 }
 
 fn bounced(todo: &[Command]) -> Rejection {
     match told(todo) {
-        Some(Outcome::Rejection(b)) => b.clone(),
+        Some(Outcome::Rejected(b)) => b.clone(),
         other => panic!("no bounce: {other:?}"),
     }
 }
 
-fn passed(todo: &[Command]) -> Passed {
+fn passed(todo: &[Command]) -> ForwardedReply {
     match told(todo) {
-        Some(Outcome::Passed(p)) => p.clone(),
+        Some(Outcome::Forwarded(p)) => p.clone(),
         other => panic!("nothing passed: {other:?}"),
     }
 }
 
-fn of_parts(todo: &[Command]) -> Joined {
+fn of_parts(todo: &[Command]) -> MergedReply {
     match told(todo) {
-        Some(Outcome::Joined(j)) => j.clone(),
+        Some(Outcome::Merged(j)) => j.clone(),
         other => panic!("nothing joined: {other:?}"),
     }
 }
 
-fn raw(status: u16, stamps: &[&str], body: &[u8]) -> Raw {
+fn raw(status: u16, stamps: &[&str], body: &[u8]) -> LeafReply {
     let postmarks = stamps.iter().map(|s| s.to_string()).collect();
-    let heads = Heads { postmarks, ..Heads::default() };
-    Raw { status, heads, body: body.to_vec() }
+    let heads = ReplyHeaders { postmarks, ..ReplyHeaders::default() };
+    LeafReply { status, headers: heads, body: body.to_vec() }
 }
 
-fn good(s: &Sending) -> Raw {
+fn good(s: &OutgoingAttempt) -> LeafReply {
     raw(200, &[&format!("stamp-{}", s.leaf)], s.service.repeat(16).as_bytes())
 }
 
-fn unrun(status: u16) -> Raw {
+fn unrun(status: u16) -> LeafReply {
     let mut out = raw(status, &[], b"");
-    out.heads.unrun = true;
+    out.headers.rejected = true;
     out
 }
 
 /// Makes a good reply a bad one.
-type Spoil = fn(&mut Raw);
-type Got = std::result::Result<Raw, Trouble>;
+type Spoil = fn(&mut LeafReply);
+type Got = std::result::Result<LeafReply, AttemptFailure>;
 
-fn reply(d: &mut QueryEngine, now: Tick, s: &Sending, got: Got) -> Vec<Command> {
-    step(d, now, Event::Reply { dispatch: s.dispatch, got })
+fn reply(d: &mut QueryEngine, now: Tick, s: &OutgoingAttempt, got: Got) -> Vec<Command> {
+    step(d, now, Event::AttemptEnded { attempt: s.attempt, result: got })
 }
 
 fn wake(d: &mut QueryEngine, now: Tick) -> Vec<Command> {
-    step(d, now, Event::Wake)
+    step(d, now, Event::Timer)
 }
 
 #[googletest::test]
@@ -222,7 +224,11 @@
         let mut d = open(&w);
         let todo = hand(&mut d, NOW, 1, host, path);
         match want {
-            None => expect_that!(bounced(&todo).reason, eq(Reason::NoMapping), "{host}{path}"),
+            None => expect_that!(
+                bounced(&todo).reason,
+                eq(RejectionReason::UnknownRoute),
+                "{host}{path}"
+            ),
             Some(pool) => {
                 let list = sent(todo);
                 expect_that!(list.len(), eq(1), "{host}{path}");
@@ -236,25 +242,28 @@
 fn a_call_goes_out_as_it_came_and_its_answer_comes_back_as_it_is() {
     let mut d = open(&world(&[("p", 2)], vec![pass(json!({}))]));
     let list = call(&mut d, NOW, 9);
-    let p = list[0].parcel.clone().unwrap();
+    let p = list[0].forwarded.clone().unwrap();
     let want = parcel("h.example", "/x/y");
-    expect_that!((&p.id, &p.method, &p.target), eq((&want.id, &want.method, &want.target)));
-    expect_that!((&p.heads, &p.body), eq((&want.heads, &want.body)));
+    expect_that!(
+        (&p.id, &p.method, &p.path_and_query),
+        eq((&want.id, &want.method, &want.path_and_query))
+    );
+    expect_that!((&p.headers, &p.body), eq((&want.headers, &want.body)));
     // Never more time than the caller and the promise leave.
-    expect_that!(list[0].budget, le(ms(800)));
-    expect_that!(list[0].budget, ge(ms(700)));
+    expect_that!(list[0].timeout, le(ms(800)));
+    expect_that!(list[0].timeout, ge(ms(700)));
     for (status, stamps) in [(200, vec!["st"]), (404, vec![]), (302, vec![]), (204, vec!["st"])] {
         let mut d = open(&world(&[("p", 2)], vec![pass(json!({}))]));
         let list = call(&mut d, NOW, 9);
         let mut raw = raw(status, &stamps, b"\x00any\xff");
-        raw.heads.all = vec![("x".into(), b"\xfe".to_vec()), ("x".into(), b"2".to_vec())];
+        raw.headers.end_to_end = vec![("x".into(), b"\xfe".to_vec()), ("x".into(), b"2".to_vec())];
         let todo = reply(&mut d, NOW + 5, &list[0], Ok(raw.clone()));
         let got = passed(&todo);
         expect_that!(got.id, eq("id-1"));
-        expect_that!((got.raw.status, &got.raw.body), eq((status, &raw.body)));
-        expect_that!(got.raw.heads.all, eq(&raw.heads.all));
+        expect_that!((got.reply.status, &got.reply.body), eq((status, &raw.body)));
+        expect_that!(got.reply.headers.end_to_end, eq(&raw.headers.end_to_end));
         expect_that!(todo.len(), eq(1));
-        expect_that!(d.queries.len() + d.dispatches.len(), eq(0));
+        expect_that!(d.queries.len() + d.attempts.len(), eq(0));
         // A late copy tells nobody anything.
         expect_that!(reply(&mut d, NOW + 6, &list[0], Ok(raw)).len(), eq(0));
     }
@@ -268,30 +277,30 @@
     expect_that!(again.len(), eq(1));
     expect_that!(again[0].leaf, not(eq(&first[0].leaf)));
     let todo = reply(&mut d, NOW + 9, &again[0], Ok(good(&again[0])));
-    expect_that!(passed(&todo).raw.status, eq(200));
+    expect_that!(passed(&todo).reply.status, eq(200));
     // Both fail: the leaf's own word says more than ours.
     let first = call(&mut d, NOW, 2);
     let again = sent(reply(&mut d, NOW + 5, &first[0], Ok(raw(500, &[], b"one"))));
     let todo = reply(&mut d, NOW + 9, &again[0], Ok(raw(502, &[], b"two")));
-    expect_that!(passed(&todo).raw.status, eq(502));
+    expect_that!(passed(&todo).reply.status, eq(502));
     // A failure that is no answer at all never goes back as one.
     let first = call(&mut d, NOW, 3);
-    let again = sent(reply(&mut d, NOW + 5, &first[0], Err(Trouble::Cut)));
-    let todo = reply(&mut d, NOW + 9, &again[0], Err(Trouble::Overlong));
+    let again = sent(reply(&mut d, NOW + 5, &first[0], Err(AttemptFailure::Truncated)));
+    let todo = reply(&mut d, NOW + 9, &again[0], Err(AttemptFailure::ReplyTooLarge));
     let b = bounced(&todo);
-    expect_that!((b.reason, b.ran), eq((Reason::BelowQuorum, true)));
+    expect_that!((b.reason, b.executed), eq((RejectionReason::BelowQuorum, true)));
 }
 
 #[googletest::test]
 fn answers_that_are_not_the_leafs_own_to_this_call_are_never_passed() {
     // Guards against another call's answer, or half of one, told as a success.
     let spoils: Vec<(&str, Spoil)> = vec![
-        ("no stamp", |r| r.heads.postmarks.clear()),
-        ("two stamps", |r| r.heads.postmarks.push("other".into())),
-        ("foreign", |r| r.heads.foreign = true),
-        ("foreign failure", |r| (r.heads.foreign, r.status) = (true, 404)),
+        ("no stamp", |r| r.headers.postmarks.clear()),
+        ("two stamps", |r| r.headers.postmarks.push("other".into())),
+        ("foreign", |r| r.headers.foreign = true),
+        ("foreign failure", |r| (r.headers.foreign, r.status) = (true, 404)),
         ("foreign word that it did not run", |r| {
-            (r.heads.foreign, r.heads.unrun, r.status) = (true, true, 503);
+            (r.headers.foreign, r.headers.rejected, r.status) = (true, true, 503);
         }),
     ];
     for (name, spoil) in spoils {
@@ -302,7 +311,7 @@
             spoil(&mut got);
             let todo = reply(&mut d, NOW + 5, &list[0], Ok(got));
             if once {
-                expect_that!(bounced(&todo).ran, eq(true), "{name}");
+                expect_that!(bounced(&todo).executed, eq(true), "{name}");
             } else {
                 expect_that!(told(&todo).is_none(), eq(true), "{name}");
                 expect_that!(sent(todo).len(), eq(1), "{name}");
@@ -319,7 +328,7 @@
     v.leafs.insert("p-0".into(), Arc::new(moved));
     step(&mut d, NOW + 1, Event::ClusterView(Arc::new(v)));
     let todo = reply(&mut d, NOW + 5, &list[0], Ok(good(&list[0])));
-    expect_that!(matches!(told(&todo), Some(Outcome::Passed(_))), eq(false));
+    expect_that!(matches!(told(&todo), Some(Outcome::Forwarded(_))), eq(false));
 }
 
 #[googletest::test]
@@ -329,9 +338,9 @@
     let mut d = open(&world(&[("p", 3)], vec![pass(json!({ "once": true, "attempts": 3 }))]));
     let list = call(&mut d, NOW, 1);
     let mut got = raw(421, &[], b"");
-    got.heads.foreign = true;
+    got.headers.foreign = true;
     let todo = reply(&mut d, NOW + 5, &list[0], Ok(got));
-    expect_that!(bounced(&todo).ran, eq(true));
+    expect_that!(bounced(&todo).executed, eq(true));
     expect_that!(sent(todo).len(), eq(0));
 }
 
@@ -344,18 +353,18 @@
             let mut d = open(&world(&[("p", 2)], vec![search]));
             let list = call(&mut d, NOW, 1);
             let todo = reply(&mut d, NOW + 5, &list[0], Ok(raw(status, &["st"], b"")));
-            expect_that!(bounced(&todo).ran, eq(true), "{status}");
+            expect_that!(bounced(&todo).executed, eq(true), "{status}");
         }
     }
 }
 
 /// What a reply to a once-only call may be, and whether the leaf may have run it.
-fn any_reply(luck: &mut Random, s: &Sending) -> (Got, bool) {
+fn any_reply(luck: &mut Random, s: &OutgoingAttempt) -> (Got, bool) {
     match below(luck, 14) {
         0 | 1 => (Ok(good(s)), true),
-        2 => (Err(Trouble::Cut), true),
-        3 => (Err(Trouble::OutOfTime), true),
-        4 => (Err(Trouble::Overlong), true),
+        2 => (Err(AttemptFailure::Truncated), true),
+        3 => (Err(AttemptFailure::DeadlineExceeded), true),
+        4 => (Err(AttemptFailure::ReplyTooLarge), true),
         5 => (Ok(raw(500, &["st"], b"")), true),
         6 => (Ok(raw(503, &[], b"")), true),
         7 => (Ok(raw(429, &[], b"")), true),
@@ -363,7 +372,7 @@
         9 => (Ok(unrun(503)), false),
         10 => (Ok(unrun(429)), false),
         11 => (Ok(raw(421, &[], b"")), false),
-        _ => (Err(Trouble::Unreachable), false),
+        _ => (Err(AttemptFailure::Unreachable), false),
     }
 }
 
@@ -383,7 +392,7 @@
         let mut end = None;
         while let Some(s) = out.pop() {
             assert!(out.is_empty(), "seed {seed}: two at once");
-            assert!(s.once && !ran, "seed {seed}: sent again after it may have run");
+            assert!(s.at_most_once && !ran, "seed {seed}: sent again after it may have run");
             assert!(!leafs.contains(&s.leaf), "seed {seed}: the same leaf twice");
             leafs.push(s.leaf.clone());
             sends += 1;
@@ -411,9 +420,9 @@
             assert!(sent(todo).is_empty(), "seed {seed}: sent late");
         }
         again += u64::from(sends > 1);
-        if let Some(Outcome::Rejection(b)) = end {
-            assert_eq!(b.ran, ran, "seed {seed}: {:?}", b.reason);
-            promised += u64::from(!b.ran);
+        if let Some(Outcome::Rejected(b)) = end {
+            assert_eq!(b.executed, ran, "seed {seed}: {:?}", b.reason);
+            promised += u64::from(!b.executed);
         }
     }
     // Both happen often enough for this to be worth something.
@@ -449,10 +458,10 @@
     let mut drawn = Vec::new();
     for i in 0..60 {
         let mut d = open(&w);
-        d.luck = luck(i);
+        d.random = luck(i);
         let list = call(&mut d, NOW, i);
         drawn.push(list[0].service.clone());
-        let again = sent(reply(&mut d, NOW + 1, &list[0], Err(Trouble::Unreachable)));
+        let again = sent(reply(&mut d, NOW + 1, &list[0], Err(AttemptFailure::Unreachable)));
         expect_that!(again[0].service, eq(&list[0].service));
     }
     expect_that!(drawn.iter().any(|s| s == "a") && drawn.iter().any(|s| s == "b"), eq(true));
@@ -462,13 +471,13 @@
 fn only_whole_successes_with_one_stamp_are_parts() {
     // Guards against stamps in an answer that stand for no part.
     let spoils: Vec<(&str, Spoil)> = vec![
-        ("no stamp", |r| r.heads.postmarks.clear()),
-        ("two stamps", |r| r.heads.postmarks.push("other".into())),
-        ("foreign", |r| r.heads.foreign = true),
+        ("no stamp", |r| r.headers.postmarks.clear()),
+        ("two stamps", |r| r.headers.postmarks.push("other".into())),
+        ("foreign", |r| r.headers.foreign = true),
         ("a failure with a stamp", |r| r.status = 500),
         ("not found with a stamp", |r| r.status = 404),
         ("moved with a stamp", |r| r.status = 302),
-        ("unrun", |r| (r.heads.unrun, r.status) = (true, 503)),
+        ("unrun", |r| (r.headers.rejected, r.status) = (true, 503)),
         ("misdirected", |r| r.status = 421),
     ];
     for (name, spoil) in spoils {
@@ -484,8 +493,8 @@
             todo = reply(&mut d, NOW + 5, s, Ok(got));
         }
         let j = of_parts(&todo);
-        expect_that!((j.missing, j.stamps.len()), eq((1, 3)), "{name}");
-        expect_that!(j.stamps.iter().any(|s| s.contains("stamp-b")), eq(false), "{name}");
+        expect_that!((j.missing, j.postmarks.len()), eq((1, 3)), "{name}");
+        expect_that!(j.postmarks.iter().any(|s| s.contains("stamp-b")), eq(false), "{name}");
         // The body holds the records of just these parts.
         expect_that!(j.body, eq(["d", "c", "a"].map(|s| s.repeat(16)).concat().as_bytes()));
     }
@@ -511,13 +520,13 @@
             end = end.or(told(&todo).cloned());
         }
         match end.unwrap() {
-            Outcome::Joined(j) => {
+            Outcome::Merged(j) => {
                 expect_that!(
-                    (fine, j.missing, j.stamps.len()),
+                    (fine, j.missing, j.postmarks.len()),
                     eq((true, 4 - partitions, partitions))
                 );
             }
-            Outcome::Rejection(b) => expect_that!((fine, b.ran), eq((false, true))),
+            Outcome::Rejected(b) => expect_that!((fine, b.executed), eq((false, true))),
             other => panic!("{other:?}"),
         }
     }
@@ -535,12 +544,12 @@
     expect_that!(at, ge(NOW + ms(80)));
     expect_that!(told(&wake(&mut d, at - 1)).is_none(), eq(true));
     let j = of_parts(&wake(&mut d, at));
-    expect_that!((j.missing, j.stamps.len()), eq((1, 3)));
+    expect_that!((j.missing, j.postmarks.len()), eq((1, 3)));
     // What is still out is not broken off, and counts until it has ended.
-    expect_that!(d.dispatches.len(), eq(1));
-    expect_that!(d.leafs[&list[3].leaf].live, eq(1));
+    expect_that!(d.attempts.len(), eq(1));
+    expect_that!(d.leafs[&list[3].leaf].in_flight, eq(1));
     reply(&mut d, at + 9, &list[3], Ok(good(&list[3])));
-    expect_that!(d.leafs[&list[3].leaf].live, eq(0));
+    expect_that!(d.leafs[&list[3].leaf].in_flight, eq(0));
     // Two of four are a quorum here, but worth more whole and a little late.
     let list = call(&mut d, NOW, 2);
     for s in &list[..2] {
@@ -606,13 +615,13 @@
         expect_that!(sent(wake(&mut d, due + ms(10 * k))).len(), eq(0));
     }
     let todo = reply(&mut d, due + ms(600), &second[0], Ok(good(&second[0])));
-    expect_that!(passed(&todo).raw.status, eq(200));
+    expect_that!(passed(&todo).reply.status, eq(200));
     // The loser is not dropped: its leaf works on it, and that counts.
-    expect_that!(todo.iter().any(|c| matches!(c, Command::Drop { .. })), eq(false));
-    expect_that!(d.leafs[&first[0].leaf].live, eq(1));
-    expect_that!(d.counts.trouble.get(&Trouble::Overtaken), some(eq(&1)));
+    expect_that!(todo.iter().any(|c| matches!(c, Command::CancelAttempt { .. })), eq(false));
+    expect_that!(d.leafs[&first[0].leaf].in_flight, eq(1));
+    expect_that!(d.statistics.failures.get(&AttemptFailure::Overtaken), some(eq(&1)));
     expect_that!(reply(&mut d, due + ms(700), &first[0], Ok(good(&first[0]))).len(), eq(0));
-    expect_that!(d.leafs.values().map(|l| l.live).sum::<u64>(), eq(0));
+    expect_that!(d.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
 }
 
 #[googletest::test]
@@ -631,7 +640,7 @@
         calls += 1;
         let mut out = sent(hand(&mut d, NOW, calls, "h.example", "/p/"));
         while let Some(s) = out.pop() {
-            out = sent(reply(&mut d, NOW, &s, Err(Trouble::Cut)));
+            out = sent(reply(&mut d, NOW, &s, Err(AttemptFailure::Truncated)));
             seconds += out.len();
         }
     }
@@ -641,46 +650,46 @@
     for i in 0..50 {
         let mut out = sent(hand(&mut d, NOW, 1_000 + i, "h.example", "/p/"));
         while let Some(s) = out.pop() {
-            out = sent(reply(&mut d, NOW, &s, Err(Trouble::Cut)));
+            out = sent(reply(&mut d, NOW, &s, Err(AttemptFailure::Truncated)));
             more += out.len();
         }
     }
     expect_that!(more, le(10));
-    expect_that!(d.counts.denied, gt(0));
+    expect_that!(d.statistics.retries_denied, gt(0));
     let first = sent(hand(&mut d, NOW, 5_000, "h.example", "/q/"));
-    let again = sent(reply(&mut d, NOW, &first[0], Err(Trouble::Cut)));
+    let again = sent(reply(&mut d, NOW, &first[0], Err(AttemptFailure::Truncated)));
     expect_that!(again.len(), eq(1), "the other service's quota is whole");
 }
 
 #[googletest::test]
 fn unreachable_leafs_cost_neither_a_try_nor_the_quota() {
     let mut d = open(&world(&[("p", 8)], vec![pass(json!({ "attempts": 1, "once": true }))]));
-    service_retry_budget::keep(&mut d.quota, |_| false);
+    service_retry_budget::keep(&mut d.service_retry_budget, |_| false);
     let mut out = call(&mut d, NOW, 1);
     let mut leafs = Vec::new();
     for _ in 0..consts::UNREACHED_MAX {
         let s = out.pop().unwrap();
         leafs.push(s.leaf.clone());
-        out = sent(reply(&mut d, NOW, &s, Err(Trouble::Unreachable)));
+        out = sent(reply(&mut d, NOW, &s, Err(AttemptFailure::Unreachable)));
         expect_that!(out.len(), eq(1));
         expect_that!(leafs.contains(&out[0].leaf), eq(false));
     }
     let todo = reply(&mut d, NOW, &out[0], Ok(good(&out[0])));
-    expect_that!(passed(&todo).raw.status, eq(200));
-    expect_that!(d.counts.seconds, eq(0));
+    expect_that!(passed(&todo).reply.status, eq(200));
+    expect_that!(d.statistics.retries, eq(0));
     // But a whole pool that can't be reached does not keep a call for ever.
     let mut out = call(&mut d, NOW, 2);
     let mut n = 0;
     let mut end = None;
     while let Some(s) = out.pop() {
         n += 1;
-        let todo = reply(&mut d, NOW, &s, Err(Trouble::Unreachable));
+        let todo = reply(&mut d, NOW, &s, Err(AttemptFailure::Unreachable));
         end = told(&todo).cloned();
         out = sent(todo);
     }
     expect_that!(n, eq(consts::UNREACHED_MAX + 1));
-    let Some(Outcome::Rejection(b)) = end else { panic!("no outcome") };
-    expect_that!(b.ran, eq(false), "nothing arrived anywhere");
+    let Some(Outcome::Rejected(b)) = end else { panic!("no outcome") };
+    expect_that!(b.executed, eq(false), "nothing arrived anywhere");
 }
 
 #[googletest::test]
@@ -694,19 +703,19 @@
         (w.drained, w.leaving) = (drained, leaving);
         step(&mut d, NOW + 1, Event::ClusterView(Arc::new(seen(&w))));
         expect_that!(sent(wake(&mut d, NOW + ms(50))).len(), eq(0));
-        let todo = reply(&mut d, NOW + ms(60), &list[0], Err(Trouble::Cut));
-        expect_that!(bounced(&todo).ran, eq(true));
+        let todo = reply(&mut d, NOW + ms(60), &list[0], Err(AttemptFailure::Truncated));
+        expect_that!(bounced(&todo).executed, eq(true));
         expect_that!(sent(todo).len(), eq(0));
     }
 }
 
 /// Fills every leaf of a world of `n` leafs with one slot each.
-fn full(d: &mut QueryEngine) -> Vec<Sending> {
+fn full(d: &mut QueryEngine) -> Vec<OutgoingAttempt> {
     let mut out = Vec::new();
     for i in 0..1_000 {
         let list = call(d, NOW, 100 + i);
         if list.is_empty() {
-            step(d, NOW, Event::Gone { call: 100 + i });
+            step(d, NOW, Event::CallerGone { call: 100 + i });
             return out;
         }
         out.extend(list);
@@ -748,8 +757,8 @@
     expect_that!(told(&wake(&mut d, hold - 1)).is_none(), eq(true));
     let todo = wake(&mut d, hold);
     let b = bounced(&todo);
-    expect_that!((b.reason, b.ran), eq((Reason::NoRoom, false)));
-    expect_that!(b.again, some(gt(0)));
+    expect_that!((b.reason, b.executed), eq((RejectionReason::NoCapacity, false)));
+    expect_that!(b.retry_after, some(gt(0)));
     expect_that!(sent(todo).len(), eq(0));
     // Room that comes in time is used.
     expect_that!(call(&mut d, NOW, 2).len(), eq(0));
@@ -766,20 +775,20 @@
     let mut d = open(&w);
     let todo = hand(&mut d, NOW, 1, "h.example", "/x/");
     let b = bounced(&todo);
-    expect_that!((b.reason, b.ran), eq((Reason::NoLeafs, true)));
+    expect_that!((b.reason, b.executed), eq((RejectionReason::NoLeaf, true)));
     // Their leafs are at work, and are not called off.
-    expect_that!(d.dispatches.len(), eq(3));
+    expect_that!(d.attempts.len(), eq(3));
     // With no leaf at all nothing can have run.
     w.services = vec![("a", 0), ("b", 0), ("c", 0), ("d", 0)];
     let mut d = open(&w);
     let b = bounced(&hand(&mut d, NOW, 1, "h.example", "/x/"));
-    expect_that!((b.reason, b.ran), eq((Reason::NoLeafs, false)));
+    expect_that!((b.reason, b.executed), eq((RejectionReason::NoLeaf, false)));
     // A leaf that is silent until the end may have run it.
     let mut d = open(&world(&[("p", 1)], vec![pass(json!({}))]));
     call(&mut d, NOW, 1);
     let todo = wake(&mut d, NOW + ms(800));
     let b = bounced(&todo);
-    expect_that!((b.reason, b.ran), eq((Reason::OutOfTime, true)));
+    expect_that!((b.reason, b.executed), eq((RejectionReason::DeadlineExceeded, true)));
 }
 
 #[googletest::test]
@@ -799,7 +808,7 @@
         w.slots = 1 + below(&mut luck, 3) as u32;
         let mut d = open(&w);
         let mut now = NOW;
-        let mut out: Vec<Sending> = Vec::new();
+        let mut out: Vec<OutgoingAttempt> = Vec::new();
         let mut open: BTreeMap<u64, Tick> = BTreeMap::new();
         let mut calls = 0;
         let mut steps = 0;
@@ -810,13 +819,13 @@
                     calls += 1;
                     let path = ["/p/", "/o/", "/j/"][below(&mut luck, 3) as usize];
                     let mut p = parcel("h.example", path);
-                    p.budget = Some(ms(1 + below(&mut luck, 900)));
-                    open.insert(calls, now + p.budget.unwrap());
-                    Event::Hand { call: calls, parcel: Arc::new(p) }
+                    p.timeout = Some(ms(1 + below(&mut luck, 900)));
+                    open.insert(calls, now + p.timeout.unwrap());
+                    Event::Forward { call: calls, request: Arc::new(p) }
                 }
                 3..7 if !out.is_empty() => {
                     let s = out.swap_remove(below(&mut luck, out.len() as u64) as usize);
-                    Event::Reply { dispatch: s.dispatch, got: any_reply(&mut luck, &s).0 }
+                    Event::AttemptEnded { attempt: s.attempt, result: any_reply(&mut luck, &s).0 }
                 }
                 7 if chance(&mut luck, 1, 8) => {
                     w.drained = ["none", "a", "b"][below(&mut luck, 3) as usize];
@@ -826,29 +835,29 @@
                     let i = draw(&mut luck) as usize % open.len();
                     let gone = *open.keys().nth(i).unwrap();
                     open.remove(&gone);
-                    Event::Gone { call: gone }
+                    Event::CallerGone { call: gone }
                 }
                 _ => {
                     // Time goes on, but never past what the desk waits for.
                     let due = next(&d).unwrap_or(Tick::MAX);
                     now = (now + ms(below(&mut luck, 30))).min(due.max(now));
-                    Event::Wake
+                    Event::Timer
                 }
             };
             for command in step(&mut d, now, event) {
                 match command {
                     Command::Send(s) => out.push(s),
-                    Command::Tell { call, .. } => {
+                    Command::Respond { call, .. } => {
                         let end = open.remove(&call);
                         assert!(end.is_some_and(|e| now <= e), "seed {seed}: call {call}, {end:?}");
                     }
-                    Command::Drop { .. } => panic!("seed {seed}: work was broken off"),
-                    Command::Word { .. } => {}
+                    Command::CancelAttempt { .. } => panic!("seed {seed}: work was broken off"),
+                    Command::ReportLeaf { .. } => {}
                 }
             }
             for (name, leaf) in &d.leafs {
                 let live = out.iter().filter(|s| s.leaf == *name).count();
-                assert_eq!(leaf.live, live as u64, "seed {seed}: {name}");
+                assert_eq!(leaf.in_flight, live as u64, "seed {seed}: {name}");
             }
             assert!(steps < 100_000, "seed {seed}: {open:?}");
         }
--- a/crates/core/tests/merge.rs
+++ b/crates/core/tests/merge.rs
@@ -2,7 +2,9 @@
 //! and replies whose records can't be ordered at all.
 
 use googletest::prelude::*;
-use grebepath_core::http_api::leaf::{Expect, Heads, Raw, Trouble, check, postmark};
+use grebepath_core::http_api::leaf::{
+    AttemptFailure, ExpectedReply, LeafReply, ReplyHeaders, check, postmark,
+};
 use grebepath_core::query::merge::merge;
 use grebepath_core::query::request::Record;
 use grebepath_core::random::{Random, below, luck};
@@ -54,12 +56,13 @@
     expect_that!(tied, gt(500), "too few ties to be worth a check");
 }
 
-fn reply(records: &str) -> std::result::Result<Vec<Record>, Trouble> {
+fn reply(records: &str) -> std::result::Result<Vec<Record>, AttemptFailure> {
     let mark = postmark("l", "q", "d");
-    let heads = Heads { postmarks: vec![mark], ..Heads::default() };
+    let heads = ReplyHeaders { postmarks: vec![mark], ..ReplyHeaders::default() };
     let body = format!("{{\"records\": [{records}]}}").into_bytes();
-    let want = Expect { leaf: "l", query: "q", digest: "d", cut: "", limit: 3 };
-    check(&Raw { status: 200, heads, body }, &want)
+    let want =
+        ExpectedReply { leaf: "l", attempt: "q", digest: "d", index_version: "", record_limit: 3 };
+    check(&LeafReply { status: 200, headers: heads, body }, &want)
 }
 
 #[googletest::test]
@@ -67,13 +70,16 @@
     let rec = |id: &str, score: &str| format!("{{\"id\": \"{id}\", \"score\": {score}}}");
     let pair = |a: (&str, &str), b: (&str, &str)| format!("{},{}", rec(a.0, a.1), rec(b.0, b.1));
     for score in ["NaN", "1e999", "-1e999", "Infinity", "\"9\"", "null"] {
-        expect_that!(reply(&rec("a", score)), err(eq(&Trouble::Garbage)), "{score}");
+        expect_that!(reply(&rec("a", score)), err(eq(&AttemptFailure::MalformedReply)), "{score}");
     }
     // Out of order, a tie the wrong way round, and the same record twice.
-    expect_that!(reply(&pair(("a", "1"), ("b", "2"))), err(eq(&Trouble::Disorder)));
-    expect_that!(reply(&pair(("b", "1"), ("a", "1"))), err(eq(&Trouble::Disorder)));
-    expect_that!(reply(&pair(("a", "1"), ("a", "1"))), err(eq(&Trouble::Disorder)));
-    expect_that!(reply(&pair(("b", "0.0"), ("a", "-0.0"))), err(eq(&Trouble::Disorder)));
+    expect_that!(reply(&pair(("a", "1"), ("b", "2"))), err(eq(&AttemptFailure::RecordsOutOfOrder)));
+    expect_that!(reply(&pair(("b", "1"), ("a", "1"))), err(eq(&AttemptFailure::RecordsOutOfOrder)));
+    expect_that!(reply(&pair(("a", "1"), ("a", "1"))), err(eq(&AttemptFailure::RecordsOutOfOrder)));
+    expect_that!(
+        reply(&pair(("b", "0.0"), ("a", "-0.0"))),
+        err(eq(&AttemptFailure::RecordsOutOfOrder))
+    );
     expect_that!(reply(&pair(("a", "-0.0"), ("b", "0.0"))), ok(len(eq(2))));
     expect_that!(reply(&pair(("a", "1e308"), ("b", "-1e308"))), ok(len(eq(2))));
 }
--- a/crates/core/tests/wires.rs
+++ b/crates/core/tests/wires.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 
 use googletest::prelude::*;
-use grebepath_core::query::connection_subset::{Peer, deal};
+use grebepath_core::query::connection_subset::{ConnectingThread, deal};
 use grebepath_core::random::{below, luck};
 use grebepath_core::snapshot::leafs::LeafInfo;
 
@@ -23,17 +23,19 @@
 }
 
 /// Nodes with numbers far apart, in order, in three zones.
-fn nodes(n: usize) -> Vec<Peer> {
-    (0..n).map(|i| Peer { slot: i as u64 * 7_919 + 3, zone: ZONES[i % 3].into() }).collect()
+fn nodes(n: usize) -> Vec<ConnectingThread> {
+    (0..n)
+        .map(|i| ConnectingThread { thread_id: i as u64 * 7_919 + 3, zone: ZONES[i % 3].into() })
+        .collect()
 }
 
 /// Wires by node and leaf, as every node deals them for itself.
-fn all(peers: &[Peer], leafs: &[LeafInfo], limit: u64) -> BTreeMap<(u64, String), u64> {
+fn all(peers: &[ConnectingThread], leafs: &[LeafInfo], limit: u64) -> BTreeMap<(u64, String), u64> {
     let list: Vec<&LeafInfo> = leafs.iter().collect();
     let mut out = BTreeMap::new();
     for p in peers {
-        for (l, n) in leafs.iter().zip(deal(peers, p.slot, &list, limit)) {
-            out.insert((p.slot, l.leaf.clone()), n);
+        for (l, n) in leafs.iter().zip(deal(peers, p.thread_id, &list, limit)) {
+            out.insert((p.thread_id, l.leaf.clone()), n);
         }
     }
     out
@@ -82,7 +84,7 @@
         let leafs: Vec<_> = (0..1 + below(&mut luck, 12) as usize).map(leaf).collect();
         let limit = 2 + below(&mut luck, 100);
         let dealt = all(&peers, &leafs, limit);
-        let each: Vec<u64> = peers.iter().map(|p| of_node(&dealt, p.slot)).collect();
+        let each: Vec<u64> = peers.iter().map(|p| of_node(&dealt, p.thread_id)).collect();
         let (low, high) = (each.iter().min().unwrap(), each.iter().max().unwrap());
         let few = dealt.values().sum::<u64>() < peers.len() as u64;
         let (n, m) = (peers.len(), leafs.len());
@@ -113,11 +115,11 @@
     let peers = nodes(12);
     let leafs: Vec<_> = (0..12).map(leaf).collect();
     let dealt = all(&peers, &leafs, 5);
-    let near = |p: &Peer, l: &LeafInfo| l.labels["zone"] == p.zone;
+    let near = |p: &ConnectingThread, l: &LeafInfo| l.labels["zone"] == p.zone;
     let (mut home, mut total) = (0, 0);
     for p in &peers {
         for l in &leafs {
-            let n = dealt[&(p.slot, l.leaf.clone())];
+            let n = dealt[&(p.thread_id, l.leaf.clone())];
             total += n;
             home += if near(p, l) { n } else { 0 };
         }
@@ -157,7 +159,7 @@
         let total = before.values().sum::<u64>();
         for gone in 0..peers.len() {
             let mut rest = peers.clone();
-            let slot = rest.remove(gone).slot;
+            let slot = rest.remove(gone).thread_id;
             let after = all(&rest, &leafs, limit);
             let mut left = before.clone();
             left.retain(|(s, _), _| *s != slot);
--- a/crates/runtime/src/dialect.rs
+++ b/crates/runtime/src/dialect.rs
@@ -3,9 +3,9 @@
 //! back. Whoever brings a dialect decides nothing with it.
 
 use bytes::Bytes;
-use grebepath_core::http_api::leaf::Raw;
+use grebepath_core::http_api::leaf::LeafReply;
 use grebepath_core::protocol::message::{Operation, OperationResult};
-use grebepath_core::query::event::Sending;
+use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::query::forwarded_request::ForwardedRequest;
 use grebepath_core::query::request::Outcome;
 use grebepath_core::routing_language::diagnostic::Diagnostic;
@@ -23,9 +23,9 @@
     /// What the caller is told.
     pub told: fn(Outcome) -> Response<Bytes>,
     /// A dispatch towards a leaf; nothing if it can't be written.
-    pub work: fn(&Sending) -> Option<Request<Full<Bytes>>>,
+    pub work: fn(&OutgoingAttempt) -> Option<Request<Full<Bytes>>>,
     /// What a leaf sent back to it.
-    pub reply: fn(&Sending, Response<Bytes>) -> Raw,
+    pub reply: fn(&OutgoingAttempt, Response<Bytes>) -> LeafReply,
     /// Path of the list's first page, or of a further one.
     pub list: fn(Option<&str>) -> String,
     /// One page of the list.
--- a/crates/server/src/controller/door.rs
+++ b/crates/server/src/controller/door.rs
@@ -11,7 +11,7 @@
 use grebepath_core::consts;
 use grebepath_core::http_api::operator;
 use grebepath_core::http_api::operator::{
-    CONFIG, EXPECT_REVISION, Operated, REQUEST_ID, STATUS, write,
+    CONFIG, EXPECT_REVISION, OperatorOutcome, REQUEST_ID, STATUS, write,
 };
 use grebepath_core::protocol::message::{Operation, OperationResult};
 use grebepath_core::routing_language::diagnostic::Diagnostic;
@@ -183,20 +183,20 @@
 fn outcome(done: OperationResult) -> Response {
     let op = match done {
         OperationResult::Accepted { revision, copies, again } => {
-            Operated::Accepted { revision, copies, again }
+            OperatorOutcome::Accepted { revision, replicas: copies, repeated: again }
         }
         OperationResult::Invalid(list) => {
             let all = list.into_iter().map(|(place, text)| Diagnostic { place, text }).collect();
-            Operated::Wrong(all)
+            OperatorOutcome::Invalid(all)
         }
-        OperationResult::Conflict { revision } => Operated::Moved { revision },
-        OperationResult::Rejected { why } => Operated::Bounced { why },
-        OperationResult::Unknown { why } => Operated::Unknown { why },
+        OperationResult::Conflict { revision } => OperatorOutcome::RevisionMoved { revision },
+        OperationResult::Rejected { why } => OperatorOutcome::Rejected { reason: why },
+        OperationResult::Unknown { why } => OperatorOutcome::Unknown { reason: why },
         OperationResult::Forgotten { revision, edition } => {
-            Operated::Unknown { why: operator::forgotten(revision, edition) }
+            OperatorOutcome::Unknown { reason: operator::forgotten(revision, edition) }
         }
         OperationResult::Configuration { .. } | OperationResult::Status { .. } => {
-            Operated::Unknown { why: "an answer to something else".into() }
+            OperatorOutcome::Unknown { reason: "an answer to something else".into() }
         }
     };
     let (code, body) = write(&op);
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -216,7 +216,7 @@
     match crate::params::again() {
         Ok(p) => {
             for desk in &io.desks {
-                let _ = desk.send(Work::Event(event::Event::Rate(p.rate)));
+                let _ = desk.send(Work::Event(event::Event::RetryRate(p.rate)));
             }
         }
         Err(all) => {
@@ -280,7 +280,7 @@
             Command::Shares(list) => {
                 for (i, desk) in io.desks.iter().enumerate() {
                     let share = grebepath_core::query::quota::share(&list, &io.me, i as u32);
-                    let _ = desk.send(Work::Event(event::Event::Share(share)));
+                    let _ = desk.send(Work::Event(event::Event::QuotaShare(share)));
                 }
             }
             Command::Peers(list) => {
@@ -290,14 +290,14 @@
                 }
             }
             Command::Door(door) => {
-                io.shut |= door == engine::Door::Stopping;
+                io.shut |= door == engine::ServingState::ShuttingDown;
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(event::Event::Door(door)));
+                    let _ = desk.send(Work::Event(event::Event::ServingState(door)));
                 }
             }
             Command::Grip(until) => {
                 for desk in &io.desks {
-                    let _ = desk.send(Work::Event(event::Event::Grip(until)));
+                    let _ = desk.send(Work::Event(event::Event::LeaseValidUntil(until)));
                 }
             }
             Command::Ready(ready) => {
--- a/crates/server/src/querier/door.rs
+++ b/crates/server/src/querier/door.rs
@@ -15,7 +15,7 @@
 use grebepath_core::http_api::caller::{BUDGET, MISSING_PARTS, RETRY_AFTER};
 use grebepath_core::query::admission::room_of;
 use grebepath_core::query::event::Event;
-use grebepath_core::query::request::{Ask, Outcome, Reason, Rejection};
+use grebepath_core::query::request::{Outcome, Rejection, RejectionReason, SearchRequest};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_runtime::dialect::Dialect;
 use grebepath_runtime::forwarding_server;
@@ -55,7 +55,7 @@
         .route("/metrics", get(metrics))
         .fallback(async || {
             let text = "no such path; searches are at /v1/search/{mapping}";
-            written(&Outcome::Rejection(Rejection::new(Reason::NoMapping, text)))
+            written(&Outcome::Rejected(Rejection::new(RejectionReason::UnknownRoute, text)))
         })
         // One byte over the limit still comes through, and gets our own 413.
         .layer(DefaultBodyLimit::max(consts::QUESTION_LIMIT + 1))
@@ -74,7 +74,7 @@
     fn drop(&mut self) {
         self.calls.fetch_sub(1, Ordering::Relaxed);
         if !self.done {
-            let _ = self.here.send(Work::Event(Event::Gone { call: self.call }));
+            let _ = self.here.send(Work::Event(Event::CallerGone { call: self.call }));
         }
     }
 }
@@ -101,21 +101,21 @@
     let ask = match body {
         Ok(body) => caller::read_post(&mapping, budget(&heads), &body),
         Err(e) if e.status() == StatusCode::PAYLOAD_TOO_LARGE => {
-            Err(Rejection::new(Reason::TooLarge, "the question is larger than 64 KiB"))
+            Err(Rejection::new(RejectionReason::TooLarge, "the question is larger than 64 KiB"))
         }
-        Err(e) => Err(Rejection::new(Reason::BadCall, e.to_string())),
+        Err(e) => Err(Rejection::new(RejectionReason::InvalidRequest, e.to_string())),
     };
     search(door, ask).await
 }
 
-async fn search(door: Door, ask: Result<Ask, Rejection>) -> Response {
+async fn search(door: Door, ask: Result<SearchRequest, Rejection>) -> Response {
     let ask = match ask {
         Ok(ask) => ask,
-        Err(b) => return written(&Outcome::Rejection(b)),
+        Err(b) => return written(&Outcome::Rejected(b)),
     };
     // What waits before the desk is bounded here, each class to its part: this
     // is the one place where calls could pile up.
-    let class = door.all.view.borrow().mappings.get(&ask.mapping).map(|m| m.class);
+    let class = door.all.view.borrow().mappings.get(&ask.route).map(|m| m.class);
     let most = room_of(class.unwrap_or_default()) * consts::DOOR_CALLS / consts::QUERIES_LIVE;
     let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
     let (here, calls) = (door.here.clone(), door.calls.clone());
@@ -123,10 +123,13 @@
     let mut guard = Guard { call, here, calls, done: false };
     if busy >= most {
         guard.done = true;
-        let mut b = Rejection::new(Reason::Crowded, "this node's door has all the calls it may");
+        let mut b = Rejection::new(
+            RejectionReason::ConcurrencyLimit,
+            "this node's door has all the calls it may",
+        );
         let spread = consts::AGAIN_MAX_S / 4;
-        b.again_s = Some(consts::AGAIN_MIN_S + call % spread);
-        return written(&Outcome::Rejection(b));
+        b.retry_after_seconds = Some(consts::AGAIN_MIN_S + call % spread);
+        return written(&Outcome::Rejected(b));
     }
     let (tell, told) = oneshot::channel();
     let outcome = if door.here.send(Work::Call { call, called: Called::Own(ask), tell }).is_ok() {
@@ -136,7 +139,7 @@
     };
     guard.done = true;
     let outcome = outcome.unwrap_or_else(|| {
-        Outcome::Rejection(Rejection::new(Reason::Stopping, "this node is going down"))
+        Outcome::Rejected(Rejection::new(RejectionReason::ShuttingDown, "this node is going down"))
     });
     written(&outcome)
 }
@@ -163,8 +166,8 @@
                 Err(_) => None,
             };
             guard.done = true;
-            let gone = || Rejection::new(Reason::Stopping, "this node is going down");
-            (dialect.told)(outcome.unwrap_or_else(|| Outcome::Rejection(gone())))
+            let gone = || Rejection::new(RejectionReason::ShuttingDown, "this node is going down");
+            (dialect.told)(outcome.unwrap_or_else(|| Outcome::Rejected(gone())))
         }
     };
     forwarding_server::serve(listener, door, answer).await;
@@ -199,7 +202,7 @@
     let out = caller::write(outcome);
     let code = StatusCode::from_u16(out.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut resp = (code, [(header::CONTENT_TYPE, "application/json")], out.body).into_response();
-    if let Some(n) = out.missing {
+    if let Some(n) = out.missing_shards {
         resp.headers_mut().insert(MISSING_PARTS, (n as u64).into());
     }
     if let Some(s) = out.retry_after {
--- a/crates/server/src/querier/leafs.rs
+++ b/crates/server/src/querier/leafs.rs
@@ -5,9 +5,9 @@
 use bytes::Bytes;
 use grebepath_core::consts::{PROBE_PATIENCE, REPLY_LIMIT};
 use grebepath_core::http_api::leaf;
-use grebepath_core::http_api::leaf::{Heads, Raw, Trouble};
+use grebepath_core::http_api::leaf::{AttemptFailure, LeafReply, ReplyHeaders};
 use grebepath_core::protocol::message::LeafReport;
-use grebepath_core::query::event::Sending;
+use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::MILLI;
 use grebepath_runtime::clock::duration;
@@ -18,8 +18,8 @@
 use hyper::{HeaderMap, Request, Response};
 
 /// Sends one dispatch, to this very leaf or to nobody.
-pub async fn send(pool: &Pool, s: Sending) -> Result<Raw, Trouble> {
-    let addr: SocketAddr = s.addr.parse().map_err(|_| Trouble::Unreachable)?;
+pub async fn send(pool: &Pool, s: OutgoingAttempt) -> Result<LeafReply, AttemptFailure> {
+    let addr: SocketAddr = s.addr.parse().map_err(|_| AttemptFailure::Unreachable)?;
     let request = |req: hyper::http::request::Builder| {
         req.header(hyper::header::HOST, &s.addr)
             .header(leaf::EXPECT_LEAF, &s.leaf)
@@ -27,60 +27,64 @@
     };
     let work = request(Request::post(leaf::PATH))
         .header(leaf::QUERY_ID, &s.id)
-        .header(leaf::QUESTION_DIGEST, &s.digest)
-        .header(leaf::BUDGET, (s.budget / MILLI).max(1).to_string())
+        .header(leaf::QUESTION_DIGEST, &s.body_digest)
+        .header(leaf::BUDGET, (s.timeout / MILLI).max(1).to_string())
         .header("content-type", "application/json")
         .body(Full::new(Bytes::copy_from_slice(&s.body)))
-        .map_err(|_| Trouble::Unreachable)?;
+        .map_err(|_| AttemptFailure::Unreachable)?;
     let greeting = || request(Request::get(leaf::SELF_PATH)).body(Full::default());
-    greeting().map_err(|_| Trouble::Unreachable)?;
+    greeting().map_err(|_| AttemptFailure::Unreachable)?;
     let greeting = || greeting().unwrap_or_default();
     // A leaf that leaves, or another identity, gets no work.
     let fits = |r: &Response<Bytes>| {
-        r.status().as_u16() == 200 && !leaf::self_word(&heads(r.headers())).leaving
+        r.status().as_u16() == 200 && !leaf::self_word(&heads(r.headers())).draining
     };
     let whom = (addr, s.leaf.as_str());
     let sent = exchange(pool, whom, greeting, fits, work, REPLY_LIMIT);
-    match tokio::time::timeout(duration(s.budget), sent).await {
+    match tokio::time::timeout(duration(s.timeout), sent).await {
         Ok(Ok(Got::Answer(r))) => Ok(raw(r)),
         Ok(Ok(Got::Unfit(r))) => {
             let mut raw = raw(r);
             // It is the leaf, and it leaves: no work was sent.
-            raw.heads.unrun |= raw.status == 200;
+            raw.headers.rejected |= raw.status == 200;
             Ok(raw)
         }
-        Ok(Err(HttpTrouble::Unreachable(_))) => Err(Trouble::Unreachable),
-        Ok(Err(HttpTrouble::Cut(_))) => Err(Trouble::Cut),
-        Ok(Err(HttpTrouble::TooLarge)) => Err(Trouble::Overlong),
-        Ok(Err(HttpTrouble::Late)) | Err(_) => Err(Trouble::OutOfTime),
+        Ok(Err(HttpTrouble::Unreachable(_))) => Err(AttemptFailure::Unreachable),
+        Ok(Err(HttpTrouble::Cut(_))) => Err(AttemptFailure::Truncated),
+        Ok(Err(HttpTrouble::TooLarge)) => Err(AttemptFailure::ReplyTooLarge),
+        Ok(Err(HttpTrouble::Late)) | Err(_) => Err(AttemptFailure::DeadlineExceeded),
     }
 }
 
 /// Sends one dispatch of a call that is handed over.
-pub async fn hand(pool: &Pool, s: Sending, dialect: &'static Dialect) -> Result<Raw, Trouble> {
-    let addr: SocketAddr = s.addr.parse().map_err(|_| Trouble::Unreachable)?;
-    let work = (dialect.work)(&s).ok_or(Trouble::Unreachable)?;
+pub async fn hand(
+    pool: &Pool,
+    s: OutgoingAttempt,
+    dialect: &'static Dialect,
+) -> Result<LeafReply, AttemptFailure> {
+    let addr: SocketAddr = s.addr.parse().map_err(|_| AttemptFailure::Unreachable)?;
+    let work = (dialect.work)(&s).ok_or(AttemptFailure::Unreachable)?;
     let whom = (addr, s.leaf.as_str());
-    let fits = |r: &Response<Bytes>| !(dialect.reply)(&s, r.clone()).heads.foreign;
+    let fits = |r: &Response<Bytes>| !(dialect.reply)(&s, r.clone()).headers.foreign;
     let sent = grebepath_runtime::leaf_connections::hand(
         pool,
         whom,
         work,
-        (REPLY_LIMIT, s.once, s.keep),
+        (REPLY_LIMIT, s.at_most_once, s.keep_connection),
         fits,
     );
-    match tokio::time::timeout(duration(s.budget), sent).await {
+    match tokio::time::timeout(duration(s.timeout), sent).await {
         Ok(Ok(resp)) => Ok((dialect.reply)(&s, resp)),
-        Ok(Err(HttpTrouble::Unreachable(_))) => Err(Trouble::Unreachable),
-        Ok(Err(HttpTrouble::Cut(_))) => Err(Trouble::Cut),
-        Ok(Err(HttpTrouble::TooLarge)) => Err(Trouble::Overlong),
-        Ok(Err(HttpTrouble::Late)) | Err(_) => Err(Trouble::OutOfTime),
+        Ok(Err(HttpTrouble::Unreachable(_))) => Err(AttemptFailure::Unreachable),
+        Ok(Err(HttpTrouble::Cut(_))) => Err(AttemptFailure::Truncated),
+        Ok(Err(HttpTrouble::TooLarge)) => Err(AttemptFailure::ReplyTooLarge),
+        Ok(Err(HttpTrouble::Late)) | Err(_) => Err(AttemptFailure::DeadlineExceeded),
     }
 }
 
-fn raw(resp: Response<Bytes>) -> Raw {
+fn raw(resp: Response<Bytes>) -> LeafReply {
     let heads = heads(resp.headers());
-    Raw { status: resp.status().as_u16(), heads, body: resp.body().to_vec() }
+    LeafReply { status: resp.status().as_u16(), headers: heads, body: resp.body().to_vec() }
 }
 
 /// Asks a leaf about itself; `None` when it could not be reached.
@@ -96,7 +100,7 @@
         leaf::MISDIRECTED => word.gone = true,
         200 => {
             let said = leaf::self_word(&heads(resp.headers()));
-            word.leaving = said.leaving;
+            word.leaving = said.draining;
             word.age_ms = said.age_ms.unwrap_or(0);
         }
         _ => return None,
@@ -104,9 +108,9 @@
     Some(word)
 }
 
-fn heads(map: &HeaderMap) -> Heads {
+fn heads(map: &HeaderMap) -> ReplyHeaders {
     let one = |name: &str| map.get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
-    Heads {
+    ReplyHeaders {
         postmarks: map
             .get_all(leaf::POSTMARK)
             .iter()
@@ -115,8 +119,8 @@
         busy: one(leaf::BUSY),
         age: one(leaf::LEAF_AGE),
         state: one(leaf::LEAF_STATE),
-        cut: one(leaf::CUT),
-        unrun: map.contains_key(leaf::UNRUN),
-        ..Heads::default()
+        index_version: one(leaf::CUT),
+        rejected: map.contains_key(leaf::UNRUN),
+        ..ReplyHeaders::default()
     }
 }
--- a/crates/server/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -3,7 +3,7 @@
 use std::fmt::Write;
 
 use grebepath_core::membership::node_agent::{Counts as WatchCounts, Watch};
-use grebepath_core::query::statistics::{Counts, TOOK_MS};
+use grebepath_core::query::statistics::{EngineStatistics, LATENCY_BUCKETS_MS};
 use indexmap::IndexMap;
 
 /// What the control thread tells.
@@ -24,27 +24,27 @@
     }
 }
 
-fn sum(all: &[Counts]) -> Counts {
-    let mut out = Counts::default();
+fn sum(all: &[EngineStatistics]) -> EngineStatistics {
+    let mut out = EngineStatistics::default();
     for c in all {
         out.full += c.full;
         out.partial += c.partial;
-        for (k, v) in &c.bounced {
-            *out.bounced.entry(*k).or_default() += v;
+        for (k, v) in &c.rejected {
+            *out.rejected.entry(*k).or_default() += v;
         }
-        for (k, v) in &c.trouble {
-            *out.trouble.entry(*k).or_default() += v;
+        for (k, v) in &c.failures {
+            *out.failures.entry(*k).or_default() += v;
         }
-        out.firsts += c.firsts;
-        out.seconds += c.seconds;
-        out.denied += c.denied;
-        out.dropped += c.dropped;
-        for (i, n) in c.took.iter().enumerate() {
-            out.took[i] += n;
+        out.first_attempts += c.first_attempts;
+        out.retries += c.retries;
+        out.retries_denied += c.retries_denied;
+        out.cancelled += c.cancelled;
+        for (i, n) in c.latency_buckets.iter().enumerate() {
+            out.latency_buckets[i] += n;
         }
         out.queries += c.queries;
-        out.out += c.out;
-        out.wanting += c.wanting;
+        out.in_flight += c.in_flight;
+        out.queued += c.queued;
     }
     out
 }
@@ -67,7 +67,7 @@
 }
 
 /// The whole text.
-pub fn text(all: &[Counts], control: Option<Control>, ready: bool) -> String {
+pub fn text(all: &[EngineStatistics], control: Option<Control>, ready: bool) -> String {
     let c = sum(all);
     let mut out = String::new();
     let o = &mut out;
@@ -75,23 +75,23 @@
     let _ = writeln!(o, "# TYPE grebe_outcomes_total counter");
     let _ = writeln!(o, "grebe_outcomes_total{{kind=\"full\"}} {}", c.full);
     let _ = writeln!(o, "grebe_outcomes_total{{kind=\"partial\"}} {}", c.partial);
-    by(o, "grebe_bounces_total", "Calls bounced, by reason.", "reason", &c.bounced);
-    by(o, "grebe_dispatch_trouble_total", "Dispatches that failed, by kind.", "kind", &c.trouble);
-    one(o, "counter", "grebe_first_dispatches_total", "First dispatches.", c.firsts);
-    one(o, "counter", "grebe_second_tries_total", "Second and later tries.", c.seconds);
-    one(o, "counter", "grebe_second_tries_denied_total", "Second tries denied.", c.denied);
-    one(o, "counter", "grebe_dispatches_dropped_total", "Dispatches given up.", c.dropped);
+    by(o, "grebe_bounces_total", "Calls bounced, by reason.", "reason", &c.rejected);
+    by(o, "grebe_dispatch_trouble_total", "Dispatches that failed, by kind.", "kind", &c.failures);
+    one(o, "counter", "grebe_first_dispatches_total", "First dispatches.", c.first_attempts);
+    one(o, "counter", "grebe_second_tries_total", "Second and later tries.", c.retries);
+    one(o, "counter", "grebe_second_tries_denied_total", "Second tries denied.", c.retries_denied);
+    one(o, "counter", "grebe_dispatches_dropped_total", "Dispatches given up.", c.cancelled);
     one(o, "gauge", "grebe_queries", "Queries in hand.", c.queries);
-    one(o, "gauge", "grebe_dispatches", "Dispatches out.", c.out);
-    one(o, "gauge", "grebe_wanting", "Shards of queries that wait for room.", c.wanting);
+    one(o, "gauge", "grebe_dispatches", "Dispatches out.", c.in_flight);
+    one(o, "gauge", "grebe_wanting", "Shards of queries that wait for room.", c.queued);
     let _ = writeln!(o, "# HELP grebe_outcome_ms Time to an outcome.");
     let _ = writeln!(o, "# TYPE grebe_outcome_ms histogram");
     let mut n = 0;
-    for (i, le) in TOOK_MS.iter().enumerate() {
-        n += c.took[i];
+    for (i, le) in LATENCY_BUCKETS_MS.iter().enumerate() {
+        n += c.latency_buckets[i];
         let _ = writeln!(o, "grebe_outcome_ms_bucket{{le=\"{le}\"}} {n}");
     }
-    n += c.took[TOOK_MS.len()];
+    n += c.latency_buckets[LATENCY_BUCKETS_MS.len()];
     let _ = writeln!(o, "grebe_outcome_ms_bucket{{le=\"+Inf\"}} {n}\ngrebe_outcome_ms_count {n}");
     one(o, "gauge", "grebe_ready", "Whether this node is ready.", u64::from(ready));
     if let Some(k) = control {
--- a/crates/server/src/querier/params.rs
+++ b/crates/server/src/querier/params.rs
@@ -4,7 +4,7 @@
 
 use bpaf::{OptionParser, Parser, long};
 use grebepath_core::consts::{self, SEATS_MAX};
-use grebepath_core::query::service_retry_budget::Rate;
+use grebepath_core::query::service_retry_budget::RetryRate;
 use grebepath_core::routing_language::diagnostic::Diagnostic;
 use grebepath_core::time::Span;
 use grebepath_runtime::dialect::Dialect;
@@ -33,7 +33,7 @@
     /// Where the platform asks whether it is ready, if not at `listen`.
     pub check: Option<SocketAddr>,
     /// The fleet's rule of second tries for calls that are handed over.
-    pub rate: Rate,
+    pub rate: RetryRate,
     /// Time from the wish to stop until the process must be gone.
     pub grace: Option<Span>,
     /// Whether leafs are asked about themselves.
@@ -213,9 +213,9 @@
         threads: p::number(&mut r, "threads", 1, 64, Some(1)) as u32,
         dialect: (dialect == "platform").then_some(&platform::DIALECT),
         check: p::maybe_addr(&mut r, "check"),
-        rate: Rate {
-            share: p::thousandths(&mut r, "second_share", own.share),
-            slack: p::number(&mut r, "second_slack", 0, 1_000_000, Some(own.slack)),
+        rate: RetryRate {
+            per_thousand: p::thousandths(&mut r, "second_share", own.per_thousand),
+            fleet_slack: p::number(&mut r, "second_slack", 0, 1_000_000, Some(own.fleet_slack)),
         },
         grace: p::seconds(&mut r, "grace_s"),
         probes: p::word(&mut r, "probes", &["on", "off"], "on") == "on",
--- a/crates/server/src/querier/traffic.rs
+++ b/crates/server/src/querier/traffic.rs
@@ -10,9 +10,9 @@
 use grebepath_core::query::event::{Command, Event};
 use grebepath_core::query::forwarded_request::ForwardedRequest;
 use grebepath_core::query::progress::next;
-use grebepath_core::query::request::{Ask, Outcome};
-use grebepath_core::query::service_retry_budget::{Rate, quota};
-use grebepath_core::query::statistics::Counts;
+use grebepath_core::query::request::{Outcome, SearchRequest};
+use grebepath_core::query::service_retry_budget::{RetryRate, quota};
+use grebepath_core::query::statistics::EngineStatistics;
 use grebepath_core::query::step::step;
 use grebepath_core::time::ms;
 use grebepath_runtime::clock::{Clock, duration, instant, now};
@@ -35,7 +35,7 @@
         called: Called,
         tell: oneshot::Sender<Outcome>,
     },
-    Counts(oneshot::Sender<Counts>),
+    Counts(oneshot::Sender<EngineStatistics>),
     /// This node will leave soon: callers are asked to go elsewhere.
     Leaving,
     /// Finish what is in hand and say so.
@@ -45,7 +45,7 @@
 /// What a caller wants.
 pub enum Called {
     /// An answer to a question of our own.
-    Own(Ask),
+    Own(SearchRequest),
     /// A call that is handed over.
     Handed(Arc<ForwardedRequest>),
 }
@@ -62,7 +62,7 @@
     pub control: UnboundedSender<Input>,
     pub stop: tokio::sync::watch::Receiver<bool>,
     pub dialect: Option<&'static Dialect>,
-    pub rate: Rate,
+    pub rate: RetryRate,
     /// This thread's stable number in the membership.
     pub slot: u64,
 }
@@ -103,8 +103,8 @@
             grebepath_runtime::http::serve(listener, connections, router, until).await
         };
         let mut desk = desk(&s.name, &s.zone, s.seed, now(&s.clock));
-        desk.quota = quota(s.rate);
-        desk.slot = s.slot;
+        desk.service_retry_budget = quota(s.rate);
+        desk.thread_id = s.slot;
         let desk = Rc::new(RefCell::new(desk));
         let shut = outer.clone();
         let io = Io {
@@ -152,7 +152,7 @@
             work = rx.recv() => match work {
                 None => return,
                 Some(Work::Event(event)) => {
-                    if let Event::Reply { dispatch, .. } = &event {
+                    if let Event::AttemptEnded { attempt: dispatch, .. } = &event {
                         io.tasks.remove(dispatch);
                     }
                     Some(event)
@@ -160,8 +160,8 @@
                 Some(Work::Call { call, called, tell }) => {
                     io.tells.insert(call, tell);
                     Some(match called {
-                        Called::Own(ask) => Event::Ask { call, ask },
-                        Called::Handed(parcel) => Event::Hand { call, parcel },
+                        Called::Own(ask) => Event::Search { call, request: ask },
+                        Called::Handed(parcel) => Event::Forward { call, request: parcel },
                     })
                 }
                 Some(Work::Leaving) => {
@@ -180,11 +180,11 @@
             _ = async { match at {
                 Some(at) => tokio::time::sleep_until(at).await,
                 None => std::future::pending().await,
-            } } => Some(Event::Wake),
+            } } => Some(Event::Timer),
         };
         if let Some(event) = event {
             match &event {
-                Event::Gone { call } => {
+                Event::CallerGone { call } => {
                     io.tells.remove(call);
                 }
                 Event::ClusterView(view) => limit(&io.door, &view.built.terms),
@@ -218,28 +218,29 @@
         match command {
             Command::Send(sending) => {
                 let (leafs, here) = (io.leafs.clone(), io.here.clone());
-                let dispatch = sending.dispatch;
-                let dialect = io.dialect.filter(|_| sending.parcel.is_some());
+                let dispatch = sending.attempt;
+                let dialect = io.dialect.filter(|_| sending.forwarded.is_some());
                 let task = tokio::task::spawn_local(async move {
                     let got = match dialect {
                         Some(dialect) => crate::leafs::hand(&leafs, sending, dialect).await,
                         None => crate::leafs::send(&leafs, sending).await,
                     };
-                    let _ = here.send(Work::Event(Event::Reply { dispatch, got }));
+                    let _ = here
+                        .send(Work::Event(Event::AttemptEnded { attempt: dispatch, result: got }));
                 });
                 io.tasks.insert(dispatch, task.abort_handle());
             }
-            Command::Drop { dispatch } => {
+            Command::CancelAttempt { attempt: dispatch } => {
                 if let Some(task) = io.tasks.remove(&dispatch) {
                     task.abort();
                 }
             }
-            Command::Tell { call, outcome } => {
+            Command::Respond { call, outcome } => {
                 if let Some(tell) = io.tells.remove(&call) {
                     let _ = tell.send(outcome);
                 }
             }
-            Command::Word { service, word } => {
+            Command::ReportLeaf { service, report: word } => {
                 let _ = io.control.send(Input::Word { service, word });
             }
         }
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use grebepath_core::http_api::leaf as edge;
-use grebepath_core::http_api::leaf::{Heads, Raw};
-use grebepath_core::query::event::Sending;
+use grebepath_core::http_api::leaf::{LeafReply, ReplyHeaders};
+use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::random::{Random, below};
 use grebepath_core::time::{MILLI, Span, Tick, ms, since};
 use serde_json::{Value, json};
@@ -228,24 +228,28 @@
 }
 
 /// Heads that every reply carries.
-pub fn heads(l: &MockLeaf, now: Tick) -> Heads {
+pub fn heads(l: &MockLeaf, now: Tick) -> ReplyHeaders {
     let busy = (f64::from(l.live) / f64::from(bears(l, now))).min(1.0);
-    Heads {
+    ReplyHeaders {
         postmarks: Vec::new(),
         busy: Some(format!("{busy:.2}")),
         age: Some((since(l.born, now) / MILLI).to_string()),
         state: l.leaving.then(|| "leaving".to_string()),
-        ..Heads::default()
+        ..ReplyHeaders::default()
     }
 }
 
 /// A reply without a run.
-pub fn turned_away(l: &MockLeaf, now: Tick, status: u16) -> Raw {
-    Raw { status, heads: Heads { unrun: true, ..heads(l, now) }, body: Vec::new() }
+pub fn turned_away(l: &MockLeaf, now: Tick, status: u16) -> LeafReply {
+    LeafReply {
+        status,
+        headers: ReplyHeaders { rejected: true, ..heads(l, now) },
+        body: Vec::new(),
+    }
 }
 
 /// The reply to a dispatch that was run.
-pub fn reply(l: &mut MockLeaf, now: Tick, s: &Sending) -> Raw {
+pub fn reply(l: &mut MockLeaf, now: Tick, s: &OutgoingAttempt) -> LeafReply {
     let asked: Value = serde_json::from_slice(&s.body).unwrap_or(Value::Null);
     let question = asked["question"].as_str().unwrap_or_default();
     let limit = asked["limit"].as_u64().unwrap_or(0) as usize;
@@ -258,10 +262,11 @@
         .map(|r| json!({ "id": r.id, "score": r.score, "data": { "service": r.service } }))
         .collect();
     let mut body = json!({ "records": list }).to_string().into_bytes();
-    let mark = edge::postmark(&l.name, &s.id, &s.digest);
+    let mark = edge::postmark(&l.name, &s.id, &s.body_digest);
     let old = l.mark.replace(mark.clone());
     let mut heads = heads(l, now);
-    heads.cut = Some(if l.mode == Mode::WrongCut { "w00".into() } else { l.service.cut.clone() });
+    heads.index_version =
+        Some(if l.mode == Mode::WrongCut { "w00".into() } else { l.service.cut.clone() });
     heads.postmarks = match l.mode {
         Mode::NoPostmark => Vec::new(),
         Mode::TwoPostmarks => vec![mark.clone(), mark],
@@ -271,5 +276,5 @@
     if l.mode == Mode::Garbage {
         body.truncate(body.len() / 2);
     }
-    Raw { status: 200, heads, body }
+    LeafReply { status: 200, headers: heads, body }
 }
--- a/crates/simulator/src/scale_model/fan.rs
+++ b/crates/simulator/src/scale_model/fan.rs
@@ -5,11 +5,11 @@
 use std::sync::Arc;
 
 use grebepath_core::config::{build, read};
-use grebepath_core::http_api::leaf::{Heads, Raw, postmark};
+use grebepath_core::http_api::leaf::{LeafReply, ReplyHeaders, postmark};
 use grebepath_core::query::engine::{QueryEngine, desk};
-use grebepath_core::query::event::{Command, Event, Sending};
+use grebepath_core::query::event::{Command, Event, OutgoingAttempt};
 use grebepath_core::query::quota::share;
-use grebepath_core::query::request::{Ask, Outcome};
+use grebepath_core::query::request::{Outcome, SearchRequest};
 use grebepath_core::query::step::step;
 use grebepath_core::snapshot::cluster_view;
 use grebepath_core::snapshot::leafs::LeafInfo;
@@ -50,17 +50,24 @@
     let mut d = desk("front", &plan::name(0), 1, BOOT);
     let members: Vec<(String, u32)> = (0..of).map(|n| (format!("front-{n}"), 1)).collect();
     step(&mut d, BOOT, Event::ClusterView(Arc::new(view)));
-    step(&mut d, BOOT, Event::Share(share(&members, "front-0", 0)));
-    step(&mut d, BOOT, Event::Grip(Tick::MAX));
-    step(&mut d, BOOT, Event::Door(grebepath_core::query::engine::Door::Open));
+    step(&mut d, BOOT, Event::QuotaShare(share(&members, "front-0", 0)));
+    step(&mut d, BOOT, Event::LeaseValidUntil(Tick::MAX));
+    step(&mut d, BOOT, Event::ServingState(grebepath_core::query::engine::ServingState::Serving));
     d
 }
 
-fn reply(s: &Sending) -> Raw {
+fn reply(s: &OutgoingAttempt) -> LeafReply {
     let record = |n: usize| json!({ "id": format!("{}-{n:04}", s.service), "score": 1_000 - n });
     let list: Vec<_> = (0..RECORDS).map(record).collect();
-    let heads = Heads { postmarks: vec![postmark(&s.leaf, &s.id, &s.digest)], ..Heads::default() };
-    Raw { status: 200, heads, body: json!({ "records": list }).to_string().into_bytes() }
+    let heads = ReplyHeaders {
+        postmarks: vec![postmark(&s.leaf, &s.id, &s.body_digest)],
+        ..ReplyHeaders::default()
+    };
+    LeafReply {
+        status: 200,
+        headers: heads,
+        body: json!({ "records": list }).to_string().into_bytes(),
+    }
 }
 
 /// Asks wide queries one after the other.
@@ -72,27 +79,28 @@
             f = Fan { shards, of, queries: QUERIES, ..Fan::default() };
         }
         let now = BOOT + (call + 1) * SECOND;
-        let ask = Ask {
-            mapping: "wide".into(),
+        let ask = SearchRequest {
+            route: "wide".into(),
             question: json!({ "text": "a question of some words" }),
             key: None,
-            limit: RECORDS as u32,
-            budget: 400 * MILLI,
+            record_limit: RECORDS as u32,
+            timeout: 400 * MILLI,
         };
-        let todo = timed(&mut f.ask_ns, || step(&mut d, now, Event::Ask { call, ask }));
+        let todo = timed(&mut f.ask_ns, || step(&mut d, now, Event::Search { call, request: ask }));
         for command in todo {
             let Command::Send(s) = command else { continue };
             f.dispatches += 1;
             f.asked += s.body.len() as u64;
             let got = reply(&s);
             f.replied += got.body.len() as u64;
-            let event = Event::Reply { dispatch: s.dispatch, got: Ok(got) };
+            let event = Event::AttemptEnded { attempt: s.attempt, result: Ok(got) };
             let done = timed(&mut f.take_ns, || step(&mut d, now + 20 * MILLI, event));
-            let full = |c: &Command| matches!(c, Command::Tell { outcome: Outcome::Full(_), .. });
+            let full =
+                |c: &Command| matches!(c, Command::Respond { outcome: Outcome::Answered(_), .. });
             f.full += done.iter().filter(|c| full(c)).count() as u64;
         }
         let late = now + 450 * MILLI;
-        timed(&mut f.take_ns, || step(&mut d, late, Event::Wake));
+        timed(&mut f.take_ns, || step(&mut d, late, Event::Timer));
     }
     f
 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -58,21 +58,30 @@
     let read = caller::read_post(&k.search, Some(&budget), body.to_string().as_bytes());
     let Ok(ask) = read else { return };
     let t = (id % u64::from(THREADS)) as usize;
-    push(w, 10, ScheduledEvent::ToDesk { q, life, t, event: event::Event::Ask { call: id, ask } });
+    push(
+        w,
+        10,
+        ScheduledEvent::ToDesk {
+            q,
+            life,
+            t,
+            event: event::Event::Search { call: id, request: ask },
+        },
+    );
 }
 
 pub(super) fn tampered(w: &mut World, kind: usize, outcome: Outcome) -> Outcome {
-    let Outcome::Full(mut full) = outcome else {
+    let Outcome::Answered(mut full) = outcome else {
         if w.broken == Some(Broken::BelowQuorum)
-            && let Outcome::Rejection(b) = &outcome
+            && let Outcome::Rejected(b) = &outcome
             && b.query.is_some()
         {
             let cut = w.kinds[kind].shards[0].0.clone();
             let planned = w.kinds[kind].shards.iter().filter(|s| s.0 == cut).count();
-            return Outcome::Full(grebepath_core::query::request::Full {
+            return Outcome::Answered(grebepath_core::query::request::SearchAnswer {
                 query: b.query.clone().unwrap_or_default(),
-                mapping: w.kinds[kind].search.clone(),
-                cut,
+                route: w.kinds[kind].search.clone(),
+                index_version: cut,
                 revision: u64::MAX,
                 shards: Vec::new(),
                 missing: planned,
@@ -83,16 +92,16 @@
     };
     match w.broken {
         Some(Broken::ClaimAll) if full.missing > 0 => {
-            let all = w.kinds[kind].shards.iter().filter(|s| s.0 == full.cut);
+            let all = w.kinds[kind].shards.iter().filter(|s| s.0 == full.index_version);
             full.shards = all.map(|s| s.1.clone()).collect();
             full.missing = 0;
         }
         Some(Broken::ClaimTwice) => full.shards.push(full.shards[0].clone()),
-        Some(Broken::MixCut) => full.cut = "w47".into(),
+        Some(Broken::MixCut) => full.index_version = "w47".into(),
         Some(Broken::Disorder) if full.records.len() > 1 => full.records.swap(0, 1),
         _ => {}
     }
-    Outcome::Full(full)
+    Outcome::Answered(full)
 }
 
 pub(super) fn outcome_told(w: &mut World, id: u64, outcome: Outcome) {
@@ -101,14 +110,14 @@
     let outcome = tampered(w, c.kind, outcome);
     let written = caller::write(&outcome);
     let kind = w.kinds[c.kind].clone();
-    let full = matches!(&outcome, Outcome::Full(f) if f.missing == 0);
+    let full = matches!(&outcome, Outcome::Answered(f) if f.missing == 0);
     rules::ends(&mut w.rules, c.began - BEGIN, now, &kind.search, full);
     match outcome {
-        Outcome::Passed(_) | Outcome::Joined(_) => {}
-        Outcome::Rejection(b) => {
+        Outcome::Forwarded(_) | Outcome::Merged(_) => {}
+        Outcome::Rejected(b) => {
             *tally(w, c.kind).bounced.entry(b.reason.to_string()).or_default() += 1;
         }
-        Outcome::Full(full) => {
+        Outcome::Answered(full) => {
             let took = w.now - c.began;
             let t = tally(w, c.kind);
             if full.missing == 0 {
@@ -117,7 +126,7 @@
                 t.partial += 1
             }
             t.waits.push(took);
-            let missing = written.missing.map(|n| n.to_string());
+            let missing = written.missing_shards.map(|n| n.to_string());
             let (bad, services) = success(&kind, &c.asked, missing.as_deref(), &written.body);
             for text in bad {
                 rules::broken(
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -2,7 +2,11 @@
 
 use super::*;
 
-pub(super) fn dispatch(w: &mut World, (q, life, t): (usize, u64, usize), mut sending: Sending) {
+pub(super) fn dispatch(
+    w: &mut World,
+    (q, life, t): (usize, u64, usize),
+    mut sending: OutgoingAttempt,
+) {
     let now = w.now - BEGIN;
     rules::tries(&mut w.rules, now, &sending.id, &sending.service);
     let who = w.queriers[q].name.clone();
@@ -14,46 +18,59 @@
         let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         val["question"] = json!("something else");
         let body = val.to_string().into_bytes();
-        sending.digest = digest(&body);
+        sending.body_digest = digest(&body);
         sending.body = std::sync::Arc::new(body);
     }
     // Whatever becomes of it, the sender gives up at the end of its budget.
-    let event = event::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
-    push(w, sending.budget, ScheduledEvent::ToDesk { q, life, t, event });
+    let event = event::Event::AttemptEnded {
+        attempt: sending.attempt,
+        result: Err(AttemptFailure::DeadlineExceeded),
+    };
+    push(w, sending.timeout, ScheduledEvent::ToDesk { q, life, t, event });
     // Giving up closes the connection, which the leaf sees a moment later.
-    let key = (q, life, t, sending.dispatch);
-    push(w, sending.budget + ms(1), ScheduledEvent::LeafDrop { key });
+    let key = (q, life, t, sending.attempt);
+    push(w, sending.timeout + ms(1), ScheduledEvent::LeafDrop { key });
     let zone = w.queriers[q].zone.clone();
     let leaf_zone = w.backs.leafs.get(&sending.leaf).map_or("a".into(), |l| l.zone.clone());
     let after = latency(&zone, &leaf_zone, &mut w.luck) + w.net.slow;
     push(w, after, ScheduledEvent::LeafGets { q, life, t, sending: Box::new(sending) });
 }
 
-pub(super) fn answer(w: &mut World, key: RunKey, zone: &str, mut got: Result<Raw, Trouble>) {
+pub(super) fn answer(
+    w: &mut World,
+    key: RunKey,
+    zone: &str,
+    mut got: Result<LeafReply, AttemptFailure>,
+) {
     let (q, life, t, dispatch) = key;
     if let Ok(raw) = &mut got
         && !w.backs.ages
     {
-        raw.heads.age = None;
+        raw.headers.age = None;
     }
     let qzone = w.queriers[q].zone.clone();
     let after = latency(&qzone, zone, &mut w.luck) + w.net.slow;
     push(
         w,
         after,
-        ScheduledEvent::ToDesk { q, life, t, event: event::Event::Reply { dispatch, got } },
+        ScheduledEvent::ToDesk {
+            q,
+            life,
+            t,
+            event: event::Event::AttemptEnded { attempt: dispatch, result: got },
+        },
     );
 }
 
-pub(super) fn leaf_gets(w: &mut World, (q, life, t): (usize, u64, usize), s: Sending) {
+pub(super) fn leaf_gets(w: &mut World, (q, life, t): (usize, u64, usize), s: OutgoingAttempt) {
     let now = w.now;
-    let key = (q, life, t, s.dispatch);
+    let key = (q, life, t, s.attempt);
     let name = w.backs.at.get(&s.addr).cloned().unwrap_or_default();
     let Some(l) = w.backs.leafs.get_mut(&name) else { return };
     let zone = l.zone.clone();
     match l.alive {
         Alive::Vanished => return,
-        Alive::Down => return answer(w, key, &zone, Err(Trouble::Unreachable)),
+        Alive::Down => return answer(w, key, &zone, Err(AttemptFailure::Unreachable)),
         Alive::Up => {}
     }
     // A connection ends with the process behind it, and on a new one the leaf is
@@ -76,7 +93,7 @@
         let raw = mock_backends::turned_away(l, now, MISDIRECTED);
         return answer(w, key, &zone, Ok(raw));
     }
-    if digest(&s.body) != s.digest {
+    if digest(&s.body) != s.body_digest {
         let raw = mock_backends::turned_away(l, now, 400);
         return answer(w, key, &zone, Ok(raw));
     }
@@ -134,7 +151,7 @@
     if l.leaving {
         learn(w, &r.leaf);
         if w.broken == Some(Broken::IgnoreLeaving) {
-            raw.heads = Heads { state: None, ..raw.heads };
+            raw.headers = ReplyHeaders { state: None, ..raw.headers };
         }
     }
     answer(w, r.key, &zone, Ok(raw));
@@ -150,7 +167,7 @@
         if let Some(r) = end_run(w, run)
             && how == Alive::Down
         {
-            answer(w, r.key, &zone, Err(Trouble::Cut));
+            answer(w, r.key, &zone, Err(AttemptFailure::Truncated));
         }
     }
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -8,7 +8,7 @@
 use grebepath_core::control_plane::controller::{ControllerState, Event as CoreEvent};
 use grebepath_core::control_plane::step as cstep;
 use grebepath_core::digest::digest;
-use grebepath_core::http_api::leaf::{Heads, MISDIRECTED, Raw, Trouble};
+use grebepath_core::http_api::leaf::{AttemptFailure, LeafReply, MISDIRECTED, ReplyHeaders};
 use grebepath_core::http_api::{caller, list};
 use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
 use grebepath_core::membership::node_agent as wat;
@@ -17,8 +17,8 @@
 use grebepath_core::protocol::message::{
     LeafReport, Member, Message, Operation, OperationResult, ReplicaCondition,
 };
-use grebepath_core::query::engine::{Door, QueryEngine, desk};
-use grebepath_core::query::event::Sending;
+use grebepath_core::query::engine::{QueryEngine, ServingState, desk};
+use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::query::request::Outcome;
 use grebepath_core::query::{event, progress, step};
 use grebepath_core::random::{Random, below, draw, luck};
@@ -152,7 +152,7 @@
         q: usize,
         life: u64,
         t: usize,
-        sending: Box<Sending>,
+        sending: Box<OutgoingAttempt>,
     },
     LeafDone {
         run: u64,
@@ -257,7 +257,7 @@
 struct Run {
     key: RunKey,
     leaf: String,
-    sending: Sending,
+    sending: OutgoingAttempt,
 }
 
 /// A call on its way.
@@ -578,7 +578,7 @@
             if live(w, q, life) && w.queriers[q].wakes[t] == at =>
         {
             w.queriers[q].wakes[t] = 0;
-            step_desk(w, q, t, event::Event::Wake);
+            step_desk(w, q, t, event::Event::Timer);
         }
         ScheduledEvent::LeafGets { q, life, t, sending } => leaf_gets(w, (q, life, t), *sending),
         ScheduledEvent::LeafDone { run } => leaf_done(w, run),
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -17,7 +17,7 @@
         .map(|t| {
             let name = format!("{}-{t}-{:x}", n.name, n.life);
             let mut desk = desk(&name, &n.zone, seed ^ u64::from(t), BOOT);
-            desk.slot = grebepath_core::query::quota::slot(&n.name, t);
+            desk.thread_id = grebepath_core::query::quota::slot(&n.name, t);
             desk
         })
         .collect();
@@ -136,10 +136,10 @@
             for t in 0..THREADS {
                 let name = w.queriers[q].name.clone();
                 let mut share = grebepath_core::query::quota::share(&list, &name, t);
-                if w.broken == Some(Broken::NoShare) && !share.slots.is_empty() {
-                    share.slots = vec![share.mine];
+                if w.broken == Some(Broken::NoShare) && !share.threads.is_empty() {
+                    share.threads = vec![share.own_thread];
                 }
-                let event = event::Event::Share(share);
+                let event = event::Event::QuotaShare(share);
                 push(w, 20, ScheduledEvent::ToDesk { q, life, t: t as usize, event });
             }
         }
@@ -160,9 +160,13 @@
         }
         wat::Command::Door(door) => {
             for t in 0..THREADS as usize {
-                push(w, 20, ScheduledEvent::ToDesk { q, life, t, event: event::Event::Door(door) });
+                push(
+                    w,
+                    20,
+                    ScheduledEvent::ToDesk { q, life, t, event: event::Event::ServingState(door) },
+                );
             }
-            if door == Door::Stopping {
+            if door == ServingState::ShuttingDown {
                 later(w, ms(20), DueKey::EndQuerier(q, life));
             }
         }
@@ -171,7 +175,12 @@
                 push(
                     w,
                     20,
-                    ScheduledEvent::ToDesk { q, life, t, event: event::Event::Grip(until) },
+                    ScheduledEvent::ToDesk {
+                        q,
+                        life,
+                        t,
+                        event: event::Event::LeaseValidUntil(until),
+                    },
                 );
             }
         }
@@ -283,12 +292,12 @@
     let deaf = w.broken == Some(Broken::IgnoreLeaving);
     let n = &mut w.queriers[q];
     if w.broken == Some(Broken::NoRule) {
-        grebepath_core::query::retry_budget::slack(&mut n.desks[t].rule, 1_000_000);
+        grebepath_core::query::retry_budget::slack(&mut n.desks[t].retry_budget, 1_000_000);
     }
     let todo = step::step(&mut n.desks[t], local, event);
     if deaf {
         for l in n.desks[t].leafs.values_mut() {
-            l.leaving = false;
+            l.draining = false;
         }
     }
     let (life, began) = (n.life, n.began);
@@ -309,12 +318,12 @@
     let life = w.queriers[q].life;
     match command {
         event::Command::Send(sending) => dispatch(w, (q, life, t), sending),
-        event::Command::Drop { dispatch } => {
+        event::Command::CancelAttempt { attempt: dispatch } => {
             let after = ms(1);
             push(w, after, ScheduledEvent::LeafDrop { key: (q, life, t, dispatch) });
         }
-        event::Command::Tell { call, outcome } => outcome_told(w, call, outcome),
-        event::Command::Word { service, word } => {
+        event::Command::Respond { call, outcome } => outcome_told(w, call, outcome),
+        event::Command::ReportLeaf { service, report: word } => {
             if w.broken != Some(Broken::IgnoreLeaving) {
                 push(
                     w,
