--- a/crates/core/src/query/admission.rs
+++ b/crates/core/src/query/admission.rs
@@ -1,7 +1,7 @@
 //! Whether a call is taken at all.
 
 use super::engine::{QueryEngine, ServingState};
-use super::planned_query::wanting;
+
 use super::request::{Rejection, RejectionReason};
 use crate::config::types::Class;
 use crate::consts;
@@ -17,42 +17,47 @@
     consts::QUERIES_LIVE * pct / 100
 }
 
-/// Whether calls are taken now.
-pub(super) fn taken(d: &QueryEngine, now: Tick) -> Result<(), Rejection> {
-    let say = |reason, text: &str| Err(Rejection::new(reason, text));
-    match d.serving_state {
-        ServingState::Serving => {}
-        ServingState::NoSnapshot => {
-            return say(RejectionReason::NoSnapshot, "this node holds no view yet");
-        }
-        ServingState::Isolated => {
-            return say(RejectionReason::Isolated, "this node is cut off from the others");
+impl QueryEngine {
+    /// Whether calls are taken now.
+    pub(super) fn check_serving(&self, now: Tick) -> Result<(), Rejection> {
+        let say = |reason, text: &str| Err(Rejection::new(reason, text));
+        match self.serving_state {
+            ServingState::Serving => {}
+            ServingState::NoSnapshot => {
+                return say(RejectionReason::NoSnapshot, "this node holds no view yet");
+            }
+            ServingState::Isolated => {
+                return say(RejectionReason::Isolated, "this node is cut off from the others");
+            }
+            ServingState::ShuttingDown => {
+                return say(RejectionReason::ShuttingDown, "this node is going down");
+            }
         }
-        ServingState::ShuttingDown => {
-            return say(RejectionReason::ShuttingDown, "this node is going down");
+        if now > self.lease_valid_until {
+            return say(
+                RejectionReason::Isolated,
+                "this node's view may be old: it has no tenure now",
+            );
         }
+        Ok(())
     }
-    if now > d.lease_valid_until {
-        return say(RejectionReason::Isolated, "this node's view may be old: it has no tenure now");
-    }
-    Ok(())
-}
 
-/// Whether there is room for one more query of a class.
-pub(super) fn room(d: &QueryEngine, class: Class) -> Result<(), Rejection> {
-    let say = |reason, text: &str| Err(Rejection::new(reason, text));
-    if d.queries.len() >= room_of(class) {
-        return say(
-            RejectionReason::ConcurrencyLimit,
-            "this node works on all it may for this class",
-        );
-    }
-    let buffered = d.queries.values().filter(|q| wanting(q) > 0).count();
-    if buffered * 100 >= room_of(class) * consts::BUFFER_PCT {
-        return say(
-            RejectionReason::NoCapacity,
-            "too many queries already wait for room at the leafs",
-        );
+    /// Whether there is room for one more query of a class.
+    pub(super) fn check_capacity(&self, class: Class) -> Result<(), Rejection> {
+        let say = |reason, text: &str| Err(Rejection::new(reason, text));
+        if self.queries.len() >= room_of(class) {
+            return say(
+                RejectionReason::ConcurrencyLimit,
+                "this node works on all it may for this class",
+            );
+        }
+        let buffered = self.queries.values().filter(|q| q.queued_shards() > 0).count();
+        if buffered * 100 >= room_of(class) * consts::BUFFER_PCT {
+            return say(
+                RejectionReason::NoCapacity,
+                "too many queries already wait for room at the leafs",
+            );
+        }
+        Ok(())
     }
-    Ok(())
 }
--- a/crates/core/src/query/cluster_update.rs
+++ b/crates/core/src/query/cluster_update.rs
@@ -3,10 +3,10 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
+use super::connection_subset;
 use super::engine::{QueryEngine, ServingState};
-use super::leaf::leaf;
+use super::leaf::LeafState;
 use super::quota::QuotaShare;
-use super::{connection_subset, latency_estimate, leaf, quota, retry_budget, service_retry_budget};
 use crate::config::build::PoolPlan;
 use crate::config::types::Steer;
 use crate::consts;
@@ -15,88 +15,88 @@
 use crate::snapshot::leafs::{LeafInfo, zone};
 use crate::time::Tick;
 
-/// Takes a new snapshot over.
-pub(super) fn view_changed(d: &mut QueryEngine, now: Tick, view: Arc<ClusterView>) {
-    for (name, info) in &view.leafs {
-        if !d.leafs.contains_key(name) {
-            let mut new = leaf(name, now);
-            new.rank = quota::rank(&d.quota_share, new.hash);
-            d.leafs.insert(name.clone(), new);
+impl QueryEngine {
+    /// Takes a new snapshot over.
+    pub(super) fn replace_view(&mut self, now: Tick, view: Arc<ClusterView>) {
+        for (name, info) in &view.leafs {
+            if !self.leafs.contains_key(name) {
+                let mut new = LeafState::new(name, now);
+                new.rank = self.quota_share.rank(new.hash);
+                self.leafs.insert(name.clone(), new);
+            }
+            if let Some(l) = self.leafs.get_mut(name) {
+                l.note_minimum_age(info.age_ms, now);
+            }
         }
-        if let Some(l) = d.leafs.get_mut(name) {
-            leaf::at_least(l, info.age_ms, now);
+        self.leafs.retain(|name, l| l.in_flight > 0 || view.leafs.contains_key(name));
+        self.service_retry_budget.retain(|s| view.services.contains_key(s));
+        self.latency_estimate.retain(|s| view.mappings.contains_key(s));
+        let same = self.cluster_view.services == view.services
+            && self.cluster_view.revision == view.revision;
+        self.cluster_view = view;
+        if !same {
+            self.assign_ranks();
+            self.assign_connections();
+        }
+        if self.serving_state == ServingState::NoSnapshot {
+            self.serving_state = ServingState::Serving;
         }
     }
-    d.leafs.retain(|name, l| l.in_flight > 0 || view.leafs.contains_key(name));
-    service_retry_budget::keep(&mut d.service_retry_budget, |s| view.services.contains_key(s));
-    latency_estimate::keep(&mut d.latency_estimate, |s| view.mappings.contains_key(s));
-    let same = d.cluster_view.services == view.services && d.cluster_view.revision == view.revision;
-    d.cluster_view = view;
-    if !same {
-        deal(d);
-        wired(d);
-    }
-    if d.serving_state == ServingState::NoSnapshot {
-        d.serving_state = ServingState::Serving;
-    }
-}
 
-/// Takes a new share of what the fleet may do over.
-pub(super) fn share_changed(d: &mut QueryEngine, new: QuotaShare) {
-    d.quota_share = new;
-    for leaf in d.leafs.values_mut() {
-        leaf.rank = quota::rank(&d.quota_share, leaf.hash);
+    /// Takes a new share of what the fleet may do over.
+    pub(super) fn replace_quota_share(&mut self, new: QuotaShare) {
+        self.quota_share = new;
+        for leaf in self.leafs.values_mut() {
+            leaf.rank = self.quota_share.rank(leaf.hash);
+        }
+        self.assign_ranks();
+        self.service_retry_budget.set_thread_count(self.quota_share.threads.len() as u64);
+        let rank = self.quota_share.rank(hash("retry-slack"));
+        self.retry_budget.set_slack(self.quota_share.allocation(rank, consts::RETRY_SLACK));
     }
-    deal(d);
-    service_retry_budget::among(&mut d.service_retry_budget, d.quota_share.threads.len() as u64);
-    let rank = quota::rank(&d.quota_share, hash("retry-slack"));
-    retry_budget::slack(
-        &mut d.retry_budget,
-        quota::part(&d.quota_share, rank, consts::RETRY_SLACK),
-    );
-}
 
-/// Deals the leafs of each service out to the threads of the membership.
-pub(super) fn deal(d: &mut QueryEngine) {
-    let view = d.cluster_view.clone();
-    for map in view.mappings.values() {
-        let shared = |p: &&PoolPlan| p.steer == Steer::Share;
-        for pool in map.shards.iter().flat_map(|s| &s.pools).filter(shared) {
-            let Some(list) = view.services.get(&pool.service) else { continue };
-            let totals = vec![u64::from(pool.bears); list.len()];
-            let ranks = quota::deal(&d.quota_share, hash(&pool.service), &totals);
-            for (info, rank) in list.iter().zip(ranks) {
-                if let Some(l) = d.leafs.get_mut(&info.leaf) {
-                    l.balanced_rank = rank;
+    /// Deals the leafs of each service out to the threads of the membership.
+    pub(super) fn assign_ranks(&mut self) {
+        let view = self.cluster_view.clone();
+        for map in view.mappings.values() {
+            let shared = |p: &&PoolPlan| p.steer == Steer::Share;
+            for pool in map.shards.iter().flat_map(|s| &s.pools).filter(shared) {
+                let Some(list) = view.services.get(&pool.service) else { continue };
+                let totals = vec![u64::from(pool.bears); list.len()];
+                let ranks = self.quota_share.balanced_ranks(hash(&pool.service), &totals);
+                for (info, rank) in list.iter().zip(ranks) {
+                    if let Some(l) = self.leafs.get_mut(&info.leaf) {
+                        l.balanced_rank = rank;
+                    }
                 }
             }
         }
     }
-}
 
-/// Deals out the connections to leafs that take few.
-pub(super) fn wired(d: &mut QueryEngine) {
-    let view = d.cluster_view.clone();
-    let pools = view.mappings.values().flat_map(|m| &m.shards).flat_map(|s| &s.pools);
-    let mut done: BTreeSet<&str> = BTreeSet::new();
-    for pool in pools.filter(|p| p.connections > 0) {
-        let Some(list) = view.services.get(&pool.service) else { continue };
-        if !done.insert(&pool.service) {
-            continue;
-        }
-        // Leafs of emptied zones and those that leave have no new work.
-        let stand: Vec<&LeafInfo> = list
-            .iter()
-            .filter(|l| !l.leaving && !view.built.drained.contains(zone(l)))
-            .map(|l| l.as_ref())
-            .collect();
-        let mine = d.thread_id;
-        let connections =
-            connection_subset::deal(&d.peers, mine, &stand, u64::from(pool.connections));
-        for (info, n) in stand.iter().zip(connections) {
-            if let Some(l) = d.leafs.get_mut(&info.leaf) {
-                // Before we know of anyone else, one connection at a time.
-                l.connection_limit = Some(if d.peers.is_empty() { 1 } else { n });
+    /// Deals out the connections to leafs that take few.
+    pub(super) fn assign_connections(&mut self) {
+        let view = self.cluster_view.clone();
+        let pools = view.mappings.values().flat_map(|m| &m.shards).flat_map(|s| &s.pools);
+        let mut done: BTreeSet<&str> = BTreeSet::new();
+        for pool in pools.filter(|p| p.connections > 0) {
+            let Some(list) = view.services.get(&pool.service) else { continue };
+            if !done.insert(&pool.service) {
+                continue;
+            }
+            // Leafs of emptied zones and those that leave have no new work.
+            let stand: Vec<&LeafInfo> = list
+                .iter()
+                .filter(|l| !l.leaving && !view.built.drained.contains(zone(l)))
+                .map(|l| l.as_ref())
+                .collect();
+            let mine = self.thread_id;
+            let connections =
+                connection_subset::deal(&self.peers, mine, &stand, u64::from(pool.connections));
+            for (info, n) in stand.iter().zip(connections) {
+                if let Some(l) = self.leafs.get_mut(&info.leaf) {
+                    // Before we know of anyone else, one connection at a time.
+                    l.connection_limit = Some(if self.peers.is_empty() { 1 } else { n });
+                }
             }
         }
     }
--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -8,11 +8,11 @@
 use super::connection_subset::ConnectingThread;
 use super::latency_estimate::LatencyEstimate;
 use super::leaf::LeafState;
-use super::planned_query::{Query, wanting};
+use super::planned_query::Query;
 use super::quota::QuotaShare;
 use super::retry::LoadPressure;
 use super::retry_budget::RetryBudget;
-use super::service_retry_budget::ServiceRetryBudget;
+use super::service_retry_budget::{RetryRate, ServiceRetryBudget};
 use super::statistics::EngineStatistics;
 use crate::random::Random;
 use crate::snapshot::cluster_view::ClusterView;
@@ -62,38 +62,38 @@
     pub next_attempt: u64,
 }
 
-/// A desk without a view. `name` must be unique to this life of the process.
-pub fn desk(name: &str, zone: &str, seed: u64, now: Tick) -> QueryEngine {
-    QueryEngine {
-        name: name.to_string(),
-        zone: zone.to_string(),
-        serving_state: ServingState::NoSnapshot,
-        cluster_view: Arc::new(ClusterView::default()),
-        lease_valid_until: 0,
-        quota_share: QuotaShare::default(),
-        thread_id: 0,
-        queries: IndexMap::new(),
-        attempts: IndexMap::new(),
-        leafs: IndexMap::new(),
-        retry_budget: crate::query::retry_budget::rule(now),
-        service_retry_budget: crate::query::service_retry_budget::quota(
-            crate::query::service_retry_budget::own(),
-        ),
-        peers: Vec::new(),
-        latency_estimate: LatencyEstimate::default(),
-        load_pressure: LoadPressure::default(),
-        random: crate::random::luck(seed),
-        statistics: EngineStatistics::default(),
-        next_query: 0,
-        next_attempt: 0,
+impl QueryEngine {
+    /// A desk without a view. `name` must be unique to this life of the process.
+    pub fn new(name: &str, zone: &str, seed: u64, now: Tick) -> QueryEngine {
+        QueryEngine {
+            name: name.to_string(),
+            zone: zone.to_string(),
+            serving_state: ServingState::NoSnapshot,
+            cluster_view: Arc::new(ClusterView::default()),
+            lease_valid_until: 0,
+            quota_share: QuotaShare::default(),
+            thread_id: 0,
+            queries: IndexMap::new(),
+            attempts: IndexMap::new(),
+            leafs: IndexMap::new(),
+            retry_budget: RetryBudget::new(now),
+            service_retry_budget: ServiceRetryBudget::new(RetryRate::standard()),
+            peers: Vec::new(),
+            latency_estimate: LatencyEstimate::default(),
+            load_pressure: LoadPressure::default(),
+            random: crate::random::luck(seed),
+            statistics: EngineStatistics::default(),
+            next_query: 0,
+            next_attempt: 0,
+        }
     }
-}
 
-/// The counts with the gauges of this moment.
-pub fn counts(desk: &QueryEngine) -> EngineStatistics {
-    let mut out = desk.statistics.clone();
-    out.queries = desk.queries.len() as u64;
-    out.in_flight = desk.attempts.len() as u64;
-    out.queued = desk.queries.values().map(|q| wanting(q) as u64).sum();
-    out
+    /// The counts with the gauges of this moment.
+    pub fn current_statistics(&self) -> EngineStatistics {
+        let mut out = self.statistics.clone();
+        out.queries = self.queries.len() as u64;
+        out.in_flight = self.attempts.len() as u64;
+        out.queued = self.queries.values().map(|q| q.queued_shards() as u64).sum();
+        out
+    }
 }
--- a/crates/core/src/query/finishing.rs
+++ b/crates/core/src/query/finishing.rs
@@ -2,102 +2,106 @@
 
 use std::sync::Arc;
 
-use super::cancellation::drop_out;
 use super::engine::QueryEngine;
 use super::event::Command;
 use super::forwarded_request::{ForwardedReply, ForwardedRequest, MergedReply, join};
-use super::leaf;
 use super::merge::merge;
-use super::planned_query::{Query, ShardState, count_in, need};
-use super::rejection::{bounce, rest};
+use super::planned_query::{Query, ShardState};
+
 use super::request::{Outcome, Rejection, RejectionReason, SearchAnswer};
-use super::retry;
 use super::statistics::LATENCY_BUCKETS_MS;
 use crate::config::types::Form;
 use crate::http_api::leaf::{AttemptFailure, LeafReply};
 use crate::time::{MILLI, Tick, since};
 
-/// Ends a query: gives up what is still out and tells its caller.
-pub(super) fn finish(
-    d: &mut QueryEngine,
-    now: Tick,
-    mut q: Query,
-    how: Result<(), RejectionReason>,
-    out: &mut Vec<Command>,
-) {
-    // Leafs of other shards may be at work on it: then it has not gone unrun.
-    let out_there = q.shards.iter().any(|s| !s.in_flight.is_empty());
-    give_up(d, now, &mut q, out);
-    let took = since(q.started_at, now) / MILLI;
-    let cell =
-        LATENCY_BUCKETS_MS.iter().position(|b| took <= *b).unwrap_or(LATENCY_BUCKETS_MS.len());
-    d.statistics.latency_buckets[cell] += 1;
-    if let Err(why) = how {
-        q.executed |= out_there;
-        return finish_failed(d, now, q, why, out);
-    }
-    retry::note(&mut d.load_pressure, now, false);
-    let call = q.call;
-    let (missing, outcome) = match q.forwarded.clone() {
-        Some(parcel) => finish_forwarded(&q, &parcel),
-        None => finish_searched(q),
-    };
-    if missing == 0 {
-        d.statistics.full += 1;
-    } else {
-        d.statistics.partial += 1;
+impl QueryEngine {
+    /// Ends a query: gives up what is still out and tells its caller.
+    pub(super) fn finish_query(
+        &mut self,
+        now: Tick,
+        mut q: Query,
+        how: Result<(), RejectionReason>,
+        out: &mut Vec<Command>,
+    ) {
+        // Leafs of other shards may be at work on it: then it has not gone unrun.
+        let out_there = q.shards.iter().any(|s| !s.in_flight.is_empty());
+        self.cancel_outstanding(now, &mut q, out);
+        let took = since(q.started_at, now) / MILLI;
+        let cell =
+            LATENCY_BUCKETS_MS.iter().position(|b| took <= *b).unwrap_or(LATENCY_BUCKETS_MS.len());
+        self.statistics.latency_buckets[cell] += 1;
+        if let Err(why) = how {
+            q.executed |= out_there;
+            return self.respond_failed(now, q, why, out);
+        }
+        self.load_pressure.record(now, false);
+        let call = q.call;
+        let (missing, outcome) = match q.forwarded.clone() {
+            Some(parcel) => finish_forwarded(&q, &parcel),
+            None => finish_searched(q),
+        };
+        if missing == 0 {
+            self.statistics.full += 1;
+        } else {
+            self.statistics.partial += 1;
+        }
+        out.push(Command::Respond { call, outcome });
     }
-    out.push(Command::Respond { call, outcome });
-}
 
-/// Gives up the dispatches that are still out.
-fn give_up(d: &mut QueryEngine, now: Tick, q: &mut Query, out: &mut Vec<Command>) {
-    for i in 0..q.shards.len() {
-        for num in std::mem::take(&mut q.shards[i].in_flight) {
-            // A leaf that let the whole budget pass is slow; say so to itself.
-            // One that was handed over goes on, and tells when it has ended.
-            q.executed |= q.forwarded.is_some();
-            if now >= q.deadline
-                && let Some(sent) = d.attempts.get(&num)
-                && !sent.forwarded
-                && let Some(l) = d.leafs.get_mut(&sent.leaf)
-            {
-                leaf::bad(l, now);
-                *d.statistics.failures.entry(AttemptFailure::DeadlineExceeded).or_default() += 1;
-                q.executed = true;
+    /// Gives up the dispatches that are still out.
+    fn cancel_outstanding(&mut self, now: Tick, q: &mut Query, out: &mut Vec<Command>) {
+        for i in 0..q.shards.len() {
+            for num in std::mem::take(&mut q.shards[i].in_flight) {
+                // A leaf that let the whole budget pass is slow; say so to itself.
+                // One that was handed over goes on, and tells when it has ended.
+                q.executed |= q.forwarded.is_some();
+                if now >= q.deadline
+                    && let Some(sent) = self.attempts.get(&num)
+                    && !sent.forwarded
+                    && let Some(l) = self.leafs.get_mut(&sent.leaf)
+                {
+                    l.record_failure(now);
+                    *self
+                        .statistics
+                        .failures
+                        .entry(AttemptFailure::DeadlineExceeded)
+                        .or_default() += 1;
+                    q.executed = true;
+                }
+                self.cancel_attempt(num, out);
             }
-            drop_out(d, num, out);
         }
     }
-}
 
-/// Sends the caller away, or gives it the failure that a leaf has answered.
-fn finish_failed(
-    d: &mut QueryEngine,
-    now: Tick,
-    q: Query,
-    why: RejectionReason,
-    out: &mut Vec<Command>,
-) {
-    // A leaf's own failure says more than ours would.
-    if let (Some(parcel), Some(raw)) = (&q.forwarded, &q.last_failure)
-        && q.route.form == Form::Pass
-    {
-        let passed = ForwardedReply { id: parcel.id.clone(), reply: raw.clone() };
-        return out.push(Command::Respond { call: q.call, outcome: Outcome::Forwarded(passed) });
-    }
-    let text = match why {
-        RejectionReason::DeadlineExceeded => {
-            "the budget ran out before the required share answered"
+    /// Sends the caller away, or gives it the failure that a leaf has answered.
+    fn respond_failed(
+        &mut self,
+        now: Tick,
+        q: Query,
+        why: RejectionReason,
+        out: &mut Vec<Command>,
+    ) {
+        // A leaf's own failure says more than ours would.
+        if let (Some(parcel), Some(raw)) = (&q.forwarded, &q.last_failure)
+            && q.route.form == Form::Pass
+        {
+            let passed = ForwardedReply { id: parcel.id.clone(), reply: raw.clone() };
+            return out
+                .push(Command::Respond { call: q.call, outcome: Outcome::Forwarded(passed) });
         }
-        RejectionReason::NoCapacity => "no leaf had room in time",
-        RejectionReason::NoLeaf => "a needed shard has no leaf that may be asked",
-        _ => "too many shards failed and no more tries were allowed",
-    };
-    let rest = rest(d, now, &q);
-    let mut b = Rejection::new(why, text);
-    b.executed = q.executed;
-    bounce(d, now, (q.call, rest), b, Some(q.name), out);
+        let text = match why {
+            RejectionReason::DeadlineExceeded => {
+                "the budget ran out before the required share answered"
+            }
+            RejectionReason::NoCapacity => "no leaf had room in time",
+            RejectionReason::NoLeaf => "a needed shard has no leaf that may be asked",
+            _ => "too many shards failed and no more tries were allowed",
+        };
+        let rest = self.ejection_left(now, &q);
+        let mut b = Rejection::new(why, text);
+        b.executed = q.executed;
+        self.reject(now, (q.call, rest), b, Some(q.name), out);
+    }
 }
 
 /// The count of missing shards and the merged records of all others.
@@ -123,9 +127,9 @@
 
 /// The count of missing shards and what came of a call that is handed over.
 fn finish_forwarded(q: &Query, parcel: &ForwardedRequest) -> (usize, Outcome) {
-    let missing = q.shards.len() - count_in(q);
+    let missing = q.shards.len() - q.answered_shards();
     let parts: Vec<&Arc<LeafReply>> = q.shards.iter().filter_map(|s| s.reply.as_ref()).collect();
-    debug_assert!(parts.len() >= need(q));
+    debug_assert!(parts.len() >= q.quorum_size());
     let outcome = match (q.route.form, parts.first()) {
         (Form::Pass, Some(raw)) => {
             Outcome::Forwarded(ForwardedReply { id: parcel.id.clone(), reply: (*raw).clone() })
--- a/crates/core/src/query/forwarded_reply.rs
+++ b/crates/core/src/query/forwarded_reply.rs
@@ -29,36 +29,38 @@
             ReplyClass::Failed(why) | ReplyClass::Rejected(why) => Err(*why),
         }
     }
-}
 
-/// Judges a reply. Only a whole success with one stamp that answers just this
-/// dispatch is a part.
-pub(super) fn judge(raw: &LeafReply, form: Form) -> ReplyClass {
-    // Whatever another call's answer says, it says nothing of this one.
-    if raw.headers.foreign {
-        return ReplyClass::Failed(AttemptFailure::PostmarkMismatch);
-    }
-    if raw.status == MISDIRECTED {
-        return ReplyClass::Rejected(AttemptFailure::Misdirected);
-    }
-    if raw.headers.rejected {
-        // What is wrong with the call itself is wrong elsewhere too.
-        let own = raw.status == 400 && form == Form::Pass;
-        return if own {
-            ReplyClass::Final
-        } else {
-            ReplyClass::Rejected(AttemptFailure::Rejected)
-        };
-    }
-    let good = (200..300).contains(&raw.status);
-    match (good, raw.headers.postmarks.len(), form) {
-        (true, 1, Form::Pass) => ReplyClass::Final,
-        (true, 1, _) => ReplyClass::Partial,
-        (true, 0, _) => ReplyClass::Failed(AttemptFailure::MissingPostmark),
-        (true, _, _) => ReplyClass::Failed(AttemptFailure::DuplicatePostmark),
-        // The leaf's own word on the call, not a failure of the leaf.
-        (false, _, Form::Pass) if raw.status < 500 && !promises(raw.status) => ReplyClass::Final,
-        (false, _, _) => ReplyClass::Failed(AttemptFailure::ErrorStatus),
+    /// Judges a reply. Only a whole success with one stamp that answers just this
+    /// dispatch is a part.
+    pub(super) fn of_reply(raw: &LeafReply, form: Form) -> ReplyClass {
+        // Whatever another call's answer says, it says nothing of this one.
+        if raw.headers.foreign {
+            return ReplyClass::Failed(AttemptFailure::PostmarkMismatch);
+        }
+        if raw.status == MISDIRECTED {
+            return ReplyClass::Rejected(AttemptFailure::Misdirected);
+        }
+        if raw.headers.rejected {
+            // What is wrong with the call itself is wrong elsewhere too.
+            let own = raw.status == 400 && form == Form::Pass;
+            return if own {
+                ReplyClass::Final
+            } else {
+                ReplyClass::Rejected(AttemptFailure::Rejected)
+            };
+        }
+        let good = (200..300).contains(&raw.status);
+        match (good, raw.headers.postmarks.len(), form) {
+            (true, 1, Form::Pass) => ReplyClass::Final,
+            (true, 1, _) => ReplyClass::Partial,
+            (true, 0, _) => ReplyClass::Failed(AttemptFailure::MissingPostmark),
+            (true, _, _) => ReplyClass::Failed(AttemptFailure::DuplicatePostmark),
+            // The leaf's own word on the call, not a failure of the leaf.
+            (false, _, Form::Pass) if raw.status < 500 && !promises(raw.status) => {
+                ReplyClass::Final
+            }
+            (false, _, _) => ReplyClass::Failed(AttemptFailure::ErrorStatus),
+        }
     }
 }
 
--- a/crates/core/src/query/latency_estimate.rs
+++ b/crates/core/src/query/latency_estimate.rs
@@ -12,41 +12,43 @@
     by_route: IndexMap<String, Span>,
 }
 
-/// Notes how long a dispatch took. The mark moves up by much for each one
-/// above it and down by little for each below, in the ratio at which just the
-/// wanted part of them lies below.
-pub fn note(w: &mut LatencyEstimate, search: &str, took: Span) {
-    let q = consts::WAIT_QUANTILE;
-    match w.by_route.get_mut(search) {
-        None => {
-            w.by_route.insert(search.to_string(), took.max(MILLI) * 2);
-        }
-        Some(mark) => {
-            let stride = (*mark / 16).max(MILLI / 10);
-            if took > *mark {
-                *mark += stride * q / 1_000;
-            } else {
-                *mark = mark.saturating_sub(stride * (1_000 - q) / 1_000).max(MILLI);
+impl LatencyEstimate {
+    /// Notes how long a dispatch took. The mark moves up by much for each one
+    /// above it and down by little for each below, in the ratio at which just the
+    /// wanted part of them lies below.
+    pub fn record(&mut self, search: &str, took: Span) {
+        let q = consts::WAIT_QUANTILE;
+        match self.by_route.get_mut(search) {
+            None => {
+                self.by_route.insert(search.to_string(), took.max(MILLI) * 2);
+            }
+            Some(mark) => {
+                let stride = (*mark / 16).max(MILLI / 10);
+                if took > *mark {
+                    *mark += stride * q / 1_000;
+                } else {
+                    *mark = mark.saturating_sub(stride * (1_000 - q) / 1_000).max(MILLI);
+                }
             }
         }
     }
-}
 
-/// The wait before a second try of a search, with its target if it has one.
-pub fn wait(w: &LatencyEstimate, search: &str, target: Option<Span>) -> Option<Span> {
-    match (w.by_route.get(search), target) {
-        (Some(mark), _) => {
-            let stretched = mark * consts::WAIT_STRETCH_PCT / 100 + consts::WAIT_MORE;
-            Some(stretched.max(consts::WAIT_MIN))
-        }
-        (None, Some(target)) => {
-            Some((target * consts::WAIT_TARGET_PCT / 100).max(consts::WAIT_MIN))
+    /// The wait before a second try of a search, with its target if it has one.
+    pub fn hedge_delay(&self, search: &str, target: Option<Span>) -> Option<Span> {
+        match (self.by_route.get(search), target) {
+            (Some(mark), _) => {
+                let stretched = mark * consts::WAIT_STRETCH_PCT / 100 + consts::WAIT_MORE;
+                Some(stretched.max(consts::WAIT_MIN))
+            }
+            (None, Some(target)) => {
+                Some((target * consts::WAIT_TARGET_PCT / 100).max(consts::WAIT_MIN))
+            }
+            (None, None) => None,
         }
-        (None, None) => None,
     }
-}
 
-/// Forgets searches that are no longer known.
-pub fn keep(w: &mut LatencyEstimate, known: impl Fn(&str) -> bool) {
-    w.by_route.retain(|s, _| known(s));
+    /// Forgets searches that are no longer known.
+    pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
+        self.by_route.retain(|s, _| known(s));
+    }
 }
--- a/crates/core/src/query/leaf.rs
+++ b/crates/core/src/query/leaf.rs
@@ -49,134 +49,136 @@
     pub balanced_rank: Option<u64>,
 }
 
-/// A leaf that we hear of for the first time.
-pub fn leaf(name: &str, now: Tick) -> LeafState {
-    LeafState {
-        hash: hash(name),
-        in_flight: 0,
-        busy_permille: 0,
-        started_at: now,
-        age_reported: false,
-        draining: false,
-        typical_latency: 0,
-        consecutive_failures: 0,
-        ejected_until: 0,
-        health_weight: 1_000,
-        reported_slots: 0,
-        foreign_load: 0,
-        connection_limit: None,
-        slow_start_credit: 0,
-        slow_start_credit_at: now,
-        health_weight_changed_at: 0,
-        unloaded_latency: 0,
-        rank: None,
-        balanced_rank: None,
+impl LeafState {
+    /// A leaf that we hear of for the first time.
+    pub fn new(name: &str, now: Tick) -> LeafState {
+        LeafState {
+            hash: hash(name),
+            in_flight: 0,
+            busy_permille: 0,
+            started_at: now,
+            age_reported: false,
+            draining: false,
+            typical_latency: 0,
+            consecutive_failures: 0,
+            ejected_until: 0,
+            health_weight: 1_000,
+            reported_slots: 0,
+            foreign_load: 0,
+            connection_limit: None,
+            slow_start_credit: 0,
+            slow_start_credit_at: now,
+            health_weight_changed_at: 0,
+            unloaded_latency: 0,
+            rank: None,
+            balanced_rank: None,
+        }
     }
-}
 
-/// What the leaf may be given by the whole fleet at its age.
-pub fn bears(leaf: &LeafState, full: u32, ramp: Span, now: Tick) -> u64 {
-    let full = u64::from(full);
-    let age = since(leaf.started_at, now);
-    if age >= ramp {
-        return full;
+    /// What the leaf may be given by the whole fleet at its age.
+    pub fn capacity(&self, full: u32, ramp: Span, now: Tick) -> u64 {
+        let full = u64::from(full);
+        let age = since(self.started_at, now);
+        if age >= ramp {
+            return full;
+        }
+        let floor = consts::RAMP_FLOOR_PCT;
+        (full * (floor * ramp + (100 - floor) * age) / (100 * ramp)).max(1)
     }
-    let floor = consts::RAMP_FLOOR_PCT;
-    (full * (floor * ramp + (100 - floor) * age) / (100 * ramp)).max(1)
-}
-
-/// Whether the leaf is past its ramp.
-pub fn warm(leaf: &LeafState, ramp: Span, now: Tick) -> bool {
-    since(leaf.started_at, now) >= ramp
-}
 
-/// Notes what the leaf says of itself.
-pub fn word(leaf: &mut LeafState, word: &SelfReport, now: Tick) {
-    if let Some(busy) = word.busy_permille {
-        leaf.busy_permille = busy;
+    /// Whether the leaf is past its ramp.
+    pub fn is_warm(&self, ramp: Span, now: Tick) -> bool {
+        since(self.started_at, now) >= ramp
     }
-    if let Some(age) = word.age_ms {
-        let born = now.saturating_sub(age.saturating_mul(MILLI));
-        let restarted = born > leaf.started_at + consts::AGE_SLIP;
-        if !leaf.age_reported || restarted || born < leaf.started_at {
-            leaf.started_at = born;
+
+    /// Notes what the leaf says of itself.
+    pub fn apply_self_report(&mut self, word: &SelfReport, now: Tick) {
+        if let Some(busy) = word.busy_permille {
+            self.busy_permille = busy;
+        }
+        if let Some(age) = word.age_ms {
+            let born = now.saturating_sub(age.saturating_mul(MILLI));
+            let restarted = born > self.started_at + consts::AGE_SLIP;
+            if !self.age_reported || restarted || born < self.started_at {
+                self.started_at = born;
+            }
+            self.age_reported = true;
         }
-        leaf.age_reported = true;
+        self.draining |= word.draining;
     }
-    leaf.draining |= word.draining;
-}
 
-/// Somebody else heard the leaf say that it is at least this old.
-pub fn at_least(leaf: &mut LeafState, age_ms: u64, now: Tick) {
-    if !leaf.age_reported {
-        leaf.started_at = leaf.started_at.min(now.saturating_sub(age_ms.saturating_mul(MILLI)));
+    /// Somebody else heard the leaf say that it is at least this old.
+    pub fn note_minimum_age(&mut self, age_ms: u64, now: Tick) {
+        if !self.age_reported {
+            self.started_at = self.started_at.min(now.saturating_sub(age_ms.saturating_mul(MILLI)));
+        }
     }
-}
 
-/// Notes a good reply.
-pub fn good(leaf: &mut LeafState, took: Span) {
-    leaf.consecutive_failures = 0;
-    leaf.ejected_until = 0;
-    leaf.typical_latency = if leaf.typical_latency == 0 {
-        took
-    } else {
-        leaf.typical_latency - leaf.typical_latency / consts::TYPICAL_WEIGHT
-            + took / consts::TYPICAL_WEIGHT
-    };
-}
+    /// Notes a good reply.
+    pub fn record_success(&mut self, took: Span) {
+        self.consecutive_failures = 0;
+        self.ejected_until = 0;
+        self.typical_latency = if self.typical_latency == 0 {
+            took
+        } else {
+            self.typical_latency - self.typical_latency / consts::TYPICAL_WEIGHT
+                + took / consts::TYPICAL_WEIGHT
+        };
+    }
 
-/// The leaf turned work away unrun.
-pub fn turned(leaf: &mut LeafState, now: Tick) {
-    lower(leaf, consts::STRENGTH_TURNED_PCT, now);
-}
+    /// The leaf turned work away unrun.
+    pub fn record_rejection(&mut self, now: Tick) {
+        self.lower_health_weight(consts::STRENGTH_TURNED_PCT, now);
+    }
 
-/// A good reply took this long: a busy leaf that takes much longer than it
-/// does at ease has too much in hand; any other reply gives a little back.
-pub fn strain(leaf: &mut LeafState, took: Span, now: Tick) {
-    leaf.unloaded_latency = match leaf.unloaded_latency {
-        0 => took,
-        old if took < old => old - (old - took) / consts::TYPICAL_WEIGHT,
-        old => old + (took - old) / consts::USUAL_DRIFT,
-    };
-    let slow = took > leaf.unloaded_latency * consts::SLOW_PCT / 100 + consts::SLOW_MORE;
-    if slow && leaf.busy_permille >= consts::BUSY_FROM {
-        lower(leaf, consts::STRENGTH_SLOW_PCT, now);
-    } else if leaf.health_weight < 1_000
-        && since(leaf.health_weight_changed_at, now) >= consts::STRENGTH_GAP
-    {
-        leaf.health_weight = (leaf.health_weight + consts::STRENGTH_RISE).min(1_000);
-        leaf.health_weight_changed_at = now;
+    /// A good reply took this long: a busy leaf that takes much longer than it
+    /// does at ease has too much in hand; any other reply gives a little back.
+    pub fn adjust_health_weight(&mut self, took: Span, now: Tick) {
+        self.unloaded_latency = match self.unloaded_latency {
+            0 => took,
+            old if took < old => old - (old - took) / consts::TYPICAL_WEIGHT,
+            old => old + (took - old) / consts::USUAL_DRIFT,
+        };
+        let slow = took > self.unloaded_latency * consts::SLOW_PCT / 100 + consts::SLOW_MORE;
+        if slow && self.busy_permille >= consts::BUSY_FROM {
+            self.lower_health_weight(consts::STRENGTH_SLOW_PCT, now);
+        } else if self.health_weight < 1_000
+            && since(self.health_weight_changed_at, now) >= consts::STRENGTH_GAP
+        {
+            self.health_weight = (self.health_weight + consts::STRENGTH_RISE).min(1_000);
+            self.health_weight_changed_at = now;
+        }
     }
-}
 
-fn lower(leaf: &mut LeafState, pct: u32, now: Tick) {
-    if since(leaf.health_weight_changed_at, now) >= consts::STRENGTH_GAP {
-        leaf.health_weight = (leaf.health_weight * pct / 100).max(consts::STRENGTH_MIN);
-        leaf.health_weight_changed_at = now;
+    fn lower_health_weight(&mut self, pct: u32, now: Tick) {
+        if since(self.health_weight_changed_at, now) >= consts::STRENGTH_GAP {
+            self.health_weight = (self.health_weight * pct / 100).max(consts::STRENGTH_MIN);
+            self.health_weight_changed_at = now;
+        }
     }
-}
 
-/// What we use of our part of a leaf's allowance now. Parts are small whole
-/// numbers, so what remains of a place is open for its share of the time;
-/// `mine` makes the threads take turns.
-pub fn used(leaf: &LeafState, part: u64, mine: u64, now: Tick) -> u64 {
-    let exact = part * u64::from(leaf.health_weight);
-    let turn = pair(leaf.hash ^ mine, now / consts::STRENGTH_TURN) % 1_000;
-    exact / 1_000 + u64::from(turn < exact % 1_000)
-}
+    /// What we use of our part of a leaf's allowance now. Parts are small whole
+    /// numbers, so what remains of a place is open for its share of the time;
+    /// `mine` makes the threads take turns.
+    pub fn usable_allocation(&self, part: u64, mine: u64, now: Tick) -> u64 {
+        let exact = part * u64::from(self.health_weight);
+        let turn = pair(self.hash ^ mine, now / consts::STRENGTH_TURN) % 1_000;
+        exact / 1_000 + u64::from(turn < exact % 1_000)
+    }
 
-/// Notes a trouble; enough in a row rest the leaf, longer each time.
-pub fn bad(leaf: &mut LeafState, now: Tick) {
-    leaf.consecutive_failures += 1;
-    if leaf.consecutive_failures >= consts::REST_AFTER {
-        let twice = (leaf.consecutive_failures - consts::REST_AFTER).min(6);
-        leaf.ejected_until = now + (consts::REST_MIN << twice).min(consts::REST_MAX);
+    /// Notes a trouble; enough in a row rest the leaf, longer each time.
+    pub fn record_failure(&mut self, now: Tick) {
+        self.consecutive_failures += 1;
+        if self.consecutive_failures >= consts::REST_AFTER {
+            let twice = (self.consecutive_failures - consts::REST_AFTER).min(6);
+            self.ejected_until = now + (consts::REST_MIN << twice).min(consts::REST_MAX);
+        }
     }
-}
 
-/// How loaded the leaf looks, for comparing: what it says plus what we hold.
-pub fn load(leaf: &LeafState, part: u64) -> u64 {
-    u64::from(leaf.busy_permille)
-        + leaf.in_flight * 1000 / part.max(1)
-        + leaf.typical_latency / ms(1)
+    /// How loaded the leaf looks, for comparing: what it says plus what we hold.
+    pub fn load(&self, part: u64) -> u64 {
+        u64::from(self.busy_permille)
+            + self.in_flight * 1000 / part.max(1)
+            + self.typical_latency / ms(1)
+    }
 }
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -8,9 +8,8 @@
 use crate::config::types::{Form, Steer};
 use crate::consts::REST_AFTER;
 use crate::query::connection_subset::ConnectingThread;
-use crate::query::leaf::{LeafState, bears, load, used, warm};
-use crate::query::quota::{QuotaShare, part};
-use crate::query::{observed_load, slow_start};
+use crate::query::leaf::LeafState;
+use crate::query::quota::QuotaShare;
 use crate::random::{Random, below};
 use crate::snapshot::cluster_view::{ClusterView, open};
 use crate::snapshot::leafs::{LeafInfo, zone};
@@ -61,38 +60,37 @@
     healthy: bool,
 }
 
-/// Chooses a leaf for one shard of a pinned mapping: the less loaded of two,
-/// the local zone first if the plan prefers it, never one in `tried`. Rested
-/// leafs serve only when no other stands, and then for first tries alone: if
-/// most of a pool looks bad it is used with care, but not beaten.
-pub fn choose(
-    s: &SelectionContext,
-    luck: &mut Random,
-    map: &Route,
-    shard: usize,
-    tried: &[String],
-) -> Choice {
-    let found = candidates(s, map, shard, tried);
-    if found.usable.is_empty() {
-        return if found.any_open { Choice::NoCapacity } else { Choice::NoCandidate };
-    }
-    let first = tried.is_empty();
-    for (rested, near) in [(false, true), (false, false), (true, true), (true, false)] {
-        if rested && !first {
-            break;
-        }
-        // A leaf that others have the connections of is for need: none of ours stands
-        // well, or a second try finds none of ours.
-        if !near && found.healthy && first {
-            return Choice::NoCapacity;
+impl SelectionContext<'_> {
+    /// Chooses a leaf for one shard of a pinned mapping: the less loaded of two,
+    /// the local zone first if the plan prefers it, never one in `tried`. Rested
+    /// leafs serve only when no other stands, and then for first tries alone: if
+    /// most of a pool looks bad it is used with care, but not beaten.
+    pub fn choose(&self, luck: &mut Random, map: &Route, shard: usize, tried: &[String]) -> Choice {
+        let found = self.candidates(map, shard, tried);
+        if found.usable.is_empty() {
+            return if found.any_open { Choice::NoCapacity } else { Choice::NoCandidate };
         }
-        let set: Vec<_> =
-            found.usable.iter().filter(|f| f.ejected == rested && f.preferred == near).collect();
-        if !set.is_empty() {
-            return Choice::Leaf(best(&set, luck, map.form).clone());
+        let first = tried.is_empty();
+        for (rested, near) in [(false, true), (false, false), (true, true), (true, false)] {
+            if rested && !first {
+                break;
+            }
+            // A leaf that others have the connections of is for need: none of ours stands
+            // well, or a second try finds none of ours.
+            if !near && found.healthy && first {
+                return Choice::NoCapacity;
+            }
+            let set: Vec<_> = found
+                .usable
+                .iter()
+                .filter(|f| f.ejected == rested && f.preferred == near)
+                .collect();
+            if !set.is_empty() {
+                return Choice::Leaf(best(&set, luck, map.form).clone());
+            }
         }
+        Choice::NoCandidate
     }
-    Choice::NoCandidate
 }
 
 /// The least loaded of a few leafs, or the less loaded of two drawn from many.
@@ -110,91 +108,91 @@
     if two.cost < one.cost { two.info } else { one.info }
 }
 
-/// The leafs of a shard that stand, and those of them that have room.
-fn candidates<'a>(
-    s: &SelectionContext<'a>,
-    map: &'a Route,
-    shard: usize,
-    tried: &[String],
-) -> Candidates<'a> {
-    let mut found = Candidates::default();
-    for pool in &map.shards[shard].pools {
-        for info in open(s.cluster_view, pool, &map.cut) {
-            if tried.contains(&info.leaf) {
-                continue;
-            }
-            let Some(leaf) = s.leafs.get(&info.leaf) else { continue };
-            if leaf.draining {
-                continue;
-            }
-            found.any_open = true;
-            let near = map.local && zone(info) == s.zone;
-            let candidate = match pool.steer {
-                Steer::Seen => {
-                    if kept_cold(s, leaf, info, pool) {
-                        continue;
-                    }
-                    found.healthy |=
-                        leaf.connection_limit != Some(0) && leaf.ejected_until <= s.now;
-                    by_seen(s, leaf, info, near || !map.local)
+impl<'a> SelectionContext<'a> {
+    /// The leafs of a shard that stand, and those of them that have room.
+    fn candidates(&self, map: &'a Route, shard: usize, tried: &[String]) -> Candidates<'a> {
+        let mut found = Candidates::default();
+        for pool in &map.shards[shard].pools {
+            for info in open(self.cluster_view, pool, &map.cut) {
+                if tried.contains(&info.leaf) {
+                    continue;
                 }
-                Steer::Share => by_share(s, leaf, info, pool, near),
-            };
-            found.usable.extend(candidate);
+                let Some(leaf) = self.leafs.get(&info.leaf) else { continue };
+                if leaf.draining {
+                    continue;
+                }
+                found.any_open = true;
+                let near = map.local && zone(info) == self.zone;
+                let candidate = match pool.steer {
+                    Steer::Seen => {
+                        if self.is_held_cold(leaf, info, pool) {
+                            continue;
+                        }
+                        found.healthy |=
+                            leaf.connection_limit != Some(0) && leaf.ejected_until <= self.now;
+                        self.by_observed_load(leaf, info, near || !map.local)
+                    }
+                    Steer::Share => self.by_allocation(leaf, info, pool, near),
+                };
+                found.usable.extend(candidate);
+            }
         }
+        found
     }
-    found
 }
 
-/// Whether a leaf is cold and not ours to send to now.
-fn kept_cold(s: &SelectionContext, leaf: &LeafState, info: &LeafInfo, pool: &PoolPlan) -> bool {
-    let rate = u64::from(pool.cold_rate);
-    info.cold
-        && rate > 0
-        && !(slow_start::keeps(leaf, s.peers, s.thread_id)
-            && slow_start::saved(leaf, rate, s.now) >= 1_000)
-}
+impl SelectionContext<'_> {
+    /// Whether a leaf is cold and not ours to send to now.
+    fn is_held_cold(&self, leaf: &LeafState, info: &LeafInfo, pool: &PoolPlan) -> bool {
+        let rate = u64::from(pool.cold_rate);
+        info.cold
+            && rate > 0
+            && !(leaf.is_warmed_up_by(self.peers, self.thread_id)
+                && leaf.slow_start_allowance(rate, self.now) >= 1_000)
+    }
 
-/// A leaf that is steered by what is seen, if it has room.
-fn by_seen<'a>(
-    s: &SelectionContext,
-    leaf: &LeafState,
-    info: &'a Arc<LeafInfo>,
-    near: bool,
-) -> Option<Candidate<'a>> {
-    // One that failed lately is tried with one dispatch at a time.
-    let wary = leaf.consecutive_failures >= REST_AFTER && leaf.in_flight > 0;
-    if wary || leaf.in_flight >= observed_load::room(leaf, info, s.now) {
-        return None;
+    /// A leaf that is steered by what is seen, if it has room.
+    fn by_observed_load<'a>(
+        &self,
+        leaf: &LeafState,
+        info: &'a Arc<LeafInfo>,
+        near: bool,
+    ) -> Option<Candidate<'a>> {
+        // One that failed lately is tried with one dispatch at a time.
+        let wary = leaf.consecutive_failures >= REST_AFTER && leaf.in_flight > 0;
+        if wary || leaf.in_flight >= leaf.concurrency_limit(info, self.now) {
+            return None;
+        }
+        Some(Candidate {
+            info,
+            cost: leaf.expected_latency(info, near),
+            ejected: leaf.ejected_until > self.now,
+            preferred: leaf.connection_limit != Some(0),
+        })
     }
-    Some(Candidate {
-        info,
-        cost: observed_load::likely(leaf, info, near),
-        ejected: leaf.ejected_until > s.now,
-        preferred: leaf.connection_limit != Some(0),
-    })
-}
 
-/// A leaf that is divided among the threads, if our part has room.
-fn by_share<'a>(
-    s: &SelectionContext,
-    leaf: &LeafState,
-    info: &'a Arc<LeafInfo>,
-    pool: &PoolPlan,
-    near: bool,
-) -> Option<Candidate<'a>> {
-    let own = room(s, leaf, pool);
-    (leaf.in_flight < own).then(|| Candidate {
-        info,
-        cost: load(leaf, own),
-        ejected: leaf.ejected_until > s.now,
-        preferred: near,
-    })
-}
+    /// A leaf that is divided among the threads, if our part has room.
+    fn by_allocation<'a>(
+        &self,
+        leaf: &LeafState,
+        info: &'a Arc<LeafInfo>,
+        pool: &PoolPlan,
+        near: bool,
+    ) -> Option<Candidate<'a>> {
+        let own = self.allocation(leaf, pool);
+        (leaf.in_flight < own).then(|| Candidate {
+            info,
+            cost: leaf.load(own),
+            ejected: leaf.ejected_until > self.now,
+            preferred: near,
+        })
+    }
 
-/// Dispatches that we may have in hand at a leaf.
-pub fn room(s: &SelectionContext, leaf: &LeafState, pool: &PoolPlan) -> u64 {
-    let rank = if warm(leaf, pool.ramp, s.now) { leaf.balanced_rank } else { leaf.rank };
-    let part = part(s.quota_share, rank, bears(leaf, pool.bears, pool.ramp, s.now));
-    used(leaf, part, s.quota_share.own_thread, s.now)
+    /// Dispatches that we may have in hand at a leaf.
+    pub fn allocation(&self, leaf: &LeafState, pool: &PoolPlan) -> u64 {
+        let rank = if leaf.is_warm(pool.ramp, self.now) { leaf.balanced_rank } else { leaf.rank };
+        let part =
+            self.quota_share.allocation(rank, leaf.capacity(pool.bears, pool.ramp, self.now));
+        leaf.usable_allocation(part, self.quota_share.own_thread, self.now)
+    }
 }
--- a/crates/core/src/query/observed_load.rs
+++ b/crates/core/src/query/observed_load.rs
@@ -5,7 +5,7 @@
 //! load with each answer, and work that it turned away.
 
 use crate::consts;
-use crate::query::leaf::{LeafState, used};
+use crate::query::leaf::LeafState;
 use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick};
 
@@ -17,47 +17,49 @@
     pub slots: u32,
 }
 
-/// Notes what a leaf says of its load; what of it is not ours is others'.
-pub fn hear(leaf: &mut LeafState, load: ReportedLoad) {
-    leaf.reported_slots = u64::from(load.slots);
-    let all = u64::from(load.running) + u64::from(load.waiting);
-    // Its answer is counted out already on its side, and not yet on ours.
-    let others = all.saturating_sub(leaf.in_flight.saturating_sub(1)) * 1_000;
-    let n = consts::SEEN_WEIGHT;
-    leaf.foreign_load = leaf.foreign_load - leaf.foreign_load / n + others / n;
-}
-
-/// The slots of a leaf, by its own word, the list's or our guess.
-pub fn slots(leaf: &LeafState, info: &LeafInfo) -> u64 {
-    match (leaf.reported_slots, info.slots) {
-        (0, 0) => consts::SEEN_SLOTS,
-        (0, listed) => u64::from(listed),
-        (said, _) => said,
+impl LeafState {
+    /// Notes what a leaf says of its load; what of it is not ours is others'.
+    pub fn record_reported_load(&mut self, load: ReportedLoad) {
+        self.reported_slots = u64::from(load.slots);
+        let all = u64::from(load.running) + u64::from(load.waiting);
+        // Its answer is counted out already on its side, and not yet on ours.
+        let others = all.saturating_sub(self.in_flight.saturating_sub(1)) * 1_000;
+        let n = consts::SEEN_WEIGHT;
+        self.foreign_load = self.foreign_load - self.foreign_load / n + others / n;
     }
-}
 
-/// Dispatches that we may have in hand at a leaf: a little more than it works
-/// on at once, less where it turns work away or its connections are few.
-pub fn room(leaf: &LeafState, info: &LeafInfo, now: Tick) -> u64 {
-    let full = slots(leaf, info) * consts::SEEN_SLOTS_PCT / 100;
-    let most = used(leaf, full, 0, now).max(1);
-    // A leaf that we have no connection to is asked in need, with one.
-    leaf.connection_limit.map_or(most, |connections| most.min(connections.max(1)))
-}
+    /// The slots of a leaf, by its own word, the list's or our guess.
+    pub fn slots(&self, info: &LeafInfo) -> u64 {
+        match (self.reported_slots, info.slots) {
+            (0, 0) => consts::SEEN_SLOTS,
+            (0, listed) => u64::from(listed),
+            (said, _) => said,
+        }
+    }
 
-/// When the leaf would likely answer one dispatch more.
-pub fn likely(leaf: &LeafState, info: &LeafInfo, near: bool) -> Span {
-    let time = if leaf.typical_latency == 0 { consts::UNTRIED } else { leaf.typical_latency };
-    let slots = slots(leaf, info).max(1);
-    // Load in thousandths of a slot, this dispatch included.
-    let load = (leaf.in_flight + 1) * 1_000 + leaf.foreign_load;
-    let ease = slots * 10 * consts::SEEN_EASE_PCT;
-    let mut likely = time + time * load.saturating_sub(ease) / (slots * 1_000);
-    if info.cold {
-        likely += time * consts::COLD_PCT / 100;
+    /// Dispatches that we may have in hand at a leaf: a little more than it works
+    /// on at once, less where it turns work away or its connections are few.
+    pub fn concurrency_limit(&self, info: &LeafInfo, now: Tick) -> u64 {
+        let full = self.slots(info) * consts::SEEN_SLOTS_PCT / 100;
+        let most = self.usable_allocation(full, 0, now).max(1);
+        // A leaf that we have no connection to is asked in need, with one.
+        self.connection_limit.map_or(most, |connections| most.min(connections.max(1)))
     }
-    if !near {
-        likely += (time * consts::FAR_PCT / 100).max(consts::FAR_MIN);
+
+    /// When the leaf would likely answer one dispatch more.
+    pub fn expected_latency(&self, info: &LeafInfo, near: bool) -> Span {
+        let time = if self.typical_latency == 0 { consts::UNTRIED } else { self.typical_latency };
+        let slots = self.slots(info).max(1);
+        // Load in thousandths of a slot, this dispatch included.
+        let load = (self.in_flight + 1) * 1_000 + self.foreign_load;
+        let ease = slots * 10 * consts::SEEN_EASE_PCT;
+        let mut likely = time + time * load.saturating_sub(ease) / (slots * 1_000);
+        if info.cold {
+            likely += time * consts::COLD_PCT / 100;
+        }
+        if !near {
+            likely += (time * consts::FAR_PCT / 100).max(consts::FAR_MIN);
+        }
+        likely
     }
-    likely
 }
--- a/crates/core/src/query/planned_query.rs
+++ b/crates/core/src/query/planned_query.rs
@@ -67,77 +67,83 @@
     Failed(RejectionReason),
 }
 
-/// Slots of a query that want room.
-pub fn wanting(q: &Query) -> usize {
-    q.shards.iter().filter(|s| s.state == ShardState::Queued).count()
-}
-
-pub(super) fn due(q: &Query) -> Tick {
-    let mut at = q.deadline;
-    if count_in(q) >= need(q) {
-        at = at.min(q.quorum_suffices_from);
-    }
-    if wanting(q) > 0 {
-        at = at.min(q.queue_until);
+impl Query {
+    /// Slots of a query that want room.
+    pub fn queued_shards(&self) -> usize {
+        self.shards.iter().filter(|s| s.state == ShardState::Queued).count()
     }
-    for s in &q.shards {
-        if s.state == ShardState::InFlight && s.attempts < q.route.attempts {
-            at = at.min(s.hedge_at);
+
+    pub(super) fn next_due(&self) -> Tick {
+        let mut at = self.deadline;
+        if self.answered_shards() >= self.quorum_size() {
+            at = at.min(self.quorum_suffices_from);
+        }
+        if self.queued_shards() > 0 {
+            at = at.min(self.queue_until);
         }
+        for s in &self.shards {
+            if s.state == ShardState::InFlight && s.attempts < self.route.attempts {
+                at = at.min(s.hedge_at);
+            }
+        }
+        at
     }
-    at
-}
-
-pub(super) fn need(q: &Query) -> usize {
-    needed(q.route.quorum, q.shards.len())
-}
 
-pub(super) fn count_in(q: &Query) -> usize {
-    q.shards.iter().filter(|s| s.state == ShardState::Answered).count()
-}
+    pub(super) fn quorum_size(&self) -> usize {
+        needed(self.route.quorum, self.shards.len())
+    }
 
-/// The one function that changes a slot's state.
-pub(super) fn shift(slot: &mut PlannedShard, to: ShardState) {
-    use ShardState::*;
-    let fits = matches!(
-        (slot.state, to),
-        (Queued, InFlight)
-            | (Queued, Failed(_))
-            | (InFlight, Queued)
-            | (InFlight, Answered)
-            | (InFlight, Failed(_))
-    );
-    assert!(fits, "no way from {:?} to {to:?}", slot.state);
-    slot.state = to;
+    pub(super) fn answered_shards(&self) -> usize {
+        self.shards.iter().filter(|s| s.state == ShardState::Answered).count()
+    }
 }
 
-/// All dispatches of a shard may have ended without a result: it wants another
-/// leaf, or is given up for the reason `lost`.
-pub(super) fn failed(slot: &mut PlannedShard, lost: Option<RejectionReason>) {
-    if !slot.in_flight.is_empty() {
-        return;
+impl PlannedShard {
+    /// The one function that changes a slot's state.
+    pub(super) fn transition(&mut self, to: ShardState) {
+        use ShardState::*;
+        let fits = matches!(
+            (self.state, to),
+            (Queued, InFlight)
+                | (Queued, Failed(_))
+                | (InFlight, Queued)
+                | (InFlight, Answered)
+                | (InFlight, Failed(_))
+        );
+        assert!(fits, "no way from {:?} to {to:?}", self.state);
+        self.state = to;
     }
-    shift(slot, ShardState::Queued);
-    if let Some(why) = lost {
-        shift(slot, ShardState::Failed(why));
+
+    /// All dispatches of a shard may have ended without a result: it wants another
+    /// leaf, or is given up for the reason `lost`.
+    pub(super) fn attempt_failed(&mut self, lost: Option<RejectionReason>) {
+        if !self.in_flight.is_empty() {
+            return;
+        }
+        self.transition(ShardState::Queued);
+        if let Some(why) = lost {
+            self.transition(ShardState::Failed(why));
+        }
     }
-}
 
-pub(super) fn slot(shard: usize) -> PlannedShard {
-    PlannedShard {
-        index: shard,
-        state: ShardState::Queued,
-        attempts: 0,
-        attempted_leafs: Vec::new(),
-        in_flight: Vec::new(),
-        hedge_at: 0,
-        records: Vec::new(),
-        reply: None,
-        counted: false,
+    pub(super) fn new(shard: usize) -> PlannedShard {
+        PlannedShard {
+            index: shard,
+            state: ShardState::Queued,
+            attempts: 0,
+            attempted_leafs: Vec::new(),
+            in_flight: Vec::new(),
+            hedge_at: 0,
+            records: Vec::new(),
+            reply: None,
+            counted: false,
+        }
     }
 }
 
-/// Whether the shards that are in are worth more now than all of them later.
-pub fn enough(q: &Query, have: usize) -> bool {
-    q.forwarded.is_none() || have * 100 >= q.shards.len() * consts::STOP_SHARE_PCT
+impl Query {
+    /// Whether the shards that are in are worth more now than all of them later.
+    pub fn is_worth_answering(&self, have: usize) -> bool {
+        self.forwarded.is_none() || have * 100 >= self.shards.len() * consts::STOP_SHARE_PCT
+    }
 }
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -4,10 +4,9 @@
 
 use serde_json::Value;
 
-use super::admission::{room, taken};
 use super::engine::QueryEngine;
 use super::forwarded_request::ForwardedRequest;
-use super::planned_query::{Query, slot};
+use super::planned_query::{PlannedShard, Query};
 use super::request::{Rejection, RejectionReason, SearchRequest};
 use crate::config::build::Route;
 use crate::config::types::Form;
@@ -18,70 +17,72 @@
 use crate::snapshot::cluster_view::found;
 use crate::time::{Span, Tick};
 
-/// Fixes everything about a query: its mapping, its shards, its times.
-pub(super) fn plan(
-    d: &mut QueryEngine,
-    now: Tick,
-    call: u64,
-    ask: SearchRequest,
-) -> Result<Query, Rejection> {
-    let say = |reason, text: &str| Err(Rejection::new(reason, text));
-    taken(d, now)?;
-    let Some(map) = d.cluster_view.mappings.get(&ask.route).cloned() else {
-        return say(RejectionReason::UnknownRoute, "no search of that name is configured");
-    };
-    if map.form != Form::Own {
-        return say(RejectionReason::UnknownRoute, "this search is called by host and path");
+impl QueryEngine {
+    /// Fixes everything about a query: its mapping, its shards, its times.
+    pub(super) fn plan_search(
+        &mut self,
+        now: Tick,
+        call: u64,
+        ask: SearchRequest,
+    ) -> Result<Query, Rejection> {
+        let say = |reason, text: &str| Err(Rejection::new(reason, text));
+        self.check_serving(now)?;
+        let Some(map) = self.cluster_view.mappings.get(&ask.route).cloned() else {
+            return say(RejectionReason::UnknownRoute, "no search of that name is configured");
+        };
+        if map.form != Form::Own {
+            return say(RejectionReason::UnknownRoute, "this search is called by host and path");
+        }
+        self.check_capacity(map.class)?;
+        let shards = planned_shards(&map, ask.key.as_deref(), &mut self.random)?;
+        let usable = usable(ask.timeout, map.promise)?;
+        let body = question(&map, &ask.question, ask.key.as_deref(), ask.record_limit);
+        let times = QueryTimes {
+            started_at: now,
+            quorum_suffices_from: now + usable * map.stop_pct / 100,
+            queue_until: now + usable,
+            deadline: now + usable,
+        };
+        let mut q = self.new_query(call, map, shards, times);
+        q.record_limit = ask.record_limit;
+        q.body_digest = digest(&body);
+        q.body = Arc::new(body);
+        Ok(q)
     }
-    room(d, map.class)?;
-    let shards = planned_shards(&map, ask.key.as_deref(), &mut d.random)?;
-    let usable = usable(ask.timeout, map.promise)?;
-    let body = question(&map, &ask.question, ask.key.as_deref(), ask.record_limit);
-    let times = QueryTimes {
-        started_at: now,
-        quorum_suffices_from: now + usable * map.stop_pct / 100,
-        queue_until: now + usable,
-        deadline: now + usable,
-    };
-    let mut q = query(d, call, map, shards, times);
-    q.record_limit = ask.record_limit;
-    q.body_digest = digest(&body);
-    q.body = Arc::new(body);
-    Ok(q)
-}
 
-/// The same for a call that is handed over.
-pub(super) fn plan_forwarded(
-    d: &mut QueryEngine,
-    now: Tick,
-    call: u64,
-    parcel: Arc<ForwardedRequest>,
-) -> Result<Query, Rejection> {
-    taken(d, now)?;
-    let Some(map) = found(&d.cluster_view, &parcel.host, &parcel.path).cloned() else {
-        let text = "no search takes calls of this host and path";
-        return Err(Rejection::new(RejectionReason::UnknownRoute, text));
-    };
-    room(d, map.class)?;
-    let shards = planned_shards(&map, Some(&parcel.id), &mut d.random)?;
-    let usable = usable(parcel.timeout.unwrap_or(map.promise), map.promise)?;
-    let (stop, hold) = match map.target {
-        None => (usable * map.stop_pct / 100, usable),
-        Some(target) => {
-            let keep = (target * consts::TARGET_KEEP_PCT / 100)
-                .clamp(consts::TARGET_KEEP_MIN, consts::TARGET_KEEP_MAX);
-            (target.saturating_sub(keep), target * consts::HOLD_PCT / 100)
-        }
-    };
-    let times = QueryTimes {
-        started_at: now,
-        quorum_suffices_from: now + stop.min(usable),
-        queue_until: now + hold.min(usable),
-        deadline: now + usable,
-    };
-    let mut q = query(d, call, map, shards, times);
-    q.forwarded = Some(parcel);
-    Ok(q)
+    /// The same for a call that is handed over.
+    pub(super) fn plan_forwarded(
+        &mut self,
+        now: Tick,
+        call: u64,
+        parcel: Arc<ForwardedRequest>,
+    ) -> Result<Query, Rejection> {
+        self.check_serving(now)?;
+        let Some(map) = found(&self.cluster_view, &parcel.host, &parcel.path).cloned() else {
+            let text = "no search takes calls of this host and path";
+            return Err(Rejection::new(RejectionReason::UnknownRoute, text));
+        };
+        self.check_capacity(map.class)?;
+        let shards = planned_shards(&map, Some(&parcel.id), &mut self.random)?;
+        let usable = usable(parcel.timeout.unwrap_or(map.promise), map.promise)?;
+        let (stop, hold) = match map.target {
+            None => (usable * map.stop_pct / 100, usable),
+            Some(target) => {
+                let keep = (target * consts::TARGET_KEEP_PCT / 100)
+                    .clamp(consts::TARGET_KEEP_MIN, consts::TARGET_KEEP_MAX);
+                (target.saturating_sub(keep), target * consts::HOLD_PCT / 100)
+            }
+        };
+        let times = QueryTimes {
+            started_at: now,
+            quorum_suffices_from: now + stop.min(usable),
+            queue_until: now + hold.min(usable),
+            deadline: now + usable,
+        };
+        let mut q = self.new_query(call, map, shards, times);
+        q.forwarded = Some(parcel);
+        Ok(q)
+    }
 }
 
 /// When what happens to a query.
@@ -92,30 +93,32 @@
     deadline: Tick,
 }
 
-/// A query whose body is still empty.
-fn query(
-    d: &QueryEngine,
-    call: u64,
-    map: Arc<Route>,
-    shards: Vec<usize>,
-    times: QueryTimes,
-) -> Query {
-    Query {
-        call,
-        name: format!("{}-{}", d.name, d.next_query),
-        revision: d.cluster_view.revision,
-        started_at: times.started_at,
-        quorum_suffices_from: times.quorum_suffices_from,
-        deadline: times.deadline,
-        record_limit: 0,
-        body_digest: String::new(),
-        body: Arc::default(),
-        shards: shards.into_iter().map(slot).collect(),
-        forwarded: None,
-        queue_until: times.queue_until,
-        executed: false,
-        last_failure: None,
-        route: map,
+impl QueryEngine {
+    /// A query whose body is still empty.
+    fn new_query(
+        &self,
+        call: u64,
+        map: Arc<Route>,
+        shards: Vec<usize>,
+        times: QueryTimes,
+    ) -> Query {
+        Query {
+            call,
+            name: format!("{}-{}", self.name, self.next_query),
+            revision: self.cluster_view.revision,
+            started_at: times.started_at,
+            quorum_suffices_from: times.quorum_suffices_from,
+            deadline: times.deadline,
+            record_limit: 0,
+            body_digest: String::new(),
+            body: Arc::default(),
+            shards: shards.into_iter().map(PlannedShard::new).collect(),
+            forwarded: None,
+            queue_until: times.queue_until,
+            executed: false,
+            last_failure: None,
+            route: map,
+        }
     }
 }
 
--- a/crates/core/src/query/retry.rs
+++ b/crates/core/src/query/retry.rs
@@ -16,56 +16,60 @@
     rejected: u64,
 }
 
-/// Notes the end of a call; `away` if it was sent away for want of room.
-pub fn note(s: &mut LoadPressure, now: Tick, away: bool) {
-    settle(s, now);
-    s.arrived += 1_000;
-    s.rejected += if away { 1_000 } else { 0 };
-}
+impl LoadPressure {
+    /// Notes the end of a call; `away` if it was sent away for want of room.
+    pub fn record(&mut self, now: Tick, away: bool) {
+        self.decay(now);
+        self.arrived += 1_000;
+        self.rejected += if away { 1_000 } else { 0 };
+    }
 
-fn settle(s: &mut LoadPressure, now: Tick) {
-    let halves = since(s.decayed_at, now) / STRAIN_HALF;
-    if halves > 0 {
-        s.arrived = s.arrived.checked_shr(halves as u32).unwrap_or(0);
-        s.rejected = s.rejected.checked_shr(halves as u32).unwrap_or(0);
-        s.decayed_at += halves * STRAIN_HALF;
+    fn decay(&mut self, now: Tick) {
+        let halves = since(self.decayed_at, now) / STRAIN_HALF;
+        if halves > 0 {
+            self.arrived = self.arrived.checked_shr(halves as u32).unwrap_or(0);
+            self.rejected = self.rejected.checked_shr(halves as u32).unwrap_or(0);
+            self.decayed_at += halves * STRAIN_HALF;
+        }
     }
-}
 
-/// Time after which a caller who handed a call over may come back: soon, since
-/// most troubles of one node or leaf are over before its budget ends.
-pub fn soon(s: &mut LoadPressure, now: Tick, rest: Span, luck: &mut Random) -> Span {
-    settle(s, now);
-    let base = (AGAIN_SOON * s.arrived).checked_div((s.arrived - s.rejected).max(1)).unwrap_or(0);
-    let base = base.max(rest).clamp(AGAIN_SOON, AGAIN_MIN_S * SECOND);
-    base + below(luck, base / 2 + 1)
-}
+    /// Time after which a caller who handed a call over may come back: soon, since
+    /// most troubles of one node or leaf are over before its budget ends.
+    pub fn retry_after(&mut self, now: Tick, rest: Span, luck: &mut Random) -> Span {
+        self.decay(now);
+        let base = (AGAIN_SOON * self.arrived)
+            .checked_div((self.arrived - self.rejected).max(1))
+            .unwrap_or(0);
+        let base = base.max(rest).clamp(AGAIN_SOON, AGAIN_MIN_S * SECOND);
+        base + below(luck, base / 2 + 1)
+    }
 
-/// Seconds after which the caller may ask again. `rest` is the time until a
-/// leaf that its query needed may be asked again.
-///
-/// Under overload: if of all that comes a share `r` is sent away, then what we
-/// can bear is `1 - r` of it, and all of it would fit into `1 / (1 - r)` of the
-/// time. So that is what the callers are asked to take.
-pub fn again_s(
-    s: &mut LoadPressure,
-    now: Tick,
-    why: RejectionReason,
-    rest: Span,
-    luck: &mut Random,
-) -> u64 {
-    settle(s, now);
-    let base = match why {
-        RejectionReason::ConcurrencyLimit
-        | RejectionReason::NoCapacity
-        | RejectionReason::DeadlineExceeded => {
-            let stays = (s.arrived - s.rejected).max(s.arrived / AGAIN_MAX_S).max(1);
-            (AGAIN_MIN_S * s.arrived).div_ceil(stays)
-        }
-        RejectionReason::NoLeaf | RejectionReason::BelowQuorum => rest.div_ceil(SECOND),
-        // Another node serves; the platform needs a moment to send nobody here.
-        _ => AGAIN_MIN_S,
-    };
-    let base = base.clamp(AGAIN_MIN_S, AGAIN_MAX_S);
-    (base + below(luck, base + 1)).min(AGAIN_MAX_S)
+    /// Seconds after which the caller may ask again. `rest` is the time until a
+    /// leaf that its query needed may be asked again.
+    ///
+    /// Under overload: if of all that comes a share `r` is sent away, then what we
+    /// can bear is `1 - r` of it, and all of it would fit into `1 / (1 - r)` of the
+    /// time. So that is what the callers are asked to take.
+    pub fn retry_after_seconds(
+        &mut self,
+        now: Tick,
+        why: RejectionReason,
+        rest: Span,
+        luck: &mut Random,
+    ) -> u64 {
+        self.decay(now);
+        let base = match why {
+            RejectionReason::ConcurrencyLimit
+            | RejectionReason::NoCapacity
+            | RejectionReason::DeadlineExceeded => {
+                let stays = (self.arrived - self.rejected).max(self.arrived / AGAIN_MAX_S).max(1);
+                (AGAIN_MIN_S * self.arrived).div_ceil(stays)
+            }
+            RejectionReason::NoLeaf | RejectionReason::BelowQuorum => rest.div_ceil(SECOND),
+            // Another node serves; the platform needs a moment to send nobody here.
+            _ => AGAIN_MIN_S,
+        };
+        let base = base.clamp(AGAIN_MIN_S, AGAIN_MAX_S);
+        (base + below(luck, base + 1)).min(AGAIN_MAX_S)
+    }
 }
--- a/crates/core/src/query/retry_budget.rs
+++ b/crates/core/src/query/retry_budget.rs
@@ -27,50 +27,52 @@
     slack_from: Tick,
 }
 
-/// A rule for a thread that starts now.
-pub fn rule(now: Tick) -> RetryBudget {
-    RetryBudget { slack_from: now + RETRY_WINDOW, ..RetryBudget::default() }
-}
-
-/// Sets the thread's part of the small slack.
-pub fn slack(rule: &mut RetryBudget, part: u64) {
-    rule.slack = part;
-}
-
-/// Notes a first dispatch.
-pub fn first(rule: &mut RetryBudget, now: Tick) {
-    prune(rule, now);
-    rule.first_attempts.push_back(now);
-    let burst =
-        rule.first_attempts.iter().rev().take_while(|t| since(**t, now) < RETRY_BURST).count();
-    rule.credit = (rule.credit + RETRY_PCT).min(burst as u64 * RETRY_PCT + 100);
-}
+impl RetryBudget {
+    /// A rule for a thread that starts now.
+    pub fn new(now: Tick) -> RetryBudget {
+        RetryBudget { slack_from: now + RETRY_WINDOW, ..RetryBudget::default() }
+    }
 
-/// Takes leave for a second try; false when the rule has none to give.
-pub fn second(rule: &mut RetryBudget, now: Tick) -> bool {
-    prune(rule, now);
-    let slack = if now >= rule.slack_from { rule.slack } else { 0 };
-    let room = rule.first_attempts.len() as u64 * RETRY_PCT / 100 + slack;
-    let spent = rule.retries.len() as u64;
-    // Slack carries a try that the credit alone would not.
-    let paid = rule.credit >= 100;
-    let lent = rule.retries.iter().filter(|s| !s.1).count() as u64;
-    if spent >= room || (!paid && lent >= slack) {
-        return false;
+    /// Sets the thread's part of the small slack.
+    pub fn set_slack(&mut self, part: u64) {
+        self.slack = part;
     }
-    if paid {
-        rule.credit -= 100;
+
+    /// Notes a first dispatch.
+    pub fn record_first_attempt(&mut self, now: Tick) {
+        self.prune(now);
+        self.first_attempts.push_back(now);
+        let burst =
+            self.first_attempts.iter().rev().take_while(|t| since(**t, now) < RETRY_BURST).count();
+        self.credit = (self.credit + RETRY_PCT).min(burst as u64 * RETRY_PCT + 100);
     }
-    rule.retries.push_back((now, paid));
-    true
-}
 
-fn prune(rule: &mut RetryBudget, now: Tick) {
-    let old = |t: Option<&Tick>| t.is_some_and(|t| since(*t, now) >= RETRY_WINDOW);
-    while old(rule.first_attempts.front()) {
-        rule.first_attempts.pop_front();
+    /// Takes leave for a second try; false when the rule has none to give.
+    pub fn try_retry(&mut self, now: Tick) -> bool {
+        self.prune(now);
+        let slack = if now >= self.slack_from { self.slack } else { 0 };
+        let room = self.first_attempts.len() as u64 * RETRY_PCT / 100 + slack;
+        let spent = self.retries.len() as u64;
+        // Slack carries a try that the credit alone would not.
+        let paid = self.credit >= 100;
+        let lent = self.retries.iter().filter(|s| !s.1).count() as u64;
+        if spent >= room || (!paid && lent >= slack) {
+            return false;
+        }
+        if paid {
+            self.credit -= 100;
+        }
+        self.retries.push_back((now, paid));
+        true
     }
-    while old(rule.retries.front().map(|s| &s.0)) {
-        rule.retries.pop_front();
+
+    fn prune(&mut self, now: Tick) {
+        let old = |t: Option<&Tick>| t.is_some_and(|t| since(*t, now) >= RETRY_WINDOW);
+        while old(self.first_attempts.front()) {
+            self.first_attempts.pop_front();
+        }
+        while old(self.retries.front().map(|s| &s.0)) {
+            self.retries.pop_front();
+        }
     }
 }
--- a/crates/core/src/query/service_retry_budget.rs
+++ b/crates/core/src/query/service_retry_budget.rs
@@ -21,9 +21,11 @@
     pub fleet_slack: u64,
 }
 
-/// The project's own rule (`consts`).
-pub fn own() -> RetryRate {
-    RetryRate { per_thousand: consts::RETRY_PCT * 10, fleet_slack: consts::RETRY_SLACK }
+impl RetryRate {
+    /// The project's own rule (`consts`).
+    pub fn standard() -> RetryRate {
+        RetryRate { per_thousand: consts::RETRY_PCT * 10, fleet_slack: consts::RETRY_SLACK }
+    }
 }
 
 /// What is saved up for each service.
@@ -35,52 +37,54 @@
     credits: IndexMap<String, u64>,
 }
 
-/// A quota with nothing saved, for a node that knows of no other.
-pub fn quota(rate: RetryRate) -> ServiceRetryBudget {
-    ServiceRetryBudget { rate, credit_limit: 1_000, credits: IndexMap::new() }
-}
+impl ServiceRetryBudget {
+    /// A quota with nothing saved, for a node that knows of no other.
+    pub fn new(rate: RetryRate) -> ServiceRetryBudget {
+        ServiceRetryBudget { rate, credit_limit: 1_000, credits: IndexMap::new() }
+    }
 
-/// Another rule holds from now on.
-pub fn rated(q: &mut ServiceRetryBudget, rate: RetryRate, threads: u64) {
-    q.rate = rate;
-    among(q, threads);
-}
+    /// Another rule holds from now on.
+    pub fn set_rate(&mut self, rate: RetryRate, threads: u64) {
+        self.rate = rate;
+        self.set_thread_count(threads);
+    }
 
-/// The fleet has so many threads that share the slack.
-pub fn among(q: &mut ServiceRetryBudget, threads: u64) {
-    // Without a place in the membership nobody knows what others spend.
-    let threads = if threads == 0 { u64::MAX } else { threads };
-    let part = q.rate.fleet_slack * 1_000 * consts::SECOND_KEEP_PCT / 100 / threads;
-    // Less than a whole try could never be spent.
-    q.credit_limit = part.max(1_000);
-    for saved in q.credits.values_mut() {
-        *saved = (*saved).min(q.credit_limit);
+    /// The fleet has so many threads that share the slack.
+    pub fn set_thread_count(&mut self, threads: u64) {
+        // Without a place in the membership nobody knows what others spend.
+        let threads = if threads == 0 { u64::MAX } else { threads };
+        let part = self.rate.fleet_slack * 1_000 * consts::SECOND_KEEP_PCT / 100 / threads;
+        // Less than a whole try could never be spent.
+        self.credit_limit = part.max(1_000);
+        for saved in self.credits.values_mut() {
+            *saved = (*saved).min(self.credit_limit);
+        }
     }
-}
 
-/// A call for a service has come and goes to a leaf.
-pub fn first(q: &mut ServiceRetryBudget, service: &str) {
-    let earned = q.rate.per_thousand * consts::SECOND_KEEP_PCT / 100;
-    match q.credits.get_mut(service) {
-        Some(saved) => *saved = (*saved + earned).min(q.credit_limit),
-        None => {
-            q.credits.insert(service.to_string(), earned);
+    /// A call for a service has come and goes to a leaf.
+    pub fn record_first_attempt(&mut self, service: &str) {
+        let earned = self.rate.per_thousand * consts::SECOND_KEEP_PCT / 100;
+        match self.credits.get_mut(service) {
+            Some(saved) => *saved = (*saved + earned).min(self.credit_limit),
+            None => {
+                self.credits.insert(service.to_string(), earned);
+            }
         }
     }
-}
 
-/// Takes leave for a second try.
-pub fn second(q: &mut ServiceRetryBudget, service: &str) -> bool {
-    match q.credits.get_mut(service) {
-        Some(saved) if *saved >= 1_000 => {
-            *saved -= 1_000;
-            true
+    /// Takes leave for a second try.
+    pub fn try_retry(&mut self, service: &str) -> bool {
+        match self.credits.get_mut(service) {
+            Some(saved) if *saved >= 1_000 => {
+                *saved -= 1_000;
+                true
+            }
+            _ => false,
         }
-        _ => false,
     }
-}
 
-/// Forgets services that are no longer known.
-pub fn keep(q: &mut ServiceRetryBudget, known: impl Fn(&str) -> bool) {
-    q.credits.retain(|s, _| known(s));
+    /// Forgets services that are no longer known.
+    pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
+        self.credits.retain(|s, _| known(s));
+    }
 }
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/again.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use grebepath_core::query::request::RejectionReason;
-use grebepath_core::query::retry::{LoadPressure, again_s, note};
+use grebepath_core::query::retry::LoadPressure;
 use grebepath_core::random::luck;
 use grebepath_core::time::{SECOND, ms};
 
@@ -12,10 +12,11 @@
     let mut s = LoadPressure::default();
     let mut luck = luck(5);
     for i in 0..n {
-        note(&mut s, ms(1_000 + i), i % each == 0);
+        s.record(ms(1_000 + i), i % each == 0);
     }
     let now = ms(1_000 + n) + after;
-    let all: Vec<u64> = (0..200).map(|_| again_s(&mut s, now, why, rest, &mut luck)).collect();
+    let all: Vec<u64> =
+        (0..200).map(|_| s.retry_after_seconds(now, why, rest, &mut luck)).collect();
     (*all.iter().min().unwrap(), *all.iter().max().unwrap())
 }
 
--- a/crates/core/tests/cold.rs
+++ b/crates/core/tests/cold.rs
@@ -3,8 +3,7 @@
 use std::collections::BTreeMap;
 
 use grebepath_core::query::connection_subset::ConnectingThread;
-use grebepath_core::query::leaf::leaf;
-use grebepath_core::query::slow_start::{keeps, saved, spend};
+use grebepath_core::query::leaf::LeafState;
 use grebepath_core::random::{below, chance, luck};
 use grebepath_core::time::{BOOT, SECOND, Tick, ms};
 
@@ -18,18 +17,21 @@
     let peers = nodes(9);
     let mut kept: BTreeMap<u64, u64> = BTreeMap::new();
     for i in 0..900 {
-        let l = leaf(&format!("i-{i}"), BOOT);
-        let who: Vec<u64> =
-            peers.iter().filter(|p| keeps(&l, &peers, p.thread_id)).map(|p| p.thread_id).collect();
+        let l = LeafState::new(&format!("i-{i}"), BOOT);
+        let who: Vec<u64> = peers
+            .iter()
+            .filter(|p| l.is_warmed_up_by(&peers, p.thread_id))
+            .map(|p| p.thread_id)
+            .collect();
         assert_eq!(who.len(), 1, "{}", l.hash);
         *kept.entry(who[0]).or_default() += 1;
         // Nobody else's leaf changes hands when a node goes.
         let rest: Vec<ConnectingThread> =
             peers.iter().filter(|p| p.thread_id != peers[4].thread_id).cloned().collect();
-        let then = rest.iter().find(|p| keeps(&l, &rest, p.thread_id)).unwrap();
+        let then = rest.iter().find(|p| l.is_warmed_up_by(&rest, p.thread_id)).unwrap();
         assert!(who[0] == peers[4].thread_id || then.thread_id == who[0]);
         // Before anyone else is known, nobody sends.
-        assert!(!keeps(&l, &[], peers[0].thread_id));
+        assert!(!l.is_warmed_up_by(&[], peers[0].thread_id));
     }
     assert!(kept.len() == 9 && kept.values().all(|n| (60..=140).contains(n)), "{kept:?}");
 }
@@ -42,7 +44,7 @@
         let mut luck = luck(seed);
         // Thousandths of a dispatch a second, from very few to many.
         let rate = [200, 1_000, 2_500, 8_000, 60_000][seed as usize % 5];
-        let mut l = leaf("i", BOOT);
+        let mut l = LeafState::new("i", BOOT);
         let mut now = BOOT;
         let mut sent: Vec<Tick> = Vec::new();
         let mut eager = true;
@@ -51,8 +53,8 @@
             if chance(&mut luck, 1, 400) {
                 eager = !eager;
             }
-            while eager && saved(&l, rate, now) >= 1_000 {
-                spend(&mut l, rate, now);
+            while eager && l.slow_start_allowance(rate, now) >= 1_000 {
+                l.spend_slow_start_credit(rate, now);
                 sent.push(now);
             }
         }
--- a/crates/core/tests/desk.rs
+++ b/crates/core/tests/desk.rs
@@ -5,12 +5,10 @@
 use googletest::prelude::*;
 use grebepath_core::config::{build, read};
 use grebepath_core::http_api::leaf::{AttemptFailure, LeafReply, ReplyHeaders, postmark};
-use grebepath_core::query::engine::{QueryEngine, ServingState, desk};
+use grebepath_core::query::engine::{QueryEngine, ServingState};
 use grebepath_core::query::event::{Command, Event, OutgoingAttempt};
-use grebepath_core::query::progress::next;
-use grebepath_core::query::quota::share;
+use grebepath_core::query::quota::QuotaShare;
 use grebepath_core::query::request::{Outcome, RejectionReason, SearchRequest};
-use grebepath_core::query::step::step;
 use grebepath_core::routing_language::selector::Labels;
 use grebepath_core::snapshot::cluster_view::{ClusterView, view};
 use grebepath_core::snapshot::leafs::LeafInfo;
@@ -50,13 +48,13 @@
 }
 
 fn open(v: ClusterView) -> QueryEngine {
-    let mut d = desk("q", "a", 1, BOOT);
-    step(&mut d, BOOT, Event::ClusterView(Arc::new(v)));
-    step(&mut d, BOOT, Event::QuotaShare(share(&[("q".into(), 1)], "q", 0)));
-    step(&mut d, BOOT, Event::LeaseValidUntil(Tick::MAX));
+    let mut d = QueryEngine::new("q", "a", 1, BOOT);
+    d.step(BOOT, Event::ClusterView(Arc::new(v)));
+    d.step(BOOT, Event::QuotaShare(QuotaShare::new(&[("q".into(), 1)], "q", 0)));
+    d.step(BOOT, Event::LeaseValidUntil(Tick::MAX));
     // Enough first dispatches in the past that the retry rule is no hindrance.
     for i in 0..400 {
-        grebepath_core::query::retry_budget::first(&mut d.retry_budget, BOOT + i);
+        d.retry_budget.record_first_attempt(BOOT + i);
     }
     d
 }
@@ -69,7 +67,7 @@
         record_limit: 3,
         timeout: 2 * SECOND,
     };
-    step(d, now, Event::Search { call, request: ask })
+    d.step(now, Event::Search { call, request: ask })
 }
 
 fn sent(todo: Vec<Command>) -> Vec<OutgoingAttempt> {
@@ -104,7 +102,7 @@
     s: &OutgoingAttempt,
     got: std::result::Result<LeafReply, AttemptFailure>,
 ) -> Vec<Command> {
-    step(d, now, Event::AttemptEnded { attempt: s.attempt, result: got })
+    d.step(now, Event::AttemptEnded { attempt: s.attempt, result: got })
 }
 
 #[googletest::test]
@@ -171,11 +169,11 @@
     let list = sent(ask(&mut d, now, 1));
     reply(&mut d, now + ms(5), &list[0], Ok(good(&list[0], &[3])));
     // The wait is 20 % of a second; then the other zone is asked too.
-    expect_that!(next(&d), some(eq(now + ms(200))));
-    let second = sent(step(&mut d, now + ms(200), Event::Timer));
+    expect_that!(d.next_due(), some(eq(now + ms(200))));
+    let second = sent(d.step(now + ms(200), Event::Timer));
     expect_that!(second.len(), eq(1));
     expect_that!(second[0].leaf, eq("w1-1-b"));
-    let end = step(&mut d, now + ms(500), Event::Timer);
+    let end = d.step(now + ms(500), Event::Timer);
     let Some(Outcome::Answered(full)) = told(&end) else { panic!("no answer at quorum") };
     expect_that!((full.missing, full.shards.len()), eq((1, 1)));
     // Both dispatches of the missing shard are given up.
@@ -203,7 +201,7 @@
     let now = BOOT + SECOND;
     let list = sent(ask(&mut d, now, 1));
     // Amid the query the index is recut and zone b emptied.
-    step(&mut d, now + 10, Event::ClusterView(Arc::new(world("w2", "b"))));
+    d.step(now + 10, Event::ClusterView(Arc::new(world("w2", "b"))));
     let todo = reply(&mut d, now + 20, &list[0], Err(AttemptFailure::Truncated));
     expect_that!(sent(todo).len(), eq(0), "the only other leaf stands in zone b");
     let end = reply(&mut d, now + 30, &list[1], Ok(good(&list[1], &[1])));
@@ -217,7 +215,7 @@
 fn a_caller_that_goes_away_takes_its_dispatches_along() {
     let mut d = open(world("w1", "z"));
     let list = sent(ask(&mut d, BOOT + SECOND, 1));
-    let todo = step(&mut d, BOOT + SECOND + 5, Event::CallerGone { call: 1 });
+    let todo = d.step(BOOT + SECOND + 5, Event::CallerGone { call: 1 });
     expect_that!(todo.len(), eq(list.len()));
     expect_that!(d.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
 }
@@ -227,16 +225,16 @@
     let mut d = open(world("w1", "z"));
     let now = BOOT + SECOND;
     let list = sent(ask(&mut d, now, 1));
-    step(&mut d, now, Event::LeaseValidUntil(now + 50));
+    d.step(now, Event::LeaseValidUntil(now + 50));
     let todo = reply(&mut d, now + 60, &list[0], Err(AttemptFailure::Truncated));
     expect_that!(sent(todo).len(), eq(0));
     let todo = ask(&mut d, now + 70, 2);
     let Some(Outcome::Rejected(b)) = told(&todo) else { panic!("taken without a grip") };
     expect_that!(b.reason, eq(RejectionReason::Isolated));
     // With a new one, what waited goes on.
-    let todo = step(&mut d, now + 80, Event::LeaseValidUntil(Tick::MAX));
+    let todo = d.step(now + 80, Event::LeaseValidUntil(Tick::MAX));
     expect_that!(sent(todo).len(), eq(1));
-    step(&mut d, now + 90, Event::ServingState(ServingState::ShuttingDown));
+    d.step(now + 90, Event::ServingState(ServingState::ShuttingDown));
     let todo = ask(&mut d, now + 91, 3);
     let Some(Outcome::Rejected(b)) = told(&todo) else { panic!("taken while stopping") };
     expect_that!(b.reason, eq(RejectionReason::ShuttingDown));
@@ -252,12 +250,8 @@
             let sum: u64 = threads
                 .iter()
                 .map(|(m, t)| {
-                    let s = share(&members, m, *t);
-                    grebepath_core::query::quota::part(
-                        &s,
-                        grebepath_core::query::quota::rank(&s, thing),
-                        total,
-                    )
+                    let s = QuotaShare::new(&members, m, *t);
+                    s.allocation(s.rank(thing), total)
                 })
                 .sum();
             assert_eq!(sum, total);
@@ -266,9 +260,9 @@
         let rows: Vec<Vec<u64>> = threads
             .iter()
             .map(|(m, t)| {
-                let s = share(&members, m, *t);
-                let ranks = grebepath_core::query::quota::deal(&s, 5, &[total; 9]);
-                ranks.iter().map(|r| grebepath_core::query::quota::part(&s, *r, total)).collect()
+                let s = QuotaShare::new(&members, m, *t);
+                let ranks = s.balanced_ranks(5, &[total; 9]);
+                ranks.iter().map(|r| s.allocation(*r, total)).collect()
             })
             .collect();
         for leaf in 0..9 {
--- a/crates/core/tests/hand.rs
+++ b/crates/core/tests/hand.rs
@@ -7,16 +7,13 @@
 use grebepath_core::config::{build, read};
 use grebepath_core::consts;
 use grebepath_core::http_api::leaf::{AttemptFailure, LeafReply, ReplyHeaders};
-use grebepath_core::query::engine::{QueryEngine, desk};
+use grebepath_core::query::engine::QueryEngine;
 use grebepath_core::query::event::{Command, Event, OutgoingAttempt};
 use grebepath_core::query::forwarded_request::{
     ForwardedReply, ForwardedRequest, MergedReply, join,
 };
-use grebepath_core::query::progress::next;
-use grebepath_core::query::quota::share;
+use grebepath_core::query::quota::QuotaShare;
 use grebepath_core::query::request::{Outcome, Rejection, RejectionReason};
-use grebepath_core::query::service_retry_budget;
-use grebepath_core::query::step::step;
 use grebepath_core::random::{Random, below, chance, draw, luck};
 use grebepath_core::snapshot::cluster_view::{ClusterView, view};
 use grebepath_core::snapshot::leafs::LeafInfo;
@@ -72,13 +69,13 @@
 
 /// A desk with a saved quota of second tries for every service.
 fn open(w: &World) -> QueryEngine {
-    let mut d = desk("q", "a", 1, BOOT);
-    step(&mut d, BOOT, Event::ClusterView(Arc::new(seen(w))));
-    step(&mut d, BOOT, Event::QuotaShare(share(&[("q".into(), 1)], "q", 0)));
-    step(&mut d, BOOT, Event::LeaseValidUntil(Tick::MAX));
+    let mut d = QueryEngine::new("q", "a", 1, BOOT);
+    d.step(BOOT, Event::ClusterView(Arc::new(seen(w))));
+    d.step(BOOT, Event::QuotaShare(QuotaShare::new(&[("q".into(), 1)], "q", 0)));
+    d.step(BOOT, Event::LeaseValidUntil(Tick::MAX));
     for (s, _) in &w.services {
         for _ in 0..200 {
-            service_retry_budget::first(&mut d.service_retry_budget, s);
+            d.service_retry_budget.record_first_attempt(s);
         }
     }
     d
@@ -122,7 +119,7 @@
 }
 
 fn hand(d: &mut QueryEngine, now: Tick, call: u64, host: &str, path: &str) -> Vec<Command> {
-    step(d, now, Event::Forward { call, request: Arc::new(parcel(host, path)) })
+    d.step(now, Event::Forward { call, request: Arc::new(parcel(host, path)) })
 }
 
 fn call(d: &mut QueryEngine, now: Tick, call: u64) -> Vec<OutgoingAttempt> {
@@ -180,11 +177,11 @@
 type Got = std::result::Result<LeafReply, AttemptFailure>;
 
 fn reply(d: &mut QueryEngine, now: Tick, s: &OutgoingAttempt, got: Got) -> Vec<Command> {
-    step(d, now, Event::AttemptEnded { attempt: s.attempt, result: got })
+    d.step(now, Event::AttemptEnded { attempt: s.attempt, result: got })
 }
 
 fn wake(d: &mut QueryEngine, now: Tick) -> Vec<Command> {
-    step(d, now, Event::Timer)
+    d.step(now, Event::Timer)
 }
 
 #[googletest::test]
@@ -326,7 +323,7 @@
     let mut v = seen(&w);
     let moved = LeafInfo { leaf: "p-0".into(), ..(*v.leafs["q-0"]).clone() };
     v.leafs.insert("p-0".into(), Arc::new(moved));
-    step(&mut d, NOW + 1, Event::ClusterView(Arc::new(v)));
+    d.step(NOW + 1, Event::ClusterView(Arc::new(v)));
     let todo = reply(&mut d, NOW + 5, &list[0], Ok(good(&list[0])));
     expect_that!(matches!(told(&todo), Some(Outcome::Forwarded(_))), eq(false));
 }
@@ -414,7 +411,7 @@
             out = sent(todo);
         }
         while end.is_none() {
-            let due = next(&d).unwrap();
+            let due = d.next_due().unwrap();
             let todo = wake(&mut d, due);
             end = told(&todo).cloned();
             assert!(sent(todo).is_empty(), "seed {seed}: sent late");
@@ -539,7 +536,7 @@
     for s in &list[..3] {
         expect_that!(told(&reply(&mut d, NOW + 5, s, Ok(good(s)))).is_none(), eq(true));
     }
-    let at = next(&d).unwrap();
+    let at = d.next_due().unwrap();
     expect_that!(at, lt(NOW + ms(100)), "there must be time for the way home");
     expect_that!(at, ge(NOW + ms(80)));
     expect_that!(told(&wake(&mut d, at - 1)).is_none(), eq(true));
@@ -595,7 +592,7 @@
     let mut d = open(&world(&[("p", 4)], vec![pass(json!({ "attempts": 2 }))]));
     // Before anything is learned, the wait is a share of the target.
     let list = call(&mut d, NOW, 1);
-    expect_that!(next(&d), some(eq(NOW + ms(100) * consts::WAIT_TARGET_PCT / 100)));
+    expect_that!(d.next_due(), some(eq(NOW + ms(100) * consts::WAIT_TARGET_PCT / 100)));
     reply(&mut d, NOW + ms(2), &list[0], Ok(good(&list[0])));
     for i in 0..400 {
         let list = call(&mut d, NOW + i, 10 + i);
@@ -603,7 +600,7 @@
     }
     let at = NOW + SECOND;
     let first = call(&mut d, at, 2);
-    let due = next(&d).unwrap();
+    let due = d.next_due().unwrap();
     expect_that!(due, gt(at + ms(4)));
     expect_that!(due, lt(at + ms(20)));
     expect_that!(sent(wake(&mut d, due - 1)).len(), eq(0));
@@ -664,7 +661,7 @@
 #[googletest::test]
 fn unreachable_leafs_cost_neither_a_try_nor_the_quota() {
     let mut d = open(&world(&[("p", 8)], vec![pass(json!({ "attempts": 1, "once": true }))]));
-    service_retry_budget::keep(&mut d.service_retry_budget, |_| false);
+    d.service_retry_budget.retain(|_| false);
     let mut out = call(&mut d, NOW, 1);
     let mut leafs = Vec::new();
     for _ in 0..consts::UNREACHED_MAX {
@@ -701,7 +698,7 @@
         let list = call(&mut d, NOW, 1);
         expect_that!(list[0].leaf, eq("p-0"), "the local zone is preferred");
         (w.drained, w.leaving) = (drained, leaving);
-        step(&mut d, NOW + 1, Event::ClusterView(Arc::new(seen(&w))));
+        d.step(NOW + 1, Event::ClusterView(Arc::new(seen(&w))));
         expect_that!(sent(wake(&mut d, NOW + ms(50))).len(), eq(0));
         let todo = reply(&mut d, NOW + ms(60), &list[0], Err(AttemptFailure::Truncated));
         expect_that!(bounced(&todo).executed, eq(true));
@@ -715,7 +712,7 @@
     for i in 0..1_000 {
         let list = call(d, NOW, 100 + i);
         if list.is_empty() {
-            step(d, NOW, Event::CallerGone { call: 100 + i });
+            d.step(NOW, Event::CallerGone { call: 100 + i });
             return out;
         }
         out.extend(list);
@@ -732,7 +729,7 @@
         let out = full(&mut d);
         expect_that!(call(&mut d, NOW, 1).len(), eq(0));
         (w.drained, w.leaving) = (drained, leaving);
-        let mut todo = step(&mut d, NOW + 1, Event::ClusterView(Arc::new(seen(&w))));
+        let mut todo = d.step(NOW + 1, Event::ClusterView(Arc::new(seen(&w))));
         for s in out.iter().filter(|s| s.leaf == "p-1") {
             todo.extend(reply(&mut d, NOW + 2, s, Ok(good(s))));
         }
@@ -753,7 +750,7 @@
     expect_that!(out.len(), ge(2));
     expect_that!(call(&mut d, NOW, 1).len(), eq(0));
     let hold = NOW + ms(100) * consts::HOLD_PCT / 100;
-    expect_that!(next(&d), some(eq(hold)));
+    expect_that!(d.next_due(), some(eq(hold)));
     expect_that!(told(&wake(&mut d, hold - 1)).is_none(), eq(true));
     let todo = wake(&mut d, hold);
     let b = bounced(&todo);
@@ -839,12 +836,12 @@
                 }
                 _ => {
                     // Time goes on, but never past what the desk waits for.
-                    let due = next(&d).unwrap_or(Tick::MAX);
+                    let due = d.next_due().unwrap_or(Tick::MAX);
                     now = (now + ms(below(&mut luck, 30))).min(due.max(now));
                     Event::Timer
                 }
             };
-            for command in step(&mut d, now, event) {
+            for command in d.step(now, event) {
                 match command {
                     Command::Send(s) => out.push(s),
                     Command::Respond { call, .. } => {
--- a/crates/core/tests/quota.rs
+++ b/crates/core/tests/quota.rs
@@ -1,9 +1,7 @@
 //! The quota of second tries over all nodes, against a count of every window.
 
 use googletest::prelude::*;
-use grebepath_core::query::service_retry_budget::{
-    RetryRate, ServiceRetryBudget, among, first, keep, quota, rated, second,
-};
+use grebepath_core::query::service_retry_budget::{RetryRate, ServiceRetryBudget};
 use grebepath_core::random::{below, chance, luck};
 
 /// What came of one run: calls and second tries, each by its time in ms.
@@ -14,8 +12,8 @@
 
 /// A node as it starts anew: nothing saved, and one of `n`.
 fn fresh(rate: RetryRate, n: usize) -> ServiceRetryBudget {
-    let mut q = quota(rate);
-    among(&mut q, n as u64);
+    let mut q = ServiceRetryBudget::new(rate);
+    q.set_thread_count(n as u64);
     q
 }
 
@@ -39,11 +37,11 @@
         // Clients are not spread evenly over the nodes.
         let i = below(&mut luck, n as u64).min(below(&mut luck, n as u64)) as usize;
         if busy {
-            first(&mut nodes[i], "s");
+            nodes[i].record_first_attempt("s");
             seen.firsts.push(now);
         }
         for node in nodes.iter_mut().filter(|_| hungry) {
-            while second(node, "s") {
+            while node.try_retry("s") {
                 seen.seconds.push(now);
             }
         }
@@ -121,55 +119,55 @@
     // Guards against restarts as a source of second tries.
     let rate = RetryRate { per_thousand: 200, fleet_slack: 1_000 };
     let mut q = fresh(rate, 1);
-    expect_that!(second(&mut q, "s"), eq(false));
-    first(&mut q, "s");
-    expect_that!(second(&mut q, "s"), eq(false));
+    expect_that!(q.try_retry("s"), eq(false));
+    q.record_first_attempt("s");
+    expect_that!(q.try_retry("s"), eq(false));
     for _ in 0..5 {
-        first(&mut q, "s");
+        q.record_first_attempt("s");
     }
-    expect_that!(second(&mut q, "s"), eq(true));
-    expect_that!(second(&mut q, "s"), eq(false));
+    expect_that!(q.try_retry("s"), eq(true));
+    expect_that!(q.try_retry("s"), eq(false));
 }
 
 #[googletest::test]
 fn services_save_and_spend_apart() {
     let mut q = fresh(RetryRate { per_thousand: 1_000, fleet_slack: 100 }, 1);
     for _ in 0..10 {
-        first(&mut q, "a");
+        q.record_first_attempt("a");
     }
-    expect_that!(second(&mut q, "b"), eq(false));
-    expect_that!(second(&mut q, "a"), eq(true));
-    keep(&mut q, |s| s != "a");
-    expect_that!(second(&mut q, "a"), eq(false), "a service that is forgotten saves anew");
+    expect_that!(q.try_retry("b"), eq(false));
+    expect_that!(q.try_retry("a"), eq(true));
+    q.retain(|s| s != "a");
+    expect_that!(q.try_retry("a"), eq(false), "a service that is forgotten saves anew");
 }
 
 #[googletest::test]
 fn a_larger_fleet_and_a_stricter_rule_take_back_what_was_saved() {
     // Guards against nodes that hold on to a part of the slack which others
     // have by now.
-    let spend = |q: &mut ServiceRetryBudget| (0..1_000).filter(|_| second(q, "s")).count();
+    let spend = |q: &mut ServiceRetryBudget| (0..1_000).filter(|_| q.try_retry("s")).count();
     let rich = || {
         let mut q = fresh(RetryRate { per_thousand: 1_000, fleet_slack: 100 }, 1);
         for _ in 0..1_000 {
-            first(&mut q, "s");
+            q.record_first_attempt("s");
         }
         q
     };
     expect_that!(spend(&mut rich()), eq(95));
     let mut q = rich();
-    among(&mut q, 10);
+    q.set_thread_count(10);
     expect_that!(spend(&mut q), eq(9));
     let mut q = rich();
     // Without a place in the membership nobody knows what others spend.
-    among(&mut q, 0);
+    q.set_thread_count(0);
     expect_that!(spend(&mut q), eq(1));
     let mut q = rich();
-    rated(&mut q, RetryRate { per_thousand: 10, fleet_slack: 20 }, 2);
+    q.set_rate(RetryRate { per_thousand: 10, fleet_slack: 20 }, 2);
     expect_that!(spend(&mut q), eq(9));
     // A share of nothing earns nothing.
     let mut q = fresh(RetryRate { per_thousand: 0, fleet_slack: 50 }, 1);
     for _ in 0..100 {
-        first(&mut q, "s");
+        q.record_first_attempt("s");
     }
     expect_that!(spend(&mut q), eq(0));
 }
--- a/crates/core/tests/rule.rs
+++ b/crates/core/tests/rule.rs
@@ -2,7 +2,8 @@
 
 use googletest::prelude::*;
 use grebepath_core::consts::{RETRY_PCT, RETRY_SLACK};
-use grebepath_core::query::{quota, retry_budget};
+use grebepath_core::query::quota::QuotaShare;
+use grebepath_core::query::retry_budget::RetryBudget;
 use grebepath_core::random::{below, chance, luck};
 use grebepath_core::time::{SECOND, ms};
 
@@ -10,9 +11,9 @@
 /// traffic comes and goes and who would retry every single dispatch.
 fn worst(seed: u64, n: usize, slack_each: impl Fn(usize) -> u64) -> i64 {
     let mut luck = luck(seed);
-    let mut rules: Vec<_> = (0..n).map(|_| retry_budget::rule(0)).collect();
+    let mut rules: Vec<_> = (0..n).map(|_| RetryBudget::new(0)).collect();
     for (i, r) in rules.iter_mut().enumerate() {
-        retry_budget::slack(r, slack_each(i));
+        r.set_slack(slack_each(i));
     }
     let (mut firsts, mut seconds) = (Vec::new(), Vec::new());
     let mut busy = true;
@@ -23,10 +24,10 @@
         }
         let i = below(&mut luck, n as u64) as usize;
         if busy && chance(&mut luck, 1, 2) {
-            retry_budget::first(&mut rules[i], now);
+            rules[i].record_first_attempt(now);
             firsts.push(now);
         }
-        if retry_budget::second(&mut rules[i], now) {
+        if rules[i].try_retry(now) {
             seconds.push(now);
         }
     }
@@ -47,8 +48,8 @@
     for seed in 0..20 {
         let members: Vec<_> = (0..7).map(|i| (format!("q{i}"), 2)).collect();
         let partition = |i: usize| {
-            let s = quota::share(&members, &format!("q{}", i / 2), (i % 2) as u32);
-            quota::part(&s, quota::rank(&s, 99), RETRY_SLACK)
+            let s = QuotaShare::new(&members, &format!("q{}", i / 2), (i % 2) as u32);
+            s.allocation(s.rank(99), RETRY_SLACK)
         };
         let total: u64 = (0..14).map(partition).sum();
         expect_that!(total, eq(RETRY_SLACK));
@@ -66,14 +67,14 @@
 
 #[googletest::test]
 fn a_restart_brings_no_credit() {
-    let mut r = retry_budget::rule(0);
-    retry_budget::slack(&mut r, 5);
-    expect_false!(retry_budget::second(&mut r, 1));
+    let mut r = RetryBudget::new(0);
+    r.set_slack(5);
+    expect_false!(r.try_retry(1));
     for i in 0..4 {
-        retry_budget::first(&mut r, i);
+        r.record_first_attempt(i);
     }
-    expect_false!(retry_budget::second(&mut r, 5));
-    retry_budget::first(&mut r, 6);
-    expect_true!(retry_budget::second(&mut r, 7));
-    expect_false!(retry_budget::second(&mut r, 8));
+    expect_false!(r.try_retry(5));
+    r.record_first_attempt(6);
+    expect_true!(r.try_retry(7));
+    expect_false!(r.try_retry(8));
 }
--- a/crates/core/tests/waits.rs
+++ b/crates/core/tests/waits.rs
@@ -2,13 +2,13 @@
 
 use googletest::prelude::*;
 use grebepath_core::consts::{WAIT_MIN, WAIT_MORE, WAIT_STRETCH_PCT, WAIT_TARGET_PCT};
-use grebepath_core::query::latency_estimate::{LatencyEstimate, keep, note, wait};
+use grebepath_core::query::latency_estimate::LatencyEstimate;
 use grebepath_core::random::{Random, below, chance, luck};
 use grebepath_core::time::{Span, ms};
 
 /// What a wait without its stretch is: the learned mark itself.
 fn mark(w: &LatencyEstimate, search: &str) -> Span {
-    (wait(w, search, None).unwrap() - WAIT_MORE) * 100 / WAIT_STRETCH_PCT
+    (w.hedge_delay(search, None).unwrap() - WAIT_MORE) * 100 / WAIT_STRETCH_PCT
 }
 
 /// A sum of even draws: near to a bell.
@@ -39,13 +39,13 @@
             let mut luck = luck(seed);
             let mut w = LatencyEstimate::default();
             for _ in 0..3_000 {
-                note(&mut w, "s", law(&mut luck));
+                w.record("s", law(&mut luck));
             }
             let (mut below, n) = (0u64, 20_000);
             for _ in 0..n {
                 let took = law(&mut luck);
                 below += u64::from(took <= mark(&w, "s"));
-                note(&mut w, "s", took);
+                w.record("s", took);
             }
             let share = below * 1_000 / n;
             assert!((930..=970).contains(&share), "{name}, seed {seed}: {share} of 1000 below");
@@ -58,16 +58,16 @@
     let mut luck = luck(3);
     let mut w = LatencyEstimate::default();
     for _ in 0..500 {
-        note(&mut w, "s", bell(&mut luck, ms(20)));
+        w.record("s", bell(&mut luck, ms(20)));
     }
     let before = mark(&w, "s");
     // Half a hundred dispatches are enough to see that all have become slow.
     for _ in 0..60 {
-        note(&mut w, "s", bell(&mut luck, ms(200)));
+        w.record("s", bell(&mut luck, ms(200)));
     }
     expect_that!(mark(&w, "s"), gt(before * 5));
     for _ in 0..2_000 {
-        note(&mut w, "s", bell(&mut luck, ms(20)));
+        w.record("s", bell(&mut luck, ms(20)));
     }
     expect_that!(mark(&w, "s"), lt(before * 2));
 }
@@ -75,15 +75,15 @@
 #[googletest::test]
 fn before_anything_is_learned_the_wait_is_a_share_of_the_target() {
     let mut w = LatencyEstimate::default();
-    expect_that!(wait(&w, "s", None), none());
-    expect_that!(wait(&w, "s", Some(ms(100))), some(eq(ms(100) * WAIT_TARGET_PCT / 100)));
-    expect_that!(wait(&w, "s", Some(1)), some(eq(WAIT_MIN)));
-    note(&mut w, "s", ms(50));
+    expect_that!(w.hedge_delay("s", None), none());
+    expect_that!(w.hedge_delay("s", Some(ms(100))), some(eq(ms(100) * WAIT_TARGET_PCT / 100)));
+    expect_that!(w.hedge_delay("s", Some(1)), some(eq(WAIT_MIN)));
+    w.record("s", ms(50));
     // The first dispatch alone says little: nobody is hurried by it.
-    expect_that!(wait(&w, "s", Some(ms(1))), some(ge(ms(100))));
-    expect_that!(wait(&w, "other", None), none());
-    keep(&mut w, |s| s != "s");
-    expect_that!(wait(&w, "s", None), none());
+    expect_that!(w.hedge_delay("s", Some(ms(1))), some(ge(ms(100))));
+    expect_that!(w.hedge_delay("other", None), none());
+    w.retain(|s| s != "s");
+    expect_that!(w.hedge_delay("s", None), none());
 }
 
 #[googletest::test]
@@ -91,7 +91,7 @@
     // Guards against second tries within the noise of the machine.
     let mut w = LatencyEstimate::default();
     for _ in 0..10_000 {
-        note(&mut w, "s", 0);
+        w.record("s", 0);
     }
-    expect_that!(wait(&w, "s", None), some(ge(WAIT_MIN)));
+    expect_that!(w.hedge_delay("s", None), some(ge(WAIT_MIN)));
 }
--- a/crates/server/src/querier/control.rs
+++ b/crates/server/src/querier/control.rs
@@ -10,6 +10,7 @@
 use grebepath_core::membership::node_agent::{Command, Event, Watch, watch};
 use grebepath_core::membership::step::{WAKE, step};
 use grebepath_core::protocol::message::{LeafReport, Member, Message, PeerIdentity};
+use grebepath_core::query::quota::QuotaShare;
 use grebepath_core::query::{engine, event};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
@@ -279,7 +280,7 @@
             }
             Command::Shares(list) => {
                 for (i, desk) in io.desks.iter().enumerate() {
-                    let share = grebepath_core::query::quota::share(&list, &io.me, i as u32);
+                    let share = QuotaShare::new(&list, &io.me, i as u32);
                     let _ = desk.send(Work::Event(event::Event::QuotaShare(share)));
                 }
             }
--- a/crates/server/src/querier/params.rs
+++ b/crates/server/src/querier/params.rs
@@ -199,7 +199,7 @@
     let mut r = p::reader(pairs, f.file.as_deref());
     let port = p::number(&mut r, "seed_port", 0, 65_535, Some(0)) as u16;
     let seeds = p::addrs(&mut r, "seeds", 1, SEATS_MAX.into(), (port > 0).then_some(port));
-    let own = grebepath_core::query::service_retry_budget::own();
+    let own = RetryRate::standard();
     let dialect = p::word(&mut r, "dialect", &["own", "platform"], "own");
     let out = Params {
         name: p::name(&mut r, "name"),
--- a/crates/server/src/querier/traffic.rs
+++ b/crates/server/src/querier/traffic.rs
@@ -6,14 +6,12 @@
 use std::sync::Arc;
 
 use grebepath_core::config::types::Terms;
-use grebepath_core::query::engine::{QueryEngine, counts, desk};
+use grebepath_core::query::engine::QueryEngine;
 use grebepath_core::query::event::{Command, Event};
 use grebepath_core::query::forwarded_request::ForwardedRequest;
-use grebepath_core::query::progress::next;
 use grebepath_core::query::request::{Outcome, SearchRequest};
-use grebepath_core::query::service_retry_budget::{RetryRate, quota};
+use grebepath_core::query::service_retry_budget::{RetryRate, ServiceRetryBudget};
 use grebepath_core::query::statistics::EngineStatistics;
-use grebepath_core::query::step::step;
 use grebepath_core::time::ms;
 use grebepath_runtime::clock::{Clock, duration, instant, now};
 use grebepath_runtime::dialect::Dialect;
@@ -102,8 +100,8 @@
             let connections = grebepath_core::consts::DOOR_WIRES;
             grebepath_runtime::http::serve(listener, connections, router, until).await
         };
-        let mut desk = desk(&s.name, &s.zone, s.seed, now(&s.clock));
-        desk.service_retry_budget = quota(s.rate);
+        let mut desk = QueryEngine::new(&s.name, &s.zone, s.seed, now(&s.clock));
+        desk.service_retry_budget = ServiceRetryBudget::new(s.rate);
         desk.thread_id = s.slot;
         let desk = Rc::new(RefCell::new(desk));
         let shut = outer.clone();
@@ -145,7 +143,7 @@
 ) {
     let mut draining = false;
     loop {
-        let due = next(&desk.borrow());
+        let due = desk.borrow().next_due();
         let at = due.map(|at| instant(&clock, at));
         let event = tokio::select! {
             biased;
@@ -169,7 +167,7 @@
                     None
                 }
                 Some(Work::Counts(tell)) => {
-                    let _ = tell.send(counts(&desk.borrow()));
+                    let _ = tell.send(desk.borrow().current_statistics());
                     None
                 }
                 Some(Work::Drain) => {
@@ -190,7 +188,7 @@
                 Event::ClusterView(view) => limit(&io.door, &view.built.terms),
                 _ => {}
             }
-            let todo = step(&mut desk.borrow_mut(), now(&clock), event);
+            let todo = desk.borrow_mut().step(now(&clock), event);
             carry_out(&mut io, todo);
         }
         if draining && desk.borrow().queries.is_empty() {
--- a/crates/simulator/src/scale_model/fan.rs
+++ b/crates/simulator/src/scale_model/fan.rs
@@ -6,11 +6,10 @@
 
 use grebepath_core::config::{build, read};
 use grebepath_core::http_api::leaf::{LeafReply, ReplyHeaders, postmark};
-use grebepath_core::query::engine::{QueryEngine, desk};
+use grebepath_core::query::engine::QueryEngine;
 use grebepath_core::query::event::{Command, Event, OutgoingAttempt};
-use grebepath_core::query::quota::share;
+use grebepath_core::query::quota::QuotaShare;
 use grebepath_core::query::request::{Outcome, SearchRequest};
-use grebepath_core::query::step::step;
 use grebepath_core::snapshot::cluster_view;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, MILLI, SECOND, Tick};
@@ -47,12 +46,12 @@
     let conf = read::whole(conf.as_bytes()).and_then(|c| build::build(&c)).unwrap_or_default();
     let leaf = |n: usize| LeafInfo { age_ms: plan::OLD_MS, ..plan::leaf(n, leafs) };
     let view = cluster_view::view(1, Arc::new(conf), (0..leafs).map(leaf).collect());
-    let mut d = desk("front", &plan::name(0), 1, BOOT);
+    let mut d = QueryEngine::new("front", &plan::name(0), 1, BOOT);
     let members: Vec<(String, u32)> = (0..of).map(|n| (format!("front-{n}"), 1)).collect();
-    step(&mut d, BOOT, Event::ClusterView(Arc::new(view)));
-    step(&mut d, BOOT, Event::QuotaShare(share(&members, "front-0", 0)));
-    step(&mut d, BOOT, Event::LeaseValidUntil(Tick::MAX));
-    step(&mut d, BOOT, Event::ServingState(grebepath_core::query::engine::ServingState::Serving));
+    d.step(BOOT, Event::ClusterView(Arc::new(view)));
+    d.step(BOOT, Event::QuotaShare(QuotaShare::new(&members, "front-0", 0)));
+    d.step(BOOT, Event::LeaseValidUntil(Tick::MAX));
+    d.step(BOOT, Event::ServingState(grebepath_core::query::engine::ServingState::Serving));
     d
 }
 
@@ -86,7 +85,7 @@
             record_limit: RECORDS as u32,
             timeout: 400 * MILLI,
         };
-        let todo = timed(&mut f.ask_ns, || step(&mut d, now, Event::Search { call, request: ask }));
+        let todo = timed(&mut f.ask_ns, || d.step(now, Event::Search { call, request: ask }));
         for command in todo {
             let Command::Send(s) = command else { continue };
             f.dispatches += 1;
@@ -94,13 +93,13 @@
             let got = reply(&s);
             f.replied += got.body.len() as u64;
             let event = Event::AttemptEnded { attempt: s.attempt, result: Ok(got) };
-            let done = timed(&mut f.take_ns, || step(&mut d, now + 20 * MILLI, event));
+            let done = timed(&mut f.take_ns, || d.step(now + 20 * MILLI, event));
             let full =
                 |c: &Command| matches!(c, Command::Respond { outcome: Outcome::Answered(_), .. });
             f.full += done.iter().filter(|c| full(c)).count() as u64;
         }
         let late = now + 450 * MILLI;
-        timed(&mut f.take_ns, || step(&mut d, late, Event::Timer));
+        timed(&mut f.take_ns, || d.step(late, Event::Timer));
     }
     f
 }
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -17,10 +17,10 @@
 use grebepath_core::protocol::message::{
     LeafReport, Member, Message, Operation, OperationResult, ReplicaCondition,
 };
-use grebepath_core::query::engine::{QueryEngine, ServingState, desk};
+use grebepath_core::query::engine::{QueryEngine, ServingState};
+use grebepath_core::query::event;
 use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::query::request::Outcome;
-use grebepath_core::query::{event, progress, step};
 use grebepath_core::random::{Random, below, draw, luck};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::storage::reader::Found;
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -16,7 +16,7 @@
     n.desks = (0..THREADS)
         .map(|t| {
             let name = format!("{}-{t}-{:x}", n.name, n.life);
-            let mut desk = desk(&name, &n.zone, seed ^ u64::from(t), BOOT);
+            let mut desk = QueryEngine::new(&name, &n.zone, seed ^ u64::from(t), BOOT);
             desk.thread_id = grebepath_core::query::quota::slot(&n.name, t);
             desk
         })
@@ -135,7 +135,7 @@
         wat::Command::Shares(list) => {
             for t in 0..THREADS {
                 let name = w.queriers[q].name.clone();
-                let mut share = grebepath_core::query::quota::share(&list, &name, t);
+                let mut share = grebepath_core::query::quota::QuotaShare::new(&list, &name, t);
                 if w.broken == Some(Broken::NoShare) && !share.threads.is_empty() {
                     share.threads = vec![share.own_thread];
                 }
@@ -292,16 +292,16 @@
     let deaf = w.broken == Some(Broken::IgnoreLeaving);
     let n = &mut w.queriers[q];
     if w.broken == Some(Broken::NoRule) {
-        grebepath_core::query::retry_budget::slack(&mut n.desks[t].retry_budget, 1_000_000);
+        n.desks[t].retry_budget.set_slack(1_000_000);
     }
-    let todo = step::step(&mut n.desks[t], local, event);
+    let todo = n.desks[t].step(local, event);
     if deaf {
         for l in n.desks[t].leafs.values_mut() {
             l.draining = false;
         }
     }
     let (life, began) = (n.life, n.began);
-    if let Some(at) = progress::next(&n.desks[t]) {
+    if let Some(at) = n.desks[t].next_due() {
         let at = (at + began).saturating_sub(BOOT).max(w.now + 1);
         let known = n.wakes[t];
         if known == 0 || at < known || known <= w.now {
