--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -81,7 +81,7 @@
             peers: Vec::new(),
             latency_estimate: LatencyEstimate::default(),
             load_pressure: LoadPressure::default(),
-            random: crate::random::luck(seed),
+            random: Random::new(seed),
             statistics: EngineStatistics::default(),
             next_query: 0,
             next_attempt: 0,
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -10,7 +10,7 @@
 use crate::query::connection_subset::ConnectingThread;
 use crate::query::leaf::LeafState;
 use crate::query::quota::QuotaShare;
-use crate::random::{Random, below};
+use crate::random::Random;
 use crate::snapshot::cluster_view::{ClusterView, open};
 use crate::snapshot::leafs::{LeafInfo, zone};
 use crate::time::Tick;
@@ -97,14 +97,14 @@
 fn best<'a>(set: &[&Candidate<'a>], luck: &mut Random, form: Form) -> &'a Arc<LeafInfo> {
     if set.len() <= SMALL && form != Form::Own {
         // So few can all be looked at; chance breaks ties.
-        let from = below(luck, set.len() as u64) as usize;
+        let from = luck.below(set.len() as u64) as usize;
         let all = set[from..].iter().chain(&set[..from]);
         if let Some(best) = all.min_by_key(|f| f.cost) {
             return best.info;
         }
     }
-    let one = set[below(luck, set.len() as u64) as usize];
-    let two = set[below(luck, set.len() as u64) as usize];
+    let one = set[luck.below(set.len() as u64) as usize];
+    let two = set[luck.below(set.len() as u64) as usize];
     if two.cost < one.cost { two.info } else { one.info }
 }
 
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -12,7 +12,7 @@
 use crate::config::types::Form;
 use crate::consts;
 use crate::digest::{digest, hash};
-use crate::random::{Random, below};
+use crate::random::Random;
 use crate::routing_language::compile::Send;
 use crate::snapshot::cluster_view::found;
 use crate::time::{Span, Tick};
@@ -159,7 +159,7 @@
 
 /// A shard drawn by the mapping's weights.
 pub fn drawn(map: &Route, luck: &mut Random) -> usize {
-    let mut left = below(luck, map.weights.iter().sum());
+    let mut left = luck.below(map.weights.iter().sum());
     for (i, weight) in map.weights.iter().enumerate() {
         if left < *weight {
             return i;
--- a/crates/core/src/query/retry.rs
+++ b/crates/core/src/query/retry.rs
@@ -3,7 +3,7 @@
 
 use crate::consts::{AGAIN_MAX_S, AGAIN_MIN_S, AGAIN_SOON, STRAIN_HALF};
 use crate::query::request::RejectionReason;
-use crate::random::{Random, below};
+use crate::random::Random;
 use crate::time::{SECOND, Span, Tick, since};
 
 /// How much of the work that came lately was sent away.
@@ -41,7 +41,7 @@
             .checked_div((self.arrived - self.rejected).max(1))
             .unwrap_or(0);
         let base = base.max(rest).clamp(AGAIN_SOON, AGAIN_MIN_S * SECOND);
-        base + below(luck, base / 2 + 1)
+        base + luck.below(base / 2 + 1)
     }
 
     /// Seconds after which the caller may ask again. `rest` is the time until a
@@ -70,6 +70,6 @@
             _ => AGAIN_MIN_S,
         };
         let base = base.clamp(AGAIN_MIN_S, AGAIN_MAX_S);
-        (base + below(luck, base + 1)).min(AGAIN_MAX_S)
+        (base + luck.below(base + 1)).min(AGAIN_MAX_S)
     }
 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -1,144 +1,185 @@
 //! Callers: what they ask, and what they are told.
 
-use super::*;
+use grebepath_core::http_api::caller;
+use grebepath_core::query::event as query_event;
+use grebepath_core::query::request::Outcome;
+use grebepath_core::time::{Span, ms};
+use serde_json::json;
 
-pub(super) fn tally(w: &mut World, kind: usize) -> &mut Tally {
-    let name = w.kinds[kind].search.clone();
-    w.tally.entry(name).or_default()
-}
+use super::events::{QueryEngineId, ScheduledEvent};
+use super::faulty_variant::FaultyVariant;
+use super::nodes::{Call, CallOutcomes};
+use super::{BEGIN, THREADS, World};
+use crate::check::{Asked, success};
+use crate::rules;
 
-pub(super) fn call(w: &mut World, kind: usize) {
-    if w.now >= w.calls_end {
-        return;
+impl World {
+    /// Begins the callers' load, at the spec's rates times `factor`.
+    pub fn start_calls(&mut self, factor: f64) {
+        self.factor = factor;
+        for kind in 0..self.call_kinds.len() {
+            let gap = self.gap(kind);
+            self.push(gap, ScheduledEvent::NewCall { kind });
+        }
     }
-    let gap = gap(w, kind);
-    push(w, gap, ScheduledEvent::Call { kind });
-    w.next += 1;
-    let id = w.next;
-    let k = &w.kinds[kind];
-    let question = format!("{}-{id}", k.search);
-    let asked = Asked { question, key: k.lookup.then(|| format!("key-{id}")) };
-    let up = |q: &usize| w.queriers[*q].up;
-    let list: Vec<usize> = match w.any_querier {
-        true => (0..w.queriers.len()).filter(up).collect(),
-        false => w.platform.clone(),
-    };
-    if list.is_empty() {
-        let name = w.kinds[kind].search.clone();
-        rules::ends(&mut w.rules, w.now - BEGIN, w.now - BEGIN, &name, false);
-        tally(w, kind).unreachable += 1;
-        return;
+
+    pub(super) fn gap(&mut self, kind: usize) -> Span {
+        // Between half and one and a half of the mean: uneven, but not wild.
+        let mean = 1e6 / (self.call_kinds[kind].per_s * self.factor).max(0.001);
+        (mean * (0.5 + self.random.below(1000) as f64 / 1000.0)) as Span
     }
-    let q = list[below(&mut w.luck, list.len() as u64) as usize];
-    if !w.queriers[q].up {
-        tally(w, kind).unreachable += 1;
-        return;
+
+    pub(super) fn tally(&mut self, kind: usize) -> &mut CallOutcomes {
+        let name = self.call_kinds[kind].search.clone();
+        self.tallies.entry(name).or_default()
     }
-    w.rules.asked.insert(asked.question.clone());
-    let life = w.queriers[q].life;
-    let wait = ms(w.kinds[kind].budget_ms);
-    w.calls.insert(id, Call { kind, asked, q, life, began: w.now });
-    push(w, ms(1), ScheduledEvent::Arrive { call: id });
-    push(w, wait + ms(5), ScheduledEvent::CallDue { call: id });
-}
 
-pub(super) fn arrive(w: &mut World, id: u64) {
-    let Some(c) = w.calls.get_mut(&id) else { return };
-    c.began = w.now;
-    let (q, life, kind, asked) = (c.q, c.life, c.kind, c.asked.clone());
-    if !live(w, q, life) {
-        return;
+    pub(super) fn start_call(&mut self, kind: usize) {
+        if self.now >= self.calls_end_at {
+            return;
+        }
+        let gap = self.gap(kind);
+        self.push(gap, ScheduledEvent::NewCall { kind });
+        self.next += 1;
+        let id = self.next;
+        let call_kind = &self.call_kinds[kind];
+        let question = format!("{}-{id}", call_kind.search);
+        let asked = Asked { question, key: call_kind.lookup.then(|| format!("key-{id}")) };
+        let up = |querier: &usize| self.queriers[*querier].up;
+        let list: Vec<usize> = match self.ignore_readiness {
+            true => (0..self.queriers.len()).filter(up).collect(),
+            false => self.ready_queriers.clone(),
+        };
+        if list.is_empty() {
+            let name = self.call_kinds[kind].search.clone();
+            self.rules.ends(self.now - BEGIN, self.now - BEGIN, &name, false);
+            self.tally(kind).unreachable += 1;
+            return;
+        }
+        let querier = list[self.random.below(list.len() as u64) as usize];
+        if !self.queriers[querier].up {
+            self.tally(kind).unreachable += 1;
+            return;
+        }
+        self.rules.asked.insert(asked.question.clone());
+        let life = self.queriers[querier].life;
+        let wait = ms(self.call_kinds[kind].budget_ms);
+        self.calls.insert(id, Call { kind, asked, querier, life, began: self.now });
+        self.push(ms(1), ScheduledEvent::CallArrival { call: id });
+        self.push(wait + ms(5), ScheduledEvent::CallTimeout { call: id });
     }
-    let k = &w.kinds[kind];
-    let mut body = json!({ "question": asked.question, "limit": k.limit });
-    if let Some(key) = &asked.key {
-        body["key"] = json!(key);
+
+    /// A caller's patience has ended.
+    pub(super) fn call_times_out(&mut self, id: u64) {
+        let Some(call) = self.calls.remove(&id) else { return };
+        let name = self.call_kinds[call.kind].search.clone();
+        let now = self.now - BEGIN;
+        self.rules.ends(call.began - BEGIN, now, &name, false);
+        self.tally(call.kind).timed_out += 1;
     }
-    let budget = k.budget_ms.to_string();
-    let read = caller::read_post(&k.search, Some(&budget), body.to_string().as_bytes());
-    let Ok(ask) = read else { return };
-    let t = (id % u64::from(THREADS)) as usize;
-    push(
-        w,
-        10,
-        ScheduledEvent::ToDesk {
-            q,
-            life,
-            t,
-            event: event::Event::Search { call: id, request: ask },
-        },
-    );
-}
 
-pub(super) fn tampered(w: &mut World, kind: usize, outcome: Outcome) -> Outcome {
-    let Outcome::Answered(mut full) = outcome else {
-        if w.broken == Some(Broken::BelowQuorum)
-            && let Outcome::Rejected(b) = &outcome
-            && b.query.is_some()
-        {
-            let cut = w.kinds[kind].shards[0].0.clone();
-            let planned = w.kinds[kind].shards.iter().filter(|s| s.0 == cut).count();
-            return Outcome::Answered(grebepath_core::query::request::SearchAnswer {
-                query: b.query.clone().unwrap_or_default(),
-                route: w.kinds[kind].search.clone(),
-                index_version: cut,
-                revision: u64::MAX,
-                shards: Vec::new(),
-                missing: planned,
-                records: Vec::new(),
-            });
+    pub(super) fn call_arrives(&mut self, id: u64) {
+        let Some(call) = self.calls.get_mut(&id) else { return };
+        call.began = self.now;
+        let (querier, life, kind, asked) = (call.querier, call.life, call.kind, call.asked.clone());
+        if !self.querier_runs(querier, life) {
+            return;
         }
-        return outcome;
-    };
-    match w.broken {
-        Some(Broken::ClaimAll) if full.missing > 0 => {
-            let all = w.kinds[kind].shards.iter().filter(|s| s.0 == full.index_version);
-            full.shards = all.map(|s| s.1.clone()).collect();
-            full.missing = 0;
+        let call_kind = &self.call_kinds[kind];
+        let mut body = json!({ "question": asked.question, "limit": call_kind.limit });
+        if let Some(key) = &asked.key {
+            body["key"] = json!(key);
         }
-        Some(Broken::ClaimTwice) => full.shards.push(full.shards[0].clone()),
-        Some(Broken::MixCut) => full.index_version = "w47".into(),
-        Some(Broken::Disorder) if full.records.len() > 1 => full.records.swap(0, 1),
-        _ => {}
+        let budget = call_kind.budget_ms.to_string();
+        let read = caller::read_post(&call_kind.search, Some(&budget), body.to_string().as_bytes());
+        let Ok(ask) = read else { return };
+        let thread = (id % u64::from(THREADS)) as usize;
+        self.push(
+            10,
+            ScheduledEvent::QueryEngineEvent {
+                engine: QueryEngineId { querier, life, thread },
+                event: query_event::Event::Search { call: id, request: ask },
+            },
+        );
     }
-    Outcome::Answered(full)
-}
 
-pub(super) fn outcome_told(w: &mut World, id: u64, outcome: Outcome) {
-    let Some(c) = w.calls.remove(&id) else { return };
-    let now = w.now - BEGIN;
-    let outcome = tampered(w, c.kind, outcome);
-    let written = caller::write(&outcome);
-    let kind = w.kinds[c.kind].clone();
-    let full = matches!(&outcome, Outcome::Answered(f) if f.missing == 0);
-    rules::ends(&mut w.rules, c.began - BEGIN, now, &kind.search, full);
-    match outcome {
-        Outcome::Forwarded(_) | Outcome::Merged(_) => {}
-        Outcome::Rejected(b) => {
-            *tally(w, c.kind).bounced.entry(b.reason.to_string()).or_default() += 1;
+    pub(super) fn altered_outcome(&mut self, kind: usize, outcome: Outcome) -> Outcome {
+        let Outcome::Answered(mut full) = outcome else {
+            if self.faulty_variant == Some(FaultyVariant::SucceedsBelowQuorum)
+                && let Outcome::Rejected(rejection) = &outcome
+                && rejection.query.is_some()
+            {
+                let cut = self.call_kinds[kind].shards[0].cut.clone();
+                let planned =
+                    self.call_kinds[kind].shards.iter().filter(|shard| shard.cut == cut).count();
+                return Outcome::Answered(grebepath_core::query::request::SearchAnswer {
+                    query: rejection.query.clone().unwrap_or_default(),
+                    route: self.call_kinds[kind].search.clone(),
+                    index_version: cut,
+                    revision: u64::MAX,
+                    shards: Vec::new(),
+                    missing: planned,
+                    records: Vec::new(),
+                });
+            }
+            return outcome;
+        };
+        match self.faulty_variant {
+            Some(FaultyVariant::ClaimsAllShards) if full.missing > 0 => {
+                let all = self.call_kinds[kind]
+                    .shards
+                    .iter()
+                    .filter(|shard| shard.cut == full.index_version);
+                full.shards = all.map(|shard| shard.shard.clone()).collect();
+                full.missing = 0;
+            }
+            Some(FaultyVariant::RepeatsShard) => full.shards.push(full.shards[0].clone()),
+            Some(FaultyVariant::WrongIndexVersion) => full.index_version = "w47".into(),
+            Some(FaultyVariant::MisordersRecords) if full.records.len() > 1 => {
+                full.records.swap(0, 1)
+            }
+            _ => {}
         }
-        Outcome::Answered(full) => {
-            let took = w.now - c.began;
-            let t = tally(w, c.kind);
-            if full.missing == 0 {
-                t.full += 1
-            } else {
-                t.partial += 1
+        Outcome::Answered(full)
+    }
+
+    pub(super) fn finish_call(&mut self, id: u64, outcome: Outcome) {
+        let Some(call) = self.calls.remove(&id) else { return };
+        let now = self.now - BEGIN;
+        let outcome = self.altered_outcome(call.kind, outcome);
+        let written = caller::write(&outcome);
+        let kind = self.call_kinds[call.kind].clone();
+        let full = matches!(&outcome, Outcome::Answered(f) if f.missing == 0);
+        self.rules.ends(call.began - BEGIN, now, &kind.search, full);
+        match outcome {
+            Outcome::Forwarded(_) | Outcome::Merged(_) => {}
+            Outcome::Rejected(rejection) => {
+                *self.tally(call.kind).rejected.entry(rejection.reason.to_string()).or_default() +=
+                    1;
             }
-            t.waits.push(took);
-            let missing = written.missing_shards.map(|n| n.to_string());
-            let (bad, services) = success(&kind, &c.asked, missing.as_deref(), &written.body);
-            for text in bad {
-                rules::broken(
-                    &mut w.rules,
-                    now,
-                    rules::rule_of(&text),
-                    format!("{}: {text}", full.query),
-                );
+            Outcome::Answered(full) => {
+                let took = self.now - call.began;
+                let tally = self.tally(call.kind);
+                if full.missing == 0 {
+                    tally.full += 1
+                } else {
+                    tally.partial += 1
+                }
+                tally.latencies.push(took);
+                let missing = written.missing_shards.map(|n| n.to_string());
+                let (bad, services) =
+                    success(&kind, &call.asked, missing.as_deref(), &written.body);
+                for text in bad {
+                    self.rules.violated(
+                        now,
+                        rules::rule_of(&text),
+                        format!("{}: {text}", full.query),
+                    );
+                }
+                self.rules.claims(now, &full.query, &services, &call.asked.question);
+                let who = self.queriers[call.querier].name.clone();
+                self.rules.obeys(now, call.began - BEGIN, full.revision, &who);
             }
-            rules::claims(&mut w.rules, now, &full.query, &services, &c.asked.question);
-            let who = w.queriers[c.q].name.clone();
-            rules::obeys(&mut w.rules, now, c.began - BEGIN, full.revision, &who);
         }
     }
 }
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -1,14 +1,13 @@
 //! What the simulated tests share: the deployments' files.
 #![allow(dead_code)]
 
+use grebepath_simulator::files::{FileError, read_json};
 use grebepath_simulator::scenario::{Scenario, read};
 use serde_json::{Value, json};
 
 /// The deployment's files from the repository.
-pub fn load(name: &str) -> Result<Value, String> {
-    let path = format!("{}/../../deploy/{name}", env!("CARGO_MANIFEST_DIR"));
-    let raw = std::fs::read(&path).map_err(|e| format!("{path}: {e}"))?;
-    serde_json::from_slice(&raw).map_err(|e| e.to_string())
+pub fn load(name: &str) -> Result<Value, FileError> {
+    read_json(&format!("{}/../../deploy/{name}", env!("CARGO_MANIFEST_DIR")))
 }
 
 /// A scenario with these troubles.
@@ -17,7 +16,7 @@
                       "troubles": troubles });
     match read(val.to_string().as_bytes(), &load) {
         Ok(s) => s,
-        Err(all) => panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::diagnostic::lines(&all)),
     }
 }
 
@@ -27,6 +26,6 @@
                       "troubles": [] });
     match read(val.to_string().as_bytes(), &load) {
         Ok(s) => s,
-        Err(all) => panic!("{}", grebepath_core::routing_language::diagnostic::lines(&all)),
+        Err(all) => panic!("{}", grebepath_core::diagnostic::lines(&all)),
     }
 }
