--- a/crates/core/src/query/admission.rs
+++ b/crates/core/src/query/admission.rs
@@ -1,7 +1,6 @@
 //! Whether a call is taken at all.
 
 use super::engine::{QueryEngine, ServingState};
-
 use super::request::{Rejection, RejectionReason};
 use crate::config::types::Class;
 use crate::consts;
@@ -51,7 +50,7 @@
                 "this node works on all it may for this class",
             );
         }
-        let buffered = self.queries.values().filter(|q| q.queued_shards() > 0).count();
+        let buffered = self.queries.values().filter(|query| query.queued_shards() > 0).count();
         if buffered * 100 >= room_of(class) * consts::BUFFER_PCT {
             return say(
                 RejectionReason::NoCapacity,
--- a/crates/core/src/query/cluster_update.rs
+++ b/crates/core/src/query/cluster_update.rs
@@ -24,11 +24,11 @@
                 new.rank = self.quota_share.rank(new.hash);
                 self.leafs.insert(name.clone(), new);
             }
-            if let Some(l) = self.leafs.get_mut(name) {
-                l.note_minimum_age(info.age_ms, now);
+            if let Some(leaf) = self.leafs.get_mut(name) {
+                leaf.note_minimum_age(info.age_ms, now);
             }
         }
-        self.leafs.retain(|name, l| l.in_flight > 0 || view.leafs.contains_key(name));
+        self.leafs.retain(|name, leaf| leaf.in_flight > 0 || view.leafs.contains_key(name));
         self.service_retry_budget.retain(|s| view.services.contains_key(s));
         self.latency_estimate.retain(|s| view.mappings.contains_key(s));
         let same = self.cluster_view.services == view.services
@@ -58,15 +58,15 @@
     /// Deals the leafs of each service out to the threads of the membership.
     pub(super) fn assign_ranks(&mut self) {
         let view = self.cluster_view.clone();
-        for map in view.mappings.values() {
+        for route in view.mappings.values() {
             let shared = |p: &&PoolPlan| p.steer == Steer::Share;
-            for pool in map.shards.iter().flat_map(|s| &s.pools).filter(shared) {
+            for pool in route.shards.iter().flat_map(|s| &s.pools).filter(shared) {
                 let Some(list) = view.services.get(&pool.service) else { continue };
                 let totals = vec![u64::from(pool.bears); list.len()];
                 let ranks = self.quota_share.balanced_ranks(hash(&pool.service), &totals);
                 for (info, rank) in list.iter().zip(ranks) {
-                    if let Some(l) = self.leafs.get_mut(&info.leaf) {
-                        l.balanced_rank = rank;
+                    if let Some(leaf) = self.leafs.get_mut(&info.leaf) {
+                        leaf.balanced_rank = rank;
                     }
                 }
             }
@@ -86,16 +86,16 @@
             // Leafs of emptied zones and those that leave have no new work.
             let stand: Vec<&LeafInfo> = list
                 .iter()
-                .filter(|l| !l.leaving && !view.built.drained.contains(zone(l)))
-                .map(|l| l.as_ref())
+                .filter(|leaf| !leaf.leaving && !view.built.drained.contains(zone(leaf)))
+                .map(|leaf| leaf.as_ref())
                 .collect();
             let mine = self.thread_id;
             let connections =
                 connection_subset::deal(&self.peers, mine, &stand, u64::from(pool.connections));
             for (info, n) in stand.iter().zip(connections) {
-                if let Some(l) = self.leafs.get_mut(&info.leaf) {
+                if let Some(leaf) = self.leafs.get_mut(&info.leaf) {
                     // Before we know of anyone else, one connection at a time.
-                    l.connection_limit = Some(if self.peers.is_empty() { 1 } else { n });
+                    leaf.connection_limit = Some(if self.peers.is_empty() { 1 } else { n });
                 }
             }
         }
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -65,8 +65,14 @@
     /// the local zone first if the plan prefers it, never one in `tried`. Rested
     /// leafs serve only when no other stands, and then for first tries alone: if
     /// most of a pool looks bad it is used with care, but not beaten.
-    pub fn choose(&self, luck: &mut Random, map: &Route, shard: usize, tried: &[String]) -> Choice {
-        let found = self.candidates(map, shard, tried);
+    pub fn choose(
+        &self,
+        random: &mut Random,
+        route: &Route,
+        shard: usize,
+        tried: &[String],
+    ) -> Choice {
+        let found = self.candidates(route, shard, tried);
         if found.usable.is_empty() {
             return if found.any_open { Choice::NoCapacity } else { Choice::NoCandidate };
         }
@@ -86,7 +92,7 @@
                 .filter(|f| f.ejected == rested && f.preferred == near)
                 .collect();
             if !set.is_empty() {
-                return Choice::Leaf(best(&set, luck, map.form).clone());
+                return Choice::Leaf(best(&set, random, route.form).clone());
             }
         }
         Choice::NoCandidate
@@ -94,26 +100,26 @@
 }
 
 /// The least loaded of a few leafs, or the less loaded of two drawn from many.
-fn best<'a>(set: &[&Candidate<'a>], luck: &mut Random, form: Form) -> &'a Arc<LeafInfo> {
+fn best<'a>(set: &[&Candidate<'a>], random: &mut Random, form: Form) -> &'a Arc<LeafInfo> {
     if set.len() <= SMALL && form != Form::Own {
         // So few can all be looked at; chance breaks ties.
-        let from = luck.below(set.len() as u64) as usize;
+        let from = random.below(set.len() as u64) as usize;
         let all = set[from..].iter().chain(&set[..from]);
         if let Some(best) = all.min_by_key(|f| f.cost) {
             return best.info;
         }
     }
-    let one = set[luck.below(set.len() as u64) as usize];
-    let two = set[luck.below(set.len() as u64) as usize];
+    let one = set[random.below(set.len() as u64) as usize];
+    let two = set[random.below(set.len() as u64) as usize];
     if two.cost < one.cost { two.info } else { one.info }
 }
 
 impl<'a> SelectionContext<'a> {
     /// The leafs of a shard that stand, and those of them that have room.
-    fn candidates(&self, map: &'a Route, shard: usize, tried: &[String]) -> Candidates<'a> {
+    fn candidates(&self, route: &'a Route, shard: usize, tried: &[String]) -> Candidates<'a> {
         let mut found = Candidates::default();
-        for pool in &map.shards[shard].pools {
-            for info in open(self.cluster_view, pool, &map.cut) {
+        for pool in &route.shards[shard].pools {
+            for info in open(self.cluster_view, pool, &route.cut) {
                 if tried.contains(&info.leaf) {
                     continue;
                 }
@@ -122,7 +128,7 @@
                     continue;
                 }
                 found.any_open = true;
-                let near = map.local && zone(info) == self.zone;
+                let near = route.local && zone(info) == self.zone;
                 let candidate = match pool.steer {
                     Steer::Seen => {
                         if self.is_held_cold(leaf, info, pool) {
@@ -130,7 +136,7 @@
                         }
                         found.healthy |=
                             leaf.connection_limit != Some(0) && leaf.ejected_until <= self.now;
-                        self.by_observed_load(leaf, info, near || !map.local)
+                        self.by_observed_load(leaf, info, near || !route.local)
                     }
                     Steer::Share => self.by_allocation(leaf, info, pool, near),
                 };
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -23,31 +23,32 @@
         &mut self,
         now: Tick,
         call: u64,
-        ask: SearchRequest,
+        request: SearchRequest,
     ) -> Result<Query, Rejection> {
         let say = |reason, text: &str| Err(Rejection::new(reason, text));
         self.check_serving(now)?;
-        let Some(map) = self.cluster_view.mappings.get(&ask.route).cloned() else {
+        let Some(route) = self.cluster_view.mappings.get(&request.route).cloned() else {
             return say(RejectionReason::UnknownRoute, "no search of that name is configured");
         };
-        if map.form != Form::Own {
+        if route.form != Form::Own {
             return say(RejectionReason::UnknownRoute, "this search is called by host and path");
         }
-        self.check_capacity(map.class)?;
-        let shards = planned_shards(&map, ask.key.as_deref(), &mut self.random)?;
-        let usable = usable(ask.timeout, map.promise)?;
-        let body = question(&map, &ask.question, ask.key.as_deref(), ask.record_limit);
+        self.check_capacity(route.class)?;
+        let shards = planned_shards(&route, request.key.as_deref(), &mut self.random)?;
+        let usable = usable(request.timeout, route.promise)?;
+        let body =
+            question(&route, &request.question, request.key.as_deref(), request.record_limit);
         let times = QueryTimes {
             started_at: now,
-            quorum_suffices_from: now + usable * map.stop_pct / 100,
+            quorum_suffices_from: now + usable * route.stop_pct / 100,
             queue_until: now + usable,
             deadline: now + usable,
         };
-        let mut q = self.new_query(call, map, shards, times);
-        q.record_limit = ask.record_limit;
-        q.body_digest = digest(&body);
-        q.body = Arc::new(body);
-        Ok(q)
+        let mut query = self.new_query(call, route, shards, times);
+        query.record_limit = request.record_limit;
+        query.body_digest = digest(&body);
+        query.body = Arc::new(body);
+        Ok(query)
     }
 
     /// The same for a call that is handed over.
@@ -55,18 +56,18 @@
         &mut self,
         now: Tick,
         call: u64,
-        parcel: Arc<ForwardedRequest>,
+        request: Arc<ForwardedRequest>,
     ) -> Result<Query, Rejection> {
         self.check_serving(now)?;
-        let Some(map) = found(&self.cluster_view, &parcel.host, &parcel.path).cloned() else {
+        let Some(route) = found(&self.cluster_view, &request.host, &request.path).cloned() else {
             let text = "no search takes calls of this host and path";
             return Err(Rejection::new(RejectionReason::UnknownRoute, text));
         };
-        self.check_capacity(map.class)?;
-        let shards = planned_shards(&map, Some(&parcel.id), &mut self.random)?;
-        let usable = usable(parcel.timeout.unwrap_or(map.promise), map.promise)?;
-        let (stop, hold) = match map.target {
-            None => (usable * map.stop_pct / 100, usable),
+        self.check_capacity(route.class)?;
+        let shards = planned_shards(&route, Some(&request.id), &mut self.random)?;
+        let usable = usable(request.timeout.unwrap_or(route.promise), route.promise)?;
+        let (stop, hold) = match route.target {
+            None => (usable * route.stop_pct / 100, usable),
             Some(target) => {
                 let keep = (target * consts::TARGET_KEEP_PCT / 100)
                     .clamp(consts::TARGET_KEEP_MIN, consts::TARGET_KEEP_MAX);
@@ -79,9 +80,9 @@
             queue_until: now + hold.min(usable),
             deadline: now + usable,
         };
-        let mut q = self.new_query(call, map, shards, times);
-        q.forwarded = Some(parcel);
-        Ok(q)
+        let mut query = self.new_query(call, route, shards, times);
+        query.forwarded = Some(request);
+        Ok(query)
     }
 }
 
@@ -98,7 +99,7 @@
     fn new_query(
         &self,
         call: u64,
-        map: Arc<Route>,
+        route: Arc<Route>,
         shards: Vec<usize>,
         times: QueryTimes,
     ) -> Query {
@@ -117,21 +118,21 @@
             queue_until: times.queue_until,
             executed: false,
             last_failure: None,
-            route: map,
+            route: route,
         }
     }
 }
 
 /// The shards that a query goes to.
 fn planned_shards(
-    map: &Route,
+    route: &Route,
     key: Option<&str>,
-    luck: &mut Random,
+    random: &mut Random,
 ) -> Result<Vec<usize>, Rejection> {
-    match (map.send, key) {
-        (Send::Wide, _) => Ok((0..map.shards.len()).collect()),
-        (Send::One, Some(key)) => Ok(vec![shard_of(map, key)]),
-        (Send::Weighed, _) => Ok(vec![drawn(map, luck)]),
+    match (route.send, key) {
+        (Send::Wide, _) => Ok((0..route.shards.len()).collect()),
+        (Send::One, Some(key)) => Ok(vec![shard_of(route, key)]),
+        (Send::Weighed, _) => Ok(vec![drawn(route, random)]),
         (Send::One, None) => {
             let text = "this search looks up one thing: give its `key`";
             Err(Rejection::new(RejectionReason::MissingKey, text))
@@ -153,14 +154,14 @@
 }
 
 /// The shard that a key falls on, the same on every node.
-pub fn shard_of(map: &Route, key: &str) -> usize {
-    (hash(key) % map.shards.len() as u64) as usize
+pub fn shard_of(route: &Route, key: &str) -> usize {
+    (hash(key) % route.shards.len() as u64) as usize
 }
 
 /// A shard drawn by the mapping's weights.
-pub fn drawn(map: &Route, luck: &mut Random) -> usize {
-    let mut left = luck.below(map.weights.iter().sum());
-    for (i, weight) in map.weights.iter().enumerate() {
+pub fn drawn(route: &Route, random: &mut Random) -> usize {
+    let mut left = random.below(route.weights.iter().sum());
+    for (i, weight) in route.weights.iter().enumerate() {
         if left < *weight {
             return i;
         }
@@ -170,6 +171,6 @@
 }
 
 /// The body of a dispatch for a question under a mapping.
-pub fn question(map: &Route, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
-    crate::http_api::leaf::body(&map.name, &map.cut, question, key, limit)
+pub fn question(route: &Route, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
+    crate::http_api::leaf::body(&route.name, &route.cut, question, key, limit)
 }
--- a/crates/core/src/query/progress.rs
+++ b/crates/core/src/query/progress.rs
@@ -2,9 +2,7 @@
 
 use super::engine::QueryEngine;
 use super::event::Command;
-
 use super::planned_query::{Query, ShardState};
-
 use super::request::{Rejection, RejectionReason};
 
 use crate::time::Tick;
@@ -20,66 +18,73 @@
         &mut self,
         now: Tick,
         call: u64,
-        q: Result<Query, Rejection>,
-        out: &mut Vec<Command>,
+        query: Result<Query, Rejection>,
+        commands: &mut Vec<Command>,
     ) {
-        match q {
-            Err(b) => self.reject(now, (call, 0), b, None, out),
-            Ok(q) => {
-                let id = self.next_query;
+        match query {
+            Err(rejection) => self.reject(now, (call, 0), rejection, None, commands),
+            Ok(query) => {
+                let query_id = self.next_query;
                 self.next_query += 1;
-                self.queries.insert(id, q);
-                self.advance_query(now, id, out);
+                self.queries.insert(query_id, query);
+                self.advance_query(now, query_id, commands);
             }
         }
     }
 
     /// Moves every query on: timers, and room that may have come free. Urgent
     /// queries are served first, then those that end soonest.
-    pub(super) fn advance_queries(&mut self, now: Tick, out: &mut Vec<Command>) {
+    pub(super) fn advance_queries(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let mut ids: Vec<_> = self
             .queries
             .iter()
-            .filter(|(_, q)| q.next_due() <= now || q.queued_shards() > 0)
-            .map(|(id, q)| (std::cmp::Reverse(q.route.class), q.route.rank, q.deadline, *id))
+            .filter(|(_, query)| query.next_due() <= now || query.queued_shards() > 0)
+            .map(|(id, query)| {
+                (std::cmp::Reverse(query.route.class), query.route.rank, query.deadline, *id)
+            })
             .collect();
         ids.sort_unstable();
-        for (_, _, _, id) in ids {
-            self.advance_query(now, id, out);
+        for (_, _, _, query_id) in ids {
+            self.advance_query(now, query_id, commands);
         }
     }
 
     /// Moves one query as far as it goes now.
-    pub(super) fn advance_query(&mut self, now: Tick, id: u64, out: &mut Vec<Command>) {
-        let Some(mut q) = self.queries.swap_remove(&id) else { return };
-        if now < q.deadline {
-            for i in 0..q.shards.len() {
-                match q.shards[i].state {
-                    ShardState::Queued => self.send_queued(now, id, &mut q, i, out),
-                    ShardState::InFlight if q.shards[i].hedge_at <= now => {
-                        self.send_hedge(now, id, &mut q, i, out)
+    pub(super) fn advance_query(&mut self, now: Tick, query_id: u64, commands: &mut Vec<Command>) {
+        let Some(mut query) = self.queries.swap_remove(&query_id) else { return };
+        if now < query.deadline {
+            for index in 0..query.shards.len() {
+                match query.shards[index].state {
+                    ShardState::Queued => {
+                        self.send_queued(now, query_id, &mut query, index, commands)
+                    }
+                    ShardState::InFlight if query.shards[index].hedge_at <= now => {
+                        self.send_hedge(now, query_id, &mut query, index, commands)
                     }
                     _ => {}
                 }
             }
         }
-        let (have, need) = (q.answered_shards(), q.quorum_size());
-        let open = q
+        let (have, need) = (query.answered_shards(), query.quorum_size());
+        let open = query
             .shards
             .iter()
             .filter(|s| matches!(s.state, ShardState::Queued | ShardState::InFlight))
             .count();
-        let outcome = if open == 0 || now >= q.deadline {
-            if have >= need { Ok(()) } else { Err(q.rejection_reason(now)) }
-        } else if have >= need && now >= q.quorum_suffices_from && q.is_worth_answering(have) {
+        let outcome = if open == 0 || now >= query.deadline {
+            if have >= need { Ok(()) } else { Err(query.rejection_reason(now)) }
+        } else if have >= need
+            && now >= query.quorum_suffices_from
+            && query.is_worth_answering(have)
+        {
             Ok(())
         } else if have + open < need {
-            Err(q.rejection_reason(now))
+            Err(query.rejection_reason(now))
         } else {
-            self.queries.insert(id, q);
+            self.queries.insert(query_id, query);
             return;
         };
-        self.finish_query(now, q, outcome, out);
+        self.finish_query(now, query, outcome, commands);
     }
 }
 
--- a/crates/core/src/query/quota.rs
+++ b/crates/core/src/query/quota.rs
@@ -21,11 +21,11 @@
 impl QuotaShare {
     /// A share among the threads of the members, given as (name, threads).
     pub fn new(members: &[(String, u32)], me: &str, thread: u32) -> QuotaShare {
-        let mut slots: Vec<u64> =
+        let mut threads: Vec<u64> =
             members.iter().flat_map(|(name, n)| (0..*n).map(|t| slot(name, t))).collect();
-        slots.sort_unstable();
-        slots.dedup();
-        QuotaShare { threads: slots, own_thread: slot(me, thread) }
+        threads.sort_unstable();
+        threads.dedup();
+        QuotaShare { threads: threads, own_thread: slot(me, thread) }
     }
 }
 
--- a/crates/core/src/query/rejection.rs
+++ b/crates/core/src/query/rejection.rs
@@ -13,33 +13,39 @@
         &mut self,
         now: Tick,
         (call, rest): (u64, Span),
-        mut b: Rejection,
+        mut rejection: Rejection,
         query: Option<String>,
-        out: &mut Vec<Command>,
+        commands: &mut Vec<Command>,
     ) {
-        b.query = query;
+        rejection.query = query;
         let away = matches!(
-            b.reason,
+            rejection.reason,
             RejectionReason::ConcurrencyLimit
                 | RejectionReason::NoCapacity
                 | RejectionReason::DeadlineExceeded
         );
         self.load_pressure.record(now, away);
-        b.retry_after_seconds =
-            Some(self.load_pressure.retry_after_seconds(now, b.reason, rest, &mut self.random));
-        b.retry_after = Some(self.load_pressure.retry_after(now, rest, &mut self.random));
-        *self.statistics.rejected.entry(b.reason).or_default() += 1;
-        out.push(Command::Respond { call, outcome: Outcome::Rejected(b) });
+        rejection.retry_after_seconds = Some(self.load_pressure.retry_after_seconds(
+            now,
+            rejection.reason,
+            rest,
+            &mut self.random,
+        ));
+        rejection.retry_after = Some(self.load_pressure.retry_after(now, rest, &mut self.random));
+        *self.statistics.rejected.entry(rejection.reason).or_default() += 1;
+        commands.push(Command::Respond { call, outcome: Outcome::Rejected(rejection) });
     }
 
     /// How long until each shard that is missing has a leaf that is not rested.
-    pub(super) fn ejection_left(&self, now: Tick, q: &Query) -> Span {
-        let lost = q.shards.iter().filter(|s| s.state != ShardState::Answered);
+    pub(super) fn ejection_left(&self, now: Tick, query: &Query) -> Span {
+        let lost = query.shards.iter().filter(|s| s.state != ShardState::Answered);
         let soonest = |s: &PlannedShard| {
-            let shard = &q.route.shards[s.index];
-            let list = shard.pools.iter().flat_map(|p| open(&self.cluster_view, p, &q.route.cut));
-            let rests =
-                list.filter_map(|i| self.leafs.get(&i.leaf)).map(|l| since(now, l.ejected_until));
+            let shard = &query.route.shards[s.index];
+            let list =
+                shard.pools.iter().flat_map(|p| open(&self.cluster_view, p, &query.route.cut));
+            let rests = list
+                .filter_map(|i| self.leafs.get(&i.leaf))
+                .map(|leaf| since(now, leaf.ejected_until));
             rests.min().unwrap_or(consts::LIST_POLL)
         };
         lost.map(soonest).max().unwrap_or(0)
--- a/crates/core/src/query/retry.rs
+++ b/crates/core/src/query/retry.rs
@@ -35,13 +35,13 @@
 
     /// Time after which a caller who handed a call over may come back: soon, since
     /// most troubles of one node or leaf are over before its budget ends.
-    pub fn retry_after(&mut self, now: Tick, rest: Span, luck: &mut Random) -> Span {
+    pub fn retry_after(&mut self, now: Tick, rest: Span, random: &mut Random) -> Span {
         self.decay(now);
         let base = (AGAIN_SOON * self.arrived)
             .checked_div((self.arrived - self.rejected).max(1))
             .unwrap_or(0);
         let base = base.max(rest).clamp(AGAIN_SOON, AGAIN_MIN_S * SECOND);
-        base + luck.below(base / 2 + 1)
+        base + random.below(base / 2 + 1)
     }
 
     /// Seconds after which the caller may ask again. `rest` is the time until a
@@ -55,7 +55,7 @@
         now: Tick,
         why: RejectionReason,
         rest: Span,
-        luck: &mut Random,
+        random: &mut Random,
     ) -> u64 {
         self.decay(now);
         let base = match why {
@@ -70,6 +70,6 @@
             _ => AGAIN_MIN_S,
         };
         let base = base.clamp(AGAIN_MIN_S, AGAIN_MAX_S);
-        (base + luck.below(base + 1)).min(AGAIN_MAX_S)
+        (base + random.below(base + 1)).min(AGAIN_MAX_S)
     }
 }
--- a/crates/core/src/query/service_retry_budget.rs
+++ b/crates/core/src/query/service_retry_budget.rs
@@ -85,6 +85,6 @@
 
     /// Forgets services that are no longer known.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
-        self.credits.retain(|s, _| known(s));
+        self.credits.retain(|service, _| known(service));
     }
 }
--- a/crates/core/src/query/step.rs
+++ b/crates/core/src/query/step.rs
@@ -8,27 +8,27 @@
 impl QueryEngine {
     /// Takes one event and says what to do.
     pub fn step(&mut self, now: Tick, event: Event) -> Vec<Command> {
-        let mut out = Vec::new();
+        let mut commands = Vec::new();
         match event {
-            Event::Search { call, request: ask } => {
-                let q = self.plan_search(now, call, ask);
-                self.start_query(now, call, q, &mut out);
+            Event::Search { call, request } => {
+                let query = self.plan_search(now, call, request);
+                self.start_query(now, call, query, &mut commands);
             }
-            Event::Forward { call, request: parcel } => {
-                let q = self.plan_forwarded(now, call, parcel);
-                self.start_query(now, call, q, &mut out);
+            Event::Forward { call, request } => {
+                let query = self.plan_forwarded(now, call, request);
+                self.start_query(now, call, query, &mut commands);
             }
-            Event::AttemptEnded { attempt: dispatch, result: got } => {
-                self.attempt_ended(now, dispatch, got, &mut out)
+            Event::AttemptEnded { attempt: dispatch, result } => {
+                self.attempt_ended(now, dispatch, result, &mut commands)
             }
-            Event::CallerGone { call } => self.caller_gone(call, &mut out),
+            Event::CallerGone { call } => self.caller_gone(call, &mut commands),
             Event::ClusterView(view) => {
                 self.replace_view(now, view);
-                self.advance_queries(now, &mut out);
+                self.advance_queries(now, &mut commands);
             }
             Event::QuotaShare(share) => {
                 self.replace_quota_share(share);
-                self.advance_queries(now, &mut out);
+                self.advance_queries(now, &mut commands);
             }
             Event::Peers(peers) => {
                 self.peers = peers;
@@ -40,14 +40,14 @@
             Event::ServingState(door) => self.serving_state = door,
             Event::LeaseValidUntil(until) => {
                 self.lease_valid_until = until;
-                self.advance_queries(now, &mut out);
+                self.advance_queries(now, &mut commands);
             }
-            Event::Timer => self.advance_queries(now, &mut out),
+            Event::Timer => self.advance_queries(now, &mut commands),
         }
         // Given-up dispatches leave room behind that waiting queries can use.
-        if out.iter().any(|c| matches!(c, Command::CancelAttempt { .. })) {
-            self.advance_queries(now, &mut out);
+        if commands.iter().any(|c| matches!(c, Command::CancelAttempt { .. })) {
+            self.advance_queries(now, &mut commands);
         }
-        out
+        commands
     }
 }
