--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -10,7 +10,7 @@
 use super::leaf::LeafState;
 use super::planned_query::Query;
 use super::quota::QuotaShare;
-use super::retry::LoadPressure;
+use super::retry_after::LoadPressure;
 use super::retry_budget::RetryBudget;
 use super::service_retry_budget::{RetryRate, ServiceRetryBudget};
 use super::statistics::EngineStatistics;
--- a/crates/core/src/query/mod.rs
+++ b/crates/core/src/query/mod.rs
@@ -26,7 +26,7 @@
 mod rejection;
 mod replies;
 pub mod request;
-pub mod retry;
+pub mod retry_after;
 pub mod retry_budget;
 mod sending;
 pub mod service_retry_budget;
--- a/crates/core/tests/again.rs
+++ b/crates/core/tests/retry_after.rs
@@ -2,7 +2,7 @@
 
 use googletest::prelude::*;
 use grebepath_core::query::request::RejectionReason;
-use grebepath_core::query::retry::LoadPressure;
+use grebepath_core::query::retry_after::LoadPressure;
 use grebepath_core::random::Random;
 use grebepath_core::time::{SECOND, ms};
 
