--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -14,7 +14,7 @@
 use crate::membership::pending_report::PendingLeafReport;
 use crate::membership::proofs::Proofs;
 use crate::protocol::message::{EntryMap, FeedPosition, LeafReport, Member, Membership, Message};
-use crate::query::engine::Door;
+use crate::query::engine::ServingState;
 use crate::snapshot::cluster_view::ClusterView;
 use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick, ms};
@@ -81,7 +81,7 @@
     /// Until when the traffic threads may act on their view, as last commanded.
     pub serving_until: Tick,
     /// Which calls are taken, as last commanded.
-    pub admission: Door,
+    pub admission: ServingState,
     /// Whether this querier is ready, as last commanded.
     pub ready: bool,
     /// When the process was asked to stop.
@@ -239,7 +239,7 @@
     /// members do not agree on for a moment costs a reset connection at most.
     LeafClients(Vec<LeafClient>),
     /// Which calls are taken.
-    Admission(Door),
+    Admission(ServingState),
     /// Until when the traffic threads may act on their view, if nothing else is said.
     ServingUntil(Tick),
     /// Whether this querier is ready.
@@ -280,7 +280,7 @@
             serving_some_since: None,
             bypassed_since: None,
             serving_until: 0,
-            admission: Door::Shut,
+            admission: ServingState::NoSnapshot,
             ready: false,
             stopping_since: None,
             drain_notice: DRAIN_NOTICE,
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -13,7 +13,7 @@
 use crate::membership::node_agent::{Command, LeafClient, NodeAgent, QuotaMember};
 use crate::membership::peer::Peer;
 use crate::membership::updates::START_PATIENCE;
-use crate::query::engine::Door;
+use crate::query::engine::ServingState;
 use crate::time::{Span, Tick, ms, since};
 
 /// A lone cut-off member turns not ready after this long without the controllers, a
@@ -39,7 +39,7 @@
     pub(super) fn decide(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let contact = self.core_contact(now);
         let admission = self.decide_admission(now, &contact);
-        let cut_off = admission == Door::CutOff;
+        let cut_off = admission == ServingState::Isolated;
         if self.ring.divided_while_cut_off != Some(cut_off) {
             self.ring.divided_while_cut_off = Some(cut_off);
             self.divide_quotas(cut_off, commands);
@@ -79,16 +79,16 @@
         self.lease.granted && now > contact.proved_until
     }
 
-    fn decide_admission(&self, now: Tick, contact: &CoreContact) -> Door {
+    fn decide_admission(&self, now: Tick, contact: &CoreContact) -> ServingState {
         let lapsed = contact.age >= LEASE_TRUST;
         // The platform needs a moment to see that we are not ready: until then
         // callers still come, and are served.
         let stopping = self.stopping_since.is_some_and(|at| since(at, now) >= self.drain_notice);
         match (&self.view, stopping) {
-            (_, true) => Door::Stopping,
-            (None, _) => Door::Shut,
-            _ if self.is_unproved(now, contact) && lapsed => Door::CutOff,
-            _ => Door::Open,
+            (_, true) => ServingState::ShuttingDown,
+            (None, _) => ServingState::NoSnapshot,
+            _ if self.is_unproved(now, contact) && lapsed => ServingState::Isolated,
+            _ => ServingState::Serving,
         }
     }
 
@@ -96,12 +96,12 @@
     /// was paused wakes with an old limit and does nothing until it has a new one.
     fn update_serving_until(
         &mut self,
-        admission: Door,
+        admission: ServingState,
         contact: &CoreContact,
         commands: &mut Vec<Command>,
     ) {
         let serving_until = match admission {
-            Door::CutOff | Door::Shut => 0,
+            ServingState::Isolated | ServingState::NoSnapshot => 0,
             _ => self.lease.valid_until().max(contact.proved_until),
         };
         if serving_until != self.serving_until {
@@ -115,7 +115,7 @@
             self.serving_some_since.is_some_and(|at| since(at, now) >= START_PATIENCE);
         let is_alone =
             self.lease.granted && (now > self.accompanied_until() || contact.is_bypassed);
-        let ready = self.admission == Door::Open
+        let ready = self.admission == ServingState::Serving
             && self.stopping_since.is_none()
             && self.has_served
             && !self.quota_members.is_empty()
--- a/crates/core/src/query/forwarding.rs
+++ b/crates/core/src/query/forwarding.rs
@@ -2,109 +2,125 @@
 
 use std::sync::Arc;
 
-use super::attempt::Dispatch;
-use super::cancellation::free;
+use super::attempt::Attempt;
 use super::coverage::served;
 use super::engine::QueryEngine;
 use super::event::Command;
-use super::forwarded_reply::{Word, judge, promises};
-use super::latency_estimate;
-use super::leaf_feedback::{note, overtaken};
-use super::planned_query::{Query, Slot, SlotState, failed, shift};
-use super::request::Reason;
+use super::forwarded_reply::{ReplyClass, promises};
+use super::planned_query::{PlannedShard, Query, ShardState};
+use super::request::RejectionReason;
 use crate::config::route::Route;
 use crate::config::types::ServingMode;
 use crate::consts;
-use crate::http_api::leaf::{MISDIRECTED, Raw, Trouble};
+use crate::http_api::leaf::{AttemptFailure, LeafReply, MISDIRECTED};
 use crate::time::{Tick, since};
 
-/// A dispatch of a call that is handed over has ended.
-pub(super) fn reply(
-    d: &mut QueryEngine,
-    now: Tick,
-    (num, sent): (u64, &Dispatch),
-    q: &mut Query,
-    got: Result<Raw, Trouble>,
-    out: &mut Vec<Command>,
-) {
-    free(d, sent);
-    let word = word(d, q, sent, &got);
-    note(d, now, sent, word.how());
-    if word.how().is_ok() {
-        latency_estimate::note(&mut d.waits, &q.map.name, since(sent.at, now));
-    }
-    let slot = &mut q.slots[sent.slot];
-    slot.outs.retain(|o| *o != num);
-    if slot.state == SlotState::In {
-        return;
-    }
-    match word {
-        Word::Partial | Word::Answer => {
-            q.ran = true;
-            slot.part = got.ok().map(Arc::new);
-            shift(slot, SlotState::In);
-            let others = std::mem::take(&mut slot.outs);
-            overtaken(d, now, sent, &others, out);
+impl QueryEngine {
+    /// A dispatch of a call that is handed over has ended.
+    pub(super) fn forwarded_attempt_ended(
+        &mut self,
+        now: Tick,
+        (attempt_id, attempt): (u64, &Attempt),
+        query: &mut Query,
+        result: Result<LeafReply, AttemptFailure>,
+        commands: &mut Vec<Command>,
+    ) {
+        self.release_leaf(attempt);
+        let class = self.classify(query, attempt, &result);
+        self.note_leaf_result(now, attempt, class.how());
+        if class.how().is_ok() {
+            self.latency_estimate.record(&query.route.name, since(attempt.sent_at, now));
         }
-        Word::Unrun(why) => {
-            *d.counts.trouble.entry(why).or_default() += 1;
-            if why == Trouble::Unreachable {
-                // Nothing arrived anywhere: this was no try.
-                slot.tries = slot.tries.saturating_sub(1);
-            }
-            let lost = spent(slot, &q.map);
-            failed(slot, lost.then_some(Reason::NoRoom));
+        let shard = &mut query.shards[attempt.shard];
+        shard.in_flight.retain(|o| *o != attempt_id);
+        if shard.state == ShardState::Answered {
+            return;
         }
-        Word::Failed(why) => {
-            *d.counts.trouble.entry(why).or_default() += 1;
-            q.ran = true;
-            let lost = q.map.once || spent(slot, &q.map);
-            failed(slot, lost.then_some(Reason::BelowQuorum));
-            if let Ok(raw) = got
-                && why == Trouble::Status
-                && !promises(raw.status)
-            {
-                q.last = Some(Arc::new(raw));
+        match class {
+            ReplyClass::Partial | ReplyClass::Final => {
+                query.executed = true;
+                shard.reply = result.ok().map(Arc::new);
+                shard.transition(ShardState::Answered);
+                let others = std::mem::take(&mut shard.in_flight);
+                self.cancel_overtaken(now, attempt, &others, commands);
+            }
+            ReplyClass::Rejected(why) => {
+                *self.statistics.failures.entry(why).or_default() += 1;
+                if why == AttemptFailure::Unreachable {
+                    // Nothing arrived anywhere: this was no try.
+                    shard.attempts = shard.attempts.saturating_sub(1);
+                }
+                let lost = shard.is_exhausted(&query.route);
+                shard.attempt_failed(lost.then_some(RejectionReason::NoCapacity));
+            }
+            ReplyClass::Failed(why) => {
+                *self.statistics.failures.entry(why).or_default() += 1;
+                query.executed = true;
+                let lost = query.route.once || shard.is_exhausted(&query.route);
+                shard.attempt_failed(lost.then_some(RejectionReason::BelowQuorum));
+                if let Ok(raw) = result
+                    && why == AttemptFailure::ErrorStatus
+                    && !promises(raw.status)
+                {
+                    query.last_failure = Some(Arc::new(raw));
+                }
             }
         }
     }
-}
 
-/// What a reply is to its call.
-fn word(d: &QueryEngine, q: &Query, sent: &Dispatch, got: &Result<Raw, Trouble>) -> Word {
-    let word = match got {
-        Err(why) => Word::without_reply(*why),
-        Ok(raw) => judge(raw, q.map.form),
-    };
-    // Coverage: the shard is derived, and must be the one that was planned.
-    let planned = q.slots[sent.slot].shard;
-    let covers = || served(&d.view, &q.map, &sent.leaf, &sent.service) == Some(planned);
-    if word.how().is_ok() && !covers() {
-        return Word::Failed(Trouble::WrongService);
+    /// What a reply is to its call.
+    fn classify(
+        &self,
+        query: &Query,
+        attempt: &Attempt,
+        result: &Result<LeafReply, AttemptFailure>,
+    ) -> ReplyClass {
+        let class = match result {
+            Err(why) => ReplyClass::without_reply(*why),
+            Ok(raw) => ReplyClass::of_reply(raw, query.route.form),
+        };
+        // Coverage: the shard is derived, and must be the one that was planned.
+        let planned = query.shards[attempt.shard].index;
+        let covers = || {
+            served(&self.cluster_view, &query.route, &attempt.leaf, &attempt.service)
+                == Some(planned)
+        };
+        if class.how().is_ok() && !covers() {
+            return ReplyClass::Failed(AttemptFailure::ServiceMismatch);
+        }
+        class
     }
-    word
 }
 
-/// Whether a shard has had all its dispatches, or been offered to all the leafs
-/// that it may be, those that could not be reached included.
-fn spent(slot: &Slot, map: &Route) -> bool {
-    let most = map.attempts as usize + consts::UNREACHED_MAX;
-    slot.tries >= map.attempts || slot.tried.len() >= most
+impl PlannedShard {
+    /// Whether a shard has had all its dispatches, or been offered to all the leafs
+    /// that it may be, those that could not be reached included.
+    fn is_exhausted(&self, route: &Route) -> bool {
+        let most = route.attempts as usize + consts::UNREACHED_MAX;
+        self.attempts >= route.attempts || self.attempted_leafs.len() >= most
+    }
 }
 
-/// A dispatch has ended whose query is over: it still tells of its leaf.
-pub(super) fn late(d: &mut QueryEngine, now: Tick, sent: &Dispatch, got: &Result<Raw, Trouble>) {
-    if !sent.handed {
-        return;
-    }
-    let word = match got {
-        // Whatever was asked, a leaf that answers with less than a failure of
-        // its own stands well.
-        Ok(raw) if raw.status < 500 && !raw.heads.unrun && raw.status != MISDIRECTED => {
-            Word::Partial
+impl QueryEngine {
+    /// A dispatch has ended whose query is over: it still tells of its leaf.
+    pub(super) fn note_late_reply(
+        &mut self,
+        now: Tick,
+        attempt: &Attempt,
+        result: &Result<LeafReply, AttemptFailure>,
+    ) {
+        if !attempt.forwarded {
+            return;
         }
-        Ok(raw) => judge(raw, ServingMode::Join),
-        Err(why) => Word::without_reply(*why),
-    };
-    note(d, now, sent, word.how());
+        let class = match result {
+            // Whatever was asked, a leaf that answers with less than a failure of
+            // its own stands well.
+            Ok(raw) if raw.status < 500 && !raw.headers.rejected && raw.status != MISDIRECTED => {
+                ReplyClass::Partial
+            }
+            Ok(raw) => ReplyClass::of_reply(raw, ServingMode::Join),
+            Err(why) => ReplyClass::without_reply(*why),
+        };
+        self.note_leaf_result(now, attempt, class.how());
+    }
 }
--- a/crates/core/src/query/leaf_feedback.rs
+++ b/crates/core/src/query/leaf_feedback.rs
@@ -1,46 +1,51 @@
 //! What the end of an attempt says of its leaf.
 
-use super::attempt::Dispatch;
-use super::cancellation::drop_out;
+use super::attempt::Attempt;
 use super::engine::QueryEngine;
 use super::event::Command;
-use super::leaf;
-use crate::http_api::leaf::Trouble;
+use crate::http_api::leaf::AttemptFailure;
 use crate::time::{Tick, since};
 
-/// What a reply says of its leaf.
-pub(super) fn note(d: &mut QueryEngine, now: Tick, sent: &Dispatch, how: Result<(), Trouble>) {
-    let Some(l) = d.leafs.get_mut(&sent.leaf) else { return };
-    let took = since(sent.at, now);
-    match how {
-        Ok(()) => {
-            leaf::good(l, took);
-            leaf::strain(l, took, now);
+impl QueryEngine {
+    /// What a reply says of its leaf.
+    pub(super) fn note_leaf_result(
+        &mut self,
+        now: Tick,
+        attempt: &Attempt,
+        how: Result<(), AttemptFailure>,
+    ) {
+        let Some(leaf) = self.leafs.get_mut(&attempt.leaf) else { return };
+        let took = since(attempt.sent_at, now);
+        match how {
+            Ok(()) => {
+                leaf.record_success(took);
+                leaf.adjust_health_weight(took, now);
+            }
+            // Turning work away unrun is good manners, not a fault: it has
+            // more than it bears, and we give it less.
+            Err(AttemptFailure::Rejected) => leaf.record_rejection(now),
+            Err(_) => leaf.record_failure(now),
         }
-        // Turning work away unrun is good manners, not a fault: it has
-        // more than it bears, and we give it less.
-        Err(Trouble::Unrun) => leaf::turned(l, now),
-        Err(_) => leaf::bad(l, now),
     }
-}
 
-/// Gives up the other dispatches of a shard that is in. Those that were sent
-/// earlier and are still silent were overtaken.
-pub(super) fn overtaken(
-    d: &mut QueryEngine,
-    now: Tick,
-    sent: &Dispatch,
-    others: &[u64],
-    out: &mut Vec<Command>,
-) {
-    for other in others {
-        if let Some(late) = d.dispatches.get(other)
-            && late.at < sent.at
-            && let Some(l) = d.leafs.get_mut(&late.leaf)
-        {
-            leaf::bad(l, now);
-            *d.counts.trouble.entry(Trouble::Overtaken).or_default() += 1;
+    /// Gives up the other dispatches of a shard that is in. Those that were sent
+    /// earlier and are still silent were overtaken.
+    pub(super) fn cancel_overtaken(
+        &mut self,
+        now: Tick,
+        attempt: &Attempt,
+        others: &[u64],
+        commands: &mut Vec<Command>,
+    ) {
+        for other in others {
+            if let Some(late) = self.attempts.get(other)
+                && late.sent_at < attempt.sent_at
+                && let Some(leaf) = self.leafs.get_mut(&late.leaf)
+            {
+                leaf.record_failure(now);
+                *self.statistics.failures.entry(AttemptFailure::Overtaken).or_default() += 1;
+            }
+            self.cancel_attempt(*other, commands);
         }
-        drop_out(d, *other, out);
     }
 }
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -7,10 +7,9 @@
 use crate::config::route::{CompiledPool, Route};
 use crate::config::types::{BalancingMode, ServingMode};
 use crate::consts::REST_AFTER;
-use crate::query::connection_subset::Peer;
-use crate::query::leaf::{Leaf, bears, load, used, warm};
-use crate::query::quota::{Share, part};
-use crate::query::{observed_load, slow_start};
+use crate::query::connection_subset::ConnectingThread;
+use crate::query::leaf::LeafState;
+use crate::query::quota::QuotaShare;
 use crate::random::Random;
 use crate::snapshot::cluster_view::ClusterView;
 use crate::snapshot::leafs::LeafInfo;
@@ -24,20 +23,20 @@
 pub enum Choice {
     Leaf(Arc<LeafInfo>),
     /// Leafs stand, but none has room in our share now.
-    Full,
+    NoCapacity,
     /// No leaf stands that was not tried before.
-    None,
+    NoCandidate,
 }
 
 /// What a choice depends on.
-pub struct Scene<'a> {
-    pub view: &'a ClusterView,
-    pub share: &'a Share,
-    pub leafs: &'a IndexMap<String, Leaf>,
+pub struct SelectionContext<'a> {
+    pub cluster_view: &'a ClusterView,
+    pub quota_share: &'a QuotaShare,
+    pub leafs: &'a IndexMap<String, LeafState>,
     pub zone: &'a str,
-    pub peers: &'a [Peer],
+    pub peers: &'a [ConnectingThread],
     /// Our own thread among them.
-    pub slot: u64,
+    pub thread_id: u64,
     pub now: Tick,
 }
 
@@ -46,143 +45,160 @@
     info: &'a Arc<LeafInfo>,
     /// For comparing: the lower, the better.
     cost: u64,
-    rested: bool,
+    ejected: bool,
     /// Of the local zone, or one whose connections are ours.
-    near: bool,
+    preferred: bool,
 }
 
 /// What the leafs of a shard's pools come to.
 #[derive(Default)]
 struct Candidates<'a> {
-    fit: Vec<Candidate<'a>>,
+    usable: Vec<Candidate<'a>>,
     /// Whether any leaf stands that was not tried before.
-    stand: bool,
+    any_open: bool,
     /// Whether a leaf that is steered by what is seen, is ours and stands well.
     healthy: bool,
 }
 
-/// Chooses a leaf for one shard of a pinned mapping: the less loaded of two,
-/// the local zone first if the plan prefers it, never one in `tried`. Rested
-/// leafs serve only when no other stands, and then for first tries alone: if
-/// most of a pool looks bad it is used with care, but not beaten.
-pub fn choose(s: &Scene, luck: &mut Random, map: &Route, shard: usize, tried: &[String]) -> Choice {
-    let found = candidates(s, map, shard, tried);
-    if found.fit.is_empty() {
-        return if found.stand { Choice::Full } else { Choice::None };
-    }
-    let first = tried.is_empty();
-    for (rested, near) in [(false, true), (false, false), (true, true), (true, false)] {
-        if rested && !first {
-            break;
-        }
-        // A leaf that others have the connections of is for need: none of ours stands
-        // well, or a second try finds none of ours.
-        if !near && found.healthy && first {
-            return Choice::Full;
+impl SelectionContext<'_> {
+    /// Chooses a leaf for one shard of a pinned mapping: the less loaded of two,
+    /// the local zone first if the plan prefers it, never one in `tried`. Rested
+    /// leafs serve only when no other stands, and then for first tries alone: if
+    /// most of a pool looks bad it is used with care, but not beaten.
+    pub fn choose(
+        &self,
+        random: &mut Random,
+        route: &Route,
+        shard: usize,
+        tried: &[String],
+    ) -> Choice {
+        let found = self.candidates(route, shard, tried);
+        if found.usable.is_empty() {
+            return if found.any_open { Choice::NoCapacity } else { Choice::NoCandidate };
         }
-        let set: Vec<_> =
-            found.fit.iter().filter(|f| f.rested == rested && f.near == near).collect();
-        if !set.is_empty() {
-            return Choice::Leaf(best(&set, luck, map.form).clone());
+        let first = tried.is_empty();
+        for (rested, near) in [(false, true), (false, false), (true, true), (true, false)] {
+            if rested && !first {
+                break;
+            }
+            // A leaf that others have the connections of is for need: none of ours stands
+            // well, or a second try finds none of ours.
+            if !near && found.healthy && first {
+                return Choice::NoCapacity;
+            }
+            let set: Vec<_> = found
+                .usable
+                .iter()
+                .filter(|f| f.ejected == rested && f.preferred == near)
+                .collect();
+            if !set.is_empty() {
+                return Choice::Leaf(best(&set, random, route.form).clone());
+            }
         }
+        Choice::NoCandidate
     }
-    Choice::None
 }
 
 /// The least loaded of a few leafs, or the less loaded of two drawn from many.
-fn best<'a>(set: &[&Candidate<'a>], luck: &mut Random, form: ServingMode) -> &'a Arc<LeafInfo> {
+fn best<'a>(set: &[&Candidate<'a>], random: &mut Random, form: ServingMode) -> &'a Arc<LeafInfo> {
     if set.len() <= SMALL && form != ServingMode::Native {
         // So few can all be looked at; chance breaks ties.
-        let from = luck.below(set.len() as u64) as usize;
+        let from = random.below(set.len() as u64) as usize;
         let all = set[from..].iter().chain(&set[..from]);
         if let Some(best) = all.min_by_key(|f| f.cost) {
             return best.info;
         }
     }
-    let one = set[luck.below(set.len() as u64) as usize];
-    let two = set[luck.below(set.len() as u64) as usize];
+    let one = set[random.below(set.len() as u64) as usize];
+    let two = set[random.below(set.len() as u64) as usize];
     if two.cost < one.cost { two.info } else { one.info }
 }
 
-/// The leafs of a shard that stand, and those of them that have room.
-fn candidates<'a>(s: &Scene<'a>, map: &'a Route, shard: usize, tried: &[String]) -> Candidates<'a> {
-    let mut found = Candidates::default();
-    for pool in &map.shards[shard].pools {
-        for info in s.view.open_leafs(pool, &map.cut) {
-            if tried.contains(&info.leaf) {
-                continue;
-            }
-            let Some(leaf) = s.leafs.get(&info.leaf) else { continue };
-            if leaf.leaving {
-                continue;
-            }
-            found.stand = true;
-            let near = map.local && info.zone() == s.zone;
-            let candidate = match pool.steer {
-                BalancingMode::LoadAware => {
-                    if kept_cold(s, leaf, info, pool) {
-                        continue;
-                    }
-                    found.healthy |= leaf.connections != Some(0) && leaf.rest_until <= s.now;
-                    by_seen(s, leaf, info, near || !map.local)
+impl<'a> SelectionContext<'a> {
+    /// The leafs of a shard that stand, and those of them that have room.
+    fn candidates(&self, route: &'a Route, shard: usize, tried: &[String]) -> Candidates<'a> {
+        let mut found = Candidates::default();
+        for pool in &route.shards[shard].pools {
+            for info in self.cluster_view.open_leafs(pool, &route.cut) {
+                if tried.contains(&info.leaf) {
+                    continue;
                 }
-                BalancingMode::Partitioned => by_share(s, leaf, info, pool, near),
-            };
-            found.fit.extend(candidate);
+                let Some(leaf) = self.leafs.get(&info.leaf) else { continue };
+                if leaf.draining {
+                    continue;
+                }
+                found.any_open = true;
+                let near = route.local && info.zone() == self.zone;
+                let candidate = match pool.steer {
+                    BalancingMode::LoadAware => {
+                        if self.is_held_cold(leaf, info, pool) {
+                            continue;
+                        }
+                        found.healthy |=
+                            leaf.connection_limit != Some(0) && leaf.ejected_until <= self.now;
+                        self.by_observed_load(leaf, info, near || !route.local)
+                    }
+                    BalancingMode::Partitioned => self.by_allocation(leaf, info, pool, near),
+                };
+                found.usable.extend(candidate);
+            }
         }
+        found
     }
-    found
 }
 
-/// Whether a leaf is cold and not ours to send to now.
-fn kept_cold(s: &Scene, leaf: &Leaf, info: &LeafInfo, pool: &CompiledPool) -> bool {
-    let rate = u64::from(pool.cold_rate);
-    info.cold
-        && rate > 0
-        && !(slow_start::keeps(leaf, s.peers, s.slot)
-            && slow_start::saved(leaf, rate, s.now) >= 1_000)
-}
+impl SelectionContext<'_> {
+    /// Whether a leaf is cold and not ours to send to now.
+    fn is_held_cold(&self, leaf: &LeafState, info: &LeafInfo, pool: &CompiledPool) -> bool {
+        let rate = u64::from(pool.cold_rate);
+        info.cold
+            && rate > 0
+            && !(leaf.is_warmed_up_by(self.peers, self.thread_id)
+                && leaf.slow_start_allowance(rate, self.now) >= 1_000)
+    }
 
-/// A leaf that is steered by what is seen, if it has room.
-fn by_seen<'a>(
-    s: &Scene,
-    leaf: &Leaf,
-    info: &'a Arc<LeafInfo>,
-    near: bool,
-) -> Option<Candidate<'a>> {
-    // One that failed lately is tried with one dispatch at a time.
-    let wary = leaf.row >= REST_AFTER && leaf.live > 0;
-    if wary || leaf.live >= observed_load::room(leaf, info, s.now) {
-        return None;
+    /// A leaf that is steered by what is seen, if it has room.
+    fn by_observed_load<'a>(
+        &self,
+        leaf: &LeafState,
+        info: &'a Arc<LeafInfo>,
+        near: bool,
+    ) -> Option<Candidate<'a>> {
+        // One that failed lately is tried with one dispatch at a time.
+        let wary = leaf.consecutive_failures >= REST_AFTER && leaf.in_flight > 0;
+        if wary || leaf.in_flight >= leaf.concurrency_limit(info, self.now) {
+            return None;
+        }
+        Some(Candidate {
+            info,
+            cost: leaf.expected_latency(info, near),
+            ejected: leaf.ejected_until > self.now,
+            preferred: leaf.connection_limit != Some(0),
+        })
     }
-    Some(Candidate {
-        info,
-        cost: observed_load::likely(leaf, info, near),
-        rested: leaf.rest_until > s.now,
-        near: leaf.connections != Some(0),
-    })
-}
 
-/// A leaf that is divided among the threads, if our part has room.
-fn by_share<'a>(
-    s: &Scene,
-    leaf: &Leaf,
-    info: &'a Arc<LeafInfo>,
-    pool: &CompiledPool,
-    near: bool,
-) -> Option<Candidate<'a>> {
-    let own = room(s, leaf, pool);
-    (leaf.live < own).then(|| Candidate {
-        info,
-        cost: load(leaf, own),
-        rested: leaf.rest_until > s.now,
-        near,
-    })
-}
+    /// A leaf that is divided among the threads, if our part has room.
+    fn by_allocation<'a>(
+        &self,
+        leaf: &LeafState,
+        info: &'a Arc<LeafInfo>,
+        pool: &CompiledPool,
+        near: bool,
+    ) -> Option<Candidate<'a>> {
+        let own = self.allocation(leaf, pool);
+        (leaf.in_flight < own).then(|| Candidate {
+            info,
+            cost: leaf.load(own),
+            ejected: leaf.ejected_until > self.now,
+            preferred: near,
+        })
+    }
 
-/// Dispatches that we may have in hand at a leaf.
-pub fn room(s: &Scene, leaf: &Leaf, pool: &CompiledPool) -> u64 {
-    let rank = if warm(leaf, pool.ramp, s.now) { leaf.dealt } else { leaf.rank };
-    let part = part(s.share, rank, bears(leaf, pool.bears, pool.ramp, s.now));
-    used(leaf, part, s.share.mine, s.now)
+    /// Dispatches that we may have in hand at a leaf.
+    pub fn allocation(&self, leaf: &LeafState, pool: &CompiledPool) -> u64 {
+        let rank = if leaf.is_warm(pool.ramp, self.now) { leaf.balanced_rank } else { leaf.rank };
+        let part =
+            self.quota_share.allocation(rank, leaf.capacity(pool.bears, pool.ramp, self.now));
+        leaf.usable_allocation(part, self.quota_share.own_thread, self.now)
+    }
 }
--- a/crates/core/src/query/planned_query.rs
+++ b/crates/core/src/query/planned_query.rs
@@ -3,10 +3,10 @@
 use std::sync::Arc;
 
 use super::forwarded_request::ForwardedRequest;
-use super::request::{Reason, Record};
+use super::request::{Record, RejectionReason};
 use crate::config::route::Route;
 use crate::consts;
-use crate::http_api::leaf::Raw;
+use crate::http_api::leaf::LeafReply;
 use crate::time::Tick;
 
 /// One query in hand.
@@ -16,124 +16,134 @@
 pub struct Query {
     pub call: u64,
     pub name: String,
-    pub map: Arc<Route>,
+    pub route: Arc<Route>,
     pub revision: u64,
-    pub start: Tick,
+    pub started_at: Tick,
     /// From here on a quorum is enough.
-    pub stop_at: Tick,
+    pub quorum_suffices_from: Tick,
     /// Here the outcome must be told.
-    pub end: Tick,
-    pub limit: u32,
+    pub deadline: Tick,
+    pub record_limit: u32,
     pub body: Arc<Vec<u8>>,
-    pub digest: String,
-    pub slots: Vec<Slot>,
+    pub body_digest: String,
+    pub shards: Vec<PlannedShard>,
     /// The call itself, if it is handed over.
-    pub parcel: Option<Arc<ForwardedRequest>>,
+    pub forwarded: Option<Arc<ForwardedRequest>>,
     /// Until when a shard may wait for a leaf with room.
-    pub hold: Tick,
+    pub queue_until: Tick,
     /// A leaf has worked on this, or may have.
-    pub ran: bool,
+    pub executed: bool,
     /// A leaf's failure, to be given back if nothing better comes.
-    pub last: Option<Arc<Raw>>,
+    pub last_failure: Option<Arc<LeafReply>>,
 }
 
 /// One planned shard of a query.
-pub struct Slot {
-    pub shard: usize,
-    pub state: SlotState,
-    pub tries: u32,
+pub struct PlannedShard {
+    pub index: usize,
+    pub state: ShardState,
+    pub attempts: u32,
     /// Leafs that had this shard's dispatch; none is asked twice.
-    pub tried: Vec<String>,
-    pub outs: Vec<u64>,
+    pub attempted_leafs: Vec<String>,
+    pub in_flight: Vec<u64>,
     /// When a second try is due while a dispatch is out.
-    pub next_at: Tick,
+    pub hedge_at: Tick,
     pub records: Vec<Record>,
     /// The reply that stands for this shard, of a call that is handed over.
-    pub part: Option<Arc<Raw>>,
+    pub reply: Option<Arc<LeafReply>>,
     /// The call was counted for its service.
     pub counted: bool,
 }
 
 /// Where a planned shard stands.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum SlotState {
+pub enum ShardState {
     /// Wants a leaf with room.
-    Wanting,
+    Queued,
     /// At least one dispatch is out.
-    Out,
+    InFlight,
     /// Truly served; the coverage check has passed.
-    In,
+    Answered,
     /// Given up.
-    Lost(Reason),
+    Failed(RejectionReason),
 }
 
-/// Slots of a query that want room.
-pub fn wanting(q: &Query) -> usize {
-    q.slots.iter().filter(|s| s.state == SlotState::Wanting).count()
-}
-
-pub(super) fn due(q: &Query) -> Tick {
-    let mut at = q.end;
-    if count_in(q) >= need(q) {
-        at = at.min(q.stop_at);
-    }
-    if wanting(q) > 0 {
-        at = at.min(q.hold);
+impl Query {
+    /// Slots of a query that want room.
+    pub fn queued_shards(&self) -> usize {
+        self.shards.iter().filter(|s| s.state == ShardState::Queued).count()
     }
-    for s in &q.slots {
-        if s.state == SlotState::Out && s.tries < q.map.attempts {
-            at = at.min(s.next_at);
+
+    pub(super) fn next_due(&self) -> Tick {
+        let mut at = self.deadline;
+        if self.answered_shards() >= self.quorum_size() {
+            at = at.min(self.quorum_suffices_from);
+        }
+        if self.queued_shards() > 0 {
+            at = at.min(self.queue_until);
         }
+        for s in &self.shards {
+            if s.state == ShardState::InFlight && s.attempts < self.route.attempts {
+                at = at.min(s.hedge_at);
+            }
+        }
+        at
     }
-    at
-}
-
-pub(super) fn need(q: &Query) -> usize {
-    q.map.required_shards(q.slots.len())
-}
 
-pub(super) fn count_in(q: &Query) -> usize {
-    q.slots.iter().filter(|s| s.state == SlotState::In).count()
-}
+    pub(super) fn quorum_size(&self) -> usize {
+        self.route.required_shards(self.shards.len())
+    }
 
-/// The one function that changes a slot's state.
-pub(super) fn shift(slot: &mut Slot, to: SlotState) {
-    use SlotState::*;
-    let fits = matches!(
-        (slot.state, to),
-        (Wanting, Out) | (Wanting, Lost(_)) | (Out, Wanting) | (Out, In) | (Out, Lost(_))
-    );
-    assert!(fits, "no way from {:?} to {to:?}", slot.state);
-    slot.state = to;
+    pub(super) fn answered_shards(&self) -> usize {
+        self.shards.iter().filter(|s| s.state == ShardState::Answered).count()
+    }
 }
 
-/// All dispatches of a shard may have ended without a result: it wants another
-/// leaf, or is given up for the reason `lost`.
-pub(super) fn failed(slot: &mut Slot, lost: Option<Reason>) {
-    if !slot.outs.is_empty() {
-        return;
+impl PlannedShard {
+    /// The one function that changes a slot's state.
+    pub(super) fn transition(&mut self, to: ShardState) {
+        use ShardState::*;
+        let fits = matches!(
+            (self.state, to),
+            (Queued, InFlight)
+                | (Queued, Failed(_))
+                | (InFlight, Queued)
+                | (InFlight, Answered)
+                | (InFlight, Failed(_))
+        );
+        assert!(fits, "no way from {:?} to {to:?}", self.state);
+        self.state = to;
     }
-    shift(slot, SlotState::Wanting);
-    if let Some(why) = lost {
-        shift(slot, SlotState::Lost(why));
+
+    /// All dispatches of a shard may have ended without a result: it wants another
+    /// leaf, or is given up for the reason `lost`.
+    pub(super) fn attempt_failed(&mut self, lost: Option<RejectionReason>) {
+        if !self.in_flight.is_empty() {
+            return;
+        }
+        self.transition(ShardState::Queued);
+        if let Some(why) = lost {
+            self.transition(ShardState::Failed(why));
+        }
     }
-}
 
-pub(super) fn slot(shard: usize) -> Slot {
-    Slot {
-        shard,
-        state: SlotState::Wanting,
-        tries: 0,
-        tried: Vec::new(),
-        outs: Vec::new(),
-        next_at: 0,
-        records: Vec::new(),
-        part: None,
-        counted: false,
+    pub(super) fn new(shard: usize) -> PlannedShard {
+        PlannedShard {
+            index: shard,
+            state: ShardState::Queued,
+            attempts: 0,
+            attempted_leafs: Vec::new(),
+            in_flight: Vec::new(),
+            hedge_at: 0,
+            records: Vec::new(),
+            reply: None,
+            counted: false,
+        }
     }
 }
 
-/// Whether the shards that are in are worth more now than all of them later.
-pub fn enough(q: &Query, have: usize) -> bool {
-    q.parcel.is_none() || have * 100 >= q.slots.len() * consts::STOP_SHARE_PCT
+impl Query {
+    /// Whether the shards that are in are worth more now than all of them later.
+    pub fn is_worth_answering(&self, have: usize) -> bool {
+        self.forwarded.is_none() || have * 100 >= self.shards.len() * consts::STOP_SHARE_PCT
+    }
 }
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -4,11 +4,10 @@
 
 use serde_json::Value;
 
-use super::admission::{room, taken};
 use super::engine::QueryEngine;
 use super::forwarded_request::ForwardedRequest;
-use super::planned_query::{Query, slot};
-use super::request::{Ask, Reason, Rejection};
+use super::planned_query::{PlannedShard, Query};
+use super::request::{Rejection, RejectionReason, SearchRequest};
 use crate::config::route::Route;
 use crate::config::types::ServingMode;
 use crate::consts;
@@ -17,114 +16,125 @@
 use crate::routing_language::compile::FanOut;
 use crate::time::{Span, Tick};
 
-/// Fixes everything about a query: its mapping, its shards, its times.
-pub(super) fn plan(
-    d: &mut QueryEngine,
-    now: Tick,
-    call: u64,
-    ask: Ask,
-) -> Result<Query, Rejection> {
-    let say = |reason, text: &str| Err(Rejection::new(reason, text));
-    taken(d, now)?;
-    let Some(map) = d.view.mappings.get(&ask.mapping).cloned() else {
-        return say(Reason::NoMapping, "no search of that name is configured");
-    };
-    if map.form != ServingMode::Native {
-        return say(Reason::NoMapping, "this search is called by host and path");
+impl QueryEngine {
+    /// Fixes everything about a query: its mapping, its shards, its times.
+    pub(super) fn plan_search(
+        &mut self,
+        now: Tick,
+        call: u64,
+        request: SearchRequest,
+    ) -> Result<Query, Rejection> {
+        let say = |reason, text: &str| Err(Rejection::new(reason, text));
+        self.check_serving(now)?;
+        let Some(route) = self.cluster_view.mappings.get(&request.route).cloned() else {
+            return say(RejectionReason::UnknownRoute, "no search of that name is configured");
+        };
+        if route.form != ServingMode::Native {
+            return say(RejectionReason::UnknownRoute, "this search is called by host and path");
+        }
+        self.check_capacity(route.class)?;
+        let shards = planned_shards(&route, request.key.as_deref(), &mut self.random)?;
+        let usable = usable(request.timeout, route.promise)?;
+        let body =
+            question(&route, &request.question, request.key.as_deref(), request.record_limit);
+        let times = QueryTimes {
+            started_at: now,
+            quorum_suffices_from: now + usable * route.stop_pct / 100,
+            queue_until: now + usable,
+            deadline: now + usable,
+        };
+        let mut query = self.new_query(call, route, shards, times);
+        query.record_limit = request.record_limit;
+        query.body_digest = digest(&body);
+        query.body = Arc::new(body);
+        Ok(query)
     }
-    room(d, map.class)?;
-    let shards = planned_shards(&map, ask.key.as_deref(), &mut d.luck)?;
-    let usable = usable(ask.budget, map.promise)?;
-    let body = question(&map, &ask.question, ask.key.as_deref(), ask.limit);
-    let times = Times {
-        start: now,
-        stop_at: now + usable * map.stop_pct / 100,
-        hold: now + usable,
-        end: now + usable,
-    };
-    let mut q = query(d, call, map, shards, times);
-    q.limit = ask.limit;
-    q.digest = digest(&body);
-    q.body = Arc::new(body);
-    Ok(q)
-}
 
-/// The same for a call that is handed over.
-pub(super) fn plan_forwarded(
-    d: &mut QueryEngine,
-    now: Tick,
-    call: u64,
-    parcel: Arc<ForwardedRequest>,
-) -> Result<Query, Rejection> {
-    taken(d, now)?;
-    let Some(map) = d.view.route_for(&parcel.host, &parcel.path).cloned() else {
-        let text = "no search takes calls of this host and path";
-        return Err(Rejection::new(Reason::NoMapping, text));
-    };
-    room(d, map.class)?;
-    let shards = planned_shards(&map, Some(&parcel.id), &mut d.luck)?;
-    let usable = usable(parcel.budget.unwrap_or(map.promise), map.promise)?;
-    let (stop, hold) = match map.target {
-        None => (usable * map.stop_pct / 100, usable),
-        Some(target) => {
-            let keep = (target * consts::TARGET_KEEP_PCT / 100)
-                .clamp(consts::TARGET_KEEP_MIN, consts::TARGET_KEEP_MAX);
-            (target.saturating_sub(keep), target * consts::HOLD_PCT / 100)
-        }
-    };
-    let times = Times {
-        start: now,
-        stop_at: now + stop.min(usable),
-        hold: now + hold.min(usable),
-        end: now + usable,
-    };
-    let mut q = query(d, call, map, shards, times);
-    q.parcel = Some(parcel);
-    Ok(q)
+    /// The same for a call that is handed over.
+    pub(super) fn plan_forwarded(
+        &mut self,
+        now: Tick,
+        call: u64,
+        request: Arc<ForwardedRequest>,
+    ) -> Result<Query, Rejection> {
+        self.check_serving(now)?;
+        let Some(route) = self.cluster_view.route_for(&request.host, &request.path).cloned() else {
+            let text = "no search takes calls of this host and path";
+            return Err(Rejection::new(RejectionReason::UnknownRoute, text));
+        };
+        self.check_capacity(route.class)?;
+        let shards = planned_shards(&route, Some(&request.id), &mut self.random)?;
+        let usable = usable(request.timeout.unwrap_or(route.promise), route.promise)?;
+        let (stop, hold) = match route.target {
+            None => (usable * route.stop_pct / 100, usable),
+            Some(target) => {
+                let keep = (target * consts::TARGET_KEEP_PCT / 100)
+                    .clamp(consts::TARGET_KEEP_MIN, consts::TARGET_KEEP_MAX);
+                (target.saturating_sub(keep), target * consts::HOLD_PCT / 100)
+            }
+        };
+        let times = QueryTimes {
+            started_at: now,
+            quorum_suffices_from: now + stop.min(usable),
+            queue_until: now + hold.min(usable),
+            deadline: now + usable,
+        };
+        let mut query = self.new_query(call, route, shards, times);
+        query.forwarded = Some(request);
+        Ok(query)
+    }
 }
 
 /// When what happens to a query.
-struct Times {
-    start: Tick,
-    stop_at: Tick,
-    hold: Tick,
-    end: Tick,
+struct QueryTimes {
+    started_at: Tick,
+    quorum_suffices_from: Tick,
+    queue_until: Tick,
+    deadline: Tick,
 }
 
-/// A query whose body is still empty.
-fn query(d: &QueryEngine, call: u64, map: Arc<Route>, shards: Vec<usize>, times: Times) -> Query {
-    Query {
-        call,
-        name: format!("{}-{}", d.name, d.next_query),
-        revision: d.view.revision,
-        start: times.start,
-        stop_at: times.stop_at,
-        end: times.end,
-        limit: 0,
-        digest: String::new(),
-        body: Arc::default(),
-        slots: shards.into_iter().map(slot).collect(),
-        parcel: None,
-        hold: times.hold,
-        ran: false,
-        last: None,
-        map,
+impl QueryEngine {
+    /// A query whose body is still empty.
+    fn new_query(
+        &self,
+        call: u64,
+        route: Arc<Route>,
+        shards: Vec<usize>,
+        times: QueryTimes,
+    ) -> Query {
+        Query {
+            call,
+            name: format!("{}-{}", self.name, self.next_query),
+            revision: self.cluster_view.revision,
+            started_at: times.started_at,
+            quorum_suffices_from: times.quorum_suffices_from,
+            deadline: times.deadline,
+            record_limit: 0,
+            body_digest: String::new(),
+            body: Arc::default(),
+            shards: shards.into_iter().map(PlannedShard::new).collect(),
+            forwarded: None,
+            queue_until: times.queue_until,
+            executed: false,
+            last_failure: None,
+            route: route,
+        }
     }
 }
 
 /// The shards that a query goes to.
 fn planned_shards(
-    map: &Route,
+    route: &Route,
     key: Option<&str>,
-    luck: &mut Random,
+    random: &mut Random,
 ) -> Result<Vec<usize>, Rejection> {
-    match (map.send, key) {
-        (FanOut::AllShards, _) => Ok((0..map.shards.len()).collect()),
-        (FanOut::ByKey, Some(key)) => Ok(vec![shard_of(map, key)]),
-        (FanOut::ByWeight, _) => Ok(vec![drawn(map, luck)]),
+    match (route.send, key) {
+        (FanOut::AllShards, _) => Ok((0..route.shards.len()).collect()),
+        (FanOut::ByKey, Some(key)) => Ok(vec![shard_of(route, key)]),
+        (FanOut::ByWeight, _) => Ok(vec![drawn(route, random)]),
         (FanOut::ByKey, None) => {
             let text = "this search looks up one thing: give its `key`";
-            Err(Rejection::new(Reason::NoKey, text))
+            Err(Rejection::new(RejectionReason::MissingKey, text))
         }
     }
 }
@@ -134,20 +144,23 @@
     let keep = (budget * consts::MERGE_KEEP_PCT / 100)
         .clamp(consts::MERGE_KEEP_MIN, consts::MERGE_KEEP_MAX);
     match budget.saturating_sub(keep).min(promise) {
-        0 => Err(Rejection::new(Reason::OutOfTime, "the budget leaves no time to ask anyone")),
+        0 => Err(Rejection::new(
+            RejectionReason::DeadlineExceeded,
+            "the budget leaves no time to ask anyone",
+        )),
         usable => Ok(usable),
     }
 }
 
 /// The shard that a key falls on, the same on every node.
-pub fn shard_of(map: &Route, key: &str) -> usize {
-    (hash(key) % map.shards.len() as u64) as usize
+pub fn shard_of(route: &Route, key: &str) -> usize {
+    (hash(key) % route.shards.len() as u64) as usize
 }
 
 /// A shard drawn by the mapping's weights.
-pub fn drawn(map: &Route, luck: &mut Random) -> usize {
-    let mut left = luck.below(map.weights.iter().sum());
-    for (i, weight) in map.weights.iter().enumerate() {
+pub fn drawn(route: &Route, random: &mut Random) -> usize {
+    let mut left = random.below(route.weights.iter().sum());
+    for (i, weight) in route.weights.iter().enumerate() {
         if left < *weight {
             return i;
         }
@@ -157,6 +170,6 @@
 }
 
 /// The body of a dispatch for a question under a mapping.
-pub fn question(map: &Route, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
-    crate::http_api::leaf::body(&map.name, &map.cut, question, key, limit)
+pub fn question(route: &Route, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
+    crate::http_api::leaf::body(&route.name, &route.cut, question, key, limit)
 }
--- a/crates/core/src/query/progress.rs
+++ b/crates/core/src/query/progress.rs
@@ -2,90 +2,104 @@
 
 use super::engine::QueryEngine;
 use super::event::Command;
-use super::finishing::finish;
-use super::planned_query::{Query, SlotState, count_in, due, enough, need, wanting};
-use super::rejection::bounce;
-use super::request::{Reason, Rejection};
-use super::sending::{again, fill};
+use super::planned_query::{Query, ShardState};
+use super::request::{Rejection, RejectionReason};
+
 use crate::time::Tick;
 
-/// When `step` wants to be woken next.
-pub fn next(d: &QueryEngine) -> Option<Tick> {
-    d.queries.values().map(due).min()
-}
+impl QueryEngine {
+    /// When `step` wants to be woken next.
+    pub fn next_due(&self) -> Option<Tick> {
+        self.queries.values().map(Query::next_due).min()
+    }
 
-/// Takes a planned query in hand, or sends its caller away.
-pub(super) fn start(
-    d: &mut QueryEngine,
-    now: Tick,
-    call: u64,
-    q: Result<Query, Rejection>,
-    out: &mut Vec<Command>,
-) {
-    match q {
-        Err(b) => bounce(d, now, (call, 0), b, None, out),
-        Ok(q) => {
-            let id = d.next_query;
-            d.next_query += 1;
-            d.queries.insert(id, q);
-            advance(d, now, id, out);
+    /// Takes a planned query in hand, or sends its caller away.
+    pub(super) fn start_query(
+        &mut self,
+        now: Tick,
+        call: u64,
+        query: Result<Query, Rejection>,
+        commands: &mut Vec<Command>,
+    ) {
+        match query {
+            Err(rejection) => self.reject(now, (call, 0), rejection, None, commands),
+            Ok(query) => {
+                let query_id = self.next_query;
+                self.next_query += 1;
+                self.queries.insert(query_id, query);
+                self.advance_query(now, query_id, commands);
+            }
         }
     }
-}
 
-/// Moves every query on: timers, and room that may have come free. Urgent
-/// queries are served first, then those that end soonest.
-pub(super) fn sweep(d: &mut QueryEngine, now: Tick, out: &mut Vec<Command>) {
-    let mut ids: Vec<_> = d
-        .queries
-        .iter()
-        .filter(|(_, q)| due(q) <= now || wanting(q) > 0)
-        .map(|(id, q)| (std::cmp::Reverse(q.map.class), q.map.rank, q.end, *id))
-        .collect();
-    ids.sort_unstable();
-    for (_, _, _, id) in ids {
-        advance(d, now, id, out);
+    /// Moves every query on: timers, and room that may have come free. Urgent
+    /// queries are served first, then those that end soonest.
+    pub(super) fn advance_queries(&mut self, now: Tick, commands: &mut Vec<Command>) {
+        let mut ids: Vec<_> = self
+            .queries
+            .iter()
+            .filter(|(_, query)| query.next_due() <= now || query.queued_shards() > 0)
+            .map(|(id, query)| {
+                (std::cmp::Reverse(query.route.class), query.route.rank, query.deadline, *id)
+            })
+            .collect();
+        ids.sort_unstable();
+        for (_, _, _, query_id) in ids {
+            self.advance_query(now, query_id, commands);
+        }
     }
-}
 
-/// Moves one query as far as it goes now.
-pub(super) fn advance(d: &mut QueryEngine, now: Tick, id: u64, out: &mut Vec<Command>) {
-    let Some(mut q) = d.queries.swap_remove(&id) else { return };
-    if now < q.end {
-        for i in 0..q.slots.len() {
-            match q.slots[i].state {
-                SlotState::Wanting => fill(d, now, id, &mut q, i, out),
-                SlotState::Out if q.slots[i].next_at <= now => again(d, now, id, &mut q, i, out),
-                _ => {}
+    /// Moves one query as far as it goes now.
+    pub(super) fn advance_query(&mut self, now: Tick, query_id: u64, commands: &mut Vec<Command>) {
+        let Some(mut query) = self.queries.swap_remove(&query_id) else { return };
+        if now < query.deadline {
+            for index in 0..query.shards.len() {
+                match query.shards[index].state {
+                    ShardState::Queued => {
+                        self.send_queued(now, query_id, &mut query, index, commands)
+                    }
+                    ShardState::InFlight if query.shards[index].hedge_at <= now => {
+                        self.send_hedge(now, query_id, &mut query, index, commands)
+                    }
+                    _ => {}
+                }
             }
         }
+        let (have, need) = (query.answered_shards(), query.quorum_size());
+        let open = query
+            .shards
+            .iter()
+            .filter(|s| matches!(s.state, ShardState::Queued | ShardState::InFlight))
+            .count();
+        let outcome = if open == 0 || now >= query.deadline {
+            if have >= need { Ok(()) } else { Err(query.rejection_reason(now)) }
+        } else if have >= need
+            && now >= query.quorum_suffices_from
+            && query.is_worth_answering(have)
+        {
+            Ok(())
+        } else if have + open < need {
+            Err(query.rejection_reason(now))
+        } else {
+            self.queries.insert(query_id, query);
+            return;
+        };
+        self.finish_query(now, query, outcome, commands);
     }
-    let (have, need) = (count_in(&q), need(&q));
-    let open =
-        q.slots.iter().filter(|s| matches!(s.state, SlotState::Wanting | SlotState::Out)).count();
-    let outcome = if open == 0 || now >= q.end {
-        if have >= need { Ok(()) } else { Err(reason(&q, now)) }
-    } else if have >= need && now >= q.stop_at && enough(&q, have) {
-        Ok(())
-    } else if have + open < need {
-        Err(reason(&q, now))
-    } else {
-        d.queries.insert(id, q);
-        return;
-    };
-    finish(d, now, q, outcome, out);
 }
 
-/// Why a query is bounced: the gravest of what its slots met.
-pub(super) fn reason(q: &Query, now: Tick) -> Reason {
-    let lost = q.slots.iter().filter_map(|s| match s.state {
-        SlotState::Lost(why) => Some(why),
-        SlotState::Wanting => Some(Reason::NoRoom),
-        _ => None,
-    });
-    match lost.max_by_key(|r| matches!(r, Reason::NoLeafs)) {
-        Some(why) => why,
-        None if now >= q.end => Reason::OutOfTime,
-        None => Reason::BelowQuorum,
+impl Query {
+    /// Why a query is bounced: the gravest of what its slots met.
+    pub(super) fn rejection_reason(&self, now: Tick) -> RejectionReason {
+        let lost = self.shards.iter().filter_map(|s| match s.state {
+            ShardState::Failed(why) => Some(why),
+            ShardState::Queued => Some(RejectionReason::NoCapacity),
+            _ => None,
+        });
+        match lost.max_by_key(|r| matches!(r, RejectionReason::NoLeaf)) {
+            Some(why) => why,
+            None if now >= self.deadline => RejectionReason::DeadlineExceeded,
+            None => RejectionReason::BelowQuorum,
+        }
     }
 }
--- a/crates/core/src/query/rejection.rs
+++ b/crates/core/src/query/rejection.rs
@@ -2,37 +2,51 @@
 
 use super::engine::QueryEngine;
 use super::event::Command;
-use super::planned_query::{Query, Slot, SlotState};
-use super::request::{Outcome, Reason, Rejection};
-use super::retry;
+use super::planned_query::{PlannedShard, Query, ShardState};
+use super::request::{Outcome, Rejection, RejectionReason};
 use crate::consts;
 use crate::time::{Span, Tick, since};
 
-pub(super) fn bounce(
-    d: &mut QueryEngine,
-    now: Tick,
-    (call, rest): (u64, Span),
-    mut b: Rejection,
-    query: Option<String>,
-    out: &mut Vec<Command>,
-) {
-    b.query = query;
-    let away = matches!(b.reason, Reason::Crowded | Reason::NoRoom | Reason::OutOfTime);
-    retry::note(&mut d.strain, now, away);
-    b.again_s = Some(retry::again_s(&mut d.strain, now, b.reason, rest, &mut d.luck));
-    b.again = Some(retry::soon(&mut d.strain, now, rest, &mut d.luck));
-    *d.counts.bounced.entry(b.reason).or_default() += 1;
-    out.push(Command::Tell { call, outcome: Outcome::Rejection(b) });
-}
+impl QueryEngine {
+    pub(super) fn reject(
+        &mut self,
+        now: Tick,
+        (call, rest): (u64, Span),
+        mut rejection: Rejection,
+        query: Option<String>,
+        commands: &mut Vec<Command>,
+    ) {
+        rejection.query = query;
+        let away = matches!(
+            rejection.reason,
+            RejectionReason::ConcurrencyLimit
+                | RejectionReason::NoCapacity
+                | RejectionReason::DeadlineExceeded
+        );
+        self.load_pressure.record(now, away);
+        rejection.retry_after_seconds = Some(self.load_pressure.retry_after_seconds(
+            now,
+            rejection.reason,
+            rest,
+            &mut self.random,
+        ));
+        rejection.retry_after = Some(self.load_pressure.retry_after(now, rest, &mut self.random));
+        *self.statistics.rejected.entry(rejection.reason).or_default() += 1;
+        commands.push(Command::Respond { call, outcome: Outcome::Rejected(rejection) });
+    }
 
-/// How long until each shard that is missing has a leaf that is not rested.
-pub(super) fn rest(d: &QueryEngine, now: Tick, q: &Query) -> Span {
-    let lost = q.slots.iter().filter(|s| s.state != SlotState::In);
-    let soonest = |s: &Slot| {
-        let shard = &q.map.shards[s.shard];
-        let list = shard.pools.iter().flat_map(|p| d.view.open_leafs(p, &q.map.cut));
-        let rests = list.filter_map(|i| d.leafs.get(&i.leaf)).map(|l| since(now, l.rest_until));
-        rests.min().unwrap_or(consts::LIST_POLL)
-    };
-    lost.map(soonest).max().unwrap_or(0)
+    /// How long until each shard that is missing has a leaf that is not rested.
+    pub(super) fn ejection_left(&self, now: Tick, query: &Query) -> Span {
+        let lost = query.shards.iter().filter(|s| s.state != ShardState::Answered);
+        let soonest = |s: &PlannedShard| {
+            let shard = &query.route.shards[s.index];
+            let list =
+                shard.pools.iter().flat_map(|p| self.cluster_view.open_leafs(p, &query.route.cut));
+            let rests = list
+                .filter_map(|i| self.leafs.get(&i.leaf))
+                .map(|leaf| since(now, leaf.ejected_until));
+            rests.min().unwrap_or(consts::LIST_POLL)
+        };
+        lost.map(soonest).max().unwrap_or(0)
+    }
 }
--- a/crates/core/src/query/replies.rs
+++ b/crates/core/src/query/replies.rs
@@ -1,114 +1,125 @@
 //! Replies of leafs.
 
-use super::attempt::Dispatch;
-use super::cancellation::free;
+use super::attempt::Attempt;
 use super::coverage::served;
 use super::engine::QueryEngine;
 use super::event::Command;
-use super::leaf_feedback::{note, overtaken};
-use super::planned_query::{Query, SlotState, failed, shift};
-use super::progress::{advance, sweep};
-use super::request::{Reason, Record};
-use super::{forwarding, leaf, observed_load};
-use crate::http_api::leaf::{Expect, Raw, Trouble, check, self_word};
+use super::planned_query::{Query, ShardState};
+use super::request::{Record, RejectionReason};
+use crate::http_api::leaf::{AttemptFailure, ExpectedReply, LeafReply, check, self_word};
 use crate::protocol::message::LeafReport;
 use crate::time::Tick;
 
-/// A dispatch has ended. A late or unknown one changes nothing.
-pub(super) fn reply(
-    d: &mut QueryEngine,
-    now: Tick,
-    num: u64,
-    got: Result<Raw, Trouble>,
-    out: &mut Vec<Command>,
-) {
-    let Some(sent) = d.dispatches.swap_remove(&num) else { return };
-    if let Ok(raw) = &got {
-        hear(d, now, &sent, raw, out);
-    }
-    let Some(mut q) = d.queries.swap_remove(&sent.query) else {
-        forwarding::late(d, now, &sent, &got);
-        free(d, &sent);
-        return sweep(d, now, out);
-    };
-    if q.parcel.is_some() {
-        forwarding::reply(d, now, (num, &sent), &mut q, got, out);
-    } else {
-        searched(d, now, (num, &sent), &mut q, got, out);
+impl QueryEngine {
+    /// A dispatch has ended. A late or unknown one changes nothing.
+    pub(super) fn attempt_ended(
+        &mut self,
+        now: Tick,
+        attempt_id: u64,
+        result: Result<LeafReply, AttemptFailure>,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(attempt) = self.attempts.swap_remove(&attempt_id) else { return };
+        if let Ok(raw) = &result {
+            self.note_self_report(now, &attempt, raw, commands);
+        }
+        let Some(mut query) = self.queries.swap_remove(&attempt.query) else {
+            self.note_late_reply(now, &attempt, &result);
+            self.release_leaf(&attempt);
+            return self.advance_queries(now, commands);
+        };
+        if query.forwarded.is_some() {
+            self.forwarded_attempt_ended(now, (attempt_id, &attempt), &mut query, result, commands);
+        } else {
+            self.search_attempt_ended(now, (attempt_id, &attempt), &mut query, result, commands);
+        }
+        self.queries.insert(attempt.query, query);
+        self.advance_query(now, attempt.query, commands);
+        self.advance_queries(now, commands);
     }
-    d.queries.insert(sent.query, q);
-    advance(d, now, sent.query, out);
-    sweep(d, now, out);
-}
 
-/// A reply to a question of our own form.
-fn searched(
-    d: &mut QueryEngine,
-    now: Tick,
-    (num, sent): (u64, &Dispatch),
-    q: &mut Query,
-    got: Result<Raw, Trouble>,
-    out: &mut Vec<Command>,
-) {
-    let checked = got.and_then(|raw| checked(d, q, sent, &raw));
-    free(d, sent);
-    note(d, now, sent, checked.as_ref().map(|_| ()).map_err(|why| *why));
-    let slot = &mut q.slots[sent.slot];
-    slot.outs.retain(|o| *o != num);
-    match checked {
-        Ok(mut recs) => {
-            let name = &q.map.shards[slot.shard].name;
-            for rec in &mut recs {
-                rec.shard = name.clone();
+    /// A reply to a question of our own form.
+    fn search_attempt_ended(
+        &mut self,
+        now: Tick,
+        (attempt_id, attempt): (u64, &Attempt),
+        query: &mut Query,
+        result: Result<LeafReply, AttemptFailure>,
+        commands: &mut Vec<Command>,
+    ) {
+        let checked = result.and_then(|raw| self.check_reply(query, attempt, &raw));
+        self.release_leaf(attempt);
+        self.note_leaf_result(now, attempt, checked.as_ref().map(|_| ()).map_err(|why| *why));
+        let shard = &mut query.shards[attempt.shard];
+        shard.in_flight.retain(|o| *o != attempt_id);
+        match checked {
+            Ok(mut records) => {
+                let name = &query.route.shards[shard.index].name;
+                for record in &mut records {
+                    record.shard = name.clone();
+                }
+                shard.records = records;
+                shard.transition(ShardState::Answered);
+                let others = std::mem::take(&mut shard.in_flight);
+                self.cancel_overtaken(now, attempt, &others, commands);
+            }
+            Err(why) => {
+                *self.statistics.failures.entry(why).or_default() += 1;
+                let lost = shard.attempts >= query.route.attempts;
+                shard.attempt_failed(lost.then_some(RejectionReason::BelowQuorum));
             }
-            slot.records = recs;
-            shift(slot, SlotState::In);
-            let others = std::mem::take(&mut slot.outs);
-            overtaken(d, now, sent, &others, out);
-        }
-        Err(why) => {
-            *d.counts.trouble.entry(why).or_default() += 1;
-            let lost = slot.tries >= q.map.attempts;
-            failed(slot, lost.then_some(Reason::BelowQuorum));
         }
     }
-}
 
-/// The records of a reply that may stand for the planned shard.
-fn checked(d: &QueryEngine, q: &Query, sent: &Dispatch, raw: &Raw) -> Result<Vec<Record>, Trouble> {
-    let want = Expect {
-        leaf: &sent.leaf,
-        query: &sent.id,
-        digest: &q.digest,
-        cut: &q.map.cut,
-        limit: q.limit,
-    };
-    let recs = check(raw, &want)?;
-    // Coverage: the shard is derived, and must be the one that was planned.
-    let planned = q.slots[sent.slot].shard;
-    if served(&d.view, &q.map, &sent.leaf, &sent.service) != Some(planned) {
-        return Err(Trouble::WrongService);
+    /// The records of a reply that may stand for the planned shard.
+    fn check_reply(
+        &self,
+        query: &Query,
+        attempt: &Attempt,
+        raw: &LeafReply,
+    ) -> Result<Vec<Record>, AttemptFailure> {
+        let want = ExpectedReply {
+            leaf: &attempt.leaf,
+            attempt: &attempt.id,
+            digest: &query.body_digest,
+            index_version: &query.route.cut,
+            record_limit: query.record_limit,
+        };
+        let records = check(raw, &want)?;
+        // Coverage: the shard is derived, and must be the one that was planned.
+        let planned = query.shards[attempt.shard].index;
+        if served(&self.cluster_view, &query.route, &attempt.leaf, &attempt.service)
+            != Some(planned)
+        {
+            return Err(AttemptFailure::ServiceMismatch);
+        }
+        Ok(records)
     }
-    Ok(recs)
-}
 
-/// Takes in what a leaf says of itself.
-fn hear(d: &mut QueryEngine, now: Tick, sent: &Dispatch, raw: &Raw, out: &mut Vec<Command>) {
-    let Some(l) = d.leafs.get_mut(&sent.leaf) else { return };
-    let before = l.leaving;
-    // A reply of another leaf, at a reused address, says of ours only that it
-    // is gone.
-    let gone = raw.status == crate::http_api::leaf::MISDIRECTED && !raw.heads.foreign;
-    if gone {
-        l.leaving = true;
-    } else {
-        leaf::word(l, &self_word(&raw.heads), now);
-        if let Some(load) = raw.heads.load {
-            observed_load::hear(l, load);
+    /// Takes in what a leaf says of itself.
+    fn note_self_report(
+        &mut self,
+        now: Tick,
+        attempt: &Attempt,
+        raw: &LeafReply,
+        commands: &mut Vec<Command>,
+    ) {
+        let Some(leaf) = self.leafs.get_mut(&attempt.leaf) else { return };
+        let before = leaf.draining;
+        // A reply of another leaf, at a reused address, says of ours only that it
+        // is gone.
+        let gone = raw.status == crate::http_api::leaf::MISDIRECTED && !raw.headers.foreign;
+        if gone {
+            leaf.draining = true;
+        } else {
+            leaf.apply_self_report(&self_word(&raw.headers), now);
+            if let Some(load) = raw.headers.load {
+                leaf.record_reported_load(load);
+            }
+        }
+        if leaf.draining && !before {
+            let word = LeafReport { leaf: attempt.leaf.clone(), leaving: !gone, gone, age_ms: 0 };
+            commands.push(Command::ReportLeaf { service: attempt.service.clone(), report: word });
         }
-    }
-    if l.leaving && !before {
-        let word = LeafReport { leaf: sent.leaf.clone(), leaving: !gone, gone, age_ms: 0 };
-        out.push(Command::Word { service: sent.service.clone(), word });
     }
 }
--- a/crates/runtime/src/platform_api.rs
+++ b/crates/runtime/src/platform_api.rs
@@ -4,9 +4,9 @@
 
 use bytes::Bytes;
 use grebepath_core::diagnostic::Diagnostic;
-use grebepath_core::http_api::leaf::Raw;
+use grebepath_core::http_api::leaf::LeafReply;
 use grebepath_core::protocol::message::{Operation, OperationResult};
-use grebepath_core::query::event::Sending;
+use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::query::forwarded_request::ForwardedRequest;
 use grebepath_core::query::request::Outcome;
 use grebepath_core::snapshot::leafs::LeafInfo;
@@ -24,9 +24,9 @@
     /// The response to a caller.
     pub write_outcome: fn(Outcome) -> Response<Bytes>,
     /// An attempt's request to a leaf; nothing if it can't be written.
-    pub write_attempt: fn(&Sending) -> Option<Request<Full<Bytes>>>,
+    pub write_attempt: fn(&OutgoingAttempt) -> Option<Request<Full<Bytes>>>,
     /// A leaf's response to an attempt.
-    pub read_reply: fn(&Sending, Response<Bytes>) -> Raw,
+    pub read_reply: fn(&OutgoingAttempt, Response<Bytes>) -> LeafReply,
     /// Path of the leaf list's first page, or of the page of that name.
     pub list_path: fn(Option<&str>) -> String,
     /// One page of the leaf list.
--- a/crates/server/src/querier/caller_listener.rs
+++ b/crates/server/src/querier/caller_listener.rs
@@ -15,7 +15,7 @@
 use grebepath_core::http_api::caller::{BUDGET, MISSING_PARTS, RETRY_AFTER};
 use grebepath_core::query::admission::room_of;
 use grebepath_core::query::event::Event;
-use grebepath_core::query::request::{Ask, Outcome, Reason, Rejection};
+use grebepath_core::query::request::{Outcome, Rejection, RejectionReason, SearchRequest};
 use grebepath_runtime::forwarding_server::ForwardingServer;
 use grebepath_runtime::http::server;
 use grebepath_runtime::platform_api::PlatformApi;
@@ -45,7 +45,7 @@
         .route("/metrics", get(metrics))
         .fallback(async || {
             let text = "no such path; searches are at /v1/search/{mapping}";
-            written(&Outcome::Rejection(Rejection::new(Reason::NoMapping, text)))
+            written(&Outcome::Rejected(Rejection::new(RejectionReason::UnknownRoute, text)))
         })
         // One byte over the limit still comes through, and gets our own 413.
         .layer(DefaultBodyLimit::max(consts::QUESTION_LIMIT + 1))
@@ -64,7 +64,7 @@
     fn drop(&mut self) {
         self.calls.fetch_sub(1, Ordering::Relaxed);
         if !self.done {
-            let _ = self.traffic.send(TrafficInput::Event(Event::Gone { call: self.call }));
+            let _ = self.traffic.send(TrafficInput::Event(Event::CallerGone { call: self.call }));
         }
     }
 }
@@ -91,21 +91,21 @@
     let ask = match body {
         Ok(body) => caller::read_post(&mapping, budget(&heads), &body),
         Err(e) if e.status() == StatusCode::PAYLOAD_TOO_LARGE => {
-            Err(Rejection::new(Reason::TooLarge, "the question is larger than 64 KiB"))
+            Err(Rejection::new(RejectionReason::TooLarge, "the question is larger than 64 KiB"))
         }
-        Err(e) => Err(Rejection::new(Reason::BadCall, e.to_string())),
+        Err(e) => Err(Rejection::new(RejectionReason::InvalidRequest, e.to_string())),
     };
     search(listener, ask).await
 }
 
-async fn search(listener: Listener, ask: Result<Ask, Rejection>) -> Response {
+async fn search(listener: Listener, ask: Result<SearchRequest, Rejection>) -> Response {
     let ask = match ask {
         Ok(ask) => ask,
-        Err(b) => return written(&Outcome::Rejection(b)),
+        Err(b) => return written(&Outcome::Rejected(b)),
     };
     // What waits before the desk is bounded here, each class to its part: this
     // is the one place where calls could pile up.
-    let class = listener.threads.view.borrow().mappings.get(&ask.mapping).map(|m| m.class);
+    let class = listener.threads.view.borrow().mappings.get(&ask.route).map(|m| m.class);
     let most = room_of(class.unwrap_or_default()) * consts::DOOR_CALLS / consts::QUERIES_LIVE;
     let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
     let (traffic, calls) = (listener.traffic.clone(), listener.calls.clone());
@@ -113,10 +113,13 @@
     let mut guard = CallGuard { call, traffic, calls, done: false };
     if busy >= most {
         guard.done = true;
-        let mut b = Rejection::new(Reason::Crowded, "this node's door has all the calls it may");
+        let mut b = Rejection::new(
+            RejectionReason::ConcurrencyLimit,
+            "this node's door has all the calls it may",
+        );
         let spread = consts::AGAIN_MAX_S / 4;
-        b.again_s = Some(consts::AGAIN_MIN_S + call % spread);
-        return written(&Outcome::Rejection(b));
+        b.retry_after_seconds = Some(consts::AGAIN_MIN_S + call % spread);
+        return written(&Outcome::Rejected(b));
     }
     let (reply, outcome) = oneshot::channel();
     let request = CallerRequest::Search(ask);
@@ -126,7 +129,7 @@
     };
     guard.done = true;
     let outcome = outcome.unwrap_or_else(|| {
-        Outcome::Rejection(Rejection::new(Reason::Stopping, "this node is going down"))
+        Outcome::Rejected(Rejection::new(RejectionReason::ShuttingDown, "this node is going down"))
     });
     written(&outcome)
 }
@@ -152,8 +155,8 @@
                 Err(_) => None,
             };
             guard.done = true;
-            let gone = || Rejection::new(Reason::Stopping, "this node is going down");
-            (api.write_outcome)(outcome.unwrap_or_else(|| Outcome::Rejection(gone())))
+            let gone = || Rejection::new(RejectionReason::ShuttingDown, "this node is going down");
+            (api.write_outcome)(outcome.unwrap_or_else(|| Outcome::Rejected(gone())))
         }
     };
     server.serve(listener, answer).await;
@@ -192,7 +195,7 @@
     let out = caller::write(outcome);
     let code = StatusCode::from_u16(out.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut resp = (code, [(header::CONTENT_TYPE, "application/json")], out.body).into_response();
-    if let Some(n) = out.missing {
+    if let Some(n) = out.missing_shards {
         resp.headers_mut().insert(MISSING_PARTS, (n as u64).into());
     }
     if let Some(s) = out.retry_after {
--- a/crates/server/src/querier/leaf_client.rs
+++ b/crates/server/src/querier/leaf_client.rs
@@ -5,9 +5,9 @@
 use bytes::Bytes;
 use grebepath_core::consts::{PROBE_PATIENCE, REPLY_LIMIT};
 use grebepath_core::http_api::leaf;
-use grebepath_core::http_api::leaf::{Heads, Raw, Trouble};
+use grebepath_core::http_api::leaf::{AttemptFailure, LeafReply, ReplyHeaders};
 use grebepath_core::protocol::message::LeafReport;
-use grebepath_core::query::event::Sending;
+use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::MILLI;
 use grebepath_runtime::clock::duration;
@@ -21,7 +21,7 @@
 const PROBE_REPLY_LIMIT: usize = 64 * 1024;
 
 /// Sends an attempt, to this very leaf or to nobody.
-pub async fn send(pool: &LeafPool, sending: Sending) -> Result<Raw, Trouble> {
+pub async fn send(pool: &LeafPool, sending: OutgoingAttempt) -> Result<LeafReply, AttemptFailure> {
     let leaf = address(&sending)?;
     let request = |request: hyper::http::request::Builder| {
         request
@@ -31,72 +31,75 @@
     };
     let work = request(Request::post(leaf::PATH))
         .header(leaf::QUERY_ID, &sending.id)
-        .header(leaf::QUESTION_DIGEST, &sending.digest)
-        .header(leaf::BUDGET, (sending.budget / MILLI).max(1).to_string())
+        .header(leaf::QUESTION_DIGEST, &sending.body_digest)
+        .header(leaf::BUDGET, (sending.timeout / MILLI).max(1).to_string())
         .header("content-type", "application/json")
         .body(Full::new(Bytes::copy_from_slice(&sending.body)))
-        .map_err(|_| Trouble::Unreachable)?;
+        .map_err(|_| AttemptFailure::Unreachable)?;
     let greeting = || request(Request::get(leaf::SELF_PATH)).body(Full::default());
-    greeting().map_err(|_| Trouble::Unreachable)?;
+    greeting().map_err(|_| AttemptFailure::Unreachable)?;
     let greeting = || greeting().unwrap_or_default();
     // A leaf that leaves, or another identity, gets no work.
     let fits = |response: &Response<Bytes>| {
-        response.status().as_u16() == 200 && !leaf::self_word(&heads(response.headers())).leaving
+        response.status().as_u16() == 200 && !leaf::self_word(&heads(response.headers())).draining
     };
     let sent = pool.exchange(leaf, greeting, fits, work, REPLY_LIMIT);
-    match tokio::time::timeout(duration(sending.budget), sent).await {
+    match tokio::time::timeout(duration(sending.timeout), sent).await {
         Ok(Ok(Exchange::Answered(response))) => Ok(raw(response)),
         Ok(Ok(Exchange::Declined(response))) => {
             let mut raw = raw(response);
             // It is the leaf, and it leaves: no work was sent.
-            raw.heads.unrun |= raw.status == 200;
+            raw.headers.rejected |= raw.status == 200;
             Ok(raw)
         }
         Ok(Err(error)) => Err(trouble(&error)),
-        Err(_) => Err(Trouble::OutOfTime),
+        Err(_) => Err(AttemptFailure::DeadlineExceeded),
     }
 }
 
 /// Sends an attempt of a request that is forwarded.
 pub async fn forward(
     pool: &LeafPool,
-    sending: Sending,
+    sending: OutgoingAttempt,
     api: &'static PlatformApi,
-) -> Result<Raw, Trouble> {
+) -> Result<LeafReply, AttemptFailure> {
     let leaf = address(&sending)?;
-    let work = (api.write_attempt)(&sending).ok_or(Trouble::Unreachable)?;
+    let work = (api.write_attempt)(&sending).ok_or(AttemptFailure::Unreachable)?;
     let fits =
-        |response: &Response<Bytes>| !(api.read_reply)(&sending, response.clone()).heads.foreign;
-    let options =
-        ForwardOptions { reply_limit: REPLY_LIMIT, once: sending.once, keep: sending.keep };
+        |response: &Response<Bytes>| !(api.read_reply)(&sending, response.clone()).headers.foreign;
+    let options = ForwardOptions {
+        reply_limit: REPLY_LIMIT,
+        once: sending.at_most_once,
+        keep: sending.keep_connection,
+    };
     let sent = pool.forward(leaf, work, options, fits);
-    match tokio::time::timeout(duration(sending.budget), sent).await {
+    match tokio::time::timeout(duration(sending.timeout), sent).await {
         Ok(Ok(response)) => Ok((api.read_reply)(&sending, response)),
         Ok(Err(error)) => Err(trouble(&error)),
-        Err(_) => Err(Trouble::OutOfTime),
+        Err(_) => Err(AttemptFailure::DeadlineExceeded),
     }
 }
 
-fn address(sending: &Sending) -> Result<LeafAddress, Trouble> {
-    let address: SocketAddr = sending.addr.parse().map_err(|_| Trouble::Unreachable)?;
+fn address(sending: &OutgoingAttempt) -> Result<LeafAddress, AttemptFailure> {
+    let address: SocketAddr = sending.addr.parse().map_err(|_| AttemptFailure::Unreachable)?;
     Ok(LeafAddress { address, leaf: sending.leaf.clone() })
 }
 
 /// What a failed exchange means for the attempt.
-fn trouble(error: &HttpError) -> Trouble {
+fn trouble(error: &HttpError) -> AttemptFailure {
     match error {
-        HttpError::Unreachable(_) | HttpError::ConnectTimedOut => Trouble::Unreachable,
+        HttpError::Unreachable(_) | HttpError::ConnectTimedOut => AttemptFailure::Unreachable,
         HttpError::Interrupted(_) | HttpError::BodyInterrupted(_) | HttpError::Unframed => {
-            Trouble::Cut
+            AttemptFailure::Truncated
         }
-        HttpError::TooLarge => Trouble::Overlong,
-        HttpError::TimedOut => Trouble::OutOfTime,
+        HttpError::TooLarge => AttemptFailure::ReplyTooLarge,
+        HttpError::TimedOut => AttemptFailure::DeadlineExceeded,
     }
 }
 
-fn raw(resp: Response<Bytes>) -> Raw {
+fn raw(resp: Response<Bytes>) -> LeafReply {
     let heads = heads(resp.headers());
-    Raw { status: resp.status().as_u16(), heads, body: resp.body().to_vec() }
+    LeafReply { status: resp.status().as_u16(), headers: heads, body: resp.body().to_vec() }
 }
 
 /// Asks a leaf about itself; `None` when it could not be reached.
@@ -113,7 +116,7 @@
         leaf::MISDIRECTED => report.gone = true,
         200 => {
             let said = leaf::self_word(&heads(response.headers()));
-            report.leaving = said.leaving;
+            report.leaving = said.draining;
             report.age_ms = said.age_ms.unwrap_or(0);
         }
         _ => return None,
@@ -121,9 +124,9 @@
     Some(report)
 }
 
-fn heads(map: &HeaderMap) -> Heads {
+fn heads(map: &HeaderMap) -> ReplyHeaders {
     let one = |name: &str| map.get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
-    Heads {
+    ReplyHeaders {
         postmarks: map
             .get_all(leaf::POSTMARK)
             .iter()
@@ -132,8 +135,8 @@
         busy: one(leaf::BUSY),
         age: one(leaf::LEAF_AGE),
         state: one(leaf::LEAF_STATE),
-        cut: one(leaf::CUT),
-        unrun: map.contains_key(leaf::UNRUN),
-        ..Heads::default()
+        index_version: one(leaf::CUT),
+        rejected: map.contains_key(leaf::UNRUN),
+        ..ReplyHeaders::default()
     }
 }
--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -124,7 +124,7 @@
     /// change nothing.
     pub fn reload_settings(&self) {
         match Settings::read_again() {
-            Ok(settings) => self.tell_engines(|| event::Event::Rate(settings.retry_rate)),
+            Ok(settings) => self.tell_engines(|| event::Event::RetryRate(settings.retry_rate)),
             Err(diagnostics) => {
                 for diagnostic in diagnostics {
                     warn!(me = self.name, "changed params are not taken up: {diagnostic}");
@@ -198,10 +198,12 @@
                     self.tell_engines(|| event::Event::Peers(peers.clone()));
                 }
                 Command::Admission(door) => {
-                    self.closed |= door == engine::Door::Stopping;
-                    self.tell_engines(|| event::Event::Door(door));
+                    self.closed |= door == engine::ServingState::ShuttingDown;
+                    self.tell_engines(|| event::Event::ServingState(door));
+                }
+                Command::ServingUntil(until) => {
+                    self.tell_engines(|| event::Event::LeaseValidUntil(until))
                 }
-                Command::ServingUntil(until) => self.tell_engines(|| event::Event::Grip(until)),
                 Command::Ready(ready) => {
                     let _ = self.published.ready.send(ready);
                 }
@@ -223,8 +225,8 @@
     /// Tells each traffic thread its part of the fleet's limits.
     fn tell_shares(&self, list: &[(String, u32)]) {
         for (index, thread) in self.traffic.iter().enumerate() {
-            let share = quota::share(list, &self.name, index as u32);
-            let _ = thread.send(TrafficInput::Event(event::Event::Share(share)));
+            let share = quota::QuotaShare::new(list, &self.name, index as u32);
+            let _ = thread.send(TrafficInput::Event(event::Event::QuotaShare(share)));
         }
     }
 
--- a/crates/server/src/querier/messages.rs
+++ b/crates/server/src/querier/messages.rs
@@ -9,8 +9,8 @@
 use grebepath_core::protocol::message::LeafReport;
 use grebepath_core::query::event::Event;
 use grebepath_core::query::forwarded_request::ForwardedRequest;
-use grebepath_core::query::request::{Ask, Outcome};
-use grebepath_core::query::statistics::Counts;
+use grebepath_core::query::request::{Outcome, SearchRequest};
+use grebepath_core::query::statistics::EngineStatistics;
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use tokio::sync::mpsc::UnboundedSender;
@@ -55,7 +55,7 @@
         reply: oneshot::Sender<Outcome>,
     },
     /// Takes the thread's metrics.
-    Metrics(oneshot::Sender<Counts>),
+    Metrics(oneshot::Sender<EngineStatistics>),
     /// This node will leave soon: callers are asked to go elsewhere.
     Leaving,
     /// Finish what is in flight and say so.
@@ -65,7 +65,7 @@
 /// What a caller wants.
 pub enum CallerRequest {
     /// An answer to a question by our own interface.
-    Search(Ask),
+    Search(SearchRequest),
     /// A request that is forwarded as it is.
     Forward(Arc<ForwardedRequest>),
 }
--- a/crates/server/src/querier/settings.rs
+++ b/crates/server/src/querier/settings.rs
@@ -4,7 +4,7 @@
 
 use grebepath_core::consts::{self, SEATS_MAX};
 use grebepath_core::diagnostic::Diagnostic;
-use grebepath_core::query::service_retry_budget::{Rate, own};
+use grebepath_core::query::service_retry_budget::RetryRate;
 use grebepath_core::time::Span;
 use grebepath_runtime::platform_api::PlatformApi;
 use grebepath_runtime::settings::command_line::{
@@ -98,7 +98,7 @@
     /// Where the platform asks whether it is ready, if not at `listen`.
     pub check: Option<SocketAddr>,
     /// The fleet's retry budget for calls that are forwarded.
-    pub retry_rate: Rate,
+    pub retry_rate: RetryRate,
     /// Time from the request to stop until the process must be gone.
     pub grace: Option<Span>,
     /// Whether leafs are asked about themselves.
@@ -154,10 +154,10 @@
     }
 }
 
-fn read_retry_rate(reader: &mut SettingsReader) -> Rate {
-    let default = own();
-    Rate {
-        share: reader.share_in_thousandths("second_share", default.share),
-        slack: reader.number("second_slack", 0, SLACK_MAX, Some(default.slack)),
+fn read_retry_rate(reader: &mut SettingsReader) -> RetryRate {
+    let default = RetryRate::standard();
+    RetryRate {
+        per_thousand: reader.share_in_thousandths("second_share", default.per_thousand),
+        fleet_slack: reader.number("second_slack", 0, SLACK_MAX, Some(default.fleet_slack)),
     }
 }
--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -7,12 +7,10 @@
 
 use grebepath_core::config::types::ClientLimits;
 use grebepath_core::consts;
-use grebepath_core::query::engine::{QueryEngine, counts, desk};
-use grebepath_core::query::event::{Command, Event, Sending};
-use grebepath_core::query::progress::next;
+use grebepath_core::query::engine::QueryEngine;
+use grebepath_core::query::event::{Command, Event, OutgoingAttempt};
 use grebepath_core::query::request::Outcome;
-use grebepath_core::query::service_retry_budget::{Rate, quota};
-use grebepath_core::query::step::step;
+use grebepath_core::query::service_retry_budget::{RetryRate, ServiceRetryBudget};
 use grebepath_core::time::ms;
 use grebepath_runtime::clock::{Clock, duration};
 use grebepath_runtime::forwarding_server::{ForwardingServer, ListenerLimits};
@@ -51,7 +49,7 @@
     /// How callers and leafs speak; nothing for our own interface.
     pub platform_api: Option<&'static PlatformApi>,
     /// The fleet's retry budget for calls that are forwarded.
-    pub retry_rate: Rate,
+    pub retry_rate: RetryRate,
     /// This thread's stable number in the membership.
     pub slot: u64,
 }
@@ -127,9 +125,9 @@
 
 impl TrafficThread {
     fn new(start: &Start, forwarding: Rc<ForwardingServer>) -> TrafficThread {
-        let mut engine = desk(&start.name, &start.zone, start.seed, start.clock.now());
-        engine.quota = quota(start.retry_rate);
-        engine.slot = start.slot;
+        let mut engine = QueryEngine::new(&start.name, &start.zone, start.seed, start.clock.now());
+        engine.service_retry_budget = ServiceRetryBudget::new(start.retry_rate);
+        engine.thread_id = start.slot;
         let io = TrafficIo {
             waiting: HashMap::new(),
             attempts: HashMap::new(),
@@ -145,18 +143,18 @@
     /// Handles one event after another, until nobody can send any more.
     async fn run(mut self, mut inputs: UnboundedReceiver<TrafficInput>) {
         loop {
-            let due = next(&self.engine).map(|at| self.clock.instant(at));
+            let due = self.engine.next_due().map(|at| self.clock.instant(at));
             let event = tokio::select! {
                 biased;
                 input = inputs.recv() => match input {
                     None => return,
                     Some(input) => self.take(input),
                 },
-                () = until(due) => Some(Event::Wake),
+                () = until(due) => Some(Event::Timer),
             };
             if let Some(event) = event {
                 self.io.note(&event);
-                let commands = step(&mut self.engine, self.clock.now(), event);
+                let commands = self.engine.step(self.clock.now(), event);
                 self.io.carry_out(commands);
             }
             if self.draining && self.engine.queries.is_empty() {
@@ -170,7 +168,7 @@
     fn take(&mut self, input: TrafficInput) -> Option<Event> {
         match input {
             TrafficInput::Event(event) => {
-                if let Event::Reply { dispatch, .. } = &event {
+                if let Event::AttemptEnded { attempt: dispatch, .. } = &event {
                     self.io.attempts.remove(dispatch);
                 }
                 Some(event)
@@ -178,8 +176,8 @@
             TrafficInput::Call { call, request, reply } => {
                 self.io.waiting.insert(call, reply);
                 Some(match request {
-                    CallerRequest::Search(ask) => Event::Ask { call, ask },
-                    CallerRequest::Forward(parcel) => Event::Hand { call, parcel },
+                    CallerRequest::Search(ask) => Event::Search { call, request: ask },
+                    CallerRequest::Forward(parcel) => Event::Forward { call, request: parcel },
                 })
             }
             TrafficInput::Leaving => {
@@ -187,7 +185,7 @@
                 None
             }
             TrafficInput::Metrics(reply) => {
-                let _ = reply.send(counts(&self.engine));
+                let _ = reply.send(self.engine.current_statistics());
                 None
             }
             TrafficInput::Drain => {
@@ -202,7 +200,7 @@
     /// Follows what an event changes here, before the engine sees it.
     fn note(&mut self, event: &Event) {
         match event {
-            Event::Gone { call } => {
+            Event::CallerGone { call } => {
                 self.waiting.remove(call);
             }
             Event::ClusterView(view) => self.set_limits(&view.built.terms),
@@ -228,33 +226,34 @@
         for command in commands {
             match command {
                 Command::Send(sending) => self.send(sending),
-                Command::Drop { dispatch } => {
+                Command::CancelAttempt { attempt: dispatch } => {
                     if let Some(task) = self.attempts.remove(&dispatch) {
                         task.abort();
                     }
                 }
-                Command::Tell { call, outcome } => {
+                Command::Respond { call, outcome } => {
                     if let Some(reply) = self.waiting.remove(&call) {
                         let _ = reply.send(outcome);
                     }
                 }
-                Command::Word { service, word: report } => {
+                Command::ReportLeaf { service, report: report } => {
                     let _ = self.membership.send(MembershipInput::LeafReport { service, report });
                 }
             }
         }
     }
 
-    fn send(&mut self, sending: Sending) {
+    fn send(&mut self, sending: OutgoingAttempt) {
         let (leafs, inputs) = (self.leafs.clone(), self.inputs.clone());
-        let dispatch = sending.dispatch;
-        let platform_api = self.platform_api.filter(|_| sending.parcel.is_some());
+        let dispatch = sending.attempt;
+        let platform_api = self.platform_api.filter(|_| sending.forwarded.is_some());
         let task = tokio::task::spawn_local(async move {
             let got = match platform_api {
                 Some(api) => crate::leaf_client::forward(&leafs, sending, api).await,
                 None => crate::leaf_client::send(&leafs, sending).await,
             };
-            let _ = inputs.send(TrafficInput::Event(Event::Reply { dispatch, got }));
+            let _ = inputs
+                .send(TrafficInput::Event(Event::AttemptEnded { attempt: dispatch, result: got }));
         });
         self.attempts.insert(dispatch, task.abort_handle());
     }
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeMap;
 
 use grebepath_core::http_api::leaf as edge;
-use grebepath_core::http_api::leaf::{Heads, Raw};
-use grebepath_core::query::event::Sending;
+use grebepath_core::http_api::leaf::{LeafReply, ReplyHeaders};
+use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::random::Random;
 use grebepath_core::time::{MILLI, Span, Tick, ms, since};
 use serde_json::{Value, json};
@@ -255,24 +255,28 @@
     }
 
     /// Headers that every response carries.
-    pub fn headers(&self, now: Tick) -> Heads {
+    pub fn headers(&self, now: Tick) -> ReplyHeaders {
         let busy = (f64::from(self.in_progress) / f64::from(self.capacity(now))).min(1.0);
-        Heads {
+        ReplyHeaders {
             postmarks: Vec::new(),
             busy: Some(format!("{busy:.2}")),
             age: Some((since(self.born, now) / MILLI).to_string()),
             state: self.leaving.then(|| "leaving".to_string()),
-            ..Heads::default()
+            ..ReplyHeaders::default()
         }
     }
 
     /// The response to an attempt that was not run.
-    pub fn rejection(&self, now: Tick, status: u16) -> Raw {
-        Raw { status, heads: Heads { unrun: true, ..self.headers(now) }, body: Vec::new() }
+    pub fn rejection(&self, now: Tick, status: u16) -> LeafReply {
+        LeafReply {
+            status,
+            headers: ReplyHeaders { rejected: true, ..self.headers(now) },
+            body: Vec::new(),
+        }
     }
 
     /// The response to an attempt that was run.
-    pub fn response(&mut self, now: Tick, sending: &Sending) -> Raw {
+    pub fn response(&mut self, now: Tick, sending: &OutgoingAttempt) -> LeafReply {
         let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
         let limit = asked["limit"].as_u64().unwrap_or(0) as usize;
@@ -285,10 +289,10 @@
             .map(|r| json!({ "id": r.id, "score": r.score, "data": { "service": r.service } }))
             .collect();
         let mut body = json!({ "records": list }).to_string().into_bytes();
-        let postmark = edge::postmark(&self.name, &sending.id, &sending.digest);
+        let postmark = edge::postmark(&self.name, &sending.id, &sending.body_digest);
         let previous = self.postmark.replace(postmark.clone());
         let mut heads = self.headers(now);
-        heads.cut =
+        heads.index_version =
             Some(if self.mode == Mode::WrongCut { "w00".into() } else { self.service.cut.clone() });
         heads.postmarks = match self.mode {
             Mode::NoPostmark => Vec::new(),
@@ -299,7 +303,7 @@
         if self.mode == Mode::Garbage {
             body.truncate(body.len() / 2);
         }
-        Raw { status: 200, heads, body }
+        LeafReply { status: 200, headers: heads, body }
     }
 }
 
--- a/crates/simulator/src/scale_model/fan_out.rs
+++ b/crates/simulator/src/scale_model/fan_out.rs
@@ -6,12 +6,11 @@
 
 use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
-use grebepath_core::http_api::leaf::{Heads, Raw, postmark};
-use grebepath_core::query::engine::{QueryEngine, desk};
-use grebepath_core::query::event::{Command, Event, Sending};
-use grebepath_core::query::quota::share;
-use grebepath_core::query::request::{Ask, Outcome};
-use grebepath_core::query::step::step;
+use grebepath_core::http_api::leaf::{LeafReply, ReplyHeaders, postmark};
+use grebepath_core::query::engine::QueryEngine;
+use grebepath_core::query::event::{Command, Event, OutgoingAttempt};
+use grebepath_core::query::quota::QuotaShare;
+use grebepath_core::query::request::{Outcome, SearchRequest};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, MILLI, SECOND, Tick};
@@ -57,20 +56,27 @@
         .unwrap_or_default();
     let leaf = |n: usize| LeafInfo { age_ms: topology::OLD_MS, ..topology::leaf(n, leafs) };
     let view = ClusterView::new(1, Arc::new(conf), (0..leafs).map(leaf).collect());
-    let mut engine = desk("front", &topology::name(0), 1, BOOT);
+    let mut engine = QueryEngine::new("front", &topology::name(0), 1, BOOT);
     let members: Vec<(String, u32)> = (0..of).map(|n| (format!("front-{n}"), 1)).collect();
-    step(&mut engine, BOOT, Event::ClusterView(Arc::new(view)));
-    step(&mut engine, BOOT, Event::Share(share(&members, "front-0", 0)));
-    step(&mut engine, BOOT, Event::Grip(Tick::MAX));
-    step(&mut engine, BOOT, Event::Door(grebepath_core::query::engine::Door::Open));
+    engine.step(BOOT, Event::ClusterView(Arc::new(view)));
+    engine.step(BOOT, Event::QuotaShare(QuotaShare::new(&members, "front-0", 0)));
+    engine.step(BOOT, Event::LeaseValidUntil(Tick::MAX));
+    engine.step(BOOT, Event::ServingState(grebepath_core::query::engine::ServingState::Serving));
     engine
 }
 
-fn reply(s: &Sending) -> Raw {
+fn reply(s: &OutgoingAttempt) -> LeafReply {
     let record = |n: usize| json!({ "id": format!("{}-{n:04}", s.service), "score": 1_000 - n });
     let list: Vec<_> = (0..RECORDS).map(record).collect();
-    let heads = Heads { postmarks: vec![postmark(&s.leaf, &s.id, &s.digest)], ..Heads::default() };
-    Raw { status: 200, heads, body: json!({ "records": list }).to_string().into_bytes() }
+    let heads = ReplyHeaders {
+        postmarks: vec![postmark(&s.leaf, &s.id, &s.body_digest)],
+        ..ReplyHeaders::default()
+    };
+    LeafReply {
+        status: 200,
+        headers: heads,
+        body: json!({ "records": list }).to_string().into_bytes(),
+    }
 }
 
 /// Asks wide queries one after the other.
@@ -82,27 +88,29 @@
             result = FanOut { shards, of, queries: QUERIES, ..FanOut::default() };
         }
         let now = BOOT + (call + 1) * SECOND;
-        let ask = Ask {
-            mapping: "wide".into(),
+        let ask = SearchRequest {
+            route: "wide".into(),
             question: json!({ "text": "a question of some words" }),
             key: None,
-            limit: RECORDS as u32,
-            budget: 400 * MILLI,
+            record_limit: RECORDS as u32,
+            timeout: 400 * MILLI,
         };
-        let todo = timed(&mut result.ask_ns, || step(&mut engine, now, Event::Ask { call, ask }));
+        let todo =
+            timed(&mut result.ask_ns, || engine.step(now, Event::Search { call, request: ask }));
         for command in todo {
             let Command::Send(s) = command else { continue };
             result.dispatches += 1;
             result.asked += s.body.len() as u64;
             let got = reply(&s);
             result.replied += got.body.len() as u64;
-            let event = Event::Reply { dispatch: s.dispatch, got: Ok(got) };
-            let done = timed(&mut result.take_ns, || step(&mut engine, now + 20 * MILLI, event));
-            let full = |c: &Command| matches!(c, Command::Tell { outcome: Outcome::Full(_), .. });
+            let event = Event::AttemptEnded { attempt: s.attempt, result: Ok(got) };
+            let done = timed(&mut result.take_ns, || engine.step(now + 20 * MILLI, event));
+            let full =
+                |c: &Command| matches!(c, Command::Respond { outcome: Outcome::Answered(_), .. });
             result.full += done.iter().filter(|c| full(c)).count() as u64;
         }
         let late = now + 450 * MILLI;
-        timed(&mut result.take_ns, || step(&mut engine, late, Event::Wake));
+        timed(&mut result.take_ns, || engine.step(late, Event::Timer));
     }
     result
 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -97,24 +97,24 @@
             10,
             ScheduledEvent::QueryEngineEvent {
                 engine: QueryEngineId { querier, life, thread },
-                event: query_event::Event::Ask { call: id, ask },
+                event: query_event::Event::Search { call: id, request: ask },
             },
         );
     }
 
     pub(super) fn altered_outcome(&mut self, kind: usize, outcome: Outcome) -> Outcome {
-        let Outcome::Full(mut full) = outcome else {
+        let Outcome::Answered(mut full) = outcome else {
             if self.faulty_variant == Some(FaultyVariant::SucceedsBelowQuorum)
-                && let Outcome::Rejection(rejection) = &outcome
+                && let Outcome::Rejected(rejection) = &outcome
                 && rejection.query.is_some()
             {
                 let cut = self.call_kinds[kind].shards[0].cut.clone();
                 let planned =
                     self.call_kinds[kind].shards.iter().filter(|shard| shard.cut == cut).count();
-                return Outcome::Full(grebepath_core::query::request::Full {
+                return Outcome::Answered(grebepath_core::query::request::SearchAnswer {
                     query: rejection.query.clone().unwrap_or_default(),
-                    mapping: self.call_kinds[kind].search.clone(),
-                    cut,
+                    route: self.call_kinds[kind].search.clone(),
+                    index_version: cut,
                     revision: u64::MAX,
                     shards: Vec::new(),
                     missing: planned,
@@ -125,18 +125,21 @@
         };
         match self.faulty_variant {
             Some(FaultyVariant::ClaimsAllShards) if full.missing > 0 => {
-                let all = self.call_kinds[kind].shards.iter().filter(|shard| shard.cut == full.cut);
+                let all = self.call_kinds[kind]
+                    .shards
+                    .iter()
+                    .filter(|shard| shard.cut == full.index_version);
                 full.shards = all.map(|shard| shard.shard.clone()).collect();
                 full.missing = 0;
             }
             Some(FaultyVariant::RepeatsShard) => full.shards.push(full.shards[0].clone()),
-            Some(FaultyVariant::WrongIndexVersion) => full.cut = "w47".into(),
+            Some(FaultyVariant::WrongIndexVersion) => full.index_version = "w47".into(),
             Some(FaultyVariant::MisordersRecords) if full.records.len() > 1 => {
                 full.records.swap(0, 1)
             }
             _ => {}
         }
-        Outcome::Full(full)
+        Outcome::Answered(full)
     }
 
     pub(super) fn finish_call(&mut self, id: u64, outcome: Outcome) {
@@ -145,15 +148,15 @@
         let outcome = self.altered_outcome(call.kind, outcome);
         let written = caller::write(&outcome);
         let kind = self.call_kinds[call.kind].clone();
-        let full = matches!(&outcome, Outcome::Full(f) if f.missing == 0);
+        let full = matches!(&outcome, Outcome::Answered(f) if f.missing == 0);
         self.rules.end_call(call.began - BEGIN, now, &kind.search, full);
         match outcome {
-            Outcome::Passed(_) | Outcome::Joined(_) => {}
-            Outcome::Rejection(rejection) => {
+            Outcome::Forwarded(_) | Outcome::Merged(_) => {}
+            Outcome::Rejected(rejection) => {
                 *self.tally(call.kind).rejected.entry(rejection.reason.to_string()).or_default() +=
                     1;
             }
-            Outcome::Full(full) => {
+            Outcome::Answered(full) => {
                 let took = self.now - call.began;
                 let tally = self.tally(call.kind);
                 if full.missing == 0 {
@@ -162,7 +165,7 @@
                     tally.partial += 1
                 }
                 tally.latencies.push(took);
-                let missing = written.missing.map(|n| n.to_string());
+                let missing = written.missing_shards.map(|n| n.to_string());
                 let (bad, services) =
                     success(&kind, &call.asked, missing.as_deref(), &written.body);
                 for text in bad {
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -5,7 +5,7 @@
 use grebepath_core::membership::node_agent;
 use grebepath_core::protocol::message::Message;
 use grebepath_core::query::event as query_event;
-use grebepath_core::query::event::Sending;
+use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{Span, Tick, ms};
 
@@ -60,7 +60,7 @@
     },
     LeafRequest {
         engine: QueryEngineId,
-        sending: Box<Sending>,
+        sending: Box<OutgoingAttempt>,
     },
     LeafResponse {
         run: u64,
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -1,9 +1,9 @@
 //! Attempts that are sent to leafs, and their replies.
 
 use grebepath_core::digest::digest;
-use grebepath_core::http_api::leaf::{Heads, MISDIRECTED, Raw, Trouble};
+use grebepath_core::http_api::leaf::{AttemptFailure, LeafReply, MISDIRECTED, ReplyHeaders};
 use grebepath_core::query::event as query_event;
-use grebepath_core::query::event::Sending;
+use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::time::ms;
 use serde_json::{Value, json};
 
@@ -23,7 +23,7 @@
 const REJECTS_BEYOND: u32 = 3;
 
 impl World {
-    pub(super) fn dispatch(&mut self, engine: QueryEngineId, mut sending: Sending) {
+    pub(super) fn dispatch(&mut self, engine: QueryEngineId, mut sending: OutgoingAttempt) {
         let now = self.now - BEGIN;
         self.rules.record_attempt(now, &sending.id, &sending.service);
         let who = self.queriers[engine.querier].name.clone();
@@ -35,16 +35,18 @@
             let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
             val["question"] = json!("something else");
             let body = val.to_string().into_bytes();
-            sending.digest = digest(&body);
+            sending.body_digest = digest(&body);
             sending.body = std::sync::Arc::new(body);
         }
         // Whatever becomes of it, the sender gives up at the end of its budget.
-        let event =
-            query_event::Event::Reply { dispatch: sending.dispatch, got: Err(Trouble::OutOfTime) };
-        self.push(sending.budget, ScheduledEvent::QueryEngineEvent { engine, event });
+        let event = query_event::Event::AttemptEnded {
+            attempt: sending.attempt,
+            result: Err(AttemptFailure::DeadlineExceeded),
+        };
+        self.push(sending.timeout, ScheduledEvent::QueryEngineEvent { engine, event });
         // Giving up closes the connection, which the leaf sees a moment later.
-        let key = AttemptKey { engine, attempt: sending.dispatch };
-        self.push(sending.budget + ms(1), ScheduledEvent::LeafDisconnect { key });
+        let key = AttemptKey { engine, attempt: sending.attempt };
+        self.push(sending.timeout + ms(1), ScheduledEvent::LeafDisconnect { key });
         let zone = self.queriers[engine.querier].zone.clone();
         let leaf_zone =
             self.backends.leafs.get(&sending.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
@@ -52,12 +54,17 @@
         self.push(after, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
     }
 
-    pub(super) fn answer(&mut self, key: AttemptKey, zone: &str, mut got: Result<Raw, Trouble>) {
+    pub(super) fn answer(
+        &mut self,
+        key: AttemptKey,
+        zone: &str,
+        mut got: Result<LeafReply, AttemptFailure>,
+    ) {
         let AttemptKey { engine, attempt: dispatch } = key;
         if let Ok(raw) = &mut got
             && !self.backends.ages
         {
-            raw.heads.age = None;
+            raw.headers.age = None;
         }
         let qzone = self.queriers[engine.querier].zone.clone();
         let after = latency(&qzone, zone, &mut self.random) + self.net.extra_latency;
@@ -65,21 +72,21 @@
             after,
             ScheduledEvent::QueryEngineEvent {
                 engine,
-                event: query_event::Event::Reply { dispatch, got },
+                event: query_event::Event::AttemptEnded { attempt: dispatch, result: got },
             },
         );
     }
 
     /// A request reaches the machine of a leaf.
-    pub(super) fn leaf_gets(&mut self, engine: QueryEngineId, sending: Sending) {
+    pub(super) fn leaf_gets(&mut self, engine: QueryEngineId, sending: OutgoingAttempt) {
         let now = self.now;
-        let key = AttemptKey { engine, attempt: sending.dispatch };
+        let key = AttemptKey { engine, attempt: sending.attempt };
         let name = self.backends.by_address.get(&sending.addr).cloned().unwrap_or_default();
         let Some(leaf) = self.backends.leafs.get(&name) else { return };
         let zone = leaf.zone.clone();
         match leaf.alive {
             Alive::Vanished => return,
-            Alive::Down => return self.answer(key, &zone, Err(Trouble::Unreachable)),
+            Alive::Down => return self.answer(key, &zone, Err(AttemptFailure::Unreachable)),
             Alive::Up => {}
         }
         let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
@@ -106,7 +113,7 @@
             let response = rejection(MISDIRECTED);
             return self.answer(key, &zone, response);
         }
-        if digest(&sending.body) != sending.digest {
+        if digest(&sending.body) != sending.body_digest {
             let response = rejection(BAD_REQUEST);
             return self.answer(key, &zone, response);
         }
@@ -114,7 +121,7 @@
     }
 
     /// A leaf starts to work on an attempt, unless it rejects it.
-    fn start_work(&mut self, key: AttemptKey, name: String, sending: Sending) {
+    fn start_work(&mut self, key: AttemptKey, name: String, sending: OutgoingAttempt) {
         let now = self.now;
         let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
         leaf.in_progress += 1;
@@ -170,7 +177,7 @@
         if leaf.leaving {
             self.learn(&run.leaf);
             if self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs) {
-                raw.heads = Heads { state: None, ..raw.heads };
+                raw.headers = ReplyHeaders { state: None, ..raw.headers };
             }
         }
         self.answer(run.key, &zone, Ok(raw));
@@ -187,7 +194,7 @@
             if let Some(run) = self.end_run(run)
                 && how == Alive::Down
             {
-                self.answer(run.key, &zone, Err(Trouble::Cut));
+                self.answer(run.key, &zone, Err(AttemptFailure::Truncated));
             }
         }
     }
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -6,7 +6,7 @@
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::membership::node_agent;
 use grebepath_core::protocol::message::Message;
-use grebepath_core::query::engine::Door;
+use grebepath_core::query::engine::ServingState;
 use grebepath_core::query::event as query_event;
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
@@ -45,14 +45,15 @@
                 let list: Vec<_> = members.into_iter().map(|m| (m.name, m.threads)).collect();
                 let name = self.queriers[querier].name.clone();
                 for thread in 0..THREADS {
-                    let mut share = grebepath_core::query::quota::share(&list, &name, thread);
+                    let mut share =
+                        grebepath_core::query::quota::QuotaShare::new(&list, &name, thread);
                     if self.faulty_variant == Some(FaultyVariant::NoAllocation)
-                        && !share.slots.is_empty()
+                        && !share.threads.is_empty()
                     {
-                        share.slots = vec![share.mine];
+                        share.threads = vec![share.own_thread];
                     }
                     let engine = QueryEngineId { querier, life, thread: thread as usize };
-                    let event = query_event::Event::Share(share);
+                    let event = query_event::Event::QuotaShare(share);
                     self.push(THREAD_DELAY, ScheduledEvent::QueryEngineEvent { engine, event });
                 }
             }
@@ -63,13 +64,13 @@
                 self.tell_threads(querier, || query_event::Event::Peers(peers.clone()));
             }
             node_agent::Command::Admission(door) => {
-                self.tell_threads(querier, || query_event::Event::Door(door));
-                if door == Door::Stopping {
+                self.tell_threads(querier, || query_event::Event::ServingState(door));
+                if door == ServingState::ShuttingDown {
                     self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
                 }
             }
             node_agent::Command::ServingUntil(until) => {
-                self.tell_threads(querier, || query_event::Event::Grip(until));
+                self.tell_threads(querier, || query_event::Event::LeaseValidUntil(until));
             }
             node_agent::Command::Ready(ready) => self.queriers[querier].ready = ready,
             node_agent::Command::PollLeafList => self.poll_list(querier),
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -5,7 +5,7 @@
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::membership::node_agent::NodeAgent;
 use grebepath_core::query::engine::QueryEngine;
-use grebepath_core::query::event::Sending;
+use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::time::{Span, Tick};
 
 use super::World;
@@ -87,7 +87,7 @@
 pub(super) struct Run {
     pub(super) key: AttemptKey,
     pub(super) leaf: String,
-    pub(super) sending: Sending,
+    pub(super) sending: OutgoingAttempt,
 }
 
 /// A call that is in progress.
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -4,7 +4,7 @@
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::membership::node_agent;
 use grebepath_core::protocol::message::Message;
-use grebepath_core::query::engine::desk;
+use grebepath_core::query::engine::QueryEngine;
 use grebepath_core::time::{BOOT, ms};
 use grebepath_core::voter_set::seat_of;
 
@@ -31,8 +31,8 @@
         node.query_engines = (0..THREADS)
             .map(|thread| {
                 let name = format!("{}-{thread}-{:x}", node.name, node.life);
-                let mut desk = desk(&name, &node.zone, seed ^ u64::from(thread), BOOT);
-                desk.slot = grebepath_core::query::quota::slot(&node.name, thread);
+                let mut desk = QueryEngine::new(&name, &node.zone, seed ^ u64::from(thread), BOOT);
+                desk.thread_id = grebepath_core::query::quota::slot(&node.name, thread);
                 desk
             })
             .collect();
--- a/crates/simulator/src/world/query_engines.rs
+++ b/crates/simulator/src/world/query_engines.rs
@@ -2,7 +2,6 @@
 
 use grebepath_core::membership::node_agent;
 use grebepath_core::query::event as query_event;
-use grebepath_core::query::{progress, step};
 use grebepath_core::time::{BOOT, Tick, ms};
 
 use super::World;
@@ -16,7 +15,7 @@
         let wakes = &mut self.queriers[engine.querier].wake_at[engine.thread];
         if *wakes == at {
             *wakes = 0;
-            self.step_query_engine(engine.querier, engine.thread, query_event::Event::Wake);
+            self.step_query_engine(engine.querier, engine.thread, query_event::Event::Timer);
         }
     }
 
@@ -30,19 +29,16 @@
         let deaf = self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs);
         let node = &mut self.queriers[querier];
         if self.faulty_variant == Some(FaultyVariant::NoRetryBudget) {
-            grebepath_core::query::retry_budget::slack(
-                &mut node.query_engines[thread].rule,
-                1_000_000,
-            );
+            node.query_engines[thread].retry_budget.set_slack(1_000_000);
         }
-        let todo = step::step(&mut node.query_engines[thread], local, event);
+        let todo = node.query_engines[thread].step(local, event);
         if deaf {
             for leaf in node.query_engines[thread].leafs.values_mut() {
-                leaf.leaving = false;
+                leaf.draining = false;
             }
         }
         let (life, began) = (node.life, node.began);
-        if let Some(at) = progress::next(&node.query_engines[thread]) {
+        if let Some(at) = node.query_engines[thread].next_due() {
             let at = (at + began).saturating_sub(BOOT).max(self.now + 1);
             let known = node.wake_at[thread];
             if known == 0 || at < known || known <= self.now {
@@ -72,7 +68,7 @@
             query_event::Command::Send(sending) => {
                 self.dispatch(QueryEngineId { querier, life, thread }, sending)
             }
-            query_event::Command::Drop { dispatch } => {
+            query_event::Command::CancelAttempt { attempt: dispatch } => {
                 let after = ms(1);
                 self.push(
                     after,
@@ -84,8 +80,8 @@
                     },
                 );
             }
-            query_event::Command::Tell { call, outcome } => self.finish_call(call, outcome),
-            query_event::Command::Word { service, word } => {
+            query_event::Command::Respond { call, outcome } => self.finish_call(call, outcome),
+            query_event::Command::ReportLeaf { service, report: word } => {
                 if self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs) {
                     self.push(
                         THREAD_DELAY,
