--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -5,6 +5,7 @@
 use indexmap::{IndexMap, IndexSet};
 
 use crate::command::ConnectionId;
+use crate::control_plane::counters::Counters;
 use crate::control_plane::members::Members;
 use crate::control_plane::pending_requests::{ForwardedOperation, PendingRequest};
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
@@ -65,31 +66,6 @@
     pub counters: Counters,
 }
 
-/// What is counted since the process started.
-#[derive(Clone, Default, Debug)]
-pub struct Counters {
-    /// Operators' requests that were accepted.
-    pub accepted: u64,
-    /// Operators' requests that ended otherwise, reads excepted.
-    pub rejected: u64,
-    /// Elections in which we asked for votes.
-    pub candidacies: u64,
-    /// Times that we became the leader of a partition.
-    pub leaderships_won: u64,
-    /// Times that we ceased to be the leader of a partition.
-    pub leaderships_lost: u64,
-    /// Times that a replica's disk worked again after it had failed.
-    pub disks_recovered: u64,
-    /// Snapshots that followers asked us for.
-    pub snapshot_requests: u64,
-    /// Times that files of a partition were found corrupted while we ran.
-    pub corruptions: u64,
-    /// Updates sent to subscribers.
-    pub updates_sent: u64,
-    /// Leaf lists that were refused, since a later holder of that duty had spoken.
-    pub fenced_lists: u64,
-}
-
 /// What happens to a controller.
 pub enum Event {
     /// A message on a connection that the controller of this id opened as the holder
@@ -173,7 +149,7 @@
     /// The process goes down: step down from every leadership now, and hand over the
     /// voter slot.
     Stop,
-    /// Time has passed ([`WAKE`](crate::control_plane::step::WAKE) at most).
+    /// Time has passed (`step::WAKE` at most).
     Wake,
 }
 
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -8,7 +8,7 @@
 use crate::command::Command;
 use crate::config::change::Entry;
 use crate::consts;
-use crate::control_plane::controller::Counters;
+use crate::control_plane::counters::Counters;
 use crate::identifiers::part_of;
 use crate::protocol::message::{LeafReport, MembershipId};
 use crate::replication::leader::Leader;
--- a/crates/core/src/control_plane/mod.rs
+++ b/crates/core/src/control_plane/mod.rs
@@ -2,7 +2,7 @@
 //! top of the replicated partitions, all as one `step` without I/O.
 //!
 //! Lower modules never import higher ones. Plain state, with functions that take
-//! just the parts they need: [`order_memory`], [`commit_times`], [`membership_log`],
+//! just the parts they need: [`order_memory`], [`commit_times`], [`counters`], [`membership_log`],
 //! [`members`] and what is done to [`members::Members`] (`membership_replication`,
 //! `membership_issue`, `retirement`, [`acceptance`], [`forgotten_members`]),
 //! [`endpoints`], [`feed`], [`operations`], [`pending_requests`], [`rejection`]. Above them
@@ -12,6 +12,7 @@
 pub mod acceptance;
 pub mod commit_times;
 pub mod controller;
+pub mod counters;
 mod disk_events;
 pub mod endpoints;
 pub mod feed;
