--- a/crates/core/src/identifiers.rs
+++ b/crates/core/src/identifiers.rs
@@ -103,6 +103,8 @@
     nanoserde::SerBin,
 )]
 pub struct Position {
+    /// The term under which it was last written.
     pub term: Term,
+    /// The revision that it has reached.
     pub revision: u64,
 }
