--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -6,7 +6,6 @@
 use crate::control_plane::from_voters::VoterSender;
 use crate::control_plane::operations::Request;
 use crate::control_plane::{acceptance, endpoints, forgotten_members};
-use crate::protocol::message::ReplicaCondition;
 use crate::replication::partition::{Partition, Role};
 use crate::time::{Tick, ms};
 use crate::voter_set::{NOBODY, VoterGroup};
@@ -81,11 +80,8 @@
 
     /// An operator vouches that lost replicas are lost for good.
     fn force_recovery(&mut self, commands: &mut Vec<Command>) {
-        let lost = |condition: ReplicaCondition| condition != ReplicaCondition::Voting;
-        for partition in self.partitions.iter_mut().filter(|partition| lost(partition.condition)) {
-            partition.catch_up.is_forced = true;
-            let text = format!("part {}: an operator vouches for what is left", partition.id);
-            commands.push(Command::Alarm(text));
+        for partition in &mut self.partitions {
+            partition.force_recovery(commands);
         }
     }
 
@@ -117,7 +113,8 @@
     }
 }
 
-/// Time passes for the leader of a partition.
+/// Time passes for a leader: its replicas, the ages of its endpoints, and the operations
+/// that wait for it. One that steps down first has none of these any more.
 fn wake_leader(
     partition: &mut Partition,
     now: Tick,
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -2,14 +2,15 @@
 
 use std::sync::Arc;
 
-use crate::config::build::{Built, Route, Shard};
-use crate::config::{build, change};
+use crate::config::route::{Route, RouteShard, RoutingTable};
+use crate::config::stored::Entry;
+use crate::config::types::Config;
 use crate::identifiers::{CONFIG, PartitionId, partitions};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{EntryMap, FeedPosition, Message};
-use crate::snapshot::cluster_view::{ClusterView, open, view};
+use crate::snapshot::cluster_view::ClusterView;
 use crate::snapshot::leafs::{LeafInfo, leafs_in};
-use crate::storage::record::put;
+use crate::storage::record::apply_entries;
 use crate::time::{SECOND, Span, Tick, ms, since};
 use crate::voter_set::majority;
 
@@ -33,7 +34,7 @@
         partition: PartitionId,
         from: Option<u64>,
         revision: u64,
-        entries: &[change::Entry],
+        entries: &[Entry],
         commands: &mut Vec<Command>,
     ) -> bool {
         let Some(state) = self.partitions.get_mut(&partition) else { return false };
@@ -43,7 +44,7 @@
         if from.is_none() {
             state.entries.clear();
         }
-        put(&mut state.entries, entries);
+        apply_entries(&mut state.entries, entries);
         state.revision = revision;
         self.view_is_stale = true;
         self.reports_unchecked = true;
@@ -170,7 +171,7 @@
             .flat_map(|state| leafs_in(&state.entries).into_values())
             .filter_map(|info| self.with_reports(info))
             .collect();
-        view(self.configuration_revision, self.configuration.clone(), leafs)
+        ClusterView::new(self.configuration_revision, self.configuration.clone(), leafs)
     }
 
     fn note_searches_served(&mut self, now: Tick, view: &ClusterView) {
@@ -196,16 +197,16 @@
 }
 
 /// Builds the configuration of these entries, or says what is wrong with it.
-fn build_configuration(entries: &EntryMap) -> Result<Built, Vec<String>> {
-    let configuration = change::config(entries).map_err(|text| vec![text])?;
-    build::build(&configuration).map_err(|all| all.iter().map(|f| f.to_string()).collect())
+fn build_configuration(entries: &EntryMap) -> Result<RoutingTable, Vec<String>> {
+    let configuration = Config::from_entries(entries).map_err(|error| vec![error.to_string()])?;
+    RoutingTable::build(&configuration).map_err(|all| all.iter().map(|f| f.to_string()).collect())
 }
 
 /// Whether a route has leafs for its quorum of shards.
 fn has_quorum(view: &ClusterView, route: &Route) -> bool {
-    let has_leaf = |shard: &&Shard| {
-        shard.pools.iter().any(|pool| open(view, pool, &route.cut).next().is_some())
+    let has_leaf = |shard: &&RouteShard| {
+        shard.pools.iter().any(|pool| view.open_leafs(pool, &route.cut).next().is_some())
     };
     let served = route.shards.iter().filter(has_leaf).count();
-    served >= build::needed(route.quorum, route.shards.len())
+    served >= route.required_shards(route.shards.len())
 }
--- a/crates/core/src/query/cluster_update.rs
+++ b/crates/core/src/query/cluster_update.rs
@@ -7,12 +7,12 @@
 use super::leaf::leaf;
 use super::quota::Share;
 use super::{connection_subset, latency_estimate, leaf, quota, retry_budget, service_retry_budget};
-use crate::config::build::PoolPlan;
-use crate::config::types::Steer;
+use crate::config::route::CompiledPool;
+use crate::config::types::BalancingMode;
 use crate::consts;
 use crate::digest::hash;
 use crate::snapshot::cluster_view::ClusterView;
-use crate::snapshot::leafs::{LeafInfo, zone};
+use crate::snapshot::leafs::LeafInfo;
 use crate::time::Tick;
 
 /// Takes a new snapshot over.
@@ -57,7 +57,7 @@
 pub(super) fn deal(d: &mut QueryEngine) {
     let view = d.view.clone();
     for map in view.mappings.values() {
-        let shared = |p: &&PoolPlan| p.steer == Steer::Share;
+        let shared = |p: &&CompiledPool| p.steer == BalancingMode::Partitioned;
         for pool in map.shards.iter().flat_map(|s| &s.pools).filter(shared) {
             let Some(list) = view.services.get(&pool.service) else { continue };
             let totals = vec![u64::from(pool.bears); list.len()];
@@ -84,7 +84,7 @@
         // Leafs of emptied zones and those that leave have no new work.
         let stand: Vec<&LeafInfo> = list
             .iter()
-            .filter(|l| !l.leaving && !view.built.drained.contains(zone(l)))
+            .filter(|l| !l.leaving && !view.built.drained.contains(l.zone()))
             .map(|l| l.as_ref())
             .collect();
         let mine = d.slot;
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -9,13 +9,12 @@
 use super::forwarded_request::ForwardedRequest;
 use super::planned_query::{Query, slot};
 use super::request::{Ask, Reason, Rejection};
-use crate::config::build::Route;
-use crate::config::types::Form;
+use crate::config::route::Route;
+use crate::config::types::ServingMode;
 use crate::consts;
 use crate::digest::{digest, hash};
 use crate::random::Random;
-use crate::routing_language::compile::Send;
-use crate::snapshot::cluster_view::found;
+use crate::routing_language::compile::FanOut;
 use crate::time::{Span, Tick};
 
 /// Fixes everything about a query: its mapping, its shards, its times.
@@ -30,7 +29,7 @@
     let Some(map) = d.view.mappings.get(&ask.mapping).cloned() else {
         return say(Reason::NoMapping, "no search of that name is configured");
     };
-    if map.form != Form::Own {
+    if map.form != ServingMode::Native {
         return say(Reason::NoMapping, "this search is called by host and path");
     }
     room(d, map.class)?;
@@ -58,7 +57,7 @@
     parcel: Arc<ForwardedRequest>,
 ) -> Result<Query, Rejection> {
     taken(d, now)?;
-    let Some(map) = found(&d.view, &parcel.host, &parcel.path).cloned() else {
+    let Some(map) = d.view.route_for(&parcel.host, &parcel.path).cloned() else {
         let text = "no search takes calls of this host and path";
         return Err(Rejection::new(Reason::NoMapping, text));
     };
@@ -120,10 +119,10 @@
     luck: &mut Random,
 ) -> Result<Vec<usize>, Rejection> {
     match (map.send, key) {
-        (Send::Wide, _) => Ok((0..map.shards.len()).collect()),
-        (Send::One, Some(key)) => Ok(vec![shard_of(map, key)]),
-        (Send::Weighed, _) => Ok(vec![drawn(map, luck)]),
-        (Send::One, None) => {
+        (FanOut::AllShards, _) => Ok((0..map.shards.len()).collect()),
+        (FanOut::ByKey, Some(key)) => Ok(vec![shard_of(map, key)]),
+        (FanOut::ByWeight, _) => Ok(vec![drawn(map, luck)]),
+        (FanOut::ByKey, None) => {
             let text = "this search looks up one thing: give its `key`";
             Err(Rejection::new(Reason::NoKey, text))
         }
--- a/crates/core/src/query/rejection.rs
+++ b/crates/core/src/query/rejection.rs
@@ -6,7 +6,6 @@
 use super::request::{Outcome, Reason, Rejection};
 use super::retry;
 use crate::consts;
-use crate::snapshot::cluster_view::open;
 use crate::time::{Span, Tick, since};
 
 pub(super) fn bounce(
@@ -31,7 +30,7 @@
     let lost = q.slots.iter().filter(|s| s.state != SlotState::In);
     let soonest = |s: &Slot| {
         let shard = &q.map.shards[s.shard];
-        let list = shard.pools.iter().flat_map(|p| open(&d.view, p, &q.map.cut));
+        let list = shard.pools.iter().flat_map(|p| d.view.open_leafs(p, &q.map.cut));
         let rests = list.filter_map(|i| d.leafs.get(&i.leaf)).map(|l| since(now, l.rest_until));
         rests.min().unwrap_or(consts::LIST_POLL)
     };
--- a/crates/core/src/replication/partition.rs
+++ b/crates/core/src/replication/partition.rs
@@ -2,7 +2,7 @@
 
 use std::collections::VecDeque;
 
-use crate::config::change::Entry;
+use crate::config::stored::Entry;
 use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
 use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
 use crate::replication::leader::Leader;
--- a/crates/core/src/replication/replicate.rs
+++ b/crates/core/src/replication/replicate.rs
@@ -2,13 +2,13 @@
 //! counts who has synced them.
 
 use crate::command::Command;
-use crate::config::change::Entry;
-use crate::consts;
+use crate::config::stored::Entry;
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::Message;
 use crate::replication::leader::{AnsweredRound, HeartbeatRound, Leader};
 use crate::replication::partition::{AfterWrite, Partition, Role, Sender};
-use crate::storage::record::{LogRecord, apply};
+use crate::replication::timing::ANSWER_TIMEOUT;
+use crate::storage::record::LogRecord;
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, others};
 
@@ -160,7 +160,7 @@
         let (partition, term) = (self.id, self.state.written_term);
         let revision = self.state.revision + 1;
         let record = LogRecord::Change { term, revision, entries: entries.clone() };
-        if !apply(&mut self.state, &record) {
+        if !self.state.apply(&record) {
             return;
         }
         self.changes.push_back((revision, entries.clone()));
@@ -183,7 +183,7 @@
 
     fn may_send_snapshot(&self, now: Tick, slot: VoterSlot) -> bool {
         let sent_at = self.snapshot_sent_at[usize::from(slot)];
-        sent_at.is_none_or(|at| since(at, now) > consts::CLAIM_PATIENCE)
+        sent_at.is_none_or(|at| since(at, now) > ANSWER_TIMEOUT)
     }
 
     /// Notes which round a voter has answered; gives that round.
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -1,63 +1,77 @@
-//! What is kept on disk of a part.
+//! What is kept on disk of a partition.
 
 use nanoserde::{DeBin, SerBin};
 
-use crate::config::change::Entry;
+use crate::config::stored::Entry;
 use crate::identifiers::{Position, Term};
 use crate::protocol::message::EntryMap;
 
-/// A replica's copy of a part.
+/// A replica's state of a partition.
 ///
-/// Invariants: `promised >= term`; a copy with a higher (`term`, `revision`) is
-/// newer; nothing below `promised` is accepted any more.
+/// Invariants: `current_term >= written_term`; a state at a higher position is newer;
+/// nothing of a term below `current_term` is accepted any more.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct ReplicaState {
-    /// Highest term that this replica has granted or obeyed.
+    /// Highest term that this replica has voted for or accepted.
     pub current_term: Term,
     /// Term under which `entries` was last written.
     pub written_term: Term,
+    /// Number of the last change; each change has the next one.
     pub revision: u64,
+    /// What the partition holds.
     pub entries: EntryMap,
 }
 
 impl ReplicaState {
-    /// How new this copy is.
+    /// How new this state is.
     pub fn position(&self) -> Position {
         Position { term: self.written_term, revision: self.revision }
     }
-}
-
-/// One step of a copy, as the log holds it.
-#[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
-pub enum LogRecord {
-    Vote { term: Term },
-    Change { term: Term, revision: u64, entries: Vec<Entry> },
-}
 
-/// Applies a record that fits; false (and no change) if it does not.
-pub fn apply(copy: &mut ReplicaState, rec: &LogRecord) -> bool {
-    match rec {
-        LogRecord::Vote { term } => {
-            copy.current_term = copy.current_term.max(*term);
-            true
-        }
-        LogRecord::Change { term, revision, entries } => {
-            if *term != copy.written_term || *revision != copy.revision + 1 {
-                return false;
+    /// Applies a record that fits; false (and no change) if it does not.
+    pub fn apply(&mut self, record: &LogRecord) -> bool {
+        match record {
+            LogRecord::Vote { term } => {
+                self.current_term = self.current_term.max(*term);
+                true
+            }
+            LogRecord::Change { term, revision, entries } => {
+                if *term != self.written_term || *revision != self.revision + 1 {
+                    return false;
+                }
+                self.revision = *revision;
+                apply_entries(&mut self.entries, entries);
+                true
             }
-            copy.revision = *revision;
-            put(&mut copy.entries, entries);
-            true
         }
     }
 }
 
-/// Puts entries into a map.
-pub fn put(map: &mut EntryMap, entries: &[Entry]) {
-    for (key, val) in entries {
-        match val {
-            Some(val) => map.insert(key.clone(), val.clone()),
-            None => map.remove(key),
+/// One step of a state, as the log holds it.
+#[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
+pub enum LogRecord {
+    /// The replica voted in this term.
+    Vote {
+        /// The term.
+        term: Term,
+    },
+    /// The leader of a term changed entries.
+    Change {
+        /// The leader's term, in which the state was written before.
+        term: Term,
+        /// Number of the change: one more than that of the state before.
+        revision: u64,
+        /// The new values, or none where a key is removed.
+        entries: Vec<Entry>,
+    },
+}
+
+/// Applies changed entries to a state's: a new value, or none where a key is removed.
+pub fn apply_entries(entries: &mut EntryMap, changed: &[Entry]) {
+    for (key, value) in changed {
+        match value {
+            Some(value) => entries.insert(key.clone(), value.clone()),
+            None => entries.remove(key),
         };
     }
 }
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -6,14 +6,13 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use grebepath_core::command::Command;
-use grebepath_core::config::change;
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::{CONFIG, PartitionId, VoterSlot};
 use grebepath_core::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
 use grebepath_core::replication::partition::Role;
-use grebepath_core::storage::record::{LogRecord, ReplicaState, apply};
+use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::voter_file::{Start, VoterFile, begin};
 use grebepath_core::time::{BOOT, SECOND, Span, Tick};
 
@@ -134,7 +133,7 @@
         }
         Job::Append(rec) => {
             if let Some(copy) = disk.kept.get_mut(&partition) {
-                assert!(apply(copy, &rec), "a record that does not follow the one before");
+                assert!(copy.apply(&rec), "a record that does not follow the one before");
             }
         }
     }
@@ -306,7 +305,7 @@
 /// The configuration as it is read through a controller.
 pub fn read_back(cluster: &mut Cluster, node: usize) -> Option<Config> {
     match answer(cluster, node, "read", None, Operation::Read) {
-        Some(OperationResult::Configuration { map, .. }) => change::config(&map).ok(),
+        Some(OperationResult::Configuration { map, .. }) => Config::from_entries(&map).ok(),
         _ => None,
     }
 }
--- a/crates/server/src/controller/startup.rs
+++ b/crates/server/src/controller/startup.rs
@@ -62,7 +62,7 @@
     match found {
         StoredReplica::Empty => (ReplicaCondition::Empty, ReplicaState::default()),
         StoredReplica::Damaged(why) => {
-            warn!(part = %partition, why, "the files are damaged and set aside; relearning");
+            warn!(part = %partition, why = why.to_string(), "the files are damaged and set aside; relearning");
             (ReplicaCondition::Damaged, ReplicaState::default())
         }
         StoredReplica::Intact { state: state, is_torn: torn, .. } => {
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -2,11 +2,11 @@
 
 use std::net::SocketAddr;
 
-use grebepath_core::config::build::{Route, needed};
+use grebepath_core::config::route::Route;
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::findings;
 use grebepath_core::query::planning::shard_of;
-use grebepath_core::routing_language::compile::Send;
+use grebepath_core::routing_language::compile::FanOut;
 use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
 
@@ -26,7 +26,7 @@
 /// The plan of a mapping, and of a key's lookup.
 pub fn plan(m: &Route, key: Option<&str>) -> Value {
     let planned: Vec<usize> = match (m.send, key) {
-        (Send::One, Some(key)) => vec![shard_of(m, key)],
+        (FanOut::ByKey, Some(key)) => vec![shard_of(m, key)],
         _ => (0..m.shards.len()).collect(),
     };
     let shards: Vec<Value> = planned
@@ -45,12 +45,12 @@
         })
         .collect();
     json!({
-        "search": m.name, "class": grebepath_core::config::show::class_word(m.class as i32),
-        "cut": m.cut, "send": if m.send == Send::Wide { "wide" } else { "one by key" },
+        "search": m.name, "class": m.class.word(),
+        "cut": m.cut, "send": if m.send == FanOut::AllShards { "wide" } else { "one by key" },
         "promise_ms": m.promise / MILLI, "attempts": m.attempts,
         "wait_pct": m.wait_pct, "stop_pct": m.stop_pct,
         "prefer": if m.local { "local" } else { "any" },
-        "planned": planned.len(), "needed": needed(m.quorum, planned.len()), "shards": shards,
+        "planned": planned.len(), "needed": m.required_shards(planned.len()), "shards": shards,
     })
 }
 
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -3,8 +3,8 @@
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
+use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
-use grebepath_core::config::{build, change, read, show as conf_show};
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::{CONFIG, STATUS};
 use grebepath_runtime::http::client::HttpClient;
@@ -70,8 +70,8 @@
     got.map_err(|error| Failure::new(format!("{file}: {error}"), EXIT_USAGE))
 }
 
-fn checked(args: &Args, raw: &[u8]) -> Result<(Config, build::Built), Failure> {
-    let got = read::whole(raw).and_then(|c| build::build(&c).map(|b| (c, b)));
+fn checked(args: &Args, raw: &[u8]) -> Result<(Config, RoutingTable), Failure> {
+    let got = Config::from_json(raw).and_then(|c| RoutingTable::build(&c).map(|b| (c, b)));
     got.map_err(|all| {
         show::wrong(&all, args.json);
         Failure::new("", EXIT_WRONG)
@@ -95,7 +95,7 @@
         Verb::Undrain { zone } => send(args, http, Method::PATCH, zone_patch(zone, "open")).await,
         Verb::Get => {
             let (revision, conf) = get(args, http).await?;
-            let val = conf_show::json(&conf);
+            let val = conf.to_json();
             if args.json {
                 println!("{}", json!({ "revision": revision, "config": val }));
             } else {
@@ -143,7 +143,7 @@
         Some(file) => checked(args, &read_file(file)?)?.1,
         None => {
             let (_, conf) = get(args, http).await?;
-            build::build(&conf).map_err(|_| {
+            RoutingTable::build(&conf).map_err(|_| {
                 Failure::not_applied("the configuration in force does not build here")
             })?
         }
@@ -169,7 +169,7 @@
 async fn get(args: &Args, http: &HttpClient) -> Result<(u64, Config), Failure> {
     let request = ControllerRequest::new(Method::GET, CONFIG);
     let body = request.send_to_any(http, &controllers(args)?).await?.into_ok()?;
-    let conf = read::whole(body["config"].to_string().as_bytes())
+    let conf = Config::from_json(body["config"].to_string().as_bytes())
         .map_err(|_| Failure::not_applied("the configuration in force can't be read here"))?;
     Ok((body["revision"].as_u64().unwrap_or(0), conf))
 }
@@ -232,7 +232,7 @@
 fn findings(answer: &Value) -> Vec<Diagnostic> {
     let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
     let list = answer["findings"].as_array().cloned().unwrap_or_default();
-    list.iter().map(|f| Diagnostic { place: text(&f["place"]), text: text(&f["text"]) }).collect()
+    list.iter().map(|f| Diagnostic::new(text(&f["place"]), text(&f["text"]))).collect()
 }
 
 /// Waits until every live member obeys a revision.
@@ -274,7 +274,7 @@
 async fn diff(args: &Args, http: &HttpClient, raw: &[u8]) -> Result<i32, Failure> {
     let (new, _) = checked(args, raw)?;
     let (revision, old) = get(args, http).await?;
-    let (before, list) = (change::entries(&old), change::changes(&old, &new));
+    let (before, list) = (old.to_entries(), old.changes_to(&new));
     let rows: Vec<(&str, &str)> = list
         .iter()
         .map(|(key, val)| {
--- a/crates/simulator/src/controller_start.rs
+++ b/crates/simulator/src/controller_start.rs
@@ -33,7 +33,7 @@
             let (condition, copy) = match found {
                 StoredReplica::Empty => (ReplicaCondition::Empty, ReplicaState::default()),
                 StoredReplica::Damaged(why) => {
-                    damage.push(why);
+                    damage.push(why.to_string());
                     (ReplicaCondition::Damaged, ReplicaState::default())
                 }
                 StoredReplica::Intact { state: copy, .. } => (ReplicaCondition::Voting, copy),
--- a/crates/simulator/src/scale_model/fan_out.rs
+++ b/crates/simulator/src/scale_model/fan_out.rs
@@ -4,14 +4,15 @@
 use std::fmt::Write;
 use std::sync::Arc;
 
-use grebepath_core::config::{build, read};
+use grebepath_core::config::route::RoutingTable;
+use grebepath_core::config::types::Config;
 use grebepath_core::http_api::leaf::{Heads, Raw, postmark};
 use grebepath_core::query::engine::{QueryEngine, desk};
 use grebepath_core::query::event::{Command, Event, Sending};
 use grebepath_core::query::quota::share;
 use grebepath_core::query::request::{Ask, Outcome};
 use grebepath_core::query::step::step;
-use grebepath_core::snapshot::cluster_view;
+use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::time::{BOOT, MILLI, SECOND, Tick};
 use serde_json::json;
@@ -51,9 +52,11 @@
 fn open_engine(shards: usize, of: usize) -> QueryEngine {
     let leafs = shards * topology::LEAFS_A_SHARD;
     let conf = topology::config(leafs).to_string();
-    let conf = read::whole(conf.as_bytes()).and_then(|c| build::build(&c)).unwrap_or_default();
+    let conf = Config::from_json(conf.as_bytes())
+        .and_then(|c| RoutingTable::build(&c))
+        .unwrap_or_default();
     let leaf = |n: usize| LeafInfo { age_ms: topology::OLD_MS, ..topology::leaf(n, leafs) };
-    let view = cluster_view::view(1, Arc::new(conf), (0..leafs).map(leaf).collect());
+    let view = ClusterView::new(1, Arc::new(conf), (0..leafs).map(leaf).collect());
     let mut engine = desk("front", &topology::name(0), 1, BOOT);
     let members: Vec<(String, u32)> = (0..of).map(|n| (format!("front-{n}"), 1)).collect();
     step(&mut engine, BOOT, Event::ClusterView(Arc::new(view)));
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -1,6 +1,7 @@
 //! What is done with the scale model, and what is measured.
 
 use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::time::{MILLI, SECOND, Span, Tick};
 use serde_json::json;
 
@@ -276,11 +277,7 @@
             .partitions
             .values()
             .flat_map(|h| grebepath_core::snapshot::leafs::leafs_in(&h.entries).into_values());
-        grebepath_core::snapshot::cluster_view::view(
-            world.configuration_revision,
-            world.configuration.clone(),
-            list.collect(),
-        )
+        ClusterView::new(world.configuration_revision, world.configuration.clone(), list.collect())
     });
     took
 }
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeSet;
 
-use grebepath_core::config::{change, types::Config};
+use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::protocol::message::OperationResult;
 use grebepath_core::time::{SECOND, Span, ms};
@@ -38,8 +38,8 @@
                     return;
                 };
                 let part = &self.controllers[*controller].state.partitions[0];
-                let Ok(conf) = change::config(&part.committed) else { return };
-                let mut val = grebepath_core::config::show::json(&conf);
+                let Ok(conf) = Config::from_entries(&part.committed) else { return };
+                let mut val = conf.to_json();
                 if let Some(zones) = val["zones"].as_array_mut() {
                     zones.push(json!({ "name": format!("mark-{n}"), "state": "open" }));
                 }
@@ -133,8 +133,10 @@
         let best = self
             .running_voters()
             .max_by_key(|controller| controller.state.partitions[0].committed_revision);
-        best.and_then(|controller| change::config(&controller.state.partitions[0].committed).ok())
-            .unwrap_or_default()
+        best.and_then(|controller| {
+            Config::from_entries(&controller.state.partitions[0].committed).ok()
+        })
+        .unwrap_or_default()
     }
 
     /// Ends a run: the checks that only the end allows.
