--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -236,7 +236,7 @@
                         let _ = reply.send(outcome);
                     }
                 }
-                Command::ReportLeaf { service, report: report } => {
+                Command::ReportLeaf { service, report } => {
                     let _ = self.membership.send(MembershipInput::LeafReport { service, report });
                 }
             }
