--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -118,7 +118,7 @@
             queue_until: times.queue_until,
             executed: false,
             last_failure: None,
-            route: route,
+            route,
         }
     }
 }
--- a/crates/core/src/query/quota.rs
+++ b/crates/core/src/query/quota.rs
@@ -25,7 +25,7 @@
             members.iter().flat_map(|(name, n)| (0..*n).map(|t| slot(name, t))).collect();
         threads.sort_unstable();
         threads.dedup();
-        QuotaShare { threads: threads, own_thread: slot(me, thread) }
+        QuotaShare { threads, own_thread: slot(me, thread) }
     }
 }
 
