--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -10,7 +10,6 @@
 use cluster::*;
 use googletest::prelude::*;
 use grebepath_core::config::types::Config;
-use grebepath_core::consts;
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::protocol::message::{Operation, OperationResult, ReplicaCondition};
 use grebepath_core::replication::commit::CHANGES_KEPT;
--- a/crates/server/src/controller/controller_thread.rs
+++ b/crates/server/src/controller/controller_thread.rs
@@ -127,12 +127,7 @@
             ControllerInput::Event(event) => Some(event),
             ControllerInput::Operate { request_id, expected_revision, operation, reply } => {
                 let op = self.io.await_result(reply);
-                Some(Event::Operate {
-                    op,
-                    request: request_id,
-                    expected_revision: expected_revision,
-                    operation: operation,
-                })
+                Some(Event::Operate { op, request: request_id, expected_revision, operation })
             }
             ControllerInput::Status(reply) => {
                 let zone = &self.settings.zone;
--- a/crates/server/src/controller/startup.rs
+++ b/crates/server/src/controller/startup.rs
@@ -65,7 +65,7 @@
             warn!(part = %partition, why = why.to_string(), "the files are damaged and set aside; relearning");
             (ReplicaCondition::Damaged, ReplicaState::default())
         }
-        StoredReplica::Intact { state: state, is_torn: torn, .. } => {
+        StoredReplica::Intact { state, is_torn: torn, .. } => {
             if torn {
                 warn!(part = %partition, "a torn tail of the log was dropped");
             }
