--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -1,12 +1,13 @@
 //! What a controller wants done by the process that drives it.
 
 use crate::identifiers::{PartitionId, VoterSlot};
-use crate::protocol::message::{Message, OperationResult};
+use crate::protocol::message::Message;
+use crate::protocol::operation::OperationResult;
 use crate::storage::record::{LogRecord, ReplicaState};
 use crate::storage::voter_file::VoterFile;
 use crate::time::Span;
 
-/// A connection to a member, as numbered by the daemon.
+/// A connection that others opened to this controller, as numbered by the daemon.
 pub type ConnectionId = u64;
 
 /// What a controller wants done.
@@ -19,19 +20,19 @@
         connection: ConnectionId,
         message: Message,
     },
-    /// To every controller that we know a way to.
+    /// To every controller that we know an address of.
     Broadcast {
         message: Message,
     },
-    /// The table of the seats or our place in it changed: see to the connections.
+    /// The voter set or our slot in it changed: open and close connections to match.
     VoterSetChanged,
-    /// Keep the roll; with `clear`, set all parts' files aside before.
+    /// Write the voter file; with `clear`, set all partitions' files aside before.
     WriteVoterFile {
         token: u64,
         roll: VoterFile,
         clear: bool,
     },
-    /// Append a record to the part's log and sync it.
+    /// Append a record to the partition's log and sync it.
     AppendRecord {
         partition: PartitionId,
         token: u64,
@@ -43,11 +44,11 @@
         token: u64,
         copy: ReplicaState,
     },
-    /// Read the part's files again, behind all that was asked before.
+    /// Read the partition's files again, after all that was asked before.
     Scrub {
         partition: PartitionId,
     },
-    /// What an operator is told, once for each request.
+    /// The answer to an operator, once for each request.
     Respond {
         op: u64,
         done: OperationResult,
@@ -63,6 +64,6 @@
     WakeAfter {
         span: Span,
     },
-    /// Something an operator must hear of.
+    /// Something that an operator must know of; logged as a warning.
     Alarm(String),
 }
--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -10,7 +10,7 @@
 
 use crate::command::Command;
 use crate::control_plane::members::{LastRenewal, Members};
-use crate::protocol::message::{Member, Membership};
+use crate::protocol::membership::{Member, Membership};
 use crate::replication::partition::{Partition, Role};
 use crate::replication::timing::HEARTBEAT_INTERVAL;
 use crate::time::{Span, Tick, ms, since};
@@ -88,7 +88,7 @@
         let knows = |member: &&Member| {
             let heard = self.last_renewals.get(&member.name);
             self.has_left(membership, member)
-                || heard.is_some_and(|heard| heard.progress.knows >= revision)
+                || heard.is_some_and(|heard| heard.progress.known_revision >= revision)
         };
         // Who goes by a membership knows the revision under which it was issued.
         membership.revision >= revision
@@ -103,7 +103,7 @@
         let obeys = |member: &&Member| {
             self.last_renewals
                 .get(&member.name)
-                .is_some_and(|heard| heard.progress.obeys >= revision)
+                .is_some_and(|heard| heard.progress.obeyed_revision >= revision)
         };
         if 2 * list.iter().filter(obeys).count() > list.len() {
             return true;
@@ -117,7 +117,8 @@
     fn is_excused(&self, now: Tick, member: &Member) -> bool {
         let is_silent = |heard: &LastRenewal| since(heard.at, now) >= RENEWAL_SILENCE;
         // A process that has just started holds nothing to serve by.
-        let is_idle = |heard: &LastRenewal| heard.has_renewed && heard.progress.obeys == 0;
+        let is_idle =
+            |heard: &LastRenewal| heard.has_renewed && heard.progress.obeyed_revision == 0;
         let heard = self.last_renewals.get(&member.name);
         heard.is_none_or(|heard| is_silent(heard) || is_idle(heard))
             || !self.is_live(now, &member.name)
@@ -125,8 +126,9 @@
 
     /// The members that do not obey a revision, with what they obey.
     fn lagging_behind(&self, revision: u64) -> Vec<String> {
-        let obeys =
-            |member: &Member| self.last_renewals.get(&member.name).map_or(0, |h| h.progress.obeys);
+        let obeys = |member: &Member| {
+            self.last_renewals.get(&member.name).map_or(0, |h| h.progress.obeyed_revision)
+        };
         let lagging = self.membership.members.iter().filter(|member| obeys(member) < revision);
         lagging.map(|member| format!("{} (obeys {})", member.name, obeys(member))).collect()
     }
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -34,10 +34,10 @@
         commands: &mut Vec<Command>,
     ) {
         match message {
-            Message::Subscribe { places, stamp } => {
+            Message::Subscribe { positions: places, stamp } => {
                 self.on_subscribe(connection, places, stamp, commands);
             }
-            Message::RenewLease { member, count, far } => {
+            Message::RenewLease { member, number: count, progress: far } => {
                 let renewal = LeaseRenewal { member, count, progress: far };
                 self.on_lease_renewal(now, RenewalSource::Member(connection), renewal, commands);
             }
@@ -47,7 +47,14 @@
             Message::OperationRequest { op, attempt, .. } if self.slot == NOBODY => {
                 commands.push(ForwardedOperation { connection, number: op, attempt }.misdirected());
             }
-            Message::OperationRequest { op, attempt, request, expect, deed, .. } => {
+            Message::OperationRequest {
+                op,
+                attempt,
+                request,
+                expected_revision: expect,
+                operation: deed,
+                ..
+            } => {
                 let request = Request { id: request, expected_revision: expect, operation: deed };
                 let origin = ForwardedOperation { connection, number: op, attempt };
                 self.on_forwarded_operation(now, origin, request, commands);
@@ -69,22 +76,22 @@
         commands: &mut Vec<Command>,
     ) {
         match message {
-            Message::VoterSetUpdate { table, .. } => {
+            Message::VoterSetUpdate { voter_set: table, .. } => {
                 self.voter_slots.learn(&table, commands);
             }
-            Message::JoinRequest { holder, addr, zone, stamp } => {
+            Message::JoinRequest { replica_id: holder, addr, zone, stamp } => {
                 let candidate = Candidate { replica_id: holder, addr: &addr, zone: &zone };
                 self.on_join_request(now, connection, candidate, stamp, commands);
             }
-            Message::HandoverAccept { slot, holding } => {
+            Message::HandoverAccept { slot, holder: holding } => {
                 self.on_handover_accept(now, slot, holding, commands);
             }
-            Message::Handover { slot, generation, table, replicas, memberships } => {
+            Message::Handover { slot, generation, voter_set: table, replicas, memberships } => {
                 let received =
                     ReceivedHandover { slot, generation, voter_set: table, replicas, memberships };
                 self.on_handover(now, connection, received, commands);
             }
-            Message::SlotTakeover { slot, holding } => {
+            Message::SlotTakeover { slot, holder: holding } => {
                 self.on_slot_takeover(now, slot, holding, commands);
             }
             _ => {}
@@ -112,7 +119,7 @@
                     let counters = &mut self.counters;
                     endpoints::on_list(partition, now, group, fence, leafs, counters, commands);
                 }
-                Message::LeafReports { words, .. } => {
+                Message::LeafReports { reports: words, .. } => {
                     endpoints::on_reports(partition, now, group, words, commands);
                 }
                 _ => {}
--- a/crates/core/src/control_plane/from_controllers.rs
+++ b/crates/core/src/control_plane/from_controllers.rs
@@ -15,13 +15,13 @@
         commands: &mut Vec<Command>,
     ) {
         match message {
-            Message::VoterSetUpdate { me, table } => {
+            Message::VoterSetUpdate { replica_id: me, voter_set: table } => {
                 self.voter_slots.on_voter_set_answer(me, &table, commands);
             }
             Message::JoinOffer { slot, stamp, free } => {
                 self.on_join_offer(now, slot, stamp, free, commands);
             }
-            Message::OperationResponse { op, attempt, done } => {
+            Message::OperationResponse { op, attempt, result: done } => {
                 self.on_operation_response(now, AttemptId { op, attempt }, done, commands);
             }
             Message::HandoverOffer { slot, generation } => {
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -10,7 +10,8 @@
 use crate::control_plane::operations::Request;
 use crate::control_plane::pending_requests::AttemptId;
 use crate::identifiers::{PartitionId, VoterSlot};
-use crate::protocol::message::{Memberships, Message};
+use crate::protocol::membership::Memberships;
+use crate::protocol::message::Message;
 use crate::replication::messages::partition_of;
 use crate::replication::operations::OperationOrigin;
 use crate::replication::partition::{Role, Sender};
@@ -54,7 +55,7 @@
         commands: &mut Vec<Command>,
     ) -> bool {
         let VoterSender { slot, replica_id, connection } = sender;
-        if let Message::VoterSetUpdate { table, .. } = message {
+        if let Message::VoterSetUpdate { voter_set: table, .. } = message {
             self.voter_slots.learn(table, commands);
         }
         if !self.voter_slots.is_held_by(slot, replica_id) {
@@ -99,7 +100,7 @@
         commands: &mut Vec<Command>,
     ) {
         match message {
-            Message::RenewLease { member, count, far } => {
+            Message::RenewLease { member, number: count, progress: far } => {
                 let renewal = LeaseRenewal { member, count, progress: far };
                 self.on_lease_renewal(now, RenewalSource::Voter(from), renewal, commands);
             }
@@ -109,12 +110,19 @@
             Message::MembershipUpdate(membership) => {
                 self.on_membership_told(now, MembershipSource::Voter, membership, commands);
             }
-            Message::OperationRequest { op, attempt, term, request, expect, deed } => {
+            Message::OperationRequest {
+                op,
+                attempt,
+                term,
+                request,
+                expected_revision: expect,
+                operation: deed,
+            } => {
                 let origin = OperationOrigin { slot: Some(from), op, attempt };
                 let request = Request { id: request, expected_revision: expect, operation: deed };
                 self.on_operation_request(now, origin, term, request, commands);
             }
-            Message::OperationResponse { op, attempt, done } => {
+            Message::OperationResponse { op, attempt, result: done } => {
                 self.on_operation_response(now, AttemptId { op, attempt }, done, commands);
             }
             Message::LeafList { .. } | Message::LeafReports { .. } => {
--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -4,7 +4,9 @@
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
 use crate::identifiers::VoterSlot;
-use crate::protocol::message::{HandedOverReplica, Memberships, Message, ReplicaCondition};
+use crate::protocol::membership::Memberships;
+use crate::protocol::message::Message;
+use crate::protocol::replica::{HandedOverReplica, ReplicaCondition};
 use crate::replication::partition::{AfterWrite, Partition, Role};
 use crate::storage::record::ReplicaState;
 use crate::time::{Span, Tick, ms, since};
@@ -130,7 +132,9 @@
         voter_slots.handovers.reserve(now, slot, generation);
         voter_slots.offers.fill(None);
         let holding = voter_slots.own_holder(generation);
-        commands.push(Command::Broadcast { message: Message::HandoverAccept { slot, holding } });
+        commands.push(Command::Broadcast {
+            message: Message::HandoverAccept { slot, holder: holding },
+        });
     }
 
     /// The spare that we asked is ready: we give the slot up, first on our disk.
@@ -173,7 +177,7 @@
         let generation = holder.generation;
         let replicas = self.partitions.iter().filter(|p| p.can_vote()).map(handed_over).collect();
         let memberships = self.members.held_memberships();
-        let state = Message::Handover { slot, generation, table, replicas, memberships };
+        let state = Message::Handover { slot, generation, voter_set: table, replicas, memberships };
         let state = Box::new(state);
         self.voter_slots.handovers.enter(Stage::Sending { state, slot, sent_at: None });
         self.forget_replicas(now, commands);
--- a/crates/core/src/control_plane/leases.rs
+++ b/crates/core/src/control_plane/leases.rs
@@ -6,7 +6,8 @@
 use crate::control_plane::forgotten_members;
 use crate::control_plane::membership_log::Voters;
 use crate::identifiers::{Term, VoterSlot};
-use crate::protocol::message::{Member, MemberProgress, Message};
+use crate::protocol::membership::{Member, MemberProgress};
+use crate::protocol::message::Message;
 use crate::replication::partition::Role;
 use crate::time::Tick;
 
@@ -90,7 +91,7 @@
             && let Role::Follower { leader: Some(leader), .. } = self.partitions[0].role
         {
             let LeaseRenewal { member, count, progress: far } = renewal;
-            let message = Message::RenewLease { member, count, far };
+            let message = Message::RenewLease { member, number: count, progress: far };
             commands.push(Command::ToVoter { slot: leader.slot, message });
         }
     }
@@ -124,8 +125,14 @@
             self.advance_membership(now, commands);
         }
         let revision = self.partitions[0].committed_revision;
-        let message =
-            Message::LeaseGranted { name, incarnation, count, term, revision, tell_membership };
+        let message = Message::LeaseGranted {
+            name,
+            incarnation,
+            number: count,
+            term,
+            revision,
+            wants_membership: tell_membership,
+        };
         commands.push(match source {
             RenewalSource::Voter(slot) => Command::ToVoter { slot, message },
             RenewalSource::Member(connection) => Command::ToConnection { connection, message },
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -9,7 +9,7 @@
 use crate::control_plane::commit_times::CommitTimes;
 use crate::control_plane::membership_log::MembershipLog;
 use crate::identifiers::Term;
-use crate::protocol::message::{Member, MemberProgress, Membership, MembershipId, Memberships};
+use crate::protocol::membership::{Member, MemberProgress, Membership, MembershipId, Memberships};
 use crate::time::{MILLI, Tick, since};
 
 /// What a voter knows of the members.
@@ -95,7 +95,7 @@
     /// Whether a member goes by a membership that it should tell us of, since we
     /// have never heard of it.
     pub fn asks_for_membership(&mut self, now: Tick, progress: &MemberProgress) -> bool {
-        let id = progress.saw;
+        let id = progress.seen_membership;
         let may_count = self.gathering || id > self.membership.id();
         let is_due = self.membership_asked_at == 0
             || since(self.membership_asked_at, now) >= consts::OBEY_LOOK;
--- a/crates/core/src/control_plane/membership_issue.rs
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -4,7 +4,7 @@
 use crate::control_plane::members::{LastRenewal, Members};
 use crate::control_plane::membership_log::{FormerMembership, MEMBERSHIPS_KEPT};
 use crate::identifiers::Term;
-use crate::protocol::message::{Member, Membership};
+use crate::protocol::membership::{Member, Membership};
 use crate::time::{Span, Tick, ms, since};
 use crate::{consts, quorum};
 
@@ -111,7 +111,9 @@
     pub fn settle_if_seen(&mut self) -> bool {
         let id = self.membership.id();
         let has_seen = |member: &Member| {
-            self.last_renewals.get(&member.name).is_some_and(|heard| heard.progress.saw >= id)
+            self.last_renewals
+                .get(&member.name)
+                .is_some_and(|heard| heard.progress.seen_membership >= id)
         };
         let is_ready = !self.gathering && self.log.proposed.is_none() && self.log.older.is_empty();
         if is_ready
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -5,7 +5,7 @@
 //! `docs/limits.md`.
 
 use crate::identifiers::{Term, VoterSlot};
-use crate::protocol::message::{Membership, MembershipId, Memberships};
+use crate::protocol::membership::{Membership, MembershipId, Memberships};
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
--- a/crates/core/src/control_plane/membership_replication.rs
+++ b/crates/core/src/control_plane/membership_replication.rs
@@ -12,7 +12,8 @@
     FormerMembership, MEMBERSHIPS_KEPT, MembershipVersion, Voters,
 };
 use crate::identifiers::{Term, VoterSlot};
-use crate::protocol::message::{Membership, MembershipId, Memberships, Message};
+use crate::protocol::membership::{Membership, MembershipId, Memberships};
+use crate::protocol::message::Message;
 use crate::replication::timing::HEARTBEAT_INTERVAL;
 use crate::time::{Tick, since};
 use crate::voter_set::{VoterGroup, majority, others};
--- a/crates/core/src/control_plane/membership_updates.rs
+++ b/crates/core/src/control_plane/membership_updates.rs
@@ -5,7 +5,9 @@
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::membership_replication::ReplicatedMembership;
 use crate::identifiers::{COHORT, Term, VoterSlot};
-use crate::protocol::message::{Membership, Message, OperationResult};
+use crate::protocol::membership::Membership;
+use crate::protocol::message::Message;
+use crate::protocol::operation::OperationResult;
 use crate::replication::partition::Role;
 use crate::time::Tick;
 
@@ -131,7 +133,7 @@
         for origin in proved {
             let membership = self.members.membership.clone();
             let far = self.members.status(now);
-            origin.respond(OperationResult::Status { membership, far }, commands);
+            origin.respond(OperationResult::Status { membership, progress: far }, commands);
         }
     }
 }
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -19,7 +19,8 @@
 };
 use crate::control_plane::rejection::Rejection;
 use crate::identifiers::{Term, VoterSlot};
-use crate::protocol::message::{Message, Operation, OperationResult};
+use crate::protocol::message::Message;
+use crate::protocol::operation::{Operation, OperationResult};
 use crate::replication::operations::OperationOrigin;
 use crate::replication::partition::Role;
 use crate::time::Tick;
@@ -90,7 +91,14 @@
         }
         let Request { id: request, expected_revision: expect, operation: deed } = request;
         let term = to.term;
-        let message = Message::OperationRequest { op, attempt, term, request, expect, deed };
+        let message = Message::OperationRequest {
+            op,
+            attempt,
+            term,
+            request,
+            expected_revision: expect,
+            operation: deed,
+        };
         commands.push(Command::ToVoter { slot: to.slot, message });
     }
 
--- a/crates/core/src/control_plane/order_memory/legacy.rs
+++ b/crates/core/src/control_plane/order_memory/legacy.rs
@@ -8,7 +8,7 @@
 use crate::control_plane::order_memory::record::{
     Fingerprint, Horizon, Recall, fingerprint_of_digest,
 };
-use crate::protocol::message::EntryMap;
+use crate::protocol::replica::EntryMap;
 use crate::replication::private_entries::OLDER_ORDER_PREFIX as PREFIX;
 
 /// Entries that were kept (count): with so many, older ones may have been
--- a/crates/core/src/control_plane/order_memory/mod.rs
+++ b/crates/core/src/control_plane/order_memory/mod.rs
@@ -20,7 +20,7 @@
 use std::collections::BTreeMap;
 
 use crate::config::stored::{Entry, edition};
-use crate::protocol::message::EntryMap;
+use crate::protocol::replica::EntryMap;
 use record::{BUCKETS, NUMBER_BYTES, Record, bucket, bucket_key, number, record_bytes};
 pub use record::{Fingerprint, Horizon, OrderBase, Recall, fingerprint};
 
--- a/crates/core/src/control_plane/order_memory/record.rs
+++ b/crates/core/src/control_plane/order_memory/record.rs
@@ -2,7 +2,7 @@
 //! remembered of it, and how a record lies in its bucket.
 
 use crate::digest::digest_bytes;
-use crate::protocol::message::EntryMap;
+use crate::protocol::replica::EntryMap;
 use crate::replication::private_entries::ORDER_PREFIX;
 
 /// Buckets (count). A full memory has four records in each: an accepted order
--- a/crates/core/src/control_plane/pending_requests.rs
+++ b/crates/core/src/control_plane/pending_requests.rs
@@ -5,7 +5,8 @@
 use crate::control_plane::operations::Request;
 use crate::control_plane::rejection::Rejection;
 use crate::identifiers::{Term, VoterSlot};
-use crate::protocol::message::{Message, Operation, OperationResult};
+use crate::protocol::message::Message;
+use crate::protocol::operation::{Operation, OperationResult};
 use crate::time::Tick;
 
 /// Term of an attempt that is meant for no certain leader: the receiver finds one.
@@ -66,7 +67,7 @@
     /// The answer to this attempt.
     pub fn response(self, done: OperationResult) -> Command {
         let ForwardedOperation { connection, number, attempt } = self;
-        let message = Message::OperationResponse { op: number, attempt, done };
+        let message = Message::OperationResponse { op: number, attempt, result: done };
         Command::ToConnection { connection, message }
     }
 
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -5,7 +5,7 @@
 //! have gathered before are out of date.
 
 use crate::control_plane::members::Members;
-use crate::protocol::message::{Member, Membership};
+use crate::protocol::membership::{Member, Membership};
 use crate::time::{Tick, ms, since};
 use crate::{consts, quorum};
 
@@ -30,7 +30,8 @@
         self.is_gone(member)
             || self.last_renewals.get(&member.name).is_some_and(|heard| {
                 let is_another = heard.member.incarnation != member.incarnation;
-                heard.has_renewed && (is_another || heard.progress.saw > membership.id())
+                heard.has_renewed
+                    && (is_another || heard.progress.seen_membership > membership.id())
             })
     }
 
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -80,6 +80,6 @@
             .collect();
         let revision = self.members.membership.feed_revision();
         places.push(FeedPosition { partition: COHORT, revision });
-        Message::FeedPositions { places, stamp: self.voter_slots.stamp }
+        Message::FeedPositions { positions: places, stamp: self.voter_slots.stamp }
     }
 }
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -4,7 +4,7 @@
 use crate::command::Command;
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::step::WAKE;
-use crate::protocol::message::ReplicaCondition;
+use crate::protocol::replica::ReplicaCondition;
 use crate::replication::partition::Partition;
 use crate::replication::timing::LEADER_SILENCE;
 use crate::storage::voter_file::VoterFile;
--- a/crates/core/src/identifiers.rs
+++ b/crates/core/src/identifiers.rs
@@ -1,19 +1,20 @@
-//! Names that travel through the whole system.
+//! Identifiers that travel through the whole system.
 
 use std::fmt;
 
-/// Which part of the state: 0 is the configuration, the others hold services.
+/// A partition of the state: 0 is the configuration, the others hold services.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, nanoserde::DeBin, nanoserde::SerBin,
 )]
 pub struct PartitionId(pub u32);
 
-/// The part that holds the operators' configuration.
+/// The partition that holds the operators' configuration.
 pub const CONFIG: PartitionId = PartitionId(0);
 
-/// The membership's state, where it stands in a list of places as if it were a part.
+/// Stands for the membership in a list of feed positions, as if it were a partition.
 pub const COHORT: PartitionId = PartitionId(u32::MAX);
-/// A place beyond all: who stands there is committed how far we are, and no news.
+/// A position beyond all others: who subscribes from it is sent how far we are, and no
+/// updates.
 pub const BEYOND: u64 = u64::MAX;
 
 impl fmt::Display for PartitionId {
@@ -31,18 +32,18 @@
     }
 }
 
-/// The part that holds a service's leafs.
+/// The partition that holds a service's leafs.
 pub fn part_of(service: &str) -> PartitionId {
     let n = u64::from(crate::consts::SERVICE_PARTS);
     PartitionId(1 + (crate::digest::hash(service) % n) as u32)
 }
 
-/// Every part of the state.
+/// Every partition of the state.
 pub fn partitions() -> impl Iterator<Item = PartitionId> {
     (0..=crate::consts::SERVICE_PARTS).map(PartitionId)
 }
 
-/// One of the places of a replica group: an index into the table of the seats.
+/// A voter slot: an index into the voter set.
 pub type VoterSlot = u8;
 
 /// The term of a leader of a partition. Each term belongs to one voter slot alone, and
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -7,7 +7,8 @@
 use crate::membership::lease::LEASE_TRUST;
 use crate::membership::neighbour_ring::PROBE_KEYS;
 use crate::membership::node_agent::{Command, NodeAgent};
-use crate::protocol::message::{EntryMap, LeafReport, Message};
+use crate::protocol::message::{LeafReport, Message};
+use crate::protocol::replica::EntryMap;
 use crate::snapshot::leafs::{LeafInfo, leafs_in};
 use crate::time::{SECOND, Span, Tick, ms, since};
 
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -10,7 +10,7 @@
 use crate::identifiers::Term;
 use crate::membership::lease::RENEWAL_INTERVAL;
 use crate::membership::node_agent::NodeAgent;
-use crate::protocol::message::Attestation;
+use crate::protocol::membership::Attestation;
 use crate::time::{MILLI, Span, Tick, since};
 
 /// Age of the controllers' last word from which members attest, and speak at
@@ -42,10 +42,10 @@
     /// Takes in an attestation that answers our question of `asked`. Tells whether
     /// the other goes by a newer membership.
     pub(super) fn on_attestation(&mut self, asked: Tick, attestation: &Attestation) -> bool {
-        self.learn_revision(attestation.knows);
+        self.learn_revision(attestation.known_revision);
         let ours = self.proofs.membership;
         let counts = attestation.membership == ours
-            && attestation.knows <= self.configuration_revision
+            && attestation.known_revision <= self.configuration_revision
             && attestation.ages.len() == self.proofs.asked.len();
         if counts {
             self.proofs.accept(asked, attestation);
--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -57,10 +57,7 @@
             .push(FeedPosition { partition: COHORT, revision: self.membership.feed_revision() });
         let beyond = positions.iter().map(|p| FeedPosition { revision: BEYOND, ..*p }).collect();
         let stamp = self.voter_set_stamp;
-        (
-            Message::Subscribe { places: positions, stamp },
-            Message::Subscribe { places: beyond, stamp },
-        )
+        (Message::Subscribe { positions, stamp }, Message::Subscribe { positions: beyond, stamp })
     }
 
     /// Whether we are still starting: what waits for one voter then, the recovery of
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -5,7 +5,8 @@
 use crate::membership::lease::RENEWAL_OVERDUE;
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::membership::peer::{PEER_SILENCE, Peer};
-use crate::protocol::message::{Attestation, FeedPosition, Message};
+use crate::protocol::membership::Attestation;
+use crate::protocol::message::{FeedPosition, Message};
 use crate::time::{MILLI, SECOND, Span, Tick, ms, since};
 
 /// How often members speak with each other when the controllers are not heard:
@@ -79,7 +80,7 @@
             name: self.member.name.clone(),
             core_age_ms: self.core_age(now) / MILLI,
             ready: self.ready,
-            places: Vec::new(),
+            positions: Vec::new(),
             asked: Some(now),
             echo: None,
             attestation: None,
@@ -92,7 +93,7 @@
             name: self.member.name.clone(),
             core_age_ms: self.core_age(now) / MILLI,
             ready: self.ready,
-            places: self.positions(),
+            positions: self.positions(),
             asked: None,
             echo: Some(echo),
             attestation,
@@ -130,7 +131,7 @@
         let overdue = self.core_age(now) >= RENEWAL_OVERDUE;
         if is_ahead && configuration > 0 && overdue {
             let message =
-                Message::Subscribe { places: self.positions(), stamp: self.voter_set_stamp };
+                Message::Subscribe { positions: self.positions(), stamp: self.voter_set_stamp };
             self.send_to_member(name, message, commands);
         }
     }
--- a/crates/core/src/membership/leaf_reports.rs
+++ b/crates/core/src/membership/leaf_reports.rs
@@ -79,12 +79,12 @@
         let (to_voters, to_members) = self.take_due_reports(now);
         for (partition, words) in to_voters {
             // To every voter: the one that serves us may be cut off from the leader.
-            self.send_to_voters(&Message::LeafReports { partition, words }, commands);
+            self.send_to_voters(&Message::LeafReports { partition, reports: words }, commands);
         }
         for name in &self.ring.neighbours {
             for (partition, reports) in &to_members {
                 let message =
-                    Message::LeafReports { partition: *partition, words: reports.clone() };
+                    Message::LeafReports { partition: *partition, reports: reports.clone() };
                 self.send_to_member(name, message, commands);
             }
         }
--- a/crates/core/src/membership/lease_renewal.rs
+++ b/crates/core/src/membership/lease_renewal.rs
@@ -3,7 +3,8 @@
 use crate::identifiers::VoterSlot;
 use crate::membership::lease::{LEASE_TRUST, RENEWAL_OVERDUE};
 use crate::membership::node_agent::{Command, NodeAgent};
-use crate::protocol::message::{MemberProgress, Message};
+use crate::protocol::membership::MemberProgress;
+use crate::protocol::message::Message;
 use crate::time::{Span, Tick, since};
 
 /// Members that are asked to forward a renewal (count): one may itself have just
@@ -28,8 +29,8 @@
         let number = self.lease.next_renewal(now);
         let message = Message::RenewLease {
             member: self.member.clone(),
-            count: number,
-            far: self.progress(now),
+            number,
+            progress: self.progress(now),
         };
         let overdue = self.core_age(now) >= RENEWAL_OVERDUE;
         match self.lease.slot {
@@ -60,9 +61,9 @@
     /// How far we are, as told with each renewal.
     fn progress(&self, now: Tick) -> MemberProgress {
         MemberProgress {
-            obeys: self.view.as_ref().map_or(0, |view| view.revision),
-            saw: self.membership.id(),
-            knows: self.known_revision,
+            obeyed_revision: self.view.as_ref().map_or(0, |view| view.revision),
+            seen_membership: self.membership.id(),
+            known_revision: self.known_revision,
             quiet_ms: self.quiet_ms(now),
             ready: self.ready,
             leaving: self.is_drained,
--- a/crates/core/src/membership/neighbour_ring.rs
+++ b/crates/core/src/membership/neighbour_ring.rs
@@ -6,7 +6,7 @@
 //! whose joining is settled; who would hold it next is the second.
 
 use crate::digest::{hash, pair};
-use crate::protocol::message::Membership;
+use crate::protocol::membership::Membership;
 
 /// Neighbours that each member speaks with, either way on the ring (count): each member
 /// is heard by twice as many others, and the cost does not grow with the membership.
--- a/crates/core/src/membership/proofs.rs
+++ b/crates/core/src/membership/proofs.rs
@@ -1,7 +1,7 @@
 //! The proofs that a member holds about the others (see [`super::attestation`]).
 
 use crate::membership::lease::LEASE_TRUST;
-use crate::protocol::message::{Attestation, Member, Membership, MembershipId, NO_PROOF};
+use crate::protocol::membership::{Attestation, Member, Membership, MembershipId, NO_PROOF};
 use crate::quorum;
 use crate::time::{MILLI, Span, Tick, ms, since};
 
@@ -55,7 +55,7 @@
         if let Some(own) = self.own {
             ages[own] = 0;
         }
-        Attestation { membership: self.membership, knows: known_revision, ages }
+        Attestation { membership: self.membership, known_revision, ages }
     }
 
     /// Takes in an attestation that answers our question of `asked`, by a member
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -163,7 +163,7 @@
 
     /// Commands who opens connections to leafs, if that has changed.
     fn update_leaf_clients(&mut self, commands: &mut Vec<Command>) {
-        let client = |m: &crate::protocol::message::Member| LeafClient {
+        let client = |m: &crate::protocol::membership::Member| LeafClient {
             name: m.name.clone(),
             threads: m.threads,
             zone: m.zone.clone(),
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -5,7 +5,8 @@
 use crate::membership::lease::RENEWAL_OVERDUE;
 use crate::membership::neighbour_ring::NeighbourRing;
 use crate::membership::node_agent::{Command, Event, NodeAgent};
-use crate::protocol::message::{FeedPosition, Membership, Message};
+use crate::protocol::membership::Membership;
+use crate::protocol::message::{FeedPosition, Message};
 use crate::time::{Span, Tick, ms};
 
 /// How often a node agent is woken at least: well below the shortest of its
@@ -63,7 +64,9 @@
     ) {
         match message {
             // Under another voter set it may be about a replica that was replaced.
-            Message::FeedPositions { places, stamp } if stamp == self.voter_set_stamp => {
+            Message::FeedPositions { positions: places, stamp }
+                if stamp == self.voter_set_stamp =>
+            {
                 self.on_feed_positions(now, slot, places);
             }
             Message::LeaseGranted { ref name, .. } if *name != self.member.name => {
@@ -71,7 +74,13 @@
                     self.send_to_member(&name.clone(), message, commands);
                 }
             }
-            Message::LeaseGranted { incarnation, count, revision, tell_membership, .. } => {
+            Message::LeaseGranted {
+                incarnation,
+                number: count,
+                revision,
+                wants_membership: tell_membership,
+                ..
+            } => {
                 if incarnation == self.member.incarnation {
                     self.on_lease_granted(Some(slot), count, revision);
                 }
@@ -99,27 +108,38 @@
         commands: &mut Vec<Command>,
     ) {
         match message {
-            Message::Gossip { name, core_age_ms, ready, places, asked, echo, attestation } => {
+            Message::Gossip {
+                name,
+                core_age_ms,
+                ready,
+                positions: places,
+                asked,
+                echo,
+                attestation,
+            } => {
                 let gossip =
                     Gossip { core_age_ms, ready, positions: places, asked, echo, attestation };
                 self.on_gossip(now, &name, gossip, commands);
             }
-            Message::VoterSetUpdate { table, .. } => self.on_voter_set(&table, commands),
-            Message::Subscribe { places, stamp } => {
+            Message::VoterSetUpdate { voter_set: table, .. } => self.on_voter_set(&table, commands),
+            Message::Subscribe { positions: places, stamp } => {
                 self.on_member_subscribe(name, &places, stamp, commands);
             }
             // Forward a neighbour's renewal, if our own way to the controllers works.
-            Message::RenewLease { member, count, far } => {
+            Message::RenewLease { member, number: count, progress: far } => {
                 if self.core_age(now) < RENEWAL_OVERDUE {
                     self.forwarded_renewals.insert(member.name.clone(), now);
                     self.counters.forwarded_renewals += 1;
-                    self.send_to_core(Message::RenewLease { member, count, far }, commands);
+                    self.send_to_core(
+                        Message::RenewLease { member, number: count, progress: far },
+                        commands,
+                    );
                 }
             }
-            Message::LeafReports { partition, words } => {
+            Message::LeafReports { partition, reports: words } => {
                 self.on_member_leaf_reports(now, partition, words);
             }
-            Message::LeaseGranted { name, incarnation, count, revision, .. }
+            Message::LeaseGranted { name, incarnation, number: count, revision, .. }
                 if name == self.member.name && incarnation == self.member.incarnation =>
             {
                 self.on_lease_granted(None, count, revision);
@@ -165,7 +185,8 @@
         let mut messages = self.updates_beyond(positions);
         messages.push(Message::MembershipUpdate(self.membership.clone()));
         if stamp != self.voter_set_stamp {
-            messages.push(Message::VoterSetUpdate { me: 0, table: self.voter_set.clone() });
+            messages
+                .push(Message::VoterSetUpdate { replica_id: 0, voter_set: self.voter_set.clone() });
         }
         for message in messages {
             self.send_to_member(name, message, commands);
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -12,7 +12,8 @@
 
 use crate::command::Command;
 use crate::identifiers::{Term, VoterSlot};
-use crate::protocol::message::{Message, ReplicaCondition};
+use crate::protocol::message::Message;
+use crate::protocol::replica::ReplicaCondition;
 use crate::random::Random;
 use crate::replication::partition::{AfterWrite, CatchUp, Partition, ReplicaStatus, Sender};
 use crate::replication::timing::{ANSWER_TIMEOUT, CATCH_UP_INTERVAL};
--- a/crates/core/src/replication/commit.rs
+++ b/crates/core/src/replication/commit.rs
@@ -1,6 +1,6 @@
 //! What is committed of a partition, as far as this replica has it.
 
-use crate::protocol::message::EntryMap;
+use crate::protocol::replica::EntryMap;
 use crate::replication::partition::Partition;
 use crate::storage::record::apply_entries;
 
--- a/crates/core/src/replication/disk_writes.rs
+++ b/crates/core/src/replication/disk_writes.rs
@@ -2,7 +2,8 @@
 
 use crate::command::Command;
 use crate::identifiers::VoterSlot;
-use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
+use crate::protocol::message::Message;
+use crate::protocol::replica::{EntryMap, ReplicaCondition};
 use crate::replication::partition::{AfterWrite, Partition, Role, Sender, Write};
 use crate::replication::timing::{CATCH_UP_INTERVAL, DISK_STALL};
 use crate::storage::record::LogRecord;
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -5,7 +5,8 @@
 use crate::command::Command;
 use crate::digest::{hash, pair};
 use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
-use crate::protocol::message::{EntryMap, Message};
+use crate::protocol::message::Message;
+use crate::protocol::replica::EntryMap;
 use crate::random::Random;
 use crate::replication::leader::Leader;
 use crate::replication::partition::{AfterWrite, Candidacy, KnownLeader, Partition, Role, Sender};
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, VecDeque};
 
 use crate::identifiers::{Term, VoterSlot};
-use crate::protocol::message::MembershipId;
+use crate::protocol::membership::MembershipId;
 use crate::replication::operations::{
     ChangeAcceptance, OperationOrigin, PendingOperation, WaitingChange,
 };
--- a/crates/core/src/replication/operations.rs
+++ b/crates/core/src/replication/operations.rs
@@ -2,7 +2,8 @@
 
 use crate::command::Command;
 use crate::identifiers::VoterSlot;
-use crate::protocol::message::{Message, OperationResult};
+use crate::protocol::message::Message;
+use crate::protocol::operation::OperationResult;
 use crate::time::Tick;
 
 /// Where an operation came from.
@@ -23,7 +24,7 @@
         commands.push(match slot {
             None => Command::OwnResponse { op, attempt, done: result },
             Some(slot) => {
-                let message = Message::OperationResponse { op, attempt, done: result };
+                let message = Message::OperationResponse { op, attempt, result };
                 Command::ToVoter { slot, message }
             }
         });
--- a/crates/core/src/replication/partition.rs
+++ b/crates/core/src/replication/partition.rs
@@ -4,7 +4,8 @@
 
 use crate::config::stored::Entry;
 use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
-use crate::protocol::message::{EntryMap, Message, ReplicaCondition};
+use crate::protocol::message::Message;
+use crate::protocol::replica::{EntryMap, ReplicaCondition};
 use crate::replication::leader::Leader;
 use crate::storage::record::ReplicaState;
 use crate::time::Tick;
--- a/crates/core/src/replication/pending_operations.rs
+++ b/crates/core/src/replication/pending_operations.rs
@@ -13,7 +13,8 @@
 //! are.
 
 use crate::command::Command;
-use crate::protocol::message::{EntryMap, OperationResult};
+use crate::protocol::operation::OperationResult;
+use crate::protocol::replica::EntryMap;
 use crate::replication::leader::Leader;
 use crate::replication::operations::{OperationOrigin, PendingAnswer, PendingOperation};
 use crate::replication::partition::{Partition, Role};
@@ -99,7 +100,7 @@
     let result = match operation.answer {
         PendingAnswer::Refusal(result) => result,
         PendingAnswer::Read => {
-            OperationResult::Configuration { revision, map: public_entries(committed) }
+            OperationResult::Configuration { revision, entries: public_entries(committed) }
         }
         PendingAnswer::Status => return leader.proved_status.push(operation.origin),
     };
--- a/crates/core/src/replication/private_entries.rs
+++ b/crates/core/src/replication/private_entries.rs
@@ -1,7 +1,7 @@
 //! Entries of a partition that only its replicas need: they are replicated like all
 //! others, but neither subscribers of the feed nor operators get them.
 
-use crate::protocol::message::EntryMap;
+use crate::protocol::replica::EntryMap;
 
 /// Prefix of the entries that remember accepted orders.
 pub const ORDER_PREFIX: &str = "order/";
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -2,7 +2,8 @@
 
 use crate::command::Command;
 use crate::identifiers::{Position, Term, VoterSlot};
-use crate::protocol::message::{EntryMap, Message};
+use crate::protocol::message::Message;
+use crate::protocol::replica::EntryMap;
 use crate::replication::leader::Leader;
 use crate::replication::partition::{AfterWrite, KnownLeader, Partition, Role};
 use crate::replication::timing::LEADER_SILENCE;
--- a/crates/core/src/replication/waiting_changes.rs
+++ b/crates/core/src/replication/waiting_changes.rs
@@ -1,7 +1,7 @@
 //! Changes that a leader has made and whose operators wait for the outcome.
 
 use crate::command::Command;
-use crate::protocol::message::OperationResult;
+use crate::protocol::operation::OperationResult;
 use crate::replication::leader::Leader;
 use crate::replication::operations::{ChangeAcceptance, OperationOrigin, WaitingChange};
 use crate::replication::partition::{Partition, Role};
@@ -100,7 +100,7 @@
             return None;
         }
         let (revision, again) = (change.revision, change.is_repeat);
-        Some(OperationResult::Accepted { revision, copies, again })
+        Some(OperationResult::Accepted { revision, replicas: copies, is_repeat: again })
     }
 
     /// Why a change has no outcome when the patience with it ends.
@@ -121,7 +121,11 @@
             let is_accepted = change.revision <= self.accepted_up_to(change.acceptance);
             let result = if is_accepted && !change.is_repeat {
                 let copies = majority(self.synced.len()) as u32;
-                OperationResult::Accepted { revision: change.revision, copies, again: false }
+                OperationResult::Accepted {
+                    revision: change.revision,
+                    replicas: copies,
+                    is_repeat: false,
+                }
             } else {
                 let why = "the leader changed while the change was on its way".to_string();
                 OperationResult::Unknown { why }
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -4,7 +4,7 @@
 
 use crate::config::stored::Entry;
 use crate::identifiers::{Position, Term};
-use crate::protocol::message::EntryMap;
+use crate::protocol::replica::EntryMap;
 
 /// A replica's state of a partition.
 ///
--- a/crates/core/src/voter_set.rs
+++ b/crates/core/src/voter_set.rs
@@ -1,4 +1,4 @@
-//! The table of the seats.
+//! The voter set: who holds each voter slot.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -6,12 +6,12 @@
 use crate::digest::hash;
 use crate::identifiers::VoterSlot;
 
-/// The seat of a controller that has none.
+/// The slot of a controller that holds none.
 pub const NOBODY: VoterSlot = VoterSlot::MAX;
-/// Generation of the holders with which a fleet begins.
+/// Generation of the holders with which a cluster begins.
 pub const FIRST: u32 = 1;
 
-/// Who holds a seat.
+/// Who holds a voter slot.
 ///
 /// Invariant: one (`generation`, `holder`) has one `addr` and `zone` for ever,
 /// but that the zone of a first holder is filled in when it is heard. Vacant:
@@ -19,39 +19,39 @@
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct SlotHolder {
     pub generation: u32,
-    /// Drawn once in a disk's life; of first holders it follows from the seeds.
+    /// Replica id: drawn once in a disk's life; of first holders it follows from the seeds.
     pub holder: u64,
     /// Where the other processes reach it.
     pub addr: String,
     pub zone: String,
 }
 
-/// All seats. Empty: not known yet.
+/// All voter slots. Empty: not known yet.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct VoterSet {
     pub slots: Vec<SlotHolder>,
 }
 
-/// A seat among the others: what the replica groups need of the table.
+/// A voter slot among the others: what replication needs to know of the voter set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VoterGroup {
     pub slot: VoterSlot,
-    /// All seats, vacant ones counted.
+    /// All slots, vacant ones counted.
     pub size: usize,
-    /// Seats that somebody holds, as bits.
+    /// Slots that somebody holds, as bits.
     pub taken: u16,
-    /// Seats that their first holder still has, as bits.
+    /// Slots that their first holder still has, as bits.
     pub firsts: u16,
-    /// Whether this controller's disk began with the fleet.
+    /// Whether this controller's disk began with the cluster.
     pub first: bool,
 }
 
-/// How many of so many seats make a majority.
+/// How many of so many slots make a majority.
 pub fn majority(size: usize) -> usize {
     size / 2 + 1
 }
 
-/// The group as `seat` sees it.
+/// The group as the holder of `slot` sees it.
 pub fn group(table: &VoterSet, slot: VoterSlot, first: bool) -> VoterGroup {
     let bits = |fits: &dyn Fn(&SlotHolder) -> bool| {
         let list = table.slots.iter().enumerate();
@@ -66,49 +66,49 @@
     }
 }
 
-/// Every other seat that somebody holds.
+/// Every other slot that somebody holds.
 pub fn others(g: VoterGroup) -> impl Iterator<Item = VoterSlot> {
     (0..g.size as VoterSlot).filter(move |s| *s != g.slot && g.taken >> *s & 1 == 1)
 }
 
-/// Generations of a seat between two takeovers (count): those between are
+/// Generations of a slot between two takeovers (count): those between are
 /// handovers. A takeover that a majority of the others agreed to so wins over
 /// any handover that it does not know of. A million takeovers, with four thousand
 /// handovers after each, are left by this.
 const GENERATION_STRIDE: u32 = 1 << 12;
 
-/// The generation of whoever takes a seat over from a holder that is gone.
+/// The generation of whoever takes a slot over from a holder that is gone.
 pub fn after_takeover(generation: u32) -> u32 {
     (generation / GENERATION_STRIDE + 1) * GENERATION_STRIDE
 }
 
-/// The generation of the successor to whom a holder hands its seat, if one is
+/// The generation of the successor to whom a holder hands its slot, if one is
 /// left before the next takeover's.
 pub fn after_handover(generation: u32) -> Option<u32> {
     let next = generation.max(FIRST) + 1;
     (!next.is_multiple_of(GENERATION_STRIDE)).then_some(next)
 }
 
-/// Which of two holdings of a seat stands.
+/// Orders two holders of a slot: the higher one stands.
 pub fn ballot(h: &SlotHolder) -> (u32, u64) {
     (h.generation, h.holder)
 }
 
-/// A number that two tables share only if the same holders have the seats.
+/// A number that two voter sets share only if the same replicas hold the slots.
 pub fn stamp(table: &VoterSet) -> u64 {
     let text: String =
         table.slots.iter().map(|h| format!("{}.{:x}/", h.generation, h.holder)).collect();
     hash(&text)
 }
 
-/// The seat of a holder.
+/// The slot of a replica.
 pub fn seat_of(table: &VoterSet, holder: u64) -> Option<VoterSlot> {
     let at = table.slots.iter().position(|h| holder != 0 && h.holder == holder)?;
     Some(at as VoterSlot)
 }
 
-/// `ours` with all that is newer in `theirs`; `None` if nothing is. Tables of
-/// another size are another fleet's.
+/// `ours` with all that is newer in `theirs`; `None` if nothing is. Voter sets of
+/// another size are another cluster's.
 pub fn merge(ours: &VoterSet, theirs: &VoterSet) -> Option<VoterSet> {
     let size = theirs.slots.len();
     if size == 0 || size > usize::from(consts::SEATS_MAX) {
@@ -131,14 +131,14 @@
     (new != *ours).then_some(new)
 }
 
-/// The id of the holder with which a seat begins at an address.
+/// The replica id with which a slot begins at an address.
 pub fn first_holder(addr: &str) -> u64 {
     hash(addr) | 1
 }
 
-/// The table with which a fleet begins: its seeds hold the first seats, the
-/// others are vacant. With fewer seeds than a majority nobody could ever be
-/// formed, so there are fewer seats then.
+/// The voter set with which a cluster begins: its seeds hold the first slots, the
+/// others are vacant. With fewer seeds than a majority nobody could ever vote, so
+/// there are fewer slots then.
 pub fn first_table(seeds: &[String], size: usize) -> VoterSet {
     let mut size = size.min(usize::from(consts::SEATS_MAX));
     if seeds.len() < majority(size) {
@@ -156,8 +156,8 @@
     VoterSet { slots: (0..size).map(slot).collect() }
 }
 
-/// The table of a fleet whose controllers are told their seats: the seeds in
-/// their order. Holders are known by their seat, so an operator may move one.
+/// The voter set of a cluster whose controllers are given their slots: the seeds in
+/// their order. Replicas are known by their slot, so an operator may move one.
 pub fn told_table(seeds: &[String]) -> VoterSet {
     let slot = |(i, addr): (usize, &String)| SlotHolder {
         generation: FIRST,
@@ -168,12 +168,12 @@
     VoterSet { slots: seeds.iter().enumerate().map(slot).collect() }
 }
 
-/// The holder's id of a controller that is told its seat.
+/// The replica id of a controller that is given its slot.
 pub fn told_holder(slot: VoterSlot) -> u64 {
     u64::from(slot) + 1
 }
 
-/// Whether a zone may have seat `k`: none comes to hold so many that its loss
+/// Whether a zone may have slot `k`: none comes to hold so many that its loss
 /// would take the majority, unless one does already.
 pub fn balanced(table: &VoterSet, k: VoterSlot, zone: &str) -> bool {
     let size = table.slots.len();
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -37,7 +37,7 @@
         }
         self.join_request_at = now + JOIN_REQUEST_INTERVAL;
         let message = Message::JoinRequest {
-            holder: replica_id,
+            replica_id,
             addr: self.addr.clone(),
             zone: self.zone.clone(),
             stamp: self.stamp,
@@ -124,7 +124,8 @@
         let holding = self.own_holder(after_takeover(former));
         self.offers = vec![None; self.offers.len()];
         self.handovers.claimed_at = Some(now);
-        commands.push(Command::Broadcast { message: Message::SlotTakeover { slot, holding } });
+        commands
+            .push(Command::Broadcast { message: Message::SlotTakeover { slot, holder: holding } });
     }
 
     /// Ourselves as holder of a slot in a generation.
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -224,7 +224,10 @@
     }
 
     fn update_message(&self) -> Message {
-        Message::VoterSetUpdate { me: self.replica_id(), table: self.voter_set().clone() }
+        Message::VoterSetUpdate {
+            replica_id: self.replica_id(),
+            voter_set: self.voter_set().clone(),
+        }
     }
 
     /// Sends the voter set to everyone, as the holder of `slot`.
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -11,7 +11,8 @@
 use googletest::prelude::*;
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::Event;
-use grebepath_core::protocol::message::{Operation, OperationResult, ReplicaCondition};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
+use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::replication::commit::CHANGES_KEPT;
 use grebepath_core::replication::disk_writes::LOG_LIMIT;
 use grebepath_core::replication::partition::Role;
@@ -147,7 +148,7 @@
 fn read(cluster: &mut Cluster, node: usize) -> u64 {
     let order = ask(cluster, node, "read", Operation::Read);
     match answered(cluster, order) {
-        OperationResult::Configuration { map, .. } => {
+        OperationResult::Configuration { entries: map, .. } => {
             Config::from_entries(&map).unwrap().terms.edition
         }
         done => panic!("{done:?}"),
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -10,7 +10,9 @@
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::{CONFIG, PartitionId, VoterSlot};
-use grebepath_core::protocol::message::{Message, Operation, OperationResult, ReplicaCondition};
+use grebepath_core::protocol::message::Message;
+use grebepath_core::protocol::operation::{Operation, OperationResult};
+use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::voter_file::{Start, VoterFile, begin};
@@ -305,7 +307,9 @@
 /// The configuration as it is read through a controller.
 pub fn read_back(cluster: &mut Cluster, node: usize) -> Option<Config> {
     match answer(cluster, node, "read", None, Operation::Read) {
-        Some(OperationResult::Configuration { map, .. }) => Config::from_entries(&map).ok(),
+        Some(OperationResult::Configuration { entries: map, .. }) => {
+            Config::from_entries(&map).ok()
+        }
         _ => None,
     }
 }
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -11,9 +11,10 @@
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::{PartitionId, Term};
-use grebepath_core::protocol::message::{
-    Member, MemberProgress, Message, Operation, OperationResult, ReplicaCondition,
-};
+use grebepath_core::protocol::membership::{Member, MemberProgress};
+use grebepath_core::protocol::message::Message;
+use grebepath_core::protocol::operation::{Operation, OperationResult};
+use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::random::Random;
 use grebepath_core::replication::leader::AnsweredRound;
 use grebepath_core::replication::partition::Role;
@@ -487,7 +488,10 @@
     take(
         cluster,
         node,
-        Event::FromConnection { connection, message: Message::RenewLease { member, count, far } },
+        Event::FromConnection {
+            connection,
+            message: Message::RenewLease { member, number: count, progress: far },
+        },
     );
 }
 
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -6,7 +6,7 @@
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::control_plane::step::WAKE;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::time::{BOOT, Tick};
 
@@ -83,7 +83,7 @@
 #[allow(dead_code)]
 pub fn standing(o: &mut One) -> Config {
     match operate(o, "read", Operation::Read) {
-        OperationResult::Configuration { map, .. } => Config::from_entries(&map).unwrap(),
+        OperationResult::Configuration { entries: map, .. } => Config::from_entries(&map).unwrap(),
         other => panic!("{other:?}"),
     }
 }
--- a/crates/core/tests/editions.rs
+++ b/crates/core/tests/editions.rs
@@ -5,7 +5,7 @@
 
 use common::{One, one, operate, standing, together};
 use googletest::prelude::*;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use serde_json::{Value, json};
 
 fn search(name: &str, path: &str, pool: &str) -> Value {
--- a/crates/core/tests/elections.rs
+++ b/crates/core/tests/elections.rs
@@ -7,7 +7,7 @@
 use cluster::*;
 use googletest::prelude::*;
 use grebepath_core::control_plane::controller::Event;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::random::Random;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use serde_json::json;
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -10,7 +10,8 @@
 use grebepath_core::membership::lease::SEEK_INTERVAL;
 use grebepath_core::membership::neighbour_ring::{NEIGHBOURS_EACH_WAY, NeighbourRing, PROBE_KEYS};
 use grebepath_core::membership::node_agent::{Command, Event, NodeAgent};
-use grebepath_core::protocol::message::{FeedPosition, Member, Membership, Message};
+use grebepath_core::protocol::membership::{Member, Membership};
+use grebepath_core::protocol::message::{FeedPosition, Message};
 use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_core::time::{BOOT, Tick, ms};
 use grebepath_core::voter_set::{told_holder, told_table};
@@ -54,7 +55,8 @@
 fn asked(todo: &[Command]) -> (Vec<VoterSlot>, Vec<VoterSlot>) {
     let (mut whole, mut only) = (Vec::new(), Vec::new());
     for c in todo {
-        if let Command::ToVoter { slot, message: Message::Subscribe { places, .. } } = c {
+        if let Command::ToVoter { slot, message: Message::Subscribe { positions: places, .. } } = c
+        {
             let beyond = places.iter().all(|p| p.revision == BEYOND);
             if beyond { only.push(*slot) } else { whole.push(*slot) }
         }
@@ -64,7 +66,7 @@
 
 fn reach(w: &mut NodeAgent, now: Tick, slot: VoterSlot, partition: PartitionId, revision: u64) {
     let message = Message::FeedPositions {
-        places: vec![FeedPosition { partition, revision }],
+        positions: vec![FeedPosition { partition, revision }],
         stamp: w.voter_set_stamp,
     };
     w.step(now, Event::FromVoter { slot, message });
@@ -118,7 +120,7 @@
     // All are asked at once: who speaks may feed.
     expect_that!(only, contains(eq(&first)));
     // What was said under the table before says nothing of the new holder.
-    let message = Message::FeedPositions { places: Vec::new(), stamp: 0 };
+    let message = Message::FeedPositions { positions: Vec::new(), stamp: 0 };
     w.step(now, Event::FromVoter { slot: first, message });
     let beat = w.subscribe_at;
     expect_that!(asked(&w.step(beat, Event::Wake)).0, not(contains(eq(&first))));
@@ -160,7 +162,7 @@
         let places = list.map(|partition| FeedPosition { partition, revision }).collect();
         let event = controller::Event::FromConnection {
             connection: 1,
-            message: Message::Subscribe { places, stamp },
+            message: Message::Subscribe { positions: places, stamp },
         };
         let todo = c.step(BOOT, event);
         let told = |f: fn(&Message) -> bool| {
@@ -208,7 +210,11 @@
         let now = BOOT + ms(50 * i);
         w.lease.renewed_at = if calm { now } else { 0 };
         for c in w.step(now, Event::Wake) {
-            if let Command::ToMember { message: Message::Gossip { places, asked, .. }, .. } = c {
+            if let Command::ToMember {
+                message: Message::Gossip { positions: places, asked, .. },
+                ..
+            } = c
+            {
                 expect_that!(asked, some(eq(now)));
                 expect_that!(places, is_empty());
                 n += 1;
@@ -232,14 +238,14 @@
         name: "m1".into(),
         core_age_ms: 0,
         ready: true,
-        places: Vec::new(),
+        positions: Vec::new(),
         asked: Some(7),
         echo: None,
         attestation: None,
     };
     let todo = w.step(BOOT + 1, Event::FromMember { name: "m1".into(), message });
     let answers = todo.iter().filter(|c| {
-        matches!(c, Command::ToMember { message: Message::Gossip { places, echo: Some(7), .. }, .. }
+        matches!(c, Command::ToMember { message: Message::Gossip { positions: places, echo: Some(7), .. }, .. }
             if places.len() == 1 + consts::SERVICE_PARTS as usize)
     });
     expect_that!(answers.count(), eq(1));
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -25,9 +25,10 @@
 use grebepath_core::control_plane::order_memory::{Recall, fingerprint, horizon, recall};
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::frame;
-use grebepath_core::protocol::message::{
-    EntryMap, Member, MemberProgress, Message, Operation, OperationResult,
-};
+use grebepath_core::protocol::membership::{Member, MemberProgress};
+use grebepath_core::protocol::message::Message;
+use grebepath_core::protocol::operation::{Operation, OperationResult};
+use grebepath_core::protocol::replica::EntryMap;
 use grebepath_core::snapshot::leafs::leafs_in;
 use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::ReplicaState;
@@ -205,7 +206,8 @@
         joined: 0,
         incarnation,
     };
-    let message = Message::RenewLease { member, count, far: MemberProgress::default() };
+    let message =
+        Message::RenewLease { member, number: count, progress: MemberProgress::default() };
     give(cluster, 0, Event::FromConnection { connection: 1_000 + incarnation % 10, message });
     pass(cluster, ms(100));
 }
--- a/crates/core/tests/format_fixtures/messages.rs
+++ b/crates/core/tests/format_fixtures/messages.rs
@@ -4,10 +4,11 @@
 
 use std::collections::BTreeMap;
 
-use grebepath_core::protocol::message::{
-    Attestation, LeafReport, MembershipId, Memberships, Message, NO_PROOF, Operation,
-    OperationResult, PeerIdentity, ReplicaCondition,
-};
+use grebepath_core::protocol::membership::{Attestation, MembershipId, Memberships, NO_PROOF};
+use grebepath_core::protocol::message::{LeafReport, Message};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
+use grebepath_core::protocol::peer::PeerIdentity;
+use grebepath_core::protocol::replica::ReplicaCondition;
 
 use super::values::{
     entries, holding, leaf, leaving_progress, map, member, membership, membership_id, narrow,
@@ -36,8 +37,8 @@
 
 fn greetings() -> Vec<Message> {
     let whos = [
-        PeerIdentity::Voter { slot: 7, holder: wide(2) },
-        PeerIdentity::Spare { holder: wide(3) },
+        PeerIdentity::Voter { slot: 7, replica_id: wide(2) },
+        PeerIdentity::Spare { replica_id: wide(3) },
         PeerIdentity::Member("querier-1".into()),
     ];
     whos.map(|who| Message::Hello { who, fleet: wide(1) }).to_vec()
@@ -45,27 +46,27 @@
 
 fn voter_slots() -> Vec<Message> {
     vec![
-        Message::VoterSetUpdate { me: wide(1), table: table() },
+        Message::VoterSetUpdate { replica_id: wide(1), voter_set: table() },
         Message::VoterAlive { stamp: wide(1) },
         Message::JoinRequest {
-            holder: wide(1),
+            replica_id: wide(1),
             addr: "10.0.0.9:7400".into(),
             zone: "east".into(),
             stamp: wide(2),
         },
         Message::JoinOffer { slot: 7, stamp: wide(1), free: vec![3, 5, 9] },
-        Message::SlotTakeover { slot: 7, holding: holding(3) },
+        Message::SlotTakeover { slot: 7, holder: holding(3) },
     ]
 }
 
 fn handovers() -> Vec<Message> {
     vec![
         Message::HandoverOffer { slot: 7, generation: narrow(1) },
-        Message::HandoverAccept { slot: 8, holding: holding(4) },
+        Message::HandoverAccept { slot: 8, holder: holding(4) },
         Message::Handover {
             slot: 9,
             generation: narrow(5),
-            table: table(),
+            voter_set: table(),
             replicas: vec![replica_state()],
             memberships: Memberships {
                 current: membership(1),
@@ -149,24 +150,24 @@
 fn feed() -> Vec<Message> {
     let partition = partition();
     vec![
-        Message::Subscribe { places: places(), stamp: wide(1) },
+        Message::Subscribe { positions: places(), stamp: wide(1) },
         Message::Update { partition, from: Some(wide(1)), revision: wide(2), entries: entries() },
         Message::Update { partition, from: None, revision: wide(3), entries: entries() },
-        Message::FeedPositions { places: places(), stamp: wide(2) },
+        Message::FeedPositions { positions: places(), stamp: wide(2) },
     ]
 }
 
 fn members() -> Vec<Message> {
     vec![
-        Message::RenewLease { member: member(1), count: wide(1), far: ready_progress() },
-        Message::RenewLease { member: member(2), count: wide(2), far: leaving_progress() },
+        Message::RenewLease { member: member(1), number: wide(1), progress: ready_progress() },
+        Message::RenewLease { member: member(2), number: wide(2), progress: leaving_progress() },
         Message::LeaseGranted {
             name: "querier-1".into(),
             incarnation: wide(1),
-            count: wide(2),
+            number: wide(2),
             term: term(3),
             revision: wide(4),
-            tell_membership: true,
+            wants_membership: true,
         },
         Message::MembershipUpdate(membership(4)),
     ]
@@ -200,14 +201,14 @@
 fn gossip() -> Vec<Message> {
     let attestation = Attestation {
         membership: membership_id(),
-        knows: wide(1),
+        known_revision: wide(1),
         ages: vec![0x1234, 0x5678, NO_PROOF],
     };
     let gossip = |asked, echo, attestation| Message::Gossip {
         name: "querier-1".into(),
         core_age_ms: wide(2),
         ready: true,
-        places: places(),
+        positions: places(),
         asked,
         echo,
         attestation,
@@ -228,7 +229,7 @@
             fence: MembershipId { term: term(1), turn: wide(2) },
             leafs: vec![leaf(1, true), leaf(2, false)],
         },
-        Message::LeafReports { partition: partition(), words: vec![leaving, gone] },
+        Message::LeafReports { partition: partition(), reports: vec![leaving, gone] },
     ]
 }
 
@@ -238,8 +239,8 @@
         attempt: wide(2),
         term: term(3),
         request: "request-1".into(),
-        expect,
-        deed,
+        expected_revision: expect,
+        operation: deed,
     };
     vec![
         operate(Some(wide(4)), Operation::Replace(b"whole configuration".to_vec())),
@@ -252,11 +253,11 @@
 
 fn operation_results() -> Vec<Message> {
     let results = [
-        OperationResult::Accepted { revision: wide(3), copies: narrow(1), again: true },
-        OperationResult::Configuration { revision: wide(3), map: map() },
+        OperationResult::Accepted { revision: wide(3), replicas: narrow(1), is_repeat: true },
+        OperationResult::Configuration { revision: wide(3), entries: map() },
         OperationResult::Status {
             membership: membership(1),
-            far: vec![
+            progress: vec![
                 ("querier-1".into(), wide(3), ready_progress()),
                 ("querier-2".into(), wide(4), leaving_progress()),
             ],
@@ -270,7 +271,9 @@
         OperationResult::Unknown { why: "no majority answered".into() },
         OperationResult::Forgotten { revision: wide(3), edition: wide(4) },
     ];
-    results.map(|done| Message::OperationResponse { op: wide(1), attempt: wide(2), done }).to_vec()
+    results
+        .map(|done| Message::OperationResponse { op: wide(1), attempt: wide(2), result: done })
+        .to_vec()
 }
 
 /// The message that the fixture of one piece holds.
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -9,7 +9,7 @@
 use grebepath_core::control_plane::order_memory::{Fingerprint, Horizon, fingerprint, remember};
 use grebepath_core::digest::digest;
 use grebepath_core::identifiers::Term;
-use grebepath_core::protocol::message::EntryMap;
+use grebepath_core::protocol::replica::EntryMap;
 use grebepath_core::snapshot::leafs::{LeafInfo, key};
 use grebepath_core::storage::record::{LogRecord, ReplicaState, apply_entries};
 use grebepath_core::storage::voter_file::VoterFile;
--- a/crates/core/tests/format_fixtures/values.rs
+++ b/crates/core/tests/format_fixtures/values.rs
@@ -5,9 +5,9 @@
 
 use grebepath_core::config::stored::Entry;
 use grebepath_core::identifiers::{PartitionId, Term};
-use grebepath_core::protocol::message::{
-    EntryMap, FeedPosition, HandedOverReplica, Member, MemberProgress, Membership, MembershipId,
-};
+use grebepath_core::protocol::membership::{Member, MemberProgress, Membership, MembershipId};
+use grebepath_core::protocol::message::FeedPosition;
+use grebepath_core::protocol::replica::{EntryMap, HandedOverReplica};
 use grebepath_core::snapshot::leafs::LeafInfo;
 use grebepath_core::voter_set::{SlotHolder, VoterSet};
 
@@ -86,9 +86,9 @@
 
 pub fn ready_progress() -> MemberProgress {
     MemberProgress {
-        obeys: wide(701),
-        saw: MembershipId { term: term(702), turn: wide(703) },
-        knows: wide(704),
+        obeyed_revision: wide(701),
+        seen_membership: MembershipId { term: term(702), turn: wide(703) },
+        known_revision: wide(704),
         quiet_ms: wide(705),
         ready: true,
         leaving: false,
@@ -97,9 +97,9 @@
 
 pub fn leaving_progress() -> MemberProgress {
     MemberProgress {
-        obeys: wide(711),
-        saw: MembershipId { term: term(712), turn: wide(713) },
-        knows: wide(714),
+        obeyed_revision: wide(711),
+        seen_membership: MembershipId { term: term(712), turn: wide(713) },
+        known_revision: wide(714),
         quiet_ms: wide(715),
         ready: false,
         leaving: true,
--- a/crates/core/tests/framing.rs
+++ b/crates/core/tests/framing.rs
@@ -17,7 +17,7 @@
 
 fn small(revision: u64) -> Message {
     let places = vec![FeedPosition { partition: PartitionId(0), revision }];
-    Message::Subscribe { places, stamp: 0 }
+    Message::Subscribe { positions: places, stamp: 0 }
 }
 
 fn header_of(piece: &[u8]) -> [u8; HEADER_BYTES] {
--- a/crates/core/tests/memberships.rs
+++ b/crates/core/tests/memberships.rs
@@ -7,7 +7,7 @@
 use googletest::prelude::*;
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::identifiers::Term;
-use grebepath_core::protocol::message::{MemberProgress, MembershipId};
+use grebepath_core::protocol::membership::{MemberProgress, MembershipId};
 use grebepath_core::time::{MILLI, SECOND, ms};
 
 /// What a member that has seen no membership says.
@@ -19,7 +19,12 @@
 }
 
 fn far(saw: MembershipId) -> MemberProgress {
-    MemberProgress { saw, quiet_ms: 60_000, ready: true, ..MemberProgress::default() }
+    MemberProgress {
+        seen_membership: saw,
+        quiet_ms: 60_000,
+        ready: true,
+        ..MemberProgress::default()
+    }
 }
 
 fn names(core: &ControllerState) -> Vec<String> {
--- a/crates/core/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -10,7 +10,8 @@
 use googletest::prelude::*;
 use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::Term;
-use grebepath_core::protocol::message::{MemberProgress, MembershipId, Operation, OperationResult};
+use grebepath_core::protocol::membership::{MemberProgress, MembershipId};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::time::{SECOND, ms};
 use serde_json::json;
 
@@ -164,8 +165,8 @@
 /// of them and keeps them all.
 fn with_silent_members(cluster: &mut Cluster, leader: usize) {
     let far = |turn| MemberProgress {
-        obeys: 0,
-        saw: MembershipId { term: Term::ZERO, turn },
+        obeyed_revision: 0,
+        seen_membership: MembershipId { term: Term::ZERO, turn },
         ..Default::default()
     };
     for name in ["q1", "q2", "q3"] {
@@ -202,7 +203,7 @@
     // It is forgotten already, which is no reason to refuse.
     let again = ask(&mut cluster, next, "", Operation::ForgetMember("q3".into()));
     let done = answered(&mut cluster, again);
-    expect_that!(done, matches_pattern!(OperationResult::Accepted { again: eq(&true), .. }));
+    expect_that!(done, matches_pattern!(OperationResult::Accepted { is_repeat: eq(&true), .. }));
 }
 
 #[googletest::test]
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -7,7 +7,7 @@
     Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, may_be_forgotten, recall,
     remember,
 };
-use grebepath_core::protocol::message::EntryMap;
+use grebepath_core::protocol::replica::EntryMap;
 use grebepath_core::random::Random;
 use grebepath_core::replication::private_entries::{is_private, public_entries};
 use grebepath_core::storage::reader::{StoredReplica, read};
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -10,7 +10,7 @@
 use googletest::prelude::*;
 use grebepath_core::control_plane::order_memory::{fingerprint, horizon, remember};
 use grebepath_core::identifiers::CONFIG;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::{ReplicaState, apply_entries};
 use grebepath_core::time::SECOND;
@@ -43,7 +43,11 @@
         let again = send(&mut controller, 0);
         expect_that!(
             again,
-            matches_pattern!(OperationResult::Accepted { revision: eq(&1), again: eq(&true), .. }),
+            matches_pattern!(OperationResult::Accepted {
+                revision: eq(&1),
+                is_repeat: eq(&true),
+                ..
+            }),
             "the first order, sent again after {others} others"
         );
     }
@@ -104,7 +108,7 @@
         let revision = base + 1;
         let same = matches_pattern!(OperationResult::Accepted {
             revision: eq(&revision),
-            again: eq(&true),
+            is_repeat: eq(&true),
             ..
         });
         expect_that!(done, each(same));
@@ -169,19 +173,22 @@
     }
     // The newest revision and edition are judged as ever.
     let done = answer(&mut c, 1, "next", Some(ACCEPTED), deed(json!({ "edition": ACCEPTED + 7 })));
-    expect_that!(done, some(matches_pattern!(OperationResult::Accepted { again: eq(&false), .. })));
+    expect_that!(
+        done,
+        some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
+    );
     // An order that names nothing is known by its request id as long as that is
     // remembered.
     let first = answer(&mut c, 0, "plain", None, plain.clone());
     expect_that!(
         first,
-        some(matches_pattern!(OperationResult::Accepted { again: eq(&false), .. }))
+        some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
     );
     restart_all(&mut c, true);
     let done = everywhere(&mut c, "plain", None, &plain);
     let same = matches_pattern!(OperationResult::Accepted {
         revision: eq(&(ACCEPTED + 2)),
-        again: eq(&true),
+        is_repeat: eq(&true),
         ..
     });
     expect_that!(done, each(same));
@@ -213,7 +220,7 @@
             let revision = base + 1;
             let same = matches_pattern!(OperationResult::Accepted {
                 revision: eq(&revision),
-                again: eq(&true),
+                is_repeat: eq(&true),
                 ..
             });
             expect_that!(done, each(same), "round {round}");
--- a/crates/core/tests/order_schedules.rs
+++ b/crates/core/tests/order_schedules.rs
@@ -15,7 +15,7 @@
 use edition_register::{Asked, Told, check};
 use googletest::prelude::*;
 use grebepath_core::config::types::Config;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::random::Random;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
@@ -44,7 +44,7 @@
     match done {
         Some(OperationResult::Accepted { .. }) => Told::Accepted,
         Some(OperationResult::Conflict { revision }) => Told::Refused(*revision),
-        Some(OperationResult::Configuration { map, .. }) => Told::Read(edition(map).1),
+        Some(OperationResult::Configuration { entries: map, .. }) => Told::Read(edition(map).1),
         Some(OperationResult::Rejected { .. }) => Told::NotDone,
         None | Some(OperationResult::Unknown { .. }) => Told::Open,
         Some(done) => Told::Absurd(format!("told {done:?}")),
@@ -52,7 +52,7 @@
 }
 
 /// The orders that a configuration holds, and its edition.
-fn edition(map: &grebepath_core::protocol::message::EntryMap) -> (BTreeSet<String>, u64) {
+fn edition(map: &grebepath_core::protocol::replica::EntryMap) -> (BTreeSet<String>, u64) {
     let conf = Config::from_entries(map).unwrap();
     (conf.zones.keys().cloned().collect(), conf.terms.edition)
 }
@@ -193,7 +193,7 @@
     run(&mut cluster, QUIET);
     let last = ask(&mut cluster, 0, "", Operation::Read);
     let done = answered(&mut cluster, last);
-    let OperationResult::Configuration { map, .. } = done else {
+    let OperationResult::Configuration { entries: map, .. } = done else {
         return vec![format!("nothing is read: {done:?}")];
     };
     let (applied, edition) = edition(&map);
--- a/crates/core/tests/races/judge.rs
+++ b/crates/core/tests/races/judge.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used)]
 
-use grebepath_core::protocol::message::OperationResult;
+use grebepath_core::protocol::operation::OperationResult;
 
 use super::{History, Race};
 use crate::cluster::{Cluster, read_back};
--- a/crates/core/tests/races/mod.rs
+++ b/crates/core/tests/races/mod.rs
@@ -9,7 +9,8 @@
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::digest::digest;
-use grebepath_core::protocol::message::{Message, Operation, OperationResult};
+use grebepath_core::protocol::message::Message;
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::time::SECOND;
 use serde_json::json;
 
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -8,7 +8,8 @@
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::identifiers::{CONFIG, Term, VoterSlot, partitions};
-use grebepath_core::protocol::message::{Message, ReplicaCondition};
+use grebepath_core::protocol::message::Message;
+use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::replication::leader::AnsweredRound;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::ReplicaState;
@@ -195,7 +196,7 @@
 
 fn apply(b: &mut Bench, holder: u64, n: usize, zone: &str) -> Vec<VoterSlot> {
     let (zone, stamp) = (zone.to_string(), b.core.voter_slots.stamp);
-    let message = Message::JoinRequest { holder, addr: addr(n), zone, stamp };
+    let message = Message::JoinRequest { replica_id: holder, addr: addr(n), zone, stamp };
     let out = one(b, Event::FromConnection { connection: 99, message });
     let offer = out.into_iter().find_map(|c| match c {
         Command::ToConnection { connection: 99, message: Message::JoinOffer { free, .. } } => {
@@ -210,7 +211,10 @@
     let holding = SlotHolder { generation, holder, addr: addr(9), zone: zone.into() };
     one(
         b,
-        Event::FromConnection { connection: 99, message: Message::SlotTakeover { slot, holding } },
+        Event::FromConnection {
+            connection: 99,
+            message: Message::SlotTakeover { slot, holder: holding },
+        },
     );
 }
 
@@ -344,7 +348,7 @@
     let old = b.core.voter_slots.stamp;
     // Seat 1 tells that seat 2 is another's.
     let table = held(&b.core.voter_slots.voter_file.table, 2, 2, 90);
-    let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
+    let news = from(&b, 1, Message::VoterSetUpdate { replica_id: 1, voter_set: table });
     one(&mut b, news);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
     let unheard = AnsweredRound { number: 0, began_at: 0 };
@@ -371,7 +375,7 @@
 fn a_table_is_told_and_obeyed_only_once_it_is_on_disk() {
     let mut b = bench(0);
     let table = held(&b.core.voter_slots.voter_file.table, 0, 2, 90);
-    let news = from(&b, 1, Message::VoterSetUpdate { me: 1, table });
+    let news = from(&b, 1, Message::VoterSetUpdate { replica_id: 1, voter_set: table });
     let todo = b.core.step(b.now, news);
     let tells = |c: &Command| {
         matches!(c, Command::ToVoter { message: Message::VoterSetUpdate { .. }, .. })
--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -6,7 +6,8 @@
 use std::time::{Duration, Instant};
 
 use grebepath_core::identifiers::VoterSlot;
-use grebepath_core::protocol::message::{Message, PeerIdentity};
+use grebepath_core::protocol::message::Message;
+use grebepath_core::protocol::peer::PeerIdentity;
 use grebepath_core::voter_set::{SlotHolder, VoterSet};
 use tokio::sync::mpsc::UnboundedSender;
 
@@ -123,7 +124,7 @@
     pub fn note_message(&mut self, address: SocketAddr, message: &Message) -> u64 {
         let Some(connection) = self.by_address.get_mut(&address) else { return 0 };
         self.last_message = Instant::now();
-        if let Message::VoterSetUpdate { me, .. } = message {
+        if let Message::VoterSetUpdate { replica_id: me, .. } = message {
             connection.holder = *me;
         }
         connection.holder
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -19,7 +19,8 @@
 };
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::frame::{FrameError, HEADER_BYTES, Lane, PieceHeader, Reassembler};
-use grebepath_core::protocol::message::{Message, PeerIdentity};
+use grebepath_core::protocol::message::Message;
+use grebepath_core::protocol::peer::PeerIdentity;
 
 use crate::clock::duration;
 
--- a/crates/runtime/src/platform_api.rs
+++ b/crates/runtime/src/platform_api.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::leaf::LeafReply;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::query::forwarded_request::ForwardedRequest;
 use grebepath_core::query::request::Outcome;
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -7,7 +7,8 @@
 
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
-use grebepath_core::protocol::message::{OperationResult, PeerIdentity};
+use grebepath_core::protocol::operation::OperationResult;
+use grebepath_core::protocol::peer::PeerIdentity;
 use grebepath_core::voter_set::NOBODY;
 use grebepath_runtime::clock::duration;
 use grebepath_runtime::connections::Connections;
@@ -104,7 +105,7 @@
             }
             ConnectionEvent::ReceivedFromAccepted { connection, identity, message } => {
                 Some(match identity {
-                    PeerIdentity::Voter { slot, holder } => {
+                    PeerIdentity::Voter { slot, replica_id: holder } => {
                         self.controllers.note_contact();
                         Event::FromVoter { slot, replica_id: holder, connection, message }
                     }
@@ -176,7 +177,7 @@
 fn identity(state: &ControllerState) -> PeerIdentity {
     let holder = state.voter_slots.voter_file.me;
     match state.slot {
-        NOBODY => PeerIdentity::Spare { holder },
-        slot => PeerIdentity::Voter { slot, holder },
+        NOBODY => PeerIdentity::Spare { replica_id: holder },
+        slot => PeerIdentity::Voter { slot, replica_id: holder },
     }
 }
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -17,7 +17,7 @@
 use std::sync::mpsc;
 
 use grebepath_core::identifiers::PartitionId;
-use grebepath_core::protocol::message::ReplicaCondition;
+use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_runtime::clock::Clock;
 use grebepath_runtime::disk::data_folder;
--- a/crates/server/src/controller/messages.rs
+++ b/crates/server/src/controller/messages.rs
@@ -2,7 +2,7 @@
 
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::identifiers::PartitionId;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::voter_file::VoterFile;
 use tokio::sync::oneshot;
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -6,7 +6,7 @@
 use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::ControllerState;
-use grebepath_core::protocol::message::ReplicaCondition;
+use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::replication::partition::{Partition, Role};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::leafs_in;
--- a/crates/server/src/controller/operator_listener.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -14,7 +14,7 @@
 use grebepath_core::http_api::operator::{
     CONFIG, EXPECT_REVISION, OperatorOutcome, REQUEST_ID, STATUS, write,
 };
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_runtime::platform_api::{OperatorRequest, PlatformApi};
 use serde_json::{Value, json};
 use tokio::sync::mpsc::UnboundedSender;
@@ -145,10 +145,12 @@
 
 async fn read_config(State(controller): State<Controller>) -> Response {
     match operate(&controller, String::new(), None, Operation::Read).await {
-        OperationResult::Configuration { revision, map } => match Config::from_entries(&map) {
-            Ok(conf) => answer(200, &json!({ "revision": revision, "config": conf.to_json() })),
-            Err(e) => answer(500, &json!({ "error": "unreadable", "text": e.to_string() })),
-        },
+        OperationResult::Configuration { revision, entries: map } => {
+            match Config::from_entries(&map) {
+                Ok(conf) => answer(200, &json!({ "revision": revision, "config": conf.to_json() })),
+                Err(e) => answer(500, &json!({ "error": "unreadable", "text": e.to_string() })),
+            }
+        }
         other => write_result(other),
     }
 }
@@ -199,7 +201,7 @@
 
 fn write_result(done: OperationResult) -> Response {
     let op = match done {
-        OperationResult::Accepted { revision, copies, again } => {
+        OperationResult::Accepted { revision, replicas: copies, is_repeat: again } => {
             OperatorOutcome::Accepted { revision, replicas: copies, repeated: again }
         }
         OperationResult::Invalid(list) => {
@@ -229,7 +231,7 @@
     let own = result.await.unwrap_or(Value::Null);
     let mut body = json!({ "here": own });
     match operate(&controller, String::new(), None, Operation::Status).await {
-        OperationResult::Status { membership, far } => {
+        OperationResult::Status { membership, progress: far } => {
             let members: Vec<Value> = membership
                 .members
                 .iter()
@@ -239,7 +241,7 @@
                         "name": m.name, "addr": m.addr, "zone": m.zone, "threads": m.threads,
                         "settled": m.joined <= membership.settled,
                         "heard_ms_ago": known.map(|k| k.1),
-                        "obeys": known.map(|k| k.2.obeys),
+                        "obeys": known.map(|k| k.2.obeyed_revision),
                         "ready": known.map(|k| k.2.ready),
                     })
                 })
--- a/crates/server/src/controller/startup.rs
+++ b/crates/server/src/controller/startup.rs
@@ -1,7 +1,7 @@
 //! What a controller finds on its disk when it starts, and what it makes of it.
 
 use grebepath_core::identifiers::{PartitionId, partitions};
-use grebepath_core::protocol::message::ReplicaCondition;
+use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::storage::reader::StoredReplica;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file::{VoterFile, begin};
--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -7,7 +7,8 @@
 
 use grebepath_core::consts;
 use grebepath_core::membership::node_agent::{Command, Event, NodeAgent};
-use grebepath_core::protocol::message::{Message, PeerIdentity};
+use grebepath_core::protocol::message::Message;
+use grebepath_core::protocol::peer::PeerIdentity;
 use grebepath_core::query::{engine, event, quota};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
@@ -150,7 +151,9 @@
             ConnectionEvent::Received { tag: Tag::Controller(address), message } => {
                 let holder = self.controllers.note_message(address, &message);
                 match message {
-                    Message::VoterSetUpdate { table, .. } => Some(Event::VoterSet(table)),
+                    Message::VoterSetUpdate { voter_set: table, .. } => {
+                        Some(Event::VoterSet(table))
+                    }
                     // Who has no voter slot has no say.
                     message => seat_of(&agent.voter_set, holder)
                         .map(|slot| Event::FromVoter { slot, message }),
--- a/crates/server/src/querier/membership_thread.rs
+++ b/crates/server/src/querier/membership_thread.rs
@@ -6,7 +6,7 @@
 use grebepath_core::consts;
 use grebepath_core::membership::node_agent::{Event, NodeAgent};
 use grebepath_core::membership::step::WAKE;
-use grebepath_core::protocol::message::Member;
+use grebepath_core::protocol::membership::Member;
 use grebepath_core::time::Span;
 use grebepath_runtime::clock::{Clock, duration, nonce};
 use grebepath_runtime::peer_connection::{ConnectionEvent, accept};
--- a/crates/server/src/testbed/mock_backends/mod.rs
+++ b/crates/server/src/testbed/mock_backends/mod.rs
@@ -31,7 +31,7 @@
     pub leafs: BTreeMap<String, Rc<RefCell<Leaf>>>,
     /// What the leafs ran.
     pub runs: Rc<RefCell<Vec<Run>>>,
-    /// States of the list with the time from which each is committed.
+    /// States of the list with the time from which each is shown.
     committed: Vec<(Instant, Value)>,
     /// How late the list shows a change.
     lag: Duration,
--- a/crates/server/tests/connections.rs
+++ b/crates/server/tests/connections.rs
@@ -13,7 +13,8 @@
 use googletest::prelude::*;
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::frame;
-use grebepath_core::protocol::message::{FeedPosition, Message, PeerIdentity};
+use grebepath_core::protocol::message::{FeedPosition, Message};
+use grebepath_core::protocol::peer::PeerIdentity;
 use grebepath_runtime::leaf_connections::{Exchange, LeafAddress, LeafPool};
 use grebepath_runtime::peer_connection::{ConnectionEvent, Greeting, accept, dial};
 use testbed::local_cluster;
@@ -24,11 +25,11 @@
 const LONG: Duration = Duration::from_secs(20);
 
 fn seat(n: u8) -> PeerIdentity {
-    PeerIdentity::Voter { slot: n, holder: 7 }
+    PeerIdentity::Voter { slot: n, replica_id: 7 }
 }
 
 fn follow(revision: u64) -> Message {
-    Message::Subscribe { places: vec![FeedPosition { partition: CONFIG, revision }], stamp: 0 }
+    Message::Subscribe { positions: vec![FeedPosition { partition: CONFIG, revision }], stamp: 0 }
 }
 
 #[googletest::test]
--- a/crates/simulator/src/controller_start.rs
+++ b/crates/simulator/src/controller_start.rs
@@ -2,7 +2,7 @@
 
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::identifiers::PartitionId;
-use grebepath_core::protocol::message::ReplicaCondition;
+use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::storage::reader::StoredReplica;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file;
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -10,7 +10,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-use grebepath_core::protocol::message::OperationResult;
+use grebepath_core::protocol::operation::OperationResult;
 use grebepath_core::random::Random;
 use grebepath_core::time::SECOND;
 
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -30,10 +30,10 @@
     }
     let (over, most) = world.rules.retry_excess();
     let worst = world.backends.leafs.values().max_by_key(|leaf| leaf.worst_pct);
-    let orders = |want: fn(&grebepath_core::protocol::message::OperationResult) -> bool| {
+    let orders = |want: fn(&grebepath_core::protocol::operation::OperationResult) -> bool| {
         world.operator_requests.iter().filter(|o| o.result.as_ref().is_some_and(want)).count()
     };
-    use grebepath_core::protocol::message::OperationResult;
+    use grebepath_core::protocol::operation::OperationResult;
     json!({
         "violations": world.rules.violation_counts,
         "first": world.rules.violations.iter().take(10).map(|v| json!({
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -1,6 +1,6 @@
 //! What is done with the scale model, and what is measured.
 
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::time::{MILLI, SECOND, Span, Tick};
 use serde_json::json;
--- a/crates/simulator/src/scale_model/memory.rs
+++ b/crates/simulator/src/scale_model/memory.rs
@@ -5,7 +5,8 @@
 use grebepath_core::config::route::RoutingTable;
 use grebepath_core::control_plane::controller::ControllerState;
 use grebepath_core::membership::node_agent::NodeAgent;
-use grebepath_core::protocol::message::{EntryMap, Member, Membership};
+use grebepath_core::protocol::membership::{Member, Membership};
+use grebepath_core::protocol::replica::EntryMap;
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -136,7 +136,7 @@
         add(&mut node.meter.got, size(raw));
         let Some(message) = timed(&mut node.meter.codec_ns, || read(raw)) else { return };
         let event = match (from, message) {
-            (Sender::VoterSlot(_), Message::VoterSetUpdate { table, .. }) => {
+            (Sender::VoterSlot(_), Message::VoterSetUpdate { voter_set: table, .. }) => {
                 node_agent::Event::VoterSet(table)
             }
             (Sender::VoterSlot(slot), message) => node_agent::Event::FromVoter { slot, message },
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use grebepath_core::membership::node_agent;
-use grebepath_core::protocol::message::Member;
+use grebepath_core::protocol::membership::Member;
 use grebepath_core::random::Random;
 use grebepath_core::time::{Tick, ms};
 
--- a/crates/simulator/src/world/operator_request.rs
+++ b/crates/simulator/src/world/operator_request.rs
@@ -1,6 +1,6 @@
 //! What operators ask of the controllers.
 
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::time::Tick;
 use serde_json::{Value, json};
 
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -4,7 +4,7 @@
 
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::Event as CoreEvent;
-use grebepath_core::protocol::message::OperationResult;
+use grebepath_core::protocol::operation::OperationResult;
 use grebepath_core::time::{SECOND, Span, ms};
 use serde_json::json;
 
@@ -92,7 +92,7 @@
         let now = self.now - BEGIN;
         self.rules.note(now, || {
             let text = match &result {
-                OperationResult::Accepted { revision, copies, .. } => {
+                OperationResult::Accepted { revision, replicas: copies, .. } => {
                     format!("accepted as {revision}, {copies} copies")
                 }
                 OperationResult::Rejected { why } => format!("bounced: {why}"),
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -115,7 +115,7 @@
         message: Message,
     ) {
         let event = match message {
-            Message::VoterSetUpdate { table, .. } => node_agent::Event::VoterSet(table),
+            Message::VoterSetUpdate { voter_set: table, .. } => node_agent::Event::VoterSet(table),
             message => match seat_of(&self.queriers[querier].node_agent.voter_set, holder) {
                 Some(slot) => node_agent::Event::FromVoter { slot, message },
                 None => return,
--- a/crates/simulator/src/world/status.rs
+++ b/crates/simulator/src/world/status.rs
@@ -1,6 +1,6 @@
 //! What a run shows of its state: its age, and whether the fleet has settled.
 
-use grebepath_core::protocol::message::ReplicaCondition;
+use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::time::{Span, Tick};
 
 use super::nodes::ControllerNode;
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -6,7 +6,7 @@
 
 mod common;
 
-use grebepath_core::protocol::message::OperationResult;
+use grebepath_core::protocol::operation::OperationResult;
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use grebepath_simulator::net::Node;
 use grebepath_simulator::world::{FollowUp, OperatorRequest, World};
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -6,7 +6,7 @@
 
 mod common;
 
-use grebepath_core::protocol::message::OperationResult;
+use grebepath_core::protocol::operation::OperationResult;
 use grebepath_core::time::SECOND;
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{Scenario, play, read};
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -5,7 +5,7 @@
 
 use grebepath_core::config::types::Config;
 use grebepath_core::digest::digest;
-use grebepath_core::protocol::message::{Operation, OperationResult};
+use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::time::{SECOND, ms};
 use grebepath_simulator::linearizability::{
     Answer, AttemptNumber, Base, Effect, Recorder, Verdict, check,
@@ -176,12 +176,12 @@
     let call = read(site, machine);
     until(site, 12, |s| answer(s, call).is_some());
     match answer(site, call) {
-        Some(OperationResult::Configuration { map, .. }) => objects(map),
+        Some(OperationResult::Configuration { entries: map, .. }) => objects(map),
         _ => None,
     }
 }
 
-fn objects(map: &grebepath_core::protocol::message::EntryMap) -> Option<(Objects, u64)> {
+fn objects(map: &grebepath_core::protocol::replica::EntryMap) -> Option<(Objects, u64)> {
     let config = Config::from_entries(map).ok()?;
     let state = |drained| if drained { "drained" } else { "open" }.to_string();
     let zones = config.zones.values().map(|z| (z.name.clone(), state(z.drained))).collect();
@@ -196,7 +196,7 @@
         sent.noted = true;
         match (sent.write, done) {
             (Some(number), done) => site.recorder.answer_write(now, number, told(done)),
-            (None, OperationResult::Configuration { revision, map }) => {
+            (None, OperationResult::Configuration { revision, entries: map }) => {
                 let Some((zones, edition)) = objects(map) else { continue };
                 let number = site.recorder.send_read(sent.sent, format!("machine {}", sent.via));
                 let at = (*revision, Some(edition));
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -5,7 +5,7 @@
 mod common;
 mod operators;
 
-use grebepath_core::protocol::message::OperationResult;
+use grebepath_core::protocol::operation::OperationResult;
 use grebepath_core::random::Random;
 use grebepath_simulator::chaos::at;
 use grebepath_simulator::scenario::{ScheduledFault, generated_fault, read};
