--- a/crates/core/src/config/read_objects.rs
+++ b/crates/core/src/config/read_objects.rs
@@ -43,19 +43,19 @@
         ],
     );
     let promise_range = match form {
-        ServingMode::Native => consts::BUDGET_MIN_MS..=consts::BUDGET_MAX_MS,
-        ServingMode::PassThrough | ServingMode::Join => 1..=consts::PROMISE_MAX_MS,
+        ServingMode::Native => consts::MIN_BUDGET_MS..=consts::MAX_BUDGET_MS,
+        ServingMode::PassThrough | ServingMode::Join => 1..=consts::MAX_FORWARDING_DEADLINE_MS,
     };
     let promise_ms = reader.required_number("promise_ms", promise_range);
-    let attempts = reader.number_or("attempts", 1..=consts::ATTEMPTS_MAX, 3) as u32;
+    let attempts = reader.number_or("attempts", 1..=consts::MAX_SHARD_ATTEMPTS, 3) as u32;
     let quorum = quorum(reader, form);
     let plan = reader.required_text("plan");
     let (host, path) = host_and_path(reader, form);
     let once = once(reader, form);
-    let target_ms = reader.number_or("target_ms", 0..=consts::PROMISE_MAX_MS, 0);
+    let target_ms = reader.number_or("target_ms", 0..=consts::MAX_FORWARDING_DEADLINE_MS, 0);
     let rank = reader.number_u32_or("rank", 0..=u32::MAX, 0);
     let width = reader.number_u32_or("width", 1..=WIDTH_MAX, 1);
-    let top = reader.number_u32_or("top", 1..=TOP_MAX, consts::RECORDS_DEFAULT);
+    let top = reader.number_u32_or("top", 1..=TOP_MAX, consts::DEFAULT_RECORD_LIMIT);
     let weights = reader.entries("weights", "an object of numbers", "a whole number", |value| {
         u32::try_from(value.as_u64()?).ok()
     });
@@ -124,12 +124,12 @@
 /// Reads a pool, with its name.
 pub(super) fn pool(reader: &mut ObjectReader) -> (String, PoolConfig) {
     let name = reader.name("name");
-    let ramp_default = (consts::RAMP / MILLI) as u32;
+    let ramp_default = (consts::DEFAULT_SLOW_START / MILLI) as u32;
     let pool = PoolConfig {
         name: name.clone(),
         service: reader.nonempty_text("service"),
         selector: reader.optional_text("selector"),
-        bears: reader.number_u32_or("bears", 1..=BEARS_MAX, consts::LEAF_BEARS),
+        bears: reader.number_u32_or("bears", 1..=BEARS_MAX, consts::DEFAULT_LEAF_CAPACITY),
         ramp_ms: reader.number_u32_or("ramp_ms", 0..=RAMP_MAX_MS, ramp_default),
         labels: reader.entries("labels", "an object of texts", "a text", |value| {
             value.as_str().map(str::to_string)
--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -49,7 +49,7 @@
     if now < leader.acceptance_check_at {
         return;
     }
-    leader.acceptance_check_at = now + consts::OBEY_LOOK;
+    leader.acceptance_check_at = now + consts::ACCEPTANCE_POLL_INTERVAL;
     let mut waited: Vec<u64> =
         leader.waiting_changes.iter().map(|waiting| waiting.revision).collect();
     waited.sort_unstable_by(|a, b| b.cmp(a));
@@ -87,13 +87,13 @@
     /// Whether every lease names this revision, or has ended.
     fn is_fenced(&self, now: Tick, revision: u64) -> bool {
         let committed_at = self.commit_times.committed_at(revision);
-        if committed_at.is_some_and(|at| since(at, now) >= consts::TENURE) {
+        if committed_at.is_some_and(|at| since(at, now) >= consts::LEASE_DURATION) {
             return true;
         }
         let obeys =
             |heard: &LastRenewal| heard.has_renewed && heard.progress.obeyed_revision >= revision;
         let may_serve = |heard: &&LastRenewal| {
-            !self.is_gone(&heard.member) && since(heard.at, now) < consts::TENURE
+            !self.is_gone(&heard.member) && since(heard.at, now) < consts::LEASE_DURATION
         };
         committed_at.is_some() && self.last_renewals.values().filter(may_serve).all(obeys)
     }
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -158,8 +158,9 @@
 
 /// Whether a leaf has grown so much older than what is stored that it is written.
 fn is_worth_telling(stored: &LeafInfo, age_ms: u64) -> bool {
-    stored.age_ms < consts::AGE_TOLD_MS
-        && age_ms >= stored.age_ms * consts::AGE_FACTOR + consts::AGE_FIRST_MS
+    stored.age_ms < consts::MAX_REPORTED_LEAF_AGE_MS
+        && age_ms
+            >= stored.age_ms * consts::LEAF_AGE_REPORT_FACTOR + consts::MIN_REPORTED_LEAF_AGE_MS
 }
 
 /// Members report what leafs said of themselves.
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -86,7 +86,7 @@
     /// Whether a member was heard within a lease, and has not gone since.
     pub fn is_live(&self, now: Tick, name: &str) -> bool {
         self.last_renewals.get(name).is_some_and(|heard| {
-            !self.is_gone(&heard.member) && since(heard.at, now) < consts::TENURE
+            !self.is_gone(&heard.member) && since(heard.at, now) < consts::LEASE_DURATION
         })
     }
 
@@ -101,7 +101,7 @@
         let id = progress.seen_membership;
         let may_count = self.gathering || id > self.membership.id();
         let is_due = self.membership_asked_at == 0
-            || since(self.membership_asked_at, now) >= consts::OBEY_LOOK;
+            || since(self.membership_asked_at, now) >= consts::ACCEPTANCE_POLL_INTERVAL;
         let asks = id.term > Term::ZERO && may_count && is_due && !self.knows(id);
         if asks {
             self.membership_asked_at = now;
@@ -152,7 +152,7 @@
         let named: HashSet<&str> =
             all.flat_map(|c| &c.members).map(|member| member.name.as_str()).collect();
         self.last_renewals.retain(|name, heard| {
-            named.contains(name.as_str()) || since(heard.at, now) < consts::TENURE
+            named.contains(name.as_str()) || since(heard.at, now) < consts::LEASE_DURATION
         });
         let heard = &self.last_renewals;
         self.departed.retain(|name, _| named.contains(name.as_str()) || heard.contains_key(name));
--- a/crates/core/src/control_plane/membership_issue.rs
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -10,10 +10,10 @@
 
 /// While no majority of the members is heard, silent ones keep their shares for
 /// this long. They most likely come back, and twice is no hurry.
-const REMOVAL_BY_FEW: Span = 2 * consts::TENURE;
+const REMOVAL_BY_FEW: Span = 2 * consts::LEASE_DURATION;
 /// A new leader of the configuration counts the old members as live for one
 /// lease, since it has not heard them itself yet.
-const TENURE_GRACE: Span = consts::TENURE;
+const TENURE_GRACE: Span = consts::LEASE_DURATION;
 /// How long a leader that knows of no membership gathers members before it says
 /// who they are; they seek ten times a second.
 const TENURE_GATHER: Span = ms(300);
@@ -89,7 +89,7 @@
             .get(&member.name)
             .is_none_or(|heard| since(heard.at, now) >= REMOVAL_BY_FEW);
         let is_quiet = |heard: &LastRenewal| {
-            heard.has_renewed && ms(heard.progress.quiet_ms) >= consts::ATTESTATION_QUIET
+            heard.has_renewed && ms(heard.progress.quiet_ms) >= consts::ATTESTATION_EXPIRY
         };
         let is_steady = |other: &&Member| {
             self.is_live(now, &other.name)
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -45,7 +45,7 @@
             return commands
                 .push(Command::Respond { op, done: OperationResult::Conflict { revision } });
         }
-        let until = now + consts::OPERATE_PATIENCE;
+        let until = now + consts::OPERATOR_REQUEST_TIMEOUT;
         self.pending_requests.insert(op, PendingRequest::new(request, until));
         self.forward(now, op, commands);
     }
@@ -66,7 +66,7 @@
         // A controller that is leaving asks nobody for a slot, and so hears nobody.
         let leaving = self.is_leaving();
         let is_awake =
-            |slot: &VoterSlot| leaving || quiet[usize::from(*slot)] < consts::APPLY_SILENCE;
+            |slot: &VoterSlot| leaving || quiet[usize::from(*slot)] < consts::VOTER_SILENCE_TIMEOUT;
         let list: Vec<VoterSlot> = others(self.group()).filter(is_awake).collect();
         let slot = list.get(self.voter_slots.forwarding_turns % list.len().max(1)).copied()?;
         self.voter_slots.forwarding_turns += 1;
@@ -280,7 +280,7 @@
         let ControllerState { slot, voter_slots, pending_requests, .. } = self;
         let is_silent = |to: &Forwarding| {
             let quiet = voter_slots.silence.get(usize::from(to.slot));
-            quiet.is_none_or(|quiet| *quiet >= consts::APPLY_SILENCE)
+            quiet.is_none_or(|quiet| *quiet >= consts::VOTER_SILENCE_TIMEOUT)
         };
         let is_superseded = |to: &Forwarding| match *slot {
             NOBODY => !leaving && is_silent(to),
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -52,9 +52,9 @@
             let quiet_ms =
                 self.last_renewals.get(&member.name).map(|heard| heard.progress.quiet_ms);
             self.has_left(membership, member)
-                && quiet_ms.is_some_and(|quiet_ms| ms(quiet_ms) >= consts::ATTESTATION_QUIET)
+                && quiet_ms.is_some_and(|quiet_ms| ms(quiet_ms) >= consts::ATTESTATION_EXPIRY)
         };
-        since(retired, now) >= consts::ATTESTATION_QUIET
+        since(retired, now) >= consts::ATTESTATION_EXPIRY
             || list.iter().filter(is_quiet).count() >= quorum::acceptance(list.len())
             || list.len() == 1
             || list.iter().all(|member| self.has_left(membership, member))
--- a/crates/core/src/http_api/caller.rs
+++ b/crates/core/src/http_api/caller.rs
@@ -51,7 +51,7 @@
     budget: Option<&str>,
     body: &[u8],
 ) -> Result<SearchRequest, Rejection> {
-    if body.len() > consts::QUESTION_LIMIT {
+    if body.len() > consts::MAX_QUERY_BYTES {
         return Err(Rejection::new(
             RejectionReason::TooLarge,
             "the question is larger than 64 KiB",
@@ -73,9 +73,9 @@
         return Err(bad("the header Budget-Ms is missing: say how long you will wait"));
     };
     let budget = match text.trim().parse::<u64>() {
-        Ok(n) if (1..=consts::BUDGET_MAX_MS).contains(&n) => ms(n),
+        Ok(n) if (1..=consts::MAX_BUDGET_MS).contains(&n) => ms(n),
         _ => {
-            let max = consts::BUDGET_MAX_MS;
+            let max = consts::MAX_BUDGET_MS;
             return Err(bad(format!("Budget-Ms must be a whole number from 1 to {max}")));
         }
     };
@@ -93,16 +93,16 @@
         Some(_) => return Err(bad("`key` must be a text that is not empty")),
     };
     let limit = match map.get("limit") {
-        None => consts::RECORDS_DEFAULT,
+        None => consts::DEFAULT_RECORD_LIMIT,
         Some(val) => match val.as_u64() {
-            Some(n) if (1..=u64::from(consts::RECORDS_MAX)).contains(&n) => n as u32,
+            Some(n) if (1..=u64::from(consts::MAX_RECORD_LIMIT)).contains(&n) => n as u32,
             _ => {
-                let max = consts::RECORDS_MAX;
+                let max = consts::MAX_RECORD_LIMIT;
                 return Err(bad(format!("`limit` must be a whole number from 1 to {max}")));
             }
         },
     };
-    if question.to_string().len() > consts::QUESTION_LIMIT {
+    if question.to_string().len() > consts::MAX_QUERY_BYTES {
         return Err(Rejection::new(
             RejectionReason::TooLarge,
             "the question is larger than 64 KiB",
@@ -153,7 +153,7 @@
             let code = status(b.reason);
             let body = json!({ "error": b.reason.to_string(), "text": b.text, "query": b.query });
             // Whoever is sent away for now is told when to come back.
-            let least = b.retry_after_seconds.unwrap_or(consts::AGAIN_MIN_S);
+            let least = b.retry_after_seconds.unwrap_or(consts::RETRY_AFTER_MIN_S);
             let again = (code == 429 || code >= 500).then_some(least);
             CallerResponse {
                 status: code,
--- a/crates/core/src/identifiers.rs
+++ b/crates/core/src/identifiers.rs
@@ -34,13 +34,13 @@
 
 /// The partition that holds a service's leafs.
 pub fn part_of(service: &str) -> PartitionId {
-    let n = u64::from(crate::consts::SERVICE_PARTS);
+    let n = u64::from(crate::consts::SERVICE_PARTITIONS);
     PartitionId(1 + (crate::digest::hash(service) % n) as u32)
 }
 
 /// Every partition of the state.
 pub fn partitions() -> impl Iterator<Item = PartitionId> {
-    (0..=crate::consts::SERVICE_PARTS).map(PartitionId)
+    (0..=crate::consts::SERVICE_PARTITIONS).map(PartitionId)
 }
 
 /// A voter slot: an index into the voter set.
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -17,7 +17,7 @@
 /// 3 s in which a leaving leaf must be known, with a second to spare for the way.
 const LIST_POLL_NEXT: Span = ms(1_800);
 
-/// For how long the holder polls more often (`consts::LIST_HURRY`) after word of a leaf
+/// For how long the holder polls more often (`consts::LEAF_LIST_FAST_POLL_INTERVAL`) after word of a leaf
 /// that is gone.
 const HURRIED_FOR: Span = 3 * SECOND;
 
@@ -63,8 +63,8 @@
     fn list_poll_period(&self, now: Tick) -> Option<Span> {
         let hurried = since(self.leaf_gone_at, now) < HURRIED_FOR && self.leaf_gone_at > 0;
         match self.list_rank(now)? {
-            0 if hurried => Some(consts::LIST_HURRY),
-            0 => Some(consts::LIST_POLL),
+            0 if hurried => Some(consts::LEAF_LIST_FAST_POLL_INTERVAL),
+            0 => Some(consts::LEAF_LIST_POLL_INTERVAL),
             _ => Some(LIST_POLL_NEXT),
         }
     }
--- a/crates/core/src/membership/leaf_reports.rs
+++ b/crates/core/src/membership/leaf_reports.rs
@@ -139,7 +139,8 @@
 
 /// Whether a leaf's entry shows all that matters of a report.
 fn is_shown(info: &LeafInfo, report: &LeafReport) -> bool {
-    let age_is_shown = info.age_ms >= consts::AGE_TOLD_MS
-        || report.age_ms < info.age_ms * consts::AGE_FACTOR + consts::AGE_FIRST_MS;
+    let age_is_shown = info.age_ms >= consts::MAX_REPORTED_LEAF_AGE_MS
+        || report.age_ms
+            < info.age_ms * consts::LEAF_AGE_REPORT_FACTOR + consts::MIN_REPORTED_LEAF_AGE_MS;
     (info.leaving || !(report.leaving || report.gone)) && age_is_shown
 }
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -17,7 +17,7 @@
 pub const SEEK_INTERVAL: Span = ms(100);
 
 /// After this long without renewal, counted from when the renewal was sent, a member
-/// no longer trusts its lease. Shorter than `consts::TENURE`, so that it knows before the
+/// no longer trusts its lease. Shorter than `consts::LEASE_DURATION`, so that it knows before the
 /// leader gives its share to others.
 pub(super) const LEASE_TRUST: Span = ms(2_600);
 
--- a/crates/core/src/query/admission.rs
+++ b/crates/core/src/query/admission.rs
@@ -9,11 +9,11 @@
 /// Queries open to a class on one desk.
 pub fn room_of(class: PriorityClass) -> usize {
     let pct = match class {
-        PriorityClass::Ordinary => consts::ROOM_ORDINARY_PCT,
-        PriorityClass::Lookup => consts::ROOM_LOOKUP_PCT,
-        PriorityClass::Urgent => consts::ROOM_URGENT_PCT,
+        PriorityClass::Ordinary => consts::ORDINARY_ADMISSION_PCT,
+        PriorityClass::Lookup => consts::LOOKUP_ADMISSION_PCT,
+        PriorityClass::Urgent => consts::URGENT_ADMISSION_PCT,
     };
-    consts::QUERIES_LIVE * pct / 100
+    consts::MAX_CONCURRENT_QUERIES * pct / 100
 }
 
 impl QueryEngine {
@@ -51,7 +51,7 @@
             );
         }
         let buffered = self.queries.values().filter(|query| query.queued_shards() > 0).count();
-        if buffered * 100 >= room_of(class) * consts::BUFFER_PCT {
+        if buffered * 100 >= room_of(class) * consts::MAX_QUEUED_QUERIES_PCT {
             return say(
                 RejectionReason::NoCapacity,
                 "too many queries already wait for room at the leafs",
--- a/crates/core/src/query/forwarding.rs
+++ b/crates/core/src/query/forwarding.rs
@@ -96,7 +96,7 @@
     /// Whether a shard has had all its dispatches, or been offered to all the leafs
     /// that it may be, those that could not be reached included.
     fn is_exhausted(&self, route: &Route) -> bool {
-        let most = route.attempts as usize + consts::UNREACHED_MAX;
+        let most = route.attempts as usize + consts::MAX_UNREACHABLE_LEAFS;
         self.attempts >= route.attempts || self.attempted_leafs.len() >= most
     }
 }
--- a/crates/core/src/query/latency_estimate.rs
+++ b/crates/core/src/query/latency_estimate.rs
@@ -17,7 +17,7 @@
     /// above it and down by little for each below, in the ratio at which just the
     /// wanted part of them lies below.
     pub fn record(&mut self, search: &str, took: Span) {
-        let q = consts::WAIT_QUANTILE;
+        let q = consts::HEDGE_QUANTILE_PER_MILLE;
         match self.by_route.get_mut(search) {
             None => {
                 self.by_route.insert(search.to_string(), took.max(MILLI) * 2);
@@ -37,11 +37,11 @@
     pub fn hedge_delay(&self, search: &str, target: Option<Span>) -> Option<Span> {
         match (self.by_route.get(search), target) {
             (Some(mark), _) => {
-                let stretched = mark * consts::WAIT_STRETCH_PCT / 100 + consts::WAIT_MORE;
-                Some(stretched.max(consts::WAIT_MIN))
+                let stretched = mark * consts::HEDGE_DELAY_PCT / 100 + consts::HEDGE_DELAY_MARGIN;
+                Some(stretched.max(consts::HEDGE_DELAY_MIN))
             }
             (None, Some(target)) => {
-                Some((target * consts::WAIT_TARGET_PCT / 100).max(consts::WAIT_MIN))
+                Some((target * consts::HEDGE_DELAY_TARGET_PCT / 100).max(consts::HEDGE_DELAY_MIN))
             }
             (None, None) => None,
         }
--- a/crates/core/src/query/leaf.rs
+++ b/crates/core/src/query/leaf.rs
@@ -114,7 +114,7 @@
         if age >= ramp {
             return full;
         }
-        let floor = consts::RAMP_FLOOR_PCT;
+        let floor = consts::SLOW_START_MIN_PCT;
         (full * (floor * ramp + (100 - floor) * age) / (100 * ramp)).max(1)
     }
 
@@ -130,7 +130,7 @@
         }
         if let Some(age) = word.age_ms {
             let born = now.saturating_sub(age.saturating_mul(MILLI));
-            let restarted = born > self.started_at + consts::AGE_SLIP;
+            let restarted = born > self.started_at + consts::LEAF_RESTART_AGE_DROP;
             if !self.age_reported || restarted || born < self.started_at {
                 self.started_at = born;
             }
@@ -153,8 +153,8 @@
         self.typical_latency = if self.typical_latency == 0 {
             took
         } else {
-            self.typical_latency - self.typical_latency / consts::TYPICAL_WEIGHT
-                + took / consts::TYPICAL_WEIGHT
+            self.typical_latency - self.typical_latency / consts::LATENCY_EWMA_DIVISOR
+                + took / consts::LATENCY_EWMA_DIVISOR
         };
     }
 
@@ -168,7 +168,7 @@
     /// least.
     pub fn record_unfinished(&mut self, took: Span) {
         if took > self.typical_latency {
-            let rise = (took - self.typical_latency) / consts::TYPICAL_WEIGHT;
+            let rise = (took - self.typical_latency) / consts::LATENCY_EWMA_DIVISOR;
             self.typical_latency += rise;
         }
     }
@@ -183,11 +183,12 @@
     pub fn adjust_health_weight(&mut self, took: Span, now: Tick) {
         self.unloaded_latency = match self.unloaded_latency {
             0 => took,
-            old if took < old => old - (old - took) / consts::TYPICAL_WEIGHT,
-            old => old + (took - old) / consts::USUAL_DRIFT,
+            old if took < old => old - (old - took) / consts::LATENCY_EWMA_DIVISOR,
+            old => old + (took - old) / consts::UNLOADED_LATENCY_RISE_DIVISOR,
         };
-        let slow = took > self.unloaded_latency * consts::SLOW_PCT / 100 + consts::SLOW_MORE;
-        if slow && self.busy_permille >= consts::BUSY_FROM {
+        let slow =
+            took > self.unloaded_latency * consts::SLOW_REPLY_PCT / 100 + consts::SLOW_REPLY_MARGIN;
+        if slow && self.busy_permille >= consts::BUSY_THRESHOLD_PER_MILLE {
             self.lower_health_weight(WEIGHT_AFTER_SLOW_PCT, now);
         } else if self.health_weight < 1_000
             && since(self.health_weight_changed_at, now) >= WEIGHT_INTERVAL
@@ -221,9 +222,9 @@
     /// Notes a trouble; enough in a row rest the leaf, longer each time.
     pub fn record_failure(&mut self, now: Tick) {
         self.consecutive_failures += 1;
-        if self.consecutive_failures >= consts::REST_AFTER {
-            let twice = (self.consecutive_failures - consts::REST_AFTER).min(6);
-            self.ejected_until = now + (consts::REST_MIN << twice).min(consts::REST_MAX);
+        if self.consecutive_failures >= consts::EJECTION_FAILURE_THRESHOLD {
+            let twice = (self.consecutive_failures - consts::EJECTION_FAILURE_THRESHOLD).min(6);
+            self.ejected_until = now + (consts::EJECTION_MIN << twice).min(consts::EJECTION_MAX);
         }
     }
 
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -6,7 +6,7 @@
 
 use crate::config::route::{CompiledPool, Route};
 use crate::config::types::{BalancingMode, ServingMode};
-use crate::consts::REST_AFTER;
+use crate::consts::EJECTION_FAILURE_THRESHOLD;
 use crate::query::leaf::LeafState;
 use crate::query::quota::QuotaShare;
 use crate::random::Random;
@@ -178,7 +178,7 @@
         near: bool,
     ) -> Option<Candidate<'a>> {
         // One that failed lately is tried with one dispatch at a time.
-        let wary = leaf.consecutive_failures >= REST_AFTER && leaf.in_flight > 0;
+        let wary = leaf.consecutive_failures >= EJECTION_FAILURE_THRESHOLD && leaf.in_flight > 0;
         if wary || leaf.in_flight >= leaf.concurrency_limit(info, self.now) {
             return None;
         }
--- a/crates/core/src/query/planned_query.rs
+++ b/crates/core/src/query/planned_query.rs
@@ -144,6 +144,6 @@
 impl Query {
     /// Whether the shards that are in are worth more now than all of them later.
     pub fn is_worth_answering(&self, have: usize) -> bool {
-        self.forwarded.is_none() || have * 100 >= self.shards.len() * consts::STOP_SHARE_PCT
+        self.forwarded.is_none() || have * 100 >= self.shards.len() * consts::PARTIAL_RESULT_MIN_PCT
     }
 }
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -68,9 +68,9 @@
         let (stop, hold) = match route.target {
             None => (usable * route.stop_pct / 100, usable),
             Some(target) => {
-                let keep = (target * consts::TARGET_KEEP_PCT / 100)
-                    .clamp(consts::TARGET_KEEP_MIN, consts::TARGET_KEEP_MAX);
-                (target.saturating_sub(keep), target * consts::HOLD_PCT / 100)
+                let keep = (target * consts::TARGET_RESERVE_PCT / 100)
+                    .clamp(consts::TARGET_RESERVE_MIN, consts::TARGET_RESERVE_MAX);
+                (target.saturating_sub(keep), target * consts::QUEUE_TIMEOUT_PCT / 100)
             }
         };
         let times = QueryTimes {
@@ -141,8 +141,8 @@
 
 /// The time that leafs may take, of the budget of a call.
 fn usable(budget: Span, promise: Span) -> Result<Span, Rejection> {
-    let keep = (budget * consts::MERGE_KEEP_PCT / 100)
-        .clamp(consts::MERGE_KEEP_MIN, consts::MERGE_KEEP_MAX);
+    let keep = (budget * consts::MERGE_RESERVE_PCT / 100)
+        .clamp(consts::MERGE_RESERVE_MIN, consts::MERGE_RESERVE_MAX);
     match budget.saturating_sub(keep).min(promise) {
         0 => Err(Rejection::new(
             RejectionReason::DeadlineExceeded,
--- a/crates/core/src/query/rejection.rs
+++ b/crates/core/src/query/rejection.rs
@@ -45,7 +45,7 @@
             let rests = list
                 .filter_map(|i| self.leafs.get(&i.leaf))
                 .map(|leaf| since(now, leaf.ejected_until));
-            rests.min().unwrap_or(consts::LIST_POLL)
+            rests.min().unwrap_or(consts::LEAF_LIST_POLL_INTERVAL)
         };
         lost.map(soonest).max().unwrap_or(0)
     }
--- a/crates/core/src/query/retry_after.rs
+++ b/crates/core/src/query/retry_after.rs
@@ -1,14 +1,16 @@
 //! When a bounced caller may come back: derived from what its query met, and
 //! spread by chance so that callers bounced together do not return together.
 
-use crate::consts::{AGAIN_MAX_S, AGAIN_MIN_S, AGAIN_SOON, STRAIN_HALF};
+use crate::consts::{
+    FORWARDING_RETRY_AFTER_MIN, LOAD_PRESSURE_HALF_LIFE, RETRY_AFTER_MAX_S, RETRY_AFTER_MIN_S,
+};
 use crate::query::request::RejectionReason;
 use crate::random::Random;
 use crate::time::{SECOND, Span, Tick, since};
 
 /// How much of the work that came lately was sent away.
 ///
-/// Invariant: both sums have been halved for each `STRAIN_HALF` before `at`.
+/// Invariant: both sums have been halved for each `LOAD_PRESSURE_HALF_LIFE` before `at`.
 #[derive(Default)]
 pub struct LoadPressure {
     decayed_at: Tick,
@@ -25,11 +27,11 @@
     }
 
     fn decay(&mut self, now: Tick) {
-        let halves = since(self.decayed_at, now) / STRAIN_HALF;
+        let halves = since(self.decayed_at, now) / LOAD_PRESSURE_HALF_LIFE;
         if halves > 0 {
             self.arrived = self.arrived.checked_shr(halves as u32).unwrap_or(0);
             self.rejected = self.rejected.checked_shr(halves as u32).unwrap_or(0);
-            self.decayed_at += halves * STRAIN_HALF;
+            self.decayed_at += halves * LOAD_PRESSURE_HALF_LIFE;
         }
     }
 
@@ -37,10 +39,10 @@
     /// most troubles of one node or leaf are over before its budget ends.
     pub fn retry_after(&mut self, now: Tick, rest: Span, random: &mut Random) -> Span {
         self.decay(now);
-        let base = (AGAIN_SOON * self.arrived)
+        let base = (FORWARDING_RETRY_AFTER_MIN * self.arrived)
             .checked_div((self.arrived - self.rejected).max(1))
             .unwrap_or(0);
-        let base = base.max(rest).clamp(AGAIN_SOON, AGAIN_MIN_S * SECOND);
+        let base = base.max(rest).clamp(FORWARDING_RETRY_AFTER_MIN, RETRY_AFTER_MIN_S * SECOND);
         base + random.below(base / 2 + 1)
     }
 
@@ -62,14 +64,15 @@
             RejectionReason::ConcurrencyLimit
             | RejectionReason::NoCapacity
             | RejectionReason::DeadlineExceeded => {
-                let stays = (self.arrived - self.rejected).max(self.arrived / AGAIN_MAX_S).max(1);
-                (AGAIN_MIN_S * self.arrived).div_ceil(stays)
+                let stays =
+                    (self.arrived - self.rejected).max(self.arrived / RETRY_AFTER_MAX_S).max(1);
+                (RETRY_AFTER_MIN_S * self.arrived).div_ceil(stays)
             }
             RejectionReason::NoLeaf | RejectionReason::BelowQuorum => rest.div_ceil(SECOND),
             // Another node serves; the platform needs a moment to send nobody here.
-            _ => AGAIN_MIN_S,
+            _ => RETRY_AFTER_MIN_S,
         };
-        let base = base.clamp(AGAIN_MIN_S, AGAIN_MAX_S);
-        (base + random.below(base + 1)).min(AGAIN_MAX_S)
+        let base = base.clamp(RETRY_AFTER_MIN_S, RETRY_AFTER_MAX_S);
+        (base + random.below(base + 1)).min(RETRY_AFTER_MAX_S)
     }
 }
--- a/crates/core/src/query/retry_budget.rs
+++ b/crates/core/src/query/retry_budget.rs
@@ -8,7 +8,7 @@
 
 use std::collections::VecDeque;
 
-use crate::consts::{RETRY_BURST, RETRY_PCT, RETRY_WINDOW};
+use crate::consts::{RETRY_BURST_WINDOW, RETRY_PCT, RETRY_WINDOW};
 use crate::time::{Tick, since};
 
 /// What a thread has sent lately.
@@ -42,8 +42,12 @@
     pub fn record_first_attempt(&mut self, now: Tick) {
         self.prune(now);
         self.first_attempts.push_back(now);
-        let burst =
-            self.first_attempts.iter().rev().take_while(|t| since(**t, now) < RETRY_BURST).count();
+        let burst = self
+            .first_attempts
+            .iter()
+            .rev()
+            .take_while(|t| since(**t, now) < RETRY_BURST_WINDOW)
+            .count();
         self.credit = (self.credit + RETRY_PCT).min(burst as u64 * RETRY_PCT + 100);
     }
 
--- a/crates/core/src/query/service_retry_budget.rs
+++ b/crates/core/src/query/service_retry_budget.rs
@@ -53,7 +53,7 @@
     pub fn set_thread_count(&mut self, threads: u64) {
         // Without a place in the membership nobody knows what others spend.
         let threads = if threads == 0 { u64::MAX } else { threads };
-        let part = self.rate.fleet_slack * 1_000 * consts::SECOND_KEEP_PCT / 100 / threads;
+        let part = self.rate.fleet_slack * 1_000 * consts::RETRY_BUDGET_USE_PCT / 100 / threads;
         // Less than a whole try could never be spent.
         self.credit_limit = part.max(1_000);
         for saved in self.credits.values_mut() {
@@ -63,7 +63,7 @@
 
     /// A call for a service has come and goes to a leaf.
     pub fn record_first_attempt(&mut self, service: &str) {
-        let earned = self.rate.per_thousand * consts::SECOND_KEEP_PCT / 100;
+        let earned = self.rate.per_thousand * consts::RETRY_BUDGET_USE_PCT / 100;
         match self.credits.get_mut(service) {
             Some(saved) => *saved = (*saved + earned).min(self.credit_limit),
             None => {
--- a/crates/core/src/quorum.rs
+++ b/crates/core/src/quorum.rs
@@ -8,11 +8,11 @@
 //! and proofs are good for less than the time in which a change must be in
 //! force. `docs/topics/standing.md` has the whole argument.
 
-use crate::consts::ACCEPTANCE_FRACTION;
+use crate::consts::ACCEPTANCE_QUORUM_DIVISOR;
 
 /// Members that must know a change before it may count as accepted.
 pub fn acceptance(members: usize) -> usize {
-    (members / ACCEPTANCE_FRACTION).max(1)
+    (members / ACCEPTANCE_QUORUM_DIVISOR).max(1)
 }
 
 /// Members, the one that asks counted, that must be accounted for before it
--- a/crates/core/src/storage/voter_file.rs
+++ b/crates/core/src/storage/voter_file.rs
@@ -50,7 +50,7 @@
         && num(8) <= RECORD_LIMIT
         && num(12) == crc32fast::hash(body);
     let roll = fits.then(|| decode::<VoterFile>(&VOTER_FILE, body).ok()).flatten()?;
-    (roll.me != 0 && roll.table.slots.len() <= usize::from(crate::consts::SEATS_MAX))
+    (roll.me != 0 && roll.table.slots.len() <= usize::from(crate::consts::MAX_VOTER_SLOTS))
         .then_some(roll)
 }
 
--- a/crates/core/src/voter_set.rs
+++ b/crates/core/src/voter_set.rs
@@ -111,7 +111,7 @@
 /// another size are another cluster's.
 pub fn merge(ours: &VoterSet, theirs: &VoterSet) -> Option<VoterSet> {
     let size = theirs.slots.len();
-    if size == 0 || size > usize::from(consts::SEATS_MAX) {
+    if size == 0 || size > usize::from(consts::MAX_VOTER_SLOTS) {
         return None;
     }
     if ours.slots.is_empty() {
@@ -140,7 +140,7 @@
 /// others are vacant. With fewer seeds than a majority nobody could ever vote, so
 /// there are fewer slots then.
 pub fn first_table(seeds: &[String], size: usize) -> VoterSet {
-    let mut size = size.min(usize::from(consts::SEATS_MAX));
+    let mut size = size.min(usize::from(consts::MAX_VOTER_SLOTS));
     if seeds.len() < majority(size) {
         size = (seeds.len().max(1) - 1) | 1;
     }
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -175,7 +175,7 @@
 
     /// Forgets the spares that ask no more.
     pub fn drop_silent_applicants(&mut self, now: Tick) {
-        self.applicants.retain(|_, a| since(a.at, now) < consts::APPLY_SILENCE);
+        self.applicants.retain(|_, a| since(a.at, now) < consts::VOTER_SILENCE_TIMEOUT);
     }
 
     /// A spare that may have `slot`, if there is one; another than `last`, if there are
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -31,11 +31,11 @@
     }
 }
 
-const SEATS: usize = consts::SEATS as usize;
+const DEFAULT_VOTER_SLOTS: usize = consts::DEFAULT_VOTER_SLOTS as usize;
 
 /// A member that has just started and knows the seats.
 fn starts() -> NodeAgent {
-    let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
+    let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
     let mut w = NodeAgent::new(member(0), BOOT);
     w.step(BOOT, Event::VoterSet(told_table(&seeds)));
     w.subscribe_at = BOOT;
@@ -45,7 +45,7 @@
 /// A member that has a view and the core's word.
 fn serves() -> NodeAgent {
     let mut w = NodeAgent::new(member(0), BOOT);
-    let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
+    let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
     (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (true, true, BOOT);
     w.step(BOOT, Event::VoterSet(told_table(&seeds)));
     w
@@ -77,7 +77,7 @@
     let mut w = serves();
     let (whole, only) = asked(&w.step(BOOT, Event::Wake));
     expect_that!(whole.len(), eq(1));
-    expect_that!(only.len(), eq(SEATS - 1));
+    expect_that!(only.len(), eq(DEFAULT_VOTER_SLOTS - 1));
     // The others are asked at every second beat only.
     let (again, none) = asked(&w.step(BOOT + SUBSCRIBE_INTERVAL, Event::Wake));
     expect_that!(again, eq(&whole));
@@ -95,7 +95,7 @@
         let now = w.subscribe_at;
         (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (sure, granted, now);
         let (whole, only) = asked(&w.step(now, Event::Wake));
-        expect_that!(whole.len(), eq(SEATS));
+        expect_that!(whole.len(), eq(DEFAULT_VOTER_SLOTS));
         expect_that!(only, is_empty());
         expect_that!(w.subscribe_at, eq(now + beat));
     }
@@ -107,7 +107,7 @@
     let (whole, _) = asked(&w.step(BOOT, Event::Wake));
     let first = whole[0];
     let now = BOOT + FEED_SILENCE;
-    for slot in 0..SEATS as VoterSlot {
+    for slot in 0..DEFAULT_VOTER_SLOTS as VoterSlot {
         reach(&mut w, now, slot, CONFIG, 0);
     }
     let mut table = w.voter_set.clone();
@@ -151,7 +151,7 @@
 
 #[gtest]
 fn who_only_asks_is_shown_how_far_we_are_and_nothing_else() {
-    let seeds: Vec<String> = (0..SEATS).map(|n| format!("10.1.0.{n}:1")).collect();
+    let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
     let roll = VoterFile { me: told_holder(0), first: true, table: told_table(&seeds) };
     let mut c = controller::ControllerState::new(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
     let stamp = c.voter_slots.stamp;
@@ -197,7 +197,7 @@
     let later = now + 2 * FEED_SILENCE;
     w.lease.renewed_at = later;
     let (all, _) = asked(&w.step(later, Event::Wake));
-    expect_that!(all.len(), eq(SEATS));
+    expect_that!(all.len(), eq(DEFAULT_VOTER_SLOTS));
 }
 
 /// The asks that a member sends in ten seconds; with the core's word or not.
@@ -246,7 +246,7 @@
     let todo = w.step(BOOT + 1, Event::FromMember { name: "m1".into(), message });
     let answers = todo.iter().filter(|c| {
         matches!(c, Command::ToMember { message: Message::Gossip { positions: places, echo: Some(7), .. }, .. }
-            if places.len() == 1 + consts::SERVICE_PARTS as usize)
+            if places.len() == 1 + consts::SERVICE_PARTITIONS as usize)
     });
     expect_that!(answers.count(), eq(1));
 }
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -594,7 +594,7 @@
     let mut d = open(&world(&[("p", 4)], vec![pass(json!({ "attempts": 2 }))]));
     // Before anything is learned, the wait is a share of the target.
     let list = call(&mut d, NOW, 1);
-    expect_that!(d.next_due(), some(eq(NOW + ms(100) * consts::WAIT_TARGET_PCT / 100)));
+    expect_that!(d.next_due(), some(eq(NOW + ms(100) * consts::HEDGE_DELAY_TARGET_PCT / 100)));
     reply(&mut d, NOW + ms(2), &list[0], Ok(good(&list[0])));
     for i in 0..400 {
         let list = call(&mut d, NOW + i, 10 + i);
@@ -632,7 +632,7 @@
     };
     let w = world(&[("p", 9), ("q", 9)], vec![to("1", "/p/", "p"), to("2", "/q/", "q")]);
     let mut d = open(&w);
-    let saved = (consts::RETRY_SLACK * consts::SECOND_KEEP_PCT / 100) as usize;
+    let saved = (consts::RETRY_SLACK * consts::RETRY_BUDGET_USE_PCT / 100) as usize;
     let mut seconds = 0;
     let mut calls = 0;
     while seconds < saved && calls < 100 {
@@ -666,7 +666,7 @@
     d.service_retry_budget.retain(|_| false);
     let mut out = call(&mut d, NOW, 1);
     let mut leafs = Vec::new();
-    for _ in 0..consts::UNREACHED_MAX {
+    for _ in 0..consts::MAX_UNREACHABLE_LEAFS {
         let s = out.pop().unwrap();
         leafs.push(s.leaf.clone());
         out = sent(reply(&mut d, NOW, &s, Err(AttemptFailure::Unreachable)));
@@ -686,7 +686,7 @@
         end = told(&todo).cloned();
         out = sent(todo);
     }
-    expect_that!(n, eq(consts::UNREACHED_MAX + 1));
+    expect_that!(n, eq(consts::MAX_UNREACHABLE_LEAFS + 1));
     let Some(Outcome::Rejected(b)) = end else { panic!("no outcome") };
     expect_that!(b.executed, eq(false), "nothing arrived anywhere");
 }
@@ -751,7 +751,7 @@
     let out = full(&mut d);
     expect_that!(out.len(), ge(2));
     expect_that!(call(&mut d, NOW, 1).len(), eq(0));
-    let hold = NOW + ms(100) * consts::HOLD_PCT / 100;
+    let hold = NOW + ms(100) * consts::QUEUE_TIMEOUT_PCT / 100;
     expect_that!(d.next_due(), some(eq(hold)));
     expect_that!(told(&wake(&mut d, hold - 1)).is_none(), eq(true));
     let todo = wake(&mut d, hold);
--- a/crates/core/tests/latency_estimate.rs
+++ b/crates/core/tests/latency_estimate.rs
@@ -3,14 +3,16 @@
 #![allow(clippy::unwrap_used)]
 
 use googletest::prelude::*;
-use grebepath_core::consts::{WAIT_MIN, WAIT_MORE, WAIT_STRETCH_PCT, WAIT_TARGET_PCT};
+use grebepath_core::consts::{
+    HEDGE_DELAY_MARGIN, HEDGE_DELAY_MIN, HEDGE_DELAY_PCT, HEDGE_DELAY_TARGET_PCT,
+};
 use grebepath_core::query::latency_estimate::LatencyEstimate;
 use grebepath_core::random::Random;
 use grebepath_core::time::{Span, ms};
 
 /// What a wait without its stretch is: the learned mark itself.
 fn mark(w: &LatencyEstimate, search: &str) -> Span {
-    (w.hedge_delay(search, None).unwrap() - WAIT_MORE) * 100 / WAIT_STRETCH_PCT
+    (w.hedge_delay(search, None).unwrap() - HEDGE_DELAY_MARGIN) * 100 / HEDGE_DELAY_PCT
 }
 
 /// A sum of even draws: near to a bell.
@@ -78,8 +80,11 @@
 fn before_anything_is_learned_the_wait_is_a_share_of_the_target() {
     let mut w = LatencyEstimate::default();
     expect_that!(w.hedge_delay("s", None), none());
-    expect_that!(w.hedge_delay("s", Some(ms(100))), some(eq(ms(100) * WAIT_TARGET_PCT / 100)));
-    expect_that!(w.hedge_delay("s", Some(1)), some(eq(WAIT_MIN)));
+    expect_that!(
+        w.hedge_delay("s", Some(ms(100))),
+        some(eq(ms(100) * HEDGE_DELAY_TARGET_PCT / 100))
+    );
+    expect_that!(w.hedge_delay("s", Some(1)), some(eq(HEDGE_DELAY_MIN)));
     w.record("s", ms(50));
     // The first dispatch alone says little: nobody is hurried by it.
     expect_that!(w.hedge_delay("s", Some(ms(1))), some(ge(ms(100))));
@@ -95,5 +100,5 @@
     for _ in 0..10_000 {
         w.record("s", 0);
     }
-    expect_that!(w.hedge_delay("s", None), some(ge(WAIT_MIN)));
+    expect_that!(w.hedge_delay("s", None), some(ge(HEDGE_DELAY_MIN)));
 }
--- a/crates/runtime/src/forwarding_server.rs
+++ b/crates/runtime/src/forwarding_server.rs
@@ -41,10 +41,10 @@
     /// The limits while no configuration sets others.
     fn default() -> ListenerLimits {
         ListenerLimits {
-            head_max: consts::HEAD_LIMIT,
-            body_max: consts::BODY_LIMIT,
-            head_wait: crate::clock::duration(consts::HEAD_WAIT),
-            idle: crate::clock::duration(consts::WIRE_IDLE),
+            head_max: consts::DEFAULT_MAX_HEAD_BYTES,
+            body_max: consts::DEFAULT_MAX_BODY_BYTES,
+            head_wait: crate::clock::duration(consts::DEFAULT_HEAD_TIMEOUT),
+            idle: crate::clock::duration(consts::DEFAULT_IDLE_TIMEOUT),
         }
     }
 }
@@ -94,7 +94,7 @@
             Err(e) => return tracing::error!("the callers' door: {e}"),
         };
         loop {
-            if self.connections.get() >= consts::DOOR_WIRES {
+            if self.connections.get() >= consts::MAX_CALLER_CONNECTIONS {
                 tokio::time::sleep(ROOM_PAUSE).await;
                 continue;
             }
@@ -127,7 +127,7 @@
             .timer(TokioTimer::new())
             // One clock runs for the idle time and for the head that follows.
             .header_read_timeout(limits.idle + limits.head_wait)
-            .max_buf_size(limits.head_max.max(consts::HEAD_LEAST))
+            .max_buf_size(limits.head_max.max(consts::MIN_HEAD_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
         let mut end = self.end.subscribe();
--- a/crates/runtime/src/leaf_connections.rs
+++ b/crates/runtime/src/leaf_connections.rs
@@ -102,7 +102,7 @@
             match connection.try_send_request(work).await {
                 Ok(response) => {
                     let response = read_framed_response(response, limit).await?;
-                    let expires = Instant::now() + duration(consts::LEAF_WIRE_IDLE);
+                    let expires = Instant::now() + duration(consts::NATIVE_LEAF_IDLE_TIMEOUT);
                     self.keep(leaf, IdleConnection { connection, expires });
                     return Ok(Exchange::Answered(response));
                 }
@@ -203,14 +203,14 @@
         timeout.trim().parse::<u64>().ok()
     });
     let idle = match timeout_s {
-        Some(secs) => duration(secs * SECOND).saturating_sub(duration(consts::LEAF_IDLE_KEEP)),
-        None => duration(consts::LEAF_IDLE_UNTOLD),
+        Some(secs) => duration(secs * SECOND).saturating_sub(duration(consts::LEAF_IDLE_MARGIN)),
+        None => duration(consts::DEFAULT_LEAF_IDLE_TIMEOUT),
     };
     Some(Instant::now() + idle)
 }
 
 async fn dial_in_time(address: SocketAddr) -> Result<Connection, HttpError> {
-    match tokio::time::timeout(duration(consts::LEAF_CONNECT), dial(address)).await {
+    match tokio::time::timeout(duration(consts::LEAF_CONNECT_TIMEOUT), dial(address)).await {
         Ok(connection) => connection,
         Err(_) => Err(HttpError::ConnectTimedOut),
     }
--- a/crates/runtime/src/log_buffer.rs
+++ b/crates/runtime/src/log_buffer.rs
@@ -11,7 +11,7 @@
 use tracing::field::{Field, Visit};
 use tracing::{Event, Level, Metadata, Subscriber, span};
 
-use grebepath_core::consts::RING_LINES;
+use grebepath_core::consts::LOG_BUFFER_LINES;
 
 thread_local! {
     static LINES: RefCell<VecDeque<String>> = const { RefCell::new(VecDeque::new()) };
@@ -58,7 +58,7 @@
         event.record(&mut line);
         let level = *event.metadata().level();
         LINES.with_borrow_mut(|lines| {
-            if lines.len() >= RING_LINES {
+            if lines.len() >= LOG_BUFFER_LINES {
                 lines.pop_front();
             }
             lines.push_back(line.0);
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -15,7 +15,8 @@
 use tokio::sync::mpsc::{Receiver, Sender, UnboundedSender, channel};
 
 use grebepath_core::consts::{
-    WIRE_BUFFER, WIRE_DIAL, WIRE_RETRY, WIRE_RETRY_MAX, WIRE_SILENCE, WIRE_STALL,
+    MAX_QUEUED_PEER_MESSAGES, PEER_CONNECT_TIMEOUT, PEER_WRITE_TIMEOUT, RECONNECT_BACKOFF_MAX,
+    RECONNECT_BACKOFF_MIN, TCP_USER_TIMEOUT,
 };
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::frame::{FrameError, HEADER_BYTES, Lane, PieceHeader, Reassembler};
@@ -95,7 +96,7 @@
     },
 }
 
-/// The sending end of a connection. It holds up to [`WIRE_BUFFER`] messages; further
+/// The sending end of a connection. It holds up to [`MAX_QUEUED_PEER_MESSAGES`] messages; further
 /// ones are dropped.
 #[derive(Clone, Debug)]
 pub struct MessageSender {
@@ -119,7 +120,7 @@
     tag: T,
     events: UnboundedSender<ConnectionEvent<T>>,
 ) -> MessageSender {
-    let (queue, queued) = channel(WIRE_BUFFER);
+    let (queue, queued) = channel(MAX_QUEUED_PEER_MESSAGES);
     tokio::task::spawn_local(keep_dialled(address, greeting, tag, events, queued));
     MessageSender { queue }
 }
@@ -131,11 +132,12 @@
     events: UnboundedSender<ConnectionEvent<T>>,
     mut queued: Receiver<Vec<u8>>,
 ) {
-    let mut backoff = WIRE_RETRY;
+    let mut backoff = RECONNECT_BACKOFF_MIN;
     while !events.is_closed() {
-        let dialled = tokio::time::timeout(duration(WIRE_DIAL), TcpStream::connect(address)).await;
+        let dialled =
+            tokio::time::timeout(duration(PEER_CONNECT_TIMEOUT), TcpStream::connect(address)).await;
         if let Ok(Ok(stream)) = dialled {
-            backoff = WIRE_RETRY;
+            backoff = RECONNECT_BACKOFF_MIN;
             set_options(&stream);
             let (read, write) = stream.into_split();
             // What waited for a dead connection is out of date.
@@ -155,7 +157,7 @@
             return;
         }
         tokio::time::sleep(duration(backoff)).await;
-        backoff = (2 * backoff).min(WIRE_RETRY_MAX);
+        backoff = (2 * backoff).min(RECONNECT_BACKOFF_MAX);
     }
 }
 
@@ -163,7 +165,7 @@
 /// gone without a word. A system that knows neither option works without.
 fn set_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
-    let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(duration(WIRE_SILENCE)));
+    let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(duration(TCP_USER_TIMEOUT)));
 }
 
 fn report<T>(
@@ -212,7 +214,7 @@
     events: UnboundedSender<ConnectionEvent<T>>,
 ) {
     let (read, write) = stream.into_split();
-    let (queue, mut queued) = channel(WIRE_BUFFER);
+    let (queue, mut queued) = channel(MAX_QUEUED_PEER_MESSAGES);
     let mut peer: Option<PeerIdentity> = None;
     let owner = events.clone();
     let reading = read_messages(read, move |message| {
@@ -296,7 +298,8 @@
             }
             continue;
         };
-        let written = tokio::time::timeout(duration(WIRE_STALL), write.write_all(&piece)).await;
+        let written =
+            tokio::time::timeout(duration(PEER_WRITE_TIMEOUT), write.write_all(&piece)).await;
         if !matches!(written, Ok(Ok(()))) {
             return;
         }
--- a/crates/runtime/src/reload.rs
+++ b/crates/runtime/src/reload.rs
@@ -5,7 +5,7 @@
 use std::path::PathBuf;
 use std::time::SystemTime;
 
-use grebepath_core::consts::PARAMS_LOOK;
+use grebepath_core::consts::SETTINGS_POLL_INTERVAL;
 use tokio::signal::unix::{Signal, SignalKind, signal};
 use tokio::time::Instant;
 
@@ -34,7 +34,7 @@
     pub fn new(path: Option<&str>) -> SettingsWatch {
         let path = path.map(PathBuf::from);
         let seen = path.as_ref().and_then(version);
-        let next_look = Instant::now() + duration(PARAMS_LOOK);
+        let next_look = Instant::now() + duration(SETTINGS_POLL_INTERVAL);
         SettingsWatch { path, hangup: signal(SignalKind::hangup()).ok(), seen, next_look }
     }
 
@@ -53,7 +53,7 @@
                     return;
                 }
                 _ = tokio::time::sleep_until(self.next_look), if self.path.is_some() => {
-                    self.next_look = Instant::now() + duration(PARAMS_LOOK);
+                    self.next_look = Instant::now() + duration(SETTINGS_POLL_INTERVAL);
                     let now = self.path.as_ref().and_then(version);
                     if now.is_some() && now != self.seen {
                         self.seen = now;
--- a/crates/server/src/controller/disk_wait.rs
+++ b/crates/server/src/controller/disk_wait.rs
@@ -48,7 +48,7 @@
     crate::announce(&format!("controller waits for its disk: {first}"));
     let (reason, told) = watch::channel(first.to_string());
     let listener = operators.try_clone()?;
-    let serving = server::serve(listener, consts::OPERATOR_WIRES, router(told), never());
+    let serving = server::serve(listener, consts::MAX_OPERATOR_CONNECTIONS, router(told), never());
     let serving = tokio::spawn(serving);
     // A SIGHUP must not end the process here either.
     let mut hang_ups = SettingsWatch::new(None);
--- a/crates/server/src/controller/operator_listener.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -66,7 +66,7 @@
         .fallback(move |controller: State<Controller>, req: Request| {
             platform_request(controller, platform_api, req)
         })
-        .layer(DefaultBodyLimit::max(consts::CONFIG_LIMIT))
+        .layer(DefaultBodyLimit::max(consts::MAX_OPERATOR_REQUEST_BYTES))
         // Large requests are few: more than this at once are turned away
         // rather than held in memory.
         .layer(
@@ -75,7 +75,7 @@
                     answer(503, &json!({ "error": "not-applied", "text": "too many requests" }))
                 }))
                 .load_shed()
-                .concurrency_limit(consts::OPERATORS_AT_ONCE),
+                .concurrency_limit(consts::MAX_OPERATOR_REQUESTS),
         )
         .layer(map_response(move |response: Response| {
             counted.record(response.status().as_u16());
@@ -87,7 +87,7 @@
     };
     if let Err(e) = runtime.block_on(grebepath_runtime::http::server::serve(
         listener,
-        consts::OPERATOR_WIRES,
+        consts::MAX_OPERATOR_CONNECTIONS,
         router,
         until,
     )) {
@@ -105,7 +105,7 @@
         return answer(404, &json!({ "error": "no such path" }));
     };
     let (head, body) = req.into_parts();
-    let Ok(body) = axum::body::to_bytes(body, consts::CONFIG_LIMIT).await else {
+    let Ok(body) = axum::body::to_bytes(body, consts::MAX_OPERATOR_REQUEST_BYTES).await else {
         return answer(413, &json!({ "error": "the body can't be read, or is too large" }));
     };
     let sender = Sender::from_parts(&head);
--- a/crates/server/src/controller/settings.rs
+++ b/crates/server/src/controller/settings.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use grebepath_core::consts::{SEATS, SEATS_MAX};
+use grebepath_core::consts::{DEFAULT_VOTER_SLOTS, MAX_VOTER_SLOTS};
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::storage::voter_file::Start;
 use grebepath_runtime::platform_api::PlatformApi;
@@ -116,12 +116,12 @@
 
     /// Reads all settings. The order is that of the diagnostics.
     fn read(reader: &mut SettingsReader) -> Settings {
-        let slots_max = u64::from(SEATS_MAX);
+        let slots_max = u64::from(MAX_VOTER_SLOTS);
         let slot = reader.optional_number("seat", 0, slots_max - 1).map(|slot| slot as u8);
-        let seeds = reader.seeds(SEATS_MAX.into());
+        let seeds = reader.seeds(MAX_VOTER_SLOTS.into());
         let inner = reader.address("inner");
         let platform_api = reader.platform_api(&platform::DIALECT);
-        let losses = reader.number("bear", 0, (slots_max - 1) / 2, Some(SEATS / 2));
+        let losses = reader.number("bear", 0, (slots_max - 1) / 2, Some(DEFAULT_VOTER_SLOTS / 2));
         Settings {
             slot,
             fleet: reader.fleet_id(),
--- a/crates/server/src/grebectl/controller_client.rs
+++ b/crates/server/src/grebectl/controller_client.rs
@@ -153,8 +153,9 @@
             request = request.header(EXPECT_REVISION, revision.to_string());
         }
         let request = request.body(Full::new(Bytes::from(self.body.clone())))?;
-        let timeout = Duration::from_micros(consts::OPERATE_PATIENCE) + TRAVEL_TIME;
-        let response = http.call_within(request, consts::CONFIG_LIMIT, timeout).await?;
+        let timeout = Duration::from_micros(consts::OPERATOR_REQUEST_TIMEOUT) + TRAVEL_TIME;
+        let response =
+            http.call_within(request, consts::MAX_OPERATOR_REQUEST_BYTES, timeout).await?;
         let status = response.status();
         let body = serde_json::from_slice(response.body())
             .map_err(|source| RequestError::NotJson { status, source })?;
--- a/crates/server/src/querier/caller_listener.rs
+++ b/crates/server/src/querier/caller_listener.rs
@@ -48,7 +48,7 @@
             written(&Outcome::Rejected(Rejection::new(RejectionReason::UnknownRoute, text)))
         })
         // One byte over the limit still comes through, and gets our own 413.
-        .layer(DefaultBodyLimit::max(consts::QUESTION_LIMIT + 1))
+        .layer(DefaultBodyLimit::max(consts::MAX_QUERY_BYTES + 1))
         .with_state(Listener { threads, traffic, calls: Arc::default() })
 }
 
@@ -106,7 +106,8 @@
     // What waits before the desk is bounded here, each class to its part: this
     // is the one place where calls could pile up.
     let class = listener.threads.view.borrow().mappings.get(&ask.route).map(|m| m.class);
-    let most = room_of(class.unwrap_or_default()) * consts::DOOR_CALLS / consts::QUERIES_LIVE;
+    let most = room_of(class.unwrap_or_default()) * consts::MAX_LISTENER_CALLS
+        / consts::MAX_CONCURRENT_QUERIES;
     let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
     let (traffic, calls) = (listener.traffic.clone(), listener.calls.clone());
     let busy = calls.fetch_add(1, Ordering::Relaxed);
@@ -117,8 +118,8 @@
             RejectionReason::ConcurrencyLimit,
             "this node's door has all the calls it may",
         );
-        let spread = consts::AGAIN_MAX_S / 4;
-        b.retry_after_seconds = Some(consts::AGAIN_MIN_S + call % spread);
+        let spread = consts::RETRY_AFTER_MAX_S / 4;
+        b.retry_after_seconds = Some(consts::RETRY_AFTER_MIN_S + call % spread);
         return written(&Outcome::Rejected(b));
     }
     let (reply, outcome) = oneshot::channel();
@@ -178,7 +179,9 @@
         let check = get(async move || readiness(*ready.borrow()));
         let router = router(self.threads, traffic).route(path, check);
         let never = std::future::pending();
-        if let Err(e) = server::serve(self.listener, consts::CHECK_WIRES, router, never).await {
+        if let Err(e) =
+            server::serve(self.listener, consts::MAX_READINESS_CONNECTIONS, router, never).await
+        {
             tracing::error!("the door for checks: {e}");
         }
     }
--- a/crates/server/src/querier/leaf_client.rs
+++ b/crates/server/src/querier/leaf_client.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use bytes::Bytes;
-use grebepath_core::consts::{PROBE_PATIENCE, REPLY_LIMIT};
+use grebepath_core::consts::{MAX_REPLY_BYTES, PROBE_TIMEOUT};
 use grebepath_core::http_api::leaf;
 use grebepath_core::http_api::leaf::{AttemptFailure, LeafReply, ReplyHeaders};
 use grebepath_core::protocol::message::LeafReport;
@@ -43,7 +43,7 @@
     let fits = |response: &Response<Bytes>| {
         response.status().as_u16() == 200 && !leaf::self_word(&heads(response.headers())).draining
     };
-    let sent = pool.exchange(leaf, greeting, fits, work, REPLY_LIMIT);
+    let sent = pool.exchange(leaf, greeting, fits, work, MAX_REPLY_BYTES);
     match tokio::time::timeout(duration(sending.timeout), sent).await {
         Ok(Ok(Exchange::Answered(response))) => Ok(raw(response)),
         Ok(Ok(Exchange::Declined(response))) => {
@@ -68,7 +68,7 @@
     let fits =
         |response: &Response<Bytes>| !(api.read_reply)(&sending, response.clone()).headers.foreign;
     let options = ForwardOptions {
-        reply_limit: REPLY_LIMIT,
+        reply_limit: MAX_REPLY_BYTES,
         once: sending.at_most_once,
         keep: sending.keep_connection,
     };
@@ -109,7 +109,7 @@
         .header(leaf::EXPECT_SERVICE, &info.service)
         .body(Full::default())
         .ok()?;
-    let timeout = duration(PROBE_PATIENCE);
+    let timeout = duration(PROBE_TIMEOUT);
     let response = http.call_within(request, PROBE_REPLY_LIMIT, timeout).await.ok()?;
     let mut report = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
     match response.status().as_u16() {
--- a/crates/server/src/querier/leaf_list.rs
+++ b/crates/server/src/querier/leaf_list.rs
@@ -118,7 +118,7 @@
     async fn fetch_pages(&self, api: &PlatformApi) -> Result<(Vec<LeafInfo>, u64), LeafListError> {
         let mut leafs: Vec<LeafInfo> = Vec::new();
         let mut page_name: Option<String> = None;
-        for count in 1..=consts::LIST_PAGES {
+        for count in 1..=consts::MAX_LEAF_LIST_PAGES {
             let body = self.get_patiently(&(api.list_path)(page_name.as_deref())).await?;
             let page = (api.read_list_page)(&body).map_err(LeafListError::Unreadable)?;
             for diagnostic in page.diagnostics {
@@ -150,11 +150,11 @@
     /// [`LeafList::get`], again a few times when the list is asked too often.
     async fn get_patiently(&self, path: &str) -> Result<Bytes, LeafListError> {
         let mut body = self.get(path).await;
-        for _ in 0..consts::LIST_AGAIN {
+        for _ in 0..consts::LEAF_LIST_PAGE_RETRIES {
             if !matches!(body, Err(LeafListError::TooManyRequests)) {
                 break;
             }
-            tokio::time::sleep(duration(consts::LIST_HURRY)).await;
+            tokio::time::sleep(duration(consts::LEAF_LIST_FAST_POLL_INTERVAL)).await;
             body = self.get(path).await;
         }
         body
@@ -163,8 +163,8 @@
     async fn get(&self, path: &str) -> Result<Bytes, LeafListError> {
         let url = format!("http://{}{path}", self.address);
         let request = Request::get(url).body(Full::default())?;
-        let timeout = duration(consts::LIST_PATIENCE);
-        let response = self.http.call_within(request, consts::LIST_LIMIT, timeout).await?;
+        let timeout = duration(consts::LEAF_LIST_POLL_TIMEOUT);
+        let response = self.http.call_within(request, consts::MAX_LEAF_LIST_BYTES, timeout).await?;
         match response.status().as_u16() {
             200 => Ok(response.into_body()),
             429 => Err(LeafListError::TooManyRequests),
--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -242,7 +242,7 @@
 
     /// Logs an alarm once; the same again goes to the log buffer, with its count.
     fn alarm(&mut self, text: &str) {
-        if self.alarms.len() > consts::ALARMS_KEPT {
+        if self.alarms.len() > consts::MAX_REMEMBERED_ALARMS {
             self.alarms.clear();
         }
         let n = self.alarms.entry(text.to_string()).or_default();
--- a/crates/server/src/querier/membership_thread.rs
+++ b/crates/server/src/querier/membership_thread.rs
@@ -76,10 +76,10 @@
         incarnation: nonce(),
     };
     let mut agent = NodeAgent::new(me, clock.now());
-    let mut drain_max = consts::DRAIN_MAX;
+    let mut drain_max = consts::DRAIN_TIMEOUT;
     if let Some(grace) = settings.grace {
-        agent.drain_notice = grace * consts::NOTICE_PCT / 100;
-        drain_max = grace.saturating_sub(consts::GRACE_KEEP);
+        agent.drain_notice = grace * consts::DRAIN_NOTICE_PCT / 100;
+        drain_max = grace.saturating_sub(consts::GRACE_RESERVE);
     }
     if let (Some(readiness), Some(api)) = (readiness, settings.platform_api) {
         tokio::task::spawn_local(readiness.serve(api.readiness_path, traffic[0].clone()));
--- a/crates/server/src/querier/settings.rs
+++ b/crates/server/src/querier/settings.rs
@@ -2,7 +2,7 @@
 
 use std::net::SocketAddr;
 
-use grebepath_core::consts::{self, SEATS_MAX};
+use grebepath_core::consts::{self, MAX_VOTER_SLOTS};
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::query::service_retry_budget::RetryRate;
 use grebepath_core::rollout::trial::ExposureLimit;
@@ -142,7 +142,7 @@
     fn read(line: CommandLine) -> (Settings, Vec<Diagnostic>) {
         let file = line.file.clone();
         let reader = &mut line.into_reader();
-        let seeds = reader.seeds(SEATS_MAX.into());
+        let seeds = reader.seeds(MAX_VOTER_SLOTS.into());
         let platform_api = reader.platform_api(&platform::DIALECT);
         let settings = Settings {
             name: reader.name("name"),
@@ -160,7 +160,7 @@
             exposure_limit: read_exposure_limit(reader),
             grace: reader.optional_seconds("grace_s"),
             probes: reader.choice("probes", &["on", "off"], "on") == "on",
-            list_rate: reader.positive_amount("list_rate", consts::LIST_RATE),
+            list_rate: reader.positive_amount("list_rate", consts::DEFAULT_LEAF_LIST_RATE),
             file,
         };
         let diagnostics = reader.finish();
--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -124,7 +124,7 @@
         let until = async move {
             let _ = stop.wait_for(|stop| *stop).await;
         };
-        server::serve(listener, consts::DOOR_WIRES, router, until).await
+        server::serve(listener, consts::MAX_CALLER_CONNECTIONS, router, until).await
     }
 }
 
@@ -137,7 +137,7 @@
         let io = TrafficIo {
             waiting: HashMap::new(),
             attempts: HashMap::new(),
-            leafs: LeafPool::new(consts::LEAF_WIRES),
+            leafs: LeafPool::new(consts::MAX_IDLE_LEAF_CONNECTIONS),
             platform_api: start.platform_api,
             forwarding,
             inputs: start.inputs.clone(),
--- a/crates/server/src/testbed/mock_backends/leaf_server.rs
+++ b/crates/server/src/testbed/mock_backends/leaf_server.rs
@@ -258,7 +258,7 @@
     match mode {
         Mode::Garbage => body = "{\"records\":[{\"id\":7,".into(),
         Mode::CutShort => body.truncate(body.len() / 2),
-        Mode::Overlong => body.push_str(&" ".repeat(grebepath_core::consts::REPLY_LIMIT)),
+        Mode::Overlong => body.push_str(&" ".repeat(grebepath_core::consts::MAX_REPLY_BYTES)),
         _ => {}
     }
     finished(out, body, *mode == Mode::CutShort)
--- a/crates/simulator/src/scale_model/fan_out.rs
+++ b/crates/simulator/src/scale_model/fan_out.rs
@@ -22,7 +22,7 @@
 /// Queries that are measured (count), after as many that are not.
 const QUERIES: u64 = 20;
 /// Records in each reply (count): what a caller gets who names no limit.
-const RECORDS: usize = grebepath_core::consts::RECORDS_DEFAULT as usize;
+const RECORDS: usize = grebepath_core::consts::DEFAULT_RECORD_LIMIT as usize;
 
 /// What was found.
 #[derive(Default)]
--- a/crates/simulator/src/scale_model/topology.rs
+++ b/crates/simulator/src/scale_model/topology.rs
@@ -22,7 +22,7 @@
 /// Chance's part of a way, as a part of it (percent).
 const WOBBLE_PCT: u64 = 50;
 /// Age that leafs tell (ms): old enough that ages cost nothing any more.
-pub const OLD_MS: u64 = grebepath_core::consts::AGE_TOLD_MS;
+pub const OLD_MS: u64 = grebepath_core::consts::MAX_REPORTED_LEAF_AGE_MS;
 
 /// A size to measure.
 #[derive(Clone, Copy)]
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -157,7 +157,7 @@
             opened: HashSet::new(),
         };
         world.list = Rc::new(topology::list(&world.leafs));
-        for controller in 0..consts::SEATS as usize {
+        for controller in 0..consts::DEFAULT_VOTER_SLOTS as usize {
             world.controllers.push(ControllerNode {
                 state: ControllerState::new(Default::default(), ("", ""), Vec::new(), 0, BOOT),
                 disk: Disk::new(partitions().count()),
@@ -241,8 +241,10 @@
         let start = Start {
             slot: Some(controller as VoterSlot),
             first: self.now == BEGIN,
-            seeds: (0..consts::SEATS as usize).map(topology::controller_address).collect(),
-            size: consts::SEATS as usize,
+            seeds: (0..consts::DEFAULT_VOTER_SLOTS as usize)
+                .map(topology::controller_address)
+                .collect(),
+            size: consts::DEFAULT_VOTER_SLOTS as usize,
             addr: topology::controller_address(controller),
         };
         let disk = &mut self.controllers[controller].disk;
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -34,7 +34,10 @@
 
     pub(super) fn list_timed_out(&mut self, querier: usize, life: u64) {
         let event = node_agent::Event::LeafList(Err("no answer in time".into()));
-        self.push(consts::LIST_PATIENCE, ScheduledEvent::NodeAgentEvent { querier, life, event });
+        self.push(
+            consts::LEAF_LIST_POLL_TIMEOUT,
+            ScheduledEvent::NodeAgentEvent { querier, life, event },
+        );
     }
 
     pub(super) fn answer_list_request(&mut self, querier: usize, life: u64) {
