--- a/crates/core/src/config/build.rs
+++ b/crates/core/src/config/build.rs
@@ -34,7 +34,7 @@
         let mut diagnostics = Diagnostics::new();
         let pools = compile_pools(conf, &mut diagnostics);
         let all_compiled = pools.len() == conf.pools.len();
-        let mut mappings = IndexMap::new();
+        let mut routes = IndexMap::new();
         for search in conf.searches.values() {
             let Some(policy) = check_search(search, conf, &mut diagnostics) else { continue };
             // A pool that did not compile would only seem to be missing here.
@@ -42,26 +42,30 @@
                 continue;
             }
             if let Some(route) = build_route(search, &policy, &pools, &mut diagnostics) {
-                mappings.insert(search.name.clone(), route);
+                routes.insert(search.name.clone(), route);
             }
         }
         check_host_paths(conf, &mut diagnostics);
         let drained = conf.zones.values().filter(|zone| zone.drained);
         let drained = drained.map(|zone| zone.name.clone()).collect();
-        diagnostics.into_result(RoutingTable { mappings, drained, terms: conf.terms.clone() })
+        diagnostics.into_result(RoutingTable {
+            routes,
+            drained,
+            client_limits: conf.client_limits.clone(),
+        })
     }
 }
 
 /// Where the plan of a search stands.
-fn plan_place(search: &SearchConfig) -> String {
+fn plan_location(search: &SearchConfig) -> String {
     format!("searches[{}].plan", search.name)
 }
 
 fn compile_pools<'a>(conf: &'a Config, diagnostics: &mut Diagnostics) -> LabelledPools<'a> {
     let mut pools = BTreeMap::new();
     for pool in conf.pools.values() {
-        let place = format!("pools[{}].selector", pool.name);
-        let Some(selector) = Selector::parse(&place, &pool.selector, diagnostics) else {
+        let location = format!("pools[{}].selector", pool.name);
+        let Some(selector) = Selector::parse(&location, &pool.selector, diagnostics) else {
             continue;
         };
         let plan = pool_plan(pool, selector);
@@ -70,14 +74,14 @@
     pools
 }
 
-fn pool_plan(pool: &PoolConfig, sel: Selector) -> CompiledPool {
+fn pool_plan(pool: &PoolConfig, selector: Selector) -> CompiledPool {
     CompiledPool {
         name: pool.name.clone(),
         service: pool.service.clone(),
-        sel,
-        bears: pool.bears.max(1),
-        ramp: ms(u64::from(pool.ramp_ms)),
-        steer: BalancingMode::try_from(pool.steer).unwrap_or(BalancingMode::Partitioned),
+        selector,
+        leaf_capacity: pool.leaf_capacity.max(1),
+        slow_start: ms(u64::from(pool.slow_start_ms)),
+        balancing: BalancingMode::try_from(pool.balancing).unwrap_or(BalancingMode::Partitioned),
         connections: pool.connections,
         cold_rate: pool.cold_rate,
     }
@@ -90,15 +94,15 @@
     diagnostics: &mut Diagnostics,
 ) -> Option<CompiledPlan> {
     let name = &search.name;
-    if search.promise_ms == 0 {
-        let place = format!("searches[{name}].promise_ms");
-        diagnostics.report(place, ConsistencyError::ZeroPromise);
+    if search.timeout_ms == 0 {
+        let location = format!("searches[{name}].promise_ms");
+        diagnostics.report(location, ConsistencyError::ZeroPromise);
     }
-    for pool in search.needs.iter().filter(|pool| !conf.pools.contains_key(*pool)) {
+    for pool in search.required_pools.iter().filter(|pool| !conf.pools.contains_key(*pool)) {
         let error = ConsistencyError::UnknownPool { pool: pool.clone() };
         diagnostics.report(format!("searches[{name}].needs"), error);
     }
-    CompiledPlan::compile(&plan_place(search), &search.plan, diagnostics)
+    CompiledPlan::compile(&plan_location(search), &search.plan, diagnostics)
 }
 
 /// Reports searches that are called by the same host and path.
@@ -121,20 +125,20 @@
     diagnostics: &mut Diagnostics,
 ) -> Option<Route> {
     let before = diagnostics.len();
-    let place = plan_place(search);
-    let chosen = choose_pools(policy, pools, &place, diagnostics);
+    let location = plan_location(search);
+    let chosen = choose_pools(policy, pools, &location, diagnostics);
     if chosen.index_versions.len() > 1 {
         let versions = chosen.index_versions.iter().map(|version| version.to_string()).collect();
-        diagnostics.report(place.clone(), ConsistencyError::SeveralIndexVersions { versions });
+        diagnostics.report(location.clone(), ConsistencyError::SeveralIndexVersions { versions });
     }
     if chosen.shards.is_empty() && diagnostics.len() == before {
-        diagnostics.report(place, ConsistencyError::NoPoolChosen);
+        diagnostics.report(location, ConsistencyError::NoPoolChosen);
     }
     let weight = |name: &&str| search.weights.get(*name).map_or(0, |weight| u64::from(*weight));
     let weights: Vec<u64> = chosen.shards.keys().map(weight).collect();
-    if policy.send == FanOut::ByWeight && weights.iter().sum::<u64>() == 0 {
-        let place = format!("searches[{}].weights", search.name);
-        diagnostics.report(place, ConsistencyError::NoWeight);
+    if policy.fan_out == FanOut::ByWeight && weights.iter().sum::<u64>() == 0 {
+        let location = format!("searches[{}].weights", search.name);
+        diagnostics.report(location, ConsistencyError::NoWeight);
     }
     (diagnostics.len() == before).then(|| route(search, policy, chosen, weights))
 }
@@ -143,16 +147,16 @@
 fn choose_pools<'a>(
     policy: &CompiledPlan,
     pools: &'a LabelledPools,
-    place: &str,
+    location: &str,
     diagnostics: &mut Diagnostics,
 ) -> ChosenPools<'a> {
     let mut chosen = ChosenPools::default();
     let mut shard_of_service: BTreeMap<&str, &str> = BTreeMap::new();
-    for pool in pools.values().filter(|pool| policy.sel.matches(pool.labels)) {
+    for pool in pools.values().filter(|pool| policy.selector.matches(pool.labels)) {
         let plan = &pool.plan;
-        let Some(shard) = pool.labels.get(&policy.by) else {
-            let (pool, label) = (plan.name.clone(), policy.by.clone());
-            diagnostics.report(place, ConsistencyError::ShardLabelMissing { pool, label });
+        let Some(shard) = pool.labels.get(&policy.shard_label) else {
+            let (pool, label) = (plan.name.clone(), policy.shard_label.clone());
+            diagnostics.report(location, ConsistencyError::ShardLabelMissing { pool, label });
             continue;
         };
         chosen
@@ -163,7 +167,7 @@
         {
             let (service, first, second) = (plan.service.clone(), first.to_string(), shard.clone());
             let error = ConsistencyError::ServiceInTwoShards { service, first, second };
-            diagnostics.report(place, error);
+            diagnostics.report(location, error);
         }
         chosen.shards.entry(shard).or_default().push(plan.clone());
     }
@@ -180,23 +184,23 @@
     Route {
         name: search.name.clone(),
         class: PriorityClass::try_from(search.class).unwrap_or(PriorityClass::Ordinary),
-        promise: ms(search.promise_ms),
+        timeout: ms(search.timeout_ms),
         quorum: search.quorum.clamp(1, 1000),
         attempts: search.attempts.max(1),
-        cut: chosen.index_versions.into_iter().next().unwrap_or_default().to_string(),
-        send: policy.send,
-        wait_pct: policy.wait_pct,
-        stop_pct: policy.stop_pct,
-        local: policy.local,
+        index_version: chosen.index_versions.into_iter().next().unwrap_or_default().to_string(),
+        fan_out: policy.fan_out,
+        hedge_after_pct: policy.hedge_after_pct,
+        quorum_after_pct: policy.quorum_after_pct,
+        prefer_local: policy.prefer_local,
         shards: chosen.shards.into_iter().map(shard).collect(),
         host: search.host.clone(),
         path: search.path.clone(),
-        form: ServingMode::try_from(search.form).unwrap_or(ServingMode::Native),
-        once: search.once,
-        target: (search.target_ms > 0).then(|| ms(search.target_ms)),
+        serving_mode: ServingMode::try_from(search.serving_mode).unwrap_or(ServingMode::Native),
+        at_most_once: search.at_most_once,
+        target: (search.latency_target_ms > 0).then(|| ms(search.latency_target_ms)),
         rank: search.rank,
-        width: search.width.max(1) as usize,
-        top: search.top as usize,
+        record_bytes: search.record_bytes.max(1) as usize,
+        max_records: search.max_records as usize,
         weights,
     }
 }
--- a/crates/core/src/config/change.rs
+++ b/crates/core/src/config/change.rs
@@ -18,33 +18,33 @@
         self.set_searches(&patch.set);
         self.set_pools(&patch.set);
         self.zones.extend(patch.set.zones.clone());
-        self.turn = patch.set.turn.clone();
+        self.change_header = patch.set.change_header.clone();
         self.with_terms_of_change()
     }
 
     /// Sets searches: a replaced one keeps its place in the operators' list, a
     /// new one goes behind all others.
     fn set_searches(&mut self, set: &Config) {
-        let behind = |search: &super::types::SearchConfig| search.place + 1;
+        let behind = |search: &super::types::SearchConfig| search.list_index + 1;
         let mut last = self.searches.values().map(behind).max().unwrap_or(0);
         let mut searches: Vec<_> = set.searches.values().cloned().collect();
-        searches.sort_by_key(|search| search.place);
+        searches.sort_by_key(|search| search.list_index);
         for mut search in searches {
-            search.place = self.searches.get(&search.name).map_or(last, |old| old.place);
-            last = last.max(search.place + 1);
+            search.list_index = self.searches.get(&search.name).map_or(last, |old| old.list_index);
+            last = last.max(search.list_index + 1);
             self.searches.insert(search.name.clone(), search);
         }
     }
 
     /// Sets pools, which take their places as searches do.
     fn set_pools(&mut self, set: &Config) {
-        let behind = |pool: &super::types::PoolConfig| pool.place + 1;
+        let behind = |pool: &super::types::PoolConfig| pool.list_index + 1;
         let mut last = self.pools.values().map(behind).max().unwrap_or(0);
         let mut pools: Vec<_> = set.pools.values().cloned().collect();
-        pools.sort_by_key(|pool| pool.place);
+        pools.sort_by_key(|pool| pool.list_index);
         for mut pool in pools {
-            pool.place = self.pools.get(&pool.name).map_or(last, |old| old.place);
-            last = last.max(pool.place + 1);
+            pool.list_index = self.pools.get(&pool.name).map_or(last, |old| old.list_index);
+            last = last.max(pool.list_index + 1);
             self.pools.insert(pool.name.clone(), pool);
         }
     }
@@ -54,17 +54,19 @@
         if new.keep_zones {
             new.zones = self.zones.clone();
         }
-        new.terms = ClientLimits { edition: self.terms.edition, ..ClientLimits::default() };
+        new.client_limits =
+            ClientLimits { edition: self.client_limits.edition, ..ClientLimits::default() };
         new.with_terms_of_change()
     }
 
     /// Applies what a change says of the edition and the limits.
     fn with_terms_of_change(mut self) -> Config {
-        if let Some(terms) = self.turn.terms.take() {
-            self.terms = ClientLimits { edition: self.terms.edition, ..terms };
+        if let Some(client_limits) = self.change_header.client_limits.take() {
+            self.client_limits =
+                ClientLimits { edition: self.client_limits.edition, ..client_limits };
         }
-        if let Some(edition) = self.turn.edition {
-            self.terms.edition = edition;
+        if let Some(edition) = self.change_header.edition {
+            self.client_limits.edition = edition;
         }
         self
     }
--- a/crates/core/src/config/object_reader.rs
+++ b/crates/core/src/config/object_reader.rs
@@ -11,24 +11,24 @@
 /// One JSON object being read: which fields were asked for, and the diagnostics.
 pub(super) struct ObjectReader<'a> {
     map: &'a Map<String, Value>,
-    place: String,
+    location: String,
     diagnostics: &'a mut Diagnostics,
     known: Vec<&'static str>,
 }
 
 impl<'a> ObjectReader<'a> {
-    /// A reader of the object that stands at `place`.
+    /// A reader of the object that stands at `location`.
     pub(super) fn new(
         map: &'a Map<String, Value>,
-        place: impl Into<String>,
+        location: impl Into<String>,
         diagnostics: &'a mut Diagnostics,
     ) -> Self {
-        ObjectReader { map, place: place.into(), diagnostics, known: Vec::new() }
+        ObjectReader { map, location: location.into(), diagnostics, known: Vec::new() }
     }
 
     /// Notes what is wrong with a field.
     pub(super) fn report(&mut self, key: &str, error: FieldError) {
-        self.diagnostics.report(format!("{}.{key}", self.place), error);
+        self.diagnostics.report(format!("{}.{key}", self.location), error);
     }
 
     /// Whether the field stands in the object.
@@ -232,19 +232,19 @@
 
     /// Ends the reading: fields that nobody asked for are reported.
     pub(super) fn finish(self) {
-        report_unknown_fields(self.map, &self.place, &self.known, self.diagnostics);
+        report_unknown_fields(self.map, &self.location, &self.known, self.diagnostics);
     }
 }
 
-/// Reports the fields of the object at `place` that are not `known`.
+/// Reports the fields of the object at `location` that are not `known`.
 pub(super) fn report_unknown_fields(
     map: &Map<String, Value>,
-    place: &str,
+    location: &str,
     known: &[&'static str],
     diagnostics: &mut Diagnostics,
 ) {
     for key in map.keys().filter(|key| !known.contains(&key.as_str())) {
-        let place = if place == "$" { key.clone() } else { format!("{place}.{key}") };
-        diagnostics.report(place, FieldError::UnknownField { known: known.to_vec() });
+        let location = if location == "$" { key.clone() } else { format!("{location}.{key}") };
+        diagnostics.report(location, FieldError::UnknownField { known: known.to_vec() });
     }
 }
--- a/crates/core/src/config/read.rs
+++ b/crates/core/src/config/read.rs
@@ -11,12 +11,12 @@
 use super::types::{ChangeHeader, ClientLimits, Config, Patch};
 use crate::diagnostic::{Diagnostic, Diagnostics};
 
-/// Fields of the object `terms`: what a change builds on, its own number, and
+/// Fields of the object `client_limits`: what a change builds on, its own number, and
 /// the limits that it sets.
 const TERMS_FIELDS: [&str; 7] =
     ["after", "edition", "head_max", "body_max", "head_wait_ms", "idle_ms", "origin"];
 
-/// Those fields of `terms` that set limits.
+/// Those fields of `client_limits` that set limits.
 const LIMIT_FIELDS: &[&str] = TERMS_FIELDS.split_at(2).1;
 
 impl Config {
@@ -59,8 +59,8 @@
 ) -> Option<Map<String, Value>> {
     match serde_json::from_slice::<Value>(text) {
         Err(error) => {
-            let place = format!("$:{}:{}", error.line(), error.column());
-            diagnostics.report(place, FieldError::NotJson(error));
+            let location = format!("$:{}:{}", error.line(), error.column());
+            diagnostics.report(location, FieldError::NotJson(error));
             None
         }
         Ok(Value::Object(map)) => {
@@ -88,10 +88,10 @@
 }
 
 fn names(map: &Map<String, Value>, key: &str, diagnostics: &mut Diagnostics) -> Vec<String> {
-    let place = format!("remove.{key}");
+    let location = format!("remove.{key}");
     let Some(value) = map.get(key) else { return Vec::new() };
     let Some(list) = value.as_array() else {
-        diagnostics.report(place, FieldError::wrong_type("a list of names", value));
+        diagnostics.report(location, FieldError::wrong_type("a list of names", value));
         return Vec::new();
     };
     let mut names = Vec::new();
@@ -100,7 +100,7 @@
             Some(name) => names.push(name.to_string()),
             None => {
                 let error = FieldError::wrong_type("a name", value);
-                diagnostics.report(format!("{place}[{index}]"), error);
+                diagnostics.report(format!("{location}[{index}]"), error);
             }
         }
     }
@@ -112,13 +112,13 @@
         searches: list(map, "searches", diagnostics, search),
         pools: list(map, "pools", diagnostics, pool),
         zones: list(map, "zones", diagnostics, zone),
-        turn: turn(map, diagnostics),
+        change_header: change_header(map, diagnostics),
         ..Config::default()
     }
 }
 
 /// Reads what a change builds on and which limits it sets.
-fn turn(map: &Map<String, Value>, diagnostics: &mut Diagnostics) -> ChangeHeader {
+fn change_header(map: &Map<String, Value>, diagnostics: &mut Diagnostics) -> ChangeHeader {
     let Some(value) = map.get("terms") else { return ChangeHeader::default() };
     let Some(map) = value.as_object() else {
         diagnostics.report("terms", FieldError::wrong_type("an object", value));
@@ -129,16 +129,16 @@
     let after = reader.has("after").then(|| reader.required_number("after", any.clone()));
     let edition = reader.has("edition").then(|| reader.required_number("edition", any.clone()));
     let sets_limits = LIMIT_FIELDS.iter().any(|key| reader.has(key));
-    let terms = sets_limits.then(|| ClientLimits {
+    let client_limits = sets_limits.then(|| ClientLimits {
         edition: 0,
         head_max: reader.number_or("head_max", any.clone(), 0),
         body_max: reader.number_or("body_max", any.clone(), 0),
         head_wait_ms: reader.number_or("head_wait_ms", any.clone(), 0),
         idle_ms: reader.number_or("idle_ms", any, 0),
-        origin: reader.optional_text("origin"),
+        original_json: reader.optional_text("origin"),
     });
     report_unknown_fields(map, "terms", &TERMS_FIELDS, diagnostics);
-    ChangeHeader { after, edition, terms }
+    ChangeHeader { after, edition, client_limits }
 }
 
 /// Reads a list of objects, each with a name of its own.
@@ -155,16 +155,16 @@
         return objects;
     };
     for (index, item) in items.iter().enumerate() {
-        let place = format!("{key}[{index}]");
+        let location = format!("{key}[{index}]");
         let Some(map) = item.as_object() else {
-            diagnostics.report(place, FieldError::wrong_type("an object", item));
+            diagnostics.report(location, FieldError::wrong_type("an object", item));
             continue;
         };
-        let mut reader = ObjectReader::new(map, place.clone(), diagnostics);
+        let mut reader = ObjectReader::new(map, location.clone(), diagnostics);
         let (name, object) = read(&mut reader);
         reader.finish();
         if objects.insert(name.clone(), object).is_some() {
-            diagnostics.report(format!("{place}.name"), FieldError::DuplicateName { name });
+            diagnostics.report(format!("{location}.name"), FieldError::DuplicateName { name });
         }
     }
     objects
--- a/crates/core/src/config/read_objects.rs
+++ b/crates/core/src/config/read_objects.rs
@@ -34,7 +34,7 @@
             ("urgent", PriorityClass::Urgent),
         ],
     );
-    let form = reader.word(
+    let serving_mode = reader.word(
         "form",
         &[
             ("own", ServingMode::Native),
@@ -42,78 +42,79 @@
             ("join", ServingMode::Join),
         ],
     );
-    let promise_range = match form {
+    let promise_range = match serving_mode {
         ServingMode::Native => consts::MIN_BUDGET_MS..=consts::MAX_BUDGET_MS,
         ServingMode::PassThrough | ServingMode::Join => 1..=consts::MAX_FORWARDING_DEADLINE_MS,
     };
-    let promise_ms = reader.required_number("promise_ms", promise_range);
+    let timeout_ms = reader.required_number("promise_ms", promise_range);
     let attempts = reader.number_or("attempts", 1..=consts::MAX_SHARD_ATTEMPTS, 3) as u32;
-    let quorum = quorum(reader, form);
+    let quorum = quorum(reader, serving_mode);
     let plan = reader.required_text("plan");
-    let (host, path) = host_and_path(reader, form);
-    let once = once(reader, form);
-    let target_ms = reader.number_or("target_ms", 0..=consts::MAX_FORWARDING_DEADLINE_MS, 0);
+    let (host, path) = host_and_path(reader, serving_mode);
+    let at_most_once = at_most_once(reader, serving_mode);
+    let latency_target_ms =
+        reader.number_or("target_ms", 0..=consts::MAX_FORWARDING_DEADLINE_MS, 0);
     let rank = reader.number_u32_or("rank", 0..=u32::MAX, 0);
-    let width = reader.number_u32_or("width", 1..=WIDTH_MAX, 1);
-    let top = reader.number_u32_or("top", 1..=TOP_MAX, consts::DEFAULT_RECORD_LIMIT);
+    let record_bytes = reader.number_u32_or("width", 1..=WIDTH_MAX, 1);
+    let max_records = reader.number_u32_or("top", 1..=TOP_MAX, consts::DEFAULT_RECORD_LIMIT);
     let weights = reader.entries("weights", "an object of numbers", "a whole number", |value| {
         u32::try_from(value.as_u64()?).ok()
     });
-    let origin = reader.optional_text("origin");
-    let place = reader.number_u32_or("place", 0..=u32::MAX, 0);
-    let needs = reader.value_or("needs", "a list of pools' names", Vec::new(), names);
+    let original_json = reader.optional_text("origin");
+    let list_index = reader.number_u32_or("place", 0..=u32::MAX, 0);
+    let required_pools = reader.value_or("needs", "a list of pools' names", Vec::new(), names);
     let search = SearchConfig {
-        needs,
+        required_pools,
         name: name.clone(),
         class: class as i32,
-        promise_ms,
+        timeout_ms,
         quorum,
         attempts,
         plan,
         host,
         path,
-        form: form as i32,
-        once,
-        target_ms,
+        serving_mode: serving_mode as i32,
+        at_most_once,
+        latency_target_ms,
         rank,
-        width,
-        top,
+        record_bytes,
+        max_records,
         weights,
-        origin,
-        place,
+        original_json,
+        list_index,
     };
     (name, search)
 }
 
 /// The required share of the shards, in thousandths, rounded up.
-fn quorum(reader: &mut ObjectReader, form: ServingMode) -> u32 {
+fn quorum(reader: &mut ObjectReader, serving_mode: ServingMode) -> u32 {
     let expected = "a share above 0 and up to 1";
     reader.value_or("quorum", expected, QUORUM_ALL, |value| {
         let share = value.as_f64()?;
-        let above_zero = share > 0.0 || form != ServingMode::Native && share == 0.0;
+        let above_zero = share > 0.0 || serving_mode != ServingMode::Native && share == 0.0;
         let valid = above_zero && share <= 1.0;
         valid.then(|| ((share * f64::from(QUORUM_ALL)).ceil() as u32).clamp(1, QUORUM_ALL))
     })
 }
 
-fn host_and_path(reader: &mut ObjectReader, form: ServingMode) -> (String, String) {
+fn host_and_path(reader: &mut ObjectReader, serving_mode: ServingMode) -> (String, String) {
     let host = reader.optional_text("host");
     let path = reader.optional_text("path");
     if host.is_empty() != path.is_empty() || (!path.is_empty() && !path.starts_with('/')) {
         reader.report("path", FieldError::HostWithoutPath);
     }
-    if form != ServingMode::Native && host.is_empty() {
+    if serving_mode != ServingMode::Native && host.is_empty() {
         reader.report("host", FieldError::HostMissing);
     }
     (host, path)
 }
 
-fn once(reader: &mut ObjectReader, form: ServingMode) -> bool {
-    let once = reader.flag("once");
-    if once && form != ServingMode::PassThrough {
+fn at_most_once(reader: &mut ObjectReader, serving_mode: ServingMode) -> bool {
+    let at_most_once = reader.flag("once");
+    if at_most_once && serving_mode != ServingMode::PassThrough {
         reader.report("once", FieldError::OnceNotPassed);
     }
-    once
+    at_most_once
 }
 
 /// A list of nothing but texts.
@@ -129,19 +130,19 @@
         name: name.clone(),
         service: reader.nonempty_text("service"),
         selector: reader.optional_text("selector"),
-        bears: reader.number_u32_or("bears", 1..=BEARS_MAX, consts::DEFAULT_LEAF_CAPACITY),
-        ramp_ms: reader.number_u32_or("ramp_ms", 0..=RAMP_MAX_MS, ramp_default),
+        leaf_capacity: reader.number_u32_or("bears", 1..=BEARS_MAX, consts::DEFAULT_LEAF_CAPACITY),
+        slow_start_ms: reader.number_u32_or("ramp_ms", 0..=RAMP_MAX_MS, ramp_default),
         labels: reader.entries("labels", "an object of texts", "a text", |value| {
             value.as_str().map(str::to_string)
         }),
-        steer: reader.word(
+        balancing: reader.word(
             "steer",
             &[("share", BalancingMode::Partitioned), ("seen", BalancingMode::LoadAware)],
         ) as i32,
         connections: reader.number_u32_or("wires", 0..=u32::MAX, 0),
         cold_rate: reader.number_u32_or("cold_rate", 0..=u32::MAX, 0),
-        origin: reader.optional_text("origin"),
-        place: reader.number_u32_or("place", 0..=u32::MAX, 0),
+        original_json: reader.optional_text("origin"),
+        list_index: reader.number_u32_or("place", 0..=u32::MAX, 0),
     };
     (name, pool)
 }
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -16,7 +16,7 @@
 /// A search, ready to serve.
 ///
 /// Invariants: `shards` is not empty, its names are in order and each stands
-/// once; all its pools hold the index version `cut`; no service stands under
+/// once; all its pools hold the index version `index_version`; no service stands under
 /// two shards.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Route {
@@ -25,21 +25,21 @@
     /// How urgent its queries are.
     pub class: PriorityClass,
     /// Time within which callers get an outcome.
-    pub promise: Span,
+    pub timeout: Span,
     /// Required share of the planned shards, in thousandths.
     pub quorum: u32,
     /// Most dispatches for one shard of one query.
     pub attempts: u32,
     /// The version of the index that all its pools hold; empty if they name none.
-    pub cut: String,
+    pub index_version: String,
     /// Which shards a query is planned for.
-    pub send: FanOut,
+    pub fan_out: FanOut,
     /// Share of the time left that a dispatch may use before a retry, in percent.
-    pub wait_pct: u64,
+    pub hedge_after_pct: u64,
     /// Share of the promise after which a quorum is enough, in percent.
-    pub stop_pct: u64,
+    pub quorum_after_pct: u64,
     /// Leafs of the querier's own zone come first.
-    pub local: bool,
+    pub prefer_local: bool,
     /// The shards, in the order of their names.
     pub shards: Vec<RouteShard>,
     /// Host by which calls come here; empty if by name.
@@ -47,17 +47,17 @@
     /// Path that such calls begin with; empty if by name.
     pub path: String,
     /// How calls and answers are treated.
-    pub form: ServingMode,
+    pub serving_mode: ServingMode,
     /// A call may run at most once.
-    pub once: bool,
+    pub at_most_once: bool,
     /// Time within which an answer has its full value.
     pub target: Option<Span>,
     /// Order among searches of one class, the lowest first.
     pub rank: u32,
     /// Bytes of one record where answers are joined by bytes.
-    pub width: usize,
+    pub record_bytes: usize,
     /// Most records of a joined answer.
-    pub top: usize,
+    pub max_records: usize,
     /// Weight of each shard, in their order.
     pub weights: Vec<u64>,
 }
@@ -86,13 +86,13 @@
     /// The service whose leafs it takes.
     pub service: String,
     /// Chooses among the service's leafs by their labels.
-    pub sel: Selector,
+    pub selector: Selector,
     /// Dispatches that a warm leaf bears at once, over all nodes.
-    pub bears: u32,
+    pub leaf_capacity: u32,
     /// Time that a fresh leaf takes to bear all of that.
-    pub ramp: Span,
+    pub slow_start: Span,
     /// How dispatches are spread over the leafs.
-    pub steer: BalancingMode,
+    pub balancing: BalancingMode,
     /// Most connections that a leaf takes from all nodes; zero if not said.
     pub connections: u32,
     /// Thousandths of a dispatch that a cold leaf bears a second.
@@ -103,9 +103,9 @@
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct RoutingTable {
     /// The routes by their searches' names.
-    pub mappings: IndexMap<String, Route>,
+    pub routes: IndexMap<String, Route>,
     /// Zones whose leafs get no new work.
     pub drained: BTreeSet<String>,
     /// Limits for clients, and the edition.
-    pub terms: ClientLimits,
+    pub client_limits: ClientLimits,
 }
--- a/crates/core/src/config/show.rs
+++ b/crates/core/src/config/show.rs
@@ -26,41 +26,41 @@
             "pools": self.pools.values().map(pool).collect::<Vec<_>>(),
             "zones": self.zones.values().map(zone).collect::<Vec<_>>(),
         });
-        if self.terms != ClientLimits::default() {
-            out["terms"] = terms(&self.terms);
+        if self.client_limits != ClientLimits::default() {
+            out["terms"] = client_limits(&self.client_limits);
         }
         out
     }
 }
 
-fn terms(terms: &ClientLimits) -> Value {
+fn client_limits(client_limits: &ClientLimits) -> Value {
     json!({
-        "edition": terms.edition, "head_max": terms.head_max, "body_max": terms.body_max,
-        "head_wait_ms": terms.head_wait_ms, "idle_ms": terms.idle_ms,
+        "edition": client_limits.edition, "head_max": client_limits.head_max, "body_max": client_limits.body_max,
+        "head_wait_ms": client_limits.head_wait_ms, "idle_ms": client_limits.idle_ms,
     })
 }
 
 fn search(search: &SearchConfig) -> Value {
     let class = PriorityClass::try_from(search.class).unwrap_or(PriorityClass::Ordinary);
     let mut out = json!({
-        "name": search.name, "class": class.word(), "promise_ms": search.promise_ms,
+        "name": search.name, "class": class.word(), "promise_ms": search.timeout_ms,
         "quorum": f64::from(search.quorum) / 1000.0, "attempts": search.attempts,
         "plan": search.plan,
     });
     if !search.host.is_empty() {
         (out["host"], out["path"]) = (json!(search.host), json!(search.path));
     }
-    let form = ServingMode::try_from(search.form).unwrap_or(ServingMode::Native);
-    if form != ServingMode::Native {
-        out["form"] = json!(if form == ServingMode::PassThrough { "pass" } else { "join" });
-        (out["once"], out["rank"]) = (json!(search.once), json!(search.rank));
-        (out["width"], out["top"]) = (json!(search.width), json!(search.top));
+    let serving_mode = ServingMode::try_from(search.serving_mode).unwrap_or(ServingMode::Native);
+    if serving_mode != ServingMode::Native {
+        out["form"] = json!(if serving_mode == ServingMode::PassThrough { "pass" } else { "join" });
+        (out["once"], out["rank"]) = (json!(search.at_most_once), json!(search.rank));
+        (out["width"], out["top"]) = (json!(search.record_bytes), json!(search.max_records));
     }
-    if !search.needs.is_empty() {
-        out["needs"] = json!(search.needs);
+    if !search.required_pools.is_empty() {
+        out["needs"] = json!(search.required_pools);
     }
-    if search.target_ms > 0 {
-        out["target_ms"] = json!(search.target_ms);
+    if search.latency_target_ms > 0 {
+        out["target_ms"] = json!(search.latency_target_ms);
     }
     if !search.weights.is_empty() {
         out["weights"] = json!(search.weights);
@@ -71,9 +71,9 @@
 fn pool(pool: &PoolConfig) -> Value {
     let mut out = json!({
         "name": pool.name, "service": pool.service, "selector": pool.selector, "labels": pool.labels,
-        "bears": pool.bears, "ramp_ms": pool.ramp_ms,
+        "bears": pool.leaf_capacity, "ramp_ms": pool.slow_start_ms,
     });
-    if pool.steer == BalancingMode::LoadAware as i32 {
+    if pool.balancing == BalancingMode::LoadAware as i32 {
         out["steer"] = json!("seen");
     }
     if pool.connections > 0 {
--- a/crates/core/src/config/stored.rs
+++ b/crates/core/src/config/stored.rs
@@ -38,8 +38,8 @@
         for (name, zone) in &self.zones {
             entries.insert(format!("{ZONE}{name}"), zone.encode_to_vec());
         }
-        if self.terms != ClientLimits::default() {
-            entries.insert(TERMS.into(), self.terms.encode_to_vec());
+        if self.client_limits != ClientLimits::default() {
+            entries.insert(TERMS.into(), self.client_limits.encode_to_vec());
         }
         entries
     }
@@ -55,7 +55,7 @@
             config.searches.insert(name.into(), decoded(SEARCH, name, value)?);
         }
         if let Some(value) = map.get(TERMS) {
-            config.terms = decoded(TERMS, "", value)?;
+            config.client_limits = decoded(TERMS, "", value)?;
         }
         for (name, value) in with_prefix(map, ZONE) {
             config.zones.insert(name.into(), decoded(ZONE, name, value)?);
@@ -80,6 +80,7 @@
 
 /// The edition that stands; zero if the entry that holds it can't be read.
 pub fn edition(map: &BTreeMap<String, Vec<u8>>) -> u64 {
-    let terms = map.get(TERMS).and_then(|value| ClientLimits::decode(value.as_slice()).ok());
-    terms.map_or(0, |terms| terms.edition)
+    let client_limits =
+        map.get(TERMS).and_then(|value| ClientLimits::decode(value.as_slice()).ok());
+    client_limits.map_or(0, |client_limits| client_limits.edition)
 }
--- a/crates/core/src/config/types.rs
+++ b/crates/core/src/config/types.rs
@@ -17,7 +17,7 @@
 /// A search: a promise to callers, and the plan that keeps it.
 ///
 /// Invariants once accepted: `quorum` is 1..=1000, `attempts` 1..=100,
-/// `promise_ms` above zero, and `plan` compiles against the pools.
+/// `timeout_ms` above zero, and `plan` compiles against the pools.
 #[derive(Clone, PartialEq, prost::Message)]
 pub struct SearchConfig {
     /// The name by which callers and operators know it.
@@ -28,7 +28,7 @@
     pub class: i32,
     /// Time within which callers are promised an outcome, in milliseconds.
     #[prost(uint64, tag = "3")]
-    pub promise_ms: u64,
+    pub timeout_ms: u64,
     /// Required share of the planned shards, in thousandths.
     #[prost(uint32, tag = "4")]
     pub quorum: u32,
@@ -46,34 +46,34 @@
     pub path: String,
     /// A [`ServingMode`].
     #[prost(enumeration = "ServingMode", tag = "9")]
-    pub form: i32,
+    pub serving_mode: i32,
     /// A call may run at most once.
     #[prost(bool, tag = "10")]
-    pub once: bool,
+    pub at_most_once: bool,
     /// Time within which an answer has its full value, in milliseconds; zero if not said.
     #[prost(uint64, tag = "11")]
-    pub target_ms: u64,
+    pub latency_target_ms: u64,
     /// Order among searches of one class, the lowest first.
     #[prost(uint32, tag = "12")]
     pub rank: u32,
     /// Bytes of one record where parts are joined by bytes.
     #[prost(uint32, tag = "13")]
-    pub width: u32,
+    pub record_bytes: u32,
     /// Most records of a joined answer.
     #[prost(uint32, tag = "14")]
-    pub top: u32,
+    pub max_records: u32,
     /// Weight of each shard where one is drawn by weight.
     #[prost(btree_map = "string, uint32", tag = "15")]
     pub weights: BTreeMap<String, u32>,
     /// What the operator wrote, given back as it was.
     #[prost(string, tag = "16")]
-    pub origin: String,
+    pub original_json: String,
     /// Its index in the list that the operator wrote.
     #[prost(uint32, tag = "17")]
-    pub place: u32,
+    pub list_index: u32,
     /// Pools that must be there for it.
     #[prost(string, repeated, tag = "18")]
-    pub needs: Vec<String>,
+    pub required_pools: Vec<String>,
 }
 
 /// How the calls and answers of a search are treated.
@@ -120,7 +120,7 @@
     pub idle_ms: u64,
     /// What the operator wrote beside the lists, given back as it was.
     #[prost(string, tag = "6")]
-    pub origin: String,
+    pub original_json: String,
 }
 
 /// What a change says of itself: what it builds on and what it sets.
@@ -131,7 +131,7 @@
     /// The edition that it makes, if it says so.
     pub edition: Option<u64>,
     /// The limits for clients, if it sets them.
-    pub terms: Option<ClientLimits>,
+    pub client_limits: Option<ClientLimits>,
 }
 
 /// A pool: the leafs of one service of the platform, labelled.
@@ -151,13 +151,13 @@
     pub labels: BTreeMap<String, String>,
     /// Dispatches a warm leaf bears at once, over all nodes.
     #[prost(uint32, tag = "5")]
-    pub bears: u32,
+    pub leaf_capacity: u32,
     /// Time that a fresh leaf takes to bear all of that, in milliseconds.
     #[prost(uint32, tag = "6")]
-    pub ramp_ms: u32,
+    pub slow_start_ms: u32,
     /// A [`BalancingMode`].
     #[prost(enumeration = "BalancingMode", tag = "7")]
-    pub steer: i32,
+    pub balancing: i32,
     /// Most connections that a leaf takes from all nodes; zero if not said.
     #[prost(uint32, tag = "8")]
     pub connections: u32,
@@ -166,10 +166,10 @@
     pub cold_rate: u32,
     /// What the operator wrote, given back as it was.
     #[prost(string, tag = "10")]
-    pub origin: String,
+    pub original_json: String,
     /// Its index in the list that the operator wrote.
     #[prost(uint32, tag = "11")]
-    pub place: u32,
+    pub list_index: u32,
 }
 
 /// A zone and whether it is drained.
@@ -193,9 +193,9 @@
     /// The zones that an operator has said something of.
     pub zones: BTreeMap<String, ZoneConfig>,
     /// The edition and limits for clients.
-    pub terms: ClientLimits,
+    pub client_limits: ClientLimits,
     /// Not stored: what the change that brought this builds on.
-    pub turn: ChangeHeader,
+    pub change_header: ChangeHeader,
     /// Not stored: a whole configuration leaves the zones as they are.
     pub keep_zones: bool,
 }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -144,7 +144,7 @@
         Ok(Planned::Entries(entries, edition)) => (entries, edition),
         Ok(Planned::Refused(done)) => return Judged::Refused(done),
         Err(all) => {
-            let list = all.into_iter().map(|f| (f.place.clone(), f.text())).collect();
+            let list = all.into_iter().map(|f| (f.location.clone(), f.text())).collect();
             return Judged::Refused(OperationResult::Invalid(list));
         }
     };
@@ -191,21 +191,21 @@
     } else {
         old.clone().patched(&Patch::from_json(text)?)
     };
-    let ChangeHeader { after, edition, .. } = new.turn;
+    let ChangeHeader { after, edition, .. } = new.change_header;
     let base = OrderBase { revision: expect, edition: after, next_edition: edition };
-    if base.edition.is_some_and(|n| n != old.terms.edition) {
-        let moved = OperationResult::Conflict { revision: old.terms.edition };
+    if base.edition.is_some_and(|n| n != old.client_limits.edition) {
+        let moved = OperationResult::Conflict { revision: old.client_limits.edition };
         return Ok(Planned::Refused(forgotten(map, &base).unwrap_or(moved)));
     }
-    if base.next_edition.is_some_and(|n| n <= old.terms.edition) {
+    if base.next_edition.is_some_and(|n| n <= old.client_limits.edition) {
         if let Some(done) = forgotten(map, &base) {
             return Ok(Planned::Refused(done));
         }
-        let text = format!("must be above {}, the one that stands", old.terms.edition);
+        let text = format!("must be above {}, the one that stands", old.client_limits.edition);
         return Err(vec![Diagnostic::new("terms.edition", text)]);
     }
     RoutingTable::build(&new)?;
-    Ok(Planned::Entries(old.changes_to(&new), new.terms.edition))
+    Ok(Planned::Entries(old.changes_to(&new), new.client_limits.edition))
 }
 
 /// No clear answer, if an order that would be refused may have been accepted
--- a/crates/core/src/control_plane/rollout_orders.rs
+++ b/crates/core/src/control_plane/rollout_orders.rs
@@ -115,7 +115,7 @@
 }
 
 fn invalid(problems: &[Diagnostic]) -> OperationResult {
-    let told = problems.iter().map(|problem| (problem.place.clone(), problem.text()));
+    let told = problems.iter().map(|problem| (problem.location.clone(), problem.text()));
     OperationResult::Invalid(told.collect())
 }
 
--- a/crates/core/src/diagnostic.rs
+++ b/crates/core/src/diagnostic.rs
@@ -11,15 +11,18 @@
 #[derive(Clone, Debug)]
 pub struct Diagnostic {
     /// A JSON path, for text in the routing language followed by `:line:column`.
-    pub place: String,
+    pub location: String,
     problem: Arc<dyn Error + Send + Sync>,
 }
 
 impl Diagnostic {
     /// A problem at a place: an error of the module that reads the input, or a
     /// text where another process reported it.
-    pub fn new(place: impl Into<String>, problem: impl Into<Box<dyn Error + Send + Sync>>) -> Self {
-        Diagnostic { place: place.into(), problem: Arc::from(problem.into()) }
+    pub fn new(
+        location: impl Into<String>,
+        problem: impl Into<Box<dyn Error + Send + Sync>>,
+    ) -> Self {
+        Diagnostic { location: location.into(), problem: Arc::from(problem.into()) }
     }
 
     /// What is wrong, as operators read it.
@@ -35,13 +38,13 @@
 
 impl PartialEq for Diagnostic {
     fn eq(&self, other: &Self) -> bool {
-        self.place == other.place && self.text() == other.text()
+        self.location == other.location && self.text() == other.text()
     }
 }
 
 impl fmt::Display for Diagnostic {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "{}: {}", self.place, self.problem)
+        write!(f, "{}: {}", self.location, self.problem)
     }
 }
 
@@ -66,10 +69,10 @@
     /// Notes one more problem.
     pub fn report(
         &mut self,
-        place: impl Into<String>,
+        location: impl Into<String>,
         problem: impl Into<Box<dyn Error + Send + Sync>>,
     ) {
-        self.list.push(Diagnostic::new(place, problem));
+        self.list.push(Diagnostic::new(location, problem));
     }
 
     /// Notes a diagnostic that was made elsewhere.
@@ -96,10 +99,10 @@
 /// Notes one more problem in a plain list.
 pub fn find(
     all: &mut Vec<Diagnostic>,
-    place: impl Into<String>,
+    location: impl Into<String>,
     problem: impl Into<Box<dyn Error + Send + Sync>>,
 ) {
-    all.push(Diagnostic::new(place, problem));
+    all.push(Diagnostic::new(location, problem));
 }
 
 /// All diagnostics as lines, for logs and for terminals.
--- a/crates/core/src/http_api/operator.rs
+++ b/crates/core/src/http_api/operator.rs
@@ -60,5 +60,5 @@
 
 /// Findings as JSON.
 pub fn findings(all: &[Diagnostic]) -> Vec<Value> {
-    all.iter().map(|f| json!({ "place": f.place, "text": f.text() })).collect()
+    all.iter().map(|f| json!({ "place": f.location, "text": f.text() })).collect()
 }
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -191,10 +191,10 @@
     }
 
     fn note_searches_served(&mut self, now: Tick, view: &ClusterView) {
-        let served = view.mappings.values().filter(|route| has_quorum(view, route)).count();
+        let served = view.routes.values().filter(|route| has_quorum(view, route)).count();
         if served > 0 {
             self.serving_some_since.get_or_insert(now);
-            self.has_served |= served == view.mappings.len();
+            self.has_served |= served == view.routes.len();
         }
     }
 
@@ -221,7 +221,7 @@
 /// Whether a route has leafs for its quorum of shards.
 fn has_quorum(view: &ClusterView, route: &Route) -> bool {
     let has_leaf = |shard: &&RouteShard| {
-        shard.pools.iter().any(|pool| view.open_leafs(pool, &route.cut).next().is_some())
+        shard.pools.iter().any(|pool| view.open_leafs(pool, &route.index_version).next().is_some())
     };
     let served = route.shards.iter().filter(has_leaf).count();
     served >= route.required_shards(route.shards.len())
--- a/crates/core/src/query/cancellation.rs
+++ b/crates/core/src/query/cancellation.rs
@@ -143,7 +143,7 @@
         let id = self.queries.iter().find(|(_, query)| query.call == call).map(|(id, _)| *id);
         let Some(query) = id.and_then(|id| self.queries.swap_remove(&id)) else { return };
         for attempt_id in query.shards.iter().flat_map(|s| &s.in_flight) {
-            if !query.route.once {
+            if !query.route.at_most_once {
                 self.cancel_attempt(now, *attempt_id, commands);
             }
         }
--- a/crates/core/src/query/cluster_update.rs
+++ b/crates/core/src/query/cluster_update.rs
@@ -31,7 +31,7 @@
         self.note_zones_taken_back(now, &view);
         self.leafs.retain(|name, leaf| leaf.in_flight > 0 || view.leafs.contains_key(name));
         self.service_retry_budget.retain(|s| view.services.contains_key(s));
-        self.latency_estimate.retain(|s| view.mappings.contains_key(s));
+        self.latency_estimate.retain(|s| view.routes.contains_key(s));
         let same = self.cluster_view.services == view.services
             && self.cluster_view.trials == view.trials
             && self.cluster_view.revision == view.revision;
@@ -81,11 +81,11 @@
     /// Deals the leafs of each service out to the threads of the membership.
     pub(super) fn assign_ranks(&mut self) {
         let view = self.cluster_view.clone();
-        for route in view.mappings.values() {
-            let shared = |p: &&CompiledPool| p.steer == BalancingMode::Partitioned;
+        for route in view.routes.values() {
+            let shared = |p: &&CompiledPool| p.balancing == BalancingMode::Partitioned;
             for pool in route.shards.iter().flat_map(|s| &s.pools).filter(shared) {
                 for list in versions_of(&view, &pool.service) {
-                    let totals = vec![u64::from(pool.bears); list.len()];
+                    let totals = vec![u64::from(pool.leaf_capacity); list.len()];
                     let ranks = self.quota_share.balanced_ranks(hash(&pool.service), &totals);
                     for (info, rank) in list.iter().zip(ranks) {
                         if let Some(leaf) = self.leafs.get_mut(&info.leaf) {
@@ -100,7 +100,7 @@
     /// Deals out the connections to leafs that take few.
     pub(super) fn assign_connections(&mut self) {
         let view = self.cluster_view.clone();
-        let pools = view.mappings.values().flat_map(|m| &m.shards).flat_map(|s| &s.pools);
+        let pools = view.routes.values().flat_map(|m| &m.shards).flat_map(|s| &s.pools);
         let mut done: BTreeSet<&str> = BTreeSet::new();
         for pool in pools.filter(|p| p.connections > 0) {
             if !done.insert(&pool.service) {
--- a/crates/core/src/query/finishing.rs
+++ b/crates/core/src/query/finishing.rs
@@ -84,7 +84,7 @@
     ) {
         // A leaf's own failure says more than ours would.
         if let (Some(request), Some(raw)) = (&query.forwarded, &query.last_failure)
-            && query.route.form == ServingMode::PassThrough
+            && query.route.serving_mode == ServingMode::PassThrough
         {
             let passed = ForwardedReply { id: request.id.clone(), reply: raw.clone() };
             return commands
@@ -117,7 +117,7 @@
     let full = SearchAnswer {
         query: query.name,
         route: query.route.name.clone(),
-        index_version: query.route.cut.clone(),
+        index_version: query.route.index_version.clone(),
         revision: query.revision,
         shards,
         missing,
@@ -132,7 +132,7 @@
     let parts: Vec<&Arc<LeafReply>> =
         query.shards.iter().filter_map(|s| s.reply.as_ref()).collect();
     debug_assert!(parts.len() >= query.quorum_size());
-    let outcome = match (query.route.form, parts.first()) {
+    let outcome = match (query.route.serving_mode, parts.first()) {
         (ServingMode::PassThrough, Some(raw)) => {
             Outcome::Forwarded(ForwardedReply { id: request.id.clone(), reply: (*raw).clone() })
         }
@@ -142,7 +142,7 @@
                 id: request.id.clone(),
                 postmarks: parts.iter().flat_map(|r| r.headers.postmarks.clone()).collect(),
                 missing,
-                body: join(&bodies, query.route.width, query.route.top),
+                body: join(&bodies, query.route.record_bytes, query.route.max_records),
             })
         }
     };
--- a/crates/core/src/query/forwarded_reply.rs
+++ b/crates/core/src/query/forwarded_reply.rs
@@ -32,7 +32,7 @@
 
     /// Judges a reply. Only a whole success with one stamp that answers just this
     /// dispatch is a part.
-    pub(super) fn of_reply(raw: &LeafReply, form: ServingMode) -> ReplyClass {
+    pub(super) fn of_reply(raw: &LeafReply, serving_mode: ServingMode) -> ReplyClass {
         // Whatever another call's answer says, it says nothing of this one.
         if raw.headers.foreign {
             return ReplyClass::Failed(AttemptFailure::PostmarkMismatch);
@@ -42,7 +42,7 @@
         }
         if raw.headers.rejected {
             // What is wrong with the call itself is wrong elsewhere too.
-            let own = raw.status == 400 && form == ServingMode::PassThrough;
+            let own = raw.status == 400 && serving_mode == ServingMode::PassThrough;
             return if own {
                 ReplyClass::Final
             } else {
@@ -50,7 +50,7 @@
             };
         }
         let good = (200..300).contains(&raw.status);
-        match (good, raw.headers.postmarks.len(), form) {
+        match (good, raw.headers.postmarks.len(), serving_mode) {
             (true, 1, ServingMode::PassThrough) => ReplyClass::Final,
             (true, 1, _) => ReplyClass::Partial,
             (true, 0, _) => ReplyClass::Failed(AttemptFailure::MissingPostmark),
--- a/crates/core/src/query/forwarding.rs
+++ b/crates/core/src/query/forwarding.rs
@@ -56,7 +56,7 @@
             ReplyClass::Failed(why) => {
                 *self.statistics.failures.entry(why).or_default() += 1;
                 query.executed = true;
-                let lost = query.route.once || shard.is_exhausted(&query.route);
+                let lost = query.route.at_most_once || shard.is_exhausted(&query.route);
                 shard.attempt_failed(lost.then_some(RejectionReason::BelowQuorum));
                 if let Ok(raw) = result
                     && why == AttemptFailure::ErrorStatus
@@ -77,7 +77,7 @@
     ) -> ReplyClass {
         let class = match result {
             Err(why) => ReplyClass::without_reply(*why),
-            Ok(raw) => ReplyClass::of_reply(raw, query.route.form),
+            Ok(raw) => ReplyClass::of_reply(raw, query.route.serving_mode),
         };
         // Coverage: the shard is derived, and must be the one that was planned.
         let planned = query.shards[attempt.shard].index;
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -99,7 +99,7 @@
                 .filter(|f| f.ejected == rested && f.preferred == near)
                 .collect();
             if !set.is_empty() {
-                return Choice::Leaf(best(&set, random, route.form).clone());
+                return Choice::Leaf(best(&set, random, route.serving_mode).clone());
             }
         }
         Choice::NoCandidate
@@ -107,8 +107,12 @@
 }
 
 /// The least loaded of a few leafs, or the less loaded of two drawn from many.
-fn best<'a>(set: &[&Candidate<'a>], random: &mut Random, form: ServingMode) -> &'a Arc<LeafInfo> {
-    if set.len() <= SMALL && form != ServingMode::Native {
+fn best<'a>(
+    set: &[&Candidate<'a>],
+    random: &mut Random,
+    serving_mode: ServingMode,
+) -> &'a Arc<LeafInfo> {
+    if set.len() <= SMALL && serving_mode != ServingMode::Native {
         // So few can all be looked at; chance breaks ties.
         let from = random.below(set.len() as u64) as usize;
         let all = set[from..].iter().chain(&set[..from]);
@@ -122,10 +126,12 @@
 }
 
 impl<'a> SelectionContext<'a> {
-    fn open_leafs(&self, pool: &'a CompiledPool, cut: &'a str) -> Vec<&'a Arc<LeafInfo>> {
+    fn open_leafs(&self, pool: &'a CompiledPool, index_version: &'a str) -> Vec<&'a Arc<LeafInfo>> {
         match self.version {
-            VersionChoice::InForce => self.cluster_view.open_leafs(pool, cut).collect(),
-            VersionChoice::Tried => self.cluster_view.open_trial_leafs(pool, cut).collect(),
+            VersionChoice::InForce => self.cluster_view.open_leafs(pool, index_version).collect(),
+            VersionChoice::Tried => {
+                self.cluster_view.open_trial_leafs(pool, index_version).collect()
+            }
         }
     }
 
@@ -133,7 +139,7 @@
     fn candidates(&self, route: &'a Route, shard: usize, tried: &[String]) -> Candidates<'a> {
         let mut found = Candidates::default();
         for pool in &route.shards[shard].pools {
-            for info in self.open_leafs(pool, &route.cut) {
+            for info in self.open_leafs(pool, &route.index_version) {
                 if tried.contains(&info.leaf) {
                     continue;
                 }
@@ -142,15 +148,15 @@
                     continue;
                 }
                 found.any_open = true;
-                let near = route.local && info.zone() == self.zone;
-                let candidate = match pool.steer {
+                let near = route.prefer_local && info.zone() == self.zone;
+                let candidate = match pool.balancing {
                     BalancingMode::LoadAware => {
                         if self.is_held_cold(leaf, info, pool) {
                             continue;
                         }
                         found.healthy |=
                             leaf.connection_limit != Some(0) && leaf.ejected_until <= self.now;
-                        self.by_observed_load(leaf, info, near || !route.local)
+                        self.by_observed_load(leaf, info, near || !route.prefer_local)
                     }
                     BalancingMode::Partitioned => self.by_allocation(leaf, info, pool, near),
                 };
@@ -209,9 +215,11 @@
 
     /// Dispatches that we may have in hand at a leaf.
     pub fn allocation(&self, leaf: &LeafState, pool: &CompiledPool) -> u64 {
-        let rank = if leaf.is_warm(pool.ramp, self.now) { leaf.balanced_rank } else { leaf.rank };
-        let part =
-            self.quota_share.allocation(rank, leaf.capacity(pool.bears, pool.ramp, self.now));
+        let rank =
+            if leaf.is_warm(pool.slow_start, self.now) { leaf.balanced_rank } else { leaf.rank };
+        let part = self
+            .quota_share
+            .allocation(rank, leaf.capacity(pool.leaf_capacity, pool.slow_start, self.now));
         leaf.usable_allocation(part, self.quota_share.own_thread, self.now)
     }
 }
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -26,20 +26,20 @@
     ) -> Result<Query, Rejection> {
         let say = |reason, text: &str| Err(Rejection::new(reason, text));
         self.check_serving(now)?;
-        let Some(route) = self.cluster_view.mappings.get(&request.route).cloned() else {
+        let Some(route) = self.cluster_view.routes.get(&request.route).cloned() else {
             return say(RejectionReason::UnknownRoute, "no search of that name is configured");
         };
-        if route.form != ServingMode::Native {
+        if route.serving_mode != ServingMode::Native {
             return say(RejectionReason::UnknownRoute, "this search is called by host and path");
         }
         self.check_capacity(route.class)?;
         let shards = planned_shards(&route, request.key.as_deref(), &mut self.random)?;
-        let usable = usable(request.timeout, route.promise)?;
+        let usable = usable(request.timeout, route.timeout)?;
         let body =
             question(&route, &request.question, request.key.as_deref(), request.record_limit);
         let times = QueryTimes {
             started_at: now,
-            quorum_suffices_from: now + usable * route.stop_pct / 100,
+            quorum_suffices_from: now + usable * route.quorum_after_pct / 100,
             queue_until: now + usable,
             deadline: now + usable,
         };
@@ -64,9 +64,9 @@
         };
         self.check_capacity(route.class)?;
         let shards = planned_shards(&route, Some(&request.id), &mut self.random)?;
-        let usable = usable(request.timeout.unwrap_or(route.promise), route.promise)?;
+        let usable = usable(request.timeout.unwrap_or(route.timeout), route.timeout)?;
         let (stop, hold) = match route.target {
-            None => (usable * route.stop_pct / 100, usable),
+            None => (usable * route.quorum_after_pct / 100, usable),
             Some(target) => {
                 let keep = (target * consts::TARGET_RESERVE_PCT / 100)
                     .clamp(consts::TARGET_RESERVE_MIN, consts::TARGET_RESERVE_MAX);
@@ -128,7 +128,7 @@
     key: Option<&str>,
     random: &mut Random,
 ) -> Result<Vec<usize>, Rejection> {
-    match (route.send, key) {
+    match (route.fan_out, key) {
         (FanOut::AllShards, _) => Ok((0..route.shards.len()).collect()),
         (FanOut::ByKey, Some(key)) => Ok(vec![shard_of(route, key)]),
         (FanOut::ByWeight, _) => Ok(vec![drawn(route, random)]),
@@ -140,10 +140,10 @@
 }
 
 /// The time that leafs may take, of the budget of a call.
-fn usable(budget: Span, promise: Span) -> Result<Span, Rejection> {
+fn usable(budget: Span, timeout: Span) -> Result<Span, Rejection> {
     let keep = (budget * consts::MERGE_RESERVE_PCT / 100)
         .clamp(consts::MERGE_RESERVE_MIN, consts::MERGE_RESERVE_MAX);
-    match budget.saturating_sub(keep).min(promise) {
+    match budget.saturating_sub(keep).min(timeout) {
         0 => Err(Rejection::new(
             RejectionReason::DeadlineExceeded,
             "the budget leaves no time to ask anyone",
@@ -171,5 +171,5 @@
 
 /// The body of a dispatch for a question under a mapping.
 pub fn question(route: &Route, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
-    crate::http_api::leaf::body(&route.name, &route.cut, question, key, limit)
+    crate::http_api::leaf::body(&route.name, &route.index_version, question, key, limit)
 }
--- a/crates/core/src/query/rejection.rs
+++ b/crates/core/src/query/rejection.rs
@@ -40,8 +40,10 @@
         let lost = query.shards.iter().filter(|s| s.state != ShardState::Answered);
         let soonest = |s: &PlannedShard| {
             let shard = &query.route.shards[s.index];
-            let list =
-                shard.pools.iter().flat_map(|p| self.cluster_view.open_leafs(p, &query.route.cut));
+            let list = shard
+                .pools
+                .iter()
+                .flat_map(|p| self.cluster_view.open_leafs(p, &query.route.index_version));
             let rests = list
                 .filter_map(|i| self.leafs.get(&i.leaf))
                 .map(|leaf| since(now, leaf.ejected_until));
--- a/crates/core/src/query/replies.rs
+++ b/crates/core/src/query/replies.rs
@@ -82,7 +82,7 @@
             leaf: &attempt.leaf,
             attempt: &attempt.id,
             digest: &query.body_digest,
-            index_version: &query.route.cut,
+            index_version: &query.route.index_version,
             record_limit: query.record_limit,
         };
         let records = check(raw, &want)?;
--- a/crates/core/src/query/sending.rs
+++ b/crates/core/src/query/sending.rs
@@ -132,7 +132,7 @@
     /// The end of a dispatch's wait: what such dispatches usually take where that
     /// is learned, else its share of the time left, at least 1 ms.
     fn hedge_time(&self, query: &Query, now: Tick) -> Tick {
-        if query.route.once {
+        if query.route.at_most_once {
             return Tick::MAX;
         }
         if query.forwarded.is_some()
@@ -141,7 +141,8 @@
         {
             return now + wait;
         }
-        now + (since(now, query.deadline) * query.route.wait_pct / 100).max(crate::time::MILLI)
+        now + (since(now, query.deadline) * query.route.hedge_after_pct / 100)
+            .max(crate::time::MILLI)
     }
 
     fn send_attempt(
@@ -179,7 +180,7 @@
             id: format!("{}.{attempt_id}", query.name),
             sent_at: now,
             forwarded: query.forwarded.is_some(),
-            at_most_once: query.route.once,
+            at_most_once: query.route.at_most_once,
             is_abandoned: false,
             is_overtaken: false,
         };
@@ -221,7 +222,7 @@
             body: query.body.clone(),
             timeout: since(now, query.deadline),
             forwarded: query.forwarded.clone(),
-            at_most_once: query.route.once,
+            at_most_once: query.route.at_most_once,
             keep_connection: self
                 .leafs
                 .get(&info.leaf)
--- a/crates/core/src/routing_language/compile.rs
+++ b/crates/core/src/routing_language/compile.rs
@@ -28,62 +28,62 @@
 #[derive(Clone, PartialEq, Debug)]
 pub struct CompiledPlan {
     /// Chooses the pools of the route by their labels.
-    pub sel: Selector,
+    pub selector: Selector,
     /// The label whose values are the shards' names.
-    pub by: String,
+    pub shard_label: String,
     /// Which shards a query is planned for.
-    pub send: FanOut,
+    pub fan_out: FanOut,
     /// Share of the time left that a dispatch may use before a retry, in percent.
-    pub wait_pct: u64,
+    pub hedge_after_pct: u64,
     /// Share of the promise after which a quorum is enough, in percent.
-    pub stop_pct: u64,
+    pub quorum_after_pct: u64,
     /// Leafs of the querier's own zone come first.
-    pub local: bool,
+    pub prefer_local: bool,
 }
 
 /// What the stages of a plan say, each at most once.
 #[derive(Default)]
 struct Plan {
     from: Option<(Selector, String)>,
-    send: Option<FanOut>,
-    wait_pct: Option<u64>,
-    stop_pct: Option<u64>,
-    local: Option<bool>,
+    fan_out: Option<FanOut>,
+    hedge_after_pct: Option<u64>,
+    quorum_after_pct: Option<u64>,
+    prefer_local: Option<bool>,
 }
 
 impl CompiledPlan {
-    /// Compiles the plan that stands at `text_place`; `None` when something is
+    /// Compiles the plan that stands at `text_location`; `None` when something is
     /// wrong with it.
     pub fn compile(
-        text_place: &str,
+        text_location: &str,
         text: &str,
         diagnostics: &mut Diagnostics,
     ) -> Option<CompiledPlan> {
         let before = diagnostics.len();
         let mut plan = Plan::default();
-        for Stage { verb, position } in stages(text_place, text, diagnostics) {
+        for Stage { verb, position } in stages(text_location, text, diagnostics) {
             if plan.set(verb) {
-                diagnostics.report(position.place(text_place), SyntaxError::DuplicateStage);
+                diagnostics.report(position.location(text_location), SyntaxError::DuplicateStage);
             }
         }
         if diagnostics.len() > before {
             return None;
         }
-        let start = TextPosition::START.place(text_place);
+        let start = TextPosition::START.location(text_location);
         if plan.from.is_none() {
             diagnostics.report(start.clone(), SyntaxError::FromMissing);
         }
-        if plan.send.is_none() {
+        if plan.fan_out.is_none() {
             diagnostics.report(start, SyntaxError::SendMissing);
         }
-        let ((sel, by), send) = (plan.from?, plan.send?);
+        let ((selector, shard_label), fan_out) = (plan.from?, plan.fan_out?);
         Some(CompiledPlan {
-            sel,
-            by,
-            send,
-            wait_pct: plan.wait_pct.unwrap_or(WAIT_DEFAULT_PCT),
-            stop_pct: plan.stop_pct.unwrap_or(STOP_DEFAULT_PCT),
-            local: plan.local.unwrap_or(true),
+            selector,
+            shard_label,
+            fan_out,
+            hedge_after_pct: plan.hedge_after_pct.unwrap_or(WAIT_DEFAULT_PCT),
+            quorum_after_pct: plan.quorum_after_pct.unwrap_or(STOP_DEFAULT_PCT),
+            prefer_local: plan.prefer_local.unwrap_or(true),
         })
     }
 }
@@ -95,12 +95,12 @@
             Verb::From { selector, shard_label } => {
                 self.from.replace((selector, shard_label)).is_some()
             }
-            Verb::SendWide => self.send.replace(FanOut::AllShards).is_some(),
-            Verb::SendOne => self.send.replace(FanOut::ByKey).is_some(),
-            Verb::SendWeighed => self.send.replace(FanOut::ByWeight).is_some(),
-            Verb::Wait(percent) => self.wait_pct.replace(percent).is_some(),
-            Verb::Stop(percent) => self.stop_pct.replace(percent).is_some(),
-            Verb::Prefer { local } => self.local.replace(local).is_some(),
+            Verb::SendWide => self.fan_out.replace(FanOut::AllShards).is_some(),
+            Verb::SendOne => self.fan_out.replace(FanOut::ByKey).is_some(),
+            Verb::SendWeighed => self.fan_out.replace(FanOut::ByWeight).is_some(),
+            Verb::Wait(percent) => self.hedge_after_pct.replace(percent).is_some(),
+            Verb::Stop(percent) => self.quorum_after_pct.replace(percent).is_some(),
+            Verb::Prefer { prefer_local } => self.prefer_local.replace(prefer_local).is_some(),
         }
     }
 }
--- a/crates/core/src/routing_language/lexer.rs
+++ b/crates/core/src/routing_language/lexer.rs
@@ -45,9 +45,9 @@
     /// Where a text begins.
     pub const START: TextPosition = TextPosition { line: 1, column: 1 };
 
-    /// The place of this position within the text that stands at `text_place`.
-    pub fn place(self, text_place: &str) -> String {
-        format!("{text_place}:{}:{}", self.line, self.column)
+    /// The place of this position within the text that stands at `text_location`.
+    pub fn location(self, text_location: &str) -> String {
+        format!("{text_location}:{}:{}", self.line, self.column)
     }
 }
 
@@ -60,9 +60,9 @@
     pub position: TextPosition,
 }
 
-/// Splits the text that stands at `text_place` into tokens; what can't be read
+/// Splits the text that stands at `text_location` into tokens; what can't be read
 /// becomes a diagnostic.
-pub fn tokens(text_place: &str, text: &str, diagnostics: &mut Diagnostics) -> Vec<Token> {
+pub fn tokens(text_location: &str, text: &str, diagnostics: &mut Diagnostics) -> Vec<Token> {
     let mut tokens = Vec::new();
     for (row, line) in text.split('\n').enumerate() {
         let mut lexer = LineLexer::new(line);
@@ -70,7 +70,7 @@
             let position = TextPosition { line: row + 1, column };
             match read {
                 Ok(kind) => tokens.push(Token { kind, position }),
-                Err(error) => diagnostics.report(position.place(text_place), error),
+                Err(error) => diagnostics.report(position.location(text_location), error),
             }
         }
         let position = TextPosition { line: row + 1, column: line.chars().count() + 1 };
--- a/crates/core/src/routing_language/parser.rs
+++ b/crates/core/src/routing_language/parser.rs
@@ -35,16 +35,16 @@
     Wait(u64),
     /// `stop at quorum after N%`: share of the promise after which a quorum is enough.
     Stop(u64),
-    /// `prefer local` or `prefer any`.
+    /// `prefer prefer_local` or `prefer any`.
     Prefer {
         /// Leafs of the querier's own zone come first.
-        local: bool,
+        prefer_local: bool,
     },
 }
 
-/// Parses a whole plan, the text that stands at `text_place`.
-pub fn stages(text_place: &str, text: &str, diagnostics: &mut Diagnostics) -> Vec<Stage> {
-    let mut parser = Parser::new(text_place, text, diagnostics);
+/// Parses a whole plan, the text that stands at `text_location`.
+pub fn stages(text_location: &str, text: &str, diagnostics: &mut Diagnostics) -> Vec<Stage> {
+    let mut parser = Parser::new(text_location, text, diagnostics);
     let mut stages = Vec::new();
     while let Some(Token { kind, position }) = parser.tokens.get(parser.next).cloned() {
         if kind == TokenKind::End {
@@ -64,12 +64,16 @@
 
 impl Selector {
     /// Parses a selector that stands alone; an empty text chooses all.
-    pub fn parse(text_place: &str, text: &str, diagnostics: &mut Diagnostics) -> Option<Selector> {
+    pub fn parse(
+        text_location: &str,
+        text: &str,
+        diagnostics: &mut Diagnostics,
+    ) -> Option<Selector> {
         if text.trim().is_empty() {
             return Some(Selector::All);
         }
         let before = diagnostics.len();
-        let mut parser = Parser::new(text_place, text, diagnostics);
+        let mut parser = Parser::new(text_location, text, diagnostics);
         let selector = parser.selector();
         while parser.kind() == Some(&TokenKind::End) {
             parser.next += 1;
@@ -88,14 +92,14 @@
 
 /// A cursor over the tokens of one text.
 struct Parser<'a> {
-    text_place: &'a str,
+    text_location: &'a str,
     tokens: Vec<Token>,
     next: usize,
 }
 
 impl<'a> Parser<'a> {
-    fn new(text_place: &'a str, text: &str, diagnostics: &mut Diagnostics) -> Self {
-        Parser { text_place, tokens: tokens(text_place, text, diagnostics), next: 0 }
+    fn new(text_location: &'a str, text: &str, diagnostics: &mut Diagnostics) -> Self {
+        Parser { text_location, tokens: tokens(text_location, text, diagnostics), next: 0 }
     }
 
     /// What the next token is; none at the end of the text.
@@ -119,7 +123,7 @@
         };
         let (expected, found) = (expected.to_string(), self.kind().cloned());
         let error = SyntaxError::UnexpectedToken { expected, found };
-        Diagnostic::new(position.place(self.text_place), error)
+        Diagnostic::new(position.location(self.text_location), error)
     }
 
     fn name(&mut self, expected: &str) -> Result<String, Diagnostic> {
@@ -170,8 +174,8 @@
             "send" => self.parse_send()?,
             "wait" => Verb::Wait(self.percent()?),
             "stop" => self.parse_stop()?,
-            "prefer" if self.take("local") => Verb::Prefer { local: true },
-            "prefer" if self.take("any") => Verb::Prefer { local: false },
+            "prefer" if self.take("local") => Verb::Prefer { prefer_local: true },
+            "prefer" if self.take("any") => Verb::Prefer { prefer_local: false },
             "prefer" => return Err(self.unexpected("`local` or `any`")),
             _ => {
                 self.next -= 1;
--- a/crates/core/src/snapshot/cluster_view.rs
+++ b/crates/core/src/snapshot/cluster_view.rs
@@ -19,7 +19,7 @@
     /// The checked configuration.
     pub built: Arc<RoutingTable>,
     /// Routes by name, each pinned by the queries that use it.
-    pub mappings: IndexMap<String, Arc<Route>>,
+    pub routes: IndexMap<String, Arc<Route>>,
     /// Routes by host in lower case, those with the longest path first.
     pub hosts: IndexMap<String, Vec<Arc<Route>>>,
     /// Leafs by service, in the order in which they were listed.
@@ -33,13 +33,13 @@
 impl ClusterView {
     /// A view of the configuration of `revision` and of these leafs.
     pub fn new(revision: u64, built: Arc<RoutingTable>, leafs: Vec<LeafInfo>) -> Self {
-        let mappings: IndexMap<_, _> = built
-            .mappings
+        let routes: IndexMap<_, _> = built
+            .routes
             .iter()
             .map(|(name, route)| (name.clone(), Arc::new(route.clone())))
             .collect();
-        let hosts = routes_by_host(&mappings);
-        let mut view = ClusterView { revision, built, mappings, hosts, ..ClusterView::default() };
+        let hosts = routes_by_host(&routes);
+        let mut view = ClusterView { revision, built, routes, hosts, ..ClusterView::default() };
         for leaf in leafs {
             let leaf = Arc::new(leaf);
             view.services.entry(leaf.service.clone()).or_default().push(leaf.clone());
@@ -72,27 +72,27 @@
     pub fn open_leafs<'a>(
         &'a self,
         pool: &'a CompiledPool,
-        cut: &'a str,
+        index_version: &'a str,
     ) -> impl Iterator<Item = &'a Arc<LeafInfo>> {
         let leafs = self.services.get(&pool.service).map_or(&[][..], Vec::as_slice);
-        leafs.iter().filter(move |leaf| self.is_open(leaf, pool, cut))
+        leafs.iter().filter(move |leaf| self.is_open(leaf, pool, index_version))
     }
 
     /// The leafs of a pool's service whose version is tried, and that may get new work.
     pub fn open_trial_leafs<'a>(
         &'a self,
         pool: &'a CompiledPool,
-        cut: &'a str,
+        index_version: &'a str,
     ) -> impl Iterator<Item = &'a Arc<LeafInfo>> {
         let leafs = self.trials.get(&pool.service).map_or(&[][..], |trial| &trial.leafs);
-        leafs.iter().filter(move |leaf| self.is_open(leaf, pool, cut))
+        leafs.iter().filter(move |leaf| self.is_open(leaf, pool, index_version))
     }
 
-    fn is_open(&self, leaf: &LeafInfo, pool: &CompiledPool, cut: &str) -> bool {
+    fn is_open(&self, leaf: &LeafInfo, pool: &CompiledPool, index_version: &str) -> bool {
         !leaf.leaving
             && !self.built.drained.contains(leaf.zone())
-            && leaf.labels.get(INDEX_VERSION_LABEL).is_none_or(|version| version == cut)
-            && pool.sel.matches(&leaf.labels)
+            && leaf.labels.get(INDEX_VERSION_LABEL).is_none_or(|version| version == index_version)
+            && pool.selector.matches(&leaf.labels)
     }
 }
 
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -149,7 +149,7 @@
     let order = ask(cluster, node, "read", Operation::Read);
     match answered(cluster, order) {
         OperationResult::Configuration { entries: map, .. } => {
-            Config::from_entries(&map).unwrap().terms.edition
+            Config::from_entries(&map).unwrap().client_limits.edition
         }
         done => panic!("{done:?}"),
     }
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -28,10 +28,10 @@
 fn a_good_configuration_builds_and_survives_its_stored_form() {
     let conf = Config::from_json(good().as_bytes()).unwrap();
     let built = RoutingTable::build(&conf).unwrap();
-    let map = &built.mappings["notices"];
-    expect_that!(map.cut, eq("w48"));
+    let map = &built.routes["notices"];
+    expect_that!(map.index_version, eq("w48"));
     expect_that!(map.shards.len(), eq(2));
-    expect_that!(map.wait_pct, eq(30));
+    expect_that!(map.hedge_after_pct, eq(30));
     expect_that!(map.quorum, eq(750));
     expect_true!(built.drained.contains("a"));
     let back = Config::from_entries(&conf.to_entries()).unwrap();
@@ -51,7 +51,7 @@
       "zones": [{"name": "a b", "state": "half"}]
     }"#;
     let all = Config::from_json(text.as_bytes()).unwrap_err();
-    let places: Vec<_> = all.iter().map(|f| f.place.as_str()).collect();
+    let places: Vec<_> = all.iter().map(|f| f.location.as_str()).collect();
     for want in [
         "searchs",
         "searches[0].promise_ms",
--- a/crates/core/tests/editions.rs
+++ b/crates/core/tests/editions.rs
@@ -46,7 +46,7 @@
 
 fn stands(o: &mut One) -> (u64, String) {
     let conf = standing(o);
-    (conf.terms.edition, conf.searches.get("r").map_or(String::new(), |s| s.path.clone()))
+    (conf.client_limits.edition, conf.searches.get("r").map_or(String::new(), |s| s.path.clone()))
 }
 
 #[googletest::test]
@@ -152,7 +152,7 @@
     };
     expect_that!(accepted(&operate(&mut o, "z", zone("drained"))), eq(true));
     let conf = standing(&mut o);
-    expect_that!((conf.terms.edition, conf.zones["z"].drained), eq((3, true)));
+    expect_that!((conf.client_limits.edition, conf.zones["z"].drained), eq((3, true)));
     operate(&mut o, "1", whole(3, 4, "/b/"));
     operate(&mut o, "2", patch(4, 5, "/c/"));
     expect_that!(standing(&mut o).zones["z"].drained, eq(true));
@@ -165,7 +165,7 @@
     let conf = standing(&mut o);
     expect_that!(conf.zones.is_empty(), eq(true));
     // It names no edition, so the one that stands remains.
-    expect_that!(conf.terms.edition, eq(5));
+    expect_that!(conf.client_limits.edition, eq(5));
 }
 
 #[googletest::test]
@@ -187,17 +187,17 @@
         "origin": "{\"x\":1}" });
     operate(&mut o, "0", full(terms(0, 2, all)));
     operate(&mut o, "1", patch(2, 4, "/b/"));
-    let t = standing(&mut o).terms;
+    let t = standing(&mut o).client_limits;
     let nums = (t.edition, t.head_max, t.body_max, t.head_wait_ms, t.idle_ms);
     expect_that!(nums, eq((4, 9, 8, 7, 6)));
-    expect_that!(t.origin, eq("{\"x\":1}"));
+    expect_that!(t.original_json, eq("{\"x\":1}"));
     // A part that sets one term sets all of them: the others fall back.
     let val = json!({ "terms": terms(4, 5, json!({ "idle_ms": 60 })) });
     operate(&mut o, "2", Operation::Patch(val.to_string().into_bytes()));
-    let t = standing(&mut o).terms;
+    let t = standing(&mut o).client_limits;
     expect_that!((t.edition, t.idle_ms, t.head_max), eq((5, 60, 0)));
     operate(&mut o, "3", full(terms(5, 6, json!({}))));
-    let t = standing(&mut o).terms;
+    let t = standing(&mut o).client_limits;
     expect_that!((t.edition, t.idle_ms), eq((6, 0)));
     // Terms that can't be read are found with their places.
     let bad = json!({ "terms": { "after": -1, "edition": 7.5, "idle_ms": "x", "more": 1 } });
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -160,13 +160,13 @@
 fn the_entries_of_partitions_are_understood_as_before() {
     let [(configuration, _), (older_orders, _), (services, _)] = partitions();
     let mut expected = stored::configuration();
-    expected.terms = stored::terms(44);
+    expected.client_limits = stored::client_limits(44);
     expected.zones.clear();
     let west = ZoneConfig { name: "west".into(), drained: true };
     expected.zones.insert("west".into(), west);
     expect_that!(Config::from_entries(&newest(&configuration, 0).entries), ok(eq(&expected)));
     let mut expected = stored::configuration();
-    expected.terms = stored::terms(78);
+    expected.client_limits = stored::client_limits(78);
     expect_that!(Config::from_entries(&newest(&older_orders, 0).entries), ok(eq(&expected)));
     let leafs = leafs_in(&newest(&services, 3).entries);
     expect_that!(leafs.into_values().collect::<Vec<_>>(), eq(&stored::leafs()));
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -63,61 +63,61 @@
     let search = SearchConfig {
         name: "books".into(),
         class: PriorityClass::Urgent as i32,
-        promise_ms: 901,
+        timeout_ms: 901,
         quorum: 902,
         attempts: 3,
         plan: "all shards of books".into(),
         host: "books.example".into(),
         path: "/find/".into(),
-        form: ServingMode::Join as i32,
-        once: true,
-        target_ms: 903,
+        serving_mode: ServingMode::Join as i32,
+        at_most_once: true,
+        latency_target_ms: 903,
         rank: 904,
-        width: 905,
-        top: 906,
+        record_bytes: 905,
+        max_records: 906,
         weights: BTreeMap::from([("one".into(), 907), ("two".into(), 908)]),
-        origin: r#"{"name":"books"}"#.into(),
-        place: 909,
-        needs: vec!["main".into(), "spare".into()],
+        original_json: r#"{"name":"books"}"#.into(),
+        list_index: 909,
+        required_pools: vec!["main".into(), "spare".into()],
     };
     let pool = PoolConfig {
         name: "main".into(),
         service: "books-leafs".into(),
         selector: "tier = hot".into(),
         labels: BTreeMap::from([("region".into(), "north".into()), ("shard".into(), "1".into())]),
-        bears: 911,
-        ramp_ms: 912,
-        steer: BalancingMode::LoadAware as i32,
+        leaf_capacity: 911,
+        slow_start_ms: 912,
+        balancing: BalancingMode::LoadAware as i32,
         connections: 913,
         cold_rate: 914,
-        origin: r#"{"name":"main"}"#.into(),
-        place: 915,
+        original_json: r#"{"name":"main"}"#.into(),
+        list_index: 915,
     };
     let zone = ZoneConfig { name: "east".into(), drained: true };
     Config {
         searches: BTreeMap::from([(search.name.clone(), search)]),
         pools: BTreeMap::from([(pool.name.clone(), pool)]),
         zones: BTreeMap::from([(zone.name.clone(), zone)]),
-        terms: terms(41),
-        turn: ChangeHeader::default(),
+        client_limits: client_limits(41),
+        change_header: ChangeHeader::default(),
         keep_zones: false,
     }
 }
 
 /// Terms of which every field says something.
-pub fn terms(edition: u64) -> ClientLimits {
+pub fn client_limits(edition: u64) -> ClientLimits {
     ClientLimits {
         edition,
         head_max: 921,
         body_max: 922,
         head_wait_ms: 923,
         idle_ms: 924,
-        origin: r#"{"terms":{}}"#.into(),
+        original_json: r#"{"terms":{}}"#.into(),
     }
 }
 
 fn set_edition(map: &mut EntryMap, edition: u64) {
-    map.insert("terms".into(), terms(edition).encode_to_vec());
+    map.insert("terms".into(), client_limits(edition).encode_to_vec());
 }
 
 /// The member that was forgotten, and its process.
@@ -186,7 +186,7 @@
     accept(&mut map, &third);
     let newer = copy(third.revision, &map);
     let mut changed = remember(&map, &fourth.fingerprint(), fourth.revision, fourth.edition);
-    changed.push(("terms".into(), Some(terms(fourth.edition).encode_to_vec())));
+    changed.push(("terms".into(), Some(client_limits(fourth.edition).encode_to_vec())));
     let removed = vec![("zone/east".into(), None), ("zone/west".into(), Some(zone_west()))];
     let records = vec![
         LogRecord::Change { term: TERM, revision: fourth.revision, entries: changed },
@@ -246,7 +246,7 @@
     let changed = vec![
         (legacy_entry(&dropped_legacy_order()).0, None),
         (key, Some(value)),
-        ("terms".into(), Some(terms(LEGACY_EDITION + 1).encode_to_vec())),
+        ("terms".into(), Some(client_limits(LEGACY_EDITION + 1).encode_to_vec())),
     ];
     let records = vec![
         LogRecord::Vote { term: PROMISED_LATER },
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -76,8 +76,8 @@
 }
 
 fn set_edition(map: &mut EntryMap, edition: u64) {
-    let terms = ClientLimits { edition, ..ClientLimits::default() };
-    map.insert("terms".into(), terms.encode_to_vec());
+    let client_limits = ClientLimits { edition, ..ClientLimits::default() };
+    map.insert("terms".into(), client_limits.encode_to_vec());
 }
 
 fn entry_bytes(entries: &[Entry]) -> usize {
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -69,9 +69,9 @@
         let entries = remember(&copy.entries, &print, base + 1, base + 1);
         apply_entries(&mut copy.entries, &entries);
     }
-    let terms =
+    let client_limits =
         grebepath_core::config::types::ClientLimits { edition: ACCEPTED, ..Default::default() };
-    copy.entries.insert("terms".into(), prost::Message::encode_to_vec(&terms));
+    copy.entries.insert("terms".into(), prost::Message::encode_to_vec(&client_limits));
     copy.revision = ACCEPTED;
     for node in &mut c.nodes {
         let promised = node.disk.kept[&CONFIG].current_term;
@@ -277,7 +277,7 @@
     told.sort_by_key(|done| !matches!(done, OperationResult::Accepted { .. }));
     expect_that!(told[0], matches_pattern!(OperationResult::Accepted { revision: eq(&2), .. }));
     expect_that!(told[1], matches_pattern!(OperationResult::Invalid(_)));
-    let edition = read_back(&mut c, 2).map(|conf| conf.terms.edition);
+    let edition = read_back(&mut c, 2).map(|conf| conf.client_limits.edition);
     expect_that!(edition, some(any!(eq(2), eq(9))));
 }
 
--- a/crates/core/tests/order_schedules.rs
+++ b/crates/core/tests/order_schedules.rs
@@ -54,7 +54,7 @@
 /// The orders that a configuration holds, and its edition.
 fn edition(map: &grebepath_core::protocol::replica::EntryMap) -> (BTreeSet<String>, u64) {
     let conf = Config::from_entries(map).unwrap();
-    (conf.zones.keys().cloned().collect(), conf.terms.edition)
+    (conf.zones.keys().cloned().collect(), conf.client_limits.edition)
 }
 
 /// The highest edition that some operator was told of.
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -78,11 +78,13 @@
         versions.split_leafs(services().flat_map(|map| leafs_in(map).into_values()).collect());
     let view = ClusterView::new(config.committed_revision, Arc::new(built), leafs.in_force);
     let mut out = Vec::new();
-    for map in view.mappings.values() {
+    for map in view.routes.values() {
         let bare: Vec<&str> = map
             .shards
             .iter()
-            .filter(|s| s.pools.iter().all(|p| view.open_leafs(p, &map.cut).next().is_none()))
+            .filter(|s| {
+                s.pools.iter().all(|p| view.open_leafs(p, &map.index_version).next().is_none())
+            })
             .map(|s| s.name.as_str())
             .collect();
         if !bare.is_empty() {
--- a/crates/server/src/controller/order.rs
+++ b/crates/server/src/controller/order.rs
@@ -51,8 +51,8 @@
 /// What a change says of itself, if it can be read.
 fn change_header(operation: &Operation) -> Option<ChangeHeader> {
     match operation {
-        Operation::Replace(text) => Config::from_json(text).ok().map(|config| config.turn),
-        Operation::Patch(text) => Patch::from_json(text).ok().map(|patch| patch.set.turn),
+        Operation::Replace(text) => Config::from_json(text).ok().map(|config| config.change_header),
+        Operation::Patch(text) => Patch::from_json(text).ok().map(|patch| patch.set.change_header),
         Operation::StartRollout(_) | Operation::AbortRollout(_) => Some(ChangeHeader::default()),
         Operation::Read
         | Operation::Status
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -26,7 +26,7 @@
 
 /// The plan of a mapping, and of a key's lookup.
 pub fn plan(m: &Route, key: Option<&str>) -> Value {
-    let planned: Vec<usize> = match (m.send, key) {
+    let planned: Vec<usize> = match (m.fan_out, key) {
         (FanOut::ByKey, Some(key)) => vec![shard_of(m, key)],
         _ => (0..m.shards.len()).collect(),
     };
@@ -38,8 +38,8 @@
                 .pools
                 .iter()
                 .map(|p| {
-                    json!({ "pool": p.name, "service": p.service, "bears": p.bears,
-                            "ramp_ms": p.ramp / MILLI })
+                    json!({ "pool": p.name, "service": p.service, "bears": p.leaf_capacity,
+                            "ramp_ms": p.slow_start / MILLI })
                 })
                 .collect();
             json!({ "shard": s.name, "pools": pools })
@@ -47,10 +47,10 @@
         .collect();
     json!({
         "search": m.name, "class": m.class.word(),
-        "cut": m.cut, "send": if m.send == FanOut::AllShards { "wide" } else { "one by key" },
-        "promise_ms": m.promise / MILLI, "attempts": m.attempts,
-        "wait_pct": m.wait_pct, "stop_pct": m.stop_pct,
-        "prefer": if m.local { "local" } else { "any" },
+        "cut": m.index_version, "send": if m.fan_out == FanOut::AllShards { "wide" } else { "one by key" },
+        "promise_ms": m.timeout / MILLI, "attempts": m.attempts,
+        "wait_pct": m.hedge_after_pct, "stop_pct": m.quorum_after_pct,
+        "prefer": if m.prefer_local { "local" } else { "any" },
         "planned": planned.len(), "needed": m.required_shards(planned.len()), "shards": shards,
     })
 }
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -85,9 +85,9 @@
         Verb::Check { file } => {
             let (_, built) = checked(args, &read_file(file)?)?;
             if args.json {
-                println!("{}", json!({ "searches": built.mappings.len() }));
+                println!("{}", json!({ "searches": built.routes.len() }));
             } else {
-                println!("good: {} searches", built.mappings.len());
+                println!("good: {} searches", built.routes.len());
             }
             Ok(EXIT_OK)
         }
@@ -151,8 +151,8 @@
             })?
         }
     };
-    let Some(route) = built.mappings.get(search) else {
-        let known: Vec<_> = built.mappings.keys().map(String::as_str).collect();
+    let Some(route) = built.routes.get(search) else {
+        let known: Vec<_> = built.routes.keys().map(String::as_str).collect();
         let text = format!("no search `{search}`; known are {}", known.join(", "));
         return Err(Failure::not_applied(text));
     };
--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -210,21 +210,21 @@
             Event::CallerGone { call } => {
                 self.waiting.remove(call);
             }
-            Event::ClusterView(view) => self.set_limits(&view.built.terms),
+            Event::ClusterView(view) => self.set_limits(&view.built.client_limits),
             _ => {}
         }
     }
 
     /// Holds callers to what the configuration allows them; zero stands for our default.
-    fn set_limits(&self, terms: &ClientLimits) {
+    fn set_limits(&self, client_limits: &ClientLimits) {
         let default = ListenerLimits::default();
         let size = |bytes: u64, default| if bytes > 0 { bytes as usize } else { default };
         let time = |millis: u64, default| if millis > 0 { duration(ms(millis)) } else { default };
         self.forwarding.limits.set(ListenerLimits {
-            head_max: size(terms.head_max, default.head_max),
-            body_max: size(terms.body_max, default.body_max),
-            head_wait: time(terms.head_wait_ms, default.head_wait),
-            idle: time(terms.idle_ms, default.idle),
+            head_max: size(client_limits.head_max, default.head_max),
+            body_max: size(client_limits.body_max, default.body_max),
+            head_wait: time(client_limits.head_wait_ms, default.head_wait),
+            idle: time(client_limits.idle_ms, default.idle),
         });
     }
 
--- a/crates/simulator/src/scale_model/memory.rs
+++ b/crates/simulator/src/scale_model/memory.rs
@@ -51,7 +51,7 @@
     let shard = |s: &grebepath_core::config::route::RouteShard| {
         text(&s.name) + TEXT + s.pools.iter().map(pool).sum::<usize>()
     };
-    b.mappings.values().map(|m| m.shards.iter().map(shard).sum::<usize>()).sum()
+    b.routes.values().map(|m| m.shards.iter().map(shard).sum::<usize>()).sum()
 }
 
 fn view(v: &ClusterView) -> usize {
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -185,7 +185,7 @@
     let config = Config::from_entries(map).ok()?;
     let state = |drained| if drained { "drained" } else { "open" }.to_string();
     let zones = config.zones.values().map(|z| (z.name.clone(), state(z.drained))).collect();
-    Some((zones, config.terms.edition))
+    Some((zones, config.client_limits.edition))
 }
 
 /// Notes answers in the history.
--- a/crates/simulator/tests/scale_model.rs
+++ b/crates/simulator/tests/scale_model.rs
@@ -68,7 +68,7 @@
     let conf = topology::config(5_300).to_string();
     let conf = Config::from_json(conf.as_bytes()).unwrap();
     let built = RoutingTable::build(&conf).unwrap();
-    expect_that!(built.mappings["wide"].shards.len(), eq(1_300));
+    expect_that!(built.routes["wide"].shards.len(), eq(1_300));
     let w = World::new(Size { members: 3, leafs: 30 }, 1);
     let (list, wrong) = grebepath_core::http_api::list::read(w.list.as_bytes()).unwrap();
     expect_that!(list.len(), eq(30));
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -135,7 +135,7 @@
         {"at_s": 2, "do": "kill-seat", "which": 3}, {"at_s": 2, "do": "heal", "ms": 3},
         {"at_s": 3, "do": "cut", "a": ["q9"], "b": ["all"]}]}"#;
     let all = read(text.as_bytes(), &common::load).err().unwrap();
-    let places: Vec<&str> = all.iter().map(|f| f.place.as_str()).collect();
+    let places: Vec<&str> = all.iter().map(|f| f.location.as_str()).collect();
     for want in [
         "seconds",
         "speed",
