--- a/crates/core/src/config/build.rs
+++ b/crates/core/src/config/build.rs
@@ -96,7 +96,7 @@
     let name = &search.name;
     if search.timeout_ms == 0 {
         let location = format!("searches[{name}].promise_ms");
-        diagnostics.report(location, ConsistencyError::ZeroPromise);
+        diagnostics.report(location, ConsistencyError::ZeroTimeout);
     }
     for pool in search.required_pools.iter().filter(|pool| !conf.pools.contains_key(*pool)) {
         let error = ConsistencyError::UnknownPool { pool: pool.clone() };
--- a/crates/core/src/config/change.rs
+++ b/crates/core/src/config/change.rs
@@ -19,7 +19,7 @@
         self.set_pools(&patch.set);
         self.zones.extend(patch.set.zones.clone());
         self.change_header = patch.set.change_header.clone();
-        self.with_terms_of_change()
+        self.with_changed_limits()
     }
 
     /// Sets searches: a replaced one keeps its place in the operators' list, a
@@ -56,11 +56,11 @@
         }
         new.client_limits =
             ClientLimits { edition: self.client_limits.edition, ..ClientLimits::default() };
-        new.with_terms_of_change()
+        new.with_changed_limits()
     }
 
     /// Applies what a change says of the edition and the limits.
-    fn with_terms_of_change(mut self) -> Config {
+    fn with_changed_limits(mut self) -> Config {
         if let Some(client_limits) = self.change_header.client_limits.take() {
             self.client_limits =
                 ClientLimits { edition: self.client_limits.edition, ..client_limits };
--- a/crates/core/src/config/consistency_error.rs
+++ b/crates/core/src/config/consistency_error.rs
@@ -6,7 +6,7 @@
 pub enum ConsistencyError {
     /// A search promises an outcome within no time.
     #[error("must be above zero")]
-    ZeroPromise,
+    ZeroTimeout,
     /// A search needs a pool that is not there.
     #[error("there is no pool `{pool}`")]
     UnknownPool {
--- a/crates/core/src/config/field_error.rs
+++ b/crates/core/src/config/field_error.rs
@@ -4,7 +4,7 @@
 
 /// Longest name of anything, in bytes: enough for the platforms' own names,
 /// and short enough that names may travel with every heartbeat.
-pub const NAME_LIMIT: usize = 128;
+pub const MAX_NAME_BYTES: usize = 128;
 
 /// What is wrong with a text of JSON or with one of its fields. The place
 /// stands in the diagnostic that carries this.
@@ -33,7 +33,7 @@
     },
     /// A word is none of those that the field knows.
     #[error("`{found}` is not one of {}", .known.join(", "))]
-    UnknownWord {
+    UnknownValue {
         /// The word that stands there.
         found: String,
         /// The words that the field knows.
@@ -52,7 +52,7 @@
     #[error("must not be empty")]
     Empty,
     /// A name is too long or has other characters than a name may have.
-    #[error("a name has 1 to {} letters, digits, `-`, `_` or `.`", NAME_LIMIT)]
+    #[error("a name has 1 to {} letters, digits, `-`, `_` or `.`", MAX_NAME_BYTES)]
     InvalidName {
         /// The name that stands there.
         found: String,
--- a/crates/core/src/config/object_reader.rs
+++ b/crates/core/src/config/object_reader.rs
@@ -5,7 +5,7 @@
 
 use serde_json::{Map, Value};
 
-use super::field_error::{FieldError, NAME_LIMIT};
+use super::field_error::{FieldError, MAX_NAME_BYTES};
 use crate::diagnostic::Diagnostics;
 
 /// One JSON object being read: which fields were asked for, and the diagnostics.
@@ -84,7 +84,7 @@
     pub(super) fn name(&mut self, key: &'static str) -> String {
         let name = self.required_text(key);
         let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        let valid = (1..=NAME_LIMIT).contains(&name.len()) && name.chars().all(fits);
+        let valid = (1..=MAX_NAME_BYTES).contains(&name.len()) && name.chars().all(fits);
         if !valid && self.map.get(key).is_some_and(Value::is_string) {
             self.report(key, FieldError::InvalidName { found: name.clone() });
         }
@@ -158,7 +158,7 @@
     }
 
     /// The same for a field that must stand.
-    pub(super) fn required_word<T: Copy>(
+    pub(super) fn required_enum<T: Copy>(
         &mut self,
         key: &'static str,
         meanings: &[(&'static str, T)],
@@ -176,7 +176,7 @@
             return *meaning;
         }
         let known = meanings.iter().map(|(word, _)| *word).collect();
-        self.report(key, FieldError::UnknownWord { found, known });
+        self.report(key, FieldError::UnknownValue { found, known });
         default
     }
 
--- a/crates/core/src/config/read_objects.rs
+++ b/crates/core/src/config/read_objects.rs
@@ -150,6 +150,6 @@
 /// Reads a zone, with its name.
 pub(super) fn zone(reader: &mut ObjectReader) -> (String, ZoneConfig) {
     let name = reader.name("name");
-    let drained = reader.required_word("state", &[("open", false), ("drained", true)]);
+    let drained = reader.required_enum("state", &[("open", false), ("drained", true)]);
     (name.clone(), ZoneConfig { name, drained })
 }
--- a/crates/core/src/http_api/caller.rs
+++ b/crates/core/src/http_api/caller.rs
@@ -9,7 +9,7 @@
 /// Header with the time the caller will wait, in milliseconds.
 pub const BUDGET: &str = "budget-ms";
 /// Header with the count of planned shards that the answer leaves out.
-pub const MISSING_PARTS: &str = "missing-parts";
+pub const MISSING_SHARDS: &str = "missing-parts";
 /// Header that tells a bounced caller when to come back, in seconds.
 pub const RETRY_AFTER: &str = "retry-after";
 
--- a/crates/core/src/http_api/leaf.rs
+++ b/crates/core/src/http_api/leaf.rs
@@ -30,9 +30,9 @@
 /// Reply header: `leaving` when the leaf wants no new work.
 pub const LEAF_STATE: &str = "leaf-state";
 /// Reply header: the cut of the index that the leaf holds.
-pub const CUT: &str = "cut";
+pub const INDEX_VERSION: &str = "cut";
 /// Reply header on a request that was turned away before it ran.
-pub const UNRUN: &str = "unrun";
+pub const REJECTED: &str = "unrun";
 /// Status of a leaf that is not the one expected.
 pub const MISDIRECTED: u16 = 421;
 
@@ -131,7 +131,7 @@
 }
 
 /// What the leaf says of itself, read leniently: it is advice, not proof.
-pub fn self_word(heads: &ReplyHeaders) -> SelfReport {
+pub fn self_report(heads: &ReplyHeaders) -> SelfReport {
     let busy = heads.busy.as_ref().and_then(|b| b.trim().parse::<f64>().ok());
     SelfReport {
         busy_permille: busy.filter(|b| b.is_finite()).map(|b| (b.clamp(0.0, 1.0) * 1000.0) as u32),
--- a/crates/core/src/http_api/rollout.rs
+++ b/crates/core/src/http_api/rollout.rs
@@ -47,12 +47,12 @@
 }
 
 /// The names in our own form.
-const OWN_FIELDS: OrderFields =
+const NATIVE_FIELDS: OrderFields =
     OrderFields { service: "service", target: "version", term_s: "over_s" };
 
 /// Reads an order in our own form.
 pub fn read_order(body: &[u8]) -> Result<RolloutOrder, RolloutBodyError> {
-    read_order_with(body, &OWN_FIELDS)
+    read_order_with(body, &NATIVE_FIELDS)
 }
 
 /// Reads an order whose fields have these names.
--- a/crates/core/src/query/replies.rs
+++ b/crates/core/src/query/replies.rs
@@ -6,7 +6,7 @@
 use super::event::Command;
 use super::planned_query::{Query, ShardState};
 use super::request::{Record, RejectionReason};
-use crate::http_api::leaf::{AttemptFailure, ExpectedReply, LeafReply, check, self_word};
+use crate::http_api::leaf::{AttemptFailure, ExpectedReply, LeafReply, check, self_report};
 use crate::protocol::message::LeafReport;
 use crate::time::Tick;
 
@@ -112,7 +112,7 @@
         if gone {
             leaf.draining = true;
         } else {
-            leaf.apply_self_report(&self_word(&raw.headers), now);
+            leaf.apply_self_report(&self_report(&raw.headers), now);
             if let Some(load) = raw.headers.load {
                 leaf.record_reported_load(load);
             }
--- a/crates/core/src/routing_language/compile.rs
+++ b/crates/core/src/routing_language/compile.rs
@@ -95,9 +95,9 @@
             Verb::From { selector, shard_label } => {
                 self.from.replace((selector, shard_label)).is_some()
             }
-            Verb::SendWide => self.fan_out.replace(FanOut::AllShards).is_some(),
-            Verb::SendOne => self.fan_out.replace(FanOut::ByKey).is_some(),
-            Verb::SendWeighed => self.fan_out.replace(FanOut::ByWeight).is_some(),
+            Verb::SendAll => self.fan_out.replace(FanOut::AllShards).is_some(),
+            Verb::SendByKey => self.fan_out.replace(FanOut::ByKey).is_some(),
+            Verb::SendByWeight => self.fan_out.replace(FanOut::ByWeight).is_some(),
             Verb::Wait(percent) => self.hedge_after_pct.replace(percent).is_some(),
             Verb::Stop(percent) => self.quorum_after_pct.replace(percent).is_some(),
             Verb::Prefer { prefer_local } => self.prefer_local.replace(prefer_local).is_some(),
--- a/crates/core/src/routing_language/lexer.rs
+++ b/crates/core/src/routing_language/lexer.rs
@@ -15,7 +15,7 @@
     /// A number that ends in a percent sign.
     Percent(u64),
     /// An operator, a bracket or a comma.
-    Sign(&'static str),
+    Symbol(&'static str),
     /// End of a stage: a line end or `;`.
     End,
 }
@@ -26,7 +26,7 @@
             TokenKind::Name(name) => write!(f, "`{name}`"),
             TokenKind::Text(text) => write!(f, "\"{text}\""),
             TokenKind::Percent(number) => write!(f, "{number}%"),
-            TokenKind::Sign(sign) => write!(f, "`{sign}`"),
+            TokenKind::Symbol(sign) => write!(f, "`{sign}`"),
             TokenKind::End => write!(f, "the end of the stage"),
         }
     }
@@ -154,6 +154,6 @@
             ';' => return Ok(TokenKind::End),
             other => return Err(SyntaxError::UnexpectedCharacter(other)),
         };
-        Ok(TokenKind::Sign(sign))
+        Ok(TokenKind::Symbol(sign))
     }
 }
--- a/crates/core/src/routing_language/parser.rs
+++ b/crates/core/src/routing_language/parser.rs
@@ -26,11 +26,11 @@
         shard_label: String,
     },
     /// `send wide`: to every shard.
-    SendWide,
+    SendAll,
     /// `send one by key`: to the shard of the caller's key.
-    SendOne,
+    SendByKey,
     /// `send one by weight`: to a shard drawn by weight.
-    SendWeighed,
+    SendByWeight,
     /// `wait N%`: share of the time left before a retry.
     Wait(u64),
     /// `stop at quorum after N%`: share of the promise after which a quorum is enough.
@@ -161,7 +161,7 @@
     fn take(&mut self, word: &str) -> bool {
         let is_next = match self.kind() {
             Some(TokenKind::Name(name)) => name == word,
-            Some(TokenKind::Sign(sign)) => *sign == word,
+            Some(TokenKind::Symbol(sign)) => *sign == word,
             _ => false,
         };
         self.next += usize::from(is_next);
@@ -196,17 +196,17 @@
 
     fn parse_send(&mut self) -> Result<Verb, Diagnostic> {
         if self.take("wide") {
-            return Ok(Verb::SendWide);
+            return Ok(Verb::SendAll);
         }
         if !self.take("one") {
             return Err(self.unexpected("`wide` or `one by key`"));
         }
         self.expect("by")?;
         if self.take("weight") {
-            return Ok(Verb::SendWeighed);
+            return Ok(Verb::SendByWeight);
         }
         self.expect("key")?;
-        Ok(Verb::SendOne)
+        Ok(Verb::SendByKey)
     }
 
     fn parse_stop(&mut self) -> Result<Verb, Diagnostic> {
@@ -246,10 +246,10 @@
         }
         let label = self.name("a label's name, `not` or `(`")?;
         if self.take("=") {
-            return Ok(Selector::Is(label, self.text()?));
+            return Ok(Selector::Equals(label, self.text()?));
         }
         if self.take("!=") {
-            return Ok(Selector::Not(Box::new(Selector::Is(label, self.text()?))));
+            return Ok(Selector::Not(Box::new(Selector::Equals(label, self.text()?))));
         }
         if !self.take("in") {
             return Err(self.unexpected("`=`, `!=` or `in`"));
--- a/crates/core/src/routing_language/selector.rs
+++ b/crates/core/src/routing_language/selector.rs
@@ -12,7 +12,7 @@
     /// Chooses everything.
     All,
     /// The label has this value.
-    Is(String, String),
+    Equals(String, String),
     /// The inner selector does not match.
     Not(Box<Selector>),
     /// The label has one of these values.
@@ -28,7 +28,7 @@
     pub fn matches(&self, labels: &Labels) -> bool {
         match self {
             Selector::All => true,
-            Selector::Is(label, value) => labels.get(label) == Some(value),
+            Selector::Equals(label, value) => labels.get(label) == Some(value),
             Selector::Not(inner) => !inner.matches(labels),
             Selector::In(label, values) => {
                 labels.get(label).is_some_and(|value| values.contains(value))
--- a/crates/core/src/storage/damage.rs
+++ b/crates/core/src/storage/damage.rs
@@ -21,7 +21,7 @@
     },
     /// The log's mark, partition or checksum is wrong.
     #[error("the log's head is broken")]
-    LogHead,
+    LogHeader,
     /// The log needs a slot, and none is whole.
     #[error("a log stands, but no slot can be read")]
     NoSlot,
--- a/crates/core/src/storage/format.rs
+++ b/crates/core/src/storage/format.rs
@@ -3,4 +3,4 @@
 /// Version of the files on disk; another one is reported, never read.
 pub const DISK_VERSION: u16 = 1;
 /// Largest record or slot body a disk may claim to hold (bytes).
-pub const RECORD_LIMIT: u32 = 64 * 1024 * 1024;
+pub const MAX_RECORD_BYTES: u32 = 64 * 1024 * 1024;
--- a/crates/core/src/storage/reader.rs
+++ b/crates/core/src/storage/reader.rs
@@ -4,15 +4,16 @@
 use crate::protocol::message_shapes::{LOG_RECORD, REPLICA_STATE};
 use crate::protocol::shape::decode;
 use crate::storage::damage::Damage;
-use crate::storage::format::{DISK_VERSION, RECORD_LIMIT};
+use crate::storage::format::{DISK_VERSION, MAX_RECORD_BYTES};
 use crate::storage::record::{LogRecord, ReplicaState};
 use crate::storage::writer::{
-    LOG_HEAD, LOG_MARK, RECORD_END, RECORD_HEAD, SLOT_HEAD, SLOT_MARK, record_checksum,
+    LOG_HEADER_BYTES, LOG_MAGIC, RECORD_END_MARKER, RECORD_HEADER_BYTES, SLOT_HEADER_BYTES,
+    SLOT_MAGIC, record_checksum,
 };
 
 /// Most records that a broken one is taken to stand before (count): a number beyond
 /// that is not one of this log.
-const RECORDS_AHEAD: u32 = 1_000_000;
+const MAX_RECORDS_AHEAD: u32 = 1_000_000;
 
 /// What the files of a partition hold.
 #[derive(Debug, PartialEq)]
@@ -75,7 +76,7 @@
     /// A write that never ended.
     Torn,
     /// What was whole once has been changed since.
-    Flipped,
+    Corrupted,
 }
 
 /// Reads the files of a partition; each may be absent.
@@ -126,8 +127,9 @@
 
 /// A slot's state with its log applied.
 fn with_log(sequence: u64, mut state: ReplicaState, log: &[u8]) -> Result<StoredReplica, Damage> {
-    let Records { count, bytes, is_torn } = apply_records(sequence, &log[LOG_HEAD..], &mut state)?;
-    let log_bytes = (LOG_HEAD + bytes) as u64;
+    let Records { count, bytes, is_torn } =
+        apply_records(sequence, &log[LOG_HEADER_BYTES..], &mut state)?;
+    let log_bytes = (LOG_HEADER_BYTES + bytes) as u64;
     Ok(StoredReplica::Intact { state, sequence, records: count, log_bytes, is_torn })
 }
 
@@ -148,7 +150,7 @@
 }
 
 fn read_slot(partition: u32, raw: &[u8]) -> Result<Slot, SlotError> {
-    if raw.len() < SLOT_HEAD || raw[..6] != SLOT_MARK {
+    if raw.len() < SLOT_HEADER_BYTES || raw[..6] != SLOT_MAGIC {
         return Err(SlotError::Broken);
     }
     let version = u16::from_le_bytes([raw[6], raw[7]]);
@@ -156,10 +158,11 @@
         return Err(SlotError::Version(version));
     }
     let (length, checksum) = (u32_at(raw, 20), u32_at(raw, 24));
-    if u32_at(raw, 8) != partition || length > RECORD_LIMIT {
+    if u32_at(raw, 8) != partition || length > MAX_RECORD_BYTES {
         return Err(SlotError::Broken);
     }
-    let body = raw.get(SLOT_HEAD..SLOT_HEAD + length as usize).ok_or(SlotError::Broken)?;
+    let body =
+        raw.get(SLOT_HEADER_BYTES..SLOT_HEADER_BYTES + length as usize).ok_or(SlotError::Broken)?;
     let mut hash = crc32fast::Hasher::new();
     hash.update(&raw[..24]);
     hash.update(body);
@@ -172,15 +175,15 @@
 
 /// The sequence number of the slot that a log follows, if the log was begun.
 fn log_sequence(partition: u32, log: Option<&[u8]>) -> Result<Option<u64>, Damage> {
-    let Some(raw) = log.filter(|raw| raw.len() >= LOG_HEAD) else { return Ok(None) };
+    let Some(raw) = log.filter(|raw| raw.len() >= LOG_HEADER_BYTES) else { return Ok(None) };
     let found = u16::from_le_bytes([raw[6], raw[7]]);
-    let has_mark = raw[..6] == LOG_MARK;
+    let has_mark = raw[..6] == LOG_MAGIC;
     if has_mark && found != DISK_VERSION {
         return Err(Damage::LogVersion { found });
     }
     let is_sound = crc32fast::hash(&raw[..20]) == u32_at(raw, 20);
     if !has_mark || u32_at(raw, 8) != partition || !is_sound {
-        return Err(Damage::LogHead);
+        return Err(Damage::LogHeader);
     }
     Ok(Some(u64_at(raw, 12)))
 }
@@ -191,7 +194,7 @@
     while bytes < raw.len() {
         let (record, end) = match parse_record(sequence, number, raw, bytes) {
             Parsed::Record(record, end) => (record, end),
-            Parsed::Flipped => return Err(Damage::RecordChanged { number }),
+            Parsed::Corrupted => return Err(Damage::RecordChanged { number }),
             // Torn, unless a whole record of this log stands behind it.
             Parsed::Torn if has_later_record(sequence, number, raw, bytes + 1) => {
                 return Err(Damage::RecordBroken { number });
@@ -208,28 +211,28 @@
 }
 
 fn parse_record(sequence: u64, number: u32, raw: &[u8], at: usize) -> Parsed {
-    if raw.len() < at + RECORD_HEAD {
+    if raw.len() < at + RECORD_HEADER_BYTES {
         return Parsed::Torn;
     }
-    let head = &raw[at..at + RECORD_HEAD];
+    let head = &raw[at..at + RECORD_HEADER_BYTES];
     if crc32fast::hash(&head[..12]) != u32_at(head, 12) || u32_at(head, 4) != number {
         // A torn write leaves zeros behind what it reached; a whole record
         // would end in its mark.
         let is_torn = raw.last() == Some(&0);
-        return if is_torn { Parsed::Torn } else { Parsed::Flipped };
+        return if is_torn { Parsed::Torn } else { Parsed::Corrupted };
     }
     let length = u32_at(head, 0);
-    let end = at + RECORD_HEAD + length as usize;
-    if length > RECORD_LIMIT || end >= raw.len() || raw[end] == 0 {
+    let end = at + RECORD_HEADER_BYTES + length as usize;
+    if length > MAX_RECORD_BYTES || end >= raw.len() || raw[end] == 0 {
         return Parsed::Torn;
     }
-    let body = &raw[at + RECORD_HEAD..end];
-    if raw[end] != RECORD_END || record_checksum(sequence, number, body) != u32_at(head, 8) {
-        return Parsed::Flipped;
+    let body = &raw[at + RECORD_HEADER_BYTES..end];
+    if raw[end] != RECORD_END_MARKER || record_checksum(sequence, number, body) != u32_at(head, 8) {
+        return Parsed::Corrupted;
     }
     match decode::<LogRecord>(&LOG_RECORD, body) {
         Ok(record) => Parsed::Record(record, end + 1),
-        Err(_) => Parsed::Flipped,
+        Err(_) => Parsed::Corrupted,
     }
 }
 
@@ -238,10 +241,10 @@
     let is_later = |at: usize| {
         let later = u32_at(raw, at + 4);
         later > number
-            && later - number < RECORDS_AHEAD
+            && later - number < MAX_RECORDS_AHEAD
             && matches!(parse_record(sequence, later, raw, at), Parsed::Record(..))
     };
-    (from..raw.len().saturating_sub(RECORD_HEAD)).any(is_later)
+    (from..raw.len().saturating_sub(RECORD_HEADER_BYTES)).any(is_later)
 }
 
 fn u32_at(raw: &[u8], at: usize) -> u32 {
--- a/crates/core/src/storage/voter_file.rs
+++ b/crates/core/src/storage/voter_file.rs
@@ -5,15 +5,15 @@
 use crate::identifiers::VoterSlot;
 use crate::protocol::message_shapes::VOTER_FILE;
 use crate::protocol::shape::decode;
-use crate::storage::format::{DISK_VERSION, RECORD_LIMIT};
+use crate::storage::format::{DISK_VERSION, MAX_RECORD_BYTES};
 use crate::voter_set::{
     VoterSet, first_holder, first_table, merge, seat_of, told_holder, told_table,
 };
 
 /// First bytes of the file.
-const MARK: &[u8; 6] = b"GRBrol";
+const MAGIC: &[u8; 6] = b"GRBrol";
 /// Bytes before the body: mark, version u16, length u32, checksum u32.
-const HEAD: usize = 16;
+const HEADER_BYTES: usize = 16;
 
 /// A controller's identity and what it knows of the voter slots.
 ///
@@ -31,8 +31,8 @@
 /// The bytes of the file.
 pub fn write(roll: &VoterFile) -> Vec<u8> {
     let body = roll.serialize_bin();
-    let mut out = Vec::with_capacity(HEAD + body.len());
-    out.extend(MARK);
+    let mut out = Vec::with_capacity(HEADER_BYTES + body.len());
+    out.extend(MAGIC);
     out.extend(DISK_VERSION.to_le_bytes());
     out.extend((body.len() as u32).to_le_bytes());
     out.extend(crc32fast::hash(&body).to_le_bytes());
@@ -42,12 +42,12 @@
 
 /// Reads the file; anything that does not fit counts as no file at all.
 pub fn read(raw: &[u8]) -> Option<VoterFile> {
-    let (head, body) = raw.split_at_checked(HEAD)?;
+    let (head, body) = raw.split_at_checked(HEADER_BYTES)?;
     let num = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let fits = head[..6] == MARK[..]
+    let fits = head[..6] == MAGIC[..]
         && head[6..8] == DISK_VERSION.to_le_bytes()
         && num(8) as usize == body.len()
-        && num(8) <= RECORD_LIMIT
+        && num(8) <= MAX_RECORD_BYTES
         && num(12) == crc32fast::hash(body);
     let roll = fits.then(|| decode::<VoterFile>(&VOTER_FILE, body).ok()).flatten()?;
     (roll.me != 0 && roll.table.slots.len() <= usize::from(crate::consts::MAX_VOTER_SLOTS))
--- a/crates/core/src/storage/writer.rs
+++ b/crates/core/src/storage/writer.rs
@@ -6,25 +6,25 @@
 use crate::storage::record::{LogRecord, ReplicaState};
 
 /// First bytes of a slot.
-pub const SLOT_MARK: [u8; 6] = *b"GRBslt";
+pub const SLOT_MAGIC: [u8; 6] = *b"GRBslt";
 /// First bytes of a log.
-pub const LOG_MARK: [u8; 6] = *b"GRBlog";
+pub const LOG_MAGIC: [u8; 6] = *b"GRBlog";
 /// Slot: mark, version u16, partition u32, sequence u64, length u32, checksum u32.
-pub const SLOT_HEAD: usize = 28;
+pub const SLOT_HEADER_BYTES: usize = 28;
 /// Log: mark, version u16, partition u32, sequence u64, checksum u32.
-pub const LOG_HEAD: usize = 24;
+pub const LOG_HEADER_BYTES: usize = 24;
 /// Record: length u32, number in the log u32, checksum of the body u32,
-/// checksum of these three u32; behind the body stands `RECORD_END`.
-pub const RECORD_HEAD: usize = 16;
+/// checksum of these three u32; behind the body stands `RECORD_END_MARKER`.
+pub const RECORD_HEADER_BYTES: usize = 16;
 /// Last byte of a record. A write that was torn leaves the file short or
 /// ends in zeros; a record that has its end and a wrong checksum was whole
 /// once, and what was synced has been changed since.
-pub const RECORD_END: u8 = 0xa5;
+pub const RECORD_END_MARKER: u8 = 0xa5;
 
 /// The bytes of a slot: a whole state of a partition with its sequence number.
 pub fn slot(partition: u32, sequence: u64, state: &ReplicaState) -> Vec<u8> {
     let body = state.serialize_bin();
-    let mut out = start(SLOT_MARK, partition, sequence);
+    let mut out = start(SLOT_MAGIC, partition, sequence);
     out.extend((body.len() as u32).to_le_bytes());
     let mut checksum = crc32fast::Hasher::new();
     checksum.update(&out);
@@ -35,8 +35,8 @@
 }
 
 /// The head of a new log, which follows the slot with this sequence number.
-pub fn log_head(partition: u32, sequence: u64) -> Vec<u8> {
-    let mut out = start(LOG_MARK, partition, sequence);
+pub fn log_header(partition: u32, sequence: u64) -> Vec<u8> {
+    let mut out = start(LOG_MAGIC, partition, sequence);
     out.extend(crc32fast::hash(&out).to_le_bytes());
     out
 }
@@ -45,13 +45,13 @@
 /// checksum, so that leftovers of an older log are never read as its tail.
 pub fn record(sequence: u64, number: u32, record: &LogRecord) -> Vec<u8> {
     let body = record.serialize_bin();
-    let mut out = Vec::with_capacity(RECORD_HEAD + body.len() + 1);
+    let mut out = Vec::with_capacity(RECORD_HEADER_BYTES + body.len() + 1);
     out.extend((body.len() as u32).to_le_bytes());
     out.extend(number.to_le_bytes());
     out.extend(record_checksum(sequence, number, &body).to_le_bytes());
     out.extend(crc32fast::hash(&out).to_le_bytes());
     out.extend(body);
-    out.push(RECORD_END);
+    out.push(RECORD_END_MARKER);
     out
 }
 
--- a/crates/core/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -33,7 +33,7 @@
     let older = writer::slot(PART, 1, &copy);
     assert!(copy.apply(&change(11)));
     let newer = writer::slot(PART, 2, &copy);
-    let mut log = writer::log_head(PART, 2);
+    let mut log = writer::log_header(PART, 2);
     let mut at = vec![(log.len(), copy.clone())];
     let recs = [change(12), LogRecord::Vote { term: Term(7) }, change(13)];
     for (i, rec) in recs.iter().enumerate() {
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -34,7 +34,7 @@
 use grebepath_core::storage::reader::{StoredReplica, read};
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file;
-use grebepath_core::storage::writer::{LOG_HEAD, log_head, record, slot};
+use grebepath_core::storage::writer::{LOG_HEADER_BYTES, log_header, record, slot};
 use grebepath_core::time::{SECOND, ms};
 use nanoserde::DeBin;
 use stored::{AcceptedOrder, NEWER_SEQUENCE, OLDER_SEQUENCE, StoredPartition};
@@ -115,8 +115,8 @@
         (&files.older_slot, OLDER_SEQUENCE, &expected.older),
         (&files.newer_slot, NEWER_SEQUENCE, &expected.newer),
     ] {
-        let found = read(number, [Some(slot), None], Some(&log_head(number, seq)));
-        same("slot", &found, &good(copy.clone(), seq, 0, LOG_HEAD))?;
+        let found = read(number, [Some(slot), None], Some(&log_header(number, seq)));
+        same("slot", &found, &good(copy.clone(), seq, 0, LOG_HEADER_BYTES))?;
     }
     let found = read(number, [Some(&files.older_slot), Some(&files.newer_slot)], Some(&files.log));
     let count = expected.records.len();
@@ -125,7 +125,7 @@
 
 fn write_partition(stored: &StoredPartition) -> PartitionFiles {
     let number = stored.number;
-    let mut log = log_head(number, NEWER_SEQUENCE);
+    let mut log = log_header(number, NEWER_SEQUENCE);
     for (place, entry) in stored.records.iter().enumerate() {
         log.extend(record(NEWER_SEQUENCE, place as u32, entry));
     }
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -364,7 +364,7 @@
     apply_entries(&mut copy.entries, &entries);
     copy.revision = 6;
     // And back through files of this build.
-    let (slot, log) = (writer::slot(0, 2, &copy), writer::log_head(0, 2));
+    let (slot, log) = (writer::slot(0, 2, &copy), writer::log_header(0, 2));
     match read(0, [Some(&slot), None], Some(&log)) {
         StoredReplica::Intact { state: again, .. } => expect_that!(again, eq(&copy)),
         other => panic!("{other:?}"),
--- a/crates/runtime/src/disk/partition_store.rs
+++ b/crates/runtime/src/disk/partition_store.rs
@@ -100,7 +100,7 @@
         sync_folder(&self.folder)?;
         let new = self.folder.join("log.new");
         let log = self.log_path();
-        write_synced(&new, &writer::log_head(self.partition.0, sequence))?;
+        write_synced(&new, &writer::log_header(self.partition.0, sequence))?;
         fs::rename(&new, &log).with_file(FileOperation::Rename, &new)?;
         sync_folder(&self.folder)?;
         let opened = OpenOptions::new().append(true).open(&log);
--- a/crates/server/src/querier/caller_listener.rs
+++ b/crates/server/src/querier/caller_listener.rs
@@ -12,7 +12,7 @@
 use axum::routing::get;
 use grebepath_core::consts;
 use grebepath_core::http_api::caller;
-use grebepath_core::http_api::caller::{BUDGET, MISSING_PARTS, RETRY_AFTER};
+use grebepath_core::http_api::caller::{BUDGET, MISSING_SHARDS, RETRY_AFTER};
 use grebepath_core::query::admission::room_of;
 use grebepath_core::query::event::Event;
 use grebepath_core::query::request::{Outcome, Rejection, RejectionReason, SearchRequest};
@@ -199,7 +199,7 @@
     let code = StatusCode::from_u16(out.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut resp = (code, [(header::CONTENT_TYPE, "application/json")], out.body).into_response();
     if let Some(n) = out.missing_shards {
-        resp.headers_mut().insert(MISSING_PARTS, (n as u64).into());
+        resp.headers_mut().insert(MISSING_SHARDS, (n as u64).into());
     }
     if let Some(s) = out.retry_after {
         resp.headers_mut().insert(RETRY_AFTER, s.into());
--- a/crates/server/src/querier/leaf_client.rs
+++ b/crates/server/src/querier/leaf_client.rs
@@ -41,7 +41,7 @@
     let greeting = || greeting().unwrap_or_default();
     // A leaf that leaves, or another identity, gets no work.
     let fits = |response: &Response<Bytes>| {
-        response.status().as_u16() == 200 && !leaf::self_word(&heads(response.headers())).draining
+        response.status().as_u16() == 200 && !leaf::self_report(&heads(response.headers())).draining
     };
     let sent = pool.exchange(leaf, greeting, fits, work, MAX_REPLY_BYTES);
     match tokio::time::timeout(duration(sending.timeout), sent).await {
@@ -115,7 +115,7 @@
     match response.status().as_u16() {
         leaf::MISDIRECTED => report.gone = true,
         200 => {
-            let said = leaf::self_word(&heads(response.headers()));
+            let said = leaf::self_report(&heads(response.headers()));
             report.leaving = said.draining;
             report.age_ms = said.age_ms.unwrap_or(0);
         }
@@ -135,8 +135,8 @@
         busy: one(leaf::BUSY),
         age: one(leaf::LEAF_AGE),
         state: one(leaf::LEAF_STATE),
-        index_version: one(leaf::CUT),
-        rejected: map.contains_key(leaf::UNRUN),
+        index_version: one(leaf::INDEX_VERSION),
+        rejected: map.contains_key(leaf::REJECTED),
         ..ReplyHeaders::default()
     }
 }
--- a/crates/server/src/testbed/mock_backends/leaf_server.rs
+++ b/crates/server/src/testbed/mock_backends/leaf_server.rs
@@ -222,7 +222,7 @@
 }
 
 fn unrun(leaf: &Rc<RefCell<Leaf>>, code: u16) -> Reply {
-    finished(dressed(leaf, code).header(edge::UNRUN, "1"), "", false)
+    finished(dressed(leaf, code).header(edge::REJECTED, "1"), "", false)
 }
 
 fn answer(
@@ -254,7 +254,8 @@
         Mode::StalePostmark => out.header(edge::POSTMARK, old.unwrap_or_default()),
         _ => out.header(edge::POSTMARK, &mark),
     };
-    out = out.header(edge::CUT, if *mode == Mode::WrongCut { "w00" } else { &service.cut });
+    out =
+        out.header(edge::INDEX_VERSION, if *mode == Mode::WrongCut { "w00" } else { &service.cut });
     match mode {
         Mode::Garbage => body = "{\"records\":[{\"id\":7,".into(),
         Mode::CutShort => body.truncate(body.len() / 2),
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -13,7 +13,7 @@
 use grebepath_core::time::{Span, Tick, ms};
 
 /// A log this short has nothing but its head, in which no bit is flipped (bytes).
-const LOG_HEAD: usize = 40;
+const LOG_HEADER_BYTES: usize = 40;
 
 /// One partition's files and what is being written.
 ///
@@ -252,7 +252,7 @@
         let files = &mut self.partitions[at];
         let newest = (files.sequence % 2) as usize;
         let raw = match (&mut files.slots[newest], &mut files.log) {
-            (_, Some(log)) if random.chance(1, 2) && log.len() > LOG_HEAD => log,
+            (_, Some(log)) if random.chance(1, 2) && log.len() > LOG_HEADER_BYTES => log,
             (Some(slot), _) => slot,
             _ => return false,
         };
@@ -305,7 +305,7 @@
 
     /// Begins an empty log behind the newest slot.
     fn begin_log(&mut self, partition: PartitionId) {
-        self.log = Some(writer::log_head(partition.0, self.sequence));
+        self.log = Some(writer::log_header(partition.0, self.sequence));
         self.records = 0;
     }
 
