--- a/crates/core/src/config/build.rs
+++ b/crates/core/src/config/build.rs
@@ -1,4 +1,4 @@
-//! Checks a whole configuration and builds its routes.
+//! Validates a configuration and builds its routes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -12,16 +12,16 @@
 use crate::routing_language::selector::{Labels, Selector};
 use crate::time::ms;
 
-/// The pools that compiled, by name.
+/// The pools whose selectors compiled, by name.
 type LabelledPools<'a> = BTreeMap<&'a str, LabelledPool<'a>>;
 
-/// A pool that compiled, and the labels by which plans choose it.
+/// A compiled pool and the labels by which plans select it.
 struct LabelledPool<'a> {
-    plan: CompiledPool,
+    pool: CompiledPool,
     labels: &'a Labels,
 }
 
-/// The pools that a plan chooses.
+/// The pools that a plan selects, by shard, and the index versions that they hold.
 #[derive(Default)]
 struct ChosenPools<'a> {
     shards: BTreeMap<&'a str, Vec<CompiledPool>>,
@@ -29,19 +29,22 @@
 }
 
 impl RoutingTable {
-    /// Builds all routes, or tells everything that is wrong.
+    /// Builds all routes, or returns every problem found.
     pub fn build(conf: &Config) -> Result<RoutingTable, Vec<Diagnostic>> {
         let mut diagnostics = Diagnostics::new();
         let pools = compile_pools(conf, &mut diagnostics);
         let all_compiled = pools.len() == conf.pools.len();
         let mut routes = IndexMap::new();
         for search in conf.searches.values() {
-            let Some(policy) = check_search(search, conf, &mut diagnostics) else { continue };
-            // A pool that did not compile would only seem to be missing here.
+            let Some(compiled_plan) = check_search(search, conf, &mut diagnostics) else {
+                continue;
+            };
+            // With a pool that failed to compile, plans would be reported as selecting too few
+            // pools.
             if !all_compiled {
                 continue;
             }
-            if let Some(route) = build_route(search, &policy, &pools, &mut diagnostics) {
+            if let Some(route) = build_route(search, &compiled_plan, &pools, &mut diagnostics) {
                 routes.insert(search.name.clone(), route);
             }
         }
@@ -56,7 +59,7 @@
     }
 }
 
-/// Where the plan of a search stands.
+/// The location of a search's plan in the configuration.
 fn plan_location(search: &SearchConfig) -> String {
     format!("searches[{}].plan", search.name)
 }
@@ -68,13 +71,13 @@
         let Some(selector) = Selector::parse(&location, &pool.selector, diagnostics) else {
             continue;
         };
-        let plan = pool_plan(pool, selector);
-        pools.insert(pool.name.as_str(), LabelledPool { plan, labels: &pool.labels });
+        let compiled = compile_pool(pool, selector);
+        pools.insert(pool.name.as_str(), LabelledPool { pool: compiled, labels: &pool.labels });
     }
     pools
 }
 
-fn pool_plan(pool: &PoolConfig, selector: Selector) -> CompiledPool {
+fn compile_pool(pool: &PoolConfig, selector: Selector) -> CompiledPool {
     CompiledPool {
         name: pool.name.clone(),
         service: pool.service.clone(),
@@ -87,7 +90,7 @@
     }
 }
 
-/// Checks what a search says by itself, and compiles its plan.
+/// Validates a search without its pools, and compiles its plan.
 fn check_search(
     search: &SearchConfig,
     conf: &Config,
@@ -105,28 +108,29 @@
     CompiledPlan::compile(&plan_location(search), &search.plan, diagnostics)
 }
 
-/// Reports searches that are called by the same host and path.
+/// Reports searches that share a host and path.
 fn check_host_paths(conf: &Config, diagnostics: &mut Diagnostics) {
-    let mut owners: BTreeMap<(String, &str), &str> = BTreeMap::new();
+    let mut searches: BTreeMap<(String, &str), &str> = BTreeMap::new();
     for search in conf.searches.values().filter(|search| !search.host.is_empty()) {
-        let called_by = (search.host.to_ascii_lowercase(), search.path.as_str());
-        if let Some(other) = owners.insert(called_by, &search.name) {
+        let host_and_path = (search.host.to_ascii_lowercase(), search.path.as_str());
+        if let Some(other) = searches.insert(host_and_path, &search.name) {
             let error = ConsistencyError::SameHostAndPath { other: other.to_string() };
             diagnostics.report(format!("searches[{}].path", search.name), error);
         }
     }
 }
 
-/// Looks up the pools of a search's plan and builds its route, if they agree.
+/// Looks up the pools that a search's plan selects and builds its route if they are
+/// consistent.
 fn build_route(
     search: &SearchConfig,
-    policy: &CompiledPlan,
+    compiled_plan: &CompiledPlan,
     pools: &LabelledPools,
     diagnostics: &mut Diagnostics,
 ) -> Option<Route> {
     let before = diagnostics.len();
     let location = plan_location(search);
-    let chosen = choose_pools(policy, pools, &location, diagnostics);
+    let chosen = choose_pools(compiled_plan, pools, &location, diagnostics);
     if chosen.index_versions.len() > 1 {
         let versions = chosen.index_versions.iter().map(|version| version.to_string()).collect();
         diagnostics.report(location.clone(), ConsistencyError::SeveralIndexVersions { versions });
@@ -136,47 +140,48 @@
     }
     let weight = |name: &&str| search.weights.get(*name).map_or(0, |weight| u64::from(*weight));
     let weights: Vec<u64> = chosen.shards.keys().map(weight).collect();
-    if policy.fan_out == FanOut::ByWeight && weights.iter().sum::<u64>() == 0 {
+    if compiled_plan.fan_out == FanOut::ByWeight && weights.iter().sum::<u64>() == 0 {
         let location = format!("searches[{}].weights", search.name);
         diagnostics.report(location, ConsistencyError::NoWeight);
     }
-    (diagnostics.len() == before).then(|| route(search, policy, chosen, weights))
+    (diagnostics.len() == before).then(|| route(search, compiled_plan, chosen, weights))
 }
 
-/// The pools that a plan chooses, by the shard that each holds.
+/// Selects the pools of a plan and groups them by the shard that each holds.
 fn choose_pools<'a>(
-    policy: &CompiledPlan,
+    compiled_plan: &CompiledPlan,
     pools: &'a LabelledPools,
     location: &str,
     diagnostics: &mut Diagnostics,
 ) -> ChosenPools<'a> {
     let mut chosen = ChosenPools::default();
     let mut shard_of_service: BTreeMap<&str, &str> = BTreeMap::new();
-    for pool in pools.values().filter(|pool| policy.selector.matches(pool.labels)) {
-        let plan = &pool.plan;
-        let Some(shard) = pool.labels.get(&policy.shard_label) else {
-            let (pool, label) = (plan.name.clone(), policy.shard_label.clone());
+    for pool in pools.values().filter(|pool| compiled_plan.selector.matches(pool.labels)) {
+        let compiled = &pool.pool;
+        let Some(shard) = pool.labels.get(&compiled_plan.shard_label) else {
+            let (pool, label) = (compiled.name.clone(), compiled_plan.shard_label.clone());
             diagnostics.report(location, ConsistencyError::ShardLabelMissing { pool, label });
             continue;
         };
         chosen
             .index_versions
             .insert(pool.labels.get(INDEX_VERSION_LABEL).map_or("", String::as_str));
-        if let Some(first) = shard_of_service.insert(&plan.service, shard)
+        if let Some(first) = shard_of_service.insert(&compiled.service, shard)
             && first != shard
         {
-            let (service, first, second) = (plan.service.clone(), first.to_string(), shard.clone());
+            let (service, first, second) =
+                (compiled.service.clone(), first.to_string(), shard.clone());
             let error = ConsistencyError::ServiceInTwoShards { service, first, second };
             diagnostics.report(location, error);
         }
-        chosen.shards.entry(shard).or_default().push(plan.clone());
+        chosen.shards.entry(shard).or_default().push(compiled.clone());
     }
     chosen
 }
 
 fn route(
     search: &SearchConfig,
-    policy: &CompiledPlan,
+    compiled_plan: &CompiledPlan,
     chosen: ChosenPools,
     weights: Vec<u64>,
 ) -> Route {
@@ -188,10 +193,10 @@
         quorum: search.quorum.clamp(1, 1000),
         attempts: search.attempts.max(1),
         index_version: chosen.index_versions.into_iter().next().unwrap_or_default().to_string(),
-        fan_out: policy.fan_out,
-        hedge_after_pct: policy.hedge_after_pct,
-        quorum_after_pct: policy.quorum_after_pct,
-        prefer_local: policy.prefer_local,
+        fan_out: compiled_plan.fan_out,
+        hedge_after_pct: compiled_plan.hedge_after_pct,
+        quorum_after_pct: compiled_plan.quorum_after_pct,
+        prefer_local: compiled_plan.prefer_local,
         shards: chosen.shards.into_iter().map(shard).collect(),
         host: search.host.clone(),
         path: search.path.clone(),
--- a/crates/core/src/config/change.rs
+++ b/crates/core/src/config/change.rs
@@ -1,10 +1,10 @@
-//! Changes between versions of a configuration.
+//! Applies changes to a configuration and computes the difference of two.
 
 use super::stored::Entry;
 use super::types::{ClientLimits, Config, Patch};
 
 impl Config {
-    /// What `patch` makes of this configuration.
+    /// Returns this configuration with `patch` applied.
     pub fn patched(mut self, patch: &Patch) -> Config {
         for name in &patch.drop_searches {
             self.searches.remove(name);
@@ -22,11 +22,11 @@
         self.with_changed_limits()
     }
 
-    /// Sets searches: a replaced one keeps its place in the operators' list, a
-    /// new one goes behind all others.
+    /// Inserts or replaces searches. A replaced search keeps its position in the operator's
+    /// list, a new one is appended.
     fn set_searches(&mut self, set: &Config) {
-        let behind = |search: &super::types::SearchConfig| search.list_index + 1;
-        let mut last = self.searches.values().map(behind).max().unwrap_or(0);
+        let next_index = |search: &super::types::SearchConfig| search.list_index + 1;
+        let mut last = self.searches.values().map(next_index).max().unwrap_or(0);
         let mut searches: Vec<_> = set.searches.values().cloned().collect();
         searches.sort_by_key(|search| search.list_index);
         for mut search in searches {
@@ -36,10 +36,10 @@
         }
     }
 
-    /// Sets pools, which take their places as searches do.
+    /// Inserts or replaces pools, which take their list positions as searches do.
     fn set_pools(&mut self, set: &Config) {
-        let behind = |pool: &super::types::PoolConfig| pool.list_index + 1;
-        let mut last = self.pools.values().map(behind).max().unwrap_or(0);
+        let next_index = |pool: &super::types::PoolConfig| pool.list_index + 1;
+        let mut last = self.pools.values().map(next_index).max().unwrap_or(0);
         let mut pools: Vec<_> = set.pools.values().cloned().collect();
         pools.sort_by_key(|pool| pool.list_index);
         for mut pool in pools {
@@ -49,7 +49,7 @@
         }
     }
 
-    /// A whole configuration in place of this one.
+    /// Returns the full configuration `new` as the successor of this one.
     pub fn replaced_by(&self, mut new: Config) -> Config {
         if new.keep_zones {
             new.zones = self.zones.clone();
@@ -59,7 +59,7 @@
         new.with_changed_limits()
     }
 
-    /// Applies what a change says of the edition and the limits.
+    /// Applies the edition and the client limits of the change header.
     fn with_changed_limits(mut self) -> Config {
         if let Some(client_limits) = self.change_header.client_limits.take() {
             self.client_limits =
@@ -71,8 +71,8 @@
         self
     }
 
-    /// The entries that turn this configuration into `new`: first those that
-    /// are removed, then those that are set, each in the order of their keys.
+    /// Returns the entries that turn this configuration into `new`: first the removed ones,
+    /// then the ones that are set, each in key order.
     pub fn changes_to(&self, new: &Config) -> Vec<Entry> {
         let (old, new) = (self.to_entries(), new.to_entries());
         let removed = old.keys().filter(|key| !new.contains_key(*key));
--- a/crates/core/src/config/consistency_error.rs
+++ b/crates/core/src/config/consistency_error.rs
@@ -1,53 +1,53 @@
-//! What can be wrong between the objects of a configuration.
+//! Inconsistencies between the objects of a configuration.
 
-/// A contradiction between the objects of a configuration whose fields are all
-/// right. The place stands in the diagnostic that carries this.
+/// An inconsistency between objects of a configuration whose fields are all valid by
+/// themselves. The diagnostic that carries the error has its location.
 #[derive(Clone, PartialEq, Eq, Debug, thiserror::Error)]
 pub enum ConsistencyError {
-    /// A search promises an outcome within no time.
+    /// A search has a timeout of zero.
     #[error("must be above zero")]
     ZeroTimeout,
-    /// A search needs a pool that is not there.
+    /// A search requires a pool that does not exist.
     #[error("there is no pool `{pool}`")]
     UnknownPool {
-        /// The pool that is needed.
+        /// The pool that is required.
         pool: String,
     },
-    /// Two searches are called by the same host and path.
+    /// Two searches have the same host and path.
     #[error("`{other}` has the same host and path")]
     SameHostAndPath {
-        /// The search that came first.
+        /// The search that was listed first.
         other: String,
     },
-    /// A plan chooses a pool that does not say which shard it holds.
-    #[error("pool `{pool}` is chosen but has no label `{label}`")]
+    /// A plan selects a pool without the label that names its shard.
+    #[error("selected pool `{pool}` has no label `{label}`")]
     ShardLabelMissing {
-        /// The pool that is chosen.
+        /// The selected pool.
         pool: String,
         /// The label whose values are the shards' names.
         label: String,
     },
     /// The leafs of one service would hold two shards.
-    #[error("service `{service}` stands under two shards, `{first}` and `{second}`")]
+    #[error("service `{service}` is assigned to two shards, `{first}` and `{second}`")]
     ServiceInTwoShards {
         /// The service of both pools.
         service: String,
-        /// The shard of the pool that came first.
+        /// The shard of the first pool.
         first: String,
-        /// The shard of the other pool.
+        /// The shard of the second pool.
         second: String,
     },
-    /// The pools that a plan chooses hold different versions of the index.
-    #[error("the chosen pools hold more than one cut: {}", quoted(.versions))]
+    /// The pools that a plan selects hold different versions of the index.
+    #[error("the selected pools hold more than one index version: {}", quoted(.versions))]
     SeveralIndexVersions {
-        /// All versions that the chosen pools hold.
+        /// All versions that the selected pools hold.
         versions: Vec<String>,
     },
-    /// A plan chooses nothing.
-    #[error("no pool is chosen: a mapping needs at least one shard")]
+    /// A plan selects no pool.
+    #[error("no pool is selected: a route needs at least one shard")]
     NoPoolChosen,
-    /// A plan draws a shard by weights that are all zero.
-    #[error("the weights of the chosen shards add up to nothing")]
+    /// A plan selects a shard by weights that are all zero.
+    #[error("the weights of the selected shards add up to zero")]
     NoWeight,
 }
 
--- a/crates/core/src/config/field_error.rs
+++ b/crates/core/src/config/field_error.rs
@@ -1,81 +1,81 @@
-//! What can be wrong with the JSON of a configuration.
+//! Errors in the JSON form of a configuration.
 
 use serde_json::Value;
 
-/// Longest name of anything, in bytes: enough for the platforms' own names,
-/// and short enough that names may travel with every heartbeat.
+/// Maximum length of a name (bytes): enough for the platforms' own names, and short enough to
+/// send names with every heartbeat.
 pub const MAX_NAME_BYTES: usize = 128;
 
-/// What is wrong with a text of JSON or with one of its fields. The place
-/// stands in the diagnostic that carries this.
+/// An error in a JSON document or in one of its fields. The diagnostic that carries the error
+/// has its location.
 #[derive(Debug, thiserror::Error)]
 pub enum FieldError {
     /// The text is not JSON.
     #[error("not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// The value is of another type than the field's.
+    /// The value has the wrong type for the field.
     #[error("expected {expected}")]
     WrongType {
-        /// What the field holds, in words.
+        /// Description of the expected value.
         expected: &'static str,
-        /// What stands there.
+        /// The value found.
         found: Value,
     },
-    /// A number is out of its range, or no whole number.
+    /// A number is out of range or not an integer.
     #[error("expected a whole number from {low} to {high}")]
     OutOfRange {
-        /// The lowest number that is accepted.
+        /// The lowest accepted number.
         low: u64,
-        /// The highest number that is accepted.
+        /// The highest accepted number.
         high: u64,
-        /// What stands there.
+        /// The value found.
         found: Value,
     },
-    /// A word is none of those that the field knows.
+    /// The text is not one of the field's possible values.
     #[error("`{found}` is not one of {}", .known.join(", "))]
     UnknownValue {
-        /// The word that stands there.
+        /// The text found.
         found: String,
-        /// The words that the field knows.
+        /// The possible values of the field.
         known: Vec<&'static str>,
     },
     /// The object has no such field.
     #[error("unknown field; known are {}", .known.join(", "))]
     UnknownField {
-        /// The fields that the object may have.
+        /// The fields that the object can have.
         known: Vec<&'static str>,
     },
-    /// A field that must stand does not.
+    /// A required field is missing.
     #[error("missing")]
     Missing,
-    /// A text has no characters.
+    /// A text is empty.
     #[error("must not be empty")]
     Empty,
-    /// A name is too long or has other characters than a name may have.
+    /// A name is empty, too long or has invalid characters.
     #[error("a name has 1 to {} letters, digits, `-`, `_` or `.`", MAX_NAME_BYTES)]
     InvalidName {
-        /// The name that stands there.
+        /// The name found.
         found: String,
     },
     /// Two objects of one list have the same name.
-    #[error("`{name}` stands twice")]
+    #[error("duplicate name `{name}`")]
     DuplicateName {
-        /// The name of both.
+        /// The name that both objects have.
         name: String,
     },
-    /// A host without a path, a path without a host, or a path without its slash.
-    #[error("a host and a path that begins with a slash go together")]
+    /// A host without a path, a path without a host, or a path without a leading slash.
+    #[error("a host and a path that begins with a slash must be given together")]
     HostWithoutPath,
-    /// A search whose calls are handed over has no host to find it by.
-    #[error("a search that hands calls over is found by host and path")]
+    /// A search that forwards its calls has no host by which calls are routed to it.
+    #[error("a search that forwards calls needs a host and a path")]
     HostMissing,
-    /// Only calls that one leaf runs can be kept from running twice.
-    #[error("only calls that are passed to one leaf can be kept from running twice")]
+    /// Only calls that are passed to a single leaf can be protected from running twice.
+    #[error("only calls that are passed to one leaf can be limited to one execution")]
     OnceNotPassed,
 }
 
 impl FieldError {
-    /// The value that stands there is not what the field holds.
+    /// Returns the error for a value of the wrong type.
     pub(super) fn wrong_type(expected: &'static str, found: &Value) -> Self {
         FieldError::WrongType { expected, found: found.clone() }
     }
--- a/crates/core/src/config/mod.rs
+++ b/crates/core/src/config/mod.rs
@@ -1,5 +1,5 @@
-//! The operators' configuration: its types, how it is read and checked, and
-//! how it lies in its partition as one entry an object.
+//! The cluster's configuration: its types, how it is parsed and validated, and how it is stored
+//! in its partition with one entry per object.
 
 pub mod build;
 pub mod change;
--- a/crates/core/src/config/object_reader.rs
+++ b/crates/core/src/config/object_reader.rs
@@ -1,4 +1,4 @@
-//! Reads the fields of one JSON object and notes what is wrong with each.
+//! Reads the fields of one JSON object and reports the errors of each.
 
 use std::collections::BTreeMap;
 use std::ops::RangeInclusive;
@@ -8,7 +8,7 @@
 use super::field_error::{FieldError, MAX_NAME_BYTES};
 use crate::diagnostic::Diagnostics;
 
-/// One JSON object being read: which fields were asked for, and the diagnostics.
+/// A JSON object that is being read, with the fields requested so far and the diagnostics.
 pub(super) struct ObjectReader<'a> {
     map: &'a Map<String, Value>,
     location: String,
@@ -17,7 +17,7 @@
 }
 
 impl<'a> ObjectReader<'a> {
-    /// A reader of the object that stands at `location`.
+    /// Creates a reader of the object at `location`.
     pub(super) fn new(
         map: &'a Map<String, Value>,
         location: impl Into<String>,
@@ -26,23 +26,23 @@
         ObjectReader { map, location: location.into(), diagnostics, known: Vec::new() }
     }
 
-    /// Notes what is wrong with a field.
+    /// Reports an error in a field.
     pub(super) fn report(&mut self, key: &str, error: FieldError) {
         self.diagnostics.report(format!("{}.{key}", self.location), error);
     }
 
-    /// Whether the field stands in the object.
+    /// Returns whether the object has the field.
     pub(super) fn has(&self, key: &str) -> bool {
         self.map.contains_key(key)
     }
 
-    /// The field's value; from then on the field is known.
+    /// Returns the field's value and marks the field as known.
     fn field(&mut self, key: &'static str) -> Option<&'a Value> {
         self.known.push(key);
         self.map.get(key)
     }
 
-    /// A text, empty if the field does not stand.
+    /// Reads a text, empty if the field is missing.
     pub(super) fn optional_text(&mut self, key: &'static str) -> String {
         match self.field(key) {
             None => String::new(),
@@ -50,7 +50,7 @@
         }
     }
 
-    /// A text that must stand.
+    /// Reads a required text.
     pub(super) fn required_text(&mut self, key: &'static str) -> String {
         match self.field(key) {
             None => {
@@ -71,7 +71,7 @@
         }
     }
 
-    /// A text that must stand and have characters.
+    /// Reads a required text that must not be empty.
     pub(super) fn nonempty_text(&mut self, key: &'static str) -> String {
         let text = self.required_text(key);
         if text.is_empty() && self.map.get(key).is_some_and(Value::is_string) {
@@ -80,7 +80,7 @@
         text
     }
 
-    /// A name that must stand.
+    /// Reads a required name.
     pub(super) fn name(&mut self, key: &'static str) -> String {
         let name = self.required_text(key);
         let fits = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
@@ -91,7 +91,7 @@
         name
     }
 
-    /// A whole number that must stand; the lowest of its range if it is wrong.
+    /// Reads a required integer; returns the lowest of its range if it is invalid.
     pub(super) fn required_number(&mut self, key: &'static str, range: RangeInclusive<u64>) -> u64 {
         match self.field(key) {
             None => {
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A whole number, `default` if the field does not stand.
+    /// Reads an integer, `default` if the field is missing.
     pub(super) fn number_or(
         &mut self,
         key: &'static str,
@@ -115,7 +115,7 @@
         }
     }
 
-    /// A whole number of 32 bits, `default` if the field does not stand.
+    /// Reads a 32-bit integer, `default` if the field is missing.
     pub(super) fn number_u32_or(
         &mut self,
         key: &'static str,
@@ -138,7 +138,7 @@
         }
     }
 
-    /// True or false, false if the field does not stand.
+    /// Reads a boolean, false if the field is missing.
     pub(super) fn flag(&mut self, key: &'static str) -> bool {
         match self.field(key) {
             None => false,
@@ -150,38 +150,41 @@
         }
     }
 
-    /// What one of the known words means; the first word's meaning if the field
-    /// does not stand.
-    pub(super) fn word<T: Copy>(&mut self, key: &'static str, meanings: &[(&'static str, T)]) -> T {
-        let word = self.optional_text(key);
-        self.meaning(key, word, meanings)
+    /// Reads an enum value by its name; returns the first value if the field is missing.
+    pub(super) fn optional_enum<T: Copy>(
+        &mut self,
+        key: &'static str,
+        values: &[(&'static str, T)],
+    ) -> T {
+        let name = self.optional_text(key);
+        self.enum_value(key, name, values)
     }
 
-    /// The same for a field that must stand.
+    /// Reads a required enum value by its name.
     pub(super) fn required_enum<T: Copy>(
         &mut self,
         key: &'static str,
-        meanings: &[(&'static str, T)],
+        values: &[(&'static str, T)],
     ) -> T {
-        let word = self.required_text(key);
-        self.meaning(key, word, meanings)
+        let name = self.required_text(key);
+        self.enum_value(key, name, values)
     }
 
-    fn meaning<T: Copy>(&mut self, key: &str, found: String, meanings: &[(&'static str, T)]) -> T {
-        let default = meanings[0].1;
+    fn enum_value<T: Copy>(&mut self, key: &str, found: String, values: &[(&'static str, T)]) -> T {
+        let default = values[0].1;
         if found.is_empty() {
             return default;
         }
-        if let Some((_, meaning)) = meanings.iter().find(|(word, _)| *word == found) {
-            return *meaning;
+        if let Some((_, value)) = values.iter().find(|(name, _)| *name == found) {
+            return *value;
         }
-        let known = meanings.iter().map(|(word, _)| *word).collect();
+        let known = values.iter().map(|(name, _)| *name).collect();
         self.report(key, FieldError::UnknownValue { found, known });
         default
     }
 
-    /// A value that `read` understands, `default` if the field does not stand
-    /// or is not `expected`.
+    /// Reads a value with `read`; returns `default` if the field is missing or `read` fails.
+    /// `expected` describes the value in the error.
     pub(super) fn value_or<T>(
         &mut self,
         key: &'static str,
@@ -199,7 +202,7 @@
         }
     }
 
-    /// An object whose values are all of one type, empty if it does not stand.
+    /// Reads an object whose values are all of one type, empty if the field is missing.
     pub(super) fn entries<T>(
         &mut self,
         key: &'static str,
@@ -230,13 +233,13 @@
         entries
     }
 
-    /// Ends the reading: fields that nobody asked for are reported.
+    /// Finishes reading and reports the fields that were not requested.
     pub(super) fn finish(self) {
         report_unknown_fields(self.map, &self.location, &self.known, self.diagnostics);
     }
 }
 
-/// Reports the fields of the object at `location` that are not `known`.
+/// Reports the fields of the object at `location` that are not in `known`.
 pub(super) fn report_unknown_fields(
     map: &Map<String, Value>,
     location: &str,
--- a/crates/core/src/config/read.rs
+++ b/crates/core/src/config/read.rs
@@ -1,5 +1,5 @@
-//! JSON to configuration types. Every problem is reported with its JSON path;
-//! reading goes on after each.
+//! Parses JSON into the configuration types. Every problem is reported with its JSON path, and
+//! parsing continues after each.
 
 use std::collections::BTreeMap;
 
@@ -11,17 +11,16 @@
 use super::types::{ChangeHeader, ClientLimits, Config, Patch};
 use crate::diagnostic::{Diagnostic, Diagnostics};
 
-/// Fields of the object `client_limits`: what a change builds on, its own number, and
-/// the limits that it sets.
+/// Fields of the object `terms`: the edition that a change builds on, its own edition, and the
+/// client limits that it sets.
 const TERMS_FIELDS: [&str; 7] =
     ["after", "edition", "head_max", "body_max", "head_wait_ms", "idle_ms", "origin"];
 
-/// Those fields of `client_limits` that set limits.
+/// The fields of `terms` that set client limits.
 const LIMIT_FIELDS: &[&str] = TERMS_FIELDS.split_at(2).1;
 
 impl Config {
-    /// Parses the text and reads a whole configuration, or tells everything
-    /// that is wrong with it.
+    /// Parses a full configuration, or returns every problem found.
     pub fn from_json(text: &[u8]) -> Result<Config, Vec<Diagnostic>> {
         let mut diagnostics = Diagnostics::new();
         let mut conf = Config::default();
@@ -35,8 +34,7 @@
 }
 
 impl Patch {
-    /// Parses the text and reads a partial configuration, or tells everything
-    /// that is wrong with it.
+    /// Parses a partial configuration, or returns every problem found.
     pub fn from_json(text: &[u8]) -> Result<Patch, Vec<Diagnostic>> {
         let mut diagnostics = Diagnostics::new();
         let mut patch = Patch::default();
@@ -51,7 +49,7 @@
     }
 }
 
-/// Parses the text, which must be an object with no other than these fields.
+/// Parses the text, which must be an object with only these fields.
 fn top_object(
     text: &[u8],
     fields: &[&'static str],
@@ -74,7 +72,7 @@
     }
 }
 
-/// Reads which objects a partial configuration removes.
+/// Reads the names of the objects that a partial configuration removes.
 fn read_removed(removed: &Value, patch: &mut Patch, diagnostics: &mut Diagnostics) {
     let Some(map) = removed.as_object() else {
         let error = FieldError::wrong_type("an object of name lists", removed);
@@ -117,7 +115,8 @@
     }
 }
 
-/// Reads what a change builds on and which limits it sets.
+/// Reads the edition that a change builds on, its own edition and the client limits that it
+/// sets.
 fn change_header(map: &Map<String, Value>, diagnostics: &mut Diagnostics) -> ChangeHeader {
     let Some(value) = map.get("terms") else { return ChangeHeader::default() };
     let Some(map) = value.as_object() else {
@@ -141,7 +140,7 @@
     ChangeHeader { after, edition, client_limits }
 }
 
-/// Reads a list of objects, each with a name of its own.
+/// Reads a list of objects with unique names.
 fn list<T>(
     map: &Map<String, Value>,
     key: &str,
--- a/crates/core/src/config/read_objects.rs
+++ b/crates/core/src/config/read_objects.rs
@@ -1,4 +1,4 @@
-//! The objects of a configuration from JSON: searches, pools and zones.
+//! Parses the objects of a configuration from JSON: searches, pools and zones.
 
 use serde_json::Value;
 
@@ -10,23 +10,23 @@
 use crate::consts;
 use crate::time::MILLI;
 
-/// A quorum of all shards, in thousandths.
+/// A quorum of all shards (thousandths).
 const QUORUM_ALL: u32 = 1000;
-/// Most bytes of one record where answers are joined by bytes.
-const WIDTH_MAX: u32 = 4_096;
-/// Most records of one answer.
-const TOP_MAX: u32 = 1_000_000;
-/// Most dispatches that one leaf may bear at once.
-const BEARS_MAX: u32 = 100_000;
-/// Longest slow start of a leaf (one hour), in milliseconds.
-const RAMP_MAX_MS: u32 = 3_600_000;
+/// Maximum size of one record where answers are merged by bytes.
+const MAX_RECORD_BYTES: u32 = 4_096;
+/// Maximum number of records of one answer.
+const MAX_ANSWER_RECORDS: u32 = 1_000_000;
+/// Maximum number of concurrent attempts at one leaf.
+const MAX_LEAF_CAPACITY: u32 = 100_000;
+/// Longest slow start of a leaf (ms): one hour.
+const MAX_SLOW_START_MS: u32 = 3_600_000;
 
-/// Reads a search, with its name.
+/// Reads a search and returns it with its name.
 ///
-/// The order of the fields is that in which operators are told of them.
+/// Problems are reported in the order of the fields here.
 pub(super) fn search(reader: &mut ObjectReader) -> (String, SearchConfig) {
     let name = reader.name("name");
-    let class = reader.word(
+    let class = reader.optional_enum(
         "class",
         &[
             ("ordinary", PriorityClass::Ordinary),
@@ -34,7 +34,7 @@
             ("urgent", PriorityClass::Urgent),
         ],
     );
-    let serving_mode = reader.word(
+    let serving_mode = reader.optional_enum(
         "form",
         &[
             ("own", ServingMode::Native),
@@ -42,11 +42,11 @@
             ("join", ServingMode::Join),
         ],
     );
-    let promise_range = match serving_mode {
+    let timeout_range = match serving_mode {
         ServingMode::Native => consts::MIN_BUDGET_MS..=consts::MAX_BUDGET_MS,
         ServingMode::PassThrough | ServingMode::Join => 1..=consts::MAX_FORWARDING_DEADLINE_MS,
     };
-    let timeout_ms = reader.required_number("promise_ms", promise_range);
+    let timeout_ms = reader.required_number("promise_ms", timeout_range);
     let attempts = reader.number_or("attempts", 1..=consts::MAX_SHARD_ATTEMPTS, 3) as u32;
     let quorum = quorum(reader, serving_mode);
     let plan = reader.required_text("plan");
@@ -55,8 +55,9 @@
     let latency_target_ms =
         reader.number_or("target_ms", 0..=consts::MAX_FORWARDING_DEADLINE_MS, 0);
     let rank = reader.number_u32_or("rank", 0..=u32::MAX, 0);
-    let record_bytes = reader.number_u32_or("width", 1..=WIDTH_MAX, 1);
-    let max_records = reader.number_u32_or("top", 1..=TOP_MAX, consts::DEFAULT_RECORD_LIMIT);
+    let record_bytes = reader.number_u32_or("width", 1..=MAX_RECORD_BYTES, 1);
+    let max_records =
+        reader.number_u32_or("top", 1..=MAX_ANSWER_RECORDS, consts::DEFAULT_RECORD_LIMIT);
     let weights = reader.entries("weights", "an object of numbers", "a whole number", |value| {
         u32::try_from(value.as_u64()?).ok()
     });
@@ -86,7 +87,7 @@
     (name, search)
 }
 
-/// The required share of the shards, in thousandths, rounded up.
+/// Reads the required share of the shards, in thousandths, rounded up.
 fn quorum(reader: &mut ObjectReader, serving_mode: ServingMode) -> u32 {
     let expected = "a share above 0 and up to 1";
     reader.value_or("quorum", expected, QUORUM_ALL, |value| {
@@ -117,25 +118,33 @@
     at_most_once
 }
 
-/// A list of nothing but texts.
+/// Returns the texts of a list; `None` if an element is not a text.
 fn names(value: &Value) -> Option<Vec<String>> {
     value.as_array()?.iter().map(|name| name.as_str().map(str::to_string)).collect()
 }
 
-/// Reads a pool, with its name.
+/// Reads a pool and returns it with its name.
 pub(super) fn pool(reader: &mut ObjectReader) -> (String, PoolConfig) {
     let name = reader.name("name");
-    let ramp_default = (consts::DEFAULT_SLOW_START / MILLI) as u32;
+    let default_slow_start_ms = (consts::DEFAULT_SLOW_START / MILLI) as u32;
     let pool = PoolConfig {
         name: name.clone(),
         service: reader.nonempty_text("service"),
         selector: reader.optional_text("selector"),
-        leaf_capacity: reader.number_u32_or("bears", 1..=BEARS_MAX, consts::DEFAULT_LEAF_CAPACITY),
-        slow_start_ms: reader.number_u32_or("ramp_ms", 0..=RAMP_MAX_MS, ramp_default),
+        leaf_capacity: reader.number_u32_or(
+            "bears",
+            1..=MAX_LEAF_CAPACITY,
+            consts::DEFAULT_LEAF_CAPACITY,
+        ),
+        slow_start_ms: reader.number_u32_or(
+            "ramp_ms",
+            0..=MAX_SLOW_START_MS,
+            default_slow_start_ms,
+        ),
         labels: reader.entries("labels", "an object of texts", "a text", |value| {
             value.as_str().map(str::to_string)
         }),
-        balancing: reader.word(
+        balancing: reader.optional_enum(
             "steer",
             &[("share", BalancingMode::Partitioned), ("seen", BalancingMode::LoadAware)],
         ) as i32,
@@ -147,7 +156,7 @@
     (name, pool)
 }
 
-/// Reads a zone, with its name.
+/// Reads a zone and returns it with its name.
 pub(super) fn zone(reader: &mut ObjectReader) -> (String, ZoneConfig) {
     let name = reader.name("name");
     let drained = reader.required_enum("state", &[("open", false), ("drained", true)]);
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -1,5 +1,5 @@
-//! What a checked configuration says of routes: which shards each search has,
-//! and which pools of leafs hold them.
+//! Routes of a validated configuration: the shards of each search, and the pools of leafs that
+//! hold them.
 
 use std::collections::BTreeSet;
 
@@ -10,60 +10,59 @@
 use crate::routing_language::selector::Selector;
 use crate::time::Span;
 
-/// The label that tells which version of the index a pool or a leaf holds.
+/// The label with the index version that a pool or a leaf holds.
 pub const INDEX_VERSION_LABEL: &str = "cut";
 
-/// A search, ready to serve.
+/// A compiled search.
 ///
-/// Invariants: `shards` is not empty, its names are in order and each stands
-/// once; all its pools hold the index version `index_version`; no service stands under
-/// two shards.
+/// Invariants: `shards` is not empty, and its names are sorted and unique; all its pools hold
+/// the index version `index_version`; no service belongs to two shards.
 #[derive(Clone, PartialEq, Debug)]
 pub struct Route {
     /// The search's name.
     pub name: String,
     /// How urgent its queries are.
     pub class: PriorityClass,
-    /// Time within which callers get an outcome.
+    /// Time within which callers get an answer or a rejection.
     pub timeout: Span,
     /// Required share of the planned shards, in thousandths.
     pub quorum: u32,
-    /// Most dispatches for one shard of one query.
+    /// Maximum number of attempts for one shard of one query.
     pub attempts: u32,
-    /// The version of the index that all its pools hold; empty if they name none.
+    /// The index version that all its pools hold; empty if they name none.
     pub index_version: String,
     /// Which shards a query is planned for.
     pub fan_out: FanOut,
-    /// Share of the time left that a dispatch may use before a retry, in percent.
+    /// Share of the remaining time after which an unanswered attempt is hedged, in percent.
     pub hedge_after_pct: u64,
-    /// Share of the promise after which a quorum is enough, in percent.
+    /// Share of the timeout after which a quorum of the shards suffices, in percent.
     pub quorum_after_pct: u64,
-    /// Leafs of the querier's own zone come first.
+    /// Whether leafs in the querier's zone are preferred.
     pub prefer_local: bool,
-    /// The shards, in the order of their names.
+    /// The shards, sorted by name.
     pub shards: Vec<RouteShard>,
-    /// Host by which calls come here; empty if by name.
+    /// Host of the calls that are routed here; empty if the search is called by name.
     pub host: String,
-    /// Path that such calls begin with; empty if by name.
+    /// Path prefix of these calls; empty if the search is called by name.
     pub path: String,
-    /// How calls and answers are treated.
+    /// How calls are forwarded and answers are composed.
     pub serving_mode: ServingMode,
-    /// A call may run at most once.
+    /// Whether a call must not be executed more than once.
     pub at_most_once: bool,
-    /// Time within which an answer has its full value.
+    /// Latency target: a later answer is worth less.
     pub target: Option<Span>,
-    /// Order among searches of one class, the lowest first.
+    /// Priority among searches of one class, the lowest first.
     pub rank: u32,
-    /// Bytes of one record where answers are joined by bytes.
+    /// Size of one record where answers are merged by bytes.
     pub record_bytes: usize,
-    /// Most records of a joined answer.
+    /// Maximum number of records of a merged answer.
     pub max_records: usize,
-    /// Weight of each shard, in their order.
+    /// Weight of each shard, in the order of `shards`.
     pub weights: Vec<u64>,
 }
 
 impl Route {
-    /// How many of `planned` shards make the quorum: at least one.
+    /// Returns how many of `planned` shards form the quorum, at least one.
     pub fn required_shards(&self, planned: usize) -> usize {
         (planned * self.quorum as usize).div_ceil(1000).clamp(1, planned.max(1))
     }
@@ -72,40 +71,40 @@
 /// A shard of a route and the pools that hold it.
 #[derive(Clone, PartialEq, Debug)]
 pub struct RouteShard {
-    /// The shard's name: a value of the label that the plan shards by.
+    /// The shard's name: the value of the plan's shard label.
     pub name: String,
-    /// The pools that hold it, in the order of their names.
+    /// The pools that hold it, sorted by name.
     pub pools: Vec<CompiledPool>,
 }
 
-/// A pool, ready to choose leafs from.
+/// A pool with its compiled selector.
 #[derive(Clone, PartialEq, Debug)]
 pub struct CompiledPool {
     /// The pool's name.
     pub name: String,
-    /// The service whose leafs it takes.
+    /// The service that its leafs belong to.
     pub service: String,
-    /// Chooses among the service's leafs by their labels.
+    /// Selects among the service's leafs by their labels.
     pub selector: Selector,
-    /// Dispatches that a warm leaf bears at once, over all nodes.
+    /// Concurrent attempts that a warm leaf accepts from all nodes together.
     pub leaf_capacity: u32,
-    /// Time that a fresh leaf takes to bear all of that.
+    /// Time after which a newly started leaf has its full capacity.
     pub slow_start: Span,
-    /// How dispatches are spread over the leafs.
+    /// How attempts are distributed over the leafs.
     pub balancing: BalancingMode,
-    /// Most connections that a leaf takes from all nodes; zero if not said.
+    /// Maximum number of connections to a leaf from all nodes; zero if not set.
     pub connections: u32,
-    /// Thousandths of a dispatch that a cold leaf bears a second.
+    /// Attempts per second that a cold leaf accepts, in thousandths.
     pub cold_rate: u32,
 }
 
-/// A checked configuration.
+/// A validated configuration.
 #[derive(Clone, PartialEq, Debug, Default)]
 pub struct RoutingTable {
-    /// The routes by their searches' names.
+    /// The routes, by the name of their search.
     pub routes: IndexMap<String, Route>,
-    /// Zones whose leafs get no new work.
+    /// Zones whose leafs receive no new attempts.
     pub drained: BTreeSet<String>,
-    /// Limits for clients, and the edition.
+    /// Client limits and the edition.
     pub client_limits: ClientLimits,
 }
--- a/crates/core/src/config/show.rs
+++ b/crates/core/src/config/show.rs
@@ -1,4 +1,4 @@
-//! Configuration types back to JSON, in the form in which they are read.
+//! Converts configuration types back to the JSON form from which they are parsed.
 
 use serde_json::{Value, json};
 
@@ -8,8 +8,8 @@
 };
 
 impl PriorityClass {
-    /// The word that stands for it in a configuration.
-    pub fn word(self) -> &'static str {
+    /// Returns the name of the class in a configuration.
+    pub fn name(self) -> &'static str {
         match self {
             PriorityClass::Urgent => "urgent",
             PriorityClass::Lookup => "lookup",
@@ -19,7 +19,7 @@
 }
 
 impl Config {
-    /// The whole configuration as JSON, objects by name.
+    /// Returns the full configuration as JSON, objects sorted by name.
     pub fn to_json(&self) -> Value {
         let mut out = json!({
             "searches": self.searches.values().map(search).collect::<Vec<_>>(),
@@ -43,7 +43,7 @@
 fn search(search: &SearchConfig) -> Value {
     let class = PriorityClass::try_from(search.class).unwrap_or(PriorityClass::Ordinary);
     let mut out = json!({
-        "name": search.name, "class": class.word(), "promise_ms": search.timeout_ms,
+        "name": search.name, "class": class.name(), "promise_ms": search.timeout_ms,
         "quorum": f64::from(search.quorum) / 1000.0, "attempts": search.attempts,
         "plan": search.plan,
     });
--- a/crates/core/src/config/stored.rs
+++ b/crates/core/src/config/stored.rs
@@ -1,4 +1,4 @@
-//! The configuration as entries of its partition: one entry an object.
+//! The configuration as entries of its partition, with one entry per object.
 
 use std::collections::BTreeMap;
 use std::ops::Bound::{Included, Unbounded};
@@ -7,7 +7,7 @@
 
 use super::types::{ClientLimits, Config};
 
-/// An entry of a partition: a new value, or `None` where it is removed.
+/// A changed entry of a partition: its key and the new value, or `None` if it is removed.
 pub type Entry = (String, Option<Vec<u8>>);
 
 const SEARCH: &str = "search/";
@@ -26,7 +26,7 @@
 }
 
 impl Config {
-    /// The entries of the whole configuration.
+    /// Returns the entries of the full configuration.
     pub fn to_entries(&self) -> BTreeMap<String, Vec<u8>> {
         let mut entries = BTreeMap::new();
         for (name, search) in &self.searches {
@@ -44,7 +44,7 @@
         entries
     }
 
-    /// The configuration that lies in a partition; other entries are passed over.
+    /// Reads the configuration from the entries of a partition and ignores other entries.
     /// Fails at the first entry that can't be read.
     pub fn from_entries(map: &BTreeMap<String, Vec<u8>>) -> Result<Config, EntryError> {
         let mut config = Config::default();
@@ -64,8 +64,8 @@
     }
 }
 
-/// The entries whose keys begin with `prefix`, with what follows it. What else
-/// lies in the map is not walked.
+/// Returns the entries whose keys begin with `prefix`, without the prefix. Other entries of the
+/// map are not visited.
 pub fn with_prefix<'a>(
     map: &'a BTreeMap<String, Vec<u8>>,
     prefix: &'a str,
@@ -78,7 +78,7 @@
     T::decode(value).map_err(|source| EntryError { key: format!("{prefix}{name}"), source })
 }
 
-/// The edition that stands; zero if the entry that holds it can't be read.
+/// Returns the edition in force; zero if its entry is missing or can't be read.
 pub fn edition(map: &BTreeMap<String, Vec<u8>>) -> u64 {
     let client_limits =
         map.get(TERMS).and_then(|value| ClientLimits::decode(value.as_slice()).ok());
