--- a/crates/core/src/http_api/caller.rs
+++ b/crates/core/src/http_api/caller.rs
@@ -1,4 +1,4 @@
-//! What callers send and get.
+//! Requests and responses of callers.
 
 use serde_json::{Value, json};
 
@@ -6,14 +6,14 @@
 use crate::query::request::{Outcome, Rejection, RejectionReason, SearchAnswer, SearchRequest};
 use crate::time::ms;
 
-/// Header with the time the caller will wait, in milliseconds.
+/// Request header with the time that the caller waits, in milliseconds.
 pub const BUDGET: &str = "budget-ms";
-/// Header with the count of planned shards that the answer leaves out.
+/// Response header with the number of planned shards that the answer lacks.
 pub const MISSING_SHARDS: &str = "missing-parts";
-/// Header that tells a bounced caller when to come back, in seconds.
+/// Response header with the time after which a rejected caller may retry, in seconds.
 pub const RETRY_AFTER: &str = "retry-after";
 
-/// An answer towards a caller, ready for any HTTP library.
+/// A response to a caller, independent of the HTTP library.
 pub struct CallerResponse {
     pub status: u16,
     pub missing_shards: Option<usize>,
@@ -21,9 +21,9 @@
     pub body: Vec<u8>,
 }
 
-/// Reads a call. `q`, `key` and `limit` come from a GET's parameters.
+/// Parses a GET call, with `q`, `key` and `limit` as query parameters.
 pub fn read_get(
-    mapping: &str,
+    route: &str,
     budget: Option<&str>,
     params: &[(String, String)],
 ) -> Result<SearchRequest, Rejection> {
@@ -39,15 +39,15 @@
             other => return Err(bad(format!("unknown parameter `{other}`"))),
         };
         if map.insert(val.0.to_string(), val.1).is_some() {
-            return Err(bad(format!("parameter `{key}` stands twice")));
+            return Err(bad(format!("duplicate parameter `{key}`")));
         }
     }
-    read(mapping, budget, map)
+    read(route, budget, map)
 }
 
-/// Reads a call from a POST's body.
+/// Parses a POST call, with the fields in its JSON body.
 pub fn read_post(
-    mapping: &str,
+    route: &str,
     budget: Option<&str>,
     body: &[u8],
 ) -> Result<SearchRequest, Rejection> {
@@ -58,19 +58,19 @@
         ));
     }
     match serde_json::from_slice(body) {
-        Ok(Value::Object(map)) => read(mapping, budget, map),
+        Ok(Value::Object(map)) => read(route, budget, map),
         Ok(_) => Err(bad("the body is not a JSON object")),
         Err(e) => Err(bad(format!("the body is not JSON: {e}"))),
     }
 }
 
 fn read(
-    mapping: &str,
+    route: &str,
     budget: Option<&str>,
     map: serde_json::Map<String, Value>,
 ) -> Result<SearchRequest, Rejection> {
     let Some(text) = budget else {
-        return Err(bad("the header Budget-Ms is missing: say how long you will wait"));
+        return Err(bad("the header Budget-Ms, the time to wait in milliseconds, is missing"));
     };
     let budget = match text.trim().parse::<u64>() {
         Ok(n) if (1..=consts::MAX_BUDGET_MS).contains(&n) => ms(n),
@@ -90,7 +90,7 @@
     let key = match map.get("key") {
         None => None,
         Some(Value::String(s)) if !s.is_empty() => Some(s.clone()),
-        Some(_) => return Err(bad("`key` must be a text that is not empty")),
+        Some(_) => return Err(bad("`key` must be a non-empty text")),
     };
     let limit = match map.get("limit") {
         None => consts::DEFAULT_RECORD_LIMIT,
@@ -109,7 +109,7 @@
         ));
     }
     Ok(SearchRequest {
-        route: mapping.to_string(),
+        route: route.to_string(),
         question,
         key,
         record_limit: limit,
@@ -121,7 +121,7 @@
     Rejection::new(RejectionReason::InvalidRequest, text)
 }
 
-/// The status for a reason.
+/// Returns the HTTP status for a rejection.
 pub fn status(reason: RejectionReason) -> u16 {
     match reason {
         RejectionReason::InvalidRequest | RejectionReason::MissingKey => 400,
@@ -137,47 +137,51 @@
     }
 }
 
-/// Writes an outcome.
+/// Formats the outcome of a query as a response.
 pub fn write(out: &Outcome) -> CallerResponse {
     match out {
-        Outcome::Answered(full) => write_full(full),
-        // Calls that are handed over come by another door.
+        Outcome::Answered(answer) => write_answer(answer),
+        // Calls that are forwarded arrive at another listener.
         Outcome::Forwarded(_) | Outcome::Merged(_) => {
-            let b = Rejection::new(
+            let rejection = Rejection::new(
                 RejectionReason::UnknownRoute,
                 "this search is called by host and path",
             );
-            write(&Outcome::Rejected(b))
+            write(&Outcome::Rejected(rejection))
         }
-        Outcome::Rejected(b) => {
-            let code = status(b.reason);
-            let body = json!({ "error": b.reason.to_string(), "text": b.text, "query": b.query });
-            // Whoever is sent away for now is told when to come back.
-            let least = b.retry_after_seconds.unwrap_or(consts::RETRY_AFTER_MIN_S);
-            let again = (code == 429 || code >= 500).then_some(least);
+        Outcome::Rejected(rejection) => {
+            let code = status(rejection.reason);
+            let body = json!({
+                "error": rejection.reason.to_string(), "text": rejection.text,
+                "query": rejection.query,
+            });
+            // A response to a temporary rejection has a retry-after time.
+            let seconds = rejection.retry_after_seconds.unwrap_or(consts::RETRY_AFTER_MIN_S);
+            let retry_after = (code == 429 || code >= 500).then_some(seconds);
             CallerResponse {
                 status: code,
                 missing_shards: None,
-                retry_after: again,
+                retry_after,
                 body: body.to_string().into_bytes(),
             }
         }
     }
 }
 
-fn write_full(full: &SearchAnswer) -> CallerResponse {
-    let records: Vec<Value> = full
+fn write_answer(answer: &SearchAnswer) -> CallerResponse {
+    let records: Vec<Value> = answer
         .records
         .iter()
         .map(|r| json!({ "id": r.id, "score": r.score, "shard": r.shard, "data": r.data }))
         .collect();
     let body = json!({
-        "query": full.query, "mapping": full.route, "cut": full.index_version, "revision": full.revision,
-        "shards": full.shards, "missing": full.missing, "records": records,
+        "query": answer.query, "mapping": answer.route, "cut": answer.index_version,
+        "revision": answer.revision, "shards": answer.shards, "missing": answer.missing,
+        "records": records,
     });
     CallerResponse {
         status: 200,
-        missing_shards: Some(full.missing),
+        missing_shards: Some(answer.missing),
         retry_after: None,
         body: body.to_string().into_bytes(),
     }
--- a/crates/core/src/http_api/leaf.rs
+++ b/crates/core/src/http_api/leaf.rs
@@ -1,4 +1,4 @@
-//! What leafs are sent and what they send back.
+//! Requests to leafs and their replies.
 
 use serde_json::{Value, json};
 
@@ -6,37 +6,37 @@
 use crate::query::observed_load::ReportedLoad;
 use crate::query::request::Record;
 
-/// Path of the one call a leaf takes.
+/// Path of the query request, the only one that does work at a leaf.
 pub const PATH: &str = "/query";
-/// Path under which a leaf speaks of itself alone, without work.
+/// Path under which a leaf returns its self-report without doing work.
 pub const SELF_PATH: &str = "/self";
-/// Request header: the identity of the leaf that is meant. A leaf of another
-/// identity turns the request away unrun with `MISDIRECTED`.
+/// Request header: the identity of the intended leaf. A leaf with another identity rejects the
+/// request with `MISDIRECTED` and does not execute it.
 pub const EXPECT_LEAF: &str = "expect-leaf";
-/// Request header: the service that the leaf is meant to belong to.
+/// Request header: the service that the intended leaf belongs to.
 pub const EXPECT_SERVICE: &str = "expect-service";
-/// Request header: the dispatch's own id, `<query>.<dispatch>`.
+/// Request header: the id of the attempt, `<query>.<attempt>`.
 pub const QUERY_ID: &str = "query-id";
-/// Request header: digest of the exact body.
+/// Request header: digest of the body's bytes.
 pub const QUESTION_DIGEST: &str = "question-digest";
-/// Request header: time left, in milliseconds.
+/// Request header: remaining time, in milliseconds.
 pub const BUDGET: &str = "budget-ms";
-/// Reply header: `<leaf> <query-id> <digest>` of what was truly run.
+/// Reply header: `<leaf> <query-id> <digest>` of the request that was executed.
 pub const POSTMARK: &str = "postmark";
-/// Reply header: share of the leaf that is busy, 0.0 to 1.0.
+/// Reply header: utilization of the leaf, 0.0 to 1.0.
 pub const BUSY: &str = "busy";
 /// Reply header: milliseconds since this leaf started.
 pub const LEAF_AGE: &str = "leaf-age-ms";
-/// Reply header: `leaving` when the leaf wants no new work.
+/// Reply header: `leaving` if the leaf wants no new requests.
 pub const LEAF_STATE: &str = "leaf-state";
-/// Reply header: the cut of the index that the leaf holds.
+/// Reply header: the index version that the leaf holds.
 pub const INDEX_VERSION: &str = "cut";
-/// Reply header on a request that was turned away before it ran.
+/// Reply header of a request that was rejected without being executed.
 pub const REJECTED: &str = "unrun";
 /// Status of a leaf that is not the one expected.
 pub const MISDIRECTED: u16 = 421;
 
-/// Why a dispatch brought nothing. Each kind has its own counter.
+/// Reason for the failure of an attempt. Each reason has its own counter.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub enum AttemptFailure {
     Unreachable,
@@ -53,7 +53,7 @@
     MalformedReply,
     RecordsOutOfOrder,
     ServiceMismatch,
-    /// A second try elsewhere answered first.
+    /// Another attempt for the same shard was answered first.
     Overtaken,
 }
 
@@ -79,7 +79,7 @@
     }
 }
 
-/// Heads of a reply that matter, as they came; `postmarks` may be several.
+/// The evaluated headers of a reply, unparsed; there may be several `postmarks`.
 #[derive(Clone, Debug, Default)]
 pub struct ReplyHeaders {
     pub postmarks: Vec<String>,
@@ -88,15 +88,15 @@
     pub state: Option<String>,
     pub index_version: Option<String>,
     pub rejected: bool,
-    /// What it says of its load, where it tells that in numbers.
+    /// The leaf's load in numbers, if it reports them.
     pub load: Option<ReportedLoad>,
-    /// The reply is not one to this dispatch.
+    /// Whether the reply does not belong to this attempt.
     pub foreign: bool,
-    /// Every head that may go back to a caller, as it came.
+    /// All end-to-end headers, which may be returned to the caller unchanged.
     pub end_to_end: Vec<(String, Vec<u8>)>,
 }
 
-/// A reply as it came off the connection.
+/// A reply as received.
 #[derive(Clone, Debug)]
 pub struct LeafReply {
     pub status: u16,
@@ -104,43 +104,52 @@
     pub body: Vec<u8>,
 }
 
-/// What a leaf says about itself with every reply, run or unrun.
+/// The state that a leaf reports about itself with every reply, also with a rejection.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct SelfReport {
-    /// Thousandths of the leaf that are busy.
+    /// Utilization of the leaf, in thousandths.
     pub busy_permille: Option<u32>,
     pub age_ms: Option<u64>,
     pub draining: bool,
 }
 
-/// The body of a dispatch: the exact question, the same for every leaf.
-pub fn body(mapping: &str, cut: &str, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
-    json!({ "mapping": mapping, "cut": cut, "question": question, "key": key, "limit": limit })
-        .to_string()
-        .into_bytes()
+/// Returns the body of an attempt, which is the same for every leaf.
+pub fn body(
+    route: &str,
+    index_version: &str,
+    question: &Value,
+    key: Option<&str>,
+    limit: u32,
+) -> Vec<u8> {
+    json!({
+        "mapping": route, "cut": index_version, "question": question, "key": key, "limit": limit,
+    })
+    .to_string()
+    .into_bytes()
 }
 
-/// The postmark a true reply carries.
+/// Returns the postmark that the reply to a request must carry.
 pub fn postmark(leaf: &str, query: &str, digest: &str) -> String {
     format!("{leaf} {query} {digest}")
 }
 
-/// Digest of a dispatch's body.
+/// Returns the digest of an attempt's body.
 pub fn question_digest(body: &[u8]) -> String {
     digest(body)
 }
 
-/// What the leaf says of itself, read leniently: it is advice, not proof.
-pub fn self_report(heads: &ReplyHeaders) -> SelfReport {
-    let busy = heads.busy.as_ref().and_then(|b| b.trim().parse::<f64>().ok());
+/// Parses the leaf's self-report. Invalid values are ignored, since the report only serves as a
+/// hint.
+pub fn self_report(headers: &ReplyHeaders) -> SelfReport {
+    let busy = headers.busy.as_ref().and_then(|b| b.trim().parse::<f64>().ok());
     SelfReport {
         busy_permille: busy.filter(|b| b.is_finite()).map(|b| (b.clamp(0.0, 1.0) * 1000.0) as u32),
-        age_ms: heads.age.as_ref().and_then(|a| a.trim().parse().ok()),
-        draining: heads.state.as_deref() == Some("leaving"),
+        age_ms: headers.age.as_ref().and_then(|a| a.trim().parse().ok()),
+        draining: headers.state.as_deref() == Some("leaving"),
     }
 }
 
-/// What was expected of a reply.
+/// Expected properties of a reply.
 pub struct ExpectedReply<'a> {
     pub leaf: &'a str,
     pub attempt: &'a str,
@@ -149,8 +158,8 @@
     pub record_limit: u32,
 }
 
-/// Checks a reply; only a reply that passes may stand for a shard.
-pub fn check(raw: &LeafReply, want: &ExpectedReply) -> Result<Vec<Record>, AttemptFailure> {
+/// Validates a reply. Only a valid reply is used as a shard result.
+pub fn check(raw: &LeafReply, expected: &ExpectedReply) -> Result<Vec<Record>, AttemptFailure> {
     if raw.status == MISDIRECTED {
         return Err(AttemptFailure::Misdirected);
     }
@@ -162,7 +171,7 @@
     }
     match raw.headers.postmarks.as_slice() {
         [] => return Err(AttemptFailure::MissingPostmark),
-        [one] if *one == postmark(want.leaf, want.attempt, want.digest) => {}
+        [one] if *one == postmark(expected.leaf, expected.attempt, expected.digest) => {}
         [_] => return Err(AttemptFailure::PostmarkMismatch),
         _ => return Err(AttemptFailure::DuplicatePostmark),
     }
@@ -170,11 +179,11 @@
         .headers
         .index_version
         .as_deref()
-        .is_some_and(|c| !want.index_version.is_empty() && c != want.index_version)
+        .is_some_and(|c| !expected.index_version.is_empty() && c != expected.index_version)
     {
         return Err(AttemptFailure::IndexVersionMismatch);
     }
-    records(&raw.body, want.record_limit)
+    records(&raw.body, expected.record_limit)
 }
 
 fn records(body: &[u8], limit: u32) -> Result<Vec<Record>, AttemptFailure> {
@@ -194,7 +203,7 @@
         };
         let score =
             item.get("score").and_then(Value::as_f64).ok_or(AttemptFailure::MalformedReply)?;
-        // Adding zero folds -0.0 into 0.0, so equal scores are equal bits.
+        // Adding zero turns -0.0 into 0.0, so that equal scores have equal bits.
         let score = score + 0.0;
         let data = item.remove("data").unwrap_or(Value::Null);
         let rec = Record { id, score, shard: String::new(), data };
--- a/crates/core/src/http_api/list.rs
+++ b/crates/core/src/http_api/list.rs
@@ -1,4 +1,4 @@
-//! The platform's list of leafs.
+//! The list of leafs that the platform provides.
 
 use std::collections::BTreeSet;
 
@@ -11,14 +11,14 @@
 /// Path under which the platform serves its list.
 pub const PATH: &str = "/leafs";
 
-/// Reads the list. A list that is not one at all, or that is empty, is an
-/// error as a whole; single bad entries are found and passed over.
+/// Parses the list. A list that is malformed or has no usable leaf is an error; a single invalid
+/// entry is reported and skipped.
 pub fn read(body: &[u8]) -> Result<(Vec<LeafInfo>, Vec<Diagnostic>), Diagnostic> {
-    let whole = |text: String| Diagnostic::new("$", text);
-    let val: Value =
-        serde_json::from_slice(body).map_err(|e| whole(format!("the list is not JSON: {e}")))?;
+    let list_error = |text: String| Diagnostic::new("$", text);
+    let val: Value = serde_json::from_slice(body)
+        .map_err(|e| list_error(format!("the list is not JSON: {e}")))?;
     let Some(items) = val.get("leafs").and_then(Value::as_array) else {
-        return Err(whole("the list has no field `leafs`".into()));
+        return Err(list_error("the list has no field `leafs`".into()));
     };
     let (mut out, mut all) = (Vec::<LeafInfo>::new(), Vec::new());
     let mut seen = BTreeSet::new();
@@ -26,14 +26,14 @@
         let at = format!("leafs[{i}]");
         match entry(item) {
             Ok(leaf) if !seen.insert(leaf.leaf.clone()) => {
-                find(&mut all, at, format!("leaf `{}` stands twice", leaf.leaf));
+                find(&mut all, at, format!("duplicate leaf `{}`", leaf.leaf));
             }
             Ok(leaf) => out.push(leaf),
             Err(text) => find(&mut all, at, text),
         }
     }
     if out.is_empty() {
-        return Err(whole("the list names no leaf that can be used".into()));
+        return Err(list_error("the list has no usable leaf".into()));
     }
     Ok((out, all))
 }
@@ -45,7 +45,7 @@
     };
     let leaf = text("leaf")?;
     if !leaf.bytes().all(|b| b.is_ascii_graphic()) {
-        return Err("field `leaf` must be plain ASCII without blanks".into());
+        return Err("field `leaf` must be printable ASCII without spaces".into());
     }
     let addr = text("addr")?;
     if addr.parse::<std::net::SocketAddr>().is_err() {
--- a/crates/core/src/http_api/mod.rs
+++ b/crates/core/src/http_api/mod.rs
@@ -1,5 +1,5 @@
-//! The outside formats, one module each: a change of what callers, leafs,
-//! the platform's list or operators send touches its module and nothing else.
+//! The external HTTP formats, with one module for each peer: callers, leafs, the platform's leaf
+//! list and operators. A format change affects only its module.
 
 pub mod caller;
 pub mod leaf;
--- a/crates/core/src/http_api/rollout.rs
+++ b/crates/core/src/http_api/rollout.rs
@@ -1,4 +1,4 @@
-//! Rollouts as operators order and read them, in our own JSON form.
+//! Rollout orders and rollout states in grebepath's JSON form.
 
 use serde_json::{Value, json};
 
@@ -7,27 +7,27 @@
 
 const MILLIS_PER_SECOND: f64 = 1_000.0;
 
-/// Path of all rollouts; that of one service's has the service's name behind it.
+/// Path of all rollouts; followed by a slash and the name of a service, the path of its rollout.
 pub const ROLLOUTS: &str = "/v1/rollouts";
 
-/// Why an order can't be read.
+/// Error in the body of a rollout order.
 #[derive(Debug, thiserror::Error)]
 pub enum RolloutBodyError {
-    /// The body is no JSON.
+    /// The body is not JSON.
     #[error("the body is not JSON: {0}")]
     NotJson(#[from] serde_json::Error),
-    /// A field is missing, or of another kind.
+    /// A field is missing or has an invalid value.
     #[error("field `{field}` must be {expected}")]
     WrongField {
         /// The field's name.
         field: &'static str,
-        /// What it must be.
+        /// Description of a valid value.
         expected: &'static str,
     },
 }
 
 impl RolloutBodyError {
-    /// The place of what is wrong.
+    /// Returns the location of the error.
     pub fn field(&self) -> &'static str {
         match self {
             RolloutBodyError::NotJson(_) => "$",
@@ -36,26 +36,26 @@
     }
 }
 
-/// Names of an order's fields.
+/// Names of the fields of a rollout order.
 pub struct OrderFields {
-    /// The service.
+    /// The service to roll out to.
     pub service: &'static str,
     /// The version to move to.
     pub target: &'static str,
-    /// The term, in seconds.
+    /// The duration of the rollout, in seconds.
     pub term_s: &'static str,
 }
 
-/// The names in our own form.
+/// The field names of grebepath's own form.
 const NATIVE_FIELDS: OrderFields =
     OrderFields { service: "service", target: "version", term_s: "over_s" };
 
-/// Reads an order in our own form.
+/// Parses a rollout order in grebepath's own form.
 pub fn read_order(body: &[u8]) -> Result<RolloutOrder, RolloutBodyError> {
     read_order_with(body, &NATIVE_FIELDS)
 }
 
-/// Reads an order whose fields have these names.
+/// Parses a rollout order with these field names.
 pub fn read_order_with(
     body: &[u8],
     fields: &OrderFields,
@@ -63,7 +63,7 @@
     let value: Value = serde_json::from_slice(body)?;
     let text = |field: &'static str| match value.get(field).and_then(Value::as_str) {
         Some(text) if !text.is_empty() => Ok(text.to_string()),
-        _ => Err(RolloutBodyError::WrongField { field, expected: "a text that is not empty" }),
+        _ => Err(RolloutBodyError::WrongField { field, expected: "a non-empty text" }),
     };
     let seconds = value.get(fields.term_s).and_then(Value::as_f64).filter(|s| *s > 0.0);
     let term_s = seconds.ok_or(RolloutBodyError::WrongField {
@@ -77,7 +77,7 @@
     })
 }
 
-/// A rollout in our own form.
+/// Formats a rollout in grebepath's own form.
 pub fn to_json(rollout: &Rollout) -> Value {
     json!({
         "service": rollout.service,
--- a/crates/core/src/routing_language/compile.rs
+++ b/crates/core/src/routing_language/compile.rs
@@ -1,4 +1,4 @@
-//! Stages to a plain policy: defaults filled in, contradictions reported.
+//! Compiles the stages of a plan: applies defaults and reports inconsistencies.
 
 use super::lexer::TextPosition;
 use super::parser::{Stage, Verb, stages};
@@ -6,42 +6,40 @@
 use super::syntax_error::SyntaxError;
 use crate::diagnostic::Diagnostics;
 
-/// Share of the time left that a dispatch may use before a retry, in percent,
-/// if the plan does not say.
-const WAIT_DEFAULT_PCT: u64 = 40;
-/// Share of the promise after which a quorum is enough, in percent, if the
-/// plan does not say.
-const STOP_DEFAULT_PCT: u64 = 80;
+/// Default share of the remaining time after which an unanswered attempt is hedged, in percent.
+const DEFAULT_HEDGE_AFTER_PCT: u64 = 40;
+/// Default share of the timeout after which a quorum of the shards suffices, in percent.
+const DEFAULT_QUORUM_AFTER_PCT: u64 = 80;
 
-/// Which shards a query is planned for.
+/// The shards that a query is sent to.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum FanOut {
     /// Every shard of the index version.
     AllShards,
-    /// The one shard that the caller's key falls on.
+    /// The shard that the caller's key maps to.
     ByKey,
-    /// One shard, drawn by the search's weights.
+    /// One shard, selected at random by the search's weights.
     ByWeight,
 }
 
-/// A compiled plan, before its pools are looked up.
+/// A compiled plan whose pools are not resolved yet.
 #[derive(Clone, PartialEq, Debug)]
 pub struct CompiledPlan {
-    /// Chooses the pools of the route by their labels.
+    /// Selects the pools of the route by their labels.
     pub selector: Selector,
     /// The label whose values are the shards' names.
     pub shard_label: String,
-    /// Which shards a query is planned for.
+    /// The shards that a query is sent to.
     pub fan_out: FanOut,
-    /// Share of the time left that a dispatch may use before a retry, in percent.
+    /// Share of the remaining time after which an unanswered attempt is hedged, in percent.
     pub hedge_after_pct: u64,
-    /// Share of the promise after which a quorum is enough, in percent.
+    /// Share of the timeout after which a quorum of the shards suffices, in percent.
     pub quorum_after_pct: u64,
-    /// Leafs of the querier's own zone come first.
+    /// Whether leafs in the querier's zone are preferred.
     pub prefer_local: bool,
 }
 
-/// What the stages of a plan say, each at most once.
+/// The stages of a plan, each at most once.
 #[derive(Default)]
 struct Plan {
     from: Option<(Selector, String)>,
@@ -52,8 +50,8 @@
 }
 
 impl CompiledPlan {
-    /// Compiles the plan that stands at `text_location`; `None` when something is
-    /// wrong with it.
+    /// Compiles the plan at `text_location`. Reports its errors and returns `None` if there are
+    /// any.
     pub fn compile(
         text_location: &str,
         text: &str,
@@ -81,15 +79,15 @@
             selector,
             shard_label,
             fan_out,
-            hedge_after_pct: plan.hedge_after_pct.unwrap_or(WAIT_DEFAULT_PCT),
-            quorum_after_pct: plan.quorum_after_pct.unwrap_or(STOP_DEFAULT_PCT),
+            hedge_after_pct: plan.hedge_after_pct.unwrap_or(DEFAULT_HEDGE_AFTER_PCT),
+            quorum_after_pct: plan.quorum_after_pct.unwrap_or(DEFAULT_QUORUM_AFTER_PCT),
             prefer_local: plan.prefer_local.unwrap_or(true),
         })
     }
 }
 
 impl Plan {
-    /// Takes what a stage says; true if another stage has said it before.
+    /// Adds a stage; returns true if there was an equivalent stage before.
     fn set(&mut self, verb: Verb) -> bool {
         match verb {
             Verb::From { selector, shard_label } => {
--- a/crates/core/src/routing_language/lexer.rs
+++ b/crates/core/src/routing_language/lexer.rs
@@ -1,22 +1,22 @@
-//! Splits a text of the routing language into tokens.
+//! Splits source text of the routing language into tokens.
 
 use std::fmt;
 
 use super::syntax_error::SyntaxError;
 use crate::diagnostic::Diagnostics;
 
-/// What a token is.
+/// Kind and value of a token.
 #[derive(Clone, PartialEq, Debug)]
 pub enum TokenKind {
-    /// A name or a word of the language.
+    /// An identifier or a keyword.
     Name(String),
-    /// A text in quotes, without them.
+    /// A quoted text, without its quotes.
     Text(String),
     /// A number that ends in a percent sign.
     Percent(u64),
-    /// An operator, a bracket or a comma.
+    /// An operator, a parenthesis or a comma.
     Symbol(&'static str),
-    /// End of a stage: a line end or `;`.
+    /// End of a stage: a line break or `;`.
     End,
 }
 
@@ -26,42 +26,41 @@
             TokenKind::Name(name) => write!(f, "`{name}`"),
             TokenKind::Text(text) => write!(f, "\"{text}\""),
             TokenKind::Percent(number) => write!(f, "{number}%"),
-            TokenKind::Symbol(sign) => write!(f, "`{sign}`"),
+            TokenKind::Symbol(symbol) => write!(f, "`{symbol}`"),
             TokenKind::End => write!(f, "the end of the stage"),
         }
     }
 }
 
-/// Where a token begins; both count from 1.
+/// Position of a token; line and column are 1-based.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub struct TextPosition {
-    /// The line within the text.
+    /// Line of the text.
     pub line: usize,
-    /// The character within the line.
+    /// Character of the line.
     pub column: usize,
 }
 
 impl TextPosition {
-    /// Where a text begins.
+    /// The beginning of a text.
     pub const START: TextPosition = TextPosition { line: 1, column: 1 };
 
-    /// The place of this position within the text that stands at `text_location`.
+    /// Returns the location of this position in the text at `text_location`.
     pub fn location(self, text_location: &str) -> String {
         format!("{text_location}:{}:{}", self.line, self.column)
     }
 }
 
-/// A token with the position where it begins.
+/// A token and its position.
 #[derive(Clone, Debug)]
 pub struct Token {
-    /// What it is.
+    /// Kind and value.
     pub kind: TokenKind,
-    /// Where it begins.
+    /// Position of the first character.
     pub position: TextPosition,
 }
 
-/// Splits the text that stands at `text_location` into tokens; what can't be read
-/// becomes a diagnostic.
+/// Splits the text at `text_location` into tokens and reports invalid characters and tokens.
 pub fn tokens(text_location: &str, text: &str, diagnostics: &mut Diagnostics) -> Vec<Token> {
     let mut tokens = Vec::new();
     for (row, line) in text.split('\n').enumerate() {
@@ -90,8 +89,7 @@
         LineLexer { characters: line.chars().collect(), next: 0 }
     }
 
-    /// The next token and the column where it begins; none at the end of the
-    /// line and where a comment begins.
+    /// Returns the next token and its column, or `None` at the end of the line or at a comment.
     fn next_token(&mut self) -> Option<(usize, Result<TokenKind, SyntaxError>)> {
         self.take_while(char::is_whitespace);
         let first = *self.characters.get(self.next)?;
@@ -104,12 +102,12 @@
             '"' => self.text(),
             _ if first.is_ascii_digit() => self.percent(),
             _ if first.is_alphabetic() || first == '_' => Ok(self.name()),
-            _ => self.sign(first),
+            _ => self.symbol(first),
         };
         Some((column, token))
     }
 
-    /// The characters from here on that fit, and goes behind them.
+    /// Consumes and returns the next characters while they match `fits`.
     fn take_while(&mut self, fits: impl Fn(char) -> bool) -> String {
         let rest = &self.characters[self.next..];
         let taken: String = rest.iter().copied().take_while(|c| fits(*c)).collect();
@@ -140,9 +138,9 @@
         TokenKind::Name(self.take_while(|c| c.is_alphanumeric() || matches!(c, '_' | '-' | '.')))
     }
 
-    fn sign(&mut self, first: char) -> Result<TokenKind, SyntaxError> {
+    fn symbol(&mut self, first: char) -> Result<TokenKind, SyntaxError> {
         self.next += 1;
-        let sign = match first {
+        let symbol = match first {
             '!' if self.characters.get(self.next) == Some(&'=') => {
                 self.next += 1;
                 "!="
@@ -154,6 +152,6 @@
             ';' => return Ok(TokenKind::End),
             other => return Err(SyntaxError::UnexpectedCharacter(other)),
         };
-        Ok(TokenKind::Symbol(sign))
+        Ok(TokenKind::Symbol(symbol))
     }
 }
--- a/crates/core/src/routing_language/mod.rs
+++ b/crates/core/src/routing_language/mod.rs
@@ -1,15 +1,15 @@
-//! The small language for routes and policies, and its compiler.
+//! The language for the plans of searches, and its compiler.
 //!
 //! ```text
-//! from index = "notices" and cut = "w48" by shard   // which pools, cut into shards by which label
+//! from index = "notices" and cut = "w48" by shard   // selects pools, and the label of their shard
 //! send wide                                         // or: send one by key, send one by weight
-//! wait 40%                                          // share of what is left before a second try
-//! stop at quorum after 80%                          // answer with less once this much is spent
+//! wait 40%                                          // hedge after this share of the remaining time
+//! stop at quorum after 80%                          // after this share, a quorum of shards suffices
 //! prefer local                                      // or: prefer any
 //! ```
 //!
-//! Stages are separated by line ends or `;`. `from` and `send` must stand;
-//! the others have defaults.
+//! Stages are separated by line breaks or `;`. `from` and `send` are required; the others have
+//! defaults.
 
 pub mod compile;
 pub mod lexer;
--- a/crates/core/src/routing_language/parser.rs
+++ b/crates/core/src/routing_language/parser.rs
@@ -1,48 +1,48 @@
-//! Parses tokens into stages and selectors. Reads on after a mistake, so that
-//! all are reported.
+//! Parses tokens into stages and selectors. Continues after an error, so that all errors are
+//! reported.
 
 use super::lexer::{TextPosition, Token, TokenKind, tokens};
 use super::selector::Selector;
 use super::syntax_error::SyntaxError;
 use crate::diagnostic::{Diagnostic, Diagnostics};
 
-/// One stage with the position of its first token.
+/// A stage and the position of its first token.
 #[derive(Clone, Debug)]
 pub struct Stage {
-    /// What it says.
+    /// The stage's instruction.
     pub verb: Verb,
-    /// Where it begins.
+    /// Position of the first token.
     pub position: TextPosition,
 }
 
-/// What a stage says.
+/// The instruction of a stage.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Verb {
-    /// `from SELECTOR by LABEL`: which pools, and the label that names their shards.
+    /// `from SELECTOR by LABEL`: the pools, and the label with the names of their shards.
     From {
-        /// Chooses the pools.
+        /// Selects the pools.
         selector: Selector,
         /// The label whose values are the shards' names.
         shard_label: String,
     },
     /// `send wide`: to every shard.
     SendAll,
-    /// `send one by key`: to the shard of the caller's key.
+    /// `send one by key`: to the shard that the caller's key maps to.
     SendByKey,
-    /// `send one by weight`: to a shard drawn by weight.
+    /// `send one by weight`: to a shard selected at random by weight.
     SendByWeight,
-    /// `wait N%`: share of the time left before a retry.
+    /// `wait N%`: share of the remaining time after which an attempt is hedged.
     Wait(u64),
-    /// `stop at quorum after N%`: share of the promise after which a quorum is enough.
+    /// `stop at quorum after N%`: share of the timeout after which a quorum suffices.
     Stop(u64),
     /// `prefer prefer_local` or `prefer any`.
     Prefer {
-        /// Leafs of the querier's own zone come first.
+        /// Whether leafs in the querier's zone are preferred.
         prefer_local: bool,
     },
 }
 
-/// Parses a whole plan, the text that stands at `text_location`.
+/// Parses the plan at `text_location` into its stages.
 pub fn stages(text_location: &str, text: &str, diagnostics: &mut Diagnostics) -> Vec<Stage> {
     let mut parser = Parser::new(text_location, text, diagnostics);
     let mut stages = Vec::new();
@@ -63,7 +63,7 @@
 }
 
 impl Selector {
-    /// Parses a selector that stands alone; an empty text chooses all.
+    /// Parses a text that is only a selector; an empty text selects everything.
     pub fn parse(
         text_location: &str,
         text: &str,
@@ -102,19 +102,19 @@
         Parser { text_location, tokens: tokens(text_location, text, diagnostics), next: 0 }
     }
 
-    /// What the next token is; none at the end of the text.
+    /// Returns the kind of the next token, or `None` at the end of the text.
     fn kind(&self) -> Option<&TokenKind> {
         self.tokens.get(self.next).map(|token| &token.kind)
     }
 
-    /// Goes to the end of a stage that can't be read.
+    /// Skips the rest of a stage that can't be parsed.
     fn skip_stage(&mut self) {
         while self.kind().is_some_and(|kind| *kind != TokenKind::End) {
             self.next += 1;
         }
     }
 
-    /// The next token is not what the grammar has here.
+    /// Returns the diagnostic for a next token that the grammar does not allow here.
     fn unexpected(&self, expected: &str) -> Diagnostic {
         let last_line = || self.tokens.last().map_or(1, |token| token.position.line);
         let position = match self.tokens.get(self.next) {
@@ -216,7 +216,7 @@
         Ok(Verb::Stop(self.percent()?))
     }
 
-    /// A selector: one or more conjunctions joined by `or`.
+    /// Parses a selector: one or more conjunctions joined by `or`.
     fn selector(&mut self) -> Result<Selector, Diagnostic> {
         let mut parts = vec![self.conjunction()?];
         while self.take("or") {
@@ -225,7 +225,7 @@
         Ok(if parts.len() == 1 { parts.remove(0) } else { Selector::Or(parts) })
     }
 
-    /// One or more terms joined by `and`.
+    /// Parses one or more terms joined by `and`.
     fn conjunction(&mut self) -> Result<Selector, Diagnostic> {
         let mut parts = vec![self.term()?];
         while self.take("and") {
@@ -234,7 +234,7 @@
         Ok(if parts.len() == 1 { parts.remove(0) } else { Selector::And(parts) })
     }
 
-    /// A comparison of one label, a selector in brackets, or `not` before either.
+    /// Parses a comparison of a label, a selector in parentheses, or `not` before either.
     fn term(&mut self) -> Result<Selector, Diagnostic> {
         if self.take("not") {
             return Ok(Selector::Not(Box::new(self.term()?)));
@@ -257,7 +257,7 @@
         Ok(Selector::In(label, self.text_list()?))
     }
 
-    /// Texts in brackets, separated by commas.
+    /// Parses a list of texts in parentheses, separated by commas.
     fn text_list(&mut self) -> Result<Vec<String>, Diagnostic> {
         self.expect("(")?;
         let mut texts = vec![self.text()?];
--- a/crates/core/src/routing_language/selector.rs
+++ b/crates/core/src/routing_language/selector.rs
@@ -1,15 +1,14 @@
-//! Selectors over labels: their compiled form and how they match.
+//! Compiled label selectors and their evaluation.
 
 use std::collections::BTreeMap;
 
 /// Labels of a pool or a leaf.
 pub type Labels = BTreeMap<String, String>;
 
-/// A compiled selector. A label that is absent equals no text at all: it
-/// fails `=` and `in`, and passes `!=`.
+/// A compiled selector. A missing label equals no text: it fails `=` and `in`, and passes `!=`.
 #[derive(Clone, PartialEq, Debug)]
 pub enum Selector {
-    /// Chooses everything.
+    /// Matches everything.
     All,
     /// The label has this value.
     Equals(String, String),
@@ -24,7 +23,7 @@
 }
 
 impl Selector {
-    /// Whether something with these labels is chosen.
+    /// Returns whether the selector matches these labels.
     pub fn matches(&self, labels: &Labels) -> bool {
         match self {
             Selector::All => true,
--- a/crates/core/src/routing_language/syntax_error.rs
+++ b/crates/core/src/routing_language/syntax_error.rs
@@ -1,38 +1,37 @@
-//! What can be wrong with a text of the routing language.
+//! Syntax errors of the routing language.
 
 use super::lexer::TokenKind;
 
-/// A mistake in a text. Its line and column stand in the place of the
-/// diagnostic that carries this.
+/// A syntax error. The location of the diagnostic that carries it has its line and column.
 #[derive(Clone, PartialEq, Debug, thiserror::Error)]
 pub enum SyntaxError {
-    /// A quoted text does not end in its line.
+    /// A quoted text has no closing quote on its line.
     #[error("text without a closing quote")]
     UnclosedText,
     /// A number without a percent sign.
-    #[error("a number here is a percentage and ends in %")]
+    #[error("a number must be a percentage and end in %")]
     NumberWithoutPercent,
-    /// A number that no integer holds.
+    /// A number is out of the integer range.
     #[error("number too large")]
     NumberTooLarge,
-    /// A character that begins no token.
+    /// No token begins with this character.
     #[error("unexpected character {0:?}")]
     UnexpectedCharacter(char),
-    /// Another token than the grammar has here.
+    /// The grammar does not allow this token here.
     #[error("expected {expected}, found {}", found_text(.found))]
     UnexpectedToken {
-        /// What the grammar has here, in words.
+        /// Description of the allowed tokens.
         expected: String,
-        /// The token that stands here; none at the end of the text.
+        /// The token found; `None` at the end of the text.
         found: Option<TokenKind>,
     },
-    /// A stage that a plan has once stands a second time.
-    #[error("this stage stands twice")]
+    /// A plan has two stages of a kind.
+    #[error("duplicate stage")]
     DuplicateStage,
-    /// The plan does not say which pools it takes.
+    /// The plan has no `from` stage, which selects its pools.
     #[error("a plan needs a stage `from <selector> by <label>`")]
     FromMissing,
-    /// The plan does not say which shards a query is sent to.
+    /// The plan has no `send` stage, which sets the shards that a query is sent to.
     #[error("a plan needs a stage `send wide` or `send one by key`")]
     SendMissing,
 }
