--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -1,4 +1,4 @@
-//! What a controller wants done by the process that drives it.
+//! Commands of the controller state machine to the process that runs it.
 
 use crate::identifiers::{PartitionId, VoterSlot};
 use crate::protocol::message::Message;
@@ -7,63 +7,34 @@
 use crate::storage::voter_file::VoterFile;
 use crate::time::Span;
 
-/// A connection that others opened to this controller, as numbered by the daemon.
+/// Id that the daemon assigns to a connection that a peer opened to this controller.
 pub type ConnectionId = u64;
 
-/// What a controller wants done.
+/// A command of the controller state machine.
 pub enum Command {
-    ToVoter {
-        slot: VoterSlot,
-        message: Message,
-    },
-    ToConnection {
-        connection: ConnectionId,
-        message: Message,
-    },
-    /// To every controller that we know an address of.
-    Broadcast {
-        message: Message,
-    },
-    /// The voter set or our slot in it changed: open and close connections to match.
+    /// Sends a message to the voter in a slot.
+    ToVoter { slot: VoterSlot, message: Message },
+    /// Sends a message on a connection that a peer opened.
+    ToConnection { connection: ConnectionId, message: Message },
+    /// Sends a message to every controller whose address is known.
+    Broadcast { message: Message },
+    /// The voter set or this node's slot changed: opens and closes connections accordingly.
     VoterSetChanged,
-    /// Write the voter file; with `clear`, set all partitions' files aside before.
-    WriteVoterFile {
-        token: u64,
-        roll: VoterFile,
-        clear: bool,
-    },
-    /// Append a record to the partition's log and sync it.
-    AppendRecord {
-        partition: PartitionId,
-        token: u64,
-        rec: LogRecord,
-    },
-    /// Write the other slot, sync it, begin a new log.
-    WriteSnapshot {
-        partition: PartitionId,
-        token: u64,
-        copy: ReplicaState,
-    },
-    /// Read the partition's files again, after all that was asked before.
-    Scrub {
-        partition: PartitionId,
-    },
-    /// The answer to an operator, once for each request.
-    Respond {
-        op: u64,
-        done: OperationResult,
-    },
-    /// Our own answer, as the leader, to an attempt of this process. `step` takes
-    /// it back; it never comes out.
-    OwnResponse {
-        op: u64,
-        attempt: u64,
-        done: OperationResult,
-    },
-    /// Wake us after this time, beside the wakes that come anyway.
-    WakeAfter {
-        span: Span,
-    },
-    /// Something that an operator must know of; logged as a warning.
+    /// Writes the voter file; with `clear`, sets the files of all partitions aside first.
+    WriteVoterFile { token: u64, roll: VoterFile, clear: bool },
+    /// Appends a record to the partition's log and syncs it.
+    AppendRecord { partition: PartitionId, token: u64, rec: LogRecord },
+    /// Writes the other snapshot slot, syncs it and starts a new log.
+    WriteSnapshot { partition: PartitionId, token: u64, copy: ReplicaState },
+    /// Verifies the partition's files after all earlier disk commands are done.
+    Scrub { partition: PartitionId },
+    /// Responds to an operator, once for each request.
+    Respond { op: u64, done: OperationResult },
+    /// Response of this node, as the leader, to an attempt of the same process. `step` consumes
+    /// it and never returns it.
+    OwnResponse { op: u64, attempt: u64, done: OperationResult },
+    /// Schedules an additional wake-up after this time.
+    WakeAfter { span: Span },
+    /// Reports a condition that an operator must know; logged as a warning.
     Alarm(String),
 }
--- a/crates/core/src/diagnostic.rs
+++ b/crates/core/src/diagnostic.rs
@@ -1,23 +1,23 @@
-//! What is wrong with an input: every problem with its place, all together.
+//! Diagnostics: the problems of an input with their locations.
 //!
-//! A reader of a configuration goes on after a problem, so that an operator
-//! sees all of them at once.
+//! A parser continues after a problem, so that an operator sees all problems of a configuration
+//! at once.
 
 use std::error::Error;
 use std::fmt;
 use std::sync::Arc;
 
-/// One problem of an input and its place.
+/// A problem of an input and its location.
 #[derive(Clone, Debug)]
 pub struct Diagnostic {
-    /// A JSON path, for text in the routing language followed by `:line:column`.
+    /// A JSON path; for text in the routing language followed by `:line:column`.
     pub location: String,
     problem: Arc<dyn Error + Send + Sync>,
 }
 
 impl Diagnostic {
-    /// A problem at a place: an error of the module that reads the input, or a
-    /// text where another process reported it.
+    /// Creates a diagnostic from an error of the parsing module, or from a text if another
+    /// process reported the problem.
     pub fn new(
         location: impl Into<String>,
         problem: impl Into<Box<dyn Error + Send + Sync>>,
@@ -25,12 +25,12 @@
         Diagnostic { location: location.into(), problem: Arc::from(problem.into()) }
     }
 
-    /// What is wrong, as operators read it.
+    /// Returns the description of the problem for operators.
     pub fn text(&self) -> String {
         self.problem.to_string()
     }
 
-    /// What is wrong, as the error that the reader gave.
+    /// Returns the error of the parsing module.
     pub fn problem(&self) -> &(dyn Error + Send + Sync + 'static) {
         &*self.problem
     }
@@ -54,19 +54,19 @@
     }
 }
 
-/// The diagnostics of one input, in the order in which they were found.
+/// The diagnostics of one input, in the order of their detection.
 #[derive(Default, Debug)]
 pub struct Diagnostics {
     list: Vec<Diagnostic>,
 }
 
 impl Diagnostics {
-    /// No diagnostics yet.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Diagnostics::default()
     }
 
-    /// Notes one more problem.
+    /// Adds a problem.
     pub fn report(
         &mut self,
         location: impl Into<String>,
@@ -75,28 +75,28 @@
         self.list.push(Diagnostic::new(location, problem));
     }
 
-    /// Notes a diagnostic that was made elsewhere.
+    /// Adds an existing diagnostic.
     pub fn push(&mut self, diagnostic: Diagnostic) {
         self.list.push(diagnostic);
     }
 
-    /// How many problems were found so far.
+    /// Returns the number of problems found so far.
     pub fn len(&self) -> usize {
         self.list.len()
     }
 
-    /// Whether no problem was found so far.
+    /// Returns whether no problem was found so far.
     pub fn is_empty(&self) -> bool {
         self.list.is_empty()
     }
 
-    /// What was read, or all problems if there are any.
+    /// Returns `value`, or all problems if there are any.
     pub fn into_result<T>(self, value: T) -> Result<T, Vec<Diagnostic>> {
         if self.list.is_empty() { Ok(value) } else { Err(self.list) }
     }
 }
 
-/// Notes one more problem in a plain list.
+/// Adds a problem to a list of diagnostics.
 pub fn find(
     all: &mut Vec<Diagnostic>,
     location: impl Into<String>,
@@ -105,7 +105,7 @@
     all.push(Diagnostic::new(location, problem));
 }
 
-/// All diagnostics as lines, for logs and for terminals.
+/// Formats diagnostics with one line for each, for logs and terminals.
 pub fn lines(all: &[Diagnostic]) -> String {
     all.iter().map(Diagnostic::to_string).collect::<Vec<_>>().join("\n")
 }
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,10 +1,10 @@
-//! grebepath's logic: everything that decides, and nothing that does I/O.
+//! The state machines of grebepath, without I/O.
 //!
-//! Each owner is a plain struct with one free function
-//! `step(state, now, event) -> commands`. The daemons drive these functions
-//! with sockets and disks, the tests and `simulator` with a virtual clock.
+//! Each state machine is a plain struct with a function
+//! `step(state, now, event) -> commands`. The daemons run these functions on sockets and disks,
+//! the tests and the `simulator` on a virtual clock.
 
-// Not all public items have their comment yet (issue 20).
+// Not all public items have a doc comment yet (issue 20).
 #![allow(missing_docs)]
 
 pub mod command;
--- a/crates/core/src/random.rs
+++ b/crates/core/src/random.rs
@@ -1,43 +1,43 @@
 //! A small seeded random number generator.
 //!
-//! Each state machine owns one, so that a run is replayed exactly by its seed.
-//! Simulated runs and stored digests depend on the stream: for one seed the
-//! numbers and their order never change.
+//! Each state machine owns a generator, so that a run can be replayed exactly from its seed.
+//! Simulated runs and stored digests depend on the sequence: the numbers of a seed and their order
+//! must never change.
 
-/// Step between the generator's states: 2^64 divided by the golden ratio, an
-/// odd number, so that all states are passed before one comes again.
+/// Increment of the generator's state: 2^64 divided by the golden ratio. It is odd, so that every
+/// state is visited before one repeats.
 const STATE_STEP: u64 = 0x9e37_79b9_7f4a_7c15;
 
-/// A random number generator (SplitMix64) that yields the same numbers for the
-/// same seed on every machine.
+/// A random number generator (SplitMix64) that returns the same numbers for the same seed on
+/// every machine.
 pub struct Random {
     state: u64,
 }
 
 impl Random {
-    /// A generator for `seed`.
+    /// Creates a generator from `seed`.
     pub fn new(seed: u64) -> Self {
         Random { state: mix(seed) | 1 }
     }
 
-    /// The next number.
+    /// Returns the next number.
     pub fn next_u64(&mut self) -> u64 {
         self.state = self.state.wrapping_add(STATE_STEP);
         mix(self.state)
     }
 
-    /// A number below `top`; zero, without a draw, when `top` is zero.
-    pub fn below(&mut self, top: u64) -> u64 {
-        if top == 0 { 0 } else { self.next_u64() % top }
+    /// Returns a number below `bound`; zero, without drawing a number, if `bound` is zero.
+    pub fn below(&mut self, bound: u64) -> u64 {
+        if bound == 0 { 0 } else { self.next_u64() % bound }
     }
 
-    /// True in `numerator` of `denominator` draws.
+    /// Returns true with a probability of `numerator` in `denominator`.
     pub fn chance(&mut self, numerator: u64, denominator: u64) -> bool {
         self.below(denominator) < numerator
     }
 }
 
-/// Scrambles one number; equal inputs give equal outputs on every machine.
+/// Mixes the bits of a number; the result is the same on every machine.
 pub fn mix(number: u64) -> u64 {
     let mut mixed = number.wrapping_add(STATE_STEP);
     mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/crates/core/src/storage/damage.rs
+++ b/crates/core/src/storage/damage.rs
@@ -1,60 +1,61 @@
-//! What makes the files of a partition untrustworthy.
+//! Errors that make the files of a partition unusable.
 
 use thiserror::Error;
 
 use crate::storage::format::DISK_VERSION;
 
-/// Why the files of a partition can't be trusted: what was found, and where.
+/// Corruption or loss found in the files of a partition.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum Damage {
     /// A slot was written by a build with another format.
-    #[error("slot of version {found}, we read {DISK_VERSION}")]
+    #[error("slot has format version {found}, this build reads {DISK_VERSION}")]
     SlotVersion {
-        /// The version in its head.
+        /// The version in its header.
         found: u16,
     },
     /// The log was written by a build with another format.
-    #[error("log of version {found}, we read {DISK_VERSION}")]
+    #[error("log has format version {found}, this build reads {DISK_VERSION}")]
     LogVersion {
-        /// The version in its head.
+        /// The version in its header.
         found: u16,
     },
-    /// The log's mark, partition or checksum is wrong.
-    #[error("the log's head is broken")]
+    /// The log header has a wrong magic number, partition or checksum.
+    #[error("the log header is corrupted")]
     LogHeader,
-    /// The log needs a slot, and none is whole.
-    #[error("a log stands, but no slot can be read")]
+    /// The log continues a slot, and no slot is intact.
+    #[error("there is a log, but no slot can be read")]
     NoSlot,
-    /// The slot that the log follows is not there.
-    #[error("the log follows slot {log}, the newest that stands is {slot}")]
+    /// The slot that the log continues is missing.
+    #[error("the log continues slot {log}, the newest slot is {slot}")]
     SlotMissing {
-        /// Sequence number in the log's head.
+        /// Sequence number in the log header.
         log: u64,
-        /// Sequence number of the newest slot that is whole.
+        /// Sequence number of the newest intact slot.
         slot: u64,
     },
-    /// A log was there once: a slot replaces it by renaming, so it is never absent.
-    #[error("the log is gone")]
+    /// The log is missing. A new slot replaces the log by renaming, so a log that was once
+    /// written always exists.
+    #[error("the log is missing")]
     LogMissing,
-    /// A record was whole once and has been changed since.
-    #[error("record {number} of the log was changed")]
+    /// A record was complete and has been modified since.
+    #[error("record {number} of the log was modified")]
     RecordChanged {
-        /// Its place in the log, from zero.
+        /// Its index in the log, from zero.
         number: u32,
     },
-    /// A record is broken, and whole ones stand behind it: no torn write leaves that.
-    #[error("record {number} of the log is broken amid good ones")]
+    /// A record is corrupted, and intact ones follow it, which a torn write can't cause.
+    #[error("record {number} of the log is corrupted, and intact records follow it")]
     RecordBroken {
-        /// Its place in the log, from zero.
+        /// Its index in the log, from zero.
         number: u32,
     },
-    /// A record is whole and does not continue the state before it.
-    #[error("record {number} of the log does not follow the one before")]
+    /// A record is intact but does not continue the state before it.
+    #[error("record {number} of the log does not follow the previous record")]
     RecordOutOfOrder {
-        /// Its place in the log, from zero.
+        /// Its index in the log, from zero.
         number: u32,
     },
-    /// They were damaged at an earlier start, and no snapshot was written since.
-    #[error("its files were damaged and set aside earlier")]
+    /// The files were corrupted at an earlier start, and no snapshot was written since.
+    #[error("its files were corrupted and set aside earlier")]
     SetAside,
 }
--- a/crates/core/src/storage/format.rs
+++ b/crates/core/src/storage/format.rs
@@ -1,6 +1,6 @@
-//! What all files on disk have in common.
+//! Properties that all files on disk share.
 
-/// Version of the files on disk; another one is reported, never read.
+/// Format version of the files on disk. Files with another version are reported and not read.
 pub const DISK_VERSION: u16 = 1;
-/// Largest record or slot body a disk may claim to hold (bytes).
+/// Maximum length of a record or slot body (bytes); a longer one is treated as corrupted.
 pub const MAX_RECORD_BYTES: u32 = 64 * 1024 * 1024;
--- a/crates/core/src/storage/mod.rs
+++ b/crates/core/src/storage/mod.rs
@@ -1,9 +1,9 @@
-//! The form of files on disk: two slots written in turn, a short log between.
+//! The format of files on disk: two snapshot slots that are written alternately, and a short log.
 //!
-//! A partition's folder holds `slot-0`, `slot-1` and `log`. A slot is a whole state
-//! with a sequence number; the log holds what came after the slot of the same
-//! number. All of it is checksummed and length-checked, and this module does
-//! no I/O: it turns states and records into bytes and back.
+//! The directory of a partition holds `slot-0`, `slot-1` and `log`. A slot is a snapshot of the
+//! state with a sequence number; the log holds the changes after the slot with the same number.
+//! Everything has a checksum and a length. This module does no I/O: it encodes and decodes states
+//! and records.
 
 pub mod damage;
 pub mod format;
--- a/crates/core/src/storage/reader.rs
+++ b/crates/core/src/storage/reader.rs
@@ -1,5 +1,5 @@
-//! Bytes of slots and logs back to a replica's state: a torn tail is dropped, any
-//! other damage is reported and never read as truth.
+//! Decodes slots and logs into a replica's state. A torn tail of the log is dropped; any other
+//! corruption is reported, and the data is not used.
 
 use crate::protocol::message_shapes::{LOG_RECORD, REPLICA_STATE};
 use crate::protocol::shape::decode;
@@ -11,18 +11,18 @@
     SLOT_MAGIC, record_checksum,
 };
 
-/// Most records that a broken one is taken to stand before (count): a number beyond
-/// that is not one of this log.
+/// Maximum distance in record numbers between a corrupted record and an intact one behind it
+/// (count). A higher number does not belong to this log.
 const MAX_RECORDS_AHEAD: u32 = 1_000_000;
 
-/// What the files of a partition hold.
+/// Contents of the files of a partition.
 #[derive(Debug, PartialEq)]
 pub enum StoredReplica {
-    /// Nothing was ever finished.
+    /// No write was ever completed.
     Empty,
-    /// Something that can't be trusted.
+    /// Corrupted files.
     Damaged(Damage),
-    /// A state that was synced, with all that followed it.
+    /// The synced state with all later changes.
     Intact {
         /// The newest slot's state, with the log's records applied.
         state: ReplicaState,
@@ -30,65 +30,65 @@
         sequence: u64,
         /// Records in its log (count).
         records: u32,
-        /// Bytes of the log up to its last whole record.
+        /// Length of the log up to its last complete record (bytes).
         log_bytes: u64,
         /// Whether a torn tail of the log was dropped.
         is_torn: bool,
     },
 }
 
-/// A slot that is whole.
+/// An intact slot.
 struct Slot {
     sequence: u64,
     state: ReplicaState,
 }
 
-/// What the two slots hold.
+/// Contents of the two slots.
 #[derive(Default)]
 struct Slots {
-    /// The newest slot that is whole.
+    /// The newest intact slot.
     newest: Option<Slot>,
-    /// Whether another one was never finished, or is not what was written.
+    /// Whether a slot is incomplete or corrupted.
     has_broken: bool,
-    /// The version of one that another build wrote, or whose version was corrupted.
+    /// The version of a slot that another build wrote, or whose version was corrupted.
     other_version: Option<u16>,
 }
 
-/// Why a slot is not used.
+/// Reason why a slot is not used.
 enum SlotError {
     /// It was written by a build with another format.
     Version(u16),
-    /// It was never finished, or is not what was written.
+    /// It is incomplete or corrupted.
     Broken,
 }
 
-/// The records of a log that are whole.
+/// The complete records of a log.
 struct Records {
     count: u32,
     bytes: usize,
     is_torn: bool,
 }
 
-/// What stands at a place of the log.
+/// Result of parsing the log at an offset.
 enum Parsed {
-    /// A whole record, and where it ends.
+    /// A complete record, and the offset of its end.
     Record(LogRecord, usize),
-    /// A write that never ended.
+    /// An incomplete write.
     Torn,
-    /// What was whole once has been changed since.
+    /// A record that was complete and has been modified since.
     Corrupted,
 }
 
-/// Reads the files of a partition; each may be absent.
+/// Decodes the files of a partition; each may be missing.
 pub fn read(partition: u32, slots: [Option<&[u8]>; 2], log: Option<&[u8]>) -> StoredReplica {
     read_files(partition, slots, log).unwrap_or_else(StoredReplica::Damaged)
 }
 
-/// How writing goes on decides what is damage. The log of slot `n` is begun
-/// only after slot `n` is synced, and slot `n + 1` is written over slot
-/// `n - 1` while log `n` still stands. So at any time one good slot has the
-/// number of the log, and a broken other slot is a write that never ended, or one that was
-/// corrupted after its successor was written: it is not needed.
+/// The order of writes determines what counts as corruption. The log of slot `n` is started only
+/// after slot `n` is synced, and slot `n + 1` overwrites slot `n - 1` while log `n` still exists.
+/// So at any time one intact slot has the sequence number of the log. If the other slot is broken,
+/// it is an incomplete write, or it was corrupted after its successor was written; either way it
+/// is not needed.
 fn read_files(
     partition: u32,
     slots: [Option<&[u8]>; 2],
@@ -106,7 +106,7 @@
         return Err(Damage::SlotVersion { found });
     }
     let Some(Slot { sequence, state }) = newest else {
-        // Not even the first slot was finished: nothing was ever promised.
+        // Not even the first slot was completed, so nothing was ever acknowledged.
         return match log_sequence {
             None => Ok(StoredReplica::Empty),
             Some(_) => Err(Damage::NoSlot),
@@ -114,18 +114,18 @@
     };
     match log_sequence {
         Some(log) if log > sequence => Err(Damage::SlotMissing { log, slot: sequence }),
-        // A slot write replaces the log by renaming; it is never absent.
+        // A slot write replaces the log by renaming, so the log is never missing.
         None if has_broken || sequence > 1 => Err(Damage::LogMissing),
         Some(same) if same == sequence => with_log(sequence, state, log.unwrap_or_default()),
-        // The slot is newer than the log: the log's records are within it. Or it is the
-        // first, and its log was never begun.
+        // The slot is newer than the log and contains the log's records, or it is the first slot
+        // and its log was never started.
         Some(_) | None => {
             Ok(StoredReplica::Intact { state, sequence, records: 0, log_bytes: 0, is_torn: false })
         }
     }
 }
 
-/// A slot's state with its log applied.
+/// Returns a slot's state with its log applied.
 fn with_log(sequence: u64, mut state: ReplicaState, log: &[u8]) -> Result<StoredReplica, Damage> {
     let Records { count, bytes, is_torn } =
         apply_records(sequence, &log[LOG_HEADER_BYTES..], &mut state)?;
@@ -133,7 +133,7 @@
     Ok(StoredReplica::Intact { state, sequence, records: count, log_bytes, is_torn })
 }
 
-/// Reads both slots.
+/// Decodes both slots.
 fn read_slots(partition: u32, slots: [Option<&[u8]>; 2]) -> Slots {
     let mut found = Slots::default();
     for raw in slots.into_iter().flatten() {
@@ -173,16 +173,16 @@
     Ok(Slot { sequence: u64_at(raw, 12), state })
 }
 
-/// The sequence number of the slot that a log follows, if the log was begun.
+/// Returns the sequence number of the slot that a log continues, if the log was started.
 fn log_sequence(partition: u32, log: Option<&[u8]>) -> Result<Option<u64>, Damage> {
     let Some(raw) = log.filter(|raw| raw.len() >= LOG_HEADER_BYTES) else { return Ok(None) };
     let found = u16::from_le_bytes([raw[6], raw[7]]);
-    let has_mark = raw[..6] == LOG_MAGIC;
-    if has_mark && found != DISK_VERSION {
+    let has_magic = raw[..6] == LOG_MAGIC;
+    if has_magic && found != DISK_VERSION {
         return Err(Damage::LogVersion { found });
     }
-    let is_sound = crc32fast::hash(&raw[..20]) == u32_at(raw, 20);
-    if !has_mark || u32_at(raw, 8) != partition || !is_sound {
+    let is_intact = crc32fast::hash(&raw[..20]) == u32_at(raw, 20);
+    if !has_magic || u32_at(raw, 8) != partition || !is_intact {
         return Err(Damage::LogHeader);
     }
     Ok(Some(u64_at(raw, 12)))
@@ -195,7 +195,7 @@
         let (record, end) = match parse_record(sequence, number, raw, bytes) {
             Parsed::Record(record, end) => (record, end),
             Parsed::Corrupted => return Err(Damage::RecordChanged { number }),
-            // Torn, unless a whole record of this log stands behind it.
+            // Torn, unless a complete record of this log follows.
             Parsed::Torn if has_later_record(sequence, number, raw, bytes + 1) => {
                 return Err(Damage::RecordBroken { number });
             }
@@ -216,8 +216,8 @@
     }
     let head = &raw[at..at + RECORD_HEADER_BYTES];
     if crc32fast::hash(&head[..12]) != u32_at(head, 12) || u32_at(head, 4) != number {
-        // A torn write leaves zeros behind what it reached; a whole record
-        // would end in its mark.
+        // A torn write leaves zeros after the written part; a complete record ends in its end
+        // marker.
         let is_torn = raw.last() == Some(&0);
         return if is_torn { Parsed::Torn } else { Parsed::Corrupted };
     }
@@ -236,7 +236,7 @@
     }
 }
 
-/// Whether a good record with a higher number than `number` begins at or after `from`.
+/// Returns whether an intact record with a higher number than `number` starts at or after `from`.
 fn has_later_record(sequence: u64, number: u32, raw: &[u8], from: usize) -> bool {
     let is_later = |at: usize| {
         let later = u32_at(raw, at + 4);
--- a/crates/core/src/storage/record.rs
+++ b/crates/core/src/storage/record.rs
@@ -1,4 +1,4 @@
-//! What is kept on disk of a partition.
+//! The state and the log records of a partition that are stored on disk.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -8,27 +8,27 @@
 
 /// A replica's state of a partition.
 ///
-/// Invariants: `current_term >= written_term`; a state at a higher position is newer;
-/// nothing of a term below `current_term` is accepted any more.
+/// Invariants: `current_term >= written_term`; a state at a higher position is newer; writes of a
+/// term below `current_term` are not accepted.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct ReplicaState {
     /// Highest term that this replica has voted for or accepted.
     pub current_term: Term,
-    /// Term under which `entries` was last written.
+    /// Term in which `entries` was last written.
     pub written_term: Term,
-    /// Number of the last change; each change has the next one.
+    /// Number of the last change; changes are numbered consecutively.
     pub revision: u64,
-    /// What the partition holds.
+    /// The entries of the partition.
     pub entries: EntryMap,
 }
 
 impl ReplicaState {
-    /// How new this state is.
+    /// Returns the position of this state, by which states are ordered.
     pub fn position(&self) -> Position {
         Position { term: self.written_term, revision: self.revision }
     }
 
-    /// Applies a record that fits; false (and no change) if it does not.
+    /// Applies a record; returns false and changes nothing if it does not continue this state.
     pub fn apply(&mut self, record: &LogRecord) -> bool {
         match record {
             LogRecord::Vote { term } => {
@@ -47,7 +47,7 @@
     }
 }
 
-/// One step of a state, as the log holds it.
+/// A change of the state, as a record of the log.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum LogRecord {
     /// The replica voted in this term.
@@ -57,16 +57,16 @@
     },
     /// The leader of a term changed entries.
     Change {
-        /// The leader's term, in which the state was written before.
+        /// The leader's term, which is also the written term of the previous state.
         term: Term,
-        /// Number of the change: one more than that of the state before.
+        /// Number of the change, one higher than that of the previous state.
         revision: u64,
-        /// The new values, or none where a key is removed.
+        /// The new values, or `None` for a removed key.
         entries: Vec<Entry>,
     },
 }
 
-/// Applies changed entries to a state's: a new value, or none where a key is removed.
+/// Applies changed entries: a new value, or `None` for a removed key.
 pub fn apply_entries(entries: &mut EntryMap, changed: &[Entry]) {
     for (key, value) in changed {
         match value {
@@ -76,7 +76,7 @@
     }
 }
 
-/// A checksum of a state's entries, by which replicas are compared. Never zero.
+/// Returns a checksum of a state's entries, by which replicas are compared. Never zero.
 pub fn checksum(entries: &EntryMap) -> u64 {
     let mut hash = crc32fast::Hasher::new();
     for (key, value) in entries {
--- a/crates/core/src/storage/voter_file.rs
+++ b/crates/core/src/storage/voter_file.rs
@@ -1,4 +1,4 @@
-//! What a controller keeps on disk beside the partitions: who it is, and the voter set.
+//! The file with a controller's identity and the voter set, stored beside the partitions.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -12,25 +12,25 @@
 
 /// First bytes of the file.
 const MAGIC: &[u8; 6] = b"GRBrol";
-/// Bytes before the body: mark, version u16, length u32, checksum u32.
+/// Bytes before the body: magic, version u16, length u32, checksum u32.
 const HEADER_BYTES: usize = 16;
 
-/// A controller's identity and what it knows of the voter slots.
+/// A controller's identity and its latest voter set.
 ///
-/// Invariant: `me` is on disk before anybody hears it.
+/// Invariant: `me` is on disk before it is sent to any peer.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct VoterFile {
-    /// Our replica id.
+    /// This node's replica id.
     pub me: u64,
-    /// This disk was there, empty, when the fleet first began.
+    /// Whether this disk existed, empty, when the cluster was first started.
     pub first: bool,
-    /// The newest voter set that we know.
+    /// The newest known voter set.
     pub table: VoterSet,
 }
 
-/// The bytes of the file.
-pub fn write(roll: &VoterFile) -> Vec<u8> {
-    let body = roll.serialize_bin();
+/// Encodes the file.
+pub fn write(file: &VoterFile) -> Vec<u8> {
+    let body = file.serialize_bin();
     let mut out = Vec::with_capacity(HEADER_BYTES + body.len());
     out.extend(MAGIC);
     out.extend(DISK_VERSION.to_le_bytes());
@@ -40,57 +40,59 @@
     out
 }
 
-/// Reads the file; anything that does not fit counts as no file at all.
+/// Decodes the file; an invalid file is treated as missing.
 pub fn read(raw: &[u8]) -> Option<VoterFile> {
-    let (head, body) = raw.split_at_checked(HEADER_BYTES)?;
-    let num = |at: usize| u32::from_le_bytes([head[at], head[at + 1], head[at + 2], head[at + 3]]);
-    let fits = head[..6] == MAGIC[..]
-        && head[6..8] == DISK_VERSION.to_le_bytes()
+    let (header, body) = raw.split_at_checked(HEADER_BYTES)?;
+    let num = |at: usize| {
+        u32::from_le_bytes([header[at], header[at + 1], header[at + 2], header[at + 3]])
+    };
+    let is_valid = header[..6] == MAGIC[..]
+        && header[6..8] == DISK_VERSION.to_le_bytes()
         && num(8) as usize == body.len()
         && num(8) <= MAX_RECORD_BYTES
         && num(12) == crc32fast::hash(body);
-    let roll = fits.then(|| decode::<VoterFile>(&VOTER_FILE, body).ok()).flatten()?;
-    (roll.me != 0 && roll.table.slots.len() <= usize::from(crate::consts::MAX_VOTER_SLOTS))
-        .then_some(roll)
+    let file = is_valid.then(|| decode::<VoterFile>(&VOTER_FILE, body).ok()).flatten()?;
+    (file.me != 0 && file.table.slots.len() <= usize::from(crate::consts::MAX_VOTER_SLOTS))
+        .then_some(file)
 }
 
-/// What a controller is told of the voter slots at its start.
+/// Settings of the voter slots at a controller's start.
 pub struct Start {
-    /// Its slot, where an operator assigns the slots.
+    /// Its slot, if the operator assigns the slots.
     pub slot: Option<VoterSlot>,
-    /// Whether this is the fleet's first start of all.
+    /// Whether this is the first start of the cluster.
     pub first: bool,
-    /// Addresses of the controllers with which the fleet begins.
+    /// Addresses of the controllers with which the cluster is created.
     pub seeds: Vec<String>,
-    /// How many voter slots a fleet begins with.
+    /// Number of voter slots with which the cluster is created.
     pub size: usize,
-    /// Where others reach it.
+    /// Address under which peers reach this controller.
     pub addr: String,
 }
 
-/// Who a controller is at its start, by what it is told and what it found on
-/// its disk, and whether the partitions found there must be set aside. `bare`: there
-/// are none. The file must be on disk before anything else is done.
-pub fn begin(found: Option<VoterFile>, p: &Start, bare: bool, nonce: u64) -> (VoterFile, bool) {
+/// Determines a controller's identity at its start, from its settings and the file found on its
+/// disk, and whether the partitions found there must be set aside. `bare` means that the disk
+/// has no partitions. The returned file must be on disk before anything else is done.
+pub fn begin(found: Option<VoterFile>, start: &Start, bare: bool, nonce: u64) -> (VoterFile, bool) {
     let fresh = |table: VoterSet| (VoterFile { me: nonce | 1, first: false, table }, !bare);
-    match (found, p.slot) {
+    match (found, start.slot) {
         (found, Some(slot)) => {
-            let told = told_table(&p.seeds);
-            let me = found.as_ref().map_or(told_holder(slot), |r| r.me);
-            let table = found.and_then(|r| merge(&told, &r.table)).unwrap_or(told);
+            let assigned = told_table(&start.seeds);
+            let me = found.as_ref().map_or(told_holder(slot), |file| file.me);
+            let table = found.and_then(|file| merge(&assigned, &file.table)).unwrap_or(assigned);
             match seat_of(&table, me) {
                 Some(_) => (VoterFile { me, first: me == told_holder(slot), table }, false),
-                // It was given to another while we were down.
+                // The slot was assigned to another controller while this node was down.
                 None => fresh(table),
             }
         }
-        (Some(roll), None) if seat_of(&roll.table, roll.me).is_some() => (roll, false),
-        // Never more than an applicant: the id stays, one may be granted to it.
-        (Some(roll), None) if bare => (roll, false),
-        (Some(roll), None) => fresh(roll.table),
-        (None, None) if p.first && bare && p.seeds.contains(&p.addr) => {
-            let table = first_table(&p.seeds, p.size);
-            (VoterFile { me: first_holder(&p.addr), first: true, table }, false)
+        (Some(file), None) if seat_of(&file.table, file.me).is_some() => (file, false),
+        // It never held a slot. The id is kept, since a slot may be granted to it.
+        (Some(file), None) if bare => (file, false),
+        (Some(file), None) => fresh(file.table),
+        (None, None) if start.first && bare && start.seeds.contains(&start.addr) => {
+            let table = first_table(&start.seeds, start.size);
+            (VoterFile { me: first_holder(&start.addr), first: true, table }, false)
         }
         (None, None) => fresh(VoterSet::default()),
     }
--- a/crates/core/src/storage/writer.rs
+++ b/crates/core/src/storage/writer.rs
@@ -1,4 +1,4 @@
-//! Bytes of slots and of log records.
+//! Encodes slots and log records.
 
 use nanoserde::SerBin;
 
@@ -9,22 +9,21 @@
 pub const SLOT_MAGIC: [u8; 6] = *b"GRBslt";
 /// First bytes of a log.
 pub const LOG_MAGIC: [u8; 6] = *b"GRBlog";
-/// Slot: mark, version u16, partition u32, sequence u64, length u32, checksum u32.
+/// Slot header: magic, version u16, partition u32, sequence u64, length u32, checksum u32.
 pub const SLOT_HEADER_BYTES: usize = 28;
-/// Log: mark, version u16, partition u32, sequence u64, checksum u32.
+/// Log header: magic, version u16, partition u32, sequence u64, checksum u32.
 pub const LOG_HEADER_BYTES: usize = 24;
-/// Record: length u32, number in the log u32, checksum of the body u32,
-/// checksum of these three u32; behind the body stands `RECORD_END_MARKER`.
+/// Record header: length u32, number in the log u32, checksum of the body u32, checksum of these
+/// three u32. `RECORD_END_MARKER` follows the body.
 pub const RECORD_HEADER_BYTES: usize = 16;
-/// Last byte of a record. A write that was torn leaves the file short or
-/// ends in zeros; a record that has its end and a wrong checksum was whole
-/// once, and what was synced has been changed since.
+/// Last byte of a record. A torn write leaves the file short or ends in zeros. A record with its
+/// end marker and a wrong checksum was complete, and its synced bytes were modified since.
 pub const RECORD_END_MARKER: u8 = 0xa5;
 
-/// The bytes of a slot: a whole state of a partition with its sequence number.
+/// Encodes a slot: a snapshot of a partition's state with its sequence number.
 pub fn slot(partition: u32, sequence: u64, state: &ReplicaState) -> Vec<u8> {
     let body = state.serialize_bin();
-    let mut out = start(SLOT_MAGIC, partition, sequence);
+    let mut out = header_start(SLOT_MAGIC, partition, sequence);
     out.extend((body.len() as u32).to_le_bytes());
     let mut checksum = crc32fast::Hasher::new();
     checksum.update(&out);
@@ -34,15 +33,15 @@
     out
 }
 
-/// The head of a new log, which follows the slot with this sequence number.
+/// Encodes the header of a new log, which continues the slot with this sequence number.
 pub fn log_header(partition: u32, sequence: u64) -> Vec<u8> {
-    let mut out = start(LOG_MAGIC, partition, sequence);
+    let mut out = header_start(LOG_MAGIC, partition, sequence);
     out.extend(crc32fast::hash(&out).to_le_bytes());
     out
 }
 
-/// One record of the log of `sequence`, the `number`-th. The sequence is part of the
-/// checksum, so that leftovers of an older log are never read as its tail.
+/// Encodes the `number`-th record of the log of `sequence`. The sequence is part of the checksum,
+/// so that the remains of an older log are never read as the tail of this one.
 pub fn record(sequence: u64, number: u32, record: &LogRecord) -> Vec<u8> {
     let body = record.serialize_bin();
     let mut out = Vec::with_capacity(RECORD_HEADER_BYTES + body.len() + 1);
@@ -55,7 +54,7 @@
     out
 }
 
-/// Checksum of a record.
+/// Returns the checksum of a record.
 pub fn record_checksum(sequence: u64, number: u32, body: &[u8]) -> u32 {
     let mut checksum = crc32fast::Hasher::new();
     checksum.update(&sequence.to_le_bytes());
@@ -65,8 +64,8 @@
     checksum.finalize()
 }
 
-fn start(mark: [u8; 6], partition: u32, sequence: u64) -> Vec<u8> {
-    let mut out = mark.to_vec();
+fn header_start(magic: [u8; 6], partition: u32, sequence: u64) -> Vec<u8> {
+    let mut out = magic.to_vec();
     out.extend(DISK_VERSION.to_le_bytes());
     out.extend(partition.to_le_bytes());
     out.extend(sequence.to_le_bytes());
