--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -1,4 +1,4 @@
-//! The state of one traffic thread: its queries, attempts and leafs.
+//! The state of the query engine: queries, attempts and leafs of one traffic thread.
 
 use std::sync::Arc;
 
@@ -20,48 +20,48 @@
 use crate::snapshot::cluster_view::ClusterView;
 use crate::time::Tick;
 
-/// Which calls are taken.
+/// Whether this node accepts calls, and if not, why.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum ServingState {
-    /// No view is held yet.
+    /// No cluster view has been received yet.
     NoSnapshot,
     Serving,
-    /// This node is cut off alone.
+    /// This node is isolated by a network partition.
     Isolated,
-    /// This process is going down; what is in hand is finished.
+    /// This process is shutting down: it finishes open queries and accepts no new ones.
     ShuttingDown,
 }
 
-/// The owner of one traffic thread's queries.
+/// The query engine of one traffic thread. It is a state machine without I/O.
 ///
-/// Invariants: every dispatch in `dispatches` belongs to a query in `queries`
-/// and stands in exactly one slot's `outs`; a leaf's `live` equals the number
-/// of dispatches to it.
+/// Invariants: an attempt that is not abandoned and whose query is still open is listed in
+/// `in_flight` of exactly one shard of that query. A leaf's `in_flight` equals the number of its entries in `attempts`
+/// and `closing`.
 pub struct QueryEngine {
     pub name: String,
     pub zone: String,
     pub serving_state: ServingState,
     pub cluster_view: Arc<ClusterView>,
-    /// Until when we may act on the view; later we neither take calls nor
-    /// send dispatches.
+    /// End of the lease on the view. After it this node accepts no calls and sends no
+    /// attempts.
     pub lease_valid_until: Tick,
     pub quota_share: QuotaShare,
-    /// Our own stable number among the threads of all nodes.
+    /// Stable number of this thread among the threads of all nodes.
     pub thread_id: u64,
     pub queries: IndexMap<u64, Query>,
     pub attempts: IndexMap<u64, Attempt>,
-    /// Attempts of `attempts` whose reply nobody waits for.
+    /// Forwarded attempts in `attempts` whose reply is no longer needed.
     pub abandoned: AbandonedAttempts,
-    /// Slots of leafs whose attempts were cancelled a moment ago.
+    /// Leaf slots of recently cancelled attempts that are not free yet.
     pub closing: ClosingSlots,
     pub leafs: IndexMap<String, LeafState>,
     pub retry_budget: RetryBudget,
-    /// Second tries of calls that are handed over, by service.
+    /// Retries and hedges of forwarded calls, by service.
     pub service_retry_budget: ServiceRetryBudget,
-    /// All nodes that open connections to leafs, in order.
+    /// Traffic threads of all nodes that open connections to leafs, sorted by thread id.
     pub peers: Vec<ConnectingThread>,
     pub latency_estimate: LatencyEstimate,
-    /// Versions that are tried, by service.
+    /// Versions under trial, by service.
     pub trials: Trials,
     pub load_pressure: LoadPressure,
     pub random: Random,
@@ -71,7 +71,8 @@
 }
 
 impl QueryEngine {
-    /// A desk without a view. `name` must be unique to this life of the process.
+    /// Returns a query engine without a cluster view. `name` must be unique to this
+    /// incarnation of the process.
     pub fn new(name: &str, zone: &str, seed: u64, now: Tick) -> QueryEngine {
         QueryEngine {
             name: name.to_string(),
@@ -99,7 +100,7 @@
         }
     }
 
-    /// The counts with the gauges of this moment.
+    /// Returns the counters, with the gauges set to their current values.
     pub fn current_statistics(&self) -> EngineStatistics {
         let mut out = self.statistics.clone();
         out.queries = self.queries.len() as u64;
--- a/crates/core/src/query/event.rs
+++ b/crates/core/src/query/event.rs
@@ -1,4 +1,4 @@
-//! What happens to the query engine, and what it wants done.
+//! Inputs (events) and outputs (commands) of the query engine.
 
 use std::sync::Arc;
 
@@ -15,47 +15,47 @@
 use crate::snapshot::cluster_view::ClusterView;
 use crate::time::{Span, Tick};
 
-/// What happens to a desk.
+/// An input of the query engine.
 pub enum Event {
     Search {
         call: u64,
         request: SearchRequest,
     },
-    /// A call that is handed over.
+    /// A call that is forwarded to leafs unchanged.
     Forward {
         call: u64,
         request: Arc<ForwardedRequest>,
     },
-    /// A dispatch has ended.
+    /// An attempt ended, with a reply or a failure.
     AttemptEnded {
         attempt: u64,
         result: Result<LeafReply, AttemptFailure>,
     },
-    /// The caller went away.
+    /// The caller closed its connection or cancelled the call.
     CallerGone {
         call: u64,
     },
     ClusterView(Arc<ClusterView>),
     QuotaShare(QuotaShare),
-    /// All nodes that open connections to leafs.
+    /// Traffic threads of all nodes that open connections to leafs.
     Peers(Vec<ConnectingThread>),
-    /// The fleet's rule of second tries for calls that are handed over.
+    /// The cluster-wide retry rate of forwarded calls.
     RetryRate(RetryRate),
     ServingState(ServingState),
     LeaseValidUntil(Tick),
-    /// Until when our lease by the controllers themselves is valid: only then versions may be
-    /// tried.
+    /// End of the lease granted by the controllers themselves. Requests go to versions under
+    /// trial only while it is valid.
     TrialsUntil(Tick),
-    /// How much may reach a version that is tried.
+    /// The share of requests that may reach a version under trial.
     ExposureLimit(ExposureLimit),
-    /// Time has passed.
+    /// The time returned by `next_due` has been reached.
     Timer,
 }
 
-/// What a desk wants done.
+/// An output of the query engine, carried out by the caller.
 pub enum Command {
     Send(OutgoingAttempt),
-    /// Give up a dispatch; no reply event may follow.
+    /// Cancel an attempt; no `AttemptEnded` event may follow for it.
     CancelAttempt {
         attempt: u64,
     },
@@ -63,16 +63,16 @@
         call: u64,
         outcome: Outcome,
     },
-    /// A leaf's word about itself that the fleet should hear.
+    /// Publish a leaf's state to the cluster.
     ReportLeaf {
         service: String,
         report: LeafReport,
     },
-    /// What this thread has seen of a version that is tried.
+    /// Publish the evidence that this thread has collected on a version under trial.
     ReportTrial(TrialEvidence),
 }
 
-/// A dispatch to be sent.
+/// An attempt to be sent.
 pub struct OutgoingAttempt {
     pub attempt: u64,
     pub addr: String,
@@ -82,10 +82,11 @@
     pub body_digest: String,
     pub body: Arc<Vec<u8>>,
     pub timeout: Span,
-    /// What is handed over, instead of `body`.
+    /// The forwarded request, sent instead of `body`.
     pub forwarded: Option<Arc<ForwardedRequest>>,
-    /// It may run once at most: it must not go out on a doubtful connection.
+    /// The attempt may run at most once, so it must not be sent on a connection that may
+    /// already be closed.
     pub at_most_once: bool,
-    /// Its connection may be kept for later.
+    /// The connection may be kept for reuse.
     pub keep_connection: bool,
 }
--- a/crates/core/src/query/finishing.rs
+++ b/crates/core/src/query/finishing.rs
@@ -1,4 +1,4 @@
-//! Ends a query: what its caller is told.
+//! Ends a query and builds the response to its caller.
 
 use std::sync::Arc;
 
@@ -14,25 +14,25 @@
 use crate::time::{MILLI, Tick, since};
 
 impl QueryEngine {
-    /// Ends a query: gives up what is still out and tells its caller.
+    /// Ends a query: cancels the attempts that are still in flight and responds to the caller.
     pub(super) fn finish_query(
         &mut self,
         now: Tick,
         mut query: Query,
-        how: Result<(), RejectionReason>,
+        result: Result<(), RejectionReason>,
         commands: &mut Vec<Command>,
     ) {
-        // Leafs of other shards may be at work on it: then it has not gone unrun.
-        let out_there = query.shards.iter().any(|s| !s.in_flight.is_empty());
+        // Leafs of other shards may be working on the query: then it counts as executed.
+        let in_flight = query.shards.iter().any(|s| !s.in_flight.is_empty());
         self.cancel_outstanding(now, &mut query, commands);
         let took = since(query.started_at, now) / MILLI;
-        let cell = LATENCY_BUCKETS_MS
+        let bucket = LATENCY_BUCKETS_MS
             .iter()
             .position(|bound| took <= *bound)
             .unwrap_or(LATENCY_BUCKETS_MS.len());
-        self.statistics.latency_buckets[cell] += 1;
-        if let Err(why) = how {
-            query.executed |= out_there;
+        self.statistics.latency_buckets[bucket] += 1;
+        if let Err(why) = result {
+            query.executed |= in_flight;
             return self.respond_failed(now, query, why, commands);
         }
         self.load_pressure.record(now, false);
@@ -49,12 +49,12 @@
         commands.push(Command::Respond { call, outcome });
     }
 
-    /// Gives up the dispatches that are still out.
+    /// Abandons the attempts that are still in flight.
     fn cancel_outstanding(&mut self, now: Tick, query: &mut Query, commands: &mut Vec<Command>) {
         for index in 0..query.shards.len() {
             for attempt_id in std::mem::take(&mut query.shards[index].in_flight) {
-                // A leaf that let the whole budget pass is slow; say so to itself.
-                // One that was handed over goes on, and tells when it has ended.
+                // A leaf that used up the whole time budget is slow and counts as failed. A
+                // forwarded attempt is not counted here: its end is recorded later.
                 query.executed |= query.forwarded.is_some();
                 if now >= query.deadline
                     && let Some(attempt) = self.attempts.get(&attempt_id)
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Sends the caller away, or gives it the failure that a leaf has answered.
+    /// Responds with a rejection, or with the error reply of a leaf if there is one.
     fn respond_failed(
         &mut self,
         now: Tick,
@@ -82,30 +82,32 @@
         why: RejectionReason,
         commands: &mut Vec<Command>,
     ) {
-        // A leaf's own failure says more than ours would.
+        // A leaf's own error reply is more specific than a rejection by this node.
         if let (Some(request), Some(raw)) = (&query.forwarded, &query.last_failure)
             && query.route.form == ServingMode::PassThrough
         {
-            let passed = ForwardedReply { id: request.id.clone(), reply: raw.clone() };
-            return commands
-                .push(Command::Respond { call: query.call, outcome: Outcome::Forwarded(passed) });
+            let error_reply = ForwardedReply { id: request.id.clone(), reply: raw.clone() };
+            return commands.push(Command::Respond {
+                call: query.call,
+                outcome: Outcome::Forwarded(error_reply),
+            });
         }
         let text = match why {
             RejectionReason::DeadlineExceeded => {
-                "the budget ran out before the required share answered"
+                "the time budget ran out before enough shards answered"
             }
-            RejectionReason::NoCapacity => "no leaf had room in time",
-            RejectionReason::NoLeaf => "a needed shard has no leaf that may be asked",
-            _ => "too many shards failed and no more tries were allowed",
+            RejectionReason::NoCapacity => "no leaf had free capacity in time",
+            RejectionReason::NoLeaf => "a required shard has no leaf that may be used",
+            _ => "too many shards failed and no more retries were allowed",
         };
-        let rest = self.ejection_left(now, &query);
+        let ejection_left = self.ejection_left(now, &query);
         let mut rejection = Rejection::new(why, text);
         rejection.executed = query.executed;
-        self.reject(now, (query.call, rest), rejection, Some(query.name), commands);
+        self.reject(now, (query.call, ejection_left), rejection, Some(query.name), commands);
     }
 }
 
-/// The count of missing shards and the merged records of all others.
+/// Returns the number of missing shards and the merged records of the others.
 fn finish_searched(query: Query) -> (usize, Outcome) {
     let (mut shards, mut lists) = (Vec::new(), Vec::new());
     let planned = query.shards.len();
@@ -114,7 +116,7 @@
         lists.push(s.records);
     }
     let missing = planned - shards.len();
-    let full = SearchAnswer {
+    let answer = SearchAnswer {
         query: query.name,
         route: query.route.name.clone(),
         index_version: query.route.cut.clone(),
@@ -123,24 +125,24 @@
         missing,
         records: merge(lists, query.record_limit as usize),
     };
-    (missing, Outcome::Answered(full))
+    (missing, Outcome::Answered(answer))
 }
 
-/// The count of missing shards and what came of a call that is handed over.
+/// Returns the number of missing shards and the outcome of a forwarded call.
 fn finish_forwarded(query: &Query, request: &ForwardedRequest) -> (usize, Outcome) {
     let missing = query.shards.len() - query.answered_shards();
-    let parts: Vec<&Arc<LeafReply>> =
+    let replies: Vec<&Arc<LeafReply>> =
         query.shards.iter().filter_map(|s| s.reply.as_ref()).collect();
-    debug_assert!(parts.len() >= query.quorum_size());
-    let outcome = match (query.route.form, parts.first()) {
+    debug_assert!(replies.len() >= query.quorum_size());
+    let outcome = match (query.route.form, replies.first()) {
         (ServingMode::PassThrough, Some(raw)) => {
             Outcome::Forwarded(ForwardedReply { id: request.id.clone(), reply: (*raw).clone() })
         }
         _ => {
-            let bodies: Vec<&[u8]> = parts.iter().map(|r| r.body.as_slice()).collect();
+            let bodies: Vec<&[u8]> = replies.iter().map(|r| r.body.as_slice()).collect();
             Outcome::Merged(MergedReply {
                 id: request.id.clone(),
-                postmarks: parts.iter().flat_map(|r| r.headers.postmarks.clone()).collect(),
+                postmarks: replies.iter().flat_map(|r| r.headers.postmarks.clone()).collect(),
                 missing,
                 body: join(&bodies, query.route.width, query.route.top),
             })
--- a/crates/core/src/query/leaf.rs
+++ b/crates/core/src/query/leaf.rs
@@ -1,86 +1,86 @@
-//! What a traffic thread knows of a leaf at first hand.
+//! The state of a leaf as observed by one traffic thread.
 
 use crate::consts;
 use crate::digest::{hash, pair};
 use crate::http_api::leaf::SelfReport;
 use crate::time::{MILLI, SECOND, Span, Tick, ms, since};
 
-/// What a leaf's health weight is lowered to by an attempt that it rejected (percent).
+/// A rejected attempt lowers the leaf's health weight to this share (percent).
 const WEIGHT_AFTER_REJECTION_PCT: u32 = 70;
-/// What a leaf's health weight is lowered to by a slow reply of a busy leaf (percent).
+/// A slow reply of a busy leaf lowers its health weight to this share (percent).
 const WEIGHT_AFTER_SLOW_PCT: u32 = 85;
-/// What each good reply gives back (thousandths) soon after the weight was lowered, so
-/// that a leaf at its limit is brought up to it slowly.
+/// A good reply raises the weight by this step (thousandths) soon after the weight was lowered,
+/// so that the load of a leaf at its limit rises slowly.
 const WEIGHT_STEP: u32 = 10;
-/// The least health weight (thousandths): something must be sent to see it recover.
+/// Minimum health weight (thousandths): some traffic must remain to detect a recovery.
 const WEIGHT_MIN: u32 = 50;
-/// Time between two changes of a health weight: attempts that were out together tell of
-/// one moment, not of many.
+/// Minimum time between two changes of a health weight: attempts that were in flight together
+/// count as one observation.
 const WEIGHT_INTERVAL: Span = ms(100);
-/// Once nothing has lowered a weight for so long the leaf is no longer at its limit, and
+/// Once a weight has not been lowered for this long, the leaf is no longer at its limit and
 /// each good reply doubles the weight.
 const WEIGHT_RECOVERY: Span = SECOND;
-/// A leaf whose weight leaves it nothing is probed with one attempt this long after the
-/// weight last changed, if our allocation there is not empty.
+/// A leaf whose weight rounds this thread's allocation down to zero is probed with one attempt
+/// this long after the weight last changed.
 const WEIGHT_PROBE: Span = SECOND;
-/// An attempt without a reply after this many times the leaf's typical time counts as a
-/// failure when it is cancelled: a leaf at its limit takes two or three times as long.
-const SILENT_AFTER_TIMES: u64 = 4;
-/// Length of a turn in which a part of a slot is open or not: the time of a few
-/// attempts, so that turns do not overlap much.
-const WEIGHT_TURN: Span = ms(200);
-
-/// One leaf seen from one traffic thread.
+/// A cancelled attempt counts as a failure if it had no reply after this many times the leaf's
+/// typical latency: a leaf at its limit takes two or three times as long.
+const UNRESPONSIVE_LATENCY_FACTOR: u64 = 4;
+/// Length of an interval in which a fractional slot is either usable or not: the time of a few
+/// attempts, so that intervals overlap little.
+const FRACTIONAL_SLOT_INTERVAL: Span = ms(200);
+
+/// The state of one leaf as observed by one traffic thread.
 ///
-/// Invariant: `live` is the number of our dispatches that it has in hand.
+/// Invariant: `in_flight` is the number of this thread's attempts that the leaf has not ended.
 pub struct LeafState {
     pub hash: u64,
     pub in_flight: u64,
-    /// Thousandths busy, as it last said.
+    /// Utilization last reported by the leaf (thousandths).
     pub busy_permille: u32,
-    /// Earliest time at which the leaf can have started, by our clock.
+    /// Earliest time at which the leaf can have started, by the local clock.
     pub started_at: Tick,
-    /// Whether the leaf itself told its age; before that it counts as new.
+    /// Whether the leaf has reported its age; before that it counts as new.
     pub age_reported: bool,
-    /// It told us that it leaves. Never taken back for this identity.
+    /// The leaf has reported that it shuts down. Never reset for this identity.
     pub draining: bool,
-    /// Typical time of a dispatch.
+    /// Moving average of the latency of attempts.
     pub typical_latency: Span,
     pub consecutive_failures: u32,
     pub ejected_until: Tick,
-    /// Thousandths of our part of its allowance that we use. What the leaf
-    /// itself shows may only lower our part, never raise it above the share.
+    /// The fraction of this thread's allocation that is used (thousandths). Observations of the
+    /// leaf can only lower the use, never raise it above the allocation.
     pub health_weight: u32,
-    /// Dispatches it works on at once, as it last said; zero before that.
+    /// Number of attempts the leaf runs at once, as last reported; zero before the first report.
     pub reported_slots: u64,
-    /// What others have there (thousandths of a dispatch), smoothed.
-    pub foreign_load: u64,
-    /// Wires that we may have to it; nothing where they are not limited.
+    /// Moving average of the load from other threads (thousandths of an attempt).
+    pub external_load: u64,
+    /// Connections that this thread may have to the leaf; `None` if unlimited.
     pub connection_limit: Option<u64>,
-    /// What we may still send it while it is cold, in thousandths of a
-    /// dispatch, and when that was last reckoned.
+    /// What this thread may still send the leaf during slow start (thousandths of an attempt),
+    /// as of `slow_start_credit_at`.
     pub slow_start_credit: u64,
     pub slow_start_credit_at: Tick,
-    /// From when on the platform's list tells whether the leaf is cold; before that it
-    /// counts as cold.
+    /// Time from which the platform's list shows whether the leaf is still warming up; before
+    /// that the leaf counts as warming up.
     pub warmth_known_from: Tick,
     /// When `health_weight` was last lowered.
     pub health_weight_lowered_at: Tick,
     /// When `health_weight` last changed.
     pub health_weight_changed_at: Tick,
-    /// Time of a dispatch when the leaf is at ease.
+    /// Latency of an attempt when the leaf is not loaded.
     pub unloaded_latency: Span,
-    /// Our rank among all threads for this leaf alone, under the current
-    /// share: it depends on no other leaf, so views that differ in their lists
-    /// of leafs still add up to the whole. Used while the leaf is fresh.
+    /// Rank of this thread among all threads for this leaf, under the current share. It depends
+    /// on no other leaf, so the allocations of nodes with different leaf lists still add up to
+    /// the leaf's capacity. Used until the leaf is warm.
     pub rank: Option<u64>,
-    /// Our rank when the service's leafs are dealt out in turn, which gives
-    /// every thread nearly the same number of places. Used for warm leafs.
+    /// Rank of this thread when the service's leafs are allocated one after the other, which
+    /// gives every thread nearly the same total allocation. Used for warm leafs.
     pub balanced_rank: Option<u64>,
 }
 
 impl LeafState {
-    /// A leaf that we hear of for the first time.
+    /// Returns the state of a newly discovered leaf.
     pub fn new(name: &str, now: Tick) -> LeafState {
         LeafState {
             hash: hash(name),
@@ -94,7 +94,7 @@
             ejected_until: 0,
             health_weight: 1_000,
             reported_slots: 0,
-            foreign_load: 0,
+            external_load: 0,
             connection_limit: None,
             slow_start_credit: 0,
             slow_start_credit_at: now,
@@ -107,46 +107,47 @@
         }
     }
 
-    /// What the leaf may be given by the whole fleet at its age.
-    pub fn capacity(&self, full: u32, ramp: Span, now: Tick) -> u64 {
+    /// Returns the number of concurrent attempts that the leaf may get from the whole cluster:
+    /// `full`, or less during the slow start of length `slow_start`.
+    pub fn capacity(&self, full: u32, slow_start: Span, now: Tick) -> u64 {
         let full = u64::from(full);
         let age = since(self.started_at, now);
-        if age >= ramp {
+        if age >= slow_start {
             return full;
         }
         let floor = consts::SLOW_START_MIN_PCT;
-        (full * (floor * ramp + (100 - floor) * age) / (100 * ramp)).max(1)
+        (full * (floor * slow_start + (100 - floor) * age) / (100 * slow_start)).max(1)
     }
 
-    /// Whether the leaf is past its ramp.
-    pub fn is_warm(&self, ramp: Span, now: Tick) -> bool {
-        since(self.started_at, now) >= ramp
+    /// Returns whether the leaf has finished its slow start.
+    pub fn is_warm(&self, slow_start: Span, now: Tick) -> bool {
+        since(self.started_at, now) >= slow_start
     }
 
-    /// Notes what the leaf says of itself.
-    pub fn apply_self_report(&mut self, word: &SelfReport, now: Tick) {
-        if let Some(busy) = word.busy_permille {
+    /// Applies the state that the leaf reports with a reply.
+    pub fn apply_self_report(&mut self, report: &SelfReport, now: Tick) {
+        if let Some(busy) = report.busy_permille {
             self.busy_permille = busy;
         }
-        if let Some(age) = word.age_ms {
-            let born = now.saturating_sub(age.saturating_mul(MILLI));
-            let restarted = born > self.started_at + consts::LEAF_RESTART_AGE_DROP;
-            if !self.age_reported || restarted || born < self.started_at {
-                self.started_at = born;
+        if let Some(age) = report.age_ms {
+            let started_at = now.saturating_sub(age.saturating_mul(MILLI));
+            let restarted = started_at > self.started_at + consts::LEAF_RESTART_AGE_DROP;
+            if !self.age_reported || restarted || started_at < self.started_at {
+                self.started_at = started_at;
             }
             self.age_reported = true;
         }
-        self.draining |= word.draining;
+        self.draining |= report.draining;
     }
 
-    /// Somebody else heard the leaf say that it is at least this old.
+    /// Applies a minimum age of the leaf that another node has received.
     pub fn note_minimum_age(&mut self, age_ms: u64, now: Tick) {
         if !self.age_reported {
             self.started_at = self.started_at.min(now.saturating_sub(age_ms.saturating_mul(MILLI)));
         }
     }
 
-    /// Notes a good reply.
+    /// Records a successful reply that took this long.
     pub fn record_success(&mut self, took: Span) {
         self.consecutive_failures = 0;
         self.ejected_until = 0;
@@ -158,14 +159,12 @@
         };
     }
 
-    /// Whether an attempt that has taken this long without a reply tells of a leaf that
-    /// is silent rather than busy.
+    /// Returns whether a leaf without a reply for this long is unresponsive rather than busy.
     pub fn is_unusually_slow(&self, took: Span) -> bool {
-        self.typical_latency > 0 && took > self.typical_latency * SILENT_AFTER_TIMES
+        self.typical_latency > 0 && took > self.typical_latency * UNRESPONSIVE_LATENCY_FACTOR
     }
 
-    /// An attempt was cancelled that had taken this long: the leaf takes that long at
-    /// least.
+    /// Records an attempt that was cancelled after this long: a lower bound of its latency.
     pub fn record_unfinished(&mut self, took: Span) {
         if took > self.typical_latency {
             let rise = (took - self.typical_latency) / consts::LATENCY_EWMA_DIVISOR;
@@ -173,13 +172,14 @@
         }
     }
 
-    /// The leaf turned work away unrun.
+    /// Records that the leaf rejected an attempt without running it.
     pub fn record_rejection(&mut self, now: Tick) {
         self.lower_health_weight(WEIGHT_AFTER_REJECTION_PCT, now);
     }
 
-    /// A good reply took this long: a busy leaf that takes much longer than it
-    /// does at ease has too much in hand; any other reply gives a little back.
+    /// Adjusts the health weight after a successful reply that took this long. A busy leaf that
+    /// is much slower than when unloaded is overloaded, which lowers the weight; any other reply
+    /// raises it a little.
     pub fn adjust_health_weight(&mut self, took: Span, now: Tick) {
         self.unloaded_latency = match self.unloaded_latency {
             0 => took,
@@ -200,6 +200,7 @@
         }
     }
 
+    /// Lowers the health weight to `pct` percent, at most once per `WEIGHT_INTERVAL`.
     fn lower_health_weight(&mut self, pct: u32, now: Tick) {
         if since(self.health_weight_changed_at, now) >= WEIGHT_INTERVAL {
             self.health_weight = (self.health_weight * pct / 100).max(WEIGHT_MIN);
@@ -208,30 +209,32 @@
         }
     }
 
-    /// What we use of our allocation of a leaf now. Allocations are small whole numbers,
-    /// so what remains of a slot is open for its share of the time; `thread_id` makes the
-    /// threads take turns.
+    /// Returns the part of this thread's allocation that may be used now, by the health weight.
+    /// Allocations are small integers, so a fractional slot is usable for that fraction of the
+    /// time; `thread_id` gives each thread different intervals.
     pub fn usable_allocation(&self, allocation: u64, thread_id: u64, now: Tick) -> u64 {
         let exact = allocation * u64::from(self.health_weight);
-        let turn = pair(self.hash ^ thread_id, now / WEIGHT_TURN) % 1_000;
-        let usable = exact / 1_000 + u64::from(turn < exact % 1_000);
+        let threshold = pair(self.hash ^ thread_id, now / FRACTIONAL_SLOT_INTERVAL) % 1_000;
+        let usable = exact / 1_000 + u64::from(threshold < exact % 1_000);
         let is_probe_due = since(self.health_weight_changed_at, now) >= WEIGHT_PROBE;
         usable.max(u64::from(is_probe_due)).min(allocation)
     }
 
-    /// Notes a trouble; enough in a row rest the leaf, longer each time.
+    /// Records a failure. Enough consecutive failures eject the leaf, each one for longer.
     pub fn record_failure(&mut self, now: Tick) {
         self.consecutive_failures += 1;
         if self.consecutive_failures >= consts::EJECTION_FAILURE_THRESHOLD {
-            let twice = (self.consecutive_failures - consts::EJECTION_FAILURE_THRESHOLD).min(6);
-            self.ejected_until = now + (consts::EJECTION_MIN << twice).min(consts::EJECTION_MAX);
+            let doublings = (self.consecutive_failures - consts::EJECTION_FAILURE_THRESHOLD).min(6);
+            self.ejected_until =
+                now + (consts::EJECTION_MIN << doublings).min(consts::EJECTION_MAX);
         }
     }
 
-    /// How loaded the leaf looks, for comparing: what it says plus what we hold.
-    pub fn load(&self, part: u64) -> u64 {
+    /// Returns a load score for comparing leafs: the reported utilization, this thread's
+    /// attempts relative to its allocation, and the latency in milliseconds.
+    pub fn load(&self, allocation: u64) -> u64 {
         u64::from(self.busy_permille)
-            + self.in_flight * 1000 / part.max(1)
+            + self.in_flight * 1000 / allocation.max(1)
             + self.typical_latency / ms(1)
     }
 }
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -1,4 +1,4 @@
-//! Which leaf gets a dispatch.
+//! Leaf selection: chooses the leaf that an attempt is sent to.
 
 use std::sync::Arc;
 
@@ -14,31 +14,31 @@
 use crate::snapshot::leafs::LeafInfo;
 use crate::time::Tick;
 
-/// Leafs up to which all are compared rather than two drawn ones (count):
-/// nodes that know little of a large pool must not all see the same best.
-const SMALL: usize = 8;
+/// Number of leafs up to which all of them are compared. In a larger pool only two random
+/// leafs are: nodes that know little of it must not all choose the same leaf.
+const COMPARE_ALL_MAX_LEAFS: usize = 8;
 
-/// What came of choosing.
+/// Result of a leaf selection.
 pub enum Choice {
     Leaf(Arc<LeafInfo>),
-    /// Leafs stand, but none has room in our share now.
+    /// Leafs are available, but this thread may send none of them another attempt now.
     NoCapacity,
-    /// No leaf stands that was not tried before.
+    /// No leaf is available that has not had an attempt for this shard.
     NoCandidate,
 }
 
-/// The version whose leafs a choice is made from.
+/// The version whose leafs are considered.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum VersionChoice {
     /// The version in force.
     InForce,
-    /// The one that is tried.
+    /// The version under trial.
     Tried,
 }
 
-/// What a choice depends on.
+/// Inputs of a leaf selection.
 pub struct SelectionContext<'a> {
-    /// Which of a service's versions are chosen from.
+    /// Which of a service's versions is considered.
     pub version: VersionChoice,
     pub cluster_view: &'a ClusterView,
     pub quota_share: &'a QuotaShare,
@@ -47,69 +47,75 @@
     pub now: Tick,
 }
 
-/// A leaf that could take the dispatch.
+/// A leaf with free capacity for the attempt.
 struct Candidate<'a> {
     info: &'a Arc<LeafInfo>,
-    /// For comparing: the lower, the better.
+    /// Estimated cost of sending the attempt here: the lowest is chosen.
     cost: u64,
     ejected: bool,
-    /// Of the local zone, or one whose connections are ours.
+    /// The leaf is in the local zone, or this thread has connections assigned to it.
     preferred: bool,
 }
 
-/// What the leafs of a shard's pools come to.
+/// The leafs of a shard's pools that an attempt can be sent to.
 #[derive(Default)]
 struct Candidates<'a> {
     usable: Vec<Candidate<'a>>,
-    /// Whether any leaf stands that was not tried before.
+    /// Whether any leaf, with or without free capacity, has not had an attempt for this shard.
     any_open: bool,
-    /// Whether a leaf that is steered by what is seen, is ours and stands well.
+    /// Whether some leaf under load-aware balancing has connections assigned to this thread and
+    /// is not ejected.
     healthy: bool,
 }
 
 impl SelectionContext<'_> {
-    /// Chooses a leaf for one shard of a pinned mapping: the less loaded of two,
-    /// the local zone first if the plan prefers it, never one in `tried`. Rested
-    /// leafs serve only when no other stands, and then for first tries alone: if
-    /// most of a pool looks bad it is used with care, but not beaten.
+    /// Chooses a leaf for one shard of a pinned route: the less loaded of two random ones, from
+    /// the local zone first if the route prefers it, and never one in `attempted`. Ejected
+    /// leafs are used only if no other is available, and only for first attempts: a pool that
+    /// is mostly ejected still gets traffic, but no retries.
     pub fn choose(
         &self,
         random: &mut Random,
         route: &Route,
         shard: usize,
-        tried: &[String],
+        attempted: &[String],
     ) -> Choice {
-        let found = self.candidates(route, shard, tried);
+        let found = self.candidates(route, shard, attempted);
         if found.usable.is_empty() {
             return if found.any_open { Choice::NoCapacity } else { Choice::NoCandidate };
         }
-        let first = tried.is_empty();
-        for (rested, near) in [(false, true), (false, false), (true, true), (true, false)] {
-            if rested && !first {
+        let is_first_attempt = attempted.is_empty();
+        for (ejected, preferred) in [(false, true), (false, false), (true, true), (true, false)] {
+            if ejected && !is_first_attempt {
                 break;
             }
-            // A leaf that others have the connections of is for need: none of ours stands
-            // well, or a second try finds none of ours.
-            if !near && found.healthy && first {
+            // A leaf whose connections are assigned to other threads is used only if none of
+            // this thread's leafs is healthy, or if a retry finds none of them.
+            if !preferred && found.healthy && is_first_attempt {
                 return Choice::NoCapacity;
             }
             let set: Vec<_> = found
                 .usable
                 .iter()
-                .filter(|f| f.ejected == rested && f.preferred == near)
+                .filter(|f| f.ejected == ejected && f.preferred == preferred)
                 .collect();
             if !set.is_empty() {
-                return Choice::Leaf(best(&set, random, route.form).clone());
+                return Choice::Leaf(lowest_cost(&set, random, route.form).clone());
             }
         }
         Choice::NoCandidate
     }
 }
 
-/// The least loaded of a few leafs, or the less loaded of two drawn from many.
-fn best<'a>(set: &[&Candidate<'a>], random: &mut Random, form: ServingMode) -> &'a Arc<LeafInfo> {
-    if set.len() <= SMALL && form != ServingMode::Native {
-        // So few can all be looked at; chance breaks ties.
+/// Returns the leaf with the lowest cost in a small set, or the better of two random leafs in
+/// a large one.
+fn lowest_cost<'a>(
+    set: &[&Candidate<'a>],
+    random: &mut Random,
+    form: ServingMode,
+) -> &'a Arc<LeafInfo> {
+    if set.len() <= COMPARE_ALL_MAX_LEAFS && form != ServingMode::Native {
+        // Compares all leafs, from a random start so that ties are broken at random.
         let from = random.below(set.len() as u64) as usize;
         let all = set[from..].iter().chain(&set[..from]);
         if let Some(best) = all.min_by_key(|f| f.cost) {
@@ -122,19 +128,22 @@
 }
 
 impl<'a> SelectionContext<'a> {
-    fn open_leafs(&self, pool: &'a CompiledPool, cut: &'a str) -> Vec<&'a Arc<LeafInfo>> {
+    /// Returns the leafs of a pool that may get new work, of the version considered.
+    fn open_leafs(&self, pool: &'a CompiledPool, index_version: &'a str) -> Vec<&'a Arc<LeafInfo>> {
         match self.version {
-            VersionChoice::InForce => self.cluster_view.open_leafs(pool, cut).collect(),
-            VersionChoice::Tried => self.cluster_view.open_trial_leafs(pool, cut).collect(),
+            VersionChoice::InForce => self.cluster_view.open_leafs(pool, index_version).collect(),
+            VersionChoice::Tried => {
+                self.cluster_view.open_trial_leafs(pool, index_version).collect()
+            }
         }
     }
 
-    /// The leafs of a shard that stand, and those of them that have room.
-    fn candidates(&self, route: &'a Route, shard: usize, tried: &[String]) -> Candidates<'a> {
+    /// Returns the leafs of a shard that have free capacity and are not in `attempted`.
+    fn candidates(&self, route: &'a Route, shard: usize, attempted: &[String]) -> Candidates<'a> {
         let mut found = Candidates::default();
         for pool in &route.shards[shard].pools {
             for info in self.open_leafs(pool, &route.cut) {
-                if tried.contains(&info.leaf) {
+                if attempted.contains(&info.leaf) {
                     continue;
                 }
                 let Some(leaf) = self.leafs.get(&info.leaf) else { continue };
@@ -142,17 +151,19 @@
                     continue;
                 }
                 found.any_open = true;
-                let near = route.local && info.zone() == self.zone;
+                let is_local = route.local && info.zone() == self.zone;
                 let candidate = match pool.steer {
                     BalancingMode::LoadAware => {
-                        if self.is_held_cold(leaf, info, pool) {
+                        if self.is_held_by_slow_start(leaf, info, pool) {
                             continue;
                         }
                         found.healthy |=
                             leaf.connection_limit != Some(0) && leaf.ejected_until <= self.now;
-                        self.by_observed_load(leaf, info, near || !route.local)
+                        self.load_aware_candidate(leaf, info, is_local || !route.local)
+                    }
+                    BalancingMode::Partitioned => {
+                        self.partitioned_candidate(leaf, info, pool, is_local)
                     }
-                    BalancingMode::Partitioned => self.by_allocation(leaf, info, pool, near),
                 };
                 found.usable.extend(candidate);
             }
@@ -162,56 +173,63 @@
 }
 
 impl SelectionContext<'_> {
-    /// Whether a leaf is cold and not ours to send to now.
-    fn is_held_cold(&self, leaf: &LeafState, info: &LeafInfo, pool: &CompiledPool) -> bool {
+    /// Returns whether a leaf is in slow start and this thread may not send to it now.
+    fn is_held_by_slow_start(
+        &self,
+        leaf: &LeafState,
+        info: &LeafInfo,
+        pool: &CompiledPool,
+    ) -> bool {
         let rate = u64::from(pool.cold_rate);
         rate > 0
             && leaf.counts_as_cold(info.cold, self.now)
             && !leaf.slow_start_admits(self.quota_share, rate, self.now)
     }
 
-    /// A leaf that is steered by what is seen, if it has room.
-    fn by_observed_load<'a>(
+    /// Returns a candidate for a leaf under load-aware balancing, if it has free capacity.
+    fn load_aware_candidate<'a>(
         &self,
         leaf: &LeafState,
         info: &'a Arc<LeafInfo>,
-        near: bool,
+        is_local: bool,
     ) -> Option<Candidate<'a>> {
-        // One that failed lately is tried with one dispatch at a time.
-        let wary = leaf.consecutive_failures >= EJECTION_FAILURE_THRESHOLD && leaf.in_flight > 0;
-        if wary || leaf.in_flight >= leaf.concurrency_limit(info, self.now) {
+        // A leaf that failed repeatedly gets one attempt at a time.
+        let is_on_probation =
+            leaf.consecutive_failures >= EJECTION_FAILURE_THRESHOLD && leaf.in_flight > 0;
+        if is_on_probation || leaf.in_flight >= leaf.concurrency_limit(info, self.now) {
             return None;
         }
         Some(Candidate {
             info,
-            cost: leaf.expected_latency(info, near),
+            cost: leaf.expected_latency(info, is_local),
             ejected: leaf.ejected_until > self.now,
             preferred: leaf.connection_limit != Some(0),
         })
     }
 
-    /// A leaf that is divided among the threads, if our part has room.
-    fn by_allocation<'a>(
+    /// Returns a candidate for a leaf whose capacity is partitioned among the threads, if this
+    /// thread's allocation is not used up.
+    fn partitioned_candidate<'a>(
         &self,
         leaf: &LeafState,
         info: &'a Arc<LeafInfo>,
         pool: &CompiledPool,
-        near: bool,
+        is_local: bool,
     ) -> Option<Candidate<'a>> {
-        let own = self.allocation(leaf, pool);
-        (leaf.in_flight < own).then(|| Candidate {
+        let allocation = self.allocation(leaf, pool);
+        (leaf.in_flight < allocation).then(|| Candidate {
             info,
-            cost: leaf.load(own),
+            cost: leaf.load(allocation),
             ejected: leaf.ejected_until > self.now,
-            preferred: near,
+            preferred: is_local,
         })
     }
 
-    /// Dispatches that we may have in hand at a leaf.
+    /// Returns the number of attempts that this thread may have in flight at a leaf.
     pub fn allocation(&self, leaf: &LeafState, pool: &CompiledPool) -> u64 {
         let rank = if leaf.is_warm(pool.ramp, self.now) { leaf.balanced_rank } else { leaf.rank };
-        let part =
+        let share =
             self.quota_share.allocation(rank, leaf.capacity(pool.bears, pool.ramp, self.now));
-        leaf.usable_allocation(part, self.quota_share.own_thread, self.now)
+        leaf.usable_allocation(share, self.quota_share.own_thread, self.now)
     }
 }
--- a/crates/core/src/query/observed_load.rs
+++ b/crates/core/src/query/observed_load.rs
@@ -25,7 +25,7 @@
         // Its answer is counted out already on its side, and not yet on ours.
         let others = all.saturating_sub(self.in_flight.saturating_sub(1)) * 1_000;
         let n = consts::REPORTED_LOAD_EWMA_DIVISOR;
-        self.foreign_load = self.foreign_load - self.foreign_load / n + others / n;
+        self.external_load = self.external_load - self.external_load / n + others / n;
     }
 
     /// The slots of a leaf, by its own word, the list's or our guess.
@@ -55,7 +55,7 @@
         };
         let slots = self.slots(info).max(1);
         // Load in thousandths of a slot, this dispatch included.
-        let load = (self.in_flight + 1) * 1_000 + self.foreign_load;
+        let load = (self.in_flight + 1) * 1_000 + self.external_load;
         let ease = slots * 10 * consts::QUEUEING_THRESHOLD_PCT;
         let mut likely = time + time * load.saturating_sub(ease) / (slots * 1_000);
         if info.cold {
--- a/crates/core/src/query/planned_query.rs
+++ b/crates/core/src/query/planned_query.rs
@@ -1,4 +1,4 @@
-//! One query in work and the state of each of its planned shards.
+//! An open query and the state of each of its planned shards.
 
 use std::sync::Arc;
 
@@ -9,31 +9,31 @@
 use crate::http_api::leaf::LeafReply;
 use crate::time::Tick;
 
-/// One query in hand.
+/// An open query.
 ///
-/// Invariants: `map` is pinned when the query begins and never replaced, so
-/// all its shards are of one cut; `slots` are the planned shards, each once.
+/// Invariants: `route` is pinned when the query starts and never replaced, so that all its
+/// shards belong to one index version. `shards` holds each planned shard once.
 pub struct Query {
     pub call: u64,
     pub name: String,
     pub route: Arc<Route>,
     pub revision: u64,
     pub started_at: Tick,
-    /// From here on a quorum is enough.
+    /// From this time on a quorum of shards is enough to answer.
     pub quorum_suffices_from: Tick,
-    /// Here the outcome must be told.
+    /// At this time the query ends, whatever its result.
     pub deadline: Tick,
     pub record_limit: u32,
     pub body: Arc<Vec<u8>>,
     pub body_digest: String,
     pub shards: Vec<PlannedShard>,
-    /// The call itself, if it is handed over.
+    /// The caller's request, if it is forwarded unchanged.
     pub forwarded: Option<Arc<ForwardedRequest>>,
-    /// Until when a shard may wait for a leaf with room.
+    /// Time until which a shard may wait for a leaf with free capacity.
     pub queue_until: Tick,
-    /// A leaf has worked on this, or may have.
+    /// A leaf has worked on this query, or may have.
     pub executed: bool,
-    /// A leaf's failure, to be given back if nothing better comes.
+    /// An error reply of a leaf, returned to the caller if no other leaf succeeds.
     pub last_failure: Option<Arc<LeafReply>>,
 }
 
@@ -42,37 +42,38 @@
     pub index: usize,
     pub state: ShardState,
     pub attempts: u32,
-    /// Leafs that had this shard's dispatch; none is asked twice.
+    /// Leafs that have had an attempt for this shard. Each leaf gets at most one.
     pub attempted_leafs: Vec<String>,
     pub in_flight: Vec<u64>,
-    /// When a second try is due while a dispatch is out.
+    /// When a hedge is due while an attempt is in flight.
     pub hedge_at: Tick,
     pub records: Vec<Record>,
-    /// The reply that stands for this shard, of a call that is handed over.
+    /// The accepted reply for this shard of a forwarded call.
     pub reply: Option<Arc<LeafReply>>,
-    /// The call was counted for its service.
+    /// The first attempt of this shard has been counted in the retry budget.
     pub counted: bool,
 }
 
-/// Where a planned shard stands.
+/// State of a planned shard.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum ShardState {
-    /// Wants a leaf with room.
+    /// Waits for a leaf with free capacity.
     Queued,
-    /// At least one dispatch is out.
+    /// At least one attempt is in flight.
     InFlight,
-    /// Truly served; the coverage check has passed.
+    /// A reply was accepted, after it passed the coverage check.
     Answered,
-    /// Given up.
+    /// No further attempt is made.
     Failed(RejectionReason),
 }
 
 impl Query {
-    /// Slots of a query that want room.
+    /// Returns the number of shards that wait for a leaf with free capacity.
     pub fn queued_shards(&self) -> usize {
         self.shards.iter().filter(|s| s.state == ShardState::Queued).count()
     }
 
+    /// Returns the time at which this query must be advanced next.
     pub(super) fn next_due(&self) -> Tick {
         let mut at = self.deadline;
         if self.answered_shards() >= self.quorum_size() {
@@ -99,10 +100,11 @@
 }
 
 impl PlannedShard {
-    /// The one function that changes a slot's state.
+    /// Changes the state of this shard. All changes go through this function, which panics on
+    /// an invalid transition.
     pub(super) fn transition(&mut self, to: ShardState) {
         use ShardState::*;
-        let fits = matches!(
+        let is_valid = matches!(
             (self.state, to),
             (Queued, InFlight)
                 | (Queued, Failed(_))
@@ -110,19 +112,19 @@
                 | (InFlight, Answered)
                 | (InFlight, Failed(_))
         );
-        assert!(fits, "no way from {:?} to {to:?}", self.state);
+        assert!(is_valid, "invalid shard transition from {:?} to {to:?}", self.state);
         self.state = to;
     }
 
-    /// All dispatches of a shard may have ended without a result: it wants another
-    /// leaf, or is given up for the reason `lost`.
-    pub(super) fn attempt_failed(&mut self, lost: Option<RejectionReason>) {
+    /// Handles the failure of an attempt. If no other attempt of this shard is in flight, the
+    /// shard is queued for another leaf, or fails with `final_reason` if there is one.
+    pub(super) fn attempt_failed(&mut self, final_reason: Option<RejectionReason>) {
         if !self.in_flight.is_empty() {
             return;
         }
         self.transition(ShardState::Queued);
-        if let Some(why) = lost {
-            self.transition(ShardState::Failed(why));
+        if let Some(reason) = final_reason {
+            self.transition(ShardState::Failed(reason));
         }
     }
 
@@ -142,7 +144,7 @@
 }
 
 impl Query {
-    /// Whether the shards that are in are worth more now than all of them later.
+    /// Returns whether a partial result of `have` shards may be returned before the deadline.
     pub fn is_worth_answering(&self, have: usize) -> bool {
         self.forwarded.is_none() || have * 100 >= self.shards.len() * consts::PARTIAL_RESULT_MIN_PCT
     }
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -1,4 +1,4 @@
-//! Plans a query: its route, its shards and its times.
+//! Query planning: selects the route and the shards of a query and computes its deadlines.
 
 use std::sync::Arc;
 
@@ -17,24 +17,24 @@
 use crate::time::{Span, Tick};
 
 impl QueryEngine {
-    /// Fixes everything about a query: its mapping, its shards, its times.
+    /// Plans a search: its route, its shards, its deadlines and the body sent to leafs.
     pub(super) fn plan_search(
         &mut self,
         now: Tick,
         call: u64,
         request: SearchRequest,
     ) -> Result<Query, Rejection> {
-        let say = |reason, text: &str| Err(Rejection::new(reason, text));
+        let reject = |reason, text: &str| Err(Rejection::new(reason, text));
         self.check_serving(now)?;
         let Some(route) = self.cluster_view.mappings.get(&request.route).cloned() else {
-            return say(RejectionReason::UnknownRoute, "no search of that name is configured");
+            return reject(RejectionReason::UnknownRoute, "no search with this name is configured");
         };
         if route.form != ServingMode::Native {
-            return say(RejectionReason::UnknownRoute, "this search is called by host and path");
+            return reject(RejectionReason::UnknownRoute, "this search is called by host and path");
         }
         self.check_capacity(route.class)?;
         let shards = planned_shards(&route, request.key.as_deref(), &mut self.random)?;
-        let usable = usable(request.timeout, route.promise)?;
+        let usable = leaf_time_budget(request.timeout, route.promise)?;
         let body =
             question(&route, &request.question, request.key.as_deref(), request.record_limit);
         let times = QueryTimes {
@@ -50,7 +50,7 @@
         Ok(query)
     }
 
-    /// The same for a call that is handed over.
+    /// Plans a call that is forwarded to leafs unchanged.
     pub(super) fn plan_forwarded(
         &mut self,
         now: Tick,
@@ -59,24 +59,24 @@
     ) -> Result<Query, Rejection> {
         self.check_serving(now)?;
         let Some(route) = self.cluster_view.route_for(&request.host, &request.path).cloned() else {
-            let text = "no search takes calls of this host and path";
+            let text = "no search is configured for this host and path";
             return Err(Rejection::new(RejectionReason::UnknownRoute, text));
         };
         self.check_capacity(route.class)?;
         let shards = planned_shards(&route, Some(&request.id), &mut self.random)?;
-        let usable = usable(request.timeout.unwrap_or(route.promise), route.promise)?;
-        let (stop, hold) = match route.target {
+        let usable = leaf_time_budget(request.timeout.unwrap_or(route.promise), route.promise)?;
+        let (quorum_after, queue_timeout) = match route.target {
             None => (usable * route.stop_pct / 100, usable),
             Some(target) => {
-                let keep = (target * consts::TARGET_RESERVE_PCT / 100)
+                let reserve = (target * consts::TARGET_RESERVE_PCT / 100)
                     .clamp(consts::TARGET_RESERVE_MIN, consts::TARGET_RESERVE_MAX);
-                (target.saturating_sub(keep), target * consts::QUEUE_TIMEOUT_PCT / 100)
+                (target.saturating_sub(reserve), target * consts::QUEUE_TIMEOUT_PCT / 100)
             }
         };
         let times = QueryTimes {
             started_at: now,
-            quorum_suffices_from: now + stop.min(usable),
-            queue_until: now + hold.min(usable),
+            quorum_suffices_from: now + quorum_after.min(usable),
+            queue_until: now + queue_timeout.min(usable),
             deadline: now + usable,
         };
         let mut query = self.new_query(call, route, shards, times);
@@ -85,7 +85,7 @@
     }
 }
 
-/// When what happens to a query.
+/// The deadlines of a query.
 struct QueryTimes {
     started_at: Tick,
     quorum_suffices_from: Tick,
@@ -94,7 +94,7 @@
 }
 
 impl QueryEngine {
-    /// A query whose body is still empty.
+    /// Returns a query whose body is still empty.
     fn new_query(
         &self,
         call: u64,
@@ -122,7 +122,7 @@
     }
 }
 
-/// The shards that a query goes to.
+/// Returns the shards that a query is sent to.
 fn planned_shards(
     route: &Route,
     key: Option<&str>,
@@ -133,43 +133,44 @@
         (FanOut::ByKey, Some(key)) => Ok(vec![shard_of(route, key)]),
         (FanOut::ByWeight, _) => Ok(vec![drawn(route, random)]),
         (FanOut::ByKey, None) => {
-            let text = "this search looks up one thing: give its `key`";
+            let text = "this search looks up a single key: the call must have a `key`";
             Err(Rejection::new(RejectionReason::MissingKey, text))
         }
     }
 }
 
-/// The time that leafs may take, of the budget of a call.
-fn usable(budget: Span, promise: Span) -> Result<Span, Rejection> {
-    let keep = (budget * consts::MERGE_RESERVE_PCT / 100)
+/// Returns the part of a call's time budget that leafs may use. The rest is reserved for
+/// merging.
+fn leaf_time_budget(budget: Span, promise: Span) -> Result<Span, Rejection> {
+    let reserve = (budget * consts::MERGE_RESERVE_PCT / 100)
         .clamp(consts::MERGE_RESERVE_MIN, consts::MERGE_RESERVE_MAX);
-    match budget.saturating_sub(keep).min(promise) {
+    match budget.saturating_sub(reserve).min(promise) {
         0 => Err(Rejection::new(
             RejectionReason::DeadlineExceeded,
-            "the budget leaves no time to ask anyone",
+            "the time budget leaves no time for any leaf",
         )),
         usable => Ok(usable),
     }
 }
 
-/// The shard that a key falls on, the same on every node.
+/// Returns the shard of a key; it is the same on every node.
 pub fn shard_of(route: &Route, key: &str) -> usize {
     (hash(key) % route.shards.len() as u64) as usize
 }
 
-/// A shard drawn by the mapping's weights.
+/// Picks a shard at random by the route's weights.
 pub fn drawn(route: &Route, random: &mut Random) -> usize {
-    let mut left = random.below(route.weights.iter().sum());
+    let mut remaining = random.below(route.weights.iter().sum());
     for (i, weight) in route.weights.iter().enumerate() {
-        if left < *weight {
+        if remaining < *weight {
             return i;
         }
-        left -= weight;
+        remaining -= weight;
     }
     0
 }
 
-/// The body of a dispatch for a question under a mapping.
+/// Encodes the request body that is sent to a leaf for a query on a route.
 pub fn question(route: &Route, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
     crate::http_api::leaf::body(&route.name, &route.cut, question, key, limit)
 }
--- a/crates/core/src/query/sending.rs
+++ b/crates/core/src/query/sending.rs
@@ -1,4 +1,4 @@
-//! Sends attempts: the first of each shard, retries and hedges.
+//! Sends attempts: the first attempt of each shard, retries and hedges.
 
 use super::attempt::Attempt;
 use super::engine::QueryEngine;
@@ -10,7 +10,8 @@
 use crate::time::{Span, Tick, since};
 
 impl QueryEngine {
-    /// Finds a leaf for a slot that wants one.
+    /// Sends an attempt for a queued shard, if a leaf has free capacity and, for a retry, the
+    /// retry budget allows it.
     pub(super) fn send_queued(
         &mut self,
         now: Tick,
@@ -23,9 +24,9 @@
             query.shards[index].transition(ShardState::InFlight);
             return self.send_attempt(now, query_id, query, index, &info, commands);
         }
-        let picked = self.choose_leaf(now, query, index);
+        let choice = self.choose_leaf(now, query, index);
         let shard = &mut query.shards[index];
-        match picked {
+        match choice {
             Choice::NoCandidate if shard.attempts == 0 => {
                 shard.transition(ShardState::Failed(RejectionReason::NoLeaf))
             }
@@ -52,7 +53,7 @@
         }
     }
 
-    /// Sends a second try beside the first when its wait is over.
+    /// Sends a hedge: another attempt beside one that has been in flight for the hedge delay.
     pub(super) fn send_hedge(
         &mut self,
         now: Tick,
@@ -66,7 +67,7 @@
             return;
         }
         let Choice::Leaf(info) = self.choose_leaf(now, query, index) else {
-            // Nobody to ask now; look again after a like wait.
+            // No leaf is available now; check again after another hedge delay.
             query.shards[index].hedge_at = self.hedge_time(query, now);
             return;
         };
@@ -78,7 +79,7 @@
         }
     }
 
-    /// Asks the rule that holds for a query whether it may send a second try.
+    /// Returns whether the retry budget allows a retry or hedge of this query, and spends it.
     fn try_retry(&mut self, now: Tick, query: &Query, service: &str) -> bool {
         match query.forwarded {
             None => self.retry_budget.try_retry(now),
@@ -86,6 +87,7 @@
         }
     }
 
+    /// Chooses a leaf of the version in force for a shard.
     fn choose_leaf(&mut self, now: Tick, query: &Query, index: usize) -> Choice {
         if now > self.lease_valid_until {
             return Choice::NoCapacity;
@@ -93,7 +95,7 @@
         self.choose_version_leaf(now, query, index, VersionChoice::InForce)
     }
 
-    /// Chooses among the leafs of one version of a shard's services.
+    /// Chooses among the leafs of the given version of a shard's services.
     pub(super) fn choose_version_leaf(
         &mut self,
         now: Tick,
@@ -117,7 +119,7 @@
         )
     }
 
-    /// The shortest typical time among a shard's leafs, zero if none is known.
+    /// Returns the lowest typical latency among a shard's leafs, zero if none is known.
     fn lowest_latency(&self, query: &Query, index: usize) -> Span {
         let pools = &query.route.shards[query.shards[index].index].pools;
         pools
@@ -129,21 +131,23 @@
             .unwrap_or(0)
     }
 
-    /// The end of a dispatch's wait: what such dispatches usually take where that
-    /// is learned, else its share of the time left, at least 1 ms.
+    /// Returns the time at which an attempt sent now is hedged. The hedge delay is the learned
+    /// latency estimate of the search if there is one, else the route's share of the time
+    /// left, at least 1 ms.
     fn hedge_time(&self, query: &Query, now: Tick) -> Tick {
         if query.route.once {
             return Tick::MAX;
         }
         if query.forwarded.is_some()
-            && let Some(wait) =
+            && let Some(delay) =
                 self.latency_estimate.hedge_delay(&query.route.name, query.route.target)
         {
-            return now + wait;
+            return now + delay;
         }
         now + (since(now, query.deadline) * query.route.wait_pct / 100).max(crate::time::MILLI)
     }
 
+    /// Sends an attempt for a shard to a leaf and records it.
     fn send_attempt(
         &mut self,
         now: Tick,
@@ -155,11 +159,11 @@
     ) {
         let attempt_id = self.next_attempt;
         self.next_attempt += 1;
-        let wait = self.hedge_time(query, now);
+        let hedge_at = self.hedge_time(query, now);
         self.count_attempt(now, query, index, &info.service);
         let shard = &mut query.shards[index];
         shard.attempts += 1;
-        shard.hedge_at = wait;
+        shard.hedge_at = hedge_at;
         shard.attempted_leafs.push(info.leaf.clone());
         shard.in_flight.push(attempt_id);
         let pools = &query.route.shards[shard.index].pools;
@@ -187,7 +191,7 @@
         self.attempts.insert(attempt_id, attempt);
     }
 
-    /// Counts an attempt for the budgets of retries and the metrics.
+    /// Counts an attempt in the retry budget and the metrics.
     fn count_attempt(&mut self, now: Tick, query: &mut Query, index: usize, service: &str) {
         let shard = &mut query.shards[index];
         if shard.attempts > 0 {
@@ -202,7 +206,7 @@
         }
     }
 
-    /// What goes out for an attempt.
+    /// Builds the message that is sent for an attempt.
     fn outgoing_attempt(
         &self,
         now: Tick,
--- a/crates/core/src/query/step.rs
+++ b/crates/core/src/query/step.rs
@@ -1,4 +1,4 @@
-//! `step` of the query engine: takes one event and says what to do.
+//! Event handling of the query engine: one event in, a list of commands out.
 
 use super::engine::QueryEngine;
 use super::event::{Command, Event};
@@ -6,10 +6,10 @@
 use crate::time::Tick;
 
 impl QueryEngine {
-    /// Takes one event and says what to do.
+    /// Handles one event and returns the commands that the caller must carry out, in order.
     pub fn step(&mut self, now: Tick, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
-        let has_room = self.release_closed(now);
+        let slots_released = self.release_closed(now);
         match event {
             Event::Search { call, request } => {
                 let query = self.plan_search(now, call, request);
@@ -19,8 +19,8 @@
                 let query = self.plan_forwarded(now, call, request);
                 self.start_query(now, call, query, &mut commands);
             }
-            Event::AttemptEnded { attempt: dispatch, result } => {
-                self.attempt_ended(now, dispatch, result, &mut commands)
+            Event::AttemptEnded { attempt, result } => {
+                self.attempt_ended(now, attempt, result, &mut commands)
             }
             Event::CallerGone { call } => self.caller_gone(now, call, &mut commands),
             Event::ClusterView(view) => {
@@ -40,7 +40,7 @@
             }
             Event::TrialsUntil(until) => self.trials.valid_until = until,
             Event::ExposureLimit(limit) => self.trials.limit = limit,
-            Event::ServingState(door) => self.serving_state = door,
+            Event::ServingState(state) => self.serving_state = state,
             Event::LeaseValidUntil(until) => {
                 self.lease_valid_until = until;
                 self.advance_queries(now, &mut commands);
@@ -49,8 +49,8 @@
         }
         self.cancel_abandoned(now, &mut commands);
         self.report_trials(now, &mut commands);
-        // Cancelled attempts leave room behind that waiting queries can use.
-        if has_room || commands.iter().any(|c| matches!(c, Command::CancelAttempt { .. })) {
+        // Cancelled attempts free leaf capacity that queued shards can use.
+        if slots_released || commands.iter().any(|c| matches!(c, Command::CancelAttempt { .. })) {
             self.advance_queries(now, &mut commands);
         }
         commands
