--- a/crates/core/src/http_api/leaf.rs
+++ b/crates/core/src/http_api/leaf.rs
@@ -200,7 +200,7 @@
         let rec = Record { id, score, shard: String::new(), data };
         if let Some(last) = out.last() {
             use std::cmp::Ordering::*;
-            match crate::query::merge::order(last, &rec) {
+            match crate::query::merge::compare_records(last, &rec) {
                 Less => {}
                 Equal | Greater => return Err(AttemptFailure::RecordsOutOfOrder),
             }
--- a/crates/core/src/query/admission.rs
+++ b/crates/core/src/query/admission.rs
@@ -1,4 +1,4 @@
-//! Whether a call is taken at all.
+//! Admission control: whether this node accepts a call.
 
 use super::engine::{QueryEngine, ServingState};
 use super::request::{Rejection, RejectionReason};
@@ -6,7 +6,7 @@
 use crate::consts;
 use crate::time::Tick;
 
-/// Queries open to a class on one desk.
+/// Returns the maximum number of open queries of one query engine for a priority class.
 pub fn room_of(class: PriorityClass) -> usize {
     let pct = match class {
         PriorityClass::Ordinary => consts::ORDINARY_ADMISSION_PCT,
@@ -17,44 +17,50 @@
 }
 
 impl QueryEngine {
-    /// Whether calls are taken now.
+    /// Checks that this node accepts calls now.
     pub(super) fn check_serving(&self, now: Tick) -> Result<(), Rejection> {
-        let say = |reason, text: &str| Err(Rejection::new(reason, text));
+        let reject = |reason, text: &str| Err(Rejection::new(reason, text));
         match self.serving_state {
             ServingState::Serving => {}
             ServingState::NoSnapshot => {
-                return say(RejectionReason::NoSnapshot, "this node holds no view yet");
+                return reject(
+                    RejectionReason::NoSnapshot,
+                    "this node has not received a cluster view yet",
+                );
             }
             ServingState::Isolated => {
-                return say(RejectionReason::Isolated, "this node is cut off from the others");
+                return reject(
+                    RejectionReason::Isolated,
+                    "this node is isolated from the other nodes",
+                );
             }
             ServingState::ShuttingDown => {
-                return say(RejectionReason::ShuttingDown, "this node is going down");
+                return reject(RejectionReason::ShuttingDown, "this node is shutting down");
             }
         }
         if now > self.lease_valid_until {
-            return say(
+            return reject(
                 RejectionReason::Isolated,
-                "this node's view may be old: it has no tenure now",
+                "this node's view may be stale: its lease has expired",
             );
         }
         Ok(())
     }
 
-    /// Whether there is room for one more query of a class.
+    /// Checks that this node may open another query of a priority class.
     pub(super) fn check_capacity(&self, class: PriorityClass) -> Result<(), Rejection> {
-        let say = |reason, text: &str| Err(Rejection::new(reason, text));
+        let reject = |reason, text: &str| Err(Rejection::new(reason, text));
         if self.queries.len() >= room_of(class) {
-            return say(
+            return reject(
                 RejectionReason::ConcurrencyLimit,
-                "this node works on all it may for this class",
+                "this node has reached its limit of open queries for this priority class",
             );
         }
-        let buffered = self.queries.values().filter(|query| query.queued_shards() > 0).count();
-        if buffered * 100 >= room_of(class) * consts::MAX_QUEUED_QUERIES_PCT {
-            return say(
+        let queued = self.queries.values().filter(|query| query.queued_shards() > 0).count();
+        if queued * 100 >= room_of(class) * consts::MAX_QUEUED_QUERIES_PCT {
+            return reject(
                 RejectionReason::NoCapacity,
-                "too many queries already wait for room at the leafs",
+                "too many queries already wait for free capacity at the leafs",
             );
         }
         Ok(())
--- a/crates/core/src/query/cancellation.rs
+++ b/crates/core/src/query/cancellation.rs
@@ -1,9 +1,9 @@
-//! Ends attempts: a leaf's slot is free again, an attempt is cancelled.
+//! Cancels attempts and releases their slots at the leafs.
 //!
-//! An attempt of a search is cancelled at once when nobody wants its reply any more. One
-//! of a forwarded request is given [`CANCEL_GRACE`] first, unless its caller has gone: a
-//! leaf that answers in that time keeps its connection, which a cancellation closes. One
-//! that may run once only is left to end.
+//! An attempt of a search is cancelled as soon as its reply is no longer needed. An attempt
+//! of a forwarded request is cancelled after [`CANCEL_GRACE`], or at once if its caller has
+//! disconnected: a cancellation closes the connection, which a leaf that answers within the
+//! grace period keeps. An attempt that may run at most once is never cancelled.
 
 use std::collections::VecDeque;
 
@@ -11,16 +11,17 @@
 use super::event::Command;
 use crate::time::{Span, Tick, ms, since};
 
-/// How long a forwarded attempt whose reply nobody waits for may go on: longer than a
-/// leaf's usual pause of 40 ms, and below the 100 ms in which leafs are to be free again.
+/// Time for which an abandoned forwarded attempt may continue: longer than a leaf's usual
+/// pause of 40 ms, and below the 100 ms within which a leaf's slots must be free again.
 const CANCEL_GRACE: Span = ms(80);
 
-/// How long a slot of a leaf stays taken after an attempt of a search was cancelled: the
-/// leaf reads the close of its connection a moment later, and a request sent meanwhile on
-/// another connection may overtake it. Far above the jitter between two connections.
-const CLOSE_TRAVEL: Span = ms(5);
+/// Time for which a leaf's slot stays occupied after an attempt of a search was cancelled: the
+/// leaf sees the close of the connection with a delay, and a request sent on another
+/// connection may arrive before it. Far above the jitter between two connections.
+const CLOSE_PROPAGATION_DELAY: Span = ms(5);
 
-/// Slots of leafs that are free again once a close has arrived, the oldest first.
+/// Leaf slots of cancelled attempts that become free once the leaf has seen the connection
+/// close, the oldest first.
 #[derive(Default)]
 pub struct ClosingSlots {
     queue: VecDeque<ClosingSlot>,
@@ -32,7 +33,7 @@
 }
 
 impl ClosingSlots {
-    /// When the next one is free.
+    /// Returns when the next slot becomes free.
     pub(super) fn next_due(&self) -> Option<Tick> {
         self.queue.front().map(|oldest| oldest.free_at)
     }
@@ -43,7 +44,7 @@
     }
 }
 
-/// Forwarded attempts whose reply nobody waits for, the oldest first.
+/// Forwarded attempts whose reply is no longer needed, the oldest first.
 #[derive(Default)]
 pub struct AbandonedAttempts {
     queue: VecDeque<AbandonedAttempt>,
@@ -59,7 +60,7 @@
         self.queue.push_back(AbandonedAttempt { attempt_id, cancel_at: now + CANCEL_GRACE });
     }
 
-    /// When the next one is due to be cancelled.
+    /// Returns when the next attempt is due to be cancelled.
     pub(super) fn next_due(&self) -> Option<Tick> {
         self.queue.front().map(|oldest| oldest.cancel_at)
     }
@@ -71,7 +72,7 @@
 }
 
 impl QueryEngine {
-    /// An attempt has ended: its leaf has a slot more.
+    /// Releases a leaf's slot after an attempt has ended.
     pub(super) fn release_leaf(&mut self, name: &str) {
         if let Some(leaf) = self.leafs.get_mut(name) {
             leaf.in_flight -= 1;
@@ -81,18 +82,19 @@
         }
     }
 
-    /// Frees the slots of attempts that were cancelled a moment ago; tells whether there
-    /// were any.
+    /// Releases the leaf slots of cancelled attempts whose connections have closed by now, and
+    /// returns whether there were any.
     pub(super) fn release_closed(&mut self, now: Tick) -> bool {
-        let mut has_room = false;
+        let mut released = false;
         while let Some(leaf) = self.closing.pop_due(now) {
             self.release_leaf(&leaf);
-            has_room = true;
+            released = true;
         }
-        has_room
+        released
     }
 
-    /// Nobody waits for an attempt's reply any more, though its caller may still be there.
+    /// Abandons an attempt whose reply is no longer needed, though its caller may still be
+    /// connected.
     pub(super) fn abandon_attempt(
         &mut self,
         now: Tick,
@@ -109,7 +111,7 @@
         }
     }
 
-    /// Cancels the forwarded attempts whose grace is over.
+    /// Cancels the abandoned attempts whose grace period has ended.
     pub(super) fn cancel_abandoned(&mut self, now: Tick, commands: &mut Vec<Command>) {
         while let Some(attempt_id) = self.abandoned.pop_due(now) {
             if let Some(attempt) = self.attempts.get(&attempt_id)
@@ -125,20 +127,22 @@
         }
     }
 
+    /// Cancels an attempt. Its slot at the leaf is released at once if it was forwarded, else
+    /// after `CLOSE_PROPAGATION_DELAY`.
     fn cancel_attempt(&mut self, now: Tick, attempt_id: u64, commands: &mut Vec<Command>) {
         let Some(attempt) = self.attempts.swap_remove(&attempt_id) else { return };
         if attempt.forwarded {
             self.release_leaf(&attempt.leaf);
         } else {
-            let slot = ClosingSlot { leaf: attempt.leaf, free_at: now + CLOSE_TRAVEL };
+            let slot = ClosingSlot { leaf: attempt.leaf, free_at: now + CLOSE_PROPAGATION_DELAY };
             self.closing.queue.push_back(slot);
         }
         self.statistics.cancelled += 1;
         commands.push(Command::CancelAttempt { attempt: attempt_id });
     }
 
-    /// The caller went away: nobody wants the attempts' replies. What may run once only
-    /// is left to end all the same.
+    /// Drops the query of a disconnected caller and cancels its attempts, except those that may
+    /// run at most once.
     pub(super) fn caller_gone(&mut self, now: Tick, call: u64, commands: &mut Vec<Command>) {
         let id = self.queries.iter().find(|(_, query)| query.call == call).map(|(id, _)| *id);
         let Some(query) = id.and_then(|id| self.queries.swap_remove(&id)) else { return };
--- a/crates/core/src/query/cluster_update.rs
+++ b/crates/core/src/query/cluster_update.rs
@@ -1,4 +1,4 @@
-//! What changes when the snapshot, the membership or its threads change.
+//! Applies changes of the cluster view, the quota share and the connecting threads.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -16,7 +16,7 @@
 use crate::time::Tick;
 
 impl QueryEngine {
-    /// Takes a new snapshot over.
+    /// Replaces the cluster view and updates all state derived from it.
     pub(super) fn replace_view(&mut self, now: Tick, view: Arc<ClusterView>) {
         for (name, info) in &view.leafs {
             if !self.leafs.contains_key(name) {
@@ -28,7 +28,7 @@
                 leaf.note_minimum_age(info.age_ms, now);
             }
         }
-        self.note_zones_taken_back(now, &view);
+        self.note_undrained_zones(now, &view);
         self.leafs.retain(|name, leaf| leaf.in_flight > 0 || view.leafs.contains_key(name));
         self.service_retry_budget.retain(|s| view.services.contains_key(s));
         self.latency_estimate.retain(|s| view.mappings.contains_key(s));
@@ -46,27 +46,27 @@
         }
     }
 
-    /// Notes the leafs of zones that were drained and are not any more.
-    fn note_zones_taken_back(&mut self, now: Tick, view: &ClusterView) {
-        let taken_back: BTreeSet<&String> = self
+    /// Marks the leafs of zones that are no longer drained: whether they are warm is unknown.
+    fn note_undrained_zones(&mut self, now: Tick, view: &ClusterView) {
+        let undrained: BTreeSet<&String> = self
             .cluster_view
             .built
             .drained
             .iter()
             .filter(|zone| !view.built.drained.contains(zone.as_str()))
             .collect();
-        let stood = view
+        let affected = view
             .leafs
             .values()
-            .filter(|info| taken_back.iter().any(|zone| zone.as_str() == info.zone()));
-        for info in stood {
+            .filter(|info| undrained.iter().any(|zone| zone.as_str() == info.zone()));
+        for info in affected {
             if let Some(leaf) = self.leafs.get_mut(&info.leaf) {
-                leaf.note_zone_taken_back(now);
+                leaf.note_zone_undrained(now);
             }
         }
     }
 
-    /// Takes a new share of what the fleet may do over.
+    /// Replaces this thread's share of the cluster-wide limits.
     pub(super) fn replace_quota_share(&mut self, new: QuotaShare) {
         self.quota_share = new;
         for leaf in self.leafs.values_mut() {
@@ -78,7 +78,7 @@
         self.retry_budget.set_slack(self.quota_share.allocation(rank, consts::RETRY_SLACK));
     }
 
-    /// Deals the leafs of each service out to the threads of the membership.
+    /// Recomputes this thread's rank for the leafs of each service with partitioned balancing.
     pub(super) fn assign_ranks(&mut self) {
         let view = self.cluster_view.clone();
         for route in view.mappings.values() {
@@ -97,7 +97,7 @@
         }
     }
 
-    /// Deals out the connections to leafs that take few.
+    /// Recomputes this thread's connection limit for leafs that limit their connections.
     pub(super) fn assign_connections(&mut self) {
         let view = self.cluster_view.clone();
         let pools = view.mappings.values().flat_map(|m| &m.shards).flat_map(|s| &s.pools);
@@ -112,25 +112,25 @@
         }
     }
 
-    /// Deals out the connections to the leafs of one version of a service.
+    /// Recomputes the connection limits for the leafs of one version of a service.
     fn assign_connections_to(&mut self, view: &ClusterView, list: &[Arc<LeafInfo>], limit: u64) {
-        // Leafs of emptied zones and those that leave have no new work.
-        let stand: Vec<&LeafInfo> = list
+        // Leafs in drained zones and leafs that shut down get no new work.
+        let open: Vec<&LeafInfo> = list
             .iter()
             .filter(|leaf| !leaf.leaving && !view.built.drained.contains(leaf.zone()))
             .map(|leaf| leaf.as_ref())
             .collect();
-        let connections = connection_subset::deal(&self.peers, self.thread_id, &stand, limit);
-        for (info, n) in stand.iter().zip(connections) {
+        let connections = connection_subset::deal(&self.peers, self.thread_id, &open, limit);
+        for (info, n) in open.iter().zip(connections) {
             if let Some(leaf) = self.leafs.get_mut(&info.leaf) {
-                // Before we know of anyone else, one connection at a time.
+                // One connection until the other threads are known.
                 leaf.connection_limit = Some(if self.peers.is_empty() { 1 } else { n });
             }
         }
     }
 }
 
-/// The leafs of a service: those in force, and those that are tried.
+/// Returns the leafs of a service: of the version in force, then of the version under trial.
 fn versions_of<'a>(
     view: &'a ClusterView,
     service: &str,
--- a/crates/core/src/query/connection_subset.rs
+++ b/crates/core/src/query/connection_subset.rs
@@ -1,62 +1,72 @@
-//! Wires to leafs under a limit of the leaf: a hard sum over all nodes, kept
-//! by dealing out without a word between them.
+//! Subsetting of connections to leafs that limit their number of connections. The limit applies
+//! to the sum over all nodes and is kept without communication between them.
 //!
-//! Every node computes the same deal from the same members and leafs: members
-//! in the order of their numbers take their most preferred leafs, those of
-//! their own zone first, as long as a leaf has connections left. Preference is by
-//! rendezvous and a leaf's connections are bounded, so that a member or a leaf that
-//! comes or goes moves little. Views that differ for a moment are what the part
-//! of the limit is for that is not dealt out; a leaf resets what is too much,
-//! and such a dispatch has not arrived.
+//! Every node computes the same assignment from the same threads and leafs: threads, in the
+//! order of their ids, take connections to their most preferred leafs, those in their own zone
+//! first, as long as a leaf has connections left. Preference is by rendezvous hashing and a
+//! leaf's connections are bounded, so that a thread or leaf that joins or leaves moves few
+//! connections. Part of the limit is not assigned, as a reserve for nodes whose views differ
+//! for a short time. A leaf resets connections above its limit; attempts on these have not
+//! arrived.
 
 use crate::digest::{hash, pair};
 use crate::snapshot::leafs::LeafInfo;
 
-/// One node that takes part.
+/// A traffic thread that opens connections to leafs.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConnectingThread {
-    /// The stable number of its traffic thread.
+    /// Stable number of the thread among the threads of all nodes.
     pub thread_id: u64,
     pub zone: String,
 }
 
-/// Wires of a leaf that are dealt out: a tenth stays free, and one at least.
-fn dealt(limit: u64) -> u64 {
+/// Returns how many connections of a leaf are assigned: a tenth, at least one, is kept in
+/// reserve.
+fn assignable_connections(limit: u64) -> u64 {
     (limit - (limit / 10).max(1).min(limit - 1)).max(1)
 }
 
-/// The connections that each of the `leafs` of one service may have from the node
-/// `mine`; zero where it should have none.
-pub fn deal(peers: &[ConnectingThread], mine: u64, leafs: &[&LeafInfo], limit: u64) -> Vec<u64> {
-    let here = peers.iter().position(|p| p.thread_id == mine);
-    let (Some(here), false) = (here, leafs.is_empty() || limit == 0) else {
+/// Returns how many connections the thread `own_thread` may open to each of the `leafs` of one
+/// service, out of `limit` connections per leaf.
+pub fn deal(
+    peers: &[ConnectingThread],
+    own_thread: u64,
+    leafs: &[&LeafInfo],
+    limit: u64,
+) -> Vec<u64> {
+    let own_index = peers.iter().position(|p| p.thread_id == own_thread);
+    let (Some(own_index), false) = (own_index, leafs.is_empty() || limit == 0) else {
         return vec![0; leafs.len()];
     };
-    let each = dealt(limit);
+    let per_leaf = assignable_connections(limit);
     let n = leafs.len() as u64;
-    // Whole rounds first: what everyone has from every leaf needs no deal.
-    let whole = each / peers.len() as u64;
-    let mut left = vec![each - whole * peers.len() as u64; leafs.len()];
-    let quota = (left.iter().sum::<u64>() / peers.len() as u64).min(n).max(u64::from(whole == 0));
-    let things: Vec<u64> = leafs.iter().map(|l| hash(&l.leaf)).collect();
-    let mut out = vec![whole; leafs.len()];
-    for (i, peer) in peers.iter().enumerate().take(here + 1) {
+    // Connections that every thread gets to every leaf.
+    let base = per_leaf / peers.len() as u64;
+    let mut remaining = vec![per_leaf - base * peers.len() as u64; leafs.len()];
+    let quota =
+        (remaining.iter().sum::<u64>() / peers.len() as u64).min(n).max(u64::from(base == 0));
+    let leaf_hashes: Vec<u64> = leafs.iter().map(|l| hash(&l.leaf)).collect();
+    let mut connections = vec![base; leafs.len()];
+    for (i, peer) in peers.iter().enumerate().take(own_index + 1) {
         let mut order: Vec<usize> = (0..leafs.len()).collect();
         order.sort_unstable_by_key(|k| {
-            (leafs[*k].zone() != peer.zone, std::cmp::Reverse(pair(things[*k], peer.thread_id)))
+            (
+                leafs[*k].zone() != peer.zone,
+                std::cmp::Reverse(pair(leaf_hashes[*k], peer.thread_id)),
+            )
         });
-        let mut got = 0;
-        // Who comes late finds few leafs with connections left, and takes more of
-        // each: there is a quota for everyone.
-        while got < quota && left.iter().any(|n| *n > 0) {
+        let mut assigned = 0;
+        // The last threads find few leafs with connections left and take more than one
+        // connection to each, up to the same quota.
+        while assigned < quota && remaining.iter().any(|n| *n > 0) {
             for k in &order {
-                if got < quota && left[*k] > 0 {
-                    left[*k] -= 1;
-                    got += 1;
-                    out[*k] += u64::from(i == here);
+                if assigned < quota && remaining[*k] > 0 {
+                    remaining[*k] -= 1;
+                    assigned += 1;
+                    connections[*k] += u64::from(i == own_index);
                 }
             }
         }
     }
-    out
+    connections
 }
--- a/crates/core/src/query/forwarded_reply.rs
+++ b/crates/core/src/query/forwarded_reply.rs
@@ -1,28 +1,28 @@
-//! What a leaf's reply is to a call that is forwarded unchanged.
+//! Classifies the replies of leafs to calls that are forwarded unchanged.
 
 use crate::config::types::ServingMode;
 use crate::http_api::leaf::{AttemptFailure, LeafReply, MISDIRECTED};
 
-/// What a reply is to a call that is handed over.
+/// Class of a leaf's reply to a forwarded call.
 pub(super) enum ReplyClass {
-    /// It stands for its shard.
+    /// The result of one shard, to be merged with those of other shards.
     Partial,
-    /// One leaf's answer that goes back as it is.
+    /// A reply that is returned to the caller unchanged.
     Final,
-    /// A failure after the leaf worked, or may have; given back if nothing
-    /// better comes.
+    /// A failure after the leaf executed the request, or may have. It is returned to the caller
+    /// if no other leaf succeeds.
     Failed(AttemptFailure),
-    /// The leaf did not run it.
+    /// The leaf did not execute the request.
     Rejected(AttemptFailure),
 }
 
 impl ReplyClass {
-    /// What an attempt is that ended without a reply.
+    /// Classifies an attempt that ended without a reply.
     pub(super) fn without_reply(why: AttemptFailure) -> ReplyClass {
-        if ran(why) { ReplyClass::Failed(why) } else { ReplyClass::Rejected(why) }
+        if may_have_executed(why) { ReplyClass::Failed(why) } else { ReplyClass::Rejected(why) }
     }
 
-    /// Whether it stands for its shard, and why not.
+    /// Returns success if the reply is accepted for its shard, else the failure.
     pub(super) fn how(&self) -> Result<(), AttemptFailure> {
         match self {
             ReplyClass::Partial | ReplyClass::Final => Ok(()),
@@ -30,10 +30,10 @@
         }
     }
 
-    /// Judges a reply. Only a whole success with one stamp that answers just this
-    /// dispatch is a part.
+    /// Classifies a reply. A success is accepted only if it is complete and has exactly one
+    /// postmark, which matches this attempt.
     pub(super) fn of_reply(raw: &LeafReply, form: ServingMode) -> ReplyClass {
-        // Whatever another call's answer says, it says nothing of this one.
+        // A reply to another call says nothing about this one.
         if raw.headers.foreign {
             return ReplyClass::Failed(AttemptFailure::PostmarkMismatch);
         }
@@ -41,9 +41,9 @@
             return ReplyClass::Rejected(AttemptFailure::Misdirected);
         }
         if raw.headers.rejected {
-            // What is wrong with the call itself is wrong elsewhere too.
-            let own = raw.status == 400 && form == ServingMode::PassThrough;
-            return if own {
+            // A call that one leaf finds invalid is invalid for the others too.
+            let is_invalid_call = raw.status == 400 && form == ServingMode::PassThrough;
+            return if is_invalid_call {
                 ReplyClass::Final
             } else {
                 ReplyClass::Rejected(AttemptFailure::Rejected)
@@ -55,8 +55,10 @@
             (true, 1, _) => ReplyClass::Partial,
             (true, 0, _) => ReplyClass::Failed(AttemptFailure::MissingPostmark),
             (true, _, _) => ReplyClass::Failed(AttemptFailure::DuplicatePostmark),
-            // The leaf's own word on the call, not a failure of the leaf.
-            (false, _, ServingMode::PassThrough) if raw.status < 500 && !promises(raw.status) => {
+            // A client error is the leaf's answer to the call, not a failure of the leaf.
+            (false, _, ServingMode::PassThrough)
+                if raw.status < 500 && !implies_not_executed(raw.status) =>
+            {
                 ReplyClass::Final
             }
             (false, _, _) => ReplyClass::Failed(AttemptFailure::ErrorStatus),
@@ -64,14 +66,14 @@
     }
 }
 
-/// Whether a status promises that the call has not run. From a leaf that did
-/// not say so besides, it promises nothing and must not be passed on.
-pub(super) fn promises(status: u16) -> bool {
+/// Returns whether a status implies to the caller that the call has not been executed. A leaf's
+/// reply with such a status must not be returned unless the leaf marked it as a rejection.
+pub(super) fn implies_not_executed(status: u16) -> bool {
     matches!(status, 408 | 421 | 429 | 503)
 }
 
-/// Whether a dispatch that ended so may have been worked on.
-fn ran(why: AttemptFailure) -> bool {
+/// Returns whether the leaf may have executed an attempt that failed for this reason.
+fn may_have_executed(why: AttemptFailure) -> bool {
     !matches!(
         why,
         AttemptFailure::Unreachable | AttemptFailure::Rejected | AttemptFailure::Misdirected
--- a/crates/core/src/query/forwarded_request.rs
+++ b/crates/core/src/query/forwarded_request.rs
@@ -1,32 +1,32 @@
-//! Calls that are handed over unchanged, and what comes back of them.
+//! Calls that are forwarded to leafs unchanged, and their replies.
 
 use std::sync::Arc;
 
 use crate::http_api::leaf::LeafReply;
 use crate::time::Span;
 
-/// A call as it came: nothing of it is changed on the way to a leaf.
+/// A call as received: it is forwarded to leafs unchanged.
 #[derive(Clone, Debug, Default)]
 pub struct ForwardedRequest {
     /// The caller's own id of this call.
     pub id: String,
     pub method: String,
     pub host: String,
-    /// The path without its query, by which the mapping is found.
+    /// The path without the query string, by which the route is found.
     pub path: String,
-    /// Path and query, as they came.
+    /// Path and query string, as received.
     pub path_and_query: String,
-    /// The heads that go on to the leaf.
+    /// The headers that are forwarded to the leaf.
     pub headers: Vec<(String, Vec<u8>)>,
     pub body: Vec<u8>,
-    /// How long the caller waits, if it says so.
+    /// How long the caller waits, if the call states it.
     pub timeout: Option<Span>,
 }
 
-/// Parts of several shards, joined.
+/// The merged results of several shards.
 ///
-/// Invariants: `stamps` holds one stamp for each shard that is in and names
-/// none twice; `body` holds the greatest records of just these parts.
+/// Invariants: `postmarks` holds one postmark for each shard that answered, each of a different
+/// shard; `body` holds the greatest records of exactly these shard results.
 #[derive(Clone, Debug)]
 pub struct MergedReply {
     pub id: String,
@@ -35,17 +35,17 @@
     pub body: Vec<u8>,
 }
 
-/// One leaf's answer, to be given back as it is.
+/// One leaf's reply, to be returned to the caller unchanged.
 #[derive(Clone, Debug)]
 pub struct ForwardedReply {
     pub id: String,
     pub reply: Arc<LeafReply>,
 }
 
-/// The greatest `top` records of `width` bytes in all parts, falling. What is
-/// left at the end of a part and shorter than a record is none.
-pub fn join(parts: &[&[u8]], width: usize, top: usize) -> Vec<u8> {
-    let mut all: Vec<&[u8]> = parts.iter().flat_map(|p| p.chunks_exact(width)).collect();
+/// Returns the `top` greatest records of `width` bytes of all shard results, in descending
+/// order. Trailing bytes of a result that are shorter than a record are ignored.
+pub fn join(results: &[&[u8]], width: usize, top: usize) -> Vec<u8> {
+    let mut all: Vec<&[u8]> = results.iter().flat_map(|r| r.chunks_exact(width)).collect();
     if all.len() > top && top > 0 {
         all.select_nth_unstable_by(top - 1, |a, b| b.cmp(a));
         all.truncate(top);
--- a/crates/core/src/query/forwarding.rs
+++ b/crates/core/src/query/forwarding.rs
@@ -1,4 +1,4 @@
-//! Replies to calls that are forwarded unchanged.
+//! Handles the replies to calls that are forwarded unchanged.
 
 use std::sync::Arc;
 
@@ -6,7 +6,7 @@
 use super::coverage::served;
 use super::engine::QueryEngine;
 use super::event::Command;
-use super::forwarded_reply::{ReplyClass, promises};
+use super::forwarded_reply::{ReplyClass, implies_not_executed};
 use super::planned_query::{PlannedShard, Query, ShardState};
 use super::request::RejectionReason;
 use crate::config::route::Route;
@@ -16,7 +16,7 @@
 use crate::time::{Tick, since};
 
 impl QueryEngine {
-    /// A dispatch of a call that is handed over has ended.
+    /// Handles the end of an attempt of a forwarded call.
     pub(super) fn forwarded_attempt_ended(
         &mut self,
         now: Tick,
@@ -47,20 +47,20 @@
             ReplyClass::Rejected(why) => {
                 *self.statistics.failures.entry(why).or_default() += 1;
                 if why == AttemptFailure::Unreachable {
-                    // Nothing arrived anywhere: this was no try.
+                    // The request did not reach a leaf, so it does not count as an attempt.
                     shard.attempts = shard.attempts.saturating_sub(1);
                 }
-                let lost = shard.is_exhausted(&query.route);
-                shard.attempt_failed(lost.then_some(RejectionReason::NoCapacity));
+                let is_final = shard.is_exhausted(&query.route);
+                shard.attempt_failed(is_final.then_some(RejectionReason::NoCapacity));
             }
             ReplyClass::Failed(why) => {
                 *self.statistics.failures.entry(why).or_default() += 1;
                 query.executed = true;
-                let lost = query.route.once || shard.is_exhausted(&query.route);
-                shard.attempt_failed(lost.then_some(RejectionReason::BelowQuorum));
+                let is_final = query.route.once || shard.is_exhausted(&query.route);
+                shard.attempt_failed(is_final.then_some(RejectionReason::BelowQuorum));
                 if let Ok(raw) = result
                     && why == AttemptFailure::ErrorStatus
-                    && !promises(raw.status)
+                    && !implies_not_executed(raw.status)
                 {
                     query.last_failure = Some(Arc::new(raw));
                 }
@@ -68,7 +68,7 @@
         }
     }
 
-    /// What a reply is to its call.
+    /// Classifies the end of an attempt, including the coverage check.
     fn classify(
         &self,
         query: &Query,
@@ -79,7 +79,7 @@
             Err(why) => ReplyClass::without_reply(*why),
             Ok(raw) => ReplyClass::of_reply(raw, query.route.form),
         };
-        // Coverage: the shard is derived, and must be the one that was planned.
+        // Coverage check: the shard that the leaf serves must be the planned one.
         let planned = query.shards[attempt.shard].index;
         let covers = || {
             served(&self.cluster_view, &query.route, &attempt.leaf, &attempt.service)
@@ -93,16 +93,17 @@
 }
 
 impl PlannedShard {
-    /// Whether a shard has had all its dispatches, or been offered to all the leafs
-    /// that it may be, those that could not be reached included.
+    /// Returns whether no further attempt may be made for this shard: it has used all its
+    /// attempts, or has been sent to the maximum number of leafs, including unreachable ones.
     fn is_exhausted(&self, route: &Route) -> bool {
-        let most = route.attempts as usize + consts::MAX_UNREACHABLE_LEAFS;
-        self.attempts >= route.attempts || self.attempted_leafs.len() >= most
+        let max_leafs = route.attempts as usize + consts::MAX_UNREACHABLE_LEAFS;
+        self.attempts >= route.attempts || self.attempted_leafs.len() >= max_leafs
     }
 }
 
 impl QueryEngine {
-    /// A dispatch has ended whose query is over: it still tells of its leaf.
+    /// Records the end of an attempt whose query has already ended, as an observation of its
+    /// leaf.
     pub(super) fn note_late_reply(
         &mut self,
         now: Tick,
@@ -113,8 +114,7 @@
             return;
         }
         let class = match result {
-            // Whatever was asked, a leaf that answers with less than a failure of
-            // its own stands well.
+            // A leaf that answers without a server error is healthy, whatever the call was.
             Ok(raw) if raw.status < 500 && !raw.headers.rejected && raw.status != MISDIRECTED => {
                 ReplyClass::Partial
             }
--- a/crates/core/src/query/leaf_feedback.rs
+++ b/crates/core/src/query/leaf_feedback.rs
@@ -1,4 +1,4 @@
-//! What the end of an attempt says of its leaf.
+//! Updates the state of a leaf after an attempt has ended.
 
 use super::attempt::Attempt;
 use super::engine::QueryEngine;
@@ -7,30 +7,30 @@
 use crate::time::{Tick, since};
 
 impl QueryEngine {
-    /// What a reply says of its leaf.
+    /// Records the result of an attempt for its leaf.
     pub(super) fn note_leaf_result(
         &mut self,
         now: Tick,
         attempt: &Attempt,
-        how: Result<(), AttemptFailure>,
+        result: Result<(), AttemptFailure>,
     ) {
-        self.record_trial_answer(now, attempt, how);
+        self.record_trial_answer(now, attempt, result);
         let Some(leaf) = self.leafs.get_mut(&attempt.leaf) else { return };
         let took = since(attempt.sent_at, now);
-        match how {
+        match result {
             Ok(()) => {
                 leaf.record_success(took);
                 leaf.adjust_health_weight(took, now);
             }
-            // Turning work away unrun is good manners, not a fault: it has
-            // more than it bears, and we give it less.
+            // A rejection before execution is not a failure: the leaf is overloaded and gets
+            // less load.
             Err(AttemptFailure::Rejected) => leaf.record_rejection(now),
             Err(_) => leaf.record_failure(now),
         }
     }
 
-    /// Gives up the other dispatches of a shard that is in. Those that were sent
-    /// earlier and are still silent were overtaken.
+    /// Abandons the other attempts of a shard that has been answered. Those sent earlier than
+    /// the answered attempt were overtaken, which counts as a failure of their leafs.
     pub(super) fn cancel_overtaken(
         &mut self,
         now: Tick,
--- a/crates/core/src/query/merge.rs
+++ b/crates/core/src/query/merge.rs
@@ -1,26 +1,26 @@
-//! The order of records, the same on every node, and the merge.
+//! Merges the records of several shards, in an order that is the same on every node.
 
 use std::cmp::Ordering;
 
 use crate::query::request::Record;
 
-/// Best first: higher score, then the smaller id, then the smaller shard.
-pub fn order(a: &Record, b: &Record) -> Ordering {
+/// Compares records, the best first: by descending score, then by id, then by shard.
+pub fn compare_records(a: &Record, b: &Record) -> Ordering {
     b.score.total_cmp(&a.score).then_with(|| a.id.cmp(&b.id)).then_with(|| a.shard.cmp(&b.shard))
 }
 
-/// The best `limit` records of lists that are each in order.
+/// Returns the best `limit` records of lists that are each sorted by `compare_records`.
 pub fn merge(mut lists: Vec<Vec<Record>>, limit: usize) -> Vec<Record> {
     for list in &mut lists {
         list.reverse();
     }
     let mut out = Vec::new();
     while out.len() < limit {
-        let best = (0..lists.len())
-            .filter(|i| !lists[*i].is_empty())
-            .min_by(|a, b| order(&lists[*a][lists[*a].len() - 1], &lists[*b][lists[*b].len() - 1]));
+        let best = (0..lists.len()).filter(|i| !lists[*i].is_empty()).min_by(|a, b| {
+            compare_records(&lists[*a][lists[*a].len() - 1], &lists[*b][lists[*b].len() - 1])
+        });
         match best.and_then(|i| lists[i].pop()) {
-            Some(rec) => out.push(rec),
+            Some(record) => out.push(record),
             None => break,
         }
     }
--- a/crates/core/src/query/mod.rs
+++ b/crates/core/src/query/mod.rs
@@ -1,5 +1,5 @@
-//! The querier's owner of queries: plan, dispatch, coverage check, merge,
-//! outcome, as explicit states and without I/O.
+//! The query engine of a querier: plans queries, sends attempts to leafs, checks the coverage
+//! of their replies, merges results and responds. It is a state machine without I/O.
 
 pub mod admission;
 pub mod attempt;
--- a/crates/core/src/query/progress.rs
+++ b/crates/core/src/query/progress.rs
@@ -1,4 +1,4 @@
-//! Moves queries on: what is due, what can be sent, what has ended.
+//! Advances open queries: sends due attempts and ends queries that are decided.
 
 use super::engine::QueryEngine;
 use super::event::Command;
@@ -8,14 +8,14 @@
 use crate::time::Tick;
 
 impl QueryEngine {
-    /// When `step` wants to be woken next.
+    /// Returns the time of the next timer event, if one is needed.
     pub fn next_due(&self) -> Option<Tick> {
         let of_queries = self.queries.values().map(Query::next_due).min();
         let of_attempts = [self.abandoned.next_due(), self.closing.next_due()];
         of_queries.into_iter().chain(of_attempts.into_iter().flatten()).min()
     }
 
-    /// Takes a planned query in hand, or sends its caller away.
+    /// Starts a planned query, or responds with the rejection.
     pub(super) fn start_query(
         &mut self,
         now: Tick,
@@ -34,8 +34,8 @@
         }
     }
 
-    /// Moves every query on: timers, and room that may have come free. Urgent
-    /// queries are served first, then those that end soonest.
+    /// Advances every query that is due or has queued shards. Queries of a higher priority class
+    /// come first, then those with the earliest deadline.
     pub(super) fn advance_queries(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let mut ids: Vec<_> = self
             .queries
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Moves one query as far as it goes now.
+    /// Advances one query as far as possible, and ends it if its result is decided.
     pub(super) fn advance_query(&mut self, now: Tick, query_id: u64, commands: &mut Vec<Command>) {
         let Some(mut query) = self.queries.swap_remove(&query_id) else { return };
         if now < query.deadline {
@@ -91,14 +91,14 @@
 }
 
 impl Query {
-    /// Why a query is bounced: the gravest of what its slots met.
+    /// Returns the reason for rejecting a query: the most severe one of its shards.
     pub(super) fn rejection_reason(&self, now: Tick) -> RejectionReason {
-        let lost = self.shards.iter().filter_map(|s| match s.state {
+        let reasons = self.shards.iter().filter_map(|s| match s.state {
             ShardState::Failed(why) => Some(why),
             ShardState::Queued => Some(RejectionReason::NoCapacity),
             _ => None,
         });
-        match lost.max_by_key(|r| matches!(r, RejectionReason::NoLeaf)) {
+        match reasons.max_by_key(|r| matches!(r, RejectionReason::NoLeaf)) {
             Some(why) => why,
             None if now >= self.deadline => RejectionReason::DeadlineExceeded,
             None => RejectionReason::BelowQuorum,
--- a/crates/core/src/query/quota.rs
+++ b/crates/core/src/query/quota.rs
@@ -1,25 +1,26 @@
-//! A thread's share of what the whole fleet may do at once.
+//! Partitions cluster-wide limits among the traffic threads.
 
 use crate::digest::{hash, pair};
 use crate::query::connection_subset::ConnectingThread;
 
-/// The traffic threads of the live membership and which of them is ours.
+/// The traffic threads of the current membership, and which of them is this thread.
 ///
-/// Invariant: `slots` are in order, stand once each, and hold `mine` unless
-/// this thread has no share at all.
+/// Invariant: `threads` is sorted without duplicates, and contains `own_thread` unless this
+/// thread has no share.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct QuotaShare {
     pub threads: Vec<u64>,
     pub own_thread: u64,
 }
 
-/// The stable number of a traffic thread.
+/// Returns the stable number of a traffic thread of a member.
 pub fn slot(member: &str, thread: u32) -> u64 {
     pair(hash(member), u64::from(thread))
 }
 
 impl QuotaShare {
-    /// A share among the threads of the members, given as (name, threads).
+    /// Returns the share of one thread among the threads of the members, given as
+    /// (name, number of threads).
     pub fn new(members: &[(String, u32)], me: &str, thread: u32) -> QuotaShare {
         let mut threads: Vec<u64> =
             members.iter().flat_map(|(name, n)| (0..*n).map(|t| slot(name, t))).collect();
@@ -29,7 +30,8 @@
     }
 }
 
-/// The nodes that open connections, of the members given as (name, threads, zone).
+/// Returns the traffic threads of the members, given as (name, number of threads, zone), sorted
+/// by thread id.
 pub fn peers(members: &[(String, u32, String)]) -> Vec<ConnectingThread> {
     let mut out: Vec<ConnectingThread> = members
         .iter()
@@ -41,21 +43,22 @@
 }
 
 impl QuotaShare {
-    /// Our rank for a thing among all threads: each thing has its own order, so
-    /// that remainders fall on different threads.
-    pub fn rank(&self, thing: u64) -> Option<u64> {
+    /// Returns the rank of this thread for a resource. Each resource ranks the threads in a
+    /// different order, so that the remainders of divisions go to different threads.
+    pub fn rank(&self, resource: u64) -> Option<u64> {
         if self.threads.binary_search(&self.own_thread).is_err() {
             return None;
         }
-        let mine = pair(thing, self.own_thread);
-        Some(self.threads.iter().filter(|s| pair(thing, **s) < mine).count() as u64)
+        let own = pair(resource, self.own_thread);
+        Some(self.threads.iter().filter(|s| pair(resource, **s) < own).count() as u64)
     }
 
-    /// Our rank for each of a row of things that are dealt out in turn: where one
-    /// thing's remainder ends the next one's begins. `first` says where the row
-    /// begins, `totals` what each thing has.
+    /// Returns the rank of this thread for each of a list of resources that are allocated one
+    /// after the other: the remainder of each resource starts at the thread where that of the
+    /// previous one ended. `first` selects the thread to start with; `totals` are the amounts
+    /// of the resources.
     pub fn balanced_ranks(&self, first: u64, totals: &[u64]) -> Vec<Option<u64>> {
-        let Ok(mine) = self.threads.binary_search(&self.own_thread) else {
+        let Ok(own_index) = self.threads.binary_search(&self.own_thread) else {
             return vec![None; totals.len()];
         };
         let n = self.threads.len() as u64;
@@ -63,15 +66,15 @@
         totals
             .iter()
             .map(|total| {
-                let rank = (mine as u64 + n - from) % n;
+                let rank = (own_index as u64 + n - from) % n;
                 from = (from + total % n) % n;
                 Some(rank)
             })
             .collect()
     }
 
-    /// Our part of `total`. Over all threads of one membership the parts add up to
-    /// exactly `total`.
+    /// Returns the allocation of a thread with this rank. The allocations of all threads of a
+    /// membership add up to exactly `total`.
     pub fn allocation(&self, rank: Option<u64>, total: u64) -> u64 {
         let Some(rank) = rank else { return 0 };
         let n = self.threads.len() as u64;
--- a/crates/core/src/query/rejection.rs
+++ b/crates/core/src/query/rejection.rs
@@ -1,4 +1,4 @@
-//! Sends a caller away, with the time after which it may come back.
+//! Rejects calls, with a time after which the caller may retry.
 
 use super::engine::QueryEngine;
 use super::event::Command;
@@ -8,45 +8,48 @@
 use crate::time::{Span, Tick, since};
 
 impl QueryEngine {
+    /// Responds to a call with a rejection. `ejection_left` is the time until a leaf that the
+    /// query needs is no longer ejected.
     pub(super) fn reject(
         &mut self,
         now: Tick,
-        (call, rest): (u64, Span),
+        (call, ejection_left): (u64, Span),
         mut rejection: Rejection,
         query: Option<String>,
         commands: &mut Vec<Command>,
     ) {
         rejection.query = query;
-        let away = matches!(
+        let is_overload = matches!(
             rejection.reason,
             RejectionReason::ConcurrencyLimit
                 | RejectionReason::NoCapacity
                 | RejectionReason::DeadlineExceeded
         );
-        self.load_pressure.record(now, away);
+        self.load_pressure.record(now, is_overload);
         rejection.retry_after_seconds = Some(self.load_pressure.retry_after_seconds(
             now,
             rejection.reason,
-            rest,
+            ejection_left,
             &mut self.random,
         ));
-        rejection.retry_after = Some(self.load_pressure.retry_after(now, rest, &mut self.random));
+        rejection.retry_after =
+            Some(self.load_pressure.retry_after(now, ejection_left, &mut self.random));
         *self.statistics.rejected.entry(rejection.reason).or_default() += 1;
         commands.push(Command::Respond { call, outcome: Outcome::Rejected(rejection) });
     }
 
-    /// How long until each shard that is missing has a leaf that is not rested.
+    /// Returns the time until every unanswered shard has a leaf that is not ejected.
     pub(super) fn ejection_left(&self, now: Tick, query: &Query) -> Span {
-        let lost = query.shards.iter().filter(|s| s.state != ShardState::Answered);
+        let unanswered = query.shards.iter().filter(|s| s.state != ShardState::Answered);
         let soonest = |s: &PlannedShard| {
             let shard = &query.route.shards[s.index];
-            let list =
+            let leafs =
                 shard.pools.iter().flat_map(|p| self.cluster_view.open_leafs(p, &query.route.cut));
-            let rests = list
+            let times_left = leafs
                 .filter_map(|i| self.leafs.get(&i.leaf))
                 .map(|leaf| since(now, leaf.ejected_until));
-            rests.min().unwrap_or(consts::LEAF_LIST_POLL_INTERVAL)
+            times_left.min().unwrap_or(consts::LEAF_LIST_POLL_INTERVAL)
         };
-        lost.map(soonest).max().unwrap_or(0)
+        unanswered.map(soonest).max().unwrap_or(0)
     }
 }
--- a/crates/core/src/query/replies.rs
+++ b/crates/core/src/query/replies.rs
@@ -1,4 +1,4 @@
-//! Replies of leafs.
+//! Handles the end of attempts and the replies of leafs.
 
 use super::attempt::Attempt;
 use super::coverage::served;
@@ -11,7 +11,7 @@
 use crate::time::Tick;
 
 impl QueryEngine {
-    /// A dispatch has ended. A late or unknown one changes nothing.
+    /// Handles the end of an attempt. An unknown attempt is ignored; a late one changes no query.
     pub(super) fn attempt_ended(
         &mut self,
         now: Tick,
@@ -38,7 +38,7 @@
         self.advance_queries(now, commands);
     }
 
-    /// A reply to a question of our own form.
+    /// Handles the end of an attempt of a search.
     fn search_attempt_ended(
         &mut self,
         now: Tick,
@@ -65,13 +65,13 @@
             }
             Err(why) => {
                 *self.statistics.failures.entry(why).or_default() += 1;
-                let lost = shard.attempts >= query.route.attempts;
-                shard.attempt_failed(lost.then_some(RejectionReason::BelowQuorum));
+                let is_final = shard.attempts >= query.route.attempts;
+                shard.attempt_failed(is_final.then_some(RejectionReason::BelowQuorum));
             }
         }
     }
 
-    /// The records of a reply that may stand for the planned shard.
+    /// Checks a reply and returns its records if it is accepted for the planned shard.
     fn check_reply(
         &self,
         query: &Query,
@@ -86,7 +86,7 @@
             record_limit: query.record_limit,
         };
         let records = check(raw, &want)?;
-        // Coverage: the shard is derived, and must be the one that was planned.
+        // Coverage check: the shard that the leaf serves must be the planned one.
         let planned = query.shards[attempt.shard].index;
         if served(&self.cluster_view, &query.route, &attempt.leaf, &attempt.service)
             != Some(planned)
@@ -96,7 +96,7 @@
         Ok(records)
     }
 
-    /// Takes in what a leaf says of itself.
+    /// Applies what a leaf reports about itself with a reply.
     fn note_self_report(
         &mut self,
         now: Tick,
@@ -105,9 +105,8 @@
         commands: &mut Vec<Command>,
     ) {
         let Some(leaf) = self.leafs.get_mut(&attempt.leaf) else { return };
-        let before = leaf.draining;
-        // A reply of another leaf, at a reused address, says of ours only that it
-        // is gone.
+        let was_draining = leaf.draining;
+        // A reply of another leaf at a reused address shows only that this leaf is gone.
         let gone = raw.status == crate::http_api::leaf::MISDIRECTED && !raw.headers.foreign;
         if gone {
             leaf.draining = true;
@@ -117,9 +116,9 @@
                 leaf.record_reported_load(load);
             }
         }
-        if leaf.draining && !before {
-            let word = LeafReport { leaf: attempt.leaf.clone(), leaving: !gone, gone, age_ms: 0 };
-            commands.push(Command::ReportLeaf { service: attempt.service.clone(), report: word });
+        if leaf.draining && !was_draining {
+            let report = LeafReport { leaf: attempt.leaf.clone(), leaving: !gone, gone, age_ms: 0 };
+            commands.push(Command::ReportLeaf { service: attempt.service.clone(), report });
         }
     }
 }
--- a/crates/core/src/query/request.rs
+++ b/crates/core/src/query/request.rs
@@ -1,4 +1,4 @@
-//! What is asked of the owner of queries, and what comes of it.
+//! Requests to the query engine and their outcomes.
 
 use std::fmt;
 
@@ -7,18 +7,18 @@
 use crate::query::forwarded_request::{ForwardedReply, MergedReply};
 use crate::time::Span;
 
-/// A caller's question, read and checked for form.
+/// A caller's search request, parsed and validated.
 #[derive(Clone, Debug)]
 pub struct SearchRequest {
     pub route: String,
     pub question: Value,
     pub key: Option<String>,
     pub record_limit: u32,
-    /// The time the caller will wait.
+    /// How long the caller waits.
     pub timeout: Span,
 }
 
-/// A record of an answer.
+/// A record of a search answer.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Record {
     pub id: String,
@@ -27,10 +27,10 @@
     pub data: Value,
 }
 
-/// A success: every shard in `shards` truly answered this query.
+/// A complete or partial answer: every shard in `shards` answered this query.
 ///
-/// Invariants: names in `shards` stand once; `shards.len() + missing` is the
-/// number of planned shards; `records` are the best of those shards, in order.
+/// Invariants: `shards` has no duplicates; `shards.len() + missing` is the number of planned
+/// shards; `records` are the best records of these shards, sorted.
 #[derive(Clone, Debug)]
 pub struct SearchAnswer {
     pub query: String,
@@ -42,22 +42,22 @@
     pub records: Vec<Record>,
 }
 
-/// Why a call was bounced.
+/// Why a call was rejected.
 #[derive(Clone, Copy, PartialEq, Eq, Hash, Debug, PartialOrd, Ord)]
 pub enum RejectionReason {
     InvalidRequest,
     MissingKey,
     UnknownRoute,
     TooLarge,
-    /// This node works on all it may for this class.
+    /// This node has reached its limit of open queries for the priority class.
     ConcurrencyLimit,
-    /// No leaf had room in time.
+    /// No leaf had free capacity in time.
     NoCapacity,
-    /// No leaf at all is known for a needed shard.
+    /// A required shard has no leaf that may be used.
     NoLeaf,
-    /// Dispatches failed and no more tries were allowed.
+    /// Too many shards failed and no more attempts were allowed.
     BelowQuorum,
-    /// The budget ran out below quorum.
+    /// The time budget ran out before a quorum of shards answered.
     DeadlineExceeded,
     ShuttingDown,
     Isolated,
@@ -83,17 +83,18 @@
     }
 }
 
-/// A call that is turned away, with a reason for machines and one for people.
+/// The rejection of a call, with a machine-readable reason and a text.
 #[derive(Clone, Debug)]
 pub struct Rejection {
     pub reason: RejectionReason,
     pub text: String,
     pub query: Option<String>,
-    /// Seconds after which the caller may ask again, where that helps.
+    /// Seconds after which the caller may retry, if a retry can help.
     pub retry_after_seconds: Option<u64>,
-    /// The same, exactly, for those who can tell it so.
+    /// Time after which the caller of a forwarded call may retry, for protocols that can express
+    /// it exactly.
     pub retry_after: Option<Span>,
-    /// A leaf has worked on the call, or may have.
+    /// A leaf has executed the call, or may have.
     pub executed: bool,
 }
 
@@ -110,13 +111,13 @@
     }
 }
 
-/// The end of a call.
+/// The outcome of a call.
 #[derive(Clone, Debug)]
 pub enum Outcome {
     Answered(SearchAnswer),
     Rejected(Rejection),
-    /// Of a call that was handed over: one leaf's answer.
+    /// One leaf's reply to a forwarded call.
     Forwarded(ForwardedReply),
-    /// Of a call that was handed over: the parts of several shards.
+    /// The merged results of several shards for a forwarded call.
     Merged(MergedReply),
 }
--- a/crates/core/src/query/service_retry_budget.rs
+++ b/crates/core/src/query/service_retry_budget.rs
@@ -1,36 +1,34 @@
-//! Second tries towards one service, over all nodes of the fleet: a share of
-//! the calls for it, and a slack that is divided over the nodes.
+//! The cluster-wide retry budget of forwarded calls, by service: a fraction of the calls for a
+//! service, and a slack that is partitioned among the threads.
 //!
-//! Each node earns a share of a second try with each of its own calls for the
-//! service, and saves up at most its part of the slack. So in any window at
-//! all a node sends at most that part and the share of the calls in the
-//! window, and the sum over the nodes keeps the fleet's rule with no word
-//! between them. A node that starts has saved nothing: what its former life
-//! spent and what it spends add up to no more.
+//! Each thread earns a fraction of a retry with each of its calls for the service, and saves at
+//! most its part of the slack. So in any window a thread sends at most that part and the
+//! fraction of its calls in the window, and the sum over all threads keeps the cluster-wide
+//! limit without communication. A thread starts with no credit, so that a restart gains none.
 
 use indexmap::IndexMap;
 
 use crate::consts;
 
-/// The fleet's rule.
+/// The cluster-wide retry rate.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryRate {
-    /// Second tries for each thousand calls.
+    /// Retries and hedges for each thousand calls.
     pub per_thousand: u64,
-    /// Second tries beyond that, over the whole fleet.
+    /// Retries and hedges beyond that, in the whole cluster.
     pub fleet_slack: u64,
 }
 
 impl RetryRate {
-    /// The project's own rule (`consts`).
+    /// Returns the default rate, from `consts`.
     pub fn standard() -> RetryRate {
         RetryRate { per_thousand: consts::RETRY_PCT * 10, fleet_slack: consts::RETRY_SLACK }
     }
 }
 
-/// What is saved up for each service.
+/// The retry credits of one thread.
 ///
-/// Invariant: no service has saved more than `most`, in thousandths of a try.
+/// Invariant: no service's credit exceeds `credit_limit`, in thousandths of a retry.
 pub struct ServiceRetryBudget {
     rate: RetryRate,
     credit_limit: u64,
@@ -38,52 +36,52 @@
 }
 
 impl ServiceRetryBudget {
-    /// A quota with nothing saved, for a node that knows of no other.
+    /// Returns a budget without credit, for a thread that knows of no other thread.
     pub fn new(rate: RetryRate) -> ServiceRetryBudget {
         ServiceRetryBudget { rate, credit_limit: 1_000, credits: IndexMap::new() }
     }
 
-    /// Another rule holds from now on.
+    /// Replaces the retry rate, which is shared by this number of threads.
     pub fn set_rate(&mut self, rate: RetryRate, threads: u64) {
         self.rate = rate;
         self.set_thread_count(threads);
     }
 
-    /// The fleet has so many threads that share the slack.
+    /// Sets the number of threads that share the slack.
     pub fn set_thread_count(&mut self, threads: u64) {
-        // Without a place in the membership nobody knows what others spend.
+        // Outside the membership the number of threads that share the slack is unknown.
         let threads = if threads == 0 { u64::MAX } else { threads };
-        let part = self.rate.fleet_slack * 1_000 * consts::RETRY_BUDGET_USE_PCT / 100 / threads;
-        // Less than a whole try could never be spent.
-        self.credit_limit = part.max(1_000);
-        for saved in self.credits.values_mut() {
-            *saved = (*saved).min(self.credit_limit);
+        let slack = self.rate.fleet_slack * 1_000 * consts::RETRY_BUDGET_USE_PCT / 100 / threads;
+        // A limit below one retry would allow none.
+        self.credit_limit = slack.max(1_000);
+        for credit in self.credits.values_mut() {
+            *credit = (*credit).min(self.credit_limit);
         }
     }
 
-    /// A call for a service has come and goes to a leaf.
+    /// Records the first attempt of a call for a service, which earns credit.
     pub fn record_first_attempt(&mut self, service: &str) {
         let earned = self.rate.per_thousand * consts::RETRY_BUDGET_USE_PCT / 100;
         match self.credits.get_mut(service) {
-            Some(saved) => *saved = (*saved + earned).min(self.credit_limit),
+            Some(credit) => *credit = (*credit + earned).min(self.credit_limit),
             None => {
                 self.credits.insert(service.to_string(), earned);
             }
         }
     }
 
-    /// Takes leave for a second try.
+    /// Spends credit for a retry or hedge; returns false if there is not enough.
     pub fn try_retry(&mut self, service: &str) -> bool {
         match self.credits.get_mut(service) {
-            Some(saved) if *saved >= 1_000 => {
-                *saved -= 1_000;
+            Some(credit) if *credit >= 1_000 => {
+                *credit -= 1_000;
                 true
             }
             _ => false,
         }
     }
 
-    /// Forgets services that are no longer known.
+    /// Removes the credits of services that no longer exist.
     pub fn retain(&mut self, known: impl Fn(&str) -> bool) {
         self.credits.retain(|service, _| known(service));
     }
--- a/crates/core/src/query/trials.rs
+++ b/crates/core/src/query/trials.rs
@@ -1,4 +1,4 @@
-//! Versions that are tried: which queries go to them, and what comes of those.
+//! Versions under trial: selects the requests that reach them and collects the results.
 
 use indexmap::IndexMap;
 
@@ -14,25 +14,25 @@
 use crate::snapshot::leafs::LeafInfo;
 use crate::time::{Span, Tick, ms, since};
 
-/// How often a thread reports what it has seen, at the most.
+/// Minimum time between two reports of a thread's evidence.
 const REPORT_INTERVAL: Span = ms(150);
 
 /// The trials of one traffic thread.
 #[derive(Default)]
 pub struct Trials {
-    /// How much may reach a version that is tried.
+    /// The share of requests that may reach a version under trial.
     pub limit: ExposureLimit,
-    /// Until when versions may be tried.
+    /// Time until which requests may be sent to versions under trial.
     pub valid_until: Tick,
     by_service: IndexMap<String, TrialState>,
-    /// Services of which something was seen that was not reported yet.
+    /// Services with evidence that has not been reported yet.
     unreported: Vec<String>,
-    /// When that is next reported.
+    /// When evidence is next reported.
     report_at: Tick,
 }
 
 impl QueryEngine {
-    /// Begins the trials that the view names, and forgets all others.
+    /// Starts the trials that are in the cluster view and drops all others.
     pub(super) fn begin_trials(&mut self) {
         let view = self.cluster_view.clone();
         let is_current = |service: &String, state: &mut TrialState| {
@@ -48,12 +48,13 @@
         }
     }
 
+    /// Returns the initial state of a trial.
     fn new_trial(&mut self, trial: &Trial) -> TrialState {
         let threads = self.quota_share.threads.len() as u64;
         TrialState::new(trial, self.trials.limit, threads, self.random.below(1_000))
     }
 
-    /// A leaf of the version that is tried, if the first attempt of a shard goes there.
+    /// Returns a leaf of the version under trial, if a shard's first attempt may be sent there.
     pub(super) fn choose_trial_leaf(
         &mut self,
         now: Tick,
@@ -61,7 +62,7 @@
         index: usize,
     ) -> Option<std::sync::Arc<LeafInfo>> {
         let shard = &query.shards[index];
-        // Without a place in the membership nobody knows what this node sends.
+        // Outside the membership this node's share of the exposure limit is unknown.
         let may_try = now <= self.trials.valid_until.min(self.lease_valid_until)
             && !self.quota_share.threads.is_empty();
         if self.trials.by_service.is_empty() || shard.attempts > 0 || !may_try {
@@ -86,21 +87,21 @@
         }
     }
 
-    /// Takes in how an attempt ended, if a version of its service is tried.
+    /// Records the result of an attempt, if a version of its service is under trial.
     pub(super) fn record_trial_answer(
         &mut self,
         now: Tick,
         attempt: &Attempt,
-        how: Result<(), AttemptFailure>,
+        result: Result<(), AttemptFailure>,
     ) {
-        // What was overtaken counted then.
+        // An overtaken attempt has already been counted by `record_overtaken`.
         if attempt.is_overtaken {
             return;
         }
-        let quality = match how {
+        let quality = match result {
             Ok(()) => AnswerQuality::Good(since(attempt.sent_at, now)),
             Err(AttemptFailure::Rejected) => AnswerQuality::Refused,
-            // Nothing arrived there.
+            // The request did not reach the leaf.
             Err(AttemptFailure::Unreachable | AttemptFailure::Misdirected) => return,
             Err(_) => AnswerQuality::Bad,
         };
@@ -112,18 +113,19 @@
         );
     }
 
-    /// Takes in that an attempt was overtaken by one that was sent later.
+    /// Records that an attempt was overtaken by one that was sent later.
     pub(super) fn record_overtaken(&mut self, now: Tick, by: &Attempt, overtaken: u64) {
         let Some(late) = self.attempts.get(&overtaken) else { return };
         if late.sent_at >= by.sent_at {
             return;
         }
-        // It was silent for so long; how long it would have taken nobody knows.
+        // The latency is unknown, but above the time waited so far; twice that is assumed.
         let quality = AnswerQuality::Good(since(late.sent_at, now) * 2);
         let (service, leaf, route) = (late.service.clone(), late.leaf.clone(), late.route.clone());
         self.record_trial_quality(service, &leaf, &route.name, quality);
     }
 
+    /// Records the quality of an answer in the trial of its service, if there is one.
     fn record_trial_quality(
         &mut self,
         service: String,
@@ -144,7 +146,7 @@
         }
     }
 
-    /// Reports what was seen since the last report.
+    /// Reports evidence that is new since the last report, at most once per `REPORT_INTERVAL`.
     pub(super) fn report_trials(&mut self, now: Tick, commands: &mut Vec<Command>) {
         if self.trials.unreported.is_empty() || now < self.trials.report_at {
             return;
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -19,7 +19,7 @@
 
 /// The threads that hold a thing if all go by the same members.
 fn holders(threads: &[u64], thing: u64) -> Vec<u64> {
-    threads.iter().copied().filter(|own| share(threads, *own).is_holder_of(thing)).collect()
+    threads.iter().copied().filter(|own| share(threads, *own).is_assigned(thing)).collect()
 }
 
 #[googletest::test]
@@ -37,8 +37,8 @@
         let then = holders(&rest, leaf.hash);
         assert!(holder[0] == all[4] || then == holder);
         // A thread without a share sends nothing.
-        assert!(!share(&[], all[0]).is_holder_of(leaf.hash));
-        assert!(!share(&rest, all[4]).is_holder_of(leaf.hash));
+        assert!(!share(&[], all[0]).is_assigned(leaf.hash));
+        assert!(!share(&rest, all[4]).is_assigned(leaf.hash));
     }
     assert!(held.len() == 9 && held.values().all(|n| (60..=140).contains(n)), "{held:?}");
 }
@@ -47,7 +47,7 @@
 fn a_leaf_of_a_zone_that_is_taken_back_counts_as_cold_until_the_list_can_tell() {
     let mut leaf = LeafState::new("i", BOOT);
     assert!(!leaf.counts_as_cold(false, BOOT));
-    leaf.note_zone_taken_back(BOOT + SECOND);
+    leaf.note_zone_undrained(BOOT + SECOND);
     assert!(leaf.counts_as_cold(false, BOOT + 3 * SECOND));
     assert!(!leaf.counts_as_cold(false, BOOT + 5 * SECOND));
     assert!(leaf.counts_as_cold(true, BOOT + 5 * SECOND));
