--- a/crates/core/src/control_plane/rollout_orders.rs
+++ b/crates/core/src/control_plane/rollout_orders.rs
@@ -82,7 +82,7 @@
             change(
                 configuration,
                 &fingerprint,
-                &rollout.turned(phase, reason, elapsed_ms, revision),
+                &rollout.with_phase(phase, reason, elapsed_ms, revision),
             )
         }
         RolloutPhase::Back | RolloutPhase::Returned => {
--- a/crates/core/src/control_plane/rollout_progress.rs
+++ b/crates/core/src/control_plane/rollout_progress.rs
@@ -52,7 +52,7 @@
     fn next_of_rollout(&self, now: Tick, rollout: &Rollout) -> Option<Rollout> {
         let revision = self.partitions[CONFIG.0 as usize].state.revision + 1;
         let elapsed_ms = self.rollout_clock.elapsed_ms(now, rollout);
-        let turned = |phase, reason| Some(rollout.turned(phase, reason, elapsed_ms, revision));
+        let turned = |phase, reason| Some(rollout.with_phase(phase, reason, elapsed_ms, revision));
         match rollout.phase() {
             RolloutPhase::Trial if ends_at_term(rollout, elapsed_ms) => {
                 turned(RolloutPhase::Back, RolloutReason::NoVerdict)
@@ -116,5 +116,5 @@
         _ => TrialStep::Watch,
     };
     let is_due = elapsed_ms >= rollout.elapsed_ms + (rollout.term_ms / CHECKPOINT_FRACTION).max(1);
-    (step != rollout.step() || is_due).then(|| rollout.stepped(step, elapsed_ms))
+    (step != rollout.step() || is_due).then(|| rollout.with_step(step, elapsed_ms))
 }
--- a/crates/core/src/control_plane/rollout_votes.rs
+++ b/crates/core/src/control_plane/rollout_votes.rs
@@ -9,7 +9,7 @@
 use crate::replication::partition::Role;
 use crate::rollout::evidence::TrialEvidence;
 use crate::rollout::record::Rollout;
-use crate::rollout::verdict::{Verdict, Vote};
+use crate::rollout::verdict::{Assessment, Verdict};
 use crate::snapshot::leafs::{LeafInfo, leafs_in};
 
 /// The newest vote of each member, by its name.
@@ -73,7 +73,7 @@
                 && evidence.ordered_revision == rollout.ordered_revision
         };
         let votes = self.rollout_votes.by_member.values();
-        let vote = Vote {
+        let vote = Assessment {
             evidence: votes.flat_map(|vote| &vote.evidence).filter(is_of_trial).collect(),
             members: self.members.membership.members.len(),
             new_leafs: self.leafs_of_version(rollout, &rollout.target),
--- a/crates/core/src/membership/rollout_votes.rs
+++ b/crates/core/src/membership/rollout_votes.rs
@@ -26,7 +26,7 @@
 
     /// The versions that are watched, with their leafs.
     pub(super) fn trials(&self, leafs: &SplitLeafs) -> Vec<Trial> {
-        let watched = self.rollouts.iter().filter(|rollout| rollout.is_watched());
+        let watched = self.rollouts.iter().filter(|rollout| rollout.is_monitored());
         watched.map(|rollout| self.trial(rollout, leafs)).collect()
     }
 
@@ -50,7 +50,7 @@
         let rollouts = &self.rollouts;
         let is_current = |evidence: &TrialEvidence| {
             rollouts.iter().any(|rollout| {
-                rollout.is_watched()
+                rollout.is_monitored()
                     && rollout.service == evidence.service
                     && rollout.ordered_revision == evidence.ordered_revision
             })
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -191,10 +191,10 @@
     }
 
     fn note_searches_served(&mut self, now: Tick, view: &ClusterView) {
-        let served = view.mappings.values().filter(|route| has_quorum(view, route)).count();
+        let served = view.routes.values().filter(|route| has_quorum(view, route)).count();
         if served > 0 {
             self.serving_some_since.get_or_insert(now);
-            self.has_served |= served == view.mappings.len();
+            self.has_served |= served == view.routes.len();
         }
     }
 
--- a/crates/core/src/query/admission.rs
+++ b/crates/core/src/query/admission.rs
@@ -7,7 +7,7 @@
 use crate::time::Tick;
 
 /// Returns the maximum number of open queries of one query engine for a priority class.
-pub fn room_of(class: PriorityClass) -> usize {
+pub fn max_open_queries(class: PriorityClass) -> usize {
     let pct = match class {
         PriorityClass::Ordinary => consts::ORDINARY_ADMISSION_PCT,
         PriorityClass::Lookup => consts::LOOKUP_ADMISSION_PCT,
@@ -50,14 +50,14 @@
     /// Checks that this node may open another query of a priority class.
     pub(super) fn check_capacity(&self, class: PriorityClass) -> Result<(), Rejection> {
         let reject = |reason, text: &str| Err(Rejection::new(reason, text));
-        if self.queries.len() >= room_of(class) {
+        if self.queries.len() >= max_open_queries(class) {
             return reject(
                 RejectionReason::ConcurrencyLimit,
                 "this node has reached its limit of open queries for this priority class",
             );
         }
         let queued = self.queries.values().filter(|query| query.queued_shards() > 0).count();
-        if queued * 100 >= room_of(class) * consts::MAX_QUEUED_QUERIES_PCT {
+        if queued * 100 >= max_open_queries(class) * consts::MAX_QUEUED_QUERIES_PCT {
             return reject(
                 RejectionReason::NoCapacity,
                 "too many queries already wait for free capacity at the leafs",
--- a/crates/core/src/query/cluster_update.rs
+++ b/crates/core/src/query/cluster_update.rs
@@ -31,7 +31,7 @@
         self.note_undrained_zones(now, &view);
         self.leafs.retain(|name, leaf| leaf.in_flight > 0 || view.leafs.contains_key(name));
         self.service_retry_budget.retain(|s| view.services.contains_key(s));
-        self.latency_estimate.retain(|s| view.mappings.contains_key(s));
+        self.latency_estimate.retain(|s| view.routes.contains_key(s));
         let same = self.cluster_view.services == view.services
             && self.cluster_view.trials == view.trials
             && self.cluster_view.revision == view.revision;
@@ -50,10 +50,10 @@
     fn note_undrained_zones(&mut self, now: Tick, view: &ClusterView) {
         let undrained: BTreeSet<&String> = self
             .cluster_view
-            .built
+            .routing_table
             .drained
             .iter()
-            .filter(|zone| !view.built.drained.contains(zone.as_str()))
+            .filter(|zone| !view.routing_table.drained.contains(zone.as_str()))
             .collect();
         let affected = view
             .leafs
@@ -81,7 +81,7 @@
     /// Recomputes this thread's rank for the leafs of each service with partitioned balancing.
     pub(super) fn assign_ranks(&mut self) {
         let view = self.cluster_view.clone();
-        for route in view.mappings.values() {
+        for route in view.routes.values() {
             let shared = |p: &&CompiledPool| p.steer == BalancingMode::Partitioned;
             for pool in route.shards.iter().flat_map(|s| &s.pools).filter(shared) {
                 for list in versions_of(&view, &pool.service) {
@@ -100,7 +100,7 @@
     /// Recomputes this thread's connection limit for leafs that limit their connections.
     pub(super) fn assign_connections(&mut self) {
         let view = self.cluster_view.clone();
-        let pools = view.mappings.values().flat_map(|m| &m.shards).flat_map(|s| &s.pools);
+        let pools = view.routes.values().flat_map(|m| &m.shards).flat_map(|s| &s.pools);
         let mut done: BTreeSet<&str> = BTreeSet::new();
         for pool in pools.filter(|p| p.connections > 0) {
             if !done.insert(&pool.service) {
@@ -117,10 +117,11 @@
         // Leafs in drained zones and leafs that shut down get no new work.
         let open: Vec<&LeafInfo> = list
             .iter()
-            .filter(|leaf| !leaf.leaving && !view.built.drained.contains(leaf.zone()))
+            .filter(|leaf| !leaf.leaving && !view.routing_table.drained.contains(leaf.zone()))
             .map(|leaf| leaf.as_ref())
             .collect();
-        let connections = connection_subset::deal(&self.peers, self.thread_id, &open, limit);
+        let connections =
+            connection_subset::assigned_connections(&self.peers, self.thread_id, &open, limit);
         for (info, n) in open.iter().zip(connections) {
             if let Some(leaf) = self.leafs.get_mut(&info.leaf) {
                 // One connection until the other threads are known.
--- a/crates/core/src/query/connection_subset.rs
+++ b/crates/core/src/query/connection_subset.rs
@@ -28,7 +28,7 @@
 
 /// Returns how many connections the thread `own_thread` may open to each of the `leafs` of one
 /// service, out of `limit` connections per leaf.
-pub fn deal(
+pub fn assigned_connections(
     peers: &[ConnectingThread],
     own_thread: u64,
     leafs: &[&LeafInfo],
--- a/crates/core/src/query/forwarded_reply.rs
+++ b/crates/core/src/query/forwarded_reply.rs
@@ -23,7 +23,7 @@
     }
 
     /// Returns success if the reply is accepted for its shard, else the failure.
-    pub(super) fn how(&self) -> Result<(), AttemptFailure> {
+    pub(super) fn outcome(&self) -> Result<(), AttemptFailure> {
         match self {
             ReplyClass::Partial | ReplyClass::Final => Ok(()),
             ReplyClass::Failed(why) | ReplyClass::Rejected(why) => Err(*why),
--- a/crates/core/src/query/forwarding.rs
+++ b/crates/core/src/query/forwarding.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use super::attempt::Attempt;
-use super::coverage::served;
+use super::coverage::covered_shard;
 use super::engine::QueryEngine;
 use super::event::Command;
 use super::forwarded_reply::{ReplyClass, implies_not_executed};
@@ -27,8 +27,8 @@
     ) {
         self.release_leaf(&attempt.leaf);
         let class = self.classify(query, attempt, &result);
-        self.note_leaf_result(now, attempt, class.how());
-        if class.how().is_ok() {
+        self.note_leaf_result(now, attempt, class.outcome());
+        if class.outcome().is_ok() {
             self.latency_estimate.record(&query.route.name, since(attempt.sent_at, now));
         }
         let shard = &mut query.shards[attempt.shard];
@@ -82,10 +82,10 @@
         // Coverage check: the shard that the leaf serves must be the planned one.
         let planned = query.shards[attempt.shard].index;
         let covers = || {
-            served(&self.cluster_view, &query.route, &attempt.leaf, &attempt.service)
+            covered_shard(&self.cluster_view, &query.route, &attempt.leaf, &attempt.service)
                 == Some(planned)
         };
-        if class.how().is_ok() && !covers() {
+        if class.outcome().is_ok() && !covers() {
             return ReplyClass::Failed(AttemptFailure::ServiceMismatch);
         }
         class
@@ -121,6 +121,6 @@
             Ok(raw) => ReplyClass::of_reply(raw, ServingMode::Join),
             Err(why) => ReplyClass::without_reply(*why),
         };
-        self.note_leaf_result(now, attempt, class.how());
+        self.note_leaf_result(now, attempt, class.outcome());
     }
 }
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -26,7 +26,7 @@
     ) -> Result<Query, Rejection> {
         let reject = |reason, text: &str| Err(Rejection::new(reason, text));
         self.check_serving(now)?;
-        let Some(route) = self.cluster_view.mappings.get(&request.route).cloned() else {
+        let Some(route) = self.cluster_view.routes.get(&request.route).cloned() else {
             return reject(RejectionReason::UnknownRoute, "no search with this name is configured");
         };
         if route.form != ServingMode::Native {
@@ -35,8 +35,12 @@
         self.check_capacity(route.class)?;
         let shards = planned_shards(&route, request.key.as_deref(), &mut self.random)?;
         let usable = leaf_time_budget(request.timeout, route.promise)?;
-        let body =
-            question(&route, &request.question, request.key.as_deref(), request.record_limit);
+        let body = leaf_request_body(
+            &route,
+            &request.question,
+            request.key.as_deref(),
+            request.record_limit,
+        );
         let times = QueryTimes {
             started_at: now,
             quorum_suffices_from: now + usable * route.stop_pct / 100,
@@ -130,8 +134,8 @@
 ) -> Result<Vec<usize>, Rejection> {
     match (route.send, key) {
         (FanOut::AllShards, _) => Ok((0..route.shards.len()).collect()),
-        (FanOut::ByKey, Some(key)) => Ok(vec![shard_of(route, key)]),
-        (FanOut::ByWeight, _) => Ok(vec![drawn(route, random)]),
+        (FanOut::ByKey, Some(key)) => Ok(vec![shard_for_key(route, key)]),
+        (FanOut::ByWeight, _) => Ok(vec![pick_weighted_shard(route, random)]),
         (FanOut::ByKey, None) => {
             let text = "this search looks up a single key: the call must have a `key`";
             Err(Rejection::new(RejectionReason::MissingKey, text))
@@ -154,12 +158,12 @@
 }
 
 /// Returns the shard of a key; it is the same on every node.
-pub fn shard_of(route: &Route, key: &str) -> usize {
+pub fn shard_for_key(route: &Route, key: &str) -> usize {
     (hash(key) % route.shards.len() as u64) as usize
 }
 
 /// Picks a shard at random by the route's weights.
-pub fn drawn(route: &Route, random: &mut Random) -> usize {
+pub fn pick_weighted_shard(route: &Route, random: &mut Random) -> usize {
     let mut remaining = random.below(route.weights.iter().sum());
     for (i, weight) in route.weights.iter().enumerate() {
         if remaining < *weight {
@@ -171,6 +175,11 @@
 }
 
 /// Encodes the request body that is sent to a leaf for a query on a route.
-pub fn question(route: &Route, question: &Value, key: Option<&str>, limit: u32) -> Vec<u8> {
+pub fn leaf_request_body(
+    route: &Route,
+    question: &Value,
+    key: Option<&str>,
+    limit: u32,
+) -> Vec<u8> {
     crate::http_api::leaf::body(&route.name, &route.cut, question, key, limit)
 }
--- a/crates/core/src/query/quota.rs
+++ b/crates/core/src/query/quota.rs
@@ -14,7 +14,7 @@
 }
 
 /// Returns the stable number of a traffic thread of a member.
-pub fn slot(member: &str, thread: u32) -> u64 {
+pub fn thread_id(member: &str, thread: u32) -> u64 {
     pair(hash(member), u64::from(thread))
 }
 
@@ -23,10 +23,10 @@
     /// (name, number of threads).
     pub fn new(members: &[(String, u32)], me: &str, thread: u32) -> QuotaShare {
         let mut threads: Vec<u64> =
-            members.iter().flat_map(|(name, n)| (0..*n).map(|t| slot(name, t))).collect();
+            members.iter().flat_map(|(name, n)| (0..*n).map(|t| thread_id(name, t))).collect();
         threads.sort_unstable();
         threads.dedup();
-        QuotaShare { threads, own_thread: slot(me, thread) }
+        QuotaShare { threads, own_thread: thread_id(me, thread) }
     }
 }
 
@@ -35,8 +35,8 @@
 pub fn peers(members: &[(String, u32, String)]) -> Vec<ConnectingThread> {
     let mut out: Vec<ConnectingThread> = members
         .iter()
-        .flat_map(|(name, n, zone)| (0..*n).map(move |t| (slot(name, t), zone)))
-        .map(|(slot, zone)| ConnectingThread { thread_id: slot, zone: zone.clone() })
+        .flat_map(|(name, n, zone)| (0..*n).map(move |t| (thread_id(name, t), zone)))
+        .map(|(thread_id, zone)| ConnectingThread { thread_id, zone: zone.clone() })
         .collect();
     out.sort_unstable_by_key(|p| p.thread_id);
     out
--- a/crates/core/src/query/replies.rs
+++ b/crates/core/src/query/replies.rs
@@ -1,7 +1,7 @@
 //! Handles the end of attempts and the replies of leafs.
 
 use super::attempt::Attempt;
-use super::coverage::served;
+use super::coverage::covered_shard;
 use super::engine::QueryEngine;
 use super::event::Command;
 use super::planned_query::{Query, ShardState};
@@ -88,7 +88,7 @@
         let records = check(raw, &want)?;
         // Coverage check: the shard that the leaf serves must be the planned one.
         let planned = query.shards[attempt.shard].index;
-        if served(&self.cluster_view, &query.route, &attempt.leaf, &attempt.service)
+        if covered_shard(&self.cluster_view, &query.route, &attempt.leaf, &attempt.service)
             != Some(planned)
         {
             return Err(AttemptFailure::ServiceMismatch);
--- a/crates/core/src/query/trials.rs
+++ b/crates/core/src/query/trials.rs
@@ -100,7 +100,7 @@
         }
         let quality = match result {
             Ok(()) => AnswerQuality::Good(since(attempt.sent_at, now)),
-            Err(AttemptFailure::Rejected) => AnswerQuality::Refused,
+            Err(AttemptFailure::Rejected) => AnswerQuality::Rejected,
             // The request did not reach the leaf.
             Err(AttemptFailure::Unreachable | AttemptFailure::Misdirected) => return,
             Err(_) => AnswerQuality::Bad,
--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -22,7 +22,7 @@
     /// A failure, a broken answer, or none in time.
     Bad,
     /// Rejected before work.
-    Refused,
+    Rejected,
 }
 
 /// The answers of one version on one route.
@@ -33,7 +33,7 @@
     /// Failures, broken answers, and none in time (count).
     pub bad: u32,
     /// Rejections before work (count).
-    pub refused: u32,
+    pub rejected: u32,
     /// Good answers by latency.
     pub latencies: Vec<u32>,
 }
@@ -43,7 +43,7 @@
     pub fn record(&mut self, quality: AnswerQuality) {
         match quality {
             AnswerQuality::Bad => self.bad += 1,
-            AnswerQuality::Refused => self.refused += 1,
+            AnswerQuality::Rejected => self.rejected += 1,
             AnswerQuality::Good(latency) => {
                 self.good += 1;
                 self.latencies.resize(LATENCY_BUCKETS, 0);
@@ -61,7 +61,7 @@
     pub fn add(&mut self, other: &VersionEvidence) {
         self.good += other.good;
         self.bad += other.bad;
-        self.refused += other.refused;
+        self.rejected += other.rejected;
         if !other.latencies.is_empty() {
             self.latencies.resize(LATENCY_BUCKETS, 0);
         }
--- a/crates/core/src/rollout/record.rs
+++ b/crates/core/src/rollout/record.rs
@@ -165,7 +165,7 @@
     }
 
     /// The same, turned to another phase by the change of this revision.
-    pub fn turned(
+    pub fn with_phase(
         &self,
         phase: RolloutPhase,
         reason: RolloutReason,
@@ -187,7 +187,7 @@
     }
 
     /// The same, at another step of its trial.
-    pub fn stepped(&self, step: TrialStep, elapsed_ms: u64) -> Rollout {
+    pub fn with_step(&self, step: TrialStep, elapsed_ms: u64) -> Rollout {
         Rollout { step: step as i32, elapsed_ms, ..self.clone() }
     }
 
@@ -203,7 +203,7 @@
     }
 
     /// Whether members watch the new version.
-    pub fn is_watched(&self) -> bool {
+    pub fn is_monitored(&self) -> bool {
         matches!(self.phase(), RolloutPhase::Trial | RolloutPhase::Forward)
     }
 
--- a/crates/core/src/rollout/trial.rs
+++ b/crates/core/src/rollout/trial.rs
@@ -25,7 +25,7 @@
 /// Requests that may be saved for the surge by one thread (count).
 const SAVED_MOST: u64 = 64;
 /// Bad answers after which a thread sends no more, unless another limit is set (count).
-const BAD_TO_STOP: u32 = 3;
+const MAX_BAD_ANSWERS: u32 = 3;
 
 /// How much of a service's requests may reach a version while no verdict stands.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -35,12 +35,12 @@
     /// Requests beyond that, over all nodes.
     pub slack: u64,
     /// Bad answers after which a thread sends no more, whatever others see (count).
-    pub bad_to_stop: u32,
+    pub max_bad_answers: u32,
 }
 
 impl Default for ExposureLimit {
     fn default() -> ExposureLimit {
-        ExposureLimit { per_thousand: 100, slack: 0, bad_to_stop: BAD_TO_STOP }
+        ExposureLimit { per_thousand: 100, slack: 0, max_bad_answers: MAX_BAD_ANSWERS }
     }
 }
 
@@ -99,7 +99,7 @@
     /// Whether a request may go to the new version.
     pub fn can_spend(&self, step: TrialStep) -> bool {
         let surges = step == TrialStep::Surge && self.saved >= REQUEST;
-        self.evidence.new_bad() < self.limit.bad_to_stop && (surges || self.steady >= REQUEST)
+        self.evidence.new_bad() < self.limit.max_bad_answers && (surges || self.steady >= REQUEST)
     }
 
     /// A request goes to the new version, as it may.
@@ -126,7 +126,7 @@
     fn is_poor(&mut self, route: &str, quality: AnswerQuality) -> bool {
         match quality {
             AnswerQuality::Bad => true,
-            AnswerQuality::Refused => false,
+            AnswerQuality::Rejected => false,
             AnswerQuality::Good(latency) => {
                 let median = self.evidence.route_mut(route).old.median_bucket();
                 median.is_some_and(|median| bucket_of(latency) > median + SLOW_STEPS)
--- a/crates/core/src/rollout/verdict.rs
+++ b/crates/core/src/rollout/verdict.rs
@@ -45,7 +45,7 @@
 const MINOR_ROUTE: f64 = 0.02;
 
 /// A vote of the watchers.
-pub struct Vote<'a> {
+pub struct Assessment<'a> {
     /// What each watcher has seen.
     pub evidence: Vec<&'a TrialEvidence>,
     /// Members that may watch (count).
@@ -83,7 +83,7 @@
     }
 }
 
-impl Vote<'_> {
+impl Assessment<'_> {
     /// The verdict.
     pub fn verdict(&self) -> Verdict {
         let tallies = self.tallies();
--- a/crates/core/src/snapshot/cluster_view.rs
+++ b/crates/core/src/snapshot/cluster_view.rs
@@ -10,16 +10,16 @@
 
 /// Everything a query needs to know.
 ///
-/// Invariant: `built` was made from the configuration of `revision`, and no
+/// Invariant: `routing_table` was made from the configuration of `revision`, and no
 /// later view of the same process has a lower revision.
 #[derive(Clone, Default)]
 pub struct ClusterView {
-    /// Revision of the configuration that `built` was made from.
+    /// Revision of the configuration that `routing_table` was made from.
     pub revision: u64,
     /// The checked configuration.
-    pub built: Arc<RoutingTable>,
+    pub routing_table: Arc<RoutingTable>,
     /// Routes by name, each pinned by the queries that use it.
-    pub mappings: IndexMap<String, Arc<Route>>,
+    pub routes: IndexMap<String, Arc<Route>>,
     /// Routes by host in lower case, those with the longest path first.
     pub hosts: IndexMap<String, Vec<Arc<Route>>>,
     /// Leafs by service, in the order in which they were listed.
@@ -32,14 +32,15 @@
 
 impl ClusterView {
     /// A view of the configuration of `revision` and of these leafs.
-    pub fn new(revision: u64, built: Arc<RoutingTable>, leafs: Vec<LeafInfo>) -> Self {
-        let mappings: IndexMap<_, _> = built
+    pub fn new(revision: u64, routing_table: Arc<RoutingTable>, leafs: Vec<LeafInfo>) -> Self {
+        let routes: IndexMap<_, _> = routing_table
             .mappings
             .iter()
             .map(|(name, route)| (name.clone(), Arc::new(route.clone())))
             .collect();
-        let hosts = routes_by_host(&mappings);
-        let mut view = ClusterView { revision, built, mappings, hosts, ..ClusterView::default() };
+        let hosts = routes_by_host(&routes);
+        let mut view =
+            ClusterView { revision, routing_table, routes, hosts, ..ClusterView::default() };
         for leaf in leafs {
             let leaf = Arc::new(leaf);
             view.services.entry(leaf.service.clone()).or_default().push(leaf.clone());
@@ -90,7 +91,7 @@
 
     fn is_open(&self, leaf: &LeafInfo, pool: &CompiledPool, cut: &str) -> bool {
         !leaf.leaving
-            && !self.built.drained.contains(leaf.zone())
+            && !self.routing_table.drained.contains(leaf.zone())
             && leaf.labels.get(INDEX_VERSION_LABEL).is_none_or(|version| version == cut)
             && pool.sel.matches(&leaf.labels)
     }
--- a/crates/core/src/snapshot/leafs.rs
+++ b/crates/core/src/snapshot/leafs.rs
@@ -32,11 +32,11 @@
 pub const VERSION_LABEL: &str = "version";
 
 /// Key prefix of leafs within a part of services.
-pub const LEAF: &str = "leaf/";
+pub const LEAF_KEY_PREFIX: &str = "leaf/";
 
 /// Where a leaf lies within its part.
 pub fn key(leaf: &str) -> String {
-    format!("{LEAF}{leaf}")
+    format!("{LEAF_KEY_PREFIX}{leaf}")
 }
 
 impl LeafInfo {
@@ -54,7 +54,7 @@
 /// The leafs that a map holds; entries that can't be read are passed over.
 pub fn leafs_in(map: &BTreeMap<String, Vec<u8>>) -> BTreeMap<String, LeafInfo> {
     map.iter()
-        .filter(|(k, _)| k.starts_with(LEAF))
+        .filter(|(k, _)| k.starts_with(LEAF_KEY_PREFIX))
         .filter_map(|(_, v)| decode::<LeafInfo>(&LEAF_INFO, v).ok())
         .map(|l| (l.leaf.clone(), l))
         .collect()
--- a/crates/core/tests/connection_subset.rs
+++ b/crates/core/tests/connection_subset.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use googletest::prelude::*;
-use grebepath_core::query::connection_subset::{ConnectingThread, deal};
+use grebepath_core::query::connection_subset::{ConnectingThread, assigned_connections};
 use grebepath_core::random::Random;
 use grebepath_core::snapshot::leafs::LeafInfo;
 
@@ -36,7 +36,7 @@
     let list: Vec<&LeafInfo> = leafs.iter().collect();
     let mut out = BTreeMap::new();
     for p in peers {
-        for (l, n) in leafs.iter().zip(deal(peers, p.thread_id, &list, limit)) {
+        for (l, n) in leafs.iter().zip(assigned_connections(peers, p.thread_id, &list, limit)) {
             out.insert((p.thread_id, l.leaf.clone()), n);
         }
     }
@@ -145,9 +145,9 @@
     expect_that!(dealt.values().sum::<u64>(), eq(1));
     // Who is not among the nodes, or knows of no limit, has none.
     let list: Vec<&LeafInfo> = leafs.iter().collect();
-    expect_that!(deal(&nodes(5), 1, &list, 10), each(eq(&0)));
-    expect_that!(deal(&nodes(5), 3, &list, 0), each(eq(&0)));
-    expect_that!(deal(&nodes(5), 3, &[], 10).len(), eq(0));
+    expect_that!(assigned_connections(&nodes(5), 1, &list, 10), each(eq(&0)));
+    expect_that!(assigned_connections(&nodes(5), 3, &list, 0), each(eq(&0)));
+    expect_that!(assigned_connections(&nodes(5), 3, &[], 10).len(), eq(0));
 }
 
 #[googletest::test]
--- a/crates/core/tests/format_fixtures/messages.rs
+++ b/crates/core/tests/format_fixtures/messages.rs
@@ -346,7 +346,7 @@
     let seen = |good| VersionEvidence {
         good,
         bad: narrow(1),
-        refused: narrow(2),
+        rejected: narrow(2),
         latencies: vec![narrow(3), narrow(4)],
     };
     TrialEvidence {
--- a/crates/core/tests/trial_exposure.rs
+++ b/crates/core/tests/trial_exposure.rs
@@ -8,7 +8,7 @@
 use grebepath_core::rollout::trial::{ExposureLimit, Trial, TrialState};
 use grebepath_core::time::ms;
 
-const LIMIT: ExposureLimit = ExposureLimit { per_thousand: 100, slack: 50, bad_to_stop: 3 };
+const LIMIT: ExposureLimit = ExposureLimit { per_thousand: 100, slack: 50, max_bad_answers: 3 };
 
 fn trial(seen_from_start: bool) -> Trial {
     Trial {
--- a/crates/core/tests/verdicts.rs
+++ b/crates/core/tests/verdicts.rs
@@ -4,7 +4,7 @@
 use googletest::prelude::*;
 use grebepath_core::random::Random;
 use grebepath_core::rollout::evidence::{AnswerQuality, TrialEvidence};
-use grebepath_core::rollout::verdict::{Verdict, Vote};
+use grebepath_core::rollout::verdict::{Assessment, Verdict};
 use grebepath_core::time::{Span, ms};
 
 /// Rollouts that are drawn of each kind.
@@ -107,7 +107,7 @@
     }
 
     fn verdict(&self) -> Verdict {
-        let vote = Vote {
+        let vote = Assessment {
             evidence: self.evidence.iter().collect(),
             members: self.evidence.len(),
             new_leafs: LEAFS as usize,
@@ -187,7 +187,7 @@
 
 fn verdict(evidence: &[TrialEvidence]) -> Verdict {
     let members = evidence.len();
-    Vote { evidence: evidence.iter().collect(), members, new_leafs: 8 }.verdict()
+    Assessment { evidence: evidence.iter().collect(), members, new_leafs: 8 }.verdict()
 }
 
 #[googletest::test]
--- a/crates/core/tests/versions_in_force.rs
+++ b/crates/core/tests/versions_in_force.rs
@@ -48,7 +48,7 @@
 fn rollout(phase: RolloutPhase) -> EntryMap {
     let order = RolloutOrder { service: "s".into(), target: "v2".into(), term_ms: 1_000 };
     let started = Rollout::start(&order, None, 1, 1);
-    let turned = started.turned(phase, RolloutReason::FoundGood, 0, 2);
+    let turned = started.with_phase(phase, RolloutReason::FoundGood, 0, 2);
     let mut map = EntryMap::new();
     apply_entries(&mut map, &[turned.to_entry()]);
     map
@@ -110,7 +110,7 @@
     let later = Rollout::start(&order, Some(delivered), 1, 3);
     let leafs = [leaf("a", "s", "v1"), leaf("b", "s", "v2"), leaf("c", "s", "v3")];
     for phase in [RolloutPhase::Trial, RolloutPhase::Back, RolloutPhase::Returned] {
-        let turned = later.turned(phase, RolloutReason::FoundBad, 0, 4);
+        let turned = later.with_phase(phase, RolloutReason::FoundBad, 0, 4);
         let mut map = EntryMap::new();
         apply_entries(&mut map, &[turned.to_entry()]);
         expect_that!(in_force(&first, &map, &leafs), elements_are![eq("b")], "{phase:?}");
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -78,7 +78,7 @@
         versions.split_leafs(services().flat_map(|map| leafs_in(map).into_values()).collect());
     let view = ClusterView::new(config.committed_revision, Arc::new(built), leafs.in_force);
     let mut out = Vec::new();
-    for map in view.mappings.values() {
+    for map in view.routes.values() {
         let bare: Vec<&str> = map
             .shards
             .iter()
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -5,7 +5,7 @@
 use grebepath_core::config::route::Route;
 use grebepath_core::diagnostic::Diagnostic;
 use grebepath_core::http_api::operator::findings;
-use grebepath_core::query::planning::shard_of;
+use grebepath_core::query::planning::shard_for_key;
 use grebepath_core::routing_language::compile::FanOut;
 use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
@@ -27,7 +27,7 @@
 /// The plan of a mapping, and of a key's lookup.
 pub fn plan(m: &Route, key: Option<&str>) -> Value {
     let planned: Vec<usize> = match (m.send, key) {
-        (FanOut::ByKey, Some(key)) => vec![shard_of(m, key)],
+        (FanOut::ByKey, Some(key)) => vec![shard_for_key(m, key)],
         _ => (0..m.shards.len()).collect(),
     };
     let shards: Vec<Value> = planned
--- a/crates/server/src/querier/caller_listener.rs
+++ b/crates/server/src/querier/caller_listener.rs
@@ -13,7 +13,7 @@
 use grebepath_core::consts;
 use grebepath_core::http_api::caller;
 use grebepath_core::http_api::caller::{BUDGET, MISSING_PARTS, RETRY_AFTER};
-use grebepath_core::query::admission::room_of;
+use grebepath_core::query::admission::max_open_queries;
 use grebepath_core::query::event::Event;
 use grebepath_core::query::request::{Outcome, Rejection, RejectionReason, SearchRequest};
 use grebepath_runtime::forwarding_server::ForwardingServer;
@@ -105,8 +105,8 @@
     };
     // What waits before the desk is bounded here, each class to its part: this
     // is the one place where calls could pile up.
-    let class = listener.threads.view.borrow().mappings.get(&ask.route).map(|m| m.class);
-    let most = room_of(class.unwrap_or_default()) * consts::MAX_LISTENER_CALLS
+    let class = listener.threads.view.borrow().routes.get(&ask.route).map(|m| m.class);
+    let most = max_open_queries(class.unwrap_or_default()) * consts::MAX_LISTENER_CALLS
         / consts::MAX_CONCURRENT_QUERIES;
     let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
     let (traffic, calls) = (listener.traffic.clone(), listener.calls.clone());
--- a/crates/server/src/querier/main.rs
+++ b/crates/server/src/querier/main.rs
@@ -104,7 +104,7 @@
             platform_api: settings.platform_api,
             retry_rate: settings.retry_rate,
             exposure_limit: settings.exposure_limit,
-            slot: quota::slot(&settings.name, index as u32),
+            slot: quota::thread_id(&settings.name, index as u32),
         };
         let thread = std::thread::Builder::new().name(format!("traffic-{index}"));
         joins.push(thread.spawn(move || traffic_thread::serve(start, inputs))?);
--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -210,7 +210,7 @@
             Event::CallerGone { call } => {
                 self.waiting.remove(call);
             }
-            Event::ClusterView(view) => self.set_limits(&view.built.terms),
+            Event::ClusterView(view) => self.set_limits(&view.routing_table.terms),
             _ => {}
         }
     }
--- a/crates/simulator/src/scale_model/memory.rs
+++ b/crates/simulator/src/scale_model/memory.rs
@@ -58,7 +58,7 @@
     let leafs: usize = v.leafs.values().map(|l| leaf(l) + text(&l.leaf) + 8 + INDEX + 8).sum();
     let services: usize = v.services.keys().map(|s| text(s) + TEXT + INDEX).sum();
     // The mappings stand in the built configuration and once more by name.
-    leafs + services + 2 * built(&v.built)
+    leafs + services + 2 * built(&v.routing_table)
 }
 
 fn member(m: &Member) -> usize {
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -128,9 +128,9 @@
             Some(FaultyVariant::KeepsStaleSnapshot) if querier == 0 && view.revision > 1 => return,
             Some(FaultyVariant::IgnoresDrainedZones) => {
                 let mut own = (*view).clone();
-                let mut built = (*own.built).clone();
-                built.drained.clear();
-                own.built = Arc::new(built);
+                let mut routing_table = (*own.routing_table).clone();
+                routing_table.drained.clear();
+                own.routing_table = Arc::new(routing_table);
                 Arc::new(own)
             }
             Some(FaultyVariant::IgnoresLeavingLeafs) => {
@@ -140,7 +140,7 @@
             }
             Some(FaultyVariant::IgnoresVersions) => {
                 let leafs = all_leafs(&self.queriers[querier].node_agent);
-                Arc::new(ClusterView::new(view.revision, view.built.clone(), leafs))
+                Arc::new(ClusterView::new(view.revision, view.routing_table.clone(), leafs))
             }
             _ => view,
         };
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -32,7 +32,7 @@
             .map(|thread| {
                 let name = format!("{}-{thread}-{:x}", node.name, node.life);
                 let mut desk = QueryEngine::new(&name, &node.zone, seed ^ u64::from(thread), BOOT);
-                desk.thread_id = grebepath_core::query::quota::slot(&node.name, thread);
+                desk.thread_id = grebepath_core::query::quota::thread_id(&node.name, thread);
                 desk
             })
             .collect();
--- a/crates/simulator/src/world/query_engines.rs
+++ b/crates/simulator/src/world/query_engines.rs
@@ -19,7 +19,7 @@
     match variant {
         Some(FaultyVariant::NoExposureLimit) => ExposureLimit { per_thousand: 1_000, ..sound },
         Some(FaultyVariant::NeverReturns) => {
-            ExposureLimit { per_thousand: 1_000, bad_to_stop: u32::MAX, ..sound }
+            ExposureLimit { per_thousand: 1_000, max_bad_answers: u32::MAX, ..sound }
         }
         _ => sound,
     }
