--- a/crates/core/src/query/finishing.rs
+++ b/crates/core/src/query/finishing.rs
@@ -4,7 +4,7 @@
 
 use super::engine::QueryEngine;
 use super::event::Command;
-use super::forwarded_request::{ForwardedReply, ForwardedRequest, MergedReply, join};
+use super::forwarded_request::{ForwardedReply, ForwardedRequest, MergedReply, merge_records};
 use super::merge::merge;
 use super::planned_query::{Query, ShardState};
 use super::request::{Outcome, Rejection, RejectionReason, SearchAnswer};
@@ -144,7 +144,7 @@
                 id: request.id.clone(),
                 postmarks: replies.iter().flat_map(|r| r.headers.postmarks.clone()).collect(),
                 missing,
-                body: join(&bodies, query.route.width, query.route.top),
+                body: merge_records(&bodies, query.route.width, query.route.top),
             })
         }
     };
--- a/crates/core/src/query/forwarded_request.rs
+++ b/crates/core/src/query/forwarded_request.rs
@@ -44,7 +44,7 @@
 
 /// Returns the `top` greatest records of `width` bytes of all shard results, in descending
 /// order. Trailing bytes of a result that are shorter than a record are ignored.
-pub fn join(results: &[&[u8]], width: usize, top: usize) -> Vec<u8> {
+pub fn merge_records(results: &[&[u8]], width: usize, top: usize) -> Vec<u8> {
     let mut all: Vec<&[u8]> = results.iter().flat_map(|r| r.chunks_exact(width)).collect();
     if all.len() > top && top > 0 {
         all.select_nth_unstable_by(top - 1, |a, b| b.cmp(a));
--- a/crates/core/src/rollout/evidence.rs
+++ b/crates/core/src/rollout/evidence.rs
@@ -1,45 +1,45 @@
-//! What members see of the two versions of a service during a trial.
+//! Evidence that members collect on the two versions of a service during a trial.
 
 use nanoserde::{DeBin, SerBin};
 
 use crate::time::{MILLI, Span};
 
-/// Buckets of a latency histogram (count).
+/// Number of buckets of a latency histogram.
 pub const LATENCY_BUCKETS: usize = 24;
-/// Upper bound of the first bucket; each bound is half as large again as the one before.
-const FIRST_BUCKET: Span = MILLI;
-/// Answers more than so many buckets above the median of the old version are poor: a factor of
-/// 3.4 and more, above what a leaf that has just started takes longer.
+/// Upper bound of the first bucket; each further bound is 1.5 times the previous one.
+const FIRST_BUCKET_BOUND: Span = MILLI;
+/// An answer is poor if it is more than this many buckets above the median of the old version:
+/// a factor of 3.4 or more, which is above the extra latency of a newly started leaf.
 pub const SLOW_STEPS: usize = 3;
-/// Leafs with poor answers that are named (count): a verdict asks for two.
-const POOR_LEAFS_KEPT: usize = 8;
+/// Maximum number of leafs with poor answers that are reported; a verdict needs two.
+const MAX_POOR_LEAFS: usize = 8;
 
-/// How an answer of a leaf ended.
+/// Quality of a leaf's answer.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AnswerQuality {
-    /// As it should be, after this time.
+    /// A success with this latency.
     Good(Span),
-    /// A failure, a broken answer, or none in time.
+    /// A failure, an invalid answer, or a timeout.
     Bad,
-    /// Rejected before work.
+    /// Rejected before execution.
     Rejected,
 }
 
-/// The answers of one version on one route.
+/// Counts of the answers of one version on one route.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct VersionEvidence {
-    /// Answers as they should be (count).
+    /// Number of successes.
     pub good: u32,
-    /// Failures, broken answers, and none in time (count).
+    /// Number of failures, invalid answers and timeouts.
     pub bad: u32,
-    /// Rejections before work (count).
+    /// Number of rejections before execution.
     pub rejected: u32,
-    /// Good answers by latency.
+    /// Successes by latency bucket; empty if there are none.
     pub latencies: Vec<u32>,
 }
 
 impl VersionEvidence {
-    /// Takes in an answer.
+    /// Counts an answer.
     pub fn record(&mut self, quality: AnswerQuality) {
         match quality {
             AnswerQuality::Bad => self.bad += 1,
@@ -52,12 +52,12 @@
         }
     }
 
-    /// Answers that say something of the version (count).
+    /// Returns the number of answers that are evidence on the version: rejections are not.
     pub fn answered(&self) -> u32 {
         self.good + self.bad
     }
 
-    /// Adds the answers that another has seen.
+    /// Adds the counts of `other`.
     pub fn add(&mut self, other: &VersionEvidence) {
         self.good += other.good;
         self.bad += other.bad;
@@ -70,25 +70,25 @@
         }
     }
 
-    /// The bucket that holds the median of good answers, if there are any.
+    /// Returns the bucket of the median latency of successes, if there are any.
     pub fn median_bucket(&self) -> Option<usize> {
-        let mut before = 0;
+        let mut cumulative = 0;
         let is_reached = |count: &u32| {
-            before += count;
-            2 * before >= self.good.max(1)
+            cumulative += count;
+            2 * cumulative >= self.good.max(1)
         };
         self.latencies.iter().position(is_reached).filter(|_| self.good > 0)
     }
 
-    /// Good answers in a bucket or above it (count).
+    /// Returns the number of successes in this bucket or a higher one.
     pub fn from_bucket(&self, bucket: usize) -> u32 {
         self.latencies.iter().skip(bucket).sum()
     }
 }
 
-/// The bucket that a latency falls into.
+/// Returns the histogram bucket of a latency.
 pub fn bucket_of(latency: Span) -> usize {
-    let mut bound = FIRST_BUCKET;
+    let mut bound = FIRST_BUCKET_BOUND;
     let mut bucket = 0;
     while latency > bound && bucket + 1 < LATENCY_BUCKETS {
         bound += bound / 2;
@@ -97,32 +97,32 @@
     bucket
 }
 
-/// Both versions on one route.
+/// Evidence on both versions on one route.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct RouteEvidence {
-    /// The route.
+    /// Name of the route.
     pub route: String,
-    /// The version in force.
+    /// Answers of the version in force.
     pub old: VersionEvidence,
-    /// The version that is tried.
+    /// Answers of the version under trial.
     pub new: VersionEvidence,
 }
 
-/// What one member, or a thread of it, has seen since a trial began.
+/// Evidence that one member, or one of its threads, has collected since a trial began.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct TrialEvidence {
-    /// The service.
+    /// Name of the service.
     pub service: String,
-    /// Identity of the rollout.
+    /// Revision of the rollout's order, which identifies the rollout.
     pub ordered_revision: u64,
-    /// By route.
+    /// Evidence by route.
     pub routes: Vec<RouteEvidence>,
-    /// Leafs of the new version with bad answers, as hashes of their names.
+    /// Leafs of the new version with poor answers, as hashes of their names.
     pub poor_leafs: Vec<u64>,
 }
 
 impl TrialEvidence {
-    /// What is known of a route, which begins empty.
+    /// Returns the evidence on a route, adding an empty one if there is none.
     pub fn route_mut(&mut self, route: &str) -> &mut RouteEvidence {
         let known = self.routes.iter().position(|known| known.route == route);
         let index = known.unwrap_or_else(|| {
@@ -132,14 +132,14 @@
         &mut self.routes[index]
     }
 
-    /// Notes a leaf of the new version that answered badly.
+    /// Records a leaf of the new version that gave a poor answer.
     pub fn note_poor_leaf(&mut self, leaf: u64) {
-        if self.poor_leafs.len() < POOR_LEAFS_KEPT && !self.poor_leafs.contains(&leaf) {
+        if self.poor_leafs.len() < MAX_POOR_LEAFS && !self.poor_leafs.contains(&leaf) {
             self.poor_leafs.push(leaf);
         }
     }
 
-    /// Adds what another thread has seen.
+    /// Adds the evidence of another thread.
     pub fn add(&mut self, other: &TrialEvidence) {
         for theirs in &other.routes {
             let ours = self.route_mut(&theirs.route);
@@ -151,18 +151,18 @@
         }
     }
 
-    /// Answers of the new version on all routes (count).
-    pub fn tried(&self) -> u32 {
+    /// Returns the number of answers of the new version on all routes.
+    pub fn new_answers(&self) -> u32 {
         self.routes.iter().map(|route| route.new.answered()).sum()
     }
 
-    /// Bad answers of the new version on all routes (count).
+    /// Returns the number of bad answers of the new version on all routes.
     pub fn new_bad(&self) -> u32 {
         self.routes.iter().map(|route| route.new.bad).sum()
     }
 
-    /// Answers of the version in force on all routes (count).
-    pub fn served(&self) -> u32 {
+    /// Returns the number of answers of the version in force on all routes.
+    pub fn old_answers(&self) -> u32 {
         self.routes.iter().map(|route| route.old.answered()).sum()
     }
 }
--- a/crates/core/src/rollout/record.rs
+++ b/crates/core/src/rollout/record.rs
@@ -1,4 +1,4 @@
-//! A rollout as it lies in the configuration's partition: one entry a service.
+//! The stored state of rollouts: one entry per service in the configuration's partition.
 
 use nanoserde::{DeBin, SerBin};
 use prost::Message;
@@ -7,101 +7,102 @@
 use crate::protocol::replica::EntryMap;
 use crate::rollout::order::RolloutOrder;
 
-/// Key prefix of rollouts; the service's name follows.
-const ROLLOUT: &str = "rollout/";
-/// Former rollouts of a service that are remembered (count).
-const HISTORY_KEPT: usize = 16;
+/// Key prefix of rollouts, followed by the service's name.
+const ROLLOUT_KEY_PREFIX: &str = "rollout/";
+/// Maximum number of former rollouts of a service that are kept.
+const MAX_HISTORY: usize = 16;
 
-/// How far a rollout is.
+/// Phase of a rollout.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, prost::Enumeration)]
 #[repr(i32)]
 pub enum RolloutPhase {
-    /// The old version is in force, and the new one is tried.
+    /// The old version is in force and the new one is under trial.
     Trial = 0,
-    /// The new version is in force; some member may still send to the old one.
+    /// The new version is in force; some members may still send to the old one.
     Forward = 1,
-    /// The old version is in force; some member may still send to the new one.
+    /// The rollout is being rolled back: the old version is in force; some members may still
+    /// send to the new one.
     Back = 2,
-    /// Final: no member sends to the old version.
+    /// Final: the new version is in force and no member sends to the old one.
     Delivered = 3,
-    /// Final: no member sends to the new version.
+    /// Final: the rollout was rolled back and no member sends to the new version.
     Returned = 4,
 }
 
-/// How far a trial is.
+/// Step of a trial.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, prost::Enumeration)]
 #[repr(i32)]
 pub enum TrialStep {
-    /// A few requests reach the new version, spread over time.
+    /// A small share of requests reaches the new version, spread over time.
     Steady = 0,
-    /// All members send what they have saved, at the same time.
+    /// All members spend their saved request credit at the same time.
     Surge = 1,
-    /// The surge is over; a few requests reach the new version.
+    /// The surge is over; a small share of requests reaches the new version.
     Watch = 2,
 }
 
-/// What an operator is told of a rollout.
+/// State of a rollout as shown to operators.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum RolloutState {
-    /// It goes on.
+    /// The rollout has not ended yet.
     InProgress,
-    /// It has ended with the new version in force.
+    /// The rollout ended with the new version in force.
     Delivered,
-    /// It has ended with the old version in force.
+    /// The rollout ended with the old version in force.
     Returned,
 }
 
-/// Why a rollout turned towards its end.
+/// Why a rollout left its trial phase.
 #[derive(Clone, Copy, PartialEq, Eq, Debug, prost::Enumeration)]
 #[repr(i32)]
 pub enum RolloutReason {
-    /// It has not turned yet.
+    /// The rollout is still in its trial phase.
     Undecided = 0,
-    /// No verdict stood at its term.
+    /// The time limit was reached without a verdict.
     NoVerdict = 1,
-    /// An operator ended it.
+    /// An operator aborted the rollout.
     Aborted = 2,
-    /// The members found the new version good.
+    /// The members' evidence shows that the new version is good.
     FoundGood = 3,
-    /// The members found the new version bad.
+    /// The members' evidence shows that the new version is bad.
     FoundBad = 4,
 }
 
-/// The newest rollout of a service, with what came of those before it.
+/// The latest rollout of a service, with the history of earlier ones.
 #[derive(Clone, PartialEq, prost::Message, DeBin, SerBin)]
 pub struct Rollout {
-    /// The service.
+    /// Name of the service.
     #[prost(string, tag = "1")]
     pub service: String,
     /// The version to move to.
     #[prost(string, tag = "2")]
     pub target: String,
-    /// Time within which it is to end, from when it was ordered (ms).
+    /// Time limit for the rollout, counted from its order (ms).
     #[prost(uint64, tag = "3")]
     pub term_ms: u64,
     /// A [`RolloutPhase`].
     #[prost(enumeration = "RolloutPhase", tag = "4")]
     pub phase: i32,
-    /// How much of its term had passed when this was written (ms).
+    /// Time since the order, as of the last write of this entry (ms).
     #[prost(uint64, tag = "5")]
     pub elapsed_ms: u64,
-    /// Revision of the configuration's partition that its order made: its identity.
+    /// Revision of the configuration's partition that its order created, which identifies the
+    /// rollout.
     #[prost(uint64, tag = "6")]
     pub ordered_revision: u64,
-    /// Term of the leader that took its order.
+    /// Term of the leader that accepted the order.
     #[prost(uint64, tag = "7")]
     pub leader_term: u64,
-    /// Revision that last changed its phase.
+    /// Revision at which the phase last changed.
     #[prost(uint64, tag = "8")]
     pub phase_revision: u64,
-    /// The version that the last delivered rollout of the service moved to; empty if there
-    /// was none.
+    /// Target of the last delivered rollout of the service; empty if there was none.
     #[prost(string, tag = "9")]
     pub delivered_version: String,
     /// A [`RolloutReason`].
     #[prost(enumeration = "RolloutReason", tag = "10")]
     pub reason: i32,
-    /// The rollouts before it, the oldest first.
+    /// Earlier rollouts of the service, the oldest first.
     #[prost(message, repeated, tag = "11")]
     pub history: Vec<FormerRollout>,
     /// A [`TrialStep`].
@@ -109,28 +110,29 @@
     pub step: i32,
 }
 
-/// What came of a rollout that another one has followed.
+/// The result of a rollout that was followed by another one.
 #[derive(Clone, PartialEq, prost::Message, DeBin, SerBin)]
 pub struct FormerRollout {
-    /// The version that it was to move to.
+    /// The version to move to.
     #[prost(string, tag = "1")]
     pub target: String,
-    /// Revision that its order made.
+    /// Revision that its order created.
     #[prost(uint64, tag = "2")]
     pub ordered_revision: u64,
-    /// A [`RolloutPhase`]: its end.
+    /// The final [`RolloutPhase`].
     #[prost(enumeration = "RolloutPhase", tag = "3")]
     pub phase: i32,
     /// A [`RolloutReason`].
     #[prost(enumeration = "RolloutReason", tag = "4")]
     pub reason: i32,
-    /// How much of its term had passed when it ended (ms).
+    /// Time from the order to the end (ms).
     #[prost(uint64, tag = "5")]
     pub elapsed_ms: u64,
 }
 
 impl Rollout {
-    /// The rollout that an order starts at a revision, after the one that stood before.
+    /// Returns the rollout that an order starts at a revision. `former` is the service's previous
+    /// rollout.
     pub fn start(
         order: &RolloutOrder,
         former: Option<Rollout>,
@@ -155,16 +157,16 @@
         }
     }
 
-    /// The history that a rollout which follows this one begins with.
+    /// Returns the initial history of the rollout that follows this one.
     fn into_history(self) -> Vec<FormerRollout> {
         let Rollout { target, ordered_revision, phase, reason, elapsed_ms, mut history, .. } = self;
         history.push(FormerRollout { target, ordered_revision, phase, reason, elapsed_ms });
-        let surplus = history.len().saturating_sub(HISTORY_KEPT);
+        let surplus = history.len().saturating_sub(MAX_HISTORY);
         history.drain(..surplus);
         history
     }
 
-    /// The same, turned to another phase by the change of this revision.
+    /// Returns the rollout with another phase, entered at this revision.
     pub fn with_phase(
         &self,
         phase: RolloutPhase,
@@ -186,12 +188,12 @@
         }
     }
 
-    /// The same, at another step of its trial.
+    /// Returns the rollout at another step of its trial.
     pub fn with_step(&self, step: TrialStep, elapsed_ms: u64) -> Rollout {
         Rollout { step: step as i32, elapsed_ms, ..self.clone() }
     }
 
-    /// What an operator is told of it.
+    /// Returns the state shown to operators.
     pub fn state(&self) -> RolloutState {
         match self.phase() {
             RolloutPhase::Trial | RolloutPhase::Forward | RolloutPhase::Back => {
@@ -202,18 +204,18 @@
         }
     }
 
-    /// Whether members watch the new version.
+    /// Returns whether members collect evidence on the new version.
     pub fn is_monitored(&self) -> bool {
         matches!(self.phase(), RolloutPhase::Trial | RolloutPhase::Forward)
     }
 
-    /// Whether an order asks for just this rollout.
+    /// Returns whether an order has the target and the time limit of this rollout.
     pub fn is_ordered_by(&self, order: &RolloutOrder) -> bool {
         self.target == order.target && self.term_ms == order.term_ms
     }
 
-    /// The version in force by this rollout; `None` where that is still the one that the list
-    /// named first.
+    /// Returns the version in force according to this rollout, or `None` if it is still the
+    /// service's first version.
     pub fn version_in_force(&self) -> Option<&str> {
         match self.phase() {
             RolloutPhase::Forward | RolloutPhase::Delivered => Some(&self.target),
@@ -221,14 +223,14 @@
         }
     }
 
-    /// The entry that holds it.
+    /// Returns the entry that stores this rollout.
     pub fn to_entry(&self) -> Entry {
         (key(&self.service), Some(self.encode_to_vec()))
     }
 }
 
 impl RolloutPhase {
-    /// Its name, in JSON, metrics and logs.
+    /// Returns the name used in JSON, metrics and logs.
     pub fn name(self) -> &'static str {
         match self {
             RolloutPhase::Trial => "trial",
@@ -241,7 +243,7 @@
 }
 
 impl RolloutReason {
-    /// Its name, in JSON and logs.
+    /// Returns the name used in JSON and logs.
     pub fn name(self) -> &'static str {
         match self {
             RolloutReason::Undecided => "undecided",
@@ -254,15 +256,16 @@
 }
 
 fn key(service: &str) -> String {
-    format!("{ROLLOUT}{service}")
+    format!("{ROLLOUT_KEY_PREFIX}{service}")
 }
 
-/// The newest rollout of a service, if there was one.
+/// Returns the latest rollout of a service, if there is one.
 pub fn rollout_of(entries: &EntryMap, service: &str) -> Option<Rollout> {
     entries.get(&key(service)).and_then(|value| Rollout::decode(value.as_slice()).ok())
 }
 
-/// The newest rollout of each service; an entry that can't be read is passed over.
+/// Returns the latest rollout of each service; entries that can't be decoded are skipped.
 pub fn rollouts_in(entries: &EntryMap) -> impl Iterator<Item = Rollout> {
-    with_prefix(entries, ROLLOUT).filter_map(|(_, value)| Rollout::decode(value.as_slice()).ok())
+    with_prefix(entries, ROLLOUT_KEY_PREFIX)
+        .filter_map(|(_, value)| Rollout::decode(value.as_slice()).ok())
 }
--- a/crates/core/src/snapshot/cluster_view.rs
+++ b/crates/core/src/snapshot/cluster_view.rs
@@ -1,4 +1,4 @@
-//! The view that traffic threads serve by. It is never changed, only replaced.
+//! The cluster view that traffic threads use. It is immutable and replaced as a whole.
 
 use std::sync::Arc;
 
@@ -8,30 +8,30 @@
 use crate::rollout::trial::Trial;
 use crate::snapshot::leafs::LeafInfo;
 
-/// Everything a query needs to know.
+/// A snapshot of the configuration and the leafs.
 ///
-/// Invariant: `routing_table` was made from the configuration of `revision`, and no
-/// later view of the same process has a lower revision.
+/// Invariant: `routing_table` was built from the configuration of `revision`, and no later view of
+/// the same process has a lower revision.
 #[derive(Clone, Default)]
 pub struct ClusterView {
-    /// Revision of the configuration that `routing_table` was made from.
+    /// Revision of the configuration that `routing_table` was built from.
     pub revision: u64,
-    /// The checked configuration.
+    /// The validated and compiled configuration.
     pub routing_table: Arc<RoutingTable>,
-    /// Routes by name, each pinned by the queries that use it.
+    /// Routes by name. Queries pin the route that they use.
     pub routes: IndexMap<String, Arc<Route>>,
-    /// Routes by host in lower case, those with the longest path first.
+    /// Routes by lower-case host, those with the longest path first.
     pub hosts: IndexMap<String, Vec<Arc<Route>>>,
-    /// Leafs by service, in the order in which they were listed.
+    /// Leafs of the versions in force by service, in the order of the list.
     pub services: IndexMap<String, Vec<Arc<LeafInfo>>>,
-    /// Versions that are tried, by service; their leafs are not among `services`.
+    /// Trials by service; their leafs are not in `services`.
     pub trials: IndexMap<String, Trial>,
-    /// Leafs by identity, those that are tried included.
+    /// Leafs by identity, including those of versions under trial.
     pub leafs: IndexMap<String, Arc<LeafInfo>>,
 }
 
 impl ClusterView {
-    /// A view of the configuration of `revision` and of these leafs.
+    /// Returns a view of the configuration of `revision` and of these leafs.
     pub fn new(revision: u64, routing_table: Arc<RoutingTable>, leafs: Vec<LeafInfo>) -> Self {
         let routes: IndexMap<_, _> = routing_table
             .mappings
@@ -49,7 +49,7 @@
         view
     }
 
-    /// The same with versions that are tried.
+    /// Returns the view with these trials added.
     pub fn with_trials(mut self, trials: Vec<Trial>) -> Self {
         for trial in trials {
             let leafs = trial.leafs.iter().map(|leaf| (leaf.leaf.clone(), leaf.clone()));
@@ -59,44 +59,46 @@
         self
     }
 
-    /// The route of a call: of its host's, the one with the longest path that
-    /// begins the call's. The host may name a port.
+    /// Returns the route of a call: the one of its host with the longest path that is a prefix of
+    /// the call's path. The host may include a port.
     pub fn route_for(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
         let host = host.to_ascii_lowercase();
-        let bare = host.rsplit_once(':').map_or(host.as_str(), |(name, _)| name);
-        let routes = self.hosts.get(&host).or_else(|| self.hosts.get(bare))?;
+        let without_port = host.rsplit_once(':').map_or(host.as_str(), |(name, _)| name);
+        let routes = self.hosts.get(&host).or_else(|| self.hosts.get(without_port))?;
         routes.iter().find(|route| path.starts_with(&route.path))
     }
 
-    /// The leafs of a pool that may get new work under this view: chosen by the
-    /// pool, of the index version, not leaving, in no drained zone.
+    /// Returns the leafs of a pool that may get new work: those that match the pool's selector and
+    /// the index version, don't shut down and are not in a drained zone.
     pub fn open_leafs<'a>(
         &'a self,
         pool: &'a CompiledPool,
-        cut: &'a str,
+        index_version: &'a str,
     ) -> impl Iterator<Item = &'a Arc<LeafInfo>> {
         let leafs = self.services.get(&pool.service).map_or(&[][..], Vec::as_slice);
-        leafs.iter().filter(move |leaf| self.is_open(leaf, pool, cut))
+        leafs.iter().filter(move |leaf| self.is_open(leaf, pool, index_version))
     }
 
-    /// The leafs of a pool's service whose version is tried, and that may get new work.
+    /// Returns the leafs of a pool that may get new work, of the version under trial.
     pub fn open_trial_leafs<'a>(
         &'a self,
         pool: &'a CompiledPool,
-        cut: &'a str,
+        index_version: &'a str,
     ) -> impl Iterator<Item = &'a Arc<LeafInfo>> {
         let leafs = self.trials.get(&pool.service).map_or(&[][..], |trial| &trial.leafs);
-        leafs.iter().filter(move |leaf| self.is_open(leaf, pool, cut))
+        leafs.iter().filter(move |leaf| self.is_open(leaf, pool, index_version))
     }
 
-    fn is_open(&self, leaf: &LeafInfo, pool: &CompiledPool, cut: &str) -> bool {
+    /// Returns whether a leaf of a pool's service may get new work.
+    fn is_open(&self, leaf: &LeafInfo, pool: &CompiledPool, index_version: &str) -> bool {
         !leaf.leaving
             && !self.routing_table.drained.contains(leaf.zone())
-            && leaf.labels.get(INDEX_VERSION_LABEL).is_none_or(|version| version == cut)
+            && leaf.labels.get(INDEX_VERSION_LABEL).is_none_or(|version| version == index_version)
             && pool.sel.matches(&leaf.labels)
     }
 }
 
+/// Returns the routes that have a host, by lower-case host, the longest path first.
 fn routes_by_host(routes: &IndexMap<String, Arc<Route>>) -> IndexMap<String, Vec<Arc<Route>>> {
     let mut hosts: IndexMap<String, Vec<Arc<Route>>> = IndexMap::new();
     for route in routes.values().filter(|route| !route.host.is_empty()) {
--- a/crates/core/src/snapshot/leafs.rs
+++ b/crates/core/src/snapshot/leafs.rs
@@ -1,4 +1,4 @@
-//! A leaf as the platform's list names it, and its stored form.
+//! Leafs as listed by the platform, and their stored form.
 
 use std::collections::BTreeMap;
 
@@ -6,52 +6,51 @@
 use crate::protocol::shape::decode;
 use crate::routing_language::selector::Labels;
 
-/// One leaf. `leaf` is its identity: a new start is a new identity.
+/// A leaf. `leaf` is its identity, which is new at each start.
 #[derive(Clone, PartialEq, Debug, nanoserde::DeBin, nanoserde::SerBin)]
 pub struct LeafInfo {
     /// Identity, new at each start.
     pub leaf: String,
-    /// The service that it belongs to.
+    /// Name of the service that the leaf belongs to.
     pub service: String,
     /// IP address and port.
     pub addr: String,
-    /// Labels by which pools choose it.
+    /// Labels that the selectors of pools match.
     pub labels: Labels,
-    /// It shuts down and gets no new work.
+    /// The leaf shuts down and gets no new work.
     pub leaving: bool,
-    /// The leaf is at least this old, in milliseconds: its own word at the last
-    /// health check.
+    /// Minimum age of the leaf (ms): its age as reported at the last health check.
     pub age_ms: u64,
-    /// Dispatches it works on at once, if the list says so; else zero.
+    /// Number of attempts that the leaf runs at once, if listed; else zero.
     pub slots: u32,
-    /// The list says that it is cold.
+    /// The leaf is still warming up, according to the list.
     pub cold: bool,
 }
 
-/// Label that holds the version of a leaf's software, if the list tells it.
+/// Label with the version of a leaf's software.
 pub const VERSION_LABEL: &str = "version";
 
-/// Key prefix of leafs within a part of services.
+/// Key prefix of leafs in a partition of services, followed by the leaf's identity.
 pub const LEAF_KEY_PREFIX: &str = "leaf/";
 
-/// Where a leaf lies within its part.
+/// Returns the key of a leaf in its partition.
 pub fn key(leaf: &str) -> String {
     format!("{LEAF_KEY_PREFIX}{leaf}")
 }
 
 impl LeafInfo {
-    /// The zone of the leaf, empty if it has none.
+    /// Returns the zone of the leaf, empty if it has none.
     pub fn zone(&self) -> &str {
         self.labels.get("zone").map_or("", String::as_str)
     }
 
-    /// The version of the leaf's software, empty if the list does not tell it.
+    /// Returns the version of the leaf's software, empty if it is not listed.
     pub fn version(&self) -> &str {
         self.labels.get(VERSION_LABEL).map_or("", String::as_str)
     }
 }
 
-/// The leafs that a map holds; entries that can't be read are passed over.
+/// Returns the leafs stored in a map by identity; entries that can't be decoded are skipped.
 pub fn leafs_in(map: &BTreeMap<String, Vec<u8>>) -> BTreeMap<String, LeafInfo> {
     map.iter()
         .filter(|(k, _)| k.starts_with(LEAF_KEY_PREFIX))
--- a/crates/core/src/snapshot/mod.rs
+++ b/crates/core/src/snapshot/mod.rs
@@ -1,4 +1,4 @@
-//! What a querier knows of the world: the checked configuration and the leafs.
+//! A querier's snapshot of the cluster: the validated configuration and the leafs.
 
 pub mod cluster_view;
 pub mod leafs;
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -13,7 +13,7 @@
 use grebepath_core::query::engine::QueryEngine;
 use grebepath_core::query::event::{Command, Event, OutgoingAttempt};
 use grebepath_core::query::forwarded_request::{
-    ForwardedReply, ForwardedRequest, MergedReply, join,
+    ForwardedReply, ForwardedRequest, MergedReply, merge_records,
 };
 use grebepath_core::query::quota::QuotaShare;
 use grebepath_core::query::request::{Outcome, Rejection, RejectionReason};
@@ -585,7 +585,7 @@
         all.sort_by(|a, b| b.cmp(a));
         all.truncate(top);
         let refs: Vec<&[u8]> = partitions.iter().map(Vec::as_slice).collect();
-        assert_eq!(join(&refs, width, top), all.concat(), "seed {seed}");
+        assert_eq!(merge_records(&refs, width, top), all.concat(), "seed {seed}");
     }
 }
 
