--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -210,7 +210,7 @@
             Event::CallerGone { call } => {
                 self.waiting.remove(call);
             }
-            Event::ClusterView(view) => self.set_limits(&view.built.client_limits),
+            Event::ClusterView(view) => self.set_limits(&view.routing_table.client_limits),
             _ => {}
         }
     }
