--- a/crates/core/src/query/cluster_update.rs
+++ b/crates/core/src/query/cluster_update.rs
@@ -137,6 +137,6 @@
     service: &str,
 ) -> impl Iterator<Item = &'a [Arc<LeafInfo>]> {
     let in_force = view.services.get(service).map(Vec::as_slice);
-    let tried = view.trials.get(service).map(|trial| trial.leafs.as_slice());
-    in_force.into_iter().chain(tried)
+    let under_trial = view.trials.get(service).map(|trial| trial.leafs.as_slice());
+    in_force.into_iter().chain(under_trial)
 }
--- a/crates/core/src/query/engine.rs
+++ b/crates/core/src/query/engine.rs
@@ -35,8 +35,8 @@
 /// The query engine of one traffic thread. It is a state machine without I/O.
 ///
 /// Invariants: an attempt that is not abandoned and whose query is still open is listed in
-/// `in_flight` of exactly one shard of that query. A leaf's `in_flight` equals the number of its entries in `attempts`
-/// and `closing`.
+/// `in_flight` of exactly one shard of that query. A leaf's `in_flight` equals the number of its
+/// entries in `attempts` and `closing`.
 pub struct QueryEngine {
     pub name: String,
     pub zone: String,
--- a/crates/core/src/query/finishing.rs
+++ b/crates/core/src/query/finishing.rs
@@ -39,7 +39,7 @@
         let call = query.call;
         let (missing, outcome) = match query.forwarded.clone() {
             Some(request) => finish_forwarded(&query, &request),
-            None => finish_searched(query),
+            None => finish_search(query),
         };
         if missing == 0 {
             self.statistics.full += 1;
@@ -108,7 +108,7 @@
 }
 
 /// Returns the number of missing shards and the merged records of the others.
-fn finish_searched(query: Query) -> (usize, Outcome) {
+fn finish_search(query: Query) -> (usize, Outcome) {
     let (mut shards, mut lists) = (Vec::new(), Vec::new());
     let planned = query.shards.len();
     for s in query.shards.into_iter().filter(|s| s.state == ShardState::Answered) {
--- a/crates/core/src/query/leaf.rs
+++ b/crates/core/src/query/leaf.rs
@@ -20,8 +20,8 @@
 /// Once a weight has not been lowered for this long, the leaf is no longer at its limit and
 /// each good reply doubles the weight.
 const WEIGHT_RECOVERY: Span = SECOND;
-/// A leaf whose weight rounds this thread's allocation down to zero is probed with one attempt
-/// this long after the weight last changed.
+/// A leaf whose weight reduces this thread's allocation to zero is probed with one attempt this
+/// long after the weight last changed, unless the allocation itself is zero.
 const WEIGHT_PROBE: Span = SECOND;
 /// A cancelled attempt counts as a failure if it had no reply after this many times the leaf's
 /// typical latency: a leaf at its limit takes two or three times as long.
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -33,7 +33,7 @@
     /// The version in force.
     InForce,
     /// The version under trial.
-    Tried,
+    UnderTrial,
 }
 
 /// Inputs of a leaf selection.
@@ -53,7 +53,8 @@
     /// Estimated cost of sending the attempt here: the lowest is chosen.
     cost: u64,
     ejected: bool,
-    /// The leaf is in the local zone, or this thread has connections assigned to it.
+    /// Partitioned balancing: the leaf is in the local zone. Load-aware balancing: its
+    /// connections are unlimited, or some are assigned to this thread.
     preferred: bool,
 }
 
@@ -63,8 +64,8 @@
     usable: Vec<Candidate<'a>>,
     /// Whether any leaf, with or without free capacity, has not had an attempt for this shard.
     any_open: bool,
-    /// Whether some leaf under load-aware balancing has connections assigned to this thread and
-    /// is not ejected.
+    /// Whether some leaf under load-aware balancing is not ejected, and its connections are
+    /// unlimited or some are assigned to this thread.
     healthy: bool,
 }
 
@@ -132,7 +133,7 @@
     fn open_leafs(&self, pool: &'a CompiledPool, index_version: &'a str) -> Vec<&'a Arc<LeafInfo>> {
         match self.version {
             VersionChoice::InForce => self.cluster_view.open_leafs(pool, index_version).collect(),
-            VersionChoice::Tried => {
+            VersionChoice::UnderTrial => {
                 self.cluster_view.open_trial_leafs(pool, index_version).collect()
             }
         }
--- a/crates/core/src/query/replies.rs
+++ b/crates/core/src/query/replies.rs
@@ -117,8 +117,12 @@
             }
         }
         if leaf.draining && !was_draining {
-            let report = LeafReport { leaf: attempt.leaf.clone(), leaving: !gone, gone, age_ms: 0 };
-            commands.push(Command::ReportLeaf { service: attempt.service.clone(), report });
+            let leaf_report =
+                LeafReport { leaf: attempt.leaf.clone(), leaving: !gone, gone, age_ms: 0 };
+            commands.push(Command::ReportLeaf {
+                service: attempt.service.clone(),
+                report: leaf_report,
+            });
         }
     }
 }
--- a/crates/core/src/query/trials.rs
+++ b/crates/core/src/query/trials.rs
@@ -77,7 +77,7 @@
             return None;
         }
         let service = service.clone();
-        match self.choose_version_leaf(now, query, index, VersionChoice::Tried) {
+        match self.choose_version_leaf(now, query, index, VersionChoice::UnderTrial) {
             Choice::Leaf(info) => {
                 self.trials.by_service.get_mut(&service)?.spend(step);
                 self.statistics.trial_attempts += 1;
--- a/crates/core/src/rollout/verdict.rs
+++ b/crates/core/src/rollout/verdict.rs
@@ -106,8 +106,9 @@
         let old_answers: f64 = tallies.values().map(|tally| tally.old_answers).sum();
         let major_routes =
             tallies.values().filter(|tally| tally.old_answers > MINOR_ROUTE * old_answers);
-        let is_good = old_answers > 0.0 && major_routes.into_iter().all(RouteTally::is_good);
-        if is_good && self.has_majority() { Verdict::Good } else { Verdict::Undecided }
+        let are_routes_good =
+            old_answers > 0.0 && major_routes.into_iter().all(RouteTally::is_good);
+        if are_routes_good && self.has_majority() { Verdict::Good } else { Verdict::Undecided }
     }
 
     /// Returns whether the observers with answers of the new version have a majority of the
