--- a/crates/core/src/config/read_objects.rs
+++ b/crates/core/src/config/read_objects.rs
@@ -44,7 +44,7 @@
     );
     let timeout_range = match serving_mode {
         ServingMode::Native => consts::MIN_BUDGET_MS..=consts::MAX_BUDGET_MS,
-        ServingMode::PassThrough | ServingMode::Join => 1..=consts::MAX_FORWARDING_DEADLINE_MS,
+        ServingMode::PassThrough | ServingMode::Join => 1..=consts::MAX_FORWARDING_TIMEOUT_MS,
     };
     let timeout_ms = reader.required_number("promise_ms", timeout_range);
     let attempts = reader.number_or("attempts", 1..=consts::MAX_SHARD_ATTEMPTS, 3) as u32;
@@ -52,8 +52,7 @@
     let plan = reader.required_text("plan");
     let (host, path) = host_and_path(reader, serving_mode);
     let at_most_once = at_most_once(reader, serving_mode);
-    let latency_target_ms =
-        reader.number_or("target_ms", 0..=consts::MAX_FORWARDING_DEADLINE_MS, 0);
+    let latency_target_ms = reader.number_or("target_ms", 0..=consts::MAX_FORWARDING_TIMEOUT_MS, 0);
     let rank = reader.number_u32_or("rank", 0..=u32::MAX, 0);
     let record_bytes = reader.number_u32_or("width", 1..=MAX_RECORD_BYTES, 1);
     let max_records =
--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -81,8 +81,8 @@
 
 /// Maximum budget that a caller may request (ms): twice the required ten seconds.
 pub const MAX_BUDGET_MS: u64 = 20_000;
-/// Maximum deadline of a search that forwards calls (ms): an hour.
-pub const MAX_FORWARDING_DEADLINE_MS: u64 = 3_600_000;
+/// Maximum timeout of a search that forwards calls (ms): an hour.
+pub const MAX_FORWARDING_TIMEOUT_MS: u64 = 3_600_000;
 /// Maximum number of attempts per shard that a search may allow (count).
 pub const MAX_SHARD_ATTEMPTS: u64 = 100;
 /// Shortest budget that is worth an attempt (ms).
