--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -5,7 +5,7 @@
 use crate::consts;
 use crate::digest::hash;
 use crate::identifiers::{CONFIG, PartitionId, part_of, partitions};
-use crate::membership::lease::LEASE_TRUST;
+use crate::membership::lease::LEASE_VALIDITY;
 use crate::membership::neighbour_ring::{LIST_POLLERS, PROBE_KEYS};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{LeafReport, Message};
@@ -15,44 +15,46 @@
 
 /// How often who would hold the assignment next polls the platform's list: within the
 /// 3 s in which a leaving leaf must be known, with a second to spare for the way.
-const LIST_POLL_NEXT: Span = ms(1_800);
+const STANDBY_LIST_POLL_INTERVAL: Span = ms(1_800);
 
 /// For how long the holder polls more often (`consts::LEAF_LIST_FAST_POLL_INTERVAL`) after word of a leaf
 /// that is gone.
-const HURRIED_FOR: Span = 3 * SECOND;
+const FAST_POLL_DURATION: Span = 3 * SECOND;
 
 /// How long a member polls the list in place of others after it was told to, which it is again
 /// with each grant of its lease: two of them, and the way.
-const SUBSTITUTION_VALIDITY: Span = ms(1_300);
+const SUBSTITUTE_RANK_VALIDITY: Span = ms(1_300);
 
 /// How often each leaf is health-checked, by one member for all.
 const PROBE_INTERVAL: Span = ms(1_000);
 
 /// Word of the leader that a member polls the list in place of silent ones.
-pub struct ListSubstitution {
+pub struct SubstituteListRank {
     /// The member's rank without them.
     pub rank: usize,
     /// When it was told.
-    pub told_at: Tick,
+    pub received_at: Tick,
 }
 
 impl NodeAgent {
     /// The leader says that we poll the list with this rank, in place of silent members.
-    pub(super) fn on_substitution(&mut self, now: Tick, incarnation: u64, rank: u32) {
+    pub(super) fn on_substitute_list_poller(&mut self, now: Tick, incarnation: u64, rank: u32) {
         if incarnation == self.member.incarnation {
-            self.list_substitution = Some(ListSubstitution { rank: rank as usize, told_at: now });
+            self.substitute_list_rank =
+                Some(SubstituteListRank { rank: rank as usize, received_at: now });
         }
     }
 
     /// Our rank in place of silent members, if it still holds.
-    fn substitute_list_rank(&self, now: Tick) -> Option<usize> {
-        let told = self.list_substitution.as_ref();
-        told.filter(|told| since(told.told_at, now) < SUBSTITUTION_VALIDITY).map(|told| told.rank)
+    fn valid_substitute_list_rank(&self, now: Tick) -> Option<usize> {
+        let told = self.substitute_list_rank.as_ref();
+        told.filter(|told| since(told.received_at, now) < SUBSTITUTE_RANK_VALIDITY)
+            .map(|told| told.rank)
     }
 
     /// Our rank among those that poll the list, by the membership and by the leader.
     fn list_rank(&self, now: Tick) -> Option<usize> {
-        let ranks = [self.ring.list_rank, self.substitute_list_rank(now)];
+        let ranks = [self.ring.list_rank, self.valid_substitute_list_rank(now)];
         ranks.into_iter().flatten().min().filter(|rank| *rank < LIST_POLLERS)
     }
 
@@ -61,11 +63,12 @@
     /// Nobody knows what the others hear; it is polled sooner after word of a leaf
     /// that is gone, since most come back under a new name.
     fn list_poll_period(&self, now: Tick) -> Option<Span> {
-        let hurried = since(self.leaf_gone_at, now) < HURRIED_FOR && self.leaf_gone_at > 0;
+        let hurried =
+            since(self.last_leaf_gone_at, now) < FAST_POLL_DURATION && self.last_leaf_gone_at > 0;
         match self.list_rank(now)? {
             0 if hurried => Some(consts::LEAF_LIST_FAST_POLL_INTERVAL),
             0 => Some(consts::LEAF_LIST_POLL_INTERVAL),
-            _ => Some(LIST_POLL_NEXT),
+            _ => Some(STANDBY_LIST_POLL_INTERVAL),
         }
     }
 
@@ -80,19 +83,19 @@
     /// Whether we work on our assignments. A member that stops does until it gives its
     /// lease back: only then do others know that they have its assignments, and every
     /// member may be stopping at once.
-    fn works_on_assignments(&self) -> bool {
+    fn performs_assignments(&self) -> bool {
         !self.is_drained
     }
 
     /// Polls the list if it is due and the assignment is ours under a good lease.
     pub(super) fn poll_leaf_list(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let trusted = self.lease.granted && since(self.lease.renewed_at, now) < LEASE_TRUST;
-        if !trusted || !self.works_on_assignments() {
+        let trusted = self.lease.granted && since(self.lease.renewed_at, now) < LEASE_VALIDITY;
+        if !trusted || !self.performs_assignments() {
             return;
         }
         let Some(period) = self.list_poll_period(now) else { return };
-        if now >= self.list_polled_at + period {
-            self.list_polled_at = now;
+        if now >= self.last_list_poll_at + period {
+            self.last_list_poll_at = now;
             self.counters.list_polls += 1;
             let is_usual = self.ring.list_rank.is_some_and(|rank| rank < LIST_POLLERS);
             self.counters.substitute_list_polls += u64::from(!is_usual);
@@ -143,14 +146,17 @@
         }
         if !is_known {
             let fence = self.membership.id();
-            self.send_to_core(Message::LeafList { partition, fence, leafs: listed }, commands);
+            self.send_to_controllers(
+                Message::LeafList { partition, fence, leafs: listed },
+                commands,
+            );
         }
     }
 
     /// Health-checks the leafs whose keys are assigned to us, if it is due.
     pub(super) fn probe_leafs(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let Some(view) = &self.view else { return };
-        if now < self.probe_at || !self.works_on_assignments() {
+        if now < self.probe_at || !self.performs_assignments() {
             return;
         }
         self.probe_at = now + PROBE_INTERVAL;
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -15,25 +15,25 @@
 
 /// Age of the controllers' last word from which members attest, and speak at
 /// `GOSSIP_INTERVAL`: one renewal is lost. Two more are sent before the lease would end
-/// at `LEASE_TRUST`.
+/// at `LEASE_VALIDITY`.
 const ATTEST_AFTER: Span = 2 * RENEWAL_INTERVAL;
 
 impl NodeAgent {
     /// A configuration of this revision is known to exist.
-    pub(super) fn learn_revision(&mut self, revision: u64) {
+    pub(super) fn record_known_revision(&mut self, revision: u64) {
         self.known_revision = self.known_revision.max(revision);
     }
 
     /// Whether the controllers were not heard for long enough to ask for proofs and
     /// to give them.
-    pub(super) fn is_restless(&self, now: Tick) -> bool {
-        self.core_age(now) >= ATTEST_AFTER
+    pub(super) fn must_attest(&self, now: Tick) -> bool {
+        self.time_since_renewal(now) >= ATTEST_AFTER
     }
 
     /// What we attest now, if anything. Whoever hears the controllers attests
     /// nothing: its membership lives on without those who don't.
     pub(super) fn attest(&mut self, now: Tick) -> Option<Attestation> {
-        if !self.is_restless(now) || self.membership.term == Term::ZERO {
+        if !self.must_attest(now) || self.membership.term == Term::ZERO {
             return None;
         }
         Some(self.proofs.attest(now, self.known_revision))
@@ -49,7 +49,7 @@
         attestation: &Attestation,
         is_behind: bool,
     ) -> bool {
-        self.learn_revision(attestation.known_revision);
+        self.record_known_revision(attestation.known_revision);
         let ours = self.proofs.membership;
         let counts = !is_behind
             && attestation.membership == ours
@@ -71,7 +71,7 @@
     }
 
     /// Until when the proofs at hand allow to serve; zero if they don't.
-    pub fn proofs_valid_until(&self) -> Tick {
+    pub fn proof_expiry(&self) -> Tick {
         self.proofs.proved_until()
     }
 
--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -5,7 +5,7 @@
 //! lease.
 
 use crate::identifiers::{BEYOND, COHORT, VoterSlot};
-use crate::membership::lease::{RENEWAL_OVERDUE, SEEK_INTERVAL};
+use crate::membership::lease::{RENEWAL_OVERDUE, STARTUP_RETRY_INTERVAL};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{FeedPosition, Message};
 use crate::time::{Span, Tick, ms};
@@ -17,7 +17,7 @@
 /// How often it asks the other voters how far they are. Updates that its own voter lacks
 /// then come at most this, an interval and a round trip late: half of the 3 s in which a
 /// change must be obeyed.
-const ASK_OTHERS_INTERVAL: Span = 2 * SUBSCRIBE_INTERVAL;
+const POSITION_POLL_INTERVAL: Span = 2 * SUBSCRIBE_INTERVAL;
 
 impl NodeAgent {
     /// Asks the voters for updates if it is time; without a view often, and all.
@@ -25,11 +25,11 @@
         if now < self.subscribe_at {
             return;
         }
-        let period = if self.is_caught_up { SUBSCRIBE_INTERVAL } else { SEEK_INTERVAL };
+        let period = if self.is_caught_up { SUBSCRIBE_INTERVAL } else { STARTUP_RETRY_INTERVAL };
         self.subscribe_at = now + period;
-        let ask_others = now >= self.feed.ask_others_at;
+        let ask_others = now >= self.feed.position_poll_at;
         if ask_others {
-            self.feed.ask_others_at = now + ASK_OTHERS_INTERVAL;
+            self.feed.position_poll_at = now + POSITION_POLL_INTERVAL;
         }
         let (for_updates, for_positions) = self.subscriptions();
         if self.voter_set.slots.is_empty() {
@@ -37,7 +37,7 @@
         }
         let slots = self.occupied_slots();
         let preferred = self.feed.preferred(&slots, &self.member.name, self.started_at, now);
-        let from_all = self.is_starting() || self.lacks_core(now);
+        let from_all = self.is_starting() || self.has_lost_controllers(now);
         for slot in slots {
             let sends_updates =
                 from_all || preferred.is_none_or(|p| p == slot) || self.is_ahead(slot);
@@ -67,8 +67,8 @@
     }
 
     /// Whether we heard the controllers and do so no more.
-    fn lacks_core(&self, now: Tick) -> bool {
-        self.lease.granted && self.core_age(now) >= RENEWAL_OVERDUE
+    fn has_lost_controllers(&self, now: Tick) -> bool {
+        self.lease.granted && self.time_since_renewal(now) >= RENEWAL_OVERDUE
     }
 
     /// Whether a voter said that it is further than we are. It said so a period ago:
--- a/crates/core/src/membership/feed_sources.rs
+++ b/crates/core/src/membership/feed_sources.rs
@@ -8,7 +8,7 @@
 
 /// A voter that did not say for this long how far it is sends us no updates: three asked
 /// in vain, less what the answer takes.
-pub const FEED_SILENCE: Span = ms(1_100);
+pub const POSITION_REPORT_TIMEOUT: Span = ms(1_100);
 
 /// What is known of the voters as sources of updates.
 #[derive(Default)]
@@ -16,7 +16,7 @@
     /// When each voter slot last said how far it is.
     pub answered_at: BTreeMap<VoterSlot, Tick>,
     /// When those that send us no updates are next asked how far they are.
-    pub ask_others_at: Tick,
+    pub position_poll_at: Tick,
 }
 
 impl FeedSources {
@@ -34,7 +34,7 @@
         let own = hash(name);
         let answered = |slot: &VoterSlot| {
             let at = *self.answered_at.get(slot).unwrap_or(&started_at);
-            since(at, now) < FEED_SILENCE
+            since(at, now) < POSITION_REPORT_TIMEOUT
         };
         slots.iter().copied().filter(answered).max_by_key(|slot| pair(own, u64::from(*slot)))
     }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -4,7 +4,7 @@
 use crate::identifiers::CONFIG;
 use crate::membership::lease::RENEWAL_OVERDUE;
 use crate::membership::node_agent::{Command, NodeAgent};
-use crate::membership::peer::{PEER_SILENCE, Peer};
+use crate::membership::peer::{PEER_TIMEOUT, Peer};
 use crate::protocol::membership::Attestation;
 use crate::protocol::message::{FeedPosition, Message};
 use crate::time::{MILLI, SECOND, Span, Tick, ms, since};
@@ -17,10 +17,10 @@
 
 /// How often they do while the controllers are heard: nothing rests on it then, and this
 /// only finds connections that have died before they are needed.
-const CALM_GOSSIP_INTERVAL: Span = 2 * SECOND;
+const HEALTHY_GOSSIP_INTERVAL: Span = 2 * SECOND;
 
 /// A member is forgotten after this many times the silence in which it counts.
-const FORGET_AFTER_SILENCES: u64 = 4;
+const PEER_RETENTION_TIMEOUTS: u64 = 4;
 
 /// A gossip message of a member, without its question.
 pub(super) struct Gossip {
@@ -36,49 +36,50 @@
 
 impl NodeAgent {
     /// Members that answered us lately.
-    pub(super) fn heard_peers(&self, now: Tick) -> impl Iterator<Item = (&String, &Peer)> {
-        self.peers.iter().filter(move |(_, peer)| since(peer.asked_at, now) < PEER_SILENCE)
+    pub(super) fn responsive_peers(&self, now: Tick) -> impl Iterator<Item = (&String, &Peer)> {
+        self.peers.iter().filter(move |(_, peer)| since(peer.request_sent_at, now) < PEER_TIMEOUT)
     }
 
     /// Until when most of our neighbourhood, ourselves counted, hears us.
-    pub(super) fn accompanied_until(&self) -> Tick {
+    pub(super) fn neighbour_majority_until(&self) -> Tick {
         let neighbours = &self.ring.neighbours;
         // The fewest others with whom we are more than half.
         let needed = neighbours.len().div_ceil(2);
         if needed == 0 {
             return Tick::MAX;
         }
-        let mut asked_at: Vec<Tick> = neighbours
+        let mut request_sent_at: Vec<Tick> = neighbours
             .iter()
-            .filter_map(|name| self.peers.get(name).map(|peer| peer.asked_at))
+            .filter_map(|name| self.peers.get(name).map(|peer| peer.request_sent_at))
             .collect();
-        asked_at.sort_unstable_by(|a, b| b.cmp(a));
-        asked_at.get(needed - 1).map_or(0, |at| at + PEER_SILENCE)
+        request_sent_at.sort_unstable_by(|a, b| b.cmp(a));
+        request_sent_at.get(needed - 1).map_or(0, |at| at + PEER_TIMEOUT)
     }
 
     /// Asks the neighbours: seldom while the controllers are heard, since only who
     /// lacks their word needs company.
     pub(super) fn gossip(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let calm = self.lease.granted && !self.is_restless(now);
-        let period = if calm { CALM_GOSSIP_INTERVAL } else { GOSSIP_INTERVAL };
-        if now < self.gossiped_at + period {
+        let calm = self.lease.granted && !self.must_attest(now);
+        let period = if calm { HEALTHY_GOSSIP_INTERVAL } else { GOSSIP_INTERVAL };
+        if now < self.last_gossip_at + period {
             return;
         }
-        self.gossiped_at = now;
+        self.last_gossip_at = now;
         let asked = if calm { &self.ring.neighbours } else { &self.ring.proof_peers };
         for name in asked {
-            self.send_to_member(name, self.gossip_question(now), commands);
+            self.send_to_member(name, self.gossip_request(now), commands);
         }
-        self.peers
-            .retain(|_, peer| since(peer.asked_at, now) < PEER_SILENCE * FORGET_AFTER_SILENCES);
+        self.peers.retain(|_, peer| {
+            since(peer.request_sent_at, now) < PEER_TIMEOUT * PEER_RETENTION_TIMEOUTS
+        });
     }
 
     /// A question to another member. How far we are is said in answers alone: who
     /// asks learns it, and asks for itself.
-    fn gossip_question(&self, now: Tick) -> Message {
+    fn gossip_request(&self, now: Tick) -> Message {
         Message::Gossip {
             name: self.member.name.clone(),
-            core_age_ms: self.core_age(now) / MILLI,
+            core_age_ms: self.time_since_renewal(now) / MILLI,
             ready: self.ready,
             positions: Vec::new(),
             asked: Some(now),
@@ -88,10 +89,10 @@
     }
 
     /// The answer to a question that was asked at `echo`, by the asker's clock.
-    fn gossip_answer(&self, now: Tick, echo: Tick, attestation: Option<Attestation>) -> Message {
+    fn gossip_response(&self, now: Tick, echo: Tick, attestation: Option<Attestation>) -> Message {
         Message::Gossip {
             name: self.member.name.clone(),
-            core_age_ms: self.core_age(now) / MILLI,
+            core_age_ms: self.time_since_renewal(now) / MILLI,
             ready: self.ready,
             positions: self.positions(),
             asked: None,
@@ -115,13 +116,16 @@
         let mut is_ahead = is_behind;
         let configuration =
             positions.iter().find(|p| p.partition == CONFIG).map_or(0, |p| p.revision);
-        self.learn_revision(configuration);
+        self.record_known_revision(configuration);
         if let (Some(echo), Some(attestation)) = (echo, &attestation) {
             is_ahead |= self.on_attestation(echo, attestation, is_behind);
         }
         if let Some(echo) = echo {
-            let core_age = ms(core_age_ms);
-            self.on_answer(name, Peer { asked_at: echo, core_age, positions, ready });
+            let time_since_renewal = ms(core_age_ms);
+            self.on_gossip_response(
+                name,
+                Peer { request_sent_at: echo, time_since_renewal, positions, ready },
+            );
         }
         if let Some(asked) = asked {
             let attestation = self.attest(now);
@@ -129,11 +133,11 @@
                 // Who begins to serve by our word must not use leafs that we know to leave.
                 self.pass_on_urgent_reports(name, commands);
             }
-            let answer = self.gossip_answer(now, asked, attestation);
+            let answer = self.gossip_response(now, asked, attestation);
             self.send_to_member(name, answer, commands);
         }
         // Ask a member only for what the controllers did not bring us in time.
-        let overdue = self.core_age(now) >= RENEWAL_OVERDUE;
+        let overdue = self.time_since_renewal(now) >= RENEWAL_OVERDUE;
         if is_ahead && configuration > 0 && overdue {
             let message =
                 Message::Subscribe { positions: self.positions(), stamp: self.voter_set_stamp };
@@ -142,8 +146,8 @@
     }
 
     /// Takes in what a member answered, unless it answered a later question before.
-    fn on_answer(&mut self, name: &str, peer: Peer) {
-        if self.peers.get(name).is_none_or(|known| known.asked_at <= peer.asked_at) {
+    fn on_gossip_response(&mut self, name: &str, peer: Peer) {
+        if self.peers.get(name).is_none_or(|known| known.request_sent_at <= peer.request_sent_at) {
             self.peers.insert(name.to_string(), peer);
         }
     }
--- a/crates/core/src/membership/leaf_reports.rs
+++ b/crates/core/src/membership/leaf_reports.rs
@@ -24,7 +24,7 @@
     /// Takes in what a leaf reported, to us or to a member of the membership.
     pub(super) fn on_leaf_report(&mut self, now: Tick, service: String, report: LeafReport) {
         if report.gone {
-            self.leaf_gone_at = now;
+            self.last_leaf_gone_at = now;
         }
         if self.known_leaf(&service, &report.leaf).is_none_or(|info| is_shown(&info, &report)) {
             return;
@@ -34,7 +34,7 @@
             .entry(report.leaf.clone())
             .or_insert_with(|| PendingLeafReport::new(service, report.leaf.clone()));
         self.view_is_stale |= pending.add(&report);
-        self.reports_unchecked = true;
+        self.reports_need_check = true;
     }
 
     /// A member passes on what leafs reported to it. The voters have most likely been
@@ -73,7 +73,7 @@
     /// those that can't wait to our neighbours, who pass on what is new to them: with
     /// the controllers out of reach everyone must hear of them all the same.
     pub(super) fn send_leaf_reports(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        if std::mem::take(&mut self.reports_unchecked) {
+        if std::mem::take(&mut self.reports_need_check) {
             self.drop_shown_reports();
         }
         let (to_voters, to_members) = self.take_due_reports(now);
@@ -117,9 +117,9 @@
     fn take_due_reports(&mut self, now: Tick) -> (ReportsByPartition, ReportsByPartition) {
         let (mut to_voters, mut to_members) =
             (ReportsByPartition::new(), ReportsByPartition::new());
-        let ages_are_due = now >= self.ages_at;
+        let ages_are_due = now >= self.age_reports_at;
         if ages_are_due {
-            self.ages_at = now + REPORT_RETRY;
+            self.age_reports_at = now + REPORT_RETRY;
         }
         let is_due = |at: Tick| at == 0 || since(at, now) >= REPORT_RETRY;
         for pending in self.leaf_reports.values_mut() {
@@ -128,8 +128,8 @@
                 pending.sent_at = now.max(1);
                 to_voters.entry(partition).or_default().push(pending.report.clone());
             }
-            if pending.is_urgent() && is_due(pending.passed_on_at) {
-                pending.passed_on_at = now.max(1);
+            if pending.is_urgent() && is_due(pending.sent_to_members_at) {
+                pending.sent_to_members_at = now.max(1);
                 to_members.entry(partition).or_default().push(pending.report.clone());
             }
         }
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -14,20 +14,20 @@
 
 /// The same for a member that has no lease yet, and for one that lacks updates that it
 /// needs to serve at all.
-pub const SEEK_INTERVAL: Span = ms(100);
+pub const STARTUP_RETRY_INTERVAL: Span = ms(100);
 
 /// After this long without renewal, counted from when the renewal was sent, a member
 /// no longer trusts its lease. Shorter than `consts::LEASE_DURATION`, so that it knows before the
 /// leader gives its share to others.
-pub(super) const LEASE_TRUST: Span = ms(2_600);
+pub(super) const LEASE_VALIDITY: Span = ms(2_600);
 
 /// After this long without renewal a member asks its neighbours to forward its
 /// renewals: two lost in a row.
 pub(super) const RENEWAL_OVERDUE: Span = ms(1_100);
 
 /// Renewals and grants that are kept (count): several more than are on their way
-/// at a time, at one renewal in `SEEK_INTERVAL`.
-const KEPT: usize = 16;
+/// at a time, at one renewal in `STARTUP_RETRY_INTERVAL`.
+const MAX_PENDING_RENEWALS: usize = 16;
 
 /// The lease of this querier.
 #[derive(Default)]
@@ -60,16 +60,16 @@
 impl Lease {
     /// Until when the lease is trusted; zero if there was none.
     pub fn valid_until(&self) -> Tick {
-        if self.granted { self.renewed_at + LEASE_TRUST } else { 0 }
+        if self.granted { self.renewed_at + LEASE_VALIDITY } else { 0 }
     }
 
     /// Notes a renewal that is sent now and returns its number.
     pub(super) fn next_renewal(&mut self, now: Tick) -> u64 {
-        let period = if self.granted { RENEWAL_INTERVAL } else { SEEK_INTERVAL };
+        let period = if self.granted { RENEWAL_INTERVAL } else { STARTUP_RETRY_INTERVAL };
         self.renew_at = now + period;
         self.last_number += 1;
         self.unanswered.insert(self.last_number, now);
-        while self.unanswered.len() > KEPT {
+        while self.unanswered.len() > MAX_PENDING_RENEWALS {
             self.unanswered.pop_first();
         }
         self.last_number
@@ -90,7 +90,7 @@
     }
 
     /// Takes up the grants that name no newer configuration than `obeyed`.
-    pub(super) fn take_up_grants(&mut self, obeyed: u64) {
+    pub(super) fn apply_grants(&mut self, obeyed: u64) {
         for grant in &self.pending_grants {
             if grant.revision <= obeyed {
                 self.renewed_at = self.renewed_at.max(grant.sent_at);
@@ -99,7 +99,7 @@
         }
         let renewed_at = self.renewed_at;
         self.pending_grants.retain(|g| g.revision > obeyed && g.sent_at > renewed_at);
-        if self.pending_grants.len() > KEPT {
+        if self.pending_grants.len() > MAX_PENDING_RENEWALS {
             self.pending_grants.remove(0);
         }
     }
--- a/crates/core/src/membership/lease_renewal.rs
+++ b/crates/core/src/membership/lease_renewal.rs
@@ -1,7 +1,7 @@
 //! Renewing the lease, through a voter or, when none answers, through members.
 
 use crate::identifiers::VoterSlot;
-use crate::membership::lease::{LEASE_TRUST, RENEWAL_OVERDUE};
+use crate::membership::lease::{LEASE_VALIDITY, RENEWAL_OVERDUE};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::membership::MemberProgress;
 use crate::protocol::message::Message;
@@ -13,7 +13,7 @@
 
 impl NodeAgent {
     /// How long ago the controllers were last known to hear us.
-    pub(super) fn core_age(&self, now: Tick) -> Span {
+    pub(super) fn time_since_renewal(&self, now: Tick) -> Span {
         if self.lease.granted {
             since(self.lease.renewed_at, now)
         } else {
@@ -32,7 +32,7 @@
             number,
             progress: self.progress(now),
         };
-        let overdue = self.core_age(now) >= RENEWAL_OVERDUE;
+        let overdue = self.time_since_renewal(now) >= RENEWAL_OVERDUE;
         match self.lease.slot {
             Some(slot) if !overdue => {
                 commands.push(Command::ToVoter { slot, message: message.clone() });
@@ -49,8 +49,8 @@
     /// controllers is cut.
     fn renew_by_members(&self, now: Tick, message: &Message, commands: &mut Vec<Command>) {
         let forwarders: Vec<&String> = self
-            .heard_peers(now)
-            .filter(|(_, peer)| peer.core_age < LEASE_TRUST)
+            .responsive_peers(now)
+            .filter(|(_, peer)| peer.time_since_renewal < LEASE_VALIDITY)
             .map(|(name, _)| name)
             .take(FORWARDERS)
             .collect();
@@ -75,8 +75,8 @@
     /// voter slot, or by a member.
     pub(super) fn on_lease_granted(&mut self, slot: Option<VoterSlot>, number: u64, revision: u64) {
         if self.lease.on_granted(slot, number, revision) {
-            self.learn_revision(revision);
-            self.lease.take_up_grants(self.configuration_revision);
+            self.record_known_revision(revision);
+            self.lease.apply_grants(self.configuration_revision);
         }
     }
 }
--- a/crates/core/src/membership/neighbour_ring.rs
+++ b/crates/core/src/membership/neighbour_ring.rs
@@ -46,7 +46,7 @@
     /// Which keys of health checks are assigned to us.
     pub probe_keys: Vec<bool>,
     /// Quotas were divided for this state; whether we were cut off then.
-    pub divided_while_cut_off: Option<bool>,
+    pub quotas_divided_while_cut_off: Option<bool>,
 }
 
 /// A member on the ring. Ordered by hash, so that neighbours stand in different
@@ -93,7 +93,7 @@
             proof_peers,
             list_rank,
             probe_keys,
-            divided_while_cut_off: None,
+            quotas_divided_while_cut_off: None,
         }
     }
 }
@@ -130,7 +130,7 @@
 }
 
 fn neighbours(ring: &[RingMember], own: usize) -> Vec<String> {
-    around(ring, own, 1..ring.len().min(NEIGHBOURS_EACH_WAY + 1))
+    ring_members_at(ring, own, 1..ring.len().min(NEIGHBOURS_EACH_WAY + 1))
 }
 
 fn proof_peers(ring: &[RingMember], own: usize) -> Vec<String> {
@@ -139,11 +139,15 @@
         return neighbours(ring, own);
     }
     let powers = std::iter::successors(Some(1), |step| Some(2 * step));
-    around(ring, own, powers.take_while(|step| 2 * step <= size))
+    ring_members_at(ring, own, powers.take_while(|step| 2 * step <= size))
 }
 
 /// The others that are so many steps away, either way, without doubles.
-fn around(ring: &[RingMember], own: usize, steps: impl Iterator<Item = usize>) -> Vec<String> {
+fn ring_members_at(
+    ring: &[RingMember],
+    own: usize,
+    steps: impl Iterator<Item = usize>,
+) -> Vec<String> {
     let size = ring.len();
     let mut found: Vec<String> = Vec::new();
     for step in steps {
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -7,7 +7,7 @@
 
 use crate::config::route::RoutingTable;
 use crate::identifiers::{PartitionId, VoterSlot, partitions};
-use crate::membership::assignments::ListSubstitution;
+use crate::membership::assignments::SubstituteListRank;
 use crate::membership::feed_sources::FeedSources;
 use crate::membership::lease::Lease;
 use crate::membership::neighbour_ring::NeighbourRing;
@@ -70,7 +70,7 @@
     pub view_is_stale: bool,
     /// When updates of endpoints are next made into a view; a new configuration is
     /// published at once.
-    pub publish_at: Tick,
+    pub next_publish_at: Tick,
     /// The newest membership that we were told.
     pub membership: Membership,
     /// What follows from `membership`.
@@ -91,9 +91,9 @@
     /// some for a while: a search without leafs must not hold up the rest.
     pub has_served: bool,
     /// Since when a view of ours holds leafs for a quorum of some search.
-    pub serving_some_since: Option<Tick>,
+    pub partially_serving_since: Option<Tick>,
     /// Since when others hear from the controllers and we don't.
-    pub bypassed_since: Option<Tick>,
+    pub individually_isolated_since: Option<Tick>,
     /// Until when the traffic threads may act on their view, as last commanded.
     pub serving_until: Tick,
     /// Which calls are taken, as last commanded.
@@ -111,24 +111,24 @@
     /// Which voters send us updates.
     pub feed: FeedSources,
     /// When we last asked our neighbours.
-    pub gossiped_at: Tick,
+    pub last_gossip_at: Tick,
     /// The last word that we poll the list in place of silent members.
-    pub list_substitution: Option<ListSubstitution>,
+    pub substitute_list_rank: Option<SubstituteListRank>,
     /// When we last polled the platform's list of leafs.
-    pub list_polled_at: Tick,
+    pub last_list_poll_at: Tick,
     /// When we last heard of a leaf that is gone; zero before that.
-    pub leaf_gone_at: Tick,
+    pub last_leaf_gone_at: Tick,
     /// When the leafs assigned to us are next health-checked.
     pub probe_at: Tick,
     /// When reports that say an age alone are next sent, all together.
-    pub ages_at: Tick,
+    pub age_reports_at: Tick,
     /// Reports of leafs, by leaf, that the update stream does not show yet. Until
     /// it does, our own view shows them: the controllers may be out of reach for
     /// long.
     pub leaf_reports: BTreeMap<String, PendingLeafReport>,
     /// Reports or updates came since `leaf_reports` was last compared with the
     /// partitions.
-    pub reports_unchecked: bool,
+    pub reports_need_check: bool,
     /// Members whose renewals we forwarded, with the time of the last one.
     pub forwarded_renewals: BTreeMap<String, Tick>,
     /// What is counted for the metrics.
@@ -301,7 +301,7 @@
             configuration_revision: 0,
             view: None,
             view_is_stale: false,
-            publish_at: now,
+            next_publish_at: now,
             membership: Membership::default(),
             ring: NeighbourRing::default(),
             quota_members: Vec::new(),
@@ -311,8 +311,8 @@
             proofs: Proofs::default(),
             known_revision: 0,
             has_served: false,
-            serving_some_since: None,
-            bypassed_since: None,
+            partially_serving_since: None,
+            individually_isolated_since: None,
             serving_until: 0,
             admission: ServingState::NoSnapshot,
             ready: false,
@@ -321,14 +321,14 @@
             is_drained: false,
             subscribe_at: now,
             feed: FeedSources::default(),
-            gossiped_at: 0,
-            list_substitution: None,
-            list_polled_at: 0,
-            leaf_gone_at: 0,
+            last_gossip_at: 0,
+            substitute_list_rank: None,
+            last_list_poll_at: 0,
+            last_leaf_gone_at: 0,
             probe_at: now,
-            ages_at: now,
+            age_reports_at: now,
             leaf_reports: BTreeMap::new(),
-            reports_unchecked: false,
+            reports_need_check: false,
             forwarded_renewals: BTreeMap::new(),
             counters: Counters::default(),
         }
@@ -358,7 +358,7 @@
         self.voter_set = merged;
         self.voter_set_stamp = stamp(&self.voter_set);
         self.subscribe_at = 0;
-        self.feed.ask_others_at = 0;
+        self.feed.position_poll_at = 0;
         commands.push(Command::VoterSetChanged);
     }
 
@@ -377,7 +377,7 @@
     }
 
     /// Sends a message to the voter that serves us, or to all while none does.
-    pub(super) fn send_to_core(&self, message: Message, commands: &mut Vec<Command>) {
+    pub(super) fn send_to_controllers(&self, message: Message, commands: &mut Vec<Command>) {
         match self.lease.slot {
             Some(slot) => commands.push(Command::ToVoter { slot, message }),
             None => self.send_to_voters(&message, commands),
--- a/crates/core/src/membership/pending_report.rs
+++ b/crates/core/src/membership/pending_report.rs
@@ -12,7 +12,7 @@
     /// When we last sent it to the voters; zero before the first time.
     pub sent_at: Tick,
     /// When we last passed it on to our neighbours; zero before the first time.
-    pub passed_on_at: Tick,
+    pub sent_to_members_at: Tick,
 }
 
 impl PendingLeafReport {
@@ -21,7 +21,7 @@
             service,
             report: LeafReport { leaf, ..LeafReport::default() },
             sent_at: 0,
-            passed_on_at: 0,
+            sent_to_members_at: 0,
         }
     }
 
@@ -36,7 +36,7 @@
             (report.leaving && !self.report.leaving) || (report.gone && !self.report.gone);
         if is_news {
             self.sent_at = 0;
-            self.passed_on_at = 0;
+            self.sent_to_members_at = 0;
         }
         self.report.leaving |= report.leaving;
         self.report.gone |= report.gone;
--- a/crates/core/src/membership/proofs.rs
+++ b/crates/core/src/membership/proofs.rs
@@ -1,6 +1,6 @@
 //! The proofs that a member holds about the others (see [`super::attestation`]).
 
-use crate::membership::lease::LEASE_TRUST;
+use crate::membership::lease::LEASE_VALIDITY;
 use crate::protocol::membership::{Attestation, Member, Membership, MembershipId, NO_PROOF};
 use crate::quorum;
 use crate::time::{MILLI, Span, Tick, ms, since};
@@ -8,7 +8,7 @@
 /// A member whose lease has run out serves on by proofs about the others no older than
 /// this. Like a lease, it is shorter than the 3 s in which a change must be in force
 /// everywhere, also by a clock that is a tenth slow.
-const ATTESTATION_WINDOW: Span = LEASE_TRUST;
+const ATTESTATION_WINDOW: Span = LEASE_VALIDITY;
 
 /// The proofs that a member holds about the others of its membership.
 #[derive(Default)]
--- a/crates/core/src/membership/rollout_votes.rs
+++ b/crates/core/src/membership/rollout_votes.rs
@@ -73,6 +73,6 @@
             incarnation: self.member.incarnation,
             evidence: by_service.into_values().collect(),
         };
-        self.send_to_core(message, commands);
+        self.send_to_controllers(message, commands);
     }
 }
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -9,27 +9,27 @@
 //!   calls, before the leader gives our share away.
 
 use crate::membership::gossip::GOSSIP_INTERVAL;
-use crate::membership::lease::{LEASE_TRUST, RENEWAL_INTERVAL, RENEWAL_OVERDUE};
+use crate::membership::lease::{LEASE_VALIDITY, RENEWAL_INTERVAL, RENEWAL_OVERDUE};
 use crate::membership::node_agent::{Command, LeafClient, NodeAgent, QuotaMember};
 use crate::membership::peer::Peer;
-use crate::membership::updates::START_PATIENCE;
+use crate::membership::updates::STARTUP_TIMEOUT;
 use crate::query::engine::ServingState;
 use crate::time::{Span, Tick, ms, since};
 
 /// A lone cut-off member turns not ready after this long without the controllers, a
 /// second before it rejects calls: the platform checks readiness each second.
-const LONE_NOTICE: Span = ms(1_600);
+const ISOLATED_READINESS_TIMEOUT: Span = ms(1_600);
 
 /// A member that can't prove by then that it may serve on turns not ready: a round
 /// before its lease ends.
-const PROOF_NOTICE: Span = LEASE_TRUST - GOSSIP_INTERVAL;
+const UNPROVED_READINESS_TIMEOUT: Span = LEASE_VALIDITY - GOSSIP_INTERVAL;
 
 /// What is known of our way to the controllers at one moment.
-struct CoreContact {
+struct ControllerContact {
     /// Age of the controllers' last word.
     age: Span,
     /// Others hear the controllers and we don't.
-    is_bypassed: bool,
+    is_individually_isolated: bool,
     /// Until when proofs allow to serve without a lease; zero if they don't.
     proved_until: Tick,
 }
@@ -37,11 +37,11 @@
 impl NodeAgent {
     /// Decides admission, readiness and quotas, and commands what changed.
     pub(super) fn decide(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let contact = self.core_contact(now);
+        let contact = self.controller_contact(now);
         let admission = self.decide_admission(now, &contact);
         let cut_off = admission == ServingState::Isolated;
-        if self.ring.divided_while_cut_off != Some(cut_off) {
-            self.ring.divided_while_cut_off = Some(cut_off);
+        if self.ring.quotas_divided_while_cut_off != Some(cut_off) {
+            self.ring.quotas_divided_while_cut_off = Some(cut_off);
             self.divide_quotas(cut_off, commands);
             self.update_leaf_clients(commands);
         }
@@ -60,34 +60,42 @@
         self.update_readiness(now, &contact, commands);
     }
 
-    fn core_contact(&mut self, now: Tick) -> CoreContact {
-        let age = self.core_age(now);
+    fn controller_contact(&mut self, now: Tick) -> ControllerContact {
+        let age = self.time_since_renewal(now);
         // Somebody near hears the controllers and we don't, for longer than a
         // renewal takes: then it is we who are cut off, not they who are gone.
-        let hears = |peer: &Peer| peer.core_age + since(peer.asked_at, now) < RENEWAL_OVERDUE;
-        let passed = age >= RENEWAL_OVERDUE && self.heard_peers(now).any(|(_, peer)| hears(peer));
-        self.bypassed_since = if passed { self.bypassed_since.or(Some(now)) } else { None };
-        let is_bypassed =
-            self.bypassed_since.is_some_and(|at| since(at, now) >= 2 * RENEWAL_INTERVAL);
+        let hears = |peer: &Peer| {
+            peer.time_since_renewal + since(peer.request_sent_at, now) < RENEWAL_OVERDUE
+        };
+        let passed =
+            age >= RENEWAL_OVERDUE && self.responsive_peers(now).any(|(_, peer)| hears(peer));
+        self.individually_isolated_since =
+            if passed { self.individually_isolated_since.or(Some(now)) } else { None };
+        let is_individually_isolated = self
+            .individually_isolated_since
+            .is_some_and(|at| since(at, now) >= 2 * RENEWAL_INTERVAL);
         // Proofs are gathered only while they may be needed.
-        let proved_until =
-            if self.is_restless(now) && !is_bypassed { self.proved_until() } else { 0 };
-        CoreContact { age, is_bypassed, proved_until }
+        let proved_until = if self.must_attest(now) && !is_individually_isolated {
+            self.proved_until()
+        } else {
+            0
+        };
+        ControllerContact { age, is_individually_isolated, proved_until }
     }
 
-    fn is_unproved(&self, now: Tick, contact: &CoreContact) -> bool {
+    fn lacks_proof(&self, now: Tick, contact: &ControllerContact) -> bool {
         self.lease.granted && now > contact.proved_until
     }
 
-    fn decide_admission(&self, now: Tick, contact: &CoreContact) -> ServingState {
-        let lapsed = contact.age >= LEASE_TRUST;
+    fn decide_admission(&self, now: Tick, contact: &ControllerContact) -> ServingState {
+        let lapsed = contact.age >= LEASE_VALIDITY;
         // The platform needs a moment to see that we are not ready: until then
         // callers still come, and are served.
         let stopping = self.stopping_since.is_some_and(|at| since(at, now) >= self.drain_notice);
         match (&self.view, stopping) {
             (_, true) => ServingState::ShuttingDown,
             (None, _) => ServingState::NoSnapshot,
-            _ if self.is_unproved(now, contact) && lapsed => ServingState::Isolated,
+            _ if self.lacks_proof(now, contact) && lapsed => ServingState::Isolated,
             _ => ServingState::Serving,
         }
     }
@@ -99,7 +107,7 @@
         &mut self,
         now: Tick,
         admission: ServingState,
-        contact: &CoreContact,
+        contact: &ControllerContact,
         commands: &mut Vec<Command>,
     ) {
         let serving_until = match admission {
@@ -108,7 +116,7 @@
         };
         if serving_until != self.serving_until {
             if self.serving_until <= now && now < serving_until {
-                self.publish_at = now;
+                self.next_publish_at = now;
                 self.publish_view(now, commands);
             }
             self.serving_until = serving_until;
@@ -128,17 +136,22 @@
         }
     }
 
-    fn update_readiness(&mut self, now: Tick, contact: &CoreContact, commands: &mut Vec<Command>) {
+    fn update_readiness(
+        &mut self,
+        now: Tick,
+        contact: &ControllerContact,
+        commands: &mut Vec<Command>,
+    ) {
         self.has_served |=
-            self.serving_some_since.is_some_and(|at| since(at, now) >= START_PATIENCE);
-        let is_alone =
-            self.lease.granted && (now > self.accompanied_until() || contact.is_bypassed);
+            self.partially_serving_since.is_some_and(|at| since(at, now) >= STARTUP_TIMEOUT);
+        let is_alone = self.lease.granted
+            && (now > self.neighbour_majority_until() || contact.is_individually_isolated);
         let ready = self.admission == ServingState::Serving
             && self.stopping_since.is_none()
             && self.has_served
             && !self.quota_members.is_empty()
-            && !(is_alone && contact.age >= LONE_NOTICE)
-            && !(self.is_unproved(now, contact) && contact.age >= PROOF_NOTICE);
+            && !(is_alone && contact.age >= ISOLATED_READINESS_TIMEOUT)
+            && !(self.lacks_proof(now, contact) && contact.age >= UNPROVED_READINESS_TIMEOUT);
         if ready != self.ready {
             self.ready = ready;
             commands.push(Command::Ready(ready));
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -49,7 +49,7 @@
         }
         self.send_leaf_reports(now, &mut commands);
         self.check_caught_up(now);
-        self.lease.take_up_grants(self.configuration_revision);
+        self.lease.apply_grants(self.configuration_revision);
         self.publish_view(now, &mut commands);
         self.decide(now, &mut commands);
         self.renew_lease(now, &mut commands);
@@ -86,7 +86,7 @@
                 }
             }
             Message::SubstituteListPoller { incarnation, rank, .. } => {
-                self.on_substitution(now, incarnation, rank);
+                self.on_substitute_list_poller(now, incarnation, rank);
             }
             message => self.on_update_message(message, Source::Voter, commands),
         }
@@ -117,10 +117,13 @@
             }
             // Forward a neighbour's renewal, if our own way to the controllers works.
             Message::RenewLease { member, number, progress } => {
-                if self.core_age(now) < RENEWAL_OVERDUE {
+                if self.time_since_renewal(now) < RENEWAL_OVERDUE {
                     self.forwarded_renewals.insert(member.name.clone(), now);
                     self.counters.forwarded_renewals += 1;
-                    self.send_to_core(Message::RenewLease { member, number, progress }, commands);
+                    self.send_to_controllers(
+                        Message::RenewLease { member, number, progress },
+                        commands,
+                    );
                 }
             }
             Message::LeafReports { partition, reports } => {
@@ -134,7 +137,7 @@
             Message::SubstituteListPoller { name, incarnation, rank }
                 if name == self.member.name =>
             {
-                self.on_substitution(now, incarnation, rank);
+                self.on_substitute_list_poller(now, incarnation, rank);
             }
             message => self.on_update_message(message, Source::Member, commands),
         }
@@ -159,7 +162,7 @@
     fn adopt_membership(&mut self, membership: Membership) {
         self.membership = membership;
         if self.proofs.adopt(&self.membership, &self.member) {
-            self.learn_revision(self.membership.revision);
+            self.record_known_revision(self.membership.revision);
         }
         self.ring = NeighbourRing::new(&self.membership, &self.member.name);
         // That we have seen it lets others settle: say so at once.
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -23,7 +23,7 @@
 
 /// A starting querier that heard fewer than two voters waits this long before it takes
 /// its view from a ready member alone.
-pub(super) const START_PATIENCE: Span = 3 * SECOND;
+pub(super) const STARTUP_TIMEOUT: Span = 3 * SECOND;
 
 /// Wait before leafs of unknown age are health-checked: lets a list's leafs gather.
 const FIRST_PROBE_DELAY: Span = ms(100);
@@ -50,7 +50,7 @@
         apply_entries(&mut state.entries, entries);
         state.revision = revision;
         self.view_is_stale = true;
-        self.reports_unchecked = true;
+        self.reports_need_check = true;
         self.counters.updates += 1;
         if partition == CONFIG {
             self.adopt_configuration(commands);
@@ -64,7 +64,7 @@
         let revision = state.revision;
         let built = build_configuration(&state.entries);
         let rollouts = rollouts_in(&state.entries).collect();
-        self.learn_revision(revision);
+        self.record_known_revision(revision);
         match built {
             Ok(configuration) => {
                 self.rollouts = rollouts;
@@ -109,7 +109,7 @@
         if self.is_caught_up || self.configuration_revision == 0 {
             return;
         }
-        let waited = since(self.started_at, now) > START_PATIENCE;
+        let waited = since(self.started_at, now) > STARTUP_TIMEOUT;
         let reached_member = waited
             && self.peers.values().any(|peer| {
                 let reached = |theirs: &FeedPosition| {
@@ -151,14 +151,14 @@
         let is_new_configuration = obeyed != Some(self.configuration_revision);
         if !self.is_caught_up
             || !self.view_is_stale
-            || (!is_new_configuration && now < self.publish_at)
+            || (!is_new_configuration && now < self.next_publish_at)
         {
             return;
         }
         self.view_is_stale = false;
-        self.publish_at = now + VIEW_INTERVAL;
+        self.next_publish_at = now + VIEW_INTERVAL;
         let view = Arc::new(self.build_view());
-        self.note_searches_served(now, &view);
+        self.record_served_searches(now, &view);
         if view.leafs.values().any(|leaf| leaf.age_ms == 0) {
             // Nobody knows yet how much load these take: ask soon.
             self.probe_at = self.probe_at.min(now + FIRST_PROBE_DELAY);
@@ -190,10 +190,10 @@
         ClusterView::new(revision, configuration, split.in_force).with_trials(trials)
     }
 
-    fn note_searches_served(&mut self, now: Tick, view: &ClusterView) {
+    fn record_served_searches(&mut self, now: Tick, view: &ClusterView) {
         let served = view.mappings.values().filter(|route| has_quorum(view, route)).count();
         if served > 0 {
-            self.serving_some_since.get_or_insert(now);
+            self.partially_serving_since.get_or_insert(now);
             self.has_served |= served == view.mappings.len();
         }
     }
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -6,8 +6,8 @@
 use grebepath_core::control_plane::controller;
 use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartitionId, Term, VoterSlot};
 use grebepath_core::membership::feed::SUBSCRIBE_INTERVAL;
-use grebepath_core::membership::feed_sources::FEED_SILENCE;
-use grebepath_core::membership::lease::SEEK_INTERVAL;
+use grebepath_core::membership::feed_sources::POSITION_REPORT_TIMEOUT;
+use grebepath_core::membership::lease::STARTUP_RETRY_INTERVAL;
 use grebepath_core::membership::neighbour_ring::{NEIGHBOURS_EACH_WAY, NeighbourRing, PROBE_KEYS};
 use grebepath_core::membership::node_agent::{Command, Event, NodeAgent};
 use grebepath_core::protocol::membership::{Member, Membership};
@@ -88,8 +88,8 @@
 fn all_seats_feed_a_member_that_starts_and_are_asked_often() {
     let mut w = starts();
     for (sure, granted, beat) in [
-        (false, false, SEEK_INTERVAL),
-        (false, true, SEEK_INTERVAL),
+        (false, false, STARTUP_RETRY_INTERVAL),
+        (false, true, STARTUP_RETRY_INTERVAL),
         (true, false, SUBSCRIBE_INTERVAL),
     ] {
         let now = w.subscribe_at;
@@ -106,7 +106,7 @@
     let mut w = serves();
     let (whole, _) = asked(&w.step(BOOT, Event::Wake));
     let first = whole[0];
-    let now = BOOT + FEED_SILENCE;
+    let now = BOOT + POSITION_REPORT_TIMEOUT;
     for slot in 0..DEFAULT_VOTER_SLOTS as VoterSlot {
         reach(&mut w, now, slot, CONFIG, 0);
     }
@@ -187,14 +187,14 @@
 fn a_seat_that_is_silent_feeds_no_longer() {
     let mut w = serves();
     let (whole, only) = asked(&w.step(BOOT, Event::Wake));
-    let now = BOOT + FEED_SILENCE + ms(1);
+    let now = BOOT + POSITION_REPORT_TIMEOUT + ms(1);
     w.lease.renewed_at = now;
     reach(&mut w, now - ms(100), only[0], CONFIG, 0);
     let (next, _) = asked(&w.step(now, Event::Wake));
     expect_that!(next, elements_are![eq(&only[0])]);
     expect_that!(whole, not(eq(&next)));
     // With all silent, all are followed.
-    let later = now + 2 * FEED_SILENCE;
+    let later = now + 2 * POSITION_REPORT_TIMEOUT;
     w.lease.renewed_at = later;
     let (all, _) = asked(&w.step(later, Event::Wake));
     expect_that!(all.len(), eq(DEFAULT_VOTER_SLOTS));
--- a/crates/core/tests/serving_without_lease.rs
+++ b/crates/core/tests/serving_without_lease.rs
@@ -79,12 +79,12 @@
     let mut agent = agent();
     let event = answer(LAPSED, &agent, 5);
     agent.step(LAPSED, event);
-    expect_that!(agent.proofs_valid_until(), eq(0));
+    expect_that!(agent.proof_expiry(), eq(0));
     // Once we have what it has, its next answer counts.
     agent.partitions.get_mut(&part_of(SERVICE)).expect("a partition of services").revision = 5;
     let event = answer(LAPSED + ms(250), &agent, 5);
     agent.step(LAPSED + ms(250), event);
-    expect_that!(agent.proofs_valid_until(), gt(LAPSED));
+    expect_that!(agent.proof_expiry(), gt(LAPSED));
 }
 
 /// What a step tells other members: the kinds of messages, in order.
