--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -19,7 +19,7 @@
 use crate::storage::record::ReplicaState;
 use crate::storage::voter_file::VoterFile;
 use crate::time::{SECOND, Span, Tick};
-use crate::voter_set::{NOBODY, seat_of};
+use crate::voter_set::{NO_SLOT, slot_of};
 use crate::voters::voter_slots::VoterSlots;
 
 /// How often a voter reads the files of one of its partitions again to see whether
@@ -36,7 +36,7 @@
 /// Everything that a controller knows. It changes by
 /// [`step`](ControllerState::step) alone.
 pub struct ControllerState {
-    /// Our voter slot by the voter set that we hold, or `NOBODY`.
+    /// Our voter slot by the voter set that we hold, or `NO_SLOT`.
     pub slot: VoterSlot,
     /// The voter set, and what we know of the other voters.
     pub voter_slots: VoterSlots,
@@ -177,7 +177,7 @@
         seed: u64,
         now: Tick,
     ) -> Self {
-        let slot = seat_of(&roll.table, roll.me).unwrap_or(NOBODY);
+        let slot = slot_of(&roll.table, roll.me).unwrap_or(NO_SLOT);
         let mut found: BTreeMap<PartitionId, _> = found
             .into_iter()
             .map(|(id, condition, state, log_bytes)| (id, (condition, state, log_bytes)))
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -13,7 +13,7 @@
 use crate::protocol::message::Message;
 use crate::replication::partition::Role;
 use crate::time::Tick;
-use crate::voter_set::NOBODY;
+use crate::voter_set::NO_SLOT;
 use crate::voters::slot_takeover::Candidate;
 
 /// How a report about leafs came to us.
@@ -45,7 +45,7 @@
             Message::MembershipUpdate(membership) => {
                 self.on_membership_told(now, MembershipSource::Member, membership, commands);
             }
-            Message::OperationRequest { op, attempt, .. } if self.slot == NOBODY => {
+            Message::OperationRequest { op, attempt, .. } if self.slot == NO_SLOT => {
                 commands.push(ForwardedOperation { connection, number: op, attempt }.misdirected());
             }
             Message::OperationRequest {
@@ -81,7 +81,7 @@
     ) {
         match message {
             Message::VoterSetUpdate { voter_set, .. } => {
-                self.voter_slots.learn(&voter_set, commands);
+                self.voter_slots.merge_voter_set(&voter_set, commands);
             }
             Message::JoinRequest { replica_id: holder, addr, zone, stamp } => {
                 let candidate = Candidate { replica_id: holder, addr: &addr, zone: &zone };
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -17,7 +17,7 @@
 use crate::replication::operations::OperationOrigin;
 use crate::replication::partition::{Role, Sender};
 use crate::time::Tick;
-use crate::voter_set::NOBODY;
+use crate::voter_set::NO_SLOT;
 use crate::voters::stamp::stamp_of;
 
 /// Who says something as the holder of a voter slot, and where.
@@ -58,7 +58,7 @@
     ) -> bool {
         let VoterSender { slot, replica_id, connection } = sender;
         if let Message::VoterSetUpdate { voter_set, .. } = message {
-            self.voter_slots.learn(voter_set, commands);
+            self.voter_slots.merge_voter_set(voter_set, commands);
         }
         if !self.voter_slots.is_held_by(slot, replica_id) {
             self.voter_slots.resend_voter_set(now, slot, connection, commands);
@@ -70,7 +70,7 @@
         if !has_same_set {
             self.voter_slots.resend_voter_set(now, slot, connection, commands);
         }
-        has_same_set && self.slot != NOBODY
+        has_same_set && self.slot != NO_SLOT
     }
 
     /// Another replica of a partition says something.
--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -10,9 +10,9 @@
 use crate::replication::partition::{AfterWrite, Partition, Role};
 use crate::storage::record::ReplicaState;
 use crate::time::{Span, Tick, ms, since};
-use crate::voter_set::{NOBODY, SlotHolder, VoterSet, merge};
+use crate::voter_set::{NO_SLOT, SlotHolder, VoterSet, merge};
 use crate::voters::handover::{Departure, OfferSent, Stage};
-use crate::voters::handover::{HANDOVER_PATIENCE, HANDOVER_RETRY};
+use crate::voters::handover::{HANDOVER_RETRY_INTERVAL, HANDOVER_TIMEOUT};
 
 /// How long a controller that was asked to stop waits for the new leaders of the
 /// partitions that it led: an election without a fault takes a tenth of it.
@@ -46,7 +46,7 @@
         }
         self.transfer_leadership(now, commands);
         self.voter_slots.handovers.begin(now);
-        if self.slot == NOBODY || self.voter_slots.handovers.applicants.is_empty() {
+        if self.slot == NO_SLOT || self.voter_slots.handovers.applicants.is_empty() {
             return self.finish_handover();
         }
         self.wake_handover(now, commands);
@@ -64,7 +64,7 @@
         handovers.drop_silent_applicants(now);
         let Some(departure) = &mut handovers.departure else { return };
         let spent = since(departure.began_at, now);
-        if spent >= HANDOVER_PATIENCE {
+        if spent >= HANDOVER_TIMEOUT {
             return self.finish_handover();
         }
         match &mut departure.stage {
@@ -75,16 +75,16 @@
             }
             Stage::Offering { asked } => {
                 let asked = *asked;
-                if asked.is_none_or(|asked| since(asked.at, now) >= HANDOVER_RETRY) {
+                if asked.is_none_or(|asked| since(asked.at, now) >= HANDOVER_RETRY_INTERVAL) {
                     let last = asked.map(|asked| asked.replica_id);
                     self.offer_slot(now, last, commands);
                 }
             }
             // A takeover may have been quicker than we were.
-            Stage::Yielding { .. } if slot == NOBODY => self.finish_handover(),
-            Stage::Yielding { .. } | Stage::Answering { .. } => {}
+            Stage::Resigning { .. } if slot == NO_SLOT => self.finish_handover(),
+            Stage::Resigning { .. } | Stage::Answering { .. } => {}
             Stage::Sending { state, slot, sent_at } => {
-                if sent_at.is_none_or(|at| since(at, now) >= HANDOVER_RETRY) {
+                if sent_at.is_none_or(|at| since(at, now) >= HANDOVER_RETRY_INTERVAL) {
                     *sent_at = Some(now);
                     let message = (**state).clone();
                     commands.push(Command::ToVoter { slot: *slot, message });
@@ -123,7 +123,7 @@
         commands: &mut Vec<Command>,
     ) {
         let voter_slots = &mut self.voter_slots;
-        let is_spare = self.slot == NOBODY
+        let is_spare = self.slot == NO_SLOT
             && voter_slots.replica_id() != 0
             && voter_slots.pending_write.is_none();
         if !is_spare || !voter_slots.handovers.may_reserve(now, slot, generation) {
@@ -153,7 +153,7 @@
         let newest = voter_slots.newest();
         let voter_set = voter_slots.handovers.with_successor(now, newest, slot, successor);
         let Some(voter_set) = voter_set else { return };
-        voter_slots.handovers.enter(Stage::Yielding { slot, successor: replica_id });
+        voter_slots.handovers.enter(Stage::Resigning { slot, successor: replica_id });
         voter_slots.write_voter_set(voter_set, commands);
     }
 
@@ -164,7 +164,7 @@
         now: Tick,
         commands: &mut Vec<Command>,
     ) -> bool {
-        let Some(Departure { stage: Stage::Yielding { slot, successor }, .. }) =
+        let Some(Departure { stage: Stage::Resigning { slot, successor }, .. }) =
             self.voter_slots.handovers.departure
         else {
             return false;
@@ -194,7 +194,7 @@
         commands: &mut Vec<Command>,
     ) {
         let ReceivedHandover { slot, generation, voter_set, replicas, memberships } = received;
-        self.voter_slots.learn(&voter_set, commands);
+        self.voter_slots.merge_voter_set(&voter_set, commands);
         let ours = self.voter_slots.voter_set();
         if self.slot != slot
             || !is_of_generation(ours, slot, generation)
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -24,7 +24,7 @@
 use crate::replication::operations::OperationOrigin;
 use crate::replication::partition::Role;
 use crate::time::Tick;
-use crate::voter_set::{NOBODY, others};
+use crate::voter_set::{NO_SLOT, others};
 
 /// Attempts that are remembered (count), so that one that comes twice is taken
 /// once: at hundreds of orders a second those of ten seconds.
@@ -40,7 +40,7 @@
         commands: &mut Vec<Command>,
     ) {
         // Without a voter slot we hold no revision: the leader tells it.
-        if request.is_unconditional() && self.slot != NOBODY {
+        if request.is_unconditional() && self.slot != NO_SLOT {
             let revision = self.partitions[0].committed_revision;
             return commands
                 .push(Command::Respond { op, done: OperationResult::Conflict { revision } });
@@ -59,7 +59,7 @@
     /// To whom a request would be handed now: the leader that we know, or without a
     /// voter slot any controller that lives, by turns.
     fn forwarding_target(&mut self) -> Option<Forwarding> {
-        if self.slot != NOBODY {
+        if self.slot != NO_SLOT {
             return self.known_leader();
         }
         let quiet = &self.voter_slots.silence;
@@ -68,8 +68,9 @@
         let is_awake =
             |slot: &VoterSlot| leaving || quiet[usize::from(*slot)] < consts::VOTER_SILENCE_TIMEOUT;
         let list: Vec<VoterSlot> = others(self.group()).filter(is_awake).collect();
-        let slot = list.get(self.voter_slots.forwarding_turns % list.len().max(1)).copied()?;
-        self.voter_slots.forwarding_turns += 1;
+        let slot =
+            list.get(self.voter_slots.forwarded_without_slot % list.len().max(1)).copied()?;
+        self.voter_slots.forwarded_without_slot += 1;
         Some(Forwarding { slot, term: ANY_TERM })
     }
 
@@ -283,7 +284,7 @@
             quiet.is_none_or(|quiet| *quiet >= consts::VOTER_SILENCE_TIMEOUT)
         };
         let is_superseded = |to: &Forwarding| match *slot {
-            NOBODY => !leaving && is_silent(to),
+            NO_SLOT => !leaving && is_silent(to),
             _ => leader.is_some_and(|leader| leader != *to),
         };
         for pending in pending_requests.values_mut() {
--- a/crates/core/src/control_plane/slot_takeover.rs
+++ b/crates/core/src/control_plane/slot_takeover.rs
@@ -5,7 +5,7 @@
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::time::Tick;
-use crate::voter_set::{NOBODY, SlotHolder};
+use crate::voter_set::{NO_SLOT, SlotHolder};
 use crate::voters::handover::Applicant;
 use crate::voters::slot_takeover::Candidate;
 
@@ -23,16 +23,16 @@
         if stamp != self.voter_slots.stamp {
             self.voter_slots.send_voter_set(connection, commands);
         }
-        if self.slot == NOBODY {
+        if self.slot == NO_SLOT {
             return;
         }
         let applicant = Applicant { connection, zone: candidate.zone.to_string(), at: now };
-        self.voter_slots.handovers.note_applicant(candidate.replica_id, applicant);
+        self.voter_slots.handovers.record_applicant(candidate.replica_id, applicant);
         if self.is_leaving() {
             // What we would give is our own slot alone, and is offered by `handover`.
             return;
         }
-        let free = self.voter_slots.slots_for(now, self.slot, candidate);
+        let free = self.voter_slots.grantable_slots(now, self.slot, candidate);
         let (slot, stamp) = (self.slot, self.voter_slots.stamp);
         commands.push(Command::ToConnection {
             connection,
@@ -52,7 +52,7 @@
         if let Some(silence) = self.voter_slots.silence.get_mut(usize::from(from)) {
             *silence = 0;
         }
-        if self.slot == NOBODY {
+        if self.slot == NO_SLOT {
             self.voter_slots.on_join_offer(now, from, stamp, free, commands);
         }
     }
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -8,7 +8,7 @@
 use crate::control_plane::{acceptance, endpoints, forgotten_members};
 use crate::replication::partition::{Partition, Role};
 use crate::time::{Tick, ms};
-use crate::voter_set::{NOBODY, VoterGroup};
+use crate::voter_set::{NO_SLOT, VoterGroup};
 
 /// How often a controller looks around when nothing happens.
 pub const WAKE: crate::time::Span = ms(50);
@@ -89,7 +89,7 @@
     /// Time passes.
     fn wake(&mut self, now: Tick, commands: &mut Vec<Command>) {
         self.wake_voter_slots(now, commands);
-        if self.slot != NOBODY {
+        if self.slot != NO_SLOT {
             self.wake_partitions(now, commands);
         }
         self.wake_scrub(now, commands);
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -9,7 +9,7 @@
 use crate::replication::timing::LEADER_SILENCE;
 use crate::storage::voter_file::VoterFile;
 use crate::time::Tick;
-use crate::voter_set::{NOBODY, VoterGroup, seat_of};
+use crate::voter_set::{NO_SLOT, VoterGroup, slot_of};
 use crate::voters::voter_slots::PartitionFiles;
 
 impl ControllerState {
@@ -27,13 +27,13 @@
     ) {
         let Some(moved) = self.voter_slots.adopt_written(token) else { return };
         self.retry_requests_to(&moved);
-        self.voter_slots.announce_moves(&moved, commands);
+        self.voter_slots.report_changed_slots(&moved, commands);
         let slot =
-            seat_of(self.voter_slots.voter_set(), self.voter_slots.replica_id()).unwrap_or(NOBODY);
+            slot_of(self.voter_slots.voter_set(), self.voter_slots.replica_id()).unwrap_or(NO_SLOT);
         if self.slot != slot {
             let former = std::mem::replace(&mut self.slot, slot);
             self.retry_all_requests();
-            if former != NOBODY {
+            if former != NO_SLOT {
                 return self.on_slot_lost(now, commands);
             }
             self.on_slot_won(now);
@@ -69,7 +69,7 @@
     fn renounce_slot(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let text = "our seat was given to another: we begin anew without one";
         commands.push(Command::Alarm(text.into()));
-        self.slot = NOBODY;
+        self.slot = NO_SLOT;
         self.forget_replicas(now, commands);
         let me = self.random.next_u64() | 1;
         let table = self.voter_slots.voter_set().clone();
@@ -92,11 +92,11 @@
         self.voter_slots.count_silence(now, 2 * WAKE);
         self.voter_slots.retry_write(now, commands);
         self.wake_handover(now, commands);
-        if self.slot == NOBODY {
+        if self.slot == NO_SLOT {
             return self.voter_slots.request_slot(now, commands);
         }
         self.voter_slots.fill_in_zone(self.slot, commands);
-        self.voter_slots.show_alive(now, self.slot, commands);
+        self.voter_slots.send_keepalives(now, self.slot, commands);
     }
 }
 
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -44,10 +44,10 @@
     /// all that have their slots from the beginning did answer. They must be a majority
     /// still, or what was accepted since might be held by others alone.
     fn is_first_boot(&self, group: VoterGroup) -> bool {
-        let is_original = |slot: &VoterSlot| group.firsts >> *slot & 1 == 1;
+        let is_original = |slot: &VoterSlot| group.initial_holders >> *slot & 1 == 1;
         group.first
             && is_original(&group.slot)
-            && group.firsts.count_ones() as usize >= majority(group.size)
+            && group.initial_holders.count_ones() as usize >= majority(group.size)
             && self.statuses.iter().flatten().all(ReplicaStatus::is_blank)
             && others(group)
                 .filter(is_original)
--- a/crates/core/src/replication/waiting_changes.rs
+++ b/crates/core/src/replication/waiting_changes.rs
@@ -95,7 +95,7 @@
         }
         let accepted_at = *change.accepted_at.get_or_insert(now);
         let copies = self.replicas_with(change.revision);
-        let all_have_it = copies >= group.taken.count_ones();
+        let all_have_it = copies >= group.occupied.count_ones();
         if !all_have_it && since(accepted_at, now) < LAST_REPLICAS_WAIT {
             return None;
         }
--- a/crates/core/src/storage/voter_file.rs
+++ b/crates/core/src/storage/voter_file.rs
@@ -7,7 +7,8 @@
 use crate::protocol::shape::decode;
 use crate::storage::format::{DISK_VERSION, RECORD_LIMIT};
 use crate::voter_set::{
-    VoterSet, first_holder, first_table, merge, seat_of, told_holder, told_table,
+    VoterSet, fixed_replica_id, fixed_voter_set, initial_replica_id, initial_voter_set, merge,
+    slot_of,
 };
 
 /// First bytes of the file.
@@ -75,22 +76,22 @@
     let fresh = |table: VoterSet| (VoterFile { me: nonce | 1, first: false, table }, !bare);
     match (found, p.slot) {
         (found, Some(slot)) => {
-            let told = told_table(&p.seeds);
-            let me = found.as_ref().map_or(told_holder(slot), |r| r.me);
+            let told = fixed_voter_set(&p.seeds);
+            let me = found.as_ref().map_or(fixed_replica_id(slot), |r| r.me);
             let table = found.and_then(|r| merge(&told, &r.table)).unwrap_or(told);
-            match seat_of(&table, me) {
-                Some(_) => (VoterFile { me, first: me == told_holder(slot), table }, false),
+            match slot_of(&table, me) {
+                Some(_) => (VoterFile { me, first: me == fixed_replica_id(slot), table }, false),
                 // It was given to another while we were down.
                 None => fresh(table),
             }
         }
-        (Some(roll), None) if seat_of(&roll.table, roll.me).is_some() => (roll, false),
+        (Some(roll), None) if slot_of(&roll.table, roll.me).is_some() => (roll, false),
         // Never more than an applicant: the id stays, one may be granted to it.
         (Some(roll), None) if bare => (roll, false),
         (Some(roll), None) => fresh(roll.table),
         (None, None) if p.first && bare && p.seeds.contains(&p.addr) => {
-            let table = first_table(&p.seeds, p.size);
-            (VoterFile { me: first_holder(&p.addr), first: true, table }, false)
+            let table = initial_voter_set(&p.seeds, p.size);
+            (VoterFile { me: initial_replica_id(&p.addr), first: true, table }, false)
         }
         (None, None) => fresh(VoterSet::default()),
     }
--- a/crates/core/src/voter_set.rs
+++ b/crates/core/src/voter_set.rs
@@ -7,9 +7,9 @@
 use crate::identifiers::VoterSlot;
 
 /// The slot of a controller that holds none.
-pub const NOBODY: VoterSlot = VoterSlot::MAX;
+pub const NO_SLOT: VoterSlot = VoterSlot::MAX;
 /// Generation of the holders with which a cluster begins.
-pub const FIRST: u32 = 1;
+pub const FIRST_GENERATION: u32 = 1;
 
 /// Who holds a voter slot.
 ///
@@ -39,9 +39,9 @@
     /// All slots, vacant ones counted.
     pub size: usize,
     /// Slots that somebody holds, as bits.
-    pub taken: u16,
+    pub occupied: u16,
     /// Slots that their first holder still has, as bits.
-    pub firsts: u16,
+    pub initial_holders: u16,
     /// Whether this controller's disk began with the cluster.
     pub first: bool,
 }
@@ -52,23 +52,23 @@
 }
 
 /// The group as the holder of `slot` sees it.
-pub fn group(table: &VoterSet, slot: VoterSlot, first: bool) -> VoterGroup {
+pub fn group(voter_set: &VoterSet, slot: VoterSlot, first: bool) -> VoterGroup {
     let bits = |fits: &dyn Fn(&SlotHolder) -> bool| {
-        let list = table.slots.iter().enumerate();
+        let list = voter_set.slots.iter().enumerate();
         list.filter(|(_, h)| fits(h)).fold(0u16, |bits, (i, _)| bits | 1 << i)
     };
     VoterGroup {
         slot,
-        size: table.slots.len(),
-        taken: bits(&|h| h.holder != 0),
-        firsts: bits(&|h| h.generation == FIRST),
+        size: voter_set.slots.len(),
+        occupied: bits(&|h| h.holder != 0),
+        initial_holders: bits(&|h| h.generation == FIRST_GENERATION),
         first,
     }
 }
 
 /// Every other slot that somebody holds.
 pub fn others(g: VoterGroup) -> impl Iterator<Item = VoterSlot> {
-    (0..g.size as VoterSlot).filter(move |s| *s != g.slot && g.taken >> *s & 1 == 1)
+    (0..g.size as VoterSlot).filter(move |s| *s != g.slot && g.occupied >> *s & 1 == 1)
 }
 
 /// Generations of a slot between two takeovers (count): those between are
@@ -85,7 +85,7 @@
 /// The generation of the successor to whom a holder hands its slot, if one is
 /// left before the next takeover's.
 pub fn after_handover(generation: u32) -> Option<u32> {
-    let next = generation.max(FIRST) + 1;
+    let next = generation.max(FIRST_GENERATION) + 1;
     (!next.is_multiple_of(GENERATION_STRIDE)).then_some(next)
 }
 
@@ -95,15 +95,15 @@
 }
 
 /// A number that two voter sets share only if the same replicas hold the slots.
-pub fn stamp(table: &VoterSet) -> u64 {
+pub fn stamp(voter_set: &VoterSet) -> u64 {
     let text: String =
-        table.slots.iter().map(|h| format!("{}.{:x}/", h.generation, h.holder)).collect();
+        voter_set.slots.iter().map(|h| format!("{}.{:x}/", h.generation, h.holder)).collect();
     hash(&text)
 }
 
 /// The slot of a replica.
-pub fn seat_of(table: &VoterSet, holder: u64) -> Option<VoterSlot> {
-    let at = table.slots.iter().position(|h| holder != 0 && h.holder == holder)?;
+pub fn slot_of(voter_set: &VoterSet, holder: u64) -> Option<VoterSlot> {
+    let at = voter_set.slots.iter().position(|h| holder != 0 && h.holder == holder)?;
     Some(at as VoterSlot)
 }
 
@@ -132,22 +132,22 @@
 }
 
 /// The replica id with which a slot begins at an address.
-pub fn first_holder(addr: &str) -> u64 {
+pub fn initial_replica_id(addr: &str) -> u64 {
     hash(addr) | 1
 }
 
 /// The voter set with which a cluster begins: its seeds hold the first slots, the
 /// others are vacant. With fewer seeds than a majority nobody could ever vote, so
 /// there are fewer slots then.
-pub fn first_table(seeds: &[String], size: usize) -> VoterSet {
+pub fn initial_voter_set(seeds: &[String], size: usize) -> VoterSet {
     let mut size = size.min(usize::from(consts::MAX_VOTER_SLOTS));
     if seeds.len() < majority(size) {
         size = (seeds.len().max(1) - 1) | 1;
     }
     let slot = |i: usize| match seeds.get(i) {
         Some(addr) => SlotHolder {
-            generation: FIRST,
-            holder: first_holder(addr),
+            generation: FIRST_GENERATION,
+            holder: initial_replica_id(addr),
             addr: addr.clone(),
             zone: String::new(),
         },
@@ -158,10 +158,10 @@
 
 /// The voter set of a cluster whose controllers are given their slots: the seeds in
 /// their order. Replicas are known by their slot, so an operator may move one.
-pub fn told_table(seeds: &[String]) -> VoterSet {
+pub fn fixed_voter_set(seeds: &[String]) -> VoterSet {
     let slot = |(i, addr): (usize, &String)| SlotHolder {
-        generation: FIRST,
-        holder: told_holder(i as VoterSlot),
+        generation: FIRST_GENERATION,
+        holder: fixed_replica_id(i as VoterSlot),
         addr: addr.clone(),
         zone: String::new(),
     };
@@ -169,20 +169,20 @@
 }
 
 /// The replica id of a controller that is given its slot.
-pub fn told_holder(slot: VoterSlot) -> u64 {
+pub fn fixed_replica_id(slot: VoterSlot) -> u64 {
     u64::from(slot) + 1
 }
 
 /// Whether a zone may have slot `k`: none comes to hold so many that its loss
 /// would take the majority, unless one does already.
-pub fn balanced(table: &VoterSet, k: VoterSlot, zone: &str) -> bool {
-    let size = table.slots.len();
+pub fn keeps_zones_balanced(voter_set: &VoterSet, k: VoterSlot, zone: &str) -> bool {
+    let size = voter_set.slots.len();
     let count = |zone: &str, without: Option<VoterSlot>| {
-        let list = table.slots.iter().enumerate();
+        let list = voter_set.slots.iter().enumerate();
         list.filter(|(i, h)| h.holder != 0 && h.zone == zone && Some(*i as VoterSlot) != without)
             .count()
     };
-    let worst = table.slots.iter().map(|h| count(&h.zone, None)).max().unwrap_or(0);
+    let worst = voter_set.slots.iter().map(|h| count(&h.zone, None)).max().unwrap_or(0);
     let after = count(zone, Some(k)) + 1;
     zone.is_empty() || after <= (size - majority(size)).max(worst)
 }
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -26,20 +26,20 @@
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::time::{SECOND, Span, Tick, ms, since};
-use crate::voter_set::{SlotHolder, VoterSet, after_handover, balanced};
+use crate::voter_set::{SlotHolder, VoterSet, after_handover, keeps_zones_balanced};
 
 /// Silence after which a slot's replica may be replaced. Five times the interval at which
 /// it shows that it lives, and more than a restart takes; replacing it costs a whole copy
 /// of the state.
-pub(super) const REPLACE_AFTER_SILENCE: Span = ms(2_500);
+pub(super) const VOTER_REPLACEMENT_TIMEOUT: Span = ms(2_500);
 
 /// How often a handover of a voter slot is offered or sent again: above a few round trips
 /// and two syncs of a slow disk.
-pub const HANDOVER_RETRY: Span = ms(150);
+pub const HANDOVER_RETRY_INTERVAL: Span = ms(150);
 
 /// How long a controller that was asked to stop tries to hand its voter slot over. Half of
 /// the usual time between SIGTERM and SIGKILL.
-pub const HANDOVER_PATIENCE: Span = 3 * SECOND;
+pub const HANDOVER_TIMEOUT: Span = 3 * SECOND;
 
 /// A controller without a voter slot that asked us for one.
 pub struct Applicant {
@@ -90,7 +90,7 @@
         asked: Option<OfferSent>,
     },
     /// The voter set without us is on its way to our disk.
-    Yielding {
+    Resigning {
         /// Our slot.
         slot: VoterSlot,
         /// Replica id of the spare that takes it over.
@@ -164,12 +164,12 @@
     pub fn may_end(&self, now: Tick, is_waiting: impl Fn(u64) -> bool) -> bool {
         let Some(departure) = &self.departure else { return false };
         let Stage::Answering { operations } = &departure.stage else { return false };
-        since(departure.began_at, now) >= HANDOVER_PATIENCE
+        since(departure.began_at, now) >= HANDOVER_TIMEOUT
             || !operations.iter().any(|operation| is_waiting(*operation))
     }
 
     /// Notes that a spare asked us for a slot.
-    pub fn note_applicant(&mut self, replica_id: u64, applicant: Applicant) {
+    pub fn record_applicant(&mut self, replica_id: u64, applicant: Applicant) {
         self.applicants.insert(replica_id, applicant);
     }
 
@@ -189,7 +189,7 @@
         let generation = next_generation(voter_set, slot)?;
         let fits = |(replica_id, applicant): &(&u64, &Applicant)| {
             let has_slot = voter_set.slots.iter().any(|h| h.holder == **replica_id);
-            !has_slot && balanced(voter_set, slot, &applicant.zone)
+            !has_slot && keeps_zones_balanced(voter_set, slot, &applicant.zone)
         };
         self.applicants
             .iter()
@@ -210,7 +210,8 @@
     /// Whether we may agree to take over a slot: we don't leave, wait for no other one,
     /// and did not claim one just now.
     pub fn may_reserve(&self, now: Tick, slot: VoterSlot, generation: u32) -> bool {
-        let has_claimed = self.claimed_at.is_some_and(|at| since(at, now) < REPLACE_AFTER_SILENCE);
+        let has_claimed =
+            self.claimed_at.is_some_and(|at| since(at, now) < VOTER_REPLACEMENT_TIMEOUT);
         let waits_for_other = self.reservation.as_ref().is_some_and(|reserved| {
             now < reserved.until && (reserved.slot, reserved.generation) != (slot, generation)
         });
@@ -219,7 +220,7 @@
 
     /// Waits for a slot that was offered to us.
     pub fn reserve(&mut self, now: Tick, slot: VoterSlot, generation: u32) {
-        let until = now + HANDOVER_PATIENCE;
+        let until = now + HANDOVER_TIMEOUT;
         self.reservation = Some(Reservation { slot, generation, until });
     }
 
@@ -237,7 +238,7 @@
             return None;
         };
         // After a pause of ours the spare may wait for us no more.
-        let is_fresh = since(asked.at, now) < 2 * HANDOVER_RETRY;
+        let is_fresh = since(asked.at, now) < 2 * HANDOVER_RETRY_INTERVAL;
         let has_slot = newest.slots.iter().any(|h| h.holder == asked.replica_id);
         let is_asked = asked.replica_id == holder.holder
             && next_generation(newest, slot) == Some(holder.generation);
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -7,12 +7,14 @@
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::time::{SECOND, Span, Tick, ms, since};
-use crate::voter_set::{NOBODY, SlotHolder, VoterSet, after_takeover, balanced, majority};
-use crate::voters::handover::REPLACE_AFTER_SILENCE;
+use crate::voter_set::{
+    NO_SLOT, SlotHolder, VoterSet, after_takeover, keeps_zones_balanced, majority,
+};
+use crate::voters::handover::VOTER_REPLACEMENT_TIMEOUT;
 use crate::voters::voter_slots::{JoinOffer, VoterSlots};
 
 /// How long a vacant slot is kept for a zone that balances the slots better.
-const BALANCE_WAIT: Span = 10 * SECOND;
+const ZONE_BALANCE_TIMEOUT: Span = 10 * SECOND;
 
 /// How often a controller without a slot asks for one, and so hears who lives.
 const JOIN_REQUEST_INTERVAL: Span = ms(500);
@@ -46,15 +48,26 @@
     }
 
     /// The slots that we, the holder of `own`, would give to a candidate.
-    pub fn slots_for(&self, now: Tick, own: VoterSlot, candidate: Candidate) -> Vec<VoterSlot> {
+    pub fn grantable_slots(
+        &self,
+        now: Tick,
+        own: VoterSlot,
+        candidate: Candidate,
+    ) -> Vec<VoterSlot> {
         let size = self.voter_set().slots.len() as VoterSlot;
-        (0..size).filter(|slot| self.would_give(now, own, *slot, candidate)).collect()
+        (0..size).filter(|slot| self.would_grant(now, own, *slot, candidate)).collect()
     }
 
     /// Whether we, the holder of `own`, would give `slot` to a candidate: it is vacant,
     /// or it is the candidate's own from before its disk was lost, or its replica is
     /// silent.
-    fn would_give(&self, now: Tick, own: VoterSlot, slot: VoterSlot, candidate: Candidate) -> bool {
+    fn would_grant(
+        &self,
+        now: Tick,
+        own: VoterSlot,
+        slot: VoterSlot,
+        candidate: Candidate,
+    ) -> bool {
         let voter_set = self.newest();
         let Some(holder) = voter_set.slots.get(usize::from(slot)) else { return false };
         if slot == own || holder.holder == candidate.replica_id {
@@ -69,12 +82,12 @@
         if voter_set.slots.iter().any(has_another) {
             return false;
         }
-        let fits = balanced(voter_set, slot, candidate.zone);
+        let fits = keeps_zones_balanced(voter_set, slot, candidate.zone);
         if holder.holder == 0 {
-            return fits || since(self.started_at, now) >= BALANCE_WAIT;
+            return fits || since(self.started_at, now) >= ZONE_BALANCE_TIMEOUT;
         }
         let silence = self.silence.get(usize::from(slot));
-        fits && silence.is_some_and(|silence| *silence >= REPLACE_AFTER_SILENCE)
+        fits && silence.is_some_and(|silence| *silence >= VOTER_REPLACEMENT_TIMEOUT)
     }
 
     /// A voter says which slots it would give us, who have none. We claim one that a
@@ -149,7 +162,7 @@
     ) -> Option<VoterSet> {
         let candidate =
             Candidate { replica_id: holder.holder, addr: &holder.addr, zone: &holder.zone };
-        if own == NOBODY || !self.would_give(now, own, slot, candidate) {
+        if own == NO_SLOT || !self.would_grant(now, own, slot, candidate) {
             return None;
         }
         let mut voter_set = self.newest().clone();
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -9,15 +9,15 @@
 use crate::replication::timing::DISK_STALL;
 use crate::storage::voter_file::VoterFile;
 use crate::time::{Span, Tick, ms, since};
-use crate::voter_set::{VoterGroup, VoterSet, ballot, group, merge, others, seat_of, stamp};
+use crate::voter_set::{VoterGroup, VoterSet, ballot, group, merge, others, slot_of, stamp};
 use crate::voters::handover::Handovers;
 use crate::voters::stamp::stamp_of_mut;
 
 /// How often a voter shows another that it lives, if nothing else does.
-const ALIVE_INTERVAL: Span = ms(500);
+const KEEPALIVE_INTERVAL: Span = ms(500);
 
 /// Least time between two sendings of the voter set to a voter that has another.
-const VOTER_SET_RESEND: Span = ms(200);
+const VOTER_SET_RESEND_INTERVAL: Span = ms(200);
 
 /// What a controller knows of the voter slots.
 ///
@@ -39,12 +39,12 @@
     /// When this process started.
     pub started_at: Tick,
     /// When silence was last counted.
-    pub woken_at: Tick,
+    pub silence_counted_at: Tick,
     /// For how long each slot's replica was not heard, while we were awake: a process
     /// that was paused must not take its pause for others' silence.
     pub silence: Vec<Span>,
     /// When we last sent something to each slot.
-    pub sent: Vec<Tick>,
+    pub last_sent_at: Vec<Tick>,
     /// When we last sent each slot the voter set because it had another.
     pub voter_set_sent_at: Vec<Tick>,
     /// Connections that others opened to us.
@@ -54,7 +54,7 @@
     /// The slots that each voter would give us, while we have none.
     pub offers: Vec<Option<JoinOffer>>,
     /// Counts the requests that were forwarded without a slot, to spread them.
-    pub forwarding_turns: usize,
+    pub forwarded_without_slot: usize,
     /// Handovers of slots, ours and others'.
     pub handovers: Handovers,
 }
@@ -102,14 +102,14 @@
             pending_write: None,
             last_token: 0,
             started_at: now,
-            woken_at: now,
+            silence_counted_at: now,
             silence: vec![0; size],
-            sent: vec![0; size],
+            last_sent_at: vec![0; size],
             voter_set_sent_at: vec![0; size],
             connections: IndexSet::new(),
             join_request_at: now,
             offers: vec![None; size],
-            forwarding_turns: 0,
+            forwarded_without_slot: 0,
             handovers: Handovers::default(),
         }
     }
@@ -141,7 +141,7 @@
     }
 
     /// Takes in a voter set that somebody sent.
-    pub fn learn(&mut self, theirs: &VoterSet, commands: &mut Vec<Command>) {
+    pub fn merge_voter_set(&mut self, theirs: &VoterSet, commands: &mut Vec<Command>) {
         if let Some(merged) = merge(self.newest(), theirs) {
             self.write_voter_set(merged, commands);
         }
@@ -203,7 +203,7 @@
         self.stamp = stamp(self.voter_set());
         let size = self.voter_set().slots.len();
         self.silence.resize(size, 0);
-        self.sent.resize(size, 0);
+        self.last_sent_at.resize(size, 0);
         self.voter_set_sent_at.resize(size, 0);
         self.offers = vec![None; size];
         let held = |voter_set: &VoterSet, slot: usize| voter_set.slots.get(slot).map(ballot);
@@ -212,7 +212,7 @@
     }
 
     /// Says which slots changed hands. Their new replicas were not silent yet.
-    pub fn announce_moves(&mut self, moved: &[bool], commands: &mut Vec<Command>) {
+    pub fn report_changed_slots(&mut self, moved: &[bool], commands: &mut Vec<Command>) {
         for (slot, _) in moved.iter().enumerate().filter(|(_, moved)| **moved) {
             self.silence[slot] = 0;
             let holder = &self.voter_file.table.slots[slot];
@@ -258,7 +258,7 @@
         commands: &mut Vec<Command>,
     ) {
         let Some(at) = self.voter_set_sent_at.get_mut(usize::from(slot)) else { return };
-        if since(*at, now) >= VOTER_SET_RESEND {
+        if since(*at, now) >= VOTER_SET_RESEND_INTERVAL {
             *at = now;
             self.send_voter_set(connection, commands);
         }
@@ -272,9 +272,9 @@
         theirs: &VoterSet,
         commands: &mut Vec<Command>,
     ) {
-        self.learn(theirs, commands);
+        self.merge_voter_set(theirs, commands);
         if merge(theirs, self.voter_set()).is_some()
-            && let Some(slot) = seat_of(self.voter_set(), replica_id)
+            && let Some(slot) = slot_of(self.voter_set(), replica_id)
         {
             commands.push(Command::ToVoter { slot, message: self.update_message() });
         }
@@ -287,7 +287,7 @@
             if let Some(stamp) = stamp_of_mut(message) {
                 *stamp = self.stamp;
             }
-            if let Some(at) = self.sent.get_mut(usize::from(*slot)) {
+            if let Some(at) = self.last_sent_at.get_mut(usize::from(*slot)) {
                 *at = now;
             }
         }
@@ -295,8 +295,8 @@
 
     /// Counts everybody's silence since the last time, but at most `longest`.
     pub fn count_silence(&mut self, now: Tick, longest: Span) {
-        let passed = since(self.woken_at, now).min(longest);
-        self.woken_at = now;
+        let passed = since(self.silence_counted_at, now).min(longest);
+        self.silence_counted_at = now;
         for silence in &mut self.silence {
             *silence += passed;
         }
@@ -315,9 +315,9 @@
 
     /// Shows the other voters that the holder of `slot` lives, where nothing else did
     /// lately.
-    pub fn show_alive(&self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
+    pub fn send_keepalives(&self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
         for slot in others(self.group(slot)) {
-            if since(self.sent[usize::from(slot)], now) >= ALIVE_INTERVAL {
+            if since(self.last_sent_at[usize::from(slot)], now) >= KEEPALIVE_INTERVAL {
                 commands.push(Command::ToVoter { slot, message: Message::VoterAlive { stamp: 0 } });
             }
         }
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -21,7 +21,7 @@
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
-use grebepath_core::voter_set::told_holder;
+use grebepath_core::voter_set::fixed_replica_id;
 
 /// One way between two controllers, and one write to a disk.
 const LATENCY: Span = ms(1);
@@ -390,7 +390,7 @@
             let slot = node as u8;
             let connection = voter_connection(node, cluster.nodes[node].life);
             let event =
-                Event::FromVoter { slot, replica_id: told_holder(slot), connection, message };
+                Event::FromVoter { slot, replica_id: fixed_replica_id(slot), connection, message };
             let after = transit(cluster, node, to);
             push(cluster, to, after, Delivery::Event(event));
         }
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -14,7 +14,7 @@
 use grebepath_core::protocol::message::{FeedPosition, Message};
 use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_core::time::{BOOT, Tick, ms};
-use grebepath_core::voter_set::{told_holder, told_table};
+use grebepath_core::voter_set::{fixed_replica_id, fixed_voter_set};
 
 fn member(n: usize) -> Member {
     let (name, addr) = (format!("m{n}"), format!("10.0.0.{n}:1"));
@@ -37,7 +37,7 @@
 fn starts() -> NodeAgent {
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
     let mut w = NodeAgent::new(member(0), BOOT);
-    w.step(BOOT, Event::VoterSet(told_table(&seeds)));
+    w.step(BOOT, Event::VoterSet(fixed_voter_set(&seeds)));
     w.subscribe_at = BOOT;
     w
 }
@@ -47,7 +47,7 @@
     let mut w = NodeAgent::new(member(0), BOOT);
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
     (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (true, true, BOOT);
-    w.step(BOOT, Event::VoterSet(told_table(&seeds)));
+    w.step(BOOT, Event::VoterSet(fixed_voter_set(&seeds)));
     w
 }
 
@@ -152,7 +152,7 @@
 #[gtest]
 fn who_only_asks_is_shown_how_far_we_are_and_nothing_else() {
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
-    let roll = VoterFile { me: told_holder(0), first: true, table: told_table(&seeds) };
+    let roll = VoterFile { me: fixed_replica_id(0), first: true, table: fixed_voter_set(&seeds) };
     let mut c = controller::ControllerState::new(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
     let stamp = c.voter_slots.stamp;
     c.partitions[0].committed.insert("zone/a".into(), vec![1]);
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -16,8 +16,9 @@
 use grebepath_core::storage::voter_file::{Start, VoterFile, begin, read, write};
 use grebepath_core::time::{BOOT, SECOND, Tick};
 use grebepath_core::voter_set::{
-    NOBODY, SlotHolder, VoterSet, after_handover, after_takeover, balanced, first_holder,
-    first_table, majority, merge, stamp, told_holder, told_table,
+    NO_SLOT, SlotHolder, VoterSet, after_handover, after_takeover, fixed_replica_id,
+    fixed_voter_set, initial_replica_id, initial_voter_set, keeps_zones_balanced, majority, merge,
+    stamp,
 };
 
 fn addr(n: usize) -> String {
@@ -37,7 +38,7 @@
 
 #[googletest::test]
 fn tables_merge_alike_in_any_order() {
-    let base = first_table(&seeds(3), 5);
+    let base = initial_voter_set(&seeds(3), 5);
     let news = [
         held(&base, 1, 2, 70),
         held(&base, 1, 2, 71),
@@ -55,14 +56,14 @@
     expect_that!(merge(&want, &base), none());
     expect_that!(stamp(&want), not(eq(stamp(&base))));
     // Another size is another fleet's.
-    expect_that!(merge(&base, &first_table(&seeds(3), 3)), none());
+    expect_that!(merge(&base, &initial_voter_set(&seeds(3), 3)), none());
     expect_that!(merge(&VoterSet::default(), &base), some(eq(&base)));
 }
 
 #[googletest::test]
 fn a_fleet_never_begins_with_more_seats_than_its_seeds_can_form() {
     for (n, size, want) in [(3, 5, 5), (3, 3, 3), (2, 5, 1), (1, 3, 1), (4, 9, 3), (5, 9, 9)] {
-        let table = first_table(&seeds(n), size);
+        let table = initial_voter_set(&seeds(n), size);
         expect_that!(table.slots.len(), eq(want), "{n} seeds, {size} seats");
         let there = table.slots.iter().filter(|h| h.holder != 0).count();
         expect_that!(there, ge(majority(want)));
@@ -71,22 +72,22 @@
 
 #[googletest::test]
 fn no_zone_gains_what_would_cost_the_majority() {
-    let mut table = first_table(&seeds(5), 5);
+    let mut table = initial_voter_set(&seeds(5), 5);
     for (h, zone) in table.slots.iter_mut().zip(["a", "a", "b", "b", "c"]) {
         h.zone = zone.into();
     }
-    expect_that!(balanced(&table, 4, "a"), eq(false));
-    expect_that!(balanced(&table, 4, "c"), eq(true));
-    expect_that!(balanced(&table, 0, "a"), eq(true));
-    expect_that!(balanced(&table, 0, "c"), eq(true));
+    expect_that!(keeps_zones_balanced(&table, 4, "a"), eq(false));
+    expect_that!(keeps_zones_balanced(&table, 4, "c"), eq(true));
+    expect_that!(keeps_zones_balanced(&table, 0, "a"), eq(true));
+    expect_that!(keeps_zones_balanced(&table, 0, "c"), eq(true));
     // One zone has it all already: it can't get worse.
     table.slots.iter_mut().for_each(|h| h.zone = "a".into());
-    expect_that!(balanced(&table, 0, "a"), eq(true));
+    expect_that!(keeps_zones_balanced(&table, 0, "a"), eq(true));
 }
 
 #[googletest::test]
 fn a_damaged_roll_is_no_roll() {
-    let roll = VoterFile { me: 77, first: true, table: first_table(&seeds(3), 5) };
+    let roll = VoterFile { me: 77, first: true, table: initial_voter_set(&seeds(3), 5) };
     let raw = write(&roll);
     expect_that!(read(&raw), some(eq(&roll)));
     for bit in 0..raw.len() * 8 {
@@ -110,7 +111,7 @@
     };
     // The first of all.
     let (roll, clear) = begin(None, &start(None, true, 1), true, 50);
-    expect_that!((roll.me, roll.first, clear), eq((first_holder(&addr(1)), true, false)));
+    expect_that!((roll.me, roll.first, clear), eq((initial_replica_id(&addr(1)), true, false)));
     // A machine that is no seed, a lost disk, and files without a roll.
     for (first, n, bare) in [(true, 5, true), (false, 1, true), (true, 1, false), (false, 1, false)]
     {
@@ -119,7 +120,8 @@
         expect_that!(roll.table.slots.is_empty(), eq(true));
     }
     // The table on disk wins over any seeds and any `first`.
-    let mine = VoterFile { me: 9, first: false, table: held(&first_table(&seeds(3), 3), 2, 4, 9) };
+    let mine =
+        VoterFile { me: 9, first: false, table: held(&initial_voter_set(&seeds(3), 3), 2, 4, 9) };
     let (roll, clear) = begin(Some(mine.clone()), &start(None, true, 1), false, 50);
     expect_that!((&roll, clear), eq((&mine, false)));
     // Its seat was given away: the files are of another life.
@@ -128,9 +130,12 @@
     expect_that!((roll.me, clear), eq((51, true)));
     // Told its seat: by the seeds, unless the seat was given to another.
     let (roll, clear) = begin(None, &start(Some(1), false, 1), true, 50);
-    expect_that!((roll.me, roll.first, clear), eq((told_holder(1), true, false)));
-    let taken =
-        VoterFile { me: told_holder(1), first: true, table: held(&told_table(&seeds(3)), 1, 2, 9) };
+    expect_that!((roll.me, roll.first, clear), eq((fixed_replica_id(1), true, false)));
+    let taken = VoterFile {
+        me: fixed_replica_id(1),
+        first: true,
+        table: held(&fixed_voter_set(&seeds(3)), 1, 2, 9),
+    };
     let (roll, clear) = begin(Some(taken), &start(Some(1), false, 1), false, 50);
     expect_that!((roll.me, clear), eq((51, true)));
 }
@@ -142,7 +147,7 @@
 }
 
 fn bench(slot: VoterSlot) -> Bench {
-    let mut table = first_table(&seeds(3), 3);
+    let mut table = initial_voter_set(&seeds(3), 3);
     for (h, zone) in table.slots.iter_mut().zip(["a", "b", "c"]) {
         h.zone = zone.into();
     }
@@ -357,7 +362,7 @@
     // What the old holder still says is nobody's word.
     let late = Event::FromVoter {
         slot: 2,
-        replica_id: first_holder(&addr(2)),
+        replica_id: initial_replica_id(&addr(2)),
         connection: 2,
         message: Message::AppendAck {
             partition,
@@ -389,7 +394,7 @@
     });
     // Our own seat is another's: everything is given up, under a new name.
     let todo = b.core.step(b.now, Event::VoterFileWritten { token: token.unwrap() });
-    expect_that!(b.core.slot, eq(NOBODY));
+    expect_that!(b.core.slot, eq(NO_SLOT));
     expect_that!(
         b.core.partitions.iter().all(|p| p.condition == ReplicaCondition::Empty),
         eq(true)
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -9,7 +9,7 @@
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::protocol::operation::OperationResult;
 use grebepath_core::protocol::peer::PeerIdentity;
-use grebepath_core::voter_set::NOBODY;
+use grebepath_core::voter_set::NO_SLOT;
 use grebepath_runtime::clock::duration;
 use grebepath_runtime::connections::Connections;
 use grebepath_runtime::peer_connection::{ConnectionEvent, Greeting, MessageSender};
@@ -196,7 +196,7 @@
 fn identity(state: &ControllerState) -> PeerIdentity {
     let holder = state.voter_slots.voter_file.me;
     match state.slot {
-        NOBODY => PeerIdentity::Spare { replica_id: holder },
+        NO_SLOT => PeerIdentity::Spare { replica_id: holder },
         slot => PeerIdentity::Voter { slot, replica_id: holder },
     }
 }
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -13,7 +13,7 @@
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::leafs_in;
 use grebepath_core::time::{MILLI, Tick, since};
-use grebepath_core::voter_set::{NOBODY, SlotHolder};
+use grebepath_core::voter_set::{NO_SLOT, SlotHolder};
 use serde_json::{Value, json};
 
 fn role(p: &Partition) -> &'static str {
@@ -53,7 +53,7 @@
         })
         .collect();
     let seats: Vec<Value> = core.voter_slots.voter_file.table.slots.iter().map(seat).collect();
-    let own = (core.slot != NOBODY).then_some(core.slot);
+    let own = (core.slot != NO_SLOT).then_some(core.slot);
     json!({
         "seat": own, "zone": zone, "parts": parts, "seats": seats,
         "uncovered": uncovered(core),
--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -12,7 +12,7 @@
 use grebepath_core::query::{engine, event, quota};
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
-use grebepath_core::voter_set::seat_of;
+use grebepath_core::voter_set::slot_of;
 use grebepath_runtime::connections::Connections;
 use grebepath_runtime::http::client::HttpClient;
 use grebepath_runtime::peer_connection::{ConnectionEvent, Greeting, MessageSender, dial};
@@ -159,7 +159,7 @@
                         Some(Event::VoterSet(table))
                     }
                     // Who has no voter slot has no say.
-                    message => seat_of(&agent.voter_set, holder)
+                    message => slot_of(&agent.voter_set, holder)
                         .map(|slot| Event::FromVoter { slot, message }),
                 }
             }
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -37,7 +37,7 @@
 impl ControllerNode {
     /// Whether its controller has a voter slot.
     pub fn has_voter_slot(&self) -> bool {
-        self.state.slot != grebepath_core::voter_set::NOBODY
+        self.state.slot != grebepath_core::voter_set::NO_SLOT
     }
 
     /// The end of its connections, as the controller of this number.
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -6,7 +6,7 @@
 use grebepath_core::protocol::message::Message;
 use grebepath_core::query::engine::QueryEngine;
 use grebepath_core::time::{BOOT, ms};
-use grebepath_core::voter_set::seat_of;
+use grebepath_core::voter_set::slot_of;
 
 use super::build::member;
 use super::controllers::start_delay;
@@ -125,7 +125,7 @@
             {
                 return;
             }
-            message => match seat_of(&self.queriers[querier].node_agent.voter_set, holder) {
+            message => match slot_of(&self.queriers[querier].node_agent.voter_set, holder) {
                 Some(slot) => node_agent::Event::FromVoter { slot, message },
                 None => return,
             },
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -95,7 +95,7 @@
     assert!(world.rules.violations.is_empty(), "{:?}", world.rules.violations);
     assert_eq!(
         (holder(&world, 1), world.controllers[3].state.slot),
-        (None, grebepath_core::voter_set::NOBODY)
+        (None, grebepath_core::voter_set::NO_SLOT)
     );
 }
 
@@ -135,7 +135,7 @@
         sound("cut off", &s, |world, _| {
             assert_eq!(holder(world, cut as u8), Some(3));
             // The old holder is a spare now, under another name.
-            assert_eq!(world.controllers[cut].state.slot, grebepath_core::voter_set::NOBODY);
+            assert_eq!(world.controllers[cut].state.slot, grebepath_core::voter_set::NO_SLOT);
         });
     }
 }
@@ -253,7 +253,7 @@
             matches!(world.operator_requests[id].result, Some(OperationResult::Accepted { .. }))
         };
         let spares: Vec<usize> = (0..5)
-            .filter(|n| world.controllers[*n].state.slot == grebepath_core::voter_set::NOBODY)
+            .filter(|n| world.controllers[*n].state.slot == grebepath_core::voter_set::NO_SLOT)
             .collect();
         assert_eq!(spares.len(), 2);
         for spare in &spares {
