--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -1,8 +1,8 @@
-//! The lease of a querier: renewals that were sent, and grants that count.
+//! The lease of a querier: renewals that were sent, and grants that were received.
 //!
-//! A grant counts from the moment that its renewal was *sent*, and only once the
-//! configuration that it names is obeyed. Both keep the lease from being trusted for
-//! longer here than the leader keeps it.
+//! A grant extends the lease from the moment its renewal was *sent*, and only once the
+//! configuration revision that it names is applied. Both rules keep this querier from relying on
+//! the lease for longer than the leader keeps it.
 
 use std::collections::BTreeMap;
 
@@ -12,21 +12,21 @@
 /// How often a member renews its lease.
 pub(super) const RENEWAL_INTERVAL: Span = ms(500);
 
-/// The same for a member that has no lease yet, and for one that lacks updates that it
-/// needs to serve at all.
+/// Renewal interval of a member without a lease, and subscription interval of a member that
+/// still lacks updates which it needs in order to serve.
 pub const STARTUP_RETRY_INTERVAL: Span = ms(100);
 
-/// After this long without renewal, counted from when the renewal was sent, a member
-/// no longer trusts its lease. Shorter than `consts::LEASE_DURATION`, so that it knows before the
-/// leader gives its share to others.
+/// Time after which a member no longer relies on its lease, counted from when the last granted
+/// renewal was sent. Shorter than `consts::LEASE_DURATION`, so that the member stops before the
+/// leader gives its quota share to others.
 pub(super) const LEASE_VALIDITY: Span = ms(2_600);
 
-/// After this long without renewal a member asks its neighbours to forward its
-/// renewals: two lost in a row.
+/// Time since the last granted renewal after which a member asks its neighbours to forward its
+/// renewals: two in a row were lost.
 pub(super) const RENEWAL_OVERDUE: Span = ms(1_100);
 
-/// Renewals and grants that are kept (count): several more than are on their way
-/// at a time, at one renewal in `STARTUP_RETRY_INTERVAL`.
+/// Maximum number of unanswered renewals and of unapplied grants that are kept: several more
+/// than are in flight at a time with one renewal every `STARTUP_RETRY_INTERVAL`.
 const MAX_PENDING_RENEWALS: usize = 16;
 
 /// The lease of this querier.
@@ -34,14 +34,13 @@
 pub struct Lease {
     /// Number of the last renewal that was sent.
     pub last_number: u64,
-    /// When each renewal that is not yet granted was sent, by number.
+    /// When each renewal that is not granted yet was sent, by number.
     pub unanswered: BTreeMap<u64, Tick>,
-    /// Grants whose configuration is not obeyed yet.
+    /// Grants whose configuration revision is not applied yet.
     pub pending_grants: Vec<PendingGrant>,
-    /// When the newest renewal was sent of those whose grant counts; zero before
-    /// the first.
+    /// When the newest renewal with an effective grant was sent; zero before the first.
     pub renewed_at: Tick,
-    /// Whether a grant ever counted.
+    /// Whether a grant was ever effective.
     pub granted: bool,
     /// The voter slot through which the last grant came.
     pub slot: Option<VoterSlot>,
@@ -49,21 +48,21 @@
     pub renew_at: Tick,
 }
 
-/// A grant whose configuration is not obeyed yet.
+/// A grant whose configuration revision is not applied yet.
 pub struct PendingGrant {
-    /// The configuration revision that must be obeyed.
+    /// The configuration revision that must be applied before the grant is effective.
     pub revision: u64,
     /// When the renewal was sent.
     pub sent_at: Tick,
 }
 
 impl Lease {
-    /// Until when the lease is trusted; zero if there was none.
+    /// Returns until when the lease is valid; zero if it was never granted.
     pub fn valid_until(&self) -> Tick {
         if self.granted { self.renewed_at + LEASE_VALIDITY } else { 0 }
     }
 
-    /// Notes a renewal that is sent now and returns its number.
+    /// Records a renewal that is sent now and returns its number.
     pub(super) fn next_renewal(&mut self, now: Tick) -> u64 {
         let period = if self.granted { RENEWAL_INTERVAL } else { STARTUP_RETRY_INTERVAL };
         self.renew_at = now + period;
@@ -75,7 +74,7 @@
         self.last_number
     }
 
-    /// Notes the grant of a renewal; tells whether it was still waited for.
+    /// Records the grant of a renewal. Returns whether that renewal was still unanswered.
     pub(super) fn on_granted(
         &mut self,
         slot: Option<VoterSlot>,
@@ -89,7 +88,7 @@
         true
     }
 
-    /// Takes up the grants that name no newer configuration than `obeyed`.
+    /// Makes the grants effective that name no newer configuration than `applied`.
     pub(super) fn apply_grants(&mut self, obeyed: u64) {
         for grant in &self.pending_grants {
             if grant.revision <= obeyed {
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -1,4 +1,5 @@
-//! The state of a querier's node agent, its events and its commands.
+//! The state of a querier's node agent, the events that it handles and the commands that it
+//! issues.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -26,116 +27,119 @@
 use crate::time::{Span, Tick, ms};
 use crate::voter_set::{VoterSet, ballot, merge, stamp};
 
-/// Time that a stopping querier leaves between "not ready" and rejecting new calls,
-/// unless it is told otherwise: the platform checks readiness each second.
+/// Time between the moment a stopping querier reports "not ready" and the moment it rejects new
+/// calls, unless the process is configured otherwise. The platform checks readiness each second.
 const DRAIN_NOTICE: Span = ms(1_500);
 
-/// What a querier knows of the cluster, and what it has told its traffic threads.
+/// What a querier knows of the cluster, and what it last sent to its traffic threads.
 ///
-/// Invariants: a partition's revision in `partitions` only rises; `configuration`
-/// was built from the entries at `configuration_revision`; a view is published only
-/// after `is_caught_up`.
+/// Invariants: the revision of each partition in `partitions` only rises; `configuration` was
+/// built from the entries at `configuration_revision`; a view is published only after
+/// `is_caught_up` is set.
 pub struct NodeAgent {
-    /// This querier, as the controllers and the other members are told.
+    /// This querier, as the controllers and the other members know it.
     pub member: Member,
     /// When this process started.
     pub started_at: Tick,
-    /// Every partition as this querier holds it.
+    /// Every partition of the state, as this querier holds it.
     pub partitions: BTreeMap<PartitionId, PartitionState>,
-    /// How far each voter slot last said it has accepted each partition.
+    /// The revision of each partition that each voter slot last reported as accepted.
     pub voter_positions: Vec<Vec<FeedPosition>>,
-    /// The voter slots and their replicas; empty until a controller told us.
+    /// The voter slots and their replicas; empty until a controller has sent the voter set.
     pub voter_set: VoterSet,
     /// Stamp of `voter_set`.
     pub voter_set_stamp: u64,
-    /// Whether the first view is known not to be an old one.
+    /// Whether this querier holds at least the revisions that it or another member applied
+    /// before this process started, so that its first view is not outdated.
     pub is_caught_up: bool,
-    /// The configuration that is obeyed.
+    /// The configuration that is applied.
     pub configuration: Arc<RoutingTable>,
-    /// What our threads have seen of versions that are tried.
+    /// What the traffic threads of this querier have observed of versions on trial.
     pub rollout_votes: RolloutVotes,
-    /// Revision of the first configuration that was obeyed; zero before.
+    /// Revision of the first configuration that was applied; zero before.
     pub first_revision: u64,
-    /// Until when our threads may try versions.
+    /// Until when the traffic threads may send attempts to versions on trial.
     pub trials_until: Tick,
-    /// Leafs of versions that are not in force (count).
+    /// Number of leafs whose version is not in force.
     pub withheld_leafs: usize,
-    /// The newest rollout of each service, by the configuration that is obeyed.
+    /// The newest rollout of each service in the applied configuration.
     pub rollouts: Vec<Rollout>,
-    /// Revision of `configuration`; zero before the first.
+    /// Revision of `configuration`; zero before the first one is applied.
     pub configuration_revision: u64,
-    /// The view that the traffic threads were last given.
+    /// The view that was last sent to the traffic threads.
     pub view: Option<Arc<ClusterView>>,
-    /// Whether what is held differs from `view`.
+    /// Whether the partitions or the leaf reports have changed since `view` was built.
     pub view_is_stale: bool,
-    /// When updates of endpoints are next made into a view; a new configuration is
+    /// When the next view with changed leafs may be published. A view of a new configuration is
     /// published at once.
     pub next_publish_at: Tick,
-    /// The newest membership that we were told.
+    /// The newest membership that was received.
     pub membership: Membership,
-    /// What follows from `membership`.
+    /// Neighbours and assignments of this member, computed from `membership`.
     pub ring: NeighbourRing,
-    /// Among whom the cluster's quotas are divided, as last commanded.
+    /// The members that divide the cluster's quotas, as last commanded.
     pub quota_members: Vec<QuotaMember>,
-    /// Who opens connections to leafs, as last commanded.
+    /// The members that open connections to leafs, as last commanded.
     pub leaf_clients: Vec<LeafClient>,
-    /// Our lease.
+    /// The lease of this querier.
     pub lease: Lease,
-    /// Other members, by name, as they last answered.
+    /// The last gossip response of each other member, by name.
     pub peers: IndexMap<String, Peer>,
-    /// What we can prove about the members while the controllers are silent.
+    /// Attestations of the other members, collected while the controllers are out of reach.
     pub proofs: Proofs,
-    /// The newest configuration revision that we know to be committed.
+    /// The newest configuration revision that is known to be committed.
     pub known_revision: u64,
-    /// Whether a view of ours ever held leafs for a quorum of each search, or of
-    /// some for a while: a search without leafs must not hold up the rest.
+    /// Whether a view ever had leafs for a quorum of shards of every search, or for some
+    /// searches for `STARTUP_TIMEOUT`. One search without leafs must not keep the querier from
+    /// becoming ready for the others.
     pub has_served: bool,
-    /// Since when a view of ours holds leafs for a quorum of some search.
+    /// Since when the view has leafs for a quorum of shards of at least one search.
     pub partially_serving_since: Option<Tick>,
-    /// Since when others hear from the controllers and we don't.
+    /// Since when other members reach the controllers while this querier does not.
     pub individually_isolated_since: Option<Tick>,
-    /// Until when the traffic threads may act on their view, as last commanded.
+    /// Until when the traffic threads may use their view, as last commanded.
     pub serving_until: Tick,
-    /// Which calls are taken, as last commanded.
+    /// Whether calls are admitted, as last commanded.
     pub admission: ServingState,
     /// Whether this querier is ready, as last commanded.
     pub ready: bool,
     /// When the process was asked to stop.
     pub stopping_since: Option<Tick>,
-    /// Time from then until new calls are rejected.
+    /// Time between that request and the rejection of new calls.
     pub drain_notice: Span,
-    /// No call is in flight any more; the lease may be given back.
+    /// Whether no call is in flight any more after a stop, so that the lease may be released.
     pub is_drained: bool,
     /// When the voters are next asked for updates.
     pub subscribe_at: Tick,
-    /// Which voters send us updates.
+    /// Which voters send updates to this querier.
     pub feed: FeedSources,
-    /// When we last asked our neighbours.
+    /// When gossip requests were last sent.
     pub last_gossip_at: Tick,
-    /// The last word that we poll the list in place of silent members.
+    /// The last message of the leader that makes this member poll the platform's list in place
+    /// of members that do not answer.
     pub substitute_list_rank: Option<SubstituteListRank>,
-    /// When we last polled the platform's list of leafs.
+    /// When the platform's list of leafs was last polled.
     pub last_list_poll_at: Tick,
-    /// When we last heard of a leaf that is gone; zero before that.
+    /// When a leaf was last reported as gone; zero before that.
     pub last_leaf_gone_at: Tick,
-    /// When the leafs assigned to us are next health-checked.
+    /// When the leafs assigned to this member are next health-checked.
     pub probe_at: Tick,
-    /// When reports that say an age alone are next sent, all together.
+    /// When reports that only carry a leaf's age are next sent, all together.
     pub age_reports_at: Tick,
-    /// Reports of leafs, by leaf, that the update stream does not show yet. Until
-    /// it does, our own view shows them: the controllers may be out of reach for
-    /// long.
+    /// Reports of leafs that the update stream does not contain yet, by leaf. Until it does,
+    /// they are applied to this querier's own view, since the controllers may be out of reach
+    /// for long.
     pub leaf_reports: BTreeMap<String, PendingLeafReport>,
-    /// Reports or updates came since `leaf_reports` was last compared with the
+    /// Whether reports or updates arrived since `leaf_reports` was last compared with the
     /// partitions.
     pub reports_need_check: bool,
-    /// Members whose renewals we forwarded, with the time of the last one.
+    /// Members whose lease renewals were forwarded, with the time of the last one.
     pub forwarded_renewals: BTreeMap<String, Tick>,
-    /// What is counted for the metrics.
+    /// Counters that are exported as metrics.
     pub counters: Counters,
 }
 
-/// A partition as a querier holds it.
+/// A partition of the state, as a querier holds it.
 #[derive(Default)]
 pub struct PartitionState {
     /// Revision of `entries`; zero before the first update.
@@ -144,12 +148,12 @@
     pub entries: EntryMap,
 }
 
-/// A member among whom the cluster's quotas are divided.
+/// A member that has a share of the cluster's quotas.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct QuotaMember {
     /// The member's name.
     pub name: String,
-    /// Its traffic threads (count), each of which has its own share.
+    /// Number of its traffic threads, each of which has its own share.
     pub threads: u32,
 }
 
@@ -158,67 +162,67 @@
 pub struct LeafClient {
     /// The member's name.
     pub name: String,
-    /// Its traffic threads (count).
+    /// Number of its traffic threads.
     pub threads: u32,
     /// Its zone.
     pub zone: String,
 }
 
-/// Counters of a node agent since its start (counts).
+/// Counters of a node agent since its start.
 #[derive(Clone, Default, Debug)]
 pub struct Counters {
     /// Updates of partitions that were applied.
     pub updates: u64,
-    /// Those of them that came from members.
+    /// Applied updates that came from other members.
     pub updates_from_members: u64,
     /// Views that were published.
     pub views: u64,
     /// Polls of the platform's list.
     pub list_polls: u64,
-    /// Those of them that were made in place of silent members.
+    /// Polls of the list that were made in place of members that do not answer.
     pub substitute_list_polls: u64,
-    /// Polls that failed.
+    /// Polls of the list that failed.
     pub list_failures: u64,
     /// Health checks that were started.
     pub probes: u64,
-    /// Times that this querier was cut off.
+    /// Times that this querier's lease lapsed and it could not prove that it may serve on.
     pub lease_lapses: u64,
-    /// Renewals of members that were forwarded to a voter.
+    /// Lease renewals of other members that were forwarded to a voter.
     pub forwarded_renewals: u64,
-    /// Reports of leafs that members sent and that were new to us.
+    /// Leaf reports that other members sent and that were new to this querier.
     pub leaf_reports_from_members: u64,
 }
 
-/// What happens to a node agent.
+/// An input of the node agent.
 pub enum Event {
     /// A voter sent a message.
     FromVoter {
-        /// The slot that it holds by our voter set.
+        /// The slot that it holds in this querier's voter set.
         slot: VoterSlot,
-        /// What it sent.
+        /// The message.
         message: Message,
     },
     /// Another member sent a message.
     FromMember {
         /// The member's name.
         name: String,
-        /// What it sent.
+        /// The message.
         message: Message,
     },
-    /// A controller told its voter set.
+    /// A controller sent its voter set.
     VoterSet(VoterSet),
     /// A leaf reported on itself, to a traffic thread or to a health check.
     LeafReport {
         /// The leaf's service.
         service: String,
-        /// What it reported.
+        /// The report.
         report: LeafReport,
     },
-    /// What a traffic thread has seen of a version that is tried, since the trial began.
+    /// What a traffic thread has observed of a version on trial since the trial began.
     TrialEvidence {
         /// The thread's stable number.
         thread: u64,
-        /// What it has seen.
+        /// The observations.
         evidence: TrialEvidence,
     },
     /// A poll of the platform's list has ended.
@@ -227,17 +231,17 @@
     Stop,
     /// The traffic threads have no call in flight any more.
     Drained,
-    /// Time passes; comes at least every [`step::WAKE`](super::step::WAKE).
+    /// A timer tick; comes at least every [`step::WAKE`](super::step::WAKE).
     Wake,
 }
 
-/// What a node agent wants done by the process that drives it.
+/// An action that the process which drives the node agent carries out.
 pub enum Command {
     /// Send a message to a voter.
     ToVoter {
         /// The voter's slot.
         slot: VoterSlot,
-        /// What to send.
+        /// The message.
         message: Message,
     },
     /// Send a message to another member.
@@ -246,43 +250,43 @@
         name: String,
         /// Its address.
         addr: String,
-        /// What to send.
+        /// The message.
         message: Message,
     },
     /// Send a message to every controller whose address is known.
     Broadcast {
-        /// What to send.
+        /// The message.
         message: Message,
     },
-    /// The voter set changed: open and drop connections accordingly.
+    /// Open and close connections to controllers as the new voter set requires.
     VoterSetChanged,
-    /// Give the traffic threads a view.
+    /// Send a view to the traffic threads.
     ClusterView(Arc<ClusterView>),
-    /// The members among whom the cluster's quotas are divided; empty while we
-    /// have no share.
+    /// Divide the cluster's quotas among these members; empty while this querier has no share.
     QuotaMembers(Vec<QuotaMember>),
-    /// All members that open connections to leafs. Unlike quotas these are
-    /// told before the membership is settled; a subset of connections that
-    /// members do not agree on for a moment costs a reset connection at most.
+    /// Divide connections to leafs among these members. Unlike quotas, this list is sent before
+    /// the membership is settled: members that disagree for a moment on their subsets cost at
+    /// most a reset connection.
     LeafClients(Vec<LeafClient>),
-    /// Which calls are taken.
+    /// Admit or reject calls.
     Admission(ServingState),
-    /// Until when the traffic threads may act on their view, if nothing else is said.
+    /// Let the traffic threads use their view until then, unless a later command changes the
+    /// time.
     ServingUntil(Tick),
-    /// Versions may be tried until then.
+    /// Allow attempts to versions on trial until then.
     TrialsUntil(Tick),
-    /// Whether this querier is ready.
+    /// Report this querier as ready or not ready.
     Ready(bool),
     /// Poll the platform's list.
     PollLeafList,
     /// Health-check these leafs.
     ProbeLeafs(Vec<Arc<LeafInfo>>),
-    /// Something an operator must hear of.
+    /// Report a condition to the operators.
     Alarm(String),
 }
 
 impl NodeAgent {
-    /// The agent of a querier that knows nothing yet.
+    /// Creates the agent of a querier that has not received anything yet.
     pub fn new(member: Member, now: Tick) -> NodeAgent {
         NodeAgent {
             member,
@@ -334,8 +338,9 @@
         }
     }
 
-    /// Takes in a voter set. Where an operator moves a replica by telling all
-    /// processes its new address, the last word stands.
+    /// Merges a voter set that a controller or another member sent. An operator moves a replica
+    /// to another address by sending the new address to all processes, so of two addresses of
+    /// the same holder the one received last applies.
     pub(super) fn on_voter_set(&mut self, theirs: &VoterSet, commands: &mut Vec<Command>) {
         let mut merged = merge(&self.voter_set, theirs).unwrap_or_else(|| self.voter_set.clone());
         for (ours, told) in merged.slots.iter_mut().zip(&theirs.slots) {
@@ -348,7 +353,7 @@
         }
         self.voter_positions.resize(merged.slots.len(), Vec::new());
         for (index, holder) in merged.slots.iter().enumerate() {
-            // What the former replica said does not count for its successor.
+            // Positions that the former replica reported do not count for its successor.
             if self.voter_set.slots.get(index).map(ballot) != Some(ballot(holder)) {
                 self.voter_positions[index].clear();
                 self.feed.answered_at.remove(&(index as VoterSlot));
@@ -362,13 +367,13 @@
         commands.push(Command::VoterSetChanged);
     }
 
-    /// Every voter slot that a replica holds.
+    /// Returns every voter slot that a replica holds.
     pub(super) fn occupied_slots(&self) -> Vec<VoterSlot> {
         let slots = self.voter_set.slots.iter().enumerate();
         slots.filter(|(_, h)| h.holder != 0).map(|(i, _)| i as VoterSlot).collect()
     }
 
-    /// How far we are in every partition.
+    /// Returns the revision of every partition that this querier holds.
     pub(super) fn positions(&self) -> Vec<FeedPosition> {
         self.partitions
             .iter()
@@ -376,7 +381,8 @@
             .collect()
     }
 
-    /// Sends a message to the voter that serves us, or to all while none does.
+    /// Sends a message to the voter through which the lease was last granted, or to all voters
+    /// if there is none.
     pub(super) fn send_to_controllers(&self, message: Message, commands: &mut Vec<Command>) {
         match self.lease.slot {
             Some(slot) => commands.push(Command::ToVoter { slot, message }),
@@ -391,7 +397,7 @@
         }
     }
 
-    /// Sends a message to a member of the membership.
+    /// Sends a message to a member of the current membership, if it has one of this name.
     pub(super) fn send_to_member(&self, name: &str, message: Message, commands: &mut Vec<Command>) {
         let Some(member) = self.membership.members.iter().find(|m| m.name == name) else { return };
         commands.push(Command::ToMember {
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -1,12 +1,14 @@
-//! Whether this querier takes calls and is ready, and among whom quotas are divided.
+//! Decides whether this querier admits calls and is ready, and which members divide the quotas.
 //!
-//! Without a granted renewal for `TENURE_TRUST` the lease has lapsed. Then:
-//! - we can prove that all but very few members know of nothing newer and do not
-//!   hear the controllers either: the controllers are out of reach for all, and we
-//!   serve our last view on with our last share (`attestation`). Controllers that
-//!   live accept no change and give nobody's share away without one of those;
-//! - else we are cut off, alone or with others: we turn not ready and then reject
-//!   calls, before the leader gives our share away.
+//! Without a granted renewal for `LEASE_VALIDITY` the lease has lapsed. Then one of two cases
+//! applies:
+//! - This querier can prove that all but very few members know of nothing newer and do not reach
+//!   the controllers either. The controllers are then out of reach for everyone, and the querier
+//!   goes on serving its last view with its last quota share (`attestation`). Running
+//!   controllers accept no change and reassign no quota share without one of the members that
+//!   attested.
+//! - Otherwise this querier is cut off, alone or with others. It becomes not ready and then
+//!   rejects calls, before the leader reassigns its quota share.
 
 use crate::membership::gossip::GOSSIP_INTERVAL;
 use crate::membership::lease::{LEASE_VALIDITY, RENEWAL_INTERVAL, RENEWAL_OVERDUE};
@@ -16,26 +18,27 @@
 use crate::query::engine::ServingState;
 use crate::time::{Span, Tick, ms, since};
 
-/// A lone cut-off member turns not ready after this long without the controllers, a
-/// second before it rejects calls: the platform checks readiness each second.
+/// A member that alone has lost the controllers becomes not ready after this long without a
+/// renewal. That is one second before it rejects calls, since the platform checks readiness each
+/// second.
 const ISOLATED_READINESS_TIMEOUT: Span = ms(1_600);
 
-/// A member that can't prove by then that it may serve on turns not ready: a round
-/// before its lease ends.
+/// A member that has not proved by then that it may go on serving becomes not ready: one gossip
+/// round before its lease ends.
 const UNPROVED_READINESS_TIMEOUT: Span = LEASE_VALIDITY - GOSSIP_INTERVAL;
 
-/// What is known of our way to the controllers at one moment.
+/// The state of the connection to the controllers at one moment.
 struct ControllerContact {
-    /// Age of the controllers' last word.
+    /// Time since the last renewal that the controllers granted.
     age: Span,
-    /// Others hear the controllers and we don't.
+    /// Whether other members reach the controllers and this one does not.
     is_individually_isolated: bool,
-    /// Until when proofs allow to serve without a lease; zero if they don't.
+    /// Until when attestations allow this querier to serve without a lease; zero if they do not.
     proved_until: Tick,
 }
 
 impl NodeAgent {
-    /// Decides admission, readiness and quotas, and commands what changed.
+    /// Decides admission, readiness and quotas, and issues commands for what has changed.
     pub(super) fn decide(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let contact = self.controller_contact(now);
         let admission = self.decide_admission(now, &contact);
@@ -62,8 +65,9 @@
 
     fn controller_contact(&mut self, now: Tick) -> ControllerContact {
         let age = self.time_since_renewal(now);
-        // Somebody near hears the controllers and we don't, for longer than a
-        // renewal takes: then it is we who are cut off, not they who are gone.
+        // If a peer has reached the controllers within the time in which a renewal becomes
+        // overdue, and this querier has not, then this querier is isolated rather than the
+        // controllers being down.
         let hears = |peer: &Peer| {
             peer.time_since_renewal + since(peer.request_sent_at, now) < RENEWAL_OVERDUE
         };
@@ -74,7 +78,7 @@
         let is_individually_isolated = self
             .individually_isolated_since
             .is_some_and(|at| since(at, now) >= 2 * RENEWAL_INTERVAL);
-        // Proofs are gathered only while they may be needed.
+        // Attestations are gathered only while they may be needed.
         let proved_until = if self.must_attest(now) && !is_individually_isolated {
             self.proved_until()
         } else {
@@ -89,8 +93,8 @@
 
     fn decide_admission(&self, now: Tick, contact: &ControllerContact) -> ServingState {
         let lapsed = contact.age >= LEASE_VALIDITY;
-        // The platform needs a moment to see that we are not ready: until then
-        // callers still come, and are served.
+        // The platform takes up to a check interval to see that this querier is not ready. Until
+        // then callers still send calls, and these are served.
         let stopping = self.stopping_since.is_some_and(|at| since(at, now) >= self.drain_notice);
         match (&self.view, stopping) {
             (_, true) => ServingState::ShuttingDown,
@@ -100,9 +104,11 @@
         }
     }
 
-    /// The traffic threads look at this themselves before they act: a process that
-    /// was paused wakes with an old limit and does nothing until it has a new one. Before
-    /// that they are given all that is known of the leafs.
+    /// Updates the time until which the traffic threads may use their view.
+    ///
+    /// The traffic threads compare it with the clock before they act: a process that was paused
+    /// resumes with an expired limit and does nothing until it receives a new one. Before the
+    /// new limit, a view with everything known of the leafs is published.
     fn update_serving_until(
         &mut self,
         now: Tick,
@@ -125,8 +131,8 @@
         self.update_trials_until(commands);
     }
 
-    /// Versions are tried under a lease of the controllers alone: whoever serves on by proofs may
-    /// not know that a trial has ended.
+    /// Updates the time until which versions on trial may receive attempts. It follows the lease
+    /// alone: a member that serves without a lease may not know that a trial has ended.
     fn update_trials_until(&mut self, commands: &mut Vec<Command>) {
         let has_trials = self.view.as_ref().is_some_and(|view| !view.trials.is_empty());
         let trials_until = if has_trials { self.lease.valid_until() } else { 0 };
@@ -158,13 +164,15 @@
         }
     }
 
-    /// Commands among whom the cluster's quotas are divided, if that has changed.
+    /// Divides the cluster's quotas among the members, and issues a command if the division has
+    /// changed.
     ///
-    /// A share needs a settled place in the membership; once had, it is kept while
-    /// the controllers are out of reach for the group. Controllers that have
-    /// forgotten us and take us in anew must not make us drop it. Nor may we take the
-    /// share of one that was let go before the leader knows that nobody serves on by
-    /// the former membership: until all is settled we divide by everyone old and new.
+    /// A member gets a share only once its join is settled; it keeps the share while the
+    /// controllers are out of reach for the whole group. A member whose share was granted keeps
+    /// it when controllers that have lost their state admit it as a new member. A share that was
+    /// freed by a removed member is not used before the leader knows that no member serves by
+    /// the former membership: until everything is settled, the quotas are divided by all members
+    /// of both memberships.
     fn divide_quotas(&mut self, cut_off: bool, commands: &mut Vec<Command>) {
         let membership = &self.membership;
         let own = membership.members.iter().find(|m| m.name == self.member.name);
@@ -175,8 +183,9 @@
             .collect();
         let settled = own.is_some_and(|m| m.joined <= membership.settled);
         let all_settled = settled && membership.settled == membership.turn;
-        // A leader that knew nobody says early who is there: that we are not among
-        // them yet, while nothing is settled, does not mean that we are gone.
+        // A leader that has lost its state sends a membership before all members have
+        // registered. While nothing is settled, being absent from it does not mean that this
+        // member was removed.
         let gone = own.is_none() && membership.settled > 0;
         if cut_off || gone || (!settled && self.quota_members.is_empty()) {
             members.clear();
@@ -192,7 +201,7 @@
         }
     }
 
-    /// Commands who opens connections to leafs, if that has changed.
+    /// Issues a command if the members that open connections to leafs have changed.
     fn update_leaf_clients(&mut self, commands: &mut Vec<Command>) {
         let client = |m: &crate::protocol::membership::Member| LeafClient {
             name: m.name.clone(),
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -1,4 +1,4 @@
-//! Dispatch of a node agent's events.
+//! Event handling of the node agent: routes each event and each message to its handler.
 
 use crate::identifiers::{Term, VoterSlot};
 use crate::membership::gossip::Gossip;
@@ -9,11 +9,11 @@
 use crate::protocol::message::{FeedPosition, Message};
 use crate::time::{Span, Tick, ms};
 
-/// How often a node agent is woken at least: well below the shortest of its
-/// periods, the 100 ms between renewals of a member without a lease.
+/// Longest interval between two wake-ups of a node agent. Well below its shortest period, the
+/// 100 ms between renewals of a member without a lease.
 pub const WAKE: Span = ms(50);
 
-/// Who sent an update or a membership.
+/// The sender of an update or a membership.
 #[derive(Clone, Copy, PartialEq)]
 enum Source {
     Voter,
@@ -21,7 +21,7 @@
 }
 
 impl NodeAgent {
-    /// Takes one event and returns what is to be done.
+    /// Handles one event and returns the commands that follow from it.
     pub fn step(&mut self, now: Tick, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         match event {
@@ -64,7 +64,7 @@
         commands: &mut Vec<Command>,
     ) {
         match message {
-            // Under another voter set it may be about a replica that was replaced.
+            // With another stamp the message may concern a replica that has since been replaced.
             Message::FeedPositions { positions, stamp } if stamp == self.voter_set_stamp => {
                 self.on_feed_positions(now, slot, positions);
             }
@@ -115,7 +115,7 @@
             Message::Subscribe { positions, stamp } => {
                 self.on_member_subscribe(name, &positions, stamp, commands);
             }
-            // Forward a neighbour's renewal, if our own way to the controllers works.
+            // Forward the renewal only if this querier reaches the controllers itself.
             Message::RenewLease { member, number, progress } => {
                 if self.time_since_renewal(now) < RENEWAL_OVERDUE {
                     self.forwarded_renewals.insert(member.name.clone(), now);
@@ -143,7 +143,7 @@
         }
     }
 
-    /// A message that may come from a voter as well as from a member.
+    /// Handles a message that may come from a voter as well as from a member.
     fn on_update_message(&mut self, message: Message, source: Source, commands: &mut Vec<Command>) {
         match message {
             Message::Update { partition, from, revision, entries } => {
@@ -165,11 +165,12 @@
             self.record_known_revision(self.membership.revision);
         }
         self.ring = NeighbourRing::new(&self.membership, &self.member.name);
-        // That we have seen it lets others settle: say so at once.
+        // Other members' joins settle only when this member has reported the new membership:
+        // renew at once.
         self.lease.renew_at = 0;
     }
 
-    /// A member asks for what is newer here than at `positions`.
+    /// Answers a member that asks for everything newer than `positions`.
     fn on_member_subscribe(
         &self,
         name: &str,
