--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -1,6 +1,6 @@
-//! Work that one member does for all: polling the platform's list of leafs, and
-//! health-checking leafs. Each key has one holder, by [`super::neighbour_ring`]. While members
-//! are silent the leader of the configuration names others that poll the list.
+//! Work that one member does for all: polling the platform's list of leafs, and health-checking
+//! leafs. Each assignment has one holder, chosen by [`super::neighbour_ring`]. While members do
+//! not answer, the leader of the configuration names others that poll the list.
 
 use crate::consts;
 use crate::digest::hash;
@@ -13,31 +13,33 @@
 use crate::snapshot::leafs::{LeafInfo, leafs_in};
 use crate::time::{SECOND, Span, Tick, ms, since};
 
-/// How often who would hold the assignment next polls the platform's list: within the
-/// 3 s in which a leaving leaf must be known, with a second to spare for the way.
+/// How often the second-ranked member polls the platform's list: within the 3 s in which a
+/// leaving leaf must be known, with a second to spare for propagation.
 const STANDBY_LIST_POLL_INTERVAL: Span = ms(1_800);
 
-/// For how long the holder polls more often (`consts::LEAF_LIST_FAST_POLL_INTERVAL`) after word of a leaf
-/// that is gone.
+/// For how long the holder polls at `consts::LEAF_LIST_FAST_POLL_INTERVAL` after a leaf was
+/// reported as gone.
 const FAST_POLL_DURATION: Span = 3 * SECOND;
 
-/// How long a member polls the list in place of others after it was told to, which it is again
-/// with each grant of its lease: two of them, and the way.
+/// How long a member polls the list in place of others after the leader's message. The leader
+/// repeats it with each grant of the lease, so this covers two grants and their transmission.
 const SUBSTITUTE_RANK_VALIDITY: Span = ms(1_300);
 
 /// How often each leaf is health-checked, by one member for all.
 const PROBE_INTERVAL: Span = ms(1_000);
 
-/// Word of the leader that a member polls the list in place of silent ones.
+/// A message of the leader that makes this member poll the list in place of members that do not
+/// answer.
 pub struct SubstituteListRank {
-    /// The member's rank without them.
+    /// This member's rank when those members are left out.
     pub rank: usize,
-    /// When it was told.
+    /// When the message was received.
     pub received_at: Tick,
 }
 
 impl NodeAgent {
-    /// The leader says that we poll the list with this rank, in place of silent members.
+    /// Records that the leader wants this member to poll the list with this rank, in place of
+    /// members that do not answer.
     pub(super) fn on_substitute_list_poller(&mut self, now: Tick, incarnation: u64, rank: u32) {
         if incarnation == self.member.incarnation {
             self.substitute_list_rank =
@@ -45,34 +47,38 @@
         }
     }
 
-    /// Our rank in place of silent members, if it still holds.
+    /// Returns this member's rank in place of members that do not answer, unless the message is
+    /// too old.
     fn valid_substitute_list_rank(&self, now: Tick) -> Option<usize> {
-        let told = self.substitute_list_rank.as_ref();
-        told.filter(|told| since(told.received_at, now) < SUBSTITUTE_RANK_VALIDITY)
-            .map(|told| told.rank)
+        let received = self.substitute_list_rank.as_ref();
+        received
+            .filter(|received| since(received.received_at, now) < SUBSTITUTE_RANK_VALIDITY)
+            .map(|received| received.rank)
     }
 
-    /// Our rank among those that poll the list, by the membership and by the leader.
+    /// Returns this member's rank among those that poll the list, by the membership or by the
+    /// leader's message, whichever is higher.
     fn list_rank(&self, now: Tick) -> Option<usize> {
         let ranks = [self.ring.list_rank, self.valid_substitute_list_rank(now)];
         ranks.into_iter().flatten().min().filter(|rank| *rank < LIST_POLLERS)
     }
 
-    /// How often we poll the list: its holder often, and the next one seldom, so
-    /// that a holder that dies does not leave everyone blind until it is found silent.
-    /// Nobody knows what the others hear; it is polled sooner after word of a leaf
-    /// that is gone, since most come back under a new name.
+    /// Returns how often this member polls the list. The holder polls often and the
+    /// second-ranked member rarely, so that the list is still polled when a holder has died and
+    /// its silence has not been detected yet. Members do not know what the others receive. The
+    /// list is polled sooner after a leaf was reported as gone, since most leafs come back under
+    /// a new name.
     fn list_poll_period(&self, now: Tick) -> Option<Span> {
-        let hurried =
+        let polls_fast =
             since(self.last_leaf_gone_at, now) < FAST_POLL_DURATION && self.last_leaf_gone_at > 0;
         match self.list_rank(now)? {
-            0 if hurried => Some(consts::LEAF_LIST_FAST_POLL_INTERVAL),
+            0 if polls_fast => Some(consts::LEAF_LIST_FAST_POLL_INTERVAL),
             0 => Some(consts::LEAF_LIST_POLL_INTERVAL),
             _ => Some(STANDBY_LIST_POLL_INTERVAL),
         }
     }
 
-    /// The partitions for which we poll the list.
+    /// Returns the partitions for which this member polls the list.
     fn polled_partitions(&self, now: Tick) -> Vec<PartitionId> {
         match self.list_rank(now) {
             Some(_) => partitions().filter(|id| *id != CONFIG).collect(),
@@ -80,14 +86,14 @@
         }
     }
 
-    /// Whether we work on our assignments. A member that stops does until it gives its
-    /// lease back: only then do others know that they have its assignments, and every
-    /// member may be stopping at once.
+    /// Whether this member performs its assignments. A stopping member does so until it releases
+    /// its lease: only then do others know that they have its assignments, and every member may
+    /// be stopping at once.
     fn performs_assignments(&self) -> bool {
         !self.is_drained
     }
 
-    /// Polls the list if it is due and the assignment is ours under a good lease.
+    /// Polls the list if that is due, the assignment is this member's and its lease is valid.
     pub(super) fn poll_leaf_list(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let trusted = self.lease.granted && since(self.lease.renewed_at, now) < LEASE_VALIDITY;
         if !trusted || !self.performs_assignments() {
@@ -97,13 +103,13 @@
         if now >= self.last_list_poll_at + period {
             self.last_list_poll_at = now;
             self.counters.list_polls += 1;
-            let is_usual = self.ring.list_rank.is_some_and(|rank| rank < LIST_POLLERS);
-            self.counters.substitute_list_polls += u64::from(!is_usual);
+            let is_assigned = self.ring.list_rank.is_some_and(|rank| rank < LIST_POLLERS);
+            self.counters.substitute_list_polls += u64::from(!is_assigned);
             commands.push(Command::PollLeafList);
         }
     }
 
-    /// A poll has ended. One that failed says nothing about leafs.
+    /// Handles the result of a poll. A poll that failed says nothing about leafs.
     pub(super) fn on_leaf_list(
         &mut self,
         now: Tick,
@@ -121,12 +127,12 @@
         for partition in self.polled_partitions(now) {
             let listed: Vec<LeafInfo> =
                 leafs.iter().filter(|leaf| part_of(&leaf.service) == partition).cloned().collect();
-            self.on_listed(now, partition, listed, commands);
+            self.on_partition_list(now, partition, listed, commands);
         }
     }
 
-    /// The list names these leafs of a partition.
-    fn on_listed(
+    /// Handles the listed leafs of one partition.
+    fn on_partition_list(
         &mut self,
         now: Tick,
         partition: PartitionId,
@@ -136,9 +142,9 @@
         let is_known = self
             .partitions
             .get(&partition)
-            .map_or(listed.is_empty(), |p| shows(&p.entries, &listed));
-        // With the controllers out of reach nobody is told the list; that a leaf
-        // leaves can be said among members too.
+            .map_or(listed.is_empty(), |p| matches_list(&p.entries, &listed));
+        // While the controllers are out of reach, a list can't be reported to them. That a leaf
+        // is leaving can also be passed on between members.
         for info in listed.iter().filter(|info| info.leaving) {
             let report =
                 LeafReport { leaf: info.leaf.clone(), leaving: true, ..LeafReport::default() };
@@ -153,7 +159,7 @@
         }
     }
 
-    /// Health-checks the leafs whose keys are assigned to us, if it is due.
+    /// Health-checks the leafs whose keys are assigned to this member, if that is due.
     pub(super) fn probe_leafs(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let Some(view) = &self.view else { return };
         if now < self.probe_at || !self.performs_assignments() {
@@ -173,15 +179,15 @@
     }
 }
 
-/// Whether a partition's entries show all that the list says. The list knows no
-/// ages, and a leaf that leaves does so for good.
-fn shows(entries: &EntryMap, listed: &[LeafInfo]) -> bool {
+/// Whether a partition's entries contain everything that the list says. The list knows no ages,
+/// and a leaf that is leaving never stops leaving.
+fn matches_list(entries: &EntryMap, listed: &[LeafInfo]) -> bool {
     let known = leafs_in(entries);
-    let is_shown = |info: &LeafInfo| {
+    let is_known = |info: &LeafInfo| {
         known.get(&info.leaf).is_some_and(|known| {
             let leaving = known.leaving || info.leaving;
             LeafInfo { leaving, age_ms: known.age_ms, ..info.clone() } == *known
         })
     };
-    listed.len() == known.len() && listed.iter().all(is_shown)
+    listed.len() == known.len() && listed.iter().all(is_known)
 }
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -1,11 +1,11 @@
-//! Serving on without a lease: what members prove to each other while none of
-//! them hears the controllers.
+//! Serving without a lease: what members prove to each other while none of them reaches the
+//! controllers.
 //!
-//! A member that does not hear the controllers attests, when it is asked, which
-//! membership it goes by and the newest configuration it knows of. An attestation
-//! proves that nothing newer was accepted with its help before the question was
-//! asked. Members pass on how old their proofs are, so that each comes to hear of
-//! all in a few rounds, and counts them exactly (`crate::quorum`).
+//! A member that does not reach the controllers attests, on request, which membership it uses
+//! and the newest configuration it knows of. An attestation proves that nothing newer was
+//! accepted with this member's help before the request was sent. Members pass on the ages of the
+//! attestations that they hold, so that each member receives all of them in a few rounds and
+//! counts them exactly (`crate::quorum`).
 
 use crate::identifiers::Term;
 use crate::membership::lease::RENEWAL_INTERVAL;
@@ -13,25 +13,26 @@
 use crate::protocol::membership::Attestation;
 use crate::time::{MILLI, Span, Tick, since};
 
-/// Age of the controllers' last word from which members attest, and speak at
-/// `GOSSIP_INTERVAL`: one renewal is lost. Two more are sent before the lease would end
-/// at `LEASE_VALIDITY`.
+/// Time since the last granted renewal from which members attest, and exchange gossip at
+/// `GOSSIP_INTERVAL`: one renewal is lost by then. Two more are sent before the lease ends at
+/// `LEASE_VALIDITY`.
 const ATTEST_AFTER: Span = 2 * RENEWAL_INTERVAL;
 
 impl NodeAgent {
-    /// A configuration of this revision is known to exist.
+    /// Records that a configuration of this revision exists.
     pub(super) fn record_known_revision(&mut self, revision: u64) {
         self.known_revision = self.known_revision.max(revision);
     }
 
-    /// Whether the controllers were not heard for long enough to ask for proofs and
-    /// to give them.
+    /// Whether the controllers have been out of reach for long enough to request and give
+    /// attestations.
     pub(super) fn must_attest(&self, now: Tick) -> bool {
         self.time_since_renewal(now) >= ATTEST_AFTER
     }
 
-    /// What we attest now, if anything. Whoever hears the controllers attests
-    /// nothing: its membership lives on without those who don't.
+    /// Returns this member's attestation, if it gives one now. A member that reaches the
+    /// controllers attests nothing, because its membership goes on without those that do not
+    /// reach them.
     pub(super) fn attest(&mut self, now: Tick) -> Option<Attestation> {
         if !self.must_attest(now) || self.membership.term == Term::ZERO {
             return None;
@@ -39,13 +40,13 @@
         Some(self.proofs.attest(now, self.known_revision))
     }
 
-    /// Takes in an attestation that answers our question of `asked`. It counts only if
-    /// we lack nothing that the other holds (`is_behind`): who serves on by proofs must
-    /// not use leafs that the others know to be gone. Tells whether the other goes by a
-    /// newer membership.
+    /// Handles an attestation that answers the request sent at `request_sent_at`. It counts only
+    /// if this member lacks nothing that the other holds (`is_behind`), because a member that
+    /// serves without a lease must not use leafs that the others know to be gone. Returns
+    /// whether the other member uses a newer membership.
     pub(super) fn on_attestation(
         &mut self,
-        asked: Tick,
+        request_sent_at: Tick,
         attestation: &Attestation,
         is_behind: bool,
     ) -> bool {
@@ -54,29 +55,32 @@
         let counts = !is_behind
             && attestation.membership == ours
             && attestation.known_revision <= self.configuration_revision
-            && attestation.ages.len() == self.proofs.asked.len();
+            && attestation.ages.len() == self.proofs.proved_at.len();
         if counts {
-            self.proofs.accept(asked, attestation);
+            self.proofs.accept(request_sent_at, attestation);
         }
         attestation.membership > ours
     }
 
-    /// Until when proofs allow to serve without a lease; zero if they never did.
+    /// Returns until when attestations allow this member to serve without a lease; zero if they
+    /// never did.
     pub(super) fn proved_until(&mut self) -> Tick {
-        // Only who had a lease since its start has something to serve on with.
+        // A member without a lease since its start has no view to go on serving with.
         if self.lease.granted && self.known_revision <= self.configuration_revision {
             self.proofs.until = self.proofs.until.max(self.proofs.proved_until());
         }
         self.proofs.until
     }
 
-    /// Until when the proofs at hand allow to serve; zero if they don't.
+    /// Returns until when the attestations held now allow this member to serve; zero if they do
+    /// not.
     pub fn proof_expiry(&self) -> Tick {
         self.proofs.proved_until()
     }
 
-    /// How long ago we last attested, or started (ms).
-    pub(super) fn quiet_ms(&self, now: Tick) -> u64 {
+    /// Returns the time since this member last attested, or since its start if it never did
+    /// (ms).
+    pub(super) fn ms_since_attestation(&self, now: Tick) -> u64 {
         since(self.proofs.attested_at.max(self.started_at), now) / MILLI
     }
 }
--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -1,7 +1,9 @@
-//! Which voters send us updates. One does wholly. The others only say how far they
-//! are, which costs a fourth and shows at once when the one lacks something: then
-//! whoever is ahead sends us updates too until we have it. Without the controllers'
-//! word all send us updates, and so they do at a start, until we have a view and a
+//! Selection of the voters that send updates to this querier.
+//!
+//! One voter sends all updates. The others only report their positions, which costs a fourth as
+//! much and shows at once when the preferred voter lacks an update; a voter that is ahead then
+//! sends updates too until this querier has caught up. While no voter renews the lease, all
+//! voters send updates. They also do so during startup, until this querier has a view and a
 //! lease.
 
 use crate::identifiers::{BEYOND, COHORT, VoterSlot};
@@ -10,17 +12,17 @@
 use crate::protocol::message::{FeedPosition, Message};
 use crate::time::{Span, Tick, ms};
 
-/// How often a querier asks the voter that sends it updates for those it may have
-/// missed.
+/// How often a querier asks the voter that sends it updates for those it may have missed.
 pub const SUBSCRIBE_INTERVAL: Span = ms(400);
 
-/// How often it asks the other voters how far they are. Updates that its own voter lacks
-/// then come at most this, an interval and a round trip late: half of the 3 s in which a
-/// change must be obeyed.
+/// How often a querier asks the other voters for their positions. An update that the preferred
+/// voter lacks is late by at most this interval, one `SUBSCRIBE_INTERVAL` and a round trip: half
+/// of the 3 s in which a change must be applied.
 const POSITION_POLL_INTERVAL: Span = 2 * SUBSCRIBE_INTERVAL;
 
 impl NodeAgent {
-    /// Asks the voters for updates if it is time; without a view often, and all.
+    /// Asks the voters for updates if that is due: more often, and all of them, before there is
+    /// a view.
     pub(super) fn subscribe(&mut self, now: Tick, commands: &mut Vec<Command>) {
         if now < self.subscribe_at {
             return;
@@ -49,8 +51,8 @@
         }
     }
 
-    /// The message that asks for updates, and the one that only asks how far the
-    /// receiver is.
+    /// Returns the message that asks for updates, and the one that only asks for the receiver's
+    /// positions.
     fn subscriptions(&self) -> (Message, Message) {
         let mut positions = self.positions();
         positions
@@ -60,19 +62,20 @@
         (Message::Subscribe { positions, stamp }, Message::Subscribe { positions: beyond, stamp })
     }
 
-    /// Whether we are still starting: what waits for one voter then, the recovery of
-    /// the cluster from a restart of everything waits for.
+    /// Whether this querier is still starting. During startup it does not depend on a single
+    /// voter, since the recovery of the cluster after a restart of all processes would wait for
+    /// that voter too.
     fn is_starting(&self) -> bool {
         !self.is_caught_up || !self.lease.granted
     }
 
-    /// Whether we heard the controllers and do so no more.
+    /// Whether this querier had a lease and its renewals are now overdue.
     fn has_lost_controllers(&self, now: Tick) -> bool {
         self.lease.granted && self.time_since_renewal(now) >= RENEWAL_OVERDUE
     }
 
-    /// Whether a voter said that it is further than we are. It said so a period ago:
-    /// what is merely on its way to us has come since.
+    /// Whether a voter has reported a newer position than this querier's. The report is one
+    /// interval old, so updates that were merely in flight have arrived since.
     fn is_ahead(&self, slot: VoterSlot) -> bool {
         let Some(positions) = self.voter_positions.get(usize::from(slot)) else { return false };
         positions.iter().any(|theirs| match self.partitions.get(&theirs.partition) {
--- a/crates/core/src/membership/feed_sources.rs
+++ b/crates/core/src/membership/feed_sources.rs
@@ -1,4 +1,4 @@
-//! Which voter sends us updates.
+//! Choice of the voter that sends updates to this querier.
 
 use std::collections::BTreeMap;
 
@@ -6,24 +6,24 @@
 use crate::identifiers::VoterSlot;
 use crate::time::{Span, Tick, ms, since};
 
-/// A voter that did not say for this long how far it is sends us no updates: three asked
-/// in vain, less what the answer takes.
+/// A voter that has not reported its positions for this long is not used as the source of
+/// updates: three requests without a response, less the time that a response takes.
 pub const POSITION_REPORT_TIMEOUT: Span = ms(1_100);
 
 /// What is known of the voters as sources of updates.
 #[derive(Default)]
 pub struct FeedSources {
-    /// When each voter slot last said how far it is.
+    /// When each voter slot last reported its positions.
     pub answered_at: BTreeMap<VoterSlot, Tick>,
-    /// When those that send us no updates are next asked how far they are.
+    /// When the voters that send no updates are next asked for their positions.
     pub position_poll_at: Tick,
 }
 
 impl FeedSources {
-    /// The voter that sends us updates, of those in `slots`: the first by rendezvous
-    /// that answered lately, so that followers are spread evenly. At a start each
-    /// counts as having answered; a replica that has just taken its slot does not
-    /// before it answers.
+    /// Returns the voter among `slots` that sends updates: the first by rendezvous hashing that
+    /// has recently reported its positions, so that queriers are spread evenly over the voters.
+    /// At startup every voter counts as having reported; a replica that has just taken over its
+    /// slot does not until it reports.
     pub(super) fn preferred(
         &self,
         slots: &[VoterSlot],
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -1,5 +1,4 @@
-//! What members say to each other directly: how old their word from the
-//! controllers is, and how far they are.
+//! Gossip between members: how long ago each last renewed its lease, and its positions.
 
 use crate::identifiers::CONFIG;
 use crate::membership::lease::RENEWAL_OVERDUE;
@@ -9,41 +8,41 @@
 use crate::protocol::message::{FeedPosition, Message};
 use crate::time::{MILLI, SECOND, Span, Tick, ms, since};
 
-/// How often members speak with each other when the controllers are not heard:
-/// between `attestation::ATTEST_AFTER` and the end of a lease lie six rounds. Members'
-/// last renewals lie up to one renewal (two rounds) apart, which leaves four for proofs
-/// to go from neighbour to neighbour.
+/// How often members exchange gossip while the controllers are out of reach: six rounds fit
+/// between `attestation::ATTEST_AFTER` and the end of a lease. The last renewals of two members
+/// may be one renewal interval (two rounds) apart, which leaves four rounds for attestations to
+/// spread between neighbours.
 pub(super) const GOSSIP_INTERVAL: Span = ms(250);
 
-/// How often they do while the controllers are heard: nothing rests on it then, and this
-/// only finds connections that have died before they are needed.
+/// How often members exchange gossip while the controllers are reachable. Nothing depends on it
+/// then; it only detects dead connections before they are needed.
 const HEALTHY_GOSSIP_INTERVAL: Span = 2 * SECOND;
 
-/// A member is forgotten after this many times the silence in which it counts.
+/// A peer is dropped after this many times `PEER_TIMEOUT`.
 const PEER_RETENTION_TIMEOUTS: u64 = 4;
 
-/// A gossip message of a member, without its question.
+/// A gossip message of a member, without the member's name.
 pub(super) struct Gossip {
     pub(super) core_age_ms: u64,
     pub(super) ready: bool,
     pub(super) positions: Vec<FeedPosition>,
-    /// When the sender asked, by its clock.
+    /// For a request: when the sender sent it, by its own clock.
     pub(super) asked: Option<Tick>,
-    /// When we asked what this answers, by our clock.
+    /// For a response: when the request that it answers was sent, by this node's clock.
     pub(super) echo: Option<Tick>,
     pub(super) attestation: Option<Attestation>,
 }
 
 impl NodeAgent {
-    /// Members that answered us lately.
+    /// Returns the members that answered a recent request.
     pub(super) fn responsive_peers(&self, now: Tick) -> impl Iterator<Item = (&String, &Peer)> {
         self.peers.iter().filter(move |(_, peer)| since(peer.request_sent_at, now) < PEER_TIMEOUT)
     }
 
-    /// Until when most of our neighbourhood, ourselves counted, hears us.
+    /// Returns until when a majority of this member and its neighbours counts as connected.
     pub(super) fn neighbour_majority_until(&self) -> Tick {
         let neighbours = &self.ring.neighbours;
-        // The fewest others with whom we are more than half.
+        // The smallest number of neighbours that form a majority together with this member.
         let needed = neighbours.len().div_ceil(2);
         if needed == 0 {
             return Tick::MAX;
@@ -56,17 +55,17 @@
         request_sent_at.get(needed - 1).map_or(0, |at| at + PEER_TIMEOUT)
     }
 
-    /// Asks the neighbours: seldom while the controllers are heard, since only who
-    /// lacks their word needs company.
+    /// Sends gossip requests to the neighbours; rarely while the controllers are reachable,
+    /// since only a member that has lost them needs the other members.
     pub(super) fn gossip(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let calm = self.lease.granted && !self.must_attest(now);
-        let period = if calm { HEALTHY_GOSSIP_INTERVAL } else { GOSSIP_INTERVAL };
+        let is_healthy = self.lease.granted && !self.must_attest(now);
+        let period = if is_healthy { HEALTHY_GOSSIP_INTERVAL } else { GOSSIP_INTERVAL };
         if now < self.last_gossip_at + period {
             return;
         }
         self.last_gossip_at = now;
-        let asked = if calm { &self.ring.neighbours } else { &self.ring.proof_peers };
-        for name in asked {
+        let recipients = if is_healthy { &self.ring.neighbours } else { &self.ring.proof_peers };
+        for name in recipients {
             self.send_to_member(name, self.gossip_request(now), commands);
         }
         self.peers.retain(|_, peer| {
@@ -74,8 +73,8 @@
         });
     }
 
-    /// A question to another member. How far we are is said in answers alone: who
-    /// asks learns it, and asks for itself.
+    /// Returns a request to another member. Positions are sent in responses only: the member
+    /// that sent the request then asks for what it lacks.
     fn gossip_request(&self, now: Tick) -> Message {
         Message::Gossip {
             name: self.member.name.clone(),
@@ -88,7 +87,7 @@
         }
     }
 
-    /// The answer to a question that was asked at `echo`, by the asker's clock.
+    /// Returns the response to a request that was sent at `echo`, by the requester's clock.
     fn gossip_response(&self, now: Tick, echo: Tick, attestation: Option<Attestation>) -> Message {
         Message::Gossip {
             name: self.member.name.clone(),
@@ -101,7 +100,7 @@
         }
     }
 
-    /// Another member asks us, or answers our question.
+    /// Handles a gossip request or response of another member.
     pub(super) fn on_gossip(
         &mut self,
         now: Tick,
@@ -130,13 +129,15 @@
         if let Some(asked) = asked {
             let attestation = self.attest(now);
             if attestation.is_some() {
-                // Who begins to serve by our word must not use leafs that we know to leave.
-                self.pass_on_urgent_reports(name, commands);
+                // A member that serves by this attestation must not use leafs that this member
+                // knows to be leaving or gone.
+                self.forward_urgent_reports(name, commands);
             }
             let answer = self.gossip_response(now, asked, attestation);
             self.send_to_member(name, answer, commands);
         }
-        // Ask a member only for what the controllers did not bring us in time.
+        // Request updates from a member only when the controllers have not delivered them in
+        // time.
         let overdue = self.time_since_renewal(now) >= RENEWAL_OVERDUE;
         if is_ahead && configuration > 0 && overdue {
             let message =
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Takes in what a member answered, unless it answered a later question before.
+    /// Records a response, unless a response to a later request was recorded before.
     fn on_gossip_response(&mut self, name: &str, peer: Peer) {
         if self.peers.get(name).is_none_or(|known| known.request_sent_at <= peer.request_sent_at) {
             self.peers.insert(name.to_string(), peer);
--- a/crates/core/src/membership/leaf_reports.rs
+++ b/crates/core/src/membership/leaf_reports.rs
@@ -1,6 +1,6 @@
-//! What leafs report of themselves: taken in from the traffic threads, from health
-//! checks and from members, shown in our own view at once, and sent to the voters
-//! until the update stream shows it.
+//! Reports of leafs on themselves: received from the traffic threads, from health checks and
+//! from members, applied to this querier's own view at once, and sent to the voters until the
+//! update stream contains them.
 
 use std::collections::BTreeMap;
 
@@ -14,19 +14,20 @@
 use crate::snapshot::leafs::{LeafInfo, key};
 use crate::time::{Span, Tick, ms, since};
 
-/// How often a leaf's report that the update stream does not show is sent again.
+/// Retry interval of a leaf report that the update stream does not contain.
 const REPORT_RETRY: Span = ms(500);
 
 /// Reports by partition.
 type ReportsByPartition = BTreeMap<PartitionId, Vec<LeafReport>>;
 
 impl NodeAgent {
-    /// Takes in what a leaf reported, to us or to a member of the membership.
+    /// Handles a report that a leaf sent to this querier or to another member.
     pub(super) fn on_leaf_report(&mut self, now: Tick, service: String, report: LeafReport) {
         if report.gone {
             self.last_leaf_gone_at = now;
         }
-        if self.known_leaf(&service, &report.leaf).is_none_or(|info| is_shown(&info, &report)) {
+        if self.known_leaf(&service, &report.leaf).is_none_or(|info| covers_report(&info, &report))
+        {
             return;
         }
         let pending = self
@@ -37,8 +38,9 @@
         self.reports_need_check = true;
     }
 
-    /// A member passes on what leafs reported to it. The voters have most likely been
-    /// told as well; we tell them later if the update stream stays silent.
+    /// Handles leaf reports that another member forwards. The voters have most likely received
+    /// them too; this member sends them later if the update stream does not contain them by
+    /// then.
     pub(super) fn on_member_leaf_reports(
         &mut self,
         now: Tick,
@@ -59,7 +61,7 @@
         }
     }
 
-    /// A leaf of a service as its partition shows it.
+    /// Returns a leaf of a service from the entries of its partition.
     fn known_leaf(&self, service: &str, leaf: &str) -> Option<LeafInfo> {
         self.leaf_of(part_of(service), leaf)
     }
@@ -69,16 +71,16 @@
         decode(&LEAF_INFO, entry).ok()
     }
 
-    /// Sends reports of leafs to the voters until the update stream shows them, and
-    /// those that can't wait to our neighbours, who pass on what is new to them: with
-    /// the controllers out of reach everyone must hear of them all the same.
+    /// Sends leaf reports to the voters until the update stream contains them, and urgent ones
+    /// to the neighbours, which forward what is new to them: every member must receive them even
+    /// while the controllers are out of reach.
     pub(super) fn send_leaf_reports(&mut self, now: Tick, commands: &mut Vec<Command>) {
         if std::mem::take(&mut self.reports_need_check) {
-            self.drop_shown_reports();
+            self.drop_confirmed_reports();
         }
         let (to_voters, to_members) = self.take_due_reports(now);
         for (partition, reports) in to_voters {
-            // To every voter: the one that serves us may be cut off from the leader.
+            // Sent to every voter, since the one that renews the lease may have lost the leader.
             self.send_to_voters(&Message::LeafReports { partition, reports }, commands);
         }
         for name in &self.ring.neighbours {
@@ -90,9 +92,8 @@
         }
     }
 
-    /// Sends another member all reports that can't wait and that the update stream does
-    /// not show yet.
-    pub(super) fn pass_on_urgent_reports(&self, name: &str, commands: &mut Vec<Command>) {
+    /// Sends another member all urgent reports that the update stream does not contain yet.
+    pub(super) fn forward_urgent_reports(&self, name: &str, commands: &mut Vec<Command>) {
         let mut by_partition = ReportsByPartition::new();
         for pending in self.leaf_reports.values().filter(|pending| pending.is_urgent()) {
             let reports = by_partition.entry(part_of(&pending.service)).or_default();
@@ -103,17 +104,17 @@
         }
     }
 
-    fn drop_shown_reports(&mut self) {
+    fn drop_confirmed_reports(&mut self) {
         let mut pending = std::mem::take(&mut self.leaf_reports);
         pending.retain(|leaf, pending| {
             self.known_leaf(&pending.service, leaf)
-                .is_some_and(|info| !is_shown(&info, &pending.report))
+                .is_some_and(|info| !covers_report(&info, &pending.report))
         });
         self.leaf_reports = pending;
     }
 
-    /// The reports that are due to be sent to the voters, and to the neighbours; notes
-    /// that they are sent now.
+    /// Returns the reports that are due to be sent to the voters and to the neighbours, and
+    /// records that they are sent now.
     fn take_due_reports(&mut self, now: Tick) -> (ReportsByPartition, ReportsByPartition) {
         let (mut to_voters, mut to_members) =
             (ReportsByPartition::new(), ReportsByPartition::new());
@@ -137,8 +138,8 @@
     }
 }
 
-/// Whether a leaf's entry shows all that matters of a report.
-fn is_shown(info: &LeafInfo, report: &LeafReport) -> bool {
+/// Whether a leaf's entry already contains everything of a report that matters.
+fn covers_report(info: &LeafInfo, report: &LeafReport) -> bool {
     let age_is_shown = info.age_ms >= consts::MAX_REPORTED_LEAF_AGE_MS
         || report.age_ms
             < info.age_ms * consts::LEAF_AGE_REPORT_FACTOR + consts::MIN_REPORTED_LEAF_AGE_MS;
--- a/crates/core/src/membership/lease.rs
+++ b/crates/core/src/membership/lease.rs
@@ -89,15 +89,15 @@
     }
 
     /// Makes the grants effective that name no newer configuration than `applied`.
-    pub(super) fn apply_grants(&mut self, obeyed: u64) {
+    pub(super) fn apply_grants(&mut self, applied: u64) {
         for grant in &self.pending_grants {
-            if grant.revision <= obeyed {
+            if grant.revision <= applied {
                 self.renewed_at = self.renewed_at.max(grant.sent_at);
                 self.granted = true;
             }
         }
         let renewed_at = self.renewed_at;
-        self.pending_grants.retain(|g| g.revision > obeyed && g.sent_at > renewed_at);
+        self.pending_grants.retain(|g| g.revision > applied && g.sent_at > renewed_at);
         if self.pending_grants.len() > MAX_PENDING_RENEWALS {
             self.pending_grants.remove(0);
         }
--- a/crates/core/src/membership/lease_renewal.rs
+++ b/crates/core/src/membership/lease_renewal.rs
@@ -1,4 +1,4 @@
-//! Renewing the lease, through a voter or, when none answers, through members.
+//! Lease renewal, through a voter or, when none answers, through other members.
 
 use crate::identifiers::VoterSlot;
 use crate::membership::lease::{LEASE_VALIDITY, RENEWAL_OVERDUE};
@@ -7,12 +7,13 @@
 use crate::protocol::message::Message;
 use crate::time::{Span, Tick, since};
 
-/// Members that are asked to forward a renewal (count): one may itself have just
-/// lost the controllers.
+/// Number of members that are asked to forward a renewal: one of them may itself have just lost
+/// the controllers.
 const FORWARDERS: usize = 2;
 
 impl NodeAgent {
-    /// How long ago the controllers were last known to hear us.
+    /// Returns the time since the last renewal that the controllers are known to have received,
+    /// or since the start if there was none.
     pub(super) fn time_since_renewal(&self, now: Tick) -> Span {
         if self.lease.granted {
             since(self.lease.renewed_at, now)
@@ -21,7 +22,7 @@
         }
     }
 
-    /// Renews the lease when it is due.
+    /// Renews the lease when that is due.
     pub(super) fn renew_lease(&mut self, now: Tick, commands: &mut Vec<Command>) {
         if now < self.lease.renew_at {
             return;
@@ -45,8 +46,8 @@
         }
     }
 
-    /// Asks members to forward a renewal: perhaps only our own way to the
-    /// controllers is cut.
+    /// Asks other members to forward a renewal: possibly only this member's own connections to
+    /// the controllers are down.
     fn renew_by_members(&self, now: Tick, message: &Message, commands: &mut Vec<Command>) {
         let forwarders: Vec<&String> = self
             .responsive_peers(now)
@@ -59,20 +60,20 @@
         }
     }
 
-    /// How far we are, as told with each renewal.
+    /// Returns this member's progress, which is sent with each renewal.
     fn progress(&self, now: Tick) -> MemberProgress {
         MemberProgress {
             obeyed_revision: self.view.as_ref().map_or(0, |view| view.revision),
             seen_membership: self.membership.id(),
             known_revision: self.known_revision,
-            quiet_ms: self.quiet_ms(now),
+            quiet_ms: self.ms_since_attestation(now),
             ready: self.ready,
             leaving: self.is_drained,
         }
     }
 
-    /// A renewal was granted, when the configuration was at `revision`; through a
-    /// voter slot, or by a member.
+    /// Handles the grant of a renewal that the leader issued at the configuration `revision`. It
+    /// came through a voter slot, or was forwarded by a member.
     pub(super) fn on_lease_granted(&mut self, slot: Option<VoterSlot>, number: u64, revision: u64) {
         if self.lease.on_granted(slot, number, revision) {
             self.record_known_revision(revision);
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,9 +1,8 @@
-//! The node agent of a querier: the update stream that it follows, its lease, its
-//! membership, the assignments that it does for all, and whether it may serve while
-//! the controllers are out of reach. No I/O.
+//! The node agent of a querier: its update stream, its lease, its membership, its assignments,
+//! and whether it may serve while the controllers are out of reach. No I/O.
 //!
-//! [`node_agent::NodeAgent::step`] takes one event and returns the commands for the
-//! process that drives it.
+//! [`node_agent::NodeAgent::step`] handles one event and returns the commands for the process
+//! that drives it.
 
 pub mod assignments;
 pub mod attestation;
--- a/crates/core/src/membership/neighbour_ring.rs
+++ b/crates/core/src/membership/neighbour_ring.rs
@@ -1,56 +1,56 @@
-//! What follows from the membership alone: a member's neighbours and its
-//! assignments. Computed once for each state of the membership, since it costs a
-//! look at all members.
+//! The neighbours and the assignments of a member, which depend on the membership alone. They
+//! are computed once for each state of the membership, since that takes a pass over all members.
 //!
-//! The member that holds an assignment is the highest by rendezvous among those
-//! whose joining is settled; who would hold it next is the second.
+//! An assignment is held by the member with the highest rank by rendezvous hashing among those
+//! whose join is settled; the second-ranked member holds it next.
 
 use std::cmp::Reverse;
 
 use crate::digest::{hash, pair};
 use crate::protocol::membership::{Member, Membership};
 
-/// Neighbours that each member speaks with, either way on the ring (count): each member
-/// is heard by twice as many others, and the cost does not grow with the membership.
+/// Number of neighbours in each direction of the ring with which a member exchanges gossip. Each
+/// member is connected to twice as many others, and the cost does not grow with the membership.
 pub const NEIGHBOURS_EACH_WAY: usize = 4;
 
-/// Keys among which the health checks are divided (count): enough to spread over a large
-/// membership, few enough to find their holders at each change of it.
+/// Number of keys among which the health checks are divided: enough to spread over a large
+/// membership, few enough to recompute their holders at each change of it.
 pub const PROBE_KEYS: u64 = 64;
 
-/// Members that poll the platform's list at a time (count): its holder, and who would hold
-/// the assignment next.
+/// Number of members that poll the platform's list at a time: the holder of the assignment and
+/// the second-ranked member.
 pub const LIST_POLLERS: usize = 2;
 
-/// The assignment of polling the platform's list, for all partitions at once: a poll
-/// brings the whole list, and each costs the platform.
+/// The assignment of polling the platform's list, one for all partitions: a poll returns the
+/// whole list, and each poll costs the platform.
 pub const LIST: &str = "list";
 
-/// The assignment of health-checking the leafs of a key.
+/// Returns the name of the assignment of health-checking the leafs of a key.
 pub fn probe_key(key: u64) -> String {
     format!("probe/{key}")
 }
 
-/// A member's place among the members of one state of the membership.
+/// A member's position and assignments in one state of the membership.
 #[derive(Default)]
 pub struct NeighbourRing {
-    /// Those next to us on the ring, either way, without doubles.
+    /// The nearest members on the ring in both directions, without duplicates.
     pub neighbours: Vec<String>,
-    /// Those whom we ask for proofs while the controllers are silent: all in a
-    /// small membership, else those a power of two away, so that what one knows
-    /// comes to all others over half as many steps as the size has binary digits.
+    /// The members that are asked for attestations while the controllers are out of reach. In a
+    /// small membership these are all members, otherwise those at distances that are powers of
+    /// two: what one member knows then reaches all others in half as many steps as the size has
+    /// binary digits.
     pub proof_peers: Vec<String>,
-    /// Our rank for polling the platform's list: its holder has 0, who would hold it
-    /// next 1. None while our joining is not settled.
+    /// This member's rank for polling the platform's list: 0 for the holder, 1 for the member
+    /// that holds it next. None while this member's join is not settled.
     pub list_rank: Option<usize>,
-    /// Which keys of health checks are assigned to us.
+    /// For each key of health checks, whether it is assigned to this member.
     pub probe_keys: Vec<bool>,
-    /// Quotas were divided for this state; whether we were cut off then.
+    /// The cut-off status by which quotas were last divided for this state; none if they were
+    /// not divided yet.
     pub quotas_divided_while_cut_off: Option<bool>,
 }
 
-/// A member on the ring. Ordered by hash, so that neighbours stand in different
-/// zones.
+/// A member on the ring. Members are ordered by hash, so that neighbours are in different zones.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct RingMember<'a> {
     hash: u64,
@@ -58,21 +58,21 @@
 }
 
 impl RingMember<'_> {
-    /// Its rank for an assignment: the highest holds it.
+    /// Returns the rank of this member for an assignment; the highest rank holds it.
     fn rank(&self, assignment: u64) -> (u64, &str) {
         (pair(assignment, self.hash), self.name)
     }
 }
 
 impl NeighbourRing {
-    /// The place of the member `own` in a membership.
+    /// Computes the position and the assignments of the member `own` in a membership.
     pub fn new(membership: &Membership, own: &str) -> NeighbourRing {
         let mut members: Vec<RingMember> = membership
             .members
             .iter()
             .map(|m| RingMember { hash: hash(&m.name), name: &m.name })
             .collect();
-        // Who is not settled holds no assignment.
+        // A member whose join is not settled holds no assignment.
         let eligible: Vec<RingMember> = membership
             .members
             .iter()
@@ -110,8 +110,9 @@
     Some(eligible.iter().filter(|member| member.rank(assignment) > own).count())
 }
 
-/// The first members by rank for polling the platform's list among those that `is_candidate`
-/// accepts. Who is not settled comes last, so that somebody polls while nobody is settled.
+/// Returns the first members by rank for polling the platform's list among those that
+/// `is_candidate` accepts. Members whose join is not settled come last, so that the list is
+/// polled even while nothing is settled.
 pub fn list_pollers(
     membership: &Membership,
     is_candidate: impl Fn(&Member) -> bool,
@@ -142,7 +143,7 @@
     ring_members_at(ring, own, powers.take_while(|step| 2 * step <= size))
 }
 
-/// The others that are so many steps away, either way, without doubles.
+/// Returns the other members at the given distances in both directions, without duplicates.
 fn ring_members_at(
     ring: &[RingMember],
     own: usize,
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -343,9 +343,9 @@
     /// the same holder the one received last applies.
     pub(super) fn on_voter_set(&mut self, theirs: &VoterSet, commands: &mut Vec<Command>) {
         let mut merged = merge(&self.voter_set, theirs).unwrap_or_else(|| self.voter_set.clone());
-        for (ours, told) in merged.slots.iter_mut().zip(&theirs.slots) {
-            if ballot(ours) == ballot(told) {
-                *ours = told.clone();
+        for (ours, received) in merged.slots.iter_mut().zip(&theirs.slots) {
+            if ballot(ours) == ballot(received) {
+                *ours = received.clone();
             }
         }
         if merged == self.voter_set {
--- a/crates/core/src/membership/peer.rs
+++ b/crates/core/src/membership/peer.rs
@@ -1,19 +1,19 @@
-//! What is known of another member.
+//! The state of another member, as last reported.
 
 use crate::protocol::message::FeedPosition;
 use crate::time::{Span, Tick, ms};
 
-/// A member not heard for this long counts as silent.
+/// A member that has not answered a request for this long counts as unreachable.
 pub(super) const PEER_TIMEOUT: Span = ms(1_600);
 
-/// Another member, as it last answered us.
+/// The last gossip response of another member.
 pub struct Peer {
-    /// When we sent the question that it last answered: a process that was paused
-    /// must not take old messages in its buffers for fresh ones.
+    /// When the request was sent that it last answered. Not when the response came: a process
+    /// that was paused must not take old messages in its buffers for recent ones.
     pub request_sent_at: Tick,
-    /// Age of its word from the controllers when it answered.
+    /// Time since its last granted renewal when it answered.
     pub time_since_renewal: Span,
-    /// How far it is in each partition.
+    /// Its revision of each partition.
     pub positions: Vec<FeedPosition>,
     /// Whether it is ready.
     pub ready: bool,
--- a/crates/core/src/membership/pending_report.rs
+++ b/crates/core/src/membership/pending_report.rs
@@ -1,17 +1,17 @@
-//! A leaf's report that is on its way to the voters.
+//! A leaf report that is being sent to the voters.
 
 use crate::protocol::message::LeafReport;
 use crate::time::Tick;
 
-/// A leaf's report that the update stream does not show yet.
+/// A leaf report that the update stream does not contain yet.
 pub struct PendingLeafReport {
     /// The leaf's service.
     pub service: String,
-    /// All that the leaf reported, put together.
+    /// Everything that the leaf reported, merged.
     pub report: LeafReport,
-    /// When we last sent it to the voters; zero before the first time.
+    /// When it was last sent to the voters; zero before the first time.
     pub sent_at: Tick,
-    /// When we last passed it on to our neighbours; zero before the first time.
+    /// When it was last sent to the neighbours; zero before the first time.
     pub sent_to_members_at: Tick,
 }
 
@@ -25,22 +25,22 @@
         }
     }
 
-    /// An age can wait for others; that a leaf leaves or is gone can't.
+    /// Whether the report must be sent at once: a leaf that is leaving or gone is urgent, an age
+    /// is not.
     pub(super) fn is_urgent(&self) -> bool {
         self.report.leaving || self.report.gone
     }
 
-    /// Adds what a report says; tells whether it must be sent at once.
+    /// Merges a report. Returns whether it adds something that must be sent at once.
     pub(super) fn add(&mut self, report: &LeafReport) -> bool {
-        let is_news =
-            (report.leaving && !self.report.leaving) || (report.gone && !self.report.gone);
-        if is_news {
+        let is_new = (report.leaving && !self.report.leaving) || (report.gone && !self.report.gone);
+        if is_new {
             self.sent_at = 0;
             self.sent_to_members_at = 0;
         }
         self.report.leaving |= report.leaving;
         self.report.gone |= report.gone;
         self.report.age_ms = self.report.age_ms.max(report.age_ms);
-        is_news
+        is_new
     }
 }
--- a/crates/core/src/membership/rollout_votes.rs
+++ b/crates/core/src/membership/rollout_votes.rs
@@ -1,4 +1,4 @@
-//! What this querier has seen of versions that are tried: gathered from its threads, and sent to
+//! What this querier has observed of versions on trial: gathered from its threads, and sent to
 //! the leader of the configuration with each renewal of the lease.
 
 use std::collections::BTreeMap;
@@ -11,20 +11,20 @@
 use crate::rollout::versions::SplitLeafs;
 use crate::snapshot::leafs::LeafInfo;
 
-/// What the threads of a querier have seen: by service, and by thread.
+/// The observations of a querier's threads, by service and thread.
 #[derive(Default)]
 pub struct RolloutVotes {
     by_thread: BTreeMap<(String, u64), TrialEvidence>,
 }
 
 impl NodeAgent {
-    /// Takes in what a thread has seen since a trial began.
+    /// Records what a thread has observed since a trial began.
     pub(super) fn on_trial_evidence(&mut self, thread: u64, evidence: TrialEvidence) {
         let key = (evidence.service.clone(), thread);
         self.rollout_votes.by_thread.insert(key, evidence);
     }
 
-    /// The versions that are watched, with their leafs.
+    /// Returns the versions that are under observation, with their leafs.
     pub(super) fn trials(&self, leafs: &SplitLeafs) -> Vec<Trial> {
         let watched = self.rollouts.iter().filter(|rollout| rollout.is_watched());
         watched.map(|rollout| self.trial(rollout, leafs)).collect()
@@ -45,7 +45,7 @@
         }
     }
 
-    /// Sends our vote on each trial that goes on.
+    /// Sends this querier's vote on each trial that is not over.
     pub(super) fn send_rollout_votes(&mut self, commands: &mut Vec<Command>) {
         let rollouts = &self.rollouts;
         let is_current = |evidence: &TrialEvidence| {
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -30,7 +30,7 @@
 /// The state of the connection to the controllers at one moment.
 struct ControllerContact {
     /// Time since the last renewal that the controllers granted.
-    age: Span,
+    since_renewal: Span,
     /// Whether other members reach the controllers and this one does not.
     is_individually_isolated: bool,
     /// Until when attestations allow this querier to serve without a lease; zero if they do not.
@@ -64,17 +64,20 @@
     }
 
     fn controller_contact(&mut self, now: Tick) -> ControllerContact {
-        let age = self.time_since_renewal(now);
+        let since_renewal = self.time_since_renewal(now);
         // If a peer has reached the controllers within the time in which a renewal becomes
         // overdue, and this querier has not, then this querier is isolated rather than the
         // controllers being down.
-        let hears = |peer: &Peer| {
+        let reaches_controllers = |peer: &Peer| {
             peer.time_since_renewal + since(peer.request_sent_at, now) < RENEWAL_OVERDUE
         };
-        let passed =
-            age >= RENEWAL_OVERDUE && self.responsive_peers(now).any(|(_, peer)| hears(peer));
-        self.individually_isolated_since =
-            if passed { self.individually_isolated_since.or(Some(now)) } else { None };
+        let peers_reach_controllers = since_renewal >= RENEWAL_OVERDUE
+            && self.responsive_peers(now).any(|(_, peer)| reaches_controllers(peer));
+        self.individually_isolated_since = if peers_reach_controllers {
+            self.individually_isolated_since.or(Some(now))
+        } else {
+            None
+        };
         let is_individually_isolated = self
             .individually_isolated_since
             .is_some_and(|at| since(at, now) >= 2 * RENEWAL_INTERVAL);
@@ -84,7 +87,7 @@
         } else {
             0
         };
-        ControllerContact { age, is_individually_isolated, proved_until }
+        ControllerContact { since_renewal, is_individually_isolated, proved_until }
     }
 
     fn lacks_proof(&self, now: Tick, contact: &ControllerContact) -> bool {
@@ -92,7 +95,7 @@
     }
 
     fn decide_admission(&self, now: Tick, contact: &ControllerContact) -> ServingState {
-        let lapsed = contact.age >= LEASE_VALIDITY;
+        let lapsed = contact.since_renewal >= LEASE_VALIDITY;
         // The platform takes up to a check interval to see that this querier is not ready. Until
         // then callers still send calls, and these are served.
         let stopping = self.stopping_since.is_some_and(|at| since(at, now) >= self.drain_notice);
@@ -150,14 +153,15 @@
     ) {
         self.has_served |=
             self.partially_serving_since.is_some_and(|at| since(at, now) >= STARTUP_TIMEOUT);
-        let is_alone = self.lease.granted
+        let is_isolated = self.lease.granted
             && (now > self.neighbour_majority_until() || contact.is_individually_isolated);
         let ready = self.admission == ServingState::Serving
             && self.stopping_since.is_none()
             && self.has_served
             && !self.quota_members.is_empty()
-            && !(is_alone && contact.age >= ISOLATED_READINESS_TIMEOUT)
-            && !(self.lacks_proof(now, contact) && contact.age >= UNPROVED_READINESS_TIMEOUT);
+            && !(is_isolated && contact.since_renewal >= ISOLATED_READINESS_TIMEOUT)
+            && !(self.lacks_proof(now, contact)
+                && contact.since_renewal >= UNPROVED_READINESS_TIMEOUT);
         if ready != self.ready {
             self.ready = ready;
             commands.push(Command::Ready(ready));
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -1,4 +1,4 @@
-//! Applying updates of the partitions, and making views of them.
+//! Applies updates of the partitions and builds views from them.
 
 use std::sync::Arc;
 
@@ -17,21 +17,22 @@
 use crate::time::{SECOND, Span, Tick, ms, since};
 use crate::voter_set::majority;
 
-/// Least time between two views that differ in leafs only: a burst of changes to a large
-/// pool must not keep a light querier busy building views.
+/// Minimum time between two views that differ in leafs only: a burst of changes to a large pool
+/// must not keep a querier with little CPU busy building views.
 const VIEW_INTERVAL: Span = ms(100);
 
-/// A starting querier that heard fewer than two voters waits this long before it takes
-/// its view from a ready member alone.
+/// Time that a starting querier which has heard fewer than two voters waits before it takes its
+/// view from a ready member alone.
 pub(super) const STARTUP_TIMEOUT: Span = 3 * SECOND;
 
-/// Wait before leafs of unknown age are health-checked: lets a list's leafs gather.
+/// Delay before leafs of unknown age are health-checked, so that the leafs of one list are
+/// checked together.
 const FIRST_PROBE_DELAY: Span = ms(100);
 
 impl NodeAgent {
-    /// Applies an update of one partition; tells whether it was new. An update that
-    /// does not reach beyond what is held, or that would leave a gap, changes nothing.
-    /// `from` is the revision that it continues; a snapshot has none.
+    /// Applies an update of one partition. Returns whether it was new: an update that is not
+    /// newer than the held revision, or that would leave a gap, changes nothing. `from` is the
+    /// revision that the update continues; a snapshot has none.
     pub(super) fn apply_update(
         &mut self,
         partition: PartitionId,
@@ -58,7 +59,7 @@
         true
     }
 
-    /// Obeys the configuration that is held, if it can be built.
+    /// Applies the configuration in the partition's entries, if it is valid.
     fn adopt_configuration(&mut self, commands: &mut Vec<Command>) {
         let Some(state) = self.partitions.get(&CONFIG) else { return };
         let revision = state.revision;
@@ -82,8 +83,8 @@
         }
     }
 
-    /// Snapshots of the partitions that another member, which is at `positions`,
-    /// lacks something of.
+    /// Returns snapshots of the partitions in which another member, which is at `positions`, is
+    /// behind.
     pub(super) fn updates_beyond(&self, positions: &[FeedPosition]) -> Vec<Message> {
         let update = |theirs: &FeedPosition| {
             let ours = self.partitions.get(&theirs.partition)?;
@@ -101,10 +102,10 @@
         positions.iter().filter_map(update).collect()
     }
 
-    /// Notes whether the first view can't be older than one that we, before a
-    /// restart, or others obey. An accepted configuration is synced by a majority of
-    /// the voters: of those that answer, all have it but as many as a majority leaves
-    /// out. With the controllers silent, a ready member's view serves.
+    /// Records whether the first view can't be older than one that this querier, before a
+    /// restart, or another member has applied. An accepted configuration is synced by a majority
+    /// of the voters. Of the voters that report, all hold it except as many as a majority leaves
+    /// out. While the controllers are out of reach, the positions of a ready member suffice.
     pub(super) fn check_caught_up(&mut self, now: Tick) {
         if self.is_caught_up || self.configuration_revision == 0 {
             return;
@@ -113,16 +114,17 @@
         let reached_member = waited
             && self.peers.values().any(|peer| {
                 let reached = |theirs: &FeedPosition| {
-                    theirs.revision <= self.obeyed_revision(theirs.partition)
+                    theirs.revision <= self.applied_revision(theirs.partition)
                 };
                 peer.ready && peer.positions.iter().all(reached)
             });
         self.is_caught_up = reached_member
-            || partitions().all(|id| self.obeyed_revision(id) >= self.least_revision(id));
+            || partitions().all(|id| self.applied_revision(id) >= self.min_caught_up_revision(id));
     }
 
-    /// The revision that we obey, or hold, of a partition.
-    fn obeyed_revision(&self, partition: PartitionId) -> u64 {
+    /// Returns the revision of a partition that is applied; of a partition of services, the one
+    /// that is held.
+    fn applied_revision(&self, partition: PartitionId) -> u64 {
         if partition == CONFIG {
             self.configuration_revision
         } else {
@@ -130,25 +132,25 @@
         }
     }
 
-    /// The revision of a partition below which we might miss something accepted.
-    fn least_revision(&self, partition: PartitionId) -> u64 {
-        let mut answered: Vec<u64> = self
+    /// Returns the revision of a partition below which an accepted change might be missing.
+    fn min_caught_up_revision(&self, partition: PartitionId) -> u64 {
+        let mut reported: Vec<u64> = self
             .voter_positions
             .iter()
             .flatten()
             .filter(|position| position.partition == partition)
             .map(|position| position.revision)
             .collect();
-        answered.sort_unstable();
+        reported.sort_unstable();
         let size = self.voter_set.slots.len();
-        let left_out = size - majority(size).min(size);
-        answered.get(left_out).copied().unwrap_or(u64::MAX)
+        let minority = size - majority(size).min(size);
+        reported.get(minority).copied().unwrap_or(u64::MAX)
     }
 
-    /// Publishes a new view if what is held has changed.
+    /// Publishes a new view if the partitions or the leaf reports have changed.
     pub(super) fn publish_view(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let obeyed = self.view.as_ref().map(|view| view.revision);
-        let is_new_configuration = obeyed != Some(self.configuration_revision);
+        let published_revision = self.view.as_ref().map(|view| view.revision);
+        let is_new_configuration = published_revision != Some(self.configuration_revision);
         if !self.is_caught_up
             || !self.view_is_stale
             || (!is_new_configuration && now < self.next_publish_at)
@@ -160,11 +162,12 @@
         let view = Arc::new(self.build_view());
         self.record_served_searches(now, &view);
         if view.leafs.values().any(|leaf| leaf.age_ms == 0) {
-            // Nobody knows yet how much load these take: ask soon.
+            // The age of these leafs, and so the load that they can take, is unknown:
+            // health-check them soon.
             self.probe_at = self.probe_at.min(now + FIRST_PROBE_DELAY);
         }
-        if obeyed.is_none_or(|revision| revision < view.revision) {
-            // Operators wait to hear that we obey.
+        if published_revision.is_none_or(|revision| revision < view.revision) {
+            // Operators wait until this querier reports the revision as applied.
             self.lease.renew_at = 0;
         }
         self.view = Some(view.clone());
@@ -198,8 +201,8 @@
         }
     }
 
-    /// A leaf with what it reported and the update stream does not show yet; none if
-    /// it is gone.
+    /// Merges into a leaf what it reported and the update stream does not contain yet; none if
+    /// the leaf is gone.
     fn with_reports(&self, mut info: LeafInfo) -> Option<LeafInfo> {
         if let Some(pending) = self.leaf_reports.get(&info.leaf) {
             if pending.report.gone {
@@ -212,7 +215,7 @@
     }
 }
 
-/// Builds the configuration of these entries, or says what is wrong with it.
+/// Builds the routing table from these entries, or returns the errors in them.
 fn build_configuration(entries: &EntryMap) -> Result<RoutingTable, Vec<String>> {
     let configuration = Config::from_entries(entries).map_err(|error| vec![error.to_string()])?;
     RoutingTable::build(&configuration).map_err(|all| all.iter().map(|f| f.to_string()).collect())
