--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns this member's rank among those that poll the list, by the membership or by the
-    /// leader's message, whichever is higher.
+    /// leader's message, whichever comes first.
     fn list_rank(&self, now: Tick) -> Option<usize> {
         let ranks = [self.ring.list_rank, self.valid_substitute_list_rank(now)];
         ranks.into_iter().flatten().min().filter(|rank| *rank < LIST_POLLERS)
@@ -65,9 +65,9 @@
 
     /// Returns how often this member polls the list. The holder polls often and the
     /// second-ranked member rarely, so that the list is still polled when a holder has died and
-    /// its silence has not been detected yet. Members do not know what the others receive. The
-    /// list is polled sooner after a leaf was reported as gone, since most leafs come back under
-    /// a new name.
+    /// its silence has not been detected yet. No member knows what the others have received, so
+    /// each decides alone. The list is polled sooner after a leaf was reported as gone, since
+    /// most leafs come back under a new name.
     fn list_poll_period(&self, now: Tick) -> Option<Span> {
         let polls_fast =
             since(self.last_leaf_gone_at, now) < FAST_POLL_DURATION && self.last_leaf_gone_at > 0;
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -54,7 +54,8 @@
     pub is_caught_up: bool,
     /// The configuration that is applied.
     pub configuration: Arc<RoutingTable>,
-    /// What the traffic threads of this querier have observed of versions on trial.
+    /// What the traffic threads of this querier have observed of index versions that a rollout
+    /// has on trial.
     pub rollout_votes: RolloutVotes,
     /// Revision of the first configuration that was applied; zero before.
     pub first_revision: u64,
@@ -66,7 +67,8 @@
     pub rollouts: Vec<Rollout>,
     /// Revision of `configuration`; zero before the first one is applied.
     pub configuration_revision: u64,
-    /// The view that was last sent to the traffic threads.
+    /// The view (the configuration with the leafs in use) that was last sent to the traffic
+    /// threads.
     pub view: Option<Arc<ClusterView>>,
     /// Whether the partitions or the leaf reports have changed since `view` was built.
     pub view_is_stale: bool,
@@ -265,8 +267,8 @@
     /// Divide the cluster's quotas among these members; empty while this querier has no share.
     QuotaMembers(Vec<QuotaMember>),
     /// Divide connections to leafs among these members. Unlike quotas, this list is sent before
-    /// the membership is settled: members that disagree for a moment on their subsets cost at
-    /// most a reset connection.
+    /// the membership is settled, that is, seen by every live member: members that disagree for
+    /// a moment on their subsets cost at most a reset connection.
     LeafClients(Vec<LeafClient>),
     /// Admit or reject calls.
     Admission(ServingState),
--- a/crates/core/src/voter_set.rs
+++ b/crates/core/src/voter_set.rs
@@ -1,4 +1,4 @@
-//! The voter set: who holds each voter slot.
+//! The voter set: which replica holds each voter slot.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -6,52 +6,53 @@
 use crate::digest::hash;
 use crate::identifiers::VoterSlot;
 
-/// The slot of a controller that holds none.
+/// The slot number of a controller that holds no slot.
 pub const NO_SLOT: VoterSlot = VoterSlot::MAX;
 /// Generation of the holders with which a cluster begins.
 pub const FIRST_GENERATION: u32 = 1;
 
-/// Who holds a voter slot.
+/// The holder of a voter slot.
 ///
-/// Invariant: one (`generation`, `holder`) has one `addr` and `zone` for ever,
-/// but that the zone of a first holder is filled in when it is heard. Vacant:
-/// generation 0, holder 0.
+/// Invariant: one (`generation`, `holder`) always has the same `addr` and `zone`, except that
+/// the zone of an initial holder is filled in once it is known. A vacant slot has generation 0
+/// and holder 0.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct SlotHolder {
     pub generation: u32,
-    /// Replica id: drawn once in a disk's life; of first holders it follows from the seeds.
+    /// Replica id: drawn at random once for a disk; that of an initial holder is derived from
+    /// the seeds.
     pub holder: u64,
-    /// Where the other processes reach it.
+    /// The address at which other processes reach it.
     pub addr: String,
     pub zone: String,
 }
 
-/// All voter slots. Empty: not known yet.
+/// All voter slots. Empty while the voter set is not known.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct VoterSet {
     pub slots: Vec<SlotHolder>,
 }
 
-/// A voter slot among the others: what replication needs to know of the voter set.
+/// One voter slot and its group: what replication needs to know of the voter set.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct VoterGroup {
     pub slot: VoterSlot,
-    /// All slots, vacant ones counted.
+    /// Number of slots, including vacant ones.
     pub size: usize,
-    /// Slots that somebody holds, as bits.
+    /// Slots that a replica holds, as bits.
     pub occupied: u16,
-    /// Slots that their first holder still has, as bits.
+    /// Slots that their initial holder still has, as bits.
     pub initial_holders: u16,
-    /// Whether this controller's disk began with the cluster.
+    /// Whether this controller's disk has been used since the cluster was first started.
     pub first: bool,
 }
 
-/// How many of so many slots make a majority.
+/// Returns the size of a majority of `size` slots.
 pub fn majority(size: usize) -> usize {
     size / 2 + 1
 }
 
-/// The group as the holder of `slot` sees it.
+/// Returns the group as the holder of `slot` sees it.
 pub fn group(voter_set: &VoterSet, slot: VoterSlot, first: bool) -> VoterGroup {
     let bits = |fits: &dyn Fn(&SlotHolder) -> bool| {
         let list = voter_set.slots.iter().enumerate();
@@ -66,49 +67,49 @@
     }
 }
 
-/// Every other slot that somebody holds.
+/// Returns every other slot that a replica holds.
 pub fn others(g: VoterGroup) -> impl Iterator<Item = VoterSlot> {
     (0..g.size as VoterSlot).filter(move |s| *s != g.slot && g.occupied >> *s & 1 == 1)
 }
 
-/// Generations of a slot between two takeovers (count): those between are
-/// handovers. A takeover that a majority of the others agreed to so wins over
-/// any handover that it does not know of. A million takeovers, with four thousand
-/// handovers after each, are left by this.
+/// Number of generations of a slot between two takeovers; those in between are handovers. A
+/// takeover that a majority of the other voters has agreed to thereby wins over any handover
+/// that it does not know of. This leaves a million takeovers, with four thousand handovers after
+/// each.
 const GENERATION_STRIDE: u32 = 1 << 12;
 
-/// The generation of whoever takes a slot over from a holder that is gone.
+/// Returns the generation of a replica that takes a slot over from a lost holder.
 pub fn after_takeover(generation: u32) -> u32 {
     (generation / GENERATION_STRIDE + 1) * GENERATION_STRIDE
 }
 
-/// The generation of the successor to whom a holder hands its slot, if one is
-/// left before the next takeover's.
+/// Returns the generation of the successor to which a holder hands its slot over, if one is left
+/// before the next takeover's.
 pub fn after_handover(generation: u32) -> Option<u32> {
     let next = generation.max(FIRST_GENERATION) + 1;
     (!next.is_multiple_of(GENERATION_STRIDE)).then_some(next)
 }
 
-/// Orders two holders of a slot: the higher one stands.
+/// Returns the key that orders two holders of a slot: the higher one wins.
 pub fn ballot(h: &SlotHolder) -> (u32, u64) {
     (h.generation, h.holder)
 }
 
-/// A number that two voter sets share only if the same replicas hold the slots.
+/// Returns a hash that two voter sets share only if the same replicas hold the slots.
 pub fn stamp(voter_set: &VoterSet) -> u64 {
     let text: String =
         voter_set.slots.iter().map(|h| format!("{}.{:x}/", h.generation, h.holder)).collect();
     hash(&text)
 }
 
-/// The slot of a replica.
+/// Returns the slot of a replica.
 pub fn slot_of(voter_set: &VoterSet, holder: u64) -> Option<VoterSlot> {
     let at = voter_set.slots.iter().position(|h| holder != 0 && h.holder == holder)?;
     Some(at as VoterSlot)
 }
 
-/// `ours` with all that is newer in `theirs`; `None` if nothing is. Voter sets of
-/// another size are another cluster's.
+/// Returns `ours` with everything that is newer in `theirs`, or `None` if nothing is. A voter
+/// set of another size belongs to another cluster.
 pub fn merge(ours: &VoterSet, theirs: &VoterSet) -> Option<VoterSet> {
     let size = theirs.slots.len();
     if size == 0 || size > usize::from(consts::MAX_VOTER_SLOTS) {
@@ -131,14 +132,14 @@
     (new != *ours).then_some(new)
 }
 
-/// The replica id with which a slot begins at an address.
+/// Returns the replica id of the initial holder of a slot at an address.
 pub fn initial_replica_id(addr: &str) -> u64 {
     hash(addr) | 1
 }
 
-/// The voter set with which a cluster begins: its seeds hold the first slots, the
-/// others are vacant. With fewer seeds than a majority nobody could ever vote, so
-/// there are fewer slots then.
+/// Returns the voter set with which a cluster begins: its seeds hold the first slots, the others
+/// are vacant. With fewer seeds than a majority no vote could ever succeed, so the number of
+/// slots is reduced in that case.
 pub fn initial_voter_set(seeds: &[String], size: usize) -> VoterSet {
     let mut size = size.min(usize::from(consts::MAX_VOTER_SLOTS));
     if seeds.len() < majority(size) {
@@ -156,8 +157,9 @@
     VoterSet { slots: (0..size).map(slot).collect() }
 }
 
-/// The voter set of a cluster whose controllers are given their slots: the seeds in
-/// their order. Replicas are known by their slot, so an operator may move one.
+/// Returns the voter set of a cluster whose controllers are configured with their slots: the
+/// seeds in their order. Replicas are identified by their slot, so an operator may move one to
+/// another address.
 pub fn fixed_voter_set(seeds: &[String]) -> VoterSet {
     let slot = |(i, addr): (usize, &String)| SlotHolder {
         generation: FIRST_GENERATION,
@@ -168,13 +170,13 @@
     VoterSet { slots: seeds.iter().enumerate().map(slot).collect() }
 }
 
-/// The replica id of a controller that is given its slot.
+/// Returns the replica id of a controller that is configured with its slot.
 pub fn fixed_replica_id(slot: VoterSlot) -> u64 {
     u64::from(slot) + 1
 }
 
-/// Whether a zone may have slot `k`: none comes to hold so many that its loss
-/// would take the majority, unless one does already.
+/// Whether a replica in a zone may hold slot `k`. No zone may come to hold so many slots that
+/// its loss would take the majority, unless one already does.
 pub fn keeps_zones_balanced(voter_set: &VoterSet, k: VoterSlot, zone: &str) -> bool {
     let size = voter_set.slots.len();
     let count = |zone: &str, without: Option<VoterSlot>| {
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -1,23 +1,24 @@
-//! How a controller that is asked to stop hands its voter slot to a spare.
+//! How a controller that is asked to stop hands its voter slot over to a spare (a controller
+//! without a slot).
 //!
-//! 1. It gives up leadership: each partition that it leads goes to the follower whose
-//!    state is newest (`election`), and it waits until it hears the new leaders.
-//! 2. It offers its slot to a spare that asked for one lately. The spare accepts, and
+//! 1. It gives up leadership: each partition that it leads goes to the follower whose state is
+//!    newest (`election`), and it waits until it receives messages of the new leaders.
+//! 2. It offers its slot to a spare that has recently asked for one. The spare accepts, and
 //!    takes no other slot for a while.
-//! 3. It writes a voter set in which the spare holds the slot. From the moment that
-//!    this is on its disk it votes no more, for good.
-//! 4. It sends the spare the voter set with all that its replicas hold. The spare
-//!    writes that and votes from then on, in its place. It needs nobody else for it:
-//!    one more voter may be lost at this very moment.
-//! 5. It ends when the spare confirms, or when its patience ends.
+//! 3. It writes a voter set in which the spare holds the slot. Once this is on its disk, it
+//!    never votes again.
+//! 4. It sends the spare the voter set and the complete state of its replicas. The spare writes
+//!    both and from then on votes in its place. The spare needs no other voter for this: one
+//!    more voter may be lost at the same moment.
+//! 5. It exits when the spare confirms, or after `HANDOVER_TIMEOUT`.
 //!
-//! **Why it is safe.** The process that leaves and its successor never vote both, and
-//! the successor begins with all that the former had voted for and accepted, so the two
-//! count as one process whose voter set has risen; the argument in `voters` holds as it
-//! stands. A takeover of the same slot that a majority agreed to meanwhile wins, since
-//! its generation is above that of any handover (`voter_set::after_takeover`): a
-//! majority of the other voters then goes by the takeover's voter set, and too few are
-//! left for one with the successor.
+//! **Why this is safe.** The leaving process and its successor never both vote, and the
+//! successor begins with everything that the former had voted for and accepted. The two
+//! therefore count as one process whose voter set has risen, and the argument in `voters`
+//! applies unchanged. A takeover of the same slot that a majority has agreed to in the meantime
+//! wins, since its generation is above that of any handover (`voter_set::after_takeover`): a
+//! majority of the other voters then uses the takeover's voter set, and too few are left for a
+//! majority with the successor.
 
 use indexmap::IndexMap;
 
@@ -28,20 +29,20 @@
 use crate::time::{SECOND, Span, Tick, ms, since};
 use crate::voter_set::{SlotHolder, VoterSet, after_handover, keeps_zones_balanced};
 
-/// Silence after which a slot's replica may be replaced. Five times the interval at which
-/// it shows that it lives, and more than a restart takes; replacing it costs a whole copy
-/// of the state.
+/// Time without a message after which a slot's replica may be replaced. Five times the interval
+/// of its keepalives, and more than a restart takes; a replacement costs a complete copy of the
+/// state.
 pub(super) const VOTER_REPLACEMENT_TIMEOUT: Span = ms(2_500);
 
-/// How often a handover of a voter slot is offered or sent again: above a few round trips
-/// and two syncs of a slow disk.
+/// Interval at which an unanswered offer or state transfer is sent again: longer than a few
+/// round trips and two syncs of a slow disk.
 pub const HANDOVER_RETRY_INTERVAL: Span = ms(150);
 
-/// How long a controller that was asked to stop tries to hand its voter slot over. Half of
-/// the usual time between SIGTERM and SIGKILL.
+/// How long a controller that was asked to stop tries to hand its voter slot over. Half of the
+/// usual time between SIGTERM and SIGKILL.
 pub const HANDOVER_TIMEOUT: Span = 3 * SECOND;
 
-/// A controller without a voter slot that asked us for one.
+/// A controller without a voter slot that asked this controller for one.
 pub struct Applicant {
     /// The connection on which it asked.
     pub connection: ConnectionId,
@@ -51,21 +52,21 @@
     pub at: Tick,
 }
 
-/// What a controller knows of handovers, its own and others'.
+/// The state of handovers from and to this controller.
 #[derive(Default)]
 pub struct Handovers {
-    /// Who asked us for a slot, by replica id.
+    /// The controllers that asked for a slot, by replica id.
     pub applicants: IndexMap<u64, Applicant>,
-    /// Our own departure, once we were asked to stop.
+    /// The departure of this controller, once it was asked to stop.
     pub departure: Option<Departure>,
-    /// The slot that we agreed to take over.
+    /// The slot that this controller has agreed to take over.
     pub reservation: Option<Reservation>,
-    /// When we last claimed a slot by a majority's offers.
+    /// When this controller last claimed a slot that a majority had offered.
     pub claimed_at: Option<Tick>,
 }
 
-/// A slot that a spare waits for. Two voters that leave at the same time must not hand
-/// theirs to the same spare.
+/// A slot that a spare waits for. Two voters that leave at the same time must not hand their
+/// slots over to the same spare.
 pub struct Reservation {
     slot: VoterSlot,
     generation: u32,
@@ -74,60 +75,60 @@
 
 /// The departure of a controller that was asked to stop.
 pub struct Departure {
-    /// When it was asked to.
+    /// When it was asked to stop.
     pub began_at: Tick,
-    /// How far it is.
+    /// The stage that it has reached.
     pub stage: Stage,
 }
 
-/// How far a departure is. It only goes on, from one to the next.
+/// The stages of a departure, in their order. A departure never returns to an earlier stage.
 pub enum Stage {
-    /// The partitions that we led get other leaders.
+    /// The partitions that this controller led get other leaders.
     TransferringLeadership,
     /// A spare is asked to take the slot over.
     Offering {
-        /// The spare that was last asked.
+        /// The last offer that was sent.
         asked: Option<OfferSent>,
     },
-    /// The voter set without us is on its way to our disk.
+    /// The voter set without this controller is being written to its disk.
     Resigning {
-        /// Our slot.
+        /// The slot of this controller.
         slot: VoterSlot,
-        /// Replica id of the spare that takes it over.
+        /// Replica id of the spare that takes the slot over.
         successor: u64,
     },
-    /// We vote no more; the successor is sent our state.
+    /// This controller no longer votes; its state is being sent to the successor.
     Sending {
-        /// The message that carries it.
+        /// The message that carries the state.
         state: Box<Message>,
-        /// The slot that was ours.
+        /// The slot that this controller held.
         slot: VoterSlot,
-        /// When it was last sent.
+        /// When the message was last sent.
         sent_at: Option<Tick>,
     },
-    /// Nothing is left to do but to answer the operators who waited by then.
+    /// Only the operators whose requests were pending at this point still have to be answered.
     Answering {
         /// Numbers of their requests.
         operations: Vec<u64>,
     },
 }
 
-/// An offer of our slot to a spare.
+/// An offer of this controller's slot to a spare.
 #[derive(Clone, Copy)]
 pub struct OfferSent {
     /// Replica id of the spare.
     pub replica_id: u64,
-    /// When it was asked.
+    /// When the offer was sent.
     pub at: Tick,
 }
 
-/// A spare that may have our slot.
+/// A spare that may take over this controller's slot.
 pub struct Successor {
     /// Its replica id.
     pub replica_id: u64,
     /// The connection on which it asked for a slot.
     pub connection: ConnectionId,
-    /// Generation in which it would hold the slot.
+    /// Generation of the slot that it would hold.
     pub generation: u32,
 }
 
@@ -137,20 +138,20 @@
         self.departure.is_some()
     }
 
-    /// The process was asked to stop.
+    /// Begins the departure: the process was asked to stop.
     pub fn begin(&mut self, now: Tick) {
         self.departure = Some(Departure { began_at: now, stage: Stage::TransferringLeadership });
     }
 
-    /// Goes on to the next stage of our departure.
+    /// Enters the next stage of the departure.
     pub fn enter(&mut self, stage: Stage) {
         if let Some(departure) = &mut self.departure {
             departure.stage = stage;
         }
     }
 
-    /// The slot is another's, or nobody is there to take it. `operations` are the
-    /// requests of operators that wait.
+    /// Enters the last stage, once another replica holds the slot or no spare can take it.
+    /// `operations` are the pending requests of operators.
     pub fn finish(&mut self, operations: impl Iterator<Item = u64>) {
         if let Some(departure) = &mut self.departure
             && !matches!(departure.stage, Stage::Answering { .. })
@@ -159,8 +160,8 @@
         }
     }
 
-    /// Whether a process that was asked to stop may end: nobody waits for an answer
-    /// any more, or its patience has ended.
+    /// Whether a process that was asked to stop may exit: no operator waits for an answer any
+    /// more, or `HANDOVER_TIMEOUT` has passed.
     pub fn may_end(&self, now: Tick, is_waiting: impl Fn(u64) -> bool) -> bool {
         let Some(departure) = &self.departure else { return false };
         let Stage::Answering { operations } = &departure.stage else { return false };
@@ -168,18 +169,18 @@
             || !operations.iter().any(|operation| is_waiting(*operation))
     }
 
-    /// Notes that a spare asked us for a slot.
+    /// Records a spare that asked for a slot.
     pub fn record_applicant(&mut self, replica_id: u64, applicant: Applicant) {
         self.applicants.insert(replica_id, applicant);
     }
 
-    /// Forgets the spares that ask no more.
+    /// Drops the spares that no longer ask.
     pub fn drop_silent_applicants(&mut self, now: Tick) {
         self.applicants.retain(|_, a| since(a.at, now) < consts::VOTER_SILENCE_TIMEOUT);
     }
 
-    /// A spare that may have `slot`, if there is one; another than `last`, if there are
-    /// several.
+    /// Returns a spare that may take over `slot`, if there is one. If there are several, it is
+    /// not `last`.
     pub fn choose_successor(
         &self,
         voter_set: &VoterSet,
@@ -202,13 +203,14 @@
             })
     }
 
-    /// Whether we wait for a slot that a leaving voter hands to us, who have none.
+    /// Whether this controller, which has no slot, waits for one that a leaving voter hands
+    /// over.
     pub fn is_reserved(&self, now: Tick) -> bool {
         self.reservation.as_ref().is_some_and(|reservation| now < reservation.until)
     }
 
-    /// Whether we may agree to take over a slot: we don't leave, wait for no other one,
-    /// and did not claim one just now.
+    /// Whether this controller may agree to take over a slot: it is not leaving, waits for no
+    /// other slot, and has not claimed one recently.
     pub fn may_reserve(&self, now: Tick, slot: VoterSlot, generation: u32) -> bool {
         let has_claimed =
             self.claimed_at.is_some_and(|at| since(at, now) < VOTER_REPLACEMENT_TIMEOUT);
@@ -218,14 +220,14 @@
         !has_claimed && !waits_for_other && !self.is_leaving()
     }
 
-    /// Waits for a slot that was offered to us.
+    /// Reserves this controller for a slot that was offered to it.
     pub fn reserve(&mut self, now: Tick, slot: VoterSlot, generation: u32) {
         let until = now + HANDOVER_TIMEOUT;
         self.reservation = Some(Reservation { slot, generation, until });
     }
 
-    /// The voter set with `holder` in `slot`, if that is the spare that we asked and
-    /// that still waits for us.
+    /// Returns the voter set with `holder` in `slot`, if that is the spare that was last asked
+    /// and it still waits for the slot.
     pub fn with_successor(
         &self,
         now: Tick,
@@ -237,7 +239,7 @@
         else {
             return None;
         };
-        // After a pause of ours the spare may wait for us no more.
+        // If this process was paused, the spare may have stopped waiting.
         let is_fresh = since(asked.at, now) < 2 * HANDOVER_RETRY_INTERVAL;
         let has_slot = newest.slots.iter().any(|h| h.holder == asked.replica_id);
         let is_asked = asked.replica_id == holder.holder
@@ -250,7 +252,7 @@
         Some(voter_set)
     }
 
-    /// Whether we send our state to the successor in `slot`.
+    /// Whether this controller is sending its state to the successor in `slot`.
     pub fn is_sending(&self, slot: VoterSlot) -> bool {
         let departure = self.departure.as_ref();
         departure
@@ -258,8 +260,8 @@
     }
 }
 
-/// The generation in which a successor would hold `slot`, if one is left before the
-/// next takeover.
+/// Returns the generation in which a successor would hold `slot`, if one is left before the next
+/// takeover's.
 fn next_generation(voter_set: &VoterSet, slot: VoterSlot) -> Option<u32> {
     voter_set.slots.get(usize::from(slot)).and_then(|h| after_handover(h.generation))
 }
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -1,6 +1,5 @@
-//! How a controller without a voter slot comes to one: it asks whether a majority
-//! would give it a slot, and only then takes it. While no slot is free it goes on
-//! asking, and is a spare.
+//! How a controller without a voter slot obtains one: it asks whether a majority would grant it
+//! a slot, and takes it only then. While no slot is free it is a spare and continues to ask.
 
 use crate::command::Command;
 use crate::digest::pair;
@@ -13,10 +12,11 @@
 use crate::voters::handover::VOTER_REPLACEMENT_TIMEOUT;
 use crate::voters::voter_slots::{JoinOffer, VoterSlots};
 
-/// How long a vacant slot is kept for a zone that balances the slots better.
+/// How long a vacant slot is reserved for a zone that balances the slots better.
 const ZONE_BALANCE_TIMEOUT: Span = 10 * SECOND;
 
-/// How often a controller without a slot asks for one, and so hears who lives.
+/// How often a controller without a slot asks for one. The answers also show it which voters are
+/// running.
 const JOIN_REQUEST_INTERVAL: Span = ms(500);
 
 /// A controller that asks for a slot.
@@ -31,7 +31,7 @@
 }
 
 impl VoterSlots {
-    /// Asks for a slot, if it is time. For a controller that has none.
+    /// Asks for a slot if that is due. Used by a controller that has none.
     pub fn request_slot(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let replica_id = self.replica_id();
         if now < self.join_request_at || replica_id == 0 || self.handovers.is_leaving() {
@@ -47,7 +47,7 @@
         commands.push(Command::Broadcast { message });
     }
 
-    /// The slots that we, the holder of `own`, would give to a candidate.
+    /// Returns the slots that this controller, the holder of `own`, would grant to a candidate.
     pub fn grantable_slots(
         &self,
         now: Tick,
@@ -58,8 +58,8 @@
         (0..size).filter(|slot| self.would_grant(now, own, *slot, candidate)).collect()
     }
 
-    /// Whether we, the holder of `own`, would give `slot` to a candidate: it is vacant,
-    /// or it is the candidate's own from before its disk was lost, or its replica is
+    /// Whether this controller, the holder of `own`, would grant `slot` to a candidate: the slot
+    /// is vacant, or the candidate held it before its disk was lost, or the slot's replica is
     /// silent.
     fn would_grant(
         &self,
@@ -77,7 +77,7 @@
         if is_at_its_address(holder) {
             return true;
         }
-        // One that has a slot elsewhere, or had one under this address, takes that.
+        // A candidate that holds another slot, or held another at this address, takes that one.
         let has_another = |h: &SlotHolder| h.holder == candidate.replica_id || is_at_its_address(h);
         if voter_set.slots.iter().any(has_another) {
             return false;
@@ -90,8 +90,8 @@
         fits && silence.is_some_and(|silence| *silence >= VOTER_REPLACEMENT_TIMEOUT)
     }
 
-    /// A voter says which slots it would give us, who have none. We claim one that a
-    /// majority would give us.
+    /// Handles the list of slots that a voter would grant this controller, which has none.
+    /// Claims one that a majority would grant.
     pub fn on_join_offer(
         &mut self,
         now: Tick,
@@ -111,8 +111,9 @@
         }
     }
 
-    /// The slot to claim of those that a majority would give us: our own from before
-    /// first; else applicants spread over what is free.
+    /// Returns the slot to claim among those that a majority would grant: preferably the one
+    /// that this address held before, otherwise chosen by hash so that applicants spread over
+    /// the free slots.
     fn choose_slot(&self, now: Tick) -> Option<VoterSlot> {
         let size = self.offers.len();
         let offers_it = |slot: VoterSlot, offer: &JoinOffer| {
@@ -141,7 +142,7 @@
             .push(Command::Broadcast { message: Message::SlotTakeover { slot, holder: holding } });
     }
 
-    /// Ourselves as holder of a slot in a generation.
+    /// Returns this controller as the holder of a slot in a generation.
     pub fn own_holder(&self, generation: u32) -> SlotHolder {
         SlotHolder {
             generation,
@@ -151,8 +152,8 @@
         }
     }
 
-    /// The voter set in which a controller has taken over `slot`, if we, the holder of
-    /// `own`, agree.
+    /// Returns the voter set in which a controller has taken over `slot`, if this controller,
+    /// the holder of `own`, agrees.
     pub fn with_takeover(
         &self,
         now: Tick,
--- a/crates/core/src/voters/stamp.rs
+++ b/crates/core/src/voters/stamp.rs
@@ -1,8 +1,8 @@
-//! Stamps of messages that count only between voters that hold the same voter set.
+//! Voter set stamps of messages that count only between voters with the same voter set.
 
 use crate::protocol::message::Message;
 
-/// The stamp of a message that counts only under equal voter sets.
+/// Returns the stamp of a message that counts only under equal voter sets.
 pub fn stamp_of(message: &Message) -> Option<u64> {
     match message {
         Message::VoteGranted { stamp, .. }
@@ -16,7 +16,7 @@
     }
 }
 
-/// The same, to be set.
+/// Returns the same stamp for modification.
 pub fn stamp_of_mut(message: &mut Message) -> Option<&mut u64> {
     match message {
         Message::VoteGranted { stamp, .. }
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -1,5 +1,4 @@
-//! What a controller knows of the voter slots: receiving, writing and sending the
-//! voter set.
+//! The state of the voter slots on a controller: receiving, writing and sending the voter set.
 
 use indexmap::IndexSet;
 
@@ -13,85 +12,85 @@
 use crate::voters::handover::Handovers;
 use crate::voters::stamp::stamp_of_mut;
 
-/// How often a voter shows another that it lives, if nothing else does.
+/// Longest time without a message to another voter before a keepalive is sent.
 const KEEPALIVE_INTERVAL: Span = ms(500);
 
-/// Least time between two sendings of the voter set to a voter that has another.
+/// Minimum time between two sends of the voter set to a voter that has another.
 const VOTER_SET_RESEND_INTERVAL: Span = ms(200);
 
-/// What a controller knows of the voter slots.
+/// The state of the voter slots on a controller.
 ///
-/// Invariants: `voter_file` is on disk; what is sent, counted or done rests on it
-/// alone; `pending_write` follows it and is on its way to the disk.
+/// Invariants: `voter_file` is on disk; everything that is sent, counted or done depends on it
+/// alone; `pending_write` is newer and is being written to disk.
 pub struct VoterSlots {
-    /// Our replica id and the voter set, as they are on disk.
+    /// Replica id of this controller and the voter set, as they are on disk.
     pub voter_file: VoterFile,
     /// Stamp of that voter set.
     pub stamp: u64,
-    /// The address at which other controllers reach us.
+    /// The address at which other controllers reach this one.
     pub addr: String,
-    /// Our zone.
+    /// The zone of this controller.
     pub zone: String,
-    /// A newer voter file on its way to the disk.
+    /// A newer voter file that is being written to disk.
     pub pending_write: Option<PendingVoterFile>,
-    /// Token of the last voter file that was sent to the disk.
+    /// Token of the last write of a voter file.
     pub last_token: u64,
     /// When this process started.
     pub started_at: Tick,
     /// When silence was last counted.
     pub silence_counted_at: Tick,
-    /// For how long each slot's replica was not heard, while we were awake: a process
-    /// that was paused must not take its pause for others' silence.
+    /// Time without a message from each slot's replica, counted while this process was running:
+    /// a process that was paused must not count its pause as silence of the others.
     pub silence: Vec<Span>,
-    /// When we last sent something to each slot.
+    /// When a message was last sent to each slot.
     pub last_sent_at: Vec<Tick>,
-    /// When we last sent each slot the voter set because it had another.
+    /// When the voter set was last sent to each slot because its replica had another.
     pub voter_set_sent_at: Vec<Tick>,
-    /// Connections that others opened to us.
+    /// Connections that others opened to this controller.
     pub connections: IndexSet<ConnectionId>,
-    /// When we next ask for a slot, while we have none.
+    /// When this controller next asks for a slot, while it has none.
     pub join_request_at: Tick,
-    /// The slots that each voter would give us, while we have none.
+    /// The slots that each voter would grant this controller, while it has none.
     pub offers: Vec<Option<JoinOffer>>,
-    /// Counts the requests that were forwarded without a slot, to spread them.
+    /// Number of requests that were forwarded while this controller had no slot, used to spread
+    /// them over the voters.
     pub forwarded_without_slot: usize,
-    /// Handovers of slots, ours and others'.
+    /// Handovers of slots from and to this controller.
     pub handovers: Handovers,
 }
 
-/// The slots that a voter would give us, and when it said so.
+/// The slots that a voter would grant this controller.
 #[derive(Clone)]
 pub struct JoinOffer {
-    /// When it said so.
+    /// When the offer was received.
     pub at: Tick,
-    /// The slots that it would give us.
+    /// The slots that it would grant.
     pub free: Vec<VoterSlot>,
 }
 
-/// A voter file on its way to the disk.
+/// A voter file that is being written to disk.
 pub struct PendingVoterFile {
-    /// What is written.
+    /// The contents to write.
     pub voter_file: VoterFile,
-    /// Names the write when the disk reports its end.
+    /// Identifies the write when the disk reports its result.
     pub token: u64,
-    /// What becomes of the partitions' files.
+    /// What to do with the partitions' files.
     pub partition_files: PartitionFiles,
     /// When the write is retried after a failure.
     pub retry_at: Option<Tick>,
 }
 
-/// What becomes of the partitions' files when a voter file is written.
+/// What happens to the partitions' files when a voter file is written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum PartitionFiles {
-    /// They go on being used.
+    /// They stay in use.
     Keep,
-    /// They are set aside first: they belong to a replica id that is given up.
+    /// They are moved aside first, because they belong to a replica id that is being replaced.
     SetAside,
 }
 
 impl VoterSlots {
-    /// The voter slots of a controller that has read its disk, which others reach at
-    /// `addr`.
+    /// Creates the state of a controller that has read its disk and that others reach at `addr`.
     pub fn new(voter_file: VoterFile, addr: &str, zone: &str, now: Tick) -> VoterSlots {
         let size = voter_file.table.slots.len();
         VoterSlots {
@@ -114,22 +113,22 @@
         }
     }
 
-    /// The voter set on disk.
+    /// Returns the voter set on disk.
     pub fn voter_set(&self) -> &VoterSet {
         &self.voter_file.table
     }
 
-    /// Our replica id; zero while a new one is on its way to the disk.
+    /// Returns the replica id of this controller; zero while a new one is being written to disk.
     pub fn replica_id(&self) -> u64 {
         self.voter_file.me
     }
 
-    /// The replica group as the holder of `slot` sees it.
+    /// Returns the replica group as the holder of `slot` sees it.
     pub fn group(&self, slot: VoterSlot) -> VoterGroup {
         group(&self.voter_file.table, slot, self.voter_file.first)
     }
 
-    /// The newest voter set that we know, on disk or on its way there.
+    /// Returns the newest known voter set, on disk or being written.
     pub fn newest(&self) -> &VoterSet {
         self.pending_write.as_ref().map_or(self.voter_set(), |write| &write.voter_file.table)
     }
@@ -140,14 +139,14 @@
         holder.is_some_and(|h| h.holder == replica_id && replica_id != 0)
     }
 
-    /// Takes in a voter set that somebody sent.
+    /// Merges a voter set that another process sent.
     pub fn merge_voter_set(&mut self, theirs: &VoterSet, commands: &mut Vec<Command>) {
         if let Some(merged) = merge(self.newest(), theirs) {
             self.write_voter_set(merged, commands);
         }
     }
 
-    /// Sends a newer voter set to the disk; it is adopted once it is there.
+    /// Writes a newer voter set to disk; it is adopted once the write is complete.
     pub fn write_voter_set(&mut self, voter_set: VoterSet, commands: &mut Vec<Command>) {
         let (mut voter_file, partition_files) = match &self.pending_write {
             Some(write) => (write.voter_file.clone(), write.partition_files),
@@ -157,7 +156,7 @@
         self.write_voter_file(voter_file, partition_files, commands);
     }
 
-    /// Sends a voter file to the disk; it is adopted once it is there.
+    /// Writes a voter file to disk; it is adopted once the write is complete.
     pub fn write_voter_file(
         &mut self,
         voter_file: VoterFile,
@@ -175,7 +174,7 @@
         self.pending_write = Some(pending);
     }
 
-    /// The disk failed to write the voter file: it is retried.
+    /// Schedules a retry after the disk failed to write the voter file.
     pub fn on_write_failed(&mut self, now: Tick, why: &str, commands: &mut Vec<Command>) {
         if let Some(write) = &mut self.pending_write {
             write.retry_at = Some(now + DISK_STALL);
@@ -184,7 +183,7 @@
         }
     }
 
-    /// Retries a write that failed, if it is time.
+    /// Retries a failed write if that is due.
     pub fn retry_write(&mut self, now: Tick, commands: &mut Vec<Command>) {
         if let Some(write) = &mut self.pending_write
             && write.retry_at.is_some_and(|at| now >= at)
@@ -194,10 +193,11 @@
         }
     }
 
-    /// A voter file is on disk: from here on we act by it. Tells which slots changed
-    /// hands; nothing if a newer one is on its way.
+    /// Adopts a voter file whose write is complete. Returns which slots changed their holder, or
+    /// nothing if a newer file is being written.
     pub fn adopt_written(&mut self, token: u64) -> Option<Vec<bool>> {
-        // An older one that is there too is only part of the newest.
+        // An older file that was written before needs no handling: the newest contains all of
+        // it.
         let write = self.pending_write.take_if(|write| write.token == token)?;
         let former = std::mem::replace(&mut self.voter_file, write.voter_file);
         self.stamp = stamp(self.voter_set());
@@ -211,7 +211,8 @@
         Some((0..size).map(is_moved).collect())
     }
 
-    /// Says which slots changed hands. Their new replicas were not silent yet.
+    /// Alarms about the slots that changed their holder, and starts counting the silence of
+    /// their new replicas.
     pub fn report_changed_slots(&mut self, moved: &[bool], commands: &mut Vec<Command>) {
         for (slot, _) in moved.iter().enumerate().filter(|(_, moved)| **moved) {
             self.silence[slot] = 0;
@@ -230,7 +231,7 @@
         }
     }
 
-    /// Sends the voter set to everyone, as the holder of `slot`.
+    /// Sends the voter set to every voter and on every connection, as the holder of `slot`.
     pub fn broadcast_voter_set(&self, slot: VoterSlot, commands: &mut Vec<Command>) {
         let message = self.update_message();
         for slot in others(self.group(slot)) {
@@ -249,7 +250,8 @@
         }
     }
 
-    /// Sends the voter set to a voter that has another, not too often.
+    /// Sends the voter set to a voter that has another, at most every
+    /// `VOTER_SET_RESEND_INTERVAL`.
     pub fn resend_voter_set(
         &mut self,
         now: Tick,
@@ -264,8 +266,8 @@
         }
     }
 
-    /// A controller sent its voter set on a connection that we opened. It is sent ours
-    /// if it lacks something that we have.
+    /// Merges a voter set that a controller sent on a connection which this one opened. Sends
+    /// back this controller's voter set if the other lacks anything in it.
     pub fn on_voter_set_answer(
         &mut self,
         replica_id: u64,
@@ -280,7 +282,8 @@
         }
     }
 
-    /// Puts our stamp on the messages that need it, and notes to whom we speak.
+    /// Sets this controller's stamp on the messages that carry one, and records when each slot
+    /// was last sent a message.
     pub fn stamp_messages(&mut self, now: Tick, commands: &mut [Command]) {
         for command in commands {
             let Command::ToVoter { slot, message } = command else { continue };
@@ -293,7 +296,7 @@
         }
     }
 
-    /// Counts everybody's silence since the last time, but at most `longest`.
+    /// Adds the time since the last call, but at most `longest`, to the silence of every slot.
     pub fn count_silence(&mut self, now: Tick, longest: Span) {
         let passed = since(self.silence_counted_at, now).min(longest);
         self.silence_counted_at = now;
@@ -302,7 +305,7 @@
         }
     }
 
-    /// Fills in the zone of our own slot, where the seeds could not name it.
+    /// Fills in the zone of this controller's slot, which the list of seeds does not contain.
     pub fn fill_in_zone(&mut self, slot: VoterSlot, commands: &mut Vec<Command>) {
         let own = usize::from(slot);
         let is_unknown = self.voter_set().slots[own].zone.is_empty();
@@ -313,8 +316,8 @@
         }
     }
 
-    /// Shows the other voters that the holder of `slot` lives, where nothing else did
-    /// lately.
+    /// Sends a keepalive, as the holder of `slot`, to each voter to which nothing else was sent
+    /// recently.
     pub fn send_keepalives(&self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
         for slot in others(self.group(slot)) {
             if since(self.last_sent_at[usize::from(slot)], now) >= KEEPALIVE_INTERVAL {
