--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -73,10 +73,12 @@
                     self.offer_slot(now, None, commands);
                 }
             }
-            Stage::Offering { asked } => {
-                let asked = *asked;
-                if asked.is_none_or(|asked| since(asked.at, now) >= HANDOVER_RETRY_INTERVAL) {
-                    let last = asked.map(|asked| asked.replica_id);
+            Stage::Offering { last_offer } => {
+                let last_offer = *last_offer;
+                if last_offer
+                    .is_none_or(|last_offer| since(last_offer.at, now) >= HANDOVER_RETRY_INTERVAL)
+                {
+                    let last = last_offer.map(|last_offer| last_offer.replica_id);
                     self.offer_slot(now, last, commands);
                 }
             }
@@ -110,8 +112,8 @@
             connection: successor.connection,
             message: Message::HandoverOffer { slot, generation: successor.generation },
         });
-        let asked = Some(OfferSent { replica_id: successor.replica_id, at: now });
-        self.voter_slots.handovers.enter(Stage::Offering { asked });
+        let last_offer = Some(OfferSent { replica_id: successor.replica_id, at: now });
+        self.voter_slots.handovers.enter(Stage::Offering { last_offer });
     }
 
     /// A voter that leaves offers us its slot.
--- a/crates/core/src/voter_set.rs
+++ b/crates/core/src/voter_set.rs
@@ -122,11 +122,11 @@
         return None;
     }
     let mut new = ours.clone();
-    for (a, b) in new.slots.iter_mut().zip(&theirs.slots) {
-        if ballot(b) > ballot(a) {
-            *a = b.clone();
-        } else if ballot(b) == ballot(a) && a.zone.is_empty() {
-            a.zone.clone_from(&b.zone);
+    for (mine, received) in new.slots.iter_mut().zip(&theirs.slots) {
+        if ballot(received) > ballot(mine) {
+            *mine = received.clone();
+        } else if ballot(received) == ballot(mine) && mine.zone.is_empty() {
+            mine.zone.clone_from(&received.zone);
         }
     }
     (new != *ours).then_some(new)
@@ -175,16 +175,16 @@
     u64::from(slot) + 1
 }
 
-/// Whether a replica in a zone may hold slot `k`. No zone may come to hold so many slots that
+/// Whether a replica in a zone may hold `slot`. No zone may come to hold so many slots that
 /// its loss would take the majority, unless one already does.
-pub fn keeps_zones_balanced(voter_set: &VoterSet, k: VoterSlot, zone: &str) -> bool {
+pub fn keeps_zones_balanced(voter_set: &VoterSet, slot: VoterSlot, zone: &str) -> bool {
     let size = voter_set.slots.len();
     let count = |zone: &str, without: Option<VoterSlot>| {
         let list = voter_set.slots.iter().enumerate();
         list.filter(|(i, h)| h.holder != 0 && h.zone == zone && Some(*i as VoterSlot) != without)
             .count()
     };
-    let worst = voter_set.slots.iter().map(|h| count(&h.zone, None)).max().unwrap_or(0);
-    let after = count(zone, Some(k)) + 1;
-    zone.is_empty() || after <= (size - majority(size)).max(worst)
+    let largest_zone = voter_set.slots.iter().map(|h| count(&h.zone, None)).max().unwrap_or(0);
+    let slots_with_replica = count(zone, Some(slot)) + 1;
+    zone.is_empty() || slots_with_replica <= (size - majority(size)).max(largest_zone)
 }
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -88,7 +88,7 @@
     /// A spare is asked to take the slot over.
     Offering {
         /// The last offer that was sent.
-        asked: Option<OfferSent>,
+        last_offer: Option<OfferSent>,
     },
     /// The voter set without this controller is being written to its disk.
     Resigning {
@@ -235,14 +235,15 @@
         slot: VoterSlot,
         holder: SlotHolder,
     ) -> Option<VoterSet> {
-        let Some(Departure { stage: Stage::Offering { asked: Some(asked) }, .. }) = &self.departure
+        let Some(Departure { stage: Stage::Offering { last_offer: Some(last_offer) }, .. }) =
+            &self.departure
         else {
             return None;
         };
         // If this process was paused, the spare may have stopped waiting.
-        let is_fresh = since(asked.at, now) < 2 * HANDOVER_RETRY_INTERVAL;
-        let has_slot = newest.slots.iter().any(|h| h.holder == asked.replica_id);
-        let is_asked = asked.replica_id == holder.holder
+        let is_fresh = since(last_offer.at, now) < 2 * HANDOVER_RETRY_INTERVAL;
+        let has_slot = newest.slots.iter().any(|h| h.holder == last_offer.replica_id);
+        let is_asked = last_offer.replica_id == holder.holder
             && next_generation(newest, slot) == Some(holder.generation);
         if !is_fresh || has_slot || !is_asked {
             return None;
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -126,20 +126,21 @@
                 .filter(|offer| offers_it(slot, offer))
                 .count()
         };
-        let was_ours =
+        let was_held_here =
             |slot: &VoterSlot| self.voter_set().slots[usize::from(*slot)].addr == self.addr;
         (0..size as VoterSlot)
             .filter(|slot| offers_of(*slot) >= majority(size))
-            .max_by_key(|slot| (was_ours(slot), pair(self.replica_id(), u64::from(*slot))))
+            .max_by_key(|slot| (was_held_here(slot), pair(self.replica_id(), u64::from(*slot))))
     }
 
     fn claim(&mut self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
         let former = self.voter_set().slots[usize::from(slot)].generation;
-        let holding = self.own_holder(after_takeover(former));
+        let claimed_holder = self.own_holder(after_takeover(former));
         self.offers = vec![None; self.offers.len()];
         self.handovers.claimed_at = Some(now);
-        commands
-            .push(Command::Broadcast { message: Message::SlotTakeover { slot, holder: holding } });
+        commands.push(Command::Broadcast {
+            message: Message::SlotTakeover { slot, holder: claimed_holder },
+        });
     }
 
     /// Returns this controller as the holder of a slot in a generation.
@@ -167,11 +168,11 @@
             return None;
         }
         let mut voter_set = self.newest().clone();
-        let cell = &mut voter_set.slots[usize::from(slot)];
-        if holder.holder == 0 || holder.generation != after_takeover(cell.generation) {
+        let slot_holder = &mut voter_set.slots[usize::from(slot)];
+        if holder.holder == 0 || holder.generation != after_takeover(slot_holder.generation) {
             return None;
         }
-        *cell = holder;
+        *slot_holder = holder;
         Some(voter_set)
     }
 }
