--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -53,7 +53,7 @@
             if cut_off {
                 self.counters.lease_lapses += 1;
                 commands.push(Command::Alarm(
-                    "cut off: no word from the core, and no proof that all others lack it too"
+                    "cut off: the lease lapsed, and no proof that all other members have lost the controllers"
                         .into(),
                 ));
             }
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -76,7 +76,7 @@
                 self.configuration_revision = revision;
             }
             Err(reasons) => commands.push(Command::Alarm(format!(
-                "configuration {revision} can't be obeyed, {} stays: {}",
+                "configuration {revision} is invalid and was not applied, {} stays in force: {}",
                 self.configuration_revision,
                 reasons.join("; ")
             ))),
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -178,7 +178,7 @@
     pub fn on_write_failed(&mut self, now: Tick, why: &str, commands: &mut Vec<Command>) {
         if let Some(write) = &mut self.pending_write {
             write.retry_at = Some(now + DISK_STALL);
-            let text = format!("the table of the seats can't be kept: {why}");
+            let text = format!("the voter set could not be written to disk: {why}");
             commands.push(Command::Alarm(text));
         }
     }
@@ -217,8 +217,10 @@
         for (slot, _) in moved.iter().enumerate().filter(|(_, moved)| **moved) {
             self.silence[slot] = 0;
             let holder = &self.voter_file.table.slots[slot];
-            let text =
-                format!("seat {slot}: {} has it, generation {}", holder.addr, holder.generation);
+            let text = format!(
+                "voter slot {slot}: now held by {}, generation {}",
+                holder.addr, holder.generation
+            );
             commands.push(Command::Alarm(text));
         }
         commands.push(Command::VoterSetChanged);
