--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -42,7 +42,8 @@
     /// Returns until when a majority of this member and its neighbours counts as connected.
     pub(super) fn neighbour_majority_until(&self) -> Tick {
         let neighbours = &self.ring.neighbours;
-        // The smallest number of neighbours that form a majority together with this member.
+        // The smallest number of neighbours that make up more than half together with this
+        // member.
         let needed = neighbours.len().div_ceil(2);
         if needed == 0 {
             return Tick::MAX;
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -187,7 +187,7 @@
     pub list_failures: u64,
     /// Health checks that were started.
     pub probes: u64,
-    /// Times that this querier's lease lapsed and it could not prove that it may serve on.
+    /// Times that this querier's lease lapsed and it could not prove that it may go on serving.
     pub lease_lapses: u64,
     /// Lease renewals of other members that were forwarded to a voter.
     pub forwarded_renewals: u64,
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -52,8 +52,8 @@
     pub join_request_at: Tick,
     /// The slots that each voter would grant this controller, while it has none.
     pub offers: Vec<Option<JoinOffer>>,
-    /// Number of requests that were forwarded while this controller had no slot, used to spread
-    /// them over the voters.
+    /// Number of requests that were forwarded while this controller had no slot; selects the
+    /// next voter in turn.
     pub forwarded_without_slot: usize,
     /// Handovers of slots from and to this controller.
     pub handovers: Handovers,
