--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -64,7 +64,7 @@
             self.voter_slots.resend_voter_set(now, slot, connection, commands);
             return false;
         }
-        self.voter_slots.silence[usize::from(slot)] = 0;
+        self.voter_slots.time_since_message[usize::from(slot)] = 0;
         let ours = self.voter_slots.stamp;
         let has_same_set = stamp_of(message).is_none_or(|stamp| stamp == ours);
         if !has_same_set {
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -62,7 +62,7 @@
         if self.slot != NO_SLOT {
             return self.known_leader();
         }
-        let quiet = &self.voter_slots.silence;
+        let quiet = &self.voter_slots.time_since_message;
         // A controller that is leaving asks nobody for a slot, and so hears nobody.
         let leaving = self.is_leaving();
         let is_awake =
@@ -280,7 +280,7 @@
         let leaving = self.is_leaving();
         let ControllerState { slot, voter_slots, pending_requests, .. } = self;
         let is_silent = |to: &Forwarding| {
-            let quiet = voter_slots.silence.get(usize::from(to.slot));
+            let quiet = voter_slots.time_since_message.get(usize::from(to.slot));
             quiet.is_none_or(|quiet| *quiet >= consts::VOTER_SILENCE_TIMEOUT)
         };
         let is_superseded = |to: &Forwarding| match *slot {
--- a/crates/core/src/control_plane/slot_takeover.rs
+++ b/crates/core/src/control_plane/slot_takeover.rs
@@ -49,8 +49,10 @@
         free: Vec<VoterSlot>,
         commands: &mut Vec<Command>,
     ) {
-        if let Some(silence) = self.voter_slots.silence.get_mut(usize::from(from)) {
-            *silence = 0;
+        if let Some(time_since_message) =
+            self.voter_slots.time_since_message.get_mut(usize::from(from))
+        {
+            *time_since_message = 0;
         }
         if self.slot == NO_SLOT {
             self.voter_slots.on_join_offer(now, from, stamp, free, commands);
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -89,7 +89,7 @@
 
     /// Time passes: silence is counted, and we show that we live.
     pub(super) fn wake_voter_slots(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        self.voter_slots.count_silence(now, 2 * WAKE);
+        self.voter_slots.advance_time_since_message(now, 2 * WAKE);
         self.voter_slots.retry_write(now, commands);
         self.wake_handover(now, commands);
         if self.slot == NO_SLOT {
--- a/crates/core/src/membership/lease_renewal.rs
+++ b/crates/core/src/membership/lease_renewal.rs
@@ -73,7 +73,7 @@
     }
 
     /// Handles the grant of a renewal. `revision` is the configuration revision at the time of
-    /// the grant. It came through a voter slot, or was forwarded by a member.
+    /// the grant. The grant came through a voter slot, or was forwarded by a member.
     pub(super) fn on_lease_granted(&mut self, slot: Option<VoterSlot>, number: u64, revision: u64) {
         if self.lease.on_granted(slot, number, revision) {
             self.record_known_revision(revision);
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -21,8 +21,8 @@
 /// must not keep a querier with little CPU busy building views.
 const VIEW_INTERVAL: Span = ms(100);
 
-/// Time that a starting querier which has heard fewer than two voters waits before it takes its
-/// view from a ready member alone.
+/// Time that a starting querier which has received positions from fewer than two voters waits
+/// before it takes its view from a ready member alone.
 pub(super) const STARTUP_TIMEOUT: Span = 3 * SECOND;
 
 /// Delay before leafs of unknown age are health-checked, so that the leafs of one list are
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -59,8 +59,8 @@
     }
 
     /// Whether this controller, the holder of `own`, would grant `slot` to a candidate: the slot
-    /// is vacant, or the candidate held it before its disk was lost, or the slot's replica is
-    /// silent.
+    /// is vacant, or the candidate held it before its disk was lost, or the slot's replica has
+    /// sent nothing for `VOTER_REPLACEMENT_TIMEOUT`.
     fn would_grant(
         &self,
         now: Tick,
@@ -86,8 +86,9 @@
         if holder.holder == 0 {
             return fits || since(self.started_at, now) >= ZONE_BALANCE_TIMEOUT;
         }
-        let silence = self.silence.get(usize::from(slot));
-        fits && silence.is_some_and(|silence| *silence >= VOTER_REPLACEMENT_TIMEOUT)
+        let time_since_message = self.time_since_message.get(usize::from(slot));
+        fits && time_since_message
+            .is_some_and(|time_since_message| *time_since_message >= VOTER_REPLACEMENT_TIMEOUT)
     }
 
     /// Handles the list of slots that a voter would grant this controller, which has none.
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -37,11 +37,11 @@
     pub last_token: u64,
     /// When this process started.
     pub started_at: Tick,
-    /// When silence was last counted.
-    pub silence_counted_at: Tick,
-    /// Time without a message from each slot's replica, counted while this process was running:
-    /// a process that was paused must not count its pause as silence of the others.
-    pub silence: Vec<Span>,
+    /// When `time_since_message` was last advanced.
+    pub time_advanced_at: Tick,
+    /// Time since the last message of each slot's replica, counted only while this process was
+    /// running: a process that was paused must not count its pause as silence of the others.
+    pub time_since_message: Vec<Span>,
     /// When a message was last sent to each slot.
     pub last_sent_at: Vec<Tick>,
     /// When the voter set was last sent to each slot because its replica had another.
@@ -101,8 +101,8 @@
             pending_write: None,
             last_token: 0,
             started_at: now,
-            silence_counted_at: now,
-            silence: vec![0; size],
+            time_advanced_at: now,
+            time_since_message: vec![0; size],
             last_sent_at: vec![0; size],
             voter_set_sent_at: vec![0; size],
             connections: IndexSet::new(),
@@ -202,7 +202,7 @@
         let former = std::mem::replace(&mut self.voter_file, write.voter_file);
         self.stamp = stamp(self.voter_set());
         let size = self.voter_set().slots.len();
-        self.silence.resize(size, 0);
+        self.time_since_message.resize(size, 0);
         self.last_sent_at.resize(size, 0);
         self.voter_set_sent_at.resize(size, 0);
         self.offers = vec![None; size];
@@ -211,11 +211,11 @@
         Some((0..size).map(is_moved).collect())
     }
 
-    /// Alarms about the slots that changed their holder, and starts counting the silence of
-    /// their new replicas.
+    /// Alarms about the slots that changed their holder, and resets the time since the last
+    /// message of their new replicas.
     pub fn report_changed_slots(&mut self, moved: &[bool], commands: &mut Vec<Command>) {
         for (slot, _) in moved.iter().enumerate().filter(|(_, moved)| **moved) {
-            self.silence[slot] = 0;
+            self.time_since_message[slot] = 0;
             let holder = &self.voter_file.table.slots[slot];
             let text = format!(
                 "voter slot {slot}: now held by {}, generation {}",
@@ -298,12 +298,13 @@
         }
     }
 
-    /// Adds the time since the last call, but at most `longest`, to the silence of every slot.
-    pub fn count_silence(&mut self, now: Tick, longest: Span) {
-        let passed = since(self.silence_counted_at, now).min(longest);
-        self.silence_counted_at = now;
-        for silence in &mut self.silence {
-            *silence += passed;
+    /// Adds the time since the last call, but at most `longest`, to `time_since_message` of
+    /// every slot.
+    pub fn advance_time_since_message(&mut self, now: Tick, longest: Span) {
+        let passed = since(self.time_advanced_at, now).min(longest);
+        self.time_advanced_at = now;
+        for time_since_message in &mut self.time_since_message {
+            *time_since_message += passed;
         }
     }
 
