--- a/crates/core/src/voter_set.rs
+++ b/crates/core/src/voter_set.rs
@@ -18,6 +18,7 @@
 /// and holder 0.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct SlotHolder {
+    /// Rises with each takeover and each handover of the slot.
     pub generation: u32,
     /// Replica id: drawn at random once for a disk; that of an initial holder is derived from
     /// the seeds.
