--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -24,7 +24,7 @@
 use crate::replication::operations::OperationOrigin;
 use crate::replication::partition::Role;
 use crate::time::Tick;
-use crate::voter_set::{NOBODY, others};
+use crate::voter_set::{NO_SLOT, others};
 
 /// Attempts that are remembered (count), so that one that comes twice is taken
 /// once: at hundreds of orders a second those of ten seconds.
@@ -40,7 +40,7 @@
         commands: &mut Vec<Command>,
     ) {
         // Without a voter slot we hold no revision: the leader tells it.
-        if request.is_unconditional() && self.slot != NOBODY {
+        if request.is_unconditional() && self.slot != NO_SLOT {
             let revision = self.partitions[0].committed_revision;
             return commands
                 .push(Command::Respond { op, done: OperationResult::Conflict { revision } });
@@ -59,17 +59,18 @@
     /// To whom a request would be handed now: the leader that we know, or without a
     /// voter slot any controller that lives, by turns.
     fn forwarding_target(&mut self) -> Option<Forwarding> {
-        if self.slot != NOBODY {
+        if self.slot != NO_SLOT {
             return self.known_leader();
         }
-        let quiet = &self.voter_slots.silence;
+        let quiet = &self.voter_slots.time_since_message;
         // A controller that is leaving asks nobody for a slot, and so hears nobody.
         let leaving = self.is_leaving();
         let is_awake =
             |slot: &VoterSlot| leaving || quiet[usize::from(*slot)] < consts::VOTER_SILENCE_TIMEOUT;
         let list: Vec<VoterSlot> = others(self.group()).filter(is_awake).collect();
-        let slot = list.get(self.voter_slots.forwarding_turns % list.len().max(1)).copied()?;
-        self.voter_slots.forwarding_turns += 1;
+        let slot =
+            list.get(self.voter_slots.forwarded_without_slot % list.len().max(1)).copied()?;
+        self.voter_slots.forwarded_without_slot += 1;
         Some(Forwarding { slot, term: ANY_TERM })
     }
 
@@ -279,11 +280,11 @@
         let leaving = self.is_leaving();
         let ControllerState { slot, voter_slots, pending_requests, .. } = self;
         let is_silent = |to: &Forwarding| {
-            let quiet = voter_slots.silence.get(usize::from(to.slot));
+            let quiet = voter_slots.time_since_message.get(usize::from(to.slot));
             quiet.is_none_or(|quiet| *quiet >= consts::VOTER_SILENCE_TIMEOUT)
         };
         let is_superseded = |to: &Forwarding| match *slot {
-            NOBODY => !leaving && is_silent(to),
+            NO_SLOT => !leaving && is_silent(to),
             _ => leader.is_some_and(|leader| leader != *to),
         };
         for pending in pending_requests.values_mut() {
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -1,47 +1,50 @@
-//! Whether this querier takes calls and is ready, and among whom quotas are divided.
+//! Decides whether this querier admits calls and is ready, and which members divide the quotas.
 //!
-//! Without a granted renewal for `TENURE_TRUST` the lease has lapsed. Then:
-//! - we can prove that all but very few members know of nothing newer and do not
-//!   hear the controllers either: the controllers are out of reach for all, and we
-//!   serve our last view on with our last share (`attestation`). Controllers that
-//!   live accept no change and give nobody's share away without one of those;
-//! - else we are cut off, alone or with others: we turn not ready and then reject
-//!   calls, before the leader gives our share away.
+//! Without a granted renewal for `LEASE_VALIDITY` the lease has lapsed. Then one of two cases
+//! applies:
+//! - This querier can prove that all but very few members know of nothing newer and do not reach
+//!   the controllers either. The controllers are then out of reach for everyone, and the querier
+//!   goes on serving its last view with its last quota share (`attestation`). Running
+//!   controllers accept no change and reassign no quota share without one of the members that
+//!   attested.
+//! - Otherwise this querier is cut off, alone or with others. It becomes not ready and then
+//!   rejects calls, before the leader reassigns its quota share.
 
 use crate::membership::gossip::GOSSIP_INTERVAL;
-use crate::membership::lease::{LEASE_TRUST, RENEWAL_INTERVAL, RENEWAL_OVERDUE};
+use crate::membership::lease::{LEASE_VALIDITY, RENEWAL_INTERVAL, RENEWAL_OVERDUE};
 use crate::membership::node_agent::{Command, LeafClient, NodeAgent, QuotaMember};
 use crate::membership::peer::Peer;
-use crate::membership::updates::START_PATIENCE;
+use crate::membership::updates::STARTUP_TIMEOUT;
 use crate::query::engine::ServingState;
 use crate::time::{Span, Tick, ms, since};
 
-/// A lone cut-off member turns not ready after this long without the controllers, a
-/// second before it rejects calls: the platform checks readiness each second.
-const LONE_NOTICE: Span = ms(1_600);
+/// A member that alone has lost the controllers becomes not ready after this long without a
+/// renewal. That is one second before it rejects calls, since the platform checks readiness each
+/// second.
+const ISOLATED_READINESS_TIMEOUT: Span = ms(1_600);
 
-/// A member that can't prove by then that it may serve on turns not ready: a round
-/// before its lease ends.
-const PROOF_NOTICE: Span = LEASE_TRUST - GOSSIP_INTERVAL;
+/// A member that has not proved by then that it may go on serving becomes not ready: one gossip
+/// round before its lease ends.
+const UNPROVED_READINESS_TIMEOUT: Span = LEASE_VALIDITY - GOSSIP_INTERVAL;
 
-/// What is known of our way to the controllers at one moment.
-struct CoreContact {
-    /// Age of the controllers' last word.
-    age: Span,
-    /// Others hear the controllers and we don't.
-    is_bypassed: bool,
-    /// Until when proofs allow to serve without a lease; zero if they don't.
+/// The state of the connection to the controllers at one moment.
+struct ControllerContact {
+    /// Time since the last renewal that the controllers granted.
+    since_renewal: Span,
+    /// Whether other members reach the controllers and this one does not.
+    is_individually_isolated: bool,
+    /// Until when attestations allow this querier to serve without a lease; zero if they do not.
     proved_until: Tick,
 }
 
 impl NodeAgent {
-    /// Decides admission, readiness and quotas, and commands what changed.
+    /// Decides admission, readiness and quotas, and issues commands for what has changed.
     pub(super) fn decide(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let contact = self.core_contact(now);
+        let contact = self.controller_contact(now);
         let admission = self.decide_admission(now, &contact);
         let cut_off = admission == ServingState::Isolated;
-        if self.ring.divided_while_cut_off != Some(cut_off) {
-            self.ring.divided_while_cut_off = Some(cut_off);
+        if self.ring.quotas_divided_while_cut_off != Some(cut_off) {
+            self.ring.quotas_divided_while_cut_off = Some(cut_off);
             self.divide_quotas(cut_off, commands);
             self.update_leaf_clients(commands);
         }
@@ -50,7 +53,7 @@
             if cut_off {
                 self.counters.lease_lapses += 1;
                 commands.push(Command::Alarm(
-                    "cut off: no word from the core, and no proof that all others lack it too"
+                    "cut off: the lease lapsed, and no proof that all other members have lost the controllers"
                         .into(),
                 ));
             }
@@ -60,46 +63,60 @@
         self.update_readiness(now, &contact, commands);
     }
 
-    fn core_contact(&mut self, now: Tick) -> CoreContact {
-        let age = self.core_age(now);
-        // Somebody near hears the controllers and we don't, for longer than a
-        // renewal takes: then it is we who are cut off, not they who are gone.
-        let hears = |peer: &Peer| peer.core_age + since(peer.asked_at, now) < RENEWAL_OVERDUE;
-        let passed = age >= RENEWAL_OVERDUE && self.heard_peers(now).any(|(_, peer)| hears(peer));
-        self.bypassed_since = if passed { self.bypassed_since.or(Some(now)) } else { None };
-        let is_bypassed =
-            self.bypassed_since.is_some_and(|at| since(at, now) >= 2 * RENEWAL_INTERVAL);
-        // Proofs are gathered only while they may be needed.
-        let proved_until =
-            if self.is_restless(now) && !is_bypassed { self.proved_until() } else { 0 };
-        CoreContact { age, is_bypassed, proved_until }
+    fn controller_contact(&mut self, now: Tick) -> ControllerContact {
+        let since_renewal = self.time_since_renewal(now);
+        // If a peer has reached the controllers within the time in which a renewal becomes
+        // overdue, and this querier has not, then this querier is isolated rather than the
+        // controllers being down.
+        let reaches_controllers = |peer: &Peer| {
+            peer.time_since_renewal + since(peer.request_sent_at, now) < RENEWAL_OVERDUE
+        };
+        let peers_reach_controllers = since_renewal >= RENEWAL_OVERDUE
+            && self.responsive_peers(now).any(|(_, peer)| reaches_controllers(peer));
+        self.individually_isolated_since = if peers_reach_controllers {
+            self.individually_isolated_since.or(Some(now))
+        } else {
+            None
+        };
+        let is_individually_isolated = self
+            .individually_isolated_since
+            .is_some_and(|at| since(at, now) >= 2 * RENEWAL_INTERVAL);
+        // Attestations are gathered only while they may be needed.
+        let proved_until = if self.must_attest(now) && !is_individually_isolated {
+            self.proved_until()
+        } else {
+            0
+        };
+        ControllerContact { since_renewal, is_individually_isolated, proved_until }
     }
 
-    fn is_unproved(&self, now: Tick, contact: &CoreContact) -> bool {
+    fn lacks_proof(&self, now: Tick, contact: &ControllerContact) -> bool {
         self.lease.granted && now > contact.proved_until
     }
 
-    fn decide_admission(&self, now: Tick, contact: &CoreContact) -> ServingState {
-        let lapsed = contact.age >= LEASE_TRUST;
-        // The platform needs a moment to see that we are not ready: until then
-        // callers still come, and are served.
+    fn decide_admission(&self, now: Tick, contact: &ControllerContact) -> ServingState {
+        let lapsed = contact.since_renewal >= LEASE_VALIDITY;
+        // The platform takes up to a check interval to see that this querier is not ready. Until
+        // then callers still send calls, and these are served.
         let stopping = self.stopping_since.is_some_and(|at| since(at, now) >= self.drain_notice);
         match (&self.view, stopping) {
             (_, true) => ServingState::ShuttingDown,
             (None, _) => ServingState::NoSnapshot,
-            _ if self.is_unproved(now, contact) && lapsed => ServingState::Isolated,
+            _ if self.lacks_proof(now, contact) && lapsed => ServingState::Isolated,
             _ => ServingState::Serving,
         }
     }
 
-    /// The traffic threads look at this themselves before they act: a process that
-    /// was paused wakes with an old limit and does nothing until it has a new one. Before
-    /// that they are given all that is known of the leafs.
+    /// Updates the time until which the traffic threads may use their view.
+    ///
+    /// The traffic threads compare it with the clock before they act: a process that was paused
+    /// resumes with an expired limit and does nothing until it receives a new one. Before the
+    /// new limit, a view with everything known of the leafs is published.
     fn update_serving_until(
         &mut self,
         now: Tick,
         admission: ServingState,
-        contact: &CoreContact,
+        contact: &ControllerContact,
         commands: &mut Vec<Command>,
     ) {
         let serving_until = match admission {
@@ -108,7 +125,7 @@
         };
         if serving_until != self.serving_until {
             if self.serving_until <= now && now < serving_until {
-                self.publish_at = now;
+                self.next_publish_at = now;
                 self.publish_view(now, commands);
             }
             self.serving_until = serving_until;
@@ -117,8 +134,8 @@
         self.update_trials_until(commands);
     }
 
-    /// Versions are tried under a lease of the controllers alone: whoever serves on by proofs may
-    /// not know that a trial has ended.
+    /// Updates the time until which versions on trial may receive attempts. It follows the lease
+    /// alone: a member that serves without a lease may not know that a trial has ended.
     fn update_trials_until(&mut self, commands: &mut Vec<Command>) {
         let has_trials = self.view.as_ref().is_some_and(|view| !view.trials.is_empty());
         let trials_until = if has_trials { self.lease.valid_until() } else { 0 };
@@ -128,30 +145,38 @@
         }
     }
 
-    fn update_readiness(&mut self, now: Tick, contact: &CoreContact, commands: &mut Vec<Command>) {
+    fn update_readiness(
+        &mut self,
+        now: Tick,
+        contact: &ControllerContact,
+        commands: &mut Vec<Command>,
+    ) {
         self.has_served |=
-            self.serving_some_since.is_some_and(|at| since(at, now) >= START_PATIENCE);
-        let is_alone =
-            self.lease.granted && (now > self.accompanied_until() || contact.is_bypassed);
+            self.partially_serving_since.is_some_and(|at| since(at, now) >= STARTUP_TIMEOUT);
+        let is_isolated = self.lease.granted
+            && (now > self.neighbour_majority_until() || contact.is_individually_isolated);
         let ready = self.admission == ServingState::Serving
             && self.stopping_since.is_none()
             && self.has_served
             && !self.quota_members.is_empty()
-            && !(is_alone && contact.age >= LONE_NOTICE)
-            && !(self.is_unproved(now, contact) && contact.age >= PROOF_NOTICE);
+            && !(is_isolated && contact.since_renewal >= ISOLATED_READINESS_TIMEOUT)
+            && !(self.lacks_proof(now, contact)
+                && contact.since_renewal >= UNPROVED_READINESS_TIMEOUT);
         if ready != self.ready {
             self.ready = ready;
             commands.push(Command::Ready(ready));
         }
     }
 
-    /// Commands among whom the cluster's quotas are divided, if that has changed.
+    /// Divides the cluster's quotas among the members, and issues a command if the division has
+    /// changed.
     ///
-    /// A share needs a settled place in the membership; once had, it is kept while
-    /// the controllers are out of reach for the group. Controllers that have
-    /// forgotten us and take us in anew must not make us drop it. Nor may we take the
-    /// share of one that was let go before the leader knows that nobody serves on by
-    /// the former membership: until all is settled we divide by everyone old and new.
+    /// A member gets a share only once its join is settled; it keeps the share while the
+    /// controllers are out of reach for the whole group. A member whose share was granted keeps
+    /// it when controllers that have lost their state admit it as a new member. A share that was
+    /// freed by a removed member is not used before the leader knows that no member serves by
+    /// the former membership: until everything is settled, the quotas are divided by all members
+    /// of both memberships.
     fn divide_quotas(&mut self, cut_off: bool, commands: &mut Vec<Command>) {
         let membership = &self.membership;
         let own = membership.members.iter().find(|m| m.name == self.member.name);
@@ -162,8 +187,9 @@
             .collect();
         let settled = own.is_some_and(|m| m.joined <= membership.settled);
         let all_settled = settled && membership.settled == membership.turn;
-        // A leader that knew nobody says early who is there: that we are not among
-        // them yet, while nothing is settled, does not mean that we are gone.
+        // A leader that has lost its state sends a membership before all members have
+        // registered. While nothing is settled, being absent from it does not mean that this
+        // member was removed.
         let gone = own.is_none() && membership.settled > 0;
         if cut_off || gone || (!settled && self.quota_members.is_empty()) {
             members.clear();
@@ -179,7 +205,7 @@
         }
     }
 
-    /// Commands who opens connections to leafs, if that has changed.
+    /// Issues a command if the members that open connections to leafs have changed.
     fn update_leaf_clients(&mut self, commands: &mut Vec<Command>) {
         let client = |m: &crate::protocol::membership::Member| LeafClient {
             name: m.name.clone(),
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -1,4 +1,4 @@
-//! Dispatch of a node agent's events.
+//! Event handling of the node agent: routes each event and each message to its handler.
 
 use crate::identifiers::{Term, VoterSlot};
 use crate::membership::gossip::Gossip;
@@ -9,11 +9,11 @@
 use crate::protocol::message::{FeedPosition, Message};
 use crate::time::{Span, Tick, ms};
 
-/// How often a node agent is woken at least: well below the shortest of its
-/// periods, the 100 ms between renewals of a member without a lease.
+/// Longest interval between two wake-ups of a node agent. Well below its shortest period, the
+/// 100 ms between renewals of a member without a lease.
 pub const WAKE: Span = ms(50);
 
-/// Who sent an update or a membership.
+/// The sender of an update or a membership.
 #[derive(Clone, Copy, PartialEq)]
 enum Source {
     Voter,
@@ -21,7 +21,7 @@
 }
 
 impl NodeAgent {
-    /// Takes one event and returns what is to be done.
+    /// Handles one event and returns the commands that follow from it.
     pub fn step(&mut self, now: Tick, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         match event {
@@ -49,7 +49,7 @@
         }
         self.send_leaf_reports(now, &mut commands);
         self.check_caught_up(now);
-        self.lease.take_up_grants(self.configuration_revision);
+        self.lease.apply_grants(self.configuration_revision);
         self.publish_view(now, &mut commands);
         self.decide(now, &mut commands);
         self.renew_lease(now, &mut commands);
@@ -64,7 +64,7 @@
         commands: &mut Vec<Command>,
     ) {
         match message {
-            // Under another voter set it may be about a replica that was replaced.
+            // With another stamp the message may concern a replica that has since been replaced.
             Message::FeedPositions { positions, stamp } if stamp == self.voter_set_stamp => {
                 self.on_feed_positions(now, slot, positions);
             }
@@ -86,7 +86,7 @@
                 }
             }
             Message::SubstituteListPoller { incarnation, rank, .. } => {
-                self.on_substitution(now, incarnation, rank);
+                self.on_substitute_list_poller(now, incarnation, rank);
             }
             message => self.on_update_message(message, Source::Voter, commands),
         }
@@ -115,12 +115,15 @@
             Message::Subscribe { positions, stamp } => {
                 self.on_member_subscribe(name, &positions, stamp, commands);
             }
-            // Forward a neighbour's renewal, if our own way to the controllers works.
+            // Forward the renewal only if this querier reaches the controllers itself.
             Message::RenewLease { member, number, progress } => {
-                if self.core_age(now) < RENEWAL_OVERDUE {
+                if self.time_since_renewal(now) < RENEWAL_OVERDUE {
                     self.forwarded_renewals.insert(member.name.clone(), now);
                     self.counters.forwarded_renewals += 1;
-                    self.send_to_core(Message::RenewLease { member, number, progress }, commands);
+                    self.send_to_controllers(
+                        Message::RenewLease { member, number, progress },
+                        commands,
+                    );
                 }
             }
             Message::LeafReports { partition, reports } => {
@@ -134,13 +137,13 @@
             Message::SubstituteListPoller { name, incarnation, rank }
                 if name == self.member.name =>
             {
-                self.on_substitution(now, incarnation, rank);
+                self.on_substitute_list_poller(now, incarnation, rank);
             }
             message => self.on_update_message(message, Source::Member, commands),
         }
     }
 
-    /// A message that may come from a voter as well as from a member.
+    /// Handles a message that may come from a voter as well as from a member.
     fn on_update_message(&mut self, message: Message, source: Source, commands: &mut Vec<Command>) {
         match message {
             Message::Update { partition, from, revision, entries } => {
@@ -159,14 +162,15 @@
     fn adopt_membership(&mut self, membership: Membership) {
         self.membership = membership;
         if self.proofs.adopt(&self.membership, &self.member) {
-            self.learn_revision(self.membership.revision);
+            self.record_known_revision(self.membership.revision);
         }
         self.ring = NeighbourRing::new(&self.membership, &self.member.name);
-        // That we have seen it lets others settle: say so at once.
+        // Other members' joins settle only when this member has reported the new membership:
+        // renew at once.
         self.lease.renew_at = 0;
     }
 
-    /// A member asks for what is newer here than at `positions`.
+    /// Answers a member that asks for everything newer than `positions`.
     fn on_member_subscribe(
         &self,
         name: &str,
--- a/crates/core/src/storage/voter_file.rs
+++ b/crates/core/src/storage/voter_file.rs
@@ -7,7 +7,8 @@
 use crate::protocol::shape::decode;
 use crate::storage::format::{DISK_VERSION, MAX_RECORD_BYTES};
 use crate::voter_set::{
-    VoterSet, first_holder, first_table, merge, seat_of, told_holder, told_table,
+    VoterSet, fixed_replica_id, fixed_voter_set, initial_replica_id, initial_voter_set, merge,
+    slot_of,
 };
 
 /// First bytes of the file.
@@ -77,22 +78,22 @@
     let fresh = |table: VoterSet| (VoterFile { me: nonce | 1, first: false, table }, !bare);
     match (found, start.slot) {
         (found, Some(slot)) => {
-            let assigned = told_table(&start.seeds);
-            let me = found.as_ref().map_or(told_holder(slot), |file| file.me);
+            let assigned = fixed_voter_set(&start.seeds);
+            let me = found.as_ref().map_or(fixed_replica_id(slot), |file| file.me);
             let table = found.and_then(|file| merge(&assigned, &file.table)).unwrap_or(assigned);
-            match seat_of(&table, me) {
-                Some(_) => (VoterFile { me, first: me == told_holder(slot), table }, false),
+            match slot_of(&table, me) {
+                Some(_) => (VoterFile { me, first: me == fixed_replica_id(slot), table }, false),
                 // The slot was assigned to another controller while this node was down.
                 None => fresh(table),
             }
         }
-        (Some(file), None) if seat_of(&file.table, file.me).is_some() => (file, false),
+        (Some(file), None) if slot_of(&file.table, file.me).is_some() => (file, false),
         // It never held a slot. The id is kept, since a slot may be granted to it.
         (Some(file), None) if bare => (file, false),
         (Some(file), None) => fresh(file.table),
         (None, None) if start.first && bare && start.seeds.contains(&start.addr) => {
-            let table = first_table(&start.seeds, start.size);
-            (VoterFile { me: first_holder(&start.addr), first: true, table }, false)
+            let table = initial_voter_set(&start.seeds, start.size);
+            (VoterFile { me: initial_replica_id(&start.addr), first: true, table }, false)
         }
         (None, None) => fresh(VoterSet::default()),
     }
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -1,20 +1,22 @@
-//! How a controller without a voter slot comes to one: it asks whether a majority
-//! would give it a slot, and only then takes it. While no slot is free it goes on
-//! asking, and is a spare.
+//! How a controller without a voter slot obtains one: it asks whether a majority would grant it
+//! a slot, and takes it only then. While no slot is free it is a spare and continues to ask.
 
 use crate::command::Command;
 use crate::digest::pair;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::time::{SECOND, Span, Tick, ms, since};
-use crate::voter_set::{NOBODY, SlotHolder, VoterSet, after_takeover, balanced, majority};
-use crate::voters::handover::REPLACE_AFTER_SILENCE;
+use crate::voter_set::{
+    NO_SLOT, SlotHolder, VoterSet, after_takeover, keeps_zones_balanced, majority,
+};
+use crate::voters::handover::VOTER_REPLACEMENT_TIMEOUT;
 use crate::voters::voter_slots::{JoinOffer, VoterSlots};
 
-/// How long a vacant slot is kept for a zone that balances the slots better.
-const BALANCE_WAIT: Span = 10 * SECOND;
+/// How long a vacant slot is reserved for a zone that balances the slots better.
+const ZONE_BALANCE_TIMEOUT: Span = 10 * SECOND;
 
-/// How often a controller without a slot asks for one, and so hears who lives.
+/// How often a controller without a slot asks for one. The answers also show it which voters are
+/// running.
 const JOIN_REQUEST_INTERVAL: Span = ms(500);
 
 /// A controller that asks for a slot.
@@ -29,7 +31,7 @@
 }
 
 impl VoterSlots {
-    /// Asks for a slot, if it is time. For a controller that has none.
+    /// Asks for a slot if that is due. Used by a controller that has none.
     pub fn request_slot(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let replica_id = self.replica_id();
         if now < self.join_request_at || replica_id == 0 || self.handovers.is_leaving() {
@@ -45,16 +47,27 @@
         commands.push(Command::Broadcast { message });
     }
 
-    /// The slots that we, the holder of `own`, would give to a candidate.
-    pub fn slots_for(&self, now: Tick, own: VoterSlot, candidate: Candidate) -> Vec<VoterSlot> {
+    /// Returns the slots that this controller, the holder of `own`, would grant to a candidate.
+    pub fn grantable_slots(
+        &self,
+        now: Tick,
+        own: VoterSlot,
+        candidate: Candidate,
+    ) -> Vec<VoterSlot> {
         let size = self.voter_set().slots.len() as VoterSlot;
-        (0..size).filter(|slot| self.would_give(now, own, *slot, candidate)).collect()
+        (0..size).filter(|slot| self.would_grant(now, own, *slot, candidate)).collect()
     }
 
-    /// Whether we, the holder of `own`, would give `slot` to a candidate: it is vacant,
-    /// or it is the candidate's own from before its disk was lost, or its replica is
-    /// silent.
-    fn would_give(&self, now: Tick, own: VoterSlot, slot: VoterSlot, candidate: Candidate) -> bool {
+    /// Whether this controller, the holder of `own`, would grant `slot` to a candidate: the slot
+    /// is vacant, or the candidate held it before its disk was lost, or the slot's replica has
+    /// sent nothing for `VOTER_REPLACEMENT_TIMEOUT`.
+    fn would_grant(
+        &self,
+        now: Tick,
+        own: VoterSlot,
+        slot: VoterSlot,
+        candidate: Candidate,
+    ) -> bool {
         let voter_set = self.newest();
         let Some(holder) = voter_set.slots.get(usize::from(slot)) else { return false };
         if slot == own || holder.holder == candidate.replica_id {
@@ -64,21 +77,22 @@
         if is_at_its_address(holder) {
             return true;
         }
-        // One that has a slot elsewhere, or had one under this address, takes that.
+        // A candidate that holds another slot, or held another at this address, takes that one.
         let has_another = |h: &SlotHolder| h.holder == candidate.replica_id || is_at_its_address(h);
         if voter_set.slots.iter().any(has_another) {
             return false;
         }
-        let fits = balanced(voter_set, slot, candidate.zone);
+        let fits = keeps_zones_balanced(voter_set, slot, candidate.zone);
         if holder.holder == 0 {
-            return fits || since(self.started_at, now) >= BALANCE_WAIT;
+            return fits || since(self.started_at, now) >= ZONE_BALANCE_TIMEOUT;
         }
-        let silence = self.silence.get(usize::from(slot));
-        fits && silence.is_some_and(|silence| *silence >= REPLACE_AFTER_SILENCE)
+        let time_since_message = self.time_since_message.get(usize::from(slot));
+        fits && time_since_message
+            .is_some_and(|time_since_message| *time_since_message >= VOTER_REPLACEMENT_TIMEOUT)
     }
 
-    /// A voter says which slots it would give us, who have none. We claim one that a
-    /// majority would give us.
+    /// Handles the list of slots that a voter would grant this controller, which has none.
+    /// Claims one that a majority would grant.
     pub fn on_join_offer(
         &mut self,
         now: Tick,
@@ -98,8 +112,9 @@
         }
     }
 
-    /// The slot to claim of those that a majority would give us: our own from before
-    /// first; else applicants spread over what is free.
+    /// Returns the slot to claim among those that a majority would grant: preferably the one
+    /// that this address held before, otherwise chosen by hash so that applicants spread over
+    /// the free slots.
     fn choose_slot(&self, now: Tick) -> Option<VoterSlot> {
         let size = self.offers.len();
         let offers_it = |slot: VoterSlot, offer: &JoinOffer| {
@@ -112,23 +127,24 @@
                 .filter(|offer| offers_it(slot, offer))
                 .count()
         };
-        let was_ours =
+        let was_held_here =
             |slot: &VoterSlot| self.voter_set().slots[usize::from(*slot)].addr == self.addr;
         (0..size as VoterSlot)
             .filter(|slot| offers_of(*slot) >= majority(size))
-            .max_by_key(|slot| (was_ours(slot), pair(self.replica_id(), u64::from(*slot))))
+            .max_by_key(|slot| (was_held_here(slot), pair(self.replica_id(), u64::from(*slot))))
     }
 
     fn claim(&mut self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
         let former = self.voter_set().slots[usize::from(slot)].generation;
-        let holding = self.own_holder(after_takeover(former));
+        let claimed_holder = self.own_holder(after_takeover(former));
         self.offers = vec![None; self.offers.len()];
         self.handovers.claimed_at = Some(now);
-        commands
-            .push(Command::Broadcast { message: Message::SlotTakeover { slot, holder: holding } });
+        commands.push(Command::Broadcast {
+            message: Message::SlotTakeover { slot, holder: claimed_holder },
+        });
     }
 
-    /// Ourselves as holder of a slot in a generation.
+    /// Returns this controller as the holder of a slot in a generation.
     pub fn own_holder(&self, generation: u32) -> SlotHolder {
         SlotHolder {
             generation,
@@ -138,8 +154,8 @@
         }
     }
 
-    /// The voter set in which a controller has taken over `slot`, if we, the holder of
-    /// `own`, agree.
+    /// Returns the voter set in which a controller has taken over `slot`, if this controller,
+    /// the holder of `own`, agrees.
     pub fn with_takeover(
         &self,
         now: Tick,
@@ -149,15 +165,15 @@
     ) -> Option<VoterSet> {
         let candidate =
             Candidate { replica_id: holder.holder, addr: &holder.addr, zone: &holder.zone };
-        if own == NOBODY || !self.would_give(now, own, slot, candidate) {
+        if own == NO_SLOT || !self.would_grant(now, own, slot, candidate) {
             return None;
         }
         let mut voter_set = self.newest().clone();
-        let cell = &mut voter_set.slots[usize::from(slot)];
-        if holder.holder == 0 || holder.generation != after_takeover(cell.generation) {
+        let slot_holder = &mut voter_set.slots[usize::from(slot)];
+        if holder.holder == 0 || holder.generation != after_takeover(slot_holder.generation) {
             return None;
         }
-        *cell = holder;
+        *slot_holder = holder;
         Some(voter_set)
     }
 }
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -6,15 +6,15 @@
 use grebepath_core::control_plane::controller;
 use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartitionId, Term, VoterSlot};
 use grebepath_core::membership::feed::SUBSCRIBE_INTERVAL;
-use grebepath_core::membership::feed_sources::FEED_SILENCE;
-use grebepath_core::membership::lease::SEEK_INTERVAL;
+use grebepath_core::membership::feed_sources::POSITION_REPORT_TIMEOUT;
+use grebepath_core::membership::lease::STARTUP_RETRY_INTERVAL;
 use grebepath_core::membership::neighbour_ring::{NEIGHBOURS_EACH_WAY, NeighbourRing, PROBE_KEYS};
 use grebepath_core::membership::node_agent::{Command, Event, NodeAgent};
 use grebepath_core::protocol::membership::{Member, Membership};
 use grebepath_core::protocol::message::{FeedPosition, Message};
 use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_core::time::{BOOT, Tick, ms};
-use grebepath_core::voter_set::{told_holder, told_table};
+use grebepath_core::voter_set::{fixed_replica_id, fixed_voter_set};
 
 fn member(n: usize) -> Member {
     let (name, addr) = (format!("m{n}"), format!("10.0.0.{n}:1"));
@@ -37,7 +37,7 @@
 fn starts() -> NodeAgent {
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
     let mut w = NodeAgent::new(member(0), BOOT);
-    w.step(BOOT, Event::VoterSet(told_table(&seeds)));
+    w.step(BOOT, Event::VoterSet(fixed_voter_set(&seeds)));
     w.subscribe_at = BOOT;
     w
 }
@@ -47,7 +47,7 @@
     let mut w = NodeAgent::new(member(0), BOOT);
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
     (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (true, true, BOOT);
-    w.step(BOOT, Event::VoterSet(told_table(&seeds)));
+    w.step(BOOT, Event::VoterSet(fixed_voter_set(&seeds)));
     w
 }
 
@@ -88,8 +88,8 @@
 fn all_seats_feed_a_member_that_starts_and_are_asked_often() {
     let mut w = starts();
     for (sure, granted, beat) in [
-        (false, false, SEEK_INTERVAL),
-        (false, true, SEEK_INTERVAL),
+        (false, false, STARTUP_RETRY_INTERVAL),
+        (false, true, STARTUP_RETRY_INTERVAL),
         (true, false, SUBSCRIBE_INTERVAL),
     ] {
         let now = w.subscribe_at;
@@ -106,7 +106,7 @@
     let mut w = serves();
     let (whole, _) = asked(&w.step(BOOT, Event::Wake));
     let first = whole[0];
-    let now = BOOT + FEED_SILENCE;
+    let now = BOOT + POSITION_REPORT_TIMEOUT;
     for slot in 0..DEFAULT_VOTER_SLOTS as VoterSlot {
         reach(&mut w, now, slot, CONFIG, 0);
     }
@@ -152,7 +152,7 @@
 #[gtest]
 fn who_only_asks_is_shown_how_far_we_are_and_nothing_else() {
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
-    let roll = VoterFile { me: told_holder(0), first: true, table: told_table(&seeds) };
+    let roll = VoterFile { me: fixed_replica_id(0), first: true, table: fixed_voter_set(&seeds) };
     let mut c = controller::ControllerState::new(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
     let stamp = c.voter_slots.stamp;
     c.partitions[0].committed.insert("zone/a".into(), vec![1]);
@@ -187,14 +187,14 @@
 fn a_seat_that_is_silent_feeds_no_longer() {
     let mut w = serves();
     let (whole, only) = asked(&w.step(BOOT, Event::Wake));
-    let now = BOOT + FEED_SILENCE + ms(1);
+    let now = BOOT + POSITION_REPORT_TIMEOUT + ms(1);
     w.lease.renewed_at = now;
     reach(&mut w, now - ms(100), only[0], CONFIG, 0);
     let (next, _) = asked(&w.step(now, Event::Wake));
     expect_that!(next, elements_are![eq(&only[0])]);
     expect_that!(whole, not(eq(&next)));
     // With all silent, all are followed.
-    let later = now + 2 * FEED_SILENCE;
+    let later = now + 2 * POSITION_REPORT_TIMEOUT;
     w.lease.renewed_at = later;
     let (all, _) = asked(&w.step(later, Event::Wake));
     expect_that!(all.len(), eq(DEFAULT_VOTER_SLOTS));
