--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -16,7 +16,7 @@
 pub const MAX_VOTER_SLOTS: u8 = 15;
 /// An operator's request without a result for this long is "unknown". Twice the
 /// leader's patience: longer than anything that is going to be accepted takes.
-pub const OPERATOR_REQUEST_TIMEOUT: Span = 2 * crate::replication::timing::OPERATION_PATIENCE;
+pub const OPERATOR_REQUEST_TIMEOUT: Span = 2 * crate::replication::timing::OPERATION_TIMEOUT;
 /// How often an owner looks what all members obey while an operator waits: a
 /// look at a thousand takes a tenth of a millisecond, an operator feels none.
 pub const ACCEPTANCE_POLL_INTERVAL: Span = ms(20);
--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -43,7 +43,7 @@
         members.commit_times.note(now, leader.committed);
     }
     let Some(until) = leader.waiting_changes.iter().map(|waiting| waiting.until).min() else {
-        leader.obeyed_up_to = 0;
+        leader.members_applied_revision = 0;
         return;
     };
     if now < leader.acceptance_check_at {
@@ -59,8 +59,8 @@
     let needs_names = now + HEARTBEAT_INTERVAL >= until;
     leader.lagging_members = if needs_names { members.lagging_behind(newest) } else { Vec::new() };
     let accepted = accepted.unwrap_or(0);
-    if leader.obeyed_up_to != accepted {
-        leader.obeyed_up_to = accepted;
+    if leader.members_applied_revision != accepted {
+        leader.members_applied_revision = accepted;
         configuration.complete_operations(now, group, commands);
     }
 }
@@ -91,7 +91,7 @@
             return true;
         }
         let obeys =
-            |heard: &LastRenewal| heard.has_renewed && heard.progress.obeyed_revision >= revision;
+            |heard: &LastRenewal| heard.has_renewed && heard.progress.applied_revision >= revision;
         let may_serve = |heard: &&LastRenewal| {
             !self.is_gone(&heard.member) && since(heard.at, now) < consts::LEASE_DURATION
         };
@@ -126,7 +126,7 @@
         let obeys = |member: &&Member| {
             self.last_renewals
                 .get(&member.name)
-                .is_some_and(|heard| heard.progress.obeyed_revision >= revision)
+                .is_some_and(|heard| heard.progress.applied_revision >= revision)
         };
         if 2 * list.iter().filter(obeys).count() > list.len() {
             return true;
@@ -141,7 +141,7 @@
         let is_silent = |heard: &LastRenewal| since(heard.at, now) >= RENEWAL_SILENCE;
         // A process that has just started holds nothing to serve by.
         let is_idle =
-            |heard: &LastRenewal| heard.has_renewed && heard.progress.obeyed_revision == 0;
+            |heard: &LastRenewal| heard.has_renewed && heard.progress.applied_revision == 0;
         let heard = self.last_renewals.get(&member.name);
         heard.is_none_or(|heard| is_silent(heard) || is_idle(heard))
             || !self.is_live(now, &member.name)
@@ -150,7 +150,7 @@
     /// The members that do not obey a revision, with what they obey.
     fn lagging_behind(&self, revision: u64) -> Vec<String> {
         let obeys = |member: &Member| {
-            self.last_renewals.get(&member.name).map_or(0, |h| h.progress.obeyed_revision)
+            self.last_renewals.get(&member.name).map_or(0, |h| h.progress.applied_revision)
         };
         let lagging = self.membership.members.iter().filter(|member| obeys(member) < revision);
         lagging.map(|member| format!("{} (obeys {})", member.name, obeys(member))).collect()
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -9,7 +9,7 @@
 use crate::config::stored::Entry;
 use crate::consts;
 use crate::control_plane::counters::Counters;
-use crate::identifiers::part_of;
+use crate::identifiers::service_partition;
 use crate::protocol::membership::MembershipId;
 use crate::protocol::message::LeafReport;
 use crate::replication::leader::Leader;
@@ -54,7 +54,7 @@
     partition: &mut Partition,
     now: Tick,
     group: VoterGroup,
-    fence: MembershipId,
+    fencing_token: MembershipId,
     list: Vec<LeafInfo>,
     counters: &mut Counters,
     commands: &mut Vec<Command>,
@@ -65,14 +65,14 @@
     if !leader.is_serving {
         return;
     }
-    if fence < leader.fence {
+    if fencing_token < leader.fencing_token {
         counters.fenced_lists += 1;
         return;
     }
-    leader.fence = fence;
+    leader.fencing_token = fencing_token;
     let list: Leafs = list
         .into_iter()
-        .filter(|info| part_of(&info.service) == id)
+        .filter(|info| service_partition(&info.service) == id)
         .map(|info| (info.leaf.clone(), info))
         .collect();
     let removed = removed_entries(leader, now, &list, &known);
@@ -137,13 +137,13 @@
 /// it, and how long ago that was.
 pub fn grow(partition: &mut Partition, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
     let known = match partition.leader() {
-        Some(leader) if leader.is_serving && now >= leader.ages_at => {
+        Some(leader) if leader.is_serving && now >= leader.next_age_write_at => {
             leafs_in(&partition.state.entries)
         }
         _ => return,
     };
     let Some(leader) = partition.leader_mut() else { return };
-    leader.ages_at = now + AGES_INTERVAL;
+    leader.next_age_write_at = now + AGES_INTERVAL;
     leader.first_seen.retain(|name, _| known.contains_key(name));
     let mut entries: Vec<Entry> = Vec::new();
     for (name, info) in known {
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -119,9 +119,17 @@
         let Some(partition) = self.partitions.get_mut(id.0 as usize) else { return };
         match partition.role {
             Role::Leader(_) => match message {
-                Message::LeafList { fence, leafs, .. } => {
+                Message::LeafList { fencing_token, leafs, .. } => {
                     let counters = &mut self.counters;
-                    endpoints::on_list(partition, now, group, fence, leafs, counters, commands);
+                    endpoints::on_list(
+                        partition,
+                        now,
+                        group,
+                        fencing_token,
+                        leafs,
+                        counters,
+                        commands,
+                    );
                 }
                 Message::LeafReports { reports, .. } => {
                     endpoints::on_reports(partition, now, group, reports, commands);
--- a/crates/core/src/control_plane/leases.rs
+++ b/crates/core/src/control_plane/leases.rs
@@ -109,7 +109,7 @@
     /// Whether a majority of the voters followed us a moment ago.
     fn is_followed(&self, now: Tick) -> bool {
         match &self.partitions[0].role {
-            Role::Leader(leader) => leader.hears_majority(self.group(), now),
+            Role::Leader(leader) => leader.has_majority_contact(self.group(), now),
             _ => false,
         }
     }
--- a/crates/core/src/control_plane/membership_issue.rs
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -89,7 +89,7 @@
             .get(&member.name)
             .is_none_or(|heard| since(heard.at, now) >= REMOVAL_BY_FEW);
         let is_quiet = |heard: &LastRenewal| {
-            heard.has_renewed && ms(heard.progress.quiet_ms) >= consts::ATTESTATION_EXPIRY
+            heard.has_renewed && ms(heard.progress.attestation_age_ms) >= consts::ATTESTATION_EXPIRY
         };
         let is_steady = |other: &&Member| {
             self.is_live(now, &other.name)
--- a/crates/core/src/control_plane/membership_updates.rs
+++ b/crates/core/src/control_plane/membership_updates.rs
@@ -4,7 +4,7 @@
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::membership_replication::ReplicatedMembership;
-use crate::identifiers::{COHORT, Term, VoterSlot};
+use crate::identifiers::{MEMBERSHIP_FEED, Term, VoterSlot};
 use crate::protocol::membership::Membership;
 use crate::protocol::message::Message;
 use crate::protocol::operation::OperationResult;
@@ -57,7 +57,8 @@
     /// Sends the membership's state to our connections.
     fn notify_members(&self, commands: &mut Vec<Command>) {
         // Who follows the membership as a partition is sent it with the other updates.
-        let others = self.followers.iter().filter(|(_, places)| !places.contains_key(&COHORT));
+        let others =
+            self.followers.iter().filter(|(_, places)| !places.contains_key(&MEMBERSHIP_FEED));
         for (connection, _) in others {
             commands.push(self.membership_for(*connection));
         }
@@ -126,7 +127,7 @@
     /// Answers the status requests for which it is proved that we lead.
     pub(super) fn answer_status(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let Role::Leader(leader) = &mut self.partitions[0].role else { return };
-        let proved = std::mem::take(&mut leader.proved_status);
+        let proved = std::mem::take(&mut leader.confirmed_status_requests);
         if proved.is_empty() {
             return;
         }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -105,14 +105,19 @@
             configuration.add_pending(now, group, origin, answer, commands);
         }
         Judged::Made { revision } => {
-            configuration.wait_for_repeated_change(now, origin, revision, ChangeAcceptance::Obeyed);
+            configuration.wait_for_repeated_change(
+                now,
+                origin,
+                revision,
+                ChangeAcceptance::Applied,
+            );
             configuration.request_round(now, group, commands);
             configuration.complete_operations(now, group, commands);
         }
         Judged::Change(entries) => {
             configuration.propose(now, group, entries, commands);
             let revision = configuration.state.revision;
-            configuration.wait_for_change(now, origin, revision, ChangeAcceptance::Obeyed);
+            configuration.wait_for_change(now, origin, revision, ChangeAcceptance::Applied);
             configuration.complete_operations(now, group, commands);
         }
     }
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -49,10 +49,12 @@
     fn is_over(&self, now: Tick, membership: &Membership, retired: Tick) -> bool {
         let list = &membership.members;
         let is_quiet = |member: &&Member| {
-            let quiet_ms =
-                self.last_renewals.get(&member.name).map(|heard| heard.progress.quiet_ms);
+            let attestation_age_ms =
+                self.last_renewals.get(&member.name).map(|heard| heard.progress.attestation_age_ms);
             self.has_left(membership, member)
-                && quiet_ms.is_some_and(|quiet_ms| ms(quiet_ms) >= consts::ATTESTATION_EXPIRY)
+                && attestation_age_ms.is_some_and(|attestation_age_ms| {
+                    ms(attestation_age_ms) >= consts::ATTESTATION_EXPIRY
+                })
         };
         since(retired, now) >= consts::ATTESTATION_EXPIRY
             || list.iter().filter(is_quiet).count() >= quorum::acceptance(list.len())
--- a/crates/core/src/control_plane/rollout_votes.rs
+++ b/crates/core/src/control_plane/rollout_votes.rs
@@ -4,7 +4,7 @@
 
 use crate::command::Command;
 use crate::control_plane::controller::ControllerState;
-use crate::identifiers::{CONFIG, part_of};
+use crate::identifiers::{CONFIG, service_partition};
 use crate::protocol::message::Message;
 use crate::replication::partition::Role;
 use crate::rollout::evidence::TrialEvidence;
@@ -89,7 +89,7 @@
 
     /// The leafs of a service that may get new work.
     fn standing_leafs(&self, service: &str) -> Vec<LeafInfo> {
-        let leafs = leafs_in(&self.partitions[part_of(service).0 as usize].committed);
+        let leafs = leafs_in(&self.partitions[service_partition(service).0 as usize].committed);
         leafs.into_values().filter(|leaf| leaf.service == service && !leaf.leaving).collect()
     }
 
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -3,7 +3,7 @@
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
 use crate::control_plane::feed;
-use crate::identifiers::COHORT;
+use crate::identifiers::MEMBERSHIP_FEED;
 use crate::protocol::message::{FeedPosition, Message};
 
 impl ControllerState {
@@ -28,7 +28,7 @@
     fn bring_up_to_date(&mut self, connection: ConnectionId, commands: &mut Vec<Command>) {
         let Some(positions) = self.followers.get_mut(&connection) else { return };
         let membership = &self.members.membership;
-        if let Some(revision) = positions.get_mut(&COHORT)
+        if let Some(revision) = positions.get_mut(&MEMBERSHIP_FEED)
             && *revision < membership.feed_revision()
         {
             *revision = membership.feed_revision();
@@ -54,7 +54,7 @@
         stamp: u64,
         commands: &mut Vec<Command>,
     ) {
-        let wants_membership = positions.iter().any(|place| place.partition == COHORT);
+        let wants_membership = positions.iter().any(|place| place.partition == MEMBERSHIP_FEED);
         if !wants_membership && !self.followers.contains_key(&connection) {
             self.greet(connection, commands);
         }
@@ -79,7 +79,7 @@
             })
             .collect();
         let revision = self.members.membership.feed_revision();
-        positions.push(FeedPosition { partition: COHORT, revision });
+        positions.push(FeedPosition { partition: MEMBERSHIP_FEED, revision });
         Message::FeedPositions { positions, stamp: self.voter_slots.stamp }
     }
 }
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -6,7 +6,7 @@
 use crate::control_plane::step::WAKE;
 use crate::protocol::replica::ReplicaCondition;
 use crate::replication::partition::Partition;
-use crate::replication::timing::LEADER_SILENCE;
+use crate::replication::timing::ELECTION_TIMEOUT;
 use crate::storage::voter_file::VoterFile;
 use crate::time::Tick;
 use crate::voter_set::{NOBODY, VoterGroup, seat_of};
@@ -50,9 +50,9 @@
     /// We hold a slot. What a replica at our address voted for before a lost disk must
     /// have run out before we catch up.
     fn on_slot_won(&mut self, now: Tick) {
-        let from = self.voter_slots.started_at + LEADER_SILENCE;
+        let from = self.voter_slots.started_at + ELECTION_TIMEOUT;
         for partition in &mut self.partitions {
-            partition.catch_up.ask_at = now.max(from);
+            partition.catch_up.next_request_at = now.max(from);
         }
     }
 
--- a/crates/core/src/identifiers.rs
+++ b/crates/core/src/identifiers.rs
@@ -12,10 +12,10 @@
 pub const CONFIG: PartitionId = PartitionId(0);
 
 /// Stands for the membership in a list of feed positions, as if it were a partition.
-pub const COHORT: PartitionId = PartitionId(u32::MAX);
+pub const MEMBERSHIP_FEED: PartitionId = PartitionId(u32::MAX);
 /// A position beyond all others: who subscribes from it is sent how far we are, and no
 /// updates.
-pub const BEYOND: u64 = u64::MAX;
+pub const FEED_END: u64 = u64::MAX;
 
 impl fmt::Display for PartitionId {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -33,7 +33,7 @@
 }
 
 /// The partition that holds a service's leafs.
-pub fn part_of(service: &str) -> PartitionId {
+pub fn service_partition(service: &str) -> PartitionId {
     let n = u64::from(crate::consts::SERVICE_PARTITIONS);
     PartitionId(1 + (crate::digest::hash(service) % n) as u32)
 }
@@ -72,7 +72,7 @@
     pub const STRIDE: u64 = 16;
 
     /// The next term above this one that only `slot` uses.
-    pub fn next_of(self, slot: VoterSlot) -> Term {
+    pub fn next_for(self, slot: VoterSlot) -> Term {
         Term((self.0 / Term::STRIDE + 1) * Term::STRIDE + u64::from(slot))
     }
 
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -4,7 +4,7 @@
 
 use crate::consts;
 use crate::digest::hash;
-use crate::identifiers::{CONFIG, PartitionId, part_of, partitions};
+use crate::identifiers::{CONFIG, PartitionId, partitions, service_partition};
 use crate::membership::lease::LEASE_TRUST;
 use crate::membership::neighbour_ring::{LIST_POLLERS, PROBE_KEYS};
 use crate::membership::node_agent::{Command, NodeAgent};
@@ -116,8 +116,11 @@
             }
         };
         for partition in self.polled_partitions(now) {
-            let listed: Vec<LeafInfo> =
-                leafs.iter().filter(|leaf| part_of(&leaf.service) == partition).cloned().collect();
+            let listed: Vec<LeafInfo> = leafs
+                .iter()
+                .filter(|leaf| service_partition(&leaf.service) == partition)
+                .cloned()
+                .collect();
             self.on_listed(now, partition, listed, commands);
         }
     }
@@ -142,8 +145,11 @@
             self.on_leaf_report(now, info.service.clone(), report);
         }
         if !is_known {
-            let fence = self.membership.id();
-            self.send_to_core(Message::LeafList { partition, fence, leafs: listed }, commands);
+            let fencing_token = self.membership.id();
+            self.send_to_core(
+                Message::LeafList { partition, fencing_token, leafs: listed },
+                commands,
+            );
         }
     }
 
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -76,7 +76,7 @@
     }
 
     /// How long ago we last attested, or started (ms).
-    pub(super) fn quiet_ms(&self, now: Tick) -> u64 {
+    pub(super) fn attestation_age_ms(&self, now: Tick) -> u64 {
         since(self.proofs.attested_at.max(self.started_at), now) / MILLI
     }
 }
--- a/crates/core/src/membership/feed.rs
+++ b/crates/core/src/membership/feed.rs
@@ -4,7 +4,7 @@
 //! word all send us updates, and so they do at a start, until we have a view and a
 //! lease.
 
-use crate::identifiers::{BEYOND, COHORT, VoterSlot};
+use crate::identifiers::{FEED_END, MEMBERSHIP_FEED, VoterSlot};
 use crate::membership::lease::{RENEWAL_OVERDUE, SEEK_INTERVAL};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::protocol::message::{FeedPosition, Message};
@@ -53,9 +53,11 @@
     /// receiver is.
     fn subscriptions(&self) -> (Message, Message) {
         let mut positions = self.positions();
-        positions
-            .push(FeedPosition { partition: COHORT, revision: self.membership.feed_revision() });
-        let beyond = positions.iter().map(|p| FeedPosition { revision: BEYOND, ..*p }).collect();
+        positions.push(FeedPosition {
+            partition: MEMBERSHIP_FEED,
+            revision: self.membership.feed_revision(),
+        });
+        let beyond = positions.iter().map(|p| FeedPosition { revision: FEED_END, ..*p }).collect();
         let stamp = self.voter_set_stamp;
         (Message::Subscribe { positions, stamp }, Message::Subscribe { positions: beyond, stamp })
     }
@@ -77,7 +79,10 @@
         let Some(positions) = self.voter_positions.get(usize::from(slot)) else { return false };
         positions.iter().any(|theirs| match self.partitions.get(&theirs.partition) {
             Some(ours) => ours.revision < theirs.revision,
-            None => theirs.partition == COHORT && self.membership.feed_revision() < theirs.revision,
+            None => {
+                theirs.partition == MEMBERSHIP_FEED
+                    && self.membership.feed_revision() < theirs.revision
+            }
         })
     }
 }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -24,7 +24,7 @@
 
 /// A gossip message of a member, without its question.
 pub(super) struct Gossip {
-    pub(super) core_age_ms: u64,
+    pub(super) controller_contact_age_ms: u64,
     pub(super) ready: bool,
     pub(super) positions: Vec<FeedPosition>,
     /// When the sender asked, by its clock.
@@ -78,7 +78,7 @@
     fn gossip_question(&self, now: Tick) -> Message {
         Message::Gossip {
             name: self.member.name.clone(),
-            core_age_ms: self.core_age(now) / MILLI,
+            controller_contact_age_ms: self.core_age(now) / MILLI,
             ready: self.ready,
             positions: Vec::new(),
             asked: Some(now),
@@ -91,7 +91,7 @@
     fn gossip_answer(&self, now: Tick, echo: Tick, attestation: Option<Attestation>) -> Message {
         Message::Gossip {
             name: self.member.name.clone(),
-            core_age_ms: self.core_age(now) / MILLI,
+            controller_contact_age_ms: self.core_age(now) / MILLI,
             ready: self.ready,
             positions: self.positions(),
             asked: None,
@@ -108,7 +108,8 @@
         gossip: Gossip,
         commands: &mut Vec<Command>,
     ) {
-        let Gossip { core_age_ms, ready, positions, asked, echo, attestation } = gossip;
+        let Gossip { controller_contact_age_ms, ready, positions, asked, echo, attestation } =
+            gossip;
         let is_behind = positions.iter().any(|theirs| {
             self.partitions.get(&theirs.partition).is_some_and(|p| p.revision < theirs.revision)
         });
@@ -120,7 +121,7 @@
             is_ahead |= self.on_attestation(echo, attestation, is_behind);
         }
         if let Some(echo) = echo {
-            let core_age = ms(core_age_ms);
+            let core_age = ms(controller_contact_age_ms);
             self.on_answer(name, Peer { asked_at: echo, core_age, positions, ready });
         }
         if let Some(asked) = asked {
--- a/crates/core/src/membership/leaf_reports.rs
+++ b/crates/core/src/membership/leaf_reports.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use crate::consts;
-use crate::identifiers::{PartitionId, part_of};
+use crate::identifiers::{PartitionId, service_partition};
 use crate::membership::node_agent::{Command, NodeAgent};
 use crate::membership::pending_report::PendingLeafReport;
 use crate::protocol::message::{LeafReport, Message};
@@ -61,7 +61,7 @@
 
     /// A leaf of a service as its partition shows it.
     fn known_leaf(&self, service: &str, leaf: &str) -> Option<LeafInfo> {
-        self.leaf_of(part_of(service), leaf)
+        self.leaf_of(service_partition(service), leaf)
     }
 
     fn leaf_of(&self, partition: PartitionId, leaf: &str) -> Option<LeafInfo> {
@@ -95,7 +95,7 @@
     pub(super) fn pass_on_urgent_reports(&self, name: &str, commands: &mut Vec<Command>) {
         let mut by_partition = ReportsByPartition::new();
         for pending in self.leaf_reports.values().filter(|pending| pending.is_urgent()) {
-            let reports = by_partition.entry(part_of(&pending.service)).or_default();
+            let reports = by_partition.entry(service_partition(&pending.service)).or_default();
             reports.push(pending.report.clone());
         }
         for (partition, reports) in by_partition {
@@ -123,7 +123,7 @@
         }
         let is_due = |at: Tick| at == 0 || since(at, now) >= REPORT_RETRY;
         for pending in self.leaf_reports.values_mut() {
-            let partition = part_of(&pending.service);
+            let partition = service_partition(&pending.service);
             if is_due(pending.sent_at) && (pending.is_urgent() || ages_are_due) {
                 pending.sent_at = now.max(1);
                 to_voters.entry(partition).or_default().push(pending.report.clone());
--- a/crates/core/src/membership/lease_renewal.rs
+++ b/crates/core/src/membership/lease_renewal.rs
@@ -62,10 +62,10 @@
     /// How far we are, as told with each renewal.
     fn progress(&self, now: Tick) -> MemberProgress {
         MemberProgress {
-            obeyed_revision: self.view.as_ref().map_or(0, |view| view.revision),
+            applied_revision: self.view.as_ref().map_or(0, |view| view.revision),
             seen_membership: self.membership.id(),
             known_revision: self.known_revision,
-            quiet_ms: self.quiet_ms(now),
+            attestation_age_ms: self.attestation_age_ms(now),
             ready: self.ready,
             leaving: self.is_drained,
         }
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -107,8 +107,23 @@
         commands: &mut Vec<Command>,
     ) {
         match message {
-            Message::Gossip { name, core_age_ms, ready, positions, asked, echo, attestation } => {
-                let gossip = Gossip { core_age_ms, ready, positions, asked, echo, attestation };
+            Message::Gossip {
+                name,
+                controller_contact_age_ms,
+                ready,
+                positions,
+                asked,
+                echo,
+                attestation,
+            } => {
+                let gossip = Gossip {
+                    controller_contact_age_ms,
+                    ready,
+                    positions,
+                    asked,
+                    echo,
+                    attestation,
+                };
                 self.on_gossip(now, &name, gossip, commands);
             }
             Message::VoterSetUpdate { voter_set, .. } => self.on_voter_set(&voter_set, commands),
--- a/crates/core/src/membership/updates.rs
+++ b/crates/core/src/membership/updates.rs
@@ -113,16 +113,16 @@
         let reached_member = waited
             && self.peers.values().any(|peer| {
                 let reached = |theirs: &FeedPosition| {
-                    theirs.revision <= self.obeyed_revision(theirs.partition)
+                    theirs.revision <= self.applied_revision(theirs.partition)
                 };
                 peer.ready && peer.positions.iter().all(reached)
             });
         self.is_caught_up = reached_member
-            || partitions().all(|id| self.obeyed_revision(id) >= self.least_revision(id));
+            || partitions().all(|id| self.applied_revision(id) >= self.least_revision(id));
     }
 
     /// The revision that we obey, or hold, of a partition.
-    fn obeyed_revision(&self, partition: PartitionId) -> u64 {
+    fn applied_revision(&self, partition: PartitionId) -> u64 {
         if partition == CONFIG {
             self.configuration_revision
         } else {
--- a/crates/core/src/protocol/frame.rs
+++ b/crates/core/src/protocol/frame.rs
@@ -15,7 +15,7 @@
 /// Version of the protocol between our processes; a peer with another is rejected.
 pub const PROTOCOL_VERSION: u16 = 3;
 /// Most bytes of a piece's body: a heartbeat waits behind one of them at most.
-pub const PIECE_BYTES: usize = 64 * 1024;
+pub const FRAME_BYTES_MAX: usize = 64 * 1024;
 /// Most bytes of a whole message: a configuration of several MiB, with reserve.
 pub const MESSAGE_LIMIT_BYTES: usize = 64 * 1024 * 1024;
 /// Bytes of a piece's header: length u32, version u16, lane u8, last u8, checksum
@@ -59,7 +59,7 @@
 impl Lane {
     /// The lane that a message of so many bytes takes.
     pub fn for_length(bytes: usize) -> Lane {
-        if bytes > PIECE_BYTES { Lane::Large } else { Lane::Small }
+        if bytes > FRAME_BYTES_MAX { Lane::Large } else { Lane::Small }
     }
 
     fn as_byte(self) -> u8 {
@@ -80,7 +80,7 @@
 
 /// The header of a piece.
 #[derive(Debug, PartialEq)]
-pub struct PieceHeader {
+pub struct FrameHeader {
     /// Bytes of the body.
     pub length: usize,
     /// The lane of the message.
@@ -91,20 +91,20 @@
     pub checksum: u32,
 }
 
-impl PieceHeader {
+impl FrameHeader {
     /// Reads a header.
-    pub fn parse(raw: &[u8; HEADER_BYTES]) -> Result<PieceHeader, FrameError> {
+    pub fn parse(raw: &[u8; HEADER_BYTES]) -> Result<FrameHeader, FrameError> {
         let length = u32::from_le_bytes([raw[0], raw[1], raw[2], raw[3]]) as usize;
         let version = u16::from_le_bytes([raw[4], raw[5]]);
         if version != PROTOCOL_VERSION {
             return Err(FrameError::Version { found: version });
         }
         let lane = Lane::from_byte(raw[6]).ok_or(FrameError::Header)?;
-        if length > PIECE_BYTES || raw[7] > 1 {
+        if length > FRAME_BYTES_MAX || raw[7] > 1 {
             return Err(FrameError::Header);
         }
         let checksum = u32::from_le_bytes([raw[8], raw[9], raw[10], raw[11]]);
-        Ok(PieceHeader { length, lane, is_last: raw[7] == 1, checksum })
+        Ok(FrameHeader { length, lane, is_last: raw[7] == 1, checksum })
     }
 }
 
@@ -117,22 +117,22 @@
 pub fn split(bytes: &[u8]) -> Vec<Vec<u8>> {
     let lane = Lane::for_length(bytes.len());
     if bytes.is_empty() {
-        return vec![piece(lane, true, bytes)];
+        return vec![frame(lane, true, bytes)];
     }
-    let count = bytes.len().div_ceil(PIECE_BYTES);
-    let bodies = bytes.chunks(PIECE_BYTES).enumerate();
-    bodies.map(|(index, body)| piece(lane, index + 1 == count, body)).collect()
+    let count = bytes.len().div_ceil(FRAME_BYTES_MAX);
+    let bodies = bytes.chunks(FRAME_BYTES_MAX).enumerate();
+    bodies.map(|(index, body)| frame(lane, index + 1 == count, body)).collect()
 }
 
-fn piece(lane: Lane, is_last: bool, body: &[u8]) -> Vec<u8> {
-    let mut piece = Vec::with_capacity(HEADER_BYTES + body.len());
-    piece.extend((body.len() as u32).to_le_bytes());
-    piece.extend(PROTOCOL_VERSION.to_le_bytes());
-    piece.push(lane.as_byte());
-    piece.push(u8::from(is_last));
-    piece.extend(crc32fast::hash(body).to_le_bytes());
-    piece.extend(body);
-    piece
+fn frame(lane: Lane, is_last: bool, body: &[u8]) -> Vec<u8> {
+    let mut frame = Vec::with_capacity(HEADER_BYTES + body.len());
+    frame.extend((body.len() as u32).to_le_bytes());
+    frame.extend(PROTOCOL_VERSION.to_le_bytes());
+    frame.push(lane.as_byte());
+    frame.push(u8::from(is_last));
+    frame.extend(crc32fast::hash(body).to_le_bytes());
+    frame.extend(body);
+    frame
 }
 
 /// Puts the pieces of a connection together to messages again.
@@ -146,7 +146,7 @@
     /// Takes in a piece; gives the message that it was the last piece of.
     pub fn push(
         &mut self,
-        header: &PieceHeader,
+        header: &FrameHeader,
         body: &[u8],
     ) -> Result<Option<Message>, FrameError> {
         if crc32fast::hash(body) != header.checksum {
--- a/crates/core/src/protocol/membership.rs
+++ b/crates/core/src/protocol/membership.rs
@@ -90,13 +90,13 @@
 #[derive(Clone, Debug, PartialEq, Default, DeBin, SerBin)]
 pub struct MemberProgress {
     /// Configuration revision that it obeys.
-    pub obeyed_revision: u64,
+    pub applied_revision: u64,
     /// The membership that it has seen.
     pub seen_membership: MembershipId,
     /// The newest configuration revision that it knows to exist.
     pub known_revision: u64,
     /// Time since it last attested, or since its start if it never did (ms).
-    pub quiet_ms: u64,
+    pub attestation_age_ms: u64,
     /// Whether it is ready.
     pub ready: bool,
     /// It gives its lease back.
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -31,7 +31,7 @@
 /// How far somebody is in the feed of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, DeBin, SerBin)]
 pub struct FeedPosition {
-    /// The partition, or `COHORT` for the membership.
+    /// The partition, or `MEMBERSHIP_FEED` for the membership.
     pub partition: PartitionId,
     /// The newest revision that is held.
     pub revision: u64,
@@ -187,7 +187,7 @@
     /// hears no controller itself.
     Gossip {
         name: String,
-        core_age_ms: u64,
+        controller_contact_age_ms: u64,
         ready: bool,
         positions: Vec<FeedPosition>,
         asked: Option<u64>,
@@ -197,7 +197,7 @@
 
     // ---- leafs ----
     /// The platform's list for one partition, from the member that polls it.
-    LeafList { partition: PartitionId, fence: MembershipId, leafs: Vec<LeafInfo> },
+    LeafList { partition: PartitionId, fencing_token: MembershipId, leafs: Vec<LeafInfo> },
     /// What leafs said of themselves, all of one partition.
     LeafReports { partition: PartitionId, reports: Vec<LeafReport> },
 
--- a/crates/core/src/protocol/shape.rs
+++ b/crates/core/src/protocol/shape.rs
@@ -39,28 +39,28 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ShapeError {
     /// A value needs more bytes than are left.
-    #[error("{needed} bytes are needed at {at}, {left} are left")]
+    #[error("{needed} bytes are needed at {offset}, {left} are left")]
     TooShort {
         /// Where the value begins (bytes).
-        at: usize,
+        offset: usize,
         /// What it needs (bytes).
         needed: u64,
         /// What is left (bytes).
         left: usize,
     },
     /// A list has more items than any may have.
-    #[error("{items} items at {at} are more than {ITEMS_MAX}")]
-    TooMany {
+    #[error("{items} items at {offset} are more than {ITEMS_MAX}")]
+    TooManyItems {
         /// Where the list begins (bytes).
-        at: usize,
+        offset: usize,
         /// Its length (count).
         items: u64,
     },
     /// There is no variant of this number.
-    #[error("there is no variant {variant} at {at}")]
-    NoVariant {
+    #[error("there is no variant {variant} at {offset}")]
+    UnknownVariant {
         /// Where the number stands (bytes).
-        at: usize,
+        offset: usize,
         /// The number.
         variant: u16,
     },
@@ -74,24 +74,24 @@
     Shape(#[from] ShapeError),
     /// They have the layout, and something in them is no such value: text that is not
     /// UTF-8, say.
-    #[error("not a value of its type at {at}")]
+    #[error("not a value of its type at {offset}")]
     Content {
         /// Where (bytes).
-        at: usize,
+        offset: usize,
     },
 }
 
 /// Checks that `bytes` begin with a value of a shape; gives the bytes that it takes.
 pub fn check(shape: &Shape, bytes: &[u8]) -> Result<usize, ShapeError> {
-    let mut walk = Walk { bytes, at: 0 };
+    let mut walk = Cursor { bytes, offset: 0 };
     walk.value(shape)?;
-    Ok(walk.at)
+    Ok(walk.offset)
 }
 
 /// Decodes a value that has this shape. Memory is reserved only for what the bytes hold.
 pub fn decode<T: DeBin>(shape: &Shape, bytes: &[u8]) -> Result<T, DecodeError> {
     check(shape, bytes)?;
-    T::deserialize_bin(bytes).map_err(|error| DecodeError::Content { at: error.o })
+    T::deserialize_bin(bytes).map_err(|error| DecodeError::Content { offset: error.o })
 }
 
 impl Shape {
@@ -115,12 +115,12 @@
 }
 
 /// A place in the bytes.
-struct Walk<'a> {
+struct Cursor<'a> {
     bytes: &'a [u8],
-    at: usize,
+    offset: usize,
 }
 
-impl<'a> Walk<'a> {
+impl<'a> Cursor<'a> {
     fn value(&mut self, shape: &Shape) -> Result<(), ShapeError> {
         match shape {
             Shape::Number(bytes) => self.skip(*bytes as u64),
@@ -135,11 +135,11 @@
             Shape::List(item) => self.list(item),
             Shape::Fields(fields) => self.fields(fields),
             Shape::Variants(variants) => {
-                let at = self.at;
+                let offset = self.offset;
                 let variant = u16::from_le_bytes(self.take()?);
                 match variants.get(usize::from(variant)) {
                     Some(fields) => self.fields(fields),
-                    None => Err(ShapeError::NoVariant { at, variant }),
+                    None => Err(ShapeError::UnknownVariant { offset, variant }),
                 }
             }
         }
@@ -151,10 +151,10 @@
 
     /// A list: its items must fit into what is left before any of them is looked at.
     fn list(&mut self, item: &Shape) -> Result<(), ShapeError> {
-        let at = self.at;
+        let offset = self.offset;
         let items = self.length()?;
         if items > ITEMS_MAX {
-            return Err(ShapeError::TooMany { at, items });
+            return Err(ShapeError::TooManyItems { offset, items });
         }
         self.require(items * item.least_bytes() as u64)?;
         (0..items).try_for_each(|_| self.value(item))
@@ -165,21 +165,21 @@
     }
 
     fn require(&self, needed: u64) -> Result<(), ShapeError> {
-        let left = self.bytes.len() - self.at;
+        let left = self.bytes.len() - self.offset;
         if needed > left as u64 {
-            return Err(ShapeError::TooShort { at: self.at, needed, left });
+            return Err(ShapeError::TooShort { offset: self.offset, needed, left });
         }
         Ok(())
     }
 
     fn skip(&mut self, count: u64) -> Result<(), ShapeError> {
         self.require(count)?;
-        self.at += count as usize;
+        self.offset += count as usize;
         Ok(())
     }
 
     fn take<const COUNT: usize>(&mut self) -> Result<[u8; COUNT], ShapeError> {
-        let taken = self.bytes[self.at..].first_chunk::<COUNT>().copied();
+        let taken = self.bytes[self.offset..].first_chunk::<COUNT>().copied();
         self.skip(COUNT as u64)?;
         Ok(taken.unwrap_or([0; COUNT]))
     }
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -1,14 +1,16 @@
-//! How a replica that has nothing, or nothing it can trust, comes to vote.
+//! Recovery of a replica whose disk is empty or damaged, until it may vote.
 //!
-//! It asks the others. If none of the fleet's original voters has ever held
-//! anything this is a first boot, and it begins with an empty state. If a
-//! majority of all voters, its own slot not counted, votes and holds the voter
-//! set that we hold, it takes the newest replica and the highest term of
-//! those: any value that its slot helped to accept was synced by one of them
-//! too (`crate::voters`). In any other case (too many disks lost) it waits, and
-//! says so, until an operator forces recovery and so says that the lost replicas
-//! are lost for good. What only they held is gone then: an operator decides that,
-//! never the system.
+//! The replica requests the status of all other voters. There are three cases:
+//!
+//! - If none of the cluster's original voters has ever held any data, this is the first boot,
+//!   and the replica starts with an empty state.
+//! - If a majority of all voters, without the replica's own slot, votes and has the same voter
+//!   set, the replica fetches the newest state among these and takes over their highest term.
+//!   That is safe because any value that its slot helped to accept was synced by one of them
+//!   too (`crate::voters`).
+//! - Otherwise too many disks are lost. The replica waits and raises an alarm until an operator
+//!   forces recovery, which gives up the data that only the lost replicas held. An operator
+//!   must decide that; the software never does.
 
 use crate::command::Command;
 use crate::identifiers::{Term, VoterSlot};
@@ -21,28 +23,28 @@
 use crate::time::Tick;
 use crate::voter_set::{VoterGroup, majority, others};
 
-/// Rounds of asking after which a stuck replica raises an alarm (count).
+/// Rounds of status requests after which a replica that can't recover raises an alarm (count).
 const ROUNDS_UNTIL_ALARM: u64 = 40;
 
 impl CatchUp {
-    /// The voter set changed: answers that are under way were asked for under the old
-    /// one, and the others are asked anew.
+    /// Restarts the recovery after a change of the voter set, because responses that are still in
+    /// flight were requested under the old voter set.
     pub fn restart(&mut self, now: Tick) {
         self.statuses = Vec::new();
         self.fetching_from = None;
         self.nonce = self.nonce.wrapping_add(1);
-        self.ask_at = self.ask_at.min(now + CATCH_UP_INTERVAL);
+        self.next_request_at = self.next_request_at.min(now + CATCH_UP_INTERVAL);
     }
 
-    /// Whether all others have answered.
-    fn is_answered(&self, group: VoterGroup) -> bool {
+    /// Returns whether all other voters have responded in this round.
+    fn has_all_answers(&self, group: VoterGroup) -> bool {
         let answered = |slot| self.statuses.get(usize::from(slot)).is_some_and(Option::is_some);
         others(group).all(answered)
     }
 
-    /// Whether this is the fleet's first boot: nobody who answered holds anything, and
-    /// all that have their slots from the beginning did answer. They must be a majority
-    /// still, or what was accepted since might be held by others alone.
+    /// Returns whether this is the first boot of the cluster: no voter that responded holds any
+    /// data, and all original voters responded. The original voters must still be a majority;
+    /// otherwise changes may have been accepted by later voters alone.
     fn is_first_boot(&self, group: VoterGroup) -> bool {
         let is_original = |slot: &VoterSlot| group.firsts >> *slot & 1 == 1;
         group.first
@@ -54,7 +56,7 @@
                 .all(|slot| self.statuses[usize::from(slot)].is_some())
     }
 
-    /// The voters that vote, by slot, with what they hold.
+    /// Returns the slots and statuses of the replicas that vote.
     fn voting(&self) -> Vec<(usize, ReplicaStatus)> {
         let statuses = self.statuses.iter().enumerate();
         statuses
@@ -63,21 +65,21 @@
             .collect()
     }
 
-    /// What an operator is told of a replica that can't go on by itself.
+    /// Returns the alarm text for a replica that can't recover without an operator.
     fn stuck_alarm(&self, partition: impl std::fmt::Display, group: VoterGroup) -> String {
         let is_damaged = |status: &ReplicaStatus| status.condition == ReplicaCondition::Damaged;
-        let others_are =
+        let other_condition =
             if self.statuses.iter().flatten().any(is_damaged) { "damaged" } else { "empty" };
         let disks = if group.size == 3 { "two" } else { "too many" };
         format!(
-            "part {partition}: this replica can't relearn, since another is {others_are}; \
+            "part {partition}: this replica can't recover, because another is {other_condition}; \
              if {disks} disks are lost, see the handbook on restoring"
         )
     }
 }
 
 impl ReplicaStatus {
-    /// Whether the replica there has never held anything.
+    /// Returns whether the replica has never held any data.
     fn is_blank(&self) -> bool {
         let has_nothing = self.position() == Default::default() && self.current_term == Term::ZERO;
         match self.condition {
@@ -89,7 +91,7 @@
 }
 
 impl Partition {
-    /// Time passes for a replica that does not vote.
+    /// Sends the status requests that are due if this replica does not vote yet.
     pub fn wake_catch_up(
         &mut self,
         now: Tick,
@@ -98,19 +100,19 @@
         commands: &mut Vec<Command>,
     ) {
         let is_voting = self.condition == ReplicaCondition::Voting;
-        if is_voting || now < self.catch_up.ask_at || !self.writes.is_empty() {
+        if is_voting || now < self.catch_up.next_request_at || !self.writes.is_empty() {
             return;
         }
         let catch_up = &mut self.catch_up;
-        if catch_up.is_answered(group) && group.size > 1 {
+        if catch_up.has_all_answers(group) && group.size > 1 {
             catch_up.rounds += 1;
             if catch_up.rounds.is_multiple_of(ROUNDS_UNTIL_ALARM) {
                 commands.push(Command::Alarm(catch_up.stuck_alarm(self.id, group)));
             }
         }
-        // A fresh nonce: only answers to this process and this round count.
+        // A new nonce makes sure that only responses to this process and this round count.
         catch_up.nonce = random.next_u64();
-        catch_up.ask_at = now + CATCH_UP_INTERVAL;
+        catch_up.next_request_at = now + CATCH_UP_INTERVAL;
         catch_up.statuses = vec![None; group.size];
         catch_up.fetching_from = None;
         for slot in others(group) {
@@ -120,7 +122,7 @@
         self.continue_catch_up(now, group, commands);
     }
 
-    /// Another replica asks how we stand.
+    /// Responds to another replica's status request.
     pub fn on_status_request(&self, from: VoterSlot, nonce: u64, commands: &mut Vec<Command>) {
         if self.disk_failure.is_some() {
             return;
@@ -137,7 +139,7 @@
         commands.push(Command::ToVoter { slot: from, message });
     }
 
-    /// A voter that can give its replica gives it.
+    /// Sends the state of this replica to a voter that requests it, if this replica votes.
     pub fn on_fetch_replica(&self, from: VoterSlot, nonce: u64, commands: &mut Vec<Command>) {
         if !self.can_vote() {
             return;
@@ -155,7 +157,7 @@
         commands.push(Command::ToVoter { slot: from, message });
     }
 
-    /// An answer to our asking.
+    /// Handles the response to a status request.
     pub fn on_replica_status(
         &mut self,
         now: Tick,
@@ -174,14 +176,14 @@
         self.continue_catch_up(now, from.group, commands);
     }
 
-    /// Goes on once enough have answered.
+    /// Starts with an empty state or fetches the newest one, once enough voters have responded.
     fn continue_catch_up(&mut self, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
         let catch_up = &mut self.catch_up;
         if catch_up.fetching_from.is_some() || catch_up.statuses.len() != group.size {
             return;
         }
         let voting = catch_up.voting();
-        let is_forced = catch_up.is_forced && catch_up.is_answered(group);
+        let is_forced = catch_up.is_forced && catch_up.has_all_answers(group);
         let is_empty = self.condition == ReplicaCondition::Empty;
         if (is_empty && catch_up.is_first_boot(group)) || (is_forced && voting.is_empty()) {
             self.state = ReplicaState::default();
@@ -193,13 +195,13 @@
         if let Some((slot, _)) = voting.iter().max_by_key(|(_, status)| status.position()) {
             let (slot, nonce) = (*slot as VoterSlot, catch_up.nonce);
             catch_up.fetching_from = Some(slot);
-            catch_up.ask_at = now + ANSWER_TIMEOUT;
+            catch_up.next_request_at = now + ANSWER_TIMEOUT;
             let message = Message::FetchReplica { partition: self.id, nonce };
             commands.push(Command::ToVoter { slot, message });
         }
     }
 
-    /// The newest replica has come.
+    /// Adopts the newest state, fetched from another voter.
     pub fn on_replica_fetched(
         &mut self,
         now: Tick,
@@ -225,21 +227,28 @@
         self.persist_snapshot(now, vec![AfterWrite::StartVoting], commands);
     }
 
-    /// The first state is on disk: from here on this replica votes.
+    /// Lets this replica vote, once its recovered state is on disk.
     pub fn start_voting(&mut self, now: Tick, commands: &mut Vec<Command>) {
         if self.condition != ReplicaCondition::Voting {
             self.condition = ReplicaCondition::Voting;
             self.become_follower(now, None);
-            let text = format!("part {}: formed at revision {}", self.id, self.state.revision);
+            let text = format!(
+                "part {}: this replica votes now, at revision {}",
+                self.id, self.state.revision
+            );
             commands.push(Command::Alarm(text));
         }
     }
 
-    /// An operator says that what is lost is lost for good: what is left is enough.
+    /// Forces recovery at an operator's request: the remaining replicas suffice, and the data of
+    /// the lost ones is given up.
     pub fn force_recovery(&mut self, commands: &mut Vec<Command>) {
         if self.condition != ReplicaCondition::Voting {
             self.catch_up.is_forced = true;
-            let text = format!("part {}: an operator vouches for what is left", self.id);
+            let text = format!(
+                "part {}: an operator forced recovery from the remaining replicas",
+                self.id
+            );
             commands.push(Command::Alarm(text));
         }
     }
--- a/crates/core/src/replication/commit.rs
+++ b/crates/core/src/replication/commit.rs
@@ -1,15 +1,15 @@
-//! What is committed of a partition, as far as this replica has it.
+//! The committed state of a partition at this replica.
 
 use crate::protocol::replica::EntryMap;
 use crate::replication::partition::Partition;
 use crate::storage::record::apply_entries;
 
-/// Changes a partition keeps in memory so that subscribers of its feed need no snapshot
-/// (count).
+/// Committed changes that a replica keeps in memory so that subscribers of the feed need no
+/// snapshot (count).
 pub const CHANGES_KEPT: usize = 256;
 
 impl Partition {
-    /// Commits everything that we have up to `revision`, which a majority has synced.
+    /// Commits the changes of this replica up to `revision`, which a majority has synced.
     pub fn commit_up_to(&mut self, revision: u64) {
         self.commit_snapshot(revision);
         if self.uncommitted_snapshot.is_none() {
@@ -38,10 +38,11 @@
         }
     }
 
-    /// A whole state is about to replace ours, and the changes that led to it are not
-    /// known: none of it counts as committed until the leader says so.
+    /// Discards the kept changes because a snapshot is about to replace the state. Nothing in the
+    /// snapshot counts as committed until the leader's commit revision covers it.
     pub fn restart_changes(&mut self, revision: u64, entries: &EntryMap) {
-        // A leader that re-writes what we have already tells us nothing new.
+        // The snapshot equals the state of this replica if a new leader only writes it again
+        // under its own term.
         if self.state.revision == revision && self.state.entries == *entries {
             return;
         }
--- a/crates/core/src/replication/disk_writes.rs
+++ b/crates/core/src/replication/disk_writes.rs
@@ -1,26 +1,26 @@
-//! What a replica writes to its disk, and what waits until that is synced.
+//! Writes of a replica to its disk, and the actions that wait until they are synced.
 
 use crate::command::Command;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::protocol::replica::{EntryMap, ReplicaCondition};
 use crate::replication::partition::{AfterWrite, Partition, Role, Sender, Write};
-use crate::replication::timing::{CATCH_UP_INTERVAL, DISK_STALL};
+use crate::replication::timing::{CATCH_UP_INTERVAL, DISK_STALL_TIMEOUT};
 use crate::storage::record::LogRecord;
 use crate::time::{Tick, since};
 use crate::voter_set::VoterGroup;
 
-/// Log bytes after which the other slot is written (bytes). A small partition's slot is
-/// cheap; replaying 256 KiB takes a few milliseconds.
+/// Log size above which a snapshot is written in place of a record (bytes). The snapshot of a
+/// small partition is cheap; replaying 256 KiB of log takes a few milliseconds.
 pub const LOG_LIMIT: u64 = 256 * 1024;
-/// Bytes that a vote takes in the log, roughly.
+/// Approximate size of a vote in the log (bytes).
 const VOTE_BYTES: u64 = 32;
-/// Bytes that an entry takes in the log beside its key and value, roughly.
+/// Approximate size of an entry in the log without its key and value (bytes).
 const ENTRY_BYTES: u64 = 48;
 
 impl Partition {
-    /// Sends a record to the disk and hangs `after` on it. Once the log is long a whole
-    /// snapshot is written in its place.
+    /// Appends a record to the log on disk and runs `after` once it is synced. If the log is too
+    /// long, writes a snapshot instead.
     pub fn persist_record(
         &mut self,
         now: Tick,
@@ -29,10 +29,10 @@
         commands: &mut Vec<Command>,
     ) {
         let token = self.begin_write(now, after);
-        self.log_bytes += rough_size(&record);
-        // The entries are measured only once the log is long.
+        self.log_bytes += approximate_size(&record);
+        // The size of the entries is computed only once the log is long.
         let is_long =
-            self.log_bytes > LOG_LIMIT && self.log_bytes > bytes_of(&self.state.entries) / 2;
+            self.log_bytes > LOG_LIMIT && self.log_bytes > content_bytes(&self.state.entries) / 2;
         if is_long {
             self.write_snapshot(token, commands);
         } else {
@@ -40,7 +40,7 @@
         }
     }
 
-    /// Sends the whole state to the disk and hangs `after` on it.
+    /// Writes a snapshot to disk and runs `after` once it is synced.
     pub fn persist_snapshot(
         &mut self,
         now: Tick,
@@ -64,7 +64,7 @@
         commands.push(Command::WriteSnapshot { partition: self.id, token, copy });
     }
 
-    /// Sends a message as soon as everything accepted so far is synced.
+    /// Sends a message once all writes issued so far are synced.
     pub fn send_when_synced(
         &mut self,
         to: VoterSlot,
@@ -77,8 +77,8 @@
         }
     }
 
-    /// Every write up to `token` is synced. Returns whether a voter that had stepped
-    /// back works again.
+    /// Runs the actions of all writes up to `token`, which are synced. Returns whether a suspended
+    /// replica resumed.
     pub fn on_synced(
         &mut self,
         now: Tick,
@@ -89,7 +89,7 @@
         while let Some(write) = self.writes.pop_front_if(|write| write.token <= token) {
             self.synced_at = now;
             for after in write.after {
-                self.do_after_write(now, group, after, commands);
+                self.run_after_write(now, group, after, commands);
             }
         }
         let is_repaired = self.writes.is_empty() && self.disk_failure.is_some();
@@ -101,7 +101,7 @@
         is_repaired
     }
 
-    fn do_after_write(
+    fn run_after_write(
         &mut self,
         now: Tick,
         group: VoterGroup,
@@ -111,8 +111,8 @@
         match after {
             AfterWrite::Send(slot, message) => commands.push(Command::ToVoter { slot, message }),
             AfterWrite::OwnAppendSynced { term, revision } => {
-                let ourselves = Sender { group, slot: group.slot };
-                self.on_append_ack(now, ourselves, term, revision, commands);
+                let own = Sender { group, slot: group.slot };
+                self.on_append_ack(now, own, term, revision, commands);
             }
             AfterWrite::OwnVoteSynced { term } => {
                 self.on_own_vote_synced(now, group, term, commands);
@@ -121,21 +121,24 @@
         }
     }
 
-    /// Whether the disk has finished nothing for too long. One that is slow and has
-    /// many writes in line is not stalled.
+    /// Returns whether the disk has completed no write for `DISK_STALL_TIMEOUT`. A slow disk with
+    /// many queued writes is not stalled.
     pub fn is_disk_stalled(&self, now: Tick) -> bool {
         let oldest = self.writes.front();
-        oldest.is_some_and(|w| since(w.at.max(self.synced_at), now) > DISK_STALL)
+        oldest.is_some_and(|w| since(w.at.max(self.synced_at), now) > DISK_STALL_TIMEOUT)
     }
 
-    /// The disk failed or stalls: this voter steps back from the partition.
+    /// Suspends this replica because its disk failed or stalled.
     pub fn on_disk_failed(&mut self, now: Tick, why: String, commands: &mut Vec<Command>) {
         if self.disk_failure.is_none() {
-            commands.push(Command::Alarm(format!("part {} steps back: {why}", self.id)));
+            commands.push(Command::Alarm(format!(
+                "part {}: this replica is suspended: {why}",
+                self.id
+            )));
         }
         self.disk_failure = Some(why);
         self.disk_retry_at = now + CATCH_UP_INTERVAL;
-        // What rested on writes that may never be synced must never be said.
+        // Messages that depend on a write must not be sent if the write may never be synced.
         for write in &mut self.writes {
             write.after.retain(|after| matches!(after, AfterWrite::StartVoting));
         }
@@ -144,18 +147,19 @@
         }
     }
 
-    /// A voter that stepped back tries its disk again by writing a whole slot.
+    /// Retries the disk of a suspended replica by writing a snapshot.
     pub fn retry_disk(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let is_voting = self.condition == ReplicaCondition::Voting;
         if is_voting && self.writes.is_empty() && now >= self.disk_retry_at {
-            self.disk_retry_at = now + DISK_STALL;
+            self.disk_retry_at = now + DISK_STALL_TIMEOUT;
             self.persist_snapshot(now, Vec::new(), commands);
         }
     }
 }
 
-/// About how many bytes a record takes: it only decides when to write a slot.
-fn rough_size(record: &LogRecord) -> u64 {
+/// Returns the approximate size of a record in the log (bytes), which only decides when a
+/// snapshot is written.
+fn approximate_size(record: &LogRecord) -> u64 {
     match record {
         LogRecord::Vote { .. } => VOTE_BYTES,
         LogRecord::Change { entries, .. } => entries
@@ -167,6 +171,6 @@
     }
 }
 
-fn bytes_of(entries: &EntryMap) -> u64 {
+fn content_bytes(entries: &EntryMap) -> u64 {
     entries.iter().map(|(key, value)| (key.len() + value.len()) as u64).sum()
 }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -1,6 +1,8 @@
-//! How a voter comes to lead a partition: it asks whether it would be voted for, votes
-//! for itself, gathers votes, adopts the newest replica, re-writes it under the new term,
-//! then serves.
+//! Leader election of a partition.
+//!
+//! A voter requests pre-votes, votes for itself, and requests votes. A majority of votes is
+//! followed by fetching the newest state among the voters that granted theirs, which the new
+//! leader writes under its own term. It serves operations once a majority has synced that.
 
 use crate::command::Command;
 use crate::digest::{hash, pair};
@@ -10,40 +12,40 @@
 use crate::random::Random;
 use crate::replication::leader::Leader;
 use crate::replication::partition::{AfterWrite, Candidacy, KnownLeader, Partition, Role, Sender};
-use crate::replication::timing::{ANSWER_TIMEOUT, LEADER_SILENCE};
+use crate::replication::timing::{ANSWER_TIMEOUT, ELECTION_TIMEOUT};
 use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, majority, others};
 
-/// Extra wait per rank, so that the preferred voter stands first.
+/// Extra election timeout per rank, so that the preferred voter becomes a candidate first.
 const ELECTION_STAGGER: Span = ms(300);
-/// Random part of the wait before an election; breaks ties between voters.
+/// Upper bound of the random part of the election timeout, which breaks ties between voters.
 const ELECTION_JITTER: Span = ms(150);
-/// The wait of a voter that has just started and heard of no leader yet: long enough for
-/// the other voters' connections to come up and their first heartbeats.
+/// Election timeout of a voter that has just started and has not heard from a leader: long
+/// enough for the other voters to connect and to send their first heartbeats.
 const FIRST_ELECTION_WAIT: Span = ms(150);
-/// Extra wait per rank then.
+/// Extra election timeout per rank for a voter that has just started.
 const FIRST_ELECTION_STAGGER: Span = ms(100);
 
-/// A voter's rank for a partition among those that may lead it: 0 stands first. Spreads
-/// the leaders. The leader that fell silent is not waited for.
+/// Returns a voter's rank for a partition: the voter of rank 0 becomes a candidate first. The
+/// order depends on the partition, which spreads the leaders over the voters. The voter
+/// `silent`, a leader that stopped sending heartbeats, is not ranked.
 fn rank(id: PartitionId, group: VoterGroup, silent: Option<VoterSlot>) -> u64 {
     let partition = hash(&id.to_string());
-    let ours = pair(partition, u64::from(group.slot));
-    let stands_before =
-        |slot: &VoterSlot| Some(*slot) != silent && pair(partition, u64::from(*slot)) < ours;
-    others(group).filter(stands_before).count() as u64
+    let own = pair(partition, u64::from(group.slot));
+    let precedes =
+        |slot: &VoterSlot| Some(*slot) != silent && pair(partition, u64::from(*slot)) < own;
+    others(group).filter(precedes).count() as u64
 }
 
 impl Partition {
-    /// How long this voter lets a partition be without a leader before it asks for
-    /// pre-votes.
+    /// Returns the time without a leader after which this voter requests pre-votes.
     ///
-    /// A voter that has just started has nobody to wait for: a partition with a leader
-    /// is not taken from it, since the others who hear that leader say no to a
-    /// pre-vote. So it asks soon, and all that restart together are served soon.
+    /// It is short for a voter that has just started, so that a cluster that restarts as a whole
+    /// has leaders soon. A running leader is not disturbed by that, since the voters that hear
+    /// from it reject the pre-vote.
     fn election_timeout(&self, group: VoterGroup, random: &mut Random) -> Span {
-        if self.unled_since_start {
+        if self.no_leader_since_start {
             return FIRST_ELECTION_WAIT
                 + rank(self.id, group, None) * FIRST_ELECTION_STAGGER
                 + random.below(FIRST_ELECTION_STAGGER / 2);
@@ -52,12 +54,13 @@
             Role::Follower { leader: Some(leader), .. } => Some(leader.slot),
             _ => None,
         };
-        LEADER_SILENCE
+        ELECTION_TIMEOUT
             + rank(self.id, group, silent) * ELECTION_STAGGER
             + random.below(ELECTION_JITTER)
     }
 
-    /// Time passes for a voter that does not lead the partition.
+    /// Starts a pre-vote when the election timeout has passed, and ends a pre-vote or an election
+    /// that timed out.
     pub fn wake_election(
         &mut self,
         now: Tick,
@@ -72,10 +75,10 @@
             Role::Follower { last_heard, .. }
                 if since(*last_heard, now) >= self.election_timeout(group, random) =>
             {
-                let term = self.state.current_term.next_of(group.slot);
+                let term = self.state.current_term.next_for(group.slot);
                 self.start_pre_vote(now, group, term, commands);
             }
-            Role::PreVoting { until, .. } if now >= *until => {
+            Role::PreCandidate { until, .. } if now >= *until => {
                 self.become_follower(now, None);
             }
             Role::Candidate(candidacy) if now >= candidacy.until => {
@@ -85,7 +88,7 @@
         }
     }
 
-    /// Asks the others whether they would vote for us.
+    /// Sends pre-vote requests to the other voters.
     fn start_pre_vote(
         &mut self,
         now: Tick,
@@ -95,7 +98,7 @@
     ) {
         let mut granted = vec![false; group.size];
         granted[usize::from(group.slot)] = true;
-        self.role = Role::PreVoting { term, granted, until: now + ANSWER_TIMEOUT };
+        self.role = Role::PreCandidate { term, granted, until: now + ANSWER_TIMEOUT };
         for slot in others(group) {
             let message = Message::PreVoteRequest { partition: self.id, term };
             commands.push(Command::ToVoter { slot, message });
@@ -105,7 +108,7 @@
         }
     }
 
-    /// An answer to a pre-vote: whether it was granted, and the sender's term.
+    /// Handles the response to a pre-vote request, with the sender's current term.
     pub fn on_pre_vote_response(
         &mut self,
         now: Tick,
@@ -115,22 +118,23 @@
         current_term: Term,
         commands: &mut Vec<Command>,
     ) {
-        let Role::PreVoting { term, granted: all, .. } = &mut self.role else { return };
+        let Role::PreCandidate { term, granted: grants, .. } = &mut self.role else { return };
         if *term != asked {
             return;
         }
         if current_term >= asked {
-            // Somebody is further than we knew; ask again above that.
-            let term = current_term.next_of(from.group.slot);
+            // The sender has seen a higher term than this voter; request pre-votes above it.
+            let term = current_term.next_for(from.group.slot);
             return self.start_pre_vote(now, from.group, term, commands);
         }
-        all[usize::from(from.slot)] = granted;
-        if all.iter().filter(|granted| **granted).count() >= majority(from.group.size) {
+        grants[usize::from(from.slot)] = granted;
+        if grants.iter().filter(|granted| **granted).count() >= majority(from.group.size) {
             self.start_election(now, from.group, asked, commands);
         }
     }
 
-    /// Votes for ourselves first; the others are asked once that is synced.
+    /// Becomes a candidate and writes its vote for itself. The other voters are asked once that
+    /// vote is synced.
     fn start_election(
         &mut self,
         now: Tick,
@@ -153,7 +157,7 @@
         self.persist_record(now, LogRecord::Vote { term }, after, commands);
     }
 
-    /// Our own vote is synced: ask the others.
+    /// Requests the votes of the others once this candidate's vote for itself is synced.
     pub fn on_own_vote_synced(
         &mut self,
         now: Tick,
@@ -174,7 +178,7 @@
         self.count_votes(now, group, term, commands);
     }
 
-    /// A voter voted for us, and says how new its replica is.
+    /// Handles a granted vote, with the last written position of the voter's replica.
     pub fn on_vote_granted(
         &mut self,
         now: Tick,
@@ -191,7 +195,8 @@
         self.count_votes(now, from.group, term, commands);
     }
 
-    /// Goes on once a majority has voted for us.
+    /// Once a majority has granted its vote, fetches the newest state among these voters, or
+    /// becomes the leader if this replica is the newest.
     fn count_votes(
         &mut self,
         now: Tick,
@@ -216,12 +221,13 @@
                 let message = Message::FetchReplica { partition: self.id, nonce: term.as_u64() };
                 commands.push(Command::ToVoter { slot: *slot, message });
             }
-            _ => self.lead(now, group, term, commands),
+            _ => self.become_leader(now, group, term, commands),
         }
     }
 
-    /// The newest replica has come.
-    pub fn on_newest_fetched(
+    /// Adopts the newest state, fetched from a voter that granted its vote, and becomes the
+    /// leader.
+    pub fn on_newest_replica_fetched(
         &mut self,
         now: Tick,
         from: Sender,
@@ -231,13 +237,13 @@
         commands: &mut Vec<Command>,
     ) {
         let Role::Candidate(candidacy) = &self.role else { return };
-        let (term, promised) = (candidacy.term, candidacy.grants[usize::from(from.slot)]);
+        let (term, granted) = (candidacy.term, candidacy.grants[usize::from(from.slot)]);
         let is_expected = term.as_u64() == nonce && candidacy.fetching_from == Some(from.slot);
-        if !is_expected || promised.is_none_or(|promised| position < promised) {
+        if !is_expected || granted.is_none_or(|granted| position < granted) {
             return;
         }
         if position.term > term {
-            // Somebody with a higher term wrote there meanwhile.
+            // A leader of a higher term has written to that replica in the meantime.
             self.become_follower(now, None);
             return;
         }
@@ -245,12 +251,18 @@
         let current_term = self.state.current_term;
         self.restart_changes(revision, &entries);
         self.state = ReplicaState { current_term, written_term, revision, entries };
-        self.lead(now, from.group, term, commands);
+        self.become_leader(now, from.group, term, commands);
     }
 
-    /// Re-writes the adopted state under our term. We serve once a majority, ourselves
-    /// or not, has synced that.
-    fn lead(&mut self, now: Tick, group: VoterGroup, term: Term, commands: &mut Vec<Command>) {
+    /// Becomes the leader and writes its state under the new term. It serves operations once a
+    /// majority, with or without the leader itself, has synced that state.
+    fn become_leader(
+        &mut self,
+        now: Tick,
+        group: VoterGroup,
+        term: Term,
+        commands: &mut Vec<Command>,
+    ) {
         self.state.written_term = term;
         let revision = self.state.revision;
         self.role = Role::Leader(Box::new(Leader::new(group, term, now)));
@@ -258,7 +270,8 @@
         self.persist_snapshot(now, after, commands);
     }
 
-    /// A vote or a message of ours was rejected: the sender has voted in a higher term.
+    /// Handles the rejection of a vote request or of a leader's message by a voter that has
+    /// voted in a higher term.
     pub fn on_vote_rejected(
         &mut self,
         now: Tick,
@@ -271,21 +284,23 @@
             Role::Candidate(candidacy) if candidacy.term == term => {
                 self.become_follower(now, None);
             }
-            // A voter voted in a term in which nobody came to lead. It would reject us
-            // for ever; if most still follow us we stand for election again above it.
+            // The voter voted in a term in which no leader was elected, and would reject this
+            // leader forever. If a majority still follows this leader, it starts an election
+            // above that term.
             Role::Leader(leader) if leader.term == term => {
-                let is_followed = leader.hears_majority(group, now);
+                let is_followed = leader.has_majority_contact(group, now);
                 self.step_down(now, None, commands);
                 if is_followed {
                     let highest = current_term.max(self.state.current_term);
-                    self.start_election(now, group, highest.next_of(group.slot), commands);
+                    self.start_election(now, group, highest.next_for(group.slot), commands);
                 }
             }
             _ => {}
         }
     }
 
-    /// Steps down in favour of the follower that has synced most, if we lead.
+    /// Steps down and, if this replica was the leader, transfers the leadership to the follower
+    /// that has synced most.
     pub fn transfer_leadership(
         &mut self,
         now: Tick,
@@ -301,15 +316,16 @@
         }
     }
 
-    /// Who should lead after us, if we lead: the follower that has synced most.
+    /// Returns the follower that has synced most, to which this leader transfers the leadership.
     fn successor(&self, group: VoterGroup) -> Option<VoterSlot> {
         let leader = self.leader()?;
         let synced = |slot: &VoterSlot| leader.synced[usize::from(*slot)];
         others(group).filter(|slot| synced(slot).is_some()).max_by_key(synced)
     }
 
-    /// The leader that we follow steps down in our favour. The others would not grant a
-    /// pre-vote, since they heard it a moment ago; a vote they grant.
+    /// Starts an election at once because the leader transfers its leadership to this follower.
+    /// There is no pre-vote: the other voters heard from the leader a moment ago and would reject
+    /// it. They grant votes regardless of that.
     pub fn on_leadership_transfer(
         &mut self,
         now: Tick,
@@ -321,7 +337,7 @@
         let follows =
             matches!(self.role, Role::Follower { leader: Some(leader), .. } if leader == sender);
         if follows && self.state.current_term == term {
-            let next = term.next_of(from.group.slot);
+            let next = term.next_for(from.group.slot);
             self.start_election(now, from.group, next, commands);
         }
     }
--- a/crates/core/src/replication/heartbeat_rounds.rs
+++ b/crates/core/src/replication/heartbeat_rounds.rs
@@ -1,10 +1,10 @@
 //! Heartbeat rounds of a leader.
 //!
-//! A round is one heartbeat to every other voter. A voter answers it only if it
-//! has voted for no higher term. So once a majority, the leader counted, has
-//! answered a round, no other leader can have committed anything before that
-//! round began, whatever any clock shows. What operators are told rests on such
-//! a round, begun after their request came.
+//! A round is one heartbeat to every other voter. A voter acknowledges it only if it has not
+//! voted in a higher term. Once a majority, including the leader, has acknowledged a round, no
+//! other leader can have committed anything before that round began, regardless of any clock.
+//! The response to an operator depends on such a round that began after the request arrived,
+//! like a linearizable read with `ReadIndex` in Raft.
 
 use crate::command::Command;
 use crate::identifiers::VoterSlot;
@@ -16,26 +16,27 @@
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, majority, others};
 
-/// Least time between the begin of two rounds for waiting operations: so many
-/// orders a second cost at most three rounds each 15 ms, and none waits for
-/// longer than the round trip that it needs anyway.
-const PROOF_GAP: Span = ms(5);
-/// Rounds whose begin is remembered (count): at the shortest gap they reach
-/// back for a second, beyond which an answer no longer shows that we lead.
+/// Minimum time between two rounds for waiting operations. It limits a high rate of operations
+/// to three rounds per 15 ms, and makes none wait for longer than the round trip that it needs
+/// anyway.
+const MIN_ROUND_GAP: Span = ms(5);
+/// Recent rounds that are kept (count). At the minimum gap they span about a second; an
+/// acknowledgement of an older round no longer confirms the leadership.
 const ROUNDS_KEPT: usize = 256;
 
 impl Leader {
-    /// A round that is remembered.
-    pub fn round_begun(&self, number: u64) -> Option<HeartbeatRound> {
+    /// Returns a recent round by its number, or `None` if it is no longer kept.
+    pub fn find_round(&self, number: u64) -> Option<HeartbeatRound> {
         let first = self.rounds.front()?.number;
         let index = usize::try_from(number.checked_sub(first)?).ok()?;
         self.rounds.get(index).copied()
     }
 
-    /// The last round that a majority, ourselves counted, has answered.
-    pub fn proved_round(&self, group: VoterGroup) -> u64 {
-        let answered = |slot: VoterSlot| self.answered[usize::from(slot)].number;
-        let mut rounds: Vec<u64> = others(group).map(answered).collect();
+    /// Returns the number of the last round that a majority, including the leader, has
+    /// acknowledged.
+    pub fn confirmed_round(&self, group: VoterGroup) -> u64 {
+        let acked = |slot: VoterSlot| self.acked[usize::from(slot)].number;
+        let mut rounds: Vec<u64> = others(group).map(acked).collect();
         rounds.sort_unstable_by(|a, b| b.cmp(a));
         match majority(group.size) {
             1 => self.round,
@@ -43,20 +44,20 @@
         }
     }
 
-    /// The round that the newest of the waiting operations needs; zero if none does.
+    /// Returns the highest round that a waiting operation needs; zero if none needs one.
     fn needed_round(&self) -> u64 {
         let pending = self.pending.iter().map(|operation| operation.round);
         pending.chain(self.waiting_changes.iter().map(|change| change.round)).max().unwrap_or(0)
     }
 
-    /// Whether an operation waits for a round that is not proved yet.
-    pub fn needs_proof(&self, group: VoterGroup) -> bool {
-        self.needed_round() > self.proved_round(group)
+    /// Returns whether an operation waits for a round that is not confirmed yet.
+    pub fn needs_confirmation(&self, group: VoterGroup) -> bool {
+        self.needed_round() > self.confirmed_round(group)
     }
 }
 
 impl Partition {
-    /// Begins a round now: a heartbeat to every other voter.
+    /// Begins a round by sending a heartbeat to every other voter.
     pub fn begin_round(&mut self, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
         let (partition, term, revision) = (self.id, self.state.written_term, self.state.revision);
         let Some(leader) = self.leader_mut() else { return };
@@ -68,7 +69,7 @@
         if leader.rounds.len() > ROUNDS_KEPT {
             leader.rounds.pop_front();
         }
-        // Checksums are comparable only when nothing is under way.
+        // Checksums are comparable only when all changes are committed.
         let compares =
             now >= leader.checksum_at && leader.is_serving && leader.committed == revision;
         if compares {
@@ -82,19 +83,19 @@
         }
     }
 
-    /// Begins the round that operations wait for, unless one began just now: then
-    /// those that come meanwhile share the next.
+    /// Begins the round that operations wait for. If another round began less than
+    /// `MIN_ROUND_GAP` ago, schedules one round for all operations that arrive in the meantime.
     pub fn request_round(&mut self, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
         let Some(leader) = self.leader_mut() else { return };
         if leader.needed_round() <= leader.round {
             return;
         }
-        let past = since(leader.round_began_at, now);
-        if past >= PROOF_GAP {
+        let elapsed = since(leader.round_began_at, now);
+        if elapsed >= MIN_ROUND_GAP {
             self.begin_round(now, group, commands);
         } else if !leader.round_requested {
             leader.round_requested = true;
-            commands.push(Command::WakeAfter { span: PROOF_GAP - past });
+            commands.push(Command::WakeAfter { span: MIN_ROUND_GAP - elapsed });
         }
     }
 }
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -1,4 +1,5 @@
-//! What the leader of a partition knows: it alone changes the partition, in its term.
+//! State that a replica keeps while it is the leader of a partition. Only the leader of a
+//! term appends changes to the partition.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -11,86 +12,90 @@
 use crate::time::{Tick, since};
 use crate::voter_set::{VoterGroup, majority, others};
 
-/// The leader of a partition.
+/// Volatile state of the leader of a partition.
 ///
-/// Invariants: its state was written under its own `term` before anything else;
-/// `is_serving` only once a majority holds that; `committed` is synced by a majority and
-/// never falls.
+/// Invariants: the leader writes its state under its own `term` before it does anything
+/// else; `is_serving` is set only once a majority of the voters has synced that state;
+/// `committed` is synced by a majority and never decreases.
 pub struct Leader {
-    /// The term in which it leads.
+    /// The term of this leader.
     pub term: Term,
-    /// When it began to lead, or when the voters last changed.
+    /// When this leader was elected, or when the voter set last changed.
     pub since: Tick,
-    /// Whether a majority holds what it adopted: only then it takes operations.
+    /// Whether a majority has synced the state that the leader was elected with. Operations
+    /// are accepted only after that.
     pub is_serving: bool,
-    /// Highest revision of this term that each voter has synced, by slot.
+    /// Highest revision of this term that each voter is known to have synced, by slot (`matchIndex`
+    /// in the Raft paper); `None` if the voter needs a snapshot or has not acknowledged yet.
     pub synced: Vec<Option<u64>>,
-    /// Highest revision that a majority has synced.
+    /// Highest revision that a majority has synced (`commitIndex` in the Raft paper).
     pub committed: u64,
     /// When a snapshot was last sent to each voter, by slot.
     pub snapshot_sent_at: Vec<Option<Tick>>,
     /// Number of the last heartbeat round.
     pub round: u64,
-    /// Rounds up to this one count no more: the voters have changed since.
+    /// Acknowledgements of rounds up to this one are ignored, because they were sent before the
+    /// last change of the voter set.
     pub valid_after: u64,
-    /// When the next heartbeat is due.
+    /// When the next heartbeat round is due.
     pub heartbeat_at: Tick,
     /// When the last round began.
     pub round_began_at: Tick,
-    /// A wake was asked for, to begin a round that operations wait for.
+    /// Whether a wake-up is already scheduled to begin the round that operations wait for.
     pub round_requested: bool,
     /// When the replicas' checksums are next compared.
     pub checksum_at: Tick,
-    /// Rounds whose begin is remembered, the oldest first, without a gap.
+    /// The most recent rounds, oldest first, with consecutive numbers.
     pub rounds: VecDeque<HeartbeatRound>,
-    /// What each voter last answered, by slot.
-    pub answered: Vec<AnsweredRound>,
-    /// Revision up to which the members' part in a change's acceptance is done.
-    pub obeyed_up_to: u64,
-    /// When we next look at that.
+    /// The last round that each voter acknowledged, by slot.
+    pub acked: Vec<AckedRound>,
+    /// Highest revision that enough members have applied for a change to be accepted.
+    pub members_applied_revision: u64,
+    /// When `members_applied_revision` is next recomputed.
     pub acceptance_check_at: Tick,
-    /// Members that do not go by our newest revision yet when an operator's patience
-    /// ends.
+    /// Members that have not applied the leader's newest revision, for the message to an
+    /// operator whose request times out.
     pub lagging_members: Vec<String>,
-    /// Changes whose operators wait.
+    /// Changes whose operators wait for the outcome.
     pub waiting_changes: Vec<WaitingChange>,
-    /// Operations whose answers wait until a majority has proved that we lead.
+    /// Operations whose responses wait until a heartbeat round confirms the leadership.
     pub pending: Vec<PendingOperation>,
-    /// Status requests that are proved and wait for what the membership says.
-    pub proved_status: Vec<OperationOrigin>,
-    /// Leafs that the list no longer names, since when.
+    /// Status requests whose round is confirmed and which wait for the members' status.
+    pub confirmed_status_requests: Vec<OperationOrigin>,
+    /// Leafs that are missing from the platform's list, with the time since when.
     pub absent_leafs: BTreeMap<String, Tick>,
-    /// When we first saw each leaf, and how old it surely was then (ms): an identity is
-    /// at least as old as our knowledge of it.
+    /// When the leader first saw each leaf, and the leaf's minimum age at that time (ms). A leaf
+    /// identity is at least as old as the time for which the leader has known it.
     pub first_seen: BTreeMap<String, (Tick, u64)>,
-    /// When ages that grew by themselves are next written, all together.
-    pub ages_at: Tick,
-    /// Highest fencing token seen in a leaf list.
-    pub fence: MembershipId,
+    /// When the ages of leafs, which grow with time alone, are next written, in one batch.
+    pub next_age_write_at: Tick,
+    /// Highest fencing token received with a leaf list.
+    pub fencing_token: MembershipId,
 }
 
-/// A heartbeat round that began.
+/// A heartbeat round that the leader has begun.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct HeartbeatRound {
-    /// Its number.
+    /// Number of the round; rises by one with each round.
     pub number: u64,
-    /// When it began.
+    /// When the heartbeats of the round were sent.
     pub began_at: Tick,
-    /// The leader's revision then.
+    /// The leader's newest revision at that time.
     pub revision: u64,
 }
 
-/// The last heartbeat round that a voter answered.
+/// The last heartbeat round that a voter acknowledged.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct AnsweredRound {
-    /// Its number; zero: none.
+pub struct AckedRound {
+    /// Number of the round; zero if the voter has acknowledged none.
     pub number: u64,
-    /// When that round began.
+    /// When the heartbeats of that round were sent.
     pub began_at: Tick,
 }
 
 impl Leader {
-    /// A leader that has adopted the newest state and not yet re-written it.
+    /// Returns the state of a newly elected leader that has not yet synced its state under the
+    /// new term.
     pub fn new(group: VoterGroup, term: Term, now: Tick) -> Leader {
         Leader {
             term,
@@ -106,31 +111,31 @@
             round_requested: false,
             checksum_at: now + CHECKSUM_INTERVAL,
             rounds: VecDeque::new(),
-            answered: vec![AnsweredRound { number: 0, began_at: now }; group.size],
-            obeyed_up_to: 0,
+            acked: vec![AckedRound { number: 0, began_at: now }; group.size],
+            members_applied_revision: 0,
             acceptance_check_at: now,
             lagging_members: Vec::new(),
             waiting_changes: Vec::new(),
             pending: Vec::new(),
-            proved_status: Vec::new(),
+            confirmed_status_requests: Vec::new(),
             absent_leafs: BTreeMap::new(),
             first_seen: BTreeMap::new(),
-            ages_at: now,
-            fence: MembershipId::default(),
+            next_age_write_at: now,
+            fencing_token: MembershipId::default(),
         }
     }
 
-    /// Whether a majority, with ourselves, answered our heartbeats lately.
-    pub fn hears_majority(&self, group: VoterGroup, now: Tick) -> bool {
-        let answers_lately = |slot: &VoterSlot| {
-            since(self.answered[usize::from(*slot)].began_at, now) < LEADER_LEASE
-        };
-        others(group).filter(answers_lately).count() + 1 >= majority(group.size)
+    /// Returns whether a majority of the voters, including the leader, has acknowledged a
+    /// heartbeat that was sent less than `LEADER_LEASE` ago.
+    pub fn has_majority_contact(&self, group: VoterGroup, now: Tick) -> bool {
+        let is_recent =
+            |slot: &VoterSlot| since(self.acked[usize::from(*slot)].began_at, now) < LEADER_LEASE;
+        others(group).filter(is_recent).count() + 1 >= majority(group.size)
     }
 
-    /// The voters changed: what was counted under the old voter set counts no more. Who
-    /// is still there says with its next answer how far it is; only who is new needs a
-    /// snapshot.
+    /// Resets the progress of the other voters after a change of the voter set, because
+    /// acknowledgements under the old voter set no longer count. A voter that stayed reports its
+    /// revision with its next acknowledgement; only a new voter needs a snapshot.
     pub fn on_voter_set_changed(&mut self, now: Tick, group: VoterGroup, replaced: &[bool]) {
         for (slot, is_new) in replaced.iter().enumerate() {
             if slot == usize::from(group.slot) {
@@ -138,32 +143,33 @@
             }
             self.synced[slot] = None;
             self.snapshot_sent_at[slot] = (!is_new).then_some(now);
-            let began_at = if *is_new { 0 } else { self.answered[slot].began_at };
-            self.answered[slot] = AnsweredRound { number: 0, began_at };
+            let began_at = if *is_new { 0 } else { self.acked[slot].began_at };
+            self.acked[slot] = AckedRound { number: 0, began_at };
         }
-        // A round that began before must not prove anything now.
+        // A round that began under the old voter set must not confirm the leadership.
         self.since = now;
         self.rounds.clear();
         self.valid_after = self.round;
     }
 
-    /// The highest revision that a majority has synced, if a majority holds any.
+    /// Returns the highest revision that a majority has synced, or `None` if fewer voters have
+    /// synced a revision of this term.
     pub fn majority_revision(&self, group: VoterGroup) -> Option<u64> {
         let mut revisions: Vec<u64> = self.synced.iter().flatten().copied().collect();
         revisions.sort_unstable_by(|a, b| b.cmp(a));
         revisions.get(majority(group.size) - 1).copied()
     }
 
-    /// How many replicas have synced a revision (count).
+    /// Returns the number of replicas that have synced a revision.
     pub fn replicas_with(&self, revision: u64) -> u32 {
         self.synced.iter().flatten().filter(|synced| **synced >= revision).count() as u32
     }
 
-    /// The revision up to which changes of this kind count as accepted.
+    /// Returns the highest revision that meets an acceptance criterion.
     pub fn accepted_up_to(&self, acceptance: ChangeAcceptance) -> u64 {
         match acceptance {
             ChangeAcceptance::Committed => self.committed,
-            ChangeAcceptance::Obeyed => self.committed.min(self.obeyed_up_to),
+            ChangeAcceptance::Applied => self.committed.min(self.members_applied_revision),
         }
     }
 }
--- a/crates/core/src/replication/messages.rs
+++ b/crates/core/src/replication/messages.rs
@@ -1,4 +1,4 @@
-//! The messages between the replicas of a partition, each to the function that takes it.
+//! Routes each message between the replicas of a partition to its handler.
 
 use crate::command::Command;
 use crate::identifiers::{PartitionId, Position};
@@ -9,7 +9,7 @@
 use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::Tick;
 
-/// The partition whose replicas exchange this message, if it is one of theirs.
+/// Returns the partition of a message between replicas; `None` for any other message.
 pub fn partition_of(message: &Message) -> Option<PartitionId> {
     Some(match message {
         Message::StatusRequest { partition, .. }
@@ -33,7 +33,7 @@
 }
 
 impl Partition {
-    /// Takes a message from another replica of this partition.
+    /// Handles a message from another replica of this partition.
     pub fn on_message(
         &mut self,
         now: Tick,
@@ -95,7 +95,7 @@
             } => {
                 if self.can_vote() {
                     let position = Position { term: written_term, revision };
-                    self.on_newest_fetched(now, from, nonce, position, entries, commands);
+                    self.on_newest_replica_fetched(now, from, nonce, position, entries, commands);
                 } else {
                     let state = ReplicaState { current_term, written_term, revision, entries };
                     self.on_replica_fetched(now, from.slot, nonce, state, commands);
--- a/crates/core/src/replication/mod.rs
+++ b/crates/core/src/replication/mod.rs
@@ -1,9 +1,10 @@
 //! Replication of a partition among the voters.
 //!
-//! `partition` holds the state of one partition at one voter, `leader` what a leader
-//! knows beside. The other modules are what a voter does with them: `replica` (it
-//! accepts), `election`, `replicate` (it leads), `catch_up`, `disk_writes`, `commit`.
-//! `messages` takes what the other voters send to these.
+//! The protocol follows Raft. `partition` holds the replica of one partition at one voter, and
+//! `leader` the additional state of a leader. The handlers are in `replica` (follower),
+//! `election`, `replicate` (leader), `heartbeat_rounds`, `catch_up`, `disk_writes` and `commit`;
+//! `messages` routes the messages of other voters to them. `pending_operations` and
+//! `waiting_changes` hold the operations of operators until the leader can respond.
 
 pub mod catch_up;
 pub mod commit;
--- a/crates/core/src/replication/operations.rs
+++ b/crates/core/src/replication/operations.rs
@@ -1,4 +1,4 @@
-//! Operations of operators that wait at a leader, and how they are answered.
+//! Operations of operators that wait at a leader for their response.
 
 use crate::command::Command;
 use crate::identifiers::VoterSlot;
@@ -6,19 +6,19 @@
 use crate::protocol::operation::OperationResult;
 use crate::time::Tick;
 
-/// Where an operation came from.
+/// The origin of an operation, to which its result is sent.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct OperationOrigin {
-    /// The voter that handed it over; `None`: it came to this very process.
+    /// The voter that forwarded the operation; `None` if this node received it from the operator.
     pub slot: Option<VoterSlot>,
-    /// Its number there.
+    /// The number of the operation at its origin.
     pub op: u64,
-    /// Which of the origin's attempts this is; given back with the answer.
+    /// Identifies the attempt of the origin; returned with the result.
     pub attempt: u64,
 }
 
 impl OperationOrigin {
-    /// Sends the result of an operation to where it came from.
+    /// Sends the result of an operation to its origin.
     pub fn respond(self, result: OperationResult, commands: &mut Vec<Command>) {
         let OperationOrigin { slot, op, attempt } = self;
         commands.push(match slot {
@@ -31,57 +31,57 @@
     }
 }
 
-/// A change whose operator waits.
+/// A change whose operator waits for the outcome.
 pub struct WaitingChange {
-    /// The revision that it makes.
+    /// The revision that the change creates.
     pub revision: u64,
-    /// Who waits for it.
+    /// Where to send the result.
     pub origin: OperationOrigin,
-    /// Whether it had been made before, and its operator asks again.
+    /// Whether the change was made by an earlier attempt of the same request.
     pub is_repeat: bool,
-    /// The heartbeat round that must be proved: of a change that was found to be made
-    /// already, nobody was asked since its operator asked again. Zero for a new
-    /// change, which a majority syncs.
+    /// The heartbeat round that must be confirmed first. A repeated request is answered from the
+    /// leader's state, which needs a round that began after the request arrived. Zero for a new
+    /// change, which a majority syncs after the request arrived.
     pub round: u64,
-    /// What it takes to be accepted.
+    /// When the change counts as accepted.
     pub acceptance: ChangeAcceptance,
-    /// Since when it counts as accepted.
+    /// When the change was first found to be accepted.
     pub accepted_at: Option<Tick>,
-    /// When its operator is told that the outcome is unknown.
+    /// When the operator is notified that the outcome is unknown.
     pub until: Tick,
 }
 
-/// What it takes for a change to be accepted.
+/// The criterion for a change to be accepted.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ChangeAcceptance {
     /// A majority of the voters has synced it.
     Committed,
-    /// It is committed, and enough members go by it.
-    Obeyed,
+    /// The change is committed, and enough members have applied it.
+    Applied,
 }
 
-/// An operation whose answer waits for a proof.
+/// An operation whose response waits until the leadership is confirmed.
 pub struct PendingOperation {
-    /// Who waits for it.
+    /// Where to send the result.
     pub origin: OperationOrigin,
-    /// The first heartbeat round that began after the operation came.
+    /// The first heartbeat round that begins after the operation arrived.
     pub round: u64,
-    /// The revision of the state that the answer rests on.
+    /// The revision of the state that the response depends on.
     pub revision: u64,
-    /// What is answered.
+    /// The response to send.
     pub answer: PendingAnswer,
-    /// When it is given up.
+    /// When the operation times out.
     pub until: Tick,
 }
 
-/// What is answered once the proof is there.
+/// The response to an operation once the leadership is confirmed.
 pub enum PendingAnswer {
-    /// Why the order is not carried out, as it was judged.
+    /// The operation is not carried out, for the reason in this result.
     Refusal(OperationResult),
-    /// The committed configuration, as it is then.
+    /// The configuration that is committed at the time of the response.
     Read,
-    /// The members, as the leader knows them then.
+    /// The members that the leader knows at the time of the response.
     Status,
-    /// The newest rollout of this service, as it is committed then.
+    /// The newest rollout of this service that is committed at the time of the response.
     Rollout(String),
 }
--- a/crates/core/src/replication/partition.rs
+++ b/crates/core/src/replication/partition.rs
@@ -1,4 +1,4 @@
-//! One partition of the state at one voter, and the roles that the voter plays in it.
+//! The replica of one partition at one voter, and its Raft role.
 
 use std::collections::VecDeque;
 
@@ -11,174 +11,180 @@
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
-/// A partition at this voter.
+/// The replica of a partition at this voter.
 ///
-/// Invariants: `state` is what the disk holds once every write in `writes` is done, and
-/// no message that rests on a write leaves before that write is synced; while
-/// `condition` is not `Voting` the replica neither votes nor accepts; `committed` is the
-/// committed state at `committed_revision` and never goes back.
+/// Invariants: `state` is what the disk holds once every write in `writes` is synced, and
+/// a message that depends on a write is not sent before that write is synced; while
+/// `condition` is not `Voting` the replica neither votes nor accepts changes; `committed`
+/// is the committed state at `committed_revision`, which never decreases.
 pub struct Partition {
-    /// Which partition this is.
+    /// The identifier of the partition.
     pub id: PartitionId,
-    /// Whether this replica votes, or what keeps it from that.
+    /// Whether this replica votes, or why it does not.
     pub condition: ReplicaCondition,
-    /// What this replica has accepted, committed or not.
+    /// The entries and terms that this replica has accepted, committed or not.
     pub state: ReplicaState,
-    /// What this voter does in the partition.
+    /// The Raft role of this replica.
     pub role: Role,
-    /// Writes on their way to the disk, the oldest first.
+    /// Writes that are not synced yet, oldest first.
     pub writes: VecDeque<Write>,
     /// When a write was last synced.
     pub synced_at: Tick,
-    /// Number of the next write.
+    /// Token of the next write.
     pub next_token: u64,
-    /// Bytes that went to the log since the last slot.
+    /// Bytes appended to the log since the last snapshot was written.
     pub log_bytes: u64,
-    /// Why this voter has stepped back from the partition, if it has.
+    /// Why this replica is suspended after a disk failure; `None` while the disk works.
     pub disk_failure: Option<String>,
-    /// When a voter that stepped back tries its disk again.
+    /// When a suspended replica next tries to write to its disk.
     pub disk_retry_at: Tick,
     /// The committed state, at `committed_revision`.
     pub committed: EntryMap,
     /// Revision of `committed`.
     pub committed_revision: u64,
-    /// A whole state that is not known to be committed yet: (revision, entries).
+    /// A snapshot that is not known to be committed yet: (revision, entries).
     pub uncommitted_snapshot: Option<(u64, EntryMap)>,
-    /// Changes without a gap up to `state.revision`, from `uncommitted_snapshot` on if
-    /// there is one; those up to `committed_revision` are committed and kept for
-    /// subscribers of the feed.
+    /// Consecutive changes up to `state.revision`, starting after `uncommitted_snapshot` if
+    /// there is one. Those up to `committed_revision` are committed and kept for subscribers of
+    /// the feed.
     pub changes: VecDeque<(u64, Vec<Entry>)>,
-    /// The leader's checksum differs from ours: take its next snapshot.
-    pub suspect: bool,
-    /// Nobody has led this partition or asked for votes since we started.
-    pub unled_since_start: bool,
-    /// How a replica that does not vote finds its state again.
+    /// Whether the leader's checksum differed from that of this replica, which then accepts the
+    /// leader's next snapshot even if its revision is not newer.
+    pub checksum_mismatch: bool,
+    /// Whether this replica has heard neither from a leader nor from a candidate since the
+    /// process started.
+    pub no_leader_since_start: bool,
+    /// Progress of a replica that does not vote and recovers its state from the other voters.
     pub catch_up: CatchUp,
 }
 
-/// What a voter does in a partition.
+/// The Raft role of a replica.
 pub enum Role {
-    /// It accepts what the leader sends.
+    /// Accepts changes from the leader.
     Follower {
-        /// When a leader was last heard, or when this role began.
+        /// When the last message from a leader arrived, or when the replica became a follower.
         last_heard: Tick,
         /// The leader, if one is known.
         leader: Option<KnownLeader>,
     },
-    /// It asks whether it would be voted for; that changes nothing anywhere.
-    PreVoting {
-        /// The term for which it would stand.
+    /// Asks the other voters whether they would grant their vote. A pre-vote changes no voter's
+    /// state.
+    PreCandidate {
+        /// The term in which it would become a candidate.
         term: Term,
-        /// Which voters would vote for it, by slot.
+        /// Which voters granted the pre-vote, by slot.
         granted: Vec<bool>,
-        /// When it gives up.
+        /// When the pre-vote times out.
         until: Tick,
     },
-    /// It stands for election.
+    /// Requests votes in an election.
     Candidate(Candidacy),
-    /// It leads.
+    /// Appends changes and replicates them to the followers.
     Leader(Box<Leader>),
 }
 
-/// The leader that a follower hears.
+/// The leader that a follower follows.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct KnownLeader {
-    /// Its voter slot.
+    /// The voter slot of the leader.
     pub slot: VoterSlot,
-    /// The term in which it leads.
+    /// The term of the leader.
     pub term: Term,
 }
 
-/// Another voter, from which a message came, in the group as this one sees it.
+/// The sender of a message, together with the receiver's view of the voter group.
 #[derive(Clone, Copy, Debug)]
 pub struct Sender {
-    /// The receiver's place among the voters.
+    /// The voter group, with the receiver's own slot.
     pub group: VoterGroup,
-    /// The sender's slot.
+    /// The voter slot of the sender.
     pub slot: VoterSlot,
 }
 
-/// A write that is on its way to the disk, and what rests on it.
+/// A write that is not synced yet, and the actions that wait for it.
 pub struct Write {
-    /// Its number; the disk reports writes by it, in order.
+    /// Number of the write, by which the disk reports completion in order.
     pub token: u64,
-    /// When it was asked for.
+    /// When the write was issued.
     pub at: Tick,
-    /// What is done once it is synced.
+    /// Actions to run once the write is synced.
     pub after: Vec<AfterWrite>,
 }
 
-/// What is done once a write is synced.
+/// An action that runs once a write is synced.
 pub enum AfterWrite {
-    /// Sends a message that rests on it.
+    /// Sends a message that depends on the write.
     Send(VoterSlot, Message),
-    /// Our own replica holds this revision of our term.
+    /// Counts the leader's own replica as synced up to a revision.
     OwnAppendSynced {
-        /// Our term.
+        /// The term of the leader.
         term: Term,
-        /// The revision that is synced.
+        /// The revision that the write syncs.
         revision: u64,
     },
-    /// Our own vote in an election stands.
+    /// Counts the candidate's vote for itself and requests the votes of the others.
     OwnVoteSynced {
-        /// The term for which we stand.
+        /// The term of the election.
         term: Term,
     },
-    /// The replica votes from here on.
+    /// Lets the replica vote from now on.
     StartVoting,
 }
 
-/// An election on the way: votes are gathered, then the newest replica is fetched.
+/// An election in progress: the candidate gathers votes, then fetches the newest state among
+/// the voters that granted theirs.
 pub struct Candidacy {
-    /// The term for which we stand.
+    /// The term of the election.
     pub term: Term,
-    /// How new the replica of each voter that granted its vote is, by slot.
+    /// The last written position of each voter that granted its vote, by slot.
     pub grants: Vec<Option<Position>>,
-    /// The voter whose newer replica is being fetched.
+    /// The voter whose newer state is being fetched.
     pub fetching_from: Option<VoterSlot>,
-    /// When the election is given up.
+    /// When the election times out.
     pub until: Tick,
 }
 
-/// How a replica that does not vote finds its state again.
+/// Progress of a replica that does not vote and recovers its state from the other voters.
 #[derive(Default)]
 pub struct CatchUp {
-    /// Names the present round: only answers that repeat it count.
+    /// Nonce of the current round; responses with another nonce are ignored.
     pub nonce: u64,
-    /// Rounds that all others answered without an outcome (count).
+    /// Number of rounds in which all other voters responded but recovery was not possible.
     pub rounds: u64,
-    /// An operator has said that what the others lost is lost for good.
+    /// Whether an operator has forced recovery, which accepts that the data of lost replicas is
+    /// gone for good.
     pub is_forced: bool,
-    /// When the others are asked again.
-    pub ask_at: Tick,
-    /// What the other voters answered in this round, by slot.
+    /// When the next status requests are sent.
+    pub next_request_at: Tick,
+    /// The other voters' responses in this round, by slot.
     pub statuses: Vec<Option<ReplicaStatus>>,
-    /// The voter whose replica is being fetched.
+    /// The voter whose state is being fetched.
     pub fetching_from: Option<VoterSlot>,
 }
 
-/// How another voter says its replica stands.
+/// The status that another voter reports of its replica.
 #[derive(Clone, Copy, Debug)]
 pub struct ReplicaStatus {
-    /// Whether it votes.
+    /// Whether the replica votes, or why it does not.
     pub condition: ReplicaCondition,
-    /// The highest term that it voted for or accepted.
+    /// The highest term in which the replica voted or accepted a change.
     pub current_term: Term,
-    /// The term under which it was last written.
+    /// The term under which the replica was last written.
     pub written_term: Term,
-    /// The revision that it has reached.
+    /// The newest revision of the replica.
     pub revision: u64,
 }
 
 impl ReplicaStatus {
-    /// How new the replica there is.
+    /// Returns the last written position of the replica.
     pub fn position(&self) -> Position {
         Position { term: self.written_term, revision: self.revision }
     }
 }
 
 impl Partition {
-    /// A partition as found on disk at a start. `log_bytes` is the length of its log.
+    /// Creates a replica from the state found on disk at startup. `log_bytes` is the length of
+    /// its log.
     pub fn new(
         id: PartitionId,
         condition: ReplicaCondition,
@@ -203,18 +209,18 @@
             committed_revision: 0,
             uncommitted_snapshot,
             changes: VecDeque::new(),
-            suspect: false,
-            unled_since_start: true,
+            checksum_mismatch: false,
+            no_leader_since_start: true,
             catch_up: CatchUp::default(),
         }
     }
 
-    /// Whether this replica may vote and accept.
+    /// Returns whether this replica may vote and accept changes.
     pub fn can_vote(&self) -> bool {
         self.condition == ReplicaCondition::Voting && self.disk_failure.is_none()
     }
 
-    /// The leader's state, if this voter leads the partition.
+    /// Returns the leader state if this voter is the leader of the partition.
     pub fn leader(&self) -> Option<&Leader> {
         match &self.role {
             Role::Leader(leader) => Some(leader),
@@ -222,7 +228,7 @@
         }
     }
 
-    /// The leader's state to change, if this voter leads the partition.
+    /// Returns the mutable leader state if this voter is the leader of the partition.
     pub fn leader_mut(&mut self) -> Option<&mut Leader> {
         match &mut self.role {
             Role::Leader(leader) => Some(leader),
--- a/crates/core/src/replication/pending_operations.rs
+++ b/crates/core/src/replication/pending_operations.rs
@@ -1,16 +1,16 @@
-//! Operations that a leader has judged and not answered yet.
+//! Operations that a leader has evaluated but not responded to yet.
 //!
-//! A leader may have been replaced without knowing it, and its newest state may
-//! hold changes that are never committed. So a judgement is remembered with the
-//! revision it rests on, and is told only once that revision is committed and a
-//! majority of the voters has answered a heartbeat round which began after the
-//! operation came (`heartbeat_rounds`). If leadership is lost before, the
-//! operation has not been carried out, and the controller that it came to hands
-//! it to the next leader, who judges it anew.
+//! A leader may have been replaced without knowing it, and its newest state may hold changes
+//! that are never committed. So the result of an evaluation is kept together with the revision
+//! that it depends on. It is sent only once that revision is committed and a majority of the
+//! voters has acknowledged a heartbeat round that began after the operation arrived
+//! (`heartbeat_rounds`). If the leadership is lost before that, the operation has not been
+//! carried out, and the controller that received it forwards it to the next leader, which
+//! evaluates it again.
 //!
-//! A new change waits elsewhere (`waiting_changes`): the majority that syncs it is
-//! asked after its order came, and it can't be committed unless all before it
-//! are.
+//! New changes wait in `waiting_changes` instead. They need no such round, because a majority
+//! syncs a change after its request arrived, and a change can't be committed unless all earlier
+//! ones are.
 
 use crate::command::Command;
 use crate::protocol::operation::OperationResult;
@@ -19,25 +19,26 @@
 use crate::replication::operations::{OperationOrigin, PendingAnswer, PendingOperation};
 use crate::replication::partition::{Partition, Role};
 use crate::replication::private_entries::public_entries;
-use crate::replication::timing::OPERATION_PATIENCE;
+use crate::replication::timing::OPERATION_TIMEOUT;
 use crate::rollout::record::rollout_of;
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
-/// Most operations that wait at a leader (count): what the doors of more
-/// controllers than there can be voters hand over at once.
+/// Maximum number of operations that wait at a leader (count): as many as the listeners of more
+/// controllers than there can be voters forward at the same time.
 const PENDING_LIMIT: usize = 1_024;
 
 impl Leader {
-    /// Whether no further operation may wait here.
+    /// Returns whether `PENDING_LIMIT` operations wait already.
     pub fn is_full(&self) -> bool {
         self.pending.len() + self.waiting_changes.len() >= PENDING_LIMIT
     }
 
-    /// Leadership is lost: nothing of what was pending has been carried out or told.
+    /// Rejects all pending operations when the leadership is lost. None of them has been carried
+    /// out or responded to.
     pub fn reject_pending(self, commands: &mut Vec<Command>) {
         let pending = self.pending.into_iter().map(|operation| operation.origin);
-        for origin in pending.chain(self.proved_status) {
+        for origin in pending.chain(self.confirmed_status_requests) {
             let why = "the leader changed".to_string();
             origin.respond(OperationResult::Rejected { why }, commands);
         }
@@ -45,7 +46,8 @@
 }
 
 impl Partition {
-    /// Takes in an operation that was judged by our newest state.
+    /// Adds an operation that was evaluated against the newest state, and requests a heartbeat
+    /// round for it.
     pub fn add_pending(
         &mut self,
         now: Tick,
@@ -62,37 +64,37 @@
                 leader.committed
             }
         };
-        let (round, until) = (leader.round + 1, now + OPERATION_PATIENCE);
+        let (round, until) = (leader.round + 1, now + OPERATION_TIMEOUT);
         leader.pending.push(PendingOperation { origin, round, revision, answer, until });
         self.request_round(now, group, commands);
         self.complete_operations(now, group, commands);
     }
 
-    /// Answers the operations that are proved, and gives up those that took too long.
+    /// Responds to the operations whose round is confirmed, and rejects those that timed out.
     pub fn complete_pending(&mut self, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
         let (committed_revision, committed) = (self.committed_revision, &self.committed);
         let Role::Leader(leader) = &mut self.role else { return };
         if leader.pending.is_empty() {
             return;
         }
-        let proved = if leader.is_serving { leader.proved_round(group) } else { 0 };
+        let confirmed = if leader.is_serving { leader.confirmed_round(group) } else { 0 };
         let committed_up_to = leader.committed.min(committed_revision);
-        let mut left = Vec::with_capacity(leader.pending.len());
+        let mut remaining = Vec::with_capacity(leader.pending.len());
         for operation in std::mem::take(&mut leader.pending) {
-            if proved >= operation.round && committed_up_to >= operation.revision {
+            if confirmed >= operation.round && committed_up_to >= operation.revision {
                 answer(operation, leader, committed_revision, committed, commands);
             } else if now >= operation.until {
-                let why = "the leader could not prove in time that it still is".to_string();
+                let why = "the leader could not confirm its leadership in time".to_string();
                 operation.origin.respond(OperationResult::Rejected { why }, commands);
             } else {
-                left.push(operation);
+                remaining.push(operation);
             }
         }
-        leader.pending = left;
+        leader.pending = remaining;
     }
 }
 
-/// Answers an operation that is proved.
+/// Responds to an operation whose round is confirmed.
 fn answer(
     operation: PendingOperation,
     leader: &mut Leader,
@@ -108,7 +110,7 @@
         PendingAnswer::Rollout(service) => {
             OperationResult::Rollout(rollout_of(committed, &service))
         }
-        PendingAnswer::Status => return leader.proved_status.push(operation.origin),
+        PendingAnswer::Status => return leader.confirmed_status_requests.push(operation.origin),
     };
     operation.origin.respond(result, commands);
 }
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -1,4 +1,4 @@
-//! A voter as a replica: it grants votes, accepts the leader's changes and keeps them.
+//! The follower side of replication: grants votes, and accepts and stores the leader's changes.
 
 use crate::command::Command;
 use crate::identifiers::{Position, Term, VoterSlot};
@@ -6,37 +6,38 @@
 use crate::protocol::replica::EntryMap;
 use crate::replication::leader::Leader;
 use crate::replication::partition::{AfterWrite, KnownLeader, Partition, Role};
-use crate::replication::timing::LEADER_SILENCE;
+use crate::replication::timing::ELECTION_TIMEOUT;
 use crate::storage::record::{LogRecord, ReplicaState, checksum};
 use crate::time::{Tick, since};
 use crate::voter_set::VoterGroup;
 
-/// What a leader says with a heartbeat.
+/// The contents of a heartbeat from a leader.
 #[derive(Clone, Copy, Debug)]
 pub struct Heartbeat {
-    /// Its term.
+    /// The term of the leader.
     pub term: Term,
-    /// The round to answer.
+    /// The heartbeat round to acknowledge.
     pub round: u64,
-    /// The revision up to which all is committed.
+    /// The highest committed revision (`leaderCommit` in the Raft paper).
     pub committed: u64,
-    /// The checksum of its entries at that revision; zero: none.
+    /// Checksum of the leader's entries at that revision; zero if this heartbeat carries none.
     pub checksum: u64,
 }
 
 impl Partition {
-    /// Whether this voter hears a leader, so that an election would only disturb.
-    fn hears_leader(&self, now: Tick) -> bool {
+    /// Returns whether this voter is the leader or heard from one within `ELECTION_TIMEOUT`, so
+    /// that an election would only interrupt a working leader.
+    fn has_leader_contact(&self, now: Tick) -> bool {
         match &self.role {
             Role::Follower { last_heard, leader } => {
-                leader.is_some() && since(*last_heard, now) < LEADER_SILENCE
+                leader.is_some() && since(*last_heard, now) < ELECTION_TIMEOUT
             }
             Role::Leader(_) => true,
-            Role::PreVoting { .. } | Role::Candidate(_) => false,
+            Role::PreCandidate { .. } | Role::Candidate(_) => false,
         }
     }
 
-    /// Another voter asks whether it would be voted for.
+    /// Handles a pre-vote request from another voter.
     pub fn on_pre_vote_request(
         &mut self,
         now: Tick,
@@ -45,12 +46,12 @@
         commands: &mut Vec<Command>,
     ) {
         let (partition, current_term) = (self.id, self.state.current_term);
-        let granted = self.can_vote() && term > current_term && !self.hears_leader(now);
+        let granted = self.can_vote() && term > current_term && !self.has_leader_contact(now);
         let message = Message::PreVoteResponse { partition, term, granted, current_term };
         commands.push(Command::ToVoter { slot: from, message });
     }
 
-    /// Another voter stands for election.
+    /// Handles a vote request from a candidate.
     pub fn on_vote_request(
         &mut self,
         now: Tick,
@@ -62,10 +63,10 @@
             return;
         }
         if term <= self.state.current_term {
-            return self.reject_term(from, term, commands);
+            return self.reject_stale_term(from, term, commands);
         }
         self.step_down(now, None, commands);
-        self.unled_since_start = false;
+        self.no_leader_since_start = false;
         self.state.apply(&LogRecord::Vote { term });
         let message = Message::VoteGranted {
             partition: self.id,
@@ -78,15 +79,15 @@
         self.persist_record(now, LogRecord::Vote { term }, after, commands);
     }
 
-    /// Tells a voter that its term is over.
-    fn reject_term(&self, to: VoterSlot, term: Term, commands: &mut Vec<Command>) {
+    /// Informs a voter that its term is stale.
+    fn reject_stale_term(&self, to: VoterSlot, term: Term, commands: &mut Vec<Command>) {
         let current_term = self.state.current_term;
         let message = Message::VoteRejected { partition: self.id, term, current_term };
         commands.push(Command::ToVoter { slot: to, message });
     }
 
-    /// Becomes a follower; the one way out of every other role. What the leader knew is
-    /// handed back, so that those who wait for an answer get one.
+    /// Becomes a follower; every other role ends here. Returns the state of the former leader,
+    /// so that the caller can respond to the operations that wait in it.
     pub fn become_follower(
         &mut self,
         now: Tick,
@@ -99,7 +100,7 @@
         }
     }
 
-    /// Gives up whatever role we had for that of a follower, and answers those who wait.
+    /// Becomes a follower and responds to the operations that waited at a former leader.
     pub fn step_down(
         &mut self,
         now: Tick,
@@ -111,37 +112,40 @@
         }
     }
 
-    /// Whether a message of this leader counts; rejects it if its term is over.
+    /// Returns whether to process a message of this leader. Rejects a leader of a stale term.
     fn accept_leader(&mut self, now: Tick, from: KnownLeader, commands: &mut Vec<Command>) -> bool {
         let is_over = from.term < self.state.current_term;
         if !self.can_vote() {
-            // It can't vote or accept, but it still hands requests over.
+            // This replica can neither vote nor accept changes, but this node still forwards
+            // operations to the leader.
             if !is_over {
-                self.note_leader(now, from);
+                self.record_leader(now, from);
             }
             return false;
         }
         if is_over {
-            self.reject_term(from.slot, from.term, commands);
+            self.reject_stale_term(from.slot, from.term, commands);
             return false;
         }
-        self.unled_since_start = false;
-        if !self.note_leader(now, from) {
-            // We voted for our own higher term first, so this one is newer.
+        self.no_leader_since_start = false;
+        if !self.record_leader(now, from) {
+            // This replica voted for itself in its own term, so a term that is not stale is
+            // newer than that.
             self.step_down(now, Some(from), commands);
         }
         true
     }
 
-    /// Notes who leads, if we follow.
-    fn note_leader(&mut self, now: Tick, from: KnownLeader) -> bool {
+    /// Records the leader and the time of its message if this replica is a follower. Returns
+    /// whether it is one.
+    fn record_leader(&mut self, now: Tick, from: KnownLeader) -> bool {
         let Role::Follower { last_heard, leader } = &mut self.role else { return false };
         *last_heard = now;
         *leader = Some(from);
         true
     }
 
-    /// A whole state from the leader.
+    /// Handles a snapshot from the leader.
     pub fn on_snapshot(
         &mut self,
         now: Tick,
@@ -156,17 +160,17 @@
         }
         let ack = Message::AppendAck { partition: self.id, term, revision, stamp: 0 };
         let has_it = self.state.written_term == term && self.state.revision >= revision;
-        if has_it && !self.suspect {
+        if has_it && !self.checksum_mismatch {
             return self.send_when_synced(from, ack, commands);
         }
-        self.suspect = false;
+        self.checksum_mismatch = false;
         let current_term = self.state.current_term.max(term);
         self.restart_changes(revision, &entries);
         self.state = ReplicaState { current_term, written_term: term, revision, entries };
         self.persist_snapshot(now, vec![AfterWrite::Send(from, ack)], commands);
     }
 
-    /// A change from the leader.
+    /// Handles a change from the leader (`AppendEntries` in the Raft paper).
     pub fn on_append(
         &mut self,
         now: Tick,
@@ -192,13 +196,13 @@
         self.persist_record(now, record, after, commands);
     }
 
-    /// Asks the leader for its whole state.
+    /// Requests a snapshot from the leader.
     fn request_snapshot(&self, leader: VoterSlot, term: Term, commands: &mut Vec<Command>) {
         let message = Message::SnapshotRequest { partition: self.id, term };
         commands.push(Command::ToVoter { slot: leader, message });
     }
 
-    /// A heartbeat: the leader lives, and so much is committed.
+    /// Handles a heartbeat, which shows that the leader is running and what is committed.
     pub fn on_heartbeat(
         &mut self,
         now: Tick,
@@ -215,14 +219,14 @@
             self.commit_up_to(heartbeat.committed);
             self.compare_checksums(heartbeat, commands);
         }
-        if !has_term || self.suspect {
+        if !has_term || self.checksum_mismatch {
             self.request_snapshot(from, term, commands);
         }
-        // How far our memory is, and how far our disk: with nothing on its way there
-        // they are one. An `AppendAck` may have been lost, or sent under a voter set
-        // that is no more.
+        // Reports the newest revision in memory and the one that is synced, which are equal
+        // while no write is pending. An earlier `AppendAck` may have been lost, or sent under a
+        // voter set that has been replaced.
         let revision = if has_term { self.state.revision } else { 0 };
-        let synced = if self.writes.is_empty() && !self.suspect { revision } else { 0 };
+        let synced = if self.writes.is_empty() && !self.checksum_mismatch { revision } else { 0 };
         let message =
             Message::HeartbeatAck { partition: self.id, term, round, revision, synced, stamp: 0 };
         commands.push(Command::ToVoter { slot: from, message });
@@ -231,14 +235,15 @@
     fn compare_checksums(&mut self, heartbeat: Heartbeat, commands: &mut Vec<Command>) {
         let is_comparable = heartbeat.checksum != 0 && self.state.revision == heartbeat.committed;
         if is_comparable && checksum(&self.state.entries) != heartbeat.checksum {
-            let text = format!("part {}: our copy differs from the leader's", self.id);
+            let text = format!("part {}: the local copy differs from the leader's", self.id);
             commands.push(Command::Alarm(text));
-            self.suspect = true;
+            self.checksum_mismatch = true;
         }
     }
 
-    /// The voter set changed: whatever is counted is counted anew. `replaced` says which
-    /// slots have another replica now.
+    /// Discards votes and acknowledgements after a change of the voter set, since they are only
+    /// valid under the voter set for which they were sent. `replaced` tells which slots now have
+    /// another replica.
     pub fn on_voter_set_changed(
         &mut self,
         now: Tick,
@@ -256,7 +261,7 @@
             Role::Follower { leader, .. } => {
                 leader.take_if(|known| is_replaced(known.slot));
             }
-            Role::PreVoting { .. } | Role::Candidate(_) => {
+            Role::PreCandidate { .. } | Role::Candidate(_) => {
                 self.become_follower(now, None);
             }
         }
--- a/crates/core/src/replication/replicate.rs
+++ b/crates/core/src/replication/replicate.rs
@@ -1,58 +1,60 @@
-//! What the leader of a partition does: it sends its changes to the other voters and
-//! counts who has synced them.
+//! Log replication by the leader of a partition: it sends its changes to the other voters and
+//! tracks which revisions they have synced.
 
 use crate::command::Command;
 use crate::config::stored::Entry;
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::message::Message;
-use crate::replication::leader::{AnsweredRound, HeartbeatRound, Leader};
+use crate::replication::leader::{AckedRound, HeartbeatRound, Leader};
 use crate::replication::partition::{AfterWrite, Partition, Role, Sender};
 use crate::replication::timing::ANSWER_TIMEOUT;
 use crate::storage::record::LogRecord;
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, others};
 
-/// Time after which a round that operations wait for is begun anew: a message
-/// of it was lost, and the next heartbeat is four times as far.
-const PROOF_RETRY: Span = ms(50);
+/// Time after which the leader begins another heartbeat round if operations still wait for one,
+/// because a message of the round may have been lost. The regular heartbeat interval is four
+/// times as long.
+const CONFIRMATION_RETRY: Span = ms(50);
 
-/// What a voter says in answer to a heartbeat.
+/// The contents of a voter's heartbeat acknowledgement.
 #[derive(Clone, Copy, Debug)]
 pub struct HeartbeatAck {
     /// The term of the heartbeat.
     pub term: Term,
-    /// The round that it answers.
+    /// The round that it acknowledges.
     pub round: u64,
-    /// The revision that the voter has in memory; zero: nothing of this term.
+    /// The voter's newest revision in memory; zero if it has none of this term.
     pub revision: u64,
-    /// The revision that it has synced; zero: nothing of this term.
+    /// The newest revision that the voter has synced; zero if it has none of this term.
     pub synced: u64,
 }
 
 impl Partition {
-    /// Time passes for the leader: heartbeats are due, and snapshots to who lacks one.
+    /// Sends the heartbeats and snapshots that are due, or steps down if no majority acknowledges
+    /// heartbeats.
     pub fn wake_leader(&mut self, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
         let id = self.id;
         let Some(leader) = self.leader_mut() else { return };
-        if !leader.hears_majority(group, now) {
-            let text = format!("part {id}: no majority answers, ownership given up");
+        if !leader.has_majority_contact(group, now) {
+            let text = format!("part {id}: no majority answers heartbeats; the leader steps down");
             commands.push(Command::Alarm(text));
             return self.step_down(now, None, commands);
         }
-        let is_retry_due =
-            leader.needs_proof(group) && since(leader.round_began_at, now) >= PROOF_RETRY;
+        let is_retry_due = leader.needs_confirmation(group)
+            && since(leader.round_began_at, now) >= CONFIRMATION_RETRY;
         let is_round_due = now >= leader.heartbeat_at || is_retry_due;
-        let lacking: Vec<VoterSlot> =
-            others(group).filter(|slot| leader.lacks_snapshot(now, *slot)).collect();
+        let needing_snapshot: Vec<VoterSlot> =
+            others(group).filter(|slot| leader.needs_snapshot(now, *slot)).collect();
         if is_round_due {
             self.begin_round(now, group, commands);
         }
-        for slot in lacking {
+        for slot in needing_snapshot {
             self.send_snapshot(now, slot, commands);
         }
     }
 
-    /// Sends the whole state to a voter.
+    /// Sends a snapshot to a voter.
     fn send_snapshot(&mut self, now: Tick, to: VoterSlot, commands: &mut Vec<Command>) {
         let (partition, term, revision) = (self.id, self.state.written_term, self.state.revision);
         let entries = self.state.entries.clone();
@@ -62,7 +64,7 @@
         commands.push(Command::ToVoter { slot: to, message });
     }
 
-    /// A voter can't follow our changes.
+    /// Handles a snapshot request of a follower that can't apply the leader's changes.
     pub fn on_snapshot_request(
         &mut self,
         now: Tick,
@@ -77,7 +79,7 @@
         }
     }
 
-    /// A voter answered a heartbeat.
+    /// Handles a heartbeat acknowledgement.
     pub fn on_heartbeat_ack(
         &mut self,
         now: Tick,
@@ -89,10 +91,10 @@
         if leader.term != ack.term || ack.round > leader.round || ack.round <= leader.valid_after {
             return;
         }
-        let sent = leader.note_answer(from.slot, ack.round);
-        // What we sent before this heartbeat has not come: it was lost on the way.
+        let sent = leader.record_ack(from.slot, ack.round);
+        // Changes sent before this heartbeat have not arrived, so they were lost.
         if ack.revision < sent.revision && leader.synced[usize::from(from.slot)].is_some() {
-            self.send_again(now, from.slot, ack, commands);
+            self.resend_changes(now, from.slot, ack, commands);
         }
         if ack.synced > 0 {
             return self.on_append_ack(now, from, ack.term, ack.synced, commands);
@@ -100,9 +102,9 @@
         self.complete_operations(now, from.group, commands);
     }
 
-    /// Sends a voter the changes after its revision again, or the whole state if they are
-    /// not kept any more.
-    fn send_again(
+    /// Resends the changes after a voter's revision, or sends a snapshot if these changes are no
+    /// longer kept.
+    fn resend_changes(
         &mut self,
         now: Tick,
         to: VoterSlot,
@@ -122,7 +124,8 @@
         }
     }
 
-    /// A voter (or we ourselves) synced a revision of our term.
+    /// Handles the acknowledgement that a voter, or the leader itself, has synced a revision, and
+    /// advances the commit revision.
     pub fn on_append_ack(
         &mut self,
         now: Tick,
@@ -149,7 +152,8 @@
         self.complete_operations(now, from.group, commands);
     }
 
-    /// Changes the partition. The caller has checked that we lead it and serve.
+    /// Appends a change and replicates it. The caller has checked that this replica is the leader
+    /// and serves operations.
     pub fn propose(
         &mut self,
         now: Tick,
@@ -175,9 +179,9 @@
 }
 
 impl Leader {
-    /// Whether a voter has synced nothing of this term, and no snapshot that was sent
-    /// lately may still be on its way to it.
-    fn lacks_snapshot(&self, now: Tick, slot: VoterSlot) -> bool {
+    /// Returns whether a voter has synced nothing of this term, and no snapshot is in flight to
+    /// it.
+    fn needs_snapshot(&self, now: Tick, slot: VoterSlot) -> bool {
         self.synced[usize::from(slot)].is_none() && self.may_send_snapshot(now, slot)
     }
 
@@ -186,13 +190,13 @@
         sent_at.is_none_or(|at| since(at, now) > ANSWER_TIMEOUT)
     }
 
-    /// Notes which round a voter has answered; gives that round.
-    fn note_answer(&mut self, slot: VoterSlot, number: u64) -> HeartbeatRound {
+    /// Records that a voter acknowledged a round, and returns that round.
+    fn record_ack(&mut self, slot: VoterSlot, number: u64) -> HeartbeatRound {
         let forgotten = HeartbeatRound { number, began_at: self.since, revision: 0 };
-        let round = self.round_begun(number).unwrap_or(forgotten);
-        let last = &mut self.answered[usize::from(slot)];
+        let round = self.find_round(number).unwrap_or(forgotten);
+        let last = &mut self.acked[usize::from(slot)];
         if number > last.number {
-            *last = AnsweredRound { number, began_at: round.began_at.max(last.began_at) };
+            *last = AckedRound { number, began_at: round.began_at.max(last.began_at) };
         }
         round
     }
--- a/crates/core/src/replication/timing.rs
+++ b/crates/core/src/replication/timing.rs
@@ -1,29 +1,28 @@
-//! Times that several of the replication's modules, and those above it, go by.
+//! Intervals and timeouts that several modules of the replication, and their callers, use.
 
 use crate::time::{SECOND, Span, ms};
 
-/// How often a leader shows its replicas that it lives. A fifth of the election wait,
-/// so that four lost heartbeats in a row do not cost a leader.
+/// Time between two heartbeats of a leader. A fifth of `ELECTION_TIMEOUT`, so that four lost
+/// heartbeats in a row do not cause an election.
 pub const HEARTBEAT_INTERVAL: Span = ms(200);
-/// Silence of the leader after which a replica may stand for election. Above the longest
-/// sync stall we expect of a healthy small disk, far below the 3 s in which members must
-/// go by a change.
-pub const LEADER_SILENCE: Span = ms(1_000);
-/// A leader that no majority has acknowledged for this long steps down. Below
-/// `LEADER_SILENCE`, so it is gone before a successor can be chosen.
+/// Time without a message from the leader after which a replica may become a candidate. Above
+/// the longest sync stall expected of a healthy small disk, and far below the 3 s in which
+/// members must apply a change.
+pub const ELECTION_TIMEOUT: Span = ms(1_000);
+/// Time without acknowledgements from a majority after which a leader steps down. Below
+/// `ELECTION_TIMEOUT`, so that the leader has stepped down before another can be elected.
 pub const LEADER_LEASE: Span = ms(900);
-/// An election that gathered no majority in this time is given up; a replica or snapshot
-/// that has not come in this time is asked for or sent again.
+/// Time after which an election without a majority ends, and after which a replica's state or a
+/// snapshot that has not arrived is requested or sent again.
 pub const ANSWER_TIMEOUT: Span = ms(800);
-/// How long a leader waits with an operation before it tells the voter that handed it
-/// over what is lacking; that voter asks again. Twice within the operator's patience, so
-/// that the reason is known when that ends; above `ACCEPTANCE_LATEST` by a few looks and
-/// round trips.
-pub const OPERATION_PATIENCE: Span = ms(2_400);
-/// A replica whose disk has not finished a write for this long steps back.
-pub const DISK_STALL: Span = ms(2_000);
-/// How often a replica that does not vote asks the others, and how soon one that stepped
-/// back first tries its disk again.
+/// Time after which a leader reports to the voter that forwarded an operation why it is not
+/// complete; that voter then retries. Half of the operator's request timeout, so that the reason
+/// is known when that expires, and above `ACCEPTANCE_LATEST` by a few polls and round trips.
+pub const OPERATION_TIMEOUT: Span = ms(2_400);
+/// Time without a completed write after which a replica is suspended.
+pub const DISK_STALL_TIMEOUT: Span = ms(2_000);
+/// Time between two status requests of a replica that does not vote, and before a suspended
+/// replica first retries its disk.
 pub const CATCH_UP_INTERVAL: Span = ms(250);
-/// How often a leader compares its replicas' checksums.
+/// Time between two comparisons of the replicas' checksums.
 pub const CHECKSUM_INTERVAL: Span = 5 * SECOND;
--- a/crates/core/src/replication/waiting_changes.rs
+++ b/crates/core/src/replication/waiting_changes.rs
@@ -1,20 +1,20 @@
-//! Changes that a leader has made and whose operators wait for the outcome.
+//! Changes that a leader has appended and whose operators wait for the outcome.
 
 use crate::command::Command;
 use crate::protocol::operation::OperationResult;
 use crate::replication::leader::Leader;
 use crate::replication::operations::{ChangeAcceptance, OperationOrigin, WaitingChange};
 use crate::replication::partition::{Partition, Role};
-use crate::replication::timing::OPERATION_PATIENCE;
+use crate::replication::timing::OPERATION_TIMEOUT;
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, majority};
 
-/// How long an accepted change waits for the last replicas before the operator hears of
-/// it: a majority is enough, more survive more lost disks.
+/// How long the response to an accepted change waits for the remaining replicas. A majority is
+/// enough, but a change on more replicas survives the loss of more disks.
 const LAST_REPLICAS_WAIT: Span = ms(150);
 
 impl Partition {
-    /// An operator waits for a new change of ours.
+    /// Registers a new change whose operator waits for the outcome.
     pub fn wait_for_change(
         &mut self,
         now: Tick,
@@ -30,12 +30,12 @@
                 round: 0,
                 acceptance,
                 accepted_at: None,
-                until: now + OPERATION_PATIENCE,
+                until: now + OPERATION_TIMEOUT,
             });
         }
     }
 
-    /// An operator waits to hear that a change which was made before stands.
+    /// Registers a repeated request whose change was made by an earlier attempt.
     pub fn wait_for_repeated_change(
         &mut self,
         now: Tick,
@@ -51,12 +51,12 @@
                 round: leader.round + 1,
                 acceptance,
                 accepted_at: None,
-                until: now + OPERATION_PATIENCE,
+                until: now + OPERATION_TIMEOUT,
             });
         }
     }
 
-    /// Answers those operators whose outcome is known.
+    /// Responds to the operators whose outcome is known.
     pub fn complete_operations(
         &mut self,
         now: Tick,
@@ -64,34 +64,35 @@
         commands: &mut Vec<Command>,
     ) {
         let Role::Leader(leader) = &mut self.role else { return };
-        let proved = leader.proved_round(group);
+        let confirmed = leader.confirmed_round(group);
         let waiting = std::mem::take(&mut leader.waiting_changes);
-        let mut left = Vec::with_capacity(waiting.len());
+        let mut remaining = Vec::with_capacity(waiting.len());
         for mut change in waiting {
-            match leader.outcome(now, group, proved, &mut change) {
+            match leader.outcome(now, group, confirmed, &mut change) {
                 Some(result) => change.origin.respond(result, commands),
-                None => left.push(change),
+                None => remaining.push(change),
             }
         }
-        leader.waiting_changes = left;
+        leader.waiting_changes = remaining;
         self.complete_pending(now, group, commands);
     }
 }
 
 impl Leader {
-    /// The result of a change, if it is known by now.
+    /// Returns the result of a change, or `None` if it is not known yet.
     fn outcome(
         &self,
         now: Tick,
         group: VoterGroup,
-        proved: u64,
+        confirmed: u64,
         change: &mut WaitingChange,
     ) -> Option<OperationResult> {
         let is_accepted =
-            change.revision <= self.accepted_up_to(change.acceptance) && proved >= change.round;
+            change.revision <= self.accepted_up_to(change.acceptance) && confirmed >= change.round;
         if !is_accepted {
             let is_overdue = now >= change.until;
-            return is_overdue.then(|| OperationResult::Unknown { why: self.why_overdue(change) });
+            return is_overdue
+                .then(|| OperationResult::Unknown { why: self.overdue_reason(change) });
         }
         let accepted_at = *change.accepted_at.get_or_insert(now);
         let copies = self.replicas_with(change.revision);
@@ -103,19 +104,19 @@
         Some(OperationResult::Accepted { revision, replicas: copies, is_repeat: again })
     }
 
-    /// Why a change has no outcome when the patience with it ends.
-    fn why_overdue(&self, change: &WaitingChange) -> String {
+    /// Returns the reason why a change has no outcome at its timeout.
+    fn overdue_reason(&self, change: &WaitingChange) -> String {
         if change.revision > self.committed {
             "no majority synced the change in time".to_string()
         } else if change.revision > self.accepted_up_to(change.acceptance) {
-            format!("synced, but not obeyed yet by {}", self.lagging_members.join(", "))
+            format!("synced, but not applied yet by {}", self.lagging_members.join(", "))
         } else {
-            "the change stands, but no majority proved in time who leads now".to_string()
+            "the change is committed, but no majority confirmed the leadership in time".to_string()
         }
     }
 
-    /// Leadership is lost: what was not proved is unknown, and what was only judged has
-    /// not been done.
+    /// Responds to all waiting operations when the leadership is lost. The outcome of a change that
+    /// is not accepted is unknown; operations that were only evaluated are rejected.
     pub fn on_leadership_lost(self, commands: &mut Vec<Command>) {
         for change in &self.waiting_changes {
             let is_accepted = change.revision <= self.accepted_up_to(change.acceptance);
@@ -127,7 +128,7 @@
                     is_repeat: false,
                 }
             } else {
-                let why = "the leader changed while the change was on its way".to_string();
+                let why = "the leader changed while the change was being replicated".to_string();
                 OperationResult::Unknown { why }
             };
             change.origin.respond(result, commands);
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -6,7 +6,7 @@
 use crate::command::{Command, ConnectionId};
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
-use crate::replication::timing::DISK_STALL;
+use crate::replication::timing::DISK_STALL_TIMEOUT;
 use crate::storage::voter_file::VoterFile;
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, VoterSet, ballot, group, merge, others, seat_of, stamp};
@@ -178,7 +178,7 @@
     /// The disk failed to write the voter file: it is retried.
     pub fn on_write_failed(&mut self, now: Tick, why: &str, commands: &mut Vec<Command>) {
         if let Some(write) = &mut self.pending_write {
-            write.retry_at = Some(now + DISK_STALL);
+            write.retry_at = Some(now + DISK_STALL_TIMEOUT);
             let text = format!("the table of the seats can't be kept: {why}");
             commands.push(Command::Alarm(text));
         }
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -16,7 +16,7 @@
 use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::random::Random;
-use grebepath_core::replication::leader::AnsweredRound;
+use grebepath_core::replication::leader::AckedRound;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::{LogRecord, ReplicaState};
 use grebepath_core::storage::voter_file::{Start, begin};
@@ -336,7 +336,7 @@
     let answered = (cluster.unproved && order).then(|| pretend_proof(core));
     let commands = core.step(now, event);
     if let (Some(answered), Role::Leader(leader)) = (answered, &mut core.partitions[0].role) {
-        leader.answered = answered;
+        leader.acked = answered;
     }
     for command in commands {
         carry_out(cluster, node, command);
@@ -344,11 +344,11 @@
 }
 
 /// Lets a leader take the next round as answered by all; gives what was true.
-fn pretend_proof(core: &mut ControllerState) -> Vec<AnsweredRound> {
+fn pretend_proof(core: &mut ControllerState) -> Vec<AckedRound> {
     let Role::Leader(leader) = &mut core.partitions[0].role else { return Vec::new() };
-    let answered = leader.answered.clone();
+    let answered = leader.acked.clone();
     let next = leader.round + 1;
-    leader.answered.iter_mut().for_each(|answer| answer.number = next);
+    leader.acked.iter_mut().for_each(|answer| answer.number = next);
     answered
 }
 
--- a/crates/core/tests/decoding.rs
+++ b/crates/core/tests/decoding.rs
@@ -149,7 +149,7 @@
 fn the_message_that_once_asked_for_58_gigabytes_is_refused() {
     let message = Message::LeafList {
         partition: grebepath_core::identifiers::PartitionId(1),
-        fence: Default::default(),
+        fencing_token: Default::default(),
         leafs: Vec::new(),
     };
     let mut bytes = encode(&message);
--- a/crates/core/tests/elections.rs
+++ b/crates/core/tests/elections.rs
@@ -107,7 +107,7 @@
     let orders: Vec<u64> =
         (0..40).map(|n| ask(&mut cluster, other, &format!("o{n}"), change("c"))).collect();
     run(&mut cluster, 12 * SECOND);
-    expect_that!(cluster.alarms, not(contains(contains_substring("steps back"))));
+    expect_that!(cluster.alarms, not(contains(contains_substring("is suspended"))));
     expect_that!(believes(&cluster, leader), eq(true));
     for order in orders {
         expect_that!(cluster.answers.contains_key(&order), eq(true));
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -4,7 +4,9 @@
 use googletest::prelude::*;
 use grebepath_core::consts;
 use grebepath_core::control_plane::controller;
-use grebepath_core::identifiers::{BEYOND, COHORT, CONFIG, PartitionId, Term, VoterSlot};
+use grebepath_core::identifiers::{
+    CONFIG, FEED_END, MEMBERSHIP_FEED, PartitionId, Term, VoterSlot,
+};
 use grebepath_core::membership::feed::SUBSCRIBE_INTERVAL;
 use grebepath_core::membership::feed_sources::FEED_SILENCE;
 use grebepath_core::membership::lease::SEEK_INTERVAL;
@@ -57,7 +59,7 @@
     for c in todo {
         if let Command::ToVoter { slot, message: Message::Subscribe { positions: places, .. } } = c
         {
-            let beyond = places.iter().all(|p| p.revision == BEYOND);
+            let beyond = places.iter().all(|p| p.revision == FEED_END);
             if beyond { only.push(*slot) } else { whole.push(*slot) }
         }
     }
@@ -134,7 +136,7 @@
     let mut w = serves();
     let (whole, only) = asked(&w.step(BOOT, Event::Wake));
     let (first, other) = (whole[0], only[0]);
-    for partition in [CONFIG, COHORT] {
+    for partition in [CONFIG, MEMBERSHIP_FEED] {
         let now = w.subscribe_at;
         w.lease.renewed_at = now;
         reach(&mut w, now - ms(100), first, partition, 0);
@@ -158,7 +160,7 @@
     c.partitions[0].committed.insert("zone/a".into(), vec![1]);
     (c.partitions[0].committed_revision, c.members.membership) = (5, membership(3));
     let ask = |c: &mut controller::ControllerState, revision: u64| {
-        let list = [CONFIG, COHORT].into_iter().chain((1..5).map(PartitionId));
+        let list = [CONFIG, MEMBERSHIP_FEED].into_iter().chain((1..5).map(PartitionId));
         let places = list.map(|partition| FeedPosition { partition, revision }).collect();
         let event = controller::Event::FromConnection {
             connection: 1,
@@ -176,11 +178,11 @@
             told(|m| matches!(m, Message::MembershipUpdate(_))),
         )
     };
-    expect_that!(ask(&mut c, BEYOND), eq((1, 0, 0)));
+    expect_that!(ask(&mut c, FEED_END), eq((1, 0, 0)));
     expect_that!(ask(&mut c, 0), eq((1, 1, 1)));
     // Who lost it says so and gets it again.
     expect_that!(ask(&mut c, 0), eq((1, 1, 1)));
-    expect_that!(ask(&mut c, BEYOND), eq((1, 0, 0)));
+    expect_that!(ask(&mut c, FEED_END), eq((1, 0, 0)));
 }
 
 #[gtest]
@@ -236,7 +238,7 @@
     w.step(BOOT, Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(3)) });
     let message = Message::Gossip {
         name: "m1".into(),
-        core_age_ms: 0,
+        controller_contact_age_ms: 0,
         ready: true,
         positions: Vec::new(),
         asked: Some(7),
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -57,7 +57,7 @@
 const MESSAGE_VARIANTS: usize = 43;
 /// Bytes of a head, and most bytes of a piece's body.
 const HEAD_BYTES: usize = 12;
-const PIECE_BYTES: usize = 64 * 1024;
+const FRAME_BYTES_MAX: usize = 64 * 1024;
 
 /// The files of a partition.
 #[derive(Clone, PartialEq)]
@@ -315,7 +315,7 @@
     let mut found = Vec::new();
     for piece in pieces {
         let (raw, body) = piece.split_first_chunk::<HEAD_BYTES>().ok_or("a short piece")?;
-        let head = frame::PieceHeader::parse(raw).map_err(|error| error.to_string())?;
+        let head = frame::FrameHeader::parse(raw).map_err(|error| error.to_string())?;
         same("length", &head.length, &body.len())?;
         // Small messages go on the first lane, those of several pieces on the second.
         let lane = if pieces.len() > 1 { frame::Lane::Large } else { frame::Lane::Small };
@@ -332,7 +332,7 @@
 fn large_message_pieces(heads: &[u8], start: &[u8]) -> Vec<Vec<u8>> {
     let body = [start, &[messages::FILLER; messages::FILLER_COUNT][..]].concat();
     let heads = heads.chunks(HEAD_BYTES);
-    heads.zip(body.chunks(PIECE_BYTES)).map(|(head, body)| [head, body].concat()).collect()
+    heads.zip(body.chunks(FRAME_BYTES_MAX)).map(|(head, body)| [head, body].concat()).collect()
 }
 
 #[googletest::test]
--- a/crates/core/tests/format_fixtures/messages.rs
+++ b/crates/core/tests/format_fixtures/messages.rs
@@ -222,7 +222,7 @@
     };
     let gossip = |asked, echo, attestation| Message::Gossip {
         name: "querier-1".into(),
-        core_age_ms: wide(2),
+        controller_contact_age_ms: wide(2),
         ready: true,
         positions: places(),
         asked,
@@ -242,7 +242,7 @@
     vec![
         Message::LeafList {
             partition: partition(),
-            fence: MembershipId { term: term(1), turn: wide(2) },
+            fencing_token: MembershipId { term: term(1), turn: wide(2) },
             leafs: vec![leaf(1, true), leaf(2, false)],
         },
         Message::LeafReports { partition: partition(), reports: vec![leaving, gone] },
--- a/crates/core/tests/format_fixtures/values.rs
+++ b/crates/core/tests/format_fixtures/values.rs
@@ -86,10 +86,10 @@
 
 pub fn ready_progress() -> MemberProgress {
     MemberProgress {
-        obeyed_revision: wide(701),
+        applied_revision: wide(701),
         seen_membership: MembershipId { term: term(702), turn: wide(703) },
         known_revision: wide(704),
-        quiet_ms: wide(705),
+        attestation_age_ms: wide(705),
         ready: true,
         leaving: false,
     }
@@ -97,10 +97,10 @@
 
 pub fn leaving_progress() -> MemberProgress {
     MemberProgress {
-        obeyed_revision: wide(711),
+        applied_revision: wide(711),
         seen_membership: MembershipId { term: term(712), turn: wide(713) },
         known_revision: wide(714),
-        quiet_ms: wide(715),
+        attestation_age_ms: wide(715),
         ready: false,
         leaving: true,
     }
--- a/crates/core/tests/framing.rs
+++ b/crates/core/tests/framing.rs
@@ -5,7 +5,7 @@
 use googletest::prelude::*;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::protocol::frame::{
-    FrameError, HEADER_BYTES, PIECE_BYTES, PROTOCOL_VERSION, PieceHeader, Reassembler, encode,
+    FRAME_BYTES_MAX, FrameError, FrameHeader, HEADER_BYTES, PROTOCOL_VERSION, Reassembler, encode,
     split,
 };
 use grebepath_core::protocol::message::{FeedPosition, Message};
@@ -28,7 +28,7 @@
     reassembler: &mut Reassembler,
     piece: &[u8],
 ) -> std::result::Result<Option<Message>, FrameError> {
-    let header = PieceHeader::parse(&header_of(piece))?;
+    let header = FrameHeader::parse(&header_of(piece))?;
     assert_eq!(header.length, piece.len() - HEADER_BYTES);
     reassembler.push(&header, &piece[HEADER_BYTES..])
 }
@@ -41,7 +41,7 @@
     let mut reassembler = Reassembler::default();
     let mut received = Vec::new();
     for (i, piece) in pieces.iter().enumerate() {
-        expect_that!(piece.len(), le(PIECE_BYTES + HEADER_BYTES));
+        expect_that!(piece.len(), le(FRAME_BYTES_MAX + HEADER_BYTES));
         for between in split(&encode(&small(i as u64))) {
             received.extend(push(&mut reassembler, &between).unwrap());
         }
@@ -66,7 +66,7 @@
     for bit in 0..piece.len() * 8 {
         let mut bad = piece.clone();
         bad[bit / 8] ^= 1 << (bit % 8);
-        let Ok(header) = PieceHeader::parse(&header_of(&bad)) else { continue };
+        let Ok(header) = FrameHeader::parse(&header_of(&bad)) else { continue };
         // A changed length means that other bytes are taken for the body.
         let end = HEADER_BYTES + header.length;
         let Some(body) = bad.get(HEADER_BYTES..end) else { continue };
--- a/crates/core/tests/list_pollers.rs
+++ b/crates/core/tests/list_pollers.rs
@@ -57,7 +57,7 @@
                 let progress = MemberProgress {
                     seen_membership,
                     ready: true,
-                    quiet_ms: 60_000,
+                    attestation_age_ms: 60_000,
                     ..MemberProgress::default()
                 };
                 renew(&mut self.cluster, self.leader, name, self.renewals, progress);
--- a/crates/core/tests/memberships.rs
+++ b/crates/core/tests/memberships.rs
@@ -21,7 +21,7 @@
 fn far(saw: MembershipId) -> MemberProgress {
     MemberProgress {
         seen_membership: saw,
-        quiet_ms: 60_000,
+        attestation_age_ms: 60_000,
         ready: true,
         ..MemberProgress::default()
     }
--- a/crates/core/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -165,7 +165,7 @@
 /// of them and keeps them all.
 fn with_silent_members(cluster: &mut Cluster, leader: usize) {
     let far = |turn| MemberProgress {
-        obeyed_revision: 0,
+        applied_revision: 0,
         seen_membership: MembershipId { term: Term::ZERO, turn },
         ..Default::default()
     };
--- a/crates/core/tests/rollouts.rs
+++ b/crates/core/tests/rollouts.rs
@@ -115,12 +115,12 @@
     let is_turned = |cluster: &mut Cluster| rollout(cluster, first).phase() != RolloutPhase::Trial;
     for _ in 0..2 * TERM / ms(250) {
         renewals += 1;
-        let obeyed_revision = before;
+        let applied_revision = before;
         let known_revision = core_of(&cluster, first).partitions[0].committed_revision;
         let far = grebepath_core::protocol::membership::MemberProgress {
-            obeyed_revision,
+            applied_revision,
             known_revision,
-            quiet_ms: 60_000,
+            attestation_age_ms: 60_000,
             ready: true,
             ..Default::default()
         };
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -10,7 +10,7 @@
 use grebepath_core::identifiers::{CONFIG, Term, VoterSlot, partitions};
 use grebepath_core::protocol::message::Message;
 use grebepath_core::protocol::replica::ReplicaCondition;
-use grebepath_core::replication::leader::AnsweredRound;
+use grebepath_core::replication::leader::AckedRound;
 use grebepath_core::replication::partition::Role;
 use grebepath_core::storage::record::ReplicaState;
 use grebepath_core::storage::voter_file::{Start, VoterFile, begin, read, write};
@@ -351,8 +351,8 @@
     let news = from(&b, 1, Message::VoterSetUpdate { replica_id: 1, voter_set: table });
     one(&mut b, news);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
-    let unheard = AnsweredRound { number: 0, began_at: 0 };
-    expect_that!((o.synced[1], o.synced[2], o.answered[2]), eq((None, None, unheard)));
+    let unheard = AckedRound { number: 0, began_at: 0 };
+    expect_that!((o.synced[1], o.synced[2], o.acked[2]), eq((None, None, unheard)));
     expect_that!(b.core.voter_slots.stamp, not(eq(old)));
     // What the old holder still says is nobody's word.
     let late = Event::FromVoter {
--- a/crates/core/tests/serving_without_lease.rs
+++ b/crates/core/tests/serving_without_lease.rs
@@ -1,7 +1,7 @@
 //! A member that serves on without a lease goes by what the others know of leafs.
 
 use googletest::prelude::*;
-use grebepath_core::identifiers::{PartitionId, Term, part_of};
+use grebepath_core::identifiers::{PartitionId, Term, service_partition};
 use grebepath_core::membership::node_agent::{Command, Event, NodeAgent};
 use grebepath_core::protocol::membership::{Attestation, Member, Membership, NO_PROOF};
 use grebepath_core::protocol::message::{FeedPosition, LeafReport, Message};
@@ -48,7 +48,8 @@
         slots: 2,
         cold: false,
     };
-    let partition = agent.partitions.get_mut(&part_of(SERVICE)).expect("a partition of services");
+    let partition =
+        agent.partitions.get_mut(&service_partition(SERVICE)).expect("a partition of services");
     partition.revision = 4;
     partition.entries.insert(key(LEAF), info.serialize_bin());
     agent
@@ -56,7 +57,7 @@
 
 /// The answer of `b`, which holds the leaf's partition up to `revision`.
 fn answer(now: Tick, agent: &NodeAgent, revision: u64) -> Event {
-    let positions = vec![FeedPosition { partition: part_of(SERVICE), revision }];
+    let positions = vec![FeedPosition { partition: service_partition(SERVICE), revision }];
     let attestation = Attestation {
         membership: agent.membership.id(),
         known_revision: 0,
@@ -64,7 +65,7 @@
     };
     let message = Message::Gossip {
         name: "b".into(),
-        core_age_ms: 5_000,
+        controller_contact_age_ms: 5_000,
         ready: true,
         positions,
         asked: None,
@@ -81,7 +82,11 @@
     agent.step(LAPSED, event);
     expect_that!(agent.proofs_valid_until(), eq(0));
     // Once we have what it has, its next answer counts.
-    agent.partitions.get_mut(&part_of(SERVICE)).expect("a partition of services").revision = 5;
+    agent
+        .partitions
+        .get_mut(&service_partition(SERVICE))
+        .expect("a partition of services")
+        .revision = 5;
     let event = answer(LAPSED + ms(250), &agent, 5);
     agent.step(LAPSED + ms(250), event);
     expect_that!(agent.proofs_valid_until(), gt(LAPSED));
@@ -109,7 +114,7 @@
     agent.step(LAPSED, reported);
     let question = Message::Gossip {
         name: "b".into(),
-        core_age_ms: 5_000,
+        controller_contact_age_ms: 5_000,
         ready: true,
         positions: Vec::new(),
         asked: Some(7),
@@ -120,7 +125,7 @@
     let now = LAPSED + ms(10);
     let commands = agent.step(now, Event::FromMember { name: "b".into(), message: question });
     expect_that!(told(&commands), elements_are![eq(&"reports"), eq(&"answer")]);
-    let partition: PartitionId = part_of(SERVICE);
+    let partition: PartitionId = service_partition(SERVICE);
     let is_told = |command: &Command| {
         matches!(command, Command::ToMember { message: Message::LeafReports { partition: told, .. }, .. }
             if *told == partition)
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -19,7 +19,7 @@
     RECONNECT_BACKOFF_MIN, TCP_USER_TIMEOUT,
 };
 use grebepath_core::protocol::frame;
-use grebepath_core::protocol::frame::{FrameError, HEADER_BYTES, Lane, PieceHeader, Reassembler};
+use grebepath_core::protocol::frame::{FrameError, FrameHeader, HEADER_BYTES, Lane, Reassembler};
 use grebepath_core::protocol::message::Message;
 use grebepath_core::protocol::peer::PeerIdentity;
 
@@ -258,7 +258,7 @@
         if read.read_exact(&mut raw).await.is_err() {
             return Ok(());
         }
-        let header = PieceHeader::parse(&raw)?;
+        let header = FrameHeader::parse(&raw)?;
         let mut body = vec![0u8; header.length];
         if read.read_exact(&mut body).await.is_err() {
             return Ok(());
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -22,7 +22,7 @@
         _ if p.condition == ReplicaCondition::Empty => "empty",
         _ if p.disk_failure.is_some() => "sick",
         Role::Follower { .. } => "follower",
-        Role::PreVoting { .. } => "sounding",
+        Role::PreCandidate { .. } => "sounding",
         Role::Candidate(_) => "claiming",
         Role::Leader(o) if o.is_serving => "owner",
         Role::Leader(_) => "owner-to-be",
--- a/crates/server/src/controller/operator_listener.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -331,7 +331,7 @@
                         "name": m.name, "addr": m.addr, "zone": m.zone, "threads": m.threads,
                         "settled": m.joined <= membership.settled,
                         "heard_ms_ago": known.map(|k| k.1),
-                        "obeys": known.map(|k| k.2.obeyed_revision),
+                        "obeys": known.map(|k| k.2.applied_revision),
                         "ready": known.map(|k| k.2.ready),
                     })
                 })
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -379,7 +379,7 @@
     let mut reassembler = frame::Reassembler::default();
     for piece in raw.iter() {
         let (head, body) = piece.split_first_chunk::<{ frame::HEADER_BYTES }>()?;
-        let head = frame::PieceHeader::parse(head).ok()?;
+        let head = frame::FrameHeader::parse(head).ok()?;
         if let Some(message) = reassembler.push(&head, body).ok()? {
             return Some(message);
         }
