--- a/crates/core/src/identifiers.rs
+++ b/crates/core/src/identifiers.rs
@@ -1,20 +1,21 @@
-//! Identifiers that travel through the whole system.
+//! Identifiers of partitions, voter slots, terms and revisions.
 
 use std::fmt;
 
-/// A partition of the state: 0 is the configuration, the others hold services.
+/// A partition of the replicated state: 0 holds the configuration, the others hold the leafs of
+/// services.
 #[derive(
     Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, nanoserde::DeBin, nanoserde::SerBin,
 )]
 pub struct PartitionId(pub u32);
 
-/// The partition that holds the operators' configuration.
+/// The partition of the configuration.
 pub const CONFIG: PartitionId = PartitionId(0);
 
-/// Stands for the membership in a list of feed positions, as if it were a partition.
+/// Represents the membership in a list of feed positions, as if it were a partition.
 pub const MEMBERSHIP_FEED: PartitionId = PartitionId(u32::MAX);
-/// A position beyond all others: who subscribes from it is sent how far we are, and no
-/// updates.
+/// A feed position after all revisions. A subscriber with this position is sent the positions of
+/// the controller but no updates.
 pub const FEED_END: u64 = u64::MAX;
 
 impl fmt::Display for PartitionId {
@@ -32,13 +33,13 @@
     }
 }
 
-/// The partition that holds a service's leafs.
+/// Returns the partition that holds a service's leafs.
 pub fn service_partition(service: &str) -> PartitionId {
     let n = u64::from(crate::consts::SERVICE_PARTITIONS);
     PartitionId(1 + (crate::digest::hash(service) % n) as u32)
 }
 
-/// Every partition of the state.
+/// Returns all partitions, that of the configuration first.
 pub fn partitions() -> impl Iterator<Item = PartitionId> {
     (0..=crate::consts::SERVICE_PARTITIONS).map(PartitionId)
 }
@@ -46,8 +47,8 @@
 /// A voter slot: an index into the voter set.
 pub type VoterSlot = u8;
 
-/// The term of a leader of a partition. Each term belongs to one voter slot alone, and
-/// a higher one wins over a lower one. Zero: no leader yet.
+/// The term of a partition's leader. Each term belongs to one voter slot, and a higher term
+/// supersedes a lower one. Zero means that there has been no leader yet.
 #[derive(
     Clone,
     Copy,
@@ -64,19 +65,20 @@
 pub struct Term(pub u64);
 
 impl Term {
-    /// Before every term that a leader ever has.
+    /// The term before the first leader.
     pub const ZERO: Term = Term(0);
 
-    /// Distance between two terms of one voter slot (count): above the most slots, and
-    /// the same for any number of them, so that a term is one slot's for ever.
+    /// Difference between two consecutive terms of one voter slot. Above the maximum number of
+    /// slots, and independent of the actual number, so that a term always belongs to the same
+    /// slot.
     pub const STRIDE: u64 = 16;
 
-    /// The next term above this one that only `slot` uses.
+    /// Returns the next term above this one that belongs to `slot`.
     pub fn next_for(self, slot: VoterSlot) -> Term {
         Term((self.0 / Term::STRIDE + 1) * Term::STRIDE + u64::from(slot))
     }
 
-    /// The bare number, for JSON and metrics.
+    /// Returns the term as a number, for JSON and metrics.
     pub fn as_u64(self) -> u64 {
         self.0
     }
@@ -88,8 +90,8 @@
     }
 }
 
-/// How new a replica of a partition is: the term under which it was last written, then
-/// the revision that it has reached.
+/// The last written position of a partition's replica. Positions are ordered by term, then by
+/// revision, as the last log entries are compared in Raft.
 #[derive(
     Clone,
     Copy,
@@ -104,8 +106,8 @@
     nanoserde::SerBin,
 )]
 pub struct Position {
-    /// The term under which it was last written.
+    /// The term under which the replica was last written.
     pub term: Term,
-    /// The revision that it has reached.
+    /// The newest revision of the replica.
     pub revision: u64,
 }
--- a/crates/core/src/protocol/frame.rs
+++ b/crates/core/src/protocol/frame.rs
@@ -1,9 +1,9 @@
-//! Framing of messages between our processes.
+//! Framing of messages between the processes of a cluster.
 //!
-//! A message is cut into pieces of bounded size, each with a header: length,
-//! version, lane, whether it is the last of its message, checksum. Messages on
-//! different lanes may interleave, so that a heartbeat never waits behind a whole
-//! snapshot; messages of one lane keep their order.
+//! A message is split into frames of bounded size, each with a header: length, protocol version,
+//! lane, whether it is the last frame of its message, checksum. Frames of different lanes may
+//! interleave, so that a heartbeat never waits behind a complete snapshot; messages on one lane
+//! keep their order.
 
 use nanoserde::SerBin;
 use thiserror::Error;
@@ -12,52 +12,53 @@
 use super::message_shapes::MESSAGE;
 use super::shape::{DecodeError, decode};
 
-/// Version of the protocol between our processes; a peer with another is rejected.
+/// Version of the protocol between processes; a connection of a peer with another version is
+/// closed.
 pub const PROTOCOL_VERSION: u16 = 3;
-/// Most bytes of a piece's body: a heartbeat waits behind one of them at most.
+/// Maximum size of a frame's body (bytes). A heartbeat waits for at most one frame.
 pub const FRAME_BYTES_MAX: usize = 64 * 1024;
-/// Most bytes of a whole message: a configuration of several MiB, with reserve.
+/// Maximum size of a message (bytes): enough for a configuration of several MiB, with reserve.
 pub const MESSAGE_LIMIT_BYTES: usize = 64 * 1024 * 1024;
-/// Bytes of a piece's header: length u32, version u16, lane u8, last u8, checksum
-/// u32, all little-endian.
+/// Size of a frame's header (bytes): length u32, version u16, lane u8, last u8, checksum u32, all
+/// little-endian.
 pub const HEADER_BYTES: usize = 12;
-/// Lanes of a connection (count).
+/// Number of lanes of a connection.
 const LANES: usize = 2;
 
-/// Why a connection is given up: what came on it is no message of this protocol.
+/// Why a connection is closed: the received bytes are not a message of this protocol.
 #[derive(Debug, PartialEq, Error)]
 pub enum FrameError {
     /// The peer was built for another version of the protocol.
-    #[error("peer speaks wire version {found}, we speak {PROTOCOL_VERSION}")]
+    #[error("peer uses protocol version {found}, this process uses {PROTOCOL_VERSION}")]
     Version {
         /// The peer's version.
         found: u16,
     },
-    /// A length, lane or last mark that no header has.
-    #[error("a piece with an impossible head")]
+    /// The header has an invalid length, lane or last-frame flag.
+    #[error("frame header is invalid")]
     Header,
-    /// The body is not the one that the header was written for.
-    #[error("a piece whose checksum does not fit")]
+    /// The body does not match the checksum in the header.
+    #[error("frame checksum does not match")]
     Checksum,
-    /// The pieces of a message come to more than `MESSAGE_LIMIT_BYTES`.
-    #[error("a message larger than {MESSAGE_LIMIT_BYTES} bytes")]
+    /// The frames of a message add up to more than `MESSAGE_LIMIT_BYTES`.
+    #[error("message is larger than {MESSAGE_LIMIT_BYTES} bytes")]
     TooLarge,
-    /// The pieces fit, but what they make up can't be decoded.
-    #[error("a message that can't be read: {0}")]
+    /// The frames are valid, but the message in them can't be decoded.
+    #[error("message can't be decoded: {0}")]
     Undecodable(#[from] DecodeError),
 }
 
-/// One of the two lanes of a connection.
+/// A lane of a connection: an ordered sequence of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Lane {
-    /// Messages of one piece.
+    /// Messages of one frame.
     Small,
-    /// Messages of several pieces.
+    /// Messages of several frames.
     Large,
 }
 
 impl Lane {
-    /// The lane that a message of so many bytes takes.
+    /// Returns the lane for a message of this size.
     pub fn for_length(bytes: usize) -> Lane {
         if bytes > FRAME_BYTES_MAX { Lane::Large } else { Lane::Small }
     }
@@ -78,21 +79,21 @@
     }
 }
 
-/// The header of a piece.
+/// The header of a frame.
 #[derive(Debug, PartialEq)]
 pub struct FrameHeader {
-    /// Bytes of the body.
+    /// Size of the body (bytes).
     pub length: usize,
     /// The lane of the message.
     pub lane: Lane,
-    /// Whether this is the last piece of its message.
+    /// Whether this is the last frame of its message.
     pub is_last: bool,
     /// CRC-32 of the body.
     pub checksum: u32,
 }
 
 impl FrameHeader {
-    /// Reads a header.
+    /// Parses a header, and fails if its version, length, lane or last-frame flag is invalid.
     pub fn parse(raw: &[u8; HEADER_BYTES]) -> Result<FrameHeader, FrameError> {
         let length = u32::from_le_bytes([raw[0], raw[1], raw[2], raw[3]]) as usize;
         let version = u16::from_le_bytes([raw[4], raw[5]]);
@@ -108,12 +109,12 @@
     }
 }
 
-/// The bytes of a message, not yet cut into pieces.
+/// Encodes a message, without framing.
 pub fn encode(message: &Message) -> Vec<u8> {
     message.serialize_bin()
 }
 
-/// Cuts the bytes of a message into pieces with headers.
+/// Splits an encoded message into frames.
 pub fn split(bytes: &[u8]) -> Vec<Vec<u8>> {
     let lane = Lane::for_length(bytes.len());
     if bytes.is_empty() {
@@ -135,15 +136,15 @@
     frame
 }
 
-/// Puts the pieces of a connection together to messages again.
+/// Reassembles messages from the frames of a connection.
 #[derive(Default)]
 pub struct Reassembler {
-    /// What has come of the message under way on each lane.
+    /// The bytes received so far of the incomplete message on each lane.
     lanes: [Vec<u8>; LANES],
 }
 
 impl Reassembler {
-    /// Takes in a piece; gives the message that it was the last piece of.
+    /// Adds a frame. Returns the message if this was its last frame.
     pub fn push(
         &mut self,
         header: &FrameHeader,
--- a/crates/core/src/protocol/membership.rs
+++ b/crates/core/src/protocol/membership.rs
@@ -1,69 +1,70 @@
-//! Memberships: the members that divide the cluster's limits, and what they say of
-//! themselves.
+//! Memberships, which list the members that share the cluster's quotas, and the progress that
+//! members report.
 
 use nanoserde::{DeBin, SerBin};
 
 use crate::identifiers::Term;
 
-/// A member, as a membership names it.
+/// A member as listed in a membership.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub struct Member {
-    /// Its name, the same after a restart.
+    /// The name of the member, which a restart does not change.
     pub name: String,
-    /// Where the other members reach it.
+    /// The address at which the other members reach it.
     pub addr: String,
-    /// Its zone.
+    /// The zone in which it runs.
     pub zone: String,
-    /// Traffic threads; each has its own quota share.
+    /// Number of traffic threads; each has its own quota share.
     pub threads: u32,
-    /// Turn of the membership in which it joined.
+    /// The turn of the membership in which it joined.
     pub joined: u64,
-    /// Drawn when its process started: a restarted process is another one, which knows
-    /// nothing of what the former knew.
+    /// Random number drawn when its process started, which tells a restarted process, whose
+    /// memory is empty, from the former one.
     pub incarnation: u64,
 }
 
-/// Names one membership among all that were ever issued. Ordered.
+/// Identifies a membership among all that were ever issued. A newer membership has a greater
+/// identifier.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, DeBin, SerBin)]
 pub struct MembershipId {
-    /// Term of the leader that issued it.
+    /// The term of the leader that issued the membership.
     pub term: Term,
-    /// Its number under that leader.
+    /// The number of the membership under that leader.
     pub turn: u64,
 }
 
-/// A state of the membership. Ordered by (`term`, `turn`, `settled`); what a process
-/// holds never goes backwards.
+/// A version of the membership. Versions are ordered by (`term`, `turn`, `settled`); a process
+/// never replaces its version by an older one.
 #[derive(Clone, Debug, PartialEq, Default, DeBin, SerBin)]
 pub struct Membership {
-    /// Term of the configuration's leader that issued it: with `turn` the fencing token
-    /// of what its members report.
+    /// The term of the configuration's leader that issued it. Together with `turn` it is the
+    /// fencing token of the reports of its members.
     pub term: Term,
-    /// Its number, which rises by one with each membership.
+    /// The number of the membership, which rises by one with each.
     pub turn: u64,
-    /// Every live member has seen the membership of this turn or a later one. A member
-    /// has a quota share only once the turn in which it joined is settled.
+    /// The highest turn such that every live member has seen the membership of this turn or of a
+    /// later one. A member has a quota share only once the turn in which it joined is settled.
     pub settled: u64,
-    /// The configuration's committed revision when this was issued: who goes by this
-    /// membership knows that there is no older one to obey.
+    /// The configuration's committed revision when this membership was issued. A member that
+    /// uses this membership must not apply an older configuration.
     pub revision: u64,
-    /// The members, by name.
+    /// The members, ordered by name.
     pub members: Vec<Member>,
 }
 
 impl Membership {
-    /// The identity of this membership, whatever its settled turn.
+    /// Returns the identifier of this membership, which does not depend on `settled`.
     pub fn id(&self) -> MembershipId {
         MembershipId { term: self.term, turn: self.turn }
     }
 
-    /// Whether this state of the membership comes after another.
+    /// Returns whether this version of the membership is newer than another.
     pub fn is_newer_than(&self, other: &Membership) -> bool {
         (self.term, self.turn, self.settled) > (other.term, other.turn, other.settled)
     }
 
-    /// This state as one number that only rises, which serves as its revision in the
-    /// feed: within a turn it is sent once before all have seen it and once after.
+    /// Returns this version as one increasing number, which is its revision in the feed. The
+    /// membership of a turn is sent once before all members have seen it and once after that.
     pub fn feed_revision(&self) -> u64 {
         let is_settled = self.term > Term::ZERO && self.settled == self.turn;
         self.term.as_u64() << 32 | self.turn << 1 | u64::from(is_settled)
@@ -73,48 +74,48 @@
 /// The memberships that a voter knows.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct Memberships {
-    /// The one that is sent to members.
+    /// The membership that is sent to members.
     pub current: Membership,
-    /// Those that some member may go by beside or instead of it.
+    /// Other memberships that some members may use, beside or instead of the current one.
     pub others: Vec<Membership>,
 }
 
 impl Memberships {
-    /// Whether nothing is known, as by a voter that has just started.
+    /// Returns whether no membership is known, as at a voter that has just started.
     pub fn is_empty(&self) -> bool {
         self.current.term == Term::ZERO && self.others.is_empty()
     }
 }
 
-/// How far a member is, sent with each renewal of its lease.
+/// The progress of a member, sent with each renewal of its lease.
 #[derive(Clone, Debug, PartialEq, Default, DeBin, SerBin)]
 pub struct MemberProgress {
-    /// Configuration revision that it obeys.
+    /// The configuration revision that the member has applied.
     pub applied_revision: u64,
-    /// The membership that it has seen.
+    /// The newest membership that it has seen.
     pub seen_membership: MembershipId,
     /// The newest configuration revision that it knows to exist.
     pub known_revision: u64,
-    /// Time since it last attested, or since its start if it never did (ms).
+    /// Time since its last attestation, or since its start if it sent none (ms).
     pub attestation_age_ms: u64,
-    /// Whether it is ready.
+    /// Whether the member is ready to serve queries.
     pub ready: bool,
-    /// It gives its lease back.
+    /// Whether the member stops and releases its lease.
     pub leaving: bool,
 }
 
-/// What a member attests when it is asked while no controller reaches it: that it goes by
-/// this membership and knows of no newer configuration than this.
+/// A statement that a member sends to another member on request while it has no contact to a
+/// controller: that it uses this membership and knows of no configuration newer than this one.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub struct Attestation {
-    /// The membership that it goes by.
+    /// The membership that the member uses.
     pub membership: MembershipId,
     /// The newest configuration revision that it knows to exist.
     pub known_revision: u64,
-    /// For each member, in the membership's order: how old the newest such proof is that
-    /// the sender has about it (ms); `NO_PROOF` if it has none.
+    /// For each member, in the order of the membership: the age of the newest such proof that the
+    /// sender has of it (ms); `NO_PROOF` if it has none.
     pub ages: Vec<u16>,
 }
 
-/// In place of an age in an `Attestation`.
+/// The value of `Attestation::ages` for a member of which the sender has no proof.
 pub const NO_PROOF: u16 = u16::MAX;
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -1,5 +1,5 @@
-//! The messages between our processes. Each may be lost, doubled or late; every sender
-//! copes with that.
+//! The messages between the processes of a cluster. Each may be lost, duplicated or delayed;
+//! every sender must tolerate that.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -15,57 +15,58 @@
 use crate::snapshot::leafs::LeafInfo;
 use crate::voter_set::{SlotHolder, VoterSet};
 
-/// What a leaf said of itself to one of us.
+/// The state of a leaf, as observed by a member that sends requests to it.
 #[derive(Clone, Debug, PartialEq, Default, DeBin, SerBin)]
 pub struct LeafReport {
-    /// Its identity.
+    /// The identity of the leaf.
     pub leaf: String,
-    /// It is leaving and takes no new work.
+    /// Whether the leaf is draining and accepts no new requests.
     pub leaving: bool,
-    /// Somebody else answers at its address: this identity is gone.
+    /// Whether another identity responds at the leaf's address, so that this one no longer
+    /// exists.
     pub gone: bool,
-    /// It is at least this old (ms).
+    /// Minimum age of the leaf (ms).
     pub age_ms: u64,
 }
 
-/// How far somebody is in the feed of a partition.
+/// A subscriber's or a voter's position in the feed of a partition.
 #[derive(Clone, Copy, Debug, PartialEq, DeBin, SerBin)]
 pub struct FeedPosition {
     /// The partition, or `MEMBERSHIP_FEED` for the membership.
     pub partition: PartitionId,
-    /// The newest revision that is held.
+    /// The newest revision that it has.
     pub revision: u64,
 }
 
-/// A message. `stamp` is that of the sender's voter set; a message with one counts only
-/// if the receiver's voter set has the same.
+/// A message between processes. `stamp` identifies the sender's voter set; a message with a
+/// stamp is ignored unless the receiver's voter set has the same one.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum Message {
     /// The first message on a connection. `fleet` is a hash of the cluster's name: an
-    /// address may be reused by another cluster, whose messages must not be taken.
+    /// address may be reused by another cluster, whose messages must be rejected.
     Hello { who: PeerIdentity, fleet: u64 },
 
     // ---- voter slots ----
-    /// The voter set, and the replica id of who sends it: first on each connection to a
-    /// controller, and whenever it changes.
+    /// The voter set, and the replica id of the sender. Sent first on each connection to a
+    /// controller, and whenever the voter set changes.
     VoterSetUpdate { replica_id: u64, voter_set: VoterSet },
-    /// A voter lives; sent where nothing else shows it.
+    /// Shows that a voter is running. Sent where no other message shows it.
     VoterAlive { stamp: u64 },
-    /// A controller without a voter slot asks which one it could have.
+    /// A controller without a voter slot requests one.
     JoinRequest { replica_id: u64, addr: String, zone: String, stamp: u64 },
-    /// The slots that a voter would give to who asked.
+    /// The slots that a voter would grant to the controller that sent a `JoinRequest`.
     JoinOffer { slot: VoterSlot, stamp: u64, free: Vec<VoterSlot> },
-    /// A controller takes over a slot that a majority offered to it.
+    /// A controller takes over a slot that a majority of the voters offered to it.
     SlotTakeover { slot: VoterSlot, holder: SlotHolder },
 
-    // ---- handovers of voter slots, by controllers that stop ----
-    /// A voter that leaves offers its slot to a spare, which would hold it in this
-    /// generation.
+    // ---- handovers of voter slots by controllers that shut down ----
+    /// A voter that shuts down offers its slot to a spare controller, which would hold the slot
+    /// in this generation.
     HandoverOffer { slot: VoterSlot, generation: u32 },
-    /// The spare is ready to hold the slot.
+    /// The spare controller accepts the slot.
     HandoverAccept { slot: VoterSlot, holder: SlotHolder },
-    /// The voter set in which the receiver holds the slot, with all that the sender's
-    /// replicas hold. The sender votes no more.
+    /// The voter set in which the receiver holds the slot, with the state of the sender's
+    /// replicas. The sender no longer votes.
     Handover {
         slot: VoterSlot,
         generation: u32,
@@ -73,16 +74,16 @@
         replicas: Vec<HandedOverReplica>,
         memberships: Memberships,
     },
-    /// The receiver of a handover has written it, and votes.
+    /// The receiver of a handover has written it to disk, and votes.
     HandoverDone { slot: VoterSlot, generation: u32 },
-    /// The leader of a partition steps down in favour of the receiver, which is to ask
-    /// for votes at once.
+    /// The leader of a partition transfers its leadership to the receiver, which requests votes
+    /// at once (`TimeoutNow` in Raft).
     LeadershipTransfer { partition: PartitionId, term: Term },
 
     // ---- replication of a partition, between voters ----
-    /// A replica that has nothing asks for the others' status.
+    /// A replica that recovers its state requests the status of the others.
     StatusRequest { partition: PartitionId, nonce: u64 },
-    /// What a replica holds, and whether it votes.
+    /// The last written position of a replica, and whether it votes.
     ReplicaStatus {
         partition: PartitionId,
         nonce: u64,
@@ -92,9 +93,9 @@
         revision: u64,
         stamp: u64,
     },
-    /// A candidate or a replica that catches up asks for the receiver's state.
+    /// A candidate, or a replica that recovers its state, requests the receiver's state.
     FetchReplica { partition: PartitionId, nonce: u64 },
-    /// The state that was asked for.
+    /// The requested state.
     ReplicaFetched {
         partition: PartitionId,
         nonce: u64,
@@ -103,13 +104,13 @@
         revision: u64,
         entries: EntryMap,
     },
-    /// Would the receiver vote for the sender? Changes nothing.
+    /// Asks whether the receiver would grant its vote to the sender. Changes no state.
     PreVoteRequest { partition: PartitionId, term: Term },
-    /// Whether it would, and its own term.
+    /// Whether the pre-vote is granted, and the receiver's current term.
     PreVoteResponse { partition: PartitionId, term: Term, granted: bool, current_term: Term },
-    /// A candidate asks for a vote.
+    /// A candidate requests a vote.
     VoteRequest { partition: PartitionId, term: Term },
-    /// A vote, with the position of the voter's replica.
+    /// A granted vote, with the last written position of the voter's replica.
     VoteGranted {
         partition: PartitionId,
         term: Term,
@@ -117,21 +118,22 @@
         revision: u64,
         stamp: u64,
     },
-    /// Rejected, because the sender has voted in this higher term.
+    /// Rejects a vote request or a leader's message, because the sender has voted in a higher
+    /// term.
     VoteRejected { partition: PartitionId, term: Term, current_term: Term },
-    /// The whole state of the leader's replica.
+    /// The complete state of the leader's replica.
     Snapshot { partition: PartitionId, term: Term, revision: u64, entries: EntryMap },
-    /// One change.
+    /// One change of the leader (`AppendEntries` in the Raft paper).
     Append { partition: PartitionId, term: Term, revision: u64, entries: Vec<Entry> },
-    /// Synced up to this revision.
+    /// The follower has synced all changes up to this revision.
     AppendAck { partition: PartitionId, term: Term, revision: u64, stamp: u64 },
-    /// The follower can't follow the changes and needs a snapshot.
+    /// The follower can't apply the leader's changes and needs a snapshot.
     SnapshotRequest { partition: PartitionId, term: Term },
-    /// The leader lives; all up to `committed` is committed. `checksum` is that of the
-    /// state at that revision, zero if it is not compared this time.
+    /// Shows that the leader is running, and that all changes up to `committed` are committed.
+    /// `checksum` is that of the state at that revision, or zero if this round compares none.
     Heartbeat { partition: PartitionId, term: Term, round: u64, committed: u64, checksum: u64 },
-    /// The answer to a heartbeat: the follower's revision in memory, and the one that is
-    /// synced (zero: nothing of this term).
+    /// Acknowledges a heartbeat, with the follower's newest revision in memory and the newest one
+    /// that is synced; zero if it has none of this term.
     HeartbeatAck {
         partition: PartitionId,
         term: Term,
@@ -142,20 +144,20 @@
     },
 
     // ---- the feed ----
-    /// How far the subscriber is in each partition; also asks for what is newer.
+    /// The subscriber's position in each partition. Requests the changes after these.
     Subscribe { positions: Vec<FeedPosition>, stamp: u64 },
-    /// Committed changes. `from` is the revision that they continue; a snapshot has none.
+    /// Committed changes. `from` is the revision that they follow; a snapshot has none.
     Update { partition: PartitionId, from: Option<u64>, revision: u64, entries: Vec<Entry> },
-    /// How far a voter has accepted each partition of which it can say so.
+    /// The position of a voter in each partition for which it knows one.
     FeedPositions { positions: Vec<FeedPosition>, stamp: u64 },
 
     // ---- members ----
     /// A member renews its lease; `number` counts its renewals.
     RenewLease { member: Member, number: u64, progress: MemberProgress },
-    /// A lease was granted to the process of this incarnation. `revision` is the
-    /// configuration's at that time; only a member that obeys it may act on the grant.
-    /// With `wants_membership` the leader doesn't know the membership that the member
-    /// goes by, and asks to be sent it.
+    /// Grants a lease to the process of this incarnation. `revision` is the configuration's
+    /// revision at that time; only a member that has applied it may use the lease.
+    /// `wants_membership` asks the member to send the membership that it uses, because the leader
+    /// doesn't know it.
     LeaseGranted {
         name: String,
         incarnation: u64,
@@ -164,27 +166,27 @@
         revision: u64,
         wants_membership: bool,
     },
-    /// A membership: sent to members, and by a member to a leader that asked.
+    /// A membership: sent to members, and by a member to a leader that requested it.
     MembershipUpdate(Membership),
 
-    // ---- memberships, from the configuration's leader to the other voters ----
-    /// A new membership, which is sent to members once a majority holds it, or
-    /// (`confirmed`) one that a majority holds. `older` are those that some member may
-    /// still go by.
+    // ---- replication of memberships from the configuration's leader to the other voters ----
+    /// A new membership, which is sent to members once a majority of the voters holds it, or
+    /// (`confirmed`) one that a majority holds. `older` lists the memberships that some members
+    /// may still use.
     ReplicateMembership { term: Term, current: Membership, confirmed: bool, older: Vec<Membership> },
-    /// A voter holds that membership.
+    /// Acknowledges that a voter holds a membership.
     MembershipReplicated { term: Term, id: MembershipId, settled: u64, confirmed: bool, stamp: u64 },
-    /// A new leader asks which memberships there are. Whoever answers takes none from
-    /// former leaders any more.
+    /// A new leader requests the memberships that a voter holds. A voter that responds accepts no
+    /// more memberships from former leaders.
     FetchMembership { term: Term },
-    /// The membership that a voter holds, and those (`others`) that some member may go by
-    /// beside or instead of it.
+    /// The membership that a voter holds, and the memberships (`others`) that some members may
+    /// use beside or instead of it.
     MembershipFetched { term: Term, current: Membership, others: Vec<Membership>, stamp: u64 },
 
-    /// Between members: how long ago the sender heard a controller, and what it holds.
-    /// `asked` is the sender's time, which the answer gives back as `echo`: only an echo
-    /// proves that we are heard now. `attestation` stands in answers of a member that
-    /// hears no controller itself.
+    /// Sent between members: how long ago the sender heard from a controller, and its positions in
+    /// the feed. `asked` is the sender's time, which the response returns as `echo`: only an echo
+    /// proves that the other member receives messages now. `attestation` is set in responses of a
+    /// member that has no contact to a controller itself.
     Gossip {
         name: String,
         controller_contact_age_ms: u64,
@@ -196,14 +198,15 @@
     },
 
     // ---- leafs ----
-    /// The platform's list for one partition, from the member that polls it.
+    /// The platform's list of leafs for one partition, from the member that polls it.
     LeafList { partition: PartitionId, fencing_token: MembershipId, leafs: Vec<LeafInfo> },
-    /// What leafs said of themselves, all of one partition.
+    /// The states that leafs of one partition reported.
     LeafReports { partition: PartitionId, reports: Vec<LeafReport> },
 
-    // ---- operators' requests, forwarded to the leader of the configuration ----
-    /// `attempt` is drawn anew for each forwarding; `term` is that of the leader that it
-    /// is meant for, zero where the receiver is to find one.
+    // ---- operator requests, forwarded to the leader of the configuration ----
+    /// Forwards an operation. `attempt` is a random number drawn for each attempt; `term` is that
+    /// of the leader that the operation is addressed to, or zero if the receiver is to find the
+    /// leader.
     OperationRequest {
         op: u64,
         attempt: u64,
@@ -212,14 +215,14 @@
         expected_revision: Option<u64>,
         operation: Operation,
     },
-    /// What came of it.
+    /// The result of a forwarded operation.
     OperationResponse { op: u64, attempt: u64, result: OperationResult },
 
-    // ---- leafs, continued: later variants stand last, for the formats' sake ----
-    /// The process of this incarnation polls the platform's list with this rank, in place of
-    /// members that are silent; beside each grant, as long as it is so.
+    // ---- later variants, placed last so that the numbers of the others stay the same ----
+    /// Assigns the process of this incarnation to poll the platform's list with this rank, in
+    /// place of members that don't respond. Sent with each lease grant while that holds.
     SubstituteListPoller { name: String, incarnation: u64, rank: u32 },
-    /// What the process of this incarnation has seen of versions that are tried, since each
-    /// trial began: with its renewals, to the leader of the configuration.
+    /// The observations of the process of this incarnation about the versions on trial, since
+    /// each trial began. Sent with its lease renewals to the leader of the configuration.
     RolloutVote { name: String, incarnation: u64, evidence: Vec<TrialEvidence> },
 }
--- a/crates/core/src/protocol/message_shapes.rs
+++ b/crates/core/src/protocol/message_shapes.rs
@@ -1,5 +1,5 @@
-//! The layouts of messages and of what is stored, in the order of the fields of their
-//! types: what [`super::shape::check`] goes by.
+//! The layouts of messages and of stored data, with fields in the order of their types, as
+//! [`super::shape::check`] needs them.
 
 use super::shape::Shape::{self, Bytes, Fields, List, Maybe, Number, Text, Variants};
 
@@ -9,14 +9,14 @@
 const U32: Shape = Number(4);
 const U64: Shape = Number(8);
 
-/// A partition's number.
+/// The number of a partition.
 const PARTITION: Shape = U32;
 const TERM: Shape = U64;
 const SLOT: Shape = U8;
 
-/// The entries of a partition: keys and values.
+/// The entries of a partition, as pairs of key and value.
 const ENTRY_MAP: Shape = List(&Fields(&[Text, Bytes]));
-/// Changed entries: a new value, or none.
+/// The entries of a change: a new value for each key, or none to remove the key.
 const ENTRIES: Shape = List(&Fields(&[Text, Maybe(&Bytes)]));
 
 const SLOT_HOLDER: Shape = Fields(&[U32, U64, Text, Text]);
@@ -34,7 +34,7 @@
 const LEAF_REPORT: Shape = Fields(&[Text, BOOL, BOOL, U64]);
 const LABELS: Shape = List(&Fields(&[Text, Text]));
 
-/// A leaf, as a message and as an entry of a partition.
+/// A leaf in a message and in an entry of a partition.
 pub const LEAF_INFO: Shape = Fields(&[Text, Text, Text, LABELS, BOOL, U64, U32, BOOL]);
 
 const HANDED_OVER_REPLICA: Shape = Fields(&[PARTITION, TERM, TERM, U64, ENTRY_MAP]);
@@ -42,7 +42,7 @@
 const EMPTY: &[Shape] = &[];
 const CONDITION: Shape = Variants(&[EMPTY, EMPTY, EMPTY]);
 
-/// An order to move a service to another version.
+/// An order to roll out another version of a service.
 const ROLLOUT_ORDER: Shape = Fields(&[Text, Text, U64]);
 /// The number of a `prost` enumeration's variant.
 const ENUMERATION: Shape = Number(4);
@@ -140,9 +140,9 @@
     &[Text, U64, List(&TRIAL_EVIDENCE)],
 ]);
 
-/// A replica's state, as a snapshot file holds it.
+/// The state of a replica in a snapshot file.
 pub const REPLICA_STATE: Shape = Fields(&[TERM, TERM, U64, ENTRY_MAP]);
-/// A record of a partition's log.
+/// A record in the log of a partition.
 pub const LOG_RECORD: Shape = Variants(&[&[TERM], &[TERM, U64, ENTRIES]]);
 /// The voter file.
 pub const VOTER_FILE: Shape = Fields(&[U64, BOOL, VOTER_SET]);
--- a/crates/core/src/protocol/mod.rs
+++ b/crates/core/src/protocol/mod.rs
@@ -1,8 +1,8 @@
-//! What our processes say to each other: the messages, the types that they carry, and
-//! how they are framed on a connection.
+//! The protocol between the processes of a cluster: messages, the types in them, and their
+//! framing on a connection.
 //!
-//! The order of fields and variants of every type here that can be serialized is part of
-//! the protocol, and of the files on disk where a type is stored.
+//! The order of the fields and variants of every serializable type here is part of the protocol,
+//! and also of the disk format if the type is stored.
 
 pub mod frame;
 pub mod membership;
--- a/crates/core/src/protocol/operation.rs
+++ b/crates/core/src/protocol/operation.rs
@@ -1,4 +1,4 @@
-//! What operators ask, and what came of it.
+//! Operations that operators request, and their results.
 
 use nanoserde::{DeBin, SerBin};
 
@@ -7,30 +7,30 @@
 use crate::rollout::order::RolloutOrder;
 use crate::rollout::record::Rollout;
 
-/// What an operator's request asks.
+/// An operation that an operator requests.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum Operation {
-    /// Replace the whole configuration by this one (JSON).
+    /// Replaces the complete configuration (JSON).
     Replace(Vec<u8>),
-    /// Set and remove single objects (JSON).
+    /// Sets and removes single objects of the configuration (JSON).
     Patch(Vec<u8>),
-    /// Read the configuration.
+    /// Reads the configuration.
     Read,
-    /// The members with their progress; the controller that was asked adds what it knows
-    /// of itself.
+    /// Reads the members with their progress. The controller that received the request adds its
+    /// own status.
     Status,
-    /// This member is down for good: don't count it any more.
+    /// Removes a member that is down for good, so that no change waits for it.
     ForgetMember(String),
-    /// Move a service to another version.
+    /// Starts the rollout of another version of a service.
     StartRollout(RolloutOrder),
-    /// End the rollout of this service, with the version in force that was before.
+    /// Aborts the rollout of this service and restores the version before it.
     AbortRollout(String),
-    /// Read the newest rollout of this service.
+    /// Reads the newest rollout of this service.
     ReadRollout(String),
 }
 
 impl Operation {
-    /// Whether it changes what is agreed on: the configuration, or a rollout.
+    /// Returns whether the operation changes replicated state: the configuration or a rollout.
     pub fn is_change(&self) -> bool {
         match self {
             Operation::Replace(_)
@@ -44,68 +44,68 @@
         }
     }
 
-    /// Whether it only asks, so that it may be asked again at any time.
+    /// Returns whether the operation only reads, so that it may be retried at any time.
     pub fn is_read(&self) -> bool {
         matches!(self, Operation::Read | Operation::Status | Operation::ReadRollout(_))
     }
 }
 
-/// What came of an operation.
+/// The result of an operation.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum OperationResult {
-    /// The change is committed and will be obeyed everywhere.
+    /// The change is committed, and all members will apply it.
     Accepted {
-        /// The revision that it made.
+        /// The revision that the change created.
         revision: u64,
-        /// Replicas that have synced it (count).
+        /// Number of replicas that have synced the change.
         replicas: u32,
-        /// It had been made when the same request came before.
+        /// Whether the change was made by an earlier attempt of the same request.
         is_repeat: bool,
     },
-    /// The configuration, as it was read.
+    /// The configuration that was read.
     Configuration {
-        /// Its revision.
+        /// The revision of the configuration.
         revision: u64,
-        /// Its entries, without those that only replicas need.
+        /// The entries, without those that only replicas need.
         entries: EntryMap,
     },
-    /// The members, as the leader knows them.
+    /// The members that the leader knows.
     Status {
         /// The membership in force.
         membership: Membership,
-        /// Name, milliseconds since the last renewal, and progress of each.
+        /// The name of each member, the time since its last renewal (ms), and its progress.
         progress: Vec<(String, u64, MemberProgress)>,
     },
-    /// The request is invalid: place and text of each problem.
+    /// The request is invalid: the location and description of each problem.
     Invalid(Vec<(String, String)>),
-    /// It builds on another revision or edition than the one that stands.
+    /// The request expects another revision or edition than the current one.
     Conflict {
-        /// The one that stands.
+        /// The current revision or edition.
         revision: u64,
     },
-    /// It was certainly not carried out.
+    /// The operation was definitely not carried out.
     Rejected {
         /// The reason, for the operator.
         why: String,
     },
-    /// Whether it was carried out is not known.
+    /// It is unknown whether the operation was carried out.
     Unknown {
         /// The reason, for the operator.
         why: String,
     },
-    /// It builds on a state so old that its acceptance may be forgotten: on one up to
-    /// this revision or edition. Asking again changes nothing.
+    /// The request expects a state so old (up to this revision or edition) that a record of its
+    /// acceptance may have been deleted. A retry gets the same result.
     Forgotten {
-        /// The newest revision that may be forgotten.
+        /// The newest revision whose records may have been deleted.
         revision: u64,
-        /// The edition that stood then.
+        /// The edition at that revision.
         edition: u64,
     },
     /// The newest rollout of a service; `None` if there was none.
     Rollout(Option<Rollout>),
-    /// Another rollout of the service goes on.
+    /// Another rollout of the service is in progress.
     RolloutInProgress {
-        /// The version that it moves to.
+        /// The version that is being rolled out.
         target: String,
     },
 }
--- a/crates/core/src/protocol/peer.rs
+++ b/crates/core/src/protocol/peer.rs
@@ -1,25 +1,25 @@
-//! Who is at the other end of a connection.
+//! The identity of the peer that opened a connection.
 
 use nanoserde::{DeBin, SerBin};
 
 use crate::identifiers::VoterSlot;
 
-/// Who opened a connection. Sent first on each.
+/// The identity of the process that opened a connection, sent first on each connection.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum PeerIdentity {
-    /// The controller that holds a voter slot. What it says counts only where the
-    /// receiver's voter set names it as that slot's holder.
+    /// A controller that holds a voter slot. Its messages are accepted only if the receiver's
+    /// voter set names it as the holder of that slot.
     Voter {
-        /// The slot that it holds.
+        /// The slot that the controller holds.
         slot: VoterSlot,
-        /// Its replica id.
+        /// The replica id of the controller.
         replica_id: u64,
     },
     /// A controller that holds no voter slot.
     Spare {
-        /// Its replica id.
+        /// The replica id of the controller.
         replica_id: u64,
     },
-    /// A member, by its name.
+    /// A member, identified by its name.
     Member(String),
 }
--- a/crates/core/src/protocol/replica.rs
+++ b/crates/core/src/protocol/replica.rs
@@ -1,4 +1,4 @@
-//! What replicas of a partition say of their contents.
+//! The contents and the condition of a partition's replica in messages.
 
 use std::collections::BTreeMap;
 
@@ -9,28 +9,28 @@
 /// The stored contents of a partition, by key.
 pub type EntryMap = BTreeMap<String, Vec<u8>>;
 
-/// What a replica's files allow it to do.
+/// The condition of a replica's files, which determines whether it may vote.
 #[derive(Clone, Copy, Debug, PartialEq, DeBin, SerBin)]
 pub enum ReplicaCondition {
-    /// Nothing is on its disk: this is the first start, or the disk was replaced.
+    /// The disk is empty: this is the first start, or the disk was replaced.
     Empty,
-    /// What is on its disk can't be trusted.
+    /// The files on disk are damaged and can't be trusted.
     Damaged,
-    /// It votes and accepts changes.
+    /// The replica votes and accepts changes.
     Voting,
 }
 
-/// What one replica of a partition holds, as a voter that leaves hands it over.
+/// The state of a partition's replica, sent with the handover of a voter slot.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub struct HandedOverReplica {
     /// The partition.
     pub partition: PartitionId,
     /// The highest term in which it voted or followed a leader.
     pub current_term: Term,
-    /// Term under which `entries` was last written.
+    /// The term under which `entries` was last written.
     pub written_term: Term,
-    /// Revision of `entries`.
+    /// The revision of `entries`.
     pub revision: u64,
-    /// The contents, committed or not.
+    /// The entries of the replica, committed or not.
     pub entries: EntryMap,
 }
--- a/crates/core/src/protocol/shape.rs
+++ b/crates/core/src/protocol/shape.rs
@@ -1,67 +1,67 @@
 //! Checks encoded bytes before they are decoded.
 //!
-//! The decoder reserves memory by the lengths that it reads, and trusts them. A shape says
-//! how a value is laid out; [`check`] walks the bytes by it without reserving anything, and
-//! refuses a length that what is left of the bytes can't hold, or that is above what the
-//! field may have. A format test compares the shapes with every kind of message and file.
+//! The decoder allocates memory by the lengths that it reads, without validating them. A shape
+//! describes the layout of a value. [`check`] walks the bytes along a shape without allocating,
+//! and rejects a length that exceeds the remaining bytes or the limit for a list. A format test
+//! compares the shapes with every kind of message and file.
 
 use nanoserde::DeBin;
 use thiserror::Error;
 
-/// Bytes of a length: the decoder writes every length as a `u64`.
+/// Size of an encoded length (bytes): every length is encoded as a `u64`.
 const LENGTH_BYTES: usize = 8;
-/// Bytes of the number of an enum's variant.
+/// Size of the number of an enum's variant (bytes).
 const VARIANT_BYTES: usize = 2;
-/// Items that a list or a map may have (count): several times the leafs, members and
-/// entries of the largest deployment that we design for.
+/// Maximum length of a list or a map (items): several times the leafs, members and entries of
+/// the largest deployment that the design supports.
 const ITEMS_MAX: u64 = 1 << 20;
 
-/// How a value is laid out in bytes.
+/// The layout of an encoded value.
 #[derive(Clone, Copy, Debug)]
 pub enum Shape {
-    /// A number or a flag of so many bytes.
+    /// A number or a flag of this size (bytes).
     Number(usize),
-    /// A length, and so many bytes of UTF-8.
+    /// A length, followed by that many bytes of UTF-8.
     Text,
-    /// A length, and so many bytes.
+    /// A length, followed by that many bytes.
     Bytes,
-    /// A flag of a byte, and the value where it is 1.
+    /// A flag of one byte, followed by the value if the flag is 1.
     Maybe(&'static Shape),
-    /// A length, and so many values.
+    /// A length, followed by that many values.
     List(&'static Shape),
-    /// Values one after the other.
+    /// Values in sequence.
     Fields(&'static [Shape]),
-    /// The number of a variant, and its fields.
+    /// The number of a variant, followed by its fields.
     Variants(&'static [&'static [Shape]]),
 }
 
-/// Why bytes can't be the encoding of a value.
+/// Why bytes are not the encoding of a value.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Error)]
 pub enum ShapeError {
-    /// A value needs more bytes than are left.
-    #[error("{needed} bytes are needed at {offset}, {left} are left")]
+    /// A value needs more bytes than remain.
+    #[error("{needed} bytes are needed at offset {offset}, {left} remain")]
     TooShort {
-        /// Where the value begins (bytes).
+        /// Offset of the value (bytes).
         offset: usize,
-        /// What it needs (bytes).
+        /// Size that the value needs at least (bytes).
         needed: u64,
-        /// What is left (bytes).
+        /// Remaining bytes.
         left: usize,
     },
-    /// A list has more items than any may have.
-    #[error("{items} items at {offset} are more than {ITEMS_MAX}")]
+    /// A list has more than `ITEMS_MAX` items.
+    #[error("list of {items} items at offset {offset} exceeds the limit of {ITEMS_MAX}")]
     TooManyItems {
-        /// Where the list begins (bytes).
+        /// Offset of the list (bytes).
         offset: usize,
-        /// Its length (count).
+        /// Length of the list (items).
         items: u64,
     },
-    /// There is no variant of this number.
-    #[error("there is no variant {variant} at {offset}")]
+    /// The enum has no variant of this number.
+    #[error("unknown variant {variant} at offset {offset}")]
     UnknownVariant {
-        /// Where the number stands (bytes).
+        /// Offset of the number (bytes).
         offset: usize,
-        /// The number.
+        /// The number of the variant.
         variant: u16,
     },
 }
@@ -69,33 +69,32 @@
 /// Why bytes were not decoded.
 #[derive(Clone, Debug, PartialEq, Eq, Error)]
 pub enum DecodeError {
-    /// They don't have the layout of the value.
+    /// The bytes don't have the layout of the value.
     #[error(transparent)]
     Shape(#[from] ShapeError),
-    /// They have the layout, and something in them is no such value: text that is not
-    /// UTF-8, say.
-    #[error("not a value of its type at {offset}")]
+    /// The bytes have the layout, but contain an invalid value, such as text that is not UTF-8.
+    #[error("invalid value at offset {offset}")]
     Content {
-        /// Where (bytes).
+        /// Offset of the invalid value (bytes).
         offset: usize,
     },
 }
 
-/// Checks that `bytes` begin with a value of a shape; gives the bytes that it takes.
+/// Checks that `bytes` begin with a value of this shape. Returns the size of the value (bytes).
 pub fn check(shape: &Shape, bytes: &[u8]) -> Result<usize, ShapeError> {
-    let mut walk = Cursor { bytes, offset: 0 };
-    walk.value(shape)?;
-    Ok(walk.offset)
+    let mut cursor = Cursor { bytes, offset: 0 };
+    cursor.value(shape)?;
+    Ok(cursor.offset)
 }
 
-/// Decodes a value that has this shape. Memory is reserved only for what the bytes hold.
+/// Decodes a value of this shape. Allocates no more memory than the size of `bytes` justifies.
 pub fn decode<T: DeBin>(shape: &Shape, bytes: &[u8]) -> Result<T, DecodeError> {
     check(shape, bytes)?;
     T::deserialize_bin(bytes).map_err(|error| DecodeError::Content { offset: error.o })
 }
 
 impl Shape {
-    /// The fewest bytes that a value takes.
+    /// Returns the minimum size of a value (bytes).
     const fn least_bytes(&self) -> usize {
         match self {
             Shape::Number(bytes) => *bytes,
@@ -114,7 +113,7 @@
     }
 }
 
-/// A place in the bytes.
+/// A read position in the bytes.
 struct Cursor<'a> {
     bytes: &'a [u8],
     offset: usize,
@@ -149,7 +148,7 @@
         fields.iter().try_for_each(|field| self.value(field))
     }
 
-    /// A list: its items must fit into what is left before any of them is looked at.
+    /// Checks a list. The remaining bytes must be able to hold its items before any is checked.
     fn list(&mut self, item: &Shape) -> Result<(), ShapeError> {
         let offset = self.offset;
         let items = self.length()?;
--- a/crates/core/src/time.rs
+++ b/crates/core/src/time.rs
@@ -1,25 +1,25 @@
-//! Monotonic time. A `Tick` counts microseconds since the process (or the
-//! simulated world) began; wall clocks decide nothing in this project.
+//! Monotonic time. A `Tick` counts microseconds, starting at `BOOT` when the process or the
+//! simulation starts. Wall clocks are not used for any decision.
 
-/// A point in monotonic time, in microseconds since this process began.
+/// A point in monotonic time (microseconds).
 pub type Tick = u64;
 
-/// A length of time in microseconds.
+/// A duration (microseconds).
 pub type Span = u64;
 
-/// The tick at which a process begins. Far from zero, so that the beginnings
-/// of older things (a leaf that has run for weeks) are ticks too.
+/// The tick at which a process starts. Far from zero, so that earlier events, such as the start of
+/// a leaf that has run for weeks, have a tick too.
 pub const BOOT: Tick = 365 * 24 * 3_600 * SECOND;
 
 pub const MILLI: Span = 1_000;
 pub const SECOND: Span = 1_000_000;
 
-/// The length of `n` milliseconds.
+/// Returns the duration of `n` milliseconds.
 pub const fn ms(n: u64) -> Span {
     n * MILLI
 }
 
-/// The time from `from` to `to`, nothing if `to` is earlier.
+/// Returns the duration from `from` to `to`, or zero if `to` is earlier.
 pub const fn since(from: Tick, to: Tick) -> Span {
     to.saturating_sub(from)
 }
