--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -81,7 +81,7 @@
         // It is forgotten already.
         None if known.is_none() || members.is_live(now, name) => {
             let why = Rejection::MemberUnknownOrLive.to_string();
-            let answer = PendingAnswer::Refusal(OperationResult::Rejected { why });
+            let answer = PendingAnswer::Rejection(OperationResult::Rejected { why });
             configuration.add_pending(now, group, origin, answer, commands);
         }
         _ => {
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -101,7 +101,7 @@
 ) {
     match judged {
         Judged::Refused(done) => {
-            let answer = PendingAnswer::Refusal(done);
+            let answer = PendingAnswer::Rejection(done);
             configuration.add_pending(now, group, origin, answer, commands);
         }
         Judged::Made { revision } => {
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -42,9 +42,9 @@
 /// stamp is ignored unless the receiver's voter set has the same one.
 #[derive(Clone, Debug, PartialEq, DeBin, SerBin)]
 pub enum Message {
-    /// The first message on a connection. `fleet` is a hash of the cluster's name: an
+    /// The first message on a connection. `cluster_hash` is the hash of the cluster's name: an
     /// address may be reused by another cluster, whose messages must be rejected.
-    Hello { who: PeerIdentity, fleet: u64 },
+    Hello { who: PeerIdentity, cluster_hash: u64 },
 
     // ---- voter slots ----
     /// The voter set, and the replica id of the sender. Sent first on each connection to a
--- a/crates/core/src/replication/heartbeat_rounds.rs
+++ b/crates/core/src/replication/heartbeat_rounds.rs
@@ -64,16 +64,16 @@
         leader.round += 1;
         leader.round_began_at = now;
         leader.round_requested = false;
-        leader.heartbeat_at = now + HEARTBEAT_INTERVAL;
+        leader.next_heartbeat_at = now + HEARTBEAT_INTERVAL;
         leader.rounds.push_back(HeartbeatRound { number: leader.round, began_at: now, revision });
         if leader.rounds.len() > ROUNDS_KEPT {
             leader.rounds.pop_front();
         }
         // Checksums are comparable only when all changes are committed.
         let compares =
-            now >= leader.checksum_at && leader.is_serving && leader.committed == revision;
+            now >= leader.next_checksum_at && leader.is_serving && leader.committed == revision;
         if compares {
-            leader.checksum_at = now + CHECKSUM_INTERVAL;
+            leader.next_checksum_at = now + CHECKSUM_INTERVAL;
         }
         let (round, committed) = (leader.round, leader.committed);
         let checksum = if compares { checksum(&self.state.entries) } else { 0 };
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -21,7 +21,7 @@
     /// The term of this leader.
     pub term: Term,
     /// When this leader was elected, or when the voter set last changed.
-    pub since: Tick,
+    pub leading_since: Tick,
     /// Whether a majority has synced the state that the leader was elected with. Operations
     /// are accepted only after that.
     pub is_serving: bool,
@@ -38,13 +38,13 @@
     /// last change of the voter set.
     pub valid_after: u64,
     /// When the next heartbeat round is due.
-    pub heartbeat_at: Tick,
+    pub next_heartbeat_at: Tick,
     /// When the last round began.
     pub round_began_at: Tick,
     /// Whether a wake-up is already scheduled to begin the round that operations wait for.
     pub round_requested: bool,
     /// When the replicas' checksums are next compared.
-    pub checksum_at: Tick,
+    pub next_checksum_at: Tick,
     /// The most recent rounds, oldest first, with consecutive numbers.
     pub rounds: VecDeque<HeartbeatRound>,
     /// The last round that each voter acknowledged, by slot.
@@ -99,17 +99,17 @@
     pub fn new(group: VoterGroup, term: Term, now: Tick) -> Leader {
         Leader {
             term,
-            since: now,
+            leading_since: now,
             is_serving: false,
             synced: vec![None; group.size],
             committed: 0,
             snapshot_sent_at: vec![None; group.size],
             round: 0,
             valid_after: 0,
-            heartbeat_at: now,
+            next_heartbeat_at: now,
             round_began_at: now,
             round_requested: false,
-            checksum_at: now + CHECKSUM_INTERVAL,
+            next_checksum_at: now + CHECKSUM_INTERVAL,
             rounds: VecDeque::new(),
             acked: vec![AckedRound { number: 0, began_at: now }; group.size],
             members_applied_revision: 0,
@@ -147,7 +147,7 @@
             self.acked[slot] = AckedRound { number: 0, began_at };
         }
         // A round that began under the old voter set must not confirm the leadership.
-        self.since = now;
+        self.leading_since = now;
         self.rounds.clear();
         self.valid_after = self.round;
     }
--- a/crates/core/src/replication/operations.rs
+++ b/crates/core/src/replication/operations.rs
@@ -77,7 +77,7 @@
 /// The response to an operation once the leadership is confirmed.
 pub enum PendingAnswer {
     /// The operation is not carried out, for the reason in this result.
-    Refusal(OperationResult),
+    Rejection(OperationResult),
     /// The configuration that is committed at the time of the response.
     Read,
     /// The members that the leader knows at the time of the response.
--- a/crates/core/src/replication/pending_operations.rs
+++ b/crates/core/src/replication/pending_operations.rs
@@ -59,7 +59,7 @@
         let newest = self.state.revision;
         let Some(leader) = self.leader_mut() else { return };
         let revision = match answer {
-            PendingAnswer::Refusal(_) => newest,
+            PendingAnswer::Rejection(_) => newest,
             PendingAnswer::Read | PendingAnswer::Status | PendingAnswer::Rollout(_) => {
                 leader.committed
             }
@@ -103,7 +103,7 @@
     commands: &mut Vec<Command>,
 ) {
     let result = match operation.answer {
-        PendingAnswer::Refusal(result) => result,
+        PendingAnswer::Rejection(result) => result,
         PendingAnswer::Read => {
             OperationResult::Configuration { revision, entries: public_entries(committed) }
         }
--- a/crates/core/src/replication/replicate.rs
+++ b/crates/core/src/replication/replicate.rs
@@ -43,7 +43,7 @@
         }
         let is_retry_due = leader.needs_confirmation(group)
             && since(leader.round_began_at, now) >= CONFIRMATION_RETRY;
-        let is_round_due = now >= leader.heartbeat_at || is_retry_due;
+        let is_round_due = now >= leader.next_heartbeat_at || is_retry_due;
         let needing_snapshot: Vec<VoterSlot> =
             others(group).filter(|slot| leader.needs_snapshot(now, *slot)).collect();
         if is_round_due {
@@ -192,7 +192,7 @@
 
     /// Records that a voter acknowledged a round, and returns that round.
     fn record_ack(&mut self, slot: VoterSlot, number: u64) -> HeartbeatRound {
-        let forgotten = HeartbeatRound { number, began_at: self.since, revision: 0 };
+        let forgotten = HeartbeatRound { number, began_at: self.leading_since, revision: 0 };
         let round = self.find_round(number).unwrap_or(forgotten);
         let last = &mut self.acked[usize::from(slot)];
         if number > last.number {
--- a/crates/core/tests/format_fixtures/messages.rs
+++ b/crates/core/tests/format_fixtures/messages.rs
@@ -57,7 +57,7 @@
         PeerIdentity::Spare { replica_id: wide(3) },
         PeerIdentity::Member("querier-1".into()),
     ];
-    whos.map(|who| Message::Hello { who, fleet: wide(1) }).to_vec()
+    whos.map(|who| Message::Hello { who, cluster_hash: wide(1) }).to_vec()
 }
 
 fn voter_slots() -> Vec<Message> {
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -147,7 +147,7 @@
                 owner.send(ConnectionEvent::Received { tag: tag.clone(), message }).is_ok()
             });
             let Greeting { identity, fleet } = greeting.clone();
-            let hello = frame::encode(&Message::Hello { who: identity, fleet });
+            let hello = frame::encode(&Message::Hello { who: identity, cluster_hash: fleet });
             tokio::select! {
                 end = reading => report(&events, address, end),
                 _ = write_messages(write, &mut queued, Some(hello)) => {}
@@ -219,7 +219,7 @@
     let owner = events.clone();
     let reading = read_messages(read, move |message| {
         let event = match (&peer, message) {
-            (None, Message::Hello { fleet: other, .. }) if other != fleet => {
+            (None, Message::Hello { cluster_hash: other, .. }) if other != fleet => {
                 let error = ConnectionError::OtherFleet { address };
                 let _ = owner.send(ConnectionEvent::Failed { error });
                 return false;
