--- a/crates/core/src/consts.rs
+++ b/crates/core/src/consts.rs
@@ -16,7 +16,7 @@
 pub const MAX_VOTER_SLOTS: u8 = 15;
 /// An operator request without a result after this time has an unknown outcome. Twice the
 /// leader's own timeout, which is longer than any operation takes that will be accepted.
-pub const OPERATOR_REQUEST_TIMEOUT: Span = 2 * crate::replication::timing::OPERATION_PATIENCE;
+pub const OPERATOR_REQUEST_TIMEOUT: Span = 2 * crate::replication::timing::OPERATION_TIMEOUT;
 /// How often a leader checks which revision all members have applied while an operator waits.
 /// A check of a thousand members takes a tenth of a millisecond, and an operator does not
 /// notice the interval.
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -101,18 +101,23 @@
 ) {
     match judged {
         Judged::Refused(done) => {
-            let answer = PendingAnswer::Refusal(done);
+            let answer = PendingAnswer::Rejection(done);
             configuration.add_pending(now, group, origin, answer, commands);
         }
         Judged::Made { revision } => {
-            configuration.wait_for_repeated_change(now, origin, revision, ChangeAcceptance::Obeyed);
+            configuration.wait_for_repeated_change(
+                now,
+                origin,
+                revision,
+                ChangeAcceptance::Applied,
+            );
             configuration.request_round(now, group, commands);
             configuration.complete_operations(now, group, commands);
         }
         Judged::Change(entries) => {
             configuration.propose(now, group, entries, commands);
             let revision = configuration.state.revision;
-            configuration.wait_for_change(now, origin, revision, ChangeAcceptance::Obeyed);
+            configuration.wait_for_change(now, origin, revision, ChangeAcceptance::Applied);
             configuration.complete_operations(now, group, commands);
         }
     }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -23,7 +23,7 @@
 
 /// A gossip message of a member, without the member's name.
 pub(super) struct Gossip {
-    pub(super) core_age_ms: u64,
+    pub(super) controller_contact_age_ms: u64,
     pub(super) ready: bool,
     pub(super) positions: Vec<FeedPosition>,
     /// For a request: when the sender sent it, by its own clock.
@@ -79,7 +79,7 @@
     fn gossip_request(&self, now: Tick) -> Message {
         Message::Gossip {
             name: self.member.name.clone(),
-            core_age_ms: self.time_since_renewal(now) / MILLI,
+            controller_contact_age_ms: self.time_since_renewal(now) / MILLI,
             ready: self.ready,
             positions: Vec::new(),
             asked: Some(now),
@@ -92,7 +92,7 @@
     fn gossip_response(&self, now: Tick, echo: Tick, attestation: Option<Attestation>) -> Message {
         Message::Gossip {
             name: self.member.name.clone(),
-            core_age_ms: self.time_since_renewal(now) / MILLI,
+            controller_contact_age_ms: self.time_since_renewal(now) / MILLI,
             ready: self.ready,
             positions: self.positions(),
             asked: None,
@@ -109,7 +109,8 @@
         gossip: Gossip,
         commands: &mut Vec<Command>,
     ) {
-        let Gossip { core_age_ms, ready, positions, asked, echo, attestation } = gossip;
+        let Gossip { controller_contact_age_ms, ready, positions, asked, echo, attestation } =
+            gossip;
         let is_behind = positions.iter().any(|theirs| {
             self.partitions.get(&theirs.partition).is_some_and(|p| p.revision < theirs.revision)
         });
@@ -121,7 +122,7 @@
             is_ahead |= self.on_attestation(echo, attestation, is_behind);
         }
         if let Some(echo) = echo {
-            let time_since_renewal = ms(core_age_ms);
+            let time_since_renewal = ms(controller_contact_age_ms);
             self.on_gossip_response(
                 name,
                 Peer { request_sent_at: echo, time_since_renewal, positions, ready },
--- a/crates/core/src/membership/lease_renewal.rs
+++ b/crates/core/src/membership/lease_renewal.rs
@@ -63,10 +63,10 @@
     /// Returns this member's progress, which is sent with each renewal.
     fn progress(&self, now: Tick) -> MemberProgress {
         MemberProgress {
-            obeyed_revision: self.view.as_ref().map_or(0, |view| view.revision),
+            applied_revision: self.view.as_ref().map_or(0, |view| view.revision),
             seen_membership: self.membership.id(),
             known_revision: self.known_revision,
-            quiet_ms: self.ms_since_attestation(now),
+            attestation_age_ms: self.ms_since_attestation(now),
             ready: self.ready,
             leaving: self.is_drained,
         }
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -5,7 +5,7 @@
 use crate::command::{Command, ConnectionId};
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
-use crate::replication::timing::DISK_STALL;
+use crate::replication::timing::DISK_STALL_TIMEOUT;
 use crate::storage::voter_file::VoterFile;
 use crate::time::{Span, Tick, ms, since};
 use crate::voter_set::{VoterGroup, VoterSet, ballot, group, merge, others, slot_of, stamp};
@@ -177,7 +177,7 @@
     /// Schedules a retry after the disk failed to write the voter file.
     pub fn on_write_failed(&mut self, now: Tick, why: &str, commands: &mut Vec<Command>) {
         if let Some(write) = &mut self.pending_write {
-            write.retry_at = Some(now + DISK_STALL);
+            write.retry_at = Some(now + DISK_STALL_TIMEOUT);
             let text = format!("the voter set could not be written to disk: {why}");
             commands.push(Command::Alarm(text));
         }
