--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -1,12 +1,14 @@
-//! When a change counts as accepted.
+//! Decides when a change counts as accepted.
 //!
-//! It must be *safe*: of each membership that somebody may still go by, enough
-//! members know of the change (`quorum::acceptance`) that the others can't prove
-//! that nothing newer was accepted. Who neither obeys nor can prove that stops
-//! when its lease ends, which names nothing newer than the change's commit.
+//! The change must be *safe*. For each membership that a member may still use, so many of
+//! its members know of the change (`quorum::acceptance`) that the others can't prove that
+//! nothing newer was accepted. A member that has neither applied the change nor can prove
+//! this stops serving when its lease ends, and that lease names nothing newer than the
+//! change's commit.
 //!
-//! And it should be *in force* wherever that is not up to fencing: most members
-//! obey it, or each of the others is silent or has nothing to serve by yet.
+//! The change should also be *in force* wherever this does not depend on fencing: most
+//! members have applied it, or each of the others is silent or has no configuration to
+//! serve by yet.
 
 use crate::command::Command;
 use crate::control_plane::members::{LastRenewal, Members};
@@ -17,19 +19,19 @@
 use crate::voter_set::VoterGroup;
 use crate::{consts, quorum};
 
-/// A member whose renewals were not heard for this long is not waited for: two
-/// in a row, and a fifth of one for their way. Less would take one lost renewal
-/// for a lost member.
+/// A member without a renewal for this long is not waited for. This allows for two renewals
+/// in a row and a fifth of the interval for their transmission. A shorter time would treat
+/// a single lost renewal as a lost member.
 const RENEWAL_SILENCE: Span = ms(1_100);
-/// A change that has been committed for this long waits no longer for members
-/// that are heard and don't obey it: all grants since name it, so they serve by
-/// nothing older for more than a lease. Twice the silence above, less than half
-/// of what an operator is promised.
+/// A change that has been committed for this long no longer waits for members that renew
+/// but have not applied it. All grants since then name the change, so these members serve
+/// by an older revision for at most one more lease. The value is about twice the silence
+/// timeout above and less than half of the timeout of an operator request.
 const ACCEPTANCE_LATEST: Span = ms(2_000);
 
-/// Tells the configuration's leader up to which revision changes are accepted.
-/// Only an operator who waits makes that worth a look at all members, and then
-/// now and again: until the first look nothing counts as accepted.
+/// Reports to the leader of the configuration partition up to which revision changes are
+/// accepted. The check visits all members, so it runs only while an operator waits, and
+/// then only at an interval. Until the first check nothing counts as accepted.
 pub fn update(
     configuration: &mut Partition,
     members: &mut Members,
@@ -55,7 +57,7 @@
     waited.sort_unstable_by(|a, b| b.cmp(a));
     waited.dedup();
     let accepted = waited.into_iter().find(|revision| members.have_accepted(now, *revision));
-    // The names are needed only when somebody's patience ends.
+    // The names are needed only when the deadline of a waiting operator is about to pass.
     let needs_names = now + HEARTBEAT_INTERVAL >= until;
     leader.lagging_members = if needs_names { members.lagging_behind(newest) } else { Vec::new() };
     let accepted = accepted.unwrap_or(0);
@@ -66,25 +68,26 @@
 }
 
 impl Members {
-    /// Whether a revision may be told as accepted once it is committed.
+    /// Returns whether a revision may be reported as accepted once it is committed.
     fn have_accepted(&self, now: Tick, revision: u64) -> bool {
         self.are_known() && self.is_safe(now, revision) && self.is_in_force(now, revision)
     }
 
-    /// Whether no member goes by anything older than a committed revision: each obeys it, or
-    /// its lease has ended and it can't prove that nothing newer was accepted.
+    /// Returns whether no member uses anything older than a committed revision: each member
+    /// has applied it, or its lease has ended and it can't prove that nothing newer was
+    /// accepted.
     pub(super) fn none_goes_by_older(&self, now: Tick, revision: u64) -> bool {
         self.are_known() && self.is_safe(now, revision) && self.is_fenced(now, revision)
     }
 
-    /// Whether we know all members: a leader that nobody handed a membership down to gathers
-    /// them first.
+    /// Returns whether this node knows all members. A leader that inherited no membership
+    /// gathers the members first.
     fn are_known(&self) -> bool {
         let Some((term, _)) = self.leadership else { return false };
         self.log.is_inherited() && (!self.gathering || self.membership.term == term)
     }
 
-    /// Whether every lease names this revision, or has ended.
+    /// Returns whether every lease names this revision or has ended.
     fn is_fenced(&self, now: Tick, revision: u64) -> bool {
         let committed_at = self.commit_times.committed_at(revision);
         if committed_at.is_some_and(|at| since(at, now) >= consts::LEASE_DURATION) {
@@ -98,14 +101,14 @@
         committed_at.is_some() && self.last_renewals.values().filter(may_serve).all(obeys)
     }
 
-    /// Whether nobody can serve on by an older revision for longer than a lease.
+    /// Returns whether no member can serve by an older revision for longer than a lease.
     fn is_safe(&self, now: Tick, revision: u64) -> bool {
         let in_use = self.log.older.iter().filter(|former| former.retired.is_none());
         let mut all = in_use.map(|former| &former.membership).chain([&self.membership]);
         all.all(|membership| self.is_safe_among(now, membership, revision))
     }
 
-    /// Whether nobody can serve on by this membership with an older revision.
+    /// Returns whether no member of this membership can serve by an older revision.
     fn is_safe_among(&self, now: Tick, membership: &Membership, revision: u64) -> bool {
         let list = &membership.members;
         let knows = |member: &&Member| {
@@ -113,14 +116,14 @@
             self.has_left(membership, member)
                 || heard.is_some_and(|heard| heard.progress.known_revision >= revision)
         };
-        // Who goes by a membership knows the revision under which it was issued.
+        // A member that uses a membership knows the revision under which it was issued.
         membership.revision >= revision
             || list.is_empty()
             || list.iter().filter(knows).count() >= quorum::acceptance(list.len())
             || (list.len() == 1 && !self.is_live(now, &list[0].name))
     }
 
-    /// Whether a revision is in force wherever we can wait for it.
+    /// Returns whether a revision is in force on all members that have to be waited for.
     fn is_in_force(&self, now: Tick, revision: u64) -> bool {
         let list = &self.membership.members;
         let obeys = |member: &&Member| {
@@ -136,10 +139,10 @@
             || list.iter().all(|member| obeys(&member) || self.is_excused(now, member))
     }
 
-    /// Whether a change does not wait for this member to obey it.
+    /// Returns whether a change does not wait for this member to apply it.
     fn is_excused(&self, now: Tick, member: &Member) -> bool {
         let is_silent = |heard: &LastRenewal| since(heard.at, now) >= RENEWAL_SILENCE;
-        // A process that has just started holds nothing to serve by.
+        // A process that has just started has no configuration to serve by.
         let is_idle =
             |heard: &LastRenewal| heard.has_renewed && heard.progress.obeyed_revision == 0;
         let heard = self.last_renewals.get(&member.name);
@@ -147,12 +150,13 @@
             || !self.is_live(now, &member.name)
     }
 
-    /// The members that do not obey a revision, with what they obey.
+    /// Returns the members that have not applied a revision, with the one that they
+    /// applied.
     fn lagging_behind(&self, revision: u64) -> Vec<String> {
         let obeys = |member: &Member| {
             self.last_renewals.get(&member.name).map_or(0, |h| h.progress.obeyed_revision)
         };
         let lagging = self.membership.members.iter().filter(|member| obeys(member) < revision);
-        lagging.map(|member| format!("{} (obeys {})", member.name, obeys(member))).collect()
+        lagging.map(|member| format!("{} (applied {})", member.name, obeys(member))).collect()
     }
 }
--- a/crates/core/src/control_plane/disk_events.rs
+++ b/crates/core/src/control_plane/disk_events.rs
@@ -1,5 +1,4 @@
-//! What the disk says: writes that are synced, writes that failed, files that were
-//! read again.
+//! Handles the events of the disk: synced writes, failed writes, and scrubbed files.
 
 use crate::command::Command;
 use crate::control_plane::controller::{ControllerState, SCRUB_INTERVAL};
@@ -8,7 +7,7 @@
 use crate::time::Tick;
 
 impl ControllerState {
-    /// Every write of a partition up to this token is synced.
+    /// Handles the sync of all writes of a partition up to a token.
     pub(super) fn on_synced(
         &mut self,
         now: Tick,
@@ -23,7 +22,7 @@
         }
     }
 
-    /// The disk failed to write: the replica steps back.
+    /// Handles a failed write: the replica steps down.
     pub(super) fn on_disk_failed(
         &mut self,
         now: Tick,
@@ -36,8 +35,8 @@
         replica.on_disk_failed(now, why, commands);
     }
 
-    /// Files were corrupted while we ran. What they held we still have, and the
-    /// comparison of checksums compares it with the leader's: it is written anew.
+    /// Handles corrupted files of a partition. The state in memory is still valid, and the
+    /// checksum comparison checks it against the leader's, so it is written to disk again.
     pub(super) fn on_corruption(
         &mut self,
         now: Tick,
@@ -48,13 +47,13 @@
         let replica = &mut self.partitions[partition.0 as usize];
         if replica.can_vote() {
             self.counters.corruptions += 1;
-            let text = format!("part {partition}: its files have rotted: {why}");
+            let text = format!("partition {partition}: the files on disk are corrupted: {why}");
             commands.push(Command::Alarm(text));
             replica.persist_snapshot(now, Vec::new(), commands);
         }
     }
 
-    /// Time passes: the next partition's files are read again when that is due.
+    /// Handles a timer tick: scrubs the files of the next partition when that is due.
     pub(super) fn wake_scrub(&mut self, now: Tick, commands: &mut Vec<Command>) {
         if now < self.scrub_at {
             return;
@@ -68,12 +67,12 @@
     }
 }
 
-/// Time passes for a replica's disk: one that stepped back tries it again, and one
-/// whose write takes too long steps back.
+/// Handles a timer tick for a replica's disk. A replica whose disk had failed retries it,
+/// and a replica steps down if a write takes too long.
 pub(super) fn wake_disk(replica: &mut Partition, now: Tick, commands: &mut Vec<Command>) {
     if replica.disk_failure.is_some() {
         replica.retry_disk(now, commands);
     } else if replica.is_disk_stalled(now) {
-        replica.on_disk_failed(now, "the disk stalls".into(), commands);
+        replica.on_disk_failed(now, "the disk is stalled".into(), commands);
     }
 }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -1,6 +1,7 @@
-//! Operators' requests at the leader of the configuration: each is judged by the
-//! newest state, in the order in which they come. A change is made at once; all
-//! else waits for the proof that we still lead (`pending_operations`).
+//! Executes operator requests at the leader of the configuration partition. Requests are
+//! evaluated against the newest state in the order of their arrival. A change is proposed
+//! at once; any other request waits until this node has proved that it still leads
+//! (`pending_operations`).
 
 use crate::command::Command;
 use crate::config::route::RoutingTable;
@@ -22,26 +23,27 @@
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
-/// An operator's request without its origin.
+/// An operator request without its origin.
 pub struct Request {
-    /// The id under which it may be sent again.
+    /// Request id (idempotency key), under which the request may be sent again.
     pub id: String,
-    /// The revision that it expects to change.
+    /// The revision that the request expects to change.
     pub expected_revision: Option<u64>,
-    /// What is asked.
+    /// The requested operation.
     pub operation: Operation,
 }
 
 impl Request {
-    /// Whether nothing tells a copy of it that comes late from a new request: it changes the
-    /// configuration, and has neither an id nor a revision that it builds on. Its sender may
-    /// have sent others since, so no leader carries it out; it is told which revision stands.
+    /// Returns whether a delayed copy of this request can't be told apart from a new
+    /// request: it changes the configuration and has neither an id nor an expected
+    /// revision. Its sender may have sent other requests since, so no leader executes it;
+    /// the response carries the current revision.
     pub fn is_unconditional(&self) -> bool {
         self.operation.is_change() && self.id.is_empty() && self.expected_revision.is_none()
     }
 }
 
-/// Rejects a request if too many wait at the leader; tells whether it did.
+/// Rejects a request if too many requests wait at the leader. Returns whether it did.
 pub fn reject_if_full(
     configuration: &Partition,
     origin: OperationOrigin,
@@ -55,7 +57,7 @@
     is_full
 }
 
-/// Judges a request about the configuration, as its leader.
+/// Executes a request about the configuration, as the leader of its partition.
 pub fn execute(
     configuration: &mut Partition,
     now: Tick,
@@ -67,7 +69,7 @@
 ) {
     let answer = match &request.operation {
         Operation::Read => PendingAnswer::Read,
-        // What an operator forgets is up to `forgotten_members`.
+        // `forgotten_members` executes `ForgetMember`.
         Operation::Status | Operation::ForgetMember(_) => PendingAnswer::Status,
         Operation::ReadRollout(service) => PendingAnswer::Rollout(service.clone()),
         Operation::Replace(text) => {
@@ -90,7 +92,7 @@
     configuration.add_pending(now, group, origin, answer, commands);
 }
 
-/// Carries out what an order was judged to come to.
+/// Proposes an evaluated change, or adds its result to the pending operations.
 fn carry_out(
     configuration: &mut Partition,
     now: Tick,
@@ -118,17 +120,18 @@
     }
 }
 
-/// What an order comes to by our newest state.
+/// The outcome of evaluating a request against the newest state.
 pub(super) enum Judged {
-    /// It changes these entries.
+    /// The request changes these entries.
     Change(Vec<Entry>),
-    /// It was made as this revision when it came before.
+    /// The request is a repetition of one that was accepted as this revision.
     Made { revision: u64 },
-    /// It changes nothing; this is told once it is proved.
+    /// The request changes nothing. The result is sent once this node has proved that it
+    /// leads.
     Refused(OperationResult),
 }
 
-/// Judges a change by our newest state.
+/// Evaluates a change against the newest state.
 fn judge(p: &Partition, request: &Request, whole: bool, text: &[u8]) -> Judged {
     let map = &p.state.entries;
     let order = order_memory::fingerprint(&request.id, whole, text);
@@ -152,7 +155,8 @@
     Judged::Change(entries)
 }
 
-/// What an order comes to that nothing tells from a copy which comes late, or that came before.
+/// Returns the outcome of a request that was accepted before, or that can't be told apart
+/// from a delayed copy of an earlier one.
 pub(super) fn judge_copy(p: &Partition, request: &Request, order: &Fingerprint) -> Option<Judged> {
     if request.is_unconditional() {
         return Some(Judged::Refused(OperationResult::Conflict { revision: p.state.revision }));
@@ -167,17 +171,17 @@
     }
 }
 
-/// What a request comes to.
+/// The outcome of planning a change.
 enum Planned {
-    /// The entries that it changes, and the edition that stands then.
+    /// The changed entries, and the edition of the configuration after the change.
     Entries(Vec<Entry>, u64),
-    /// It does not build on the edition that stands.
+    /// The request does not build on the current edition.
     Refused(OperationResult),
 }
 
-/// The entries that a request changes, or all that is wrong with it. A request
-/// that names the edition it builds on is held to it, and one that names its
-/// own must go beyond the one that stands.
+/// Returns the entries that a request changes, or all errors in it. If the request names
+/// the edition that it builds on, this must be the current one. If it names its own
+/// edition, this must be higher than the current one.
 fn planned(
     map: &EntryMap,
     expect: Option<u64>,
@@ -201,15 +205,15 @@
         if let Some(done) = forgotten(map, &base) {
             return Ok(Planned::Refused(done));
         }
-        let text = format!("must be above {}, the one that stands", old.terms.edition);
+        let text = format!("must be above {}, the current edition", old.terms.edition);
         return Err(vec![Diagnostic::new("terms.edition", text)]);
     }
     RoutingTable::build(&new)?;
     Ok(Planned::Entries(old.changes_to(&new), new.terms.edition))
 }
 
-/// No clear answer, if an order that would be refused may have been accepted
-/// and forgotten.
+/// Returns `Forgotten` if a request that would be refused may have been accepted before and
+/// since been dropped from the deduplication table.
 fn forgotten(map: &EntryMap, base: &OrderBase) -> Option<OperationResult> {
     let horizon = order_memory::horizon(map);
     let Horizon { revision, edition } = horizon;
--- a/crates/core/src/control_plane/rejection.rs
+++ b/crates/core/src/control_plane/rejection.rs
@@ -1,34 +1,35 @@
-//! Why an operator's request is not carried out, or why that is not known, as the
-//! operator reads it.
+//! The reasons for which an operator request is not executed or has no known result, with
+//! the texts that operators see.
 
 use thiserror::Error;
 
-/// Why an operator's request has no result that it asked for.
+/// Why an operator request did not yield the requested result.
 #[derive(Clone, Copy, Debug, PartialEq, Error)]
 pub enum Rejection {
-    /// Another controller forwarded it to us, and we can't find the leader either.
+    /// Another controller forwarded the request to this node, which has no voter slot
+    /// either.
     #[error("this controller has no voter slot")]
     NoVoterSlot,
-    /// The leader has as many requests in hand as it takes.
-    #[error("too many requests wait at the leader")]
+    /// The maximum number of requests is pending at the leader.
+    #[error("too many requests are pending at the leader")]
     TooManyRequests,
-    /// A member that is to be forgotten is unknown or alive.
-    #[error("no such member, or it still renews its tenure")]
+    /// The member to be forgotten is unknown or running.
+    #[error("no such member, or it still renews its lease")]
     MemberUnknownOrLive,
-    /// It was meant for a term in which we do not lead.
-    #[error("the seat it was handed to does not own the configuration")]
+    /// The request was addressed to a term in which this node does not lead.
+    #[error("the voter that received the request does not lead the configuration partition")]
     NotLeader,
-    /// A later leader refused it, but an attempt that was not meant for one term alone
-    /// may still reach any leader.
-    #[error("refused, but an earlier attempt may still be carried out")]
+    /// A later leader refused the request, but an attempt that was not restricted to a
+    /// single term may still reach any leader.
+    #[error("refused, but an earlier attempt may still be executed")]
     EarlierAttemptPending,
-    /// No leader was known while there was time.
+    /// No leader was known before the request timed out.
     #[error("the configuration has no leader now")]
     NoLeader,
-    /// A read was not answered while there was time.
-    #[error("no answer in time")]
+    /// A read was not answered before the request timed out.
+    #[error("the read timed out")]
     ReadTimedOut,
-    /// A change was not answered while there was time.
+    /// A change was not answered before the request timed out.
     #[error("the leader did not answer in time")]
     LeaderTimedOut,
 }
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -1,5 +1,5 @@
-//! What follows for a controller when the voter set changes, and how it shows the
-//! other voters that it lives.
+//! Reactions of a controller to changes of the voter set, and its liveness messages to the
+//! other voters.
 
 use crate::command::Command;
 use crate::control_plane::controller::ControllerState;
@@ -13,12 +13,12 @@
 use crate::voters::voter_slots::PartitionFiles;
 
 impl ControllerState {
-    /// The replica group as this controller sees it.
+    /// Returns the replica group as known to this controller.
     pub fn group(&self) -> VoterGroup {
         self.voter_slots.group(self.slot)
     }
 
-    /// A voter file is on disk: from here on we act by it.
+    /// Applies a voter set once its voter file is on disk.
     pub(super) fn on_voter_file_written(
         &mut self,
         now: Tick,
@@ -47,8 +47,8 @@
         self.voter_slots.broadcast_voter_set(self.slot, commands);
     }
 
-    /// We hold a slot. What a replica at our address voted for before a lost disk must
-    /// have run out before we catch up.
+    /// Handles the gain of a voter slot. Before this node catches up, any vote must have
+    /// expired that a replica at the same address granted before it lost its disk.
     fn on_slot_won(&mut self, now: Tick) {
         let from = self.voter_slots.started_at + LEADER_SILENCE;
         for partition in &mut self.partitions {
@@ -56,7 +56,7 @@
         }
     }
 
-    /// Our slot is another's: what we hold may not count any more, for good.
+    /// Handles the loss of the voter slot: the replicas of this node may never count again.
     fn on_slot_lost(&mut self, now: Tick, commands: &mut Vec<Command>) {
         if self.send_state_to_successor(now, commands) {
             self.voter_slots.broadcast_voter_set(self.slot, commands);
@@ -65,21 +65,23 @@
         }
     }
 
-    /// We begin anew, as a controller that has nothing.
+    /// Resets this controller to an empty one without a voter slot.
     fn renounce_slot(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        let text = "our seat was given to another: we begin anew without one";
+        let text =
+            "this node's voter slot has a new holder: resetting to a controller without a slot";
         commands.push(Command::Alarm(text.into()));
         self.slot = NOBODY;
         self.forget_replicas(now, commands);
         let me = self.random.next_u64() | 1;
         let table = self.voter_slots.voter_set().clone();
         let voter_file = VoterFile { me, first: false, table };
-        // The former id is nobody's any more; nobody is told a new one yet.
+        // The former replica id is no longer in use, and the new one is not announced
+        // before it is on disk.
         self.voter_slots.voter_file.me = 0;
         self.voter_slots.write_voter_file(voter_file, PartitionFiles::SetAside, commands);
     }
 
-    /// Empties the replicas in memory: what they hold counts no more.
+    /// Resets the replicas in memory: their contents no longer count.
     pub(super) fn forget_replicas(&mut self, now: Tick, commands: &mut Vec<Command>) {
         for partition in &mut self.partitions {
             forget(partition, now, commands);
@@ -87,7 +89,8 @@
         self.members = Default::default();
     }
 
-    /// Time passes: silence is counted, and we show that we live.
+    /// Handles a timer tick for the voter slots: counts the silence of the other voters and
+    /// sends liveness messages.
     pub(super) fn wake_voter_slots(&mut self, now: Tick, commands: &mut Vec<Command>) {
         self.voter_slots.count_silence(now, 2 * WAKE);
         self.voter_slots.retry_write(now, commands);
@@ -100,7 +103,7 @@
     }
 }
 
-/// Empties a replica in memory. Writes on their way keep their tokens.
+/// Resets a replica in memory. Writes in flight keep their tokens.
 fn forget(replica: &mut Partition, now: Tick, commands: &mut Vec<Command>) {
     replica.step_down(now, None, commands);
     let empty = Partition::new(replica.id, ReplicaCondition::Empty, Default::default(), 0, now);
