--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -1,4 +1,4 @@
-//! The controller's whole state, its events and its commands.
+//! The state of a controller and the events that change it.
 
 use std::collections::BTreeMap;
 
@@ -22,154 +22,156 @@
 use crate::voter_set::{NOBODY, seat_of};
 use crate::voters::voter_slots::VoterSlots;
 
-/// How often a voter reads the files of one of its partitions again to see whether
-/// they still are what was written. All five take 20 s; a partition of several MiB
-/// then costs a small disk well below a hundredth of what it can read.
+/// How often a voter rereads the files of one of its partitions to verify that they still
+/// hold what was written. A pass over all five partitions takes 20 s. For a partition of
+/// several MiB this uses well below a hundredth of the read bandwidth of a small disk.
 pub(super) const SCRUB_INTERVAL: Span = 4 * SECOND;
 
-/// Numbers of forwarded requests begin here, beyond those that the daemon gives.
+/// First id of forwarded requests. It lies above all ids that the daemon assigns.
 const FORWARDED_NUMBERS: u64 = 1 << 63;
 
-/// Sets the numbers of attempts apart from all else that a seed gives.
+/// Salt that separates attempt numbers from all other values derived from the same seed.
 const ATTEMPTS: u64 = 0x6174_7465_6d70_7473;
 
-/// Everything that a controller knows. It changes by
-/// [`step`](ControllerState::step) alone.
+/// The whole state of a controller. Only [`step`](ControllerState::step) changes it.
 pub struct ControllerState {
-    /// Our voter slot by the voter set that we hold, or `NOBODY`.
+    /// The voter slot of this node in the voter set that it holds, or `NOBODY`.
     pub slot: VoterSlot,
-    /// The voter set, and what we know of the other voters.
+    /// The voter set and the state of the other voters as known to this node.
     pub voter_slots: VoterSlots,
-    /// Our replica of each partition, in the order of their ids.
+    /// The replica of each partition on this node, in the order of the partition ids.
     pub partitions: Vec<Partition>,
-    /// The members, their leases and memberships.
+    /// The members with their leases and memberships.
     pub members: Members,
-    /// Subscribers by connection: the revision of each partition up to which we sent.
+    /// Subscribers by connection, with the revision of each partition that was last sent to
+    /// them.
     pub followers: IndexMap<ConnectionId, BTreeMap<PartitionId, u64>>,
-    /// The revisions that all subscribers were last brought up to: of each partition,
-    /// then of the membership.
+    /// The revisions that were last sent to all subscribers: one for each partition, then
+    /// the one of the membership.
     pub broadcast_up_to: Vec<u64>,
-    /// Operators' requests that came to us and have no certain result yet.
+    /// Operator requests that this node received and that have no certain result yet, by
+    /// id.
     pub pending_requests: IndexMap<u64, PendingRequest>,
-    /// Where those of them came from that a controller without a voter slot forwarded.
+    /// Origins of the pending requests that were forwarded by a controller without a voter
+    /// slot.
     pub forwarded: IndexMap<u64, ForwardedOperation>,
-    /// Number of the last of these.
+    /// Id of the last forwarded request.
     pub next_forwarded: u64,
-    /// Number of the last attempt to have a request carried out. Begins anywhere,
-    /// so that no number of a former process comes again.
+    /// Number of the last attempt to execute a request. It starts at a random value, so
+    /// that a restarted process does not reuse a number of its predecessor.
     pub next_attempt: u64,
-    /// Attempts of others that reached us, the oldest first.
+    /// Numbers of the attempts received from other nodes, the oldest first.
     pub attempts_seen: IndexSet<u64>,
-    /// When the next partition's files are read again.
+    /// When the files of the next partition are scrubbed.
     pub scrub_at: Tick,
-    /// Index of that partition.
+    /// Index of the next partition to be scrubbed.
     pub scrub_next: usize,
-    /// What members have seen of versions that are tried.
+    /// Votes of the members on the index versions under rollout.
     pub rollout_votes: RolloutVotes,
-    /// How long each rollout has been as it is.
+    /// How long each rollout has been in its present state.
     pub rollout_clock: RolloutClock,
-    /// Our random numbers: jitter, nonces, replica ids.
+    /// Random generator for jitter, nonces and replica ids.
     pub random: Random,
-    /// What the metrics show.
+    /// Counters that the metrics export.
     pub counters: Counters,
 }
 
-/// What happens to a controller.
+/// An input of a controller.
 pub enum Event {
-    /// A message on a connection that the controller of this id opened as the holder
-    /// of a voter slot.
+    /// A message from a voter, on a connection that the voter opened to this node.
     FromVoter {
-        /// The slot that the sender claims to hold.
+        /// The voter slot that the sender claims to hold.
         slot: VoterSlot,
-        /// Who the sender is.
+        /// Replica id of the sender.
         replica_id: u64,
-        /// Where an answer reaches it.
+        /// The connection on which a response reaches the sender.
         connection: ConnectionId,
-        /// What it says.
+        /// The received message.
         message: Message,
     },
-    /// A message on a connection that we opened to a controller.
+    /// A message on a connection that this node opened to another controller.
     FromController {
-        /// What it says.
+        /// The received message.
         message: Message,
     },
-    /// Somebody opened a connection to us.
+    /// A peer opened a connection to this node.
     ConnectionOpened {
-        /// Which.
+        /// Id of the connection.
         connection: ConnectionId,
     },
-    /// The voter file of this token is on disk.
+    /// The voter file was written to disk.
     VoterFileWritten {
         /// Token of the command that wrote it.
         token: u64,
     },
     /// The voter file could not be written.
     VoterFileFailed {
-        /// What the disk said.
+        /// The error that the disk reported.
         why: String,
     },
-    /// A message on a connection that a member or a spare controller opened to us.
+    /// A message on a connection that a member or a spare controller opened to this node.
     FromConnection {
-        /// Which.
+        /// Id of the connection.
         connection: ConnectionId,
-        /// What it says.
+        /// The received message.
         message: Message,
     },
-    /// A connection that somebody had opened to us is gone.
+    /// A connection that a peer had opened to this node was closed.
     ConnectionClosed {
-        /// Which.
+        /// Id of the connection.
         connection: ConnectionId,
     },
-    /// Every write of the partition up to this token is synced.
+    /// All writes of a partition up to a token are synced.
     Synced {
-        /// Whose files.
+        /// The partition that was written.
         partition: PartitionId,
         /// Token of the last command that is synced.
         token: u64,
     },
-    /// A write of the partition failed.
+    /// A write of a partition failed.
     DiskFailed {
-        /// Whose files.
+        /// The partition that was written.
         partition: PartitionId,
-        /// What the disk said.
+        /// The error that the disk reported.
         why: String,
     },
-    /// A partition's files were read again.
+    /// The files of a partition were scrubbed.
     Scrubbed {
-        /// Whose files.
+        /// The partition that was read.
         partition: PartitionId,
-        /// What is wrong with them, if anything.
+        /// Description of the corruption, if any was found.
         corruption: Option<String>,
     },
-    /// An operator asks something of us.
+    /// A request from an operator.
     Operate {
-        /// Number of the request, which its response names.
+        /// Id that the response carries.
         op: u64,
-        /// Id of the request, under which it may be sent again.
+        /// Request id (idempotency key), under which the request may be sent again.
         request: String,
-        /// The revision that it expects to change.
+        /// The revision that the request expects to change.
         expected_revision: Option<u64>,
-        /// What is asked.
+        /// The requested operation.
         operation: Operation,
     },
-    /// The operator of this request has gone: it is not handed to a leader any more.
+    /// The operator of a request has disconnected: the request is no longer forwarded to a
+    /// leader.
     Abandon {
-        /// Number of the request.
+        /// Id of the request.
         op: u64,
     },
-    /// An operator vouches that lost replicas are lost for good.
+    /// An operator confirms that the lost replicas will not come back.
     ForceRecovery,
-    /// The process goes down: step down from every leadership now, and hand over the
+    /// The process is shutting down: the node gives up all leaderships and hands over its
     /// voter slot.
     Stop,
-    /// Time has passed (`step::WAKE` at most).
+    /// A timer tick. Ticks are at most `step::WAKE` apart.
     Wake,
 }
 
 impl ControllerState {
-    /// A controller that has read its disk: `found` has the condition, state and log
-    /// length (bytes) of each partition that it holds, all others are empty. `here` is
-    /// the address at which others reach it, and its zone.
+    /// Creates a controller from what its disk holds. `found` has the condition, the state
+    /// and the log length (bytes) of each partition on disk; all other partitions are
+    /// empty. `here` is the address at which other nodes reach this one, and its zone.
     pub fn new(
         roll: VoterFile,
         here: (&str, &str),
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -1,12 +1,14 @@
-//! Operators' requests at the controller that they came to: each is handed to
-//! the leader of the configuration, again and again while there is time, and
-//! told to its operator when its result is certain.
+//! Forwards operator requests from the controller that received them to the leader of the
+//! configuration partition.
 //!
-//! Each handing over is an attempt with a number of its own, and only the answer
-//! to the latest attempt counts: an answer to an earlier one may be overtaken by
-//! what came of a later one. An attempt is meant for one term of one leader. A
-//! later leader's refusal is therefore final: an earlier leader that finds the
-//! request later can't commit it any more.
+//! A request is forwarded repeatedly until its deadline. The operator receives a response
+//! as soon as the result is certain.
+//!
+//! Each attempt to forward a request has its own number, and only the response to the
+//! latest attempt counts: the result of a later attempt may already have overtaken an
+//! earlier response. An attempt is addressed to one term of one leader. A rejection by a
+//! later leader is therefore final: an earlier leader that receives the request afterwards
+//! can no longer commit it.
 
 use crate::command::{Command, ConnectionId};
 use crate::consts;
@@ -26,12 +28,12 @@
 use crate::time::Tick;
 use crate::voter_set::{NOBODY, others};
 
-/// Attempts that are remembered (count), so that one that comes twice is taken
-/// once: at hundreds of orders a second those of ten seconds.
+/// Maximum number of attempt numbers that are remembered to drop duplicates. At hundreds of
+/// requests per second, this covers ten seconds.
 const ATTEMPTS_KEPT: usize = 4_096;
 
 impl ControllerState {
-    /// A request from one of our own operators.
+    /// Handles a request from an operator of this node.
     pub(super) fn on_operate(
         &mut self,
         now: Tick,
@@ -39,7 +41,8 @@
         request: Request,
         commands: &mut Vec<Command>,
     ) {
-        // Without a voter slot we hold no revision: the leader tells it.
+        // A controller without a voter slot holds no revision, so the leader reports it
+        // instead.
         if request.is_unconditional() && self.slot != NOBODY {
             let revision = self.partitions[0].committed_revision;
             return commands
@@ -50,20 +53,22 @@
         self.forward(now, op, commands);
     }
 
-    /// Nobody waits for a request any more. One that was not handed to a leader yet is never
-    /// carried out: its operator may have given other orders since.
+    /// Drops a request whose operator no longer waits for it. A request that was not yet
+    /// forwarded to a leader is never executed: its operator may have sent other requests
+    /// since.
     pub(super) fn abandon_request(&mut self, op: u64) {
         self.pending_requests.swap_remove(&op);
     }
 
-    /// To whom a request would be handed now: the leader that we know, or without a
-    /// voter slot any controller that lives, by turns.
+    /// Returns the node to which a request is forwarded now: the known leader or, if this
+    /// node has no voter slot, one of the reachable voters in round-robin order.
     fn forwarding_target(&mut self) -> Option<Forwarding> {
         if self.slot != NOBODY {
             return self.known_leader();
         }
         let quiet = &self.voter_slots.silence;
-        // A controller that is leaving asks nobody for a slot, and so hears nobody.
+        // A leaving controller does not contact the voters to get a slot and so receives no
+        // messages from them; it treats them all as reachable.
         let leaving = self.is_leaving();
         let is_awake =
             |slot: &VoterSlot| leaving || quiet[usize::from(*slot)] < consts::VOTER_SILENCE_TIMEOUT;
@@ -73,7 +78,8 @@
         Some(Forwarding { slot, term: ANY_TERM })
     }
 
-    /// The leader of the configuration as we know it, ourselves if we serve.
+    /// Returns the leader of the configuration partition if it is known. This is the node
+    /// itself if it leads and is serving.
     fn known_leader(&self) -> Option<Forwarding> {
         match &self.partitions[0].role {
             Role::Leader(leader) if leader.is_serving => {
@@ -86,7 +92,8 @@
         }
     }
 
-    /// Hands a request to the leader, if one is known and it was not yet handed.
+    /// Forwards a request to the leader if one is known and the request is not in flight
+    /// yet.
     fn forward(&mut self, now: Tick, op: u64, commands: &mut Vec<Command>) {
         if self.pending_requests.get(&op).is_none_or(|pending| pending.forwarded_to.is_some()) {
             return;
@@ -108,7 +115,7 @@
         commands.push(Command::ToVoter { slot: to.slot, message });
     }
 
-    /// Judges a request as the leader of the configuration.
+    /// Executes a request as the leader of the configuration partition.
     fn execute_as_leader(
         &mut self,
         now: Tick,
@@ -137,8 +144,8 @@
         operations::execute(configuration, now, group, origin, &request, clock, commands);
     }
 
-    /// We came to a voter slot or lost ours: what is answered to us under our former
-    /// name does not reach us, so every request is handed over anew.
+    /// Retries all requests after this node has gained or lost its voter slot: responses
+    /// that are addressed to its former identity do not reach it.
     pub(crate) fn retry_all_requests(&mut self) {
         for pending in
             self.pending_requests.values_mut().filter(|pending| pending.forwarded_to.is_some())
@@ -147,8 +154,8 @@
         }
     }
 
-    /// Voter slots changed hands: what was handed to their former holders is handed
-    /// over anew, since nobody may be left there to answer.
+    /// Retries the requests that were forwarded to voter slots which have a new holder: the
+    /// former holder may no longer be there to respond.
     pub(crate) fn retry_requests_to(&mut self, moved: &[bool]) {
         let went_to_moved = |pending: &&mut PendingRequest| {
             let slot = pending.forwarded_to.map(|to| usize::from(to.slot));
@@ -159,7 +166,7 @@
         }
     }
 
-    /// Whether an attempt comes for the first time.
+    /// Records an attempt and returns whether it was received for the first time.
     fn is_first_time(&mut self, attempt: u64) -> bool {
         if !self.attempts_seen.insert(attempt) {
             return false;
@@ -170,7 +177,8 @@
         true
     }
 
-    /// Another controller handed a request to us as the leader of a term.
+    /// Handles a request that another controller forwarded to this node as the leader of
+    /// `term`.
     pub(super) fn on_operation_request(
         &mut self,
         now: Tick,
@@ -190,8 +198,8 @@
         }
     }
 
-    /// A controller without a voter slot handed a request to us; it asks again
-    /// elsewhere if we fail it.
+    /// Handles a request that a controller without a voter slot forwarded to this node. If
+    /// it fails here, that controller retries it with another voter.
     pub(super) fn on_forwarded_operation(
         &mut self,
         now: Tick,
@@ -208,7 +216,7 @@
         self.on_operate(now, op, request, commands);
     }
 
-    /// An answer to one of our attempts. Only the latest counts.
+    /// Handles the response to an attempt. Only the response to the latest attempt counts.
     pub(super) fn on_operation_response(
         &mut self,
         now: Tick,
@@ -221,9 +229,9 @@
         }
     }
 
-    /// The result of the latest attempt. A rejection is retried while there is
-    /// time: the leader may just have changed. An unknown result too, which is
-    /// safe because the request carries its id.
+    /// Handles the result of the latest attempt. A rejected request is retried until its
+    /// deadline, as the leader may just have changed. So is a request with an unknown
+    /// result, which is safe because the request carries an id.
     fn on_result(
         &mut self,
         now: Tick,
@@ -254,7 +262,8 @@
         commands.push(Command::Respond { op, done });
     }
 
-    /// Time passes: requests wait for a leader, but not for ever.
+    /// Forwards the requests that wait for a leader, and ends those whose deadline has
+    /// passed.
     pub(super) fn wake_requests(&mut self, now: Tick, commands: &mut Vec<Command>) {
         self.retry_superseded();
         let ids: Vec<u64> = self.pending_requests.keys().copied().collect();
@@ -271,9 +280,9 @@
         }
     }
 
-    /// Requests handed to a controller that leads no more, or in an earlier term,
-    /// are handed anew; by a controller without a voter slot, those handed to one
-    /// that has fallen silent.
+    /// Retries the requests that were forwarded to a node that is no longer the leader or
+    /// leads in another term. A controller without a voter slot retries those that it
+    /// forwarded to a voter which no longer responds.
     fn retry_superseded(&mut self) {
         let leader = self.known_leader();
         let leaving = self.is_leaving();
@@ -293,8 +302,9 @@
         }
     }
 
-    /// What we answer as the leader to requests of our own operators goes the way of
-    /// all answers: it may have to be tried again elsewhere.
+    /// Handles the responses of this node, as the leader, to requests of its own operators.
+    /// They are treated like responses from another leader, as the request may have to be
+    /// retried.
     pub(super) fn take_own_responses(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let mut at = 0;
         while at < commands.len() {
@@ -306,7 +316,8 @@
         }
     }
 
-    /// Returns results of forwarded requests on the connections that they came on.
+    /// Sends the results of forwarded requests back on the connections on which they
+    /// arrived.
     pub(super) fn return_forwarded(&mut self, commands: &mut [Command]) {
         for command in commands {
             if let Command::Respond { op, done } = command
@@ -317,7 +328,7 @@
         }
     }
 
-    /// A connection is gone, and with it those who wait on it.
+    /// Drops the forwarded requests of a connection that was closed.
     pub(super) fn drop_forwarded_from(&mut self, connection: ConnectionId) {
         self.forwarded.retain(|_, origin| origin.connection != connection);
     }
--- a/crates/core/src/control_plane/pending_requests.rs
+++ b/crates/core/src/control_plane/pending_requests.rs
@@ -1,5 +1,5 @@
-//! Operators' requests that wait at the controller that they came to, and what may
-//! be told of them.
+//! Operator requests that wait at the controller that received them, and the results that
+//! may be reported for them.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::operations::Request;
@@ -9,69 +9,73 @@
 use crate::protocol::operation::{Operation, OperationResult};
 use crate::time::Tick;
 
-/// Term of an attempt that is meant for no certain leader: the receiver finds one.
+/// Term of an attempt that is not addressed to a certain leader: the receiver finds the
+/// leader.
 pub const ANY_TERM: Term = Term::ZERO;
 
-/// An operator's request in hand at the controller it came to.
+/// An operator request at the controller that received it.
 pub struct PendingRequest {
-    /// The request's own id, which makes it safe to send it again.
+    /// Request id (idempotency key), which makes it safe to send the request again.
     pub request_id: String,
-    /// The revision that it expects to change.
+    /// The revision that the request expects to change.
     pub expected_revision: Option<u64>,
-    /// What is asked.
+    /// The requested operation.
     pub operation: Operation,
-    /// To whom it was handed; `None` while no leader is known.
+    /// The target of the latest attempt; `None` while no attempt is in flight.
     pub forwarded_to: Option<Forwarding>,
     /// Number of the latest attempt.
     pub attempt: u64,
-    /// An earlier attempt ended without an answer: it may have been applied.
+    /// Whether an earlier attempt ended without a response and so may have been applied.
     pub may_be_applied: bool,
-    /// An attempt was not meant for one term alone.
+    /// Whether an attempt was not restricted to a single term.
     pub is_unfenced: bool,
     /// Why the last attempt ended without a result.
     pub last_failure: Option<String>,
-    /// When the patience with it ends.
+    /// When the request times out.
     pub deadline: Tick,
 }
 
-/// To whom a request was handed.
+/// The target to which a request is forwarded.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub struct Forwarding {
-    /// The voter that is to carry it out, or to find the one that does.
+    /// The voter that executes the request, or finds the leader that does.
     pub slot: VoterSlot,
-    /// The term of the leader that it is meant for; [`ANY_TERM`] for any.
+    /// The term of the leader to which the request is addressed; [`ANY_TERM`] for any
+    /// leader.
     pub term: Term,
 }
 
-/// Where a request came from that another controller forwarded to us.
+/// The origin of a request that another controller forwarded to this node.
 #[derive(Clone, Copy)]
 pub struct ForwardedOperation {
-    /// The connection on which it came.
+    /// The connection on which the request arrived.
     pub connection: ConnectionId,
-    /// Its number there.
+    /// Id of the request at that controller.
     pub number: u64,
-    /// The attempt there.
+    /// Number of the attempt at that controller.
     pub attempt: u64,
 }
 
-/// Names one attempt to have an operator's request carried out.
+/// Identifies one attempt to execute an operator request.
 #[derive(Clone, Copy)]
 pub struct AttemptId {
-    /// The request, as numbered by the controller that it came to.
+    /// Id of the request at the controller that received it.
     pub op: u64,
     /// Number of the attempt.
     pub attempt: u64,
 }
 
 impl ForwardedOperation {
-    /// The answer to this attempt.
+    /// Returns the command that sends the result of this attempt to its origin.
     pub fn response(self, done: OperationResult) -> Command {
         let ForwardedOperation { connection, number, attempt } = self;
         let message = Message::OperationResponse { op: number, attempt, result: done };
         Command::ToConnection { connection, message }
     }
 
-    /// A controller without a voter slot took us for a voter. It is to ask another.
+    /// Returns the rejection of a request that a controller without a voter slot sent to
+    /// this node although it holds no slot either. The sender retries with another
+    /// controller.
     pub fn misdirected(self) -> Command {
         let why = Rejection::NoVoterSlot.to_string();
         self.response(OperationResult::Rejected { why })
@@ -79,7 +83,7 @@
 }
 
 impl PendingRequest {
-    /// A request that has just come.
+    /// Creates the entry of a request that was just received.
     pub fn new(request: Request, until: Tick) -> Self {
         let Request { id, expected_revision, operation } = request;
         Self {
@@ -95,7 +99,7 @@
         }
     }
 
-    /// The request without what became of its attempts.
+    /// Returns the request without the state of its attempts.
     pub fn to_request(&self) -> Request {
         Request {
             id: self.request_id.clone(),
@@ -104,25 +108,27 @@
         }
     }
 
-    /// Notes that the latest attempt goes to this controller.
+    /// Records that the latest attempt goes to this target.
     pub fn begin_attempt(&mut self, number: u64, to: Forwarding) {
         self.forwarded_to = Some(to);
         self.attempt = number;
         self.is_unfenced |= to.term == ANY_TERM;
     }
 
-    /// The latest attempt may never be answered: another is to be made.
+    /// Cancels the latest attempt, which may never be answered, so that another one is
+    /// made.
     pub fn give_up_attempt(&mut self) {
         self.may_be_applied = true;
         self.forwarded_to = None;
     }
 
-    /// Whether an answer to this attempt counts.
+    /// Returns whether a response to this attempt counts.
     pub fn waits_for(&self, attempt: u64) -> bool {
         self.attempt == attempt && self.forwarded_to.is_some()
     }
 
-    /// What may be told of a result, with what became of earlier attempts.
+    /// Returns the result that may be reported, given what may have become of earlier
+    /// attempts.
     pub fn certain(&self, done: OperationResult) -> OperationResult {
         match done {
             OperationResult::Accepted { .. }
@@ -134,7 +140,7 @@
                 OperationResult::Unknown { why }
             }
             OperationResult::Rejected { .. } => done,
-            // An earlier attempt may still reach any leader and be carried out.
+            // An earlier attempt may still reach any leader and be executed.
             _ if self.may_be_applied && self.is_unfenced => {
                 let why = Rejection::EarlierAttemptPending.to_string();
                 OperationResult::Unknown { why }
@@ -143,7 +149,7 @@
         }
     }
 
-    /// What an operator is told when the patience with its request ends.
+    /// Returns the result that is reported when the request times out.
     pub fn overdue(&self) -> OperationResult {
         match self.forwarded_to {
             None if !self.may_be_applied => {
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -1,4 +1,4 @@
-//! `ControllerState::step`: one event in, its commands out.
+//! `ControllerState::step`: handles one event and returns the resulting commands.
 
 use crate::command::Command;
 use crate::control_plane::controller::{ControllerState, Event};
@@ -10,11 +10,11 @@
 use crate::time::{Tick, ms};
 use crate::voter_set::{NOBODY, VoterGroup};
 
-/// How often a controller looks around when nothing happens.
+/// Interval between two timer ticks.
 pub const WAKE: crate::time::Span = ms(50);
 
 impl ControllerState {
-    /// Takes one event and says what to do.
+    /// Handles one event and returns the commands to execute.
     pub fn step(&mut self, now: Tick, event: Event) -> Vec<Command> {
         let mut commands = Vec::new();
         self.on_event(now, event, &mut commands);
@@ -79,14 +79,15 @@
         }
     }
 
-    /// An operator vouches that lost replicas are lost for good.
+    /// Starts a forced recovery of all partitions, after an operator has confirmed that the
+    /// lost replicas will not come back.
     fn force_recovery(&mut self, commands: &mut Vec<Command>) {
         for partition in &mut self.partitions {
             partition.force_recovery(commands);
         }
     }
 
-    /// Time passes.
+    /// Handles a timer tick.
     fn wake(&mut self, now: Tick, commands: &mut Vec<Command>) {
         self.wake_voter_slots(now, commands);
         if self.slot != NOBODY {
@@ -98,7 +99,7 @@
         self.wake_requests(now, commands);
     }
 
-    /// Time passes for the replicas of a voter.
+    /// Handles a timer tick for the replicas of a voter.
     fn wake_partitions(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let group = self.group();
         for partition in &mut self.partitions {
@@ -115,8 +116,8 @@
     }
 }
 
-/// Time passes for a leader: its replicas, the ages of its endpoints, and the operations
-/// that wait for it. One that steps down first has none of these any more.
+/// Handles a timer tick for a leader: its replicas, the ages of its endpoints and the
+/// pending operations. A leader that steps down first no longer has pending operations.
 fn wake_leader(
     partition: &mut Partition,
     now: Tick,
