--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -1,10 +1,10 @@
-//! Members that an operator has declared down for good.
+//! Members that an operator has declared permanently down.
 //!
-//! That is kept as an entry of the configuration's partition and so survives a
-//! change of leader and a restart of all, as any committed change does. An entry
-//! names the process (incarnation) that is gone: under each term it is counted as
-//! having left every membership that names it, and a process that starts again
-//! under the same name counts as any other.
+//! Each is stored as an entry of the configuration partition, so it survives a change of
+//! leader and a restart of all nodes, like any committed change. The entry names the
+//! process (incarnation) that is gone. In every term, this process counts as having left
+//! all memberships that name it. A process that starts under the same name counts as any
+//! other process.
 
 use std::collections::BTreeMap;
 
@@ -20,18 +20,18 @@
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
-/// Key prefix of the entries: incarnation and revision, as text.
+/// Key prefix of the entries. A value is the incarnation and the revision, as text.
 const FORGOTTEN: &str = "forgotten/";
-/// Entries that are kept (count): more members than are down for good at one
-/// time. Without its entry a member is counted again only by a leader that
-/// inherits a membership older than the entry.
+/// Maximum number of entries: more members than are permanently down at any one time. If
+/// its entry was dropped, a member counts again only for a leader that inherits a
+/// membership older than the entry.
 const FORGOTTEN_KEPT: usize = 64;
 
-/// A process that is down for good.
+/// A process that is permanently down.
 #[derive(Clone, Copy, PartialEq)]
 struct Forgotten {
     incarnation: u64,
-    /// The revision of the change that forgot it.
+    /// The revision of the change that added the entry.
     revision: u64,
 }
 
@@ -48,7 +48,7 @@
     format!("{} {}", entry.incarnation, entry.revision).into_bytes()
 }
 
-/// The forgotten members of a state of the partition.
+/// Returns the forgotten members in the entries of the partition.
 fn entries(map: &EntryMap) -> BTreeMap<&str, Forgotten> {
     map.range(FORGOTTEN.to_string()..)
         .map_while(|(key, value)| Some((key.strip_prefix(FORGOTTEN)?, value)))
@@ -56,7 +56,7 @@
         .collect()
 }
 
-/// An operator declares a member down for good, at the leader.
+/// Executes an operator's request to forget a member, as the leader.
 pub fn forget(
     configuration: &mut Partition,
     members: &Members,
@@ -78,7 +78,7 @@
             configuration.wait_for_change(now, origin, revision, ChangeAcceptance::Committed);
             configuration.complete_operations(now, group, commands);
         }
-        // It is forgotten already.
+        // The member is already forgotten.
         None if known.is_none() || members.is_live(now, name) => {
             let why = Rejection::MemberUnknownOrLive.to_string();
             let answer = PendingAnswer::Refusal(OperationResult::Rejected { why });
@@ -97,8 +97,9 @@
     }
 }
 
-/// A process that was forgotten renews after all. It gets no lease before its
-/// entry is gone: a leader that finds the entry counts the process as gone.
+/// Proposes to remove the entry of a process that was forgotten but renews its lease.
+/// Returns whether there is such an entry. The process gets no lease before the entry is
+/// removed, since a new leader that finds the entry counts the process as gone.
 pub fn readmit(
     configuration: &mut Partition,
     now: Tick,
@@ -120,7 +121,7 @@
     is_newest || is_committed
 }
 
-/// The change that forgets a member, and drops the oldest entries.
+/// Returns the entries that forget a member and drop the oldest forgotten members.
 fn changes(map: &EntryMap, name: &str, entry: Forgotten) -> Vec<Entry> {
     let known = entries(map);
     let mut oldest: Vec<(u64, &str)> = known
@@ -134,8 +135,8 @@
     dropped.chain([(entry_key(name), Some(write_entry(entry)))]).collect()
 }
 
-/// Notes the members whose forgetting has been committed since the last look.
-/// Who has renewed with us is alive after all, and stays.
+/// Marks the members as departed whose forgetting was committed since the last call. A
+/// member that has renewed its lease with this node is running, and stays.
 pub fn apply(configuration: &Partition, members: &mut Members, now: Tick) {
     let committed_revision = configuration.committed_revision;
     if members.forgotten_at == committed_revision || members.leadership.is_none() {
--- a/crates/core/src/control_plane/leases.rs
+++ b/crates/core/src/control_plane/leases.rs
@@ -1,5 +1,6 @@
-//! Members renew their leases: with the leader of the configuration, or by way of
-//! another voter, which forwards the renewal and passes the leader's grant on.
+//! Lease renewal. A member renews its lease with the leader of the configuration partition,
+//! or through another voter, which forwards the renewal to the leader and the grant to the
+//! member.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -11,27 +12,27 @@
 use crate::replication::partition::Role;
 use crate::time::Tick;
 
-/// A member's renewal of its lease.
+/// A renewal of a member's lease.
 pub struct LeaseRenewal {
-    /// Who renews.
+    /// The member that renews.
     pub member: Member,
-    /// Number of the renewal, which the grant names.
+    /// Number of the renewal, which the grant repeats.
     pub number: u64,
-    /// How far the member is.
+    /// How far the member has applied the configuration and the membership.
     pub progress: MemberProgress,
 }
 
-/// Where a renewal came from.
+/// The peer from which a renewal was received.
 #[derive(Clone, Copy)]
 pub enum RenewalSource {
-    /// From the member itself.
+    /// The member itself.
     Member(ConnectionId),
-    /// From a voter that forwarded it.
+    /// A voter that forwarded the renewal.
     Voter(VoterSlot),
 }
 
 impl RenewalSource {
-    /// Sends an answer the way that the renewal came.
+    /// Returns the command that sends an answer back to the source of the renewal.
     fn answer(self, message: Message) -> Command {
         match self {
             RenewalSource::Voter(slot) => Command::ToVoter { slot, message },
@@ -41,7 +42,7 @@
 }
 
 impl ControllerState {
-    /// The term under which we keep the leases, if we do.
+    /// Returns the term in which this node grants leases, if it leads and is serving.
     pub(super) fn lease_term(&self) -> Option<Term> {
         match &self.partitions[0].role {
             Role::Leader(leader) if leader.is_serving => Some(leader.term),
@@ -49,19 +50,20 @@
         }
     }
 
-    /// The voters among which memberships are replicated.
+    /// Returns the voters among which memberships are replicated.
     pub(super) fn voters(&self) -> Voters {
         Voters { group: self.group(), stamp: self.voter_slots.stamp }
     }
 
-    /// Begins to keep leases if we lead and have not begun.
+    /// Starts to grant leases if this node leads and has not started yet.
     pub(super) fn begin_leases(&mut self, now: Tick) {
         if let Some(term) = self.lease_term() {
             self.members.begin_term(now, term, self.voters());
         }
     }
 
-    /// A member renews its lease, with us or with a voter that forwarded it.
+    /// Handles the renewal of a lease, received from the member or from a voter that
+    /// forwarded it.
     pub(super) fn on_lease_renewal(
         &mut self,
         now: Tick,
@@ -75,8 +77,8 @@
         let Some(term) = self.lease_term() else {
             return self.forward_renewal(source, renewal, commands);
         };
-        // After a pause another may lead the partition, and have changed it: what we
-        // would grant names a revision that may be old.
+        // After a pause of this process another node may lead the partition and may have
+        // changed it. A grant would then name a revision that may be outdated.
         if !self.is_followed(now) {
             return;
         }
@@ -89,8 +91,8 @@
         self.grant_lease(now, term, source, renewal, commands);
     }
 
-    /// Forwards a renewal to the leader, once: a voter never forwards what another
-    /// one forwarded.
+    /// Forwards a renewal to the leader. A renewal is forwarded only once: a voter never
+    /// forwards what another voter has forwarded.
     fn forward_renewal(
         &self,
         source: RenewalSource,
@@ -106,7 +108,8 @@
         }
     }
 
-    /// Whether a majority of the voters followed us a moment ago.
+    /// Returns whether a majority of the voters has recently followed this node as the
+    /// leader.
     fn is_followed(&self, now: Tick) -> bool {
         match &self.partitions[0].role {
             Role::Leader(leader) => leader.hears_majority(self.group(), now),
@@ -114,7 +117,7 @@
         }
     }
 
-    /// Notes a renewal and grants the lease, if it counts.
+    /// Records a renewal and grants the lease, unless the renewal is stale.
     fn grant_lease(
         &mut self,
         now: Tick,
@@ -131,7 +134,7 @@
             return;
         }
         if is_leaving {
-            // Nothing else is to be waited for.
+            // The membership need not wait for anything else.
             self.advance_membership(now, commands);
         }
         let revision = self.partitions[0].committed_revision;
@@ -151,7 +154,7 @@
         }
     }
 
-    /// The leader tells a member whose renewal we had forwarded something.
+    /// Forwards a message of the leader to a member whose renewal this node had forwarded.
     pub(super) fn pass_on_to_member(
         &self,
         name: &str,
--- a/crates/core/src/control_plane/list_pollers.rs
+++ b/crates/core/src/control_plane/list_pollers.rs
@@ -1,27 +1,27 @@
-//! Who polls the platform's list of leafs in place of members that are silent.
+//! Chooses the members that poll the platform's list of leafs in place of silent members.
 //!
-//! The membership alone says which two members poll it. One that has lost power or stands
-//! still keeps that rank until its lease has run out, which is as long as a leaving leaf may
-//! go unnoticed. The leader of the configuration hears every member, and names others as soon
-//! as renewals are missing.
+//! The membership alone determines which two members poll the list. A member that lost
+//! power or is paused keeps this rank until its lease has ended, which is as long as a
+//! leaving leaf may go unnoticed. The leader of the configuration partition receives the
+//! renewals of all members, and chooses substitutes as soon as renewals are missing.
 
 use crate::control_plane::members::Members;
 use crate::membership::neighbour_ring::list_pollers;
 use crate::protocol::membership::{Member, MembershipId};
 use crate::time::{Span, Tick, ms, since};
 
-/// A member that has not renewed its lease for this long is passed over: one renewal is
-/// missing, and the next one is late.
+/// A member that has not renewed its lease for this long is replaced: one renewal is
+/// missing and the next one is late.
 const RENEWAL_SILENCE: Span = ms(1_100);
 
-/// How often the substitutes are chosen anew.
+/// How often the substitutes are chosen again.
 const CHOICE_INTERVAL: Span = ms(100);
 
 /// The members that poll the list in place of silent ones.
 #[derive(Default)]
 pub struct SubstituteListPollers {
     substitutes: Vec<Substitute>,
-    /// The membership among whose members they were chosen.
+    /// The membership from which they were chosen.
     membership: MembershipId,
     chosen_at: Tick,
 }
@@ -32,7 +32,8 @@
 }
 
 impl Members {
-    /// The rank with which a member polls the list in place of silent ones, if it does.
+    /// Returns the rank with which a member polls the list in place of a silent one, if it
+    /// does.
     pub(super) fn substitute_list_rank(&mut self, now: Tick, name: &str) -> Option<u32> {
         self.choose_substitutes(now);
         let mut substitutes = self.substitute_list_pollers.substitutes.iter();
@@ -52,8 +53,8 @@
         };
     }
 
-    /// Those that would poll if the silent members were not there, and don't by the
-    /// membership.
+    /// Returns the members that would poll if the silent members did not exist, and that do
+    /// not poll according to the membership.
     fn substitutes(&self, now: Tick) -> Vec<Substitute> {
         let usual =
             list_pollers(&self.membership, |member| member.joined <= self.membership.settled);
@@ -65,7 +66,7 @@
             .collect()
     }
 
-    /// Whether a member's renewals come as they should.
+    /// Returns whether a member's renewals arrive in time.
     fn renews(&self, now: Tick, member: &Member) -> bool {
         let heard = self.last_renewals.get(&member.name);
         !self.is_gone(member) && heard.is_some_and(|heard| since(heard.at, now) < RENEWAL_SILENCE)
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -1,4 +1,4 @@
-//! The members and their leases, as the leader of the configuration keeps them.
+//! The members and their leases, as tracked by the leader of the configuration partition.
 
 use std::collections::HashSet;
 
@@ -13,69 +13,70 @@
 use crate::protocol::membership::{Member, MemberProgress, Membership, MembershipId, Memberships};
 use crate::time::{MILLI, Tick, since};
 
-/// What a voter knows of the members.
+/// The state of the members as known to a voter.
 ///
-/// Invariants: `membership` never goes back in (`term`, `turn`), and a majority of
-/// the voters held it before any member was told; `heard` is kept by the leader
-/// only, and holds all whom some membership names that is still gone by.
+/// Invariants: `membership` never goes back in (`term`, `turn`), and a majority of the
+/// voters held it before it was sent to any member. `last_renewals` is maintained by the
+/// leader only and has every member of each membership that is still in use.
 #[derive(Default)]
 pub struct Members {
-    /// The membership that members are told.
+    /// The membership that is sent to the members.
     pub membership: Membership,
-    /// Memberships beside `membership`: on their way, or not yet out of use.
+    /// Other memberships: being replicated, or still in use.
     pub log: MembershipLog,
     /// The last renewal of each member.
     pub last_renewals: IndexMap<String, LastRenewal>,
-    /// Members that stopped in order, or that an operator declared down for good.
+    /// Members that shut down gracefully, or that an operator declared permanently down.
     pub departed: IndexMap<String, Departure>,
-    /// Term for which `heard` was begun, and when.
+    /// The term in which this node leads, and when it began to track leases.
     pub leadership: Option<(Term, Tick)>,
-    /// No membership was handed down to us, and a lease has not passed since we
-    /// began: there may be members that we have not heard yet.
+    /// This node inherited no membership, and less than a lease has passed since its term
+    /// began. There may be members that it has not heard yet.
     pub gathering: bool,
-    /// The connection on which each member speaks to this voter.
+    /// The connection of each member to this voter.
     pub connections: IndexMap<String, ConnectionId>,
-    /// The revision up to which members that operators forgot were noted.
+    /// The revision up to which members forgotten by operators were applied.
     pub forgotten_at: u64,
-    /// When revisions were committed, which the acceptance of changes goes by.
+    /// When recent revisions were committed, for the acceptance of changes.
     pub commit_times: CommitTimes,
-    /// Who polls the platform's list in place of silent members.
+    /// The members that poll the platform's list in place of silent ones.
     pub(super) substitute_list_pollers: SubstituteListPollers,
-    /// When a member was last asked for a membership that we don't know.
+    /// When a member was last asked for a membership that this node does not know.
     membership_asked_at: Tick,
 }
 
-/// A member's last renewal.
+/// The last renewal of a member.
 pub struct LastRenewal {
-    /// When it came.
+    /// When the renewal was received.
     pub at: Tick,
-    /// The member, as it described itself.
+    /// The member as it described itself.
     pub member: Member,
-    /// How far the member was.
+    /// How far the member had applied the configuration and the membership.
     pub progress: MemberProgress,
-    /// It renewed with us; else we only know that it is a member, and `at` is
-    /// when we came to know.
+    /// Whether the member renewed its lease with this node. Otherwise it is only known from
+    /// a membership, and `at` is when this node learned of it.
     pub has_renewed: bool,
 }
 
-/// A process that serves no more.
+/// A process that no longer serves.
 pub struct Departure {
-    /// Which process of the member's.
+    /// The incarnation of the member.
     pub incarnation: u64,
-    /// It said so itself. Else an operator did, who may be mistaken.
+    /// Whether the process reported its own shutdown. Otherwise an operator declared it
+    /// down, who may be mistaken.
     pub said_itself: bool,
 }
 
 impl Members {
-    /// Whether we keep the leases under this term.
+    /// Returns whether this node grants leases in this term.
     pub fn is_leading_in(&self, term: Term) -> bool {
         self.leadership.is_some_and(|(ours, _)| ours == term)
     }
 
-    /// Empties what was kept under a former term.
+    /// Clears the state of a former term.
     pub(super) fn reset_for_term(&mut self, now: Tick, term: Term) {
         self.leadership = Some((term, now));
-        // Whom operators forgot is noted anew under each term.
+        // Members forgotten by operators are applied again in each term.
         self.forgotten_at = 0;
         self.gathering = false;
         self.last_renewals.clear();
@@ -83,20 +84,20 @@
         self.commit_times = CommitTimes::default();
     }
 
-    /// Whether a member was heard within a lease, and has not gone since.
+    /// Returns whether a member has renewed within a lease and has not departed since.
     pub fn is_live(&self, now: Tick, name: &str) -> bool {
         self.last_renewals.get(name).is_some_and(|heard| {
             !self.is_gone(&heard.member) && since(heard.at, now) < consts::LEASE_DURATION
         })
     }
 
-    /// Whether this very process of a member is known to serve no more.
+    /// Returns whether this process (incarnation) of a member is known to have departed.
     pub fn is_gone(&self, member: &Member) -> bool {
         self.departed.get(&member.name).is_some_and(|gone| gone.incarnation == member.incarnation)
     }
 
-    /// Whether a member goes by a membership that it should tell us of, since we
-    /// have never heard of it.
+    /// Returns whether a member is to be asked for the membership that it uses because this
+    /// node does not know it.
     pub fn asks_for_membership(&mut self, now: Tick, progress: &MemberProgress) -> bool {
         let id = progress.seen_membership;
         let may_count = self.gathering || id > self.membership.id();
@@ -109,20 +110,20 @@
         asks
     }
 
-    /// Whether a membership is among those that we reckon with.
+    /// Returns whether this node knows a membership.
     pub fn knows(&self, id: MembershipId) -> bool {
         let older = self.log.older.iter().map(|former| &former.membership);
         let mut all = older.chain([&self.membership]).chain(&self.log.proposed);
         all.any(|membership| membership.id() == id)
     }
 
-    /// Notes a renewal; tells whether it counts.
+    /// Records a renewal. Returns false if it is stale.
     pub fn note_renewal(&mut self, now: Tick, member: Member, progress: MemberProgress) -> bool {
         let name = member.name.clone();
         let incarnation = member.incarnation;
         let gone = self.departed.get(&name).filter(|gone| gone.incarnation == incarnation);
         if gone.is_some_and(|gone| gone.said_itself) {
-            // It was on its way while the process ended.
+            // The renewal was in transit while the process stopped.
             return false;
         }
         self.departed.swap_remove(&name);
@@ -135,7 +136,7 @@
         true
     }
 
-    /// Whoever a membership names that we have not heard counts as heard just now.
+    /// Adds a renewal as of now for each member of a known membership that has none yet.
     pub fn expect_all(&mut self, now: Tick) {
         let older = self.log.older.iter().map(|former| &former.membership);
         for member in older.chain([&self.membership]).flat_map(|c| &c.members) {
@@ -145,7 +146,7 @@
         }
     }
 
-    /// Drops those whom no membership names any more.
+    /// Drops the members that no membership names any more.
     pub fn drop_unnamed(&mut self, now: Tick) {
         let older = self.log.older.iter().map(|former| &former.membership);
         let all = older.chain([&self.membership]).chain(&self.log.proposed);
@@ -158,7 +159,8 @@
         self.departed.retain(|name, _| named.contains(name.as_str()) || heard.contains_key(name));
     }
 
-    /// Takes over what a voter knew whose slot we take, unless we know a membership.
+    /// Inherits the memberships of the voter whose slot this node takes, unless it knows
+    /// one already.
     pub fn inherit(&mut self, memberships: Memberships) {
         if self.membership.term == Term::ZERO && self.log.older.is_empty() {
             self.membership = memberships.current;
@@ -166,13 +168,14 @@
         }
     }
 
-    /// The process of a member that an operator may declare down for good.
+    /// Returns the incarnation of a silent member, which an operator may declare
+    /// permanently down.
     pub fn silent_incarnation(&self, now: Tick, name: &str) -> Option<u64> {
         let known = self.membership.members.iter().find(|member| member.name == name)?;
         (!self.is_live(now, name)).then_some(known.incarnation)
     }
 
-    /// What the leader knows of the members' progress: name, ms since heard, how far.
+    /// Returns the progress of the members: name, ms since the last renewal, progress.
     pub fn status(&self, now: Tick) -> Vec<(String, u64, MemberProgress)> {
         let age_ms = |heard: &LastRenewal| since(heard.at, now) / MILLI;
         let all = self.last_renewals.iter();
--- a/crates/core/src/control_plane/membership_issue.rs
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -1,5 +1,5 @@
-//! Which memberships the leader of the configuration issues, and when one of them
-//! is settled.
+//! Decides which memberships the leader of the configuration partition issues, and when a
+//! membership is settled.
 
 use crate::control_plane::members::{LastRenewal, Members};
 use crate::control_plane::membership_log::{FormerMembership, MEMBERSHIPS_KEPT};
@@ -8,21 +8,21 @@
 use crate::time::{Span, Tick, ms, since};
 use crate::{consts, quorum};
 
-/// While no majority of the members is heard, silent ones keep their shares for
-/// this long. They most likely come back, and twice is no hurry.
+/// How long silent members keep their shares while no majority of the members is heard.
+/// They most likely come back, and waiting for twice the lease does no harm.
 const REMOVAL_BY_FEW: Span = 2 * consts::LEASE_DURATION;
-/// A new leader of the configuration counts the old members as live for one
-/// lease, since it has not heard them itself yet.
+/// How long a new leader of the configuration partition counts the members that it
+/// inherited as live: one lease, since it has not received renewals from them yet.
 const TENURE_GRACE: Span = consts::LEASE_DURATION;
-/// How long a leader that knows of no membership gathers members before it says
-/// who they are; they seek ten times a second.
+/// How long a leader that knows of no membership gathers members before it issues one.
+/// Members look for the leader ten times a second.
 const TENURE_GATHER: Span = ms(300);
 
 impl Members {
-    /// Whether we know too few members to issue a membership: with nothing handed
-    /// down to us, issuing one now would give the members we know shares that others
-    /// still hold. Who is there is told soon, but nothing of it is settled before a
-    /// lease has passed, and only what is settled gives shares.
+    /// Returns whether this node knows too few members to issue a membership. If it
+    /// inherited no membership, issuing one at once would give the known members shares
+    /// that others still hold. A membership is issued soon, but it is not settled before a
+    /// lease has passed, and only a settled membership assigns shares.
     pub fn is_gathering(&mut self, now: Tick) -> bool {
         let Some((_, began)) = self.leadership else { return true };
         let age = since(began, now);
@@ -31,12 +31,12 @@
         self.gathering && age < TENURE_GATHER
     }
 
-    /// Issues a new membership if there is anything new, once the one before is in
-    /// nobody's way.
+    /// Issues a new membership if the members have changed and no earlier membership is
+    /// still in use.
     pub fn issue(&mut self, now: Tick, term: Term, revision: u64) {
         let log = &self.log;
-        // One newer than the current one was inherited from a leader that may have told
-        // it to some: they leave it only for a newer one.
+        // A membership newer than the current one was inherited from a leader that may have
+        // sent it to some members. These leave it only for a newer one.
         let is_newer = |former: &FormerMembership| former.membership.id() > self.membership.id();
         let is_clear = log.proposed.is_none()
             && log.older.iter().all(|former| former.retired.is_some() || is_newer(former));
@@ -51,7 +51,8 @@
         }
     }
 
-    /// Who is a member now, by name; who is new joins in this turn.
+    /// Returns the current members in the order of their names. New members join in this
+    /// turn.
     fn list(&self, now: Tick, turn: u64) -> Vec<Member> {
         let live = self.last_renewals.iter().filter(|(name, _)| self.is_live(now, name));
         let mut list: Vec<Member> = live.map(|(_, heard)| heard.member.clone()).collect();
@@ -70,18 +71,19 @@
         list
     }
 
-    /// The turn in which a member joined, if the current membership names it with as
-    /// many threads.
+    /// Returns the turn in which a member joined, if the current membership has it with the
+    /// same number of threads.
     fn joined_in(&self, member: &Member) -> Option<u64> {
-        // The members stand in the order of their names.
+        // The members are sorted by name.
         let known = &self.membership.members;
         let at = known.binary_search_by(|other| other.name.cmp(&member.name)).ok()?;
         (known[at].threads == member.threads).then_some(known[at].joined)
     }
 
-    /// Whether a silent member stays one while most are silent. It does for a while,
-    /// since they most likely come back; and for good where so few are heard without
-    /// a break that the silent ones may serve on.
+    /// Returns whether a silent member remains a member while most members are silent. It
+    /// does for a limited time, since silent members most likely come back. It remains
+    /// without a limit if so few members are heard continuously that the silent ones may go
+    /// on serving.
     fn stays(&self, now: Tick, member: &Member) -> bool {
         let known = &self.membership.members;
         let is_long_silent = self
@@ -99,15 +101,15 @@
         known.len() > 1 && !(is_long_silent && are_enough)
     }
 
-    /// Whether most of the membership renews with us.
+    /// Returns whether most members of the membership renew their leases with this node.
     fn hears_most(&self, now: Tick) -> bool {
         let known = &self.membership.members;
         let heard = known.iter().filter(|member| self.is_live(now, &member.name)).count();
         known.is_empty() || heard * 2 > known.len()
     }
 
-    /// Settles the membership once all its members have seen it and nobody serves on
-    /// by a former one; tells whether it did.
+    /// Settles the membership once all its members have seen it and no member serves by a
+    /// former one. Returns whether it did.
     pub fn settle_if_seen(&mut self) -> bool {
         let id = self.membership.id();
         let has_seen = |member: &Member| {
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -1,8 +1,8 @@
-//! The memberships that a voter knows beside the one that members are told, and
-//! what a leader counts while it replicates them.
+//! The memberships that a voter knows besides the one that was sent to the members, and the
+//! replication state of the leader.
 //!
-//! Voters keep this in memory only; what a fleet loses with it is told in
-//! `docs/limits.md`.
+//! Voters keep this in memory only. `docs/limits.md` describes what a cluster loses with
+//! it.
 
 use crate::command::ConnectionId;
 use crate::identifiers::{Term, VoterSlot};
@@ -10,88 +10,92 @@
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
-/// Memberships that some member may still go by (count). More than that come to
-/// be only if that many leaders follow each other and none of them is heard.
+/// Maximum number of memberships that some member may still use. More than that arise only
+/// if that many leaders follow each other and no message of theirs is received.
 pub(super) const MEMBERSHIPS_KEPT: usize = 8;
 
 /// The voters among which memberships are replicated.
 #[derive(Clone, Copy)]
 pub struct Voters {
-    /// The voters as this controller sees them.
+    /// The voters as known to this controller.
     pub group: VoterGroup,
-    /// Stamp of the voter set: what was counted under another one counts no more.
+    /// Stamp of the voter set. Acknowledgements received under another stamp do not count.
     pub stamp: u64,
 }
 
-/// The memberships that a voter knows beside the one that members are told.
+/// The memberships that a voter knows besides the one that was sent to the members.
 #[derive(Default)]
 pub struct MembershipLog {
-    /// Issued, and not yet known to a majority: no member was told.
+    /// A membership that was issued but is not yet held by a majority. It was sent to no
+    /// member.
     pub proposed: Option<Membership>,
-    /// Former ones that some member may still go by.
+    /// Former memberships that some member may still use.
     pub older: Vec<FormerMembership>,
-    /// The highest term under which a leader spoke to us; lower ones are refused.
+    /// The highest term in which a leader sent a message to this node. Messages of lower
+    /// terms are refused.
     pub(super) term: Term,
     pub(super) leading: LeaderLog,
 }
 
 /// A former membership.
 pub struct FormerMembership {
-    /// The membership as it was last told.
+    /// The membership in its last version.
     pub membership: Membership,
-    /// Since when enough of its members have left it.
+    /// When enough of its members had left it.
     pub retired: Option<Tick>,
 }
 
 impl FormerMembership {
-    /// A former membership that may still be gone by.
+    /// Creates the entry of a former membership that members may still use.
     pub fn new(membership: Membership) -> Self {
         Self { membership, retired: None }
     }
 }
 
-/// What only a leader needs.
+/// The replication state that only a leader uses.
 #[derive(Default)]
 pub(super) struct LeaderLog {
-    /// What the voters told a new leader; emptied when it has inherited.
+    /// The memberships reported by each voter to a new leader. Empty once the leader has
+    /// inherited them.
     pub(super) fetched: Vec<Option<Memberships>>,
     pub(super) inherited: bool,
-    /// What each voter last said it holds, on the connection in `connections`.
+    /// The version that each voter last acknowledged on its connection in `connections`.
     pub(super) acknowledged: Vec<Option<MembershipVersion>>,
-    /// The connection on which each voter last spoke. A voter that restarts opens a new
-    /// one and has forgotten what it acknowledged on the one before.
+    /// The connection on which each voter last sent a message. A voter that restarts opens
+    /// a new connection and has lost the versions that it acknowledged on the former one.
     connections: Vec<Option<ConnectionId>>,
-    /// What was last sent, and when.
+    /// The version that was last sent, and when.
     pub(super) sent: Option<(MembershipVersion, Tick)>,
-    /// The voter set's stamp under which all this was counted.
+    /// Stamp of the voter set under which this state was collected.
     stamp: u64,
 }
 
-/// A state of a membership on its way to the voters.
+/// A version of a membership that is being replicated to the voters.
 #[derive(Clone, Copy, PartialEq)]
 pub struct MembershipVersion {
-    /// Which membership.
+    /// Id of the membership.
     pub id: MembershipId,
-    /// Its settled turn.
+    /// The settled turn of the membership.
     pub settled: u64,
-    /// A majority holds it, and members are told.
+    /// Whether a majority holds the membership, so that it is sent to the members.
     pub confirmed: bool,
 }
 
 impl MembershipVersion {
-    /// The version of a membership.
+    /// Returns the version of a membership.
     pub fn new(membership: &Membership, confirmed: bool) -> Self {
         Self { id: membership.id(), settled: membership.settled, confirmed }
     }
 }
 
 impl MembershipLog {
-    /// Whether this leader knows all memberships that members may go by.
+    /// Returns whether this leader knows all memberships that members may use.
     pub fn is_inherited(&self) -> bool {
         self.leading.inherited
     }
 
-    /// `current`, which members are told, and all others that may be gone by.
+    /// Returns `current`, which was sent to the members, with all others that may be in
+    /// use.
     pub fn held_with(&self, current: &Membership) -> Memberships {
         let older = self.older.iter().map(|former| former.membership.clone());
         Memberships {
@@ -100,19 +104,19 @@
         }
     }
 
-    /// Takes over what a voter that leaves knows.
+    /// Replaces the former memberships by those of a leaving voter or of a leader.
     pub fn inherit(&mut self, others: Vec<Membership>) {
         self.older = others.into_iter().map(FormerMembership::new).collect();
     }
 
-    /// A new term of ours begins: what the other voters hold is to be asked.
+    /// Starts a new term of this node as the leader. The memberships of the other voters
+    /// have to be fetched.
     pub(super) fn begin_term(&mut self, term: Term, voters: Voters, own: Memberships) {
         self.term = self.term.max(term);
         self.leading = LeaderLog::new(voters, own);
     }
 
-    /// The voter set may have changed: what was counted under the old one counts no
-    /// more.
+    /// Discards what was collected under a former voter set, if the voter set has changed.
     pub(super) fn follow_voter_set(&mut self, voters: Voters, current: &Membership) {
         if self.leading.stamp == voters.stamp {
             return;
@@ -122,8 +126,8 @@
         self.leading = LeaderLog { inherited, ..LeaderLog::new(voters, own) };
     }
 
-    /// A voter spoke on a connection. On a new one it may be a new process, which holds
-    /// nothing of what the former one acknowledged.
+    /// Records the connection on which a voter sent a message. On a new connection the
+    /// voter may be a new process, which holds nothing of what the former one acknowledged.
     pub(super) fn note_connection(&mut self, from: VoterSlot, connection: ConnectionId) {
         let slot = usize::from(from);
         let Some(known) = self.leading.connections.get_mut(slot) else { return };
@@ -132,14 +136,14 @@
         }
     }
 
-    /// A voter said which version it holds.
+    /// Records the version that a voter acknowledged.
     pub(super) fn note_acknowledged(&mut self, from: VoterSlot, version: MembershipVersion) {
         if let Some(cell) = self.leading.acknowledged.get_mut(usize::from(from)) {
             *cell = Some(version);
         }
     }
 
-    /// A voter told which memberships it holds.
+    /// Records the memberships that a voter reported.
     pub(super) fn note_fetched(&mut self, from: VoterSlot, held: Memberships) {
         if !self.leading.inherited
             && let Some(cell) = self.leading.fetched.get_mut(usize::from(from))
@@ -150,7 +154,7 @@
 }
 
 impl LeaderLog {
-    /// Nothing counted yet but what we hold ourselves.
+    /// Creates an empty state that has only the memberships of this node.
     fn new(voters: Voters, own: Memberships) -> Self {
         let size = voters.group.size;
         let mut fetched = vec![None; size];
--- a/crates/core/src/control_plane/membership_replication.rs
+++ b/crates/core/src/control_plane/membership_replication.rs
@@ -1,10 +1,11 @@
-//! Memberships as the configuration's leader hands them down: replicated to a
-//! majority of the voters before any member is told, and remembered until
-//! nobody can serve on by them any more.
+//! Replicates memberships from the leader of the configuration partition to the voters.
 //!
-//! At most one membership is on its way at a time, and none is issued before the
-//! ones before it are retired: `quorum::acceptance` of their members have left
-//! them, so that the rest can't gather the proofs to serve on by them.
+//! A membership is held by a majority of the voters before it is sent to any member, and is
+//! kept until no member can serve by it any more.
+//!
+//! At most one membership is being replicated at a time, and none is issued before the
+//! earlier ones are retired: `quorum::acceptance` of their members have left them, so that
+//! the remaining members can't gather the proofs that they need to go on serving.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::members::Members;
@@ -18,34 +19,34 @@
 use crate::time::{Span, Tick, since};
 use crate::voter_set::{VoterGroup, majority, others};
 
-/// While voters that restarted without a membership are needed for a majority, a new
-/// leader waits this long for those that have not answered: one of them may be the last
-/// that remembers it.
+/// How long a new leader waits for voters that have not answered, if it needs restarted
+/// voters without a membership for a majority. A voter that has not answered may be the
+/// last one that holds the membership.
 const ANSWER_TIMEOUT: Span = 3 * HEARTBEAT_INTERVAL;
 
-/// A membership that a leader replicates to us.
+/// A membership that a leader replicates to this node.
 pub struct ReplicatedMembership {
     /// Term of the leader.
     pub term: Term,
     /// The newest membership.
     pub current: Membership,
-    /// A majority holds it.
+    /// Whether a majority holds it.
     pub confirmed: bool,
-    /// Those that some member may still go by.
+    /// Former memberships that some member may still use.
     pub older: Vec<Membership>,
 }
 
-/// What came of a membership that a leader replicated to us.
+/// The outcome of storing a replicated membership.
 pub struct TakenMembership {
-    /// What the leader is told.
+    /// The response to the leader.
     pub acknowledgement: Message,
-    /// Members have something new to be told.
+    /// Whether there is a newer membership to send to the members.
     pub is_news: bool,
 }
 
 impl Members {
-    /// Begins to keep leases under a new term: who was a member stays one for
-    /// a lease, since we may not have heard it yet.
+    /// Starts to grant leases in a new term. Every former member remains a member for one
+    /// lease, since this node may not have received its renewal yet.
     pub fn begin_term(&mut self, now: Tick, term: Term, voters: Voters) {
         if self.is_leading_in(term) {
             return;
@@ -55,13 +56,13 @@
         self.log.begin_term(term, voters, own);
     }
 
-    /// All memberships that this voter knows.
+    /// Returns all memberships that this voter knows.
     pub fn held_memberships(&self) -> Memberships {
         self.log.held_with(&self.membership)
     }
 
-    /// Whether this leader knows all memberships that members may go by. Asks the
-    /// other voters until it does.
+    /// Returns whether this leader knows all memberships that members may use. Until then
+    /// it fetches them from the other voters.
     pub fn inherit_from_voters(
         &mut self,
         now: Tick,
@@ -89,9 +90,10 @@
         false
     }
 
-    /// Whether the voters have told enough to inherit: a majority of those that remember
-    /// a membership. One that has restarted remembers none, and the other voters of the
-    /// majority that held it may not have answered; we wait for them for a while.
+    /// Returns whether enough voters have answered to inherit their memberships: a majority
+    /// of voters that hold one. A restarted voter holds none, and the other voters of the
+    /// majority that stored the membership may not have answered yet; the leader waits for
+    /// them up to `ANSWER_TIMEOUT`.
     fn is_enough_fetched(&self, now: Tick, group: VoterGroup) -> bool {
         let answers = || self.log.leading.fetched.iter().flatten();
         let remembering = answers().filter(|held| !held.is_empty()).count();
@@ -102,9 +104,9 @@
             || (answered >= majority(group.size) && waited >= ANSWER_TIMEOUT)
     }
 
-    /// Enough voters have told what they hold. The newest that members were told came
-    /// with all those before it that may still be gone by; what is newer than that
-    /// may have been told as well.
+    /// Inherits the memberships that the voters reported. The newest membership that was
+    /// sent to members was replicated with all earlier ones that may still be in use. Newer
+    /// ones that voters hold may have been sent to members as well.
     fn take_over(&mut self, now: Tick) {
         let leading = &mut self.log.leading;
         leading.inherited = true;
@@ -125,8 +127,9 @@
         self.expect_all(now);
     }
 
-    /// Sends the newest membership to the voters that don't hold it, and confirms it
-    /// once a majority does. Tells whether members have something new to be told.
+    /// Sends the newest membership to the voters that lack it, and confirms it once a
+    /// majority holds it. Returns whether there is a newer membership to send to the
+    /// members.
     pub fn replicate(
         &mut self,
         now: Tick,
@@ -142,7 +145,7 @@
         is_confirmed
     }
 
-    /// Whether there is a proposed membership, and a majority holds it.
+    /// Returns whether there is a proposed membership and a majority holds it.
     fn is_proposed_held_by_majority(&self, group: VoterGroup) -> bool {
         self.log.proposed.as_ref().is_some_and(|proposed| {
             let id = proposed.id();
@@ -152,7 +155,7 @@
         })
     }
 
-    /// Makes the proposed membership the one that members are told.
+    /// Makes the proposed membership the one that is sent to the members.
     fn confirm(&mut self) {
         let Some(proposed) = self.log.proposed.take() else { return };
         let former = std::mem::replace(&mut self.membership, proposed);
@@ -161,7 +164,8 @@
         }
     }
 
-    /// Sends the newest membership to the voters that lack it, not too often.
+    /// Sends the newest membership to the voters that lack it, at most once per heartbeat
+    /// interval unless it has changed.
     fn send_newest(
         &mut self,
         now: Tick,
@@ -194,13 +198,14 @@
         }
     }
 
-    /// Whether a leader of this term has been followed by another, as far as we
-    /// obeyed (`obeyed_term`) or were spoken to.
+    /// Returns whether the leader of this term has been replaced, according to the term of
+    /// the local replica (`obeyed_term`) or to the messages of later leaders.
     fn is_superseded(&self, term: Term, obeyed_term: Term) -> bool {
         term < self.log.term || term < obeyed_term
     }
 
-    /// A leader replicates a membership to us; `None` if it leads no more.
+    /// Stores a membership that a leader replicates to this node. Returns `None` if that
+    /// node is no longer the leader.
     pub fn take_replicated(
         &mut self,
         obeyed_term: Term,
@@ -229,19 +234,21 @@
         Some(TakenMembership { acknowledgement, is_news })
     }
 
-    /// A voter spoke on a connection, which tells its processes apart.
+    /// Records the connection on which a voter sent a message. The connection tells the
+    /// processes of a voter apart.
     pub fn on_voter_connection(&mut self, from: VoterSlot, connection: ConnectionId) {
         self.log.note_connection(from, connection);
     }
 
-    /// A voter holds what we sent under this term.
+    /// Handles a voter's acknowledgement of a version that this node sent in this term.
     pub fn on_replicated(&mut self, from: VoterSlot, term: Term, version: MembershipVersion) {
         if self.is_leading_in(term) {
             self.log.note_acknowledged(from, version);
         }
     }
 
-    /// A new leader asks which memberships we hold; `None` if it leads no more.
+    /// Returns the memberships that this node holds, for a new leader that fetches them.
+    /// Returns `None` if that node is no longer the leader.
     pub fn answer_fetch(&mut self, obeyed_term: Term, term: Term) -> Option<Message> {
         if self.is_superseded(term, obeyed_term) {
             return None;
@@ -251,14 +258,14 @@
         Some(Message::MembershipFetched { term, current, others, stamp: 0 })
     }
 
-    /// A voter told which memberships it holds.
+    /// Handles the memberships that a voter reported.
     pub fn on_fetched(&mut self, from: VoterSlot, term: Term, held: Memberships) {
         if self.is_leading_in(term) {
             self.log.note_fetched(from, held);
         }
     }
 
-    /// A member told a membership that we did not know of.
+    /// Adds a membership that a member reported and that this leader did not know.
     pub fn learn_of(&mut self, now: Tick, membership: Membership) {
         let Some((term, _)) = self.leadership else { return };
         let id = membership.id();
--- a/crates/core/src/control_plane/membership_updates.rs
+++ b/crates/core/src/control_plane/membership_updates.rs
@@ -1,5 +1,5 @@
-//! The membership moves on: leases end, the leader issues and replicates
-//! memberships, and members are told.
+//! Advances the membership: leases expire, the leader issues and replicates memberships,
+//! and members are notified.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -11,17 +11,18 @@
 use crate::replication::partition::Role;
 use crate::time::Tick;
 
-/// How a membership that a member goes by came to us.
+/// The peer that reported a membership in use by a member.
 #[derive(Clone, Copy, PartialEq)]
 pub enum MembershipSource {
-    /// From the member itself.
+    /// The member itself.
     Member,
-    /// From a voter that forwarded it.
+    /// A voter that forwarded the report.
     Voter,
 }
 
 impl ControllerState {
-    /// Time passes: leases end, and the membership's state is told when it changed.
+    /// Handles a timer tick: expires leases, and notifies the members if the membership
+    /// changed.
     pub(super) fn wake_members(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let Some(term) = self.lease_term() else {
             self.members.leadership = None;
@@ -35,8 +36,8 @@
         }
     }
 
-    /// Moves the membership on as far as it goes now. A leader that has not heard yet
-    /// which memberships members may go by must not issue another one beside them.
+    /// Advances the membership as far as possible now. A leader that does not know yet
+    /// which memberships members may use must not issue another one.
     pub(super) fn advance_membership(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let Some((term, _)) = self.members.leadership else { return };
         if !self.members.log.is_inherited() || self.members.is_gathering(now) {
@@ -54,30 +55,30 @@
         }
     }
 
-    /// Sends the membership's state to our connections.
+    /// Sends the membership's state to the subscribers.
     fn notify_members(&self, commands: &mut Vec<Command>) {
-        // Who follows the membership as a partition is sent it with the other updates.
+        // Subscribers of the membership as a partition receive it with the other updates.
         let others = self.followers.iter().filter(|(_, places)| !places.contains_key(&COHORT));
         for (connection, _) in others {
             commands.push(self.membership_for(*connection));
         }
     }
 
-    /// The membership's state, to be sent on a connection.
+    /// Returns the command that sends the membership's state on a connection.
     fn membership_for(&self, connection: ConnectionId) -> Command {
         let message = Message::MembershipUpdate(self.members.membership.clone());
         Command::ToConnection { connection, message }
     }
 
-    /// Sends the state to a follower that just said where it stands.
+    /// Sends the membership's state to a peer that has just subscribed.
     pub(super) fn greet(&self, connection: ConnectionId, commands: &mut Vec<Command>) {
         if self.members.membership.term > Term::ZERO {
             commands.push(self.membership_for(connection));
         }
     }
 
-    /// A member tells the membership that it goes by: to the leader, by way of us or
-    /// as it is.
+    /// Handles the report of a membership that a member uses. A follower forwards the
+    /// report of a member to the leader.
     pub(super) fn on_membership_told(
         &mut self,
         now: Tick,
@@ -95,7 +96,7 @@
         }
     }
 
-    /// A leader replicates a membership to us.
+    /// Stores a membership that a leader replicates to this node.
     pub(super) fn on_replicate_membership(
         &mut self,
         from: VoterSlot,
@@ -110,7 +111,7 @@
         commands.push(Command::ToVoter { slot: from, message: taken.acknowledgement });
     }
 
-    /// A new leader asks which memberships we hold.
+    /// Answers a new leader that fetches the memberships of this node.
     pub(super) fn on_fetch_membership(
         &mut self,
         from: VoterSlot,
@@ -123,7 +124,7 @@
         }
     }
 
-    /// Answers the status requests for which it is proved that we lead.
+    /// Answers the status requests for which this node has proved that it leads.
     pub(super) fn answer_status(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let Role::Leader(leader) = &mut self.partitions[0].role else { return };
         let proved = std::mem::take(&mut leader.proved_status);
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -1,8 +1,8 @@
-//! When a former membership is out of use.
+//! Decides when a former membership is no longer in use.
 //!
-//! It is *retired* once so many of its members have left it that the others can
-//! gather no more proofs to serve on by it, and *over* once those that they may
-//! have gathered before are out of date.
+//! A membership is *retired* once so many of its members have left it that the others can't
+//! gather new proofs to serve on by it. It is *over* once all proofs gathered before have
+//! expired.
 
 use crate::control_plane::members::Members;
 use crate::protocol::membership::{Member, Membership};
@@ -10,7 +10,8 @@
 use crate::{consts, quorum};
 
 impl Members {
-    /// Notes which former memberships nobody can serve on by any more.
+    /// Records which former memberships are retired, and drops those by which no member can
+    /// serve any more.
     pub fn retire_former(&mut self, now: Tick) {
         let mut older = std::mem::take(&mut self.log.older);
         for former in &mut older {
@@ -24,8 +25,9 @@
         self.log.older = older;
     }
 
-    /// Whether a process that a membership names has left it: it goes by a newer
-    /// one, or is no more. Either way it attests no more for that one.
+    /// Returns whether a process that a membership names has left it, because it uses a
+    /// newer one or no longer exists. Either way it sends no more attestations for this
+    /// membership.
     pub fn has_left(&self, membership: &Membership, member: &Member) -> bool {
         self.is_gone(member)
             || self.last_renewals.get(&member.name).is_some_and(|heard| {
@@ -35,8 +37,9 @@
             })
     }
 
-    /// Whether so many have left a membership that the others can't serve on by it.
-    /// A lone member never does.
+    /// Returns whether so many members have left a membership that the others can't gather
+    /// the proofs to serve by it. The only member of a membership needs no proofs; it must
+    /// be silent for a lease.
     fn is_left(&self, now: Tick, membership: &Membership) -> bool {
         let list = &membership.members;
         let left = list.iter().filter(|member| self.has_left(membership, member)).count();
@@ -44,8 +47,9 @@
             || (list.len() == 1 && !self.is_live(now, &list[0].name))
     }
 
-    /// Whether nobody serves on any more by a membership that was left at `retired`:
-    /// the proofs that those who left it may have given before are out of date.
+    /// Returns whether no member can serve any more by a membership that was retired at
+    /// `retired`, because the attestations that leaving members may have sent before have
+    /// expired.
     fn is_over(&self, now: Tick, membership: &Membership, retired: Tick) -> bool {
         let list = &membership.members;
         let is_quiet = |member: &&Member| {
