--- a/crates/core/src/control_plane/order_memory/legacy.rs
+++ b/crates/core/src/control_plane/order_memory/legacy.rs
@@ -1,8 +1,8 @@
-//! The older form of the memory of orders: one entry `request/ID` for each,
-//! with the digest of its text and its revision as text, 512 of them at most.
+//! The older format of the deduplication table: one entry `request/ID` for each request,
+//! with the digest of its text and its revision as text; 512 entries at most.
 //!
-//! Such entries are read as long as there are any; the next accepted order
-//! carries them over (`super::remember`) and removes them.
+//! Such entries are read as long as there are any. The next accepted request migrates them
+//! to the present format (`super::insert`) and removes them.
 
 use crate::config::stored::{Entry, with_prefix};
 use crate::control_plane::order_memory::record::{
@@ -11,18 +11,18 @@
 use crate::protocol::replica::EntryMap;
 use crate::replication::private_entries::OLDER_ORDER_PREFIX as PREFIX;
 
-/// Entries that were kept (count): with so many, older ones may have been
-/// forgotten.
+/// Capacity of the older format (count): if there are as many entries, older ones may have
+/// been evicted.
 const KEPT: usize = 512;
-/// Hex digits of the digest of a text.
+/// Number of hex digits of the digest of a text.
 const DIGEST_DIGITS: usize = 32;
 
-/// Whether there is anything to carry over.
+/// Returns whether there are entries to migrate.
 pub fn present(map: &EntryMap) -> bool {
     with_prefix(map, PREFIX).next().is_some()
 }
 
-/// What these entries say of an order.
+/// Looks a request up in these entries.
 pub fn recall(map: &EntryMap, request: &str, order: &Fingerprint) -> Recall {
     let known = map.get(&format!("{PREFIX}{request}")).and_then(|value| parsed(value));
     match known {
@@ -34,7 +34,7 @@
     }
 }
 
-/// All orders that these entries remember, with their revisions.
+/// Returns the fingerprints of all requests in these entries, with their revisions.
 pub fn orders(map: &EntryMap) -> impl Iterator<Item = (Fingerprint, u64)> {
     with_prefix(map, PREFIX).filter_map(|(request, value)| {
         let (digest, revision) = parsed(value)?;
@@ -42,13 +42,13 @@
     })
 }
 
-/// The entries that remove all of this form.
+/// Returns the entries that remove all entries of this format.
 pub fn removed(map: &EntryMap) -> impl Iterator<Item = Entry> {
     with_prefix(map, PREFIX).map(|(request, _)| (format!("{PREFIX}{request}"), None))
 }
 
-/// How far back orders may be forgotten. Nobody noted which edition stood
-/// then; it was not above the one that stands now.
+/// Returns the horizon up to which requests may have been evicted. The edition at that time
+/// was not stored; it can't have been higher than the current one.
 pub fn horizon(map: &EntryMap, edition: u64) -> Horizon {
     let revisions: Vec<u64> = orders(map).map(|(_, revision)| revision).collect();
     match revisions.iter().min() {
@@ -59,7 +59,7 @@
     }
 }
 
-/// The digest of the text, and the revision.
+/// Parses a value into the digest of the text and the revision.
 fn parsed(value: &[u8]) -> Option<([u8; 16], u64)> {
     let (digest, revision) = std::str::from_utf8(value).ok()?.split_once(' ')?;
     if digest.len() != DIGEST_DIGITS || !digest.is_ascii() {
--- a/crates/core/src/control_plane/order_memory/mod.rs
+++ b/crates/core/src/control_plane/order_memory/mod.rs
@@ -1,18 +1,19 @@
-//! The memory of accepted orders: what makes it safe to send one again.
+//! The deduplication table of accepted operator requests, which makes it safe to send a
+//! request again under the same request id (idempotency key).
 //!
-//! Each accepted order leaves a record of fixed size in the map of the
-//! configuration's partition, so the memory is replicated, synced and part of
-//! every snapshot like the configuration itself. The functions here are pure:
-//! they read the map and give the entries that change it.
+//! Each accepted request adds a record of fixed size to the entries of the configuration
+//! partition. The table is therefore replicated, synced and part of every snapshot, like
+//! the configuration itself. The functions here are pure: they read the entries and return
+//! the entries that change them.
 //!
-//! Records lie in buckets, chosen by the digest of the request id. A lookup
-//! reads one bucket, an accepted order rewrites one or two, and nothing walks
-//! the whole memory.
+//! Records are stored in buckets, chosen by the digest of the request id. A lookup reads
+//! one bucket, an accepted request rewrites one or two, and no operation visits the whole
+//! table.
 //!
-//! Each accepted order raises the partition's revision by one, and next to nothing
-//! else does, so the memory goes by revisions: it keeps the orders of the last
-//! [`ORDERS_KEPT`] revisions at least. What may be older than that is told by
-//! the [`Horizon`], and an order that may lie beyond it gets no clear answer.
+//! Each accepted request raises the partition's revision by one, and hardly anything else
+//! does. So eviction goes by revisions: the table keeps the requests of at least the last
+//! [`MIN_REQUESTS_KEPT`] revisions. The [`Horizon`] tells what may have been evicted; a
+//! request that may lie beyond it gets no definite result.
 
 mod legacy;
 mod record;
@@ -24,19 +25,19 @@
 use record::{BUCKETS, NUMBER_BYTES, Record, bucket, bucket_key, number, record_bytes};
 pub use record::{Fingerprint, Horizon, OrderBase, Recall, fingerprint};
 
-/// Orders that are remembered at least (count): two days of 7,200 changes
-/// each, and an eighth more.
+/// Minimum number of revisions whose requests are kept: two days of 7,200 changes each,
+/// plus an eighth.
 pub const ORDERS_KEPT: u64 = 16_384;
-/// Orders from one mark to the next (count): the memory reaches up to this
-/// much further back than it must, and the list of marks stays short.
+/// Number of revisions between two checkpoints. The table reaches back by up to this many
+/// revisions more than required, and the list of checkpoints stays short.
 const MARK_SPACING: u64 = 1_024;
 
-/// Key of the marks.
+/// Key of the checkpoints.
 const MARKS: &str = "order/marks";
-/// Bytes of one mark: revision, edition.
+/// Bytes of one checkpoint: revision, edition.
 const MARK_BYTES: usize = 2 * NUMBER_BYTES;
 
-/// What the memory says of an order that came under this request id.
+/// Looks a request up by its request id.
 pub fn recall(map: &EntryMap, request: &str, order: &Fingerprint) -> Recall {
     let records = bucket(map, order.bucket);
     match records.iter().rev().find(|record| record.has_request_of(order)) {
@@ -46,18 +47,18 @@
     }
 }
 
-/// How far back the memory may have gaps.
+/// Returns the horizon up to which requests may have been evicted.
 pub fn horizon(map: &EntryMap) -> Horizon {
     let marked = marks(map).first().copied().unwrap_or_default();
     let older = legacy::horizon(map, edition(map));
     if older.revision > marked.revision { older } else { marked }
 }
 
-/// Whether an order that is not remembered may have been accepted all the same.
+/// Returns whether a request that is not in the table may have been accepted and evicted.
 ///
-/// An order is accepted only where its base stands, and leaves a higher
-/// revision and the edition that it names. Neither ever falls. So one that
-/// builds on, or makes, something newer than the horizon is not beyond it.
+/// A request is accepted only on the revision and edition that it builds on, and results in
+/// a higher revision and in the edition that it names. Neither ever decreases. So a request
+/// that builds on or results in something newer than the horizon can't have been evicted.
 pub fn may_be_forgotten(horizon: &Horizon, base: &OrderBase) -> bool {
     let never = matches!((base.edition, base.next_edition), (Some(on), Some(next)) if next <= on);
     horizon.revision > 0
@@ -67,9 +68,9 @@
         && base.next_edition.is_none_or(|next| next <= horizon.edition)
 }
 
-/// The entries that remember an order accepted as `revision`, after which
-/// `next_edition` stands. They also forget what is older than needed, and carry
-/// over what a state of the older form remembers.
+/// Returns the entries that record a request accepted as `revision`, after which the
+/// edition is `next_edition`. They also evict the records that are older than required, and
+/// migrate the entries of the older format.
 pub fn remember(
     map: &EntryMap,
     order: &Fingerprint,
@@ -98,8 +99,8 @@
     entries
 }
 
-/// Takes the orders of the older form into `buckets` and removes their
-/// entries; gives the marks that hold from then on.
+/// Adds the requests of the older format to `buckets` and removes their entries. Returns
+/// the resulting checkpoints.
 fn carry_over(
     map: &EntryMap,
     buckets: &mut BTreeMap<u16, Vec<Record>>,
@@ -118,8 +119,8 @@
     marks
 }
 
-/// Sets a mark where one is due and drops the first as long as the next one
-/// leaves enough orders remembered.
+/// Adds a checkpoint if one is due, and drops the first ones as long as the remaining ones
+/// cover enough requests.
 fn advance(marks: &mut Vec<Horizon>, revision: u64, edition: u64) {
     let last = marks.last().map_or(0, |mark| mark.revision);
     if revision < last + MARK_SPACING {
@@ -134,7 +135,7 @@
     marks.drain(..first);
 }
 
-/// The entry that puts a bucket in place of the one that stands, if it differs.
+/// Returns the entry that replaces a bucket, if its contents changed.
 fn rewritten(map: &EntryMap, number: u16, records: &[Record]) -> Option<Entry> {
     let key = bucket_key(number);
     let bytes: Vec<u8> = records.iter().flat_map(record_bytes).collect();
@@ -142,7 +143,7 @@
     (old != bytes).then(|| (key, (!bytes.is_empty()).then_some(bytes)))
 }
 
-/// Revisions with the editions that stood then, the horizon first.
+/// Returns the checkpoints: revisions with the editions at that time, the horizon first.
 fn marks(map: &EntryMap) -> Vec<Horizon> {
     let bytes = map.get(MARKS).map_or(&[][..], Vec::as_slice);
     let mark = |bytes: &[u8]| {
--- a/crates/core/src/control_plane/order_memory/record.rs
+++ b/crates/core/src/control_plane/order_memory/record.rs
@@ -1,24 +1,24 @@
-//! The records of the memory of orders: what an order is known by, what is
-//! remembered of it, and how a record lies in its bucket.
+//! The records of the deduplication table: the fingerprint of a request, the stored fields,
+//! and their encoding in a bucket.
 
 use crate::digest::digest_bytes;
 use crate::protocol::replica::EntryMap;
 use crate::replication::private_entries::ORDER_PREFIX;
 
-/// Buckets (count). A full memory has four records in each: an accepted order
-/// rewrites some 100 bytes, and the keys stay a fifth of the whole.
+/// Number of buckets. A full table has four records in each. An accepted request then
+/// rewrites about 100 bytes, and the keys are a fifth of the total size.
 pub(super) const BUCKETS: u64 = 4_096;
-/// Bytes of a digest of a request id that a record holds. Together with the 12
-/// bits that chose the bucket two ids are taken for one once in 2^92.
+/// Bytes that a record holds of the digest of the request id. Together with the 12 bits
+/// that choose the bucket, two ids collide with a probability of 1 in 2^92.
 const REQUEST_BYTES: usize = 10;
-/// Bytes of the digest of a text that a record holds. Compared only where one
-/// request id was used twice.
+/// Bytes that a record holds of the digest of the text. They are compared only if a request
+/// id was used twice.
 const TEXT_BYTES: usize = 6;
 /// Bytes of a revision or an edition.
 pub(super) const NUMBER_BYTES: usize = 8;
-/// Bytes of one record: request, text, revision.
+/// Bytes of one record: request id, text, revision.
 const RECORD_BYTES: usize = REQUEST_BYTES + TEXT_BYTES + NUMBER_BYTES;
-/// What an order is known by: its request id and its text.
+/// The fingerprint of a request: digests of its request id and of its text.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Fingerprint {
     pub(super) bucket: u16,
@@ -26,42 +26,42 @@
     text: [u8; TEXT_BYTES],
 }
 
-/// What the memory says of an order.
+/// The result of a lookup in the deduplication table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Recall {
-    /// Not remembered: never accepted, or accepted beyond the horizon.
+    /// Not in the table: never accepted, or evicted.
     Absent,
     /// Accepted as this revision.
     Accepted {
-        /// The revision that it made.
+        /// The revision that the request created.
         revision: u64,
     },
-    /// The request id belongs to an accepted order with another text.
+    /// The request id belongs to an accepted request with a different text.
     OtherText,
 }
 
-/// How far back the memory may have gaps: orders that were accepted up to this
-/// revision, when this edition stood, may be forgotten. Zeros: nothing is.
+/// The limit of what the table covers: requests that were accepted up to this revision, at
+/// this edition, may have been evicted. Zeros mean that none was.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Horizon {
-    /// The newest revision that may be forgotten.
+    /// The newest revision whose request may have been evicted.
     pub revision: u64,
-    /// The edition that stood at that revision.
+    /// The edition at that revision.
     pub edition: u64,
 }
 
-/// What an order says of the state that it builds on and makes.
+/// The state that a request builds on and results in, as far as the request names it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct OrderBase {
-    /// The revision that it builds on.
+    /// The revision that the request builds on.
     pub revision: Option<u64>,
-    /// The edition that it builds on.
+    /// The edition that the request builds on.
     pub edition: Option<u64>,
-    /// The edition that it makes.
+    /// The edition that the request results in.
     pub next_edition: Option<u64>,
 }
 
-/// A remembered order.
+/// The record of an accepted request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(super) struct Record {
     request: [u8; REQUEST_BYTES],
@@ -70,29 +70,30 @@
 }
 
 impl Record {
-    /// The record of an order that was accepted as `revision`.
+    /// Creates the record of a request that was accepted as `revision`.
     pub(super) fn new(order: &Fingerprint, revision: u64) -> Self {
         Self { request: order.request, text: order.text, revision }
     }
 
-    /// Whether an order came under the same request id.
+    /// Returns whether a request has the same request id.
     pub(super) fn has_request_of(&self, order: &Fingerprint) -> bool {
         self.request == order.request
     }
 
-    /// Whether an order has the same text.
+    /// Returns whether a request has the same text.
     pub(super) fn has_text_of(&self, order: &Fingerprint) -> bool {
         self.text == order.text
     }
 }
 
-/// The fingerprint of an order, `whole` or partial.
+/// Returns the fingerprint of a request that replaces the configuration or, if
+/// `is_replacement` is false, changes a part of it.
 pub fn fingerprint(request: &str, whole: bool, text: &[u8]) -> Fingerprint {
     let digest = digest_bytes(&[&[u8::from(whole)], text].concat());
     fingerprint_of_digest(request, &digest)
 }
 
-/// The fingerprint of an order by the digest of its text.
+/// Returns the fingerprint of a request, given the digest of its text.
 pub(super) fn fingerprint_of_digest(request: &str, text: &[u8; 16]) -> Fingerprint {
     let id = digest_bytes(request.as_bytes());
     let bucket = u64::from(u16::from_le_bytes([id[0], id[1]])) % BUCKETS;
@@ -103,7 +104,7 @@
     format!("{ORDER_PREFIX}{number:03x}")
 }
 
-/// The records of a bucket, in the order in which they were accepted.
+/// Returns the records of a bucket in the order in which their requests were accepted.
 pub(super) fn bucket(map: &EntryMap, number: u16) -> Vec<Record> {
     let bytes = map.get(&bucket_key(number)).map_or(&[][..], Vec::as_slice);
     bytes.chunks_exact(RECORD_BYTES).map(record).collect()
@@ -123,7 +124,7 @@
     u64::from_le_bytes(array(bytes))
 }
 
-/// The first `N` bytes; what is missing is zero.
+/// Returns the first `N` bytes, padded with zeros.
 fn array<const N: usize>(bytes: &[u8]) -> [u8; N] {
     let mut out = [0; N];
     let len = N.min(bytes.len());
