--- a/crates/core/src/control_plane/commit_times.rs
+++ b/crates/core/src/control_plane/commit_times.rs
@@ -1,22 +1,22 @@
-//! When the latest revisions were committed.
+//! The times at which the latest revisions were committed.
 
 use std::collections::VecDeque;
 
 use crate::time::Tick;
 
-/// Revisions whose commit is remembered (count): orders are waited for within
-/// seconds, and older ones count as committed long ago.
+/// Maximum number of revisions whose commit time is kept. Operators wait for a change for
+/// seconds only, and older revisions count as committed long ago.
 const COMMITS_KEPT: usize = 256;
 
-/// Since when the latest revisions are committed, as far as this leader knows.
+/// The commit times of the latest revisions, as far as this leader knows them.
 #[derive(Default)]
 pub struct CommitTimes {
-    /// Committed revisions, and when we came to know: the newest last.
+    /// Committed revisions and when this node learned of the commit, the newest last.
     commits: VecDeque<(u64, Tick)>,
 }
 
 impl CommitTimes {
-    /// Everything up to this revision is committed now.
+    /// Records that everything up to this revision is committed.
     pub fn note(&mut self, now: Tick, committed: u64) {
         if self.commits.back().is_none_or(|(revision, _)| *revision < committed) {
             self.commits.push_back((committed, now));
@@ -26,7 +26,7 @@
         }
     }
 
-    /// When we came to know that a revision is committed, if it is.
+    /// Returns when this node learned that a revision is committed, if it is.
     pub fn committed_at(&self, revision: u64) -> Option<Tick> {
         self.commits.iter().find(|(known, _)| *known >= revision).map(|(_, at)| *at)
     }
--- a/crates/core/src/control_plane/counters.rs
+++ b/crates/core/src/control_plane/counters.rs
@@ -1,26 +1,27 @@
-//! What a controller counts for its metrics.
+//! The event counters of a controller, for its metrics.
 
-/// What is counted since the process started.
+/// Event counts since the process started.
 #[derive(Clone, Default, Debug)]
 pub struct Counters {
-    /// Operators' requests that were accepted.
+    /// Operator requests that were accepted.
     pub accepted: u64,
-    /// Operators' requests that ended otherwise, reads excepted.
+    /// Operator requests that ended otherwise, except reads.
     pub rejected: u64,
-    /// Elections in which we asked for votes.
+    /// Elections in which this node requested votes.
     pub candidacies: u64,
-    /// Times that we became the leader of a partition.
+    /// Times that this node became the leader of a partition.
     pub leaderships_won: u64,
-    /// Times that we ceased to be the leader of a partition.
+    /// Times that this node ceased to be the leader of a partition.
     pub leaderships_lost: u64,
-    /// Times that a replica's disk worked again after it had failed.
+    /// Times that a replica's disk worked again after a failure.
     pub disks_recovered: u64,
-    /// Snapshots that followers asked us for.
+    /// Snapshots that followers requested from this node.
     pub snapshot_requests: u64,
-    /// Times that files of a partition were found corrupted while we ran.
+    /// Times that files of a partition were found to be corrupted at run time.
     pub corruptions: u64,
     /// Updates sent to subscribers.
     pub updates_sent: u64,
-    /// Leaf lists that were refused, since a later holder of that duty had spoken.
+    /// Leaf lists that were refused because their sender is no longer assigned to poll the
+    /// list.
     pub fenced_lists: u64,
 }
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -1,5 +1,5 @@
-//! The leafs of a partition's services: the platform's list merged with what
-//! members report of them at first hand.
+//! The leafs of a partition's services: the platform's list merged with the reports of
+//! members that talk to the leafs.
 
 use std::collections::BTreeMap;
 
@@ -19,12 +19,12 @@
 use crate::time::{MILLI, SECOND, Span, Tick, since};
 use crate::voter_set::VoterGroup;
 
-/// A leaf that the list no longer names is taken out after this long; a list
-/// that lags or flaps must not empty a pool.
+/// A leaf that is missing from the list is removed after this time. A list that lags or
+/// flaps must not empty a pool.
 const LEAF_ABSENCE: Span = 5 * SECOND;
-/// The same while most of a service's leafs have vanished from the list.
+/// The same while most of a service's leafs are missing from the list.
 const LEAF_ABSENCE_DOUBTED: Span = 6 * LEAF_ABSENCE;
-/// How often the leader of a partition looks which leafs have grown older.
+/// How often the leader of a partition checks which stored leaf ages are outdated.
 const AGES_INTERVAL: Span = SECOND;
 
 /// Leafs by name.
@@ -34,7 +34,7 @@
     (key(&info.leaf), Some(info.serialize_bin()))
 }
 
-/// Changes the partition, unless there is nothing to change.
+/// Proposes a change of the partition, unless there are no entries to change.
 fn change_if_any(
     partition: &mut Partition,
     now: Tick,
@@ -47,9 +47,9 @@
     }
 }
 
-/// The holder of the list's duty reports what the list names for this partition.
-/// Under a fence below the highest seen it holds that duty no more, and is counted
-/// only.
+/// Handles the leafs listed for this partition, as reported by the member that is assigned
+/// to poll the list. A report with a fence below the highest one seen comes from a member
+/// that is no longer assigned; it is counted and ignored.
 pub fn on_list(
     partition: &mut Partition,
     now: Tick,
@@ -84,14 +84,14 @@
     change_if_any(partition, now, group, entries, commands);
 }
 
-/// The entries of the leafs that a list names, where they differ from what is known.
+/// Returns the entries of the listed leafs that differ from the known ones.
 fn listed_entries(list: &Leafs, known: &Leafs) -> Vec<Entry> {
     let mut entries = Vec::new();
     for (name, info) in list {
         let mut info = info.clone();
         let old = known.get(name);
-        // The list lags: who once said that it leaves does not come back
-        // under the same identity.
+        // The list may lag: a leaf that has once reported that it is leaving does not
+        // return under the same identity.
         info.leaving |= old.is_some_and(|old| old.leaving);
         info.age_ms = old.map_or(0, |old| old.age_ms);
         if old != Some(&info) {
@@ -101,7 +101,8 @@
     entries
 }
 
-/// The entries that remove the known leafs which a list has not named for too long.
+/// Returns the entries that remove the known leafs that have been missing from the list for
+/// too long.
 fn removed_entries(leader: &mut Leader, now: Tick, list: &Leafs, known: &Leafs) -> Vec<Entry> {
     let mut entries = Vec::new();
     for (name, info) in known {
@@ -109,7 +110,7 @@
             leader.absent_leafs.remove(name);
             continue;
         }
-        // A new identity at its address: the old one is surely gone.
+        // A new identity at its address proves that the old one is gone.
         let is_replaced =
             list.values().any(|other| other.addr == info.addr && !known.contains_key(&other.leaf));
         let absent_since = *leader.absent_leafs.entry(name.clone()).or_insert(now);
@@ -124,17 +125,16 @@
     entries
 }
 
-/// Whether to doubt a list that does not name a leaf: most of its service has
-/// vanished from the list.
+/// Returns whether a list that does not name a leaf is doubtful, because most leafs of its
+/// service are missing from the list.
 fn is_doubtful(info: &LeafInfo, list: &Leafs, known: &Leafs) -> bool {
     let count = |leafs: &Leafs| leafs.values().filter(|l| l.service == info.service).count();
     count(list) * 2 < count(known) && !info.leaving
 }
 
-/// Time passes, and leafs grow older: not all of them tell their age, and none
-/// must be taken for new when all of us start again. What is written is what
-/// an identity has surely reached: how old it was when this leader first saw
-/// it, and how long ago that was.
+/// Updates the stored ages of the leafs. Not all leafs report their age, and none must be
+/// treated as new after a restart of all controllers. The stored value is a lower bound:
+/// the age at which this leader first saw the identity, plus the time since then.
 pub fn grow(partition: &mut Partition, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
     let known = match partition.leader() {
         Some(leader) if leader.is_serving && now >= leader.ages_at => {
@@ -156,14 +156,15 @@
     change_if_any(partition, now, group, entries, commands);
 }
 
-/// Whether a leaf has grown so much older than what is stored that it is written.
+/// Returns whether a leaf has become so much older than its stored age that the age is
+/// stored again.
 fn is_worth_telling(stored: &LeafInfo, age_ms: u64) -> bool {
     stored.age_ms < consts::MAX_REPORTED_LEAF_AGE_MS
         && age_ms
             >= stored.age_ms * consts::LEAF_AGE_REPORT_FACTOR + consts::MIN_REPORTED_LEAF_AGE_MS
 }
 
-/// Members report what leafs said of themselves.
+/// Handles the reports of members about the state that leafs reported to them.
 pub fn on_reports(
     partition: &mut Partition,
     now: Tick,
@@ -178,8 +179,8 @@
     let mut entries: Vec<Entry> = Vec::new();
     for report in reports {
         let Some(info) = known.get(&report.leaf) else { continue };
-        // Who is gone stays as one that leaves until the list forgets it:
-        // taken out at once, a list that lags would bring it back.
+        // A leaf that is gone is kept as leaving until the list no longer names it. If it
+        // were removed at once, a list that lags would add it again.
         let new = LeafInfo {
             leaving: info.leaving || report.leaving || report.gone,
             age_ms: info.age_ms.max(report.age_ms),
--- a/crates/core/src/control_plane/feed.rs
+++ b/crates/core/src/control_plane/feed.rs
@@ -1,10 +1,11 @@
-//! What is committed, as a numbered feed of a partition.
+//! The committed changes of a partition, as a feed numbered by revisions.
 
 use crate::protocol::message::Message;
 use crate::replication::partition::Partition;
 use crate::replication::private_entries::{is_private, public_entries};
 
-/// The update that takes a follower from `place` to what is committed now.
+/// Returns the update that takes a subscriber from revision `position` to the committed
+/// revision.
 pub fn update_after(partition: &Partition, place: u64) -> Option<Message> {
     if place >= partition.committed_revision {
         return None;
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -1,5 +1,5 @@
-//! What comes on connections that others opened to us: from members, and from
-//! controllers without a voter slot.
+//! Handles messages on connections that other nodes opened to this one: from members, and
+//! from controllers without a voter slot.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -16,17 +16,17 @@
 use crate::voter_set::NOBODY;
 use crate::voters::slot_takeover::Candidate;
 
-/// How a report about leafs came to us.
+/// The peer from which a report about leafs was received.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ReportSource {
-    /// From the member that reports.
+    /// The member that reports.
     Member,
-    /// From a voter that forwarded it.
+    /// A voter that forwarded the report.
     Voter,
 }
 
 impl ControllerState {
-    /// A member or a controller without a voter slot says something.
+    /// Handles a message from a member or from a controller without a voter slot.
     pub(super) fn on_connection_message(
         &mut self,
         now: Tick,
@@ -70,8 +70,8 @@
         }
     }
 
-    /// A controller that has no voter slot, or leaves its own, says something about
-    /// the voter slots.
+    /// Handles a message about the voter slots from a controller that has no slot or is
+    /// leaving its slot.
     fn on_spare_message(
         &mut self,
         now: Tick,
@@ -102,7 +102,8 @@
         }
     }
 
-    /// Reports about leafs go to the leader of their partition, forwarded once.
+    /// Handles a report about leafs. A follower forwards it to the leader of the partition;
+    /// a report is forwarded only once.
     pub(super) fn on_leaf_report(
         &mut self,
         now: Tick,
--- a/crates/core/src/control_plane/from_controllers.rs
+++ b/crates/core/src/control_plane/from_controllers.rs
@@ -1,4 +1,4 @@
-//! What controllers answer on connections that we opened.
+//! Handles messages on connections that this node opened to other controllers.
 
 use crate::command::Command;
 use crate::control_plane::controller::ControllerState;
@@ -7,7 +7,7 @@
 use crate::time::Tick;
 
 impl ControllerState {
-    /// A controller answers on a connection that we opened.
+    /// Handles a message of a controller on a connection that this node opened.
     pub(super) fn on_controller_message(
         &mut self,
         now: Tick,
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -1,4 +1,4 @@
-//! What the holders of the voter slots say.
+//! Handles messages from the holders of the voter slots.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -20,7 +20,7 @@
 use crate::voter_set::NOBODY;
 use crate::voters::stamp::stamp_of;
 
-/// Who says something as the holder of a voter slot, and where.
+/// The holder of a voter slot that sent a message, and its connection.
 #[derive(Clone, Copy)]
 pub(super) struct VoterSender {
     pub(super) slot: VoterSlot,
@@ -29,7 +29,7 @@
 }
 
 impl ControllerState {
-    /// The holder of a voter slot says something.
+    /// Handles a message from the holder of a voter slot.
     pub(super) fn on_voter_message(
         &mut self,
         now: Tick,
@@ -47,8 +47,9 @@
         }
     }
 
-    /// Whether what the holder of a voter slot says counts: only if our voter set
-    /// names it so, and a vote only if its own voter set is the same.
+    /// Returns whether a message from a voter is accepted: only if the voter set of this
+    /// node has the sender as the holder of the slot and, for messages that carry a stamp,
+    /// if the sender has the same voter set.
     fn counts_from(
         &mut self,
         now: Tick,
@@ -73,7 +74,7 @@
         has_same_set && self.slot != NOBODY
     }
 
-    /// Another replica of a partition says something.
+    /// Handles a message from another replica of a partition.
     fn on_partition_message(
         &mut self,
         now: Tick,
@@ -93,7 +94,7 @@
         self.counters.leaderships_lost += u64::from(led_before && !leads);
     }
 
-    /// A voter says something that is not about a partition's replica.
+    /// Handles a message from a voter that does not concern the replica of a partition.
     fn on_counted_message(
         &mut self,
         now: Tick,
@@ -138,7 +139,7 @@
         }
     }
 
-    /// A voter says something about the replication of memberships.
+    /// Handles a message about the replication of memberships.
     fn on_replication_of_memberships(
         &mut self,
         now: Tick,
--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -1,5 +1,5 @@
-//! Handovers of voter slots (`voters::handover`), as the controller that leaves and
-//! the spare that takes its place see them.
+//! Handovers of voter slots (`voters::handover`), from the view of the leaving controller
+//! and of the spare that takes its slot.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -14,11 +14,11 @@
 use crate::voters::handover::{Departure, OfferSent, Stage};
 use crate::voters::handover::{HANDOVER_PATIENCE, HANDOVER_RETRY};
 
-/// How long a controller that was asked to stop waits for the new leaders of the
-/// partitions that it led: an election without a fault takes a tenth of it.
+/// How long a stopping controller waits for the new leaders of the partitions that it led.
+/// An election without a fault takes a tenth of this.
 const LEADERSHIP_TRANSFER: Span = ms(500);
 
-/// What a voter that leaves hands to us.
+/// The state that a leaving voter sends to this node.
 pub(super) struct ReceivedHandover {
     pub(super) slot: VoterSlot,
     pub(super) generation: u32,
@@ -28,18 +28,18 @@
 }
 
 impl ControllerState {
-    /// Whether this process was asked to stop.
+    /// Returns whether this process was asked to stop.
     pub fn is_leaving(&self) -> bool {
         self.voter_slots.handovers.is_leaving()
     }
 
-    /// Whether a process that was asked to stop may end.
+    /// Returns whether a process that was asked to stop may exit.
     pub fn may_end(&self, now: Tick) -> bool {
         let is_waiting = |operation| self.pending_requests.contains_key(&operation);
         self.voter_slots.handovers.may_end(now, is_waiting)
     }
 
-    /// The process was asked to stop.
+    /// Starts the handover after the process was asked to stop.
     pub(super) fn begin_handover(&mut self, now: Tick, commands: &mut Vec<Command>) {
         if self.is_leaving() {
             return;
@@ -52,12 +52,12 @@
         self.wake_handover(now, commands);
     }
 
-    /// The slot is another's, or nobody is there to take it.
+    /// Finishes the handover: the slot has a new holder, or there is no spare to take it.
     fn finish_handover(&mut self) {
         self.voter_slots.handovers.finish(self.pending_requests.keys().copied());
     }
 
-    /// Time passes.
+    /// Handles a timer tick of a handover.
     pub(super) fn wake_handover(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let slot = self.slot;
         let handovers = &mut self.voter_slots.handovers;
@@ -80,7 +80,7 @@
                     self.offer_slot(now, last, commands);
                 }
             }
-            // A takeover may have been quicker than we were.
+            // Another controller may already have taken the slot over.
             Stage::Yielding { .. } if slot == NOBODY => self.finish_handover(),
             Stage::Yielding { .. } | Stage::Answering { .. } => {}
             Stage::Sending { state, slot, sent_at } => {
@@ -93,14 +93,14 @@
         }
     }
 
-    /// Whether every partition has a leader that is not this process.
+    /// Returns whether every partition has a leader other than this process.
     fn others_lead_all(&self) -> bool {
         let is_led = |p: &Partition| matches!(p.role, Role::Follower { leader: Some(_), .. });
         self.partitions.iter().all(is_led)
     }
 
-    /// Offers our slot to a spare, if there is one that may have it; to another than
-    /// `last`, if there are several.
+    /// Offers the slot of this node to an eligible spare. If there are several, the offer
+    /// goes to another one than `last`.
     fn offer_slot(&mut self, now: Tick, last: Option<u64>, commands: &mut Vec<Command>) {
         let slot = self.slot;
         let handovers = &self.voter_slots.handovers;
@@ -114,7 +114,7 @@
         self.voter_slots.handovers.enter(Stage::Offering { asked });
     }
 
-    /// A voter that leaves offers us its slot.
+    /// Handles the offer of a voter slot by its leaving holder.
     pub(super) fn on_handover_offer(
         &mut self,
         now: Tick,
@@ -137,7 +137,8 @@
         });
     }
 
-    /// The spare that we asked is ready: we give the slot up, first on our disk.
+    /// Handles the acceptance of the spare to which the slot was offered: writes the voter
+    /// set in which this node no longer holds the slot.
     pub(super) fn on_handover_accept(
         &mut self,
         now: Tick,
@@ -157,8 +158,8 @@
         voter_slots.write_voter_set(voter_set, commands);
     }
 
-    /// Our slot is another's by the voter set that was just written. If that is the
-    /// successor that we chose, what our replicas hold goes there; tells whether so.
+    /// Sends the state of this node's replicas to the chosen successor, if the voter set
+    /// that was just written has it as the holder of the slot. Returns whether it does.
     pub(super) fn send_state_to_successor(
         &mut self,
         now: Tick,
@@ -184,8 +185,9 @@
         true
     }
 
-    /// The state of a voter whose slot we take over. It is written once the voter set
-    /// that gives us the slot is on our disk; until then it is sent again.
+    /// Handles the state sent by the voter whose slot this node takes. The state is written
+    /// only after the voter set that gives this node the slot is on disk; until then the
+    /// sender repeats the message.
     pub(super) fn on_handover(
         &mut self,
         now: Tick,
@@ -214,7 +216,7 @@
         }
     }
 
-    /// The successor votes: nothing keeps us any longer.
+    /// Handles the message that the successor votes: the handover is complete.
     pub(super) fn on_handover_done(&mut self, slot: VoterSlot, generation: u32) {
         let is_ours = is_of_generation(self.voter_slots.voter_set(), slot, generation);
         if is_ours && self.voter_slots.handovers.is_sending(slot) {
@@ -227,13 +229,13 @@
     voter_set.slots.get(usize::from(slot)).is_some_and(|h| h.generation == generation)
 }
 
-/// What a replica hands to the successor.
+/// Returns the state of a replica as it is sent to the successor.
 fn handed_over(replica: &Partition) -> HandedOverReplica {
     let ReplicaState { current_term, written_term, revision, entries } = replica.state.clone();
     HandedOverReplica { partition: replica.id, current_term, written_term, revision, entries }
 }
 
-/// Writes a replica that was handed over, unless ours votes already.
+/// Writes a received replica, unless the one of this node already votes.
 fn install(
     replica: &mut Partition,
     now: Tick,
--- a/crates/core/src/control_plane/mod.rs
+++ b/crates/core/src/control_plane/mod.rs
@@ -1,14 +1,14 @@
-//! The control plane: configuration, endpoints, members and operators' requests on
-//! top of the replicated partitions, all as one `step` without I/O.
+//! The control plane: configuration, endpoints, members and operator requests on top of the
+//! replicated partitions, all as a single `step` function without I/O.
 //!
-//! Lower modules never import higher ones. Plain state, with functions that take
-//! just the parts they need: [`order_memory`], [`commit_times`], [`counters`], [`membership_log`],
-//! [`members`] and what is done to [`members::Members`] (`membership_replication`,
-//! `membership_issue`, `retirement`, [`acceptance`], [`forgotten_members`]),
-//! [`endpoints`], [`feed`], [`rollout_clock`], `rollout_orders`, [`operations`],
-//! [`pending_requests`], [`rejection`]. Above them
-//! [`controller`] has the whole state of a controller, and the modules above that
-//! what needs several of its parts, a concern each; [`step`] dispatches the events.
+//! Lower modules never import higher ones. At the bottom are plain state types, with
+//! functions that take only the state they need: [`request_dedup`], [`commit_times`],
+//! [`counters`], [`membership_log`], [`members`] and the operations on [`members::Members`]
+//! (`membership_replication`, `membership_issue`, `retirement`, [`acceptance`],
+//! [`forgotten_members`]), [`endpoints`], [`feed`], [`rollout_clock`], `rollout_orders`,
+//! [`operations`], [`pending_requests`], [`rejection`]. Above them, [`controller`] has the
+//! whole state of a controller. The modules above it implement one concern each that needs
+//! several fields of this state; [`step`] dispatches the events.
 
 pub mod acceptance;
 pub mod commit_times;
--- a/crates/core/src/control_plane/rollout_clock.rs
+++ b/crates/core/src/control_plane/rollout_clock.rs
@@ -1,8 +1,9 @@
-//! How much of its term each rollout has used.
+//! Tracks how much of its term each rollout has used.
 //!
-//! The time that is agreed on lies in the entry, written at each turn and a few times a term. To
-//! it every controller adds how long it has known the entry, by its own steady clock: a new leader
-//! goes on where the former one was, and only a restart of all costs up to a fraction of the term.
+//! The replicated elapsed time is stored in the rollout's entry, which is written at each
+//! phase change and a few times per term. Every controller adds to it the time for which it
+//! has known the entry, by its own monotonic clock. So a new leader continues from the time
+//! of the former one, and only a restart of all nodes loses up to a fraction of the term.
 
 use std::collections::BTreeMap;
 
@@ -10,19 +11,19 @@
 use crate::rollout::record::{Rollout, rollouts_in};
 use crate::time::{MILLI, Tick, since};
 
-/// Since when this controller has known each rollout as it is.
+/// When this controller first saw each rollout in its present state.
 #[derive(Default)]
 pub struct RolloutClock {
     known_since: BTreeMap<String, KnownRollout>,
 }
 
-/// A rollout's entry, and since when it is known.
+/// The version of a rollout's entry, and when it was first seen.
 struct KnownRollout {
     version: EntryVersion,
     since: Tick,
 }
 
-/// What tells one state of a rollout's entry from another.
+/// Distinguishes the versions of a rollout's entry.
 #[derive(Clone, Copy, PartialEq)]
 struct EntryVersion {
     ordered_revision: u64,
@@ -38,7 +39,7 @@
 }
 
 impl RolloutClock {
-    /// Notes the rollouts that this controller's replica holds.
+    /// Records the rollouts in this controller's replica.
     pub fn note(&mut self, now: Tick, entries: &EntryMap) {
         for rollout in rollouts_in(entries) {
             let version = EntryVersion::of(&rollout);
@@ -49,7 +50,7 @@
         }
     }
 
-    /// How long ago a rollout was ordered, as far as that is known (ms).
+    /// Returns how long ago a rollout was ordered, as far as known (ms).
     pub fn elapsed_ms(&self, now: Tick, rollout: &Rollout) -> u64 {
         let known = self.known_since.get(&rollout.service);
         let known = known.filter(|known| known.version == EntryVersion::of(rollout));
--- a/crates/core/src/control_plane/rollout_orders.rs
+++ b/crates/core/src/control_plane/rollout_orders.rs
@@ -1,4 +1,5 @@
-//! Operators' orders about rollouts, judged by the leader of the configuration.
+//! Evaluates the operator requests that start or abort a rollout, at the leader of the
+//! configuration partition.
 
 use crate::config::stored::{Entry, edition};
 use crate::config::types::Config;
@@ -12,9 +13,9 @@
 use crate::rollout::record::{Rollout, RolloutPhase, RolloutReason, RolloutState, rollout_of};
 use crate::time::Tick;
 
-/// Judges an order that starts a rollout. The one that goes on, ordered again, is acknowledged
-/// again; so is one that has ended, while its term lasts: a copy that comes late must not try a
-/// bad version again.
+/// Evaluates an order that starts a rollout. A repeated order for the current rollout is
+/// acknowledged again. So is one for a rollout that has ended, while its term lasts: a
+/// delayed copy must not start another trial of a bad version.
 pub(super) fn judge_start(
     configuration: &Partition,
     now: Tick,
@@ -55,7 +56,7 @@
     change(configuration, &fingerprint, &rollout)
 }
 
-/// Judges an order that ends a rollout.
+/// Evaluates a request that aborts a rollout.
 pub(super) fn judge_abort(
     configuration: &Partition,
     now: Tick,
@@ -92,7 +93,7 @@
     }
 }
 
-/// Whether an order asks for a rollout that stands already.
+/// Returns whether an order repeats the one that started the latest rollout.
 fn is_repeated(former: &Rollout, order: &RolloutOrder, elapsed_ms: u64) -> bool {
     let is_aborted = former.reason() == RolloutReason::Aborted;
     let counts = match former.state() {
@@ -103,8 +104,8 @@
     counts && former.is_ordered_by(order)
 }
 
-/// Whether the rollout has changed since the revision that an order builds on. What else has
-/// changed in the configuration is nothing to it.
+/// Returns whether the rollout has changed since the revision that a request expects. Other
+/// changes of the configuration do not matter here.
 fn has_moved(request: &Request, rollout: Option<&Rollout>) -> bool {
     let changed = rollout.map_or(0, |rollout| rollout.phase_revision);
     request.expected_revision.is_some_and(|expected| expected < changed)
@@ -119,7 +120,7 @@
     OperationResult::Invalid(told.collect())
 }
 
-/// The change that writes a rollout and remembers its order.
+/// Returns the change that writes a rollout and records its request for deduplication.
 fn change(configuration: &Partition, order: &Fingerprint, rollout: &Rollout) -> Judged {
     let (map, revision) = (&configuration.state.entries, configuration.state.revision + 1);
     let mut entries: Vec<Entry> = vec![rollout.to_entry()];
--- a/crates/core/src/control_plane/rollout_progress.rs
+++ b/crates/core/src/control_plane/rollout_progress.rs
@@ -1,9 +1,10 @@
-//! How rollouts go on as time passes, at the leader of the configuration.
+//! Advances the rollouts over time, at the leader of the configuration partition.
 //!
-//! A phase that changes which version is in force ends in two steps. First it is turned
-//! (`Forward`, `Back`), and the members that obey that send to one version only. Once no member
-//! can go by what was before, by what it said or because its lease has ended, the end is written
-//! (`Delivered`, `Returned`), which is final and what operators are told.
+//! A phase that changes which version is in force ends in two steps. First the phase
+//! changes to `Forward` or `Back`; members that have applied this send requests to one
+//! version only. Once no member can use the former state any more, by its own report or
+//! because its lease has ended, the final phase is written (`Delivered` or `Returned`) and
+//! reported to operators.
 
 use crate::command::Command;
 use crate::control_plane::controller::ControllerState;
@@ -12,22 +13,24 @@
 use crate::rollout::verdict::Verdict;
 use crate::time::Tick;
 
-/// Fraction of a term that is kept for its end (divisor): what is undecided then goes back, so
-/// that the end is known when the term is over.
+/// Fraction of a term that is reserved for its end (divisor). A trial that is undecided by
+/// then is rolled back, so that the result is known when the term is over.
 const END_FRACTION: u64 = 8;
-/// Fraction of a term after which the time that has passed is written again (divisor).
+/// Fraction of a term after which the elapsed time is written again (divisor).
 const CHECKPOINT_FRACTION: u64 = 4;
-/// Part of a term after which members send what they have saved (percent).
+/// Percentage of a term after which members send the requests that they held back for the
+/// surge.
 const SURGE_PCT: u64 = 40;
-/// Part of a term after which the surge is over (percent).
+/// Percentage of a term after which the surge ends.
 const WATCH_PCT: u64 = 50;
-/// Part of a term before which no version goes forward (percent).
+/// Percentage of a term before which no version is rolled forward.
 const FORWARD_PCT: u64 = 75;
-/// Time for attempts that were on their way to the old version when its last member turned (ms).
+/// Time for attempts that were in flight to the old version when the last member applied
+/// the change (ms).
 const LAST_ATTEMPTS_MS: u64 = 1_500;
 
 impl ControllerState {
-    /// Time passes for rollouts.
+    /// Handles a timer tick for the rollouts.
     pub(super) fn wake_rollouts(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let configuration = &self.partitions[CONFIG.0 as usize];
         self.rollout_clock.note(now, &configuration.state.entries);
@@ -48,7 +51,7 @@
         }
     }
 
-    /// What a rollout turns to now, if it changes.
+    /// Returns the next state of a rollout, if it changes now.
     fn next_of_rollout(&self, now: Tick, rollout: &Rollout) -> Option<Rollout> {
         let revision = self.partitions[CONFIG.0 as usize].state.revision + 1;
         let elapsed_ms = self.rollout_clock.elapsed_ms(now, rollout);
@@ -80,13 +83,14 @@
         }
     }
 
-    /// Whether a version that was found good may take over: the surge and the time for what fails
-    /// late are over, and it has the leafs for it.
+    /// Returns whether a version with a good verdict may be rolled forward: the surge and
+    /// the time to detect late failures are over, and the version has enough leafs.
     fn may_go_forward(&self, rollout: &Rollout, elapsed_ms: u64) -> bool {
         elapsed_ms * 100 >= rollout.term_ms * FORWARD_PCT && self.can_take_over(rollout)
     }
 
-    /// Whether no member may go by what was before a rollout's last turn.
+    /// Returns whether every member has applied the last phase change of a rollout or no
+    /// longer serves.
     fn is_obeyed_by_all(&self, now: Tick, rollout: &Rollout) -> bool {
         let configuration = &self.partitions[CONFIG.0 as usize];
         let committed = configuration.leader().map_or(0, |leader| leader.committed);
@@ -95,19 +99,19 @@
     }
 }
 
-/// What the log says of a rollout that has turned.
+/// Returns the log message for a phase change of a rollout.
 fn turn_notice(rollout: &Rollout) -> String {
     let Rollout { service, target, elapsed_ms, term_ms, .. } = rollout;
     let (phase, reason) = (rollout.phase().name(), rollout.reason().name());
     format!("rollout of {service} to {target}: {phase}, {reason}, {elapsed_ms} ms of {term_ms} ms")
 }
 
-/// Whether a trial has to end without a verdict.
+/// Returns whether a trial has to end without a verdict.
 fn ends_at_term(rollout: &Rollout, elapsed_ms: u64) -> bool {
     elapsed_ms >= rollout.term_ms - rollout.term_ms / END_FRACTION
 }
 
-/// The next step of a trial, or the same with the time that has passed.
+/// Returns the next step of a trial, or the present one with the elapsed time updated.
 fn next_step(rollout: &Rollout, elapsed_ms: u64) -> Option<Rollout> {
     let percent = elapsed_ms * 100 / rollout.term_ms;
     let step = match percent {
--- a/crates/core/src/control_plane/rollout_votes.rs
+++ b/crates/core/src/control_plane/rollout_votes.rs
@@ -1,4 +1,5 @@
-//! What members have seen of versions that are tried, as the leader of the configuration keeps it.
+//! The members' observations of index versions on trial, as tracked by the leader of the
+//! configuration partition.
 
 use std::collections::BTreeMap;
 
@@ -18,23 +19,24 @@
     by_member: BTreeMap<String, MemberVote>,
 }
 
-/// What a process of a member has seen.
+/// The vote of one process of a member.
 struct MemberVote {
     incarnation: u64,
     evidence: Vec<TrialEvidence>,
 }
 
-/// How a vote came to us.
+/// The peer from which a vote was received.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum VoteSource {
-    /// From the member itself.
+    /// The member itself.
     Member,
-    /// From a voter that forwarded it.
+    /// A voter that forwarded the vote.
     Voter,
 }
 
 impl ControllerState {
-    /// A member votes: kept by the leader, forwarded once by another voter.
+    /// Handles the vote of a member: the leader stores it, any other voter forwards it
+    /// once.
     pub(super) fn on_rollout_vote(
         &mut self,
         source: VoteSource,
@@ -54,7 +56,7 @@
         }
     }
 
-    /// Forgets the votes of members that the membership does not name any more.
+    /// Drops the votes of processes that the membership no longer names.
     pub(super) fn drop_votes_of_others(&mut self) {
         if self.rollout_votes.by_member.is_empty() {
             return;
@@ -66,7 +68,7 @@
         self.rollout_votes.by_member.retain(|name, vote| is_named(name, vote.incarnation));
     }
 
-    /// What the members' votes on a trial come to.
+    /// Returns the verdict of the members' votes on a trial.
     pub(super) fn verdict_on(&self, rollout: &Rollout) -> Verdict {
         let is_of_trial = |evidence: &&TrialEvidence| {
             evidence.service == rollout.service
@@ -81,20 +83,21 @@
         vote.verdict()
     }
 
-    /// Leafs of a rollout's service that have a version and may get new work (count).
+    /// Returns the number of leafs of a rollout's service that have a version and accept
+    /// new work.
     fn leafs_of_version(&self, rollout: &Rollout, version: &str) -> usize {
         let leafs = self.standing_leafs(&rollout.service);
         leafs.iter().filter(|leaf| leaf.version() == version).count()
     }
 
-    /// The leafs of a service that may get new work.
+    /// Returns the leafs of a service that accept new work.
     fn standing_leafs(&self, service: &str) -> Vec<LeafInfo> {
         let leafs = leafs_in(&self.partitions[part_of(service).0 as usize].committed);
         leafs.into_values().filter(|leaf| leaf.service == service && !leaf.leaving).collect()
     }
 
-    /// Whether the new version has enough leafs to take over all traffic: as many as all other
-    /// versions together, but for a fraction that may be down.
+    /// Returns whether the new version has enough leafs to serve all traffic: at least
+    /// three quarters of the number of all other leafs, so that a fraction may be down.
     pub(super) fn can_take_over(&self, rollout: &Rollout) -> bool {
         let all = self.standing_leafs(&rollout.service).len();
         let new = self.leafs_of_version(rollout, &rollout.target);
--- a/crates/core/src/control_plane/slot_takeover.rs
+++ b/crates/core/src/control_plane/slot_takeover.rs
@@ -1,4 +1,5 @@
-//! Slot takeovers, as the holders of the other slots and the newcomer see them.
+//! Takeovers of voter slots, from the view of the holders of the other slots and of the new
+//! holder.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -10,8 +11,8 @@
 use crate::voters::slot_takeover::Candidate;
 
 impl ControllerState {
-    /// A controller without a slot asks what we would give it. `stamp` is that of its
-    /// voter set.
+    /// Handles the request of a controller without a slot for the slots that this node
+    /// would give it. `stamp` is the one of that controller's voter set.
     pub(super) fn on_join_request(
         &mut self,
         now: Tick,
@@ -29,7 +30,8 @@
         let applicant = Applicant { connection, zone: candidate.zone.to_string(), at: now };
         self.voter_slots.handovers.note_applicant(candidate.replica_id, applicant);
         if self.is_leaving() {
-            // What we would give is our own slot alone, and is offered by `handover`.
+            // A leaving controller gives away its own slot only, and `handover` offers
+            // that.
             return;
         }
         let free = self.voter_slots.slots_for(now, self.slot, candidate);
@@ -40,7 +42,7 @@
         });
     }
 
-    /// The holder of `from` says which slots it would give us.
+    /// Handles the slots that the holder of `from` would give this node.
     pub(super) fn on_join_offer(
         &mut self,
         now: Tick,
@@ -57,8 +59,9 @@
         }
     }
 
-    /// A controller takes a slot that a majority would give it. We agree by holding the
-    /// voter set with it; that is sent once it is on our disk.
+    /// Handles the takeover of a slot that a majority would give to the sender. This node
+    /// agrees by adopting the voter set with the new holder; the voter set is sent once it
+    /// is on disk.
     pub(super) fn on_slot_takeover(
         &mut self,
         now: Tick,
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -1,4 +1,4 @@
-//! Whom we feed: the connections that subscribed, and how far each was brought.
+//! The subscribers of the feeds, with the revisions that were sent to each.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -7,9 +7,8 @@
 use crate::protocol::message::{FeedPosition, Message};
 
 impl ControllerState {
-    /// Brings every follower up to what is committed, if that has changed. Each is
-    /// sent a thing once; one that lost it says where it stands in its next
-    /// `Subscribe`.
+    /// Sends every subscriber what was committed since the last broadcast. Each update is
+    /// sent once; a subscriber that lost one reports its position in its next `Subscribe`.
     pub(super) fn broadcast(&mut self, commands: &mut Vec<Command>) {
         let membership = self.members.membership.feed_revision();
         let committed = self.partitions.iter().map(|partition| partition.committed_revision);
@@ -24,7 +23,7 @@
         }
     }
 
-    /// Brings one follower up to what is committed.
+    /// Sends one subscriber all updates up to the committed revisions.
     fn bring_up_to_date(&mut self, connection: ConnectionId, commands: &mut Vec<Command>) {
         let Some(positions) = self.followers.get_mut(&connection) else { return };
         let membership = &self.members.membership;
@@ -45,8 +44,8 @@
         }
     }
 
-    /// A follower says where it stands in each partition, under the voter set of this
-    /// stamp.
+    /// Handles the subscription of a peer, with its position in each partition and the
+    /// stamp of its voter set.
     pub(super) fn on_subscribe(
         &mut self,
         connection: ConnectionId,
@@ -69,7 +68,7 @@
         self.bring_up_to_date(connection, commands);
     }
 
-    /// How far we have accepted each partition of which we can say so.
+    /// Returns the newest revision of each partition whose replica on this node can vote.
     fn feed_positions(&self) -> Message {
         let able = self.partitions.iter().filter(|partition| partition.can_vote());
         let mut positions: Vec<FeedPosition> = able
