--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -11,8 +11,8 @@
 
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
-use grebepath_core::control_plane::order_memory;
-use grebepath_core::control_plane::order_memory::Recall;
+use grebepath_core::control_plane::request_dedup;
+use grebepath_core::control_plane::request_dedup::LookupResult;
 use grebepath_core::control_plane::step::WAKE;
 use grebepath_core::protocol::message::Message;
 use grebepath_core::protocol::operation::{Operation, OperationResult};
@@ -81,11 +81,11 @@
     let mut bytes = 0;
     for number in 0..ROUNDS {
         let request = grebepath_core::digest::digest(&(number * 7_919 % orders).to_le_bytes());
-        let order = order_memory::fingerprint(&request, false, &[]);
-        let known = order_memory::recall(map, &request, &order);
-        assert_ne!(known, Recall::Accepted { revision: 0 });
+        let order = request_dedup::fingerprint(&request, false, &[]);
+        let known = request_dedup::lookup(map, &request, &order);
+        assert_ne!(known, LookupResult::Accepted { revision: 0 });
         let revision = orders + 2 + number % 4_096;
-        bytes += order_memory::remember(map, &order, revision, revision).len();
+        bytes += request_dedup::insert(map, &order, revision, revision).len();
     }
     let each = begin.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64;
     println!("the memory alone: {each:.2} us/order to look up and remember ({bytes} entries)");
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -7,11 +7,11 @@
 use crate::config::route::RoutingTable;
 use crate::config::stored::Entry;
 use crate::config::types::{ChangeHeader, Config, Patch};
-use crate::control_plane::order_memory;
-use crate::control_plane::order_memory::{
-    Fingerprint, Horizon, OrderBase, Recall, may_be_forgotten,
-};
 use crate::control_plane::rejection::Rejection;
+use crate::control_plane::request_dedup;
+use crate::control_plane::request_dedup::{
+    Fingerprint, Horizon, LookupResult, RequestBase, may_be_evicted,
+};
 use crate::control_plane::rollout_clock::RolloutClock;
 use crate::control_plane::rollout_orders;
 use crate::diagnostic::Diagnostic;
@@ -134,12 +134,12 @@
 /// Evaluates a change against the newest state.
 fn judge(p: &Partition, request: &Request, whole: bool, text: &[u8]) -> Judged {
     let map = &p.state.entries;
-    let order = order_memory::fingerprint(&request.id, whole, text);
+    let order = request_dedup::fingerprint(&request.id, whole, text);
     if let Some(judged) = judge_copy(p, request, &order) {
         return judged;
     }
     if request.expected_revision.is_some_and(|want| want != p.state.revision) {
-        let base = OrderBase { revision: request.expected_revision, ..OrderBase::default() };
+        let base = RequestBase { revision: request.expected_revision, ..RequestBase::default() };
         let moved = OperationResult::Conflict { revision: p.state.revision };
         return Judged::Refused(forgotten(map, &base).unwrap_or(moved));
     }
@@ -151,7 +151,7 @@
             return Judged::Refused(OperationResult::Invalid(list));
         }
     };
-    entries.extend(order_memory::remember(map, &order, p.state.revision + 1, edition));
+    entries.extend(request_dedup::insert(map, &order, p.state.revision + 1, edition));
     Judged::Change(entries)
 }
 
@@ -161,13 +161,13 @@
     if request.is_unconditional() {
         return Some(Judged::Refused(OperationResult::Conflict { revision: p.state.revision }));
     }
-    match order_memory::recall(&p.state.entries, &request.id, order) {
-        Recall::Accepted { revision } => Some(Judged::Made { revision }),
-        Recall::OtherText => {
+    match request_dedup::lookup(&p.state.entries, &request.id, order) {
+        LookupResult::Accepted { revision } => Some(Judged::Made { revision }),
+        LookupResult::DifferentText => {
             let text = "this request id was used for another request".to_string();
             Some(Judged::Refused(OperationResult::Invalid(vec![("request".into(), text)])))
         }
-        Recall::Absent => None,
+        LookupResult::Absent => None,
     }
 }
 
@@ -196,7 +196,7 @@
         old.clone().patched(&Patch::from_json(text)?)
     };
     let ChangeHeader { after, edition, .. } = new.turn;
-    let base = OrderBase { revision: expect, edition: after, next_edition: edition };
+    let base = RequestBase { revision: expect, edition: after, next_edition: edition };
     if base.edition.is_some_and(|n| n != old.terms.edition) {
         let moved = OperationResult::Conflict { revision: old.terms.edition };
         return Ok(Planned::Refused(forgotten(map, &base).unwrap_or(moved)));
@@ -214,8 +214,8 @@
 
 /// Returns `Forgotten` if a request that would be refused may have been accepted before and
 /// since been dropped from the deduplication table.
-fn forgotten(map: &EntryMap, base: &OrderBase) -> Option<OperationResult> {
-    let horizon = order_memory::horizon(map);
+fn forgotten(map: &EntryMap, base: &RequestBase) -> Option<OperationResult> {
+    let horizon = request_dedup::horizon(map);
     let Horizon { revision, edition } = horizon;
-    may_be_forgotten(&horizon, base).then_some(OperationResult::Forgotten { revision, edition })
+    may_be_evicted(&horizon, base).then_some(OperationResult::Forgotten { revision, edition })
 }
--- a/crates/core/src/control_plane/order_memory/legacy.rs
+++ b/crates/core/src/control_plane/request_dedup/legacy.rs
@@ -5,8 +5,8 @@
 //! to the present format (`super::insert`) and removes them.
 
 use crate::config::stored::{Entry, with_prefix};
-use crate::control_plane::order_memory::record::{
-    Fingerprint, Horizon, Recall, fingerprint_of_digest,
+use crate::control_plane::request_dedup::record::{
+    Fingerprint, Horizon, LookupResult, fingerprint_of_digest,
 };
 use crate::protocol::replica::EntryMap;
 use crate::replication::private_entries::OLDER_ORDER_PREFIX as PREFIX;
@@ -23,14 +23,14 @@
 }
 
 /// Looks a request up in these entries.
-pub fn recall(map: &EntryMap, request: &str, order: &Fingerprint) -> Recall {
+pub fn lookup(map: &EntryMap, request: &str, order: &Fingerprint) -> LookupResult {
     let known = map.get(&format!("{PREFIX}{request}")).and_then(|value| parsed(value));
     match known {
-        None => Recall::Absent,
+        None => LookupResult::Absent,
         Some((digest, revision)) if fingerprint_of_digest(request, &digest) == *order => {
-            Recall::Accepted { revision }
+            LookupResult::Accepted { revision }
         }
-        Some(_) => Recall::OtherText,
+        Some(_) => LookupResult::DifferentText,
     }
 }
 
--- a/crates/core/src/control_plane/order_memory/mod.rs
+++ b/crates/core/src/control_plane/request_dedup/mod.rs
@@ -23,11 +23,11 @@
 use crate::config::stored::{Entry, edition};
 use crate::protocol::replica::EntryMap;
 use record::{BUCKETS, NUMBER_BYTES, Record, bucket, bucket_key, number, record_bytes};
-pub use record::{Fingerprint, Horizon, OrderBase, Recall, fingerprint};
+pub use record::{Fingerprint, Horizon, LookupResult, RequestBase, fingerprint};
 
 /// Minimum number of revisions whose requests are kept: two days of 7,200 changes each,
 /// plus an eighth.
-pub const ORDERS_KEPT: u64 = 16_384;
+pub const MIN_REQUESTS_KEPT: u64 = 16_384;
 /// Number of revisions between two checkpoints. The table reaches back by up to this many
 /// revisions more than required, and the list of checkpoints stays short.
 const MARK_SPACING: u64 = 1_024;
@@ -38,12 +38,14 @@
 const MARK_BYTES: usize = 2 * NUMBER_BYTES;
 
 /// Looks a request up by its request id.
-pub fn recall(map: &EntryMap, request: &str, order: &Fingerprint) -> Recall {
+pub fn lookup(map: &EntryMap, request: &str, order: &Fingerprint) -> LookupResult {
     let records = bucket(map, order.bucket);
     match records.iter().rev().find(|record| record.has_request_of(order)) {
-        Some(record) if record.has_text_of(order) => Recall::Accepted { revision: record.revision },
-        Some(_) => Recall::OtherText,
-        None => legacy::recall(map, request, order),
+        Some(record) if record.has_text_of(order) => {
+            LookupResult::Accepted { revision: record.revision }
+        }
+        Some(_) => LookupResult::DifferentText,
+        None => legacy::lookup(map, request, order),
     }
 }
 
@@ -59,7 +61,7 @@
 /// A request is accepted only on the revision and edition that it builds on, and results in
 /// a higher revision and in the edition that it names. Neither ever decreases. So a request
 /// that builds on or results in something newer than the horizon can't have been evicted.
-pub fn may_be_forgotten(horizon: &Horizon, base: &OrderBase) -> bool {
+pub fn may_be_evicted(horizon: &Horizon, base: &RequestBase) -> bool {
     let never = matches!((base.edition, base.next_edition), (Some(on), Some(next)) if next <= on);
     horizon.revision > 0
         && !never
@@ -71,12 +73,7 @@
 /// Returns the entries that record a request accepted as `revision`, after which the
 /// edition is `next_edition`. They also evict the records that are older than required, and
 /// migrate the entries of the older format.
-pub fn remember(
-    map: &EntryMap,
-    order: &Fingerprint,
-    revision: u64,
-    next_edition: u64,
-) -> Vec<Entry> {
+pub fn insert(map: &EntryMap, order: &Fingerprint, revision: u64, next_edition: u64) -> Vec<Entry> {
     let mut entries = Vec::new();
     let mut buckets: BTreeMap<u16, Vec<Record>> = BTreeMap::new();
     let (old_marks, mut new_marks) = (marks(map), marks(map));
@@ -130,7 +127,7 @@
         marks.push(Horizon::default());
     }
     marks.push(Horizon { revision, edition });
-    let spare = |mark: &Horizon| mark.revision + ORDERS_KEPT <= revision;
+    let spare = |mark: &Horizon| mark.revision + MIN_REQUESTS_KEPT <= revision;
     let first = marks.iter().rposition(spare).unwrap_or(0);
     marks.drain(..first);
 }
--- a/crates/core/src/control_plane/order_memory/record.rs
+++ b/crates/core/src/control_plane/request_dedup/record.rs
@@ -28,7 +28,7 @@
 
 /// The result of a lookup in the deduplication table.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Recall {
+pub enum LookupResult {
     /// Not in the table: never accepted, or evicted.
     Absent,
     /// Accepted as this revision.
@@ -37,7 +37,7 @@
         revision: u64,
     },
     /// The request id belongs to an accepted request with a different text.
-    OtherText,
+    DifferentText,
 }
 
 /// The limit of what the table covers: requests that were accepted up to this revision, at
@@ -52,7 +52,7 @@
 
 /// The state that a request builds on and results in, as far as the request names it.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct OrderBase {
+pub struct RequestBase {
     /// The revision that the request builds on.
     pub revision: Option<u64>,
     /// The edition that the request builds on.
--- a/crates/core/src/control_plane/rollout_orders.rs
+++ b/crates/core/src/control_plane/rollout_orders.rs
@@ -4,7 +4,7 @@
 use crate::config::stored::{Entry, edition};
 use crate::config::types::Config;
 use crate::control_plane::operations::{Judged, Request, judge_copy};
-use crate::control_plane::order_memory::{self, Fingerprint};
+use crate::control_plane::request_dedup::{self, Fingerprint};
 use crate::control_plane::rollout_clock::RolloutClock;
 use crate::diagnostic::Diagnostic;
 use crate::protocol::operation::OperationResult;
@@ -25,7 +25,7 @@
 ) -> Judged {
     let RolloutOrder { service, target, term_ms } = order;
     let words = format!("start rollout {service} {target} {term_ms}");
-    let fingerprint = order_memory::fingerprint(&request.id, false, words.as_bytes());
+    let fingerprint = request_dedup::fingerprint(&request.id, false, words.as_bytes());
     if let Some(judged) = judge_copy(configuration, request, &fingerprint) {
         return judged;
     }
@@ -65,7 +65,7 @@
     clock: &RolloutClock,
 ) -> Judged {
     let words = format!("abort rollout {service}");
-    let fingerprint = order_memory::fingerprint(&request.id, false, words.as_bytes());
+    let fingerprint = request_dedup::fingerprint(&request.id, false, words.as_bytes());
     if let Some(judged) = judge_copy(configuration, request, &fingerprint) {
         return judged;
     }
@@ -124,6 +124,6 @@
 fn change(configuration: &Partition, order: &Fingerprint, rollout: &Rollout) -> Judged {
     let (map, revision) = (&configuration.state.entries, configuration.state.revision + 1);
     let mut entries: Vec<Entry> = vec![rollout.to_entry()];
-    entries.extend(order_memory::remember(map, order, revision, edition(map)));
+    entries.extend(request_dedup::insert(map, order, revision, edition(map)));
     Judged::Change(entries)
 }
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -23,7 +23,7 @@
 use googletest::prelude::*;
 use grebepath_core::config::types::{Config, ZoneConfig};
 use grebepath_core::control_plane::controller::Event;
-use grebepath_core::control_plane::order_memory::{Recall, fingerprint, horizon, recall};
+use grebepath_core::control_plane::request_dedup::{LookupResult, fingerprint, horizon, lookup};
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::frame;
 use grebepath_core::protocol::membership::{Member, MemberProgress};
@@ -175,11 +175,11 @@
 // ---- memory of orders -------------------------------------------------------
 
 fn expect_known(map: &EntryMap, order: &AcceptedOrder) {
-    let known = Recall::Accepted { revision: order.revision };
-    expect_that!(recall(map, &order.request, &order.fingerprint()), eq(known));
+    let known = LookupResult::Accepted { revision: order.revision };
+    expect_that!(lookup(map, &order.request, &order.fingerprint()), eq(known));
     for (whole, text) in [(!order.whole, &order.text[..]), (order.whole, b"another text")] {
         let other = fingerprint(&order.request, whole, text);
-        expect_that!(recall(map, &order.request, &other), eq(Recall::OtherText));
+        expect_that!(lookup(map, &order.request, &other), eq(LookupResult::DifferentText));
     }
 }
 
@@ -198,8 +198,8 @@
     }
     expect_that!(horizon(&map), eq(stored::LEGACY_HORIZON));
     let dropped = stored::dropped_legacy_order();
-    let known = recall(&map, &dropped.request, &dropped.fingerprint());
-    expect_that!(known, eq(Recall::Absent));
+    let known = lookup(&map, &dropped.request, &dropped.fingerprint());
+    expect_that!(known, eq(LookupResult::Absent));
 }
 
 // ---- forgotten members ------------------------------------------------------
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -6,7 +6,7 @@
     BalancingMode, ChangeHeader, ClientLimits, Config, PoolConfig, PriorityClass, SearchConfig,
     ServingMode, ZoneConfig,
 };
-use grebepath_core::control_plane::order_memory::{Fingerprint, Horizon, fingerprint, remember};
+use grebepath_core::control_plane::request_dedup::{Fingerprint, Horizon, fingerprint, insert};
 use grebepath_core::digest::digest;
 use grebepath_core::identifiers::Term;
 use grebepath_core::protocol::replica::EntryMap;
@@ -169,7 +169,7 @@
 pub const HORIZON: Horizon = Horizon { revision: 20_000, edition: 41 };
 
 fn accept(map: &mut EntryMap, order: &AcceptedOrder) {
-    let changes = remember(map, &order.fingerprint(), order.revision, order.edition);
+    let changes = insert(map, &order.fingerprint(), order.revision, order.edition);
     apply_entries(map, &changes);
     set_edition(map, order.edition);
 }
@@ -185,7 +185,7 @@
     let older = copy(second.revision, &map);
     accept(&mut map, &third);
     let newer = copy(third.revision, &map);
-    let mut changed = remember(&map, &fourth.fingerprint(), fourth.revision, fourth.edition);
+    let mut changed = insert(&map, &fourth.fingerprint(), fourth.revision, fourth.edition);
     changed.push(("terms".into(), Some(terms(fourth.edition).encode_to_vec())));
     let removed = vec![("zone/east".into(), None), ("zone/west".into(), Some(zone_west()))];
     let records = vec![
--- a/crates/core/tests/order_memory.rs
+++ b/crates/core/tests/order_memory.rs
@@ -3,9 +3,9 @@
 use googletest::prelude::*;
 use grebepath_core::config::stored::{Entry, edition};
 use grebepath_core::config::types::ClientLimits;
-use grebepath_core::control_plane::order_memory::{
-    Fingerprint, Horizon, OrderBase, Recall, fingerprint, horizon, may_be_forgotten, recall,
-    remember,
+use grebepath_core::control_plane::request_dedup::{
+    Fingerprint, Horizon, LookupResult, RequestBase, fingerprint, horizon, insert, lookup,
+    may_be_evicted,
 };
 use grebepath_core::protocol::replica::EntryMap;
 use grebepath_core::random::Random;
@@ -28,7 +28,7 @@
     request: String,
     whole: bool,
     text: Vec<u8>,
-    base: OrderBase,
+    base: RequestBase,
     revision: u64,
 }
 
@@ -56,7 +56,7 @@
         request: format!("request-{revision}-{}", random.below(1 << 40)),
         whole: random.below(2) == 0,
         text: random.below(u64::MAX).to_le_bytes().to_vec(),
-        base: OrderBase {
+        base: RequestBase {
             revision: (bases & 1 == 1).then_some(revision - 1),
             edition: (bases & 2 == 2).then_some(model.edition),
             next_edition: raises.then_some(next),
@@ -66,7 +66,7 @@
     if raises {
         model.edition = next;
     }
-    let entries = remember(&model.map, &print(&order), revision, model.edition);
+    let entries = insert(&model.map, &print(&order), revision, model.edition);
     let size = entry_bytes(&entries);
     model.bytes += size;
     model.largest = model.largest.max(size);
@@ -93,32 +93,29 @@
     let newest = model.accepted.len() as u64;
     let gone = horizon(&model.map);
     for order in &model.accepted {
-        match recall(&model.map, &order.request, &print(order)) {
-            Recall::Accepted { revision } => assert_eq!(revision, order.revision),
-            Recall::Absent => {
+        match lookup(&model.map, &order.request, &print(order)) {
+            LookupResult::Accepted { revision } => assert_eq!(revision, order.revision),
+            LookupResult::Absent => {
                 assert!(order.revision + TWO_DAYS <= newest, "{order:?} forgotten at {newest}");
-                assert!(
-                    may_be_forgotten(&gone, &order.base),
-                    "{order:?} would be refused, {gone:?}"
-                );
+                assert!(may_be_evicted(&gone, &order.base), "{order:?} would be refused, {gone:?}");
             }
-            Recall::OtherText => panic!("{order:?} is taken for another"),
+            LookupResult::DifferentText => panic!("{order:?} is taken for another"),
         }
     }
     assert!(memory_bytes(&model.map) < MOST_BYTES, "{} bytes", memory_bytes(&model.map));
     // What is new is judged, never left without an answer.
-    let fresh = OrderBase {
+    let fresh = RequestBase {
         revision: None,
         edition: Some(model.edition),
         next_edition: Some(model.edition + 1),
     };
-    assert!(!may_be_forgotten(&gone, &fresh));
-    let fresh = OrderBase { revision: Some(newest), ..OrderBase::default() };
-    assert!(!may_be_forgotten(&gone, &fresh));
+    assert!(!may_be_evicted(&gone, &fresh));
+    let fresh = RequestBase { revision: Some(newest), ..RequestBase::default() };
+    assert!(!may_be_evicted(&gone, &fresh));
     // And so is what lost a race within the last two days.
     if let Some(order) = model.accepted.iter().rev().nth(TWO_DAYS as usize) {
-        let late = OrderBase { revision: Some(order.revision), ..OrderBase::default() };
-        assert!(!may_be_forgotten(&gone, &late), "{late:?} {gone:?}");
+        let late = RequestBase { revision: Some(order.revision), ..RequestBase::default() };
+        assert!(!may_be_evicted(&gone, &late), "{late:?} {gone:?}");
     }
 }
 
@@ -130,12 +127,16 @@
         let known = &model.accepted[at];
         let stranger = format!("{}-", known.request);
         let print = fingerprint(&stranger, known.whole, &known.text);
-        assert_eq!(recall(&model.map, &stranger, &print), Recall::Absent);
+        assert_eq!(lookup(&model.map, &stranger, &print), LookupResult::Absent);
         for (whole, text) in [(!known.whole, known.text.clone()), (known.whole, vec![1, 2, 3])] {
             let other = fingerprint(&known.request, whole, &text);
-            let told = recall(&model.map, &known.request, &other);
-            let same = recall(&model.map, &known.request, &self::print(known));
-            let want = if same == Recall::Absent { Recall::Absent } else { Recall::OtherText };
+            let told = lookup(&model.map, &known.request, &other);
+            let same = lookup(&model.map, &known.request, &self::print(known));
+            let want = if same == LookupResult::Absent {
+                LookupResult::Absent
+            } else {
+                LookupResult::DifferentText
+            };
             assert_eq!(told, want);
         }
     }
@@ -167,8 +168,8 @@
         accept(&mut model, &mut random, 1);
     }
     expect_that!(horizon(&model.map), eq(Horizon::default()));
-    let anything = OrderBase::default();
-    expect_that!(may_be_forgotten(&horizon(&model.map), &anything), eq(false));
+    let anything = RequestBase::default();
+    expect_that!(may_be_evicted(&horizon(&model.map), &anything), eq(false));
 }
 
 #[googletest::test]
@@ -186,7 +187,7 @@
             for id in &alike {
                 revision += 1;
                 let order = fingerprint(id, true, &round.to_le_bytes());
-                let entries = remember(&map, &order, revision, revision);
+                let entries = insert(&map, &order, revision, revision);
                 apply_entries(&mut map, &entries);
             }
         }
@@ -209,7 +210,7 @@
 #[googletest::test]
 fn what_a_horizon_says_of_each_kind_of_base() {
     let gone = Horizon { revision: 100, edition: 50 };
-    let base = |revision, edition, next_edition| OrderBase { revision, edition, next_edition };
+    let base = |revision, edition, next_edition| RequestBase { revision, edition, next_edition };
     for (base, want) in [
         (base(Some(99), None, None), true),
         (base(Some(100), None, None), false),
@@ -226,8 +227,8 @@
         (base(None, Some(40), Some(7)), false),
         (base(None, None, None), true),
     ] {
-        expect_that!(may_be_forgotten(&gone, &base), eq(want), "{base:?}");
-        expect_that!(may_be_forgotten(&Horizon::default(), &base), eq(false));
+        expect_that!(may_be_evicted(&gone, &base), eq(want), "{base:?}");
+        expect_that!(may_be_evicted(&Horizon::default(), &base), eq(false));
     }
 }
 
@@ -262,27 +263,34 @@
         let known = |map: &EntryMap| {
             for revision in newest + 1 - count..=newest {
                 let (request, print) = older_order(revision);
-                expect_that!(recall(map, &request, &print), eq(Recall::Accepted { revision }));
+                expect_that!(
+                    lookup(map, &request, &print),
+                    eq(LookupResult::Accepted { revision })
+                );
                 let other = fingerprint(&request, true, &revision.to_le_bytes());
-                expect_that!(recall(map, &request, &other), eq(Recall::OtherText));
+                expect_that!(lookup(map, &request, &other), eq(LookupResult::DifferentText));
             }
         };
         known(&map);
         let before = horizon(&map);
         expect_that!(before.revision, eq(lost));
         let order = fingerprint("new", true, b"x");
-        let entries = remember(&map, &order, newest + 1, newest + 1);
+        let entries = insert(&map, &order, newest + 1, newest + 1);
         apply_entries(&mut map, &entries);
         set_edition(&mut map, newest + 1);
         known(&map);
-        expect_that!(recall(&map, "new", &order), eq(Recall::Accepted { revision: newest + 1 }));
+        expect_that!(
+            lookup(&map, "new", &order),
+            eq(LookupResult::Accepted { revision: newest + 1 })
+        );
         expect_that!(map.keys().any(|key| key.starts_with("request/")), eq(false));
         // What was unclear before stays so, what was clear stays clear.
         expect_that!(horizon(&map), eq(before));
-        let stale = OrderBase { edition: Some(0), next_edition: Some(1), ..OrderBase::default() };
-        expect_that!(may_be_forgotten(&before, &stale), eq(lost > 0));
-        let fresh = OrderBase { edition: Some(newest), next_edition: Some(newest + 1), ..stale };
-        expect_that!(may_be_forgotten(&before, &fresh), eq(false));
+        let stale =
+            RequestBase { edition: Some(0), next_edition: Some(1), ..RequestBase::default() };
+        expect_that!(may_be_evicted(&before, &stale), eq(lost > 0));
+        let fresh = RequestBase { edition: Some(newest), next_edition: Some(newest + 1), ..stale };
+        expect_that!(may_be_evicted(&before, &fresh), eq(false));
     }
 }
 
@@ -292,7 +300,7 @@
     let mut map = EntryMap::new();
     for revision in 1..=20_000u64 {
         let order = fingerprint(&format!("n-{revision}"), false, b"");
-        let entries = remember(&map, &order, revision, revision);
+        let entries = insert(&map, &order, revision, revision);
         apply_entries(&mut map, &entries);
     }
     set_edition(&mut map, 20_000);
@@ -300,16 +308,16 @@
     map.insert("request/r-20001".into(), older_value(false, &20_001u64.to_le_bytes(), 20_001));
     let (request, print) = older_order(20_001);
     for revision in 20_002..20_005u64 {
-        let known = recall(&map, &request, &print);
-        expect_that!(known, eq(Recall::Accepted { revision: 20_001 }));
+        let known = lookup(&map, &request, &print);
+        expect_that!(known, eq(LookupResult::Accepted { revision: 20_001 }));
         let order = fingerprint(&format!("n-{revision}"), false, b"");
-        let entries = remember(&map, &order, revision, revision);
+        let entries = insert(&map, &order, revision, revision);
         apply_entries(&mut map, &entries);
         expect_that!(horizon(&map), eq(before));
         for old in [before.revision + 1, 20_000] {
             let order = fingerprint(&format!("n-{old}"), false, b"");
-            let known = recall(&map, &format!("n-{old}"), &order);
-            expect_that!(known, eq(Recall::Accepted { revision: old }));
+            let known = lookup(&map, &format!("n-{old}"), &order);
+            expect_that!(known, eq(LookupResult::Accepted { revision: old }));
         }
     }
 }
@@ -325,10 +333,10 @@
         ("e", "ä875acfc99f67aa2a1a22a408d86382 1".as_bytes()),
     ] {
         map.insert(format!("request/{request}"), value.to_vec());
-        let known = recall(&map, request, &fingerprint(request, true, b""));
-        expect_that!(known, eq(Recall::Absent));
+        let known = lookup(&map, request, &fingerprint(request, true, b""));
+        expect_that!(known, eq(LookupResult::Absent));
     }
-    let entries = remember(&map, &fingerprint("new", true, b""), 7, 1);
+    let entries = insert(&map, &fingerprint("new", true, b""), 7, 1);
     apply_entries(&mut map, &entries);
     expect_that!(map.len(), eq(2), "{:?}", map.keys());
 }
@@ -355,12 +363,12 @@
     let known = |map: &EntryMap| {
         for n in 1..5 {
             let order = fingerprint(&format!("order-{n}"), false, text(n).as_bytes());
-            let told = recall(map, &format!("order-{n}"), &order);
-            expect_that!(told, eq(Recall::Accepted { revision: n + 1 }));
+            let told = lookup(map, &format!("order-{n}"), &order);
+            expect_that!(told, eq(LookupResult::Accepted { revision: n + 1 }));
         }
     };
     known(&copy.entries);
-    let entries = remember(&copy.entries, &fingerprint("new", false, b"x"), 6, 6);
+    let entries = insert(&copy.entries, &fingerprint("new", false, b"x"), 6, 6);
     apply_entries(&mut copy.entries, &entries);
     copy.revision = 6;
     // And back through files of this build.
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -8,7 +8,7 @@
 use cluster::{Cluster, answer, call, cluster, leader, pass_until, read_back, restart_all};
 use common::{One, one, operate};
 use googletest::prelude::*;
-use grebepath_core::control_plane::order_memory::{fingerprint, horizon, remember};
+use grebepath_core::control_plane::request_dedup::{fingerprint, horizon, insert};
 use grebepath_core::identifiers::CONFIG;
 use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::storage::reader::{StoredReplica, read};
@@ -66,7 +66,7 @@
     for base in 1..ACCEPTED {
         let Operation::Patch(text) = order(base) else { unreachable!() };
         let print = fingerprint(&format!("order-{base}"), false, &text);
-        let entries = remember(&copy.entries, &print, base + 1, base + 1);
+        let entries = insert(&copy.entries, &print, base + 1, base + 1);
         apply_entries(&mut copy.entries, &entries);
     }
     let terms =
