--- a/crates/core/src/control_plane/request_dedup/mod.rs
+++ b/crates/core/src/control_plane/request_dedup/mod.rs
@@ -22,7 +22,7 @@
 
 use crate::config::stored::{Entry, edition};
 use crate::protocol::replica::EntryMap;
-use record::{BUCKETS, NUMBER_BYTES, Record, bucket, bucket_key, number, record_bytes};
+use record::{BUCKET_COUNT, NUMBER_BYTES, Record, bucket, bucket_key, record_bytes, to_u64};
 pub use record::{Fingerprint, Horizon, LookupResult, RequestBase, fingerprint};
 
 /// Minimum number of revisions whose requests are kept: two days of 7,200 changes each,
@@ -30,30 +30,30 @@
 pub const MIN_REQUESTS_KEPT: u64 = 16_384;
 /// Number of revisions between two checkpoints. The table reaches back by up to this many
 /// revisions more than required, and the list of checkpoints stays short.
-const MARK_SPACING: u64 = 1_024;
+const CHECKPOINT_INTERVAL: u64 = 1_024;
 
 /// Key of the checkpoints.
-const MARKS: &str = "order/marks";
+const CHECKPOINTS_KEY: &str = "order/marks";
 /// Bytes of one checkpoint: revision, edition.
-const MARK_BYTES: usize = 2 * NUMBER_BYTES;
+const CHECKPOINT_BYTES: usize = 2 * NUMBER_BYTES;
 
 /// Looks a request up by its request id.
-pub fn lookup(map: &EntryMap, request: &str, order: &Fingerprint) -> LookupResult {
-    let records = bucket(map, order.bucket);
-    match records.iter().rev().find(|record| record.has_request_of(order)) {
-        Some(record) if record.has_text_of(order) => {
+pub fn lookup(map: &EntryMap, request: &str, fingerprint: &Fingerprint) -> LookupResult {
+    let records = bucket(map, fingerprint.bucket);
+    match records.iter().rev().find(|record| record.has_same_id(fingerprint)) {
+        Some(record) if record.has_same_text(fingerprint) => {
             LookupResult::Accepted { revision: record.revision }
         }
         Some(_) => LookupResult::DifferentText,
-        None => legacy::lookup(map, request, order),
+        None => legacy::lookup(map, request, fingerprint),
     }
 }
 
 /// Returns the horizon up to which requests may have been evicted.
 pub fn horizon(map: &EntryMap) -> Horizon {
-    let marked = marks(map).first().copied().unwrap_or_default();
+    let checkpointed = checkpoints(map).first().copied().unwrap_or_default();
     let older = legacy::horizon(map, edition(map));
-    if older.revision > marked.revision { older } else { marked }
+    if older.revision > checkpointed.revision { older } else { checkpointed }
 }
 
 /// Returns whether a request that is not in the table may have been accepted and evicted.
@@ -62,9 +62,10 @@
 /// a higher revision and in the edition that it names. Neither ever decreases. So a request
 /// that builds on or results in something newer than the horizon can't have been evicted.
 pub fn may_be_evicted(horizon: &Horizon, base: &RequestBase) -> bool {
-    let never = matches!((base.edition, base.next_edition), (Some(on), Some(next)) if next <= on);
+    let is_impossible =
+        matches!((base.edition, base.next_edition), (Some(on), Some(next)) if next <= on);
     horizon.revision > 0
-        && !never
+        && !is_impossible
         && base.revision.is_none_or(|on| on < horizon.revision)
         && base.edition.is_none_or(|on| on <= horizon.edition)
         && base.next_edition.is_none_or(|next| next <= horizon.edition)
@@ -73,67 +74,73 @@
 /// Returns the entries that record a request accepted as `revision`, after which the
 /// edition is `next_edition`. They also evict the records that are older than required, and
 /// migrate the entries of the older format.
-pub fn insert(map: &EntryMap, order: &Fingerprint, revision: u64, next_edition: u64) -> Vec<Entry> {
+pub fn insert(
+    map: &EntryMap,
+    fingerprint: &Fingerprint,
+    revision: u64,
+    next_edition: u64,
+) -> Vec<Entry> {
     let mut entries = Vec::new();
     let mut buckets: BTreeMap<u16, Vec<Record>> = BTreeMap::new();
-    let (old_marks, mut new_marks) = (marks(map), marks(map));
-    if legacy::present(map) {
-        new_marks = carry_over(map, &mut buckets, &mut entries);
+    let (old_checkpoints, mut new_checkpoints) = (checkpoints(map), checkpoints(map));
+    if legacy::is_present(map) {
+        new_checkpoints = migrate_legacy(map, &mut buckets, &mut entries);
     }
-    advance(&mut new_marks, revision, next_edition);
-    if new_marks != old_marks {
-        entries.push((MARKS.to_string(), Some(marks_bytes(&new_marks))));
+    advance_checkpoints(&mut new_checkpoints, revision, next_edition);
+    if new_checkpoints != old_checkpoints {
+        entries.push((CHECKPOINTS_KEY.to_string(), Some(checkpoint_bytes(&new_checkpoints))));
     }
-    let sweep = (revision % BUCKETS) as u16;
+    let sweep = (revision % BUCKET_COUNT) as u16;
     buckets.entry(sweep).or_insert_with(|| bucket(map, sweep));
-    let own = buckets.entry(order.bucket).or_insert_with(|| bucket(map, order.bucket));
-    own.push(Record::new(order, revision));
-    let gone = new_marks.first().map_or(0, |mark| mark.revision);
+    let own = buckets.entry(fingerprint.bucket).or_insert_with(|| bucket(map, fingerprint.bucket));
+    own.push(Record::new(fingerprint, revision));
+    let evicted = new_checkpoints.first().map_or(0, |checkpoint| checkpoint.revision);
     for (number, mut records) in buckets {
-        records.retain(|record| record.revision > gone);
-        entries.extend(rewritten(map, number, &records));
+        records.retain(|record| record.revision > evicted);
+        entries.extend(rewritten_bucket(map, number, &records));
     }
     entries
 }
 
 /// Adds the requests of the older format to `buckets` and removes their entries. Returns
 /// the resulting checkpoints.
-fn carry_over(
+fn migrate_legacy(
     map: &EntryMap,
     buckets: &mut BTreeMap<u16, Vec<Record>>,
     entries: &mut Vec<Entry>,
 ) -> Vec<Horizon> {
-    for (order, revision) in legacy::orders(map) {
-        let records = buckets.entry(order.bucket).or_insert_with(|| bucket(map, order.bucket));
-        records.push(Record::new(&order, revision));
+    for (fingerprint, revision) in legacy::requests(map) {
+        let records =
+            buckets.entry(fingerprint.bucket).or_insert_with(|| bucket(map, fingerprint.bucket));
+        records.push(Record::new(&fingerprint, revision));
         records.sort_by_key(|record| record.revision);
     }
-    entries.extend(legacy::removed(map));
-    let gone = horizon(map);
-    let mut marks = marks(map);
-    marks.retain(|mark| mark.revision > gone.revision);
-    marks.insert(0, gone);
-    marks
+    entries.extend(legacy::removals(map));
+    let evicted = horizon(map);
+    let mut checkpoints = checkpoints(map);
+    checkpoints.retain(|checkpoint| checkpoint.revision > evicted.revision);
+    checkpoints.insert(0, evicted);
+    checkpoints
 }
 
 /// Adds a checkpoint if one is due, and drops the first ones as long as the remaining ones
 /// cover enough requests.
-fn advance(marks: &mut Vec<Horizon>, revision: u64, edition: u64) {
-    let last = marks.last().map_or(0, |mark| mark.revision);
-    if revision < last + MARK_SPACING {
+fn advance_checkpoints(checkpoints: &mut Vec<Horizon>, revision: u64, edition: u64) {
+    let last = checkpoints.last().map_or(0, |checkpoint| checkpoint.revision);
+    if revision < last + CHECKPOINT_INTERVAL {
         return;
     }
-    if marks.is_empty() {
-        marks.push(Horizon::default());
+    if checkpoints.is_empty() {
+        checkpoints.push(Horizon::default());
     }
-    marks.push(Horizon { revision, edition });
-    let spare = |mark: &Horizon| mark.revision + MIN_REQUESTS_KEPT <= revision;
-    let first = marks.iter().rposition(spare).unwrap_or(0);
-    marks.drain(..first);
+    checkpoints.push(Horizon { revision, edition });
+    let is_droppable = |checkpoint: &Horizon| checkpoint.revision + MIN_REQUESTS_KEPT <= revision;
+    let first = checkpoints.iter().rposition(is_droppable).unwrap_or(0);
+    checkpoints.drain(..first);
 }
 
 /// Returns the entry that replaces a bucket, if its contents changed.
-fn rewritten(map: &EntryMap, number: u16, records: &[Record]) -> Option<Entry> {
+fn rewritten_bucket(map: &EntryMap, number: u16, records: &[Record]) -> Option<Entry> {
     let key = bucket_key(number);
     let bytes: Vec<u8> = records.iter().flat_map(record_bytes).collect();
     let old = map.get(&key).map_or(&[][..], Vec::as_slice);
@@ -141,17 +148,17 @@
 }
 
 /// Returns the checkpoints: revisions with the editions at that time, the horizon first.
-fn marks(map: &EntryMap) -> Vec<Horizon> {
-    let bytes = map.get(MARKS).map_or(&[][..], Vec::as_slice);
-    let mark = |bytes: &[u8]| {
+fn checkpoints(map: &EntryMap) -> Vec<Horizon> {
+    let bytes = map.get(CHECKPOINTS_KEY).map_or(&[][..], Vec::as_slice);
+    let checkpoint = |bytes: &[u8]| {
         let (revision, edition) = bytes.split_at(NUMBER_BYTES);
-        Horizon { revision: number(revision), edition: number(edition) }
+        Horizon { revision: to_u64(revision), edition: to_u64(edition) }
     };
-    bytes.chunks_exact(MARK_BYTES).map(mark).collect()
+    bytes.chunks_exact(CHECKPOINT_BYTES).map(checkpoint).collect()
 }
 
-fn marks_bytes(marks: &[Horizon]) -> Vec<u8> {
-    marks
+fn checkpoint_bytes(checkpoints: &[Horizon]) -> Vec<u8> {
+    checkpoints
         .iter()
         .flat_map(|m| [m.revision.to_le_bytes(), m.edition.to_le_bytes()])
         .flatten()
--- a/crates/core/src/control_plane/request_dedup/record.rs
+++ b/crates/core/src/control_plane/request_dedup/record.rs
@@ -7,7 +7,7 @@
 
 /// Number of buckets. A full table has four records in each. An accepted request then
 /// rewrites about 100 bytes, and the keys are a fifth of the total size.
-pub(super) const BUCKETS: u64 = 4_096;
+pub(super) const BUCKET_COUNT: u64 = 4_096;
 /// Bytes that a record holds of the digest of the request id. Together with the 12 bits
 /// that choose the bucket, two ids collide with a probability of 1 in 2^92.
 const REQUEST_BYTES: usize = 10;
@@ -71,18 +71,18 @@
 
 impl Record {
     /// Creates the record of a request that was accepted as `revision`.
-    pub(super) fn new(order: &Fingerprint, revision: u64) -> Self {
-        Self { request: order.request, text: order.text, revision }
+    pub(super) fn new(fingerprint: &Fingerprint, revision: u64) -> Self {
+        Self { request: fingerprint.request, text: fingerprint.text, revision }
     }
 
     /// Returns whether a request has the same request id.
-    pub(super) fn has_request_of(&self, order: &Fingerprint) -> bool {
-        self.request == order.request
+    pub(super) fn has_same_id(&self, fingerprint: &Fingerprint) -> bool {
+        self.request == fingerprint.request
     }
 
     /// Returns whether a request has the same text.
-    pub(super) fn has_text_of(&self, order: &Fingerprint) -> bool {
-        self.text == order.text
+    pub(super) fn has_same_text(&self, fingerprint: &Fingerprint) -> bool {
+        self.text == fingerprint.text
     }
 }
 
@@ -96,7 +96,7 @@
 /// Returns the fingerprint of a request, given the digest of its text.
 pub(super) fn fingerprint_of_digest(request: &str, text: &[u8; 16]) -> Fingerprint {
     let id = digest_bytes(request.as_bytes());
-    let bucket = u64::from(u16::from_le_bytes([id[0], id[1]])) % BUCKETS;
+    let bucket = u64::from(u16::from_le_bytes([id[0], id[1]])) % BUCKET_COUNT;
     Fingerprint { bucket: bucket as u16, request: array(&id[2..]), text: array(text) }
 }
 
@@ -113,14 +113,14 @@
 fn record(bytes: &[u8]) -> Record {
     let (request, rest) = bytes.split_at(REQUEST_BYTES);
     let (text, revision) = rest.split_at(TEXT_BYTES);
-    Record { request: array(request), text: array(text), revision: number(revision) }
+    Record { request: array(request), text: array(text), revision: to_u64(revision) }
 }
 
 pub(super) fn record_bytes(record: &Record) -> Vec<u8> {
     [&record.request[..], &record.text[..], &record.revision.to_le_bytes()[..]].concat()
 }
 
-pub(super) fn number(bytes: &[u8]) -> u64 {
+pub(super) fn to_u64(bytes: &[u8]) -> u64 {
     u64::from_le_bytes(array(bytes))
 }
 
