--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -73,45 +73,47 @@
         Operation::Status | Operation::ForgetMember(_) => PendingAnswer::Status,
         Operation::ReadRollout(service) => PendingAnswer::Rollout(service.clone()),
         Operation::Replace(text) => {
-            let judged = judge(configuration, request, true, text);
-            return carry_out(configuration, now, group, origin, judged, commands);
+            let evaluation = evaluate_change(configuration, request, true, text);
+            return apply_evaluation(configuration, now, group, origin, evaluation, commands);
         }
         Operation::Patch(text) => {
-            let judged = judge(configuration, request, false, text);
-            return carry_out(configuration, now, group, origin, judged, commands);
+            let evaluation = evaluate_change(configuration, request, false, text);
+            return apply_evaluation(configuration, now, group, origin, evaluation, commands);
         }
         Operation::StartRollout(order) => {
-            let judged = rollout_orders::judge_start(configuration, now, request, order, clock);
-            return carry_out(configuration, now, group, origin, judged, commands);
+            let evaluation =
+                rollout_orders::evaluate_start(configuration, now, request, order, clock);
+            return apply_evaluation(configuration, now, group, origin, evaluation, commands);
         }
         Operation::AbortRollout(service) => {
-            let judged = rollout_orders::judge_abort(configuration, now, request, service, clock);
-            return carry_out(configuration, now, group, origin, judged, commands);
+            let evaluation =
+                rollout_orders::evaluate_abort(configuration, now, request, service, clock);
+            return apply_evaluation(configuration, now, group, origin, evaluation, commands);
         }
     };
     configuration.add_pending(now, group, origin, answer, commands);
 }
 
 /// Proposes an evaluated change, or adds its result to the pending operations.
-fn carry_out(
+fn apply_evaluation(
     configuration: &mut Partition,
     now: Tick,
     group: VoterGroup,
     origin: OperationOrigin,
-    judged: Judged,
+    evaluation: Evaluation,
     commands: &mut Vec<Command>,
 ) {
-    match judged {
-        Judged::Refused(done) => {
+    match evaluation {
+        Evaluation::Refused(done) => {
             let answer = PendingAnswer::Refusal(done);
             configuration.add_pending(now, group, origin, answer, commands);
         }
-        Judged::Made { revision } => {
+        Evaluation::AlreadyAccepted { revision } => {
             configuration.wait_for_repeated_change(now, origin, revision, ChangeAcceptance::Obeyed);
             configuration.request_round(now, group, commands);
             configuration.complete_operations(now, group, commands);
         }
-        Judged::Change(entries) => {
+        Evaluation::Change(entries) => {
             configuration.propose(now, group, entries, commands);
             let revision = configuration.state.revision;
             configuration.wait_for_change(now, origin, revision, ChangeAcceptance::Obeyed);
@@ -121,58 +123,68 @@
 }
 
 /// The outcome of evaluating a request against the newest state.
-pub(super) enum Judged {
+pub(super) enum Evaluation {
     /// The request changes these entries.
     Change(Vec<Entry>),
     /// The request is a repetition of one that was accepted as this revision.
-    Made { revision: u64 },
+    AlreadyAccepted { revision: u64 },
     /// The request changes nothing. The result is sent once this node has proved that it
     /// leads.
     Refused(OperationResult),
 }
 
 /// Evaluates a change against the newest state.
-fn judge(p: &Partition, request: &Request, whole: bool, text: &[u8]) -> Judged {
+fn evaluate_change(
+    p: &Partition,
+    request: &Request,
+    is_replacement: bool,
+    text: &[u8],
+) -> Evaluation {
     let map = &p.state.entries;
-    let order = request_dedup::fingerprint(&request.id, whole, text);
-    if let Some(judged) = judge_copy(p, request, &order) {
-        return judged;
+    let fingerprint = request_dedup::fingerprint(&request.id, is_replacement, text);
+    if let Some(evaluation) = evaluate_duplicate(p, request, &fingerprint) {
+        return evaluation;
     }
-    if request.expected_revision.is_some_and(|want| want != p.state.revision) {
+    if request.expected_revision.is_some_and(|expected| expected != p.state.revision) {
         let base = RequestBase { revision: request.expected_revision, ..RequestBase::default() };
-        let moved = OperationResult::Conflict { revision: p.state.revision };
-        return Judged::Refused(forgotten(map, &base).unwrap_or(moved));
+        let conflict = OperationResult::Conflict { revision: p.state.revision };
+        return Evaluation::Refused(forgotten_result(map, &base).unwrap_or(conflict));
     }
-    let (mut entries, edition) = match planned(map, request.expected_revision, whole, text) {
-        Ok(Planned::Entries(entries, edition)) => (entries, edition),
-        Ok(Planned::Refused(done)) => return Judged::Refused(done),
-        Err(all) => {
-            let list = all.into_iter().map(|f| (f.place.clone(), f.text())).collect();
-            return Judged::Refused(OperationResult::Invalid(list));
-        }
-    };
-    entries.extend(request_dedup::insert(map, &order, p.state.revision + 1, edition));
-    Judged::Change(entries)
+    let (mut entries, edition) =
+        match plan_change(map, request.expected_revision, is_replacement, text) {
+            Ok(PlannedChange::Entries(entries, edition)) => (entries, edition),
+            Ok(PlannedChange::Refused(done)) => return Evaluation::Refused(done),
+            Err(all) => {
+                let list = all.into_iter().map(|f| (f.place.clone(), f.text())).collect();
+                return Evaluation::Refused(OperationResult::Invalid(list));
+            }
+        };
+    entries.extend(request_dedup::insert(map, &fingerprint, p.state.revision + 1, edition));
+    Evaluation::Change(entries)
 }
 
 /// Returns the outcome of a request that was accepted before, or that can't be told apart
 /// from a delayed copy of an earlier one.
-pub(super) fn judge_copy(p: &Partition, request: &Request, order: &Fingerprint) -> Option<Judged> {
+pub(super) fn evaluate_duplicate(
+    p: &Partition,
+    request: &Request,
+    fingerprint: &Fingerprint,
+) -> Option<Evaluation> {
     if request.is_unconditional() {
-        return Some(Judged::Refused(OperationResult::Conflict { revision: p.state.revision }));
+        return Some(Evaluation::Refused(OperationResult::Conflict { revision: p.state.revision }));
     }
-    match request_dedup::lookup(&p.state.entries, &request.id, order) {
-        LookupResult::Accepted { revision } => Some(Judged::Made { revision }),
+    match request_dedup::lookup(&p.state.entries, &request.id, fingerprint) {
+        LookupResult::Accepted { revision } => Some(Evaluation::AlreadyAccepted { revision }),
         LookupResult::DifferentText => {
             let text = "this request id was used for another request".to_string();
-            Some(Judged::Refused(OperationResult::Invalid(vec![("request".into(), text)])))
+            Some(Evaluation::Refused(OperationResult::Invalid(vec![("request".into(), text)])))
         }
         LookupResult::Absent => None,
     }
 }
 
 /// The outcome of planning a change.
-enum Planned {
+enum PlannedChange {
     /// The changed entries, and the edition of the configuration after the change.
     Entries(Vec<Entry>, u64),
     /// The request does not build on the current edition.
@@ -182,39 +194,39 @@
 /// Returns the entries that a request changes, or all errors in it. If the request names
 /// the edition that it builds on, this must be the current one. If it names its own
 /// edition, this must be higher than the current one.
-fn planned(
+fn plan_change(
     map: &EntryMap,
-    expect: Option<u64>,
-    whole: bool,
+    expected_revision: Option<u64>,
+    is_replacement: bool,
     text: &[u8],
-) -> Result<Planned, Vec<Diagnostic>> {
+) -> Result<PlannedChange, Vec<Diagnostic>> {
     let old = Config::from_entries(map)
         .map_err(|error| vec![Diagnostic::new("stored configuration", error)])?;
-    let new = if whole {
+    let new = if is_replacement {
         old.replaced_by(Config::from_json(text)?)
     } else {
         old.clone().patched(&Patch::from_json(text)?)
     };
     let ChangeHeader { after, edition, .. } = new.turn;
-    let base = RequestBase { revision: expect, edition: after, next_edition: edition };
-    if base.edition.is_some_and(|n| n != old.terms.edition) {
-        let moved = OperationResult::Conflict { revision: old.terms.edition };
-        return Ok(Planned::Refused(forgotten(map, &base).unwrap_or(moved)));
+    let base = RequestBase { revision: expected_revision, edition: after, next_edition: edition };
+    if base.edition.is_some_and(|named| named != old.terms.edition) {
+        let conflict = OperationResult::Conflict { revision: old.terms.edition };
+        return Ok(PlannedChange::Refused(forgotten_result(map, &base).unwrap_or(conflict)));
     }
-    if base.next_edition.is_some_and(|n| n <= old.terms.edition) {
-        if let Some(done) = forgotten(map, &base) {
-            return Ok(Planned::Refused(done));
+    if base.next_edition.is_some_and(|named| named <= old.terms.edition) {
+        if let Some(done) = forgotten_result(map, &base) {
+            return Ok(PlannedChange::Refused(done));
         }
         let text = format!("must be above {}, the current edition", old.terms.edition);
         return Err(vec![Diagnostic::new("terms.edition", text)]);
     }
     RoutingTable::build(&new)?;
-    Ok(Planned::Entries(old.changes_to(&new), new.terms.edition))
+    Ok(PlannedChange::Entries(old.changes_to(&new), new.terms.edition))
 }
 
 /// Returns `Forgotten` if a request that would be refused may have been accepted before and
 /// since been dropped from the deduplication table.
-fn forgotten(map: &EntryMap, base: &RequestBase) -> Option<OperationResult> {
+fn forgotten_result(map: &EntryMap, base: &RequestBase) -> Option<OperationResult> {
     let horizon = request_dedup::horizon(map);
     let Horizon { revision, edition } = horizon;
     may_be_evicted(&horizon, base).then_some(OperationResult::Forgotten { revision, edition })
--- a/crates/core/src/control_plane/request_dedup/record.rs
+++ b/crates/core/src/control_plane/request_dedup/record.rs
@@ -88,8 +88,8 @@
 
 /// Returns the fingerprint of a request that replaces the configuration or, if
 /// `is_replacement` is false, changes a part of it.
-pub fn fingerprint(request: &str, whole: bool, text: &[u8]) -> Fingerprint {
-    let digest = digest_bytes(&[&[u8::from(whole)], text].concat());
+pub fn fingerprint(request: &str, is_replacement: bool, text: &[u8]) -> Fingerprint {
+    let digest = digest_bytes(&[&[u8::from(is_replacement)], text].concat());
     fingerprint_of_digest(request, &digest)
 }
 
