--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -28,10 +28,10 @@
 pub(super) const SCRUB_INTERVAL: Span = 4 * SECOND;
 
 /// First id of forwarded requests. It lies above all ids that the daemon assigns.
-const FORWARDED_NUMBERS: u64 = 1 << 63;
+const FIRST_FORWARDED_ID: u64 = 1 << 63;
 
 /// Salt that separates attempt numbers from all other values derived from the same seed.
-const ATTEMPTS: u64 = 0x6174_7465_6d70_7473;
+const ATTEMPT_SALT: u64 = 0x6174_7465_6d70_7473;
 
 /// The whole state of a controller. Only [`step`](ControllerState::step) changes it.
 pub struct ControllerState {
@@ -56,10 +56,10 @@
     /// slot.
     pub forwarded: IndexMap<u64, ForwardedOperation>,
     /// Id of the last forwarded request.
-    pub next_forwarded: u64,
+    pub last_forwarded: u64,
     /// Number of the last attempt to execute a request. It starts at a random value, so
     /// that a restarted process does not reuse a number of its predecessor.
-    pub next_attempt: u64,
+    pub last_attempt: u64,
     /// Numbers of the attempts received from other nodes, the oldest first.
     pub attempts_seen: IndexSet<u64>,
     /// When the files of the next partition are scrubbed.
@@ -171,15 +171,15 @@
 impl ControllerState {
     /// Creates a controller from what its disk holds. `found` has the condition, the state
     /// and the log length (bytes) of each partition on disk; all other partitions are
-    /// empty. `here` is the address at which other nodes reach this one, and its zone.
+    /// empty. `location` is the address at which other nodes reach this one, and its zone.
     pub fn new(
-        roll: VoterFile,
-        here: (&str, &str),
+        voter_file: VoterFile,
+        location: (&str, &str),
         found: Vec<(PartitionId, ReplicaCondition, ReplicaState, u64)>,
         seed: u64,
         now: Tick,
     ) -> Self {
-        let slot = seat_of(&roll.table, roll.me).unwrap_or(NOBODY);
+        let slot = seat_of(&voter_file.table, voter_file.me).unwrap_or(NOBODY);
         let mut found: BTreeMap<PartitionId, _> = found
             .into_iter()
             .map(|(id, condition, state, log_bytes)| (id, (condition, state, log_bytes)))
@@ -196,16 +196,16 @@
             .collect();
         Self {
             slot,
-            random: Random::new(seed ^ roll.me),
-            voter_slots: VoterSlots::new(roll, here.0, here.1, now),
+            random: Random::new(seed ^ voter_file.me),
+            voter_slots: VoterSlots::new(voter_file, location.0, location.1, now),
             partitions,
             members: Members::default(),
             followers: IndexMap::new(),
             broadcast_up_to: Vec::new(),
             pending_requests: IndexMap::new(),
             forwarded: IndexMap::new(),
-            next_forwarded: FORWARDED_NUMBERS,
-            next_attempt: mix(mix(seed) ^ ATTEMPTS),
+            last_forwarded: FIRST_FORWARDED_ID,
+            last_attempt: mix(mix(seed) ^ ATTEMPT_SALT),
             attempts_seen: IndexSet::new(),
             scrub_at: now + SCRUB_INTERVAL,
             scrub_next: 0,
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -46,7 +46,7 @@
                 self.on_membership_told(now, MembershipSource::Member, membership, commands);
             }
             Message::OperationRequest { op, attempt, .. } if self.slot == NOBODY => {
-                commands.push(ForwardedOperation { connection, number: op, attempt }.misdirected());
+                commands.push(ForwardedOperation { connection, id: op, attempt }.misdirected());
             }
             Message::OperationRequest {
                 op,
@@ -57,7 +57,7 @@
                 ..
             } => {
                 let request = Request { id: request, expected_revision, operation };
-                let origin = ForwardedOperation { connection, number: op, attempt };
+                let origin = ForwardedOperation { connection, id: op, attempt };
                 self.on_forwarded_operation(now, origin, request, commands);
             }
             Message::LeafList { .. } | Message::LeafReports { .. } => {
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -30,7 +30,7 @@
 
 /// Maximum number of attempt numbers that are remembered to drop duplicates. At hundreds of
 /// requests per second, this covers ten seconds.
-const ATTEMPTS_KEPT: usize = 4_096;
+const MAX_SEEN_ATTEMPTS: usize = 4_096;
 
 impl ControllerState {
     /// Handles a request from an operator of this node.
@@ -66,14 +66,16 @@
         if self.slot != NOBODY {
             return self.known_leader();
         }
-        let quiet = &self.voter_slots.silence;
+        let silence = &self.voter_slots.silence;
         // A leaving controller does not contact the voters to get a slot and so receives no
         // messages from them; it treats them all as reachable.
         let leaving = self.is_leaving();
-        let is_awake =
-            |slot: &VoterSlot| leaving || quiet[usize::from(*slot)] < consts::VOTER_SILENCE_TIMEOUT;
-        let list: Vec<VoterSlot> = others(self.group()).filter(is_awake).collect();
-        let slot = list.get(self.voter_slots.forwarding_turns % list.len().max(1)).copied()?;
+        let is_reachable = |slot: &VoterSlot| {
+            leaving || silence[usize::from(*slot)] < consts::VOTER_SILENCE_TIMEOUT
+        };
+        let reachable: Vec<VoterSlot> = others(self.group()).filter(is_reachable).collect();
+        let slot =
+            reachable.get(self.voter_slots.forwarding_turns % reachable.len().max(1)).copied()?;
         self.voter_slots.forwarding_turns += 1;
         Some(Forwarding { slot, term: ANY_TERM })
     }
@@ -99,8 +101,8 @@
             return;
         }
         let Some(to) = self.forwarding_target() else { return };
-        self.next_attempt = self.next_attempt.wrapping_add(1);
-        let attempt = self.next_attempt;
+        self.last_attempt = self.last_attempt.wrapping_add(1);
+        let attempt = self.last_attempt;
         let Some(pending) = self.pending_requests.get_mut(&op) else { return };
         pending.begin_attempt(attempt, to);
         let request = pending.to_request();
@@ -150,7 +152,7 @@
         for pending in
             self.pending_requests.values_mut().filter(|pending| pending.forwarded_to.is_some())
         {
-            pending.give_up_attempt();
+            pending.cancel_attempt();
         }
     }
 
@@ -162,16 +164,16 @@
             slot.is_some_and(|slot| moved.get(slot).is_some_and(|moved| *moved))
         };
         for pending in self.pending_requests.values_mut().filter(went_to_moved) {
-            pending.give_up_attempt();
+            pending.cancel_attempt();
         }
     }
 
     /// Records an attempt and returns whether it was received for the first time.
-    fn is_first_time(&mut self, attempt: u64) -> bool {
+    fn record_attempt(&mut self, attempt: u64) -> bool {
         if !self.attempts_seen.insert(attempt) {
             return false;
         }
-        if self.attempts_seen.len() > ATTEMPTS_KEPT {
+        if self.attempts_seen.len() > MAX_SEEN_ATTEMPTS {
             self.attempts_seen.shift_remove_index(0);
         }
         true
@@ -187,7 +189,7 @@
         request: Request,
         commands: &mut Vec<Command>,
     ) {
-        if !self.is_first_time(origin.attempt) {
+        if !self.record_attempt(origin.attempt) {
             return;
         }
         if self.lease_term() == Some(term) {
@@ -207,11 +209,11 @@
         request: Request,
         commands: &mut Vec<Command>,
     ) {
-        if !self.is_first_time(origin.attempt) {
+        if !self.record_attempt(origin.attempt) {
             return;
         }
-        self.next_forwarded += 1;
-        let op = self.next_forwarded;
+        self.last_forwarded += 1;
+        let op = self.last_forwarded;
         self.forwarded.insert(op, origin);
         self.on_operate(now, op, request, commands);
     }
@@ -224,7 +226,11 @@
         done: OperationResult,
         commands: &mut Vec<Command>,
     ) {
-        if self.pending_requests.get(&id.op).is_some_and(|pending| pending.waits_for(id.attempt)) {
+        if self
+            .pending_requests
+            .get(&id.op)
+            .is_some_and(|pending| pending.is_current_attempt(id.attempt))
+        {
             self.on_result(now, id.op, done, commands);
         }
     }
@@ -250,7 +256,7 @@
             pending.forwarded_to = None;
             return;
         }
-        let done = pending.certain(done);
+        let done = pending.final_result(done);
         self.pending_requests.swap_remove(&op);
         match done {
             OperationResult::Accepted { .. } => self.counters.accepted += 1,
@@ -273,7 +279,7 @@
                 self.forward(now, id, commands);
                 continue;
             }
-            let done = pending.overdue();
+            let done = pending.timeout_result();
             self.pending_requests.swap_remove(&id);
             self.counters.rejected += 1;
             commands.push(Command::Respond { op: id, done });
@@ -288,8 +294,8 @@
         let leaving = self.is_leaving();
         let ControllerState { slot, voter_slots, pending_requests, .. } = self;
         let is_silent = |to: &Forwarding| {
-            let quiet = voter_slots.silence.get(usize::from(to.slot));
-            quiet.is_none_or(|quiet| *quiet >= consts::VOTER_SILENCE_TIMEOUT)
+            let silence = voter_slots.silence.get(usize::from(to.slot));
+            silence.is_none_or(|silence| *silence >= consts::VOTER_SILENCE_TIMEOUT)
         };
         let is_superseded = |to: &Forwarding| match *slot {
             NOBODY => !leaving && is_silent(to),
@@ -297,7 +303,7 @@
         };
         for pending in pending_requests.values_mut() {
             if pending.forwarded_to.as_ref().is_some_and(is_superseded) {
-                pending.give_up_attempt();
+                pending.cancel_attempt();
             }
         }
     }
@@ -305,7 +311,7 @@
     /// Handles the responses of this node, as the leader, to requests of its own operators.
     /// They are treated like responses from another leader, as the request may have to be
     /// retried.
-    pub(super) fn take_own_responses(&mut self, now: Tick, commands: &mut Vec<Command>) {
+    pub(super) fn handle_own_responses(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let mut at = 0;
         while at < commands.len() {
             if !matches!(commands[at], Command::OwnResponse { .. }) {
@@ -318,7 +324,7 @@
 
     /// Sends the results of forwarded requests back on the connections on which they
     /// arrived.
-    pub(super) fn return_forwarded(&mut self, commands: &mut [Command]) {
+    pub(super) fn respond_to_forwarded(&mut self, commands: &mut [Command]) {
         for command in commands {
             if let Command::Respond { op, done } = command
                 && let Some(origin) = self.forwarded.swap_remove(op)
--- a/crates/core/src/control_plane/pending_requests.rs
+++ b/crates/core/src/control_plane/pending_requests.rs
@@ -51,7 +51,7 @@
     /// The connection on which the request arrived.
     pub connection: ConnectionId,
     /// Id of the request at that controller.
-    pub number: u64,
+    pub id: u64,
     /// Number of the attempt at that controller.
     pub attempt: u64,
 }
@@ -68,8 +68,8 @@
 impl ForwardedOperation {
     /// Returns the command that sends the result of this attempt to its origin.
     pub fn response(self, done: OperationResult) -> Command {
-        let ForwardedOperation { connection, number, attempt } = self;
-        let message = Message::OperationResponse { op: number, attempt, result: done };
+        let ForwardedOperation { connection, id, attempt } = self;
+        let message = Message::OperationResponse { op: id, attempt, result: done };
         Command::ToConnection { connection, message }
     }
 
@@ -117,19 +117,19 @@
 
     /// Cancels the latest attempt, which may never be answered, so that another one is
     /// made.
-    pub fn give_up_attempt(&mut self) {
+    pub fn cancel_attempt(&mut self) {
         self.may_be_applied = true;
         self.forwarded_to = None;
     }
 
     /// Returns whether a response to this attempt counts.
-    pub fn waits_for(&self, attempt: u64) -> bool {
+    pub fn is_current_attempt(&self, attempt: u64) -> bool {
         self.attempt == attempt && self.forwarded_to.is_some()
     }
 
     /// Returns the result that may be reported, given what may have become of earlier
     /// attempts.
-    pub fn certain(&self, done: OperationResult) -> OperationResult {
+    pub fn final_result(&self, done: OperationResult) -> OperationResult {
         match done {
             OperationResult::Accepted { .. }
             | OperationResult::Configuration { .. }
@@ -150,7 +150,7 @@
     }
 
     /// Returns the result that is reported when the request times out.
-    pub fn overdue(&self) -> OperationResult {
+    pub fn timeout_result(&self) -> OperationResult {
         match self.forwarded_to {
             None if !self.may_be_applied => {
                 OperationResult::Rejected { why: Rejection::NoLeader.to_string() }
@@ -159,8 +159,10 @@
                 OperationResult::Rejected { why: Rejection::ReadTimedOut.to_string() }
             }
             _ => {
-                let silent = || Rejection::LeaderTimedOut.to_string();
-                OperationResult::Unknown { why: self.last_failure.clone().unwrap_or_else(silent) }
+                let leader_timed_out = || Rejection::LeaderTimedOut.to_string();
+                OperationResult::Unknown {
+                    why: self.last_failure.clone().unwrap_or_else(leader_timed_out),
+                }
             }
         }
     }
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -23,8 +23,8 @@
         self.answer_status(now, &mut commands);
         let configuration = &mut self.partitions[0];
         acceptance::update(configuration, &mut self.members, now, group, &mut commands);
-        self.take_own_responses(now, &mut commands);
-        self.return_forwarded(&mut commands);
+        self.handle_own_responses(now, &mut commands);
+        self.respond_to_forwarded(&mut commands);
         self.broadcast(&mut commands);
         self.voter_slots.stamp_messages(now, &mut commands);
         commands
