--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -22,12 +22,12 @@
 /// A member without a renewal for this long is not waited for. This allows for two renewals
 /// in a row and a fifth of the interval for their transmission. A shorter time would treat
 /// a single lost renewal as a lost member.
-const RENEWAL_SILENCE: Span = ms(1_100);
+const RENEWAL_TIMEOUT: Span = ms(1_100);
 /// A change that has been committed for this long no longer waits for members that renew
 /// but have not applied it. All grants since then name the change, so these members serve
 /// by an older revision for at most one more lease. The value is about twice the silence
 /// timeout above and less than half of the timeout of an operator request.
-const ACCEPTANCE_LATEST: Span = ms(2_000);
+const MAX_ACCEPTANCE_DELAY: Span = ms(2_000);
 
 /// Reports to the leader of the configuration partition up to which revision changes are
 /// accepted. The check visits all members, so it runs only while an operator waits, and
@@ -52,14 +52,15 @@
         return;
     }
     leader.acceptance_check_at = now + consts::ACCEPTANCE_POLL_INTERVAL;
-    let mut waited: Vec<u64> =
+    let mut waiting_revisions: Vec<u64> =
         leader.waiting_changes.iter().map(|waiting| waiting.revision).collect();
-    waited.sort_unstable_by(|a, b| b.cmp(a));
-    waited.dedup();
-    let accepted = waited.into_iter().find(|revision| members.have_accepted(now, *revision));
+    waiting_revisions.sort_unstable_by(|a, b| b.cmp(a));
+    waiting_revisions.dedup();
+    let accepted =
+        waiting_revisions.into_iter().find(|revision| members.have_accepted(now, *revision));
     // The names are needed only when the deadline of a waiting operator is about to pass.
     let needs_names = now + HEARTBEAT_INTERVAL >= until;
-    leader.lagging_members = if needs_names { members.lagging_behind(newest) } else { Vec::new() };
+    leader.lagging_members = if needs_names { members.members_behind(newest) } else { Vec::new() };
     let accepted = accepted.unwrap_or(0);
     if leader.obeyed_up_to != accepted {
         leader.obeyed_up_to = accepted;
@@ -76,7 +77,7 @@
     /// Returns whether no member uses anything older than a committed revision: each member
     /// has applied it, or its lease has ended and it can't prove that nothing newer was
     /// accepted.
-    pub(super) fn none_goes_by_older(&self, now: Tick, revision: u64) -> bool {
+    pub(super) fn none_uses_older(&self, now: Tick, revision: u64) -> bool {
         self.are_known() && self.is_safe(now, revision) && self.is_fenced(now, revision)
     }
 
@@ -93,12 +94,12 @@
         if committed_at.is_some_and(|at| since(at, now) >= consts::LEASE_DURATION) {
             return true;
         }
-        let obeys =
+        let has_applied =
             |heard: &LastRenewal| heard.has_renewed && heard.progress.obeyed_revision >= revision;
         let may_serve = |heard: &&LastRenewal| {
-            !self.is_gone(&heard.member) && since(heard.at, now) < consts::LEASE_DURATION
+            !self.has_departed(&heard.member) && since(heard.at, now) < consts::LEASE_DURATION
         };
-        committed_at.is_some() && self.last_renewals.values().filter(may_serve).all(obeys)
+        committed_at.is_some() && self.last_renewals.values().filter(may_serve).all(has_applied)
     }
 
     /// Returns whether no member can serve by an older revision for longer than a lease.
@@ -111,7 +112,7 @@
     /// Returns whether no member of this membership can serve by an older revision.
     fn is_safe_among(&self, now: Tick, membership: &Membership, revision: u64) -> bool {
         let list = &membership.members;
-        let knows = |member: &&Member| {
+        let knows_revision = |member: &&Member| {
             let heard = self.last_renewals.get(&member.name);
             self.has_left(membership, member)
                 || heard.is_some_and(|heard| heard.progress.known_revision >= revision)
@@ -119,29 +120,29 @@
         // A member that uses a membership knows the revision under which it was issued.
         membership.revision >= revision
             || list.is_empty()
-            || list.iter().filter(knows).count() >= quorum::acceptance(list.len())
+            || list.iter().filter(knows_revision).count() >= quorum::acceptance(list.len())
             || (list.len() == 1 && !self.is_live(now, &list[0].name))
     }
 
     /// Returns whether a revision is in force on all members that have to be waited for.
     fn is_in_force(&self, now: Tick, revision: u64) -> bool {
         let list = &self.membership.members;
-        let obeys = |member: &&Member| {
+        let has_applied = |member: &&Member| {
             self.last_renewals
                 .get(&member.name)
                 .is_some_and(|heard| heard.progress.obeyed_revision >= revision)
         };
-        if 2 * list.iter().filter(obeys).count() > list.len() {
+        if 2 * list.iter().filter(has_applied).count() > list.len() {
             return true;
         }
         let committed_at = self.commit_times.committed_at(revision);
-        committed_at.is_some_and(|at| since(at, now) >= ACCEPTANCE_LATEST)
-            || list.iter().all(|member| obeys(&member) || self.is_excused(now, member))
+        committed_at.is_some_and(|at| since(at, now) >= MAX_ACCEPTANCE_DELAY)
+            || list.iter().all(|member| has_applied(&member) || self.is_excused(now, member))
     }
 
     /// Returns whether a change does not wait for this member to apply it.
     fn is_excused(&self, now: Tick, member: &Member) -> bool {
-        let is_silent = |heard: &LastRenewal| since(heard.at, now) >= RENEWAL_SILENCE;
+        let is_silent = |heard: &LastRenewal| since(heard.at, now) >= RENEWAL_TIMEOUT;
         // A process that has just started has no configuration to serve by.
         let is_idle =
             |heard: &LastRenewal| heard.has_renewed && heard.progress.obeyed_revision == 0;
@@ -152,11 +153,14 @@
 
     /// Returns the members that have not applied a revision, with the one that they
     /// applied.
-    fn lagging_behind(&self, revision: u64) -> Vec<String> {
-        let obeys = |member: &Member| {
+    fn members_behind(&self, revision: u64) -> Vec<String> {
+        let applied_revision = |member: &Member| {
             self.last_renewals.get(&member.name).map_or(0, |h| h.progress.obeyed_revision)
         };
-        let lagging = self.membership.members.iter().filter(|member| obeys(member) < revision);
-        lagging.map(|member| format!("{} (applied {})", member.name, obeys(member))).collect()
+        let lagging =
+            self.membership.members.iter().filter(|member| applied_revision(member) < revision);
+        lagging
+            .map(|member| format!("{} (applied {})", member.name, applied_revision(member)))
+            .collect()
     }
 }
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -139,15 +139,15 @@
 /// member that has renewed its lease with this node is running, and stays.
 pub fn apply(configuration: &Partition, members: &mut Members, now: Tick) {
     let committed_revision = configuration.committed_revision;
-    if members.forgotten_at == committed_revision || members.leadership.is_none() {
+    if members.forgotten_revision == committed_revision || members.leadership.is_none() {
         return;
     }
-    members.forgotten_at = committed_revision;
+    members.forgotten_revision = committed_revision;
     for (name, entry) in entries(&configuration.committed) {
         let is_alive = members.last_renewals.get(name).is_some_and(|heard| heard.has_renewed)
             && members.is_live(now, name);
         if !is_alive {
-            let gone = Departure { incarnation: entry.incarnation, said_itself: false };
+            let gone = Departure { incarnation: entry.incarnation, is_self_reported: false };
             members.departed.insert(name.to_string(), gone);
         }
     }
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -43,7 +43,7 @@
                 self.on_lease_renewal(now, RenewalSource::Member(connection), renewal, commands);
             }
             Message::MembershipUpdate(membership) => {
-                self.on_membership_told(now, MembershipSource::Member, membership, commands);
+                self.on_membership_report(now, MembershipSource::Member, membership, commands);
             }
             Message::OperationRequest { op, attempt, .. } if self.slot == NOBODY => {
                 commands.push(ForwardedOperation { connection, id: op, attempt }.misdirected());
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -109,10 +109,10 @@
             }
             Message::LeaseGranted { ref name, .. }
             | Message::SubstituteListPoller { ref name, .. } => {
-                self.pass_on_to_member(&name.clone(), message, commands);
+                self.forward_to_member(&name.clone(), message, commands);
             }
             Message::MembershipUpdate(membership) => {
-                self.on_membership_told(now, MembershipSource::Voter, membership, commands);
+                self.on_membership_report(now, MembershipSource::Voter, membership, commands);
             }
             Message::OperationRequest {
                 op,
--- a/crates/core/src/control_plane/leases.rs
+++ b/crates/core/src/control_plane/leases.rs
@@ -33,7 +33,7 @@
 
 impl RenewalSource {
     /// Returns the command that sends an answer back to the source of the renewal.
-    fn answer(self, message: Message) -> Command {
+    fn reply(self, message: Message) -> Command {
         match self {
             RenewalSource::Voter(slot) => Command::ToVoter { slot, message },
             RenewalSource::Member(connection) => Command::ToConnection { connection, message },
@@ -79,7 +79,7 @@
         };
         // After a pause of this process another node may lead the partition and may have
         // changed it. A grant would then name a revision that may be outdated.
-        if !self.is_followed(now) {
+        if !self.has_recent_majority(now) {
             return;
         }
         self.begin_leases(now);
@@ -110,7 +110,7 @@
 
     /// Returns whether a majority of the voters has recently followed this node as the
     /// leader.
-    fn is_followed(&self, now: Tick) -> bool {
+    fn has_recent_majority(&self, now: Tick) -> bool {
         match &self.partitions[0].role {
             Role::Leader(leader) => leader.hears_majority(self.group(), now),
             _ => false,
@@ -129,8 +129,8 @@
         let LeaseRenewal { member, number, progress } = renewal;
         let (name, incarnation) = (member.name.clone(), member.incarnation);
         let is_leaving = progress.leaving;
-        let wants_membership = self.members.asks_for_membership(now, &progress);
-        if !self.members.note_renewal(now, member, progress) {
+        let wants_membership = self.members.should_request_membership(now, &progress);
+        if !self.members.record_renewal(now, member, progress) {
             return;
         }
         if is_leaving {
@@ -147,15 +147,15 @@
             revision,
             wants_membership,
         };
-        commands.push(source.answer(grant));
+        commands.push(source.reply(grant));
         if let Some(rank) = list_rank {
             let message = Message::SubstituteListPoller { name, incarnation, rank };
-            commands.push(source.answer(message));
+            commands.push(source.reply(message));
         }
     }
 
     /// Forwards a message of the leader to a member whose renewal this node had forwarded.
-    pub(super) fn pass_on_to_member(
+    pub(super) fn forward_to_member(
         &self,
         name: &str,
         message: Message,
--- a/crates/core/src/control_plane/list_pollers.rs
+++ b/crates/core/src/control_plane/list_pollers.rs
@@ -12,10 +12,10 @@
 
 /// A member that has not renewed its lease for this long is replaced: one renewal is
 /// missing and the next one is late.
-const RENEWAL_SILENCE: Span = ms(1_100);
+const RENEWAL_TIMEOUT: Span = ms(1_100);
 
 /// How often the substitutes are chosen again.
-const CHOICE_INTERVAL: Span = ms(100);
+const SUBSTITUTION_INTERVAL: Span = ms(100);
 
 /// The members that poll the list in place of silent ones.
 #[derive(Default)]
@@ -43,7 +43,7 @@
     fn choose_substitutes(&mut self, now: Tick) {
         let chosen = &self.substitute_list_pollers;
         let id = self.membership.id();
-        if chosen.membership == id && since(chosen.chosen_at, now) < CHOICE_INTERVAL {
+        if chosen.membership == id && since(chosen.chosen_at, now) < SUBSTITUTION_INTERVAL {
             return;
         }
         self.substitute_list_pollers = SubstituteListPollers {
@@ -56,19 +56,20 @@
     /// Returns the members that would poll if the silent members did not exist, and that do
     /// not poll according to the membership.
     fn substitutes(&self, now: Tick) -> Vec<Substitute> {
-        let usual =
+        let assigned =
             list_pollers(&self.membership, |member| member.joined <= self.membership.settled);
-        let heard = list_pollers(&self.membership, |member| self.renews(now, member));
-        let ranked = (0..).zip(heard);
+        let responsive = list_pollers(&self.membership, |member| self.renews_in_time(now, member));
+        let ranked = (0..).zip(responsive);
         ranked
-            .filter(|(rank, member)| usual.get(*rank as usize) != Some(member))
+            .filter(|(rank, member)| assigned.get(*rank as usize) != Some(member))
             .map(|(rank, member)| Substitute { name: member.name.clone(), rank })
             .collect()
     }
 
     /// Returns whether a member's renewals arrive in time.
-    fn renews(&self, now: Tick, member: &Member) -> bool {
+    fn renews_in_time(&self, now: Tick, member: &Member) -> bool {
         let heard = self.last_renewals.get(&member.name);
-        !self.is_gone(member) && heard.is_some_and(|heard| since(heard.at, now) < RENEWAL_SILENCE)
+        !self.has_departed(member)
+            && heard.is_some_and(|heard| since(heard.at, now) < RENEWAL_TIMEOUT)
     }
 }
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -36,7 +36,7 @@
     /// The connection of each member to this voter.
     pub connections: IndexMap<String, ConnectionId>,
     /// The revision up to which members forgotten by operators were applied.
-    pub forgotten_at: u64,
+    pub forgotten_revision: u64,
     /// When recent revisions were committed, for the acceptance of changes.
     pub commit_times: CommitTimes,
     /// The members that poll the platform's list in place of silent ones.
@@ -64,7 +64,7 @@
     pub incarnation: u64,
     /// Whether the process reported its own shutdown. Otherwise an operator declared it
     /// down, who may be mistaken.
-    pub said_itself: bool,
+    pub is_self_reported: bool,
 }
 
 impl Members {
@@ -77,7 +77,7 @@
     pub(super) fn reset_for_term(&mut self, now: Tick, term: Term) {
         self.leadership = Some((term, now));
         // Members forgotten by operators are applied again in each term.
-        self.forgotten_at = 0;
+        self.forgotten_revision = 0;
         self.gathering = false;
         self.last_renewals.clear();
         self.departed.clear();
@@ -87,18 +87,18 @@
     /// Returns whether a member has renewed within a lease and has not departed since.
     pub fn is_live(&self, now: Tick, name: &str) -> bool {
         self.last_renewals.get(name).is_some_and(|heard| {
-            !self.is_gone(&heard.member) && since(heard.at, now) < consts::LEASE_DURATION
+            !self.has_departed(&heard.member) && since(heard.at, now) < consts::LEASE_DURATION
         })
     }
 
     /// Returns whether this process (incarnation) of a member is known to have departed.
-    pub fn is_gone(&self, member: &Member) -> bool {
+    pub fn has_departed(&self, member: &Member) -> bool {
         self.departed.get(&member.name).is_some_and(|gone| gone.incarnation == member.incarnation)
     }
 
     /// Returns whether a member is to be asked for the membership that it uses because this
     /// node does not know it.
-    pub fn asks_for_membership(&mut self, now: Tick, progress: &MemberProgress) -> bool {
+    pub fn should_request_membership(&mut self, now: Tick, progress: &MemberProgress) -> bool {
         let id = progress.seen_membership;
         let may_count = self.gathering || id > self.membership.id();
         let is_due = self.membership_asked_at == 0
@@ -118,17 +118,17 @@
     }
 
     /// Records a renewal. Returns false if it is stale.
-    pub fn note_renewal(&mut self, now: Tick, member: Member, progress: MemberProgress) -> bool {
+    pub fn record_renewal(&mut self, now: Tick, member: Member, progress: MemberProgress) -> bool {
         let name = member.name.clone();
         let incarnation = member.incarnation;
         let gone = self.departed.get(&name).filter(|gone| gone.incarnation == incarnation);
-        if gone.is_some_and(|gone| gone.said_itself) {
+        if gone.is_some_and(|gone| gone.is_self_reported) {
             // The renewal was in transit while the process stopped.
             return false;
         }
         self.departed.swap_remove(&name);
         if progress.leaving {
-            self.departed.insert(name, Departure { incarnation, said_itself: true });
+            self.departed.insert(name, Departure { incarnation, is_self_reported: true });
         } else {
             self.last_renewals
                 .insert(name, LastRenewal { at: now, member, progress, has_renewed: true });
--- a/crates/core/src/control_plane/membership_issue.rs
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -2,7 +2,7 @@
 //! membership is settled.
 
 use crate::control_plane::members::{LastRenewal, Members};
-use crate::control_plane::membership_log::{FormerMembership, MEMBERSHIPS_KEPT};
+use crate::control_plane::membership_log::{FormerMembership, MAX_MEMBERSHIPS};
 use crate::identifiers::Term;
 use crate::protocol::membership::{Member, Membership};
 use crate::time::{Span, Tick, ms, since};
@@ -10,13 +10,13 @@
 
 /// How long silent members keep their shares while no majority of the members is heard.
 /// They most likely come back, and waiting for twice the lease does no harm.
-const REMOVAL_BY_FEW: Span = 2 * consts::LEASE_DURATION;
+const MINORITY_REMOVAL_DELAY: Span = 2 * consts::LEASE_DURATION;
 /// How long a new leader of the configuration partition counts the members that it
 /// inherited as live: one lease, since it has not received renewals from them yet.
-const TENURE_GRACE: Span = consts::LEASE_DURATION;
+const NEW_LEADER_GRACE: Span = consts::LEASE_DURATION;
 /// How long a leader that knows of no membership gathers members before it issues one.
 /// Members look for the leader ten times a second.
-const TENURE_GATHER: Span = ms(300);
+const GATHERING_TIME: Span = ms(300);
 
 impl Members {
     /// Returns whether this node knows too few members to issue a membership. If it
@@ -27,8 +27,8 @@
         let Some((_, began)) = self.leadership else { return true };
         let age = since(began, now);
         self.gathering |= self.membership.term == Term::ZERO;
-        self.gathering &= age < TENURE_GRACE;
-        self.gathering && age < TENURE_GATHER
+        self.gathering &= age < NEW_LEADER_GRACE;
+        self.gathering && age < GATHERING_TIME
     }
 
     /// Issues a new membership if the members have changed and no earlier membership is
@@ -38,13 +38,13 @@
         // A membership newer than the current one was inherited from a leader that may have
         // sent it to some members. These leave it only for a newer one.
         let is_newer = |former: &FormerMembership| former.membership.id() > self.membership.id();
-        let is_clear = log.proposed.is_none()
+        let may_issue = log.proposed.is_none()
             && log.older.iter().all(|former| former.retired.is_some() || is_newer(former));
-        if !is_clear || log.older.len() >= MEMBERSHIPS_KEPT {
+        if !may_issue || log.older.len() >= MAX_MEMBERSHIPS {
             return;
         }
         let turn = self.membership.turn + 1;
-        let members = self.list(now, turn);
+        let members = self.current_members(now, turn);
         if self.membership.term != term || self.membership.members != members {
             let settled = self.membership.settled;
             self.log.proposed = Some(Membership { term, turn, settled, revision, members });
@@ -53,22 +53,23 @@
 
     /// Returns the current members in the order of their names. New members join in this
     /// turn.
-    fn list(&self, now: Tick, turn: u64) -> Vec<Member> {
+    fn current_members(&self, now: Tick, turn: u64) -> Vec<Member> {
         let live = self.last_renewals.iter().filter(|(name, _)| self.is_live(now, name));
-        let mut list: Vec<Member> = live.map(|(_, heard)| heard.member.clone()).collect();
-        let is_scarce = !self.hears_most(now);
+        let mut current_members: Vec<Member> =
+            live.map(|(_, heard)| heard.member.clone()).collect();
+        let lacks_majority = !self.hears_majority(now);
         let silent = self.membership.members.iter().filter(|member| {
             !self.is_live(now, &member.name)
                 && !self.departed.contains_key(&member.name)
-                && is_scarce
-                && self.stays(now, member)
+                && lacks_majority
+                && self.is_retained(now, member)
         });
-        list.extend(silent.cloned());
-        list.sort_by(|a, b| a.name.cmp(&b.name));
-        for member in &mut list {
+        current_members.extend(silent.cloned());
+        current_members.sort_by(|a, b| a.name.cmp(&b.name));
+        for member in &mut current_members {
             member.joined = self.joined_in(member).unwrap_or(turn);
         }
-        list
+        current_members
     }
 
     /// Returns the turn in which a member joined, if the current membership has it with the
@@ -84,25 +85,26 @@
     /// does for a limited time, since silent members most likely come back. It remains
     /// without a limit if so few members are heard continuously that the silent ones may go
     /// on serving.
-    fn stays(&self, now: Tick, member: &Member) -> bool {
+    fn is_retained(&self, now: Tick, member: &Member) -> bool {
         let known = &self.membership.members;
         let is_long_silent = self
             .last_renewals
             .get(&member.name)
-            .is_none_or(|heard| since(heard.at, now) >= REMOVAL_BY_FEW);
+            .is_none_or(|heard| since(heard.at, now) >= MINORITY_REMOVAL_DELAY);
         let is_quiet = |heard: &LastRenewal| {
             heard.has_renewed && ms(heard.progress.quiet_ms) >= consts::ATTESTATION_EXPIRY
         };
-        let is_steady = |other: &&Member| {
+        let is_heard_continuously = |other: &&Member| {
             self.is_live(now, &other.name)
                 && self.last_renewals.get(&other.name).is_some_and(is_quiet)
         };
-        let are_enough = known.iter().filter(is_steady).count() >= quorum::acceptance(known.len());
+        let are_enough =
+            known.iter().filter(is_heard_continuously).count() >= quorum::acceptance(known.len());
         known.len() > 1 && !(is_long_silent && are_enough)
     }
 
     /// Returns whether most members of the membership renew their leases with this node.
-    fn hears_most(&self, now: Tick) -> bool {
+    fn hears_majority(&self, now: Tick) -> bool {
         let known = &self.membership.members;
         let heard = known.iter().filter(|member| self.is_live(now, &member.name)).count();
         known.is_empty() || heard * 2 > known.len()
--- a/crates/core/src/control_plane/membership_log.rs
+++ b/crates/core/src/control_plane/membership_log.rs
@@ -12,7 +12,7 @@
 
 /// Maximum number of memberships that some member may still use. More than that arise only
 /// if that many leaders follow each other and no message of theirs is received.
-pub(super) const MEMBERSHIPS_KEPT: usize = 8;
+pub(super) const MAX_MEMBERSHIPS: usize = 8;
 
 /// The voters among which memberships are replicated.
 #[derive(Clone, Copy)]
@@ -34,7 +34,7 @@
     /// The highest term in which a leader sent a message to this node. Messages of lower
     /// terms are refused.
     pub(super) term: Term,
-    pub(super) leading: LeaderLog,
+    pub(super) replication: ReplicationState,
 }
 
 /// A former membership.
@@ -54,7 +54,7 @@
 
 /// The replication state that only a leader uses.
 #[derive(Default)]
-pub(super) struct LeaderLog {
+pub(super) struct ReplicationState {
     /// The memberships reported by each voter to a new leader. Empty once the leader has
     /// inherited them.
     pub(super) fetched: Vec<Option<Memberships>>,
@@ -91,7 +91,7 @@
 impl MembershipLog {
     /// Returns whether this leader knows all memberships that members may use.
     pub fn is_inherited(&self) -> bool {
-        self.leading.inherited
+        self.replication.inherited
     }
 
     /// Returns `current`, which was sent to the members, with all others that may be in
@@ -113,47 +113,47 @@
     /// have to be fetched.
     pub(super) fn begin_term(&mut self, term: Term, voters: Voters, own: Memberships) {
         self.term = self.term.max(term);
-        self.leading = LeaderLog::new(voters, own);
+        self.replication = ReplicationState::new(voters, own);
     }
 
     /// Discards what was collected under a former voter set, if the voter set has changed.
     pub(super) fn follow_voter_set(&mut self, voters: Voters, current: &Membership) {
-        if self.leading.stamp == voters.stamp {
+        if self.replication.stamp == voters.stamp {
             return;
         }
         let own = self.held_with(current);
-        let inherited = self.leading.inherited;
-        self.leading = LeaderLog { inherited, ..LeaderLog::new(voters, own) };
+        let inherited = self.replication.inherited;
+        self.replication = ReplicationState { inherited, ..ReplicationState::new(voters, own) };
     }
 
     /// Records the connection on which a voter sent a message. On a new connection the
     /// voter may be a new process, which holds nothing of what the former one acknowledged.
-    pub(super) fn note_connection(&mut self, from: VoterSlot, connection: ConnectionId) {
+    pub(super) fn record_connection(&mut self, from: VoterSlot, connection: ConnectionId) {
         let slot = usize::from(from);
-        let Some(known) = self.leading.connections.get_mut(slot) else { return };
+        let Some(known) = self.replication.connections.get_mut(slot) else { return };
         if known.replace(connection) != Some(connection) {
-            self.leading.acknowledged[slot] = None;
+            self.replication.acknowledged[slot] = None;
         }
     }
 
     /// Records the version that a voter acknowledged.
-    pub(super) fn note_acknowledged(&mut self, from: VoterSlot, version: MembershipVersion) {
-        if let Some(cell) = self.leading.acknowledged.get_mut(usize::from(from)) {
+    pub(super) fn record_acknowledged(&mut self, from: VoterSlot, version: MembershipVersion) {
+        if let Some(cell) = self.replication.acknowledged.get_mut(usize::from(from)) {
             *cell = Some(version);
         }
     }
 
     /// Records the memberships that a voter reported.
-    pub(super) fn note_fetched(&mut self, from: VoterSlot, held: Memberships) {
-        if !self.leading.inherited
-            && let Some(cell) = self.leading.fetched.get_mut(usize::from(from))
+    pub(super) fn record_fetched(&mut self, from: VoterSlot, held: Memberships) {
+        if !self.replication.inherited
+            && let Some(cell) = self.replication.fetched.get_mut(usize::from(from))
         {
             *cell = Some(held);
         }
     }
 }
 
-impl LeaderLog {
+impl ReplicationState {
     /// Creates an empty state that has only the memberships of this node.
     fn new(voters: Voters, own: Memberships) -> Self {
         let size = voters.group.size;
--- a/crates/core/src/control_plane/membership_replication.rs
+++ b/crates/core/src/control_plane/membership_replication.rs
@@ -10,7 +10,7 @@
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::members::Members;
 use crate::control_plane::membership_log::{
-    FormerMembership, MEMBERSHIPS_KEPT, MembershipVersion, Voters,
+    FormerMembership, MAX_MEMBERSHIPS, MembershipVersion, Voters,
 };
 use crate::identifiers::{Term, VoterSlot};
 use crate::protocol::membership::{Membership, MembershipId, Memberships};
@@ -37,11 +37,11 @@
 }
 
 /// The outcome of storing a replicated membership.
-pub struct TakenMembership {
+pub struct StoredMembership {
     /// The response to the leader.
     pub acknowledgement: Message,
     /// Whether there is a newer membership to send to the members.
-    pub is_news: bool,
+    pub is_newer: bool,
 }
 
 impl Members {
@@ -74,14 +74,14 @@
         if self.log.is_inherited() {
             return true;
         }
-        if self.is_enough_fetched(now, voters.group) {
-            self.take_over(now);
+        if self.has_fetched_enough(now, voters.group) {
+            self.inherit_fetched(now);
             return true;
         }
-        let leading = &mut self.log.leading;
-        if leading.sent.is_none_or(|(_, at)| since(at, now) >= HEARTBEAT_INTERVAL) {
+        let replication = &mut self.log.replication;
+        if replication.sent.is_none_or(|(_, at)| since(at, now) >= HEARTBEAT_INTERVAL) {
             let id = MembershipId::default();
-            leading.sent = Some((MembershipVersion { id, settled: 0, confirmed: false }, now));
+            replication.sent = Some((MembershipVersion { id, settled: 0, confirmed: false }, now));
             for slot in others(voters.group) {
                 commands
                     .push(Command::ToVoter { slot, message: Message::FetchMembership { term } });
@@ -94,8 +94,8 @@
     /// of voters that hold one. A restarted voter holds none, and the other voters of the
     /// majority that stored the membership may not have answered yet; the leader waits for
     /// them up to `ANSWER_TIMEOUT`.
-    fn is_enough_fetched(&self, now: Tick, group: VoterGroup) -> bool {
-        let answers = || self.log.leading.fetched.iter().flatten();
+    fn has_fetched_enough(&self, now: Tick, group: VoterGroup) -> bool {
+        let answers = || self.log.replication.fetched.iter().flatten();
         let remembering = answers().filter(|held| !held.is_empty()).count();
         let answered = answers().count();
         let waited = self.leadership.map_or(0, |(_, began)| since(began, now));
@@ -107,12 +107,12 @@
     /// Inherits the memberships that the voters reported. The newest membership that was
     /// sent to members was replicated with all earlier ones that may still be in use. Newer
     /// ones that voters hold may have been sent to members as well.
-    fn take_over(&mut self, now: Tick) {
-        let leading = &mut self.log.leading;
-        leading.inherited = true;
-        leading.sent = None;
+    fn inherit_fetched(&mut self, now: Tick) {
+        let replication = &mut self.log.replication;
+        replication.inherited = true;
+        replication.sent = None;
         let fetched: Vec<Memberships> =
-            std::mem::take(&mut leading.fetched).into_iter().flatten().collect();
+            std::mem::take(&mut replication.fetched).into_iter().flatten().collect();
         let rank = |held: &&Memberships| (held.current.id(), held.current.settled);
         let Some(newest) = fetched.iter().max_by_key(rank).cloned() else { return };
         let Memberships { current, others: mut rest } = newest;
@@ -150,7 +150,7 @@
         self.log.proposed.as_ref().is_some_and(|proposed| {
             let id = proposed.id();
             let holds = |version: &&MembershipVersion| version.id >= id;
-            let count = self.log.leading.acknowledged.iter().flatten().filter(holds).count();
+            let count = self.log.replication.acknowledged.iter().flatten().filter(holds).count();
             count + 1 >= majority(group.size)
         })
     }
@@ -178,17 +178,17 @@
             None => (&self.membership, true),
         };
         let version = MembershipVersion::new(current, confirmed);
-        let leading = &mut self.log.leading;
-        let is_due = leading
+        let replication = &mut self.log.replication;
+        let is_due = replication
             .sent
             .is_none_or(|(sent, at)| sent != version || since(at, now) >= HEARTBEAT_INTERVAL);
         let lacking: Vec<VoterSlot> = others(group)
-            .filter(|slot| leading.acknowledged[usize::from(*slot)] != Some(version))
+            .filter(|slot| replication.acknowledged[usize::from(*slot)] != Some(version))
             .collect();
         if !is_due || lacking.is_empty() || current.term == Term::ZERO {
             return;
         }
-        leading.sent = Some((version, now));
+        replication.sent = Some((version, now));
         let older: Vec<Membership> =
             self.log.older.iter().map(|former| former.membership.clone()).collect();
         for slot in lacking {
@@ -199,30 +199,30 @@
     }
 
     /// Returns whether the leader of this term has been replaced, according to the term of
-    /// the local replica (`obeyed_term`) or to the messages of later leaders.
-    fn is_superseded(&self, term: Term, obeyed_term: Term) -> bool {
-        term < self.log.term || term < obeyed_term
+    /// the local replica (`current_term`) or to the messages of later leaders.
+    fn is_superseded(&self, term: Term, current_term: Term) -> bool {
+        term < self.log.term || term < current_term
     }
 
     /// Stores a membership that a leader replicates to this node. Returns `None` if that
     /// node is no longer the leader.
-    pub fn take_replicated(
+    pub fn store_replicated(
         &mut self,
-        obeyed_term: Term,
+        current_term: Term,
         replicated: ReplicatedMembership,
-    ) -> Option<TakenMembership> {
+    ) -> Option<StoredMembership> {
         let ReplicatedMembership { term, current, confirmed, older } = replicated;
-        if self.is_superseded(term, obeyed_term) {
+        if self.is_superseded(term, current_term) {
             return None;
         }
         let version = MembershipVersion::new(&current, confirmed);
         self.log.term = term;
         self.log.inherit(older);
-        let mut is_news = false;
+        let mut is_newer = false;
         if confirmed {
             self.log.proposed = self.log.proposed.take().filter(|other| other.id() > version.id);
-            is_news = current.is_newer_than(&self.membership);
-            if is_news {
+            is_newer = current.is_newer_than(&self.membership);
+            if is_newer {
                 self.membership = current;
             }
         } else {
@@ -231,26 +231,26 @@
         let MembershipVersion { id, settled, confirmed } = version;
         let acknowledgement =
             Message::MembershipReplicated { term, id, settled, confirmed, stamp: 0 };
-        Some(TakenMembership { acknowledgement, is_news })
+        Some(StoredMembership { acknowledgement, is_newer })
     }
 
     /// Records the connection on which a voter sent a message. The connection tells the
     /// processes of a voter apart.
     pub fn on_voter_connection(&mut self, from: VoterSlot, connection: ConnectionId) {
-        self.log.note_connection(from, connection);
+        self.log.record_connection(from, connection);
     }
 
     /// Handles a voter's acknowledgement of a version that this node sent in this term.
     pub fn on_replicated(&mut self, from: VoterSlot, term: Term, version: MembershipVersion) {
         if self.is_leading_in(term) {
-            self.log.note_acknowledged(from, version);
+            self.log.record_acknowledged(from, version);
         }
     }
 
     /// Returns the memberships that this node holds, for a new leader that fetches them.
     /// Returns `None` if that node is no longer the leader.
-    pub fn answer_fetch(&mut self, obeyed_term: Term, term: Term) -> Option<Message> {
-        if self.is_superseded(term, obeyed_term) {
+    pub fn answer_fetch(&mut self, current_term: Term, term: Term) -> Option<Message> {
+        if self.is_superseded(term, current_term) {
             return None;
         }
         self.log.term = term;
@@ -261,16 +261,16 @@
     /// Handles the memberships that a voter reported.
     pub fn on_fetched(&mut self, from: VoterSlot, term: Term, held: Memberships) {
         if self.is_leading_in(term) {
-            self.log.note_fetched(from, held);
+            self.log.record_fetched(from, held);
         }
     }
 
     /// Adds a membership that a member reported and that this leader did not know.
-    pub fn learn_of(&mut self, now: Tick, membership: Membership) {
+    pub fn add_reported(&mut self, now: Tick, membership: Membership) {
         let Some((term, _)) = self.leadership else { return };
         let id = membership.id();
-        let has_room = self.log.older.len() < MEMBERSHIPS_KEPT;
-        if !self.log.is_inherited() || id.term >= term || !has_room || self.knows(id) {
+        let has_capacity = self.log.older.len() < MAX_MEMBERSHIPS;
+        if !self.log.is_inherited() || id.term >= term || !has_capacity || self.knows(id) {
             return;
         }
         self.log.older.push(FormerMembership::new(membership));
--- a/crates/core/src/control_plane/membership_updates.rs
+++ b/crates/core/src/control_plane/membership_updates.rs
@@ -71,7 +71,7 @@
     }
 
     /// Sends the membership's state to a peer that has just subscribed.
-    pub(super) fn greet(&self, connection: ConnectionId, commands: &mut Vec<Command>) {
+    pub(super) fn send_membership_to(&self, connection: ConnectionId, commands: &mut Vec<Command>) {
         if self.members.membership.term > Term::ZERO {
             commands.push(self.membership_for(connection));
         }
@@ -79,7 +79,7 @@
 
     /// Handles the report of a membership that a member uses. A follower forwards the
     /// report of a member to the leader.
-    pub(super) fn on_membership_told(
+    pub(super) fn on_membership_report(
         &mut self,
         now: Tick,
         source: MembershipSource,
@@ -87,7 +87,7 @@
         commands: &mut Vec<Command>,
     ) {
         match self.partitions[0].role {
-            Role::Leader(_) => self.members.learn_of(now, membership),
+            Role::Leader(_) => self.members.add_reported(now, membership),
             Role::Follower { leader: Some(leader), .. } if source == MembershipSource::Member => {
                 let message = Message::MembershipUpdate(membership);
                 commands.push(Command::ToVoter { slot: leader.slot, message });
@@ -103,12 +103,12 @@
         replicated: ReplicatedMembership,
         commands: &mut Vec<Command>,
     ) {
-        let obeyed_term = self.partitions[0].state.current_term;
-        let Some(taken) = self.members.take_replicated(obeyed_term, replicated) else { return };
-        if taken.is_news {
+        let current_term = self.partitions[0].state.current_term;
+        let Some(stored) = self.members.store_replicated(current_term, replicated) else { return };
+        if stored.is_newer {
             self.notify_members(commands);
         }
-        commands.push(Command::ToVoter { slot: from, message: taken.acknowledgement });
+        commands.push(Command::ToVoter { slot: from, message: stored.acknowledgement });
     }
 
     /// Answers a new leader that fetches the memberships of this node.
@@ -118,8 +118,8 @@
         term: Term,
         commands: &mut Vec<Command>,
     ) {
-        let obeyed_term = self.partitions[0].state.current_term;
-        if let Some(message) = self.members.answer_fetch(obeyed_term, term) {
+        let current_term = self.partitions[0].state.current_term;
+        if let Some(message) = self.members.answer_fetch(current_term, term) {
             commands.push(Command::ToVoter { slot: from, message });
         }
     }
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -29,7 +29,7 @@
     /// newer one or no longer exists. Either way it sends no more attestations for this
     /// membership.
     pub fn has_left(&self, membership: &Membership, member: &Member) -> bool {
-        self.is_gone(member)
+        self.has_departed(member)
             || self.last_renewals.get(&member.name).is_some_and(|heard| {
                 let is_another = heard.member.incarnation != member.incarnation;
                 heard.has_renewed
--- a/crates/core/src/control_plane/rollout_progress.rs
+++ b/crates/core/src/control_plane/rollout_progress.rs
@@ -72,11 +72,11 @@
             }
             RolloutPhase::Forward
                 if elapsed_ms >= rollout.elapsed_ms + LAST_ATTEMPTS_MS
-                    && self.is_obeyed_by_all(now, rollout) =>
+                    && self.is_applied_by_all(now, rollout) =>
             {
                 turned(RolloutPhase::Delivered, rollout.reason())
             }
-            RolloutPhase::Back if self.is_obeyed_by_all(now, rollout) => {
+            RolloutPhase::Back if self.is_applied_by_all(now, rollout) => {
                 turned(RolloutPhase::Returned, rollout.reason())
             }
             _ => None,
@@ -91,11 +91,11 @@
 
     /// Returns whether every member has applied the last phase change of a rollout or no
     /// longer serves.
-    fn is_obeyed_by_all(&self, now: Tick, rollout: &Rollout) -> bool {
+    fn is_applied_by_all(&self, now: Tick, rollout: &Rollout) -> bool {
         let configuration = &self.partitions[CONFIG.0 as usize];
         let committed = configuration.leader().map_or(0, |leader| leader.committed);
         committed >= rollout.phase_revision
-            && self.members.none_goes_by_older(now, rollout.phase_revision)
+            && self.members.none_uses_older(now, rollout.phase_revision)
     }
 }
 
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -55,7 +55,7 @@
     ) {
         let wants_membership = positions.iter().any(|place| place.partition == COHORT);
         if !wants_membership && !self.followers.contains_key(&connection) {
-            self.greet(connection, commands);
+            self.send_membership_to(connection, commands);
         }
         if stamp != self.voter_slots.stamp {
             self.voter_slots.send_voter_set(connection, commands);
