--- a/crates/core/src/control_plane/commit_times.rs
+++ b/crates/core/src/control_plane/commit_times.rs
@@ -6,7 +6,7 @@
 
 /// Maximum number of revisions whose commit time is kept. Operators wait for a change for
 /// seconds only, and older revisions count as committed long ago.
-const COMMITS_KEPT: usize = 256;
+const MAX_COMMIT_TIMES: usize = 256;
 
 /// The commit times of the latest revisions, as far as this leader knows them.
 #[derive(Default)]
@@ -20,7 +20,7 @@
     pub fn note(&mut self, now: Tick, committed: u64) {
         if self.commits.back().is_none_or(|(revision, _)| *revision < committed) {
             self.commits.push_back((committed, now));
-            if self.commits.len() > COMMITS_KEPT {
+            if self.commits.len() > MAX_COMMIT_TIMES {
                 self.commits.pop_front();
             }
         }
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -45,7 +45,7 @@
     pub members: Members,
     /// Subscribers by connection, with the revision of each partition that was last sent to
     /// them.
-    pub followers: IndexMap<ConnectionId, BTreeMap<PartitionId, u64>>,
+    pub subscribers: IndexMap<ConnectionId, BTreeMap<PartitionId, u64>>,
     /// The revisions that were last sent to all subscribers: one for each partition, then
     /// the one of the membership.
     pub broadcast_up_to: Vec<u64>,
@@ -200,7 +200,7 @@
             voter_slots: VoterSlots::new(voter_file, location.0, location.1, now),
             partitions,
             members: Members::default(),
-            followers: IndexMap::new(),
+            subscribers: IndexMap::new(),
             broadcast_up_to: Vec::new(),
             pending_requests: IndexMap::new(),
             forwarded: IndexMap::new(),
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -21,11 +21,11 @@
 
 /// A leaf that is missing from the list is removed after this time. A list that lags or
 /// flaps must not empty a pool.
-const LEAF_ABSENCE: Span = 5 * SECOND;
+const LEAF_REMOVAL_DELAY: Span = 5 * SECOND;
 /// The same while most of a service's leafs are missing from the list.
-const LEAF_ABSENCE_DOUBTED: Span = 6 * LEAF_ABSENCE;
+const DOUBTFUL_LEAF_REMOVAL_DELAY: Span = 6 * LEAF_REMOVAL_DELAY;
 /// How often the leader of a partition checks which stored leaf ages are outdated.
-const AGES_INTERVAL: Span = SECOND;
+const AGE_CHECK_INTERVAL: Span = SECOND;
 
 /// Leafs by name.
 type Leafs = BTreeMap<String, LeafInfo>;
@@ -114,9 +114,12 @@
         let is_replaced =
             list.values().any(|other| other.addr == info.addr && !known.contains_key(&other.leaf));
         let absent_since = *leader.absent_leafs.entry(name.clone()).or_insert(now);
-        let patience =
-            if is_doubtful(info, list, known) { LEAF_ABSENCE_DOUBTED } else { LEAF_ABSENCE };
-        if is_replaced || since(absent_since, now) >= patience {
+        let removal_delay = if is_doubtful(info, list, known) {
+            DOUBTFUL_LEAF_REMOVAL_DELAY
+        } else {
+            LEAF_REMOVAL_DELAY
+        };
+        if is_replaced || since(absent_since, now) >= removal_delay {
             entries.push((key(name), None));
             leader.absent_leafs.remove(name);
         }
@@ -135,7 +138,12 @@
 /// Updates the stored ages of the leafs. Not all leafs report their age, and none must be
 /// treated as new after a restart of all controllers. The stored value is a lower bound:
 /// the age at which this leader first saw the identity, plus the time since then.
-pub fn grow(partition: &mut Partition, now: Tick, group: VoterGroup, commands: &mut Vec<Command>) {
+pub fn update_ages(
+    partition: &mut Partition,
+    now: Tick,
+    group: VoterGroup,
+    commands: &mut Vec<Command>,
+) {
     let known = match partition.leader() {
         Some(leader) if leader.is_serving && now >= leader.ages_at => {
             leafs_in(&partition.state.entries)
@@ -143,13 +151,14 @@
         _ => return,
     };
     let Some(leader) = partition.leader_mut() else { return };
-    leader.ages_at = now + AGES_INTERVAL;
+    leader.ages_at = now + AGE_CHECK_INTERVAL;
     leader.first_seen.retain(|name, _| known.contains_key(name));
     let mut entries: Vec<Entry> = Vec::new();
     for (name, info) in known {
-        let (seen_at, age_then) = *leader.first_seen.entry(name).or_insert((now, info.age_ms));
-        let age_ms = age_then + since(seen_at, now) / MILLI;
-        if is_worth_telling(&info, age_ms) {
+        let (seen_at, age_at_first_sight) =
+            *leader.first_seen.entry(name).or_insert((now, info.age_ms));
+        let age_ms = age_at_first_sight + since(seen_at, now) / MILLI;
+        if should_store_age(&info, age_ms) {
             entries.push(stored_entry(&LeafInfo { age_ms, ..info }));
         }
     }
@@ -158,7 +167,7 @@
 
 /// Returns whether a leaf has become so much older than its stored age that the age is
 /// stored again.
-fn is_worth_telling(stored: &LeafInfo, age_ms: u64) -> bool {
+fn should_store_age(stored: &LeafInfo, age_ms: u64) -> bool {
     stored.age_ms < consts::MAX_REPORTED_LEAF_AGE_MS
         && age_ms
             >= stored.age_ms * consts::LEAF_AGE_REPORT_FACTOR + consts::MIN_REPORTED_LEAF_AGE_MS
--- a/crates/core/src/control_plane/feed.rs
+++ b/crates/core/src/control_plane/feed.rs
@@ -6,22 +6,22 @@
 
 /// Returns the update that takes a subscriber from revision `position` to the committed
 /// revision.
-pub fn update_after(partition: &Partition, place: u64) -> Option<Message> {
-    if place >= partition.committed_revision {
+pub fn update_after(partition: &Partition, position: u64) -> Option<Message> {
+    if position >= partition.committed_revision {
         return None;
     }
     let first = partition.changes.front().map_or(u64::MAX, |(revision, _)| *revision);
     let revision = partition.committed_revision;
-    if place > 0 && partition.uncommitted_snapshot.is_none() && first <= place + 1 {
+    if position > 0 && partition.uncommitted_snapshot.is_none() && first <= position + 1 {
         let entries = partition
             .changes
             .iter()
-            .filter(|(changed_at, _)| *changed_at > place && *changed_at <= revision)
+            .filter(|(changed_at, _)| *changed_at > position && *changed_at <= revision)
             .flat_map(|(_, entries)| entries.iter().filter(|(key, _)| !is_private(key)).cloned())
             .collect();
         return Some(Message::Update {
             partition: partition.id,
-            from: Some(place),
+            from: Some(position),
             revision,
             entries,
         });
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -21,11 +21,11 @@
 use crate::voter_set::VoterGroup;
 
 /// Key prefix of the entries. A value is the incarnation and the revision, as text.
-const FORGOTTEN: &str = "forgotten/";
+const FORGOTTEN_PREFIX: &str = "forgotten/";
 /// Maximum number of entries: more members than are permanently down at any one time. If
 /// its entry was dropped, a member counts again only for a leader that inherits a
 /// membership older than the entry.
-const FORGOTTEN_KEPT: usize = 64;
+const MAX_FORGOTTEN_MEMBERS: usize = 64;
 
 /// A process that is permanently down.
 #[derive(Clone, Copy, PartialEq)]
@@ -36,7 +36,7 @@
 }
 
 fn entry_key(name: &str) -> String {
-    format!("{FORGOTTEN}{name}")
+    format!("{FORGOTTEN_PREFIX}{name}")
 }
 
 fn read_entry(value: &[u8]) -> Option<Forgotten> {
@@ -50,8 +50,8 @@
 
 /// Returns the forgotten members in the entries of the partition.
 fn entries(map: &EntryMap) -> BTreeMap<&str, Forgotten> {
-    map.range(FORGOTTEN.to_string()..)
-        .map_while(|(key, value)| Some((key.strip_prefix(FORGOTTEN)?, value)))
+    map.range(FORGOTTEN_PREFIX.to_string()..)
+        .map_while(|(key, value)| Some((key.strip_prefix(FORGOTTEN_PREFIX)?, value)))
         .filter_map(|(name, value)| Some((name, read_entry(value)?)))
         .collect()
 }
@@ -130,8 +130,8 @@
         .map(|(other, entry)| (entry.revision, *other))
         .collect();
     oldest.sort_unstable();
-    let over = (oldest.len() + 1).saturating_sub(FORGOTTEN_KEPT);
-    let dropped = oldest.iter().take(over).map(|(_, name)| (entry_key(name), None));
+    let excess = (oldest.len() + 1).saturating_sub(MAX_FORGOTTEN_MEMBERS);
+    let dropped = oldest.iter().take(excess).map(|(_, name)| (entry_key(name), None));
     dropped.chain([(entry_key(name), Some(write_entry(entry)))]).collect()
 }
 
@@ -144,9 +144,9 @@
     }
     members.forgotten_revision = committed_revision;
     for (name, entry) in entries(&configuration.committed) {
-        let is_alive = members.last_renewals.get(name).is_some_and(|heard| heard.has_renewed)
+        let is_running = members.last_renewals.get(name).is_some_and(|heard| heard.has_renewed)
             && members.is_live(now, name);
-        if !is_alive {
+        if !is_running {
             let gone = Departure { incarnation: entry.incarnation, is_self_reported: false };
             members.departed.insert(name.to_string(), gone);
         }
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -37,20 +37,20 @@
         message: Message,
         commands: &mut Vec<Command>,
     ) {
-        if !self.counts_from(now, sender, &message, commands) {
+        if !self.accepts_from(now, sender, &message, commands) {
             return;
         }
         self.members.on_voter_connection(sender.slot, sender.connection);
         match partition_of(&message) {
             Some(id) => self.on_partition_message(now, id, sender.slot, message, commands),
-            None => self.on_counted_message(now, sender.slot, message, commands),
+            None => self.on_accepted_message(now, sender.slot, message, commands),
         }
     }
 
     /// Returns whether a message from a voter is accepted: only if the voter set of this
     /// node has the sender as the holder of the slot and, for messages that carry a stamp,
     /// if the sender has the same voter set.
-    fn counts_from(
+    fn accepts_from(
         &mut self,
         now: Tick,
         sender: VoterSender,
@@ -95,7 +95,7 @@
     }
 
     /// Handles a message from a voter that does not concern the replica of a partition.
-    fn on_counted_message(
+    fn on_accepted_message(
         &mut self,
         now: Tick,
         from: VoterSlot,
@@ -135,12 +135,12 @@
             Message::RolloutVote { .. } => {
                 self.on_rollout_vote(VoteSource::Voter, message, commands);
             }
-            message => self.on_replication_of_memberships(now, from, message, commands),
+            message => self.on_membership_replication_message(now, from, message, commands),
         }
     }
 
     /// Handles a message about the replication of memberships.
-    fn on_replication_of_memberships(
+    fn on_membership_replication_message(
         &mut self,
         now: Tick,
         from: VoterSlot,
--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -16,7 +16,7 @@
 
 /// How long a stopping controller waits for the new leaders of the partitions that it led.
 /// An election without a fault takes a tenth of this.
-const LEADERSHIP_TRANSFER: Span = ms(500);
+const LEADERSHIP_TRANSFER_TIMEOUT: Span = ms(500);
 
 /// The state that a leaving voter sends to this node.
 pub(super) struct ReceivedHandover {
@@ -63,13 +63,13 @@
         let handovers = &mut self.voter_slots.handovers;
         handovers.drop_silent_applicants(now);
         let Some(departure) = &mut handovers.departure else { return };
-        let spent = since(departure.began_at, now);
-        if spent >= HANDOVER_PATIENCE {
+        let elapsed = since(departure.began_at, now);
+        if elapsed >= HANDOVER_PATIENCE {
             return self.finish_handover();
         }
         match &mut departure.stage {
             Stage::TransferringLeadership => {
-                if spent >= LEADERSHIP_TRANSFER || self.others_lead_all() {
+                if elapsed >= LEADERSHIP_TRANSFER_TIMEOUT || self.others_lead_all() {
                     self.offer_slot(now, None, commands);
                 }
             }
@@ -176,12 +176,13 @@
             return false;
         }
         let generation = holder.generation;
-        let replicas = self.partitions.iter().filter(|p| p.can_vote()).map(handed_over).collect();
+        let replicas =
+            self.partitions.iter().filter(|p| p.can_vote()).map(handover_state).collect();
         let memberships = self.members.held_memberships();
         let state = Message::Handover { slot, generation, voter_set: table, replicas, memberships };
         let state = Box::new(state);
         self.voter_slots.handovers.enter(Stage::Sending { state, slot, sent_at: None });
-        self.forget_replicas(now, commands);
+        self.reset_replicas(now, commands);
         true
     }
 
@@ -230,7 +231,7 @@
 }
 
 /// Returns the state of a replica as it is sent to the successor.
-fn handed_over(replica: &Partition) -> HandedOverReplica {
+fn handover_state(replica: &Partition) -> HandedOverReplica {
     let ReplicaState { current_term, written_term, revision, entries } = replica.state.clone();
     HandedOverReplica { partition: replica.id, current_term, written_term, revision, entries }
 }
@@ -239,13 +240,13 @@
 fn install(
     replica: &mut Partition,
     now: Tick,
-    handed_over: HandedOverReplica,
+    handover_state: HandedOverReplica,
     commands: &mut Vec<Command>,
 ) {
     if replica.condition == ReplicaCondition::Voting || !replica.writes.is_empty() {
         return;
     }
-    let HandedOverReplica { current_term, written_term, revision, entries, .. } = handed_over;
+    let HandedOverReplica { current_term, written_term, revision, entries, .. } = handover_state;
     replica.restart_changes(revision, &entries);
     replica.state = ReplicaState { current_term, written_term, revision, entries };
     replica.persist_snapshot(now, vec![AfterWrite::StartVoting], commands);
--- a/crates/core/src/control_plane/membership_updates.rs
+++ b/crates/core/src/control_plane/membership_updates.rs
@@ -58,7 +58,8 @@
     /// Sends the membership's state to the subscribers.
     fn notify_members(&self, commands: &mut Vec<Command>) {
         // Subscribers of the membership as a partition receive it with the other updates.
-        let others = self.followers.iter().filter(|(_, places)| !places.contains_key(&COHORT));
+        let others =
+            self.subscribers.iter().filter(|(_, positions)| !positions.contains_key(&COHORT));
         for (connection, _) in others {
             commands.push(self.membership_for(*connection));
         }
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -15,12 +15,12 @@
     pub fn retire_former(&mut self, now: Tick) {
         let mut older = std::mem::take(&mut self.log.older);
         for former in &mut older {
-            if former.retired.is_none() && self.is_left(now, &former.membership) {
+            if former.retired.is_none() && self.is_abandoned(now, &former.membership) {
                 former.retired = Some(now);
             }
         }
         older.retain(|former| {
-            !former.retired.is_some_and(|at| self.is_over(now, &former.membership, at))
+            !former.retired.is_some_and(|at| self.has_expired(now, &former.membership, at))
         });
         self.log.older = older;
     }
@@ -40,18 +40,18 @@
     /// Returns whether so many members have left a membership that the others can't gather
     /// the proofs to serve by it. The only member of a membership needs no proofs; it must
     /// be silent for a lease.
-    fn is_left(&self, now: Tick, membership: &Membership) -> bool {
-        let list = &membership.members;
-        let left = list.iter().filter(|member| self.has_left(membership, member)).count();
-        left >= quorum::acceptance(list.len())
-            || (list.len() == 1 && !self.is_live(now, &list[0].name))
+    fn is_abandoned(&self, now: Tick, membership: &Membership) -> bool {
+        let members = &membership.members;
+        let left = members.iter().filter(|member| self.has_left(membership, member)).count();
+        left >= quorum::acceptance(members.len())
+            || (members.len() == 1 && !self.is_live(now, &members[0].name))
     }
 
     /// Returns whether no member can serve any more by a membership that was retired at
     /// `retired`, because the attestations that leaving members may have sent before have
     /// expired.
-    fn is_over(&self, now: Tick, membership: &Membership, retired: Tick) -> bool {
-        let list = &membership.members;
+    fn has_expired(&self, now: Tick, membership: &Membership, retired: Tick) -> bool {
+        let members = &membership.members;
         let is_quiet = |member: &&Member| {
             let quiet_ms =
                 self.last_renewals.get(&member.name).map(|heard| heard.progress.quiet_ms);
@@ -59,8 +59,8 @@
                 && quiet_ms.is_some_and(|quiet_ms| ms(quiet_ms) >= consts::ATTESTATION_EXPIRY)
         };
         since(retired, now) >= consts::ATTESTATION_EXPIRY
-            || list.iter().filter(is_quiet).count() >= quorum::acceptance(list.len())
-            || list.len() == 1
-            || list.iter().all(|member| self.has_left(membership, member))
+            || members.iter().filter(is_quiet).count() >= quorum::acceptance(members.len())
+            || members.len() == 1
+            || members.iter().all(|member| self.has_left(membership, member))
     }
 }
--- a/crates/core/src/control_plane/rollout_progress.rs
+++ b/crates/core/src/control_plane/rollout_progress.rs
@@ -27,7 +27,7 @@
 const FORWARD_PCT: u64 = 75;
 /// Time for attempts that were in flight to the old version when the last member applied
 /// the change (ms).
-const LAST_ATTEMPTS_MS: u64 = 1_500;
+const ATTEMPT_DRAIN_MS: u64 = 1_500;
 
 impl ControllerState {
     /// Handles a timer tick for the rollouts.
@@ -42,7 +42,7 @@
         for rollout in rollouts {
             if let Some(next) = self.next_of_rollout(now, &rollout) {
                 if next.phase != rollout.phase {
-                    commands.push(Command::Alarm(turn_notice(&next)));
+                    commands.push(Command::Alarm(phase_change_notice(&next)));
                 }
                 let group = self.group();
                 let entries = vec![next.to_entry()];
@@ -71,7 +71,7 @@
                 turned(RolloutPhase::Back, RolloutReason::FoundBad)
             }
             RolloutPhase::Forward
-                if elapsed_ms >= rollout.elapsed_ms + LAST_ATTEMPTS_MS
+                if elapsed_ms >= rollout.elapsed_ms + ATTEMPT_DRAIN_MS
                     && self.is_applied_by_all(now, rollout) =>
             {
                 turned(RolloutPhase::Delivered, rollout.reason())
@@ -100,7 +100,7 @@
 }
 
 /// Returns the log message for a phase change of a rollout.
-fn turn_notice(rollout: &Rollout) -> String {
+fn phase_change_notice(rollout: &Rollout) -> String {
     let Rollout { service, target, elapsed_ms, term_ms, .. } = rollout;
     let (phase, reason) = (rollout.phase().name(), rollout.reason().name());
     format!("rollout of {service} to {target}: {phase}, {reason}, {elapsed_ms} ms of {term_ms} ms")
--- a/crates/core/src/control_plane/rollout_votes.rs
+++ b/crates/core/src/control_plane/rollout_votes.rs
@@ -86,12 +86,12 @@
     /// Returns the number of leafs of a rollout's service that have a version and accept
     /// new work.
     fn leafs_of_version(&self, rollout: &Rollout, version: &str) -> usize {
-        let leafs = self.standing_leafs(&rollout.service);
+        let leafs = self.available_leafs(&rollout.service);
         leafs.iter().filter(|leaf| leaf.version() == version).count()
     }
 
     /// Returns the leafs of a service that accept new work.
-    fn standing_leafs(&self, service: &str) -> Vec<LeafInfo> {
+    fn available_leafs(&self, service: &str) -> Vec<LeafInfo> {
         let leafs = leafs_in(&self.partitions[part_of(service).0 as usize].committed);
         leafs.into_values().filter(|leaf| leaf.service == service && !leaf.leaving).collect()
     }
@@ -99,7 +99,7 @@
     /// Returns whether the new version has enough leafs to serve all traffic: at least
     /// three quarters of the number of all other leafs, so that a fraction may be down.
     pub(super) fn can_take_over(&self, rollout: &Rollout) -> bool {
-        let all = self.standing_leafs(&rollout.service).len();
+        let all = self.available_leafs(&rollout.service).len();
         let new = self.leafs_of_version(rollout, &rollout.target);
         new > 0 && new * 4 >= (all - new) * 3
     }
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -61,7 +61,7 @@
                 self.voter_slots.send_voter_set(connection, commands);
             }
             Event::ConnectionClosed { connection } => {
-                self.followers.swap_remove(&connection);
+                self.subscribers.swap_remove(&connection);
                 self.voter_slots.connections.swap_remove(&connection);
                 self.drop_forwarded_from(connection);
                 self.members.connections.retain(|_, known| *known != connection);
@@ -125,7 +125,7 @@
     commands: &mut Vec<Command>,
 ) {
     partition.wake_leader(now, group, commands);
-    endpoints::grow(partition, now, group, commands);
+    endpoints::update_ages(partition, now, group, commands);
     partition.request_round(now, group, commands);
     partition.complete_operations(now, group, commands);
 }
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -12,20 +12,20 @@
     pub(super) fn broadcast(&mut self, commands: &mut Vec<Command>) {
         let membership = self.members.membership.feed_revision();
         let committed = self.partitions.iter().map(|partition| partition.committed_revision);
-        let heads: Vec<u64> = committed.chain([membership]).collect();
-        if heads == self.broadcast_up_to {
+        let latest_revisions: Vec<u64> = committed.chain([membership]).collect();
+        if latest_revisions == self.broadcast_up_to {
             return;
         }
-        self.broadcast_up_to = heads;
-        let connections: Vec<ConnectionId> = self.followers.keys().copied().collect();
+        self.broadcast_up_to = latest_revisions;
+        let connections: Vec<ConnectionId> = self.subscribers.keys().copied().collect();
         for connection in connections {
-            self.bring_up_to_date(connection, commands);
+            self.send_updates(connection, commands);
         }
     }
 
     /// Sends one subscriber all updates up to the committed revisions.
-    fn bring_up_to_date(&mut self, connection: ConnectionId, commands: &mut Vec<Command>) {
-        let Some(positions) = self.followers.get_mut(&connection) else { return };
+    fn send_updates(&mut self, connection: ConnectionId, commands: &mut Vec<Command>) {
+        let Some(positions) = self.subscribers.get_mut(&connection) else { return };
         let membership = &self.members.membership;
         if let Some(revision) = positions.get_mut(&COHORT)
             && *revision < membership.feed_revision()
@@ -53,25 +53,25 @@
         stamp: u64,
         commands: &mut Vec<Command>,
     ) {
-        let wants_membership = positions.iter().any(|place| place.partition == COHORT);
-        if !wants_membership && !self.followers.contains_key(&connection) {
+        let wants_membership = positions.iter().any(|position| position.partition == COHORT);
+        if !wants_membership && !self.subscribers.contains_key(&connection) {
             self.send_membership_to(connection, commands);
         }
         if stamp != self.voter_slots.stamp {
             self.voter_slots.send_voter_set(connection, commands);
         }
-        let known = self.followers.entry(connection).or_default();
-        for place in positions {
-            known.insert(place.partition, place.revision);
+        let known = self.subscribers.entry(connection).or_default();
+        for position in positions {
+            known.insert(position.partition, position.revision);
         }
         commands.push(Command::ToConnection { connection, message: self.feed_positions() });
-        self.bring_up_to_date(connection, commands);
+        self.send_updates(connection, commands);
     }
 
     /// Returns the newest revision of each partition whose replica on this node can vote.
     fn feed_positions(&self) -> Message {
-        let able = self.partitions.iter().filter(|partition| partition.can_vote());
-        let mut positions: Vec<FeedPosition> = able
+        let voting = self.partitions.iter().filter(|partition| partition.can_vote());
+        let mut positions: Vec<FeedPosition> = voting
             .map(|partition| FeedPosition {
                 partition: partition.id,
                 revision: partition.state.revision,
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -61,17 +61,17 @@
         if self.send_state_to_successor(now, commands) {
             self.voter_slots.broadcast_voter_set(self.slot, commands);
         } else {
-            self.renounce_slot(now, commands);
+            self.reset_after_slot_loss(now, commands);
         }
     }
 
     /// Resets this controller to an empty one without a voter slot.
-    fn renounce_slot(&mut self, now: Tick, commands: &mut Vec<Command>) {
+    fn reset_after_slot_loss(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let text =
             "this node's voter slot has a new holder: resetting to a controller without a slot";
         commands.push(Command::Alarm(text.into()));
         self.slot = NOBODY;
-        self.forget_replicas(now, commands);
+        self.reset_replicas(now, commands);
         let me = self.random.next_u64() | 1;
         let table = self.voter_slots.voter_set().clone();
         let voter_file = VoterFile { me, first: false, table };
@@ -82,9 +82,9 @@
     }
 
     /// Resets the replicas in memory: their contents no longer count.
-    pub(super) fn forget_replicas(&mut self, now: Tick, commands: &mut Vec<Command>) {
+    pub(super) fn reset_replicas(&mut self, now: Tick, commands: &mut Vec<Command>) {
         for partition in &mut self.partitions {
-            forget(partition, now, commands);
+            reset_replica(partition, now, commands);
         }
         self.members = Default::default();
     }
@@ -104,7 +104,7 @@
 }
 
 /// Resets a replica in memory. Writes in flight keep their tokens.
-fn forget(replica: &mut Partition, now: Tick, commands: &mut Vec<Command>) {
+fn reset_replica(replica: &mut Partition, now: Tick, commands: &mut Vec<Command>) {
     replica.step_down(now, None, commands);
     let empty = Partition::new(replica.id, ReplicaCondition::Empty, Default::default(), 0, now);
     let next_token = replica.next_token;
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -112,7 +112,8 @@
     count("grebe_news_total", "Messages of news sent to followers.", c.updates_sent);
     count("grebe_fenced_total", "Reports turned away by a fence.", c.fenced_lists);
     let _ = writeln!(out, "# HELP grebe_followers Wires that follow the feed.");
-    let _ = writeln!(out, "# TYPE grebe_followers gauge\ngrebe_followers {}", core.followers.len());
+    let _ =
+        writeln!(out, "# TYPE grebe_followers gauge\ngrebe_followers {}", core.subscribers.len());
     let _ = writeln!(out, "# HELP grebe_part_revision Committed revision shown, by part.");
     let _ = writeln!(out, "# TYPE grebe_part_revision gauge");
     for p in &core.partitions {
--- a/crates/simulator/src/scale_model/memory.rs
+++ b/crates/simulator/src/scale_model/memory.rs
@@ -93,6 +93,6 @@
         .sum();
     let heard: usize = c.members.last_renewals.values().map(|h| 2 * member(&h.member) + 80).sum();
     let connections: usize = c.members.connections.keys().map(|n| text(n) + 8 + INDEX).sum();
-    let follow: usize = c.followers.values().map(|f| 200 + 16 * f.len() + INDEX).sum();
+    let follow: usize = c.subscribers.values().map(|f| 200 + 16 * f.len() + INDEX).sum();
     parts + heard + connections + follow + membership(&c.members.membership)
 }
