--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -147,8 +147,8 @@
         let is_running = members.last_renewals.get(name).is_some_and(|heard| heard.has_renewed)
             && members.is_live(now, name);
         if !is_running {
-            let gone = Departure { incarnation: entry.incarnation, is_self_reported: false };
-            members.departed.insert(name.to_string(), gone);
+            let departure = Departure { incarnation: entry.incarnation, is_self_reported: false };
+            members.departed.insert(name.to_string(), departure);
         }
     }
 }
--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -46,7 +46,8 @@
                 self.on_membership_report(now, MembershipSource::Member, membership, commands);
             }
             Message::OperationRequest { op, attempt, .. } if self.slot == NOBODY => {
-                commands.push(ForwardedOperation { connection, id: op, attempt }.misdirected());
+                commands
+                    .push(ForwardedOperation { connection, id: op, attempt }.no_slot_rejection());
             }
             Message::OperationRequest {
                 op,
@@ -87,16 +88,16 @@
                 let candidate = Candidate { replica_id: holder, addr: &addr, zone: &zone };
                 self.on_join_request(now, connection, candidate, stamp, commands);
             }
-            Message::HandoverAccept { slot, holder: holding } => {
-                self.on_handover_accept(now, slot, holding, commands);
+            Message::HandoverAccept { slot, holder: new_holder } => {
+                self.on_handover_accept(now, slot, new_holder, commands);
             }
             Message::Handover { slot, generation, voter_set, replicas, memberships } => {
                 let received =
                     ReceivedHandover { slot, generation, voter_set, replicas, memberships };
                 self.on_handover(now, connection, received, commands);
             }
-            Message::SlotTakeover { slot, holder: holding } => {
-                self.on_slot_takeover(now, slot, holding, commands);
+            Message::SlotTakeover { slot, holder: new_holder } => {
+                self.on_slot_takeover(now, slot, new_holder, commands);
             }
             _ => {}
         }
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -66,8 +66,8 @@
             return false;
         }
         self.voter_slots.silence[usize::from(slot)] = 0;
-        let ours = self.voter_slots.stamp;
-        let has_same_set = stamp_of(message).is_none_or(|stamp| stamp == ours);
+        let own_stamp = self.voter_slots.stamp;
+        let has_same_set = stamp_of(message).is_none_or(|stamp| stamp == own_stamp);
         if !has_same_set {
             self.voter_slots.resend_voter_set(now, slot, connection, commands);
         }
--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -131,9 +131,9 @@
         }
         voter_slots.handovers.reserve(now, slot, generation);
         voter_slots.offers.fill(None);
-        let holding = voter_slots.own_holder(generation);
+        let new_holder = voter_slots.own_holder(generation);
         commands.push(Command::Broadcast {
-            message: Message::HandoverAccept { slot, holder: holding },
+            message: Message::HandoverAccept { slot, holder: new_holder },
         });
     }
 
@@ -170,8 +170,8 @@
         else {
             return false;
         };
-        let table = self.voter_slots.voter_set().clone();
-        let holder = &table.slots[usize::from(slot)];
+        let current_set = self.voter_slots.voter_set().clone();
+        let holder = &current_set.slots[usize::from(slot)];
         if holder.holder != successor {
             return false;
         }
@@ -179,7 +179,8 @@
         let replicas =
             self.partitions.iter().filter(|p| p.can_vote()).map(handover_state).collect();
         let memberships = self.members.held_memberships();
-        let state = Message::Handover { slot, generation, voter_set: table, replicas, memberships };
+        let state =
+            Message::Handover { slot, generation, voter_set: current_set, replicas, memberships };
         let state = Box::new(state);
         self.voter_slots.handovers.enter(Stage::Sending { state, slot, sent_at: None });
         self.reset_replicas(now, commands);
@@ -198,10 +199,10 @@
     ) {
         let ReceivedHandover { slot, generation, voter_set, replicas, memberships } = received;
         self.voter_slots.learn(&voter_set, commands);
-        let ours = self.voter_slots.voter_set();
+        let own_set = self.voter_slots.voter_set();
         if self.slot != slot
-            || !is_of_generation(ours, slot, generation)
-            || merge(ours, &voter_set).is_some()
+            || !is_of_generation(own_set, slot, generation)
+            || merge(own_set, &voter_set).is_some()
         {
             return;
         }
@@ -219,8 +220,8 @@
 
     /// Handles the message that the successor votes: the handover is complete.
     pub(super) fn on_handover_done(&mut self, slot: VoterSlot, generation: u32) {
-        let is_ours = is_of_generation(self.voter_slots.voter_set(), slot, generation);
-        if is_ours && self.voter_slots.handovers.is_sending(slot) {
+        let is_own_handover = is_of_generation(self.voter_slots.voter_set(), slot, generation);
+        if is_own_handover && self.voter_slots.handovers.is_sending(slot) {
             self.finish_handover();
         }
     }
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -62,15 +62,15 @@
 pub struct Departure {
     /// The incarnation of the member.
     pub incarnation: u64,
-    /// Whether the process reported its own shutdown. Otherwise an operator declared it
-    /// down, who may be mistaken.
+    /// Whether the process reported its own shutdown. Otherwise an operator declared it down,
+    /// possibly by mistake.
     pub is_self_reported: bool,
 }
 
 impl Members {
     /// Returns whether this node grants leases in this term.
     pub fn is_leading_in(&self, term: Term) -> bool {
-        self.leadership.is_some_and(|(ours, _)| ours == term)
+        self.leadership.is_some_and(|(leading_term, _)| leading_term == term)
     }
 
     /// Clears the state of a former term.
@@ -93,7 +93,9 @@
 
     /// Returns whether this process (incarnation) of a member is known to have departed.
     pub fn has_departed(&self, member: &Member) -> bool {
-        self.departed.get(&member.name).is_some_and(|gone| gone.incarnation == member.incarnation)
+        self.departed
+            .get(&member.name)
+            .is_some_and(|departure| departure.incarnation == member.incarnation)
     }
 
     /// Returns whether a member is to be asked for the membership that it uses because this
@@ -121,8 +123,9 @@
     pub fn record_renewal(&mut self, now: Tick, member: Member, progress: MemberProgress) -> bool {
         let name = member.name.clone();
         let incarnation = member.incarnation;
-        let gone = self.departed.get(&name).filter(|gone| gone.incarnation == incarnation);
-        if gone.is_some_and(|gone| gone.is_self_reported) {
+        let departure =
+            self.departed.get(&name).filter(|departure| departure.incarnation == incarnation);
+        if departure.is_some_and(|departure| departure.is_self_reported) {
             // The renewal was in transit while the process stopped.
             return false;
         }
--- a/crates/core/src/control_plane/membership_issue.rs
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -9,13 +9,13 @@
 use crate::{consts, quorum};
 
 /// How long silent members keep their shares while no majority of the members is heard.
-/// They most likely come back, and waiting for twice the lease does no harm.
+/// They most likely come back, so there is no need to remove them sooner.
 const MINORITY_REMOVAL_DELAY: Span = 2 * consts::LEASE_DURATION;
 /// How long a new leader of the configuration partition counts the members that it
 /// inherited as live: one lease, since it has not received renewals from them yet.
 const NEW_LEADER_GRACE: Span = consts::LEASE_DURATION;
 /// How long a leader that knows of no membership gathers members before it issues one.
-/// Members look for the leader ten times a second.
+/// Members try to reach the leader ten times a second.
 const GATHERING_TIME: Span = ms(300);
 
 impl Members {
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -1,6 +1,10 @@
 //! Forwards operator requests from the controller that received them to the leader of the
 //! configuration partition.
 //!
+//! A controller that holds a voter slot is a voter: it replicates the partitions and so knows
+//! their leaders. A controller without a voter slot is a spare. It forwards a request to any
+//! voter, which forwards it to the leader.
+//!
 //! A request is forwarded repeatedly until its deadline. The operator receives a response
 //! as soon as the result is certain.
 //!
@@ -34,7 +38,7 @@
 
 impl ControllerState {
     /// Handles a request from an operator of this node.
-    pub(super) fn on_operate(
+    pub(super) fn on_operator_request(
         &mut self,
         now: Tick,
         op: u64,
@@ -67,8 +71,8 @@
             return self.known_leader();
         }
         let silence = &self.voter_slots.silence;
-        // A leaving controller does not contact the voters to get a slot and so receives no
-        // messages from them; it treats them all as reachable.
+        // A leaving controller requests no slot from the voters and so receives no messages
+        // from them. It treats them all as reachable.
         let leaving = self.is_leaving();
         let is_reachable = |slot: &VoterSlot| {
             leaving || silence[usize::from(*slot)] < consts::VOTER_SILENCE_TIMEOUT
@@ -159,11 +163,11 @@
     /// Retries the requests that were forwarded to voter slots which have a new holder: the
     /// former holder may no longer be there to respond.
     pub(crate) fn retry_requests_to(&mut self, moved: &[bool]) {
-        let went_to_moved = |pending: &&mut PendingRequest| {
+        let targets_moved_slot = |pending: &&mut PendingRequest| {
             let slot = pending.forwarded_to.map(|to| usize::from(to.slot));
             slot.is_some_and(|slot| moved.get(slot).is_some_and(|moved| *moved))
         };
-        for pending in self.pending_requests.values_mut().filter(went_to_moved) {
+        for pending in self.pending_requests.values_mut().filter(targets_moved_slot) {
             pending.cancel_attempt();
         }
     }
@@ -215,7 +219,7 @@
         self.last_forwarded += 1;
         let op = self.last_forwarded;
         self.forwarded.insert(op, origin);
-        self.on_operate(now, op, request, commands);
+        self.on_operator_request(now, op, request, commands);
     }
 
     /// Handles the response to an attempt. Only the response to the latest attempt counts.
--- a/crates/core/src/control_plane/pending_requests.rs
+++ b/crates/core/src/control_plane/pending_requests.rs
@@ -76,7 +76,7 @@
     /// Returns the rejection of a request that a controller without a voter slot sent to
     /// this node although it holds no slot either. The sender retries with another
     /// controller.
-    pub fn misdirected(self) -> Command {
+    pub fn no_slot_rejection(self) -> Command {
         let why = Rejection::NoVoterSlot.to_string();
         self.response(OperationResult::Rejected { why })
     }
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -37,9 +37,9 @@
             })
     }
 
-    /// Returns whether so many members have left a membership that the others can't gather
-    /// the proofs to serve by it. The only member of a membership needs no proofs; it must
-    /// be silent for a lease.
+    /// Returns whether so many members have left a membership that the others can't gather the
+    /// proofs to serve by it. A lone member does not leave its membership, which is out of use
+    /// when the member is no longer live.
     fn is_abandoned(&self, now: Tick, membership: &Membership) -> bool {
         let members = &membership.members;
         let left = members.iter().filter(|member| self.has_left(membership, member)).count();
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -43,7 +43,7 @@
             }
             Event::Operate { op, request, expected_revision, operation } => {
                 let request = Request { id: request, expected_revision, operation };
-                self.on_operate(now, op, request, commands);
+                self.on_operator_request(now, op, request, commands);
             }
             Event::Abandon { op } => self.abandon_request(op),
             Event::ForceRecovery => self.force_recovery(commands),
