--- a/crates/core/src/control_plane/from_connections.rs
+++ b/crates/core/src/control_plane/from_connections.rs
@@ -1,5 +1,5 @@
-//! What comes on connections that others opened to us: from members, and from
-//! controllers without a voter slot.
+//! Handles messages on connections that other nodes opened to this one: from members, and
+//! from controllers without a voter slot.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -16,17 +16,17 @@
 use crate::voter_set::NO_SLOT;
 use crate::voters::slot_takeover::Candidate;
 
-/// How a report about leafs came to us.
+/// The peer from which a report about leafs was received.
 #[derive(Clone, Copy, PartialEq)]
 pub(super) enum ReportSource {
-    /// From the member that reports.
+    /// The member that reports.
     Member,
-    /// From a voter that forwarded it.
+    /// A voter that forwarded the report.
     Voter,
 }
 
 impl ControllerState {
-    /// A member or a controller without a voter slot says something.
+    /// Handles a message from a member or from a controller without a voter slot.
     pub(super) fn on_connection_message(
         &mut self,
         now: Tick,
@@ -43,10 +43,11 @@
                 self.on_lease_renewal(now, RenewalSource::Member(connection), renewal, commands);
             }
             Message::MembershipUpdate(membership) => {
-                self.on_membership_told(now, MembershipSource::Member, membership, commands);
+                self.on_membership_report(now, MembershipSource::Member, membership, commands);
             }
             Message::OperationRequest { op, attempt, .. } if self.slot == NO_SLOT => {
-                commands.push(ForwardedOperation { connection, number: op, attempt }.misdirected());
+                commands
+                    .push(ForwardedOperation { connection, id: op, attempt }.no_slot_rejection());
             }
             Message::OperationRequest {
                 op,
@@ -57,7 +58,7 @@
                 ..
             } => {
                 let request = Request { id: request, expected_revision, operation };
-                let origin = ForwardedOperation { connection, number: op, attempt };
+                let origin = ForwardedOperation { connection, id: op, attempt };
                 self.on_forwarded_operation(now, origin, request, commands);
             }
             Message::LeafList { .. } | Message::LeafReports { .. } => {
@@ -70,8 +71,8 @@
         }
     }
 
-    /// A controller that has no voter slot, or leaves its own, says something about
-    /// the voter slots.
+    /// Handles a message about the voter slots from a controller that has no slot or is
+    /// leaving its slot.
     fn on_spare_message(
         &mut self,
         now: Tick,
@@ -87,22 +88,23 @@
                 let candidate = Candidate { replica_id: holder, addr: &addr, zone: &zone };
                 self.on_join_request(now, connection, candidate, stamp, commands);
             }
-            Message::HandoverAccept { slot, holder: holding } => {
-                self.on_handover_accept(now, slot, holding, commands);
+            Message::HandoverAccept { slot, holder: new_holder } => {
+                self.on_handover_accept(now, slot, new_holder, commands);
             }
             Message::Handover { slot, generation, voter_set, replicas, memberships } => {
                 let received =
                     ReceivedHandover { slot, generation, voter_set, replicas, memberships };
                 self.on_handover(now, connection, received, commands);
             }
-            Message::SlotTakeover { slot, holder: holding } => {
-                self.on_slot_takeover(now, slot, holding, commands);
+            Message::SlotTakeover { slot, holder: new_holder } => {
+                self.on_slot_takeover(now, slot, new_holder, commands);
             }
             _ => {}
         }
     }
 
-    /// Reports about leafs go to the leader of their partition, forwarded once.
+    /// Handles a report about leafs. A follower forwards it to the leader of the partition;
+    /// a report is forwarded only once.
     pub(super) fn on_leaf_report(
         &mut self,
         now: Tick,
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -1,4 +1,4 @@
-//! What the holders of the voter slots say.
+//! Handles messages from the holders of the voter slots.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -20,7 +20,7 @@
 use crate::voter_set::NO_SLOT;
 use crate::voters::stamp::stamp_of;
 
-/// Who says something as the holder of a voter slot, and where.
+/// The holder of a voter slot that sent a message, and its connection.
 #[derive(Clone, Copy)]
 pub(super) struct VoterSender {
     pub(super) slot: VoterSlot,
@@ -29,7 +29,7 @@
 }
 
 impl ControllerState {
-    /// The holder of a voter slot says something.
+    /// Handles a message from the holder of a voter slot.
     pub(super) fn on_voter_message(
         &mut self,
         now: Tick,
@@ -37,19 +37,20 @@
         message: Message,
         commands: &mut Vec<Command>,
     ) {
-        if !self.counts_from(now, sender, &message, commands) {
+        if !self.accepts_from(now, sender, &message, commands) {
             return;
         }
         self.members.on_voter_connection(sender.slot, sender.connection);
         match partition_of(&message) {
             Some(id) => self.on_partition_message(now, id, sender.slot, message, commands),
-            None => self.on_counted_message(now, sender.slot, message, commands),
+            None => self.on_accepted_message(now, sender.slot, message, commands),
         }
     }
 
-    /// Whether what the holder of a voter slot says counts: only if our voter set
-    /// names it so, and a vote only if its own voter set is the same.
-    fn counts_from(
+    /// Returns whether a message from a voter is accepted: only if the voter set of this
+    /// node has the sender as the holder of the slot and, for messages that carry a stamp,
+    /// if the sender has the same voter set.
+    fn accepts_from(
         &mut self,
         now: Tick,
         sender: VoterSender,
@@ -65,15 +66,15 @@
             return false;
         }
         self.voter_slots.time_since_message[usize::from(slot)] = 0;
-        let ours = self.voter_slots.stamp;
-        let has_same_set = stamp_of(message).is_none_or(|stamp| stamp == ours);
+        let own_stamp = self.voter_slots.stamp;
+        let has_same_set = stamp_of(message).is_none_or(|stamp| stamp == own_stamp);
         if !has_same_set {
             self.voter_slots.resend_voter_set(now, slot, connection, commands);
         }
         has_same_set && self.slot != NO_SLOT
     }
 
-    /// Another replica of a partition says something.
+    /// Handles a message from another replica of a partition.
     fn on_partition_message(
         &mut self,
         now: Tick,
@@ -93,8 +94,8 @@
         self.counters.leaderships_lost += u64::from(led_before && !leads);
     }
 
-    /// A voter says something that is not about a partition's replica.
-    fn on_counted_message(
+    /// Handles a message from a voter that does not concern the replica of a partition.
+    fn on_accepted_message(
         &mut self,
         now: Tick,
         from: VoterSlot,
@@ -108,10 +109,10 @@
             }
             Message::LeaseGranted { ref name, .. }
             | Message::SubstituteListPoller { ref name, .. } => {
-                self.pass_on_to_member(&name.clone(), message, commands);
+                self.forward_to_member(&name.clone(), message, commands);
             }
             Message::MembershipUpdate(membership) => {
-                self.on_membership_told(now, MembershipSource::Voter, membership, commands);
+                self.on_membership_report(now, MembershipSource::Voter, membership, commands);
             }
             Message::OperationRequest {
                 op,
@@ -134,12 +135,12 @@
             Message::RolloutVote { .. } => {
                 self.on_rollout_vote(VoteSource::Voter, message, commands);
             }
-            message => self.on_replication_of_memberships(now, from, message, commands),
+            message => self.on_membership_replication_message(now, from, message, commands),
         }
     }
 
-    /// A voter says something about the replication of memberships.
-    fn on_replication_of_memberships(
+    /// Handles a message about the replication of memberships.
+    fn on_membership_replication_message(
         &mut self,
         now: Tick,
         from: VoterSlot,
--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -1,5 +1,5 @@
-//! Handovers of voter slots (`voters::handover`), as the controller that leaves and
-//! the spare that takes its place see them.
+//! Handovers of voter slots (`voters::handover`), from the view of the leaving controller
+//! and of the spare that takes its slot.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -14,11 +14,11 @@
 use crate::voters::handover::{Departure, OfferSent, Stage};
 use crate::voters::handover::{HANDOVER_RETRY_INTERVAL, HANDOVER_TIMEOUT};
 
-/// How long a controller that was asked to stop waits for the new leaders of the
-/// partitions that it led: an election without a fault takes a tenth of it.
-const LEADERSHIP_TRANSFER: Span = ms(500);
+/// How long a stopping controller waits for the new leaders of the partitions that it led.
+/// An election without a fault takes a tenth of this.
+const LEADERSHIP_TRANSFER_TIMEOUT: Span = ms(500);
 
-/// What a voter that leaves hands to us.
+/// The state that a leaving voter sends to this node.
 pub(super) struct ReceivedHandover {
     pub(super) slot: VoterSlot,
     pub(super) generation: u32,
@@ -28,18 +28,18 @@
 }
 
 impl ControllerState {
-    /// Whether this process was asked to stop.
+    /// Returns whether this process was asked to stop.
     pub fn is_leaving(&self) -> bool {
         self.voter_slots.handovers.is_leaving()
     }
 
-    /// Whether a process that was asked to stop may end.
+    /// Returns whether a process that was asked to stop may exit.
     pub fn may_end(&self, now: Tick) -> bool {
         let is_waiting = |operation| self.pending_requests.contains_key(&operation);
         self.voter_slots.handovers.may_end(now, is_waiting)
     }
 
-    /// The process was asked to stop.
+    /// Starts the handover after the process was asked to stop.
     pub(super) fn begin_handover(&mut self, now: Tick, commands: &mut Vec<Command>) {
         if self.is_leaving() {
             return;
@@ -52,24 +52,24 @@
         self.wake_handover(now, commands);
     }
 
-    /// The slot is another's, or nobody is there to take it.
+    /// Finishes the handover: the slot has a new holder, or there is no spare to take it.
     fn finish_handover(&mut self) {
         self.voter_slots.handovers.finish(self.pending_requests.keys().copied());
     }
 
-    /// Time passes.
+    /// Handles a timer tick of a handover.
     pub(super) fn wake_handover(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let slot = self.slot;
         let handovers = &mut self.voter_slots.handovers;
         handovers.drop_silent_applicants(now);
         let Some(departure) = &mut handovers.departure else { return };
-        let spent = since(departure.began_at, now);
-        if spent >= HANDOVER_TIMEOUT {
+        let elapsed = since(departure.began_at, now);
+        if elapsed >= HANDOVER_TIMEOUT {
             return self.finish_handover();
         }
         match &mut departure.stage {
             Stage::TransferringLeadership => {
-                if spent >= LEADERSHIP_TRANSFER || self.others_lead_all() {
+                if elapsed >= LEADERSHIP_TRANSFER_TIMEOUT || self.others_lead_all() {
                     self.offer_slot(now, None, commands);
                 }
             }
@@ -82,7 +82,7 @@
                     self.offer_slot(now, last, commands);
                 }
             }
-            // A takeover may have been quicker than we were.
+            // Another controller may already have taken the slot over.
             Stage::Resigning { .. } if slot == NO_SLOT => self.finish_handover(),
             Stage::Resigning { .. } | Stage::Answering { .. } => {}
             Stage::Sending { state, slot, sent_at } => {
@@ -95,14 +95,14 @@
         }
     }
 
-    /// Whether every partition has a leader that is not this process.
+    /// Returns whether every partition has a leader other than this process.
     fn others_lead_all(&self) -> bool {
         let is_led = |p: &Partition| matches!(p.role, Role::Follower { leader: Some(_), .. });
         self.partitions.iter().all(is_led)
     }
 
-    /// Offers our slot to a spare, if there is one that may have it; to another than
-    /// `last`, if there are several.
+    /// Offers the slot of this node to an eligible spare. If there are several, the offer
+    /// goes to another one than `last`.
     fn offer_slot(&mut self, now: Tick, last: Option<u64>, commands: &mut Vec<Command>) {
         let slot = self.slot;
         let handovers = &self.voter_slots.handovers;
@@ -116,7 +116,7 @@
         self.voter_slots.handovers.enter(Stage::Offering { last_offer });
     }
 
-    /// A voter that leaves offers us its slot.
+    /// Handles the offer of a voter slot by its leaving holder.
     pub(super) fn on_handover_offer(
         &mut self,
         now: Tick,
@@ -133,13 +133,14 @@
         }
         voter_slots.handovers.reserve(now, slot, generation);
         voter_slots.offers.fill(None);
-        let holding = voter_slots.own_holder(generation);
+        let new_holder = voter_slots.own_holder(generation);
         commands.push(Command::Broadcast {
-            message: Message::HandoverAccept { slot, holder: holding },
+            message: Message::HandoverAccept { slot, holder: new_holder },
         });
     }
 
-    /// The spare that we asked is ready: we give the slot up, first on our disk.
+    /// Handles the acceptance of the spare to which the slot was offered: writes the voter
+    /// set in which this node no longer holds the slot.
     pub(super) fn on_handover_accept(
         &mut self,
         now: Tick,
@@ -159,8 +160,8 @@
         voter_slots.write_voter_set(voter_set, commands);
     }
 
-    /// Our slot is another's by the voter set that was just written. If that is the
-    /// successor that we chose, what our replicas hold goes there; tells whether so.
+    /// Sends the state of this node's replicas to the chosen successor, if the voter set
+    /// that was just written has it as the holder of the slot. Returns whether it does.
     pub(super) fn send_state_to_successor(
         &mut self,
         now: Tick,
@@ -171,23 +172,26 @@
         else {
             return false;
         };
-        let table = self.voter_slots.voter_set().clone();
-        let holder = &table.slots[usize::from(slot)];
+        let current_set = self.voter_slots.voter_set().clone();
+        let holder = &current_set.slots[usize::from(slot)];
         if holder.holder != successor {
             return false;
         }
         let generation = holder.generation;
-        let replicas = self.partitions.iter().filter(|p| p.can_vote()).map(handed_over).collect();
+        let replicas =
+            self.partitions.iter().filter(|p| p.can_vote()).map(handover_state).collect();
         let memberships = self.members.held_memberships();
-        let state = Message::Handover { slot, generation, voter_set: table, replicas, memberships };
+        let state =
+            Message::Handover { slot, generation, voter_set: current_set, replicas, memberships };
         let state = Box::new(state);
         self.voter_slots.handovers.enter(Stage::Sending { state, slot, sent_at: None });
-        self.forget_replicas(now, commands);
+        self.reset_replicas(now, commands);
         true
     }
 
-    /// The state of a voter whose slot we take over. It is written once the voter set
-    /// that gives us the slot is on our disk; until then it is sent again.
+    /// Handles the state sent by the voter whose slot this node takes. The state is written
+    /// only after the voter set that gives this node the slot is on disk; until then the
+    /// sender repeats the message.
     pub(super) fn on_handover(
         &mut self,
         now: Tick,
@@ -197,10 +201,10 @@
     ) {
         let ReceivedHandover { slot, generation, voter_set, replicas, memberships } = received;
         self.voter_slots.merge_voter_set(&voter_set, commands);
-        let ours = self.voter_slots.voter_set();
+        let own_set = self.voter_slots.voter_set();
         if self.slot != slot
-            || !is_of_generation(ours, slot, generation)
-            || merge(ours, &voter_set).is_some()
+            || !is_of_generation(own_set, slot, generation)
+            || merge(own_set, &voter_set).is_some()
         {
             return;
         }
@@ -216,10 +220,10 @@
         }
     }
 
-    /// The successor votes: nothing keeps us any longer.
+    /// Handles the message that the successor votes: the handover is complete.
     pub(super) fn on_handover_done(&mut self, slot: VoterSlot, generation: u32) {
-        let is_ours = is_of_generation(self.voter_slots.voter_set(), slot, generation);
-        if is_ours && self.voter_slots.handovers.is_sending(slot) {
+        let is_own_handover = is_of_generation(self.voter_slots.voter_set(), slot, generation);
+        if is_own_handover && self.voter_slots.handovers.is_sending(slot) {
             self.finish_handover();
         }
     }
@@ -229,23 +233,23 @@
     voter_set.slots.get(usize::from(slot)).is_some_and(|h| h.generation == generation)
 }
 
-/// What a replica hands to the successor.
-fn handed_over(replica: &Partition) -> HandedOverReplica {
+/// Returns the state of a replica as it is sent to the successor.
+fn handover_state(replica: &Partition) -> HandedOverReplica {
     let ReplicaState { current_term, written_term, revision, entries } = replica.state.clone();
     HandedOverReplica { partition: replica.id, current_term, written_term, revision, entries }
 }
 
-/// Writes a replica that was handed over, unless ours votes already.
+/// Writes a received replica, unless the one of this node already votes.
 fn install(
     replica: &mut Partition,
     now: Tick,
-    handed_over: HandedOverReplica,
+    handover_state: HandedOverReplica,
     commands: &mut Vec<Command>,
 ) {
     if replica.condition == ReplicaCondition::Voting || !replica.writes.is_empty() {
         return;
     }
-    let HandedOverReplica { current_term, written_term, revision, entries, .. } = handed_over;
+    let HandedOverReplica { current_term, written_term, revision, entries, .. } = handover_state;
     replica.restart_changes(revision, &entries);
     replica.state = ReplicaState { current_term, written_term, revision, entries };
     replica.persist_snapshot(now, vec![AfterWrite::StartVoting], commands);
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -1,12 +1,18 @@
-//! Operators' requests at the controller that they came to: each is handed to
-//! the leader of the configuration, again and again while there is time, and
-//! told to its operator when its result is certain.
+//! Forwards operator requests from the controller that received them to the leader of the
+//! configuration partition.
 //!
-//! Each handing over is an attempt with a number of its own, and only the answer
-//! to the latest attempt counts: an answer to an earlier one may be overtaken by
-//! what came of a later one. An attempt is meant for one term of one leader. A
-//! later leader's refusal is therefore final: an earlier leader that finds the
-//! request later can't commit it any more.
+//! A controller that holds a voter slot is a voter: it replicates the partitions and so knows
+//! their leaders. A controller without a voter slot is a spare. It forwards a request to any
+//! voter, which forwards it to the leader.
+//!
+//! A request is forwarded repeatedly until its deadline. The operator receives a response
+//! as soon as the result is certain.
+//!
+//! Each attempt to forward a request has its own number, and only the response to the
+//! latest attempt counts: the result of a later attempt may already have overtaken an
+//! earlier response. An attempt is addressed to one term of one leader. A rejection by a
+//! later leader is therefore final: an earlier leader that receives the request afterwards
+//! can no longer commit it.
 
 use crate::command::{Command, ConnectionId};
 use crate::consts;
@@ -26,20 +32,21 @@
 use crate::time::Tick;
 use crate::voter_set::{NO_SLOT, others};
 
-/// Attempts that are remembered (count), so that one that comes twice is taken
-/// once: at hundreds of orders a second those of ten seconds.
-const ATTEMPTS_KEPT: usize = 4_096;
+/// Maximum number of attempt numbers that are remembered to drop duplicates. At hundreds of
+/// requests per second, this covers ten seconds.
+const MAX_SEEN_ATTEMPTS: usize = 4_096;
 
 impl ControllerState {
-    /// A request from one of our own operators.
-    pub(super) fn on_operate(
+    /// Handles a request from an operator of this node.
+    pub(super) fn on_operator_request(
         &mut self,
         now: Tick,
         op: u64,
         request: Request,
         commands: &mut Vec<Command>,
     ) {
-        // Without a voter slot we hold no revision: the leader tells it.
+        // A controller without a voter slot holds no revision, so the leader reports it
+        // instead.
         if request.is_unconditional() && self.slot != NO_SLOT {
             let revision = self.partitions[0].committed_revision;
             return commands
@@ -50,31 +57,36 @@
         self.forward(now, op, commands);
     }
 
-    /// Nobody waits for a request any more. One that was not handed to a leader yet is never
-    /// carried out: its operator may have given other orders since.
+    /// Drops a request whose operator no longer waits for it. A request that was not yet
+    /// forwarded to a leader is never executed: its operator may have sent other requests
+    /// since.
     pub(super) fn abandon_request(&mut self, op: u64) {
         self.pending_requests.swap_remove(&op);
     }
 
-    /// To whom a request would be handed now: the leader that we know, or without a
-    /// voter slot any controller that lives, by turns.
+    /// Returns the node to which a request is forwarded now: the known leader or, if this
+    /// node has no voter slot, one of the reachable voters in round-robin order.
     fn forwarding_target(&mut self) -> Option<Forwarding> {
         if self.slot != NO_SLOT {
             return self.known_leader();
         }
-        let quiet = &self.voter_slots.time_since_message;
-        // A controller that is leaving asks nobody for a slot, and so hears nobody.
+        let time_since_message = &self.voter_slots.time_since_message;
+        // A leaving controller requests no slot from the voters and so receives no messages
+        // from them. It treats them all as reachable.
         let leaving = self.is_leaving();
-        let is_awake =
-            |slot: &VoterSlot| leaving || quiet[usize::from(*slot)] < consts::VOTER_SILENCE_TIMEOUT;
-        let list: Vec<VoterSlot> = others(self.group()).filter(is_awake).collect();
-        let slot =
-            list.get(self.voter_slots.forwarded_without_slot % list.len().max(1)).copied()?;
+        let is_reachable = |slot: &VoterSlot| {
+            leaving || time_since_message[usize::from(*slot)] < consts::VOTER_SILENCE_TIMEOUT
+        };
+        let reachable: Vec<VoterSlot> = others(self.group()).filter(is_reachable).collect();
+        let slot = reachable
+            .get(self.voter_slots.forwarded_without_slot % reachable.len().max(1))
+            .copied()?;
         self.voter_slots.forwarded_without_slot += 1;
         Some(Forwarding { slot, term: ANY_TERM })
     }
 
-    /// The leader of the configuration as we know it, ourselves if we serve.
+    /// Returns the leader of the configuration partition if it is known. This is the node
+    /// itself if it leads and is serving.
     fn known_leader(&self) -> Option<Forwarding> {
         match &self.partitions[0].role {
             Role::Leader(leader) if leader.is_serving => {
@@ -87,14 +99,15 @@
         }
     }
 
-    /// Hands a request to the leader, if one is known and it was not yet handed.
+    /// Forwards a request to the leader if one is known and the request is not in flight
+    /// yet.
     fn forward(&mut self, now: Tick, op: u64, commands: &mut Vec<Command>) {
         if self.pending_requests.get(&op).is_none_or(|pending| pending.forwarded_to.is_some()) {
             return;
         }
         let Some(to) = self.forwarding_target() else { return };
-        self.next_attempt = self.next_attempt.wrapping_add(1);
-        let attempt = self.next_attempt;
+        self.last_attempt = self.last_attempt.wrapping_add(1);
+        let attempt = self.last_attempt;
         let Some(pending) = self.pending_requests.get_mut(&op) else { return };
         pending.begin_attempt(attempt, to);
         let request = pending.to_request();
@@ -109,7 +122,7 @@
         commands.push(Command::ToVoter { slot: to.slot, message });
     }
 
-    /// Judges a request as the leader of the configuration.
+    /// Executes a request as the leader of the configuration partition.
     fn execute_as_leader(
         &mut self,
         now: Tick,
@@ -138,40 +151,41 @@
         operations::execute(configuration, now, group, origin, &request, clock, commands);
     }
 
-    /// We came to a voter slot or lost ours: what is answered to us under our former
-    /// name does not reach us, so every request is handed over anew.
+    /// Retries all requests after this node has gained or lost its voter slot: responses
+    /// that are addressed to its former identity do not reach it.
     pub(crate) fn retry_all_requests(&mut self) {
         for pending in
             self.pending_requests.values_mut().filter(|pending| pending.forwarded_to.is_some())
         {
-            pending.give_up_attempt();
+            pending.cancel_attempt();
         }
     }
 
-    /// Voter slots changed hands: what was handed to their former holders is handed
-    /// over anew, since nobody may be left there to answer.
+    /// Retries the requests that were forwarded to voter slots which have a new holder: the
+    /// former holder may no longer be there to respond.
     pub(crate) fn retry_requests_to(&mut self, moved: &[bool]) {
-        let went_to_moved = |pending: &&mut PendingRequest| {
+        let targets_moved_slot = |pending: &&mut PendingRequest| {
             let slot = pending.forwarded_to.map(|to| usize::from(to.slot));
             slot.is_some_and(|slot| moved.get(slot).is_some_and(|moved| *moved))
         };
-        for pending in self.pending_requests.values_mut().filter(went_to_moved) {
-            pending.give_up_attempt();
+        for pending in self.pending_requests.values_mut().filter(targets_moved_slot) {
+            pending.cancel_attempt();
         }
     }
 
-    /// Whether an attempt comes for the first time.
-    fn is_first_time(&mut self, attempt: u64) -> bool {
+    /// Records an attempt and returns whether it was received for the first time.
+    fn record_attempt(&mut self, attempt: u64) -> bool {
         if !self.attempts_seen.insert(attempt) {
             return false;
         }
-        if self.attempts_seen.len() > ATTEMPTS_KEPT {
+        if self.attempts_seen.len() > MAX_SEEN_ATTEMPTS {
             self.attempts_seen.shift_remove_index(0);
         }
         true
     }
 
-    /// Another controller handed a request to us as the leader of a term.
+    /// Handles a request that another controller forwarded to this node as the leader of
+    /// `term`.
     pub(super) fn on_operation_request(
         &mut self,
         now: Tick,
@@ -180,7 +194,7 @@
         request: Request,
         commands: &mut Vec<Command>,
     ) {
-        if !self.is_first_time(origin.attempt) {
+        if !self.record_attempt(origin.attempt) {
             return;
         }
         if self.lease_term() == Some(term) {
@@ -191,8 +205,8 @@
         }
     }
 
-    /// A controller without a voter slot handed a request to us; it asks again
-    /// elsewhere if we fail it.
+    /// Handles a request that a controller without a voter slot forwarded to this node. If
+    /// it fails here, that controller retries it with another voter.
     pub(super) fn on_forwarded_operation(
         &mut self,
         now: Tick,
@@ -200,16 +214,16 @@
         request: Request,
         commands: &mut Vec<Command>,
     ) {
-        if !self.is_first_time(origin.attempt) {
+        if !self.record_attempt(origin.attempt) {
             return;
         }
-        self.next_forwarded += 1;
-        let op = self.next_forwarded;
+        self.last_forwarded += 1;
+        let op = self.last_forwarded;
         self.forwarded.insert(op, origin);
-        self.on_operate(now, op, request, commands);
+        self.on_operator_request(now, op, request, commands);
     }
 
-    /// An answer to one of our attempts. Only the latest counts.
+    /// Handles the response to an attempt. Only the response to the latest attempt counts.
     pub(super) fn on_operation_response(
         &mut self,
         now: Tick,
@@ -217,14 +231,18 @@
         done: OperationResult,
         commands: &mut Vec<Command>,
     ) {
-        if self.pending_requests.get(&id.op).is_some_and(|pending| pending.waits_for(id.attempt)) {
+        if self
+            .pending_requests
+            .get(&id.op)
+            .is_some_and(|pending| pending.is_current_attempt(id.attempt))
+        {
             self.on_result(now, id.op, done, commands);
         }
     }
 
-    /// The result of the latest attempt. A rejection is retried while there is
-    /// time: the leader may just have changed. An unknown result too, which is
-    /// safe because the request carries its id.
+    /// Handles the result of the latest attempt. A rejected request is retried until its
+    /// deadline, as the leader may just have changed. So is a request with an unknown
+    /// result, which is safe because the request carries an id.
     fn on_result(
         &mut self,
         now: Tick,
@@ -243,7 +261,7 @@
             pending.forwarded_to = None;
             return;
         }
-        let done = pending.certain(done);
+        let done = pending.final_result(done);
         self.pending_requests.swap_remove(&op);
         match done {
             OperationResult::Accepted { .. } => self.counters.accepted += 1,
@@ -255,7 +273,8 @@
         commands.push(Command::Respond { op, done });
     }
 
-    /// Time passes: requests wait for a leader, but not for ever.
+    /// Forwards the requests that wait for a leader, and ends those whose deadline has
+    /// passed.
     pub(super) fn wake_requests(&mut self, now: Tick, commands: &mut Vec<Command>) {
         self.retry_superseded();
         let ids: Vec<u64> = self.pending_requests.keys().copied().collect();
@@ -265,23 +284,25 @@
                 self.forward(now, id, commands);
                 continue;
             }
-            let done = pending.overdue();
+            let done = pending.timeout_result();
             self.pending_requests.swap_remove(&id);
             self.counters.rejected += 1;
             commands.push(Command::Respond { op: id, done });
         }
     }
 
-    /// Requests handed to a controller that leads no more, or in an earlier term,
-    /// are handed anew; by a controller without a voter slot, those handed to one
-    /// that has fallen silent.
+    /// Retries the requests that were forwarded to a node that is no longer the leader or
+    /// leads in another term. A controller without a voter slot retries those that it
+    /// forwarded to a voter which no longer responds.
     fn retry_superseded(&mut self) {
         let leader = self.known_leader();
         let leaving = self.is_leaving();
         let ControllerState { slot, voter_slots, pending_requests, .. } = self;
         let is_silent = |to: &Forwarding| {
-            let quiet = voter_slots.time_since_message.get(usize::from(to.slot));
-            quiet.is_none_or(|quiet| *quiet >= consts::VOTER_SILENCE_TIMEOUT)
+            let time_since_message = voter_slots.time_since_message.get(usize::from(to.slot));
+            time_since_message.is_none_or(|time_since_message| {
+                *time_since_message >= consts::VOTER_SILENCE_TIMEOUT
+            })
         };
         let is_superseded = |to: &Forwarding| match *slot {
             NO_SLOT => !leaving && is_silent(to),
@@ -289,14 +310,15 @@
         };
         for pending in pending_requests.values_mut() {
             if pending.forwarded_to.as_ref().is_some_and(is_superseded) {
-                pending.give_up_attempt();
+                pending.cancel_attempt();
             }
         }
     }
 
-    /// What we answer as the leader to requests of our own operators goes the way of
-    /// all answers: it may have to be tried again elsewhere.
-    pub(super) fn take_own_responses(&mut self, now: Tick, commands: &mut Vec<Command>) {
+    /// Handles the responses of this node, as the leader, to requests of its own operators.
+    /// They are treated like responses from another leader, as the request may have to be
+    /// retried.
+    pub(super) fn handle_own_responses(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let mut at = 0;
         while at < commands.len() {
             if !matches!(commands[at], Command::OwnResponse { .. }) {
@@ -307,8 +329,9 @@
         }
     }
 
-    /// Returns results of forwarded requests on the connections that they came on.
-    pub(super) fn return_forwarded(&mut self, commands: &mut [Command]) {
+    /// Sends the results of forwarded requests back on the connections on which they
+    /// arrived.
+    pub(super) fn respond_to_forwarded(&mut self, commands: &mut [Command]) {
         for command in commands {
             if let Command::Respond { op, done } = command
                 && let Some(origin) = self.forwarded.swap_remove(op)
@@ -318,7 +341,7 @@
         }
     }
 
-    /// A connection is gone, and with it those who wait on it.
+    /// Drops the forwarded requests of a connection that was closed.
     pub(super) fn drop_forwarded_from(&mut self, connection: ConnectionId) {
         self.forwarded.retain(|_, origin| origin.connection != connection);
     }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -1,16 +1,17 @@
-//! Operators' requests at the leader of the configuration: each is judged by the
-//! newest state, in the order in which they come. A change is made at once; all
-//! else waits for the proof that we still lead (`pending_operations`).
+//! Executes operator requests at the leader of the configuration partition. Requests are
+//! evaluated against the newest state in the order of their arrival. A change is proposed
+//! at once; any other request waits until this node has proved that it still leads
+//! (`pending_operations`).
 
 use crate::command::Command;
 use crate::config::route::RoutingTable;
 use crate::config::stored::Entry;
 use crate::config::types::{ChangeHeader, Config, Patch};
-use crate::control_plane::order_memory;
-use crate::control_plane::order_memory::{
-    Fingerprint, Horizon, OrderBase, Recall, may_be_forgotten,
-};
 use crate::control_plane::rejection::Rejection;
+use crate::control_plane::request_dedup;
+use crate::control_plane::request_dedup::{
+    Fingerprint, Horizon, LookupResult, RequestBase, may_be_evicted,
+};
 use crate::control_plane::rollout_clock::RolloutClock;
 use crate::control_plane::rollout_orders;
 use crate::diagnostic::Diagnostic;
@@ -22,26 +23,27 @@
 use crate::time::Tick;
 use crate::voter_set::VoterGroup;
 
-/// An operator's request without its origin.
+/// An operator request without its origin.
 pub struct Request {
-    /// The id under which it may be sent again.
+    /// Request id (idempotency key), under which the request may be sent again.
     pub id: String,
-    /// The revision that it expects to change.
+    /// The revision that the request expects to change.
     pub expected_revision: Option<u64>,
-    /// What is asked.
+    /// The requested operation.
     pub operation: Operation,
 }
 
 impl Request {
-    /// Whether nothing tells a copy of it that comes late from a new request: it changes the
-    /// configuration, and has neither an id nor a revision that it builds on. Its sender may
-    /// have sent others since, so no leader carries it out; it is told which revision stands.
+    /// Returns whether a delayed copy of this request can't be told apart from a new
+    /// request: it changes the configuration and has neither an id nor an expected
+    /// revision. Its sender may have sent other requests since, so no leader executes it;
+    /// the response carries the current revision.
     pub fn is_unconditional(&self) -> bool {
         self.operation.is_change() && self.id.is_empty() && self.expected_revision.is_none()
     }
 }
 
-/// Rejects a request if too many wait at the leader; tells whether it did.
+/// Rejects a request if too many requests wait at the leader. Returns whether it did.
 pub fn reject_if_full(
     configuration: &Partition,
     origin: OperationOrigin,
@@ -55,7 +57,7 @@
     is_full
 }
 
-/// Judges a request about the configuration, as its leader.
+/// Executes a request about the configuration, as the leader of its partition.
 pub fn execute(
     configuration: &mut Partition,
     now: Tick,
@@ -67,44 +69,46 @@
 ) {
     let answer = match &request.operation {
         Operation::Read => PendingAnswer::Read,
-        // What an operator forgets is up to `forgotten_members`.
+        // `forgotten_members` executes `ForgetMember`.
         Operation::Status | Operation::ForgetMember(_) => PendingAnswer::Status,
         Operation::ReadRollout(service) => PendingAnswer::Rollout(service.clone()),
         Operation::Replace(text) => {
-            let judged = judge(configuration, request, true, text);
-            return carry_out(configuration, now, group, origin, judged, commands);
+            let evaluation = evaluate_change(configuration, request, true, text);
+            return apply_evaluation(configuration, now, group, origin, evaluation, commands);
         }
         Operation::Patch(text) => {
-            let judged = judge(configuration, request, false, text);
-            return carry_out(configuration, now, group, origin, judged, commands);
+            let evaluation = evaluate_change(configuration, request, false, text);
+            return apply_evaluation(configuration, now, group, origin, evaluation, commands);
         }
         Operation::StartRollout(order) => {
-            let judged = rollout_orders::judge_start(configuration, now, request, order, clock);
-            return carry_out(configuration, now, group, origin, judged, commands);
+            let evaluation =
+                rollout_orders::evaluate_start(configuration, now, request, order, clock);
+            return apply_evaluation(configuration, now, group, origin, evaluation, commands);
         }
         Operation::AbortRollout(service) => {
-            let judged = rollout_orders::judge_abort(configuration, now, request, service, clock);
-            return carry_out(configuration, now, group, origin, judged, commands);
+            let evaluation =
+                rollout_orders::evaluate_abort(configuration, now, request, service, clock);
+            return apply_evaluation(configuration, now, group, origin, evaluation, commands);
         }
     };
     configuration.add_pending(now, group, origin, answer, commands);
 }
 
-/// Carries out what an order was judged to come to.
-fn carry_out(
+/// Proposes an evaluated change, or adds its result to the pending operations.
+fn apply_evaluation(
     configuration: &mut Partition,
     now: Tick,
     group: VoterGroup,
     origin: OperationOrigin,
-    judged: Judged,
+    evaluation: Evaluation,
     commands: &mut Vec<Command>,
 ) {
-    match judged {
-        Judged::Refused(done) => {
+    match evaluation {
+        Evaluation::Refused(done) => {
             let answer = PendingAnswer::Rejection(done);
             configuration.add_pending(now, group, origin, answer, commands);
         }
-        Judged::Made { revision } => {
+        Evaluation::AlreadyAccepted { revision } => {
             configuration.wait_for_repeated_change(
                 now,
                 origin,
@@ -114,7 +118,7 @@
             configuration.request_round(now, group, commands);
             configuration.complete_operations(now, group, commands);
         }
-        Judged::Change(entries) => {
+        Evaluation::Change(entries) => {
             configuration.propose(now, group, entries, commands);
             let revision = configuration.state.revision;
             configuration.wait_for_change(now, origin, revision, ChangeAcceptance::Applied);
@@ -123,100 +127,112 @@
     }
 }
 
-/// What an order comes to by our newest state.
-pub(super) enum Judged {
-    /// It changes these entries.
+/// The outcome of evaluating a request against the newest state.
+pub(super) enum Evaluation {
+    /// The request changes these entries.
     Change(Vec<Entry>),
-    /// It was made as this revision when it came before.
-    Made { revision: u64 },
-    /// It changes nothing; this is told once it is proved.
+    /// The request is a repetition of one that was accepted as this revision.
+    AlreadyAccepted { revision: u64 },
+    /// The request changes nothing. The result is sent once this node has proved that it
+    /// leads.
     Refused(OperationResult),
 }
 
-/// Judges a change by our newest state.
-fn judge(p: &Partition, request: &Request, whole: bool, text: &[u8]) -> Judged {
+/// Evaluates a change against the newest state.
+fn evaluate_change(
+    p: &Partition,
+    request: &Request,
+    is_replacement: bool,
+    text: &[u8],
+) -> Evaluation {
     let map = &p.state.entries;
-    let order = order_memory::fingerprint(&request.id, whole, text);
-    if let Some(judged) = judge_copy(p, request, &order) {
-        return judged;
+    let fingerprint = request_dedup::fingerprint(&request.id, is_replacement, text);
+    if let Some(evaluation) = evaluate_duplicate(p, request, &fingerprint) {
+        return evaluation;
     }
-    if request.expected_revision.is_some_and(|want| want != p.state.revision) {
-        let base = OrderBase { revision: request.expected_revision, ..OrderBase::default() };
-        let moved = OperationResult::Conflict { revision: p.state.revision };
-        return Judged::Refused(forgotten(map, &base).unwrap_or(moved));
+    if request.expected_revision.is_some_and(|expected| expected != p.state.revision) {
+        let base = RequestBase { revision: request.expected_revision, ..RequestBase::default() };
+        let conflict = OperationResult::Conflict { revision: p.state.revision };
+        return Evaluation::Refused(forgotten_result(map, &base).unwrap_or(conflict));
     }
-    let (mut entries, edition) = match planned(map, request.expected_revision, whole, text) {
-        Ok(Planned::Entries(entries, edition)) => (entries, edition),
-        Ok(Planned::Refused(done)) => return Judged::Refused(done),
-        Err(all) => {
-            let list = all.into_iter().map(|f| (f.location.clone(), f.text())).collect();
-            return Judged::Refused(OperationResult::Invalid(list));
-        }
-    };
-    entries.extend(order_memory::remember(map, &order, p.state.revision + 1, edition));
-    Judged::Change(entries)
+    let (mut entries, edition) =
+        match plan_change(map, request.expected_revision, is_replacement, text) {
+            Ok(PlannedChange::Entries(entries, edition)) => (entries, edition),
+            Ok(PlannedChange::Refused(done)) => return Evaluation::Refused(done),
+            Err(all) => {
+                let list = all.into_iter().map(|f| (f.location.clone(), f.text())).collect();
+                return Evaluation::Refused(OperationResult::Invalid(list));
+            }
+        };
+    entries.extend(request_dedup::insert(map, &fingerprint, p.state.revision + 1, edition));
+    Evaluation::Change(entries)
 }
 
-/// What an order comes to that nothing tells from a copy which comes late, or that came before.
-pub(super) fn judge_copy(p: &Partition, request: &Request, order: &Fingerprint) -> Option<Judged> {
+/// Returns the outcome of a request that was accepted before, or that can't be told apart
+/// from a delayed copy of an earlier one.
+pub(super) fn evaluate_duplicate(
+    p: &Partition,
+    request: &Request,
+    fingerprint: &Fingerprint,
+) -> Option<Evaluation> {
     if request.is_unconditional() {
-        return Some(Judged::Refused(OperationResult::Conflict { revision: p.state.revision }));
+        return Some(Evaluation::Refused(OperationResult::Conflict { revision: p.state.revision }));
     }
-    match order_memory::recall(&p.state.entries, &request.id, order) {
-        Recall::Accepted { revision } => Some(Judged::Made { revision }),
-        Recall::OtherText => {
+    match request_dedup::lookup(&p.state.entries, &request.id, fingerprint) {
+        LookupResult::Accepted { revision } => Some(Evaluation::AlreadyAccepted { revision }),
+        LookupResult::DifferentText => {
             let text = "this request id was used for another request".to_string();
-            Some(Judged::Refused(OperationResult::Invalid(vec![("request".into(), text)])))
+            Some(Evaluation::Refused(OperationResult::Invalid(vec![("request".into(), text)])))
         }
-        Recall::Absent => None,
+        LookupResult::Absent => None,
     }
 }
 
-/// What a request comes to.
-enum Planned {
-    /// The entries that it changes, and the edition that stands then.
+/// The outcome of planning a change.
+enum PlannedChange {
+    /// The changed entries, and the edition of the configuration after the change.
     Entries(Vec<Entry>, u64),
-    /// It does not build on the edition that stands.
+    /// The request does not build on the current edition.
     Refused(OperationResult),
 }
 
-/// The entries that a request changes, or all that is wrong with it. A request
-/// that names the edition it builds on is held to it, and one that names its
-/// own must go beyond the one that stands.
-fn planned(
+/// Returns the entries that a request changes, or all errors in it. If the request names
+/// the edition that it builds on, this must be the current one. If it names its own
+/// edition, this must be higher than the current one.
+fn plan_change(
     map: &EntryMap,
-    expect: Option<u64>,
-    whole: bool,
+    expected_revision: Option<u64>,
+    is_replacement: bool,
     text: &[u8],
-) -> Result<Planned, Vec<Diagnostic>> {
+) -> Result<PlannedChange, Vec<Diagnostic>> {
     let old = Config::from_entries(map)
         .map_err(|error| vec![Diagnostic::new("stored configuration", error)])?;
-    let new = if whole {
+    let new = if is_replacement {
         old.replaced_by(Config::from_json(text)?)
     } else {
         old.clone().patched(&Patch::from_json(text)?)
     };
     let ChangeHeader { after, edition, .. } = new.change_header;
-    let base = OrderBase { revision: expect, edition: after, next_edition: edition };
-    if base.edition.is_some_and(|n| n != old.client_limits.edition) {
-        let moved = OperationResult::Conflict { revision: old.client_limits.edition };
-        return Ok(Planned::Refused(forgotten(map, &base).unwrap_or(moved)));
+    let base = RequestBase { revision: expected_revision, edition: after, next_edition: edition };
+    if base.edition.is_some_and(|named| named != old.client_limits.edition) {
+        let conflict = OperationResult::Conflict { revision: old.client_limits.edition };
+        return Ok(PlannedChange::Refused(forgotten_result(map, &base).unwrap_or(conflict)));
     }
-    if base.next_edition.is_some_and(|n| n <= old.client_limits.edition) {
-        if let Some(done) = forgotten(map, &base) {
-            return Ok(Planned::Refused(done));
+    if base.next_edition.is_some_and(|named| named <= old.client_limits.edition) {
+        if let Some(done) = forgotten_result(map, &base) {
+            return Ok(PlannedChange::Refused(done));
         }
-        let text = format!("must be above {}, the one that stands", old.client_limits.edition);
+        let text = format!("must be above {}, the current edition", old.client_limits.edition);
         return Err(vec![Diagnostic::new("terms.edition", text)]);
     }
     RoutingTable::build(&new)?;
-    Ok(Planned::Entries(old.changes_to(&new), new.client_limits.edition))
+    Ok(PlannedChange::Entries(old.changes_to(&new), new.client_limits.edition))
 }
 
-/// No clear answer, if an order that would be refused may have been accepted
-/// and forgotten.
-fn forgotten(map: &EntryMap, base: &OrderBase) -> Option<OperationResult> {
-    let horizon = order_memory::horizon(map);
+/// Returns `Forgotten` if a request that would be refused may have been accepted before and
+/// since been dropped from the deduplication table.
+fn forgotten_result(map: &EntryMap, base: &RequestBase) -> Option<OperationResult> {
+    let horizon = request_dedup::horizon(map);
     let Horizon { revision, edition } = horizon;
-    may_be_forgotten(&horizon, base).then_some(OperationResult::Forgotten { revision, edition })
+    may_be_evicted(&horizon, base).then_some(OperationResult::Forgotten { revision, edition })
 }
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -1,8 +1,8 @@
-//! When a former membership is out of use.
+//! Decides when a former membership is no longer in use.
 //!
-//! It is *retired* once so many of its members have left it that the others can
-//! gather no more proofs to serve on by it, and *over* once those that they may
-//! have gathered before are out of date.
+//! A membership is *retired* once so many of its members have left it that the others can't
+//! gather new proofs to serve on by it. It is *over* once all proofs gathered before have
+//! expired.
 
 use crate::control_plane::members::Members;
 use crate::protocol::membership::{Member, Membership};
@@ -10,24 +10,26 @@
 use crate::{consts, quorum};
 
 impl Members {
-    /// Notes which former memberships nobody can serve on by any more.
+    /// Records which former memberships are retired, and drops those by which no member can
+    /// serve any more.
     pub fn retire_former(&mut self, now: Tick) {
         let mut older = std::mem::take(&mut self.log.older);
         for former in &mut older {
-            if former.retired.is_none() && self.is_left(now, &former.membership) {
+            if former.retired.is_none() && self.is_abandoned(now, &former.membership) {
                 former.retired = Some(now);
             }
         }
         older.retain(|former| {
-            !former.retired.is_some_and(|at| self.is_over(now, &former.membership, at))
+            !former.retired.is_some_and(|at| self.has_expired(now, &former.membership, at))
         });
         self.log.older = older;
     }
 
-    /// Whether a process that a membership names has left it: it goes by a newer
-    /// one, or is no more. Either way it attests no more for that one.
+    /// Returns whether a process that a membership names has left it, because it uses a
+    /// newer one or no longer exists. Either way it sends no more attestations for this
+    /// membership.
     pub fn has_left(&self, membership: &Membership, member: &Member) -> bool {
-        self.is_gone(member)
+        self.has_departed(member)
             || self.last_renewals.get(&member.name).is_some_and(|heard| {
                 let is_another = heard.member.incarnation != member.incarnation;
                 heard.has_renewed
@@ -35,19 +37,21 @@
             })
     }
 
-    /// Whether so many have left a membership that the others can't serve on by it.
-    /// A lone member never does.
-    fn is_left(&self, now: Tick, membership: &Membership) -> bool {
-        let list = &membership.members;
-        let left = list.iter().filter(|member| self.has_left(membership, member)).count();
-        left >= quorum::acceptance(list.len())
-            || (list.len() == 1 && !self.is_live(now, &list[0].name))
+    /// Returns whether so many members have left a membership that the others can't gather the
+    /// proofs to serve by it. A lone member does not leave its membership, which is out of use
+    /// when the member is no longer live.
+    fn is_abandoned(&self, now: Tick, membership: &Membership) -> bool {
+        let members = &membership.members;
+        let left = members.iter().filter(|member| self.has_left(membership, member)).count();
+        left >= quorum::acceptance(members.len())
+            || (members.len() == 1 && !self.is_live(now, &members[0].name))
     }
 
-    /// Whether nobody serves on any more by a membership that was left at `retired`:
-    /// the proofs that those who left it may have given before are out of date.
-    fn is_over(&self, now: Tick, membership: &Membership, retired: Tick) -> bool {
-        let list = &membership.members;
+    /// Returns whether no member can serve any more by a membership that was retired at
+    /// `retired`, because the attestations that leaving members may have sent before have
+    /// expired.
+    fn has_expired(&self, now: Tick, membership: &Membership, retired: Tick) -> bool {
+        let members = &membership.members;
         let is_quiet = |member: &&Member| {
             let attestation_age_ms =
                 self.last_renewals.get(&member.name).map(|heard| heard.progress.attestation_age_ms);
@@ -57,8 +61,8 @@
                 })
         };
         since(retired, now) >= consts::ATTESTATION_EXPIRY
-            || list.iter().filter(is_quiet).count() >= quorum::acceptance(list.len())
-            || list.len() == 1
-            || list.iter().all(|member| self.has_left(membership, member))
+            || members.iter().filter(is_quiet).count() >= quorum::acceptance(members.len())
+            || members.len() == 1
+            || members.iter().all(|member| self.has_left(membership, member))
     }
 }
--- a/crates/core/src/control_plane/subscriptions.rs
+++ b/crates/core/src/control_plane/subscriptions.rs
@@ -1,4 +1,4 @@
-//! Whom we feed: the connections that subscribed, and how far each was brought.
+//! The subscribers of the feeds, with the revisions that were sent to each.
 
 use crate::command::{Command, ConnectionId};
 use crate::control_plane::controller::ControllerState;
@@ -7,26 +7,25 @@
 use crate::protocol::message::{FeedPosition, Message};
 
 impl ControllerState {
-    /// Brings every follower up to what is committed, if that has changed. Each is
-    /// sent a thing once; one that lost it says where it stands in its next
-    /// `Subscribe`.
+    /// Sends every subscriber what was committed since the last broadcast. Each update is
+    /// sent once; a subscriber that lost one reports its position in its next `Subscribe`.
     pub(super) fn broadcast(&mut self, commands: &mut Vec<Command>) {
         let membership = self.members.membership.feed_revision();
         let committed = self.partitions.iter().map(|partition| partition.committed_revision);
-        let heads: Vec<u64> = committed.chain([membership]).collect();
-        if heads == self.broadcast_up_to {
+        let latest_revisions: Vec<u64> = committed.chain([membership]).collect();
+        if latest_revisions == self.broadcast_up_to {
             return;
         }
-        self.broadcast_up_to = heads;
-        let connections: Vec<ConnectionId> = self.followers.keys().copied().collect();
+        self.broadcast_up_to = latest_revisions;
+        let connections: Vec<ConnectionId> = self.subscribers.keys().copied().collect();
         for connection in connections {
-            self.bring_up_to_date(connection, commands);
+            self.send_updates(connection, commands);
         }
     }
 
-    /// Brings one follower up to what is committed.
-    fn bring_up_to_date(&mut self, connection: ConnectionId, commands: &mut Vec<Command>) {
-        let Some(positions) = self.followers.get_mut(&connection) else { return };
+    /// Sends one subscriber all updates up to the committed revisions.
+    fn send_updates(&mut self, connection: ConnectionId, commands: &mut Vec<Command>) {
+        let Some(positions) = self.subscribers.get_mut(&connection) else { return };
         let membership = &self.members.membership;
         if let Some(revision) = positions.get_mut(&MEMBERSHIP_FEED)
             && *revision < membership.feed_revision()
@@ -45,8 +44,8 @@
         }
     }
 
-    /// A follower says where it stands in each partition, under the voter set of this
-    /// stamp.
+    /// Handles the subscription of a peer, with its position in each partition and the
+    /// stamp of its voter set.
     pub(super) fn on_subscribe(
         &mut self,
         connection: ConnectionId,
@@ -54,25 +53,26 @@
         stamp: u64,
         commands: &mut Vec<Command>,
     ) {
-        let wants_membership = positions.iter().any(|place| place.partition == MEMBERSHIP_FEED);
-        if !wants_membership && !self.followers.contains_key(&connection) {
-            self.greet(connection, commands);
+        let wants_membership =
+            positions.iter().any(|position| position.partition == MEMBERSHIP_FEED);
+        if !wants_membership && !self.subscribers.contains_key(&connection) {
+            self.send_membership_to(connection, commands);
         }
         if stamp != self.voter_slots.stamp {
             self.voter_slots.send_voter_set(connection, commands);
         }
-        let known = self.followers.entry(connection).or_default();
-        for place in positions {
-            known.insert(place.partition, place.revision);
+        let known = self.subscribers.entry(connection).or_default();
+        for position in positions {
+            known.insert(position.partition, position.revision);
         }
         commands.push(Command::ToConnection { connection, message: self.feed_positions() });
-        self.bring_up_to_date(connection, commands);
+        self.send_updates(connection, commands);
     }
 
-    /// How far we have accepted each partition of which we can say so.
+    /// Returns the newest revision of each partition whose replica on this node can vote.
     fn feed_positions(&self) -> Message {
-        let able = self.partitions.iter().filter(|partition| partition.can_vote());
-        let mut positions: Vec<FeedPosition> = able
+        let voting = self.partitions.iter().filter(|partition| partition.can_vote());
+        let mut positions: Vec<FeedPosition> = voting
             .map(|partition| FeedPosition {
                 partition: partition.id,
                 revision: partition.state.revision,
