--- a/crates/core/src/routing_language/parser.rs
+++ b/crates/core/src/routing_language/parser.rs
@@ -152,12 +152,12 @@
         }
     }
 
-    /// Takes the word or sign, which must be next.
+    /// Consumes the keyword or symbol, which must be next.
     fn expect(&mut self, word: &str) -> Result<(), Diagnostic> {
         if self.take(word) { Ok(()) } else { Err(self.unexpected(&format!("`{word}`"))) }
     }
 
-    /// Takes the word or sign if it is next.
+    /// Consumes the keyword or symbol if it is next.
     fn take(&mut self, word: &str) -> bool {
         let is_next = match self.kind() {
             Some(TokenKind::Name(name)) => name == word,
