--- a/crates/server/src/querier/caller_listener.rs
+++ b/crates/server/src/querier/caller_listener.rs
@@ -1,4 +1,4 @@
-//! The listeners for callers and for the platform's checks of readiness.
+//! HTTP listeners for callers and for the platform's readiness checks.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 
 use crate::messages::{CallerRequest, MembershipInput, Threads, TrafficInput};
 
-/// Calls are numbered over all threads of the process.
+/// The next call number; numbers are unique across all threads of the process.
 static NEXT_CALL: AtomicU64 = AtomicU64::new(1);
 
 #[derive(Clone)]
@@ -32,11 +32,11 @@
     threads: Threads,
     /// The thread that serves this listener's calls.
     traffic: UnboundedSender<TrafficInput>,
-    /// Calls of this listener that have no outcome yet.
+    /// Number of this listener's calls that have no outcome yet.
     calls: Arc<AtomicUsize>,
 }
 
-/// The paths of one traffic thread's listener.
+/// Returns the routes of one traffic thread's listener.
 pub fn router(threads: Threads, traffic: UnboundedSender<TrafficInput>) -> Router {
     Router::new()
         .route("/v1/search/{mapping}", get(search_get).post(search_post))
@@ -45,14 +45,14 @@
         .route("/metrics", get(metrics))
         .fallback(async || {
             let text = "no such path; searches are at /v1/search/{mapping}";
-            written(&Outcome::Rejected(Rejection::new(RejectionReason::UnknownRoute, text)))
+            to_response(&Outcome::Rejected(Rejection::new(RejectionReason::UnknownRoute, text)))
         })
-        // One byte over the limit still comes through, and gets our own 413.
+        // A body of one byte over the limit is read, so that the API's own 413 rejects it.
         .layer(DefaultBodyLimit::max(consts::MAX_QUERY_BYTES + 1))
         .with_state(Listener { threads, traffic, calls: Arc::default() })
 }
 
-/// A call in flight. Tells the engine when the caller goes away before its outcome.
+/// A call in flight. Notifies the engine if the caller disconnects before there is an outcome.
 struct CallGuard {
     call: u64,
     traffic: UnboundedSender<TrafficInput>,
@@ -69,7 +69,7 @@
     }
 }
 
-fn budget(map: &HeaderMap) -> Option<&str> {
+fn budget_header(map: &HeaderMap) -> Option<&str> {
     map.get(BUDGET).map(|v| v.to_str().unwrap_or("unreadable"))
 }
 
@@ -77,65 +77,68 @@
     State(listener): State<Listener>,
     Path(mapping): Path<String>,
     Query(params): Query<Vec<(String, String)>>,
-    heads: HeaderMap,
+    headers: HeaderMap,
 ) -> Response {
-    search(listener, caller::read_get(&mapping, budget(&heads), &params)).await
+    search(listener, caller::read_get(&mapping, budget_header(&headers), &params)).await
 }
 
 async fn search_post(
     State(listener): State<Listener>,
     Path(mapping): Path<String>,
-    heads: HeaderMap,
+    headers: HeaderMap,
     body: Result<Bytes, axum::extract::rejection::BytesRejection>,
 ) -> Response {
-    let ask = match body {
-        Ok(body) => caller::read_post(&mapping, budget(&heads), &body),
+    let request = match body {
+        Ok(body) => caller::read_post(&mapping, budget_header(&headers), &body),
         Err(e) if e.status() == StatusCode::PAYLOAD_TOO_LARGE => {
             Err(Rejection::new(RejectionReason::TooLarge, "the question is larger than 64 KiB"))
         }
         Err(e) => Err(Rejection::new(RejectionReason::InvalidRequest, e.to_string())),
     };
-    search(listener, ask).await
+    search(listener, request).await
 }
 
-async fn search(listener: Listener, ask: Result<SearchRequest, Rejection>) -> Response {
-    let ask = match ask {
-        Ok(ask) => ask,
-        Err(b) => return written(&Outcome::Rejected(b)),
+async fn search(listener: Listener, request: Result<SearchRequest, Rejection>) -> Response {
+    let request = match request {
+        Ok(request) => request,
+        Err(rejection) => return to_response(&Outcome::Rejected(rejection)),
     };
-    // What waits before the desk is bounded here, each class to its part: this
-    // is the one place where calls could pile up.
-    let class = listener.threads.view.borrow().routes.get(&ask.route).map(|m| m.class);
-    let most = max_open_queries(class.unwrap_or_default()) * consts::MAX_LISTENER_CALLS
+    // The number of calls that wait for the query engine is bounded here, by class. No other
+    // place could queue calls without a bound.
+    let class = listener.threads.view.borrow().routes.get(&request.route).map(|m| m.class);
+    let limit = max_open_queries(class.unwrap_or_default()) * consts::MAX_LISTENER_CALLS
         / consts::MAX_CONCURRENT_QUERIES;
     let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
     let (traffic, calls) = (listener.traffic.clone(), listener.calls.clone());
-    let busy = calls.fetch_add(1, Ordering::Relaxed);
+    let open_calls = calls.fetch_add(1, Ordering::Relaxed);
     let mut guard = CallGuard { call, traffic, calls, done: false };
-    if busy >= most {
+    if open_calls >= limit {
         guard.done = true;
-        let mut b = Rejection::new(
+        let mut rejection = Rejection::new(
             RejectionReason::ConcurrencyLimit,
-            "this node's door has all the calls it may",
+            "this node's listener has reached its limit of open calls",
         );
         let spread = consts::RETRY_AFTER_MAX_S / 4;
-        b.retry_after_seconds = Some(consts::RETRY_AFTER_MIN_S + call % spread);
-        return written(&Outcome::Rejected(b));
+        rejection.retry_after_seconds = Some(consts::RETRY_AFTER_MIN_S + call % spread);
+        return to_response(&Outcome::Rejected(rejection));
     }
     let (reply, outcome) = oneshot::channel();
-    let request = CallerRequest::Search(ask);
+    let request = CallerRequest::Search(request);
     let outcome = match listener.traffic.send(TrafficInput::Call { call, request, reply }) {
         Ok(()) => outcome.await.ok(),
         Err(_) => None,
     };
     guard.done = true;
     let outcome = outcome.unwrap_or_else(|| {
-        Outcome::Rejected(Rejection::new(RejectionReason::ShuttingDown, "this node is going down"))
+        Outcome::Rejected(Rejection::new(
+            RejectionReason::ShuttingDown,
+            "this node is shutting down",
+        ))
     });
-    written(&outcome)
+    to_response(&outcome)
 }
 
-/// Serves calls that are forwarded.
+/// Serves callers whose requests are forwarded to leafs unchanged.
 pub async fn forward(
     listener: std::net::TcpListener,
     server: Rc<ForwardingServer>,
@@ -143,7 +146,7 @@
     api: &'static PlatformApi,
 ) {
     let calls = Arc::new(AtomicUsize::new(0));
-    let answer = move |head, body| {
+    let respond = move |head, body| {
         let (traffic, calls) = (traffic.clone(), calls.clone());
         async move {
             let request = CallerRequest::Forward(Arc::new((api.read_call)(head, body)));
@@ -156,24 +159,25 @@
                 Err(_) => None,
             };
             guard.done = true;
-            let gone = || Rejection::new(RejectionReason::ShuttingDown, "this node is going down");
+            let gone =
+                || Rejection::new(RejectionReason::ShuttingDown, "this node is shutting down");
             (api.write_outcome)(outcome.unwrap_or_else(|| Outcome::Rejected(gone())))
         }
     };
-    server.serve(listener, answer).await;
+    server.serve(listener, respond).await;
 }
 
-/// The address at which readiness alone is asked.
+/// A separate listener for the platform's readiness checks.
 pub struct ReadinessListener {
-    /// Listens for the checks.
+    /// The bound socket.
     pub listener: std::net::TcpListener,
-    /// All threads of the process.
+    /// Channels to all threads of the process.
     pub threads: Threads,
 }
 
 impl ReadinessListener {
-    /// Serves the checks at `path`, and our own paths beside it: metrics, and searches
-    /// of our own, which `traffic` answers.
+    /// Serves the readiness check at `path`, and the routes of [`router`] beside it: among them
+    /// metrics, and searches, which the traffic thread `traffic` answers.
     pub async fn serve(self, path: &'static str, traffic: UnboundedSender<TrafficInput>) {
         let ready = self.threads.ready.clone();
         let check = get(async move || readiness(*ready.borrow()));
@@ -182,7 +186,7 @@
         if let Err(e) =
             server::serve(self.listener, consts::MAX_READINESS_CONNECTIONS, router, never).await
         {
-            tracing::error!("the door for checks: {e}");
+            tracing::error!("the readiness listener failed: {e}");
         }
     }
 }
@@ -194,7 +198,7 @@
     (StatusCode::SERVICE_UNAVAILABLE, "not ready\n").into_response()
 }
 
-fn written(outcome: &Outcome) -> Response {
+fn to_response(outcome: &Outcome) -> Response {
     let out = caller::write(outcome);
     let code = StatusCode::from_u16(out.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let mut resp = (code, [(header::CONTENT_TYPE, "application/json")], out.body).into_response();
--- a/crates/server/src/querier/error.rs
+++ b/crates/server/src/querier/error.rs
@@ -1,11 +1,11 @@
-//! Why the querier ends other than when it is asked to.
+//! Errors that end the querier.
 
 use thiserror::Error;
 
-/// Why the querier could not start or go on.
+/// An error that prevents the querier from starting or running.
 #[derive(Debug, Error)]
 pub enum QuerierError {
-    /// A port or a thread can't be had.
+    /// A socket could not be bound or a thread could not be started.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// A traffic thread panicked.
--- a/crates/server/src/querier/leaf_client.rs
+++ b/crates/server/src/querier/leaf_client.rs
@@ -1,4 +1,4 @@
-//! Sends an attempt to a leaf and reads what comes back, unjudged.
+//! Sends attempts to leafs and returns their replies without validating them.
 
 use std::net::SocketAddr;
 
@@ -17,76 +17,77 @@
 use http_body_util::Full;
 use hyper::{HeaderMap, Request, Response};
 
-/// Bytes of a probe's response that are read at most.
+/// Maximum size of a probe's response body (bytes).
 const PROBE_REPLY_LIMIT: usize = 64 * 1024;
 
-/// Sends an attempt, to this very leaf or to nobody.
-pub async fn send(pool: &LeafPool, sending: OutgoingAttempt) -> Result<LeafReply, AttemptFailure> {
-    let leaf = address(&sending)?;
+/// Sends an attempt after checking that the leaf at the address is the intended one.
+pub async fn send(pool: &LeafPool, attempt: OutgoingAttempt) -> Result<LeafReply, AttemptFailure> {
+    let leaf = address(&attempt)?;
     let request = |request: hyper::http::request::Builder| {
         request
-            .header(hyper::header::HOST, &sending.addr)
-            .header(leaf::EXPECT_LEAF, &sending.leaf)
-            .header(leaf::EXPECT_SERVICE, &sending.service)
+            .header(hyper::header::HOST, &attempt.addr)
+            .header(leaf::EXPECT_LEAF, &attempt.leaf)
+            .header(leaf::EXPECT_SERVICE, &attempt.service)
     };
     let work = request(Request::post(leaf::PATH))
-        .header(leaf::QUERY_ID, &sending.id)
-        .header(leaf::QUESTION_DIGEST, &sending.body_digest)
-        .header(leaf::BUDGET, (sending.timeout / MILLI).max(1).to_string())
+        .header(leaf::QUERY_ID, &attempt.id)
+        .header(leaf::QUESTION_DIGEST, &attempt.body_digest)
+        .header(leaf::BUDGET, (attempt.timeout / MILLI).max(1).to_string())
         .header("content-type", "application/json")
-        .body(Full::new(Bytes::copy_from_slice(&sending.body)))
+        .body(Full::new(Bytes::copy_from_slice(&attempt.body)))
         .map_err(|_| AttemptFailure::Unreachable)?;
     let greeting = || request(Request::get(leaf::SELF_PATH)).body(Full::default());
     greeting().map_err(|_| AttemptFailure::Unreachable)?;
     let greeting = || greeting().unwrap_or_default();
-    // A leaf that leaves, or another identity, gets no work.
-    let fits = |response: &Response<Bytes>| {
-        response.status().as_u16() == 200 && !leaf::self_report(&heads(response.headers())).draining
+    // No request is sent to a leaf that is draining or has another identity.
+    let accepts = |response: &Response<Bytes>| {
+        response.status().as_u16() == 200
+            && !leaf::self_report(&reply_headers(response.headers())).draining
     };
-    let sent = pool.exchange(leaf, greeting, fits, work, MAX_REPLY_BYTES);
-    match tokio::time::timeout(duration(sending.timeout), sent).await {
-        Ok(Ok(Exchange::Answered(response))) => Ok(raw(response)),
+    let sent = pool.exchange(leaf, greeting, accepts, work, MAX_REPLY_BYTES);
+    match tokio::time::timeout(duration(attempt.timeout), sent).await {
+        Ok(Ok(Exchange::Answered(response))) => Ok(leaf_reply(response)),
         Ok(Ok(Exchange::Declined(response))) => {
-            let mut raw = raw(response);
-            // It is the leaf, and it leaves: no work was sent.
-            raw.headers.rejected |= raw.status == 200;
-            Ok(raw)
+            let mut leaf_reply = leaf_reply(response);
+            // The right leaf answered, but it is draining: the request was not sent.
+            leaf_reply.headers.rejected |= leaf_reply.status == 200;
+            Ok(leaf_reply)
         }
-        Ok(Err(error)) => Err(trouble(&error)),
+        Ok(Err(error)) => Err(attempt_failure(&error)),
         Err(_) => Err(AttemptFailure::DeadlineExceeded),
     }
 }
 
-/// Sends an attempt of a request that is forwarded.
+/// Sends an attempt of a forwarded request.
 pub async fn forward(
     pool: &LeafPool,
-    sending: OutgoingAttempt,
+    attempt: OutgoingAttempt,
     api: &'static PlatformApi,
 ) -> Result<LeafReply, AttemptFailure> {
-    let leaf = address(&sending)?;
-    let work = (api.write_attempt)(&sending).ok_or(AttemptFailure::Unreachable)?;
-    let fits =
-        |response: &Response<Bytes>| !(api.read_reply)(&sending, response.clone()).headers.foreign;
+    let leaf = address(&attempt)?;
+    let work = (api.write_attempt)(&attempt).ok_or(AttemptFailure::Unreachable)?;
+    let accepts =
+        |response: &Response<Bytes>| !(api.read_reply)(&attempt, response.clone()).headers.foreign;
     let options = ForwardOptions {
         reply_limit: MAX_REPLY_BYTES,
-        once: sending.at_most_once,
-        keep: sending.keep_connection,
+        once: attempt.at_most_once,
+        keep: attempt.keep_connection,
     };
-    let sent = pool.forward(leaf, work, options, fits);
-    match tokio::time::timeout(duration(sending.timeout), sent).await {
-        Ok(Ok(response)) => Ok((api.read_reply)(&sending, response)),
-        Ok(Err(error)) => Err(trouble(&error)),
+    let sent = pool.forward(leaf, work, options, accepts);
+    match tokio::time::timeout(duration(attempt.timeout), sent).await {
+        Ok(Ok(response)) => Ok((api.read_reply)(&attempt, response)),
+        Ok(Err(error)) => Err(attempt_failure(&error)),
         Err(_) => Err(AttemptFailure::DeadlineExceeded),
     }
 }
 
-fn address(sending: &OutgoingAttempt) -> Result<LeafAddress, AttemptFailure> {
-    let address: SocketAddr = sending.addr.parse().map_err(|_| AttemptFailure::Unreachable)?;
-    Ok(LeafAddress { address, leaf: sending.leaf.clone() })
+fn address(attempt: &OutgoingAttempt) -> Result<LeafAddress, AttemptFailure> {
+    let address: SocketAddr = attempt.addr.parse().map_err(|_| AttemptFailure::Unreachable)?;
+    Ok(LeafAddress { address, leaf: attempt.leaf.clone() })
 }
 
-/// What a failed exchange means for the attempt.
-fn trouble(error: &HttpError) -> AttemptFailure {
+/// Maps the error of an exchange to the attempt's failure.
+fn attempt_failure(error: &HttpError) -> AttemptFailure {
     match error {
         HttpError::Unreachable(_) | HttpError::ConnectTimedOut => AttemptFailure::Unreachable,
         HttpError::Interrupted(_) | HttpError::BodyInterrupted(_) | HttpError::Unframed => {
@@ -97,12 +98,12 @@
     }
 }
 
-fn raw(resp: Response<Bytes>) -> LeafReply {
-    let heads = heads(resp.headers());
-    LeafReply { status: resp.status().as_u16(), headers: heads, body: resp.body().to_vec() }
+fn leaf_reply(resp: Response<Bytes>) -> LeafReply {
+    let reply_headers = reply_headers(resp.headers());
+    LeafReply { status: resp.status().as_u16(), headers: reply_headers, body: resp.body().to_vec() }
 }
 
-/// Asks a leaf about itself; `None` when it could not be reached.
+/// Queries a leaf's state. Returns `None` if the leaf could not be reached.
 pub async fn probe(http: &HttpClient, info: &LeafInfo) -> Option<LeafReport> {
     let request = Request::get(format!("http://{}{}", info.addr, leaf::SELF_PATH))
         .header(leaf::EXPECT_LEAF, &info.leaf)
@@ -115,16 +116,16 @@
     match response.status().as_u16() {
         leaf::MISDIRECTED => report.gone = true,
         200 => {
-            let said = leaf::self_report(&heads(response.headers()));
-            report.leaving = said.draining;
-            report.age_ms = said.age_ms.unwrap_or(0);
+            let self_report = leaf::self_report(&reply_headers(response.headers()));
+            report.leaving = self_report.draining;
+            report.age_ms = self_report.age_ms.unwrap_or(0);
         }
         _ => return None,
     }
     Some(report)
 }
 
-fn heads(map: &HeaderMap) -> ReplyHeaders {
+fn reply_headers(map: &HeaderMap) -> ReplyHeaders {
     let one = |name: &str| map.get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
     ReplyHeaders {
         postmarks: map
--- a/crates/server/src/querier/leaf_list.rs
+++ b/crates/server/src/querier/leaf_list.rs
@@ -1,4 +1,4 @@
-//! Polls the platform's list of leafs.
+//! Polls the list of leafs that the platform serves.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -19,76 +19,76 @@
 
 use crate::messages::MembershipInput;
 
-/// Part of the list's rate that this node may use, as one in so many: others poll too.
-const RATE_PART: u64 = 4;
+/// This node uses one in this many of the list's permitted calls, because other nodes poll too.
+const RATE_DIVISOR: u64 = 4;
 
-/// Why there is no list.
+/// Why a poll of the leaf list failed.
 #[derive(Debug, Error)]
 pub enum LeafListError {
-    /// Its request can't be written.
+    /// The request could not be built.
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
     /// No response came.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The list was asked too often.
-    #[error("asked too often")]
+    /// The platform rejected the request because of its rate limit.
+    #[error("the platform's rate limit is exceeded")]
     TooManyRequests,
-    /// The response is not a list.
-    #[error("status {0}")]
+    /// The response has an unexpected status.
+    #[error("unexpected status {0}")]
     Status(u16),
-    /// A page can't be read; says where.
+    /// A page could not be parsed; the diagnostic names the place.
     #[error("{0}")]
     Unreadable(Diagnostic),
-    /// There are more pages than any list has.
-    #[error("the list has no end")]
-    Endless,
+    /// There are more than [`consts::MAX_LEAF_LIST_PAGES`] pages.
+    #[error("the list has too many pages")]
+    TooManyPages,
 }
 
-/// Where the list is and how it is read.
+/// Client of the leaf list.
 #[derive(Clone)]
 pub struct LeafList {
-    /// Its address.
+    /// Address of the server of the list.
     pub address: SocketAddr,
-    /// How it is written; nothing for our own form.
+    /// The platform's dialect; `None` if the list has grebepath's own format.
     pub platform_api: Option<&'static PlatformApi>,
-    /// Sends the requests.
+    /// The HTTP client.
     pub http: HttpClient,
 }
 
-/// Polls the list, one poll at a time and no more often than the platform allows.
+/// Polls the list, one poll at a time and within the platform's rate limit.
 pub struct LeafListPoller {
     list: LeafList,
-    /// Calls a second that the platform takes from all nodes.
+    /// Calls per second that the platform accepts from all nodes together.
     rate: u64,
     polling: bool,
-    /// When the list was last polled.
-    polled: Instant,
-    /// The pages that it had, or fewer after failures.
+    /// When the last poll began.
+    last_poll: Instant,
+    /// Number of pages of the last list; halved after each failed poll.
     pages: u64,
     results: UnboundedSender<MembershipInput>,
 }
 
 impl LeafListPoller {
-    /// A poller whose results go to the membership thread.
+    /// Creates a poller that sends its results to the membership thread.
     pub fn new(
         list: LeafList,
         rate: u64,
         results: UnboundedSender<MembershipInput>,
     ) -> LeafListPoller {
-        LeafListPoller { list, rate, polling: false, polled: Instant::now(), pages: 0, results }
+        LeafListPoller { list, rate, polling: false, last_poll: Instant::now(), pages: 0, results }
     }
 
-    /// Begins a poll, unless one is under way or it would be too early.
+    /// Starts a poll, unless one is running or the rate limit does not permit it yet.
     pub fn poll(&mut self) {
-        let pause_ms = self.pages * 1_000 * RATE_PART / self.rate.max(1);
-        if self.polling || self.polled.elapsed() < Duration::from_millis(pause_ms) {
+        let min_interval_ms = self.pages * 1_000 * RATE_DIVISOR / self.rate.max(1);
+        if self.polling || self.last_poll.elapsed() < Duration::from_millis(min_interval_ms) {
             return;
         }
         self.polling = true;
-        self.polled = Instant::now();
+        self.last_poll = Instant::now();
         let (list, results) = (self.list.clone(), self.results.clone());
-        // Ends within the list's patience for each page, or with the thread's `LocalSet`.
+        // Ends after at most the poll timeout for each page, or with the thread's `LocalSet`.
         tokio::task::spawn_local(async move {
             let (leafs, pages) = match list.fetch().await {
                 Ok((leafs, pages)) => (Ok(leafs), pages),
@@ -98,33 +98,33 @@
         });
     }
 
-    /// Notes that a poll has ended, after so many pages.
-    pub fn note_end(&mut self, pages: u64) {
+    /// Records the end of a poll that read `pages` pages.
+    pub fn finish_poll(&mut self, pages: u64) {
         self.polling = false;
         self.pages = pages.max(self.pages / 2);
     }
 }
 
 impl LeafList {
-    /// Reads the whole list. Gives the leafs and the count of pages.
+    /// Reads the complete list. Returns the leafs and the number of pages.
     async fn fetch(&self) -> Result<(Vec<LeafInfo>, u64), LeafListError> {
         match self.platform_api {
             Some(api) => self.fetch_pages(api).await,
-            None => Ok((self.fetch_own().await?, 1)),
+            None => Ok((self.fetch_native().await?, 1)),
         }
     }
 
-    /// Reads the platform's list, page by page. Only a whole list is one.
+    /// Reads the list in the platform's dialect, page by page. Fails if any page is missing.
     async fn fetch_pages(&self, api: &PlatformApi) -> Result<(Vec<LeafInfo>, u64), LeafListError> {
         let mut leafs: Vec<LeafInfo> = Vec::new();
         let mut page_name: Option<String> = None;
         for count in 1..=consts::MAX_LEAF_LIST_PAGES {
-            let body = self.get_patiently(&(api.list_path)(page_name.as_deref())).await?;
+            let body = self.get_with_retries(&(api.list_path)(page_name.as_deref())).await?;
             let page = (api.read_list_page)(&body).map_err(LeafListError::Unreadable)?;
             for diagnostic in page.diagnostics {
                 debug!("the platform's list: {diagnostic}");
             }
-            // A leaf may move from page to page while they are read.
+            // A leaf may move to another page while the pages are read.
             for leaf in page.leafs {
                 if !leafs.iter().any(|known| known.leaf == leaf.leaf) {
                     leafs.push(leaf);
@@ -135,10 +135,10 @@
                 next_page => page_name = next_page,
             }
         }
-        Err(LeafListError::Endless)
+        Err(LeafListError::TooManyPages)
     }
 
-    async fn fetch_own(&self) -> Result<Vec<LeafInfo>, LeafListError> {
+    async fn fetch_native(&self) -> Result<Vec<LeafInfo>, LeafListError> {
         let body = self.get(list::PATH).await?;
         let (leafs, diagnostics) = list::read(&body).map_err(LeafListError::Unreadable)?;
         for diagnostic in diagnostics {
@@ -147,8 +147,8 @@
         Ok(leafs)
     }
 
-    /// [`LeafList::get`], again a few times when the list is asked too often.
-    async fn get_patiently(&self, path: &str) -> Result<Bytes, LeafListError> {
+    /// Calls [`LeafList::get`] and retries a few times if the rate limit is exceeded.
+    async fn get_with_retries(&self, path: &str) -> Result<Bytes, LeafListError> {
         let mut body = self.get(path).await;
         for _ in 0..consts::LEAF_LIST_PAGE_RETRIES {
             if !matches!(body, Err(LeafListError::TooManyRequests)) {
--- a/crates/server/src/querier/main.rs
+++ b/crates/server/src/querier/main.rs
@@ -1,7 +1,7 @@
-//! The data plane: takes callers' questions and answers them from the leafs.
+//! The querier, the data plane: accepts queries from callers and answers them from the leafs.
 //!
-//! The main thread is the membership thread ([`membership_thread`]); beside it run the
-//! traffic threads ([`traffic_thread`]), each with a listener and a query engine.
+//! The main thread is the membership thread ([`membership_thread`]). The
+//! traffic threads ([`traffic_thread`]) have a listener and a query engine each.
 
 mod caller_listener;
 mod error;
@@ -41,18 +41,18 @@
 }
 
 fn run(settings: Settings) -> Result<(), QuerierError> {
-    // One listener for each traffic thread, all on one address.
+    // Each traffic thread has a listener; all listeners share one address.
     let listeners = listen(settings.listen, settings.threads)?;
-    let door = listeners[0].local_addr()?;
+    let caller_addr = listeners[0].local_addr()?;
     let inner = TcpListener::bind(settings.inner)?;
     let readiness = match settings.check {
         Some(address) => Some(listen(address, 1)?.remove(0)),
         None => None,
     };
-    println!("querier {} inner {} door {door}", settings.name, inner.local_addr()?);
+    println!("querier {} inner {} door {caller_addr}", settings.name, inner.local_addr()?);
     let clock = Clock::new();
     let (membership, inputs) = unbounded_channel();
-    // These hold the newest value alone; they never fill up.
+    // Watch channels hold only the newest value, so they need no bound.
     let (ready_sender, ready) = watch::channel(false);
     let (view_sender, view) = watch::channel(Default::default());
     let (stop, stopped) = watch::channel(false);
@@ -61,8 +61,8 @@
     let threads = Threads { traffic, membership, ready, view };
     let readiness =
         readiness.map(|listener| ReadinessListener { listener, threads: threads.clone() });
-    let ends = listeners.into_iter().zip(traffic_inputs).collect();
-    let joins = start_traffic(&settings, clock, &threads, &stopped, ends)?;
+    let listeners_and_inputs = listeners.into_iter().zip(traffic_inputs).collect();
+    let handles = start_traffic(&settings, clock, &threads, &stopped, listeners_and_inputs)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
     let start = membership_thread::Start {
@@ -76,22 +76,22 @@
     };
     let end = local.block_on(&runtime, membership_thread::serve(start, inputs));
     let _ = stop.send(true);
-    let joined = joins.into_iter().all(|thread| thread.join().is_ok());
+    let joined = handles.into_iter().all(|thread| thread.join().is_ok());
     end?;
     if joined { Ok(()) } else { Err(QuerierError::ThreadFailed) }
 }
 
-/// Starts the traffic threads, each with a listener and the end of its channel.
+/// Starts the traffic threads, each with a listener and the receiver of its inputs.
 fn start_traffic(
     settings: &Settings,
     clock: Clock,
     threads: &Threads,
     stop: &watch::Receiver<bool>,
-    ends: Vec<(TcpListener, UnboundedReceiver<TrafficInput>)>,
+    listeners_and_inputs: Vec<(TcpListener, UnboundedReceiver<TrafficInput>)>,
 ) -> std::io::Result<Vec<JoinHandle<()>>> {
     let incarnation = nonce();
-    let mut joins = Vec::new();
-    for (index, (listener, inputs)) in ends.into_iter().enumerate() {
+    let mut handles = Vec::new();
+    for (index, (listener, inputs)) in listeners_and_inputs.into_iter().enumerate() {
         let start = traffic_thread::Start {
             name: format!("{}-{index}-{:08x}", settings.name, incarnation as u32),
             zone: settings.zone.clone(),
@@ -107,7 +107,7 @@
             slot: quota::thread_id(&settings.name, index as u32),
         };
         let thread = std::thread::Builder::new().name(format!("traffic-{index}"));
-        joins.push(thread.spawn(move || traffic_thread::serve(start, inputs))?);
+        handles.push(thread.spawn(move || traffic_thread::serve(start, inputs))?);
     }
-    Ok(joins)
+    Ok(handles)
 }
--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -1,5 +1,5 @@
-//! What the membership thread holds beside the node agent: turns messages into events,
-//! and commands into I/O.
+//! The membership thread's I/O: turns received messages into events of the node agent,
+//! and executes the agent's commands.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -24,55 +24,55 @@
 use crate::messages::{MembershipInput, TrafficInput};
 use crate::settings::Settings;
 
-/// Wakes between two arrangements of the connections to controllers: a second.
-const ARRANGE_WAKES: u32 = 20;
-/// Unused connections that are kept to the list and to each leaf that is probed.
+/// Wakes between two updates of the connections to controllers: one second.
+const WAKES_PER_CONNECTION_UPDATE: u32 = 20;
+/// Maximum number of idle HTTP connections to the list and to each probed leaf.
 const IDLE_CONNECTIONS: usize = 2;
 
-/// Which connection a message came on.
+/// The connection on which a message was received.
 #[derive(Clone)]
 pub enum Tag {
-    /// The one that we keep to a controller's address.
+    /// This node's connection to a controller, by the controller's address.
     Controller(SocketAddr),
-    /// The one that we keep to a member, by its name.
+    /// This node's connection to another member, by the member's name.
     Member(String),
 }
 
-/// Takes what the membership thread publishes. Each channel holds the newest value
-/// alone; it never fills up.
+/// The values that the membership thread publishes. A watch channel holds only the newest
+/// value, so it needs no bound.
 pub struct Published {
-    /// Whether this node is ready.
+    /// Whether this node is ready to serve.
     pub ready: watch::Sender<bool>,
-    /// The configuration and the leafs.
+    /// The current configuration and leafs.
     pub view: watch::Sender<Arc<ClusterView>>,
 }
 
-/// Connections, the traffic threads, and whoever follows what this node knows.
+/// Connections, channels to the traffic threads, and the leaf list's poller.
 pub struct MembershipIo {
     name: String,
     fleet: u64,
     controllers: Connections<Tag>,
-    /// Wakes so far.
+    /// Number of wakes since the start.
     wakes: u32,
     /// Connections to other members, by name.
     members: HashMap<String, (SocketAddr, MessageSender)>,
     events: UnboundedSender<ConnectionEvent<Tag>>,
     traffic: Vec<UnboundedSender<TrafficInput>>,
     published: Published,
-    /// Takes what polls and probes bring.
+    /// Receives the results of polls and probes.
     inputs: UnboundedSender<MembershipInput>,
     http: HttpClient,
-    /// Polls the platform's list.
+    /// Polls the platform's list of leafs.
     pub leaf_list: LeafListPoller,
     probes: bool,
-    /// Alarms so far: each text is logged once, then only counted.
+    /// Number of alarms by text: each text is logged at warn level once.
     alarms: HashMap<String, u64>,
-    /// Whether the traffic threads were told to take no more calls.
+    /// Whether the traffic threads were told to accept no more calls.
     pub closed: bool,
 }
 
 impl MembershipIo {
-    /// Begins without connections.
+    /// Creates the I/O state; no connection is open yet.
     pub fn new(
         settings: &Settings,
         traffic: Vec<UnboundedSender<TrafficInput>>,
@@ -107,28 +107,28 @@
         }
     }
 
-    /// Opens and drops connections to controllers as the voter set asks.
+    /// Opens and closes connections to controllers according to the voter set.
     pub fn arrange(&mut self, agent: &NodeAgent) {
         let identity = PeerIdentity::Member(self.name.clone());
         self.controllers.arrange(identity, &agent.voter_set);
     }
 
-    /// Arranges the connections to controllers now and then.
-    pub fn note_wake(&mut self, agent: &NodeAgent) {
+    /// Updates the connections to controllers once in [`WAKES_PER_CONNECTION_UPDATE`] wakes.
+    pub fn on_wake(&mut self, agent: &NodeAgent) {
         self.wakes += 1;
-        if self.wakes.is_multiple_of(ARRANGE_WAKES) {
+        if self.wakes.is_multiple_of(WAKES_PER_CONNECTION_UPDATE) {
             self.arrange(agent);
         }
     }
 
-    /// Takes up what of the settings may change under a running process. Wrong ones
+    /// Applies those settings that may change while the process runs. Invalid settings
     /// change nothing.
     pub fn reload_settings(&mut self) {
-        match Settings::read_again() {
+        match Settings::reload() {
             Ok(settings) => {
                 self.controllers.set_seeds(&settings.seeds);
-                self.tell_engines(|| event::Event::RetryRate(settings.retry_rate));
-                self.tell_engines(|| event::Event::ExposureLimit(settings.exposure_limit));
+                self.send_to_engines(|| event::Event::RetryRate(settings.retry_rate));
+                self.send_to_engines(|| event::Event::ExposureLimit(settings.exposure_limit));
             }
             Err(diagnostics) => {
                 for diagnostic in diagnostics {
@@ -138,28 +138,32 @@
         }
     }
 
-    /// Sends an input to all traffic threads. One that has ended needs none.
-    pub fn tell_traffic(&self, input: impl Fn() -> TrafficInput) {
+    /// Sends an input to all traffic threads. Threads that have ended are skipped.
+    pub fn send_to_traffic(&self, input: impl Fn() -> TrafficInput) {
         for thread in &self.traffic {
             let _ = thread.send(input());
         }
     }
 
-    fn tell_engines(&self, event: impl Fn() -> event::Event) {
-        self.tell_traffic(|| TrafficInput::Event(event()));
+    fn send_to_engines(&self, event: impl Fn() -> event::Event) {
+        self.send_to_traffic(|| TrafficInput::Event(event()));
     }
 
-    /// What a connection's event means for the node agent, if anything.
-    pub fn take(&mut self, agent: &NodeAgent, event: ConnectionEvent<Tag>) -> Option<Event> {
+    /// Converts a connection's event to an event of the node agent, if it has one.
+    pub fn handle_connection_event(
+        &mut self,
+        agent: &NodeAgent,
+        event: ConnectionEvent<Tag>,
+    ) -> Option<Event> {
         match event {
             ConnectionEvent::Received { tag: Tag::Controller(address), message } => {
-                let holder = self.controllers.note_message(address, &message);
+                let controller = self.controllers.note_message(address, &message);
                 match message {
-                    Message::VoterSetUpdate { voter_set: table, .. } => {
-                        Some(Event::VoterSet(table))
+                    Message::VoterSetUpdate { voter_set: new_voter_set, .. } => {
+                        Some(Event::VoterSet(new_voter_set))
                     }
-                    // Who has no voter slot has no say.
-                    message => slot_of(&agent.voter_set, holder)
+                    // Messages of a controller without a voter slot are ignored.
+                    message => slot_of(&agent.voter_set, controller)
                         .map(|slot| Event::FromVoter { slot, message }),
                 }
             }
@@ -169,8 +173,8 @@
                 message,
                 ..
             } => Some(Event::FromMember { name, message }),
-            ConnectionEvent::Accepted { connection, identity: who, .. } => {
-                debug!(connection, ?who, "wire opened");
+            ConnectionEvent::Accepted { connection, identity, .. } => {
+                debug!(connection, who = ?identity, "peer connection accepted");
                 None
             }
             ConnectionEvent::ReceivedFromAccepted { .. } | ConnectionEvent::Closed { .. } => None,
@@ -181,8 +185,8 @@
         }
     }
 
-    /// Carries out what the node agent asks.
-    pub fn carry_out(&mut self, agent: &NodeAgent, commands: Vec<Command>) {
+    /// Executes the node agent's commands.
+    pub fn execute(&mut self, agent: &NodeAgent, commands: Vec<Command>) {
         for command in commands {
             match command {
                 Command::ToVoter { slot, message } => {
@@ -196,23 +200,23 @@
                 Command::ClusterView(view) => self.publish_view(agent, view),
                 Command::QuotaMembers(members) => {
                     let list: Vec<_> = members.into_iter().map(|m| (m.name, m.threads)).collect();
-                    self.tell_shares(&list);
+                    self.send_quota_shares(&list);
                 }
                 Command::LeafClients(clients) => {
                     let list: Vec<_> =
                         clients.into_iter().map(|c| (c.name, c.threads, c.zone)).collect();
                     let peers = quota::peers(&list);
-                    self.tell_engines(|| event::Event::Peers(peers.clone()));
+                    self.send_to_engines(|| event::Event::Peers(peers.clone()));
                 }
-                Command::Admission(door) => {
-                    self.closed |= door == engine::ServingState::ShuttingDown;
-                    self.tell_engines(|| event::Event::ServingState(door));
+                Command::Admission(serving_state) => {
+                    self.closed |= serving_state == engine::ServingState::ShuttingDown;
+                    self.send_to_engines(|| event::Event::ServingState(serving_state));
                 }
                 Command::ServingUntil(until) => {
-                    self.tell_engines(|| event::Event::LeaseValidUntil(until))
+                    self.send_to_engines(|| event::Event::LeaseValidUntil(until))
                 }
                 Command::TrialsUntil(until) => {
-                    self.tell_engines(|| event::Event::TrialsUntil(until))
+                    self.send_to_engines(|| event::Event::TrialsUntil(until))
                 }
                 Command::Ready(ready) => {
                     let _ = self.published.ready.send(ready);
@@ -228,29 +232,29 @@
     fn publish_view(&mut self, agent: &NodeAgent, view: Arc<ClusterView>) {
         let members = &agent.membership.members;
         self.members.retain(|name, _| members.iter().any(|member| member.name == *name));
-        self.tell_engines(|| event::Event::ClusterView(view.clone()));
+        self.send_to_engines(|| event::Event::ClusterView(view.clone()));
         let _ = self.published.view.send(view);
     }
 
-    /// Tells each traffic thread its part of the fleet's limits.
-    fn tell_shares(&self, list: &[(String, u32)]) {
+    /// Sends each traffic thread its share of the cluster's limits.
+    fn send_quota_shares(&self, list: &[(String, u32)]) {
         for (index, thread) in self.traffic.iter().enumerate() {
             let share = quota::QuotaShare::new(list, &self.name, index as u32);
             let _ = thread.send(TrafficInput::Event(event::Event::QuotaShare(share)));
         }
     }
 
-    /// Logs an alarm once; the same again goes to the log buffer, with its count.
+    /// Logs an alarm at warn level once. Repetitions go to the log buffer, with their count.
     fn alarm(&mut self, text: &str) {
         if self.alarms.len() > consts::MAX_REMEMBERED_ALARMS {
             self.alarms.clear();
         }
-        let n = self.alarms.entry(text.to_string()).or_default();
-        *n += 1;
-        if *n == 1 {
+        let occurrences = self.alarms.entry(text.to_string()).or_default();
+        *occurrences += 1;
+        if *occurrences == 1 {
             warn!(me = self.name, "{text}");
         } else {
-            debug!(n, "{text}");
+            debug!(n = occurrences, "{text}");
         }
     }
 
@@ -269,8 +273,8 @@
         }
     }
 
-    /// Probes leafs, all at once: each is a small request, and its task ends with its
-    /// time-out.
+    /// Probes leafs concurrently. Each probe is a small request, and its task ends at the
+    /// latest with the request's timeout.
     fn probe(&self, leafs: Vec<Arc<LeafInfo>>) {
         for info in leafs {
             let (http, inputs) = (self.http.clone(), self.inputs.clone());
--- a/crates/server/src/querier/membership_thread.rs
+++ b/crates/server/src/querier/membership_thread.rs
@@ -1,5 +1,5 @@
-//! The membership thread: updates, lease, membership and assignments. Feeds the node
-//! agent with events, one at a time, and carries out its commands.
+//! The membership thread handles updates, the lease, membership and assignments. It passes
+//! events to the node agent, one at a time, and executes the agent's commands.
 
 use std::time::Duration;
 
@@ -19,10 +19,10 @@
 use crate::messages::{MembershipInput, TrafficInput};
 use crate::settings::Settings;
 
-/// Time for the connections' tasks to write the last messages.
-const LAST_WRITES: Duration = Duration::from_millis(20);
+/// Time that the connections' tasks have to write the last messages before the process ends.
+const FINAL_FLUSH_DELAY: Duration = Duration::from_millis(20);
 
-/// What the thread begins with.
+/// Parameters of the membership thread.
 pub struct Start {
     /// The settings.
     pub settings: Settings,
@@ -30,32 +30,32 @@
     pub clock: Clock,
     /// Listens for controllers and other members.
     pub listener: std::net::TcpListener,
-    /// The listener for checks of readiness, if it is one of its own.
+    /// The separate listener for readiness checks, if there is one.
     pub readiness: Option<ReadinessListener>,
-    /// The traffic threads.
+    /// Channels to the traffic threads.
     pub traffic: Vec<UnboundedSender<TrafficInput>>,
-    /// Takes what this thread publishes.
+    /// Channels of the values that this thread publishes.
     pub published: Published,
-    /// Takes what this thread's own tasks bring.
+    /// Receives the results of this thread's own tasks.
     pub inputs: UnboundedSender<MembershipInput>,
 }
 
-/// The node agent with everything around it.
+/// The node agent and its I/O.
 struct MembershipThread {
     clock: Clock,
     agent: NodeAgent,
     io: MembershipIo,
-    /// How long calls in flight may take after the request to stop.
+    /// Maximum time for which calls in flight are awaited after the stop request.
     drain_max: Span,
-    /// Traffic threads that have calls in flight.
-    undrained: usize,
-    /// Set by the request to stop: until then the calls in flight are waited for.
-    stop_by: Option<Instant>,
-    /// Whether the traffic threads were told to finish.
+    /// Number of traffic threads that have calls in flight.
+    undrained_threads: usize,
+    /// When calls in flight are no longer awaited; set by the stop request.
+    drain_deadline: Option<Instant>,
+    /// Whether the traffic threads were told to drain.
     draining: bool,
 }
 
-/// Serves until asked to stop and drained.
+/// Runs until the process is asked to stop and its calls are drained.
 pub async fn serve(
     start: Start,
     mut inputs: UnboundedReceiver<MembershipInput>,
@@ -64,10 +64,10 @@
     listener.set_nonblocking(true)?;
     let bound = listener.local_addr()?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
-    // Without a bound of its own: see `Connections::new`.
+    // This channel is unbounded: see `Connections::new`.
     let (events, mut connection_events) = unbounded_channel();
     tokio::task::spawn_local(accept(listener, settings.fleet, events.clone()));
-    let me = Member {
+    let member = Member {
         name: settings.name.clone(),
         addr: settings.advertise.unwrap_or(bound).to_string(),
         zone: settings.zone.clone(),
@@ -75,7 +75,7 @@
         joined: 0,
         incarnation: nonce(),
     };
-    let mut agent = NodeAgent::new(me, clock.now());
+    let mut agent = NodeAgent::new(member, clock.now());
     let mut drain_max = consts::DRAIN_TIMEOUT;
     if let Some(grace) = settings.grace {
         agent.drain_notice = grace * consts::DRAIN_NOTICE_PCT / 100;
@@ -84,21 +84,28 @@
     if let (Some(readiness), Some(api)) = (readiness, settings.platform_api) {
         tokio::task::spawn_local(readiness.serve(api.readiness_path, traffic[0].clone()));
     }
-    let undrained = traffic.len();
+    let undrained_threads = traffic.len();
     let mut io = MembershipIo::new(&settings, traffic, published, start.inputs, events);
     let mut settings_watch = SettingsWatch::new(settings.file.as_deref());
     io.arrange(&agent);
-    let mut thread =
-        MembershipThread { clock, agent, io, drain_max, undrained, stop_by: None, draining: false };
+    let mut thread = MembershipThread {
+        clock,
+        agent,
+        io,
+        drain_max,
+        undrained_threads,
+        drain_deadline: None,
+        draining: false,
+    };
     thread.run(&mut inputs, &mut connection_events, &mut settings_watch).await;
-    // Gives the lease back, so that our share is free at once.
+    // Releases the lease, so that this node's quota share is available to others at once.
     thread.step(Event::Drained);
-    tokio::time::sleep(LAST_WRITES).await;
+    tokio::time::sleep(FINAL_FLUSH_DELAY).await;
     Ok(())
 }
 
 impl MembershipThread {
-    /// Handles one event after another, until asked to stop and drained.
+    /// Handles events one at a time until the process is asked to stop and its calls are drained.
     async fn run(
         &mut self,
         inputs: &mut UnboundedReceiver<MembershipInput>,
@@ -109,12 +116,12 @@
         wake.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let stop = grebepath_runtime::stop::requested();
         tokio::pin!(stop);
-        while !self.may_end() {
+        while !self.is_finished() {
             let event = tokio::select! {
                 biased;
-                _ = &mut stop, if self.stop_by.is_none() => {
-                    self.stop_by = Some(Instant::now() + duration(self.drain_max));
-                    self.io.tell_traffic(|| TrafficInput::Leaving);
+                _ = &mut stop, if self.drain_deadline.is_none() => {
+                    self.drain_deadline = Some(Instant::now() + duration(self.drain_max));
+                    self.io.send_to_traffic(|| TrafficInput::ShutdownNotice);
                     Some(Event::Stop)
                 }
                 _ = settings_watch.changed() => {
@@ -122,34 +129,38 @@
                     None
                 }
                 _ = wake.tick() => {
-                    self.io.note_wake(&self.agent);
+                    self.io.on_wake(&self.agent);
                     Some(Event::Wake)
                 }
-                Some(input) = inputs.recv() => self.take(input),
-                Some(event) = connection_events.recv() => self.io.take(&self.agent, event),
+                Some(input) = inputs.recv() => self.handle_input(input),
+                Some(event) = connection_events.recv() => {
+                    self.io.handle_connection_event(&self.agent, event)
+                }
             };
             if let Some(event) = event {
                 self.step(event);
             }
             if self.io.closed && !self.draining {
                 self.draining = true;
-                self.io.tell_traffic(|| TrafficInput::Drain);
+                self.io.send_to_traffic(|| TrafficInput::Drain);
             }
         }
     }
 
-    /// Whether the request to stop has come, and no call is in flight or waited for.
-    fn may_end(&self) -> bool {
-        self.stop_by.is_some_and(|stop_by| self.undrained == 0 || Instant::now() >= stop_by)
+    /// Whether the process was asked to stop, and has drained or reached its drain deadline.
+    fn is_finished(&self) -> bool {
+        self.drain_deadline.is_some_and(|drain_deadline| {
+            self.undrained_threads == 0 || Instant::now() >= drain_deadline
+        })
     }
 
     fn step(&mut self, event: Event) {
         let commands = self.agent.step(self.clock.now(), event);
-        self.io.carry_out(&self.agent, commands);
+        self.io.execute(&self.agent, commands);
     }
 
-    /// What another thread's or a task's input means for the node agent, if anything.
-    fn take(&mut self, input: MembershipInput) -> Option<Event> {
+    /// Converts an input of another thread or a task to an event of the node agent, if it has one.
+    fn handle_input(&mut self, input: MembershipInput) -> Option<Event> {
         match input {
             MembershipInput::LeafReport { service, report } => {
                 Some(Event::LeafReport { service, report })
@@ -158,7 +169,7 @@
                 Some(Event::TrialEvidence { thread, evidence })
             }
             MembershipInput::LeafList { leafs, pages } => {
-                self.io.leaf_list.note_end(pages);
+                self.io.leaf_list.finish_poll(pages);
                 Some(Event::LeafList(leafs.map_err(|error| error.to_string())))
             }
             MembershipInput::Metrics(reply) => {
@@ -166,7 +177,7 @@
                 None
             }
             MembershipInput::Drained => {
-                self.undrained -= 1;
+                self.undrained_threads -= 1;
                 None
             }
         }
--- a/crates/server/src/querier/messages.rs
+++ b/crates/server/src/querier/messages.rs
@@ -1,8 +1,8 @@
-//! What the querier's threads send to each other.
+//! Messages between the querier's threads.
 //!
-//! The channels between them have no bound of their own. What they carry is bounded
-//! where it comes from: calls by each listener's count of calls, attempts by the query
-//! engine, and the rest are a few messages for each change of configuration.
+//! The channels between the threads are unbounded. Their load is bounded at the source:
+//! calls by each listener's limit of open calls, attempts by the query engine. All other
+//! messages are a few for each configuration change.
 
 use std::sync::Arc;
 
@@ -20,73 +20,73 @@
 use crate::leaf_list::LeafListError;
 use crate::metrics::MembershipMetrics;
 
-/// What reaches the membership thread.
+/// An input of the membership thread.
 pub enum MembershipInput {
-    /// What a leaf says of itself.
+    /// A leaf reported its state.
     LeafReport {
         /// The service that the leaf belongs to.
         service: String,
-        /// What it says.
+        /// The report.
         report: LeafReport,
     },
-    /// What a traffic thread has seen of a version that is tried.
+    /// A traffic thread has new evidence about a version on trial.
     TrialEvidence {
-        /// The thread's stable number.
+        /// The thread's stable number in the membership.
         thread: u64,
-        /// What it has seen.
+        /// The evidence.
         evidence: TrialEvidence,
     },
     /// A poll of the leaf list has ended.
     LeafList {
-        /// The list, or why there is none.
+        /// The list, or the reason why the poll failed.
         leafs: Result<Vec<LeafInfo>, LeafListError>,
-        /// Pages that it had; zero if it could not be read.
+        /// Number of pages of the list; zero if the poll failed.
         pages: u64,
     },
-    /// Takes the thread's metrics.
+    /// The thread's metrics are requested.
     Metrics(oneshot::Sender<MembershipMetrics>),
-    /// A traffic thread has no call in flight any more.
+    /// A traffic thread that drains has no call in flight any more.
     Drained,
 }
 
-/// What reaches a traffic thread.
+/// An input of a traffic thread.
 pub enum TrafficInput {
     /// An event for the query engine.
     Event(Event),
     /// A caller's request.
     Call {
-        /// Its number, unique in the process.
+        /// The call's number, unique in the process.
         call: u64,
-        /// What the caller wants.
+        /// The request.
         request: CallerRequest,
-        /// Takes the outcome.
+        /// Receives the outcome.
         reply: oneshot::Sender<Outcome>,
     },
-    /// Takes the thread's metrics.
+    /// The thread's metrics are requested.
     Metrics(oneshot::Sender<EngineStatistics>),
-    /// This node will leave soon: callers are asked to go elsewhere.
-    Leaving,
-    /// Finish what is in flight and say so.
+    /// This node will stop soon: callers are asked to use another node.
+    ShutdownNotice,
+    /// The thread is to finish its calls in flight and send [`MembershipInput::Drained`].
     Drain,
 }
 
-/// What a caller wants.
+/// A caller's request.
 pub enum CallerRequest {
-    /// An answer to a question by our own interface.
+    /// A search by grebepath's own API.
     Search(SearchRequest),
-    /// A request that is forwarded as it is.
+    /// A request that is forwarded unchanged.
     Forward(Arc<ForwardedRequest>),
 }
 
-/// All threads of the process, as a listener sees them.
+/// Channels to all threads of the process, for the listeners.
 #[derive(Clone)]
 pub struct Threads {
-    /// The traffic threads.
+    /// Channels to the traffic threads.
     pub traffic: Vec<UnboundedSender<TrafficInput>>,
-    /// The membership thread.
+    /// The channel to the membership thread.
     pub membership: UnboundedSender<MembershipInput>,
-    /// Whether this node is ready.
+    /// Whether this node is ready to serve.
     pub ready: watch::Receiver<bool>,
-    /// The configuration and the leafs, for the classes of the searches.
+    /// The configuration and the leafs, from which the class of a search is read.
     pub view: watch::Receiver<Arc<ClusterView>>,
 }
--- a/crates/server/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -6,7 +6,7 @@
 use grebepath_core::query::statistics::{EngineStatistics, LATENCY_BUCKETS_MS};
 use indexmap::IndexMap;
 
-/// What the membership thread tells.
+/// Metrics that the membership thread contributes.
 pub struct MembershipMetrics {
     counts: NodeAgentCounters,
     revision: u64,
@@ -15,7 +15,7 @@
     withheld_leafs: u64,
 }
 
-/// The membership thread's part.
+/// Collects the membership thread's metrics.
 pub fn membership(agent: &NodeAgent) -> MembershipMetrics {
     MembershipMetrics {
         counts: agent.counters.clone(),
@@ -28,36 +28,36 @@
 
 fn sum(all: &[EngineStatistics]) -> EngineStatistics {
     let mut out = EngineStatistics::default();
-    for c in all {
-        out.full += c.full;
-        out.partial += c.partial;
-        for (k, v) in &c.rejected {
-            *out.rejected.entry(*k).or_default() += v;
+    for thread in all {
+        out.full += thread.full;
+        out.partial += thread.partial;
+        for (reason, n) in &thread.rejected {
+            *out.rejected.entry(*reason).or_default() += n;
         }
-        for (k, v) in &c.failures {
-            *out.failures.entry(*k).or_default() += v;
+        for (kind, n) in &thread.failures {
+            *out.failures.entry(*kind).or_default() += n;
         }
-        out.first_attempts += c.first_attempts;
-        out.retries += c.retries;
-        out.retries_denied += c.retries_denied;
-        out.cancelled += c.cancelled;
-        out.trial_attempts += c.trial_attempts;
-        out.trial_failures += c.trial_failures;
-        for (i, n) in c.latency_buckets.iter().enumerate() {
+        out.first_attempts += thread.first_attempts;
+        out.retries += thread.retries;
+        out.retries_denied += thread.retries_denied;
+        out.cancelled += thread.cancelled;
+        out.trial_attempts += thread.trial_attempts;
+        out.trial_failures += thread.trial_failures;
+        for (i, n) in thread.latency_buckets.iter().enumerate() {
             out.latency_buckets[i] += n;
         }
-        out.queries += c.queries;
-        out.in_flight += c.in_flight;
-        out.queued += c.queued;
+        out.queries += thread.queries;
+        out.in_flight += thread.in_flight;
+        out.queued += thread.queued;
     }
     out
 }
 
-fn one(out: &mut String, kind: &str, name: &str, help: &str, val: u64) {
+fn write_metric(out: &mut String, kind: &str, name: &str, help: &str, val: u64) {
     let _ = writeln!(out, "# HELP {name} {help}\n# TYPE {name} {kind}\n{name} {val}");
 }
 
-fn by<K: std::fmt::Display>(
+fn write_labelled_counter<K: std::fmt::Display>(
     out: &mut String,
     name: &str,
     help: &str,
@@ -70,73 +70,139 @@
     }
 }
 
-/// The whole text.
+/// Returns the metrics of all threads in the Prometheus text format.
 pub fn text(
     all: &[EngineStatistics],
     membership: Option<MembershipMetrics>,
     ready: bool,
 ) -> String {
-    let c = sum(all);
-    let mut out = String::new();
-    let o = &mut out;
-    let _ = writeln!(o, "# HELP grebe_outcomes_total Successes, with and without all shards.");
-    let _ = writeln!(o, "# TYPE grebe_outcomes_total counter");
-    let _ = writeln!(o, "grebe_outcomes_total{{kind=\"full\"}} {}", c.full);
-    let _ = writeln!(o, "grebe_outcomes_total{{kind=\"partial\"}} {}", c.partial);
-    by(o, "grebe_bounces_total", "Calls bounced, by reason.", "reason", &c.rejected);
-    by(o, "grebe_dispatch_trouble_total", "Dispatches that failed, by kind.", "kind", &c.failures);
-    one(o, "counter", "grebe_first_dispatches_total", "First dispatches.", c.first_attempts);
-    one(o, "counter", "grebe_second_tries_total", "Second and later tries.", c.retries);
-    one(o, "counter", "grebe_second_tries_denied_total", "Second tries denied.", c.retries_denied);
-    one(o, "counter", "grebe_dispatches_dropped_total", "Dispatches given up.", c.cancelled);
-    let help = "Attempts at versions that are tried.";
-    one(o, "counter", "grebe_trial_attempts_total", help, c.trial_attempts);
-    one(o, "counter", "grebe_trial_failures_total", "Of these, failed.", c.trial_failures);
-    one(o, "gauge", "grebe_queries", "Queries in hand.", c.queries);
-    one(o, "gauge", "grebe_dispatches", "Dispatches out.", c.in_flight);
-    one(o, "gauge", "grebe_wanting", "Shards of queries that wait for room.", c.queued);
-    let _ = writeln!(o, "# HELP grebe_outcome_ms Time to an outcome.");
-    let _ = writeln!(o, "# TYPE grebe_outcome_ms histogram");
+    let totals = sum(all);
+    let mut exposition = String::new();
+    let out = &mut exposition;
+    let _ = writeln!(out, "# HELP grebe_outcomes_total Successes, with and without all shards.");
+    let _ = writeln!(out, "# TYPE grebe_outcomes_total counter");
+    let _ = writeln!(out, "grebe_outcomes_total{{kind=\"full\"}} {}", totals.full);
+    let _ = writeln!(out, "grebe_outcomes_total{{kind=\"partial\"}} {}", totals.partial);
+    write_labelled_counter(
+        out,
+        "grebe_bounces_total",
+        "Calls rejected, by reason.",
+        "reason",
+        &totals.rejected,
+    );
+    write_labelled_counter(
+        out,
+        "grebe_dispatch_trouble_total",
+        "Failed attempts, by kind.",
+        "kind",
+        &totals.failures,
+    );
+    write_metric(
+        out,
+        "counter",
+        "grebe_first_dispatches_total",
+        "First attempts.",
+        totals.first_attempts,
+    );
+    write_metric(out, "counter", "grebe_second_tries_total", "Retries and hedges.", totals.retries);
+    write_metric(
+        out,
+        "counter",
+        "grebe_second_tries_denied_total",
+        "Retries and hedges denied.",
+        totals.retries_denied,
+    );
+    write_metric(
+        out,
+        "counter",
+        "grebe_dispatches_dropped_total",
+        "Cancelled attempts.",
+        totals.cancelled,
+    );
+    let help = "Attempts at versions on trial.";
+    write_metric(out, "counter", "grebe_trial_attempts_total", help, totals.trial_attempts);
+    write_metric(
+        out,
+        "counter",
+        "grebe_trial_failures_total",
+        "Failed attempts at versions on trial.",
+        totals.trial_failures,
+    );
+    write_metric(out, "gauge", "grebe_queries", "Open queries.", totals.queries);
+    write_metric(out, "gauge", "grebe_dispatches", "Attempts in flight.", totals.in_flight);
+    write_metric(
+        out,
+        "gauge",
+        "grebe_wanting",
+        "Shards of queries that wait for leaf capacity.",
+        totals.queued,
+    );
+    let _ = writeln!(out, "# HELP grebe_outcome_ms Time to an outcome.");
+    let _ = writeln!(out, "# TYPE grebe_outcome_ms histogram");
     let mut n = 0;
     for (i, le) in LATENCY_BUCKETS_MS.iter().enumerate() {
-        n += c.latency_buckets[i];
-        let _ = writeln!(o, "grebe_outcome_ms_bucket{{le=\"{le}\"}} {n}");
+        n += totals.latency_buckets[i];
+        let _ = writeln!(out, "grebe_outcome_ms_bucket{{le=\"{le}\"}} {n}");
     }
-    n += c.latency_buckets[LATENCY_BUCKETS_MS.len()];
-    let _ = writeln!(o, "grebe_outcome_ms_bucket{{le=\"+Inf\"}} {n}\ngrebe_outcome_ms_count {n}");
-    one(o, "gauge", "grebe_ready", "Whether this node is ready.", u64::from(ready));
-    if let Some(k) = membership {
-        one(o, "gauge", "grebe_revision", "Configuration revision obeyed.", k.revision);
-        one(o, "gauge", "grebe_members", "Members of the cohort.", k.members);
-        one(o, "gauge", "grebe_shares", "Threads that divide the fleet's limits.", k.shares);
-        let help = "Leafs of versions that are not in force.";
-        one(o, "gauge", "grebe_withheld_leafs", help, k.withheld_leafs);
-        let c = &k.counts;
-        one(o, "counter", "grebe_news_taken_total", "News taken.", c.updates);
-        one(
-            o,
+    n += totals.latency_buckets[LATENCY_BUCKETS_MS.len()];
+    let _ = writeln!(out, "grebe_outcome_ms_bucket{{le=\"+Inf\"}} {n}\ngrebe_outcome_ms_count {n}");
+    write_metric(out, "gauge", "grebe_ready", "Whether this node is ready.", u64::from(ready));
+    if let Some(metrics) = membership {
+        write_metric(
+            out,
+            "gauge",
+            "grebe_revision",
+            "Applied configuration revision.",
+            metrics.revision,
+        );
+        write_metric(out, "gauge", "grebe_members", "Members.", metrics.members);
+        write_metric(
+            out,
+            "gauge",
+            "grebe_shares",
+            "Threads that share the cluster's limits.",
+            metrics.shares,
+        );
+        let help = "Leafs withheld because their version is not active.";
+        write_metric(out, "gauge", "grebe_withheld_leafs", help, metrics.withheld_leafs);
+        let counts = &metrics.counts;
+        write_metric(out, "counter", "grebe_news_taken_total", "Updates received.", counts.updates);
+        write_metric(
+            out,
             "counter",
             "grebe_news_from_members_total",
-            "Of these, from members.",
-            c.updates_from_members,
+            "Updates received from members.",
+            counts.updates_from_members,
+        );
+        write_metric(
+            out,
+            "counter",
+            "grebe_list_polls_total",
+            "Polls of the platform's list.",
+            counts.list_polls,
         );
-        one(o, "counter", "grebe_list_polls_total", "Polls of the platform's list.", c.list_polls);
-        one(
-            o,
+        write_metric(
+            out,
             "counter",
             "grebe_list_substitute_polls_total",
-            "Of these, in place of silent members.",
-            c.substitute_list_polls,
+            "Polls of the platform's list in place of unresponsive members.",
+            counts.substitute_list_polls,
         );
-        one(o, "counter", "grebe_list_troubles_total", "Polls that failed.", c.list_failures);
-        one(o, "counter", "grebe_probes_total", "Probes of leafs.", c.probes);
-        one(
-            o,
+        write_metric(
+            out,
+            "counter",
+            "grebe_list_troubles_total",
+            "Failed polls of the platform's list.",
+            counts.list_failures,
+        );
+        write_metric(out, "counter", "grebe_probes_total", "Probes of leafs.", counts.probes);
+        write_metric(
+            out,
             "counter",
             "grebe_cut_off_total",
-            "Times this node was cut off alone.",
-            c.lease_lapses,
+            "Times that this node's lease lapsed.",
+            counts.lease_lapses,
         );
     }
-    out
+    exposition
 }
--- a/crates/server/src/querier/settings.rs
+++ b/crates/server/src/querier/settings.rs
@@ -13,135 +13,135 @@
 };
 use grebepath_runtime::settings::reader::{SettingsReader, exit_if_any};
 
-/// Most traffic threads of a querier.
-const THREADS_MAX: u64 = 64;
-/// Most retries beyond the share that a fleet may be allowed.
-const SLACK_MAX: u64 = 1_000_000;
+/// Maximum number of traffic threads of a querier.
+const MAX_THREADS: u64 = 64;
+/// Maximum slack of the retry budget and of the exposure limit, over the whole cluster.
+const MAX_SLACK: u64 = 1_000_000;
 
 const DESCRIPTION: &str = "grebepath's data plane";
 
 /// The flags, in the order of the help text.
 const FLAGS: [Flag; 19] = [
-    Flag { name: "name", argument: "NAME", help: "this querier's name, its own in the fleet" },
+    Flag { name: "name", argument: "NAME", help: "this querier's name, unique in the cluster" },
     ZONE_FLAG,
     Flag { name: "listen", argument: "IP:PORT", help: "address for callers" },
     Flag { name: "inner", argument: "IP:PORT", help: "address for the other queriers" },
     Flag {
         name: "advertise",
         argument: "IP:PORT",
-        help: "the inner address that others should use, if it is another",
+        help: "the inner address that other queriers connect to, if it differs",
     },
     FLEET_FLAG,
     Flag {
         name: "seeds",
         argument: "IP:PORT,..",
-        help: "inner addresses of controllers, with commas",
+        help: "inner addresses of controllers, separated by commas",
     },
     Flag { name: "list", argument: "IP:PORT", help: "address of the platform's list of leafs" },
-    Flag { name: "threads", argument: "N", help: "threads for traffic (1)" },
+    Flag { name: "threads", argument: "N", help: "number of traffic threads (1)" },
     Flag {
         name: "dialect",
         argument: "NAME",
-        help: "how callers, leafs and the list speak: own (default) or platform",
+        help: "interface of callers, leafs and the list: own (default) or platform",
     },
     Flag {
         name: "check",
         argument: "IP:PORT",
-        help: "address at which readiness is asked, if it is another",
+        help: "address for readiness checks, if it differs from the listen address",
     },
     SEED_PORT_FLAG,
     Flag {
         name: "second-share",
         argument: "SHARE",
-        help: "second tries for each call that is handed over, 0 to 1",
+        help: "retries and hedges for each forwarded call, 0 to 1",
     },
     Flag {
         name: "second-slack",
         argument: "N",
-        help: "second tries beyond that, over the whole fleet",
+        help: "retries and hedges beyond that share, over the whole cluster",
     },
     Flag {
         name: "exposure-share",
         argument: "SHARE",
-        help: "share of a service's requests that may reach a version that is tried, 0 to 1 (0.1)",
+        help: "share of a service's requests that may reach a version on trial, 0 to 1 (0.1)",
     },
     Flag {
         name: "exposure-slack",
         argument: "N",
-        help: "requests beyond that, over the whole fleet (0)",
+        help: "requests beyond that share, over the whole cluster (0)",
     },
     Flag {
         name: "grace-s",
         argument: "S",
-        help: "seconds from the wish to stop until the process must be gone",
+        help: "seconds from the stop request until the process must have ended",
     },
     Flag { name: "probes", argument: "W", help: "whether leafs are probed: on (default) or off" },
     Flag {
         name: "list-rate",
         argument: "N",
-        help: "calls a second that the list takes from all nodes together (40)",
+        help: "calls per second that the list accepts from all nodes together (40)",
     },
 ];
 
-/// Everything a querier must be told.
+/// The settings of a querier.
 #[derive(Clone)]
 pub struct Settings {
-    /// Its name, its own in the fleet.
+    /// The querier's name, unique in the cluster.
     pub name: String,
-    /// The zone its machine stands in.
+    /// The zone of its machine.
     pub zone: String,
-    /// Where callers reach it.
+    /// Address at which it listens for callers.
     pub listen: SocketAddr,
-    /// Where it listens for the other members.
+    /// Address at which it listens for the other members.
     pub inner: SocketAddr,
-    /// Where the other members reach it, if that is another address.
+    /// Address that the other members connect to, if it differs from `inner`.
     pub advertise: Option<SocketAddr>,
-    /// The fleet it belongs to; a number that all its processes share.
+    /// Identifies the cluster; all processes of a cluster have the same number.
     pub fleet: u64,
-    /// Inner addresses of controllers, any that are likely to be up.
+    /// Inner addresses of some controllers that are likely to be running.
     pub seeds: Vec<SocketAddr>,
-    /// Where the platform serves its list of leafs.
+    /// Address of the platform's list of leafs.
     pub list: SocketAddr,
-    /// Threads for traffic.
+    /// Number of traffic threads.
     pub threads: u32,
-    /// How the world outside speaks; nothing for our own interface.
+    /// The platform's dialect; `None` for grebepath's own interface.
     pub platform_api: Option<&'static PlatformApi>,
-    /// Where the platform asks whether it is ready, if not at `listen`.
+    /// Address of the platform's readiness checks, if it differs from `listen`.
     pub check: Option<SocketAddr>,
-    /// The fleet's retry budget for calls that are forwarded.
+    /// The cluster's retry budget for forwarded calls.
     pub retry_rate: RetryRate,
-    /// How much may reach a version that is tried.
+    /// How many requests may reach a version on trial.
     pub exposure_limit: ExposureLimit,
-    /// Time from the request to stop until the process must be gone.
+    /// Time from the stop request until the process must have ended.
     pub grace: Option<Span>,
-    /// Whether leafs are asked about themselves.
+    /// Whether leafs are probed for their state.
     pub probes: bool,
-    /// Calls a second that the list takes from all nodes.
+    /// Calls per second that the list accepts from all nodes together.
     pub list_rate: u64,
-    /// The file that these came from.
+    /// The settings file, if one was given.
     pub file: Option<String>,
 }
 
 impl Settings {
-    /// Reads and checks the settings; ends the process with 2 if anything is wrong.
+    /// Reads and validates the settings; ends the process with exit code 2 if any is invalid.
     pub fn read_or_exit() -> Settings {
-        let line = CommandLine::read_or_exit(DESCRIPTION, &FLAGS);
-        let (settings, diagnostics) = Settings::read(line);
+        let command_line = CommandLine::read_or_exit(DESCRIPTION, &FLAGS);
+        let (settings, diagnostics) = Settings::read(command_line);
         exit_if_any("querier", &diagnostics);
         settings
     }
 
-    /// Reads and checks once more under a running process.
-    pub fn read_again() -> Result<Settings, Vec<Diagnostic>> {
-        let line = CommandLine::read_again(DESCRIPTION, &FLAGS).ok_or_else(Vec::new)?;
-        let (settings, diagnostics) = Settings::read(line);
+    /// Reads and validates the settings again while the process runs.
+    pub fn reload() -> Result<Settings, Vec<Diagnostic>> {
+        let command_line = CommandLine::read_again(DESCRIPTION, &FLAGS).ok_or_else(Vec::new)?;
+        let (settings, diagnostics) = Settings::read(command_line);
         if diagnostics.is_empty() { Ok(settings) } else { Err(diagnostics) }
     }
 
-    /// Reads all settings. The order is that of the diagnostics.
-    fn read(line: CommandLine) -> (Settings, Vec<Diagnostic>) {
-        let file = line.file.clone();
-        let reader = &mut line.into_reader();
+    /// Reads all settings. Diagnostics are reported in the order of the calls to the reader.
+    fn read(command_line: CommandLine) -> (Settings, Vec<Diagnostic>) {
+        let file = command_line.file.clone();
+        let reader = &mut command_line.into_reader();
         let seeds = reader.seeds(MAX_VOTER_SLOTS.into());
         let platform_api = reader.platform_api(&platform::DIALECT);
         let settings = Settings {
@@ -153,7 +153,7 @@
             inner: reader.address("inner"),
             seeds,
             list: reader.address("list"),
-            threads: reader.number("threads", 1, THREADS_MAX, Some(1)) as u32,
+            threads: reader.number("threads", 1, MAX_THREADS, Some(1)) as u32,
             platform_api,
             check: reader.optional_address("check"),
             retry_rate: read_retry_rate(reader),
@@ -172,7 +172,7 @@
     let default = ExposureLimit::default();
     ExposureLimit {
         per_thousand: reader.share_in_thousandths("exposure_share", default.per_thousand),
-        slack: reader.bound("exposure_slack", SLACK_MAX, default.slack),
+        slack: reader.bound("exposure_slack", MAX_SLACK, default.slack),
         ..default
     }
 }
@@ -181,6 +181,6 @@
     let default = RetryRate::standard();
     RetryRate {
         per_thousand: reader.share_in_thousandths("second_share", default.per_thousand),
-        fleet_slack: reader.bound("second_slack", SLACK_MAX, default.fleet_slack),
+        fleet_slack: reader.bound("second_slack", MAX_SLACK, default.fleet_slack),
     }
 }
--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -1,4 +1,4 @@
-//! A traffic thread: its listener, its query engine, its attempts.
+//! A traffic thread: a listener, a query engine and the tasks of its attempts.
 
 use std::collections::HashMap;
 use std::future::Future;
@@ -26,65 +26,65 @@
 use crate::caller_listener;
 use crate::messages::{CallerRequest, MembershipInput, Threads, TrafficInput};
 
-/// Time for responses that are written already to leave, once asked to stop.
-const LAST_WRITES: Duration = Duration::from_millis(200);
+/// Time that responses have to be flushed once the thread is asked to stop.
+const FINAL_FLUSH_DELAY: Duration = Duration::from_millis(200);
 
-/// What a traffic thread begins with.
+/// Parameters of a traffic thread.
 pub struct Start {
-    /// Its name, which its attempts bear.
+    /// The thread's name, which is part of its query ids.
     pub name: String,
-    /// The zone that leafs are preferred in.
+    /// The zone whose leafs are preferred.
     pub zone: String,
-    /// Seeds its random numbers.
+    /// Seed of its random number generator.
     pub seed: u64,
     /// The process's clock.
     pub clock: Clock,
     /// Listens for callers.
     pub listener: std::net::TcpListener,
-    /// Takes this thread's own inputs.
+    /// Sends inputs to this thread itself.
     pub inputs: UnboundedSender<TrafficInput>,
-    /// All threads of the process.
+    /// Channels to all threads of the process.
     pub threads: Threads,
-    /// Tells when to stop.
+    /// Becomes true when the thread is to stop.
     pub stop: watch::Receiver<bool>,
-    /// How callers and leafs speak; nothing for our own interface.
+    /// The platform's dialect; `None` for grebepath's own interface.
     pub platform_api: Option<&'static PlatformApi>,
-    /// The fleet's retry budget for calls that are forwarded.
+    /// The cluster's retry budget for forwarded calls.
     pub retry_rate: RetryRate,
-    /// How much may reach a version that is tried.
+    /// How many requests may reach a version on trial.
     pub exposure_limit: ExposureLimit,
     /// This thread's stable number in the membership.
     pub slot: u64,
 }
 
-/// The query engine with everything around it.
+/// The query engine and its I/O.
 struct TrafficThread {
     clock: Clock,
     engine: QueryEngine,
     io: TrafficIo,
-    /// Whether to say when no call is in flight any more.
+    /// Whether to notify the membership thread once no call is in flight.
     draining: bool,
 }
 
-/// Beside the engine: who waits for an outcome, and the attempts' tasks.
+/// The engine's I/O: calls that wait for an outcome, and the tasks of attempts.
 struct TrafficIo {
-    waiting: HashMap<u64, oneshot::Sender<Outcome>>,
-    /// A task ends with its attempt, by an abort, or with the thread's `LocalSet`.
+    pending_calls: HashMap<u64, oneshot::Sender<Outcome>>,
+    /// Tasks by attempt. A task ends with its attempt, by an abort or with the `LocalSet`.
     attempts: HashMap<u64, AbortHandle>,
     leafs: Rc<LeafPool>,
     platform_api: Option<&'static PlatformApi>,
     forwarding: Rc<ForwardingServer>,
     inputs: UnboundedSender<TrafficInput>,
     membership: UnboundedSender<MembershipInput>,
-    /// This thread's stable number.
+    /// This thread's stable number in the membership.
     thread: u64,
 }
 
-/// Runs the thread until told to stop.
+/// Runs the thread until it is asked to stop.
 pub fn serve(start: Start, inputs: UnboundedReceiver<TrafficInput>) {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(e) => return error!("a traffic thread can't run: {e}"),
+        Err(e) => return error!("a traffic thread failed to start: {e}"),
     };
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async move {
@@ -99,17 +99,17 @@
                 }
             }
             _ = thread.run(inputs) => {}
-            // The listener's own wait for kept-alive connections may take long.
+            // Does not wait for the listener, which may take long to close keep-alive connections.
             _ = async {
                 let _ = stop.wait_for(|stop| *stop).await;
                 forwarding.close();
-                tokio::time::sleep(LAST_WRITES).await;
+                tokio::time::sleep(FINAL_FLUSH_DELAY).await;
             } => {}
         }
     });
 }
 
-/// Serves callers, by the platform's interface or by ours.
+/// Serves callers by the platform's interface or by grebepath's own.
 fn serve_callers(
     start: Start,
     forwarding: Rc<ForwardingServer>,
@@ -121,10 +121,10 @@
             return Ok(());
         }
         let router = caller_listener::router(threads, inputs);
-        let until = async move {
+        let until_stopped = async move {
             let _ = stop.wait_for(|stop| *stop).await;
         };
-        server::serve(listener, consts::MAX_CALLER_CONNECTIONS, router, until).await
+        server::serve(listener, consts::MAX_CALLER_CONNECTIONS, router, until_stopped).await
     }
 }
 
@@ -135,7 +135,7 @@
         engine.thread_id = start.slot;
         engine.trials.limit = start.exposure_limit;
         let io = TrafficIo {
-            waiting: HashMap::new(),
+            pending_calls: HashMap::new(),
             attempts: HashMap::new(),
             leafs: LeafPool::new(consts::MAX_IDLE_LEAF_CONNECTIONS),
             platform_api: start.platform_api,
@@ -147,7 +147,7 @@
         TrafficThread { clock: start.clock, engine, io, draining: false }
     }
 
-    /// Handles one event after another, until nobody can send any more.
+    /// Handles events one at a time until all senders of inputs are dropped.
     async fn run(mut self, mut inputs: UnboundedReceiver<TrafficInput>) {
         loop {
             let due = self.engine.next_due().map(|at| self.clock.instant(at));
@@ -155,14 +155,14 @@
                 biased;
                 input = inputs.recv() => match input {
                     None => return,
-                    Some(input) => self.take(input),
+                    Some(input) => self.handle_input(input),
                 },
-                () = until(due) => Some(Event::Timer),
+                () = sleep_until_due(due) => Some(Event::Timer),
             };
             if let Some(event) = event {
-                self.io.note(&event);
+                self.io.before_step(&event);
                 let commands = self.engine.step(self.clock.now(), event);
-                self.io.carry_out(commands);
+                self.io.execute(commands);
             }
             if self.draining && self.engine.queries.is_empty() {
                 self.draining = false;
@@ -171,23 +171,23 @@
         }
     }
 
-    /// What an input means for the engine, if anything.
-    fn take(&mut self, input: TrafficInput) -> Option<Event> {
+    /// Converts an input to an event of the engine, if it has one.
+    fn handle_input(&mut self, input: TrafficInput) -> Option<Event> {
         match input {
             TrafficInput::Event(event) => {
-                if let Event::AttemptEnded { attempt: dispatch, .. } = &event {
-                    self.io.attempts.remove(dispatch);
+                if let Event::AttemptEnded { attempt: attempt_id, .. } = &event {
+                    self.io.attempts.remove(attempt_id);
                 }
                 Some(event)
             }
             TrafficInput::Call { call, request, reply } => {
-                self.io.waiting.insert(call, reply);
+                self.io.pending_calls.insert(call, reply);
                 Some(match request {
-                    CallerRequest::Search(ask) => Event::Search { call, request: ask },
-                    CallerRequest::Forward(parcel) => Event::Forward { call, request: parcel },
+                    CallerRequest::Search(request) => Event::Search { call, request },
+                    CallerRequest::Forward(request) => Event::Forward { call, request },
                 })
             }
-            TrafficInput::Leaving => {
+            TrafficInput::ShutdownNotice => {
                 self.io.forwarding.leaving.set(true);
                 None
             }
@@ -204,18 +204,18 @@
 }
 
 impl TrafficIo {
-    /// Follows what an event changes here, before the engine sees it.
-    fn note(&mut self, event: &Event) {
+    /// Applies an event to this I/O state before the engine processes it.
+    fn before_step(&mut self, event: &Event) {
         match event {
             Event::CallerGone { call } => {
-                self.waiting.remove(call);
+                self.pending_calls.remove(call);
             }
             Event::ClusterView(view) => self.set_limits(&view.routing_table.client_limits),
             _ => {}
         }
     }
 
-    /// Holds callers to what the configuration allows them; zero stands for our default.
+    /// Applies the configuration's limits for callers; zero selects the default.
     fn set_limits(&self, client_limits: &ClientLimits) {
         let default = ListenerLimits::default();
         let size = |bytes: u64, default| if bytes > 0 { bytes as usize } else { default };
@@ -228,18 +228,18 @@
         });
     }
 
-    /// Carries out what the engine asks.
-    fn carry_out(&mut self, commands: Vec<Command>) {
+    /// Executes the engine's commands.
+    fn execute(&mut self, commands: Vec<Command>) {
         for command in commands {
             match command {
-                Command::Send(sending) => self.send(sending),
-                Command::CancelAttempt { attempt: dispatch } => {
-                    if let Some(task) = self.attempts.remove(&dispatch) {
+                Command::Send(attempt) => self.send(attempt),
+                Command::CancelAttempt { attempt: attempt_id } => {
+                    if let Some(task) = self.attempts.remove(&attempt_id) {
                         task.abort();
                     }
                 }
                 Command::Respond { call, outcome } => {
-                    if let Some(reply) = self.waiting.remove(&call) {
+                    if let Some(reply) = self.pending_calls.remove(&call) {
                         let _ = reply.send(outcome);
                     }
                 }
@@ -255,24 +255,24 @@
         }
     }
 
-    fn send(&mut self, sending: OutgoingAttempt) {
+    fn send(&mut self, attempt: OutgoingAttempt) {
         let (leafs, inputs) = (self.leafs.clone(), self.inputs.clone());
-        let dispatch = sending.attempt;
-        let platform_api = self.platform_api.filter(|_| sending.forwarded.is_some());
+        let attempt_id = attempt.attempt;
+        let platform_api = self.platform_api.filter(|_| attempt.forwarded.is_some());
         let task = tokio::task::spawn_local(async move {
-            let got = match platform_api {
-                Some(api) => crate::leaf_client::forward(&leafs, sending, api).await,
-                None => crate::leaf_client::send(&leafs, sending).await,
+            let result = match platform_api {
+                Some(api) => crate::leaf_client::forward(&leafs, attempt, api).await,
+                None => crate::leaf_client::send(&leafs, attempt).await,
             };
             let _ = inputs
-                .send(TrafficInput::Event(Event::AttemptEnded { attempt: dispatch, result: got }));
+                .send(TrafficInput::Event(Event::AttemptEnded { attempt: attempt_id, result }));
         });
-        self.attempts.insert(dispatch, task.abort_handle());
+        self.attempts.insert(attempt_id, task.abort_handle());
     }
 }
 
-/// Waits until an instant; for ever if there is none.
-async fn until(at: Option<tokio::time::Instant>) {
+/// Waits until an instant, or forever if there is none.
+async fn sleep_until_due(at: Option<tokio::time::Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at).await,
         None => std::future::pending().await,
