--- a/crates/server/src/local_cluster/fault_schedule.rs
+++ b/crates/server/src/local_cluster/fault_schedule.rs
@@ -93,7 +93,7 @@
         }
         "leafs" => {
             let val: Value = serde_json::from_str(&fault.argument)?;
-            cluster.order(val).await?;
+            cluster.control_backends(val).await?;
             return Ok(());
         }
         _ => {}
--- a/crates/server/src/local_cluster/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -47,17 +47,17 @@
     let spec = spec::read(&format!("{}/{}.standins.json", args.deploy, args.name))
         .map_err(|e| e.to_string())?;
     let begun = Instant::now();
-    let mut f = LocalCluster::up(layout).await?;
+    let mut f = LocalCluster::start(layout).await?;
     for i in 0..f.queriers.len() {
         if !local_cluster::until(Duration::from_secs(15), || f.is_ready(i)).await {
             let text = format!("querier {i} did not become ready; see its log in {}", args.dir);
             return Err(text.into());
         }
     }
-    let doors: Vec<String> = f.doors.iter().map(|d| d.to_string()).collect();
+    let operator_addrs: Vec<String> = f.operator_addrs.iter().map(|d| d.to_string()).collect();
     eprintln!("fleet is up after {} ms", begun.elapsed().as_millis());
-    eprintln!("  operators:  export GREBE_AT={}", doors.join(","));
-    for (i, front) in f.fronts.iter().enumerate() {
+    eprintln!("  operators:  export GREBE_AT={}", operator_addrs.join(","));
+    for (i, front) in f.caller_addrs.iter().enumerate() {
         eprintln!("  callers, q{i}: http://{front}/v1/search/{{search}}");
     }
     eprintln!("  stand-ins:  http://{}", f.list);
@@ -68,10 +68,10 @@
     }
     let seen = Rc::new(RefCell::new(Seen::default()));
     let until = Instant::now() + Duration::from_secs(args.seconds);
-    let ready = Rc::new(RefCell::new(f.fronts.clone()));
+    let ready = Rc::new(RefCell::new(f.caller_addrs.clone()));
     let watch = watch_ready(
         grebepath_runtime::http::client::HttpClient::new(2),
-        f.fronts.clone(),
+        f.caller_addrs.clone(),
         ready.clone(),
         until,
     );
@@ -97,8 +97,8 @@
 
 /// What callers saw, what leafs ran, and what the queriers counted.
 async fn summary(f: &LocalCluster, seen: &Seen) -> Result<Value, LocalClusterError> {
-    let runs = f.ask_backends("/runs").await?;
-    let state = f.ask_backends("/state").await?;
+    let runs = f.query_backends("/runs").await?;
+    let state = f.query_backends("/state").await?;
     let leafs = state["leafs"].as_array().cloned().unwrap_or_default();
     let worst = leafs.iter().max_by_key(|l| l["worst_pct"].as_u64());
     let sum = |key: &str| leafs.iter().filter_map(|l| l[key].as_u64()).sum::<u64>();
@@ -109,7 +109,7 @@
         "grebe_second_tries_denied_total",
     ] {
         let mut n = 0;
-        for (i, front) in f.fronts.iter().enumerate() {
+        for (i, front) in f.caller_addrs.iter().enumerate() {
             if f.queriers[i].child.is_some() {
                 n += f.metric(*front, name).await.unwrap_or(0);
             }
@@ -117,7 +117,7 @@
         counts.insert(name.to_string(), json!(n));
     }
     let mut bounces = serde_json::Map::new();
-    for (i, front) in f.fronts.iter().enumerate() {
+    for (i, front) in f.caller_addrs.iter().enumerate() {
         let n = f.metric(*front, "grebe_bounces_total").await;
         bounces.insert(f.queriers[i].name.clone(), json!(n));
     }
--- a/crates/server/src/process_soak/cluster_run.rs
+++ b/crates/server/src/process_soak/cluster_run.rs
@@ -76,14 +76,14 @@
     };
     let spec = spec::read(&format!("{}/{DEPLOYMENT}.standins.json", args.deploy))
         .map_err(|error| error.to_string())?;
-    let cluster = LocalCluster::up(layout).await?;
+    let cluster = LocalCluster::start(layout).await?;
     if !all_ready(&cluster).await {
         return Err("the cluster does not become ready".into());
     }
     let record = Rc::new(RefCell::new(Record::new()));
     let (orders, given) = unbounded_channel();
     let sends = args.broken.as_deref() != Some("unsent-drains");
-    let work = operator::work(cluster.doors.clone(), given, record.clone(), sends);
+    let work = operator::work(cluster.operator_addrs.clone(), given, record.clone(), sends);
     let operator = tokio::task::spawn_local(work);
     let seen = Rc::new(RefCell::new(Seen::default()));
     let until = Instant::now() + Duration::from_millis(args.length_ms());
@@ -131,8 +131,8 @@
     seen: &Rc<RefCell<Seen>>,
     until: Instant,
 ) -> Vec<tokio::task::JoinHandle<()>> {
-    let ready = Rc::new(RefCell::new(cluster.fronts.clone()));
-    let watch = watch_ready(HttpClient::new(2), cluster.fronts.clone(), ready.clone(), until);
+    let ready = Rc::new(RefCell::new(cluster.caller_addrs.clone()));
+    let watch = watch_ready(HttpClient::new(2), cluster.caller_addrs.clone(), ready.clone(), until);
     tokio::task::spawn_local(watch);
     // Kept connections are used until the process at their end is gone.
     let http = HttpClient::new(128);
@@ -206,7 +206,7 @@
             ActionKind::LeafRestarts => {
                 let service = format!("{LEAVING_SERVICE}0");
                 let order = json!({ "do": "restart", "service": service, "count": 1 });
-                self.cluster.order(order).await?;
+                self.cluster.control_backends(order).await?;
                 Ok(())
             }
         }
@@ -267,9 +267,9 @@
         }
         let service = format!("{LEAVING_SERVICE}{service_number}");
         if self.kills_list {
-            self.cluster.order(json!({ "do": "list-dead" })).await?;
+            self.cluster.control_backends(json!({ "do": "list-dead" })).await?;
         }
-        let state = self.cluster.ask_backends("/state").await?;
+        let state = self.cluster.query_backends("/state").await?;
         let leafs = state["leafs"].as_array().cloned().unwrap_or_default();
         let stays = |leaf: &&Value| {
             leaf["service"] == service.as_str() && leaf["alive"] == true && leaf["leaving"] == false
@@ -278,7 +278,7 @@
             return Ok(());
         };
         self.left += 1;
-        self.cluster.order(json!({ "do": "leave-unseen", "leaf": name })).await?;
+        self.cluster.control_backends(json!({ "do": "leave-unseen", "leaf": name })).await?;
         let mut record = self.record.borrow_mut();
         let shown_ms = record.now_ms() + self.list_lag_ms;
         record.note(format!("{name} leaves; the list shows it from {shown_ms} ms on"));
@@ -356,9 +356,9 @@
     record: &Rc<RefCell<Record>>,
     seen: &Seen,
 ) -> Result<(), Failure> {
-    let runs = cluster.ask_backends("/runs").await?;
+    let runs = cluster.query_backends("/runs").await?;
     let runs = runs.as_array().cloned().unwrap_or_default();
-    let state = cluster.ask_backends("/state").await?;
+    let state = cluster.query_backends("/state").await?;
     let config = read_config(cluster).await?;
     let mut record = record.borrow_mut();
     // The leafs' clock began before ours.
@@ -375,8 +375,11 @@
 }
 
 async fn read_config(cluster: &LocalCluster) -> Result<Value, Failure> {
-    for attempt in 0..3 * cluster.doors.len() {
-        let url = format!("http://{}/v1/config", cluster.doors[attempt % cluster.doors.len()]);
+    for attempt in 0..3 * cluster.operator_addrs.len() {
+        let url = format!(
+            "http://{}/v1/config",
+            cluster.operator_addrs[attempt % cluster.operator_addrs.len()]
+        );
         let read = local_cluster::request(&cluster.http, Method::GET, url, Vec::new(), &[]).await;
         match read {
             Ok((200, config)) => return Ok(config),
--- a/crates/server/src/process_soak/long_calls.rs
+++ b/crates/server/src/process_soak/long_calls.rs
@@ -34,7 +34,7 @@
     seen: &Rc<RefCell<Seen>>,
     until: Instant,
 ) -> Result<Vec<JoinHandle<()>>, LocalClusterError> {
-    cluster.order(json!({ "do": "slow", "service": SERVICE, "ms": LEAF_MS })).await?;
+    cluster.control_backends(json!({ "do": "slow", "service": SERVICE, "ms": LEAF_MS })).await?;
     let searches = config["searches"].as_array().into_iter().flatten();
     for search in searches.filter(|search| search["name"] == SEARCH) {
         let mut patient = search.clone();
@@ -43,8 +43,9 @@
     }
     let kind = spec.kinds.iter().find(|kind| kind.search == SEARCH).cloned();
     let kind = kind.map(|kind| Rc::new(Kind { budget_ms: BUDGET_MS, ..kind }));
-    let fronts = cluster.fronts.iter().flat_map(|front| (0..CALLERS).map(move |_| *front));
-    let numbered = fronts.zip(0..);
+    let caller_addrs =
+        cluster.caller_addrs.iter().flat_map(|front| (0..CALLERS).map(move |_| *front));
+    let numbered = caller_addrs.zip(0..);
     let callers = numbered.filter_map(|(front, number)| {
         let calls = call_again(front, kind.clone()?, number, seen.clone(), until);
         Some(tokio::task::spawn_local(calls))
--- a/crates/server/src/testbed/local_cluster/mod.rs
+++ b/crates/server/src/testbed/local_cluster/mod.rs
@@ -48,9 +48,9 @@
     /// The mock backends' listener.
     pub list: SocketAddr,
     /// The controllers' listeners for operators.
-    pub doors: Vec<SocketAddr>,
+    pub operator_addrs: Vec<SocketAddr>,
     /// The queriers' listeners for callers.
-    pub fronts: Vec<SocketAddr>,
+    pub caller_addrs: Vec<SocketAddr>,
     /// Sends the requests.
     pub http: HttpClient,
 }
@@ -66,13 +66,14 @@
 
 impl LocalCluster {
     /// Starts everything and loads the deployment's configuration.
-    pub async fn up(layout: Layout) -> Result<LocalCluster, LocalClusterError> {
-        LocalCluster::up_with(layout, async |_| Err(std::io::Error::other("no relay"))).await
+    pub async fn start(layout: Layout) -> Result<LocalCluster, LocalClusterError> {
+        LocalCluster::start_with_relay(layout, async |_| Err(std::io::Error::other("no relay")))
+            .await
     }
 
-    /// Like `up`; the last querier reaches controllers, list and the other queriers
+    /// Like `start`; the last querier reaches controllers, list and the other queriers
     /// only through addresses that `relay` gives for theirs, and is reached so.
-    pub async fn up_with(
+    pub async fn start_with_relay(
         layout: Layout,
         mut relay: impl AsyncFnMut(SocketAddr) -> std::io::Result<SocketAddr>,
     ) -> Result<LocalCluster, LocalClusterError> {
@@ -113,7 +114,7 @@
     }
 
     /// Starts one more controller that is not told a voter slot; gives its number.
-    pub fn add_spare(&mut self, zone: &str) -> Result<usize, LocalClusterError> {
+    pub fn add_controller(&mut self, zone: &str) -> Result<usize, LocalClusterError> {
         let n = self.controllers.len();
         let ports = free_ports(2)?;
         let addr = |i: usize| SocketAddr::from(([127, 0, 0, 1], ports[i]));
@@ -128,7 +129,7 @@
         let mut process = Process::controller(&self.layout, &format!("controller-{n}"), &args);
         process.start()?;
         self.controllers.push(process);
-        self.doors.push(addr(0));
+        self.operator_addrs.push(addr(0));
         Ok(n)
     }
 }
@@ -143,8 +144,8 @@
     let ports = free_ports(7 + 2 * layout.queriers)?;
     let addrs: Vec<SocketAddr> =
         ports.iter().map(|p| SocketAddr::from(([127, 0, 0, 1], *p))).collect();
-    let (list, seeds, doors) = (addrs[0], &addrs[1..4], addrs[4..7].to_vec());
-    let (fronts, inners) = addrs[7..].split_at(layout.queriers);
+    let (list, seeds, operator_addrs) = (addrs[0], &addrs[1..4], addrs[4..7].to_vec());
+    let (caller_addrs, inners) = addrs[7..].split_at(layout.queriers);
     let texts: Vec<String> = seeds.iter().map(|a| a.to_string()).collect();
     let zones = grebepath_simulator::mock_backends::ZONES;
     let fleet = layout.dir.file_name().map_or("test".into(), |n| n.display().to_string());
@@ -157,7 +158,7 @@
                 ("seat", i.to_string()),
                 ("fleet", fleet.clone()),
                 ("zone", zones[i].to_string()),
-                ("listen", doors[i].to_string()),
+                ("listen", operator_addrs[i].to_string()),
                 ("inner", texts[i].clone()),
                 ("seeds", texts.join(",")),
                 ("data", layout.dir.join(format!("seat-{i}")).display().to_string()),
@@ -178,7 +179,7 @@
             ("name", format!("q{i}")),
             ("fleet", fleet.clone()),
             ("zone", zones[i % zones.len()].to_string()),
-            ("listen", fronts[i].to_string()),
+            ("listen", caller_addrs[i].to_string()),
             ("inner", inners[i].to_string()),
             ("seeds", texts[..3].join(",")),
             ("list", texts[3].clone()),
@@ -186,9 +187,18 @@
         ];
         queriers.push(Process::querier(&layout, &format!("querier-{i}"), &args));
     }
-    let (http, fronts) = (grebepath_runtime::http::client::HttpClient::new(16), fronts.to_vec());
-    let mut cluster =
-        LocalCluster { layout, backends, controllers, queriers, list, doors, fronts, http };
+    let (http, caller_addrs) =
+        (grebepath_runtime::http::client::HttpClient::new(16), caller_addrs.to_vec());
+    let mut cluster = LocalCluster {
+        layout,
+        backends,
+        controllers,
+        queriers,
+        list,
+        operator_addrs,
+        caller_addrs,
+        http,
+    };
     for process in cluster.processes_mut() {
         process.start()?;
     }
--- a/crates/server/src/testbed/local_cluster/process.rs
+++ b/crates/server/src/testbed/local_cluster/process.rs
@@ -22,7 +22,7 @@
     /// The running process, if there is one.
     pub child: Option<Child>,
     /// What it printed when it was ready.
-    pub first: String,
+    pub ready_line: String,
     log: PathBuf,
 }
 
@@ -34,7 +34,7 @@
             args,
             program: layout.bin.join(program),
             child: None,
-            first: String::new(),
+            ready_line: String::new(),
             log: layout.dir.join(format!("{name}.log")),
         }
     }
@@ -76,7 +76,7 @@
             let log = std::fs::read_to_string(&self.log).unwrap_or_default();
             return Err(LocalClusterError::NotUp { process: self.name.clone(), log });
         }
-        self.first = line;
+        self.ready_line = line;
         Ok(())
     }
 
@@ -148,8 +148,8 @@
     }
 
     /// The first line that the process printed since its last start.
-    pub fn first_line(&self) -> &str {
-        &self.first
+    pub fn ready_line(&self) -> &str {
+        &self.ready_line
     }
 
     /// The argument of a flag.
@@ -161,7 +161,7 @@
 }
 
 /// A command line: some words, then flags with an argument each.
-pub(super) fn flags(first: &[&str], pairs: &[(&str, String)]) -> Vec<String> {
+pub(super) fn flags(words: &[&str], pairs: &[(&str, String)]) -> Vec<String> {
     let pairs = pairs.iter().flat_map(|(name, value)| [format!("--{name}"), value.clone()]);
-    first.iter().map(|word| word.to_string()).chain(pairs).collect()
+    words.iter().map(|word| word.to_string()).chain(pairs).collect()
 }
--- a/crates/server/src/testbed/local_cluster/requests.rs
+++ b/crates/server/src/testbed/local_cluster/requests.rs
@@ -51,7 +51,7 @@
     ) -> Result<u64, LocalClusterError> {
         let mut last = LocalClusterError::NoController;
         for attempt in 0..CHANGE_ATTEMPTS {
-            let addr = self.doors[attempt % self.doors.len()];
+            let addr = self.operator_addrs[attempt % self.operator_addrs.len()];
             let url = format!("http://{addr}/v1/config");
             let heads = [("request-id", id)];
             match request(&self.http, method.clone(), url, body.to_vec(), &heads).await {
@@ -74,7 +74,7 @@
     }
 
     /// Tells the mock backends to misbehave.
-    pub async fn order(&self, val: Value) -> Result<Value, LocalClusterError> {
+    pub async fn control_backends(&self, val: Value) -> Result<Value, LocalClusterError> {
         let url = format!("http://{}/control", self.list);
         let body = val.to_string().into_bytes();
         let (code, got) = request(&self.http, Method::POST, url, body, &[]).await?;
@@ -82,19 +82,19 @@
     }
 
     /// Asks the mock backends for `/runs` or `/state`.
-    pub async fn ask_backends(&self, path: &str) -> Result<Value, LocalClusterError> {
+    pub async fn query_backends(&self, path: &str) -> Result<Value, LocalClusterError> {
         let url = format!("http://{}{path}", self.list);
         Ok(request(&self.http, Method::GET, url, Vec::new(), &[]).await?.1)
     }
 
     /// Whether a querier is ready.
     pub async fn is_ready(&self, querier: usize) -> bool {
-        crate::callers::is_ready(&self.http, self.fronts[querier]).await
+        crate::callers::is_ready(&self.http, self.caller_addrs[querier]).await
     }
 
     /// The revision that a querier obeys, by its own metrics.
-    pub async fn obeyed(&self, querier: usize) -> Option<u64> {
-        self.metric(self.fronts[querier], "grebe_revision").await
+    pub async fn applied_revision(&self, querier: usize) -> Option<u64> {
+        self.metric(self.caller_addrs[querier], "grebe_revision").await
     }
 
     /// One metric of a process, summed over its labels.
@@ -112,7 +112,7 @@
 
     /// What one controller says of itself and of the members.
     pub async fn status(&self, controller: usize) -> Result<Value, LocalClusterError> {
-        let url = format!("http://{}/v1/status", self.doors[controller]);
+        let url = format!("http://{}/v1/status", self.operator_addrs[controller]);
         let (code, val) = request(&self.http, Method::GET, url, Vec::new(), &[]).await?;
         if code == 200 {
             Ok(val)
@@ -124,7 +124,7 @@
     /// The voter slot that leads the configuration, as the first controller that answers
     /// sees it.
     pub async fn config_leader(&self) -> Option<usize> {
-        for i in 0..self.doors.len() {
+        for i in 0..self.operator_addrs.len() {
             if self.controllers[i].child.is_some()
                 && let Ok(val) = self.status(i).await
                 && let Some(n) = val["here"]["parts"][0]["owner"].as_u64()
--- a/crates/server/tests/common/mod.rs
+++ b/crates/server/tests/common/mod.rs
@@ -64,7 +64,7 @@
 
 /// Sends a search to a querier; nothing without an answer.
 pub async fn ask(f: &LocalCluster, i: usize) -> Option<(u16, serde_json::Value)> {
-    let url = format!("http://{}/v1/search/browse", f.fronts[i]);
+    let url = format!("http://{}/v1/search/browse", f.caller_addrs[i]);
     let body = json!({ "question": "q", "limit": 3 }).to_string().into_bytes();
     local_cluster::request(&f.http, Method::POST, url, body, &[("budget-ms", "900")]).await.ok()
 }
--- a/crates/server/tests/common/zone_orders.rs
+++ b/crates/server/tests/common/zone_orders.rs
@@ -61,7 +61,7 @@
 
 /// What the zone's state is.
 pub async fn zone_state(cluster: &LocalCluster) -> Value {
-    let url = format!("http://{}/v1/config", cluster.doors[0]);
+    let url = format!("http://{}/v1/config", cluster.operator_addrs[0]);
     let read = local_cluster::request(&cluster.http, Method::GET, url, Vec::new(), &[]).await;
     let (_, value) = read.expect("a controller answers");
     let zones = value["config"]["zones"].as_array().cloned().unwrap_or_default();
--- a/crates/server/tests/concurrent_changes.rs
+++ b/crates/server/tests/concurrent_changes.rs
@@ -19,10 +19,10 @@
 #[googletest::test]
 fn whole_and_partial_changes_at_one_moment_lose_nothing() {
     block(async {
-        let f = LocalCluster::up(layout("race", "mohalla", 3)).await.unwrap();
+        let f = LocalCluster::start(layout("race", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
         let read = async || {
-            let url = format!("http://{}/v1/config", f.doors[0]);
+            let url = format!("http://{}/v1/config", f.operator_addrs[0]);
             local_cluster::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap().1
         };
         let mark = |name: &str| json!({ "name": name, "state": "open" });
@@ -32,7 +32,7 @@
             let revision = old["revision"].as_u64().unwrap().to_string();
             let send = async |i: usize| {
                 let name = format!("mark-{round}-{i}");
-                let url = format!("http://{}/v1/config", f.doors[i % 3]);
+                let url = format!("http://{}/v1/config", f.operator_addrs[i % 3]);
                 let mut heads = vec![("request-id", name.as_str())];
                 let (how, body) = if i.is_multiple_of(2) {
                     let mut conf = old["config"].clone();
@@ -65,7 +65,7 @@
         expect_that!(revs.len(), eq(accepted.len()), "two changes got one revision");
         let last = accepted.iter().map(|a| a.1).max().unwrap();
         for i in 0..f.queriers.len() {
-            let obeys = || async { f.obeyed(i).await.is_some_and(|r| r >= last) };
+            let obeys = || async { f.applied_revision(i).await.is_some_and(|r| r >= last) };
             assert!(local_cluster::until(LONG, obeys).await, "querier {i} does not obey {last}");
         }
     });
--- a/crates/server/tests/disk_faults.rs
+++ b/crates/server/tests/disk_faults.rs
@@ -21,7 +21,7 @@
 #[googletest::test]
 fn a_full_disk_makes_its_voter_step_back_and_costs_nothing_accepted() {
     block(async {
-        let mut f = LocalCluster::up(layout("full", "mohalla", 3)).await.unwrap();
+        let mut f = LocalCluster::start(layout("full", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
         // The owner of the configuration comes back on a disk with 64 KiB left.
         let seat = f.config_leader().await.unwrap();
@@ -44,7 +44,7 @@
         let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
         let revision = revision.max(f.patch(&val, "after").await.unwrap());
         for i in 0..3 {
-            let obeys = || async { f.obeyed(i).await.is_some_and(|r| r >= revision) };
+            let obeys = || async { f.applied_revision(i).await.is_some_and(|r| r >= revision) };
             assert!(local_cluster::until(LONG, obeys).await);
         }
         // With room again it comes back whole.
@@ -63,18 +63,18 @@
 #[googletest::test]
 fn a_controller_that_starts_on_a_full_disk_says_so_and_goes_on_by_itself() {
     block(async {
-        let mut f = LocalCluster::up(layout("full-start", "mohalla", 3)).await.unwrap();
+        let mut f = LocalCluster::start(layout("full-start", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
         let seat = f.config_leader().await.unwrap();
         f.controllers[seat].kill();
         f.controllers[seat].limit_file_size(Some(0));
         f.controllers[seat].start().unwrap();
-        let line = f.controllers[seat].first_line().to_string();
+        let line = f.controllers[seat].ready_line().to_string();
         expect_that!(line, contains_substring("waits for its disk"));
         // Which file, and what was tried.
         expect_that!(line, contains_substring("can't write"));
         expect_that!(line, contains_substring("seats.new"));
-        let door = f.doors[seat];
+        let door = f.operator_addrs[seat];
         // The cluster's client may still hold a connection to the process that was killed.
         let http = HttpClient::new(1);
         for path in ["readyz", "v1/status", "v1/config"] {
@@ -101,7 +101,7 @@
 #[googletest::test]
 fn a_controller_that_waits_for_its_disk_ends_when_it_is_asked_to() {
     block(async {
-        let mut f = LocalCluster::up(layout("full-stop", "mohalla", 3)).await.unwrap();
+        let mut f = LocalCluster::start(layout("full-stop", "mohalla", 3)).await.unwrap();
         f.controllers[0].kill();
         f.controllers[0].limit_file_size(Some(0));
         f.controllers[0].start().unwrap();
@@ -119,7 +119,7 @@
 #[googletest::test]
 fn files_corrupted_under_a_running_controller_are_written_anew() {
     block(async {
-        let mut f = LocalCluster::up(layout("rot", "mohalla", 3)).await.unwrap();
+        let mut f = LocalCluster::start(layout("rot", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
         let dir = f.layout.dir.join("seat-1/part-0");
         // Whatever lies on the disk is spoilt, as it lies there.
@@ -132,7 +132,7 @@
                 file.write_all_at(&[raw[at] ^ 0x10], at as u64).unwrap();
             }
         }
-        let door = f.doors[1];
+        let door = f.operator_addrs[1];
         let found = async || metric(&f, door, "grebe_rotted_total").await > Some(0);
         assert!(local_cluster::until(2 * LONG, found).await, "nothing was found to have rotted");
         // What was found is being written: let it be whole before the kill.
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -48,8 +48,8 @@
 struct Site {
     seats: Vec<Process>,
     queriers: Vec<Process>,
-    doors: Vec<SocketAddr>,
-    fronts: Vec<SocketAddr>,
+    operator_addrs: Vec<SocketAddr>,
+    caller_addrs: Vec<SocketAddr>,
     checks: Vec<SocketAddr>,
     world: Shared,
     http: HttpClient,
@@ -82,8 +82,8 @@
         let mut site = Site {
             seats: Vec::new(),
             queriers: Vec::new(),
-            doors: seeds.iter().map(|s| s.parse().unwrap()).collect(),
-            fronts: (3..5).map(|i| machine(i, 2).parse().unwrap()).collect(),
+            operator_addrs: seeds.iter().map(|s| s.parse().unwrap()).collect(),
+            caller_addrs: (3..5).map(|i| machine(i, 2).parse().unwrap()).collect(),
             checks: (3..5).map(|i| machine(i, 3).parse().unwrap()).collect(),
             world: world.clone(),
             http: grebepath_runtime::http::client::HttpClient::new(16),
@@ -171,7 +171,7 @@
     let got = Rc::new(Cell::new(0));
     let next = Cell::new(door);
     let clear = until(LONG, || {
-        let door = s.doors[next.get() % s.doors.len()];
+        let door = s.operator_addrs[next.get() % s.operator_addrs.len()];
         next.set(next.get() + 1);
         let mut request = FollowedRequest::new(method.parse().unwrap(), path, text.clone());
         request.heads.push(("if-match", after.to_string()));
@@ -193,14 +193,14 @@
 }
 
 async fn read(s: &Site, door: usize) -> Option<Value> {
-    let url = format!("http://{}/api/config", s.doors[door]);
+    let url = format!("http://{}/api/config", s.operator_addrs[door]);
     let got = local_cluster::request(&s.http, hyper::Method::GET, url, Vec::new(), &[]).await;
     got.ok().filter(|g| g.0 == 200).map(|g| g.1)
 }
 
 /// Waits until every controller reads the configuration back as it was sent.
 async fn reads(s: &Site, want: &Value) {
-    for door in 0..s.doors.len() {
+    for door in 0..s.operator_addrs.len() {
         let same = until(LONG, async || read(s, door).await.as_ref() == Some(want)).await;
         let got = read(s, door).await;
         assert!(same, "controller {door} reads {got:?}");
@@ -236,7 +236,7 @@
     let id = format!("{:016x}", 0x9c41_0000_0000 + s.calls.get());
     let req = Request::builder()
         .method(method)
-        .uri(format!("http://{}{target}", s.fronts[q]))
+        .uri(format!("http://{}{target}", s.caller_addrs[q]))
         .header("host", "H.example:80")
         .header("request-id", &id)
         .header("deadline-ms", deadline_ms)
@@ -424,7 +424,7 @@
             expect_that!(order(&s, 1, later, "/api/evacuate/z-2", 0, &Value::Null).await, eq(200));
             let hold =
                 Hold { bytes: HOLD, end_behind: Duration::from_millis(100), connects_early: true };
-            let relay = HoldingRelay::open(s.doors[0], hold).await.unwrap();
+            let relay = HoldingRelay::open(s.operator_addrs[0], hold).await.unwrap();
             let mut left = tokio::net::TcpStream::connect(relay.address).await.unwrap();
             let text = format!("{held} /api/evacuate/z-2 HTTP/1.1\r\nHost: c\r\n\r\n");
             left.write_all(text.as_bytes()).await.unwrap();
@@ -667,7 +667,7 @@
             foreign::order(&s.world, id, Mode::Mute);
         }
         // The caller goes.
-        let mut connection = tokio::net::TcpStream::connect(s.fronts[0]).await.unwrap();
+        let mut connection = tokio::net::TcpStream::connect(s.caller_addrs[0]).await.unwrap();
         let text = "GET /pass/x HTTP/1.1\r\nhost: h.example\r\nrequest-id: c0ffee01\r\n\
                     deadline-ms: 8000\r\n\r\n";
         connection.write_all(text.as_bytes()).await.unwrap();
@@ -689,7 +689,7 @@
 }
 
 async fn raw(s: &Site, bytes: &[u8]) -> String {
-    let mut connection = tokio::net::TcpStream::connect(s.fronts[0]).await.unwrap();
+    let mut connection = tokio::net::TcpStream::connect(s.caller_addrs[0]).await.unwrap();
     let (mut from, mut to) = connection.split();
     let mut got = Vec::new();
     // It may be refused before all of it is written.
--- a/crates/server/tests/held_orders.rs
+++ b/crates/server/tests/held_orders.rs
@@ -31,16 +31,16 @@
 fn an_order_that_a_relay_held_is_not_carried_out_after_later_ones_of_its_sender() {
     // Guards against a drained zone that an order opens which a healed cut lets go.
     block(async {
-        let cluster = LocalCluster::up(layout("held-orders", "mohalla", 1)).await.unwrap();
+        let cluster = LocalCluster::start(layout("held-orders", "mohalla", 1)).await.unwrap();
         let [leader, other, third] = leader_first(&cluster).await;
-        give(&cluster, cluster.doors[third], "drained").await;
+        give(&cluster, cluster.operator_addrs[third], "drained").await;
         let mut relays = Vec::new();
         let mut stale = Vec::new();
         for end_behind in ENDS_BEHIND_MS.map(Duration::from_millis) {
             for connects_early in [true, false] {
                 for controller in [leader, other] {
                     let hold = Hold { bytes: HOLD, end_behind, connects_early };
-                    let to = cluster.doors[controller];
+                    let to = cluster.operator_addrs[controller];
                     let relay = HoldingRelay::open(to, hold).await.unwrap();
                     stale.push(send(relay.address, "open", relays.len()));
                     relays.push(relay);
@@ -49,8 +49,8 @@
         }
         tokio::time::sleep(CALLER_PATIENCE).await;
         drop(stale);
-        give(&cluster, cluster.doors[third], "open").await;
-        give(&cluster, cluster.doors[third], "drained").await;
+        give(&cluster, cluster.operator_addrs[third], "open").await;
+        give(&cluster, cluster.operator_addrs[third], "drained").await;
         tokio::time::sleep(HOLD + SETTLE).await;
         expect_that!(zone_state(&cluster).await, eq(&json!("drained")));
     });
@@ -59,21 +59,22 @@
 #[googletest::test]
 fn an_order_is_not_carried_out_late_by_a_controller_that_stops_while_it_takes_it() {
     block(async {
-        let cluster = LocalCluster::up(layout("stopped-orders", "mohalla", 1)).await.unwrap();
+        let cluster = LocalCluster::start(layout("stopped-orders", "mohalla", 1)).await.unwrap();
         for stops_after in [0, 2, 10, 100].map(Duration::from_millis) {
             for place in [0, 1] {
                 let controllers = leader_first(&cluster).await;
                 let (stopped, third) = (controllers[place], controllers[2]);
-                give(&cluster, cluster.doors[third], "drained").await;
+                give(&cluster, cluster.operator_addrs[third], "drained").await;
                 let stop = async {
                     tokio::time::sleep(stops_after).await;
                     cluster.controllers[stopped].signal("STOP").unwrap();
                 };
                 let freeze = tokio::time::Instant::now() + FREEZE;
-                let sent = follow(&cluster, cluster.doors[stopped], "open", CALLER_PATIENCE);
+                let sent =
+                    follow(&cluster, cluster.operator_addrs[stopped], "open", CALLER_PATIENCE);
                 let (_, _) = tokio::join!(sent, stop);
-                give(&cluster, cluster.doors[third], "open").await;
-                give(&cluster, cluster.doors[third], "drained").await;
+                give(&cluster, cluster.operator_addrs[third], "open").await;
+                give(&cluster, cluster.operator_addrs[third], "drained").await;
                 tokio::time::sleep_until(freeze).await;
                 cluster.controllers[stopped].signal("CONT").unwrap();
                 tokio::time::sleep(SETTLE).await;
@@ -87,7 +88,7 @@
 #[googletest::test]
 fn an_order_is_not_carried_out_late_by_a_controller_that_hardly_runs() {
     block(async {
-        let cluster = LocalCluster::up(layout("hardly-running", "mohalla", 1)).await.unwrap();
+        let cluster = LocalCluster::start(layout("hardly-running", "mohalla", 1)).await.unwrap();
         let [_, slow, third] = leader_first(&cluster).await;
         let (stopped, running) = DUTY_CYCLE;
         let cycle = async {
@@ -100,14 +101,15 @@
         };
         let orders = async {
             for round in 0..6 {
-                give(&cluster, cluster.doors[third], "drained").await;
+                give(&cluster, cluster.operator_addrs[third], "drained").await;
                 // Callers of both kinds, at other points of the cycle each time.
                 tokio::time::sleep(Duration::from_millis(110 * round)).await;
-                let left = send(cluster.doors[slow], "open", 0);
-                let _ = follow(&cluster, cluster.doors[slow], "open", CALLER_PATIENCE).await;
+                let left = send(cluster.operator_addrs[slow], "open", 0);
+                let _ =
+                    follow(&cluster, cluster.operator_addrs[slow], "open", CALLER_PATIENCE).await;
                 drop(left);
-                give(&cluster, cluster.doors[third], "open").await;
-                give(&cluster, cluster.doors[third], "drained").await;
+                give(&cluster, cluster.operator_addrs[third], "open").await;
+                give(&cluster, cluster.operator_addrs[third], "drained").await;
                 tokio::time::sleep(SETTLE).await;
                 expect_that!(zone_state(&cluster).await, eq(&json!("drained")), "{round}");
             }
@@ -123,8 +125,8 @@
 #[googletest::test]
 fn callers_that_follow_redirections_and_callers_that_send_again_are_served() {
     block(async {
-        let cluster = LocalCluster::up(layout("confirmed-orders", "mohalla", 1)).await.unwrap();
-        for door in &cluster.doors {
+        let cluster = LocalCluster::start(layout("confirmed-orders", "mohalla", 1)).await.unwrap();
+        for door in &cluster.operator_addrs {
             for state in ["drained", "open"] {
                 expect_that!(follow(&cluster, *door, state, LONG).await, some(eq(200)), "{state}");
                 expect_that!(zone_state(&cluster).await, eq(&json!(state)));
@@ -133,7 +135,7 @@
             expect_that!(zone_state(&cluster).await, eq(&json!("drained")));
         }
         // An id, a revision or an edition tells a late copy from a new order.
-        let url = || format!("http://{}/v1/config", cluster.doors[0]);
+        let url = || format!("http://{}/v1/config", cluster.operator_addrs[0]);
         let change = json!({ "zones": [{ "name": "a", "state": "open" }] });
         let with_edition = json!({ "terms": { "edition": 1_000 } });
         let revision = cluster.patch(&change, "with-id").await.unwrap().to_string();
--- a/crates/server/tests/local_cluster.rs
+++ b/crates/server/tests/local_cluster.rs
@@ -43,7 +43,7 @@
 async fn all_obey(f: &LocalCluster, revision: u64) {
     for i in 0..f.queriers.len() {
         if f.queriers[i].child.is_some() {
-            let obeys = || async { f.obeyed(i).await.is_some_and(|r| r >= revision) };
+            let obeys = || async { f.applied_revision(i).await.is_some_and(|r| r >= revision) };
             assert!(
                 local_cluster::until(LONG, obeys).await,
                 "querier {i} does not obey {revision}"
@@ -53,7 +53,7 @@
 }
 
 async fn search(f: &LocalCluster, i: usize, path: &str, body: Value, budget: &str) -> (u16, Value) {
-    let url = format!("http://{}/v1/search/{path}", f.fronts[i]);
+    let url = format!("http://{}/v1/search/{path}", f.caller_addrs[i]);
     let heads = [("budget-ms", budget)];
     let heads = if budget.is_empty() { &heads[..0] } else { &heads[..] };
     local_cluster::request(&f.http, Method::POST, url, body.to_string().into_bytes(), heads)
@@ -63,7 +63,7 @@
 
 /// Runs grebectl against the fleet; gives exit code and output.
 fn ctl(f: &LocalCluster, args: &[&str]) -> (i32, String) {
-    let at: Vec<String> = f.doors.iter().map(|d| d.to_string()).collect();
+    let at: Vec<String> = f.operator_addrs.iter().map(|d| d.to_string()).collect();
     let out = std::process::Command::new(env!("CARGO_BIN_EXE_grebectl"))
         .env("GREBE_AT", at.join(","))
         .args(args)
@@ -79,12 +79,12 @@
     block(async {
         let (layout, spec) = layout("served", "kahurangi", 3);
         let dir = layout.dir.clone();
-        let f = LocalCluster::up(layout).await.unwrap();
+        let f = LocalCluster::start(layout).await.unwrap();
         all_ready(&f).await;
         callers(&f, &spec).await;
         false_leafs(&f, &spec).await;
         operators(&f, &dir).await;
-        let state = f.ask_backends("/state").await.unwrap();
+        let state = f.query_backends("/state").await.unwrap();
         for leaf in state["leafs"].as_array().unwrap() {
             expect_that!(leaf["changed"].as_u64(), some(eq(0)));
             expect_that!(leaf["misdirected"].as_u64(), some(eq(0)));
@@ -136,9 +136,9 @@
         ("two-postmarks", "two-postmarks"),
     ];
     for (n, (mode, counted)) in modes.into_iter().enumerate() {
-        f.order(json!({ "do": mode, "service": service, "count": 2 })).await.unwrap();
+        f.control_backends(json!({ "do": mode, "service": service, "count": 2 })).await.unwrap();
         let seen = async || {
-            let url = format!("http://{}/metrics", f.fronts[0]);
+            let url = format!("http://{}/metrics", f.caller_addrs[0]);
             let text = local_cluster::text(&f.http, url).await.unwrap();
             text.contains(&format!("grebe_dispatch_trouble_total{{kind=\"{counted}\"}}"))
         };
@@ -154,7 +154,7 @@
             let (bad, _) = success(kind, &what, Some(&missing), val.to_string().as_bytes());
             expect_that!(bad, is_empty());
         }
-        f.order(json!({ "do": "good", "service": service })).await.unwrap();
+        f.control_backends(json!({ "do": "good", "service": service })).await.unwrap();
     }
 }
 
@@ -234,15 +234,15 @@
 ) -> (LocalCluster, T, Value) {
     let mut f = f;
     let seen = Rc::new(RefCell::new(Seen::default()));
-    let ready = Rc::new(RefCell::new(f.fronts.clone()));
+    let ready = Rc::new(RefCell::new(f.caller_addrs.clone()));
     let far = Instant::now() + Duration::from_secs(600);
     let local = tokio::task::LocalSet::new();
-    let fronts = f.fronts.clone();
+    let caller_addrs = f.caller_addrs.clone();
     let (seen_in, ready_in, kinds) = (seen.clone(), ready.clone(), spec.kinds.clone());
     let calls = async move {
         tokio::task::spawn_local(watch_ready(
             grebepath_runtime::http::client::HttpClient::new(2),
-            fronts,
+            caller_addrs,
             ready_in.clone(),
             far,
         ));
@@ -262,7 +262,7 @@
     };
     // The dropped set ends all calls under way; what was answered is checked.
     drop(local);
-    let runs = f.ask_backends("/runs").await.unwrap();
+    let runs = f.query_backends("/runs").await.unwrap();
     let out = report(&seen.borrow(), runs.as_array().unwrap());
     (f, got, out)
 }
@@ -275,7 +275,7 @@
 fn any_one_process_may_die() {
     block(async {
         let (layout, spec) = layout("die", "mohalla", 3);
-        let f = LocalCluster::up(layout).await.unwrap();
+        let f = LocalCluster::start(layout).await.unwrap();
         all_ready(&f).await;
         let (f, _, out) = under_traffic(f, &spec, async |f| {
             // The owner of the configuration, then the other two seats.
@@ -285,7 +285,7 @@
                 // Addresses of leafs pass to another service meanwhile.
                 let reuse = json!({ "do": "reuse", "service": "mohalla-archive-w48-0",
                                     "count": 9, "by": "mohalla-history-w48-0" });
-                f.order(reuse).await.unwrap();
+                f.control_backends(reuse).await.unwrap();
                 let val = json!({ "zones": [{ "name": format!("mark-{n}"), "state": "open" }] });
                 let revision = f.patch(&val, &format!("mark-{n}")).await.unwrap();
                 all_obey(f, revision).await;
@@ -315,7 +315,7 @@
         .await;
         expect_that!(out["violations"].as_u64(), some(eq(0)), "{out}");
         expect_that!(successes(&out), gt(50));
-        let state = f.ask_backends("/state").await.unwrap();
+        let state = f.query_backends("/state").await.unwrap();
         let (mut asked, mut reached) = (0, 0);
         for leaf in state["leafs"].as_array().unwrap() {
             asked += leaf["misdirected"].as_u64().unwrap();
@@ -336,7 +336,7 @@
 fn everything_restarts_within_its_time_and_stops_cleanly() {
     block(async {
         let (layout, _) = layout("restart", "mohalla", 3);
-        let mut f = LocalCluster::up(layout).await.unwrap();
+        let mut f = LocalCluster::start(layout).await.unwrap();
         all_ready(&f).await;
         let val = json!({ "zones": [{ "name": "kept", "state": "open" }] });
         let revision = f.patch(&val, "kept").await.unwrap();
--- a/crates/server/tests/overload.rs
+++ b/crates/server/tests/overload.rs
@@ -12,14 +12,15 @@
 #[googletest::test]
 fn a_flood_of_calls_is_rejected_at_the_listener_urgent_last() {
     block(async {
-        let f = LocalCluster::up(layout("flood", "mohalla", 3)).await.unwrap();
+        let f = LocalCluster::start(layout("flood", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
         let one = async |search: &str| {
             let http = grebepath_runtime::http::client::HttpClient::new(1);
-            let req = hyper::Request::post(format!("http://{}/v1/search/{search}", f.fronts[0]))
-                .header("budget-ms", "900")
-                .body(http_body_util::Full::from(r#"{"question": "q"}"#))
-                .unwrap();
+            let req =
+                hyper::Request::post(format!("http://{}/v1/search/{search}", f.caller_addrs[0]))
+                    .header("budget-ms", "900")
+                    .body(http_body_util::Full::from(r#"{"question": "q"}"#))
+                    .unwrap();
             let got = http.call(req, 1 << 20).await.ok()?;
             let again =
                 got.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
@@ -27,7 +28,7 @@
         };
         let ready = async || {
             let http = grebepath_runtime::http::client::HttpClient::new(1);
-            let url = format!("http://{}/readyz", f.fronts[0]);
+            let url = format!("http://{}/readyz", f.caller_addrs[0]);
             local_cluster::text(&http, url).await.is_some()
         };
         let floods = (0..1_500).map(|_| one("browse")).collect();
--- a/crates/server/tests/paused_leader.rs
+++ b/crates/server/tests/paused_leader.rs
@@ -29,7 +29,7 @@
 /// Three controllers with a voter slot each; killed when dropped.
 struct Controllers {
     processes: Vec<Process>,
-    doors: Vec<SocketAddr>,
+    operator_addrs: Vec<SocketAddr>,
     http: HttpClient,
     began: Instant,
 }
@@ -50,14 +50,14 @@
     let ports = local_cluster::free_ports(2 * CONTROLLERS).unwrap();
     let addresses: Vec<SocketAddr> =
         ports.iter().map(|port| SocketAddr::from(([127, 0, 0, 1], *port))).collect();
-    let (doors, inner) = addresses.split_at(CONTROLLERS);
+    let (operator_addrs, inner) = addresses.split_at(CONTROLLERS);
     let seeds: Vec<String> = inner.iter().map(|address| address.to_string()).collect();
     let mut processes: Vec<Process> = (0..CONTROLLERS)
         .map(|i| {
             let pairs = [
                 ("seat", i.to_string()),
                 ("zone", ["a", "b", "c"][i].to_string()),
-                ("listen", doors[i].to_string()),
+                ("listen", operator_addrs[i].to_string()),
                 ("inner", inner[i].to_string()),
                 ("seeds", seeds.join(",")),
                 ("first", "true".to_string()),
@@ -68,7 +68,7 @@
         .collect();
     processes.iter_mut().for_each(|process| process.start().unwrap());
     let http = grebepath_runtime::http::client::HttpClient::new(16);
-    Controllers { processes, doors: doors.to_vec(), http, began: Instant::now() }
+    Controllers { processes, operator_addrs: operator_addrs.to_vec(), http, began: Instant::now() }
 }
 
 /// Microseconds since the test began.
@@ -79,7 +79,7 @@
 /// The leader of the configuration that all controllers agree on.
 async fn leader(c: &Controllers) -> Option<usize> {
     let mut found = Vec::new();
-    for door in &c.doors {
+    for door in &c.operator_addrs {
         let url = format!("http://{door}/v1/status");
         let (_, val) =
             local_cluster::request(&c.http, Method::GET, url, Vec::new(), &[]).await.ok()?;
@@ -133,7 +133,7 @@
 /// Sends a change through a controller and notes what came of it.
 async fn noted(c: &Controllers, history: &mut Recorder, i: usize, change: &Change) -> (u16, Value) {
     let number = sent(c, history, i, change);
-    let got = patch(c.http.clone(), c.doors[i], change).await;
+    let got = patch(c.http.clone(), c.operator_addrs[i], change).await;
     history.answer_write(now(c), number, answer(&got));
     got
 }
@@ -154,7 +154,7 @@
 /// Reads the configuration through a controller and notes it.
 async fn read(c: &Controllers, history: &mut Recorder, i: usize) -> u64 {
     let number = history.send_read(now(c), format!("controller {i}"));
-    let (code, val) = get(c.http.clone(), c.doors[i], "/v1/config").await;
+    let (code, val) = get(c.http.clone(), c.operator_addrs[i], "/v1/config").await;
     assert_eq!(code, 200, "{val}");
     let revision = val["revision"].as_u64().unwrap();
     history.answer_read(now(c), number, (revision, None), zones(&val["config"]));
@@ -190,7 +190,7 @@
     let late = Change { id: format!("late-{round}"), expect: revision };
     let numbers = [&next, &late].map(|change| sent(c, history, old, change));
     let read_number = history.send_read(now(c), format!("controller {old}"));
-    let (http, door) = (&c.http, c.doors[old]);
+    let (http, door) = (&c.http, c.operator_addrs[old]);
     let waiting = async {
         tokio::join!(
             patch(http.clone(), door, &next),
--- a/crates/server/tests/querier_faults.rs
+++ b/crates/server/tests/querier_faults.rs
@@ -20,7 +20,7 @@
 #[googletest::test]
 fn a_frozen_querier_wakes_and_never_answers_by_the_old_configuration() {
     block(async {
-        let f = LocalCluster::up(layout("frozen", "mohalla", 3)).await.unwrap();
+        let f = LocalCluster::start(layout("frozen", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
         f.queriers[1].signal("STOP").unwrap();
         // Accepted without the frozen one: the two others are most.
@@ -64,12 +64,15 @@
         // All that the last querier says to and hears from the others passes
         // through relays, which can be cut.
         let mut relays: Vec<Relay> = Vec::new();
-        let f = LocalCluster::up_with(layout("cut", "mohalla", 3), async |wanted: SocketAddr| {
-            let relay = Relay::open(wanted).await?;
-            let addr = relay.addr;
-            relays.push(relay);
-            Ok(addr)
-        })
+        let f = LocalCluster::start_with_relay(
+            layout("cut", "mohalla", 3),
+            async |wanted: SocketAddr| {
+                let relay = Relay::open(wanted).await?;
+                let addr = relay.addr;
+                relays.push(relay);
+                Ok(addr)
+            },
+        )
         .await
         .unwrap();
         all_ready(&f).await;
@@ -81,7 +84,7 @@
         }
         let val = json!({ "zones": [{ "name": "early", "state": "open" }] });
         let revision = f.patch(&val, "early").await.unwrap();
-        let obeys = || async { f.obeyed(2).await.is_some_and(|r| r >= revision) };
+        let obeys = || async { f.applied_revision(2).await.is_some_and(|r| r >= revision) };
         assert!(local_cluster::until(LONG, obeys).await, "no news came by the cohort");
         expect_that!(ask(&f, 2).await.unwrap().0, eq(200));
         // Now nobody reaches it.
--- a/crates/server/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -31,7 +31,7 @@
 /// Three controllers without queriers. Dropping it kills its processes.
 struct ControllerState {
     procs: Vec<Process>,
-    doors: Vec<SocketAddr>,
+    operator_addrs: Vec<SocketAddr>,
     http: HttpClient,
 }
 
@@ -67,9 +67,12 @@
             Process::controller(&layout, &format!("controller-{n}"), &pairs)
         })
         .collect();
-    let doors = (0..3).map(at).collect();
-    let mut core =
-        ControllerState { procs, doors, http: grebepath_runtime::http::client::HttpClient::new(8) };
+    let operator_addrs = (0..3).map(at).collect();
+    let mut core = ControllerState {
+        procs,
+        operator_addrs,
+        http: grebepath_runtime::http::client::HttpClient::new(8),
+    };
     core.procs.iter_mut().try_for_each(Process::start)?;
     Ok(core)
 }
@@ -77,7 +80,7 @@
 /// The controller that leads the configuration.
 async fn leader(core: &ControllerState) -> Option<usize> {
     for n in 0..3 {
-        let url = format!("http://{}/v1/status", core.doors[n]);
+        let url = format!("http://{}/v1/status", core.operator_addrs[n]);
         let got = local_cluster::request(&core.http, Method::GET, url, Vec::new(), &[]).await;
         if got.is_ok_and(|(_, val)| val["here"]["parts"][0]["role"] == "owner") {
             return Some(n);
@@ -88,7 +91,7 @@
 
 /// Sends an order once; zero without an answer.
 async fn send(core: &ControllerState, door: usize, order: &Order) -> u16 {
-    let url = format!("http://{}{CONFIG_PATH}", core.doors[door % 3]);
+    let url = format!("http://{}{CONFIG_PATH}", core.operator_addrs[door % 3]);
     let base = order.base.to_string();
     let body = order.text.clone().into_bytes();
     let heads = [(BASE_HEADER, base.as_str())];
@@ -156,7 +159,7 @@
 
 /// The route's name and the edition as they are read back.
 async fn read(core: &ControllerState) -> (Value, String) {
-    let url = format!("http://{}{CONFIG_PATH}", core.doors[0]);
+    let url = format!("http://{}{CONFIG_PATH}", core.operator_addrs[0]);
     let mut got = Value::Null;
     for _ in 0..50 {
         match local_cluster::request(&core.http, Method::GET, url.clone(), Vec::new(), &[]).await {
@@ -215,7 +218,7 @@
     block(async {
         let core = core("rival-grebectl").await;
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("rival-grebectl");
-        let at: Vec<String> = core.doors.iter().map(|d| d.to_string()).collect();
+        let at: Vec<String> = core.operator_addrs.iter().map(|d| d.to_string()).collect();
         let file = |name: &str, zone: &str| {
             let path = dir.join(name);
             let value = json!({ "zones": [{ "name": zone, "state": "open" }] });
@@ -238,7 +241,7 @@
             // Without an id: a caller that follows redirections.
             let body = json!({ "zones": [{ "name": format!("other-{n}"), "state": "open" }] });
             let request = FollowedRequest::new(Method::PATCH, "/v1/config", body.to_string());
-            let sent = request.send(&core.http, &core.doors[n].to_string(), LONG).await;
+            let sent = request.send(&core.http, &core.operator_addrs[n].to_string(), LONG).await;
             others.push(sent.unwrap().status().as_u16());
         }
         expect_that!(others, each(eq(&200)));
--- a/crates/server/tests/rollouts.rs
+++ b/crates/server/tests/rollouts.rs
@@ -28,7 +28,7 @@
 
 /// Runs grebectl; gives its exit code and output.
 fn ctl(f: &LocalCluster, args: &[&str]) -> (i32, String) {
-    let at: Vec<String> = f.doors.iter().map(|door| door.to_string()).collect();
+    let at: Vec<String> = f.operator_addrs.iter().map(|door| door.to_string()).collect();
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_grebectl"))
         .env("GREBE_AT", at.join(","))
         .args(args)
@@ -52,7 +52,7 @@
 
 /// Requests that leafs of the service have run, by version.
 async fn ran(f: &LocalCluster, version: &str) -> u64 {
-    let state = f.ask_backends("/state").await.unwrap();
+    let state = f.query_backends("/state").await.unwrap();
     let leafs = state["leafs"].as_array().unwrap().iter();
     let of_version = leafs.filter(|l| l["service"] == SERVICE && l["version"] == version);
     of_version.map(|leaf| leaf["ran"].as_u64().unwrap()).sum()
@@ -62,7 +62,7 @@
     // Beside those that stand without a version, which the deployment begins with.
     let order = json!({ "do": "new-version", "service": SERVICE, "count": 4, "version": version,
                         "mode": mode });
-    f.order(order).await.unwrap();
+    f.control_backends(order).await.unwrap();
 }
 
 async fn sound_version_is_delivered(f: &LocalCluster) {
@@ -113,10 +113,10 @@
         let spec = layout.deploy.join("mohalla.standins.json").display().to_string();
         let spec = spec::read(&spec).unwrap();
         common::empty_folder(&layout);
-        let mut f = LocalCluster::up(layout).await.unwrap();
+        let mut f = LocalCluster::start(layout).await.unwrap();
         common::all_ready(&f).await;
         let seen = Rc::new(RefCell::new(Seen::default()));
-        let targets = Rc::new(RefCell::new(f.fronts.clone()));
+        let targets = Rc::new(RefCell::new(f.caller_addrs.clone()));
         let far = Instant::now() + Duration::from_secs(600);
         let mut callers = Vec::new();
         for (seed, kind) in (0..).zip(spec.kinds.iter().cloned()) {
@@ -133,7 +133,7 @@
         }
         // What was under way ends before the leafs' log is read.
         tokio::time::sleep(Duration::from_secs(2)).await;
-        let runs = f.ask_backends("/runs").await.unwrap();
+        let runs = f.query_backends("/runs").await.unwrap();
         let report = report(&seen.borrow(), runs.as_array().unwrap_or(&Vec::new()));
         expect_that!(report["violations"], eq(&json!(0)), "{report}");
         expect_that!(report["claims"].as_u64(), some(gt(0)), "{report}");
--- a/crates/server/tests/slot_takeover.rs
+++ b/crates/server/tests/slot_takeover.rs
@@ -35,8 +35,10 @@
 }
 
 async fn has_seat(f: &LocalCluster, i: usize, want: Value) -> bool {
-    local_cluster::until(LONG, || async { seat(&f.http, f.doors[i]).await == Some(want.clone()) })
-        .await
+    local_cluster::until(LONG, || async {
+        seat(&f.http, f.operator_addrs[i]).await == Some(want.clone())
+    })
+    .await
 }
 
 /// Sets an object through one controller alone.
@@ -53,9 +55,9 @@
     local_cluster::request(http, Method::PATCH, url, body, &heads).await.unwrap_or((0, Value::Null))
 }
 
-async fn obeyed(f: &LocalCluster, revision: u64) {
+async fn applied_revision(f: &LocalCluster, revision: u64) {
     for i in 0..f.queriers.len() {
-        let ask = || async { f.obeyed(i).await.is_some_and(|r| r >= revision) };
+        let ask = || async { f.applied_revision(i).await.is_some_and(|r| r >= revision) };
         assert!(local_cluster::until(LONG, ask).await, "querier {i} does not obey {revision}");
     }
 }
@@ -63,19 +65,19 @@
 #[googletest::test]
 fn a_spare_takes_over_and_the_old_holder_becomes_the_spare() {
     block(async {
-        let mut f = LocalCluster::up(layout("seats-spare", "mohalla", 2)).await.unwrap();
+        let mut f = LocalCluster::start(layout("seats-spare", "mohalla", 2)).await.unwrap();
         let owner = f.config_leader().await.unwrap();
         // Of the same zone: no zone may gain a majority of the seats.
-        let spare = f.add_spare(["a", "b", "c"][owner]).unwrap();
+        let spare = f.add_controller(["a", "b", "c"][owner]).unwrap();
         for i in 0..f.queriers.len() {
             assert!(local_cluster::until(LONG, || f.is_ready(i)).await);
         }
         // A controller without a seat takes operators' requests.
-        expect_that!(seat(&f.http, f.doors[spare]).await, some(eq(&Value::Null)));
-        let (code, val) = patch_at(&f.http, f.doors[spare], 0).await;
+        expect_that!(seat(&f.http, f.operator_addrs[spare]).await, some(eq(&Value::Null)));
+        let (code, val) = patch_at(&f.http, f.operator_addrs[spare], 0).await;
         expect_that!(code, eq(200), "{val}");
         f.controllers[owner].kill();
-        let (code, val) = patch_at(&f.http, f.doors[spare], 1).await;
+        let (code, val) = patch_at(&f.http, f.operator_addrs[spare], 1).await;
         expect_that!(code, eq(200), "{val}");
         assert!(has_seat(&f, spare, json!(owner)).await, "the seat was not taken over");
         // The old holder comes back on its disk and finds its seat given away.
@@ -85,10 +87,10 @@
         // the queriers hear of it although no params of theirs name it.
         let other = (owner + 1) % 3;
         f.controllers[other].signal("STOP").unwrap();
-        let (code, val) = patch_at(&f.http, f.doors[spare], 2).await;
+        let (code, val) = patch_at(&f.http, f.operator_addrs[spare], 2).await;
         f.controllers[other].signal("CONT").unwrap();
         expect_that!(code, eq(200), "{val}");
-        obeyed(&f, val["revision"].as_u64().unwrap()).await;
+        applied_revision(&f, val["revision"].as_u64().unwrap()).await;
         // All off at once: everyone comes back as who it was.
         let procs = f.controllers.iter_mut().chain(&mut f.queriers);
         procs.for_each(Process::kill);
@@ -96,10 +98,10 @@
             p.start().unwrap();
         }
         assert!(has_seat(&f, spare, json!(owner)).await, "the seat was forgotten");
-        let (code, val) = patch_at(&f.http, f.doors[owner], 3).await;
+        let (code, val) = patch_at(&f.http, f.operator_addrs[owner], 3).await;
         expect_that!(code, eq(200), "{val}");
-        obeyed(&f, val["revision"].as_u64().unwrap()).await;
-        let url = format!("http://{}/v1/config", f.doors[spare]);
+        applied_revision(&f, val["revision"].as_u64().unwrap()).await;
+        let url = format!("http://{}/v1/config", f.operator_addrs[spare]);
         let (_, got) =
             local_cluster::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap();
         for n in 0..4 {
@@ -111,7 +113,7 @@
 /// Controllers that find their seats; killed when dropped.
 struct ControllerState {
     procs: Vec<Process>,
-    doors: Vec<SocketAddr>,
+    operator_addrs: Vec<SocketAddr>,
     dir: PathBuf,
 }
 
@@ -135,7 +137,7 @@
     let ports = local_cluster::free_ports(2 * count).unwrap();
     let addrs: Vec<SocketAddr> =
         ports.iter().map(|p| SocketAddr::from(([127, 0, 0, 1], *p))).collect();
-    let (doors, inners) = addrs.split_at(count);
+    let (operator_addrs, inners) = addrs.split_at(count);
     let texts: Vec<String> = inners[..3].iter().map(|a| a.to_string()).collect();
     let procs: Vec<Process> = (0..count)
         .map(|i| {
@@ -143,7 +145,7 @@
             let file = lay.dir.join(format!("params-{i}.json"));
             let zone = ["a", "b", "c"][i % 3];
             let params = json!({
-                "zone": zone, "listen": doors[i].to_string(),
+                "zone": zone, "listen": operator_addrs[i].to_string(),
                 "inner": inners[i].to_string(), "seeds": texts, "first": true,
                 "seats": seats, "data": lay.dir.join(format!("data-{i}")),
             });
@@ -152,7 +154,7 @@
             Process::controller(&lay, &format!("controller-{i}"), &args)
         })
         .collect();
-    let mut core = ControllerState { procs, doors: doors.to_vec(), dir: lay.dir };
+    let mut core = ControllerState { procs, operator_addrs: operator_addrs.to_vec(), dir: lay.dir };
     core.procs.iter_mut().try_for_each(Process::start)?;
     Ok(core)
 }
@@ -165,7 +167,7 @@
 ) -> bool {
     let ask = || async {
         let mut got = Vec::new();
-        for (i, door) in c.doors.iter().enumerate() {
+        for (i, door) in c.operator_addrs.iter().enumerate() {
             if c.procs[i].child.is_some()
                 && let Some(Value::Number(n)) = seat(http, *door).await
             {
@@ -197,11 +199,11 @@
         let http = grebepath_runtime::http::client::HttpClient::new(4);
         assert!(held(&c, &http, 5).await, "five seats were not formed");
         let whole = json!({ "searches": [], "pools": [], "zones": [] }).to_string().into_bytes();
-        let url = format!("http://{}/v1/config", c.doors[5]);
+        let url = format!("http://{}/v1/config", c.operator_addrs[5]);
         let heads = [("request-id", "whole")];
         let got = local_cluster::request(&http, Method::PUT, url, whole, &heads).await.unwrap();
         expect_that!(got.0, eq(200), "{}", got.1);
-        let (code, val) = patch_at(&http, c.doors[3], 7).await;
+        let (code, val) = patch_at(&http, c.operator_addrs[3], 7).await;
         expect_that!(code, eq(200), "{val}");
         // At once all die, and two come back with nothing; seeds may be others.
         c.procs.iter_mut().for_each(Process::kill);
@@ -219,11 +221,11 @@
         }
         c.procs.iter_mut().for_each(|p| p.start().unwrap());
         assert!(held(&c, &http, 5).await, "the seats are not whole again");
-        let url = format!("http://{}/v1/config", c.doors[0]);
+        let url = format!("http://{}/v1/config", c.operator_addrs[0]);
         let (_, got) =
             local_cluster::request(&http, Method::GET, url, Vec::new(), &[]).await.unwrap();
         expect_that!(got.to_string(), contains_substring("mark-7"));
-        let (code, val) = patch_at(&http, c.doors[1], 8).await;
+        let (code, val) = patch_at(&http, c.operator_addrs[1], 8).await;
         expect_that!(code, eq(200), "{val}");
     });
 }
@@ -235,14 +237,14 @@
         let http = grebepath_runtime::http::client::HttpClient::new(4);
         assert!(held(&c, &http, 3).await, "three slots were not formed");
         let whole = json!({ "searches": [], "pools": [], "zones": [] }).to_string().into_bytes();
-        let url = format!("http://{}/v1/config", c.doors[5]);
+        let url = format!("http://{}/v1/config", c.operator_addrs[5]);
         let heads = [("request-id", "whole")];
         let got = local_cluster::request(&http, Method::PUT, url, whole, &heads).await.unwrap();
         expect_that!(got.0, eq(200), "{}", got.1);
         let mut marks = Vec::new();
         // Each of the first three in turn; the spare of its zone follows it.
         for leaving in 0..3 {
-            let (code, val) = patch_at(&http, c.doors[5], 10 + leaving).await;
+            let (code, val) = patch_at(&http, c.operator_addrs[5], 10 + leaving).await;
             expect_that!(code, eq(200), "{val}");
             marks.push(10 + leaving);
             // The spares ask for a slot twice a second.
@@ -255,7 +257,7 @@
             c.procs[other].kill();
             std::fs::remove_dir_all(c.dir.join(format!("data-{other}"))).unwrap();
             no_longer_first(&c, other, None);
-            let (code, val) = patch_at(&http, c.doors[5], 20 + leaving).await;
+            let (code, val) = patch_at(&http, c.operator_addrs[5], 20 + leaving).await;
             expect_that!(code, eq(200), "{val}");
             marks.push(20 + leaving);
             c.procs[other].start().unwrap();
@@ -264,7 +266,7 @@
             no_longer_first(&c, leaving, None);
             c.procs[leaving].start().unwrap();
         }
-        let url = format!("http://{}/v1/config", c.doors[4]);
+        let url = format!("http://{}/v1/config", c.operator_addrs[4]);
         let (_, got) =
             local_cluster::request(&http, Method::GET, url, Vec::new(), &[]).await.unwrap();
         for mark in marks {
@@ -278,7 +280,7 @@
     // Guards against a blank machine that starts while all its seeds are gone, and waits for
     // them for ever although its settings name others by now.
     block(async {
-        let f = LocalCluster::up(layout("seeds-again", "mohalla", 1)).await.unwrap();
+        let f = LocalCluster::start(layout("seeds-again", "mohalla", 1)).await.unwrap();
         let [listen, inner, gone] = {
             let ports = local_cluster::free_ports(3).unwrap();
             [0, 1, 2].map(|port| SocketAddr::from(([127, 0, 0, 1], ports[port])))
--- a/crates/server/tests/stale_orders.rs
+++ b/crates/server/tests/stale_orders.rs
@@ -18,19 +18,19 @@
 fn an_order_that_lay_in_the_socket_of_a_frozen_controller_is_not_carried_out_late() {
     // Guards against a drained zone that a frozen controller takes back once more.
     block(async {
-        let cluster = LocalCluster::up(layout("stale-orders", "mohalla", 1)).await.unwrap();
+        let cluster = LocalCluster::start(layout("stale-orders", "mohalla", 1)).await.unwrap();
         let freezes = [(1_300, 1), (2_500, 0), (2_500, 1), (4_500, 0), (4_500, 1), (6_000, 1)];
         for (freeze_ms, which) in freezes {
             let controllers = leader_first(&cluster).await;
             let (frozen, other) = (controllers[which], controllers[2]);
-            give(&cluster, cluster.doors[other], "drained").await;
+            give(&cluster, cluster.operator_addrs[other], "drained").await;
             cluster.controllers[frozen].signal("STOP").unwrap();
             let freeze = tokio::time::sleep(Duration::from_millis(freeze_ms));
-            let stale = send(cluster.doors[frozen], "open", 0);
+            let stale = send(cluster.operator_addrs[frozen], "open", 0);
             tokio::time::sleep(CALLER_PATIENCE).await;
             drop(stale);
-            give(&cluster, cluster.doors[other], "open").await;
-            give(&cluster, cluster.doors[other], "drained").await;
+            give(&cluster, cluster.operator_addrs[other], "open").await;
+            give(&cluster, cluster.operator_addrs[other], "drained").await;
             freeze.await;
             cluster.controllers[frozen].signal("CONT").unwrap();
             tokio::time::sleep(SETTLE).await;
@@ -46,15 +46,15 @@
 #[googletest::test]
 fn an_order_that_waits_for_a_leader_is_dropped_when_its_sender_leaves() {
     block(async {
-        let cluster = LocalCluster::up(layout("left-orders", "mohalla", 1)).await.unwrap();
+        let cluster = LocalCluster::start(layout("left-orders", "mohalla", 1)).await.unwrap();
         let [leader, other, alone] = leader_first(&cluster).await;
-        give(&cluster, cluster.doors[leader], "drained").await;
+        give(&cluster, cluster.operator_addrs[leader], "drained").await;
         for frozen in [leader, other] {
             cluster.controllers[frozen].signal("STOP").unwrap();
         }
         // The leader is known for a while after it fell silent.
         tokio::time::sleep(2 * CALLER_PATIENCE).await;
-        let left = send(cluster.doors[alone], "open", 0);
+        let left = send(cluster.operator_addrs[alone], "open", 0);
         tokio::time::sleep(CALLER_PATIENCE).await;
         drop(left);
         tokio::time::sleep(CALLER_PATIENCE / 2).await;
--- a/crates/server/tests/voter_moves.rs
+++ b/crates/server/tests/voter_moves.rs
@@ -19,7 +19,7 @@
 #[googletest::test]
 fn a_voter_moves_to_a_new_machine_while_queriers_serve() {
     block(async {
-        let mut f = LocalCluster::up(layout("moved", "mohalla", 3)).await.unwrap();
+        let mut f = LocalCluster::start(layout("moved", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
         let val = json!({ "zones": [{ "name": "before", "state": "open" }] });
         f.patch(&val, "before").await.unwrap();
@@ -53,13 +53,13 @@
         let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
         let revision = f.patch(&val, "after").await.unwrap();
         for i in 0..f.queriers.len() {
-            let obeys = || async { f.obeyed(i).await.is_some_and(|r| r >= revision) };
+            let obeys = || async { f.applied_revision(i).await.is_some_and(|r| r >= revision) };
             assert!(
                 local_cluster::until(LONG, obeys).await,
                 "querier {i} does not obey {revision}"
             );
         }
-        let url = format!("http://{}/v1/config", f.doors[2]);
+        let url = format!("http://{}/v1/config", f.operator_addrs[2]);
         let got =
             local_cluster::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap().1;
         let zones = got["config"]["zones"].to_string();
