--- a/crates/server/src/local_cluster/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -10,7 +10,7 @@
 
 use grebepath_simulator::spec;
 use serde_json::{Value, json};
-use testbed::callers::{Seen, load, report, watch_ready};
+use testbed::callers::{CallerStatistics, poll_readiness, report, run_load};
 use testbed::local_cluster;
 use testbed::local_cluster::error::LocalClusterError;
 use testbed::local_cluster::{Layout, LocalCluster};
@@ -66,10 +66,10 @@
         grebepath_runtime::stop::requested().await;
         return Ok(true);
     }
-    let seen = Rc::new(RefCell::new(Seen::default()));
+    let seen = Rc::new(RefCell::new(CallerStatistics::default()));
     let until = Instant::now() + Duration::from_secs(args.seconds);
     let ready = Rc::new(RefCell::new(f.caller_addrs.clone()));
-    let watch = watch_ready(
+    let watch = poll_readiness(
         grebepath_runtime::http::client::HttpClient::new(2),
         f.caller_addrs.clone(),
         ready.clone(),
@@ -80,8 +80,15 @@
     let mut loads = Vec::new();
     for (i, kind) in spec.kinds.iter().enumerate() {
         let seed = args.seed.wrapping_add(i as u64);
-        let task =
-            load(http.clone(), kind.clone(), args.factor, ready.clone(), seen.clone(), seed, until);
+        let task = run_load(
+            http.clone(),
+            kind.clone(),
+            args.factor,
+            ready.clone(),
+            seen.clone(),
+            seed,
+            until,
+        );
         loads.push(tokio::task::spawn_local(task));
     }
     fault_schedule::run(&mut f, &args.troubles).await?;
@@ -96,7 +103,7 @@
 }
 
 /// What callers saw, what leafs ran, and what the queriers counted.
-async fn summary(f: &LocalCluster, seen: &Seen) -> Result<Value, LocalClusterError> {
+async fn summary(f: &LocalCluster, seen: &CallerStatistics) -> Result<Value, LocalClusterError> {
     let runs = f.query_backends("/runs").await?;
     let state = f.query_backends("/state").await?;
     let leafs = state["leafs"].as_array().cloned().unwrap_or_default();
--- a/crates/server/src/mock_backends/main.rs
+++ b/crates/server/src/mock_backends/main.rs
@@ -12,7 +12,7 @@
 use http_body_util::Full;
 use hyper::Request;
 use serde_json::Value;
-use testbed::callers::{self, Seen, load, watch_ready};
+use testbed::callers::{self, CallerStatistics, poll_readiness, run_load};
 use testbed::control_listener;
 use testbed::mock_backends::MockBackends;
 
@@ -66,10 +66,10 @@
 ) -> Result<(), MockBackendsError> {
     let spec = spec::read(&file)?;
     let http = grebepath_runtime::http::client::HttpClient::new(64);
-    let seen = Rc::new(RefCell::new(Seen::default()));
+    let seen = Rc::new(RefCell::new(CallerStatistics::default()));
     let ready = Rc::new(RefCell::new(targets.clone()));
     let until = Instant::now() + Duration::from_secs(seconds);
-    let watching = watch_ready(
+    let watching = poll_readiness(
         grebepath_runtime::http::client::HttpClient::new(2),
         targets,
         ready.clone(),
@@ -80,7 +80,7 @@
     for (i, kind) in spec.kinds.iter().enumerate() {
         let seed = seed.wrapping_add(i as u64);
         let (kind, ready, seen) = (kind.clone(), ready.clone(), seen.clone());
-        let task = load(http.clone(), kind, factor, ready, seen, seed, until);
+        let task = run_load(http.clone(), kind, factor, ready, seen, seed, until);
         loads.push(tokio::task::spawn_local(task));
     }
     for task in loads {
--- a/crates/server/src/process_soak/cluster_run.rs
+++ b/crates/server/src/process_soak/cluster_run.rs
@@ -9,7 +9,7 @@
 use grebepath_simulator::spec::Spec;
 use hyper::Method;
 use serde_json::{Value, json};
-use testbed::callers::{Seen, load, report, watch_ready};
+use testbed::callers::{CallerStatistics, poll_readiness, report, run_load};
 use testbed::local_cluster;
 use testbed::local_cluster::process::Process;
 use testbed::local_cluster::{Layout, LocalCluster};
@@ -85,7 +85,7 @@
     let sends = args.broken.as_deref() != Some("unsent-drains");
     let work = operator::work(cluster.operator_addrs.clone(), given, record.clone(), sends);
     let operator = tokio::task::spawn_local(work);
-    let seen = Rc::new(RefCell::new(Seen::default()));
+    let seen = Rc::new(RefCell::new(CallerStatistics::default()));
     let until = Instant::now() + Duration::from_millis(args.length_ms());
     let mut loads = start_load(&cluster, &spec, seed, &seen, until);
     let config = std::fs::read(format!("{}/{DEPLOYMENT}.json", args.deploy))?;
@@ -128,11 +128,12 @@
     cluster: &LocalCluster,
     spec: &Spec,
     seed: u64,
-    seen: &Rc<RefCell<Seen>>,
+    seen: &Rc<RefCell<CallerStatistics>>,
     until: Instant,
 ) -> Vec<tokio::task::JoinHandle<()>> {
     let ready = Rc::new(RefCell::new(cluster.caller_addrs.clone()));
-    let watch = watch_ready(HttpClient::new(2), cluster.caller_addrs.clone(), ready.clone(), until);
+    let watch =
+        poll_readiness(HttpClient::new(2), cluster.caller_addrs.clone(), ready.clone(), until);
     tokio::task::spawn_local(watch);
     // Kept connections are used until the process at their end is gone.
     let http = HttpClient::new(128);
@@ -140,7 +141,7 @@
     kinds
         .map(|(kind, seed)| {
             let (http, ready, seen) = (http.clone(), ready.clone(), seen.clone());
-            tokio::task::spawn_local(load(http, kind.clone(), LOAD, ready, seen, seed, until))
+            tokio::task::spawn_local(run_load(http, kind.clone(), LOAD, ready, seen, seed, until))
         })
         .collect()
 }
@@ -354,7 +355,7 @@
 async fn read_end(
     cluster: &LocalCluster,
     record: &Rc<RefCell<Record>>,
-    seen: &Seen,
+    seen: &CallerStatistics,
 ) -> Result<(), Failure> {
     let runs = cluster.query_backends("/runs").await?;
     let runs = runs.as_array().cloned().unwrap_or_default();
--- a/crates/server/src/process_soak/long_calls.rs
+++ b/crates/server/src/process_soak/long_calls.rs
@@ -9,7 +9,7 @@
 use grebepath_runtime::http::client::HttpClient;
 use grebepath_simulator::spec::{Kind, Spec};
 use serde_json::{Value, json};
-use testbed::callers::{Seen, one};
+use testbed::callers::{CallerStatistics, call_once};
 use testbed::local_cluster::LocalCluster;
 use testbed::local_cluster::error::LocalClusterError;
 use tokio::task::JoinHandle;
@@ -31,7 +31,7 @@
     cluster: &LocalCluster,
     spec: &Spec,
     config: &Value,
-    seen: &Rc<RefCell<Seen>>,
+    seen: &Rc<RefCell<CallerStatistics>>,
     until: Instant,
 ) -> Result<Vec<JoinHandle<()>>, LocalClusterError> {
     cluster.control_backends(json!({ "do": "slow", "service": SERVICE, "ms": LEAF_MS })).await?;
@@ -58,13 +58,13 @@
     front: SocketAddr,
     kind: Rc<Kind>,
     number: u64,
-    seen: Rc<RefCell<Seen>>,
+    seen: Rc<RefCell<CallerStatistics>>,
     until: Instant,
 ) {
     let http = HttpClient::new(1);
     let mut turn = 0;
     while Instant::now() < until {
-        one(http.clone(), front, kind.clone(), number << 20 | turn, seen.clone()).await;
+        call_once(http.clone(), front, kind.clone(), number << 20 | turn, seen.clone()).await;
         turn += 1;
         tokio::time::sleep(PAUSE).await;
     }
--- a/crates/server/src/testbed/callers.rs
+++ b/crates/server/src/testbed/callers.rs
@@ -18,10 +18,10 @@
 
 /// What the callers saw.
 #[derive(Default)]
-pub struct Seen {
-    pub kinds: BTreeMap<String, KindSeen>,
-    pub bad: Vec<String>,
-    pub bad_count: u64,
+pub struct CallerStatistics {
+    pub kinds: BTreeMap<String, KindStatistics>,
+    pub violations: Vec<String>,
+    pub violation_count: u64,
     /// Query, services claimed, question: for the check against the leafs' log.
     pub claims: Vec<(String, Vec<String>, String)>,
     pub asked: BTreeSet<String>,
@@ -31,21 +31,26 @@
 
 /// Counts for one kind of call.
 #[derive(Default, Clone)]
-pub struct KindSeen {
+pub struct KindStatistics {
     pub full: u64,
     pub partial: u64,
-    pub bounced: BTreeMap<String, u64>,
+    pub rejected: BTreeMap<String, u64>,
     pub unreachable: u64,
     pub late: u64,
     /// Waits for successes, in microseconds.
-    pub waits: Vec<u64>,
+    pub latencies_us: Vec<u64>,
 }
 
 /// Nodes that callers are sent to, as the platform sees them ready.
 pub type Targets = Rc<RefCell<Vec<SocketAddr>>>;
 
 /// Checks readiness each second, as the platform does, until `until`.
-pub async fn watch_ready(http: HttpClient, all: Vec<SocketAddr>, ready: Targets, until: Instant) {
+pub async fn poll_readiness(
+    http: HttpClient,
+    all: Vec<SocketAddr>,
+    ready: Targets,
+    until: Instant,
+) {
     while Instant::now() < until {
         let mut list = Vec::new();
         for addr in &all {
@@ -68,12 +73,12 @@
 }
 
 /// Sends one kind's calls at their rate, times `factor`, until `until`.
-pub async fn load(
+pub async fn run_load(
     http: HttpClient,
     kind: Kind,
     factor: f64,
     targets: Targets,
-    seen: Rc<RefCell<Seen>>,
+    seen: Rc<RefCell<CallerStatistics>>,
     seed: u64,
     until: Instant,
 ) {
@@ -95,7 +100,7 @@
             let num = random.below(1 << 40);
             match addr {
                 Some(addr) => {
-                    tokio::task::spawn_local(one(
+                    tokio::task::spawn_local(call_once(
                         http.clone(),
                         addr,
                         kind.clone(),
@@ -103,7 +108,7 @@
                         seen.clone(),
                     ));
                 }
-                None => count(&seen, &kind).unreachable += 1,
+                None => kind_statistics(&seen, &kind).unreachable += 1,
             }
         }
     };
@@ -111,7 +116,10 @@
     calls.await;
 }
 
-fn count<'a>(seen: &'a Rc<RefCell<Seen>>, kind: &Kind) -> std::cell::RefMut<'a, KindSeen> {
+fn kind_statistics<'a>(
+    seen: &'a Rc<RefCell<CallerStatistics>>,
+    kind: &Kind,
+) -> std::cell::RefMut<'a, KindStatistics> {
     std::cell::RefMut::map(seen.borrow_mut(), |s| s.kinds.entry(kind.search.clone()).or_default())
 }
 
@@ -122,12 +130,12 @@
 }
 
 /// One call and its check.
-pub async fn one(
+pub async fn call_once(
     http: HttpClient,
     addr: SocketAddr,
     kind: Rc<Kind>,
     num: u64,
-    seen: Rc<RefCell<Seen>>,
+    seen: Rc<RefCell<CallerStatistics>>,
 ) {
     let id = {
         let mut s = seen.borrow_mut();
@@ -152,7 +160,7 @@
     let wait = Duration::from_millis(kind.budget_ms);
     // A moment beyond the budget, to tell late answers from lost ones.
     let got = http.call_within(req, 16 << 20, wait + Duration::from_millis(500)).await;
-    let took = start.elapsed();
+    let elapsed = start.elapsed();
     let mut s = seen.borrow_mut();
     let c = s.kinds.entry(kind.search.clone()).or_default();
     let resp = match got {
@@ -166,13 +174,13 @@
             return;
         }
     };
-    if took > wait {
+    if elapsed > wait {
         c.late += 1;
     }
     if resp.status() != 200 {
         let val: Value = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
         let why = val["error"].as_str().unwrap_or("?").to_string();
-        *c.bounced.entry(why).or_default() += 1;
+        *c.rejected.entry(why).or_default() += 1;
         return;
     }
     let missing = resp.headers().get("missing-parts").and_then(|v| v.to_str().ok());
@@ -180,17 +188,17 @@
         Some("0") => c.full += 1,
         _ => c.partial += 1,
     }
-    c.waits.push(took.as_micros() as u64);
-    let (bad, services) = success(&kind, &asked, missing, resp.body());
+    c.latencies_us.push(elapsed.as_micros() as u64);
+    let (violations, services) = success(&kind, &asked, missing, resp.body());
     let val: Value = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
     let query = val["query"].as_str().unwrap_or_default().to_string();
     let revision = val["revision"].as_u64().unwrap_or(0);
     s.revisions.insert(addr, revision);
     s.claims.push((query.clone(), services, asked.question));
-    for text in bad {
-        s.bad_count += 1;
-        if s.bad.len() < 20 {
-            s.bad.push(format!("{query}: {text}"));
+    for text in violations {
+        s.violation_count += 1;
+        if s.violations.len() < 20 {
+            s.violations.push(format!("{query}: {text}"));
         }
     }
 }
@@ -204,30 +212,30 @@
 }
 
 /// Everything seen as JSON, with the check against the leafs' log.
-pub fn report(seen: &Seen, runs: &[Value]) -> Value {
+pub fn report(seen: &CallerStatistics, runs: &[Value]) -> Value {
     let mut kinds = serde_json::Map::new();
     for (name, k) in &seen.kinds {
-        let mut waits = k.waits.clone();
-        waits.sort_unstable();
-        let bounced: u64 = k.bounced.values().sum();
-        let all = k.full + k.partial + bounced + k.unreachable;
+        let mut latencies_us = k.latencies_us.clone();
+        latencies_us.sort_unstable();
+        let rejected: u64 = k.rejected.values().sum();
+        let all = k.full + k.partial + rejected + k.unreachable;
         kinds.insert(
             name.clone(),
             json!({
-                "calls": all, "full": k.full, "partial": k.partial, "bounced": k.bounced,
+                "calls": all, "full": k.full, "partial": k.partial, "bounced": k.rejected,
                 "unreachable": k.unreachable, "late": k.late,
                 "full_pct": if all == 0 { 0.0 } else { 100.0 * k.full as f64 / all as f64 },
-                "wait_ms": { "p50": quantile(&waits, 50) as f64 / 1000.0,
-                             "p90": quantile(&waits, 90) as f64 / 1000.0,
-                             "p99": quantile(&waits, 99) as f64 / 1000.0,
-                             "max": waits.last().copied().unwrap_or(0) as f64 / 1000.0 },
+                "wait_ms": { "p50": quantile(&latencies_us, 50) as f64 / 1000.0,
+                             "p90": quantile(&latencies_us, 90) as f64 / 1000.0,
+                             "p99": quantile(&latencies_us, 99) as f64 / 1000.0,
+                             "max": latencies_us.last().copied().unwrap_or(0) as f64 / 1000.0 },
             }),
         );
     }
     let log = against_runs(&seen.claims, &seen.asked, runs);
-    let bad: Vec<&String> = seen.bad.iter().chain(log.iter().take(20)).collect();
+    let violations: Vec<&String> = seen.violations.iter().chain(log.iter().take(20)).collect();
     json!({
-        "kinds": kinds, "violations": seen.bad_count + log.len() as u64, "first": bad,
+        "kinds": kinds, "violations": seen.violation_count + log.len() as u64, "first": violations,
         "claims": seen.claims.len(), "runs": runs.len(),
     })
 }
--- a/crates/server/src/testbed/control_listener.rs
+++ b/crates/server/src/testbed/control_listener.rs
@@ -67,7 +67,7 @@
             tokio::time::sleep(Duration::from_secs(3600)).await;
             (500, String::new())
         }
-        _ => (200, backends.borrow_mut().committed_list().to_string()),
+        _ => (200, backends.borrow_mut().published_list().to_string()),
     }
 }
 
@@ -79,14 +79,14 @@
             let l = l.borrow();
             json!({
                 "leaf": l.name, "service": l.service.name, "zone": l.zone, "version": l.version,
-                "addr": l.addr.to_string(), "alive": l.alive.is_some(), "leaving": l.leaving,
-                "live": l.live, "worst_pct": l.worst_pct, "ran": l.ran,
-                "misdirected": l.misdirected, "reached": l.reached, "changed": l.changed,
-                "late_work_ms": l.late_work_ms,
+                "addr": l.addr.to_string(), "alive": l.serving_task.is_some(), "leaving": l.leaving,
+                "live": l.in_flight, "worst_pct": l.peak_load_pct, "ran": l.run_count,
+                "misdirected": l.misdirected, "reached": l.misdirected_work, "changed": l.altered_queries,
+                "late_work_ms": l.last_work_after_drain_ms,
             })
         })
         .collect();
-    json!({ "now_ms": backends.zero.elapsed().as_millis() as u64, "leafs": leafs })
+    json!({ "now_ms": backends.started_at.elapsed().as_millis() as u64, "leafs": leafs })
 }
 
 fn runs(backends: &MockBackends) -> Value {
@@ -96,7 +96,15 @@
         .iter()
         .map(|r| {
             json!([
-                r.leaf, r.service, r.cut, r.zone, r.query, r.question, r.key, r.at_ms, r.answered
+                r.leaf,
+                r.service,
+                r.index_version,
+                r.zone,
+                r.query,
+                r.question,
+                r.key,
+                r.at_ms,
+                r.answered
             ])
         })
         .collect();
@@ -105,7 +113,7 @@
 
 /// Why an order is not carried out.
 #[derive(Debug, Error)]
-enum OrderError {
+enum ControlError {
     #[error("{0}")]
     NotJson(#[from] serde_json::Error),
     #[error("`do` is missing")]
@@ -119,68 +127,68 @@
 }
 
 /// Carries out an order; tells the leafs it was for.
-async fn control(backends: &Shared, body: &[u8]) -> Result<Value, OrderError> {
+async fn control(backends: &Shared, body: &[u8]) -> Result<Value, ControlError> {
     let val: Value = serde_json::from_slice(body)?;
-    let order = val["do"].as_str().ok_or(OrderError::Missing)?.to_string();
+    let command = val["do"].as_str().ok_or(ControlError::Missing)?.to_string();
     let ms = val["ms"].as_u64().unwrap_or(0);
-    if let Some(mode) = order.strip_prefix("list-") {
+    if let Some(mode) = command.strip_prefix("list-") {
         backends.borrow_mut().list_mode = (mode != "good").then(|| mode.to_string());
         return Ok(json!({ "list": mode }));
     }
-    let hits = matching(&backends.borrow(), &val);
-    if hits.is_empty() {
-        return Err(OrderError::NoMatch);
+    let matching_leafs = matching(&backends.borrow(), &val);
+    if matching_leafs.is_empty() {
+        return Err(ControlError::NoMatch);
     }
     let mut out = Vec::new();
-    for leaf in &hits {
-        out.push(one(backends, leaf, &order, ms, &val).await?);
+    for leaf in &matching_leafs {
+        out.push(apply_command(backends, leaf, &command, ms, &val).await?);
     }
-    backends.borrow_mut().note_change();
+    backends.borrow_mut().publish_change();
     Ok(json!({ "leafs": out }))
 }
 
 fn matching(backends: &MockBackends, val: &Value) -> Vec<Rc<RefCell<Leaf>>> {
-    let fits = |key: &str, has: &str| val[key].as_str().is_none_or(|want| want == has);
-    let mut hits: Vec<_> = backends
+    let matches = |key: &str, has: &str| val[key].as_str().is_none_or(|want| want == has);
+    let mut matching_leafs: Vec<_> = backends
         .leafs
         .values()
         .filter(|l| {
             let l = l.borrow();
             // A dead leaf's address may be another's by now.
-            l.alive.is_some()
-                && fits("leaf", &l.name)
-                && fits("service", &l.service.name)
-                && fits("zone", &l.zone)
+            l.serving_task.is_some()
+                && matches("leaf", &l.name)
+                && matches("service", &l.service.name)
+                && matches("zone", &l.zone)
         })
         .cloned()
         .collect();
     if let Some(most) = val["count"].as_u64() {
-        hits.truncate(most as usize);
+        matching_leafs.truncate(most as usize);
     }
-    hits
+    matching_leafs
 }
 
-async fn one(
+async fn apply_command(
     backends: &Shared,
     leaf: &Rc<RefCell<Leaf>>,
-    order: &str,
+    command: &str,
     ms: u64,
     val: &Value,
-) -> Result<Value, OrderError> {
-    if order == "new-version" {
+) -> Result<Value, ControlError> {
+    if command == "new-version" {
         return new_version(backends, leaf, ms, val).await;
     }
-    if let Some(mode) = mode(order, ms, val) {
+    if let Some(mode) = mode(command, ms, val) {
         let mut l = leaf.borrow_mut();
         l.mode = mode;
         return Ok(json!(l.name));
     }
-    match order {
+    match command {
         "leave" | "leave-unseen" => {
             let mut l = leaf.borrow_mut();
             l.leaving = true;
-            l.tells_leaving = order == "leave";
-            l.left_at = Some(Instant::now());
+            l.reports_leaving = command == "leave";
+            l.draining_since = Some(Instant::now());
             Ok(json!(l.name))
         }
         "kill" | "restart" | "reuse" => {
@@ -189,17 +197,17 @@
                 (l.service.clone(), l.zone.clone(), l.addr)
             };
             leaf.borrow_mut().kill();
-            if order == "kill" {
+            if command == "kill" {
                 return Ok(json!(leaf.borrow().name));
             }
-            if order == "reuse" {
+            if command == "reuse" {
                 // Another service takes the address over.
                 service.name = val["by"].as_str().unwrap_or("stranger").to_string();
             }
             let got = start_leaf(backends, service, &zone, addr, Duration::ZERO).await;
             Ok(json!(got?))
         }
-        other => Err(OrderError::Unknown(other.to_string())),
+        other => Err(ControlError::Unknown(other.to_string())),
     }
 }
 
@@ -208,19 +216,19 @@
     Some(match word {
         "good" => Mode::Good,
         "slow" => Mode::Slow(ms),
-        "dark" => Mode::Dark,
+        "dark" => Mode::Unresponsive,
         "pauses" => {
             Mode::Pauses { every: val["every"].as_u64().unwrap_or(3_000).max(1), pause: ms }
         }
         "garbage" => Mode::Garbage,
-        "cut-short" => Mode::CutShort,
-        "disorder" => Mode::Disorder,
+        "cut-short" => Mode::Truncated,
+        "disorder" => Mode::Unsorted,
         "no-postmark" => Mode::NoPostmark,
         "two-postmarks" => Mode::TwoPostmarks,
         "stale-postmark" => Mode::StalePostmark,
-        "wrong-cut" => Mode::WrongCut,
+        "wrong-cut" => Mode::WrongIndexVersion,
         "overlong" => Mode::Overlong,
-        "unrun" => Mode::Unrun,
+        "unrun" => Mode::RejectAll,
         _ => return None,
     })
 }
@@ -231,7 +239,7 @@
     leaf: &Rc<RefCell<Leaf>>,
     ms: u64,
     val: &Value,
-) -> Result<Value, OrderError> {
+) -> Result<Value, ControlError> {
     let (service, zone) = {
         let l = leaf.borrow();
         (l.service.clone(), l.zone.clone())
--- a/crates/server/src/testbed/mock_backends/leaf.rs
+++ b/crates/server/src/testbed/mock_backends/leaf.rs
@@ -13,22 +13,22 @@
     /// Takes so much longer.
     Slow(u64),
     /// Takes connections and requests and never answers.
-    Dark,
+    Unresponsive,
     /// Stops for so long (ms) every so often (ms).
     Pauses {
         every: u64,
         pause: u64,
     },
     Garbage,
-    CutShort,
-    Disorder,
+    Truncated,
+    Unsorted,
     NoPostmark,
     TwoPostmarks,
     StalePostmark,
-    WrongCut,
+    WrongIndexVersion,
     Overlong,
     /// Turns every request away unrun.
-    Unrun,
+    RejectAll,
 }
 
 /// A leaf's state.
@@ -42,30 +42,30 @@
     pub mode: Mode,
     pub leaving: bool,
     /// Whether it tells who asks it that it leaves; the list shows it in any case.
-    pub tells_leaving: bool,
-    pub born: Instant,
-    pub live: u32,
+    pub reports_leaving: bool,
+    pub started_at: Instant,
+    pub in_flight: u32,
     /// Most dispatches it had at once over what it could bear then, in
     /// hundredths.
-    pub worst_pct: u32,
-    pub ran: u64,
+    pub peak_load_pct: u32,
+    pub run_count: u64,
     /// Requests for another leaf, another service, or with a changed question:
     /// all turned away unrun.
     pub misdirected: u64,
     /// Those of them that brought work, rather than asking who is here.
-    pub reached: u64,
-    pub changed: u64,
+    pub misdirected_work: u64,
+    pub altered_queries: u64,
     pub postmark: Option<String>,
-    pub alive: Option<AbortHandle>,
+    pub serving_task: Option<AbortHandle>,
     /// When it was told to leave, and new work it got after that.
-    pub left_at: Option<Instant>,
-    pub late_work_ms: u64,
+    pub draining_since: Option<Instant>,
+    pub last_work_after_drain_ms: u64,
 }
 
 impl Leaf {
     /// Requests that it bears at once, at its age.
     pub fn capacity(&self) -> u32 {
-        let age_ms = self.born.elapsed().as_millis() as u64;
+        let age_ms = self.started_at.elapsed().as_millis() as u64;
         let full = u64::from(self.service.bears);
         let ramp_ms = self.service.ramp_ms;
         if ramp_ms == 0 || age_ms >= ramp_ms {
@@ -76,7 +76,7 @@
 
     /// Ends it with all its connections, as a kill does.
     pub fn kill(&mut self) {
-        if let Some(task) = self.alive.take() {
+        if let Some(task) = self.serving_task.take() {
             task.abort();
         }
     }
@@ -87,7 +87,7 @@
 pub struct Run {
     pub leaf: String,
     pub service: String,
-    pub cut: String,
+    pub index_version: String,
     pub zone: String,
     pub query: String,
     pub question: String,
--- a/crates/server/src/testbed/mock_backends/leaf_server.rs
+++ b/crates/server/src/testbed/mock_backends/leaf_server.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use grebepath_core::digest::digest;
-use grebepath_core::http_api::leaf as edge;
+use grebepath_core::http_api::leaf as leaf_api;
 use grebepath_core::random::Random;
 use http_body_util::BodyExt;
 use hyper::server::conn::http1;
@@ -28,7 +28,7 @@
     leaf: Rc<RefCell<Leaf>>,
     runs: Rc<RefCell<Vec<Run>>>,
     random: Rc<RefCell<Random>>,
-    zero: Instant,
+    started_at: Instant,
 ) {
     let mut connections = JoinSet::new();
     loop {
@@ -38,7 +38,7 @@
                 let _ = stream.set_nodelay(true);
                 let (leaf, runs, random) = (leaf.clone(), runs.clone(), random.clone());
                 let service = service_fn(move |req| {
-                    handle(leaf.clone(), runs.clone(), random.clone(), zero, req)
+                    handle(leaf.clone(), runs.clone(), random.clone(), started_at, req)
                 });
                 connections.spawn_local(async move {
                     let _ = http1::Builder::new()
@@ -54,7 +54,7 @@
 /// A body that may break off before its end.
 pub struct Body {
     bytes: Option<Bytes>,
-    cut: bool,
+    truncated: bool,
 }
 
 impl hyper::body::Body for Body {
@@ -68,7 +68,7 @@
         use std::task::Poll::Ready;
         match self.bytes.take() {
             Some(bytes) => Ready(Some(Ok(hyper::body::Frame::data(bytes)))),
-            None if self.cut => Ready(Some(Err(std::io::Error::other("cut short")))),
+            None if self.truncated => Ready(Some(Err(std::io::Error::other("cut short")))),
             None => Ready(None),
         }
     }
@@ -77,11 +77,11 @@
 type Reply = Response<Body>;
 
 /// Counts a dispatch out again, however its handling ends.
-struct Live(Rc<RefCell<Leaf>>);
+struct InFlightGuard(Rc<RefCell<Leaf>>);
 
-impl Drop for Live {
+impl Drop for InFlightGuard {
     fn drop(&mut self) {
-        self.0.borrow_mut().live -= 1;
+        self.0.borrow_mut().in_flight -= 1;
     }
 }
 
@@ -89,72 +89,75 @@
     leaf: Rc<RefCell<Leaf>>,
     runs: Rc<RefCell<Vec<Run>>>,
     random: Rc<RefCell<Random>>,
-    zero: Instant,
+    started_at: Instant,
     req: Request<hyper::body::Incoming>,
 ) -> Result<Reply, Infallible> {
     let head = |name: &str| {
         req.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_string()
     };
-    let (want, service) = (head(edge::EXPECT_LEAF), head(edge::EXPECT_SERVICE));
-    let probe = req.uri().path() == edge::SELF_PATH;
-    let (query, sum) = (head(edge::QUERY_ID), head(edge::QUESTION_DIGEST));
+    let (want, service) = (head(leaf_api::EXPECT_LEAF), head(leaf_api::EXPECT_SERVICE));
+    let probe = req.uri().path() == leaf_api::SELF_PATH;
+    let (query, sum) = (head(leaf_api::QUERY_ID), head(leaf_api::QUESTION_DIGEST));
     let body = match req.into_body().collect().await {
         Ok(body) => body.to_bytes(),
-        Err(_) => return Ok(plain(&leaf, 400)),
+        Err(_) => return Ok(empty_reply(&leaf, 400)),
     };
-    if let Some(code) = refuses(&leaf, &want, &service, (!probe).then_some((&body, &sum))) {
-        return Ok(unrun(&leaf, code));
+    if let Some(code) = check_request(&leaf, &want, &service, (!probe).then_some((&body, &sum))) {
+        return Ok(reject(&leaf, code));
     }
     if probe {
-        if leaf.borrow().mode == Mode::Dark {
+        if leaf.borrow().mode == Mode::Unresponsive {
             std::future::pending::<()>().await;
         }
-        return Ok(plain(&leaf, 200));
+        return Ok(empty_reply(&leaf, 200));
     }
     let Ok(asked) = serde_json::from_slice::<Value>(&body) else {
-        return Ok(unrun(&leaf, 400));
+        return Ok(reject(&leaf, 400));
     };
-    let (live, bear, mode) = {
+    let (in_flight, capacity, mode) = {
         let mut l = leaf.borrow_mut();
-        l.live += 1;
-        let bear = l.capacity();
-        l.worst_pct = l.worst_pct.max(l.live * 100 / bear);
-        if let Some(at) = l.left_at {
-            l.late_work_ms = l.late_work_ms.max(at.elapsed().as_millis() as u64);
+        l.in_flight += 1;
+        let capacity = l.capacity();
+        l.peak_load_pct = l.peak_load_pct.max(l.in_flight * 100 / capacity);
+        if let Some(at) = l.draining_since {
+            l.last_work_after_drain_ms =
+                l.last_work_after_drain_ms.max(at.elapsed().as_millis() as u64);
         }
-        (l.live, bear, l.mode.clone())
+        (l.in_flight, capacity, l.mode.clone())
     };
-    let _live = Live(leaf.clone());
-    if mode == Mode::Unrun || live > bear * 3 {
-        return Ok(unrun(&leaf, 503));
+    let _guard = InFlightGuard(leaf.clone());
+    if mode == Mode::RejectAll || in_flight > capacity * 3 {
+        return Ok(reject(&leaf, 503));
     }
     let question = asked["question"].as_str().unwrap_or_default().to_string();
     let key = asked["key"].as_str().map(str::to_string);
     let limit = asked["limit"].as_u64().unwrap_or(0) as usize;
-    let row = note_run(&leaf, &runs, zero, &query, &question, &key);
-    let base = leaf.borrow().service.took_ms;
-    let noise = random.borrow_mut().below(base + 1);
-    let over = u64::from(live.saturating_sub(bear)) * base / u64::from(bear.max(1));
-    let extra = match &mode {
+    let run_index = note_run(&leaf, &runs, started_at, &query, &question, &key);
+    let base_ms = leaf.borrow().service.took_ms;
+    let noise_ms = random.borrow_mut().below(base_ms + 1);
+    let overload_ms =
+        u64::from(in_flight.saturating_sub(capacity)) * base_ms / u64::from(capacity.max(1));
+    let extra_ms = match &mode {
         Mode::Slow(ms) => *ms,
-        Mode::Dark => 3_600_000,
+        Mode::Unresponsive => 3_600_000,
         Mode::Pauses { every, pause } => {
-            let phase = zero.elapsed().as_millis() as u64 % every;
+            let phase = started_at.elapsed().as_millis() as u64 % every;
             pause.saturating_sub(phase)
         }
         _ => 0,
     };
-    tokio::time::sleep(Duration::from_millis(base / 2 + noise / 2 + over + extra)).await;
+    tokio::time::sleep(Duration::from_millis(base_ms / 2 + noise_ms / 2 + overload_ms + extra_ms))
+        .await;
     // One record alone can't be out of order.
-    let ordered = mode == Mode::Disorder && limit == 1;
+    let ordered = mode == Mode::Unsorted && limit == 1;
     if ordered || matches!(mode, Mode::Good | Mode::Slow(_) | Mode::Pauses { .. }) {
-        runs.borrow_mut()[row].answered = true;
+        runs.borrow_mut()[run_index].answered = true;
     }
     Ok(answer(&leaf, &mode, &query, &sum, (&question, key.as_deref(), limit)))
 }
 
 /// Whether a leaf turns a request away: meant for another, or changed.
-fn refuses(
+fn check_request(
     leaf: &Rc<RefCell<Leaf>>,
     want: &str,
     service: &str,
@@ -163,11 +166,11 @@
     let mut l = leaf.borrow_mut();
     if want != l.name || service != l.service.name {
         l.misdirected += 1;
-        l.reached += u64::from(body.is_some());
-        return Some(edge::MISDIRECTED);
+        l.misdirected_work += u64::from(body.is_some());
+        return Some(leaf_api::MISDIRECTED);
     }
     if body.is_some_and(|(body, sum)| digest(body) != sum) {
-        l.changed += 1;
+        l.altered_queries += 1;
         return Some(400);
     }
     None
@@ -176,53 +179,57 @@
 fn note_run(
     leaf: &Rc<RefCell<Leaf>>,
     runs: &Rc<RefCell<Vec<Run>>>,
-    zero: Instant,
+    started_at: Instant,
     query: &str,
     question: &str,
     key: &Option<String>,
 ) -> usize {
     let mut l = leaf.borrow_mut();
-    l.ran += 1;
+    l.run_count += 1;
     runs.borrow_mut().push(Run {
         leaf: l.name.clone(),
         service: l.service.name.clone(),
-        cut: l.service.cut.clone(),
+        index_version: l.service.cut.clone(),
         zone: l.zone.clone(),
         query: query.to_string(),
         question: question.to_string(),
         key: key.clone(),
-        at_ms: zero.elapsed().as_millis() as u64,
+        at_ms: started_at.elapsed().as_millis() as u64,
         answered: false,
     });
     runs.borrow().len() - 1
 }
 
-fn dressed(leaf: &Rc<RefCell<Leaf>>, code: u16) -> hyper::http::response::Builder {
+fn reply_builder(leaf: &Rc<RefCell<Leaf>>, code: u16) -> hyper::http::response::Builder {
     let l = leaf.borrow();
-    let busy = (f64::from(l.live) / f64::from(l.capacity())).min(1.0);
+    let busy = (f64::from(l.in_flight) / f64::from(l.capacity())).min(1.0);
     let mut out = Response::builder()
         .status(code)
-        .header(edge::BUSY, format!("{busy:.2}"))
-        .header(edge::LEAF_AGE, l.born.elapsed().as_millis().to_string());
-    if l.leaving && l.tells_leaving {
-        out = out.header(edge::LEAF_STATE, "leaving");
+        .header(leaf_api::BUSY, format!("{busy:.2}"))
+        .header(leaf_api::LEAF_AGE, l.started_at.elapsed().as_millis().to_string());
+    if l.leaving && l.reports_leaving {
+        out = out.header(leaf_api::LEAF_STATE, "leaving");
     }
     out
 }
 
-fn finished(out: hyper::http::response::Builder, body: impl Into<Bytes>, cut: bool) -> Reply {
-    match out.body(Body { bytes: Some(body.into()), cut }) {
+fn finish_reply(
+    out: hyper::http::response::Builder,
+    body: impl Into<Bytes>,
+    truncated: bool,
+) -> Reply {
+    match out.body(Body { bytes: Some(body.into()), truncated }) {
         Ok(reply) => reply,
-        Err(_) => Response::new(Body { bytes: None, cut: true }),
+        Err(_) => Response::new(Body { bytes: None, truncated: true }),
     }
 }
 
-fn plain(leaf: &Rc<RefCell<Leaf>>, code: u16) -> Reply {
-    finished(dressed(leaf, code), "", false)
+fn empty_reply(leaf: &Rc<RefCell<Leaf>>, code: u16) -> Reply {
+    finish_reply(reply_builder(leaf, code), "", false)
 }
 
-fn unrun(leaf: &Rc<RefCell<Leaf>>, code: u16) -> Reply {
-    finished(dressed(leaf, code).header(edge::REJECTED, "1"), "", false)
+fn reject(leaf: &Rc<RefCell<Leaf>>, code: u16) -> Reply {
+    finish_reply(reply_builder(leaf, code).header(leaf_api::REJECTED, "1"), "", false)
 }
 
 fn answer(
@@ -236,31 +243,37 @@
         let l = leaf.borrow();
         (l.name.clone(), l.service.clone())
     };
-    let mut recs = oracle::records(&service.name, question, key, limit);
-    if *mode == Mode::Disorder {
-        recs.reverse();
+    let mut records = oracle::records(&service.name, question, key, limit);
+    if *mode == Mode::Unsorted {
+        records.reverse();
     }
-    let list: Vec<Value> = recs
+    let list: Vec<Value> = records
         .iter()
         .map(|r| json!({ "id": r.id, "score": r.score, "data": { "service": r.service } }))
         .collect();
     let mut body = json!({ "records": list }).to_string();
-    let mut out = dressed(leaf, 200);
-    let mark = edge::postmark(&name, query, sum);
-    let old = leaf.borrow_mut().postmark.replace(mark.clone());
+    let mut out = reply_builder(leaf, 200);
+    let postmark = leaf_api::postmark(&name, query, sum);
+    let previous_postmark = leaf.borrow_mut().postmark.replace(postmark.clone());
     out = match mode {
         Mode::NoPostmark => out,
-        Mode::TwoPostmarks => out.header(edge::POSTMARK, &mark).header(edge::POSTMARK, &mark),
-        Mode::StalePostmark => out.header(edge::POSTMARK, old.unwrap_or_default()),
-        _ => out.header(edge::POSTMARK, &mark),
+        Mode::TwoPostmarks => {
+            out.header(leaf_api::POSTMARK, &postmark).header(leaf_api::POSTMARK, &postmark)
+        }
+        Mode::StalePostmark => {
+            out.header(leaf_api::POSTMARK, previous_postmark.unwrap_or_default())
+        }
+        _ => out.header(leaf_api::POSTMARK, &postmark),
     };
-    out =
-        out.header(edge::INDEX_VERSION, if *mode == Mode::WrongCut { "w00" } else { &service.cut });
+    out = out.header(
+        leaf_api::INDEX_VERSION,
+        if *mode == Mode::WrongIndexVersion { "w00" } else { &service.cut },
+    );
     match mode {
         Mode::Garbage => body = "{\"records\":[{\"id\":7,".into(),
-        Mode::CutShort => body.truncate(body.len() / 2),
+        Mode::Truncated => body.truncate(body.len() / 2),
         Mode::Overlong => body.push_str(&" ".repeat(grebepath_core::consts::MAX_REPLY_BYTES)),
         _ => {}
     }
-    finished(out, body, *mode == Mode::CutShort)
+    finish_reply(out, body, *mode == Mode::Truncated)
 }
--- a/crates/server/src/testbed/mock_backends/mod.rs
+++ b/crates/server/src/testbed/mock_backends/mod.rs
@@ -32,14 +32,14 @@
     /// What the leafs ran.
     pub runs: Rc<RefCell<Vec<Run>>>,
     /// States of the list with the time from which each is shown.
-    committed: Vec<(Instant, Value)>,
+    published: Vec<(Instant, Value)>,
     /// How late the list shows a change.
     lag: Duration,
     /// Overrides the list's answer: `empty`, `garbage` or `dead`.
     pub list_mode: Option<String>,
     random: Rc<RefCell<Random>>,
     /// When the process began.
-    pub zero: Instant,
+    pub started_at: Instant,
     next_leaf: u64,
 }
 
@@ -49,11 +49,11 @@
         let backends = Rc::new(RefCell::new(MockBackends {
             leafs: BTreeMap::new(),
             runs: Rc::default(),
-            committed: Vec::new(),
+            published: Vec::new(),
             lag: Duration::from_millis(spec.list_lag_ms),
             list_mode: None,
             random: Rc::new(RefCell::new(Random::new(seed))),
-            zero: Instant::now(),
+            started_at: Instant::now(),
             next_leaf: 1,
         }));
         for service in &spec.services {
@@ -65,17 +65,17 @@
             }
         }
         let now = Instant::now();
-        let list = backends.borrow().list_now();
-        backends.borrow_mut().committed.push((now, list));
+        let list = backends.borrow().current_list();
+        backends.borrow_mut().published.push((now, list));
         Ok(backends)
     }
 
     /// The list as it truly is now.
-    fn list_now(&self) -> Value {
+    fn current_list(&self) -> Value {
         let leafs: Vec<Value> = self
             .leafs
             .values()
-            .filter(|leaf| leaf.borrow().alive.is_some())
+            .filter(|leaf| leaf.borrow().serving_task.is_some())
             .map(|leaf| {
                 let leaf = leaf.borrow();
                 let mut entry = json!({
@@ -94,19 +94,19 @@
     }
 
     /// Notes that the truth has changed; the list shows it later.
-    pub fn note_change(&mut self) {
+    pub fn publish_change(&mut self) {
         let at = Instant::now() + self.lag;
-        let list = self.list_now();
-        self.committed.push((at, list));
+        let list = self.current_list();
+        self.published.push((at, list));
     }
 
     /// The list as the platform shows it now.
-    pub fn committed_list(&mut self) -> Value {
+    pub fn published_list(&mut self) -> Value {
         let now = Instant::now();
-        while self.committed.len() > 1 && self.committed[1].0 <= now {
-            self.committed.remove(0);
+        while self.published.len() > 1 && self.published[1].0 <= now {
+            self.published.remove(0);
         }
-        self.committed.first().map_or(json!({ "leafs": [] }), |state| state.1.clone())
+        self.published.first().map_or(json!({ "leafs": [] }), |state| state.1.clone())
     }
 }
 
@@ -132,23 +132,23 @@
         version: String::new(),
         mode: Mode::Good,
         leaving: false,
-        tells_leaving: true,
-        born: now.checked_sub(age).unwrap_or(now),
-        live: 0,
-        worst_pct: 0,
-        ran: 0,
+        reports_leaving: true,
+        started_at: now.checked_sub(age).unwrap_or(now),
+        in_flight: 0,
+        peak_load_pct: 0,
+        run_count: 0,
         misdirected: 0,
-        reached: 0,
-        changed: 0,
+        misdirected_work: 0,
+        altered_queries: 0,
         postmark: None,
-        alive: None,
-        left_at: None,
-        late_work_ms: 0,
+        serving_task: None,
+        draining_since: None,
+        last_work_after_drain_ms: 0,
     }));
     let (runs, random) = (all.runs.clone(), all.random.clone());
-    let serving = leaf_server::serve(listener, leaf.clone(), runs, random, all.zero);
+    let serving = leaf_server::serve(listener, leaf.clone(), runs, random, all.started_at);
     let task = tokio::task::spawn_local(serving);
-    leaf.borrow_mut().alive = Some(task.abort_handle());
+    leaf.borrow_mut().serving_task = Some(task.abort_handle());
     all.leafs.insert(name.clone(), leaf);
     Ok(name)
 }
--- a/crates/server/tests/local_cluster.rs
+++ b/crates/server/tests/local_cluster.rs
@@ -16,7 +16,7 @@
 use grebepath_simulator::spec::{self, Spec};
 use hyper::Method;
 use serde_json::{Value, json};
-use testbed::callers::{Seen, load, report, watch_ready};
+use testbed::callers::{CallerStatistics, poll_readiness, report, run_load};
 use testbed::local_cluster;
 use testbed::local_cluster::{Layout, LocalCluster};
 
@@ -233,14 +233,14 @@
     body: impl AsyncFnOnce(&mut LocalCluster) -> T,
 ) -> (LocalCluster, T, Value) {
     let mut f = f;
-    let seen = Rc::new(RefCell::new(Seen::default()));
+    let seen = Rc::new(RefCell::new(CallerStatistics::default()));
     let ready = Rc::new(RefCell::new(f.caller_addrs.clone()));
     let far = Instant::now() + Duration::from_secs(600);
     let local = tokio::task::LocalSet::new();
     let caller_addrs = f.caller_addrs.clone();
     let (seen_in, ready_in, kinds) = (seen.clone(), ready.clone(), spec.kinds.clone());
     let calls = async move {
-        tokio::task::spawn_local(watch_ready(
+        tokio::task::spawn_local(poll_readiness(
             grebepath_runtime::http::client::HttpClient::new(2),
             caller_addrs,
             ready_in.clone(),
@@ -252,7 +252,7 @@
                 ready_in.clone(),
                 seen_in.clone(),
             );
-            tokio::task::spawn_local(load(http, kind, 0.1, ready, seen, i as u64, far));
+            tokio::task::spawn_local(run_load(http, kind, 0.1, ready, seen, i as u64, far));
         }
         std::future::pending::<()>().await;
     };
--- a/crates/server/tests/rollouts.rs
+++ b/crates/server/tests/rollouts.rs
@@ -15,7 +15,7 @@
 use grebepath_runtime::http::client::HttpClient;
 use grebepath_simulator::spec;
 use serde_json::json;
-use testbed::callers::{Seen, load, report};
+use testbed::callers::{CallerStatistics, report, run_load};
 use testbed::local_cluster::{self, LocalCluster};
 
 const SERVICE: &str = "mohalla-notices-w48-1";
@@ -115,13 +115,13 @@
         common::empty_folder(&layout);
         let mut f = LocalCluster::start(layout).await.unwrap();
         common::all_ready(&f).await;
-        let seen = Rc::new(RefCell::new(Seen::default()));
+        let seen = Rc::new(RefCell::new(CallerStatistics::default()));
         let targets = Rc::new(RefCell::new(f.caller_addrs.clone()));
         let far = Instant::now() + Duration::from_secs(600);
         let mut callers = Vec::new();
         for (seed, kind) in (0..).zip(spec.kinds.iter().cloned()) {
             let (targets, seen) = (targets.clone(), seen.clone());
-            let calls = load(HttpClient::new(32), kind, LOAD, targets, seen, seed, far);
+            let calls = run_load(HttpClient::new(32), kind, LOAD, targets, seen, seed, far);
             callers.push(tokio::task::spawn_local(calls));
         }
         sound_version_is_delivered(&f).await;
