--- a/crates/server/src/testbed/holding_relay.rs
+++ b/crates/server/src/testbed/delaying_relay.rs
@@ -8,86 +8,90 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Bytes that are held at most; more wait in the client's socket.
-const MOST_HELD: usize = 1 << 16;
+const MAX_BUFFERED_BYTES: usize = 1 << 16;
 
 /// What a relay does to each connection.
 #[derive(Clone, Copy, Debug)]
-pub struct Hold {
+pub struct RelayDelays {
     /// How long each piece of a client's bytes is held.
     pub bytes: Duration,
     /// How long after the last bytes the client's end passes.
-    pub end_behind: Duration,
+    pub close_delay: Duration,
     /// Whether the server sees the connection before the bytes are let go.
-    pub connects_early: bool,
+    pub connect_early: bool,
 }
 
 /// A relay; it ends when it is dropped, and its connections with it.
-pub struct HoldingRelay {
+pub struct DelayingRelay {
     /// Where it listens.
     pub address: SocketAddr,
     task: tokio::task::AbortHandle,
 }
 
-impl Drop for HoldingRelay {
+impl Drop for DelayingRelay {
     fn drop(&mut self) {
         self.task.abort();
     }
 }
 
-impl HoldingRelay {
+impl DelayingRelay {
     /// Opens a relay to an address.
-    pub async fn open(to: SocketAddr, hold: Hold) -> std::io::Result<HoldingRelay> {
+    pub async fn open(to: SocketAddr, delays: RelayDelays) -> std::io::Result<DelayingRelay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let task = tokio::task::spawn_local(serve(listener, to, hold)).abort_handle();
-        Ok(HoldingRelay { address, task })
+        let task = tokio::task::spawn_local(serve(listener, to, delays)).abort_handle();
+        Ok(DelayingRelay { address, task })
     }
 }
 
-async fn serve(listener: TcpListener, to: SocketAddr, hold: Hold) {
+async fn serve(listener: TcpListener, to: SocketAddr, delays: RelayDelays) {
     let mut connections = tokio::task::JoinSet::new();
     loop {
         let Ok((client, _)) = listener.accept().await else { continue };
         connections.spawn_local(async move {
             // Either side may fail: then the connection just ends.
-            let _ = pass(client, to, hold).await;
+            let _ = forward_connection(client, to, delays).await;
         });
     }
 }
 
-async fn pass(client: TcpStream, to: SocketAddr, hold: Hold) -> std::io::Result<()> {
+async fn forward_connection(
+    client: TcpStream,
+    to: SocketAddr,
+    delays: RelayDelays,
+) -> std::io::Result<()> {
     let (mut from_client, mut to_client) = client.into_split();
-    let early = match hold.connects_early {
+    let server_at_once = match delays.connect_early {
         true => Some(TcpStream::connect(to).await?),
         false => None,
     };
-    let Some(first) = read_some(&mut from_client).await? else { return Ok(()) };
-    tokio::time::sleep(hold.bytes).await;
-    let server = match early {
+    let Some(first_chunk) = read_chunk(&mut from_client).await? else { return Ok(()) };
+    tokio::time::sleep(delays.bytes).await;
+    let server = match server_at_once {
         Some(server) => server,
         None => TcpStream::connect(to).await?,
     };
     server.set_nodelay(true)?;
     let (mut from_server, mut to_server) = server.into_split();
-    let back = async move {
+    let forward_replies = async move {
         // A client that has gone takes no answer; the relay reads on, as a network would not.
         let _ = copy(&mut from_server, &mut to_client).await;
     };
-    let answers = tokio::task::spawn_local(back);
-    to_server.write_all(&first).await?;
-    while let Some(more) = read_some(&mut from_client).await? {
-        tokio::time::sleep(hold.bytes).await;
-        to_server.write_all(&more).await?;
+    let answers = tokio::task::spawn_local(forward_replies);
+    to_server.write_all(&first_chunk).await?;
+    while let Some(chunk) = read_chunk(&mut from_client).await? {
+        tokio::time::sleep(delays.bytes).await;
+        to_server.write_all(&chunk).await?;
     }
-    tokio::time::sleep(hold.end_behind).await;
+    tokio::time::sleep(delays.close_delay).await;
     to_server.shutdown().await?;
     let _ = answers.await;
     Ok(())
 }
 
 /// What the client has sent next; `None` once it has ended.
-async fn read_some(from: &mut (impl AsyncRead + Unpin)) -> std::io::Result<Option<Vec<u8>>> {
-    let mut bytes = vec![0; MOST_HELD];
+async fn read_chunk(from: &mut (impl AsyncRead + Unpin)) -> std::io::Result<Option<Vec<u8>>> {
+    let mut bytes = vec![0; MAX_BUFFERED_BYTES];
     let read = from.read(&mut bytes).await?;
     bytes.truncate(read);
     Ok((read > 0).then_some(bytes))
--- a/crates/server/src/testbed/foreign.rs
+++ b/crates/server/src/testbed/foreign.rs
@@ -15,24 +15,24 @@
 pub enum Mode {
     Good,
     /// Half of an answer, then the end of the connection.
-    Cut,
+    Truncated,
     /// Before each answer but a connection's first, the one before it again.
-    Surplus,
+    RepeatPrevious,
     /// Answers with the id of another call.
     OtherId,
-    NoStamp,
+    NoPostmark,
     /// A body in an encoding that nobody asked for.
     Encoded,
     /// Its own failure, after the work.
     Failure,
     /// Turned away unrun.
-    Unrun,
+    Rejected,
     /// Answers when it is let go.
     Hold,
     /// Works, and answers after a second.
     Late,
     /// Works, and never answers.
-    Mute,
+    NeverAnswer,
     /// Resets the connection without having worked.
     ResetBefore,
     /// Works, and resets the connection in place of an answer.
@@ -42,23 +42,23 @@
     /// Works, and refuses as if it had not, but does not say so.
     RefusedAfterWork,
     /// One of all the others for each request, by the world's draw.
-    Drawn,
+    Random,
 }
 
 /// What a leaf that draws its conduct may do, the good answer most often.
-const DRAWN: [Mode; 16] = [
+const RANDOM_MODES: [Mode; 16] = [
     Mode::Good,
     Mode::Good,
     Mode::Good,
     Mode::Good,
-    Mode::Cut,
-    Mode::Surplus,
+    Mode::Truncated,
+    Mode::RepeatPrevious,
     Mode::OtherId,
-    Mode::NoStamp,
+    Mode::NoPostmark,
     Mode::Failure,
-    Mode::Unrun,
+    Mode::Rejected,
     Mode::Late,
-    Mode::Mute,
+    Mode::NeverAnswer,
     Mode::ResetBefore,
     Mode::ResetAfter,
     Mode::Twice,
@@ -75,7 +75,7 @@
     pub method: String,
     pub target: String,
     pub body: Vec<u8>,
-    pub heads: Vec<(String, String)>,
+    pub headers: Vec<(String, String)>,
 }
 
 struct Leaf {
@@ -88,86 +88,86 @@
 
 /// All leafs, how they behave, and what they ran.
 #[derive(Default)]
-pub struct World {
+pub struct PlatformBackends {
     leafs: Vec<Leaf>,
     pub mode: Vec<(String, Mode)>,
     pub runs: Vec<Run>,
     /// Requests that a mute leaf worked on when their connection was closed, by id.
     pub closed: Vec<String>,
-    go: Rc<Notify>,
+    release: Rc<Notify>,
     /// Seeds the draws of leafs that draw their conduct, and counts them.
-    pub draws: u64,
+    pub random_draws: u64,
 }
 
 /// What a leaf does with this request.
-fn conduct(world: &Shared, leaf: &str) -> Mode {
-    let mut w = world.borrow_mut();
-    let mode = w.mode.iter().find(|m| m.0 == leaf).map_or(Mode::Good, |m| m.1);
-    if mode != Mode::Drawn {
+fn mode_for_request(backends: &SharedBackends, leaf: &str) -> Mode {
+    let mut b = backends.borrow_mut();
+    let mode = b.mode.iter().find(|m| m.0 == leaf).map_or(Mode::Good, |m| m.1);
+    if mode != Mode::Random {
         return mode;
     }
-    w.draws += 1;
-    DRAWN[(grebepath_core::random::mix(w.draws) % DRAWN.len() as u64) as usize]
+    b.random_draws += 1;
+    RANDOM_MODES[(grebepath_core::random::mix(b.random_draws) % RANDOM_MODES.len() as u64) as usize]
 }
 
 /// Ends a connection by a reset.
-fn reset(stream: &TcpStream) -> std::io::Result<()> {
+fn reset_on_close(stream: &TcpStream) -> std::io::Result<()> {
     socket2::SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO))
 }
 
-pub type Shared = Rc<RefCell<World>>;
+pub type SharedBackends = Rc<RefCell<PlatformBackends>>;
 
 /// Starts a list and the leafs `(id, service, zone)`; gives the list's address.
-pub async fn begin(leafs: &[(&str, &str, &str)]) -> std::io::Result<(Shared, SocketAddr)> {
-    let world: Shared = Rc::default();
+pub async fn start(leafs: &[(&str, &str, &str)]) -> std::io::Result<(SharedBackends, SocketAddr)> {
+    let backends: SharedBackends = Rc::default();
     for (id, service, zone) in leafs {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
-        world.borrow_mut().leafs.push(Leaf {
+        backends.borrow_mut().leafs.push(Leaf {
             id: id.to_string(),
             service: service.to_string(),
             zone: zone.to_string(),
             addr: listener.local_addr()?,
             state: "ready",
         });
-        let (world, at) = (world.clone(), world.borrow().leafs.len() - 1);
+        let (backends, at) = (backends.clone(), backends.borrow().leafs.len() - 1);
         tokio::task::spawn_local(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let world = world.clone();
+                let backends = backends.clone();
                 tokio::task::spawn_local(async move {
-                    let _ = leaf(stream, &world, at).await;
+                    let _ = serve_leaf(stream, &backends, at).await;
                 });
             }
         });
     }
     let listener = TcpListener::bind("127.0.0.1:0").await?;
     let addr = listener.local_addr()?;
-    let shared = world.clone();
+    let shared = backends.clone();
     tokio::task::spawn_local(async move {
         while let Ok((stream, _)) = listener.accept().await {
-            let world = shared.clone();
+            let backends = shared.clone();
             tokio::task::spawn_local(async move {
-                let _ = list(stream, &world).await;
+                let _ = serve_list(stream, &backends).await;
             });
         }
     });
-    Ok((world, addr))
+    Ok((backends, addr))
 }
 
 /// How the leaf behaves from now on.
-pub fn order(world: &Shared, leaf: &str, mode: Mode) {
-    let mut w = world.borrow_mut();
-    w.mode.retain(|m| m.0 != leaf);
-    w.mode.push((leaf.to_string(), mode));
+pub fn set_mode(backends: &SharedBackends, leaf: &str, mode: Mode) {
+    let mut b = backends.borrow_mut();
+    b.mode.retain(|m| m.0 != leaf);
+    b.mode.push((leaf.to_string(), mode));
 }
 
 /// Lets all go that are held.
-pub fn let_go(world: &Shared) {
-    world.borrow().go.notify_waiters();
+pub fn release_held(backends: &SharedBackends) {
+    backends.borrow().release.notify_waiters();
 }
 
 /// The list names the leaf as one that leaves.
-pub fn leave(world: &Shared, id: &str) {
-    for leaf in world.borrow_mut().leafs.iter_mut().filter(|l| l.id == id) {
+pub fn mark_draining(backends: &SharedBackends, id: &str) {
+    for leaf in backends.borrow_mut().leafs.iter_mut().filter(|l| l.id == id) {
         leaf.state = "draining";
     }
 }
@@ -181,54 +181,54 @@
 }
 
 /// The stamp that a leaf puts on its answer to a call.
-pub fn stamp(id: &str, leaf: &str) -> String {
+pub fn postmark(id: &str, leaf: &str) -> String {
     format!("{id}.{leaf}")
 }
 
 /// One request off a connection: first line, heads, body. Nothing at its end.
-async fn request(
+async fn read_request(
     stream: &mut TcpStream,
-    raw: &mut Vec<u8>,
+    buffer: &mut Vec<u8>,
 ) -> std::io::Result<Option<(String, Vec<(String, String)>, Vec<u8>)>> {
-    let mut part = [0u8; 8192];
+    let mut chunk = [0u8; 8192];
     loop {
-        if let Some(at) = raw.windows(4).position(|w| w == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&raw[..at]).to_string();
+        if let Some(at) = buffer.windows(4).position(|b| b == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&buffer[..at]).to_string();
             let mut lines = head.lines();
-            let first = lines.next().unwrap_or_default().to_string();
-            let heads: Vec<(String, String)> = lines
+            let request_line = lines.next().unwrap_or_default().to_string();
+            let headers: Vec<(String, String)> = lines
                 .filter_map(|l| l.split_once(':'))
                 .map(|(n, v)| (n.to_ascii_lowercase(), v.trim().to_string()))
                 .collect();
-            let len = one(&heads, "content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
-            if raw.len() >= at + 4 + len {
-                let body = raw[at + 4..at + 4 + len].to_vec();
-                raw.drain(..at + 4 + len);
-                return Ok(Some((first, heads, body)));
+            let len = header(&headers, "content-length").and_then(|v| v.parse().ok()).unwrap_or(0);
+            if buffer.len() >= at + 4 + len {
+                let body = buffer[at + 4..at + 4 + len].to_vec();
+                buffer.drain(..at + 4 + len);
+                return Ok(Some((request_line, headers, body)));
             }
         }
-        match stream.read(&mut part).await? {
+        match stream.read(&mut chunk).await? {
             0 => return Ok(None),
-            n => raw.extend(&part[..n]),
+            n => buffer.extend(&chunk[..n]),
         }
     }
 }
 
-fn one<'a>(heads: &'a [(String, String)], name: &str) -> Option<&'a str> {
-    heads.iter().find(|h| h.0 == name).map(|h| h.1.as_str())
+fn header<'a>(headers: &'a [(String, String)], name: &str) -> Option<&'a str> {
+    headers.iter().find(|h| h.0 == name).map(|h| h.1.as_str())
 }
 
-async fn list(mut stream: TcpStream, world: &Shared) -> std::io::Result<()> {
-    let mut raw = Vec::new();
-    while let Some((first, _, _)) = request(&mut stream, &mut raw).await? {
+async fn serve_list(mut stream: TcpStream, backends: &SharedBackends) -> std::io::Result<()> {
+    let mut buffer = Vec::new();
+    while let Some((request_line, _, _)) = read_request(&mut stream, &mut buffer).await? {
         // Pages of two, so that there are several.
-        let from: usize = first
+        let from: usize = request_line
             .split_once("page=p-")
             .and_then(|(_, t)| t.split(' ').next()?.parse().ok())
             .unwrap_or(0);
         let body = {
-            let w = world.borrow();
-            let some: Vec<Value> = w
+            let b = backends.borrow();
+            let some: Vec<Value> = b
                 .leafs
                 .iter()
                 .skip(from)
@@ -239,51 +239,55 @@
                         "warmup_left_ms": 0 })
                 })
                 .collect();
-            let next = (from + 2 < w.leafs.len()).then(|| format!("p-{}", from + 2));
+            let next = (from + 2 < b.leafs.len()).then(|| format!("p-{}", from + 2));
             json!({ "leaves": some, "next_page": next }).to_string()
         };
-        stream.write_all(&answer(200, &[], body.as_bytes())).await?;
+        stream.write_all(&response(200, &[], body.as_bytes())).await?;
     }
     Ok(())
 }
 
-fn answer(status: u16, heads: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
+fn response(status: u16, headers: &[(&str, &str)], body: &[u8]) -> Vec<u8> {
     let mut out = format!("HTTP/1.1 {status} X\r\ncontent-length: {}\r\n", body.len());
-    for (name, val) in heads {
+    for (name, val) in headers {
         out.push_str(&format!("{name}: {val}\r\n"));
     }
     out.push_str("\r\n");
     [out.as_bytes(), body].concat()
 }
 
-async fn leaf(mut stream: TcpStream, world: &Shared, at: usize) -> std::io::Result<()> {
+async fn serve_leaf(
+    mut stream: TcpStream,
+    backends: &SharedBackends,
+    at: usize,
+) -> std::io::Result<()> {
     let (name, service, zone) = {
-        let w = world.borrow();
-        let l = &w.leafs[at];
+        let b = backends.borrow();
+        let l = &b.leafs[at];
         (l.id.clone(), l.service.clone(), l.zone.clone())
     };
-    let (mut raw, mut last) = (Vec::new(), Vec::new());
-    while let Some((first, heads, body)) = request(&mut stream, &mut raw).await? {
-        let id = one(&heads, "request-id").unwrap_or_default().to_string();
-        if one(&heads, "expect-leaf").is_some_and(|l| l != name) {
-            let heads = [("request-id", id.as_str()), ("not-run", "1")];
-            stream.write_all(&answer(421, &heads, b"")).await?;
+    let (mut buffer, mut previous_reply) = (Vec::new(), Vec::new());
+    while let Some((request_line, headers, body)) = read_request(&mut stream, &mut buffer).await? {
+        let id = header(&headers, "request-id").unwrap_or_default().to_string();
+        if header(&headers, "expect-leaf").is_some_and(|l| l != name) {
+            let headers = [("request-id", id.as_str()), ("not-run", "1")];
+            stream.write_all(&response(421, &headers, b"")).await?;
             continue;
         }
-        let mode = conduct(world, &name);
+        let mode = mode_for_request(backends, &name);
         if mode == Mode::ResetBefore {
-            return reset(&stream);
+            return reset_on_close(&stream);
         }
-        if mode == Mode::Unrun {
-            let heads = [("request-id", id.as_str()), ("not-run", "1")];
-            stream.write_all(&answer(503, &heads, b"")).await?;
+        if mode == Mode::Rejected {
+            let headers = [("request-id", id.as_str()), ("not-run", "1")];
+            stream.write_all(&response(503, &headers, b"")).await?;
             continue;
         }
-        let mut words = first.split(' ').map(str::to_string);
-        let (method, target) = (words.next(), words.next());
-        let go = {
-            let mut w = world.borrow_mut();
-            w.runs.push(Run {
+        let mut request_parts = request_line.split(' ').map(str::to_string);
+        let (method, target) = (request_parts.next(), request_parts.next());
+        let release = {
+            let mut b = backends.borrow_mut();
+            b.runs.push(Run {
                 leaf: name.clone(),
                 service: service.clone(),
                 zone: zone.clone(),
@@ -291,20 +295,20 @@
                 method: method.unwrap_or_default(),
                 target: target.clone().unwrap_or_default(),
                 body,
-                heads,
+                headers,
             });
-            w.go.clone()
+            b.release.clone()
         };
         match mode {
-            Mode::Hold => go.notified().await,
+            Mode::Hold => release.notified().await,
             Mode::Late => tokio::time::sleep(std::time::Duration::from_secs(1)).await,
-            Mode::Mute => {
+            Mode::NeverAnswer => {
                 // Nothing more comes on the connection but its end.
                 let _ = stream.read(&mut [0u8; 1]).await;
-                world.borrow_mut().closed.push(id);
+                backends.borrow_mut().closed.push(id);
                 return Ok(());
             }
-            Mode::ResetAfter => return reset(&stream),
+            Mode::ResetAfter => return reset_on_close(&stream),
             _ => {}
         }
         // What is joined has records, all else says whose it is.
@@ -312,34 +316,36 @@
             Some(t) if t.starts_with("/join/") => records(&service).concat(),
             _ => format!("body of {id}").into_bytes(),
         };
-        let stamp = stamp(&id, &name);
-        let mut heads = vec![("request-id", id.as_str()), ("postmark", stamp.as_str())];
+        let postmark = postmark(&id, &name);
+        let mut headers = vec![("request-id", id.as_str()), ("postmark", postmark.as_str())];
         let mut status = 200;
         match mode {
-            Mode::OtherId => heads[0].1 = "another",
-            Mode::NoStamp => heads.truncate(1),
-            Mode::Encoded => heads.push(("content-encoding", "gzip")),
+            Mode::OtherId => headers[0].1 = "another",
+            Mode::NoPostmark => headers.truncate(1),
+            Mode::Encoded => headers.push(("content-encoding", "gzip")),
             Mode::Failure => status = 500,
-            Mode::RefusedAfterWork => (status, heads) = (429, vec![heads[0]]),
+            Mode::RefusedAfterWork => (status, headers) = (429, vec![headers[0]]),
             _ => {}
         }
-        let whole = answer(status, &heads, &text);
+        let reply = response(status, &headers, &text);
         match mode {
-            Mode::Cut => {
-                stream.write_all(&whole[..whole.len() - 3]).await?;
+            Mode::Truncated => {
+                stream.write_all(&reply[..reply.len() - 3]).await?;
                 return Ok(());
             }
-            Mode::Twice => stream.write_all(&[whole.as_slice(), &whole].concat()).await?,
-            Mode::Surplus => stream.write_all(&[last.as_slice(), &whole].concat()).await?,
-            _ => stream.write_all(&whole).await?,
+            Mode::Twice => stream.write_all(&[reply.as_slice(), &reply].concat()).await?,
+            Mode::RepeatPrevious => {
+                stream.write_all(&[previous_reply.as_slice(), &reply].concat()).await?
+            }
+            _ => stream.write_all(&reply).await?,
         }
-        last = whole;
+        previous_reply = reply;
     }
     Ok(())
 }
 
 /// Fills the gaps of a template, `{{a.b}}` and `{{a|json}}`, from fields.
-pub fn filled(text: &str, fields: &Value) -> String {
+pub fn fill_template(text: &str, fields: &Value) -> String {
     let mut out = String::new();
     let mut rest = text;
     while let Some((before, (gap, after))) =
--- a/crates/server/src/testbed/mod.rs
+++ b/crates/server/src/testbed/mod.rs
@@ -6,8 +6,8 @@
 
 pub mod callers;
 pub mod control_listener;
+pub mod delaying_relay;
 pub mod foreign;
-pub mod holding_relay;
 pub mod local_cluster;
 pub mod mock_backends;
 pub mod redirects;
--- a/crates/server/src/testbed/redirects.rs
+++ b/crates/server/src/testbed/redirects.rs
@@ -11,9 +11,9 @@
 use thiserror::Error;
 
 /// Redirections that are followed (count).
-const MOST_REDIRECTIONS: usize = 2;
+const MAX_REDIRECTS: usize = 2;
 /// Bytes of a response's body at most.
-const BODY_LIMIT: usize = 1 << 20;
+const MAX_BODY_BYTES: usize = 1 << 20;
 
 /// Why a request brought no response.
 #[derive(Debug, Error)]
@@ -34,7 +34,7 @@
     /// Path and query.
     pub path: String,
     /// Headers.
-    pub heads: Vec<(&'static str, String)>,
+    pub headers: Vec<(&'static str, String)>,
     /// The body.
     pub body: Bytes,
 }
@@ -42,7 +42,7 @@
 impl FollowedRequest {
     /// A request without headers of its own.
     pub fn new(method: Method, path: &str, body: impl Into<Bytes>) -> FollowedRequest {
-        FollowedRequest { method, path: path.into(), heads: Vec::new(), body: body.into() }
+        FollowedRequest { method, path: path.into(), headers: Vec::new(), body: body.into() }
     }
 
     /// Sends it to an address (`host:port`) and follows redirections. Each response is waited
@@ -51,22 +51,22 @@
         &self,
         http: &HttpClient,
         address: &str,
-        patience: Duration,
+        timeout: Duration,
     ) -> Result<Response<Bytes>, SendError> {
         let mut url = format!("http://{address}{}", self.path);
         let mut followed = 0;
         loop {
             let mut request = Request::builder().method(self.method.clone()).uri(&url);
-            for (name, value) in &self.heads {
+            for (name, value) in &self.headers {
                 request = request.header(*name, value);
             }
             let request = request.body(Full::new(self.body.clone()))?;
-            let response = http.call_within(request, BODY_LIMIT, patience).await?;
+            let response = http.call_within(request, MAX_BODY_BYTES, timeout).await?;
             let location = response.headers().get(LOCATION).and_then(|l| l.to_str().ok());
             match location {
                 Some(location)
                     if response.status() == StatusCode::TEMPORARY_REDIRECT
-                        && followed < MOST_REDIRECTIONS =>
+                        && followed < MAX_REDIRECTS =>
                 {
                     url = location.to_string();
                     followed += 1;
--- a/crates/server/src/testbed/relay.rs
+++ b/crates/server/src/testbed/relay.rs
@@ -10,7 +10,7 @@
 /// A relay; it ends when it is dropped.
 pub struct Relay {
     pub addr: SocketAddr,
-    cut: Rc<watch::Sender<bool>>,
+    partitioned: Rc<watch::Sender<bool>>,
     task: tokio::task::AbortHandle,
 }
 
@@ -25,39 +25,43 @@
     pub async fn open(to: SocketAddr) -> std::io::Result<Relay> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let addr = listener.local_addr()?;
-        let (tx, rx) = watch::channel(false);
-        let task = tokio::task::spawn_local(serve(listener, to, rx)).abort_handle();
-        Ok(Relay { addr, cut: Rc::new(tx), task })
+        let (partition_sender, partition_receiver) = watch::channel(false);
+        let task = tokio::task::spawn_local(serve(listener, to, partition_receiver)).abort_handle();
+        Ok(Relay { addr, partitioned: Rc::new(partition_sender), task })
     }
 
     /// Cuts the relay, or lets it pass again.
-    pub fn cut(&self, on: bool) {
-        let _ = self.cut.send(on);
+    pub fn set_partitioned(&self, on: bool) {
+        let _ = self.partitioned.send(on);
     }
 }
 
-async fn serve(listener: TcpListener, to: SocketAddr, cut: watch::Receiver<bool>) {
+async fn serve(listener: TcpListener, to: SocketAddr, partitioned: watch::Receiver<bool>) {
     loop {
-        let Ok((near, _)) = listener.accept().await else { continue };
-        tokio::task::spawn_local(pass(near, to, cut.clone()));
+        let Ok((client, _)) = listener.accept().await else { continue };
+        tokio::task::spawn_local(forward_connection(client, to, partitioned.clone()));
     }
 }
 
-async fn pass(near: TcpStream, to: SocketAddr, mut cut: watch::Receiver<bool>) {
-    let mut near = near;
-    let through = async {
-        if let Ok(mut far) = TcpStream::connect(to).await {
-            let _ = near.set_nodelay(true);
-            let _ = far.set_nodelay(true);
-            let _ = tokio::io::copy_bidirectional(&mut near, &mut far).await;
+async fn forward_connection(
+    client: TcpStream,
+    to: SocketAddr,
+    mut partitioned: watch::Receiver<bool>,
+) {
+    let mut client = client;
+    let forwarding = async {
+        if let Ok(mut server) = TcpStream::connect(to).await {
+            let _ = client.set_nodelay(true);
+            let _ = server.set_nodelay(true);
+            let _ = tokio::io::copy_bidirectional(&mut client, &mut server).await;
         }
     };
     // Nothing more passes once it is cut, nor at all if it is cut already.
     tokio::select! {
         biased;
-        _ = cut.wait_for(|c| *c) => {}
-        _ = through => return,
+        _ = partitioned.wait_for(|c| *c) => {}
+        _ = forwarding => return,
     }
     // Held open and silent until the net is whole again.
-    let _ = cut.wait_for(|c| !*c).await;
+    let _ = partitioned.wait_for(|c| !*c).await;
 }
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -19,8 +19,11 @@
 use http_body_util::Full;
 use hyper::{Request, Response};
 use serde_json::{Value, json};
-use testbed::foreign::{self, Mode, Shared, begin, filled, leave, let_go, records, stamp};
-use testbed::holding_relay::{Hold, HoldingRelay};
+use testbed::delaying_relay::{DelayingRelay, RelayDelays};
+use testbed::foreign::{
+    self, Mode, SharedBackends, fill_template, mark_draining, postmark, records, release_held,
+    start,
+};
 use testbed::local_cluster;
 use testbed::local_cluster::error::LocalClusterError;
 use testbed::local_cluster::process::Process;
@@ -51,7 +54,7 @@
     operator_addrs: Vec<SocketAddr>,
     caller_addrs: Vec<SocketAddr>,
     checks: Vec<SocketAddr>,
-    world: Shared,
+    world: SharedBackends,
     http: HttpClient,
     calls: Cell<u64>,
     files: Vec<PathBuf>,
@@ -72,7 +75,7 @@
     let layout = common::layout(test, test, 2);
     common::empty_folder(&layout);
     let dir = layout.dir.clone();
-    let (world, list) = begin(&LEAFS).await.unwrap();
+    let (world, list) = start(&LEAFS).await.unwrap();
     let mut trouble = String::new();
     // Another process may take a port between our look and our start.
     for _ in 0..4 {
@@ -111,7 +114,7 @@
             let text = manifest.join(format!("../../platform/{name}.json"));
             let text = std::fs::read_to_string(text).unwrap();
             let file = dir.join(format!("{name}-{i}.json"));
-            std::fs::write(&file, filled(&text, &fields)).unwrap();
+            std::fs::write(&file, fill_template(&text, &fields)).unwrap();
             let pairs = [("params", file.display().to_string())];
             let label = format!("{name}-{i}");
             all.push(match name {
@@ -174,7 +177,7 @@
         let door = s.operator_addrs[next.get() % s.operator_addrs.len()];
         next.set(next.get() + 1);
         let mut request = FollowedRequest::new(method.parse().unwrap(), path, text.clone());
-        request.heads.push(("if-match", after.to_string()));
+        request.headers.push(("if-match", after.to_string()));
         let got = got.clone();
         async move {
             match request.send(&s.http, &door.to_string(), Duration::from_secs(4)).await {
@@ -268,7 +271,7 @@
 fn true_pass(id: &str, resp: &Response<Bytes>) -> bool {
     let mark = head(resp, "postmark");
     let one = resp.headers().get_all("postmark").iter().count() == 1;
-    let leaf = LEAFS.iter().any(|l| l.1 == "srv-a" && mark == stamp(id, l.0));
+    let leaf = LEAFS.iter().any(|l| l.1 == "srv-a" && mark == postmark(id, l.0));
     one && leaf && head(resp, "request-id") == id && resp.body() == &format!("body of {id}")
 }
 
@@ -279,7 +282,7 @@
     let mut all: Vec<[u8; 16]> = Vec::new();
     let mut services = Vec::new();
     for mark in &marks {
-        let Some(l) = LEAFS.iter().find(|l| *mark == stamp(id, l.0)) else { return false };
+        let Some(l) = LEAFS.iter().find(|l| *mark == postmark(id, l.0)) else { return false };
         if services.contains(&l.1) {
             return false;
         }
@@ -323,7 +326,7 @@
         );
         expect_that!(run.body, eq(&b"a body".to_vec()));
         let all = |name: &str| {
-            run.heads.iter().filter(|h| h.0 == name).map(|h| h.1.clone()).collect::<Vec<_>>()
+            run.headers.iter().filter(|h| h.0 == name).map(|h| h.1.clone()).collect::<Vec<_>>()
         };
         expect_that!(all("expect-leaf"), eq(&vec![run.leaf.clone()]));
         expect_that!(all("host"), elements_are![eq("H.example:80")]);
@@ -422,9 +425,12 @@
         let s = begun("foreign-held").await;
         for (held, later, runs_there) in [("DELETE", "POST", "z-1"), ("POST", "DELETE", "z-2")] {
             expect_that!(order(&s, 1, later, "/api/evacuate/z-2", 0, &Value::Null).await, eq(200));
-            let hold =
-                Hold { bytes: HOLD, end_behind: Duration::from_millis(100), connects_early: true };
-            let relay = HoldingRelay::open(s.operator_addrs[0], hold).await.unwrap();
+            let hold = RelayDelays {
+                bytes: HOLD,
+                close_delay: Duration::from_millis(100),
+                connect_early: true,
+            };
+            let relay = DelayingRelay::open(s.operator_addrs[0], hold).await.unwrap();
             let mut left = tokio::net::TcpStream::connect(relay.address).await.unwrap();
             let text = format!("{held} /api/evacuate/z-2 HTTP/1.1\r\nHost: c\r\n\r\n");
             left.write_all(text.as_bytes()).await.unwrap();
@@ -446,8 +452,8 @@
 fn a_leaf_that_the_list_says_leaves_gets_nothing_more() {
     block(async {
         let s = begun("foreign-leave").await;
-        leave(&s.world, "i-a1");
-        leave(&s.world, "i-a3");
+        mark_draining(&s.world, "i-a1");
+        mark_draining(&s.world, "i-a3");
         runs_in(&s, 0, "z-2", true).await;
         runs_in(&s, 1, "z-2", true).await;
     });
@@ -459,13 +465,19 @@
     // stamps that are not the leaf's.
     block(async {
         let s = begun("foreign-bad").await;
-        let modes =
-            [Mode::Cut, Mode::Surplus, Mode::OtherId, Mode::NoStamp, Mode::Encoded, Mode::Failure];
+        let modes = [
+            Mode::Truncated,
+            Mode::RepeatPrevious,
+            Mode::OtherId,
+            Mode::NoPostmark,
+            Mode::Encoded,
+            Mode::Failure,
+        ];
         for mode in modes {
             // First one leaf of each service, then all of them.
             for bad in [&["i-a1", "i-b1", "i-c2"][..], &LEAFS.map(|l| l.0)[..]] {
                 for leaf in bad {
-                    foreign::order(&s.world, leaf, mode);
+                    foreign::set_mode(&s.world, leaf, mode);
                 }
                 let mut fine = 0;
                 for i in 0..24 {
@@ -486,11 +498,11 @@
                         }
                     }
                 }
-                if bad.len() == LEAFS.len() && mode != Mode::Surplus {
+                if bad.len() == LEAFS.len() && mode != Mode::RepeatPrevious {
                     expect_that!(fine, eq(0), "{mode:?}: no leaf answers well");
                 }
                 for leaf in bad {
-                    foreign::order(&s.world, leaf, Mode::Good);
+                    foreign::set_mode(&s.world, leaf, Mode::Good);
                 }
             }
             // Leafs that are good again are used again.
@@ -499,7 +511,7 @@
         }
         // Leafs that turn work away have not run it, and that is what is told.
         for leaf in LEAFS {
-            foreign::order(&s.world, leaf.0, Mode::Unrun);
+            foreign::set_mode(&s.world, leaf.0, Mode::Rejected);
         }
         for q in 0..2 {
             let (id, resp) = call(&s, q, "POST", "/once/x", "").await.unwrap();
@@ -536,9 +548,9 @@
     block(async {
         let s = begun("foreign-drawn").await;
         for seed in [1u64, 1 << 20, 1 << 40] {
-            s.world.borrow_mut().draws = seed;
+            s.world.borrow_mut().random_draws = seed;
             for leaf in LEAFS {
-                foreign::order(&s.world, leaf.0, Mode::Drawn);
+                foreign::set_mode(&s.world, leaf.0, Mode::Random);
             }
             let first = s.calls.get() as usize;
             let told = std::cell::RefCell::new(Vec::new());
@@ -554,7 +566,7 @@
             all_of(tasks).await;
             expect_that!(answers.get(), eq(240));
             for leaf in LEAFS {
-                foreign::order(&s.world, leaf.0, Mode::Good);
+                foreign::set_mode(&s.world, leaf.0, Mode::Good);
             }
             serves(&s, "/pass/x", 200).await;
             // What was promised holds for ever, and nothing ran twice.
@@ -586,7 +598,7 @@
     block(async {
         let mut s = begun("foreign-end").await;
         for leaf in LEAFS {
-            foreign::order(&s.world, leaf.0, Mode::Hold);
+            foreign::set_mode(&s.world, leaf.0, Mode::Hold);
         }
         let before = s.world.borrow().runs.len();
         let (calls, ended) = {
@@ -605,9 +617,9 @@
                 assert!(until(LONG, async || held()).await, "the calls did not arrive");
                 site.queriers[0].signal("TERM").unwrap();
                 let told = until(LONG, async || !is_ready(site, 0).await).await;
-                let_go(&site.world);
+                release_held(&site.world);
                 for leaf in LEAFS {
-                    foreign::order(&site.world, leaf.0, Mode::Good);
+                    foreign::set_mode(&site.world, leaf.0, Mode::Good);
                 }
                 told
             };
@@ -664,7 +676,7 @@
     block(async {
         let s = begun("foreign-closed").await;
         for id in ["i-a1", "i-a2", "i-a3", "i-c1", "i-c2"] {
-            foreign::order(&s.world, id, Mode::Mute);
+            foreign::set_mode(&s.world, id, Mode::NeverAnswer);
         }
         // The caller goes.
         let mut connection = tokio::net::TcpStream::connect(s.caller_addrs[0]).await.unwrap();
@@ -678,7 +690,7 @@
         assert!(until(SEEN_CLOSED, async || closed()).await, "its leaf works on");
         // A quorum of two shards in three is in at the target, and the third is mute.
         for id in ["i-a1", "i-a2", "i-a3"] {
-            foreign::order(&s.world, id, Mode::Good);
+            foreign::set_mode(&s.world, id, Mode::Good);
         }
         let (id, response) = call(&s, 0, "GET", "/join/x", "").await.unwrap();
         expect_that!(response.status().as_u16(), eq(200));
--- a/crates/server/tests/held_orders.rs
+++ b/crates/server/tests/held_orders.rs
@@ -15,7 +15,7 @@
 use googletest::prelude::*;
 use hyper::Method;
 use serde_json::json;
-use testbed::holding_relay::{Hold, HoldingRelay};
+use testbed::delaying_relay::{DelayingRelay, RelayDelays};
 use testbed::local_cluster::{self, LocalCluster};
 
 /// How long relays hold bytes: until later orders were acknowledged.
@@ -36,12 +36,12 @@
         give(&cluster, cluster.operator_addrs[third], "drained").await;
         let mut relays = Vec::new();
         let mut stale = Vec::new();
-        for end_behind in ENDS_BEHIND_MS.map(Duration::from_millis) {
-            for connects_early in [true, false] {
+        for close_delay in ENDS_BEHIND_MS.map(Duration::from_millis) {
+            for connect_early in [true, false] {
                 for controller in [leader, other] {
-                    let hold = Hold { bytes: HOLD, end_behind, connects_early };
+                    let hold = RelayDelays { bytes: HOLD, close_delay, connect_early };
                     let to = cluster.operator_addrs[controller];
-                    let relay = HoldingRelay::open(to, hold).await.unwrap();
+                    let relay = DelayingRelay::open(to, hold).await.unwrap();
                     stale.push(send(relay.address, "open", relays.len()));
                     relays.push(relay);
                 }
--- a/crates/server/tests/querier_faults.rs
+++ b/crates/server/tests/querier_faults.rs
@@ -80,7 +80,7 @@
         // Only the ways to core and list are cut: neighbours hand renewals over
         // and news on, and the node serves by the newest configuration.
         for relay in &relays[..4] {
-            relay.cut(true);
+            relay.set_partitioned(true);
         }
         let val = json!({ "zones": [{ "name": "early", "state": "open" }] });
         let revision = f.patch(&val, "early").await.unwrap();
@@ -88,7 +88,7 @@
         assert!(local_cluster::until(LONG, obeys).await, "no news came by the cohort");
         expect_that!(ask(&f, 2).await.unwrap().0, eq(200));
         // Now nobody reaches it.
-        relays[4].cut(true);
+        relays[4].set_partitioned(true);
         let begun = Instant::now();
         assert!(local_cluster::until(LONG, || async { !f.is_ready(2).await }).await);
         // First not ready, then bouncing; the others go on.
@@ -101,7 +101,7 @@
         let revision = f.patch(&val, "later").await.unwrap();
         expect_that!(ask(&f, 0).await.unwrap().0, eq(200));
         for relay in &relays {
-            relay.cut(false);
+            relay.set_partitioned(false);
         }
         assert!(local_cluster::until(LONG, || f.is_ready(2)).await);
         expect_that!(ask(&f, 2).await.unwrap().1["revision"].as_u64(), ge(Some(revision)));
