--- a/crates/server/src/local_cluster/cli.rs
+++ b/crates/server/src/local_cluster/cli.rs
@@ -12,7 +12,7 @@
     pub seed: u64,
     pub stay: bool,
     /// `SECOND:WORD:ARGUMENT`, each.
-    pub troubles: Vec<String>,
+    pub faults: Vec<String>,
     pub name: String,
 }
 
@@ -27,7 +27,7 @@
     let factor = long("factor").help("times the spec's rates").argument::<f64>("X").fallback(1.0);
     let seed = long("seed").argument::<u64>("N").fallback(1);
     let stay = long("stay").help("start no callers; run until interrupted").switch();
-    let troubles = long("trouble")
+    let faults = long("trouble")
         .help(
             "SECOND:WORD[:ARGUMENT], e.g. 5:kill-querier:1, 5:kill-controller:owner, \
              8:start-querier:1, 8:stop-controller:0, 9:cont-controller:0, 10:term-querier:2, \
@@ -36,7 +36,7 @@
         .argument::<String>("T")
         .many();
     let name = positional::<String>("DEPLOYMENT").help("mohalla or kahurangi");
-    construct!(Args { dir, deploy, queriers, seconds, factor, seed, stay, troubles, name })
+    construct!(Args { dir, deploy, queriers, seconds, factor, seed, stay, faults, name })
         .to_options()
         .descr("a fleet of real processes on loopback")
 }
--- a/crates/server/src/local_cluster/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -47,20 +47,21 @@
     let spec = spec::read(&format!("{}/{}.standins.json", args.deploy, args.name))
         .map_err(|e| e.to_string())?;
     let begun = Instant::now();
-    let mut f = LocalCluster::start(layout).await?;
-    for i in 0..f.queriers.len() {
-        if !local_cluster::until(Duration::from_secs(15), || f.is_ready(i)).await {
+    let mut cluster = LocalCluster::start(layout).await?;
+    for i in 0..cluster.queriers.len() {
+        if !local_cluster::until(Duration::from_secs(15), || cluster.is_ready(i)).await {
             let text = format!("querier {i} did not become ready; see its log in {}", args.dir);
             return Err(text.into());
         }
     }
-    let operator_addrs: Vec<String> = f.operator_addrs.iter().map(|d| d.to_string()).collect();
+    let operator_addrs: Vec<String> =
+        cluster.operator_addrs.iter().map(|d| d.to_string()).collect();
     eprintln!("fleet is up after {} ms", begun.elapsed().as_millis());
     eprintln!("  operators:  export GREBE_AT={}", operator_addrs.join(","));
-    for (i, front) in f.caller_addrs.iter().enumerate() {
+    for (i, front) in cluster.caller_addrs.iter().enumerate() {
         eprintln!("  callers, q{i}: http://{front}/v1/search/{{search}}");
     }
-    eprintln!("  stand-ins:  http://{}", f.list);
+    eprintln!("  stand-ins:  http://{}", cluster.list);
     if args.stay {
         eprintln!("running until interrupted");
         grebepath_runtime::stop::requested().await;
@@ -68,14 +69,14 @@
     }
     let seen = Rc::new(RefCell::new(CallerStatistics::default()));
     let until = Instant::now() + Duration::from_secs(args.seconds);
-    let ready = Rc::new(RefCell::new(f.caller_addrs.clone()));
-    let watch = poll_readiness(
+    let ready = Rc::new(RefCell::new(cluster.caller_addrs.clone()));
+    let readiness_polls = poll_readiness(
         grebepath_runtime::http::client::HttpClient::new(2),
-        f.caller_addrs.clone(),
+        cluster.caller_addrs.clone(),
         ready.clone(),
         until,
     );
-    tokio::task::spawn_local(watch);
+    tokio::task::spawn_local(readiness_polls);
     let http = grebepath_runtime::http::client::HttpClient::new(128);
     let mut loads = Vec::new();
     for (i, kind) in spec.kinds.iter().enumerate() {
@@ -91,21 +92,24 @@
         );
         loads.push(tokio::task::spawn_local(task));
     }
-    fault_schedule::run(&mut f, &args.troubles).await?;
+    fault_schedule::run(&mut cluster, &args.faults).await?;
     for task in loads {
         task.await?;
     }
     // Every call has ended: what was seen does not change any more.
     let seen = seen.take();
-    let out = summary(&f, &seen).await?;
+    let out = summary(&cluster, &seen).await?;
     println!("{}", serde_json::to_string_pretty(&out).unwrap_or_default());
     Ok(out["answers"]["violations"] == 0)
 }
 
 /// What callers saw, what leafs ran, and what the queriers counted.
-async fn summary(f: &LocalCluster, seen: &CallerStatistics) -> Result<Value, LocalClusterError> {
-    let runs = f.query_backends("/runs").await?;
-    let state = f.query_backends("/state").await?;
+async fn summary(
+    cluster: &LocalCluster,
+    seen: &CallerStatistics,
+) -> Result<Value, LocalClusterError> {
+    let runs = cluster.query_backends("/runs").await?;
+    let state = cluster.query_backends("/state").await?;
     let leafs = state["leafs"].as_array().cloned().unwrap_or_default();
     let worst = leafs.iter().max_by_key(|l| l["worst_pct"].as_u64());
     let sum = |key: &str| leafs.iter().filter_map(|l| l[key].as_u64()).sum::<u64>();
@@ -116,17 +120,17 @@
         "grebe_second_tries_denied_total",
     ] {
         let mut n = 0;
-        for (i, front) in f.caller_addrs.iter().enumerate() {
-            if f.queriers[i].child.is_some() {
-                n += f.metric(*front, name).await.unwrap_or(0);
+        for (i, front) in cluster.caller_addrs.iter().enumerate() {
+            if cluster.queriers[i].child.is_some() {
+                n += cluster.metric(*front, name).await.unwrap_or(0);
             }
         }
         counts.insert(name.to_string(), json!(n));
     }
     let mut bounces = serde_json::Map::new();
-    for (i, front) in f.caller_addrs.iter().enumerate() {
-        let n = f.metric(*front, "grebe_bounces_total").await;
-        bounces.insert(f.queriers[i].name.clone(), json!(n));
+    for (i, front) in cluster.caller_addrs.iter().enumerate() {
+        let n = cluster.metric(*front, "grebe_bounces_total").await;
+        bounces.insert(cluster.queriers[i].name.clone(), json!(n));
     }
     Ok(json!({
         "bounces": bounces,
--- a/crates/server/src/mock_backends/cli.rs
+++ b/crates/server/src/mock_backends/cli.rs
@@ -6,7 +6,7 @@
 
 /// Which stand-in.
 pub enum Verb {
-    Backs {
+    MockBackends {
         spec: String,
         listen: SocketAddr,
         seed: u64,
@@ -29,8 +29,8 @@
         .argument::<SocketAddr>("IP:PORT")
         .fallback(SocketAddr::from(([127, 0, 0, 1], 0)));
     let (s, e) = (spec(), seed());
-    let backs = construct!(s, listen, e)
-        .map(|(spec, listen, seed)| Verb::Backs { spec, listen, seed })
+    let backends = construct!(s, listen, e)
+        .map(|(spec, listen, seed)| Verb::MockBackends { spec, listen, seed })
         .to_options()
         .descr("leafs and the platform's list")
         .command("backs");
@@ -57,7 +57,7 @@
         .to_options()
         .descr("callers that check every answer")
         .command("callers");
-    construct!([backs, callers]).to_options().descr("grebepath's stand-ins for the outside")
+    construct!([backends, callers]).to_options().descr("grebepath's stand-ins for the outside")
 }
 
 /// Reads the command line.
--- a/crates/server/src/mock_backends/error.rs
+++ b/crates/server/src/mock_backends/error.rs
@@ -27,5 +27,5 @@
     Json(#[from] serde_json::Error),
     /// Answers were not what leafs ran.
     #[error("answers broke their promises; see `first`")]
-    BrokenPromises,
+    InvalidAnswers,
 }
--- a/crates/server/src/mock_backends/main.rs
+++ b/crates/server/src/mock_backends/main.rs
@@ -26,8 +26,8 @@
     };
     let local = tokio::task::LocalSet::new();
     let end = match verb {
-        cli::Verb::Backs { spec, listen, seed } => {
-            local.block_on(&rt, serve_backs(spec, listen, seed))
+        cli::Verb::MockBackends { spec, listen, seed } => {
+            local.block_on(&rt, serve_backends(spec, listen, seed))
         }
         cli::Verb::Callers { spec, targets, list, seconds, factor, seed } => {
             local.block_on(&rt, run_callers(spec, targets, list, seconds, factor, seed))
@@ -43,14 +43,18 @@
     std::process::exit(1);
 }
 
-async fn serve_backs(file: String, listen: SocketAddr, seed: u64) -> Result<(), MockBackendsError> {
+async fn serve_backends(
+    file: String,
+    listen: SocketAddr,
+    seed: u64,
+) -> Result<(), MockBackendsError> {
     let spec = spec::read(&file)?;
-    let backs = MockBackends::start(&spec, seed).await?;
-    let door = tokio::net::TcpListener::bind(listen).await?;
-    let addr = door.local_addr()?;
-    println!("mock-backends list {addr} leafs {}", backs.borrow().leafs.len());
+    let backends = MockBackends::start(&spec, seed).await?;
+    let listener = tokio::net::TcpListener::bind(listen).await?;
+    let addr = listener.local_addr()?;
+    println!("mock-backends list {addr} leafs {}", backends.borrow().leafs.len());
     tokio::select! {
-        _ = control_listener::serve(door, backs) => {}
+        _ = control_listener::serve(listener, backends) => {}
         _ = grebepath_runtime::stop::requested() => {}
     }
     Ok(())
@@ -69,13 +73,13 @@
     let seen = Rc::new(RefCell::new(CallerStatistics::default()));
     let ready = Rc::new(RefCell::new(targets.clone()));
     let until = Instant::now() + Duration::from_secs(seconds);
-    let watching = poll_readiness(
+    let readiness_polls = poll_readiness(
         grebepath_runtime::http::client::HttpClient::new(2),
         targets,
         ready.clone(),
         until,
     );
-    tokio::task::spawn_local(watching);
+    tokio::task::spawn_local(readiness_polls);
     let mut loads = Vec::new();
     for (i, kind) in spec.kinds.iter().enumerate() {
         let seed = seed.wrapping_add(i as u64);
@@ -93,7 +97,7 @@
     let report = callers::report(&seen.borrow(), &runs);
     println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
     if report["violations"].as_u64() != Some(0) {
-        return Err(MockBackendsError::BrokenPromises);
+        return Err(MockBackendsError::InvalidAnswers);
     }
     Ok(())
 }
--- a/crates/server/src/process_soak/checks.rs
+++ b/crates/server/src/process_soak/checks.rs
@@ -4,25 +4,25 @@
 use crate::record::{Machine, Record, Run};
 
 /// A leaf gets no request later than this after the list shows that it leaves (ms).
-const DRAIN_MS: u64 = 3_000;
+const DRAIN_TIMEOUT_MS: u64 = 3_000;
 /// A zone gets no request later than this after the order to drain it was acknowledged (ms).
-const ZONE_DRAIN_MS: u64 = 5_000;
+const ZONE_DRAIN_TIMEOUT_MS: u64 = 5_000;
 /// A machine is in touch if nothing has disturbed it or the core for this long (ms).
-const CONTACT_MS: u64 = 4_000;
+const UNDISTURBED_MS: u64 = 4_000;
 
 /// All that breaks a rule, in plain words.
-pub fn judge(record: &Record) -> Vec<String> {
-    let mut violations = drain(record);
-    violations.extend(drained_zones(record));
-    violations.extend(kept_orders(record));
-    violations.extend(standing_orders(record));
+pub fn check(record: &Record) -> Vec<String> {
+    let mut violations = check_drain(record);
+    violations.extend(check_drained_zones(record));
+    violations.extend(check_final_states(record));
+    violations.extend(check_zone_reads(record));
     violations.extend(record.wrong_answers.iter().map(|text| format!("MIXED: {text}")));
     violations.extend(record.process_faults.iter().cloned());
     violations
 }
 
 /// Whether the querier that sent a run was in touch throughout the time before.
-fn is_in_touch(record: &Record, run: &Run) -> bool {
+fn is_undisturbed_at(record: &Record, run: &Run) -> bool {
     let counts = |machine: Machine| match machine {
         Machine::Querier(querier) => querier == run.querier,
         Machine::Controller(_) => true,
@@ -31,18 +31,19 @@
         let until_ms = disturbance.until_ms.unwrap_or(u64::MAX);
         counts(disturbance.machine)
             && disturbance.from_ms <= run.at_ms
-            && run.at_ms <= until_ms.saturating_add(CONTACT_MS)
+            && run.at_ms <= until_ms.saturating_add(UNDISTURBED_MS)
     })
 }
 
 /// DRAIN: a request, sent on by a machine in touch, reaches a leaf too late after the list showed
 /// that it leaves.
-fn drain(record: &Record) -> Vec<String> {
+fn check_drain(record: &Record) -> Vec<String> {
     let mut violations = Vec::new();
     for leaving in &record.leaving {
-        let is_late =
-            |run: &&Run| run.leaf == leaving.leaf && run.at_ms > leaving.shown_ms + DRAIN_MS;
-        for run in record.runs.iter().filter(is_late).filter(|run| is_in_touch(record, run)) {
+        let is_late = |run: &&Run| {
+            run.leaf == leaving.leaf && run.at_ms > leaving.shown_ms + DRAIN_TIMEOUT_MS
+        };
+        for run in record.runs.iter().filter(is_late).filter(|run| is_undisturbed_at(record, run)) {
             violations.push(format!(
                 "DRAIN: a request of querier {} runs at {} at {} ms, {} ms after the list showed it",
                 run.querier,
@@ -57,23 +58,25 @@
 
 /// EVAC: a request from a machine in touch reaches a leaf in a zone too long after the order to
 /// drain it was acknowledged, and before it is taken back.
-fn drained_zones(record: &Record) -> Vec<String> {
+fn check_drained_zones(record: &Record) -> Vec<String> {
     let mut violations = Vec::new();
-    for (number, order) in record.zone_orders.iter().enumerate() {
-        let (true, Some(acknowledged_ms)) = (order.drained, order.acknowledged_ms) else {
+    for (number, operation) in record.zone_operations.iter().enumerate() {
+        let (true, Some(acknowledged_ms)) = (operation.drained, operation.acknowledged_ms) else {
             continue;
         };
-        let later = record.zone_orders[number + 1..].iter().find(|next| next.zone == order.zone);
+        let later =
+            record.zone_operations[number + 1..].iter().find(|next| next.zone == operation.zone);
         let ends_ms = later.map_or(u64::MAX, |next| next.sent_ms);
         let is_wrong = |run: &&Run| {
-            run.zone == order.zone
-                && run.at_ms > acknowledged_ms + ZONE_DRAIN_MS
+            run.zone == operation.zone
+                && run.at_ms > acknowledged_ms + ZONE_DRAIN_TIMEOUT_MS
                 && run.at_ms < ends_ms
         };
-        for run in record.runs.iter().filter(is_wrong).filter(|run| is_in_touch(record, run)) {
+        for run in record.runs.iter().filter(is_wrong).filter(|run| is_undisturbed_at(record, run))
+        {
             violations.push(format!(
                 "EVAC: a request of querier {} runs in zone {} at {} ms, acknowledged at {} ms",
-                run.querier, order.zone, run.at_ms, acknowledged_ms
+                run.querier, operation.zone, run.at_ms, acknowledged_ms
             ));
         }
     }
@@ -81,10 +84,12 @@
 }
 
 /// LOST: the newest acknowledged order of a zone is not what is read at the end.
-fn kept_orders(record: &Record) -> Vec<String> {
+fn check_final_states(record: &Record) -> Vec<String> {
     let mut violations = Vec::new();
     for (zone, is_drained) in &record.zones_at_end {
-        let Some(last) = record.zone_orders.iter().rev().find(|order| order.zone == *zone) else {
+        let Some(last) =
+            record.zone_operations.iter().rev().find(|operation| operation.zone == *zone)
+        else {
             continue;
         };
         if last.acknowledged_ms.is_some() && last.drained != *is_drained {
@@ -97,14 +102,14 @@
 }
 
 /// LOST: a zone that was read does not stand as its newest order says, which was acknowledged.
-fn standing_orders(record: &Record) -> Vec<String> {
+fn check_zone_reads(record: &Record) -> Vec<String> {
     let mut violations = Vec::new();
     for read in &record.zone_reads {
-        let order = &record.zone_orders[read.order];
-        if order.acknowledged_ms.is_some() && order.drained != read.is_drained {
+        let operation = &record.zone_operations[read.operation];
+        if operation.acknowledged_ms.is_some() && operation.drained != read.is_drained {
             violations.push(format!(
                 "LOST: zone {} is read as drained {} at {} ms, against its newest order",
-                order.zone, read.is_drained, read.at_ms
+                operation.zone, read.is_drained, read.at_ms
             ));
         }
     }
--- a/crates/server/src/process_soak/cli.rs
+++ b/crates/server/src/process_soak/cli.rs
@@ -19,7 +19,7 @@
     /// Folder of the deployments' files.
     pub deploy: String,
     /// Folder of the daemons, if they are not those beside this program.
-    pub programs: Option<String>,
+    pub program_dir: Option<String>,
     /// What the stand-ins do wrong on purpose.
     pub broken: Option<String>,
 }
@@ -39,7 +39,7 @@
     let json = long("json").help("file for the report").argument::<String>("FILE").optional();
     let dir = long("dir").help("folder for data and logs").argument::<String>("DIR");
     let deploy = long("deploy").argument::<String>("DIR").fallback("deploy".into());
-    let programs = long("programs")
+    let program_dir = long("programs")
         .help("folder of controller and querier, such as those of an older build")
         .argument::<String>("DIR")
         .optional();
@@ -47,7 +47,7 @@
         .help("what the stand-ins do wrong: dead-list or unsent-drains")
         .argument::<String>("VARIANT")
         .optional();
-    construct!(Args { seed, seeds, length, queriers, json, dir, deploy, programs, broken })
+    construct!(Args { seed, seeds, length, queriers, json, dir, deploy, program_dir, broken })
         .to_options()
         .descr("real processes under drawn faults, judged from outside")
 }
--- a/crates/server/src/process_soak/cluster_run.rs
+++ b/crates/server/src/process_soak/cluster_run.rs
@@ -18,7 +18,7 @@
 use crate::cli::Args;
 use crate::long_calls;
 use crate::operator;
-use crate::operator::Order;
+use crate::operator::ZoneOperation;
 use crate::record::{LeavingLeaf, Machine, Record, Run};
 use crate::schedule::{Action, ActionKind, Schedule};
 
@@ -27,28 +27,28 @@
 /// The deployment that is played.
 const DEPLOYMENT: &str = "mohalla";
 /// Part of its load: what a machine with a few cores serves without strain.
-const LOAD: f64 = 0.15;
+const LOAD_FACTOR: f64 = 0.15;
 /// Pause between two looks at the schedule and the processes.
-const LOOK: Duration = Duration::from_millis(20);
+const POLL_INTERVAL: Duration = Duration::from_millis(20);
 /// Time in which a cluster must be ready, at the start and once all faults are over.
-const READY: Duration = Duration::from_secs(15);
+const READY_TIMEOUT: Duration = Duration::from_secs(15);
 /// Time for the last orders and runs.
-const SETTLE: Duration = Duration::from_secs(2);
+const SETTLE_TIME: Duration = Duration::from_secs(2);
 /// The services whose leafs leave: each has four, so that three may.
 const LEAVING_SERVICE: &str = "mohalla-notices-w48-";
 const LEAVING_SERVICES: u64 = 4;
 /// Leafs of a service that may leave (count).
-const LEAVING_MOST: usize = 2;
+const MAX_LEAVING_PER_SERVICE: usize = 2;
 
 /// A process that is to start again.
-struct Restart {
+struct ScheduledRestart {
     machine: Machine,
     /// When; for one that was asked to stop, once it has ended.
     at_ms: u64,
 }
 
 /// A process that goes on after standing still.
-struct Thaw {
+struct ScheduledResume {
     machine: Machine,
     at_ms: u64,
 }
@@ -56,19 +56,19 @@
 struct Driver {
     cluster: LocalCluster,
     record: Rc<RefCell<Record>>,
-    orders: UnboundedSender<Order>,
+    operations: UnboundedSender<ZoneOperation>,
     list_lag_ms: u64,
-    restarts: Vec<Restart>,
-    thaws: Vec<Thaw>,
-    left: usize,
-    kills_list: bool,
+    restarts: Vec<ScheduledRestart>,
+    resumes: Vec<ScheduledResume>,
+    leafs_left: usize,
+    break_list_first: bool,
 }
 
 /// Plays one seed.
-pub async fn play(args: &Args, seed: u64, schedule: &Schedule) -> Result<Record, Failure> {
+pub async fn run_seed(args: &Args, seed: u64, schedule: &Schedule) -> Result<Record, Failure> {
     let layout = Layout {
         bin: local_cluster::bin_dir(&std::env::current_exe()?),
-        daemons: args.programs.as_ref().map(Into::into),
+        daemons: args.program_dir.as_ref().map(Into::into),
         dir: format!("{}/seed-{seed}", args.dir).into(),
         deploy: args.deploy.clone().into(),
         name: DEPLOYMENT.into(),
@@ -81,10 +81,15 @@
         return Err("the cluster does not become ready".into());
     }
     let record = Rc::new(RefCell::new(Record::new()));
-    let (orders, given) = unbounded_channel();
-    let sends = args.broken.as_deref() != Some("unsent-drains");
-    let work = operator::work(cluster.operator_addrs.clone(), given, record.clone(), sends);
-    let operator = tokio::task::spawn_local(work);
+    let (operations, operation_receiver) = unbounded_channel();
+    let send_drains = args.broken.as_deref() != Some("unsent-drains");
+    let operator_run = operator::run_operator(
+        cluster.operator_addrs.clone(),
+        operation_receiver,
+        record.clone(),
+        send_drains,
+    );
+    let operator = tokio::task::spawn_local(operator_run);
     let seen = Rc::new(RefCell::new(CallerStatistics::default()));
     let until = Instant::now() + Duration::from_millis(args.length_ms());
     let mut loads = start_load(&cluster, &spec, seed, &seen, until);
@@ -94,12 +99,12 @@
     let mut driver = Driver {
         cluster,
         record: record.clone(),
-        orders,
+        operations,
         list_lag_ms: spec.list_lag_ms,
         restarts: Vec::new(),
-        thaws: Vec::new(),
-        left: 0,
-        kills_list: args.broken.as_deref() == Some("dead-list"),
+        resumes: Vec::new(),
+        leafs_left: 0,
+        break_list_first: args.broken.as_deref() == Some("dead-list"),
     };
     driver.drive(&schedule.actions, until).await?;
     for task in loads {
@@ -107,7 +112,7 @@
     }
     let cluster = driver.finish().await?;
     operator.await?;
-    tokio::time::sleep(SETTLE).await;
+    tokio::time::sleep(SETTLE_TIME).await;
     let seen = seen.take();
     read_end(&cluster, &record, &seen).await?;
     let finished = std::mem::replace(&mut *record.borrow_mut(), Record::new());
@@ -116,7 +121,7 @@
 
 async fn all_ready(cluster: &LocalCluster) -> bool {
     for querier in 0..cluster.queriers.len() {
-        if !local_cluster::until(READY, || cluster.is_ready(querier)).await {
+        if !local_cluster::until(READY_TIMEOUT, || cluster.is_ready(querier)).await {
             return false;
         }
     }
@@ -141,7 +146,15 @@
     kinds
         .map(|(kind, seed)| {
             let (http, ready, seen) = (http.clone(), ready.clone(), seen.clone());
-            tokio::task::spawn_local(run_load(http, kind.clone(), LOAD, ready, seen, seed, until))
+            tokio::task::spawn_local(run_load(
+                http,
+                kind.clone(),
+                LOAD_FACTOR,
+                ready,
+                seen,
+                seed,
+                until,
+            ))
         })
         .collect()
 }
@@ -161,25 +174,25 @@
         while Instant::now() < until || next.is_some() || self.has_pending() {
             let now = self.record.borrow().now_ms();
             self.restart_due(now)?;
-            self.thaw_due(now)?;
+            self.resume_due(now)?;
             while let Some(action) = next.filter(|action| action.at_ms <= now) {
                 self.act(action, now).await?;
                 next = due.next();
             }
             self.note_unexpected_ends();
-            tokio::time::sleep(LOOK).await;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         Ok(())
     }
 
     fn has_pending(&self) -> bool {
-        !self.restarts.is_empty() || !self.thaws.is_empty()
+        !self.restarts.is_empty() || !self.resumes.is_empty()
     }
 
     /// Whether a machine is in the hands of an earlier action.
-    fn is_busy(&self, machine: Machine) -> bool {
+    fn has_pending_action(&self, machine: Machine) -> bool {
         self.restarts.iter().any(|restart| restart.machine == machine)
-            || self.thaws.iter().any(|thaw| thaw.machine == machine)
+            || self.resumes.iter().any(|resume| resume.machine == machine)
     }
 
     async fn act(&mut self, action: &Action, now: u64) -> Result<(), Failure> {
@@ -195,79 +208,88 @@
                 self.kill(Machine::Controller(controller), now + down_ms)
             }
             ActionKind::FreezeQuerier { querier, for_ms } => {
-                self.freeze(Machine::Querier(querier), now + for_ms)
+                self.pause(Machine::Querier(querier), now + for_ms)
             }
             ActionKind::FreezeController { controller, for_ms } => {
-                self.freeze(Machine::Controller(controller), now + for_ms)
+                self.pause(Machine::Controller(controller), now + for_ms)
             }
-            ActionKind::HangUpQuerier(querier) => self.hang_up(Machine::Querier(querier)),
-            ActionKind::DrainZone { zone, controller } => self.order(zone, true, controller),
-            ActionKind::TakeBack { zone, controller } => self.order(zone, false, controller),
-            ActionKind::LeafLeaves => self.leaf_leaves().await,
+            ActionKind::HangUpQuerier(querier) => self.send_sighup(Machine::Querier(querier)),
+            ActionKind::DrainZone { zone, controller } => {
+                self.send_zone_operation(zone, true, controller)
+            }
+            ActionKind::TakeBack { zone, controller } => {
+                self.send_zone_operation(zone, false, controller)
+            }
+            ActionKind::LeafLeaves => self.drain_leaf().await,
             ActionKind::LeafRestarts => {
                 let service = format!("{LEAVING_SERVICE}0");
-                let order = json!({ "do": "restart", "service": service, "count": 1 });
-                self.cluster.control_backends(order).await?;
+                let operation = json!({ "do": "restart", "service": service, "count": 1 });
+                self.cluster.control_backends(operation).await?;
                 Ok(())
             }
         }
     }
 
-    fn begin(&mut self, machine: Machine, what: &str) -> bool {
-        if self.is_busy(machine) {
+    fn start_fault(&mut self, machine: Machine, signal_name: &str) -> bool {
+        if self.has_pending_action(machine) {
             return false;
         }
         let mut record = self.record.borrow_mut();
-        record.note(format!("{machine:?}: {what}"));
+        record.log_event(format!("{machine:?}: {signal_name}"));
         record.disturb(machine);
         true
     }
 
     fn stop(&mut self, machine: Machine, now: u64) -> Result<(), Failure> {
-        if self.begin(machine, "SIGTERM") {
+        if self.start_fault(machine, "SIGTERM") {
             self.process(machine).signal("TERM")?;
-            self.restarts.push(Restart { machine, at_ms: now });
+            self.restarts.push(ScheduledRestart { machine, at_ms: now });
         }
         Ok(())
     }
 
-    fn kill(&mut self, machine: Machine, back_ms: u64) -> Result<(), Failure> {
-        if self.begin(machine, "SIGKILL") {
+    fn kill(&mut self, machine: Machine, end_ms: u64) -> Result<(), Failure> {
+        if self.start_fault(machine, "SIGKILL") {
             self.process(machine).kill();
-            self.restarts.push(Restart { machine, at_ms: back_ms });
+            self.restarts.push(ScheduledRestart { machine, at_ms: end_ms });
         }
         Ok(())
     }
 
-    fn freeze(&mut self, machine: Machine, back_ms: u64) -> Result<(), Failure> {
-        if self.begin(machine, "SIGSTOP") {
+    fn pause(&mut self, machine: Machine, end_ms: u64) -> Result<(), Failure> {
+        if self.start_fault(machine, "SIGSTOP") {
             self.process(machine).signal("STOP")?;
-            self.thaws.push(Thaw { machine, at_ms: back_ms });
+            self.resumes.push(ScheduledResume { machine, at_ms: end_ms });
         }
         Ok(())
     }
 
     /// A SIGHUP disturbs nobody.
-    fn hang_up(&mut self, machine: Machine) -> Result<(), Failure> {
-        if !self.is_busy(machine) {
-            self.record.borrow_mut().note(format!("{machine:?}: SIGHUP"));
+    fn send_sighup(&mut self, machine: Machine) -> Result<(), Failure> {
+        if !self.has_pending_action(machine) {
+            self.record.borrow_mut().log_event(format!("{machine:?}: SIGHUP"));
             self.process(machine).signal("HUP")?;
         }
         Ok(())
     }
 
-    fn order(&self, zone: &'static str, drained: bool, controller: usize) -> Result<(), Failure> {
-        Ok(self.orders.send(Order { zone, drained, controller })?)
+    fn send_zone_operation(
+        &self,
+        zone: &'static str,
+        drained: bool,
+        controller: usize,
+    ) -> Result<(), Failure> {
+        Ok(self.operations.send(ZoneOperation { zone, drained, controller })?)
     }
 
     /// A leaf leaves, and tells nobody: the platform's list alone shows it.
-    async fn leaf_leaves(&mut self) -> Result<(), Failure> {
-        let service_number = self.left as u64 % LEAVING_SERVICES;
-        if self.left >= LEAVING_SERVICES as usize * LEAVING_MOST {
+    async fn drain_leaf(&mut self) -> Result<(), Failure> {
+        let service_number = self.leafs_left as u64 % LEAVING_SERVICES;
+        if self.leafs_left >= LEAVING_SERVICES as usize * MAX_LEAVING_PER_SERVICE {
             return Ok(());
         }
         let service = format!("{LEAVING_SERVICE}{service_number}");
-        if self.kills_list {
+        if self.break_list_first {
             self.cluster.control_backends(json!({ "do": "list-dead" })).await?;
         }
         let state = self.cluster.query_backends("/state").await?;
@@ -278,18 +300,18 @@
         let Some(name) = leafs.iter().find(stays).and_then(|leaf| leaf["leaf"].as_str()) else {
             return Ok(());
         };
-        self.left += 1;
+        self.leafs_left += 1;
         self.cluster.control_backends(json!({ "do": "leave-unseen", "leaf": name })).await?;
         let mut record = self.record.borrow_mut();
         let shown_ms = record.now_ms() + self.list_lag_ms;
-        record.note(format!("{name} leaves; the list shows it from {shown_ms} ms on"));
+        record.log_event(format!("{name} leaves; the list shows it from {shown_ms} ms on"));
         record.leaving.push(LeavingLeaf { leaf: name.to_string(), shown_ms });
         Ok(())
     }
 
     /// Starts what is due; one that was asked to stop must have ended.
     fn restart_due(&mut self, now: u64) -> Result<(), Failure> {
-        let (due, waits): (Vec<Restart>, Vec<Restart>) =
+        let (due, waits): (Vec<ScheduledRestart>, Vec<ScheduledRestart>) =
             std::mem::take(&mut self.restarts).into_iter().partition(|r| r.at_ms <= now);
         self.restarts = waits;
         for restart in due {
@@ -302,21 +324,21 @@
             process.child = None;
             process.start()?;
             let mut record = self.record.borrow_mut();
-            record.note(format!("{:?} has started again", restart.machine));
+            record.log_event(format!("{:?} has started again", restart.machine));
             record.recover(restart.machine);
         }
         Ok(())
     }
 
-    fn thaw_due(&mut self, now: u64) -> Result<(), Failure> {
-        let (due, waits): (Vec<Thaw>, Vec<Thaw>) =
-            std::mem::take(&mut self.thaws).into_iter().partition(|thaw| thaw.at_ms <= now);
-        self.thaws = waits;
-        for thaw in due {
-            self.process(thaw.machine).signal("CONT")?;
+    fn resume_due(&mut self, now: u64) -> Result<(), Failure> {
+        let (due, waits): (Vec<ScheduledResume>, Vec<ScheduledResume>) =
+            std::mem::take(&mut self.resumes).into_iter().partition(|resume| resume.at_ms <= now);
+        self.resumes = waits;
+        for resume in due {
+            self.process(resume.machine).signal("CONT")?;
             let mut record = self.record.borrow_mut();
-            record.note(format!("{:?} goes on", thaw.machine));
-            record.recover(thaw.machine);
+            record.log_event(format!("{:?} goes on", resume.machine));
+            record.recover(resume.machine);
         }
         Ok(())
     }
@@ -327,22 +349,22 @@
         let machines: Vec<Machine> =
             all.chain((0..self.cluster.controllers.len()).map(Machine::Controller)).collect();
         for machine in machines {
-            if self.is_busy(machine) {
+            if self.has_pending_action(machine) {
                 continue;
             }
             let child = self.process(machine).child.as_mut();
             if let Some(Ok(Some(status))) = child.map(std::process::Child::try_wait) {
                 let text = format!("{machine:?} ended by itself: {status}");
                 self.record.borrow_mut().process_faults.push(text);
-                self.restarts.push(Restart { machine, at_ms: 0 });
+                self.restarts.push(ScheduledRestart { machine, at_ms: 0 });
             }
         }
     }
 
     /// Ends the operator's work; gives the cluster once it is ready again.
     async fn finish(self) -> Result<LocalCluster, Failure> {
-        let Driver { cluster, record, orders, .. } = self;
-        drop(orders);
+        let Driver { cluster, record, operations, .. } = self;
+        drop(operations);
         if !all_ready(&cluster).await {
             let text = "not all queriers are ready again after the last fault".to_string();
             record.borrow_mut().process_faults.push(text);
--- a/crates/server/src/process_soak/long_calls.rs
+++ b/crates/server/src/process_soak/long_calls.rs
@@ -18,13 +18,13 @@
 const SEARCH: &str = "history";
 const SERVICE: &str = "mohalla-history-w48-0";
 /// How long its leafs take for an answer (ms).
-const LEAF_MS: u64 = 5_000;
+const LEAF_LATENCY_MS: u64 = 5_000;
 /// How long callers wait, and what the search promises (ms).
 const BUDGET_MS: u64 = 7_000;
 /// Callers of each querier (count).
 const CALLERS: u64 = 2;
 /// Pause after a call.
-const PAUSE: Duration = Duration::from_millis(100);
+const CALL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Makes the service slow, lets its search take as long, and starts the callers of all queriers.
 pub async fn start(
@@ -34,27 +34,29 @@
     seen: &Rc<RefCell<CallerStatistics>>,
     until: Instant,
 ) -> Result<Vec<JoinHandle<()>>, LocalClusterError> {
-    cluster.control_backends(json!({ "do": "slow", "service": SERVICE, "ms": LEAF_MS })).await?;
+    cluster
+        .control_backends(json!({ "do": "slow", "service": SERVICE, "ms": LEAF_LATENCY_MS }))
+        .await?;
     let searches = config["searches"].as_array().into_iter().flatten();
     for search in searches.filter(|search| search["name"] == SEARCH) {
-        let mut patient = search.clone();
-        patient["promise_ms"] = json!(BUDGET_MS);
-        cluster.patch(&json!({ "searches": [patient] }), "long-calls").await?;
+        let mut slow_search = search.clone();
+        slow_search["promise_ms"] = json!(BUDGET_MS);
+        cluster.patch(&json!({ "searches": [slow_search] }), "long-calls").await?;
     }
     let kind = spec.kinds.iter().find(|kind| kind.search == SEARCH).cloned();
     let kind = kind.map(|kind| Rc::new(Kind { budget_ms: BUDGET_MS, ..kind }));
     let caller_addrs =
         cluster.caller_addrs.iter().flat_map(|front| (0..CALLERS).map(move |_| *front));
-    let numbered = caller_addrs.zip(0..);
-    let callers = numbered.filter_map(|(front, number)| {
-        let calls = call_again(front, kind.clone()?, number, seen.clone(), until);
+    let numbered_addrs = caller_addrs.zip(0..);
+    let callers = numbered_addrs.filter_map(|(front, number)| {
+        let calls = call_repeatedly(front, kind.clone()?, number, seen.clone(), until);
         Some(tokio::task::spawn_local(calls))
     });
     Ok(callers.collect())
 }
 
 /// One call after the other, until a time.
-async fn call_again(
+async fn call_repeatedly(
     front: SocketAddr,
     kind: Rc<Kind>,
     number: u64,
@@ -62,10 +64,11 @@
     until: Instant,
 ) {
     let http = HttpClient::new(1);
-    let mut turn = 0;
+    let mut call_number = 0;
     while Instant::now() < until {
-        call_once(http.clone(), front, kind.clone(), number << 20 | turn, seen.clone()).await;
-        turn += 1;
-        tokio::time::sleep(PAUSE).await;
+        call_once(http.clone(), front, kind.clone(), number << 20 | call_number, seen.clone())
+            .await;
+        call_number += 1;
+        tokio::time::sleep(CALL_INTERVAL).await;
     }
 }
--- a/crates/server/src/process_soak/main.rs
+++ b/crates/server/src/process_soak/main.rs
@@ -24,7 +24,7 @@
         Err(error) => return fail(&error.to_string()),
     };
     let local = tokio::task::LocalSet::new();
-    match local.block_on(&runtime, soak(&args)) {
+    match local.block_on(&runtime, run_seeds(&args)) {
         Ok(0) => {}
         Ok(_) => std::process::exit(1),
         Err(error) => fail(&error.to_string()),
@@ -37,18 +37,18 @@
 }
 
 /// Plays all seeds; gives how many broke a rule.
-async fn soak(args: &Args) -> Result<usize, Box<dyn std::error::Error>> {
+async fn run_seeds(args: &Args) -> Result<usize, Box<dyn std::error::Error>> {
     let (mut broken, mut report) = (0, Vec::new());
     for seed in args.seed..args.seed + args.seeds {
-        let schedule = Schedule::draw(seed, args.queriers, args.length_ms());
-        let record = cluster_run::play(args, seed, &schedule).await?;
-        let violations = checks::judge(&record);
+        let schedule = Schedule::generate(seed, args.queriers, args.length_ms());
+        let record = cluster_run::run_seed(args, seed, &schedule).await?;
+        let violations = checks::check(&record);
         println!(
             "seed {seed}: {} actions, {} runs judged, {} of leafs shown as leaving, {} zones drained, {}",
             schedule.actions.len(),
             record.runs.len(),
             record.leaving.len(),
-            record.zone_orders.iter().filter(|order| order.drained).count(),
+            record.zone_operations.iter().filter(|operation| operation.drained).count(),
             if violations.is_empty() {
                 "held".into()
             } else {
@@ -57,9 +57,9 @@
         );
         if !violations.is_empty() {
             broken += 1;
-            explain(&schedule, &record, &violations);
+            print_failure(&schedule, &record, &violations);
         }
-        report.push(describe(seed, &schedule, &record, &violations));
+        report.push(seed_report(seed, &schedule, &record, &violations));
     }
     if let Some(path) = &args.json {
         std::fs::write(Path::new(path), Value::Array(report).to_string())?;
@@ -68,7 +68,7 @@
 }
 
 /// A seed's run for the report.
-fn describe(seed: u64, schedule: &Schedule, record: &Record, violations: &[String]) -> Value {
+fn seed_report(seed: u64, schedule: &Schedule, record: &Record, violations: &[String]) -> Value {
     let actions = schedule.actions.iter();
     let actions: Vec<Value> = actions
         .map(|action| json!({ "at_ms": action.at_ms, "do": format!("{:?}", action.kind) }))
@@ -85,7 +85,7 @@
 }
 
 /// Prints a failing seed's schedule, what happened in the order of time, and what broke.
-fn explain(schedule: &Schedule, record: &Record, violations: &[String]) {
+fn print_failure(schedule: &Schedule, record: &Record, violations: &[String]) {
     println!("  schedule (what follows from it depends on the machine's timing):");
     for action in &schedule.actions {
         println!("    {:>6} ms  {:?}", action.at_ms, action.kind);
--- a/crates/server/src/process_soak/record.rs
+++ b/crates/server/src/process_soak/record.rs
@@ -30,7 +30,7 @@
 }
 
 /// An operator's order to drain a zone, or to take that back.
-pub struct ZoneOrder {
+pub struct ZoneOperationRecord {
     /// The zone.
     pub zone: String,
     /// Whether nothing more may be sent there.
@@ -44,7 +44,7 @@
 /// How a zone stood when it was read, before the next order about it was sent.
 pub struct ZoneRead {
     /// The newest order about the zone, by its place among all.
-    pub order: usize,
+    pub operation: usize,
     /// What was read.
     pub is_drained: bool,
     /// When.
@@ -79,7 +79,7 @@
     /// Leafs that leave.
     pub leaving: Vec<LeavingLeaf>,
     /// Orders about zones, in the order in which they were given.
-    pub zone_orders: Vec<ZoneOrder>,
+    pub zone_operations: Vec<ZoneOperationRecord>,
     /// What was read between orders.
     pub zone_reads: Vec<ZoneRead>,
     /// What leafs ran.
@@ -101,7 +101,7 @@
             began: Instant::now(),
             disturbances: Vec::new(),
             leaving: Vec::new(),
-            zone_orders: Vec::new(),
+            zone_operations: Vec::new(),
             zone_reads: Vec::new(),
             runs: Vec::new(),
             events: Vec::new(),
@@ -117,7 +117,7 @@
     }
 
     /// Notes something that happens now.
-    pub fn note(&mut self, text: String) {
+    pub fn log_event(&mut self, text: String) {
         let at_ms = self.now_ms();
         self.events.push(Event { at_ms, text });
     }
--- a/crates/server/src/process_soak/schedule.rs
+++ b/crates/server/src/process_soak/schedule.rs
@@ -7,13 +7,13 @@
 /// The zones of the cluster.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 /// The first action comes at this time (ms), and the last one this long before the end.
-const MARGIN_MS: u64 = 2_000;
+const QUIET_MARGIN_MS: u64 = 2_000;
 /// Time between two disturbances of the core (ms): one machine is lost at a time, it is caught up
 /// with by then, and queriers are in touch for a while.
-const CORE_PERIOD_MS: u64 = 14_000;
+const CONTROLLER_FAULT_INTERVAL_MS: u64 = 14_000;
 
 /// A zone is drained so long before an order takes that back (ms).
-const DRAINED_BEFORE_MS: u64 = 2_000;
+const DRAIN_LEAD_MS: u64 = 2_000;
 
 /// What happens.
 #[derive(Clone, Debug)]
@@ -59,38 +59,39 @@
 
 impl Schedule {
     /// Draws a schedule.
-    pub fn draw(seed: u64, queriers: usize, length_ms: u64) -> Schedule {
-        let mut draw = Draw { random: Random::new(seed), queriers, length_ms, actions: Vec::new() };
+    pub fn generate(seed: u64, queriers: usize, length_ms: u64) -> Schedule {
+        let mut builder =
+            ScheduleBuilder { random: Random::new(seed), queriers, length_ms, actions: Vec::new() };
         for _ in 0..1 + length_ms / 10_000 {
-            draw.disturb_queriers();
+            builder.add_querier_faults();
         }
         // A disturbed core puts nobody in touch: what queriers do is judged without it.
-        if draw.below(2) == 0 {
-            draw.disturb_core();
+        if builder.below(2) == 0 {
+            builder.add_controller_faults();
         }
-        draw.move_leafs();
-        draw.give_orders();
-        draw.actions.sort_by_key(|action| action.at_ms);
-        Schedule { actions: draw.actions }
+        builder.add_leaf_changes();
+        builder.add_zone_operations();
+        builder.actions.sort_by_key(|action| action.at_ms);
+        Schedule { actions: builder.actions }
     }
 }
 
-struct Draw {
+struct ScheduleBuilder {
     random: Random,
     queriers: usize,
     length_ms: u64,
     actions: Vec<Action>,
 }
 
-impl Draw {
+impl ScheduleBuilder {
     fn below(&mut self, bound: u64) -> u64 {
         self.random.below(bound.max(1))
     }
 
     /// A time at which something may begin.
-    fn moment(&mut self) -> u64 {
-        let span = self.length_ms.saturating_sub(2 * MARGIN_MS);
-        MARGIN_MS + self.below(span)
+    fn random_time(&mut self) -> u64 {
+        let span = self.length_ms.saturating_sub(2 * QUIET_MARGIN_MS);
+        QUIET_MARGIN_MS + self.below(span)
     }
 
     fn add(&mut self, at_ms: u64, kind: ActionKind) {
@@ -98,7 +99,7 @@
     }
 
     /// Up to all queriers but one, in an order of chance.
-    fn some_queriers(&mut self) -> Vec<usize> {
+    fn random_queriers(&mut self) -> Vec<usize> {
         let mut all: Vec<usize> = (0..self.queriers).collect();
         for last in (1..all.len()).rev() {
             let other = self.below(last as u64 + 1) as usize;
@@ -111,25 +112,25 @@
     }
 
     /// A rolling restart, a loss of several at once, or several that stand still.
-    fn disturb_queriers(&mut self) {
-        let (from, gap_ms) = (self.moment(), 200 + self.below(1_300));
-        let chosen = self.some_queriers();
+    fn add_querier_faults(&mut self) {
+        let (from, gap_ms) = (self.random_time(), 200 + self.below(1_300));
+        let chosen = self.random_queriers();
         let (kind, down_ms) = (self.below(6), 1_000 + self.below(4_000));
-        for (turn, querier) in chosen.into_iter().enumerate() {
-            let in_turn = from + turn as u64 * gap_ms;
+        for (position, querier) in chosen.into_iter().enumerate() {
+            let staggered_ms = from + position as u64 * gap_ms;
             match kind {
-                0 | 1 => self.add(in_turn, ActionKind::StopQuerier(querier)),
+                0 | 1 => self.add(staggered_ms, ActionKind::StopQuerier(querier)),
                 2 | 3 => self.add(from, ActionKind::KillQuerier { querier, down_ms }),
                 4 => self.add(from, ActionKind::FreezeQuerier { querier, for_ms: down_ms }),
-                _ => self.add(in_turn, ActionKind::HangUpQuerier(querier)),
+                _ => self.add(staggered_ms, ActionKind::HangUpQuerier(querier)),
             }
         }
     }
 
     /// One controller at a time.
-    fn disturb_core(&mut self) {
-        let mut at_ms = MARGIN_MS + self.below(CORE_PERIOD_MS);
-        while at_ms + MARGIN_MS < self.length_ms {
+    fn add_controller_faults(&mut self) {
+        let mut at_ms = QUIET_MARGIN_MS + self.below(CONTROLLER_FAULT_INTERVAL_MS);
+        while at_ms + QUIET_MARGIN_MS < self.length_ms {
             let controller = self.below(CONTROLLERS as u64) as usize;
             let for_ms = 500 + self.below(5_500);
             let kind = match self.below(4) {
@@ -138,25 +139,25 @@
                 _ => ActionKind::FreezeController { controller, for_ms },
             };
             self.add(at_ms, kind);
-            at_ms += CORE_PERIOD_MS;
+            at_ms += CONTROLLER_FAULT_INTERVAL_MS;
         }
     }
 
     /// Leafs leave and restart, some of them just before queriers are disturbed.
-    fn move_leafs(&mut self) {
+    fn add_leaf_changes(&mut self) {
         let disturbed: Vec<u64> = self.actions.iter().map(|action| action.at_ms).collect();
         for _ in 0..1 + self.length_ms / 6_000 {
             let near = disturbed[self.random.below(disturbed.len() as u64) as usize];
-            let at_ms = (near + 600).saturating_sub(self.below(2_600)).max(MARGIN_MS);
+            let at_ms = (near + 600).saturating_sub(self.below(2_600)).max(QUIET_MARGIN_MS);
             self.add(at_ms, ActionKind::LeafLeaves);
         }
-        let at_ms = self.moment();
+        let at_ms = self.random_time();
         self.add(at_ms, ActionKind::LeafRestarts);
     }
 
     /// Orders to drain a zone that are given and taken back. A take-back goes to each controller
     /// that stands still, and the opposite follows once its sender has gone on.
-    fn give_orders(&mut self) {
+    fn add_zone_operations(&mut self) {
         let zone = ZONES[self.below(ZONES.len() as u64) as usize];
         let mut frozen: Vec<(u64, usize)> = Vec::new();
         for action in &self.actions {
@@ -166,12 +167,12 @@
         }
         if frozen.is_empty() {
             // Early, so that what stands afterwards is judged for long.
-            let at_ms = (self.moment() / 2).max(DRAINED_BEFORE_MS + MARGIN_MS);
+            let at_ms = (self.random_time() / 2).max(DRAIN_LEAD_MS + QUIET_MARGIN_MS);
             frozen.push((at_ms, self.below(CONTROLLERS as u64) as usize));
         }
         for (at_ms, controller) in frozen {
             let other = (controller + 1) % CONTROLLERS;
-            let before = at_ms.saturating_sub(DRAINED_BEFORE_MS).max(MARGIN_MS / 2);
+            let before = at_ms.saturating_sub(DRAIN_LEAD_MS).max(QUIET_MARGIN_MS / 2);
             let after = at_ms + 1 + self.below(100);
             self.add(before, ActionKind::DrainZone { zone, controller: other });
             self.add(after, ActionKind::TakeBack { zone, controller });
