--- a/crates/server/src/local_cluster/cli.rs
+++ b/crates/server/src/local_cluster/cli.rs
@@ -1,8 +1,8 @@
-//! The fleet runner's command line.
+//! The command line of the local cluster's runner.
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 
-/// What to run.
+/// The command line's arguments.
 pub struct Args {
     pub dir: String,
     pub deploy: String,
@@ -11,7 +11,7 @@
     pub factor: f64,
     pub seed: u64,
     pub stay: bool,
-    /// `SECOND:WORD:ARGUMENT`, each.
+    /// Scheduled faults, each in the form `SECOND:WORD[:ARGUMENT]`.
     pub faults: Vec<String>,
     pub name: String,
 }
@@ -23,8 +23,10 @@
         .argument::<String>("DIR")
         .fallback("deploy".into());
     let queriers = long("queriers").argument::<usize>("N").fallback(6);
-    let seconds = long("seconds").help("how long callers call").argument::<u64>("N").fallback(20);
-    let factor = long("factor").help("times the spec's rates").argument::<f64>("X").fallback(1.0);
+    let seconds =
+        long("seconds").help("duration of the load in seconds").argument::<u64>("N").fallback(20);
+    let factor =
+        long("factor").help("factor on the spec's call rates").argument::<f64>("X").fallback(1.0);
     let seed = long("seed").argument::<u64>("N").fallback(1);
     let stay = long("stay").help("start no callers; run until interrupted").switch();
     let faults = long("trouble")
@@ -38,7 +40,7 @@
     let name = positional::<String>("DEPLOYMENT").help("mohalla or kahurangi");
     construct!(Args { dir, deploy, queriers, seconds, factor, seed, stay, faults, name })
         .to_options()
-        .descr("a fleet of real processes on loopback")
+        .descr("runs a cluster of real processes on loopback")
 }
 
 /// Reads the command line.
--- a/crates/server/src/local_cluster/fault_schedule.rs
+++ b/crates/server/src/local_cluster/fault_schedule.rs
@@ -1,4 +1,4 @@
-//! Faults for a cluster of real processes, by the clock.
+//! Scheduled faults for a cluster of real processes.
 
 use std::time::{Duration, Instant};
 
@@ -7,48 +7,48 @@
 use testbed::local_cluster::error::LocalClusterError;
 use thiserror::Error;
 
-/// Why a fault could not be brought about.
+/// Why a fault could not be injected.
 #[derive(Debug, Error)]
 pub enum FaultError {
-    /// It does not say when.
-    #[error("{fault}: begins with no time in seconds")]
+    /// The fault does not begin with a time.
+    #[error("{fault}: does not begin with a time in seconds")]
     NoTime {
-        /// The fault as it was given.
+        /// The fault's text on the command line.
         fault: String,
     },
-    /// There is no fault of that name.
-    #[error("unknown word")]
+    /// There is no fault with that name.
+    #[error("unknown fault")]
     Unknown,
-    /// The leader is meant, and there is none.
-    #[error("the configuration has no owner")]
+    /// The fault applies to the leader, but there is none.
+    #[error("the configuration partition has no leader")]
     NoLeader,
-    /// The process is not named by its number.
+    /// The argument is not the number of a process.
     #[error("expected a number or `owner`")]
     NotANumber,
-    /// There is no process of that number.
+    /// There is no process with that number.
     #[error("no such process")]
     NoProcess,
-    /// An order to the mock backends can't be read.
+    /// A control command to the mock back ends is not valid JSON.
     #[error("{0}")]
     NotJson(#[from] serde_json::Error),
-    /// The cluster did not do it.
+    /// The operation on the cluster failed.
     #[error(transparent)]
     Cluster(#[from] LocalClusterError),
-    /// One of the schedule's faults failed.
+    /// A fault of the schedule could not be injected.
     #[error("{kind} {argument}: {source}")]
     Failed {
-        /// What was to happen.
+        /// The fault's name.
         kind: String,
-        /// To whom.
+        /// The fault's argument.
         argument: String,
-        /// Why it did not.
+        /// The cause.
         source: Box<FaultError>,
     },
 }
 
-/// A fault and its time.
+/// A fault and the time of its injection.
 struct ScheduledFault {
-    /// Seconds after the schedule's beginning.
+    /// Seconds since the start of the schedule.
     at: f64,
     kind: String,
     argument: String,
@@ -62,7 +62,7 @@
     Ok(ScheduledFault { at, kind, argument: cells.next().unwrap_or_default().to_string() })
 }
 
-/// Brings all faults about, each at its time.
+/// Injects all faults at their times.
 pub async fn run(cluster: &mut LocalCluster, list: &[String]) -> Result<(), FaultError> {
     let mut all = list.iter().map(|text| parse(text)).collect::<Result<Vec<_>, _>>()?;
     all.sort_by(|a, b| a.at.total_cmp(&b.at));
--- a/crates/server/src/local_cluster/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -1,5 +1,5 @@
-//! The fleet runner: starts a whole fleet of real processes on loopback, loads
-//! a deployment, sends its callers, lets troubles befall it and reports.
+//! The local cluster's runner: starts a cluster of real processes on loopback, loads a
+//! deployment, runs its callers, injects faults and prints a report.
 
 mod cli;
 mod fault_schedule;
@@ -56,12 +56,12 @@
     }
     let operator_addrs: Vec<String> =
         cluster.operator_addrs.iter().map(|d| d.to_string()).collect();
-    eprintln!("fleet is up after {} ms", begun.elapsed().as_millis());
+    eprintln!("cluster is ready after {} ms", begun.elapsed().as_millis());
     eprintln!("  operators:  export GREBE_AT={}", operator_addrs.join(","));
     for (i, front) in cluster.caller_addrs.iter().enumerate() {
         eprintln!("  callers, q{i}: http://{front}/v1/search/{{search}}");
     }
-    eprintln!("  stand-ins:  http://{}", cluster.list);
+    eprintln!("  back ends:  http://{}", cluster.list);
     if args.stay {
         eprintln!("running until interrupted");
         grebepath_runtime::stop::requested().await;
@@ -96,14 +96,14 @@
     for task in loads {
         task.await?;
     }
-    // Every call has ended: what was seen does not change any more.
+    // Every call has ended, so the statistics are final.
     let seen = seen.take();
     let out = summary(&cluster, &seen).await?;
     println!("{}", serde_json::to_string_pretty(&out).unwrap_or_default());
     Ok(out["answers"]["violations"] == 0)
 }
 
-/// What callers saw, what leafs ran, and what the queriers counted.
+/// Returns the callers' report, the leafs' state and the queriers' metrics as JSON.
 async fn summary(
     cluster: &LocalCluster,
     seen: &CallerStatistics,
--- a/crates/server/src/mock_backends/main.rs
+++ b/crates/server/src/mock_backends/main.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for the outside: back ends with the platform's list, and callers.
+//! Mock back ends with the platform's list, and callers, for tests and load runs.
 
 mod cli;
 mod error;
--- a/crates/server/src/process_soak/checks.rs
+++ b/crates/server/src/process_soak/checks.rs
@@ -1,16 +1,16 @@
-//! The rules by which a run is judged, each by its sentence in the users' pages. The numbers are
-//! those of the pages, and nothing here comes from the product.
+//! The rules that each run is checked against, one for each statement in the documentation. The
+//! numbers are those of the documentation, and no code of the product is used here.
 
 use crate::record::{Machine, Record, Run};
 
-/// A leaf gets no request later than this after the list shows that it leaves (ms).
+/// A leaf receives no request later than this after the list shows that it is leaving (ms).
 const DRAIN_TIMEOUT_MS: u64 = 3_000;
-/// A zone gets no request later than this after the order to drain it was acknowledged (ms).
+/// A zone receives no request later than this after the drain operation was acknowledged (ms).
 const ZONE_DRAIN_TIMEOUT_MS: u64 = 5_000;
-/// A machine is in touch if nothing has disturbed it or the core for this long (ms).
+/// Time after a fault of a querier or a controller before the querier is checked again (ms).
 const UNDISTURBED_MS: u64 = 4_000;
 
-/// All that breaks a rule, in plain words.
+/// Returns a description of each violation of a rule.
 pub fn check(record: &Record) -> Vec<String> {
     let mut violations = check_drain(record);
     violations.extend(check_drained_zones(record));
@@ -21,7 +21,7 @@
     violations
 }
 
-/// Whether the querier that sent a run was in touch throughout the time before.
+/// Whether no fault affected the querier of a run, or a controller, in the time before the run.
 fn is_undisturbed_at(record: &Record, run: &Run) -> bool {
     let counts = |machine: Machine| match machine {
         Machine::Querier(querier) => querier == run.querier,
@@ -35,8 +35,8 @@
     })
 }
 
-/// DRAIN: a request, sent on by a machine in touch, reaches a leaf too late after the list showed
-/// that it leaves.
+/// DRAIN: a request of an undisturbed querier reaches a leaf too late after the list showed that
+/// the leaf is leaving.
 fn check_drain(record: &Record) -> Vec<String> {
     let mut violations = Vec::new();
     for leaving in &record.leaving {
@@ -56,8 +56,8 @@
     violations
 }
 
-/// EVAC: a request from a machine in touch reaches a leaf in a zone too long after the order to
-/// drain it was acknowledged, and before it is taken back.
+/// EVAC: a request of an undisturbed querier reaches a leaf in a zone too late after the operation
+/// to drain the zone was acknowledged, and before the drain is reverted.
 fn check_drained_zones(record: &Record) -> Vec<String> {
     let mut violations = Vec::new();
     for (number, operation) in record.zone_operations.iter().enumerate() {
@@ -83,7 +83,7 @@
     violations
 }
 
-/// LOST: the newest acknowledged order of a zone is not what is read at the end.
+/// LOST: the state of a zone at the end differs from its newest operation, which was acknowledged.
 fn check_final_states(record: &Record) -> Vec<String> {
     let mut violations = Vec::new();
     for (zone, is_drained) in &record.zones_at_end {
@@ -94,21 +94,23 @@
         };
         if last.acknowledged_ms.is_some() && last.drained != *is_drained {
             let state = if *is_drained { "drained" } else { "open" };
-            violations
-                .push(format!("LOST: zone {zone} is {state} at the end, against its newest order"));
+            violations.push(format!(
+                "LOST: zone {zone} is {state} at the end, contrary to its newest operation"
+            ));
         }
     }
     violations
 }
 
-/// LOST: a zone that was read does not stand as its newest order says, which was acknowledged.
+/// LOST: the state of a zone, read during the run, differs from its newest operation at that time,
+/// which was acknowledged.
 fn check_zone_reads(record: &Record) -> Vec<String> {
     let mut violations = Vec::new();
     for read in &record.zone_reads {
         let operation = &record.zone_operations[read.operation];
         if operation.acknowledged_ms.is_some() && operation.drained != read.is_drained {
             violations.push(format!(
-                "LOST: zone {} is read as drained {} at {} ms, against its newest order",
+                "LOST: zone {} is read as drained {} at {} ms, contrary to its newest operation",
                 operation.zone, read.is_drained, read.at_ms
             ));
         }
--- a/crates/server/src/process_soak/cli.rs
+++ b/crates/server/src/process_soak/cli.rs
@@ -1,31 +1,31 @@
-//! The command line.
+//! The command line of the process soak.
 
 use bpaf::{OptionParser, Parser, construct, long};
 
-/// What to play.
+/// The command line's arguments.
 pub struct Args {
     /// The first seed.
     pub seed: u64,
-    /// How many seeds.
+    /// Number of seeds.
     pub seeds: u64,
-    /// How long each run lasts (s).
+    /// Length of each run (s).
     pub length: u64,
-    /// Queriers of the cluster.
+    /// Number of queriers of the cluster.
     pub queriers: usize,
-    /// Where the report goes, as JSON.
+    /// File for the report, as JSON.
     pub json: Option<String>,
-    /// Folder for data and logs; a folder a seed.
+    /// Folder for data and logs, with a subfolder for each seed.
     pub dir: String,
     /// Folder of the deployments' files.
     pub deploy: String,
-    /// Folder of the daemons, if they are not those beside this program.
+    /// Folder of the daemons, if it differs from the folder of this program.
     pub program_dir: Option<String>,
-    /// What the stand-ins do wrong on purpose.
+    /// Fault of the mock back ends or the operator that the checks must detect.
     pub broken: Option<String>,
 }
 
 impl Args {
-    /// How long each run lasts (ms).
+    /// Returns the length of each run (ms).
     pub fn length_ms(&self) -> u64 {
         self.length * 1_000
     }
@@ -33,8 +33,9 @@
 
 fn options() -> OptionParser<Args> {
     let seed = long("seed").help("the first seed").argument::<u64>("A").fallback(1);
-    let seeds = long("seeds").help("how many seeds").argument::<u64>("N").fallback(1);
-    let length = long("length").help("seconds of each run").argument::<u64>("S").fallback(30);
+    let seeds = long("seeds").help("number of seeds").argument::<u64>("N").fallback(1);
+    let length =
+        long("length").help("length of each run in seconds").argument::<u64>("S").fallback(30);
     let queriers = long("queriers").argument::<usize>("Q").fallback(6);
     let json = long("json").help("file for the report").argument::<String>("FILE").optional();
     let dir = long("dir").help("folder for data and logs").argument::<String>("DIR");
@@ -44,12 +45,14 @@
         .argument::<String>("DIR")
         .optional();
     let broken = long("broken")
-        .help("what the stand-ins do wrong: dead-list or unsent-drains")
+        .help(
+            "fault of the mock environment that the checks must detect: dead-list or unsent-drains",
+        )
         .argument::<String>("VARIANT")
         .optional();
     construct!(Args { seed, seeds, length, queriers, json, dir, deploy, program_dir, broken })
         .to_options()
-        .descr("real processes under drawn faults, judged from outside")
+        .descr("runs real processes under random faults and checks their behaviour from outside")
 }
 
 /// Reads the command line.
--- a/crates/server/src/process_soak/cluster_run.rs
+++ b/crates/server/src/process_soak/cluster_run.rs
@@ -1,4 +1,4 @@
-//! One run: starts a cluster, lets the schedule happen to it, and notes what is seen.
+//! The run of a seed: starts a cluster, executes the schedule and records the observations.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -24,30 +24,31 @@
 
 type Failure = Box<dyn std::error::Error>;
 
-/// The deployment that is played.
+/// The deployment that is run.
 const DEPLOYMENT: &str = "mohalla";
-/// Part of its load: what a machine with a few cores serves without strain.
+/// Factor on the deployment's load: a machine with a few cores serves this without overload.
 const LOAD_FACTOR: f64 = 0.15;
-/// Pause between two looks at the schedule and the processes.
+/// Interval at which the schedule and the processes are checked.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Time in which a cluster must be ready, at the start and once all faults are over.
+/// Time in which a cluster must become ready, at the start and after the last fault.
 const READY_TIMEOUT: Duration = Duration::from_secs(15);
-/// Time for the last orders and runs.
+/// Time that the last operations and attempts have to finish.
 const SETTLE_TIME: Duration = Duration::from_secs(2);
-/// The services whose leafs leave: each has four, so that three may.
+/// Prefix of the services whose leafs leave. Each has four leafs, so that three may leave.
 const LEAVING_SERVICE: &str = "mohalla-notices-w48-";
+/// Number of services whose leafs leave.
 const LEAVING_SERVICES: u64 = 4;
-/// Leafs of a service that may leave (count).
+/// Maximum number of leafs of a service that leave.
 const MAX_LEAVING_PER_SERVICE: usize = 2;
 
-/// A process that is to start again.
+/// A process that is due to be restarted.
 struct ScheduledRestart {
     machine: Machine,
-    /// When; for one that was asked to stop, once it has ended.
+    /// Earliest time of the restart; a process that was asked to stop must have ended.
     at_ms: u64,
 }
 
-/// A process that goes on after standing still.
+/// A paused process that is due to be resumed.
 struct ScheduledResume {
     machine: Machine,
     at_ms: u64,
@@ -64,7 +65,7 @@
     break_list_first: bool,
 }
 
-/// Plays one seed.
+/// Runs one seed and returns what was recorded.
 pub async fn run_seed(args: &Args, seed: u64, schedule: &Schedule) -> Result<Record, Failure> {
     let layout = Layout {
         bin: local_cluster::bin_dir(&std::env::current_exe()?),
@@ -78,7 +79,7 @@
         .map_err(|error| error.to_string())?;
     let cluster = LocalCluster::start(layout).await?;
     if !all_ready(&cluster).await {
-        return Err("the cluster does not become ready".into());
+        return Err("the cluster did not become ready".into());
     }
     let record = Rc::new(RefCell::new(Record::new()));
     let (operations, operation_receiver) = unbounded_channel();
@@ -128,7 +129,7 @@
     true
 }
 
-/// Callers call until a time.
+/// Starts callers, which call until `until`.
 fn start_load(
     cluster: &LocalCluster,
     spec: &Spec,
@@ -140,7 +141,7 @@
     let watch =
         poll_readiness(HttpClient::new(2), cluster.caller_addrs.clone(), ready.clone(), until);
     tokio::task::spawn_local(watch);
-    // Kept connections are used until the process at their end is gone.
+    // Keep-alive connections are used until the process at the other end has ended.
     let http = HttpClient::new(128);
     let kinds = spec.kinds.iter().zip(seed..);
     kinds
@@ -167,7 +168,7 @@
         }
     }
 
-    /// Lets all actions happen, and processes start again.
+    /// Executes all actions at their times, and restarts and resumes processes.
     async fn drive(&mut self, actions: &[Action], until: Instant) -> Result<(), Failure> {
         let mut due = actions.iter();
         let mut next = due.next();
@@ -189,7 +190,7 @@
         !self.restarts.is_empty() || !self.resumes.is_empty()
     }
 
-    /// Whether a machine is in the hands of an earlier action.
+    /// Whether an earlier action on a machine has not ended yet.
     fn has_pending_action(&self, machine: Machine) -> bool {
         self.restarts.iter().any(|restart| restart.machine == machine)
             || self.resumes.iter().any(|resume| resume.machine == machine)
@@ -264,7 +265,7 @@
         Ok(())
     }
 
-    /// A SIGHUP disturbs nobody.
+    /// Sends SIGHUP. It does not count as a fault, because it must not disturb the process.
     fn send_sighup(&mut self, machine: Machine) -> Result<(), Failure> {
         if !self.has_pending_action(machine) {
             self.record.borrow_mut().log_event(format!("{machine:?}: SIGHUP"));
@@ -282,7 +283,7 @@
         Ok(self.operations.send(ZoneOperation { zone, drained, controller })?)
     }
 
-    /// A leaf leaves, and tells nobody: the platform's list alone shows it.
+    /// Makes a leaf leave without reporting it in its replies: only the platform's list shows it.
     async fn drain_leaf(&mut self) -> Result<(), Failure> {
         let service_number = self.leafs_left as u64 % LEAVING_SERVICES;
         if self.leafs_left >= LEAVING_SERVICES as usize * MAX_LEAVING_PER_SERVICE {
@@ -309,7 +310,7 @@
         Ok(())
     }
 
-    /// Starts what is due; one that was asked to stop must have ended.
+    /// Restarts processes that are due and have ended.
     fn restart_due(&mut self, now: u64) -> Result<(), Failure> {
         let (due, waits): (Vec<ScheduledRestart>, Vec<ScheduledRestart>) =
             std::mem::take(&mut self.restarts).into_iter().partition(|r| r.at_ms <= now);
@@ -324,7 +325,7 @@
             process.child = None;
             process.start()?;
             let mut record = self.record.borrow_mut();
-            record.log_event(format!("{:?} has started again", restart.machine));
+            record.log_event(format!("{:?} was restarted", restart.machine));
             record.recover(restart.machine);
         }
         Ok(())
@@ -337,13 +338,13 @@
         for resume in due {
             self.process(resume.machine).signal("CONT")?;
             let mut record = self.record.borrow_mut();
-            record.log_event(format!("{:?} goes on", resume.machine));
+            record.log_event(format!("{:?} was resumed", resume.machine));
             record.recover(resume.machine);
         }
         Ok(())
     }
 
-    /// A process that ends without having been asked to is a fault.
+    /// Records a violation for each process that ended without being asked to.
     fn note_unexpected_ends(&mut self) {
         let all = (0..self.cluster.queriers.len()).map(Machine::Querier);
         let machines: Vec<Machine> =
@@ -354,26 +355,26 @@
             }
             let child = self.process(machine).child.as_mut();
             if let Some(Ok(Some(status))) = child.map(std::process::Child::try_wait) {
-                let text = format!("{machine:?} ended by itself: {status}");
+                let text = format!("{machine:?} ended unexpectedly: {status}");
                 self.record.borrow_mut().process_faults.push(text);
                 self.restarts.push(ScheduledRestart { machine, at_ms: 0 });
             }
         }
     }
 
-    /// Ends the operator's work; gives the cluster once it is ready again.
+    /// Ends the operator's input. Returns the cluster once it is ready again.
     async fn finish(self) -> Result<LocalCluster, Failure> {
         let Driver { cluster, record, operations, .. } = self;
         drop(operations);
         if !all_ready(&cluster).await {
-            let text = "not all queriers are ready again after the last fault".to_string();
+            let text = "not all queriers became ready again after the last fault".to_string();
             record.borrow_mut().process_faults.push(text);
         }
         Ok(cluster)
     }
 }
 
-/// Reads what leafs ran, what callers saw and how zones stand.
+/// Records what leafs ran, what callers found and the state of the zones at the end.
 async fn read_end(
     cluster: &LocalCluster,
     record: &Rc<RefCell<Record>>,
@@ -384,7 +385,7 @@
     let state = cluster.query_backends("/state").await?;
     let config = read_config(cluster).await?;
     let mut record = record.borrow_mut();
-    // The leafs' clock began before ours.
+    // The clock of the mock back ends started before the record's clock.
     let offset_ms = state["now_ms"].as_u64().unwrap_or(0).saturating_sub(record.now_ms());
     record.runs = runs.iter().filter_map(|run| parse_run(run, offset_ms)).collect();
     let answers = report(seen, &runs);
@@ -409,11 +410,11 @@
             _ => tokio::time::sleep(Duration::from_millis(300)).await,
         }
     }
-    Err("the configuration can't be read at the end".into())
+    Err("the configuration could not be read at the end".into())
 }
 
-/// A line of the leafs' log: leaf, service, index version, zone, query, question, key, time. The
-/// name of a query begins with the name of the querier that sends it.
+/// Parses an entry of the leafs' log: leaf, service, index version, zone, query, question, key,
+/// time. The id of a query begins with the name of the querier that sends it.
 fn parse_run(run: &Value, offset_ms: u64) -> Option<Run> {
     let sender = run[4].as_str()?.strip_prefix('q')?;
     let (querier, _) = sender.split_once('-')?;
--- a/crates/server/src/process_soak/long_calls.rs
+++ b/crates/server/src/process_soak/long_calls.rs
@@ -1,5 +1,5 @@
 //! Callers whose calls take seconds, on connections that they keep until the process at the other
-//! end is gone: a querier that stops lives on through its grace.
+//! end has ended. They keep a querier that was asked to stop running through its grace period.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -14,19 +14,20 @@
 use testbed::local_cluster::error::LocalClusterError;
 use tokio::task::JoinHandle;
 
-/// The search that takes long, and the service that makes it so.
+/// The search that takes long.
 const SEARCH: &str = "history";
+/// The service whose slow leafs make it take long.
 const SERVICE: &str = "mohalla-history-w48-0";
-/// How long its leafs take for an answer (ms).
+/// Additional latency of the service's leafs (ms).
 const LEAF_LATENCY_MS: u64 = 5_000;
-/// How long callers wait, and what the search promises (ms).
+/// Budget of the calls, and latency target of the search (ms).
 const BUDGET_MS: u64 = 7_000;
-/// Callers of each querier (count).
+/// Number of callers of each querier.
 const CALLERS: u64 = 2;
-/// Pause after a call.
+/// Pause between two calls of a caller.
 const CALL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Makes the service slow, lets its search take as long, and starts the callers of all queriers.
+/// Makes the service slow, raises its search's latency target, and starts callers for each querier.
 pub async fn start(
     cluster: &LocalCluster,
     spec: &Spec,
@@ -55,7 +56,7 @@
     Ok(callers.collect())
 }
 
-/// One call after the other, until a time.
+/// Sends one call after the other until `until`.
 async fn call_repeatedly(
     front: SocketAddr,
     kind: Rc<Kind>,
--- a/crates/server/src/process_soak/main.rs
+++ b/crates/server/src/process_soak/main.rs
@@ -1,5 +1,6 @@
-//! Real processes under drawn faults, judged from outside: what leafs, callers, operators and the
-//! platform's list have seen. Each run follows from its seed but for the timing of the machine.
+//! Runs real processes under random faults and checks them from outside, by what leafs, callers,
+//! operators and the platform's list observe. A run is determined by its seed, except for the
+//! machine's timing.
 
 mod checks;
 mod cli;
@@ -36,7 +37,7 @@
     std::process::exit(2);
 }
 
-/// Plays all seeds; gives how many broke a rule.
+/// Runs all seeds. Returns the number of seeds with violations.
 async fn run_seeds(args: &Args) -> Result<usize, Box<dyn std::error::Error>> {
     let (mut broken, mut report) = (0, Vec::new());
     for seed in args.seed..args.seed + args.seeds {
@@ -67,7 +68,7 @@
     Ok(broken)
 }
 
-/// A seed's run for the report.
+/// Returns the report on a seed's run.
 fn seed_report(seed: u64, schedule: &Schedule, record: &Record, violations: &[String]) -> Value {
     let actions = schedule.actions.iter();
     let actions: Vec<Value> = actions
@@ -84,9 +85,9 @@
     })
 }
 
-/// Prints a failing seed's schedule, what happened in the order of time, and what broke.
+/// Prints the schedule, the events in order of time and the violations of a failed seed.
 fn print_failure(schedule: &Schedule, record: &Record, violations: &[String]) {
-    println!("  schedule (what follows from it depends on the machine's timing):");
+    println!("  schedule (its effects depend on the machine's timing):");
     for action in &schedule.actions {
         println!("    {:>6} ms  {:?}", action.at_ms, action.kind);
     }
--- a/crates/server/src/process_soak/operator.rs
+++ b/crates/server/src/process_soak/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: gives orders one after the other, as the users' pages say, without ids.
+//! The operator: sends operations one after the other as documented, without request ids.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -13,24 +13,24 @@
 
 use crate::record::{Record, ZoneOperationRecord, ZoneRead};
 
-/// Silence after which the operator goes on to another controller.
+/// Timeout of a request, after which the operator tries the next controller.
 const RESPONSE_TIMEOUT: Duration = Duration::from_secs(1);
-/// The first pause between two attempts; it doubles.
+/// Pause after the first attempt; it doubles with each attempt.
 const RETRY_DELAY: Duration = Duration::from_millis(50);
-/// Attempts for one order (count).
+/// Maximum number of attempts for an operation.
 const MAX_ATTEMPTS: usize = 12;
 
-/// An order about a zone.
+/// An operation on a zone.
 pub struct ZoneOperation {
     /// The zone.
     pub zone: &'static str,
-    /// Whether it is to be drained.
+    /// Whether the zone is to be drained or opened.
     pub drained: bool,
-    /// The controller that is asked first.
+    /// The controller that the operation is sent to first.
     pub controller: usize,
 }
 
-/// Gives orders until none are left.
+/// Sends operations until the channel is closed.
 pub async fn run_operator(
     controllers: Vec<SocketAddr>,
     mut operations: UnboundedReceiver<ZoneOperation>,
@@ -53,7 +53,8 @@
     }
 }
 
-/// Reads how a zone stands, if somebody answers, and notes it beside the newest order about it.
+/// Reads the state of a zone from the first controller that answers, and records it together
+/// with the zone's newest operation.
 async fn record_zone_state(
     http: &HttpClient,
     controllers: &[SocketAddr],
@@ -78,7 +79,7 @@
     }
 }
 
-/// Notes that an order is sent now; gives its place.
+/// Records that an operation is sent now. Returns its index in the record.
 fn record_sent(record: &Rc<RefCell<Record>>, operation: &ZoneOperation) -> usize {
     let mut record = record.borrow_mut();
     let ZoneOperation { zone, drained, controller } = operation;
@@ -95,7 +96,7 @@
     record.zone_operations.len() - 1
 }
 
-/// Sends an order to one controller after the other, until one acknowledges it.
+/// Sends an operation to one controller after the other until one acknowledges it.
 async fn send_operation(
     http: &HttpClient,
     controllers: &[SocketAddr],
@@ -107,7 +108,7 @@
     let mut pause = RETRY_DELAY;
     for attempt in 0..MAX_ATTEMPTS {
         let controller = controllers[(operation.controller + attempt) % controllers.len()];
-        // A call that is given up closes its connection.
+        // A request that times out closes its connection.
         let answer = request.send(http, &controller.to_string(), RESPONSE_TIMEOUT).await;
         if answer.is_ok_and(|answer| answer.status() == 200) {
             return true;
--- a/crates/server/src/process_soak/record.rs
+++ b/crates/server/src/process_soak/record.rs
@@ -1,4 +1,4 @@
-//! What a run has seen, from outside the processes. All times are milliseconds of the run.
+//! Observations of a run from outside the processes. All times are milliseconds since its start.
 
 use std::time::Instant;
 
@@ -11,91 +11,91 @@
     Controller(usize),
 }
 
-/// A time in which a machine was disturbed.
+/// A period in which a fault affected a machine.
 pub struct Disturbance {
-    /// Which machine.
+    /// The machine.
     pub machine: Machine,
-    /// From the signal on.
+    /// When the signal was sent.
     pub from_ms: u64,
-    /// Until it ran again; none while it does not.
+    /// When the machine ran again; `None` while it does not.
     pub until_ms: Option<u64>,
 }
 
-/// A leaf that leaves.
+/// A leaf that is leaving.
 pub struct LeavingLeaf {
-    /// Its name.
+    /// The leaf's name.
     pub leaf: String,
-    /// From when on the platform's list shows it.
+    /// When the platform's list begins to show it.
     pub shown_ms: u64,
 }
 
-/// An operator's order to drain a zone, or to take that back.
+/// An operation by which the operator drained a zone or reverted that.
 pub struct ZoneOperationRecord {
     /// The zone.
     pub zone: String,
-    /// Whether nothing more may be sent there.
+    /// Whether the zone is to be drained or opened.
     pub drained: bool,
     /// When it was first sent.
     pub sent_ms: u64,
-    /// When it was acknowledged, if it was.
+    /// When it was acknowledged, if ever.
     pub acknowledged_ms: Option<u64>,
 }
 
-/// How a zone stood when it was read, before the next order about it was sent.
+/// The state of a zone that was read before the next operation on a zone was sent.
 pub struct ZoneRead {
-    /// The newest order about the zone, by its place among all.
+    /// Index of the zone's newest operation among all operations.
     pub operation: usize,
-    /// What was read.
+    /// Whether the zone was read as drained.
     pub is_drained: bool,
-    /// When.
+    /// When it was read.
     pub at_ms: u64,
 }
 
-/// An attempt that began to run at a leaf.
+/// An attempt that a leaf ran.
 pub struct Run {
     /// The leaf.
     pub leaf: String,
-    /// Its zone.
+    /// The leaf's zone.
     pub zone: String,
     /// The querier that sent it.
     pub querier: usize,
-    /// When it began.
+    /// When the leaf began to run it.
     pub at_ms: u64,
 }
 
-/// Something that happened, to be read by people.
+/// An event for the printed report.
 pub struct Event {
-    /// When.
+    /// When it happened.
     pub at_ms: u64,
-    /// What.
+    /// Description of the event.
     pub text: String,
 }
 
-/// All that is judged.
+/// All observations that are checked.
 pub struct Record {
     began: Instant,
-    /// Disturbances of all machines.
+    /// Disturbances of all machines, in order of time.
     pub disturbances: Vec<Disturbance>,
-    /// Leafs that leave.
+    /// Leafs that are leaving.
     pub leaving: Vec<LeavingLeaf>,
-    /// Orders about zones, in the order in which they were given.
+    /// Operations on zones, in the order in which they were sent.
     pub zone_operations: Vec<ZoneOperationRecord>,
-    /// What was read between orders.
+    /// Zone states that were read between operations.
     pub zone_reads: Vec<ZoneRead>,
-    /// What leafs ran.
+    /// Attempts that leafs ran.
     pub runs: Vec<Run>,
-    /// What happened.
+    /// Events for the printed report.
     pub events: Vec<Event>,
     /// The state of each zone as it was read at the end; true for drained.
     pub zones_at_end: Vec<(String, bool)>,
-    /// What callers found wrong with answers.
+    /// Errors that callers found in answers.
     pub wrong_answers: Vec<String>,
-    /// What was found wrong with processes.
+    /// Unexpected behaviour of processes.
     pub process_faults: Vec<String>,
 }
 
 impl Record {
-    /// A record that begins now.
+    /// Creates a record whose clock starts now.
     pub fn new() -> Record {
         Record {
             began: Instant::now(),
@@ -111,24 +111,24 @@
         }
     }
 
-    /// Time since the run began.
+    /// Returns the time since the start of the run (ms).
     pub fn now_ms(&self) -> u64 {
         self.began.elapsed().as_millis() as u64
     }
 
-    /// Notes something that happens now.
+    /// Appends an event with the current time.
     pub fn log_event(&mut self, text: String) {
         let at_ms = self.now_ms();
         self.events.push(Event { at_ms, text });
     }
 
-    /// A machine is disturbed from now on.
+    /// Records that a fault affects a machine from now on.
     pub fn disturb(&mut self, machine: Machine) {
         let from_ms = self.now_ms();
         self.disturbances.push(Disturbance { machine, from_ms, until_ms: None });
     }
 
-    /// A machine runs again, undisturbed.
+    /// Records that a machine runs undisturbed again.
     pub fn recover(&mut self, machine: Machine) {
         let now = self.now_ms();
         for disturbance in self.disturbances.iter_mut().filter(|d| d.machine == machine) {
--- a/crates/server/src/process_soak/schedule.rs
+++ b/crates/server/src/process_soak/schedule.rs
@@ -1,71 +1,72 @@
-//! Draws what happens in a run from its seed.
+//! Generates the schedule of a run from its seed.
 
 use grebepath_core::random::Random;
 
-/// Controllers of the cluster (count).
+/// Number of controllers of the cluster.
 pub const CONTROLLERS: usize = 3;
 /// The zones of the cluster.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-/// The first action comes at this time (ms), and the last one this long before the end.
+/// Time before the first action and after the last one (ms).
 const QUIET_MARGIN_MS: u64 = 2_000;
-/// Time between two disturbances of the core (ms): one machine is lost at a time, it is caught up
-/// with by then, and queriers are in touch for a while.
+/// Time between two faults of controllers (ms). Only one controller fails at a time. By the next
+/// fault it has caught up, and queriers have been connected and undisturbed for a while.
 const CONTROLLER_FAULT_INTERVAL_MS: u64 = 14_000;
 
-/// A zone is drained so long before an order takes that back (ms).
+/// Time from an operation that drains a zone to the one that reverts it (ms).
 const DRAIN_LEAD_MS: u64 = 2_000;
 
-/// What happens.
+/// The kind of an action.
 #[derive(Clone, Debug)]
 pub enum ActionKind {
-    /// A process gets SIGTERM, and starts again once it has ended.
+    /// A querier receives SIGTERM and is restarted once it has ended.
     StopQuerier(usize),
-    /// A querier is killed, and starts again later.
+    /// A querier is killed and restarted later.
     KillQuerier { querier: usize, down_ms: u64 },
-    /// A querier stands still.
+    /// A querier is paused with SIGSTOP.
     FreezeQuerier { querier: usize, for_ms: u64 },
-    /// A querier gets SIGHUP.
+    /// A querier receives SIGHUP.
     HangUpQuerier(usize),
-    /// A controller gets SIGTERM, and starts again once it has ended.
+    /// A controller receives SIGTERM and is restarted once it has ended.
     StopController(usize),
-    /// A controller is killed, and starts again later.
+    /// A controller is killed and restarted later.
     KillController { controller: usize, down_ms: u64 },
-    /// A controller stands still.
+    /// A controller is paused with SIGSTOP.
     FreezeController { controller: usize, for_ms: u64 },
-    /// A leaf leaves; only the platform's list shows it.
+    /// A leaf begins to leave; only the platform's list shows it.
     LeafLeaves,
-    /// Leafs restart under new names.
+    /// A leaf is restarted under a new name.
     LeafRestarts,
-    /// The operator drains a zone; the order goes to this controller first.
+    /// The operator drains a zone and sends the operation to this controller first.
     DrainZone { zone: &'static str, controller: usize },
-    /// The operator opens the zone again.
+    /// The operator opens the zone again, through this controller first.
     TakeBack { zone: &'static str, controller: usize },
 }
 
-/// An action at its time.
+/// An action and its time.
 #[derive(Clone, Debug)]
 pub struct Action {
-    /// When, since the run began.
+    /// Time since the start of the run.
     pub at_ms: u64,
-    /// What.
+    /// What is done.
     pub kind: ActionKind,
 }
 
-/// What happens in a run, in the order of time.
+/// The actions of a run.
 pub struct Schedule {
-    /// All actions.
+    /// All actions, in order of time.
     pub actions: Vec<Action>,
 }
 
 impl Schedule {
-    /// Draws a schedule.
+    /// Generates the schedule of a seed.
     pub fn generate(seed: u64, queriers: usize, length_ms: u64) -> Schedule {
         let mut builder =
             ScheduleBuilder { random: Random::new(seed), queriers, length_ms, actions: Vec::new() };
         for _ in 0..1 + length_ms / 10_000 {
             builder.add_querier_faults();
         }
-        // A disturbed core puts nobody in touch: what queriers do is judged without it.
+        // Attempts of queriers are not checked while a controller is disturbed, so only half of
+        // the schedules contain controller faults.
         if builder.below(2) == 0 {
             builder.add_controller_faults();
         }
@@ -88,7 +89,7 @@
         self.random.below(bound.max(1))
     }
 
-    /// A time at which something may begin.
+    /// Chooses the time of an action.
     fn random_time(&mut self) -> u64 {
         let span = self.length_ms.saturating_sub(2 * QUIET_MARGIN_MS);
         QUIET_MARGIN_MS + self.below(span)
@@ -98,7 +99,7 @@
         self.actions.push(Action { at_ms, kind });
     }
 
-    /// Up to all queriers but one, in an order of chance.
+    /// Chooses up to all queriers but one, in random order.
     fn random_queriers(&mut self) -> Vec<usize> {
         let mut all: Vec<usize> = (0..self.queriers).collect();
         for last in (1..all.len()).rev() {
@@ -111,7 +112,8 @@
         all
     }
 
-    /// A rolling restart, a loss of several at once, or several that stand still.
+    /// Adds a rolling restart, a simultaneous crash or pause, or a series of SIGHUPs of some
+    /// queriers.
     fn add_querier_faults(&mut self) {
         let (from, gap_ms) = (self.random_time(), 200 + self.below(1_300));
         let chosen = self.random_queriers();
@@ -127,7 +129,7 @@
         }
     }
 
-    /// One controller at a time.
+    /// Adds faults of controllers, one controller at a time.
     fn add_controller_faults(&mut self) {
         let mut at_ms = QUIET_MARGIN_MS + self.below(CONTROLLER_FAULT_INTERVAL_MS);
         while at_ms + QUIET_MARGIN_MS < self.length_ms {
@@ -143,7 +145,7 @@
         }
     }
 
-    /// Leafs leave and restart, some of them just before queriers are disturbed.
+    /// Adds leafs that leave, just before or after a querier fault, and a restart of a leaf.
     fn add_leaf_changes(&mut self) {
         let disturbed: Vec<u64> = self.actions.iter().map(|action| action.at_ms).collect();
         for _ in 0..1 + self.length_ms / 6_000 {
@@ -155,8 +157,8 @@
         self.add(at_ms, ActionKind::LeafRestarts);
     }
 
-    /// Orders to drain a zone that are given and taken back. A take-back goes to each controller
-    /// that stands still, and the opposite follows once its sender has gone on.
+    /// Adds operations that drain a zone and revert that. Each revert is sent to a controller that
+    /// is paused, and another drain follows once the operator has tried another controller.
     fn add_zone_operations(&mut self) {
         let zone = ZONES[self.below(ZONES.len() as u64) as usize];
         let mut frozen: Vec<(u64, usize)> = Vec::new();
@@ -166,7 +168,7 @@
             }
         }
         if frozen.is_empty() {
-            // Early, so that what stands afterwards is judged for long.
+            // In the first half of the run, so that the final state is checked for long.
             let at_ms = (self.random_time() / 2).max(DRAIN_LEAD_MS + QUIET_MARGIN_MS);
             frozen.push((at_ms, self.below(CONTROLLERS as u64) as usize));
         }
--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -113,7 +113,7 @@
         self.controllers.arrange(identity, &agent.voter_set);
     }
 
-    /// Updates the connections to controllers once in [`WAKES_PER_CONNECTION_UPDATE`] wakes.
+    /// Updates the connections to controllers once in `WAKES_PER_CONNECTION_UPDATE` wakes.
     pub fn on_wake(&mut self, agent: &NodeAgent) {
         self.wakes += 1;
         if self.wakes.is_multiple_of(WAKES_PER_CONNECTION_UPDATE) {
--- a/crates/server/src/testbed/callers.rs
+++ b/crates/server/src/testbed/callers.rs
@@ -1,4 +1,4 @@
-//! Stand-in callers: an open load of each kind of call, every answer checked.
+//! Callers for tests: an open-loop load of each kind of call, with a check of every answer.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,20 +16,21 @@
 use grebepath_simulator::check::{Asked, against_runs, success};
 use grebepath_simulator::spec::Kind;
 
-/// What the callers saw.
+/// Outcomes of all calls, and what is needed to check them.
 #[derive(Default)]
 pub struct CallerStatistics {
     pub kinds: BTreeMap<String, KindStatistics>,
     pub violations: Vec<String>,
     pub violation_count: u64,
-    /// Query, services claimed, question: for the check against the leafs' log.
+    /// Query id, services that the answer names, and question of each success, for the check
+    /// against the leafs' log.
     pub claims: Vec<(String, Vec<String>, String)>,
     pub asked: BTreeSet<String>,
     pub next: u64,
     pub revisions: BTreeMap<SocketAddr, u64>,
 }
 
-/// Counts for one kind of call.
+/// Statistics of one kind of call.
 #[derive(Default, Clone)]
 pub struct KindStatistics {
     pub full: u64,
@@ -37,14 +38,14 @@
     pub rejected: BTreeMap<String, u64>,
     pub unreachable: u64,
     pub late: u64,
-    /// Waits for successes, in microseconds.
+    /// Latencies of successes (µs).
     pub latencies_us: Vec<u64>,
 }
 
-/// Nodes that callers are sent to, as the platform sees them ready.
+/// Addresses of the queriers that are ready, among which callers choose.
 pub type Targets = Rc<RefCell<Vec<SocketAddr>>>;
 
-/// Checks readiness each second, as the platform does, until `until`.
+/// Polls the readiness of all queriers about once a second, as the platform does, until `until`.
 pub async fn poll_readiness(
     http: HttpClient,
     all: Vec<SocketAddr>,
@@ -63,7 +64,7 @@
     }
 }
 
-/// Whether a node says that it is ready.
+/// Whether a node reports that it is ready.
 pub async fn is_ready(http: &HttpClient, addr: SocketAddr) -> bool {
     let Ok(req) = Request::get(format!("http://{addr}/readyz")).body(Full::default()) else {
         return false;
@@ -72,7 +73,7 @@
     got.is_ok_and(|r| r.status() == 200)
 }
 
-/// Sends one kind's calls at their rate, times `factor`, until `until`.
+/// Sends calls of one kind at the kind's rate times `factor` until `until`.
 pub async fn run_load(
     http: HttpClient,
     kind: Kind,
@@ -129,7 +130,7 @@
     list.get(n).copied()
 }
 
-/// One call and its check.
+/// Sends one call and checks its answer.
 pub async fn call_once(
     http: HttpClient,
     addr: SocketAddr,
@@ -158,7 +159,7 @@
     let Ok(req) = req else { return };
     let start = Instant::now();
     let wait = Duration::from_millis(kind.budget_ms);
-    // A moment beyond the budget, to tell late answers from lost ones.
+    // Waits 500 ms longer than the budget, to tell late answers from lost ones.
     let got = http.call_within(req, 16 << 20, wait + Duration::from_millis(500)).await;
     let elapsed = start.elapsed();
     let mut s = seen.borrow_mut();
@@ -203,7 +204,7 @@
     }
 }
 
-/// A quantile of sorted numbers.
+/// Returns a percentile of sorted numbers, or 0 if there are none.
 pub fn quantile(list: &[u64], pct: usize) -> u64 {
     if list.is_empty() {
         return 0;
@@ -211,7 +212,7 @@
     list[(list.len() * pct / 100).min(list.len() - 1)]
 }
 
-/// Everything seen as JSON, with the check against the leafs' log.
+/// Returns the statistics as JSON, with the results of the check against the leafs' log.
 pub fn report(seen: &CallerStatistics, runs: &[Value]) -> Value {
     let mut kinds = serde_json::Map::new();
     for (name, k) in &seen.kinds {
--- a/crates/server/src/testbed/control_listener.rs
+++ b/crates/server/src/testbed/control_listener.rs
@@ -1,9 +1,9 @@
-//! The mock backends' own listener: the platform's list, and orders to misbehave.
+//! The mock back ends' control listener: serves the platform's list and injects faults.
 //!
-//! `GET /leafs` is the platform's list. `POST /control` takes
-//! `{"do": .., "leaf": .., "service": .., "zone": .., "ms": .., "every": ..}`:
-//! the order goes to all leafs that match. `GET /state` tells each leaf's
-//! counts, `GET /runs` all that was run.
+//! `GET /leafs` returns the platform's list. `POST /control` takes a command
+//! `{"do": .., "leaf": .., "service": .., "zone": .., "ms": .., "every": ..}` and
+//! applies it to all matching leafs. `GET /state` returns the counters of each leaf,
+//! `GET /runs` the log of all requests that leafs ran.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -25,7 +25,7 @@
 
 type Shared = Rc<RefCell<MockBackends>>;
 
-/// Serves it until the process ends.
+/// Serves control requests until the process ends.
 pub async fn serve(listener: TcpListener, backends: Shared) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -81,7 +81,8 @@
                 "leaf": l.name, "service": l.service.name, "zone": l.zone, "version": l.version,
                 "addr": l.addr.to_string(), "alive": l.serving_task.is_some(), "leaving": l.leaving,
                 "live": l.in_flight, "worst_pct": l.peak_load_pct, "ran": l.run_count,
-                "misdirected": l.misdirected, "reached": l.misdirected_work, "changed": l.altered_queries,
+                "misdirected": l.misdirected, "reached": l.misdirected_work,
+                "changed": l.altered_queries,
                 "late_work_ms": l.last_work_after_drain_ms,
             })
         })
@@ -111,7 +112,7 @@
     Value::Array(list)
 }
 
-/// Why an order is not carried out.
+/// Why a control command failed.
 #[derive(Debug, Error)]
 enum ControlError {
     #[error("{0}")]
@@ -120,13 +121,13 @@
     Missing,
     #[error("no leaf matches")]
     NoMatch,
-    #[error("unknown order `{0}`")]
+    #[error("unknown command `{0}`")]
     Unknown(String),
     #[error("{0}")]
     Start(#[from] std::io::Error),
 }
 
-/// Carries out an order; tells the leafs it was for.
+/// Applies a command. Returns the leafs that it was applied to.
 async fn control(backends: &Shared, body: &[u8]) -> Result<Value, ControlError> {
     let val: Value = serde_json::from_slice(body)?;
     let command = val["do"].as_str().ok_or(ControlError::Missing)?.to_string();
@@ -154,7 +155,7 @@
         .values()
         .filter(|l| {
             let l = l.borrow();
-            // A dead leaf's address may be another's by now.
+            // The address of a stopped leaf may belong to another leaf by now.
             l.serving_task.is_some()
                 && matches("leaf", &l.name)
                 && matches("service", &l.service.name)
@@ -201,7 +202,7 @@
                 return Ok(json!(leaf.borrow().name));
             }
             if command == "reuse" {
-                // Another service takes the address over.
+                // A leaf of another service takes over the address.
                 service.name = val["by"].as_str().unwrap_or("stranger").to_string();
             }
             let got = start_leaf(backends, service, &zone, addr, Duration::ZERO).await;
@@ -211,7 +212,7 @@
     }
 }
 
-/// The mode that a word names, if it names one.
+/// Parses the name of a mode.
 fn mode(word: &str, ms: u64, val: &Value) -> Option<Mode> {
     Some(match word {
         "good" => Mode::Good,
@@ -233,7 +234,7 @@
     })
 }
 
-/// Starts a leaf of another version beside one, in the mode that the order names.
+/// Starts a leaf of another version beside an existing one, in the mode that the command names.
 async fn new_version(
     backends: &Shared,
     leaf: &Rc<RefCell<Leaf>>,
--- a/crates/server/src/testbed/delaying_relay.rs
+++ b/crates/server/src/testbed/delaying_relay.rs
@@ -1,5 +1,5 @@
-//! A relay that holds what clients send, as a cut does that heals: the bytes arrive later, and
-//! the end of the connection later still. Answers pass at once.
+//! A TCP relay that delays what clients send, like a network partition that heals: the bytes
+//! arrive late, and the end of the connection even later. Responses are not delayed.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -7,23 +7,23 @@
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWriteExt, copy};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Bytes that are held at most; more wait in the client's socket.
+/// Maximum number of buffered bytes; further bytes wait in the client's socket.
 const MAX_BUFFERED_BYTES: usize = 1 << 16;
 
-/// What a relay does to each connection.
+/// The delays that a relay applies to each connection.
 #[derive(Clone, Copy, Debug)]
 pub struct RelayDelays {
-    /// How long each piece of a client's bytes is held.
+    /// Delay of each chunk of bytes that a client sends.
     pub bytes: Duration,
-    /// How long after the last bytes the client's end passes.
+    /// Delay between the last bytes and the end of the client's connection.
     pub close_delay: Duration,
-    /// Whether the server sees the connection before the bytes are let go.
+    /// Whether the relay connects to the server before it releases the first bytes.
     pub connect_early: bool,
 }
 
-/// A relay; it ends when it is dropped, and its connections with it.
+/// A running relay. Dropping it closes the relay and its connections.
 pub struct DelayingRelay {
-    /// Where it listens.
+    /// The address at which it listens.
     pub address: SocketAddr,
     task: tokio::task::AbortHandle,
 }
@@ -49,7 +49,7 @@
     loop {
         let Ok((client, _)) = listener.accept().await else { continue };
         connections.spawn_local(async move {
-            // Either side may fail: then the connection just ends.
+            // Either side may fail; the connection then ends.
             let _ = forward_connection(client, to, delays).await;
         });
     }
@@ -74,7 +74,8 @@
     server.set_nodelay(true)?;
     let (mut from_server, mut to_server) = server.into_split();
     let forward_replies = async move {
-        // A client that has gone takes no answer; the relay reads on, as a network would not.
+        // An error means that the client has disconnected. Unlike a real network, the relay
+        // still forwards what the client sent before.
         let _ = copy(&mut from_server, &mut to_client).await;
     };
     let answers = tokio::task::spawn_local(forward_replies);
@@ -89,7 +90,7 @@
     Ok(())
 }
 
-/// What the client has sent next; `None` once it has ended.
+/// Reads the client's next bytes. Returns `None` at the end of the stream.
 async fn read_chunk(from: &mut (impl AsyncRead + Unpin)) -> std::io::Result<Option<Vec<u8>>> {
     let mut bytes = vec![0; MAX_BUFFERED_BYTES];
     let read = from.read(&mut bytes).await?;
--- a/crates/server/src/testbed/foreign.rs
+++ b/crates/server/src/testbed/foreign.rs
@@ -1,5 +1,5 @@
-//! A small world that speaks another manner than ours: leafs and their list,
-//! for tests of the daemons with a dialect. Leafs misbehave on order.
+//! Mock leafs and a leaf list that speak a platform's dialect, for tests of the daemons with
+//! that dialect. Tests choose how each leaf misbehaves.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -10,42 +10,42 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 
-/// How a leaf answers.
+/// How a leaf answers requests.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Mode {
     Good,
-    /// Half of an answer, then the end of the connection.
+    /// Sends an incomplete answer and closes the connection.
     Truncated,
-    /// Before each answer but a connection's first, the one before it again.
+    /// Sends the previous answer again before each answer but the connection's first.
     RepeatPrevious,
-    /// Answers with the id of another call.
+    /// Answers with another call's id.
     OtherId,
     NoPostmark,
-    /// A body in an encoding that nobody asked for.
+    /// Answers with a content encoding that the request did not accept.
     Encoded,
-    /// Its own failure, after the work.
+    /// Answers with status 500 after the work.
     Failure,
-    /// Turned away unrun.
+    /// Rejects the request without running it.
     Rejected,
-    /// Answers when it is let go.
+    /// Answers once [`release_held`] is called.
     Hold,
-    /// Works, and answers after a second.
+    /// Runs the request and answers after one second.
     Late,
-    /// Works, and never answers.
+    /// Runs the request and never answers.
     NeverAnswer,
-    /// Resets the connection without having worked.
+    /// Resets the connection without running the request.
     ResetBefore,
-    /// Works, and resets the connection in place of an answer.
+    /// Runs the request and resets the connection instead of answering.
     ResetAfter,
-    /// Works, and answers twice at once.
+    /// Runs the request and sends the answer twice.
     Twice,
-    /// Works, and refuses as if it had not, but does not say so.
+    /// Runs the request and answers with 429, without the header that says that it did not run.
     RefusedAfterWork,
-    /// One of all the others for each request, by the world's draw.
+    /// Chooses one of `RANDOM_MODES` for each request.
     Random,
 }
 
-/// What a leaf that draws its conduct may do, the good answer most often.
+/// The modes that [`Mode::Random`] chooses from; a good answer has the highest weight.
 const RANDOM_MODES: [Mode; 16] = [
     Mode::Good,
     Mode::Good,
@@ -65,7 +65,7 @@
     Mode::RefusedAfterWork,
 ];
 
-/// One call that a leaf ran.
+/// A request that a leaf ran.
 #[derive(Clone, Debug)]
 pub struct Run {
     pub leaf: String,
@@ -86,20 +86,20 @@
     state: &'static str,
 }
 
-/// All leafs, how they behave, and what they ran.
+/// All mock leafs with their modes, and what they ran.
 #[derive(Default)]
 pub struct PlatformBackends {
     leafs: Vec<Leaf>,
     pub mode: Vec<(String, Mode)>,
     pub runs: Vec<Run>,
-    /// Requests that a mute leaf worked on when their connection was closed, by id.
+    /// Ids of requests whose connection was closed while a leaf in mode `NeverAnswer` ran them.
     pub closed: Vec<String>,
     release: Rc<Notify>,
-    /// Seeds the draws of leafs that draw their conduct, and counts them.
+    /// State of the random choices of [`Mode::Random`]: the seed, plus one for each choice.
     pub random_draws: u64,
 }
 
-/// What a leaf does with this request.
+/// Returns the mode in which a leaf answers the next request.
 fn mode_for_request(backends: &SharedBackends, leaf: &str) -> Mode {
     let mut b = backends.borrow_mut();
     let mode = b.mode.iter().find(|m| m.0 == leaf).map_or(Mode::Good, |m| m.1);
@@ -110,14 +110,14 @@
     RANDOM_MODES[(grebepath_core::random::mix(b.random_draws) % RANDOM_MODES.len() as u64) as usize]
 }
 
-/// Ends a connection by a reset.
+/// Makes the connection end with a reset when it is dropped.
 fn reset_on_close(stream: &TcpStream) -> std::io::Result<()> {
     socket2::SockRef::from(stream).set_linger(Some(std::time::Duration::ZERO))
 }
 
 pub type SharedBackends = Rc<RefCell<PlatformBackends>>;
 
-/// Starts a list and the leafs `(id, service, zone)`; gives the list's address.
+/// Starts a list and the leafs `(id, service, zone)`. Returns the list's address.
 pub async fn start(leafs: &[(&str, &str, &str)]) -> std::io::Result<(SharedBackends, SocketAddr)> {
     let backends: SharedBackends = Rc::default();
     for (id, service, zone) in leafs {
@@ -153,26 +153,26 @@
     Ok((backends, addr))
 }
 
-/// How the leaf behaves from now on.
+/// Sets the mode of a leaf.
 pub fn set_mode(backends: &SharedBackends, leaf: &str, mode: Mode) {
     let mut b = backends.borrow_mut();
     b.mode.retain(|m| m.0 != leaf);
     b.mode.push((leaf.to_string(), mode));
 }
 
-/// Lets all go that are held.
+/// Releases all requests that are held by leafs in mode [`Mode::Hold`].
 pub fn release_held(backends: &SharedBackends) {
     backends.borrow().release.notify_waiters();
 }
 
-/// The list names the leaf as one that leaves.
+/// Marks a leaf as draining in the list.
 pub fn mark_draining(backends: &SharedBackends, id: &str) {
     for leaf in backends.borrow_mut().leafs.iter_mut().filter(|l| l.id == id) {
         leaf.state = "draining";
     }
 }
 
-/// The three records that a leaf of a service answers.
+/// Returns the three records with which a leaf of a service answers.
 pub fn records(service: &str) -> Vec<[u8; 16]> {
     let tag = service.bytes().last().unwrap_or(0);
     (0..3)
@@ -180,12 +180,12 @@
         .collect()
 }
 
-/// The stamp that a leaf puts on its answer to a call.
+/// Returns the postmark that a leaf adds to its answer to a call.
 pub fn postmark(id: &str, leaf: &str) -> String {
     format!("{id}.{leaf}")
 }
 
-/// One request off a connection: first line, heads, body. Nothing at its end.
+/// Reads a request: request line, headers and body. Returns `None` at the end of the connection.
 async fn read_request(
     stream: &mut TcpStream,
     buffer: &mut Vec<u8>,
@@ -221,7 +221,7 @@
 async fn serve_list(mut stream: TcpStream, backends: &SharedBackends) -> std::io::Result<()> {
     let mut buffer = Vec::new();
     while let Some((request_line, _, _)) = read_request(&mut stream, &mut buffer).await? {
-        // Pages of two, so that there are several.
+        // Two leafs a page, so that the list has several pages.
         let from: usize = request_line
             .split_once("page=p-")
             .and_then(|(_, t)| t.split(' ').next()?.parse().ok())
@@ -303,7 +303,7 @@
             Mode::Hold => release.notified().await,
             Mode::Late => tokio::time::sleep(std::time::Duration::from_secs(1)).await,
             Mode::NeverAnswer => {
-                // Nothing more comes on the connection but its end.
+                // Waits for the end of the connection: the querier sends nothing more on it.
                 let _ = stream.read(&mut [0u8; 1]).await;
                 backends.borrow_mut().closed.push(id);
                 return Ok(());
@@ -311,7 +311,7 @@
             Mode::ResetAfter => return reset_on_close(&stream),
             _ => {}
         }
-        // What is joined has records, all else says whose it is.
+        // Joined requests are answered with records, all others with a text that names the id.
         let text = match target {
             Some(t) if t.starts_with("/join/") => records(&service).concat(),
             _ => format!("body of {id}").into_bytes(),
@@ -344,7 +344,7 @@
     Ok(())
 }
 
-/// Fills the gaps of a template, `{{a.b}}` and `{{a|json}}`, from fields.
+/// Replaces the placeholders `{{a.b}}` and `{{a|json}}` of a template by the values of `fields`.
 pub fn fill_template(text: &str, fields: &Value) -> String {
     let mut out = String::new();
     let mut rest = text;
--- a/crates/server/src/testbed/local_cluster/error.rs
+++ b/crates/server/src/testbed/local_cluster/error.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with a local cluster.
+//! Errors of a local cluster.
 
 use std::path::PathBuf;
 
@@ -6,70 +6,70 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Why a cluster did not come up, or did not do as it was asked.
+/// Why a cluster did not start, or an operation on it failed.
 #[derive(Debug, Error)]
 pub enum LocalClusterError {
-    /// A file or program can't be used.
+    /// A file could not be read or written, or a program could not be started.
     #[error("{}: {source}", path.display())]
     File {
-        /// The file.
+        /// Path of the file.
         path: PathBuf,
-        /// Why.
+        /// The cause.
         source: std::io::Error,
     },
-    /// The system refused something else.
+    /// Another I/O operation failed.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// A process ended before it said that it is up.
-    #[error("{process} did not come up: {log}")]
+    /// A process ended before it printed its ready line.
+    #[error("{process} did not start: {log}")]
     NotUp {
-        /// Its name.
+        /// Name of the process.
         process: String,
-        /// What it logged.
+        /// Content of its log file.
         log: String,
     },
-    /// A process that is asked for is not running.
+    /// The process is not running.
     #[error("{process} is not running")]
     NotRunning {
-        /// Its name.
+        /// Name of the process.
         process: String,
     },
     /// A signal could not be sent.
-    #[error("kill -{signal} failed")]
+    #[error("sending signal {signal} failed")]
     Signal {
-        /// Its name.
+        /// Name of the signal.
         signal: String,
     },
-    /// There are not as many free ports as are needed.
-    #[error("no free ports")]
+    /// Not enough free ports were found.
+    #[error("not enough free ports")]
     NoPorts,
-    /// A process was started without this flag.
-    #[error("no {flag}")]
+    /// The process has no such flag on its command line.
+    #[error("the command line has no {flag}")]
     NoFlag {
-        /// The flag.
+        /// Name of the flag.
         flag: &'static str,
     },
-    /// A request can't be written.
+    /// A request could not be built.
     #[error("{0}")]
     Request(#[from] hyper::http::Error),
-    /// A request brought no response.
+    /// A request got no response.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// No controller is up.
-    #[error("no controller is up")]
+    /// No controller answered.
+    #[error("no controller answered")]
     NoController,
-    /// A controller answers otherwise than asked.
+    /// A controller answered with an error status.
     #[error("status {code}: {body}")]
     Status {
-        /// The response's status.
+        /// Status of the response.
         code: u16,
-        /// Its body.
+        /// Body of the response.
         body: Value,
     },
-    /// A controller does not say which revision a change has.
-    #[error("no revision")]
+    /// A controller's response to a change contains no revision.
+    #[error("the response contains no revision")]
     NoRevision,
-    /// An order to the mock backends, or a status request, was rejected.
+    /// A control command to the mock back ends, or a status request, was rejected.
     #[error("{0}")]
     Rejected(Value),
 }
--- a/crates/server/src/testbed/local_cluster/mod.rs
+++ b/crates/server/src/testbed/local_cluster/mod.rs
@@ -1,5 +1,5 @@
-//! A cluster of real processes on loopback, for the cluster's runner and the tests.
-//! Test tools may start processes; the daemons never do.
+//! A cluster of real processes on loopback, for the local cluster's runner and the tests.
+//! Only test tools may start processes; the daemons never do.
 
 pub mod error;
 pub mod process;
@@ -17,7 +17,7 @@
 
 pub use requests::{request, text};
 
-/// Attempts to start a cluster: another may take a port between our look and our start.
+/// Attempts to start a cluster: another process may take a port between the check and the start.
 const START_ATTEMPTS: u32 = 4;
 
 /// Where the cluster's programs and files are.
@@ -25,33 +25,35 @@
 pub struct Layout {
     /// Folder of the built programs.
     pub bin: PathBuf,
-    /// Folder of controller and querier, if it is another one.
+    /// Folder of controller and querier, if it differs from `bin`.
     pub daemons: Option<PathBuf>,
     /// Folder for data and logs; it must be empty.
     pub dir: PathBuf,
-    /// The deployment's files: `NAME.json` and `NAME.standins.json`.
+    /// Folder of the deployments' files, `NAME.json` and `NAME.standins.json`.
     pub deploy: PathBuf,
+    /// Name of the deployment.
     pub name: String,
+    /// Number of queriers.
     pub queriers: usize,
 }
 
-/// A running cluster. Dropping it kills its processes, and no others.
+/// A running cluster. Dropping it kills the processes that it started, and no others.
 pub struct LocalCluster {
-    /// Where its programs and files are.
+    /// Paths of its programs and files.
     pub layout: Layout,
-    /// The mock backends.
+    /// The process of the mock back ends.
     pub backends: Process,
-    /// By voter slot, then those without one.
+    /// The controllers, by voter slot; then those without a slot.
     pub controllers: Vec<Process>,
-    /// The queriers.
+    /// The querier processes.
     pub queriers: Vec<Process>,
-    /// The mock backends' listener.
+    /// Address of the mock back ends' list and control listener.
     pub list: SocketAddr,
-    /// The controllers' listeners for operators.
+    /// Addresses of the controllers' listeners for operators.
     pub operator_addrs: Vec<SocketAddr>,
-    /// The queriers' listeners for callers.
+    /// Addresses of the queriers' listeners for callers.
     pub caller_addrs: Vec<SocketAddr>,
-    /// Sends the requests.
+    /// The HTTP client.
     pub http: HttpClient,
 }
 
@@ -65,14 +67,15 @@
 }
 
 impl LocalCluster {
-    /// Starts everything and loads the deployment's configuration.
+    /// Starts all processes and loads the deployment's configuration.
     pub async fn start(layout: Layout) -> Result<LocalCluster, LocalClusterError> {
         LocalCluster::start_with_relay(layout, async |_| Err(std::io::Error::other("no relay")))
             .await
     }
 
-    /// Like `start`; the last querier reaches controllers, list and the other queriers
-    /// only through addresses that `relay` gives for theirs, and is reached so.
+    /// Like [`LocalCluster::start`], but the last querier connects to controllers and the list
+    /// only through the addresses that `relay` returns for theirs, and advertises such an address
+    /// to the other queriers.
     pub async fn start_with_relay(
         layout: Layout,
         mut relay: impl AsyncFnMut(SocketAddr) -> std::io::Result<SocketAddr>,
@@ -97,8 +100,8 @@
         [&mut self.backends].into_iter().chain(&mut self.controllers).chain(&mut self.queriers)
     }
 
-    /// From their next start on, processes know the voter at another inner address,
-    /// and the voter itself listens there. Gives the address.
+    /// Changes the inner address of a voter in the command lines of all processes, with effect
+    /// from their next start. Returns the new address.
     pub fn move_voter(&mut self, slot: usize) -> Result<SocketAddr, LocalClusterError> {
         let new = SocketAddr::from(([127, 0, 0, 1], free_ports(1)?[0]));
         let old = self.controllers[slot].argument("--inner")?;
@@ -113,7 +116,7 @@
         Ok(new)
     }
 
-    /// Starts one more controller that is not told a voter slot; gives its number.
+    /// Starts another controller without a voter slot. Returns its number.
     pub fn add_controller(&mut self, zone: &str) -> Result<usize, LocalClusterError> {
         let n = self.controllers.len();
         let ports = free_ports(2)?;
@@ -134,7 +137,7 @@
     }
 }
 
-/// Starts all processes, or none.
+/// Starts all processes; if one fails, those already started are killed.
 async fn start_processes(
     layout: Layout,
     relay: &mut impl AsyncFnMut(SocketAddr) -> std::io::Result<SocketAddr>,
@@ -205,10 +208,9 @@
     Ok(cluster)
 }
 
-/// Ports that are free now, all different. Seeds must be known before the
-/// controllers start, and a process that is started again wants its old port,
-/// so port 0 is of no use: the system would hand such a port to anyone in
-/// between. These lie below the range from which it hands out ports.
+/// Returns distinct ports that are free now. Port 0 can't be used: the seeds must be known before
+/// the controllers start, and a restarted process needs its former port, which the system could
+/// assign to another process meanwhile. The returned ports lie below the system's ephemeral range.
 pub fn free_ports(n: usize) -> Result<Vec<u16>, LocalClusterError> {
     let mut random = grebepath_core::random::Random::new(grebepath_runtime::clock::nonce());
     let mut held = Vec::new();
@@ -225,8 +227,8 @@
     if ports.len() == n { Ok(ports) } else { Err(LocalClusterError::NoPorts) }
 }
 
-/// Waits until a condition on the cluster holds: asks again as soon as the last
-/// answer is in, for at most `wait`.
+/// Waits until a condition on the cluster holds, for at most `wait`. Checks it again 20 ms after
+/// each result. Returns whether it held.
 pub async fn until<F: Future<Output = bool>>(wait: Duration, mut ask: impl FnMut() -> F) -> bool {
     let end = Instant::now() + wait;
     while Instant::now() < end {
@@ -238,7 +240,7 @@
     false
 }
 
-/// The programs' folder when called from one of them, or from a test.
+/// Returns the folder of the built programs, given the path of one of them or of a test.
 pub fn bin_dir(exe: &Path) -> PathBuf {
     let dir = exe.parent().unwrap_or(Path::new("."));
     if dir.ends_with("deps") {
--- a/crates/server/src/testbed/local_cluster/process.rs
+++ b/crates/server/src/testbed/local_cluster/process.rs
@@ -8,26 +8,26 @@
 use super::Layout;
 use super::error::LocalClusterError;
 
-/// Runs a program with limits on its files.
+/// Shell that starts a program with a limit on file sizes.
 const SHELL: &str = "sh";
-/// Pause between two looks whether a process has ended.
+/// Interval of the checks whether a process has ended.
 const END_PAUSE: Duration = Duration::from_millis(10);
 
-/// One process, running or not.
+/// A process of the cluster, running or not.
 pub struct Process {
-    /// Its name in the cluster.
+    /// The process's name in the cluster.
     pub name: String,
     pub(super) args: Vec<String>,
     program: PathBuf,
-    /// The running process, if there is one.
+    /// Handle of the running process, if it runs.
     pub child: Option<Child>,
-    /// What it printed when it was ready.
+    /// The line that it printed when it was ready.
     pub ready_line: String,
     log: PathBuf,
 }
 
 impl Process {
-    /// A process of one of our tools; it is not started.
+    /// Creates a process of a program in the folder `bin`, without starting it.
     pub fn new(layout: &Layout, name: &str, program: &str, args: Vec<String>) -> Process {
         Process {
             name: name.to_string(),
@@ -45,17 +45,17 @@
         Process { program: folder.join(program), ..process }
     }
 
-    /// A controller with settings of the caller's choice; it is not started.
+    /// Creates a controller with the given settings, without starting it.
     pub fn controller(layout: &Layout, name: &str, settings: &[(&str, String)]) -> Process {
         Process::daemon(layout, name, "controller", settings)
     }
 
-    /// A querier with settings of the caller's choice; it is not started.
+    /// Creates a querier with the given settings, without starting it.
     pub fn querier(layout: &Layout, name: &str, settings: &[(&str, String)]) -> Process {
         Process::daemon(layout, name, "querier", settings)
     }
 
-    /// Starts it and waits for the line that says it is up.
+    /// Starts the process and waits for its ready line.
     pub fn start(&mut self) -> Result<(), LocalClusterError> {
         let log = std::fs::OpenOptions::new().create(true).append(true).open(&self.log);
         let log =
@@ -69,7 +69,7 @@
             .map_err(|source| LocalClusterError::File { path: self.program.clone(), source })?;
         let out = child.stdout.take().expect("stdout is piped");
         let mut line = String::new();
-        // An end without a line means that the process has ended.
+        // An empty line means that the process ended without printing one.
         BufReader::new(out).read_line(&mut line)?;
         self.child = Some(child);
         if line.is_empty() {
@@ -80,7 +80,7 @@
         Ok(())
     }
 
-    /// Kills it at once, as `kill -9` does.
+    /// Kills the process with SIGKILL.
     pub fn kill(&mut self) {
         if let Some(mut child) = self.child.take() {
             let _ = child.kill();
@@ -88,7 +88,7 @@
         }
     }
 
-    /// Sends it a signal by name (`TERM`, `STOP`, `CONT`).
+    /// Sends the process a signal by name (`TERM`, `STOP`, `CONT`).
     pub fn signal(&self, name: &str) -> Result<(), LocalClusterError> {
         let Some(child) = &self.child else {
             return Err(LocalClusterError::NotRunning { process: self.name.clone() });
@@ -102,7 +102,7 @@
         }
     }
 
-    /// Waits for it to end; gives its exit code.
+    /// Waits for the process to end. Returns its exit code, or `None` after `wait`.
     pub fn wait_for_end(&mut self, wait: Duration) -> Option<i32> {
         let end = Instant::now() + wait;
         let child = self.child.as_mut()?;
@@ -118,8 +118,8 @@
         }
     }
 
-    /// Lets it write no file beyond so many blocks of 512 bytes, from its next start
-    /// on: its disk then behaves as a full one. `None` lifts that.
+    /// Limits the size of the files that the process writes to a number of 512-byte blocks, with
+    /// effect from its next start: its disk then behaves like a full one. `None` lifts the limit.
     pub fn limit_file_size(&mut self, blocks: Option<u32>) {
         if self.program.as_os_str() == SHELL {
             self.program = PathBuf::from(self.args[2].clone());
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Lifts the limit on file sizes from the running process: its disk has room again.
+    /// Lifts the limit on file sizes of the running process: its disk has free space again.
     pub fn lift_file_size_limit(&self) -> Result<(), LocalClusterError> {
         use rustix::process::{Pid, Resource, Rlimit, getrlimit, prlimit};
         let child = self.child.as_ref();
@@ -141,18 +141,18 @@
         let Some(pid) = pid else {
             return Err(LocalClusterError::NotRunning { process: self.name.clone() });
         };
-        // Only the soft limit was set, and ours are inherited.
+        // Only the soft limit was lowered. The others were inherited from this process.
         let own: Rlimit = getrlimit(Resource::Fsize);
         prlimit(Some(pid), Resource::Fsize, own).map_err(std::io::Error::from)?;
         Ok(())
     }
 
-    /// The first line that the process printed since its last start.
+    /// Returns the first line that the process printed since its last start.
     pub fn ready_line(&self) -> &str {
         &self.ready_line
     }
 
-    /// The argument of a flag.
+    /// Returns the argument of a flag on the process's command line.
     pub fn argument(&self, flag: &'static str) -> Result<String, LocalClusterError> {
         let at = self.args.iter().position(|arg| arg == flag);
         let argument = at.and_then(|at| self.args.get(at + 1)).cloned();
@@ -160,7 +160,7 @@
     }
 }
 
-/// A command line: some words, then flags with an argument each.
+/// Builds a command line: words, followed by flags with one argument each.
 pub(super) fn flags(words: &[&str], pairs: &[(&str, String)]) -> Vec<String> {
     let pairs = pairs.iter().flat_map(|(name, value)| [format!("--{name}"), value.clone()]);
     words.iter().map(|word| word.to_string()).chain(pairs).collect()
--- a/crates/server/src/testbed/local_cluster/requests.rs
+++ b/crates/server/src/testbed/local_cluster/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the processes of a local cluster.
+//! HTTP requests to the processes of a local cluster.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,10 +12,10 @@
 use super::LocalCluster;
 use super::error::LocalClusterError;
 
-/// Attempts to send a change, each to the next controller.
+/// Maximum number of attempts to send a change, each to the next controller.
 const CHANGE_ATTEMPTS: usize = 10;
 
-/// Sends one small request; gives status and JSON.
+/// Sends a request. Returns the status and the body, as null if it is not JSON.
 pub async fn request(
     http: &HttpClient,
     method: Method,
@@ -33,7 +33,7 @@
     Ok((resp.status().as_u16(), val))
 }
 
-/// A text, such as that of a process's metrics.
+/// Fetches a text, such as a process's metrics.
 pub async fn text(http: &HttpClient, url: String) -> Option<String> {
     let req = Request::get(url).body(Full::default()).ok()?;
     let resp = http.call_within(req, 1 << 20, Duration::from_secs(2)).await.ok()?;
@@ -41,8 +41,8 @@
 }
 
 impl LocalCluster {
-    /// Changes the configuration through any controller that answers, under one
-    /// request id, until it is accepted. Gives its revision.
+    /// Changes the configuration through any controller that answers, with the same request id
+    /// in all attempts. Returns the change's revision.
     pub async fn change(
         &self,
         method: Method,
@@ -68,12 +68,12 @@
         Err(last)
     }
 
-    /// Sets single objects. Gives the change's revision.
+    /// Changes single objects of the configuration. Returns the change's revision.
     pub async fn patch(&self, val: &Value, id: &str) -> Result<u64, LocalClusterError> {
         self.change(Method::PATCH, val.to_string().as_bytes(), id).await
     }
 
-    /// Tells the mock backends to misbehave.
+    /// Sends a control command to the mock back ends.
     pub async fn control_backends(&self, val: Value) -> Result<Value, LocalClusterError> {
         let url = format!("http://{}/control", self.list);
         let body = val.to_string().into_bytes();
@@ -81,7 +81,7 @@
         if code == 200 { Ok(got) } else { Err(LocalClusterError::Rejected(got)) }
     }
 
-    /// Asks the mock backends for `/runs` or `/state`.
+    /// Fetches `/runs` or `/state` from the mock back ends.
     pub async fn query_backends(&self, path: &str) -> Result<Value, LocalClusterError> {
         let url = format!("http://{}{path}", self.list);
         Ok(request(&self.http, Method::GET, url, Vec::new(), &[]).await?.1)
@@ -92,12 +92,12 @@
         crate::callers::is_ready(&self.http, self.caller_addrs[querier]).await
     }
 
-    /// The revision that a querier obeys, by its own metrics.
+    /// Returns the revision that a querier has applied, according to its metrics.
     pub async fn applied_revision(&self, querier: usize) -> Option<u64> {
         self.metric(self.caller_addrs[querier], "grebe_revision").await
     }
 
-    /// One metric of a process, summed over its labels.
+    /// Returns a metric of a process, summed over its labels.
     pub async fn metric(&self, addr: SocketAddr, name: &str) -> Option<u64> {
         let text = text(&self.http, format!("http://{addr}/metrics")).await?;
         let mut sum = None;
@@ -110,7 +110,7 @@
         sum
     }
 
-    /// What one controller says of itself and of the members.
+    /// Returns a controller's status of itself and the members.
     pub async fn status(&self, controller: usize) -> Result<Value, LocalClusterError> {
         let url = format!("http://{}/v1/status", self.operator_addrs[controller]);
         let (code, val) = request(&self.http, Method::GET, url, Vec::new(), &[]).await?;
@@ -121,8 +121,8 @@
         }
     }
 
-    /// The voter slot that leads the configuration, as the first controller that answers
-    /// sees it.
+    /// Returns the voter slot of the leader of the configuration partition, according to the
+    /// first controller that answers.
     pub async fn config_leader(&self) -> Option<usize> {
         for i in 0..self.operator_addrs.len() {
             if self.controllers[i].child.is_some()
--- a/crates/server/src/testbed/mock_backends/leaf.rs
+++ b/crates/server/src/testbed/mock_backends/leaf.rs
@@ -1,4 +1,4 @@
-//! A mock leaf: what it is, how it misbehaves, and what it has seen.
+//! The state of a mock leaf: identity, mode and counters.
 
 use std::net::SocketAddr;
 use std::time::Instant;
@@ -6,15 +6,15 @@
 use grebepath_simulator::spec::Service;
 use tokio::task::AbortHandle;
 
-/// How a leaf misbehaves.
+/// How a mock leaf behaves.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Mode {
     Good,
-    /// Takes so much longer.
+    /// Adds this latency (ms) to each answer.
     Slow(u64),
-    /// Takes connections and requests and never answers.
+    /// Accepts connections and requests and never answers.
     Unresponsive,
-    /// Stops for so long (ms) every so often (ms).
+    /// Stops answering for `pause` ms in every period of `every` ms.
     Pauses {
         every: u64,
         pause: u64,
@@ -27,43 +27,43 @@
     StalePostmark,
     WrongIndexVersion,
     Overlong,
-    /// Turns every request away unrun.
+    /// Rejects every request without running it.
     RejectAll,
 }
 
-/// A leaf's state.
+/// The state of a mock leaf.
 pub struct Leaf {
     pub name: String,
     pub service: Service,
     pub addr: SocketAddr,
     pub zone: String,
-    /// The version of its software, empty if the list does not tell it.
+    /// The version of its software; empty if the list does not show it.
     pub version: String,
     pub mode: Mode,
     pub leaving: bool,
-    /// Whether it tells who asks it that it leaves; the list shows it in any case.
+    /// Whether its replies say that it is leaving; the list shows it in any case.
     pub reports_leaving: bool,
     pub started_at: Instant,
     pub in_flight: u32,
-    /// Most dispatches it had at once over what it could bear then, in
-    /// hundredths.
+    /// The highest ratio of concurrent attempts to the capacity at that time (percent).
     pub peak_load_pct: u32,
     pub run_count: u64,
-    /// Requests for another leaf, another service, or with a changed question:
-    /// all turned away unrun.
+    /// Requests meant for another leaf or service. All were rejected without being run.
     pub misdirected: u64,
-    /// Those of them that brought work, rather than asking who is here.
+    /// Those of the misdirected requests that were attempts, not probes.
     pub misdirected_work: u64,
+    /// Requests whose body did not match its digest. All were rejected without being run.
     pub altered_queries: u64,
     pub postmark: Option<String>,
     pub serving_task: Option<AbortHandle>,
-    /// When it was told to leave, and new work it got after that.
+    /// When it began to leave.
     pub draining_since: Option<Instant>,
+    /// Time from then until the latest attempt that it received (ms).
     pub last_work_after_drain_ms: u64,
 }
 
 impl Leaf {
-    /// Requests that it bears at once, at its age.
+    /// Returns the number of concurrent requests that the leaf can serve at its current age.
     pub fn capacity(&self) -> u32 {
         let age_ms = self.started_at.elapsed().as_millis() as u64;
         let full = u64::from(self.service.bears);
@@ -74,7 +74,7 @@
         ((full * (10 * ramp_ms + 90 * age_ms) / (100 * ramp_ms)) as u32).max(1)
     }
 
-    /// Ends it with all its connections, as a kill does.
+    /// Stops the leaf and closes all its connections, as killing a process does.
     pub fn kill(&mut self) {
         if let Some(task) = self.serving_task.take() {
             task.abort();
@@ -82,7 +82,7 @@
     }
 }
 
-/// A line of the log of runs.
+/// An entry of the log of requests that leafs ran.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Run {
     pub leaf: String,
@@ -92,8 +92,8 @@
     pub query: String,
     pub question: String,
     pub key: Option<String>,
-    /// Milliseconds since the process began.
+    /// Time since the process started (ms).
     pub at_ms: u64,
-    /// Whether it was truly answered in the end.
+    /// Whether the leaf sent a correct answer.
     pub answered: bool,
 }
--- a/crates/server/src/testbed/mock_backends/leaf_server.rs
+++ b/crates/server/src/testbed/mock_backends/leaf_server.rs
@@ -1,4 +1,4 @@
-//! Serves the requests of one mock leaf, each as its mode asks.
+//! The server of a mock leaf, which answers requests according to the leaf's mode.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -51,7 +51,7 @@
     }
 }
 
-/// A body that may break off before its end.
+/// A response body that may break off before its end.
 pub struct Body {
     bytes: Option<Bytes>,
     truncated: bool,
@@ -76,7 +76,7 @@
 
 type Reply = Response<Body>;
 
-/// Counts a dispatch out again, however its handling ends.
+/// Decrements the number of requests in flight when the handling of a request ends.
 struct InFlightGuard(Rc<RefCell<Leaf>>);
 
 impl Drop for InFlightGuard {
@@ -148,7 +148,7 @@
     };
     tokio::time::sleep(Duration::from_millis(base_ms / 2 + noise_ms / 2 + overload_ms + extra_ms))
         .await;
-    // One record alone can't be out of order.
+    // A single record can't be out of order.
     let ordered = mode == Mode::Unsorted && limit == 1;
     if ordered || matches!(mode, Mode::Good | Mode::Slow(_) | Mode::Pauses { .. }) {
         runs.borrow_mut()[run_index].answered = true;
@@ -156,7 +156,7 @@
     Ok(answer(&leaf, &mode, &query, &sum, (&question, key.as_deref(), limit)))
 }
 
-/// Whether a leaf turns a request away: meant for another, or changed.
+/// Returns the status of the rejection if a request is meant for another leaf or was altered.
 fn check_request(
     leaf: &Rc<RefCell<Leaf>>,
     want: &str,
--- a/crates/server/src/testbed/mock_backends/mod.rs
+++ b/crates/server/src/testbed/mock_backends/mod.rs
@@ -1,5 +1,5 @@
-//! Mock back ends in one process: leafs with their own ports, and the platform's list.
-//! Leafs log what they ran, for the checker.
+//! Mock back ends in one process: leafs, each with a port, and the platform's list.
+//! The leafs log what they ran, for the check of the callers' answers.
 
 mod leaf;
 mod leaf_server;
@@ -19,32 +19,32 @@
 
 /// The zones of the mock leafs' machines.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
-/// Attempts to bind an address, with a pause between them: a killed leaf's port frees up
-/// late.
+/// Attempts to bind an address, with a pause between them: the port of a killed leaf is released
+/// after a delay.
 const BIND_ATTEMPTS: u32 = 41;
-/// The pause between two of them.
+/// The pause between two attempts to bind an address.
 const BIND_PAUSE: Duration = Duration::from_millis(25);
 
-/// All mock back ends of one process.
+/// All mock back ends of the process.
 pub struct MockBackends {
-    /// By name.
+    /// Leafs by name, including stopped ones.
     pub leafs: BTreeMap<String, Rc<RefCell<Leaf>>>,
-    /// What the leafs ran.
+    /// Log of the requests that the leafs ran.
     pub runs: Rc<RefCell<Vec<Run>>>,
-    /// States of the list with the time from which each is shown.
+    /// States of the list, each with the time from which the list shows it.
     published: Vec<(Instant, Value)>,
-    /// How late the list shows a change.
+    /// Delay after which the list shows a change.
     lag: Duration,
-    /// Overrides the list's answer: `empty`, `garbage` or `dead`.
+    /// Fault of the list, if any: `empty`, `garbage` or `dead`.
     pub list_mode: Option<String>,
     random: Rc<RefCell<Random>>,
-    /// When the process began.
+    /// When the process started.
     pub started_at: Instant,
     next_leaf: u64,
 }
 
 impl MockBackends {
-    /// Starts all leafs of a spec, warm.
+    /// Starts all leafs of a spec with full capacity, without slow start.
     pub async fn start(spec: &Spec, seed: u64) -> std::io::Result<Rc<RefCell<MockBackends>>> {
         let backends = Rc::new(RefCell::new(MockBackends {
             leafs: BTreeMap::new(),
@@ -70,7 +70,7 @@
         Ok(backends)
     }
 
-    /// The list as it truly is now.
+    /// Returns the list of the current leafs.
     fn current_list(&self) -> Value {
         let leafs: Vec<Value> = self
             .leafs
@@ -93,14 +93,14 @@
         json!({ "leafs": leafs })
     }
 
-    /// Notes that the truth has changed; the list shows it later.
+    /// Records a change of the leafs, which the list shows after the delay.
     pub fn publish_change(&mut self) {
         let at = Instant::now() + self.lag;
         let list = self.current_list();
         self.published.push((at, list));
     }
 
-    /// The list as the platform shows it now.
+    /// Returns the list as the platform shows it now.
     pub fn published_list(&mut self) -> Value {
         let now = Instant::now();
         while self.published.len() > 1 && self.published[1].0 <= now {
@@ -110,7 +110,7 @@
     }
 }
 
-/// Starts one leaf that has run for `age`. Gives its name.
+/// Starts a leaf whose age is `age`. Returns its name.
 pub async fn start_leaf(
     backends: &Rc<RefCell<MockBackends>>,
     service: Service,
@@ -153,7 +153,7 @@
     Ok(name)
 }
 
-/// Binds, trying again for a moment.
+/// Binds an address, with retries for about one second.
 async fn bind(address: SocketAddr) -> std::io::Result<TcpListener> {
     let mut attempts = 1;
     loop {
--- a/crates/server/src/testbed/mod.rs
+++ b/crates/server/src/testbed/mod.rs
@@ -1,7 +1,7 @@
-//! What the stand-ins, the fleet runner and the tests share: the leafs' own
-//! records as an oracle, and a fleet of real processes.
+//! Library of the test tools and the process tests: mock back ends with a log of what they
+//! ran, callers that check answers, relays, and a cluster of real processes.
 
-// Not all public items have their comment yet (issue 20).
+// Some public items have no doc comment yet (issue 20).
 #![allow(missing_docs)]
 
 pub mod callers;
--- a/crates/server/src/testbed/redirects.rs
+++ b/crates/server/src/testbed/redirects.rs
@@ -1,5 +1,5 @@
-//! Requests as the users' pages say that callers send them: a redirection (307) is followed
-//! twice, with method and body.
+//! Requests as the documentation asks callers to send them: up to two redirections (307) are
+//! followed, with the same method and body.
 
 use std::time::Duration;
 
@@ -10,43 +10,43 @@
 use hyper::{Method, Request, Response, StatusCode};
 use thiserror::Error;
 
-/// Redirections that are followed (count).
+/// Maximum number of redirections that are followed.
 const MAX_REDIRECTS: usize = 2;
-/// Bytes of a response's body at most.
+/// Maximum size of a response body (bytes).
 const MAX_BODY_BYTES: usize = 1 << 20;
 
-/// Why a request brought no response.
+/// Why a request got no response.
 #[derive(Debug, Error)]
 pub enum SendError {
-    /// The request can't be written.
+    /// The request could not be built.
     #[error("{0}")]
     Write(#[from] hyper::http::Error),
-    /// No response came.
+    /// The exchange failed.
     #[error(transparent)]
     Http(#[from] HttpError),
 }
 
-/// A request that may be sent to several addresses.
+/// A request that follows redirections and may be sent to several addresses.
 #[derive(Clone)]
 pub struct FollowedRequest {
-    /// The method.
+    /// The HTTP method.
     pub method: Method,
     /// Path and query.
     pub path: String,
-    /// Headers.
+    /// Additional headers.
     pub headers: Vec<(&'static str, String)>,
-    /// The body.
+    /// The request body.
     pub body: Bytes,
 }
 
 impl FollowedRequest {
-    /// A request without headers of its own.
+    /// Creates a request without additional headers.
     pub fn new(method: Method, path: &str, body: impl Into<Bytes>) -> FollowedRequest {
         FollowedRequest { method, path: path.into(), headers: Vec::new(), body: body.into() }
     }
 
-    /// Sends it to an address (`host:port`) and follows redirections. Each response is waited
-    /// for so long; a request that is given up closes its connection.
+    /// Sends the request to an address (`host:port`) and follows redirections. `timeout` applies
+    /// to each response; a request that times out closes its connection.
     pub async fn send(
         &self,
         http: &HttpClient,
--- a/crates/server/src/testbed/relay.rs
+++ b/crates/server/src/testbed/relay.rs
@@ -1,5 +1,5 @@
-//! A relay that stands before an address and can be cut: what is under way
-//! ends, and new connections are taken but lead nowhere, as across a dead net.
+//! A TCP relay in front of an address that can simulate a network partition: open connections
+//! forward nothing more, and new connections are accepted but not forwarded.
 
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -7,7 +7,7 @@
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::watch;
 
-/// A relay; it ends when it is dropped.
+/// A running relay. Dropping it closes the listener.
 pub struct Relay {
     pub addr: SocketAddr,
     partitioned: Rc<watch::Sender<bool>>,
@@ -30,7 +30,7 @@
         Ok(Relay { addr, partitioned: Rc::new(partition_sender), task })
     }
 
-    /// Cuts the relay, or lets it pass again.
+    /// Starts or ends the network partition.
     pub fn set_partitioned(&self, on: bool) {
         let _ = self.partitioned.send(on);
     }
@@ -56,12 +56,12 @@
             let _ = tokio::io::copy_bidirectional(&mut client, &mut server).await;
         }
     };
-    // Nothing more passes once it is cut, nor at all if it is cut already.
+    // Forwards nothing once the partition begins, and nothing at all if it has begun already.
     tokio::select! {
         biased;
         _ = partitioned.wait_for(|c| *c) => {}
         _ = forwarding => return,
     }
-    // Held open and silent until the net is whole again.
+    // Keeps the connection open without traffic until the partition ends.
     let _ = partitioned.wait_for(|c| !*c).await;
 }
