--- a/crates/server/src/querier/caller_listener.rs
+++ b/crates/server/src/querier/caller_listener.rs
@@ -22,14 +22,14 @@
 use tokio::sync::mpsc::UnboundedSender;
 use tokio::sync::oneshot;
 
-use crate::messages::{CallerRequest, MembershipInput, Threads, TrafficInput};
+use crate::messages::{CallerRequest, MembershipInput, ThreadChannels, TrafficInput};
 
 /// The next call number; numbers are unique across all threads of the process.
 static NEXT_CALL: AtomicU64 = AtomicU64::new(1);
 
 #[derive(Clone)]
 struct Listener {
-    threads: Threads,
+    threads: ThreadChannels,
     /// The thread that serves this listener's calls.
     traffic: UnboundedSender<TrafficInput>,
     /// Number of this listener's calls that have no outcome yet.
@@ -37,7 +37,7 @@
 }
 
 /// Returns the routes of one traffic thread's listener.
-pub fn router(threads: Threads, traffic: UnboundedSender<TrafficInput>) -> Router {
+pub fn router(threads: ThreadChannels, traffic: UnboundedSender<TrafficInput>) -> Router {
     Router::new()
         .route("/v1/search/{mapping}", get(search_get).post(search_post))
         .route("/readyz", get(ready))
@@ -69,27 +69,27 @@
     }
 }
 
-fn budget_header(map: &HeaderMap) -> Option<&str> {
-    map.get(BUDGET).map(|v| v.to_str().unwrap_or("unreadable"))
+fn budget_header(header_map: &HeaderMap) -> Option<&str> {
+    header_map.get(BUDGET).map(|v| v.to_str().unwrap_or("unreadable"))
 }
 
 async fn search_get(
     State(listener): State<Listener>,
-    Path(mapping): Path<String>,
+    Path(route): Path<String>,
     Query(params): Query<Vec<(String, String)>>,
     headers: HeaderMap,
 ) -> Response {
-    search(listener, caller::read_get(&mapping, budget_header(&headers), &params)).await
+    search(listener, caller::read_get(&route, budget_header(&headers), &params)).await
 }
 
 async fn search_post(
     State(listener): State<Listener>,
-    Path(mapping): Path<String>,
+    Path(route): Path<String>,
     headers: HeaderMap,
     body: Result<Bytes, axum::extract::rejection::BytesRejection>,
 ) -> Response {
     let request = match body {
-        Ok(body) => caller::read_post(&mapping, budget_header(&headers), &body),
+        Ok(body) => caller::read_post(&route, budget_header(&headers), &body),
         Err(e) if e.status() == StatusCode::PAYLOAD_TOO_LARGE => {
             Err(Rejection::new(RejectionReason::TooLarge, "the question is larger than 64 KiB"))
         }
@@ -172,7 +172,7 @@
     /// The bound socket.
     pub listener: std::net::TcpListener,
     /// Channels to all threads of the process.
-    pub threads: Threads,
+    pub threads: ThreadChannels,
 }
 
 impl ReadinessListener {
@@ -199,16 +199,17 @@
 }
 
 fn to_response(outcome: &Outcome) -> Response {
-    let out = caller::write(outcome);
-    let code = StatusCode::from_u16(out.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
-    let mut resp = (code, [(header::CONTENT_TYPE, "application/json")], out.body).into_response();
-    if let Some(n) = out.missing_shards {
-        resp.headers_mut().insert(MISSING_SHARDS, (n as u64).into());
+    let reply = caller::write(outcome);
+    let code = StatusCode::from_u16(reply.status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
+    let mut response =
+        (code, [(header::CONTENT_TYPE, "application/json")], reply.body).into_response();
+    if let Some(n) = reply.missing_shards {
+        response.headers_mut().insert(MISSING_SHARDS, (n as u64).into());
     }
-    if let Some(s) = out.retry_after {
-        resp.headers_mut().insert(RETRY_AFTER, s.into());
+    if let Some(s) = reply.retry_after {
+        response.headers_mut().insert(RETRY_AFTER, s.into());
     }
-    resp
+    response
 }
 
 async fn ready(State(listener): State<Listener>) -> Response {
--- a/crates/server/src/querier/leaf_client.rs
+++ b/crates/server/src/querier/leaf_client.rs
@@ -98,9 +98,13 @@
     }
 }
 
-fn leaf_reply(resp: Response<Bytes>) -> LeafReply {
-    let reply_headers = reply_headers(resp.headers());
-    LeafReply { status: resp.status().as_u16(), headers: reply_headers, body: resp.body().to_vec() }
+fn leaf_reply(response: Response<Bytes>) -> LeafReply {
+    let reply_headers = reply_headers(response.headers());
+    LeafReply {
+        status: response.status().as_u16(),
+        headers: reply_headers,
+        body: response.body().to_vec(),
+    }
 }
 
 /// Queries a leaf's state. Returns `None` if the leaf could not be reached.
@@ -125,19 +129,20 @@
     Some(report)
 }
 
-fn reply_headers(map: &HeaderMap) -> ReplyHeaders {
-    let one = |name: &str| map.get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
+fn reply_headers(header_map: &HeaderMap) -> ReplyHeaders {
+    let header_text =
+        |name: &str| header_map.get(name).and_then(|v| v.to_str().ok()).map(str::to_string);
     ReplyHeaders {
-        postmarks: map
+        postmarks: header_map
             .get_all(leaf::POSTMARK)
             .iter()
             .map(|v| v.to_str().unwrap_or_default().to_string())
             .collect(),
-        busy: one(leaf::BUSY),
-        age: one(leaf::LEAF_AGE),
-        state: one(leaf::LEAF_STATE),
-        index_version: one(leaf::INDEX_VERSION),
-        rejected: map.contains_key(leaf::REJECTED),
+        busy: header_text(leaf::BUSY),
+        age: header_text(leaf::LEAF_AGE),
+        state: header_text(leaf::LEAF_STATE),
+        index_version: header_text(leaf::INDEX_VERSION),
+        rejected: header_map.contains_key(leaf::REJECTED),
         ..ReplyHeaders::default()
     }
 }
--- a/crates/server/src/querier/main.rs
+++ b/crates/server/src/querier/main.rs
@@ -27,7 +27,7 @@
 use crate::caller_listener::ReadinessListener;
 use crate::error::QuerierError;
 use crate::membership_io::Published;
-use crate::messages::{Threads, TrafficInput};
+use crate::messages::{ThreadChannels, TrafficInput};
 use crate::settings::Settings;
 
 fn main() {
@@ -58,14 +58,14 @@
     let (stop, stopped) = watch::channel(false);
     let (traffic, traffic_inputs): (Vec<_>, Vec<_>) =
         (0..settings.threads).map(|_| unbounded_channel()).unzip();
-    let threads = Threads { traffic, membership, ready, view };
+    let threads = ThreadChannels { traffic, membership, ready, view };
     let readiness =
         readiness.map(|listener| ReadinessListener { listener, threads: threads.clone() });
     let listeners_and_inputs = listeners.into_iter().zip(traffic_inputs).collect();
     let handles = start_traffic(&settings, clock, &threads, &stopped, listeners_and_inputs)?;
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     let local = tokio::task::LocalSet::new();
-    let start = membership_thread::Start {
+    let params = membership_thread::Params {
         settings,
         clock,
         listener: inner,
@@ -74,7 +74,7 @@
         published: Published { ready: ready_sender, view: view_sender },
         inputs: threads.membership,
     };
-    let end = local.block_on(&runtime, membership_thread::serve(start, inputs));
+    let end = local.block_on(&runtime, membership_thread::serve(params, inputs));
     let _ = stop.send(true);
     let joined = handles.into_iter().all(|thread| thread.join().is_ok());
     end?;
@@ -85,14 +85,14 @@
 fn start_traffic(
     settings: &Settings,
     clock: Clock,
-    threads: &Threads,
+    threads: &ThreadChannels,
     stop: &watch::Receiver<bool>,
     listeners_and_inputs: Vec<(TcpListener, UnboundedReceiver<TrafficInput>)>,
 ) -> std::io::Result<Vec<JoinHandle<()>>> {
     let incarnation = nonce();
     let mut handles = Vec::new();
     for (index, (listener, inputs)) in listeners_and_inputs.into_iter().enumerate() {
-        let start = traffic_thread::Start {
+        let params = traffic_thread::Params {
             name: format!("{}-{index}-{:08x}", settings.name, incarnation as u32),
             zone: settings.zone.clone(),
             seed: incarnation ^ index as u64,
@@ -104,10 +104,10 @@
             platform_api: settings.platform_api,
             retry_rate: settings.retry_rate,
             exposure_limit: settings.exposure_limit,
-            slot: quota::thread_id(&settings.name, index as u32),
+            thread_id: quota::thread_id(&settings.name, index as u32),
         };
         let thread = std::thread::Builder::new().name(format!("traffic-{index}"));
-        handles.push(thread.spawn(move || traffic_thread::serve(start, inputs))?);
+        handles.push(thread.spawn(move || traffic_thread::serve(params, inputs))?);
     }
     Ok(handles)
 }
--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -31,7 +31,7 @@
 
 /// The connection on which a message was received.
 #[derive(Clone)]
-pub enum Tag {
+pub enum ConnectionTag {
     /// This node's connection to a controller, by the controller's address.
     Controller(SocketAddr),
     /// This node's connection to another member, by the member's name.
@@ -51,12 +51,12 @@
 pub struct MembershipIo {
     name: String,
     fleet: u64,
-    controllers: Connections<Tag>,
+    controllers: Connections<ConnectionTag>,
     /// Number of wakes since the start.
     wakes: u32,
     /// Connections to other members, by name.
     members: HashMap<String, (SocketAddr, MessageSender)>,
-    events: UnboundedSender<ConnectionEvent<Tag>>,
+    events: UnboundedSender<ConnectionEvent<ConnectionTag>>,
     traffic: Vec<UnboundedSender<TrafficInput>>,
     published: Published,
     /// Receives the results of polls and probes.
@@ -78,7 +78,7 @@
         traffic: Vec<UnboundedSender<TrafficInput>>,
         published: Published,
         inputs: UnboundedSender<MembershipInput>,
-        events: UnboundedSender<ConnectionEvent<Tag>>,
+        events: UnboundedSender<ConnectionEvent<ConnectionTag>>,
     ) -> MembershipIo {
         let identity = PeerIdentity::Member(settings.name.clone());
         let greeting = Greeting { identity, fleet: settings.fleet };
@@ -88,7 +88,7 @@
             platform_api: settings.platform_api,
             http: http.clone(),
         };
-        let tag = Tag::Controller;
+        let tag = ConnectionTag::Controller;
         MembershipIo {
             name: settings.name.clone(),
             fleet: settings.fleet,
@@ -108,7 +108,7 @@
     }
 
     /// Opens and closes connections to controllers according to the voter set.
-    pub fn arrange(&mut self, agent: &NodeAgent) {
+    pub fn update_connections(&mut self, agent: &NodeAgent) {
         let identity = PeerIdentity::Member(self.name.clone());
         self.controllers.arrange(identity, &agent.voter_set);
     }
@@ -117,7 +117,7 @@
     pub fn on_wake(&mut self, agent: &NodeAgent) {
         self.wakes += 1;
         if self.wakes.is_multiple_of(WAKES_PER_CONNECTION_UPDATE) {
-            self.arrange(agent);
+            self.update_connections(agent);
         }
     }
 
@@ -153,10 +153,10 @@
     pub fn handle_connection_event(
         &mut self,
         agent: &NodeAgent,
-        event: ConnectionEvent<Tag>,
+        event: ConnectionEvent<ConnectionTag>,
     ) -> Option<Event> {
         match event {
-            ConnectionEvent::Received { tag: Tag::Controller(address), message } => {
+            ConnectionEvent::Received { tag: ConnectionTag::Controller(address), message } => {
                 let controller = self.controllers.note_message(address, &message);
                 match message {
                     Message::VoterSetUpdate { voter_set: new_voter_set, .. } => {
@@ -167,7 +167,7 @@
                         .map(|slot| Event::FromVoter { slot, message }),
                 }
             }
-            ConnectionEvent::Received { tag: Tag::Member(name), message }
+            ConnectionEvent::Received { tag: ConnectionTag::Member(name), message }
             | ConnectionEvent::ReceivedFromAccepted {
                 identity: PeerIdentity::Member(name),
                 message,
@@ -193,7 +193,7 @@
                     self.controllers.send_to_voter(&agent.voter_set, slot, &message);
                 }
                 Command::Broadcast { message } => self.controllers.broadcast(&message),
-                Command::VoterSetChanged => self.arrange(agent),
+                Command::VoterSetChanged => self.update_connections(agent),
                 Command::ToMember { name, addr, message } => {
                     self.send_to_member(name, &addr, &message);
                 }
@@ -264,7 +264,7 @@
         if !known {
             let identity = PeerIdentity::Member(self.name.clone());
             let greeting = Greeting { identity, fleet: self.fleet };
-            let tag = Tag::Member(name.clone());
+            let tag = ConnectionTag::Member(name.clone());
             let sender = dial(address, greeting, tag, self.events.clone());
             self.members.insert(name.clone(), (address, sender));
         }
--- a/crates/server/src/querier/membership_thread.rs
+++ b/crates/server/src/querier/membership_thread.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 use crate::caller_listener::ReadinessListener;
-use crate::membership_io::{MembershipIo, Published, Tag};
+use crate::membership_io::{ConnectionTag, MembershipIo, Published};
 use crate::messages::{MembershipInput, TrafficInput};
 use crate::settings::Settings;
 
@@ -23,7 +23,7 @@
 const FINAL_FLUSH_DELAY: Duration = Duration::from_millis(20);
 
 /// Parameters of the membership thread.
-pub struct Start {
+pub struct Params {
     /// The settings.
     pub settings: Settings,
     /// The process's clock.
@@ -57,10 +57,10 @@
 
 /// Runs until the process is asked to stop and its calls are drained.
 pub async fn serve(
-    start: Start,
+    params: Params,
     mut inputs: UnboundedReceiver<MembershipInput>,
 ) -> Result<(), std::io::Error> {
-    let Start { settings, clock, listener, readiness, traffic, published, .. } = start;
+    let Params { settings, clock, listener, readiness, traffic, published, .. } = params;
     listener.set_nonblocking(true)?;
     let bound = listener.local_addr()?;
     let listener = tokio::net::TcpListener::from_std(listener)?;
@@ -85,9 +85,9 @@
         tokio::task::spawn_local(readiness.serve(api.readiness_path, traffic[0].clone()));
     }
     let undrained_threads = traffic.len();
-    let mut io = MembershipIo::new(&settings, traffic, published, start.inputs, events);
+    let mut io = MembershipIo::new(&settings, traffic, published, params.inputs, events);
     let mut settings_watch = SettingsWatch::new(settings.file.as_deref());
-    io.arrange(&agent);
+    io.update_connections(&agent);
     let mut thread = MembershipThread {
         clock,
         agent,
@@ -109,7 +109,7 @@
     async fn run(
         &mut self,
         inputs: &mut UnboundedReceiver<MembershipInput>,
-        connection_events: &mut UnboundedReceiver<ConnectionEvent<Tag>>,
+        connection_events: &mut UnboundedReceiver<ConnectionEvent<ConnectionTag>>,
         settings_watch: &mut SettingsWatch,
     ) {
         let mut wake = tokio::time::interval(duration(WAKE));
--- a/crates/server/src/querier/messages.rs
+++ b/crates/server/src/querier/messages.rs
@@ -80,7 +80,7 @@
 
 /// Channels to all threads of the process, for the listeners.
 #[derive(Clone)]
-pub struct Threads {
+pub struct ThreadChannels {
     /// Channels to the traffic threads.
     pub traffic: Vec<UnboundedSender<TrafficInput>>,
     /// The channel to the membership thread.
--- a/crates/server/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -11,7 +11,7 @@
     counts: NodeAgentCounters,
     revision: u64,
     members: u64,
-    shares: u64,
+    quota_threads: u64,
     withheld_leafs: u64,
 }
 
@@ -22,7 +22,7 @@
         revision: agent.view.as_ref().map_or(0, |v| v.revision),
         members: agent.membership.members.len() as u64,
         withheld_leafs: agent.withheld_leafs as u64,
-        shares: agent.quota_members.iter().map(|m| u64::from(m.threads)).sum(),
+        quota_threads: agent.quota_members.iter().map(|m| u64::from(m.threads)).sum(),
     }
 }
 
@@ -161,7 +161,7 @@
             "gauge",
             "grebe_shares",
             "Threads that share the cluster's limits.",
-            metrics.shares,
+            metrics.quota_threads,
         );
         let help = "Leafs withheld because their version is not active.";
         write_metric(out, "gauge", "grebe_withheld_leafs", help, metrics.withheld_leafs);
--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -24,13 +24,13 @@
 use tracing::error;
 
 use crate::caller_listener;
-use crate::messages::{CallerRequest, MembershipInput, Threads, TrafficInput};
+use crate::messages::{CallerRequest, MembershipInput, ThreadChannels, TrafficInput};
 
 /// Time that responses have to be flushed once the thread is asked to stop.
 const FINAL_FLUSH_DELAY: Duration = Duration::from_millis(200);
 
 /// Parameters of a traffic thread.
-pub struct Start {
+pub struct Params {
     /// The thread's name, which is part of its query ids.
     pub name: String,
     /// The zone whose leafs are preferred.
@@ -44,7 +44,7 @@
     /// Sends inputs to this thread itself.
     pub inputs: UnboundedSender<TrafficInput>,
     /// Channels to all threads of the process.
-    pub threads: Threads,
+    pub threads: ThreadChannels,
     /// Becomes true when the thread is to stop.
     pub stop: watch::Receiver<bool>,
     /// The platform's dialect; `None` for grebepath's own interface.
@@ -54,7 +54,7 @@
     /// How many requests may reach a version on trial.
     pub exposure_limit: ExposureLimit,
     /// This thread's stable number in the membership.
-    pub slot: u64,
+    pub thread_id: u64,
 }
 
 /// The query engine and its I/O.
@@ -81,7 +81,7 @@
 }
 
 /// Runs the thread until it is asked to stop.
-pub fn serve(start: Start, inputs: UnboundedReceiver<TrafficInput>) {
+pub fn serve(params: Params, inputs: UnboundedReceiver<TrafficInput>) {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
         Err(e) => return error!("a traffic thread failed to start: {e}"),
@@ -89,9 +89,9 @@
     let local = tokio::task::LocalSet::new();
     local.block_on(&runtime, async move {
         let forwarding = ForwardingServer::new();
-        let thread = TrafficThread::new(&start, forwarding.clone());
-        let mut stop = start.stop.clone();
-        let listener = serve_callers(start, forwarding.clone());
+        let thread = TrafficThread::new(&params, forwarding.clone());
+        let mut stop = params.stop.clone();
+        let listener = serve_callers(params, forwarding.clone());
         tokio::select! {
             end = listener => {
                 if let Err(e) = end {
@@ -111,10 +111,10 @@
 
 /// Serves callers by the platform's interface or by grebepath's own.
 fn serve_callers(
-    start: Start,
+    params: Params,
     forwarding: Rc<ForwardingServer>,
 ) -> impl Future<Output = std::io::Result<()>> {
-    let Start { listener, inputs, threads, platform_api, mut stop, .. } = start;
+    let Params { listener, inputs, threads, platform_api, mut stop, .. } = params;
     async move {
         if let Some(api) = platform_api {
             caller_listener::forward(listener, forwarding, inputs, api).await;
@@ -129,22 +129,23 @@
 }
 
 impl TrafficThread {
-    fn new(start: &Start, forwarding: Rc<ForwardingServer>) -> TrafficThread {
-        let mut engine = QueryEngine::new(&start.name, &start.zone, start.seed, start.clock.now());
-        engine.service_retry_budget = ServiceRetryBudget::new(start.retry_rate);
-        engine.thread_id = start.slot;
-        engine.trials.limit = start.exposure_limit;
+    fn new(params: &Params, forwarding: Rc<ForwardingServer>) -> TrafficThread {
+        let mut engine =
+            QueryEngine::new(&params.name, &params.zone, params.seed, params.clock.now());
+        engine.service_retry_budget = ServiceRetryBudget::new(params.retry_rate);
+        engine.thread_id = params.thread_id;
+        engine.trials.limit = params.exposure_limit;
         let io = TrafficIo {
             pending_calls: HashMap::new(),
             attempts: HashMap::new(),
             leafs: LeafPool::new(consts::MAX_IDLE_LEAF_CONNECTIONS),
-            platform_api: start.platform_api,
+            platform_api: params.platform_api,
             forwarding,
-            inputs: start.inputs.clone(),
-            membership: start.threads.membership.clone(),
-            thread: start.slot,
+            inputs: params.inputs.clone(),
+            membership: params.threads.membership.clone(),
+            thread: params.thread_id,
         };
-        TrafficThread { clock: start.clock, engine, io, draining: false }
+        TrafficThread { clock: params.clock, engine, io, draining: false }
     }
 
     /// Handles events one at a time until all senders of inputs are dropped.
