--- a/crates/server/src/local_cluster/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -17,12 +17,12 @@
 
 fn main() {
     let args = cli::read();
-    let rt = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(rt) => rt,
+    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+        Ok(runtime) => runtime,
         Err(e) => return fail(&e.to_string()),
     };
     let local = tokio::task::LocalSet::new();
-    match local.block_on(&rt, run(args)) {
+    match local.block_on(&runtime, run(args)) {
         Ok(true) => {}
         Ok(false) => std::process::exit(1),
         Err(e) => fail(&e.to_string()),
@@ -58,8 +58,8 @@
         cluster.operator_addrs.iter().map(|d| d.to_string()).collect();
     eprintln!("cluster is ready after {} ms", begun.elapsed().as_millis());
     eprintln!("  operators:  export GREBE_AT={}", operator_addrs.join(","));
-    for (i, front) in cluster.caller_addrs.iter().enumerate() {
-        eprintln!("  callers, q{i}: http://{front}/v1/search/{{search}}");
+    for (i, caller_addr) in cluster.caller_addrs.iter().enumerate() {
+        eprintln!("  callers, q{i}: http://{caller_addr}/v1/search/{{search}}");
     }
     eprintln!("  back ends:  http://{}", cluster.list);
     if args.stay {
@@ -67,14 +67,14 @@
         grebepath_runtime::stop::requested().await;
         return Ok(true);
     }
-    let seen = Rc::new(RefCell::new(CallerStatistics::default()));
-    let until = Instant::now() + Duration::from_secs(args.seconds);
+    let statistics = Rc::new(RefCell::new(CallerStatistics::default()));
+    let end_time = Instant::now() + Duration::from_secs(args.seconds);
     let ready = Rc::new(RefCell::new(cluster.caller_addrs.clone()));
     let readiness_polls = poll_readiness(
         grebepath_runtime::http::client::HttpClient::new(2),
         cluster.caller_addrs.clone(),
         ready.clone(),
-        until,
+        end_time,
     );
     tokio::task::spawn_local(readiness_polls);
     let http = grebepath_runtime::http::client::HttpClient::new(128);
@@ -86,9 +86,9 @@
             kind.clone(),
             args.factor,
             ready.clone(),
-            seen.clone(),
+            statistics.clone(),
             seed,
-            until,
+            end_time,
         );
         loads.push(tokio::task::spawn_local(task));
     }
@@ -97,8 +97,8 @@
         task.await?;
     }
     // Every call has ended, so the statistics are final.
-    let seen = seen.take();
-    let out = summary(&cluster, &seen).await?;
+    let statistics = statistics.take();
+    let out = summary(&cluster, &statistics).await?;
     println!("{}", serde_json::to_string_pretty(&out).unwrap_or_default());
     Ok(out["answers"]["violations"] == 0)
 }
@@ -106,7 +106,7 @@
 /// Returns the callers' report, the leafs' state and the queriers' metrics as JSON.
 async fn summary(
     cluster: &LocalCluster,
-    seen: &CallerStatistics,
+    statistics: &CallerStatistics,
 ) -> Result<Value, LocalClusterError> {
     let runs = cluster.query_backends("/runs").await?;
     let state = cluster.query_backends("/state").await?;
@@ -120,21 +120,21 @@
         "grebe_second_tries_denied_total",
     ] {
         let mut n = 0;
-        for (i, front) in cluster.caller_addrs.iter().enumerate() {
+        for (i, caller_addr) in cluster.caller_addrs.iter().enumerate() {
             if cluster.queriers[i].child.is_some() {
-                n += cluster.metric(*front, name).await.unwrap_or(0);
+                n += cluster.metric(*caller_addr, name).await.unwrap_or(0);
             }
         }
         counts.insert(name.to_string(), json!(n));
     }
     let mut bounces = serde_json::Map::new();
-    for (i, front) in cluster.caller_addrs.iter().enumerate() {
-        let n = cluster.metric(*front, "grebe_bounces_total").await;
+    for (i, caller_addr) in cluster.caller_addrs.iter().enumerate() {
+        let n = cluster.metric(*caller_addr, "grebe_bounces_total").await;
         bounces.insert(cluster.queriers[i].name.clone(), json!(n));
     }
     Ok(json!({
         "bounces": bounces,
-        "answers": report(seen, runs.as_array().map_or(&[], Vec::as_slice)),
+        "answers": report(statistics, runs.as_array().map_or(&[], Vec::as_slice)),
         "worst_leaf": worst.map(|l| json!({ "leaf": l["leaf"], "pct_of_bears": l["worst_pct"] })),
         "misdirected": sum("misdirected"), "changed_questions": sum("changed"),
         "queriers": counts,
--- a/crates/server/src/mock_backends/main.rs
+++ b/crates/server/src/mock_backends/main.rs
@@ -20,17 +20,17 @@
 
 fn main() {
     let verb = cli::read();
-    let rt = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(rt) => rt,
+    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+        Ok(runtime) => runtime,
         Err(e) => return fail(&e.to_string()),
     };
     let local = tokio::task::LocalSet::new();
     let end = match verb {
         cli::Verb::MockBackends { spec, listen, seed } => {
-            local.block_on(&rt, serve_backends(spec, listen, seed))
+            local.block_on(&runtime, serve_backends(spec, listen, seed))
         }
         cli::Verb::Callers { spec, targets, list, seconds, factor, seed } => {
-            local.block_on(&rt, run_callers(spec, targets, list, seconds, factor, seed))
+            local.block_on(&runtime, run_callers(spec, targets, list, seconds, factor, seed))
         }
     };
     if let Err(error) = end {
@@ -70,21 +70,21 @@
 ) -> Result<(), MockBackendsError> {
     let spec = spec::read(&file)?;
     let http = grebepath_runtime::http::client::HttpClient::new(64);
-    let seen = Rc::new(RefCell::new(CallerStatistics::default()));
+    let statistics = Rc::new(RefCell::new(CallerStatistics::default()));
     let ready = Rc::new(RefCell::new(targets.clone()));
-    let until = Instant::now() + Duration::from_secs(seconds);
+    let end_time = Instant::now() + Duration::from_secs(seconds);
     let readiness_polls = poll_readiness(
         grebepath_runtime::http::client::HttpClient::new(2),
         targets,
         ready.clone(),
-        until,
+        end_time,
     );
     tokio::task::spawn_local(readiness_polls);
     let mut loads = Vec::new();
     for (i, kind) in spec.kinds.iter().enumerate() {
         let seed = seed.wrapping_add(i as u64);
-        let (kind, ready, seen) = (kind.clone(), ready.clone(), seen.clone());
-        let task = run_load(http.clone(), kind, factor, ready, seen, seed, until);
+        let (kind, ready, statistics) = (kind.clone(), ready.clone(), statistics.clone());
+        let task = run_load(http.clone(), kind, factor, ready, statistics, seed, end_time);
         loads.push(tokio::task::spawn_local(task));
     }
     for task in loads {
@@ -94,7 +94,7 @@
         Some(addr) => fetch_runs(&http, addr).await?,
         None => Vec::new(),
     };
-    let report = callers::report(&seen.borrow(), &runs);
+    let report = callers::report(&statistics.borrow(), &runs);
     println!("{}", serde_json::to_string_pretty(&report).unwrap_or_default());
     if report["violations"].as_u64() != Some(0) {
         return Err(MockBackendsError::InvalidAnswers);
@@ -106,8 +106,8 @@
     http: &grebepath_runtime::http::client::HttpClient,
     addr: SocketAddr,
 ) -> Result<Vec<Value>, MockBackendsError> {
-    let req = Request::get(format!("http://{addr}/runs")).body(Full::default())?;
+    let request = Request::get(format!("http://{addr}/runs")).body(Full::default())?;
     let wait = Duration::from_secs(30);
-    let resp = http.call_within(req, 1 << 30, wait).await?;
-    Ok(serde_json::from_slice(resp.body())?)
+    let response = http.call_within(request, 1 << 30, wait).await?;
+    Ok(serde_json::from_slice(response.body())?)
 }
--- a/crates/server/src/process_soak/cluster_run.rs
+++ b/crates/server/src/process_soak/cluster_run.rs
@@ -91,12 +91,12 @@
         send_drains,
     );
     let operator = tokio::task::spawn_local(operator_run);
-    let seen = Rc::new(RefCell::new(CallerStatistics::default()));
+    let statistics = Rc::new(RefCell::new(CallerStatistics::default()));
     let until = Instant::now() + Duration::from_millis(args.length_ms());
-    let mut loads = start_load(&cluster, &spec, seed, &seen, until);
+    let mut loads = start_load(&cluster, &spec, seed, &statistics, until);
     let config = std::fs::read(format!("{}/{DEPLOYMENT}.json", args.deploy))?;
     let config: Value = serde_json::from_slice(&config)?;
-    loads.extend(long_calls::start(&cluster, &spec, &config, &seen, until).await?);
+    loads.extend(long_calls::start(&cluster, &spec, &config, &statistics, until).await?);
     let mut driver = Driver {
         cluster,
         record: record.clone(),
@@ -114,8 +114,8 @@
     let cluster = driver.finish().await?;
     operator.await?;
     tokio::time::sleep(SETTLE_TIME).await;
-    let seen = seen.take();
-    read_end(&cluster, &record, &seen).await?;
+    let statistics = statistics.take();
+    read_end(&cluster, &record, &statistics).await?;
     let finished = std::mem::replace(&mut *record.borrow_mut(), Record::new());
     Ok(finished)
 }
@@ -134,7 +134,7 @@
     cluster: &LocalCluster,
     spec: &Spec,
     seed: u64,
-    seen: &Rc<RefCell<CallerStatistics>>,
+    statistics: &Rc<RefCell<CallerStatistics>>,
     until: Instant,
 ) -> Vec<tokio::task::JoinHandle<()>> {
     let ready = Rc::new(RefCell::new(cluster.caller_addrs.clone()));
@@ -146,13 +146,13 @@
     let kinds = spec.kinds.iter().zip(seed..);
     kinds
         .map(|(kind, seed)| {
-            let (http, ready, seen) = (http.clone(), ready.clone(), seen.clone());
+            let (http, ready, statistics) = (http.clone(), ready.clone(), statistics.clone());
             tokio::task::spawn_local(run_load(
                 http,
                 kind.clone(),
                 LOAD_FACTOR,
                 ready,
-                seen,
+                statistics,
                 seed,
                 until,
             ))
@@ -295,10 +295,11 @@
         }
         let state = self.cluster.query_backends("/state").await?;
         let leafs = state["leafs"].as_array().cloned().unwrap_or_default();
-        let stays = |leaf: &&Value| {
+        let is_staying = |leaf: &&Value| {
             leaf["service"] == service.as_str() && leaf["alive"] == true && leaf["leaving"] == false
         };
-        let Some(name) = leafs.iter().find(stays).and_then(|leaf| leaf["leaf"].as_str()) else {
+        let Some(name) = leafs.iter().find(is_staying).and_then(|leaf| leaf["leaf"].as_str())
+        else {
             return Ok(());
         };
         self.leafs_left += 1;
@@ -312,13 +313,14 @@
 
     /// Restarts processes that are due and have ended.
     fn restart_due(&mut self, now: u64) -> Result<(), Failure> {
-        let (due, waits): (Vec<ScheduledRestart>, Vec<ScheduledRestart>) =
+        let (due, pending): (Vec<ScheduledRestart>, Vec<ScheduledRestart>) =
             std::mem::take(&mut self.restarts).into_iter().partition(|r| r.at_ms <= now);
-        self.restarts = waits;
+        self.restarts = pending;
         for restart in due {
             let process = self.process(restart.machine);
-            let runs = process.child.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)));
-            if runs {
+            let is_running =
+                process.child.as_mut().is_some_and(|c| matches!(c.try_wait(), Ok(None)));
+            if is_running {
                 self.restarts.push(restart);
                 continue;
             }
@@ -332,9 +334,9 @@
     }
 
     fn resume_due(&mut self, now: u64) -> Result<(), Failure> {
-        let (due, waits): (Vec<ScheduledResume>, Vec<ScheduledResume>) =
+        let (due, pending): (Vec<ScheduledResume>, Vec<ScheduledResume>) =
             std::mem::take(&mut self.resumes).into_iter().partition(|resume| resume.at_ms <= now);
-        self.resumes = waits;
+        self.resumes = pending;
         for resume in due {
             self.process(resume.machine).signal("CONT")?;
             let mut record = self.record.borrow_mut();
@@ -378,7 +380,7 @@
 async fn read_end(
     cluster: &LocalCluster,
     record: &Rc<RefCell<Record>>,
-    seen: &CallerStatistics,
+    statistics: &CallerStatistics,
 ) -> Result<(), Failure> {
     let runs = cluster.query_backends("/runs").await?;
     let runs = runs.as_array().cloned().unwrap_or_default();
@@ -388,7 +390,7 @@
     // The clock of the mock back ends started before the record's clock.
     let offset_ms = state["now_ms"].as_u64().unwrap_or(0).saturating_sub(record.now_ms());
     record.runs = runs.iter().filter_map(|run| parse_run(run, offset_ms)).collect();
-    let answers = report(seen, &runs);
+    let answers = report(statistics, &runs);
     let wrong = answers["first"].as_array().into_iter().flatten();
     record.wrong_answers = wrong.map(Value::to_string).collect();
     let zones = config["config"]["zones"].as_array().into_iter().flatten();
--- a/crates/server/src/process_soak/long_calls.rs
+++ b/crates/server/src/process_soak/long_calls.rs
@@ -32,7 +32,7 @@
     cluster: &LocalCluster,
     spec: &Spec,
     config: &Value,
-    seen: &Rc<RefCell<CallerStatistics>>,
+    statistics: &Rc<RefCell<CallerStatistics>>,
     until: Instant,
 ) -> Result<Vec<JoinHandle<()>>, LocalClusterError> {
     cluster
@@ -47,10 +47,10 @@
     let kind = spec.kinds.iter().find(|kind| kind.search == SEARCH).cloned();
     let kind = kind.map(|kind| Rc::new(Kind { budget_ms: BUDGET_MS, ..kind }));
     let caller_addrs =
-        cluster.caller_addrs.iter().flat_map(|front| (0..CALLERS).map(move |_| *front));
+        cluster.caller_addrs.iter().flat_map(|caller_addr| (0..CALLERS).map(move |_| *caller_addr));
     let numbered_addrs = caller_addrs.zip(0..);
-    let callers = numbered_addrs.filter_map(|(front, number)| {
-        let calls = call_repeatedly(front, kind.clone()?, number, seen.clone(), until);
+    let callers = numbered_addrs.filter_map(|(caller_addr, number)| {
+        let calls = call_repeatedly(caller_addr, kind.clone()?, number, statistics.clone(), until);
         Some(tokio::task::spawn_local(calls))
     });
     Ok(callers.collect())
@@ -58,17 +58,23 @@
 
 /// Sends one call after the other until `until`.
 async fn call_repeatedly(
-    front: SocketAddr,
+    caller_addr: SocketAddr,
     kind: Rc<Kind>,
     number: u64,
-    seen: Rc<RefCell<CallerStatistics>>,
+    statistics: Rc<RefCell<CallerStatistics>>,
     until: Instant,
 ) {
     let http = HttpClient::new(1);
     let mut call_number = 0;
     while Instant::now() < until {
-        call_once(http.clone(), front, kind.clone(), number << 20 | call_number, seen.clone())
-            .await;
+        call_once(
+            http.clone(),
+            caller_addr,
+            kind.clone(),
+            number << 20 | call_number,
+            statistics.clone(),
+        )
+        .await;
         call_number += 1;
         tokio::time::sleep(CALL_INTERVAL).await;
     }
--- a/crates/server/src/process_soak/schedule.rs
+++ b/crates/server/src/process_soak/schedule.rs
@@ -106,8 +106,8 @@
             let other = self.below(last as u64 + 1) as usize;
             all.swap(last, other);
         }
-        let most = self.queriers.saturating_sub(1).max(1) as u64;
-        let count = if self.below(2) == 0 { most } else { 1 + self.below(most) };
+        let max_count = self.queriers.saturating_sub(1).max(1) as u64;
+        let count = if self.below(2) == 0 { max_count } else { 1 + self.below(max_count) };
         all.truncate(count as usize);
         all
     }
@@ -149,8 +149,9 @@
     fn add_leaf_changes(&mut self) {
         let disturbed: Vec<u64> = self.actions.iter().map(|action| action.at_ms).collect();
         for _ in 0..1 + self.length_ms / 6_000 {
-            let near = disturbed[self.random.below(disturbed.len() as u64) as usize];
-            let at_ms = (near + 600).saturating_sub(self.below(2_600)).max(QUIET_MARGIN_MS);
+            let near_fault_ms = disturbed[self.random.below(disturbed.len() as u64) as usize];
+            let at_ms =
+                (near_fault_ms + 600).saturating_sub(self.below(2_600)).max(QUIET_MARGIN_MS);
             self.add(at_ms, ActionKind::LeafLeaves);
         }
         let at_ms = self.random_time();
--- a/crates/server/src/testbed/callers.rs
+++ b/crates/server/src/testbed/callers.rs
@@ -66,11 +66,11 @@
 
 /// Whether a node reports that it is ready.
 pub async fn is_ready(http: &HttpClient, addr: SocketAddr) -> bool {
-    let Ok(req) = Request::get(format!("http://{addr}/readyz")).body(Full::default()) else {
+    let Ok(request) = Request::get(format!("http://{addr}/readyz")).body(Full::default()) else {
         return false;
     };
-    let got = http.call_within(req, 1024, Duration::from_millis(300)).await;
-    got.is_ok_and(|r| r.status() == 200)
+    let result = http.call_within(request, 1024, Duration::from_millis(300)).await;
+    result.is_ok_and(|r| r.status() == 200)
 }
 
 /// Sends calls of one kind at the kind's rate times `factor` until `until`.
@@ -79,24 +79,24 @@
     kind: Kind,
     factor: f64,
     targets: Targets,
-    seen: Rc<RefCell<CallerStatistics>>,
+    statistics: Rc<RefCell<CallerStatistics>>,
     seed: u64,
     until: Instant,
 ) {
     let mut random = Random::new(seed);
     let gap = Duration::from_secs_f64(1.0 / (kind.per_s * factor));
     let start = Instant::now();
-    let mut n = 0u32;
+    let mut calls_sent = 0u32;
     let kind = Rc::new(kind);
     let calls = tokio::task::LocalSet::new();
     let sending = async {
         loop {
-            let at = start + gap * n;
+            let at = start + gap * calls_sent;
             if at >= until {
                 return;
             }
             tokio::time::sleep_until(at.into()).await;
-            n += 1;
+            calls_sent += 1;
             let addr = pick(&mut random, &targets);
             let num = random.below(1 << 40);
             match addr {
@@ -106,10 +106,10 @@
                         addr,
                         kind.clone(),
                         num,
-                        seen.clone(),
+                        statistics.clone(),
                     ));
                 }
-                None => kind_statistics(&seen, &kind).unreachable += 1,
+                None => kind_statistics(&statistics, &kind).unreachable += 1,
             }
         }
     };
@@ -118,16 +118,18 @@
 }
 
 fn kind_statistics<'a>(
-    seen: &'a Rc<RefCell<CallerStatistics>>,
+    statistics: &'a Rc<RefCell<CallerStatistics>>,
     kind: &Kind,
 ) -> std::cell::RefMut<'a, KindStatistics> {
-    std::cell::RefMut::map(seen.borrow_mut(), |s| s.kinds.entry(kind.search.clone()).or_default())
+    std::cell::RefMut::map(statistics.borrow_mut(), |all_statistics| {
+        all_statistics.kinds.entry(kind.search.clone()).or_default()
+    })
 }
 
 fn pick(random: &mut Random, targets: &Targets) -> Option<SocketAddr> {
     let list = targets.borrow();
-    let n = random.below(list.len() as u64) as usize;
-    list.get(n).copied()
+    let index = random.below(list.len() as u64) as usize;
+    list.get(index).copied()
 }
 
 /// Sends one call and checks its answer.
@@ -136,70 +138,70 @@
     addr: SocketAddr,
     kind: Rc<Kind>,
     num: u64,
-    seen: Rc<RefCell<CallerStatistics>>,
+    statistics: Rc<RefCell<CallerStatistics>>,
 ) {
     let id = {
-        let mut s = seen.borrow_mut();
-        s.next += 1;
-        s.next
+        let mut all_statistics = statistics.borrow_mut();
+        all_statistics.next += 1;
+        all_statistics.next
     };
     let asked = Asked {
         question: format!("{}-{id}-{num:x}", kind.search),
         key: kind.lookup.then(|| format!("key-{num:x}")),
     };
-    seen.borrow_mut().asked.insert(asked.question.clone());
+    statistics.borrow_mut().asked.insert(asked.question.clone());
     let body = json!({ "question": asked.question, "limit": kind.limit });
     let mut body = body;
     if let Some(key) = &asked.key {
         body["key"] = json!(key);
     }
-    let req = Request::post(format!("http://{addr}/v1/search/{}", kind.search))
+    let request = Request::post(format!("http://{addr}/v1/search/{}", kind.search))
         .header("budget-ms", kind.budget_ms.to_string())
         .body(Full::new(Bytes::from(body.to_string())));
-    let Ok(req) = req else { return };
+    let Ok(request) = request else { return };
     let start = Instant::now();
     let wait = Duration::from_millis(kind.budget_ms);
     // Waits 500 ms longer than the budget, to tell late answers from lost ones.
-    let got = http.call_within(req, 16 << 20, wait + Duration::from_millis(500)).await;
+    let result = http.call_within(request, 16 << 20, wait + Duration::from_millis(500)).await;
     let elapsed = start.elapsed();
-    let mut s = seen.borrow_mut();
-    let c = s.kinds.entry(kind.search.clone()).or_default();
-    let resp = match got {
-        Ok(resp) => resp,
+    let mut all_statistics = statistics.borrow_mut();
+    let kind_totals = all_statistics.kinds.entry(kind.search.clone()).or_default();
+    let response = match result {
+        Ok(response) => response,
         Err(HttpError::TimedOut) => {
-            c.late += 1;
+            kind_totals.late += 1;
             return;
         }
         Err(_) => {
-            c.unreachable += 1;
+            kind_totals.unreachable += 1;
             return;
         }
     };
     if elapsed > wait {
-        c.late += 1;
+        kind_totals.late += 1;
     }
-    if resp.status() != 200 {
-        let val: Value = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
-        let why = val["error"].as_str().unwrap_or("?").to_string();
-        *c.rejected.entry(why).or_default() += 1;
+    if response.status() != 200 {
+        let body_json: Value = serde_json::from_slice(response.body()).unwrap_or(Value::Null);
+        let reason = body_json["error"].as_str().unwrap_or("?").to_string();
+        *kind_totals.rejected.entry(reason).or_default() += 1;
         return;
     }
-    let missing = resp.headers().get("missing-parts").and_then(|v| v.to_str().ok());
+    let missing = response.headers().get("missing-parts").and_then(|v| v.to_str().ok());
     match missing {
-        Some("0") => c.full += 1,
-        _ => c.partial += 1,
+        Some("0") => kind_totals.full += 1,
+        _ => kind_totals.partial += 1,
     }
-    c.latencies_us.push(elapsed.as_micros() as u64);
-    let (violations, services) = success(&kind, &asked, missing, resp.body());
-    let val: Value = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
-    let query = val["query"].as_str().unwrap_or_default().to_string();
-    let revision = val["revision"].as_u64().unwrap_or(0);
-    s.revisions.insert(addr, revision);
-    s.claims.push((query.clone(), services, asked.question));
+    kind_totals.latencies_us.push(elapsed.as_micros() as u64);
+    let (violations, services) = success(&kind, &asked, missing, response.body());
+    let body_json: Value = serde_json::from_slice(response.body()).unwrap_or(Value::Null);
+    let query = body_json["query"].as_str().unwrap_or_default().to_string();
+    let revision = body_json["revision"].as_u64().unwrap_or(0);
+    all_statistics.revisions.insert(addr, revision);
+    all_statistics.claims.push((query.clone(), services, asked.question));
     for text in violations {
-        s.violation_count += 1;
-        if s.violations.len() < 20 {
-            s.violations.push(format!("{query}: {text}"));
+        all_statistics.violation_count += 1;
+        if all_statistics.violations.len() < 20 {
+            all_statistics.violations.push(format!("{query}: {text}"));
         }
     }
 }
@@ -213,9 +215,9 @@
 }
 
 /// Returns the statistics as JSON, with the results of the check against the leafs' log.
-pub fn report(seen: &CallerStatistics, runs: &[Value]) -> Value {
+pub fn report(statistics: &CallerStatistics, runs: &[Value]) -> Value {
     let mut kinds = serde_json::Map::new();
-    for (name, k) in &seen.kinds {
+    for (name, k) in &statistics.kinds {
         let mut latencies_us = k.latencies_us.clone();
         latencies_us.sort_unstable();
         let rejected: u64 = k.rejected.values().sum();
@@ -233,10 +235,12 @@
             }),
         );
     }
-    let log = against_runs(&seen.claims, &seen.asked, runs);
-    let violations: Vec<&String> = seen.violations.iter().chain(log.iter().take(20)).collect();
+    let log = against_runs(&statistics.claims, &statistics.asked, runs);
+    let violations: Vec<&String> =
+        statistics.violations.iter().chain(log.iter().take(20)).collect();
     json!({
-        "kinds": kinds, "violations": seen.violation_count + log.len() as u64, "first": violations,
-        "claims": seen.claims.len(), "runs": runs.len(),
+        "kinds": kinds, "violations": statistics.violation_count + log.len() as u64,
+        "first": violations,
+        "claims": statistics.claims.len(), "runs": runs.len(),
     })
 }
--- a/crates/server/src/testbed/control_listener.rs
+++ b/crates/server/src/testbed/control_listener.rs
@@ -48,14 +48,14 @@
         (Method::GET, "/state") => (200, state(&backends.borrow()).to_string()),
         (Method::GET, "/runs") => (200, runs(&backends.borrow()).to_string()),
         (Method::POST, "/control") => match control(&backends, &body).await {
-            Ok(val) => (200, val.to_string()),
-            Err(e) => (400, json!({ "error": e.to_string() }).to_string()),
+            Ok(reply) => (200, reply.to_string()),
+            Err(error) => (400, json!({ "error": error.to_string() }).to_string()),
         },
         _ => (404, json!({ "error": "no such path" }).to_string()),
     };
-    let mut resp = Response::new(Full::new(Bytes::from(text)));
-    *resp.status_mut() = hyper::StatusCode::from_u16(code).unwrap_or_default();
-    Ok(resp)
+    let mut response = Response::new(Full::new(Bytes::from(text)));
+    *response.status_mut() = hyper::StatusCode::from_u16(code).unwrap_or_default();
+    Ok(response)
 }
 
 async fn list(backends: &Shared) -> (u16, String) {
@@ -75,15 +75,16 @@
     let leafs: Vec<Value> = backends
         .leafs
         .values()
-        .map(|l| {
-            let l = l.borrow();
+        .map(|leaf| {
+            let leaf = leaf.borrow();
             json!({
-                "leaf": l.name, "service": l.service.name, "zone": l.zone, "version": l.version,
-                "addr": l.addr.to_string(), "alive": l.serving_task.is_some(), "leaving": l.leaving,
-                "live": l.in_flight, "worst_pct": l.peak_load_pct, "ran": l.run_count,
-                "misdirected": l.misdirected, "reached": l.misdirected_work,
-                "changed": l.altered_queries,
-                "late_work_ms": l.last_work_after_drain_ms,
+                "leaf": leaf.name, "service": leaf.service.name, "zone": leaf.zone,
+                "version": leaf.version, "addr": leaf.addr.to_string(), "alive": leaf.serving_task.is_some(),
+                "leaving": leaf.leaving,
+                "live": leaf.in_flight, "worst_pct": leaf.peak_load_pct, "ran": leaf.run_count,
+                "misdirected": leaf.misdirected, "reached": leaf.misdirected_work,
+                "changed": leaf.altered_queries,
+                "late_work_ms": leaf.last_work_after_drain_ms,
             })
         })
         .collect();
@@ -129,42 +130,42 @@
 
 /// Applies a command. Returns the leafs that it was applied to.
 async fn control(backends: &Shared, body: &[u8]) -> Result<Value, ControlError> {
-    let val: Value = serde_json::from_slice(body)?;
-    let command = val["do"].as_str().ok_or(ControlError::Missing)?.to_string();
-    let ms = val["ms"].as_u64().unwrap_or(0);
+    let request: Value = serde_json::from_slice(body)?;
+    let command = request["do"].as_str().ok_or(ControlError::Missing)?.to_string();
+    let ms = request["ms"].as_u64().unwrap_or(0);
     if let Some(mode) = command.strip_prefix("list-") {
         backends.borrow_mut().list_mode = (mode != "good").then(|| mode.to_string());
         return Ok(json!({ "list": mode }));
     }
-    let matching_leafs = matching(&backends.borrow(), &val);
+    let matching_leafs = matching(&backends.borrow(), &request);
     if matching_leafs.is_empty() {
         return Err(ControlError::NoMatch);
     }
     let mut out = Vec::new();
     for leaf in &matching_leafs {
-        out.push(apply_command(backends, leaf, &command, ms, &val).await?);
+        out.push(apply_command(backends, leaf, &command, ms, &request).await?);
     }
     backends.borrow_mut().publish_change();
     Ok(json!({ "leafs": out }))
 }
 
-fn matching(backends: &MockBackends, val: &Value) -> Vec<Rc<RefCell<Leaf>>> {
-    let matches = |key: &str, has: &str| val[key].as_str().is_none_or(|want| want == has);
+fn matching(backends: &MockBackends, request: &Value) -> Vec<Rc<RefCell<Leaf>>> {
+    let matches = |key: &str, has: &str| request[key].as_str().is_none_or(|want| want == has);
     let mut matching_leafs: Vec<_> = backends
         .leafs
         .values()
-        .filter(|l| {
-            let l = l.borrow();
+        .filter(|leaf_state| {
+            let leaf_state = leaf_state.borrow();
             // The address of a stopped leaf may belong to another leaf by now.
-            l.serving_task.is_some()
-                && matches("leaf", &l.name)
-                && matches("service", &l.service.name)
-                && matches("zone", &l.zone)
+            leaf_state.serving_task.is_some()
+                && matches("leaf", &leaf_state.name)
+                && matches("service", &leaf_state.service.name)
+                && matches("zone", &leaf_state.zone)
         })
         .cloned()
         .collect();
-    if let Some(most) = val["count"].as_u64() {
-        matching_leafs.truncate(most as usize);
+    if let Some(max_count) = request["count"].as_u64() {
+        matching_leafs.truncate(max_count as usize);
     }
     matching_leafs
 }
@@ -174,28 +175,28 @@
     leaf: &Rc<RefCell<Leaf>>,
     command: &str,
     ms: u64,
-    val: &Value,
+    request: &Value,
 ) -> Result<Value, ControlError> {
     if command == "new-version" {
-        return new_version(backends, leaf, ms, val).await;
+        return new_version(backends, leaf, ms, request).await;
     }
-    if let Some(mode) = mode(command, ms, val) {
-        let mut l = leaf.borrow_mut();
-        l.mode = mode;
-        return Ok(json!(l.name));
+    if let Some(mode) = mode(command, ms, request) {
+        let mut leaf_state = leaf.borrow_mut();
+        leaf_state.mode = mode;
+        return Ok(json!(leaf_state.name));
     }
     match command {
         "leave" | "leave-unseen" => {
-            let mut l = leaf.borrow_mut();
-            l.leaving = true;
-            l.reports_leaving = command == "leave";
-            l.draining_since = Some(Instant::now());
-            Ok(json!(l.name))
+            let mut leaf_state = leaf.borrow_mut();
+            leaf_state.leaving = true;
+            leaf_state.reports_leaving = command == "leave";
+            leaf_state.draining_since = Some(Instant::now());
+            Ok(json!(leaf_state.name))
         }
         "kill" | "restart" | "reuse" => {
             let (mut service, zone, addr) = {
-                let l = leaf.borrow();
-                (l.service.clone(), l.zone.clone(), l.addr)
+                let leaf_state = leaf.borrow();
+                (leaf_state.service.clone(), leaf_state.zone.clone(), leaf_state.addr)
             };
             leaf.borrow_mut().kill();
             if command == "kill" {
@@ -203,23 +204,23 @@
             }
             if command == "reuse" {
                 // A leaf of another service takes over the address.
-                service.name = val["by"].as_str().unwrap_or("stranger").to_string();
+                service.name = request["by"].as_str().unwrap_or("stranger").to_string();
             }
-            let got = start_leaf(backends, service, &zone, addr, Duration::ZERO).await;
-            Ok(json!(got?))
+            let new_name = start_leaf(backends, service, &zone, addr, Duration::ZERO).await;
+            Ok(json!(new_name?))
         }
         other => Err(ControlError::Unknown(other.to_string())),
     }
 }
 
 /// Parses the name of a mode.
-fn mode(word: &str, ms: u64, val: &Value) -> Option<Mode> {
+fn mode(word: &str, ms: u64, request: &Value) -> Option<Mode> {
     Some(match word {
         "good" => Mode::Good,
         "slow" => Mode::Slow(ms),
         "dark" => Mode::Unresponsive,
         "pauses" => {
-            Mode::Pauses { every: val["every"].as_u64().unwrap_or(3_000).max(1), pause: ms }
+            Mode::Pauses { every: request["every"].as_u64().unwrap_or(3_000).max(1), pause: ms }
         }
         "garbage" => Mode::Garbage,
         "cut-short" => Mode::Truncated,
@@ -239,19 +240,20 @@
     backends: &Shared,
     leaf: &Rc<RefCell<Leaf>>,
     ms: u64,
-    val: &Value,
+    request: &Value,
 ) -> Result<Value, ControlError> {
     let (service, zone) = {
-        let l = leaf.borrow();
-        (l.service.clone(), l.zone.clone())
+        let leaf_state = leaf.borrow();
+        (leaf_state.service.clone(), leaf_state.zone.clone())
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let age = Duration::from_millis(service.ramp_ms);
     let name = start_leaf(backends, service, &zone, address, age).await?;
     if let Some(leaf) = backends.borrow().leafs.get(&name) {
         let mut leaf = leaf.borrow_mut();
-        leaf.version = val["version"].as_str().unwrap_or("v2").to_string();
-        leaf.mode = mode(val["mode"].as_str().unwrap_or("good"), ms, val).unwrap_or(Mode::Good);
+        leaf.version = request["version"].as_str().unwrap_or("v2").to_string();
+        leaf.mode =
+            mode(request["mode"].as_str().unwrap_or("good"), ms, request).unwrap_or(Mode::Good);
     }
     Ok(json!(name))
 }
--- a/crates/server/src/testbed/local_cluster/mod.rs
+++ b/crates/server/src/testbed/local_cluster/mod.rs
@@ -89,9 +89,9 @@
             }
         };
         let path = layout.deploy.join(format!("{}.json", layout.name));
-        let conf =
+        let config =
             std::fs::read(&path).map_err(|source| LocalClusterError::File { path, source })?;
-        cluster.change(Method::PUT, &conf, "first").await?;
+        cluster.change(Method::PUT, &config, "first").await?;
         Ok(cluster)
     }
 
@@ -149,7 +149,7 @@
         ports.iter().map(|p| SocketAddr::from(([127, 0, 0, 1], *p))).collect();
     let (list, seeds, operator_addrs) = (addrs[0], &addrs[1..4], addrs[4..7].to_vec());
     let (caller_addrs, inners) = addrs[7..].split_at(layout.queriers);
-    let texts: Vec<String> = seeds.iter().map(|a| a.to_string()).collect();
+    let address_texts: Vec<String> = seeds.iter().map(|a| a.to_string()).collect();
     let zones = grebepath_simulator::mock_backends::ZONES;
     let fleet = layout.dir.file_name().map_or("test".into(), |n| n.display().to_string());
     let spec = layout.deploy.join(format!("{}.standins.json", layout.name)).display().to_string();
@@ -162,8 +162,8 @@
                 ("fleet", fleet.clone()),
                 ("zone", zones[i].to_string()),
                 ("listen", operator_addrs[i].to_string()),
-                ("inner", texts[i].clone()),
-                ("seeds", texts.join(",")),
+                ("inner", address_texts[i].clone()),
+                ("seeds", address_texts.join(",")),
                 ("data", layout.dir.join(format!("seat-{i}")).display().to_string()),
             ];
             Process::controller(&layout, &format!("controller-{i}"), &args)
@@ -177,16 +177,16 @@
                 *address = relay(*address).await.unwrap_or(*address);
             }
         }
-        let texts = addresses.map(|address| address.to_string());
+        let address_texts = addresses.map(|address| address.to_string());
         let args = [
             ("name", format!("q{i}")),
             ("fleet", fleet.clone()),
             ("zone", zones[i % zones.len()].to_string()),
             ("listen", caller_addrs[i].to_string()),
             ("inner", inners[i].to_string()),
-            ("seeds", texts[..3].join(",")),
-            ("list", texts[3].clone()),
-            ("advertise", texts[4].clone()),
+            ("seeds", address_texts[..3].join(",")),
+            ("list", address_texts[3].clone()),
+            ("advertise", address_texts[4].clone()),
         ];
         queriers.push(Process::querier(&layout, &format!("querier-{i}"), &args));
     }
@@ -213,26 +213,29 @@
 /// assign to another process meanwhile. The returned ports lie below the system's ephemeral range.
 pub fn free_ports(n: usize) -> Result<Vec<u16>, LocalClusterError> {
     let mut random = grebepath_core::random::Random::new(grebepath_runtime::clock::nonce());
-    let mut held = Vec::new();
+    let mut bound_ports = Vec::new();
     for _ in 0..10_000 {
-        if held.len() == n {
+        if bound_ports.len() == n {
             break;
         }
         let port = 10_000 + random.below(20_000) as u16;
-        if let Ok(sock) = std::net::TcpListener::bind(("127.0.0.1", port)) {
-            held.push((port, sock));
+        if let Ok(socket) = std::net::TcpListener::bind(("127.0.0.1", port)) {
+            bound_ports.push((port, socket));
         }
     }
-    let ports: Vec<u16> = held.iter().map(|(p, _)| *p).collect();
+    let ports: Vec<u16> = bound_ports.iter().map(|(p, _)| *p).collect();
     if ports.len() == n { Ok(ports) } else { Err(LocalClusterError::NoPorts) }
 }
 
 /// Waits until a condition on the cluster holds, for at most `wait`. Checks it again 20 ms after
 /// each result. Returns whether it held.
-pub async fn until<F: Future<Output = bool>>(wait: Duration, mut ask: impl FnMut() -> F) -> bool {
+pub async fn until<F: Future<Output = bool>>(
+    wait: Duration,
+    mut condition: impl FnMut() -> F,
+) -> bool {
     let end = Instant::now() + wait;
     while Instant::now() < end {
-        if ask().await {
+        if condition().await {
             return true;
         }
         tokio::time::sleep(Duration::from_millis(20)).await;
--- a/crates/server/src/testbed/local_cluster/requests.rs
+++ b/crates/server/src/testbed/local_cluster/requests.rs
@@ -21,23 +21,23 @@
     method: Method,
     url: String,
     body: Vec<u8>,
-    heads: &[(&str, &str)],
+    headers: &[(&str, &str)],
 ) -> Result<(u16, Value), LocalClusterError> {
-    let mut req = Request::builder().method(method).uri(url);
-    for (name, val) in heads {
-        req = req.header(*name, *val);
+    let mut request = Request::builder().method(method).uri(url);
+    for (name, value) in headers {
+        request = request.header(*name, *value);
     }
-    let req = req.body(Full::new(Bytes::from(body)))?;
-    let resp = http.call_within(req, 1 << 28, Duration::from_secs(12)).await?;
-    let val = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
-    Ok((resp.status().as_u16(), val))
+    let request = request.body(Full::new(Bytes::from(body)))?;
+    let response = http.call_within(request, 1 << 28, Duration::from_secs(12)).await?;
+    let value = serde_json::from_slice(response.body()).unwrap_or(Value::Null);
+    Ok((response.status().as_u16(), value))
 }
 
 /// Fetches a text, such as a process's metrics.
 pub async fn text(http: &HttpClient, url: String) -> Option<String> {
-    let req = Request::get(url).body(Full::default()).ok()?;
-    let resp = http.call_within(req, 1 << 20, Duration::from_secs(2)).await.ok()?;
-    String::from_utf8(resp.body().to_vec()).ok()
+    let request = Request::get(url).body(Full::default()).ok()?;
+    let response = http.call_within(request, 1 << 20, Duration::from_secs(2)).await.ok()?;
+    String::from_utf8(response.body().to_vec()).ok()
 }
 
 impl LocalCluster {
@@ -53,10 +53,10 @@
         for attempt in 0..CHANGE_ATTEMPTS {
             let addr = self.operator_addrs[attempt % self.operator_addrs.len()];
             let url = format!("http://{addr}/v1/config");
-            let heads = [("request-id", id)];
-            match request(&self.http, method.clone(), url, body.to_vec(), &heads).await {
-                Ok((200, val)) => {
-                    return val["revision"].as_u64().ok_or(LocalClusterError::NoRevision);
+            let headers = [("request-id", id)];
+            match request(&self.http, method.clone(), url, body.to_vec(), &headers).await {
+                Ok((200, value)) => {
+                    return value["revision"].as_u64().ok_or(LocalClusterError::NoRevision);
                 }
                 Ok((code, body)) if code < 500 => {
                     return Err(LocalClusterError::Status { code, body });
@@ -69,16 +69,16 @@
     }
 
     /// Changes single objects of the configuration. Returns the change's revision.
-    pub async fn patch(&self, val: &Value, id: &str) -> Result<u64, LocalClusterError> {
-        self.change(Method::PATCH, val.to_string().as_bytes(), id).await
+    pub async fn patch(&self, value: &Value, id: &str) -> Result<u64, LocalClusterError> {
+        self.change(Method::PATCH, value.to_string().as_bytes(), id).await
     }
 
     /// Sends a control command to the mock back ends.
-    pub async fn control_backends(&self, val: Value) -> Result<Value, LocalClusterError> {
+    pub async fn control_backends(&self, command: Value) -> Result<Value, LocalClusterError> {
         let url = format!("http://{}/control", self.list);
-        let body = val.to_string().into_bytes();
-        let (code, got) = request(&self.http, Method::POST, url, body, &[]).await?;
-        if code == 200 { Ok(got) } else { Err(LocalClusterError::Rejected(got)) }
+        let body = command.to_string().into_bytes();
+        let (code, response) = request(&self.http, Method::POST, url, body, &[]).await?;
+        if code == 200 { Ok(response) } else { Err(LocalClusterError::Rejected(response)) }
     }
 
     /// Fetches `/runs` or `/state` from the mock back ends.
@@ -102,9 +102,9 @@
         let text = text(&self.http, format!("http://{addr}/metrics")).await?;
         let mut sum = None;
         for line in text.lines().filter(|line| !line.starts_with('#')) {
-            let (key, val) = line.rsplit_once(' ')?;
+            let (key, value) = line.rsplit_once(' ')?;
             if key.split('{').next() == Some(name) {
-                sum = Some(sum.unwrap_or(0) + val.parse::<u64>().ok()?);
+                sum = Some(sum.unwrap_or(0) + value.parse::<u64>().ok()?);
             }
         }
         sum
@@ -113,11 +113,11 @@
     /// Returns a controller's status of itself and the members.
     pub async fn status(&self, controller: usize) -> Result<Value, LocalClusterError> {
         let url = format!("http://{}/v1/status", self.operator_addrs[controller]);
-        let (code, val) = request(&self.http, Method::GET, url, Vec::new(), &[]).await?;
+        let (code, value) = request(&self.http, Method::GET, url, Vec::new(), &[]).await?;
         if code == 200 {
-            Ok(val)
+            Ok(value)
         } else {
-            Err(LocalClusterError::Rejected(json!({ "status": code, "body": val })))
+            Err(LocalClusterError::Rejected(json!({ "status": code, "body": value })))
         }
     }
 
@@ -126,8 +126,8 @@
     pub async fn config_leader(&self) -> Option<usize> {
         for i in 0..self.operator_addrs.len() {
             if self.controllers[i].child.is_some()
-                && let Ok(val) = self.status(i).await
-                && let Some(n) = val["here"]["parts"][0]["owner"].as_u64()
+                && let Ok(value) = self.status(i).await
+                && let Some(n) = value["here"]["parts"][0]["owner"].as_u64()
                 && self.controllers[n as usize].child.is_some()
             {
                 return Some(n as usize);
--- a/crates/server/src/testbed/mock_backends/leaf_server.rs
+++ b/crates/server/src/testbed/mock_backends/leaf_server.rs
@@ -92,17 +92,21 @@
     started_at: Instant,
     req: Request<hyper::body::Incoming>,
 ) -> Result<Reply, Infallible> {
-    let head = |name: &str| {
+    let header_text = |name: &str| {
         req.headers().get(name).and_then(|v| v.to_str().ok()).unwrap_or_default().to_string()
     };
-    let (want, service) = (head(leaf_api::EXPECT_LEAF), head(leaf_api::EXPECT_SERVICE));
+    let (want, service) =
+        (header_text(leaf_api::EXPECT_LEAF), header_text(leaf_api::EXPECT_SERVICE));
     let probe = req.uri().path() == leaf_api::SELF_PATH;
-    let (query, sum) = (head(leaf_api::QUERY_ID), head(leaf_api::QUESTION_DIGEST));
+    let (query, query_digest) =
+        (header_text(leaf_api::QUERY_ID), header_text(leaf_api::QUESTION_DIGEST));
     let body = match req.into_body().collect().await {
         Ok(body) => body.to_bytes(),
         Err(_) => return Ok(empty_reply(&leaf, 400)),
     };
-    if let Some(code) = check_request(&leaf, &want, &service, (!probe).then_some((&body, &sum))) {
+    if let Some(code) =
+        check_request(&leaf, &want, &service, (!probe).then_some((&body, &query_digest)))
+    {
         return Ok(reject(&leaf, code));
     }
     if probe {
@@ -111,27 +115,28 @@
         }
         return Ok(empty_reply(&leaf, 200));
     }
-    let Ok(asked) = serde_json::from_slice::<Value>(&body) else {
+    let Ok(query_json) = serde_json::from_slice::<Value>(&body) else {
         return Ok(reject(&leaf, 400));
     };
     let (in_flight, capacity, mode) = {
-        let mut l = leaf.borrow_mut();
-        l.in_flight += 1;
-        let capacity = l.capacity();
-        l.peak_load_pct = l.peak_load_pct.max(l.in_flight * 100 / capacity);
-        if let Some(at) = l.draining_since {
-            l.last_work_after_drain_ms =
-                l.last_work_after_drain_ms.max(at.elapsed().as_millis() as u64);
+        let mut leaf_state = leaf.borrow_mut();
+        leaf_state.in_flight += 1;
+        let capacity = leaf_state.capacity();
+        leaf_state.peak_load_pct =
+            leaf_state.peak_load_pct.max(leaf_state.in_flight * 100 / capacity);
+        if let Some(at) = leaf_state.draining_since {
+            leaf_state.last_work_after_drain_ms =
+                leaf_state.last_work_after_drain_ms.max(at.elapsed().as_millis() as u64);
         }
-        (l.in_flight, capacity, l.mode.clone())
+        (leaf_state.in_flight, capacity, leaf_state.mode.clone())
     };
     let _guard = InFlightGuard(leaf.clone());
     if mode == Mode::RejectAll || in_flight > capacity * 3 {
         return Ok(reject(&leaf, 503));
     }
-    let question = asked["question"].as_str().unwrap_or_default().to_string();
-    let key = asked["key"].as_str().map(str::to_string);
-    let limit = asked["limit"].as_u64().unwrap_or(0) as usize;
+    let question = query_json["question"].as_str().unwrap_or_default().to_string();
+    let key = query_json["key"].as_str().map(str::to_string);
+    let limit = query_json["limit"].as_u64().unwrap_or(0) as usize;
     let run_index = note_run(&leaf, &runs, started_at, &query, &question, &key);
     let base_ms = leaf.borrow().service.took_ms;
     let noise_ms = random.borrow_mut().below(base_ms + 1);
@@ -153,7 +158,7 @@
     if ordered || matches!(mode, Mode::Good | Mode::Slow(_) | Mode::Pauses { .. }) {
         runs.borrow_mut()[run_index].answered = true;
     }
-    Ok(answer(&leaf, &mode, &query, &sum, (&question, key.as_deref(), limit)))
+    Ok(answer(&leaf, &mode, &query, &query_digest, (&question, key.as_deref(), limit)))
 }
 
 /// Returns the status of the rejection if a request is meant for another leaf or was altered.
@@ -163,14 +168,14 @@
     service: &str,
     body: Option<(&[u8], &str)>,
 ) -> Option<u16> {
-    let mut l = leaf.borrow_mut();
-    if want != l.name || service != l.service.name {
-        l.misdirected += 1;
-        l.misdirected_work += u64::from(body.is_some());
+    let mut leaf_state = leaf.borrow_mut();
+    if want != leaf_state.name || service != leaf_state.service.name {
+        leaf_state.misdirected += 1;
+        leaf_state.misdirected_work += u64::from(body.is_some());
         return Some(leaf_api::MISDIRECTED);
     }
-    if body.is_some_and(|(body, sum)| digest(body) != sum) {
-        l.altered_queries += 1;
+    if body.is_some_and(|(body, query_digest)| digest(body) != query_digest) {
+        leaf_state.altered_queries += 1;
         return Some(400);
     }
     None
@@ -184,13 +189,13 @@
     question: &str,
     key: &Option<String>,
 ) -> usize {
-    let mut l = leaf.borrow_mut();
-    l.run_count += 1;
+    let mut leaf_state = leaf.borrow_mut();
+    leaf_state.run_count += 1;
     runs.borrow_mut().push(Run {
-        leaf: l.name.clone(),
-        service: l.service.name.clone(),
-        index_version: l.service.cut.clone(),
-        zone: l.zone.clone(),
+        leaf: leaf_state.name.clone(),
+        service: leaf_state.service.name.clone(),
+        index_version: leaf_state.service.cut.clone(),
+        zone: leaf_state.zone.clone(),
         query: query.to_string(),
         question: question.to_string(),
         key: key.clone(),
@@ -201,13 +206,13 @@
 }
 
 fn reply_builder(leaf: &Rc<RefCell<Leaf>>, code: u16) -> hyper::http::response::Builder {
-    let l = leaf.borrow();
-    let busy = (f64::from(l.in_flight) / f64::from(l.capacity())).min(1.0);
+    let leaf_state = leaf.borrow();
+    let busy = (f64::from(leaf_state.in_flight) / f64::from(leaf_state.capacity())).min(1.0);
     let mut out = Response::builder()
         .status(code)
         .header(leaf_api::BUSY, format!("{busy:.2}"))
-        .header(leaf_api::LEAF_AGE, l.started_at.elapsed().as_millis().to_string());
-    if l.leaving && l.reports_leaving {
+        .header(leaf_api::LEAF_AGE, leaf_state.started_at.elapsed().as_millis().to_string());
+    if leaf_state.leaving && leaf_state.reports_leaving {
         out = out.header(leaf_api::LEAF_STATE, "leaving");
     }
     out
@@ -236,12 +241,12 @@
     leaf: &Rc<RefCell<Leaf>>,
     mode: &Mode,
     query: &str,
-    sum: &str,
+    query_digest: &str,
     (question, key, limit): (&str, Option<&str>, usize),
 ) -> Reply {
     let (name, service) = {
-        let l = leaf.borrow();
-        (l.name.clone(), l.service.clone())
+        let leaf_state = leaf.borrow();
+        (leaf_state.name.clone(), leaf_state.service.clone())
     };
     let mut records = oracle::records(&service.name, question, key, limit);
     if *mode == Mode::Unsorted {
@@ -253,7 +258,7 @@
         .collect();
     let mut body = json!({ "records": list }).to_string();
     let mut out = reply_builder(leaf, 200);
-    let postmark = leaf_api::postmark(&name, query, sum);
+    let postmark = leaf_api::postmark(&name, query, query_digest);
     let previous_postmark = leaf.borrow_mut().postmark.replace(postmark.clone());
     out = match mode {
         Mode::NoPostmark => out,
