--- a/crates/server/src/local_cluster/cli.rs
+++ b/crates/server/src/local_cluster/cli.rs
@@ -1,8 +1,8 @@
-//! The fleet runner's command line.
+//! The command line of the local cluster's runner.
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 
-/// What to run.
+/// The command line's arguments.
 pub struct Args {
     pub dir: String,
     pub deploy: String,
@@ -11,8 +11,8 @@
     pub factor: f64,
     pub seed: u64,
     pub stay: bool,
-    /// `SECOND:WORD:ARGUMENT`, each.
-    pub troubles: Vec<String>,
+    /// Scheduled faults, each in the form `SECOND:WORD[:ARGUMENT]`.
+    pub faults: Vec<String>,
     pub name: String,
 }
 
@@ -23,11 +23,13 @@
         .argument::<String>("DIR")
         .fallback("deploy".into());
     let queriers = long("queriers").argument::<usize>("N").fallback(6);
-    let seconds = long("seconds").help("how long callers call").argument::<u64>("N").fallback(20);
-    let factor = long("factor").help("times the spec's rates").argument::<f64>("X").fallback(1.0);
+    let seconds =
+        long("seconds").help("duration of the load in seconds").argument::<u64>("N").fallback(20);
+    let factor =
+        long("factor").help("factor on the spec's call rates").argument::<f64>("X").fallback(1.0);
     let seed = long("seed").argument::<u64>("N").fallback(1);
     let stay = long("stay").help("start no callers; run until interrupted").switch();
-    let troubles = long("trouble")
+    let faults = long("trouble")
         .help(
             "SECOND:WORD[:ARGUMENT], e.g. 5:kill-querier:1, 5:kill-controller:owner, \
              8:start-querier:1, 8:stop-controller:0, 9:cont-controller:0, 10:term-querier:2, \
@@ -36,9 +38,9 @@
         .argument::<String>("T")
         .many();
     let name = positional::<String>("DEPLOYMENT").help("mohalla or kahurangi");
-    construct!(Args { dir, deploy, queriers, seconds, factor, seed, stay, troubles, name })
+    construct!(Args { dir, deploy, queriers, seconds, factor, seed, stay, faults, name })
         .to_options()
-        .descr("a fleet of real processes on loopback")
+        .descr("runs a cluster of real processes on loopback")
 }
 
 /// Reads the command line.
--- a/crates/server/src/local_cluster/main.rs
+++ b/crates/server/src/local_cluster/main.rs
@@ -1,5 +1,5 @@
-//! The fleet runner: starts a whole fleet of real processes on loopback, loads
-//! a deployment, sends its callers, lets troubles befall it and reports.
+//! The local cluster's runner: starts a cluster of real processes on loopback, loads a
+//! deployment, runs its callers, injects faults and prints a report.
 
 mod cli;
 mod fault_schedule;
@@ -10,19 +10,19 @@
 
 use grebepath_simulator::spec;
 use serde_json::{Value, json};
-use testbed::callers::{Seen, load, report, watch_ready};
+use testbed::callers::{CallerStatistics, poll_readiness, report, run_load};
 use testbed::local_cluster;
 use testbed::local_cluster::error::LocalClusterError;
 use testbed::local_cluster::{Layout, LocalCluster};
 
 fn main() {
     let args = cli::read();
-    let rt = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
-        Ok(rt) => rt,
+    let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
+        Ok(runtime) => runtime,
         Err(e) => return fail(&e.to_string()),
     };
     let local = tokio::task::LocalSet::new();
-    match local.block_on(&rt, run(args)) {
+    match local.block_on(&runtime, run(args)) {
         Ok(true) => {}
         Ok(false) => std::process::exit(1),
         Err(e) => fail(&e.to_string()),
@@ -47,58 +47,69 @@
     let spec = spec::read(&format!("{}/{}.standins.json", args.deploy, args.name))
         .map_err(|e| e.to_string())?;
     let begun = Instant::now();
-    let mut f = LocalCluster::up(layout).await?;
-    for i in 0..f.queriers.len() {
-        if !local_cluster::until(Duration::from_secs(15), || f.is_ready(i)).await {
+    let mut cluster = LocalCluster::start(layout).await?;
+    for i in 0..cluster.queriers.len() {
+        if !local_cluster::until(Duration::from_secs(15), || cluster.is_ready(i)).await {
             let text = format!("querier {i} did not become ready; see its log in {}", args.dir);
             return Err(text.into());
         }
     }
-    let doors: Vec<String> = f.doors.iter().map(|d| d.to_string()).collect();
-    eprintln!("fleet is up after {} ms", begun.elapsed().as_millis());
-    eprintln!("  operators:  export GREBE_AT={}", doors.join(","));
-    for (i, front) in f.fronts.iter().enumerate() {
-        eprintln!("  callers, q{i}: http://{front}/v1/search/{{search}}");
+    let operator_addrs: Vec<String> =
+        cluster.operator_addrs.iter().map(|d| d.to_string()).collect();
+    eprintln!("cluster is ready after {} ms", begun.elapsed().as_millis());
+    eprintln!("  operators:  export GREBE_AT={}", operator_addrs.join(","));
+    for (i, caller_addr) in cluster.caller_addrs.iter().enumerate() {
+        eprintln!("  callers, q{i}: http://{caller_addr}/v1/search/{{search}}");
     }
-    eprintln!("  stand-ins:  http://{}", f.list);
+    eprintln!("  back ends:  http://{}", cluster.list);
     if args.stay {
         eprintln!("running until interrupted");
         grebepath_runtime::stop::requested().await;
         return Ok(true);
     }
-    let seen = Rc::new(RefCell::new(Seen::default()));
-    let until = Instant::now() + Duration::from_secs(args.seconds);
-    let ready = Rc::new(RefCell::new(f.fronts.clone()));
-    let watch = watch_ready(
+    let statistics = Rc::new(RefCell::new(CallerStatistics::default()));
+    let end_time = Instant::now() + Duration::from_secs(args.seconds);
+    let ready = Rc::new(RefCell::new(cluster.caller_addrs.clone()));
+    let readiness_polls = poll_readiness(
         grebepath_runtime::http::client::HttpClient::new(2),
-        f.fronts.clone(),
+        cluster.caller_addrs.clone(),
         ready.clone(),
-        until,
+        end_time,
     );
-    tokio::task::spawn_local(watch);
+    tokio::task::spawn_local(readiness_polls);
     let http = grebepath_runtime::http::client::HttpClient::new(128);
     let mut loads = Vec::new();
     for (i, kind) in spec.kinds.iter().enumerate() {
         let seed = args.seed.wrapping_add(i as u64);
-        let task =
-            load(http.clone(), kind.clone(), args.factor, ready.clone(), seen.clone(), seed, until);
+        let task = run_load(
+            http.clone(),
+            kind.clone(),
+            args.factor,
+            ready.clone(),
+            statistics.clone(),
+            seed,
+            end_time,
+        );
         loads.push(tokio::task::spawn_local(task));
     }
-    fault_schedule::run(&mut f, &args.troubles).await?;
+    fault_schedule::run(&mut cluster, &args.faults).await?;
     for task in loads {
         task.await?;
     }
-    // Every call has ended: what was seen does not change any more.
-    let seen = seen.take();
-    let out = summary(&f, &seen).await?;
+    // Every call has ended, so the statistics are final.
+    let statistics = statistics.take();
+    let out = summary(&cluster, &statistics).await?;
     println!("{}", serde_json::to_string_pretty(&out).unwrap_or_default());
     Ok(out["answers"]["violations"] == 0)
 }
 
-/// What callers saw, what leafs ran, and what the queriers counted.
-async fn summary(f: &LocalCluster, seen: &Seen) -> Result<Value, LocalClusterError> {
-    let runs = f.ask_backends("/runs").await?;
-    let state = f.ask_backends("/state").await?;
+/// Returns the callers' report, the leafs' state and the queriers' metrics as JSON.
+async fn summary(
+    cluster: &LocalCluster,
+    statistics: &CallerStatistics,
+) -> Result<Value, LocalClusterError> {
+    let runs = cluster.query_backends("/runs").await?;
+    let state = cluster.query_backends("/state").await?;
     let leafs = state["leafs"].as_array().cloned().unwrap_or_default();
     let worst = leafs.iter().max_by_key(|l| l["worst_pct"].as_u64());
     let sum = |key: &str| leafs.iter().filter_map(|l| l[key].as_u64()).sum::<u64>();
@@ -109,21 +120,21 @@
         "grebe_second_tries_denied_total",
     ] {
         let mut n = 0;
-        for (i, front) in f.fronts.iter().enumerate() {
-            if f.queriers[i].child.is_some() {
-                n += f.metric(*front, name).await.unwrap_or(0);
+        for (i, caller_addr) in cluster.caller_addrs.iter().enumerate() {
+            if cluster.queriers[i].child.is_some() {
+                n += cluster.metric(*caller_addr, name).await.unwrap_or(0);
             }
         }
         counts.insert(name.to_string(), json!(n));
     }
     let mut bounces = serde_json::Map::new();
-    for (i, front) in f.fronts.iter().enumerate() {
-        let n = f.metric(*front, "grebe_bounces_total").await;
-        bounces.insert(f.queriers[i].name.clone(), json!(n));
+    for (i, caller_addr) in cluster.caller_addrs.iter().enumerate() {
+        let n = cluster.metric(*caller_addr, "grebe_bounces_total").await;
+        bounces.insert(cluster.queriers[i].name.clone(), json!(n));
     }
     Ok(json!({
         "bounces": bounces,
-        "answers": report(seen, runs.as_array().map_or(&[], Vec::as_slice)),
+        "answers": report(statistics, runs.as_array().map_or(&[], Vec::as_slice)),
         "worst_leaf": worst.map(|l| json!({ "leaf": l["leaf"], "pct_of_bears": l["worst_pct"] })),
         "misdirected": sum("misdirected"), "changed_questions": sum("changed"),
         "queriers": counts,
--- a/crates/server/src/process_soak/long_calls.rs
+++ b/crates/server/src/process_soak/long_calls.rs
@@ -1,5 +1,5 @@
 //! Callers whose calls take seconds, on connections that they keep until the process at the other
-//! end is gone: a querier that stops lives on through its grace.
+//! end has ended. They keep a querier that was asked to stop running through its grace period.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -9,62 +9,73 @@
 use grebepath_runtime::http::client::HttpClient;
 use grebepath_simulator::spec::{Kind, Spec};
 use serde_json::{Value, json};
-use testbed::callers::{Seen, one};
+use testbed::callers::{CallerStatistics, call_once};
 use testbed::local_cluster::LocalCluster;
 use testbed::local_cluster::error::LocalClusterError;
 use tokio::task::JoinHandle;
 
-/// The search that takes long, and the service that makes it so.
+/// The search that takes long.
 const SEARCH: &str = "history";
+/// The service whose slow leafs make it take long.
 const SERVICE: &str = "mohalla-history-w48-0";
-/// How long its leafs take for an answer (ms).
-const LEAF_MS: u64 = 5_000;
-/// How long callers wait, and what the search promises (ms).
+/// Additional latency of the service's leafs (ms).
+const LEAF_LATENCY_MS: u64 = 5_000;
+/// Budget of the calls, and latency target of the search (ms).
 const BUDGET_MS: u64 = 7_000;
-/// Callers of each querier (count).
+/// Number of callers of each querier.
 const CALLERS: u64 = 2;
-/// Pause after a call.
-const PAUSE: Duration = Duration::from_millis(100);
+/// Pause between two calls of a caller.
+const CALL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Makes the service slow, lets its search take as long, and starts the callers of all queriers.
+/// Makes the service slow, raises its search's latency target, and starts callers for each querier.
 pub async fn start(
     cluster: &LocalCluster,
     spec: &Spec,
     config: &Value,
-    seen: &Rc<RefCell<Seen>>,
+    statistics: &Rc<RefCell<CallerStatistics>>,
     until: Instant,
 ) -> Result<Vec<JoinHandle<()>>, LocalClusterError> {
-    cluster.order(json!({ "do": "slow", "service": SERVICE, "ms": LEAF_MS })).await?;
+    cluster
+        .control_backends(json!({ "do": "slow", "service": SERVICE, "ms": LEAF_LATENCY_MS }))
+        .await?;
     let searches = config["searches"].as_array().into_iter().flatten();
     for search in searches.filter(|search| search["name"] == SEARCH) {
-        let mut patient = search.clone();
-        patient["promise_ms"] = json!(BUDGET_MS);
-        cluster.patch(&json!({ "searches": [patient] }), "long-calls").await?;
+        let mut slow_search = search.clone();
+        slow_search["promise_ms"] = json!(BUDGET_MS);
+        cluster.patch(&json!({ "searches": [slow_search] }), "long-calls").await?;
     }
     let kind = spec.kinds.iter().find(|kind| kind.search == SEARCH).cloned();
     let kind = kind.map(|kind| Rc::new(Kind { budget_ms: BUDGET_MS, ..kind }));
-    let fronts = cluster.fronts.iter().flat_map(|front| (0..CALLERS).map(move |_| *front));
-    let numbered = fronts.zip(0..);
-    let callers = numbered.filter_map(|(front, number)| {
-        let calls = call_again(front, kind.clone()?, number, seen.clone(), until);
+    let caller_addrs =
+        cluster.caller_addrs.iter().flat_map(|caller_addr| (0..CALLERS).map(move |_| *caller_addr));
+    let numbered_addrs = caller_addrs.zip(0..);
+    let callers = numbered_addrs.filter_map(|(caller_addr, number)| {
+        let calls = call_repeatedly(caller_addr, kind.clone()?, number, statistics.clone(), until);
         Some(tokio::task::spawn_local(calls))
     });
     Ok(callers.collect())
 }
 
-/// One call after the other, until a time.
-async fn call_again(
-    front: SocketAddr,
+/// Sends one call after the other until `until`.
+async fn call_repeatedly(
+    caller_addr: SocketAddr,
     kind: Rc<Kind>,
     number: u64,
-    seen: Rc<RefCell<Seen>>,
+    statistics: Rc<RefCell<CallerStatistics>>,
     until: Instant,
 ) {
     let http = HttpClient::new(1);
-    let mut turn = 0;
+    let mut call_number = 0;
     while Instant::now() < until {
-        one(http.clone(), front, kind.clone(), number << 20 | turn, seen.clone()).await;
-        turn += 1;
-        tokio::time::sleep(PAUSE).await;
+        call_once(
+            http.clone(),
+            caller_addr,
+            kind.clone(),
+            number << 20 | call_number,
+            statistics.clone(),
+        )
+        .await;
+        call_number += 1;
+        tokio::time::sleep(CALL_INTERVAL).await;
     }
 }
--- a/crates/server/src/testbed/callers.rs
+++ b/crates/server/src/testbed/callers.rs
@@ -1,4 +1,4 @@
-//! Stand-in callers: an open load of each kind of call, every answer checked.
+//! Callers for tests: an open-loop load of each kind of call, with a check of every answer.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -16,36 +16,42 @@
 use grebepath_simulator::check::{Asked, against_runs, success};
 use grebepath_simulator::spec::Kind;
 
-/// What the callers saw.
+/// Outcomes of all calls, and what is needed to check them.
 #[derive(Default)]
-pub struct Seen {
-    pub kinds: BTreeMap<String, KindSeen>,
-    pub bad: Vec<String>,
-    pub bad_count: u64,
-    /// Query, services claimed, question: for the check against the leafs' log.
+pub struct CallerStatistics {
+    pub kinds: BTreeMap<String, KindStatistics>,
+    pub violations: Vec<String>,
+    pub violation_count: u64,
+    /// Query id, services that the answer names, and question of each success, for the check
+    /// against the leafs' log.
     pub claims: Vec<(String, Vec<String>, String)>,
     pub asked: BTreeSet<String>,
     pub next: u64,
     pub revisions: BTreeMap<SocketAddr, u64>,
 }
 
-/// Counts for one kind of call.
+/// Statistics of one kind of call.
 #[derive(Default, Clone)]
-pub struct KindSeen {
+pub struct KindStatistics {
     pub full: u64,
     pub partial: u64,
-    pub bounced: BTreeMap<String, u64>,
+    pub rejected: BTreeMap<String, u64>,
     pub unreachable: u64,
     pub late: u64,
-    /// Waits for successes, in microseconds.
-    pub waits: Vec<u64>,
+    /// Latencies of successes (µs).
+    pub latencies_us: Vec<u64>,
 }
 
-/// Nodes that callers are sent to, as the platform sees them ready.
+/// Addresses of the queriers that are ready, among which callers choose.
 pub type Targets = Rc<RefCell<Vec<SocketAddr>>>;
 
-/// Checks readiness each second, as the platform does, until `until`.
-pub async fn watch_ready(http: HttpClient, all: Vec<SocketAddr>, ready: Targets, until: Instant) {
+/// Polls the readiness of all queriers about once a second, as the platform does, until `until`.
+pub async fn poll_readiness(
+    http: HttpClient,
+    all: Vec<SocketAddr>,
+    ready: Targets,
+    until: Instant,
+) {
     while Instant::now() < until {
         let mut list = Vec::new();
         for addr in &all {
@@ -58,52 +64,52 @@
     }
 }
 
-/// Whether a node says that it is ready.
+/// Whether a node reports that it is ready.
 pub async fn is_ready(http: &HttpClient, addr: SocketAddr) -> bool {
-    let Ok(req) = Request::get(format!("http://{addr}/readyz")).body(Full::default()) else {
+    let Ok(request) = Request::get(format!("http://{addr}/readyz")).body(Full::default()) else {
         return false;
     };
-    let got = http.call_within(req, 1024, Duration::from_millis(300)).await;
-    got.is_ok_and(|r| r.status() == 200)
+    let result = http.call_within(request, 1024, Duration::from_millis(300)).await;
+    result.is_ok_and(|r| r.status() == 200)
 }
 
-/// Sends one kind's calls at their rate, times `factor`, until `until`.
-pub async fn load(
+/// Sends calls of one kind at the kind's rate times `factor` until `until`.
+pub async fn run_load(
     http: HttpClient,
     kind: Kind,
     factor: f64,
     targets: Targets,
-    seen: Rc<RefCell<Seen>>,
+    statistics: Rc<RefCell<CallerStatistics>>,
     seed: u64,
     until: Instant,
 ) {
     let mut random = Random::new(seed);
     let gap = Duration::from_secs_f64(1.0 / (kind.per_s * factor));
     let start = Instant::now();
-    let mut n = 0u32;
+    let mut calls_sent = 0u32;
     let kind = Rc::new(kind);
     let calls = tokio::task::LocalSet::new();
     let sending = async {
         loop {
-            let at = start + gap * n;
+            let at = start + gap * calls_sent;
             if at >= until {
                 return;
             }
             tokio::time::sleep_until(at.into()).await;
-            n += 1;
+            calls_sent += 1;
             let addr = pick(&mut random, &targets);
             let num = random.below(1 << 40);
             match addr {
                 Some(addr) => {
-                    tokio::task::spawn_local(one(
+                    tokio::task::spawn_local(call_once(
                         http.clone(),
                         addr,
                         kind.clone(),
                         num,
-                        seen.clone(),
+                        statistics.clone(),
                     ));
                 }
-                None => count(&seen, &kind).unreachable += 1,
+                None => kind_statistics(&statistics, &kind).unreachable += 1,
             }
         }
     };
@@ -111,91 +117,96 @@
     calls.await;
 }
 
-fn count<'a>(seen: &'a Rc<RefCell<Seen>>, kind: &Kind) -> std::cell::RefMut<'a, KindSeen> {
-    std::cell::RefMut::map(seen.borrow_mut(), |s| s.kinds.entry(kind.search.clone()).or_default())
+fn kind_statistics<'a>(
+    statistics: &'a Rc<RefCell<CallerStatistics>>,
+    kind: &Kind,
+) -> std::cell::RefMut<'a, KindStatistics> {
+    std::cell::RefMut::map(statistics.borrow_mut(), |all_statistics| {
+        all_statistics.kinds.entry(kind.search.clone()).or_default()
+    })
 }
 
 fn pick(random: &mut Random, targets: &Targets) -> Option<SocketAddr> {
     let list = targets.borrow();
-    let n = random.below(list.len() as u64) as usize;
-    list.get(n).copied()
+    let index = random.below(list.len() as u64) as usize;
+    list.get(index).copied()
 }
 
-/// One call and its check.
-pub async fn one(
+/// Sends one call and checks its answer.
+pub async fn call_once(
     http: HttpClient,
     addr: SocketAddr,
     kind: Rc<Kind>,
     num: u64,
-    seen: Rc<RefCell<Seen>>,
+    statistics: Rc<RefCell<CallerStatistics>>,
 ) {
     let id = {
-        let mut s = seen.borrow_mut();
-        s.next += 1;
-        s.next
+        let mut all_statistics = statistics.borrow_mut();
+        all_statistics.next += 1;
+        all_statistics.next
     };
     let asked = Asked {
         question: format!("{}-{id}-{num:x}", kind.search),
         key: kind.lookup.then(|| format!("key-{num:x}")),
     };
-    seen.borrow_mut().asked.insert(asked.question.clone());
+    statistics.borrow_mut().asked.insert(asked.question.clone());
     let body = json!({ "question": asked.question, "limit": kind.limit });
     let mut body = body;
     if let Some(key) = &asked.key {
         body["key"] = json!(key);
     }
-    let req = Request::post(format!("http://{addr}/v1/search/{}", kind.search))
+    let request = Request::post(format!("http://{addr}/v1/search/{}", kind.search))
         .header("budget-ms", kind.budget_ms.to_string())
         .body(Full::new(Bytes::from(body.to_string())));
-    let Ok(req) = req else { return };
+    let Ok(request) = request else { return };
     let start = Instant::now();
     let wait = Duration::from_millis(kind.budget_ms);
-    // A moment beyond the budget, to tell late answers from lost ones.
-    let got = http.call_within(req, 16 << 20, wait + Duration::from_millis(500)).await;
-    let took = start.elapsed();
-    let mut s = seen.borrow_mut();
-    let c = s.kinds.entry(kind.search.clone()).or_default();
-    let resp = match got {
-        Ok(resp) => resp,
+    // Waits 500 ms longer than the budget, to tell late answers from lost ones.
+    let result = http.call_within(request, 16 << 20, wait + Duration::from_millis(500)).await;
+    let elapsed = start.elapsed();
+    let mut all_statistics = statistics.borrow_mut();
+    let kind_totals = all_statistics.kinds.entry(kind.search.clone()).or_default();
+    let response = match result {
+        Ok(response) => response,
         Err(HttpError::TimedOut) => {
-            c.late += 1;
+            kind_totals.late += 1;
             return;
         }
         Err(_) => {
-            c.unreachable += 1;
+            kind_totals.unreachable += 1;
             return;
         }
     };
-    if took > wait {
-        c.late += 1;
+    if elapsed > wait {
+        kind_totals.late += 1;
     }
-    if resp.status() != 200 {
-        let val: Value = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
-        let why = val["error"].as_str().unwrap_or("?").to_string();
-        *c.bounced.entry(why).or_default() += 1;
+    if response.status() != 200 {
+        let body_json: Value = serde_json::from_slice(response.body()).unwrap_or(Value::Null);
+        let reason = body_json["error"].as_str().unwrap_or("?").to_string();
+        *kind_totals.rejected.entry(reason).or_default() += 1;
         return;
     }
-    let missing = resp.headers().get("missing-parts").and_then(|v| v.to_str().ok());
+    let missing = response.headers().get("missing-parts").and_then(|v| v.to_str().ok());
     match missing {
-        Some("0") => c.full += 1,
-        _ => c.partial += 1,
+        Some("0") => kind_totals.full += 1,
+        _ => kind_totals.partial += 1,
     }
-    c.waits.push(took.as_micros() as u64);
-    let (bad, services) = success(&kind, &asked, missing, resp.body());
-    let val: Value = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
-    let query = val["query"].as_str().unwrap_or_default().to_string();
-    let revision = val["revision"].as_u64().unwrap_or(0);
-    s.revisions.insert(addr, revision);
-    s.claims.push((query.clone(), services, asked.question));
-    for text in bad {
-        s.bad_count += 1;
-        if s.bad.len() < 20 {
-            s.bad.push(format!("{query}: {text}"));
+    kind_totals.latencies_us.push(elapsed.as_micros() as u64);
+    let (violations, services) = success(&kind, &asked, missing, response.body());
+    let body_json: Value = serde_json::from_slice(response.body()).unwrap_or(Value::Null);
+    let query = body_json["query"].as_str().unwrap_or_default().to_string();
+    let revision = body_json["revision"].as_u64().unwrap_or(0);
+    all_statistics.revisions.insert(addr, revision);
+    all_statistics.claims.push((query.clone(), services, asked.question));
+    for text in violations {
+        all_statistics.violation_count += 1;
+        if all_statistics.violations.len() < 20 {
+            all_statistics.violations.push(format!("{query}: {text}"));
         }
     }
 }
 
-/// A quantile of sorted numbers.
+/// Returns a percentile of sorted numbers, or 0 if there are none.
 pub fn quantile(list: &[u64], pct: usize) -> u64 {
     if list.is_empty() {
         return 0;
@@ -203,31 +214,33 @@
     list[(list.len() * pct / 100).min(list.len() - 1)]
 }
 
-/// Everything seen as JSON, with the check against the leafs' log.
-pub fn report(seen: &Seen, runs: &[Value]) -> Value {
+/// Returns the statistics as JSON, with the results of the check against the leafs' log.
+pub fn report(statistics: &CallerStatistics, runs: &[Value]) -> Value {
     let mut kinds = serde_json::Map::new();
-    for (name, k) in &seen.kinds {
-        let mut waits = k.waits.clone();
-        waits.sort_unstable();
-        let bounced: u64 = k.bounced.values().sum();
-        let all = k.full + k.partial + bounced + k.unreachable;
+    for (name, k) in &statistics.kinds {
+        let mut latencies_us = k.latencies_us.clone();
+        latencies_us.sort_unstable();
+        let rejected: u64 = k.rejected.values().sum();
+        let all = k.full + k.partial + rejected + k.unreachable;
         kinds.insert(
             name.clone(),
             json!({
-                "calls": all, "full": k.full, "partial": k.partial, "bounced": k.bounced,
+                "calls": all, "full": k.full, "partial": k.partial, "bounced": k.rejected,
                 "unreachable": k.unreachable, "late": k.late,
                 "full_pct": if all == 0 { 0.0 } else { 100.0 * k.full as f64 / all as f64 },
-                "wait_ms": { "p50": quantile(&waits, 50) as f64 / 1000.0,
-                             "p90": quantile(&waits, 90) as f64 / 1000.0,
-                             "p99": quantile(&waits, 99) as f64 / 1000.0,
-                             "max": waits.last().copied().unwrap_or(0) as f64 / 1000.0 },
+                "wait_ms": { "p50": quantile(&latencies_us, 50) as f64 / 1000.0,
+                             "p90": quantile(&latencies_us, 90) as f64 / 1000.0,
+                             "p99": quantile(&latencies_us, 99) as f64 / 1000.0,
+                             "max": latencies_us.last().copied().unwrap_or(0) as f64 / 1000.0 },
             }),
         );
     }
-    let log = against_runs(&seen.claims, &seen.asked, runs);
-    let bad: Vec<&String> = seen.bad.iter().chain(log.iter().take(20)).collect();
+    let log = against_runs(&statistics.claims, &statistics.asked, runs);
+    let violations: Vec<&String> =
+        statistics.violations.iter().chain(log.iter().take(20)).collect();
     json!({
-        "kinds": kinds, "violations": seen.bad_count + log.len() as u64, "first": bad,
-        "claims": seen.claims.len(), "runs": runs.len(),
+        "kinds": kinds, "violations": statistics.violation_count + log.len() as u64,
+        "first": violations,
+        "claims": statistics.claims.len(), "runs": runs.len(),
     })
 }
--- a/crates/server/src/testbed/control_listener.rs
+++ b/crates/server/src/testbed/control_listener.rs
@@ -1,9 +1,9 @@
-//! The mock backends' own listener: the platform's list, and orders to misbehave.
+//! The mock back ends' control listener: serves the platform's list and injects faults.
 //!
-//! `GET /leafs` is the platform's list. `POST /control` takes
-//! `{"do": .., "leaf": .., "service": .., "zone": .., "ms": .., "every": ..}`:
-//! the order goes to all leafs that match. `GET /state` tells each leaf's
-//! counts, `GET /runs` all that was run.
+//! `GET /leafs` returns the platform's list. `POST /control` takes a command
+//! `{"do": .., "leaf": .., "service": .., "zone": .., "ms": .., "every": ..}` and
+//! applies it to all matching leafs. `GET /state` returns the counters of each leaf,
+//! `GET /runs` the log of all requests that leafs ran.
 
 use std::cell::RefCell;
 use std::convert::Infallible;
@@ -25,7 +25,7 @@
 
 type Shared = Rc<RefCell<MockBackends>>;
 
-/// Serves it until the process ends.
+/// Serves control requests until the process ends.
 pub async fn serve(listener: TcpListener, backends: Shared) {
     loop {
         let Ok((stream, _)) = listener.accept().await else { continue };
@@ -48,14 +48,14 @@
         (Method::GET, "/state") => (200, state(&backends.borrow()).to_string()),
         (Method::GET, "/runs") => (200, runs(&backends.borrow()).to_string()),
         (Method::POST, "/control") => match control(&backends, &body).await {
-            Ok(val) => (200, val.to_string()),
-            Err(e) => (400, json!({ "error": e.to_string() }).to_string()),
+            Ok(reply) => (200, reply.to_string()),
+            Err(error) => (400, json!({ "error": error.to_string() }).to_string()),
         },
         _ => (404, json!({ "error": "no such path" }).to_string()),
     };
-    let mut resp = Response::new(Full::new(Bytes::from(text)));
-    *resp.status_mut() = hyper::StatusCode::from_u16(code).unwrap_or_default();
-    Ok(resp)
+    let mut response = Response::new(Full::new(Bytes::from(text)));
+    *response.status_mut() = hyper::StatusCode::from_u16(code).unwrap_or_default();
+    Ok(response)
 }
 
 async fn list(backends: &Shared) -> (u16, String) {
@@ -67,7 +67,7 @@
             tokio::time::sleep(Duration::from_secs(3600)).await;
             (500, String::new())
         }
-        _ => (200, backends.borrow_mut().committed_list().to_string()),
+        _ => (200, backends.borrow_mut().published_list().to_string()),
     }
 }
 
@@ -75,18 +75,20 @@
     let leafs: Vec<Value> = backends
         .leafs
         .values()
-        .map(|l| {
-            let l = l.borrow();
+        .map(|leaf| {
+            let leaf = leaf.borrow();
             json!({
-                "leaf": l.name, "service": l.service.name, "zone": l.zone, "version": l.version,
-                "addr": l.addr.to_string(), "alive": l.alive.is_some(), "leaving": l.leaving,
-                "live": l.live, "worst_pct": l.worst_pct, "ran": l.ran,
-                "misdirected": l.misdirected, "reached": l.reached, "changed": l.changed,
-                "late_work_ms": l.late_work_ms,
+                "leaf": leaf.name, "service": leaf.service.name, "zone": leaf.zone,
+                "version": leaf.version, "addr": leaf.addr.to_string(), "alive": leaf.serving_task.is_some(),
+                "leaving": leaf.leaving,
+                "live": leaf.in_flight, "worst_pct": leaf.peak_load_pct, "ran": leaf.run_count,
+                "misdirected": leaf.misdirected, "reached": leaf.misdirected_work,
+                "changed": leaf.altered_queries,
+                "late_work_ms": leaf.last_work_after_drain_ms,
             })
         })
         .collect();
-    json!({ "now_ms": backends.zero.elapsed().as_millis() as u64, "leafs": leafs })
+    json!({ "now_ms": backends.started_at.elapsed().as_millis() as u64, "leafs": leafs })
 }
 
 fn runs(backends: &MockBackends) -> Value {
@@ -96,153 +98,162 @@
         .iter()
         .map(|r| {
             json!([
-                r.leaf, r.service, r.cut, r.zone, r.query, r.question, r.key, r.at_ms, r.answered
+                r.leaf,
+                r.service,
+                r.index_version,
+                r.zone,
+                r.query,
+                r.question,
+                r.key,
+                r.at_ms,
+                r.answered
             ])
         })
         .collect();
     Value::Array(list)
 }
 
-/// Why an order is not carried out.
+/// Why a control command failed.
 #[derive(Debug, Error)]
-enum OrderError {
+enum ControlError {
     #[error("{0}")]
     NotJson(#[from] serde_json::Error),
     #[error("`do` is missing")]
     Missing,
     #[error("no leaf matches")]
     NoMatch,
-    #[error("unknown order `{0}`")]
+    #[error("unknown command `{0}`")]
     Unknown(String),
     #[error("{0}")]
     Start(#[from] std::io::Error),
 }
 
-/// Carries out an order; tells the leafs it was for.
-async fn control(backends: &Shared, body: &[u8]) -> Result<Value, OrderError> {
-    let val: Value = serde_json::from_slice(body)?;
-    let order = val["do"].as_str().ok_or(OrderError::Missing)?.to_string();
-    let ms = val["ms"].as_u64().unwrap_or(0);
-    if let Some(mode) = order.strip_prefix("list-") {
+/// Applies a command. Returns the leafs that it was applied to.
+async fn control(backends: &Shared, body: &[u8]) -> Result<Value, ControlError> {
+    let request: Value = serde_json::from_slice(body)?;
+    let command = request["do"].as_str().ok_or(ControlError::Missing)?.to_string();
+    let ms = request["ms"].as_u64().unwrap_or(0);
+    if let Some(mode) = command.strip_prefix("list-") {
         backends.borrow_mut().list_mode = (mode != "good").then(|| mode.to_string());
         return Ok(json!({ "list": mode }));
     }
-    let hits = matching(&backends.borrow(), &val);
-    if hits.is_empty() {
-        return Err(OrderError::NoMatch);
+    let matching_leafs = matching(&backends.borrow(), &request);
+    if matching_leafs.is_empty() {
+        return Err(ControlError::NoMatch);
     }
     let mut out = Vec::new();
-    for leaf in &hits {
-        out.push(one(backends, leaf, &order, ms, &val).await?);
+    for leaf in &matching_leafs {
+        out.push(apply_command(backends, leaf, &command, ms, &request).await?);
     }
-    backends.borrow_mut().note_change();
+    backends.borrow_mut().publish_change();
     Ok(json!({ "leafs": out }))
 }
 
-fn matching(backends: &MockBackends, val: &Value) -> Vec<Rc<RefCell<Leaf>>> {
-    let fits = |key: &str, has: &str| val[key].as_str().is_none_or(|want| want == has);
-    let mut hits: Vec<_> = backends
+fn matching(backends: &MockBackends, request: &Value) -> Vec<Rc<RefCell<Leaf>>> {
+    let matches = |key: &str, has: &str| request[key].as_str().is_none_or(|want| want == has);
+    let mut matching_leafs: Vec<_> = backends
         .leafs
         .values()
-        .filter(|l| {
-            let l = l.borrow();
-            // A dead leaf's address may be another's by now.
-            l.alive.is_some()
-                && fits("leaf", &l.name)
-                && fits("service", &l.service.name)
-                && fits("zone", &l.zone)
+        .filter(|leaf_state| {
+            let leaf_state = leaf_state.borrow();
+            // The address of a stopped leaf may belong to another leaf by now.
+            leaf_state.serving_task.is_some()
+                && matches("leaf", &leaf_state.name)
+                && matches("service", &leaf_state.service.name)
+                && matches("zone", &leaf_state.zone)
         })
         .cloned()
         .collect();
-    if let Some(most) = val["count"].as_u64() {
-        hits.truncate(most as usize);
+    if let Some(max_count) = request["count"].as_u64() {
+        matching_leafs.truncate(max_count as usize);
     }
-    hits
+    matching_leafs
 }
 
-async fn one(
+async fn apply_command(
     backends: &Shared,
     leaf: &Rc<RefCell<Leaf>>,
-    order: &str,
+    command: &str,
     ms: u64,
-    val: &Value,
-) -> Result<Value, OrderError> {
-    if order == "new-version" {
-        return new_version(backends, leaf, ms, val).await;
+    request: &Value,
+) -> Result<Value, ControlError> {
+    if command == "new-version" {
+        return new_version(backends, leaf, ms, request).await;
     }
-    if let Some(mode) = mode(order, ms, val) {
-        let mut l = leaf.borrow_mut();
-        l.mode = mode;
-        return Ok(json!(l.name));
+    if let Some(mode) = mode(command, ms, request) {
+        let mut leaf_state = leaf.borrow_mut();
+        leaf_state.mode = mode;
+        return Ok(json!(leaf_state.name));
     }
-    match order {
+    match command {
         "leave" | "leave-unseen" => {
-            let mut l = leaf.borrow_mut();
-            l.leaving = true;
-            l.tells_leaving = order == "leave";
-            l.left_at = Some(Instant::now());
-            Ok(json!(l.name))
+            let mut leaf_state = leaf.borrow_mut();
+            leaf_state.leaving = true;
+            leaf_state.reports_leaving = command == "leave";
+            leaf_state.draining_since = Some(Instant::now());
+            Ok(json!(leaf_state.name))
         }
         "kill" | "restart" | "reuse" => {
             let (mut service, zone, addr) = {
-                let l = leaf.borrow();
-                (l.service.clone(), l.zone.clone(), l.addr)
+                let leaf_state = leaf.borrow();
+                (leaf_state.service.clone(), leaf_state.zone.clone(), leaf_state.addr)
             };
             leaf.borrow_mut().kill();
-            if order == "kill" {
+            if command == "kill" {
                 return Ok(json!(leaf.borrow().name));
             }
-            if order == "reuse" {
-                // Another service takes the address over.
-                service.name = val["by"].as_str().unwrap_or("stranger").to_string();
+            if command == "reuse" {
+                // A leaf of another service takes over the address.
+                service.name = request["by"].as_str().unwrap_or("stranger").to_string();
             }
-            let got = start_leaf(backends, service, &zone, addr, Duration::ZERO).await;
-            Ok(json!(got?))
+            let new_name = start_leaf(backends, service, &zone, addr, Duration::ZERO).await;
+            Ok(json!(new_name?))
         }
-        other => Err(OrderError::Unknown(other.to_string())),
+        other => Err(ControlError::Unknown(other.to_string())),
     }
 }
 
-/// The mode that a word names, if it names one.
-fn mode(word: &str, ms: u64, val: &Value) -> Option<Mode> {
+/// Parses the name of a mode.
+fn mode(word: &str, ms: u64, request: &Value) -> Option<Mode> {
     Some(match word {
         "good" => Mode::Good,
         "slow" => Mode::Slow(ms),
-        "dark" => Mode::Dark,
+        "dark" => Mode::Unresponsive,
         "pauses" => {
-            Mode::Pauses { every: val["every"].as_u64().unwrap_or(3_000).max(1), pause: ms }
+            Mode::Pauses { every: request["every"].as_u64().unwrap_or(3_000).max(1), pause: ms }
         }
         "garbage" => Mode::Garbage,
-        "cut-short" => Mode::CutShort,
-        "disorder" => Mode::Disorder,
+        "cut-short" => Mode::Truncated,
+        "disorder" => Mode::Unsorted,
         "no-postmark" => Mode::NoPostmark,
         "two-postmarks" => Mode::TwoPostmarks,
         "stale-postmark" => Mode::StalePostmark,
-        "wrong-cut" => Mode::WrongCut,
+        "wrong-cut" => Mode::WrongIndexVersion,
         "overlong" => Mode::Overlong,
-        "unrun" => Mode::Unrun,
+        "unrun" => Mode::RejectAll,
         _ => return None,
     })
 }
 
-/// Starts a leaf of another version beside one, in the mode that the order names.
+/// Starts a leaf of another version beside an existing one, in the mode that the command names.
 async fn new_version(
     backends: &Shared,
     leaf: &Rc<RefCell<Leaf>>,
     ms: u64,
-    val: &Value,
-) -> Result<Value, OrderError> {
+    request: &Value,
+) -> Result<Value, ControlError> {
     let (service, zone) = {
-        let l = leaf.borrow();
-        (l.service.clone(), l.zone.clone())
+        let leaf_state = leaf.borrow();
+        (leaf_state.service.clone(), leaf_state.zone.clone())
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
     let age = Duration::from_millis(service.ramp_ms);
     let name = start_leaf(backends, service, &zone, address, age).await?;
     if let Some(leaf) = backends.borrow().leafs.get(&name) {
         let mut leaf = leaf.borrow_mut();
-        leaf.version = val["version"].as_str().unwrap_or("v2").to_string();
-        leaf.mode = mode(val["mode"].as_str().unwrap_or("good"), ms, val).unwrap_or(Mode::Good);
+        leaf.version = request["version"].as_str().unwrap_or("v2").to_string();
+        leaf.mode =
+            mode(request["mode"].as_str().unwrap_or("good"), ms, request).unwrap_or(Mode::Good);
     }
     Ok(json!(name))
 }
--- a/crates/server/src/testbed/local_cluster/requests.rs
+++ b/crates/server/src/testbed/local_cluster/requests.rs
@@ -1,4 +1,4 @@
-//! Requests to the processes of a local cluster.
+//! HTTP requests to the processes of a local cluster.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,37 +12,37 @@
 use super::LocalCluster;
 use super::error::LocalClusterError;
 
-/// Attempts to send a change, each to the next controller.
+/// Maximum number of attempts to send a change, each to the next controller.
 const CHANGE_ATTEMPTS: usize = 10;
 
-/// Sends one small request; gives status and JSON.
+/// Sends a request. Returns the status and the body, as null if it is not JSON.
 pub async fn request(
     http: &HttpClient,
     method: Method,
     url: String,
     body: Vec<u8>,
-    heads: &[(&str, &str)],
+    headers: &[(&str, &str)],
 ) -> Result<(u16, Value), LocalClusterError> {
-    let mut req = Request::builder().method(method).uri(url);
-    for (name, val) in heads {
-        req = req.header(*name, *val);
+    let mut request = Request::builder().method(method).uri(url);
+    for (name, value) in headers {
+        request = request.header(*name, *value);
     }
-    let req = req.body(Full::new(Bytes::from(body)))?;
-    let resp = http.call_within(req, 1 << 28, Duration::from_secs(12)).await?;
-    let val = serde_json::from_slice(resp.body()).unwrap_or(Value::Null);
-    Ok((resp.status().as_u16(), val))
+    let request = request.body(Full::new(Bytes::from(body)))?;
+    let response = http.call_within(request, 1 << 28, Duration::from_secs(12)).await?;
+    let value = serde_json::from_slice(response.body()).unwrap_or(Value::Null);
+    Ok((response.status().as_u16(), value))
 }
 
-/// A text, such as that of a process's metrics.
+/// Fetches a text, such as a process's metrics.
 pub async fn text(http: &HttpClient, url: String) -> Option<String> {
-    let req = Request::get(url).body(Full::default()).ok()?;
-    let resp = http.call_within(req, 1 << 20, Duration::from_secs(2)).await.ok()?;
-    String::from_utf8(resp.body().to_vec()).ok()
+    let request = Request::get(url).body(Full::default()).ok()?;
+    let response = http.call_within(request, 1 << 20, Duration::from_secs(2)).await.ok()?;
+    String::from_utf8(response.body().to_vec()).ok()
 }
 
 impl LocalCluster {
-    /// Changes the configuration through any controller that answers, under one
-    /// request id, until it is accepted. Gives its revision.
+    /// Changes the configuration through any controller that answers, with the same request id
+    /// in all attempts. Returns the change's revision.
     pub async fn change(
         &self,
         method: Method,
@@ -51,12 +51,12 @@
     ) -> Result<u64, LocalClusterError> {
         let mut last = LocalClusterError::NoController;
         for attempt in 0..CHANGE_ATTEMPTS {
-            let addr = self.doors[attempt % self.doors.len()];
+            let addr = self.operator_addrs[attempt % self.operator_addrs.len()];
             let url = format!("http://{addr}/v1/config");
-            let heads = [("request-id", id)];
-            match request(&self.http, method.clone(), url, body.to_vec(), &heads).await {
-                Ok((200, val)) => {
-                    return val["revision"].as_u64().ok_or(LocalClusterError::NoRevision);
+            let headers = [("request-id", id)];
+            match request(&self.http, method.clone(), url, body.to_vec(), &headers).await {
+                Ok((200, value)) => {
+                    return value["revision"].as_u64().ok_or(LocalClusterError::NoRevision);
                 }
                 Ok((code, body)) if code < 500 => {
                     return Err(LocalClusterError::Status { code, body });
@@ -68,66 +68,66 @@
         Err(last)
     }
 
-    /// Sets single objects. Gives the change's revision.
-    pub async fn patch(&self, val: &Value, id: &str) -> Result<u64, LocalClusterError> {
-        self.change(Method::PATCH, val.to_string().as_bytes(), id).await
+    /// Changes single objects of the configuration. Returns the change's revision.
+    pub async fn patch(&self, value: &Value, id: &str) -> Result<u64, LocalClusterError> {
+        self.change(Method::PATCH, value.to_string().as_bytes(), id).await
     }
 
-    /// Tells the mock backends to misbehave.
-    pub async fn order(&self, val: Value) -> Result<Value, LocalClusterError> {
+    /// Sends a control command to the mock back ends.
+    pub async fn control_backends(&self, command: Value) -> Result<Value, LocalClusterError> {
         let url = format!("http://{}/control", self.list);
-        let body = val.to_string().into_bytes();
-        let (code, got) = request(&self.http, Method::POST, url, body, &[]).await?;
-        if code == 200 { Ok(got) } else { Err(LocalClusterError::Rejected(got)) }
+        let body = command.to_string().into_bytes();
+        let (code, response) = request(&self.http, Method::POST, url, body, &[]).await?;
+        if code == 200 { Ok(response) } else { Err(LocalClusterError::Rejected(response)) }
     }
 
-    /// Asks the mock backends for `/runs` or `/state`.
-    pub async fn ask_backends(&self, path: &str) -> Result<Value, LocalClusterError> {
+    /// Fetches `/runs` or `/state` from the mock back ends.
+    pub async fn query_backends(&self, path: &str) -> Result<Value, LocalClusterError> {
         let url = format!("http://{}{path}", self.list);
         Ok(request(&self.http, Method::GET, url, Vec::new(), &[]).await?.1)
     }
 
     /// Whether a querier is ready.
     pub async fn is_ready(&self, querier: usize) -> bool {
-        crate::callers::is_ready(&self.http, self.fronts[querier]).await
+        crate::callers::is_ready(&self.http, self.caller_addrs[querier]).await
     }
 
-    /// The revision that a querier obeys, by its own metrics.
-    pub async fn obeyed(&self, querier: usize) -> Option<u64> {
-        self.metric(self.fronts[querier], "grebe_revision").await
+    /// Returns the revision that a querier has applied, according to its metrics.
+    pub async fn applied_revision(&self, querier: usize) -> Option<u64> {
+        self.metric(self.caller_addrs[querier], "grebe_revision").await
     }
 
-    /// One metric of a process, summed over its labels.
+    /// Returns a metric of a process, summed over its labels.
     pub async fn metric(&self, addr: SocketAddr, name: &str) -> Option<u64> {
         let text = text(&self.http, format!("http://{addr}/metrics")).await?;
         let mut sum = None;
         for line in text.lines().filter(|line| !line.starts_with('#')) {
-            let (key, val) = line.rsplit_once(' ')?;
+            let (key, value) = line.rsplit_once(' ')?;
             if key.split('{').next() == Some(name) {
-                sum = Some(sum.unwrap_or(0) + val.parse::<u64>().ok()?);
+                sum = Some(sum.unwrap_or(0) + value.parse::<u64>().ok()?);
             }
         }
         sum
     }
 
-    /// What one controller says of itself and of the members.
+    /// Returns a controller's status of itself and the members.
     pub async fn status(&self, controller: usize) -> Result<Value, LocalClusterError> {
-        let url = format!("http://{}/v1/status", self.doors[controller]);
-        let (code, val) = request(&self.http, Method::GET, url, Vec::new(), &[]).await?;
+        let url = format!("http://{}/v1/status", self.operator_addrs[controller]);
+        let (code, value) = request(&self.http, Method::GET, url, Vec::new(), &[]).await?;
         if code == 200 {
-            Ok(val)
+            Ok(value)
         } else {
-            Err(LocalClusterError::Rejected(json!({ "status": code, "body": val })))
+            Err(LocalClusterError::Rejected(json!({ "status": code, "body": value })))
         }
     }
 
-    /// The voter slot that leads the configuration, as the first controller that answers
-    /// sees it.
+    /// Returns the voter slot of the leader of the configuration partition, according to the
+    /// first controller that answers.
     pub async fn config_leader(&self) -> Option<usize> {
-        for i in 0..self.doors.len() {
+        for i in 0..self.operator_addrs.len() {
             if self.controllers[i].child.is_some()
-                && let Ok(val) = self.status(i).await
-                && let Some(n) = val["here"]["parts"][0]["owner"].as_u64()
+                && let Ok(value) = self.status(i).await
+                && let Some(n) = value["here"]["parts"][0]["owner"].as_u64()
                 && self.controllers[n as usize].child.is_some()
             {
                 return Some(n as usize);
--- a/crates/server/tests/querier_faults.rs
+++ b/crates/server/tests/querier_faults.rs
@@ -20,7 +20,7 @@
 #[googletest::test]
 fn a_frozen_querier_wakes_and_never_answers_by_the_old_configuration() {
     block(async {
-        let f = LocalCluster::up(layout("frozen", "mohalla", 3)).await.unwrap();
+        let f = LocalCluster::start(layout("frozen", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
         f.queriers[1].signal("STOP").unwrap();
         // Accepted without the frozen one: the two others are most.
@@ -64,12 +64,15 @@
         // All that the last querier says to and hears from the others passes
         // through relays, which can be cut.
         let mut relays: Vec<Relay> = Vec::new();
-        let f = LocalCluster::up_with(layout("cut", "mohalla", 3), async |wanted: SocketAddr| {
-            let relay = Relay::open(wanted).await?;
-            let addr = relay.addr;
-            relays.push(relay);
-            Ok(addr)
-        })
+        let f = LocalCluster::start_with_relay(
+            layout("cut", "mohalla", 3),
+            async |wanted: SocketAddr| {
+                let relay = Relay::open(wanted).await?;
+                let addr = relay.addr;
+                relays.push(relay);
+                Ok(addr)
+            },
+        )
         .await
         .unwrap();
         all_ready(&f).await;
@@ -77,15 +80,15 @@
         // Only the ways to core and list are cut: neighbours hand renewals over
         // and news on, and the node serves by the newest configuration.
         for relay in &relays[..4] {
-            relay.cut(true);
+            relay.set_partitioned(true);
         }
         let val = json!({ "zones": [{ "name": "early", "state": "open" }] });
         let revision = f.patch(&val, "early").await.unwrap();
-        let obeys = || async { f.obeyed(2).await.is_some_and(|r| r >= revision) };
+        let obeys = || async { f.applied_revision(2).await.is_some_and(|r| r >= revision) };
         assert!(local_cluster::until(LONG, obeys).await, "no news came by the cohort");
         expect_that!(ask(&f, 2).await.unwrap().0, eq(200));
         // Now nobody reaches it.
-        relays[4].cut(true);
+        relays[4].set_partitioned(true);
         let begun = Instant::now();
         assert!(local_cluster::until(LONG, || async { !f.is_ready(2).await }).await);
         // First not ready, then bouncing; the others go on.
@@ -98,7 +101,7 @@
         let revision = f.patch(&val, "later").await.unwrap();
         expect_that!(ask(&f, 0).await.unwrap().0, eq(200));
         for relay in &relays {
-            relay.cut(false);
+            relay.set_partitioned(false);
         }
         assert!(local_cluster::until(LONG, || f.is_ready(2)).await);
         expect_that!(ask(&f, 2).await.unwrap().1["revision"].as_u64(), ge(Some(revision)));
