--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -12,19 +12,19 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     /// Time since the machine was started, at the moment of [`BOOT`].
-    zero: Duration,
+    origin: Duration,
 }
 
 impl Clock {
     /// A clock that begins now, at [`BOOT`].
     #[allow(clippy::new_without_default)] // Each call begins another time scale.
     pub fn new() -> Clock {
-        Clock { zero: time_since_boot() }
+        Clock { origin: time_since_boot() }
     }
 
     /// The time by this clock, in microseconds after its beginning.
     pub fn now(&self) -> Tick {
-        BOOT + time_since_boot().saturating_sub(self.zero).as_micros() as Tick
+        BOOT + time_since_boot().saturating_sub(self.origin).as_micros() as Tick
     }
 
     /// The instant of a tick, for the runtime's timers. They do not count sleep, so
--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -15,10 +15,10 @@
 
 /// How long a seed may take to say who it is before addresses of the voter set are
 /// dialled beside it: a seed's own address may be only a way to the holder's.
-const SEED_PATIENCE: Duration = Duration::from_millis(800);
+const SEED_GREETING_TIMEOUT: Duration = Duration::from_millis(800);
 /// Without a message from anyone for this long the seeds are tried again: all whom
 /// we know may have been replaced meanwhile.
-const SEEDS_AGAIN: Duration = Duration::from_secs(4);
+const SEED_FALLBACK_TIMEOUT: Duration = Duration::from_secs(4);
 
 /// The connections that a process keeps to controllers. Dropping one ends its task.
 ///
@@ -26,14 +26,14 @@
 /// zero before that.
 pub struct Connections<T> {
     /// Our own address, if we are a controller: never dialled.
-    own: Option<SocketAddr>,
+    own_address: Option<SocketAddr>,
     seeds: Vec<SocketAddr>,
     greeting: Greeting,
     /// The tag under which messages of an address reach the owner.
     tag: fn(SocketAddr) -> T,
     events: UnboundedSender<ConnectionEvent<T>>,
     by_address: HashMap<SocketAddr, Connection>,
-    began: Instant,
+    started_at: Instant,
     last_message: Instant,
 }
 
@@ -48,7 +48,7 @@
     /// `events` has no bound: a peer's messages come no faster than its connection
     /// carries them, and the owner handles each at once.
     pub fn new(
-        own: Option<SocketAddr>,
+        own_address: Option<SocketAddr>,
         seeds: &[SocketAddr],
         greeting: Greeting,
         tag: fn(SocketAddr) -> T,
@@ -56,13 +56,13 @@
     ) -> Connections<T> {
         let now = Instant::now();
         let mut connections = Connections {
-            own,
+            own_address,
             seeds: Vec::new(),
             greeting,
             tag,
             events,
             by_address: HashMap::new(),
-            began: now,
+            started_at: now,
             last_message: now,
         };
         connections.set_seeds(seeds);
@@ -72,7 +72,7 @@
     /// Takes up other seeds: those that we began with may all be gone by now. They are dialled
     /// at the next [`Connections::arrange`] that needs any.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
-        self.seeds = seeds.iter().copied().filter(|seed| Some(*seed) != self.own).collect();
+        self.seeds = seeds.iter().copied().filter(|seed| Some(*seed) != self.own_address).collect();
     }
 
     /// Opens the connections that the voter set asks for and drops the others.
@@ -96,26 +96,26 @@
     /// The addresses to which there should be a connection.
     fn wanted(&self, voters: &VoterSet) -> Vec<SocketAddr> {
         let held: Vec<&SlotHolder> = voters.slots.iter().filter(|slot| slot.holder != 0).collect();
-        let lost = self.last_message.elapsed() >= SEEDS_AGAIN;
+        let is_isolated = self.last_message.elapsed() >= SEED_FALLBACK_TIMEOUT;
         let is_voter = matches!(self.greeting.identity, PeerIdentity::Voter { .. });
-        let early = self.began.elapsed() < SEED_PATIENCE && !is_voter;
+        let is_starting = self.started_at.elapsed() < SEED_GREETING_TIMEOUT && !is_voter;
         let mut wanted: Vec<SocketAddr> = Vec::new();
-        if held.is_empty() || lost {
+        if held.is_empty() || is_isolated {
             wanted.extend(&self.seeds);
-        } else if early {
-            wanted.extend(self.seeds.iter().filter(|seed| self.is_silent(seed)));
+        } else if is_starting {
+            wanted.extend(self.seeds.iter().filter(|seed| self.is_unidentified(seed)));
         }
-        let seeds_first = early && !wanted.is_empty();
+        let seeds_first = is_starting && !wanted.is_empty();
         for slot in held {
             let known = self.address_of(slot.holder);
             let address = known.or_else(|| slot.addr.parse().ok().filter(|_| !seeds_first));
-            wanted.extend(address.filter(|address| Some(*address) != self.own));
+            wanted.extend(address.filter(|address| Some(*address) != self.own_address));
         }
         wanted
     }
 
     /// Whether nobody has said yet who is at an address.
-    fn is_silent(&self, address: &SocketAddr) -> bool {
+    fn is_unidentified(&self, address: &SocketAddr) -> bool {
         self.by_address.get(address).is_none_or(|connection| connection.holder == 0)
     }
 
--- a/crates/runtime/src/disk/error.rs
+++ b/crates/runtime/src/disk/error.rs
@@ -31,13 +31,13 @@
 
 impl StorageError {
     /// Whether the disk has no room: the same may go well later.
-    pub fn is_out_of_room(&self) -> bool {
-        matches!(self, StorageError::Io { source, .. } if is_out_of_room(source))
+    pub fn is_out_of_space(&self) -> bool {
+        matches!(self, StorageError::Io { source, .. } if is_out_of_space(source))
     }
 }
 
 /// Whether an error says that a disk has no room, or that a limit on files is reached.
-pub fn is_out_of_room(error: &std::io::Error) -> bool {
+pub fn is_out_of_space(error: &std::io::Error) -> bool {
     let kinds = [ErrorKind::StorageFull, ErrorKind::QuotaExceeded, ErrorKind::FileTooLarge];
     kinds.contains(&error.kind())
 }
--- a/crates/runtime/src/forwarding_server.rs
+++ b/crates/runtime/src/forwarding_server.rs
@@ -20,9 +20,9 @@
 use tokio::net::{TcpListener, TcpStream};
 
 /// Wait until room for a further connection is looked for again.
-const ROOM_PAUSE: Duration = Duration::from_millis(5);
+const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(5);
 /// Wait after a failed `accept`: out of file handles, most likely.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(20);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
 /// What a caller may send, and how long it may take or idle.
 #[derive(Clone, Copy, Debug)]
@@ -32,7 +32,7 @@
     /// Bytes of a request's body.
     pub body_max: usize,
     /// Time for a request's head, once it has begun.
-    pub head_wait: Duration,
+    pub head_timeout: Duration,
     /// Time that a connection may stay unused, and that a body may take.
     pub idle: Duration,
 }
@@ -43,7 +43,7 @@
         ListenerLimits {
             head_max: consts::DEFAULT_MAX_HEAD_BYTES,
             body_max: consts::DEFAULT_MAX_BODY_BYTES,
-            head_wait: crate::clock::duration(consts::DEFAULT_HEAD_TIMEOUT),
+            head_timeout: crate::clock::duration(consts::DEFAULT_HEAD_TIMEOUT),
             idle: crate::clock::duration(consts::DEFAULT_IDLE_TIMEOUT),
         }
     }
@@ -95,11 +95,11 @@
         };
         loop {
             if self.connections.get() >= consts::MAX_CALLER_CONNECTIONS {
-                tokio::time::sleep(ROOM_PAUSE).await;
+                tokio::time::sleep(CAPACITY_POLL_INTERVAL).await;
                 continue;
             }
             let Ok((stream, _)) = listener.accept().await else {
-                tokio::time::sleep(ACCEPT_PAUSE).await;
+                tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
                 continue;
             };
             let _ = stream.set_nodelay(true);
@@ -126,7 +126,7 @@
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
             // One clock runs for the idle time and for the head that follows.
-            .header_read_timeout(limits.idle + limits.head_wait)
+            .header_read_timeout(limits.idle + limits.head_timeout)
             .max_buf_size(limits.head_max.max(consts::MIN_HEAD_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
--- a/crates/runtime/src/http/client.rs
+++ b/crates/runtime/src/http/client.rs
@@ -21,13 +21,13 @@
 #[derive(Debug, Error)]
 pub enum HttpError {
     /// There is no connection: not a byte was sent.
-    #[error("unreachable: {}", source_text(.0.as_ref()))]
+    #[error("unreachable: {}", error_chain(.0.as_ref()))]
     Unreachable(#[source] BoxError),
     /// A connection was not there in time: not a byte was sent.
     #[error("unreachable: no wire in time")]
     ConnectTimedOut,
     /// The connection ended before the response's head came.
-    #[error("cut short: {}", source_text(.0.as_ref()))]
+    #[error("cut short: {}", error_chain(.0.as_ref()))]
     Interrupted(#[source] BoxError),
     /// The connection ended before the response's body did.
     #[error("cut short: {0}")]
@@ -113,7 +113,7 @@
 }
 
 /// An error with all that caused it.
-pub fn source_text(error: &dyn std::error::Error) -> String {
+pub fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
     while let Some(error) = cause {
--- a/crates/runtime/src/leaf_connections.rs
+++ b/crates/runtime/src/leaf_connections.rs
@@ -77,24 +77,24 @@
     }
 
     /// Sends work to a leaf. On a new connection `greeting` goes first, and only if
-    /// `fits` its response does the work follow.
+    /// `is_expected` its response does the work follow.
     pub async fn exchange(
         &self,
         leaf: LeafAddress,
         greeting: impl Fn() -> Request<Full<Bytes>>,
-        fits: impl Fn(&Response<Bytes>) -> bool,
+        is_expected: impl Fn(&Response<Bytes>) -> bool,
         mut work: Request<Full<Bytes>>,
         limit: usize,
     ) -> Result<Exchange, HttpError> {
         loop {
-            let (mut connection, fresh) = match self.take_idle(&leaf).await {
+            let (mut connection, is_new) = match self.take_idle(&leaf).await {
                 Some(connection) => (connection, false),
                 None => (dial(leaf.address).await?, true),
             };
-            if fresh {
+            if is_new {
                 let response = connection.send_request(greeting()).await.map_err(interrupted)?;
                 let response = read_framed_response(response, limit).await?;
-                if !fits(&response) {
+                if !is_expected(&response) {
                     return Ok(Exchange::Declined(response));
                 }
                 connection.ready().await.map_err(interrupted)?;
@@ -108,7 +108,7 @@
                 }
                 Err(mut e) => match e.take_message() {
                     // An unused connection had ended; not a byte of the work has left.
-                    Some(unsent) if !fresh => work = unsent,
+                    Some(unsent) if !is_new => work = unsent,
                     _ => return Err(interrupted(e.into_error())),
                 },
             }
@@ -116,20 +116,20 @@
     }
 
     /// Sends work that names its leaf itself, so that whoever else answers there
-    /// rejects it: a new connection needs no greeting. `fits` tells whether a response
+    /// rejects it: a new connection needs no greeting. `is_expected` tells whether a response
     /// belongs to this work; a connection that brought another one is not used again.
     pub async fn forward(
         &self,
         leaf: LeafAddress,
         mut work: Request<Full<Bytes>>,
         options: ForwardOptions,
-        fits: impl Fn(&Response<Bytes>) -> bool,
+        is_expected: impl Fn(&Response<Bytes>) -> bool,
     ) -> Result<Response<Bytes>, HttpError> {
         loop {
             // A kept connection may end just as it is used: what may run once only does
             // not go out on one.
             let kept = if options.once { None } else { self.take_idle(&leaf).await };
-            let (mut connection, fresh) = match kept {
+            let (mut connection, is_new) = match kept {
                 Some(connection) => (connection, false),
                 None => (dial_in_time(leaf.address).await?, true),
             };
@@ -139,7 +139,7 @@
                     let response = read_framed_response(response, options.reply_limit).await?;
                     if let Some(expires) = expires
                         && options.keep
-                        && fits(&response)
+                        && is_expected(&response)
                     {
                         self.keep(leaf, IdleConnection { connection, expires });
                     }
@@ -147,7 +147,7 @@
                 }
                 Err(mut e) => match e.take_message() {
                     // An unused connection had ended; not a byte of the work has left.
-                    Some(unsent) if !fresh => work = unsent,
+                    Some(unsent) if !is_new => work = unsent,
                     Some(_) => return Err(HttpError::Unreachable(e.into_error().into())),
                     None => return Err(interrupted(e.into_error())),
                 },
@@ -169,18 +169,18 @@
         }
     }
 
-    fn keep(&self, leaf: LeafAddress, unused: IdleConnection) {
+    fn keep(&self, leaf: LeafAddress, idle_connection: IdleConnection) {
         let mut idle = self.idle.borrow_mut();
         if !idle.contains_key(&leaf) {
             // A new leaf: forget those whose connections have all ended.
             idle.retain(|_, list| {
-                list.retain(|unused| !unused.connection.is_closed());
+                list.retain(|idle_connection| !idle_connection.connection.is_closed());
                 !list.is_empty()
             });
         }
         let list = idle.entry(leaf).or_default();
-        if list.len() < self.idle_max && !unused.connection.is_closed() {
-            list.push(unused);
+        if list.len() < self.idle_max && !idle_connection.connection.is_closed() {
+            list.push(idle_connection);
         }
     }
 }
--- a/crates/runtime/src/log_buffer.rs
+++ b/crates/runtime/src/log_buffer.rs
@@ -19,13 +19,13 @@
 
 /// The subscriber that fills the buffers.
 struct LogBuffer {
-    began: Instant,
+    started_at: Instant,
 }
 
 /// Installs the buffers for all threads of this process.
 pub fn install() {
     // Fails only if one is installed already, and then that one serves.
-    let _ = tracing::subscriber::set_global_default(LogBuffer { began: Instant::now() });
+    let _ = tracing::subscriber::set_global_default(LogBuffer { started_at: Instant::now() });
 }
 
 struct Line(String);
@@ -53,7 +53,7 @@
     fn record_follows_from(&self, _: &span::Id, _: &span::Id) {}
 
     fn event(&self, event: &Event<'_>) {
-        let at = self.began.elapsed().as_millis();
+        let at = self.started_at.elapsed().as_millis();
         let mut line = Line(format!("{at:>8} ms {}", event.metadata().level()));
         event.record(&mut line);
         let level = *event.metadata().level();
@@ -63,10 +63,7 @@
             }
             lines.push_back(line.0);
             if level <= Level::WARN {
-                write_out(
-                    lines,
-                    if level == Level::ERROR { Extent::Buffer } else { Extent::LastLine },
-                );
+                flush(lines, if level == Level::ERROR { Extent::Buffer } else { Extent::LastLine });
             }
         });
     }
@@ -83,7 +80,7 @@
 }
 
 /// Writes the last line, or the whole buffer and empties it; a closed stderr is ignored.
-fn write_out(lines: &mut VecDeque<String>, extent: Extent) {
+fn flush(lines: &mut VecDeque<String>, extent: Extent) {
     let mut err = std::io::stderr().lock();
     match extent {
         Extent::Buffer => {
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -27,7 +27,7 @@
 
 /// Wait after a failed `accept`: out of file handles, most likely, so some time to
 /// recover.
-const ACCEPT_PAUSE: Duration = Duration::from_millis(50);
+const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
 /// What each connection that we open begins with.
 #[derive(Clone, Debug)]
@@ -51,7 +51,7 @@
     },
     /// The peer belongs to another fleet.
     #[error("wire from {address}: it belongs to another fleet")]
-    OtherFleet {
+    OtherCluster {
         /// Where it is.
         address: SocketAddr,
     },
@@ -121,11 +121,11 @@
     events: UnboundedSender<ConnectionEvent<T>>,
 ) -> MessageSender {
     let (queue, queued) = channel(MAX_QUEUED_PEER_MESSAGES);
-    tokio::task::spawn_local(keep_dialled(address, greeting, tag, events, queued));
+    tokio::task::spawn_local(maintain_connection(address, greeting, tag, events, queued));
     MessageSender { queue }
 }
 
-async fn keep_dialled<T: Clone + 'static>(
+async fn maintain_connection<T: Clone + 'static>(
     address: SocketAddr,
     greeting: Greeting,
     tag: T,
@@ -138,7 +138,7 @@
             tokio::time::timeout(duration(PEER_CONNECT_TIMEOUT), TcpStream::connect(address)).await;
         if let Ok(Ok(stream)) = dialled {
             backoff = RECONNECT_BACKOFF_MIN;
-            set_options(&stream);
+            set_socket_options(&stream);
             let (read, write) = stream.into_split();
             // What waited for a dead connection is out of date.
             while queued.try_recv().is_ok() {}
@@ -149,7 +149,7 @@
             let Greeting { identity, fleet } = greeting.clone();
             let hello = frame::encode(&Message::Hello { who: identity, cluster_hash: fleet });
             tokio::select! {
-                end = reading => report(&events, address, end),
+                end = reading => report_unreadable(&events, address, end),
                 _ = write_messages(write, &mut queued, Some(hello)) => {}
             }
         }
@@ -163,12 +163,12 @@
 
 /// No waiting for more to send, and an end to a connection whose other machine is
 /// gone without a word. A system that knows neither option works without.
-fn set_options(stream: &TcpStream) {
+fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(duration(TCP_USER_TIMEOUT)));
 }
 
-fn report<T>(
+fn report_unreadable<T>(
     events: &UnboundedSender<ConnectionEvent<T>>,
     address: SocketAddr,
     end: Result<(), FrameError>,
@@ -188,14 +188,14 @@
     let mut connection = 0u64;
     loop {
         let Ok((stream, address)) = listener.accept().await else {
-            tokio::time::sleep(ACCEPT_PAUSE).await;
+            tokio::time::sleep(ACCEPT_RETRY_DELAY).await;
             continue;
         };
         if events.is_closed() {
             return;
         }
         connection += 1;
-        set_options(&stream);
+        set_socket_options(&stream);
         tokio::task::spawn_local(serve_accepted(
             stream,
             address,
@@ -220,7 +220,7 @@
     let reading = read_messages(read, move |message| {
         let event = match (&peer, message) {
             (None, Message::Hello { cluster_hash: other, .. }) if other != fleet => {
-                let error = ConnectionError::OtherFleet { address };
+                let error = ConnectionError::OtherCluster { address };
                 let _ = owner.send(ConnectionEvent::Failed { error });
                 return false;
             }
@@ -240,7 +240,7 @@
         owner.send(event).is_ok()
     });
     tokio::select! {
-        end = reading => report(&events, address, end),
+        end = reading => report_unreadable(&events, address, end),
         _ = write_messages(write, &mut queued, None) => {}
     }
     let _ = events.send(ConnectionEvent::Closed { connection });
@@ -280,20 +280,20 @@
 ) {
     let mut small: VecDeque<Vec<u8>> = VecDeque::new();
     let mut large: VecDeque<Vec<u8>> = VecDeque::new();
-    let sort = |small: &mut VecDeque<_>, large: &mut VecDeque<_>, bytes: Vec<u8>| {
+    let enqueue = |small: &mut VecDeque<_>, large: &mut VecDeque<_>, bytes: Vec<u8>| {
         let lane = if Lane::for_length(bytes.len()) == Lane::Small { small } else { large };
         lane.extend(frame::split(&bytes));
     };
     if let Some(bytes) = first {
-        sort(&mut small, &mut large, bytes);
+        enqueue(&mut small, &mut large, bytes);
     }
     loop {
         while let Ok(bytes) = queued.try_recv() {
-            sort(&mut small, &mut large, bytes);
+            enqueue(&mut small, &mut large, bytes);
         }
         let Some(piece) = small.pop_front().or_else(|| large.pop_front()) else {
             match queued.recv().await {
-                Some(bytes) => sort(&mut small, &mut large, bytes),
+                Some(bytes) => enqueue(&mut small, &mut large, bytes),
                 None => return,
             }
             continue;
--- a/crates/runtime/src/reload.rs
+++ b/crates/runtime/src/reload.rs
@@ -17,7 +17,7 @@
     /// Nothing where signals can't be had; then only the looks tell.
     hangup: Option<Signal>,
     seen: Option<FileVersion>,
-    next_look: Instant,
+    next_poll: Instant,
 }
 
 /// What tells one version of a file from another.
@@ -34,8 +34,8 @@
     pub fn new(path: Option<&str>) -> SettingsWatch {
         let path = path.map(PathBuf::from);
         let seen = path.as_ref().and_then(version);
-        let next_look = Instant::now() + duration(SETTINGS_POLL_INTERVAL);
-        SettingsWatch { path, hangup: signal(SignalKind::hangup()).ok(), seen, next_look }
+        let next_poll = Instant::now() + duration(SETTINGS_POLL_INTERVAL);
+        SettingsWatch { path, hangup: signal(SignalKind::hangup()).ok(), seen, next_poll }
     }
 
     /// Waits until the settings should be read again. Safe to drop and call anew.
@@ -52,8 +52,8 @@
                     self.seen = self.path.as_ref().and_then(version);
                     return;
                 }
-                _ = tokio::time::sleep_until(self.next_look), if self.path.is_some() => {
-                    self.next_look = Instant::now() + duration(SETTINGS_POLL_INTERVAL);
+                _ = tokio::time::sleep_until(self.next_poll), if self.path.is_some() => {
+                    self.next_poll = Instant::now() + duration(SETTINGS_POLL_INTERVAL);
                     let now = self.path.as_ref().and_then(version);
                     if now.is_some() && now != self.seen {
                         self.seen = now;
--- a/crates/runtime/src/settings/reader.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -189,7 +189,7 @@
     }
 
     /// Yes or no: `true` or `false`.
-    pub fn yes_or_no(&mut self, name: &'static str, default: bool) -> bool {
+    pub fn boolean(&mut self, name: &'static str, default: bool) -> bool {
         match self.value(name) {
             None => default,
             Some((_, val)) if val == "true" => true,
--- a/crates/server/src/controller/disk_wait.rs
+++ b/crates/server/src/controller/disk_wait.rs
@@ -31,15 +31,15 @@
     operators: &TcpListener,
 ) -> Result<Option<OpenDisk>, ControllerError> {
     match startup::open(settings) {
-        Err(error) if error.is_out_of_room() => {
+        Err(error) if error.is_out_of_space() => {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-            runtime.block_on(wait_for_room(settings, operators, error))
+            runtime.block_on(wait_for_space(settings, operators, error))
         }
         opened => opened.map(Some),
     }
 }
 
-async fn wait_for_room(
+async fn wait_for_space(
     settings: &Settings,
     operators: &TcpListener,
     first: ControllerError,
@@ -61,7 +61,7 @@
             () = tokio::time::sleep(RETRY) => {}
         }
         match startup::open(settings) {
-            Err(error) if error.is_out_of_room() => {
+            Err(error) if error.is_out_of_space() => {
                 reason.send_replace(error.to_string());
             }
             opened => break opened.map(Some),
--- a/crates/server/src/controller/error.rs
+++ b/crates/server/src/controller/error.rs
@@ -2,7 +2,7 @@
 
 use std::path::PathBuf;
 
-use grebepath_runtime::disk::error::{StorageError, is_out_of_room};
+use grebepath_runtime::disk::error::{StorageError, is_out_of_space};
 use thiserror::Error;
 
 /// Why the controller could not start or go on.
@@ -31,10 +31,10 @@
 
 impl ControllerError {
     /// Whether the disk has no room: the same may go well later.
-    pub fn is_out_of_room(&self) -> bool {
+    pub fn is_out_of_space(&self) -> bool {
         match self {
-            ControllerError::Storage(error) => error.is_out_of_room(),
-            ControllerError::Io(error) => is_out_of_room(error),
+            ControllerError::Storage(error) => error.is_out_of_space(),
+            ControllerError::Io(error) => is_out_of_space(error),
             _ => false,
         }
     }
--- a/crates/server/src/controller/settings.rs
+++ b/crates/server/src/controller/settings.rs
@@ -130,7 +130,7 @@
             inner,
             advertised: inner,
             seeds,
-            first: reader.yes_or_no("first", false),
+            first: reader.boolean("first", false),
             slots: reader.number("seats", 1, slots_max, Some(2 * losses + 1)) as usize,
             platform_api,
             data: PathBuf::from(reader.text("data", None)),
--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -223,7 +223,7 @@
         self.forwarding.limits.set(ListenerLimits {
             head_max: size(client_limits.head_max, default.head_max),
             body_max: size(client_limits.body_max, default.body_max),
-            head_wait: time(client_limits.head_wait_ms, default.head_wait),
+            head_timeout: time(client_limits.head_wait_ms, default.head_timeout),
             idle: time(client_limits.idle_ms, default.idle),
         });
     }
