--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -35,7 +35,7 @@
     /// Who we are.
     pub identity: PeerIdentity,
     /// The fleet we belong to; peers of another one are not listened to.
-    pub fleet: u64,
+    pub cluster_hash: u64,
 }
 
 /// Why a connection was given up.
@@ -146,8 +146,8 @@
             let reading = read_messages(read, move |message| {
                 owner.send(ConnectionEvent::Received { tag: tag.clone(), message }).is_ok()
             });
-            let Greeting { identity, fleet } = greeting.clone();
-            let hello = frame::encode(&Message::Hello { who: identity, cluster_hash: fleet });
+            let Greeting { identity, cluster_hash } = greeting.clone();
+            let hello = frame::encode(&Message::Hello { who: identity, cluster_hash });
             tokio::select! {
                 end = reading => report_unreadable(&events, address, end),
                 _ = write_messages(write, &mut queued, Some(hello)) => {}
@@ -182,7 +182,7 @@
 /// Takes connections that others open, until the owner is gone.
 pub async fn accept<T: 'static>(
     listener: TcpListener,
-    fleet: u64,
+    cluster_hash: u64,
     events: UnboundedSender<ConnectionEvent<T>>,
 ) {
     let mut connection = 0u64;
@@ -200,7 +200,7 @@
             stream,
             address,
             connection,
-            fleet,
+            cluster_hash,
             events.clone(),
         ));
     }
@@ -210,7 +210,7 @@
     stream: TcpStream,
     address: SocketAddr,
     connection: u64,
-    fleet: u64,
+    cluster_hash: u64,
     events: UnboundedSender<ConnectionEvent<T>>,
 ) {
     let (read, write) = stream.into_split();
@@ -219,7 +219,7 @@
     let owner = events.clone();
     let reading = read_messages(read, move |message| {
         let event = match (&peer, message) {
-            (None, Message::Hello { cluster_hash: other, .. }) if other != fleet => {
+            (None, Message::Hello { cluster_hash: other, .. }) if other != cluster_hash => {
                 let error = ConnectionError::OtherCluster { address };
                 let _ = owner.send(ConnectionEvent::Failed { error });
                 return false;
--- a/crates/runtime/src/settings/reader.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -142,7 +142,7 @@
 
     /// The number of a fleet: of its name, which all its processes must share; of
     /// `grebe`, if it has none. Not of the seeds: these may differ.
-    pub fn fleet_id(&mut self) -> u64 {
+    pub fn cluster_hash(&mut self) -> u64 {
         grebepath_core::digest::hash(&self.optional_text("fleet").unwrap_or_else(|| "grebe".into()))
     }
 
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -48,7 +48,7 @@
         events: UnboundedSender<ConnectionEvent<SocketAddr>>,
     ) -> ControllerIo {
         let own = Some(settings.advertised);
-        let greeting = Greeting { identity: identity(state), fleet: settings.fleet };
+        let greeting = Greeting { identity: identity(state), cluster_hash: settings.cluster_hash };
         let mut io = ControllerIo {
             controllers: Connections::new(own, &settings.seeds, greeting, |addr| addr, events),
             wakes: 0,
--- a/crates/server/src/controller/controller_thread.rs
+++ b/crates/server/src/controller/controller_thread.rs
@@ -58,7 +58,7 @@
     // Without a bound of its own: see `Connections::new`.
     let (events, mut connection_events) = unbounded_channel();
     let (settings, clock) = (start.settings, start.clock);
-    tokio::task::spawn_local(accept(listener, settings.fleet, events.clone()));
+    tokio::task::spawn_local(accept(listener, settings.cluster_hash, events.clone()));
     let address = settings.advertised.to_string();
     let place = (address.as_str(), settings.zone.as_str());
     let state = ControllerState::new(start.voter_file, place, start.replicas, nonce(), clock.now());
--- a/crates/server/src/controller/settings.rs
+++ b/crates/server/src/controller/settings.rs
@@ -83,7 +83,7 @@
     /// The folder of its files.
     pub data: PathBuf,
     /// The fleet it belongs to; a number that all its processes share.
-    pub fleet: u64,
+    pub cluster_hash: u64,
     /// How operators speak beside our own interface.
     pub platform_api: Option<&'static PlatformApi>,
     /// The file that these came from.
@@ -124,7 +124,7 @@
         let losses = reader.number("bear", 0, (slots_max - 1) / 2, Some(DEFAULT_VOTER_SLOTS / 2));
         Settings {
             slot,
-            fleet: reader.fleet_id(),
+            cluster_hash: reader.cluster_hash(),
             zone: reader.name("zone"),
             listen: reader.address("listen"),
             inner,
--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -50,7 +50,7 @@
 /// Connections, the traffic threads, and whoever follows what this node knows.
 pub struct MembershipIo {
     name: String,
-    fleet: u64,
+    cluster_hash: u64,
     controllers: Connections<Tag>,
     /// Wakes so far.
     wakes: u32,
@@ -81,7 +81,7 @@
         events: UnboundedSender<ConnectionEvent<Tag>>,
     ) -> MembershipIo {
         let identity = PeerIdentity::Member(settings.name.clone());
-        let greeting = Greeting { identity, fleet: settings.fleet };
+        let greeting = Greeting { identity, cluster_hash: settings.cluster_hash };
         let http = HttpClient::new(IDLE_CONNECTIONS);
         let list = LeafList {
             address: settings.list,
@@ -91,7 +91,7 @@
         let tag = Tag::Controller;
         MembershipIo {
             name: settings.name.clone(),
-            fleet: settings.fleet,
+            cluster_hash: settings.cluster_hash,
             controllers: Connections::new(None, &settings.seeds, greeting, tag, events.clone()),
             wakes: 0,
             members: HashMap::new(),
@@ -259,7 +259,7 @@
         let known = self.members.get(&name).is_some_and(|(known, _)| *known == address);
         if !known {
             let identity = PeerIdentity::Member(self.name.clone());
-            let greeting = Greeting { identity, fleet: self.fleet };
+            let greeting = Greeting { identity, cluster_hash: self.cluster_hash };
             let tag = Tag::Member(name.clone());
             let sender = dial(address, greeting, tag, self.events.clone());
             self.members.insert(name.clone(), (address, sender));
--- a/crates/server/src/querier/membership_thread.rs
+++ b/crates/server/src/querier/membership_thread.rs
@@ -66,7 +66,7 @@
     let listener = tokio::net::TcpListener::from_std(listener)?;
     // Without a bound of its own: see `Connections::new`.
     let (events, mut connection_events) = unbounded_channel();
-    tokio::task::spawn_local(accept(listener, settings.fleet, events.clone()));
+    tokio::task::spawn_local(accept(listener, settings.cluster_hash, events.clone()));
     let me = Member {
         name: settings.name.clone(),
         addr: settings.advertise.unwrap_or(bound).to_string(),
--- a/crates/server/src/querier/settings.rs
+++ b/crates/server/src/querier/settings.rs
@@ -97,7 +97,7 @@
     /// Where the other members reach it, if that is another address.
     pub advertise: Option<SocketAddr>,
     /// The fleet it belongs to; a number that all its processes share.
-    pub fleet: u64,
+    pub cluster_hash: u64,
     /// Inner addresses of controllers, any that are likely to be up.
     pub seeds: Vec<SocketAddr>,
     /// Where the platform serves its list of leafs.
@@ -146,7 +146,7 @@
         let platform_api = reader.platform_api(&platform::DIALECT);
         let settings = Settings {
             name: reader.name("name"),
-            fleet: reader.fleet_id(),
+            cluster_hash: reader.cluster_hash(),
             advertise: reader.optional_address("advertise"),
             zone: reader.name("zone"),
             listen: reader.address("listen"),
--- a/crates/server/tests/connections.rs
+++ b/crates/server/tests/connections.rs
@@ -40,12 +40,14 @@
         let (tx, mut rx) = tokio::sync::mpsc::unbounded_channel::<ConnectionEvent<u8>>();
         let task = tokio::task::spawn_local(accept(listener, 7, tx));
         let (dial_tx, _dial_rx) = tokio::sync::mpsc::unbounded_channel();
-        let stranger = dial(addr, Greeting { identity: seat(1), fleet: 8 }, 1u8, dial_tx.clone());
+        let stranger =
+            dial(addr, Greeting { identity: seat(1), cluster_hash: 8 }, 1u8, dial_tx.clone());
         stranger.send(&follow(1));
         let Some(ConnectionEvent::Failed { error }) = rx.recv().await else { panic!("taken") };
         expect_that!(error.to_string(), contains_substring("another fleet"));
         drop(stranger);
-        let ours = dial(addr, Greeting { identity: seat(2), fleet: 7 }, 2u8, dial_tx.clone());
+        let ours =
+            dial(addr, Greeting { identity: seat(2), cluster_hash: 7 }, 2u8, dial_tx.clone());
         let mut connections = Vec::new();
         // The stranger may have dialled again before it was dropped.
         while connections.len() < 2 {
