--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,53 +1,53 @@
-//! The process's clock as ticks. It counts the time for which the machine
-//! slept: a machine that wakes must find its leases and terms as old as they are
-//! for everyone else. A wall clock that jumps does not move it.
+//! The process clock, in ticks. It includes the time that the machine was suspended, so that a
+//! machine that resumes sees its leases and terms at the age that all other machines see. Jumps of
+//! the wall clock don't affect it.
 
 use std::time::Duration;
 
 use grebepath_core::time::{BOOT, Span, Tick};
 use rustix::time::{ClockId, clock_gettime};
 
-/// Where this process's time began. Copied to every thread, so that all count
-/// from the same point.
+/// The start of this process's time scale. Each thread has a copy, so that all threads count from
+/// the same instant.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
-    /// Time since the machine was started, at the moment of [`BOOT`].
+    /// Time from the start of the machine to [`BOOT`].
     origin: Duration,
 }
 
 impl Clock {
-    /// A clock that begins now, at [`BOOT`].
-    #[allow(clippy::new_without_default)] // Each call begins another time scale.
+    /// Creates a clock that starts now, at [`BOOT`].
+    #[allow(clippy::new_without_default)] // Each call starts another time scale.
     pub fn new() -> Clock {
         Clock { origin: time_since_boot() }
     }
 
-    /// The time by this clock, in microseconds after its beginning.
+    /// Returns the current time in microseconds since the clock's start.
     pub fn now(&self) -> Tick {
         BOOT + time_since_boot().saturating_sub(self.origin).as_micros() as Tick
     }
 
-    /// The instant of a tick, for the runtime's timers. They do not count sleep, so
-    /// after a sleep they come late by at most what was left of them; who acts then
-    /// asks the clock again.
+    /// Converts a tick to an instant for the runtime's timers. These don't count the time that the
+    /// machine was suspended, so after a suspension a timer fires late, by at most the time that it
+    /// had left. Code that runs on a timer must read the clock again.
     pub fn instant(&self, at: Tick) -> tokio::time::Instant {
         tokio::time::Instant::now() + duration(at.saturating_sub(self.now()))
     }
 }
 
-/// Time since the machine was started, its sleep included.
+/// Returns the time since the machine was started, including the time it was suspended.
 fn time_since_boot() -> Duration {
     let time = clock_gettime(ClockId::Boottime);
     Duration::new(time.tv_sec as u64, time.tv_nsec as u32)
 }
 
-/// A span (microseconds) for the runtime's timers.
+/// Converts a span (microseconds) for the runtime's timers.
 pub fn duration(span: Span) -> Duration {
     Duration::from_micros(span)
 }
 
-/// A number that differs with each call and each start of a process. It names
-/// incarnations and seeds random numbers, and decides nothing about time.
+/// Returns a random number that differs between calls and between starts of a process. It
+/// identifies incarnations and seeds random generators.
 pub fn nonce() -> u64 {
     use std::hash::{BuildHasher, Hasher};
     let mut hash = std::collections::hash_map::RandomState::new().build_hasher();
--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to the controllers: one to each holder that the voter set names, and
-//! to the seeds while nothing better is known.
+//! Connections to the controllers: one to each holder of a voter slot, and to the seeds as long as
+//! the voter set is unknown or out of reach.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,23 +13,24 @@
 
 use crate::peer_connection::{ConnectionEvent, Greeting, MessageSender, dial};
 
-/// How long a seed may take to say who it is before addresses of the voter set are
-/// dialled beside it: a seed's own address may be only a way to the holder's.
+/// Time for a seed to identify itself before the addresses in the voter set are dialled as well. A
+/// seed and a slot holder may be the same controller under two addresses, for example behind a
+/// proxy.
 const SEED_GREETING_TIMEOUT: Duration = Duration::from_millis(800);
-/// Without a message from anyone for this long the seeds are tried again: all whom
-/// we know may have been replaced meanwhile.
+/// Time without any message after which the seeds are dialled again: all known controllers may have
+/// been replaced.
 const SEED_FALLBACK_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The connections that a process keeps to controllers. Dropping one ends its task.
+/// The connections that a process keeps to controllers. Dropping a connection ends its task.
 ///
-/// Invariant: `holder` of a connection is what its other end last said of itself;
-/// zero before that.
+/// Invariant: `holder` of a connection is the replica id that its peer last reported, or zero before
+/// the first report.
 pub struct Connections<T> {
-    /// Our own address, if we are a controller: never dialled.
+    /// The address of this process if it is a controller. It is never dialled.
     own_address: Option<SocketAddr>,
     seeds: Vec<SocketAddr>,
     greeting: Greeting,
-    /// The tag under which messages of an address reach the owner.
+    /// Maps an address to the tag of its events.
     tag: fn(SocketAddr) -> T,
     events: UnboundedSender<ConnectionEvent<T>>,
     by_address: HashMap<SocketAddr, Connection>,
@@ -43,10 +44,10 @@
 }
 
 impl<T: Clone + 'static> Connections<T> {
-    /// No connections yet; [`Connections::arrange`] begins with the seeds.
+    /// Creates an empty set of connections. [`Connections::arrange`] dials the seeds first.
     ///
-    /// `events` has no bound: a peer's messages come no faster than its connection
-    /// carries them, and the owner handles each at once.
+    /// `events` is unbounded: the connections' bandwidth limits the rate of the messages, and the
+    /// receiver handles each of them immediately.
     pub fn new(
         own_address: Option<SocketAddr>,
         seeds: &[SocketAddr],
@@ -69,16 +70,16 @@
         connections
     }
 
-    /// Takes up other seeds: those that we began with may all be gone by now. They are dialled
-    /// at the next [`Connections::arrange`] that needs any.
+    /// Replaces the seeds, since all of the initial ones may have been removed. The new seeds are
+    /// dialled at the next [`Connections::arrange`] that needs seeds.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
         self.seeds = seeds.iter().copied().filter(|seed| Some(*seed) != self.own_address).collect();
     }
 
-    /// Opens the connections that the voter set asks for and drops the others.
+    /// Opens the missing connections to the holders in the voter set, and drops all others.
     pub fn arrange(&mut self, identity: PeerIdentity, voters: &VoterSet) {
         if identity != self.greeting.identity {
-            // Each connection begins with who we are.
+            // The greeting of a connection carries the identity, so all must be opened again.
             self.by_address.clear();
             self.greeting.identity = identity;
         }
@@ -93,7 +94,7 @@
         }
     }
 
-    /// The addresses to which there should be a connection.
+    /// Returns the addresses that should have a connection.
     fn wanted(&self, voters: &VoterSet) -> Vec<SocketAddr> {
         let held: Vec<&SlotHolder> = voters.slots.iter().filter(|slot| slot.holder != 0).collect();
         let is_isolated = self.last_message.elapsed() >= SEED_FALLBACK_TIMEOUT;
@@ -114,12 +115,12 @@
         wanted
     }
 
-    /// Whether nobody has said yet who is at an address.
+    /// Whether the peer at an address has not identified itself yet.
     fn is_unidentified(&self, address: &SocketAddr) -> bool {
         self.by_address.get(address).is_none_or(|connection| connection.holder == 0)
     }
 
-    /// The address at which a holder has said that it is there.
+    /// Returns the address at which a holder has identified itself.
     fn address_of(&self, holder: u64) -> Option<SocketAddr> {
         let mut all = self.by_address.iter();
         all.find(|(_, connection)| connection.holder == holder).map(|(address, _)| *address)
@@ -127,8 +128,8 @@
 }
 
 impl<T> Connections<T> {
-    /// Notes a message that came on the connection that we keep to an address. Gives
-    /// the holder that it said it is, or zero.
+    /// Records a message received on the connection to an address. Returns the replica id that the
+    /// peer has reported, or zero.
     pub fn note_message(&mut self, address: SocketAddr, message: &Message) -> u64 {
         let Some(connection) = self.by_address.get_mut(&address) else { return 0 };
         self.last_message = Instant::now();
@@ -138,13 +139,14 @@
         connection.holder
     }
 
-    /// Notes that a voter spoke to us on a connection that it opened: we are not lost.
+    /// Records a message from a voter on a connection that the voter opened. It shows that this
+    /// process is not isolated.
     pub fn note_contact(&mut self) {
         self.last_message = Instant::now();
     }
 
-    /// Sends to the holder of a voter slot; drops the message when there is no
-    /// connection to it.
+    /// Sends a message to the holder of a voter slot. Drops it if there is no connection to the
+    /// holder.
     pub fn send_to_voter(&self, voters: &VoterSet, slot: VoterSlot, message: &Message) {
         let Some(slot) = voters.slots.get(usize::from(slot)).filter(|slot| slot.holder != 0) else {
             return;
@@ -159,7 +161,7 @@
         }
     }
 
-    /// Sends on every connection.
+    /// Sends a message on every connection.
     pub fn broadcast(&self, message: &Message) {
         for connection in self.by_address.values() {
             connection.sender.send(message);
--- a/crates/runtime/src/disk/data_folder.rs
+++ b/crates/runtime/src/disk/data_folder.rs
@@ -1,5 +1,4 @@
-//! The data folder as a whole: its lock, the voter file, and reads and writes that
-//! last.
+//! The data folder: its lock, the voter file, and durable reads and writes.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{ErrorKind, Write};
@@ -10,11 +9,11 @@
 
 use super::error::{FileOperation, StorageError, WithFile};
 
-/// The file that holds who this controller is and the voter set it knows.
+/// The file with the controller's identity and the voter set that it knows.
 const VOTER_FILE: &str = "seats";
 
-/// Takes the data folder for this process alone, as long as the file lives; makes it
-/// if it is not there.
+/// Locks the data folder for this process until the returned file is dropped. Creates the folder if
+/// it is missing.
 pub fn lock(data: &Path) -> Result<File, StorageError> {
     fs::create_dir_all(data).with_file(FileOperation::CreateFolder, data)?;
     let path = data.join("lock");
@@ -26,13 +25,14 @@
     }
 }
 
-/// Reads the voter file; a damaged one counts as none.
+/// Reads the voter file. A damaged file is treated as missing.
 pub fn read_voter_file(data: &Path) -> Result<Option<VoterFile>, StorageError> {
     let raw = read_if_present(&data.join(VOTER_FILE))?;
     Ok(raw.and_then(|raw| voter_file::read(&raw)))
 }
 
-/// Keeps the voter file: written beside the old one, synced, renamed over it.
+/// Replaces the voter file atomically: writes and syncs a new file, then renames it over the old
+/// one.
 pub fn write_voter_file(data: &Path, file: &VoterFile) -> Result<(), StorageError> {
     let new = data.join(format!("{VOTER_FILE}.new"));
     write_synced(&new, &voter_file::write(file))?;
@@ -40,7 +40,7 @@
     sync_folder(data)
 }
 
-/// A file's bytes, or nothing if there is no such file.
+/// Reads a file, or returns `None` if it does not exist.
 pub(super) fn read_if_present(path: &Path) -> Result<Option<Vec<u8>>, StorageError> {
     match fs::read(path) {
         Err(e) if e.kind() == ErrorKind::NotFound => Ok(None),
@@ -48,14 +48,14 @@
     }
 }
 
-/// Writes a file that lasts once its folder is synced too.
+/// Writes and syncs a file. It is durable once its folder is synced too.
 pub(super) fn write_synced(path: &Path, raw: &[u8]) -> Result<(), StorageError> {
     let mut file = File::create(path).with_file(FileOperation::Create, path)?;
     file.write_all(raw).with_file(FileOperation::Write, path)?;
     file.sync_all().with_file(FileOperation::Sync, path)
 }
 
-/// Makes names that were added to a folder or removed from it last.
+/// Syncs a folder, which makes added and removed names durable.
 pub(super) fn sync_folder(folder: &Path) -> Result<(), StorageError> {
     let opened = File::open(folder).with_file(FileOperation::Open, folder)?;
     opened.sync_all().with_file(FileOperation::Sync, folder)
--- a/crates/runtime/src/disk/error.rs
+++ b/crates/runtime/src/disk/error.rs
@@ -1,4 +1,4 @@
-//! What goes wrong with files.
+//! Errors of file operations.
 
 use std::fmt;
 use std::fs::TryLockError;
@@ -11,53 +11,53 @@
 /// Why a file could not be read or written.
 #[derive(Debug, Error)]
 pub enum StorageError {
-    /// The system refused it.
+    /// The operating system reported an error.
     #[error("can't {operation} {}: {source}", path.display())]
     Io {
-        /// What was tried.
+        /// The operation that failed.
         operation: FileOperation,
-        /// With which file or folder.
+        /// The file or folder.
         path: PathBuf,
-        /// What the system said.
+        /// The error of the operating system.
         source: std::io::Error,
     },
-    /// Nothing can be appended before the next snapshot is written.
-    #[error("no log is open since the last trouble")]
+    /// The log is closed. Nothing can be appended before the next snapshot is written.
+    #[error("the log is closed after a failure")]
     NoLog,
-    /// The data folder belongs to another process.
+    /// Another process holds the lock of the data folder.
     #[error("another process uses this data folder: {0}")]
     Locked(#[source] TryLockError),
 }
 
 impl StorageError {
-    /// Whether the disk has no room: the same may go well later.
+    /// Whether the disk is full. The operation may succeed later.
     pub fn is_out_of_space(&self) -> bool {
         matches!(self, StorageError::Io { source, .. } if is_out_of_space(source))
     }
 }
 
-/// Whether an error says that a disk has no room, or that a limit on files is reached.
+/// Whether an error says that a disk is full, or that a quota or a limit on file sizes is reached.
 pub fn is_out_of_space(error: &std::io::Error) -> bool {
     let kinds = [ErrorKind::StorageFull, ErrorKind::QuotaExceeded, ErrorKind::FileTooLarge];
     kinds.contains(&error.kind())
 }
 
-/// What is done with a file or a folder.
+/// An operation on a file or a folder.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum FileOperation {
-    /// A file is read.
+    /// Reads a file.
     Read,
-    /// A file is made.
+    /// Creates a file.
     Create,
-    /// A file is opened to be written.
+    /// Opens a file for writing.
     Open,
-    /// Bytes are written.
+    /// Writes bytes.
     Write,
-    /// A file, or the names in a folder, are made to last.
+    /// Makes a file, or the names in a folder, durable.
     Sync,
-    /// A file gets another name.
+    /// Renames a file.
     Rename,
-    /// A folder is made.
+    /// Creates a folder.
     CreateFolder,
 }
 
@@ -75,9 +75,9 @@
     }
 }
 
-/// Says which operation on which file a system's error belongs to.
+/// Adds the operation and the file to an error of the operating system.
 pub(super) trait WithFile<T> {
-    /// The result, with the operation and the file in its error.
+    /// Returns the result with the operation and the file in its error.
     fn with_file(self, operation: FileOperation, path: &Path) -> Result<T, StorageError>;
 }
 
@@ -87,19 +87,19 @@
     }
 }
 
-/// What a scrub found wrong with files that were written and synced.
+/// Why a scrub found that files differ from the data that was written and synced.
 #[derive(Debug, Error)]
 pub enum ScrubError {
-    /// They can't be read.
+    /// The files can't be read.
     #[error(transparent)]
     Unreadable(#[from] StorageError),
-    /// They are sound, and older than what was written.
-    #[error("what was written last is not there")]
+    /// The files are intact, but lack the last writes.
+    #[error("the last writes are missing")]
     Outdated,
-    /// There are none.
-    #[error("the files are gone")]
+    /// There are no files.
+    #[error("the files are missing")]
     Missing,
-    /// They are not what was written.
+    /// The files are corrupted.
     #[error(transparent)]
     Damaged(#[from] Damage),
 }
--- a/crates/runtime/src/disk/mod.rs
+++ b/crates/runtime/src/disk/mod.rs
@@ -1,5 +1,5 @@
-//! Files of a controller: replica snapshots and log of each partition, and the voter
-//! file, under one data folder. A file lasts only once it is synced, and its folder too.
+//! Files of a controller in its data folder: the snapshots and the log of each partition, and the
+//! voter file. A file is durable only once both the file and its folder are synced.
 
 pub mod data_folder;
 pub mod error;
--- a/crates/runtime/src/disk/partition_store.rs
+++ b/crates/runtime/src/disk/partition_store.rs
@@ -1,5 +1,5 @@
-//! One partition's files: two slots that hold snapshots in turn, and the log that
-//! follows the newer one.
+//! The files of one partition: two slots to which snapshots are written alternately, and the log of
+//! records after the newer snapshot.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{ErrorKind, Read, Write};
@@ -14,27 +14,26 @@
 use super::data_folder::{read_if_present, sync_folder, write_synced};
 use super::error::{FileOperation, ScrubError, StorageError, WithFile};
 
-/// The files of a partition, in the order in which the reader takes them.
+/// The files of a partition, in the order of the reader's parameters.
 const FILES: [&str; 3] = ["slot-0", "slot-1", "log"];
 
 /// The files of one partition.
 ///
-/// Invariant: `log` is open on the log that follows the snapshot of number `sequence`,
-/// or `None` after a failure or before the first snapshot; then only a new snapshot
-/// helps.
+/// Invariant: `log` is the open log after snapshot number `sequence`. It is `None` before the first
+/// snapshot and after a failure, until a new snapshot is written.
 pub struct PartitionStore {
     folder: PathBuf,
     partition: PartitionId,
-    /// Number of the newest snapshot; zero if there is none.
+    /// Number of the newest snapshot, or zero if there is none.
     sequence: u64,
     log: Option<File>,
-    /// Records in the log.
+    /// Number of records in the log.
     records: u32,
 }
 
 impl PartitionStore {
-    /// Reads a partition's folder, making it if it is not there. Damaged files are set
-    /// aside.
+    /// Reads a partition's folder, and creates it if it is missing. Moves damaged files to a
+    /// subfolder.
     pub fn open(
         data: &Path,
         partition: PartitionId,
@@ -46,19 +45,19 @@
         }
         let mut found = read_files(partition, |name| read_if_present(&folder.join(name)))?;
         if found == StoredReplica::Empty && folder.join("damaged-0").exists() {
-            // Set aside at an earlier start, and no snapshot was written since.
+            // The files were set aside at an earlier start, and no snapshot was written since.
             found = StoredReplica::Damaged(Damage::SetAside);
         }
         let sequence = match &found {
             StoredReplica::Intact { sequence: seq, .. } => *seq,
             StoredReplica::Empty => 0,
             StoredReplica::Damaged(_) => {
-                // Kept for whoever wants to look; new files begin beside them.
+                // The damaged files are kept for a later analysis.
                 set_aside(&folder)?;
                 0
             }
         };
-        // Appending begins only behind a snapshot of this incarnation.
+        // Records can be appended only after this incarnation has written a snapshot.
         Ok((PartitionStore { folder, partition, sequence, log: None, records: 0 }, found))
     }
 
@@ -67,7 +66,7 @@
         self.log.is_some()
     }
 
-    /// Appends a record; it lasts only after [`PartitionStore::sync`].
+    /// Appends a record. It is durable only after [`PartitionStore::sync`].
     pub fn append(&mut self, record: &LogRecord) -> Result<(), StorageError> {
         let Some(log) = &mut self.log else { return Err(StorageError::NoLog) };
         let raw = writer::record(self.sequence, self.records, record);
@@ -80,18 +79,19 @@
         Ok(())
     }
 
-    /// Syncs what was appended.
+    /// Syncs the appended records.
     pub fn sync(&mut self) -> Result<(), StorageError> {
         let Some(log) = &self.log else { return Err(StorageError::NoLog) };
         let synced = log.sync_data().with_file(FileOperation::Sync, &self.log_path());
         if synced.is_err() {
-            // What the kernel kept of it is unknown: never append behind it.
+            // It is unknown which of the bytes the kernel has written, so nothing may be appended
+            // to this log.
             self.log = None;
         }
         synced
     }
 
-    /// Writes a snapshot into the other slot and begins a new log.
+    /// Writes a snapshot into the older slot and starts a new log.
     pub fn write_snapshot(&mut self, state: &ReplicaState) -> Result<(), StorageError> {
         self.log = None;
         let sequence = self.sequence + 1;
@@ -114,10 +114,10 @@
         self.folder.join("log")
     }
 
-    /// Reads the files again, from the disk itself as far as the system lets us, and
-    /// compares them with what was written.
+    /// Reads the files again, bypassing the page cache where the system allows it, and compares them
+    /// with the data that was written.
     pub fn scrub(&self) -> Result<(), ScrubError> {
-        // After a failure, or before the first snapshot, nothing is promised.
+        // After a failure and before the first snapshot, the content of the files is undefined.
         if self.log.is_none() {
             return Ok(());
         }
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Sets the files aside: they are of a former incarnation, and must not count.
+    /// Moves the files of an earlier incarnation to a subfolder, where they are not read any more.
     pub fn set_aside(&mut self) -> Result<(), StorageError> {
         self.log = None;
         set_aside(&self.folder)?;
@@ -152,7 +152,7 @@
     data.join(format!("part-{}", partition.0))
 }
 
-/// What the files hold, each read by `read_file`.
+/// Decodes the partition's files, each of which `read_file` reads.
 fn read_files(
     partition: PartitionId,
     read_file: impl Fn(&str) -> Result<Option<Vec<u8>>, StorageError>,
@@ -162,20 +162,21 @@
     Ok(read(partition.0, [zero.as_deref(), one.as_deref()], log.as_deref()))
 }
 
-/// A file's bytes as the disk has them, or nothing if there is no such file.
+/// Reads a file from the disk rather than from the page cache, or returns `None` if it does not
+/// exist.
 fn read_uncached(path: &Path) -> Result<Option<Vec<u8>>, StorageError> {
     let mut file = match File::open(path) {
         Err(e) if e.kind() == ErrorKind::NotFound => return Ok(None),
         opened => opened.with_file(FileOperation::Read, path)?,
     };
-    // Pages in memory would hide what has become of the disk.
+    // Cached pages would hide corruption on the disk.
     let _ = rustix::fs::fadvise(&file, 0, None, rustix::fs::Advice::DontNeed);
     let mut raw = Vec::new();
     file.read_to_end(&mut raw).with_file(FileOperation::Read, path)?;
     Ok(Some(raw))
 }
 
-/// Moves a partition's files into a new folder beside them.
+/// Moves a partition's files into a new subfolder.
 fn set_aside(folder: &Path) -> Result<(), StorageError> {
     let mut number = 0;
     let mut target = folder.join("damaged-0");
--- a/crates/runtime/src/forwarding_server.rs
+++ b/crates/runtime/src/forwarding_server.rs
@@ -1,6 +1,5 @@
-//! The listener for calls that are forwarded unchanged: HTTP/1.1 by library, any host
-//! and any path, heads and bodies as they come, within the limits that the
-//! configuration sets.
+//! The listener for calls that are forwarded unchanged. It accepts HTTP/1.1 requests for any host
+//! and path, within the limits that the configuration sets.
 
 use std::cell::Cell;
 use std::convert::Infallible;
@@ -19,26 +18,26 @@
 use hyper_util::rt::{TokioIo, TokioTimer};
 use tokio::net::{TcpListener, TcpStream};
 
-/// Wait until room for a further connection is looked for again.
+/// Interval at which a full server checks for capacity for another connection.
 const CAPACITY_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// Wait after a failed `accept`: out of file handles, most likely.
+/// Delay after a failed `accept`; the usual cause is a lack of file handles.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(20);
 
-/// What a caller may send, and how long it may take or idle.
+/// Limits on the size and the duration of callers' requests.
 #[derive(Clone, Copy, Debug)]
 pub struct ListenerLimits {
-    /// Bytes of a request's head.
+    /// Maximum size of a request's head in bytes.
     pub head_max: usize,
-    /// Bytes of a request's body.
+    /// Maximum size of a request's body in bytes.
     pub body_max: usize,
-    /// Time for a request's head, once it has begun.
+    /// Maximum time from the first to the last byte of a request's head.
     pub head_timeout: Duration,
-    /// Time that a connection may stay unused, and that a body may take.
+    /// Maximum time that a connection may be idle, and that a request's body may take.
     pub idle: Duration,
 }
 
 impl Default for ListenerLimits {
-    /// The limits while no configuration sets others.
+    /// Returns the limits that apply unless the configuration sets others.
     fn default() -> ListenerLimits {
         ListenerLimits {
             head_max: consts::DEFAULT_MAX_HEAD_BYTES,
@@ -49,19 +48,19 @@
     }
 }
 
-/// A listener and what its connections share.
+/// The shared state of a listener and its connections.
 pub struct ForwardingServer {
-    /// Hold for connections and requests that begin from now on.
+    /// The limits for new connections and requests.
     pub limits: Cell<ListenerLimits>,
-    /// Responses ask the caller to close the connection: this node is leaving.
+    /// Whether responses ask the caller to close the connection, because this node is leaving.
     pub leaving: Cell<bool>,
     connections: Cell<usize>,
-    /// Holds one value, whether the connections should end; it never fills up.
+    /// Whether the connections should end. A watch channel holds one value, so it is bounded.
     end: tokio::sync::watch::Sender<bool>,
 }
 
 impl ForwardingServer {
-    /// A server that takes connections once [`ForwardingServer::serve`] runs.
+    /// Creates a server, which accepts connections once [`ForwardingServer::serve`] runs.
     #[allow(clippy::new_ret_no_self)] // Its connections share it.
     pub fn new() -> Rc<ForwardingServer> {
         Rc::new(ForwardingServer {
@@ -72,18 +71,18 @@
         })
     }
 
-    /// Ends every connection as soon as its response is out; idle ones at once.
+    /// Closes idle connections immediately, and all others after their current response.
     pub fn close(&self) {
         self.leaving.set(true);
         let _ = self.end.send(true);
     }
 
-    /// Connections that are open.
+    /// Returns the number of open connections.
     pub fn open_connections(&self) -> usize {
         self.connections.get()
     }
 
-    /// Takes connections for ever and answers every call on them by `answer`.
+    /// Accepts connections without end, and responds to each call with the result of `answer`.
     pub async fn serve<F, A>(self: Rc<Self>, listener: std::net::TcpListener, answer: F)
     where
         F: Fn(Parts, Vec<u8>) -> A + Clone + 'static,
@@ -91,7 +90,7 @@
     {
         let listener = match TcpListener::from_std(listener) {
             Ok(listener) => listener,
-            Err(e) => return tracing::error!("the callers' door: {e}"),
+            Err(e) => return tracing::error!("the callers' listener failed: {e}"),
         };
         loop {
             if self.connections.get() >= consts::MAX_CALLER_CONNECTIONS {
@@ -125,7 +124,7 @@
         let limits = self.limits.get();
         let connection = http1::Builder::new()
             .timer(TokioTimer::new())
-            // One clock runs for the idle time and for the head that follows.
+            // One timeout covers the idle time and the head of the next request.
             .header_read_timeout(limits.idle + limits.head_timeout)
             .max_buf_size(limits.head_max.max(consts::MIN_HEAD_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
@@ -154,10 +153,10 @@
         let mut response = match tokio::time::timeout(limits.idle, read).await {
             Ok(Ok(body)) => answer(head, body.to_bytes().to_vec()).await.map(Full::new),
             Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-                rejection(StatusCode::PAYLOAD_TOO_LARGE, "the body is larger than is allowed")
+                rejection(StatusCode::PAYLOAD_TOO_LARGE, "the body exceeds the size limit")
             }
             Ok(Err(_)) => rejection(StatusCode::BAD_REQUEST, "the body can't be read"),
-            Err(_) => rejection(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
+            Err(_) => rejection(StatusCode::REQUEST_TIMEOUT, "timed out while reading the body"),
         };
         if self.leaving.get() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/runtime/src/http/client.rs
+++ b/crates/runtime/src/http/client.rs
@@ -1,4 +1,4 @@
-//! A client that keeps connections open, for small requests.
+//! An HTTP client for small requests that reuses connections.
 
 use std::time::Duration;
 
@@ -10,54 +10,54 @@
 use hyper_util::rt::TokioExecutor;
 use thiserror::Error;
 
-/// Time after which a connection attempt is given up.
+/// Timeout of a connection attempt.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(5);
-/// Time for which an unused connection is kept.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
 
 type BoxError = Box<dyn std::error::Error + Send + Sync>;
 
-/// Why a request brought no response.
+/// Why a request got no response.
 #[derive(Debug, Error)]
 pub enum HttpError {
-    /// There is no connection: not a byte was sent.
+    /// No connection could be opened; no byte of the request was sent.
     #[error("unreachable: {}", error_chain(.0.as_ref()))]
     Unreachable(#[source] BoxError),
-    /// A connection was not there in time: not a byte was sent.
-    #[error("unreachable: no wire in time")]
+    /// The connection attempt timed out; no byte of the request was sent.
+    #[error("unreachable: the connection attempt timed out")]
     ConnectTimedOut,
-    /// The connection ended before the response's head came.
-    #[error("cut short: {}", error_chain(.0.as_ref()))]
+    /// The connection ended before the head of the response arrived.
+    #[error("connection closed before the response: {}", error_chain(.0.as_ref()))]
     Interrupted(#[source] BoxError),
-    /// The connection ended before the response's body did.
-    #[error("cut short: {0}")]
+    /// The connection ended within the body of the response.
+    #[error("response is incomplete: {0}")]
     BodyInterrupted(#[source] BoxError),
-    /// The response does not say where it ends.
-    #[error("cut short: an answer without a length")]
+    /// The response has neither a length nor chunked encoding, so its end is unknown.
+    #[error("response has no length")]
     Unframed,
-    /// The response is larger than was allowed.
-    #[error("the answer is too large")]
+    /// The response is larger than the limit.
+    #[error("response is too large")]
     TooLarge,
-    /// No response within the time that was allowed.
-    #[error("no answer in time")]
+    /// There was no response within the timeout.
+    #[error("request timed out")]
     TimedOut,
 }
 
 impl HttpError {
-    /// Whether certainly not a byte of the request was sent.
+    /// Whether it is certain that no byte of the request was sent.
     pub fn is_unsent(&self) -> bool {
         matches!(self, HttpError::Unreachable(_) | HttpError::ConnectTimedOut)
     }
 }
 
-/// A client that keeps connections open.
+/// An HTTP client that reuses connections.
 #[derive(Clone, Debug)]
 pub struct HttpClient {
     client: Client<HttpConnector, Full<Bytes>>,
 }
 
 impl HttpClient {
-    /// A client that keeps up to `idle` unused connections to each address.
+    /// Creates a client that keeps up to `idle` idle connections per address.
     pub fn new(idle: usize) -> HttpClient {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -69,7 +69,7 @@
         HttpClient { client }
     }
 
-    /// Sends a request and reads the whole response, up to `limit` bytes.
+    /// Sends a request and reads the complete response, with a body of up to `limit` bytes.
     pub async fn call(
         &self,
         request: Request<Full<Bytes>>,
@@ -85,7 +85,7 @@
         read_response(response, limit).await
     }
 
-    /// [`HttpClient::call`], given up after `timeout`.
+    /// Runs [`HttpClient::call`] with a timeout.
     pub async fn call_within(
         &self,
         request: Request<Full<Bytes>>,
@@ -99,7 +99,7 @@
     }
 }
 
-/// Reads a whole response, up to `limit` bytes of body.
+/// Reads a complete response, with a body of up to `limit` bytes.
 pub(crate) async fn read_response(
     response: Response<hyper::body::Incoming>,
     limit: usize,
@@ -112,7 +112,7 @@
     }
 }
 
-/// An error with all that caused it.
+/// Formats an error together with the chain of its sources.
 pub fn error_chain(error: &dyn std::error::Error) -> String {
     let mut text = error.to_string();
     let mut cause = error.source();
--- a/crates/runtime/src/http/mod.rs
+++ b/crates/runtime/src/http/mod.rs
@@ -1,5 +1,4 @@
-//! HTTP by library: a client for small requests, and servers with a bound on their
-//! connections.
+//! An HTTP client for small requests, and servers with a limit on open connections.
 
 pub mod client;
 pub mod server;
--- a/crates/runtime/src/http/server.rs
+++ b/crates/runtime/src/http/server.rs
@@ -1,4 +1,4 @@
-//! Listeners, and servers with a bound on their connections.
+//! Listeners, and servers with a limit on open connections.
 
 use std::net::{SocketAddr, TcpListener};
 use std::pin::Pin;
@@ -12,15 +12,15 @@
 use tokio::net::TcpStream;
 use tokio::sync::{OwnedSemaphorePermit, Semaphore};
 
-/// Connections that may wait in the system's queue until they are accepted.
+/// Length of the system's queue of connections that are not accepted yet.
 const BACKLOG: i32 = 1024;
 
-/// Opens `count` listeners on one address, one for each thread.
+/// Opens `count` listeners on the same address, one for each thread.
 pub fn listen(address: SocketAddr, count: u32) -> std::io::Result<Vec<TcpListener>> {
     if count == 1 {
         return Ok(vec![bind(address, PortSharing::Exclusive)?]);
     }
-    // A shared port would hide that another process has it: look first.
+    // Binding a shared port succeeds even if another process uses it, so check for that first.
     drop(bind(address, PortSharing::Exclusive)?);
     let first = bind(address, PortSharing::Shared)?;
     let address = first.local_addr()?;
@@ -31,7 +31,7 @@
     Ok(listeners)
 }
 
-/// Whether several listeners may have one port.
+/// Whether several listeners may share a port.
 #[derive(PartialEq)]
 enum PortSharing {
     Exclusive,
@@ -49,8 +49,8 @@
     Ok(socket.into())
 }
 
-/// Serves a router until `stop` resolves; open requests are finished. At most
-/// `connections` connections are open at once; more wait in the system's queue.
+/// Serves a router until `stop` resolves, then finishes the open requests. At most `connections`
+/// connections are open at a time; further ones wait in the system's queue.
 pub async fn serve(
     listener: TcpListener,
     connections: usize,
@@ -63,12 +63,12 @@
     axum::serve(listener, service).with_graceful_shutdown(stop).await
 }
 
-/// Both ends of a connection that was accepted; handlers get it as `ConnectInfo`.
+/// The addresses of an accepted connection. Handlers get it as `ConnectInfo`.
 #[derive(Clone, Copy, Debug)]
 pub struct PeerAddress {
-    /// Where it comes from.
+    /// The address of the peer.
     pub remote: SocketAddr,
-    /// The address that it was opened to.
+    /// The local address that the peer connected to.
     pub local: SocketAddr,
 }
 
@@ -79,13 +79,13 @@
     }
 }
 
-/// A listener that takes so many connections at once.
+/// A listener with a limit on open connections.
 struct BoundedListener {
     inner: tokio::net::TcpListener,
     permits: Arc<Semaphore>,
 }
 
-/// A connection with its permit, which is free again when it ends.
+/// A connection with its permit, which is released when the connection is dropped.
 struct PermittedStream {
     stream: TcpStream,
     _permit: Option<OwnedSemaphorePermit>,
--- a/crates/runtime/src/leaf_connections.rs
+++ b/crates/runtime/src/leaf_connections.rs
@@ -1,7 +1,7 @@
-//! Connections to leafs. An address may be another's by now, so a new connection
-//! begins with the question who is there, and work follows only if the response fits.
-//! A connection ends with the process behind it: what was found holds as long as it
-//! does. Nothing that may have left this machine is ever sent again.
+//! Connections to leafs. An address may have been reassigned to another leaf, so a new connection
+//! starts with a greeting that asks for the leaf's identity, and work is sent only if the response
+//! matches. A connection doesn't outlive the peer process, so the check holds for the connection's
+//! lifetime. A request of which any byte may have been sent is never sent again.
 
 use std::cell::RefCell;
 use std::collections::HashMap;
@@ -30,54 +30,54 @@
 pub struct LeafAddress {
     /// Where it listens.
     pub address: SocketAddr,
-    /// Its identity.
+    /// The leaf's identity.
     pub leaf: String,
 }
 
-/// An unused connection.
+/// A connection without a request.
 struct IdleConnection {
     connection: Connection,
-    /// It is not used any more from then on.
+    /// Instant after which the connection is not reused.
     expires: Instant,
 }
 
-/// Unused connections, by address and by who was found there.
+/// Idle connections, by the address and the identity of the leaf.
 ///
-/// Invariant: each of them was greeted by just that identity.
+/// Invariant: each connection was verified for exactly that identity.
 pub struct LeafPool {
     idle: RefCell<HashMap<LeafAddress, Vec<IdleConnection>>>,
-    /// Unused connections that are kept to each leaf; further ones are closed.
+    /// Maximum number of idle connections per leaf; further ones are closed.
     idle_max: usize,
 }
 
-/// What came of work that a greeting goes before.
+/// The result of an exchange that may start with a greeting.
 pub enum Exchange {
-    /// The leaf's response to it.
+    /// The leaf's response to the work.
     Answered(Response<Bytes>),
-    /// What a new connection's greeting brought; the work was not sent.
+    /// The unexpected response to the greeting of a new connection; the work was not sent.
     Declined(Response<Bytes>),
 }
 
-/// How a request that names its leaf itself is sent.
+/// Options of a request that names its leaf itself.
 #[derive(Clone, Copy, Debug)]
 pub struct ForwardOptions {
-    /// Bytes of the response's body that are read at most.
+    /// Maximum size of the response's body in bytes.
     pub reply_limit: usize,
-    /// Whether the request may run once only: it goes out on a new connection.
+    /// Whether the request may run at most once. Such a request is sent on a new connection.
     pub once: bool,
-    /// Whether the connection is kept for later requests.
+    /// Whether the connection may be reused for later requests.
     pub keep: bool,
 }
 
 impl LeafPool {
-    /// A pool that keeps up to `idle_max` unused connections to each leaf.
+    /// Creates a pool that keeps up to `idle_max` idle connections per leaf.
     #[allow(clippy::new_ret_no_self)] // The tasks of all attempts share it.
     pub fn new(idle_max: usize) -> Rc<LeafPool> {
         Rc::new(LeafPool { idle: RefCell::default(), idle_max })
     }
 
-    /// Sends work to a leaf. On a new connection `greeting` goes first, and only if
-    /// `is_expected` its response does the work follow.
+    /// Sends work to a leaf. On a new connection, sends `greeting` first, and the work only if
+    /// `is_expected` accepts the response to the greeting.
     pub async fn exchange(
         &self,
         leaf: LeafAddress,
@@ -107,7 +107,7 @@
                     return Ok(Exchange::Answered(response));
                 }
                 Err(mut e) => match e.take_message() {
-                    // An unused connection had ended; not a byte of the work has left.
+                    // The pooled connection was closed, and no byte of the work was sent.
                     Some(unsent) if !is_new => work = unsent,
                     _ => return Err(interrupted(e.into_error())),
                 },
@@ -115,9 +115,9 @@
         }
     }
 
-    /// Sends work that names its leaf itself, so that whoever else answers there
-    /// rejects it: a new connection needs no greeting. `is_expected` tells whether a response
-    /// belongs to this work; a connection that brought another one is not used again.
+    /// Sends work that names its leaf itself. Any other leaf at the address rejects it, so a new
+    /// connection needs no greeting. `is_expected` says whether a response belongs to this work; a
+    /// connection that returned any other response is not reused.
     pub async fn forward(
         &self,
         leaf: LeafAddress,
@@ -126,8 +126,8 @@
         is_expected: impl Fn(&Response<Bytes>) -> bool,
     ) -> Result<Response<Bytes>, HttpError> {
         loop {
-            // A kept connection may end just as it is used: what may run once only does
-            // not go out on one.
+            // A pooled connection may close just as it is reused, so a request that may run at most
+            // once needs a new connection.
             let kept = if options.once { None } else { self.take_idle(&leaf).await };
             let (mut connection, is_new) = match kept {
                 Some(connection) => (connection, false),
@@ -146,7 +146,7 @@
                     return Ok(response);
                 }
                 Err(mut e) => match e.take_message() {
-                    // An unused connection had ended; not a byte of the work has left.
+                    // The pooled connection was closed, and no byte of the work was sent.
                     Some(unsent) if !is_new => work = unsent,
                     Some(_) => return Err(HttpError::Unreachable(e.into_error().into())),
                     None => return Err(interrupted(e.into_error())),
@@ -155,7 +155,7 @@
         }
     }
 
-    /// A connection that is still open, if there is one.
+    /// Takes an idle connection that is still open from the pool.
     async fn take_idle(&self, leaf: &LeafAddress) -> Option<Connection> {
         loop {
             let idle = self.idle.borrow_mut().get_mut(leaf)?.pop()?;
@@ -172,7 +172,7 @@
     fn keep(&self, leaf: LeafAddress, idle_connection: IdleConnection) {
         let mut idle = self.idle.borrow_mut();
         if !idle.contains_key(&leaf) {
-            // A new leaf: forget those whose connections have all ended.
+            // Remove the leafs whose connections have all ended whenever a leaf is added.
             idle.retain(|_, list| {
                 list.retain(|idle_connection| !idle_connection.connection.is_closed());
                 !list.is_empty()
@@ -185,14 +185,15 @@
     }
 }
 
-/// Until when a connection may be used again, by what its leaf says of it.
+/// Returns how long a connection may be reused according to the leaf's response headers, or `None`
+/// if it can't be reused.
 fn reusable_until(response: &Response<Incoming>) -> Option<Instant> {
     let headers = response.headers();
     let says = |name: HeaderName, word: &str| {
         let values = headers.get_all(name).iter();
         values.filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(word))
     };
-    // Without a length its end can't be told from a connection that broke.
+    // Without a length, the end of the response can't be told from a lost connection.
     let framed =
         response.body().size_hint().exact().is_some() || says(TRANSFER_ENCODING, "chunked");
     if !framed || says(CONNECTION, "close") {
@@ -216,8 +217,8 @@
     }
 }
 
-/// Opens a connection. Its task ends with the connection, which ends when the sending
-/// half is dropped.
+/// Opens a connection and spawns its task. Dropping the sending half closes the connection and ends
+/// the task.
 async fn dial(address: SocketAddr) -> Result<Connection, HttpError> {
     let stream = TcpStream::connect(address).await.map_err(|e| HttpError::Unreachable(e.into()))?;
     let _ = stream.set_nodelay(true);
@@ -229,7 +230,7 @@
     Ok(connection)
 }
 
-/// Reads a whole response whose length is known.
+/// Reads a complete response. Fails if its length is unknown.
 async fn read_framed_response(
     response: Response<Incoming>,
     limit: usize,
@@ -237,7 +238,7 @@
     let ends_with_connection = response.headers().get(TRANSFER_ENCODING).is_none()
         && response.body().size_hint().exact().is_none();
     if ends_with_connection {
-        // A part of it would look like all of it.
+        // A truncated response would look complete.
         return Err(HttpError::Unframed);
     }
     read_response(response, limit).await
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,5 +1,5 @@
-//! What the programs share of the outside world: settings, time, connections, disks,
-//! HTTP, logs. The deciding is done in `grebepath-core`.
+//! I/O that the programs share: settings, time, connections, disks, HTTP and logs. All decisions
+//! are made in `grebepath-core`.
 
 pub mod clock;
 pub mod connections;
--- a/crates/runtime/src/log_buffer.rs
+++ b/crates/runtime/src/log_buffer.rs
@@ -1,6 +1,5 @@
-//! Logs: each thread keeps its last lines in memory and writes them out when
-//! something goes wrong (an event of level ERROR). Nothing else is written,
-//! but for lines of level WARN and above themselves.
+//! Logs. Each thread keeps its most recent lines in memory and writes all of them to stderr on an
+//! event of level ERROR. Otherwise, only lines of level WARN are written.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -17,14 +16,14 @@
     static LINES: RefCell<VecDeque<String>> = const { RefCell::new(VecDeque::new()) };
 }
 
-/// The subscriber that fills the buffers.
+/// The subscriber that fills the threads' buffers.
 struct LogBuffer {
     started_at: Instant,
 }
 
-/// Installs the buffers for all threads of this process.
+/// Installs the log buffers for all threads of this process.
 pub fn install() {
-    // Fails only if one is installed already, and then that one serves.
+    // Fails only if a subscriber is installed already; that one stays in use.
     let _ = tracing::subscriber::set_global_default(LogBuffer { started_at: Instant::now() });
 }
 
@@ -73,13 +72,13 @@
     fn exit(&self, _: &span::Id) {}
 }
 
-/// How much is written out.
+/// How much of the buffer is written.
 enum Extent {
     LastLine,
     Buffer,
 }
 
-/// Writes the last line, or the whole buffer and empties it; a closed stderr is ignored.
+/// Writes the last line, or the whole buffer, which is cleared then. A closed stderr is ignored.
 fn flush(lines: &mut VecDeque<String>, extent: Extent) {
     let mut err = std::io::stderr().lock();
     match extent {
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -1,8 +1,9 @@
-//! Connections between our processes: framed TCP, dialled anew when lost.
+//! Connections between the processes of a cluster: framed messages over TCP. A lost connection is
+//! dialled again.
 //!
-//! Each connection has one task. A dialled connection's task ends when its
-//! [`MessageSender`] is dropped, an accepted one's when its stream ends; all end with
-//! the `LocalSet` of their thread.
+//! Each connection has one task. The task of a dialled connection ends when its [`MessageSender`]
+//! is dropped, and the task of an accepted one when its stream ends. All end with the `LocalSet` of
+//! their thread.
 
 use std::collections::VecDeque;
 use std::net::SocketAddr;
@@ -25,78 +26,78 @@
 
 use crate::clock::duration;
 
-/// Wait after a failed `accept`: out of file handles, most likely, so some time to
+/// Delay after a failed `accept`; the usual cause is a lack of file handles, which needs time to
 /// recover.
 const ACCEPT_RETRY_DELAY: Duration = Duration::from_millis(50);
 
-/// What each connection that we open begins with.
+/// The first message on each dialled connection.
 #[derive(Clone, Debug)]
 pub struct Greeting {
-    /// Who we are.
+    /// The identity of this process.
     pub identity: PeerIdentity,
-    /// The fleet we belong to; peers of another one are not listened to.
+    /// Hash of the name of this process's cluster. Connections of other clusters are rejected.
     pub cluster_hash: u64,
 }
 
-/// Why a connection was given up.
+/// Why a connection was closed.
 #[derive(Debug, Error)]
 pub enum ConnectionError {
-    /// What came is not a message of ours.
-    #[error("wire to {address}: {source}")]
+    /// The received bytes are not a valid message.
+    #[error("connection with {address}: {source}")]
     Unreadable {
-        /// Where it came from.
+        /// The address of the peer.
         address: SocketAddr,
-        /// What was expected.
+        /// Why the frame or the message is invalid.
         source: FrameError,
     },
-    /// The peer belongs to another fleet.
-    #[error("wire from {address}: it belongs to another fleet")]
+    /// The peer belongs to another cluster.
+    #[error("connection from {address}: the peer belongs to another cluster")]
     OtherCluster {
-        /// Where it is.
+        /// The address of the peer.
         address: SocketAddr,
     },
 }
 
-/// What connections tell their owner.
+/// An event of a connection.
 pub enum ConnectionEvent<T> {
-    /// A connection that we dial brought a message.
+    /// A message arrived on a dialled connection.
     Received {
         /// The tag under which it was dialled.
         tag: T,
         /// The message.
         message: Message,
     },
-    /// A peer opened a connection towards us and said who it is.
+    /// A peer opened a connection and identified itself.
     Accepted {
-        /// Our number for it.
+        /// Local number of the connection.
         connection: u64,
-        /// Who it is.
+        /// The identity of the peer.
         identity: PeerIdentity,
-        /// Its sending end.
+        /// The sending half of the connection.
         sender: MessageSender,
     },
-    /// A connection that a peer opened brought a message.
+    /// A message arrived on an accepted connection.
     ReceivedFromAccepted {
-        /// Our number for it.
+        /// Local number of the connection.
         connection: u64,
-        /// Who sent it.
+        /// The identity of the peer.
         identity: PeerIdentity,
         /// The message.
         message: Message,
     },
-    /// A connection that a peer opened has ended.
+    /// An accepted connection has ended.
     Closed {
-        /// Our number for it.
+        /// Local number of the connection.
         connection: u64,
     },
-    /// A peer speaks something we can't read.
+    /// A connection was closed because of its peer's messages.
     Failed {
-        /// What, and from where.
+        /// The reason, and the peer's address.
         error: ConnectionError,
     },
 }
 
-/// The sending end of a connection. It holds up to [`MAX_QUEUED_PEER_MESSAGES`] messages; further
+/// The sending half of a connection. It queues up to [`MAX_QUEUED_PEER_MESSAGES`] messages; further
 /// ones are dropped.
 #[derive(Clone, Debug)]
 pub struct MessageSender {
@@ -104,16 +105,15 @@
 }
 
 impl MessageSender {
-    /// Sends a message, or drops it when the connection's queue is full: every
-    /// message of ours may be lost, and its owner sends it again. Says whether it
-    /// was queued.
+    /// Queues a message, or drops it if the queue is full. The protocol tolerates the loss of any
+    /// message, since its sender sends it again. Returns whether the message was queued.
     pub fn send(&self, message: &Message) -> bool {
         self.queue.try_send(frame::encode(message)).is_ok()
     }
 }
 
-/// Keeps a connection to `address`: dials it, again and again, says who we are, and
-/// passes on what comes. Ends when the last clone of the sender is dropped.
+/// Keeps a connection to `address`: dials it whenever it is not connected, sends the greeting, and
+/// passes received messages on as events. Ends when the last clone of the sender is dropped.
 pub fn dial<T: Clone + 'static>(
     address: SocketAddr,
     greeting: Greeting,
@@ -140,7 +140,7 @@
             backoff = RECONNECT_BACKOFF_MIN;
             set_socket_options(&stream);
             let (read, write) = stream.into_split();
-            // What waited for a dead connection is out of date.
+            // Messages queued for the previous connection are outdated.
             while queued.try_recv().is_ok() {}
             let (owner, tag) = (events.clone(), tag.clone());
             let reading = read_messages(read, move |message| {
@@ -161,8 +161,8 @@
     }
 }
 
-/// No waiting for more to send, and an end to a connection whose other machine is
-/// gone without a word. A system that knows neither option works without.
+/// Disables Nagle's algorithm, and sets a timeout for connections whose peer machine has silently
+/// disappeared. Systems that don't support these options work without them.
 fn set_socket_options(stream: &TcpStream) {
     let _ = stream.set_nodelay(true);
     let _ = socket2::SockRef::from(stream).set_tcp_user_timeout(Some(duration(TCP_USER_TIMEOUT)));
@@ -179,7 +179,7 @@
     }
 }
 
-/// Takes connections that others open, until the owner is gone.
+/// Accepts connections until the receiver of the events is dropped.
 pub async fn accept<T: 'static>(
     listener: TcpListener,
     cluster_hash: u64,
@@ -229,7 +229,7 @@
                 let sender = MessageSender { queue: queue.clone() };
                 ConnectionEvent::Accepted { connection, identity, sender }
             }
-            // Nothing counts before the greeting.
+            // Messages before the greeting are invalid.
             (None, _) => return false,
             (Some(identity), message) => ConnectionEvent::ReceivedFromAccepted {
                 connection,
@@ -246,8 +246,8 @@
     let _ = events.send(ConnectionEvent::Closed { connection });
 }
 
-/// Reads messages until the connection ends or `take` wants no more. An error says
-/// what could not be read.
+/// Reads messages until the connection ends or `take` returns false. Fails if a frame or a message
+/// is invalid.
 async fn read_messages(
     mut read: OwnedReadHalf,
     mut take: impl FnMut(Message) -> bool,
@@ -271,8 +271,8 @@
     }
 }
 
-/// Writes messages in pieces, the small ones first, until the connection fails or
-/// nobody can send any more.
+/// Writes messages in pieces, those of small messages first, until the connection fails or all
+/// senders are dropped.
 async fn write_messages(
     mut write: OwnedWriteHalf,
     queued: &mut Receiver<Vec<u8>>,
--- a/crates/runtime/src/platform_api.rs
+++ b/crates/runtime/src/platform_api.rs
@@ -1,6 +1,5 @@
-//! How a platform of another kind speaks: to our listeners, to leafs, of its list and
-//! as an operator. Names and formats only, as plain functions from bytes to our types
-//! and back; an implementation decides nothing.
+//! The HTTP interface of another platform: the dialect of its callers, leafs, leaf lists and
+//! operators. Its functions convert between bytes and this project's types, and make no decisions.
 
 use bytes::Bytes;
 use grebepath_core::diagnostic::Diagnostic;
@@ -14,48 +13,48 @@
 use hyper::http::request::Parts;
 use hyper::{Request, Response};
 
-/// A platform's HTTP interface. A table of functions rather than a trait, since it has
-/// no state.
+/// A platform's HTTP interface. It is a table of functions rather than a trait, since it has no
+/// state.
 pub struct PlatformApi {
-    /// Path under which a querier is asked whether it is ready.
+    /// Path of a querier's readiness check.
     pub readiness_path: &'static str,
-    /// A caller's request, from its head and body.
+    /// Parses the head and the body of a caller's request.
     pub read_call: fn(Parts, Vec<u8>) -> ForwardedRequest,
-    /// The response to a caller.
+    /// Writes the response to a caller.
     pub write_outcome: fn(Outcome) -> Response<Bytes>,
-    /// An attempt's request to a leaf; nothing if it can't be written.
+    /// Writes the request of an attempt to a leaf, or returns `None` if it can't be expressed.
     pub write_attempt: fn(&OutgoingAttempt) -> Option<Request<Full<Bytes>>>,
-    /// A leaf's response to an attempt.
+    /// Parses a leaf's response to an attempt.
     pub read_reply: fn(&OutgoingAttempt, Response<Bytes>) -> LeafReply,
-    /// Path of the leaf list's first page, or of the page of that name.
+    /// Returns the path of a page of the leaf list by its name, or of the first page.
     pub list_path: fn(Option<&str>) -> String,
-    /// One page of the leaf list.
+    /// Parses a page of the leaf list.
     pub read_list_page: fn(&[u8]) -> Result<LeafListPage, Diagnostic>,
-    /// An operator's request, from its head and body.
+    /// Parses the head and the body of an operator's request.
     pub read_operator_request: fn(&Parts, &[u8]) -> OperatorRequest,
-    /// The response to an operator.
+    /// Writes the response to an operator.
     pub write_operation_result: fn(OperationResult) -> Response<Bytes>,
 }
 
-/// One page of a list of leafs.
+/// A page of the leaf list.
 pub struct LeafListPage {
-    /// The leafs that the page names.
+    /// The leafs on the page.
     pub leafs: Vec<LeafInfo>,
-    /// Single entries that can't be used.
+    /// The entries that are invalid and were skipped.
     pub diagnostics: Vec<Diagnostic>,
-    /// The name of the page after this one.
+    /// The name of the next page.
     pub next_page: Option<String>,
 }
 
-/// What an operator's request asks.
+/// A parsed request of an operator.
 pub enum OperatorRequest {
-    /// An operation.
+    /// A valid request.
     Operation {
-        /// What to do.
+        /// The requested operation.
         operation: Operation,
-        /// The id under which it may safely be sent again.
+        /// The id under which the request may safely be sent again.
         request_id: Option<String>,
     },
-    /// It can't be read; this is the response.
+    /// A malformed request, with the response to it.
     Malformed(Response<Bytes>),
 }
--- a/crates/runtime/src/reload.rs
+++ b/crates/runtime/src/reload.rs
@@ -1,6 +1,5 @@
-//! Settings that change under a running process: the file is read again when a
-//! SIGHUP says so, and looked at from time to time, since it may change without
-//! one. A SIGHUP never ends a process.
+//! Detects changed settings while a process runs. The settings file is read again on SIGHUP, and
+//! polled for changes that come without a SIGHUP. SIGHUP never ends a process.
 
 use std::path::PathBuf;
 use std::time::SystemTime;
@@ -14,13 +13,13 @@
 /// Watches the settings file.
 pub struct SettingsWatch {
     path: Option<PathBuf>,
-    /// Nothing where signals can't be had; then only the looks tell.
+    /// `None` if signals are not available; then only polling detects changes.
     hangup: Option<Signal>,
     seen: Option<FileVersion>,
     next_poll: Instant,
 }
 
-/// What tells one version of a file from another.
+/// The metadata that distinguishes versions of a file.
 #[derive(Clone, Copy, PartialEq)]
 struct FileVersion {
     modified: SystemTime,
@@ -29,8 +28,8 @@
 }
 
 impl SettingsWatch {
-    /// Takes SIGHUP from here on, and notes how the file is now. Without a file only
-    /// SIGHUP counts.
+    /// Starts to handle SIGHUP, and records the current version of the file. Without a file, only
+    /// SIGHUP triggers a reload.
     pub fn new(path: Option<&str>) -> SettingsWatch {
         let path = path.map(PathBuf::from);
         let seen = path.as_ref().and_then(version);
@@ -38,7 +37,7 @@
         SettingsWatch { path, hangup: signal(SignalKind::hangup()).ok(), seen, next_poll }
     }
 
-    /// Waits until the settings should be read again. Safe to drop and call anew.
+    /// Waits until the settings should be read again. Cancellation safe.
     pub async fn changed(&mut self) {
         loop {
             let hangup = async {
--- a/crates/runtime/src/settings/command_line.rs
+++ b/crates/runtime/src/settings/command_line.rs
@@ -1,5 +1,5 @@
-//! The command line of a daemon: a table of flags, each of which may also stand in the
-//! settings file.
+//! The command line of a daemon: a table of flags, each of which can also be set in the settings
+//! file.
 
 use bpaf::{OptionParser, Parser, construct, long};
 
@@ -7,48 +7,51 @@
 use super::reader::SettingsReader;
 
 /// The flag that names the settings file.
-const FILE_FLAG: Flag =
-    Flag { name: "params", argument: "FILE", help: "JSON file with params; flags go first" };
+const FILE_FLAG: Flag = Flag {
+    name: "params",
+    argument: "FILE",
+    help: "JSON file with settings; flags take precedence",
+};
 
-/// The zone of the machine; each daemon has it.
+/// The zone of the machine, a flag of all daemons.
 pub const ZONE_FLAG: Flag =
-    Flag { name: "zone", argument: "NAME", help: "the zone this machine stands in" };
-/// The fleet's name; each daemon has it.
+    Flag { name: "zone", argument: "NAME", help: "the zone of this machine" };
+/// The name of the cluster, a flag of all daemons.
 pub const FLEET_FLAG: Flag = Flag {
     name: "fleet",
     argument: "NAME",
-    help: "the fleet's name, the same for all its processes (grebe)",
+    help: "name of the cluster, the same for all its processes (grebe)",
 };
-/// The port of the seeds; each daemon has it.
+/// The port of the seeds, a flag of all daemons.
 pub const SEED_PORT_FLAG: Flag = Flag {
     name: "seed-port",
     argument: "N",
-    help: "port of the seeds' inner addresses, if `seeds` gives others",
+    help: "port of the seeds' inner addresses, in place of the ports in `seeds`",
 };
 
 /// A flag with one argument.
 #[derive(Clone, Copy, Debug)]
 pub struct Flag {
-    /// Its name on the command line. In the file it has `_` for each `-`.
+    /// Name on the command line. In the settings file, `_` replaces each `-`.
     pub name: &'static str,
-    /// What its argument is, for the help text.
+    /// Placeholder of the argument in the help text.
     pub argument: &'static str,
-    /// A line of help.
+    /// Description in the help text.
     pub help: &'static str,
 }
 
-/// What a command line says.
+/// A parsed command line.
 #[derive(Clone, Debug)]
 pub struct CommandLine {
-    /// The settings that were given, by their names in the file.
+    /// The given settings, by their names in the file.
     values: Vec<(String, String)>,
-    /// The settings file, if one is named.
+    /// The settings file, if one is given.
     pub file: Option<String>,
 }
 
 impl CommandLine {
-    /// Reads this process's command line. Ends the process after `--help`, and with
-    /// [`EXIT_SETTINGS`] if the command line is wrong.
+    /// Parses this process's command line. Exits after `--help`, and with [`EXIT_SETTINGS`] if the
+    /// command line is invalid.
     pub fn read_or_exit(description: &'static str, flags: &[Flag]) -> CommandLine {
         match parser(description, flags).run_inner(bpaf::Args::current_args()) {
             Ok(line) => line,
@@ -59,19 +62,19 @@
         }
     }
 
-    /// Reads this process's command line once more, for the file that it names.
-    /// Nothing if it is wrong.
+    /// Parses this process's command line again, so that its settings file can be reloaded. Returns
+    /// `None` if the command line is invalid.
     pub fn read_again(description: &'static str, flags: &[Flag]) -> Option<CommandLine> {
         parser(description, flags).run_inner(bpaf::Args::current_args()).ok()
     }
 
-    /// A reader of the settings, with the file as it is now.
+    /// Reads the settings file and returns a reader of the settings.
     pub fn into_reader(self) -> SettingsReader {
         SettingsReader::new(self.values, self.file.as_deref())
     }
 }
 
-/// The parser of a command line; the help text lists the flags in their order.
+/// Builds the parser of a command line. The help text lists the flags in the given order.
 fn parser(description: &'static str, flags: &[Flag]) -> OptionParser<CommandLine> {
     let mut all: Box<dyn Parser<Vec<(String, String)>>> = Box::new(bpaf::pure(Vec::new()));
     for flag in flags {
--- a/crates/runtime/src/settings/reader.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -1,4 +1,4 @@
-//! Reads and checks single settings. What is wrong is collected, each with its place.
+//! Reads and validates settings, and collects a diagnostic for each error.
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -10,24 +10,24 @@
 use super::EXIT_SETTINGS;
 use crate::platform_api::PlatformApi;
 
-/// A day.
+/// One day, in seconds.
 const SECONDS_MAX: f64 = 86_400.0;
-/// Before a setting's name in capitals, in the environment.
+/// Prefix of environment variables; the name of the setting follows in capitals.
 const ENVIRONMENT_PREFIX: &str = "GREBE_";
-/// How callers, leafs and operators may speak: as ours or as the platform's.
+/// The HTTP interfaces for callers, leafs and operators: this project's or the platform's.
 const DIALECTS: [&str; 2] = ["own", "platform"];
 
-/// Settings being read: where each came from, and the diagnostics.
+/// A reader of settings, with the diagnostics so far.
 pub struct SettingsReader {
     flags: BTreeMap<String, String>,
     file: serde_json::Map<String, Value>,
-    /// Names that were read, in that order.
+    /// Names of the settings read so far, in order.
     known: Vec<&'static str>,
     diagnostics: Vec<Diagnostic>,
 }
 
 impl SettingsReader {
-    /// A reader over flags, by their names in the file, and an optional file.
+    /// Creates a reader of flags, given by their names in the file, and an optional settings file.
     pub fn new(flags: Vec<(String, String)>, file: Option<&str>) -> SettingsReader {
         let mut diagnostics = Vec::new();
         let mut settings = serde_json::Map::new();
@@ -51,7 +51,7 @@
         SettingsReader { flags, file: settings, known: Vec::new(), diagnostics }
     }
 
-    /// A setting's place and its text, if it is given.
+    /// Returns a setting's place and its text, if it is given.
     fn value(&mut self, name: &'static str) -> Option<(String, String)> {
         self.known.push(name);
         if let Some(val) = self.flags.get(name) {
@@ -66,19 +66,19 @@
             Value::Array(list) => {
                 let texts: Vec<&str> = list.iter().filter_map(Value::as_str).collect();
                 if texts.len() < list.len() {
-                    self.report(place, "expected a list of texts");
+                    self.report(place, "expected a list of strings");
                     return None;
                 }
                 Some((place, texts.join(",")))
             }
             _ => {
-                self.report(place, "expected a text, a number or a list of texts");
+                self.report(place, "expected a string, a number or a list of strings");
                 None
             }
         }
     }
 
-    /// A text; a diagnostic if it is missing and has no default.
+    /// Reads a text. Reports a diagnostic if it is missing and has no default.
     pub fn text(&mut self, name: &'static str, default: Option<&str>) -> String {
         match self.value(name) {
             Some((_, val)) if !val.is_empty() => val,
@@ -95,27 +95,30 @@
         }
     }
 
-    /// Whether the file gives a value that could not be read; it was reported already.
+    /// Whether the file has a value of an unsupported type, which was reported already.
     fn is_unreadable(&self, name: &str) -> bool {
         self.file.contains_key(name) && !self.flags.contains_key(name)
     }
 
-    /// A text that may be absent.
+    /// Reads an optional text.
     pub fn optional_text(&mut self, name: &'static str) -> Option<String> {
         self.value(name).map(|(_, val)| val)
     }
 
-    /// A name: letters, digits, `-`, `_`, `.`.
+    /// Reads a name, which consists of letters, digits, `-`, `_` and `.`.
     pub fn name(&mut self, key: &'static str) -> String {
         let val = self.text(key, None);
         let fit = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
         if !val.is_empty() && (val.len() > 128 || !val.chars().all(fit)) {
-            self.report(format!("--{key}"), "has letters, digits, `-`, `_` and `.` only");
+            self.report(
+                format!("--{key}"),
+                "expected at most 128 letters, digits, `-`, `_` and `.`",
+            );
         }
         val
     }
 
-    /// An address by IP number.
+    /// Reads an IP address with a port.
     pub fn address(&mut self, name: &'static str) -> SocketAddr {
         let val = self.text(name, None);
         self.parse_address(name, &val)
@@ -134,20 +137,20 @@
         }
     }
 
-    /// An address by IP number that may be absent.
+    /// Reads an optional IP address with a port.
     pub fn optional_address(&mut self, name: &'static str) -> Option<SocketAddr> {
         let val = self.optional_text(name)?;
         Some(self.parse_address(name, &val))
     }
 
-    /// The number of a fleet: of its name, which all its processes must share; of
-    /// `grebe`, if it has none. Not of the seeds: these may differ.
+    /// Returns the hash of the cluster's name, `grebe` by default. All processes of a cluster must
+    /// share the name. It does not depend on the seeds, which may differ between processes.
     pub fn cluster_hash(&mut self) -> u64 {
         grebepath_core::digest::hash(&self.optional_text("fleet").unwrap_or_else(|| "grebe".into()))
     }
 
-    /// From `low` to `high` different addresses, separated by commas; `port` stands
-    /// in for each one's own.
+    /// Reads `low` to `high` different addresses, separated by commas. `port` replaces the port of
+    /// each.
     pub fn addresses(
         &mut self,
         name: &'static str,
@@ -174,21 +177,21 @@
         list
     }
 
-    /// The inner addresses of controllers, up to `most`; `seed_port` stands in for each
-    /// one's port.
+    /// Reads up to `most` inner addresses of controllers. The setting `seed_port` replaces the port
+    /// of each.
     pub fn seeds(&mut self, most: usize) -> Vec<SocketAddr> {
         let port = self.number("seed_port", 0, u64::from(u16::MAX), Some(0)) as u16;
         self.addresses("seeds", 1, most, (port > 0).then_some(port))
     }
 
-    /// `api`, if the setting `dialect` asks for the platform's interface beside or in
-    /// place of our own.
+    /// Returns `api` if the setting `dialect` selects the platform's interface, in addition to or
+    /// instead of this project's.
     pub fn platform_api(&mut self, api: &'static PlatformApi) -> Option<&'static PlatformApi> {
         let dialect = self.choice("dialect", &DIALECTS, DIALECTS[0]);
         (dialect == DIALECTS[1]).then_some(api)
     }
 
-    /// Yes or no: `true` or `false`.
+    /// Reads a boolean: `true` or `false`.
     pub fn boolean(&mut self, name: &'static str, default: bool) -> bool {
         match self.value(name) {
             None => default,
@@ -201,7 +204,7 @@
         }
     }
 
-    /// A whole number within bounds.
+    /// Reads an integer within bounds.
     pub fn number(&mut self, name: &'static str, low: u64, high: u64, default: Option<u64>) -> u64 {
         match self.value(name) {
             None => {
@@ -220,33 +223,33 @@
         }
     }
 
-    /// A share from 0 to 1, in thousandths.
+    /// Reads a share from 0 to 1, and returns it in thousandths.
     pub fn share_in_thousandths(&mut self, name: &'static str, default: u64) -> u64 {
         let share = self.decimal(name, "a share from 0 to 1", |n| (0.0..=1.0).contains(&n));
         share.map_or(default, |n| (n * 1000.0) as u64)
     }
 
-    /// Seconds, fractions included, as a span.
+    /// Reads an optional number of seconds, which may have a fraction.
     pub fn optional_seconds(&mut self, name: &'static str) -> Option<Span> {
         let fits = |n: f64| (0.0..=SECONDS_MAX).contains(&n);
         let seconds = self.decimal(name, "seconds, up to a day", fits)?;
         Some((seconds * 1e6) as Span)
     }
 
-    /// A bound from 0 to `high`, fractions dropped: what is bounded is counted in whole numbers.
+    /// Reads a bound from 0 to `high`. Rounds it down, since the bounded quantity is an integer.
     pub fn bound(&mut self, name: &'static str, high: u64, default: u64) -> u64 {
         let expected = format!("a number from 0 to {high}");
         let bound = self.decimal(name, &expected, |n| (0.0..=high as f64).contains(&n));
         bound.map_or(default, |n| n as u64)
     }
 
-    /// An amount above zero, fractions dropped.
+    /// Reads an amount above zero. Rounds it down, to at least 1.
     pub fn positive_amount(&mut self, name: &'static str, default: u64) -> u64 {
         let amount = self.decimal(name, "a number above zero", |n| n > 0.0);
         amount.map_or(default, |n| (n as u64).max(1))
     }
 
-    /// A decimal number that fits; nothing if it is absent or does not.
+    /// Reads a decimal number. Returns `None` if it is absent, or if `fits` rejects it.
     fn decimal(
         &mut self,
         name: &'static str,
@@ -263,7 +266,7 @@
         }
     }
 
-    /// One of several words.
+    /// Reads one of several known values.
     pub fn choice(&mut self, name: &'static str, known: &[&str], default: &str) -> String {
         match self.value(name) {
             None => default.to_string(),
@@ -275,41 +278,41 @@
         }
     }
 
-    /// A whole number within bounds that may be absent.
+    /// Reads an optional integer within bounds.
     pub fn optional_number(&mut self, name: &'static str, low: u64, high: u64) -> Option<u64> {
         let given = self.flags.contains_key(name) || self.file.contains_key(name);
         let val = self.number(name, low, high, Some(low));
         given.then_some(val)
     }
 
-    /// Ends the reading: unknown names in the file are diagnosed too.
+    /// Reports unknown names in the file, and returns all diagnostics.
     pub fn finish(&mut self) -> Vec<Diagnostic> {
         let known = std::mem::take(&mut self.known);
         for key in self.file.keys().filter(|k| !known.contains(&k.as_str())) {
-            let text = format!("unknown; known are {}", known.join(", "));
+            let text = format!("unknown setting; known are {}", known.join(", "));
             self.diagnostics.push(Diagnostic::new(format!("params.{key}"), text));
         }
         std::mem::take(&mut self.diagnostics)
     }
 
-    /// Notes what is wrong with a setting.
+    /// Adds a diagnostic about a setting.
     pub fn report(&mut self, place: impl Into<String>, text: impl Into<String>) {
         find(&mut self.diagnostics, place, text.into());
     }
 }
 
-/// Writes diagnostics to stderr and ends the process, if there are any.
+/// Writes the diagnostics, if any, to stderr and exits.
 pub fn exit_if_any(program: &str, diagnostics: &[Diagnostic]) {
     if diagnostics.is_empty() {
         return;
     }
-    eprintln!("{program}: {} thing(s) wrong with the params:", diagnostics.len());
+    eprintln!("{program}: {} invalid setting(s):", diagnostics.len());
     eprintln!("{}", grebepath_core::diagnostic::lines(diagnostics));
     std::process::exit(EXIT_SETTINGS);
 }
 
-/// The setting by the environment variable of its name, with the variable as its place. An empty
-/// one is not given: a platform that fills variables leaves empty what it does not tell.
+/// Reads a setting from the environment, with the variable as its place. An empty variable counts as
+/// not set, since platforms that set variables from a template leave unknown values empty.
 fn from_environment(name: &str) -> Option<(String, String)> {
     let variable = format!("{ENVIRONMENT_PREFIX}{}", name.to_uppercase());
     let value = std::env::var(&variable).ok().filter(|value| !value.is_empty())?;
--- a/crates/runtime/src/stop.rs
+++ b/crates/runtime/src/stop.rs
@@ -1,4 +1,4 @@
-//! Requests from outside to stop the process.
+//! Stop signals.
 
 use tokio::signal::unix::{SignalKind, signal};
 
@@ -6,7 +6,7 @@
 pub async fn requested() {
     let (terminate, interrupt) = (signal(SignalKind::terminate()), signal(SignalKind::interrupt()));
     let (Ok(mut terminate), Ok(mut interrupt)) = (terminate, interrupt) else {
-        // Without signals there is no way to ask; go on for ever.
+        // Without signal handlers, no stop can be requested.
         return std::future::pending().await;
     };
     tokio::select! {
--- a/crates/server/tests/connections.rs
+++ b/crates/server/tests/connections.rs
@@ -44,7 +44,7 @@
             dial(addr, Greeting { identity: seat(1), cluster_hash: 8 }, 1u8, dial_tx.clone());
         stranger.send(&follow(1));
         let Some(ConnectionEvent::Failed { error }) = rx.recv().await else { panic!("taken") };
-        expect_that!(error.to_string(), contains_substring("another fleet"));
+        expect_that!(error.to_string(), contains_substring("another cluster"));
         drop(stranger);
         let ours =
             dial(addr, Greeting { identity: seat(2), cluster_hash: 7 }, 2u8, dial_tx.clone());
