--- a/crates/server/src/controller/confirmation.rs
+++ b/crates/server/src/controller/confirmation.rs
@@ -16,12 +16,12 @@
 use axum::http::{Uri, header};
 use grebepath_runtime::http::server::PeerAddress;
 
-use crate::order::new_request_id;
+use crate::operation_request::new_request_id;
 
 /// Query parameter of a location that confirms an order.
 const PARAMETER: &str = "confirm";
 /// Redirections that a caller follows (count).
-const MOST_REDIRECTIONS: u32 = 2;
+const MAX_REDIRECTIONS: u32 = 2;
 
 /// What an order is confirmed with: it is carried out once under this id, and only if nothing
 /// was accepted since this revision.
@@ -46,7 +46,7 @@
     pub fn next(&self, revision: u64) -> Option<Confirmation> {
         let redirections = self.redirections + 1;
         let request_id = self.request_id.clone();
-        (redirections <= MOST_REDIRECTIONS).then_some(Confirmation {
+        (redirections <= MAX_REDIRECTIONS).then_some(Confirmation {
             request_id,
             revision,
             redirections,
@@ -61,8 +61,8 @@
         let request_id = parts.next()?.to_string();
         let revision = parts.next()?.parse().ok()?;
         let redirections = parts.next()?.parse().ok()?;
-        let is_whole = parts.next().is_none() && !request_id.is_empty();
-        is_whole.then_some(Confirmation { request_id, revision, redirections })
+        let is_complete = parts.next().is_none() && !request_id.is_empty();
+        is_complete.then_some(Confirmation { request_id, revision, redirections })
     }
 
     /// Where the sender of an order confirms it.
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -21,7 +21,7 @@
 use crate::settings::Settings;
 
 /// Wakes between two arrangements of the connections: a second.
-const ARRANGE_WAKES: u32 = 20;
+const WAKES_PER_ARRANGE: u32 = 20;
 
 /// Connections, the disk, and whoever waits for a result.
 pub struct ControllerIo {
@@ -33,7 +33,7 @@
     accepted: HashMap<u64, MessageSender>,
     disk: mpsc::Sender<DiskJob>,
     /// Operators' requests in flight, by operation id.
-    waiting: HashMap<u64, oneshot::Sender<OperationResult>>,
+    pending: HashMap<u64, oneshot::Sender<OperationResult>>,
     next_operation: u64,
     /// When the state machine asked to be woken, beside the wakes that come anyway.
     pub wake_at: Option<tokio::time::Instant>,
@@ -54,7 +54,7 @@
             wakes: 0,
             accepted: HashMap::new(),
             disk,
-            waiting: HashMap::new(),
+            pending: HashMap::new(),
             next_operation: 1,
             wake_at: None,
         };
@@ -70,7 +70,7 @@
     /// all seeds are tried again.
     pub fn note_wake(&mut self, state: &ControllerState) {
         self.wakes += 1;
-        if self.wakes.is_multiple_of(ARRANGE_WAKES) {
+        if self.wakes.is_multiple_of(WAKES_PER_ARRANGE) {
             self.arrange(state);
         }
     }
@@ -92,26 +92,26 @@
     pub fn await_result(&mut self, reply: oneshot::Sender<OperationResult>) -> u64 {
         let operation = self.next_operation;
         self.next_operation += 1;
-        self.waiting.insert(operation, reply);
+        self.pending.insert(operation, reply);
         operation
     }
 
     /// Requests whose callers have gone before there was a result.
-    pub fn take_left_requests(&mut self) -> Vec<u64> {
-        let left = self.waiting.extract_if(|_, reply| reply.is_closed());
-        left.map(|(op, _)| op).collect()
+    pub fn take_abandoned_requests(&mut self) -> Vec<u64> {
+        let abandoned = self.pending.extract_if(|_, reply| reply.is_closed());
+        abandoned.map(|(op, _)| op).collect()
     }
 
     /// Tells whoever still waits that there will be no result.
-    pub fn abandon_waiting(&mut self) {
-        for (_, reply) in self.waiting.drain() {
+    pub fn fail_pending(&mut self) {
+        for (_, reply) in self.pending.drain() {
             let why = "this controller went down".into();
             let _ = reply.send(OperationResult::Unknown { why });
         }
     }
 
     /// What a connection's event means for the state machine, if anything.
-    pub fn take(&mut self, event: ConnectionEvent<SocketAddr>) -> Option<Event> {
+    pub fn to_state_event(&mut self, event: ConnectionEvent<SocketAddr>) -> Option<Event> {
         match event {
             ConnectionEvent::Received { tag, message } => {
                 self.controllers.note_message(tag, &message);
@@ -145,7 +145,7 @@
     }
 
     /// Carries out what the state machine asks.
-    pub fn carry_out(&mut self, state: &ControllerState, commands: Vec<Command>) {
+    pub fn execute(&mut self, state: &ControllerState, commands: Vec<Command>) {
         let voters = &state.voter_slots.voter_file.table;
         for command in commands {
             match command {
@@ -155,7 +155,7 @@
                 Command::Broadcast { message } => self.controllers.broadcast(&message),
                 Command::VoterSetChanged => self.arrange(state),
                 Command::WriteVoterFile { token, roll: file, clear: set_aside } => {
-                    self.ask_disk(DiskJob::WriteVoterFile { token, file, set_aside });
+                    self.submit_disk_job(DiskJob::WriteVoterFile { token, file, set_aside });
                 }
                 Command::ToConnection { connection, message } => {
                     if let Some(sender) = self.accepted.get(&connection) {
@@ -163,14 +163,14 @@
                     }
                 }
                 Command::AppendRecord { partition, token, rec: record } => {
-                    self.ask_disk(DiskJob::Append { partition, token, record });
+                    self.submit_disk_job(DiskJob::Append { partition, token, record });
                 }
                 Command::WriteSnapshot { partition, token, copy: state } => {
-                    self.ask_disk(DiskJob::WriteSnapshot { partition, token, state });
+                    self.submit_disk_job(DiskJob::WriteSnapshot { partition, token, state });
                 }
-                Command::Scrub { partition } => self.ask_disk(DiskJob::Scrub { partition }),
+                Command::Scrub { partition } => self.submit_disk_job(DiskJob::Scrub { partition }),
                 Command::Respond { op, done } => {
-                    if let Some(reply) = self.waiting.remove(&op) {
+                    if let Some(reply) = self.pending.remove(&op) {
                         let _ = reply.send(done);
                     }
                 }
@@ -187,7 +187,7 @@
 
     /// The disk's thread ends only when this sender is gone, or by a panic, which ends
     /// the process with an error later.
-    fn ask_disk(&self, job: DiskJob) {
+    fn submit_disk_job(&self, job: DiskJob) {
         let _ = self.disk.send(job);
     }
 }
--- a/crates/server/src/controller/controller_thread.rs
+++ b/crates/server/src/controller/controller_thread.rs
@@ -20,7 +20,7 @@
 
 /// Times that the connections' tasks may run after the last command, to write what they
 /// hold.
-const LAST_YIELDS: u32 = 64;
+const SHUTDOWN_YIELDS: u32 = 64;
 
 /// What the thread begins with.
 pub struct Start {
@@ -68,9 +68,9 @@
         thread.step(Event::DiskFailed { partition, why });
     }
     thread.run(&mut inputs, &mut connection_events).await;
-    thread.io.abandon_waiting();
+    thread.io.fail_pending();
     // The connections write from tasks of this thread: let them.
-    for _ in 0..LAST_YIELDS {
+    for _ in 0..SHUTDOWN_YIELDS {
         tokio::task::yield_now().await;
     }
     Ok(())
@@ -102,15 +102,15 @@
                 }
                 _ = wake.tick() => {
                     self.io.note_wake(&self.state);
-                    self.abandon_left_requests();
+                    self.cancel_abandoned_requests();
                     Some(Event::Wake)
                 }
                 () = until(self.io.wake_at) => {
                     self.io.wake_at = None;
                     Some(Event::Wake)
                 }
-                Some(input) = inputs.recv() => self.take(input),
-                Some(event) = connection_events.recv() => self.io.take(event),
+                Some(input) = inputs.recv() => self.to_state_event(input),
+                Some(event) = connection_events.recv() => self.io.to_state_event(event),
             };
             if let Some(event) = event {
                 self.step(event);
@@ -120,19 +120,19 @@
 
     /// Callers that have gone wait for nothing any more, and may have given their orders to
     /// another controller.
-    fn abandon_left_requests(&mut self) {
-        for op in self.io.take_left_requests() {
+    fn cancel_abandoned_requests(&mut self) {
+        for op in self.io.take_abandoned_requests() {
             self.step(Event::Abandon { op });
         }
     }
 
     fn step(&mut self, event: Event) {
         let commands = self.state.step(self.clock.now(), event);
-        self.io.carry_out(&self.state, commands);
+        self.io.execute(&self.state, commands);
     }
 
     /// What another thread's input means for the state machine, if anything.
-    fn take(&mut self, input: ControllerInput) -> Option<Event> {
+    fn to_state_event(&mut self, input: ControllerInput) -> Option<Event> {
         match input {
             ControllerInput::Event(event) => Some(event),
             ControllerInput::Operate { request_id, expected_revision, operation, reply } => {
@@ -141,11 +141,11 @@
             }
             ControllerInput::Status(reply) => {
                 let zone = &self.settings.zone;
-                let _ = reply.send(crate::metrics::own(&self.state, zone, self.clock.now()));
+                let _ = reply.send(crate::metrics::status(&self.state, zone, self.clock.now()));
                 None
             }
             ControllerInput::Metrics(reply) => {
-                let _ = reply.send(crate::metrics::text(&self.state));
+                let _ = reply.send(crate::metrics::prometheus_text(&self.state));
                 None
             }
         }
--- a/crates/server/src/controller/disk_thread.rs
+++ b/crates/server/src/controller/disk_thread.rs
@@ -88,19 +88,19 @@
             }
         }
         for (partition, outcome) in outcomes {
-            let event = self.synced(partition, outcome);
-            self.tell(event)?;
+            let event = self.finish_partition(partition, outcome);
+            self.send_event(event)?;
         }
         if let Some(job) = voter_file {
             let event = match self.write_voter_file(&job) {
                 Ok(()) => Event::VoterFileWritten { token: job.token },
                 Err(error) => Event::VoterFileFailed { why: error.to_string() },
             };
-            let _ = self.tell(event);
+            let _ = self.send_event(event);
         }
         for partition in scrubs {
-            let trouble = self.store(partition).scrub().err().map(|error| error.to_string());
-            let _ = self.tell(Event::Scrubbed { partition, corruption: trouble });
+            let corruption = self.store(partition).scrub().err().map(|error| error.to_string());
+            let _ = self.send_event(Event::Scrubbed { partition, corruption });
         }
         Ok(())
     }
@@ -109,12 +109,12 @@
         &mut self.stores[partition.0 as usize]
     }
 
-    fn tell(&self, event: Event) -> Result<(), ()> {
+    fn send_event(&self, event: Event) -> Result<(), ()> {
         self.events.send(ControllerInput::Event(event)).map_err(|_| ())
     }
 
     /// Syncs what a batch appended; the event that ends its jobs of one partition.
-    fn synced(&mut self, partition: PartitionId, mut outcome: PartitionOutcome) -> Event {
+    fn finish_partition(&mut self, partition: PartitionId, mut outcome: PartitionOutcome) -> Event {
         if outcome.unsynced && outcome.error.is_none() {
             outcome.error = self.store(partition).sync().err();
         }
--- a/crates/server/src/controller/disk_wait.rs
+++ b/crates/server/src/controller/disk_wait.rs
@@ -46,18 +46,19 @@
 ) -> Result<Option<OpenDisk>, ControllerError> {
     warn!("the disk can't be written, and is tried again: {first}");
     crate::announce(&format!("controller waits for its disk: {first}"));
-    let (reason, told) = watch::channel(first.to_string());
+    let (reason, current_reason) = watch::channel(first.to_string());
     let listener = operators.try_clone()?;
-    let serving = server::serve(listener, consts::MAX_OPERATOR_CONNECTIONS, router(told), never());
+    let serving =
+        server::serve(listener, consts::MAX_OPERATOR_CONNECTIONS, router(current_reason), never());
     let serving = tokio::spawn(serving);
     // A SIGHUP must not end the process here either.
-    let mut hang_ups = SettingsWatch::new(None);
+    let mut settings_watch = SettingsWatch::new(None);
     let stop = grebepath_runtime::stop::requested();
     tokio::pin!(stop);
     let opened = loop {
         tokio::select! {
             _ = &mut stop => break Ok(None),
-            _ = hang_ups.changed() => continue,
+            _ = settings_watch.changed() => continue,
             () = tokio::time::sleep(RETRY) => {}
         }
         match startup::open(settings) {
@@ -80,11 +81,11 @@
 
 /// Tells that the process lives, and at every other path why it serves nobody.
 fn router(reason: watch::Receiver<String>) -> Router {
-    let refuse = async move || refusal(&reason.borrow());
-    Router::new().route("/livez", get(async || "ok\n")).fallback(refuse)
+    let respond = async move || unavailable_response(&reason.borrow());
+    Router::new().route("/livez", get(async || "ok\n")).fallback(respond)
 }
 
-fn refusal(reason: &str) -> Response {
+fn unavailable_response(reason: &str) -> Response {
     let text = format!("the disk can't be written: {reason}");
     let body = json!({ "error": "not-applied", "text": text }).to_string();
     let heads = [
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -13,8 +13,8 @@
 mod error;
 mod messages;
 mod metrics;
+mod operation_request;
 mod operator_listener;
-mod order;
 mod resubmissions;
 mod rollout_listener;
 mod settings;
@@ -60,8 +60,8 @@
     // The other processes hear of us once all settings are good and the disk was read.
     let listener = std::net::TcpListener::bind(settings.inner)?;
     let name = settings.slot.map_or("-".to_string(), |slot| slot.to_string());
-    let (inner, door) = (listener.local_addr()?, operators.local_addr()?);
-    announce(&format!("controller {name} inner {inner} door {door}"));
+    let (inner, operator_address) = (listener.local_addr()?, operators.local_addr()?);
+    announce(&format!("controller {name} inner {inner} door {operator_address}"));
     let clock = Clock::new();
     let (disk_jobs, jobs) = mpsc::channel();
     let (events, inputs) = tokio::sync::mpsc::unbounded_channel();
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -30,13 +30,13 @@
 }
 
 /// This seat's parts as JSON.
-pub fn own(core: &ControllerState, zone: &str, now: Tick) -> Value {
-    let parts: Vec<Value> = core
+pub fn status(state: &ControllerState, zone: &str, now: Tick) -> Value {
+    let partitions: Vec<Value> = state
         .partitions
         .iter()
         .map(|p| {
             let owner = match &p.role {
-                Role::Leader(_) => Some(core.slot),
+                Role::Leader(_) => Some(state.slot),
                 Role::Follower { leader, .. } => leader.map(|known| known.slot),
                 _ => None,
             };
@@ -52,26 +52,27 @@
             })
         })
         .collect();
-    let seats: Vec<Value> = core.voter_slots.voter_file.table.slots.iter().map(seat).collect();
-    let own = (core.slot != NO_SLOT).then_some(core.slot);
+    let slots: Vec<Value> =
+        state.voter_slots.voter_file.table.slots.iter().map(slot_json).collect();
+    let own_slot = (state.slot != NO_SLOT).then_some(state.slot);
     json!({
-        "seat": own, "zone": zone, "parts": parts, "seats": seats,
-        "uncovered": uncovered(core),
+        "seat": own_slot, "zone": zone, "parts": partitions, "seats": slots,
+        "uncovered": shards_without_leafs(state),
     })
 }
 
-fn seat(h: &SlotHolder) -> Value {
+fn slot_json(h: &SlotHolder) -> Value {
     json!({ "generation": h.generation, "holder": format!("{:016x}", h.holder), "addr": h.addr,
             "zone": h.zone })
 }
 
 /// Shards that have no leaf which may get new work, by what this seat knows:
 /// a zone may hold the last ones of a shard when it is emptied.
-fn uncovered(core: &ControllerState) -> Vec<Value> {
-    let config = &core.partitions[0];
+fn shards_without_leafs(state: &ControllerState) -> Vec<Value> {
+    let config = &state.partitions[0];
     let Ok(conf) = Config::from_entries(&config.committed) else { return Vec::new() };
     let Ok(built) = RoutingTable::build(&conf) else { return Vec::new() };
-    let services = || core.partitions[1..].iter().map(|partition| &partition.committed);
+    let services = || state.partitions[1..].iter().map(|partition| &partition.committed);
     let rollouts: Vec<Rollout> = rollouts_in(&config.committed).collect();
     let versions = VersionsInForce::in_partitions(services(), rollouts.iter());
     let leafs =
@@ -79,7 +80,7 @@
     let view = ClusterView::new(config.committed_revision, Arc::new(built), leafs.in_force);
     let mut out = Vec::new();
     for map in view.routes.values() {
-        let bare: Vec<&str> = map
+        let unserved: Vec<&str> = map
             .shards
             .iter()
             .filter(|s| {
@@ -87,19 +88,19 @@
             })
             .map(|s| s.name.as_str())
             .collect();
-        if !bare.is_empty() {
-            let have = map.shards.len() - bare.len();
+        if !unserved.is_empty() {
+            let have = map.shards.len() - unserved.len();
             let serves = have >= map.required_shards(map.shards.len());
-            out.push(json!({ "search": map.name, "shards": bare, "serves": serves }));
+            out.push(json!({ "search": map.name, "shards": unserved, "serves": serves }));
         }
     }
     out
 }
 
 /// Prometheus text.
-pub fn text(core: &ControllerState) -> String {
+pub fn prometheus_text(state: &ControllerState) -> String {
     let mut out = String::new();
-    let c = &core.counters;
+    let c = &state.counters;
     let mut count = |name: &str, help: &str, val: u64| {
         let _ = writeln!(out, "# HELP {name} {help}\n# TYPE {name} counter\n{name} {val}");
     };
@@ -114,26 +115,27 @@
     count("grebe_news_total", "Messages of news sent to followers.", c.updates_sent);
     count("grebe_fenced_total", "Reports turned away by a fence.", c.fenced_lists);
     let _ = writeln!(out, "# HELP grebe_followers Wires that follow the feed.");
-    let _ = writeln!(out, "# TYPE grebe_followers gauge\ngrebe_followers {}", core.followers.len());
+    let _ =
+        writeln!(out, "# TYPE grebe_followers gauge\ngrebe_followers {}", state.followers.len());
     let _ = writeln!(out, "# HELP grebe_part_revision Committed revision shown, by part.");
     let _ = writeln!(out, "# TYPE grebe_part_revision gauge");
-    for p in &core.partitions {
+    for p in &state.partitions {
         let _ = writeln!(out, "grebe_part_revision{{part=\"{}\"}} {}", p.id, p.committed_revision);
     }
     let _ = writeln!(out, "# HELP grebe_part_role Role in each part, 1 for the present one.");
     let _ = writeln!(out, "# TYPE grebe_part_role gauge");
-    for p in &core.partitions {
+    for p in &state.partitions {
         let _ = writeln!(out, "grebe_part_role{{part=\"{}\",role=\"{}\"}} 1", p.id, role(p));
     }
-    write_rollouts(&mut out, core);
+    write_rollouts(&mut out, state);
     out
 }
 
 /// The phase of each service's newest rollout, as this controller has it committed.
-fn write_rollouts(out: &mut String, core: &ControllerState) {
+fn write_rollouts(out: &mut String, state: &ControllerState) {
     let _ = writeln!(out, "# HELP grebe_rollout_phase Phase of a service's newest rollout.");
     let _ = writeln!(out, "# TYPE grebe_rollout_phase gauge");
-    for rollout in rollouts_in(&core.partitions[0].committed) {
+    for rollout in rollouts_in(&state.partitions[0].committed) {
         let Rollout { service, target, .. } = &rollout;
         let phase = rollout.phase().name();
         let _ = writeln!(
--- a/crates/server/src/controller/order.rs
+++ b/crates/server/src/controller/operation_request.rs
@@ -6,7 +6,7 @@
 use crate::confirmation::Confirmation;
 
 /// An operator's order, or a question.
-pub struct Order {
+pub struct OperationRequest {
     /// The id that it brought.
     pub request_id: Option<String>,
     /// The revision that it says it builds on.
@@ -15,10 +15,10 @@
     pub operation: Operation,
 }
 
-impl Order {
+impl OperationRequest {
     /// A request that needs no id.
-    pub fn question(operation: Operation) -> Order {
-        Order { request_id: None, expected_revision: None, operation }
+    pub fn without_id(operation: Operation) -> OperationRequest {
+        OperationRequest { request_id: None, expected_revision: None, operation }
     }
 
     /// Whether nothing tells a copy of it that comes late from a new order: it is a change,
@@ -33,7 +33,7 @@
     }
 
     /// The same under an id of its own, if it is a change and brought none.
-    pub fn with_id(mut self) -> Order {
+    pub fn with_id(mut self) -> OperationRequest {
         if self.operation.is_change() {
             self.request_id.get_or_insert_with(new_request_id);
         }
@@ -41,7 +41,7 @@
     }
 
     /// The same, as its sender confirmed it.
-    pub fn confirmed_by(mut self, confirmation: &Confirmation) -> Order {
+    pub fn confirmed_by(mut self, confirmation: &Confirmation) -> OperationRequest {
         self.request_id = Some(confirmation.request_id.clone());
         self.expected_revision = Some(confirmation.revision);
         self
--- a/crates/server/src/controller/operator_listener.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -29,8 +29,8 @@
 use crate::answer_counts::AnswerCounts;
 use crate::confirmation::{Confirmation, Sender};
 use crate::messages::ControllerInput;
-use crate::order::Order;
-use crate::resubmissions::{OrderKey, Resubmissions};
+use crate::operation_request::OperationRequest;
+use crate::resubmissions::{RequestKey, Resubmissions};
 use crate::rollout_listener;
 
 /// The way to the controller's thread.
@@ -112,9 +112,9 @@
     match (api.read_operator_request)(&head, &body) {
         OperatorRequest::Malformed(response) => response.map(axum::body::Body::from),
         OperatorRequest::Operation { operation, request_id } => {
-            let order = Order { request_id, expected_revision: None, operation };
+            let request = OperationRequest { request_id, expected_revision: None, operation };
             let write = |result| (api.write_operation_result)(result).map(axum::body::Body::from);
-            submit(&controller, &sender, &body, order, write).await
+            submit(&controller, &sender, &body, request, write).await
         }
     }
 }
@@ -144,8 +144,8 @@
 }
 
 /// Has a request carried out, and gives its result.
-pub async fn operate(controller: &Controller, order: Order) -> OperationResult {
-    let Order { request_id, expected_revision, operation } = order;
+pub async fn operate(controller: &Controller, request: OperationRequest) -> OperationResult {
+    let OperationRequest { request_id, expected_revision, operation } = request;
     let (reply, result) = oneshot::channel();
     let input = ControllerInput::Operate {
         request_id: request_id.unwrap_or_default(),
@@ -164,25 +164,25 @@
     controller: &Controller,
     sender: &Sender,
     body: &[u8],
-    order: Order,
+    request: OperationRequest,
     write: impl Fn(OperationResult) -> Response,
 ) -> Response {
-    if !order.needs_confirmation() {
-        return write(operate(controller, order.with_id()).await);
+    if !request.needs_confirmation() {
+        return write(operate(controller, request.with_id()).await);
     }
-    let key = OrderKey::new(sender, body);
+    let key = RequestKey::new(sender, body);
     let confirmation = match &sender.confirmation {
         Some(confirmation) => {
-            controller.resubmissions.note_followed(&key);
+            controller.resubmissions.remove_followed(&key);
             Some(confirmation.clone())
         }
         None => controller.resubmissions.take(&key, Instant::now()),
     };
-    let order = match &confirmation {
-        Some(confirmation) => order.confirmed_by(confirmation),
-        None => order,
+    let request = match &confirmation {
+        Some(confirmation) => request.confirmed_by(confirmation),
+        None => request,
     };
-    let revision = match operate(controller, order).await {
+    let revision = match operate(controller, request).await {
         OperationResult::Conflict { revision } => revision,
         result => return write(result),
     };
@@ -194,12 +194,12 @@
         let why = "the configuration changes all the time".into();
         return write(OperationResult::Rejected { why });
     };
-    controller.resubmissions.note_asked(key, &next, Instant::now());
-    ask_to_confirm(&next, sender)
+    controller.resubmissions.record_redirect(key, &next, Instant::now());
+    redirect_to_confirm(&next, sender)
 }
 
 /// The redirection that asks the sender of an order to confirm it.
-fn ask_to_confirm(confirmation: &Confirmation, sender: &Sender) -> Response {
+fn redirect_to_confirm(confirmation: &Confirmation, sender: &Sender) -> Response {
     let text = "it has no id and names nothing that it builds on: confirm it at the location";
     let revision = confirmation.revision;
     let body = json!({ "error": "unconfirmed", "text": text, "revision": revision });
@@ -211,7 +211,7 @@
 }
 
 async fn read_config(State(controller): State<Controller>) -> Response {
-    match operate(&controller, Order::question(Operation::Read)).await {
+    match operate(&controller, OperationRequest::without_id(Operation::Read)).await {
         OperationResult::Configuration { revision, entries: map } => {
             match Config::from_entries(&map) {
                 Ok(conf) => answer(200, &json!({ "revision": revision, "config": conf.to_json() })),
@@ -236,7 +236,9 @@
     State(controller): State<Controller>,
     axum::extract::Path(name): axum::extract::Path<String>,
 ) -> Response {
-    write_result(operate(&controller, Order::question(Operation::ForgetMember(name))).await)
+    write_result(
+        operate(&controller, OperationRequest::without_id(Operation::ForgetMember(name))).await,
+    )
 }
 
 async fn replace(
@@ -246,7 +248,7 @@
     body: Bytes,
 ) -> Response {
     let operation = Operation::Replace(body.to_vec());
-    order_from_headers(&controller, &sender, &headers, operation, &body).await
+    operate_with_headers(&controller, &sender, &headers, operation, &body).await
 }
 
 async fn patch(
@@ -256,11 +258,11 @@
     body: Bytes,
 ) -> Response {
     let operation = Operation::Patch(body.to_vec());
-    order_from_headers(&controller, &sender, &headers, operation, &body).await
+    operate_with_headers(&controller, &sender, &headers, operation, &body).await
 }
 
 /// Has an order carried out under the id and the revision that its headers name.
-pub async fn order_from_headers(
+pub async fn operate_with_headers(
     controller: &Controller,
     sender: &Sender,
     headers: &HeaderMap,
@@ -272,8 +274,8 @@
             answer(400, &json!({ "error": "bad-request", "findings": operator::findings(&[f]) }))
         }
         Ok((request_id, expected_revision)) => {
-            let order = Order { request_id, expected_revision, operation };
-            submit(controller, sender, body, order, write_result).await
+            let request = OperationRequest { request_id, expected_revision, operation };
+            submit(controller, sender, body, request, write_result).await
         }
     }
 }
@@ -320,7 +322,7 @@
     }
     let own = result.await.unwrap_or(Value::Null);
     let mut body = json!({ "here": own });
-    match operate(&controller, Order::question(Operation::Status)).await {
+    match operate(&controller, OperationRequest::without_id(Operation::Status)).await {
         OperationResult::Status { membership, progress: far } => {
             let members: Vec<Value> = membership
                 .members
--- a/crates/server/src/controller/resubmissions.rs
+++ b/crates/server/src/controller/resubmissions.rs
@@ -14,33 +14,33 @@
 use crate::confirmation::{Confirmation, Sender};
 
 /// Copies that come within this time of each other may have lain in one place.
-const SHORTEST_PAUSE: Duration = Duration::from_millis(20);
+const MIN_RESUBMISSION_INTERVAL: Duration = Duration::from_millis(20);
 /// After this time a copy may have been sent before its sender was asked to confirm: senders
 /// go on after a second of silence.
-const LONGEST_PAUSE: Duration = Duration::from_millis(900);
+const MAX_RESUBMISSION_INTERVAL: Duration = Duration::from_millis(900);
 /// Orders that are remembered (count).
-const MOST_REMEMBERED: usize = 256;
+const MAX_UNCONFIRMED: usize = 256;
 
 /// An order by who sent it and what it says.
 #[derive(Clone, PartialEq)]
-pub struct OrderKey {
+pub struct RequestKey {
     sender: IpAddr,
-    words: [u8; 16],
+    digest: [u8; 16],
 }
 
-impl OrderKey {
+impl RequestKey {
     /// The key of an order.
-    pub fn new(sender: &Sender, body: &[u8]) -> OrderKey {
+    pub fn new(sender: &Sender, body: &[u8]) -> RequestKey {
         let head = format!("{} {}\n", sender.method, sender.path);
-        let words = digest_bytes(&[head.as_bytes(), body].concat());
-        OrderKey { sender: sender.address, words }
+        let digest = digest_bytes(&[head.as_bytes(), body].concat());
+        RequestKey { sender: sender.address, digest }
     }
 }
 
 /// An order whose sender was asked to confirm it.
 struct Unconfirmed {
-    order: OrderKey,
-    asked_at: Instant,
+    request: RequestKey,
+    redirected_at: Instant,
     confirmation: Confirmation,
 }
 
@@ -53,34 +53,36 @@
 impl Resubmissions {
     /// Notes that the sender of an order is asked now to confirm it. What it was asked a moment
     /// ago stands.
-    pub fn note_asked(&self, order: OrderKey, confirmation: &Confirmation, now: Instant) {
+    pub fn record_redirect(&self, request: RequestKey, confirmation: &Confirmation, now: Instant) {
         let Ok(mut unconfirmed) = self.unconfirmed.lock() else { return };
-        unconfirmed.retain(|known| now.duration_since(known.asked_at) <= LONGEST_PAUSE);
-        if unconfirmed.iter().any(|known| known.order == order) {
+        unconfirmed
+            .retain(|known| now.duration_since(known.redirected_at) <= MAX_RESUBMISSION_INTERVAL);
+        if unconfirmed.iter().any(|known| known.request == request) {
             return;
         }
-        if unconfirmed.len() == MOST_REMEMBERED {
+        if unconfirmed.len() == MAX_UNCONFIRMED {
             unconfirmed.pop_front();
         }
         let confirmation = confirmation.clone();
-        unconfirmed.push_back(Unconfirmed { order, asked_at: now, confirmation });
+        unconfirmed.push_back(Unconfirmed { request, redirected_at: now, confirmation });
     }
 
     /// Notes that the sender of an order has followed to where it confirms it: the same order is
     /// a new one from now on.
-    pub fn note_followed(&self, order: &OrderKey) {
+    pub fn remove_followed(&self, request: &RequestKey) {
         if let Ok(mut unconfirmed) = self.unconfirmed.lock() {
-            unconfirmed.retain(|known| known.order != *order);
+            unconfirmed.retain(|known| known.request != *request);
         }
     }
 
     /// What confirms an order that comes now, if its sender was asked a moment ago. It is
     /// confirmed once.
-    pub fn take(&self, order: &OrderKey, now: Instant) -> Option<Confirmation> {
+    pub fn take(&self, request: &RequestKey, now: Instant) -> Option<Confirmation> {
         let mut unconfirmed = self.unconfirmed.lock().ok()?;
-        let pauses = SHORTEST_PAUSE..=LONGEST_PAUSE;
+        let intervals = MIN_RESUBMISSION_INTERVAL..=MAX_RESUBMISSION_INTERVAL;
         let at = unconfirmed.iter().position(|known| {
-            known.order == *order && pauses.contains(&now.duration_since(known.asked_at))
+            known.request == *request
+                && intervals.contains(&now.duration_since(known.redirected_at))
         })?;
         unconfirmed.remove(at).map(|known| known.confirmation)
     }
--- a/crates/server/src/controller/rollout_listener.rs
+++ b/crates/server/src/controller/rollout_listener.rs
@@ -12,8 +12,8 @@
 use serde_json::{Value, json};
 
 use crate::confirmation::Sender;
-use crate::operator_listener::{Controller, answer, operate, order_from_headers, write_result};
-use crate::order::Order;
+use crate::operation_request::OperationRequest;
+use crate::operator_listener::{Controller, answer, operate, operate_with_headers, write_result};
 
 /// The routes of these calls.
 pub fn routes() -> Router<Controller> {
@@ -31,7 +31,7 @@
     match rollout::read_order(&body) {
         Ok(order) => {
             let operation = Operation::StartRollout(order);
-            order_from_headers(&controller, &sender, &headers, operation, &body).await
+            operate_with_headers(&controller, &sender, &headers, operation, &body).await
         }
         Err(error) => {
             let finding = grebepath_core::diagnostic::Diagnostic::new(error.field(), error);
@@ -48,16 +48,16 @@
     headers: HeaderMap,
 ) -> Response {
     let operation = Operation::AbortRollout(service);
-    order_from_headers(&controller, &sender, &headers, operation, &[]).await
+    operate_with_headers(&controller, &sender, &headers, operation, &[]).await
 }
 
 async fn read(State(controller): State<Controller>, Path(service): Path<String>) -> Response {
-    let question = Order::question(Operation::ReadRollout(service));
-    write_result(operate(&controller, question).await)
+    let query = OperationRequest::without_id(Operation::ReadRollout(service));
+    write_result(operate(&controller, query).await)
 }
 
 async fn list(State(controller): State<Controller>) -> Response {
-    match operate(&controller, Order::question(Operation::Read)).await {
+    match operate(&controller, OperationRequest::without_id(Operation::Read)).await {
         OperationResult::Configuration { revision, entries } => {
             let rollouts: Vec<Value> =
                 rollouts_in(&entries).map(|rollout| rollout::to_json(&rollout)).collect();
--- a/crates/server/src/controller/startup.rs
+++ b/crates/server/src/controller/startup.rs
@@ -67,7 +67,7 @@
     let (stores, replicas, failed) = (Vec::new(), Vec::new(), Vec::new());
     let mut disk = Disk { voter_file, stores, replicas, failed };
     for (partition, mut store, found) in opened {
-        let (condition, state) = take(&mut store, partition, found, &mut disk.failed);
+        let (condition, state) = prepare_replica(&mut store, partition, found, &mut disk.failed);
         disk.replicas.push((partition, condition, state, 0));
         disk.stores.push(store);
     }
@@ -76,7 +76,7 @@
 
 /// What a partition begins with. Where there is something, a snapshot of it is written,
 /// so that records can be appended behind it.
-fn take(
+fn prepare_replica(
     store: &mut PartitionStore,
     partition: PartitionId,
     found: StoredReplica,
