--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -23,8 +23,8 @@
 
 /// The connections that a process keeps to controllers. Dropping a connection ends its task.
 ///
-/// Invariant: `holder` of a connection is the replica id that its peer last reported, or zero before
-/// the first report.
+/// Invariant: `holder` of a connection is the replica id that its peer last reported, or zero
+/// before the first report.
 pub struct Connections<T> {
     /// The address of this process if it is a controller. It is never dialled.
     own_address: Option<SocketAddr>,
--- a/crates/runtime/src/disk/partition_store.rs
+++ b/crates/runtime/src/disk/partition_store.rs
@@ -114,8 +114,8 @@
         self.folder.join("log")
     }
 
-    /// Reads the files again, bypassing the page cache where the system allows it, and compares them
-    /// with the data that was written.
+    /// Reads the files again, bypassing the page cache where the system allows it, and compares
+    /// them with the data that was written.
     pub fn scrub(&self) -> Result<(), ScrubError> {
         // After a failure and before the first snapshot, the content of the files is undefined.
         if self.log.is_none() {
--- a/crates/runtime/src/settings/mod.rs
+++ b/crates/runtime/src/settings/mod.rs
@@ -1,5 +1,5 @@
-//! Settings from flags, a file (a JSON object) and the environment, in this order of precedence. All
-//! errors are reported together, before any port is opened.
+//! Settings from flags, a file (a JSON object) and the environment, in this order of precedence.
+//! All errors are reported together, before any port is opened.
 
 pub mod command_line;
 pub mod reader;
--- a/crates/runtime/src/settings/reader.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -311,8 +311,8 @@
     std::process::exit(EXIT_SETTINGS);
 }
 
-/// Reads a setting from the environment, with the variable as its place. An empty variable counts as
-/// not set, since platforms that set variables from a template leave unknown values empty.
+/// Reads a setting from the environment, with the variable as its place. An empty variable counts
+/// as not set, since platforms that set variables from a template leave unknown values empty.
 fn from_environment(name: &str) -> Option<(String, String)> {
     let variable = format!("{ENVIRONMENT_PREFIX}{}", name.to_uppercase());
     let value = std::env::var(&variable).ok().filter(|value| !value.is_empty())?;
--- a/crates/server/src/controller/confirmation.rs
+++ b/crates/server/src/controller/confirmation.rs
@@ -1,11 +1,12 @@
-//! Confirmations of orders that name neither an id nor a base.
+//! Confirmations of requests that have neither an id nor an expected revision.
 //!
-//! Such an order may have lain in a socket, a relay or a cut network for seconds, while its
-//! sender went on to another controller and gave others. Nothing in it tells that, and no look
-//! at the connection does: it may end at a relay that still waits. So it is not carried out when
-//! it comes. Its sender is redirected (307) to a location that names the revision that stands
-//! and an id; whoever follows was still waiting when that revision was read, and whatever the
-//! sender orders elsewhere after that makes another one, on which the leader refuses this.
+//! Such a request may have been delayed for seconds in a socket, a proxy or a network partition,
+//! while its sender timed out and sent other requests to another controller. Neither the request
+//! nor the state of the connection shows this, since the connection may end at a proxy that still
+//! waits. So the request is not executed when it arrives. Its sender is redirected (307) to a
+//! location that contains the current revision and a new id. A sender that follows was still
+//! waiting when the revision was read. Any change that it requests elsewhere after that creates a
+//! new revision, and the leader then rejects the confirmed request as a conflict.
 
 use std::convert::Infallible;
 use std::net::{IpAddr, Ipv4Addr};
@@ -18,31 +19,31 @@
 
 use crate::operation_request::new_request_id;
 
-/// Query parameter of a location that confirms an order.
+/// Query parameter of a location that confirms a request.
 const PARAMETER: &str = "confirm";
-/// Redirections that a caller follows (count).
+/// Maximum number of redirections that a sender is expected to follow.
 const MAX_REDIRECTIONS: u32 = 2;
 
-/// What an order is confirmed with: it is carried out once under this id, and only if nothing
-/// was accepted since this revision.
+/// The confirmation of a request. The request is executed once under this id, and only if no change
+/// was accepted after this revision.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Confirmation {
-    /// The id that was made up for the order.
+    /// The generated id of the request.
     pub request_id: String,
-    /// The revision that stood when the sender was asked to confirm.
+    /// The revision at the time of the redirection.
     pub revision: u64,
-    /// Redirections of the sender so far (count).
+    /// Number of redirections of the sender so far.
     pub redirections: u32,
 }
 
 impl Confirmation {
-    /// The first one of an order.
+    /// Returns the first confirmation of a request.
     pub fn first(revision: u64) -> Confirmation {
         Confirmation { request_id: new_request_id(), revision, redirections: 1 }
     }
 
-    /// The next one, once the configuration has moved on to another revision; `None` if the
-    /// sender would not follow.
+    /// Returns the confirmation to use after the configuration has changed to another revision, or
+    /// `None` if the sender would not follow another redirection.
     pub fn next(&self, revision: u64) -> Option<Confirmation> {
         let redirections = self.redirections + 1;
         let request_id = self.request_id.clone();
@@ -53,7 +54,7 @@
         })
     }
 
-    /// The one that a request's target names, if it names one.
+    /// Parses the confirmation in a request's target, if there is one.
     pub fn from_uri(uri: &Uri) -> Option<Confirmation> {
         let mut parameters = uri.query()?.split('&');
         let value = parameters.find_map(|p| p.strip_prefix(PARAMETER)?.strip_prefix('='))?;
@@ -65,7 +66,7 @@
         is_complete.then_some(Confirmation { request_id, revision, redirections })
     }
 
-    /// Where the sender of an order confirms it.
+    /// Returns the location at which the sender confirms its request.
     pub fn location(&self, sender: &Sender) -> String {
         let Confirmation { request_id, revision, redirections } = self;
         let Sender { host, path, .. } = sender;
@@ -73,18 +74,18 @@
     }
 }
 
-/// Who sent an order, and where to.
+/// The sender and the target of a request.
 #[derive(Clone, Debug)]
 pub struct Sender {
-    /// The address that the connection came from.
+    /// The remote IP address of the connection.
     pub address: IpAddr,
-    /// What the sender calls this controller.
+    /// The host under which the sender reaches this controller.
     pub host: String,
-    /// The order's method.
+    /// The HTTP method.
     pub method: String,
-    /// The order's path, without its query.
+    /// The path without the query.
     pub path: String,
-    /// The confirmation that came with it.
+    /// The confirmation in the query, if there is one.
     pub confirmation: Option<Confirmation>,
 }
 
@@ -97,7 +98,7 @@
 }
 
 impl Sender {
-    /// The sender of a request.
+    /// Returns the sender of a request.
     pub fn from_parts(parts: &Parts) -> Sender {
         let connection = parts.extensions.get::<ConnectInfo<PeerAddress>>();
         let unknown = || IpAddr::V4(Ipv4Addr::UNSPECIFIED);
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -1,5 +1,5 @@
-//! What the controller's thread holds beside the state machine: turns messages and
-//! requests into events, and commands into I/O.
+//! The I/O of the controller's thread: converts messages and requests to events of the state
+//! machine, and executes its commands.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,27 +20,27 @@
 use crate::messages::DiskJob;
 use crate::settings::Settings;
 
-/// Wakes between two arrangements of the connections: a second.
+/// Number of wakes between two updates of the connections; equals one second.
 const WAKES_PER_ARRANGE: u32 = 20;
 
-/// Connections, the disk, and whoever waits for a result.
+/// The connections, the disk, and the pending requests.
 pub struct ControllerIo {
-    /// Connections that we dial, to other controllers.
+    /// Dialled connections to the other controllers.
     controllers: Connections<SocketAddr>,
-    /// Wakes so far.
+    /// Number of wakes so far.
     wakes: u32,
-    /// Connections that others opened, by our numbers for them.
+    /// Accepted connections, by their local numbers.
     accepted: HashMap<u64, MessageSender>,
     disk: mpsc::Sender<DiskJob>,
-    /// Operators' requests in flight, by operation id.
+    /// Operators' requests in progress, by operation id.
     pending: HashMap<u64, oneshot::Sender<OperationResult>>,
     next_operation: u64,
-    /// When the state machine asked to be woken, beside the wakes that come anyway.
+    /// Time of a wake that the state machine requested in addition to the periodic ones.
     pub wake_at: Option<tokio::time::Instant>,
 }
 
 impl ControllerIo {
-    /// Begins with connections to the voters that are known, or to the seeds.
+    /// Creates the I/O state, and dials the known voters or the seeds.
     pub fn new(
         settings: &Settings,
         state: &ControllerState,
@@ -66,8 +66,8 @@
         self.controllers.arrange(identity(state), &state.voter_slots.voter_file.table);
     }
 
-    /// Arranges the connections now and then: a seed that never spoke is given up, or
-    /// all seeds are tried again.
+    /// Updates the connections periodically. This drops seeds that never identified themselves, and
+    /// dials all seeds again if the controller is isolated.
     pub fn note_wake(&mut self, state: &ControllerState) {
         self.wakes += 1;
         if self.wakes.is_multiple_of(WAKES_PER_ARRANGE) {
@@ -75,20 +75,21 @@
         }
     }
 
-    /// Takes up what of the settings may change under a running controller: its seeds. Wrong
-    /// ones change nothing.
+    /// Applies changed settings. Only the seeds can change without a restart. Invalid settings are
+    /// ignored.
     pub fn reload_settings(&mut self) {
         match Settings::read_again() {
             Ok(settings) => self.controllers.set_seeds(&settings.seeds),
             Err(diagnostics) => {
                 for diagnostic in diagnostics {
-                    warn!("changed params are not taken up: {diagnostic}");
+                    warn!("settings not reloaded: {diagnostic}");
                 }
             }
         }
     }
 
-    /// An id for an operator's request; its result goes to `reply`.
+    /// Registers an operator's request, whose result will be sent to `reply`. Returns its operation
+    /// id.
     pub fn await_result(&mut self, reply: oneshot::Sender<OperationResult>) -> u64 {
         let operation = self.next_operation;
         self.next_operation += 1;
@@ -96,21 +97,21 @@
         operation
     }
 
-    /// Requests whose callers have gone before there was a result.
+    /// Removes and returns the requests whose callers disconnected before there was a result.
     pub fn take_abandoned_requests(&mut self) -> Vec<u64> {
         let abandoned = self.pending.extract_if(|_, reply| reply.is_closed());
         abandoned.map(|(op, _)| op).collect()
     }
 
-    /// Tells whoever still waits that there will be no result.
+    /// Fails all pending requests with an unknown result.
     pub fn fail_pending(&mut self) {
         for (_, reply) in self.pending.drain() {
-            let why = "this controller went down".into();
+            let why = "this controller has shut down".into();
             let _ = reply.send(OperationResult::Unknown { why });
         }
     }
 
-    /// What a connection's event means for the state machine, if anything.
+    /// Converts a connection's event to an event of the state machine, if it concerns it.
     pub fn to_state_event(&mut self, event: ConnectionEvent<SocketAddr>) -> Option<Event> {
         match event {
             ConnectionEvent::Received { tag, message } => {
@@ -118,7 +119,7 @@
                 Some(Event::FromController { message })
             }
             ConnectionEvent::Accepted { connection, identity: who, sender } => {
-                debug!(connection, ?who, "wire opened");
+                debug!(connection, ?who, "connection accepted");
                 self.accepted.insert(connection, sender);
                 Some(Event::ConnectionOpened { connection })
             }
@@ -144,7 +145,7 @@
         }
     }
 
-    /// Carries out what the state machine asks.
+    /// Executes the state machine's commands.
     pub fn execute(&mut self, state: &ControllerState, commands: Vec<Command>) {
         let voters = &state.voter_slots.voter_file.table;
         for command in commands {
@@ -174,7 +175,7 @@
                         let _ = reply.send(done);
                     }
                 }
-                // The state machine takes these itself and returns none.
+                // The state machine handles these itself and never returns them.
                 Command::OwnResponse { .. } => {}
                 Command::WakeAfter { span } => {
                     let at = tokio::time::Instant::now() + duration(span);
@@ -185,14 +186,14 @@
         }
     }
 
-    /// The disk's thread ends only when this sender is gone, or by a panic, which ends
-    /// the process with an error later.
+    /// Sends a job to the disk thread. That thread ends only when this sender is dropped or when it
+    /// panics, in which case the process exits with an error later.
     fn submit_disk_job(&self, job: DiskJob) {
         let _ = self.disk.send(job);
     }
 }
 
-/// As whom we dial.
+/// Returns the identity that this controller sends when it dials.
 fn identity(state: &ControllerState) -> PeerIdentity {
     let holder = state.voter_slots.voter_file.me;
     match state.slot {
--- a/crates/server/src/controller/controller_thread.rs
+++ b/crates/server/src/controller/controller_thread.rs
@@ -1,5 +1,5 @@
-//! The controller's thread: feeds the state machine with events, one at a time, and
-//! carries out its commands.
+//! The controller's thread: passes events to the state machine, one at a time, and executes its
+//! commands.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -18,29 +18,29 @@
 use crate::messages::{ControllerInput, DiskJob};
 use crate::settings::Settings;
 
-/// Times that the connections' tasks may run after the last command, to write what they
-/// hold.
+/// Number of yields after the last command, in which the connections' tasks write their queued
+/// messages.
 const SHUTDOWN_YIELDS: u32 = 64;
 
-/// What the thread begins with.
+/// The thread's initial state.
 pub struct Start {
     /// The settings.
     pub settings: Settings,
     /// The process's clock.
     pub clock: Clock,
-    /// Who this controller is and the voter set it knows; it is on disk.
+    /// The identity of this controller and the voter set that it knows, as stored on disk.
     pub voter_file: VoterFile,
-    /// Each partition as it was found on disk.
+    /// The partitions as read from disk.
     pub replicas: Vec<FoundReplica>,
-    /// Partitions whose first snapshot could not be written, and why.
+    /// Partitions whose first snapshot could not be written, with the error.
     pub failed: Vec<(PartitionId, String)>,
-    /// Listens for the other processes.
+    /// The listener for the other processes.
     pub listener: std::net::TcpListener,
-    /// Takes jobs for the disk.
+    /// The queue of the disk thread.
     pub disk: mpsc::Sender<DiskJob>,
 }
 
-/// The state machine with everything around it.
+/// The state machine and its environment.
 struct ControllerThread {
     settings: Settings,
     clock: Clock,
@@ -48,14 +48,14 @@
     io: ControllerIo,
 }
 
-/// Serves until asked to stop.
+/// Runs the controller until it is asked to stop.
 pub async fn serve(
     start: Start,
     mut inputs: UnboundedReceiver<ControllerInput>,
 ) -> Result<(), std::io::Error> {
     start.listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(start.listener)?;
-    // Without a bound of its own: see `Connections::new`.
+    // Unbounded, for the reason given at `Connections::new`.
     let (events, mut connection_events) = unbounded_channel();
     let (settings, clock) = (start.settings, start.clock);
     tokio::task::spawn_local(accept(listener, settings.cluster_hash, events.clone()));
@@ -69,7 +69,7 @@
     }
     thread.run(&mut inputs, &mut connection_events).await;
     thread.io.fail_pending();
-    // The connections write from tasks of this thread: let them.
+    // The connections' tasks run on this thread, so yield to let them write.
     for _ in 0..SHUTDOWN_YIELDS {
         tokio::task::yield_now().await;
     }
@@ -80,8 +80,8 @@
     UnboundedReceiver<grebepath_runtime::peer_connection::ConnectionEvent<SocketAddr>>;
 
 impl ControllerThread {
-    /// Handles one event after another. Asked to stop, it goes on until our voter slot
-    /// is in other hands, or nobody is there to take it.
+    /// Handles events until the controller ends. After a stop request it continues until its voter
+    /// slot is handed over, or until there is no controller to take it.
     async fn run(
         &mut self,
         inputs: &mut UnboundedReceiver<ControllerInput>,
@@ -118,7 +118,7 @@
         }
     }
 
-    /// Callers that have gone wait for nothing any more, and may have given their orders to
+    /// Cancels the requests whose callers have disconnected, since these may have sent them to
     /// another controller.
     fn cancel_abandoned_requests(&mut self) {
         for op in self.io.take_abandoned_requests() {
@@ -131,7 +131,7 @@
         self.io.execute(&self.state, commands);
     }
 
-    /// What another thread's input means for the state machine, if anything.
+    /// Converts another thread's input to an event of the state machine, or answers it directly.
     fn to_state_event(&mut self, input: ControllerInput) -> Option<Event> {
         match input {
             ControllerInput::Event(event) => Some(event),
@@ -152,7 +152,7 @@
     }
 }
 
-/// Waits until an instant; for ever if there is none.
+/// Waits until an instant, or forever if there is none.
 async fn until(at: Option<tokio::time::Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at).await,
--- a/crates/server/src/controller/disk_thread.rs
+++ b/crates/server/src/controller/disk_thread.rs
@@ -1,4 +1,4 @@
-//! The disk's thread: writes in order, syncs what came together at once.
+//! The disk thread: executes jobs in order, and syncs the jobs of a batch together.
 
 use std::collections::BTreeMap;
 use std::path::PathBuf;
@@ -14,24 +14,24 @@
 
 use crate::messages::{ControllerInput, DiskJob};
 
-/// The files of all partitions, and whom to tell what became of the jobs.
+/// The files of all partitions, and the receiver of the jobs' results.
 pub struct DiskThread {
     data: PathBuf,
-    /// By the partitions' numbers.
+    /// Indexed by partition number.
     stores: Vec<PartitionStore>,
     events: UnboundedSender<ControllerInput>,
 }
 
-/// How a partition fared in one batch.
+/// The outcome of a batch for one partition.
 #[derive(Default)]
 struct PartitionOutcome {
-    /// Of the last job that went well.
+    /// Token of the last successful job.
     token: u64,
     unsynced: bool,
     error: Option<StorageError>,
 }
 
-/// A voter file that is to be written at the end of a batch.
+/// A job to write the voter file at the end of a batch.
 struct VoterFileJob {
     token: u64,
     file: VoterFile,
@@ -52,7 +52,7 @@
     pub fn serve(mut self, jobs: Receiver<DiskJob>) {
         while let Ok(first) = jobs.recv() {
             let mut batch = vec![first];
-            // A voter file ends a batch: it may set aside what came before.
+            // A voter file ends a batch, since its job may set aside the files written before.
             while !matches!(batch.last(), Some(DiskJob::WriteVoterFile { .. }))
                 && let Ok(job) = jobs.try_recv()
             {
@@ -64,7 +64,7 @@
         }
     }
 
-    /// Runs a batch and tells its end. An error means that nobody listens.
+    /// Runs a batch and reports its results. Fails if the receiver was dropped.
     fn run(&mut self, batch: Vec<DiskJob>) -> Result<(), ()> {
         let mut outcomes: BTreeMap<PartitionId, PartitionOutcome> = BTreeMap::new();
         let mut scrubs: Vec<PartitionId> = Vec::new();
@@ -113,7 +113,8 @@
         self.events.send(ControllerInput::Event(event)).map_err(|_| ())
     }
 
-    /// Syncs what a batch appended; the event that ends its jobs of one partition.
+    /// Syncs the records that a batch appended to a partition. Returns the event that completes the
+    /// batch's jobs for that partition.
     fn finish_partition(&mut self, partition: PartitionId, mut outcome: PartitionOutcome) -> Event {
         if outcome.unsynced && outcome.error.is_none() {
             outcome.error = self.store(partition).sync().err();
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Writes the voter file; what it says of the partitions must hold before.
+    /// Writes the voter file. If the job requires it, the partitions' files are set aside first, so
+    /// that the voter file never describes a state that is not on disk yet.
     fn write_voter_file(&mut self, job: &VoterFileJob) -> Result<(), StorageError> {
         if job.set_aside {
             for store in &mut self.stores {
@@ -149,8 +151,8 @@
     fn note_snapshot(&mut self, token: u64, written: Result<(), StorageError>) {
         match written {
             Ok(()) => {
-                // A snapshot holds everything that came before it, so it also ends a
-                // failure within this batch.
+                // A snapshot contains all earlier records, so it also recovers from a failure
+                // earlier in this batch.
                 *self = PartitionOutcome { token, unsynced: false, error: None };
             }
             Err(error) => self.error = Some(error),
--- a/crates/server/src/controller/disk_wait.rs
+++ b/crates/server/src/controller/disk_wait.rs
@@ -1,5 +1,5 @@
-//! A start on a disk without room: the controller listens, says why it serves nobody, and
-//! goes on by itself once its files can be written.
+//! Startup on a full disk: the controller listens, responds with the reason why it is unavailable,
+//! and continues the startup by itself once its files can be written.
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -19,13 +19,13 @@
 use crate::settings::Settings;
 use crate::startup::{self, OpenDisk};
 
-/// Time between two tries to write.
+/// Interval between two attempts to write.
 const RETRY: Duration = Duration::from_millis(250);
-/// When callers are told to come back (s): the platform asks for readiness each second.
+/// Retry delay in responses to callers (s). It matches the platform's readiness check each second.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Opens the disk. While it has no room, operators are told so and it is tried again.
-/// `None` if the process was asked to stop meanwhile.
+/// Opens the disk. While the disk is full, responds to operators with the error and retries.
+/// Returns `None` if the process is asked to stop in the meantime.
 pub fn open_disk(
     settings: &Settings,
     operators: &TcpListener,
@@ -44,14 +44,14 @@
     operators: &TcpListener,
     first: ControllerError,
 ) -> Result<Option<OpenDisk>, ControllerError> {
-    warn!("the disk can't be written, and is tried again: {first}");
+    warn!("the disk can't be written, retrying: {first}");
     crate::announce(&format!("controller waits for its disk: {first}"));
     let (reason, current_reason) = watch::channel(first.to_string());
     let listener = operators.try_clone()?;
     let serving =
         server::serve(listener, consts::MAX_OPERATOR_CONNECTIONS, router(current_reason), never());
     let serving = tokio::spawn(serving);
-    // A SIGHUP must not end the process here either.
+    // Handles SIGHUP, whose default action would end the process.
     let mut settings_watch = SettingsWatch::new(None);
     let stop = grebepath_runtime::stop::requested();
     tokio::pin!(stop);
@@ -79,7 +79,8 @@
     std::future::pending().await
 }
 
-/// Tells that the process lives, and at every other path why it serves nobody.
+/// Builds a router whose liveness check succeeds, and whose other paths all return the reason why
+/// the controller is unavailable.
 fn router(reason: watch::Receiver<String>) -> Router {
     let respond = async move || unavailable_response(&reason.borrow());
     Router::new().route("/livez", get(async || "ok\n")).fallback(respond)
@@ -91,7 +92,7 @@
     let heads = [
         (header::CONTENT_TYPE, "application/json".to_string()),
         (header::RETRY_AFTER, RETRY_AFTER_S.to_string()),
-        // The next answer comes from the listener that follows.
+        // The next response must come from the regular operators' listener.
         (header::CONNECTION, "close".to_string()),
     ];
     (StatusCode::SERVICE_UNAVAILABLE, heads, body).into_response()
--- a/crates/server/src/controller/error.rs
+++ b/crates/server/src/controller/error.rs
@@ -1,17 +1,18 @@
-//! Why the controller ends other than when it is asked to.
+//! Fatal errors of the controller.
 
 use std::path::PathBuf;
 
 use grebepath_runtime::disk::error::{StorageError, is_out_of_space};
 use thiserror::Error;
 
-/// Why the controller could not start or go on.
+/// Why the controller could not start or had to exit.
 #[derive(Debug, Error)]
 pub enum ControllerError {
-    /// Its files can't be read or written.
+    /// The controller's files can't be read or written.
     #[error(transparent)]
     Storage(#[from] StorageError),
-    /// A port or a thread can't be had, or a file of the settings' check.
+    /// A port can't be bound, a thread can't be spawned, or the file with the folder's slot can't
+    /// be written.
     #[error(transparent)]
     Io(#[from] std::io::Error),
     /// The data folder was used for another voter slot.
@@ -19,18 +20,18 @@
     FolderOfAnotherSlot {
         /// The data folder.
         folder: PathBuf,
-        /// The slot it belongs to, as its file says.
+        /// The slot recorded in the folder.
         found: String,
-        /// The slot that the settings name.
+        /// The slot in the settings.
         expected: u8,
     },
-    /// The disk's or the operators' thread panicked.
+    /// The disk thread or the operators' thread panicked.
     #[error("a thread failed")]
     ThreadFailed,
 }
 
 impl ControllerError {
-    /// Whether the disk has no room: the same may go well later.
+    /// Whether the disk is full. The operation may succeed later.
     pub fn is_out_of_space(&self) -> bool {
         match self {
             ControllerError::Storage(error) => error.is_out_of_space(),
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -1,8 +1,8 @@
-//! The control plane: keeps a replica of each partition, leads some of them, feeds the
-//! queriers and takes the operators' requests.
+//! The control plane. A controller stores a replica of each partition, may lead partitions, feeds
+//! updates to the queriers and serves the operators' requests.
 //!
-//! Three threads: the main one drives the state machine ([`controller_thread`]), one
-//! writes files ([`disk_thread`]), one serves operators ([`operator_listener`]).
+//! It has three threads: the main thread runs the state machine ([`controller_thread`]), one writes
+//! files ([`disk_thread`]) and one serves operators ([`operator_listener`]).
 
 mod answer_counts;
 mod confirmation;
@@ -44,12 +44,13 @@
     }
 }
 
-/// Says something to whoever started us. Nobody need read it any more.
+/// Prints a line for the process that started this one. Errors are ignored, since stdout may be
+/// closed.
 fn announce(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-/// A partition as found on disk, ready for the state machine.
+/// A partition as read from disk: its id, condition, state and the size of its log in bytes.
 type FoundReplica = (PartitionId, ReplicaCondition, ReplicaState, u64);
 
 fn run(settings: Settings) -> Result<(), ControllerError> {
@@ -57,7 +58,8 @@
     let Some(OpenDisk { lock: _lock, disk }) = disk_wait::open_disk(&settings, &operators)? else {
         return Ok(());
     };
-    // The other processes hear of us once all settings are good and the disk was read.
+    // The address for other processes is opened only after the settings were validated and the disk
+    // was read.
     let listener = std::net::TcpListener::bind(settings.inner)?;
     let name = settings.slot.map_or("-".to_string(), |slot| slot.to_string());
     let (inner, operator_address) = (listener.local_addr()?, operators.local_addr()?);
@@ -69,7 +71,7 @@
     let disk_thread =
         std::thread::Builder::new().name("disk".into()).spawn(move || disk_thread.serve(jobs))?;
     let api = settings.platform_api;
-    // Holds one value, whether to stop; it never fills up.
+    // Whether to stop. A watch channel holds one value, so it is bounded.
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let operators_thread = std::thread::Builder::new()
         .name("door".into())
--- a/crates/server/src/controller/messages.rs
+++ b/crates/server/src/controller/messages.rs
@@ -1,4 +1,4 @@
-//! What the controller's threads send to each other.
+//! Messages between the controller's threads.
 
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::identifiers::PartitionId;
@@ -7,61 +7,61 @@
 use grebepath_core::storage::voter_file::VoterFile;
 use tokio::sync::oneshot;
 
-/// What reaches the controller's thread, over a channel without a bound of its own: the
-/// disk answers each job once, and the operators' listener bounds its requests.
+/// An input of the controller's thread. Its channel is unbounded, but the disk thread sends one
+/// event per completed job, and the operators' listener limits its concurrent requests.
 pub enum ControllerInput {
     /// An event for the state machine.
     Event(Event),
     /// An operator's request.
     Operate {
-        /// The id under which the request may safely come again; empty if it has none.
+        /// The id under which the request may safely be sent again; empty if it has none.
         request_id: String,
-        /// The revision that a change builds on, if it says so.
+        /// The revision that a change is based on, if the request specifies it.
         expected_revision: Option<u64>,
-        /// What to do.
+        /// The requested operation.
         operation: Operation,
-        /// Takes the result; closed once the caller has gone.
+        /// Receives the result. Closed when the caller disconnects.
         reply: oneshot::Sender<OperationResult>,
     },
-    /// What this controller knows itself, as JSON.
+    /// A request for this controller's status as JSON.
     Status(oneshot::Sender<serde_json::Value>),
-    /// Its metrics as text.
+    /// A request for this controller's metrics as text.
     Metrics(oneshot::Sender<String>),
 }
 
-/// What the disk's thread is asked to do, over a channel without a bound of its own: the
-/// state machine has few jobs of a partition out at once.
+/// A job for the disk thread. Its channel is unbounded, but the state machine has only a few jobs
+/// of a partition in progress at a time.
 pub enum DiskJob {
-    /// Append a record to a partition's log.
+    /// Appends a record to a partition's log.
     Append {
         /// The partition.
         partition: PartitionId,
-        /// Names the job in the event that ends it.
+        /// Identifies the job in the event that completes it.
         token: u64,
         /// The record.
         record: LogRecord,
     },
-    /// Write a snapshot of a partition.
+    /// Writes a snapshot of a partition.
     WriteSnapshot {
         /// The partition.
         partition: PartitionId,
-        /// Names the job in the event that ends it.
+        /// Identifies the job in the event that completes it.
         token: u64,
-        /// The whole state.
+        /// The complete state.
         state: ReplicaState,
     },
-    /// Compare a partition's files with what was written.
+    /// Compares a partition's files with the data that was written.
     Scrub {
         /// The partition.
         partition: PartitionId,
     },
-    /// Write the voter file.
+    /// Writes the voter file.
     WriteVoterFile {
-        /// Names the job in the event that ends it.
+        /// Identifies the job in the event that completes it.
         token: u64,
-        /// Its content.
+        /// The content of the voter file.
         file: VoterFile,
-        /// All partitions' files are set aside before.
+        /// Whether to set the files of all partitions aside first.
         set_aside: bool,
     },
 }
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -1,4 +1,4 @@
-//! What a controller says of itself: for `status` and for Prometheus.
+//! The controller's status as JSON and its metrics for Prometheus.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -29,7 +29,7 @@
     }
 }
 
-/// This seat's parts as JSON.
+/// Returns the status of this controller's partitions and the voter set as JSON.
 pub fn status(state: &ControllerState, zone: &str, now: Tick) -> Value {
     let partitions: Vec<Value> = state
         .partitions
@@ -66,8 +66,8 @@
             "zone": h.zone })
 }
 
-/// Shards that have no leaf which may get new work, by what this seat knows:
-/// a zone may hold the last ones of a shard when it is emptied.
+/// Returns the shards without any leaf that may get new work, as far as this controller knows. A
+/// drained zone may have the last leafs of a shard.
 fn shards_without_leafs(state: &ControllerState) -> Vec<Value> {
     let config = &state.partitions[0];
     let Ok(conf) = Config::from_entries(&config.committed) else { return Vec::new() };
@@ -97,7 +97,7 @@
     out
 }
 
-/// Prometheus text.
+/// Returns the metrics in the text format of Prometheus.
 pub fn prometheus_text(state: &ControllerState) -> String {
     let mut out = String::new();
     let c = &state.counters;
@@ -131,7 +131,7 @@
     out
 }
 
-/// The phase of each service's newest rollout, as this controller has it committed.
+/// Writes the phase of each service's newest rollout, as of this controller's committed revision.
 fn write_rollouts(out: &mut String, state: &ControllerState) {
     let _ = writeln!(out, "# HELP grebe_rollout_phase Phase of a service's newest rollout.");
     let _ = writeln!(out, "# TYPE grebe_rollout_phase gauge");
--- a/crates/server/src/controller/operation_request.rs
+++ b/crates/server/src/controller/operation_request.rs
@@ -1,29 +1,29 @@
-//! An operator's order as the listener read it.
+//! An operator's request, as parsed by the listener.
 
 use grebepath_core::config::types::{ChangeHeader, Config, Patch};
 use grebepath_core::protocol::operation::Operation;
 
 use crate::confirmation::Confirmation;
 
-/// An operator's order, or a question.
+/// An operator's request, which is a change or a query.
 pub struct OperationRequest {
-    /// The id that it brought.
+    /// The id in the request.
     pub request_id: Option<String>,
-    /// The revision that it says it builds on.
+    /// The revision that the request says it is based on.
     pub expected_revision: Option<u64>,
-    /// What is asked.
+    /// The requested operation.
     pub operation: Operation,
 }
 
 impl OperationRequest {
-    /// A request that needs no id.
+    /// Creates a request that needs neither an id nor an expected revision.
     pub fn without_id(operation: Operation) -> OperationRequest {
         OperationRequest { request_id: None, expected_revision: None, operation }
     }
 
-    /// Whether nothing tells a copy of it that comes late from a new order: it is a change,
-    /// brings no id, and names no revision or edition. What can't be read needs
-    /// no confirmation, since it is not carried out.
+    /// Whether a delayed copy of this request can't be told from a new request: it is a change
+    /// without an id, a revision or an edition. A malformed request needs no confirmation, since it
+    /// is not executed.
     pub fn needs_confirmation(&self) -> bool {
         if self.request_id.is_some() || self.expected_revision.is_some() {
             return false;
@@ -32,7 +32,7 @@
             .is_some_and(|header| header.after.is_none() && header.edition.is_none())
     }
 
-    /// The same under an id of its own, if it is a change and brought none.
+    /// Adds a generated id if this is a change without an id.
     pub fn with_id(mut self) -> OperationRequest {
         if self.operation.is_change() {
             self.request_id.get_or_insert_with(new_request_id);
@@ -40,7 +40,7 @@
         self
     }
 
-    /// The same, as its sender confirmed it.
+    /// Adds the id and the revision with which the sender confirmed the request.
     pub fn confirmed_by(mut self, confirmation: &Confirmation) -> OperationRequest {
         self.request_id = Some(confirmation.request_id.clone());
         self.expected_revision = Some(confirmation.revision);
@@ -48,7 +48,7 @@
     }
 }
 
-/// What a change says of itself, if it can be read.
+/// Returns the header of a change, if it can be parsed.
 fn change_header(operation: &Operation) -> Option<ChangeHeader> {
     match operation {
         Operation::Replace(text) => Config::from_json(text).ok().map(|config| config.change_header),
@@ -61,7 +61,7 @@
     }
 }
 
-/// An id for an order that brought none.
+/// Generates an id for a request without one.
 pub fn new_request_id() -> String {
     let [first, second] = [grebepath_runtime::clock::nonce(), grebepath_runtime::clock::nonce()];
     format!("auto-{first:016x}-{second:016x}")
--- a/crates/server/src/controller/operator_listener.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -1,4 +1,4 @@
-//! The listener for operators: HTTP with JSON, on a thread of its own.
+//! The listener for operators, which serves JSON over HTTP on a separate thread.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -33,7 +33,7 @@
 use crate::resubmissions::{RequestKey, Resubmissions};
 use crate::rollout_listener;
 
-/// The way to the controller's thread.
+/// A handle to the controller's thread.
 #[derive(Clone)]
 pub struct Controller {
     inputs: UnboundedSender<ControllerInput>,
@@ -41,7 +41,7 @@
     answers: Arc<AnswerCounts>,
 }
 
-/// Serves operators until told to stop.
+/// Serves operators until `stop` becomes true.
 pub fn serve(
     listener: std::net::TcpListener,
     inputs: UnboundedSender<ControllerInput>,
@@ -50,7 +50,7 @@
 ) {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(e) => return error!("the operators' door can't be served: {e}"),
+        Err(e) => return error!("the operators' listener can't be started: {e}"),
     };
     let answers: Arc<AnswerCounts> = Arc::default();
     let counted = answers.clone();
@@ -67,8 +67,8 @@
             platform_request(controller, platform_api, req)
         })
         .layer(DefaultBodyLimit::max(consts::MAX_OPERATOR_REQUEST_BYTES))
-        // Large requests are few: more than this at once are turned away
-        // rather than held in memory.
+        // Requests may be large, so excess concurrent requests are rejected rather than held in
+        // memory.
         .layer(
             ServiceBuilder::new()
                 .layer(HandleErrorLayer::new(async |_: tower::BoxError| {
@@ -91,11 +91,11 @@
         router,
         until,
     )) {
-        error!("the operators' door: {e}");
+        error!("the operators' listener failed: {e}");
     }
 }
 
-/// A request by the platform's interface, at any path that is not ours.
+/// Serves a request in the platform's dialect, on any path without a route.
 async fn platform_request(
     State(controller): State<Controller>,
     platform_api: Option<&'static PlatformApi>,
@@ -119,21 +119,21 @@
     }
 }
 
-/// An answer with a JSON body.
+/// Creates a response with a JSON body.
 pub fn answer(code: u16, body: &Value) -> Response {
     let code = StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let text = format!("{body}\n");
     (code, [(header::CONTENT_TYPE, "application/json")], text).into_response()
 }
 
-/// Reads the request's headers: its id and the revision that it expects, if it names them.
+/// Reads the optional request id and the optional expected revision from the request's headers.
 fn request_headers(headers: &HeaderMap) -> Result<(Option<String>, Option<u64>), Diagnostic> {
     let bad = |place: &str, text: &str| Diagnostic::new(place, text);
     let text = |name: &str| headers.get(name).map(|v| v.to_str().map(str::to_string));
     let request = match text(REQUEST_ID) {
         None => None,
         Some(Ok(id)) if (1..=128).contains(&id.len()) => Some(id),
-        Some(_) => return Err(bad(REQUEST_ID, "a request id has 1 to 128 plain characters")),
+        Some(_) => return Err(bad(REQUEST_ID, "expected 1 to 128 visible ASCII characters")),
     };
     let expect = match text(EXPECT_REVISION) {
         None => None,
@@ -143,7 +143,7 @@
     Ok((request, expect))
 }
 
-/// Has a request carried out, and gives its result.
+/// Sends a request to the controller's thread and returns its result.
 pub async fn operate(controller: &Controller, request: OperationRequest) -> OperationResult {
     let OperationRequest { request_id, expected_revision, operation } = request;
     let (reply, result) = oneshot::channel();
@@ -154,12 +154,12 @@
         reply,
     };
     if controller.inputs.send(input).is_err() {
-        return OperationResult::Rejected { why: "this controller is going down".into() };
+        return OperationResult::Rejected { why: "this controller is shutting down".into() };
     }
-    result.await.unwrap_or(OperationResult::Unknown { why: "this controller went down".into() })
+    result.await.unwrap_or(OperationResult::Unknown { why: "this controller has shut down".into() })
 }
 
-/// Has an order carried out and writes its result, or asks its sender to confirm it.
+/// Executes a request and writes its result, or redirects its sender to confirm the request.
 async fn submit(
     controller: &Controller,
     sender: &Sender,
@@ -191,16 +191,16 @@
         None => Some(Confirmation::first(revision)),
     };
     let Some(next) = next else {
-        let why = "the configuration changes all the time".into();
+        let why = "the configuration changed again after each confirmation".into();
         return write(OperationResult::Rejected { why });
     };
     controller.resubmissions.record_redirect(key, &next, Instant::now());
     redirect_to_confirm(&next, sender)
 }
 
-/// The redirection that asks the sender of an order to confirm it.
+/// Returns the redirection with which the sender confirms its request.
 fn redirect_to_confirm(confirmation: &Confirmation, sender: &Sender) -> Response {
-    let text = "it has no id and names nothing that it builds on: confirm it at the location";
+    let text = "the request has neither an id nor an expected revision: confirm it at the location";
     let revision = confirmation.revision;
     let body = json!({ "error": "unconfirmed", "text": text, "revision": revision });
     let mut response = answer(StatusCode::TEMPORARY_REDIRECT.as_u16(), &body);
@@ -222,7 +222,7 @@
     }
 }
 
-/// An operator affirms that replicas lost on other voters are lost for good.
+/// Handles an operator's statement that the replicas lost on other voters are lost permanently.
 async fn force_recovery(State(controller): State<Controller>) -> Response {
     match controller.inputs.send(ControllerInput::Event(
         grebepath_core::control_plane::controller::Event::ForceRecovery,
@@ -261,7 +261,7 @@
     operate_with_headers(&controller, &sender, &headers, operation, &body).await
 }
 
-/// Has an order carried out under the id and the revision that its headers name.
+/// Executes an operation under the id and the revision in the request's headers.
 pub async fn operate_with_headers(
     controller: &Controller,
     sender: &Sender,
@@ -280,7 +280,7 @@
     }
 }
 
-/// The answer that tells a result in our own form.
+/// Writes the response for a result in this project's JSON format.
 pub fn write_result(done: OperationResult) -> Response {
     let op = match done {
         OperationResult::Accepted { revision, replicas: copies, is_repeat: again } => {
@@ -307,14 +307,15 @@
             return answer(409, &json!({ "error": error, "version": target }));
         }
         OperationResult::Configuration { .. } | OperationResult::Status { .. } => {
-            OperatorOutcome::Unknown { reason: "an answer to something else".into() }
+            OperatorOutcome::Unknown { reason: "unexpected result of another operation".into() }
         }
     };
     let (code, body) = write(&op);
     answer(code, &body)
 }
 
-/// What this controller knows, and what the configuration's leader knows of members.
+/// Returns the status of this controller, and the membership as the leader of the configuration
+/// knows it.
 async fn status(State(controller): State<Controller>) -> Response {
     let (reply, result) = oneshot::channel();
     if controller.inputs.send(ControllerInput::Status(reply)).is_err() {
--- a/crates/server/src/controller/resubmissions.rs
+++ b/crates/server/src/controller/resubmissions.rs
@@ -1,8 +1,8 @@
-//! Orders whose senders were asked to confirm them, for senders that don't follow redirections.
+//! Redirected requests, for senders that don't follow redirections.
 //!
-//! One that sends the same order again, a moment after it was asked, was still waiting when it
-//! was asked: that confirms it as well. Copies that lay somewhere and come together, or as far
-//! apart as a sender's patience, confirm nothing.
+//! A sender that submits the same request again shortly after the redirection was still waiting at
+//! that time, so the resubmission confirms the request too. Delayed copies that arrive together, or
+//! as far apart as a sender's timeout, don't confirm it.
 
 use std::collections::VecDeque;
 use std::net::IpAddr;
@@ -13,15 +13,15 @@
 
 use crate::confirmation::{Confirmation, Sender};
 
-/// Copies that come within this time of each other may have lain in one place.
+/// Copies that arrive within this time of each other may have been delayed in the same place.
 const MIN_RESUBMISSION_INTERVAL: Duration = Duration::from_millis(20);
-/// After this time a copy may have been sent before its sender was asked to confirm: senders
-/// go on after a second of silence.
+/// A copy that arrives later than this may have been sent before the redirection, since senders
+/// time out after a second and retry.
 const MAX_RESUBMISSION_INTERVAL: Duration = Duration::from_millis(900);
-/// Orders that are remembered (count).
+/// Maximum number of redirected requests that are kept.
 const MAX_UNCONFIRMED: usize = 256;
 
-/// An order by who sent it and what it says.
+/// Identifies a request by its sender and its content.
 #[derive(Clone, PartialEq)]
 pub struct RequestKey {
     sender: IpAddr,
@@ -29,7 +29,7 @@
 }
 
 impl RequestKey {
-    /// The key of an order.
+    /// Returns the key of a request.
     pub fn new(sender: &Sender, body: &[u8]) -> RequestKey {
         let head = format!("{} {}\n", sender.method, sender.path);
         let digest = digest_bytes(&[head.as_bytes(), body].concat());
@@ -37,22 +37,22 @@
     }
 }
 
-/// An order whose sender was asked to confirm it.
+/// A request whose sender was redirected to confirm it.
 struct Unconfirmed {
     request: RequestKey,
     redirected_at: Instant,
     confirmation: Confirmation,
 }
 
-/// The orders whose senders were asked to confirm them a moment ago.
+/// The requests whose senders were recently redirected to confirm them.
 #[derive(Default)]
 pub struct Resubmissions {
     unconfirmed: Mutex<VecDeque<Unconfirmed>>,
 }
 
 impl Resubmissions {
-    /// Notes that the sender of an order is asked now to confirm it. What it was asked a moment
-    /// ago stands.
+    /// Records that the sender of a request is being redirected to confirm it. A recent redirection
+    /// of the same request stays in effect.
     pub fn record_redirect(&self, request: RequestKey, confirmation: &Confirmation, now: Instant) {
         let Ok(mut unconfirmed) = self.unconfirmed.lock() else { return };
         unconfirmed
@@ -67,16 +67,16 @@
         unconfirmed.push_back(Unconfirmed { request, redirected_at: now, confirmation });
     }
 
-    /// Notes that the sender of an order has followed to where it confirms it: the same order is
-    /// a new one from now on.
+    /// Removes a request whose sender has followed the redirection. The same request counts as a
+    /// new one from now on.
     pub fn remove_followed(&self, request: &RequestKey) {
         if let Ok(mut unconfirmed) = self.unconfirmed.lock() {
             unconfirmed.retain(|known| known.request != *request);
         }
     }
 
-    /// What confirms an order that comes now, if its sender was asked a moment ago. It is
-    /// confirmed once.
+    /// Removes and returns the confirmation of a resubmitted request, if its sender was recently
+    /// redirected.
     pub fn take(&self, request: &RequestKey, now: Instant) -> Option<Confirmation> {
         let mut unconfirmed = self.unconfirmed.lock().ok()?;
         let intervals = MIN_RESUBMISSION_INTERVAL..=MAX_RESUBMISSION_INTERVAL;
--- a/crates/server/src/controller/rollout_listener.rs
+++ b/crates/server/src/controller/rollout_listener.rs
@@ -1,4 +1,4 @@
-//! Operators' calls about rollouts, in our own HTTP form.
+//! The HTTP API for rollouts.
 
 use axum::Router;
 use axum::body::Bytes;
@@ -15,7 +15,7 @@
 use crate::operation_request::OperationRequest;
 use crate::operator_listener::{Controller, answer, operate, operate_with_headers, write_result};
 
-/// The routes of these calls.
+/// Returns the routes of the rollout API.
 pub fn routes() -> Router<Controller> {
     Router::new()
         .route(rollout::ROLLOUTS, post(start).get(list))
--- a/crates/server/src/controller/settings.rs
+++ b/crates/server/src/controller/settings.rs
@@ -15,7 +15,7 @@
 
 use crate::error::ControllerError;
 
-/// The file in the data folder that says to which voter slot the folder belongs.
+/// The file in the data folder with the number of the voter slot that the folder belongs to.
 const SLOT_FILE: &str = "seat";
 
 const DESCRIPTION: &str = "grebepath's control plane";
@@ -25,7 +25,7 @@
     Flag {
         name: "seat",
         argument: "N",
-        help: "which of the seeds this is, from 0; without it a seat is found",
+        help: "index of this controller in the seeds, from 0; without it, a free seat is taken",
     },
     ZONE_FLAG,
     Flag { name: "listen", argument: "IP:PORT", help: "address for operators" },
@@ -33,65 +33,66 @@
     Flag {
         name: "seeds",
         argument: "IP:PORT,..",
-        help: "inner addresses of controllers, with commas; with --seat all, by seat",
+        help: "inner addresses of controllers, comma-separated; with --seat, of all, in seat order",
     },
     Flag {
         name: "first",
         argument: "true|false",
-        help: "whether the whole fleet starts for the first time (false)",
+        help: "whether the cluster starts for the first time (false)",
     },
     Flag {
         name: "seats",
         argument: "N",
-        help: "seats of the core, an odd number: twice the machines that may be lost, and 1 (3)",
+        help: "number of voting controllers, odd: twice the number that may fail, plus 1 (3)",
     },
     Flag {
         name: "bear",
         argument: "N",
-        help: "machines of the core that may be lost at once, instead of `seats`",
+        help: "number of voting controllers that may fail at once, instead of `seats`",
     },
     Flag { name: "data", argument: "DIR", help: "folder for this controller's files" },
     FLEET_FLAG,
     Flag {
         name: "dialect",
         argument: "NAME",
-        help: "how operators may speak beside our own manner: own (default) or platform",
+        help: "additional HTTP interface for operators: own (default, none) or platform",
     },
     SEED_PORT_FLAG,
 ];
 
-/// Everything a controller must be told.
+/// The controller's settings.
 #[derive(Clone)]
 pub struct Settings {
-    /// Which of the seeds it is, where an operator gives the voter slots away.
+    /// The controller's index in the seeds, if an operator assigns the voter slots.
     pub slot: Option<u8>,
-    /// The zone its machine stands in.
+    /// The zone of the machine.
     pub zone: String,
-    /// Where operators reach it.
+    /// The listen address for operators.
     pub listen: SocketAddr,
-    /// Where the other processes reach it.
+    /// The listen address for the other processes.
     pub inner: SocketAddr,
-    /// Where the other processes find it: `inner`, with the port it got.
+    /// The address that the other processes connect to: `inner` with the actual port.
     pub advertised: SocketAddr,
-    /// Inner addresses of controllers: with `slot` all of them by their slots,
-    /// else any that are likely to be up; at the first start those that begin.
+    /// Inner addresses of controllers. With `slot`, these are all controllers in the order of their
+    /// slots. Otherwise, they are any controllers that are likely to run, and at the first start
+    /// the initial voters.
     pub seeds: Vec<SocketAddr>,
-    /// The fleet starts for the first time.
+    /// Whether the cluster starts for the first time.
     pub first: bool,
-    /// How many voter slots it begins with.
+    /// The initial number of voter slots.
     pub slots: usize,
-    /// The folder of its files.
+    /// The data folder.
     pub data: PathBuf,
-    /// The fleet it belongs to; a number that all its processes share.
+    /// Hash of the name of the cluster, the same for all its processes.
     pub cluster_hash: u64,
-    /// How operators speak beside our own interface.
+    /// The additional HTTP interface for operators, if there is one.
     pub platform_api: Option<&'static PlatformApi>,
-    /// The file that these came from.
+    /// The settings file, if there is one.
     pub file: Option<String>,
 }
 
 impl Settings {
-    /// Reads and checks the settings; ends the process with 2 if anything is wrong.
+    /// Reads and validates the settings. Exits with code 2 if they are invalid.
     pub fn read_or_exit() -> Settings {
         let line = CommandLine::read_or_exit(DESCRIPTION, &FLAGS);
         let (settings, diagnostics) = Settings::read_checked(line);
@@ -99,7 +100,7 @@
         settings
     }
 
-    /// Reads and checks once more under a running process.
+    /// Reads and validates the settings again while the process runs.
     pub fn read_again() -> Result<Settings, Vec<Diagnostic>> {
         let line = CommandLine::read_again(DESCRIPTION, &FLAGS).ok_or_else(Vec::new)?;
         let (settings, diagnostics) = Settings::read_checked(line);
@@ -114,7 +115,7 @@
         (settings, reader.finish())
     }
 
-    /// Reads all settings. The order is that of the diagnostics.
+    /// Reads all settings, in the order in which diagnostics are reported.
     fn read(reader: &mut SettingsReader) -> Settings {
         let slots_max = u64::from(MAX_VOTER_SLOTS);
         let slot = reader.optional_number("seat", 0, slots_max - 1).map(|slot| slot as u8);
@@ -138,7 +139,7 @@
         }
     }
 
-    /// Checks what must hold between settings.
+    /// Validates the settings against each other.
     fn check(&self, reader: &mut SettingsReader) {
         if self.slots.is_multiple_of(2) {
             reader.report("--seats", "expected an odd number");
@@ -148,16 +149,19 @@
         }
     }
 
-    /// What must hold where an operator gives the voter slots away.
+    /// Validates the settings of a controller whose slot is assigned by an operator.
     fn check_given_slot(&self, slot: u8, reader: &mut SettingsReader) {
         if self.seeds.len().is_multiple_of(2) {
             reader.report("--seeds", "with --seat, expected an odd number of addresses");
         }
         match self.seeds.get(usize::from(slot)) {
-            None => reader.report("--seat", format!("there are {} seeds", self.seeds.len())),
+            None => reader.report(
+                "--seat",
+                format!("must be less than {}, the number of seeds", self.seeds.len()),
+            ),
             Some(seed) if self.inner.port() != 0 && *seed != self.inner => {
                 let text = format!(
-                    "seed {slot} is {seed}, but this seat's inner address is {}",
+                    "seed {slot} is {seed}, but this controller's inner address is {}",
                     self.inner
                 );
                 reader.report("--seeds", text);
@@ -166,7 +170,7 @@
         }
     }
 
-    /// What decides who this controller is at its start.
+    /// Returns the settings that determine the controller's identity at its start.
     pub fn start(&self) -> Start {
         Start {
             slot: self.slot,
@@ -177,9 +181,9 @@
         }
     }
 
-    /// Checks that the data folder belongs to the voter slot that the settings name, or
-    /// gives it to that slot. It belongs to one for ever: used by another, it would vote
-    /// twice.
+    /// Checks that the data folder belongs to the voter slot in the settings, or assigns it to that
+    /// slot if it belongs to none. The assignment is permanent: a controller that used the folder
+    /// of another slot could vote twice.
     pub fn claim_data_folder(&self) -> Result<(), ControllerError> {
         let Some(slot) = self.slot else { return Ok(()) };
         let path = self.data.join(SLOT_FILE);
--- a/crates/server/src/controller/startup.rs
+++ b/crates/server/src/controller/startup.rs
@@ -1,4 +1,4 @@
-//! What a controller finds on its disk when it starts, and what it makes of it.
+//! Loads a controller's state from disk at startup.
 
 use std::fs::File;
 
@@ -17,27 +17,27 @@
 use crate::error::ControllerError;
 use crate::settings::Settings;
 
-/// The disk at the start, ready for use.
+/// The content of the data folder at startup.
 pub struct Disk {
-    /// Who this controller is and the voter set it knows; it is on disk.
+    /// The identity of this controller and the voter set that it knows, as stored on disk.
     pub voter_file: VoterFile,
-    /// The partitions' files, by their numbers.
+    /// The partitions' files, indexed by partition number.
     pub stores: Vec<PartitionStore>,
-    /// Each partition as it was found.
+    /// The partitions as read from disk.
     pub replicas: Vec<FoundReplica>,
-    /// Partitions whose first snapshot could not be written, and why.
+    /// Partitions whose first snapshot could not be written, with the error.
     pub failed: Vec<(PartitionId, String)>,
 }
 
-/// The data folder, which is ours as long as this lives.
+/// The data folder, locked by this process until this value is dropped.
 pub struct OpenDisk {
-    /// Keeps other processes from the folder.
+    /// The lock that keeps other processes from using the folder.
     pub lock: File,
-    /// What the folder holds.
+    /// The content of the folder.
     pub disk: Disk,
 }
 
-/// Takes the data folder and reads it.
+/// Locks and reads the data folder.
 pub fn open(settings: &Settings) -> Result<OpenDisk, ControllerError> {
     let lock = data_folder::lock(&settings.data)?;
     settings.claim_data_folder()?;
@@ -45,7 +45,7 @@
     Ok(OpenDisk { lock, disk })
 }
 
-/// Reads all files and settles who this controller is.
+/// Reads all files and determines the controller's identity.
 fn read_disk(settings: &Settings) -> Result<Disk, StorageError> {
     let data = &settings.data;
     let known = data_folder::read_voter_file(data)?;
@@ -56,13 +56,13 @@
     for partition in partitions() {
         let (mut store, mut found) = PartitionStore::open(data, partition)?;
         if set_aside {
-            warn!(part = %partition, "the files are of a slot given to another; set aside");
+            warn!(part = %partition, "the files belong to a voter slot of another controller; set aside");
             store.set_aside()?;
             found = StoredReplica::Empty;
         }
         opened.push((partition, store, found));
     }
-    // Nothing may be said as who we are before that is on disk.
+    // The identity must be durable before the controller sends any message under it.
     data_folder::write_voter_file(data, &voter_file)?;
     let (stores, replicas, failed) = (Vec::new(), Vec::new(), Vec::new());
     let mut disk = Disk { voter_file, stores, replicas, failed };
@@ -74,8 +74,8 @@
     Ok(disk)
 }
 
-/// What a partition begins with. Where there is something, a snapshot of it is written,
-/// so that records can be appended behind it.
+/// Returns the initial condition and state of a partition. For a partition with state, writes a
+/// snapshot, so that records can be appended after it.
 fn prepare_replica(
     store: &mut PartitionStore,
     partition: PartitionId,
@@ -85,7 +85,7 @@
     match found {
         StoredReplica::Empty => (ReplicaCondition::Empty, ReplicaState::default()),
         StoredReplica::Damaged(why) => {
-            warn!(part = %partition, why = why.to_string(), "the files are damaged and set aside; relearning");
+            warn!(part = %partition, why = why.to_string(), "the files are damaged and set aside; recovering from the other replicas");
             (ReplicaCondition::Damaged, ReplicaState::default())
         }
         StoredReplica::Intact { state, is_torn: torn, .. } => {
