--- a/crates/server/src/grebectl/cli.rs
+++ b/crates/server/src/grebectl/cli.rs
@@ -8,17 +8,17 @@
 /// All is well.
 pub const EXIT_OK: i32 = 0;
 /// Nobody could be reached, or the request was certainly not applied.
-pub const EXIT_TROUBLE: i32 = 1;
+pub const EXIT_FAILED: i32 = 1;
 /// The command line is wrong.
 pub const EXIT_USAGE: i32 = 2;
 /// The configuration is wrong; findings were printed.
-pub const EXIT_WRONG: i32 = 3;
+pub const EXIT_INVALID: i32 = 3;
 /// The revision has moved on from the expected one.
-pub const EXIT_MOVED: i32 = 4;
+pub const EXIT_CONFLICT: i32 = 4;
 /// It is unknown whether the request was applied; ask again with its id.
 pub const EXIT_UNKNOWN: i32 = 5;
 /// Accepted, but not every member obeyed in time.
-pub const EXIT_WAIT: i32 = 6;
+pub const EXIT_NOT_APPLIED_IN_TIME: i32 = 6;
 /// `diff` found differences.
 pub const EXIT_DIFFERS: i32 = 7;
 
@@ -34,7 +34,7 @@
     Undrain { zone: String },
     Status,
     Forget { member: String },
-    Vouch { seat: String },
+    ForceRecovery { controller: String },
     Explain { search: String, key: Option<String>, file: Option<String> },
     Rollout(RolloutVerb),
 }
@@ -111,9 +111,9 @@
         .to_options()
         .descr("a member that is down for good: count it no longer")
         .command("forget");
-    let vouch = positional::<String>("IP:PORT")
+    let force_recovery = positional::<String>("IP:PORT")
         .help("the controller whose disk was lost")
-        .map(|seat| Verb::Vouch { seat })
+        .map(|controller| Verb::ForceRecovery { controller })
         .to_options()
         .descr("after the loss of two disks: let this controller begin from what is left")
         .command("vouch");
@@ -131,7 +131,18 @@
         .descr("move a service to another version")
         .command("rollout");
     construct!([
-        check, apply, patch, get, diff, drain, undrain, status, forget, vouch, explain, rollout
+        check,
+        apply,
+        patch,
+        get,
+        diff,
+        drain,
+        undrain,
+        status,
+        forget,
+        force_recovery,
+        explain,
+        rollout
     ])
 }
 
--- a/crates/server/src/grebectl/controller_client.rs
+++ b/crates/server/src/grebectl/controller_client.rs
@@ -13,7 +13,7 @@
 use thiserror::Error;
 
 /// Added to the time that a controller may take, for the way there and back.
-const TRAVEL_TIME: Duration = Duration::from_secs(2);
+const NETWORK_MARGIN: Duration = Duration::from_secs(2);
 
 /// Why there is no answer, or none that is of use.
 #[derive(Debug, Error)]
@@ -153,7 +153,7 @@
             request = request.header(EXPECT_REVISION, revision.to_string());
         }
         let request = request.body(Full::new(Bytes::from(self.body.clone())))?;
-        let timeout = Duration::from_micros(consts::OPERATOR_REQUEST_TIMEOUT) + TRAVEL_TIME;
+        let timeout = Duration::from_micros(consts::OPERATOR_REQUEST_TIMEOUT) + NETWORK_MARGIN;
         let response =
             http.call_within(request, consts::MAX_OPERATOR_REQUEST_BYTES, timeout).await?;
         let status = response.status();
--- a/crates/server/src/grebectl/main.rs
+++ b/crates/server/src/grebectl/main.rs
@@ -12,7 +12,7 @@
         Ok(rt) => rt,
         Err(e) => {
             eprintln!("grebectl: {e}");
-            std::process::exit(cli::EXIT_TROUBLE);
+            std::process::exit(cli::EXIT_FAILED);
         }
     };
     std::process::exit(rt.block_on(verbs::run(args)));
--- a/crates/server/src/grebectl/rollouts.rs
+++ b/crates/server/src/grebectl/rollouts.rs
@@ -10,17 +10,17 @@
 
 use crate::cli::{Args, EXIT_OK, RolloutVerb};
 use crate::controller_client::ControllerRequest;
-use crate::verbs::{Failure, controllers, send_order};
+use crate::verbs::{Failure, controllers, send_change};
 
 /// Runs a verb of rollouts and gives the exit code.
 pub async fn run(args: &Args, http: &HttpClient, verb: &RolloutVerb) -> Result<i32, Failure> {
     match verb {
         RolloutVerb::Start { service, version, over_s } => {
             let order = json!({ "service": service, "version": version, "over_s": over_s });
-            send_order(args, http, Method::POST, ROLLOUTS, order.to_string().into_bytes()).await
+            send_change(args, http, Method::POST, ROLLOUTS, order.to_string().into_bytes()).await
         }
         RolloutVerb::Abort { service } => {
-            send_order(args, http, Method::DELETE, &path_of(service), Vec::new()).await
+            send_change(args, http, Method::DELETE, &path_of(service), Vec::new()).await
         }
         RolloutVerb::Status { service } => status(args, http, service.as_deref()).await,
         RolloutVerb::History { service } => history(args, http, service).await,
@@ -39,7 +39,7 @@
 async fn status(args: &Args, http: &HttpClient, service: Option<&str>) -> Result<i32, Failure> {
     let rollouts = match service {
         Some(service) => vec![read(args, http, &path_of(service)).await?],
-        None => listed(&read(args, http, ROLLOUTS).await?["rollouts"]),
+        None => to_list(&read(args, http, ROLLOUTS).await?["rollouts"]),
     };
     if args.json {
         println!("{}", Value::Array(rollouts));
@@ -53,7 +53,7 @@
 
 async fn history(args: &Args, http: &HttpClient, service: &str) -> Result<i32, Failure> {
     let newest = read(args, http, &path_of(service)).await?;
-    let mut rollouts = listed(&newest["history"]);
+    let mut rollouts = to_list(&newest["history"]);
     rollouts.push(newest);
     if args.json {
         println!("{}", Value::Array(rollouts));
@@ -66,15 +66,19 @@
 }
 
 /// The rollouts of the services that a route's shards are asked of.
-pub async fn of_plan(args: &Args, http: &HttpClient, route: &Route) -> Result<Value, Failure> {
+pub async fn rollouts_of_route(
+    args: &Args,
+    http: &HttpClient,
+    route: &Route,
+) -> Result<Value, Failure> {
     let pools = route.shards.iter().flat_map(|shard| &shard.pools);
     let services: BTreeSet<&str> = pools.map(|pool| pool.service.as_str()).collect();
-    let mut rollouts = listed(&read(args, http, ROLLOUTS).await?["rollouts"]);
+    let mut rollouts = to_list(&read(args, http, ROLLOUTS).await?["rollouts"]);
     rollouts.retain(|rollout| services.contains(text(rollout, "service")));
     Ok(Value::Array(rollouts))
 }
 
-fn listed(value: &Value) -> Vec<Value> {
+fn to_list(value: &Value) -> Vec<Value> {
     value.as_array().cloned().unwrap_or_default()
 }
 
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -14,7 +14,7 @@
 use crate::rollouts;
 
 /// Prints findings.
-pub fn wrong(all: &[Diagnostic], as_json: bool) {
+pub fn print_diagnostics(all: &[Diagnostic], as_json: bool) {
     if as_json {
         println!("{}", json!({ "error": "wrong", "findings": findings(all) }));
     } else {
@@ -25,15 +25,15 @@
 }
 
 /// The plan of a mapping, and of a key's lookup.
-pub fn plan(m: &Route, key: Option<&str>) -> Value {
-    let planned: Vec<usize> = match (m.fan_out, key) {
-        (FanOut::ByKey, Some(key)) => vec![shard_for_key(m, key)],
-        _ => (0..m.shards.len()).collect(),
+pub fn plan(route: &Route, key: Option<&str>) -> Value {
+    let planned: Vec<usize> = match (route.fan_out, key) {
+        (FanOut::ByKey, Some(key)) => vec![shard_for_key(route, key)],
+        _ => (0..route.shards.len()).collect(),
     };
     let shards: Vec<Value> = planned
         .iter()
         .map(|i| {
-            let s = &m.shards[*i];
+            let s = &route.shards[*i];
             let pools: Vec<Value> = s
                 .pools
                 .iter()
@@ -46,12 +46,12 @@
         })
         .collect();
     json!({
-        "search": m.name, "class": m.class.name(),
-        "cut": m.index_version, "send": if m.fan_out == FanOut::AllShards { "wide" } else { "one by key" },
-        "promise_ms": m.timeout / MILLI, "attempts": m.attempts,
-        "wait_pct": m.hedge_after_pct, "stop_pct": m.quorum_after_pct,
-        "prefer": if m.prefer_local { "local" } else { "any" },
-        "planned": planned.len(), "needed": m.required_shards(planned.len()), "shards": shards,
+        "search": route.name, "class": route.class.name(),
+        "cut": route.index_version, "send": if route.fan_out == FanOut::AllShards { "wide" } else { "one by key" },
+        "promise_ms": route.timeout / MILLI, "attempts": route.attempts,
+        "wait_pct": route.hedge_after_pct, "stop_pct": route.quorum_after_pct,
+        "prefer": if route.prefer_local { "local" } else { "any" },
+        "planned": planned.len(), "needed": route.required_shards(planned.len()), "shards": shards,
     })
 }
 
@@ -154,15 +154,15 @@
         None => out += "members: unknown, the configuration has no owner that answers\n",
         Some(c) => {
             out += &format!("members (epoch {}, turn {}):\n", c["epoch"], c["turn"]);
-            for m in list(&c["members"]) {
+            for member in list(&c["members"]) {
                 out += &format!(
                     "  {:<12} zone {:<6} obeys {:<6} ready {:<6} heard {} ms ago{}\n",
-                    text(&m["name"]),
-                    text(&m["zone"]),
-                    text(&m["obeys"]),
-                    text(&m["ready"]),
-                    text(&m["heard_ms_ago"]),
-                    if m["settled"] == true { "" } else { "  joining" },
+                    text(&member["name"]),
+                    text(&member["zone"]),
+                    text(&member["obeys"]),
+                    text(&member["ready"]),
+                    text(&member["heard_ms_ago"]),
+                    if member["settled"] == true { "" } else { "  joining" },
                 );
             }
         }
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -12,8 +12,8 @@
 use serde_json::{Value, json};
 
 use crate::cli::{
-    Args, EXIT_DIFFERS, EXIT_MOVED, EXIT_OK, EXIT_TROUBLE, EXIT_UNKNOWN, EXIT_USAGE, EXIT_WAIT,
-    EXIT_WRONG, Verb, addresses,
+    Args, EXIT_CONFLICT, EXIT_DIFFERS, EXIT_FAILED, EXIT_INVALID, EXIT_NOT_APPLIED_IN_TIME,
+    EXIT_OK, EXIT_UNKNOWN, EXIT_USAGE, Verb, addresses,
 };
 use crate::controller_client::{Answer, ControllerRequest, RequestError};
 use crate::rollouts;
@@ -33,7 +33,7 @@
 
     /// Nobody could be reached, or the request was certainly not applied.
     fn not_applied(message: impl Into<String>) -> Failure {
-        Failure::new(message, EXIT_TROUBLE)
+        Failure::new(message, EXIT_FAILED)
     }
 }
 
@@ -63,31 +63,31 @@
 }
 
 fn read_file(file: &str) -> Result<Vec<u8>, Failure> {
-    let got = if file == "-" {
+    let result = if file == "-" {
         let mut raw = Vec::new();
         std::io::Read::read_to_end(&mut std::io::stdin(), &mut raw).map(|_| raw)
     } else {
         std::fs::read(file)
     };
-    got.map_err(|error| Failure::new(format!("{file}: {error}"), EXIT_USAGE))
+    result.map_err(|error| Failure::new(format!("{file}: {error}"), EXIT_USAGE))
 }
 
-fn checked(args: &Args, raw: &[u8]) -> Result<(Config, RoutingTable), Failure> {
-    let got = Config::from_json(raw).and_then(|c| RoutingTable::build(&c).map(|b| (c, b)));
-    got.map_err(|all| {
-        show::wrong(&all, args.json);
-        Failure::new("", EXIT_WRONG)
+fn parse_config(args: &Args, raw: &[u8]) -> Result<(Config, RoutingTable), Failure> {
+    let result = Config::from_json(raw).and_then(|c| RoutingTable::build(&c).map(|b| (c, b)));
+    result.map_err(|all| {
+        show::print_diagnostics(&all, args.json);
+        Failure::new("", EXIT_INVALID)
     })
 }
 
 async fn verb(args: &Args, http: &HttpClient) -> Result<i32, Failure> {
     match &args.verb {
         Verb::Check { file } => {
-            let (_, built) = checked(args, &read_file(file)?)?;
+            let (_, table) = parse_config(args, &read_file(file)?)?;
             if args.json {
-                println!("{}", json!({ "searches": built.routes.len() }));
+                println!("{}", json!({ "searches": table.routes.len() }));
             } else {
-                println!("good: {} searches", built.routes.len());
+                println!("good: {} searches", table.routes.len());
             }
             Ok(EXIT_OK)
         }
@@ -96,8 +96,8 @@
         Verb::Drain { zone } => send(args, http, Method::PATCH, zone_patch(zone, "drained")).await,
         Verb::Undrain { zone } => send(args, http, Method::PATCH, zone_patch(zone, "open")).await,
         Verb::Get => {
-            let (revision, conf) = get(args, http).await?;
-            let val = conf.to_json();
+            let (revision, config) = get(args, http).await?;
+            let val = config.to_json();
             if args.json {
                 println!("{}", json!({ "revision": revision, "config": val }));
             } else {
@@ -108,7 +108,7 @@
         }
         Verb::Diff { file } => diff(args, http, &read_file(file)?).await,
         Verb::Status => status(args, http).await,
-        Verb::Vouch { seat } => force_recovery(http, seat).await,
+        Verb::ForceRecovery { controller } => force_recovery(http, controller).await,
         Verb::Forget { member } => forget_member(args, http, member).await,
         Verb::Rollout(verb) => rollouts::run(args, http, verb).await,
         Verb::Explain { search, key, file } => {
@@ -142,23 +142,23 @@
     key: Option<&str>,
     file: Option<&str>,
 ) -> Result<i32, Failure> {
-    let built = match file {
-        Some(file) => checked(args, &read_file(file)?)?.1,
+    let table = match file {
+        Some(file) => parse_config(args, &read_file(file)?)?.1,
         None => {
-            let (_, conf) = get(args, http).await?;
-            RoutingTable::build(&conf).map_err(|_| {
+            let (_, config) = get(args, http).await?;
+            RoutingTable::build(&config).map_err(|_| {
                 Failure::not_applied("the configuration in force does not build here")
             })?
         }
     };
-    let Some(route) = built.routes.get(search) else {
-        let known: Vec<_> = built.routes.keys().map(String::as_str).collect();
+    let Some(route) = table.routes.get(search) else {
+        let known: Vec<_> = table.routes.keys().map(String::as_str).collect();
         let text = format!("no search `{search}`; known are {}", known.join(", "));
         return Err(Failure::not_applied(text));
     };
     let mut plan = show::plan(route, key);
     if file.is_none() {
-        plan["rollouts"] = rollouts::of_plan(args, http, route).await?;
+        plan["rollouts"] = rollouts::rollouts_of_route(args, http, route).await?;
     }
     if args.json {
         println!("{plan}");
@@ -175,9 +175,9 @@
 async fn get(args: &Args, http: &HttpClient) -> Result<(u64, Config), Failure> {
     let request = ControllerRequest::new(Method::GET, CONFIG);
     let body = request.send_to_any(http, &controllers(args)?).await?.into_ok()?;
-    let conf = Config::from_json(body["config"].to_string().as_bytes())
+    let config = Config::from_json(body["config"].to_string().as_bytes())
         .map_err(|_| Failure::not_applied("the configuration in force can't be read here"))?;
-    Ok((body["revision"].as_u64().unwrap_or(0), conf))
+    Ok((body["revision"].as_u64().unwrap_or(0), config))
 }
 
 async fn send(
@@ -188,13 +188,13 @@
 ) -> Result<i32, Failure> {
     // Findings that need no controller are told without one.
     if method == Method::PUT {
-        checked(args, &body)?;
+        parse_config(args, &body)?;
     }
-    send_order(args, http, method, CONFIG, body).await
+    send_change(args, http, method, CONFIG, body).await
 }
 
 /// Sends an order under an id of its own, and tells what came of it.
-pub async fn send_order(
+pub async fn send_change(
     args: &Args,
     http: &HttpClient,
     method: Method,
@@ -221,9 +221,9 @@
     let Answer { code, body: answer } = answer;
     let exit = match code {
         200 => EXIT_OK,
-        422 | 400 => EXIT_WRONG,
-        412 => EXIT_MOVED,
-        404 | 409 | 503 => EXIT_TROUBLE,
+        422 | 400 => EXIT_INVALID,
+        412 => EXIT_CONFLICT,
+        404 | 409 | 503 => EXIT_FAILED,
         _ => EXIT_UNKNOWN,
     };
     let revision = answer["revision"].as_u64().unwrap_or(0);
@@ -234,14 +234,14 @@
             EXIT_OK => {
                 println!("accepted as revision {revision}, synced by {} of 3", answer["copies"])
             }
-            EXIT_WRONG => show::wrong(&findings(&answer), false),
-            EXIT_MOVED => println!("not applied: the revision is {revision} now"),
+            EXIT_INVALID => show::print_diagnostics(&findings(&answer), false),
+            EXIT_CONFLICT => println!("not applied: the revision is {revision} now"),
             EXIT_UNKNOWN => println!("unknown: {answer}; ask again with --request-id {id}"),
             _ => println!("not applied: {answer}"),
         }
     }
     match (exit, args.wait) {
-        (EXIT_OK, Some(secs)) => obeyed(args, http, &list, revision, secs).await,
+        (EXIT_OK, Some(secs)) => wait_until_applied(args, http, &list, revision, secs).await,
         _ => Ok(exit),
     }
 }
@@ -253,7 +253,7 @@
 }
 
 /// Waits until every live member obeys a revision.
-async fn obeyed(
+async fn wait_until_applied(
     args: &Args,
     http: &HttpClient,
     list: &[SocketAddr],
@@ -263,17 +263,17 @@
     let end = Instant::now() + Duration::from_secs(secs);
     let status = ControllerRequest::new(Method::GET, STATUS);
     loop {
-        let mut late = vec!["the members are unknown".to_string()];
+        let mut lagging = vec!["the members are unknown".to_string()];
         if let Ok(Answer { code: 200, body }) = status.send_to_any(http, list).await
             && body["cohort"]["epoch"].as_u64().is_some_and(|e| e > 0)
             && let Some(members) = body["cohort"]["members"].as_array()
         {
-            late = members
+            lagging = members
                 .iter()
                 .filter(|m| m["obeys"].as_u64().unwrap_or(0) < revision)
                 .map(|m| m["name"].as_str().unwrap_or("?").to_string())
                 .collect();
-            if late.is_empty() {
+            if lagging.is_empty() {
                 if !args.json {
                     println!("obeyed by all {} members", members.len());
                 }
@@ -281,15 +281,15 @@
             }
         }
         if Instant::now() >= end {
-            let text = format!("not obeyed in time by: {}", late.join(", "));
-            return Err(Failure::new(text, EXIT_WAIT));
+            let text = format!("not obeyed in time by: {}", lagging.join(", "));
+            return Err(Failure::new(text, EXIT_NOT_APPLIED_IN_TIME));
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
 async fn diff(args: &Args, http: &HttpClient, raw: &[u8]) -> Result<i32, Failure> {
-    let (new, _) = checked(args, raw)?;
+    let (new, _) = parse_config(args, raw)?;
     let (revision, old) = get(args, http).await?;
     let (before, list) = (old.to_entries(), old.changes_to(&new));
     let rows: Vec<(&str, &str)> = list
@@ -337,5 +337,5 @@
     } else {
         print!("{}", show::status_text(&answers));
     }
-    Ok(if good { EXIT_OK } else { EXIT_TROUBLE })
+    Ok(if good { EXIT_OK } else { EXIT_FAILED })
 }
