--- a/crates/server/src/grebectl/cli.rs
+++ b/crates/server/src/grebectl/cli.rs
@@ -1,28 +1,28 @@
-//! Words of the command line, and exit codes.
+//! The command line parser and the exit codes.
 
 use std::net::SocketAddr;
 
 use bpaf::{OptionParser, Parser, construct, long, positional};
 use thiserror::Error;
 
-/// All is well.
+/// Success.
 pub const EXIT_OK: i32 = 0;
-/// Nobody could be reached, or the request was certainly not applied.
+/// No controller could be reached, or the request was definitely not applied.
 pub const EXIT_FAILED: i32 = 1;
-/// The command line is wrong.
+/// The command line is invalid.
 pub const EXIT_USAGE: i32 = 2;
-/// The configuration is wrong; findings were printed.
+/// The configuration is invalid; diagnostics were printed.
 pub const EXIT_INVALID: i32 = 3;
-/// The revision has moved on from the expected one.
+/// The current revision differs from the expected one.
 pub const EXIT_CONFLICT: i32 = 4;
-/// It is unknown whether the request was applied; ask again with its id.
+/// It is unknown whether the request was applied; it can be sent again under its id.
 pub const EXIT_UNKNOWN: i32 = 5;
-/// Accepted, but not every member obeyed in time.
+/// The request was accepted, but not all members applied it in time.
 pub const EXIT_NOT_APPLIED_IN_TIME: i32 = 6;
 /// `diff` found differences.
 pub const EXIT_DIFFERS: i32 = 7;
 
-/// What is wanted.
+/// The command to execute.
 #[derive(Clone, Debug)]
 pub enum Verb {
     Check { file: String },
@@ -39,25 +39,25 @@
     Rollout(RolloutVerb),
 }
 
-/// What is wanted of rollouts.
+/// The rollout command to execute.
 #[derive(Clone, Debug)]
 pub enum RolloutVerb {
-    /// Move a service to a version.
+    /// Moves a service to a version.
     Start { service: String, version: String, over_s: f64 },
-    /// The newest rollout of a service, or of all.
+    /// Prints the newest rollout of a service, or of each service.
     Status { service: Option<String> },
-    /// End a rollout with the version in force that was before.
+    /// Ends a rollout and returns to the version that was in force before it.
     Abort { service: String },
-    /// All rollouts of a service that are remembered.
+    /// Prints all recorded rollouts of a service.
     History { service: String },
 }
 
-/// The whole command line.
+/// The parsed command line.
 #[derive(Clone, Debug)]
 pub struct Args {
     pub at: Option<String>,
     pub json: bool,
-    /// Seconds to wait until every live member obeys.
+    /// Seconds to wait for all live members to apply the change.
     pub wait: Option<u64>,
     pub request: Option<String>,
     pub expect: Option<u64>,
@@ -72,58 +72,58 @@
     let check = file()
         .map(|file| Verb::Check { file })
         .to_options()
-        .descr("check a whole configuration without sending it")
+        .descr("validate a complete configuration without sending it")
         .command("check");
     let apply = file()
         .map(|file| Verb::Apply { file })
         .to_options()
-        .descr("replace the configuration by this one")
+        .descr("replace the configuration with this one")
         .command("apply");
     let patch = file()
         .map(|file| Verb::Patch { file })
         .to_options()
-        .descr("set and remove single objects")
+        .descr("set and remove individual objects")
         .command("patch");
     let get =
         bpaf::pure(Verb::Get).to_options().descr("print the configuration in force").command("get");
     let diff = file()
         .map(|file| Verb::Diff { file })
         .to_options()
-        .descr("how this configuration differs from the one in force")
+        .descr("print how this configuration differs from the one in force")
         .command("diff");
     let zone = || positional::<String>("ZONE");
     let drain = zone()
         .map(|zone| Verb::Drain { zone })
         .to_options()
-        .descr("empty a zone: its leafs get no new work")
+        .descr("drain a zone: its leafs get no new work")
         .command("drain");
     let undrain = zone()
         .map(|zone| Verb::Undrain { zone })
         .to_options()
-        .descr("fill a zone again")
+        .descr("end the drain of a zone")
         .command("undrain");
     let status = bpaf::pure(Verb::Status)
         .to_options()
-        .descr("members, owners, epochs and the revision each querier obeys")
+        .descr("print members, leaders, terms and the revision that each querier has applied")
         .command("status");
     let forget = positional::<String>("MEMBER")
         .map(|member| Verb::Forget { member })
         .to_options()
-        .descr("a member that is down for good: count it no longer")
+        .descr("remove a member that is permanently down")
         .command("forget");
     let force_recovery = positional::<String>("IP:PORT")
         .help("the controller whose disk was lost")
         .map(|controller| Verb::ForceRecovery { controller })
         .to_options()
-        .descr("after the loss of two disks: let this controller begin from what is left")
+        .descr("after the loss of two disks: force recovery from this controller's data")
         .command("vouch");
-    let key = long("key").help("the key of a lookup").argument("KEY").optional();
+    let key = long("key").help("key of a lookup").argument("KEY").optional();
     let from = long("file").help("explain from this file, offline").argument("FILE").optional();
     let search = positional::<String>("SEARCH");
     let explain = construct!(key, from, search)
         .map(|(key, file, search)| Verb::Explain { search, key, file })
         .to_options()
-        .descr("the plan that a search compiles to")
+        .descr("print the compiled plan of a search")
         .command("explain");
     let rollout = rollout_verb()
         .map(Verb::Rollout)
@@ -148,7 +148,7 @@
 
 fn rollout_verb() -> impl Parser<RolloutVerb> {
     let service = || positional::<String>("SERVICE");
-    let over_s = long("over").help("seconds within which it is to end").argument::<f64>("SECONDS");
+    let over_s = long("over").help("duration of the rollout in seconds").argument::<f64>("SECONDS");
     let version = positional::<String>("VERSION");
     let start_service = service();
     let start = construct!(over_s, start_service, version)
@@ -160,29 +160,29 @@
         .optional()
         .map(|service| RolloutVerb::Status { service })
         .to_options()
-        .descr("how far the newest rollout of a service is, or of each")
+        .descr("print the progress of the newest rollout of a service, or of each service")
         .command("status");
     let abort = service()
         .map(|service| RolloutVerb::Abort { service })
         .to_options()
-        .descr("go back to the version that was in force before")
+        .descr("return to the version that was in force before")
         .command("abort");
     let history = service()
         .map(|service| RolloutVerb::History { service })
         .to_options()
-        .descr("what came of the rollouts of a service, the oldest first")
+        .descr("print the results of a service's rollouts, oldest first")
         .command("history");
     construct!([start, status, abort, history])
 }
 
 fn options() -> OptionParser<Args> {
     let at = long("at")
-        .help("operators' addresses of the controllers, with commas")
+        .help("operators' addresses of the controllers, comma-separated")
         .env("GREBE_AT")
         .argument("IP:PORT,..")
         .optional();
     let json = long("output")
-        .help("json or text")
+        .help("output format, json or text")
         .argument::<String>("FORM")
         .parse(|form| match form.as_str() {
             "json" => Ok(true),
@@ -191,22 +191,29 @@
         })
         .fallback(false);
     let wait = long("wait")
-        .help("wait up to so many seconds until every live member obeys")
+        .help("maximum number of seconds to wait for all live members to apply the change")
         .argument("SECONDS")
         .optional();
-    let request = long("request-id").help("id under which to send").argument("ID").optional();
-    let expect = long("expect-revision").help("change only this revision").argument("N").optional();
+    let request = long("request-id")
+        .help("id of the request; the same id makes a retry safe")
+        .argument("ID")
+        .optional();
+    let expect = long("expect-revision")
+        .help("apply the change only if this is the current revision")
+        .argument("N")
+        .optional();
     let verb = verb();
     construct!(Args { at, json, wait, request, expect, verb })
         .to_options()
         .descr("grebepath's command line for operators")
         .footer(
-            "Exit codes: 0 well, 1 not applied or unreachable, 2 wrong usage, 3 findings, \
-             4 revision moved, 5 unknown outcome, 6 not all obeyed in time, 7 diff found some",
+            "Exit codes: 0 success, 1 not applied or unreachable, 2 invalid usage, \
+             3 invalid configuration, 4 revision conflict, 5 unknown outcome, \
+             6 not applied by all members in time, 7 differences found",
         )
 }
 
-/// Reads the command line; ends the process when it is wrong.
+/// Parses the command line. Exits if it is invalid.
 pub fn read() -> Args {
     match options().run_inner(bpaf::Args::current_args()) {
         Ok(args) => args,
@@ -217,21 +224,21 @@
     }
 }
 
-/// Why it is unknown where the controllers are.
+/// Why the controllers' addresses are unknown.
 #[derive(Debug, Error)]
 pub enum AddressError {
-    /// Neither the flag nor the environment says it.
-    #[error("say where the controllers are: --at or GREBE_AT")]
+    /// Neither the flag nor the environment variable is set.
+    #[error("no controller addresses: set --at or GREBE_AT")]
     Missing,
-    /// One of them can't be read.
+    /// An address can't be parsed.
     #[error("`{found}` is not an IP address with a port")]
     Unreadable {
-        /// What stands in its place.
+        /// The text in place of an address.
         found: String,
     },
 }
 
-/// The controllers' addresses.
+/// Returns the controllers' addresses.
 pub fn addresses(args: &Args) -> Result<Vec<SocketAddr>, AddressError> {
     let text = args.at.as_ref().ok_or(AddressError::Missing)?;
     text.split(',')
--- a/crates/server/src/grebectl/controller_client.rs
+++ b/crates/server/src/grebectl/controller_client.rs
@@ -1,4 +1,4 @@
-//! Requests to the controllers: any of them will do.
+//! A client for requests to any of the controllers.
 
 use std::net::SocketAddr;
 use std::time::Duration;
@@ -12,55 +12,55 @@
 use serde_json::Value;
 use thiserror::Error;
 
-/// Added to the time that a controller may take, for the way there and back.
+/// Margin for the network round trip, added to a controller's request timeout.
 const NETWORK_MARGIN: Duration = Duration::from_secs(2);
 
-/// Why there is no answer, or none that is of use.
+/// Why a request has failed.
 #[derive(Debug, Error)]
 pub enum RequestError {
-    /// There is nobody to ask.
-    #[error("no address was given")]
+    /// The list of controllers is empty.
+    #[error("no controller address was given")]
     NoAddress,
-    /// The request can't be written.
+    /// The request can't be built.
     #[error("{0}")]
     Write(#[from] hyper::http::Error),
-    /// No response came.
+    /// There was no response.
     #[error(transparent)]
     Http(#[from] HttpError),
-    /// The response is not a controller's.
+    /// The response is not that of a controller.
     #[error("status {status} with a body that is not JSON: {source}")]
     NotJson {
         /// The response's status.
         status: StatusCode,
-        /// What the body is instead.
+        /// Why the body is not JSON.
         source: serde_json::Error,
     },
-    /// The answer is another than what was asked for.
+    /// The controller responded with an error.
     #[error("status {code}: {body}")]
     Status {
         /// The response's status.
         code: u16,
-        /// What the controller says of it.
+        /// The response's body.
         body: Value,
     },
-    /// One of several controllers could not be asked.
+    /// A request to one of the controllers failed.
     #[error("{address}: {source}")]
     At {
-        /// Its address.
+        /// The controller's address.
         address: SocketAddr,
-        /// Why.
+        /// The error.
         source: Box<RequestError>,
     },
 }
 
 impl RequestError {
-    /// Whether certainly not a byte of the request was sent.
+    /// Whether it is certain that no byte of the request was sent.
     fn is_unsent(&self) -> bool {
         matches!(self, RequestError::Http(error) if error.is_unsent())
     }
 }
 
-/// A request that may be sent to one controller after another.
+/// A request that can be sent to several controllers in turn.
 #[derive(Clone, Debug)]
 pub struct ControllerRequest {
     /// The HTTP method.
@@ -71,11 +71,11 @@
     pub body: Vec<u8>,
     /// The id under which a change may safely be sent again.
     pub request_id: Option<String>,
-    /// The revision that a change must build on.
+    /// The revision that a change must be based on.
     pub expected_revision: Option<u64>,
 }
 
-/// A controller's answer.
+/// A controller's response.
 pub struct Answer {
     /// The response's status.
     pub code: u16,
@@ -84,7 +84,7 @@
 }
 
 impl Answer {
-    /// The body of an answer that says that all is well.
+    /// Returns the body if the status is 200.
     pub fn into_ok(self) -> Result<Value, RequestError> {
         match self {
             Answer { code: 200, body } => Ok(body),
@@ -94,7 +94,7 @@
 }
 
 impl ControllerRequest {
-    /// A request without a body, id or revision.
+    /// Creates a request without a body, an id or a revision.
     pub fn new(method: Method, path: impl Into<String>) -> ControllerRequest {
         ControllerRequest {
             method,
@@ -105,8 +105,8 @@
         }
     }
 
-    /// Asks one controller after another until one says something final. The
-    /// request's id makes it safe to send a change again.
+    /// Sends the request to one controller after another until one returns a final response. The
+    /// request's id makes it safe to send a change repeatedly.
     pub async fn send_to_any(
         &self,
         http: &HttpClient,
@@ -123,20 +123,20 @@
                 }
                 Ok(answer) => return Ok(answer),
                 Err(error) => {
-                    // A connection that was refused carried nothing.
+                    // If no connection could be opened, the request was not sent.
                     maybe_applied |= !error.is_unsent();
                     last_error = RequestError::At { address: *address, source: Box::new(error) };
                 }
             }
         }
-        // One "not applied" does not undo another attempt's unknown end.
+        // A "not applied" response says nothing about another attempt with an unknown outcome.
         match last {
             Some(Answer { code: 503, body }) if maybe_applied => Ok(Answer { code: 504, body }),
             last => last.ok_or(last_error),
         }
     }
 
-    /// Asks one controller.
+    /// Sends the request to one controller.
     pub async fn send_to(
         &self,
         http: &HttpClient,
--- a/crates/server/src/grebectl/main.rs
+++ b/crates/server/src/grebectl/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The command line tool for operators.
 
 mod cli;
 mod controller_client;
--- a/crates/server/src/grebectl/rollouts.rs
+++ b/crates/server/src/grebectl/rollouts.rs
@@ -1,4 +1,4 @@
-//! The verbs of rollouts.
+//! The rollout commands.
 
 use std::collections::BTreeSet;
 
@@ -12,7 +12,7 @@
 use crate::controller_client::ControllerRequest;
 use crate::verbs::{Failure, controllers, send_change};
 
-/// Runs a verb of rollouts and gives the exit code.
+/// Runs a rollout command and returns the exit code.
 pub async fn run(args: &Args, http: &HttpClient, verb: &RolloutVerb) -> Result<i32, Failure> {
     match verb {
         RolloutVerb::Start { service, version, over_s } => {
@@ -65,7 +65,7 @@
     Ok(EXIT_OK)
 }
 
-/// The rollouts of the services that a route's shards are asked of.
+/// Returns the rollouts of the services that a route's shards are queried from.
 pub async fn rollouts_of_route(
     args: &Args,
     http: &HttpClient,
@@ -90,7 +90,7 @@
     rollout[field].as_u64().unwrap_or(0) as f64 / 1e3
 }
 
-/// A rollout in one line, for people.
+/// Formats a rollout as a line of text.
 pub fn status_line(rollout: &Value) -> String {
     format!(
         "{} to {}: {} ({}, {}), {:.1} s of {:.1} s",
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -1,4 +1,4 @@
-//! What is printed, for people or as JSON.
+//! Formats the output, as text or as JSON.
 
 use std::net::SocketAddr;
 
@@ -13,7 +13,7 @@
 use crate::controller_client::RequestError;
 use crate::rollouts;
 
-/// Prints findings.
+/// Prints diagnostics.
 pub fn print_diagnostics(all: &[Diagnostic], as_json: bool) {
     if as_json {
         println!("{}", json!({ "error": "wrong", "findings": findings(all) }));
@@ -24,7 +24,7 @@
     }
 }
 
-/// The plan of a mapping, and of a key's lookup.
+/// Returns the plan of a route as JSON, limited to the shard of `key` if the route uses keys.
 pub fn plan(route: &Route, key: Option<&str>) -> Value {
     let planned: Vec<usize> = match (route.fan_out, key) {
         (FanOut::ByKey, Some(key)) => vec![shard_for_key(route, key)],
@@ -55,12 +55,13 @@
     })
 }
 
-/// A plan for people.
+/// Formats a plan as text.
 pub fn plan_text(p: &Value) -> String {
     let mut out = format!(
-        "search {} ({}), cut {}, send {}\n  answers with {} of {} shards or bounces; promised in {} ms\n  \
-         a second try after {}% of the time left, {} tries a shard at most, leafs: {}\n  \
-         quorum is enough after {}% of the time\n",
+        "search {} ({}), index version {}, send {}\n  \
+         answers with {} of {} shards or bounces; timeout {} ms\n  \
+         hedge after {}% of the remaining time, at most {} attempts per shard, leafs: {}\n  \
+         quorum suffices after {}% of the time\n",
         text(&p["search"]),
         text(&p["class"]),
         p["cut"],
@@ -77,7 +78,7 @@
         out += &format!("  shard {}:", text(&s["shard"]));
         for pool in list(&s["pools"]) {
             out += &format!(
-                " {} (service {}, bears {}, ramp {} ms)",
+                " {} (service {}, capacity {}, slow start {} ms)",
                 text(&pool["pool"]),
                 text(&pool["service"]),
                 pool["bears"],
@@ -100,15 +101,15 @@
     v.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// What one controller says of itself and of the members.
+/// A controller's status of itself and of the members.
 pub struct ControllerStatus {
-    /// Its address.
+    /// The controller's address.
     pub address: SocketAddr,
-    /// Its answer, or why there is none.
+    /// The status, or why there is none.
     pub status: Result<Value, RequestError>,
 }
 
-/// The status of all controllers, for people.
+/// Formats the status of all controllers as text.
 pub fn status_text(controllers: &[ControllerStatus]) -> String {
     let mut out = String::new();
     for ControllerStatus { address: addr, status } in controllers {
@@ -151,7 +152,7 @@
         _ => None,
     });
     match membership {
-        None => out += "members: unknown, the configuration has no owner that answers\n",
+        None => out += "members: unknown, no controller reports a leader of the configuration\n",
         Some(c) => {
             out += &format!("members (epoch {}, turn {}):\n", c["epoch"], c["turn"]);
             for member in list(&c["members"]) {
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -1,4 +1,4 @@
-//! What each word does.
+//! Implements the commands.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -19,9 +19,9 @@
 use crate::rollouts;
 use crate::show::{self, ControllerStatus};
 
-/// Why a verb ends early.
+/// Why a command has failed.
 pub struct Failure {
-    /// For people; nothing if it was printed already.
+    /// The message to print; empty if it was printed already.
     message: String,
     exit_code: i32,
 }
@@ -31,7 +31,7 @@
         Failure { message: message.into(), exit_code }
     }
 
-    /// Nobody could be reached, or the request was certainly not applied.
+    /// Creates the failure of a request that reached no controller or was definitely not applied.
     fn not_applied(message: impl Into<String>) -> Failure {
         Failure::new(message, EXIT_FAILED)
     }
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs a verb and gives the exit code.
+/// Runs a command and returns the exit code.
 pub async fn run(args: Args) -> i32 {
     let http = grebepath_runtime::http::client::HttpClient::new(1);
     match verb(&args, &http).await {
@@ -57,7 +57,7 @@
     }
 }
 
-/// The controllers that the command line names.
+/// Returns the controllers' addresses from the command line.
 pub fn controllers(args: &Args) -> Result<Vec<SocketAddr>, Failure> {
     addresses(args).map_err(|error| Failure::new(error.to_string(), EXIT_USAGE))
 }
@@ -87,7 +87,7 @@
             if args.json {
                 println!("{}", json!({ "searches": table.routes.len() }));
             } else {
-                println!("good: {} searches", table.routes.len());
+                println!("valid: {} searches", table.routes.len());
             }
             Ok(EXIT_OK)
         }
@@ -124,7 +124,7 @@
     })?;
     let request = ControllerRequest::new(Method::POST, "/v1/vouch");
     request.send_to(http, address).await?.into_ok()?;
-    println!("vouched; `grebectl status` shows when its parts are formed");
+    println!("recovery forced; `grebectl status` shows its progress");
     Ok(EXIT_OK)
 }
 
@@ -147,7 +147,9 @@
         None => {
             let (_, config) = get(args, http).await?;
             RoutingTable::build(&config).map_err(|_| {
-                Failure::not_applied("the configuration in force does not build here")
+                Failure::not_applied(
+                    "the configuration in force is invalid for this version of grebectl",
+                )
             })?
         }
     };
@@ -175,8 +177,11 @@
 async fn get(args: &Args, http: &HttpClient) -> Result<(u64, Config), Failure> {
     let request = ControllerRequest::new(Method::GET, CONFIG);
     let body = request.send_to_any(http, &controllers(args)?).await?.into_ok()?;
-    let config = Config::from_json(body["config"].to_string().as_bytes())
-        .map_err(|_| Failure::not_applied("the configuration in force can't be read here"))?;
+    let config = Config::from_json(body["config"].to_string().as_bytes()).map_err(|_| {
+        Failure::not_applied(
+            "the configuration in force can't be parsed by this version of grebectl",
+        )
+    })?;
     Ok((body["revision"].as_u64().unwrap_or(0), config))
 }
 
@@ -186,14 +191,14 @@
     method: Method,
     body: Vec<u8>,
 ) -> Result<i32, Failure> {
-    // Findings that need no controller are told without one.
+    // An invalid configuration is reported without a request to a controller.
     if method == Method::PUT {
         parse_config(args, &body)?;
     }
     send_change(args, http, method, CONFIG, body).await
 }
 
-/// Sends an order under an id of its own, and tells what came of it.
+/// Sends a change under the given id or a new one, and prints the result.
 pub async fn send_change(
     args: &Args,
     http: &HttpClient,
@@ -216,7 +221,7 @@
         ..ControllerRequest::new(method, path)
     };
     let answer = request.send_to_any(http, &list).await.map_err(|error| {
-        Failure::new(format!("{error}; ask again with --request-id {id}"), EXIT_UNKNOWN)
+        Failure::new(format!("{error}; retry with --request-id {id}"), EXIT_UNKNOWN)
     })?;
     let Answer { code, body: answer } = answer;
     let exit = match code {
@@ -235,8 +240,8 @@
                 println!("accepted as revision {revision}, synced by {} of 3", answer["copies"])
             }
             EXIT_INVALID => show::print_diagnostics(&findings(&answer), false),
-            EXIT_CONFLICT => println!("not applied: the revision is {revision} now"),
-            EXIT_UNKNOWN => println!("unknown: {answer}; ask again with --request-id {id}"),
+            EXIT_CONFLICT => println!("not applied: the current revision is {revision}"),
+            EXIT_UNKNOWN => println!("unknown outcome: {answer}; retry with --request-id {id}"),
             _ => println!("not applied: {answer}"),
         }
     }
@@ -252,7 +257,7 @@
     list.iter().map(|f| Diagnostic::new(text(&f["place"]), text(&f["text"]))).collect()
 }
 
-/// Waits until every live member obeys a revision.
+/// Waits until all live members have applied a revision.
 async fn wait_until_applied(
     args: &Args,
     http: &HttpClient,
@@ -281,7 +286,7 @@
             }
         }
         if Instant::now() >= end {
-            let text = format!("not obeyed in time by: {}", lagging.join(", "));
+            let text = format!("not applied in time by: {}", lagging.join(", "));
             return Err(Failure::new(text, EXIT_NOT_APPLIED_IN_TIME));
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
