--- a/crates/runtime/src/forwarding_server.rs
+++ b/crates/runtime/src/forwarding_server.rs
@@ -56,7 +56,7 @@
     pub leaving: Cell<bool>,
     connections: Cell<usize>,
     /// Whether the connections should end. A watch channel holds one value, so it is bounded.
-    end: tokio::sync::watch::Sender<bool>,
+    shutdown: tokio::sync::watch::Sender<bool>,
 }
 
 impl ForwardingServer {
@@ -67,14 +67,14 @@
             limits: Cell::new(ListenerLimits::default()),
             leaving: Cell::new(false),
             connections: Cell::new(0),
-            end: tokio::sync::watch::channel(false).0,
+            shutdown: tokio::sync::watch::channel(false).0,
         })
     }
 
     /// Closes idle connections immediately, and all others after their current response.
     pub fn close(&self) {
         self.leaving.set(true);
-        let _ = self.end.send(true);
+        let _ = self.shutdown.send(true);
     }
 
     /// Returns the number of open connections.
@@ -129,15 +129,15 @@
             .max_buf_size(limits.head_max.max(consts::MIN_HEAD_BUFFER_BYTES))
             .serve_connection(TokioIo::new(stream), service);
         tokio::pin!(connection);
-        let mut end = self.end.subscribe();
-        let ended = async {
-            if end.wait_for(|end| *end).await.is_err() {
+        let mut shutdown = self.shutdown.subscribe();
+        let shutdown_requested = async {
+            if shutdown.wait_for(|shutdown| *shutdown).await.is_err() {
                 std::future::pending::<()>().await;
             }
         };
         tokio::select! {
             _ = &mut connection => return,
-            _ = ended => connection.as_mut().graceful_shutdown(),
+            _ = shutdown_requested => connection.as_mut().graceful_shutdown(),
         }
         let _ = connection.await;
     }
--- a/crates/runtime/src/leaf_connections.rs
+++ b/crates/runtime/src/leaf_connections.rs
@@ -28,7 +28,7 @@
 /// A leaf at an address.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeafAddress {
-    /// Where it listens.
+    /// The leaf's listen address.
     pub address: SocketAddr,
     /// The leaf's identity.
     pub leaf: String,
@@ -128,8 +128,8 @@
         loop {
             // A pooled connection may close just as it is reused, so a request that may run at most
             // once needs a new connection.
-            let kept = if options.once { None } else { self.take_idle(&leaf).await };
-            let (mut connection, is_new) = match kept {
+            let pooled = if options.once { None } else { self.take_idle(&leaf).await };
+            let (mut connection, is_new) = match pooled {
                 Some(connection) => (connection, false),
                 None => (dial_in_time(leaf.address).await?, true),
             };
@@ -189,14 +189,14 @@
 /// if it can't be reused.
 fn reusable_until(response: &Response<Incoming>) -> Option<Instant> {
     let headers = response.headers();
-    let says = |name: HeaderName, word: &str| {
+    let header_contains = |name: HeaderName, value: &str| {
         let values = headers.get_all(name).iter();
-        values.filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(word))
+        values.filter_map(|v| v.to_str().ok()).any(|v| v.to_ascii_lowercase().contains(value))
     };
     // Without a length, the end of the response can't be told from a lost connection.
-    let framed =
-        response.body().size_hint().exact().is_some() || says(TRANSFER_ENCODING, "chunked");
-    if !framed || says(CONNECTION, "close") {
+    let framed = response.body().size_hint().exact().is_some()
+        || header_contains(TRANSFER_ENCODING, "chunked");
+    if !framed || header_contains(CONNECTION, "close") {
         return None;
     }
     let timeout_s = headers.get("keep-alive").and_then(|v| v.to_str().ok()).and_then(|value| {
--- a/crates/runtime/src/peer_connection.rs
+++ b/crates/runtime/src/peer_connection.rs
@@ -62,7 +62,7 @@
 pub enum ConnectionEvent<T> {
     /// A message arrived on a dialled connection.
     Received {
-        /// The tag under which it was dialled.
+        /// The tag of the connection, as passed to [`dial`].
         tag: T,
         /// The message.
         message: Message,
--- a/crates/runtime/src/settings/reader.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -108,8 +108,8 @@
     /// Reads a name, which consists of letters, digits, `-`, `_` and `.`.
     pub fn name(&mut self, key: &'static str) -> String {
         let val = self.text(key, None);
-        let fit = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
-        if !val.is_empty() && (val.len() > 128 || !val.chars().all(fit)) {
+        let is_allowed = |c: char| c.is_ascii_alphanumeric() || matches!(c, '-' | '_' | '.');
+        if !val.is_empty() && (val.len() > 128 || !val.chars().all(is_allowed)) {
             self.report(
                 format!("--{key}"),
                 "expected at most 128 letters, digits, `-`, `_` and `.`",
@@ -177,11 +177,11 @@
         list
     }
 
-    /// Reads up to `most` inner addresses of controllers. The setting `seed_port` replaces the port
+    /// Reads up to `max` inner addresses of controllers. The setting `seed_port` replaces the port
     /// of each.
-    pub fn seeds(&mut self, most: usize) -> Vec<SocketAddr> {
+    pub fn seeds(&mut self, max: usize) -> Vec<SocketAddr> {
         let port = self.number("seed_port", 0, u64::from(u16::MAX), Some(0)) as u16;
-        self.addresses("seeds", 1, most, (port > 0).then_some(port))
+        self.addresses("seeds", 1, max, (port > 0).then_some(port))
     }
 
     /// Returns `api` if the setting `dialect` selects the platform's interface, in addition to or
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -47,10 +47,16 @@
         disk: mpsc::Sender<DiskJob>,
         events: UnboundedSender<ConnectionEvent<SocketAddr>>,
     ) -> ControllerIo {
-        let own = Some(settings.advertised);
+        let own_address = Some(settings.advertised);
         let greeting = Greeting { identity: identity(state), cluster_hash: settings.cluster_hash };
         let mut io = ControllerIo {
-            controllers: Connections::new(own, &settings.seeds, greeting, |addr| addr, events),
+            controllers: Connections::new(
+                own_address,
+                &settings.seeds,
+                greeting,
+                |addr| addr,
+                events,
+            ),
             wakes: 0,
             accepted: HashMap::new(),
             disk,
--- a/crates/server/src/controller/disk_thread.rs
+++ b/crates/server/src/controller/disk_thread.rs
@@ -39,7 +39,7 @@
 }
 
 impl DiskThread {
-    /// The thread's state, with the stores by the partitions' numbers.
+    /// Creates the thread's state. `stores` is indexed by partition number.
     pub fn new(
         data: PathBuf,
         stores: Vec<PartitionStore>,
@@ -48,7 +48,7 @@
         DiskThread { data, stores, events }
     }
 
-    /// Serves until nobody can send a job any more, or nobody listens.
+    /// Runs jobs until all senders of jobs or the receiver of the events are dropped.
     pub fn serve(mut self, jobs: Receiver<DiskJob>) {
         while let Ok(first) = jobs.recv() {
             let mut batch = vec![first];
--- a/crates/server/src/controller/error.rs
+++ b/crates/server/src/controller/error.rs
@@ -15,7 +15,7 @@
     /// be written.
     #[error(transparent)]
     Io(#[from] std::io::Error),
-    /// The data folder was used for another voter slot.
+    /// The data folder is assigned to another voter slot.
     #[error("the data folder {} belongs to seat {found}, not {expected}", folder.display())]
     FolderOfAnotherSlot {
         /// The data folder.
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -87,11 +87,11 @@
         listener,
         disk: disk_jobs,
     };
-    let end = local.block_on(&runtime, controller_thread::serve(start, inputs));
+    let result = local.block_on(&runtime, controller_thread::serve(start, inputs));
     let _ = stop.send(true);
     drop(local);
     drop(runtime);
     let joined = operators_thread.join().is_ok() && disk_thread.join().is_ok();
-    end?;
+    result?;
     if joined { Ok(()) } else { Err(ControllerError::ThreadFailed) }
 }
--- a/crates/server/src/controller/operator_listener.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -72,7 +72,10 @@
         .layer(
             ServiceBuilder::new()
                 .layer(HandleErrorLayer::new(async |_: tower::BoxError| {
-                    answer(503, &json!({ "error": "not-applied", "text": "too many requests" }))
+                    json_response(
+                        503,
+                        &json!({ "error": "not-applied", "text": "too many requests" }),
+                    )
                 }))
                 .load_shed()
                 .concurrency_limit(consts::MAX_OPERATOR_REQUESTS),
@@ -82,14 +85,14 @@
             std::future::ready(response)
         }))
         .with_state(controller);
-    let until = async move {
+    let stopped = async move {
         let _ = stop.wait_for(|s| *s).await;
     };
     if let Err(e) = runtime.block_on(grebepath_runtime::http::server::serve(
         listener,
         consts::MAX_OPERATOR_CONNECTIONS,
         router,
-        until,
+        stopped,
     )) {
         error!("the operators' listener failed: {e}");
     }
@@ -102,11 +105,11 @@
     req: Request,
 ) -> Response {
     let Some(api) = platform_api else {
-        return answer(404, &json!({ "error": "no such path" }));
+        return json_response(404, &json!({ "error": "no such path" }));
     };
     let (head, body) = req.into_parts();
     let Ok(body) = axum::body::to_bytes(body, consts::MAX_OPERATOR_REQUEST_BYTES).await else {
-        return answer(413, &json!({ "error": "the body can't be read, or is too large" }));
+        return json_response(413, &json!({ "error": "the body can't be read, or is too large" }));
     };
     let sender = Sender::from_parts(&head);
     match (api.read_operator_request)(&head, &body) {
@@ -120,7 +123,7 @@
 }
 
 /// Creates a response with a JSON body.
-pub fn answer(code: u16, body: &Value) -> Response {
+pub fn json_response(code: u16, body: &Value) -> Response {
     let code = StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let text = format!("{body}\n");
     (code, [(header::CONTENT_TYPE, "application/json")], text).into_response()
@@ -203,7 +206,7 @@
     let text = "the request has neither an id nor an expected revision: confirm it at the location";
     let revision = confirmation.revision;
     let body = json!({ "error": "unconfirmed", "text": text, "revision": revision });
-    let mut response = answer(StatusCode::TEMPORARY_REDIRECT.as_u16(), &body);
+    let mut response = json_response(StatusCode::TEMPORARY_REDIRECT.as_u16(), &body);
     if let Ok(location) = HeaderValue::from_str(&confirmation.location(sender)) {
         response.headers_mut().insert(header::LOCATION, location);
     }
@@ -214,8 +217,12 @@
     match operate(&controller, OperationRequest::without_id(Operation::Read)).await {
         OperationResult::Configuration { revision, entries: map } => {
             match Config::from_entries(&map) {
-                Ok(conf) => answer(200, &json!({ "revision": revision, "config": conf.to_json() })),
-                Err(e) => answer(500, &json!({ "error": "unreadable", "text": e.to_string() })),
+                Ok(conf) => {
+                    json_response(200, &json!({ "revision": revision, "config": conf.to_json() }))
+                }
+                Err(e) => {
+                    json_response(500, &json!({ "error": "unreadable", "text": e.to_string() }))
+                }
             }
         }
         other => write_result(other),
@@ -227,8 +234,8 @@
     match controller.inputs.send(ControllerInput::Event(
         grebepath_core::control_plane::controller::Event::ForceRecovery,
     )) {
-        Ok(()) => answer(200, &json!({ "vouched": true })),
-        Err(_) => answer(503, &json!({ "error": "stopping" })),
+        Ok(()) => json_response(200, &json!({ "vouched": true })),
+        Err(_) => json_response(503, &json!({ "error": "stopping" })),
     }
 }
 
@@ -270,9 +277,10 @@
     body: &[u8],
 ) -> Response {
     match request_headers(headers) {
-        Err(f) => {
-            answer(400, &json!({ "error": "bad-request", "findings": operator::findings(&[f]) }))
-        }
+        Err(f) => json_response(
+            400,
+            &json!({ "error": "bad-request", "findings": operator::findings(&[f]) }),
+        ),
         Ok((request_id, expected_revision)) => {
             let request = OperationRequest { request_id, expected_revision, operation };
             submit(controller, sender, body, request, write_result).await
@@ -297,21 +305,21 @@
             OperatorOutcome::Unknown { reason: operator::forgotten(revision, edition) }
         }
         OperationResult::Rollout(Some(rollout)) => {
-            return answer(200, &rollout::to_json(&rollout));
+            return json_response(200, &rollout::to_json(&rollout));
         }
         OperationResult::Rollout(None) => {
-            return answer(404, &json!({ "error": "no rollout of that service" }));
+            return json_response(404, &json!({ "error": "no rollout of that service" }));
         }
         OperationResult::RolloutInProgress { target } => {
             let error = "another rollout of that service goes on";
-            return answer(409, &json!({ "error": error, "version": target }));
+            return json_response(409, &json!({ "error": error, "version": target }));
         }
         OperationResult::Configuration { .. } | OperationResult::Status { .. } => {
             OperatorOutcome::Unknown { reason: "unexpected result of another operation".into() }
         }
     };
     let (code, body) = write(&op);
-    answer(code, &body)
+    json_response(code, &body)
 }
 
 /// Returns the status of this controller, and the membership as the leader of the configuration
@@ -319,17 +327,17 @@
 async fn status(State(controller): State<Controller>) -> Response {
     let (reply, result) = oneshot::channel();
     if controller.inputs.send(ControllerInput::Status(reply)).is_err() {
-        return answer(503, &json!({ "error": "stopping" }));
+        return json_response(503, &json!({ "error": "stopping" }));
     }
-    let own = result.await.unwrap_or(Value::Null);
-    let mut body = json!({ "here": own });
+    let own_status = result.await.unwrap_or(Value::Null);
+    let mut body = json!({ "here": own_status });
     match operate(&controller, OperationRequest::without_id(Operation::Status)).await {
-        OperationResult::Status { membership, progress: far } => {
+        OperationResult::Status { membership, progress } => {
             let members: Vec<Value> = membership
                 .members
                 .iter()
                 .map(|m| {
-                    let known = far.iter().find(|f| f.0 == m.name);
+                    let known = progress.iter().find(|f| f.0 == m.name);
                     json!({
                         "name": m.name, "addr": m.addr, "zone": m.zone, "threads": m.threads,
                         "settled": m.joined <= membership.settled,
@@ -347,13 +355,13 @@
         }
         _ => {}
     }
-    answer(200, &body)
+    json_response(200, &body)
 }
 
 async fn metrics(State(controller): State<Controller>) -> Response {
     let (reply, result) = oneshot::channel();
     if controller.inputs.send(ControllerInput::Metrics(reply)).is_err() {
-        return answer(503, &json!({ "error": "stopping" }));
+        return json_response(503, &json!({ "error": "stopping" }));
     }
     let of_controller = result.await.unwrap_or_default();
     (of_controller + &controller.answers.render()).into_response()
--- a/crates/server/src/controller/rollout_listener.rs
+++ b/crates/server/src/controller/rollout_listener.rs
@@ -13,7 +13,9 @@
 
 use crate::confirmation::Sender;
 use crate::operation_request::OperationRequest;
-use crate::operator_listener::{Controller, answer, operate, operate_with_headers, write_result};
+use crate::operator_listener::{
+    Controller, json_response, operate, operate_with_headers, write_result,
+};
 
 /// Returns the routes of the rollout API.
 pub fn routes() -> Router<Controller> {
@@ -34,9 +36,9 @@
             operate_with_headers(&controller, &sender, &headers, operation, &body).await
         }
         Err(error) => {
-            let finding = grebepath_core::diagnostic::Diagnostic::new(error.field(), error);
-            let findings = operator::findings(&[finding]);
-            answer(400, &json!({ "error": "bad-request", "findings": findings }))
+            let diagnostic = grebepath_core::diagnostic::Diagnostic::new(error.field(), error);
+            let findings = operator::findings(&[diagnostic]);
+            json_response(400, &json!({ "error": "bad-request", "findings": findings }))
         }
     }
 }
@@ -61,7 +63,7 @@
         OperationResult::Configuration { revision, entries } => {
             let rollouts: Vec<Value> =
                 rollouts_in(&entries).map(|rollout| rollout::to_json(&rollout)).collect();
-            answer(200, &json!({ "revision": revision, "rollouts": rollouts }))
+            json_response(200, &json!({ "revision": revision, "rollouts": rollouts }))
         }
         other => write_result(other),
     }
--- a/crates/server/src/grebectl/cli.rs
+++ b/crates/server/src/grebectl/cli.rs
@@ -148,7 +148,8 @@
 
 fn rollout_verb() -> impl Parser<RolloutVerb> {
     let service = || positional::<String>("SERVICE");
-    let over_s = long("over").help("duration of the rollout in seconds").argument::<f64>("SECONDS");
+    let over_s =
+        long("over").help("maximum duration of the rollout in seconds").argument::<f64>("SECONDS");
     let version = positional::<String>("VERSION");
     let start_service = service();
     let start = construct!(over_s, start_service, version)
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -265,7 +265,7 @@
     revision: u64,
     secs: u64,
 ) -> Result<i32, Failure> {
-    let end = Instant::now() + Duration::from_secs(secs);
+    let deadline = Instant::now() + Duration::from_secs(secs);
     let status = ControllerRequest::new(Method::GET, STATUS);
     loop {
         let mut lagging = vec!["the members are unknown".to_string()];
@@ -285,7 +285,7 @@
                 return Ok(EXIT_OK);
             }
         }
-        if Instant::now() >= end {
+        if Instant::now() >= deadline {
             let text = format!("not applied in time by: {}", lagging.join(", "));
             return Err(Failure::new(text, EXIT_NOT_APPLIED_IN_TIME));
         }
