--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -13,9 +13,8 @@
 
 use crate::peer_connection::{ConnectionEvent, Greeting, MessageSender, dial};
 
-/// Time for a seed to identify itself before the addresses in the voter set are dialled as well. A
-/// seed and a slot holder may be the same controller under two addresses, for example behind a
-/// proxy.
+/// Time for a seed to identify itself before the addresses in the voter set are dialled as well: a
+/// seed's address may lead to the same controller as an address in the voter set.
 const SEED_GREETING_TIMEOUT: Duration = Duration::from_millis(800);
 /// Time without any message after which the seeds are dialled again: all known controllers may have
 /// been replaced.
--- a/crates/server/src/controller/disk_wait.rs
+++ b/crates/server/src/controller/disk_wait.rs
@@ -20,7 +20,7 @@
 use crate::startup::{self, OpenDisk};
 
 /// Interval between two attempts to write.
-const RETRY: Duration = Duration::from_millis(250);
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
 /// Retry delay in responses to callers (s). It matches the platform's readiness check each second.
 const RETRY_AFTER_S: u64 = 1;
 
@@ -42,11 +42,11 @@
 async fn wait_for_space(
     settings: &Settings,
     operators: &TcpListener,
-    first: ControllerError,
+    initial_error: ControllerError,
 ) -> Result<Option<OpenDisk>, ControllerError> {
-    warn!("the disk can't be written, retrying: {first}");
-    crate::announce(&format!("controller waits for its disk: {first}"));
-    let (reason, current_reason) = watch::channel(first.to_string());
+    warn!("the disk can't be written, retrying: {initial_error}");
+    crate::announce(&format!("controller waits for its disk: {initial_error}"));
+    let (reason, current_reason) = watch::channel(initial_error.to_string());
     let listener = operators.try_clone()?;
     let serving =
         server::serve(listener, consts::MAX_OPERATOR_CONNECTIONS, router(current_reason), never());
@@ -59,7 +59,7 @@
         tokio::select! {
             _ = &mut stop => break Ok(None),
             _ = settings_watch.changed() => continue,
-            () = tokio::time::sleep(RETRY) => {}
+            () = tokio::time::sleep(RETRY_INTERVAL) => {}
         }
         match startup::open(settings) {
             Err(error) if error.is_out_of_space() => {
@@ -89,11 +89,11 @@
 fn unavailable_response(reason: &str) -> Response {
     let text = format!("the disk can't be written: {reason}");
     let body = json!({ "error": "not-applied", "text": text }).to_string();
-    let heads = [
+    let headers = [
         (header::CONTENT_TYPE, "application/json".to_string()),
         (header::RETRY_AFTER, RETRY_AFTER_S.to_string()),
         // The next response must come from the regular operators' listener.
         (header::CONNECTION, "close".to_string()),
     ];
-    (StatusCode::SERVICE_UNAVAILABLE, heads, body).into_response()
+    (StatusCode::SERVICE_UNAVAILABLE, headers, body).into_response()
 }
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -61,9 +61,9 @@
     })
 }
 
-fn slot_json(h: &SlotHolder) -> Value {
-    json!({ "generation": h.generation, "holder": format!("{:016x}", h.holder), "addr": h.addr,
-            "zone": h.zone })
+fn slot_json(slot: &SlotHolder) -> Value {
+    json!({ "generation": slot.generation, "holder": format!("{:016x}", slot.holder), "addr": slot.addr,
+            "zone": slot.zone })
 }
 
 /// Returns the shards without any leaf that may get new work, as far as this controller knows. A
@@ -71,13 +71,13 @@
 fn shards_without_leafs(state: &ControllerState) -> Vec<Value> {
     let config = &state.partitions[0];
     let Ok(conf) = Config::from_entries(&config.committed) else { return Vec::new() };
-    let Ok(built) = RoutingTable::build(&conf) else { return Vec::new() };
+    let Ok(table) = RoutingTable::build(&conf) else { return Vec::new() };
     let services = || state.partitions[1..].iter().map(|partition| &partition.committed);
     let rollouts: Vec<Rollout> = rollouts_in(&config.committed).collect();
     let versions = VersionsInForce::in_partitions(services(), rollouts.iter());
     let leafs =
         versions.split_leafs(services().flat_map(|map| leafs_in(map).into_values()).collect());
-    let view = ClusterView::new(config.committed_revision, Arc::new(built), leafs.in_force);
+    let view = ClusterView::new(config.committed_revision, Arc::new(table), leafs.in_force);
     let mut out = Vec::new();
     for map in view.routes.values() {
         let unserved: Vec<&str> = map
--- a/crates/server/src/controller/resubmissions.rs
+++ b/crates/server/src/controller/resubmissions.rs
@@ -80,10 +80,10 @@
     pub fn take(&self, request: &RequestKey, now: Instant) -> Option<Confirmation> {
         let mut unconfirmed = self.unconfirmed.lock().ok()?;
         let intervals = MIN_RESUBMISSION_INTERVAL..=MAX_RESUBMISSION_INTERVAL;
-        let at = unconfirmed.iter().position(|known| {
+        let position = unconfirmed.iter().position(|known| {
             known.request == *request
                 && intervals.contains(&now.duration_since(known.redirected_at))
         })?;
-        unconfirmed.remove(at).map(|known| known.confirmation)
+        unconfirmed.remove(position).map(|known| known.confirmation)
     }
 }
