--- a/crates/runtime/src/settings/command_line.rs
+++ b/crates/runtime/src/settings/command_line.rs
@@ -76,19 +76,19 @@
 
 /// Builds the parser of a command line. The help text lists the flags in the given order.
 fn parser(description: &'static str, flags: &[Flag]) -> OptionParser<CommandLine> {
-    let mut parser: Box<dyn Parser<Vec<(String, String)>>> = Box::new(bpaf::pure(Vec::new()));
+    let mut combined: Box<dyn Parser<Vec<(String, String)>>> = Box::new(bpaf::pure(Vec::new()));
     for flag in flags {
         let flag = *flag;
-        let previous = parser;
+        let previous = combined;
         let value = argument(flag);
         let both = construct!(previous, value).map(move |(mut values, value)| {
             values.extend(value.map(|value| (flag.name.replace('-', "_"), value)));
             values
         });
-        parser = Box::new(both);
+        combined = Box::new(both);
     }
     let file = argument(FILE_FLAG);
-    construct!(file, parser)
+    construct!(file, combined)
         .map(|(file, values)| CommandLine { values, file })
         .to_options()
         .descr(description)
