--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -1,5 +1,5 @@
-//! Connections to the controllers: one to each holder that the voter set names, and
-//! to the seeds while nothing better is known.
+//! Connections to the controllers: one to each holder of a voter slot, and to the seeds as long as
+//! the voter set is unknown or out of reach.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -13,27 +13,27 @@
 
 use crate::peer_connection::{ConnectionEvent, Greeting, MessageSender, dial};
 
-/// How long a seed may take to say who it is before addresses of the voter set are
-/// dialled beside it: a seed's own address may be only a way to the holder's.
-const SEED_PATIENCE: Duration = Duration::from_millis(800);
-/// Without a message from anyone for this long the seeds are tried again: all whom
-/// we know may have been replaced meanwhile.
-const SEEDS_AGAIN: Duration = Duration::from_secs(4);
+/// Time for a seed to identify itself before the addresses in the voter set are dialled as well: a
+/// seed's address may lead to the same controller as an address in the voter set.
+const SEED_GREETING_TIMEOUT: Duration = Duration::from_millis(800);
+/// Time without any message after which the seeds are dialled again: all known controllers may have
+/// been replaced.
+const SEED_FALLBACK_TIMEOUT: Duration = Duration::from_secs(4);
 
-/// The connections that a process keeps to controllers. Dropping one ends its task.
+/// The connections that a process keeps to controllers. Dropping a connection ends its task.
 ///
-/// Invariant: `holder` of a connection is what its other end last said of itself;
-/// zero before that.
+/// Invariant: `holder` of a connection is the replica id that its peer last reported, or zero
+/// before the first report.
 pub struct Connections<T> {
-    /// Our own address, if we are a controller: never dialled.
-    own: Option<SocketAddr>,
+    /// The address of this process if it is a controller. It is never dialled.
+    own_address: Option<SocketAddr>,
     seeds: Vec<SocketAddr>,
     greeting: Greeting,
-    /// The tag under which messages of an address reach the owner.
+    /// Maps an address to the tag of its events.
     tag: fn(SocketAddr) -> T,
     events: UnboundedSender<ConnectionEvent<T>>,
     by_address: HashMap<SocketAddr, Connection>,
-    began: Instant,
+    started_at: Instant,
     last_message: Instant,
 }
 
@@ -43,12 +43,12 @@
 }
 
 impl<T: Clone + 'static> Connections<T> {
-    /// No connections yet; [`Connections::arrange`] begins with the seeds.
+    /// Creates an empty set of connections. [`Connections::arrange`] dials the seeds first.
     ///
-    /// `events` has no bound: a peer's messages come no faster than its connection
-    /// carries them, and the owner handles each at once.
+    /// `events` is unbounded: the connections' bandwidth limits the rate of the messages, and the
+    /// receiver handles each of them immediately.
     pub fn new(
-        own: Option<SocketAddr>,
+        own_address: Option<SocketAddr>,
         seeds: &[SocketAddr],
         greeting: Greeting,
         tag: fn(SocketAddr) -> T,
@@ -56,29 +56,29 @@
     ) -> Connections<T> {
         let now = Instant::now();
         let mut connections = Connections {
-            own,
+            own_address,
             seeds: Vec::new(),
             greeting,
             tag,
             events,
             by_address: HashMap::new(),
-            began: now,
+            started_at: now,
             last_message: now,
         };
         connections.set_seeds(seeds);
         connections
     }
 
-    /// Takes up other seeds: those that we began with may all be gone by now. They are dialled
-    /// at the next [`Connections::arrange`] that needs any.
+    /// Replaces the seeds, since all of the initial ones may have been removed. The new seeds are
+    /// dialled at the next [`Connections::arrange`] that needs seeds.
     pub fn set_seeds(&mut self, seeds: &[SocketAddr]) {
-        self.seeds = seeds.iter().copied().filter(|seed| Some(*seed) != self.own).collect();
+        self.seeds = seeds.iter().copied().filter(|seed| Some(*seed) != self.own_address).collect();
     }
 
-    /// Opens the connections that the voter set asks for and drops the others.
+    /// Opens the missing connections to the holders in the voter set, and drops all others.
     pub fn arrange(&mut self, identity: PeerIdentity, voters: &VoterSet) {
         if identity != self.greeting.identity {
-            // Each connection begins with who we are.
+            // The greeting of a connection carries the identity, so all must be opened again.
             self.by_address.clear();
             self.greeting.identity = identity;
         }
@@ -93,33 +93,33 @@
         }
     }
 
-    /// The addresses to which there should be a connection.
+    /// Returns the addresses that should have a connection.
     fn wanted(&self, voters: &VoterSet) -> Vec<SocketAddr> {
         let held: Vec<&SlotHolder> = voters.slots.iter().filter(|slot| slot.holder != 0).collect();
-        let lost = self.last_message.elapsed() >= SEEDS_AGAIN;
+        let is_isolated = self.last_message.elapsed() >= SEED_FALLBACK_TIMEOUT;
         let is_voter = matches!(self.greeting.identity, PeerIdentity::Voter { .. });
-        let early = self.began.elapsed() < SEED_PATIENCE && !is_voter;
+        let is_starting = self.started_at.elapsed() < SEED_GREETING_TIMEOUT && !is_voter;
         let mut wanted: Vec<SocketAddr> = Vec::new();
-        if held.is_empty() || lost {
+        if held.is_empty() || is_isolated {
             wanted.extend(&self.seeds);
-        } else if early {
-            wanted.extend(self.seeds.iter().filter(|seed| self.is_silent(seed)));
+        } else if is_starting {
+            wanted.extend(self.seeds.iter().filter(|seed| self.is_unidentified(seed)));
         }
-        let seeds_first = early && !wanted.is_empty();
+        let seeds_first = is_starting && !wanted.is_empty();
         for slot in held {
             let known = self.address_of(slot.holder);
             let address = known.or_else(|| slot.addr.parse().ok().filter(|_| !seeds_first));
-            wanted.extend(address.filter(|address| Some(*address) != self.own));
+            wanted.extend(address.filter(|address| Some(*address) != self.own_address));
         }
         wanted
     }
 
-    /// Whether nobody has said yet who is at an address.
-    fn is_silent(&self, address: &SocketAddr) -> bool {
+    /// Whether the peer at an address has not identified itself yet.
+    fn is_unidentified(&self, address: &SocketAddr) -> bool {
         self.by_address.get(address).is_none_or(|connection| connection.holder == 0)
     }
 
-    /// The address at which a holder has said that it is there.
+    /// Returns the address at which a holder has identified itself.
     fn address_of(&self, holder: u64) -> Option<SocketAddr> {
         let mut all = self.by_address.iter();
         all.find(|(_, connection)| connection.holder == holder).map(|(address, _)| *address)
@@ -127,8 +127,8 @@
 }
 
 impl<T> Connections<T> {
-    /// Notes a message that came on the connection that we keep to an address. Gives
-    /// the holder that it said it is, or zero.
+    /// Records a message received on the connection to an address. Returns the replica id that the
+    /// peer has reported, or zero.
     pub fn note_message(&mut self, address: SocketAddr, message: &Message) -> u64 {
         let Some(connection) = self.by_address.get_mut(&address) else { return 0 };
         self.last_message = Instant::now();
@@ -138,13 +138,14 @@
         connection.holder
     }
 
-    /// Notes that a voter spoke to us on a connection that it opened: we are not lost.
+    /// Records a message from a voter on a connection that the voter opened. It shows that this
+    /// process is not isolated.
     pub fn note_contact(&mut self) {
         self.last_message = Instant::now();
     }
 
-    /// Sends to the holder of a voter slot; drops the message when there is no
-    /// connection to it.
+    /// Sends a message to the holder of a voter slot. Drops it if there is no connection to the
+    /// holder.
     pub fn send_to_voter(&self, voters: &VoterSet, slot: VoterSlot, message: &Message) {
         let Some(slot) = voters.slots.get(usize::from(slot)).filter(|slot| slot.holder != 0) else {
             return;
@@ -159,7 +160,7 @@
         }
     }
 
-    /// Sends on every connection.
+    /// Sends a message on every connection.
     pub fn broadcast(&self, message: &Message) {
         for connection in self.by_address.values() {
             connection.sender.send(message);
--- a/crates/runtime/src/log_buffer.rs
+++ b/crates/runtime/src/log_buffer.rs
@@ -1,6 +1,5 @@
-//! Logs: each thread keeps its last lines in memory and writes them out when
-//! something goes wrong (an event of level ERROR). Nothing else is written,
-//! but for lines of level WARN and above themselves.
+//! Logs. Each thread keeps its most recent lines in memory and writes all of them to stderr on an
+//! event of level ERROR. Otherwise, only lines of level WARN are written.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -17,15 +16,15 @@
     static LINES: RefCell<VecDeque<String>> = const { RefCell::new(VecDeque::new()) };
 }
 
-/// The subscriber that fills the buffers.
+/// The subscriber that fills the threads' buffers.
 struct LogBuffer {
-    began: Instant,
+    started_at: Instant,
 }
 
-/// Installs the buffers for all threads of this process.
+/// Installs the log buffers for all threads of this process.
 pub fn install() {
-    // Fails only if one is installed already, and then that one serves.
-    let _ = tracing::subscriber::set_global_default(LogBuffer { began: Instant::now() });
+    // Fails only if a subscriber is installed already; that one stays in use.
+    let _ = tracing::subscriber::set_global_default(LogBuffer { started_at: Instant::now() });
 }
 
 struct Line(String);
@@ -53,7 +52,7 @@
     fn record_follows_from(&self, _: &span::Id, _: &span::Id) {}
 
     fn event(&self, event: &Event<'_>) {
-        let at = self.began.elapsed().as_millis();
+        let at = self.started_at.elapsed().as_millis();
         let mut line = Line(format!("{at:>8} ms {}", event.metadata().level()));
         event.record(&mut line);
         let level = *event.metadata().level();
@@ -63,10 +62,7 @@
             }
             lines.push_back(line.0);
             if level <= Level::WARN {
-                write_out(
-                    lines,
-                    if level == Level::ERROR { Extent::Buffer } else { Extent::LastLine },
-                );
+                flush(lines, if level == Level::ERROR { Extent::Buffer } else { Extent::LastLine });
             }
         });
     }
@@ -76,14 +72,14 @@
     fn exit(&self, _: &span::Id) {}
 }
 
-/// How much is written out.
+/// How much of the buffer is written.
 enum Extent {
     LastLine,
     Buffer,
 }
 
-/// Writes the last line, or the whole buffer and empties it; a closed stderr is ignored.
-fn write_out(lines: &mut VecDeque<String>, extent: Extent) {
+/// Writes the last line, or the whole buffer, which is cleared then. A closed stderr is ignored.
+fn flush(lines: &mut VecDeque<String>, extent: Extent) {
     let mut err = std::io::stderr().lock();
     match extent {
         Extent::Buffer => {
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -1,5 +1,5 @@
-//! What the controller's thread holds beside the state machine: turns messages and
-//! requests into events, and commands into I/O.
+//! The I/O of the controller's thread: converts messages and requests to events of the state
+//! machine, and executes its commands.
 
 use std::collections::HashMap;
 use std::net::SocketAddr;
@@ -20,41 +20,47 @@
 use crate::messages::DiskJob;
 use crate::settings::Settings;
 
-/// Wakes between two arrangements of the connections: a second.
-const ARRANGE_WAKES: u32 = 20;
+/// Number of wakes between two updates of the connections; equals one second.
+const WAKES_PER_ARRANGE: u32 = 20;
 
-/// Connections, the disk, and whoever waits for a result.
+/// The connections, the disk, and the pending requests.
 pub struct ControllerIo {
-    /// Connections that we dial, to other controllers.
+    /// Dialled connections to the other controllers.
     controllers: Connections<SocketAddr>,
-    /// Wakes so far.
+    /// Number of wakes so far.
     wakes: u32,
-    /// Connections that others opened, by our numbers for them.
+    /// Accepted connections, by their local numbers.
     accepted: HashMap<u64, MessageSender>,
     disk: mpsc::Sender<DiskJob>,
-    /// Operators' requests in flight, by operation id.
-    waiting: HashMap<u64, oneshot::Sender<OperationResult>>,
+    /// Operators' requests in progress, by operation id.
+    pending: HashMap<u64, oneshot::Sender<OperationResult>>,
     next_operation: u64,
-    /// When the state machine asked to be woken, beside the wakes that come anyway.
+    /// Time of a wake that the state machine requested in addition to the periodic ones.
     pub wake_at: Option<tokio::time::Instant>,
 }
 
 impl ControllerIo {
-    /// Begins with connections to the voters that are known, or to the seeds.
+    /// Creates the I/O state, and dials the known voters or the seeds.
     pub fn new(
         settings: &Settings,
         state: &ControllerState,
         disk: mpsc::Sender<DiskJob>,
         events: UnboundedSender<ConnectionEvent<SocketAddr>>,
     ) -> ControllerIo {
-        let own = Some(settings.advertised);
-        let greeting = Greeting { identity: identity(state), fleet: settings.fleet };
+        let own_address = Some(settings.advertised);
+        let greeting = Greeting { identity: identity(state), cluster_hash: settings.cluster_hash };
         let mut io = ControllerIo {
-            controllers: Connections::new(own, &settings.seeds, greeting, |addr| addr, events),
+            controllers: Connections::new(
+                own_address,
+                &settings.seeds,
+                greeting,
+                |addr| addr,
+                events,
+            ),
             wakes: 0,
             accepted: HashMap::new(),
             disk,
-            waiting: HashMap::new(),
+            pending: HashMap::new(),
             next_operation: 1,
             wake_at: None,
         };
@@ -66,59 +72,60 @@
         self.controllers.arrange(identity(state), &state.voter_slots.voter_file.table);
     }
 
-    /// Arranges the connections now and then: a seed that never spoke is given up, or
-    /// all seeds are tried again.
+    /// Updates the connections periodically. This drops seeds that never identified themselves, and
+    /// dials all seeds again if the controller is isolated.
     pub fn note_wake(&mut self, state: &ControllerState) {
         self.wakes += 1;
-        if self.wakes.is_multiple_of(ARRANGE_WAKES) {
+        if self.wakes.is_multiple_of(WAKES_PER_ARRANGE) {
             self.arrange(state);
         }
     }
 
-    /// Takes up what of the settings may change under a running controller: its seeds. Wrong
-    /// ones change nothing.
+    /// Applies changed settings. Only the seeds can change without a restart. Invalid settings are
+    /// ignored.
     pub fn reload_settings(&mut self) {
         match Settings::read_again() {
             Ok(settings) => self.controllers.set_seeds(&settings.seeds),
             Err(diagnostics) => {
                 for diagnostic in diagnostics {
-                    warn!("changed params are not taken up: {diagnostic}");
+                    warn!("settings not reloaded: {diagnostic}");
                 }
             }
         }
     }
 
-    /// An id for an operator's request; its result goes to `reply`.
+    /// Registers an operator's request, whose result will be sent to `reply`. Returns its operation
+    /// id.
     pub fn await_result(&mut self, reply: oneshot::Sender<OperationResult>) -> u64 {
         let operation = self.next_operation;
         self.next_operation += 1;
-        self.waiting.insert(operation, reply);
+        self.pending.insert(operation, reply);
         operation
     }
 
-    /// Requests whose callers have gone before there was a result.
-    pub fn take_left_requests(&mut self) -> Vec<u64> {
-        let left = self.waiting.extract_if(|_, reply| reply.is_closed());
-        left.map(|(op, _)| op).collect()
+    /// Removes and returns the requests whose callers disconnected before there was a result.
+    pub fn take_abandoned_requests(&mut self) -> Vec<u64> {
+        let abandoned = self.pending.extract_if(|_, reply| reply.is_closed());
+        abandoned.map(|(op, _)| op).collect()
     }
 
-    /// Tells whoever still waits that there will be no result.
-    pub fn abandon_waiting(&mut self) {
-        for (_, reply) in self.waiting.drain() {
-            let why = "this controller went down".into();
+    /// Fails all pending requests with an unknown result.
+    pub fn fail_pending(&mut self) {
+        for (_, reply) in self.pending.drain() {
+            let why = "this controller has shut down".into();
             let _ = reply.send(OperationResult::Unknown { why });
         }
     }
 
-    /// What a connection's event means for the state machine, if anything.
-    pub fn take(&mut self, event: ConnectionEvent<SocketAddr>) -> Option<Event> {
+    /// Converts a connection's event to an event of the state machine, if it concerns it.
+    pub fn to_state_event(&mut self, event: ConnectionEvent<SocketAddr>) -> Option<Event> {
         match event {
             ConnectionEvent::Received { tag, message } => {
                 self.controllers.note_message(tag, &message);
                 Some(Event::FromController { message })
             }
             ConnectionEvent::Accepted { connection, identity: who, sender } => {
-                debug!(connection, ?who, "wire opened");
+                debug!(connection, ?who, "connection accepted");
                 self.accepted.insert(connection, sender);
                 Some(Event::ConnectionOpened { connection })
             }
@@ -144,8 +151,8 @@
         }
     }
 
-    /// Carries out what the state machine asks.
-    pub fn carry_out(&mut self, state: &ControllerState, commands: Vec<Command>) {
+    /// Executes the state machine's commands.
+    pub fn execute(&mut self, state: &ControllerState, commands: Vec<Command>) {
         let voters = &state.voter_slots.voter_file.table;
         for command in commands {
             match command {
@@ -155,7 +162,7 @@
                 Command::Broadcast { message } => self.controllers.broadcast(&message),
                 Command::VoterSetChanged => self.arrange(state),
                 Command::WriteVoterFile { token, roll: file, clear: set_aside } => {
-                    self.ask_disk(DiskJob::WriteVoterFile { token, file, set_aside });
+                    self.submit_disk_job(DiskJob::WriteVoterFile { token, file, set_aside });
                 }
                 Command::ToConnection { connection, message } => {
                     if let Some(sender) = self.accepted.get(&connection) {
@@ -163,18 +170,18 @@
                     }
                 }
                 Command::AppendRecord { partition, token, rec: record } => {
-                    self.ask_disk(DiskJob::Append { partition, token, record });
+                    self.submit_disk_job(DiskJob::Append { partition, token, record });
                 }
                 Command::WriteSnapshot { partition, token, copy: state } => {
-                    self.ask_disk(DiskJob::WriteSnapshot { partition, token, state });
+                    self.submit_disk_job(DiskJob::WriteSnapshot { partition, token, state });
                 }
-                Command::Scrub { partition } => self.ask_disk(DiskJob::Scrub { partition }),
+                Command::Scrub { partition } => self.submit_disk_job(DiskJob::Scrub { partition }),
                 Command::Respond { op, done } => {
-                    if let Some(reply) = self.waiting.remove(&op) {
+                    if let Some(reply) = self.pending.remove(&op) {
                         let _ = reply.send(done);
                     }
                 }
-                // The state machine takes these itself and returns none.
+                // The state machine handles these itself and never returns them.
                 Command::OwnResponse { .. } => {}
                 Command::WakeAfter { span } => {
                     let at = tokio::time::Instant::now() + duration(span);
@@ -185,14 +192,14 @@
         }
     }
 
-    /// The disk's thread ends only when this sender is gone, or by a panic, which ends
-    /// the process with an error later.
-    fn ask_disk(&self, job: DiskJob) {
+    /// Sends a job to the disk thread. That thread ends only when this sender is dropped or when it
+    /// panics, in which case the process exits with an error later.
+    fn submit_disk_job(&self, job: DiskJob) {
         let _ = self.disk.send(job);
     }
 }
 
-/// As whom we dial.
+/// Returns the identity that this controller sends when it dials.
 fn identity(state: &ControllerState) -> PeerIdentity {
     let holder = state.voter_slots.voter_file.me;
     match state.slot {
--- a/crates/server/src/controller/controller_thread.rs
+++ b/crates/server/src/controller/controller_thread.rs
@@ -1,5 +1,5 @@
-//! The controller's thread: feeds the state machine with events, one at a time, and
-//! carries out its commands.
+//! The controller's thread: passes events to the state machine, one at a time, and executes its
+//! commands.
 
 use std::net::SocketAddr;
 use std::sync::mpsc;
@@ -18,29 +18,29 @@
 use crate::messages::{ControllerInput, DiskJob};
 use crate::settings::Settings;
 
-/// Times that the connections' tasks may run after the last command, to write what they
-/// hold.
-const LAST_YIELDS: u32 = 64;
+/// Number of yields after the last command, in which the connections' tasks write their queued
+/// messages.
+const SHUTDOWN_YIELDS: u32 = 64;
 
-/// What the thread begins with.
+/// The thread's initial state.
 pub struct Start {
     /// The settings.
     pub settings: Settings,
     /// The process's clock.
     pub clock: Clock,
-    /// Who this controller is and the voter set it knows; it is on disk.
+    /// The identity of this controller and the voter set that it knows, as stored on disk.
     pub voter_file: VoterFile,
-    /// Each partition as it was found on disk.
+    /// The partitions as read from disk.
     pub replicas: Vec<FoundReplica>,
-    /// Partitions whose first snapshot could not be written, and why.
+    /// Partitions whose first snapshot could not be written, with the error.
     pub failed: Vec<(PartitionId, String)>,
-    /// Listens for the other processes.
+    /// The listener for the other processes.
     pub listener: std::net::TcpListener,
-    /// Takes jobs for the disk.
+    /// The queue of the disk thread.
     pub disk: mpsc::Sender<DiskJob>,
 }
 
-/// The state machine with everything around it.
+/// The state machine and its environment.
 struct ControllerThread {
     settings: Settings,
     clock: Clock,
@@ -48,17 +48,17 @@
     io: ControllerIo,
 }
 
-/// Serves until asked to stop.
+/// Runs the controller until it is asked to stop.
 pub async fn serve(
     start: Start,
     mut inputs: UnboundedReceiver<ControllerInput>,
 ) -> Result<(), std::io::Error> {
     start.listener.set_nonblocking(true)?;
     let listener = tokio::net::TcpListener::from_std(start.listener)?;
-    // Without a bound of its own: see `Connections::new`.
+    // Unbounded, for the reason given at `Connections::new`.
     let (events, mut connection_events) = unbounded_channel();
     let (settings, clock) = (start.settings, start.clock);
-    tokio::task::spawn_local(accept(listener, settings.fleet, events.clone()));
+    tokio::task::spawn_local(accept(listener, settings.cluster_hash, events.clone()));
     let address = settings.advertised.to_string();
     let place = (address.as_str(), settings.zone.as_str());
     let state = ControllerState::new(start.voter_file, place, start.replicas, nonce(), clock.now());
@@ -68,9 +68,9 @@
         thread.step(Event::DiskFailed { partition, why });
     }
     thread.run(&mut inputs, &mut connection_events).await;
-    thread.io.abandon_waiting();
-    // The connections write from tasks of this thread: let them.
-    for _ in 0..LAST_YIELDS {
+    thread.io.fail_pending();
+    // The connections' tasks run on this thread, so yield to let them write.
+    for _ in 0..SHUTDOWN_YIELDS {
         tokio::task::yield_now().await;
     }
     Ok(())
@@ -80,8 +80,8 @@
     UnboundedReceiver<grebepath_runtime::peer_connection::ConnectionEvent<SocketAddr>>;
 
 impl ControllerThread {
-    /// Handles one event after another. Asked to stop, it goes on until our voter slot
-    /// is in other hands, or nobody is there to take it.
+    /// Handles events until the controller ends. After a stop request it continues until its voter
+    /// slot is handed over, or until there is no controller to take it.
     async fn run(
         &mut self,
         inputs: &mut UnboundedReceiver<ControllerInput>,
@@ -102,15 +102,15 @@
                 }
                 _ = wake.tick() => {
                     self.io.note_wake(&self.state);
-                    self.abandon_left_requests();
+                    self.cancel_abandoned_requests();
                     Some(Event::Wake)
                 }
                 () = until(self.io.wake_at) => {
                     self.io.wake_at = None;
                     Some(Event::Wake)
                 }
-                Some(input) = inputs.recv() => self.take(input),
-                Some(event) = connection_events.recv() => self.io.take(event),
+                Some(input) = inputs.recv() => self.to_state_event(input),
+                Some(event) = connection_events.recv() => self.io.to_state_event(event),
             };
             if let Some(event) = event {
                 self.step(event);
@@ -118,21 +118,21 @@
         }
     }
 
-    /// Callers that have gone wait for nothing any more, and may have given their orders to
+    /// Cancels the requests whose callers have disconnected, since these may have sent them to
     /// another controller.
-    fn abandon_left_requests(&mut self) {
-        for op in self.io.take_left_requests() {
+    fn cancel_abandoned_requests(&mut self) {
+        for op in self.io.take_abandoned_requests() {
             self.step(Event::Abandon { op });
         }
     }
 
     fn step(&mut self, event: Event) {
         let commands = self.state.step(self.clock.now(), event);
-        self.io.carry_out(&self.state, commands);
+        self.io.execute(&self.state, commands);
     }
 
-    /// What another thread's input means for the state machine, if anything.
-    fn take(&mut self, input: ControllerInput) -> Option<Event> {
+    /// Converts another thread's input to an event of the state machine, or answers it directly.
+    fn to_state_event(&mut self, input: ControllerInput) -> Option<Event> {
         match input {
             ControllerInput::Event(event) => Some(event),
             ControllerInput::Operate { request_id, expected_revision, operation, reply } => {
@@ -141,18 +141,18 @@
             }
             ControllerInput::Status(reply) => {
                 let zone = &self.settings.zone;
-                let _ = reply.send(crate::metrics::own(&self.state, zone, self.clock.now()));
+                let _ = reply.send(crate::metrics::status(&self.state, zone, self.clock.now()));
                 None
             }
             ControllerInput::Metrics(reply) => {
-                let _ = reply.send(crate::metrics::text(&self.state));
+                let _ = reply.send(crate::metrics::prometheus_text(&self.state));
                 None
             }
         }
     }
 }
 
-/// Waits until an instant; for ever if there is none.
+/// Waits until an instant, or forever if there is none.
 async fn until(at: Option<tokio::time::Instant>) {
     match at {
         Some(at) => tokio::time::sleep_until(at).await,
--- a/crates/server/src/controller/disk_wait.rs
+++ b/crates/server/src/controller/disk_wait.rs
@@ -1,5 +1,5 @@
-//! A start on a disk without room: the controller listens, says why it serves nobody, and
-//! goes on by itself once its files can be written.
+//! Startup on a full disk: the controller listens, responds with the reason why it is unavailable,
+//! and continues the startup by itself once its files can be written.
 
 use std::net::TcpListener;
 use std::time::Duration;
@@ -19,49 +19,50 @@
 use crate::settings::Settings;
 use crate::startup::{self, OpenDisk};
 
-/// Time between two tries to write.
-const RETRY: Duration = Duration::from_millis(250);
-/// When callers are told to come back (s): the platform asks for readiness each second.
+/// Interval between two attempts to write.
+const RETRY_INTERVAL: Duration = Duration::from_millis(250);
+/// Retry delay in responses to callers (s). It matches the platform's readiness check each second.
 const RETRY_AFTER_S: u64 = 1;
 
-/// Opens the disk. While it has no room, operators are told so and it is tried again.
-/// `None` if the process was asked to stop meanwhile.
+/// Opens the disk. While the disk is full, responds to operators with the error and retries.
+/// Returns `None` if the process is asked to stop in the meantime.
 pub fn open_disk(
     settings: &Settings,
     operators: &TcpListener,
 ) -> Result<Option<OpenDisk>, ControllerError> {
     match startup::open(settings) {
-        Err(error) if error.is_out_of_room() => {
+        Err(error) if error.is_out_of_space() => {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
-            runtime.block_on(wait_for_room(settings, operators, error))
+            runtime.block_on(wait_for_space(settings, operators, error))
         }
         opened => opened.map(Some),
     }
 }
 
-async fn wait_for_room(
+async fn wait_for_space(
     settings: &Settings,
     operators: &TcpListener,
-    first: ControllerError,
+    initial_error: ControllerError,
 ) -> Result<Option<OpenDisk>, ControllerError> {
-    warn!("the disk can't be written, and is tried again: {first}");
-    crate::announce(&format!("controller waits for its disk: {first}"));
-    let (reason, told) = watch::channel(first.to_string());
+    warn!("the disk can't be written, retrying: {initial_error}");
+    crate::announce(&format!("controller waits for its disk: {initial_error}"));
+    let (reason, current_reason) = watch::channel(initial_error.to_string());
     let listener = operators.try_clone()?;
-    let serving = server::serve(listener, consts::MAX_OPERATOR_CONNECTIONS, router(told), never());
+    let serving =
+        server::serve(listener, consts::MAX_OPERATOR_CONNECTIONS, router(current_reason), never());
     let serving = tokio::spawn(serving);
-    // A SIGHUP must not end the process here either.
-    let mut hang_ups = SettingsWatch::new(None);
+    // Handles SIGHUP, whose default action would end the process.
+    let mut settings_watch = SettingsWatch::new(None);
     let stop = grebepath_runtime::stop::requested();
     tokio::pin!(stop);
     let opened = loop {
         tokio::select! {
             _ = &mut stop => break Ok(None),
-            _ = hang_ups.changed() => continue,
-            () = tokio::time::sleep(RETRY) => {}
+            _ = settings_watch.changed() => continue,
+            () = tokio::time::sleep(RETRY_INTERVAL) => {}
         }
         match startup::open(settings) {
-            Err(error) if error.is_out_of_room() => {
+            Err(error) if error.is_out_of_space() => {
                 reason.send_replace(error.to_string());
             }
             opened => break opened.map(Some),
@@ -78,20 +79,21 @@
     std::future::pending().await
 }
 
-/// Tells that the process lives, and at every other path why it serves nobody.
+/// Builds a router whose liveness check succeeds, and whose other paths all return the reason why
+/// the controller is unavailable.
 fn router(reason: watch::Receiver<String>) -> Router {
-    let refuse = async move || refusal(&reason.borrow());
-    Router::new().route("/livez", get(async || "ok\n")).fallback(refuse)
+    let respond = async move || unavailable_response(&reason.borrow());
+    Router::new().route("/livez", get(async || "ok\n")).fallback(respond)
 }
 
-fn refusal(reason: &str) -> Response {
+fn unavailable_response(reason: &str) -> Response {
     let text = format!("the disk can't be written: {reason}");
     let body = json!({ "error": "not-applied", "text": text }).to_string();
-    let heads = [
+    let headers = [
         (header::CONTENT_TYPE, "application/json".to_string()),
         (header::RETRY_AFTER, RETRY_AFTER_S.to_string()),
-        // The next answer comes from the listener that follows.
+        // The next response must come from the regular operators' listener.
         (header::CONNECTION, "close".to_string()),
     ];
-    (StatusCode::SERVICE_UNAVAILABLE, heads, body).into_response()
+    (StatusCode::SERVICE_UNAVAILABLE, headers, body).into_response()
 }
--- a/crates/server/src/controller/main.rs
+++ b/crates/server/src/controller/main.rs
@@ -1,8 +1,8 @@
-//! The control plane: keeps a replica of each partition, leads some of them, feeds the
-//! queriers and takes the operators' requests.
+//! The control plane. A controller stores a replica of each partition, may lead partitions, feeds
+//! updates to the queriers and serves the operators' requests.
 //!
-//! Three threads: the main one drives the state machine ([`controller_thread`]), one
-//! writes files ([`disk_thread`]), one serves operators ([`operator_listener`]).
+//! It has three threads: the main thread runs the state machine ([`controller_thread`]), one writes
+//! files ([`disk_thread`]) and one serves operators ([`operator_listener`]).
 
 mod answer_counts;
 mod confirmation;
@@ -13,8 +13,8 @@
 mod error;
 mod messages;
 mod metrics;
+mod operation_request;
 mod operator_listener;
-mod order;
 mod resubmissions;
 mod rollout_listener;
 mod settings;
@@ -44,12 +44,13 @@
     }
 }
 
-/// Says something to whoever started us. Nobody need read it any more.
+/// Prints a line for the process that started this one. Errors are ignored, since stdout may be
+/// closed.
 fn announce(text: &str) {
     let _ = writeln!(std::io::stdout(), "{text}");
 }
 
-/// A partition as found on disk, ready for the state machine.
+/// A partition as read from disk: its id, condition, state and the size of its log in bytes.
 type FoundReplica = (PartitionId, ReplicaCondition, ReplicaState, u64);
 
 fn run(settings: Settings) -> Result<(), ControllerError> {
@@ -57,11 +58,12 @@
     let Some(OpenDisk { lock: _lock, disk }) = disk_wait::open_disk(&settings, &operators)? else {
         return Ok(());
     };
-    // The other processes hear of us once all settings are good and the disk was read.
+    // The address for other processes is opened only after the settings were validated and the disk
+    // was read.
     let listener = std::net::TcpListener::bind(settings.inner)?;
     let name = settings.slot.map_or("-".to_string(), |slot| slot.to_string());
-    let (inner, door) = (listener.local_addr()?, operators.local_addr()?);
-    announce(&format!("controller {name} inner {inner} door {door}"));
+    let (inner, operator_address) = (listener.local_addr()?, operators.local_addr()?);
+    announce(&format!("controller {name} inner {inner} door {operator_address}"));
     let clock = Clock::new();
     let (disk_jobs, jobs) = mpsc::channel();
     let (events, inputs) = tokio::sync::mpsc::unbounded_channel();
@@ -69,7 +71,7 @@
     let disk_thread =
         std::thread::Builder::new().name("disk".into()).spawn(move || disk_thread.serve(jobs))?;
     let api = settings.platform_api;
-    // Holds one value, whether to stop; it never fills up.
+    // Whether to stop. A watch channel holds one value, so it is bounded.
     let (stop, stopped) = tokio::sync::watch::channel(false);
     let operators_thread = std::thread::Builder::new()
         .name("door".into())
@@ -85,11 +87,11 @@
         listener,
         disk: disk_jobs,
     };
-    let end = local.block_on(&runtime, controller_thread::serve(start, inputs));
+    let result = local.block_on(&runtime, controller_thread::serve(start, inputs));
     let _ = stop.send(true);
     drop(local);
     drop(runtime);
     let joined = operators_thread.join().is_ok() && disk_thread.join().is_ok();
-    end?;
+    result?;
     if joined { Ok(()) } else { Err(ControllerError::ThreadFailed) }
 }
--- a/crates/server/src/controller/operator_listener.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -1,4 +1,4 @@
-//! The listener for operators: HTTP with JSON, on a thread of its own.
+//! The listener for operators, which serves JSON over HTTP on a separate thread.
 
 use std::sync::Arc;
 use std::time::Instant;
@@ -29,11 +29,11 @@
 use crate::answer_counts::AnswerCounts;
 use crate::confirmation::{Confirmation, Sender};
 use crate::messages::ControllerInput;
-use crate::order::Order;
-use crate::resubmissions::{OrderKey, Resubmissions};
+use crate::operation_request::OperationRequest;
+use crate::resubmissions::{RequestKey, Resubmissions};
 use crate::rollout_listener;
 
-/// The way to the controller's thread.
+/// A handle to the controller's thread.
 #[derive(Clone)]
 pub struct Controller {
     inputs: UnboundedSender<ControllerInput>,
@@ -41,7 +41,7 @@
     answers: Arc<AnswerCounts>,
 }
 
-/// Serves operators until told to stop.
+/// Serves operators until `stop` becomes true.
 pub fn serve(
     listener: std::net::TcpListener,
     inputs: UnboundedSender<ControllerInput>,
@@ -50,7 +50,7 @@
 ) {
     let runtime = match tokio::runtime::Builder::new_current_thread().enable_all().build() {
         Ok(runtime) => runtime,
-        Err(e) => return error!("the operators' door can't be served: {e}"),
+        Err(e) => return error!("the operators' listener can't be started: {e}"),
     };
     let answers: Arc<AnswerCounts> = Arc::default();
     let counted = answers.clone();
@@ -67,12 +67,15 @@
             platform_request(controller, platform_api, req)
         })
         .layer(DefaultBodyLimit::max(consts::MAX_OPERATOR_REQUEST_BYTES))
-        // Large requests are few: more than this at once are turned away
-        // rather than held in memory.
+        // Requests may be large, so excess concurrent requests are rejected rather than held in
+        // memory.
         .layer(
             ServiceBuilder::new()
                 .layer(HandleErrorLayer::new(async |_: tower::BoxError| {
-                    answer(503, &json!({ "error": "not-applied", "text": "too many requests" }))
+                    json_response(
+                        503,
+                        &json!({ "error": "not-applied", "text": "too many requests" }),
+                    )
                 }))
                 .load_shed()
                 .concurrency_limit(consts::MAX_OPERATOR_REQUESTS),
@@ -82,58 +85,58 @@
             std::future::ready(response)
         }))
         .with_state(controller);
-    let until = async move {
+    let stopped = async move {
         let _ = stop.wait_for(|s| *s).await;
     };
     if let Err(e) = runtime.block_on(grebepath_runtime::http::server::serve(
         listener,
         consts::MAX_OPERATOR_CONNECTIONS,
         router,
-        until,
+        stopped,
     )) {
-        error!("the operators' door: {e}");
+        error!("the operators' listener failed: {e}");
     }
 }
 
-/// A request by the platform's interface, at any path that is not ours.
+/// Serves a request in the platform's dialect, on any path without a route.
 async fn platform_request(
     State(controller): State<Controller>,
     platform_api: Option<&'static PlatformApi>,
     req: Request,
 ) -> Response {
     let Some(api) = platform_api else {
-        return answer(404, &json!({ "error": "no such path" }));
+        return json_response(404, &json!({ "error": "no such path" }));
     };
     let (head, body) = req.into_parts();
     let Ok(body) = axum::body::to_bytes(body, consts::MAX_OPERATOR_REQUEST_BYTES).await else {
-        return answer(413, &json!({ "error": "the body can't be read, or is too large" }));
+        return json_response(413, &json!({ "error": "the body can't be read, or is too large" }));
     };
     let sender = Sender::from_parts(&head);
     match (api.read_operator_request)(&head, &body) {
         OperatorRequest::Malformed(response) => response.map(axum::body::Body::from),
         OperatorRequest::Operation { operation, request_id } => {
-            let order = Order { request_id, expected_revision: None, operation };
+            let request = OperationRequest { request_id, expected_revision: None, operation };
             let write = |result| (api.write_operation_result)(result).map(axum::body::Body::from);
-            submit(&controller, &sender, &body, order, write).await
+            submit(&controller, &sender, &body, request, write).await
         }
     }
 }
 
-/// An answer with a JSON body.
-pub fn answer(code: u16, body: &Value) -> Response {
+/// Creates a response with a JSON body.
+pub fn json_response(code: u16, body: &Value) -> Response {
     let code = StatusCode::from_u16(code).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR);
     let text = format!("{body}\n");
     (code, [(header::CONTENT_TYPE, "application/json")], text).into_response()
 }
 
-/// Reads the request's headers: its id and the revision that it expects, if it names them.
+/// Reads the optional request id and the optional expected revision from the request's headers.
 fn request_headers(headers: &HeaderMap) -> Result<(Option<String>, Option<u64>), Diagnostic> {
     let bad = |place: &str, text: &str| Diagnostic::new(place, text);
     let text = |name: &str| headers.get(name).map(|v| v.to_str().map(str::to_string));
     let request = match text(REQUEST_ID) {
         None => None,
         Some(Ok(id)) if (1..=128).contains(&id.len()) => Some(id),
-        Some(_) => return Err(bad(REQUEST_ID, "a request id has 1 to 128 plain characters")),
+        Some(_) => return Err(bad(REQUEST_ID, "expected 1 to 128 visible ASCII characters")),
     };
     let expect = match text(EXPECT_REVISION) {
         None => None,
@@ -143,9 +146,9 @@
     Ok((request, expect))
 }
 
-/// Has a request carried out, and gives its result.
-pub async fn operate(controller: &Controller, order: Order) -> OperationResult {
-    let Order { request_id, expected_revision, operation } = order;
+/// Sends a request to the controller's thread and returns its result.
+pub async fn operate(controller: &Controller, request: OperationRequest) -> OperationResult {
+    let OperationRequest { request_id, expected_revision, operation } = request;
     let (reply, result) = oneshot::channel();
     let input = ControllerInput::Operate {
         request_id: request_id.unwrap_or_default(),
@@ -154,35 +157,35 @@
         reply,
     };
     if controller.inputs.send(input).is_err() {
-        return OperationResult::Rejected { why: "this controller is going down".into() };
+        return OperationResult::Rejected { why: "this controller is shutting down".into() };
     }
-    result.await.unwrap_or(OperationResult::Unknown { why: "this controller went down".into() })
+    result.await.unwrap_or(OperationResult::Unknown { why: "this controller has shut down".into() })
 }
 
-/// Has an order carried out and writes its result, or asks its sender to confirm it.
+/// Executes a request and writes its result, or redirects its sender to confirm the request.
 async fn submit(
     controller: &Controller,
     sender: &Sender,
     body: &[u8],
-    order: Order,
+    request: OperationRequest,
     write: impl Fn(OperationResult) -> Response,
 ) -> Response {
-    if !order.needs_confirmation() {
-        return write(operate(controller, order.with_id()).await);
+    if !request.needs_confirmation() {
+        return write(operate(controller, request.with_id()).await);
     }
-    let key = OrderKey::new(sender, body);
+    let key = RequestKey::new(sender, body);
     let confirmation = match &sender.confirmation {
         Some(confirmation) => {
-            controller.resubmissions.note_followed(&key);
+            controller.resubmissions.remove_followed(&key);
             Some(confirmation.clone())
         }
         None => controller.resubmissions.take(&key, Instant::now()),
     };
-    let order = match &confirmation {
-        Some(confirmation) => order.confirmed_by(confirmation),
-        None => order,
+    let request = match &confirmation {
+        Some(confirmation) => request.confirmed_by(confirmation),
+        None => request,
     };
-    let revision = match operate(controller, order).await {
+    let revision = match operate(controller, request).await {
         OperationResult::Conflict { revision } => revision,
         result => return write(result),
     };
@@ -191,19 +194,19 @@
         None => Some(Confirmation::first(revision)),
     };
     let Some(next) = next else {
-        let why = "the configuration changes all the time".into();
+        let why = "the configuration changed again after each confirmation".into();
         return write(OperationResult::Rejected { why });
     };
-    controller.resubmissions.note_asked(key, &next, Instant::now());
-    ask_to_confirm(&next, sender)
+    controller.resubmissions.record_redirect(key, &next, Instant::now());
+    redirect_to_confirm(&next, sender)
 }
 
-/// The redirection that asks the sender of an order to confirm it.
-fn ask_to_confirm(confirmation: &Confirmation, sender: &Sender) -> Response {
-    let text = "it has no id and names nothing that it builds on: confirm it at the location";
+/// Returns the redirection with which the sender confirms its request.
+fn redirect_to_confirm(confirmation: &Confirmation, sender: &Sender) -> Response {
+    let text = "the request has neither an id nor an expected revision: confirm it at the location";
     let revision = confirmation.revision;
     let body = json!({ "error": "unconfirmed", "text": text, "revision": revision });
-    let mut response = answer(StatusCode::TEMPORARY_REDIRECT.as_u16(), &body);
+    let mut response = json_response(StatusCode::TEMPORARY_REDIRECT.as_u16(), &body);
     if let Ok(location) = HeaderValue::from_str(&confirmation.location(sender)) {
         response.headers_mut().insert(header::LOCATION, location);
     }
@@ -211,24 +214,28 @@
 }
 
 async fn read_config(State(controller): State<Controller>) -> Response {
-    match operate(&controller, Order::question(Operation::Read)).await {
+    match operate(&controller, OperationRequest::without_id(Operation::Read)).await {
         OperationResult::Configuration { revision, entries: map } => {
             match Config::from_entries(&map) {
-                Ok(conf) => answer(200, &json!({ "revision": revision, "config": conf.to_json() })),
-                Err(e) => answer(500, &json!({ "error": "unreadable", "text": e.to_string() })),
+                Ok(conf) => {
+                    json_response(200, &json!({ "revision": revision, "config": conf.to_json() }))
+                }
+                Err(e) => {
+                    json_response(500, &json!({ "error": "unreadable", "text": e.to_string() }))
+                }
             }
         }
         other => write_result(other),
     }
 }
 
-/// An operator affirms that replicas lost on other voters are lost for good.
+/// Handles an operator's statement that the replicas lost on other voters are lost permanently.
 async fn force_recovery(State(controller): State<Controller>) -> Response {
     match controller.inputs.send(ControllerInput::Event(
         grebepath_core::control_plane::controller::Event::ForceRecovery,
     )) {
-        Ok(()) => answer(200, &json!({ "vouched": true })),
-        Err(_) => answer(503, &json!({ "error": "stopping" })),
+        Ok(()) => json_response(200, &json!({ "vouched": true })),
+        Err(_) => json_response(503, &json!({ "error": "stopping" })),
     }
 }
 
@@ -236,7 +243,9 @@
     State(controller): State<Controller>,
     axum::extract::Path(name): axum::extract::Path<String>,
 ) -> Response {
-    write_result(operate(&controller, Order::question(Operation::ForgetMember(name))).await)
+    write_result(
+        operate(&controller, OperationRequest::without_id(Operation::ForgetMember(name))).await,
+    )
 }
 
 async fn replace(
@@ -246,7 +255,7 @@
     body: Bytes,
 ) -> Response {
     let operation = Operation::Replace(body.to_vec());
-    order_from_headers(&controller, &sender, &headers, operation, &body).await
+    operate_with_headers(&controller, &sender, &headers, operation, &body).await
 }
 
 async fn patch(
@@ -256,11 +265,11 @@
     body: Bytes,
 ) -> Response {
     let operation = Operation::Patch(body.to_vec());
-    order_from_headers(&controller, &sender, &headers, operation, &body).await
+    operate_with_headers(&controller, &sender, &headers, operation, &body).await
 }
 
-/// Has an order carried out under the id and the revision that its headers name.
-pub async fn order_from_headers(
+/// Executes an operation under the id and the revision in the request's headers.
+pub async fn operate_with_headers(
     controller: &Controller,
     sender: &Sender,
     headers: &HeaderMap,
@@ -268,17 +277,18 @@
     body: &[u8],
 ) -> Response {
     match request_headers(headers) {
-        Err(f) => {
-            answer(400, &json!({ "error": "bad-request", "findings": operator::findings(&[f]) }))
-        }
+        Err(f) => json_response(
+            400,
+            &json!({ "error": "bad-request", "findings": operator::findings(&[f]) }),
+        ),
         Ok((request_id, expected_revision)) => {
-            let order = Order { request_id, expected_revision, operation };
-            submit(controller, sender, body, order, write_result).await
+            let request = OperationRequest { request_id, expected_revision, operation };
+            submit(controller, sender, body, request, write_result).await
         }
     }
 }
 
-/// The answer that tells a result in our own form.
+/// Writes the response for a result in this project's JSON format.
 pub fn write_result(done: OperationResult) -> Response {
     let op = match done {
         OperationResult::Accepted { revision, replicas: copies, is_repeat: again } => {
@@ -295,38 +305,39 @@
             OperatorOutcome::Unknown { reason: operator::forgotten(revision, edition) }
         }
         OperationResult::Rollout(Some(rollout)) => {
-            return answer(200, &rollout::to_json(&rollout));
+            return json_response(200, &rollout::to_json(&rollout));
         }
         OperationResult::Rollout(None) => {
-            return answer(404, &json!({ "error": "no rollout of that service" }));
+            return json_response(404, &json!({ "error": "no rollout of that service" }));
         }
         OperationResult::RolloutInProgress { target } => {
             let error = "another rollout of that service goes on";
-            return answer(409, &json!({ "error": error, "version": target }));
+            return json_response(409, &json!({ "error": error, "version": target }));
         }
         OperationResult::Configuration { .. } | OperationResult::Status { .. } => {
-            OperatorOutcome::Unknown { reason: "an answer to something else".into() }
+            OperatorOutcome::Unknown { reason: "unexpected result of another operation".into() }
         }
     };
     let (code, body) = write(&op);
-    answer(code, &body)
+    json_response(code, &body)
 }
 
-/// What this controller knows, and what the configuration's leader knows of members.
+/// Returns the status of this controller, and the membership as the leader of the configuration
+/// knows it.
 async fn status(State(controller): State<Controller>) -> Response {
     let (reply, result) = oneshot::channel();
     if controller.inputs.send(ControllerInput::Status(reply)).is_err() {
-        return answer(503, &json!({ "error": "stopping" }));
+        return json_response(503, &json!({ "error": "stopping" }));
     }
-    let own = result.await.unwrap_or(Value::Null);
-    let mut body = json!({ "here": own });
-    match operate(&controller, Order::question(Operation::Status)).await {
-        OperationResult::Status { membership, progress: far } => {
+    let own_status = result.await.unwrap_or(Value::Null);
+    let mut body = json!({ "here": own_status });
+    match operate(&controller, OperationRequest::without_id(Operation::Status)).await {
+        OperationResult::Status { membership, progress } => {
             let members: Vec<Value> = membership
                 .members
                 .iter()
                 .map(|m| {
-                    let known = far.iter().find(|f| f.0 == m.name);
+                    let known = progress.iter().find(|f| f.0 == m.name);
                     json!({
                         "name": m.name, "addr": m.addr, "zone": m.zone, "threads": m.threads,
                         "settled": m.joined <= membership.settled,
@@ -344,13 +355,13 @@
         }
         _ => {}
     }
-    answer(200, &body)
+    json_response(200, &body)
 }
 
 async fn metrics(State(controller): State<Controller>) -> Response {
     let (reply, result) = oneshot::channel();
     if controller.inputs.send(ControllerInput::Metrics(reply)).is_err() {
-        return answer(503, &json!({ "error": "stopping" }));
+        return json_response(503, &json!({ "error": "stopping" }));
     }
     let of_controller = result.await.unwrap_or_default();
     (of_controller + &controller.answers.render()).into_response()
--- a/crates/server/src/grebectl/main.rs
+++ b/crates/server/src/grebectl/main.rs
@@ -1,4 +1,4 @@
-//! The operators' command line.
+//! The command line tool for operators.
 
 mod cli;
 mod controller_client;
@@ -12,7 +12,7 @@
         Ok(rt) => rt,
         Err(e) => {
             eprintln!("grebectl: {e}");
-            std::process::exit(cli::EXIT_TROUBLE);
+            std::process::exit(cli::EXIT_FAILED);
         }
     };
     std::process::exit(rt.block_on(verbs::run(args)));
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -1,4 +1,4 @@
-//! What is printed, for people or as JSON.
+//! Formats the output, as text or as JSON.
 
 use std::net::SocketAddr;
 
@@ -13,8 +13,8 @@
 use crate::controller_client::RequestError;
 use crate::rollouts;
 
-/// Prints findings.
-pub fn wrong(all: &[Diagnostic], as_json: bool) {
+/// Prints diagnostics.
+pub fn print_diagnostics(all: &[Diagnostic], as_json: bool) {
     if as_json {
         println!("{}", json!({ "error": "wrong", "findings": findings(all) }));
     } else {
@@ -24,16 +24,16 @@
     }
 }
 
-/// The plan of a mapping, and of a key's lookup.
-pub fn plan(m: &Route, key: Option<&str>) -> Value {
-    let planned: Vec<usize> = match (m.fan_out, key) {
-        (FanOut::ByKey, Some(key)) => vec![shard_for_key(m, key)],
-        _ => (0..m.shards.len()).collect(),
+/// Returns the plan of a route as JSON, limited to the shard of `key` if the route uses keys.
+pub fn plan(route: &Route, key: Option<&str>) -> Value {
+    let planned: Vec<usize> = match (route.fan_out, key) {
+        (FanOut::ByKey, Some(key)) => vec![shard_for_key(route, key)],
+        _ => (0..route.shards.len()).collect(),
     };
     let shards: Vec<Value> = planned
         .iter()
         .map(|i| {
-            let s = &m.shards[*i];
+            let s = &route.shards[*i];
             let pools: Vec<Value> = s
                 .pools
                 .iter()
@@ -46,21 +46,22 @@
         })
         .collect();
     json!({
-        "search": m.name, "class": m.class.name(),
-        "cut": m.index_version, "send": if m.fan_out == FanOut::AllShards { "wide" } else { "one by key" },
-        "promise_ms": m.timeout / MILLI, "attempts": m.attempts,
-        "wait_pct": m.hedge_after_pct, "stop_pct": m.quorum_after_pct,
-        "prefer": if m.prefer_local { "local" } else { "any" },
-        "planned": planned.len(), "needed": m.required_shards(planned.len()), "shards": shards,
+        "search": route.name, "class": route.class.name(),
+        "cut": route.index_version, "send": if route.fan_out == FanOut::AllShards { "wide" } else { "one by key" },
+        "promise_ms": route.timeout / MILLI, "attempts": route.attempts,
+        "wait_pct": route.hedge_after_pct, "stop_pct": route.quorum_after_pct,
+        "prefer": if route.prefer_local { "local" } else { "any" },
+        "planned": planned.len(), "needed": route.required_shards(planned.len()), "shards": shards,
     })
 }
 
-/// A plan for people.
+/// Formats a plan as text.
 pub fn plan_text(p: &Value) -> String {
     let mut out = format!(
-        "search {} ({}), cut {}, send {}\n  answers with {} of {} shards or bounces; promised in {} ms\n  \
-         a second try after {}% of the time left, {} tries a shard at most, leafs: {}\n  \
-         quorum is enough after {}% of the time\n",
+        "search {} ({}), index version {}, send {}\n  \
+         answers with {} of {} shards or bounces; timeout {} ms\n  \
+         hedge after {}% of the remaining time, at most {} attempts per shard, leafs: {}\n  \
+         quorum suffices after {}% of the time\n",
         text(&p["search"]),
         text(&p["class"]),
         p["cut"],
@@ -77,7 +78,7 @@
         out += &format!("  shard {}:", text(&s["shard"]));
         for pool in list(&s["pools"]) {
             out += &format!(
-                " {} (service {}, bears {}, ramp {} ms)",
+                " {} (service {}, capacity {}, slow start {} ms)",
                 text(&pool["pool"]),
                 text(&pool["service"]),
                 pool["bears"],
@@ -100,15 +101,15 @@
     v.as_array().map_or(&[], Vec::as_slice)
 }
 
-/// What one controller says of itself and of the members.
+/// A controller's status of itself and of the members.
 pub struct ControllerStatus {
-    /// Its address.
+    /// The controller's address.
     pub address: SocketAddr,
-    /// Its answer, or why there is none.
+    /// The status, or why there is none.
     pub status: Result<Value, RequestError>,
 }
 
-/// The status of all controllers, for people.
+/// Formats the status of all controllers as text.
 pub fn status_text(controllers: &[ControllerStatus]) -> String {
     let mut out = String::new();
     for ControllerStatus { address: addr, status } in controllers {
@@ -151,18 +152,18 @@
         _ => None,
     });
     match membership {
-        None => out += "members: unknown, the configuration has no owner that answers\n",
+        None => out += "members: unknown, no controller reports a leader of the configuration\n",
         Some(c) => {
             out += &format!("members (epoch {}, turn {}):\n", c["epoch"], c["turn"]);
-            for m in list(&c["members"]) {
+            for member in list(&c["members"]) {
                 out += &format!(
                     "  {:<12} zone {:<6} obeys {:<6} ready {:<6} heard {} ms ago{}\n",
-                    text(&m["name"]),
-                    text(&m["zone"]),
-                    text(&m["obeys"]),
-                    text(&m["ready"]),
-                    text(&m["heard_ms_ago"]),
-                    if m["settled"] == true { "" } else { "  joining" },
+                    text(&member["name"]),
+                    text(&member["zone"]),
+                    text(&member["obeys"]),
+                    text(&member["ready"]),
+                    text(&member["heard_ms_ago"]),
+                    if member["settled"] == true { "" } else { "  joining" },
                 );
             }
         }
--- a/crates/server/src/grebectl/verbs.rs
+++ b/crates/server/src/grebectl/verbs.rs
@@ -1,4 +1,4 @@
-//! What each word does.
+//! Implements the commands.
 
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
@@ -12,16 +12,16 @@
 use serde_json::{Value, json};
 
 use crate::cli::{
-    Args, EXIT_DIFFERS, EXIT_MOVED, EXIT_OK, EXIT_TROUBLE, EXIT_UNKNOWN, EXIT_USAGE, EXIT_WAIT,
-    EXIT_WRONG, Verb, addresses,
+    Args, EXIT_CONFLICT, EXIT_DIFFERS, EXIT_FAILED, EXIT_INVALID, EXIT_NOT_APPLIED_IN_TIME,
+    EXIT_OK, EXIT_UNKNOWN, EXIT_USAGE, Verb, addresses,
 };
 use crate::controller_client::{Answer, ControllerRequest, RequestError};
 use crate::rollouts;
 use crate::show::{self, ControllerStatus};
 
-/// Why a verb ends early.
+/// Why a command has failed.
 pub struct Failure {
-    /// For people; nothing if it was printed already.
+    /// The message to print; empty if it was printed already.
     message: String,
     exit_code: i32,
 }
@@ -31,9 +31,9 @@
         Failure { message: message.into(), exit_code }
     }
 
-    /// Nobody could be reached, or the request was certainly not applied.
+    /// Creates the failure of a request that reached no controller or was definitely not applied.
     fn not_applied(message: impl Into<String>) -> Failure {
-        Failure::new(message, EXIT_TROUBLE)
+        Failure::new(message, EXIT_FAILED)
     }
 }
 
@@ -43,7 +43,7 @@
     }
 }
 
-/// Runs a verb and gives the exit code.
+/// Runs a command and returns the exit code.
 pub async fn run(args: Args) -> i32 {
     let http = grebepath_runtime::http::client::HttpClient::new(1);
     match verb(&args, &http).await {
@@ -57,37 +57,37 @@
     }
 }
 
-/// The controllers that the command line names.
+/// Returns the controllers' addresses from the command line.
 pub fn controllers(args: &Args) -> Result<Vec<SocketAddr>, Failure> {
     addresses(args).map_err(|error| Failure::new(error.to_string(), EXIT_USAGE))
 }
 
 fn read_file(file: &str) -> Result<Vec<u8>, Failure> {
-    let got = if file == "-" {
+    let result = if file == "-" {
         let mut raw = Vec::new();
         std::io::Read::read_to_end(&mut std::io::stdin(), &mut raw).map(|_| raw)
     } else {
         std::fs::read(file)
     };
-    got.map_err(|error| Failure::new(format!("{file}: {error}"), EXIT_USAGE))
+    result.map_err(|error| Failure::new(format!("{file}: {error}"), EXIT_USAGE))
 }
 
-fn checked(args: &Args, raw: &[u8]) -> Result<(Config, RoutingTable), Failure> {
-    let got = Config::from_json(raw).and_then(|c| RoutingTable::build(&c).map(|b| (c, b)));
-    got.map_err(|all| {
-        show::wrong(&all, args.json);
-        Failure::new("", EXIT_WRONG)
+fn parse_config(args: &Args, raw: &[u8]) -> Result<(Config, RoutingTable), Failure> {
+    let result = Config::from_json(raw).and_then(|c| RoutingTable::build(&c).map(|b| (c, b)));
+    result.map_err(|all| {
+        show::print_diagnostics(&all, args.json);
+        Failure::new("", EXIT_INVALID)
     })
 }
 
 async fn verb(args: &Args, http: &HttpClient) -> Result<i32, Failure> {
     match &args.verb {
         Verb::Check { file } => {
-            let (_, built) = checked(args, &read_file(file)?)?;
+            let (_, table) = parse_config(args, &read_file(file)?)?;
             if args.json {
-                println!("{}", json!({ "searches": built.routes.len() }));
+                println!("{}", json!({ "searches": table.routes.len() }));
             } else {
-                println!("good: {} searches", built.routes.len());
+                println!("valid: {} searches", table.routes.len());
             }
             Ok(EXIT_OK)
         }
@@ -96,8 +96,8 @@
         Verb::Drain { zone } => send(args, http, Method::PATCH, zone_patch(zone, "drained")).await,
         Verb::Undrain { zone } => send(args, http, Method::PATCH, zone_patch(zone, "open")).await,
         Verb::Get => {
-            let (revision, conf) = get(args, http).await?;
-            let val = conf.to_json();
+            let (revision, config) = get(args, http).await?;
+            let val = config.to_json();
             if args.json {
                 println!("{}", json!({ "revision": revision, "config": val }));
             } else {
@@ -108,7 +108,7 @@
         }
         Verb::Diff { file } => diff(args, http, &read_file(file)?).await,
         Verb::Status => status(args, http).await,
-        Verb::Vouch { seat } => force_recovery(http, seat).await,
+        Verb::ForceRecovery { controller } => force_recovery(http, controller).await,
         Verb::Forget { member } => forget_member(args, http, member).await,
         Verb::Rollout(verb) => rollouts::run(args, http, verb).await,
         Verb::Explain { search, key, file } => {
@@ -124,7 +124,7 @@
     })?;
     let request = ControllerRequest::new(Method::POST, "/v1/vouch");
     request.send_to(http, address).await?.into_ok()?;
-    println!("vouched; `grebectl status` shows when its parts are formed");
+    println!("recovery forced; `grebectl status` shows its progress");
     Ok(EXIT_OK)
 }
 
@@ -142,23 +142,25 @@
     key: Option<&str>,
     file: Option<&str>,
 ) -> Result<i32, Failure> {
-    let built = match file {
-        Some(file) => checked(args, &read_file(file)?)?.1,
+    let table = match file {
+        Some(file) => parse_config(args, &read_file(file)?)?.1,
         None => {
-            let (_, conf) = get(args, http).await?;
-            RoutingTable::build(&conf).map_err(|_| {
-                Failure::not_applied("the configuration in force does not build here")
+            let (_, config) = get(args, http).await?;
+            RoutingTable::build(&config).map_err(|_| {
+                Failure::not_applied(
+                    "the configuration in force is invalid for this version of grebectl",
+                )
             })?
         }
     };
-    let Some(route) = built.routes.get(search) else {
-        let known: Vec<_> = built.routes.keys().map(String::as_str).collect();
+    let Some(route) = table.routes.get(search) else {
+        let known: Vec<_> = table.routes.keys().map(String::as_str).collect();
         let text = format!("no search `{search}`; known are {}", known.join(", "));
         return Err(Failure::not_applied(text));
     };
     let mut plan = show::plan(route, key);
     if file.is_none() {
-        plan["rollouts"] = rollouts::of_plan(args, http, route).await?;
+        plan["rollouts"] = rollouts::rollouts_of_route(args, http, route).await?;
     }
     if args.json {
         println!("{plan}");
@@ -175,9 +177,12 @@
 async fn get(args: &Args, http: &HttpClient) -> Result<(u64, Config), Failure> {
     let request = ControllerRequest::new(Method::GET, CONFIG);
     let body = request.send_to_any(http, &controllers(args)?).await?.into_ok()?;
-    let conf = Config::from_json(body["config"].to_string().as_bytes())
-        .map_err(|_| Failure::not_applied("the configuration in force can't be read here"))?;
-    Ok((body["revision"].as_u64().unwrap_or(0), conf))
+    let config = Config::from_json(body["config"].to_string().as_bytes()).map_err(|_| {
+        Failure::not_applied(
+            "the configuration in force can't be parsed by this version of grebectl",
+        )
+    })?;
+    Ok((body["revision"].as_u64().unwrap_or(0), config))
 }
 
 async fn send(
@@ -186,15 +191,15 @@
     method: Method,
     body: Vec<u8>,
 ) -> Result<i32, Failure> {
-    // Findings that need no controller are told without one.
+    // An invalid configuration is reported without a request to a controller.
     if method == Method::PUT {
-        checked(args, &body)?;
+        parse_config(args, &body)?;
     }
-    send_order(args, http, method, CONFIG, body).await
+    send_change(args, http, method, CONFIG, body).await
 }
 
-/// Sends an order under an id of its own, and tells what came of it.
-pub async fn send_order(
+/// Sends a change under the given id or a new one, and prints the result.
+pub async fn send_change(
     args: &Args,
     http: &HttpClient,
     method: Method,
@@ -216,14 +221,14 @@
         ..ControllerRequest::new(method, path)
     };
     let answer = request.send_to_any(http, &list).await.map_err(|error| {
-        Failure::new(format!("{error}; ask again with --request-id {id}"), EXIT_UNKNOWN)
+        Failure::new(format!("{error}; retry with --request-id {id}"), EXIT_UNKNOWN)
     })?;
     let Answer { code, body: answer } = answer;
     let exit = match code {
         200 => EXIT_OK,
-        422 | 400 => EXIT_WRONG,
-        412 => EXIT_MOVED,
-        404 | 409 | 503 => EXIT_TROUBLE,
+        422 | 400 => EXIT_INVALID,
+        412 => EXIT_CONFLICT,
+        404 | 409 | 503 => EXIT_FAILED,
         _ => EXIT_UNKNOWN,
     };
     let revision = answer["revision"].as_u64().unwrap_or(0);
@@ -234,14 +239,14 @@
             EXIT_OK => {
                 println!("accepted as revision {revision}, synced by {} of 3", answer["copies"])
             }
-            EXIT_WRONG => show::wrong(&findings(&answer), false),
-            EXIT_MOVED => println!("not applied: the revision is {revision} now"),
-            EXIT_UNKNOWN => println!("unknown: {answer}; ask again with --request-id {id}"),
+            EXIT_INVALID => show::print_diagnostics(&findings(&answer), false),
+            EXIT_CONFLICT => println!("not applied: the current revision is {revision}"),
+            EXIT_UNKNOWN => println!("unknown outcome: {answer}; retry with --request-id {id}"),
             _ => println!("not applied: {answer}"),
         }
     }
     match (exit, args.wait) {
-        (EXIT_OK, Some(secs)) => obeyed(args, http, &list, revision, secs).await,
+        (EXIT_OK, Some(secs)) => wait_until_applied(args, http, &list, revision, secs).await,
         _ => Ok(exit),
     }
 }
@@ -252,44 +257,44 @@
     list.iter().map(|f| Diagnostic::new(text(&f["place"]), text(&f["text"]))).collect()
 }
 
-/// Waits until every live member obeys a revision.
-async fn obeyed(
+/// Waits until all live members have applied a revision.
+async fn wait_until_applied(
     args: &Args,
     http: &HttpClient,
     list: &[SocketAddr],
     revision: u64,
     secs: u64,
 ) -> Result<i32, Failure> {
-    let end = Instant::now() + Duration::from_secs(secs);
+    let deadline = Instant::now() + Duration::from_secs(secs);
     let status = ControllerRequest::new(Method::GET, STATUS);
     loop {
-        let mut late = vec!["the members are unknown".to_string()];
+        let mut lagging = vec!["the members are unknown".to_string()];
         if let Ok(Answer { code: 200, body }) = status.send_to_any(http, list).await
             && body["cohort"]["epoch"].as_u64().is_some_and(|e| e > 0)
             && let Some(members) = body["cohort"]["members"].as_array()
         {
-            late = members
+            lagging = members
                 .iter()
                 .filter(|m| m["obeys"].as_u64().unwrap_or(0) < revision)
                 .map(|m| m["name"].as_str().unwrap_or("?").to_string())
                 .collect();
-            if late.is_empty() {
+            if lagging.is_empty() {
                 if !args.json {
                     println!("obeyed by all {} members", members.len());
                 }
                 return Ok(EXIT_OK);
             }
         }
-        if Instant::now() >= end {
-            let text = format!("not obeyed in time by: {}", late.join(", "));
-            return Err(Failure::new(text, EXIT_WAIT));
+        if Instant::now() >= deadline {
+            let text = format!("not applied in time by: {}", lagging.join(", "));
+            return Err(Failure::new(text, EXIT_NOT_APPLIED_IN_TIME));
         }
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
 }
 
 async fn diff(args: &Args, http: &HttpClient, raw: &[u8]) -> Result<i32, Failure> {
-    let (new, _) = checked(args, raw)?;
+    let (new, _) = parse_config(args, raw)?;
     let (revision, old) = get(args, http).await?;
     let (before, list) = (old.to_entries(), old.changes_to(&new));
     let rows: Vec<(&str, &str)> = list
@@ -337,5 +342,5 @@
     } else {
         print!("{}", show::status_text(&answers));
     }
-    Ok(if good { EXIT_OK } else { EXIT_TROUBLE })
+    Ok(if good { EXIT_OK } else { EXIT_FAILED })
 }
--- a/crates/server/src/querier/settings.rs
+++ b/crates/server/src/querier/settings.rs
@@ -97,7 +97,7 @@
     /// Address that the other members connect to, if it differs from `inner`.
     pub advertise: Option<SocketAddr>,
     /// Identifies the cluster; all processes of a cluster have the same number.
-    pub fleet: u64,
+    pub cluster_hash: u64,
     /// Inner addresses of some controllers that are likely to be running.
     pub seeds: Vec<SocketAddr>,
     /// Address of the platform's list of leafs.
@@ -146,7 +146,7 @@
         let platform_api = reader.platform_api(&platform::DIALECT);
         let settings = Settings {
             name: reader.name("name"),
-            fleet: reader.fleet_id(),
+            cluster_hash: reader.cluster_hash(),
             advertise: reader.optional_address("advertise"),
             zone: reader.name("zone"),
             listen: reader.address("listen"),
