--- a/crates/server/src/testbed/control_listener.rs
+++ b/crates/server/src/testbed/control_listener.rs
@@ -79,8 +79,8 @@
             let leaf = leaf.borrow();
             json!({
                 "leaf": leaf.name, "service": leaf.service.name, "zone": leaf.zone,
-                "version": leaf.version, "addr": leaf.addr.to_string(), "alive": leaf.serving_task.is_some(),
-                "leaving": leaf.leaving,
+                "version": leaf.version, "addr": leaf.addr.to_string(),
+                "alive": leaf.serving_task.is_some(), "leaving": leaf.leaving,
                 "live": leaf.in_flight, "worst_pct": leaf.peak_load_pct, "ran": leaf.run_count,
                 "misdirected": leaf.misdirected, "reached": leaf.misdirected_work,
                 "changed": leaf.altered_queries,
