--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -118,7 +118,7 @@
     }
 
     /// Converts a connection's event to an event of the state machine, if it concerns it.
-    pub fn to_state_event(&mut self, event: ConnectionEvent<SocketAddr>) -> Option<Event> {
+    pub fn translate_event(&mut self, event: ConnectionEvent<SocketAddr>) -> Option<Event> {
         match event {
             ConnectionEvent::Received { tag, message } => {
                 self.controllers.note_message(tag, &message);
--- a/crates/server/src/controller/controller_thread.rs
+++ b/crates/server/src/controller/controller_thread.rs
@@ -109,8 +109,8 @@
                     self.io.wake_at = None;
                     Some(Event::Wake)
                 }
-                Some(input) = inputs.recv() => self.to_state_event(input),
-                Some(event) = connection_events.recv() => self.io.to_state_event(event),
+                Some(input) = inputs.recv() => self.translate_event(input),
+                Some(event) = connection_events.recv() => self.io.translate_event(event),
             };
             if let Some(event) = event {
                 self.step(event);
@@ -132,7 +132,7 @@
     }
 
     /// Converts another thread's input to an event of the state machine, or answers it directly.
-    fn to_state_event(&mut self, input: ControllerInput) -> Option<Event> {
+    fn translate_event(&mut self, input: ControllerInput) -> Option<Event> {
         match input {
             ControllerInput::Event(event) => Some(event),
             ControllerInput::Operate { request_id, expected_revision, operation, reply } => {
