--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/request_cost.rs
@@ -1,7 +1,7 @@
 //! What an operator's order costs the leader: processor time, bytes of the log
 //! and of the message to each replica, and the size of a snapshot.
 //!
-//!     cargo run --release -p grebe --example order_cost -- ROUTES ORDERS
+//!     cargo run --release -p grebe --example request_cost -- ROUTES ORDERS
 //!
 //! One controller with a disk that takes no time sets a configuration of
 //! ROUTES searches, then accepts ORDERS orders that change one zone each, and
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -21,7 +21,7 @@
 use serde_json::json;
 
 /// The most that a configuration of some KiB may take with the memory of accepted
-/// orders (bytes); `order_memory.rs` tests that the memory stays below that.
+/// orders (bytes); `request_dedup.rs` tests that the memory stays below that.
 const MOST_STATE: usize = 700 * 1024;
 
 /// A change that names the edition it builds on, as operators do.
