--- a/crates/core/tests/request_dedup.rs
+++ b/crates/core/tests/request_dedup.rs
@@ -1,4 +1,5 @@
-//! The memory of accepted orders, against a plain list of what was accepted.
+//! Tests of the deduplication table of accepted operator requests, checked against a plain list
+//! of all accepted requests.
 
 use googletest::prelude::*;
 use grebepath_core::config::stored::{Entry, edition};
@@ -15,64 +16,64 @@
 use grebepath_core::storage::writer;
 use prost::Message;
 
-/// What must be remembered at least: two days of 7,200 changes each.
-const TWO_DAYS: u64 = 14_400;
-/// What the memory may take in all: well below 1 MiB.
-const MOST_BYTES: usize = 640 * 1024;
-/// What one order may add to a change, but for one in some hundreds.
-const MOST_CHANGE_BYTES: usize = 1_024;
+/// Minimum number of requests that the table must keep: two days of 7,200 changes each.
+const MIN_REQUESTS_KEPT: u64 = 14_400;
+/// Maximum size of the table, well below 1 MiB.
+const MAX_TABLE_BYTES: usize = 640 * 1024;
+/// Maximum bytes of table entries that one request may add to a change.
+const MAX_INSERT_BYTES: usize = 1_024;
 
-/// An order that the model knows.
+/// A request that the model accepted.
 #[derive(Clone, Debug)]
-struct Order {
-    request: String,
-    whole: bool,
+struct Request {
+    request_id: String,
+    is_replacement: bool,
     text: Vec<u8>,
     base: RequestBase,
     revision: u64,
 }
 
-fn print(order: &Order) -> Fingerprint {
-    fingerprint(&order.request, order.whole, &order.text)
+fn fingerprint_of(request: &Request) -> Fingerprint {
+    fingerprint(&request.request_id, request.is_replacement, &request.text)
 }
 
-/// The memory in a map, and the list of all that was ever accepted.
+/// The table in a map of entries, and the list of all requests that were ever accepted.
 #[derive(Default)]
-struct Model {
+struct TableModel {
     map: EntryMap,
-    accepted: Vec<Order>,
+    accepted: Vec<Request>,
     edition: u64,
     largest: usize,
     bytes: usize,
 }
 
-/// Accepts an order as the leader does. One in `raising` names a new edition.
-fn accept(model: &mut Model, random: &mut Random, raising: u64) {
+/// Accepts a random request as the leader does. One in `requests_per_edition` names a new edition.
+fn accept(model: &mut TableModel, random: &mut Random, requests_per_edition: u64) {
     let revision = model.accepted.len() as u64 + 1;
-    let raises = random.below(raising) == 0;
+    let is_edition_raised = random.below(requests_per_edition) == 0;
     let next = model.edition + 1 + random.below(3);
     let bases = random.below(4);
-    let order = Order {
-        request: format!("request-{revision}-{}", random.below(1 << 40)),
-        whole: random.below(2) == 0,
+    let request = Request {
+        request_id: format!("request-{revision}-{}", random.below(1 << 40)),
+        is_replacement: random.below(2) == 0,
         text: random.below(u64::MAX).to_le_bytes().to_vec(),
         base: RequestBase {
             revision: (bases & 1 == 1).then_some(revision - 1),
             edition: (bases & 2 == 2).then_some(model.edition),
-            next_edition: raises.then_some(next),
+            next_edition: is_edition_raised.then_some(next),
         },
         revision,
     };
-    if raises {
+    if is_edition_raised {
         model.edition = next;
     }
-    let entries = insert(&model.map, &print(&order), revision, model.edition);
+    let entries = insert(&model.map, &fingerprint_of(&request), revision, model.edition);
     let size = entry_bytes(&entries);
     model.bytes += size;
     model.largest = model.largest.max(size);
     apply_entries(&mut model.map, &entries);
     set_edition(&mut model.map, model.edition);
-    model.accepted.push(order);
+    model.accepted.push(request);
 }
 
 fn set_edition(map: &mut EntryMap, edition: u64) {
@@ -84,87 +85,95 @@
     entries.iter().map(|(key, value)| key.len() + value.as_ref().map_or(0, Vec::len)).sum()
 }
 
-fn memory_bytes(map: &EntryMap) -> usize {
+fn table_bytes(map: &EntryMap) -> usize {
     map.iter().filter(|(k, _)| is_private(k)).map(|(k, v)| k.len() + v.len()).sum()
 }
 
-/// Everything that holds of the memory at any time.
-fn check(model: &Model) {
-    let newest = model.accepted.len() as u64;
-    let gone = horizon(&model.map);
-    for order in &model.accepted {
-        match lookup(&model.map, &order.request, &print(order)) {
-            LookupResult::Accepted { revision } => assert_eq!(revision, order.revision),
+/// Checks the invariants of the table that hold at any time.
+fn check_table(model: &TableModel) {
+    let newest_revision = model.accepted.len() as u64;
+    let evicted = horizon(&model.map);
+    for request in &model.accepted {
+        match lookup(&model.map, &request.request_id, &fingerprint_of(request)) {
+            LookupResult::Accepted { revision } => assert_eq!(revision, request.revision),
             LookupResult::Absent => {
-                assert!(order.revision + TWO_DAYS <= newest, "{order:?} forgotten at {newest}");
-                assert!(may_be_evicted(&gone, &order.base), "{order:?} would be refused, {gone:?}");
+                assert!(
+                    request.revision + MIN_REQUESTS_KEPT <= newest_revision,
+                    "{request:?} evicted at {newest_revision}"
+                );
+                assert!(
+                    may_be_evicted(&evicted, &request.base),
+                    "{request:?} would be refused, {evicted:?}"
+                );
             }
-            LookupResult::DifferentText => panic!("{order:?} is taken for another"),
+            LookupResult::DifferentText => panic!("{request:?} is mistaken for another request"),
         }
     }
-    assert!(memory_bytes(&model.map) < MOST_BYTES, "{} bytes", memory_bytes(&model.map));
-    // What is new is judged, never left without an answer.
+    assert!(table_bytes(&model.map) < MAX_TABLE_BYTES, "{} bytes", table_bytes(&model.map));
+    // A request on the newest state always gets a definite result.
     let fresh = RequestBase {
         revision: None,
         edition: Some(model.edition),
         next_edition: Some(model.edition + 1),
     };
-    assert!(!may_be_evicted(&gone, &fresh));
-    let fresh = RequestBase { revision: Some(newest), ..RequestBase::default() };
-    assert!(!may_be_evicted(&gone, &fresh));
-    // And so is what lost a race within the last two days.
-    if let Some(order) = model.accepted.iter().rev().nth(TWO_DAYS as usize) {
-        let late = RequestBase { revision: Some(order.revision), ..RequestBase::default() };
-        assert!(!may_be_evicted(&gone, &late), "{late:?} {gone:?}");
+    assert!(!may_be_evicted(&evicted, &fresh));
+    let fresh = RequestBase { revision: Some(newest_revision), ..RequestBase::default() };
+    assert!(!may_be_evicted(&evicted, &fresh));
+    // So does a request that lost a race within the last two days.
+    if let Some(request) = model.accepted.iter().rev().nth(MIN_REQUESTS_KEPT as usize) {
+        let late = RequestBase { revision: Some(request.revision), ..RequestBase::default() };
+        assert!(!may_be_evicted(&evicted, &late), "{late:?} {evicted:?}");
     }
 }
 
-/// Orders that were never accepted are not remembered, and a request id that
-/// was used is not taken for another text.
-fn check_strangers(model: &Model, random: &mut Random) {
+/// Checks that requests that were never accepted are not found, and that a used request id with
+/// another text is reported as such.
+fn check_unknown_requests(model: &TableModel, random: &mut Random) {
     for _ in 0..200 {
         let at = random.below(model.accepted.len() as u64) as usize;
         let known = &model.accepted[at];
-        let stranger = format!("{}-", known.request);
-        let print = fingerprint(&stranger, known.whole, &known.text);
-        assert_eq!(lookup(&model.map, &stranger, &print), LookupResult::Absent);
-        for (whole, text) in [(!known.whole, known.text.clone()), (known.whole, vec![1, 2, 3])] {
-            let other = fingerprint(&known.request, whole, &text);
-            let told = lookup(&model.map, &known.request, &other);
-            let same = lookup(&model.map, &known.request, &self::print(known));
-            let want = if same == LookupResult::Absent {
+        let unknown_id = format!("{}-", known.request_id);
+        let request_fingerprint = fingerprint(&unknown_id, known.is_replacement, &known.text);
+        assert_eq!(lookup(&model.map, &unknown_id, &request_fingerprint), LookupResult::Absent);
+        for (is_replacement, text) in
+            [(!known.is_replacement, known.text.clone()), (known.is_replacement, vec![1, 2, 3])]
+        {
+            let other = fingerprint(&known.request_id, is_replacement, &text);
+            let result = lookup(&model.map, &known.request_id, &other);
+            let result_of_known = lookup(&model.map, &known.request_id, &fingerprint_of(known));
+            let expected = if result_of_known == LookupResult::Absent {
                 LookupResult::Absent
             } else {
                 LookupResult::DifferentText
             };
-            assert_eq!(told, want);
+            assert_eq!(result, expected);
         }
     }
 }
 
 #[googletest::test]
-fn every_order_of_two_days_is_remembered_and_older_ones_are_never_refused() {
-    for (seed, raising) in [(1, 1), (2, 2), (3, 50)] {
+fn requests_of_two_days_are_kept_and_evicted_ones_are_never_refused() {
+    for (seed, requests_per_edition) in [(1, 1), (2, 2), (3, 50)] {
         let mut random = Random::new(seed);
-        let mut model = Model::default();
+        let mut model = TableModel::default();
         for count in 1..=45_000u64 {
-            accept(&mut model, &mut random, raising);
+            accept(&mut model, &mut random, requests_per_edition);
             if count.is_power_of_two() || count % 9_000 == 0 || (16_380..16_390).contains(&count) {
-                check(&model);
-                check_strangers(&model, &mut random);
+                check_table(&model);
+                check_unknown_requests(&model, &mut random);
             }
         }
         expect_that!(horizon(&model.map).revision, ge(45_000 - 20_000));
-        expect_that!(model.largest, lt(MOST_CHANGE_BYTES));
-        expect_that!(model.bytes / 45_000, lt(256), "bytes of a change in the mean");
+        expect_that!(model.largest, lt(MAX_INSERT_BYTES));
+        expect_that!(model.bytes / 45_000, lt(256), "mean bytes of a change");
     }
 }
 
 #[googletest::test]
-fn nothing_is_forgotten_before_the_memory_is_full() {
+fn nothing_is_evicted_before_the_table_is_full() {
     let mut random = Random::new(4);
-    let mut model = Model::default();
-    for _ in 0..TWO_DAYS {
+    let mut model = TableModel::default();
+    for _ in 0..MIN_REQUESTS_KEPT {
         accept(&mut model, &mut random, 1);
     }
     expect_that!(horizon(&model.map), eq(Horizon::default()));
@@ -173,8 +182,8 @@
 }
 
 #[googletest::test]
-fn the_memory_stays_bounded_when_orders_crowd_in_few_buckets_and_move_on() {
-    // Request ids that were sought out: the digests of each group begin alike.
+fn table_size_is_bounded_when_requests_hit_few_buckets() {
+    // Request ids selected so that the digests of each group have the same first bits.
     let group = |id: &String| {
         let first = grebepath_core::digest::digest_bytes(id.as_bytes());
         u16::from_le_bytes([first[0], first[1]]) % 4_096 / 64
@@ -186,164 +195,170 @@
         for round in 0..18_000 / alike.len() as u64 + 1 {
             for id in &alike {
                 revision += 1;
-                let order = fingerprint(id, true, &round.to_le_bytes());
-                let entries = insert(&map, &order, revision, revision);
+                let request = fingerprint(id, true, &round.to_le_bytes());
+                let entries = insert(&map, &request, revision, revision);
                 apply_entries(&mut map, &entries);
             }
         }
-        expect_that!(memory_bytes(&map), lt(MOST_BYTES), "phase {phase}");
+        expect_that!(table_bytes(&map), lt(MAX_TABLE_BYTES), "phase {phase}");
     }
 }
 
 #[googletest::test]
-fn the_memory_is_no_part_of_what_queriers_and_operators_get() {
+fn table_is_not_among_the_public_entries() {
     let mut random = Random::new(5);
-    let mut model = Model::default();
+    let mut model = TableModel::default();
     for _ in 0..2_000 {
         accept(&mut model, &mut random, 1);
     }
     model.map.insert("zone/a".into(), vec![1]);
-    let rest = public_entries(&model.map);
-    expect_that!(rest.keys().collect::<Vec<_>>(), elements_are![eq(&"terms"), eq(&"zone/a")]);
+    let public = public_entries(&model.map);
+    expect_that!(public.keys().collect::<Vec<_>>(), elements_are![eq(&"terms"), eq(&"zone/a")]);
 }
 
 #[googletest::test]
-fn what_a_horizon_says_of_each_kind_of_base() {
-    let gone = Horizon { revision: 100, edition: 50 };
+fn horizon_covers_each_kind_of_request_base() {
+    let evicted = Horizon { revision: 100, edition: 50 };
     let base = |revision, edition, next_edition| RequestBase { revision, edition, next_edition };
-    for (base, want) in [
+    for (base, expected) in [
         (base(Some(99), None, None), true),
         (base(Some(100), None, None), false),
         (base(None, Some(50), None), true),
         (base(None, Some(51), None), false),
-        // It made an edition that is newer than all that are forgotten.
+        // It results in an edition that is newer than those of all evicted requests.
         (base(None, Some(50), Some(51)), false),
         (base(None, Some(49), Some(50)), true),
         (base(None, None, Some(50)), true),
         (base(None, None, Some(51)), false),
         (base(Some(99), Some(51), None), false),
-        // No order goes back to where it began.
+        // No accepted request results in the edition that it builds on or in a lower one.
         (base(None, Some(40), Some(40)), false),
         (base(None, Some(40), Some(7)), false),
         (base(None, None, None), true),
     ] {
-        expect_that!(may_be_evicted(&gone, &base), eq(want), "{base:?}");
+        expect_that!(may_be_evicted(&evicted, &base), eq(expected), "{base:?}");
         expect_that!(may_be_evicted(&Horizon::default(), &base), eq(false));
     }
 }
 
-// ---- states of the older form ----------------------------------------------
+// ---- states in the older format --------------------------------------------
 
-fn older_value(whole: bool, text: &[u8], revision: u64) -> Vec<u8> {
-    let digest = grebepath_core::digest::digest(&[&[u8::from(whole)], text].concat());
+fn legacy_value(is_replacement: bool, text: &[u8], revision: u64) -> Vec<u8> {
+    let digest = grebepath_core::digest::digest(&[&[u8::from(is_replacement)], text].concat());
     format!("{digest} {revision}").into_bytes()
 }
 
-/// A map as versions before this memory left it, with orders up to `newest`.
-fn older_map(count: u64, newest: u64) -> EntryMap {
+/// Entries in the older format, with `count` requests up to `newest_revision`.
+fn legacy_map(count: u64, newest_revision: u64) -> EntryMap {
     let mut map = EntryMap::new();
-    for revision in newest + 1 - count..=newest {
-        let value = older_value(false, &revision.to_le_bytes(), revision);
+    for revision in newest_revision + 1 - count..=newest_revision {
+        let value = legacy_value(false, &revision.to_le_bytes(), revision);
         map.insert(format!("request/r-{revision}"), value);
     }
-    set_edition(&mut map, newest);
+    set_edition(&mut map, newest_revision);
     map
 }
 
-fn older_order(revision: u64) -> (String, Fingerprint) {
-    let request = format!("r-{revision}");
-    let print = fingerprint(&request, false, &revision.to_le_bytes());
-    (request, print)
+fn legacy_request(revision: u64) -> (String, Fingerprint) {
+    let request_id = format!("r-{revision}");
+    let request_fingerprint = fingerprint(&request_id, false, &revision.to_le_bytes());
+    (request_id, request_fingerprint)
 }
 
 #[googletest::test]
-fn orders_of_the_older_form_are_known_and_carried_over_by_the_next_order() {
-    for (count, newest, lost) in [(3, 3, 0), (511, 511, 0), (512, 512, 0), (512, 9_000, 8_488)] {
-        let mut map = older_map(count, newest);
-        let known = |map: &EntryMap| {
-            for revision in newest + 1 - count..=newest {
-                let (request, print) = older_order(revision);
+fn requests_in_the_older_format_are_found_and_migrated_by_the_next_request() {
+    for (count, newest_revision, lost) in
+        [(3, 3, 0), (511, 511, 0), (512, 512, 0), (512, 9_000, 8_488)]
+    {
+        let mut map = legacy_map(count, newest_revision);
+        let check_known = |map: &EntryMap| {
+            for revision in newest_revision + 1 - count..=newest_revision {
+                let (request_id, request_fingerprint) = legacy_request(revision);
                 expect_that!(
-                    lookup(map, &request, &print),
+                    lookup(map, &request_id, &request_fingerprint),
                     eq(LookupResult::Accepted { revision })
                 );
-                let other = fingerprint(&request, true, &revision.to_le_bytes());
-                expect_that!(lookup(map, &request, &other), eq(LookupResult::DifferentText));
+                let other = fingerprint(&request_id, true, &revision.to_le_bytes());
+                expect_that!(lookup(map, &request_id, &other), eq(LookupResult::DifferentText));
             }
         };
-        known(&map);
+        check_known(&map);
         let before = horizon(&map);
         expect_that!(before.revision, eq(lost));
-        let order = fingerprint("new", true, b"x");
-        let entries = insert(&map, &order, newest + 1, newest + 1);
+        let request = fingerprint("new", true, b"x");
+        let entries = insert(&map, &request, newest_revision + 1, newest_revision + 1);
         apply_entries(&mut map, &entries);
-        set_edition(&mut map, newest + 1);
-        known(&map);
+        set_edition(&mut map, newest_revision + 1);
+        check_known(&map);
         expect_that!(
-            lookup(&map, "new", &order),
-            eq(LookupResult::Accepted { revision: newest + 1 })
+            lookup(&map, "new", &request),
+            eq(LookupResult::Accepted { revision: newest_revision + 1 })
         );
         expect_that!(map.keys().any(|key| key.starts_with("request/")), eq(false));
-        // What was unclear before stays so, what was clear stays clear.
+        // The migration does not change for which requests there is a definite result.
         expect_that!(horizon(&map), eq(before));
         let stale =
             RequestBase { edition: Some(0), next_edition: Some(1), ..RequestBase::default() };
         expect_that!(may_be_evicted(&before, &stale), eq(lost > 0));
-        let fresh = RequestBase { edition: Some(newest), next_edition: Some(newest + 1), ..stale };
+        let fresh = RequestBase {
+            edition: Some(newest_revision),
+            next_edition: Some(newest_revision + 1),
+            ..stale
+        };
         expect_that!(may_be_evicted(&before, &fresh), eq(false));
     }
 }
 
 #[googletest::test]
-fn orders_of_both_forms_are_known_together() {
-    // A build of before led for a while and left entries of its own.
+fn requests_in_both_formats_are_found_together() {
+    // An older build was the leader for some time and added entries in the older format.
     let mut map = EntryMap::new();
     for revision in 1..=20_000u64 {
-        let order = fingerprint(&format!("n-{revision}"), false, b"");
-        let entries = insert(&map, &order, revision, revision);
+        let request = fingerprint(&format!("n-{revision}"), false, b"");
+        let entries = insert(&map, &request, revision, revision);
         apply_entries(&mut map, &entries);
     }
     set_edition(&mut map, 20_000);
     let before = horizon(&map);
-    map.insert("request/r-20001".into(), older_value(false, &20_001u64.to_le_bytes(), 20_001));
-    let (request, print) = older_order(20_001);
+    map.insert("request/r-20001".into(), legacy_value(false, &20_001u64.to_le_bytes(), 20_001));
+    let (request_id, request_fingerprint) = legacy_request(20_001);
     for revision in 20_002..20_005u64 {
-        let known = lookup(&map, &request, &print);
-        expect_that!(known, eq(LookupResult::Accepted { revision: 20_001 }));
-        let order = fingerprint(&format!("n-{revision}"), false, b"");
-        let entries = insert(&map, &order, revision, revision);
+        let found = lookup(&map, &request_id, &request_fingerprint);
+        expect_that!(found, eq(LookupResult::Accepted { revision: 20_001 }));
+        let request = fingerprint(&format!("n-{revision}"), false, b"");
+        let entries = insert(&map, &request, revision, revision);
         apply_entries(&mut map, &entries);
         expect_that!(horizon(&map), eq(before));
         for old in [before.revision + 1, 20_000] {
-            let order = fingerprint(&format!("n-{old}"), false, b"");
-            let known = lookup(&map, &format!("n-{old}"), &order);
-            expect_that!(known, eq(LookupResult::Accepted { revision: old }));
+            let request = fingerprint(&format!("n-{old}"), false, b"");
+            let found = lookup(&map, &format!("n-{old}"), &request);
+            expect_that!(found, eq(LookupResult::Accepted { revision: old }));
         }
     }
 }
 
 #[googletest::test]
-fn unreadable_entries_of_the_older_form_are_no_orders() {
+fn unreadable_entries_of_the_older_format_are_ignored() {
     let mut map = EntryMap::new();
-    for (request, value) in [
+    for (request_id, value) in [
         ("a", &b""[..]),
         ("b", b"0123 5"),
         ("c", b"zz75acfc99f67aa2a1a22a408d863821 1"),
         ("d", b"3875acfc99f67aa2a1a22a408d863821 x"),
         ("e", "ä875acfc99f67aa2a1a22a408d86382 1".as_bytes()),
     ] {
-        map.insert(format!("request/{request}"), value.to_vec());
-        let known = lookup(&map, request, &fingerprint(request, true, b""));
-        expect_that!(known, eq(LookupResult::Absent));
+        map.insert(format!("request/{request_id}"), value.to_vec());
+        let found = lookup(&map, request_id, &fingerprint(request_id, true, b""));
+        expect_that!(found, eq(LookupResult::Absent));
     }
     let entries = insert(&map, &fingerprint("new", true, b""), 7, 1);
     apply_entries(&mut map, &entries);
     expect_that!(map.len(), eq(2), "{:?}", map.keys());
 }
 
-/// The files of a controller that an older build wrote: five orders, of which
-/// the first set a whole configuration.
-fn older_files() -> ReplicaState {
+/// The state in a controller's files that an older build wrote: five requests, of which the first
+/// replaced the whole configuration.
+fn legacy_files() -> ReplicaState {
     let slot = include_bytes!("fixtures/orders-older-form.slot");
     let log = include_bytes!("fixtures/orders-older-form.log");
     match read(0, [None, Some(slot)], Some(log)) {
@@ -353,29 +368,29 @@
 }
 
 #[googletest::test]
-fn files_of_an_older_build_are_read_and_their_orders_known() {
-    let mut copy = older_files();
+fn requests_in_files_of_an_older_build_are_found() {
+    let mut copy = legacy_files();
     expect_that!((copy.revision, edition(&copy.entries)), eq((5, 5)));
     let text = |n: u64| {
         let zone = r#""zones":[{"name":"z","state":"open"}]"#;
         format!(r#"{{"terms":{{"after":{n},"edition":{}}},{zone}}}"#, n + 1)
     };
-    let known = |map: &EntryMap| {
+    let check_known = |map: &EntryMap| {
         for n in 1..5 {
-            let order = fingerprint(&format!("order-{n}"), false, text(n).as_bytes());
-            let told = lookup(map, &format!("order-{n}"), &order);
-            expect_that!(told, eq(LookupResult::Accepted { revision: n + 1 }));
+            let request = fingerprint(&format!("order-{n}"), false, text(n).as_bytes());
+            let result = lookup(map, &format!("order-{n}"), &request);
+            expect_that!(result, eq(LookupResult::Accepted { revision: n + 1 }));
         }
     };
-    known(&copy.entries);
+    check_known(&copy.entries);
     let entries = insert(&copy.entries, &fingerprint("new", false, b"x"), 6, 6);
     apply_entries(&mut copy.entries, &entries);
     copy.revision = 6;
-    // And back through files of this build.
+    // The migrated state is also read back from files that this build writes.
     let (slot, log) = (writer::slot(0, 2, &copy), writer::log_header(0, 2));
     match read(0, [Some(&slot), None], Some(&log)) {
         StoredReplica::Intact { state: again, .. } => expect_that!(again, eq(&copy)),
         other => panic!("{other:?}"),
     }
-    known(&copy.entries);
+    check_known(&copy.entries);
 }
