--- a/crates/core/examples/request_cost.rs
+++ b/crates/core/examples/request_cost.rs
@@ -1,11 +1,10 @@
-//! What an operator's order costs the leader: processor time, bytes of the log
-//! and of the message to each replica, and the size of a snapshot.
+//! Measures the cost of an operator request on the leader: processor time, bytes of the log and of
+//! the message to each replica, and the size of a snapshot.
 //!
-//!     cargo run --release -p grebe --example request_cost -- ROUTES ORDERS
+//!     cargo run --release -p grebe --example request_cost -- ROUTES REQUESTS
 //!
-//! One controller with a disk that takes no time sets a configuration of
-//! ROUTES searches, then accepts ORDERS orders that change one zone each, and
-//! prints the mean of each tenth of them.
+//! One controller, whose disk takes no time, sets a configuration of ROUTES searches, accepts
+//! REQUESTS requests that change one zone each, and prints the mean of each tenth of them.
 
 use std::time::{Duration, Instant};
 
@@ -23,7 +22,7 @@
 use nanoserde::SerBin;
 use serde_json::{Value, json};
 
-/// A controller and what its orders have cost so far.
+/// A controller and the cost of the requests since the last reset.
 struct Controller {
     core: ControllerState,
     now: Tick,
@@ -44,51 +43,51 @@
 fn main() {
     let mut numbers = std::env::args().skip(1).map(|a| a.parse::<u64>().expect("a whole number"));
     let routes = numbers.next().unwrap_or(350);
-    let orders = numbers.next().unwrap_or(20_000);
+    let requests = numbers.next().unwrap_or(20_000);
     let mut controller = controller();
     while controller.core.partitions[0].committed_revision == 0
         && controller.now < BOOT + 10_000_000
     {
         wake(&mut controller);
         if controller.next_op == 0 {
-            operate(&mut controller, "first", Operation::Replace(whole(routes)));
+            send_request(&mut controller, "first", Operation::Replace(initial_config(routes)));
         }
     }
     println!(
         "{:>14} {:>9} {:>8} {:>9} {:>7} {:>11}",
         "orders", "us/order", "log B", "wire B", "slots", "snapshot B"
     );
-    let tenth = orders.div_ceil(10);
-    for begin in (0..orders).step_by(tenth as usize) {
+    let tenth = requests.div_ceil(10);
+    for begin in (0..requests).step_by(tenth as usize) {
         controller.cost = Cost::default();
-        let end = (begin + tenth).min(orders);
+        let end = (begin + tenth).min(requests);
         for number in begin..end {
             let change = json!({ "zones": [{ "name": "z", "state": "open" }],
                 "terms": { "after": number + 1, "edition": number + 2 } });
             let operation = Operation::Patch(change.to_string().into_bytes());
             let request = grebepath_core::digest::digest(&number.to_le_bytes());
-            operate(&mut controller, &request, operation);
+            send_request(&mut controller, &request, operation);
         }
         print(&controller, begin, end);
     }
-    memory_alone(&controller.core.partitions[0].state.entries, orders);
+    measure_dedup_table(&controller.core.partitions[0].state.entries, requests);
 }
 
-/// Times what the memory of orders does for each of them, on a full map.
-fn memory_alone(map: &EntryMap, orders: u64) {
+/// Measures the time of the deduplication table for each request, on a full map.
+fn measure_dedup_table(map: &EntryMap, requests: u64) {
     const ROUNDS: u64 = 20_000;
     let begin = Instant::now();
-    let mut bytes = 0;
+    let mut entries = 0;
     for number in 0..ROUNDS {
-        let request = grebepath_core::digest::digest(&(number * 7_919 % orders).to_le_bytes());
-        let order = request_dedup::fingerprint(&request, false, &[]);
-        let known = request_dedup::lookup(map, &request, &order);
+        let request = grebepath_core::digest::digest(&(number * 7_919 % requests).to_le_bytes());
+        let fingerprint = request_dedup::fingerprint(&request, false, &[]);
+        let known = request_dedup::lookup(map, &request, &fingerprint);
         assert_ne!(known, LookupResult::Accepted { revision: 0 });
-        let revision = orders + 2 + number % 4_096;
-        bytes += request_dedup::insert(map, &order, revision, revision).len();
+        let revision = requests + 2 + number % 4_096;
+        entries += request_dedup::insert(map, &fingerprint, revision, revision).len();
     }
     let each = begin.elapsed().as_secs_f64() * 1e6 / ROUNDS as f64;
-    println!("the memory alone: {each:.2} us/order to look up and remember ({bytes} entries)");
+    println!("deduplication table: {each:.2} us/request to look up and insert ({entries} entries)");
 }
 
 fn print(controller: &Controller, begin: u64, end: u64) {
@@ -104,7 +103,7 @@
         cost.slots,
         writer::slot(0, 1, copy).len(),
     );
-    assert_eq!(controller.accepted, end + 1, "every order is accepted");
+    assert_eq!(controller.accepted, end + 1, "every request is accepted");
 }
 
 fn controller() -> Controller {
@@ -116,7 +115,7 @@
     Controller { core, now: BOOT, next_op: 0, accepted: 0, cost: Cost::default() }
 }
 
-fn whole(routes: u64) -> Vec<u8> {
+fn initial_config(routes: u64) -> Vec<u8> {
     let pools: Vec<Value> = (0..routes.div_ceil(10))
         .map(|n| {
             json!({ "name": format!("p{n}"), "service": format!("p{n}"),
@@ -137,12 +136,12 @@
         .into_bytes()
 }
 
-/// Sends an order and waits until it is accepted.
-fn operate(controller: &mut Controller, request: &str, operation: Operation) {
+/// Sends a request and waits until it is accepted.
+fn send_request(controller: &mut Controller, request: &str, operation: Operation) {
     let op = controller.next_op;
     controller.next_op += 1;
     let request = request.to_string();
-    feed(controller, Event::Operate { op, request, expected_revision: None, operation });
+    handle_event(controller, Event::Operate { op, request, expected_revision: None, operation });
     while controller.accepted <= op {
         wake(controller);
     }
@@ -150,11 +149,11 @@
 
 fn wake(controller: &mut Controller) {
     controller.now += WAKE;
-    feed(controller, Event::Wake);
+    handle_event(controller, Event::Wake);
 }
 
-/// One event, and what it asks of the disk, done at once.
-fn feed(controller: &mut Controller, event: Event) {
+/// Processes an event; its disk writes complete at once.
+fn handle_event(controller: &mut Controller, event: Event) {
     let mut queue = vec![event];
     while let Some(event) = queue.pop() {
         let begin = Instant::now();
--- a/crates/core/tests/list_pollers.rs
+++ b/crates/core/tests/list_pollers.rs
@@ -1,5 +1,5 @@
-//! The leader of the configuration names who polls the platform's list in place of members
-//! that have gone silent.
+//! Tests that the leader of the configuration partition names members that poll the platform's
+//! list in place of members that stopped renewing.
 
 #[path = "common/cluster.rs"]
 mod cluster;
@@ -12,42 +12,43 @@
 use grebepath_core::time::{SECOND, Span, ms};
 
 const NAMES: [&str; 6] = ["a", "b", "c", "d", "e", "f"];
-/// How often the members of these tests renew.
+/// Interval between two renewals of a member.
 const INTERVAL: Span = ms(250);
 
-/// Controllers whose leader knows the members, all settled.
-struct Fleet {
+/// Controllers whose leader has confirmed the membership of all members in `NAMES`.
+struct ClusterWithMembers {
     cluster: Cluster,
     leader: usize,
     renewals: u64,
 }
 
-impl Fleet {
-    fn new() -> Fleet {
+impl ClusterWithMembers {
+    fn new() -> ClusterWithMembers {
         let (cluster, leader, _) = led(3);
-        let mut fleet = Fleet { cluster, leader, renewals: 0 };
-        fleet.renew_for(5 * SECOND, &NAMES);
-        fleet
+        let mut members = ClusterWithMembers { cluster, leader, renewals: 0 };
+        members.renew_for(5 * SECOND, &NAMES);
+        members
     }
 
     fn membership(&self) -> &Membership {
         &core_of(&self.cluster, self.leader).members.membership
     }
 
-    /// The members in the order in which they would poll the list.
+    /// Returns the members in the order in which they are selected to poll the list.
     fn by_rank(&self) -> Vec<String> {
-        let mut left: Vec<String> = NAMES.map(String::from).to_vec();
+        let mut remaining: Vec<String> = NAMES.map(String::from).to_vec();
         let mut ranked = Vec::new();
-        while !left.is_empty() {
-            let first = list_pollers(self.membership(), |member| left.contains(&member.name));
+        while !remaining.is_empty() {
+            let first = list_pollers(self.membership(), |member| remaining.contains(&member.name));
             let name = first[0].name.clone();
-            left.retain(|other| *other != name);
+            remaining.retain(|other| *other != name);
             ranked.push(name);
         }
         ranked
     }
 
-    /// These members renew for a time; gives who was last told to poll, with the rank.
+    /// Lets these members renew for `span`; returns the members that were last named as
+    /// substitutes, with their ranks.
     fn renew_for(&mut self, span: Span, names: &[&str]) -> Vec<(String, u32)> {
         for _ in 0..span / INTERVAL {
             self.cluster.to_members.clear();
@@ -64,7 +65,7 @@
             }
             run(&mut self.cluster, INTERVAL);
         }
-        let mut told: Vec<(String, u32)> = self
+        let mut named: Vec<(String, u32)> = self
             .cluster
             .to_members
             .iter()
@@ -73,48 +74,48 @@
                 _ => None,
             })
             .collect();
-        told.sort_by_key(|(_, rank)| *rank);
-        told
+        named.sort_by_key(|(_, rank)| *rank);
+        named
     }
 }
 
 #[gtest]
-fn while_all_renew_nobody_polls_in_place_of_others() {
-    expect_that!(Fleet::new().renew_for(2 * SECOND, &NAMES), is_empty());
+fn no_substitute_is_named_while_all_members_renew() {
+    expect_that!(ClusterWithMembers::new().renew_for(2 * SECOND, &NAMES), is_empty());
 }
 
 #[gtest]
-fn the_next_two_poll_once_those_before_them_miss_renewals() {
-    // Guards against a list that is unread until the lease of a lost reader has run out, 3 s.
+fn the_next_two_members_substitute_for_those_that_miss_renewals() {
+    // Guards against a list that is not polled until the lease of a lost member has expired, 3 s.
     for lost in 1..=4 {
-        let mut fleet = Fleet::new();
-        let ranked = fleet.by_rank();
-        let left: Vec<&str> = ranked[lost..].iter().map(String::as_str).collect();
-        let told = fleet.renew_for(ms(1_500), &left);
-        let next = [(ranked[lost].clone(), 0), (ranked[lost + 1].clone(), 1)];
-        expect_that!(told, container_eq(next), "{lost} lost");
+        let mut members = ClusterWithMembers::new();
+        let ranked = members.by_rank();
+        let remaining: Vec<&str> = ranked[lost..].iter().map(String::as_str).collect();
+        let named = members.renew_for(ms(1_500), &remaining);
+        let substitutes = [(ranked[lost].clone(), 0), (ranked[lost + 1].clone(), 1)];
+        expect_that!(named, container_eq(substitutes), "{lost} lost");
     }
 }
 
 #[gtest]
-fn one_that_renews_again_polls_as_before() {
-    let mut fleet = Fleet::new();
-    let ranked = fleet.by_rank();
-    let left: Vec<&str> = ranked[1..].iter().map(String::as_str).collect();
-    expect_that!(fleet.renew_for(ms(1_500), &left), not(is_empty()));
-    expect_that!(fleet.renew_for(SECOND, &NAMES), is_empty());
+fn no_substitute_is_named_once_a_silent_member_renews_again() {
+    let mut members = ClusterWithMembers::new();
+    let ranked = members.by_rank();
+    let remaining: Vec<&str> = ranked[1..].iter().map(String::as_str).collect();
+    expect_that!(members.renew_for(ms(1_500), &remaining), not(is_empty()));
+    expect_that!(members.renew_for(SECOND, &NAMES), is_empty());
 }
 
 #[gtest]
-fn a_leader_that_was_just_elected_names_substitutes_too() {
-    let mut fleet = Fleet::new();
-    let ranked = fleet.by_rank();
-    let left: Vec<&str> = ranked[2..].iter().map(String::as_str).collect();
-    let former = fleet.leader;
-    isolate(&mut fleet.cluster, former);
-    until(&mut fleet.cluster, |cluster| leader(cluster).is_some_and(|node| node != former));
-    fleet.leader = leader(&fleet.cluster).expect("another one leads");
-    let told = fleet.renew_for(2 * SECOND, &left);
-    let next = [(ranked[2].clone(), 0), (ranked[3].clone(), 1)];
-    expect_that!(told, container_eq(next));
+fn a_newly_elected_leader_names_substitutes() {
+    let mut members = ClusterWithMembers::new();
+    let ranked = members.by_rank();
+    let remaining: Vec<&str> = ranked[2..].iter().map(String::as_str).collect();
+    let former = members.leader;
+    isolate(&mut members.cluster, former);
+    until(&mut members.cluster, |cluster| leader(cluster).is_some_and(|node| node != former));
+    members.leader = leader(&members.cluster).expect("another controller is the leader");
+    let named = members.renew_for(2 * SECOND, &remaining);
+    let substitutes = [(ranked[2].clone(), 0), (ranked[3].clone(), 1)];
+    expect_that!(named, container_eq(substitutes));
 }
--- a/crates/core/tests/memberships.rs
+++ b/crates/core/tests/memberships.rs
@@ -1,4 +1,5 @@
-//! Memberships that outlive the controllers that knew of them.
+//! Tests that memberships survive restarts and elections of the controllers that store them only
+//! in memory.
 
 #[path = "common/cluster.rs"]
 mod cluster;
@@ -10,17 +11,17 @@
 use grebepath_core::protocol::membership::{MemberProgress, MembershipId};
 use grebepath_core::time::{MILLI, SECOND, ms};
 
-/// What a member that has seen no membership says.
+/// The id that a member reports which has seen no membership.
 const NONE: MembershipId = MembershipId { term: Term::ZERO, turn: 0 };
 
-/// The membership that a controller tells members.
-fn told(cluster: &Cluster, node: usize) -> MembershipId {
+/// Returns the id of the membership that a controller sends to members.
+fn current_membership(cluster: &Cluster, node: usize) -> MembershipId {
     core_of(cluster, node).members.membership.id()
 }
 
-fn far(saw: MembershipId) -> MemberProgress {
+fn progress(seen: MembershipId) -> MemberProgress {
     MemberProgress {
-        seen_membership: saw,
+        seen_membership: seen,
         attestation_age_ms: 60_000,
         ready: true,
         ..MemberProgress::default()
@@ -35,42 +36,42 @@
 fn renew_both(cluster: &mut Cluster, node: usize, count: &mut u64) {
     for _ in 0..8 {
         *count += 1;
-        let seen = told(cluster, node);
+        let seen = current_membership(cluster, node);
         for name in ["a", "b"] {
-            renew(cluster, node, name, *count, far(seen));
+            renew(cluster, node, name, *count, progress(seen));
         }
         run(cluster, ms(250));
     }
 }
 
 #[googletest::test]
-fn a_voter_that_restarts_is_sent_the_membership_again() {
-    // Else restarts of all, one after the other, lose what nobody was ever without.
+fn a_restarted_voter_receives_the_membership_again() {
+    // Otherwise a rolling restart of all voters would lose the membership.
     let (mut cluster, first, other) = led(3);
     let third = 3 - first - other;
     let mut count = 0;
     renew_both(&mut cluster, first, &mut count);
-    let membership = told(&cluster, first);
+    let membership = current_membership(&cluster, first);
     expect_that!(membership, gt(NONE));
     for node in [other, third] {
         restart(&mut cluster, node, 70 + node as u64);
         run(&mut cluster, SECOND);
-        expect_that!(told(&cluster, node), eq(membership), "controller {node}");
+        expect_that!(current_membership(&cluster, node), eq(membership), "controller {node}");
     }
 }
 
 #[googletest::test]
-fn a_membership_that_one_voter_remembers_survives_restarts_of_all_others_at_once() {
+fn a_membership_known_to_one_voter_survives_simultaneous_restarts_of_the_others() {
     for size in [3, 5] {
         let (mut cluster, first, other) = led(size);
         let mut count = 0;
         renew_both(&mut cluster, first, &mut count);
-        let membership = told(&cluster, first);
+        let membership = current_membership(&cluster, first);
         expect_that!(membership, gt(NONE));
         for node in (0..size).filter(|node| *node != other) {
             restart(&mut cluster, node, 80 + node as u64);
         }
-        // The only one that remembers it is reached just after another one was elected.
+        // The only voter that knows it becomes reachable just after another one was elected.
         isolate(&mut cluster, other);
         until(&mut cluster, |cluster| leader(cluster).is_some_and(|node| node != other));
         run(&mut cluster, ms(100));
@@ -79,16 +80,16 @@
             leader(cluster).is_some_and(|node| core_of(cluster, node).members.log.is_inherited())
         });
         let now = leader(&cluster).unwrap();
-        expect_that!(told(&cluster, now), ge(membership), "{size} voters");
+        expect_that!(current_membership(&cluster, now), ge(membership), "{size} voters");
     }
 }
 
 #[googletest::test]
-fn what_a_former_process_acknowledged_does_not_confirm_a_membership() {
+fn acknowledgements_before_a_restart_do_not_confirm_a_membership() {
     let (mut cluster, first, other) = led(5);
     let mut count = 0;
     renew_both(&mut cluster, first, &mut count);
-    let before = told(&cluster, first);
+    let before = current_membership(&cluster, first);
     let rest: Vec<usize> = (0..5).filter(|node| ![first, other].contains(node)).collect();
     for node in &rest {
         isolate(&mut cluster, *node);
@@ -96,7 +97,7 @@
     // One voter acknowledges the new membership and restarts.
     count += 1;
     for (name, seen) in [("a", before), ("b", before), ("c", NONE)] {
-        renew(&mut cluster, first, name, count, far(seen));
+        renew(&mut cluster, first, name, count, progress(seen));
     }
     while core_of(&cluster, other).members.log.proposed.is_none() {
         assert!(cluster.now < 60 * SECOND, "nothing was proposed");
@@ -105,31 +106,32 @@
     run(&mut cluster, ms(5));
     restart(&mut cluster, other, 91);
     run(&mut cluster, ms(250));
-    // Another one does so too; it is the second of the three that are needed.
+    // Another voter acknowledges it too: the second of the three that are needed.
     let (a, b) = (first, rest[0]);
     cluster.cut.retain(|link| *link != (a, b) && *link != (b, a));
-    until(&mut cluster, |cluster| told(cluster, first) > before);
-    let new = told(&cluster, first);
-    let holders = (0..5).filter(|node| core_of(&cluster, *node).members.knows(new)).count();
-    expect_that!(holders, ge(3));
+    until(&mut cluster, |cluster| current_membership(cluster, first) > before);
+    let new = current_membership(&cluster, first);
+    let voters_that_know =
+        (0..5).filter(|node| core_of(&cluster, *node).members.knows(new)).count();
+    expect_that!(voters_that_know, ge(3));
 }
 
 #[googletest::test]
-fn a_new_leader_issues_no_membership_before_it_knows_the_former_ones() {
+fn a_new_leader_proposes_no_membership_before_it_knows_the_earlier_ones() {
     let (mut cluster, first, _) = led(3);
     let mut count = 0;
     renew_both(&mut cluster, first, &mut count);
-    let seen = told(&cluster, first);
-    // Another one leads, and has not heard yet which memberships the others hold.
+    let seen = current_membership(&cluster, first);
+    // Another voter is elected and has not received the memberships that the others know yet.
     isolate(&mut cluster, first);
     while leader(&cluster).is_none_or(|node| node == first) {
-        assert!(cluster.now < 60 * SECOND, "nobody else leads");
+        assert!(cluster.now < 60 * SECOND, "no other leader was elected");
         run(&mut cluster, MILLI / 10);
     }
     let second = leader(&cluster).unwrap();
     expect_that!(core_of(&cluster, second).members.log.is_inherited(), eq(false));
     isolate(&mut cluster, second);
-    let leaving = MemberProgress { leaving: true, ..far(seen) };
+    let leaving = MemberProgress { leaving: true, ..progress(seen) };
     renew(&mut cluster, second, "a", count + 1, leaving);
     run(&mut cluster, ms(20));
     expect_that!(core_of(&cluster, second).members.log.is_inherited(), eq(false));
@@ -137,33 +139,33 @@
 }
 
 #[googletest::test]
-fn a_membership_that_only_some_members_and_one_voter_know_of_blocks_no_other() {
+fn a_membership_known_to_one_voter_and_some_members_blocks_no_later_one() {
     let (mut cluster, first, other) = led(3);
     let third = 3 - first - other;
     let mut count = 0;
-    let mut everybody = |cluster: &mut Cluster, node: usize, list: &[(&str, MembershipId)]| {
+    let mut renew_all = |cluster: &mut Cluster, node: usize, list: &[(&str, MembershipId)]| {
         count += 1;
-        for (name, saw) in list {
-            renew(cluster, node, name, count, far(*saw));
+        for (name, seen) in list {
+            renew(cluster, node, name, count, progress(*seen));
         }
     };
-    everybody(&mut cluster, first, &[("a", NONE), ("b", NONE)]);
+    renew_all(&mut cluster, first, &[("a", NONE), ("b", NONE)]);
     run(&mut cluster, SECOND);
-    let before = told(&cluster, first);
+    let before = current_membership(&cluster, first);
     expect_that!(names(core_of(&cluster, first)), elements_are![eq("a"), eq("b")]);
-    everybody(&mut cluster, first, &[("a", before), ("b", before)]);
+    renew_all(&mut cluster, first, &[("a", before), ("b", before)]);
     run(&mut cluster, ms(100));
-    // Another one joins. One voter has the new membership, and hears no more of it.
-    everybody(&mut cluster, first, &[("a", before), ("b", before), ("c", NONE)]);
+    // Another member joins. One voter receives the new membership, but not that it is confirmed.
+    renew_all(&mut cluster, first, &[("a", before), ("b", before), ("c", NONE)]);
     while core_of(&cluster, other).members.log.proposed.is_none() {
         assert!(cluster.now < 60 * SECOND, "nothing was proposed");
         run(&mut cluster, MILLI / 5);
     }
     isolate(&mut cluster, other);
     run(&mut cluster, ms(300));
-    let new = told(&cluster, first);
+    let new = current_membership(&cluster, first);
     expect_that!(new, gt(before));
-    // Both who know that it was confirmed lose their memory; `a` has seen it.
+    // Both voters that know that it was confirmed restart and lose it; `a` has seen it.
     restart(&mut cluster, first, 71);
     restart(&mut cluster, third, 72);
     cluster.cut.clear();
@@ -171,11 +173,11 @@
     let list = [("a", new), ("b", before), ("c", before), ("d", NONE)];
     for _ in 0..40 {
         let now = leader(&cluster).unwrap_or(first);
-        everybody(&mut cluster, now, &list);
+        renew_all(&mut cluster, now, &list);
         run(&mut cluster, ms(250));
     }
     let now = leader(&cluster).unwrap();
     let members = names(core_of(&cluster, now));
     expect_that!(members, elements_are![eq("a"), eq("b"), eq("c"), eq("d")]);
-    expect_that!(told(&cluster, now), gt(new));
+    expect_that!(current_membership(&cluster, now), gt(new));
 }
--- a/crates/core/tests/merge.rs
+++ b/crates/core/tests/merge.rs
@@ -1,5 +1,5 @@
-//! Rule 4 where it is hardest: ties, one id in several shards, extreme scores;
-//! and replies whose records can't be ordered at all.
+//! Tests of the order of merged records (rule 4) with ties, one id in several shards and extreme
+//! scores, and of replies whose records can't be ordered.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,14 +12,15 @@
 use grebepath_core::random::Random;
 use serde_json::Value;
 
-/// Scores that tie often, and those at the ends of what a float can say.
+/// Scores that tie often, and scores at the limits of a float.
 const SCORES: [f64; 9] = [0.0, 1.0, 1.0, 2.5, -3.0, 1e308, -1e308, 5e-324, f64::MAX];
 
-/// A shard's records, best first by a comparison of the test's own.
-fn shard(random: &mut Random, name: &str) -> Vec<Record> {
+/// Returns random records of a shard, best first by a comparison that is independent of the code
+/// under test.
+fn random_shard(random: &mut Random, name: &str) -> Vec<Record> {
     let mut all: Vec<Record> = (0..random.below(12))
         .map(|i| Record {
-            // Few ids, so that the same one stands in several shards.
+            // Few ids, so that the same id occurs in several shards.
             id: format!("id-{}", (i + random.below(3)) % 12),
             score: SCORES[random.below(SCORES.len() as u64) as usize],
             shard: name.to_string(),
@@ -39,42 +40,49 @@
 }
 
 #[googletest::test]
-fn the_merge_is_the_best_of_all_however_they_tie() {
+fn merge_returns_the_best_records_whatever_the_ties() {
     let mut random = Random::new(3);
     let mut tied = 0;
     for round in 0..2_000 {
         let lists: Vec<_> =
-            (0..1 + random.below(5)).map(|i| shard(&mut random, &i.to_string())).collect();
-        let mut want: Vec<Record> = lists.iter().flatten().cloned().collect();
-        sort(&mut want);
-        tied += want.windows(2).filter(|w| w[0].score == w[1].score && w[0].id == w[1].id).count();
+            (0..1 + random.below(5)).map(|i| random_shard(&mut random, &i.to_string())).collect();
+        let mut expected: Vec<Record> = lists.iter().flatten().cloned().collect();
+        sort(&mut expected);
+        tied +=
+            expected.windows(2).filter(|w| w[0].score == w[1].score && w[0].id == w[1].id).count();
         let limit = random.below(20) as usize;
-        want.truncate(limit);
-        // In whatever order the shards came in.
-        let mut turned = lists.clone();
-        turned.rotate_left(round % lists.len());
-        assert_eq!(merge(turned, limit), want, "round {round}");
+        expected.truncate(limit);
+        // The result does not depend on the order of the shards.
+        let mut rotated = lists.clone();
+        rotated.rotate_left(round % lists.len());
+        assert_eq!(merge(rotated, limit), expected, "round {round}");
     }
-    expect_that!(tied, gt(500), "too few ties to be worth a check");
+    expect_that!(tied, gt(500), "too few ties to test tie-breaking");
 }
 
 fn reply(records: &str) -> std::result::Result<Vec<Record>, AttemptFailure> {
-    let mark = postmark("l", "q", "d");
-    let heads = ReplyHeaders { postmarks: vec![mark], ..ReplyHeaders::default() };
+    let request_postmark = postmark("l", "q", "d");
+    let headers = ReplyHeaders { postmarks: vec![request_postmark], ..ReplyHeaders::default() };
     let body = format!("{{\"records\": [{records}]}}").into_bytes();
-    let want =
+    let expected =
         ExpectedReply { leaf: "l", attempt: "q", digest: "d", index_version: "", record_limit: 3 };
-    check(&LeafReply { status: 200, headers: heads, body }, &want)
+    check(&LeafReply { status: 200, headers, body }, &expected)
 }
 
 #[googletest::test]
-fn records_that_cannot_be_ordered_are_no_answer() {
-    let rec = |id: &str, score: &str| format!("{{\"id\": \"{id}\", \"score\": {score}}}");
-    let pair = |a: (&str, &str), b: (&str, &str)| format!("{},{}", rec(a.0, a.1), rec(b.0, b.1));
+fn replies_with_records_that_cannot_be_ordered_are_rejected() {
+    let record_json = |id: &str, score: &str| format!("{{\"id\": \"{id}\", \"score\": {score}}}");
+    let pair = |a: (&str, &str), b: (&str, &str)| {
+        format!("{},{}", record_json(a.0, a.1), record_json(b.0, b.1))
+    };
     for score in ["NaN", "1e999", "-1e999", "Infinity", "\"9\"", "null"] {
-        expect_that!(reply(&rec("a", score)), err(eq(&AttemptFailure::MalformedReply)), "{score}");
+        expect_that!(
+            reply(&record_json("a", score)),
+            err(eq(&AttemptFailure::MalformedReply)),
+            "{score}"
+        );
     }
-    // Out of order, a tie the wrong way round, and the same record twice.
+    // Out of order, a tie in the wrong order, and a duplicate record.
     expect_that!(reply(&pair(("a", "1"), ("b", "2"))), err(eq(&AttemptFailure::RecordsOutOfOrder)));
     expect_that!(reply(&pair(("b", "1"), ("a", "1"))), err(eq(&AttemptFailure::RecordsOutOfOrder)));
     expect_that!(reply(&pair(("a", "1"), ("a", "1"))), err(eq(&AttemptFailure::RecordsOutOfOrder)));
--- a/crates/core/tests/request_answers.rs
+++ b/crates/core/tests/request_answers.rs
@@ -1,5 +1,5 @@
-//! What an operator is told rests on a majority that was asked after the order
-//! came, and on committed state: never on what one controller believes.
+//! Tests that the answer to an operator request relies on committed state and on a majority that was
+//! contacted after the request arrived, never on the local state of one controller.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,10 +15,10 @@
 use grebepath_core::time::{SECOND, ms};
 use serde_json::json;
 
-/// A change that builds on one edition and sets the next.
-fn edition(after: u64, mark: &str) -> Operation {
-    let val = json!({ "zones": [{ "name": mark, "state": "open" }],
-        "terms": { "after": after, "edition": after + 1 } });
+/// Returns a change of a zone that builds on an edition and results in the next one.
+fn edition_patch(base_edition: u64, zone: &str) -> Operation {
+    let val = json!({ "zones": [{ "name": zone, "state": "open" }],
+        "terms": { "after": base_edition, "edition": base_edition + 1 } });
     Operation::Patch(val.to_string().into_bytes())
 }
 
@@ -27,61 +27,61 @@
 }
 
 #[googletest::test]
-fn a_leader_that_was_paused_does_not_refuse_by_its_old_state() {
+fn a_resumed_leader_does_not_reject_by_stale_state() {
     let (mut cluster, first, other) = led(3);
-    let operation = ask(&mut cluster, first, "one", edition(0, "a"));
+    let operation = ask(&mut cluster, first, "one", edition_patch(0, "a"));
     assert!(is_accepted(&answered(&mut cluster, operation)));
     pause(&mut cluster, first, 8 * SECOND);
     run(&mut cluster, 3 * SECOND);
-    let operation = ask(&mut cluster, other, "two", edition(1, "b"));
+    let operation = ask(&mut cluster, other, "two", edition_patch(1, "b"));
     assert!(is_accepted(&answered(&mut cluster, operation)));
     run(&mut cluster, 4 * SECOND);
     resume(&mut cluster, first);
     assert!(believes(&cluster, first));
-    let operation = ask(&mut cluster, first, "three", edition(2, "c"));
+    let operation = ask(&mut cluster, first, "three", edition_patch(2, "c"));
     expect_that!(cluster.answers.get(&operation).map(|a| format!("{:?}", a.done)), none());
     let done = answered(&mut cluster, operation);
     expect_that!(is_accepted(&done), eq(true), "{done:?}");
     expect_that!(took(&cluster, operation), lt(ms(1_000)));
 }
 
-/// What an operator has been told so far, as text.
-fn told(cluster: &Cluster, operation: u64) -> Option<String> {
+/// Returns the answer to an operation as text, if there is one yet.
+fn answer_so_far(cluster: &Cluster, operation: u64) -> Option<String> {
     cluster.answers.get(&operation).map(|answer| format!("{:?}", answer.done))
 }
 
-fn moved_to(done: &OperationResult) -> Option<u64> {
+fn conflict_revision(done: &OperationResult) -> Option<u64> {
     if let OperationResult::Conflict { revision } = done { Some(*revision) } else { None }
 }
 
 #[googletest::test]
-fn a_refusal_waits_for_the_change_that_it_is_judged_by() {
+fn a_conflict_is_reported_only_after_the_conflicting_change_is_committed() {
     let (mut cluster, first, _) = led(3);
     for node in (0..3).filter(|node| *node != first) {
         stall(&mut cluster, node, true);
     }
-    let one = ask(&mut cluster, first, "one", edition(0, "a"));
-    let two = ask(&mut cluster, first, "two", edition(0, "b"));
+    let one = ask(&mut cluster, first, "one", edition_patch(0, "a"));
+    let two = ask(&mut cluster, first, "two", edition_patch(0, "b"));
     run(&mut cluster, ms(500));
-    expect_that!((told(&cluster, one), told(&cluster, two)), eq(&(None, None)));
+    expect_that!((answer_so_far(&cluster, one), answer_so_far(&cluster, two)), eq(&(None, None)));
     for node in 0..3 {
         stall(&mut cluster, node, false);
     }
     expect_that!(is_accepted(&answered(&mut cluster, one)), eq(true));
-    expect_that!(moved_to(&answered(&mut cluster, two)), some(eq(1)));
+    expect_that!(conflict_revision(&answered(&mut cluster, two)), some(eq(1)));
 }
 
 #[googletest::test]
-fn an_order_refused_by_a_change_that_vanished_is_judged_again() {
+fn a_request_in_conflict_with_a_lost_change_is_evaluated_again() {
     let (mut cluster, first, _) = led(3);
     isolate(&mut cluster, first);
-    let one = ask(&mut cluster, first, "one", edition(0, "a"));
+    let one = ask(&mut cluster, first, "one", edition_patch(0, "a"));
     run(&mut cluster, ms(600));
     expect_that!(believes(&cluster, first), eq(true));
-    let two = ask(&mut cluster, first, "two", edition(0, "b"));
+    let two = ask(&mut cluster, first, "two", edition_patch(0, "b"));
     run(&mut cluster, ms(4_100));
-    expect_that!(told(&cluster, two), none());
-    // The patience with the first order ends before the net is whole again.
+    expect_that!(answer_so_far(&cluster, two), none());
+    // The first request times out before the network partition ends.
     expect_that!(answered(&mut cluster, one), matches_pattern!(OperationResult::Unknown { .. }));
     cluster.cut.clear();
     let done = answered(&mut cluster, two);
@@ -89,46 +89,48 @@
 }
 
 #[googletest::test]
-fn a_leader_that_is_cut_off_tells_nothing() {
+fn an_isolated_leader_gives_no_definite_answer() {
     let (mut cluster, first, other) = led(3);
-    let one = ask(&mut cluster, first, "one", edition(0, "a"));
+    let one = ask(&mut cluster, first, "one", edition_patch(0, "a"));
     assert!(is_accepted(&answered(&mut cluster, one)));
     isolate(&mut cluster, first);
-    let asked = [
-        ("one", edition(0, "a")),
-        ("one", edition(0, "other")),
-        ("two", edition(0, "b")),
+    let operations = [
+        ("one", edition_patch(0, "a")),
+        ("one", edition_patch(0, "other")),
+        ("two", edition_patch(0, "b")),
         ("three", Operation::Patch(b"{\"pools\": [{}]}".to_vec())),
         ("", Operation::Read),
         ("", Operation::Status),
         ("", Operation::ForgetMember("nobody".into())),
     ];
-    let asked: Vec<u64> =
-        asked.into_iter().map(|(id, deed)| ask(&mut cluster, first, id, deed)).collect();
+    let operations: Vec<u64> = operations
+        .into_iter()
+        .map(|(id, requested)| ask(&mut cluster, first, id, requested))
+        .collect();
     run(&mut cluster, 4 * SECOND);
-    for operation in &asked {
-        expect_that!(told(&cluster, *operation), none());
+    for operation in &operations {
+        expect_that!(answer_so_far(&cluster, *operation), none());
     }
-    // What is told in the end refuses nothing and confirms nothing.
-    for operation in &asked {
+    // The final answers neither reject nor confirm a request.
+    for operation in &operations {
         let done = answered(&mut cluster, *operation);
         let open =
             matches!(done, OperationResult::Rejected { .. } | OperationResult::Unknown { .. });
         expect_that!(open, eq(true), "{done:?}");
     }
-    let done = ask(&mut cluster, other, "two", edition(1, "b"));
+    let done = ask(&mut cluster, other, "two", edition_patch(1, "b"));
     expect_that!(is_accepted(&answered(&mut cluster, done)), eq(true));
 }
 
 #[googletest::test]
-fn an_answer_to_a_former_process_is_not_told_to_an_operator_of_this_one() {
+fn an_answer_to_a_former_process_is_ignored_after_a_restart() {
     let (mut cluster, first, other) = led(3);
-    let one = ask(&mut cluster, first, "one", edition(0, "a"));
+    let one = ask(&mut cluster, first, "one", edition_patch(0, "a"));
     assert!(is_accepted(&answered(&mut cluster, one)));
     pause(&mut cluster, first, ms(500));
-    ask_numbered(&mut cluster, other, 77, "late", edition(0, "b"));
+    ask_numbered(&mut cluster, other, 77, "late", edition_patch(0, "b"));
     run(&mut cluster, ms(100));
-    // The numbers of the new process begin where those of the old one did.
+    // The new process numbers its operations from the same start as the old one.
     restart_blank(&mut cluster, other, 99);
     run(&mut cluster, ms(100));
     ask_numbered(&mut cluster, other, 77, "", Operation::Read);
@@ -137,22 +139,22 @@
 }
 
 #[googletest::test]
-fn a_late_refusal_of_a_former_leader_is_not_told() {
+fn a_late_rejection_by_a_former_leader_is_ignored() {
     let (mut cluster, first, _) = led(3);
-    let one = ask(&mut cluster, first, "one", edition(0, "a"));
+    let one = ask(&mut cluster, first, "one", edition_patch(0, "a"));
     assert!(is_accepted(&answered(&mut cluster, one)));
     let others: Vec<usize> = (0..3).filter(|node| *node != first).collect();
-    // Just after a wake, so that an order is what the leader finds first when
-    // it goes on.
+    // Just after a wake event, so that the request is the first event that the leader processes when
+    // it resumes.
     until(&mut cluster, |cluster| (cluster.now - ms(first as u64)) % WAKE == ms(1));
-    // It holds a change that nobody else will ever hold.
+    // The leader appends a change that is never replicated.
     isolate(&mut cluster, first);
-    ask(&mut cluster, first, "two", edition(1, "b"));
+    ask(&mut cluster, first, "two", edition_patch(1, "b"));
     cluster.cut.clear();
     pause(&mut cluster, first, 3 * SECOND);
-    // The order waits at the former leader, and at the next, which is slower.
+    // The request waits at the former leader, and at the next one, which is slower.
     let third = others[0];
-    let three = ask(&mut cluster, third, "three", edition(1, "c"));
+    let three = ask(&mut cluster, third, "three", edition_patch(1, "c"));
     until(&mut cluster, |cluster| leader(cluster).is_some_and(|node| node != first));
     let second = leader(&cluster).unwrap();
     expect_that!(second, eq(others[1]));
@@ -161,20 +163,20 @@
     expect_that!(is_accepted(&done), eq(true), "{done:?}");
 }
 
-/// Three members join, and two of them fall silent: the leader hears no majority
-/// of them and keeps them all.
+/// Three members join, and two of them stop renewing: without renewals of a majority the leader
+/// keeps them all.
 fn with_silent_members(cluster: &mut Cluster, leader: usize) {
-    let far = |turn| MemberProgress {
+    let progress = |turn| MemberProgress {
         applied_revision: 0,
         seen_membership: MembershipId { term: Term::ZERO, turn },
         ..Default::default()
     };
     for name in ["q1", "q2", "q3"] {
-        renew(cluster, leader, name, 1, far(0));
+        renew(cluster, leader, name, 1, progress(0));
     }
     run(cluster, ms(400));
     for count in 0..16 {
-        renew(cluster, leader, "q1", 2 + count, far(0));
+        renew(cluster, leader, "q1", 2 + count, progress(0));
         run(cluster, ms(250));
     }
 }
@@ -192,7 +194,7 @@
     let forget = ask(&mut cluster, first, "", Operation::ForgetMember("q3".into()));
     let done = answered(&mut cluster, forget);
     expect_that!(is_accepted(&done), eq(true), "{done:?}");
-    // The next membership, which a majority of the voters holds, is without it.
+    // The next membership, which a majority of the voters has, does not contain it.
     run(&mut cluster, ms(100));
     expect_that!(members(&cluster, first), elements_are![eq("q1"), eq("q2")]);
     isolate(&mut cluster, first);
@@ -200,19 +202,19 @@
     let next = leader(&cluster).unwrap();
     run(&mut cluster, ms(200));
     expect_that!(members(&cluster, next), elements_are![eq("q1"), eq("q2")]);
-    // It is forgotten already, which is no reason to refuse.
+    // The member is forgotten already; the request is a repetition and not rejected.
     let again = ask(&mut cluster, next, "", Operation::ForgetMember("q3".into()));
     let done = answered(&mut cluster, again);
     expect_that!(done, matches_pattern!(OperationResult::Accepted { is_repeat: eq(&true), .. }));
 }
 
 #[googletest::test]
-fn a_member_that_comes_back_is_no_longer_forgotten() {
+fn a_forgotten_member_that_renews_is_a_member_again() {
     let (mut cluster, first, _) = led(3);
     with_silent_members(&mut cluster, first);
     let forget = ask(&mut cluster, first, "", Operation::ForgetMember("q3".into()));
     assert!(is_accepted(&answered(&mut cluster, forget)));
-    // Its first renewal takes the entry away, the second counts.
+    // Its first renewal removes the entry, the second makes it a member.
     for count in [50, 51] {
         renew(&mut cluster, first, "q3", count, Default::default());
         run(&mut cluster, ms(200));
@@ -226,12 +228,12 @@
 }
 
 #[googletest::test]
-fn a_leader_that_is_cut_off_forgets_nobody() {
+fn an_isolated_leader_forgets_no_member() {
     let (mut cluster, first, _) = led(3);
     with_silent_members(&mut cluster, first);
     isolate(&mut cluster, first);
     let forget = ask(&mut cluster, first, "", Operation::ForgetMember("q3".into()));
-    expect_that!(told(&cluster, forget), none());
+    expect_that!(answer_so_far(&cluster, forget), none());
     expect_that!(members(&cluster, first), elements_are![eq("q1"), eq("q2"), eq("q3")]);
     let done = answered(&mut cluster, forget);
     expect_that!(done, matches_pattern!(OperationResult::Unknown { .. }));
@@ -239,7 +241,7 @@
 }
 
 #[googletest::test]
-fn who_was_forgotten_is_not_remembered_for_ever() {
+fn the_number_of_forgotten_entries_is_bounded() {
     let (mut cluster, leader, _) = led(1);
     let names: Vec<String> = (0..100).map(|n| format!("q{n:03}")).collect();
     for name in &names {
@@ -260,61 +262,68 @@
     expect_that!(kept, eq(64));
 }
 
-/// By how long a leader that is cut off goes on to believe that it leads after
-/// another serves, with these rates of the clocks; negative if it gives up before.
-fn overlap_ms(cut_off_percent: u64, others_percent: u64, phase: u64) -> i64 {
+/// Returns for how long (ms) an isolated leader still considers itself the leader after another
+/// one does, with these clock rates; negative if it steps down before.
+fn overlap_ms(isolated_clock_percent: u64, other_clocks_percent: u64, phase: u64) -> i64 {
     let (mut cluster, first, _) = led(3);
     for node in 0..3 {
-        rate(&mut cluster, node, if node == first { cut_off_percent } else { others_percent });
+        rate(
+            &mut cluster,
+            node,
+            if node == first { isolated_clock_percent } else { other_clocks_percent },
+        );
     }
     run(&mut cluster, SECOND + ms(phase));
     isolate(&mut cluster, first);
-    let (mut gave_up, mut serves) = (None, None);
+    let (mut stopped_at, mut other_leads_at) = (None, None);
     until(&mut cluster, |cluster| !believes(cluster, first) || leader(cluster) != Some(first));
-    while gave_up.is_none() || serves.is_none() {
+    while stopped_at.is_none() || other_leads_at.is_none() {
         if !believes(&cluster, first) {
-            gave_up = gave_up.or(Some(cluster.now));
+            stopped_at = stopped_at.or(Some(cluster.now));
         }
         if (0..3).any(|node| node != first && believes(&cluster, node)) {
-            serves = serves.or(Some(cluster.now));
+            other_leads_at = other_leads_at.or(Some(cluster.now));
         }
         run(&mut cluster, ms(1));
     }
-    (gave_up.unwrap() as i64 - serves.unwrap() as i64) / 1_000
+    (stopped_at.unwrap() as i64 - other_leads_at.unwrap() as i64) / 1_000
 }
 
 #[googletest::test]
-fn two_controllers_believe_that_they_lead_for_no_longer_than_their_clocks_differ() {
-    let worst = |cut_off: u64, others: u64| {
+fn overlap_of_two_leaders_is_bounded_by_their_clock_rates() {
+    let max_overlap = |cut_off: u64, others: u64| {
         (0..200).step_by(7).map(|phase| overlap_ms(cut_off, others, phase)).max().unwrap()
     };
-    let (equal, small, large) = (worst(100, 100), worst(98, 102), worst(75, 125));
+    let (equal, small, large) = (max_overlap(100, 100), max_overlap(98, 102), max_overlap(75, 125));
     println!("overlap: equal {equal} ms, 2% each {small} ms, 25% each {large} ms");
-    // See docs/topics/control-safety.md: 0.95 s of the one clock after its last
-    // answered heartbeat against 1.0 s of the others after they heard it.
+    // See docs/topics/control-safety.md: the isolated leader steps down 0.95 s of its clock after
+    // its last acknowledged heartbeat; the others wait 1.0 s of theirs after they received it.
     expect_that!(equal, lt(0));
     expect_that!(small, lt(0));
     expect_that!(large, lt(470));
 }
 
 #[googletest::test]
-fn what_a_leader_with_a_slow_clock_is_asked_while_another_leads_is_not_refused() {
+fn a_leader_with_a_slow_clock_rejects_nothing_while_another_leads() {
     for phase in (0..200).step_by(20) {
         let (mut cluster, first, other) = led(3);
         for node in 0..3 {
             rate(&mut cluster, node, if node == first { 75 } else { 125 });
         }
-        let one = ask(&mut cluster, first, "one", edition(0, "a"));
+        let one = ask(&mut cluster, first, "one", edition_patch(0, "a"));
         assert!(is_accepted(&answered(&mut cluster, one)));
         run(&mut cluster, SECOND + ms(phase));
         isolate(&mut cluster, first);
         until(&mut cluster, |cluster| leader(cluster) != Some(first));
-        let two = ask(&mut cluster, other, "two", edition(1, "b"));
-        let three = ask(&mut cluster, first, "three", edition(2, "c"));
+        let two = ask(&mut cluster, other, "two", edition_patch(1, "b"));
+        let three = ask(&mut cluster, first, "three", edition_patch(2, "c"));
         let read = ask(&mut cluster, first, "", Operation::Read);
         assert!(is_accepted(&answered(&mut cluster, two)));
         run(&mut cluster, ms(1_500));
-        expect_that!((told(&cluster, three), told(&cluster, read)), eq(&(None, None)));
+        expect_that!(
+            (answer_so_far(&cluster, three), answer_so_far(&cluster, read)),
+            eq(&(None, None))
+        );
         cluster.cut.clear();
         let done = answered(&mut cluster, three);
         expect_that!(is_accepted(&done), eq(true), "{done:?}");
--- a/crates/core/tests/request_races.rs
+++ b/crates/core/tests/request_races.rs
@@ -1,7 +1,6 @@
-//! Two operators change one edition through three controllers, and a fault
-//! strikes at each step of the write. Whatever is sent again, at once or later:
-//! at most one of two texts is accepted, what was accepted is never refused,
-//! and what was refused is never in force.
+//! Two operators change the same edition through three controllers, and a fault occurs at each step
+//! of the write. Whichever requests are sent again, at once or later: at most one of the two texts is
+//! accepted, an accepted request is never rejected, and a rejected request is never in force.
 
 mod cluster;
 mod races;
@@ -10,76 +9,82 @@
 use races::list::{races, races_of};
 use races::{Fault, Race, STAGES, Stage, order, play};
 
-/// Plays all races of a stage; tells how many first orders were accepted and
-/// how often the leader changed.
-fn sound(stage: Stage) -> (usize, usize, usize) {
+/// Runs all races of a stage and checks that none violates an invariant. Returns the number of races,
+/// of accepted first requests, and of leader changes.
+fn count_outcomes(stage: Stage) -> (usize, usize, usize) {
     let all = races(stage);
-    let (mut first, mut changed) = (0, 0);
+    let (mut first, mut leader_changes) = (0, 0);
     for race in &all {
         let outcome = play(race);
         assert!(outcome.wrong.is_empty(), "{race:?}: {:#?}", outcome.wrong);
         first += usize::from(outcome.first_accepted);
-        changed += usize::from(outcome.leader_changed);
+        leader_changes += usize::from(outcome.leader_changed);
     }
-    println!("{stage:?}: {} races, first accepted {first}, leader changed {changed}", all.len());
-    (all.len(), first, changed)
+    println!(
+        "{stage:?}: {} races, first accepted {first}, leader changed {leader_changes}",
+        all.len()
+    );
+    (all.len(), first, leader_changes)
 }
 
-/// Either order may win, and the leader changes in many of the races.
-fn sound_and_open(stage: Stage) {
-    let (count, first, changed) = sound(stage);
-    assert!(first > 0 && first < count && changed > count / 3, "{count} {first} {changed}");
+/// Checks that either request may win, and that the leader changes in many of the races.
+fn check_either_request_may_win(stage: Stage) {
+    let (count, first, leader_changes) = count_outcomes(stage);
+    assert!(
+        first > 0 && first < count && leader_changes > count / 3,
+        "{count} {first} {leader_changes}"
+    );
 }
 
-/// What a majority has on disk is never lost: the first order always wins.
-fn sound_and_sure(stage: Stage) {
-    let (count, first, changed) = sound(stage);
-    assert!(first == count && changed > count / 3, "{count} {first} {changed}");
+/// Checks that the first request always wins, as a write on the disks of a majority is never lost.
+fn check_first_request_always_wins(stage: Stage) {
+    let (count, first, leader_changes) = count_outcomes(stage);
+    assert!(first == count && leader_changes > count / 3, "{count} {first} {leader_changes}");
 }
 
 #[test]
-fn orders_that_are_on_their_way_when_the_fault_strikes() {
-    sound_and_open(Stage::Arrived);
+fn either_request_may_win_if_none_has_reached_the_leader() {
+    check_either_request_may_win(Stage::Arrived);
 }
 
 #[test]
-fn orders_that_the_leader_has_only_in_memory() {
-    sound_and_open(Stage::Appended);
+fn either_request_may_win_if_only_in_the_leaders_memory() {
+    check_either_request_may_win(Stage::Appended);
 }
 
 #[test]
-fn orders_on_the_leaders_disk_alone() {
-    sound_and_open(Stage::LeaderSynced);
+fn either_request_may_win_if_only_on_the_leaders_disk() {
+    check_either_request_may_win(Stage::LeaderSynced);
 }
 
 #[test]
-fn orders_on_one_followers_disk_alone() {
-    sound_and_open(Stage::FollowerSynced);
+fn either_request_may_win_if_only_on_one_followers_disk() {
+    check_either_request_may_win(Stage::FollowerSynced);
 }
 
 #[test]
-fn orders_on_a_majority_of_disks_that_the_leader_does_not_know_of() {
-    sound_and_sure(Stage::MajoritySynced);
+fn a_request_on_a_majority_of_disks_wins_before_the_leader_knows() {
+    check_first_request_always_wins(Stage::MajoritySynced);
 }
 
 #[test]
-fn orders_on_all_disks_that_the_leader_does_not_know_of() {
-    sound_and_sure(Stage::AllSynced);
+fn a_request_on_all_disks_wins_before_the_leader_knows() {
+    check_first_request_always_wins(Stage::AllSynced);
 }
 
 #[test]
-fn orders_that_are_committed_and_whose_answer_is_under_way() {
-    sound_and_sure(Stage::Committed);
+fn a_committed_request_wins_while_its_answer_is_in_transit() {
+    check_first_request_always_wins(Stage::Committed);
 }
 
 #[test]
-fn orders_that_are_answered() {
-    sound_and_sure(Stage::Answered);
+fn an_answered_request_wins() {
+    check_first_request_always_wins(Stage::Answered);
 }
 
 #[test]
-fn orders_whose_leaders_are_killed_one_after_the_other() {
-    // Each in the middle of the write of one of the two orders.
+fn requests_are_consistent_through_two_leader_failures() {
+    // Each leader fails during the write of one of the two requests.
     let mut count = 0;
     for stage in STAGES {
         for (number, mut race) in races(stage).into_iter().enumerate() {
@@ -96,8 +101,8 @@
 }
 
 #[test]
-fn orders_that_wait_at_a_leader_whose_process_was_stopped() {
-    // It goes on as if it still led, before it hears of the next leader.
+fn requests_at_a_paused_leader_are_consistent() {
+    // When resumed, it acts as the leader until it receives a message of the next leader.
     for stage in STAGES {
         for race in races_of(stage, &[Fault::LeaderFrozen]) {
             let wrong = play(&race).wrong;
@@ -106,10 +111,10 @@
     }
 }
 
-// ---- broken on purpose -------------------------------------------------------
+// ---- injected defects --------------------------------------------------------
 
-/// What is found in races that are changed in this way.
-fn found(change: impl Fn(&mut Race)) -> String {
+/// Returns the violations that are found in races with this change.
+fn violations_found(change: impl Fn(&mut Race)) -> String {
     let mut all = String::new();
     for stage in [Stage::MajoritySynced, Stage::Answered] {
         for mut race in races(stage).into_iter().step_by(11) {
@@ -121,26 +126,26 @@
 }
 
 #[googletest::test]
-fn a_memory_that_forgets_is_caught() {
-    let found = found(|race| race.forgets = true);
-    expect_that!(found, contains_substring("accepted and refused"));
+fn loss_of_the_deduplication_table_is_detected() {
+    let violations = violations_found(|race| race.forgets = true);
+    expect_that!(violations, contains_substring("accepted and refused"));
 }
 
 #[googletest::test]
-fn two_orders_accepted_on_one_base_are_caught() {
-    let found = found(|race| {
+fn two_requests_accepted_on_one_base_are_detected() {
+    let violations = violations_found(|race| {
         race.first = order(false, None, 0, "first");
         race.rival = order(false, None, 0, "rival");
     });
-    expect_that!(found, contains_substring("both accepted"));
-    expect_that!(found, not(contains_substring("applied twice")));
+    expect_that!(violations, contains_substring("both accepted"));
+    expect_that!(violations, not(contains_substring("applied twice")));
 }
 
 #[googletest::test]
-fn a_resend_that_is_applied_twice_is_caught() {
-    let found = found(|race| {
+fn a_resent_request_that_is_applied_twice_is_detected() {
+    let violations = violations_found(|race| {
         race.first = order(false, None, 0, "first");
         race.forgets = true;
     });
-    expect_that!(found, contains_substring("first was applied twice"));
+    expect_that!(violations, contains_substring("first was applied twice"));
 }
--- a/crates/core/tests/request_resend.rs
+++ b/crates/core/tests/request_resend.rs
@@ -1,6 +1,5 @@
-//! Orders that are sent again: an order that was accepted is acknowledged
-//! again, however many others were accepted in between, or left without a
-//! clear answer; it is never refused.
+//! Tests of operator requests that are sent again: an accepted request is acknowledged again,
+//! however many others were accepted in between, or gets no definite answer; it is never rejected.
 
 mod cluster;
 mod common;
@@ -16,29 +15,33 @@
 use grebepath_core::time::SECOND;
 use serde_json::{Value, json};
 
-/// A change of one zone with these terms.
-fn operation(terms: Value) -> Operation {
+/// Returns a change of one zone with these terms.
+fn zone_patch(terms: Value) -> Operation {
     let change = json!({ "zones": [{ "name": "z", "state": "open" }], "terms": terms });
     Operation::Patch(change.to_string().into_bytes())
 }
 
-/// A change that builds on edition `base` and names the next one.
-fn order(base: u64) -> Operation {
-    operation(json!({ "after": base, "edition": base + 1 }))
+/// Returns a change that builds on edition `base` and results in the next one.
+fn edition_patch(base: u64) -> Operation {
+    zone_patch(json!({ "after": base, "edition": base + 1 }))
 }
 
-/// Sends the order on edition `base` under its own request id.
+/// Sends the request on edition `base` under a request id that is derived from it.
 fn send(controller: &mut One, base: u64) -> OperationResult {
-    operate(controller, &format!("order-{base}"), order(base))
+    operate(controller, &format!("order-{base}"), edition_patch(base))
 }
 
 #[googletest::test]
-fn an_order_sent_again_after_many_others_is_acknowledged_again() {
+fn a_request_resent_after_many_others_is_acknowledged_again() {
     for others in [600, 2_000] {
         let mut controller = one();
         for base in 0..=others {
             let done = send(&mut controller, base);
-            expect_that!(done, matches_pattern!(OperationResult::Accepted { .. }), "order {base}");
+            expect_that!(
+                done,
+                matches_pattern!(OperationResult::Accepted { .. }),
+                "request {base}"
+            );
         }
         let again = send(&mut controller, 0);
         expect_that!(
@@ -48,23 +51,24 @@
                 is_repeat: eq(&true),
                 ..
             }),
-            "the first order, sent again after {others} others"
+            "the first request, sent again after {others} others"
         );
     }
 }
 
-/// Orders accepted before the tests below, each on the edition before it.
+/// Number of requests accepted before the tests below, each on the edition of the previous one.
 const ACCEPTED: u64 = 20_000;
 
-/// Three controllers that have accepted so many orders, and the horizon.
-fn long_running() -> (Cluster, u64) {
+/// Returns three controllers that have accepted this number of requests, and the revision of the
+/// horizon.
+fn cluster_with_evicted_requests() -> (Cluster, u64) {
     let mut c = cluster(3);
-    let first = answer(&mut c, 0, "order-0", None, order(0));
+    let first = answer(&mut c, 0, "order-0", None, edition_patch(0));
     assert!(matches!(first, Some(OperationResult::Accepted { revision: 1, .. })), "{first:?}");
     assert!(pass_until(&mut c, SECOND, |c| (0..3).all(|n| cluster::synced_revision(c, n) == 1)));
     let mut copy = c.nodes[0].disk.kept[&CONFIG].clone();
     for base in 1..ACCEPTED {
-        let Operation::Patch(text) = order(base) else { unreachable!() };
+        let Operation::Patch(text) = edition_patch(base) else { unreachable!() };
         let print = fingerprint(&format!("order-{base}"), false, &text);
         let entries = insert(&copy.entries, &print, base + 1, base + 1);
         apply_entries(&mut copy.entries, &entries);
@@ -74,8 +78,8 @@
     copy.entries.insert("terms".into(), prost::Message::encode_to_vec(&client_limits));
     copy.revision = ACCEPTED;
     for node in &mut c.nodes {
-        let promised = node.disk.kept[&CONFIG].current_term;
-        node.disk.kept.insert(CONFIG, ReplicaState { current_term: promised, ..copy.clone() });
+        let node_term = node.disk.kept[&CONFIG].current_term;
+        node.disk.kept.insert(CONFIG, ReplicaState { current_term: node_term, ..copy.clone() });
     }
     restart_all(&mut c, true);
     let horizon = horizon(&copy.entries).revision;
@@ -83,8 +87,9 @@
     (c, horizon)
 }
 
-/// The answer through each controller in turn; it must not take long.
-fn everywhere(
+/// Returns the answers to a request through each controller, sent one after the other. Each must
+/// arrive within a second.
+fn call_all_controllers(
     c: &mut Cluster,
     request: &str,
     expect: Option<u64>,
@@ -93,59 +98,63 @@
     let mut out = Vec::new();
     for node in 0..3 {
         let op = call(c, node, request, expect, operation.clone());
-        let told = pass_until(c, SECOND, |c| c.told.contains_key(&op));
-        assert!(told, "{request} at {node} is not answered within a second");
+        let is_answered = pass_until(c, SECOND, |c| c.told.contains_key(&op));
+        assert!(is_answered, "{request} at {node} is not answered within a second");
         out.push(c.told[&op].clone());
     }
     out
 }
 
 #[googletest::test]
-fn beyond_the_memory_there_is_no_clear_answer_and_within_it_always_one() {
-    let (mut c, horizon) = long_running();
+fn answers_are_definite_within_the_horizon_and_indefinite_beyond_it() {
+    let (mut c, horizon) = cluster_with_evicted_requests();
     for base in [horizon, horizon + 1, 10_000, ACCEPTED - 1] {
-        let done = everywhere(&mut c, &format!("order-{base}"), None, &order(base));
+        let done =
+            call_all_controllers(&mut c, &format!("order-{base}"), None, &edition_patch(base));
         let revision = base + 1;
-        let same = matches_pattern!(OperationResult::Accepted {
+        let is_acknowledged = matches_pattern!(OperationResult::Accepted {
             revision: eq(&revision),
             is_repeat: eq(&true),
             ..
         });
-        expect_that!(done, each(same));
+        expect_that!(done, each(is_acknowledged));
     }
-    // A rival of an order that is remembered has lost the race, clearly.
+    // A rival of a request that is in the table gets a definite rejection.
     for base in [horizon, 10_000, ACCEPTED - 1] {
-        let done = everywhere(&mut c, &format!("rival-{base}"), None, &order(base));
+        let done =
+            call_all_controllers(&mut c, &format!("rival-{base}"), None, &edition_patch(base));
         expect_that!(
             done,
             each(matches_pattern!(OperationResult::Conflict { revision: eq(&ACCEPTED) }))
         );
     }
-    // What may be forgotten gets no clear answer, and at once.
+    // A request that may have been evicted is answered at once, without a definite result.
     for base in [0, 1, 500, horizon - 1] {
-        let done = everywhere(&mut c, &format!("rival-{base}"), None, &order(base));
-        let unclear = matches_pattern!(OperationResult::Forgotten {
+        let done =
+            call_all_controllers(&mut c, &format!("rival-{base}"), None, &edition_patch(base));
+        let is_indefinite = matches_pattern!(OperationResult::Forgotten {
             revision: eq(&horizon),
             edition: eq(&horizon)
         });
-        expect_that!(done, each(unclear), "{base}");
+        expect_that!(done, each(is_indefinite), "{base}");
     }
-    // What can never have been accepted is refused, however old its base.
-    let wrong = operation(json!({ "after": 5, "edition": 5 }));
-    let done = everywhere(&mut c, "wrong", None, &wrong);
+    // A request that can never have been accepted is rejected, however old its base is.
+    let unchanged_edition = zone_patch(json!({ "after": 5, "edition": 5 }));
+    let done = call_all_controllers(&mut c, "wrong", None, &unchanged_edition);
     expect_that!(done, each(matches_pattern!(OperationResult::Conflict { .. })));
     let unreadable = Operation::Patch(b"{".to_vec());
-    let done = everywhere(&mut c, "unreadable", None, &unreadable);
+    let done = call_all_controllers(&mut c, "unreadable", None, &unreadable);
     expect_that!(done, each(matches_pattern!(OperationResult::Invalid(_))));
 }
 
 #[googletest::test]
-fn orders_that_name_a_revision_or_only_their_own_edition() {
-    let (mut c, horizon) = long_running();
-    let plain = operation(json!({}));
-    for (expect, clear) in [(1, false), (horizon - 1, false), (horizon, true), (15_000, true)] {
-        let done = everywhere(&mut c, &format!("expects-{expect}"), Some(expect), &plain);
-        if clear {
+fn requests_that_name_a_revision_or_only_a_new_edition_are_judged_by_the_horizon() {
+    let (mut c, horizon) = cluster_with_evicted_requests();
+    let plain = zone_patch(json!({}));
+    for (expect, is_definite) in [(1, false), (horizon - 1, false), (horizon, true), (15_000, true)]
+    {
+        let done = call_all_controllers(&mut c, &format!("expects-{expect}"), Some(expect), &plain);
+        if is_definite {
             expect_that!(
                 done,
                 each(matches_pattern!(OperationResult::Conflict { revision: eq(&ACCEPTED) }))
@@ -158,10 +167,12 @@
             );
         }
     }
-    for (edition, clear) in [(1, false), (horizon, false), (horizon + 1, true), (ACCEPTED, true)] {
-        let names = operation(json!({ "edition": edition }));
-        let done = everywhere(&mut c, &format!("names-{edition}"), None, &names);
-        if clear {
+    for (edition, is_definite) in
+        [(1, false), (horizon, false), (horizon + 1, true), (ACCEPTED, true)]
+    {
+        let names = zone_patch(json!({ "edition": edition }));
+        let done = call_all_controllers(&mut c, &format!("names-{edition}"), None, &names);
+        if is_definite {
             expect_that!(done, each(matches_pattern!(OperationResult::Invalid(_))), "{edition}");
         } else {
             expect_that!(
@@ -171,32 +182,32 @@
             );
         }
     }
-    // The newest revision and edition are judged as ever.
+    // A request on the newest revision and edition is accepted.
     let done =
-        answer(&mut c, 1, "next", Some(ACCEPTED), operation(json!({ "edition": ACCEPTED + 7 })));
+        answer(&mut c, 1, "next", Some(ACCEPTED), zone_patch(json!({ "edition": ACCEPTED + 7 })));
     expect_that!(
         done,
         some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
     );
-    // An order that names nothing is known by its request id as long as that is
-    // remembered.
+    // A request without revision and edition is recognized by its request id as long as that is in
+    // the table.
     let first = answer(&mut c, 0, "plain", None, plain.clone());
     expect_that!(
         first,
         some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
     );
     restart_all(&mut c, true);
-    let done = everywhere(&mut c, "plain", None, &plain);
-    let same = matches_pattern!(OperationResult::Accepted {
+    let done = call_all_controllers(&mut c, "plain", None, &plain);
+    let is_acknowledged = matches_pattern!(OperationResult::Accepted {
         revision: eq(&(ACCEPTED + 2)),
         is_repeat: eq(&true),
         ..
     });
-    expect_that!(done, each(same));
+    expect_that!(done, each(is_acknowledged));
 }
 
-/// Controllers that start on files which an older build wrote: five orders.
-fn upgraded() -> Cluster {
+/// Returns controllers that start from files which an older build wrote, with five requests.
+fn upgraded_cluster() -> Cluster {
     let slot = include_bytes!("fixtures/orders-older-form.slot");
     let log = include_bytes!("fixtures/orders-older-form.log");
     let StoredReplica::Intact { state: copy, .. } = read(0, [None, Some(slot)], Some(log)) else {
@@ -204,28 +215,34 @@
     };
     let mut c = cluster(3);
     for node in &mut c.nodes {
-        let promised = node.disk.kept[&CONFIG].current_term.max(copy.current_term);
-        node.disk.kept.insert(CONFIG, ReplicaState { current_term: promised, ..copy.clone() });
+        let node_term = node.disk.kept[&CONFIG].current_term.max(copy.current_term);
+        node.disk.kept.insert(CONFIG, ReplicaState { current_term: node_term, ..copy.clone() });
     }
     restart_all(&mut c, true);
     c
 }
 
 #[googletest::test]
-fn orders_that_an_older_build_accepted_are_acknowledged_after_the_upgrade() {
-    let mut c = upgraded();
-    // Before the first new order, after it, and after all have lost power.
+fn requests_accepted_by_an_older_build_are_acknowledged_after_the_upgrade() {
+    let mut c = upgraded_cluster();
+    // Before the first new request, after it, and after a power loss of all controllers.
     for round in 0..3 {
         for base in 1..5 {
-            let done = everywhere(&mut c, &format!("order-{base}"), None, &order(base));
+            let done =
+                call_all_controllers(&mut c, &format!("order-{base}"), None, &edition_patch(base));
             let revision = base + 1;
-            let same = matches_pattern!(OperationResult::Accepted {
+            let is_acknowledged = matches_pattern!(OperationResult::Accepted {
                 revision: eq(&revision),
                 is_repeat: eq(&true),
                 ..
             });
-            expect_that!(done, each(same), "round {round}");
-            let done = everywhere(&mut c, &format!("rival-{base}"), None, &order(base - 1));
+            expect_that!(done, each(is_acknowledged), "round {round}");
+            let done = call_all_controllers(
+                &mut c,
+                &format!("rival-{base}"),
+                None,
+                &edition_patch(base - 1),
+            );
             expect_that!(
                 done,
                 each(matches_pattern!(OperationResult::Conflict { .. })),
@@ -233,7 +250,7 @@
             );
         }
         if round == 0 {
-            let done = answer(&mut c, 1, "new", None, order(5));
+            let done = answer(&mut c, 1, "new", None, edition_patch(5));
             expect_that!(
                 done,
                 some(matches_pattern!(OperationResult::Accepted { revision: eq(&6), .. }))
@@ -245,55 +262,56 @@
 }
 
 #[googletest::test]
-fn a_request_id_that_was_used_for_another_text_is_refused_everywhere() {
+fn a_request_id_used_for_another_text_is_rejected_by_all_controllers() {
     let mut c = cluster(3);
-    let done = answer(&mut c, 0, "id", None, order(0));
+    let done = answer(&mut c, 0, "id", None, edition_patch(0));
     expect_that!(done, some(matches_pattern!(OperationResult::Accepted { .. })));
-    let whole = Operation::Replace(match order(0) {
+    let replacement = Operation::Replace(match edition_patch(0) {
         Operation::Patch(text) => text,
         _ => unreachable!(),
     });
     for _ in 0..2 {
-        for other in [order(1), whole.clone(), operation(json!({}))] {
-            let done = everywhere(&mut c, "id", None, &other);
+        for other in [edition_patch(1), replacement.clone(), zone_patch(json!({}))] {
+            let done = call_all_controllers(&mut c, "id", None, &other);
             expect_that!(done, each(matches_pattern!(OperationResult::Invalid(_))));
         }
-        let done = everywhere(&mut c, "id", None, &order(0));
+        let done = call_all_controllers(&mut c, "id", None, &edition_patch(0));
         expect_that!(
             done,
             each(matches_pattern!(OperationResult::Accepted { revision: eq(&1), .. }))
         );
-        let leads = leader(&c).unwrap();
-        cluster::kill(&mut c, leads, true);
-        assert!(pass_until(&mut c, 5 * SECOND, |c| leader(c).is_some_and(|now| now != leads)));
-        cluster::start(&mut c, leads, false);
+        let old_leader = leader(&c).unwrap();
+        cluster::kill(&mut c, old_leader, true);
+        assert!(pass_until(&mut c, 5 * SECOND, |c| leader(c).is_some_and(|now| now != old_leader)));
+        cluster::start(&mut c, old_leader, false);
         cluster::pass(&mut c, SECOND);
     }
-    // At one moment through two controllers: one text wins, the other is refused.
-    let texts = [order(1), operation(json!({ "after": 1, "edition": 9 }))];
+    // Sent at the same time through two controllers: one text wins, the other is rejected.
+    let texts = [edition_patch(1), zone_patch(json!({ "after": 1, "edition": 9 }))];
     let [a, b] = [0, 1].map(|node: usize| call(&mut c, node, "new", None, texts[node].clone()));
     assert!(pass_until(&mut c, 5 * SECOND, |c| [a, b].iter().all(|op| c.told.contains_key(op))));
-    let mut told = [c.told[&a].clone(), c.told[&b].clone()];
-    told.sort_by_key(|done| !matches!(done, OperationResult::Accepted { .. }));
-    expect_that!(told[0], matches_pattern!(OperationResult::Accepted { revision: eq(&2), .. }));
-    expect_that!(told[1], matches_pattern!(OperationResult::Invalid(_)));
+    let mut results = [c.told[&a].clone(), c.told[&b].clone()];
+    results.sort_by_key(|done| !matches!(done, OperationResult::Accepted { .. }));
+    expect_that!(results[0], matches_pattern!(OperationResult::Accepted { revision: eq(&2), .. }));
+    expect_that!(results[1], matches_pattern!(OperationResult::Invalid(_)));
     let edition = read_back(&mut c, 2).map(|conf| conf.client_limits.edition);
     expect_that!(edition, some(any!(eq(2), eq(9))));
 }
 
 #[googletest::test]
-fn duplicates_in_flight_at_all_controllers_are_one_order() {
+fn concurrent_duplicates_at_all_controllers_are_accepted_once() {
     let mut c = cluster(3);
     for base in 0..20 {
         let request = format!("order-{base}");
         let calls: Vec<u64> = (0..6)
-            .map(|n| call(&mut c, (base as usize + n) % 3, &request, None, order(base)))
+            .map(|n| call(&mut c, (base as usize + n) % 3, &request, None, edition_patch(base)))
             .collect();
         assert!(pass_until(&mut c, 5 * SECOND, |c| calls.iter().all(|op| c.told.contains_key(op))));
         for op in calls {
             let revision = base + 1;
-            let same = matches_pattern!(OperationResult::Accepted { revision: eq(&revision), .. });
-            expect_that!(c.told[&op], same);
+            let is_acknowledged =
+                matches_pattern!(OperationResult::Accepted { revision: eq(&revision), .. });
+            expect_that!(c.told[&op], is_acknowledged);
         }
     }
 }
--- a/crates/core/tests/request_schedules.rs
+++ b/crates/core/tests/request_schedules.rs
@@ -1,6 +1,6 @@
-//! Orders at every controller while controllers are cut off, paused, stalled,
-//! restarted and have clocks of their own: what operators are told must be a
-//! history of one register, whatever happens when.
+//! Random schedules of operator requests to every controller, while controllers are isolated,
+//! paused, stalled and restarted and their clocks run at different rates. The answers must form a
+//! valid history of a single register.
 
 #![allow(clippy::unwrap_used)]
 
@@ -21,47 +21,51 @@
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use serde_json::json;
 
-/// Schedules that are played in every run of the tests.
+/// Number of schedules in every run of the tests.
 const SEEDS: u64 = 60;
-/// How long faults and orders go on, and how long the end of it is waited for.
-const BUSY: Span = 50 * SECOND;
-const QUIET: Span = 30 * SECOND;
+/// Duration of faults and requests, and the time for recovery after them.
+const FAULTY_PERIOD: Span = 50 * SECOND;
+const RECOVERY_PERIOD: Span = 30 * SECOND;
 
-/// An order of the history and the operation that asked for it.
+/// A request of the history and the operation that carried it.
 struct Request {
     operation: u64,
-    order: String,
+    request_id: String,
     after: Option<u64>,
 }
 
-fn deed(order: &str, after: u64) -> Operation {
-    let val = json!({ "zones": [{ "name": order, "state": "open" }],
+fn edition_patch(request_id: &str, after: u64) -> Operation {
+    let val = json!({ "zones": [{ "name": request_id, "state": "open" }],
         "terms": { "after": after, "edition": after + 1 } });
     Operation::Patch(val.to_string().into_bytes())
 }
 
-fn told(done: Option<&OperationResult>) -> Told {
+fn answer_kind(done: Option<&OperationResult>) -> Told {
     match done {
         Some(OperationResult::Accepted { .. }) => Told::Accepted,
         Some(OperationResult::Conflict { revision }) => Told::Refused(*revision),
-        Some(OperationResult::Configuration { entries: map, .. }) => Told::Read(edition(map).1),
+        Some(OperationResult::Configuration { entries: map, .. }) => {
+            Told::Read(requests_and_edition(map).1)
+        }
         Some(OperationResult::Rejected { .. }) => Told::NotDone,
         None | Some(OperationResult::Unknown { .. }) => Told::Open,
-        Some(done) => Told::Absurd(format!("told {done:?}")),
+        Some(done) => Told::Absurd(format!("unexpected answer {done:?}")),
     }
 }
 
-/// The orders that a configuration holds, and its edition.
-fn edition(map: &grebepath_core::protocol::replica::EntryMap) -> (BTreeSet<String>, u64) {
+/// Returns the request ids of all changes in a configuration, and its edition.
+fn requests_and_edition(
+    map: &grebepath_core::protocol::replica::EntryMap,
+) -> (BTreeSet<String>, u64) {
     let conf = Config::from_entries(map).unwrap();
     (conf.zones.keys().cloned().collect(), conf.client_limits.edition)
 }
 
-/// The highest edition that some operator was told of.
-fn known(cluster: &Cluster, requests: &[Request]) -> u64 {
+/// Returns the highest edition that was reported to any operator.
+fn highest_known_edition(cluster: &Cluster, requests: &[Request]) -> u64 {
     let seen = |request: &Request| {
         let answer = cluster.answers.get(&request.operation);
-        match (told(answer.map(|answer| &answer.done)), request.after) {
+        match (answer_kind(answer.map(|answer| &answer.done)), request.after) {
             (Told::Accepted, Some(after)) => after + 1,
             (Told::Refused(edition) | Told::Read(edition), _) => edition,
             _ => 0,
@@ -70,44 +74,45 @@
     requests.iter().map(seen).max().unwrap_or(0)
 }
 
-/// An operator asks something of a controller.
-fn request(cluster: &mut Cluster, chances: &mut Random, requests: &mut Vec<Request>) {
-    let node = chances.below(3) as usize;
-    let (order, after) = match chances.below(20) {
+/// Sends a random request to a random controller.
+fn send_random_request(cluster: &mut Cluster, random: &mut Random, requests: &mut Vec<Request>) {
+    let node = random.below(3) as usize;
+    let (request_id, after) = match random.below(20) {
         0..3 => (String::new(), None),
         3..6 if !requests.is_empty() => {
-            // The same order once more, as after an answer that was lost.
+            // The same request once more, as after an answer that was lost.
             let old = &requests
-                [requests.len() - 1 - chances.below(10.min(requests.len() as u64)) as usize];
-            (old.order.clone(), old.after)
-        }
-        6..8 => {
-            (format!("order-{}", requests.len()), Some(known(cluster, requests).saturating_sub(1)))
+                [requests.len() - 1 - random.below(10.min(requests.len() as u64)) as usize];
+            (old.request_id.clone(), old.after)
         }
-        _ => (format!("order-{}", requests.len()), Some(known(cluster, requests))),
+        6..8 => (
+            format!("order-{}", requests.len()),
+            Some(highest_known_edition(cluster, requests).saturating_sub(1)),
+        ),
+        _ => (format!("order-{}", requests.len()), Some(highest_known_edition(cluster, requests))),
     };
-    let deed = after.map_or(Operation::Read, |after| deed(&order, after));
-    let operation = ask_later(cluster, node, &order, deed);
-    requests.push(Request { operation, order, after });
+    let operation = after.map_or(Operation::Read, |after| edition_patch(&request_id, after));
+    let operation = ask_later(cluster, node, &request_id, operation);
+    requests.push(Request { operation, request_id, after });
 }
 
-/// A fault befalls a controller; most of them are over after a while.
+/// A fault of a controller; most kinds end after some time.
 struct Fault {
     ends: u64,
     node: usize,
     kind: u64,
 }
 
-fn begin(cluster: &mut Cluster, chances: &mut Random) -> Fault {
-    let node = chances.below(3) as usize;
-    let kind = chances.below(9);
-    let mut span = ms(200 + chances.below(6_000));
-    if chances.chance(1, 4) {
+fn inject_fault(cluster: &mut Cluster, random: &mut Random) -> Fault {
+    let node = random.below(3) as usize;
+    let kind = random.below(9);
+    let mut span = ms(200 + random.below(6_000));
+    if random.chance(1, 4) {
         span = 20 * SECOND;
     }
     match kind {
         0 => isolate(cluster, node),
-        // Connections end at once instead of falling silent.
+        // Connections are reset instead of dropping messages.
         1 => {
             for other in (0..3).filter(|other| *other != node) {
                 reset(cluster, node, other);
@@ -121,104 +126,109 @@
             cluster.cut.insert(((node + 1) % 3, node));
         }
         5 => {
-            span = ms(500 + chances.below(11_500));
+            span = ms(500 + random.below(11_500));
             pause(cluster, node, span);
         }
         6 => stall(cluster, node, true),
-        // The same pause, and orders are the first that is taken after it.
+        // The same pause, after which requests are the first events that are processed.
         7 => {
-            span = ms(500 + chances.below(11_500));
+            span = ms(500 + random.below(11_500));
             pause(cluster, node, span + SECOND);
         }
         _ => {
-            let seed = chances.below(u64::MAX);
+            let seed = random.below(u64::MAX);
             restart(cluster, node, seed);
         }
     }
     Fault { ends: cluster.now + span, node, kind }
 }
 
-fn end(cluster: &mut Cluster, fault: &Fault, requests: &mut Vec<Request>) {
+fn end_fault(cluster: &mut Cluster, fault: &Fault, requests: &mut Vec<Request>) {
     match fault.kind {
         0..=4 => cluster.cut.retain(|(a, b)| *a != fault.node && *b != fault.node),
         6 => stall(cluster, fault.node, false),
         7 => {
             resume(cluster, fault.node);
-            for after in [known(cluster, requests), known(cluster, requests).saturating_sub(1)] {
-                let order = format!("order-{}", requests.len());
-                let operation = ask(cluster, fault.node, &order, deed(&order, after));
-                requests.push(Request { operation, order, after: Some(after) });
+            for after in [
+                highest_known_edition(cluster, requests),
+                highest_known_edition(cluster, requests).saturating_sub(1),
+            ] {
+                let request_id = format!("order-{}", requests.len());
+                let operation =
+                    ask(cluster, fault.node, &request_id, edition_patch(&request_id, after));
+                requests.push(Request { operation, request_id, after: Some(after) });
             }
             let operation = ask(cluster, fault.node, "", Operation::Read);
-            requests.push(Request { operation, order: String::new(), after: None });
+            requests.push(Request { operation, request_id: String::new(), after: None });
         }
         _ => {}
     }
 }
 
-/// Plays the schedule of a seed; gives what is wrong with it.
-fn play(seed: u64, spoil: impl Fn(&mut Cluster)) -> Vec<String> {
-    let mut chances = Random::new(seed);
+/// Runs the schedule of a seed; returns the violations that it shows.
+fn play(seed: u64, tamper: impl Fn(&mut Cluster)) -> Vec<String> {
+    let mut random = Random::new(seed);
     let mut cluster = cluster(3);
-    cluster.jitter = [0, ms(2), ms(20)][chances.below(3) as usize];
+    cluster.jitter = [0, ms(2), ms(20)][random.below(3) as usize];
     cluster.chance = Random::new(seed ^ 0x5eed);
     for node in 0..3 {
-        let percent = [75, 100, 125][chances.below(3) as usize];
+        let percent = [75, 100, 125][random.below(3) as usize];
         rate(&mut cluster, node, percent);
     }
     let (mut requests, mut faults): (Vec<Request>, Vec<Fault>) = (Vec::new(), Vec::new());
     let (mut next_request, mut next_fault) = (SECOND, 2 * SECOND);
-    while cluster.now < BUSY {
-        spoil(&mut cluster);
+    while cluster.now < FAULTY_PERIOD {
+        tamper(&mut cluster);
         run(&mut cluster, MILLI);
         let now = cluster.now;
-        let (over, rest) = faults.into_iter().partition(|fault: &Fault| fault.ends <= now);
-        faults = rest;
-        over.iter().for_each(|fault| end(&mut cluster, fault, &mut requests));
+        let (ended, active) = faults.into_iter().partition(|fault: &Fault| fault.ends <= now);
+        faults = active;
+        ended.iter().for_each(|fault| end_fault(&mut cluster, fault, &mut requests));
         if now >= next_request {
-            // One, or several that race.
-            for _ in 0..[1, 1, 1, 4][chances.below(4) as usize] {
-                request(&mut cluster, &mut chances, &mut requests);
+            // A single request, or several concurrent ones.
+            for _ in 0..[1, 1, 1, 4][random.below(4) as usize] {
+                send_random_request(&mut cluster, &mut random, &mut requests);
             }
-            next_request = now + ms(5 + chances.below(250));
+            next_request = now + ms(5 + random.below(250));
         }
         if now >= next_fault {
-            faults.push(begin(&mut cluster, &mut chances));
-            next_fault = now + ms(200 + chances.below(4_000));
+            faults.push(inject_fault(&mut cluster, &mut random));
+            next_fault = now + ms(200 + random.below(4_000));
         }
     }
     for fault in &faults {
-        end(&mut cluster, fault, &mut requests);
+        end_fault(&mut cluster, fault, &mut requests);
     }
-    run(&mut cluster, QUIET);
+    run(&mut cluster, RECOVERY_PERIOD);
     let last = ask(&mut cluster, 0, "", Operation::Read);
     let done = answered(&mut cluster, last);
     let OperationResult::Configuration { entries: map, .. } = done else {
-        return vec![format!("nothing is read: {done:?}")];
+        return vec![format!("the final read failed: {done:?}")];
     };
-    let (applied, edition) = edition(&map);
-    let history: Vec<Asked> = requests.iter().map(|request| asked(&cluster, request)).collect();
+    let (applied, edition) = requests_and_edition(&map);
+    let history: Vec<Asked> =
+        requests.iter().map(|request| history_entry(&cluster, request)).collect();
     check(&history, &applied, edition)
 }
 
-fn asked(cluster: &Cluster, request: &Request) -> Asked {
+fn history_entry(cluster: &Cluster, request: &Request) -> Asked {
     let answer = cluster.answers.get(&request.operation);
     Asked {
-        order: request.order.clone(),
+        order: request.request_id.clone(),
         after: request.after,
         asked: cluster.asked[&request.operation],
         answered: answer.map_or(u64::MAX, |answer| answer.at),
-        told: told(answer.map(|answer| &answer.done)),
+        told: answer_kind(answer.map(|answer| &answer.done)),
     }
 }
 
-/// Plays many schedules side by side; gives the seeds of those that went wrong.
-fn wrong_schedules(seeds: u64, spoil: fn(&mut Cluster)) -> Vec<(u64, Vec<String>)> {
+/// Runs many schedules in parallel; returns the seeds of those with violations.
+fn failing_schedules(seeds: u64, tamper: fn(&mut Cluster)) -> Vec<(u64, Vec<String>)> {
     let threads: Vec<_> = (0..3)
         .map(|thread| {
             std::thread::spawn(move || {
                 let mine = (0..seeds).filter(|seed| seed % 3 == thread);
-                let played = mine.map(|seed| (seed, play(seed, spoil)));
+                let played = mine.map(|seed| (seed, play(seed, tamper)));
                 played.filter(|(_, wrong)| !wrong.is_empty()).collect::<Vec<_>>()
             })
         })
@@ -227,12 +237,12 @@
 }
 
 #[googletest::test]
-fn no_schedule_makes_a_wrong_answer() {
-    expect_that!(wrong_schedules(SEEDS, |_| {}), is_empty());
+fn answers_are_consistent_in_every_schedule() {
+    expect_that!(failing_schedules(SEEDS, |_| {}), is_empty());
 }
 
-/// A leader tells refusals by changes that are not committed.
-fn refuse_by_uncommitted(cluster: &mut Cluster) {
+/// Makes leaders reject requests because of changes that are not committed.
+fn reject_by_uncommitted(cluster: &mut Cluster) {
     for node in 0..3 {
         if let Role::Leader(leader) = &mut core_mut(cluster, node).partitions[0].role {
             leader.pending.iter_mut().for_each(|operation| operation.revision = 0);
@@ -241,11 +251,11 @@
 }
 
 #[googletest::test]
-fn answers_without_a_round_are_caught() {
-    expect_that!(wrong_schedules(12, |cluster| cluster.unproved = true), not(is_empty()));
+fn answers_without_a_quorum_round_are_detected() {
+    expect_that!(failing_schedules(12, |cluster| cluster.unproved = true), not(is_empty()));
 }
 
 #[googletest::test]
-fn refusals_by_what_is_not_committed_are_caught() {
-    expect_that!(wrong_schedules(24, refuse_by_uncommitted), not(is_empty()));
+fn rejections_by_uncommitted_changes_are_detected() {
+    expect_that!(failing_schedules(24, reject_by_uncommitted), not(is_empty()));
 }
--- a/crates/core/tests/rollouts.rs
+++ b/crates/core/tests/rollouts.rs
@@ -1,5 +1,5 @@
-//! Orders to move a service to another version: taken once, ended for good, at their term at the
-//! latest, and kept through losses.
+//! Tests of rollout orders, which move a service to another version: each is applied once, ends at
+//! its term at the latest, and survives failures of controllers.
 
 #![allow(clippy::unwrap_used)]
 
@@ -15,7 +15,7 @@
 use serde_json::json;
 
 const SERVICE: &str = "leafs";
-/// Term of the rollouts of these tests.
+/// Maximum duration of a rollout in these tests.
 const TERM: Span = 8 * SECOND;
 
 fn order(target: &str) -> RolloutOrder {
@@ -26,7 +26,8 @@
     Operation::StartRollout(order(target))
 }
 
-/// A cluster whose configuration has a pool of the service; its leader and another controller.
+/// Returns a cluster whose configuration has a pool of the service, its leader and another
+/// controller.
 fn configured() -> (Cluster, usize, usize) {
     let (mut cluster, first, other) = led(3);
     let pools = json!([{ "name": "pool", "service": SERVICE, "bears": 1 }]);
@@ -48,7 +49,7 @@
     is_repeat
 }
 
-/// The newest rollout, as a controller answers.
+/// Returns the newest rollout as a controller reports it.
 fn rollout(cluster: &mut Cluster, node: usize) -> Rollout {
     let done = result(cluster, node, "", Operation::ReadRollout(SERVICE.into()));
     let OperationResult::Rollout(Some(rollout)) = done else { panic!("{done:?}") };
@@ -56,19 +57,19 @@
 }
 
 #[googletest::test]
-fn a_rollout_ordered_again_is_acknowledged_again_through_any_controller() {
+fn a_resent_rollout_order_is_acknowledged_by_any_controller() {
     let (mut cluster, first, other) = configured();
     expect_that!(accepted(&mut cluster, first, "one", start("v2")), eq(false));
     expect_that!(accepted(&mut cluster, first, "one", start("v2")), eq(true));
     expect_that!(accepted(&mut cluster, other, "two", start("v2")), eq(true));
-    let told = rollout(&mut cluster, other);
-    expect_that!(told.state(), eq(RolloutState::InProgress));
-    expect_that!(told.target, eq("v2"));
-    expect_that!(told.history, is_empty());
+    let current = rollout(&mut cluster, other);
+    expect_that!(current.state(), eq(RolloutState::InProgress));
+    expect_that!(current.target, eq("v2"));
+    expect_that!(current.history, is_empty());
 }
 
 #[googletest::test]
-fn another_version_is_refused_while_one_is_rolled_out() {
+fn another_version_is_rejected_during_a_rollout() {
     let (mut cluster, first, other) = configured();
     accepted(&mut cluster, first, "one", start("v2"));
     let done = result(&mut cluster, other, "two", start("v3"));
@@ -76,7 +77,7 @@
 }
 
 #[googletest::test]
-fn orders_with_a_wrong_field_are_refused_by_its_name() {
+fn orders_with_an_invalid_field_are_rejected_with_its_name() {
     let (mut cluster, first, _) = configured();
     let wrong = [
         (RolloutOrder { service: "unknown".into(), ..order("v2") }, "service"),
@@ -85,17 +86,17 @@
         (RolloutOrder { term_ms: 0, ..order("v2") }, "term"),
         (RolloutOrder { term_ms: u64::MAX, ..order("v2") }, "term"),
     ];
-    for (order, place) in wrong {
-        let done = result(&mut cluster, first, place, Operation::StartRollout(order));
+    for (order, field) in wrong {
+        let done = result(&mut cluster, first, field, Operation::StartRollout(order));
         let OperationResult::Invalid(problems) = done else { panic!("{done:?}") };
-        expect_that!(problems[0].0, eq(place));
+        expect_that!(problems[0].0, eq(field));
     }
     let done = result(&mut cluster, first, "", Operation::ReadRollout(SERVICE.into()));
     expect_that!(done, eq(&OperationResult::Rollout(None)));
 }
 
 #[googletest::test]
-fn what_has_no_verdict_is_returned_within_its_term_and_stays_so() {
+fn a_rollout_without_a_verdict_is_returned_within_its_term_and_stays_so() {
     let (mut cluster, first, other) = configured();
     accepted(&mut cluster, first, "one", start("v2"));
     run(&mut cluster, TERM - ms(200));
@@ -107,43 +108,46 @@
 }
 
 #[googletest::test]
-fn a_rollout_is_not_ended_while_a_member_may_go_by_what_was_before() {
+fn a_rollout_does_not_end_while_a_member_may_apply_an_older_state() {
     let (mut cluster, first, _) = configured();
     accepted(&mut cluster, first, "one", start("v2"));
     let before = core_of(&cluster, first).partitions[0].committed_revision;
     let (mut renewals, mut held) = (0, 0);
-    let is_turned = |cluster: &mut Cluster| rollout(cluster, first).phase() != RolloutPhase::Trial;
+    let has_left_trial =
+        |cluster: &mut Cluster| rollout(cluster, first).phase() != RolloutPhase::Trial;
     for _ in 0..2 * TERM / ms(250) {
         renewals += 1;
         let applied_revision = before;
         let known_revision = core_of(&cluster, first).partitions[0].committed_revision;
-        let far = grebepath_core::protocol::membership::MemberProgress {
+        let progress = grebepath_core::protocol::membership::MemberProgress {
             applied_revision,
             known_revision,
             attestation_age_ms: 60_000,
             ready: true,
             ..Default::default()
         };
-        renew(&mut cluster, first, "m", renewals, far);
+        renew(&mut cluster, first, "m", renewals, progress);
         run(&mut cluster, ms(250));
-        held += u64::from(is_turned(&mut cluster));
+        held += u64::from(has_left_trial(&mut cluster));
         if rollout(&mut cluster, first).phase() == RolloutPhase::Returned {
             break;
         }
     }
-    // The member never obeys: the end waits until its lease can't name anything older.
+    // The member never applies a newer state: the rollout ends only when the member's lease can no
+    // longer refer to an older one.
     expect_that!(held, ge(3 * SECOND / ms(250)));
     expect_that!(rollout(&mut cluster, first).phase(), eq(RolloutPhase::Returned));
 }
 
 #[googletest::test]
-fn a_copy_of_an_order_that_comes_within_the_term_does_not_start_it_again() {
+fn a_duplicate_order_within_the_term_does_not_restart_the_rollout() {
     let (mut cluster, first, other) = configured();
     accepted(&mut cluster, first, "one", start("v2"));
     until(&mut cluster, |cluster| {
         let entries = &core_of(cluster, first).partitions[0].committed;
-        let stands = grebepath_core::rollout::record::rollout_of(entries, SERVICE).unwrap();
-        stands.phase() == RolloutPhase::Returned
+        let current_rollout =
+            grebepath_core::rollout::record::rollout_of(entries, SERVICE).unwrap();
+        current_rollout.phase() == RolloutPhase::Returned
     });
     let ended = rollout(&mut cluster, other);
     expect_that!(accepted(&mut cluster, other, "copy", start("v2")), eq(true));
@@ -154,8 +158,8 @@
 }
 
 #[googletest::test]
-fn an_order_held_between_controllers_does_not_undo_what_came_after_it() {
-    // Guards against a version that is tried again by an order which arrives late.
+fn a_delayed_order_does_not_undo_later_operations() {
+    // Guards against a delayed order that starts the trial of a version again.
     let (mut cluster, first, other) = configured();
     let base = core_of(&cluster, other).partitions[0].committed_revision;
     hold(&mut cluster, other, first, 4 * SECOND);
@@ -169,7 +173,7 @@
 }
 
 #[googletest::test]
-fn other_changes_do_not_refuse_an_order_on_an_older_revision() {
+fn unrelated_changes_do_not_reject_an_order_on_an_older_revision() {
     let (mut cluster, first, other) = configured();
     let base = core_of(&cluster, first).partitions[0].committed_revision;
     let zone = json!({ "zones": [{ "name": "a", "state": "drained" }] }).to_string().into_bytes();
@@ -180,7 +184,7 @@
 }
 
 #[googletest::test]
-fn an_aborted_rollout_goes_back_and_may_be_ordered_again() {
+fn an_aborted_rollout_is_returned_and_may_be_ordered_again() {
     let (mut cluster, first, other) = configured();
     accepted(&mut cluster, first, "one", start("v2"));
     accepted(&mut cluster, other, "abort", Operation::AbortRollout(SERVICE.into()));
@@ -193,19 +197,22 @@
 }
 
 #[googletest::test]
-fn a_rollout_goes_on_under_the_next_leader_with_the_time_that_has_passed() {
+fn a_rollout_continues_under_the_next_leader_with_its_elapsed_time() {
     let (mut cluster, first, other) = configured();
     accepted(&mut cluster, first, "one", start("v2"));
     run(&mut cluster, TERM / 2);
     isolate(&mut cluster, first);
     run(&mut cluster, TERM / 2);
-    let told = rollout(&mut cluster, other);
-    expect_that!(told.phase(), eq(RolloutPhase::Returned));
-    expect_that!(told.leader_term, lt(core_of(&cluster, other).partitions[0].state.written_term.0));
+    let current = rollout(&mut cluster, other);
+    expect_that!(current.phase(), eq(RolloutPhase::Returned));
+    expect_that!(
+        current.leader_term,
+        lt(core_of(&cluster, other).partitions[0].state.written_term.0)
+    );
 }
 
 #[googletest::test]
-fn rollouts_last_through_restarts_of_all_and_a_lost_disk() {
+fn rollouts_survive_restarts_of_all_controllers_and_a_lost_disk() {
     let (mut cluster, first, other) = configured();
     accepted(&mut cluster, first, "one", start("v2"));
     accepted(&mut cluster, other, "abort", Operation::AbortRollout(SERVICE.into()));
@@ -224,11 +231,11 @@
 }
 
 #[googletest::test]
-fn a_whole_configuration_leaves_rollouts_as_they_are() {
+fn replacing_the_configuration_keeps_rollouts() {
     let (mut cluster, first, _) = configured();
     accepted(&mut cluster, first, "one", start("v2"));
     let before = rollout(&mut cluster, first);
-    let whole = json!({ "searches": [], "pools": [], "zones": [] }).to_string().into_bytes();
-    accepted(&mut cluster, first, "replace", Operation::Replace(whole));
+    let replacement = json!({ "searches": [], "pools": [], "zones": [] }).to_string().into_bytes();
+    accepted(&mut cluster, first, "replace", Operation::Replace(replacement));
     expect_that!(rollout(&mut cluster, first), eq(&before));
 }
--- a/crates/core/tests/service_retry_budget.rs
+++ b/crates/core/tests/service_retry_budget.rs
@@ -1,4 +1,5 @@
-//! The quota of second tries over all nodes, against a count of every window.
+//! Tests of the retry budget per service over all nodes, against a count of the retries in every
+//! window.
 
 #![allow(clippy::unwrap_used)]
 
@@ -6,83 +7,85 @@
 use grebepath_core::query::service_retry_budget::{RetryRate, ServiceRetryBudget};
 use grebepath_core::random::Random;
 
-/// What came of one run: calls and second tries, each by its time in ms.
-struct Seen {
-    firsts: Vec<u64>,
-    seconds: Vec<u64>,
+/// The calls and retries of one run, each with its time (ms).
+struct Traffic {
+    first_attempts: Vec<u64>,
+    retries: Vec<u64>,
 }
 
-/// A node as it starts anew: nothing saved, and one of `n`.
-fn fresh(rate: RetryRate, n: usize) -> ServiceRetryBudget {
-    let mut q = ServiceRetryBudget::new(rate);
-    q.set_thread_count(n as u64);
-    q
+/// Returns the budget of a node that has just started, one of `node_count`: it has no credit.
+fn new_budget(rate: RetryRate, node_count: usize) -> ServiceRetryBudget {
+    let mut budget = ServiceRetryBudget::new(rate);
+    budget.set_thread_count(node_count as u64);
+    budget
 }
 
-/// Nodes that would try every call again, under traffic that comes and goes;
-/// `restarts` of a thousand steps start a node anew.
-fn run(seed: u64, n: usize, rate: RetryRate, restarts: u64) -> Seen {
+/// Simulates nodes that would retry every call, under intermittent traffic. In `restarts` of a
+/// thousand steps a node restarts.
+fn run(seed: u64, node_count: usize, rate: RetryRate, restarts: u64) -> Traffic {
     let mut random = Random::new(seed);
-    let mut nodes: Vec<ServiceRetryBudget> = (0..n).map(|_| fresh(rate, n)).collect();
-    let mut seen = Seen { firsts: Vec::new(), seconds: Vec::new() };
-    let (mut busy, mut hungry) = (true, true);
+    let mut nodes: Vec<ServiceRetryBudget> =
+        (0..node_count).map(|_| new_budget(rate, node_count)).collect();
+    let mut traffic = Traffic { first_attempts: Vec::new(), retries: Vec::new() };
+    let (mut is_busy, mut is_retrying) = (true, true);
     for now in 0..60_000u64 {
         if now % 700 == 0 {
-            busy = random.chance(2, 3);
-            // Times in which nobody tries again, so that all is saved up.
-            hungry = random.chance(1, 2);
+            is_busy = random.chance(2, 3);
+            // There are periods without retries, in which the nodes save the maximum credit.
+            is_retrying = random.chance(1, 2);
         }
         if random.chance(restarts, 1_000) {
-            let i = random.below(n as u64) as usize;
-            nodes[i] = fresh(rate, n);
+            let i = random.below(node_count as u64) as usize;
+            nodes[i] = new_budget(rate, node_count);
         }
         // Clients are not spread evenly over the nodes.
-        let i = random.below(n as u64).min(random.below(n as u64)) as usize;
-        if busy {
+        let i = random.below(node_count as u64).min(random.below(node_count as u64)) as usize;
+        if is_busy {
             nodes[i].record_first_attempt("s");
-            seen.firsts.push(now);
+            traffic.first_attempts.push(now);
         }
-        for node in nodes.iter_mut().filter(|_| hungry) {
+        for node in nodes.iter_mut().filter(|_| is_retrying) {
             while node.try_retry("s") {
-                seen.seconds.push(now);
+                traffic.retries.push(now);
             }
         }
     }
-    seen
+    traffic
 }
 
-fn within(list: &[u64], from: u64, to: u64) -> u64 {
+fn count_between(list: &[u64], from: u64, to: u64) -> u64 {
     (list.partition_point(|t| *t < to) - list.partition_point(|t| *t < from)) as u64
 }
 
-/// The most second tries over the rule, in thousandths, in any window of `len`.
-fn over(seen: &Seen, rate: RetryRate, len: u64) -> i64 {
+/// Returns the maximum excess of retries over the limit, in thousandths of a retry, in any window of
+/// `len` ms.
+fn excess(traffic: &Traffic, rate: RetryRate, len: u64) -> i64 {
     (0..60_000)
         .step_by(23)
         .map(|at| {
-            let seconds = within(&seen.seconds, at, at + len) as i64 * 1_000;
-            let firsts = within(&seen.firsts, at, at + len) as i64;
-            seconds - firsts * rate.per_thousand as i64 - rate.fleet_slack as i64 * 1_000
+            let retries = count_between(&traffic.retries, at, at + len) as i64 * 1_000;
+            let first_attempts = count_between(&traffic.first_attempts, at, at + len) as i64;
+            retries - first_attempts * rate.per_thousand as i64 - rate.fleet_slack as i64 * 1_000
         })
         .max()
         .unwrap_or(0)
 }
 
 #[googletest::test]
-fn no_window_has_more_second_tries_than_share_and_slack_allow() {
-    // Guards against bursts: what was saved up is spent together with what is
-    // earned, on all nodes at once, and a node that restarts saves anew.
+fn retries_stay_within_share_and_slack_in_any_window() {
+    // Guards against bursts: all nodes may spend saved and earned credit at the same time, and a
+    // restarted node saves credit again.
     let rates = [(200, 52), (100, 40), (400, 12), (50, 90)];
     for (k, (share, slack)) in rates.into_iter().enumerate() {
         let rate = RetryRate { per_thousand: share, fleet_slack: slack };
-        for n in [1usize, 3, 8] {
+        for node_count in [1usize, 3, 8] {
             for restarts in [0, 1, 20] {
-                let seen = run(k as u64 * 100 + n as u64, n, rate, restarts);
+                let traffic = run(k as u64 * 100 + node_count as u64, node_count, rate, restarts);
                 for len in [1, 100, 1_000, 10_000, 30_000] {
-                    let over = over(&seen, rate, len);
+                    let excess = excess(&traffic, rate, len);
                     assert!(
-                        over <= 0,
-                        "{rate:?} {n} nodes, {restarts}: over by {over} in {len} ms"
+                        excess <= 0,
+                        "{rate:?} {node_count} nodes, {restarts}: over by {excess} in {len} ms"
                     );
                 }
             }
@@ -91,85 +94,88 @@
 }
 
 #[googletest::test]
-fn with_more_nodes_than_slack_no_more_than_one_try_each_goes_beyond_it() {
-    // A part of the slack below one try could never be spent, so each node may
-    // save one. This bounds what that costs a fleet larger than its slack.
+fn with_more_nodes_than_slack_each_exceeds_it_by_at_most_one_retry() {
+    // A part of the slack below one retry could never be spent, so each node may save one. This
+    // bounds the excess in a cluster with more nodes than slack.
     let rate = RetryRate { per_thousand: 200, fleet_slack: 20 };
-    for n in [19u64, 40, 80] {
-        let seen = run(n, n as usize, rate, 1);
+    for node_count in [19u64, 40, 80] {
+        let traffic = run(node_count, node_count as usize, rate, 1);
         for len in [1, 1_000, 10_000] {
-            let over = over(&seen, rate, len);
-            let most = n.saturating_sub(rate.fleet_slack) as i64 * 1_000;
-            println!("{n} nodes: {over} thousandths over the rule in some {len} ms");
-            assert!(over <= most, "{n} nodes: over by {over} of {most} in {len} ms");
+            let excess = excess(&traffic, rate, len);
+            let max_excess = node_count.saturating_sub(rate.fleet_slack) as i64 * 1_000;
+            println!("{node_count} nodes: {excess} thousandths over the limit in some {len} ms");
+            assert!(
+                excess <= max_excess,
+                "{node_count} nodes: over by {excess} of {max_excess} in {len} ms"
+            );
         }
     }
 }
 
 #[googletest::test]
-fn most_of_what_the_rule_allows_can_be_spent() {
-    // Guards against a quota that keeps the rule by allowing nothing.
+fn most_of_the_allowed_retries_can_be_sent() {
+    // Guards against a budget that keeps the limit by allowing no retries.
     let rate = RetryRate { per_thousand: 200, fleet_slack: 52 };
-    let seen = run(5, 6, rate, 0);
-    let allowed = seen.firsts.len() as u64 * rate.per_thousand / 1_000;
-    // Half of the time nobody tries again, and little is saved over it.
-    expect_that!(seen.seconds.len() as u64 * 100, ge(allowed * 40));
+    let traffic = run(5, 6, rate, 0);
+    let allowed = traffic.first_attempts.len() as u64 * rate.per_thousand / 1_000;
+    // For half of the time no node retries, and little credit is saved over such a period.
+    expect_that!(traffic.retries.len() as u64 * 100, ge(allowed * 40));
 }
 
 #[googletest::test]
-fn a_node_that_just_started_has_nothing_to_spend() {
-    // Guards against restarts as a source of second tries.
+fn a_new_node_has_no_credit() {
+    // Guards against restarts that allow additional retries.
     let rate = RetryRate { per_thousand: 200, fleet_slack: 1_000 };
-    let mut q = fresh(rate, 1);
-    expect_that!(q.try_retry("s"), eq(false));
-    q.record_first_attempt("s");
-    expect_that!(q.try_retry("s"), eq(false));
+    let mut budget = new_budget(rate, 1);
+    expect_that!(budget.try_retry("s"), eq(false));
+    budget.record_first_attempt("s");
+    expect_that!(budget.try_retry("s"), eq(false));
     for _ in 0..5 {
-        q.record_first_attempt("s");
+        budget.record_first_attempt("s");
     }
-    expect_that!(q.try_retry("s"), eq(true));
-    expect_that!(q.try_retry("s"), eq(false));
+    expect_that!(budget.try_retry("s"), eq(true));
+    expect_that!(budget.try_retry("s"), eq(false));
 }
 
 #[googletest::test]
-fn services_save_and_spend_apart() {
-    let mut q = fresh(RetryRate { per_thousand: 1_000, fleet_slack: 100 }, 1);
+fn services_have_separate_credits() {
+    let mut budget = new_budget(RetryRate { per_thousand: 1_000, fleet_slack: 100 }, 1);
     for _ in 0..10 {
-        q.record_first_attempt("a");
+        budget.record_first_attempt("a");
     }
-    expect_that!(q.try_retry("b"), eq(false));
-    expect_that!(q.try_retry("a"), eq(true));
-    q.retain(|s| s != "a");
-    expect_that!(q.try_retry("a"), eq(false), "a service that is forgotten saves anew");
+    expect_that!(budget.try_retry("b"), eq(false));
+    expect_that!(budget.try_retry("a"), eq(true));
+    budget.retain(|s| s != "a");
+    expect_that!(budget.try_retry("a"), eq(false), "the credit of a removed service is lost");
 }
 
 #[googletest::test]
-fn a_larger_fleet_and_a_stricter_rule_take_back_what_was_saved() {
-    // Guards against nodes that hold on to a part of the slack which others
-    // have by now.
-    let spend = |q: &mut ServiceRetryBudget| (0..1_000).filter(|_| q.try_retry("s")).count();
-    let rich = || {
-        let mut q = fresh(RetryRate { per_thousand: 1_000, fleet_slack: 100 }, 1);
+fn credit_shrinks_with_a_larger_cluster_or_a_lower_rate() {
+    // Guards against nodes that keep a part of the slack that has been assigned to others.
+    let spend_all =
+        |budget: &mut ServiceRetryBudget| (0..1_000).filter(|_| budget.try_retry("s")).count();
+    let budget_at_limit = || {
+        let mut budget = new_budget(RetryRate { per_thousand: 1_000, fleet_slack: 100 }, 1);
         for _ in 0..1_000 {
-            q.record_first_attempt("s");
+            budget.record_first_attempt("s");
         }
-        q
+        budget
     };
-    expect_that!(spend(&mut rich()), eq(95));
-    let mut q = rich();
-    q.set_thread_count(10);
-    expect_that!(spend(&mut q), eq(9));
-    let mut q = rich();
-    // Without a place in the membership nobody knows what others spend.
-    q.set_thread_count(0);
-    expect_that!(spend(&mut q), eq(1));
-    let mut q = rich();
-    q.set_rate(RetryRate { per_thousand: 10, fleet_slack: 20 }, 2);
-    expect_that!(spend(&mut q), eq(9));
-    // A share of nothing earns nothing.
-    let mut q = fresh(RetryRate { per_thousand: 0, fleet_slack: 50 }, 1);
+    expect_that!(spend_all(&mut budget_at_limit()), eq(95));
+    let mut budget = budget_at_limit();
+    budget.set_thread_count(10);
+    expect_that!(spend_all(&mut budget), eq(9));
+    let mut budget = budget_at_limit();
+    // Outside the membership the number of nodes that share the slack is unknown.
+    budget.set_thread_count(0);
+    expect_that!(spend_all(&mut budget), eq(1));
+    let mut budget = budget_at_limit();
+    budget.set_rate(RetryRate { per_thousand: 10, fleet_slack: 20 }, 2);
+    expect_that!(spend_all(&mut budget), eq(9));
+    // A rate of zero earns no credit.
+    let mut budget = new_budget(RetryRate { per_thousand: 0, fleet_slack: 50 }, 1);
     for _ in 0..100 {
-        q.record_first_attempt("s");
+        budget.record_first_attempt("s");
     }
-    expect_that!(spend(&mut q), eq(0));
+    expect_that!(spend_all(&mut budget), eq(0));
 }
--- a/crates/core/tests/serving_without_lease.rs
+++ b/crates/core/tests/serving_without_lease.rs
@@ -1,4 +1,5 @@
-//! A member that serves on without a lease goes by what the others know of leafs.
+//! Tests that a member which continues to serve without a lease has the leaf state that the other
+//! members have.
 
 use googletest::prelude::*;
 use grebepath_core::identifiers::{PartitionId, Term, service_partition};
@@ -12,8 +13,8 @@
 const SERVICE: &str = "notices-1";
 const LEAF: &str = "notices-1.7";
 
-/// The time at which the controllers have been silent for longer than a lease.
-const LAPSED: Tick = BOOT + 5 * SECOND;
+/// Time at which no controller has been heard for longer than a lease.
+const LEASE_EXPIRED: Tick = BOOT + 5 * SECOND;
 
 fn member(name: &str) -> Member {
     Member {
@@ -26,7 +27,7 @@
     }
 }
 
-/// A member of two that had a lease and knows a leaf. The controllers are silent.
+/// Returns one of two members. It had a lease and knows a leaf; no controller responds any more.
 fn agent() -> NodeAgent {
     let mut agent = NodeAgent::new(member("a"), BOOT);
     let membership = Membership {
@@ -55,7 +56,7 @@
     agent
 }
 
-/// The answer of `b`, which holds the leaf's partition up to `revision`.
+/// Returns the gossip reply of `b`, which has the leaf's partition up to `revision`.
 fn answer(now: Tick, agent: &NodeAgent, revision: u64) -> Event {
     let positions = vec![FeedPosition { partition: service_partition(SERVICE), revision }];
     let attestation = Attestation {
@@ -76,24 +77,24 @@
 }
 
 #[gtest]
-fn a_proof_of_a_member_that_knows_more_of_the_leafs_does_not_count() {
+fn an_attestation_of_a_member_with_newer_leaf_entries_does_not_count() {
     let mut agent = agent();
-    let event = answer(LAPSED, &agent, 5);
-    agent.step(LAPSED, event);
+    let event = answer(LEASE_EXPIRED, &agent, 5);
+    agent.step(LEASE_EXPIRED, event);
     expect_that!(agent.proof_expiry(), eq(0));
-    // Once we have what it has, its next answer counts.
+    // Once this member has the same revision, the next reply of `b` counts.
     agent
         .partitions
         .get_mut(&service_partition(SERVICE))
         .expect("a partition of services")
         .revision = 5;
-    let event = answer(LAPSED + ms(250), &agent, 5);
-    agent.step(LAPSED + ms(250), event);
-    expect_that!(agent.proof_expiry(), gt(LAPSED));
+    let event = answer(LEASE_EXPIRED + ms(250), &agent, 5);
+    agent.step(LEASE_EXPIRED + ms(250), event);
+    expect_that!(agent.proof_expiry(), gt(LEASE_EXPIRED));
 }
 
-/// What a step tells other members: the kinds of messages, in order.
-fn told(commands: &[Command]) -> Vec<&'static str> {
+/// Returns the kinds of messages that a step sends to other members, in order.
+fn message_kinds(commands: &[Command]) -> Vec<&'static str> {
     let kind = |message: &Message| match message {
         Message::LeafReports { .. } => Some("reports"),
         Message::Gossip { echo: Some(_), .. } => Some("answer"),
@@ -107,12 +108,12 @@
 }
 
 #[gtest]
-fn an_attestation_comes_behind_the_reports_of_leafs_that_leave() {
+fn an_attestation_is_sent_after_the_reports_of_leaving_leafs() {
     let mut agent = agent();
     let report = LeafReport { leaf: LEAF.into(), leaving: true, gone: false, age_ms: 0 };
     let reported = Event::LeafReport { service: SERVICE.into(), report };
-    agent.step(LAPSED, reported);
-    let question = Message::Gossip {
+    agent.step(LEASE_EXPIRED, reported);
+    let gossip = Message::Gossip {
         name: "b".into(),
         controller_contact_age_ms: 5_000,
         ready: true,
@@ -121,14 +122,14 @@
         echo: None,
         attestation: None,
     };
-    // Well before the report is due to be sent again.
-    let now = LAPSED + ms(10);
-    let commands = agent.step(now, Event::FromMember { name: "b".into(), message: question });
-    expect_that!(told(&commands), elements_are![eq(&"reports"), eq(&"answer")]);
+    // Before the report is due to be sent again.
+    let now = LEASE_EXPIRED + ms(10);
+    let commands = agent.step(now, Event::FromMember { name: "b".into(), message: gossip });
+    expect_that!(message_kinds(&commands), elements_are![eq(&"reports"), eq(&"answer")]);
     let partition: PartitionId = service_partition(SERVICE);
-    let is_told = |command: &Command| {
-        matches!(command, Command::ToMember { message: Message::LeafReports { partition: told, .. }, .. }
-            if *told == partition)
+    let is_report_of_partition = |command: &Command| {
+        matches!(command, Command::ToMember { message: Message::LeafReports { partition: reported, .. }, .. }
+            if *reported == partition)
     };
-    expect_that!(commands.iter().any(is_told), eq(true));
+    expect_that!(commands.iter().any(is_report_of_partition), eq(true));
 }
--- a/crates/core/tests/trial_exposure.rs
+++ b/crates/core/tests/trial_exposure.rs
@@ -1,5 +1,5 @@
-//! What reaches a version that is tried stays below its share and slack, summed over all nodes,
-//! whatever nodes start anew and whenever the surge comes.
+//! Tests that the requests to a version under trial, summed over all nodes, stay below their share
+//! and slack, whichever nodes restart and whenever the surge begins.
 
 use googletest::prelude::*;
 use grebepath_core::random::Random;
@@ -26,14 +26,14 @@
 }
 
 #[googletest::test]
-fn the_sum_over_all_nodes_keeps_the_limit_through_restarts() {
-    let mut tried_in_all = 0;
+fn total_exposure_stays_within_the_limit_through_restarts() {
+    let mut total_trial_requests = 0;
     for seed in 0..200 {
         let mut random = Random::new(seed);
         let threads = 1 + random.below(400);
         let mut nodes: Vec<TrialState> =
             (0..threads).map(|_| new_state(threads, true, &mut random)).collect();
-        let (mut answers, mut tried) = (0, 0);
+        let (mut answers, mut trial_requests) = (0, 0);
         let surge = random.below(10_000)..10_000;
         for at in 0..10_000 {
             let step = if surge.contains(&at) { TrialStep::Surge } else { TrialStep::Steady };
@@ -45,18 +45,21 @@
             nodes[node].earn();
             if nodes[node].can_spend(step) {
                 nodes[node].spend(step);
-                tried += 1;
+                trial_requests += 1;
             }
-            assert!(tried <= answers / 10 + 50, "seed {seed}: {tried} of {answers}");
+            assert!(
+                trial_requests <= answers / 10 + 50,
+                "seed {seed}: {trial_requests} of {answers}"
+            );
         }
-        tried_in_all += tried;
+        total_trial_requests += trial_requests;
     }
-    // A node that tries hardly anything would keep every limit.
-    expect_that!(tried_in_all, gt(200 * 10_000 / 50));
+    // Guards against nodes that keep the limit by sending hardly any requests.
+    expect_that!(total_trial_requests, gt(200 * 10_000 / 50));
 }
 
 #[googletest::test]
-fn what_is_saved_is_spent_in_the_surge_alone() {
+fn saved_credit_is_spent_only_in_the_surge() {
     let mut random = Random::new(1);
     let mut node = new_state(1, false, &mut random);
     for _ in 0..1_000 {
@@ -76,7 +79,7 @@
 }
 
 #[googletest::test]
-fn a_thread_that_sees_bad_answers_stops_by_itself() {
+fn a_thread_stops_sending_after_bad_answers() {
     let mut random = Random::new(1);
     let mut node = new_state(1, false, &mut random);
     for _ in 0..1_000 {
@@ -90,7 +93,7 @@
 }
 
 #[googletest::test]
-fn a_slow_answer_of_the_new_version_names_its_leaf() {
+fn a_slow_answer_of_the_new_version_marks_its_leaf_as_poor() {
     let mut random = Random::new(1);
     let mut node = new_state(1, false, &mut random);
     for _ in 0..20 {
--- a/crates/core/tests/unconditional_requests.rs
+++ b/crates/core/tests/unconditional_requests.rs
@@ -1,6 +1,7 @@
-//! Orders without an id and without a base: a copy that comes late can't be told from a new one,
-//! so no controller carries one out. Its sender is told which revision stands, and an order on
-//! that revision is refused once another was accepted, however late it comes.
+//! Tests of operator requests without a request id and without a base. A delayed copy of such a
+//! request can't be distinguished from a new one, so no controller applies it. The response names
+//! the current revision; a request on that revision is rejected, however late it arrives, once
+//! another one was accepted.
 
 #![allow(clippy::unwrap_used)]
 
@@ -14,16 +15,16 @@
 use grebepath_core::time::{SECOND, Span};
 use serde_json::json;
 
-/// How long a connection between controllers holds what is sent on it.
-const HOLD: Span = 4 * SECOND;
+/// Delay of the messages on a connection between controllers.
+const DELAY: Span = 4 * SECOND;
 
 fn zone(state: &str) -> Operation {
     let val = json!({ "zones": [{ "name": "a", "state": state }] });
     Operation::Patch(val.to_string().into_bytes())
 }
 
-/// The revision that stands, as a controller tells the sender of an order without a base.
-fn base_told(cluster: &mut Cluster, node: usize) -> u64 {
+/// Returns the current revision, as a controller reports it in response to a request without a base.
+fn reported_revision(cluster: &mut Cluster, node: usize) -> u64 {
     let operation = ask(cluster, node, "", zone("open"));
     match answered(cluster, operation) {
         OperationResult::Conflict { revision } => revision,
@@ -37,31 +38,31 @@
     assert!(matches!(done, OperationResult::Accepted { .. }), "{done:?}");
 }
 
-/// Whether the zone is drained, as a controller has it committed.
+/// Returns whether the zone is drained in the committed state of a controller.
 fn is_drained(cluster: &Cluster, node: usize) -> bool {
     let configuration = Config::from_entries(&core_of(cluster, node).partitions[0].committed);
     configuration.unwrap().zones.get("a").is_some_and(|zone| zone.drained)
 }
 
 #[googletest::test]
-fn no_controller_carries_out_an_order_without_id_and_base() {
+fn a_request_without_id_and_base_is_never_applied() {
     let (mut cluster, first, other) = led(3);
     accept(&mut cluster, first, "drain", "drained");
     run(&mut cluster, SECOND);
     let committed = core_of(&cluster, first).partitions[0].committed_revision;
     for node in [first, other] {
-        expect_that!(base_told(&mut cluster, node), eq(committed), "{node}");
+        expect_that!(reported_revision(&mut cluster, node), eq(committed), "{node}");
     }
     run(&mut cluster, SECOND);
     expect_that!(is_drained(&cluster, first), eq(true));
 }
 
 #[googletest::test]
-fn an_order_on_the_revision_that_was_told_is_carried_out_once() {
+fn a_request_on_the_reported_revision_is_applied_once() {
     let (mut cluster, first, other) = led(3);
     accept(&mut cluster, first, "drain", "drained");
     run(&mut cluster, SECOND);
-    let base = base_told(&mut cluster, other);
+    let base = reported_revision(&mut cluster, other);
     for is_repeat in [false, true] {
         let confirmed = ask_on(&mut cluster, other, "confirmed", base, zone("open"));
         let done = answered(&mut cluster, confirmed);
@@ -73,47 +74,48 @@
     expect_that!(is_drained(&cluster, first), eq(false));
 }
 
-/// What tells a late copy of an order from a new one.
-enum OrderTie {
-    /// The revision that its sender was told.
+/// What distinguishes a delayed copy of a request from a new one.
+enum RequestIdentity {
+    /// The revision that was reported to the sender.
     Revision,
-    /// Nothing but an id that the controller made up for it.
-    MadeUpId,
+    /// Only a request id that the controller generated for it.
+    GeneratedId,
 }
 
-/// A connection between controllers holds an order while its sender gives two others elsewhere.
-/// Tells whether the zone is as the last of them says, and what came of the held one.
-fn hold_an_order(tie: OrderTie) -> (bool, OperationResult) {
+/// Delays a request on a connection between controllers while its sender sends two others through
+/// another controller. Returns whether the zone is drained, as the last of them demands, and the
+/// result of the delayed request.
+fn delay_a_request(identity: RequestIdentity) -> (bool, OperationResult) {
     let (mut cluster, first, other) = led(3);
     let third = 3 - first - other;
     accept(&mut cluster, first, "drain", "drained");
     run(&mut cluster, SECOND);
-    let base = base_told(&mut cluster, other);
-    hold(&mut cluster, other, first, HOLD);
-    let held = match tie {
-        OrderTie::Revision => ask_on(&mut cluster, other, "held", base, zone("open")),
-        OrderTie::MadeUpId => ask(&mut cluster, other, "held", zone("open")),
+    let base = reported_revision(&mut cluster, other);
+    hold(&mut cluster, other, first, DELAY);
+    let held = match identity {
+        RequestIdentity::Revision => ask_on(&mut cluster, other, "held", base, zone("open")),
+        RequestIdentity::GeneratedId => ask(&mut cluster, other, "held", zone("open")),
     };
     run(&mut cluster, SECOND);
     accept(&mut cluster, third, "open", "open");
     accept(&mut cluster, third, "drain again", "drained");
-    run(&mut cluster, HOLD);
-    assert!(believes(&cluster, first), "the same leader in the same term");
+    run(&mut cluster, DELAY);
+    assert!(believes(&cluster, first), "the leader must not change");
     let done = answered(&mut cluster, held);
     (is_drained(&cluster, first), done)
 }
 
 #[googletest::test]
-fn an_order_held_between_controllers_is_refused_after_later_ones() {
-    // Guards against a drained zone that is opened by an order which arrives late in the same term.
-    let (ends_drained, done) = hold_an_order(OrderTie::Revision);
+fn a_delayed_request_is_rejected_after_later_ones() {
+    // Guards against a drained zone that is opened by a delayed request in the same term.
+    let (ends_drained, done) = delay_a_request(RequestIdentity::Revision);
     expect_that!(ends_drained, eq(true));
     expect_that!(done, matches_pattern!(OperationResult::Conflict { .. }));
 }
 
 #[googletest::test]
-fn the_same_order_under_a_made_up_id_is_carried_out_late() {
-    // What the listener did before: it shows that the test above can fail.
-    let (ends_drained, _) = hold_an_order(OrderTie::MadeUpId);
+fn the_same_request_under_a_generated_id_is_applied_late() {
+    // The listener once generated ids in this way; shows that the test above can fail.
+    let (ends_drained, _) = delay_a_request(RequestIdentity::GeneratedId);
     expect_that!(ends_drained, eq(false));
 }
--- a/crates/core/tests/verdicts.rs
+++ b/crates/core/tests/verdicts.rs
@@ -1,5 +1,5 @@
-//! The verdict of the watchers over drawn rollouts: how often it is false either way, and what one
-//! watcher that errs alone can bring about.
+//! Tests of the verdict over random rollouts: how often it is a false positive or a false negative,
+//! and whether a single faulty observer can change it.
 
 use googletest::prelude::*;
 use grebepath_core::random::Random;
@@ -7,120 +7,121 @@
 use grebepath_core::rollout::verdict::{Assessment, Verdict};
 use grebepath_core::time::{Span, ms};
 
-/// Rollouts that are drawn of each kind.
-const DRAWN: u64 = 10_000;
-/// Looks at the votes in one rollout.
-const LOOKS: u64 = 24;
-/// Routes of the service, with the share of its traffic (percent).
+/// Number of simulated rollouts of each kind.
+const ROLLOUTS: u64 = 10_000;
+/// Number of assessments in one rollout.
+const ASSESSMENTS: u64 = 24;
+/// Routes of the service, with their share of its traffic (percent).
 const ROUTES: [(&str, u64); 2] = [("often", 70), ("seldom", 30)];
-/// Leafs of the new version.
+/// Number of leafs of the new version.
 const LEAFS: u64 = 8;
 
-/// A rollout as it is drawn.
-struct DrawnRollout {
-    watchers: u64,
-    /// Answers of the new version in all.
-    tried: u64,
-    /// Answers of the old version for each of the new one.
-    served_for_each: u64,
-    /// Broken answers of any leaf, in thousandths.
-    broken: u64,
-    /// Slow zones: all answers that some watchers get take so many times as long.
-    slow_watchers: u64,
-    /// One leaf of the new version that fails half of its requests, as leafs do.
-    has_sick_leaf: bool,
-    /// Poor answers of the new version beyond that, in thousandths.
-    excess: u64,
-    /// Whether those are slow; else they are broken.
+/// The parameters of a simulated rollout.
+struct SimulatedRollout {
+    observers: u64,
+    /// Total number of answers of the new version.
+    new_answers: u64,
+    /// Number of answers of the old version for each of the new one.
+    old_answers_per_new: u64,
+    /// Bad answers of any leaf, for each thousand.
+    broken_per_thousand: u64,
+    /// Number of observers in slow zones: all their answers take four times as long.
+    slow_observers: u64,
+    /// Whether one leaf of the new version fails half of its requests, which says nothing about the
+    /// version.
+    has_faulty_leaf: bool,
+    /// Additional poor answers of the new version, for each thousand.
+    excess_per_thousand: u64,
+    /// Whether the additional poor answers are slow; otherwise they are bad.
     is_slow: bool,
-    /// Only on the second route.
+    /// Whether the additional poor answers occur only on the second route.
     on_one_route: bool,
 }
 
-fn sound(random: &mut Random) -> DrawnRollout {
-    DrawnRollout {
-        watchers: 3 + random.below(100),
-        tried: 150 + random.below(250),
-        served_for_each: 10 + random.below(10),
-        broken: random.below(40),
-        slow_watchers: random.below(3),
-        has_sick_leaf: random.chance(1, 4),
-        excess: 0,
+fn sound(random: &mut Random) -> SimulatedRollout {
+    SimulatedRollout {
+        observers: 3 + random.below(100),
+        new_answers: 150 + random.below(250),
+        old_answers_per_new: 10 + random.below(10),
+        broken_per_thousand: random.below(40),
+        slow_observers: random.below(3),
+        has_faulty_leaf: random.chance(1, 4),
+        excess_per_thousand: 0,
         is_slow: false,
         on_one_route: false,
     }
 }
 
-fn bad(random: &mut Random) -> DrawnRollout {
-    DrawnRollout {
-        excess: 250 + random.below(500),
+fn bad(random: &mut Random) -> SimulatedRollout {
+    SimulatedRollout {
+        excess_per_thousand: 250 + random.below(500),
         is_slow: random.chance(1, 3),
         on_one_route: random.chance(1, 3),
         ..sound(random)
     }
 }
 
-/// How long an answer takes: 10 to 30 ms, seldom four times as long.
+/// Returns a random latency: 10 to 30 ms, rarely four times as long.
 fn latency(random: &mut Random) -> Span {
     let usual = ms(10) + random.below(ms(20));
     if random.chance(2, 100) { usual * 4 } else { usual }
 }
 
-struct Watchers {
-    rollout: DrawnRollout,
+struct Observers {
+    rollout: SimulatedRollout,
     evidence: Vec<TrialEvidence>,
 }
 
-impl Watchers {
-    fn new(rollout: DrawnRollout) -> Watchers {
-        let evidence = vec![TrialEvidence::default(); rollout.watchers as usize];
-        Watchers { rollout, evidence }
+impl Observers {
+    fn new(rollout: SimulatedRollout) -> Observers {
+        let evidence = vec![TrialEvidence::default(); rollout.observers as usize];
+        Observers { rollout, evidence }
     }
 
     fn answer(&mut self, random: &mut Random, is_new: bool) {
         let rollout = &self.rollout;
-        let watcher = random.below(rollout.watchers);
+        let observer = random.below(rollout.observers);
         let (route, _) = ROUTES[usize::from(random.below(100) >= ROUTES[0].1)];
         let leaf = random.below(LEAFS);
-        let slow_down = if watcher < rollout.slow_watchers { 4 } else { 1 };
-        let is_hit = is_new
-            && random.chance(rollout.excess, 1_000)
+        let latency_factor = if observer < rollout.slow_observers { 4 } else { 1 };
+        let is_excess = is_new
+            && random.chance(rollout.excess_per_thousand, 1_000)
             && (!rollout.on_one_route || route == ROUTES[1].0);
-        let is_sick = is_new && rollout.has_sick_leaf && leaf == 0 && random.chance(1, 2);
-        let is_broken = random.chance(rollout.broken, 1_000) || is_sick;
-        let quality = match (is_hit, rollout.is_slow) {
+        let is_leaf_fault = is_new && rollout.has_faulty_leaf && leaf == 0 && random.chance(1, 2);
+        let is_broken = random.chance(rollout.broken_per_thousand, 1_000) || is_leaf_fault;
+        let quality = match (is_excess, rollout.is_slow) {
             (true, false) => AnswerQuality::Bad,
-            (true, true) => AnswerQuality::Good(latency(random) * slow_down * 8),
+            (true, true) => AnswerQuality::Good(latency(random) * latency_factor * 8),
             (false, _) if is_broken => AnswerQuality::Bad,
-            (false, _) => AnswerQuality::Good(latency(random) * slow_down),
+            (false, _) => AnswerQuality::Good(latency(random) * latency_factor),
         };
-        let evidence = &mut self.evidence[watcher as usize];
-        let known = evidence.route_mut(route);
+        let evidence = &mut self.evidence[observer as usize];
+        let route_evidence = evidence.route_mut(route);
         if is_new {
-            known.new.record(quality)
+            route_evidence.new.record(quality)
         } else {
-            known.old.record(quality)
+            route_evidence.old.record(quality)
         }
-        if is_new && (is_hit || quality == AnswerQuality::Bad) {
+        if is_new && (is_excess || quality == AnswerQuality::Bad) {
             evidence.note_poor_leaf(leaf);
         }
     }
 
     fn verdict(&self) -> Verdict {
-        let vote = Assessment {
+        let assessment = Assessment {
             evidence: self.evidence.iter().collect(),
             members: self.evidence.len(),
             new_leafs: LEAFS as usize,
         };
-        vote.verdict()
+        assessment.verdict()
     }
 
-    /// The verdict as the leader comes to it: bad at any look, good only at the last.
-    fn judged(mut self, random: &mut Random) -> Verdict {
-        for _ in 0..LOOKS {
-            for _ in 0..self.rollout.tried / LOOKS {
+    /// Returns the verdict of the leader: bad as of any assessment, good only as of the last.
+    fn final_verdict(mut self, random: &mut Random) -> Verdict {
+        for _ in 0..ASSESSMENTS {
+            for _ in 0..self.rollout.new_answers / ASSESSMENTS {
                 self.answer(random, true);
-                for _ in 0..self.rollout.served_for_each {
+                for _ in 0..self.rollout.old_answers_per_new {
                     self.answer(random, false);
                 }
             }
@@ -132,7 +133,7 @@
     }
 }
 
-/// How many of the drawn rollouts come to each verdict.
+/// Number of simulated rollouts with each verdict.
 #[derive(Debug, Default)]
 struct Counts {
     good: u64,
@@ -140,12 +141,12 @@
     undecided: u64,
 }
 
-fn judge_all(draw: impl Fn(&mut Random) -> DrawnRollout) -> Counts {
+fn count_verdicts(draw: impl Fn(&mut Random) -> SimulatedRollout) -> Counts {
     let mut counts = Counts::default();
-    for seed in 0..DRAWN {
+    for seed in 0..ROLLOUTS {
         let mut random = Random::new(seed);
-        let watchers = Watchers::new(draw(&mut random));
-        match watchers.judged(&mut random) {
+        let observers = Observers::new(draw(&mut random));
+        match observers.final_verdict(&mut random) {
             Verdict::Good => counts.good += 1,
             Verdict::Bad => counts.bad += 1,
             Verdict::Undecided => counts.undecided += 1,
@@ -155,22 +156,22 @@
 }
 
 #[googletest::test]
-fn of_ten_thousand_bad_versions_hardly_one_passes() {
-    let counts = judge_all(bad);
+fn at_most_one_bad_version_in_a_thousand_is_found_good() {
+    let counts = count_verdicts(bad);
     println!("bad versions: {counts:?}");
-    expect_that!(counts.good, le(DRAWN / 1_000));
+    expect_that!(counts.good, le(ROLLOUTS / 1_000));
 }
 
 #[googletest::test]
-fn of_ten_thousand_sound_versions_hardly_one_is_condemned() {
-    let counts = judge_all(sound);
+fn at_most_one_sound_version_in_a_thousand_is_found_bad() {
+    let counts = count_verdicts(sound);
     println!("sound versions: {counts:?}");
-    expect_that!(counts.bad, le(DRAWN / 1_000));
-    expect_that!(counts.good, ge(DRAWN * 8 / 10));
+    expect_that!(counts.bad, le(ROLLOUTS / 1_000));
+    expect_that!(counts.good, ge(ROLLOUTS * 8 / 10));
 }
 
-/// Watchers of a version, each with the same answers.
-fn uniform(watchers: usize, old_good: u32, new_good: u32, new_bad: u32) -> Vec<TrialEvidence> {
+/// Returns the evidence of observers that all got the same answers.
+fn uniform(observers: usize, old_good: u32, new_good: u32, new_bad: u32) -> Vec<TrialEvidence> {
     let mut evidence = TrialEvidence::default();
     for _ in 0..old_good {
         evidence.route_mut("r").old.record(AnswerQuality::Good(ms(20)));
@@ -182,7 +183,7 @@
         evidence.route_mut("r").new.record(AnswerQuality::Bad);
         evidence.note_poor_leaf(u64::from(leaf));
     }
-    vec![evidence; watchers]
+    vec![evidence; observers]
 }
 
 fn verdict(evidence: &[TrialEvidence]) -> Verdict {
@@ -191,32 +192,32 @@
 }
 
 #[googletest::test]
-fn a_watcher_that_errs_alone_condemns_nothing() {
-    let mut watchers = uniform(20, 60, 4, 0);
-    watchers.extend(uniform(1, 60, 0, 500));
-    expect_that!(verdict(&watchers), not(eq(Verdict::Bad)));
+fn a_single_faulty_observer_cannot_cause_a_verdict_of_bad() {
+    let mut observers = uniform(20, 60, 4, 0);
+    observers.extend(uniform(1, 60, 0, 500));
+    expect_that!(verdict(&observers), not(eq(Verdict::Bad)));
 }
 
 #[googletest::test]
-fn a_watcher_that_praises_alone_saves_no_bad_version() {
-    let mut watchers = uniform(20, 60, 2, 2);
-    watchers.extend(uniform(1, 60, 1_000_000, 0));
-    expect_that!(verdict(&watchers), eq(Verdict::Bad));
+fn a_single_faulty_observer_cannot_prevent_a_verdict_of_bad() {
+    let mut observers = uniform(20, 60, 2, 2);
+    observers.extend(uniform(1, 60, 1_000_000, 0));
+    expect_that!(verdict(&observers), eq(Verdict::Bad));
 }
 
 #[googletest::test]
-fn without_most_of_the_traffic_nothing_is_found_good() {
-    let mut watchers = uniform(5, 60, 30, 0);
-    expect_that!(verdict(&watchers), eq(Verdict::Good));
-    watchers.extend(uniform(6, 60, 0, 0));
-    expect_that!(verdict(&watchers), eq(Verdict::Undecided));
+fn a_verdict_of_good_needs_observers_of_most_of_the_traffic() {
+    let mut observers = uniform(5, 60, 30, 0);
+    expect_that!(verdict(&observers), eq(Verdict::Good));
+    observers.extend(uniform(6, 60, 0, 0));
+    expect_that!(verdict(&observers), eq(Verdict::Undecided));
 }
 
 #[googletest::test]
-fn a_route_without_answers_of_the_new_version_keeps_it_from_being_found_good() {
-    let mut watchers = uniform(5, 60, 30, 0);
+fn a_verdict_of_good_needs_answers_on_each_route() {
+    let mut observers = uniform(5, 60, 30, 0);
     for _ in 0..20 {
-        watchers[0].route_mut("other").old.record(AnswerQuality::Good(ms(20)));
+        observers[0].route_mut("other").old.record(AnswerQuality::Good(ms(20)));
     }
-    expect_that!(verdict(&watchers), eq(Verdict::Undecided));
+    expect_that!(verdict(&observers), eq(Verdict::Undecided));
 }
--- a/crates/core/tests/versions_in_force.rs
+++ b/crates/core/tests/versions_in_force.rs
@@ -1,4 +1,5 @@
-//! Only leafs of the version in force get requests, and which one that is comes from agreed state.
+//! Tests that only leafs of the version in force get requests, and that this version follows from
+//! replicated state.
 
 #![allow(clippy::unwrap_used)]
 
@@ -29,7 +30,7 @@
     leafs.iter().map(|leaf| leaf.leaf.as_str()).collect()
 }
 
-/// The leafs in force, by recorded first versions and rollouts.
+/// Returns the leafs of the versions in force, given the recorded first versions and the rollouts.
 fn in_force(first: &EntryMap, rollouts: &EntryMap, leafs: &[LeafInfo]) -> Vec<String> {
     let rollouts: Vec<Rollout> = rollouts_in(rollouts).collect();
     let versions = VersionsInForce::new(first_versions(first), rollouts.iter());
@@ -48,24 +49,24 @@
 fn rollout(phase: RolloutPhase) -> EntryMap {
     let order = RolloutOrder { service: "s".into(), target: "v2".into(), term_ms: 1_000 };
     let started = Rollout::start(&order, None, 1, 1);
-    let turned = started.with_phase(phase, RolloutReason::FoundGood, 0, 2);
+    let rollout_in_phase = started.with_phase(phase, RolloutReason::FoundGood, 0, 2);
     let mut map = EntryMap::new();
-    apply_entries(&mut map, &[turned.to_entry()]);
+    apply_entries(&mut map, &[rollout_in_phase.to_entry()]);
     map
 }
 
 #[googletest::test]
-fn the_version_that_most_leafs_have_first_is_recorded_once() {
+fn the_first_version_is_that_of_most_leafs_and_recorded_once() {
     let leafs = [leaf("a", "s", "v1"), leaf("b", "s", "v1"), leaf("c", "s", "v0")];
     let map = recorded(&leafs);
     expect_that!(first_versions(&map).collect::<Vec<_>>(), elements_are![eq(&("s", "v1"))]);
-    // Whatever the list names later changes nothing.
+    // Versions that the list contains later do not change the record.
     let later = [leaf("d", "s", "v2"), leaf("e", "s", "v2")];
     expect_that!(missing_first_versions(&map, later.iter()), is_empty());
 }
 
 #[googletest::test]
-fn services_without_versions_have_none_recorded_and_are_served() {
+fn services_without_versions_are_served_and_have_none_recorded() {
     let leafs = [leaf("a", "s", ""), leaf("b", "s", "")];
     let map = recorded(&leafs);
     expect_that!(map, eq(&EntryMap::new()));
@@ -73,16 +74,16 @@
 }
 
 #[googletest::test]
-fn leafs_of_a_version_that_no_order_named_get_nothing() {
+fn leafs_of_a_version_that_no_order_named_get_no_requests() {
     let first = recorded(&[leaf("a", "s", "v1")]);
     let leafs = [leaf("a", "s", "v1"), leaf("b", "s", "v2"), leaf("c", "s", "")];
     expect_that!(in_force(&first, &EntryMap::new(), &leafs), elements_are![eq("a")]);
-    // Not even where all others are gone.
+    // Not even if there are no other leafs.
     expect_that!(in_force(&first, &EntryMap::new(), &leafs[1..]), is_empty());
 }
 
 #[googletest::test]
-fn without_an_agreed_version_a_choice_between_several_is_not_made() {
+fn without_a_recorded_version_no_leaf_of_several_versions_is_in_force() {
     let none = EntryMap::new();
     let one = [leaf("a", "s", "v1"), leaf("b", "s", "v1")];
     expect_that!(in_force(&none, &none, &one), elements_are![eq("a"), eq("b")]);
@@ -94,25 +95,25 @@
 fn exactly_one_version_is_in_force_in_each_phase() {
     let first = recorded(&[leaf("a", "s", "v1")]);
     let leafs = [leaf("a", "s", "v1"), leaf("b", "s", "v2")];
-    let of_phase = |phase| in_force(&first, &rollout(phase), &leafs);
-    expect_that!(of_phase(RolloutPhase::Trial), elements_are![eq("a")]);
-    expect_that!(of_phase(RolloutPhase::Forward), elements_are![eq("b")]);
-    expect_that!(of_phase(RolloutPhase::Back), elements_are![eq("a")]);
-    expect_that!(of_phase(RolloutPhase::Delivered), elements_are![eq("b")]);
-    expect_that!(of_phase(RolloutPhase::Returned), elements_are![eq("a")]);
+    let in_force_in = |phase| in_force(&first, &rollout(phase), &leafs);
+    expect_that!(in_force_in(RolloutPhase::Trial), elements_are![eq("a")]);
+    expect_that!(in_force_in(RolloutPhase::Forward), elements_are![eq("b")]);
+    expect_that!(in_force_in(RolloutPhase::Back), elements_are![eq("a")]);
+    expect_that!(in_force_in(RolloutPhase::Delivered), elements_are![eq("b")]);
+    expect_that!(in_force_in(RolloutPhase::Returned), elements_are![eq("a")]);
 }
 
 #[googletest::test]
-fn what_an_earlier_rollout_delivered_stays_in_force_when_a_later_one_is_returned() {
+fn a_delivered_version_stays_in_force_when_a_later_rollout_is_returned() {
     let first = recorded(&[leaf("a", "s", "v1")]);
     let order = RolloutOrder { service: "s".into(), target: "v3".into(), term_ms: 1_000 };
     let delivered = rollouts_in(&rollout(RolloutPhase::Delivered)).next().unwrap();
     let later = Rollout::start(&order, Some(delivered), 1, 3);
     let leafs = [leaf("a", "s", "v1"), leaf("b", "s", "v2"), leaf("c", "s", "v3")];
     for phase in [RolloutPhase::Trial, RolloutPhase::Back, RolloutPhase::Returned] {
-        let turned = later.with_phase(phase, RolloutReason::FoundBad, 0, 4);
+        let rollout_in_phase = later.with_phase(phase, RolloutReason::FoundBad, 0, 4);
         let mut map = EntryMap::new();
-        apply_entries(&mut map, &[turned.to_entry()]);
+        apply_entries(&mut map, &[rollout_in_phase.to_entry()]);
         expect_that!(in_force(&first, &map, &leafs), elements_are![eq("b")], "{phase:?}");
     }
 }
