--- a/crates/core/tests/merge.rs
+++ b/crates/core/tests/merge.rs
@@ -82,7 +82,7 @@
             "{score}"
         );
     }
-    // Out of order, a tie in the wrong order, and a duplicate record.
+    // Out of order, a tie in the wrong order, and the same record twice.
     expect_that!(reply(&pair(("a", "1"), ("b", "2"))), err(eq(&AttemptFailure::RecordsOutOfOrder)));
     expect_that!(reply(&pair(("b", "1"), ("a", "1"))), err(eq(&AttemptFailure::RecordsOutOfOrder)));
     expect_that!(reply(&pair(("a", "1"), ("a", "1"))), err(eq(&AttemptFailure::RecordsOutOfOrder)));
--- a/crates/core/tests/request_answers.rs
+++ b/crates/core/tests/request_answers.rs
@@ -22,8 +22,8 @@
     Operation::Patch(val.to_string().into_bytes())
 }
 
-fn is_accepted(done: &OperationResult) -> bool {
-    matches!(done, OperationResult::Accepted { .. })
+fn is_accepted(result: &OperationResult) -> bool {
+    matches!(result, OperationResult::Accepted { .. })
 }
 
 #[googletest::test]
@@ -40,8 +40,8 @@
     assert!(believes(&cluster, first));
     let operation = ask(&mut cluster, first, "three", edition_patch(2, "c"));
     expect_that!(cluster.answers.get(&operation).map(|a| format!("{:?}", a.done)), none());
-    let done = answered(&mut cluster, operation);
-    expect_that!(is_accepted(&done), eq(true), "{done:?}");
+    let result = answered(&mut cluster, operation);
+    expect_that!(is_accepted(&result), eq(true), "{result:?}");
     expect_that!(took(&cluster, operation), lt(ms(1_000)));
 }
 
@@ -50,8 +50,8 @@
     cluster.answers.get(&operation).map(|answer| format!("{:?}", answer.done))
 }
 
-fn conflict_revision(done: &OperationResult) -> Option<u64> {
-    if let OperationResult::Conflict { revision } = done { Some(*revision) } else { None }
+fn conflict_revision(result: &OperationResult) -> Option<u64> {
+    if let OperationResult::Conflict { revision } = result { Some(*revision) } else { None }
 }
 
 #[googletest::test]
@@ -84,8 +84,8 @@
     // The first request times out before the network partition ends.
     expect_that!(answered(&mut cluster, one), matches_pattern!(OperationResult::Unknown { .. }));
     cluster.cut.clear();
-    let done = answered(&mut cluster, two);
-    expect_that!(is_accepted(&done), eq(true), "{done:?}");
+    let result = answered(&mut cluster, two);
+    expect_that!(is_accepted(&result), eq(true), "{result:?}");
 }
 
 #[googletest::test]
@@ -113,13 +113,13 @@
     }
     // The final answers neither reject nor confirm a request.
     for operation in &operations {
-        let done = answered(&mut cluster, *operation);
+        let result = answered(&mut cluster, *operation);
         let open =
-            matches!(done, OperationResult::Rejected { .. } | OperationResult::Unknown { .. });
-        expect_that!(open, eq(true), "{done:?}");
+            matches!(result, OperationResult::Rejected { .. } | OperationResult::Unknown { .. });
+        expect_that!(open, eq(true), "{result:?}");
     }
-    let done = ask(&mut cluster, other, "two", edition_patch(1, "b"));
-    expect_that!(is_accepted(&answered(&mut cluster, done)), eq(true));
+    let operation = ask(&mut cluster, other, "two", edition_patch(1, "b"));
+    expect_that!(is_accepted(&answered(&mut cluster, operation)), eq(true));
 }
 
 #[googletest::test]
@@ -134,8 +134,8 @@
     restart_blank(&mut cluster, other, 99);
     run(&mut cluster, ms(100));
     ask_numbered(&mut cluster, other, 77, "", Operation::Read);
-    let done = answered(&mut cluster, 77);
-    expect_that!(done, matches_pattern!(OperationResult::Configuration { .. }));
+    let result = answered(&mut cluster, 77);
+    expect_that!(result, matches_pattern!(OperationResult::Configuration { .. }));
 }
 
 #[googletest::test]
@@ -159,8 +159,8 @@
     let second = leader(&cluster).unwrap();
     expect_that!(second, eq(others[1]));
     pause(&mut cluster, second, 2 * SECOND);
-    let done = answered(&mut cluster, three);
-    expect_that!(is_accepted(&done), eq(true), "{done:?}");
+    let result = answered(&mut cluster, three);
+    expect_that!(is_accepted(&result), eq(true), "{result:?}");
 }
 
 /// Three members join, and two of them stop renewing: without renewals of a majority the leader
@@ -192,8 +192,8 @@
     with_silent_members(&mut cluster, first);
     assert_that!(members(&cluster, first), elements_are![eq("q1"), eq("q2"), eq("q3")]);
     let forget = ask(&mut cluster, first, "", Operation::ForgetMember("q3".into()));
-    let done = answered(&mut cluster, forget);
-    expect_that!(is_accepted(&done), eq(true), "{done:?}");
+    let result = answered(&mut cluster, forget);
+    expect_that!(is_accepted(&result), eq(true), "{result:?}");
     // The next membership, which a majority of the voters has, does not contain it.
     run(&mut cluster, ms(100));
     expect_that!(members(&cluster, first), elements_are![eq("q1"), eq("q2")]);
@@ -204,8 +204,8 @@
     expect_that!(members(&cluster, next), elements_are![eq("q1"), eq("q2")]);
     // The member is forgotten already; the request is a repetition and not rejected.
     let again = ask(&mut cluster, next, "", Operation::ForgetMember("q3".into()));
-    let done = answered(&mut cluster, again);
-    expect_that!(done, matches_pattern!(OperationResult::Accepted { is_repeat: eq(&true), .. }));
+    let result = answered(&mut cluster, again);
+    expect_that!(result, matches_pattern!(OperationResult::Accepted { is_repeat: eq(&true), .. }));
 }
 
 #[googletest::test]
@@ -235,8 +235,8 @@
     let forget = ask(&mut cluster, first, "", Operation::ForgetMember("q3".into()));
     expect_that!(answer_so_far(&cluster, forget), none());
     expect_that!(members(&cluster, first), elements_are![eq("q1"), eq("q2"), eq("q3")]);
-    let done = answered(&mut cluster, forget);
-    expect_that!(done, matches_pattern!(OperationResult::Unknown { .. }));
+    let result = answered(&mut cluster, forget);
+    expect_that!(result, matches_pattern!(OperationResult::Unknown { .. }));
     expect_that!(members(&cluster, first), contains(eq("q3")));
 }
 
@@ -251,8 +251,8 @@
     for name in &names[1..] {
         renew(&mut cluster, leader, &names[0], 2, Default::default());
         let forget = ask(&mut cluster, leader, "", Operation::ForgetMember(name.clone()));
-        let done = answered(&mut cluster, forget);
-        expect_that!(is_accepted(&done), eq(true), "{name}: {done:?}");
+        let result = answered(&mut cluster, forget);
+        expect_that!(is_accepted(&result), eq(true), "{name}: {result:?}");
         if members(&cluster, leader).len() <= 2 {
             break;
         }
@@ -325,7 +325,7 @@
             eq(&(None, None))
         );
         cluster.cut.clear();
-        let done = answered(&mut cluster, three);
-        expect_that!(is_accepted(&done), eq(true), "{done:?}");
+        let result = answered(&mut cluster, three);
+        expect_that!(is_accepted(&result), eq(true), "{result:?}");
     }
 }
--- a/crates/core/tests/request_dedup.rs
+++ b/crates/core/tests/request_dedup.rs
@@ -140,7 +140,8 @@
         {
             let other = fingerprint(&known.request_id, is_replacement, &text);
             let result = lookup(&model.map, &known.request_id, &other);
-            let result_of_known = lookup(&model.map, &known.request_id, &fingerprint_of(known));
+            let result_of_known =
+                lookup(&model.map, &known.request_id, &self::fingerprint_of(known));
             let expected = if result_of_known == LookupResult::Absent {
                 LookupResult::Absent
             } else {
--- a/crates/core/tests/request_resend.rs
+++ b/crates/core/tests/request_resend.rs
@@ -36,9 +36,9 @@
     for others in [600, 2_000] {
         let mut controller = one();
         for base in 0..=others {
-            let done = send(&mut controller, base);
+            let result = send(&mut controller, base);
             expect_that!(
-                done,
+                result,
                 matches_pattern!(OperationResult::Accepted { .. }),
                 "request {base}"
             );
@@ -109,7 +109,7 @@
 fn answers_are_definite_within_the_horizon_and_indefinite_beyond_it() {
     let (mut c, horizon) = cluster_with_evicted_requests();
     for base in [horizon, horizon + 1, 10_000, ACCEPTED - 1] {
-        let done =
+        let result =
             call_all_controllers(&mut c, &format!("order-{base}"), None, &edition_patch(base));
         let revision = base + 1;
         let is_acknowledged = matches_pattern!(OperationResult::Accepted {
@@ -117,34 +117,34 @@
             is_repeat: eq(&true),
             ..
         });
-        expect_that!(done, each(is_acknowledged));
+        expect_that!(result, each(is_acknowledged));
     }
     // A rival of a request that is in the table gets a definite rejection.
     for base in [horizon, 10_000, ACCEPTED - 1] {
-        let done =
+        let result =
             call_all_controllers(&mut c, &format!("rival-{base}"), None, &edition_patch(base));
         expect_that!(
-            done,
+            result,
             each(matches_pattern!(OperationResult::Conflict { revision: eq(&ACCEPTED) }))
         );
     }
     // A request that may have been evicted is answered at once, without a definite result.
     for base in [0, 1, 500, horizon - 1] {
-        let done =
+        let result =
             call_all_controllers(&mut c, &format!("rival-{base}"), None, &edition_patch(base));
         let is_indefinite = matches_pattern!(OperationResult::Forgotten {
             revision: eq(&horizon),
             edition: eq(&horizon)
         });
-        expect_that!(done, each(is_indefinite), "{base}");
+        expect_that!(result, each(is_indefinite), "{base}");
     }
     // A request that can never have been accepted is rejected, however old its base is.
     let unchanged_edition = zone_patch(json!({ "after": 5, "edition": 5 }));
-    let done = call_all_controllers(&mut c, "wrong", None, &unchanged_edition);
-    expect_that!(done, each(matches_pattern!(OperationResult::Conflict { .. })));
+    let result = call_all_controllers(&mut c, "wrong", None, &unchanged_edition);
+    expect_that!(result, each(matches_pattern!(OperationResult::Conflict { .. })));
     let unreadable = Operation::Patch(b"{".to_vec());
-    let done = call_all_controllers(&mut c, "unreadable", None, &unreadable);
-    expect_that!(done, each(matches_pattern!(OperationResult::Invalid(_))));
+    let result = call_all_controllers(&mut c, "unreadable", None, &unreadable);
+    expect_that!(result, each(matches_pattern!(OperationResult::Invalid(_))));
 }
 
 #[googletest::test]
@@ -153,15 +153,16 @@
     let plain = zone_patch(json!({}));
     for (expect, is_definite) in [(1, false), (horizon - 1, false), (horizon, true), (15_000, true)]
     {
-        let done = call_all_controllers(&mut c, &format!("expects-{expect}"), Some(expect), &plain);
+        let result =
+            call_all_controllers(&mut c, &format!("expects-{expect}"), Some(expect), &plain);
         if is_definite {
             expect_that!(
-                done,
+                result,
                 each(matches_pattern!(OperationResult::Conflict { revision: eq(&ACCEPTED) }))
             );
         } else {
             expect_that!(
-                done,
+                result,
                 each(matches_pattern!(OperationResult::Forgotten { .. })),
                 "{expect}"
             );
@@ -171,22 +172,22 @@
         [(1, false), (horizon, false), (horizon + 1, true), (ACCEPTED, true)]
     {
         let names = zone_patch(json!({ "edition": edition }));
-        let done = call_all_controllers(&mut c, &format!("names-{edition}"), None, &names);
+        let result = call_all_controllers(&mut c, &format!("names-{edition}"), None, &names);
         if is_definite {
-            expect_that!(done, each(matches_pattern!(OperationResult::Invalid(_))), "{edition}");
+            expect_that!(result, each(matches_pattern!(OperationResult::Invalid(_))), "{edition}");
         } else {
             expect_that!(
-                done,
+                result,
                 each(matches_pattern!(OperationResult::Forgotten { .. })),
                 "{edition}"
             );
         }
     }
     // A request on the newest revision and edition is accepted.
-    let done =
+    let result =
         answer(&mut c, 1, "next", Some(ACCEPTED), zone_patch(json!({ "edition": ACCEPTED + 7 })));
     expect_that!(
-        done,
+        result,
         some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
     );
     // A request without revision and edition is recognized by its request id as long as that is in
@@ -197,13 +198,13 @@
         some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
     );
     restart_all(&mut c, true);
-    let done = call_all_controllers(&mut c, "plain", None, &plain);
+    let result = call_all_controllers(&mut c, "plain", None, &plain);
     let is_acknowledged = matches_pattern!(OperationResult::Accepted {
         revision: eq(&(ACCEPTED + 2)),
         is_repeat: eq(&true),
         ..
     });
-    expect_that!(done, each(is_acknowledged));
+    expect_that!(result, each(is_acknowledged));
 }
 
 /// Returns controllers that start from files which an older build wrote, with five requests.
@@ -228,7 +229,7 @@
     // Before the first new request, after it, and after a power loss of all controllers.
     for round in 0..3 {
         for base in 1..5 {
-            let done =
+            let result =
                 call_all_controllers(&mut c, &format!("order-{base}"), None, &edition_patch(base));
             let revision = base + 1;
             let is_acknowledged = matches_pattern!(OperationResult::Accepted {
@@ -236,23 +237,23 @@
                 is_repeat: eq(&true),
                 ..
             });
-            expect_that!(done, each(is_acknowledged), "round {round}");
-            let done = call_all_controllers(
+            expect_that!(result, each(is_acknowledged), "round {round}");
+            let result = call_all_controllers(
                 &mut c,
                 &format!("rival-{base}"),
                 None,
                 &edition_patch(base - 1),
             );
             expect_that!(
-                done,
+                result,
                 each(matches_pattern!(OperationResult::Conflict { .. })),
                 "round {round}"
             );
         }
         if round == 0 {
-            let done = answer(&mut c, 1, "new", None, edition_patch(5));
+            let result = answer(&mut c, 1, "new", None, edition_patch(5));
             expect_that!(
-                done,
+                result,
                 some(matches_pattern!(OperationResult::Accepted { revision: eq(&6), .. }))
             );
         } else {
@@ -264,20 +265,20 @@
 #[googletest::test]
 fn a_request_id_used_for_another_text_is_rejected_by_all_controllers() {
     let mut c = cluster(3);
-    let done = answer(&mut c, 0, "id", None, edition_patch(0));
-    expect_that!(done, some(matches_pattern!(OperationResult::Accepted { .. })));
+    let result = answer(&mut c, 0, "id", None, edition_patch(0));
+    expect_that!(result, some(matches_pattern!(OperationResult::Accepted { .. })));
     let replacement = Operation::Replace(match edition_patch(0) {
         Operation::Patch(text) => text,
         _ => unreachable!(),
     });
     for _ in 0..2 {
         for other in [edition_patch(1), replacement.clone(), zone_patch(json!({}))] {
-            let done = call_all_controllers(&mut c, "id", None, &other);
-            expect_that!(done, each(matches_pattern!(OperationResult::Invalid(_))));
+            let result = call_all_controllers(&mut c, "id", None, &other);
+            expect_that!(result, each(matches_pattern!(OperationResult::Invalid(_))));
         }
-        let done = call_all_controllers(&mut c, "id", None, &edition_patch(0));
+        let result = call_all_controllers(&mut c, "id", None, &edition_patch(0));
         expect_that!(
-            done,
+            result,
             each(matches_pattern!(OperationResult::Accepted { revision: eq(&1), .. }))
         );
         let old_leader = leader(&c).unwrap();
@@ -291,7 +292,7 @@
     let [a, b] = [0, 1].map(|node: usize| call(&mut c, node, "new", None, texts[node].clone()));
     assert!(pass_until(&mut c, 5 * SECOND, |c| [a, b].iter().all(|op| c.told.contains_key(op))));
     let mut results = [c.told[&a].clone(), c.told[&b].clone()];
-    results.sort_by_key(|done| !matches!(done, OperationResult::Accepted { .. }));
+    results.sort_by_key(|result| !matches!(result, OperationResult::Accepted { .. }));
     expect_that!(results[0], matches_pattern!(OperationResult::Accepted { revision: eq(&2), .. }));
     expect_that!(results[1], matches_pattern!(OperationResult::Invalid(_)));
     let edition = read_back(&mut c, 2).map(|conf| conf.client_limits.edition);
--- a/crates/core/tests/request_schedules.rs
+++ b/crates/core/tests/request_schedules.rs
@@ -40,8 +40,8 @@
     Operation::Patch(val.to_string().into_bytes())
 }
 
-fn answer_kind(done: Option<&OperationResult>) -> Told {
-    match done {
+fn answer_kind(result: Option<&OperationResult>) -> Told {
+    match result {
         Some(OperationResult::Accepted { .. }) => Told::Accepted,
         Some(OperationResult::Conflict { revision }) => Told::Refused(*revision),
         Some(OperationResult::Configuration { entries: map, .. }) => {
@@ -49,7 +49,7 @@
         }
         Some(OperationResult::Rejected { .. }) => Told::NotDone,
         None | Some(OperationResult::Unknown { .. }) => Told::Open,
-        Some(done) => Told::Absurd(format!("unexpected answer {done:?}")),
+        Some(result) => Told::Absurd(format!("unexpected answer {result:?}")),
     }
 }
 
@@ -201,9 +201,9 @@
     }
     run(&mut cluster, RECOVERY_PERIOD);
     let last = ask(&mut cluster, 0, "", Operation::Read);
-    let done = answered(&mut cluster, last);
-    let OperationResult::Configuration { entries: map, .. } = done else {
-        return vec![format!("the final read failed: {done:?}")];
+    let result = answered(&mut cluster, last);
+    let OperationResult::Configuration { entries: map, .. } = result else {
+        return vec![format!("the final read failed: {result:?}")];
     };
     let (applied, edition) = requests_and_edition(&map);
     let history: Vec<Asked> =
--- a/crates/core/tests/rollouts.rs
+++ b/crates/core/tests/rollouts.rs
@@ -33,8 +33,8 @@
     let pools = json!([{ "name": "pool", "service": SERVICE, "bears": 1 }]);
     let patch = json!({ "pools": pools }).to_string().into_bytes();
     let operation = ask(&mut cluster, first, "configure", Operation::Patch(patch));
-    let done = answered(&mut cluster, operation);
-    assert!(matches!(done, OperationResult::Accepted { .. }), "{done:?}");
+    let reply = answered(&mut cluster, operation);
+    assert!(matches!(reply, OperationResult::Accepted { .. }), "{reply:?}");
     (cluster, first, other)
 }
 
@@ -44,15 +44,15 @@
 }
 
 fn accepted(cluster: &mut Cluster, node: usize, id: &str, operation: Operation) -> bool {
-    let done = result(cluster, node, id, operation);
-    let OperationResult::Accepted { is_repeat, .. } = done else { panic!("{done:?}") };
+    let reply = result(cluster, node, id, operation);
+    let OperationResult::Accepted { is_repeat, .. } = reply else { panic!("{reply:?}") };
     is_repeat
 }
 
 /// Returns the newest rollout as a controller reports it.
 fn rollout(cluster: &mut Cluster, node: usize) -> Rollout {
-    let done = result(cluster, node, "", Operation::ReadRollout(SERVICE.into()));
-    let OperationResult::Rollout(Some(rollout)) = done else { panic!("{done:?}") };
+    let reply = result(cluster, node, "", Operation::ReadRollout(SERVICE.into()));
+    let OperationResult::Rollout(Some(rollout)) = reply else { panic!("{reply:?}") };
     rollout
 }
 
@@ -72,8 +72,8 @@
 fn another_version_is_rejected_during_a_rollout() {
     let (mut cluster, first, other) = configured();
     accepted(&mut cluster, first, "one", start("v2"));
-    let done = result(&mut cluster, other, "two", start("v3"));
-    expect_that!(done, eq(&OperationResult::RolloutInProgress { target: "v2".into() }));
+    let reply = result(&mut cluster, other, "two", start("v3"));
+    expect_that!(reply, eq(&OperationResult::RolloutInProgress { target: "v2".into() }));
 }
 
 #[googletest::test]
@@ -87,12 +87,12 @@
         (RolloutOrder { term_ms: u64::MAX, ..order("v2") }, "term"),
     ];
     for (order, field) in wrong {
-        let done = result(&mut cluster, first, field, Operation::StartRollout(order));
-        let OperationResult::Invalid(problems) = done else { panic!("{done:?}") };
+        let reply = result(&mut cluster, first, field, Operation::StartRollout(order));
+        let OperationResult::Invalid(problems) = reply else { panic!("{reply:?}") };
         expect_that!(problems[0].0, eq(field));
     }
-    let done = result(&mut cluster, first, "", Operation::ReadRollout(SERVICE.into()));
-    expect_that!(done, eq(&OperationResult::Rollout(None)));
+    let reply = result(&mut cluster, first, "", Operation::ReadRollout(SERVICE.into()));
+    expect_that!(reply, eq(&OperationResult::Rollout(None)));
 }
 
 #[googletest::test]
@@ -167,8 +167,8 @@
     accepted(&mut cluster, first, "one", start("v2"));
     accepted(&mut cluster, first, "abort", Operation::AbortRollout(SERVICE.into()));
     run(&mut cluster, 6 * SECOND);
-    let done = answered(&mut cluster, held);
-    expect_that!(done, matches_pattern!(OperationResult::Conflict { .. }));
+    let reply = answered(&mut cluster, held);
+    expect_that!(reply, matches_pattern!(OperationResult::Conflict { .. }));
     expect_that!(rollout(&mut cluster, first).phase(), eq(RolloutPhase::Returned));
 }
 
@@ -179,8 +179,8 @@
     let zone = json!({ "zones": [{ "name": "a", "state": "drained" }] }).to_string().into_bytes();
     accepted(&mut cluster, other, "drain", Operation::Patch(zone));
     let number = ask_on(&mut cluster, other, "late", base, start("v2"));
-    let done = answered(&mut cluster, number);
-    expect_that!(done, matches_pattern!(OperationResult::Accepted { .. }));
+    let reply = answered(&mut cluster, number);
+    expect_that!(reply, matches_pattern!(OperationResult::Accepted { .. }));
 }
 
 #[googletest::test]
--- a/crates/core/tests/unconditional_requests.rs
+++ b/crates/core/tests/unconditional_requests.rs
@@ -34,8 +34,8 @@
 
 fn accept(cluster: &mut Cluster, node: usize, id: &str, state: &str) {
     let operation = ask(cluster, node, id, zone(state));
-    let done = answered(cluster, operation);
-    assert!(matches!(done, OperationResult::Accepted { .. }), "{done:?}");
+    let result = answered(cluster, operation);
+    assert!(matches!(result, OperationResult::Accepted { .. }), "{result:?}");
 }
 
 /// Returns whether the zone is drained in the committed state of a controller.
@@ -65,9 +65,9 @@
     let base = reported_revision(&mut cluster, other);
     for is_repeat in [false, true] {
         let confirmed = ask_on(&mut cluster, other, "confirmed", base, zone("open"));
-        let done = answered(&mut cluster, confirmed);
-        let OperationResult::Accepted { is_repeat: repeated, .. } = done else {
-            panic!("{done:?}");
+        let result = answered(&mut cluster, confirmed);
+        let OperationResult::Accepted { is_repeat: repeated, .. } = result else {
+            panic!("{result:?}");
         };
         expect_that!(repeated, eq(is_repeat));
     }
@@ -101,16 +101,16 @@
     accept(&mut cluster, third, "drain again", "drained");
     run(&mut cluster, DELAY);
     assert!(believes(&cluster, first), "the leader must not change");
-    let done = answered(&mut cluster, held);
-    (is_drained(&cluster, first), done)
+    let result = answered(&mut cluster, held);
+    (is_drained(&cluster, first), result)
 }
 
 #[googletest::test]
 fn a_delayed_request_is_rejected_after_later_ones() {
     // Guards against a drained zone that is opened by a delayed request in the same term.
-    let (ends_drained, done) = delay_a_request(RequestIdentity::Revision);
+    let (ends_drained, result) = delay_a_request(RequestIdentity::Revision);
     expect_that!(ends_drained, eq(true));
-    expect_that!(done, matches_pattern!(OperationResult::Conflict { .. }));
+    expect_that!(result, matches_pattern!(OperationResult::Conflict { .. }));
 }
 
 #[googletest::test]
