--- a/crates/core/tests/query_engine.rs
+++ b/crates/core/tests/query_engine.rs
@@ -228,7 +228,7 @@
     let now = BOOT + SECOND + 5;
     let commands = engine.step(now, Event::CallerGone { call: 1 });
     expect_that!(commands.len(), eq(attempts.len()));
-    // The leaf detects the closed connection a moment later; until then its slot is counted as used.
+    // The leaf detects the closed connection a moment later; until then its slot counts as used.
     let in_flight = |engine: &QueryEngine| engine.leafs.values().map(|l| l.in_flight).sum::<u64>();
     expect_that!(in_flight(&engine), eq(attempts.len() as u64));
     let free_at = engine.next_due().unwrap();
--- a/crates/core/tests/request_answers.rs
+++ b/crates/core/tests/request_answers.rs
@@ -1,5 +1,5 @@
-//! Tests that the answer to an operator request relies on committed state and on a majority that was
-//! contacted after the request arrived, never on the local state of one controller.
+//! Tests that the answer to an operator request relies on committed state and on a majority that
+//! was contacted after the request arrived, never on the local state of one controller.
 
 #![allow(clippy::unwrap_used)]
 
@@ -17,9 +17,9 @@
 
 /// Returns a change of a zone that builds on an edition and results in the next one.
 fn edition_patch(base_edition: u64, zone: &str) -> Operation {
-    let val = json!({ "zones": [{ "name": zone, "state": "open" }],
+    let change = json!({ "zones": [{ "name": zone, "state": "open" }],
         "terms": { "after": base_edition, "edition": base_edition + 1 } });
-    Operation::Patch(val.to_string().into_bytes())
+    Operation::Patch(change.to_string().into_bytes())
 }
 
 fn is_accepted(result: &OperationResult) -> bool {
@@ -111,12 +111,12 @@
     for operation in &operations {
         expect_that!(answer_so_far(&cluster, *operation), none());
     }
-    // The final answers neither reject nor confirm a request.
+    // The final answers report neither a conflict nor an acceptance.
     for operation in &operations {
         let result = answered(&mut cluster, *operation);
-        let open =
+        let is_indefinite =
             matches!(result, OperationResult::Rejected { .. } | OperationResult::Unknown { .. });
-        expect_that!(open, eq(true), "{result:?}");
+        expect_that!(is_indefinite, eq(true), "{result:?}");
     }
     let operation = ask(&mut cluster, other, "two", edition_patch(1, "b"));
     expect_that!(is_accepted(&answered(&mut cluster, operation)), eq(true));
@@ -144,8 +144,8 @@
     let one = ask(&mut cluster, first, "one", edition_patch(0, "a"));
     assert!(is_accepted(&answered(&mut cluster, one)));
     let others: Vec<usize> = (0..3).filter(|node| *node != first).collect();
-    // Just after a wake event, so that the request is the first event that the leader processes when
-    // it resumes.
+    // Just after a wake event, so that the request is the first event that the leader processes
+    // when it resumes.
     until(&mut cluster, |cluster| (cluster.now - ms(first as u64)) % WAKE == ms(1));
     // The leader appends a change that is never replicated.
     isolate(&mut cluster, first);
--- a/crates/core/tests/request_races.rs
+++ b/crates/core/tests/request_races.rs
@@ -1,6 +1,7 @@
-//! Two operators change the same edition through three controllers, and a fault occurs at each step
-//! of the write. Whichever requests are sent again, at once or later: at most one of the two texts is
-//! accepted, an accepted request is never rejected, and a rejected request is never in force.
+//! Two operators change the same edition through three controllers, and a fault occurs at each
+//! step of the write. Whichever requests are sent again, at once or later: at most one of the two
+//! texts is accepted, an accepted request is never rejected, and a rejected request is never in
+//! force.
 
 mod cluster;
 mod races;
@@ -9,8 +10,8 @@
 use races::list::{races, races_of};
 use races::{Fault, Race, STAGES, Stage, order, play};
 
-/// Runs all races of a stage and checks that none violates an invariant. Returns the number of races,
-/// of accepted first requests, and of leader changes.
+/// Runs all races of a stage and checks that none violates an invariant. Returns the number of
+/// races, of accepted first requests, and of leader changes.
 fn count_outcomes(stage: Stage) -> (usize, usize, usize) {
     let all = races(stage);
     let (mut first, mut leader_changes) = (0, 0);
--- a/crates/core/tests/request_resend.rs
+++ b/crates/core/tests/request_resend.rs
@@ -62,55 +62,61 @@
 /// Returns three controllers that have accepted this number of requests, and the revision of the
 /// horizon.
 fn cluster_with_evicted_requests() -> (Cluster, u64) {
-    let mut c = cluster(3);
-    let first = answer(&mut c, 0, "order-0", None, edition_patch(0));
+    let mut controllers = cluster(3);
+    let first = answer(&mut controllers, 0, "order-0", None, edition_patch(0));
     assert!(matches!(first, Some(OperationResult::Accepted { revision: 1, .. })), "{first:?}");
-    assert!(pass_until(&mut c, SECOND, |c| (0..3).all(|n| cluster::synced_revision(c, n) == 1)));
-    let mut copy = c.nodes[0].disk.kept[&CONFIG].clone();
+    assert!(pass_until(&mut controllers, SECOND, |controllers| (0..3)
+        .all(|n| cluster::synced_revision(controllers, n) == 1)));
+    let mut copy = controllers.nodes[0].disk.kept[&CONFIG].clone();
     for base in 1..ACCEPTED {
         let Operation::Patch(text) = edition_patch(base) else { unreachable!() };
-        let print = fingerprint(&format!("order-{base}"), false, &text);
-        let entries = insert(&copy.entries, &print, base + 1, base + 1);
+        let request_fingerprint = fingerprint(&format!("order-{base}"), false, &text);
+        let entries = insert(&copy.entries, &request_fingerprint, base + 1, base + 1);
         apply_entries(&mut copy.entries, &entries);
     }
     let client_limits =
         grebepath_core::config::types::ClientLimits { edition: ACCEPTED, ..Default::default() };
     copy.entries.insert("terms".into(), prost::Message::encode_to_vec(&client_limits));
     copy.revision = ACCEPTED;
-    for node in &mut c.nodes {
+    for node in &mut controllers.nodes {
         let node_term = node.disk.kept[&CONFIG].current_term;
         node.disk.kept.insert(CONFIG, ReplicaState { current_term: node_term, ..copy.clone() });
     }
-    restart_all(&mut c, true);
+    restart_all(&mut controllers, true);
     let horizon = horizon(&copy.entries).revision;
     assert!(horizon > 2_000 && horizon < ACCEPTED - 16_000, "{horizon}");
-    (c, horizon)
+    (controllers, horizon)
 }
 
 /// Returns the answers to a request through each controller, sent one after the other. Each must
 /// arrive within a second.
 fn call_all_controllers(
-    c: &mut Cluster,
+    controllers: &mut Cluster,
     request: &str,
     expect: Option<u64>,
     operation: &Operation,
 ) -> Vec<OperationResult> {
     let mut out = Vec::new();
     for node in 0..3 {
-        let op = call(c, node, request, expect, operation.clone());
-        let is_answered = pass_until(c, SECOND, |c| c.told.contains_key(&op));
+        let op = call(controllers, node, request, expect, operation.clone());
+        let is_answered =
+            pass_until(controllers, SECOND, |controllers| controllers.told.contains_key(&op));
         assert!(is_answered, "{request} at {node} is not answered within a second");
-        out.push(c.told[&op].clone());
+        out.push(controllers.told[&op].clone());
     }
     out
 }
 
 #[googletest::test]
 fn answers_are_definite_within_the_horizon_and_indefinite_beyond_it() {
-    let (mut c, horizon) = cluster_with_evicted_requests();
+    let (mut controllers, horizon) = cluster_with_evicted_requests();
     for base in [horizon, horizon + 1, 10_000, ACCEPTED - 1] {
-        let result =
-            call_all_controllers(&mut c, &format!("order-{base}"), None, &edition_patch(base));
+        let result = call_all_controllers(
+            &mut controllers,
+            &format!("order-{base}"),
+            None,
+            &edition_patch(base),
+        );
         let revision = base + 1;
         let is_acknowledged = matches_pattern!(OperationResult::Accepted {
             revision: eq(&revision),
@@ -121,8 +127,12 @@
     }
     // A rival of a request that is in the table gets a definite rejection.
     for base in [horizon, 10_000, ACCEPTED - 1] {
-        let result =
-            call_all_controllers(&mut c, &format!("rival-{base}"), None, &edition_patch(base));
+        let result = call_all_controllers(
+            &mut controllers,
+            &format!("rival-{base}"),
+            None,
+            &edition_patch(base),
+        );
         expect_that!(
             result,
             each(matches_pattern!(OperationResult::Conflict { revision: eq(&ACCEPTED) }))
@@ -130,8 +140,12 @@
     }
     // A request that may have been evicted is answered at once, without a definite result.
     for base in [0, 1, 500, horizon - 1] {
-        let result =
-            call_all_controllers(&mut c, &format!("rival-{base}"), None, &edition_patch(base));
+        let result = call_all_controllers(
+            &mut controllers,
+            &format!("rival-{base}"),
+            None,
+            &edition_patch(base),
+        );
         let is_indefinite = matches_pattern!(OperationResult::Forgotten {
             revision: eq(&horizon),
             edition: eq(&horizon)
@@ -140,21 +154,25 @@
     }
     // A request that can never have been accepted is rejected, however old its base is.
     let unchanged_edition = zone_patch(json!({ "after": 5, "edition": 5 }));
-    let result = call_all_controllers(&mut c, "wrong", None, &unchanged_edition);
+    let result = call_all_controllers(&mut controllers, "wrong", None, &unchanged_edition);
     expect_that!(result, each(matches_pattern!(OperationResult::Conflict { .. })));
     let unreadable = Operation::Patch(b"{".to_vec());
-    let result = call_all_controllers(&mut c, "unreadable", None, &unreadable);
+    let result = call_all_controllers(&mut controllers, "unreadable", None, &unreadable);
     expect_that!(result, each(matches_pattern!(OperationResult::Invalid(_))));
 }
 
 #[googletest::test]
 fn requests_that_name_a_revision_or_only_a_new_edition_are_judged_by_the_horizon() {
-    let (mut c, horizon) = cluster_with_evicted_requests();
+    let (mut controllers, horizon) = cluster_with_evicted_requests();
     let plain = zone_patch(json!({}));
     for (expect, is_definite) in [(1, false), (horizon - 1, false), (horizon, true), (15_000, true)]
     {
-        let result =
-            call_all_controllers(&mut c, &format!("expects-{expect}"), Some(expect), &plain);
+        let result = call_all_controllers(
+            &mut controllers,
+            &format!("expects-{expect}"),
+            Some(expect),
+            &plain,
+        );
         if is_definite {
             expect_that!(
                 result,
@@ -172,7 +190,8 @@
         [(1, false), (horizon, false), (horizon + 1, true), (ACCEPTED, true)]
     {
         let names = zone_patch(json!({ "edition": edition }));
-        let result = call_all_controllers(&mut c, &format!("names-{edition}"), None, &names);
+        let result =
+            call_all_controllers(&mut controllers, &format!("names-{edition}"), None, &names);
         if is_definite {
             expect_that!(result, each(matches_pattern!(OperationResult::Invalid(_))), "{edition}");
         } else {
@@ -184,21 +203,26 @@
         }
     }
     // A request on the newest revision and edition is accepted.
-    let result =
-        answer(&mut c, 1, "next", Some(ACCEPTED), zone_patch(json!({ "edition": ACCEPTED + 7 })));
+    let result = answer(
+        &mut controllers,
+        1,
+        "next",
+        Some(ACCEPTED),
+        zone_patch(json!({ "edition": ACCEPTED + 7 })),
+    );
     expect_that!(
         result,
         some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
     );
     // A request without revision and edition is recognized by its request id as long as that is in
     // the table.
-    let first = answer(&mut c, 0, "plain", None, plain.clone());
+    let first = answer(&mut controllers, 0, "plain", None, plain.clone());
     expect_that!(
         first,
         some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
     );
-    restart_all(&mut c, true);
-    let result = call_all_controllers(&mut c, "plain", None, &plain);
+    restart_all(&mut controllers, true);
+    let result = call_all_controllers(&mut controllers, "plain", None, &plain);
     let is_acknowledged = matches_pattern!(OperationResult::Accepted {
         revision: eq(&(ACCEPTED + 2)),
         is_repeat: eq(&true),
@@ -214,23 +238,27 @@
     let StoredReplica::Intact { state: copy, .. } = read(0, [None, Some(slot)], Some(log)) else {
         unreachable!()
     };
-    let mut c = cluster(3);
-    for node in &mut c.nodes {
+    let mut controllers = cluster(3);
+    for node in &mut controllers.nodes {
         let node_term = node.disk.kept[&CONFIG].current_term.max(copy.current_term);
         node.disk.kept.insert(CONFIG, ReplicaState { current_term: node_term, ..copy.clone() });
     }
-    restart_all(&mut c, true);
-    c
+    restart_all(&mut controllers, true);
+    controllers
 }
 
 #[googletest::test]
 fn requests_accepted_by_an_older_build_are_acknowledged_after_the_upgrade() {
-    let mut c = upgraded_cluster();
+    let mut controllers = upgraded_cluster();
     // Before the first new request, after it, and after a power loss of all controllers.
     for round in 0..3 {
         for base in 1..5 {
-            let result =
-                call_all_controllers(&mut c, &format!("order-{base}"), None, &edition_patch(base));
+            let result = call_all_controllers(
+                &mut controllers,
+                &format!("order-{base}"),
+                None,
+                &edition_patch(base),
+            );
             let revision = base + 1;
             let is_acknowledged = matches_pattern!(OperationResult::Accepted {
                 revision: eq(&revision),
@@ -239,7 +267,7 @@
             });
             expect_that!(result, each(is_acknowledged), "round {round}");
             let result = call_all_controllers(
-                &mut c,
+                &mut controllers,
                 &format!("rival-{base}"),
                 None,
                 &edition_patch(base - 1),
@@ -251,21 +279,21 @@
             );
         }
         if round == 0 {
-            let result = answer(&mut c, 1, "new", None, edition_patch(5));
+            let result = answer(&mut controllers, 1, "new", None, edition_patch(5));
             expect_that!(
                 result,
                 some(matches_pattern!(OperationResult::Accepted { revision: eq(&6), .. }))
             );
         } else {
-            restart_all(&mut c, true);
+            restart_all(&mut controllers, true);
         }
     }
 }
 
 #[googletest::test]
 fn a_request_id_used_for_another_text_is_rejected_by_all_controllers() {
-    let mut c = cluster(3);
-    let result = answer(&mut c, 0, "id", None, edition_patch(0));
+    let mut controllers = cluster(3);
+    let result = answer(&mut controllers, 0, "id", None, edition_patch(0));
     expect_that!(result, some(matches_pattern!(OperationResult::Accepted { .. })));
     let replacement = Operation::Replace(match edition_patch(0) {
         Operation::Patch(text) => text,
@@ -273,46 +301,54 @@
     });
     for _ in 0..2 {
         for other in [edition_patch(1), replacement.clone(), zone_patch(json!({}))] {
-            let result = call_all_controllers(&mut c, "id", None, &other);
+            let result = call_all_controllers(&mut controllers, "id", None, &other);
             expect_that!(result, each(matches_pattern!(OperationResult::Invalid(_))));
         }
-        let result = call_all_controllers(&mut c, "id", None, &edition_patch(0));
+        let result = call_all_controllers(&mut controllers, "id", None, &edition_patch(0));
         expect_that!(
             result,
             each(matches_pattern!(OperationResult::Accepted { revision: eq(&1), .. }))
         );
-        let old_leader = leader(&c).unwrap();
-        cluster::kill(&mut c, old_leader, true);
-        assert!(pass_until(&mut c, 5 * SECOND, |c| leader(c).is_some_and(|now| now != old_leader)));
-        cluster::start(&mut c, old_leader, false);
-        cluster::pass(&mut c, SECOND);
+        let old_leader = leader(&controllers).unwrap();
+        cluster::kill(&mut controllers, old_leader, true);
+        assert!(pass_until(&mut controllers, 5 * SECOND, |controllers| leader(controllers)
+            .is_some_and(|now| now != old_leader)));
+        cluster::start(&mut controllers, old_leader, false);
+        cluster::pass(&mut controllers, SECOND);
     }
     // Sent at the same time through two controllers: one text wins, the other is rejected.
     let texts = [edition_patch(1), zone_patch(json!({ "after": 1, "edition": 9 }))];
-    let [a, b] = [0, 1].map(|node: usize| call(&mut c, node, "new", None, texts[node].clone()));
-    assert!(pass_until(&mut c, 5 * SECOND, |c| [a, b].iter().all(|op| c.told.contains_key(op))));
-    let mut results = [c.told[&a].clone(), c.told[&b].clone()];
+    let [a, b] =
+        [0, 1].map(|node: usize| call(&mut controllers, node, "new", None, texts[node].clone()));
+    assert!(pass_until(&mut controllers, 5 * SECOND, |controllers| [a, b]
+        .iter()
+        .all(|op| controllers.told.contains_key(op))));
+    let mut results = [controllers.told[&a].clone(), controllers.told[&b].clone()];
     results.sort_by_key(|result| !matches!(result, OperationResult::Accepted { .. }));
     expect_that!(results[0], matches_pattern!(OperationResult::Accepted { revision: eq(&2), .. }));
     expect_that!(results[1], matches_pattern!(OperationResult::Invalid(_)));
-    let edition = read_back(&mut c, 2).map(|conf| conf.client_limits.edition);
+    let edition = read_back(&mut controllers, 2).map(|config| config.client_limits.edition);
     expect_that!(edition, some(any!(eq(2), eq(9))));
 }
 
 #[googletest::test]
 fn concurrent_duplicates_at_all_controllers_are_accepted_once() {
-    let mut c = cluster(3);
+    let mut controllers = cluster(3);
     for base in 0..20 {
         let request = format!("order-{base}");
         let calls: Vec<u64> = (0..6)
-            .map(|n| call(&mut c, (base as usize + n) % 3, &request, None, edition_patch(base)))
+            .map(|n| {
+                call(&mut controllers, (base as usize + n) % 3, &request, None, edition_patch(base))
+            })
             .collect();
-        assert!(pass_until(&mut c, 5 * SECOND, |c| calls.iter().all(|op| c.told.contains_key(op))));
+        assert!(pass_until(&mut controllers, 5 * SECOND, |controllers| calls
+            .iter()
+            .all(|op| controllers.told.contains_key(op))));
         for op in calls {
             let revision = base + 1;
             let is_acknowledged =
                 matches_pattern!(OperationResult::Accepted { revision: eq(&revision), .. });
-            expect_that!(c.told[&op], is_acknowledged);
+            expect_that!(controllers.told[&op], is_acknowledged);
         }
     }
 }
--- a/crates/core/tests/request_schedules.rs
+++ b/crates/core/tests/request_schedules.rs
@@ -35,9 +35,9 @@
 }
 
 fn edition_patch(request_id: &str, after: u64) -> Operation {
-    let val = json!({ "zones": [{ "name": request_id, "state": "open" }],
+    let change = json!({ "zones": [{ "name": request_id, "state": "open" }],
         "terms": { "after": after, "edition": after + 1 } });
-    Operation::Patch(val.to_string().into_bytes())
+    Operation::Patch(change.to_string().into_bytes())
 }
 
 fn answer_kind(result: Option<&OperationResult>) -> Told {
@@ -57,8 +57,8 @@
 fn requests_and_edition(
     map: &grebepath_core::protocol::replica::EntryMap,
 ) -> (BTreeSet<String>, u64) {
-    let conf = Config::from_entries(map).unwrap();
-    (conf.zones.keys().cloned().collect(), conf.client_limits.edition)
+    let config = Config::from_entries(map).unwrap();
+    (config.zones.keys().cloned().collect(), config.client_limits.edition)
 }
 
 /// Returns the highest edition that was reported to any operator.
--- a/crates/core/tests/retry_after.rs
+++ b/crates/core/tests/retry_after.rs
@@ -9,7 +9,7 @@
 use grebepath_core::time::{SECOND, ms};
 
 /// Returns the minimum and the maximum of the retry times (seconds) for 200 callers, after `calls`
-/// calls of which every `rejection_interval`th was rejected, followed by a time `idle` without calls.
+/// calls of which every `rejection_interval`th was rejected, and a time `idle` without calls.
 fn retry_after_range(
     calls: u64,
     rejection_interval: u64,
--- a/crates/core/tests/retry_budget.rs
+++ b/crates/core/tests/retry_budget.rs
@@ -56,8 +56,8 @@
         };
         let total: u64 = (0..14).map(slack_part).sum();
         expect_that!(total, eq(RETRY_SLACK));
-        // A window may begin just after traffic stopped. It then contains the retries for the credit
-        // of one burst, here a fifth of 200 ms at 500 a second, and one retry per thread.
+        // A window may begin just after traffic stopped. It then contains the retries for the
+        // credit of one burst, here a fifth of 200 ms at 500 a second, and one retry per thread.
         expect_that!(max_excess(seed, 14, slack_part), le(RETRY_SLACK as i64 + 20 + 14));
     }
 }
--- a/crates/core/tests/service_retry_budget.rs
+++ b/crates/core/tests/service_retry_budget.rs
@@ -57,8 +57,8 @@
     (list.partition_point(|t| *t < to) - list.partition_point(|t| *t < from)) as u64
 }
 
-/// Returns the maximum excess of retries over the limit, in thousandths of a retry, in any window of
-/// `len` ms.
+/// Returns the maximum excess of retries over the limit, in thousandths of a retry, in any window
+/// of `len` ms.
 fn excess(traffic: &Traffic, rate: RetryRate, len: u64) -> i64 {
     (0..60_000)
         .step_by(23)
--- a/crates/core/tests/slow_start.rs
+++ b/crates/core/tests/slow_start.rs
@@ -63,13 +63,13 @@
 
 #[googletest::test]
 fn attempts_to_a_cold_leaf_stay_within_its_capacity_in_any_second() {
-    // Guards against leafs that are overloaded while they warm up: a leaf of the platform can
-    // process one and a half times the rate, and five more.
+    // Guards against leafs that are overloaded while they warm up: the platform tolerates one and a
+    // half times the rate plus five attempts.
     for seed in 0..40 {
         let mut random = Random::new(seed);
         // Attempts per thousand seconds, from a very low to a high rate.
         let rate = [200, 1_000, 2_500, 8_000, 60_000][seed as usize % 5];
-        let mut l = LeafState::new("i", BOOT);
+        let mut leaf = LeafState::new("i", BOOT);
         let mut now = BOOT;
         let mut sent: Vec<Tick> = Vec::new();
         let mut is_sending = true;
@@ -78,8 +78,8 @@
             if random.chance(1, 400) {
                 is_sending = !is_sending;
             }
-            while is_sending && l.slow_start_allowance(rate, now) >= 1_000 {
-                l.spend_slow_start_credit(rate, now);
+            while is_sending && leaf.slow_start_allowance(rate, now) >= 1_000 {
+                leaf.spend_slow_start_credit(rate, now);
                 sent.push(now);
             }
         }
--- a/crates/core/tests/unconditional_requests.rs
+++ b/crates/core/tests/unconditional_requests.rs
@@ -19,11 +19,12 @@
 const DELAY: Span = 4 * SECOND;
 
 fn zone(state: &str) -> Operation {
-    let val = json!({ "zones": [{ "name": "a", "state": state }] });
-    Operation::Patch(val.to_string().into_bytes())
+    let change = json!({ "zones": [{ "name": "a", "state": state }] });
+    Operation::Patch(change.to_string().into_bytes())
 }
 
-/// Returns the current revision, as a controller reports it in response to a request without a base.
+/// Returns the current revision, as a controller reports it in response to a request without a
+/// base.
 fn reported_revision(cluster: &mut Cluster, node: usize) -> u64 {
     let operation = ask(cluster, node, "", zone("open"));
     match answered(cluster, operation) {
