--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -13,7 +13,7 @@
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::control_plane::request_dedup;
 use grebepath_core::control_plane::request_dedup::LookupResult;
-use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::control_plane::step::WAKE_INTERVAL;
 use grebepath_core::protocol::message::Message;
 use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::protocol::replica::EntryMap;
@@ -149,7 +149,7 @@
 }
 
 fn wake(controller: &mut Controller) {
-    controller.now += WAKE;
+    controller.now += WAKE_INTERVAL;
     feed(controller, Event::Wake);
 }
 
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -164,7 +164,7 @@
     /// The process is shutting down: the node gives up all leaderships and hands over its
     /// voter slot.
     Stop,
-    /// A timer tick. Ticks are at most `step::WAKE` apart.
+    /// A timer tick. Ticks are at most `step::WAKE_INTERVAL` apart.
     Wake,
 }
 
--- a/crates/core/src/control_plane/membership_replication.rs
+++ b/crates/core/src/control_plane/membership_replication.rs
@@ -17,7 +17,7 @@
 use crate::protocol::message::Message;
 use crate::replication::timing::HEARTBEAT_INTERVAL;
 use crate::time::{Span, Tick, since};
-use crate::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, other_voters};
 
 /// How long a new leader waits for voters that have not answered, if it needs restarted
 /// voters without a membership for a majority. A voter that has not answered may be the
@@ -82,7 +82,7 @@
         if replication.sent.is_none_or(|(_, at)| since(at, now) >= HEARTBEAT_INTERVAL) {
             let id = MembershipId::default();
             replication.sent = Some((MembershipVersion { id, settled: 0, confirmed: false }, now));
-            for slot in others(voters.group) {
+            for slot in other_voters(voters.group) {
                 commands
                     .push(Command::ToVoter { slot, message: Message::FetchMembership { term } });
             }
@@ -182,7 +182,7 @@
         let is_due = replication
             .sent
             .is_none_or(|(sent, at)| sent != version || since(at, now) >= HEARTBEAT_INTERVAL);
-        let lacking: Vec<VoterSlot> = others(group)
+        let lacking: Vec<VoterSlot> = other_voters(group)
             .filter(|slot| replication.acknowledged[usize::from(*slot)] != Some(version))
             .collect();
         if !is_due || lacking.is_empty() || current.term == Term::ZERO {
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -30,7 +30,7 @@
 use crate::replication::operations::OperationOrigin;
 use crate::replication::partition::Role;
 use crate::time::Tick;
-use crate::voter_set::{NO_SLOT, others};
+use crate::voter_set::{NO_SLOT, other_voters};
 
 /// Maximum number of attempt numbers that are remembered to drop duplicates. At hundreds of
 /// requests per second, this covers ten seconds.
@@ -77,7 +77,7 @@
         let is_reachable = |slot: &VoterSlot| {
             leaving || time_since_message[usize::from(*slot)] < consts::VOTER_SILENCE_TIMEOUT
         };
-        let reachable: Vec<VoterSlot> = others(self.group()).filter(is_reachable).collect();
+        let reachable: Vec<VoterSlot> = other_voters(self.group()).filter(is_reachable).collect();
         let slot = reachable
             .get(self.voter_slots.forwarded_without_slot % reachable.len().max(1))
             .copied()?;
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -11,7 +11,7 @@
 use crate::voter_set::{NO_SLOT, VoterGroup};
 
 /// Interval between two timer ticks.
-pub const WAKE: crate::time::Span = ms(50);
+pub const WAKE_INTERVAL: crate::time::Span = ms(50);
 
 impl ControllerState {
     /// Handles one event and returns the commands to execute.
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -3,7 +3,7 @@
 
 use crate::command::Command;
 use crate::control_plane::controller::ControllerState;
-use crate::control_plane::step::WAKE;
+use crate::control_plane::step::WAKE_INTERVAL;
 use crate::protocol::replica::ReplicaCondition;
 use crate::replication::partition::Partition;
 use crate::replication::timing::ELECTION_TIMEOUT;
@@ -92,7 +92,7 @@
     /// Handles a timer tick for the voter slots: counts the silence of the other voters and
     /// sends liveness messages.
     pub(super) fn wake_voter_slots(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        self.voter_slots.advance_time_since_message(now, 2 * WAKE);
+        self.voter_slots.advance_time_since_message(now, 2 * WAKE_INTERVAL);
         self.voter_slots.retry_write(now, commands);
         self.wake_handover(now, commands);
         if self.slot == NO_SLOT {
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -11,7 +11,7 @@
 
 /// Longest interval between two wake-ups of a node agent. Well below its shortest period, the
 /// 100 ms between renewals of a member without a lease.
-pub const WAKE: Span = ms(50);
+pub const WAKE_INTERVAL: Span = ms(50);
 
 /// The sender of an update or a membership.
 #[derive(Clone, Copy, PartialEq)]
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -21,7 +21,7 @@
 use crate::replication::timing::{ANSWER_TIMEOUT, CATCH_UP_INTERVAL};
 use crate::storage::record::ReplicaState;
 use crate::time::Tick;
-use crate::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, other_voters};
 
 /// Rounds of status requests after which a replica that can't recover raises an alarm (count).
 const ROUNDS_UNTIL_ALARM: u64 = 40;
@@ -39,7 +39,7 @@
     /// Returns whether all other voters have responded in this round.
     fn has_all_answers(&self, group: VoterGroup) -> bool {
         let answered = |slot| self.statuses.get(usize::from(slot)).is_some_and(Option::is_some);
-        others(group).all(answered)
+        other_voters(group).all(answered)
     }
 
     /// Returns whether this is the first boot of the cluster: no voter that responded holds any
@@ -51,7 +51,7 @@
             && is_original(&group.slot)
             && group.initial_holders.count_ones() as usize >= majority(group.size)
             && self.statuses.iter().flatten().all(ReplicaStatus::is_blank)
-            && others(group)
+            && other_voters(group)
                 .filter(is_original)
                 .all(|slot| self.statuses[usize::from(slot)].is_some())
     }
@@ -115,7 +115,7 @@
         catch_up.next_request_at = now + CATCH_UP_INTERVAL;
         catch_up.statuses = vec![None; group.size];
         catch_up.fetching_from = None;
-        for slot in others(group) {
+        for slot in other_voters(group) {
             let message = Message::StatusRequest { partition: self.id, nonce: self.catch_up.nonce };
             commands.push(Command::ToVoter { slot, message });
         }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -15,7 +15,7 @@
 use crate::replication::timing::{ANSWER_TIMEOUT, ELECTION_TIMEOUT};
 use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::{Span, Tick, ms, since};
-use crate::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, other_voters};
 
 /// Extra election timeout per rank, so that the preferred voter becomes a candidate first.
 const ELECTION_STAGGER: Span = ms(300);
@@ -35,7 +35,7 @@
     let own = pair(partition, u64::from(group.slot));
     let precedes =
         |slot: &VoterSlot| Some(*slot) != silent && pair(partition, u64::from(*slot)) < own;
-    others(group).filter(precedes).count() as u64
+    other_voters(group).filter(precedes).count() as u64
 }
 
 impl Partition {
@@ -99,7 +99,7 @@
         let mut granted = vec![false; group.size];
         granted[usize::from(group.slot)] = true;
         self.role = Role::PreCandidate { term, granted, until: now + ANSWER_TIMEOUT };
-        for slot in others(group) {
+        for slot in other_voters(group) {
             let message = Message::PreVoteRequest { partition: self.id, term };
             commands.push(Command::ToVoter { slot, message });
         }
@@ -171,7 +171,7 @@
             return;
         }
         candidacy.grants[usize::from(group.slot)] = Some(position);
-        for slot in others(group) {
+        for slot in other_voters(group) {
             let message = Message::VoteRequest { partition: self.id, term };
             commands.push(Command::ToVoter { slot, message });
         }
@@ -320,7 +320,7 @@
     fn successor(&self, group: VoterGroup) -> Option<VoterSlot> {
         let leader = self.leader()?;
         let synced = |slot: &VoterSlot| leader.synced[usize::from(*slot)];
-        others(group).filter(|slot| synced(slot).is_some()).max_by_key(synced)
+        other_voters(group).filter(|slot| synced(slot).is_some()).max_by_key(synced)
     }
 
     /// Starts an election at once because the leader transfers its leadership to this follower.
--- a/crates/core/src/replication/heartbeat_rounds.rs
+++ b/crates/core/src/replication/heartbeat_rounds.rs
@@ -14,7 +14,7 @@
 use crate::replication::timing::{CHECKSUM_INTERVAL, HEARTBEAT_INTERVAL};
 use crate::storage::record::checksum;
 use crate::time::{Span, Tick, ms, since};
-use crate::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, other_voters};
 
 /// Minimum time between two rounds for waiting operations. It limits a high rate of operations
 /// to three rounds per 15 ms, and makes none wait for longer than the round trip that it needs
@@ -36,7 +36,7 @@
     /// acknowledged.
     pub fn confirmed_round(&self, group: VoterGroup) -> u64 {
         let acked = |slot: VoterSlot| self.acked[usize::from(slot)].number;
-        let mut rounds: Vec<u64> = others(group).map(acked).collect();
+        let mut rounds: Vec<u64> = other_voters(group).map(acked).collect();
         rounds.sort_unstable_by(|a, b| b.cmp(a));
         match majority(group.size) {
             1 => self.round,
@@ -77,7 +77,7 @@
         }
         let (round, committed) = (leader.round, leader.committed);
         let checksum = if compares { checksum(&self.state.entries) } else { 0 };
-        for slot in others(group) {
+        for slot in other_voters(group) {
             let message = Message::Heartbeat { partition, term, round, committed, checksum };
             commands.push(Command::ToVoter { slot, message });
         }
--- a/crates/core/src/replication/leader.rs
+++ b/crates/core/src/replication/leader.rs
@@ -10,7 +10,7 @@
 };
 use crate::replication::timing::{CHECKSUM_INTERVAL, LEADER_LEASE};
 use crate::time::{Tick, since};
-use crate::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, other_voters};
 
 /// Volatile state of the leader of a partition.
 ///
@@ -130,7 +130,7 @@
     pub fn has_majority_contact(&self, group: VoterGroup, now: Tick) -> bool {
         let is_recent =
             |slot: &VoterSlot| since(self.acked[usize::from(*slot)].began_at, now) < LEADER_LEASE;
-        others(group).filter(is_recent).count() + 1 >= majority(group.size)
+        other_voters(group).filter(is_recent).count() + 1 >= majority(group.size)
     }
 
     /// Resets the progress of the other voters after a change of the voter set, because
--- a/crates/core/src/replication/replicate.rs
+++ b/crates/core/src/replication/replicate.rs
@@ -10,7 +10,7 @@
 use crate::replication::timing::ANSWER_TIMEOUT;
 use crate::storage::record::LogRecord;
 use crate::time::{Span, Tick, ms, since};
-use crate::voter_set::{VoterGroup, others};
+use crate::voter_set::{VoterGroup, other_voters};
 
 /// Time after which the leader begins another heartbeat round if operations still wait for one,
 /// because a message of the round may have been lost. The regular heartbeat interval is four
@@ -45,7 +45,7 @@
             && since(leader.round_began_at, now) >= CONFIRMATION_RETRY;
         let is_round_due = now >= leader.next_heartbeat_at || is_retry_due;
         let needing_snapshot: Vec<VoterSlot> =
-            others(group).filter(|slot| leader.needs_snapshot(now, *slot)).collect();
+            other_voters(group).filter(|slot| leader.needs_snapshot(now, *slot)).collect();
         if is_round_due {
             self.begin_round(now, group, commands);
         }
@@ -168,7 +168,7 @@
             return;
         }
         self.changes.push_back((revision, entries.clone()));
-        for slot in others(group) {
+        for slot in other_voters(group) {
             let entries = entries.clone();
             let message = Message::Append { partition, term, revision, entries };
             commands.push(Command::ToVoter { slot, message });
--- a/crates/core/src/voter_set.rs
+++ b/crates/core/src/voter_set.rs
@@ -69,7 +69,7 @@
 }
 
 /// Returns every other slot that a replica holds.
-pub fn others(g: VoterGroup) -> impl Iterator<Item = VoterSlot> {
+pub fn other_voters(g: VoterGroup) -> impl Iterator<Item = VoterSlot> {
     (0..g.size as VoterSlot).filter(move |s| *s != g.slot && g.occupied >> *s & 1 == 1)
 }
 
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -8,7 +8,7 @@
 use crate::replication::timing::DISK_STALL_TIMEOUT;
 use crate::storage::voter_file::VoterFile;
 use crate::time::{Span, Tick, ms, since};
-use crate::voter_set::{VoterGroup, VoterSet, ballot, group, merge, others, slot_of, stamp};
+use crate::voter_set::{VoterGroup, VoterSet, ballot, group, merge, other_voters, slot_of, stamp};
 use crate::voters::handover::Handovers;
 use crate::voters::stamp::stamp_of_mut;
 
@@ -236,7 +236,7 @@
     /// Sends the voter set to every voter and on every connection, as the holder of `slot`.
     pub fn broadcast_voter_set(&self, slot: VoterSlot, commands: &mut Vec<Command>) {
         let message = self.update_message();
-        for slot in others(self.group(slot)) {
+        for slot in other_voters(self.group(slot)) {
             commands.push(Command::ToVoter { slot, message: message.clone() });
         }
         for connection in &self.connections {
@@ -322,7 +322,7 @@
     /// Sends a keepalive, as the holder of `slot`, to each voter to which nothing else was sent
     /// recently.
     pub fn send_keepalives(&self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
-        for slot in others(self.group(slot)) {
+        for slot in other_voters(self.group(slot)) {
             if since(self.last_sent_at[usize::from(slot)], now) >= KEEPALIVE_INTERVAL {
                 commands.push(Command::ToVoter { slot, message: Message::VoterAlive { stamp: 0 } });
             }
--- a/crates/core/tests/assignments.rs
+++ b/crates/core/tests/assignments.rs
@@ -5,7 +5,7 @@
 use grebepath_core::identifiers::Term;
 use grebepath_core::membership::neighbour_ring::NeighbourRing;
 use grebepath_core::membership::node_agent::{Command, Event, NodeAgent};
-use grebepath_core::membership::step::WAKE;
+use grebepath_core::membership::step::WAKE_INTERVAL;
 use grebepath_core::protocol::membership::{Member, Membership};
 use grebepath_core::protocol::message::Message;
 use grebepath_core::routing_language::selector::Labels;
@@ -73,7 +73,7 @@
 /// Wakes an agent whose lease is renewed all the time, and tells when it commanded what
 /// `is_wanted` looks for.
 fn times(agent: &mut NodeAgent, span: Span, is_wanted: fn(&Command) -> bool) -> Vec<Tick> {
-    let wakes = (0..span / WAKE).map(|n| BOOT + WAKE * n);
+    let wakes = (0..span / WAKE_INTERVAL).map(|n| BOOT + WAKE_INTERVAL * n);
     let mut found = Vec::new();
     for now in wakes {
         agent.lease.renewed_at = now;
@@ -138,7 +138,7 @@
     expect_that!(times(&mut last, SECOND, is_poll), is_empty());
     substitute(&mut last, BOOT, 1);
     let polls = times(&mut last, GRACE, is_poll);
-    expect_that!(polls.first(), some(le(&(BOOT + WAKE))));
+    expect_that!(polls.first(), some(le(&(BOOT + WAKE_INTERVAL))));
     expect_that!(polls.last(), some(le(&(BOOT + LONGEST_GAP))));
     expect_that!(last.counters.substitute_list_polls, eq(polls.len() as u64));
 }
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -8,7 +8,7 @@
 use grebepath_core::command::Command;
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
-use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::control_plane::step::WAKE_INTERVAL;
 use grebepath_core::identifiers::{CONFIG, PartitionId, VoterSlot};
 use grebepath_core::protocol::message::Message;
 use grebepath_core::protocol::operation::{Operation, OperationResult};
@@ -245,7 +245,7 @@
         if cluster.now >= end {
             return false;
         }
-        cluster.now += WAKE;
+        cluster.now += WAKE_INTERVAL;
         for node in 0..cluster.nodes.len() {
             if !cluster.nodes[node].frozen {
                 give(cluster, node, Event::Wake);
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -9,7 +9,7 @@
 
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
-use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::control_plane::step::WAKE_INTERVAL;
 use grebepath_core::identifiers::{PartitionId, Term};
 use grebepath_core::protocol::membership::{Member, MemberProgress};
 use grebepath_core::protocol::message::Message;
@@ -292,7 +292,7 @@
     match delivery {
         Delivery::Event(event) => take(cluster, node, event),
         Delivery::Wake => {
-            let span = WAKE * 100 / machine.rate;
+            let span = WAKE_INTERVAL * 100 / machine.rate;
             push(cluster, node, span, Delivery::Wake);
             take(cluster, node, Event::Wake);
         }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use grebepath_core::command::Command;
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
-use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::control_plane::step::WAKE_INTERVAL;
 use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::time::{BOOT, Tick};
@@ -65,7 +65,7 @@
         if o.done.len() as u64 == n {
             break;
         }
-        o.now += WAKE;
+        o.now += WAKE_INTERVAL;
         feed(o, Event::Wake);
     }
     let mut done = std::mem::take(&mut o.done);
--- a/crates/core/tests/order_answers.rs
+++ b/crates/core/tests/order_answers.rs
@@ -8,7 +8,7 @@
 
 use cluster::*;
 use googletest::prelude::*;
-use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::control_plane::step::WAKE_INTERVAL;
 use grebepath_core::identifiers::Term;
 use grebepath_core::protocol::membership::{MemberProgress, MembershipId};
 use grebepath_core::protocol::operation::{Operation, OperationResult};
@@ -144,7 +144,7 @@
     let others: Vec<usize> = (0..3).filter(|node| *node != first).collect();
     // Just after a wake, so that an order is what the leader finds first when
     // it goes on.
-    until(&mut cluster, |cluster| (cluster.now - ms(first as u64)) % WAKE == ms(1));
+    until(&mut cluster, |cluster| (cluster.now - ms(first as u64)) % WAKE_INTERVAL == ms(1));
     // It holds a change that nobody else will ever hold.
     isolate(&mut cluster, first);
     ask(&mut cluster, first, "two", edition(1, "b"));
--- a/crates/core/tests/races/mod.rs
+++ b/crates/core/tests/races/mod.rs
@@ -7,7 +7,7 @@
 pub mod list;
 
 use grebepath_core::control_plane::controller::Event;
-use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::control_plane::step::WAKE_INTERVAL;
 use grebepath_core::digest::digest;
 use grebepath_core::protocol::message::Message;
 use grebepath_core::protocol::operation::{Operation, OperationResult};
@@ -178,7 +178,7 @@
     match stage {
         // The leader tells the outcome when it next looks who obeys.
         Stage::Committed => {
-            c.now += WAKE;
+            c.now += WAKE_INTERVAL;
             give(c, leader, Event::Wake);
             pump(c, |work| is_held(work, stage, leader));
         }
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -6,7 +6,7 @@
 use googletest::prelude::*;
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
-use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::control_plane::step::WAKE_INTERVAL;
 use grebepath_core::identifiers::{CONFIG, Term, VoterSlot, partitions};
 use grebepath_core::protocol::message::Message;
 use grebepath_core::protocol::replica::ReplicaCondition;
@@ -188,7 +188,7 @@
     let end = b.now + span;
     let mut out = Vec::new();
     while b.now < end {
-        b.now += WAKE;
+        b.now += WAKE_INTERVAL;
         out.extend(one(b, Event::Wake));
     }
     out
@@ -286,7 +286,7 @@
         } => Some(term),
         _ => None,
     };
-    let term = (0..100).find_map(|_| wake(b, WAKE).into_iter().find_map(sounds)).unwrap();
+    let term = (0..100).find_map(|_| wake(b, WAKE_INTERVAL).into_iter().find_map(sounds)).unwrap();
     let yes = from(
         b,
         2,
--- a/crates/server/src/controller/controller_thread.rs
+++ b/crates/server/src/controller/controller_thread.rs
@@ -5,7 +5,7 @@
 use std::sync::mpsc;
 
 use grebepath_core::control_plane::controller::{ControllerState, Event};
-use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::control_plane::step::WAKE_INTERVAL;
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::storage::voter_file::VoterFile;
 use grebepath_runtime::clock::{Clock, duration, nonce};
@@ -88,7 +88,7 @@
         connection_events: &mut ConnectionEvents,
     ) {
         let mut settings_watch = SettingsWatch::new(self.settings.file.as_deref());
-        let mut wake = tokio::time::interval(duration(WAKE));
+        let mut wake = tokio::time::interval(duration(WAKE_INTERVAL));
         wake.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let stop = grebepath_runtime::stop::requested();
         tokio::pin!(stop);
--- a/crates/server/src/querier/membership_thread.rs
+++ b/crates/server/src/querier/membership_thread.rs
@@ -5,7 +5,7 @@
 
 use grebepath_core::consts;
 use grebepath_core::membership::node_agent::{Event, NodeAgent};
-use grebepath_core::membership::step::WAKE;
+use grebepath_core::membership::step::WAKE_INTERVAL;
 use grebepath_core::protocol::membership::Member;
 use grebepath_core::time::Span;
 use grebepath_runtime::clock::{Clock, duration, nonce};
@@ -105,7 +105,7 @@
         connection_events: &mut UnboundedReceiver<ConnectionEvent<Tag>>,
         settings_watch: &mut SettingsWatch,
     ) {
-        let mut wake = tokio::time::interval(duration(WAKE));
+        let mut wake = tokio::time::interval(duration(WAKE_INTERVAL));
         wake.set_missed_tick_behavior(tokio::time::MissedTickBehavior::Delay);
         let stop = grebepath_runtime::stop::requested();
         tokio::pin!(stop);
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -35,7 +35,7 @@
         match event {
             ScheduledEvent::ControllerTimer { controller, life } => {
                 self.push(
-                    control_plane_step::WAKE,
+                    control_plane_step::WAKE_INTERVAL,
                     ScheduledEvent::ControllerTimer { controller, life },
                 );
                 self.step_controller(controller, CoreEvent::Wake);
@@ -57,7 +57,10 @@
                 self.step_controller(controller, voter_file_event(token, result));
             }
             ScheduledEvent::QuerierTimer { querier, life } => {
-                self.push(membership_step::WAKE, ScheduledEvent::QuerierTimer { querier, life });
+                self.push(
+                    membership_step::WAKE_INTERVAL,
+                    ScheduledEvent::QuerierTimer { querier, life },
+                );
                 self.step_querier(querier, node_agent::Event::Wake);
             }
             ScheduledEvent::QuerierMessage { querier, from, raw, .. } => {
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -217,7 +217,7 @@
         node.me.incarnation = node.life;
         node.node_agent = node_agent::NodeAgent::new(node.me.clone(), BOOT);
         let life = node.life;
-        let after = self.random.below(qstep::WAKE);
+        let after = self.random.below(qstep::WAKE_INTERVAL);
         self.push(after, ScheduledEvent::QuerierTimer { querier, life });
     }
 
@@ -342,5 +342,5 @@
 }
 
 fn start_delay(seed: u64) -> Span {
-    seed % cstep::WAKE
+    seed % cstep::WAKE_INTERVAL
 }
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -48,7 +48,7 @@
         match event {
             ScheduledEvent::ControllerTimer { controller, life } => {
                 self.push(
-                    control_plane_step::WAKE,
+                    control_plane_step::WAKE_INTERVAL,
                     ScheduledEvent::ControllerTimer { controller, life },
                 );
                 self.step_controller(controller, CoreEvent::Wake);
@@ -63,7 +63,10 @@
                 self.finish_voter_file(controller, token);
             }
             ScheduledEvent::QuerierTimer { querier, life } => {
-                self.push(membership_step::WAKE, ScheduledEvent::QuerierTimer { querier, life });
+                self.push(
+                    membership_step::WAKE_INTERVAL,
+                    ScheduledEvent::QuerierTimer { querier, life },
+                );
                 self.step_node_agent(querier, node_agent::Event::Wake);
                 self.send_to_cold_leafs(querier, life);
             }
