--- a/crates/core/examples/order_cost.rs
+++ b/crates/core/examples/order_cost.rs
@@ -110,7 +110,7 @@
 fn controller() -> Controller {
     let addr = "127.0.0.1:1".to_string();
     let seeds = vec![addr.clone()];
-    let start = Start { slot: Some(0), first: true, seeds, size: 1, addr: addr.clone() };
+    let start = Start { slot: Some(0), is_first_start: true, seeds, size: 1, addr: addr.clone() };
     let (roll, _) = begin(None, &start, true, 5);
     let core = ControllerState::new(roll, (&addr, "a"), Vec::new(), 7, BOOT);
     Controller { core, now: BOOT, next_op: 0, accepted: 0, cost: Cost::default() }
@@ -162,7 +162,7 @@
         controller.cost.processor += begin.elapsed();
         for command in commands {
             match command {
-                Command::AppendRecord { partition, token, rec } => {
+                Command::AppendRecord { partition, token, record: rec } => {
                     controller.cost.log_bytes += writer::record(1, 1, &rec).len();
                     if let grebepath_core::storage::record::LogRecord::Change {
                         term,
@@ -175,7 +175,7 @@
                     }
                     queue.push(Event::Synced { partition, token });
                 }
-                Command::WriteSnapshot { partition, token, copy } => {
+                Command::WriteSnapshot { partition, token, snapshot: copy } => {
                     controller.cost.slots += 1;
                     controller.cost.slot_bytes += writer::slot(partition.0, 1, &copy).len();
                     queue.push(Event::Synced { partition, token });
@@ -183,10 +183,10 @@
                 Command::WriteVoterFile { token, .. } => {
                     queue.push(Event::VoterFileWritten { token })
                 }
-                Command::Respond { done: OperationResult::Accepted { .. }, .. } => {
+                Command::Respond { result: OperationResult::Accepted { .. }, .. } => {
                     controller.accepted += 1
                 }
-                Command::Respond { done, .. } => panic!("not accepted: {done:?}"),
+                Command::Respond { result: done, .. } => panic!("not accepted: {done:?}"),
                 _ => {}
             }
         }
--- a/crates/core/src/command.rs
+++ b/crates/core/src/command.rs
@@ -21,18 +21,18 @@
     /// The voter set or this node's slot changed: opens and closes connections accordingly.
     VoterSetChanged,
     /// Writes the voter file; with `clear`, sets the files of all partitions aside first.
-    WriteVoterFile { token: u64, roll: VoterFile, clear: bool },
+    WriteVoterFile { token: u64, voter_file: VoterFile, clear: bool },
     /// Appends a record to the partition's log and syncs it.
-    AppendRecord { partition: PartitionId, token: u64, rec: LogRecord },
+    AppendRecord { partition: PartitionId, token: u64, record: LogRecord },
     /// Writes the other snapshot slot, syncs it and starts a new log.
-    WriteSnapshot { partition: PartitionId, token: u64, copy: ReplicaState },
+    WriteSnapshot { partition: PartitionId, token: u64, snapshot: ReplicaState },
     /// Verifies the partition's files after all earlier disk commands are done.
     Scrub { partition: PartitionId },
     /// Responds to an operator, once for each request.
-    Respond { op: u64, done: OperationResult },
+    Respond { op: u64, result: OperationResult },
     /// Response of this node, as the leader, to an attempt of the same process. `step` consumes
     /// it and never returns it.
-    OwnResponse { op: u64, attempt: u64, done: OperationResult },
+    OwnResponse { op: u64, attempt: u64, result: OperationResult },
     /// Schedules an additional wake-up after this time.
     WakeAfter { span: Span },
     /// Reports a condition that an operator must know; logged as a warning.
--- a/crates/core/src/config/build.rs
+++ b/crates/core/src/config/build.rs
@@ -86,7 +86,7 @@
         slow_start: ms(u64::from(pool.slow_start_ms)),
         balancing: BalancingMode::try_from(pool.balancing).unwrap_or(BalancingMode::Partitioned),
         connections: pool.connections,
-        cold_rate: pool.cold_rate,
+        cold_leaf_rate_milli: pool.cold_leaf_rate_milli,
     }
 }
 
@@ -188,7 +188,7 @@
     let shard = |(name, pools): (&str, _)| RouteShard { name: name.to_string(), pools };
     Route {
         name: search.name.clone(),
-        class: PriorityClass::try_from(search.class).unwrap_or(PriorityClass::Ordinary),
+        priority_class: PriorityClass::try_from(search.class).unwrap_or(PriorityClass::Ordinary),
         timeout: ms(search.timeout_ms),
         quorum: search.quorum.clamp(1, 1000),
         attempts: search.attempts.max(1),
@@ -202,8 +202,8 @@
         path: search.path.clone(),
         serving_mode: ServingMode::try_from(search.serving_mode).unwrap_or(ServingMode::Native),
         at_most_once: search.at_most_once,
-        target: (search.latency_target_ms > 0).then(|| ms(search.latency_target_ms)),
-        rank: search.rank,
+        latency_target: (search.latency_target_ms > 0).then(|| ms(search.latency_target_ms)),
+        rank_in_class: search.rank,
         record_bytes: search.record_bytes.max(1) as usize,
         max_records: search.max_records as usize,
         weights,
--- a/crates/core/src/config/read_objects.rs
+++ b/crates/core/src/config/read_objects.rs
@@ -148,7 +148,7 @@
             &[("share", BalancingMode::Partitioned), ("seen", BalancingMode::LoadAware)],
         ) as i32,
         connections: reader.number_u32_or("wires", 0..=u32::MAX, 0),
-        cold_rate: reader.number_u32_or("cold_rate", 0..=u32::MAX, 0),
+        cold_leaf_rate_milli: reader.number_u32_or("cold_rate", 0..=u32::MAX, 0),
         original_json: reader.optional_text("origin"),
         list_index: reader.number_u32_or("place", 0..=u32::MAX, 0),
     };
--- a/crates/core/src/config/route.rs
+++ b/crates/core/src/config/route.rs
@@ -22,7 +22,7 @@
     /// The search's name.
     pub name: String,
     /// How urgent its queries are.
-    pub class: PriorityClass,
+    pub priority_class: PriorityClass,
     /// Time within which callers get an answer or a rejection.
     pub timeout: Span,
     /// Required share of the planned shards, in thousandths.
@@ -50,9 +50,9 @@
     /// Whether a call must not be executed more than once.
     pub at_most_once: bool,
     /// Latency target: a later answer is worth less.
-    pub target: Option<Span>,
+    pub latency_target: Option<Span>,
     /// Priority among searches of one class, the lowest first.
-    pub rank: u32,
+    pub rank_in_class: u32,
     /// Size of one record where answers are merged by bytes.
     pub record_bytes: usize,
     /// Maximum number of records of a merged answer.
@@ -95,7 +95,7 @@
     /// Maximum number of connections to a leaf from all nodes; zero if not set.
     pub connections: u32,
     /// Attempts per second that a cold leaf accepts, in thousandths.
-    pub cold_rate: u32,
+    pub cold_leaf_rate_milli: u32,
 }
 
 /// A validated configuration.
--- a/crates/core/src/config/show.rs
+++ b/crates/core/src/config/show.rs
@@ -79,8 +79,8 @@
     if pool.connections > 0 {
         out["wires"] = json!(pool.connections);
     }
-    if pool.cold_rate > 0 {
-        out["cold_rate"] = json!(pool.cold_rate);
+    if pool.cold_leaf_rate_milli > 0 {
+        out["cold_rate"] = json!(pool.cold_leaf_rate_milli);
     }
     out
 }
--- a/crates/core/src/config/types.rs
+++ b/crates/core/src/config/types.rs
@@ -163,7 +163,7 @@
     pub connections: u32,
     /// Attempts per second that a cold leaf accepts, in thousandths.
     #[prost(uint32, tag = "9")]
-    pub cold_rate: u32,
+    pub cold_leaf_rate_milli: u32,
     /// The JSON that the operator sent, returned unchanged on reads.
     #[prost(string, tag = "10")]
     pub original_json: String,
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -179,7 +179,7 @@
         seed: u64,
         now: Tick,
     ) -> Self {
-        let slot = slot_of(&voter_file.table, voter_file.me).unwrap_or(NO_SLOT);
+        let slot = slot_of(&voter_file.voter_set, voter_file.replica_id).unwrap_or(NO_SLOT);
         let mut found: BTreeMap<PartitionId, _> = found
             .into_iter()
             .map(|(id, condition, state, log_bytes)| (id, (condition, state, log_bytes)))
@@ -196,7 +196,7 @@
             .collect();
         Self {
             slot,
-            random: Random::new(seed ^ voter_file.me),
+            random: Random::new(seed ^ voter_file.replica_id),
             voter_slots: VoterSlots::new(voter_file, location.0, location.1, now),
             partitions,
             members: Members::default(),
--- a/crates/core/src/control_plane/from_controllers.rs
+++ b/crates/core/src/control_plane/from_controllers.rs
@@ -15,14 +15,14 @@
         commands: &mut Vec<Command>,
     ) {
         match message {
-            Message::VoterSetUpdate { replica_id: me, voter_set } => {
-                self.voter_slots.on_voter_set_answer(me, &voter_set, commands);
+            Message::VoterSetUpdate { replica_id, voter_set } => {
+                self.voter_slots.on_voter_set_answer(replica_id, &voter_set, commands);
             }
             Message::JoinOffer { slot, stamp, free } => {
                 self.on_join_offer(now, slot, stamp, free, commands);
             }
-            Message::OperationResponse { op, attempt, result: done } => {
-                self.on_operation_response(now, AttemptId { op, attempt }, done, commands);
+            Message::OperationResponse { op, attempt, result } => {
+                self.on_operation_response(now, AttemptId { op, attempt }, result, commands);
             }
             Message::HandoverOffer { slot, generation } => {
                 self.on_handover_offer(now, slot, generation, commands);
--- a/crates/core/src/control_plane/from_voters.rs
+++ b/crates/core/src/control_plane/from_voters.rs
@@ -126,8 +126,8 @@
                 let request = Request { id: request, expected_revision, operation };
                 self.on_operation_request(now, origin, term, request, commands);
             }
-            Message::OperationResponse { op, attempt, result: done } => {
-                self.on_operation_response(now, AttemptId { op, attempt }, done, commands);
+            Message::OperationResponse { op, attempt, result } => {
+                self.on_operation_response(now, AttemptId { op, attempt }, result, commands);
             }
             Message::LeafList { .. } | Message::LeafReports { .. } => {
                 self.on_leaf_report(now, ReportSource::Voter, message, commands);
--- a/crates/core/src/control_plane/handover.rs
+++ b/crates/core/src/control_plane/handover.rs
@@ -152,7 +152,7 @@
         if self.slot != slot || voter_slots.pending_write.is_some() {
             return;
         }
-        let replica_id = successor.holder;
+        let replica_id = successor.replica_id;
         let newest = voter_slots.newest();
         let voter_set = voter_slots.handovers.with_successor(now, newest, slot, successor);
         let Some(voter_set) = voter_set else { return };
@@ -174,7 +174,7 @@
         };
         let current_set = self.voter_slots.voter_set().clone();
         let holder = &current_set.slots[usize::from(slot)];
-        if holder.holder != successor {
+        if holder.replica_id != successor {
             return false;
         }
         let generation = holder.generation;
--- a/crates/core/src/control_plane/operation_forwarding.rs
+++ b/crates/core/src/control_plane/operation_forwarding.rs
@@ -50,7 +50,7 @@
         if request.is_unconditional() && self.slot != NO_SLOT {
             let revision = self.partitions[0].committed_revision;
             return commands
-                .push(Command::Respond { op, done: OperationResult::Conflict { revision } });
+                .push(Command::Respond { op, result: OperationResult::Conflict { revision } });
         }
         let until = now + consts::OPERATOR_REQUEST_TIMEOUT;
         self.pending_requests.insert(op, PendingRequest::new(request, until));
@@ -228,7 +228,7 @@
         &mut self,
         now: Tick,
         id: AttemptId,
-        done: OperationResult,
+        result: OperationResult,
         commands: &mut Vec<Command>,
     ) {
         if self
@@ -236,7 +236,7 @@
             .get(&id.op)
             .is_some_and(|pending| pending.is_current_attempt(id.attempt))
         {
-            self.on_result(now, id.op, done, commands);
+            self.on_result(now, id.op, result, commands);
         }
     }
 
@@ -247,30 +247,30 @@
         &mut self,
         now: Tick,
         op: u64,
-        done: OperationResult,
+        result: OperationResult,
         commands: &mut Vec<Command>,
     ) {
         let Some(pending) = self.pending_requests.get_mut(&op) else { return };
-        if let OperationResult::Unknown { why } = &done {
+        if let OperationResult::Unknown { why } = &result {
             pending.may_be_applied = true;
             pending.last_failure = Some(why.clone());
         }
         let may_retry =
-            matches!(done, OperationResult::Rejected { .. } | OperationResult::Unknown { .. });
+            matches!(result, OperationResult::Rejected { .. } | OperationResult::Unknown { .. });
         if may_retry && now < pending.deadline {
             pending.forwarded_to = None;
             return;
         }
-        let done = pending.final_result(done);
+        let result = pending.final_result(result);
         self.pending_requests.swap_remove(&op);
-        match done {
+        match result {
             OperationResult::Accepted { .. } => self.counters.accepted += 1,
             OperationResult::Configuration { .. }
             | OperationResult::Status { .. }
             | OperationResult::Rollout(_) => {}
             _ => self.counters.rejected += 1,
         }
-        commands.push(Command::Respond { op, done });
+        commands.push(Command::Respond { op, result });
     }
 
     /// Forwards the requests that wait for a leader, and ends those whose deadline has
@@ -284,10 +284,10 @@
                 self.forward(now, id, commands);
                 continue;
             }
-            let done = pending.timeout_result();
+            let result = pending.timeout_result();
             self.pending_requests.swap_remove(&id);
             self.counters.rejected += 1;
-            commands.push(Command::Respond { op: id, done });
+            commands.push(Command::Respond { op: id, result });
         }
     }
 
@@ -323,8 +323,8 @@
         while at < commands.len() {
             if !matches!(commands[at], Command::OwnResponse { .. }) {
                 at += 1;
-            } else if let Command::OwnResponse { op, attempt, done } = commands.remove(at) {
-                self.on_operation_response(now, AttemptId { op, attempt }, done, commands);
+            } else if let Command::OwnResponse { op, attempt, result } = commands.remove(at) {
+                self.on_operation_response(now, AttemptId { op, attempt }, result, commands);
             }
         }
     }
@@ -333,10 +333,10 @@
     /// arrived.
     pub(super) fn respond_to_forwarded(&mut self, commands: &mut [Command]) {
         for command in commands {
-            if let Command::Respond { op, done } = command
+            if let Command::Respond { op, result } = command
                 && let Some(origin) = self.forwarded.swap_remove(op)
             {
-                *command = origin.response(done.clone());
+                *command = origin.response(result.clone());
             }
         }
     }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -104,8 +104,8 @@
     commands: &mut Vec<Command>,
 ) {
     match evaluation {
-        Evaluation::Refused(done) => {
-            let answer = PendingAnswer::Rejection(done);
+        Evaluation::Refused(result) => {
+            let answer = PendingAnswer::Rejection(result);
             configuration.add_pending(now, group, origin, answer, commands);
         }
         Evaluation::AlreadyAccepted { revision } => {
@@ -158,7 +158,7 @@
     let (mut entries, edition) =
         match plan_change(map, request.expected_revision, is_replacement, text) {
             Ok(PlannedChange::Entries(entries, edition)) => (entries, edition),
-            Ok(PlannedChange::Refused(done)) => return Evaluation::Refused(done),
+            Ok(PlannedChange::Refused(result)) => return Evaluation::Refused(result),
             Err(all) => {
                 let list = all.into_iter().map(|f| (f.location.clone(), f.text())).collect();
                 return Evaluation::Refused(OperationResult::Invalid(list));
@@ -219,8 +219,8 @@
         return Ok(PlannedChange::Refused(forgotten_result(map, &base).unwrap_or(conflict)));
     }
     if base.next_edition.is_some_and(|named| named <= old.client_limits.edition) {
-        if let Some(done) = forgotten_result(map, &base) {
-            return Ok(PlannedChange::Refused(done));
+        if let Some(result) = forgotten_result(map, &base) {
+            return Ok(PlannedChange::Refused(result));
         }
         let text = format!("must be above {}, the current edition", old.client_limits.edition);
         return Err(vec![Diagnostic::new("terms.edition", text)]);
--- a/crates/core/src/control_plane/pending_requests.rs
+++ b/crates/core/src/control_plane/pending_requests.rs
@@ -67,9 +67,9 @@
 
 impl ForwardedOperation {
     /// Returns the command that sends the result of this attempt to its origin.
-    pub fn response(self, done: OperationResult) -> Command {
+    pub fn response(self, result: OperationResult) -> Command {
         let ForwardedOperation { connection, id, attempt } = self;
-        let message = Message::OperationResponse { op: id, attempt, result: done };
+        let message = Message::OperationResponse { op: id, attempt, result };
         Command::ToConnection { connection, message }
     }
 
@@ -129,17 +129,17 @@
 
     /// Returns the result that may be reported, given what may have become of earlier
     /// attempts.
-    pub fn final_result(&self, done: OperationResult) -> OperationResult {
-        match done {
+    pub fn final_result(&self, result: OperationResult) -> OperationResult {
+        match result {
             OperationResult::Accepted { .. }
             | OperationResult::Configuration { .. }
             | OperationResult::Status { .. }
             | OperationResult::Rollout(_)
-            | OperationResult::Unknown { .. } => done,
+            | OperationResult::Unknown { .. } => result,
             OperationResult::Rejected { why } if self.may_be_applied => {
                 OperationResult::Unknown { why }
             }
-            OperationResult::Rejected { .. } => done,
+            OperationResult::Rejected { .. } => result,
             // An earlier attempt may still reach any leader and be executed.
             _ if self.may_be_applied && self.is_unfenced => {
                 let why = Rejection::EarlierAttemptPending.to_string();
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -72,12 +72,12 @@
         commands.push(Command::Alarm(text.into()));
         self.slot = NO_SLOT;
         self.reset_replicas(now, commands);
-        let me = self.random.next_u64() | 1;
-        let table = self.voter_slots.voter_set().clone();
-        let voter_file = VoterFile { me, first: false, table };
+        let replica_id = self.random.next_u64() | 1;
+        let voter_set = self.voter_slots.voter_set().clone();
+        let voter_file = VoterFile { replica_id, is_original_disk: false, voter_set };
         // The former replica id is no longer in use, and the new one is not announced
         // before it is on disk.
-        self.voter_slots.voter_file.me = 0;
+        self.voter_slots.voter_file.replica_id = 0;
         self.voter_slots.write_voter_file(voter_file, PartitionFiles::SetAside, commands);
     }
 
--- a/crates/core/src/http_api/leaf.rs
+++ b/crates/core/src/http_api/leaf.rs
@@ -89,9 +89,9 @@
     pub index_version: Option<String>,
     pub rejected: bool,
     /// The leaf's load in numbers, if it reports them.
-    pub load: Option<ReportedLoad>,
+    pub reported_load: Option<ReportedLoad>,
     /// Whether the reply does not belong to this attempt.
-    pub foreign: bool,
+    pub is_mismatched: bool,
     /// All end-to-end headers, which may be returned to the caller unchanged.
     pub end_to_end: Vec<(String, Vec<u8>)>,
 }
@@ -206,15 +206,15 @@
         // Adding zero turns -0.0 into 0.0, so that equal scores have equal bits.
         let score = score + 0.0;
         let data = item.remove("data").unwrap_or(Value::Null);
-        let rec = Record { id, score, shard: String::new(), data };
+        let record = Record { id, score, shard: String::new(), data };
         if let Some(last) = out.last() {
             use std::cmp::Ordering::*;
-            match crate::query::merge::compare_records(last, &rec) {
+            match crate::query::merge::compare_records(last, &record) {
                 Less => {}
                 Equal | Greater => return Err(AttemptFailure::RecordsOutOfOrder),
             }
         }
-        out.push(rec);
+        out.push(record);
     }
     Ok(out)
 }
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -27,9 +27,9 @@
     pub(super) ready: bool,
     pub(super) positions: Vec<FeedPosition>,
     /// For a request: when the sender sent it, by its own clock.
-    pub(super) asked: Option<Tick>,
+    pub(super) request_sent_at: Option<Tick>,
     /// For a response: when the request that it answers was sent, by this node's clock.
-    pub(super) echo: Option<Tick>,
+    pub(super) echoed_sent_at: Option<Tick>,
     pub(super) attestation: Option<Attestation>,
 }
 
@@ -82,21 +82,27 @@
             controller_contact_age_ms: self.time_since_renewal(now) / MILLI,
             ready: self.ready,
             positions: Vec::new(),
-            asked: Some(now),
-            echo: None,
+            request_sent_at: Some(now),
+            echoed_sent_at: None,
             attestation: None,
         }
     }
 
-    /// Returns the response to a request that was sent at `echo`, by the requester's clock.
-    fn gossip_response(&self, now: Tick, echo: Tick, attestation: Option<Attestation>) -> Message {
+    /// Returns the response to a request that was sent at `echoed_sent_at`, by the clock of the
+    /// member that sent it.
+    fn gossip_response(
+        &self,
+        now: Tick,
+        echoed_sent_at: Tick,
+        attestation: Option<Attestation>,
+    ) -> Message {
         Message::Gossip {
             name: self.member.name.clone(),
             controller_contact_age_ms: self.time_since_renewal(now) / MILLI,
             ready: self.ready,
             positions: self.positions(),
-            asked: None,
-            echo: Some(echo),
+            request_sent_at: None,
+            echoed_sent_at: Some(echoed_sent_at),
             attestation,
         }
     }
@@ -109,8 +115,14 @@
         gossip: Gossip,
         commands: &mut Vec<Command>,
     ) {
-        let Gossip { controller_contact_age_ms, ready, positions, asked, echo, attestation } =
-            gossip;
+        let Gossip {
+            controller_contact_age_ms,
+            ready,
+            positions,
+            request_sent_at,
+            echoed_sent_at,
+            attestation,
+        } = gossip;
         let is_behind = positions.iter().any(|theirs| {
             self.partitions.get(&theirs.partition).is_some_and(|p| p.revision < theirs.revision)
         });
@@ -118,24 +130,24 @@
         let configuration =
             positions.iter().find(|p| p.partition == CONFIG).map_or(0, |p| p.revision);
         self.record_known_revision(configuration);
-        if let (Some(echo), Some(attestation)) = (echo, &attestation) {
-            is_ahead |= self.on_attestation(echo, attestation, is_behind);
+        if let (Some(echoed_sent_at), Some(attestation)) = (echoed_sent_at, &attestation) {
+            is_ahead |= self.on_attestation(echoed_sent_at, attestation, is_behind);
         }
-        if let Some(echo) = echo {
+        if let Some(echoed_sent_at) = echoed_sent_at {
             let time_since_renewal = ms(controller_contact_age_ms);
             self.on_gossip_response(
                 name,
-                Peer { request_sent_at: echo, time_since_renewal, positions, ready },
+                Peer { request_sent_at: echoed_sent_at, time_since_renewal, positions, ready },
             );
         }
-        if let Some(asked) = asked {
+        if let Some(request_sent_at) = request_sent_at {
             let attestation = self.attest(now);
             if attestation.is_some() {
                 // A member that serves by this attestation must not use leafs that this member
                 // knows to be leaving or gone.
                 self.forward_urgent_reports(name, commands);
             }
-            let answer = self.gossip_response(now, asked, attestation);
+            let answer = self.gossip_response(now, request_sent_at, attestation);
             self.send_to_member(name, answer, commands);
         }
         // Request updates from a member only when the controllers have not delivered them in
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -372,7 +372,7 @@
     /// Returns every voter slot that a replica holds.
     pub(super) fn occupied_slots(&self) -> Vec<VoterSlot> {
         let slots = self.voter_set.slots.iter().enumerate();
-        slots.filter(|(_, h)| h.holder != 0).map(|(i, _)| i as VoterSlot).collect()
+        slots.filter(|(_, h)| h.replica_id != 0).map(|(i, _)| i as VoterSlot).collect()
     }
 
     /// Returns the revision of every partition that this querier holds.
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -112,16 +112,16 @@
                 controller_contact_age_ms,
                 ready,
                 positions,
-                asked,
-                echo,
+                request_sent_at,
+                echoed_sent_at,
                 attestation,
             } => {
                 let gossip = Gossip {
                     controller_contact_age_ms,
                     ready,
                     positions,
-                    asked,
-                    echo,
+                    request_sent_at,
+                    echoed_sent_at,
                     attestation,
                 };
                 self.on_gossip(now, &name, gossip, commands);
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -184,7 +184,7 @@
     MembershipFetched { term: Term, current: Membership, others: Vec<Membership>, stamp: u64 },
 
     /// Sent between members: how long ago the sender heard from a controller, and its positions in
-    /// the feed. `asked` is the sender's time, which the response returns as `echo`: only an echo
+    /// the feed. `request_sent_at` is the sender's time, which the response returns as `echoed_sent_at`: only an echo
     /// proves that the other member receives messages now. `attestation` is set in responses of a
     /// member that has no contact to a controller itself.
     Gossip {
@@ -192,8 +192,8 @@
         controller_contact_age_ms: u64,
         ready: bool,
         positions: Vec<FeedPosition>,
-        asked: Option<u64>,
-        echo: Option<u64>,
+        request_sent_at: Option<u64>,
+        echoed_sent_at: Option<u64>,
         attestation: Option<Attestation>,
     },
 
--- a/crates/core/src/query/forwarded_reply.rs
+++ b/crates/core/src/query/forwarded_reply.rs
@@ -34,7 +34,7 @@
     /// postmark, which matches this attempt.
     pub(super) fn of_reply(raw: &LeafReply, serving_mode: ServingMode) -> ReplyClass {
         // A reply to another call says nothing about this one.
-        if raw.headers.foreign {
+        if raw.headers.is_mismatched {
             return ReplyClass::Failed(AttemptFailure::PostmarkMismatch);
         }
         if raw.status == MISDIRECTED {
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -181,7 +181,7 @@
         info: &LeafInfo,
         pool: &CompiledPool,
     ) -> bool {
-        let rate = u64::from(pool.cold_rate);
+        let rate = u64::from(pool.cold_leaf_rate_milli);
         rate > 0
             && leaf.counts_as_cold(info.cold, self.now)
             && !leaf.slow_start_admits(self.quota_share, rate, self.now)
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -32,7 +32,7 @@
         if route.serving_mode != ServingMode::Native {
             return reject(RejectionReason::UnknownRoute, "this search is called by host and path");
         }
-        self.check_capacity(route.class)?;
+        self.check_capacity(route.priority_class)?;
         let shards = planned_shards(&route, request.key.as_deref(), &mut self.random)?;
         let usable = leaf_time_budget(request.timeout, route.timeout)?;
         let body = leaf_request_body(
@@ -66,10 +66,10 @@
             let text = "no search is configured for this host and path";
             return Err(Rejection::new(RejectionReason::UnknownRoute, text));
         };
-        self.check_capacity(route.class)?;
+        self.check_capacity(route.priority_class)?;
         let shards = planned_shards(&route, Some(&request.id), &mut self.random)?;
         let usable = leaf_time_budget(request.timeout.unwrap_or(route.timeout), route.timeout)?;
-        let (quorum_after, queue_timeout) = match route.target {
+        let (quorum_after, queue_timeout) = match route.latency_target {
             None => (usable * route.quorum_after_pct / 100, usable),
             Some(target) => {
                 let reserve = (target * consts::TARGET_RESERVE_PCT / 100)
--- a/crates/core/src/query/progress.rs
+++ b/crates/core/src/query/progress.rs
@@ -42,7 +42,12 @@
             .iter()
             .filter(|(_, query)| query.next_due() <= now || query.queued_shards() > 0)
             .map(|(id, query)| {
-                (std::cmp::Reverse(query.route.class), query.route.rank, query.deadline, *id)
+                (
+                    std::cmp::Reverse(query.route.priority_class),
+                    query.route.rank_in_class,
+                    query.deadline,
+                    *id,
+                )
             })
             .collect();
         ids.sort_unstable();
--- a/crates/core/src/query/replies.rs
+++ b/crates/core/src/query/replies.rs
@@ -107,12 +107,12 @@
         let Some(leaf) = self.leafs.get_mut(&attempt.leaf) else { return };
         let was_draining = leaf.draining;
         // A reply of another leaf at a reused address shows only that this leaf is gone.
-        let gone = raw.status == crate::http_api::leaf::MISDIRECTED && !raw.headers.foreign;
+        let gone = raw.status == crate::http_api::leaf::MISDIRECTED && !raw.headers.is_mismatched;
         if gone {
             leaf.draining = true;
         } else {
             leaf.apply_self_report(&self_report(&raw.headers), now);
-            if let Some(load) = raw.headers.load {
+            if let Some(load) = raw.headers.reported_load {
                 leaf.record_reported_load(load);
             }
         }
--- a/crates/core/src/query/sending.rs
+++ b/crates/core/src/query/sending.rs
@@ -140,7 +140,7 @@
         }
         if query.forwarded.is_some()
             && let Some(delay) =
-                self.latency_estimate.hedge_delay(&query.route.name, query.route.target)
+                self.latency_estimate.hedge_delay(&query.route.name, query.route.latency_target)
         {
             return now + delay;
         }
@@ -168,7 +168,8 @@
         shard.attempted_leafs.push(info.leaf.clone());
         shard.in_flight.push(attempt_id);
         let pools = &query.route.shards[shard.index].pools;
-        let rate = pools.iter().find(|p| p.service == info.service).map_or(0, |p| p.cold_rate);
+        let rate =
+            pools.iter().find(|p| p.service == info.service).map_or(0, |p| p.cold_leaf_rate_milli);
         if let Some(leaf) = self.leafs.get_mut(&info.leaf) {
             leaf.in_flight += 1;
             if rate > 0 && leaf.counts_as_cold(info.cold, now) {
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -47,7 +47,7 @@
     /// otherwise changes may have been accepted by later voters alone.
     fn is_first_boot(&self, group: VoterGroup) -> bool {
         let is_original = |slot: &VoterSlot| group.initial_holders >> *slot & 1 == 1;
-        group.first
+        group.is_original_disk
             && is_original(&group.slot)
             && group.initial_holders.count_ones() as usize >= majority(group.size)
             && self.statuses.iter().flatten().all(ReplicaStatus::is_blank)
--- a/crates/core/src/replication/disk_writes.rs
+++ b/crates/core/src/replication/disk_writes.rs
@@ -36,7 +36,7 @@
         if is_long {
             self.write_snapshot(token, commands);
         } else {
-            commands.push(Command::AppendRecord { partition: self.id, token, rec: record });
+            commands.push(Command::AppendRecord { partition: self.id, token, record });
         }
     }
 
@@ -60,8 +60,8 @@
 
     fn write_snapshot(&mut self, token: u64, commands: &mut Vec<Command>) {
         self.log_bytes = 0;
-        let copy = self.state.clone();
-        commands.push(Command::WriteSnapshot { partition: self.id, token, copy });
+        let snapshot = self.state.clone();
+        commands.push(Command::WriteSnapshot { partition: self.id, token, snapshot });
     }
 
     /// Sends a message once all writes issued so far are synced.
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -113,23 +113,23 @@
         &mut self,
         now: Tick,
         from: Sender,
-        asked: Term,
+        requested_term: Term,
         granted: bool,
         current_term: Term,
         commands: &mut Vec<Command>,
     ) {
         let Role::PreCandidate { term, granted: grants, .. } = &mut self.role else { return };
-        if *term != asked {
+        if *term != requested_term {
             return;
         }
-        if current_term >= asked {
+        if current_term >= requested_term {
             // The sender has seen a higher term than this voter; request pre-votes above it.
             let term = current_term.next_for(from.group.slot);
             return self.start_pre_vote(now, from.group, term, commands);
         }
         grants[usize::from(from.slot)] = granted;
         if grants.iter().filter(|granted| **granted).count() >= majority(from.group.size) {
-            self.start_election(now, from.group, asked, commands);
+            self.start_election(now, from.group, requested_term, commands);
         }
     }
 
--- a/crates/core/src/replication/operations.rs
+++ b/crates/core/src/replication/operations.rs
@@ -22,7 +22,7 @@
     pub fn respond(self, result: OperationResult, commands: &mut Vec<Command>) {
         let OperationOrigin { slot, op, attempt } = self;
         commands.push(match slot {
-            None => Command::OwnResponse { op, attempt, done: result },
+            None => Command::OwnResponse { op, attempt, result },
             Some(slot) => {
                 let message = Message::OperationResponse { op, attempt, result };
                 Command::ToVoter { slot, message }
--- a/crates/core/src/storage/voter_file.rs
+++ b/crates/core/src/storage/voter_file.rs
@@ -18,15 +18,15 @@
 
 /// A controller's identity and its latest voter set.
 ///
-/// Invariant: `me` is on disk before it is sent to any peer.
+/// Invariant: `replica_id` is on disk before it is sent to any peer.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct VoterFile {
     /// This node's replica id.
-    pub me: u64,
+    pub replica_id: u64,
     /// Whether this disk existed, empty, when the cluster was first started.
-    pub first: bool,
+    pub is_original_disk: bool,
     /// The newest known voter set.
-    pub table: VoterSet,
+    pub voter_set: VoterSet,
 }
 
 /// Encodes the file.
@@ -53,8 +53,9 @@
         && num(8) <= MAX_RECORD_BYTES
         && num(12) == crc32fast::hash(body);
     let file = is_valid.then(|| decode::<VoterFile>(&VOTER_FILE, body).ok()).flatten()?;
-    (file.me != 0 && file.table.slots.len() <= usize::from(crate::consts::MAX_VOTER_SLOTS))
-        .then_some(file)
+    (file.replica_id != 0
+        && file.voter_set.slots.len() <= usize::from(crate::consts::MAX_VOTER_SLOTS))
+    .then_some(file)
 }
 
 /// Settings of the voter slots at a controller's start.
@@ -62,7 +63,7 @@
     /// Its slot, if the operator assigns the slots.
     pub slot: Option<VoterSlot>,
     /// Whether this is the first start of the cluster.
-    pub first: bool,
+    pub is_first_start: bool,
     /// Addresses of the controllers with which the cluster is created.
     pub seeds: Vec<String>,
     /// Number of voter slots with which the cluster is created.
@@ -75,25 +76,42 @@
 /// disk, and whether the partitions found there must be set aside. `bare` means that the disk
 /// has no partitions. The returned file must be on disk before anything else is done.
 pub fn begin(found: Option<VoterFile>, start: &Start, bare: bool, nonce: u64) -> (VoterFile, bool) {
-    let fresh = |table: VoterSet| (VoterFile { me: nonce | 1, first: false, table }, !bare);
+    let fresh = |voter_set: VoterSet| {
+        (VoterFile { replica_id: nonce | 1, is_original_disk: false, voter_set }, !bare)
+    };
     match (found, start.slot) {
         (found, Some(slot)) => {
             let assigned = fixed_voter_set(&start.seeds);
-            let me = found.as_ref().map_or(fixed_replica_id(slot), |file| file.me);
-            let table = found.and_then(|file| merge(&assigned, &file.table)).unwrap_or(assigned);
-            match slot_of(&table, me) {
-                Some(_) => (VoterFile { me, first: me == fixed_replica_id(slot), table }, false),
+            let replica_id = found.as_ref().map_or(fixed_replica_id(slot), |file| file.replica_id);
+            let voter_set =
+                found.and_then(|file| merge(&assigned, &file.voter_set)).unwrap_or(assigned);
+            match slot_of(&voter_set, replica_id) {
+                Some(_) => (
+                    VoterFile {
+                        replica_id,
+                        is_original_disk: replica_id == fixed_replica_id(slot),
+                        voter_set,
+                    },
+                    false,
+                ),
                 // The slot was assigned to another controller while this node was down.
-                None => fresh(table),
+                None => fresh(voter_set),
             }
         }
-        (Some(file), None) if slot_of(&file.table, file.me).is_some() => (file, false),
+        (Some(file), None) if slot_of(&file.voter_set, file.replica_id).is_some() => (file, false),
         // It never held a slot. The id is kept, since a slot may be granted to it.
         (Some(file), None) if bare => (file, false),
-        (Some(file), None) => fresh(file.table),
-        (None, None) if start.first && bare && start.seeds.contains(&start.addr) => {
-            let table = initial_voter_set(&start.seeds, start.size);
-            (VoterFile { me: initial_replica_id(&start.addr), first: true, table }, false)
+        (Some(file), None) => fresh(file.voter_set),
+        (None, None) if start.is_first_start && bare && start.seeds.contains(&start.addr) => {
+            let voter_set = initial_voter_set(&start.seeds, start.size);
+            (
+                VoterFile {
+                    replica_id: initial_replica_id(&start.addr),
+                    is_original_disk: true,
+                    voter_set,
+                },
+                false,
+            )
         }
         (None, None) => fresh(VoterSet::default()),
     }
--- a/crates/core/src/voter_set.rs
+++ b/crates/core/src/voter_set.rs
@@ -13,16 +13,16 @@
 
 /// The holder of a voter slot.
 ///
-/// Invariant: one (`generation`, `holder`) always has the same `addr` and `zone`, except that
+/// Invariant: one (`generation`, `replica_id`) always has the same `addr` and `zone`, except that
 /// the zone of an initial holder is filled in once it is known. A vacant slot has generation 0
-/// and holder 0.
+/// and replica id 0.
 #[derive(Clone, Debug, Default, PartialEq, DeBin, SerBin)]
 pub struct SlotHolder {
     /// Rises with each takeover and each handover of the slot.
     pub generation: u32,
     /// Replica id: drawn at random once for a disk; that of an initial holder is derived from
     /// the seeds.
-    pub holder: u64,
+    pub replica_id: u64,
     /// The address at which other processes reach it.
     pub addr: String,
     pub zone: String,
@@ -45,7 +45,7 @@
     /// Slots that their initial holder still has, as bits.
     pub initial_holders: u16,
     /// Whether this controller's disk has been used since the cluster was first started.
-    pub first: bool,
+    pub is_original_disk: bool,
 }
 
 /// Returns the size of a majority of `size` slots.
@@ -54,7 +54,7 @@
 }
 
 /// Returns the group as the holder of `slot` sees it.
-pub fn group(voter_set: &VoterSet, slot: VoterSlot, first: bool) -> VoterGroup {
+pub fn group(voter_set: &VoterSet, slot: VoterSlot, is_original_disk: bool) -> VoterGroup {
     let bits = |fits: &dyn Fn(&SlotHolder) -> bool| {
         let list = voter_set.slots.iter().enumerate();
         list.filter(|(_, h)| fits(h)).fold(0u16, |bits, (i, _)| bits | 1 << i)
@@ -62,9 +62,9 @@
     VoterGroup {
         slot,
         size: voter_set.slots.len(),
-        occupied: bits(&|h| h.holder != 0),
+        occupied: bits(&|h| h.replica_id != 0),
         initial_holders: bits(&|h| h.generation == FIRST_GENERATION),
-        first,
+        is_original_disk,
     }
 }
 
@@ -93,19 +93,19 @@
 
 /// Returns the key that orders two holders of a slot: the higher one wins.
 pub fn ballot(h: &SlotHolder) -> (u32, u64) {
-    (h.generation, h.holder)
+    (h.generation, h.replica_id)
 }
 
 /// Returns a hash that two voter sets share only if the same replicas hold the slots.
 pub fn stamp(voter_set: &VoterSet) -> u64 {
     let text: String =
-        voter_set.slots.iter().map(|h| format!("{}.{:x}/", h.generation, h.holder)).collect();
+        voter_set.slots.iter().map(|h| format!("{}.{:x}/", h.generation, h.replica_id)).collect();
     hash(&text)
 }
 
 /// Returns the slot of a replica.
-pub fn slot_of(voter_set: &VoterSet, holder: u64) -> Option<VoterSlot> {
-    let at = voter_set.slots.iter().position(|h| holder != 0 && h.holder == holder)?;
+pub fn slot_of(voter_set: &VoterSet, replica_id: u64) -> Option<VoterSlot> {
+    let at = voter_set.slots.iter().position(|h| replica_id != 0 && h.replica_id == replica_id)?;
     Some(at as VoterSlot)
 }
 
@@ -149,7 +149,7 @@
     let slot = |i: usize| match seeds.get(i) {
         Some(addr) => SlotHolder {
             generation: FIRST_GENERATION,
-            holder: initial_replica_id(addr),
+            replica_id: initial_replica_id(addr),
             addr: addr.clone(),
             zone: String::new(),
         },
@@ -164,7 +164,7 @@
 pub fn fixed_voter_set(seeds: &[String]) -> VoterSet {
     let slot = |(i, addr): (usize, &String)| SlotHolder {
         generation: FIRST_GENERATION,
-        holder: fixed_replica_id(i as VoterSlot),
+        replica_id: fixed_replica_id(i as VoterSlot),
         addr: addr.clone(),
         zone: String::new(),
     };
@@ -182,8 +182,10 @@
     let size = voter_set.slots.len();
     let count = |zone: &str, without: Option<VoterSlot>| {
         let list = voter_set.slots.iter().enumerate();
-        list.filter(|(i, h)| h.holder != 0 && h.zone == zone && Some(*i as VoterSlot) != without)
-            .count()
+        list.filter(|(i, h)| {
+            h.replica_id != 0 && h.zone == zone && Some(*i as VoterSlot) != without
+        })
+        .count()
     };
     let largest_zone = voter_set.slots.iter().map(|h| count(&h.zone, None)).max().unwrap_or(0);
     let slots_with_replica = count(zone, Some(slot)) + 1;
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -189,7 +189,7 @@
     ) -> Option<Successor> {
         let generation = next_generation(voter_set, slot)?;
         let fits = |(replica_id, applicant): &(&u64, &Applicant)| {
-            let has_slot = voter_set.slots.iter().any(|h| h.holder == **replica_id);
+            let has_slot = voter_set.slots.iter().any(|h| h.replica_id == **replica_id);
             !has_slot && keeps_zones_balanced(voter_set, slot, &applicant.zone)
         };
         self.applicants
@@ -242,8 +242,8 @@
         };
         // If this process was paused, the spare may have stopped waiting.
         let is_fresh = since(last_offer.at, now) < 2 * HANDOVER_RETRY_INTERVAL;
-        let has_slot = newest.slots.iter().any(|h| h.holder == last_offer.replica_id);
-        let is_asked = last_offer.replica_id == holder.holder
+        let has_slot = newest.slots.iter().any(|h| h.replica_id == last_offer.replica_id);
+        let is_asked = last_offer.replica_id == holder.replica_id
             && next_generation(newest, slot) == Some(holder.generation);
         if !is_fresh || has_slot || !is_asked {
             return None;
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -70,20 +70,21 @@
     ) -> bool {
         let voter_set = self.newest();
         let Some(holder) = voter_set.slots.get(usize::from(slot)) else { return false };
-        if slot == own || holder.holder == candidate.replica_id {
+        if slot == own || holder.replica_id == candidate.replica_id {
             return false;
         }
-        let is_at_its_address = |h: &SlotHolder| h.holder != 0 && h.addr == candidate.addr;
+        let is_at_its_address = |h: &SlotHolder| h.replica_id != 0 && h.addr == candidate.addr;
         if is_at_its_address(holder) {
             return true;
         }
         // A candidate that holds another slot, or held another at this address, takes that one.
-        let has_another = |h: &SlotHolder| h.holder == candidate.replica_id || is_at_its_address(h);
+        let has_another =
+            |h: &SlotHolder| h.replica_id == candidate.replica_id || is_at_its_address(h);
         if voter_set.slots.iter().any(has_another) {
             return false;
         }
         let fits = keeps_zones_balanced(voter_set, slot, candidate.zone);
-        if holder.holder == 0 {
+        if holder.replica_id == 0 {
             return fits || since(self.started_at, now) >= ZONE_BALANCE_TIMEOUT;
         }
         let time_since_message = self.time_since_message.get(usize::from(slot));
@@ -148,7 +149,7 @@
     pub fn own_holder(&self, generation: u32) -> SlotHolder {
         SlotHolder {
             generation,
-            holder: self.replica_id(),
+            replica_id: self.replica_id(),
             addr: self.addr.clone(),
             zone: self.zone.clone(),
         }
@@ -164,13 +165,13 @@
         holder: SlotHolder,
     ) -> Option<VoterSet> {
         let candidate =
-            Candidate { replica_id: holder.holder, addr: &holder.addr, zone: &holder.zone };
+            Candidate { replica_id: holder.replica_id, addr: &holder.addr, zone: &holder.zone };
         if own == NO_SLOT || !self.would_grant(now, own, slot, candidate) {
             return None;
         }
         let mut voter_set = self.newest().clone();
         let slot_holder = &mut voter_set.slots[usize::from(slot)];
-        if holder.holder == 0 || holder.generation != after_takeover(slot_holder.generation) {
+        if holder.replica_id == 0 || holder.generation != after_takeover(slot_holder.generation) {
             return None;
         }
         *slot_holder = holder;
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -92,9 +92,9 @@
 impl VoterSlots {
     /// Creates the state of a controller that has read its disk and that others reach at `addr`.
     pub fn new(voter_file: VoterFile, addr: &str, zone: &str, now: Tick) -> VoterSlots {
-        let size = voter_file.table.slots.len();
+        let size = voter_file.voter_set.slots.len();
         VoterSlots {
-            stamp: stamp(&voter_file.table),
+            stamp: stamp(&voter_file.voter_set),
             voter_file,
             addr: addr.to_string(),
             zone: zone.to_string(),
@@ -115,28 +115,28 @@
 
     /// Returns the voter set on disk.
     pub fn voter_set(&self) -> &VoterSet {
-        &self.voter_file.table
+        &self.voter_file.voter_set
     }
 
     /// Returns the replica id of this controller; zero while a new one is being written to disk.
     pub fn replica_id(&self) -> u64 {
-        self.voter_file.me
+        self.voter_file.replica_id
     }
 
     /// Returns the replica group as the holder of `slot` sees it.
     pub fn group(&self, slot: VoterSlot) -> VoterGroup {
-        group(&self.voter_file.table, slot, self.voter_file.first)
+        group(&self.voter_file.voter_set, slot, self.voter_file.is_original_disk)
     }
 
     /// Returns the newest known voter set, on disk or being written.
     pub fn newest(&self) -> &VoterSet {
-        self.pending_write.as_ref().map_or(self.voter_set(), |write| &write.voter_file.table)
+        self.pending_write.as_ref().map_or(self.voter_set(), |write| &write.voter_file.voter_set)
     }
 
     /// Whether a replica holds `slot` by the voter set on disk.
     pub fn is_held_by(&self, slot: VoterSlot, replica_id: u64) -> bool {
         let holder = self.voter_set().slots.get(usize::from(slot));
-        holder.is_some_and(|h| h.holder == replica_id && replica_id != 0)
+        holder.is_some_and(|h| h.replica_id == replica_id && replica_id != 0)
     }
 
     /// Merges a voter set that another process sent.
@@ -152,7 +152,7 @@
             Some(write) => (write.voter_file.clone(), write.partition_files),
             None => (self.voter_file.clone(), PartitionFiles::Keep),
         };
-        voter_file.table = voter_set;
+        voter_file.voter_set = voter_set;
         self.write_voter_file(voter_file, partition_files, commands);
     }
 
@@ -207,7 +207,7 @@
         self.voter_set_sent_at.resize(size, 0);
         self.offers = vec![None; size];
         let held = |voter_set: &VoterSet, slot: usize| voter_set.slots.get(slot).map(ballot);
-        let is_moved = |slot| held(&former.table, slot) != held(self.voter_set(), slot);
+        let is_moved = |slot| held(&former.voter_set, slot) != held(self.voter_set(), slot);
         Some((0..size).map(is_moved).collect())
     }
 
@@ -216,7 +216,7 @@
     pub fn report_changed_slots(&mut self, moved: &[bool], commands: &mut Vec<Command>) {
         for (slot, _) in moved.iter().enumerate().filter(|(_, moved)| **moved) {
             self.time_since_message[slot] = 0;
-            let holder = &self.voter_file.table.slots[slot];
+            let holder = &self.voter_file.voter_set.slots[slot];
             let text = format!(
                 "voter slot {slot}: now held by {}, generation {}",
                 holder.addr, holder.generation
@@ -334,7 +334,7 @@
     fn command(&self) -> Command {
         Command::WriteVoterFile {
             token: self.token,
-            roll: self.voter_file.clone(),
+            voter_file: self.voter_file.clone(),
             clear: self.partition_files == PartitionFiles::SetAside,
         }
     }
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -90,7 +90,7 @@
     let n = &mut cluster.nodes[node];
     let start = Start {
         slot: Some(node as VoterSlot),
-        first,
+        is_first_start: first,
         seeds: (0..count).map(address).collect(),
         size: count,
         addr: address(node),
@@ -145,7 +145,7 @@
 pub fn give(cluster: &mut Cluster, node: usize, event: Event) {
     let now = cluster.now;
     let Some(core) = &mut cluster.nodes[node].core else { return };
-    let holder = core.voter_slots.voter_file.me;
+    let holder = core.voter_slots.voter_file.replica_id;
     for command in core.step(now, event) {
         let disk = &mut cluster.nodes[node].disk;
         match command {
@@ -153,19 +153,19 @@
                 let to = usize::from(slot);
                 cluster.work.push_back(Work::Deliver { from: node, to, holder, message });
             }
-            Command::AppendRecord { partition, token, rec } => {
+            Command::AppendRecord { partition, token, record: rec } => {
                 disk.line.push_back((partition, token, Job::Append(rec)));
                 cluster.work.push_back(Work::Sync { node, partition, token });
             }
-            Command::WriteSnapshot { partition, token, copy } => {
+            Command::WriteSnapshot { partition, token, snapshot: copy } => {
                 disk.line.push_back((partition, token, Job::Slot(copy)));
                 cluster.work.push_back(Work::Sync { node, partition, token });
             }
-            Command::WriteVoterFile { roll, token, .. } => {
+            Command::WriteVoterFile { voter_file: roll, token, .. } => {
                 disk.roll = Some(roll);
                 give(cluster, node, Event::VoterFileWritten { token });
             }
-            Command::Respond { op, done } => {
+            Command::Respond { op, result: done } => {
                 cluster.told.insert(op, done);
             }
             _ => {}
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -120,7 +120,7 @@
 ) -> ControllerState {
     let start = Start {
         slot: Some(node as u8),
-        first,
+        is_first_start: first,
         seeds: (0..size).map(address).collect(),
         size,
         addr: address(node),
@@ -395,14 +395,14 @@
             push(cluster, to, after, Delivery::Event(event));
         }
         Command::ToConnection { message, .. } => cluster.to_members.push((node, message)),
-        Command::AppendRecord { partition, token, rec } => {
+        Command::AppendRecord { partition, token, record: rec } => {
             write(cluster, node, Write::Append { partition, token, record: rec });
         }
-        Command::WriteSnapshot { partition, token, copy } => {
+        Command::WriteSnapshot { partition, token, snapshot: copy } => {
             write(cluster, node, Write::Slot { partition, token, copy });
         }
         Command::WriteVoterFile { token, .. } => write(cluster, node, Write::VoterSet { token }),
-        Command::Respond { op, done } => {
+        Command::Respond { op, result: done } => {
             let at = cluster.now;
             assert!(!cluster.answers.contains_key(&op), "operation {op} has two answers");
             cluster.answers.insert(op, Answer { at, done });
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -23,7 +23,7 @@
     let addr = "127.0.0.1:1".to_string();
     let start = Start {
         slot: Some(0),
-        first: true,
+        is_first_start: true,
         seeds: vec![addr.clone()],
         size: 1,
         addr: addr.clone(),
@@ -45,7 +45,7 @@
                 Command::WriteVoterFile { token, .. } => {
                     line.push(Event::VoterFileWritten { token })
                 }
-                Command::Respond { op, done } => o.done.push((op, done)),
+                Command::Respond { op, result: done } => o.done.push((op, done)),
                 _ => {}
             }
         }
--- a/crates/core/tests/decoding.rs
+++ b/crates/core/tests/decoding.rs
@@ -132,7 +132,7 @@
                 assert_safe(&LOG_RECORD, &LogRecord::Vote { term }, &mut random);
             }
             Message::VoterSetUpdate { voter_set, .. } => {
-                let file = VoterFile { me: 9, first: true, table: voter_set };
+                let file = VoterFile { replica_id: 9, is_original_disk: true, voter_set };
                 assert_safe(&VOTER_FILE, &file, &mut random);
             }
             Message::LeafList { leafs, .. } => {
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -114,7 +114,7 @@
     }
     let mut table = w.voter_set.clone();
     let h = &mut table.slots[usize::from(first)];
-    (h.generation, h.holder, h.addr) = (2, 77, "10.1.0.9:1".into());
+    (h.generation, h.replica_id, h.addr) = (2, 77, "10.1.0.9:1".into());
     w.step(now, Event::VoterSet(table));
     w.lease.renewed_at = now;
     let (whole, only) = asked(&w.step(now, Event::Wake));
@@ -154,7 +154,11 @@
 #[gtest]
 fn who_only_asks_is_shown_how_far_we_are_and_nothing_else() {
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
-    let roll = VoterFile { me: fixed_replica_id(0), first: true, table: fixed_voter_set(&seeds) };
+    let roll = VoterFile {
+        replica_id: fixed_replica_id(0),
+        is_original_disk: true,
+        voter_set: fixed_voter_set(&seeds),
+    };
     let mut c = controller::ControllerState::new(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
     let stamp = c.voter_slots.stamp;
     c.partitions[0].committed.insert("zone/a".into(), vec![1]);
@@ -213,7 +217,7 @@
         w.lease.renewed_at = if calm { now } else { 0 };
         for c in w.step(now, Event::Wake) {
             if let Command::ToMember {
-                message: Message::Gossip { positions: places, asked, .. },
+                message: Message::Gossip { positions: places, request_sent_at: asked, .. },
                 ..
             } = c
             {
@@ -241,13 +245,13 @@
         controller_contact_age_ms: 0,
         ready: true,
         positions: Vec::new(),
-        asked: Some(7),
-        echo: None,
+        request_sent_at: Some(7),
+        echoed_sent_at: None,
         attestation: None,
     };
     let todo = w.step(BOOT + 1, Event::FromMember { name: "m1".into(), message });
     let answers = todo.iter().filter(|c| {
-        matches!(c, Command::ToMember { message: Message::Gossip { positions: places, echo: Some(7), .. }, .. }
+        matches!(c, Command::ToMember { message: Message::Gossip { positions: places, echoed_sent_at: Some(7), .. }, .. }
             if places.len() == 1 + consts::SERVICE_PARTITIONS as usize)
     });
     expect_that!(answers.count(), eq(1));
--- a/crates/core/tests/format_fixtures/messages.rs
+++ b/crates/core/tests/format_fixtures/messages.rs
@@ -225,8 +225,8 @@
         controller_contact_age_ms: wide(2),
         ready: true,
         positions: places(),
-        asked,
-        echo,
+        request_sent_at: asked,
+        echoed_sent_at: echo,
         attestation,
     };
     vec![
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -89,7 +89,7 @@
         slow_start_ms: 912,
         balancing: BalancingMode::LoadAware as i32,
         connections: 913,
-        cold_rate: 914,
+        cold_leaf_rate_milli: 914,
         original_json: r#"{"name":"main"}"#.into(),
         list_index: 915,
     };
@@ -285,5 +285,5 @@
 
 /// What the voter file holds.
 pub fn voter_file() -> VoterFile {
-    VoterFile { me: wide(201), first: true, table: table() }
+    VoterFile { replica_id: wide(201), is_original_disk: true, voter_set: table() }
 }
--- a/crates/core/tests/format_fixtures/values.rs
+++ b/crates/core/tests/format_fixtures/values.rs
@@ -47,7 +47,7 @@
 pub fn holding(n: u32) -> SlotHolder {
     SlotHolder {
         generation: narrow(n),
-        holder: wide(200 + u64::from(n)),
+        replica_id: wide(200 + u64::from(n)),
         addr: format!("10.0.0.{n}:7400"),
         zone: format!("zone-{n}"),
     }
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -297,10 +297,10 @@
     let spoils: Vec<(&str, Spoil)> = vec![
         ("no stamp", |r| r.headers.postmarks.clear()),
         ("two stamps", |r| r.headers.postmarks.push("other".into())),
-        ("foreign", |r| r.headers.foreign = true),
-        ("foreign failure", |r| (r.headers.foreign, r.status) = (true, 404)),
+        ("foreign", |r| r.headers.is_mismatched = true),
+        ("foreign failure", |r| (r.headers.is_mismatched, r.status) = (true, 404)),
         ("foreign word that it did not run", |r| {
-            (r.headers.foreign, r.headers.rejected, r.status) = (true, true, 503);
+            (r.headers.is_mismatched, r.headers.rejected, r.status) = (true, true, 503);
         }),
     ];
     for (name, spoil) in spoils {
@@ -338,7 +338,7 @@
     let mut d = open(&world(&[("p", 3)], vec![pass(json!({ "once": true, "attempts": 3 }))]));
     let list = call(&mut d, NOW, 1);
     let mut got = raw(421, &[], b"");
-    got.headers.foreign = true;
+    got.headers.is_mismatched = true;
     let todo = reply(&mut d, NOW + 5, &list[0], Ok(got));
     expect_that!(rejection(&todo).executed, eq(true));
     expect_that!(sent(todo).len(), eq(0));
@@ -473,7 +473,7 @@
     let spoils: Vec<(&str, Spoil)> = vec![
         ("no stamp", |r| r.headers.postmarks.clear()),
         ("two stamps", |r| r.headers.postmarks.push("other".into())),
-        ("foreign", |r| r.headers.foreign = true),
+        ("foreign", |r| r.headers.is_mismatched = true),
         ("a failure with a stamp", |r| r.status = 500),
         ("not found with a stamp", |r| r.status = 404),
         ("moved with a stamp", |r| r.status = 302),
--- a/crates/core/tests/seats.rs
+++ b/crates/core/tests/seats.rs
@@ -32,7 +32,7 @@
 fn held(table: &VoterSet, slot: usize, generation: u32, holder: u64) -> VoterSet {
     let mut new = table.clone();
     let zone = "c".to_string();
-    new.slots[slot] = SlotHolder { generation, holder, addr: addr(9), zone };
+    new.slots[slot] = SlotHolder { generation, replica_id: holder, addr: addr(9), zone };
     new
 }
 
@@ -52,7 +52,7 @@
     for order in [[4, 3, 2, 1, 0], [2, 0, 4, 1, 3], [3, 1, 0, 2, 4], [1, 2, 3, 4, 0]] {
         expect_that!(all(&order), eq(&want));
     }
-    expect_that!((want.slots[1].generation, want.slots[1].holder), eq((3, 5)));
+    expect_that!((want.slots[1].generation, want.slots[1].replica_id), eq((3, 5)));
     expect_that!(merge(&want, &base), none());
     expect_that!(stamp(&want), not(eq(stamp(&base))));
     // Another size is another fleet's.
@@ -65,7 +65,7 @@
     for (n, size, want) in [(3, 5, 5), (3, 3, 3), (2, 5, 1), (1, 3, 1), (4, 9, 3), (5, 9, 9)] {
         let table = initial_voter_set(&seeds(n), size);
         expect_that!(table.slots.len(), eq(want), "{n} seeds, {size} seats");
-        let there = table.slots.iter().filter(|h| h.holder != 0).count();
+        let there = table.slots.iter().filter(|h| h.replica_id != 0).count();
         expect_that!(there, ge(majority(want)));
     }
 }
@@ -87,7 +87,11 @@
 
 #[googletest::test]
 fn a_damaged_roll_is_no_roll() {
-    let roll = VoterFile { me: 77, first: true, table: initial_voter_set(&seeds(3), 5) };
+    let roll = VoterFile {
+        replica_id: 77,
+        is_original_disk: true,
+        voter_set: initial_voter_set(&seeds(3), 5),
+    };
     let raw = write(&roll);
     expect_that!(read(&raw), some(eq(&roll)));
     for bit in 0..raw.len() * 8 {
@@ -104,40 +108,49 @@
 fn a_start_is_who_its_disk_says_and_nobody_else() {
     let start = |slot: Option<VoterSlot>, first: bool, n: usize| Start {
         slot,
-        first,
+        is_first_start: first,
         seeds: seeds(3),
         size: 3,
         addr: addr(n),
     };
     // The first of all.
     let (roll, clear) = begin(None, &start(None, true, 1), true, 50);
-    expect_that!((roll.me, roll.first, clear), eq((initial_replica_id(&addr(1)), true, false)));
+    expect_that!(
+        (roll.replica_id, roll.is_original_disk, clear),
+        eq((initial_replica_id(&addr(1)), true, false))
+    );
     // A machine that is no seed, a lost disk, and files without a roll.
     for (first, n, bare) in [(true, 5, true), (false, 1, true), (true, 1, false), (false, 1, false)]
     {
         let (roll, clear) = begin(None, &start(None, first, n), bare, 50);
-        expect_that!((roll.me, roll.first, clear), eq((51, false, !bare)));
-        expect_that!(roll.table.slots.is_empty(), eq(true));
+        expect_that!((roll.replica_id, roll.is_original_disk, clear), eq((51, false, !bare)));
+        expect_that!(roll.voter_set.slots.is_empty(), eq(true));
     }
     // The table on disk wins over any seeds and any `first`.
-    let mine =
-        VoterFile { me: 9, first: false, table: held(&initial_voter_set(&seeds(3), 3), 2, 4, 9) };
+    let mine = VoterFile {
+        replica_id: 9,
+        is_original_disk: false,
+        voter_set: held(&initial_voter_set(&seeds(3), 3), 2, 4, 9),
+    };
     let (roll, clear) = begin(Some(mine.clone()), &start(None, true, 1), false, 50);
     expect_that!((&roll, clear), eq((&mine, false)));
     // Its seat was given away: the files are of another life.
-    let gone = VoterFile { me: 8, ..mine.clone() };
+    let gone = VoterFile { replica_id: 8, ..mine.clone() };
     let (roll, clear) = begin(Some(gone), &start(None, false, 1), false, 50);
-    expect_that!((roll.me, clear), eq((51, true)));
+    expect_that!((roll.replica_id, clear), eq((51, true)));
     // Told its seat: by the seeds, unless the seat was given to another.
     let (roll, clear) = begin(None, &start(Some(1), false, 1), true, 50);
-    expect_that!((roll.me, roll.first, clear), eq((fixed_replica_id(1), true, false)));
+    expect_that!(
+        (roll.replica_id, roll.is_original_disk, clear),
+        eq((fixed_replica_id(1), true, false))
+    );
     let taken = VoterFile {
-        me: fixed_replica_id(1),
-        first: true,
-        table: held(&fixed_voter_set(&seeds(3)), 1, 2, 9),
+        replica_id: fixed_replica_id(1),
+        is_original_disk: true,
+        voter_set: held(&fixed_voter_set(&seeds(3)), 1, 2, 9),
     };
     let (roll, clear) = begin(Some(taken), &start(Some(1), false, 1), false, 50);
-    expect_that!((roll.me, clear), eq((51, true)));
+    expect_that!((roll.replica_id, clear), eq((51, true)));
 }
 
 /// A seat of three that has formed all parts, driven by hand.
@@ -151,11 +164,11 @@
     for (h, zone) in table.slots.iter_mut().zip(["a", "b", "c"]) {
         h.zone = zone.into();
     }
-    let me = table.slots[usize::from(slot)].holder;
+    let me = table.slots[usize::from(slot)].replica_id;
     let found =
         partitions().map(|p| (p, ReplicaCondition::Voting, ReplicaState::default(), 0)).collect();
     let zone = table.slots[usize::from(slot)].zone.clone();
-    let roll = VoterFile { me, first: true, table };
+    let roll = VoterFile { replica_id: me, is_original_disk: true, voter_set: table };
     let core = ControllerState::new(roll, (&addr(slot.into()), &zone), found, 1, BOOT);
     Bench { core, now: BOOT }
 }
@@ -195,7 +208,7 @@
 }
 
 fn from(b: &Bench, slot: VoterSlot, message: Message) -> Event {
-    let holder = b.core.voter_slots.voter_file.table.slots[usize::from(slot)].holder;
+    let holder = b.core.voter_slots.voter_file.voter_set.slots[usize::from(slot)].replica_id;
     Event::FromVoter { slot, replica_id: holder, connection: u64::from(slot), message }
 }
 
@@ -213,7 +226,7 @@
 }
 
 fn take(b: &mut Bench, slot: VoterSlot, generation: u32, holder: u64, zone: &str) {
-    let holding = SlotHolder { generation, holder, addr: addr(9), zone: zone.into() };
+    let holding = SlotHolder { generation, replica_id: holder, addr: addr(9), zone: zone.into() };
     one(
         b,
         Event::FromConnection {
@@ -247,17 +260,17 @@
     // of a handover is its holder's alone to give.
     let next = after_takeover(1);
     take(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.voter_slots.voter_file.table.slots[1].generation, eq(1));
+    expect_that!(b.core.voter_slots.voter_file.voter_set.slots[1].generation, eq(1));
     wake(&mut b, 3 * SECOND);
     for wrong in [2, 3, next - 1, next + 1, after_takeover(next)] {
         take(&mut b, 1, wrong, 90, "b");
-        expect_that!(b.core.voter_slots.voter_file.table.slots[1].generation, eq(1), "{wrong}");
+        expect_that!(b.core.voter_slots.voter_file.voter_set.slots[1].generation, eq(1), "{wrong}");
     }
     take(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.voter_slots.voter_file.table.slots[1].holder, eq(90));
+    expect_that!(b.core.voter_slots.voter_file.voter_set.slots[1].replica_id, eq(90));
     // And one generation has one holder.
     take(&mut b, 1, next, 91, "b");
-    expect_that!(b.core.voter_slots.voter_file.table.slots[1].holder, eq(90));
+    expect_that!(b.core.voter_slots.voter_file.voter_set.slots[1].replica_id, eq(90));
 }
 
 #[googletest::test]
@@ -352,7 +365,7 @@
     expect_that!(serves(&b), eq(true));
     let old = b.core.voter_slots.stamp;
     // Seat 1 tells that seat 2 is another's.
-    let table = held(&b.core.voter_slots.voter_file.table, 2, 2, 90);
+    let table = held(&b.core.voter_slots.voter_file.voter_set, 2, 2, 90);
     let news = from(&b, 1, Message::VoterSetUpdate { replica_id: 1, voter_set: table });
     one(&mut b, news);
     let Role::Leader(o) = &b.core.partitions[0].role else { panic!("no owner") };
@@ -379,7 +392,7 @@
 #[googletest::test]
 fn a_table_is_told_and_obeyed_only_once_it_is_on_disk() {
     let mut b = bench(0);
-    let table = held(&b.core.voter_slots.voter_file.table, 0, 2, 90);
+    let table = held(&b.core.voter_slots.voter_file.voter_set, 0, 2, 90);
     let news = from(&b, 1, Message::VoterSetUpdate { replica_id: 1, voter_set: table });
     let todo = b.core.step(b.now, news);
     let tells = |c: &Command| {
@@ -399,7 +412,6 @@
         b.core.partitions.iter().all(|p| p.condition == ReplicaCondition::Empty),
         eq(true)
     );
-    let clears =
-        |c: &Command| matches!(c, Command::WriteVoterFile { clear: true, roll, .. } if !roll.first);
+    let clears = |c: &Command| matches!(c, Command::WriteVoterFile { clear: true, voter_file: roll, .. } if !roll.is_original_disk);
     expect_that!(todo.iter().any(clears), eq(true));
 }
--- a/crates/core/tests/serving_without_lease.rs
+++ b/crates/core/tests/serving_without_lease.rs
@@ -68,8 +68,8 @@
         controller_contact_age_ms: 5_000,
         ready: true,
         positions,
-        asked: None,
-        echo: Some(now),
+        request_sent_at: None,
+        echoed_sent_at: Some(now),
         attestation: Some(attestation),
     };
     Event::FromMember { name: "b".into(), message }
@@ -96,7 +96,7 @@
 fn told(commands: &[Command]) -> Vec<&'static str> {
     let kind = |message: &Message| match message {
         Message::LeafReports { .. } => Some("reports"),
-        Message::Gossip { echo: Some(_), .. } => Some("answer"),
+        Message::Gossip { echoed_sent_at: Some(_), .. } => Some("answer"),
         _ => None,
     };
     let messages = commands.iter().filter_map(|command| match command {
@@ -117,8 +117,8 @@
         controller_contact_age_ms: 5_000,
         ready: true,
         positions: Vec::new(),
-        asked: Some(7),
-        echo: None,
+        request_sent_at: Some(7),
+        echoed_sent_at: None,
         attestation: None,
     };
     // Well before the report is due to be sent again.
--- a/crates/runtime/src/connections.rs
+++ b/crates/runtime/src/connections.rs
@@ -95,7 +95,8 @@
 
     /// The addresses to which there should be a connection.
     fn wanted(&self, voters: &VoterSet) -> Vec<SocketAddr> {
-        let held: Vec<&SlotHolder> = voters.slots.iter().filter(|slot| slot.holder != 0).collect();
+        let held: Vec<&SlotHolder> =
+            voters.slots.iter().filter(|slot| slot.replica_id != 0).collect();
         let lost = self.last_message.elapsed() >= SEEDS_AGAIN;
         let is_voter = matches!(self.greeting.identity, PeerIdentity::Voter { .. });
         let early = self.began.elapsed() < SEED_PATIENCE && !is_voter;
@@ -107,7 +108,7 @@
         }
         let seeds_first = early && !wanted.is_empty();
         for slot in held {
-            let known = self.address_of(slot.holder);
+            let known = self.address_of(slot.replica_id);
             let address = known.or_else(|| slot.addr.parse().ok().filter(|_| !seeds_first));
             wanted.extend(address.filter(|address| Some(*address) != self.own));
         }
@@ -146,10 +147,12 @@
     /// Sends to the holder of a voter slot; drops the message when there is no
     /// connection to it.
     pub fn send_to_voter(&self, voters: &VoterSet, slot: VoterSlot, message: &Message) {
-        let Some(slot) = voters.slots.get(usize::from(slot)).filter(|slot| slot.holder != 0) else {
+        let Some(slot) = voters.slots.get(usize::from(slot)).filter(|slot| slot.replica_id != 0)
+        else {
             return;
         };
-        let known = self.by_address.values().find(|connection| connection.holder == slot.holder);
+        let known =
+            self.by_address.values().find(|connection| connection.holder == slot.replica_id);
         let by_address = || {
             let connection = self.by_address.get(&slot.addr.parse().ok()?)?;
             (connection.holder == 0).then_some(connection)
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -63,7 +63,7 @@
     }
 
     fn arrange(&mut self, state: &ControllerState) {
-        self.controllers.arrange(identity(state), &state.voter_slots.voter_file.table);
+        self.controllers.arrange(identity(state), &state.voter_slots.voter_file.voter_set);
     }
 
     /// Arranges the connections now and then: a seed that never spoke is given up, or
@@ -146,7 +146,7 @@
 
     /// Carries out what the state machine asks.
     pub fn carry_out(&mut self, state: &ControllerState, commands: Vec<Command>) {
-        let voters = &state.voter_slots.voter_file.table;
+        let voters = &state.voter_slots.voter_file.voter_set;
         for command in commands {
             match command {
                 Command::ToVoter { slot, message } => {
@@ -154,7 +154,7 @@
                 }
                 Command::Broadcast { message } => self.controllers.broadcast(&message),
                 Command::VoterSetChanged => self.arrange(state),
-                Command::WriteVoterFile { token, roll: file, clear: set_aside } => {
+                Command::WriteVoterFile { token, voter_file: file, clear: set_aside } => {
                     self.ask_disk(DiskJob::WriteVoterFile { token, file, set_aside });
                 }
                 Command::ToConnection { connection, message } => {
@@ -162,14 +162,14 @@
                         sender.send(&message);
                     }
                 }
-                Command::AppendRecord { partition, token, rec: record } => {
+                Command::AppendRecord { partition, token, record } => {
                     self.ask_disk(DiskJob::Append { partition, token, record });
                 }
-                Command::WriteSnapshot { partition, token, copy: state } => {
+                Command::WriteSnapshot { partition, token, snapshot: state } => {
                     self.ask_disk(DiskJob::WriteSnapshot { partition, token, state });
                 }
                 Command::Scrub { partition } => self.ask_disk(DiskJob::Scrub { partition }),
-                Command::Respond { op, done } => {
+                Command::Respond { op, result: done } => {
                     if let Some(reply) = self.waiting.remove(&op) {
                         let _ = reply.send(done);
                     }
@@ -194,7 +194,7 @@
 
 /// As whom we dial.
 fn identity(state: &ControllerState) -> PeerIdentity {
-    let holder = state.voter_slots.voter_file.me;
+    let holder = state.voter_slots.voter_file.replica_id;
     match state.slot {
         NO_SLOT => PeerIdentity::Spare { replica_id: holder },
         slot => PeerIdentity::Voter { slot, replica_id: holder },
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -52,7 +52,7 @@
             })
         })
         .collect();
-    let seats: Vec<Value> = core.voter_slots.voter_file.table.slots.iter().map(seat).collect();
+    let seats: Vec<Value> = core.voter_slots.voter_file.voter_set.slots.iter().map(seat).collect();
     let own = (core.slot != NO_SLOT).then_some(core.slot);
     json!({
         "seat": own, "zone": zone, "parts": parts, "seats": seats,
@@ -61,7 +61,7 @@
 }
 
 fn seat(h: &SlotHolder) -> Value {
-    json!({ "generation": h.generation, "holder": format!("{:016x}", h.holder), "addr": h.addr,
+    json!({ "generation": h.generation, "holder": format!("{:016x}", h.replica_id), "addr": h.addr,
             "zone": h.zone })
 }
 
--- a/crates/server/src/controller/settings.rs
+++ b/crates/server/src/controller/settings.rs
@@ -170,7 +170,7 @@
     pub fn start(&self) -> Start {
         Start {
             slot: self.slot,
-            first: self.first,
+            is_first_start: self.first,
             seeds: self.seeds.iter().map(|seed| seed.to_string()).collect(),
             size: self.slots,
             addr: self.advertised.to_string(),
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -46,7 +46,7 @@
         })
         .collect();
     json!({
-        "search": m.name, "class": m.class.name(),
+        "search": m.name, "class": m.priority_class.name(),
         "cut": m.index_version, "send": if m.fan_out == FanOut::AllShards { "wide" } else { "one by key" },
         "promise_ms": m.timeout / MILLI, "attempts": m.attempts,
         "wait_pct": m.hedge_after_pct, "stop_pct": m.quorum_after_pct,
--- a/crates/server/src/querier/caller_listener.rs
+++ b/crates/server/src/querier/caller_listener.rs
@@ -105,7 +105,7 @@
     };
     // What waits before the desk is bounded here, each class to its part: this
     // is the one place where calls could pile up.
-    let class = listener.threads.view.borrow().routes.get(&ask.route).map(|m| m.class);
+    let class = listener.threads.view.borrow().routes.get(&ask.route).map(|m| m.priority_class);
     let most = max_open_queries(class.unwrap_or_default()) * consts::MAX_LISTENER_CALLS
         / consts::MAX_CONCURRENT_QUERIES;
     let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
--- a/crates/server/src/querier/leaf_client.rs
+++ b/crates/server/src/querier/leaf_client.rs
@@ -65,8 +65,9 @@
 ) -> Result<LeafReply, AttemptFailure> {
     let leaf = address(&sending)?;
     let work = (api.write_attempt)(&sending).ok_or(AttemptFailure::Unreachable)?;
-    let fits =
-        |response: &Response<Bytes>| !(api.read_reply)(&sending, response.clone()).headers.foreign;
+    let fits = |response: &Response<Bytes>| {
+        !(api.read_reply)(&sending, response.clone()).headers.is_mismatched
+    };
     let options = ForwardOptions {
         reply_limit: MAX_REPLY_BYTES,
         once: sending.at_most_once,
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -115,7 +115,7 @@
                 let number = usize::from(slot);
                 let node = &self.controllers[number];
                 let connection = Opener::Controller { number, life: node.life }.connection();
-                let holder = node.state.voter_slots.voter_file.me;
+                let holder = node.state.voter_slots.voter_file.replica_id;
                 (connection, CoreEvent::FromVoter { slot, replica_id: holder, connection, message })
             }
             Sender::Querier(number, life) => {
@@ -187,7 +187,7 @@
             }
             // Nobody moves here: all connections are as they were.
             Command::VoterSetChanged => {}
-            Command::WriteVoterFile { token, roll, clear } => {
+            Command::WriteVoterFile { token, voter_file: roll, clear } => {
                 add(&mut self.controllers[controller].meter.disk, voter_file::write(&roll).len());
                 let disk = &mut self.controllers[controller].disk;
                 if let Some(at) =
@@ -199,11 +199,11 @@
             Command::ToConnection { connection, message } => {
                 self.answer(controller, Opener::of(connection), &message);
             }
-            Command::AppendRecord { partition, token, rec } => {
+            Command::AppendRecord { partition, token, record: rec } => {
                 add(&mut self.controllers[controller].meter.disk, writer::record(0, 0, &rec).len());
                 self.start_disk_job(controller, partition, token, Job::Append(rec));
             }
-            Command::WriteSnapshot { partition, token, copy } => {
+            Command::WriteSnapshot { partition, token, snapshot: copy } => {
                 add(
                     &mut self.controllers[controller].meter.disk,
                     writer::slot(partition.0, 0, &copy).len(),
@@ -214,7 +214,7 @@
                 let event = Box::new(CoreEvent::Scrubbed { partition, corruption: None });
                 self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
             }
-            Command::Respond { op, done } => {
+            Command::Respond { op, result: done } => {
                 self.results.insert(op, (self.now, done));
             }
             Command::OwnResponse { .. } => {}
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -240,7 +240,7 @@
         let seed = self.random.next_u64();
         let start = Start {
             slot: Some(controller as VoterSlot),
-            first: self.now == BEGIN,
+            is_first_start: self.now == BEGIN,
             seeds: (0..consts::DEFAULT_VOTER_SLOTS as usize)
                 .map(topology::controller_address)
                 .collect(),
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -17,7 +17,7 @@
         let life = self.controllers[controller].life;
         match command {
             Command::ToVoter { slot, message } => {
-                let table = &self.controllers[controller].state.voter_slots.voter_file.table;
+                let table = &self.controllers[controller].state.voter_slots.voter_file.voter_set;
                 let Some(to) = table.slots.get(usize::from(slot)) else { return };
                 let Some(to) = self.machine(&to.addr) else { return };
                 self.send_to_controller(controller, to, message);
@@ -29,7 +29,7 @@
             }
             // Connections are not simulated; a new voter announces its voter set itself.
             Command::VoterSetChanged => {}
-            Command::WriteVoterFile { token, roll, clear } => {
+            Command::WriteVoterFile { token, voter_file: roll, clear } => {
                 let at = self.controllers[controller].disk.write_voter_file(
                     self.now,
                     token,
@@ -49,14 +49,14 @@
                     self.answer_querier(controller, number, life, message);
                 }
             },
-            Command::AppendRecord { partition, token, rec } => {
+            Command::AppendRecord { partition, token, record: rec } => {
                 self.start_disk_job(controller, partition, token, Job::Append(rec))
             }
-            Command::WriteSnapshot { partition, token, copy } => {
+            Command::WriteSnapshot { partition, token, snapshot: copy } => {
                 self.start_disk_job(controller, partition, token, Job::Snapshot(copy))
             }
             Command::Scrub { partition } => self.scrub(controller, partition),
-            Command::Respond { op, done } => self.acknowledge(op as usize, done),
+            Command::Respond { op, result: done } => self.acknowledge(op as usize, done),
             Command::OwnResponse { .. } => {}
             Command::WakeAfter { span } => {
                 self.push(
@@ -91,7 +91,7 @@
         let receiver = self.queriers[querier].endpoint(querier);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
-            let holder = self.controllers[controller].state.voter_slots.voter_file.me;
+            let holder = self.controllers[controller].state.voter_slots.voter_file.replica_id;
             self.push_at(at, ScheduledEvent::ControllerMessage { querier, life, holder, message });
         }
     }
@@ -121,7 +121,7 @@
         let event = if node.has_voter_slot() {
             CoreEvent::FromVoter {
                 slot: node.state.slot,
-                replica_id: node.state.voter_slots.voter_file.me,
+                replica_id: node.state.voter_slots.voter_file.replica_id,
                 connection,
                 message,
             }
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -54,7 +54,7 @@
                 .slots_assigned
                 .then_some(controller as VoterSlot)
                 .filter(|controller| usize::from(*controller) < self.control_plane.voter_slots),
-            first: self.now == BEGIN,
+            is_first_start: self.now == BEGIN,
             seeds: self.control_plane.seeds.iter().map(|controller| address(*controller)).collect(),
             size: self.control_plane.voter_slots,
             addr: address(controller),
@@ -66,7 +66,7 @@
         }
         if self.faulty_variant == Some(FaultyVariant::VotesAfterDiskLoss)
             && recovered.was_empty
-            && !start.first
+            && !start.is_first_start
         {
             recovered.vote_without_files();
         }
@@ -88,7 +88,7 @@
 
     /// The machines to which a controller has connections.
     pub(super) fn connected_controllers(&self, controller: usize) -> Vec<usize> {
-        let table = &self.controllers[controller].state.voter_slots.voter_file.table;
+        let table = &self.controllers[controller].state.voter_slots.voter_file.voter_set;
         let known = table.slots.iter().filter_map(|h| self.machine(&h.addr));
         let mut list: Vec<usize> = known.chain(self.control_plane.seeds.iter().copied()).collect();
         list.retain(|to| *to != controller && *to < self.controllers.len());
@@ -106,8 +106,14 @@
         self.control_plane.seeds = seeds;
         for controller in 0..self.controllers.len() {
             let node = &self.controllers[controller];
-            let knows_voters =
-                node.state.voter_slots.voter_file.table.slots.iter().any(|slot| slot.holder != 0);
+            let knows_voters = node
+                .state
+                .voter_slots
+                .voter_file
+                .voter_set
+                .slots
+                .iter()
+                .any(|slot| slot.replica_id != 0);
             if !node.up || knows_voters {
                 continue;
             }
@@ -145,8 +151,8 @@
             | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
             | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
             CoreEvent::FromVoter { slot: seat, replica_id: holder, message, .. } => {
-                let table = &core.voter_slots.voter_file.table;
-                *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
+                let table = &core.voter_slots.voter_file.voter_set;
+                *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.replica_id);
                 if let Some(stamp) = grebepath_core::voters::stamp::stamp_of_mut(message) {
                     *stamp = core.voter_slots.stamp;
                 }
--- a/crates/simulator/src/world/status.rs
+++ b/crates/simulator/src/world/status.rs
@@ -16,12 +16,12 @@
     /// and no machine thinks it has another's.
     pub fn all_slots_voting(&self) -> bool {
         let Some(best) = self.running_voters().max_by_key(|node| {
-            let list = &node.state.voter_slots.voter_file.table.slots;
+            let list = &node.state.voter_slots.voter_file.voter_set.slots;
             list.iter().map(|voter| u64::from(voter.generation)).sum::<u64>()
         }) else {
             return false;
         };
-        let table = &best.state.voter_slots.voter_file.table;
+        let table = &best.state.voter_slots.voter_file.voter_set;
         let whole = |node: &ControllerNode| {
             node.state.partitions.iter().all(|p| p.condition == ReplicaCondition::Voting)
         };
@@ -30,7 +30,7 @@
                 .running_voters()
                 .filter(|node| usize::from(node.state.slot) == slot && whole(node))
                 .collect();
-            held.len() == 1 && held[0].state.voter_slots.voter_file.me == voter.holder
+            held.len() == 1 && held[0].state.voter_slots.voter_file.replica_id == voter.replica_id
         })
     }
 
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -43,7 +43,7 @@
     for (i, n) in world.controllers.iter().enumerate() {
         let lives: Vec<_> =
             n.state.partitions.iter().map(|p| format!("{:?}", p.condition)).collect();
-        let table = &n.state.voter_slots.voter_file.table.slots;
+        let table = &n.state.voter_slots.voter_file.voter_set.slots;
         let list: Vec<_> = table.iter().map(|h| format!("{}:{}", h.generation, h.addr)).collect();
         out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.state.slot);
     }
