--- a/crates/core/src/diagnostic.rs
+++ b/crates/core/src/diagnostic.rs
@@ -97,7 +97,7 @@
 }
 
 /// Adds a problem to a list of diagnostics.
-pub fn find(
+pub fn push_diagnostic(
     all: &mut Vec<Diagnostic>,
     location: impl Into<String>,
     problem: impl Into<Box<dyn Error + Send + Sync>>,
--- a/crates/core/src/digest.rs
+++ b/crates/core/src/digest.rs
@@ -26,6 +26,6 @@
 }
 
 /// Returns a cheap, stable hash of two numbers, for rendezvous hashing on the hot path.
-pub fn pair(a: u64, b: u64) -> u64 {
+pub fn hash_pair(a: u64, b: u64) -> u64 {
     crate::random::mix(a ^ crate::random::mix(b))
 }
--- a/crates/core/src/http_api/list.rs
+++ b/crates/core/src/http_api/list.rs
@@ -4,7 +4,7 @@
 
 use serde_json::Value;
 
-use crate::diagnostic::{Diagnostic, find};
+use crate::diagnostic::{Diagnostic, push_diagnostic};
 use crate::routing_language::selector::Labels;
 use crate::snapshot::leafs::LeafInfo;
 
@@ -26,10 +26,10 @@
         let at = format!("leafs[{i}]");
         match entry(item) {
             Ok(leaf) if !seen.insert(leaf.leaf.clone()) => {
-                find(&mut all, at, format!("duplicate leaf `{}`", leaf.leaf));
+                push_diagnostic(&mut all, at, format!("duplicate leaf `{}`", leaf.leaf));
             }
             Ok(leaf) => out.push(leaf),
-            Err(text) => find(&mut all, at, text),
+            Err(text) => push_diagnostic(&mut all, at, text),
         }
     }
     if out.is_empty() {
--- a/crates/core/src/membership/feed_sources.rs
+++ b/crates/core/src/membership/feed_sources.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use crate::digest::{hash, pair};
+use crate::digest::{hash, hash_pair};
 use crate::identifiers::VoterSlot;
 use crate::time::{Span, Tick, ms, since};
 
@@ -36,6 +36,6 @@
             let at = *self.answered_at.get(slot).unwrap_or(&started_at);
             since(at, now) < POSITION_REPORT_TIMEOUT
         };
-        slots.iter().copied().filter(answered).max_by_key(|slot| pair(own, u64::from(*slot)))
+        slots.iter().copied().filter(answered).max_by_key(|slot| hash_pair(own, u64::from(*slot)))
     }
 }
--- a/crates/core/src/membership/neighbour_ring.rs
+++ b/crates/core/src/membership/neighbour_ring.rs
@@ -6,7 +6,7 @@
 
 use std::cmp::Reverse;
 
-use crate::digest::{hash, pair};
+use crate::digest::{hash, hash_pair};
 use crate::protocol::membership::{Member, Membership};
 
 /// Number of neighbours in each direction of the ring with which a member exchanges gossip. Each
@@ -60,7 +60,7 @@
 impl RingMember<'_> {
     /// Returns the rank of this member for an assignment; the highest rank holds it.
     fn rank(&self, assignment: u64) -> (u64, &str) {
-        (pair(assignment, self.hash), self.name)
+        (hash_pair(assignment, self.hash), self.name)
     }
 }
 
--- a/crates/core/src/query/connection_subset.rs
+++ b/crates/core/src/query/connection_subset.rs
@@ -9,7 +9,7 @@
 //! for a short time. A leaf resets connections above its limit; attempts on these have not
 //! arrived.
 
-use crate::digest::{hash, pair};
+use crate::digest::{hash, hash_pair};
 use crate::snapshot::leafs::LeafInfo;
 
 /// A traffic thread that opens connections to leafs.
@@ -52,7 +52,7 @@
         order.sort_unstable_by_key(|k| {
             (
                 leafs[*k].zone() != peer.zone,
-                std::cmp::Reverse(pair(leaf_hashes[*k], peer.thread_id)),
+                std::cmp::Reverse(hash_pair(leaf_hashes[*k], peer.thread_id)),
             )
         });
         let mut assigned = 0;
--- a/crates/core/src/query/leaf.rs
+++ b/crates/core/src/query/leaf.rs
@@ -1,7 +1,7 @@
 //! The state of a leaf as observed by one traffic thread.
 
 use crate::consts;
-use crate::digest::{hash, pair};
+use crate::digest::{hash, hash_pair};
 use crate::http_api::leaf::SelfReport;
 use crate::time::{MILLI, SECOND, Span, Tick, ms, since};
 
@@ -214,7 +214,7 @@
     /// time; `thread_id` gives each thread different intervals.
     pub fn usable_allocation(&self, allocation: u64, thread_id: u64, now: Tick) -> u64 {
         let exact = allocation * u64::from(self.health_weight);
-        let threshold = pair(self.hash ^ thread_id, now / FRACTIONAL_SLOT_INTERVAL) % 1_000;
+        let threshold = hash_pair(self.hash ^ thread_id, now / FRACTIONAL_SLOT_INTERVAL) % 1_000;
         let usable = exact / 1_000 + u64::from(threshold < exact % 1_000);
         let is_probe_due = since(self.health_weight_changed_at, now) >= WEIGHT_PROBE;
         usable.max(u64::from(is_probe_due)).min(allocation)
--- a/crates/core/src/query/quota.rs
+++ b/crates/core/src/query/quota.rs
@@ -1,6 +1,6 @@
 //! Partitions cluster-wide limits among the traffic threads.
 
-use crate::digest::{hash, pair};
+use crate::digest::{hash, hash_pair};
 use crate::query::connection_subset::ConnectingThread;
 
 /// The traffic threads of the current membership, and which of them is this thread.
@@ -15,7 +15,7 @@
 
 /// Returns the stable number of a traffic thread of a member.
 pub fn thread_id(member: &str, thread: u32) -> u64 {
-    pair(hash(member), u64::from(thread))
+    hash_pair(hash(member), u64::from(thread))
 }
 
 impl QuotaShare {
@@ -49,8 +49,8 @@
         if self.threads.binary_search(&self.own_thread).is_err() {
             return None;
         }
-        let own = pair(resource, self.own_thread);
-        Some(self.threads.iter().filter(|s| pair(resource, **s) < own).count() as u64)
+        let own = hash_pair(resource, self.own_thread);
+        Some(self.threads.iter().filter(|s| hash_pair(resource, **s) < own).count() as u64)
     }
 
     /// Returns the rank of this thread for each of a list of resources that are allocated one
--- a/crates/core/src/query/slow_start.rs
+++ b/crates/core/src/query/slow_start.rs
@@ -9,7 +9,7 @@
 //! of the previous one; a thread without a valid lease sends nothing. So a newly assigned
 //! thread starts only when the previous one has applied the new membership or is fenced.
 
-use crate::digest::pair;
+use crate::digest::hash_pair;
 use crate::query::leaf::LeafState;
 use crate::query::quota::QuotaShare;
 use crate::time::{SECOND, Span, Tick, since};
@@ -28,7 +28,7 @@
     /// Returns whether this thread is the single thread to which a resource is assigned, by
     /// rendezvous hashing. A thread without a share is assigned no resource.
     pub fn is_assigned(&self, resource: u64) -> bool {
-        let rank = |thread: &u64| (pair(resource, *thread), *thread);
+        let rank = |thread: &u64| (hash_pair(resource, *thread), *thread);
         self.threads.iter().max_by_key(|thread| rank(thread)) == Some(&self.own_thread)
     }
 }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -5,7 +5,7 @@
 //! leader writes under its own term. It serves operations once a majority has synced that.
 
 use crate::command::Command;
-use crate::digest::{hash, pair};
+use crate::digest::{hash, hash_pair};
 use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
 use crate::protocol::message::Message;
 use crate::protocol::replica::EntryMap;
@@ -32,9 +32,9 @@
 /// `silent`, a leader that stopped sending heartbeats, is not ranked.
 fn rank(id: PartitionId, group: VoterGroup, silent: Option<VoterSlot>) -> u64 {
     let partition = hash(&id.to_string());
-    let own = pair(partition, u64::from(group.slot));
+    let own = hash_pair(partition, u64::from(group.slot));
     let precedes =
-        |slot: &VoterSlot| Some(*slot) != silent && pair(partition, u64::from(*slot)) < own;
+        |slot: &VoterSlot| Some(*slot) != silent && hash_pair(partition, u64::from(*slot)) < own;
     other_voters(group).filter(precedes).count() as u64
 }
 
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -2,7 +2,7 @@
 //! a slot, and takes it only then. While no slot is free it is a spare and continues to ask.
 
 use crate::command::Command;
-use crate::digest::pair;
+use crate::digest::hash_pair;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::time::{SECOND, Span, Tick, ms, since};
@@ -130,9 +130,9 @@
         };
         let was_held_here =
             |slot: &VoterSlot| self.voter_set().slots[usize::from(*slot)].addr == self.addr;
-        (0..size as VoterSlot)
-            .filter(|slot| offers_of(*slot) >= majority(size))
-            .max_by_key(|slot| (was_held_here(slot), pair(self.replica_id(), u64::from(*slot))))
+        (0..size as VoterSlot).filter(|slot| offers_of(*slot) >= majority(size)).max_by_key(
+            |slot| (was_held_here(slot), hash_pair(self.replica_id(), u64::from(*slot))),
+        )
     }
 
     fn claim(&mut self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
--- a/crates/runtime/src/settings/reader.rs
+++ b/crates/runtime/src/settings/reader.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 
-use grebepath_core::diagnostic::{Diagnostic, find};
+use grebepath_core::diagnostic::{Diagnostic, push_diagnostic};
 use grebepath_core::time::Span;
 use serde_json::Value;
 
@@ -35,14 +35,14 @@
             match std::fs::read(path) {
                 Err(e) => {
                     let place = format!("--params {path}");
-                    find(&mut diagnostics, place, format!("can't be read: {e}"));
+                    push_diagnostic(&mut diagnostics, place, format!("can't be read: {e}"));
                 }
                 Ok(raw) => match serde_json::from_slice(&raw) {
                     Ok(Value::Object(object)) => settings = object,
-                    Ok(_) => find(&mut diagnostics, path, "expected a JSON object"),
+                    Ok(_) => push_diagnostic(&mut diagnostics, path, "expected a JSON object"),
                     Err(e) => {
                         let place = format!("{path}:{}:{}", e.line(), e.column());
-                        find(&mut diagnostics, place, format!("not JSON: {e}"));
+                        push_diagnostic(&mut diagnostics, place, format!("not JSON: {e}"));
                     }
                 },
             }
@@ -294,7 +294,7 @@
 
     /// Notes what is wrong with a setting.
     pub fn report(&mut self, place: impl Into<String>, text: impl Into<String>) {
-        find(&mut self.diagnostics, place, text.into());
+        push_diagnostic(&mut self.diagnostics, place, text.into());
     }
 }
 
--- a/crates/simulator/src/scenario/read.rs
+++ b/crates/simulator/src/scenario/read.rs
@@ -1,6 +1,6 @@
 //! Reads a scenario from JSON, with all diagnostics at their places.
 
-use grebepath_core::diagnostic::{Diagnostic, find};
+use grebepath_core::diagnostic::{Diagnostic, push_diagnostic};
 use grebepath_core::time::ms;
 use serde_json::Value;
 
@@ -90,13 +90,17 @@
         Ok(value) => value,
         Err(e) => {
             let place = format!("$:{}:{}", e.line(), e.column());
-            find(&mut diagnostics, place, format!("not JSON: {e}"));
+            push_diagnostic(&mut diagnostics, place, format!("not JSON: {e}"));
             return Err(diagnostics);
         }
     };
     for key in value.as_object().into_iter().flat_map(|fields| fields.keys()) {
         if !FIELDS.contains(&key.as_str()) {
-            find(&mut diagnostics, key, format!("unknown field; known are {}", FIELDS.join(", ")));
+            push_diagnostic(
+                &mut diagnostics,
+                key,
+                format!("unknown field; known are {}", FIELDS.join(", ")),
+            );
         }
     }
     let deployment = load_deployment(&value, load, &mut diagnostics);
@@ -104,7 +108,7 @@
     let queriers = read_integer(&value, "queriers", 1, 200, &mut diagnostics) as usize;
     let factor = value["factor"].as_f64().unwrap_or(1.0);
     if !(0.001..=100.0).contains(&factor) {
-        find(&mut diagnostics, "factor", "expected a number from 0.001 to 100");
+        push_diagnostic(&mut diagnostics, "factor", "expected a number from 0.001 to 100");
     }
     let control_plane = control_plane(&value, &mut diagnostics);
     let faults = read_faults(&value, queriers, control_plane.machines, &mut diagnostics);
@@ -136,11 +140,11 @@
     let spec = load(&format!("{name}.standins.json"))
         .map_err(SpecError::from)
         .and_then(|value| spec::parse(&value))
-        .map_err(|error| find(diagnostics, "deployment", error.to_string()));
+        .map_err(|error| push_diagnostic(diagnostics, "deployment", error.to_string()));
     let config = match value.get("config") {
         Some(config) => Ok(config.clone()),
         None => load(&format!("{name}.json"))
-            .map_err(|error| find(diagnostics, "deployment", error.to_string())),
+            .map_err(|error| push_diagnostic(diagnostics, "deployment", error.to_string())),
     };
     Some((spec.ok()?, config.ok()?))
 }
@@ -170,7 +174,11 @@
     let seats = read_integer(value, "seats", 1, 9, diagnostics) as usize;
     let machines = read_integer(value, "controllers", 1, 12, diagnostics) as usize;
     if seats.is_multiple_of(2) || machines < seats {
-        find(diagnostics, "seats", "expected an odd number of seats and a controller for each");
+        push_diagnostic(
+            diagnostics,
+            "seats",
+            "expected an odd number of seats and a controller for each",
+        );
     }
     world::ControlPlaneSetup {
         voter_slots: seats,
@@ -191,7 +199,11 @@
     match value[key].as_u64() {
         Some(n) if (low..=high).contains(&n) => n,
         _ => {
-            find(diagnostics, key, format!("expected a whole number from {low} to {high}"));
+            push_diagnostic(
+                diagnostics,
+                key,
+                format!("expected a whole number from {low} to {high}"),
+            );
             low
         }
     }
@@ -208,17 +220,25 @@
     let action = value["do"].as_str().unwrap_or_default().to_string();
     let Some((_, fields)) = ACTIONS.iter().find(|known| known.0 == action) else {
         let words: Vec<&str> = ACTIONS.iter().map(|known| known.0).collect();
-        find(diagnostics, format!("{at}.do"), format!("expected one of {}", words.join(", ")));
+        push_diagnostic(
+            diagnostics,
+            format!("{at}.do"),
+            format!("expected one of {}", words.join(", ")),
+        );
         return None;
     };
     let Some(at_s) = value["at_s"].as_f64().filter(|seconds| (0.0..=86_400.0).contains(seconds))
     else {
-        find(diagnostics, format!("{at}.at_s"), "expected a time in seconds");
+        push_diagnostic(diagnostics, format!("{at}.at_s"), "expected a time in seconds");
         return None;
     };
     for key in value.as_object().into_iter().flat_map(|fields| fields.keys()) {
         if key != "do" && key != "at_s" && !fields.contains(&key.as_str()) {
-            find(diagnostics, format!("{at}.{key}"), format!("`{action}` has no such field"));
+            push_diagnostic(
+                diagnostics,
+                format!("{at}.{key}"),
+                format!("`{action}` has no such field"),
+            );
         }
     }
     check_values(at, &action, value, fleet, diagnostics);
@@ -242,26 +262,42 @@
     if has("which") {
         let top = if action.ends_with("querier") { fleet.queriers } else { fleet.controllers };
         if value["which"].as_u64().is_none_or(|number| number as usize >= top) {
-            find(diagnostics, format!("{at}.which"), format!("expected a number below {top}"));
+            push_diagnostic(
+                diagnostics,
+                format!("{at}.which"),
+                format!("expected a number below {top}"),
+            );
         }
     }
     if action == "leafs" && leaf_mode(value).is_none() {
-        find(diagnostics, format!("{at}.mode"), "unknown mode of leafs");
+        push_diagnostic(diagnostics, format!("{at}.mode"), "unknown mode of leafs");
     }
     if action == "rollout" && VersionFault::read(value).is_none() {
-        find(diagnostics, format!("{at}.how"), "unknown fault of a version");
+        push_diagnostic(diagnostics, format!("{at}.how"), "unknown fault of a version");
     }
     if action == "list" && list_mode(value).is_none() {
-        find(diagnostics, format!("{at}.mode"), "expected good, empty, garbage, dead or stale");
+        push_diagnostic(
+            diagnostics,
+            format!("{at}.mode"),
+            "expected good, empty, garbage, dead or stale",
+        );
     }
     if action == "disk" && disk_health(value).is_none() {
-        find(diagnostics, format!("{at}.health"), "expected good, slow, full or stalled");
+        push_diagnostic(
+            diagnostics,
+            format!("{at}.health"),
+            "expected good, slow, full or stalled",
+        );
     }
     if action == "cut" {
         for side in ["a", "b"] {
             for word in value[side].as_array().into_iter().flatten() {
                 if word.as_str().is_none_or(|word| fleet.nodes_named(word).is_empty()) {
-                    find(diagnostics, format!("{at}.{side}"), format!("{word} names no machine"));
+                    push_diagnostic(
+                        diagnostics,
+                        format!("{at}.{side}"),
+                        format!("{word} names no machine"),
+                    );
                 }
             }
         }
