--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -66,7 +66,7 @@
     pub scrub_at: Tick,
     /// Index of the next partition to be scrubbed.
     pub scrub_next: usize,
-    /// Votes of the members on the index versions on trial.
+    /// Votes of the members on the versions under trial.
     pub rollout_votes: RolloutVotes,
     /// How long each rollout has been in its present state.
     pub rollout_clock: RolloutClock,
--- a/crates/core/src/control_plane/rollout_progress.rs
+++ b/crates/core/src/control_plane/rollout_progress.rs
@@ -55,29 +55,30 @@
     fn next_of_rollout(&self, now: Tick, rollout: &Rollout) -> Option<Rollout> {
         let revision = self.partitions[CONFIG.0 as usize].state.revision + 1;
         let elapsed_ms = self.rollout_clock.elapsed_ms(now, rollout);
-        let turned = |phase, reason| Some(rollout.with_phase(phase, reason, elapsed_ms, revision));
+        let with_phase_change =
+            |phase, reason| Some(rollout.with_phase(phase, reason, elapsed_ms, revision));
         match rollout.phase() {
             RolloutPhase::Trial if ends_at_term(rollout, elapsed_ms) => {
-                turned(RolloutPhase::Back, RolloutReason::NoVerdict)
+                with_phase_change(RolloutPhase::Back, RolloutReason::NoVerdict)
             }
             RolloutPhase::Trial => match self.verdict_on(rollout) {
-                Verdict::Bad => turned(RolloutPhase::Back, RolloutReason::FoundBad),
+                Verdict::Bad => with_phase_change(RolloutPhase::Back, RolloutReason::FoundBad),
                 Verdict::Good if self.may_go_forward(rollout, elapsed_ms) => {
-                    turned(RolloutPhase::Forward, RolloutReason::FoundGood)
+                    with_phase_change(RolloutPhase::Forward, RolloutReason::FoundGood)
                 }
                 _ => next_step(rollout, elapsed_ms),
             },
             RolloutPhase::Forward if self.verdict_on(rollout) == Verdict::Bad => {
-                turned(RolloutPhase::Back, RolloutReason::FoundBad)
+                with_phase_change(RolloutPhase::Back, RolloutReason::FoundBad)
             }
             RolloutPhase::Forward
                 if elapsed_ms >= rollout.elapsed_ms + ATTEMPT_DRAIN_MS
                     && self.is_applied_by_all(now, rollout) =>
             {
-                turned(RolloutPhase::Delivered, rollout.reason())
+                with_phase_change(RolloutPhase::Delivered, rollout.reason())
             }
             RolloutPhase::Back if self.is_applied_by_all(now, rollout) => {
-                turned(RolloutPhase::Returned, rollout.reason())
+                with_phase_change(RolloutPhase::Returned, rollout.reason())
             }
             _ => None,
         }
--- a/crates/core/src/control_plane/rollout_votes.rs
+++ b/crates/core/src/control_plane/rollout_votes.rs
@@ -1,4 +1,4 @@
-//! The members' observations of index versions on trial, as tracked by the leader of the
+//! The members' observations of versions under trial, as tracked by the leader of the
 //! configuration partition.
 
 use std::collections::BTreeMap;
@@ -75,12 +75,12 @@
                 && evidence.ordered_revision == rollout.ordered_revision
         };
         let votes = self.rollout_votes.by_member.values();
-        let vote = Assessment {
+        let assessment = Assessment {
             evidence: votes.flat_map(|vote| &vote.evidence).filter(is_of_trial).collect(),
             members: self.members.membership.members.len(),
             new_leafs: self.leafs_of_version(rollout, &rollout.target),
         };
-        vote.verdict()
+        assessment.verdict()
     }
 
     /// Returns the number of leafs of a rollout's service that have a version and accept
--- a/crates/core/src/membership/attestation.rs
+++ b/crates/core/src/membership/attestation.rs
@@ -65,7 +65,7 @@
     /// Returns until when attestations allow this member to serve without a lease; zero if they
     /// never did.
     pub(super) fn proved_until(&mut self) -> Tick {
-        // A member without a lease since its start has no view to go on serving with.
+        // A member that never had a lease has no view that it could go on serving.
         if self.lease.granted && self.known_revision <= self.configuration_revision {
             self.proofs.until = self.proofs.until.max(self.proofs.proved_until());
         }
--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -54,12 +54,12 @@
     pub is_caught_up: bool,
     /// The configuration that is applied.
     pub configuration: Arc<RoutingTable>,
-    /// What the traffic threads of this querier have observed of index versions that a rollout
-    /// has on trial.
+    /// What the traffic threads of this querier have observed of service versions
+    /// under trial in a rollout.
     pub rollout_votes: RolloutVotes,
     /// Revision of the first configuration that was applied; zero before.
     pub first_revision: u64,
-    /// Until when the traffic threads may send attempts to versions on trial.
+    /// Until when the traffic threads may send attempts to versions under trial.
     pub trials_until: Tick,
     /// Number of leafs whose version is not in force.
     pub withheld_leafs: usize,
@@ -220,7 +220,7 @@
         /// The report.
         report: LeafReport,
     },
-    /// What a traffic thread has observed of a version on trial since the trial began.
+    /// What a traffic thread has observed of a version under trial since the trial began.
     TrialEvidence {
         /// The thread's stable number.
         thread: u64,
@@ -275,7 +275,7 @@
     /// Let the traffic threads use their view until then, unless a later command changes the
     /// time.
     ServingUntil(Tick),
-    /// Allow attempts to versions on trial until then.
+    /// Allow attempts to versions under trial until then.
     TrialsUntil(Tick),
     /// Report this querier as ready or not ready.
     Ready(bool),
--- a/crates/core/src/membership/rollout_votes.rs
+++ b/crates/core/src/membership/rollout_votes.rs
@@ -1,4 +1,4 @@
-//! What this querier has observed of versions on trial: gathered from its threads, and sent to
+//! What this querier has observed of versions under trial: gathered from its threads, and sent to
 //! the leader of the configuration with each renewal of the lease.
 
 use std::collections::BTreeMap;
@@ -26,12 +26,12 @@
 
     /// Returns the versions that are under observation, with their leafs.
     pub(super) fn trials(&self, leafs: &SplitLeafs) -> Vec<Trial> {
-        let watched = self.rollouts.iter().filter(|rollout| rollout.is_monitored());
-        watched.map(|rollout| self.trial(rollout, leafs)).collect()
+        let monitored = self.rollouts.iter().filter(|rollout| rollout.is_monitored());
+        monitored.map(|rollout| self.trial(rollout, leafs)).collect()
     }
 
     fn trial(&self, rollout: &Rollout, leafs: &SplitLeafs) -> Trial {
-        let is_tried =
+        let is_target =
             |l: &&LeafInfo| l.service == rollout.service && l.version() == rollout.target;
         let is_in_force = rollout.phase() == RolloutPhase::Forward;
         let leafs = if is_in_force { &leafs.in_force } else { &leafs.others };
@@ -39,7 +39,7 @@
             service: rollout.service.clone(),
             ordered_revision: rollout.ordered_revision,
             step: rollout.step(),
-            leafs: leafs.iter().filter(is_tried).map(|leaf| leaf.clone().into()).collect(),
+            leafs: leafs.iter().filter(is_target).map(|leaf| leaf.clone().into()).collect(),
             is_in_force,
             seen_from_start: rollout.ordered_revision > self.first_revision,
         }
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -134,8 +134,8 @@
         self.update_trials_until(commands);
     }
 
-    /// Updates the time until which versions on trial may receive attempts. It follows the lease
-    /// alone: a member that serves without a lease may not know that a trial has ended.
+    /// Updates the time until which versions under trial may receive attempts. It depends on the
+    /// lease alone: a member that serves without a lease may not know that a trial has ended.
     fn update_trials_until(&mut self, commands: &mut Vec<Command>) {
         let has_trials = self.view.as_ref().is_some_and(|view| !view.trials.is_empty());
         let trials_until = if has_trials { self.lease.valid_until() } else { 0 };
@@ -174,8 +174,8 @@
     /// A member gets a share only once its join is settled; it keeps the share while the
     /// controllers are out of reach for the whole group. A member whose share was granted keeps
     /// it when controllers that have lost their state admit it as a new member. A share that was
-    /// freed by a removed member is not used before the leader knows that no member serves by
-    /// the former membership: until everything is settled, the quotas are divided by all members
+    /// freed by a removed member is not used before the leader knows that no member serves
+    /// under the former membership: until everything is settled, the quotas are divided by all members
     /// of both memberships.
     fn divide_quotas(&mut self, cut_off: bool, commands: &mut Vec<Command>) {
         let membership = &self.membership;
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -222,7 +222,7 @@
     /// Assigns the process of this incarnation to poll the platform's list with this rank, in
     /// place of members that don't respond. Sent with each lease grant while that holds.
     SubstituteListPoller { name: String, incarnation: u64, rank: u32 },
-    /// The observations of the process of this incarnation about the versions on trial, since
+    /// The observations of the process of this incarnation about the versions under trial, since
     /// each trial began. Sent with its lease renewals to the leader of the configuration.
     RolloutVote { name: String, incarnation: u64, evidence: Vec<TrialEvidence> },
 }
--- a/crates/core/src/query/cluster_update.rs
+++ b/crates/core/src/query/cluster_update.rs
@@ -101,9 +101,9 @@
     pub(super) fn assign_connections(&mut self) {
         let view = self.cluster_view.clone();
         let pools = view.routes.values().flat_map(|m| &m.shards).flat_map(|s| &s.pools);
-        let mut done: BTreeSet<&str> = BTreeSet::new();
+        let mut assigned_services: BTreeSet<&str> = BTreeSet::new();
         for pool in pools.filter(|p| p.connections > 0) {
-            if !done.insert(&pool.service) {
+            if !assigned_services.insert(&pool.service) {
                 continue;
             }
             for list in versions_of(&view, &pool.service) {
--- a/crates/core/src/query/leaf_selection.rs
+++ b/crates/core/src/query/leaf_selection.rs
@@ -61,7 +61,7 @@
 /// The leafs of a shard's pools that an attempt can be sent to.
 #[derive(Default)]
 struct Candidates<'a> {
-    usable: Vec<Candidate<'a>>,
+    available: Vec<Candidate<'a>>,
     /// Whether any leaf, with or without free capacity, has not had an attempt for this shard.
     any_open: bool,
     /// Whether some leaf under load-aware balancing is not ejected, and its connections are
@@ -82,7 +82,7 @@
         attempted: &[String],
     ) -> Choice {
         let found = self.candidates(route, shard, attempted);
-        if found.usable.is_empty() {
+        if found.available.is_empty() {
             return if found.any_open { Choice::NoCapacity } else { Choice::NoCandidate };
         }
         let is_first_attempt = attempted.is_empty();
@@ -96,7 +96,7 @@
                 return Choice::NoCapacity;
             }
             let set: Vec<_> = found
-                .usable
+                .available
                 .iter()
                 .filter(|f| f.ejected == ejected && f.preferred == preferred)
                 .collect();
@@ -166,7 +166,7 @@
                         self.partitioned_candidate(leaf, info, pool, is_local)
                     }
                 };
-                found.usable.extend(candidate);
+                found.available.extend(candidate);
             }
         }
         found
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -34,7 +34,7 @@
         }
         self.check_capacity(route.priority_class)?;
         let shards = planned_shards(&route, request.key.as_deref(), &mut self.random)?;
-        let usable = leaf_time_budget(request.timeout, route.timeout)?;
+        let leaf_time = leaf_time_budget(request.timeout, route.timeout)?;
         let body = leaf_request_body(
             &route,
             &request.question,
@@ -43,9 +43,9 @@
         );
         let times = QueryTimes {
             started_at: now,
-            quorum_suffices_from: now + usable * route.quorum_after_pct / 100,
-            queue_until: now + usable,
-            deadline: now + usable,
+            quorum_suffices_from: now + leaf_time * route.quorum_after_pct / 100,
+            queue_until: now + leaf_time,
+            deadline: now + leaf_time,
         };
         let mut query = self.new_query(call, route, shards, times);
         query.record_limit = request.record_limit;
@@ -68,9 +68,9 @@
         };
         self.check_capacity(route.priority_class)?;
         let shards = planned_shards(&route, Some(&request.id), &mut self.random)?;
-        let usable = leaf_time_budget(request.timeout.unwrap_or(route.timeout), route.timeout)?;
+        let leaf_time = leaf_time_budget(request.timeout.unwrap_or(route.timeout), route.timeout)?;
         let (quorum_after, queue_timeout) = match route.latency_target {
-            None => (usable * route.quorum_after_pct / 100, usable),
+            None => (leaf_time * route.quorum_after_pct / 100, leaf_time),
             Some(target) => {
                 let reserve = (target * consts::TARGET_RESERVE_PCT / 100)
                     .clamp(consts::TARGET_RESERVE_MIN, consts::TARGET_RESERVE_MAX);
@@ -79,9 +79,9 @@
         };
         let times = QueryTimes {
             started_at: now,
-            quorum_suffices_from: now + quorum_after.min(usable),
-            queue_until: now + queue_timeout.min(usable),
-            deadline: now + usable,
+            quorum_suffices_from: now + quorum_after.min(leaf_time),
+            queue_until: now + queue_timeout.min(leaf_time),
+            deadline: now + leaf_time,
         };
         let mut query = self.new_query(call, route, shards, times);
         query.forwarded = Some(request);
@@ -153,7 +153,7 @@
             RejectionReason::DeadlineExceeded,
             "the time budget leaves no time for any leaf",
         )),
-        usable => Ok(usable),
+        leaf_time => Ok(leaf_time),
     }
 }
 
--- a/crates/core/src/query/progress.rs
+++ b/crates/core/src/query/progress.rs
@@ -35,7 +35,8 @@
     }
 
     /// Advances every query that is due or has queued shards. Queries of a higher priority class
-    /// come first, then those with the earliest deadline.
+    /// come first; within a class, those with the lowest rank, then those with the earliest
+    /// deadline.
     pub(super) fn advance_queries(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let mut ids: Vec<_> = self
             .queries
--- a/crates/core/src/query/service_retry_budget.rs
+++ b/crates/core/src/query/service_retry_budget.rs
@@ -16,13 +16,13 @@
     /// Retries and hedges for each thousand calls.
     pub per_thousand: u64,
     /// Retries and hedges beyond that, in the whole cluster.
-    pub fleet_slack: u64,
+    pub cluster_slack: u64,
 }
 
 impl RetryRate {
     /// Returns the default rate, from `consts`.
     pub fn standard() -> RetryRate {
-        RetryRate { per_thousand: consts::RETRY_PCT * 10, fleet_slack: consts::RETRY_SLACK }
+        RetryRate { per_thousand: consts::RETRY_PCT * 10, cluster_slack: consts::RETRY_SLACK }
     }
 }
 
@@ -51,7 +51,7 @@
     pub fn set_thread_count(&mut self, threads: u64) {
         // Outside the membership the number of threads that share the slack is unknown.
         let threads = if threads == 0 { u64::MAX } else { threads };
-        let slack = self.rate.fleet_slack * 1_000 * consts::RETRY_BUDGET_USE_PCT / 100 / threads;
+        let slack = self.rate.cluster_slack * 1_000 * consts::RETRY_BUDGET_USE_PCT / 100 / threads;
         // A limit below one retry would allow none.
         self.credit_limit = slack.max(1_000);
         for credit in self.credits.values_mut() {
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -3,7 +3,7 @@
 //!
 //! 1. It gives up leadership: each partition that it leads goes to the follower whose state is
 //!    newest (`election`), and it waits until it receives messages of the new leaders.
-//! 2. It offers its slot to a spare that has recently asked for one. The spare accepts, and
+//! 2. It offers its slot to a spare that has recently requested one. The spare accepts, and
 //!    takes no other slot for a while.
 //! 3. It writes a voter set in which the spare holds the slot. Once this is on its disk, it
 //!    never votes again.
@@ -42,20 +42,20 @@
 /// usual time between SIGTERM and SIGKILL.
 pub const HANDOVER_TIMEOUT: Span = 3 * SECOND;
 
-/// A controller without a voter slot that asked this controller for one.
+/// A controller without a voter slot that requested one from this controller.
 pub struct Applicant {
-    /// The connection on which it asked.
+    /// The connection on which it sent the request.
     pub connection: ConnectionId,
     /// Its zone.
     pub zone: String,
-    /// When it last asked.
+    /// When it last sent the request.
     pub at: Tick,
 }
 
 /// The state of handovers from and to this controller.
 #[derive(Default)]
 pub struct Handovers {
-    /// The controllers that asked for a slot, by replica id.
+    /// The controllers that requested a slot, by replica id.
     pub applicants: IndexMap<u64, Applicant>,
     /// The departure of this controller, once it was asked to stop.
     pub departure: Option<Departure>,
@@ -85,7 +85,7 @@
 pub enum Stage {
     /// The partitions that this controller led get other leaders.
     TransferringLeadership,
-    /// A spare is asked to take the slot over.
+    /// The slot is offered to a spare.
     Offering {
         /// The last offer that was sent.
         last_offer: Option<OfferSent>,
@@ -126,7 +126,7 @@
 pub struct Successor {
     /// Its replica id.
     pub replica_id: u64,
-    /// The connection on which it asked for a slot.
+    /// The connection on which it requested a slot.
     pub connection: ConnectionId,
     /// Generation of the slot that it would hold.
     pub generation: u32,
@@ -169,12 +169,12 @@
             || !operations.iter().any(|operation| is_waiting(*operation))
     }
 
-    /// Records a spare that asked for a slot.
+    /// Records a spare that requested a slot.
     pub fn record_applicant(&mut self, replica_id: u64, applicant: Applicant) {
         self.applicants.insert(replica_id, applicant);
     }
 
-    /// Drops the spares that no longer ask.
+    /// Drops the spares that no longer request a slot.
     pub fn drop_silent_applicants(&mut self, now: Tick) {
         self.applicants.retain(|_, a| since(a.at, now) < consts::VOTER_SILENCE_TIMEOUT);
     }
@@ -226,8 +226,8 @@
         self.reservation = Some(Reservation { slot, generation, until });
     }
 
-    /// Returns the voter set with `holder` in `slot`, if that is the spare that was last asked
-    /// and it still waits for the slot.
+    /// Returns the voter set with `holder` in `slot`, if that is the spare to which
+    /// the slot was last offered and it still waits for the slot.
     pub fn with_successor(
         &self,
         now: Tick,
--- a/crates/core/src/voters/mod.rs
+++ b/crates/core/src/voters/mod.rs
@@ -1,12 +1,12 @@
 //! The voter slots of the replica groups: which replica holds each slot, how a controller takes
 //! over the slot of a lost replica, and how a leaving replica hands its slot over. This module
-//! has plain state and decisions and no I/O; what needs the whole controller is in
+//! has plain state and decisions and no I/O; what needs the state of the entire controller is in
 //! `control_plane`, in files of the same names.
 //!
 //! **What is agreed.** For each slot a `SlotHolder`: generation, replica id, address. Of two
 //! holders of a slot, the one with the higher (`generation`, replica id) wins, so two applicants
 //! for one generation have the same outcome everywhere. The voter set of a process only rises,
-//! and is on its disk before the process sends it or acts by it.
+//! and is on its disk before the process sends it or acts on it.
 //!
 //! **The rule.** Every message by which a partition is led, read or caught up (`VoteGranted`,
 //! `AppendAck`, `HeartbeatAck`, `ReplicaStatus`) carries the stamp of the sender's voter set. It
@@ -34,7 +34,7 @@
 //!
 //! **Two replicas of a slot never both count**, since a majority counts the one that its voter
 //! set names. A term belongs to a slot, not to a replica: a new replica knows the highest term
-//! in which a majority voted, which is at least any term of its predecessor, so it asks for
+//! in which a majority voted, which is at least any term of its predecessor, so it requests
 //! votes in a higher one.
 //!
 //! **Handovers.** A replica that leaves in an orderly way names its successor itself
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -1,5 +1,5 @@
 //! How a controller without a voter slot obtains one: it asks whether a majority would grant it
-//! a slot, and takes it only then. While no slot is free it is a spare and continues to ask.
+//! a slot, and takes it only then. While no slot is free it is a spare and repeats its request.
 
 use crate::command::Command;
 use crate::digest::hash_pair;
@@ -15,11 +15,11 @@
 /// How long a vacant slot is reserved for a zone that balances the slots better.
 const ZONE_BALANCE_TIMEOUT: Span = 10 * SECOND;
 
-/// How often a controller without a slot asks for one. The answers also show it which voters are
+/// How often a controller without a slot requests one. The offers also show it which voters are
 /// running.
 const JOIN_REQUEST_INTERVAL: Span = ms(500);
 
-/// A controller that asks for a slot.
+/// A controller that requests a slot.
 #[derive(Clone, Copy)]
 pub struct Candidate<'a> {
     /// Its replica id.
@@ -31,7 +31,7 @@
 }
 
 impl VoterSlots {
-    /// Asks for a slot if that is due. Used by a controller that has none.
+    /// Requests a slot if that is due. Used by a controller that has none.
     pub fn request_slot(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let replica_id = self.replica_id();
         if now < self.join_request_at || replica_id == 0 || self.handovers.is_leaving() {
--- a/crates/core/src/voters/voter_slots.rs
+++ b/crates/core/src/voters/voter_slots.rs
@@ -48,7 +48,7 @@
     pub voter_set_sent_at: Vec<Tick>,
     /// Connections that others opened to this controller.
     pub connections: IndexSet<ConnectionId>,
-    /// When this controller next asks for a slot, while it has none.
+    /// When this controller next requests a slot, while it has none.
     pub join_request_at: Tick,
     /// The slots that each voter would grant this controller, while it has none.
     pub offers: Vec<Option<JoinOffer>>,
--- a/crates/core/tests/service_retry_budget.rs
+++ b/crates/core/tests/service_retry_budget.rs
@@ -62,7 +62,7 @@
         .map(|at| {
             let seconds = within(&seen.seconds, at, at + len) as i64 * 1_000;
             let firsts = within(&seen.firsts, at, at + len) as i64;
-            seconds - firsts * rate.per_thousand as i64 - rate.fleet_slack as i64 * 1_000
+            seconds - firsts * rate.per_thousand as i64 - rate.cluster_slack as i64 * 1_000
         })
         .max()
         .unwrap_or(0)
@@ -74,7 +74,7 @@
     // earned, on all nodes at once, and a node that restarts saves anew.
     let rates = [(200, 52), (100, 40), (400, 12), (50, 90)];
     for (k, (share, slack)) in rates.into_iter().enumerate() {
-        let rate = RetryRate { per_thousand: share, fleet_slack: slack };
+        let rate = RetryRate { per_thousand: share, cluster_slack: slack };
         for n in [1usize, 3, 8] {
             for restarts in [0, 1, 20] {
                 let seen = run(k as u64 * 100 + n as u64, n, rate, restarts);
@@ -94,12 +94,12 @@
 fn with_more_nodes_than_slack_no_more_than_one_try_each_goes_beyond_it() {
     // A part of the slack below one try could never be spent, so each node may
     // save one. This bounds what that costs a fleet larger than its slack.
-    let rate = RetryRate { per_thousand: 200, fleet_slack: 20 };
+    let rate = RetryRate { per_thousand: 200, cluster_slack: 20 };
     for n in [19u64, 40, 80] {
         let seen = run(n, n as usize, rate, 1);
         for len in [1, 1_000, 10_000] {
             let over = over(&seen, rate, len);
-            let most = n.saturating_sub(rate.fleet_slack) as i64 * 1_000;
+            let most = n.saturating_sub(rate.cluster_slack) as i64 * 1_000;
             println!("{n} nodes: {over} thousandths over the rule in some {len} ms");
             assert!(over <= most, "{n} nodes: over by {over} of {most} in {len} ms");
         }
@@ -109,7 +109,7 @@
 #[googletest::test]
 fn most_of_what_the_rule_allows_can_be_spent() {
     // Guards against a quota that keeps the rule by allowing nothing.
-    let rate = RetryRate { per_thousand: 200, fleet_slack: 52 };
+    let rate = RetryRate { per_thousand: 200, cluster_slack: 52 };
     let seen = run(5, 6, rate, 0);
     let allowed = seen.firsts.len() as u64 * rate.per_thousand / 1_000;
     // Half of the time nobody tries again, and little is saved over it.
@@ -119,7 +119,7 @@
 #[googletest::test]
 fn a_node_that_just_started_has_nothing_to_spend() {
     // Guards against restarts as a source of second tries.
-    let rate = RetryRate { per_thousand: 200, fleet_slack: 1_000 };
+    let rate = RetryRate { per_thousand: 200, cluster_slack: 1_000 };
     let mut q = fresh(rate, 1);
     expect_that!(q.try_retry("s"), eq(false));
     q.record_first_attempt("s");
@@ -133,7 +133,7 @@
 
 #[googletest::test]
 fn services_save_and_spend_apart() {
-    let mut q = fresh(RetryRate { per_thousand: 1_000, fleet_slack: 100 }, 1);
+    let mut q = fresh(RetryRate { per_thousand: 1_000, cluster_slack: 100 }, 1);
     for _ in 0..10 {
         q.record_first_attempt("a");
     }
@@ -149,7 +149,7 @@
     // have by now.
     let spend = |q: &mut ServiceRetryBudget| (0..1_000).filter(|_| q.try_retry("s")).count();
     let rich = || {
-        let mut q = fresh(RetryRate { per_thousand: 1_000, fleet_slack: 100 }, 1);
+        let mut q = fresh(RetryRate { per_thousand: 1_000, cluster_slack: 100 }, 1);
         for _ in 0..1_000 {
             q.record_first_attempt("s");
         }
@@ -164,10 +164,10 @@
     q.set_thread_count(0);
     expect_that!(spend(&mut q), eq(1));
     let mut q = rich();
-    q.set_rate(RetryRate { per_thousand: 10, fleet_slack: 20 }, 2);
+    q.set_rate(RetryRate { per_thousand: 10, cluster_slack: 20 }, 2);
     expect_that!(spend(&mut q), eq(9));
     // A share of nothing earns nothing.
-    let mut q = fresh(RetryRate { per_thousand: 0, fleet_slack: 50 }, 1);
+    let mut q = fresh(RetryRate { per_thousand: 0, cluster_slack: 50 }, 1);
     for _ in 0..100 {
         q.record_first_attempt("s");
     }
--- a/crates/server/src/querier/settings.rs
+++ b/crates/server/src/querier/settings.rs
@@ -181,6 +181,6 @@
     let default = RetryRate::standard();
     RetryRate {
         per_thousand: reader.share_in_thousandths("second_share", default.per_thousand),
-        fleet_slack: reader.bound("second_slack", SLACK_MAX, default.fleet_slack),
+        cluster_slack: reader.bound("second_slack", SLACK_MAX, default.cluster_slack),
     }
 }
