--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -6,9 +6,9 @@
 //! this stops serving when its lease ends, and that lease names nothing newer than the
 //! change's commit.
 //!
-//! The change should also be *in force* wherever this does not depend on fencing: most
-//! members have applied it, or each of the others is silent or has no configuration to
-//! serve by yet.
+//! The change should also be *in force* as far as this does not depend on fencing:
+//! most members have applied it, or each of the others is silent or has no configuration to
+//! serve with yet.
 
 use crate::command::Command;
 use crate::control_plane::members::{LastRenewal, Members};
@@ -25,7 +25,7 @@
 const RENEWAL_TIMEOUT: Span = ms(1_100);
 /// A change that has been committed for this long no longer waits for members that renew
 /// but have not applied it. All grants since then name the change, so these members serve
-/// by an older revision for at most one more lease. The value is about twice the silence
+/// under an older revision for at most one more lease. The value is about twice the silence
 /// timeout above and less than half of the timeout of an operator request.
 const MAX_ACCEPTANCE_DELAY: Span = ms(2_000);
 
@@ -102,14 +102,14 @@
         committed_at.is_some() && self.last_renewals.values().filter(may_serve).all(has_applied)
     }
 
-    /// Returns whether no member can serve by an older revision for longer than a lease.
+    /// Returns whether no member can serve under an older revision for longer than a lease.
     fn is_safe(&self, now: Tick, revision: u64) -> bool {
         let in_use = self.log.older.iter().filter(|former| former.retired.is_none());
         let mut all = in_use.map(|former| &former.membership).chain([&self.membership]);
         all.all(|membership| self.is_safe_among(now, membership, revision))
     }
 
-    /// Returns whether no member of this membership can serve by an older revision.
+    /// Returns whether no member of this membership can serve under an older revision.
     fn is_safe_among(&self, now: Tick, membership: &Membership, revision: u64) -> bool {
         let list = &membership.members;
         let knows_revision = |member: &&Member| {
@@ -143,7 +143,7 @@
     /// Returns whether a change does not wait for this member to apply it.
     fn is_excused(&self, now: Tick, member: &Member) -> bool {
         let is_silent = |heard: &LastRenewal| since(heard.at, now) >= RENEWAL_TIMEOUT;
-        // A process that has just started has no configuration to serve by.
+        // A process that has just started has no configuration to serve with.
         let is_idle =
             |heard: &LastRenewal| heard.has_renewed && heard.progress.applied_revision == 0;
         let heard = self.last_renewals.get(&member.name);
--- a/crates/core/src/control_plane/commit_times.rs
+++ b/crates/core/src/control_plane/commit_times.rs
@@ -4,8 +4,8 @@
 
 use crate::time::Tick;
 
-/// Maximum number of revisions whose commit time is kept. Operators wait for a change for
-/// seconds only, and older revisions count as committed long ago.
+/// Maximum number of revisions whose commit time is kept. Operators wait for a change only
+/// for seconds, and older revisions count as committed long ago.
 const MAX_COMMIT_TIMES: usize = 256;
 
 /// The commit times of the latest revisions, as far as this leader knows them.
--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -33,7 +33,7 @@
 /// Salt that separates attempt numbers from all other values derived from the same seed.
 const ATTEMPT_SALT: u64 = 0x6174_7465_6d70_7473;
 
-/// The whole state of a controller. Only [`step`](ControllerState::step) changes it.
+/// The complete state of a controller. Only [`step`](ControllerState::step) changes it.
 pub struct ControllerState {
     /// The voter slot of this node in the voter set that it holds, or `NO_SLOT`.
     pub slot: VoterSlot,
--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -1,5 +1,5 @@
 //! The leafs of a partition's services: the platform's list merged with the reports of
-//! members that talk to the leafs.
+//! members that send requests to the leafs.
 
 use std::collections::BTreeMap;
 
@@ -48,7 +48,7 @@
 }
 
 /// Handles the leafs listed for this partition, as reported by the member that is assigned
-/// to poll the list. A report with a fence below the highest one seen comes from a member
+/// to poll the list. A report with a fencing token below the highest one seen comes from a member
 /// that is no longer assigned; it is counted and ignored.
 pub fn on_list(
     partition: &mut Partition,
--- a/crates/core/src/control_plane/membership_issue.rs
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -110,7 +110,7 @@
         known.is_empty() || heard * 2 > known.len()
     }
 
-    /// Settles the membership once all its members have seen it and no member serves by a
+    /// Settles the membership once all its members have seen it and no member serves under a
     /// former one. Returns whether it did.
     pub fn settle_if_seen(&mut self) -> bool {
         let id = self.membership.id();
--- a/crates/core/src/control_plane/membership_replication.rs
+++ b/crates/core/src/control_plane/membership_replication.rs
@@ -1,7 +1,7 @@
 //! Replicates memberships from the leader of the configuration partition to the voters.
 //!
 //! A membership is held by a majority of the voters before it is sent to any member, and is
-//! kept until no member can serve by it any more.
+//! kept until no member can serve under it any more.
 //!
 //! At most one membership is being replicated at a time, and none is issued before the
 //! earlier ones are retired: `quorum::acceptance` of their members have left them, so that
@@ -234,8 +234,8 @@
         Some(StoredMembership { acknowledgement, is_newer })
     }
 
-    /// Records the connection on which a voter sent a message. The connection tells the
-    /// processes of a voter apart.
+    /// Records the connection on which a voter sent a message. The connection
+    /// distinguishes the processes of a voter.
     pub fn on_voter_connection(&mut self, from: VoterSlot, connection: ConnectionId) {
         self.log.record_connection(from, connection);
     }
--- a/crates/core/src/control_plane/mod.rs
+++ b/crates/core/src/control_plane/mod.rs
@@ -7,8 +7,8 @@
 //! (`membership_replication`, `membership_issue`, `retirement`, [`acceptance`],
 //! [`forgotten_members`]), [`endpoints`], [`feed`], [`rollout_clock`], `rollout_orders`,
 //! [`operations`], [`pending_requests`], [`rejection`]. Above them, [`controller`] has the
-//! whole state of a controller. The modules above it implement one concern each that needs
-//! several fields of this state; [`step`] dispatches the events.
+//! complete state of a controller. The modules above it implement one concern each that needs
+//! several fields of this state; [`step`] routes the events.
 
 pub mod acceptance;
 pub mod commit_times;
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -34,7 +34,7 @@
 }
 
 impl Request {
-    /// Returns whether a delayed copy of this request can't be told apart from a new
+    /// Returns whether a delayed copy of this request is indistinguishable from a new
     /// request: it changes the configuration and has neither an id nor an expected
     /// revision. Its sender may have sent other requests since, so no leader executes it;
     /// the response carries the current revision.
@@ -168,7 +168,7 @@
     Evaluation::Change(entries)
 }
 
-/// Returns the outcome of a request that was accepted before, or that can't be told apart
+/// Returns the outcome of a request that was accepted before, or that is indistinguishable
 /// from a delayed copy of an earlier one.
 pub(super) fn evaluate_duplicate(
     p: &Partition,
--- a/crates/core/src/control_plane/request_dedup/mod.rs
+++ b/crates/core/src/control_plane/request_dedup/mod.rs
@@ -11,8 +11,8 @@
 //! table.
 //!
 //! Each accepted request raises the partition's revision by one, and hardly anything else
-//! does. So eviction goes by revisions: the table keeps the requests of at least the last
-//! [`MIN_REQUESTS_KEPT`] revisions. The [`Horizon`] tells what may have been evicted; a
+//! does. Eviction is therefore by revision: the table keeps the requests of at least the last
+//! [`MIN_REQUESTS_KEPT`] revisions. The [`Horizon`] limits what may have been evicted; a
 //! request that may lie beyond it gets no definite result.
 
 mod legacy;
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -1,7 +1,7 @@
 //! Decides when a former membership is no longer in use.
 //!
 //! A membership is *retired* once so many of its members have left it that the others can't
-//! gather new proofs to serve on by it. It is *over* once all proofs gathered before have
+//! gather new proofs to go on serving under it. It is *over* once all proofs gathered before have
 //! expired.
 
 use crate::control_plane::members::Members;
@@ -10,7 +10,7 @@
 use crate::{consts, quorum};
 
 impl Members {
-    /// Records which former memberships are retired, and drops those by which no member can
+    /// Records which former memberships are retired, and drops those under which no member can
     /// serve any more.
     pub fn retire_former(&mut self, now: Tick) {
         let mut older = std::mem::take(&mut self.log.older);
@@ -38,7 +38,7 @@
     }
 
     /// Returns whether so many members have left a membership that the others can't gather the
-    /// proofs to serve by it. A lone member does not leave its membership, which is out of use
+    /// proofs to serve under it. A lone member does not leave its membership, which is out of use
     /// when the member is no longer live.
     fn is_abandoned(&self, now: Tick, membership: &Membership) -> bool {
         let members = &membership.members;
@@ -47,7 +47,7 @@
             || (members.len() == 1 && !self.is_live(now, &members[0].name))
     }
 
-    /// Returns whether no member can serve any more by a membership that was retired at
+    /// Returns whether no member can serve any more under a membership that was retired at
     /// `retired`, because the attestations that leaving members may have sent before have
     /// expired.
     fn has_expired(&self, now: Tick, membership: &Membership, retired: Tick) -> bool {
--- a/crates/core/src/control_plane/rollout_clock.rs
+++ b/crates/core/src/control_plane/rollout_clock.rs
@@ -1,9 +1,10 @@
-//! Tracks how much of its term each rollout has used.
+//! Tracks how much of its time limit each rollout has used.
 //!
 //! The replicated elapsed time is stored in the rollout's entry, which is written at each
-//! phase change and a few times per term. Every controller adds to it the time for which it
+//! phase change and a few times more. Every controller adds to it the time for which it
 //! has known the entry, by its own monotonic clock. So a new leader continues from the time
-//! of the former one, and only a restart of all nodes loses up to a fraction of the term.
+//! of the former one, and only a restart of all nodes loses up to a fraction of the time
+//! limit.
 
 use std::collections::BTreeMap;
 
--- a/crates/core/src/control_plane/rollout_orders.rs
+++ b/crates/core/src/control_plane/rollout_orders.rs
@@ -14,7 +14,7 @@
 use crate::time::Tick;
 
 /// Evaluates an order that starts a rollout. A repeated order for the current rollout is
-/// acknowledged again. So is one for a rollout that has ended, while its term lasts: a
+/// acknowledged again. So is one for a rollout that has ended, until its time limit: a
 /// delayed copy must not start another trial of a bad version.
 pub(super) fn evaluate_start(
     configuration: &Partition,
@@ -23,8 +23,8 @@
     order: &RolloutOrder,
     clock: &RolloutClock,
 ) -> Evaluation {
-    let RolloutOrder { service, target, term_ms } = order;
-    let text = format!("start rollout {service} {target} {term_ms}");
+    let RolloutOrder { service, target, time_limit_ms } = order;
+    let text = format!("start rollout {service} {target} {time_limit_ms}");
     let fingerprint = request_dedup::fingerprint(&request.id, false, text.as_bytes());
     if let Some(evaluation) = evaluate_duplicate(configuration, request, &fingerprint) {
         return evaluation;
@@ -99,7 +99,7 @@
     let counts = match previous.state() {
         RolloutState::InProgress => previous.phase() != RolloutPhase::Back || !is_aborted,
         RolloutState::Delivered => true,
-        RolloutState::Returned => !is_aborted && elapsed_ms < previous.term_ms,
+        RolloutState::Returned => !is_aborted && elapsed_ms < previous.time_limit_ms,
     };
     counts && previous.is_ordered_by(order)
 }
--- a/crates/core/src/control_plane/rollout_progress.rs
+++ b/crates/core/src/control_plane/rollout_progress.rs
@@ -13,18 +13,18 @@
 use crate::rollout::verdict::Verdict;
 use crate::time::Tick;
 
-/// Fraction of a term that is reserved for its end (divisor). A trial that is undecided by
-/// then is rolled back, so that the result is known when the term is over.
+/// Fraction of the time limit that is reserved for its end (divisor). A trial that is
+/// undecided by then is rolled back, so that the result is known when the time limit is reached.
 const END_FRACTION: u64 = 8;
-/// Fraction of a term after which the elapsed time is written again (divisor).
+/// Fraction of the time limit after which the elapsed time is written again (divisor).
 const CHECKPOINT_FRACTION: u64 = 4;
-/// Percentage of a term after which members send the requests that they held back for the
-/// surge.
-const SURGE_PCT: u64 = 40;
-/// Percentage of a term after which the surge ends.
-const WATCH_PCT: u64 = 50;
-/// Percentage of a term before which no version is rolled forward.
-const FORWARD_PCT: u64 = 75;
+/// Percentage of the time limit after which members send the requests that they held back
+/// for the surge.
+const SURGE_START_PCT: u64 = 40;
+/// Percentage of the time limit after which the surge ends.
+const SURGE_END_PCT: u64 = 50;
+/// Percentage of the time limit before which no version is rolled forward.
+const MIN_FORWARD_PCT: u64 = 75;
 /// Time for attempts that were in flight to the old version when the last member applied
 /// the change (ms).
 const ATTEMPT_DRAIN_MS: u64 = 1_500;
@@ -58,7 +58,7 @@
         let with_phase_change =
             |phase, reason| Some(rollout.with_phase(phase, reason, elapsed_ms, revision));
         match rollout.phase() {
-            RolloutPhase::Trial if ends_at_term(rollout, elapsed_ms) => {
+            RolloutPhase::Trial if ends_at_time_limit(rollout, elapsed_ms) => {
                 with_phase_change(RolloutPhase::Back, RolloutReason::NoVerdict)
             }
             RolloutPhase::Trial => match self.verdict_on(rollout) {
@@ -87,7 +87,7 @@
     /// Returns whether a version with a good verdict may be rolled forward: the surge and
     /// the time to detect late failures are over, and the version has enough leafs.
     fn may_go_forward(&self, rollout: &Rollout, elapsed_ms: u64) -> bool {
-        elapsed_ms * 100 >= rollout.term_ms * FORWARD_PCT && self.can_take_over(rollout)
+        elapsed_ms * 100 >= rollout.time_limit_ms * MIN_FORWARD_PCT && self.can_take_over(rollout)
     }
 
     /// Returns whether every member has applied the last phase change of a rollout or no
@@ -102,24 +102,27 @@
 
 /// Returns the log message for a phase change of a rollout.
 fn phase_change_notice(rollout: &Rollout) -> String {
-    let Rollout { service, target, elapsed_ms, term_ms, .. } = rollout;
+    let Rollout { service, target, elapsed_ms, time_limit_ms, .. } = rollout;
     let (phase, reason) = (rollout.phase().name(), rollout.reason().name());
-    format!("rollout of {service} to {target}: {phase}, {reason}, {elapsed_ms} ms of {term_ms} ms")
+    format!(
+        "rollout of {service} to {target}: {phase}, {reason}, {elapsed_ms} ms of {time_limit_ms} ms"
+    )
 }
 
 /// Returns whether a trial has to end without a verdict.
-fn ends_at_term(rollout: &Rollout, elapsed_ms: u64) -> bool {
-    elapsed_ms >= rollout.term_ms - rollout.term_ms / END_FRACTION
+fn ends_at_time_limit(rollout: &Rollout, elapsed_ms: u64) -> bool {
+    elapsed_ms >= rollout.time_limit_ms - rollout.time_limit_ms / END_FRACTION
 }
 
 /// Returns the next step of a trial, or the present one with the elapsed time updated.
 fn next_step(rollout: &Rollout, elapsed_ms: u64) -> Option<Rollout> {
-    let percent = elapsed_ms * 100 / rollout.term_ms;
+    let percent = elapsed_ms * 100 / rollout.time_limit_ms;
     let step = match percent {
-        0..SURGE_PCT => TrialStep::Steady,
-        SURGE_PCT..WATCH_PCT => TrialStep::Surge,
+        0..SURGE_START_PCT => TrialStep::Steady,
+        SURGE_START_PCT..SURGE_END_PCT => TrialStep::Surge,
         _ => TrialStep::Watch,
     };
-    let is_due = elapsed_ms >= rollout.elapsed_ms + (rollout.term_ms / CHECKPOINT_FRACTION).max(1);
+    let is_due =
+        elapsed_ms >= rollout.elapsed_ms + (rollout.time_limit_ms / CHECKPOINT_FRACTION).max(1);
     (step != rollout.step() || is_due).then(|| rollout.with_step(step, elapsed_ms))
 }
--- a/crates/core/src/control_plane/slot_takeover.rs
+++ b/crates/core/src/control_plane/slot_takeover.rs
@@ -12,7 +12,7 @@
 
 impl ControllerState {
     /// Handles the request of a controller without a slot for the slots that this node
-    /// would give it. `stamp` is the one of that controller's voter set.
+    /// would grant it. `stamp` is the one of that controller's voter set.
     pub(super) fn on_join_request(
         &mut self,
         now: Tick,
@@ -30,8 +30,7 @@
         let applicant = Applicant { connection, zone: candidate.zone.to_string(), at: now };
         self.voter_slots.handovers.record_applicant(candidate.replica_id, applicant);
         if self.is_leaving() {
-            // A leaving controller gives away its own slot only, and `handover` offers
-            // that.
+            // A leaving controller offers only its own slot, through `handover`.
             return;
         }
         let free = self.voter_slots.grantable_slots(now, self.slot, candidate);
@@ -42,7 +41,7 @@
         });
     }
 
-    /// Handles the slots that the holder of `from` would give this node.
+    /// Handles the slots that the holder of `from` would grant this node.
     pub(super) fn on_join_offer(
         &mut self,
         now: Tick,
@@ -61,7 +60,7 @@
         }
     }
 
-    /// Handles the takeover of a slot that a majority would give to the sender. This node
+    /// Handles the takeover of a slot that a majority would grant the sender. This node
     /// agrees by adopting the voter set with the new holder; the voter set is sent once it
     /// is on disk.
     pub(super) fn on_slot_takeover(
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -30,7 +30,7 @@
         commands
     }
 
-    /// Dispatches an event by its source.
+    /// Routes an event by its source.
     fn on_event(&mut self, now: Tick, event: Event, commands: &mut Vec<Command>) {
         match event {
             Event::FromVoter { slot, replica_id, connection, message } => {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Dispatches an event of the disk or of a connection.
+    /// Routes an event of the disk or of a connection.
     fn on_io_event(&mut self, now: Tick, event: Event, commands: &mut Vec<Command>) {
         match event {
             Event::ConnectionOpened { connection } => {
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -89,8 +89,8 @@
         self.members = Default::default();
     }
 
-    /// Handles a timer tick for the voter slots: counts the silence of the other voters and
-    /// sends liveness messages.
+    /// Handles a timer tick for the voter slots: tracks the time since the last message of each
+    /// other voter, and sends liveness messages.
     pub(super) fn wake_voter_slots(&mut self, now: Tick, commands: &mut Vec<Command>) {
         self.voter_slots.advance_time_since_message(now, 2 * WAKE_INTERVAL);
         self.voter_slots.retry_write(now, commands);
--- a/crates/core/src/http_api/rollout.rs
+++ b/crates/core/src/http_api/rollout.rs
@@ -42,13 +42,13 @@
     pub service: &'static str,
     /// The version to move to.
     pub target: &'static str,
-    /// The duration of the rollout, in seconds.
-    pub term_s: &'static str,
+    /// The time limit of the rollout, in seconds.
+    pub time_limit_s: &'static str,
 }
 
 /// The field names of grebepath's own form.
 const NATIVE_FIELDS: OrderFields =
-    OrderFields { service: "service", target: "version", term_s: "over_s" };
+    OrderFields { service: "service", target: "version", time_limit_s: "over_s" };
 
 /// Parses a rollout order in grebepath's own form.
 pub fn read_order(body: &[u8]) -> Result<RolloutOrder, RolloutBodyError> {
@@ -65,15 +65,15 @@
         Some(text) if !text.is_empty() => Ok(text.to_string()),
         _ => Err(RolloutBodyError::WrongField { field, expected: "a non-empty text" }),
     };
-    let seconds = value.get(fields.term_s).and_then(Value::as_f64).filter(|s| *s > 0.0);
-    let term_s = seconds.ok_or(RolloutBodyError::WrongField {
-        field: fields.term_s,
+    let seconds = value.get(fields.time_limit_s).and_then(Value::as_f64).filter(|s| *s > 0.0);
+    let time_limit_s = seconds.ok_or(RolloutBodyError::WrongField {
+        field: fields.time_limit_s,
         expected: "a number of seconds above 0",
     })?;
     Ok(RolloutOrder {
         service: text(fields.service)?,
         target: text(fields.target)?,
-        term_ms: (term_s * MILLIS_PER_SECOND).ceil() as u64,
+        time_limit_ms: (time_limit_s * MILLIS_PER_SECOND).ceil() as u64,
     })
 }
 
@@ -85,7 +85,7 @@
         "state": state_name(rollout.state()),
         "phase": rollout.phase().name(),
         "reason": rollout.reason().name(),
-        "over_ms": rollout.term_ms,
+        "over_ms": rollout.time_limit_ms,
         "elapsed_ms": rollout.elapsed_ms,
         "id": rollout.ordered_revision,
         "term": rollout.leader_term,
--- a/crates/core/src/membership/neighbour_ring.rs
+++ b/crates/core/src/membership/neighbour_ring.rs
@@ -45,9 +45,9 @@
     pub list_rank: Option<usize>,
     /// For each key of health checks, whether it is assigned to this member.
     pub probe_keys: Vec<bool>,
-    /// The cut-off status by which quotas were last divided for this state; none if they were
-    /// not divided yet.
-    pub quotas_divided_while_cut_off: Option<bool>,
+    /// Whether this member was isolated when quotas were last divided in this state; `None` if
+    /// they were not divided yet.
+    pub quotas_divided_while_isolated: Option<bool>,
 }
 
 /// A member on the ring. Members are ordered by hash, so that neighbours are in different zones.
@@ -93,7 +93,7 @@
             proof_peers,
             list_rank,
             probe_keys,
-            quotas_divided_while_cut_off: None,
+            quotas_divided_while_isolated: None,
         }
     }
 }
--- a/crates/core/src/membership/status.rs
+++ b/crates/core/src/membership/status.rs
@@ -7,7 +7,7 @@
 //!   goes on serving its last view with its last quota share (`attestation`). Running
 //!   controllers accept no change and reassign no quota share without one of the members that
 //!   attested.
-//! - Otherwise this querier is cut off, alone or with others. It becomes not ready and then
+//! - Otherwise this querier is isolated, alone or with others. It becomes not ready and then
 //!   rejects calls, before the leader reassigns its quota share.
 
 use crate::membership::gossip::GOSSIP_INTERVAL;
@@ -42,15 +42,15 @@
     pub(super) fn decide(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let contact = self.controller_contact(now);
         let admission = self.decide_admission(now, &contact);
-        let cut_off = admission == ServingState::Isolated;
-        if self.ring.quotas_divided_while_cut_off != Some(cut_off) {
-            self.ring.quotas_divided_while_cut_off = Some(cut_off);
-            self.divide_quotas(cut_off, commands);
+        let is_isolated = admission == ServingState::Isolated;
+        if self.ring.quotas_divided_while_isolated != Some(is_isolated) {
+            self.ring.quotas_divided_while_isolated = Some(is_isolated);
+            self.divide_quotas(is_isolated, commands);
             self.update_leaf_clients(commands);
         }
         self.update_serving_until(now, admission, &contact, commands);
         if admission != self.admission {
-            if cut_off {
+            if is_isolated {
                 self.counters.lease_lapses += 1;
                 commands.push(Command::Alarm(
                     "cut off: the lease lapsed, and no proof that all other members have lost the controllers"
@@ -172,12 +172,12 @@
     /// changed.
     ///
     /// A member gets a share only once its join is settled; it keeps the share while the
-    /// controllers are out of reach for the whole group. A member whose share was granted keeps
+    /// controllers are out of reach for all members. A member whose share was granted keeps
     /// it when controllers that have lost their state admit it as a new member. A share that was
     /// freed by a removed member is not used before the leader knows that no member serves
-    /// under the former membership: until everything is settled, the quotas are divided by all members
-    /// of both memberships.
-    fn divide_quotas(&mut self, cut_off: bool, commands: &mut Vec<Command>) {
+    /// under the former membership: until everything is settled, the quotas are divided by all
+    /// members of both memberships.
+    fn divide_quotas(&mut self, is_isolated: bool, commands: &mut Vec<Command>) {
         let membership = &self.membership;
         let own = membership.members.iter().find(|m| m.name == self.member.name);
         let mut members: Vec<QuotaMember> = membership
@@ -191,7 +191,7 @@
         // registered. While nothing is settled, being absent from it does not mean that this
         // member was removed.
         let gone = own.is_none() && membership.settled > 0;
-        if cut_off || gone || (!settled && self.quota_members.is_empty()) {
+        if is_isolated || gone || (!settled && self.quota_members.is_empty()) {
             members.clear();
         } else if !all_settled {
             let former = self.quota_members.iter().filter(|m| !members.contains(m));
--- a/crates/core/src/protocol/membership.rs
+++ b/crates/core/src/protocol/membership.rs
@@ -18,7 +18,7 @@
     pub threads: u32,
     /// The turn of the membership in which it joined.
     pub joined: u64,
-    /// Random number drawn when its process started, which tells a restarted process, whose
+    /// Random number drawn when its process started. It distinguishes a restarted process, whose
     /// memory is empty, from the former one.
     pub incarnation: u64,
 }
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -184,9 +184,9 @@
     MembershipFetched { term: Term, current: Membership, others: Vec<Membership>, stamp: u64 },
 
     /// Sent between members: how long ago the sender heard from a controller, and its positions in
-    /// the feed. `request_sent_at` is the sender's time, which the response returns as `echoed_sent_at`: only an echo
-    /// proves that the other member receives messages now. `attestation` is set in responses of a
-    /// member that has no contact to a controller itself.
+    /// the feed. `request_sent_at` is the sender's time, which the response returns as
+    /// `echoed_sent_at`: only this proves that the other member receives messages now.
+    /// `attestation` is set in responses of a member that has no contact to a controller itself.
     Gossip {
         name: String,
         controller_contact_age_ms: u64,
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -41,7 +41,7 @@
 impl Partition {
     /// Returns the time without a leader after which this voter requests pre-votes.
     ///
-    /// It is short for a voter that has just started, so that a cluster that restarts as a whole
+    /// It is short for a voter that has just started, so that a cluster that restarts completely
     /// has leaders soon. A running leader is not disturbed by that, since the voters that hear
     /// from it reject the pre-vote.
     fn election_timeout(&self, group: VoterGroup, random: &mut Random) -> Span {
--- a/crates/core/src/replication/partition.rs
+++ b/crates/core/src/replication/partition.rs
@@ -67,8 +67,8 @@
         /// The leader, if one is known.
         leader: Option<KnownLeader>,
     },
-    /// Asks the other voters whether they would grant their vote. A pre-vote changes no voter's
-    /// state.
+    /// Requests pre-votes: whether the other voters would grant their vote. A pre-vote changes
+    /// no voter's state.
     PreCandidate {
         /// The term in which it would become a candidate.
         term: Term,
@@ -152,7 +152,7 @@
     /// Number of rounds in which all other voters responded but recovery was not possible.
     pub rounds: u64,
     /// Whether an operator has forced recovery, which accepts that the data of lost replicas is
-    /// gone for good.
+    /// lost permanently.
     pub is_forced: bool,
     /// When the next status requests are sent.
     pub next_request_at: Tick,
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -242,7 +242,7 @@
     }
 
     /// Discards votes and acknowledgements after a change of the voter set, since they are only
-    /// valid under the voter set for which they were sent. `replaced` tells which slots now have
+    /// valid under the voter set for which they were sent. `replaced` states which slots now have
     /// another replica.
     pub fn on_voter_set_changed(
         &mut self,
--- a/crates/core/src/replication/timing.rs
+++ b/crates/core/src/replication/timing.rs
@@ -17,7 +17,7 @@
 pub const ANSWER_TIMEOUT: Span = ms(800);
 /// Time after which a leader reports to the voter that forwarded an operation why it is not
 /// complete; that voter then retries. Half of the operator's request timeout, so that the reason
-/// is known when that expires, and above `ACCEPTANCE_LATEST` by a few polls and round trips.
+/// is known when that expires, and above `MAX_ACCEPTANCE_DELAY` by a few polls and round trips.
 pub const OPERATION_TIMEOUT: Span = ms(2_400);
 /// Time without a completed write after which a replica is suspended.
 pub const DISK_STALL_TIMEOUT: Span = ms(2_000);
--- a/crates/core/src/rollout/order.rs
+++ b/crates/core/src/rollout/order.rs
@@ -6,7 +6,7 @@
 use crate::diagnostic::Diagnostic;
 
 /// Maximum time limit of a rollout (ms): one week.
-const MAX_TERM_MS: u64 = 7 * 24 * 3_600_000;
+const MAX_TIME_LIMIT_MS: u64 = 7 * 24 * 3_600_000;
 /// Maximum length of a version name (bytes).
 const MAX_VERSION_LEN: usize = 128;
 
@@ -18,7 +18,7 @@
     /// The version to move to.
     pub target: String,
     /// Time limit for the rollout (ms).
-    pub term_ms: u64,
+    pub time_limit_ms: u64,
 }
 
 /// Why a rollout order is invalid.
@@ -34,8 +34,8 @@
     #[error("a version must have 1 to {MAX_VERSION_LEN} printable ASCII characters without blanks")]
     InvalidVersion,
     /// The time limit is zero or too large.
-    #[error("the time limit must be above 0 and at most {MAX_TERM_MS} ms, not {found_ms} ms")]
-    InvalidTerm {
+    #[error("the time limit must be above 0 and at most {MAX_TIME_LIMIT_MS} ms, not {found_ms} ms")]
+    InvalidTimeLimit {
         /// The time limit in the order (ms).
         found_ms: u64,
     },
@@ -55,8 +55,8 @@
         if !is_valid_version {
             problems.push(Diagnostic::new("target", RolloutOrderError::InvalidVersion));
         }
-        if self.term_ms == 0 || self.term_ms > MAX_TERM_MS {
-            let error = RolloutOrderError::InvalidTerm { found_ms: self.term_ms };
+        if self.time_limit_ms == 0 || self.time_limit_ms > MAX_TIME_LIMIT_MS {
+            let error = RolloutOrderError::InvalidTimeLimit { found_ms: self.time_limit_ms };
             problems.push(Diagnostic::new("term", error));
         }
         problems
--- a/crates/core/src/rollout/record.rs
+++ b/crates/core/src/rollout/record.rs
@@ -79,7 +79,7 @@
     pub target: String,
     /// Time limit for the rollout, counted from its order (ms).
     #[prost(uint64, tag = "3")]
-    pub term_ms: u64,
+    pub time_limit_ms: u64,
     /// A [`RolloutPhase`].
     #[prost(enumeration = "RolloutPhase", tag = "4")]
     pub phase: i32,
@@ -144,7 +144,7 @@
         Rollout {
             service: order.service.clone(),
             target: order.target.clone(),
-            term_ms: order.term_ms,
+            time_limit_ms: order.time_limit_ms,
             phase: RolloutPhase::Trial as i32,
             elapsed_ms: 0,
             ordered_revision: revision,
@@ -211,7 +211,7 @@
 
     /// Returns whether an order has the target and the time limit of this rollout.
     pub fn is_ordered_by(&self, order: &RolloutOrder) -> bool {
-        self.target == order.target && self.term_ms == order.term_ms
+        self.target == order.target && self.time_limit_ms == order.time_limit_ms
     }
 
     /// Returns the version in force according to this rollout, or `None` if it is still the
--- a/crates/core/src/rollout/versions.rs
+++ b/crates/core/src/rollout/versions.rs
@@ -1,4 +1,4 @@
-//! The version in force of each service, and the leafs that get requests by it.
+//! The version in force of each service, and the leafs that get requests accordingly.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/core/src/routing_language/parser.rs
+++ b/crates/core/src/routing_language/parser.rs
@@ -35,7 +35,7 @@
     Wait(u64),
     /// `stop at quorum after N%`: share of the timeout after which a quorum suffices.
     Stop(u64),
-    /// `prefer prefer_local` or `prefer any`.
+    /// `prefer local` or `prefer any`.
     Prefer {
         /// Whether leafs in the querier's zone are preferred.
         prefer_local: bool,
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -243,9 +243,9 @@
         // If this process was paused, the spare may have stopped waiting.
         let is_fresh = since(last_offer.at, now) < 2 * HANDOVER_RETRY_INTERVAL;
         let has_slot = newest.slots.iter().any(|h| h.replica_id == last_offer.replica_id);
-        let is_asked = last_offer.replica_id == holder.replica_id
+        let is_offered_to = last_offer.replica_id == holder.replica_id
             && next_generation(newest, slot) == Some(holder.generation);
-        if !is_fresh || has_slot || !is_asked {
+        if !is_fresh || has_slot || !is_offered_to {
             return None;
         }
         let mut voter_set = newest.clone();
--- a/crates/core/tests/format_fixtures/messages.rs
+++ b/crates/core/tests/format_fixtures/messages.rs
@@ -303,7 +303,8 @@
         operation,
     };
     let response = |result| Message::OperationResponse { op: wide(1), attempt: wide(2), result };
-    let order = RolloutOrder { service: "service-1".into(), target: "v2".into(), term_ms: wide(5) };
+    let order =
+        RolloutOrder { service: "service-1".into(), target: "v2".into(), time_limit_ms: wide(5) };
     vec![
         request(Operation::StartRollout(order)),
         request(Operation::AbortRollout("service-1".into())),
@@ -323,7 +324,7 @@
     Rollout {
         service: "service-1".into(),
         target: "v2".into(),
-        term_ms: wide(1),
+        time_limit_ms: wide(1),
         phase: RolloutPhase::Forward as i32,
         elapsed_ms: wide(2),
         ordered_revision: wide(3),
--- a/crates/core/tests/rollouts.rs
+++ b/crates/core/tests/rollouts.rs
@@ -19,7 +19,7 @@
 const TERM: Span = 8 * SECOND;
 
 fn order(target: &str) -> RolloutOrder {
-    RolloutOrder { service: SERVICE.into(), target: target.into(), term_ms: TERM / ms(1) }
+    RolloutOrder { service: SERVICE.into(), target: target.into(), time_limit_ms: TERM / ms(1) }
 }
 
 fn start(target: &str) -> Operation {
@@ -82,8 +82,8 @@
         (RolloutOrder { service: "unknown".into(), ..order("v2") }, "service"),
         (order(""), "target"),
         (order("v 2"), "target"),
-        (RolloutOrder { term_ms: 0, ..order("v2") }, "term"),
-        (RolloutOrder { term_ms: u64::MAX, ..order("v2") }, "term"),
+        (RolloutOrder { time_limit_ms: 0, ..order("v2") }, "term"),
+        (RolloutOrder { time_limit_ms: u64::MAX, ..order("v2") }, "term"),
     ];
     for (order, place) in wrong {
         let done = result(&mut cluster, first, place, Operation::StartRollout(order));
--- a/crates/core/tests/versions_in_force.rs
+++ b/crates/core/tests/versions_in_force.rs
@@ -46,7 +46,7 @@
 }
 
 fn rollout(phase: RolloutPhase) -> EntryMap {
-    let order = RolloutOrder { service: "s".into(), target: "v2".into(), term_ms: 1_000 };
+    let order = RolloutOrder { service: "s".into(), target: "v2".into(), time_limit_ms: 1_000 };
     let started = Rollout::start(&order, None, 1, 1);
     let turned = started.with_phase(phase, RolloutReason::FoundGood, 0, 2);
     let mut map = EntryMap::new();
@@ -105,7 +105,7 @@
 #[googletest::test]
 fn what_an_earlier_rollout_delivered_stays_in_force_when_a_later_one_is_returned() {
     let first = recorded(&[leaf("a", "s", "v1")]);
-    let order = RolloutOrder { service: "s".into(), target: "v3".into(), term_ms: 1_000 };
+    let order = RolloutOrder { service: "s".into(), target: "v3".into(), time_limit_ms: 1_000 };
     let delivered = rollouts_in(&rollout(RolloutPhase::Delivered)).next().unwrap();
     let later = Rollout::start(&order, Some(delivered), 1, 3);
     let leafs = [leaf("a", "s", "v1"), leaf("b", "s", "v2"), leaf("c", "s", "v3")];
--- a/crates/simulator/src/world/rollouts.rs
+++ b/crates/simulator/src/world/rollouts.rs
@@ -43,11 +43,11 @@
             |key: &str, default: &str| parameters[key].as_str().unwrap_or(default).to_string();
         let (service, target) = (text("service", ""), text("version", "v2"));
         let fault = VersionFault::read(parameters).unwrap_or(VersionFault::Sound);
-        let term_ms = (parameters["over_s"].as_f64().unwrap_or(DEFAULT_TERM_S) * 1e3) as u64;
+        let time_limit_ms = (parameters["over_s"].as_f64().unwrap_or(DEFAULT_TERM_S) * 1e3) as u64;
         let now = self.now - BEGIN;
-        self.rules.rollouts.ordered(now, &service, &target, fault.is_bad(), term_ms * MILLI);
+        self.rules.rollouts.ordered(now, &service, &target, fault.is_bad(), time_limit_ms * MILLI);
         let leafs = self.start_version(&service, &target, &fault);
-        let order = RolloutOrder { service, target, term_ms };
+        let order = RolloutOrder { service, target, time_limit_ms };
         let operator = RolloutOperator {
             order,
             leafs,
