--- a/crates/core/src/control_plane/endpoints.rs
+++ b/crates/core/src/control_plane/endpoints.rs
@@ -48,8 +48,8 @@
 }
 
 /// Handles the leafs listed for this partition, as reported by the member that is assigned
-/// to poll the list. A report with a fencing token below the highest one seen comes from a member
-/// that is no longer assigned; it is counted and ignored.
+/// to poll the list. A report with a fencing token below the highest one seen comes from
+/// a member that is no longer assigned; it is counted and ignored.
 pub fn on_list(
     partition: &mut Partition,
     now: Tick,
--- a/crates/core/src/membership/assignments.rs
+++ b/crates/core/src/membership/assignments.rs
@@ -57,7 +57,7 @@
     }
 
     /// Returns this member's rank among those that poll the list, by the membership or by the
-    /// leader's message, whichever comes first.
+    /// leader's message, whichever rank comes first.
     fn list_rank(&self, now: Tick) -> Option<usize> {
         let ranks = [self.ring.list_rank, self.valid_substitute_list_rank(now)];
         ranks.into_iter().flatten().min().filter(|rank| *rank < LIST_POLLERS)
@@ -182,8 +182,8 @@
     }
 }
 
-/// Whether a partition's entries contain everything that the list says. The list knows no ages,
-/// and a leaf that is leaving never stops leaving.
+/// Whether a partition's entries contain everything that the list says. The list has no ages,
+/// and a leaf that is leaving remains so.
 fn matches_list(entries: &EntryMap, listed: &[LeafInfo]) -> bool {
     let known = leafs_in(entries);
     let is_known = |info: &LeafInfo| {
--- a/crates/core/src/membership/gossip.rs
+++ b/crates/core/src/membership/gossip.rs
@@ -143,7 +143,7 @@
         if let Some(request_sent_at) = request_sent_at {
             let attestation = self.attest(now);
             if attestation.is_some() {
-                // A member that serves by this attestation must not use leafs that this member
+                // A member that serves with this attestation must not use leafs that this member
                 // knows to be leaving or gone.
                 self.forward_urgent_reports(name, commands);
             }
--- a/crates/core/src/membership/proofs.rs
+++ b/crates/core/src/membership/proofs.rs
@@ -5,7 +5,7 @@
 use crate::quorum;
 use crate::time::{MILLI, Span, Tick, ms, since};
 
-/// Longest age of the attestations by which a member whose lease has lapsed goes on serving.
+/// Maximum age of the attestations with which a member whose lease has lapsed goes on serving.
 /// Like a lease, it is shorter than the 3 s in which a change must be in force everywhere,
 /// even when measured by a clock that is a tenth slow.
 const ATTESTATION_WINDOW: Span = LEASE_VALIDITY;
--- a/crates/core/src/protocol/operation.rs
+++ b/crates/core/src/protocol/operation.rs
@@ -19,7 +19,7 @@
     /// Reads the members with their progress. The controller that received the request adds its
     /// own status.
     Status,
-    /// Removes a member that is down for good, so that no change waits for it.
+    /// Removes a member that is permanently down, so that no change waits for it.
     ForgetMember(String),
     /// Starts the rollout of another version of a service.
     StartRollout(RolloutOrder),
--- a/crates/core/src/voters/handover.rs
+++ b/crates/core/src/voters/handover.rs
@@ -226,8 +226,8 @@
         self.reservation = Some(Reservation { slot, generation, until });
     }
 
-    /// Returns the voter set with `holder` in `slot`, if that is the spare to which
-    /// the slot was last offered and it still waits for the slot.
+    /// Returns the voter set with `holder` in `slot`, if that is the spare to which the slot
+    /// was last offered and it still waits for the slot.
     pub fn with_successor(
         &self,
         now: Tick,
