--- a/crates/core/src/quorum.rs
+++ b/crates/core/src/quorum.rs
@@ -1,8 +1,8 @@
 //! The two quorums of a membership, which always intersect.
 //!
-//! A leader may consider a change accepted once `acceptance(n)` of the `n` members of a
-//! membership know of it. Members without a lease may continue to serve under an older configuration
-//! only with attestations of `serving(n)` members, each of which knows nothing newer. Since
+//! A leader may consider a change accepted once `acceptance(n)` of the `n` members of a membership
+//! know of it. Members without a lease may continue to serve under an older configuration only
+//! with attestations of `serving(n)` members, each of which knows nothing newer. Since
 //! `acceptance(n) + serving(n) > n`, at least one member would be in both groups. It attested
 //! before it knew the change, and attestations are valid for less than the time in which a change
 //! must be in force. `docs/topics/standing.md` has the complete proof.
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -72,8 +72,8 @@
             if self.statuses.iter().flatten().any(is_damaged) { "damaged" } else { "empty" };
         let disks = if group.size == 3 { "two" } else { "too many" };
         format!(
-            "part {partition}: this replica can't recover, because another is {other_condition}; \
-             if {disks} disks are lost, see the handbook on restoring"
+            "partition {partition}: this replica can't recover, because another is \
+             {other_condition}; if {disks} disks are lost, see the handbook on restoring"
         )
     }
 }
@@ -233,7 +233,7 @@
             self.condition = ReplicaCondition::Voting;
             self.become_follower(now, None);
             let text = format!(
-                "part {}: this replica votes now, at revision {}",
+                "partition {}: this replica votes now, at revision {}",
                 self.id, self.state.revision
             );
             commands.push(Command::Alarm(text));
@@ -246,7 +246,7 @@
         if self.condition != ReplicaCondition::Voting {
             self.catch_up.is_forced = true;
             let text = format!(
-                "part {}: an operator forced recovery from the remaining replicas",
+                "partition {}: an operator forced recovery from the remaining replicas",
                 self.id
             );
             commands.push(Command::Alarm(text));
--- a/crates/core/src/replication/disk_writes.rs
+++ b/crates/core/src/replication/disk_writes.rs
@@ -96,7 +96,7 @@
         if is_repaired {
             self.disk_failure = None;
             self.become_follower(now, None);
-            commands.push(Command::Alarm(format!("part {}: the disk works again", self.id)));
+            commands.push(Command::Alarm(format!("partition {}: the disk works again", self.id)));
         }
         is_repaired
     }
@@ -132,7 +132,7 @@
     pub fn on_disk_failed(&mut self, now: Tick, why: String, commands: &mut Vec<Command>) {
         if self.disk_failure.is_none() {
             commands.push(Command::Alarm(format!(
-                "part {}: this replica is suspended: {why}",
+                "partition {}: this replica is suspended: {why}",
                 self.id
             )));
         }
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -235,7 +235,7 @@
     fn compare_checksums(&mut self, heartbeat: Heartbeat, commands: &mut Vec<Command>) {
         let is_comparable = heartbeat.checksum != 0 && self.state.revision == heartbeat.committed;
         if is_comparable && checksum(&self.state.entries) != heartbeat.checksum {
-            let text = format!("part {}: the local copy differs from the leader's", self.id);
+            let text = format!("partition {}: the local copy differs from the leader's", self.id);
             commands.push(Command::Alarm(text));
             self.checksum_mismatch = true;
         }
--- a/crates/core/src/replication/replicate.rs
+++ b/crates/core/src/replication/replicate.rs
@@ -37,7 +37,8 @@
         let id = self.id;
         let Some(leader) = self.leader_mut() else { return };
         if !leader.has_majority_contact(group, now) {
-            let text = format!("part {id}: no majority answers heartbeats; the leader steps down");
+            let text =
+                format!("partition {id}: no majority answers heartbeats; the leader steps down");
             commands.push(Command::Alarm(text));
             return self.step_down(now, None, commands);
         }
