--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -94,10 +94,12 @@
         if committed_at.is_some_and(|at| since(at, now) >= consts::LEASE_DURATION) {
             return true;
         }
-        let has_applied =
-            |heard: &LastRenewal| heard.has_renewed && heard.progress.applied_revision >= revision;
-        let may_serve = |heard: &&LastRenewal| {
-            !self.has_departed(&heard.member) && since(heard.at, now) < consts::LEASE_DURATION
+        let has_applied = |last_renewal: &LastRenewal| {
+            last_renewal.has_renewed && last_renewal.progress.applied_revision >= revision
+        };
+        let may_serve = |last_renewal: &&LastRenewal| {
+            !self.has_departed(&last_renewal.member)
+                && since(last_renewal.at, now) < consts::LEASE_DURATION
         };
         committed_at.is_some() && self.last_renewals.values().filter(may_serve).all(has_applied)
     }
@@ -113,9 +115,10 @@
     fn is_safe_among(&self, now: Tick, membership: &Membership, revision: u64) -> bool {
         let list = &membership.members;
         let knows_revision = |member: &&Member| {
-            let heard = self.last_renewals.get(&member.name);
+            let last_renewal = self.last_renewals.get(&member.name);
             self.has_left(membership, member)
-                || heard.is_some_and(|heard| heard.progress.known_revision >= revision)
+                || last_renewal
+                    .is_some_and(|last_renewal| last_renewal.progress.known_revision >= revision)
         };
         // A member that uses a membership knows the revision under which it was issued.
         membership.revision >= revision
@@ -130,7 +133,7 @@
         let has_applied = |member: &&Member| {
             self.last_renewals
                 .get(&member.name)
-                .is_some_and(|heard| heard.progress.applied_revision >= revision)
+                .is_some_and(|last_renewal| last_renewal.progress.applied_revision >= revision)
         };
         if 2 * list.iter().filter(has_applied).count() > list.len() {
             return true;
@@ -142,12 +145,13 @@
 
     /// Returns whether a change does not wait for this member to apply it.
     fn is_excused(&self, now: Tick, member: &Member) -> bool {
-        let is_silent = |heard: &LastRenewal| since(heard.at, now) >= RENEWAL_TIMEOUT;
+        let is_silent = |last_renewal: &LastRenewal| since(last_renewal.at, now) >= RENEWAL_TIMEOUT;
         // A process that has just started has no configuration to serve with.
-        let is_idle =
-            |heard: &LastRenewal| heard.has_renewed && heard.progress.applied_revision == 0;
-        let heard = self.last_renewals.get(&member.name);
-        heard.is_none_or(|heard| is_silent(heard) || is_idle(heard))
+        let is_idle = |last_renewal: &LastRenewal| {
+            last_renewal.has_renewed && last_renewal.progress.applied_revision == 0
+        };
+        let last_renewal = self.last_renewals.get(&member.name);
+        last_renewal.is_none_or(|last_renewal| is_silent(last_renewal) || is_idle(last_renewal))
             || !self.is_live(now, &member.name)
     }
 
--- a/crates/core/src/control_plane/forgotten_members.rs
+++ b/crates/core/src/control_plane/forgotten_members.rs
@@ -144,8 +144,9 @@
     }
     members.forgotten_revision = committed_revision;
     for (name, entry) in entries(&configuration.committed) {
-        let is_running = members.last_renewals.get(name).is_some_and(|heard| heard.has_renewed)
-            && members.is_live(now, name);
+        let is_running =
+            members.last_renewals.get(name).is_some_and(|last_renewal| last_renewal.has_renewed)
+                && members.is_live(now, name);
         if !is_running {
             let departure = Departure { incarnation: entry.incarnation, is_self_reported: false };
             members.departed.insert(name.to_string(), departure);
--- a/crates/core/src/control_plane/list_pollers.rs
+++ b/crates/core/src/control_plane/list_pollers.rs
@@ -68,8 +68,9 @@
 
     /// Returns whether a member's renewals arrive in time.
     fn renews_in_time(&self, now: Tick, member: &Member) -> bool {
-        let heard = self.last_renewals.get(&member.name);
+        let last_renewal = self.last_renewals.get(&member.name);
         !self.has_departed(member)
-            && heard.is_some_and(|heard| since(heard.at, now) < RENEWAL_TIMEOUT)
+            && last_renewal
+                .is_some_and(|last_renewal| since(last_renewal.at, now) < RENEWAL_TIMEOUT)
     }
 }
--- a/crates/core/src/control_plane/members.rs
+++ b/crates/core/src/control_plane/members.rs
@@ -86,8 +86,9 @@
 
     /// Returns whether a member has renewed within a lease and has not departed since.
     pub fn is_live(&self, now: Tick, name: &str) -> bool {
-        self.last_renewals.get(name).is_some_and(|heard| {
-            !self.has_departed(&heard.member) && since(heard.at, now) < consts::LEASE_DURATION
+        self.last_renewals.get(name).is_some_and(|last_renewal| {
+            !self.has_departed(&last_renewal.member)
+                && since(last_renewal.at, now) < consts::LEASE_DURATION
         })
     }
 
@@ -155,11 +156,12 @@
         let all = older.chain([&self.membership]).chain(&self.log.proposed);
         let named: HashSet<&str> =
             all.flat_map(|c| &c.members).map(|member| member.name.as_str()).collect();
-        self.last_renewals.retain(|name, heard| {
-            named.contains(name.as_str()) || since(heard.at, now) < consts::LEASE_DURATION
+        self.last_renewals.retain(|name, last_renewal| {
+            named.contains(name.as_str()) || since(last_renewal.at, now) < consts::LEASE_DURATION
         });
-        let heard = &self.last_renewals;
-        self.departed.retain(|name, _| named.contains(name.as_str()) || heard.contains_key(name));
+        let last_renewals = &self.last_renewals;
+        self.departed
+            .retain(|name, _| named.contains(name.as_str()) || last_renewals.contains_key(name));
     }
 
     /// Inherits the memberships of the voter whose slot this node takes, unless it knows
@@ -180,8 +182,11 @@
 
     /// Returns the progress of the members: name, ms since the last renewal, progress.
     pub fn status(&self, now: Tick) -> Vec<(String, u64, MemberProgress)> {
-        let age_ms = |heard: &LastRenewal| since(heard.at, now) / MILLI;
+        let age_ms = |last_renewal: &LastRenewal| since(last_renewal.at, now) / MILLI;
         let all = self.last_renewals.iter();
-        all.map(|(name, heard)| (name.clone(), age_ms(heard), heard.progress.clone())).collect()
+        all.map(|(name, last_renewal)| {
+            (name.clone(), age_ms(last_renewal), last_renewal.progress.clone())
+        })
+        .collect()
     }
 }
--- a/crates/core/src/control_plane/membership_issue.rs
+++ b/crates/core/src/control_plane/membership_issue.rs
@@ -56,7 +56,7 @@
     fn current_members(&self, now: Tick, turn: u64) -> Vec<Member> {
         let live = self.last_renewals.iter().filter(|(name, _)| self.is_live(now, name));
         let mut current_members: Vec<Member> =
-            live.map(|(_, heard)| heard.member.clone()).collect();
+            live.map(|(_, last_renewal)| last_renewal.member.clone()).collect();
         let lacks_majority = !self.hears_majority(now);
         let silent = self.membership.members.iter().filter(|member| {
             !self.is_live(now, &member.name)
@@ -90,9 +90,10 @@
         let is_long_silent = self
             .last_renewals
             .get(&member.name)
-            .is_none_or(|heard| since(heard.at, now) >= MINORITY_REMOVAL_DELAY);
-        let is_quiet = |heard: &LastRenewal| {
-            heard.has_renewed && ms(heard.progress.attestation_age_ms) >= consts::ATTESTATION_EXPIRY
+            .is_none_or(|last_renewal| since(last_renewal.at, now) >= MINORITY_REMOVAL_DELAY);
+        let is_quiet = |last_renewal: &LastRenewal| {
+            last_renewal.has_renewed
+                && ms(last_renewal.progress.attestation_age_ms) >= consts::ATTESTATION_EXPIRY
         };
         let is_heard_continuously = |other: &&Member| {
             self.is_live(now, &other.name)
@@ -106,8 +107,8 @@
     /// Returns whether most members of the membership renew their leases with this node.
     fn hears_majority(&self, now: Tick) -> bool {
         let known = &self.membership.members;
-        let heard = known.iter().filter(|member| self.is_live(now, &member.name)).count();
-        known.is_empty() || heard * 2 > known.len()
+        let live_count = known.iter().filter(|member| self.is_live(now, &member.name)).count();
+        known.is_empty() || live_count * 2 > known.len()
     }
 
     /// Settles the membership once all its members have seen it and no member serves under a
@@ -117,7 +118,7 @@
         let has_seen = |member: &Member| {
             self.last_renewals
                 .get(&member.name)
-                .is_some_and(|heard| heard.progress.seen_membership >= id)
+                .is_some_and(|last_renewal| last_renewal.progress.seen_membership >= id)
         };
         let is_ready = !self.gathering && self.log.proposed.is_none() && self.log.older.is_empty();
         if is_ready
--- a/crates/core/src/control_plane/membership_replication.rs
+++ b/crates/core/src/control_plane/membership_replication.rs
@@ -115,15 +115,16 @@
             std::mem::take(&mut replication.fetched).into_iter().flatten().collect();
         let rank = |held: &&Memberships| (held.current.id(), held.current.settled);
         let Some(newest) = fetched.iter().max_by_key(rank).cloned() else { return };
-        let Memberships { current, others: mut rest } = newest;
+        let Memberships { current, others: mut older_memberships } = newest;
         let id = current.id();
-        rest.extend(fetched.into_iter().flat_map(|held| held.others).filter(|c| c.id() > id));
-        rest.retain(|c| c.id() != id && !c.members.is_empty());
-        rest.sort_by_key(Membership::id);
-        rest.dedup_by_key(|c| c.id());
+        older_memberships
+            .extend(fetched.into_iter().flat_map(|held| held.others).filter(|c| c.id() > id));
+        older_memberships.retain(|c| c.id() != id && !c.members.is_empty());
+        older_memberships.sort_by_key(Membership::id);
+        older_memberships.dedup_by_key(|c| c.id());
         self.membership = current;
         self.log.proposed = None;
-        self.log.inherit(rest);
+        self.log.inherit(older_memberships);
         self.expect_all(now);
     }
 
--- a/crates/core/src/control_plane/retirement.rs
+++ b/crates/core/src/control_plane/retirement.rs
@@ -30,10 +30,10 @@
     /// membership.
     pub fn has_left(&self, membership: &Membership, member: &Member) -> bool {
         self.has_departed(member)
-            || self.last_renewals.get(&member.name).is_some_and(|heard| {
-                let is_another = heard.member.incarnation != member.incarnation;
-                heard.has_renewed
-                    && (is_another || heard.progress.seen_membership > membership.id())
+            || self.last_renewals.get(&member.name).is_some_and(|last_renewal| {
+                let is_another = last_renewal.member.incarnation != member.incarnation;
+                last_renewal.has_renewed
+                    && (is_another || last_renewal.progress.seen_membership > membership.id())
             })
     }
 
@@ -53,8 +53,10 @@
     fn has_expired(&self, now: Tick, membership: &Membership, retired: Tick) -> bool {
         let members = &membership.members;
         let is_quiet = |member: &&Member| {
-            let attestation_age_ms =
-                self.last_renewals.get(&member.name).map(|heard| heard.progress.attestation_age_ms);
+            let attestation_age_ms = self
+                .last_renewals
+                .get(&member.name)
+                .map(|last_renewal| last_renewal.progress.attestation_age_ms);
             self.has_left(membership, member)
                 && attestation_age_ms.is_some_and(|attestation_age_ms| {
                     ms(attestation_age_ms) >= consts::ATTESTATION_EXPIRY
--- a/crates/core/src/storage/voter_file.rs
+++ b/crates/core/src/storage/voter_file.rs
@@ -73,11 +73,19 @@
 }
 
 /// Determines a controller's identity at its start, from its settings and the file found on its
-/// disk, and whether the partitions found there must be set aside. `bare` means that the disk
-/// has no partitions. The returned file must be on disk before anything else is done.
-pub fn begin(found: Option<VoterFile>, start: &Start, bare: bool, nonce: u64) -> (VoterFile, bool) {
+/// disk, and whether the partitions found there must be set aside. `has_no_partitions` means that
+/// the disk has no partitions. The returned file must be on disk before anything else is done.
+pub fn begin(
+    found: Option<VoterFile>,
+    start: &Start,
+    has_no_partitions: bool,
+    nonce: u64,
+) -> (VoterFile, bool) {
     let fresh = |voter_set: VoterSet| {
-        (VoterFile { replica_id: nonce | 1, is_original_disk: false, voter_set }, !bare)
+        (
+            VoterFile { replica_id: nonce | 1, is_original_disk: false, voter_set },
+            !has_no_partitions,
+        )
     };
     match (found, start.slot) {
         (found, Some(slot)) => {
@@ -100,9 +108,11 @@
         }
         (Some(file), None) if slot_of(&file.voter_set, file.replica_id).is_some() => (file, false),
         // It never held a slot. The id is kept, since a slot may be granted to it.
-        (Some(file), None) if bare => (file, false),
+        (Some(file), None) if has_no_partitions => (file, false),
         (Some(file), None) => fresh(file.voter_set),
-        (None, None) if start.is_first_start && bare && start.seeds.contains(&start.addr) => {
+        (None, None)
+            if start.is_first_start && has_no_partitions && start.seeds.contains(&start.addr) =>
+        {
             let voter_set = initial_voter_set(&start.seeds, start.size);
             (
                 VoterFile {
