--- a/crates/core/src/storage/voter_file.rs
+++ b/crates/core/src/storage/voter_file.rs
@@ -73,8 +73,8 @@
 }
 
 /// Determines a controller's identity at its start, from its settings and the file found on its
-/// disk, and whether the partitions found there must be set aside. `has_no_partitions` means that
-/// the disk has no partitions. The returned file must be on disk before anything else is done.
+/// disk, and whether the partitions found there must be set aside. The returned file must be on
+/// disk before anything else is done.
 pub fn begin(
     found: Option<VoterFile>,
     start: &Start,
