--- a/crates/core/src/control_plane/controller.rs
+++ b/crates/core/src/control_plane/controller.rs
@@ -33,7 +33,7 @@
 /// Salt that separates attempt numbers from all other values derived from the same seed.
 const ATTEMPT_SALT: u64 = 0x6174_7465_6d70_7473;
 
-/// The whole state of a controller. Only [`step`](ControllerState::step) changes it.
+/// The complete state of a controller. Only [`step`](ControllerState::step) changes it.
 pub struct ControllerState {
     /// The voter slot of this node in the voter set that it holds, or `NO_SLOT`.
     pub slot: VoterSlot,
@@ -66,7 +66,7 @@
     pub scrub_at: Tick,
     /// Index of the next partition to be scrubbed.
     pub scrub_next: usize,
-    /// Votes of the members on the index versions on trial.
+    /// Votes of the members on the versions under trial.
     pub rollout_votes: RolloutVotes,
     /// How long each rollout has been in its present state.
     pub rollout_clock: RolloutClock,
@@ -164,7 +164,7 @@
     /// The process is shutting down: the node gives up all leaderships and hands over its
     /// voter slot.
     Stop,
-    /// A timer tick. Ticks are at most `step::WAKE` apart.
+    /// A timer tick. Ticks are at most `step::WAKE_INTERVAL` apart.
     Wake,
 }
 
@@ -179,7 +179,7 @@
         seed: u64,
         now: Tick,
     ) -> Self {
-        let slot = slot_of(&voter_file.table, voter_file.me).unwrap_or(NO_SLOT);
+        let slot = slot_of(&voter_file.voter_set, voter_file.replica_id).unwrap_or(NO_SLOT);
         let mut found: BTreeMap<PartitionId, _> = found
             .into_iter()
             .map(|(id, condition, state, log_bytes)| (id, (condition, state, log_bytes)))
@@ -196,7 +196,7 @@
             .collect();
         Self {
             slot,
-            random: Random::new(seed ^ voter_file.me),
+            random: Random::new(seed ^ voter_file.replica_id),
             voter_slots: VoterSlots::new(voter_file, location.0, location.1, now),
             partitions,
             members: Members::default(),
--- a/crates/core/src/control_plane/membership_replication.rs
+++ b/crates/core/src/control_plane/membership_replication.rs
@@ -1,7 +1,7 @@
 //! Replicates memberships from the leader of the configuration partition to the voters.
 //!
 //! A membership is held by a majority of the voters before it is sent to any member, and is
-//! kept until no member can serve by it any more.
+//! kept until no member can serve under it any more.
 //!
 //! At most one membership is being replicated at a time, and none is issued before the
 //! earlier ones are retired: `quorum::acceptance` of their members have left them, so that
@@ -17,7 +17,7 @@
 use crate::protocol::message::Message;
 use crate::replication::timing::HEARTBEAT_INTERVAL;
 use crate::time::{Span, Tick, since};
-use crate::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, other_voters};
 
 /// How long a new leader waits for voters that have not answered, if it needs restarted
 /// voters without a membership for a majority. A voter that has not answered may be the
@@ -82,7 +82,7 @@
         if replication.sent.is_none_or(|(_, at)| since(at, now) >= HEARTBEAT_INTERVAL) {
             let id = MembershipId::default();
             replication.sent = Some((MembershipVersion { id, settled: 0, confirmed: false }, now));
-            for slot in others(voters.group) {
+            for slot in other_voters(voters.group) {
                 commands
                     .push(Command::ToVoter { slot, message: Message::FetchMembership { term } });
             }
@@ -115,15 +115,16 @@
             std::mem::take(&mut replication.fetched).into_iter().flatten().collect();
         let rank = |held: &&Memberships| (held.current.id(), held.current.settled);
         let Some(newest) = fetched.iter().max_by_key(rank).cloned() else { return };
-        let Memberships { current, others: mut rest } = newest;
+        let Memberships { current, others: mut older_memberships } = newest;
         let id = current.id();
-        rest.extend(fetched.into_iter().flat_map(|held| held.others).filter(|c| c.id() > id));
-        rest.retain(|c| c.id() != id && !c.members.is_empty());
-        rest.sort_by_key(Membership::id);
-        rest.dedup_by_key(|c| c.id());
+        older_memberships
+            .extend(fetched.into_iter().flat_map(|held| held.others).filter(|c| c.id() > id));
+        older_memberships.retain(|c| c.id() != id && !c.members.is_empty());
+        older_memberships.sort_by_key(Membership::id);
+        older_memberships.dedup_by_key(|c| c.id());
         self.membership = current;
         self.log.proposed = None;
-        self.log.inherit(rest);
+        self.log.inherit(older_memberships);
         self.expect_all(now);
     }
 
@@ -182,7 +183,7 @@
         let is_due = replication
             .sent
             .is_none_or(|(sent, at)| sent != version || since(at, now) >= HEARTBEAT_INTERVAL);
-        let lacking: Vec<VoterSlot> = others(group)
+        let lacking: Vec<VoterSlot> = other_voters(group)
             .filter(|slot| replication.acknowledged[usize::from(*slot)] != Some(version))
             .collect();
         if !is_due || lacking.is_empty() || current.term == Term::ZERO {
@@ -234,8 +235,8 @@
         Some(StoredMembership { acknowledgement, is_newer })
     }
 
-    /// Records the connection on which a voter sent a message. The connection tells the
-    /// processes of a voter apart.
+    /// Records the connection on which a voter sent a message. The connection
+    /// distinguishes the processes of a voter.
     pub fn on_voter_connection(&mut self, from: VoterSlot, connection: ConnectionId) {
         self.log.record_connection(from, connection);
     }
--- a/crates/core/src/control_plane/step.rs
+++ b/crates/core/src/control_plane/step.rs
@@ -11,7 +11,7 @@
 use crate::voter_set::{NO_SLOT, VoterGroup};
 
 /// Interval between two timer ticks.
-pub const WAKE: crate::time::Span = ms(50);
+pub const WAKE_INTERVAL: crate::time::Span = ms(50);
 
 impl ControllerState {
     /// Handles one event and returns the commands to execute.
@@ -30,7 +30,7 @@
         commands
     }
 
-    /// Dispatches an event by its source.
+    /// Routes an event by its source.
     fn on_event(&mut self, now: Tick, event: Event, commands: &mut Vec<Command>) {
         match event {
             Event::FromVoter { slot, replica_id, connection, message } => {
@@ -53,7 +53,7 @@
         }
     }
 
-    /// Dispatches an event of the disk or of a connection.
+    /// Routes an event of the disk or of a connection.
     fn on_io_event(&mut self, now: Tick, event: Event, commands: &mut Vec<Command>) {
         match event {
             Event::ConnectionOpened { connection } => {
--- a/crates/core/src/control_plane/voter_slots.rs
+++ b/crates/core/src/control_plane/voter_slots.rs
@@ -3,7 +3,7 @@
 
 use crate::command::Command;
 use crate::control_plane::controller::ControllerState;
-use crate::control_plane::step::WAKE;
+use crate::control_plane::step::WAKE_INTERVAL;
 use crate::protocol::replica::ReplicaCondition;
 use crate::replication::partition::Partition;
 use crate::replication::timing::ELECTION_TIMEOUT;
@@ -72,12 +72,12 @@
         commands.push(Command::Alarm(text.into()));
         self.slot = NO_SLOT;
         self.reset_replicas(now, commands);
-        let me = self.random.next_u64() | 1;
-        let table = self.voter_slots.voter_set().clone();
-        let voter_file = VoterFile { me, first: false, table };
+        let replica_id = self.random.next_u64() | 1;
+        let voter_set = self.voter_slots.voter_set().clone();
+        let voter_file = VoterFile { replica_id, is_original_disk: false, voter_set };
         // The former replica id is no longer in use, and the new one is not announced
         // before it is on disk.
-        self.voter_slots.voter_file.me = 0;
+        self.voter_slots.voter_file.replica_id = 0;
         self.voter_slots.write_voter_file(voter_file, PartitionFiles::SetAside, commands);
     }
 
@@ -89,10 +89,10 @@
         self.members = Default::default();
     }
 
-    /// Handles a timer tick for the voter slots: counts the silence of the other voters and
-    /// sends liveness messages.
+    /// Handles a timer tick for the voter slots: tracks the time since the last message of each
+    /// other voter, and sends liveness messages.
     pub(super) fn wake_voter_slots(&mut self, now: Tick, commands: &mut Vec<Command>) {
-        self.voter_slots.advance_time_since_message(now, 2 * WAKE);
+        self.voter_slots.advance_time_since_message(now, 2 * WAKE_INTERVAL);
         self.voter_slots.retry_write(now, commands);
         self.wake_handover(now, commands);
         if self.slot == NO_SLOT {
--- a/crates/core/src/membership/step.rs
+++ b/crates/core/src/membership/step.rs
@@ -11,7 +11,7 @@
 
 /// Longest interval between two wake-ups of a node agent. Well below its shortest period, the
 /// 100 ms between renewals of a member without a lease.
-pub const WAKE: Span = ms(50);
+pub const WAKE_INTERVAL: Span = ms(50);
 
 /// The sender of an update or a membership.
 #[derive(Clone, Copy, PartialEq)]
@@ -112,16 +112,16 @@
                 controller_contact_age_ms,
                 ready,
                 positions,
-                asked,
-                echo,
+                request_sent_at,
+                echoed_sent_at,
                 attestation,
             } => {
                 let gossip = Gossip {
                     controller_contact_age_ms,
                     ready,
                     positions,
-                    asked,
-                    echo,
+                    request_sent_at,
+                    echoed_sent_at,
                     attestation,
                 };
                 self.on_gossip(now, &name, gossip, commands);
--- a/crates/core/src/protocol/message.rs
+++ b/crates/core/src/protocol/message.rs
@@ -184,16 +184,16 @@
     MembershipFetched { term: Term, current: Membership, others: Vec<Membership>, stamp: u64 },
 
     /// Sent between members: how long ago the sender heard from a controller, and its positions in
-    /// the feed. `asked` is the sender's time, which the response returns as `echo`: only an echo
-    /// proves that the other member receives messages now. `attestation` is set in responses of a
-    /// member that has no contact to a controller itself.
+    /// the feed. `request_sent_at` is the sender's time, which the response returns as
+    /// `echoed_sent_at`: only this proves that the other member receives messages now.
+    /// `attestation` is set in responses of a member that has no contact to a controller itself.
     Gossip {
         name: String,
         controller_contact_age_ms: u64,
         ready: bool,
         positions: Vec<FeedPosition>,
-        asked: Option<u64>,
-        echo: Option<u64>,
+        request_sent_at: Option<u64>,
+        echoed_sent_at: Option<u64>,
         attestation: Option<Attestation>,
     },
 
@@ -222,7 +222,7 @@
     /// Assigns the process of this incarnation to poll the platform's list with this rank, in
     /// place of members that don't respond. Sent with each lease grant while that holds.
     SubstituteListPoller { name: String, incarnation: u64, rank: u32 },
-    /// The observations of the process of this incarnation about the versions on trial, since
+    /// The observations of the process of this incarnation about the versions under trial, since
     /// each trial began. Sent with its lease renewals to the leader of the configuration.
     RolloutVote { name: String, incarnation: u64, evidence: Vec<TrialEvidence> },
 }
--- a/crates/core/src/query/progress.rs
+++ b/crates/core/src/query/progress.rs
@@ -35,14 +35,20 @@
     }
 
     /// Advances every query that is due or has queued shards. Queries of a higher priority class
-    /// come first, then those with the earliest deadline.
+    /// come first; within a class, those with the lowest rank, then those with the earliest
+    /// deadline.
     pub(super) fn advance_queries(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let mut ids: Vec<_> = self
             .queries
             .iter()
             .filter(|(_, query)| query.next_due() <= now || query.queued_shards() > 0)
             .map(|(id, query)| {
-                (std::cmp::Reverse(query.route.class), query.route.rank, query.deadline, *id)
+                (
+                    std::cmp::Reverse(query.route.priority_class),
+                    query.route.rank_in_class,
+                    query.deadline,
+                    *id,
+                )
             })
             .collect();
         ids.sort_unstable();
--- a/crates/core/src/replication/catch_up.rs
+++ b/crates/core/src/replication/catch_up.rs
@@ -21,7 +21,7 @@
 use crate::replication::timing::{ANSWER_TIMEOUT, CATCH_UP_INTERVAL};
 use crate::storage::record::ReplicaState;
 use crate::time::Tick;
-use crate::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, other_voters};
 
 /// Rounds of status requests after which a replica that can't recover raises an alarm (count).
 const ROUNDS_UNTIL_ALARM: u64 = 40;
@@ -39,7 +39,7 @@
     /// Returns whether all other voters have responded in this round.
     fn has_all_answers(&self, group: VoterGroup) -> bool {
         let answered = |slot| self.statuses.get(usize::from(slot)).is_some_and(Option::is_some);
-        others(group).all(answered)
+        other_voters(group).all(answered)
     }
 
     /// Returns whether this is the first boot of the cluster: no voter that responded holds any
@@ -47,11 +47,11 @@
     /// otherwise changes may have been accepted by later voters alone.
     fn is_first_boot(&self, group: VoterGroup) -> bool {
         let is_original = |slot: &VoterSlot| group.initial_holders >> *slot & 1 == 1;
-        group.first
+        group.is_original_disk
             && is_original(&group.slot)
             && group.initial_holders.count_ones() as usize >= majority(group.size)
             && self.statuses.iter().flatten().all(ReplicaStatus::is_blank)
-            && others(group)
+            && other_voters(group)
                 .filter(is_original)
                 .all(|slot| self.statuses[usize::from(slot)].is_some())
     }
@@ -72,8 +72,8 @@
             if self.statuses.iter().flatten().any(is_damaged) { "damaged" } else { "empty" };
         let disks = if group.size == 3 { "two" } else { "too many" };
         format!(
-            "part {partition}: this replica can't recover, because another is {other_condition}; \
-             if {disks} disks are lost, see the handbook on restoring"
+            "partition {partition}: this replica can't recover, because another is \
+             {other_condition}; if {disks} disks are lost, see the handbook on restoring"
         )
     }
 }
@@ -115,7 +115,7 @@
         catch_up.next_request_at = now + CATCH_UP_INTERVAL;
         catch_up.statuses = vec![None; group.size];
         catch_up.fetching_from = None;
-        for slot in others(group) {
+        for slot in other_voters(group) {
             let message = Message::StatusRequest { partition: self.id, nonce: self.catch_up.nonce };
             commands.push(Command::ToVoter { slot, message });
         }
@@ -233,7 +233,7 @@
             self.condition = ReplicaCondition::Voting;
             self.become_follower(now, None);
             let text = format!(
-                "part {}: this replica votes now, at revision {}",
+                "partition {}: this replica votes now, at revision {}",
                 self.id, self.state.revision
             );
             commands.push(Command::Alarm(text));
@@ -246,7 +246,7 @@
         if self.condition != ReplicaCondition::Voting {
             self.catch_up.is_forced = true;
             let text = format!(
-                "part {}: an operator forced recovery from the remaining replicas",
+                "partition {}: an operator forced recovery from the remaining replicas",
                 self.id
             );
             commands.push(Command::Alarm(text));
--- a/crates/core/src/replication/disk_writes.rs
+++ b/crates/core/src/replication/disk_writes.rs
@@ -36,7 +36,7 @@
         if is_long {
             self.write_snapshot(token, commands);
         } else {
-            commands.push(Command::AppendRecord { partition: self.id, token, rec: record });
+            commands.push(Command::AppendRecord { partition: self.id, token, record });
         }
     }
 
@@ -60,8 +60,8 @@
 
     fn write_snapshot(&mut self, token: u64, commands: &mut Vec<Command>) {
         self.log_bytes = 0;
-        let copy = self.state.clone();
-        commands.push(Command::WriteSnapshot { partition: self.id, token, copy });
+        let snapshot = self.state.clone();
+        commands.push(Command::WriteSnapshot { partition: self.id, token, snapshot });
     }
 
     /// Sends a message once all writes issued so far are synced.
@@ -96,7 +96,7 @@
         if is_repaired {
             self.disk_failure = None;
             self.become_follower(now, None);
-            commands.push(Command::Alarm(format!("part {}: the disk works again", self.id)));
+            commands.push(Command::Alarm(format!("partition {}: the disk works again", self.id)));
         }
         is_repaired
     }
@@ -132,7 +132,7 @@
     pub fn on_disk_failed(&mut self, now: Tick, why: String, commands: &mut Vec<Command>) {
         if self.disk_failure.is_none() {
             commands.push(Command::Alarm(format!(
-                "part {}: this replica is suspended: {why}",
+                "partition {}: this replica is suspended: {why}",
                 self.id
             )));
         }
--- a/crates/core/src/replication/election.rs
+++ b/crates/core/src/replication/election.rs
@@ -5,7 +5,7 @@
 //! leader writes under its own term. It serves operations once a majority has synced that.
 
 use crate::command::Command;
-use crate::digest::{hash, pair};
+use crate::digest::{hash, hash_pair};
 use crate::identifiers::{PartitionId, Position, Term, VoterSlot};
 use crate::protocol::message::Message;
 use crate::protocol::replica::EntryMap;
@@ -15,7 +15,7 @@
 use crate::replication::timing::{ANSWER_TIMEOUT, ELECTION_TIMEOUT};
 use crate::storage::record::{LogRecord, ReplicaState};
 use crate::time::{Span, Tick, ms, since};
-use crate::voter_set::{VoterGroup, majority, others};
+use crate::voter_set::{VoterGroup, majority, other_voters};
 
 /// Extra election timeout per rank, so that the preferred voter becomes a candidate first.
 const ELECTION_STAGGER: Span = ms(300);
@@ -32,16 +32,16 @@
 /// `silent`, a leader that stopped sending heartbeats, is not ranked.
 fn rank(id: PartitionId, group: VoterGroup, silent: Option<VoterSlot>) -> u64 {
     let partition = hash(&id.to_string());
-    let own = pair(partition, u64::from(group.slot));
+    let own = hash_pair(partition, u64::from(group.slot));
     let precedes =
-        |slot: &VoterSlot| Some(*slot) != silent && pair(partition, u64::from(*slot)) < own;
-    others(group).filter(precedes).count() as u64
+        |slot: &VoterSlot| Some(*slot) != silent && hash_pair(partition, u64::from(*slot)) < own;
+    other_voters(group).filter(precedes).count() as u64
 }
 
 impl Partition {
     /// Returns the time without a leader after which this voter requests pre-votes.
     ///
-    /// It is short for a voter that has just started, so that a cluster that restarts as a whole
+    /// It is short for a voter that has just started, so that a cluster that restarts completely
     /// has leaders soon. A running leader is not disturbed by that, since the voters that hear
     /// from it reject the pre-vote.
     fn election_timeout(&self, group: VoterGroup, random: &mut Random) -> Span {
@@ -99,7 +99,7 @@
         let mut granted = vec![false; group.size];
         granted[usize::from(group.slot)] = true;
         self.role = Role::PreCandidate { term, granted, until: now + ANSWER_TIMEOUT };
-        for slot in others(group) {
+        for slot in other_voters(group) {
             let message = Message::PreVoteRequest { partition: self.id, term };
             commands.push(Command::ToVoter { slot, message });
         }
@@ -113,23 +113,23 @@
         &mut self,
         now: Tick,
         from: Sender,
-        asked: Term,
+        requested_term: Term,
         granted: bool,
         current_term: Term,
         commands: &mut Vec<Command>,
     ) {
         let Role::PreCandidate { term, granted: grants, .. } = &mut self.role else { return };
-        if *term != asked {
+        if *term != requested_term {
             return;
         }
-        if current_term >= asked {
+        if current_term >= requested_term {
             // The sender has seen a higher term than this voter; request pre-votes above it.
             let term = current_term.next_for(from.group.slot);
             return self.start_pre_vote(now, from.group, term, commands);
         }
         grants[usize::from(from.slot)] = granted;
         if grants.iter().filter(|granted| **granted).count() >= majority(from.group.size) {
-            self.start_election(now, from.group, asked, commands);
+            self.start_election(now, from.group, requested_term, commands);
         }
     }
 
@@ -171,7 +171,7 @@
             return;
         }
         candidacy.grants[usize::from(group.slot)] = Some(position);
-        for slot in others(group) {
+        for slot in other_voters(group) {
             let message = Message::VoteRequest { partition: self.id, term };
             commands.push(Command::ToVoter { slot, message });
         }
@@ -320,7 +320,7 @@
     fn successor(&self, group: VoterGroup) -> Option<VoterSlot> {
         let leader = self.leader()?;
         let synced = |slot: &VoterSlot| leader.synced[usize::from(*slot)];
-        others(group).filter(|slot| synced(slot).is_some()).max_by_key(synced)
+        other_voters(group).filter(|slot| synced(slot).is_some()).max_by_key(synced)
     }
 
     /// Starts an election at once because the leader transfers its leadership to this follower.
--- a/crates/core/src/replication/replica.rs
+++ b/crates/core/src/replication/replica.rs
@@ -235,14 +235,14 @@
     fn compare_checksums(&mut self, heartbeat: Heartbeat, commands: &mut Vec<Command>) {
         let is_comparable = heartbeat.checksum != 0 && self.state.revision == heartbeat.committed;
         if is_comparable && checksum(&self.state.entries) != heartbeat.checksum {
-            let text = format!("part {}: the local copy differs from the leader's", self.id);
+            let text = format!("partition {}: the local copy differs from the leader's", self.id);
             commands.push(Command::Alarm(text));
             self.checksum_mismatch = true;
         }
     }
 
     /// Discards votes and acknowledgements after a change of the voter set, since they are only
-    /// valid under the voter set for which they were sent. `replaced` tells which slots now have
+    /// valid under the voter set for which they were sent. `replaced` states which slots now have
     /// another replica.
     pub fn on_voter_set_changed(
         &mut self,
--- a/crates/core/src/voters/slot_takeover.rs
+++ b/crates/core/src/voters/slot_takeover.rs
@@ -1,8 +1,8 @@
 //! How a controller without a voter slot obtains one: it asks whether a majority would grant it
-//! a slot, and takes it only then. While no slot is free it is a spare and continues to ask.
+//! a slot, and takes it only then. While no slot is free it is a spare and repeats its request.
 
 use crate::command::Command;
-use crate::digest::pair;
+use crate::digest::hash_pair;
 use crate::identifiers::VoterSlot;
 use crate::protocol::message::Message;
 use crate::time::{SECOND, Span, Tick, ms, since};
@@ -15,11 +15,11 @@
 /// How long a vacant slot is reserved for a zone that balances the slots better.
 const ZONE_BALANCE_TIMEOUT: Span = 10 * SECOND;
 
-/// How often a controller without a slot asks for one. The answers also show it which voters are
+/// How often a controller without a slot requests one. The offers also show it which voters are
 /// running.
 const JOIN_REQUEST_INTERVAL: Span = ms(500);
 
-/// A controller that asks for a slot.
+/// A controller that requests a slot.
 #[derive(Clone, Copy)]
 pub struct Candidate<'a> {
     /// Its replica id.
@@ -31,7 +31,7 @@
 }
 
 impl VoterSlots {
-    /// Asks for a slot if that is due. Used by a controller that has none.
+    /// Requests a slot if that is due. Used by a controller that has none.
     pub fn request_slot(&mut self, now: Tick, commands: &mut Vec<Command>) {
         let replica_id = self.replica_id();
         if now < self.join_request_at || replica_id == 0 || self.handovers.is_leaving() {
@@ -70,20 +70,21 @@
     ) -> bool {
         let voter_set = self.newest();
         let Some(holder) = voter_set.slots.get(usize::from(slot)) else { return false };
-        if slot == own || holder.holder == candidate.replica_id {
+        if slot == own || holder.replica_id == candidate.replica_id {
             return false;
         }
-        let is_at_its_address = |h: &SlotHolder| h.holder != 0 && h.addr == candidate.addr;
+        let is_at_its_address = |h: &SlotHolder| h.replica_id != 0 && h.addr == candidate.addr;
         if is_at_its_address(holder) {
             return true;
         }
         // A candidate that holds another slot, or held another at this address, takes that one.
-        let has_another = |h: &SlotHolder| h.holder == candidate.replica_id || is_at_its_address(h);
+        let has_another =
+            |h: &SlotHolder| h.replica_id == candidate.replica_id || is_at_its_address(h);
         if voter_set.slots.iter().any(has_another) {
             return false;
         }
         let fits = keeps_zones_balanced(voter_set, slot, candidate.zone);
-        if holder.holder == 0 {
+        if holder.replica_id == 0 {
             return fits || since(self.started_at, now) >= ZONE_BALANCE_TIMEOUT;
         }
         let time_since_message = self.time_since_message.get(usize::from(slot));
@@ -129,9 +130,9 @@
         };
         let was_held_here =
             |slot: &VoterSlot| self.voter_set().slots[usize::from(*slot)].addr == self.addr;
-        (0..size as VoterSlot)
-            .filter(|slot| offers_of(*slot) >= majority(size))
-            .max_by_key(|slot| (was_held_here(slot), pair(self.replica_id(), u64::from(*slot))))
+        (0..size as VoterSlot).filter(|slot| offers_of(*slot) >= majority(size)).max_by_key(
+            |slot| (was_held_here(slot), hash_pair(self.replica_id(), u64::from(*slot))),
+        )
     }
 
     fn claim(&mut self, now: Tick, slot: VoterSlot, commands: &mut Vec<Command>) {
@@ -148,7 +149,7 @@
     pub fn own_holder(&self, generation: u32) -> SlotHolder {
         SlotHolder {
             generation,
-            holder: self.replica_id(),
+            replica_id: self.replica_id(),
             addr: self.addr.clone(),
             zone: self.zone.clone(),
         }
@@ -164,13 +165,13 @@
         holder: SlotHolder,
     ) -> Option<VoterSet> {
         let candidate =
-            Candidate { replica_id: holder.holder, addr: &holder.addr, zone: &holder.zone };
+            Candidate { replica_id: holder.replica_id, addr: &holder.addr, zone: &holder.zone };
         if own == NO_SLOT || !self.would_grant(now, own, slot, candidate) {
             return None;
         }
         let mut voter_set = self.newest().clone();
         let slot_holder = &mut voter_set.slots[usize::from(slot)];
-        if holder.holder == 0 || holder.generation != after_takeover(slot_holder.generation) {
+        if holder.replica_id == 0 || holder.generation != after_takeover(slot_holder.generation) {
             return None;
         }
         *slot_holder = holder;
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -5,7 +5,7 @@
 use grebepath_core::command::Command;
 use grebepath_core::config::types::Config;
 use grebepath_core::control_plane::controller::{ControllerState, Event};
-use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::control_plane::step::WAKE_INTERVAL;
 use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::time::{BOOT, Tick};
@@ -23,7 +23,7 @@
     let addr = "127.0.0.1:1".to_string();
     let start = Start {
         slot: Some(0),
-        first: true,
+        is_first_start: true,
         seeds: vec![addr.clone()],
         size: 1,
         addr: addr.clone(),
@@ -45,7 +45,7 @@
                 Command::WriteVoterFile { token, .. } => {
                     line.push(Event::VoterFileWritten { token })
                 }
-                Command::Respond { op, done } => o.done.push((op, done)),
+                Command::Respond { op, result: done } => o.done.push((op, done)),
                 _ => {}
             }
         }
@@ -65,7 +65,7 @@
         if o.done.len() as u64 == n {
             break;
         }
-        o.now += WAKE;
+        o.now += WAKE_INTERVAL;
         feed(o, Event::Wake);
     }
     let mut done = std::mem::take(&mut o.done);
--- a/crates/core/tests/request_answers.rs
+++ b/crates/core/tests/request_answers.rs
@@ -8,7 +8,7 @@
 
 use cluster::*;
 use googletest::prelude::*;
-use grebepath_core::control_plane::step::WAKE;
+use grebepath_core::control_plane::step::WAKE_INTERVAL;
 use grebepath_core::identifiers::Term;
 use grebepath_core::protocol::membership::{MemberProgress, MembershipId};
 use grebepath_core::protocol::operation::{Operation, OperationResult};
@@ -146,7 +146,7 @@
     let others: Vec<usize> = (0..3).filter(|node| *node != first).collect();
     // Just after a wake event, so that the request is the first event that the leader processes
     // when it resumes.
-    until(&mut cluster, |cluster| (cluster.now - ms(first as u64)) % WAKE == ms(1));
+    until(&mut cluster, |cluster| (cluster.now - ms(first as u64)) % WAKE_INTERVAL == ms(1));
     // The leader appends a change that is never replicated.
     isolate(&mut cluster, first);
     ask(&mut cluster, first, "two", edition_patch(1, "b"));
--- a/crates/core/tests/service_retry_budget.rs
+++ b/crates/core/tests/service_retry_budget.rs
@@ -65,7 +65,7 @@
         .map(|at| {
             let retries = count_between(&traffic.retries, at, at + len) as i64 * 1_000;
             let first_attempts = count_between(&traffic.first_attempts, at, at + len) as i64;
-            retries - first_attempts * rate.per_thousand as i64 - rate.fleet_slack as i64 * 1_000
+            retries - first_attempts * rate.per_thousand as i64 - rate.cluster_slack as i64 * 1_000
         })
         .max()
         .unwrap_or(0)
@@ -77,7 +77,7 @@
     // restarted node saves credit again.
     let rates = [(200, 52), (100, 40), (400, 12), (50, 90)];
     for (k, (share, slack)) in rates.into_iter().enumerate() {
-        let rate = RetryRate { per_thousand: share, fleet_slack: slack };
+        let rate = RetryRate { per_thousand: share, cluster_slack: slack };
         for node_count in [1usize, 3, 8] {
             for restarts in [0, 1, 20] {
                 let traffic = run(k as u64 * 100 + node_count as u64, node_count, rate, restarts);
@@ -97,12 +97,12 @@
 fn with_more_nodes_than_slack_each_exceeds_it_by_at_most_one_retry() {
     // A part of the slack below one retry could never be spent, so each node may save one. This
     // bounds the excess in a cluster with more nodes than slack.
-    let rate = RetryRate { per_thousand: 200, fleet_slack: 20 };
+    let rate = RetryRate { per_thousand: 200, cluster_slack: 20 };
     for node_count in [19u64, 40, 80] {
         let traffic = run(node_count, node_count as usize, rate, 1);
         for len in [1, 1_000, 10_000] {
             let excess = excess(&traffic, rate, len);
-            let max_excess = node_count.saturating_sub(rate.fleet_slack) as i64 * 1_000;
+            let max_excess = node_count.saturating_sub(rate.cluster_slack) as i64 * 1_000;
             println!("{node_count} nodes: {excess} thousandths over the limit in some {len} ms");
             assert!(
                 excess <= max_excess,
@@ -115,7 +115,7 @@
 #[googletest::test]
 fn most_of_the_allowed_retries_can_be_sent() {
     // Guards against a budget that keeps the limit by allowing no retries.
-    let rate = RetryRate { per_thousand: 200, fleet_slack: 52 };
+    let rate = RetryRate { per_thousand: 200, cluster_slack: 52 };
     let traffic = run(5, 6, rate, 0);
     let allowed = traffic.first_attempts.len() as u64 * rate.per_thousand / 1_000;
     // For half of the time no node retries, and little credit is saved over such a period.
@@ -125,7 +125,7 @@
 #[googletest::test]
 fn a_new_node_has_no_credit() {
     // Guards against restarts that allow additional retries.
-    let rate = RetryRate { per_thousand: 200, fleet_slack: 1_000 };
+    let rate = RetryRate { per_thousand: 200, cluster_slack: 1_000 };
     let mut budget = new_budget(rate, 1);
     expect_that!(budget.try_retry("s"), eq(false));
     budget.record_first_attempt("s");
@@ -139,7 +139,7 @@
 
 #[googletest::test]
 fn services_have_separate_credits() {
-    let mut budget = new_budget(RetryRate { per_thousand: 1_000, fleet_slack: 100 }, 1);
+    let mut budget = new_budget(RetryRate { per_thousand: 1_000, cluster_slack: 100 }, 1);
     for _ in 0..10 {
         budget.record_first_attempt("a");
     }
@@ -155,7 +155,7 @@
     let spend_all =
         |budget: &mut ServiceRetryBudget| (0..1_000).filter(|_| budget.try_retry("s")).count();
     let budget_at_limit = || {
-        let mut budget = new_budget(RetryRate { per_thousand: 1_000, fleet_slack: 100 }, 1);
+        let mut budget = new_budget(RetryRate { per_thousand: 1_000, cluster_slack: 100 }, 1);
         for _ in 0..1_000 {
             budget.record_first_attempt("s");
         }
@@ -170,10 +170,10 @@
     budget.set_thread_count(0);
     expect_that!(spend_all(&mut budget), eq(1));
     let mut budget = budget_at_limit();
-    budget.set_rate(RetryRate { per_thousand: 10, fleet_slack: 20 }, 2);
+    budget.set_rate(RetryRate { per_thousand: 10, cluster_slack: 20 }, 2);
     expect_that!(spend_all(&mut budget), eq(9));
     // A rate of zero earns no credit.
-    let mut budget = new_budget(RetryRate { per_thousand: 0, fleet_slack: 50 }, 1);
+    let mut budget = new_budget(RetryRate { per_thousand: 0, cluster_slack: 50 }, 1);
     for _ in 0..100 {
         budget.record_first_attempt("s");
     }
--- a/crates/core/tests/serving_without_lease.rs
+++ b/crates/core/tests/serving_without_lease.rs
@@ -69,8 +69,8 @@
         controller_contact_age_ms: 5_000,
         ready: true,
         positions,
-        asked: None,
-        echo: Some(now),
+        request_sent_at: None,
+        echoed_sent_at: Some(now),
         attestation: Some(attestation),
     };
     Event::FromMember { name: "b".into(), message }
@@ -97,7 +97,7 @@
 fn message_kinds(commands: &[Command]) -> Vec<&'static str> {
     let kind = |message: &Message| match message {
         Message::LeafReports { .. } => Some("reports"),
-        Message::Gossip { echo: Some(_), .. } => Some("answer"),
+        Message::Gossip { echoed_sent_at: Some(_), .. } => Some("answer"),
         _ => None,
     };
     let messages = commands.iter().filter_map(|command| match command {
@@ -118,8 +118,8 @@
         controller_contact_age_ms: 5_000,
         ready: true,
         positions: Vec::new(),
-        asked: Some(7),
-        echo: None,
+        request_sent_at: Some(7),
+        echoed_sent_at: None,
         attestation: None,
     };
     // Before the report is due to be sent again.
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -69,7 +69,7 @@
     }
 
     fn arrange(&mut self, state: &ControllerState) {
-        self.controllers.arrange(identity(state), &state.voter_slots.voter_file.table);
+        self.controllers.arrange(identity(state), &state.voter_slots.voter_file.voter_set);
     }
 
     /// Updates the connections periodically. This drops seeds that never identified themselves, and
@@ -153,7 +153,7 @@
 
     /// Executes the state machine's commands.
     pub fn execute(&mut self, state: &ControllerState, commands: Vec<Command>) {
-        let voters = &state.voter_slots.voter_file.table;
+        let voters = &state.voter_slots.voter_file.voter_set;
         for command in commands {
             match command {
                 Command::ToVoter { slot, message } => {
@@ -161,7 +161,7 @@
                 }
                 Command::Broadcast { message } => self.controllers.broadcast(&message),
                 Command::VoterSetChanged => self.arrange(state),
-                Command::WriteVoterFile { token, roll: file, clear: set_aside } => {
+                Command::WriteVoterFile { token, voter_file: file, clear: set_aside } => {
                     self.submit_disk_job(DiskJob::WriteVoterFile { token, file, set_aside });
                 }
                 Command::ToConnection { connection, message } => {
@@ -169,14 +169,14 @@
                         sender.send(&message);
                     }
                 }
-                Command::AppendRecord { partition, token, rec: record } => {
+                Command::AppendRecord { partition, token, record: record } => {
                     self.submit_disk_job(DiskJob::Append { partition, token, record });
                 }
-                Command::WriteSnapshot { partition, token, copy: state } => {
+                Command::WriteSnapshot { partition, token, snapshot: state } => {
                     self.submit_disk_job(DiskJob::WriteSnapshot { partition, token, state });
                 }
                 Command::Scrub { partition } => self.submit_disk_job(DiskJob::Scrub { partition }),
-                Command::Respond { op, done } => {
+                Command::Respond { op, result: done } => {
                     if let Some(reply) = self.pending.remove(&op) {
                         let _ = reply.send(done);
                     }
@@ -201,7 +201,7 @@
 
 /// Returns the identity that this controller sends when it dials.
 fn identity(state: &ControllerState) -> PeerIdentity {
-    let holder = state.voter_slots.voter_file.me;
+    let holder = state.voter_slots.voter_file.replica_id;
     match state.slot {
         NO_SLOT => PeerIdentity::Spare { replica_id: holder },
         slot => PeerIdentity::Voter { slot, replica_id: holder },
--- a/crates/server/src/controller/metrics.rs
+++ b/crates/server/src/controller/metrics.rs
@@ -53,7 +53,7 @@
         })
         .collect();
     let slots: Vec<Value> =
-        state.voter_slots.voter_file.table.slots.iter().map(slot_json).collect();
+        state.voter_slots.voter_file.voter_set.slots.iter().map(slot_json).collect();
     let own_slot = (state.slot != NO_SLOT).then_some(state.slot);
     json!({
         "seat": own_slot, "zone": zone, "parts": partitions, "seats": slots,
@@ -62,7 +62,7 @@
 }
 
 fn slot_json(slot: &SlotHolder) -> Value {
-    json!({ "generation": slot.generation, "holder": format!("{:016x}", slot.holder), "addr": slot.addr,
+    json!({ "generation": slot.generation, "holder": format!("{:016x}", slot.replica_id), "addr": slot.addr,
             "zone": slot.zone })
 }
 
--- a/crates/server/src/grebectl/show.rs
+++ b/crates/server/src/grebectl/show.rs
@@ -46,7 +46,7 @@
         })
         .collect();
     json!({
-        "search": route.name, "class": route.class.name(),
+        "search": route.name, "class": route.priority_class.name(),
         "cut": route.index_version, "send": if route.fan_out == FanOut::AllShards { "wide" } else { "one by key" },
         "promise_ms": route.timeout / MILLI, "attempts": route.attempts,
         "wait_pct": route.hedge_after_pct, "stop_pct": route.quorum_after_pct,
--- a/crates/server/src/querier/caller_listener.rs
+++ b/crates/server/src/querier/caller_listener.rs
@@ -105,7 +105,7 @@
     };
     // The number of calls that wait for the query engine is bounded here, by class. No other
     // place could queue calls without a bound.
-    let class = listener.threads.view.borrow().routes.get(&request.route).map(|m| m.class);
+    let class = listener.threads.view.borrow().routes.get(&request.route).map(|m| m.priority_class);
     let limit = max_open_queries(class.unwrap_or_default()) * consts::MAX_LISTENER_CALLS
         / consts::MAX_CONCURRENT_QUERIES;
     let call = NEXT_CALL.fetch_add(1, Ordering::Relaxed);
--- a/crates/server/src/querier/leaf_client.rs
+++ b/crates/server/src/querier/leaf_client.rs
@@ -66,8 +66,9 @@
 ) -> Result<LeafReply, AttemptFailure> {
     let leaf = address(&attempt)?;
     let work = (api.write_attempt)(&attempt).ok_or(AttemptFailure::Unreachable)?;
-    let accepts =
-        |response: &Response<Bytes>| !(api.read_reply)(&attempt, response.clone()).headers.foreign;
+    let accepts = |response: &Response<Bytes>| {
+        !(api.read_reply)(&attempt, response.clone()).headers.is_mismatched
+    };
     let options = ForwardOptions {
         reply_limit: MAX_REPLY_BYTES,
         once: attempt.at_most_once,
