--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -45,8 +45,8 @@
     for _ in 0..count {
         let after = operator.edition;
         let operation = edition(after, &operator.note);
-        let order = ask(cluster, node, &format!("order-{after}"), operation);
-        let done = answered(cluster, order);
+        let order = submit(cluster, node, &format!("order-{after}"), operation);
+        let done = await_response(cluster, order);
         assert!(matches!(done, OperationResult::Accepted { .. }), "edition {after}: {done:?}");
         operator.edition += 1;
     }
@@ -72,7 +72,7 @@
 /// How long it takes until a replica holds on its disk what the leader holds.
 fn catches_up(cluster: &mut Cluster, node: usize) -> Span {
     let began = cluster.now;
-    until(cluster, |cluster| {
+    run_until(cluster, |cluster| {
         let Some(leader) = leader(cluster) else { return false };
         let p = &core_of(cluster, node).partitions[0];
         p.condition == ReplicaCondition::Voting
@@ -102,7 +102,7 @@
 fn goes(cluster: &mut Cluster, node: usize, away: Away) {
     match away {
         Away::CutOff => isolate(cluster, node),
-        Away::DiskStalled => stall(cluster, node, true),
+        Away::DiskStalled => stall_disk(cluster, node, true),
         Away::Stopped => pause(cluster, node, 100_000 * SECOND),
         Away::Down | Away::DownBlank => {
             isolate(cluster, node);
@@ -112,26 +112,26 @@
 }
 
 fn returns(cluster: &mut Cluster, node: usize, away: Away) {
-    cluster.cut.clear();
+    cluster.blocked_links.clear();
     match away {
         Away::CutOff => {}
-        Away::DiskStalled => stall(cluster, node, false),
+        Away::DiskStalled => stall_disk(cluster, node, false),
         Away::Stopped => {
             // What waited in its sockets beyond their buffers was never taken.
             for other in (0..3).filter(|other| *other != node) {
-                reset(cluster, node, other);
+                reset_connection(cluster, node, other);
             }
-            wake_up(cluster, node);
+            resume_with_pending(cluster, node);
         }
         Away::Down => restart(cluster, node, 99),
-        Away::DownBlank => restart_blank(cluster, node, 99),
+        Away::DownBlank => restart_on_empty_disk(cluster, node, 99),
     }
 }
 
 /// A cluster of three in which one misses so many changes; that one is back, and
 /// the changes go on. Gives how long it takes to be up to date.
 fn missed(away: Away, changes: u64, leads: bool) -> (Cluster, Operator, usize, Span) {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     let third = 3 - first - other;
     let mut operator = operator(64);
     change(&mut cluster, &mut operator, first, 20);
@@ -146,8 +146,8 @@
 
 /// The edition that an operator reads through a controller.
 fn read(cluster: &mut Cluster, node: usize) -> u64 {
-    let order = ask(cluster, node, "read", Operation::Read);
-    match answered(cluster, order) {
+    let order = submit(cluster, node, "read", Operation::Read);
+    match await_response(cluster, order) {
         OperationResult::Configuration { entries: map, .. } => {
             Config::from_entries(&map).unwrap().client_limits.edition
         }
@@ -185,7 +185,7 @@
             pause(&mut cluster, now, 1_800 * MILLI);
             run(&mut cluster, 2 * SECOND);
         }
-        until(&mut cluster, |cluster| leader(cluster).is_some());
+        run_until(&mut cluster, |cluster| leader(cluster).is_some());
         for through in 0..3 {
             expect_that!(read(&mut cluster, through), eq(operator.edition), "{away:?}");
         }
@@ -199,7 +199,7 @@
     // The one that returns finds one other alone: the leader dies as it is back.
     for away in [Away::CutOff, Away::Stopped, Away::Down, Away::DiskStalled] {
         for wait in [0, 1, 2, 3, 5, 8, 20, 60, 200, 900] {
-            let (mut cluster, first, other) = led(3);
+            let (mut cluster, first, other) = cluster_with_leader(3);
             let mut operator = operator(64);
             change(&mut cluster, &mut operator, first, 20);
             goes(&mut cluster, other, away);
@@ -218,7 +218,7 @@
 fn a_transfer_that_is_cut_at_any_step_is_made_again() {
     for cut_after in [0, 1, 2, 3, 4, 6, 9, 30, 120, 250, 260, 300] {
         for away in [Away::Down, Away::DownBlank] {
-            let (mut cluster, first, other) = led(3);
+            let (mut cluster, first, other) = cluster_with_leader(3);
             let mut operator = operator(512);
             change(&mut cluster, &mut operator, first, 400);
             goes(&mut cluster, other, away);
@@ -226,8 +226,8 @@
             returns(&mut cluster, other, away);
             for _ in 0..6 {
                 run(&mut cluster, ms(cut_after));
-                reset(&mut cluster, first, other);
-                reset(&mut cluster, other, 3 - first - other);
+                reset_connection(&mut cluster, first, other);
+                reset_connection(&mut cluster, other, 3 - first - other);
                 restart(&mut cluster, other, 7 + cut_after);
             }
             let span = catches_up(&mut cluster, other);
@@ -238,7 +238,7 @@
 
 #[googletest::test]
 fn snapshots_that_lack_the_newest_entry_are_caught() {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     let mut operator = operator(64);
     change(&mut cluster, &mut operator, first, 20);
     goes(&mut cluster, other, Away::Down);
@@ -251,7 +251,7 @@
 
 #[googletest::test]
 fn what_a_controller_holds_does_not_grow_with_the_changes_that_were() {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     let mut operator = operator(64);
     change(&mut cluster, &mut operator, first, 16_000);
     let size = |cluster: &Cluster, node: usize| -> usize {
@@ -275,7 +275,7 @@
         }
     }
     // And one that stops and starts finds all of it.
-    take(&mut cluster, other, Event::Stop);
+    deliver_event(&mut cluster, other, Event::Stop);
     restart(&mut cluster, other, 5);
     let span = catches_up(&mut cluster, other);
     expect_that!(span, lt(2 * SECOND));
--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -22,7 +22,7 @@
 #[derive(Clone, Debug)]
 pub enum Work {
     /// A message from one controller to another.
-    Deliver { from: usize, to: usize, holder: u64, message: Message },
+    Deliver { from: usize, to: usize, replica_id: u64, message: Message },
     /// A disk finishes a write.
     Sync { node: usize, partition: PartitionId, token: u64 },
     /// An operator's call comes to a controller.
@@ -30,17 +30,17 @@
 }
 
 /// A write that was handed to a disk.
-enum Job {
+enum DiskWrite {
     Append(LogRecord),
-    Slot(ReplicaState),
+    Snapshot(ReplicaState),
 }
 
 /// What lasts, and what is on its way there.
 #[derive(Default)]
 pub struct Disk {
-    pub kept: BTreeMap<PartitionId, ReplicaState>,
-    line: VecDeque<(PartitionId, u64, Job)>,
-    roll: Option<VoterFile>,
+    pub synced: BTreeMap<PartitionId, ReplicaState>,
+    pending: VecDeque<(PartitionId, u64, DiskWrite)>,
+    voter_file: Option<VoterFile>,
 }
 
 pub struct Node {
@@ -48,10 +48,10 @@
     pub core: Option<ControllerState>,
     pub disk: Disk,
     /// Nothing comes or goes.
-    pub cut: bool,
+    pub isolated: bool,
     /// The process is stopped: what comes waits for it.
-    pub frozen: bool,
-    waits: Vec<Work>,
+    pub paused: bool,
+    deferred: Vec<Work>,
 }
 
 pub struct Cluster {
@@ -59,7 +59,7 @@
     pub now: Tick,
     pub work: VecDeque<Work>,
     /// What operators were told, by the number of their call.
-    pub told: BTreeMap<u64, OperationResult>,
+    pub answered: BTreeMap<u64, OperationResult>,
     next_op: u64,
 }
 
@@ -68,15 +68,15 @@
     let node = |_| Node {
         core: None,
         disk: Disk::default(),
-        cut: false,
-        frozen: false,
-        waits: Vec::new(),
+        isolated: false,
+        paused: false,
+        deferred: Vec::new(),
     };
     let nodes = (0..count).map(node).collect();
     let mut out =
-        Cluster { nodes, now: BOOT, work: VecDeque::new(), told: BTreeMap::new(), next_op: 0 };
+        Cluster { nodes, now: BOOT, work: VecDeque::new(), answered: BTreeMap::new(), next_op: 0 };
     (0..count).for_each(|node| start(&mut out, node, true));
-    assert!(pass_until(&mut out, 5 * SECOND, |c| leader(c).is_some()), "no leader");
+    assert!(run_until(&mut out, 5 * SECOND, |c| leader(c).is_some()), "no leader");
     out
 }
 
@@ -95,18 +95,18 @@
         size: count,
         addr: address(node),
     };
-    let bare = n.disk.kept.is_empty();
-    let (roll, _) = begin(n.disk.roll.take(), &start, bare, 5 + node as u64);
-    n.disk.roll = Some(roll.clone());
+    let bare = n.disk.synced.is_empty();
+    let (voter_file, _) = begin(n.disk.voter_file.take(), &start, bare, 5 + node as u64);
+    n.disk.voter_file = Some(voter_file.clone());
     let found = n
         .disk
-        .kept
+        .synced
         .iter()
         .map(|(id, copy)| (*id, ReplicaCondition::Voting, copy.clone(), 0))
         .collect();
     let zone = ["a", "b", "c"][node % 3];
     n.core = Some(ControllerState::new(
-        roll,
+        voter_file,
         (&address(node), zone),
         found,
         cluster.now + node as u64,
@@ -119,22 +119,22 @@
 pub fn kill(cluster: &mut Cluster, node: usize, power: bool) {
     let n = &mut cluster.nodes[node];
     n.core = None;
-    while let Some((partition, _, job)) = n.disk.line.pop_front() {
+    while let Some((partition, _, job)) = n.disk.pending.pop_front() {
         if !power {
-            last(&mut n.disk, partition, job);
+            persist(&mut n.disk, partition, job);
         }
     }
     let syncs = |work: &Work| matches!(work, Work::Sync { node: n, .. } if *n == node);
     cluster.work.retain(|work| !syncs(work));
 }
 
-fn last(disk: &mut Disk, partition: PartitionId, job: Job) {
+fn persist(disk: &mut Disk, partition: PartitionId, job: DiskWrite) {
     match job {
-        Job::Slot(copy) => {
-            disk.kept.insert(partition, copy);
+        DiskWrite::Snapshot(copy) => {
+            disk.synced.insert(partition, copy);
         }
-        Job::Append(rec) => {
-            if let Some(copy) = disk.kept.get_mut(&partition) {
+        DiskWrite::Append(rec) => {
+            if let Some(copy) = disk.synced.get_mut(&partition) {
                 assert!(copy.apply(&rec), "a record that does not follow the one before");
             }
         }
@@ -142,31 +142,31 @@
 }
 
 /// Gives an event to a controller and files what it wants done.
-pub fn give(cluster: &mut Cluster, node: usize, event: Event) {
+pub fn deliver_event(cluster: &mut Cluster, node: usize, event: Event) {
     let now = cluster.now;
     let Some(core) = &mut cluster.nodes[node].core else { return };
-    let holder = core.voter_slots.voter_file.me;
+    let replica_id = core.voter_slots.voter_file.me;
     for command in core.step(now, event) {
         let disk = &mut cluster.nodes[node].disk;
         match command {
             Command::ToVoter { slot, message } => {
                 let to = usize::from(slot);
-                cluster.work.push_back(Work::Deliver { from: node, to, holder, message });
+                cluster.work.push_back(Work::Deliver { from: node, to, replica_id, message });
             }
             Command::AppendRecord { partition, token, rec } => {
-                disk.line.push_back((partition, token, Job::Append(rec)));
+                disk.pending.push_back((partition, token, DiskWrite::Append(rec)));
                 cluster.work.push_back(Work::Sync { node, partition, token });
             }
             Command::WriteSnapshot { partition, token, copy } => {
-                disk.line.push_back((partition, token, Job::Slot(copy)));
+                disk.pending.push_back((partition, token, DiskWrite::Snapshot(copy)));
                 cluster.work.push_back(Work::Sync { node, partition, token });
             }
             Command::WriteVoterFile { roll, token, .. } => {
-                disk.roll = Some(roll);
-                give(cluster, node, Event::VoterFileWritten { token });
+                disk.voter_file = Some(roll);
+                deliver_event(cluster, node, Event::VoterFileWritten { token });
             }
             Command::Respond { op, done } => {
-                cluster.told.insert(op, done);
+                cluster.answered.insert(op, done);
             }
             _ => {}
         }
@@ -177,23 +177,23 @@
 fn perform(cluster: &mut Cluster, work: Work) {
     let (Work::Deliver { to: node, .. } | Work::Sync { node, .. } | Work::Call { node, .. }) =
         &work;
-    if cluster.nodes[*node].frozen {
-        return cluster.nodes[*node].waits.push(work);
+    if cluster.nodes[*node].paused {
+        return cluster.nodes[*node].deferred.push(work);
     }
     match work {
-        Work::Deliver { from, to, holder, message } => {
-            if !cluster.nodes[from].cut && !cluster.nodes[to].cut {
+        Work::Deliver { from, to, replica_id, message } => {
+            if !cluster.nodes[from].isolated && !cluster.nodes[to].isolated {
                 let event = Event::FromVoter {
                     slot: from as VoterSlot,
-                    replica_id: holder,
+                    replica_id,
                     connection: from as u64,
                     message,
                 };
-                give(cluster, to, event);
+                deliver_event(cluster, to, event);
             }
         }
         Work::Call { node, op, request, expect, operation } => {
-            give(
+            deliver_event(
                 cluster,
                 node,
                 Event::Operate { op, request, expected_revision: expect, operation },
@@ -201,26 +201,26 @@
         }
         Work::Sync { node, partition, token } => {
             let disk = &mut cluster.nodes[node].disk;
-            let at = disk.line.iter().position(|(p, t, _)| (*p, *t) == (partition, token));
-            if let Some((partition, _, job)) = at.and_then(|at| disk.line.remove(at)) {
-                last(disk, partition, job);
-                give(cluster, node, Event::Synced { partition, token });
+            let at = disk.pending.iter().position(|(p, t, _)| (*p, *t) == (partition, token));
+            if let Some((partition, _, job)) = at.and_then(|at| disk.pending.remove(at)) {
+                persist(disk, partition, job);
+                deliver_event(cluster, node, Event::Synced { partition, token });
             }
         }
     }
 }
 
 /// Does all work but what is held, which stays where it is.
-pub fn pump(cluster: &mut Cluster, held: impl Fn(&Work) -> bool) {
-    let mut waits = VecDeque::new();
+pub fn perform_unless(cluster: &mut Cluster, held: impl Fn(&Work) -> bool) {
+    let mut deferred = VecDeque::new();
     while let Some(work) = cluster.work.pop_front() {
         if held(&work) {
-            waits.push_back(work);
+            deferred.push_back(work);
         } else {
             perform(cluster, work);
         }
     }
-    cluster.work = waits;
+    cluster.work = deferred;
 }
 
 /// Takes out what is under way from or to a controller.
@@ -232,38 +232,38 @@
 }
 
 /// Lets time pass, with nothing held.
-pub fn pass(cluster: &mut Cluster, span: Span) {
+pub fn run_for(cluster: &mut Cluster, span: Span) {
     let end = cluster.now + span;
-    pass_until(cluster, span, |c| c.now >= end);
+    run_until(cluster, span, |c| c.now >= end);
 }
 
 /// Lets time pass until `done`; tells whether it came to be.
-pub fn pass_until(cluster: &mut Cluster, span: Span, done: impl Fn(&Cluster) -> bool) -> bool {
+pub fn run_until(cluster: &mut Cluster, span: Span, done: impl Fn(&Cluster) -> bool) -> bool {
     let end = cluster.now + span;
-    pump(cluster, |_| false);
+    perform_unless(cluster, |_| false);
     while !done(cluster) {
         if cluster.now >= end {
             return false;
         }
         cluster.now += WAKE;
         for node in 0..cluster.nodes.len() {
-            if !cluster.nodes[node].frozen {
-                give(cluster, node, Event::Wake);
+            if !cluster.nodes[node].paused {
+                deliver_event(cluster, node, Event::Wake);
             }
         }
-        pump(cluster, |_| false);
+        perform_unless(cluster, |_| false);
     }
     true
 }
 
 /// A process that was stopped goes on: what came meanwhile comes now, the calls
 /// of operators first.
-pub fn thaw(cluster: &mut Cluster, node: usize) {
-    cluster.nodes[node].frozen = false;
-    let mut waits = std::mem::take(&mut cluster.nodes[node].waits);
-    waits.sort_by_key(|work| !matches!(work, Work::Call { .. }));
-    cluster.work.extend(waits);
-    pump(cluster, |_| false);
+pub fn resume(cluster: &mut Cluster, node: usize) {
+    cluster.nodes[node].paused = false;
+    let mut deferred = std::mem::take(&mut cluster.nodes[node].deferred);
+    deferred.sort_by_key(|work| !matches!(work, Work::Call { .. }));
+    cluster.work.extend(deferred);
+    perform_unless(cluster, |_| false);
 }
 
 /// The controller that leads the configuration's partition and serves.
@@ -272,7 +272,7 @@
         Role::Leader(owner) if owner.is_serving => Some(owner.term),
         _ => None,
     };
-    let term = |node: &usize| term(node).filter(|_| !cluster.nodes[*node].frozen);
+    let term = |node: &usize| term(node).filter(|_| !cluster.nodes[*node].paused);
     (0..cluster.nodes.len()).filter(|node| term(node).is_some()).max_by_key(|node| term(node))
 }
 
@@ -292,7 +292,7 @@
 }
 
 /// Calls and waits for the answer; `None` if none comes.
-pub fn answer(
+pub fn call_and_wait(
     cluster: &mut Cluster,
     node: usize,
     request: &str,
@@ -300,13 +300,13 @@
     operation: Operation,
 ) -> Option<OperationResult> {
     let op = call(cluster, node, request, expect, operation);
-    pass_until(cluster, 12 * SECOND, |c| c.told.contains_key(&op));
-    cluster.told.get(&op).cloned()
+    run_until(cluster, 12 * SECOND, |c| c.answered.contains_key(&op));
+    cluster.answered.get(&op).cloned()
 }
 
 /// The configuration as it is read through a controller.
-pub fn read_back(cluster: &mut Cluster, node: usize) -> Option<Config> {
-    match answer(cluster, node, "read", None, Operation::Read) {
+pub fn read_configuration(cluster: &mut Cluster, node: usize) -> Option<Config> {
+    match call_and_wait(cluster, node, "read", None, Operation::Read) {
         Some(OperationResult::Configuration { entries: map, .. }) => {
             Config::from_entries(&map).ok()
         }
@@ -320,7 +320,7 @@
     all.clone().for_each(|node| kill(cluster, node, power));
     cluster.work.clear();
     all.for_each(|node| start(cluster, node, false));
-    assert!(pass_until(cluster, 5 * SECOND, |c| leader(c).is_some()), "no leader");
+    assert!(run_until(cluster, 5 * SECOND, |c| leader(c).is_some()), "no leader");
 }
 
 /// Changes the configuration's partition everywhere, on disk and in memory, as
@@ -330,7 +330,7 @@
         if let Some(core) = &mut node.core {
             with(&mut core.partitions[0].state);
         }
-        if let Some(copy) = node.disk.kept.get_mut(&CONFIG) {
+        if let Some(copy) = node.disk.synced.get_mut(&CONFIG) {
             with(copy);
         }
     }
@@ -338,5 +338,5 @@
 
 /// The revision of the configuration on a controller's disk.
 pub fn synced_revision(cluster: &Cluster, node: usize) -> u64 {
-    cluster.nodes[node].disk.kept.get(&CONFIG).map_or(0, |copy| copy.revision)
+    cluster.nodes[node].disk.synced.get(&CONFIG).map_or(0, |copy| copy.revision)
 }
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -1,7 +1,7 @@
 //! Three controllers on a net and disks that a test commands, in virtual time.
 //!
 //! The net keeps the order of the messages between two controllers, as one
-//! connection does. A test says who is cut off, paused, stalled, restarted or has
+//! connection does. A test says who is cut off, paused, disk_stalled, restarted or has
 //! a clock that runs fast or slow; only the latency may vary, by the net's seed.
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -32,25 +32,25 @@
 const MAX_NODES: u64 = 8;
 
 /// What reaches a controller.
-enum Delivery {
+enum Scheduled {
     Event(Event),
     Wake,
     /// A wake that the controller asked for itself.
-    AskedWake,
-    Written,
+    RequestedWake,
+    WriteDone,
 }
 
 struct Node {
     core: ControllerState,
     /// Counts the processes of this machine: what was meant for an earlier one
     /// is lost, except what comes on a new connection.
-    life: u64,
+    incarnation: u64,
     /// The local clock: its reading at `anchor`, and its rate in percent.
     reading: Tick,
     anchor: Tick,
-    rate: u64,
+    clock_percent: u64,
     paused_until: Tick,
-    stalled: bool,
+    disk_stalled: bool,
     /// How long each write takes, one after the other; zero: all together, 2 ms.
     write_span: Span,
     disk_busy_until: Tick,
@@ -68,7 +68,7 @@
 }
 
 /// An answer that an operator got.
-pub struct Answer {
+pub struct Response {
     pub at: Tick,
     pub done: OperationResult,
 }
@@ -77,19 +77,19 @@
 pub struct Cluster {
     pub now: Tick,
     nodes: Vec<Node>,
-    line: BTreeMap<(Tick, u64), (usize, u64, Delivery)>,
-    serial: u64,
+    scheduled: BTreeMap<(Tick, u64), (usize, u64, Scheduled)>,
+    sequence: u64,
     /// Directed pairs on which nothing passes.
-    pub cut: BTreeSet<(usize, usize)>,
-    pub answers: BTreeMap<u64, Answer>,
-    pub asked: BTreeMap<u64, Tick>,
-    next_operation: u64,
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    pub responses: BTreeMap<u64, Response>,
+    pub submitted_at: BTreeMap<u64, Tick>,
+    next_number: u64,
     /// Added to each message's latency at random, at the most.
     pub jitter: Span,
-    pub chance: Random,
+    pub latency_random: Random,
     last_arrival: BTreeMap<(usize, usize), Tick>,
     /// Broken on purpose: what a leader judges counts as proved at once.
-    pub unproved: bool,
+    pub skip_leadership_proof: bool,
     /// Broken on purpose: snapshots lack the newest entry.
     pub lossy_snapshots: bool,
     /// Messages by the first word of their text, and by sender.
@@ -104,14 +104,14 @@
 }
 
 /// The connection of a controller's process to another one: a new process opens a new one.
-fn voter_connection(node: usize, life: u64) -> u64 {
-    let connection = life * MAX_NODES + node as u64;
+fn voter_connection(node: usize, incarnation: u64) -> u64 {
+    let connection = incarnation * MAX_NODES + node as u64;
     assert!(connection < MEMBER_CONNECTION, "too many restarts");
     connection
 }
 
 /// A controller that has just read its disk.
-fn booted(
+fn start_controller(
     node: usize,
     size: usize,
     seed: u64,
@@ -137,13 +137,13 @@
 pub fn cluster(size: usize) -> Cluster {
     let nodes = (0..size)
         .map(|node| Node {
-            core: booted(node, size, 11 + node as u64, true, &BTreeMap::new()),
-            life: 1,
+            core: start_controller(node, size, 11 + node as u64, true, &BTreeMap::new()),
+            incarnation: 1,
             reading: BOOT,
             anchor: 0,
-            rate: 100,
+            clock_percent: 100,
             paused_until: 0,
-            stalled: false,
+            disk_stalled: false,
             write_span: 0,
             disk_busy_until: 0,
             writes: Vec::new(),
@@ -153,45 +153,47 @@
     let mut cluster = Cluster {
         now: 0,
         nodes,
-        line: BTreeMap::new(),
-        serial: 0,
-        cut: BTreeSet::new(),
-        answers: BTreeMap::new(),
-        asked: BTreeMap::new(),
-        next_operation: 1,
+        scheduled: BTreeMap::new(),
+        sequence: 0,
+        blocked_links: BTreeSet::new(),
+        responses: BTreeMap::new(),
+        submitted_at: BTreeMap::new(),
+        next_number: 1,
         jitter: 0,
-        chance: Random::new(1),
+        latency_random: Random::new(1),
         last_arrival: BTreeMap::new(),
-        unproved: false,
+        skip_leadership_proof: false,
         lossy_snapshots: false,
         sent: BTreeMap::new(),
         to_members: Vec::new(),
         alarms: Vec::new(),
     };
     for node in 0..size {
-        push(&mut cluster, node, ms(node as u64), Delivery::Wake);
+        push(&mut cluster, node, ms(node as u64), Scheduled::Wake);
     }
     cluster
 }
 
-fn push(cluster: &mut Cluster, node: usize, after: Span, delivery: Delivery) {
-    cluster.serial += 1;
-    let life = cluster.nodes[node].life;
-    cluster.line.insert((cluster.now + after, cluster.serial), (node, life, delivery));
+fn push(cluster: &mut Cluster, node: usize, after: Span, delivery: Scheduled) {
+    cluster.sequence += 1;
+    let incarnation = cluster.nodes[node].incarnation;
+    cluster
+        .scheduled
+        .insert((cluster.now + after, cluster.sequence), (node, incarnation, delivery));
 }
 
 /// What a controller's own clock shows.
-pub fn local(cluster: &Cluster, node: usize) -> Tick {
+pub fn local_clock(cluster: &Cluster, node: usize) -> Tick {
     let node = &cluster.nodes[node];
-    node.reading + (cluster.now - node.anchor) * node.rate / 100
+    node.reading + (cluster.now - node.anchor) * node.clock_percent / 100
 }
 
 /// Lets a controller's clock run at this rate from now on.
-pub fn rate(cluster: &mut Cluster, node: usize, percent: u64) {
-    let reading = local(cluster, node);
+pub fn set_clock_rate(cluster: &mut Cluster, node: usize, percent: u64) {
+    let reading = local_clock(cluster, node);
     let now = cluster.now;
     let node = &mut cluster.nodes[node];
-    (node.reading, node.anchor, node.rate) = (reading, now, percent);
+    (node.reading, node.anchor, node.clock_percent) = (reading, now, percent);
 }
 
 /// Stops a process for a while; its clock and what reaches it go on.
@@ -202,13 +204,13 @@
 /// Lets nothing pass between a controller and all others.
 pub fn isolate(cluster: &mut Cluster, node: usize) {
     for other in (0..cluster.nodes.len()).filter(|other| *other != node) {
-        cluster.cut.insert((node, other));
-        cluster.cut.insert((other, node));
+        cluster.blocked_links.insert((node, other));
+        cluster.blocked_links.insert((other, node));
     }
 }
 
 /// Holds what one controller sends to another from now on: it all arrives after this time.
-pub fn hold(cluster: &mut Cluster, from: usize, to: usize, span: Span) {
+pub fn delay_messages(cluster: &mut Cluster, from: usize, to: usize, span: Span) {
     cluster.last_arrival.insert((from, to), cluster.now + span);
 }
 
@@ -218,15 +220,15 @@
 }
 
 /// A disk that finishes nothing until it is released.
-pub fn stall(cluster: &mut Cluster, node: usize, stalled: bool) {
-    cluster.nodes[node].stalled = stalled;
-    if !stalled {
-        push(cluster, node, 0, Delivery::Written);
+pub fn stall_disk(cluster: &mut Cluster, node: usize, disk_stalled: bool) {
+    cluster.nodes[node].disk_stalled = disk_stalled;
+    if !disk_stalled {
+        push(cluster, node, 0, Scheduled::WriteDone);
     }
 }
 
 /// The process ends and a new one starts at once on an empty disk.
-pub fn restart_blank(cluster: &mut Cluster, node: usize, seed: u64) {
+pub fn restart_on_empty_disk(cluster: &mut Cluster, node: usize, seed: u64) {
     cluster.nodes[node].disk.clear();
     restart(cluster, node, seed);
 }
@@ -236,41 +238,41 @@
     let size = cluster.nodes.len();
     let now = cluster.now;
     let machine = &mut cluster.nodes[node];
-    machine.life += 1;
-    machine.core = booted(node, size, seed, false, &machine.disk);
+    machine.incarnation += 1;
+    machine.core = start_controller(node, size, seed, false, &machine.disk);
     (machine.reading, machine.anchor, machine.paused_until) = (BOOT, now, 0);
     machine.writes.clear();
-    push(cluster, node, ms(1), Delivery::Wake);
+    push(cluster, node, ms(1), Scheduled::Wake);
 }
 
 /// Loses what is under way between two controllers, as a reset connection does.
-pub fn reset(cluster: &mut Cluster, a: usize, b: usize) {
-    let between = |node: usize, event: &Delivery| match event {
-        Delivery::Event(Event::FromVoter { slot, .. }) => {
+pub fn reset_connection(cluster: &mut Cluster, a: usize, b: usize) {
+    let between = |node: usize, event: &Scheduled| match event {
+        Scheduled::Event(Event::FromVoter { slot, .. }) => {
             let from = usize::from(*slot);
             (from, node) == (a, b) || (from, node) == (b, a)
         }
         _ => false,
     };
-    cluster.line.retain(|_, (node, _, event)| !between(*node, event));
+    cluster.scheduled.retain(|_, (node, _, event)| !between(*node, event));
 }
 
 /// Lets time pass.
 pub fn run(cluster: &mut Cluster, span: Span) {
     let end = cluster.now + span;
-    while let Some(entry) = cluster.line.first_entry() {
+    while let Some(entry) = cluster.scheduled.first_entry() {
         if entry.key().0 > end {
             break;
         }
-        let ((at, _), (node, life, delivery)) = entry.remove_entry();
+        let ((at, _), (node, incarnation, delivery)) = entry.remove_entry();
         cluster.now = cluster.now.max(at);
-        deliver(cluster, node, life, delivery);
+        deliver_scheduled(cluster, node, incarnation, delivery);
     }
     cluster.now = end;
 }
 
 /// Lets time pass until `done`, a minute at the most.
-pub fn until(cluster: &mut Cluster, done: impl Fn(&Cluster) -> bool) {
+pub fn run_until(cluster: &mut Cluster, done: impl Fn(&Cluster) -> bool) {
     let end = cluster.now + 60 * SECOND;
     while !done(cluster) {
         assert!(cluster.now < end, "it does not come to be in a minute");
@@ -278,32 +280,32 @@
     }
 }
 
-fn deliver(cluster: &mut Cluster, node: usize, life: u64, delivery: Delivery) {
+fn deliver_scheduled(cluster: &mut Cluster, node: usize, incarnation: u64, delivery: Scheduled) {
     let machine = &mut cluster.nodes[node];
-    if machine.life != life {
+    if machine.incarnation != incarnation {
         return;
     }
     if machine.paused_until > cluster.now {
-        cluster.serial += 1;
-        let at = (machine.paused_until, cluster.serial);
-        cluster.line.insert(at, (node, life, delivery));
+        cluster.sequence += 1;
+        let at = (machine.paused_until, cluster.sequence);
+        cluster.scheduled.insert(at, (node, incarnation, delivery));
         return;
     }
     match delivery {
-        Delivery::Event(event) => take(cluster, node, event),
-        Delivery::Wake => {
-            let span = WAKE * 100 / machine.rate;
-            push(cluster, node, span, Delivery::Wake);
-            take(cluster, node, Event::Wake);
+        Scheduled::Event(event) => deliver_event(cluster, node, event),
+        Scheduled::Wake => {
+            let span = WAKE * 100 / machine.clock_percent;
+            push(cluster, node, span, Scheduled::Wake);
+            deliver_event(cluster, node, Event::Wake);
         }
-        Delivery::AskedWake => take(cluster, node, Event::Wake),
-        Delivery::Written => {
-            if !machine.stalled {
+        Scheduled::RequestedWake => deliver_event(cluster, node, Event::Wake),
+        Scheduled::WriteDone => {
+            if !machine.disk_stalled {
                 let count = if machine.write_span > 0 { 1 } else { machine.writes.len() };
                 let count = count.min(machine.writes.len());
                 for write in machine.writes.drain(..count).collect::<Vec<_>>() {
-                    let event = written(&mut cluster.nodes[node].disk, write);
-                    take(cluster, node, event);
+                    let event = complete_write(&mut cluster.nodes[node].disk, write);
+                    deliver_event(cluster, node, event);
                 }
             }
         }
@@ -311,7 +313,7 @@
 }
 
 /// A write has reached the disk.
-fn written(disk: &mut BTreeMap<PartitionId, ReplicaState>, write: Write) -> Event {
+fn complete_write(disk: &mut BTreeMap<PartitionId, ReplicaState>, write: Write) -> Event {
     match write {
         Write::Append { partition, token, record } => {
             disk.entry(partition).or_default().apply(&record);
@@ -326,35 +328,38 @@
 }
 
 /// Gives one event to a controller and carries out what it says, now.
-pub fn take(cluster: &mut Cluster, node: usize, event: Event) {
-    let now = local(cluster, node);
+pub fn deliver_event(cluster: &mut Cluster, node: usize, event: Event) {
+    let now = local_clock(cluster, node);
     let core = &mut cluster.nodes[node].core;
     let order = matches!(
         &event,
         Event::Operate { .. } | Event::FromVoter { message: Message::OperationRequest { .. }, .. }
     );
-    let answered = (cluster.unproved && order).then(|| pretend_proof(core));
+    let await_response =
+        (cluster.skip_leadership_proof && order).then(|| assume_next_round_acked(core));
     let commands = core.step(now, event);
-    if let (Some(answered), Role::Leader(leader)) = (answered, &mut core.partitions[0].role) {
-        leader.acked = answered;
+    if let (Some(await_response), Role::Leader(leader)) =
+        (await_response, &mut core.partitions[0].role)
+    {
+        leader.acked = await_response;
     }
     for command in commands {
-        carry_out(cluster, node, command);
+        execute(cluster, node, command);
     }
 }
 
 /// Lets a leader take the next round as answered by all; gives what was true.
-fn pretend_proof(core: &mut ControllerState) -> Vec<AckedRound> {
+fn assume_next_round_acked(core: &mut ControllerState) -> Vec<AckedRound> {
     let Role::Leader(leader) = &mut core.partitions[0].role else { return Vec::new() };
-    let answered = leader.acked.clone();
+    let await_response = leader.acked.clone();
     let next = leader.round + 1;
     leader.acked.iter_mut().for_each(|answer| answer.number = next);
-    answered
+    await_response
 }
 
 /// How long a message takes that is sent now, behind all that was sent before.
-fn transit(cluster: &mut Cluster, from: usize, to: usize) -> Span {
-    let arrival = cluster.now + LATENCY + cluster.chance.below(cluster.jitter);
+fn message_latency(cluster: &mut Cluster, from: usize, to: usize) -> Span {
+    let arrival = cluster.now + LATENCY + cluster.latency_random.below(cluster.jitter);
     let last = cluster.last_arrival.entry((from, to)).or_insert(0);
     *last = arrival.max(*last);
     *last - cluster.now
@@ -369,10 +374,10 @@
         machine.disk_busy_until = machine.disk_busy_until.max(now) + machine.write_span;
         after = machine.disk_busy_until - now;
     }
-    push(cluster, node, after, Delivery::Written);
+    push(cluster, node, after, Scheduled::WriteDone);
 }
 
-fn carry_out(cluster: &mut Cluster, node: usize, command: Command) {
+fn execute(cluster: &mut Cluster, node: usize, command: Command) {
     match command {
         Command::ToVoter { slot, mut message } => {
             if let (true, Message::Snapshot { entries: map, .. }) =
@@ -384,15 +389,15 @@
             let word = word.split([' ', '(', '{']).next().unwrap_or_default().to_string();
             *cluster.sent.entry((node, word)).or_default() += 1;
             let to = usize::from(slot);
-            if cluster.cut.contains(&(node, to)) {
+            if cluster.blocked_links.contains(&(node, to)) {
                 return;
             }
             let slot = node as u8;
-            let connection = voter_connection(node, cluster.nodes[node].life);
+            let connection = voter_connection(node, cluster.nodes[node].incarnation);
             let event =
                 Event::FromVoter { slot, replica_id: fixed_replica_id(slot), connection, message };
-            let after = transit(cluster, node, to);
-            push(cluster, to, after, Delivery::Event(event));
+            let after = message_latency(cluster, node, to);
+            push(cluster, to, after, Scheduled::Event(event));
         }
         Command::ToConnection { message, .. } => cluster.to_members.push((node, message)),
         Command::AppendRecord { partition, token, rec } => {
@@ -404,12 +409,12 @@
         Command::WriteVoterFile { token, .. } => write(cluster, node, Write::VoterSet { token }),
         Command::Respond { op, done } => {
             let at = cluster.now;
-            assert!(!cluster.answers.contains_key(&op), "operation {op} has two answers");
-            cluster.answers.insert(op, Answer { at, done });
+            assert!(!cluster.responses.contains_key(&op), "operation {op} has two answers");
+            cluster.responses.insert(op, Response { at, done });
         }
         Command::WakeAfter { span } => {
-            let span = span * 100 / cluster.nodes[node].rate;
-            push(cluster, node, span, Delivery::AskedWake);
+            let span = span * 100 / cluster.nodes[node].clock_percent;
+            push(cluster, node, span, Scheduled::RequestedWake);
         }
         Command::Alarm(text) => cluster.alarms.push(text),
         _ => {}
@@ -426,7 +431,7 @@
 }
 
 /// Whether this controller believes that it leads the configuration.
-pub fn believes(cluster: &Cluster, node: usize) -> bool {
+pub fn considers_itself_leader(cluster: &Cluster, node: usize) -> bool {
     matches!(&cluster.nodes[node].core.partitions[0].role, Role::Leader(leader) if leader.is_serving)
 }
 
@@ -441,9 +446,9 @@
 }
 
 /// Runs until somebody leads; gives the leader and another controller.
-pub fn led(size: usize) -> (Cluster, usize, usize) {
+pub fn cluster_with_leader(size: usize) -> (Cluster, usize, usize) {
     let mut cluster = cluster(size);
-    until(&mut cluster, |cluster| leader(cluster).is_some());
+    run_until(&mut cluster, |cluster| leader(cluster).is_some());
     let first = leader(&cluster).unwrap();
     // Until the others know it too.
     run(&mut cluster, ms(500));
@@ -451,65 +456,76 @@
 }
 
 /// An operator's request reaches a controller as its next event, at once.
-pub fn ask(cluster: &mut Cluster, node: usize, request: &str, deed: Operation) -> u64 {
-    let operation = number(cluster);
+pub fn submit(cluster: &mut Cluster, node: usize, request: &str, operation: Operation) -> u64 {
+    let number = allocate_number(cluster);
     let request = request.to_string();
-    take(
+    deliver_event(
         cluster,
         node,
-        Event::Operate { op: operation, request, expected_revision: None, operation: deed },
+        Event::Operate { op: number, request, expected_revision: None, operation },
     );
-    operation
+    number
 }
 
 /// The same, on a revision that it expects to change.
-pub fn ask_on(
+pub fn submit_conditional(
     cluster: &mut Cluster,
     node: usize,
     request: &str,
     base: u64,
-    deed: Operation,
+    operation: Operation,
 ) -> u64 {
-    let operation = number(cluster);
+    let number = allocate_number(cluster);
     let event = Event::Operate {
-        op: operation,
+        op: number,
         request: request.to_string(),
         expected_revision: Some(base),
-        operation: deed,
+        operation,
     };
-    take(cluster, node, event);
-    operation
+    deliver_event(cluster, node, event);
+    number
 }
 
 /// An operator's request waits in the socket of a controller that is paused.
-pub fn ask_later(cluster: &mut Cluster, node: usize, request: &str, deed: Operation) -> u64 {
-    let operation = number(cluster);
+pub fn submit_to_paused(
+    cluster: &mut Cluster,
+    node: usize,
+    request: &str,
+    operation: Operation,
+) -> u64 {
+    let number = allocate_number(cluster);
     let request = request.to_string();
-    let event = Event::Operate { op: operation, request, expected_revision: None, operation: deed };
-    push(cluster, node, 0, Delivery::Event(event));
-    operation
+    let event = Event::Operate { op: number, request, expected_revision: None, operation };
+    push(cluster, node, 0, Scheduled::Event(event));
+    number
 }
 
-fn number(cluster: &mut Cluster) -> u64 {
-    let operation = cluster.next_operation;
-    cluster.next_operation += 1;
-    cluster.asked.insert(operation, cluster.now);
-    operation
+fn allocate_number(cluster: &mut Cluster) -> u64 {
+    let number = cluster.next_number;
+    cluster.next_number += 1;
+    cluster.submitted_at.insert(number, cluster.now);
+    number
 }
 
 /// Runs until an operation has its answer.
-pub fn answered(cluster: &mut Cluster, operation: u64) -> OperationResult {
-    until(cluster, |cluster| cluster.answers.contains_key(&operation));
-    cluster.answers[&operation].done.clone()
+pub fn await_response(cluster: &mut Cluster, operation: u64) -> OperationResult {
+    run_until(cluster, |cluster| cluster.responses.contains_key(&operation));
+    cluster.responses[&operation].done.clone()
 }
 
 /// How long an operation took to its answer.
-pub fn took(cluster: &Cluster, operation: u64) -> Span {
-    cluster.answers[&operation].at - cluster.asked[&operation]
+pub fn response_time(cluster: &Cluster, operation: u64) -> Span {
+    cluster.responses[&operation].at - cluster.submitted_at[&operation]
 }
 
 /// A member renews at a controller.
-pub fn renew(cluster: &mut Cluster, node: usize, name: &str, count: u64, far: MemberProgress) {
+pub fn renew_lease(
+    cluster: &mut Cluster,
+    node: usize,
+    name: &str,
+    count: u64,
+    far: MemberProgress,
+) {
     let member = Member {
         name: name.into(),
         addr: name.into(),
@@ -519,7 +535,7 @@
         incarnation: 1,
     };
     let connection = MEMBER_CONNECTION + u64::from(name.as_bytes().last().copied().unwrap_or(0));
-    take(
+    deliver_event(
         cluster,
         node,
         Event::FromConnection {
@@ -531,35 +547,35 @@
 
 /// Ends a pause before anything that waits is taken: what the test gives the
 /// controller next is its first event.
-pub fn resume(cluster: &mut Cluster, node: usize) {
+pub fn resume_before_pending(cluster: &mut Cluster, node: usize) {
     cluster.nodes[node].paused_until = cluster.now;
 }
 
 /// Ends a pause: what waits is taken now, in its order.
-pub fn wake_up(cluster: &mut Cluster, node: usize) {
+pub fn resume_with_pending(cluster: &mut Cluster, node: usize) {
     let end = std::mem::replace(&mut cluster.nodes[node].paused_until, cluster.now);
     let waits =
-        |key: &(Tick, u64), (to, _, _): &mut (usize, u64, Delivery)| key.0 == end && *to == node;
-    let waiting: Vec<_> = cluster.line.extract_if(.., waits).collect();
-    for ((_, serial), delivery) in waiting {
-        cluster.line.insert((cluster.now, serial), delivery);
+        |key: &(Tick, u64), (to, _, _): &mut (usize, u64, Scheduled)| key.0 == end && *to == node;
+    let waiting: Vec<_> = cluster.scheduled.extract_if(.., waits).collect();
+    for ((_, sequence), delivery) in waiting {
+        cluster.scheduled.insert((cluster.now, sequence), delivery);
     }
 }
 
 /// An operator's request with a number of the test's own: the numbers of a new
 /// process begin anew.
-pub fn ask_numbered(
+pub fn submit_with_number(
     cluster: &mut Cluster,
     node: usize,
     number: u64,
     request: &str,
-    deed: Operation,
+    operation: Operation,
 ) {
-    cluster.asked.insert(number, cluster.now);
+    cluster.submitted_at.insert(number, cluster.now);
     let request = request.to_string();
-    take(
+    deliver_event(
         cluster,
         node,
-        Event::Operate { op: number, request, expected_revision: None, operation: deed },
+        Event::Operate { op: number, request, expected_revision: None, operation },
     );
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -11,7 +11,7 @@
 use grebepath_core::time::{BOOT, Tick};
 
 /// The seat, its clock and its operators' numbers.
-pub struct One {
+pub struct SingleController {
     core: ControllerState,
     now: Tick,
     ops: u64,
@@ -19,7 +19,7 @@
 }
 
 /// A seat that owns the configuration, which is empty.
-pub fn one() -> One {
+pub fn single_controller() -> SingleController {
     let addr = "127.0.0.1:1".to_string();
     let start = Start {
         slot: Some(0),
@@ -30,10 +30,10 @@
     };
     let (roll, _) = begin(None, &start, true, 5);
     let core = ControllerState::new(roll, (&addr, "a"), Vec::new(), 7, BOOT);
-    One { core, now: BOOT, ops: 0, done: Vec::new() }
+    SingleController { core, now: BOOT, ops: 0, done: Vec::new() }
 }
 
-fn feed(o: &mut One, event: Event) {
+fn feed(o: &mut SingleController, event: Event) {
     let mut line = vec![event];
     while !line.is_empty() {
         for command in o.core.step(o.now, line.remove(0)) {
@@ -53,7 +53,7 @@
 }
 
 /// Gives requests to the seat at one moment; their outcomes, in this order.
-pub fn together(o: &mut One, asks: Vec<(&str, Operation)>) -> Vec<OperationResult> {
+pub fn submit_all(o: &mut SingleController, asks: Vec<(&str, Operation)>) -> Vec<OperationResult> {
     let first = o.ops;
     let n = asks.len() as u64;
     for (request, operation) in asks {
@@ -75,14 +75,14 @@
 }
 
 /// Gives one request to the seat and waits for its outcome.
-pub fn operate(o: &mut One, request: &str, operation: Operation) -> OperationResult {
-    together(o, vec![(request, operation)]).remove(0)
+pub fn submit(o: &mut SingleController, request: &str, operation: Operation) -> OperationResult {
+    submit_all(o, vec![(request, operation)]).remove(0)
 }
 
 /// The configuration as the owner reads it back.
 #[allow(dead_code)]
-pub fn standing(o: &mut One) -> Config {
-    match operate(o, "read", Operation::Read) {
+pub fn read_configuration(o: &mut SingleController) -> Config {
+    match submit(o, "read", Operation::Read) {
         OperationResult::Configuration { entries: map, .. } => Config::from_entries(&map).unwrap(),
         other => panic!("{other:?}"),
     }
--- a/crates/core/tests/editions.rs
+++ b/crates/core/tests/editions.rs
@@ -3,7 +3,7 @@
 
 mod common;
 
-use common::{One, one, operate, standing, together};
+use common::{SingleController, read_configuration, single_controller, submit, submit_all};
 use googletest::prelude::*;
 use grebepath_core::protocol::operation::{Operation, OperationResult};
 use serde_json::{Value, json};
@@ -44,8 +44,8 @@
     }
 }
 
-fn stands(o: &mut One) -> (u64, String) {
-    let conf = standing(o);
+fn stands(o: &mut SingleController) -> (u64, String) {
+    let conf = read_configuration(o);
     (conf.client_limits.edition, conf.searches.get("r").map_or(String::new(), |s| s.path.clone()))
 }
 
@@ -58,8 +58,8 @@
         (whole(3, 9, "/a/"), patch(3, 4, "/b/")),
         (patch(3, 4, "/a/"), whole(3, 9, "/b/")),
     ] {
-        let mut o = one();
-        assert!(accepted(&operate(&mut o, "0", whole(0, 3, "/first/"))));
+        let mut o = single_controller();
+        assert!(accepted(&submit(&mut o, "0", whole(0, 3, "/first/"))));
         let won = match &a {
             Operation::Replace(t) | Operation::Patch(t) => {
                 let val: Value = serde_json::from_slice(t).unwrap();
@@ -67,7 +67,7 @@
             }
             _ => 0,
         };
-        let done = together(&mut o, vec![("a", a), ("b", b)]);
+        let done = submit_all(&mut o, vec![("a", a), ("b", b)]);
         expect_that!(accepted(&done[0]), eq(true));
         expect_that!(moved(&done[1]), some(eq(won)));
         expect_that!(stands(&mut o), eq(&(won, "/a/".to_string())));
@@ -78,43 +78,43 @@
 fn the_same_request_again_is_accepted_again_and_changes_nothing() {
     // Guards against an operator who lost the answer and takes the 412 to its
     // own repetition for a lost race.
-    let mut o = one();
-    expect_that!(accepted(&operate(&mut o, "a", whole(0, 3, "/a/"))), eq(true));
-    expect_that!(accepted(&operate(&mut o, "a", whole(0, 3, "/a/"))), eq(true));
-    expect_that!(accepted(&operate(&mut o, "b", patch(3, 8, "/b/"))), eq(true));
+    let mut o = single_controller();
+    expect_that!(accepted(&submit(&mut o, "a", whole(0, 3, "/a/"))), eq(true));
+    expect_that!(accepted(&submit(&mut o, "a", whole(0, 3, "/a/"))), eq(true));
+    expect_that!(accepted(&submit(&mut o, "b", patch(3, 8, "/b/"))), eq(true));
     // Also when others have come since, and together with itself.
-    let done = together(
+    let done = submit_all(
         &mut o,
         vec![("a", whole(0, 3, "/a/")), ("b", patch(3, 8, "/b/")), ("b", patch(3, 8, "/b/"))],
     );
     expect_that!(done.iter().all(accepted), eq(true));
     expect_that!(stands(&mut o), eq(&(8, "/b/".to_string())));
     // The same id for another request is neither.
-    expect_that!(wrong(&operate(&mut o, "a", whole(8, 9, "/c/"))), elements_are![eq("request")]);
+    expect_that!(wrong(&submit(&mut o, "a", whole(8, 9, "/c/"))), elements_are![eq("request")]);
     expect_that!(stands(&mut o), eq(&(8, "/b/".to_string())));
 }
 
 #[googletest::test]
 fn editions_rise_in_uneven_steps_and_never_fall_or_stay() {
-    let mut o = one();
+    let mut o = single_controller();
     let mut stand = 0;
     for (i, next) in [1u64, 2, 9, 10, 5_000, u64::from(u32::MAX) + 7].into_iter().enumerate() {
         let path = format!("/{next}/");
         for low in [0, stand / 2, stand] {
             let (req, operation) = (format!("low-{i}-{low}"), whole(stand, low, "/low/"));
             expect_that!(
-                wrong(&operate(&mut o, &req, operation)),
+                wrong(&submit(&mut o, &req, operation)),
                 elements_are![eq("terms.edition")]
             );
         }
         let operation =
             if i % 2 == 0 { whole(stand, next, &path) } else { patch(stand, next, &path) };
-        expect_that!(accepted(&operate(&mut o, &format!("n{i}"), operation)), eq(true));
+        expect_that!(accepted(&submit(&mut o, &format!("n{i}"), operation)), eq(true));
         stand = next;
         expect_that!(stands(&mut o), eq(&(next, path)));
         // On top of any other edition, higher ones too, it is not taken.
         for (j, after) in [0, next - 1, next + 1].into_iter().enumerate() {
-            let got = operate(&mut o, &format!("m{i}-{j}"), whole(after, next + 5, "/m/"));
+            let got = submit(&mut o, &format!("m{i}-{j}"), whole(after, next + 5, "/m/"));
             let want = if after == next { None } else { Some(next) };
             expect_that!(moved(&got), eq(want));
         }
@@ -124,45 +124,45 @@
 #[googletest::test]
 fn what_is_wrong_or_came_too_late_leaves_everything_as_it_was() {
     // Guards against half of a refused change in force.
-    let mut o = one();
-    operate(&mut o, "0", whole(0, 3, "/a/"));
-    let before = standing(&mut o);
+    let mut o = single_controller();
+    submit(&mut o, "0", whole(0, 3, "/a/"));
+    let before = read_configuration(&mut o);
     let bad = json!({ "searches": [search("r", "/b/", "p"), search("s", "/b/", "p")],
         "terms": { "after": 3, "edition": 4 } });
-    let got = operate(&mut o, "1", Operation::Patch(bad.to_string().into_bytes()));
+    let got = submit(&mut o, "1", Operation::Patch(bad.to_string().into_bytes()));
     expect_that!(wrong(&got), elements_are![eq("searches[s].path")]);
     let gone = json!({ "remove": { "pools": ["p"] }, "terms": { "after": 3, "edition": 4 } });
-    let got = operate(&mut o, "2", Operation::Patch(gone.to_string().into_bytes()));
+    let got = submit(&mut o, "2", Operation::Patch(gone.to_string().into_bytes()));
     expect_that!(wrong(&got).is_empty(), eq(false));
-    operate(&mut o, "3", patch(2, 9, "/late/"));
-    expect_that!(standing(&mut o) == before, eq(true));
+    submit(&mut o, "3", patch(2, 9, "/late/"));
+    expect_that!(read_configuration(&mut o) == before, eq(true));
     // And the edition that was named in vain can be named again.
-    expect_that!(accepted(&operate(&mut o, "4", patch(3, 4, "/b/"))), eq(true));
+    expect_that!(accepted(&submit(&mut o, "4", patch(3, 4, "/b/"))), eq(true));
 }
 
 #[googletest::test]
 fn a_whole_change_keeps_emptied_zones_only_if_it_says_so() {
     // Guards against an emptied zone that fills again with the next change of
     // the searches, while its machines are being worked on.
-    let mut o = one();
-    operate(&mut o, "0", whole(0, 3, "/a/"));
+    let mut o = single_controller();
+    submit(&mut o, "0", whole(0, 3, "/a/"));
     let zone = |state: &str| {
         let val = json!({ "zones": [{ "name": "z", "state": state }] });
         Operation::Patch(val.to_string().into_bytes())
     };
-    expect_that!(accepted(&operate(&mut o, "z", zone("drained"))), eq(true));
-    let conf = standing(&mut o);
+    expect_that!(accepted(&submit(&mut o, "z", zone("drained"))), eq(true));
+    let conf = read_configuration(&mut o);
     expect_that!((conf.client_limits.edition, conf.zones["z"].drained), eq((3, true)));
-    operate(&mut o, "1", whole(3, 4, "/b/"));
-    operate(&mut o, "2", patch(4, 5, "/c/"));
-    expect_that!(standing(&mut o).zones["z"].drained, eq(true));
-    operate(&mut o, "y", zone("open"));
-    expect_that!(standing(&mut o).zones["z"].drained, eq(false));
-    operate(&mut o, "x", zone("drained"));
+    submit(&mut o, "1", whole(3, 4, "/b/"));
+    submit(&mut o, "2", patch(4, 5, "/c/"));
+    expect_that!(read_configuration(&mut o).zones["z"].drained, eq(true));
+    submit(&mut o, "y", zone("open"));
+    expect_that!(read_configuration(&mut o).zones["z"].drained, eq(false));
+    submit(&mut o, "x", zone("drained"));
     // Our own manner names zones in the whole, and these alone then stand.
     let own = json!({ "searches": [search("r", "/d/", "p")], "pools": [pool("p")] });
-    operate(&mut o, "3", Operation::Replace(own.to_string().into_bytes()));
-    let conf = standing(&mut o);
+    submit(&mut o, "3", Operation::Replace(own.to_string().into_bytes()));
+    let conf = read_configuration(&mut o);
     expect_that!(conf.zones.is_empty(), eq(true));
     // It names no edition, so the one that stands remains.
     expect_that!(conf.client_limits.edition, eq(5));
@@ -170,7 +170,7 @@
 
 #[googletest::test]
 fn terms_stand_until_a_change_sets_them_and_go_with_a_whole_that_does_not() {
-    let mut o = one();
+    let mut o = single_controller();
     let terms = |after: u64, edition: u64, more: Value| {
         let mut val = json!({ "after": after, "edition": edition });
         for (k, v) in more.as_object().unwrap() {
@@ -185,23 +185,23 @@
     };
     let all = json!({ "head_max": 9, "body_max": 8, "head_wait_ms": 7, "idle_ms": 6,
         "origin": "{\"x\":1}" });
-    operate(&mut o, "0", full(terms(0, 2, all)));
-    operate(&mut o, "1", patch(2, 4, "/b/"));
-    let t = standing(&mut o).client_limits;
+    submit(&mut o, "0", full(terms(0, 2, all)));
+    submit(&mut o, "1", patch(2, 4, "/b/"));
+    let t = read_configuration(&mut o).client_limits;
     let nums = (t.edition, t.head_max, t.body_max, t.head_wait_ms, t.idle_ms);
     expect_that!(nums, eq((4, 9, 8, 7, 6)));
     expect_that!(t.original_json, eq("{\"x\":1}"));
     // A part that sets one term sets all of them: the others fall back.
     let val = json!({ "terms": terms(4, 5, json!({ "idle_ms": 60 })) });
-    operate(&mut o, "2", Operation::Patch(val.to_string().into_bytes()));
-    let t = standing(&mut o).client_limits;
+    submit(&mut o, "2", Operation::Patch(val.to_string().into_bytes()));
+    let t = read_configuration(&mut o).client_limits;
     expect_that!((t.edition, t.idle_ms, t.head_max), eq((5, 60, 0)));
-    operate(&mut o, "3", full(terms(5, 6, json!({}))));
-    let t = standing(&mut o).client_limits;
+    submit(&mut o, "3", full(terms(5, 6, json!({}))));
+    let t = read_configuration(&mut o).client_limits;
     expect_that!((t.edition, t.idle_ms), eq((6, 0)));
     // Terms that can't be read are found with their places.
     let bad = json!({ "terms": { "after": -1, "edition": 7.5, "idle_ms": "x", "more": 1 } });
-    let got = operate(&mut o, "4", Operation::Patch(bad.to_string().into_bytes()));
+    let got = submit(&mut o, "4", Operation::Patch(bad.to_string().into_bytes()));
     expect_that!(
         wrong(&got),
         unordered_elements_are![
--- a/crates/core/tests/elections.rs
+++ b/crates/core/tests/elections.rs
@@ -22,20 +22,20 @@
 
 /// How long the first order takes that comes when `fault` has struck the leader.
 fn first_order(size: usize, seed: u64, fault: fn(&mut Cluster, usize)) -> Span {
-    let (mut cluster, leader, other) = led(size);
+    let (mut cluster, leader, other) = cluster_with_leader(size);
     cluster.jitter = ms(3);
     let mut chance = Random::new(seed);
-    let before = ask(&mut cluster, leader, "before", change("a"));
-    assert!(matches!(answered(&mut cluster, before), OperationResult::Accepted { .. }));
+    let before = submit(&mut cluster, leader, "before", change("a"));
+    assert!(matches!(await_response(&mut cluster, before), OperationResult::Accepted { .. }));
     let phase = ms(chance.below(400));
     run(&mut cluster, phase);
     fault(&mut cluster, leader);
     let later = ms(chance.below(100));
     run(&mut cluster, later);
-    let order = ask(&mut cluster, other, "after", change("b"));
-    let done = answered(&mut cluster, order);
+    let order = submit(&mut cluster, other, "after", change("b"));
+    let done = await_response(&mut cluster, order);
     assert!(matches!(done, OperationResult::Accepted { .. }), "{done:?}");
-    took(&cluster, order)
+    response_time(&cluster, order)
 }
 
 /// The times of all seeds in milliseconds, the shortest first.
@@ -65,9 +65,9 @@
 /// How long the first order takes after a leader's death while each write of these
 /// many disks takes so long.
 fn with_slow_disks(seed: u64, slow: usize, span: Span) -> Span {
-    let (mut cluster, leader, other) = led(3);
+    let (mut cluster, leader, other) = cluster_with_leader(3);
     cluster.jitter = ms(3);
-    cluster.chance = Random::new(seed);
+    cluster.latency_random = Random::new(seed);
     let third = 3 - leader - other;
     for node in [third, other].into_iter().take(slow) {
         slow_disk(&mut cluster, node, span);
@@ -78,8 +78,8 @@
     run(&mut cluster, ms(50));
     let began = cluster.now;
     for number in 0..20 {
-        let order = ask(&mut cluster, other, "after", change(&format!("b{number}")));
-        if matches!(answered(&mut cluster, order), OperationResult::Accepted { .. }) {
+        let order = submit(&mut cluster, other, "after", change(&format!("b{number}")));
+        if matches!(await_response(&mut cluster, order), OperationResult::Accepted { .. }) {
             break;
         }
     }
@@ -100,24 +100,24 @@
 #[googletest::test]
 fn a_leader_whose_disk_is_slow_but_works_does_not_step_back() {
     // 40 changes wait in line, 120 ms each: longer than a disk may stall.
-    let (mut cluster, leader, other) = led(3);
+    let (mut cluster, leader, other) = cluster_with_leader(3);
     for node in 0..3 {
         slow_disk(&mut cluster, node, ms(120));
     }
     let orders: Vec<u64> =
-        (0..40).map(|n| ask(&mut cluster, other, &format!("o{n}"), change("c"))).collect();
+        (0..40).map(|n| submit(&mut cluster, other, &format!("o{n}"), change("c"))).collect();
     run(&mut cluster, 12 * SECOND);
     expect_that!(cluster.alarms, not(contains(contains_substring("is suspended"))));
-    expect_that!(believes(&cluster, leader), eq(true));
+    expect_that!(considers_itself_leader(&cluster, leader), eq(true));
     for order in orders {
-        expect_that!(cluster.answers.contains_key(&order), eq(true));
+        expect_that!(cluster.responses.contains_key(&order), eq(true));
     }
 }
 
 #[googletest::test]
 fn an_order_hardly_waits_when_a_leader_steps_down_in_order() {
     for size in [3, 5, 7] {
-        let times = times(size, |cluster, leader| take(cluster, leader, Event::Stop));
+        let times = times(size, |cluster, leader| deliver_event(cluster, leader, Event::Stop));
         expect_that!(times[times.len() - 2], lt(300), "{size} voters");
     }
 }
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -19,7 +19,10 @@
 use std::collections::BTreeSet;
 use std::fmt::Debug;
 
-use cluster::{Cluster, answer, cluster as started_cluster, give, kill, leader, pass, pass_until};
+use cluster::{
+    Cluster, call_and_wait, cluster as started_cluster, deliver_event, kill, leader, run_for,
+    run_until,
+};
 use googletest::prelude::*;
 use grebepath_core::config::types::{Config, ZoneConfig};
 use grebepath_core::control_plane::controller::Event;
@@ -215,8 +218,12 @@
     };
     let message =
         Message::RenewLease { member, number: count, progress: MemberProgress::default() };
-    give(cluster, 0, Event::FromConnection { connection: 1_000 + incarnation % 10, message });
-    pass(cluster, ms(100));
+    deliver_event(
+        cluster,
+        0,
+        Event::FromConnection { connection: 1_000 + incarnation % 10, message },
+    );
+    run_for(cluster, ms(100));
 }
 
 fn stored_map(cluster: &Cluster) -> &EntryMap {
@@ -228,9 +235,9 @@
     let [(files, _), ..] = partitions();
     let mut cluster = started_cluster(1);
     kill(&mut cluster, 0, false);
-    cluster.nodes[0].disk.kept.insert(CONFIG, newest(&files, 0));
+    cluster.nodes[0].disk.synced.insert(CONFIG, newest(&files, 0));
     cluster::start(&mut cluster, 0, false);
-    assert!(pass_until(&mut cluster, 5 * SECOND, |cluster| leader(cluster).is_some()));
+    assert!(run_until(&mut cluster, 5 * SECOND, |cluster| leader(cluster).is_some()));
     let name = stored::FORGOTTEN_NAME;
     let (key, _) = stored::forgotten_entry(name, 0, 0);
     // The entry names one process, and goes when that one renews after all.
@@ -251,7 +258,7 @@
         renew(&mut cluster, "querier-1", 11, count);
     }
     let operation = Operation::ForgetMember(stored::FORGOTTEN_NAME.into());
-    let done = answer(&mut cluster, 0, "", None, operation);
+    let done = call_and_wait(&mut cluster, 0, "", None, operation);
     let Some(OperationResult::Accepted { revision, .. }) = done else { panic!("{done:?}") };
     let (name, incarnation) = silent[1];
     let (key, value) = stored::forgotten_entry(name, incarnation, revision);
--- a/crates/core/tests/list_pollers.rs
+++ b/crates/core/tests/list_pollers.rs
@@ -24,7 +24,7 @@
 
 impl Fleet {
     fn new() -> Fleet {
-        let (cluster, leader, _) = led(3);
+        let (cluster, leader, _) = cluster_with_leader(3);
         let mut fleet = Fleet { cluster, leader, renewals: 0 };
         fleet.renew_for(5 * SECOND, &NAMES);
         fleet
@@ -60,7 +60,7 @@
                     attestation_age_ms: 60_000,
                     ..MemberProgress::default()
                 };
-                renew(&mut self.cluster, self.leader, name, self.renewals, progress);
+                renew_lease(&mut self.cluster, self.leader, name, self.renewals, progress);
             }
             run(&mut self.cluster, INTERVAL);
         }
@@ -112,7 +112,7 @@
     let left: Vec<&str> = ranked[2..].iter().map(String::as_str).collect();
     let former = fleet.leader;
     isolate(&mut fleet.cluster, former);
-    until(&mut fleet.cluster, |cluster| leader(cluster).is_some_and(|node| node != former));
+    run_until(&mut fleet.cluster, |cluster| leader(cluster).is_some_and(|node| node != former));
     fleet.leader = leader(&fleet.cluster).expect("another one leads");
     let told = fleet.renew_for(2 * SECOND, &left);
     let next = [(ranked[2].clone(), 0), (ranked[3].clone(), 1)];
--- a/crates/core/tests/memberships.rs
+++ b/crates/core/tests/memberships.rs
@@ -37,7 +37,7 @@
         *count += 1;
         let seen = told(cluster, node);
         for name in ["a", "b"] {
-            renew(cluster, node, name, *count, far(seen));
+            renew_lease(cluster, node, name, *count, far(seen));
         }
         run(cluster, ms(250));
     }
@@ -46,7 +46,7 @@
 #[googletest::test]
 fn a_voter_that_restarts_is_sent_the_membership_again() {
     // Else restarts of all, one after the other, lose what nobody was ever without.
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     let third = 3 - first - other;
     let mut count = 0;
     renew_both(&mut cluster, first, &mut count);
@@ -62,7 +62,7 @@
 #[googletest::test]
 fn a_membership_that_one_voter_remembers_survives_restarts_of_all_others_at_once() {
     for size in [3, 5] {
-        let (mut cluster, first, other) = led(size);
+        let (mut cluster, first, other) = cluster_with_leader(size);
         let mut count = 0;
         renew_both(&mut cluster, first, &mut count);
         let membership = told(&cluster, first);
@@ -72,10 +72,10 @@
         }
         // The only one that remembers it is reached just after another one was elected.
         isolate(&mut cluster, other);
-        until(&mut cluster, |cluster| leader(cluster).is_some_and(|node| node != other));
+        run_until(&mut cluster, |cluster| leader(cluster).is_some_and(|node| node != other));
         run(&mut cluster, ms(100));
-        cluster.cut.clear();
-        until(&mut cluster, |cluster| {
+        cluster.blocked_links.clear();
+        run_until(&mut cluster, |cluster| {
             leader(cluster).is_some_and(|node| core_of(cluster, node).members.log.is_inherited())
         });
         let now = leader(&cluster).unwrap();
@@ -85,7 +85,7 @@
 
 #[googletest::test]
 fn what_a_former_process_acknowledged_does_not_confirm_a_membership() {
-    let (mut cluster, first, other) = led(5);
+    let (mut cluster, first, other) = cluster_with_leader(5);
     let mut count = 0;
     renew_both(&mut cluster, first, &mut count);
     let before = told(&cluster, first);
@@ -96,7 +96,7 @@
     // One voter acknowledges the new membership and restarts.
     count += 1;
     for (name, seen) in [("a", before), ("b", before), ("c", NONE)] {
-        renew(&mut cluster, first, name, count, far(seen));
+        renew_lease(&mut cluster, first, name, count, far(seen));
     }
     while core_of(&cluster, other).members.log.proposed.is_none() {
         assert!(cluster.now < 60 * SECOND, "nothing was proposed");
@@ -107,8 +107,8 @@
     run(&mut cluster, ms(250));
     // Another one does so too; it is the second of the three that are needed.
     let (a, b) = (first, rest[0]);
-    cluster.cut.retain(|link| *link != (a, b) && *link != (b, a));
-    until(&mut cluster, |cluster| told(cluster, first) > before);
+    cluster.blocked_links.retain(|link| *link != (a, b) && *link != (b, a));
+    run_until(&mut cluster, |cluster| told(cluster, first) > before);
     let new = told(&cluster, first);
     let holders = (0..5).filter(|node| core_of(&cluster, *node).members.knows(new)).count();
     expect_that!(holders, ge(3));
@@ -116,7 +116,7 @@
 
 #[googletest::test]
 fn a_new_leader_issues_no_membership_before_it_knows_the_former_ones() {
-    let (mut cluster, first, _) = led(3);
+    let (mut cluster, first, _) = cluster_with_leader(3);
     let mut count = 0;
     renew_both(&mut cluster, first, &mut count);
     let seen = told(&cluster, first);
@@ -130,7 +130,7 @@
     expect_that!(core_of(&cluster, second).members.log.is_inherited(), eq(false));
     isolate(&mut cluster, second);
     let leaving = MemberProgress { leaving: true, ..far(seen) };
-    renew(&mut cluster, second, "a", count + 1, leaving);
+    renew_lease(&mut cluster, second, "a", count + 1, leaving);
     run(&mut cluster, ms(20));
     expect_that!(core_of(&cluster, second).members.log.is_inherited(), eq(false));
     expect_that!(core_of(&cluster, second).members.log.proposed.is_none(), eq(true));
@@ -138,13 +138,13 @@
 
 #[googletest::test]
 fn a_membership_that_only_some_members_and_one_voter_know_of_blocks_no_other() {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     let third = 3 - first - other;
     let mut count = 0;
     let mut everybody = |cluster: &mut Cluster, node: usize, list: &[(&str, MembershipId)]| {
         count += 1;
         for (name, saw) in list {
-            renew(cluster, node, name, count, far(*saw));
+            renew_lease(cluster, node, name, count, far(*saw));
         }
     };
     everybody(&mut cluster, first, &[("a", NONE), ("b", NONE)]);
@@ -166,8 +166,8 @@
     // Both who know that it was confirmed lose their memory; `a` has seen it.
     restart(&mut cluster, first, 71);
     restart(&mut cluster, third, 72);
-    cluster.cut.clear();
-    until(&mut cluster, |cluster| leader(cluster).is_some());
+    cluster.blocked_links.clear();
+    run_until(&mut cluster, |cluster| leader(cluster).is_some());
     let list = [("a", new), ("b", before), ("c", before), ("d", NONE)];
     for _ in 0..40 {
         let now = leader(&cluster).unwrap_or(first);
--- a/crates/core/tests/order_races.rs
+++ b/crates/core/tests/order_races.rs
@@ -7,8 +7,8 @@
 mod races;
 
 use googletest::prelude::*;
-use races::list::{races, races_of};
-use races::{Fault, Race, STAGES, Stage, order, play};
+use races::cases::{races, races_of};
+use races::{Fault, Race, STAGES, Stage, config_change, run_race};
 
 /// Plays all races of a stage; tells how many first orders were accepted and
 /// how often the leader changed.
@@ -16,8 +16,8 @@
     let all = races(stage);
     let (mut first, mut changed) = (0, 0);
     for race in &all {
-        let outcome = play(race);
-        assert!(outcome.wrong.is_empty(), "{race:?}: {:#?}", outcome.wrong);
+        let outcome = run_race(race);
+        assert!(outcome.violations.is_empty(), "{race:?}: {:#?}", outcome.violations);
         first += usize::from(outcome.first_accepted);
         changed += usize::from(outcome.leader_changed);
     }
@@ -83,12 +83,12 @@
     let mut count = 0;
     for stage in STAGES {
         for (number, mut race) in races(stage).into_iter().enumerate() {
-            if !matches!(race.fault, Fault::LeaderKilled { .. } | Fault::LeaderCut { .. }) {
+            if !matches!(race.fault, Fault::LeaderKilled { .. } | Fault::LeaderIsolated { .. }) {
                 continue;
             }
             race.rival_stage = Some(STAGES[(number / 3 + number) % STAGES.len()]);
-            let wrong = play(&race).wrong;
-            assert!(wrong.is_empty(), "{race:?}: {wrong:#?}");
+            let violations = run_race(&race).violations;
+            assert!(violations.is_empty(), "{race:?}: {violations:#?}");
             count += 1;
         }
     }
@@ -99,9 +99,9 @@
 fn orders_that_wait_at_a_leader_whose_process_was_stopped() {
     // It goes on as if it still led, before it hears of the next leader.
     for stage in STAGES {
-        for race in races_of(stage, &[Fault::LeaderFrozen]) {
-            let wrong = play(&race).wrong;
-            assert!(wrong.is_empty(), "{race:?}: {wrong:#?}");
+        for race in races_of(stage, &[Fault::LeaderPaused]) {
+            let violations = run_race(&race).violations;
+            assert!(violations.is_empty(), "{race:?}: {violations:#?}");
         }
     }
 }
@@ -114,7 +114,7 @@
     for stage in [Stage::MajoritySynced, Stage::Answered] {
         for mut race in races(stage).into_iter().step_by(11) {
             change(&mut race);
-            all.push_str(&play(&race).wrong.join("\n"));
+            all.push_str(&run_race(&race).violations.join("\n"));
         }
     }
     all
@@ -122,15 +122,15 @@
 
 #[googletest::test]
 fn a_memory_that_forgets_is_caught() {
-    let found = found(|race| race.forgets = true);
+    let found = found(|race| race.loses_dedup_state = true);
     expect_that!(found, contains_substring("accepted and refused"));
 }
 
 #[googletest::test]
 fn two_orders_accepted_on_one_base_are_caught() {
     let found = found(|race| {
-        race.first = order(false, None, 0, "first");
-        race.rival = order(false, None, 0, "rival");
+        race.first = config_change(false, None, 0, "first");
+        race.rival = config_change(false, None, 0, "rival");
     });
     expect_that!(found, contains_substring("both accepted"));
     expect_that!(found, not(contains_substring("applied twice")));
@@ -139,8 +139,8 @@
 #[googletest::test]
 fn a_resend_that_is_applied_twice_is_caught() {
     let found = found(|race| {
-        race.first = order(false, None, 0, "first");
-        race.forgets = true;
+        race.first = config_change(false, None, 0, "first");
+        race.loses_dedup_state = true;
     });
     expect_that!(found, contains_substring("first was applied twice"));
 }
--- a/crates/core/tests/order_resend.rs
+++ b/crates/core/tests/order_resend.rs
@@ -5,8 +5,10 @@
 mod cluster;
 mod common;
 
-use cluster::{Cluster, answer, call, cluster, leader, pass_until, read_back, restart_all};
-use common::{One, one, operate};
+use cluster::{
+    Cluster, call, call_and_wait, cluster, leader, read_configuration, restart_all, run_until,
+};
+use common::{SingleController, single_controller, submit};
 use googletest::prelude::*;
 use grebepath_core::control_plane::request_dedup::{fingerprint, horizon, insert};
 use grebepath_core::identifiers::CONFIG;
@@ -28,14 +30,14 @@
 }
 
 /// Sends the order on edition `base` under its own request id.
-fn send(controller: &mut One, base: u64) -> OperationResult {
-    operate(controller, &format!("order-{base}"), order(base))
+fn send(controller: &mut SingleController, base: u64) -> OperationResult {
+    submit(controller, &format!("order-{base}"), order(base))
 }
 
 #[googletest::test]
 fn an_order_sent_again_after_many_others_is_acknowledged_again() {
     for others in [600, 2_000] {
-        let mut controller = one();
+        let mut controller = single_controller();
         for base in 0..=others {
             let done = send(&mut controller, base);
             expect_that!(done, matches_pattern!(OperationResult::Accepted { .. }), "order {base}");
@@ -59,10 +61,10 @@
 /// Three controllers that have accepted so many orders, and the horizon.
 fn long_running() -> (Cluster, u64) {
     let mut c = cluster(3);
-    let first = answer(&mut c, 0, "order-0", None, order(0));
+    let first = call_and_wait(&mut c, 0, "order-0", None, order(0));
     assert!(matches!(first, Some(OperationResult::Accepted { revision: 1, .. })), "{first:?}");
-    assert!(pass_until(&mut c, SECOND, |c| (0..3).all(|n| cluster::synced_revision(c, n) == 1)));
-    let mut copy = c.nodes[0].disk.kept[&CONFIG].clone();
+    assert!(run_until(&mut c, SECOND, |c| (0..3).all(|n| cluster::synced_revision(c, n) == 1)));
+    let mut copy = c.nodes[0].disk.synced[&CONFIG].clone();
     for base in 1..ACCEPTED {
         let Operation::Patch(text) = order(base) else { unreachable!() };
         let print = fingerprint(&format!("order-{base}"), false, &text);
@@ -74,8 +76,8 @@
     copy.entries.insert("terms".into(), prost::Message::encode_to_vec(&client_limits));
     copy.revision = ACCEPTED;
     for node in &mut c.nodes {
-        let promised = node.disk.kept[&CONFIG].current_term;
-        node.disk.kept.insert(CONFIG, ReplicaState { current_term: promised, ..copy.clone() });
+        let promised = node.disk.synced[&CONFIG].current_term;
+        node.disk.synced.insert(CONFIG, ReplicaState { current_term: promised, ..copy.clone() });
     }
     restart_all(&mut c, true);
     let horizon = horizon(&copy.entries).revision;
@@ -93,9 +95,9 @@
     let mut out = Vec::new();
     for node in 0..3 {
         let op = call(c, node, request, expect, operation.clone());
-        let told = pass_until(c, SECOND, |c| c.told.contains_key(&op));
-        assert!(told, "{request} at {node} is not answered within a second");
-        out.push(c.told[&op].clone());
+        let answered = run_until(c, SECOND, |c| c.answered.contains_key(&op));
+        assert!(answered, "{request} at {node} is not answered within a second");
+        out.push(c.answered[&op].clone());
     }
     out
 }
@@ -172,15 +174,20 @@
         }
     }
     // The newest revision and edition are judged as ever.
-    let done =
-        answer(&mut c, 1, "next", Some(ACCEPTED), operation(json!({ "edition": ACCEPTED + 7 })));
+    let done = call_and_wait(
+        &mut c,
+        1,
+        "next",
+        Some(ACCEPTED),
+        operation(json!({ "edition": ACCEPTED + 7 })),
+    );
     expect_that!(
         done,
         some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
     );
     // An order that names nothing is known by its request id as long as that is
     // remembered.
-    let first = answer(&mut c, 0, "plain", None, plain.clone());
+    let first = call_and_wait(&mut c, 0, "plain", None, plain.clone());
     expect_that!(
         first,
         some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
@@ -204,8 +211,8 @@
     };
     let mut c = cluster(3);
     for node in &mut c.nodes {
-        let promised = node.disk.kept[&CONFIG].current_term.max(copy.current_term);
-        node.disk.kept.insert(CONFIG, ReplicaState { current_term: promised, ..copy.clone() });
+        let promised = node.disk.synced[&CONFIG].current_term.max(copy.current_term);
+        node.disk.synced.insert(CONFIG, ReplicaState { current_term: promised, ..copy.clone() });
     }
     restart_all(&mut c, true);
     c
@@ -233,7 +240,7 @@
             );
         }
         if round == 0 {
-            let done = answer(&mut c, 1, "new", None, order(5));
+            let done = call_and_wait(&mut c, 1, "new", None, order(5));
             expect_that!(
                 done,
                 some(matches_pattern!(OperationResult::Accepted { revision: eq(&6), .. }))
@@ -247,7 +254,7 @@
 #[googletest::test]
 fn a_request_id_that_was_used_for_another_text_is_refused_everywhere() {
     let mut c = cluster(3);
-    let done = answer(&mut c, 0, "id", None, order(0));
+    let done = call_and_wait(&mut c, 0, "id", None, order(0));
     expect_that!(done, some(matches_pattern!(OperationResult::Accepted { .. })));
     let whole = Operation::Replace(match order(0) {
         Operation::Patch(text) => text,
@@ -265,19 +272,19 @@
         );
         let leads = leader(&c).unwrap();
         cluster::kill(&mut c, leads, true);
-        assert!(pass_until(&mut c, 5 * SECOND, |c| leader(c).is_some_and(|now| now != leads)));
+        assert!(run_until(&mut c, 5 * SECOND, |c| leader(c).is_some_and(|now| now != leads)));
         cluster::start(&mut c, leads, false);
-        cluster::pass(&mut c, SECOND);
+        cluster::run_for(&mut c, SECOND);
     }
     // At one moment through two controllers: one text wins, the other is refused.
     let texts = [order(1), operation(json!({ "after": 1, "edition": 9 }))];
     let [a, b] = [0, 1].map(|node: usize| call(&mut c, node, "new", None, texts[node].clone()));
-    assert!(pass_until(&mut c, 5 * SECOND, |c| [a, b].iter().all(|op| c.told.contains_key(op))));
-    let mut told = [c.told[&a].clone(), c.told[&b].clone()];
-    told.sort_by_key(|done| !matches!(done, OperationResult::Accepted { .. }));
-    expect_that!(told[0], matches_pattern!(OperationResult::Accepted { revision: eq(&2), .. }));
-    expect_that!(told[1], matches_pattern!(OperationResult::Invalid(_)));
-    let edition = read_back(&mut c, 2).map(|conf| conf.client_limits.edition);
+    assert!(run_until(&mut c, 5 * SECOND, |c| [a, b].iter().all(|op| c.answered.contains_key(op))));
+    let mut answered = [c.answered[&a].clone(), c.answered[&b].clone()];
+    answered.sort_by_key(|done| !matches!(done, OperationResult::Accepted { .. }));
+    expect_that!(answered[0], matches_pattern!(OperationResult::Accepted { revision: eq(&2), .. }));
+    expect_that!(answered[1], matches_pattern!(OperationResult::Invalid(_)));
+    let edition = read_configuration(&mut c, 2).map(|conf| conf.client_limits.edition);
     expect_that!(edition, some(any!(eq(2), eq(9))));
 }
 
@@ -289,11 +296,13 @@
         let calls: Vec<u64> = (0..6)
             .map(|n| call(&mut c, (base as usize + n) % 3, &request, None, order(base)))
             .collect();
-        assert!(pass_until(&mut c, 5 * SECOND, |c| calls.iter().all(|op| c.told.contains_key(op))));
+        assert!(run_until(&mut c, 5 * SECOND, |c| calls
+            .iter()
+            .all(|op| c.answered.contains_key(op))));
         for op in calls {
             let revision = base + 1;
             let same = matches_pattern!(OperationResult::Accepted { revision: eq(&revision), .. });
-            expect_that!(c.told[&op], same);
+            expect_that!(c.answered[&op], same);
         }
     }
 }
--- a/crates/core/tests/order_schedules.rs
+++ b/crates/core/tests/order_schedules.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 
 use cluster::*;
-use edition_register::{Asked, Told, check};
+use edition_register::{Outcome, RequestRecord, check};
 use googletest::prelude::*;
 use grebepath_core::config::types::Config;
 use grebepath_core::protocol::operation::{Operation, OperationResult};
@@ -40,14 +40,14 @@
     Operation::Patch(val.to_string().into_bytes())
 }
 
-fn told(done: Option<&OperationResult>) -> Told {
+fn told(done: Option<&OperationResult>) -> Outcome {
     match done {
-        Some(OperationResult::Accepted { .. }) => Told::Accepted,
-        Some(OperationResult::Conflict { revision }) => Told::Refused(*revision),
-        Some(OperationResult::Configuration { entries: map, .. }) => Told::Read(edition(map).1),
-        Some(OperationResult::Rejected { .. }) => Told::NotDone,
-        None | Some(OperationResult::Unknown { .. }) => Told::Open,
-        Some(done) => Told::Absurd(format!("told {done:?}")),
+        Some(OperationResult::Accepted { .. }) => Outcome::Accepted,
+        Some(OperationResult::Conflict { revision }) => Outcome::Conflict(*revision),
+        Some(OperationResult::Configuration { entries: map, .. }) => Outcome::Read(edition(map).1),
+        Some(OperationResult::Rejected { .. }) => Outcome::NotExecuted,
+        None | Some(OperationResult::Unknown { .. }) => Outcome::Unknown,
+        Some(done) => Outcome::Malformed(format!("told {done:?}")),
     }
 }
 
@@ -60,10 +60,10 @@
 /// The highest edition that some operator was told of.
 fn known(cluster: &Cluster, requests: &[Request]) -> u64 {
     let seen = |request: &Request| {
-        let answer = cluster.answers.get(&request.operation);
+        let answer = cluster.responses.get(&request.operation);
         match (told(answer.map(|answer| &answer.done)), request.after) {
-            (Told::Accepted, Some(after)) => after + 1,
-            (Told::Refused(edition) | Told::Read(edition), _) => edition,
+            (Outcome::Accepted, Some(after)) => after + 1,
+            (Outcome::Conflict(edition) | Outcome::Read(edition), _) => edition,
             _ => 0,
         }
     };
@@ -87,7 +87,7 @@
         _ => (format!("order-{}", requests.len()), Some(known(cluster, requests))),
     };
     let deed = after.map_or(Operation::Read, |after| deed(&order, after));
-    let operation = ask_later(cluster, node, &order, deed);
+    let operation = submit_to_paused(cluster, node, &order, deed);
     requests.push(Request { operation, order, after });
 }
 
@@ -110,21 +110,25 @@
         // Connections end at once instead of falling silent.
         1 => {
             for other in (0..3).filter(|other| *other != node) {
-                reset(cluster, node, other);
+                reset_connection(cluster, node, other);
             }
             isolate(cluster, node);
         }
-        2 => cluster.cut.extend((0..3).filter(|other| *other != node).map(|other| (node, other))),
-        3 => cluster.cut.extend((0..3).filter(|other| *other != node).map(|other| (other, node))),
+        2 => cluster
+            .blocked_links
+            .extend((0..3).filter(|other| *other != node).map(|other| (node, other))),
+        3 => cluster
+            .blocked_links
+            .extend((0..3).filter(|other| *other != node).map(|other| (other, node))),
         4 => {
-            cluster.cut.insert((node, (node + 1) % 3));
-            cluster.cut.insert(((node + 1) % 3, node));
+            cluster.blocked_links.insert((node, (node + 1) % 3));
+            cluster.blocked_links.insert(((node + 1) % 3, node));
         }
         5 => {
             span = ms(500 + chances.below(11_500));
             pause(cluster, node, span);
         }
-        6 => stall(cluster, node, true),
+        6 => stall_disk(cluster, node, true),
         // The same pause, and orders are the first that is taken after it.
         7 => {
             span = ms(500 + chances.below(11_500));
@@ -140,16 +144,16 @@
 
 fn end(cluster: &mut Cluster, fault: &Fault, requests: &mut Vec<Request>) {
     match fault.kind {
-        0..=4 => cluster.cut.retain(|(a, b)| *a != fault.node && *b != fault.node),
-        6 => stall(cluster, fault.node, false),
+        0..=4 => cluster.blocked_links.retain(|(a, b)| *a != fault.node && *b != fault.node),
+        6 => stall_disk(cluster, fault.node, false),
         7 => {
-            resume(cluster, fault.node);
+            resume_before_pending(cluster, fault.node);
             for after in [known(cluster, requests), known(cluster, requests).saturating_sub(1)] {
                 let order = format!("order-{}", requests.len());
-                let operation = ask(cluster, fault.node, &order, deed(&order, after));
+                let operation = submit(cluster, fault.node, &order, deed(&order, after));
                 requests.push(Request { operation, order, after: Some(after) });
             }
-            let operation = ask(cluster, fault.node, "", Operation::Read);
+            let operation = submit(cluster, fault.node, "", Operation::Read);
             requests.push(Request { operation, order: String::new(), after: None });
         }
         _ => {}
@@ -161,10 +165,10 @@
     let mut chances = Random::new(seed);
     let mut cluster = cluster(3);
     cluster.jitter = [0, ms(2), ms(20)][chances.below(3) as usize];
-    cluster.chance = Random::new(seed ^ 0x5eed);
+    cluster.latency_random = Random::new(seed ^ 0x5eed);
     for node in 0..3 {
         let percent = [75, 100, 125][chances.below(3) as usize];
-        rate(&mut cluster, node, percent);
+        set_clock_rate(&mut cluster, node, percent);
     }
     let (mut requests, mut faults): (Vec<Request>, Vec<Fault>) = (Vec::new(), Vec::new());
     let (mut next_request, mut next_fault) = (SECOND, 2 * SECOND);
@@ -191,24 +195,25 @@
         end(&mut cluster, fault, &mut requests);
     }
     run(&mut cluster, QUIET);
-    let last = ask(&mut cluster, 0, "", Operation::Read);
-    let done = answered(&mut cluster, last);
+    let last = submit(&mut cluster, 0, "", Operation::Read);
+    let done = await_response(&mut cluster, last);
     let OperationResult::Configuration { entries: map, .. } = done else {
         return vec![format!("nothing is read: {done:?}")];
     };
     let (applied, edition) = edition(&map);
-    let history: Vec<Asked> = requests.iter().map(|request| asked(&cluster, request)).collect();
+    let history: Vec<RequestRecord> =
+        requests.iter().map(|request| asked(&cluster, request)).collect();
     check(&history, &applied, edition)
 }
 
-fn asked(cluster: &Cluster, request: &Request) -> Asked {
-    let answer = cluster.answers.get(&request.operation);
-    Asked {
-        order: request.order.clone(),
+fn asked(cluster: &Cluster, request: &Request) -> RequestRecord {
+    let answer = cluster.responses.get(&request.operation);
+    RequestRecord {
+        change: request.order.clone(),
         after: request.after,
-        asked: cluster.asked[&request.operation],
-        answered: answer.map_or(u64::MAX, |answer| answer.at),
-        told: told(answer.map(|answer| &answer.done)),
+        submitted_at: cluster.submitted_at[&request.operation],
+        responded_at: answer.map_or(u64::MAX, |answer| answer.at),
+        outcome: told(answer.map(|answer| &answer.done)),
     }
 }
 
@@ -242,7 +247,10 @@
 
 #[googletest::test]
 fn answers_without_a_round_are_caught() {
-    expect_that!(wrong_schedules(12, |cluster| cluster.unproved = true), not(is_empty()));
+    expect_that!(
+        wrong_schedules(12, |cluster| cluster.skip_leadership_proof = true),
+        not(is_empty())
+    );
 }
 
 #[googletest::test]
--- a/crates/core/tests/races/mod.rs
+++ b/crates/core/tests/races/mod.rs
@@ -3,8 +3,8 @@
 
 #![allow(dead_code, clippy::unwrap_used)]
 
-pub mod judge;
-pub mod list;
+pub mod cases;
+pub mod checks;
 
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::control_plane::step::WAKE;
@@ -15,34 +15,39 @@
 use serde_json::json;
 
 use crate::cluster::{
-    Cluster, Work, answer, call, cluster, give, kill, leader, pass, pass_until, pump, restart_all,
-    start, synced_revision, take_messages, tamper, thaw,
+    Cluster, Work, call, call_and_wait, cluster, deliver_event, kill, leader, perform_unless,
+    restart_all, resume, run_for, run_until, start, synced_revision, take_messages, tamper,
 };
 
 /// An operator's order as the users' platform names it.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct ConfigChange {
     pub request: String,
     pub operation: Operation,
     /// A zone that only this order sets.
-    pub mark: String,
+    pub zone: String,
 }
 
 /// An order on edition `base`; without one it builds on whatever stands.
-pub fn order(whole: bool, base: Option<u64>, edition: u64, mark: &str) -> Order {
-    let mut change = json!({ "zones": [{ "name": mark, "state": "open" }] });
+pub fn config_change(
+    is_replacement: bool,
+    base: Option<u64>,
+    edition: u64,
+    zone: &str,
+) -> ConfigChange {
+    let mut change = json!({ "zones": [{ "name": zone, "state": "open" }] });
     if let Some(base) = base {
         change["terms"] = json!({ "after": base, "edition": edition });
     }
-    if whole {
+    if is_replacement {
         change["searches"] = json!([]);
         change["pools"] = json!([]);
     }
     let text = change.to_string();
-    let request = digest(format!("{whole} {text}").as_bytes());
+    let request = digest(format!("{is_replacement} {text}").as_bytes());
     let text = text.into_bytes();
-    let operation = if whole { Operation::Replace(text) } else { Operation::Patch(text) };
-    Order { request, operation, mark: mark.to_string() }
+    let operation = if is_replacement { Operation::Replace(text) } else { Operation::Patch(text) };
+    ConfigChange { request, operation, zone: zone.to_string() }
 }
 
 /// How far the write of an order gets before the fault.
@@ -76,7 +81,7 @@
 
 /// When messages that were under way at the fault come.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Late {
+pub enum LateDelivery {
     Never,
     /// Once another leads, before the operators go on.
     AfterElection,
@@ -88,43 +93,43 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// Nothing but that the operator does not hear the answer.
-    AnswerLost,
+    ResponseLost,
     /// The leader ends, with power or without, and is back later.
-    LeaderKilled { power: bool, late: Late },
+    LeaderKilled { power_loss: bool, late: LateDelivery },
     /// The leader hears nobody for a while.
-    LeaderCut { late: Late },
+    LeaderIsolated { late: LateDelivery },
     /// The leader's process is stopped for a while.
-    LeaderFrozen,
+    LeaderPaused,
     /// The controller that the operator called ends.
-    CalledKilled,
+    ContactedKilled,
     /// All lose power at once.
     AllKilled,
 }
 
 /// Who comes first after the fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Next {
+pub enum ResumeOrder {
     ResendFirst,
     RivalFirst,
-    Together,
+    Concurrent,
 }
 
 /// A race: where the first order is sent, what happens, and who goes on where.
 #[derive(Clone, Debug)]
 pub struct Race {
     /// Distances from the leader, in the ring of controllers.
-    pub called: usize,
+    pub contacted: usize,
     pub resend_at: usize,
     pub rival_at: usize,
     pub stage: Stage,
     pub fault: Fault,
-    pub next: Next,
+    pub resume_order: ResumeOrder,
     /// How far the rival's write gets before its leader is killed, too.
     pub rival_stage: Option<Stage>,
-    pub first: Order,
-    pub rival: Order,
+    pub first: ConfigChange,
+    pub rival: ConfigChange,
     /// The memory of orders is lost, on purpose.
-    pub forgets: bool,
+    pub loses_dedup_state: bool,
 }
 
 /// The calls that carried each order.
@@ -136,54 +141,54 @@
 
 /// How a race ended.
 pub struct Outcome {
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
     pub first_accepted: bool,
     /// Another controller led after the fault.
     pub leader_changed: bool,
 }
 
-pub fn play(race: &Race) -> Outcome {
+pub fn run_race(race: &Race) -> Outcome {
     let mut c = cluster(3);
-    let base = order(true, Some(0), 1, "base");
-    let done = answer(&mut c, 0, &base.request, None, base.operation);
+    let base = config_change(true, Some(0), 1, "base");
+    let done = call_and_wait(&mut c, 0, &base.request, None, base.operation);
     assert!(matches!(done, Some(OperationResult::Accepted { .. })), "{done:?}");
     let old_leader = leader(&c).unwrap();
     let at = |distance: usize| (old_leader + distance) % 3;
     let mut history = History::default();
-    history.first.push(send(&mut c, at(race.called), &race.first));
+    history.first.push(send(&mut c, at(race.contacted), &race.first));
     hold_at(&mut c, race.stage, old_leader);
     check_stage(&c, race, old_leader);
-    let late = strike(&mut c, race, old_leader);
-    if race.forgets {
+    let late = inject_fault(&mut c, race, old_leader);
+    if race.loses_dedup_state {
         tamper(&mut c, |copy| copy.entries.retain(|key, _| !key.starts_with("order/")));
     }
-    go_on(&mut c, race, &mut history, (at, late));
+    resume_operators(&mut c, race, &mut history, (at, late));
     let leader_changed = leader(&c).is_some_and(|node| node != old_leader);
-    calm(&mut c);
+    restore_cluster(&mut c);
     resend_all(&mut c, race, &mut history);
     restart_all(&mut c, true);
     resend_all(&mut c, race, &mut history);
-    let (wrong, first_accepted) = judge::judge(&mut c, race, &history);
-    Outcome { wrong, first_accepted, leader_changed }
+    let (violations, first_accepted) = checks::checks(&mut c, race, &history);
+    Outcome { violations, first_accepted, leader_changed }
 }
 
-pub fn send(c: &mut Cluster, node: usize, order: &Order) -> u64 {
-    call(c, node, &order.request, None, order.operation.clone())
+pub fn send(c: &mut Cluster, node: usize, config_change: &ConfigChange) -> u64 {
+    call(c, node, &config_change.request, None, config_change.operation.clone())
 }
 
 /// Does the work of an order up to a stage.
 pub fn hold_at(c: &mut Cluster, stage: Stage, leader: usize) {
-    let before = c.told.len();
-    pump(c, |work| is_held(work, stage, leader));
+    let before = c.answered.len();
+    perform_unless(c, |work| is_held(work, stage, leader));
     match stage {
         // The leader tells the outcome when it next looks who obeys.
         Stage::Committed => {
             c.now += WAKE;
-            give(c, leader, Event::Wake);
-            pump(c, |work| is_held(work, stage, leader));
+            deliver_event(c, leader, Event::Wake);
+            perform_unless(c, |work| is_held(work, stage, leader));
         }
         Stage::Answered => {
-            pass_until(c, SECOND, |c| c.told.len() > before);
+            run_until(c, SECOND, |c| c.answered.len() > before);
         }
         _ => {}
     }
@@ -230,29 +235,30 @@
         .is_some_and(|core| core.partitions[0].committed_revision == 2);
     assert_eq!(knows, matches!(race.stage, Stage::Committed | Stage::Answered), "{race:?}");
     // An answer at the leader itself can't be held.
-    let told = race.stage == Stage::Answered || race.stage == Stage::Committed && race.called == 0;
-    assert_eq!(c.told.len() > 1, told, "{race:?}");
+    let answered =
+        race.stage == Stage::Answered || race.stage == Stage::Committed && race.contacted == 0;
+    assert_eq!(c.answered.len() > 1, answered, "{race:?}");
 }
 
 /// The fault strikes; gives the messages that come late.
-pub fn strike(c: &mut Cluster, race: &Race, leader: usize) -> Vec<Work> {
+pub fn inject_fault(c: &mut Cluster, race: &Race, leader: usize) -> Vec<Work> {
     match race.fault {
-        Fault::AnswerLost => Vec::new(),
-        Fault::LeaderKilled { power, .. } => {
+        Fault::ResponseLost => Vec::new(),
+        Fault::LeaderKilled { power_loss, .. } => {
             let messages = take_messages(c, leader);
-            kill(c, leader, power);
+            kill(c, leader, power_loss);
             messages
         }
-        Fault::LeaderCut { .. } => {
-            c.nodes[leader].cut = true;
+        Fault::LeaderIsolated { .. } => {
+            c.nodes[leader].isolated = true;
             take_messages(c, leader)
         }
-        Fault::LeaderFrozen => {
-            c.nodes[leader].frozen = true;
+        Fault::LeaderPaused => {
+            c.nodes[leader].paused = true;
             Vec::new()
         }
-        Fault::CalledKilled => {
-            kill(c, (leader + race.called) % 3, true);
+        Fault::ContactedKilled => {
+            kill(c, (leader + race.contacted) % 3, true);
             Vec::new()
         }
         Fault::AllKilled => {
@@ -263,7 +269,7 @@
 }
 
 /// The operators go on: one sends the first order again, one sends a rival.
-pub fn go_on(
+pub fn resume_operators(
     c: &mut Cluster,
     race: &Race,
     history: &mut History,
@@ -271,23 +277,23 @@
 ) {
     let (resend_at, rival_at) = (at(race.resend_at), at(race.rival_at));
     let when = match race.fault {
-        Fault::LeaderKilled { late, .. } | Fault::LeaderCut { late } => late,
-        _ => Late::Never,
+        Fault::LeaderKilled { late, .. } | Fault::LeaderIsolated { late } => late,
+        _ => LateDelivery::Never,
     };
-    let led = |c: &Cluster| leader(c).is_some_and(|node| !c.nodes[node].cut);
-    if race.next != Next::RivalFirst {
+    let led = |c: &Cluster| leader(c).is_some_and(|node| !c.nodes[node].isolated);
+    if race.resume_order != ResumeOrder::RivalFirst {
         history.first.push(send(c, resend_at, &race.first));
     }
-    if race.next != Next::Together {
-        pass_until(c, 5 * SECOND, led);
+    if race.resume_order != ResumeOrder::Concurrent {
+        run_until(c, 5 * SECOND, led);
     }
-    if when == Late::AfterElection {
+    if when == LateDelivery::AfterElection {
         // The old leader's word reaches the others, and theirs reaches it.
-        let cuts: Vec<bool> = c.nodes.iter().map(|node| node.cut).collect();
-        c.nodes.iter_mut().for_each(|node| node.cut = false);
+        let cuts: Vec<bool> = c.nodes.iter().map(|node| node.isolated).collect();
+        c.nodes.iter_mut().for_each(|node| node.isolated = false);
         c.work.extend(late.clone());
-        pump(c, |_| false);
-        c.nodes.iter_mut().zip(cuts).for_each(|(node, cut)| node.cut = cut);
+        perform_unless(c, |_| false);
+        c.nodes.iter_mut().zip(cuts).for_each(|(node, isolated)| node.isolated = isolated);
     }
     history.rival.push(send(c, rival_at, &race.rival));
     if let (Some(stage), Some(leader)) = (race.rival_stage, leader(c)) {
@@ -296,22 +302,22 @@
         take_messages(c, leader);
         kill(c, leader, true);
     }
-    if race.next == Next::RivalFirst {
-        pass(c, SECOND);
+    if race.resume_order == ResumeOrder::RivalFirst {
+        run_for(c, SECOND);
         history.first.push(send(c, resend_at, &race.first));
     }
-    pass(c, 3 * SECOND);
-    if when == Late::AtEnd {
+    run_for(c, 3 * SECOND);
+    if when == LateDelivery::AtEnd {
         c.work.extend(late);
     }
 }
 
 /// All are back and hear each other, until nobody waits for an answer.
-pub fn calm(c: &mut Cluster) {
-    c.nodes.iter_mut().for_each(|node| node.cut = false);
-    (0..3).for_each(|node| thaw(c, node));
+pub fn restore_cluster(c: &mut Cluster) {
+    c.nodes.iter_mut().for_each(|node| node.isolated = false);
+    (0..3).for_each(|node| resume(c, node));
     start_all(c);
-    pass(c, 10 * SECOND);
+    run_for(c, 10 * SECOND);
 }
 
 pub fn start_all(c: &mut Cluster) {
@@ -324,12 +330,12 @@
 
 /// Both orders are sent again, and each gets an answer.
 pub fn resend_all(c: &mut Cluster, race: &Race, history: &mut History) {
-    for (node, order, calls) in [
-        (race.called, &race.first, &mut history.first),
+    for (node, config_change, calls) in [
+        (race.contacted, &race.first, &mut history.first),
         (race.resend_at, &race.rival, &mut history.rival),
     ] {
-        let op = send(c, node, order);
-        assert!(pass_until(c, 12 * SECOND, |c| c.told.contains_key(&op)), "no answer");
+        let op = send(c, node, config_change);
+        assert!(run_until(c, 12 * SECOND, |c| c.answered.contains_key(&op)), "no answer");
         calls.push(op);
     }
 }
--- a/crates/core/tests/rollouts.rs
+++ b/crates/core/tests/rollouts.rs
@@ -28,18 +28,18 @@
 
 /// A cluster whose configuration has a pool of the service; its leader and another controller.
 fn configured() -> (Cluster, usize, usize) {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     let pools = json!([{ "name": "pool", "service": SERVICE, "bears": 1 }]);
     let patch = json!({ "pools": pools }).to_string().into_bytes();
-    let operation = ask(&mut cluster, first, "configure", Operation::Patch(patch));
-    let done = answered(&mut cluster, operation);
+    let operation = submit(&mut cluster, first, "configure", Operation::Patch(patch));
+    let done = await_response(&mut cluster, operation);
     assert!(matches!(done, OperationResult::Accepted { .. }), "{done:?}");
     (cluster, first, other)
 }
 
 fn result(cluster: &mut Cluster, node: usize, id: &str, operation: Operation) -> OperationResult {
-    let number = ask(cluster, node, id, operation);
-    answered(cluster, number)
+    let number = submit(cluster, node, id, operation);
+    await_response(cluster, number)
 }
 
 fn accepted(cluster: &mut Cluster, node: usize, id: &str, operation: Operation) -> bool {
@@ -124,7 +124,7 @@
             ready: true,
             ..Default::default()
         };
-        renew(&mut cluster, first, "m", renewals, far);
+        renew_lease(&mut cluster, first, "m", renewals, far);
         run(&mut cluster, ms(250));
         held += u64::from(is_turned(&mut cluster));
         if rollout(&mut cluster, first).phase() == RolloutPhase::Returned {
@@ -140,7 +140,7 @@
 fn a_copy_of_an_order_that_comes_within_the_term_does_not_start_it_again() {
     let (mut cluster, first, other) = configured();
     accepted(&mut cluster, first, "one", start("v2"));
-    until(&mut cluster, |cluster| {
+    run_until(&mut cluster, |cluster| {
         let entries = &core_of(cluster, first).partitions[0].committed;
         let stands = grebepath_core::rollout::record::rollout_of(entries, SERVICE).unwrap();
         stands.phase() == RolloutPhase::Returned
@@ -158,12 +158,12 @@
     // Guards against a version that is tried again by an order which arrives late.
     let (mut cluster, first, other) = configured();
     let base = core_of(&cluster, other).partitions[0].committed_revision;
-    hold(&mut cluster, other, first, 4 * SECOND);
-    let held = ask_on(&mut cluster, other, "held", base, start("v2"));
+    delay_messages(&mut cluster, other, first, 4 * SECOND);
+    let held = submit_conditional(&mut cluster, other, "held", base, start("v2"));
     accepted(&mut cluster, first, "one", start("v2"));
     accepted(&mut cluster, first, "abort", Operation::AbortRollout(SERVICE.into()));
     run(&mut cluster, 6 * SECOND);
-    let done = answered(&mut cluster, held);
+    let done = await_response(&mut cluster, held);
     expect_that!(done, matches_pattern!(OperationResult::Conflict { .. }));
     expect_that!(rollout(&mut cluster, first).phase(), eq(RolloutPhase::Returned));
 }
@@ -174,8 +174,8 @@
     let base = core_of(&cluster, first).partitions[0].committed_revision;
     let zone = json!({ "zones": [{ "name": "a", "state": "drained" }] }).to_string().into_bytes();
     accepted(&mut cluster, other, "drain", Operation::Patch(zone));
-    let number = ask_on(&mut cluster, other, "late", base, start("v2"));
-    let done = answered(&mut cluster, number);
+    let number = submit_conditional(&mut cluster, other, "late", base, start("v2"));
+    let done = await_response(&mut cluster, number);
     expect_that!(done, matches_pattern!(OperationResult::Accepted { .. }));
 }
 
@@ -212,11 +212,11 @@
     run(&mut cluster, SECOND);
     accepted(&mut cluster, first, "again", start("v3"));
     let before = rollout(&mut cluster, first);
-    restart_blank(&mut cluster, first, 7);
+    restart_on_empty_disk(&mut cluster, first, 7);
     for node in (0..3).filter(|node| *node != first) {
         restart(&mut cluster, node, 8 + node as u64);
     }
-    until(&mut cluster, |cluster| leader(cluster).is_some());
+    run_until(&mut cluster, |cluster| leader(cluster).is_some());
     let after = rollout(&mut cluster, other);
     expect_that!(after.target, eq("v3"));
     expect_that!(after.ordered_revision, eq(before.ordered_revision));
--- a/crates/core/tests/unconditional_orders.rs
+++ b/crates/core/tests/unconditional_orders.rs
@@ -24,16 +24,16 @@
 
 /// The revision that stands, as a controller tells the sender of an order without a base.
 fn base_told(cluster: &mut Cluster, node: usize) -> u64 {
-    let operation = ask(cluster, node, "", zone("open"));
-    match answered(cluster, operation) {
+    let operation = submit(cluster, node, "", zone("open"));
+    match await_response(cluster, operation) {
         OperationResult::Conflict { revision } => revision,
         other => panic!("{other:?}"),
     }
 }
 
 fn accept(cluster: &mut Cluster, node: usize, id: &str, state: &str) {
-    let operation = ask(cluster, node, id, zone(state));
-    let done = answered(cluster, operation);
+    let operation = submit(cluster, node, id, zone(state));
+    let done = await_response(cluster, operation);
     assert!(matches!(done, OperationResult::Accepted { .. }), "{done:?}");
 }
 
@@ -45,7 +45,7 @@
 
 #[googletest::test]
 fn no_controller_carries_out_an_order_without_id_and_base() {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     accept(&mut cluster, first, "drain", "drained");
     run(&mut cluster, SECOND);
     let committed = core_of(&cluster, first).partitions[0].committed_revision;
@@ -58,13 +58,13 @@
 
 #[googletest::test]
 fn an_order_on_the_revision_that_was_told_is_carried_out_once() {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     accept(&mut cluster, first, "drain", "drained");
     run(&mut cluster, SECOND);
     let base = base_told(&mut cluster, other);
     for is_repeat in [false, true] {
-        let confirmed = ask_on(&mut cluster, other, "confirmed", base, zone("open"));
-        let done = answered(&mut cluster, confirmed);
+        let confirmed = submit_conditional(&mut cluster, other, "confirmed", base, zone("open"));
+        let done = await_response(&mut cluster, confirmed);
         let OperationResult::Accepted { is_repeat: repeated, .. } = done else {
             panic!("{done:?}");
         };
@@ -84,22 +84,22 @@
 /// A connection between controllers holds an order while its sender gives two others elsewhere.
 /// Tells whether the zone is as the last of them says, and what came of the held one.
 fn hold_an_order(tie: OrderTie) -> (bool, OperationResult) {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     let third = 3 - first - other;
     accept(&mut cluster, first, "drain", "drained");
     run(&mut cluster, SECOND);
     let base = base_told(&mut cluster, other);
-    hold(&mut cluster, other, first, HOLD);
+    delay_messages(&mut cluster, other, first, HOLD);
     let held = match tie {
-        OrderTie::Revision => ask_on(&mut cluster, other, "held", base, zone("open")),
-        OrderTie::MadeUpId => ask(&mut cluster, other, "held", zone("open")),
+        OrderTie::Revision => submit_conditional(&mut cluster, other, "held", base, zone("open")),
+        OrderTie::MadeUpId => submit(&mut cluster, other, "held", zone("open")),
     };
     run(&mut cluster, SECOND);
     accept(&mut cluster, third, "open", "open");
     accept(&mut cluster, third, "drain again", "drained");
     run(&mut cluster, HOLD);
-    assert!(believes(&cluster, first), "the same leader in the same term");
-    let done = answered(&mut cluster, held);
+    assert!(considers_itself_leader(&cluster, first), "the same leader in the same term");
+    let done = await_response(&mut cluster, held);
     (is_drained(&cluster, first), done)
 }
 
