--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Controllers driven by hand through `step`: every message and every sync of a
-//! disk is a piece of work that a test may hold back, drop or let go.
+//! A cluster of controllers that a test drives through `step`. Every message, disk sync and
+//! operator call is a separate action that the test can hold back, drop or perform.
 
 #![allow(dead_code)]
 
@@ -18,24 +18,24 @@
 use grebepath_core::storage::voter_file::{Start, VoterFile, begin};
 use grebepath_core::time::{BOOT, SECOND, Span, Tick};
 
-/// Work that is under way.
+/// An action that has not been performed yet.
 #[derive(Clone, Debug)]
 pub enum Work {
     /// A message from one controller to another.
     Deliver { from: usize, to: usize, replica_id: u64, message: Message },
-    /// A disk finishes a write.
+    /// A disk completes a write.
     Sync { node: usize, partition: PartitionId, token: u64 },
-    /// An operator's call comes to a controller.
+    /// An operator's call reaches a controller.
     Call { node: usize, op: u64, request: String, expect: Option<u64>, operation: Operation },
 }
 
-/// A write that was handed to a disk.
+/// A write that was submitted to a disk.
 enum DiskWrite {
     Append(LogRecord),
     Snapshot(ReplicaState),
 }
 
-/// What lasts, and what is on its way there.
+/// The synced state of a disk, and the writes that are not synced yet.
 #[derive(Default)]
 pub struct Disk {
     pub synced: BTreeMap<PartitionId, ReplicaState>,
@@ -47,9 +47,9 @@
     /// `None` while it is down.
     pub core: Option<ControllerState>,
     pub disk: Disk,
-    /// Nothing comes or goes.
+    /// Messages from and to the controller are dropped.
     pub isolated: bool,
-    /// The process is stopped: what comes waits for it.
+    /// The process is paused: actions for it are deferred.
     pub paused: bool,
     deferred: Vec<Work>,
 }
@@ -58,12 +58,13 @@
     pub nodes: Vec<Node>,
     pub now: Tick,
     pub work: VecDeque<Work>,
-    /// What operators were told, by the number of their call.
+    /// Responses that operators received, by the number of the call.
     pub answered: BTreeMap<u64, OperationResult>,
     next_op: u64,
 }
 
-/// Controllers that were just started for the first time.
+/// Returns a cluster of controllers that were started for the first time and have elected a
+/// leader.
 pub fn cluster(count: usize) -> Cluster {
     let node = |_| Node {
         core: None,
@@ -84,7 +85,7 @@
     format!("127.0.0.{}:1", node + 1)
 }
 
-/// Starts a controller on what its disk kept.
+/// Starts a controller on the state that its disk holds.
 pub fn start(cluster: &mut Cluster, node: usize, first: bool) {
     let count = cluster.nodes.len();
     let n = &mut cluster.nodes[node];
@@ -95,8 +96,8 @@
         size: count,
         addr: address(node),
     };
-    let bare = n.disk.synced.is_empty();
-    let (voter_file, _) = begin(n.disk.voter_file.take(), &start, bare, 5 + node as u64);
+    let is_empty = n.disk.synced.is_empty();
+    let (voter_file, _) = begin(n.disk.voter_file.take(), &start, is_empty, 5 + node as u64);
     n.disk.voter_file = Some(voter_file.clone());
     let found = n
         .disk
@@ -114,13 +115,13 @@
     ));
 }
 
-/// Ends a controller at once. What its disk had not finished is lost with the
-/// power; else the system writes it.
-pub fn kill(cluster: &mut Cluster, node: usize, power: bool) {
+/// Kills a controller. After a power loss its unsynced writes are lost; otherwise the operating
+/// system completes them.
+pub fn kill(cluster: &mut Cluster, node: usize, power_loss: bool) {
     let n = &mut cluster.nodes[node];
     n.core = None;
     while let Some((partition, _, job)) = n.disk.pending.pop_front() {
-        if !power {
+        if !power_loss {
             persist(&mut n.disk, partition, job);
         }
     }
@@ -135,13 +136,13 @@
         }
         DiskWrite::Append(rec) => {
             if let Some(copy) = disk.synced.get_mut(&partition) {
-                assert!(copy.apply(&rec), "a record that does not follow the one before");
+                assert!(copy.apply(&rec), "a record does not follow the one before");
             }
         }
     }
 }
 
-/// Gives an event to a controller and files what it wants done.
+/// Delivers an event to a controller and queues the actions that follow from its commands.
 pub fn deliver_event(cluster: &mut Cluster, node: usize, event: Event) {
     let now = cluster.now;
     let Some(core) = &mut cluster.nodes[node].core else { return };
@@ -173,7 +174,7 @@
     }
 }
 
-/// Does a piece of work.
+/// Performs an action.
 fn perform(cluster: &mut Cluster, work: Work) {
     let (Work::Deliver { to: node, .. } | Work::Sync { node, .. } | Work::Call { node, .. }) =
         &work;
@@ -210,34 +211,35 @@
     }
 }
 
-/// Does all work but what is held, which stays where it is.
+/// Performs all actions except those for which `held` returns true, which stay queued in their
+/// order.
 pub fn perform_unless(cluster: &mut Cluster, held: impl Fn(&Work) -> bool) {
-    let mut deferred = VecDeque::new();
+    let mut kept = VecDeque::new();
     while let Some(work) = cluster.work.pop_front() {
         if held(&work) {
-            deferred.push_back(work);
+            kept.push_back(work);
         } else {
             perform(cluster, work);
         }
     }
-    cluster.work = deferred;
+    cluster.work = kept;
 }
 
-/// Takes out what is under way from or to a controller.
+/// Removes and returns the messages in flight from or to a controller.
 pub fn take_messages(cluster: &mut Cluster, node: usize) -> Vec<Work> {
-    let its = |work: &Work| matches!(work, Work::Deliver { from, to, .. } if *from == node || *to == node);
-    let (taken, rest) = cluster.work.drain(..).partition(its);
+    let is_of_node = |work: &Work| matches!(work, Work::Deliver { from, to, .. } if *from == node || *to == node);
+    let (taken, rest) = cluster.work.drain(..).partition(is_of_node);
     cluster.work = rest;
     Vec::from_iter::<VecDeque<Work>>(taken)
 }
 
-/// Lets time pass, with nothing held.
+/// Advances the time by `span` and performs all actions.
 pub fn run_for(cluster: &mut Cluster, span: Span) {
     let end = cluster.now + span;
     run_until(cluster, span, |c| c.now >= end);
 }
 
-/// Lets time pass until `done`; tells whether it came to be.
+/// Advances the time until `done` holds, for `span` at most; returns whether it holds.
 pub fn run_until(cluster: &mut Cluster, span: Span, done: impl Fn(&Cluster) -> bool) -> bool {
     let end = cluster.now + span;
     perform_unless(cluster, |_| false);
@@ -256,8 +258,7 @@
     true
 }
 
-/// A process that was stopped goes on: what came meanwhile comes now, the calls
-/// of operators first.
+/// Resumes a paused process: the deferred actions are performed now, operators' calls first.
 pub fn resume(cluster: &mut Cluster, node: usize) {
     cluster.nodes[node].paused = false;
     let mut deferred = std::mem::take(&mut cluster.nodes[node].deferred);
@@ -266,17 +267,17 @@
     perform_unless(cluster, |_| false);
 }
 
-/// The controller that leads the configuration's partition and serves.
+/// Returns the serving leader of the configuration's partition.
 pub fn leader(cluster: &Cluster) -> Option<usize> {
     let term = |node: &usize| match &cluster.nodes[*node].core.as_ref()?.partitions[0].role {
-        Role::Leader(owner) if owner.is_serving => Some(owner.term),
+        Role::Leader(leader) if leader.is_serving => Some(leader.term),
         _ => None,
     };
     let term = |node: &usize| term(node).filter(|_| !cluster.nodes[*node].paused);
     (0..cluster.nodes.len()).filter(|node| term(node).is_some()).max_by_key(|node| term(node))
 }
 
-/// An operator's call at a controller; gives its number.
+/// Makes an operator's call at a controller and returns its number.
 pub fn call(
     cluster: &mut Cluster,
     node: usize,
@@ -291,7 +292,7 @@
     op
 }
 
-/// Calls and waits for the answer; `None` if none comes.
+/// Makes an operator's call and waits for the response; `None` if none arrives in 12 s.
 pub fn call_and_wait(
     cluster: &mut Cluster,
     node: usize,
@@ -304,7 +305,7 @@
     cluster.answered.get(&op).cloned()
 }
 
-/// The configuration as it is read through a controller.
+/// Reads the configuration through a controller.
 pub fn read_configuration(cluster: &mut Cluster, node: usize) -> Option<Config> {
     match call_and_wait(cluster, node, "read", None, Operation::Read) {
         Some(OperationResult::Configuration { entries: map, .. }) => {
@@ -314,17 +315,17 @@
     }
 }
 
-/// Cuts the power of all and starts them again.
-pub fn restart_all(cluster: &mut Cluster, power: bool) {
+/// Kills all controllers, with or without power loss, and starts them again.
+pub fn restart_all(cluster: &mut Cluster, power_loss: bool) {
     let all = 0..cluster.nodes.len();
-    all.clone().for_each(|node| kill(cluster, node, power));
+    all.clone().for_each(|node| kill(cluster, node, power_loss));
     cluster.work.clear();
     all.for_each(|node| start(cluster, node, false));
     assert!(run_until(cluster, 5 * SECOND, |c| leader(c).is_some()), "no leader");
 }
 
-/// Changes the configuration's partition everywhere, on disk and in memory, as
-/// no sound controller would.
+/// Changes the configuration's partition on all controllers, on disk and in memory, which no
+/// correct controller does.
 pub fn tamper(cluster: &mut Cluster, with: impl Fn(&mut ReplicaState)) {
     for node in &mut cluster.nodes {
         if let Some(core) = &mut node.core {
@@ -336,7 +337,7 @@
     }
 }
 
-/// The revision of the configuration on a controller's disk.
+/// Returns the revision of the configuration on a controller's disk.
 pub fn synced_revision(cluster: &Cluster, node: usize) -> u64 {
     cluster.nodes[node].disk.synced.get(&CONFIG).map_or(0, |copy| copy.revision)
 }
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -1,8 +1,9 @@
-//! Three controllers on a net and disks that a test commands, in virtual time.
+//! A cluster of controllers in virtual time, with a simulated network and simulated disks.
 //!
-//! The net keeps the order of the messages between two controllers, as one
-//! connection does. A test says who is cut off, paused, disk_stalled, restarted or has
-//! a clock that runs fast or slow; only the latency may vary, by the net's seed.
+//! Messages between two controllers arrive in the order in which they were sent, as on one
+//! connection. The test decides which controllers are partitioned, paused, restarted, have a
+//! stalled disk or a clock that runs fast or slow. Only the message latency may be random,
+//! drawn from a seeded generator.
 #![allow(dead_code, clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,78 +24,80 @@
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
 use grebepath_core::voter_set::fixed_replica_id;
 
-/// One way between two controllers, and one write to a disk.
+/// Minimum one-way latency between two controllers, and duration of a write to a disk.
 const LATENCY: Span = ms(1);
 const SYNC: Span = ms(2);
-/// The connection of members begins here; those of controllers are below.
+/// Lowest number of a member's connection; numbers below it are connections of controllers.
 const MEMBER_CONNECTION: u64 = 1_000;
-/// Controllers in a cluster, at the most.
+/// Maximum number of controllers in a cluster.
 const MAX_NODES: u64 = 8;
 
-/// What reaches a controller.
+/// An event that is scheduled for a controller.
 enum Scheduled {
     Event(Event),
     Wake,
-    /// A wake that the controller asked for itself.
+    /// A wake-up that the controller requested with `WakeAfter`.
     RequestedWake,
     WriteDone,
 }
 
 struct Node {
     core: ControllerState,
-    /// Counts the processes of this machine: what was meant for an earlier one
-    /// is lost, except what comes on a new connection.
+    /// Number of the process on this machine. Events that are scheduled for an earlier process
+    /// are dropped.
     incarnation: u64,
-    /// The local clock: its reading at `anchor`, and its rate in percent.
+    /// The local clock: its reading at the time `anchor`, and its rate in percent.
     reading: Tick,
     anchor: Tick,
     clock_percent: u64,
     paused_until: Tick,
     disk_stalled: bool,
-    /// How long each write takes, one after the other; zero: all together, 2 ms.
+    /// Duration of each write if the disk performs them one after the other; zero if all writes
+    /// complete together after 2 ms.
     write_span: Span,
     disk_busy_until: Tick,
-    /// What is under way to the disk, oldest first.
+    /// Writes in progress, oldest first.
     writes: Vec<Write>,
-    /// What the disk holds.
+    /// The state that is on the disk.
     disk: BTreeMap<PartitionId, ReplicaState>,
 }
 
-/// A write under way.
+/// A write in progress.
 enum Write {
     Append { partition: PartitionId, token: u64, record: LogRecord },
     Slot { partition: PartitionId, token: u64, copy: ReplicaState },
     VoterSet { token: u64 },
 }
 
-/// An answer that an operator got.
+/// A response that an operator received.
 pub struct Response {
     pub at: Tick,
     pub done: OperationResult,
 }
 
-/// Controllers with their net.
+/// Controllers with their network.
 pub struct Cluster {
     pub now: Tick,
     nodes: Vec<Node>,
     scheduled: BTreeMap<(Tick, u64), (usize, u64, Scheduled)>,
     sequence: u64,
-    /// Directed pairs on which nothing passes.
+    /// Directed pairs (from, to) whose messages are dropped.
     pub blocked_links: BTreeSet<(usize, usize)>,
     pub responses: BTreeMap<u64, Response>,
     pub submitted_at: BTreeMap<u64, Tick>,
     next_number: u64,
-    /// Added to each message's latency at random, at the most.
+    /// Maximum random latency that is added to each message.
     pub jitter: Span,
     pub latency_random: Random,
     last_arrival: BTreeMap<(usize, usize), Tick>,
-    /// Broken on purpose: what a leader judges counts as proved at once.
+    /// Deliberate fault: the leader takes its next heartbeat round as acknowledged by all
+    /// voters as soon as it receives an operation.
     pub skip_leadership_proof: bool,
-    /// Broken on purpose: snapshots lack the newest entry.
+    /// Deliberate fault: snapshots lack their last entry.
     pub lossy_snapshots: bool,
-    /// Messages by the first word of their text, and by sender.
+    /// Number of messages sent, by sender and message variant.
     pub sent: BTreeMap<(usize, String), u64>,
-    /// What controllers sent to members, newest last.
+    /// Messages that controllers sent to members, with the sender, newest last.
     pub to_members: Vec<(usize, Message)>,
     pub alarms: Vec<String>,
 }
@@ -103,14 +106,15 @@
     format!("127.0.0.{}:7", node + 1)
 }
 
-/// The connection of a controller's process to another one: a new process opens a new one.
+/// Returns the number of the connection on which a process of a controller sends; each new
+/// process opens a new connection.
 fn voter_connection(node: usize, incarnation: u64) -> u64 {
     let connection = incarnation * MAX_NODES + node as u64;
     assert!(connection < MEMBER_CONNECTION, "too many restarts");
     connection
 }
 
-/// A controller that has just read its disk.
+/// Starts a controller on the state that its disk holds.
 fn start_controller(
     node: usize,
     size: usize,
@@ -125,15 +129,15 @@
         size,
         addr: address(node),
     };
-    let (roll, _) = begin(None, &start, disk.is_empty(), seed);
+    let (voter_file, _) = begin(None, &start, disk.is_empty(), seed);
     let found = disk
         .iter()
         .map(|(partition, copy)| (*partition, ReplicaCondition::Voting, copy.clone(), 0))
         .collect();
-    ControllerState::new(roll, (&address(node), "a"), found, seed, BOOT)
+    ControllerState::new(voter_file, (&address(node), "a"), found, seed, BOOT)
 }
 
-/// So many controllers, each with a voter slot and a disk that holds nothing.
+/// Returns a cluster of `size` controllers, each with a voter slot and an empty disk.
 pub fn cluster(size: usize) -> Cluster {
     let nodes = (0..size)
         .map(|node| Node {
@@ -182,13 +186,13 @@
         .insert((cluster.now + after, cluster.sequence), (node, incarnation, delivery));
 }
 
-/// What a controller's own clock shows.
+/// Returns the reading of a controller's local clock.
 pub fn local_clock(cluster: &Cluster, node: usize) -> Tick {
     let node = &cluster.nodes[node];
     node.reading + (cluster.now - node.anchor) * node.clock_percent / 100
 }
 
-/// Lets a controller's clock run at this rate from now on.
+/// Sets the rate of a controller's clock, in percent of real time.
 pub fn set_clock_rate(cluster: &mut Cluster, node: usize, percent: u64) {
     let reading = local_clock(cluster, node);
     let now = cluster.now;
@@ -196,12 +200,12 @@
     (node.reading, node.anchor, node.clock_percent) = (reading, now, percent);
 }
 
-/// Stops a process for a while; its clock and what reaches it go on.
+/// Pauses a process for a while. Its clock goes on, and events for it are queued.
 pub fn pause(cluster: &mut Cluster, node: usize, span: Span) {
     cluster.nodes[node].paused_until = cluster.now + span;
 }
 
-/// Lets nothing pass between a controller and all others.
+/// Blocks all messages between a controller and the others.
 pub fn isolate(cluster: &mut Cluster, node: usize) {
     for other in (0..cluster.nodes.len()).filter(|other| *other != node) {
         cluster.blocked_links.insert((node, other));
@@ -209,17 +213,18 @@
     }
 }
 
-/// Holds what one controller sends to another from now on: it all arrives after this time.
+/// Delays messages that one controller sends to another from now on: none arrives before `span`
+/// has passed.
 pub fn delay_messages(cluster: &mut Cluster, from: usize, to: usize, span: Span) {
     cluster.last_arrival.insert((from, to), cluster.now + span);
 }
 
-/// A disk that takes so long for each write, one after the other.
+/// Makes a controller's disk perform writes one after the other, each taking `span`.
 pub fn slow_disk(cluster: &mut Cluster, node: usize, span: Span) {
     cluster.nodes[node].write_span = span;
 }
 
-/// A disk that finishes nothing until it is released.
+/// Stalls a controller's disk, so that no write completes, or releases it.
 pub fn stall_disk(cluster: &mut Cluster, node: usize, disk_stalled: bool) {
     cluster.nodes[node].disk_stalled = disk_stalled;
     if !disk_stalled {
@@ -227,13 +232,13 @@
     }
 }
 
-/// The process ends and a new one starts at once on an empty disk.
+/// Ends a process and immediately starts a new one on an empty disk.
 pub fn restart_on_empty_disk(cluster: &mut Cluster, node: usize, seed: u64) {
     cluster.nodes[node].disk.clear();
     restart(cluster, node, seed);
 }
 
-/// The process ends, what it wrote lasts, and a new one starts at once.
+/// Ends a process and immediately starts a new one on the completed writes.
 pub fn restart(cluster: &mut Cluster, node: usize, seed: u64) {
     let size = cluster.nodes.len();
     let now = cluster.now;
@@ -245,7 +250,7 @@
     push(cluster, node, ms(1), Scheduled::Wake);
 }
 
-/// Loses what is under way between two controllers, as a reset connection does.
+/// Drops the messages in flight between two controllers, as a connection reset does.
 pub fn reset_connection(cluster: &mut Cluster, a: usize, b: usize) {
     let between = |node: usize, event: &Scheduled| match event {
         Scheduled::Event(Event::FromVoter { slot, .. }) => {
@@ -257,7 +262,7 @@
     cluster.scheduled.retain(|_, (node, _, event)| !between(*node, event));
 }
 
-/// Lets time pass.
+/// Advances the virtual time by `span`.
 pub fn run(cluster: &mut Cluster, span: Span) {
     let end = cluster.now + span;
     while let Some(entry) = cluster.scheduled.first_entry() {
@@ -271,11 +276,11 @@
     cluster.now = end;
 }
 
-/// Lets time pass until `done`, a minute at the most.
+/// Advances the virtual time until `done` holds; fails after a minute.
 pub fn run_until(cluster: &mut Cluster, done: impl Fn(&Cluster) -> bool) {
     let end = cluster.now + 60 * SECOND;
     while !done(cluster) {
-        assert!(cluster.now < end, "it does not come to be in a minute");
+        assert!(cluster.now < end, "the condition does not hold within a minute");
         run(cluster, MILLI);
     }
 }
@@ -312,7 +317,7 @@
     }
 }
 
-/// A write has reached the disk.
+/// Applies a completed write to the disk and returns the event that reports it.
 fn complete_write(disk: &mut BTreeMap<PartitionId, ReplicaState>, write: Write) -> Event {
     match write {
         Write::Append { partition, token, record } => {
@@ -327,37 +332,37 @@
     }
 }
 
-/// Gives one event to a controller and carries out what it says, now.
+/// Delivers one event to a controller now and executes the commands that it returns.
 pub fn deliver_event(cluster: &mut Cluster, node: usize, event: Event) {
     let now = local_clock(cluster, node);
     let core = &mut cluster.nodes[node].core;
-    let order = matches!(
+    let is_operation = matches!(
         &event,
         Event::Operate { .. } | Event::FromVoter { message: Message::OperationRequest { .. }, .. }
     );
-    let await_response =
-        (cluster.skip_leadership_proof && order).then(|| assume_next_round_acked(core));
+    let acked =
+        (cluster.skip_leadership_proof && is_operation).then(|| assume_next_round_acked(core));
     let commands = core.step(now, event);
-    if let (Some(await_response), Role::Leader(leader)) =
-        (await_response, &mut core.partitions[0].role)
-    {
-        leader.acked = await_response;
+    if let (Some(acked), Role::Leader(leader)) = (acked, &mut core.partitions[0].role) {
+        leader.acked = acked;
     }
     for command in commands {
         execute(cluster, node, command);
     }
 }
 
-/// Lets a leader take the next round as answered by all; gives what was true.
+/// Marks the leader's next round as acknowledged by all voters, and returns the true
+/// acknowledgements, to be restored.
 fn assume_next_round_acked(core: &mut ControllerState) -> Vec<AckedRound> {
     let Role::Leader(leader) = &mut core.partitions[0].role else { return Vec::new() };
-    let await_response = leader.acked.clone();
+    let acked = leader.acked.clone();
     let next = leader.round + 1;
-    leader.acked.iter_mut().for_each(|answer| answer.number = next);
-    await_response
+    leader.acked.iter_mut().for_each(|round| round.number = next);
+    acked
 }
 
-/// How long a message takes that is sent now, behind all that was sent before.
+/// Returns the latency of a message that is sent now; it arrives after all messages that were
+/// sent before it on the same link.
 fn message_latency(cluster: &mut Cluster, from: usize, to: usize) -> Span {
     let arrival = cluster.now + LATENCY + cluster.latency_random.below(cluster.jitter);
     let last = cluster.last_arrival.entry((from, to)).or_insert(0);
@@ -385,9 +390,9 @@
             {
                 map.pop_last();
             }
-            let word = format!("{message:?}");
-            let word = word.split([' ', '(', '{']).next().unwrap_or_default().to_string();
-            *cluster.sent.entry((node, word)).or_default() += 1;
+            let variant = format!("{message:?}");
+            let variant = variant.split([' ', '(', '{']).next().unwrap_or_default().to_string();
+            *cluster.sent.entry((node, variant)).or_default() += 1;
             let to = usize::from(slot);
             if cluster.blocked_links.contains(&(node, to)) {
                 return;
@@ -409,7 +414,7 @@
         Command::WriteVoterFile { token, .. } => write(cluster, node, Write::VoterSet { token }),
         Command::Respond { op, done } => {
             let at = cluster.now;
-            assert!(!cluster.responses.contains_key(&op), "operation {op} has two answers");
+            assert!(!cluster.responses.contains_key(&op), "operation {op} has two responses");
             cluster.responses.insert(op, Response { at, done });
         }
         Command::WakeAfter { span } => {
@@ -421,7 +426,7 @@
     }
 }
 
-/// The serving leader of the configuration of the highest term, if any.
+/// Returns the serving leader of the configuration's partition with the highest term, if any.
 pub fn leader(cluster: &Cluster) -> Option<usize> {
     let term = |node: &usize| match &cluster.nodes[*node].core.partitions[0].role {
         Role::Leader(leader) if leader.is_serving => leader.term,
@@ -430,32 +435,33 @@
     (0..cluster.nodes.len()).max_by_key(|node| term(node)).filter(|node| term(node) > Term::ZERO)
 }
 
-/// Whether this controller believes that it leads the configuration.
+/// Returns whether a controller considers itself the serving leader of the configuration's
+/// partition.
 pub fn considers_itself_leader(cluster: &Cluster, node: usize) -> bool {
     matches!(&cluster.nodes[node].core.partitions[0].role, Role::Leader(leader) if leader.is_serving)
 }
 
-/// The controller itself.
+/// Returns a controller's state.
 pub fn core_of(cluster: &Cluster, node: usize) -> &ControllerState {
     &cluster.nodes[node].core
 }
 
-/// The controller itself, to be spoiled on purpose.
+/// Returns a controller's state for deliberate corruption.
 pub fn core_mut(cluster: &mut Cluster, node: usize) -> &mut ControllerState {
     &mut cluster.nodes[node].core
 }
 
-/// Runs until somebody leads; gives the leader and another controller.
+/// Returns a cluster that has elected a leader, with the leader and another controller.
 pub fn cluster_with_leader(size: usize) -> (Cluster, usize, usize) {
     let mut cluster = cluster(size);
     run_until(&mut cluster, |cluster| leader(cluster).is_some());
     let first = leader(&cluster).unwrap();
-    // Until the others know it too.
+    // The others learn of the leader in this time.
     run(&mut cluster, ms(500));
     (cluster, first, (first + 1) % size)
 }
 
-/// An operator's request reaches a controller as its next event, at once.
+/// Submits an operator's request, which is the controller's next event; returns its number.
 pub fn submit(cluster: &mut Cluster, node: usize, request: &str, operation: Operation) -> u64 {
     let number = allocate_number(cluster);
     let request = request.to_string();
@@ -467,7 +473,7 @@
     number
 }
 
-/// The same, on a revision that it expects to change.
+/// Submits an operator's request that expects the revision `base`.
 pub fn submit_conditional(
     cluster: &mut Cluster,
     node: usize,
@@ -486,7 +492,7 @@
     number
 }
 
-/// An operator's request waits in the socket of a controller that is paused.
+/// Submits an operator's request that waits in the socket of a paused controller.
 pub fn submit_to_paused(
     cluster: &mut Cluster,
     node: usize,
@@ -507,24 +513,24 @@
     number
 }
 
-/// Runs until an operation has its answer.
+/// Runs until an operation has its response.
 pub fn await_response(cluster: &mut Cluster, operation: u64) -> OperationResult {
     run_until(cluster, |cluster| cluster.responses.contains_key(&operation));
     cluster.responses[&operation].done.clone()
 }
 
-/// How long an operation took to its answer.
+/// Returns the time between an operation's submission and its response.
 pub fn response_time(cluster: &Cluster, operation: u64) -> Span {
     cluster.responses[&operation].at - cluster.submitted_at[&operation]
 }
 
-/// A member renews at a controller.
+/// Delivers a member's lease renewal to a controller.
 pub fn renew_lease(
     cluster: &mut Cluster,
     node: usize,
     name: &str,
     count: u64,
-    far: MemberProgress,
+    progress: MemberProgress,
 ) {
     let member = Member {
         name: name.into(),
@@ -540,30 +546,30 @@
         node,
         Event::FromConnection {
             connection,
-            message: Message::RenewLease { member, number: count, progress: far },
+            message: Message::RenewLease { member, number: count, progress },
         },
     );
 }
 
-/// Ends a pause before anything that waits is taken: what the test gives the
-/// controller next is its first event.
+/// Ends a pause before any queued event is delivered, so that the event that the test delivers
+/// next is the controller's first.
 pub fn resume_before_pending(cluster: &mut Cluster, node: usize) {
     cluster.nodes[node].paused_until = cluster.now;
 }
 
-/// Ends a pause: what waits is taken now, in its order.
+/// Ends a pause and schedules the queued events for now, in their order.
 pub fn resume_with_pending(cluster: &mut Cluster, node: usize) {
     let end = std::mem::replace(&mut cluster.nodes[node].paused_until, cluster.now);
-    let waits =
+    let is_queued =
         |key: &(Tick, u64), (to, _, _): &mut (usize, u64, Scheduled)| key.0 == end && *to == node;
-    let waiting: Vec<_> = cluster.scheduled.extract_if(.., waits).collect();
-    for ((_, sequence), delivery) in waiting {
+    let queued: Vec<_> = cluster.scheduled.extract_if(.., is_queued).collect();
+    for ((_, sequence), delivery) in queued {
         cluster.scheduled.insert((cluster.now, sequence), delivery);
     }
 }
 
-/// An operator's request with a number of the test's own: the numbers of a new
-/// process begin anew.
+/// Submits an operator's request under a number that the test chooses, because a new process
+/// reuses the numbers of the one before.
 pub fn submit_with_number(
     cluster: &mut Cluster,
     node: usize,
--- a/crates/core/tests/common/edition_register.rs
+++ b/crates/core/tests/common/edition_register.rs
@@ -1,89 +1,92 @@
-//! Checks what operators were told of one register: the edition of the
-//! configuration, which only orders that name the standing edition change, by
-//! one. Knows nothing of the code that it checks.
+//! Checks a history of operators' requests and responses for linearizability. The object is a
+//! register, the edition of the configuration: only a change that names the current edition
+//! is accepted, and it raises the edition by one. The checker uses no code of the controllers.
 //!
-//! The history is right if there are times at which the edition rose, in order,
-//! each within the time in which its order was asked and answered, so that every
-//! answer that names an edition names one that stood between its request and
-//! itself.
+//! A history is correct if there are increasing points in time at which the edition rose, each
+//! between the submission and the response of its change, such that every response that names
+//! an edition names one that was current between the submission and the response.
 
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What an operator was told.
+/// The outcome of a request, as the operator received it.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Outcome {
     Accepted,
-    /// Refused: this edition stands.
+    /// Rejected, because this edition is the current one.
     Conflict(u64),
-    /// Read back: this edition stands.
+    /// A read returned this edition as the current one.
     Read(u64),
-    /// Certainly not carried out by this request; an earlier one of the same
-    /// order may have been.
+    /// Certainly not executed by this request; an earlier request for the same change may have
+    /// been executed.
     NotExecuted,
-    /// Nothing, or that it is not known.
+    /// No response, or one that says that the outcome is unknown.
     Unknown,
-    /// Something that no order of the history can come to.
+    /// A response that no correct history contains.
     Malformed(String),
 }
 
-/// One request and its answer. The same order may be asked several times.
+/// One request and its outcome. The same change may be requested several times.
 #[derive(Clone, Debug)]
 pub struct RequestRecord {
     pub change: String,
-    /// The edition that it builds on; none for a read.
+    /// The edition that the change is based on; `None` for a read.
     pub after: Option<u64>,
     pub submitted_at: u64,
     pub responded_at: u64,
     pub outcome: Outcome,
 }
 
-/// When an edition began to stand, as far as is known.
+/// Bounds on the time at which an edition became current.
 #[derive(Clone, Copy)]
 struct Bounds {
     earliest: u64,
     latest: u64,
 }
 
-/// What is wrong with a history at whose end `applied` orders are found and
-/// `edition` stands; empty if all is well.
+/// Returns the violations in a history after which the changes in `applied` are in force and
+/// `edition` is current; empty if the history is correct.
 pub fn check(history: &[RequestRecord], applied: &BTreeSet<String>, edition: u64) -> Vec<String> {
-    let mut wrong = Vec::new();
+    let mut violations = Vec::new();
     for entry in history {
-        let done = applied.contains(&entry.change);
+        let is_executed = applied.contains(&entry.change);
         match &entry.outcome {
-            Outcome::Accepted if !done => wrong.push(format!("accepted and lost: {entry:?}")),
-            Outcome::Conflict(_) if done => {
-                wrong.push(format!("refused, and is done: {entry:?}"));
+            Outcome::Accepted if !is_executed => {
+                violations.push(format!("accepted, but lost: {entry:?}"))
             }
-            Outcome::NotExecuted if done && !executed_by_another(history, entry) => {
-                wrong.push(format!("said not to be done, and is: {entry:?}"));
+            Outcome::Conflict(_) if is_executed => {
+                violations.push(format!("rejected, but executed: {entry:?}"));
             }
-            Outcome::Conflict(stands) if Some(*stands) == entry.after => {
-                wrong.push(format!("refused although it builds on what stands: {entry:?}"));
+            Outcome::NotExecuted if is_executed && !executed_by_another(history, entry) => {
+                violations.push(format!("reported as not executed, but executed: {entry:?}"));
             }
-            Outcome::Malformed(text) => wrong.push(format!("{text}: {entry:?}")),
+            Outcome::Conflict(current) if Some(*current) == entry.after => {
+                violations.push(format!(
+                    "rejected although it is based on the current edition: {entry:?}"
+                ));
+            }
+            Outcome::Malformed(text) => violations.push(format!("{text}: {entry:?}")),
             _ => {}
         }
     }
-    let edition_bounds = edition_bounds(history, applied, edition, &mut wrong);
-    if wrong.is_empty() {
-        wrong.extend(impossible_editions(history, &edition_bounds));
+    let edition_bounds = edition_bounds(history, applied, edition, &mut violations);
+    if violations.is_empty() {
+        violations.extend(impossible_editions(history, &edition_bounds));
     }
-    wrong
+    violations
 }
 
-/// Whether another request of the same order may have carried it out.
+/// Returns whether another request for the same change may have executed it.
 fn executed_by_another(history: &[RequestRecord], entry: &RequestRecord) -> bool {
     let same = history.iter().filter(|other| other.change == entry.change);
     same.into_iter().any(|other| matches!(other.outcome, Outcome::Accepted | Outcome::Unknown))
 }
 
-/// The bounds of each edition from 1 on, by the orders that brought them.
+/// Returns the bounds of each edition from 1 on, derived from the changes that created them.
 fn edition_bounds(
     history: &[RequestRecord],
     applied: &BTreeSet<String>,
     edition: u64,
-    wrong: &mut Vec<String>,
+    violations: &mut Vec<String>,
 ) -> Vec<Bounds> {
     let mut by_edition: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
     for entry in history.iter().filter(|entry| applied.contains(&entry.change)) {
@@ -93,12 +96,15 @@
     }
     let mut edition_bounds = Vec::new();
     for after in 0..edition {
-        let orders = by_edition.remove(&after).unwrap_or_default();
-        if orders.len() != 1 {
-            wrong.push(format!("{} orders were carried out on {after}: {orders:?}", orders.len()));
+        let changes = by_edition.remove(&after).unwrap_or_default();
+        if changes.len() != 1 {
+            violations.push(format!(
+                "{} changes were executed on edition {after}: {changes:?}",
+                changes.len()
+            ));
             continue;
         }
-        let entries = || history.iter().filter(|entry| orders.contains(entry.change.as_str()));
+        let entries = || history.iter().filter(|entry| changes.contains(entry.change.as_str()));
         let accepted = entries().filter(|entry| entry.outcome == Outcome::Accepted);
         edition_bounds.push(Bounds {
             earliest: entries().map(|entry| entry.submitted_at).min().unwrap_or(0),
@@ -106,23 +112,26 @@
         });
     }
     if !by_edition.is_empty() {
-        wrong.push(format!("carried out, but {edition} stands at the end: {by_edition:?}"));
+        violations.push(format!("executed, but {edition} is the last edition: {by_edition:?}"));
     }
     edition_bounds
 }
 
-/// Answers that name an edition which can't have stood in their time.
+/// Returns the responses that name an edition that cannot have been current at their time.
 fn impossible_editions(history: &[RequestRecord], edition_bounds: &[Bounds]) -> Vec<String> {
     let mut bounds = edition_bounds.to_vec();
-    let mut wrong = Vec::new();
+    let mut violations = Vec::new();
     for entry in history {
         let (Outcome::Conflict(edition) | Outcome::Read(edition)) = entry.outcome else { continue };
         let Ok(at) = usize::try_from(edition) else { continue };
-        // It had begun to stand by the answer, and the next had not at the asking.
+        // The edition was current by the time of the response, and the next one was not yet
+        // current at the submission.
         match at.checked_sub(1).map(|at| bounds.get_mut(at)) {
             None => {}
             Some(Some(step)) => step.latest = step.latest.min(entry.responded_at),
-            Some(None) => wrong.push(format!("names an edition that never stood: {entry:?}")),
+            Some(None) => {
+                violations.push(format!("names an edition that never was current: {entry:?}"))
+            }
         }
         if let Some(next) = bounds.get_mut(at) {
             next.earliest = next.earliest.max(entry.submitted_at);
@@ -132,9 +141,10 @@
     for (at, step) in bounds.iter().enumerate() {
         earliest = earliest.max(step.earliest);
         if earliest > step.latest {
-            let text = format!("no time is left at which edition {} began", at + 1);
-            wrong.push(format!("{text}: from {earliest}, by {}", step.latest));
+            let text =
+                format!("there is no possible time at which edition {} became current", at + 1);
+            violations.push(format!("{text}: from {earliest}, by {}", step.latest));
         }
     }
-    wrong
+    violations
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A core of one seat with a disk that does at once what it is asked.
+//! A cluster of one controller whose disk completes each write immediately.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,7 +10,7 @@
 use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::time::{BOOT, Tick};
 
-/// The seat, its clock and its operators' numbers.
+/// The controller, its clock, the number of the next operation, and the responses so far.
 pub struct SingleController {
     core: ControllerState,
     now: Tick,
@@ -18,7 +18,7 @@
     done: Vec<(u64, OperationResult)>,
 }
 
-/// A seat that owns the configuration, which is empty.
+/// Returns a controller that is the leader of an empty configuration.
 pub fn single_controller() -> SingleController {
     let addr = "127.0.0.1:1".to_string();
     let start = Start {
@@ -28,22 +28,22 @@
         size: 1,
         addr: addr.clone(),
     };
-    let (roll, _) = begin(None, &start, true, 5);
-    let core = ControllerState::new(roll, (&addr, "a"), Vec::new(), 7, BOOT);
+    let (voter_file, _) = begin(None, &start, true, 5);
+    let core = ControllerState::new(voter_file, (&addr, "a"), Vec::new(), 7, BOOT);
     SingleController { core, now: BOOT, ops: 0, done: Vec::new() }
 }
 
-fn feed(o: &mut SingleController, event: Event) {
-    let mut line = vec![event];
-    while !line.is_empty() {
-        for command in o.core.step(o.now, line.remove(0)) {
+fn deliver_event(o: &mut SingleController, event: Event) {
+    let mut pending = vec![event];
+    while !pending.is_empty() {
+        for command in o.core.step(o.now, pending.remove(0)) {
             match command {
                 Command::AppendRecord { partition, token, .. }
                 | Command::WriteSnapshot { partition, token, .. } => {
-                    line.push(Event::Synced { partition, token });
+                    pending.push(Event::Synced { partition, token });
                 }
                 Command::WriteVoterFile { token, .. } => {
-                    line.push(Event::VoterFileWritten { token })
+                    pending.push(Event::VoterFileWritten { token })
                 }
                 Command::Respond { op, done } => o.done.push((op, done)),
                 _ => {}
@@ -52,21 +52,24 @@
     }
 }
 
-/// Gives requests to the seat at one moment; their outcomes, in this order.
-pub fn submit_all(o: &mut SingleController, asks: Vec<(&str, Operation)>) -> Vec<OperationResult> {
+/// Submits requests to the controller at the same time, and returns their results in the same order.
+pub fn submit_all(
+    o: &mut SingleController,
+    requests: Vec<(&str, Operation)>,
+) -> Vec<OperationResult> {
     let first = o.ops;
-    let n = asks.len() as u64;
-    for (request, operation) in asks {
+    let n = requests.len() as u64;
+    for (request, operation) in requests {
         let (op, request) = (o.ops, request.to_string());
         o.ops += 1;
-        feed(o, Event::Operate { op, request, expected_revision: None, operation });
+        deliver_event(o, Event::Operate { op, request, expected_revision: None, operation });
     }
     for _ in 0..1_000 {
         if o.done.len() as u64 == n {
             break;
         }
         o.now += WAKE;
-        feed(o, Event::Wake);
+        deliver_event(o, Event::Wake);
     }
     let mut done = std::mem::take(&mut o.done);
     done.sort_by_key(|d| d.0);
@@ -74,12 +77,12 @@
     done.into_iter().map(|d| d.1).collect()
 }
 
-/// Gives one request to the seat and waits for its outcome.
+/// Submits one request to the controller and waits for its result.
 pub fn submit(o: &mut SingleController, request: &str, operation: Operation) -> OperationResult {
     submit_all(o, vec![(request, operation)]).remove(0)
 }
 
-/// The configuration as the owner reads it back.
+/// Reads the configuration back from the leader.
 #[allow(dead_code)]
 pub fn read_configuration(o: &mut SingleController) -> Config {
     match submit(o, "read", Operation::Read) {
--- a/crates/core/tests/races/cases.rs
+++ b/crates/core/tests/races/cases.rs
@@ -1,8 +1,8 @@
-//! The races that are played.
+//! The races that the tests run.
 
 use super::{ConfigChange, Fault, LateDelivery, Race, ResumeOrder, Stage, config_change};
 
-/// Every fault that strikes in the course of a write.
+/// Every fault that can occur during a write.
 const FAULTS: [Fault; 10] = [
     Fault::ResponseLost,
     Fault::LeaderKilled { power_loss: true, late: LateDelivery::Never },
@@ -16,9 +16,9 @@
     Fault::AllKilled,
 ];
 
-/// The orders of the race with this number: whole and partial ones, under the
-/// same number and under others, and one text from both operators.
-fn orders(number: usize) -> (ConfigChange, ConfigChange) {
+/// Returns the two changes of the race with this number: replacements and patches, for the same
+/// edition and for different ones, and the same text from both operators.
+fn changes(number: usize) -> (ConfigChange, ConfigChange) {
     let first = |is_replacement| config_change(is_replacement, Some(1), 5, "first");
     match number % 6 {
         0 => (first(true), config_change(true, Some(1), 5, "rival")),
@@ -30,20 +30,22 @@
     }
 }
 
-/// Every race of one stage. The pairs of orders change from each to the next.
+/// Returns all races of a stage. The pairs of changes alternate from race to race.
 pub fn races(stage: Stage) -> Vec<Race> {
     races_of(stage, &FAULTS)
 }
 
+/// Returns all races of a stage with the given faults.
 pub fn races_of(stage: Stage, faults: &[Fault]) -> Vec<Race> {
     let mut all = Vec::new();
     for fault in faults.iter().copied() {
         for resume_order in
             [ResumeOrder::ResendFirst, ResumeOrder::RivalFirst, ResumeOrder::Concurrent]
         {
-            for place in 0..27 {
-                let (contacted, resend_at, rival_at) = (place % 3, place / 3 % 3, place / 9);
-                let (first, rival) = orders(all.len() / 5 + all.len());
+            for placement in 0..27 {
+                let (contacted, resend_at, rival_at) =
+                    (placement % 3, placement / 3 % 3, placement / 9);
+                let (first, rival) = changes(all.len() / 5 + all.len());
                 all.push(Race {
                     contacted,
                     resend_at,
@@ -59,7 +61,7 @@
             }
         }
     }
-    // Called directly, the leader has the order at once.
+    // A leader that is called directly has the change at once.
     all.retain(|race| race.contacted != 0 || race.stage != Stage::Arrived);
     all
 }
--- a/crates/core/tests/races/mod.rs
+++ b/crates/core/tests/races/mod.rs
@@ -1,5 +1,5 @@
-//! Races of two orders through three controllers, with a fault at a chosen step
-//! of the write: what is played, and how.
+//! Races of two configuration changes on a cluster of three controllers, with a fault at a
+//! chosen stage of the write of the first change.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
@@ -19,16 +19,16 @@
     restart_all, resume, run_for, run_until, start, synced_revision, take_messages, tamper,
 };
 
-/// An operator's order as the users' platform names it.
+/// An operator's change of the configuration.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ConfigChange {
     pub request: String,
     pub operation: Operation,
-    /// A zone that only this order sets.
+    /// A zone that only this change sets.
     pub zone: String,
 }
 
-/// An order on edition `base`; without one it builds on whatever stands.
+/// Returns a change that is based on edition `base`, or on any edition if `base` is `None`.
 pub fn config_change(
     is_replacement: bool,
     base: Option<u64>,
@@ -50,21 +50,24 @@
     ConfigChange { request, operation, zone: zone.to_string() }
 }
 
-/// How far the write of an order gets before the fault.
+/// How far the write of a change gets before the fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// It is on its way to the leader.
+    /// The request is on its way to the leader.
     Arrived,
-    /// The leader has it, and nothing is synced.
+    /// The leader has appended the change, and no disk has synced it.
     Appended,
+    /// Only the leader has synced it.
     LeaderSynced,
-    /// One follower alone has it on disk.
+    /// Only one follower has synced it.
     FollowerSynced,
-    /// A majority has it on disk, and the leader does not know.
+    /// A majority has synced it, and the leader does not know.
     MajoritySynced,
+    /// All have synced it, and the leader does not know.
     AllSynced,
-    /// The answer is on its way.
+    /// The change is committed, and the response is on its way.
     Committed,
+    /// The operator has the response.
     Answered,
 }
 
@@ -79,34 +82,34 @@
     Stage::Answered,
 ];
 
-/// When messages that were under way at the fault come.
+/// When messages that were in flight at the time of the fault are delivered.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum LateDelivery {
     Never,
-    /// Once another leads, before the operators go on.
+    /// After another leader is elected, before the operators continue.
     AfterElection,
-    /// After the operators went on.
+    /// After the operators have continued.
     AtEnd,
 }
 
-/// What happens then.
+/// The fault that occurs when the write has reached its stage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing but that the operator does not hear the answer.
+    /// The operator does not receive the response.
     ResponseLost,
-    /// The leader ends, with power or without, and is back later.
+    /// The leader is killed, with or without a power loss, and restarted later.
     LeaderKilled { power_loss: bool, late: LateDelivery },
-    /// The leader hears nobody for a while.
+    /// The leader is partitioned from the others for a while.
     LeaderIsolated { late: LateDelivery },
-    /// The leader's process is stopped for a while.
+    /// The leader's process is paused for a while.
     LeaderPaused,
-    /// The controller that the operator called ends.
+    /// The controller that the operator contacted is killed.
     ContactedKilled,
-    /// All lose power at once.
+    /// All controllers lose power at the same time.
     AllKilled,
 }
 
-/// Who comes first after the fault.
+/// Which operator's request is sent first after the fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum ResumeOrder {
     ResendFirst,
@@ -114,39 +117,42 @@
     Concurrent,
 }
 
-/// A race: where the first order is sent, what happens, and who goes on where.
+/// A race: where the first change is sent, which fault occurs, and which operators continue at
+/// which controllers.
 #[derive(Clone, Debug)]
 pub struct Race {
-    /// Distances from the leader, in the ring of controllers.
+    /// Controllers as distances from the leader in the ring of controllers: the one that gets
+    /// the first change, the one that gets it again, and the one that gets the rival.
     pub contacted: usize,
     pub resend_at: usize,
     pub rival_at: usize,
     pub stage: Stage,
     pub fault: Fault,
     pub resume_order: ResumeOrder,
-    /// How far the rival's write gets before its leader is killed, too.
+    /// How far the rival's write gets before its leader is killed as well.
     pub rival_stage: Option<Stage>,
     pub first: ConfigChange,
     pub rival: ConfigChange,
-    /// The memory of orders is lost, on purpose.
+    /// Deliberate fault: the memory of accepted requests is lost.
     pub loses_dedup_state: bool,
 }
 
-/// The calls that carried each order.
+/// The numbers of the calls that carried each change.
 #[derive(Default, Debug)]
 pub struct History {
     pub first: Vec<u64>,
     pub rival: Vec<u64>,
 }
 
-/// How a race ended.
+/// The outcome of a race.
 pub struct Outcome {
     pub violations: Vec<String>,
     pub first_accepted: bool,
-    /// Another controller led after the fault.
+    /// Whether another controller led after the fault.
     pub leader_changed: bool,
 }
 
+/// Runs a race and checks its properties.
 pub fn run_race(race: &Race) -> Outcome {
     let mut c = cluster(3);
     let base = config_change(true, Some(0), 1, "base");
@@ -168,20 +174,21 @@
     resend_all(&mut c, race, &mut history);
     restart_all(&mut c, true);
     resend_all(&mut c, race, &mut history);
-    let (violations, first_accepted) = checks::checks(&mut c, race, &history);
+    let (violations, first_accepted) = checks::check_race(&mut c, race, &history);
     Outcome { violations, first_accepted, leader_changed }
 }
 
-pub fn send(c: &mut Cluster, node: usize, config_change: &ConfigChange) -> u64 {
-    call(c, node, &config_change.request, None, config_change.operation.clone())
+/// Sends a change to a controller and returns the number of the call.
+pub fn send(c: &mut Cluster, node: usize, change: &ConfigChange) -> u64 {
+    call(c, node, &change.request, None, change.operation.clone())
 }
 
-/// Does the work of an order up to a stage.
+/// Performs the write of a change up to a stage.
 pub fn hold_at(c: &mut Cluster, stage: Stage, leader: usize) {
     let before = c.answered.len();
     perform_unless(c, |work| is_held(work, stage, leader));
     match stage {
-        // The leader tells the outcome when it next looks who obeys.
+        // The leader responds when it next checks which members have applied the change.
         Stage::Committed => {
             c.now += WAKE;
             deliver_event(c, leader, Event::Wake);
@@ -194,7 +201,7 @@
     }
 }
 
-/// Whether a piece of work lies beyond a stage.
+/// Returns whether an action lies beyond a stage.
 pub fn is_held(work: &Work, stage: Stage, leader: usize) -> bool {
     let follower = (leader + 1) % 3;
     let all = matches!(stage, Stage::AllSynced | Stage::Committed | Stage::Answered);
@@ -218,7 +225,8 @@
     !allowed
 }
 
-/// The stage is what it says: who has the first order on disk, and who knows.
+/// Checks that a stage is reached: which disks have the first change, and whether the leader
+/// knows that it is committed.
 pub fn check_stage(c: &Cluster, race: &Race, leader: usize) {
     let on_disk = |distance: usize| synced_revision(c, (leader + distance) % 3) == 2;
     let want = match race.stage {
@@ -234,13 +242,13 @@
         .as_ref()
         .is_some_and(|core| core.partitions[0].committed_revision == 2);
     assert_eq!(knows, matches!(race.stage, Stage::Committed | Stage::Answered), "{race:?}");
-    // An answer at the leader itself can't be held.
+    // A response of the leader to its own caller can't be held back.
     let answered =
         race.stage == Stage::Answered || race.stage == Stage::Committed && race.contacted == 0;
     assert_eq!(c.answered.len() > 1, answered, "{race:?}");
 }
 
-/// The fault strikes; gives the messages that come late.
+/// Injects the fault and returns the messages that may be delivered late.
 pub fn inject_fault(c: &mut Cluster, race: &Race, leader: usize) -> Vec<Work> {
     match race.fault {
         Fault::ResponseLost => Vec::new(),
@@ -268,7 +276,7 @@
     }
 }
 
-/// The operators go on: one sends the first order again, one sends a rival.
+/// Lets the operators continue: one sends the first change again, the other sends the rival.
 pub fn resume_operators(
     c: &mut Cluster,
     race: &Race,
@@ -276,24 +284,27 @@
     (at, late): (impl Fn(usize) -> usize, Vec<Work>),
 ) {
     let (resend_at, rival_at) = (at(race.resend_at), at(race.rival_at));
-    let when = match race.fault {
+    let late_delivery = match race.fault {
         Fault::LeaderKilled { late, .. } | Fault::LeaderIsolated { late } => late,
         _ => LateDelivery::Never,
     };
-    let led = |c: &Cluster| leader(c).is_some_and(|node| !c.nodes[node].isolated);
+    let has_leader = |c: &Cluster| leader(c).is_some_and(|node| !c.nodes[node].isolated);
     if race.resume_order != ResumeOrder::RivalFirst {
         history.first.push(send(c, resend_at, &race.first));
     }
     if race.resume_order != ResumeOrder::Concurrent {
-        run_until(c, 5 * SECOND, led);
+        run_until(c, 5 * SECOND, has_leader);
     }
-    if when == LateDelivery::AfterElection {
-        // The old leader's word reaches the others, and theirs reaches it.
-        let cuts: Vec<bool> = c.nodes.iter().map(|node| node.isolated).collect();
+    if late_delivery == LateDelivery::AfterElection {
+        // The old leader's messages reach the others, and theirs reach the old leader.
+        let isolated_nodes: Vec<bool> = c.nodes.iter().map(|node| node.isolated).collect();
         c.nodes.iter_mut().for_each(|node| node.isolated = false);
         c.work.extend(late.clone());
         perform_unless(c, |_| false);
-        c.nodes.iter_mut().zip(cuts).for_each(|(node, isolated)| node.isolated = isolated);
+        c.nodes
+            .iter_mut()
+            .zip(isolated_nodes)
+            .for_each(|(node, isolated)| node.isolated = isolated);
     }
     history.rival.push(send(c, rival_at, &race.rival));
     if let (Some(stage), Some(leader)) = (race.rival_stage, leader(c)) {
@@ -307,12 +318,12 @@
         history.first.push(send(c, resend_at, &race.first));
     }
     run_for(c, 3 * SECOND);
-    if when == LateDelivery::AtEnd {
+    if late_delivery == LateDelivery::AtEnd {
         c.work.extend(late);
     }
 }
 
-/// All are back and hear each other, until nobody waits for an answer.
+/// Restarts and reconnects all controllers, and runs until no operator waits for a response.
 pub fn restore_cluster(c: &mut Cluster) {
     c.nodes.iter_mut().for_each(|node| node.isolated = false);
     (0..3).for_each(|node| resume(c, node));
@@ -320,6 +331,7 @@
     run_for(c, 10 * SECOND);
 }
 
+/// Starts the controllers that are down.
 pub fn start_all(c: &mut Cluster) {
     for node in 0..3 {
         if c.nodes[node].core.is_none() {
@@ -328,14 +340,17 @@
     }
 }
 
-/// Both orders are sent again, and each gets an answer.
+/// Sends both changes again and waits for a response to each.
 pub fn resend_all(c: &mut Cluster, race: &Race, history: &mut History) {
-    for (node, config_change, calls) in [
+    for (node, change, calls) in [
         (race.contacted, &race.first, &mut history.first),
         (race.resend_at, &race.rival, &mut history.rival),
     ] {
-        let op = send(c, node, config_change);
-        assert!(run_until(c, 12 * SECOND, |c| c.answered.contains_key(&op)), "no answer");
+        let op = send(c, node, change);
+        assert!(
+            run_until(c, 12 * SECOND, |c| c.answered.contains_key(&op)),
+            "no response within 12 s"
+        );
         calls.push(op);
     }
 }
