--- a/crates/core/tests/assignments.rs
+++ b/crates/core/tests/assignments.rs
@@ -97,7 +97,7 @@
 }
 
 #[gtest]
-fn a_list_poller_that_stops_polls_until_it_gives_its_lease_back() {
+fn a_stopping_list_poller_polls_until_it_releases_its_lease() {
     // Guards against a rolling restart that stops holder and successor at once and leaves
     // the list unread until one of them has ended.
     let mut holder = agent(by_rank()[0]);
@@ -109,7 +109,7 @@
 }
 
 #[gtest]
-fn a_member_that_stops_checks_its_leafs_until_it_gives_its_lease_back() {
+fn a_stopping_member_probes_its_leafs_until_it_releases_its_lease() {
     // Guards against leafs that nobody health-checks while their checker stops.
     let mut checked_by = 0;
     for number in 0..MEMBERS {
@@ -130,7 +130,7 @@
 }
 
 #[gtest]
-fn a_member_polls_the_list_as_soon_and_as_long_as_the_leader_says() {
+fn a_member_polls_the_list_while_the_leader_names_it_as_substitute() {
     let mut last = agent(by_rank()[MEMBERS - 1]);
     expect_that!(times(&mut last, SECOND, is_poll), is_empty());
     // What was said to a former process does not count.
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -156,7 +156,7 @@
 }
 
 #[googletest::test]
-fn a_replica_catches_up_in_a_time_that_does_not_grow_with_what_it_missed() {
+fn a_replicas_catch_up_time_does_not_grow_with_the_changes_it_missed() {
     for away in WAYS {
         for leads in [false, true] {
             let spans: Vec<u64> =
@@ -195,7 +195,7 @@
 }
 
 #[googletest::test]
-fn a_replica_that_was_away_never_leads_before_it_is_up_to_date() {
+fn a_returning_replica_never_leads_before_it_is_up_to_date() {
     // The one that returns finds one other alone: the leader dies as it is back.
     for away in [Away::CutOff, Away::Stopped, Away::Down, Away::DiskStalled] {
         for wait in [0, 1, 2, 3, 5, 8, 20, 60, 200, 900] {
@@ -215,7 +215,7 @@
 }
 
 #[googletest::test]
-fn a_transfer_that_is_cut_at_any_step_is_made_again() {
+fn a_snapshot_transfer_that_is_interrupted_at_any_step_is_retried() {
     for cut_after in [0, 1, 2, 3, 4, 6, 9, 30, 120, 250, 260, 300] {
         for away in [Away::Down, Away::DownBlank] {
             let (mut cluster, first, other) = cluster_with_leader(3);
@@ -237,7 +237,7 @@
 }
 
 #[googletest::test]
-fn snapshots_that_lack_the_newest_entry_are_caught() {
+fn snapshots_that_lack_an_entry_are_detected() {
     let (mut cluster, first, other) = cluster_with_leader(3);
     let mut operator = operator(64);
     change(&mut cluster, &mut operator, first, 20);
@@ -250,7 +250,7 @@
 }
 
 #[googletest::test]
-fn what_a_controller_holds_does_not_grow_with_the_changes_that_were() {
+fn a_controllers_state_does_not_grow_with_the_number_of_past_changes() {
     let (mut cluster, first, other) = cluster_with_leader(3);
     let mut operator = operator(64);
     change(&mut cluster, &mut operator, first, 16_000);
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -25,7 +25,7 @@
 }
 
 #[googletest::test]
-fn a_good_configuration_builds_and_survives_its_stored_form() {
+fn a_valid_configuration_builds_and_round_trips_through_its_stored_form() {
     let conf = Config::from_json(good().as_bytes()).unwrap();
     let built = RoutingTable::build(&conf).unwrap();
     let map = &built.routes["notices"];
@@ -41,7 +41,7 @@
 }
 
 #[googletest::test]
-fn every_mistake_is_found_at_once_with_its_place() {
+fn all_errors_are_reported_together_with_their_locations() {
     let text = r#"{
       "searchs": [],
       "searches": [
@@ -66,7 +66,7 @@
 }
 
 #[googletest::test]
-fn plans_are_checked_by_line_and_column_and_against_the_pools() {
+fn plan_errors_name_line_and_column_and_plans_are_checked_against_pools() {
     let with = |plan: &str| {
         let mut conf = Config::from_json(good().as_bytes()).unwrap();
         conf.searches.get_mut("notices").unwrap().plan = plan.to_string();
--- a/crates/core/tests/connection_subset.rs
+++ b/crates/core/tests/connection_subset.rs
@@ -60,7 +60,7 @@
 }
 
 #[googletest::test]
-fn a_leaf_is_never_dealt_more_than_its_limit_less_a_tenth() {
+fn a_leaf_never_gets_more_connections_than_its_limit_less_a_tenth() {
     // Guards against resets by leafs: each is a call that fails.
     let mut random = Random::new(8);
     for _ in 0..300 {
@@ -78,7 +78,7 @@
 }
 
 #[googletest::test]
-fn nodes_get_nearly_the_same_number_of_wires() {
+fn nodes_get_nearly_the_same_number_of_connections() {
     // Guards against a node that is left without connections, or hoards them.
     let mut random = Random::new(9);
     for _ in 0..200 {
@@ -96,7 +96,7 @@
 }
 
 #[googletest::test]
-fn of_the_wires_that_are_there_most_are_dealt() {
+fn most_of_the_available_connections_are_assigned() {
     // Guards against a deal that keeps the limit by using little of it.
     let mut random = Random::new(10);
     for _ in 0..200 {
@@ -112,7 +112,7 @@
 }
 
 #[googletest::test]
-fn a_nodes_few_wires_go_to_its_own_zone_first() {
+fn a_nodes_few_connections_go_to_its_own_zone_first() {
     // Guards against traffic between zones for no reason.
     let peers = nodes(12);
     let leafs: Vec<_> = (0..12).map(leaf).collect();
@@ -131,7 +131,7 @@
 }
 
 #[googletest::test]
-fn many_nodes_share_few_wires_and_few_nodes_have_many() {
+fn many_nodes_share_few_connections_and_few_nodes_get_many() {
     let leafs: Vec<_> = (0..3).map(leaf).collect();
     // 60 nodes and 3 leafs with 9 connections each: 27 nodes have one.
     let dealt = all(&nodes(60), &leafs, 10);
@@ -151,7 +151,7 @@
 }
 
 #[googletest::test]
-fn a_node_that_goes_moves_a_bounded_share_of_the_wires() {
+fn removing_a_node_moves_a_bounded_share_of_the_connections() {
     // Guards against storms of new connections when one machine ends.
     let leafs: Vec<_> = (0..12).map(leaf).collect();
     let mut worst = 0;
@@ -174,7 +174,7 @@
 }
 
 #[googletest::test]
-fn a_leaf_that_goes_moves_a_bounded_share_of_the_wires() {
+fn removing_a_leaf_moves_a_bounded_share_of_the_connections() {
     let peers = nodes(12);
     let mut worst = 0;
     for limit in [10u64, 40, 60, 82] {
--- a/crates/core/tests/decoding.rs
+++ b/crates/core/tests/decoding.rs
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn every_message_has_its_shape_and_no_altered_one_reserves_more_than_its_bytes_may_need() {
+fn every_message_matches_its_shape_and_altered_ones_decode_within_memory_bounds() {
     let mut random = Random::new(7);
     for message in messages::all() {
         assert_safe(&MESSAGE, &message, &mut random);
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn what_is_stored_has_its_shape_and_is_read_within_bounds() {
+fn stored_values_match_their_shapes_and_decode_within_memory_bounds() {
     let mut random = Random::new(8);
     for message in messages::all() {
         match message {
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn the_message_that_once_asked_for_58_gigabytes_is_refused() {
+fn a_message_whose_list_length_would_reserve_58_gigabytes_is_rejected() {
     let message = Message::LeafList {
         partition: grebepath_core::identifiers::PartitionId(1),
         fencing_token: Default::default(),
--- a/crates/core/tests/disk.rs
+++ b/crates/core/tests/disk.rs
@@ -49,7 +49,7 @@
 }
 
 #[googletest::test]
-fn a_torn_log_is_its_whole_records() {
+fn a_torn_log_is_read_up_to_its_last_complete_record() {
     let (slots, log, at) = files();
     for cut in at[0].0..=log.len() {
         for zeros in [0, 9, 200] {
@@ -67,7 +67,7 @@
 }
 
 #[googletest::test]
-fn no_flipped_bit_is_read_as_truth() {
+fn no_flipped_bit_is_read_as_valid_state() {
     let (slots, log, at) = files();
     let truth = &at.last().unwrap().1;
     let mut damaged = 0;
@@ -101,7 +101,7 @@
 }
 
 #[googletest::test]
-fn a_slot_write_that_never_ended_loses_nothing() {
+fn an_interrupted_slot_write_loses_nothing() {
     let (slots, log, at) = files();
     let truth = at.last().unwrap().1.clone();
     let next = writer::slot(PART, 3, &truth);
@@ -122,7 +122,7 @@
 }
 
 #[googletest::test]
-fn other_versions_and_other_parts_are_reported() {
+fn files_of_other_versions_and_other_partitions_are_reported() {
     let (mut slots, log, _) = files();
     expect_that!(
         read(PART + 1, [Some(&slots[0]), None], Some(&log)),
@@ -140,7 +140,7 @@
 }
 
 #[googletest::test]
-fn no_flipped_bit_of_a_replaced_slot_costs_the_replica() {
+fn no_flipped_bit_in_the_older_slot_loses_the_replica() {
     // Guards against a slot whose version was corrupted: a scrub has the state written to the
     // other slot, and the next start refused both.
     let (slots, log, at) = files();
--- a/crates/core/tests/editions.rs
+++ b/crates/core/tests/editions.rs
@@ -50,7 +50,7 @@
 }
 
 #[googletest::test]
-fn of_two_changes_on_one_edition_one_wins_and_the_other_is_told_so() {
+fn of_two_changes_on_one_edition_one_is_accepted_and_the_other_gets_a_conflict() {
     // Guards against two operators that both believe theirs is in force.
     for (a, b) in [
         (whole(3, 5, "/a/"), whole(3, 7, "/b/")),
@@ -75,7 +75,7 @@
 }
 
 #[googletest::test]
-fn the_same_request_again_is_accepted_again_and_changes_nothing() {
+fn a_repeated_request_is_accepted_again_and_changes_nothing() {
     // Guards against an operator who lost the answer and takes the 412 to its
     // own repetition for a lost race.
     let mut o = single_controller();
@@ -95,7 +95,7 @@
 }
 
 #[googletest::test]
-fn editions_rise_in_uneven_steps_and_never_fall_or_stay() {
+fn editions_may_skip_numbers_but_always_rise() {
     let mut o = single_controller();
     let mut stand = 0;
     for (i, next) in [1u64, 2, 9, 10, 5_000, u64::from(u32::MAX) + 7].into_iter().enumerate() {
@@ -122,7 +122,7 @@
 }
 
 #[googletest::test]
-fn what_is_wrong_or_came_too_late_leaves_everything_as_it_was() {
+fn invalid_and_conflicting_changes_leave_the_configuration_unchanged() {
     // Guards against half of a refused change in force.
     let mut o = single_controller();
     submit(&mut o, "0", whole(0, 3, "/a/"));
@@ -141,7 +141,7 @@
 }
 
 #[googletest::test]
-fn a_whole_change_keeps_emptied_zones_only_if_it_says_so() {
+fn a_replacement_keeps_drained_zones_only_if_it_says_so() {
     // Guards against an emptied zone that fills again with the next change of
     // the searches, while its machines are being worked on.
     let mut o = single_controller();
@@ -169,7 +169,7 @@
 }
 
 #[googletest::test]
-fn terms_stand_until_a_change_sets_them_and_go_with_a_whole_that_does_not() {
+fn client_limits_stay_until_set_and_are_cleared_by_a_replacement_without_them() {
     let mut o = single_controller();
     let terms = |after: u64, edition: u64, more: Value| {
         let mut val = json!({ "after": after, "edition": edition });
--- a/crates/core/tests/elections.rs
+++ b/crates/core/tests/elections.rs
@@ -52,7 +52,7 @@
 }
 
 #[googletest::test]
-fn the_first_order_after_a_leaders_death_is_accepted_within_a_second_and_a_half() {
+fn the_first_operation_after_a_leader_failure_is_accepted_within_1500_ms() {
     for size in [3, 5, 7] {
         let times = times(size, |cluster, leader| {
             isolate(cluster, leader);
@@ -87,7 +87,7 @@
 }
 
 #[googletest::test]
-fn a_leader_is_elected_though_the_disks_are_slow() {
+fn a_leader_is_elected_despite_slow_disks() {
     for (slow, span) in [(1, 50), (1, 150), (2, 50), (2, 120), (2, 150)] {
         let mut all: Vec<u64> =
             (0..40).map(|seed| with_slow_disks(seed, slow, ms(span)) / MILLI).collect();
@@ -98,7 +98,7 @@
 }
 
 #[googletest::test]
-fn a_leader_whose_disk_is_slow_but_works_does_not_step_back() {
+fn a_leader_with_a_slow_but_working_disk_does_not_step_down() {
     // 40 changes wait in line, 120 ms each: longer than a disk may stall.
     let (mut cluster, leader, other) = cluster_with_leader(3);
     for node in 0..3 {
@@ -115,7 +115,7 @@
 }
 
 #[googletest::test]
-fn an_order_hardly_waits_when_a_leader_steps_down_in_order() {
+fn an_operation_hardly_waits_when_a_leader_steps_down_gracefully() {
     for size in [3, 5, 7] {
         let times = times(size, |cluster, leader| deliver_event(cluster, leader, Event::Stop));
         expect_that!(times[times.len() - 2], lt(300), "{size} voters");
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -75,7 +75,7 @@
 }
 
 #[gtest]
-fn one_seat_feeds_and_the_others_are_asked_how_far_they_are() {
+fn one_voter_feeds_and_the_others_are_polled_for_their_positions() {
     let mut w = serves();
     let (whole, only) = asked(&w.step(BOOT, Event::Wake));
     expect_that!(whole.len(), eq(1));
@@ -87,7 +87,7 @@
 }
 
 #[gtest]
-fn all_seats_feed_a_member_that_starts_and_are_asked_often() {
+fn all_voters_feed_a_starting_member_and_are_polled_often() {
     let mut w = starts();
     for (sure, granted, beat) in [
         (false, false, STARTUP_RETRY_INTERVAL),
@@ -104,7 +104,7 @@
 }
 
 #[gtest]
-fn a_seat_that_has_a_new_holder_feeds_when_it_has_spoken() {
+fn a_new_holder_of_a_slot_feeds_only_after_it_has_reported_its_position() {
     let mut w = serves();
     let (whole, _) = asked(&w.step(BOOT, Event::Wake));
     let first = whole[0];
@@ -132,7 +132,7 @@
 }
 
 #[gtest]
-fn a_seat_that_is_further_feeds_too_until_we_have_it() {
+fn a_voter_with_a_higher_revision_feeds_too_until_the_member_has_it() {
     let mut w = serves();
     let (whole, only) = asked(&w.step(BOOT, Event::Wake));
     let (first, other) = (whole[0], only[0]);
@@ -152,7 +152,7 @@
 }
 
 #[gtest]
-fn who_only_asks_is_shown_how_far_we_are_and_nothing_else() {
+fn a_subscriber_to_positions_alone_gets_positions_and_nothing_else() {
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
     let roll = VoterFile { me: fixed_replica_id(0), first: true, table: fixed_voter_set(&seeds) };
     let mut c = controller::ControllerState::new(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
@@ -186,7 +186,7 @@
 }
 
 #[gtest]
-fn a_seat_that_is_silent_feeds_no_longer() {
+fn a_silent_voter_no_longer_feeds() {
     let mut w = serves();
     let (whole, only) = asked(&w.step(BOOT, Event::Wake));
     let now = BOOT + POSITION_REPORT_TIMEOUT + ms(1);
@@ -227,13 +227,13 @@
 }
 
 #[gtest]
-fn members_speak_seldom_while_the_core_is_heard_and_often_when_not() {
+fn members_gossip_rarely_while_controllers_are_heard_and_often_otherwise() {
     expect_that!(asks(true), eq(8 * 5));
     expect_that!(asks(false), eq(8 * 40));
 }
 
 #[gtest]
-fn an_answer_says_where_we_stand() {
+fn a_gossip_reply_contains_the_members_positions() {
     let mut w = NodeAgent::new(member(0), BOOT);
     w.step(BOOT, Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(3)) });
     let message = Message::Gossip {
@@ -254,7 +254,7 @@
 }
 
 #[gtest]
-fn duties_have_one_holder_and_neighbours_are_mutual() {
+fn assignments_have_one_holder_and_neighbours_are_mutual() {
     let all = membership(40);
     let rings: Vec<_> = all.members.iter().map(|m| NeighbourRing::new(&all, &m.name)).collect();
     for key in 0..PROBE_KEYS as usize {
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -140,7 +140,7 @@
 }
 
 #[googletest::test]
-fn the_files_of_partitions_are_read_and_written_as_before() {
+fn partition_files_are_read_and_written_unchanged() {
     for (files, expected) in partitions() {
         expect_that!(read_partition(&files, &expected), ok(eq(&())));
         let written = write_partition(&expected);
@@ -160,7 +160,7 @@
 }
 
 #[googletest::test]
-fn the_entries_of_partitions_are_understood_as_before() {
+fn partition_entries_are_parsed_unchanged() {
     let [(configuration, _), (older_orders, _), (services, _)] = partitions();
     let mut expected = stored::configuration();
     expected.client_limits = stored::client_limits(44);
@@ -187,7 +187,7 @@
 }
 
 #[googletest::test]
-fn orders_are_remembered_from_files_of_both_forms() {
+fn accepted_requests_are_read_from_files_of_both_formats() {
     let [(newer_form, _), (older_form, _), _] = partitions();
     let map = newest(&newer_form, 0).entries;
     for order in stored::orders() {
@@ -248,7 +248,7 @@
 }
 
 #[googletest::test]
-fn a_forgotten_member_is_written_as_in_the_files() {
+fn a_forgotten_member_is_written_to_files_unchanged() {
     let mut cluster = started_cluster(1);
     let silent = [("querier-3", 13), (stored::FORGOTTEN_NAME, stored::FORGOTTEN_INCARNATION)];
     for (name, incarnation) in silent {
@@ -268,7 +268,7 @@
 // ---- voter file -------------------------------------------------------------
 
 #[googletest::test]
-fn the_voter_file_is_read_and_written_as_before() {
+fn the_voter_file_is_read_and_written_unchanged() {
     expect_that!(voter_file::read(VOTER_FILE), some(eq(&stored::voter_file())));
     expect_that!(voter_file::write(&stored::voter_file()), eq(VOTER_FILE));
 }
@@ -299,7 +299,7 @@
 }
 
 #[googletest::test]
-fn messages_are_read_and_written_as_before() {
+fn messages_are_read_and_written_unchanged() {
     let (bodies, expected) = (message_bodies(), messages::all());
     assert_that!(bodies.len(), eq(expected.len()));
     for (body, msg) in bodies.iter().zip(&expected) {
@@ -309,7 +309,7 @@
 }
 
 #[googletest::test]
-fn every_variant_of_a_message_is_among_the_fixtures() {
+fn every_message_variant_has_a_fixture() {
     let number = |body: &[u8]| u16::from_le_bytes([body[0], body[1]]);
     let found: BTreeSet<u16> = message_bodies().into_iter().map(number).collect();
     let expected: BTreeSet<u16> = (0..MESSAGE_VARIANTS as u16).collect();
@@ -343,7 +343,7 @@
 }
 
 #[googletest::test]
-fn messages_are_cut_into_pieces_as_before() {
+fn messages_are_split_into_the_same_frames() {
     let small = [SMALL_MESSAGE.to_vec()];
     expect_that!(read_pieces(&small, &messages::small()), ok(eq(&())));
     expect_that!(frame::split(&frame::encode(&messages::small())), eq(&small));
@@ -368,7 +368,7 @@
 }
 
 #[googletest::test]
-fn a_changed_byte_in_a_file_is_not_taken_for_the_same() {
+fn a_changed_byte_in_a_file_is_detected() {
     for (files, expected) in partitions() {
         for (at, older_slot) in changed_copies(&files.older_slot) {
             let changed = PartitionFiles { older_slot, ..files.clone() };
@@ -393,7 +393,7 @@
 }
 
 #[googletest::test]
-fn a_changed_byte_in_a_message_is_not_taken_for_the_same() {
+fn a_changed_byte_in_a_message_is_detected() {
     for (body, msg) in message_bodies().into_iter().zip(messages::all()) {
         for (at, changed) in changed_copies(body) {
             assert!(frame::encode(&msg) != changed, "{msg:?}, byte {at}");
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -188,7 +188,7 @@
 }
 
 #[googletest::test]
-fn a_call_goes_to_the_longest_path_of_its_host() {
+fn a_request_is_routed_to_the_longest_matching_path_of_its_host() {
     // Guards against calls that reach the service of another search.
     let to = |name: &str, host: &str, path: &str, pool: &str| {
         pass(json!({ "name": name, "host": host, "path": path,
@@ -239,7 +239,7 @@
 }
 
 #[googletest::test]
-fn a_call_goes_out_as_it_came_and_its_answer_comes_back_as_it_is() {
+fn requests_and_replies_are_forwarded_unchanged() {
     let mut d = open(&world(&[("p", 2)], vec![pass(json!({}))]));
     let list = call(&mut d, NOW, 9);
     let p = list[0].forwarded.clone().unwrap();
@@ -270,7 +270,7 @@
 }
 
 #[googletest::test]
-fn a_failure_of_a_leaf_is_tried_elsewhere_and_given_back_only_if_all_fail() {
+fn a_failed_attempt_is_retried_on_another_leaf_and_returned_only_if_all_fail() {
     let mut d = open(&world(&[("p", 3)], vec![pass(json!({}))]));
     let first = call(&mut d, NOW, 1);
     let again = sent(reply(&mut d, NOW + 5, &first[0], Ok(raw(500, &["st"], b"one"))));
@@ -292,7 +292,7 @@
 }
 
 #[googletest::test]
-fn answers_that_are_not_the_leafs_own_to_this_call_are_never_passed() {
+fn replies_that_do_not_belong_to_the_request_are_never_forwarded() {
     // Guards against another call's answer, or half of one, told as a success.
     let spoils: Vec<(&str, Spoil)> = vec![
         ("no stamp", |r| r.headers.postmarks.clear()),
@@ -332,7 +332,7 @@
 }
 
 #[googletest::test]
-fn a_misdirected_word_that_belongs_to_another_call_promises_nothing() {
+fn a_misdirected_reply_to_another_request_proves_nothing_about_this_one() {
     // Guards against a once-only call that runs twice because a surplus answer
     // says that another call has not run.
     let mut d = open(&world(&[("p", 3)], vec![pass(json!({ "once": true, "attempts": 3 }))]));
@@ -345,7 +345,7 @@
 }
 
 #[googletest::test]
-fn a_promise_that_the_leaf_did_not_make_is_not_given_back() {
+fn an_error_status_alone_does_not_prove_that_the_request_was_not_executed() {
     // Guards against callers who try work again that has run.
     for status in [408, 429, 503] {
         for once in [false, true] {
@@ -377,7 +377,7 @@
 }
 
 #[googletest::test]
-fn a_once_only_call_is_never_dispatched_again_after_it_may_have_run() {
+fn an_at_most_once_request_is_never_sent_again_after_it_may_have_been_executed() {
     // Guards against work that is done twice.
     let (mut again, mut promised) = (0, 0);
     for seed in 0..3_000 {
@@ -430,7 +430,7 @@
 }
 
 #[googletest::test]
-fn calls_follow_the_weights_and_never_a_weight_of_nothing() {
+fn requests_follow_the_weights_and_never_go_to_a_weight_of_zero() {
     for weights in [json!({ "a": 3, "b": 1, "c": 0 }), json!({ "a": 0, "b": 1, "c": 3 })] {
         let plan = "from pool in (\"a\", \"b\", \"c\") by pool; send one by weight";
         let search = pass(json!({ "plan": plan, "weights": weights, "needs": ["a", "b", "c"] }));
@@ -451,7 +451,7 @@
 }
 
 #[googletest::test]
-fn a_second_try_of_a_weighted_call_stays_with_the_drawn_service() {
+fn a_retry_of_a_weighted_request_stays_with_the_drawn_service() {
     let plan = "from pool in (\"a\", \"b\") by pool; send one by weight";
     let search = pass(json!({ "plan": plan, "weights": { "a": 1, "b": 1 } }));
     let w = world(&FOUR, vec![search]);
@@ -468,7 +468,7 @@
 }
 
 #[googletest::test]
-fn only_whole_successes_with_one_stamp_are_parts() {
+fn only_complete_successes_with_one_postmark_count_as_shard_results() {
     // Guards against stamps in an answer that stand for no part.
     let spoils: Vec<(&str, Spoil)> = vec![
         ("no stamp", |r| r.headers.postmarks.clear()),
@@ -501,7 +501,7 @@
 }
 
 #[googletest::test]
-fn below_its_quorum_a_join_is_never_a_success() {
+fn a_merged_reply_below_its_quorum_is_never_a_success() {
     for (quorum, partitions, fine) in [
         (0.5, 2, true),
         (0.5, 1, false),
@@ -533,7 +533,7 @@
 }
 
 #[googletest::test]
-fn at_the_target_a_quorum_is_told_with_what_is_missing() {
+fn a_quorum_is_returned_at_the_latency_target_with_the_missing_shards() {
     let mut d = open(&world(&FOUR, vec![joined(json!({ "attempts": 1 }))]));
     let list = call(&mut d, NOW, 1);
     for s in &list[..3] {
@@ -561,7 +561,7 @@
 }
 
 #[googletest::test]
-fn joined_bodies_are_the_greatest_records_of_all_parts() {
+fn merged_bodies_are_the_greatest_records_of_all_shards() {
     // Guards against lost, doubled or misplaced records, and half ones.
     for seed in 0..2_000 {
         let mut random = Random::new(seed);
@@ -590,7 +590,7 @@
 }
 
 #[googletest::test]
-fn a_silent_leaf_is_overtaken_after_the_learned_wait_by_another() {
+fn a_silent_leaf_is_hedged_on_another_leaf_after_the_learned_delay() {
     let mut d = open(&world(&[("p", 4)], vec![pass(json!({ "attempts": 2 }))]));
     // Before anything is learned, the wait is a share of the target.
     let list = call(&mut d, NOW, 1);
@@ -624,7 +624,7 @@
 }
 
 #[googletest::test]
-fn second_tries_are_bounded_by_the_quota_of_their_own_service() {
+fn retries_are_bounded_by_the_budget_of_their_own_service() {
     // Guards against one service's trouble that eats the others' quota.
     let to = |name: &str, path: &str, pool: &str| {
         pass(json!({ "name": name, "path": path, "attempts": 10,
@@ -661,7 +661,7 @@
 }
 
 #[googletest::test]
-fn unreachable_leafs_cost_neither_a_try_nor_the_quota() {
+fn unreachable_leafs_cost_neither_an_attempt_nor_retry_budget() {
     let mut d = open(&world(&[("p", 8)], vec![pass(json!({ "attempts": 1, "once": true }))]));
     d.service_retry_budget.retain(|_| false);
     let mut out = call(&mut d, NOW, 1);
@@ -692,7 +692,7 @@
 }
 
 #[googletest::test]
-fn leafs_that_leave_and_emptied_zones_get_no_second_tries() {
+fn leaving_leafs_and_drained_zones_get_no_retries() {
     // Guards against work for leafs that were told off after the call came.
     for (drained, leaving) in [("b", vec![]), ("none", vec!["p-1".to_string()])] {
         let mut w = world(&[("p", 2)], vec![pass(json!({}))]);
@@ -723,7 +723,7 @@
 }
 
 #[googletest::test]
-fn queued_calls_never_go_to_leafs_that_leave_or_to_emptied_zones() {
+fn queued_requests_never_go_to_leaving_leafs_or_drained_zones() {
     for (drained, leaving) in [("b", vec![]), ("none", vec!["p-1".to_string()])] {
         let mut w = world(&[("p", 2)], vec![pass(json!({ "attempts": 1 }))]);
         w.slots = 1;
@@ -744,7 +744,7 @@
 }
 
 #[googletest::test]
-fn a_call_that_finds_no_room_in_time_is_bounced_unrun() {
+fn a_request_that_finds_no_capacity_in_time_is_rejected_unexecuted() {
     let mut w = world(&[("p", 2)], vec![pass(json!({ "once": true }))]);
     w.slots = 1;
     let mut d = open(&w);
@@ -767,7 +767,7 @@
 }
 
 #[googletest::test]
-fn a_bounce_says_whether_other_shards_may_have_run() {
+fn a_rejection_says_whether_other_shards_may_have_executed() {
     // Guards against the promise that nothing ran while leafs still work.
     let mut w =
         world(&[("a", 1), ("b", 1), ("c", 1), ("d", 0)], vec![joined(json!({ "quorum": 1.0 }))]);
@@ -808,7 +808,7 @@
 }
 
 #[googletest::test]
-fn an_attempt_that_lost_is_cancelled_within_a_tenth_of_a_second() {
+fn a_superseded_attempt_is_cancelled_within_a_tenth_of_a_second() {
     // Guards against leafs that work for nobody: a hedge has won, the leaf hangs.
     let mut d = open(&world(&[("p", 3)], vec![pass(json!({ "attempts": 2 }))]));
     let first = call(&mut d, NOW, 1);
@@ -825,7 +825,7 @@
 }
 
 #[googletest::test]
-fn attempts_beyond_a_quorum_are_cancelled_and_a_silent_leaf_is_noted() {
+fn attempts_beyond_a_quorum_are_cancelled_and_count_as_failures_of_silent_leafs() {
     let mut d = open(&world(&FOUR, vec![joined(json!({ "attempts": 1 }))]));
     // Their usual time is known: 5 ms.
     for i in 0..20 {
@@ -847,7 +847,7 @@
 }
 
 #[googletest::test]
-fn a_caller_that_goes_ends_its_attempts_at_once_but_for_those_that_run_once() {
+fn a_disconnected_caller_cancels_its_attempts_except_at_most_once_ones() {
     for (once, count) in [(false, 1), (true, 0)] {
         let mut d = open(&world(&[("p", 2)], vec![pass(json!({ "once": once }))]));
         let list = call(&mut d, NOW, 1);
@@ -862,7 +862,7 @@
 }
 
 #[googletest::test]
-fn whatever_comes_each_call_is_told_once_and_in_time() {
+fn each_request_gets_exactly_one_response_in_time_under_random_events() {
     // Guards against calls that are lost, told twice or held beyond their end,
     // and against leafs that count work which nobody has.
     for seed in 0..150 {
--- a/crates/core/tests/framing.rs
+++ b/crates/core/tests/framing.rs
@@ -34,7 +34,7 @@
 }
 
 #[googletest::test]
-fn small_messages_overtake_large_ones_piece_by_piece() {
+fn small_messages_are_interleaved_with_the_frames_of_large_ones() {
     let big = large(1_000);
     let pieces = split(&encode(&big));
     expect_that!(pieces.len(), gt(8));
@@ -61,7 +61,7 @@
 }
 
 #[googletest::test]
-fn no_flipped_bit_passes() {
+fn no_flipped_bit_is_accepted() {
     let piece = split(&encode(&small(77))).remove(0);
     for bit in 0..piece.len() * 8 {
         let mut bad = piece.clone();
--- a/crates/core/tests/latency_estimate.rs
+++ b/crates/core/tests/latency_estimate.rs
@@ -27,7 +27,7 @@
 }
 
 #[googletest::test]
-fn the_mark_settles_where_about_19_of_20_dispatches_lie_below() {
+fn the_estimate_settles_where_about_19_of_20_attempts_lie_below() {
     // Guards against waits that are too short (second tries for nothing) and
     // too long (a leaf that pauses is never overtaken).
     type Law = fn(&mut Random) -> Span;
@@ -58,7 +58,7 @@
 }
 
 #[googletest::test]
-fn the_mark_follows_leafs_that_become_slower_and_faster() {
+fn the_estimate_follows_leafs_that_become_slower_and_faster() {
     let mut random = Random::new(3);
     let mut w = LatencyEstimate::default();
     for _ in 0..500 {
@@ -77,7 +77,7 @@
 }
 
 #[googletest::test]
-fn before_anything_is_learned_the_wait_is_a_share_of_the_target() {
+fn the_hedge_delay_is_a_share_of_the_target_before_the_first_sample() {
     let mut w = LatencyEstimate::default();
     expect_that!(w.hedge_delay("s", None), none());
     expect_that!(
@@ -94,7 +94,7 @@
 }
 
 #[googletest::test]
-fn no_wait_is_shorter_than_its_floor() {
+fn the_hedge_delay_is_never_below_its_minimum() {
     // Guards against second tries within the noise of the machine.
     let mut w = LatencyEstimate::default();
     for _ in 0..10_000 {
--- a/crates/core/tests/voter_slots.rs
+++ b/crates/core/tests/voter_slots.rs
@@ -37,7 +37,7 @@
 }
 
 #[googletest::test]
-fn tables_merge_alike_in_any_order() {
+fn voter_sets_merge_to_the_same_result_in_any_order() {
     let base = initial_voter_set(&seeds(3), 5);
     let news = [
         held(&base, 1, 2, 70),
@@ -61,7 +61,7 @@
 }
 
 #[googletest::test]
-fn a_fleet_never_begins_with_more_seats_than_its_seeds_can_form() {
+fn the_initial_voter_set_has_no_more_slots_than_its_seeds_can_form_a_majority_of() {
     for (n, size, want) in [(3, 5, 5), (3, 3, 3), (2, 5, 1), (1, 3, 1), (4, 9, 3), (5, 9, 9)] {
         let table = initial_voter_set(&seeds(n), size);
         expect_that!(table.slots.len(), eq(want), "{n} seeds, {size} seats");
@@ -71,7 +71,7 @@
 }
 
 #[googletest::test]
-fn no_zone_gains_what_would_cost_the_majority() {
+fn a_slot_does_not_move_to_a_zone_whose_loss_would_cost_the_majority() {
     let mut table = initial_voter_set(&seeds(5), 5);
     for (h, zone) in table.slots.iter_mut().zip(["a", "a", "b", "b", "c"]) {
         h.zone = zone.into();
@@ -86,7 +86,7 @@
 }
 
 #[googletest::test]
-fn a_damaged_roll_is_no_roll() {
+fn a_damaged_voter_file_is_not_read() {
     let roll = VoterFile { me: 77, first: true, table: initial_voter_set(&seeds(3), 5) };
     let raw = write(&roll);
     expect_that!(read(&raw), some(eq(&roll)));
@@ -101,7 +101,7 @@
 }
 
 #[googletest::test]
-fn a_start_is_who_its_disk_says_and_nobody_else() {
+fn a_starting_controller_takes_its_identity_from_its_disk_first() {
     let start = |slot: Option<VoterSlot>, first: bool, n: usize| Start {
         slot,
         first,
@@ -224,7 +224,7 @@
 }
 
 #[googletest::test]
-fn a_seat_is_given_only_when_its_holder_was_silent_while_we_were_awake() {
+fn a_slot_is_offered_only_if_its_holder_was_silent_while_this_controller_ran() {
     let mut b = bench(0);
     wake(&mut b, 2 * SECOND);
     expect_that!(apply(&mut b, 90, 9, "c"), is_empty());
@@ -261,7 +261,7 @@
 }
 
 #[googletest::test]
-fn a_takeover_wins_over_every_handover_that_it_does_not_know_of() {
+fn a_takeover_wins_over_every_handover_that_it_does_not_know() {
     let mut handed = 1;
     for _ in 0..5_000 {
         expect_that!(after_takeover(1), gt(handed));
@@ -308,7 +308,7 @@
 }
 
 #[googletest::test]
-fn a_vote_under_another_table_does_not_count() {
+fn an_acknowledgement_under_another_voter_set_does_not_count() {
     let mut b = bench(0);
     let term = owns(&mut b);
     let partition = CONFIG;
@@ -339,7 +339,7 @@
 }
 
 #[googletest::test]
-fn an_owner_counts_anew_when_a_seat_changes_hands() {
+fn a_leader_discards_a_voters_acknowledgements_when_its_slot_changes_holder() {
     let mut b = bench(0);
     let term = owns(&mut b);
     let partition = CONFIG;
@@ -377,7 +377,7 @@
 }
 
 #[googletest::test]
-fn a_table_is_told_and_obeyed_only_once_it_is_on_disk() {
+fn a_voter_set_is_sent_and_applied_only_after_it_is_on_disk() {
     let mut b = bench(0);
     let table = held(&b.core.voter_slots.voter_file.table, 0, 2, 90);
     let news = from(&b, 1, Message::VoterSetUpdate { replica_id: 1, voter_set: table });
