--- a/crates/core/tests/assignments.rs
+++ b/crates/core/tests/assignments.rs
@@ -1,5 +1,5 @@
-//! Work that one member does for all goes on while the member that does it stops, and while
-//! it is silent.
+//! Singleton assignments, such as polling the leaf list, continue while the assigned member is
+//! stopping, and are taken over while it is silent.
 
 use googletest::prelude::*;
 use grebepath_core::identifiers::Term;
@@ -17,10 +17,10 @@
 const MEMBERS: usize = 6;
 /// Leafs that are health-checked (count): enough for each member to check some.
 const LEAFS: usize = 64;
-/// How long a stopping member is watched: the whole grace of the users' platform.
+/// How long a stopping member is observed: the platform's full grace period.
 const GRACE: Span = 6 * SECOND;
-/// Longest time between two polls of the list, whoever polls it: half of the 3 s in which
-/// a leaving leaf must be known.
+/// Longest permitted time between two polls of the list: half of the 3 s within which a leaving
+/// leaf must be known.
 const LONGEST_GAP: Span = ms(1_500);
 
 fn member(number: usize) -> Member {
@@ -52,7 +52,7 @@
     }
 }
 
-/// The members in the order in which they would poll the list.
+/// Returns the members by their rank as list pollers.
 fn by_rank() -> Vec<usize> {
     let membership = membership();
     let rank = |number: &usize| NeighbourRing::new(&membership, &format!("m{number}")).list_rank;
@@ -61,7 +61,7 @@
     members
 }
 
-/// An agent of the membership with a lease.
+/// Returns the agent of a member that has a lease.
 fn agent(number: usize) -> NodeAgent {
     let mut agent = NodeAgent::new(member(number), BOOT);
     let update = Message::MembershipUpdate(membership());
@@ -70,8 +70,8 @@
     agent
 }
 
-/// Wakes an agent whose lease is renewed all the time, and tells when it commanded what
-/// `is_wanted` looks for.
+/// Wakes an agent whose lease is renewed continuously, and returns the times at which it issued
+/// a command that `is_wanted` accepts.
 fn times(agent: &mut NodeAgent, span: Span, is_wanted: fn(&Command) -> bool) -> Vec<Tick> {
     let wakes = (0..span / WAKE).map(|n| BOOT + WAKE * n);
     let mut found = Vec::new();
@@ -98,8 +98,8 @@
 
 #[gtest]
 fn a_stopping_list_poller_polls_until_it_releases_its_lease() {
-    // Guards against a rolling restart that stops holder and successor at once and leaves
-    // the list unread until one of them has ended.
+    // Guards against a list that is unread during a rolling restart: the poller and its
+    // successor stop at the same time, and neither polls until one of them has ended.
     let mut holder = agent(by_rank()[0]);
     holder.step(BOOT, Event::Stop);
     expect_that!(longest_gap(&times(&mut holder, GRACE, is_poll)), le(LONGEST_GAP));
@@ -110,7 +110,7 @@
 
 #[gtest]
 fn a_stopping_member_probes_its_leafs_until_it_releases_its_lease() {
-    // Guards against leafs that nobody health-checks while their checker stops.
+    // Guards against leafs that no member health-checks while their checker is stopping.
     let mut checked_by = 0;
     for number in 0..MEMBERS {
         let mut stopping = agent(number);
@@ -133,7 +133,7 @@
 fn a_member_polls_the_list_while_the_leader_names_it_as_substitute() {
     let mut last = agent(by_rank()[MEMBERS - 1]);
     expect_that!(times(&mut last, SECOND, is_poll), is_empty());
-    // What was said to a former process does not count.
+    // A message to an earlier process of the member is ignored.
     substitute(&mut last, BOOT, 7);
     expect_that!(times(&mut last, SECOND, is_poll), is_empty());
     substitute(&mut last, BOOT, 1);
--- a/crates/core/tests/catch_up.rs
+++ b/crates/core/tests/catch_up.rs
@@ -1,6 +1,5 @@
-//! A replica that missed hundreds of changes, or thousands: it is brought up to
-//! date in a time that does not grow with what it missed, and it never leads or
-//! answers with old state.
+//! A replica that missed hundreds or thousands of changes catches up in a time that does not
+//! grow with the number of changes, and it never leads or responds with outdated state.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,12 +19,12 @@
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use serde_json::json;
 
-/// The most that a configuration of some KiB may take with the memory of accepted
-/// orders (bytes); `order_memory.rs` tests that the memory stays below that.
-const MOST_STATE: usize = 700 * 1024;
+/// Maximum size of the state (bytes): a configuration of a few KiB and the memory of accepted
+/// requests, whose size `order_memory.rs` tests.
+const MAX_STATE_BYTES: usize = 700 * 1024;
 
-/// A change that names the edition it builds on, as operators do.
-fn edition(after: u64, note: &str) -> Operation {
+/// Returns a change that names the edition it is based on.
+fn change_on_edition(after: u64, note: &str) -> Operation {
     let val = json!({
         "zones": [{ "name": format!("zone-{}", after % 50), "state": "open" }],
         "pools": [{ "name": format!("pool-{}", after % 40), "service": format!("service-{after}"),
@@ -34,19 +33,19 @@
     Operation::Patch(val.to_string().into_bytes())
 }
 
-/// Operators that change one edition after the other.
+/// An operator that makes one change after the other.
 struct Operator {
     edition: u64,
     note: String,
 }
 
-/// Makes so many changes through a controller, each accepted before the next.
-fn change(cluster: &mut Cluster, operator: &mut Operator, node: usize, count: u64) {
+/// Makes `count` changes through a controller, each accepted before the next.
+fn make_changes(cluster: &mut Cluster, operator: &mut Operator, node: usize, count: u64) {
     for _ in 0..count {
         let after = operator.edition;
-        let operation = edition(after, &operator.note);
-        let order = submit(cluster, node, &format!("order-{after}"), operation);
-        let done = await_response(cluster, order);
+        let operation = change_on_edition(after, &operator.note);
+        let number = submit(cluster, node, &format!("order-{after}"), operation);
+        let done = await_response(cluster, number);
         assert!(matches!(done, OperationResult::Accepted { .. }), "edition {after}: {done:?}");
         operator.edition += 1;
     }
@@ -56,98 +55,108 @@
     Operator { edition: 0, note: "n".repeat(note) }
 }
 
-fn copy(cluster: &Cluster, node: usize) -> &ReplicaState {
+/// Returns a replica's state of the configuration's partition.
+fn replica_state(cluster: &Cluster, node: usize) -> &ReplicaState {
     &core_of(cluster, node).partitions[0].state
 }
 
-/// Two replicas that hold one revision of one term and differ, if there are any.
+/// Returns two replicas that have the same revision of the same term but different entries, if
+/// there are any.
 fn differing_replicas(cluster: &Cluster) -> Option<(usize, usize)> {
-    let place = |node: usize| (copy(cluster, node).written_term, copy(cluster, node).revision);
+    let position = |node: usize| {
+        (replica_state(cluster, node).written_term, replica_state(cluster, node).revision)
+    };
     let pairs = (0..3).flat_map(|a| (0..a).map(move |b| (a, b)));
     pairs
-        .filter(|(a, b)| place(*a) == place(*b))
-        .find(|(a, b)| copy(cluster, *a).entries != copy(cluster, *b).entries)
+        .filter(|(a, b)| position(*a) == position(*b))
+        .find(|(a, b)| replica_state(cluster, *a).entries != replica_state(cluster, *b).entries)
 }
 
-/// How long it takes until a replica holds on its disk what the leader holds.
-fn catches_up(cluster: &mut Cluster, node: usize) -> Span {
+/// Runs until a replica has the leader's state on disk, and returns the time that it took.
+fn catch_up(cluster: &mut Cluster, node: usize) -> Span {
     let began = cluster.now;
     run_until(cluster, |cluster| {
         let Some(leader) = leader(cluster) else { return false };
         let p = &core_of(cluster, node).partitions[0];
         p.condition == ReplicaCondition::Voting
             && p.writes.is_empty()
-            && p.state == *copy(cluster, leader)
+            && p.state == *replica_state(cluster, leader)
     });
     cluster.now - began
 }
 
-/// How a replica comes to miss changes.
+/// The reason why a replica misses changes.
 #[derive(Clone, Copy, Debug)]
-enum Away {
-    /// Nothing passes between it and the others; the process goes on.
-    CutOff,
-    Stopped,
-    /// It was down, and starts on the disk that it had.
+enum Outage {
+    /// It is partitioned from the others while its process runs.
+    Partitioned,
+    /// Its process is paused.
+    Paused,
+    /// It is down, and restarts on its disk.
     Down,
-    /// It was down, and starts on an empty disk.
-    DownBlank,
-    /// Its disk finished nothing.
+    /// It is down, and restarts on an empty disk.
+    DownWithDiskLost,
+    /// Its disk completes no writes.
     DiskStalled,
 }
 
-const WAYS: [Away; 5] =
-    [Away::CutOff, Away::Stopped, Away::Down, Away::DownBlank, Away::DiskStalled];
+const OUTAGES: [Outage; 5] = [
+    Outage::Partitioned,
+    Outage::Paused,
+    Outage::Down,
+    Outage::DownWithDiskLost,
+    Outage::DiskStalled,
+];
 
-fn goes(cluster: &mut Cluster, node: usize, away: Away) {
-    match away {
-        Away::CutOff => isolate(cluster, node),
-        Away::DiskStalled => stall_disk(cluster, node, true),
-        Away::Stopped => pause(cluster, node, 100_000 * SECOND),
-        Away::Down | Away::DownBlank => {
+fn begin_outage(cluster: &mut Cluster, node: usize, outage: Outage) {
+    match outage {
+        Outage::Partitioned => isolate(cluster, node),
+        Outage::DiskStalled => stall_disk(cluster, node, true),
+        Outage::Paused => pause(cluster, node, 100_000 * SECOND),
+        Outage::Down | Outage::DownWithDiskLost => {
             isolate(cluster, node);
             pause(cluster, node, 100_000 * SECOND);
         }
     }
 }
 
-fn returns(cluster: &mut Cluster, node: usize, away: Away) {
+fn end_outage(cluster: &mut Cluster, node: usize, outage: Outage) {
     cluster.blocked_links.clear();
-    match away {
-        Away::CutOff => {}
-        Away::DiskStalled => stall_disk(cluster, node, false),
-        Away::Stopped => {
-            // What waited in its sockets beyond their buffers was never taken.
+    match outage {
+        Outage::Partitioned => {}
+        Outage::DiskStalled => stall_disk(cluster, node, false),
+        Outage::Paused => {
+            // The messages that exceeded the buffers of its sockets are lost.
             for other in (0..3).filter(|other| *other != node) {
                 reset_connection(cluster, node, other);
             }
             resume_with_pending(cluster, node);
         }
-        Away::Down => restart(cluster, node, 99),
-        Away::DownBlank => restart_on_empty_disk(cluster, node, 99),
+        Outage::Down => restart(cluster, node, 99),
+        Outage::DownWithDiskLost => restart_on_empty_disk(cluster, node, 99),
     }
 }
 
-/// A cluster of three in which one misses so many changes; that one is back, and
-/// the changes go on. Gives how long it takes to be up to date.
-fn missed(away: Away, changes: u64, leads: bool) -> (Cluster, Operator, usize, Span) {
+/// Runs a cluster of three in which one replica misses `changes` changes. Returns that replica
+/// and the time that it took to catch up.
+fn miss_changes(outage: Outage, changes: u64, is_leader: bool) -> (Cluster, Operator, usize, Span) {
     let (mut cluster, first, other) = cluster_with_leader(3);
     let third = 3 - first - other;
     let mut operator = operator(64);
-    change(&mut cluster, &mut operator, first, 20);
-    let node = if leads { first } else { other };
-    goes(&mut cluster, node, away);
-    change(&mut cluster, &mut operator, third, changes);
-    returns(&mut cluster, node, away);
-    let span = catches_up(&mut cluster, node);
-    assert_eq!(differing_replicas(&cluster), None, "{away:?}");
+    make_changes(&mut cluster, &mut operator, first, 20);
+    let node = if is_leader { first } else { other };
+    begin_outage(&mut cluster, node, outage);
+    make_changes(&mut cluster, &mut operator, third, changes);
+    end_outage(&mut cluster, node, outage);
+    let span = catch_up(&mut cluster, node);
+    assert_eq!(differing_replicas(&cluster), None, "{outage:?}");
     (cluster, operator, node, span)
 }
 
-/// The edition that an operator reads through a controller.
-fn read(cluster: &mut Cluster, node: usize) -> u64 {
-    let order = submit(cluster, node, "read", Operation::Read);
-    match await_response(cluster, order) {
+/// Reads the edition through a controller.
+fn read_edition(cluster: &mut Cluster, node: usize) -> u64 {
+    let number = submit(cluster, node, "read", Operation::Read);
+    match await_response(cluster, number) {
         OperationResult::Configuration { entries: map, .. } => {
             Config::from_entries(&map).unwrap().client_limits.edition
         }
@@ -156,24 +165,25 @@
 }
 
 #[googletest::test]
-fn a_replicas_catch_up_time_does_not_grow_with_the_changes_it_missed() {
-    for away in WAYS {
-        for leads in [false, true] {
-            let spans: Vec<u64> =
-                [300, 2_000].map(|changes| missed(away, changes, leads).3 / MILLI).to_vec();
-            println!("{away:?}, leader before {leads}: {spans:?} ms after 300, 2000 changes");
-            // A blank one may not ask the others in the first second.
-            expect_that!(spans[0], lt(3_000), "{away:?} {leads}");
-            expect_that!(spans[1], lt(spans[0] + 1_000), "{away:?} {leads}");
+fn a_replicas_catch_up_time_does_not_grow_with_the_changes_it_miss_changes() {
+    for outage in OUTAGES {
+        for is_leader in [false, true] {
+            let spans: Vec<u64> = [300, 2_000]
+                .map(|changes| miss_changes(outage, changes, is_leader).3 / MILLI)
+                .to_vec();
+            println!("{outage:?}, leader before {is_leader}: {spans:?} ms after 300, 2000 changes");
+            // A replica with an empty disk does not query the others in the first second.
+            expect_that!(spans[0], lt(3_000), "{outage:?} {is_leader}");
+            expect_that!(spans[1], lt(spans[0] + 1_000), "{outage:?} {is_leader}");
         }
     }
 }
 
 #[googletest::test]
 fn a_replica_that_missed_two_thousand_changes_leads_with_the_newest_state() {
-    for away in WAYS {
-        let (mut cluster, mut operator, node, _) = missed(away, 2_000, true);
-        // It is made the leader: the others step down until it leads.
+    for outage in OUTAGES {
+        let (mut cluster, mut operator, node, _) = miss_changes(outage, 2_000, true);
+        // Makes it the leader: the others are paused, one after the other, until it leads.
         for _ in 0..40 {
             let Some(now) = leader(&cluster) else {
                 run(&mut cluster, ms(50));
@@ -187,51 +197,55 @@
         }
         run_until(&mut cluster, |cluster| leader(cluster).is_some());
         for through in 0..3 {
-            expect_that!(read(&mut cluster, through), eq(operator.edition), "{away:?}");
+            expect_that!(read_edition(&mut cluster, through), eq(operator.edition), "{outage:?}");
         }
-        change(&mut cluster, &mut operator, node, 5);
-        expect_that!(read(&mut cluster, node), eq(operator.edition), "{away:?}");
+        make_changes(&mut cluster, &mut operator, node, 5);
+        expect_that!(read_edition(&mut cluster, node), eq(operator.edition), "{outage:?}");
     }
 }
 
 #[googletest::test]
 fn a_returning_replica_never_leads_before_it_is_up_to_date() {
-    // The one that returns finds one other alone: the leader dies as it is back.
-    for away in [Away::CutOff, Away::Stopped, Away::Down, Away::DiskStalled] {
+    // The leader fails as the replica returns, which leaves it with one up-to-date replica.
+    for outage in [Outage::Partitioned, Outage::Paused, Outage::Down, Outage::DiskStalled] {
         for wait in [0, 1, 2, 3, 5, 8, 20, 60, 200, 900] {
             let (mut cluster, first, other) = cluster_with_leader(3);
             let mut operator = operator(64);
-            change(&mut cluster, &mut operator, first, 20);
-            goes(&mut cluster, other, away);
-            change(&mut cluster, &mut operator, first, 600);
-            returns(&mut cluster, other, away);
+            make_changes(&mut cluster, &mut operator, first, 20);
+            begin_outage(&mut cluster, other, outage);
+            make_changes(&mut cluster, &mut operator, first, 600);
+            end_outage(&mut cluster, other, outage);
             run(&mut cluster, ms(wait));
             isolate(&mut cluster, first);
-            let held = operator.edition;
-            expect_that!(read(&mut cluster, other), eq(held), "{away:?}, {wait} ms");
-            change(&mut cluster, &mut operator, other, 2);
+            let expected = operator.edition;
+            expect_that!(read_edition(&mut cluster, other), eq(expected), "{outage:?}, {wait} ms");
+            make_changes(&mut cluster, &mut operator, other, 2);
         }
     }
 }
 
 #[googletest::test]
 fn a_snapshot_transfer_that_is_interrupted_at_any_step_is_retried() {
-    for cut_after in [0, 1, 2, 3, 4, 6, 9, 30, 120, 250, 260, 300] {
-        for away in [Away::Down, Away::DownBlank] {
+    for interrupt_after in [0, 1, 2, 3, 4, 6, 9, 30, 120, 250, 260, 300] {
+        for outage in [Outage::Down, Outage::DownWithDiskLost] {
             let (mut cluster, first, other) = cluster_with_leader(3);
             let mut operator = operator(512);
-            change(&mut cluster, &mut operator, first, 400);
-            goes(&mut cluster, other, away);
-            change(&mut cluster, &mut operator, first, 400);
-            returns(&mut cluster, other, away);
+            make_changes(&mut cluster, &mut operator, first, 400);
+            begin_outage(&mut cluster, other, outage);
+            make_changes(&mut cluster, &mut operator, first, 400);
+            end_outage(&mut cluster, other, outage);
             for _ in 0..6 {
-                run(&mut cluster, ms(cut_after));
+                run(&mut cluster, ms(interrupt_after));
                 reset_connection(&mut cluster, first, other);
                 reset_connection(&mut cluster, other, 3 - first - other);
-                restart(&mut cluster, other, 7 + cut_after);
+                restart(&mut cluster, other, 7 + interrupt_after);
             }
-            let span = catches_up(&mut cluster, other);
-            expect_that!(span, lt(4 * SECOND), "{away:?}, cut after {cut_after} ms");
+            let span = catch_up(&mut cluster, other);
+            expect_that!(
+                span,
+                lt(4 * SECOND),
+                "{outage:?}, interrupted after {interrupt_after} ms"
+            );
         }
     }
 }
@@ -240,11 +254,11 @@
 fn snapshots_that_lack_an_entry_are_detected() {
     let (mut cluster, first, other) = cluster_with_leader(3);
     let mut operator = operator(64);
-    change(&mut cluster, &mut operator, first, 20);
-    goes(&mut cluster, other, Away::Down);
-    change(&mut cluster, &mut operator, first, 600);
+    make_changes(&mut cluster, &mut operator, first, 20);
+    begin_outage(&mut cluster, other, Outage::Down);
+    make_changes(&mut cluster, &mut operator, first, 600);
     cluster.lossy_snapshots = true;
-    returns(&mut cluster, other, Away::Down);
+    end_outage(&mut cluster, other, Outage::Down);
     run(&mut cluster, SECOND);
     expect_that!(differing_replicas(&cluster), some(anything()));
 }
@@ -253,15 +267,19 @@
 fn a_controllers_state_does_not_grow_with_the_number_of_past_changes() {
     let (mut cluster, first, other) = cluster_with_leader(3);
     let mut operator = operator(64);
-    change(&mut cluster, &mut operator, first, 16_000);
+    make_changes(&mut cluster, &mut operator, first, 16_000);
     let size = |cluster: &Cluster, node: usize| -> usize {
-        copy(cluster, node).entries.iter().map(|(key, value)| key.len() + value.len()).sum()
+        replica_state(cluster, node)
+            .entries
+            .iter()
+            .map(|(key, value)| key.len() + value.len())
+            .sum()
     };
     let before = size(&cluster, other);
-    change(&mut cluster, &mut operator, first, 4_000);
+    make_changes(&mut cluster, &mut operator, first, 4_000);
     println!("state: {before} bytes after 16,000 changes, {} after 20,000", size(&cluster, other));
-    // All but some KiB of it is the memory of the orders of two days to four.
-    expect_that!(size(&cluster, other), lt(MOST_STATE));
+    // All but a few KiB of it is the memory of accepted requests, of two to four days.
+    expect_that!(size(&cluster, other), lt(MAX_STATE_BYTES));
     for node in 0..3 {
         let core = core_of(&cluster, node);
         let p = &core.partitions[0];
@@ -274,9 +292,9 @@
             expect_that!(leader.waiting_changes.len() + leader.pending.len(), eq(0));
         }
     }
-    // And one that stops and starts finds all of it.
+    // A controller that restarts has the complete state.
     deliver_event(&mut cluster, other, Event::Stop);
     restart(&mut cluster, other, 5);
-    let span = catches_up(&mut cluster, other);
+    let span = catch_up(&mut cluster, other);
     expect_that!(span, lt(2 * SECOND));
 }
--- a/crates/core/tests/config.rs
+++ b/crates/core/tests/config.rs
@@ -1,10 +1,10 @@
-//! Reading and checking configurations: every finding, each at its place.
+//! Parsing and validation of configurations: every error is reported with its location.
 
 use googletest::prelude::*;
 use grebepath_core::config::route::RoutingTable;
 use grebepath_core::config::types::Config;
 
-fn good() -> String {
+fn valid_json() -> String {
     r#"{
       "searches": [
         {"name": "notices", "class": "ordinary", "promise_ms": 800, "quorum": 0.75, "attempts": 3,
@@ -26,18 +26,18 @@
 
 #[googletest::test]
 fn a_valid_configuration_builds_and_round_trips_through_its_stored_form() {
-    let conf = Config::from_json(good().as_bytes()).unwrap();
-    let built = RoutingTable::build(&conf).unwrap();
-    let map = &built.routes["notices"];
-    expect_that!(map.index_version, eq("w48"));
-    expect_that!(map.shards.len(), eq(2));
-    expect_that!(map.hedge_after_pct, eq(30));
-    expect_that!(map.quorum, eq(750));
-    expect_true!(built.drained.contains("a"));
-    let back = Config::from_entries(&conf.to_entries()).unwrap();
-    expect_that!(&back, eq(&conf));
-    let committed = Config::from_json(conf.to_json().to_string().as_bytes()).unwrap();
-    expect_that!(&committed, eq(&conf));
+    let config = Config::from_json(valid_json().as_bytes()).unwrap();
+    let table = RoutingTable::build(&config).unwrap();
+    let route = &table.routes["notices"];
+    expect_that!(route.index_version, eq("w48"));
+    expect_that!(route.shards.len(), eq(2));
+    expect_that!(route.hedge_after_pct, eq(30));
+    expect_that!(route.quorum, eq(750));
+    expect_true!(table.drained.contains("a"));
+    let stored = Config::from_entries(&config.to_entries()).unwrap();
+    expect_that!(&stored, eq(&config));
+    let serialized = Config::from_json(config.to_json().to_string().as_bytes()).unwrap();
+    expect_that!(&serialized, eq(&config));
 }
 
 #[googletest::test]
@@ -50,8 +50,8 @@
       ],
       "zones": [{"name": "a b", "state": "half"}]
     }"#;
-    let all = Config::from_json(text.as_bytes()).unwrap_err();
-    let places: Vec<_> = all.iter().map(|f| f.location.as_str()).collect();
+    let errors = Config::from_json(text.as_bytes()).unwrap_err();
+    let locations: Vec<_> = errors.iter().map(|error| error.location.as_str()).collect();
     for want in [
         "searchs",
         "searches[0].promise_ms",
@@ -61,34 +61,34 @@
         "zones[0].name",
         "zones[0].state",
     ] {
-        expect_that!(places, contains(eq(&want)));
+        expect_that!(locations, contains(eq(&want)));
     }
 }
 
 #[googletest::test]
 fn plan_errors_name_line_and_column_and_plans_are_checked_against_pools() {
-    let with = |plan: &str| {
-        let mut conf = Config::from_json(good().as_bytes()).unwrap();
-        conf.searches.get_mut("notices").unwrap().plan = plan.to_string();
-        RoutingTable::build(&conf)
+    let errors_of = |plan: &str| {
+        let mut config = Config::from_json(valid_json().as_bytes()).unwrap();
+        config.searches.get_mut("notices").unwrap().plan = plan.to_string();
+        RoutingTable::build(&config)
             .map(|_| ())
             .unwrap_err()
             .iter()
-            .map(|f| f.to_string())
+            .map(|error| error.to_string())
             .collect::<Vec<_>>()
     };
-    let two = with("from index = n by shard\nsend sideways\nwait 0%");
-    expect_that!(two.len(), eq(3));
-    expect_that!(two[0], starts_with("searches[notices].plan:1:14: expected a text in quotes"));
-    expect_that!(two[1], starts_with("searches[notices].plan:2:6:"));
-    expect_that!(two[2], starts_with("searches[notices].plan:3:6:"));
-    let cuts = with("from index = \"n\" by shard\nsend wide");
+    let syntax = errors_of("from index = n by shard\nsend sideways\nwait 0%");
+    expect_that!(syntax.len(), eq(3));
+    expect_that!(syntax[0], starts_with("searches[notices].plan:1:14: expected a text in quotes"));
+    expect_that!(syntax[1], starts_with("searches[notices].plan:2:6:"));
+    expect_that!(syntax[2], starts_with("searches[notices].plan:3:6:"));
+    let versions = errors_of("from index = \"n\" by shard\nsend wide");
     expect_that!(
-        cuts,
+        versions,
         elements_are![contains_substring("more than one index version: `w48`, `w49`")]
     );
-    let none = with("from index = \"zz\" by shard\nsend wide");
-    expect_that!(none, elements_are![contains_substring("no pool is selected")]);
-    let bare = with("from index = \"a\" by piece\nsend wide");
-    expect_that!(bare, elements_are![contains_substring("has no label `piece`")]);
+    let no_pool = errors_of("from index = \"zz\" by shard\nsend wide");
+    expect_that!(no_pool, elements_are![contains_substring("no pool is selected")]);
+    let no_label = errors_of("from index = \"a\" by piece\nsend wide");
+    expect_that!(no_label, elements_are![contains_substring("has no label `piece`")]);
 }
