--- a/crates/core/tests/decoding.rs
+++ b/crates/core/tests/decoding.rs
@@ -1,12 +1,12 @@
-//! What comes from a peer or a file never makes us reserve more memory than it may need,
-//! and never ends a process.
+//! Input from a peer or a file never makes the decoder reserve more memory than the value may
+//! need, and never aborts the process.
 
 #![allow(clippy::unwrap_used)]
 
-#[allow(dead_code)] // The format tests use the rest of it.
+#[allow(dead_code)] // The format tests use the other items.
 #[path = "format_fixtures/messages.rs"]
 mod messages;
-#[allow(dead_code)] // The fixtures of files use the rest of it.
+#[allow(dead_code)] // The fixtures of files use the other items.
 #[path = "format_fixtures/values.rs"]
 mod values;
 
@@ -25,28 +25,28 @@
 use grebepath_core::storage::voter_file::VoterFile;
 use nanoserde::{DeBin, SerBin};
 
-/// Memory that a decoded value may take for each byte of its encoding: the smallest items
-/// of a list take some ten times their encoding.
+/// Memory that a decoded value may take per byte of its encoding: the smallest items of a list
+/// take about ten times their encoding.
 const MEMORY_PER_BYTE: usize = 32;
-/// What a small value may take in any case.
-const MEMORY_LEAST: usize = 4_096;
+/// Memory that a value of any size may take (bytes).
+const MEMORY_ALLOWANCE: usize = 4_096;
 
 thread_local! {
-    /// The largest piece of memory that this thread asked for since it was last set.
-    static LARGEST: Cell<usize> = const { Cell::new(0) };
+    /// The largest allocation of this thread since the value was last reset.
+    static LARGEST_ALLOCATION: Cell<usize> = const { Cell::new(0) };
 }
 
-/// The system's allocator, which notes the largest request of each thread.
-struct Watching;
+/// The system's allocator, which records the largest allocation of each thread.
+struct RecordingAllocator;
 
-fn note(size: usize) {
-    let _ = LARGEST.try_with(|largest| largest.set(largest.get().max(size)));
+fn record_allocation(size: usize) {
+    let _ = LARGEST_ALLOCATION.try_with(|largest| largest.set(largest.get().max(size)));
 }
 
-// SAFETY: every call is handed to the system's allocator as it came.
-unsafe impl GlobalAlloc for Watching {
+// SAFETY: every call is forwarded unchanged to the system's allocator.
+unsafe impl GlobalAlloc for RecordingAllocator {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
-        note(layout.size());
+        record_allocation(layout.size());
         unsafe { System.alloc(layout) }
     }
 
@@ -55,28 +55,34 @@
     }
 
     unsafe fn realloc(&self, memory: *mut u8, layout: Layout, size: usize) -> *mut u8 {
-        note(size);
+        record_allocation(size);
         unsafe { System.realloc(memory, layout, size) }
     }
 }
 
 #[global_allocator]
-static ALLOCATOR: Watching = Watching;
+static ALLOCATOR: RecordingAllocator = RecordingAllocator;
 
-/// Decodes bytes and checks what that asked for.
+/// Decodes bytes and checks the size of the largest allocation.
 fn decode_within_bounds<T: DeBin>(shape: &Shape, bytes: &[u8]) -> Option<T> {
-    LARGEST.set(0);
+    LARGEST_ALLOCATION.set(0);
     let decoded = decode::<T>(shape, bytes);
-    let (largest, most) = (LARGEST.get(), MEMORY_LEAST + bytes.len() * MEMORY_PER_BYTE);
-    assert!(largest <= most, "{largest} bytes at once for {} bytes: {bytes:?}", bytes.len());
+    let (largest, limit) =
+        (LARGEST_ALLOCATION.get(), MEMORY_ALLOWANCE + bytes.len() * MEMORY_PER_BYTE);
+    assert!(
+        largest <= limit,
+        "one allocation of {largest} bytes for {} bytes: {bytes:?}",
+        bytes.len()
+    );
     decoded.ok()
 }
 
-/// Lengths that no list or text of a message has, and that add up to small ones.
+/// Lengths that no list or text of a message has, including ones that overflow to small sums.
 const WRONG_LENGTHS: [u64; 8] =
     [u64::MAX, u64::MAX - 7, 1 << 63, 1 << 40, 580_000_000, 1 << 24, 65_536, 300];
 
-/// Decodes `bytes` with each place in turn overwritten, and with bytes drawn at random.
+/// Decodes `bytes` truncated and overwritten at each position in turn, and with random bytes at
+/// random positions.
 fn decode_altered<T: DeBin>(shape: &Shape, bytes: &[u8], random: &mut Random) {
     for at in 0..bytes.len() {
         let mut altered = bytes.to_vec();
@@ -97,7 +103,8 @@
     }
 }
 
-/// A value that is stored or sent keeps its shape, and survives alterations.
+/// Checks that the encoding of a value matches its shape, decodes to the value, and can be
+/// altered without excessive allocations.
 fn assert_safe<T: SerBin + DeBin + PartialEq + std::fmt::Debug>(
     shape: &Shape,
     value: &T,
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -1,4 +1,4 @@
-//! Calls that are handed over, at the owner of queries, event by event.
+//! Forwarded requests in the query engine, driven event by event.
 
 #![allow(clippy::unwrap_used)]
 
@@ -25,8 +25,9 @@
 
 const NOW: Tick = BOOT + SECOND;
 
-/// A world: leafs of each service `(name, leafs)`, in zones a and b by turns.
-struct World {
+/// The contents of a cluster view: services with their numbers of leafs, which are in zones a
+/// and b alternately.
+struct TestView {
     services: Vec<(&'static str, usize)>,
     searches: Vec<Value>,
     slots: u32,
@@ -34,12 +35,13 @@
     leaving: Vec<String>,
 }
 
-fn world(services: &[(&'static str, usize)], searches: Vec<Value>) -> World {
+fn test_view(services: &[(&'static str, usize)], searches: Vec<Value>) -> TestView {
     let (slots, drained) = (4, "none");
-    World { services: services.to_vec(), searches, slots, drained, leaving: Vec::new() }
+    TestView { services: services.to_vec(), searches, slots, drained, leaving: Vec::new() }
 }
 
-fn seen(w: &World) -> ClusterView {
+/// Builds the cluster view.
+fn cluster_view(w: &TestView) -> ClusterView {
     let pools: Vec<Value> = w
         .services
         .iter()
@@ -70,10 +72,10 @@
     ClusterView::new(7, Arc::new(RoutingTable::build(&conf).unwrap()), leafs)
 }
 
-/// An engine with a saved quota of second tries for every service.
-fn open(w: &World) -> QueryEngine {
+/// Returns an engine with a filled retry budget for every service.
+fn engine(w: &TestView) -> QueryEngine {
     let mut d = QueryEngine::new("q", "a", 1, BOOT);
-    d.step(BOOT, Event::ClusterView(Arc::new(seen(w))));
+    d.step(BOOT, Event::ClusterView(Arc::new(cluster_view(w))));
     d.step(BOOT, Event::QuotaShare(QuotaShare::new(&[("q".into(), 1)], "q", 0)));
     d.step(BOOT, Event::LeaseValidUntil(Tick::MAX));
     for (s, _) in &w.services {
@@ -84,8 +86,8 @@
     d
 }
 
-/// A search of one service, its fields changed by `more`.
-fn pass(more: Value) -> Value {
+/// Returns a search that forwards to one service, with fields replaced by `more`.
+fn forward_search(more: Value) -> Value {
     let mut out = json!({ "name": "s", "host": "h.example", "path": "/x/", "form": "pass",
         "promise_ms": 1000, "target_ms": 100, "attempts": 2,
         "plan": "from pool = \"p\" by pool; send wide; prefer local" });
@@ -95,18 +97,19 @@
     out
 }
 
-/// A search that joins the parts of services a, b, c and d.
-fn joined(more: Value) -> Value {
+/// Returns a search that merges the shard results of services a, b, c and d.
+fn merge_search(more: Value) -> Value {
     let plan = "from pool in (\"a\", \"b\", \"c\", \"d\") by pool; send wide; prefer local";
-    let mut out =
-        pass(json!({ "form": "join", "top": 5, "width": 16, "quorum": 0.5, "plan": plan }));
+    let mut out = forward_search(
+        json!({ "form": "join", "top": 5, "width": 16, "quorum": 0.5, "plan": plan }),
+    );
     for (k, v) in more.as_object().unwrap() {
         out[k] = v.clone();
     }
     out
 }
 
-const FOUR: [(&str, usize); 4] = [("a", 3), ("b", 3), ("c", 3), ("d", 3)];
+const FOUR_SERVICES: [(&str, usize); 4] = [("a", 3), ("b", 3), ("c", 3), ("d", 3)];
 
 fn forwarded_request(host: &str, path: &str) -> ForwardedRequest {
     ForwardedRequest {
@@ -121,65 +124,72 @@
     }
 }
 
-fn hand(d: &mut QueryEngine, now: Tick, call: u64, host: &str, path: &str) -> Vec<Command> {
+fn forward(d: &mut QueryEngine, now: Tick, call: u64, host: &str, path: &str) -> Vec<Command> {
     d.step(now, Event::Forward { call, request: Arc::new(forwarded_request(host, path)) })
 }
 
-fn call(d: &mut QueryEngine, now: Tick, call: u64) -> Vec<OutgoingAttempt> {
-    sent(hand(d, now, call, "h.example", "/x/y"))
+/// Forwards a request of `h.example` and returns the attempts that the engine sends.
+fn forward_default(d: &mut QueryEngine, now: Tick, call: u64) -> Vec<OutgoingAttempt> {
+    sends(forward(d, now, call, "h.example", "/x/y"))
 }
 
-fn sent(todo: Vec<Command>) -> Vec<OutgoingAttempt> {
-    todo.into_iter().filter_map(|c| if let Command::Send(s) = c { Some(s) } else { None }).collect()
+/// Returns the attempts that commands send.
+fn sends(commands: Vec<Command>) -> Vec<OutgoingAttempt> {
+    commands
+        .into_iter()
+        .filter_map(|c| if let Command::Send(s) = c { Some(s) } else { None })
+        .collect()
 }
 
-fn told(todo: &[Command]) -> Option<&Outcome> {
-    todo.iter()
+/// Returns the first response among commands.
+fn response_of(commands: &[Command]) -> Option<&Outcome> {
+    commands
+        .iter()
         .find_map(|c| if let Command::Respond { outcome, .. } = c { Some(outcome) } else { None })
 }
 
-fn rejection(todo: &[Command]) -> Rejection {
-    match told(todo) {
+fn rejection(commands: &[Command]) -> Rejection {
+    match response_of(commands) {
         Some(Outcome::Rejected(b)) => b.clone(),
-        other => panic!("no rejection: {other:?}"),
+        other => panic!("not a rejection: {other:?}"),
     }
 }
 
-fn passed(todo: &[Command]) -> ForwardedReply {
-    match told(todo) {
+fn forwarded_reply(commands: &[Command]) -> ForwardedReply {
+    match response_of(commands) {
         Some(Outcome::Forwarded(p)) => p.clone(),
-        other => panic!("nothing passed: {other:?}"),
+        other => panic!("not a forwarded reply: {other:?}"),
     }
 }
 
-fn of_parts(todo: &[Command]) -> MergedReply {
-    match told(todo) {
+fn merged_reply(commands: &[Command]) -> MergedReply {
+    match response_of(commands) {
         Some(Outcome::Merged(j)) => j.clone(),
-        other => panic!("nothing joined: {other:?}"),
+        other => panic!("not a merged reply: {other:?}"),
     }
 }
 
-fn raw(status: u16, stamps: &[&str], body: &[u8]) -> LeafReply {
+fn leaf_reply(status: u16, stamps: &[&str], body: &[u8]) -> LeafReply {
     let postmarks = stamps.iter().map(|s| s.to_string()).collect();
     let heads = ReplyHeaders { postmarks, ..ReplyHeaders::default() };
     LeafReply { status, headers: heads, body: body.to_vec() }
 }
 
-fn good(s: &OutgoingAttempt) -> LeafReply {
-    raw(200, &[&format!("stamp-{}", s.leaf)], s.service.repeat(16).as_bytes())
+fn good_reply(s: &OutgoingAttempt) -> LeafReply {
+    leaf_reply(200, &[&format!("stamp-{}", s.leaf)], s.service.repeat(16).as_bytes())
 }
 
-fn unrun(status: u16) -> LeafReply {
-    let mut out = raw(status, &[], b"");
+fn not_executed(status: u16) -> LeafReply {
+    let mut out = leaf_reply(status, &[], b"");
     out.headers.rejected = true;
     out
 }
 
-/// Makes a good reply a bad one.
-type Spoil = fn(&mut LeafReply);
-type Got = std::result::Result<LeafReply, AttemptFailure>;
+/// Turns a good reply into a bad one.
+type Corruption = fn(&mut LeafReply);
+type AttemptResult = std::result::Result<LeafReply, AttemptFailure>;
 
-fn reply(d: &mut QueryEngine, now: Tick, s: &OutgoingAttempt, got: Got) -> Vec<Command> {
+fn reply(d: &mut QueryEngine, now: Tick, s: &OutgoingAttempt, got: AttemptResult) -> Vec<Command> {
     d.step(now, Event::AttemptEnded { attempt: s.attempt, result: got })
 }
 
@@ -189,12 +199,12 @@
 
 #[googletest::test]
 fn a_request_is_routed_to_the_longest_matching_path_of_its_host() {
-    // Guards against calls that reach the service of another search.
+    // Guards against requests that reach the service of another search.
     let to = |name: &str, host: &str, path: &str, pool: &str| {
-        pass(json!({ "name": name, "host": host, "path": path,
+        forward_search(json!({ "name": name, "host": host, "path": path,
             "plan": format!("from pool = \"{pool}\" by pool; send wide") }))
     };
-    let w = world(
+    let w = test_view(
         &[("p", 1), ("q", 1), ("r", 1), ("t", 1)],
         vec![
             to("1", "h.example", "/x/", "p"),
@@ -221,16 +231,16 @@
         ("port.example:81", "/", Some("r")),
         ("port.example:82", "/", None),
     ] {
-        let mut d = open(&w);
-        let todo = hand(&mut d, NOW, 1, host, path);
+        let mut d = engine(&w);
+        let commands = forward(&mut d, NOW, 1, host, path);
         match want {
             None => expect_that!(
-                rejection(&todo).reason,
+                rejection(&commands).reason,
                 eq(RejectionReason::UnknownRoute),
                 "{host}{path}"
             ),
             Some(pool) => {
-                let list = sent(todo);
+                let list = sends(commands);
                 expect_that!(list.len(), eq(1), "{host}{path}");
                 expect_that!(list[0].service, eq(pool), "{host}{path}");
             }
@@ -240,8 +250,8 @@
 
 #[googletest::test]
 fn requests_and_replies_are_forwarded_unchanged() {
-    let mut d = open(&world(&[("p", 2)], vec![pass(json!({}))]));
-    let list = call(&mut d, NOW, 9);
+    let mut d = engine(&test_view(&[("p", 2)], vec![forward_search(json!({}))]));
+    let list = forward_default(&mut d, NOW, 9);
     let p = list[0].forwarded.clone().unwrap();
     let want = forwarded_request("h.example", "/x/y");
     expect_that!(
@@ -249,202 +259,213 @@
         eq((&want.id, &want.method, &want.path_and_query))
     );
     expect_that!((&p.headers, &p.body), eq((&want.headers, &want.body)));
-    // Never more time than the caller and the promise leave.
+    // The timeout never exceeds the caller's remaining time or the search's deadline.
     expect_that!(list[0].timeout, le(ms(800)));
     expect_that!(list[0].timeout, ge(ms(700)));
     for (status, stamps) in [(200, vec!["st"]), (404, vec![]), (302, vec![]), (204, vec!["st"])] {
-        let mut d = open(&world(&[("p", 2)], vec![pass(json!({}))]));
-        let list = call(&mut d, NOW, 9);
-        let mut raw = raw(status, &stamps, b"\x00any\xff");
+        let mut d = engine(&test_view(&[("p", 2)], vec![forward_search(json!({}))]));
+        let list = forward_default(&mut d, NOW, 9);
+        let mut raw = leaf_reply(status, &stamps, b"\x00any\xff");
         raw.headers.end_to_end = vec![("x".into(), b"\xfe".to_vec()), ("x".into(), b"2".to_vec())];
-        let todo = reply(&mut d, NOW + 5, &list[0], Ok(raw.clone()));
-        let got = passed(&todo);
+        let commands = reply(&mut d, NOW + 5, &list[0], Ok(raw.clone()));
+        let got = forwarded_reply(&commands);
         expect_that!(got.id, eq("id-1"));
         expect_that!((got.reply.status, &got.reply.body), eq((status, &raw.body)));
         expect_that!(got.reply.headers.end_to_end, eq(&raw.headers.end_to_end));
-        expect_that!(todo.len(), eq(1));
+        expect_that!(commands.len(), eq(1));
         expect_that!(d.queries.len() + d.attempts.len(), eq(0));
-        // A late copy tells nobody anything.
+        // A late duplicate of the reply causes nothing.
         expect_that!(reply(&mut d, NOW + 6, &list[0], Ok(raw)).len(), eq(0));
     }
 }
 
 #[googletest::test]
 fn a_failed_attempt_is_retried_on_another_leaf_and_returned_only_if_all_fail() {
-    let mut d = open(&world(&[("p", 3)], vec![pass(json!({}))]));
-    let first = call(&mut d, NOW, 1);
-    let again = sent(reply(&mut d, NOW + 5, &first[0], Ok(raw(500, &["st"], b"one"))));
+    let mut d = engine(&test_view(&[("p", 3)], vec![forward_search(json!({}))]));
+    let first = forward_default(&mut d, NOW, 1);
+    let again = sends(reply(&mut d, NOW + 5, &first[0], Ok(leaf_reply(500, &["st"], b"one"))));
     expect_that!(again.len(), eq(1));
     expect_that!(again[0].leaf, not(eq(&first[0].leaf)));
-    let todo = reply(&mut d, NOW + 9, &again[0], Ok(good(&again[0])));
-    expect_that!(passed(&todo).reply.status, eq(200));
-    // Both fail: the leaf's own word says more than ours.
-    let first = call(&mut d, NOW, 2);
-    let again = sent(reply(&mut d, NOW + 5, &first[0], Ok(raw(500, &[], b"one"))));
-    let todo = reply(&mut d, NOW + 9, &again[0], Ok(raw(502, &[], b"two")));
-    expect_that!(passed(&todo).reply.status, eq(502));
-    // A failure that is no answer at all never goes back as one.
-    let first = call(&mut d, NOW, 3);
-    let again = sent(reply(&mut d, NOW + 5, &first[0], Err(AttemptFailure::Truncated)));
-    let todo = reply(&mut d, NOW + 9, &again[0], Err(AttemptFailure::ReplyTooLarge));
-    let b = rejection(&todo);
+    let commands = reply(&mut d, NOW + 9, &again[0], Ok(good_reply(&again[0])));
+    expect_that!(forwarded_reply(&commands).reply.status, eq(200));
+    // If both attempts fail, the leaf's reply says more than a rejection by the engine.
+    let first = forward_default(&mut d, NOW, 2);
+    let again = sends(reply(&mut d, NOW + 5, &first[0], Ok(leaf_reply(500, &[], b"one"))));
+    let commands = reply(&mut d, NOW + 9, &again[0], Ok(leaf_reply(502, &[], b"two")));
+    expect_that!(forwarded_reply(&commands).reply.status, eq(502));
+    // A failure without a complete reply is never returned as a reply.
+    let first = forward_default(&mut d, NOW, 3);
+    let again = sends(reply(&mut d, NOW + 5, &first[0], Err(AttemptFailure::Truncated)));
+    let commands = reply(&mut d, NOW + 9, &again[0], Err(AttemptFailure::ReplyTooLarge));
+    let b = rejection(&commands);
     expect_that!((b.reason, b.executed), eq((RejectionReason::BelowQuorum, true)));
 }
 
 #[googletest::test]
 fn replies_that_do_not_belong_to_the_request_are_never_forwarded() {
-    // Guards against another call's answer, or half of one, told as a success.
-    let spoils: Vec<(&str, Spoil)> = vec![
+    // Guards against the reply to another request, or an incomplete one, returned as a success.
+    let corruptions: Vec<(&str, Corruption)> = vec![
         ("no stamp", |r| r.headers.postmarks.clear()),
         ("two stamps", |r| r.headers.postmarks.push("other".into())),
         ("foreign", |r| r.headers.foreign = true),
         ("foreign failure", |r| (r.headers.foreign, r.status) = (true, 404)),
-        ("foreign word that it did not run", |r| {
+        ("foreign reply that denies execution", |r| {
             (r.headers.foreign, r.headers.rejected, r.status) = (true, true, 503);
         }),
     ];
-    for (name, spoil) in spoils {
+    for (name, corrupt) in corruptions {
         for once in [false, true] {
-            let mut d = open(&world(&[("p", 3)], vec![pass(json!({ "once": once }))]));
-            let list = call(&mut d, NOW, 1);
-            let mut got = good(&list[0]);
-            spoil(&mut got);
-            let todo = reply(&mut d, NOW + 5, &list[0], Ok(got));
+            let mut d =
+                engine(&test_view(&[("p", 3)], vec![forward_search(json!({ "once": once }))]));
+            let list = forward_default(&mut d, NOW, 1);
+            let mut got = good_reply(&list[0]);
+            corrupt(&mut got);
+            let commands = reply(&mut d, NOW + 5, &list[0], Ok(got));
             if once {
-                expect_that!(rejection(&todo).executed, eq(true), "{name}");
+                expect_that!(rejection(&commands).executed, eq(true), "{name}");
             } else {
-                expect_that!(told(&todo).is_none(), eq(true), "{name}");
-                expect_that!(sent(todo).len(), eq(1), "{name}");
+                expect_that!(response_of(&commands).is_none(), eq(true), "{name}");
+                expect_that!(sends(commands).len(), eq(1), "{name}");
             }
         }
     }
-    // The platform's list names the leaf under another service by now.
-    let mut w = world(&[("p", 1), ("q", 1)], vec![pass(json!({}))]);
-    let mut d = open(&w);
-    let list = call(&mut d, NOW, 1);
+    // The platform's list now names the leaf under another service.
+    let mut w = test_view(&[("p", 1), ("q", 1)], vec![forward_search(json!({}))]);
+    let mut d = engine(&w);
+    let list = forward_default(&mut d, NOW, 1);
     w.services = vec![("q", 1), ("p", 0)];
-    let mut v = seen(&w);
+    let mut v = cluster_view(&w);
     let moved = LeafInfo { leaf: "p-0".into(), ..(*v.leafs["q-0"]).clone() };
     v.leafs.insert("p-0".into(), Arc::new(moved));
     d.step(NOW + 1, Event::ClusterView(Arc::new(v)));
-    let todo = reply(&mut d, NOW + 5, &list[0], Ok(good(&list[0])));
-    expect_that!(matches!(told(&todo), Some(Outcome::Forwarded(_))), eq(false));
+    let commands = reply(&mut d, NOW + 5, &list[0], Ok(good_reply(&list[0])));
+    expect_that!(matches!(response_of(&commands), Some(Outcome::Forwarded(_))), eq(false));
 }
 
 #[googletest::test]
 fn a_misdirected_reply_to_another_request_proves_nothing_about_this_one() {
-    // Guards against a once-only call that runs twice because a surplus answer
-    // says that another call has not run.
-    let mut d = open(&world(&[("p", 3)], vec![pass(json!({ "once": true, "attempts": 3 }))]));
-    let list = call(&mut d, NOW, 1);
-    let mut got = raw(421, &[], b"");
+    // Guards against an at-most-once request that is executed twice, because a surplus reply to
+    // another request says that it was not executed.
+    let mut d = engine(&test_view(
+        &[("p", 3)],
+        vec![forward_search(json!({ "once": true, "attempts": 3 }))],
+    ));
+    let list = forward_default(&mut d, NOW, 1);
+    let mut got = leaf_reply(421, &[], b"");
     got.headers.foreign = true;
-    let todo = reply(&mut d, NOW + 5, &list[0], Ok(got));
-    expect_that!(rejection(&todo).executed, eq(true));
-    expect_that!(sent(todo).len(), eq(0));
+    let commands = reply(&mut d, NOW + 5, &list[0], Ok(got));
+    expect_that!(rejection(&commands).executed, eq(true));
+    expect_that!(sends(commands).len(), eq(0));
 }
 
 #[googletest::test]
 fn an_error_status_alone_does_not_prove_that_the_request_was_not_executed() {
-    // Guards against callers who try work again that has run.
+    // Guards against callers that retry a request that was executed.
     for status in [408, 429, 503] {
         for once in [false, true] {
-            let search = pass(json!({ "once": once, "attempts": 1 }));
-            let mut d = open(&world(&[("p", 2)], vec![search]));
-            let list = call(&mut d, NOW, 1);
-            let todo = reply(&mut d, NOW + 5, &list[0], Ok(raw(status, &["st"], b"")));
-            expect_that!(rejection(&todo).executed, eq(true), "{status}");
+            let search = forward_search(json!({ "once": once, "attempts": 1 }));
+            let mut d = engine(&test_view(&[("p", 2)], vec![search]));
+            let list = forward_default(&mut d, NOW, 1);
+            let commands = reply(&mut d, NOW + 5, &list[0], Ok(leaf_reply(status, &["st"], b"")));
+            expect_that!(rejection(&commands).executed, eq(true), "{status}");
         }
     }
 }
 
-/// What a reply to a once-only call may be, and whether the leaf may have run it.
-fn any_reply(random: &mut Random, s: &OutgoingAttempt) -> (Got, bool) {
+/// Draws the result of an attempt, and returns whether the leaf may have executed the request.
+fn any_reply(random: &mut Random, s: &OutgoingAttempt) -> (AttemptResult, bool) {
     match random.below(14) {
-        0 | 1 => (Ok(good(s)), true),
+        0 | 1 => (Ok(good_reply(s)), true),
         2 => (Err(AttemptFailure::Truncated), true),
         3 => (Err(AttemptFailure::DeadlineExceeded), true),
         4 => (Err(AttemptFailure::ReplyTooLarge), true),
-        5 => (Ok(raw(500, &["st"], b"")), true),
-        6 => (Ok(raw(503, &[], b"")), true),
-        7 => (Ok(raw(429, &[], b"")), true),
-        8 => (Ok(raw(200, &[], b"")), true),
-        9 => (Ok(unrun(503)), false),
-        10 => (Ok(unrun(429)), false),
-        11 => (Ok(raw(421, &[], b"")), false),
+        5 => (Ok(leaf_reply(500, &["st"], b"")), true),
+        6 => (Ok(leaf_reply(503, &[], b"")), true),
+        7 => (Ok(leaf_reply(429, &[], b"")), true),
+        8 => (Ok(leaf_reply(200, &[], b"")), true),
+        9 => (Ok(not_executed(503)), false),
+        10 => (Ok(not_executed(429)), false),
+        11 => (Ok(leaf_reply(421, &[], b"")), false),
         _ => (Err(AttemptFailure::Unreachable), false),
     }
 }
 
 #[googletest::test]
 fn an_at_most_once_request_is_never_sent_again_after_it_may_have_been_executed() {
-    // Guards against work that is done twice.
-    let (mut again, mut promised) = (0, 0);
+    // Guards against requests that are executed twice.
+    let (mut retried, mut not_executed_count) = (0, 0);
     for seed in 0..3_000 {
         let mut random = Random::new(seed);
         let attempts = 1 + random.below(4);
         let n = 1 + random.below(6) as usize;
-        let search = pass(json!({ "once": true, "attempts": attempts }));
-        let mut d = open(&world(&[("p", n)], vec![search]));
+        let search = forward_search(json!({ "once": true, "attempts": attempts }));
+        let mut d = engine(&test_view(&[("p", n)], vec![search]));
         let mut now = NOW;
-        let mut out = call(&mut d, now, 1);
-        let (mut ran, mut sends, mut leafs) = (false, 0, Vec::new());
+        let mut out = forward_default(&mut d, now, 1);
+        let (mut executed, mut send_count, mut leafs) = (false, 0, Vec::new());
         let mut end = None;
         while let Some(s) = out.pop() {
-            assert!(out.is_empty(), "seed {seed}: two at once");
-            assert!(s.at_most_once && !ran, "seed {seed}: sent again after it may have run");
+            assert!(out.is_empty(), "seed {seed}: two attempts at once");
+            assert!(
+                s.at_most_once && !executed,
+                "seed {seed}: sent again after it may have been executed"
+            );
             assert!(!leafs.contains(&s.leaf), "seed {seed}: the same leaf twice");
             leafs.push(s.leaf.clone());
-            sends += 1;
-            // However long the leaf is silent, nobody else is asked meanwhile.
+            send_count += 1;
+            // No other attempt is made while the leaf is silent, however long that is.
             for _ in 0..random.below(5) {
                 now += ms(random.below(200));
-                let todo = wake(&mut d, now);
-                end = told(&todo).cloned().or(end);
-                assert!(sent(todo).is_empty(), "seed {seed}: a second beside the first");
+                let commands = wake(&mut d, now);
+                end = response_of(&commands).cloned().or(end);
+                assert!(sends(commands).is_empty(), "seed {seed}: an attempt beside the first");
             }
             if end.is_some() {
-                ran = true;
+                executed = true;
                 break;
             }
-            let (got, may) = any_reply(&mut random, &s);
-            ran |= may;
-            let todo = reply(&mut d, now, &s, got);
-            end = told(&todo).cloned();
-            out = sent(todo);
+            let (got, may_have_executed) = any_reply(&mut random, &s);
+            executed |= may_have_executed;
+            let commands = reply(&mut d, now, &s, got);
+            end = response_of(&commands).cloned();
+            out = sends(commands);
         }
         while end.is_none() {
             let due = d.next_due().unwrap();
-            let todo = wake(&mut d, due);
-            end = told(&todo).cloned();
-            assert!(sent(todo).is_empty(), "seed {seed}: sent late");
+            let commands = wake(&mut d, due);
+            end = response_of(&commands).cloned();
+            assert!(sends(commands).is_empty(), "seed {seed}: sent late");
         }
-        again += u64::from(sends > 1);
+        retried += u64::from(send_count > 1);
         if let Some(Outcome::Rejected(b)) = end {
-            assert_eq!(b.executed, ran, "seed {seed}: {:?}", b.reason);
-            promised += u64::from(!b.executed);
+            assert_eq!(b.executed, executed, "seed {seed}: {:?}", b.reason);
+            not_executed_count += u64::from(!b.executed);
         }
     }
-    // Both happen often enough for this to be worth something.
-    assert!(again > 300 && promised > 100, "{again} again, {promised} promised");
+    // Both cases are frequent enough for the test to be meaningful.
+    assert!(
+        retried > 300 && not_executed_count > 100,
+        "{retried} retried, {not_executed_count} rejected unexecuted"
+    );
 }
 
 #[googletest::test]
 fn requests_follow_the_weights_and_never_go_to_a_weight_of_zero() {
     for weights in [json!({ "a": 3, "b": 1, "c": 0 }), json!({ "a": 0, "b": 1, "c": 3 })] {
         let plan = "from pool in (\"a\", \"b\", \"c\") by pool; send one by weight";
-        let search = pass(json!({ "plan": plan, "weights": weights, "needs": ["a", "b", "c"] }));
-        let mut d = open(&world(&FOUR, vec![search]));
+        let search =
+            forward_search(json!({ "plan": plan, "weights": weights, "needs": ["a", "b", "c"] }));
+        let mut d = engine(&test_view(&FOUR_SERVICES, vec![search]));
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
         for i in 0..8_000 {
-            let list = call(&mut d, NOW, i);
+            let list = forward_default(&mut d, NOW, i);
             *counts.entry(list[0].service.clone()).or_default() += 1;
-            reply(&mut d, NOW + 1, &list[0], Ok(good(&list[0])));
+            reply(&mut d, NOW + 1, &list[0], Ok(good_reply(&list[0])));
         }
         for (name, weight) in weights.as_object().unwrap() {
             let (got, want) =
                 (counts.get(name).copied().unwrap_or(0), weight.as_u64().unwrap() * 2_000);
-            // Four standard deviations of 8,000 draws.
+            // The tolerance is four standard deviations of 8,000 draws.
             assert!(got.abs_diff(want) <= 160 && (want > 0 || got == 0), "{weights}: {counts:?}");
         }
     }
@@ -453,15 +474,15 @@
 #[googletest::test]
 fn a_retry_of_a_weighted_request_stays_with_the_drawn_service() {
     let plan = "from pool in (\"a\", \"b\") by pool; send one by weight";
-    let search = pass(json!({ "plan": plan, "weights": { "a": 1, "b": 1 } }));
-    let w = world(&FOUR, vec![search]);
+    let search = forward_search(json!({ "plan": plan, "weights": { "a": 1, "b": 1 } }));
+    let w = test_view(&FOUR_SERVICES, vec![search]);
     let mut drawn = Vec::new();
     for i in 0..60 {
-        let mut d = open(&w);
+        let mut d = engine(&w);
         d.random = Random::new(i);
-        let list = call(&mut d, NOW, i);
+        let list = forward_default(&mut d, NOW, i);
         drawn.push(list[0].service.clone());
-        let again = sent(reply(&mut d, NOW + 1, &list[0], Err(AttemptFailure::Unreachable)));
+        let again = sends(reply(&mut d, NOW + 1, &list[0], Err(AttemptFailure::Unreachable)));
         expect_that!(again[0].service, eq(&list[0].service));
     }
     expect_that!(drawn.iter().any(|s| s == "a") && drawn.iter().any(|s| s == "b"), eq(true));
@@ -469,8 +490,8 @@
 
 #[googletest::test]
 fn only_complete_successes_with_one_postmark_count_as_shard_results() {
-    // Guards against stamps in an answer that stand for no part.
-    let spoils: Vec<(&str, Spoil)> = vec![
+    // Guards against postmarks in a merged reply that no shard result belongs to.
+    let corruptions: Vec<(&str, Corruption)> = vec![
         ("no stamp", |r| r.headers.postmarks.clear()),
         ("two stamps", |r| r.headers.postmarks.push("other".into())),
         ("foreign", |r| r.headers.foreign = true),
@@ -480,29 +501,30 @@
         ("unrun", |r| (r.headers.rejected, r.status) = (true, 503)),
         ("misdirected", |r| r.status = 421),
     ];
-    for (name, spoil) in spoils {
-        let mut d = open(&world(&FOUR, vec![joined(json!({ "attempts": 1 }))]));
-        let list = call(&mut d, NOW, 1);
+    for (name, corrupt) in corruptions {
+        let mut d =
+            engine(&test_view(&FOUR_SERVICES, vec![merge_search(json!({ "attempts": 1 }))]));
+        let list = forward_default(&mut d, NOW, 1);
         expect_that!(list.len(), eq(4));
-        let mut todo = Vec::new();
+        let mut commands = Vec::new();
         for s in &list {
-            let mut got = good(s);
+            let mut got = good_reply(s);
             if s.service == "b" {
-                spoil(&mut got);
+                corrupt(&mut got);
             }
-            todo = reply(&mut d, NOW + 5, s, Ok(got));
+            commands = reply(&mut d, NOW + 5, s, Ok(got));
         }
-        let j = of_parts(&todo);
+        let j = merged_reply(&commands);
         expect_that!((j.missing, j.postmarks.len()), eq((1, 3)), "{name}");
         expect_that!(j.postmarks.iter().any(|s| s.contains("stamp-b")), eq(false), "{name}");
-        // The body holds the records of just these parts.
+        // The body holds the records of these shard results only.
         expect_that!(j.body, eq(["d", "c", "a"].map(|s| s.repeat(16)).concat().as_bytes()));
     }
 }
 
 #[googletest::test]
 fn a_merged_reply_below_its_quorum_is_never_a_success() {
-    for (quorum, partitions, fine) in [
+    for (quorum, partitions, is_success) in [
         (0.5, 2, true),
         (0.5, 1, false),
         (0.9, 3, false),
@@ -510,23 +532,24 @@
         (0.01, 1, true),
         (0.0, 0, false),
     ] {
-        let search = joined(json!({ "quorum": quorum, "attempts": 1 }));
-        let mut d = open(&world(&FOUR, vec![search]));
-        let list = call(&mut d, NOW, 1);
+        let search = merge_search(json!({ "quorum": quorum, "attempts": 1 }));
+        let mut d = engine(&test_view(&FOUR_SERVICES, vec![search]));
+        let list = forward_default(&mut d, NOW, 1);
         let mut end = None;
         for (i, s) in list.iter().enumerate() {
-            let got = if i < partitions { Ok(good(s)) } else { Ok(raw(500, &["st"], b"")) };
-            let todo = reply(&mut d, NOW + 5, s, got);
-            end = end.or(told(&todo).cloned());
+            let got =
+                if i < partitions { Ok(good_reply(s)) } else { Ok(leaf_reply(500, &["st"], b"")) };
+            let commands = reply(&mut d, NOW + 5, s, got);
+            end = end.or(response_of(&commands).cloned());
         }
         match end.unwrap() {
             Outcome::Merged(j) => {
                 expect_that!(
-                    (fine, j.missing, j.postmarks.len()),
+                    (is_success, j.missing, j.postmarks.len()),
                     eq((true, 4 - partitions, partitions))
                 );
             }
-            Outcome::Rejected(b) => expect_that!((fine, b.executed), eq((false, true))),
+            Outcome::Rejected(b) => expect_that!((is_success, b.executed), eq((false, true))),
             other => panic!("{other:?}"),
         }
     }
@@ -534,40 +557,43 @@
 
 #[googletest::test]
 fn a_quorum_is_returned_at_the_latency_target_with_the_missing_shards() {
-    let mut d = open(&world(&FOUR, vec![joined(json!({ "attempts": 1 }))]));
-    let list = call(&mut d, NOW, 1);
+    let mut d = engine(&test_view(&FOUR_SERVICES, vec![merge_search(json!({ "attempts": 1 }))]));
+    let list = forward_default(&mut d, NOW, 1);
     for s in &list[..3] {
-        expect_that!(told(&reply(&mut d, NOW + 5, s, Ok(good(s)))).is_none(), eq(true));
+        expect_that!(
+            response_of(&reply(&mut d, NOW + 5, s, Ok(good_reply(s)))).is_none(),
+            eq(true)
+        );
     }
     let at = d.next_due().unwrap();
-    expect_that!(at, lt(NOW + ms(100)), "there must be time for the way home");
+    expect_that!(at, lt(NOW + ms(100)), "there must be time for the response to reach the caller");
     expect_that!(at, ge(NOW + ms(80)));
-    expect_that!(told(&wake(&mut d, at - 1)).is_none(), eq(true));
-    let j = of_parts(&wake(&mut d, at));
+    expect_that!(response_of(&wake(&mut d, at - 1)).is_none(), eq(true));
+    let j = merged_reply(&wake(&mut d, at));
     expect_that!((j.missing, j.postmarks.len()), eq((1, 3)));
-    // What is still out is not broken off at once, and counts until it has ended.
+    // An attempt in flight is not cancelled immediately, and counts until it has ended.
     expect_that!(d.attempts.len(), eq(1));
     expect_that!(d.leafs[&list[3].leaf].in_flight, eq(1));
-    reply(&mut d, at + 9, &list[3], Ok(good(&list[3])));
+    reply(&mut d, at + 9, &list[3], Ok(good_reply(&list[3])));
     expect_that!(d.leafs[&list[3].leaf].in_flight, eq(0));
-    // Two of four are a quorum here, but worth more whole and a little late.
-    let list = call(&mut d, NOW, 2);
+    // Two of four are a quorum, but the engine waits past the target for the missing shards.
+    let list = forward_default(&mut d, NOW, 2);
     for s in &list[..2] {
-        reply(&mut d, NOW + 5, s, Ok(good(s)));
+        reply(&mut d, NOW + 5, s, Ok(good_reply(s)));
     }
-    expect_that!(told(&wake(&mut d, NOW + ms(99))).is_none(), eq(true));
-    let todo = wake(&mut d, NOW + ms(800));
-    expect_that!(of_parts(&todo).missing, eq(2));
+    expect_that!(response_of(&wake(&mut d, NOW + ms(99))).is_none(), eq(true));
+    let commands = wake(&mut d, NOW + ms(800));
+    expect_that!(merged_reply(&commands).missing, eq(2));
 }
 
 #[googletest::test]
 fn merged_bodies_are_the_greatest_records_of_all_shards() {
-    // Guards against lost, doubled or misplaced records, and half ones.
+    // Guards against lost, duplicated, misplaced or incomplete records.
     for seed in 0..2_000 {
         let mut random = Random::new(seed);
         let width = [1usize, 3, 16, 16, 16][random.below(5) as usize];
         let top = random.below(30) as usize;
-        // Few different bytes, so that equal records are common.
+        // There are few different bytes, so that equal records are frequent.
         let kinds = 1 + random.below(4);
         let mut all: Vec<Vec<u8>> = Vec::new();
         let mut partitions: Vec<Vec<u8>> = Vec::new();
@@ -578,7 +604,7 @@
                 partition.extend(&rec);
                 all.push(rec);
             }
-            // A rest that is no record, made of the greatest bytes.
+            // An incomplete record at the end, made of the greatest bytes.
             partition.extend(vec![0xff; random.below(width as u64) as usize]);
             partitions.push(partition);
         }
@@ -591,153 +617,157 @@
 
 #[googletest::test]
 fn a_silent_leaf_is_hedged_on_another_leaf_after_the_learned_delay() {
-    let mut d = open(&world(&[("p", 4)], vec![pass(json!({ "attempts": 2 }))]));
-    // Before anything is learned, the wait is a share of the target.
-    let list = call(&mut d, NOW, 1);
+    let mut d = engine(&test_view(&[("p", 4)], vec![forward_search(json!({ "attempts": 2 }))]));
+    // Before the first sample, the hedge delay is a share of the latency target.
+    let list = forward_default(&mut d, NOW, 1);
     expect_that!(d.next_due(), some(eq(NOW + ms(100) * consts::HEDGE_DELAY_TARGET_PCT / 100)));
-    reply(&mut d, NOW + ms(2), &list[0], Ok(good(&list[0])));
+    reply(&mut d, NOW + ms(2), &list[0], Ok(good_reply(&list[0])));
     for i in 0..400 {
-        let list = call(&mut d, NOW + i, 10 + i);
-        reply(&mut d, NOW + i + ms(4), &list[0], Ok(good(&list[0])));
+        let list = forward_default(&mut d, NOW + i, 10 + i);
+        reply(&mut d, NOW + i + ms(4), &list[0], Ok(good_reply(&list[0])));
     }
     let at = NOW + SECOND;
-    let first = call(&mut d, at, 2);
+    let first = forward_default(&mut d, at, 2);
     let due = d.next_due().unwrap();
     expect_that!(due, gt(at + ms(4)));
     expect_that!(due, lt(at + ms(20)));
-    expect_that!(sent(wake(&mut d, due - 1)).len(), eq(0));
-    let second = sent(wake(&mut d, due));
+    expect_that!(sends(wake(&mut d, due - 1)).len(), eq(0));
+    let second = sends(wake(&mut d, due));
     expect_that!(second.len(), eq(1));
     expect_that!(second[0].leaf, not(eq(&first[0].leaf)));
-    // Attempts bound it: no third, however long both are silent.
+    // The number of attempts is limited: no third one, however long both leafs are silent.
     for k in 1..60 {
-        expect_that!(sent(wake(&mut d, due + ms(10 * k))).len(), eq(0));
+        expect_that!(sends(wake(&mut d, due + ms(10 * k))).len(), eq(0));
     }
-    let todo = reply(&mut d, due + ms(600), &second[0], Ok(good(&second[0])));
-    expect_that!(passed(&todo).reply.status, eq(200));
-    // The loser is not dropped at once: its leaf works on it, and that counts.
-    expect_that!(cancelled(&todo), is_empty());
+    let commands = reply(&mut d, due + ms(600), &second[0], Ok(good_reply(&second[0])));
+    expect_that!(forwarded_reply(&commands).reply.status, eq(200));
+    // The other attempt is not cancelled immediately: its leaf still works on it, and it counts
+    // as in flight.
+    expect_that!(cancelled(&commands), is_empty());
     expect_that!(d.leafs[&first[0].leaf].in_flight, eq(1));
     expect_that!(d.statistics.failures.get(&AttemptFailure::Overtaken), some(eq(&1)));
-    expect_that!(reply(&mut d, due + ms(650), &first[0], Ok(good(&first[0]))).len(), eq(0));
+    expect_that!(reply(&mut d, due + ms(650), &first[0], Ok(good_reply(&first[0]))).len(), eq(0));
     expect_that!(d.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
 }
 
 #[googletest::test]
 fn retries_are_bounded_by_the_budget_of_their_own_service() {
-    // Guards against one service's trouble that eats the others' quota.
+    // Guards against failures of one service that use up the retry budget of the others.
     let to = |name: &str, path: &str, pool: &str| {
-        pass(json!({ "name": name, "path": path, "attempts": 10,
+        forward_search(json!({ "name": name, "path": path, "attempts": 10,
             "plan": format!("from pool = \"{pool}\" by pool; send wide") }))
     };
-    let w = world(&[("p", 9), ("q", 9)], vec![to("1", "/p/", "p"), to("2", "/q/", "q")]);
-    let mut d = open(&w);
-    let saved = (consts::RETRY_SLACK * consts::RETRY_BUDGET_USE_PCT / 100) as usize;
-    let mut seconds = 0;
+    let w = test_view(&[("p", 9), ("q", 9)], vec![to("1", "/p/", "p"), to("2", "/q/", "q")]);
+    let mut d = engine(&w);
+    let budget = (consts::RETRY_SLACK * consts::RETRY_BUDGET_USE_PCT / 100) as usize;
+    let mut retries = 0;
     let mut calls = 0;
-    while seconds < saved && calls < 100 {
+    while retries < budget && calls < 100 {
         calls += 1;
-        let mut out = sent(hand(&mut d, NOW, calls, "h.example", "/p/"));
+        let mut out = sends(forward(&mut d, NOW, calls, "h.example", "/p/"));
         while let Some(s) = out.pop() {
-            out = sent(reply(&mut d, NOW, &s, Err(AttemptFailure::Truncated)));
-            seconds += out.len();
+            out = sends(reply(&mut d, NOW, &s, Err(AttemptFailure::Truncated)));
+            retries += out.len();
         }
     }
-    expect_that!(seconds, ge(saved));
-    // Each further call earns a fifth of a try, and no more.
-    let mut more = 0;
+    expect_that!(retries, ge(budget));
+    // Each further request earns a fifth of a retry, and no more.
+    let mut further_retries = 0;
     for i in 0..50 {
-        let mut out = sent(hand(&mut d, NOW, 1_000 + i, "h.example", "/p/"));
+        let mut out = sends(forward(&mut d, NOW, 1_000 + i, "h.example", "/p/"));
         while let Some(s) = out.pop() {
-            out = sent(reply(&mut d, NOW, &s, Err(AttemptFailure::Truncated)));
-            more += out.len();
+            out = sends(reply(&mut d, NOW, &s, Err(AttemptFailure::Truncated)));
+            further_retries += out.len();
         }
     }
-    expect_that!(more, le(10));
+    expect_that!(further_retries, le(10));
     expect_that!(d.statistics.retries_denied, gt(0));
-    let first = sent(hand(&mut d, NOW, 5_000, "h.example", "/q/"));
-    let again = sent(reply(&mut d, NOW, &first[0], Err(AttemptFailure::Truncated)));
-    expect_that!(again.len(), eq(1), "the other service's quota is whole");
+    let first = sends(forward(&mut d, NOW, 5_000, "h.example", "/q/"));
+    let again = sends(reply(&mut d, NOW, &first[0], Err(AttemptFailure::Truncated)));
+    expect_that!(again.len(), eq(1), "the other service's budget is unused");
 }
 
 #[googletest::test]
 fn unreachable_leafs_cost_neither_an_attempt_nor_retry_budget() {
-    let mut d = open(&world(&[("p", 8)], vec![pass(json!({ "attempts": 1, "once": true }))]));
+    let mut d = engine(&test_view(
+        &[("p", 8)],
+        vec![forward_search(json!({ "attempts": 1, "once": true }))],
+    ));
     d.service_retry_budget.retain(|_| false);
-    let mut out = call(&mut d, NOW, 1);
+    let mut out = forward_default(&mut d, NOW, 1);
     let mut leafs = Vec::new();
     for _ in 0..consts::MAX_UNREACHABLE_LEAFS {
         let s = out.pop().unwrap();
         leafs.push(s.leaf.clone());
-        out = sent(reply(&mut d, NOW, &s, Err(AttemptFailure::Unreachable)));
+        out = sends(reply(&mut d, NOW, &s, Err(AttemptFailure::Unreachable)));
         expect_that!(out.len(), eq(1));
         expect_that!(leafs.contains(&out[0].leaf), eq(false));
     }
-    let todo = reply(&mut d, NOW, &out[0], Ok(good(&out[0])));
-    expect_that!(passed(&todo).reply.status, eq(200));
+    let commands = reply(&mut d, NOW, &out[0], Ok(good_reply(&out[0])));
+    expect_that!(forwarded_reply(&commands).reply.status, eq(200));
     expect_that!(d.statistics.retries, eq(0));
-    // But a whole pool that can't be reached does not keep a call for ever.
-    let mut out = call(&mut d, NOW, 2);
+    // A pool whose leafs are all unreachable does not hold a request forever.
+    let mut out = forward_default(&mut d, NOW, 2);
     let mut n = 0;
     let mut end = None;
     while let Some(s) = out.pop() {
         n += 1;
-        let todo = reply(&mut d, NOW, &s, Err(AttemptFailure::Unreachable));
-        end = told(&todo).cloned();
-        out = sent(todo);
+        let commands = reply(&mut d, NOW, &s, Err(AttemptFailure::Unreachable));
+        end = response_of(&commands).cloned();
+        out = sends(commands);
     }
     expect_that!(n, eq(consts::MAX_UNREACHABLE_LEAFS + 1));
     let Some(Outcome::Rejected(b)) = end else { panic!("no outcome") };
-    expect_that!(b.executed, eq(false), "nothing arrived anywhere");
+    expect_that!(b.executed, eq(false), "no leaf received the request");
 }
 
 #[googletest::test]
 fn leaving_leafs_and_drained_zones_get_no_retries() {
-    // Guards against work for leafs that were told off after the call came.
+    // Guards against retries on leafs that began to leave, or whose zone was drained, after the request arrived.
     for (drained, leaving) in [("b", vec![]), ("none", vec!["p-1".to_string()])] {
-        let mut w = world(&[("p", 2)], vec![pass(json!({}))]);
-        let mut d = open(&w);
-        let list = call(&mut d, NOW, 1);
+        let mut w = test_view(&[("p", 2)], vec![forward_search(json!({}))]);
+        let mut d = engine(&w);
+        let list = forward_default(&mut d, NOW, 1);
         expect_that!(list[0].leaf, eq("p-0"), "the local zone is preferred");
         (w.drained, w.leaving) = (drained, leaving);
-        d.step(NOW + 1, Event::ClusterView(Arc::new(seen(&w))));
-        expect_that!(sent(wake(&mut d, NOW + ms(50))).len(), eq(0));
-        let todo = reply(&mut d, NOW + ms(60), &list[0], Err(AttemptFailure::Truncated));
-        expect_that!(rejection(&todo).executed, eq(true));
-        expect_that!(sent(todo).len(), eq(0));
+        d.step(NOW + 1, Event::ClusterView(Arc::new(cluster_view(&w))));
+        expect_that!(sends(wake(&mut d, NOW + ms(50))).len(), eq(0));
+        let commands = reply(&mut d, NOW + ms(60), &list[0], Err(AttemptFailure::Truncated));
+        expect_that!(rejection(&commands).executed, eq(true));
+        expect_that!(sends(commands).len(), eq(0));
     }
 }
 
-/// Fills every leaf of a world of `n` leafs with one slot each.
-fn full(d: &mut QueryEngine) -> Vec<OutgoingAttempt> {
+/// Sends requests until every leaf has reached its capacity, and returns the attempts.
+fn fill_leafs(d: &mut QueryEngine) -> Vec<OutgoingAttempt> {
     let mut out = Vec::new();
     for i in 0..1_000 {
-        let list = call(d, NOW, 100 + i);
+        let list = forward_default(d, NOW, 100 + i);
         if list.is_empty() {
             d.step(NOW, Event::CallerGone { call: 100 + i });
             return out;
         }
         out.extend(list);
     }
-    panic!("leafs without bounds");
+    panic!("the leafs have unlimited capacity");
 }
 
 #[googletest::test]
 fn queued_requests_never_go_to_leaving_leafs_or_drained_zones() {
     for (drained, leaving) in [("b", vec![]), ("none", vec!["p-1".to_string()])] {
-        let mut w = world(&[("p", 2)], vec![pass(json!({ "attempts": 1 }))]);
+        let mut w = test_view(&[("p", 2)], vec![forward_search(json!({ "attempts": 1 }))]);
         w.slots = 1;
-        let mut d = open(&w);
-        let out = full(&mut d);
-        expect_that!(call(&mut d, NOW, 1).len(), eq(0));
+        let mut d = engine(&w);
+        let out = fill_leafs(&mut d);
+        expect_that!(forward_default(&mut d, NOW, 1).len(), eq(0));
         (w.drained, w.leaving) = (drained, leaving);
-        let mut todo = d.step(NOW + 1, Event::ClusterView(Arc::new(seen(&w))));
+        let mut commands = d.step(NOW + 1, Event::ClusterView(Arc::new(cluster_view(&w))));
         for s in out.iter().filter(|s| s.leaf == "p-1") {
-            todo.extend(reply(&mut d, NOW + 2, s, Ok(good(s))));
+            commands.extend(reply(&mut d, NOW + 2, s, Ok(good_reply(s))));
         }
-        expect_that!(sent(todo).len(), eq(0), "there is room only where nobody may go");
+        expect_that!(sends(commands).len(), eq(0), "only leafs that may not be used have capacity");
         let own = out.iter().find(|s| s.leaf == "p-0").unwrap();
-        let list = sent(reply(&mut d, NOW + 3, own, Ok(good(own))));
+        let list = sends(reply(&mut d, NOW + 3, own, Ok(good_reply(own))));
         expect_that!(list.len(), eq(1));
         expect_that!(list[0].leaf, eq("p-0"));
     }
@@ -745,60 +775,62 @@
 
 #[googletest::test]
 fn a_request_that_finds_no_capacity_in_time_is_rejected_unexecuted() {
-    let mut w = world(&[("p", 2)], vec![pass(json!({ "once": true }))]);
+    let mut w = test_view(&[("p", 2)], vec![forward_search(json!({ "once": true }))]);
     w.slots = 1;
-    let mut d = open(&w);
-    let out = full(&mut d);
+    let mut d = engine(&w);
+    let out = fill_leafs(&mut d);
     expect_that!(out.len(), ge(2));
-    expect_that!(call(&mut d, NOW, 1).len(), eq(0));
-    let hold = NOW + ms(100) * consts::QUEUE_TIMEOUT_PCT / 100;
-    expect_that!(d.next_due(), some(eq(hold)));
-    expect_that!(told(&wake(&mut d, hold - 1)).is_none(), eq(true));
-    let todo = wake(&mut d, hold);
-    let b = rejection(&todo);
+    expect_that!(forward_default(&mut d, NOW, 1).len(), eq(0));
+    let queue_deadline = NOW + ms(100) * consts::QUEUE_TIMEOUT_PCT / 100;
+    expect_that!(d.next_due(), some(eq(queue_deadline)));
+    expect_that!(response_of(&wake(&mut d, queue_deadline - 1)).is_none(), eq(true));
+    let commands = wake(&mut d, queue_deadline);
+    let b = rejection(&commands);
     expect_that!((b.reason, b.executed), eq((RejectionReason::NoCapacity, false)));
     expect_that!(b.retry_after, some(gt(0)));
-    expect_that!(sent(todo).len(), eq(0));
-    // Room that comes in time is used.
-    expect_that!(call(&mut d, NOW, 2).len(), eq(0));
-    let list = sent(reply(&mut d, NOW + ms(5), &out[0], Ok(good(&out[0]))));
+    expect_that!(sends(commands).len(), eq(0));
+    // Capacity that becomes free in time is used.
+    expect_that!(forward_default(&mut d, NOW, 2).len(), eq(0));
+    let list = sends(reply(&mut d, NOW + ms(5), &out[0], Ok(good_reply(&out[0]))));
     expect_that!(list.len(), eq(1));
     expect_that!(list[0].leaf, eq(&out[0].leaf));
 }
 
 #[googletest::test]
 fn a_rejection_says_whether_other_shards_may_have_executed() {
-    // Guards against the promise that nothing ran while leafs still work.
-    let mut w =
-        world(&[("a", 1), ("b", 1), ("c", 1), ("d", 0)], vec![joined(json!({ "quorum": 1.0 }))]);
-    let mut d = open(&w);
-    let todo = hand(&mut d, NOW, 1, "h.example", "/x/");
-    let b = rejection(&todo);
+    // Guards against a rejection that denies execution while leafs still work on the request.
+    let mut w = test_view(
+        &[("a", 1), ("b", 1), ("c", 1), ("d", 0)],
+        vec![merge_search(json!({ "quorum": 1.0 }))],
+    );
+    let mut d = engine(&w);
+    let commands = forward(&mut d, NOW, 1, "h.example", "/x/");
+    let b = rejection(&commands);
     expect_that!((b.reason, b.executed), eq((RejectionReason::NoLeaf, true)));
-    // Their leafs are at work, and are not called off.
+    // The leafs of the other shards work on it, and their attempts are not cancelled.
     expect_that!(d.attempts.len(), eq(3));
-    // With no leaf at all nothing can have run.
+    // Without any leaf, nothing can have been executed.
     w.services = vec![("a", 0), ("b", 0), ("c", 0), ("d", 0)];
-    let mut d = open(&w);
-    let b = rejection(&hand(&mut d, NOW, 1, "h.example", "/x/"));
+    let mut d = engine(&w);
+    let b = rejection(&forward(&mut d, NOW, 1, "h.example", "/x/"));
     expect_that!((b.reason, b.executed), eq((RejectionReason::NoLeaf, false)));
-    // A leaf that is silent until the end may have run it.
-    let mut d = open(&world(&[("p", 1)], vec![pass(json!({}))]));
-    call(&mut d, NOW, 1);
-    let todo = wake(&mut d, NOW + ms(800));
-    let b = rejection(&todo);
+    // A leaf that is silent until the deadline may have executed it.
+    let mut d = engine(&test_view(&[("p", 1)], vec![forward_search(json!({}))]));
+    forward_default(&mut d, NOW, 1);
+    let commands = wake(&mut d, NOW + ms(800));
+    let b = rejection(&commands);
     expect_that!((b.reason, b.executed), eq((RejectionReason::DeadlineExceeded, true)));
 }
 
-/// Whether an attempt's reply would still be of use to its query.
-fn has_open_call(d: &QueryEngine, sending: &OutgoingAttempt) -> bool {
+/// Returns whether a query still waits for an attempt's reply.
+fn is_awaited(d: &QueryEngine, sending: &OutgoingAttempt) -> bool {
     d.queries
         .values()
         .flat_map(|query| &query.shards)
         .any(|shard| shard.in_flight.contains(&sending.attempt))
 }
 
-/// The attempts that commands cancel.
+/// Returns the attempts that commands cancel.
 fn cancelled(commands: &[Command]) -> Vec<u64> {
     let attempt = |command: &Command| match command {
         Command::CancelAttempt { attempt } => Some(*attempt),
@@ -809,15 +841,16 @@
 
 #[googletest::test]
 fn a_superseded_attempt_is_cancelled_within_a_tenth_of_a_second() {
-    // Guards against leafs that work for nobody: a hedge has won, the leaf hangs.
-    let mut d = open(&world(&[("p", 3)], vec![pass(json!({ "attempts": 2 }))]));
-    let first = call(&mut d, NOW, 1);
+    // Guards against leafs that work on superseded attempts: a hedge has won, and the first leaf
+    // hangs.
+    let mut d = engine(&test_view(&[("p", 3)], vec![forward_search(json!({ "attempts": 2 }))]));
+    let first = forward_default(&mut d, NOW, 1);
     let due = d.next_due().unwrap();
-    let second = sent(wake(&mut d, due));
-    let won = due + ms(5);
-    passed(&reply(&mut d, won, &second[0], Ok(good(&second[0]))));
+    let second = sends(wake(&mut d, due));
+    let won_at = due + ms(5);
+    forwarded_reply(&reply(&mut d, won_at, &second[0], Ok(good_reply(&second[0]))));
     let at = d.next_due().unwrap();
-    expect_that!(at, le(won + ms(100)));
+    expect_that!(at, le(won_at + ms(100)));
     expect_that!(cancelled(&wake(&mut d, at - 1)), is_empty());
     expect_that!(cancelled(&wake(&mut d, at)), elements_are![eq(&first[0].attempt)]);
     expect_that!(d.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
@@ -826,63 +859,65 @@
 
 #[googletest::test]
 fn attempts_beyond_a_quorum_are_cancelled_and_count_as_failures_of_silent_leafs() {
-    let mut d = open(&world(&FOUR, vec![joined(json!({ "attempts": 1 }))]));
-    // Their usual time is known: 5 ms.
+    let mut d = engine(&test_view(&FOUR_SERVICES, vec![merge_search(json!({ "attempts": 1 }))]));
+    // The engine learns that the usual latency is 5 ms.
     for i in 0..20 {
-        let list = call(&mut d, NOW + i, 10 + i);
+        let list = forward_default(&mut d, NOW + i, 10 + i);
         for s in &list {
-            reply(&mut d, NOW + i + ms(5), s, Ok(good(s)));
+            reply(&mut d, NOW + i + ms(5), s, Ok(good_reply(s)));
         }
     }
     let at = NOW + SECOND;
-    let list = call(&mut d, at, 1);
+    let list = forward_default(&mut d, at, 1);
     for s in &list[..3] {
-        reply(&mut d, at + ms(5), s, Ok(good(s)));
+        reply(&mut d, at + ms(5), s, Ok(good_reply(s)));
     }
-    let told_at = d.next_due().unwrap();
-    expect_that!(of_parts(&wake(&mut d, told_at)).missing, eq(1));
-    let todo = wake(&mut d, told_at + ms(100));
-    expect_that!(cancelled(&todo), elements_are![eq(&list[3].attempt)]);
+    let responded_at = d.next_due().unwrap();
+    expect_that!(merged_reply(&wake(&mut d, responded_at)).missing, eq(1));
+    let commands = wake(&mut d, responded_at + ms(100));
+    expect_that!(cancelled(&commands), elements_are![eq(&list[3].attempt)]);
     expect_that!(d.leafs[&list[3].leaf].consecutive_failures, eq(1));
 }
 
 #[googletest::test]
 fn a_disconnected_caller_cancels_its_attempts_except_at_most_once_ones() {
     for (once, count) in [(false, 1), (true, 0)] {
-        let mut d = open(&world(&[("p", 2)], vec![pass(json!({ "once": once }))]));
-        let list = call(&mut d, NOW, 1);
-        let todo = d.step(NOW + ms(1), Event::CallerGone { call: 1 });
-        expect_that!(cancelled(&todo).len(), eq(count));
-        let still: u64 = d.leafs.values().map(|l| l.in_flight).sum();
-        expect_that!(still, eq(1 - count as u64));
-        // A late end of it changes nothing more.
-        reply(&mut d, NOW + ms(2), &list[0], Ok(good(&list[0])));
+        let mut d = engine(&test_view(&[("p", 2)], vec![forward_search(json!({ "once": once }))]));
+        let list = forward_default(&mut d, NOW, 1);
+        let commands = d.step(NOW + ms(1), Event::CallerGone { call: 1 });
+        expect_that!(cancelled(&commands).len(), eq(count));
+        let in_flight: u64 = d.leafs.values().map(|l| l.in_flight).sum();
+        expect_that!(in_flight, eq(1 - count as u64));
+        // A late end of the attempt has no further effect.
+        reply(&mut d, NOW + ms(2), &list[0], Ok(good_reply(&list[0])));
         expect_that!(d.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
     }
 }
 
 #[googletest::test]
 fn each_request_gets_exactly_one_response_in_time_under_random_events() {
-    // Guards against calls that are lost, told twice or held beyond their end,
-    // and against leafs that count work which nobody has.
+    // Guards against requests that get no response, two responses or a late one, and against
+    // attempts that count as in flight on a leaf after they have ended.
     for seed in 0..150 {
         let mut random = Random::new(seed);
-        let mut w = world(
+        let mut w = test_view(
             &[("p", 4), ("a", 2), ("b", 2), ("c", 1), ("d", 2)],
             vec![
-                pass(json!({ "path": "/p/", "attempts": 3 })),
-                pass(json!({ "name": "once", "path": "/o/", "once": true, "attempts": 3 })),
-                joined(json!({ "name": "join", "path": "/j/" })),
+                forward_search(json!({ "path": "/p/", "attempts": 3 })),
+                forward_search(
+                    json!({ "name": "once", "path": "/o/", "once": true, "attempts": 3 }),
+                ),
+                merge_search(json!({ "name": "join", "path": "/j/" })),
             ],
         );
         w.slots = 1 + random.below(3) as u32;
-        let mut d = open(&w);
+        let mut d = engine(&w);
         let mut now = NOW;
         let mut out: Vec<OutgoingAttempt> = Vec::new();
-        let mut open: BTreeMap<u64, Tick> = BTreeMap::new();
+        let mut deadlines: BTreeMap<u64, Tick> = BTreeMap::new();
         let mut calls = 0;
         let mut steps = 0;
-        while steps < 600 || !open.is_empty() {
+        while steps < 600 || !deadlines.is_empty() {
             steps += 1;
             let event = match random.below(10) {
                 0..3 if steps < 600 => {
@@ -890,7 +925,7 @@
                     let path = ["/p/", "/o/", "/j/"][random.below(3) as usize];
                     let mut p = forwarded_request("h.example", path);
                     p.timeout = Some(ms(1 + random.below(900)));
-                    open.insert(calls, now + p.timeout.unwrap());
+                    deadlines.insert(calls, now + p.timeout.unwrap());
                     Event::Forward { call: calls, request: Arc::new(p) }
                 }
                 3..7 if !out.is_empty() => {
@@ -899,16 +934,16 @@
                 }
                 7 if random.chance(1, 8) => {
                     w.drained = ["none", "a", "b"][random.below(3) as usize];
-                    Event::ClusterView(Arc::new(seen(&w)))
+                    Event::ClusterView(Arc::new(cluster_view(&w)))
                 }
-                8 if random.chance(1, 8) && !open.is_empty() => {
-                    let i = random.next_u64() as usize % open.len();
-                    let gone = *open.keys().nth(i).unwrap();
-                    open.remove(&gone);
+                8 if random.chance(1, 8) && !deadlines.is_empty() => {
+                    let i = random.next_u64() as usize % deadlines.len();
+                    let gone = *deadlines.keys().nth(i).unwrap();
+                    deadlines.remove(&gone);
                     Event::CallerGone { call: gone }
                 }
                 _ => {
-                    // Time goes on, but never past what the engine waits for.
+                    // Time advances, but not past the engine's next timer.
                     let due = d.next_due().unwrap_or(Tick::MAX);
                     now = (now + ms(random.below(30))).min(due.max(now));
                     Event::Timer
@@ -918,16 +953,20 @@
                 match command {
                     Command::Send(s) => out.push(s),
                     Command::Respond { call, .. } => {
-                        let end = open.remove(&call);
+                        let end = deadlines.remove(&call);
                         assert!(end.is_some_and(|e| now <= e), "seed {seed}: call {call}, {end:?}");
                     }
                     Command::CancelAttempt { attempt } => {
                         let position = out.iter().position(|s| s.attempt == attempt);
-                        let s = out.swap_remove(position.expect("it was sent and has not ended"));
-                        assert!(!s.at_most_once, "seed {seed}: what runs once was broken off");
-                        // Its call is over, or another attempt answered for its shard.
-                        let has_ended = !has_open_call(&d, &s);
-                        assert!(has_ended, "seed {seed}: work that is waited for was broken off");
+                        let s = out
+                            .swap_remove(position.expect("the attempt was sent and has not ended"));
+                        assert!(
+                            !s.at_most_once,
+                            "seed {seed}: an at-most-once attempt was cancelled"
+                        );
+                        // Its query has ended, or another attempt has answered for its shard.
+                        let is_unused = !is_awaited(&d, &s);
+                        assert!(is_unused, "seed {seed}: an awaited attempt was cancelled");
                     }
                     Command::ReportLeaf { .. } | Command::ReportTrial(_) => {}
                 }
@@ -936,7 +975,7 @@
                 let live = out.iter().filter(|s| s.leaf == *name).count();
                 assert_eq!(leaf.in_flight, live as u64, "seed {seed}: {name}");
             }
-            assert!(steps < 100_000, "seed {seed}: {open:?}");
+            assert!(steps < 100_000, "seed {seed}: {deadlines:?}");
         }
         expect_that!(d.queries.len(), eq(0));
     }
--- a/crates/core/tests/voter_slots.rs
+++ b/crates/core/tests/voter_slots.rs
@@ -284,7 +284,7 @@
     // The last generation before that of the next takeover has no successor by handover.
     expect_that!(after_handover(generation), none());
     expect_that!(after_takeover(generation), eq(after_takeover(1)));
-    // A vacant slot, whose generation is 0, continues like one of generation 1.
+    // A vacant slot (generation 0) and a slot from an earlier build continue alike.
     expect_that!((after_takeover(0), after_handover(0)), eq((after_takeover(1), Some(2))));
 }
 
