--- a/crates/core/tests/elections.rs
+++ b/crates/core/tests/elections.rs
@@ -1,5 +1,5 @@
-//! How long orders wait while a partition has no leader: after the death of a
-//! leader, and when one steps down in order.
+//! How long operations wait while a partition has no leader: after a failure of the leader, and
+//! when it steps down gracefully.
 
 #[path = "common/cluster.rs"]
 mod cluster;
@@ -12,35 +12,36 @@
 use grebepath_core::time::{MILLI, SECOND, Span, ms};
 use serde_json::json;
 
-/// Seeds of a measurement (count).
+/// Number of seeds per measurement.
 const SEEDS: u64 = 100;
 
-fn change(mark: &str) -> Operation {
-    let val = json!({ "zones": [{ "name": mark, "state": "open" }] });
+fn change(zone: &str) -> Operation {
+    let val = json!({ "zones": [{ "name": zone, "state": "open" }] });
     Operation::Patch(val.to_string().into_bytes())
 }
 
-/// How long the first order takes that comes when `fault` has struck the leader.
-fn first_order(size: usize, seed: u64, fault: fn(&mut Cluster, usize)) -> Span {
+/// Returns the response time of the first operation after `fault` was injected into the leader.
+fn first_operation(size: usize, seed: u64, fault: fn(&mut Cluster, usize)) -> Span {
     let (mut cluster, leader, other) = cluster_with_leader(size);
     cluster.jitter = ms(3);
-    let mut chance = Random::new(seed);
+    let mut random = Random::new(seed);
     let before = submit(&mut cluster, leader, "before", change("a"));
     assert!(matches!(await_response(&mut cluster, before), OperationResult::Accepted { .. }));
-    let phase = ms(chance.below(400));
+    let phase = ms(random.below(400));
     run(&mut cluster, phase);
     fault(&mut cluster, leader);
-    let later = ms(chance.below(100));
+    let later = ms(random.below(100));
     run(&mut cluster, later);
-    let order = submit(&mut cluster, other, "after", change("b"));
-    let done = await_response(&mut cluster, order);
+    let operation = submit(&mut cluster, other, "after", change("b"));
+    let done = await_response(&mut cluster, operation);
     assert!(matches!(done, OperationResult::Accepted { .. }), "{done:?}");
-    response_time(&cluster, order)
+    response_time(&cluster, operation)
 }
 
-/// The times of all seeds in milliseconds, the shortest first.
+/// Returns the response times for all seeds in milliseconds, in ascending order.
 fn times(size: usize, fault: fn(&mut Cluster, usize)) -> Vec<u64> {
-    let mut all: Vec<u64> = (0..SEEDS).map(|seed| first_order(size, seed, fault) / MILLI).collect();
+    let mut all: Vec<u64> =
+        (0..SEEDS).map(|seed| first_operation(size, seed, fault) / MILLI).collect();
     all.sort_unstable();
     println!(
         "{size} voters: median {} ms, 99th of 100 {} ms, longest {} ms",
@@ -62,8 +63,8 @@
     }
 }
 
-/// How long the first order takes after a leader's death while each write of these
-/// many disks takes so long.
+/// Returns the time from a leader's failure until an operation is accepted, if each write takes
+/// `span` on `slow` of the other controllers' disks.
 fn with_slow_disks(seed: u64, slow: usize, span: Span) -> Span {
     let (mut cluster, leader, other) = cluster_with_leader(3);
     cluster.jitter = ms(3);
@@ -78,8 +79,8 @@
     run(&mut cluster, ms(50));
     let began = cluster.now;
     for number in 0..20 {
-        let order = submit(&mut cluster, other, "after", change(&format!("b{number}")));
-        if matches!(await_response(&mut cluster, order), OperationResult::Accepted { .. }) {
+        let operation = submit(&mut cluster, other, "after", change(&format!("b{number}")));
+        if matches!(await_response(&mut cluster, operation), OperationResult::Accepted { .. }) {
             break;
         }
     }
@@ -99,18 +100,18 @@
 
 #[googletest::test]
 fn a_leader_with_a_slow_but_working_disk_does_not_step_down() {
-    // 40 changes wait in line, 120 ms each: longer than a disk may stall.
+    // 40 changes are queued, at 120 ms each: longer than the timeout for a stalled disk.
     let (mut cluster, leader, other) = cluster_with_leader(3);
     for node in 0..3 {
         slow_disk(&mut cluster, node, ms(120));
     }
-    let orders: Vec<u64> =
+    let operations: Vec<u64> =
         (0..40).map(|n| submit(&mut cluster, other, &format!("o{n}"), change("c"))).collect();
     run(&mut cluster, 12 * SECOND);
     expect_that!(cluster.alarms, not(contains(contains_substring("is suspended"))));
     expect_that!(considers_itself_leader(&cluster, leader), eq(true));
-    for order in orders {
-        expect_that!(cluster.responses.contains_key(&order), eq(true));
+    for operation in operations {
+        expect_that!(cluster.responses.contains_key(&operation), eq(true));
     }
 }
 
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -1,5 +1,5 @@
-//! Whom a querier follows, when it speaks with its neighbours, and what its
-//! place in the membership is.
+//! Which voters a querier subscribes to, when it exchanges gossip with its neighbours, and which
+//! assignments its position in the membership gives it.
 
 use googletest::prelude::*;
 use grebepath_core::consts;
@@ -35,8 +35,8 @@
 
 const DEFAULT_VOTER_SLOTS: usize = consts::DEFAULT_VOTER_SLOTS as usize;
 
-/// A member that has just started and knows the seats.
-fn starts() -> NodeAgent {
+/// Returns a member that has just started and knows the voter set.
+fn starting_member() -> NodeAgent {
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
     let mut w = NodeAgent::new(member(0), BOOT);
     w.step(BOOT, Event::VoterSet(fixed_voter_set(&seeds)));
@@ -44,8 +44,8 @@
     w
 }
 
-/// A member that has a view and the core's word.
-fn serves() -> NodeAgent {
+/// Returns a member that has caught up and has a lease.
+fn serving_member() -> NodeAgent {
     let mut w = NodeAgent::new(member(0), BOOT);
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
     (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (true, true, BOOT);
@@ -53,20 +53,28 @@
     w
 }
 
-/// Seats that are followed wholly, and those that are only asked, by one step.
-fn asked(todo: &[Command]) -> (Vec<VoterSlot>, Vec<VoterSlot>) {
-    let (mut whole, mut only) = (Vec::new(), Vec::new());
-    for c in todo {
+/// Returns the slots that a step subscribes to in full, and those that it subscribes to for their
+/// positions alone.
+fn subscriptions(commands: &[Command]) -> (Vec<VoterSlot>, Vec<VoterSlot>) {
+    let (mut full, mut polled) = (Vec::new(), Vec::new());
+    for c in commands {
         if let Command::ToVoter { slot, message: Message::Subscribe { positions: places, .. } } = c
         {
-            let beyond = places.iter().all(|p| p.revision == FEED_END);
-            if beyond { only.push(*slot) } else { whole.push(*slot) }
+            let positions_only = places.iter().all(|p| p.revision == FEED_END);
+            if positions_only { polled.push(*slot) } else { full.push(*slot) }
         }
     }
-    (whole, only)
+    (full, polled)
 }
 
-fn reach(w: &mut NodeAgent, now: Tick, slot: VoterSlot, partition: PartitionId, revision: u64) {
+/// Delivers a voter's report of its position in a partition.
+fn report_position(
+    w: &mut NodeAgent,
+    now: Tick,
+    slot: VoterSlot,
+    partition: PartitionId,
+    revision: u64,
+) {
     let message = Message::FeedPositions {
         positions: vec![FeedPosition { partition, revision }],
         stamp: w.voter_set_stamp,
@@ -76,141 +84,143 @@
 
 #[gtest]
 fn one_voter_feeds_and_the_others_are_polled_for_their_positions() {
-    let mut w = serves();
-    let (whole, only) = asked(&w.step(BOOT, Event::Wake));
-    expect_that!(whole.len(), eq(1));
-    expect_that!(only.len(), eq(DEFAULT_VOTER_SLOTS - 1));
-    // The others are asked at every second beat only.
-    let (again, none) = asked(&w.step(BOOT + SUBSCRIBE_INTERVAL, Event::Wake));
-    expect_that!(again, eq(&whole));
+    let mut w = serving_member();
+    let (full, polled) = subscriptions(&w.step(BOOT, Event::Wake));
+    expect_that!(full.len(), eq(1));
+    expect_that!(polled.len(), eq(DEFAULT_VOTER_SLOTS - 1));
+    // The others are polled at every second interval only.
+    let (again, none) = subscriptions(&w.step(BOOT + SUBSCRIBE_INTERVAL, Event::Wake));
+    expect_that!(again, eq(&full));
     expect_that!(none, is_empty());
 }
 
 #[gtest]
 fn all_voters_feed_a_starting_member_and_are_polled_often() {
-    let mut w = starts();
-    for (sure, granted, beat) in [
+    let mut w = starting_member();
+    for (caught_up, granted, interval) in [
         (false, false, STARTUP_RETRY_INTERVAL),
         (false, true, STARTUP_RETRY_INTERVAL),
         (true, false, SUBSCRIBE_INTERVAL),
     ] {
         let now = w.subscribe_at;
-        (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (sure, granted, now);
-        let (whole, only) = asked(&w.step(now, Event::Wake));
-        expect_that!(whole.len(), eq(DEFAULT_VOTER_SLOTS));
-        expect_that!(only, is_empty());
-        expect_that!(w.subscribe_at, eq(now + beat));
+        (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (caught_up, granted, now);
+        let (full, polled) = subscriptions(&w.step(now, Event::Wake));
+        expect_that!(full.len(), eq(DEFAULT_VOTER_SLOTS));
+        expect_that!(polled, is_empty());
+        expect_that!(w.subscribe_at, eq(now + interval));
     }
 }
 
 #[gtest]
 fn a_new_holder_of_a_slot_feeds_only_after_it_has_reported_its_position() {
-    let mut w = serves();
-    let (whole, _) = asked(&w.step(BOOT, Event::Wake));
-    let first = whole[0];
+    let mut w = serving_member();
+    let (full, _) = subscriptions(&w.step(BOOT, Event::Wake));
+    let first = full[0];
     let now = BOOT + POSITION_REPORT_TIMEOUT;
     for slot in 0..DEFAULT_VOTER_SLOTS as VoterSlot {
-        reach(&mut w, now, slot, CONFIG, 0);
+        report_position(&mut w, now, slot, CONFIG, 0);
     }
     let mut table = w.voter_set.clone();
-    let h = &mut table.slots[usize::from(first)];
-    (h.generation, h.holder, h.addr) = (2, 77, "10.1.0.9:1".into());
+    let holder = &mut table.slots[usize::from(first)];
+    (holder.generation, holder.holder, holder.addr) = (2, 77, "10.1.0.9:1".into());
     w.step(now, Event::VoterSet(table));
     w.lease.renewed_at = now;
-    let (whole, only) = asked(&w.step(now, Event::Wake));
-    expect_that!(whole, not(contains(eq(&first))));
-    // All are asked at once: who speaks may feed.
-    expect_that!(only, contains(eq(&first)));
-    // What was said under the table before says nothing of the new holder.
+    let (full, polled) = subscriptions(&w.step(now, Event::Wake));
+    expect_that!(full, not(contains(eq(&first))));
+    // All are polled at once: a voter that reports its position may feed.
+    expect_that!(polled, contains(eq(&first)));
+    // A report under the previous voter set does not count for the new holder.
     let message = Message::FeedPositions { positions: Vec::new(), stamp: 0 };
     w.step(now, Event::FromVoter { slot: first, message });
-    let beat = w.subscribe_at;
-    expect_that!(asked(&w.step(beat, Event::Wake)).0, not(contains(eq(&first))));
-    reach(&mut w, beat, first, CONFIG, 0);
-    let beat = w.subscribe_at;
-    expect_that!(asked(&w.step(beat, Event::Wake)).0, elements_are![eq(&first)]);
+    let due = w.subscribe_at;
+    expect_that!(subscriptions(&w.step(due, Event::Wake)).0, not(contains(eq(&first))));
+    report_position(&mut w, due, first, CONFIG, 0);
+    let due = w.subscribe_at;
+    expect_that!(subscriptions(&w.step(due, Event::Wake)).0, elements_are![eq(&first)]);
 }
 
 #[gtest]
 fn a_voter_with_a_higher_revision_feeds_too_until_the_member_has_it() {
-    let mut w = serves();
-    let (whole, only) = asked(&w.step(BOOT, Event::Wake));
-    let (first, other) = (whole[0], only[0]);
+    let mut w = serving_member();
+    let (full, polled) = subscriptions(&w.step(BOOT, Event::Wake));
+    let (first, other) = (full[0], polled[0]);
     for partition in [CONFIG, MEMBERSHIP_FEED] {
         let now = w.subscribe_at;
         w.lease.renewed_at = now;
-        reach(&mut w, now - ms(100), first, partition, 0);
-        reach(&mut w, now - ms(100), other, partition, u64::MAX / 4);
-        let (whole, _) = asked(&w.step(now, Event::Wake));
-        expect_that!(whole, unordered_elements_are![eq(&first), eq(&other)]);
+        report_position(&mut w, now - ms(100), first, partition, 0);
+        report_position(&mut w, now - ms(100), other, partition, u64::MAX / 4);
+        let (full, _) = subscriptions(&w.step(now, Event::Wake));
+        expect_that!(full, unordered_elements_are![eq(&first), eq(&other)]);
         let now = w.subscribe_at;
-        reach(&mut w, now - ms(100), first, partition, 0);
-        reach(&mut w, now - ms(100), other, partition, 0);
-        let (whole, _) = asked(&w.step(now, Event::Wake));
-        expect_that!(whole, elements_are![eq(&first)]);
+        report_position(&mut w, now - ms(100), first, partition, 0);
+        report_position(&mut w, now - ms(100), other, partition, 0);
+        let (full, _) = subscriptions(&w.step(now, Event::Wake));
+        expect_that!(full, elements_are![eq(&first)]);
     }
 }
 
 #[gtest]
 fn a_subscriber_to_positions_alone_gets_positions_and_nothing_else() {
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
-    let roll = VoterFile { me: fixed_replica_id(0), first: true, table: fixed_voter_set(&seeds) };
-    let mut c = controller::ControllerState::new(roll, (&seeds[0], "a"), Vec::new(), 1, BOOT);
+    let voter_file =
+        VoterFile { me: fixed_replica_id(0), first: true, table: fixed_voter_set(&seeds) };
+    let mut c = controller::ControllerState::new(voter_file, (&seeds[0], "a"), Vec::new(), 1, BOOT);
     let stamp = c.voter_slots.stamp;
     c.partitions[0].committed.insert("zone/a".into(), vec![1]);
     (c.partitions[0].committed_revision, c.members.membership) = (5, membership(3));
-    let ask = |c: &mut controller::ControllerState, revision: u64| {
+    let subscribe = |c: &mut controller::ControllerState, revision: u64| {
         let list = [CONFIG, MEMBERSHIP_FEED].into_iter().chain((1..5).map(PartitionId));
         let places = list.map(|partition| FeedPosition { partition, revision }).collect();
         let event = controller::Event::FromConnection {
             connection: 1,
             message: Message::Subscribe { positions: places, stamp },
         };
-        let todo = c.step(BOOT, event);
-        let told = |f: fn(&Message) -> bool| {
-            let sent = |k: &&grebepath_core::command::Command| matches!(k, grebepath_core::command::Command::ToConnection { message, .. } if f(message));
-            todo.iter().filter(sent).count()
+        let commands = c.step(BOOT, event);
+        let count = |f: fn(&Message) -> bool| {
+            let is_counted = |k: &&grebepath_core::command::Command| matches!(k, grebepath_core::command::Command::ToConnection { message, .. } if f(message));
+            commands.iter().filter(is_counted).count()
         };
-        let reach = told(|m| matches!(m, Message::FeedPositions { .. }));
+        let positions = count(|m| matches!(m, Message::FeedPositions { .. }));
         (
-            reach,
-            told(|m| matches!(m, Message::Update { .. })),
-            told(|m| matches!(m, Message::MembershipUpdate(_))),
+            positions,
+            count(|m| matches!(m, Message::Update { .. })),
+            count(|m| matches!(m, Message::MembershipUpdate(_))),
         )
     };
-    expect_that!(ask(&mut c, FEED_END), eq((1, 0, 0)));
-    expect_that!(ask(&mut c, 0), eq((1, 1, 1)));
-    // Who lost it says so and gets it again.
-    expect_that!(ask(&mut c, 0), eq((1, 1, 1)));
-    expect_that!(ask(&mut c, FEED_END), eq((1, 0, 0)));
+    expect_that!(subscribe(&mut c, FEED_END), eq((1, 0, 0)));
+    expect_that!(subscribe(&mut c, 0), eq((1, 1, 1)));
+    // A subscriber that lost its state subscribes from revision 0 and gets everything again.
+    expect_that!(subscribe(&mut c, 0), eq((1, 1, 1)));
+    expect_that!(subscribe(&mut c, FEED_END), eq((1, 0, 0)));
 }
 
 #[gtest]
 fn a_silent_voter_no_longer_feeds() {
-    let mut w = serves();
-    let (whole, only) = asked(&w.step(BOOT, Event::Wake));
+    let mut w = serving_member();
+    let (full, polled) = subscriptions(&w.step(BOOT, Event::Wake));
     let now = BOOT + POSITION_REPORT_TIMEOUT + ms(1);
     w.lease.renewed_at = now;
-    reach(&mut w, now - ms(100), only[0], CONFIG, 0);
-    let (next, _) = asked(&w.step(now, Event::Wake));
-    expect_that!(next, elements_are![eq(&only[0])]);
-    expect_that!(whole, not(eq(&next)));
-    // With all silent, all are followed.
+    report_position(&mut w, now - ms(100), polled[0], CONFIG, 0);
+    let (next, _) = subscriptions(&w.step(now, Event::Wake));
+    expect_that!(next, elements_are![eq(&polled[0])]);
+    expect_that!(full, not(eq(&next)));
+    // If all voters are silent, the member subscribes to all of them.
     let later = now + 2 * POSITION_REPORT_TIMEOUT;
     w.lease.renewed_at = later;
-    let (all, _) = asked(&w.step(later, Event::Wake));
+    let (all, _) = subscriptions(&w.step(later, Event::Wake));
     expect_that!(all.len(), eq(DEFAULT_VOTER_SLOTS));
 }
 
-/// The asks that a member sends in ten seconds; with the core's word or not.
-fn asks(calm: bool) -> usize {
+/// Returns the number of gossip requests that a member sends in ten seconds, with or without a
+/// renewed lease.
+fn gossip_count(has_lease: bool) -> usize {
     let mut w = NodeAgent::new(member(0), BOOT);
     w.step(BOOT, Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(9)) });
-    w.lease.granted = calm;
+    w.lease.granted = has_lease;
     let mut n = 0;
     for i in 0..200 {
         let now = BOOT + ms(50 * i);
-        w.lease.renewed_at = if calm { now } else { 0 };
+        w.lease.renewed_at = if has_lease { now } else { 0 };
         for c in w.step(now, Event::Wake) {
             if let Command::ToMember {
                 message: Message::Gossip { positions: places, asked, .. },
@@ -228,8 +238,8 @@
 
 #[gtest]
 fn members_gossip_rarely_while_controllers_are_heard_and_often_otherwise() {
-    expect_that!(asks(true), eq(8 * 5));
-    expect_that!(asks(false), eq(8 * 40));
+    expect_that!(gossip_count(true), eq(8 * 5));
+    expect_that!(gossip_count(false), eq(8 * 40));
 }
 
 #[gtest]
@@ -245,8 +255,8 @@
         echo: None,
         attestation: None,
     };
-    let todo = w.step(BOOT + 1, Event::FromMember { name: "m1".into(), message });
-    let answers = todo.iter().filter(|c| {
+    let commands = w.step(BOOT + 1, Event::FromMember { name: "m1".into(), message });
+    let answers = commands.iter().filter(|c| {
         matches!(c, Command::ToMember { message: Message::Gossip { positions: places, echo: Some(7), .. }, .. }
             if places.len() == 1 + consts::SERVICE_PARTITIONS as usize)
     });
@@ -260,10 +270,10 @@
     for key in 0..PROBE_KEYS as usize {
         expect_that!(rings.iter().filter(|r| r.probe_keys[key]).count(), eq(1));
     }
-    // Everyone has another place for the list: one holds it, one is next.
-    let mut places: Vec<_> = rings.iter().filter_map(|r| r.list_rank).collect();
-    places.sort_unstable();
-    expect_that!(places, eq(&(0..40).collect::<Vec<_>>()));
+    // Each member has another rank for the list: one is the poller, one is next.
+    let mut ranks: Vec<_> = rings.iter().filter_map(|r| r.list_rank).collect();
+    ranks.sort_unstable();
+    expect_that!(ranks, eq(&(0..40).collect::<Vec<_>>()));
     for (m, r) in all.members.iter().zip(&rings) {
         expect_that!(r.neighbours.len(), eq(2 * NEIGHBOURS_EACH_WAY));
         for name in &r.neighbours {
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -1,12 +1,11 @@
-//! The formats of files and messages stay as they are: what an earlier build wrote
-//! is read by this one as the same value, and this one writes the same bytes.
+//! The formats of files and messages do not change: this build reads the files and messages of
+//! earlier builds as the same values, and writes the same bytes.
 //!
-//! The files under `fixtures/formats/` were written once, with the formats of
-//! commit 9bec00c, from the values in `format_fixtures/`. They are never written
-//! again: where a test here fails, the code has changed a format that running
-//! processes and their disks still use. Messages that were added since stand in
-//! `messages-added.bodies`, each appended when it was added. A format that changes on purpose gets a
-//! version number of its own and fixtures beside these.
+//! The files under `fixtures/formats/` were written once, with the formats of commit 9bec00c, from
+//! the values in `format_fixtures/`, and are never rewritten. If a test here fails, the code has
+//! changed a format that running processes and their disks still use. Messages that were added
+//! later are in `messages-added.bodies`, each appended when it was added. A format that changes on
+//! purpose gets a new version number and additional fixtures.
 
 mod cluster;
 #[path = "format_fixtures/messages.rs"]
@@ -40,26 +39,26 @@
 use grebepath_core::storage::writer::{LOG_HEADER_BYTES, log_header, record, slot};
 use grebepath_core::time::{SECOND, ms};
 use nanoserde::DeBin;
-use stored::{AcceptedOrder, NEWER_SEQUENCE, OLDER_SEQUENCE, StoredPartition};
+use stored::{AcceptedChange, NEWER_SEQUENCE, OLDER_SEQUENCE, StoredPartition};
 
 const MESSAGES: &[u8] = include_bytes!("fixtures/formats/messages.bodies");
 const SMALL_MESSAGE: &[u8] = include_bytes!("fixtures/formats/small-message.piece");
-/// The heads of the three pieces of the large message.
+/// The headers of the three frames of the large message.
 const LARGE_MESSAGE_HEADS: &[u8] = include_bytes!("fixtures/formats/large-message.heads");
-/// What stands before the filler in the body of the large message.
+/// The beginning of the large message's body, before the filler.
 const LARGE_MESSAGE_START: &[u8] = include_bytes!("fixtures/formats/large-message.start");
 const VOTER_FILE: &[u8] = include_bytes!("fixtures/formats/voter-file");
 
-/// Messages that were added after those of `MESSAGES`.
+/// Messages that were added after those in `MESSAGES`.
 const ADDED_MESSAGES: &[u8] = include_bytes!("fixtures/formats/messages-added.bodies");
 
 /// Messages that were added with rollouts.
 const ROLLOUT_MESSAGES: &[u8] = include_bytes!("fixtures/formats/messages-rollouts.bodies");
 
-/// Variants that messages have in the fixtures (count).
+/// Number of message variants in the fixtures.
 const MESSAGE_VARIANTS: usize = 43;
-/// Bytes of a head, and most bytes of a piece's body.
-const HEAD_BYTES: usize = 12;
+/// Size of a frame header, and maximum size of a frame's body (bytes).
+const HEADER_BYTES: usize = 12;
 const FRAME_BYTES_MAX: usize = 64 * 1024;
 
 /// The files of a partition.
@@ -80,7 +79,7 @@
     };
 }
 
-/// Each partition's fixtures with what they hold.
+/// Returns each partition's fixtures with the values that they hold.
 fn partitions() -> [(PartitionFiles, StoredPartition); 3] {
     [
         (partition_files!("configuration"), stored::configuration_partition()),
@@ -91,6 +90,7 @@
 
 type Outcome = std::result::Result<(), String>;
 
+/// Compares a value that was read with the expected one.
 fn same<T: PartialEq + Debug>(what: &str, found: &T, expected: &T) -> Outcome {
     if found == expected {
         return Ok(());
@@ -100,37 +100,31 @@
 
 // ---- files of partitions ----------------------------------------------------
 
-/// Reads the files, and checks that they hold this.
+/// Reads the files of a partition and compares them with the expected values.
 fn read_partition(files: &PartitionFiles, expected: &StoredPartition) -> Outcome {
     let number = expected.number;
-    let good = |copy: ReplicaState, seq, records, log_len: usize| {
-        let (records, log_len) = (records as u32, log_len as u64);
-        StoredReplica::Intact {
-            state: copy,
-            sequence: seq,
-            records,
-            log_bytes: log_len,
-            is_torn: false,
-        }
+    let intact = |state: ReplicaState, sequence, records, log_bytes: usize| {
+        let (records, log_bytes) = (records as u32, log_bytes as u64);
+        StoredReplica::Intact { state, sequence, records, log_bytes, is_torn: false }
     };
-    // Each slot by itself: with both, the older one decides nothing.
-    for (slot, seq, copy) in [
+    // Reads each slot alone, because the older one has no effect beside the newer one.
+    for (slot, sequence, state) in [
         (&files.older_slot, OLDER_SEQUENCE, &expected.older),
         (&files.newer_slot, NEWER_SEQUENCE, &expected.newer),
     ] {
-        let found = read(number, [Some(slot), None], Some(&log_header(number, seq)));
-        same("slot", &found, &good(copy.clone(), seq, 0, LOG_HEADER_BYTES))?;
+        let found = read(number, [Some(slot), None], Some(&log_header(number, sequence)));
+        same("slot", &found, &intact(state.clone(), sequence, 0, LOG_HEADER_BYTES))?;
     }
     let found = read(number, [Some(&files.older_slot), Some(&files.newer_slot)], Some(&files.log));
     let count = expected.records.len();
-    same("all", &found, &good(expected.newest(), NEWER_SEQUENCE, count, files.log.len()))
+    same("all", &found, &intact(expected.newest(), NEWER_SEQUENCE, count, files.log.len()))
 }
 
 fn write_partition(stored: &StoredPartition) -> PartitionFiles {
     let number = stored.number;
     let mut log = log_header(number, NEWER_SEQUENCE);
-    for (place, entry) in stored.records.iter().enumerate() {
-        log.extend(record(NEWER_SEQUENCE, place as u32, entry));
+    for (position, entry) in stored.records.iter().enumerate() {
+        log.extend(record(NEWER_SEQUENCE, position as u32, entry));
     }
     PartitionFiles {
         older_slot: slot(number, OLDER_SEQUENCE, &stored.older),
@@ -150,11 +144,11 @@
     }
 }
 
-/// The newest state that the files hold.
+/// Returns the newest state in the files.
 fn newest(files: &PartitionFiles, number: u32) -> ReplicaState {
     let slots = [Some(&files.newer_slot[..]), Some(&files.older_slot[..])];
     match read(number, slots, Some(&files.log)) {
-        StoredReplica::Intact { state: copy, .. } => copy,
+        StoredReplica::Intact { state, .. } => state,
         other => panic!("{other:?}"),
     }
 }
@@ -175,33 +169,36 @@
     expect_that!(leafs.into_values().collect::<Vec<_>>(), eq(&stored::leafs()));
 }
 
-// ---- memory of orders -------------------------------------------------------
+// ---- accepted requests -------------------------------------------------------
 
-fn expect_known(map: &EntryMap, order: &AcceptedOrder) {
+/// Checks that a request is known as accepted, and that its id is rejected with another text.
+fn expect_known(entry_map: &EntryMap, order: &AcceptedChange) {
     let known = LookupResult::Accepted { revision: order.revision };
-    expect_that!(lookup(map, &order.request, &order.fingerprint()), eq(known));
-    for (whole, text) in [(!order.whole, &order.text[..]), (order.whole, b"another text")] {
-        let other = fingerprint(&order.request, whole, text);
-        expect_that!(lookup(map, &order.request, &other), eq(LookupResult::DifferentText));
+    expect_that!(lookup(entry_map, &order.request, &order.fingerprint()), eq(known));
+    for (is_replacement, text) in
+        [(!order.is_replacement, &order.text[..]), (order.is_replacement, b"another text")]
+    {
+        let other = fingerprint(&order.request, is_replacement, text);
+        expect_that!(lookup(entry_map, &order.request, &other), eq(LookupResult::DifferentText));
     }
 }
 
 #[googletest::test]
 fn accepted_requests_are_read_from_files_of_both_formats() {
-    let [(newer_form, _), (older_form, _), _] = partitions();
-    let map = newest(&newer_form, 0).entries;
-    for order in stored::orders() {
-        expect_known(&map, &order);
+    let [(newer_format, _), (older_format, _), _] = partitions();
+    let entry_map = newest(&newer_format, 0).entries;
+    for order in stored::accepted_changes() {
+        expect_known(&entry_map, &order);
     }
-    expect_that!(horizon(&map), eq(stored::HORIZON));
+    expect_that!(horizon(&entry_map), eq(stored::HORIZON));
 
-    let map = newest(&older_form, 0).entries;
-    for order in stored::legacy_orders() {
-        expect_known(&map, &order);
+    let entry_map = newest(&older_format, 0).entries;
+    for order in stored::legacy_changes() {
+        expect_known(&entry_map, &order);
     }
-    expect_that!(horizon(&map), eq(stored::LEGACY_HORIZON));
-    let dropped = stored::dropped_legacy_order();
-    let known = lookup(&map, &dropped.request, &dropped.fingerprint());
+    expect_that!(horizon(&entry_map), eq(stored::LEGACY_HORIZON));
+    let dropped = stored::dropped_legacy_change();
+    let known = lookup(&entry_map, &dropped.request, &dropped.fingerprint());
     expect_that!(known, eq(LookupResult::Absent));
 }
 
@@ -240,7 +237,7 @@
     assert!(run_until(&mut cluster, 5 * SECOND, |cluster| leader(cluster).is_some()));
     let name = stored::FORGOTTEN_NAME;
     let (key, _) = stored::forgotten_entry(name, 0, 0);
-    // The entry names one process, and goes when that one renews after all.
+    // The entry names one process, and is removed when that process renews its lease.
     renew(&mut cluster, name, stored::FORGOTTEN_INCARNATION + 1, 1);
     expect_that!(stored_map(&cluster).contains_key(&key), eq(true));
     renew(&mut cluster, name, stored::FORGOTTEN_INCARNATION, 1);
@@ -275,7 +272,7 @@
 
 // ---- messages ---------------------------------------------------------------
 
-/// The bodies in a file of bodies, each with its length before it.
+/// Splits a file into message bodies, each of which is preceded by its length.
 fn bodies(file: &[u8]) -> Vec<&[u8]> {
     let mut bodies = Vec::new();
     let mut rest = file;
@@ -288,7 +285,7 @@
     bodies
 }
 
-/// The bodies of all messages, in the order of `messages::all`.
+/// Returns the bodies of all messages, in the order of `messages::all`.
 fn message_bodies() -> Vec<&'static [u8]> {
     [bodies(MESSAGES), bodies(ADDED_MESSAGES), bodies(ROLLOUT_MESSAGES)].concat()
 }
@@ -316,48 +313,53 @@
     expect_that!(found, eq(&expected));
 }
 
-/// Puts pieces together; the message must be whole at the last one.
-fn read_pieces(pieces: &[Vec<u8>], expected: &Message) -> Outcome {
+/// Reassembles frames; the message must be complete with the last one.
+fn read_frames(frames: &[Vec<u8>], expected: &Message) -> Outcome {
     let mut reassembler = frame::Reassembler::default();
     let mut found = Vec::new();
-    for piece in pieces {
-        let (raw, body) = piece.split_first_chunk::<HEAD_BYTES>().ok_or("a short piece")?;
-        let head = frame::FrameHeader::parse(raw).map_err(|error| error.to_string())?;
-        same("length", &head.length, &body.len())?;
-        // Small messages go on the first lane, those of several pieces on the second.
-        let lane = if pieces.len() > 1 { frame::Lane::Large } else { frame::Lane::Small };
-        same("lane", &head.lane, &lane)?;
-        found.push(reassembler.push(&head, body).map_err(|error| error.to_string())?);
+    for frame_bytes in frames {
+        let (raw, body) =
+            frame_bytes.split_first_chunk::<HEADER_BYTES>().ok_or("a frame is too short")?;
+        let header = frame::FrameHeader::parse(raw).map_err(|error| error.to_string())?;
+        same("length", &header.length, &body.len())?;
+        // Messages of one frame use the lane `Small`, those of several frames the lane `Large`.
+        let lane = if frames.len() > 1 { frame::Lane::Large } else { frame::Lane::Small };
+        same("lane", &header.lane, &lane)?;
+        found.push(reassembler.push(&header, body).map_err(|error| error.to_string())?);
     }
-    let mut whole = vec![None; pieces.len() - 1];
-    whole.push(Some(expected.clone()));
-    same("pieces", &found, &whole)
+    let mut expected_results = vec![None; frames.len() - 1];
+    expected_results.push(Some(expected.clone()));
+    same("pieces", &found, &expected_results)
 }
 
-/// The pieces of the large message: the heads as they are in the fixture, and the
-/// body, which is stored without its filler, cut after each 64 KiB.
-fn large_message_pieces(heads: &[u8], start: &[u8]) -> Vec<Vec<u8>> {
+/// Returns the frames of the large message: the headers of the fixture, and the body, which is
+/// stored without its filler, split after every 64 KiB.
+fn large_message_frames(headers: &[u8], start: &[u8]) -> Vec<Vec<u8>> {
     let body = [start, &[messages::FILLER; messages::FILLER_COUNT][..]].concat();
-    let heads = heads.chunks(HEAD_BYTES);
-    heads.zip(body.chunks(FRAME_BYTES_MAX)).map(|(head, body)| [head, body].concat()).collect()
+    let headers = headers.chunks(HEADER_BYTES);
+    headers
+        .zip(body.chunks(FRAME_BYTES_MAX))
+        .map(|(header, body)| [header, body].concat())
+        .collect()
 }
 
 #[googletest::test]
 fn messages_are_split_into_the_same_frames() {
     let small = [SMALL_MESSAGE.to_vec()];
-    expect_that!(read_pieces(&small, &messages::small()), ok(eq(&())));
+    expect_that!(read_frames(&small, &messages::small()), ok(eq(&())));
     expect_that!(frame::split(&frame::encode(&messages::small())), eq(&small));
 
-    let large = large_message_pieces(LARGE_MESSAGE_HEADS, LARGE_MESSAGE_START);
+    let large = large_message_frames(LARGE_MESSAGE_HEADS, LARGE_MESSAGE_START);
     expect_that!(large.len(), eq(3));
-    expect_that!(read_pieces(&large, &messages::large()).is_ok(), eq(true));
+    expect_that!(read_frames(&large, &messages::large()).is_ok(), eq(true));
     let same = frame::split(&frame::encode(&messages::large())) == large;
-    expect_that!(same, eq(true), "the pieces of the large message");
+    expect_that!(same, eq(true), "the frames of the large message");
 }
 
-// ---- the comparisons compare --------------------------------------------------
+// ---- the comparisons detect changes --------------------------------------------------
 
-/// Copies of a file with one byte changed; of a long file every 61st is.
+/// Returns copies of a file, each with another byte changed. Of a file of more than 4096 bytes,
+/// only every 61st byte is changed.
 fn changed_copies(file: &[u8]) -> impl Iterator<Item = (usize, Vec<u8>)> {
     let step = if file.len() > 4_096 { 61 } else { 1 };
     (0..file.len()).step_by(step).map(|at| {
@@ -397,23 +399,23 @@
     for (body, msg) in message_bodies().into_iter().zip(messages::all()) {
         for (at, changed) in changed_copies(body) {
             assert!(frame::encode(&msg) != changed, "{msg:?}, byte {at}");
-            // Bytes from 0x80 on stand in numbers and contents only. A changed length
-            // would make the reader reserve memory for it, up to an abort; outside
-            // of tests it gets nothing but bodies whose checksum fits.
+            // Bytes of 0x80 and above occur in numbers and contents only. A changed length would
+            // make the decoder reserve memory for it, up to an abort. Outside of tests, it gets
+            // only bodies whose checksum matches.
             if body[at] >= 0x80 || at + 1 == body.len() {
                 assert!(read_message(&changed, &msg).is_err(), "{msg:?}, byte {at}");
             }
         }
     }
     for (at, changed) in changed_copies(SMALL_MESSAGE) {
-        assert!(read_pieces(&[changed], &messages::small()).is_err(), "small, byte {at}");
+        assert!(read_frames(&[changed], &messages::small()).is_err(), "small, byte {at}");
     }
-    for (at, heads) in changed_copies(LARGE_MESSAGE_HEADS) {
-        let pieces = large_message_pieces(&heads, LARGE_MESSAGE_START);
-        assert!(read_pieces(&pieces, &messages::large()).is_err(), "large, head's byte {at}");
+    for (at, headers) in changed_copies(LARGE_MESSAGE_HEADS) {
+        let frames = large_message_frames(&headers, LARGE_MESSAGE_START);
+        assert!(read_frames(&frames, &messages::large()).is_err(), "large, header byte {at}");
     }
     for (at, start) in changed_copies(LARGE_MESSAGE_START) {
-        let pieces = large_message_pieces(LARGE_MESSAGE_HEADS, &start);
-        assert!(read_pieces(&pieces, &messages::large()).is_err(), "large, byte {at}");
+        let frames = large_message_frames(LARGE_MESSAGE_HEADS, &start);
+        assert!(read_frames(&frames, &messages::large()).is_err(), "large, byte {at}");
     }
 }
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -1,4 +1,4 @@
-//! What the fixtures of files hold.
+//! The values that the fixtures of files hold.
 
 use std::collections::BTreeMap;
 
@@ -16,7 +16,7 @@
 use nanoserde::SerBin;
 use prost::Message;
 
-use super::values::{leaf, table, wide};
+use super::values::{large_u64, leaf, voter_set};
 
 /// Sequence number of the older slot; the newer one has the next.
 pub const OLDER_SEQUENCE: u64 = 6;
@@ -24,41 +24,46 @@
 pub const NEWER_SEQUENCE: u64 = 7;
 /// The term under which all changes of the fixtures were made.
 const TERM: Term = Term(0x0102_0304_0506_0708);
-/// What is promised in the slots.
-const PROMISED: Term = Term(TERM.0 + 16);
-/// What the record of a promise in the log promises.
-const PROMISED_LATER: Term = Term(TERM.0 + 48);
+/// The current term in the slots, which the replica has voted in.
+const VOTED_TERM: Term = Term(TERM.0 + 16);
+/// The term of the vote record in the log.
+const LATER_VOTED_TERM: Term = Term(TERM.0 + 48);
 
 /// The files of a partition, as values.
 pub struct StoredPartition {
-    /// The number in the heads of the files.
+    /// The number in the headers of the files.
     pub number: u32,
-    /// What the older slot holds.
+    /// The state in the older slot.
     pub older: ReplicaState,
-    /// What the newer slot holds.
+    /// The state in the newer slot.
     pub newer: ReplicaState,
-    /// What the log holds.
+    /// The records in the log.
     pub records: Vec<LogRecord>,
 }
 
 impl StoredPartition {
-    /// The newer slot with all records of the log.
+    /// Returns the state of the newer slot with all records of the log applied.
     pub fn newest(&self) -> ReplicaState {
-        let mut copy = self.newer.clone();
+        let mut state = self.newer.clone();
         for record in &self.records {
-            assert!(copy.apply(record), "{record:?} does not follow");
+            assert!(state.apply(record), "{record:?} does not follow");
         }
-        copy
+        state
     }
 }
 
-fn copy(revision: u64, map: &EntryMap) -> ReplicaState {
-    ReplicaState { current_term: PROMISED, written_term: TERM, revision, entries: map.clone() }
+fn state(revision: u64, entry_map: &EntryMap) -> ReplicaState {
+    ReplicaState {
+        current_term: VOTED_TERM,
+        written_term: TERM,
+        revision,
+        entries: entry_map.clone(),
+    }
 }
 
 // ---- configuration ---------------------------------------------------------
 
-/// A configuration of which every stored field says something.
+/// Returns a configuration in which no stored field has its default value.
 pub fn configuration() -> Config {
     let search = SearchConfig {
         name: "books".into(),
@@ -104,7 +109,7 @@
     }
 }
 
-/// Terms of which every field says something.
+/// Returns client limits in which no field has its default value.
 pub fn client_limits(edition: u64) -> ClientLimits {
     ClientLimits {
         edition,
@@ -116,47 +121,47 @@
     }
 }
 
-fn set_edition(map: &mut EntryMap, edition: u64) {
-    map.insert("terms".into(), client_limits(edition).encode_to_vec());
+fn set_edition(entry_map: &mut EntryMap, edition: u64) {
+    entry_map.insert("terms".into(), client_limits(edition).encode_to_vec());
 }
 
-/// The member that was forgotten, and its process.
+/// The name and the incarnation of the member that was forgotten.
 pub const FORGOTTEN_NAME: &str = "querier-2";
 pub const FORGOTTEN_INCARNATION: u64 = 0xa1b2_c3d4_e5f6_0718;
 const FORGOTTEN_REVISION: u64 = 19_999;
 
-/// Key and value of the entry of a member that was forgotten.
+/// Returns the key and the value of the entry of a forgotten member.
 pub fn forgotten_entry(name: &str, incarnation: u64, revision: u64) -> (String, Vec<u8>) {
     (format!("forgotten/{name}"), format!("{incarnation} {revision}").into_bytes())
 }
 
-// ---- orders ----------------------------------------------------------------
+// ---- accepted requests ----------------------------------------------------------------
 
-/// An order that was accepted.
-pub struct AcceptedOrder {
+/// A configuration change that was accepted.
+pub struct AcceptedChange {
     pub request: String,
-    /// It set a whole configuration.
-    pub whole: bool,
+    /// Whether it replaced the whole configuration.
+    pub is_replacement: bool,
     pub text: Vec<u8>,
     pub revision: u64,
-    /// The edition that stood after it.
+    /// The edition that it created.
     edition: u64,
 }
 
-impl AcceptedOrder {
+impl AcceptedChange {
     pub fn fingerprint(&self) -> Fingerprint {
-        fingerprint(&self.request, self.whole, &self.text)
+        fingerprint(&self.request, self.is_replacement, &self.text)
     }
 }
 
-fn order(request: &str, whole: bool, revision: u64, edition: u64) -> AcceptedOrder {
+fn order(request: &str, is_replacement: bool, revision: u64, edition: u64) -> AcceptedChange {
     let text = format!("text of {request}").into_bytes();
-    AcceptedOrder { request: request.into(), whole, text, revision, edition }
+    AcceptedChange { request: request.into(), is_replacement, text, revision, edition }
 }
 
-/// The orders of the newer form. `order-14` and `order-220` lie in one bucket, and
-/// the third is so late that the first one's mark becomes the horizon.
-pub fn orders() -> [AcceptedOrder; 4] {
+/// Returns the accepted changes in the newer format. `order-14` and `order-220` are in the same
+/// bucket, and the third is so late that the position of the first becomes the horizon.
+pub fn accepted_changes() -> [AcceptedChange; 4] {
     [
         order("order-118", true, 20_000, 41),
         order("order-14", false, 30_000, 42),
@@ -165,32 +170,32 @@
     ]
 }
 
-/// The horizon of these orders.
+/// The horizon after these changes.
 pub const HORIZON: Horizon = Horizon { revision: 20_000, edition: 41 };
 
-fn accept(map: &mut EntryMap, order: &AcceptedOrder) {
-    let changes = insert(map, &order.fingerprint(), order.revision, order.edition);
-    apply_entries(map, &changes);
-    set_edition(map, order.edition);
+fn accept(entry_map: &mut EntryMap, order: &AcceptedChange) {
+    let changes = insert(entry_map, &order.fingerprint(), order.revision, order.edition);
+    apply_entries(entry_map, &changes);
+    set_edition(entry_map, order.edition);
 }
 
-/// The configuration's partition: configuration, a forgotten member, and the
-/// memory of orders in its newer form.
+/// Returns the configuration's partition: the configuration, a forgotten member, and the memory
+/// of accepted changes in its newer format.
 pub fn configuration_partition() -> StoredPartition {
-    let [first, second, third, fourth] = orders();
-    let mut map = configuration().to_entries();
-    map.extend([forgotten_entry(FORGOTTEN_NAME, FORGOTTEN_INCARNATION, FORGOTTEN_REVISION)]);
-    accept(&mut map, &first);
-    accept(&mut map, &second);
-    let older = copy(second.revision, &map);
-    accept(&mut map, &third);
-    let newer = copy(third.revision, &map);
-    let mut changed = insert(&map, &fourth.fingerprint(), fourth.revision, fourth.edition);
+    let [first, second, third, fourth] = accepted_changes();
+    let mut entry_map = configuration().to_entries();
+    entry_map.extend([forgotten_entry(FORGOTTEN_NAME, FORGOTTEN_INCARNATION, FORGOTTEN_REVISION)]);
+    accept(&mut entry_map, &first);
+    accept(&mut entry_map, &second);
+    let older = state(second.revision, &entry_map);
+    accept(&mut entry_map, &third);
+    let newer = state(third.revision, &entry_map);
+    let mut changed = insert(&entry_map, &fourth.fingerprint(), fourth.revision, fourth.edition);
     changed.push(("terms".into(), Some(client_limits(fourth.edition).encode_to_vec())));
     let removed = vec![("zone/east".into(), None), ("zone/west".into(), Some(zone_west()))];
     let records = vec![
         LogRecord::Change { term: TERM, revision: fourth.revision, entries: changed },
-        LogRecord::Vote { term: PROMISED_LATER },
+        LogRecord::Vote { term: LATER_VOTED_TERM },
         LogRecord::Change { term: TERM, revision: fourth.revision + 1, entries: removed },
     ];
     StoredPartition { number: 0, older, newer, records }
@@ -200,56 +205,56 @@
     ZoneConfig { name: "west".into(), drained: true }.encode_to_vec()
 }
 
-// ---- orders of the older form ----------------------------------------------
+// ---- accepted requests, older format ----------------------------------------------
 
-/// Revision of the first order of the older form.
+/// Revision of the first change in the older format.
 const FIRST_LEGACY_REVISION: u64 = 9_001;
-/// Orders that the older form remembers (count).
-const LEGACY_ORDERS_KEPT: u64 = 512;
-/// The edition that stands in the slots, and the next one in the log.
+/// Number of changes that the older format keeps.
+const LEGACY_CHANGES_KEPT: u64 = 512;
+/// The edition in the slots; the log creates the next one.
 const LEGACY_EDITION: u64 = 77;
 
-/// The orders that the older form remembers after the log.
-pub fn legacy_orders() -> Vec<AcceptedOrder> {
+/// Returns the changes that the older format holds after the log.
+pub fn legacy_changes() -> Vec<AcceptedChange> {
     let first = FIRST_LEGACY_REVISION + 1;
-    (first..first + LEGACY_ORDERS_KEPT).map(legacy_order).collect()
+    (first..first + LEGACY_CHANGES_KEPT).map(legacy_change).collect()
 }
 
-/// The order that the log makes forgotten.
-pub fn dropped_legacy_order() -> AcceptedOrder {
-    legacy_order(FIRST_LEGACY_REVISION)
+/// Returns the change that a record of the log removes.
+pub fn dropped_legacy_change() -> AcceptedChange {
+    legacy_change(FIRST_LEGACY_REVISION)
 }
 
-/// The horizon of these orders: below the oldest, at the edition that stands.
+/// The horizon of these changes: below the oldest one, at the current edition.
 pub const LEGACY_HORIZON: Horizon =
     Horizon { revision: FIRST_LEGACY_REVISION, edition: LEGACY_EDITION + 1 };
 
-fn legacy_order(revision: u64) -> AcceptedOrder {
+fn legacy_change(revision: u64) -> AcceptedChange {
     order(&format!("r-{revision}"), revision.is_multiple_of(2), revision, LEGACY_EDITION)
 }
 
-fn legacy_entry(order: &AcceptedOrder) -> (String, Vec<u8>) {
-    let text = digest(&[&[u8::from(order.whole)], &order.text[..]].concat());
+fn legacy_entry(order: &AcceptedChange) -> (String, Vec<u8>) {
+    let text = digest(&[&[u8::from(order.is_replacement)], &order.text[..]].concat());
     (format!("request/{}", order.request), format!("{text} {}", order.revision).into_bytes())
 }
 
-/// The configuration's partition with the memory of orders in its older form.
+/// Returns the configuration's partition with the memory of accepted changes in its older format.
 pub fn legacy_configuration_partition() -> StoredPartition {
-    let mut map = configuration().to_entries();
-    set_edition(&mut map, LEGACY_EDITION);
-    let older = copy(FIRST_LEGACY_REVISION - 1, &map);
-    let last = FIRST_LEGACY_REVISION + LEGACY_ORDERS_KEPT - 1;
-    let orders = (FIRST_LEGACY_REVISION..=last).map(legacy_order);
-    map.extend(orders.map(|order| legacy_entry(&order)));
-    let newer = copy(last, &map);
-    let (key, value) = legacy_entry(&legacy_order(last + 1));
+    let mut entry_map = configuration().to_entries();
+    set_edition(&mut entry_map, LEGACY_EDITION);
+    let older = state(FIRST_LEGACY_REVISION - 1, &entry_map);
+    let last = FIRST_LEGACY_REVISION + LEGACY_CHANGES_KEPT - 1;
+    let accepted_changes = (FIRST_LEGACY_REVISION..=last).map(legacy_change);
+    entry_map.extend(accepted_changes.map(|order| legacy_entry(&order)));
+    let newer = state(last, &entry_map);
+    let (key, value) = legacy_entry(&legacy_change(last + 1));
     let changed = vec![
-        (legacy_entry(&dropped_legacy_order()).0, None),
+        (legacy_entry(&dropped_legacy_change()).0, None),
         (key, Some(value)),
         ("terms".into(), Some(client_limits(LEGACY_EDITION + 1).encode_to_vec())),
     ];
     let records = vec![
-        LogRecord::Vote { term: PROMISED_LATER },
+        LogRecord::Vote { term: LATER_VOTED_TERM },
         LogRecord::Change { term: TERM, revision: last + 1, entries: changed },
     ];
     StoredPartition { number: 0, older, newer, records }
@@ -257,7 +262,7 @@
 
 // ---- leafs -----------------------------------------------------------------
 
-/// The leafs that stand after the log.
+/// Returns the leafs after the log.
 pub fn leafs() -> [LeafInfo; 2] {
     [leaf(2, false), leaf(3, true)]
 }
@@ -266,24 +271,24 @@
     (key(&leaf.leaf), leaf.serialize_bin())
 }
 
-/// A partition of services.
+/// Returns a partition of services.
 pub fn services_partition() -> StoredPartition {
     let [second, third] = leafs();
-    let older = copy(wide(1), &BTreeMap::from([leaf_entry(&leaf(1, false))]));
+    let older = state(large_u64(1), &BTreeMap::from([leaf_entry(&leaf(1, false))]));
     let newer_map = [leaf_entry(&leaf(1, true)), leaf_entry(&second)];
-    let newer = copy(wide(2), &BTreeMap::from(newer_map));
+    let newer = state(large_u64(2), &BTreeMap::from(newer_map));
     let (third_key, third_value) = leaf_entry(&third);
     let changed = vec![(key("leaf-1"), None), (third_key, Some(third_value))];
     let records = vec![
-        LogRecord::Change { term: TERM, revision: wide(3), entries: changed },
-        LogRecord::Vote { term: PROMISED_LATER },
+        LogRecord::Change { term: TERM, revision: large_u64(3), entries: changed },
+        LogRecord::Vote { term: LATER_VOTED_TERM },
     ];
     StoredPartition { number: 3, older, newer, records }
 }
 
 // ---- voter file ------------------------------------------------------------
 
-/// What the voter file holds.
+/// Returns the contents of the voter file.
 pub fn voter_file() -> VoterFile {
-    VoterFile { me: wide(201), first: true, table: table() }
+    VoterFile { me: large_u64(201), first: true, table: voter_set() }
 }
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -723,7 +723,8 @@
 
 #[googletest::test]
 fn leaving_leafs_and_drained_zones_get_no_retries() {
-    // Guards against retries on leafs that began to leave, or whose zone was drained, after the request arrived.
+    // Guards against retries on leafs that began to leave, or whose zone was drained, after the
+    // request arrived.
     for (drained, leaving) in [("b", vec![]), ("none", vec!["p-1".to_string()])] {
         let mut w = test_view(&[("p", 2)], vec![forward_search(json!({}))]);
         let mut d = engine(&w);
--- a/crates/core/tests/framing.rs
+++ b/crates/core/tests/framing.rs
@@ -1,4 +1,4 @@
-//! Messages in pieces: together again, whatever their size, or refused.
+//! Messages in frames: reassembled whatever their size, or rejected.
 
 #![allow(clippy::unwrap_used)]
 
@@ -20,57 +20,57 @@
     Message::Subscribe { positions: places, stamp: 0 }
 }
 
-fn header_of(piece: &[u8]) -> [u8; HEADER_BYTES] {
-    piece[..HEADER_BYTES].try_into().unwrap()
+fn header_of(frame: &[u8]) -> [u8; HEADER_BYTES] {
+    frame[..HEADER_BYTES].try_into().unwrap()
 }
 
 fn push(
     reassembler: &mut Reassembler,
-    piece: &[u8],
+    frame: &[u8],
 ) -> std::result::Result<Option<Message>, FrameError> {
-    let header = FrameHeader::parse(&header_of(piece))?;
-    assert_eq!(header.length, piece.len() - HEADER_BYTES);
-    reassembler.push(&header, &piece[HEADER_BYTES..])
+    let header = FrameHeader::parse(&header_of(frame))?;
+    assert_eq!(header.length, frame.len() - HEADER_BYTES);
+    reassembler.push(&header, &frame[HEADER_BYTES..])
 }
 
 #[googletest::test]
 fn small_messages_are_interleaved_with_the_frames_of_large_ones() {
     let big = large(1_000);
-    let pieces = split(&encode(&big));
-    expect_that!(pieces.len(), gt(8));
+    let frames = split(&encode(&big));
+    expect_that!(frames.len(), gt(8));
     let mut reassembler = Reassembler::default();
     let mut received = Vec::new();
-    for (i, piece) in pieces.iter().enumerate() {
-        expect_that!(piece.len(), le(FRAME_BYTES_MAX + HEADER_BYTES));
+    for (i, frame) in frames.iter().enumerate() {
+        expect_that!(frame.len(), le(FRAME_BYTES_MAX + HEADER_BYTES));
         for between in split(&encode(&small(i as u64))) {
             received.extend(push(&mut reassembler, &between).unwrap());
         }
-        received.extend(push(&mut reassembler, piece).unwrap());
+        received.extend(push(&mut reassembler, frame).unwrap());
     }
-    expect_that!(received.len(), eq(pieces.len() + 1));
+    expect_that!(received.len(), eq(frames.len() + 1));
     expect_that!(received[0], eq(&small(0)));
     expect_that!(received.last().unwrap(), eq(&big));
 }
 
 #[googletest::test]
 fn an_unknown_version_is_rejected_with_its_number() {
-    let mut piece = split(&encode(&small(1))).remove(0);
-    piece[4..6].copy_from_slice(&(PROTOCOL_VERSION + 1).to_le_bytes());
-    let result = push(&mut Reassembler::default(), &piece);
+    let mut frame = split(&encode(&small(1))).remove(0);
+    frame[4..6].copy_from_slice(&(PROTOCOL_VERSION + 1).to_le_bytes());
+    let result = push(&mut Reassembler::default(), &frame);
     expect_that!(result, err(eq(&FrameError::Version { found: PROTOCOL_VERSION + 1 })));
 }
 
 #[googletest::test]
 fn no_flipped_bit_is_accepted() {
-    let piece = split(&encode(&small(77))).remove(0);
-    for bit in 0..piece.len() * 8 {
-        let mut bad = piece.clone();
+    let frame = split(&encode(&small(77))).remove(0);
+    for bit in 0..frame.len() * 8 {
+        let mut bad = frame.clone();
         bad[bit / 8] ^= 1 << (bit % 8);
         let Ok(header) = FrameHeader::parse(&header_of(&bad)) else { continue };
-        // A changed length means that other bytes are taken for the body.
+        // A changed length means that other bytes are read as the body.
         let end = HEADER_BYTES + header.length;
         let Some(body) = bad.get(HEADER_BYTES..end) else { continue };
-        // A lost last-mark or another lane only withholds the message.
+        // Without the last-frame flag, or on another lane, the message only stays incomplete.
         if let Ok(Some(message)) = Reassembler::default().push(&header, body) {
             assert_eq!(message, small(77), "bit {bit}");
         }
