--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -33,10 +33,10 @@
     SingleController { core, now: BOOT, ops: 0, done: Vec::new() }
 }
 
-fn deliver_event(o: &mut SingleController, event: Event) {
+fn deliver_event(controller: &mut SingleController, event: Event) {
     let mut pending = vec![event];
     while !pending.is_empty() {
-        for command in o.core.step(o.now, pending.remove(0)) {
+        for command in controller.core.step(controller.now, pending.remove(0)) {
             match command {
                 Command::AppendRecord { partition, token, .. }
                 | Command::WriteSnapshot { partition, token, .. } => {
@@ -45,47 +45,55 @@
                 Command::WriteVoterFile { token, .. } => {
                     pending.push(Event::VoterFileWritten { token })
                 }
-                Command::Respond { op, done } => o.done.push((op, done)),
+                Command::Respond { op, done } => controller.done.push((op, done)),
                 _ => {}
             }
         }
     }
 }
 
-/// Submits requests to the controller at the same time, and returns their results in the same order.
+/// Submits requests to the controller at the same time, and returns their results in the same
+/// order.
 pub fn submit_all(
-    o: &mut SingleController,
+    controller: &mut SingleController,
     requests: Vec<(&str, Operation)>,
 ) -> Vec<OperationResult> {
-    let first = o.ops;
+    let first = controller.ops;
     let n = requests.len() as u64;
     for (request, operation) in requests {
-        let (op, request) = (o.ops, request.to_string());
-        o.ops += 1;
-        deliver_event(o, Event::Operate { op, request, expected_revision: None, operation });
+        let (op, request) = (controller.ops, request.to_string());
+        controller.ops += 1;
+        deliver_event(
+            controller,
+            Event::Operate { op, request, expected_revision: None, operation },
+        );
     }
     for _ in 0..1_000 {
-        if o.done.len() as u64 == n {
+        if controller.done.len() as u64 == n {
             break;
         }
-        o.now += WAKE;
-        deliver_event(o, Event::Wake);
+        controller.now += WAKE;
+        deliver_event(controller, Event::Wake);
     }
-    let mut done = std::mem::take(&mut o.done);
+    let mut done = std::mem::take(&mut controller.done);
     done.sort_by_key(|d| d.0);
     assert!(done.len() as u64 == n && done[0].0 == first, "each request has one outcome");
     done.into_iter().map(|d| d.1).collect()
 }
 
 /// Submits one request to the controller and waits for its result.
-pub fn submit(o: &mut SingleController, request: &str, operation: Operation) -> OperationResult {
-    submit_all(o, vec![(request, operation)]).remove(0)
+pub fn submit(
+    controller: &mut SingleController,
+    request: &str,
+    operation: Operation,
+) -> OperationResult {
+    submit_all(controller, vec![(request, operation)]).remove(0)
 }
 
 /// Reads the configuration back from the leader.
 #[allow(dead_code)]
-pub fn read_configuration(o: &mut SingleController) -> Config {
-    match submit(o, "read", Operation::Read) {
+pub fn read_configuration(controller: &mut SingleController) -> Config {
+    match submit(controller, "read", Operation::Read) {
         OperationResult::Configuration { entries: map, .. } => Config::from_entries(&map).unwrap(),
         other => panic!("{other:?}"),
     }
--- a/crates/core/tests/connection_subset.rs
+++ b/crates/core/tests/connection_subset.rs
@@ -51,8 +51,8 @@
     assigned.iter().filter(|((_, l), _)| l == leaf).map(|(_, n)| n).sum()
 }
 
-fn of_node(assigned: &BTreeMap<(u64, String), u64>, slot: u64) -> u64 {
-    assigned.iter().filter(|((s, _), _)| *s == slot).map(|(_, n)| n).sum()
+fn of_node(assigned: &BTreeMap<(u64, String), u64>, thread_id: u64) -> u64 {
+    assigned.iter().filter(|((s, _), _)| *s == thread_id).map(|(_, n)| n).sum()
 }
 
 /// Returns the number of connections that are in one assignment and not in the other, for the
@@ -169,10 +169,10 @@
         let total = before.values().sum::<u64>();
         for removed in 0..peers.len() {
             let mut remaining = peers.clone();
-            let slot = remaining.remove(removed).thread_id;
+            let thread_id = remaining.remove(removed).thread_id;
             let after = assign(&remaining, &leafs, limit);
             let mut left = before.clone();
-            left.retain(|(s, _), _| *s != slot);
+            left.retain(|(s, _), _| *s != thread_id);
             let share = moved(&left, &after) * 100 / total;
             worst = worst.max(share);
         }
--- a/crates/core/tests/editions.rs
+++ b/crates/core/tests/editions.rs
@@ -44,8 +44,8 @@
     }
 }
 
-fn edition_and_path(o: &mut SingleController) -> (u64, String) {
-    let conf = read_configuration(o);
+fn edition_and_path(controller: &mut SingleController) -> (u64, String) {
+    let conf = read_configuration(controller);
     (conf.client_limits.edition, conf.searches.get("r").map_or(String::new(), |s| s.path.clone()))
 }
 
@@ -58,8 +58,8 @@
         (replacement(3, 9, "/a/"), patch(3, 4, "/b/")),
         (patch(3, 4, "/a/"), replacement(3, 9, "/b/")),
     ] {
-        let mut o = single_controller();
-        assert!(is_accepted(&submit(&mut o, "0", replacement(0, 3, "/first/"))));
+        let mut controller = single_controller();
+        assert!(is_accepted(&submit(&mut controller, "0", replacement(0, 3, "/first/"))));
         let accepted_edition = match &a {
             Operation::Replace(t) | Operation::Patch(t) => {
                 let val: Value = serde_json::from_slice(t).unwrap();
@@ -67,10 +67,10 @@
             }
             _ => 0,
         };
-        let done = submit_all(&mut o, vec![("a", a), ("b", b)]);
+        let done = submit_all(&mut controller, vec![("a", a), ("b", b)]);
         expect_that!(is_accepted(&done[0]), eq(true));
         expect_that!(conflicting_edition(&done[1]), some(eq(accepted_edition)));
-        expect_that!(edition_and_path(&mut o), eq(&(accepted_edition, "/a/".to_string())));
+        expect_that!(edition_and_path(&mut controller), eq(&(accepted_edition, "/a/".to_string())));
     }
 }
 
@@ -78,35 +78,35 @@
 fn a_repeated_request_is_accepted_again_and_changes_nothing() {
     // Guards against an operator that lost the response, repeats the request, and takes the 412
     // to the repetition for a conflict with another operator.
-    let mut o = single_controller();
-    expect_that!(is_accepted(&submit(&mut o, "a", replacement(0, 3, "/a/"))), eq(true));
-    expect_that!(is_accepted(&submit(&mut o, "a", replacement(0, 3, "/a/"))), eq(true));
-    expect_that!(is_accepted(&submit(&mut o, "b", patch(3, 8, "/b/"))), eq(true));
+    let mut controller = single_controller();
+    expect_that!(is_accepted(&submit(&mut controller, "a", replacement(0, 3, "/a/"))), eq(true));
+    expect_that!(is_accepted(&submit(&mut controller, "a", replacement(0, 3, "/a/"))), eq(true));
+    expect_that!(is_accepted(&submit(&mut controller, "b", patch(3, 8, "/b/"))), eq(true));
     // The same holds after other changes, and for two repetitions at the same time.
     let done = submit_all(
-        &mut o,
+        &mut controller,
         vec![("a", replacement(0, 3, "/a/")), ("b", patch(3, 8, "/b/")), ("b", patch(3, 8, "/b/"))],
     );
     expect_that!(done.iter().all(is_accepted), eq(true));
-    expect_that!(edition_and_path(&mut o), eq(&(8, "/b/".to_string())));
+    expect_that!(edition_and_path(&mut controller), eq(&(8, "/b/".to_string())));
     // The same id with another text is invalid.
     expect_that!(
-        error_locations(&submit(&mut o, "a", replacement(8, 9, "/c/"))),
+        error_locations(&submit(&mut controller, "a", replacement(8, 9, "/c/"))),
         elements_are![eq("request")]
     );
-    expect_that!(edition_and_path(&mut o), eq(&(8, "/b/".to_string())));
+    expect_that!(edition_and_path(&mut controller), eq(&(8, "/b/".to_string())));
 }
 
 #[googletest::test]
 fn editions_may_skip_numbers_but_always_rise() {
-    let mut o = single_controller();
+    let mut controller = single_controller();
     let mut current = 0;
     for (i, next) in [1u64, 2, 9, 10, 5_000, u64::from(u32::MAX) + 7].into_iter().enumerate() {
         let path = format!("/{next}/");
         for low in [0, current / 2, current] {
             let (req, operation) = (format!("low-{i}-{low}"), replacement(current, low, "/low/"));
             expect_that!(
-                error_locations(&submit(&mut o, &req, operation)),
+                error_locations(&submit(&mut controller, &req, operation)),
                 elements_are![eq("terms.edition")]
             );
         }
@@ -115,12 +115,13 @@
         } else {
             patch(current, next, &path)
         };
-        expect_that!(is_accepted(&submit(&mut o, &format!("n{i}"), operation)), eq(true));
+        expect_that!(is_accepted(&submit(&mut controller, &format!("n{i}"), operation)), eq(true));
         current = next;
-        expect_that!(edition_and_path(&mut o), eq(&(next, path)));
+        expect_that!(edition_and_path(&mut controller), eq(&(next, path)));
         // A change on any other edition, higher ones included, is a conflict.
         for (j, after) in [0, next - 1, next + 1].into_iter().enumerate() {
-            let got = submit(&mut o, &format!("m{i}-{j}"), replacement(after, next + 5, "/m/"));
+            let got =
+                submit(&mut controller, &format!("m{i}-{j}"), replacement(after, next + 5, "/m/"));
             let want = if after == next { None } else { Some(next) };
             expect_that!(conflicting_edition(&got), eq(want));
         }
@@ -130,45 +131,45 @@
 #[googletest::test]
 fn invalid_and_conflicting_changes_leave_the_configuration_unchanged() {
     // Guards against a rejected change that is partly in force.
-    let mut o = single_controller();
-    submit(&mut o, "0", replacement(0, 3, "/a/"));
-    let before = read_configuration(&mut o);
+    let mut controller = single_controller();
+    submit(&mut controller, "0", replacement(0, 3, "/a/"));
+    let before = read_configuration(&mut controller);
     let bad = json!({ "searches": [search("r", "/b/", "p"), search("s", "/b/", "p")],
         "terms": { "after": 3, "edition": 4 } });
-    let got = submit(&mut o, "1", Operation::Patch(bad.to_string().into_bytes()));
+    let got = submit(&mut controller, "1", Operation::Patch(bad.to_string().into_bytes()));
     expect_that!(error_locations(&got), elements_are![eq("searches[s].path")]);
     let removal = json!({ "remove": { "pools": ["p"] }, "terms": { "after": 3, "edition": 4 } });
-    let got = submit(&mut o, "2", Operation::Patch(removal.to_string().into_bytes()));
+    let got = submit(&mut controller, "2", Operation::Patch(removal.to_string().into_bytes()));
     expect_that!(error_locations(&got).is_empty(), eq(false));
-    submit(&mut o, "3", patch(2, 9, "/late/"));
-    expect_that!(read_configuration(&mut o) == before, eq(true));
+    submit(&mut controller, "3", patch(2, 9, "/late/"));
+    expect_that!(read_configuration(&mut controller) == before, eq(true));
     // The edition that a rejected change named can be used again.
-    expect_that!(is_accepted(&submit(&mut o, "4", patch(3, 4, "/b/"))), eq(true));
+    expect_that!(is_accepted(&submit(&mut controller, "4", patch(3, 4, "/b/"))), eq(true));
 }
 
 #[googletest::test]
 fn a_replacement_keeps_drained_zones_only_if_it_says_so() {
     // Guards against a drained zone that gets traffic again with the next change of the searches,
     // while its machines are under maintenance.
-    let mut o = single_controller();
-    submit(&mut o, "0", replacement(0, 3, "/a/"));
+    let mut controller = single_controller();
+    submit(&mut controller, "0", replacement(0, 3, "/a/"));
     let zone = |state: &str| {
         let val = json!({ "zones": [{ "name": "z", "state": state }] });
         Operation::Patch(val.to_string().into_bytes())
     };
-    expect_that!(is_accepted(&submit(&mut o, "z", zone("drained"))), eq(true));
-    let conf = read_configuration(&mut o);
+    expect_that!(is_accepted(&submit(&mut controller, "z", zone("drained"))), eq(true));
+    let conf = read_configuration(&mut controller);
     expect_that!((conf.client_limits.edition, conf.zones["z"].drained), eq((3, true)));
-    submit(&mut o, "1", replacement(3, 4, "/b/"));
-    submit(&mut o, "2", patch(4, 5, "/c/"));
-    expect_that!(read_configuration(&mut o).zones["z"].drained, eq(true));
-    submit(&mut o, "y", zone("open"));
-    expect_that!(read_configuration(&mut o).zones["z"].drained, eq(false));
-    submit(&mut o, "x", zone("drained"));
+    submit(&mut controller, "1", replacement(3, 4, "/b/"));
+    submit(&mut controller, "2", patch(4, 5, "/c/"));
+    expect_that!(read_configuration(&mut controller).zones["z"].drained, eq(true));
+    submit(&mut controller, "y", zone("open"));
+    expect_that!(read_configuration(&mut controller).zones["z"].drained, eq(false));
+    submit(&mut controller, "x", zone("drained"));
     // Without `keep_zones`, a replacement sets all zones, and others are removed.
     let without_keep_zones = json!({ "searches": [search("r", "/d/", "p")], "pools": [pool("p")] });
-    submit(&mut o, "3", Operation::Replace(without_keep_zones.to_string().into_bytes()));
-    let conf = read_configuration(&mut o);
+    submit(&mut controller, "3", Operation::Replace(without_keep_zones.to_string().into_bytes()));
+    let conf = read_configuration(&mut controller);
     expect_that!(conf.zones.is_empty(), eq(true));
     // It names no edition, so the current one remains.
     expect_that!(conf.client_limits.edition, eq(5));
@@ -176,7 +177,7 @@
 
 #[googletest::test]
 fn client_limits_stay_until_set_and_are_cleared_by_a_replacement_without_them() {
-    let mut o = single_controller();
+    let mut controller = single_controller();
     let terms = |after: u64, edition: u64, more: Value| {
         let mut val = json!({ "after": after, "edition": edition });
         for (k, v) in more.as_object().unwrap() {
@@ -191,23 +192,23 @@
     };
     let all = json!({ "head_max": 9, "body_max": 8, "head_wait_ms": 7, "idle_ms": 6,
         "origin": "{\"x\":1}" });
-    submit(&mut o, "0", full(terms(0, 2, all)));
-    submit(&mut o, "1", patch(2, 4, "/b/"));
-    let t = read_configuration(&mut o).client_limits;
+    submit(&mut controller, "0", full(terms(0, 2, all)));
+    submit(&mut controller, "1", patch(2, 4, "/b/"));
+    let t = read_configuration(&mut controller).client_limits;
     let limits = (t.edition, t.head_max, t.body_max, t.head_wait_ms, t.idle_ms);
     expect_that!(limits, eq((4, 9, 8, 7, 6)));
     expect_that!(t.original_json, eq("{\"x\":1}"));
     // A patch that sets one limit sets all of them: the others return to their defaults.
     let val = json!({ "terms": terms(4, 5, json!({ "idle_ms": 60 })) });
-    submit(&mut o, "2", Operation::Patch(val.to_string().into_bytes()));
-    let t = read_configuration(&mut o).client_limits;
+    submit(&mut controller, "2", Operation::Patch(val.to_string().into_bytes()));
+    let t = read_configuration(&mut controller).client_limits;
     expect_that!((t.edition, t.idle_ms, t.head_max), eq((5, 60, 0)));
-    submit(&mut o, "3", full(terms(5, 6, json!({}))));
-    let t = read_configuration(&mut o).client_limits;
+    submit(&mut controller, "3", full(terms(5, 6, json!({}))));
+    let t = read_configuration(&mut controller).client_limits;
     expect_that!((t.edition, t.idle_ms), eq((6, 0)));
     // Limits that can't be parsed are reported with their locations.
     let bad = json!({ "terms": { "after": -1, "edition": 7.5, "idle_ms": "x", "more": 1 } });
-    let got = submit(&mut o, "4", Operation::Patch(bad.to_string().into_bytes()));
+    let got = submit(&mut controller, "4", Operation::Patch(bad.to_string().into_bytes()));
     expect_that!(
         error_locations(&got),
         unordered_elements_are![
--- a/crates/core/tests/feed.rs
+++ b/crates/core/tests/feed.rs
@@ -38,19 +38,19 @@
 /// Returns a member that has just started and knows the voter set.
 fn starting_member() -> NodeAgent {
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
-    let mut w = NodeAgent::new(member(0), BOOT);
-    w.step(BOOT, Event::VoterSet(fixed_voter_set(&seeds)));
-    w.subscribe_at = BOOT;
-    w
+    let mut agent = NodeAgent::new(member(0), BOOT);
+    agent.step(BOOT, Event::VoterSet(fixed_voter_set(&seeds)));
+    agent.subscribe_at = BOOT;
+    agent
 }
 
 /// Returns a member that has caught up and has a lease.
 fn serving_member() -> NodeAgent {
-    let mut w = NodeAgent::new(member(0), BOOT);
+    let mut agent = NodeAgent::new(member(0), BOOT);
     let seeds: Vec<String> = (0..DEFAULT_VOTER_SLOTS).map(|n| format!("10.1.0.{n}:1")).collect();
-    (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (true, true, BOOT);
-    w.step(BOOT, Event::VoterSet(fixed_voter_set(&seeds)));
-    w
+    (agent.is_caught_up, agent.lease.granted, agent.lease.renewed_at) = (true, true, BOOT);
+    agent.step(BOOT, Event::VoterSet(fixed_voter_set(&seeds)));
+    agent
 }
 
 /// Returns the slots that a step subscribes to in full, and those that it subscribes to for their
@@ -69,7 +69,7 @@
 
 /// Delivers a voter's report of its position in a partition.
 fn report_position(
-    w: &mut NodeAgent,
+    agent: &mut NodeAgent,
     now: Tick,
     slot: VoterSlot,
     partition: PartitionId,
@@ -77,84 +77,85 @@
 ) {
     let message = Message::FeedPositions {
         positions: vec![FeedPosition { partition, revision }],
-        stamp: w.voter_set_stamp,
+        stamp: agent.voter_set_stamp,
     };
-    w.step(now, Event::FromVoter { slot, message });
+    agent.step(now, Event::FromVoter { slot, message });
 }
 
 #[gtest]
 fn one_voter_feeds_and_the_others_are_polled_for_their_positions() {
-    let mut w = serving_member();
-    let (full, polled) = subscriptions(&w.step(BOOT, Event::Wake));
+    let mut agent = serving_member();
+    let (full, polled) = subscriptions(&agent.step(BOOT, Event::Wake));
     expect_that!(full.len(), eq(1));
     expect_that!(polled.len(), eq(DEFAULT_VOTER_SLOTS - 1));
     // The others are polled at every second interval only.
-    let (again, none) = subscriptions(&w.step(BOOT + SUBSCRIBE_INTERVAL, Event::Wake));
+    let (again, none) = subscriptions(&agent.step(BOOT + SUBSCRIBE_INTERVAL, Event::Wake));
     expect_that!(again, eq(&full));
     expect_that!(none, is_empty());
 }
 
 #[gtest]
 fn all_voters_feed_a_starting_member_and_are_polled_often() {
-    let mut w = starting_member();
+    let mut agent = starting_member();
     for (caught_up, granted, interval) in [
         (false, false, STARTUP_RETRY_INTERVAL),
         (false, true, STARTUP_RETRY_INTERVAL),
         (true, false, SUBSCRIBE_INTERVAL),
     ] {
-        let now = w.subscribe_at;
-        (w.is_caught_up, w.lease.granted, w.lease.renewed_at) = (caught_up, granted, now);
-        let (full, polled) = subscriptions(&w.step(now, Event::Wake));
+        let now = agent.subscribe_at;
+        (agent.is_caught_up, agent.lease.granted, agent.lease.renewed_at) =
+            (caught_up, granted, now);
+        let (full, polled) = subscriptions(&agent.step(now, Event::Wake));
         expect_that!(full.len(), eq(DEFAULT_VOTER_SLOTS));
         expect_that!(polled, is_empty());
-        expect_that!(w.subscribe_at, eq(now + interval));
+        expect_that!(agent.subscribe_at, eq(now + interval));
     }
 }
 
 #[gtest]
 fn a_new_holder_of_a_slot_feeds_only_after_it_has_reported_its_position() {
-    let mut w = serving_member();
-    let (full, _) = subscriptions(&w.step(BOOT, Event::Wake));
+    let mut agent = serving_member();
+    let (full, _) = subscriptions(&agent.step(BOOT, Event::Wake));
     let first = full[0];
     let now = BOOT + POSITION_REPORT_TIMEOUT;
     for slot in 0..DEFAULT_VOTER_SLOTS as VoterSlot {
-        report_position(&mut w, now, slot, CONFIG, 0);
+        report_position(&mut agent, now, slot, CONFIG, 0);
     }
-    let mut table = w.voter_set.clone();
+    let mut table = agent.voter_set.clone();
     let holder = &mut table.slots[usize::from(first)];
     (holder.generation, holder.holder, holder.addr) = (2, 77, "10.1.0.9:1".into());
-    w.step(now, Event::VoterSet(table));
-    w.lease.renewed_at = now;
-    let (full, polled) = subscriptions(&w.step(now, Event::Wake));
+    agent.step(now, Event::VoterSet(table));
+    agent.lease.renewed_at = now;
+    let (full, polled) = subscriptions(&agent.step(now, Event::Wake));
     expect_that!(full, not(contains(eq(&first))));
     // All are polled at once: a voter that reports its position may feed.
     expect_that!(polled, contains(eq(&first)));
     // A report under the previous voter set does not count for the new holder.
     let message = Message::FeedPositions { positions: Vec::new(), stamp: 0 };
-    w.step(now, Event::FromVoter { slot: first, message });
-    let due = w.subscribe_at;
-    expect_that!(subscriptions(&w.step(due, Event::Wake)).0, not(contains(eq(&first))));
-    report_position(&mut w, due, first, CONFIG, 0);
-    let due = w.subscribe_at;
-    expect_that!(subscriptions(&w.step(due, Event::Wake)).0, elements_are![eq(&first)]);
+    agent.step(now, Event::FromVoter { slot: first, message });
+    let due = agent.subscribe_at;
+    expect_that!(subscriptions(&agent.step(due, Event::Wake)).0, not(contains(eq(&first))));
+    report_position(&mut agent, due, first, CONFIG, 0);
+    let due = agent.subscribe_at;
+    expect_that!(subscriptions(&agent.step(due, Event::Wake)).0, elements_are![eq(&first)]);
 }
 
 #[gtest]
 fn a_voter_with_a_higher_revision_feeds_too_until_the_member_has_it() {
-    let mut w = serving_member();
-    let (full, polled) = subscriptions(&w.step(BOOT, Event::Wake));
+    let mut agent = serving_member();
+    let (full, polled) = subscriptions(&agent.step(BOOT, Event::Wake));
     let (first, other) = (full[0], polled[0]);
     for partition in [CONFIG, MEMBERSHIP_FEED] {
-        let now = w.subscribe_at;
-        w.lease.renewed_at = now;
-        report_position(&mut w, now - ms(100), first, partition, 0);
-        report_position(&mut w, now - ms(100), other, partition, u64::MAX / 4);
-        let (full, _) = subscriptions(&w.step(now, Event::Wake));
+        let now = agent.subscribe_at;
+        agent.lease.renewed_at = now;
+        report_position(&mut agent, now - ms(100), first, partition, 0);
+        report_position(&mut agent, now - ms(100), other, partition, u64::MAX / 4);
+        let (full, _) = subscriptions(&agent.step(now, Event::Wake));
         expect_that!(full, unordered_elements_are![eq(&first), eq(&other)]);
-        let now = w.subscribe_at;
-        report_position(&mut w, now - ms(100), first, partition, 0);
-        report_position(&mut w, now - ms(100), other, partition, 0);
-        let (full, _) = subscriptions(&w.step(now, Event::Wake));
+        let now = agent.subscribe_at;
+        report_position(&mut agent, now - ms(100), first, partition, 0);
+        report_position(&mut agent, now - ms(100), other, partition, 0);
+        let (full, _) = subscriptions(&agent.step(now, Event::Wake));
         expect_that!(full, elements_are![eq(&first)]);
     }
 }
@@ -196,32 +197,35 @@
 
 #[gtest]
 fn a_silent_voter_no_longer_feeds() {
-    let mut w = serving_member();
-    let (full, polled) = subscriptions(&w.step(BOOT, Event::Wake));
+    let mut agent = serving_member();
+    let (full, polled) = subscriptions(&agent.step(BOOT, Event::Wake));
     let now = BOOT + POSITION_REPORT_TIMEOUT + ms(1);
-    w.lease.renewed_at = now;
-    report_position(&mut w, now - ms(100), polled[0], CONFIG, 0);
-    let (next, _) = subscriptions(&w.step(now, Event::Wake));
+    agent.lease.renewed_at = now;
+    report_position(&mut agent, now - ms(100), polled[0], CONFIG, 0);
+    let (next, _) = subscriptions(&agent.step(now, Event::Wake));
     expect_that!(next, elements_are![eq(&polled[0])]);
     expect_that!(full, not(eq(&next)));
     // If all voters are silent, the member subscribes to all of them.
     let later = now + 2 * POSITION_REPORT_TIMEOUT;
-    w.lease.renewed_at = later;
-    let (all, _) = subscriptions(&w.step(later, Event::Wake));
+    agent.lease.renewed_at = later;
+    let (all, _) = subscriptions(&agent.step(later, Event::Wake));
     expect_that!(all.len(), eq(DEFAULT_VOTER_SLOTS));
 }
 
 /// Returns the number of gossip requests that a member sends in ten seconds, with or without a
 /// renewed lease.
 fn gossip_count(has_lease: bool) -> usize {
-    let mut w = NodeAgent::new(member(0), BOOT);
-    w.step(BOOT, Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(9)) });
-    w.lease.granted = has_lease;
+    let mut agent = NodeAgent::new(member(0), BOOT);
+    agent.step(
+        BOOT,
+        Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(9)) },
+    );
+    agent.lease.granted = has_lease;
     let mut n = 0;
     for i in 0..200 {
         let now = BOOT + ms(50 * i);
-        w.lease.renewed_at = if has_lease { now } else { 0 };
-        for c in w.step(now, Event::Wake) {
+        agent.lease.renewed_at = if has_lease { now } else { 0 };
+        for c in agent.step(now, Event::Wake) {
             if let Command::ToMember {
                 message: Message::Gossip { positions: places, asked, .. },
                 ..
@@ -244,8 +248,11 @@
 
 #[gtest]
 fn a_gossip_reply_contains_the_members_positions() {
-    let mut w = NodeAgent::new(member(0), BOOT);
-    w.step(BOOT, Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(3)) });
+    let mut agent = NodeAgent::new(member(0), BOOT);
+    agent.step(
+        BOOT,
+        Event::FromVoter { slot: 0, message: Message::MembershipUpdate(membership(3)) },
+    );
     let message = Message::Gossip {
         name: "m1".into(),
         controller_contact_age_ms: 0,
@@ -255,7 +262,7 @@
         echo: None,
         attestation: None,
     };
-    let commands = w.step(BOOT + 1, Event::FromMember { name: "m1".into(), message });
+    let commands = agent.step(BOOT + 1, Event::FromMember { name: "m1".into(), message });
     let answers = commands.iter().filter(|c| {
         matches!(c, Command::ToMember { message: Message::Gossip { positions: places, echo: Some(7), .. }, .. }
             if places.len() == 1 + consts::SERVICE_PARTITIONS as usize)
--- a/crates/core/tests/format_fixtures.rs
+++ b/crates/core/tests/format_fixtures.rs
@@ -172,14 +172,14 @@
 // ---- accepted requests -------------------------------------------------------
 
 /// Checks that a request is known as accepted, and that its id is rejected with another text.
-fn expect_known(entry_map: &EntryMap, order: &AcceptedChange) {
-    let known = LookupResult::Accepted { revision: order.revision };
-    expect_that!(lookup(entry_map, &order.request, &order.fingerprint()), eq(known));
+fn expect_known(entry_map: &EntryMap, change: &AcceptedChange) {
+    let known = LookupResult::Accepted { revision: change.revision };
+    expect_that!(lookup(entry_map, &change.request, &change.fingerprint()), eq(known));
     for (is_replacement, text) in
-        [(!order.is_replacement, &order.text[..]), (order.is_replacement, b"another text")]
+        [(!change.is_replacement, &change.text[..]), (change.is_replacement, b"another text")]
     {
-        let other = fingerprint(&order.request, is_replacement, text);
-        expect_that!(lookup(entry_map, &order.request, &other), eq(LookupResult::DifferentText));
+        let other = fingerprint(&change.request, is_replacement, text);
+        expect_that!(lookup(entry_map, &change.request, &other), eq(LookupResult::DifferentText));
     }
 }
 
@@ -187,14 +187,14 @@
 fn accepted_requests_are_read_from_files_of_both_formats() {
     let [(newer_format, _), (older_format, _), _] = partitions();
     let entry_map = newest(&newer_format, 0).entries;
-    for order in stored::accepted_changes() {
-        expect_known(&entry_map, &order);
+    for change in stored::accepted_changes() {
+        expect_known(&entry_map, &change);
     }
     expect_that!(horizon(&entry_map), eq(stored::HORIZON));
 
     let entry_map = newest(&older_format, 0).entries;
-    for order in stored::legacy_changes() {
-        expect_known(&entry_map, &order);
+    for change in stored::legacy_changes() {
+        expect_known(&entry_map, &change);
     }
     expect_that!(horizon(&entry_map), eq(stored::LEGACY_HORIZON));
     let dropped = stored::dropped_legacy_change();
--- a/crates/core/tests/format_fixtures/stored.rs
+++ b/crates/core/tests/format_fixtures/stored.rs
@@ -154,29 +154,29 @@
     }
 }
 
-fn order(request: &str, is_replacement: bool, revision: u64, edition: u64) -> AcceptedChange {
+fn change(request: &str, is_replacement: bool, revision: u64, edition: u64) -> AcceptedChange {
     let text = format!("text of {request}").into_bytes();
     AcceptedChange { request: request.into(), is_replacement, text, revision, edition }
 }
 
-/// Returns the accepted changes in the newer format. `order-14` and `order-220` are in the same
+/// Returns the accepted changes in the newer format. `change-14` and `change-220` are in the same
 /// bucket, and the third is so late that the position of the first becomes the horizon.
 pub fn accepted_changes() -> [AcceptedChange; 4] {
     [
-        order("order-118", true, 20_000, 41),
-        order("order-14", false, 30_000, 42),
-        order("order-7", true, 36_400, 43),
-        order("order-220", false, 36_401, 44),
+        change("order-118", true, 20_000, 41),
+        change("order-14", false, 30_000, 42),
+        change("order-7", true, 36_400, 43),
+        change("order-220", false, 36_401, 44),
     ]
 }
 
 /// The horizon after these changes.
 pub const HORIZON: Horizon = Horizon { revision: 20_000, edition: 41 };
 
-fn accept(entry_map: &mut EntryMap, order: &AcceptedChange) {
-    let changes = insert(entry_map, &order.fingerprint(), order.revision, order.edition);
+fn accept(entry_map: &mut EntryMap, change: &AcceptedChange) {
+    let changes = insert(entry_map, &change.fingerprint(), change.revision, change.edition);
     apply_entries(entry_map, &changes);
-    set_edition(entry_map, order.edition);
+    set_edition(entry_map, change.edition);
 }
 
 /// Returns the configuration's partition: the configuration, a forgotten member, and the memory
@@ -230,12 +230,12 @@
     Horizon { revision: FIRST_LEGACY_REVISION, edition: LEGACY_EDITION + 1 };
 
 fn legacy_change(revision: u64) -> AcceptedChange {
-    order(&format!("r-{revision}"), revision.is_multiple_of(2), revision, LEGACY_EDITION)
+    change(&format!("r-{revision}"), revision.is_multiple_of(2), revision, LEGACY_EDITION)
 }
 
-fn legacy_entry(order: &AcceptedChange) -> (String, Vec<u8>) {
-    let text = digest(&[&[u8::from(order.is_replacement)], &order.text[..]].concat());
-    (format!("request/{}", order.request), format!("{text} {}", order.revision).into_bytes())
+fn legacy_entry(change: &AcceptedChange) -> (String, Vec<u8>) {
+    let text = digest(&[&[u8::from(change.is_replacement)], &change.text[..]].concat());
+    (format!("request/{}", change.request), format!("{text} {}", change.revision).into_bytes())
 }
 
 /// Returns the configuration's partition with the memory of accepted changes in its older format.
@@ -245,7 +245,7 @@
     let older = state(FIRST_LEGACY_REVISION - 1, &entry_map);
     let last = FIRST_LEGACY_REVISION + LEGACY_CHANGES_KEPT - 1;
     let accepted_changes = (FIRST_LEGACY_REVISION..=last).map(legacy_change);
-    entry_map.extend(accepted_changes.map(|order| legacy_entry(&order)));
+    entry_map.extend(accepted_changes.map(|change| legacy_entry(&change)));
     let newer = state(last, &entry_map);
     let (key, value) = legacy_entry(&legacy_change(last + 1));
     let changed = vec![
--- a/crates/core/tests/forwarding.rs
+++ b/crates/core/tests/forwarding.rs
@@ -41,8 +41,8 @@
 }
 
 /// Builds the cluster view.
-fn cluster_view(w: &TestView) -> ClusterView {
-    let pools: Vec<Value> = w
+fn cluster_view(view: &TestView) -> ClusterView {
+    let pools: Vec<Value> = view
         .services
         .iter()
         .map(|(s, _)| {
@@ -50,21 +50,21 @@
                 "steer": "seen" })
         })
         .collect();
-    let conf = json!({ "pools": pools, "searches": w.searches,
-        "zones": [{ "name": w.drained, "state": "drained" }] });
+    let conf = json!({ "pools": pools, "searches": view.searches,
+        "zones": [{ "name": view.drained, "state": "drained" }] });
     let conf = Config::from_json(conf.to_string().as_bytes()).unwrap();
     let mut leafs = Vec::new();
-    for (s, n) in &w.services {
+    for (s, n) in &view.services {
         for i in 0..*n {
             let (leaf, zone) = (format!("{s}-{i}"), if i % 2 == 0 { "a" } else { "b" });
             leafs.push(LeafInfo {
-                leaving: w.leaving.contains(&leaf),
+                leaving: view.leaving.contains(&leaf),
                 leaf,
                 service: s.to_string(),
                 addr: format!("127.0.0.1:{}", 100 + leafs.len()),
                 labels: [("zone".to_string(), zone.to_string())].into(),
                 age_ms: 3_600_000,
-                slots: w.slots,
+                slots: view.slots,
                 cold: false,
             });
         }
@@ -73,17 +73,17 @@
 }
 
 /// Returns an engine with a filled retry budget for every service.
-fn engine(w: &TestView) -> QueryEngine {
-    let mut d = QueryEngine::new("q", "a", 1, BOOT);
-    d.step(BOOT, Event::ClusterView(Arc::new(cluster_view(w))));
-    d.step(BOOT, Event::QuotaShare(QuotaShare::new(&[("q".into(), 1)], "q", 0)));
-    d.step(BOOT, Event::LeaseValidUntil(Tick::MAX));
-    for (s, _) in &w.services {
+fn new_engine(view: &TestView) -> QueryEngine {
+    let mut engine = QueryEngine::new("q", "a", 1, BOOT);
+    engine.step(BOOT, Event::ClusterView(Arc::new(cluster_view(view))));
+    engine.step(BOOT, Event::QuotaShare(QuotaShare::new(&[("q".into(), 1)], "q", 0)));
+    engine.step(BOOT, Event::LeaseValidUntil(Tick::MAX));
+    for (s, _) in &view.services {
         for _ in 0..200 {
-            d.service_retry_budget.record_first_attempt(s);
+            engine.service_retry_budget.record_first_attempt(s);
         }
     }
-    d
+    engine
 }
 
 /// Returns a search that forwards to one service, with fields replaced by `more`.
@@ -124,13 +124,13 @@
     }
 }
 
-fn forward(d: &mut QueryEngine, now: Tick, call: u64, host: &str, path: &str) -> Vec<Command> {
-    d.step(now, Event::Forward { call, request: Arc::new(forwarded_request(host, path)) })
+fn forward(engine: &mut QueryEngine, now: Tick, call: u64, host: &str, path: &str) -> Vec<Command> {
+    engine.step(now, Event::Forward { call, request: Arc::new(forwarded_request(host, path)) })
 }
 
 /// Forwards a request of `h.example` and returns the attempts that the engine sends.
-fn forward_default(d: &mut QueryEngine, now: Tick, call: u64) -> Vec<OutgoingAttempt> {
-    sends(forward(d, now, call, "h.example", "/x/y"))
+fn forward_default(engine: &mut QueryEngine, now: Tick, call: u64) -> Vec<OutgoingAttempt> {
+    sends(forward(engine, now, call, "h.example", "/x/y"))
 }
 
 /// Returns the attempts that commands send.
@@ -189,12 +189,17 @@
 type Corruption = fn(&mut LeafReply);
 type AttemptResult = std::result::Result<LeafReply, AttemptFailure>;
 
-fn reply(d: &mut QueryEngine, now: Tick, s: &OutgoingAttempt, got: AttemptResult) -> Vec<Command> {
-    d.step(now, Event::AttemptEnded { attempt: s.attempt, result: got })
+fn reply(
+    engine: &mut QueryEngine,
+    now: Tick,
+    s: &OutgoingAttempt,
+    got: AttemptResult,
+) -> Vec<Command> {
+    engine.step(now, Event::AttemptEnded { attempt: s.attempt, result: got })
 }
 
-fn wake(d: &mut QueryEngine, now: Tick) -> Vec<Command> {
-    d.step(now, Event::Timer)
+fn wake(engine: &mut QueryEngine, now: Tick) -> Vec<Command> {
+    engine.step(now, Event::Timer)
 }
 
 #[googletest::test]
@@ -204,7 +209,7 @@
         forward_search(json!({ "name": name, "host": host, "path": path,
             "plan": format!("from pool = \"{pool}\" by pool; send wide") }))
     };
-    let w = test_view(
+    let view = test_view(
         &[("p", 1), ("q", 1), ("r", 1), ("t", 1)],
         vec![
             to("1", "h.example", "/x/", "p"),
@@ -231,8 +236,8 @@
         ("port.example:81", "/", Some("r")),
         ("port.example:82", "/", None),
     ] {
-        let mut d = engine(&w);
-        let commands = forward(&mut d, NOW, 1, host, path);
+        let mut engine = new_engine(&view);
+        let commands = forward(&mut engine, NOW, 1, host, path);
         match want {
             None => expect_that!(
                 rejection(&commands).reason,
@@ -250,8 +255,8 @@
 
 #[googletest::test]
 fn requests_and_replies_are_forwarded_unchanged() {
-    let mut d = engine(&test_view(&[("p", 2)], vec![forward_search(json!({}))]));
-    let list = forward_default(&mut d, NOW, 9);
+    let mut engine = new_engine(&test_view(&[("p", 2)], vec![forward_search(json!({}))]));
+    let list = forward_default(&mut engine, NOW, 9);
     let p = list[0].forwarded.clone().unwrap();
     let want = forwarded_request("h.example", "/x/y");
     expect_that!(
@@ -263,40 +268,40 @@
     expect_that!(list[0].timeout, le(ms(800)));
     expect_that!(list[0].timeout, ge(ms(700)));
     for (status, stamps) in [(200, vec!["st"]), (404, vec![]), (302, vec![]), (204, vec!["st"])] {
-        let mut d = engine(&test_view(&[("p", 2)], vec![forward_search(json!({}))]));
-        let list = forward_default(&mut d, NOW, 9);
+        let mut engine = new_engine(&test_view(&[("p", 2)], vec![forward_search(json!({}))]));
+        let list = forward_default(&mut engine, NOW, 9);
         let mut raw = leaf_reply(status, &stamps, b"\x00any\xff");
         raw.headers.end_to_end = vec![("x".into(), b"\xfe".to_vec()), ("x".into(), b"2".to_vec())];
-        let commands = reply(&mut d, NOW + 5, &list[0], Ok(raw.clone()));
+        let commands = reply(&mut engine, NOW + 5, &list[0], Ok(raw.clone()));
         let got = forwarded_reply(&commands);
         expect_that!(got.id, eq("id-1"));
         expect_that!((got.reply.status, &got.reply.body), eq((status, &raw.body)));
         expect_that!(got.reply.headers.end_to_end, eq(&raw.headers.end_to_end));
         expect_that!(commands.len(), eq(1));
-        expect_that!(d.queries.len() + d.attempts.len(), eq(0));
+        expect_that!(engine.queries.len() + engine.attempts.len(), eq(0));
         // A late duplicate of the reply causes nothing.
-        expect_that!(reply(&mut d, NOW + 6, &list[0], Ok(raw)).len(), eq(0));
+        expect_that!(reply(&mut engine, NOW + 6, &list[0], Ok(raw)).len(), eq(0));
     }
 }
 
 #[googletest::test]
 fn a_failed_attempt_is_retried_on_another_leaf_and_returned_only_if_all_fail() {
-    let mut d = engine(&test_view(&[("p", 3)], vec![forward_search(json!({}))]));
-    let first = forward_default(&mut d, NOW, 1);
-    let again = sends(reply(&mut d, NOW + 5, &first[0], Ok(leaf_reply(500, &["st"], b"one"))));
+    let mut engine = new_engine(&test_view(&[("p", 3)], vec![forward_search(json!({}))]));
+    let first = forward_default(&mut engine, NOW, 1);
+    let again = sends(reply(&mut engine, NOW + 5, &first[0], Ok(leaf_reply(500, &["st"], b"one"))));
     expect_that!(again.len(), eq(1));
     expect_that!(again[0].leaf, not(eq(&first[0].leaf)));
-    let commands = reply(&mut d, NOW + 9, &again[0], Ok(good_reply(&again[0])));
+    let commands = reply(&mut engine, NOW + 9, &again[0], Ok(good_reply(&again[0])));
     expect_that!(forwarded_reply(&commands).reply.status, eq(200));
     // If both attempts fail, the leaf's reply says more than a rejection by the engine.
-    let first = forward_default(&mut d, NOW, 2);
-    let again = sends(reply(&mut d, NOW + 5, &first[0], Ok(leaf_reply(500, &[], b"one"))));
-    let commands = reply(&mut d, NOW + 9, &again[0], Ok(leaf_reply(502, &[], b"two")));
+    let first = forward_default(&mut engine, NOW, 2);
+    let again = sends(reply(&mut engine, NOW + 5, &first[0], Ok(leaf_reply(500, &[], b"one"))));
+    let commands = reply(&mut engine, NOW + 9, &again[0], Ok(leaf_reply(502, &[], b"two")));
     expect_that!(forwarded_reply(&commands).reply.status, eq(502));
     // A failure without a complete reply is never returned as a reply.
-    let first = forward_default(&mut d, NOW, 3);
-    let again = sends(reply(&mut d, NOW + 5, &first[0], Err(AttemptFailure::Truncated)));
-    let commands = reply(&mut d, NOW + 9, &again[0], Err(AttemptFailure::ReplyTooLarge));
+    let first = forward_default(&mut engine, NOW, 3);
+    let again = sends(reply(&mut engine, NOW + 5, &first[0], Err(AttemptFailure::Truncated)));
+    let commands = reply(&mut engine, NOW + 9, &again[0], Err(AttemptFailure::ReplyTooLarge));
     let b = rejection(&commands);
     expect_that!((b.reason, b.executed), eq((RejectionReason::BelowQuorum, true)));
 }
@@ -315,12 +320,12 @@
     ];
     for (name, corrupt) in corruptions {
         for once in [false, true] {
-            let mut d =
-                engine(&test_view(&[("p", 3)], vec![forward_search(json!({ "once": once }))]));
-            let list = forward_default(&mut d, NOW, 1);
+            let mut engine =
+                new_engine(&test_view(&[("p", 3)], vec![forward_search(json!({ "once": once }))]));
+            let list = forward_default(&mut engine, NOW, 1);
             let mut got = good_reply(&list[0]);
             corrupt(&mut got);
-            let commands = reply(&mut d, NOW + 5, &list[0], Ok(got));
+            let commands = reply(&mut engine, NOW + 5, &list[0], Ok(got));
             if once {
                 expect_that!(rejection(&commands).executed, eq(true), "{name}");
             } else {
@@ -330,15 +335,15 @@
         }
     }
     // The platform's list now names the leaf under another service.
-    let mut w = test_view(&[("p", 1), ("q", 1)], vec![forward_search(json!({}))]);
-    let mut d = engine(&w);
-    let list = forward_default(&mut d, NOW, 1);
-    w.services = vec![("q", 1), ("p", 0)];
-    let mut v = cluster_view(&w);
+    let mut view = test_view(&[("p", 1), ("q", 1)], vec![forward_search(json!({}))]);
+    let mut engine = new_engine(&view);
+    let list = forward_default(&mut engine, NOW, 1);
+    view.services = vec![("q", 1), ("p", 0)];
+    let mut v = cluster_view(&view);
     let moved = LeafInfo { leaf: "p-0".into(), ..(*v.leafs["q-0"]).clone() };
     v.leafs.insert("p-0".into(), Arc::new(moved));
-    d.step(NOW + 1, Event::ClusterView(Arc::new(v)));
-    let commands = reply(&mut d, NOW + 5, &list[0], Ok(good_reply(&list[0])));
+    engine.step(NOW + 1, Event::ClusterView(Arc::new(v)));
+    let commands = reply(&mut engine, NOW + 5, &list[0], Ok(good_reply(&list[0])));
     expect_that!(matches!(response_of(&commands), Some(Outcome::Forwarded(_))), eq(false));
 }
 
@@ -346,14 +351,14 @@
 fn a_misdirected_reply_to_another_request_proves_nothing_about_this_one() {
     // Guards against an at-most-once request that is executed twice, because a surplus reply to
     // another request says that it was not executed.
-    let mut d = engine(&test_view(
+    let mut engine = new_engine(&test_view(
         &[("p", 3)],
         vec![forward_search(json!({ "once": true, "attempts": 3 }))],
     ));
-    let list = forward_default(&mut d, NOW, 1);
+    let list = forward_default(&mut engine, NOW, 1);
     let mut got = leaf_reply(421, &[], b"");
     got.headers.foreign = true;
-    let commands = reply(&mut d, NOW + 5, &list[0], Ok(got));
+    let commands = reply(&mut engine, NOW + 5, &list[0], Ok(got));
     expect_that!(rejection(&commands).executed, eq(true));
     expect_that!(sends(commands).len(), eq(0));
 }
@@ -364,9 +369,10 @@
     for status in [408, 429, 503] {
         for once in [false, true] {
             let search = forward_search(json!({ "once": once, "attempts": 1 }));
-            let mut d = engine(&test_view(&[("p", 2)], vec![search]));
-            let list = forward_default(&mut d, NOW, 1);
-            let commands = reply(&mut d, NOW + 5, &list[0], Ok(leaf_reply(status, &["st"], b"")));
+            let mut engine = new_engine(&test_view(&[("p", 2)], vec![search]));
+            let list = forward_default(&mut engine, NOW, 1);
+            let commands =
+                reply(&mut engine, NOW + 5, &list[0], Ok(leaf_reply(status, &["st"], b"")));
             expect_that!(rejection(&commands).executed, eq(true), "{status}");
         }
     }
@@ -399,9 +405,9 @@
         let attempts = 1 + random.below(4);
         let n = 1 + random.below(6) as usize;
         let search = forward_search(json!({ "once": true, "attempts": attempts }));
-        let mut d = engine(&test_view(&[("p", n)], vec![search]));
+        let mut engine = new_engine(&test_view(&[("p", n)], vec![search]));
         let mut now = NOW;
-        let mut out = forward_default(&mut d, now, 1);
+        let mut out = forward_default(&mut engine, now, 1);
         let (mut executed, mut send_count, mut leafs) = (false, 0, Vec::new());
         let mut end = None;
         while let Some(s) = out.pop() {
@@ -416,7 +422,7 @@
             // No other attempt is made while the leaf is silent, however long that is.
             for _ in 0..random.below(5) {
                 now += ms(random.below(200));
-                let commands = wake(&mut d, now);
+                let commands = wake(&mut engine, now);
                 end = response_of(&commands).cloned().or(end);
                 assert!(sends(commands).is_empty(), "seed {seed}: an attempt beside the first");
             }
@@ -426,13 +432,13 @@
             }
             let (got, may_have_executed) = any_reply(&mut random, &s);
             executed |= may_have_executed;
-            let commands = reply(&mut d, now, &s, got);
+            let commands = reply(&mut engine, now, &s, got);
             end = response_of(&commands).cloned();
             out = sends(commands);
         }
         while end.is_none() {
-            let due = d.next_due().unwrap();
-            let commands = wake(&mut d, due);
+            let due = engine.next_due().unwrap();
+            let commands = wake(&mut engine, due);
             end = response_of(&commands).cloned();
             assert!(sends(commands).is_empty(), "seed {seed}: sent late");
         }
@@ -455,12 +461,12 @@
         let plan = "from pool in (\"a\", \"b\", \"c\") by pool; send one by weight";
         let search =
             forward_search(json!({ "plan": plan, "weights": weights, "needs": ["a", "b", "c"] }));
-        let mut d = engine(&test_view(&FOUR_SERVICES, vec![search]));
+        let mut engine = new_engine(&test_view(&FOUR_SERVICES, vec![search]));
         let mut counts: BTreeMap<String, u64> = BTreeMap::new();
         for i in 0..8_000 {
-            let list = forward_default(&mut d, NOW, i);
+            let list = forward_default(&mut engine, NOW, i);
             *counts.entry(list[0].service.clone()).or_default() += 1;
-            reply(&mut d, NOW + 1, &list[0], Ok(good_reply(&list[0])));
+            reply(&mut engine, NOW + 1, &list[0], Ok(good_reply(&list[0])));
         }
         for (name, weight) in weights.as_object().unwrap() {
             let (got, want) =
@@ -475,14 +481,14 @@
 fn a_retry_of_a_weighted_request_stays_with_the_drawn_service() {
     let plan = "from pool in (\"a\", \"b\") by pool; send one by weight";
     let search = forward_search(json!({ "plan": plan, "weights": { "a": 1, "b": 1 } }));
-    let w = test_view(&FOUR_SERVICES, vec![search]);
+    let view = test_view(&FOUR_SERVICES, vec![search]);
     let mut drawn = Vec::new();
     for i in 0..60 {
-        let mut d = engine(&w);
-        d.random = Random::new(i);
-        let list = forward_default(&mut d, NOW, i);
+        let mut engine = new_engine(&view);
+        engine.random = Random::new(i);
+        let list = forward_default(&mut engine, NOW, i);
         drawn.push(list[0].service.clone());
-        let again = sends(reply(&mut d, NOW + 1, &list[0], Err(AttemptFailure::Unreachable)));
+        let again = sends(reply(&mut engine, NOW + 1, &list[0], Err(AttemptFailure::Unreachable)));
         expect_that!(again[0].service, eq(&list[0].service));
     }
     expect_that!(drawn.iter().any(|s| s == "a") && drawn.iter().any(|s| s == "b"), eq(true));
@@ -502,9 +508,9 @@
         ("misdirected", |r| r.status = 421),
     ];
     for (name, corrupt) in corruptions {
-        let mut d =
-            engine(&test_view(&FOUR_SERVICES, vec![merge_search(json!({ "attempts": 1 }))]));
-        let list = forward_default(&mut d, NOW, 1);
+        let mut engine =
+            new_engine(&test_view(&FOUR_SERVICES, vec![merge_search(json!({ "attempts": 1 }))]));
+        let list = forward_default(&mut engine, NOW, 1);
         expect_that!(list.len(), eq(4));
         let mut commands = Vec::new();
         for s in &list {
@@ -512,7 +518,7 @@
             if s.service == "b" {
                 corrupt(&mut got);
             }
-            commands = reply(&mut d, NOW + 5, s, Ok(got));
+            commands = reply(&mut engine, NOW + 5, s, Ok(got));
         }
         let j = merged_reply(&commands);
         expect_that!((j.missing, j.postmarks.len()), eq((1, 3)), "{name}");
@@ -533,13 +539,13 @@
         (0.0, 0, false),
     ] {
         let search = merge_search(json!({ "quorum": quorum, "attempts": 1 }));
-        let mut d = engine(&test_view(&FOUR_SERVICES, vec![search]));
-        let list = forward_default(&mut d, NOW, 1);
+        let mut engine = new_engine(&test_view(&FOUR_SERVICES, vec![search]));
+        let list = forward_default(&mut engine, NOW, 1);
         let mut end = None;
         for (i, s) in list.iter().enumerate() {
             let got =
                 if i < partitions { Ok(good_reply(s)) } else { Ok(leaf_reply(500, &["st"], b"")) };
-            let commands = reply(&mut d, NOW + 5, s, got);
+            let commands = reply(&mut engine, NOW + 5, s, got);
             end = end.or(response_of(&commands).cloned());
         }
         match end.unwrap() {
@@ -557,32 +563,33 @@
 
 #[googletest::test]
 fn a_quorum_is_returned_at_the_latency_target_with_the_missing_shards() {
-    let mut d = engine(&test_view(&FOUR_SERVICES, vec![merge_search(json!({ "attempts": 1 }))]));
-    let list = forward_default(&mut d, NOW, 1);
+    let mut engine =
+        new_engine(&test_view(&FOUR_SERVICES, vec![merge_search(json!({ "attempts": 1 }))]));
+    let list = forward_default(&mut engine, NOW, 1);
     for s in &list[..3] {
         expect_that!(
-            response_of(&reply(&mut d, NOW + 5, s, Ok(good_reply(s)))).is_none(),
+            response_of(&reply(&mut engine, NOW + 5, s, Ok(good_reply(s)))).is_none(),
             eq(true)
         );
     }
-    let at = d.next_due().unwrap();
+    let at = engine.next_due().unwrap();
     expect_that!(at, lt(NOW + ms(100)), "there must be time for the response to reach the caller");
     expect_that!(at, ge(NOW + ms(80)));
-    expect_that!(response_of(&wake(&mut d, at - 1)).is_none(), eq(true));
-    let j = merged_reply(&wake(&mut d, at));
+    expect_that!(response_of(&wake(&mut engine, at - 1)).is_none(), eq(true));
+    let j = merged_reply(&wake(&mut engine, at));
     expect_that!((j.missing, j.postmarks.len()), eq((1, 3)));
     // An attempt in flight is not cancelled immediately, and counts until it has ended.
-    expect_that!(d.attempts.len(), eq(1));
-    expect_that!(d.leafs[&list[3].leaf].in_flight, eq(1));
-    reply(&mut d, at + 9, &list[3], Ok(good_reply(&list[3])));
-    expect_that!(d.leafs[&list[3].leaf].in_flight, eq(0));
+    expect_that!(engine.attempts.len(), eq(1));
+    expect_that!(engine.leafs[&list[3].leaf].in_flight, eq(1));
+    reply(&mut engine, at + 9, &list[3], Ok(good_reply(&list[3])));
+    expect_that!(engine.leafs[&list[3].leaf].in_flight, eq(0));
     // Two of four are a quorum, but the engine waits past the target for the missing shards.
-    let list = forward_default(&mut d, NOW, 2);
+    let list = forward_default(&mut engine, NOW, 2);
     for s in &list[..2] {
-        reply(&mut d, NOW + 5, s, Ok(good_reply(s)));
+        reply(&mut engine, NOW + 5, s, Ok(good_reply(s)));
     }
-    expect_that!(response_of(&wake(&mut d, NOW + ms(99))).is_none(), eq(true));
-    let commands = wake(&mut d, NOW + ms(800));
+    expect_that!(response_of(&wake(&mut engine, NOW + ms(99))).is_none(), eq(true));
+    let commands = wake(&mut engine, NOW + ms(800));
     expect_that!(merged_reply(&commands).missing, eq(2));
 }
 
@@ -617,37 +624,41 @@
 
 #[googletest::test]
 fn a_silent_leaf_is_hedged_on_another_leaf_after_the_learned_delay() {
-    let mut d = engine(&test_view(&[("p", 4)], vec![forward_search(json!({ "attempts": 2 }))]));
+    let mut engine =
+        new_engine(&test_view(&[("p", 4)], vec![forward_search(json!({ "attempts": 2 }))]));
     // Before the first sample, the hedge delay is a share of the latency target.
-    let list = forward_default(&mut d, NOW, 1);
-    expect_that!(d.next_due(), some(eq(NOW + ms(100) * consts::HEDGE_DELAY_TARGET_PCT / 100)));
-    reply(&mut d, NOW + ms(2), &list[0], Ok(good_reply(&list[0])));
+    let list = forward_default(&mut engine, NOW, 1);
+    expect_that!(engine.next_due(), some(eq(NOW + ms(100) * consts::HEDGE_DELAY_TARGET_PCT / 100)));
+    reply(&mut engine, NOW + ms(2), &list[0], Ok(good_reply(&list[0])));
     for i in 0..400 {
-        let list = forward_default(&mut d, NOW + i, 10 + i);
-        reply(&mut d, NOW + i + ms(4), &list[0], Ok(good_reply(&list[0])));
+        let list = forward_default(&mut engine, NOW + i, 10 + i);
+        reply(&mut engine, NOW + i + ms(4), &list[0], Ok(good_reply(&list[0])));
     }
     let at = NOW + SECOND;
-    let first = forward_default(&mut d, at, 2);
-    let due = d.next_due().unwrap();
+    let first = forward_default(&mut engine, at, 2);
+    let due = engine.next_due().unwrap();
     expect_that!(due, gt(at + ms(4)));
     expect_that!(due, lt(at + ms(20)));
-    expect_that!(sends(wake(&mut d, due - 1)).len(), eq(0));
-    let second = sends(wake(&mut d, due));
+    expect_that!(sends(wake(&mut engine, due - 1)).len(), eq(0));
+    let second = sends(wake(&mut engine, due));
     expect_that!(second.len(), eq(1));
     expect_that!(second[0].leaf, not(eq(&first[0].leaf)));
     // The number of attempts is limited: no third one, however long both leafs are silent.
     for k in 1..60 {
-        expect_that!(sends(wake(&mut d, due + ms(10 * k))).len(), eq(0));
+        expect_that!(sends(wake(&mut engine, due + ms(10 * k))).len(), eq(0));
     }
-    let commands = reply(&mut d, due + ms(600), &second[0], Ok(good_reply(&second[0])));
+    let commands = reply(&mut engine, due + ms(600), &second[0], Ok(good_reply(&second[0])));
     expect_that!(forwarded_reply(&commands).reply.status, eq(200));
     // The other attempt is not cancelled immediately: its leaf still works on it, and it counts
     // as in flight.
     expect_that!(cancelled(&commands), is_empty());
-    expect_that!(d.leafs[&first[0].leaf].in_flight, eq(1));
-    expect_that!(d.statistics.failures.get(&AttemptFailure::Overtaken), some(eq(&1)));
-    expect_that!(reply(&mut d, due + ms(650), &first[0], Ok(good_reply(&first[0]))).len(), eq(0));
-    expect_that!(d.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
+    expect_that!(engine.leafs[&first[0].leaf].in_flight, eq(1));
+    expect_that!(engine.statistics.failures.get(&AttemptFailure::Overtaken), some(eq(&1)));
+    expect_that!(
+        reply(&mut engine, due + ms(650), &first[0], Ok(good_reply(&first[0]))).len(),
+        eq(0)
+    );
+    expect_that!(engine.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
 }
 
 #[googletest::test]
@@ -657,16 +668,16 @@
         forward_search(json!({ "name": name, "path": path, "attempts": 10,
             "plan": format!("from pool = \"{pool}\" by pool; send wide") }))
     };
-    let w = test_view(&[("p", 9), ("q", 9)], vec![to("1", "/p/", "p"), to("2", "/q/", "q")]);
-    let mut d = engine(&w);
+    let view = test_view(&[("p", 9), ("q", 9)], vec![to("1", "/p/", "p"), to("2", "/q/", "q")]);
+    let mut engine = new_engine(&view);
     let budget = (consts::RETRY_SLACK * consts::RETRY_BUDGET_USE_PCT / 100) as usize;
     let mut retries = 0;
     let mut calls = 0;
     while retries < budget && calls < 100 {
         calls += 1;
-        let mut out = sends(forward(&mut d, NOW, calls, "h.example", "/p/"));
+        let mut out = sends(forward(&mut engine, NOW, calls, "h.example", "/p/"));
         while let Some(s) = out.pop() {
-            out = sends(reply(&mut d, NOW, &s, Err(AttemptFailure::Truncated)));
+            out = sends(reply(&mut engine, NOW, &s, Err(AttemptFailure::Truncated)));
             retries += out.len();
         }
     }
@@ -674,45 +685,45 @@
     // Each further request earns a fifth of a retry, and no more.
     let mut further_retries = 0;
     for i in 0..50 {
-        let mut out = sends(forward(&mut d, NOW, 1_000 + i, "h.example", "/p/"));
+        let mut out = sends(forward(&mut engine, NOW, 1_000 + i, "h.example", "/p/"));
         while let Some(s) = out.pop() {
-            out = sends(reply(&mut d, NOW, &s, Err(AttemptFailure::Truncated)));
+            out = sends(reply(&mut engine, NOW, &s, Err(AttemptFailure::Truncated)));
             further_retries += out.len();
         }
     }
     expect_that!(further_retries, le(10));
-    expect_that!(d.statistics.retries_denied, gt(0));
-    let first = sends(forward(&mut d, NOW, 5_000, "h.example", "/q/"));
-    let again = sends(reply(&mut d, NOW, &first[0], Err(AttemptFailure::Truncated)));
+    expect_that!(engine.statistics.retries_denied, gt(0));
+    let first = sends(forward(&mut engine, NOW, 5_000, "h.example", "/q/"));
+    let again = sends(reply(&mut engine, NOW, &first[0], Err(AttemptFailure::Truncated)));
     expect_that!(again.len(), eq(1), "the other service's budget is unused");
 }
 
 #[googletest::test]
 fn unreachable_leafs_cost_neither_an_attempt_nor_retry_budget() {
-    let mut d = engine(&test_view(
+    let mut engine = new_engine(&test_view(
         &[("p", 8)],
         vec![forward_search(json!({ "attempts": 1, "once": true }))],
     ));
-    d.service_retry_budget.retain(|_| false);
-    let mut out = forward_default(&mut d, NOW, 1);
+    engine.service_retry_budget.retain(|_| false);
+    let mut out = forward_default(&mut engine, NOW, 1);
     let mut leafs = Vec::new();
     for _ in 0..consts::MAX_UNREACHABLE_LEAFS {
         let s = out.pop().unwrap();
         leafs.push(s.leaf.clone());
-        out = sends(reply(&mut d, NOW, &s, Err(AttemptFailure::Unreachable)));
+        out = sends(reply(&mut engine, NOW, &s, Err(AttemptFailure::Unreachable)));
         expect_that!(out.len(), eq(1));
         expect_that!(leafs.contains(&out[0].leaf), eq(false));
     }
-    let commands = reply(&mut d, NOW, &out[0], Ok(good_reply(&out[0])));
+    let commands = reply(&mut engine, NOW, &out[0], Ok(good_reply(&out[0])));
     expect_that!(forwarded_reply(&commands).reply.status, eq(200));
-    expect_that!(d.statistics.retries, eq(0));
+    expect_that!(engine.statistics.retries, eq(0));
     // A pool whose leafs are all unreachable does not hold a request forever.
-    let mut out = forward_default(&mut d, NOW, 2);
+    let mut out = forward_default(&mut engine, NOW, 2);
     let mut n = 0;
     let mut end = None;
     while let Some(s) = out.pop() {
         n += 1;
-        let commands = reply(&mut d, NOW, &s, Err(AttemptFailure::Unreachable));
+        let commands = reply(&mut engine, NOW, &s, Err(AttemptFailure::Unreachable));
         end = response_of(&commands).cloned();
         out = sends(commands);
     }
@@ -726,26 +737,26 @@
     // Guards against retries on leafs that began to leave, or whose zone was drained, after the
     // request arrived.
     for (drained, leaving) in [("b", vec![]), ("none", vec!["p-1".to_string()])] {
-        let mut w = test_view(&[("p", 2)], vec![forward_search(json!({}))]);
-        let mut d = engine(&w);
-        let list = forward_default(&mut d, NOW, 1);
+        let mut view = test_view(&[("p", 2)], vec![forward_search(json!({}))]);
+        let mut engine = new_engine(&view);
+        let list = forward_default(&mut engine, NOW, 1);
         expect_that!(list[0].leaf, eq("p-0"), "the local zone is preferred");
-        (w.drained, w.leaving) = (drained, leaving);
-        d.step(NOW + 1, Event::ClusterView(Arc::new(cluster_view(&w))));
-        expect_that!(sends(wake(&mut d, NOW + ms(50))).len(), eq(0));
-        let commands = reply(&mut d, NOW + ms(60), &list[0], Err(AttemptFailure::Truncated));
+        (view.drained, view.leaving) = (drained, leaving);
+        engine.step(NOW + 1, Event::ClusterView(Arc::new(cluster_view(&view))));
+        expect_that!(sends(wake(&mut engine, NOW + ms(50))).len(), eq(0));
+        let commands = reply(&mut engine, NOW + ms(60), &list[0], Err(AttemptFailure::Truncated));
         expect_that!(rejection(&commands).executed, eq(true));
         expect_that!(sends(commands).len(), eq(0));
     }
 }
 
 /// Sends requests until every leaf has reached its capacity, and returns the attempts.
-fn fill_leafs(d: &mut QueryEngine) -> Vec<OutgoingAttempt> {
+fn fill_leafs(engine: &mut QueryEngine) -> Vec<OutgoingAttempt> {
     let mut out = Vec::new();
     for i in 0..1_000 {
-        let list = forward_default(d, NOW, 100 + i);
+        let list = forward_default(engine, NOW, 100 + i);
         if list.is_empty() {
-            d.step(NOW, Event::CallerGone { call: 100 + i });
+            engine.step(NOW, Event::CallerGone { call: 100 + i });
             return out;
         }
         out.extend(list);
@@ -756,19 +767,19 @@
 #[googletest::test]
 fn queued_requests_never_go_to_leaving_leafs_or_drained_zones() {
     for (drained, leaving) in [("b", vec![]), ("none", vec!["p-1".to_string()])] {
-        let mut w = test_view(&[("p", 2)], vec![forward_search(json!({ "attempts": 1 }))]);
-        w.slots = 1;
-        let mut d = engine(&w);
-        let out = fill_leafs(&mut d);
-        expect_that!(forward_default(&mut d, NOW, 1).len(), eq(0));
-        (w.drained, w.leaving) = (drained, leaving);
-        let mut commands = d.step(NOW + 1, Event::ClusterView(Arc::new(cluster_view(&w))));
+        let mut view = test_view(&[("p", 2)], vec![forward_search(json!({ "attempts": 1 }))]);
+        view.slots = 1;
+        let mut engine = new_engine(&view);
+        let out = fill_leafs(&mut engine);
+        expect_that!(forward_default(&mut engine, NOW, 1).len(), eq(0));
+        (view.drained, view.leaving) = (drained, leaving);
+        let mut commands = engine.step(NOW + 1, Event::ClusterView(Arc::new(cluster_view(&view))));
         for s in out.iter().filter(|s| s.leaf == "p-1") {
-            commands.extend(reply(&mut d, NOW + 2, s, Ok(good_reply(s))));
+            commands.extend(reply(&mut engine, NOW + 2, s, Ok(good_reply(s))));
         }
         expect_that!(sends(commands).len(), eq(0), "only leafs that may not be used have capacity");
         let own = out.iter().find(|s| s.leaf == "p-0").unwrap();
-        let list = sends(reply(&mut d, NOW + 3, own, Ok(good_reply(own))));
+        let list = sends(reply(&mut engine, NOW + 3, own, Ok(good_reply(own))));
         expect_that!(list.len(), eq(1));
         expect_that!(list[0].leaf, eq("p-0"));
     }
@@ -776,23 +787,23 @@
 
 #[googletest::test]
 fn a_request_that_finds_no_capacity_in_time_is_rejected_unexecuted() {
-    let mut w = test_view(&[("p", 2)], vec![forward_search(json!({ "once": true }))]);
-    w.slots = 1;
-    let mut d = engine(&w);
-    let out = fill_leafs(&mut d);
+    let mut view = test_view(&[("p", 2)], vec![forward_search(json!({ "once": true }))]);
+    view.slots = 1;
+    let mut engine = new_engine(&view);
+    let out = fill_leafs(&mut engine);
     expect_that!(out.len(), ge(2));
-    expect_that!(forward_default(&mut d, NOW, 1).len(), eq(0));
+    expect_that!(forward_default(&mut engine, NOW, 1).len(), eq(0));
     let queue_deadline = NOW + ms(100) * consts::QUEUE_TIMEOUT_PCT / 100;
-    expect_that!(d.next_due(), some(eq(queue_deadline)));
-    expect_that!(response_of(&wake(&mut d, queue_deadline - 1)).is_none(), eq(true));
-    let commands = wake(&mut d, queue_deadline);
+    expect_that!(engine.next_due(), some(eq(queue_deadline)));
+    expect_that!(response_of(&wake(&mut engine, queue_deadline - 1)).is_none(), eq(true));
+    let commands = wake(&mut engine, queue_deadline);
     let b = rejection(&commands);
     expect_that!((b.reason, b.executed), eq((RejectionReason::NoCapacity, false)));
     expect_that!(b.retry_after, some(gt(0)));
     expect_that!(sends(commands).len(), eq(0));
     // Capacity that becomes free in time is used.
-    expect_that!(forward_default(&mut d, NOW, 2).len(), eq(0));
-    let list = sends(reply(&mut d, NOW + ms(5), &out[0], Ok(good_reply(&out[0]))));
+    expect_that!(forward_default(&mut engine, NOW, 2).len(), eq(0));
+    let list = sends(reply(&mut engine, NOW + ms(5), &out[0], Ok(good_reply(&out[0]))));
     expect_that!(list.len(), eq(1));
     expect_that!(list[0].leaf, eq(&out[0].leaf));
 }
@@ -800,32 +811,33 @@
 #[googletest::test]
 fn a_rejection_says_whether_other_shards_may_have_executed() {
     // Guards against a rejection that denies execution while leafs still work on the request.
-    let mut w = test_view(
+    let mut view = test_view(
         &[("a", 1), ("b", 1), ("c", 1), ("d", 0)],
         vec![merge_search(json!({ "quorum": 1.0 }))],
     );
-    let mut d = engine(&w);
-    let commands = forward(&mut d, NOW, 1, "h.example", "/x/");
+    let mut engine = new_engine(&view);
+    let commands = forward(&mut engine, NOW, 1, "h.example", "/x/");
     let b = rejection(&commands);
     expect_that!((b.reason, b.executed), eq((RejectionReason::NoLeaf, true)));
     // The leafs of the other shards work on it, and their attempts are not cancelled.
-    expect_that!(d.attempts.len(), eq(3));
+    expect_that!(engine.attempts.len(), eq(3));
     // Without any leaf, nothing can have been executed.
-    w.services = vec![("a", 0), ("b", 0), ("c", 0), ("d", 0)];
-    let mut d = engine(&w);
-    let b = rejection(&forward(&mut d, NOW, 1, "h.example", "/x/"));
+    view.services = vec![("a", 0), ("b", 0), ("c", 0), ("d", 0)];
+    let mut engine = new_engine(&view);
+    let b = rejection(&forward(&mut engine, NOW, 1, "h.example", "/x/"));
     expect_that!((b.reason, b.executed), eq((RejectionReason::NoLeaf, false)));
     // A leaf that is silent until the deadline may have executed it.
-    let mut d = engine(&test_view(&[("p", 1)], vec![forward_search(json!({}))]));
-    forward_default(&mut d, NOW, 1);
-    let commands = wake(&mut d, NOW + ms(800));
+    let mut engine = new_engine(&test_view(&[("p", 1)], vec![forward_search(json!({}))]));
+    forward_default(&mut engine, NOW, 1);
+    let commands = wake(&mut engine, NOW + ms(800));
     let b = rejection(&commands);
     expect_that!((b.reason, b.executed), eq((RejectionReason::DeadlineExceeded, true)));
 }
 
 /// Returns whether a query still waits for an attempt's reply.
-fn is_awaited(d: &QueryEngine, sending: &OutgoingAttempt) -> bool {
-    d.queries
+fn is_awaited(engine: &QueryEngine, sending: &OutgoingAttempt) -> bool {
+    engine
+        .queries
         .values()
         .flat_map(|query| &query.shards)
         .any(|shard| shard.in_flight.contains(&sending.attempt))
@@ -844,54 +856,57 @@
 fn a_superseded_attempt_is_cancelled_within_a_tenth_of_a_second() {
     // Guards against leafs that work on superseded attempts: a hedge has won, and the first leaf
     // hangs.
-    let mut d = engine(&test_view(&[("p", 3)], vec![forward_search(json!({ "attempts": 2 }))]));
-    let first = forward_default(&mut d, NOW, 1);
-    let due = d.next_due().unwrap();
-    let second = sends(wake(&mut d, due));
+    let mut engine =
+        new_engine(&test_view(&[("p", 3)], vec![forward_search(json!({ "attempts": 2 }))]));
+    let first = forward_default(&mut engine, NOW, 1);
+    let due = engine.next_due().unwrap();
+    let second = sends(wake(&mut engine, due));
     let won_at = due + ms(5);
-    forwarded_reply(&reply(&mut d, won_at, &second[0], Ok(good_reply(&second[0]))));
-    let at = d.next_due().unwrap();
+    forwarded_reply(&reply(&mut engine, won_at, &second[0], Ok(good_reply(&second[0]))));
+    let at = engine.next_due().unwrap();
     expect_that!(at, le(won_at + ms(100)));
-    expect_that!(cancelled(&wake(&mut d, at - 1)), is_empty());
-    expect_that!(cancelled(&wake(&mut d, at)), elements_are![eq(&first[0].attempt)]);
-    expect_that!(d.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
-    expect_that!(d.statistics.cancelled, eq(1));
+    expect_that!(cancelled(&wake(&mut engine, at - 1)), is_empty());
+    expect_that!(cancelled(&wake(&mut engine, at)), elements_are![eq(&first[0].attempt)]);
+    expect_that!(engine.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
+    expect_that!(engine.statistics.cancelled, eq(1));
 }
 
 #[googletest::test]
 fn attempts_beyond_a_quorum_are_cancelled_and_count_as_failures_of_silent_leafs() {
-    let mut d = engine(&test_view(&FOUR_SERVICES, vec![merge_search(json!({ "attempts": 1 }))]));
+    let mut engine =
+        new_engine(&test_view(&FOUR_SERVICES, vec![merge_search(json!({ "attempts": 1 }))]));
     // The engine learns that the usual latency is 5 ms.
     for i in 0..20 {
-        let list = forward_default(&mut d, NOW + i, 10 + i);
+        let list = forward_default(&mut engine, NOW + i, 10 + i);
         for s in &list {
-            reply(&mut d, NOW + i + ms(5), s, Ok(good_reply(s)));
+            reply(&mut engine, NOW + i + ms(5), s, Ok(good_reply(s)));
         }
     }
     let at = NOW + SECOND;
-    let list = forward_default(&mut d, at, 1);
+    let list = forward_default(&mut engine, at, 1);
     for s in &list[..3] {
-        reply(&mut d, at + ms(5), s, Ok(good_reply(s)));
+        reply(&mut engine, at + ms(5), s, Ok(good_reply(s)));
     }
-    let responded_at = d.next_due().unwrap();
-    expect_that!(merged_reply(&wake(&mut d, responded_at)).missing, eq(1));
-    let commands = wake(&mut d, responded_at + ms(100));
+    let responded_at = engine.next_due().unwrap();
+    expect_that!(merged_reply(&wake(&mut engine, responded_at)).missing, eq(1));
+    let commands = wake(&mut engine, responded_at + ms(100));
     expect_that!(cancelled(&commands), elements_are![eq(&list[3].attempt)]);
-    expect_that!(d.leafs[&list[3].leaf].consecutive_failures, eq(1));
+    expect_that!(engine.leafs[&list[3].leaf].consecutive_failures, eq(1));
 }
 
 #[googletest::test]
 fn a_disconnected_caller_cancels_its_attempts_except_at_most_once_ones() {
     for (once, count) in [(false, 1), (true, 0)] {
-        let mut d = engine(&test_view(&[("p", 2)], vec![forward_search(json!({ "once": once }))]));
-        let list = forward_default(&mut d, NOW, 1);
-        let commands = d.step(NOW + ms(1), Event::CallerGone { call: 1 });
+        let mut engine =
+            new_engine(&test_view(&[("p", 2)], vec![forward_search(json!({ "once": once }))]));
+        let list = forward_default(&mut engine, NOW, 1);
+        let commands = engine.step(NOW + ms(1), Event::CallerGone { call: 1 });
         expect_that!(cancelled(&commands).len(), eq(count));
-        let in_flight: u64 = d.leafs.values().map(|l| l.in_flight).sum();
+        let in_flight: u64 = engine.leafs.values().map(|l| l.in_flight).sum();
         expect_that!(in_flight, eq(1 - count as u64));
         // A late end of the attempt has no further effect.
-        reply(&mut d, NOW + ms(2), &list[0], Ok(good_reply(&list[0])));
-        expect_that!(d.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
+        reply(&mut engine, NOW + ms(2), &list[0], Ok(good_reply(&list[0])));
+        expect_that!(engine.leafs.values().map(|l| l.in_flight).sum::<u64>(), eq(0));
     }
 }
 
@@ -901,7 +916,7 @@
     // attempts that count as in flight on a leaf after they have ended.
     for seed in 0..150 {
         let mut random = Random::new(seed);
-        let mut w = test_view(
+        let mut view = test_view(
             &[("p", 4), ("a", 2), ("b", 2), ("c", 1), ("d", 2)],
             vec![
                 forward_search(json!({ "path": "/p/", "attempts": 3 })),
@@ -911,8 +926,8 @@
                 merge_search(json!({ "name": "join", "path": "/j/" })),
             ],
         );
-        w.slots = 1 + random.below(3) as u32;
-        let mut d = engine(&w);
+        view.slots = 1 + random.below(3) as u32;
+        let mut engine = new_engine(&view);
         let mut now = NOW;
         let mut out: Vec<OutgoingAttempt> = Vec::new();
         let mut deadlines: BTreeMap<u64, Tick> = BTreeMap::new();
@@ -934,8 +949,8 @@
                     Event::AttemptEnded { attempt: s.attempt, result: any_reply(&mut random, &s).0 }
                 }
                 7 if random.chance(1, 8) => {
-                    w.drained = ["none", "a", "b"][random.below(3) as usize];
-                    Event::ClusterView(Arc::new(cluster_view(&w)))
+                    view.drained = ["none", "a", "b"][random.below(3) as usize];
+                    Event::ClusterView(Arc::new(cluster_view(&view)))
                 }
                 8 if random.chance(1, 8) && !deadlines.is_empty() => {
                     let i = random.next_u64() as usize % deadlines.len();
@@ -945,12 +960,12 @@
                 }
                 _ => {
                     // Time advances, but not past the engine's next timer.
-                    let due = d.next_due().unwrap_or(Tick::MAX);
+                    let due = engine.next_due().unwrap_or(Tick::MAX);
                     now = (now + ms(random.below(30))).min(due.max(now));
                     Event::Timer
                 }
             };
-            for command in d.step(now, event) {
+            for command in engine.step(now, event) {
                 match command {
                     Command::Send(s) => out.push(s),
                     Command::Respond { call, .. } => {
@@ -966,18 +981,18 @@
                             "seed {seed}: an at-most-once attempt was cancelled"
                         );
                         // Its query has ended, or another attempt has answered for its shard.
-                        let is_unused = !is_awaited(&d, &s);
+                        let is_unused = !is_awaited(&engine, &s);
                         assert!(is_unused, "seed {seed}: an awaited attempt was cancelled");
                     }
                     Command::ReportLeaf { .. } | Command::ReportTrial(_) => {}
                 }
             }
-            for (name, leaf) in &d.leafs {
+            for (name, leaf) in &engine.leafs {
                 let live = out.iter().filter(|s| s.leaf == *name).count();
                 assert_eq!(leaf.in_flight, live as u64, "seed {seed}: {name}");
             }
             assert!(steps < 100_000, "seed {seed}: {deadlines:?}");
         }
-        expect_that!(d.queries.len(), eq(0));
+        expect_that!(engine.queries.len(), eq(0));
     }
 }
--- a/crates/core/tests/latency_estimate.rs
+++ b/crates/core/tests/latency_estimate.rs
@@ -11,8 +11,8 @@
 use grebepath_core::time::{Span, ms};
 
 /// Returns the estimate itself, which is the hedge delay without its margin and its factor.
-fn estimate(w: &LatencyEstimate, search: &str) -> Span {
-    (w.hedge_delay(search, None).unwrap() - HEDGE_DELAY_MARGIN) * 100 / HEDGE_DELAY_PCT
+fn estimate(latency: &LatencyEstimate, search: &str) -> Span {
+    (latency.hedge_delay(search, None).unwrap() - HEDGE_DELAY_MARGIN) * 100 / HEDGE_DELAY_PCT
 }
 
 /// Draws from a bell-shaped distribution, as a sum of uniform draws.
@@ -41,15 +41,15 @@
     for (name, distribution) in distributions {
         for seed in 0..5 {
             let mut random = Random::new(seed);
-            let mut w = LatencyEstimate::default();
+            let mut latency = LatencyEstimate::default();
             for _ in 0..3_000 {
-                w.record("s", distribution(&mut random));
+                latency.record("s", distribution(&mut random));
             }
             let (mut below, n) = (0u64, 20_000);
             for _ in 0..n {
                 let took = distribution(&mut random);
-                below += u64::from(took <= estimate(&w, "s"));
-                w.record("s", took);
+                below += u64::from(took <= estimate(&latency, "s"));
+                latency.record("s", took);
             }
             let share = below * 1_000 / n;
             assert!((930..=970).contains(&share), "{name}, seed {seed}: {share} of 1000 below");
@@ -60,45 +60,45 @@
 #[googletest::test]
 fn the_estimate_follows_leafs_that_become_slower_and_faster() {
     let mut random = Random::new(3);
-    let mut w = LatencyEstimate::default();
+    let mut latency = LatencyEstimate::default();
     for _ in 0..500 {
-        w.record("s", bell(&mut random, ms(20)));
+        latency.record("s", bell(&mut random, ms(20)));
     }
-    let before = estimate(&w, "s");
+    let before = estimate(&latency, "s");
     // 60 attempts are enough to learn that all leafs have become slow.
     for _ in 0..60 {
-        w.record("s", bell(&mut random, ms(200)));
+        latency.record("s", bell(&mut random, ms(200)));
     }
-    expect_that!(estimate(&w, "s"), gt(before * 5));
+    expect_that!(estimate(&latency, "s"), gt(before * 5));
     for _ in 0..2_000 {
-        w.record("s", bell(&mut random, ms(20)));
+        latency.record("s", bell(&mut random, ms(20)));
     }
-    expect_that!(estimate(&w, "s"), lt(before * 2));
+    expect_that!(estimate(&latency, "s"), lt(before * 2));
 }
 
 #[googletest::test]
 fn the_hedge_delay_is_a_share_of_the_target_before_the_first_sample() {
-    let mut w = LatencyEstimate::default();
-    expect_that!(w.hedge_delay("s", None), none());
+    let mut latency = LatencyEstimate::default();
+    expect_that!(latency.hedge_delay("s", None), none());
     expect_that!(
-        w.hedge_delay("s", Some(ms(100))),
+        latency.hedge_delay("s", Some(ms(100))),
         some(eq(ms(100) * HEDGE_DELAY_TARGET_PCT / 100))
     );
-    expect_that!(w.hedge_delay("s", Some(1)), some(eq(HEDGE_DELAY_MIN)));
-    w.record("s", ms(50));
+    expect_that!(latency.hedge_delay("s", Some(1)), some(eq(HEDGE_DELAY_MIN)));
+    latency.record("s", ms(50));
     // The first sample alone says little, so it does not shorten the delay.
-    expect_that!(w.hedge_delay("s", Some(ms(1))), some(ge(ms(100))));
-    expect_that!(w.hedge_delay("other", None), none());
-    w.retain(|s| s != "s");
-    expect_that!(w.hedge_delay("s", None), none());
+    expect_that!(latency.hedge_delay("s", Some(ms(1))), some(ge(ms(100))));
+    expect_that!(latency.hedge_delay("other", None), none());
+    latency.retain(|s| s != "s");
+    expect_that!(latency.hedge_delay("s", None), none());
 }
 
 #[googletest::test]
 fn the_hedge_delay_is_never_below_its_minimum() {
     // Guards against hedges within the noise of the machine.
-    let mut w = LatencyEstimate::default();
+    let mut latency = LatencyEstimate::default();
     for _ in 0..10_000 {
-        w.record("s", 0);
+        latency.record("s", 0);
     }
-    expect_that!(w.hedge_delay("s", None), some(ge(HEDGE_DELAY_MIN)));
+    expect_that!(latency.hedge_delay("s", None), some(ge(HEDGE_DELAY_MIN)));
 }
--- a/crates/core/tests/voter_slots.rs
+++ b/crates/core/tests/voter_slots.rs
@@ -169,8 +169,8 @@
 }
 
 /// Delivers one event, completes the requested disk writes immediately, and returns all commands.
-fn deliver(b: &mut TestController, event: Event) -> Vec<Command> {
-    let mut commands = b.core.step(b.now, event);
+fn deliver(controller: &mut TestController, event: Event) -> Vec<Command> {
+    let mut commands = controller.core.step(controller.now, event);
     let mut i = 0;
     while i < commands.len() {
         let event = match &commands[i] {
@@ -184,7 +184,7 @@
             _ => None,
         };
         if let Some(event) = event {
-            let more = b.core.step(b.now, event);
+            let more = controller.core.step(controller.now, event);
             commands.extend(more);
         }
         i += 1;
@@ -193,27 +193,32 @@
 }
 
 /// Advances the time with regular wake-ups and returns all commands.
-fn run_for(b: &mut TestController, span: Tick) -> Vec<Command> {
-    let end = b.now + span;
+fn run_for(controller: &mut TestController, span: Tick) -> Vec<Command> {
+    let end = controller.now + span;
     let mut out = Vec::new();
-    while b.now < end {
-        b.now += WAKE;
-        out.extend(deliver(b, Event::Wake));
+    while controller.now < end {
+        controller.now += WAKE;
+        out.extend(deliver(controller, Event::Wake));
     }
     out
 }
 
 /// Returns the event of a message from the holder of a slot.
-fn from_voter(b: &TestController, slot: VoterSlot, message: Message) -> Event {
-    let holder = b.core.voter_slots.voter_file.table.slots[usize::from(slot)].holder;
+fn from_voter(controller: &TestController, slot: VoterSlot, message: Message) -> Event {
+    let holder = controller.core.voter_slots.voter_file.table.slots[usize::from(slot)].holder;
     Event::FromVoter { slot, replica_id: holder, connection: u64::from(slot), message }
 }
 
 /// Requests a slot for a spare replica and returns the slots that it is offered.
-fn request_slots(b: &mut TestController, holder: u64, n: usize, zone: &str) -> Vec<VoterSlot> {
-    let (zone, stamp) = (zone.to_string(), b.core.voter_slots.stamp);
+fn request_slots(
+    controller: &mut TestController,
+    holder: u64,
+    n: usize,
+    zone: &str,
+) -> Vec<VoterSlot> {
+    let (zone, stamp) = (zone.to_string(), controller.core.voter_slots.stamp);
     let message = Message::JoinRequest { replica_id: holder, addr: addr(n), zone, stamp };
-    let out = deliver(b, Event::FromConnection { connection: 99, message });
+    let out = deliver(controller, Event::FromConnection { connection: 99, message });
     let offer = out.into_iter().find_map(|c| match c {
         Command::ToConnection { connection: 99, message: Message::JoinOffer { free, .. } } => {
             Some(free)
@@ -224,10 +229,16 @@
 }
 
 /// Takes over a slot for a replica.
-fn take_over(b: &mut TestController, slot: VoterSlot, generation: u32, holder: u64, zone: &str) {
+fn take_over(
+    controller: &mut TestController,
+    slot: VoterSlot,
+    generation: u32,
+    holder: u64,
+    zone: &str,
+) {
     let new_holder = SlotHolder { generation, holder, addr: addr(9), zone: zone.into() };
     deliver(
-        b,
+        controller,
         Event::FromConnection {
             connection: 99,
             message: Message::SlotTakeover { slot, holder: new_holder },
@@ -237,39 +248,43 @@
 
 #[googletest::test]
 fn a_slot_is_offered_only_if_its_holder_was_silent_while_this_controller_ran() {
-    let mut b = controller_in(0);
-    run_for(&mut b, 2 * SECOND);
-    expect_that!(request_slots(&mut b, 90, 9, "c"), is_empty());
-    let alive = from_voter(&b, 2, Message::VoterAlive { stamp: 0 });
-    deliver(&mut b, alive);
-    run_for(&mut b, 2 * SECOND);
+    let mut controller = controller_in(0);
+    run_for(&mut controller, 2 * SECOND);
+    expect_that!(request_slots(&mut controller, 90, 9, "c"), is_empty());
+    let alive = from_voter(&controller, 2, Message::VoterAlive { stamp: 0 });
+    deliver(&mut controller, alive);
+    run_for(&mut controller, 2 * SECOND);
     // The holder of slot 1 has been silent for long enough, but zone c holds slot 2 already.
-    expect_that!(request_slots(&mut b, 90, 9, "c"), is_empty());
-    expect_that!(request_slots(&mut b, 90, 9, "b"), elements_are![eq(&1)]);
+    expect_that!(request_slots(&mut controller, 90, 9, "c"), is_empty());
+    expect_that!(request_slots(&mut controller, 90, 9, "b"), elements_are![eq(&1)]);
     // The machine of slot 2 lost its disk and requests its own slot.
-    expect_that!(request_slots(&mut b, 90, 2, "c"), elements_are![eq(&2)]);
-    expect_that!(request_slots(&mut b, 90, 0, "a"), is_empty());
+    expect_that!(request_slots(&mut controller, 90, 2, "c"), elements_are![eq(&2)]);
+    expect_that!(request_slots(&mut controller, 90, 0, "a"), is_empty());
     // After a pause of this controller, the silence of the others during it does not count.
-    let mut b = controller_in(0);
-    run_for(&mut b, SECOND);
-    b.now += 20 * SECOND;
-    run_for(&mut b, SECOND);
-    expect_that!(request_slots(&mut b, 90, 9, "b"), is_empty());
+    let mut controller = controller_in(0);
+    run_for(&mut controller, SECOND);
+    controller.now += 20 * SECOND;
+    run_for(&mut controller, SECOND);
+    expect_that!(request_slots(&mut controller, 90, 9, "b"), is_empty());
     // A takeover fails if the slot is not offered or the generation is wrong; a generation of
     // a handover is reserved for the holder.
     let next = after_takeover(1);
-    take_over(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.voter_slots.voter_file.table.slots[1].generation, eq(1));
-    run_for(&mut b, 3 * SECOND);
+    take_over(&mut controller, 1, next, 90, "b");
+    expect_that!(controller.core.voter_slots.voter_file.table.slots[1].generation, eq(1));
+    run_for(&mut controller, 3 * SECOND);
     for wrong in [2, 3, next - 1, next + 1, after_takeover(next)] {
-        take_over(&mut b, 1, wrong, 90, "b");
-        expect_that!(b.core.voter_slots.voter_file.table.slots[1].generation, eq(1), "{wrong}");
+        take_over(&mut controller, 1, wrong, 90, "b");
+        expect_that!(
+            controller.core.voter_slots.voter_file.table.slots[1].generation,
+            eq(1),
+            "{wrong}"
+        );
     }
-    take_over(&mut b, 1, next, 90, "b");
-    expect_that!(b.core.voter_slots.voter_file.table.slots[1].holder, eq(90));
+    take_over(&mut controller, 1, next, 90, "b");
+    expect_that!(controller.core.voter_slots.voter_file.table.slots[1].holder, eq(90));
     // One generation has one holder.
-    take_over(&mut b, 1, next, 91, "b");
-    expect_that!(b.core.voter_slots.voter_file.table.slots[1].holder, eq(90));
+    take_over(&mut controller, 1, next, 91, "b");
+    expect_that!(controller.core.voter_slots.voter_file.table.slots[1].holder, eq(90));
 }
 
 #[googletest::test]
@@ -289,7 +304,7 @@
 }
 
 /// Makes the controller the leader of the configuration's partition with the vote of slot 2.
-fn become_leader(b: &mut TestController) -> Term {
+fn become_leader(controller: &mut TestController) -> Term {
     let partition = CONFIG;
     let pre_vote_term = |c: Command| match c {
         Command::ToVoter {
@@ -298,37 +313,39 @@
         } => Some(term),
         _ => None,
     };
-    let term = (0..100).find_map(|_| run_for(b, WAKE).into_iter().find_map(pre_vote_term)).unwrap();
+    let term = (0..100)
+        .find_map(|_| run_for(controller, WAKE).into_iter().find_map(pre_vote_term))
+        .unwrap();
     let granted = from_voter(
-        b,
+        controller,
         2,
         Message::PreVoteResponse { partition, term, granted: true, current_term: Term::ZERO },
     );
-    deliver(b, granted);
-    let stamp = b.core.voter_slots.stamp;
+    deliver(controller, granted);
+    let stamp = controller.core.voter_slots.stamp;
     let vote = from_voter(
-        b,
+        controller,
         2,
         Message::VoteGranted { partition, term, written_term: Term::ZERO, revision: 0, stamp },
     );
-    deliver(b, vote);
+    deliver(controller, vote);
     term
 }
 
-fn is_serving_leader(b: &TestController) -> bool {
-    matches!(&b.core.partitions[0].role, Role::Leader(leader) if leader.is_serving)
+fn is_serving_leader(controller: &TestController) -> bool {
+    matches!(&controller.core.partitions[0].role, Role::Leader(leader) if leader.is_serving)
 }
 
 #[googletest::test]
 fn an_acknowledgement_under_another_voter_set_does_not_count() {
-    let mut b = controller_in(0);
-    let term = become_leader(&mut b);
+    let mut controller = controller_in(0);
+    let term = become_leader(&mut controller);
     let partition = CONFIG;
-    expect_that!(is_serving_leader(&b), eq(false));
+    expect_that!(is_serving_leader(&controller), eq(false));
     let append_ack = |stamp| Message::AppendAck { partition, term, revision: 0, stamp };
-    let other = from_voter(&b, 2, append_ack(b.core.voter_slots.stamp ^ 1));
-    let out = deliver(&mut b, other);
-    expect_that!(is_serving_leader(&b), eq(false));
+    let other = from_voter(&controller, 2, append_ack(controller.core.voter_slots.stamp ^ 1));
+    let out = deliver(&mut controller, other);
+    expect_that!(is_serving_leader(&controller), eq(false));
     // The sender gets this controller's voter set in response.
     let is_voter_set_update = |c: &Command| {
         matches!(
@@ -341,36 +358,44 @@
         slot: 2,
         replica_id: 5,
         connection: 2,
-        message: append_ack(b.core.voter_slots.stamp),
+        message: append_ack(controller.core.voter_slots.stamp),
     };
-    deliver(&mut b, from_unknown);
-    expect_that!(is_serving_leader(&b), eq(false));
-    let good = from_voter(&b, 2, append_ack(b.core.voter_slots.stamp));
-    deliver(&mut b, good);
-    expect_that!(is_serving_leader(&b), eq(true));
+    deliver(&mut controller, from_unknown);
+    expect_that!(is_serving_leader(&controller), eq(false));
+    let good = from_voter(&controller, 2, append_ack(controller.core.voter_slots.stamp));
+    deliver(&mut controller, good);
+    expect_that!(is_serving_leader(&controller), eq(true));
 }
 
 #[googletest::test]
 fn a_leader_discards_a_voters_acknowledgements_when_its_slot_changes_holder() {
-    let mut b = controller_in(0);
-    let term = become_leader(&mut b);
+    let mut controller = controller_in(0);
+    let term = become_leader(&mut controller);
     let partition = CONFIG;
     let good = from_voter(
-        &b,
+        &controller,
         2,
-        Message::AppendAck { partition, term, revision: 0, stamp: b.core.voter_slots.stamp },
+        Message::AppendAck {
+            partition,
+            term,
+            revision: 0,
+            stamp: controller.core.voter_slots.stamp,
+        },
     );
-    deliver(&mut b, good);
-    expect_that!(is_serving_leader(&b), eq(true));
-    let old = b.core.voter_slots.stamp;
+    deliver(&mut controller, good);
+    expect_that!(is_serving_leader(&controller), eq(true));
+    let old = controller.core.voter_slots.stamp;
     // Slot 1 reports that slot 2 has a new holder.
-    let table = with_holder(&b.core.voter_slots.voter_file.table, 2, 2, 90);
-    let update = from_voter(&b, 1, Message::VoterSetUpdate { replica_id: 1, voter_set: table });
-    deliver(&mut b, update);
-    let Role::Leader(leader) = &b.core.partitions[0].role else { panic!("not the leader") };
+    let table = with_holder(&controller.core.voter_slots.voter_file.table, 2, 2, 90);
+    let update =
+        from_voter(&controller, 1, Message::VoterSetUpdate { replica_id: 1, voter_set: table });
+    deliver(&mut controller, update);
+    let Role::Leader(leader) = &controller.core.partitions[0].role else {
+        panic!("not the leader")
+    };
     let no_round = AckedRound { number: 0, began_at: 0 };
     expect_that!((leader.synced[1], leader.synced[2], leader.acked[2]), eq((None, None, no_round)));
-    expect_that!(b.core.voter_slots.stamp, not(eq(old)));
+    expect_that!(controller.core.voter_slots.stamp, not(eq(old)));
     // A late acknowledgement from the old holder is ignored.
     let late = Event::FromVoter {
         slot: 2,
@@ -380,35 +405,39 @@
             partition,
             term,
             revision: 0,
-            stamp: b.core.voter_slots.stamp,
+            stamp: controller.core.voter_slots.stamp,
         },
     };
-    deliver(&mut b, late);
-    let Role::Leader(leader) = &b.core.partitions[0].role else { panic!("not the leader") };
+    deliver(&mut controller, late);
+    let Role::Leader(leader) = &controller.core.partitions[0].role else {
+        panic!("not the leader")
+    };
     expect_that!(leader.synced[2], none());
 }
 
 #[googletest::test]
 fn a_voter_set_is_sent_and_applied_only_after_it_is_on_disk() {
-    let mut b = controller_in(0);
-    let table = with_holder(&b.core.voter_slots.voter_file.table, 0, 2, 90);
-    let update = from_voter(&b, 1, Message::VoterSetUpdate { replica_id: 1, voter_set: table });
-    let commands = b.core.step(b.now, update);
+    let mut controller = controller_in(0);
+    let table = with_holder(&controller.core.voter_slots.voter_file.table, 0, 2, 90);
+    let update =
+        from_voter(&controller, 1, Message::VoterSetUpdate { replica_id: 1, voter_set: table });
+    let commands = controller.core.step(controller.now, update);
     let is_voter_set_update = |c: &Command| {
         matches!(c, Command::ToVoter { message: Message::VoterSetUpdate { .. }, .. })
             || matches!(c, Command::ToConnection { message: Message::VoterSetUpdate { .. }, .. })
     };
     expect_that!(commands.iter().any(is_voter_set_update), eq(false));
-    expect_that!(b.core.slot, eq(0));
+    expect_that!(controller.core.slot, eq(0));
     let token = commands.iter().find_map(|c| match c {
         Command::WriteVoterFile { token, .. } => Some(*token),
         _ => None,
     });
     // Its own slot has a new holder: the controller clears all replicas and takes a new id.
-    let commands = b.core.step(b.now, Event::VoterFileWritten { token: token.unwrap() });
-    expect_that!(b.core.slot, eq(NO_SLOT));
+    let commands =
+        controller.core.step(controller.now, Event::VoterFileWritten { token: token.unwrap() });
+    expect_that!(controller.core.slot, eq(NO_SLOT));
     expect_that!(
-        b.core.partitions.iter().all(|p| p.condition == ReplicaCondition::Empty),
+        controller.core.partitions.iter().all(|p| p.condition == ReplicaCondition::Empty),
         eq(true)
     );
     let clears_files =
