--- a/crates/core/tests/cluster/mod.rs
+++ b/crates/core/tests/cluster/mod.rs
@@ -1,5 +1,5 @@
-//! Controllers driven by hand through `step`: every message and every sync of a
-//! disk is a piece of work that a test may hold back, drop or let go.
+//! A cluster of controllers that a test drives through `step`. Every message, disk sync and
+//! operator call is a separate action that the test can hold back, drop or perform.
 
 #![allow(dead_code)]
 
@@ -18,65 +18,66 @@
 use grebepath_core::storage::voter_file::{Start, VoterFile, begin};
 use grebepath_core::time::{BOOT, SECOND, Span, Tick};
 
-/// Work that is under way.
+/// An action that has not been performed yet.
 #[derive(Clone, Debug)]
 pub enum Work {
     /// A message from one controller to another.
-    Deliver { from: usize, to: usize, holder: u64, message: Message },
-    /// A disk finishes a write.
+    Deliver { from: usize, to: usize, replica_id: u64, message: Message },
+    /// A disk completes a write.
     Sync { node: usize, partition: PartitionId, token: u64 },
-    /// An operator's call comes to a controller.
+    /// An operator's call reaches a controller.
     Call { node: usize, op: u64, request: String, expect: Option<u64>, operation: Operation },
 }
 
-/// A write that was handed to a disk.
-enum Job {
+/// A write that was submitted to a disk.
+enum DiskWrite {
     Append(LogRecord),
-    Slot(ReplicaState),
+    Snapshot(ReplicaState),
 }
 
-/// What lasts, and what is on its way there.
+/// The synced state of a disk, and the writes that are not synced yet.
 #[derive(Default)]
 pub struct Disk {
-    pub kept: BTreeMap<PartitionId, ReplicaState>,
-    line: VecDeque<(PartitionId, u64, Job)>,
-    roll: Option<VoterFile>,
+    pub synced: BTreeMap<PartitionId, ReplicaState>,
+    pending: VecDeque<(PartitionId, u64, DiskWrite)>,
+    voter_file: Option<VoterFile>,
 }
 
 pub struct Node {
     /// `None` while it is down.
     pub core: Option<ControllerState>,
     pub disk: Disk,
-    /// Nothing comes or goes.
-    pub cut: bool,
-    /// The process is stopped: what comes waits for it.
-    pub frozen: bool,
-    waits: Vec<Work>,
+    /// Messages from and to the controller are dropped.
+    pub isolated: bool,
+    /// The process is paused: actions for it are deferred.
+    pub paused: bool,
+    deferred: Vec<Work>,
 }
 
 pub struct Cluster {
     pub nodes: Vec<Node>,
     pub now: Tick,
     pub work: VecDeque<Work>,
-    /// What operators were told, by the number of their call.
-    pub told: BTreeMap<u64, OperationResult>,
+    /// Responses that operators received, by the number of the call.
+    pub answered: BTreeMap<u64, OperationResult>,
     next_op: u64,
 }
 
-/// Controllers that were just started for the first time.
+/// Returns a cluster of controllers that were started for the first time and have elected a
+/// leader.
 pub fn cluster(count: usize) -> Cluster {
     let node = |_| Node {
         core: None,
         disk: Disk::default(),
-        cut: false,
-        frozen: false,
-        waits: Vec::new(),
+        isolated: false,
+        paused: false,
+        deferred: Vec::new(),
     };
     let nodes = (0..count).map(node).collect();
     let mut out =
-        Cluster { nodes, now: BOOT, work: VecDeque::new(), told: BTreeMap::new(), next_op: 0 };
+        Cluster { nodes, now: BOOT, work: VecDeque::new(), answered: BTreeMap::new(), next_op: 0 };
     (0..count).for_each(|node| start(&mut out, node, true));
-    assert!(pass_until(&mut out, 5 * SECOND, |c| leader(c).is_some()), "no leader");
+    assert!(run_until(&mut out, 5 * SECOND, |c| leader(c).is_some()), "no leader");
     out
 }
 
@@ -84,7 +85,7 @@
     format!("127.0.0.{}:1", node + 1)
 }
 
-/// Starts a controller on what its disk kept.
+/// Starts a controller on the state that its disk holds.
 pub fn start(cluster: &mut Cluster, node: usize, first: bool) {
     let count = cluster.nodes.len();
     let n = &mut cluster.nodes[node];
@@ -95,18 +96,18 @@
         size: count,
         addr: address(node),
     };
-    let bare = n.disk.kept.is_empty();
-    let (roll, _) = begin(n.disk.roll.take(), &start, bare, 5 + node as u64);
-    n.disk.roll = Some(roll.clone());
+    let is_empty = n.disk.synced.is_empty();
+    let (voter_file, _) = begin(n.disk.voter_file.take(), &start, is_empty, 5 + node as u64);
+    n.disk.voter_file = Some(voter_file.clone());
     let found = n
         .disk
-        .kept
+        .synced
         .iter()
         .map(|(id, copy)| (*id, ReplicaCondition::Voting, copy.clone(), 0))
         .collect();
     let zone = ["a", "b", "c"][node % 3];
     n.core = Some(ControllerState::new(
-        roll,
+        voter_file,
         (&address(node), zone),
         found,
         cluster.now + node as u64,
@@ -114,86 +115,86 @@
     ));
 }
 
-/// Ends a controller at once. What its disk had not finished is lost with the
-/// power; else the system writes it.
-pub fn kill(cluster: &mut Cluster, node: usize, power: bool) {
+/// Kills a controller. After a power loss its unsynced writes are lost; otherwise the operating
+/// system completes them.
+pub fn kill(cluster: &mut Cluster, node: usize, power_loss: bool) {
     let n = &mut cluster.nodes[node];
     n.core = None;
-    while let Some((partition, _, job)) = n.disk.line.pop_front() {
-        if !power {
-            last(&mut n.disk, partition, job);
+    while let Some((partition, _, job)) = n.disk.pending.pop_front() {
+        if !power_loss {
+            persist(&mut n.disk, partition, job);
         }
     }
     let syncs = |work: &Work| matches!(work, Work::Sync { node: n, .. } if *n == node);
     cluster.work.retain(|work| !syncs(work));
 }
 
-fn last(disk: &mut Disk, partition: PartitionId, job: Job) {
+fn persist(disk: &mut Disk, partition: PartitionId, job: DiskWrite) {
     match job {
-        Job::Slot(copy) => {
-            disk.kept.insert(partition, copy);
+        DiskWrite::Snapshot(copy) => {
+            disk.synced.insert(partition, copy);
         }
-        Job::Append(rec) => {
-            if let Some(copy) = disk.kept.get_mut(&partition) {
-                assert!(copy.apply(&rec), "a record that does not follow the one before");
+        DiskWrite::Append(rec) => {
+            if let Some(copy) = disk.synced.get_mut(&partition) {
+                assert!(copy.apply(&rec), "a record does not follow the one before");
             }
         }
     }
 }
 
-/// Gives an event to a controller and files what it wants done.
-pub fn give(cluster: &mut Cluster, node: usize, event: Event) {
+/// Delivers an event to a controller and queues the actions that follow from its commands.
+pub fn deliver_event(cluster: &mut Cluster, node: usize, event: Event) {
     let now = cluster.now;
     let Some(core) = &mut cluster.nodes[node].core else { return };
-    let holder = core.voter_slots.voter_file.replica_id;
+    let replica_id = core.voter_slots.voter_file.replica_id;
     for command in core.step(now, event) {
         let disk = &mut cluster.nodes[node].disk;
         match command {
             Command::ToVoter { slot, message } => {
                 let to = usize::from(slot);
-                cluster.work.push_back(Work::Deliver { from: node, to, holder, message });
+                cluster.work.push_back(Work::Deliver { from: node, to, replica_id, message });
             }
             Command::AppendRecord { partition, token, record: rec } => {
-                disk.line.push_back((partition, token, Job::Append(rec)));
+                disk.pending.push_back((partition, token, DiskWrite::Append(rec)));
                 cluster.work.push_back(Work::Sync { node, partition, token });
             }
             Command::WriteSnapshot { partition, token, snapshot: copy } => {
-                disk.line.push_back((partition, token, Job::Slot(copy)));
+                disk.pending.push_back((partition, token, DiskWrite::Snapshot(copy)));
                 cluster.work.push_back(Work::Sync { node, partition, token });
             }
             Command::WriteVoterFile { voter_file: roll, token, .. } => {
-                disk.roll = Some(roll);
-                give(cluster, node, Event::VoterFileWritten { token });
+                disk.voter_file = Some(roll);
+                deliver_event(cluster, node, Event::VoterFileWritten { token });
             }
             Command::Respond { op, result: done } => {
-                cluster.told.insert(op, done);
+                cluster.answered.insert(op, done);
             }
             _ => {}
         }
     }
 }
 
-/// Does a piece of work.
+/// Performs an action.
 fn perform(cluster: &mut Cluster, work: Work) {
     let (Work::Deliver { to: node, .. } | Work::Sync { node, .. } | Work::Call { node, .. }) =
         &work;
-    if cluster.nodes[*node].frozen {
-        return cluster.nodes[*node].waits.push(work);
+    if cluster.nodes[*node].paused {
+        return cluster.nodes[*node].deferred.push(work);
     }
     match work {
-        Work::Deliver { from, to, holder, message } => {
-            if !cluster.nodes[from].cut && !cluster.nodes[to].cut {
+        Work::Deliver { from, to, replica_id, message } => {
+            if !cluster.nodes[from].isolated && !cluster.nodes[to].isolated {
                 let event = Event::FromVoter {
                     slot: from as VoterSlot,
-                    replica_id: holder,
+                    replica_id,
                     connection: from as u64,
                     message,
                 };
-                give(cluster, to, event);
+                deliver_event(cluster, to, event);
             }
         }
         Work::Call { node, op, request, expect, operation } => {
-            give(
+            deliver_event(
                 cluster,
                 node,
                 Event::Operate { op, request, expected_revision: expect, operation },
@@ -201,82 +202,82 @@
         }
         Work::Sync { node, partition, token } => {
             let disk = &mut cluster.nodes[node].disk;
-            let at = disk.line.iter().position(|(p, t, _)| (*p, *t) == (partition, token));
-            if let Some((partition, _, job)) = at.and_then(|at| disk.line.remove(at)) {
-                last(disk, partition, job);
-                give(cluster, node, Event::Synced { partition, token });
+            let at = disk.pending.iter().position(|(p, t, _)| (*p, *t) == (partition, token));
+            if let Some((partition, _, job)) = at.and_then(|at| disk.pending.remove(at)) {
+                persist(disk, partition, job);
+                deliver_event(cluster, node, Event::Synced { partition, token });
             }
         }
     }
 }
 
-/// Does all work but what is held, which stays where it is.
-pub fn pump(cluster: &mut Cluster, held: impl Fn(&Work) -> bool) {
-    let mut waits = VecDeque::new();
+/// Performs all actions except those for which `held` returns true, which stay queued in their
+/// order.
+pub fn perform_unless(cluster: &mut Cluster, held: impl Fn(&Work) -> bool) {
+    let mut kept = VecDeque::new();
     while let Some(work) = cluster.work.pop_front() {
         if held(&work) {
-            waits.push_back(work);
+            kept.push_back(work);
         } else {
             perform(cluster, work);
         }
     }
-    cluster.work = waits;
+    cluster.work = kept;
 }
 
-/// Takes out what is under way from or to a controller.
+/// Removes and returns the messages in flight from or to a controller.
 pub fn take_messages(cluster: &mut Cluster, node: usize) -> Vec<Work> {
-    let its = |work: &Work| matches!(work, Work::Deliver { from, to, .. } if *from == node || *to == node);
-    let (taken, rest) = cluster.work.drain(..).partition(its);
+    let is_of_node = |work: &Work| matches!(work, Work::Deliver { from, to, .. } if *from == node || *to == node);
+    let (taken, rest) = cluster.work.drain(..).partition(is_of_node);
     cluster.work = rest;
     Vec::from_iter::<VecDeque<Work>>(taken)
 }
 
-/// Lets time pass, with nothing held.
-pub fn pass(cluster: &mut Cluster, span: Span) {
+/// Advances the time by `span` and performs all actions.
+pub fn run_for(cluster: &mut Cluster, span: Span) {
     let end = cluster.now + span;
-    pass_until(cluster, span, |c| c.now >= end);
+    run_until(cluster, span, |c| c.now >= end);
 }
 
-/// Lets time pass until `done`; tells whether it came to be.
-pub fn pass_until(cluster: &mut Cluster, span: Span, done: impl Fn(&Cluster) -> bool) -> bool {
+/// Advances the time until `done` holds, for `span` at most; returns whether it holds.
+pub fn run_until(cluster: &mut Cluster, span: Span, done: impl Fn(&Cluster) -> bool) -> bool {
     let end = cluster.now + span;
-    pump(cluster, |_| false);
+    perform_unless(cluster, |_| false);
     while !done(cluster) {
         if cluster.now >= end {
             return false;
         }
         cluster.now += WAKE_INTERVAL;
         for node in 0..cluster.nodes.len() {
-            if !cluster.nodes[node].frozen {
-                give(cluster, node, Event::Wake);
+            if !cluster.nodes[node].paused {
+                deliver_event(cluster, node, Event::Wake);
             }
         }
-        pump(cluster, |_| false);
+        perform_unless(cluster, |_| false);
     }
     true
 }
 
-/// A process that was stopped goes on: what came meanwhile comes now, the calls
-/// of operators first.
-pub fn thaw(cluster: &mut Cluster, node: usize) {
-    cluster.nodes[node].frozen = false;
-    let mut waits = std::mem::take(&mut cluster.nodes[node].waits);
-    waits.sort_by_key(|work| !matches!(work, Work::Call { .. }));
-    cluster.work.extend(waits);
-    pump(cluster, |_| false);
+/// Resumes a paused process: the deferred actions are performed now, operators' calls first.
+pub fn resume(cluster: &mut Cluster, node: usize) {
+    cluster.nodes[node].paused = false;
+    let mut deferred = std::mem::take(&mut cluster.nodes[node].deferred);
+    deferred.sort_by_key(|work| !matches!(work, Work::Call { .. }));
+    cluster.work.extend(deferred);
+    perform_unless(cluster, |_| false);
 }
 
-/// The controller that leads the configuration's partition and serves.
+/// Returns the serving leader of the configuration's partition.
 pub fn leader(cluster: &Cluster) -> Option<usize> {
     let term = |node: &usize| match &cluster.nodes[*node].core.as_ref()?.partitions[0].role {
-        Role::Leader(owner) if owner.is_serving => Some(owner.term),
+        Role::Leader(leader) if leader.is_serving => Some(leader.term),
         _ => None,
     };
-    let term = |node: &usize| term(node).filter(|_| !cluster.nodes[*node].frozen);
+    let term = |node: &usize| term(node).filter(|_| !cluster.nodes[*node].paused);
     (0..cluster.nodes.len()).filter(|node| term(node).is_some()).max_by_key(|node| term(node))
 }
 
-/// An operator's call at a controller; gives its number.
+/// Makes an operator's call at a controller and returns its number.
 pub fn call(
     cluster: &mut Cluster,
     node: usize,
@@ -291,8 +292,8 @@
     op
 }
 
-/// Calls and waits for the answer; `None` if none comes.
-pub fn answer(
+/// Makes an operator's call and waits for the response; `None` if none arrives in 12 s.
+pub fn call_and_wait(
     cluster: &mut Cluster,
     node: usize,
     request: &str,
@@ -300,13 +301,13 @@
     operation: Operation,
 ) -> Option<OperationResult> {
     let op = call(cluster, node, request, expect, operation);
-    pass_until(cluster, 12 * SECOND, |c| c.told.contains_key(&op));
-    cluster.told.get(&op).cloned()
+    run_until(cluster, 12 * SECOND, |c| c.answered.contains_key(&op));
+    cluster.answered.get(&op).cloned()
 }
 
-/// The configuration as it is read through a controller.
-pub fn read_back(cluster: &mut Cluster, node: usize) -> Option<Config> {
-    match answer(cluster, node, "read", None, Operation::Read) {
+/// Reads the configuration through a controller.
+pub fn read_configuration(cluster: &mut Cluster, node: usize) -> Option<Config> {
+    match call_and_wait(cluster, node, "read", None, Operation::Read) {
         Some(OperationResult::Configuration { entries: map, .. }) => {
             Config::from_entries(&map).ok()
         }
@@ -314,29 +315,29 @@
     }
 }
 
-/// Cuts the power of all and starts them again.
-pub fn restart_all(cluster: &mut Cluster, power: bool) {
+/// Kills all controllers, with or without power loss, and starts them again.
+pub fn restart_all(cluster: &mut Cluster, power_loss: bool) {
     let all = 0..cluster.nodes.len();
-    all.clone().for_each(|node| kill(cluster, node, power));
+    all.clone().for_each(|node| kill(cluster, node, power_loss));
     cluster.work.clear();
     all.for_each(|node| start(cluster, node, false));
-    assert!(pass_until(cluster, 5 * SECOND, |c| leader(c).is_some()), "no leader");
+    assert!(run_until(cluster, 5 * SECOND, |c| leader(c).is_some()), "no leader");
 }
 
-/// Changes the configuration's partition everywhere, on disk and in memory, as
-/// no sound controller would.
+/// Changes the configuration's partition on all controllers, on disk and in memory, which no
+/// correct controller does.
 pub fn tamper(cluster: &mut Cluster, with: impl Fn(&mut ReplicaState)) {
     for node in &mut cluster.nodes {
         if let Some(core) = &mut node.core {
             with(&mut core.partitions[0].state);
         }
-        if let Some(copy) = node.disk.kept.get_mut(&CONFIG) {
+        if let Some(copy) = node.disk.synced.get_mut(&CONFIG) {
             with(copy);
         }
     }
 }
 
-/// The revision of the configuration on a controller's disk.
+/// Returns the revision of the configuration on a controller's disk.
 pub fn synced_revision(cluster: &Cluster, node: usize) -> u64 {
-    cluster.nodes[node].disk.kept.get(&CONFIG).map_or(0, |copy| copy.revision)
+    cluster.nodes[node].disk.synced.get(&CONFIG).map_or(0, |copy| copy.revision)
 }
--- a/crates/core/tests/common/cluster.rs
+++ b/crates/core/tests/common/cluster.rs
@@ -1,8 +1,9 @@
-//! Three controllers on a net and disks that a test commands, in virtual time.
+//! A cluster of controllers in virtual time, with a simulated network and simulated disks.
 //!
-//! The net keeps the order of the messages between two controllers, as one
-//! connection does. A test says who is cut off, paused, stalled, restarted or has
-//! a clock that runs fast or slow; only the latency may vary, by the net's seed.
+//! Messages between two controllers arrive in the order in which they were sent, as on one
+//! connection. The test decides which controllers are partitioned, paused, restarted, have a
+//! stalled disk or a clock that runs fast or slow. Only the message latency may be random,
+//! drawn from a seeded generator.
 #![allow(dead_code, clippy::unwrap_used)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -23,78 +24,80 @@
 use grebepath_core::time::{BOOT, MILLI, SECOND, Span, Tick, ms};
 use grebepath_core::voter_set::fixed_replica_id;
 
-/// One way between two controllers, and one write to a disk.
+/// Minimum one-way latency between two controllers, and duration of a write to a disk.
 const LATENCY: Span = ms(1);
 const SYNC: Span = ms(2);
-/// The connection of members begins here; those of controllers are below.
+/// Lowest number of a member's connection; numbers below it are connections of controllers.
 const MEMBER_CONNECTION: u64 = 1_000;
-/// Controllers in a cluster, at the most.
+/// Maximum number of controllers in a cluster.
 const MAX_NODES: u64 = 8;
 
-/// What reaches a controller.
-enum Delivery {
+/// An event that is scheduled for a controller.
+enum Scheduled {
     Event(Event),
     Wake,
-    /// A wake that the controller asked for itself.
-    AskedWake,
-    Written,
+    /// A wake-up that the controller requested with `WakeAfter`.
+    RequestedWake,
+    WriteDone,
 }
 
 struct Node {
     core: ControllerState,
-    /// Counts the processes of this machine: what was meant for an earlier one
-    /// is lost, except what comes on a new connection.
-    life: u64,
-    /// The local clock: its reading at `anchor`, and its rate in percent.
+    /// Number of the process on this machine. Events that are scheduled for an earlier process
+    /// are dropped.
+    incarnation: u64,
+    /// The local clock: its reading at the time `anchor`, and its rate in percent.
     reading: Tick,
     anchor: Tick,
-    rate: u64,
+    clock_percent: u64,
     paused_until: Tick,
-    stalled: bool,
-    /// How long each write takes, one after the other; zero: all together, 2 ms.
+    disk_stalled: bool,
+    /// Duration of each write if the disk performs them one after the other; zero if all writes
+    /// complete together after 2 ms.
     write_span: Span,
     disk_busy_until: Tick,
-    /// What is under way to the disk, oldest first.
+    /// Writes in progress, oldest first.
     writes: Vec<Write>,
-    /// What the disk holds.
+    /// The state that is on the disk.
     disk: BTreeMap<PartitionId, ReplicaState>,
 }
 
-/// A write under way.
+/// A write in progress.
 enum Write {
     Append { partition: PartitionId, token: u64, record: LogRecord },
     Slot { partition: PartitionId, token: u64, copy: ReplicaState },
     VoterSet { token: u64 },
 }
 
-/// An answer that an operator got.
-pub struct Answer {
+/// A response that an operator received.
+pub struct Response {
     pub at: Tick,
     pub done: OperationResult,
 }
 
-/// Controllers with their net.
+/// Controllers with their network.
 pub struct Cluster {
     pub now: Tick,
     nodes: Vec<Node>,
-    line: BTreeMap<(Tick, u64), (usize, u64, Delivery)>,
-    serial: u64,
-    /// Directed pairs on which nothing passes.
-    pub cut: BTreeSet<(usize, usize)>,
-    pub answers: BTreeMap<u64, Answer>,
-    pub asked: BTreeMap<u64, Tick>,
-    next_operation: u64,
-    /// Added to each message's latency at random, at the most.
+    scheduled: BTreeMap<(Tick, u64), (usize, u64, Scheduled)>,
+    sequence: u64,
+    /// Directed pairs (from, to) whose messages are dropped.
+    pub blocked_links: BTreeSet<(usize, usize)>,
+    pub responses: BTreeMap<u64, Response>,
+    pub submitted_at: BTreeMap<u64, Tick>,
+    next_number: u64,
+    /// Maximum random latency that is added to each message.
     pub jitter: Span,
-    pub chance: Random,
+    pub latency_random: Random,
     last_arrival: BTreeMap<(usize, usize), Tick>,
-    /// Broken on purpose: what a leader judges counts as proved at once.
-    pub unproved: bool,
-    /// Broken on purpose: snapshots lack the newest entry.
+    /// Deliberate fault: the leader takes its next heartbeat round as acknowledged by all
+    /// voters as soon as it receives an operation.
+    pub skip_leadership_proof: bool,
+    /// Deliberate fault: snapshots lack their last entry.
     pub lossy_snapshots: bool,
-    /// Messages by the first word of their text, and by sender.
+    /// Number of messages sent, by sender and message variant.
     pub sent: BTreeMap<(usize, String), u64>,
-    /// What controllers sent to members, newest last.
+    /// Messages that controllers sent to members, with the sender, newest last.
     pub to_members: Vec<(usize, Message)>,
     pub alarms: Vec<String>,
 }
@@ -103,47 +106,48 @@
     format!("127.0.0.{}:7", node + 1)
 }
 
-/// The connection of a controller's process to another one: a new process opens a new one.
-fn voter_connection(node: usize, life: u64) -> u64 {
-    let connection = life * MAX_NODES + node as u64;
+/// Returns the number of the connection on which a process of a controller sends; each new
+/// process opens a new connection.
+fn voter_connection(node: usize, incarnation: u64) -> u64 {
+    let connection = incarnation * MAX_NODES + node as u64;
     assert!(connection < MEMBER_CONNECTION, "too many restarts");
     connection
 }
 
-/// A controller that has just read its disk.
-fn booted(
+/// Starts a controller on the state that its disk holds.
+fn start_controller(
     node: usize,
     size: usize,
     seed: u64,
-    first: bool,
+    is_first_start: bool,
     disk: &BTreeMap<PartitionId, ReplicaState>,
 ) -> ControllerState {
     let start = Start {
         slot: Some(node as u8),
-        is_first_start: first,
+        is_first_start,
         seeds: (0..size).map(address).collect(),
         size,
         addr: address(node),
     };
-    let (roll, _) = begin(None, &start, disk.is_empty(), seed);
+    let (voter_file, _) = begin(None, &start, disk.is_empty(), seed);
     let found = disk
         .iter()
         .map(|(partition, copy)| (*partition, ReplicaCondition::Voting, copy.clone(), 0))
         .collect();
-    ControllerState::new(roll, (&address(node), "a"), found, seed, BOOT)
+    ControllerState::new(voter_file, (&address(node), "a"), found, seed, BOOT)
 }
 
-/// So many controllers, each with a voter slot and a disk that holds nothing.
+/// Returns a cluster of `size` controllers, each with a voter slot and an empty disk.
 pub fn cluster(size: usize) -> Cluster {
     let nodes = (0..size)
         .map(|node| Node {
-            core: booted(node, size, 11 + node as u64, true, &BTreeMap::new()),
-            life: 1,
+            core: start_controller(node, size, 11 + node as u64, true, &BTreeMap::new()),
+            incarnation: 1,
             reading: BOOT,
             anchor: 0,
-            rate: 100,
+            clock_percent: 100,
             paused_until: 0,
-            stalled: false,
+            disk_stalled: false,
             write_span: 0,
             disk_busy_until: 0,
             writes: Vec::new(),
@@ -153,165 +157,168 @@
     let mut cluster = Cluster {
         now: 0,
         nodes,
-        line: BTreeMap::new(),
-        serial: 0,
-        cut: BTreeSet::new(),
-        answers: BTreeMap::new(),
-        asked: BTreeMap::new(),
-        next_operation: 1,
+        scheduled: BTreeMap::new(),
+        sequence: 0,
+        blocked_links: BTreeSet::new(),
+        responses: BTreeMap::new(),
+        submitted_at: BTreeMap::new(),
+        next_number: 1,
         jitter: 0,
-        chance: Random::new(1),
+        latency_random: Random::new(1),
         last_arrival: BTreeMap::new(),
-        unproved: false,
+        skip_leadership_proof: false,
         lossy_snapshots: false,
         sent: BTreeMap::new(),
         to_members: Vec::new(),
         alarms: Vec::new(),
     };
     for node in 0..size {
-        push(&mut cluster, node, ms(node as u64), Delivery::Wake);
+        push(&mut cluster, node, ms(node as u64), Scheduled::Wake);
     }
     cluster
 }
 
-fn push(cluster: &mut Cluster, node: usize, after: Span, delivery: Delivery) {
-    cluster.serial += 1;
-    let life = cluster.nodes[node].life;
-    cluster.line.insert((cluster.now + after, cluster.serial), (node, life, delivery));
+fn push(cluster: &mut Cluster, node: usize, after: Span, delivery: Scheduled) {
+    cluster.sequence += 1;
+    let incarnation = cluster.nodes[node].incarnation;
+    cluster
+        .scheduled
+        .insert((cluster.now + after, cluster.sequence), (node, incarnation, delivery));
 }
 
-/// What a controller's own clock shows.
-pub fn local(cluster: &Cluster, node: usize) -> Tick {
+/// Returns the reading of a controller's local clock.
+pub fn local_clock(cluster: &Cluster, node: usize) -> Tick {
     let node = &cluster.nodes[node];
-    node.reading + (cluster.now - node.anchor) * node.rate / 100
+    node.reading + (cluster.now - node.anchor) * node.clock_percent / 100
 }
 
-/// Lets a controller's clock run at this rate from now on.
-pub fn rate(cluster: &mut Cluster, node: usize, percent: u64) {
-    let reading = local(cluster, node);
+/// Sets the rate of a controller's clock, in percent of real time.
+pub fn set_clock_rate(cluster: &mut Cluster, node: usize, percent: u64) {
+    let reading = local_clock(cluster, node);
     let now = cluster.now;
     let node = &mut cluster.nodes[node];
-    (node.reading, node.anchor, node.rate) = (reading, now, percent);
+    (node.reading, node.anchor, node.clock_percent) = (reading, now, percent);
 }
 
-/// Stops a process for a while; its clock and what reaches it go on.
+/// Pauses a process for a while. Its clock goes on, and events for it are queued.
 pub fn pause(cluster: &mut Cluster, node: usize, span: Span) {
     cluster.nodes[node].paused_until = cluster.now + span;
 }
 
-/// Lets nothing pass between a controller and all others.
+/// Blocks all messages between a controller and the others.
 pub fn isolate(cluster: &mut Cluster, node: usize) {
     for other in (0..cluster.nodes.len()).filter(|other| *other != node) {
-        cluster.cut.insert((node, other));
-        cluster.cut.insert((other, node));
+        cluster.blocked_links.insert((node, other));
+        cluster.blocked_links.insert((other, node));
     }
 }
 
-/// Holds what one controller sends to another from now on: it all arrives after this time.
-pub fn hold(cluster: &mut Cluster, from: usize, to: usize, span: Span) {
+/// Delays messages that one controller sends to another from now on: none arrives before `span`
+/// has passed.
+pub fn delay_messages(cluster: &mut Cluster, from: usize, to: usize, span: Span) {
     cluster.last_arrival.insert((from, to), cluster.now + span);
 }
 
-/// A disk that takes so long for each write, one after the other.
+/// Makes a controller's disk perform writes one after the other, each taking `span`.
 pub fn slow_disk(cluster: &mut Cluster, node: usize, span: Span) {
     cluster.nodes[node].write_span = span;
 }
 
-/// A disk that finishes nothing until it is released.
-pub fn stall(cluster: &mut Cluster, node: usize, stalled: bool) {
-    cluster.nodes[node].stalled = stalled;
-    if !stalled {
-        push(cluster, node, 0, Delivery::Written);
+/// Stalls a controller's disk, so that no write completes, or releases it.
+pub fn stall_disk(cluster: &mut Cluster, node: usize, disk_stalled: bool) {
+    cluster.nodes[node].disk_stalled = disk_stalled;
+    if !disk_stalled {
+        push(cluster, node, 0, Scheduled::WriteDone);
     }
 }
 
-/// The process ends and a new one starts at once on an empty disk.
-pub fn restart_blank(cluster: &mut Cluster, node: usize, seed: u64) {
+/// Ends a process and immediately starts a new one on an empty disk.
+pub fn restart_on_empty_disk(cluster: &mut Cluster, node: usize, seed: u64) {
     cluster.nodes[node].disk.clear();
     restart(cluster, node, seed);
 }
 
-/// The process ends, what it wrote lasts, and a new one starts at once.
+/// Ends a process and immediately starts a new one on the completed writes.
 pub fn restart(cluster: &mut Cluster, node: usize, seed: u64) {
     let size = cluster.nodes.len();
     let now = cluster.now;
     let machine = &mut cluster.nodes[node];
-    machine.life += 1;
-    machine.core = booted(node, size, seed, false, &machine.disk);
+    machine.incarnation += 1;
+    machine.core = start_controller(node, size, seed, false, &machine.disk);
     (machine.reading, machine.anchor, machine.paused_until) = (BOOT, now, 0);
     machine.writes.clear();
-    push(cluster, node, ms(1), Delivery::Wake);
+    push(cluster, node, ms(1), Scheduled::Wake);
 }
 
-/// Loses what is under way between two controllers, as a reset connection does.
-pub fn reset(cluster: &mut Cluster, a: usize, b: usize) {
-    let between = |node: usize, event: &Delivery| match event {
-        Delivery::Event(Event::FromVoter { slot, .. }) => {
+/// Drops the messages in flight between two controllers, as a connection reset does.
+pub fn reset_connection(cluster: &mut Cluster, a: usize, b: usize) {
+    let between = |node: usize, event: &Scheduled| match event {
+        Scheduled::Event(Event::FromVoter { slot, .. }) => {
             let from = usize::from(*slot);
             (from, node) == (a, b) || (from, node) == (b, a)
         }
         _ => false,
     };
-    cluster.line.retain(|_, (node, _, event)| !between(*node, event));
+    cluster.scheduled.retain(|_, (node, _, event)| !between(*node, event));
 }
 
-/// Lets time pass.
+/// Advances the virtual time by `span`.
 pub fn run(cluster: &mut Cluster, span: Span) {
     let end = cluster.now + span;
-    while let Some(entry) = cluster.line.first_entry() {
+    while let Some(entry) = cluster.scheduled.first_entry() {
         if entry.key().0 > end {
             break;
         }
-        let ((at, _), (node, life, delivery)) = entry.remove_entry();
+        let ((at, _), (node, incarnation, delivery)) = entry.remove_entry();
         cluster.now = cluster.now.max(at);
-        deliver(cluster, node, life, delivery);
+        deliver_scheduled(cluster, node, incarnation, delivery);
     }
     cluster.now = end;
 }
 
-/// Lets time pass until `done`, a minute at the most.
-pub fn until(cluster: &mut Cluster, done: impl Fn(&Cluster) -> bool) {
+/// Advances the virtual time until `done` holds; fails after a minute.
+pub fn run_until(cluster: &mut Cluster, done: impl Fn(&Cluster) -> bool) {
     let end = cluster.now + 60 * SECOND;
     while !done(cluster) {
-        assert!(cluster.now < end, "it does not come to be in a minute");
+        assert!(cluster.now < end, "the condition does not hold within a minute");
         run(cluster, MILLI);
     }
 }
 
-fn deliver(cluster: &mut Cluster, node: usize, life: u64, delivery: Delivery) {
+fn deliver_scheduled(cluster: &mut Cluster, node: usize, incarnation: u64, delivery: Scheduled) {
     let machine = &mut cluster.nodes[node];
-    if machine.life != life {
+    if machine.incarnation != incarnation {
         return;
     }
     if machine.paused_until > cluster.now {
-        cluster.serial += 1;
-        let at = (machine.paused_until, cluster.serial);
-        cluster.line.insert(at, (node, life, delivery));
+        cluster.sequence += 1;
+        let at = (machine.paused_until, cluster.sequence);
+        cluster.scheduled.insert(at, (node, incarnation, delivery));
         return;
     }
     match delivery {
-        Delivery::Event(event) => take(cluster, node, event),
-        Delivery::Wake => {
-            let span = WAKE_INTERVAL * 100 / machine.rate;
-            push(cluster, node, span, Delivery::Wake);
-            take(cluster, node, Event::Wake);
+        Scheduled::Event(event) => deliver_event(cluster, node, event),
+        Scheduled::Wake => {
+            let span = WAKE_INTERVAL * 100 / machine.clock_percent;
+            push(cluster, node, span, Scheduled::Wake);
+            deliver_event(cluster, node, Event::Wake);
         }
-        Delivery::AskedWake => take(cluster, node, Event::Wake),
-        Delivery::Written => {
-            if !machine.stalled {
+        Scheduled::RequestedWake => deliver_event(cluster, node, Event::Wake),
+        Scheduled::WriteDone => {
+            if !machine.disk_stalled {
                 let count = if machine.write_span > 0 { 1 } else { machine.writes.len() };
                 let count = count.min(machine.writes.len());
                 for write in machine.writes.drain(..count).collect::<Vec<_>>() {
-                    let event = written(&mut cluster.nodes[node].disk, write);
-                    take(cluster, node, event);
+                    let event = complete_write(&mut cluster.nodes[node].disk, write);
+                    deliver_event(cluster, node, event);
                 }
             }
         }
     }
 }
 
-/// A write has reached the disk.
-fn written(disk: &mut BTreeMap<PartitionId, ReplicaState>, write: Write) -> Event {
+/// Applies a completed write to the disk and returns the event that reports it.
+fn complete_write(disk: &mut BTreeMap<PartitionId, ReplicaState>, write: Write) -> Event {
     match write {
         Write::Append { partition, token, record } => {
             disk.entry(partition).or_default().apply(&record);
@@ -325,36 +332,39 @@
     }
 }
 
-/// Gives one event to a controller and carries out what it says, now.
-pub fn take(cluster: &mut Cluster, node: usize, event: Event) {
-    let now = local(cluster, node);
+/// Delivers one event to a controller now and executes the commands that it returns.
+pub fn deliver_event(cluster: &mut Cluster, node: usize, event: Event) {
+    let now = local_clock(cluster, node);
     let core = &mut cluster.nodes[node].core;
-    let order = matches!(
+    let is_operation = matches!(
         &event,
         Event::Operate { .. } | Event::FromVoter { message: Message::OperationRequest { .. }, .. }
     );
-    let answered = (cluster.unproved && order).then(|| pretend_proof(core));
+    let answered =
+        (cluster.skip_leadership_proof && is_operation).then(|| assume_next_round_acked(core));
     let commands = core.step(now, event);
     if let (Some(answered), Role::Leader(leader)) = (answered, &mut core.partitions[0].role) {
         leader.acked = answered;
     }
     for command in commands {
-        carry_out(cluster, node, command);
+        execute(cluster, node, command);
     }
 }
 
-/// Lets a leader take the next round as answered by all; gives what was true.
-fn pretend_proof(core: &mut ControllerState) -> Vec<AckedRound> {
+/// Marks the leader's next round as acknowledged by all voters, and returns the true
+/// acknowledgements, to be restored.
+fn assume_next_round_acked(core: &mut ControllerState) -> Vec<AckedRound> {
     let Role::Leader(leader) = &mut core.partitions[0].role else { return Vec::new() };
     let answered = leader.acked.clone();
     let next = leader.round + 1;
-    leader.acked.iter_mut().for_each(|answer| answer.number = next);
+    leader.acked.iter_mut().for_each(|round| round.number = next);
     answered
 }
 
-/// How long a message takes that is sent now, behind all that was sent before.
-fn transit(cluster: &mut Cluster, from: usize, to: usize) -> Span {
-    let arrival = cluster.now + LATENCY + cluster.chance.below(cluster.jitter);
+/// Returns the latency of a message that is sent now; it arrives after all messages that were
+/// sent before it on the same link.
+fn message_latency(cluster: &mut Cluster, from: usize, to: usize) -> Span {
+    let arrival = cluster.now + LATENCY + cluster.latency_random.below(cluster.jitter);
     let last = cluster.last_arrival.entry((from, to)).or_insert(0);
     *last = arrival.max(*last);
     *last - cluster.now
@@ -369,10 +379,10 @@
         machine.disk_busy_until = machine.disk_busy_until.max(now) + machine.write_span;
         after = machine.disk_busy_until - now;
     }
-    push(cluster, node, after, Delivery::Written);
+    push(cluster, node, after, Scheduled::WriteDone);
 }
 
-fn carry_out(cluster: &mut Cluster, node: usize, command: Command) {
+fn execute(cluster: &mut Cluster, node: usize, command: Command) {
     match command {
         Command::ToVoter { slot, mut message } => {
             if let (true, Message::Snapshot { entries: map, .. }) =
@@ -380,19 +390,19 @@
             {
                 map.pop_last();
             }
-            let word = format!("{message:?}");
-            let word = word.split([' ', '(', '{']).next().unwrap_or_default().to_string();
-            *cluster.sent.entry((node, word)).or_default() += 1;
+            let variant = format!("{message:?}");
+            let variant = variant.split([' ', '(', '{']).next().unwrap_or_default().to_string();
+            *cluster.sent.entry((node, variant)).or_default() += 1;
             let to = usize::from(slot);
-            if cluster.cut.contains(&(node, to)) {
+            if cluster.blocked_links.contains(&(node, to)) {
                 return;
             }
             let slot = node as u8;
-            let connection = voter_connection(node, cluster.nodes[node].life);
+            let connection = voter_connection(node, cluster.nodes[node].incarnation);
             let event =
                 Event::FromVoter { slot, replica_id: fixed_replica_id(slot), connection, message };
-            let after = transit(cluster, node, to);
-            push(cluster, to, after, Delivery::Event(event));
+            let after = message_latency(cluster, node, to);
+            push(cluster, to, after, Scheduled::Event(event));
         }
         Command::ToConnection { message, .. } => cluster.to_members.push((node, message)),
         Command::AppendRecord { partition, token, record: rec } => {
@@ -404,19 +414,19 @@
         Command::WriteVoterFile { token, .. } => write(cluster, node, Write::VoterSet { token }),
         Command::Respond { op, result: done } => {
             let at = cluster.now;
-            assert!(!cluster.answers.contains_key(&op), "operation {op} has two answers");
-            cluster.answers.insert(op, Answer { at, done });
+            assert!(!cluster.responses.contains_key(&op), "operation {op} has two responses");
+            cluster.responses.insert(op, Response { at, done });
         }
         Command::WakeAfter { span } => {
-            let span = span * 100 / cluster.nodes[node].rate;
-            push(cluster, node, span, Delivery::AskedWake);
+            let span = span * 100 / cluster.nodes[node].clock_percent;
+            push(cluster, node, span, Scheduled::RequestedWake);
         }
         Command::Alarm(text) => cluster.alarms.push(text),
         _ => {}
     }
 }
 
-/// The serving leader of the configuration of the highest term, if any.
+/// Returns the serving leader of the configuration's partition with the highest term, if any.
 pub fn leader(cluster: &Cluster) -> Option<usize> {
     let term = |node: &usize| match &cluster.nodes[*node].core.partitions[0].role {
         Role::Leader(leader) if leader.is_serving => leader.term,
@@ -425,91 +435,103 @@
     (0..cluster.nodes.len()).max_by_key(|node| term(node)).filter(|node| term(node) > Term::ZERO)
 }
 
-/// Whether this controller believes that it leads the configuration.
-pub fn believes(cluster: &Cluster, node: usize) -> bool {
+/// Returns whether a controller considers itself the serving leader of the configuration's
+/// partition.
+pub fn considers_itself_leader(cluster: &Cluster, node: usize) -> bool {
     matches!(&cluster.nodes[node].core.partitions[0].role, Role::Leader(leader) if leader.is_serving)
 }
 
-/// The controller itself.
+/// Returns a controller's state.
 pub fn core_of(cluster: &Cluster, node: usize) -> &ControllerState {
     &cluster.nodes[node].core
 }
 
-/// The controller itself, to be spoiled on purpose.
+/// Returns a controller's state for deliberate corruption.
 pub fn core_mut(cluster: &mut Cluster, node: usize) -> &mut ControllerState {
     &mut cluster.nodes[node].core
 }
 
-/// Runs until somebody leads; gives the leader and another controller.
-pub fn led(size: usize) -> (Cluster, usize, usize) {
+/// Returns a cluster that has elected a leader, with the leader and another controller.
+pub fn cluster_with_leader(size: usize) -> (Cluster, usize, usize) {
     let mut cluster = cluster(size);
-    until(&mut cluster, |cluster| leader(cluster).is_some());
+    run_until(&mut cluster, |cluster| leader(cluster).is_some());
     let first = leader(&cluster).unwrap();
-    // Until the others know it too.
+    // The others learn of the leader in this time.
     run(&mut cluster, ms(500));
     (cluster, first, (first + 1) % size)
 }
 
-/// An operator's request reaches a controller as its next event, at once.
-pub fn ask(cluster: &mut Cluster, node: usize, request: &str, deed: Operation) -> u64 {
-    let operation = number(cluster);
+/// Submits an operator's request, which is the controller's next event; returns its number.
+pub fn submit(cluster: &mut Cluster, node: usize, request: &str, operation: Operation) -> u64 {
+    let number = allocate_number(cluster);
     let request = request.to_string();
-    take(
+    deliver_event(
         cluster,
         node,
-        Event::Operate { op: operation, request, expected_revision: None, operation: deed },
+        Event::Operate { op: number, request, expected_revision: None, operation },
     );
-    operation
+    number
 }
 
-/// The same, on a revision that it expects to change.
-pub fn ask_on(
+/// Submits an operator's request that expects the revision `base`.
+pub fn submit_conditional(
     cluster: &mut Cluster,
     node: usize,
     request: &str,
     base: u64,
-    deed: Operation,
+    operation: Operation,
 ) -> u64 {
-    let operation = number(cluster);
+    let number = allocate_number(cluster);
     let event = Event::Operate {
-        op: operation,
+        op: number,
         request: request.to_string(),
         expected_revision: Some(base),
-        operation: deed,
+        operation,
     };
-    take(cluster, node, event);
-    operation
+    deliver_event(cluster, node, event);
+    number
 }
 
-/// An operator's request waits in the socket of a controller that is paused.
-pub fn ask_later(cluster: &mut Cluster, node: usize, request: &str, deed: Operation) -> u64 {
-    let operation = number(cluster);
+/// Submits an operator's request that waits in the socket of a paused controller.
+pub fn submit_to_paused(
+    cluster: &mut Cluster,
+    node: usize,
+    request: &str,
+    operation: Operation,
+) -> u64 {
+    let number = allocate_number(cluster);
     let request = request.to_string();
-    let event = Event::Operate { op: operation, request, expected_revision: None, operation: deed };
-    push(cluster, node, 0, Delivery::Event(event));
-    operation
+    let event = Event::Operate { op: number, request, expected_revision: None, operation };
+    push(cluster, node, 0, Scheduled::Event(event));
+    number
 }
 
-fn number(cluster: &mut Cluster) -> u64 {
-    let operation = cluster.next_operation;
-    cluster.next_operation += 1;
-    cluster.asked.insert(operation, cluster.now);
-    operation
+fn allocate_number(cluster: &mut Cluster) -> u64 {
+    let number = cluster.next_number;
+    cluster.next_number += 1;
+    cluster.submitted_at.insert(number, cluster.now);
+    number
 }
 
-/// Runs until an operation has its answer.
-pub fn answered(cluster: &mut Cluster, operation: u64) -> OperationResult {
-    until(cluster, |cluster| cluster.answers.contains_key(&operation));
-    cluster.answers[&operation].done.clone()
+/// Runs until an operation has its response.
+pub fn await_response(cluster: &mut Cluster, operation: u64) -> OperationResult {
+    run_until(cluster, |cluster| cluster.responses.contains_key(&operation));
+    cluster.responses[&operation].done.clone()
 }
 
-/// How long an operation took to its answer.
-pub fn took(cluster: &Cluster, operation: u64) -> Span {
-    cluster.answers[&operation].at - cluster.asked[&operation]
+/// Returns the time between an operation's submission and its response.
+pub fn response_time(cluster: &Cluster, operation: u64) -> Span {
+    cluster.responses[&operation].at - cluster.submitted_at[&operation]
 }
 
-/// A member renews at a controller.
-pub fn renew(cluster: &mut Cluster, node: usize, name: &str, count: u64, far: MemberProgress) {
+/// Delivers a member's lease renewal to a controller.
+pub fn renew_lease(
+    cluster: &mut Cluster,
+    node: usize,
+    name: &str,
+    count: u64,
+    progress: MemberProgress,
+) {
     let member = Member {
         name: name.into(),
         addr: name.into(),
@@ -519,47 +541,47 @@
         incarnation: 1,
     };
     let connection = MEMBER_CONNECTION + u64::from(name.as_bytes().last().copied().unwrap_or(0));
-    take(
+    deliver_event(
         cluster,
         node,
         Event::FromConnection {
             connection,
-            message: Message::RenewLease { member, number: count, progress: far },
+            message: Message::RenewLease { member, number: count, progress },
         },
     );
 }
 
-/// Ends a pause before anything that waits is taken: what the test gives the
-/// controller next is its first event.
-pub fn resume(cluster: &mut Cluster, node: usize) {
+/// Ends a pause before any queued event is delivered, so that the event that the test delivers
+/// next is the controller's first.
+pub fn resume_before_pending(cluster: &mut Cluster, node: usize) {
     cluster.nodes[node].paused_until = cluster.now;
 }
 
-/// Ends a pause: what waits is taken now, in its order.
-pub fn wake_up(cluster: &mut Cluster, node: usize) {
+/// Ends a pause and schedules the queued events for now, in their order.
+pub fn resume_with_pending(cluster: &mut Cluster, node: usize) {
     let end = std::mem::replace(&mut cluster.nodes[node].paused_until, cluster.now);
-    let waits =
-        |key: &(Tick, u64), (to, _, _): &mut (usize, u64, Delivery)| key.0 == end && *to == node;
-    let waiting: Vec<_> = cluster.line.extract_if(.., waits).collect();
-    for ((_, serial), delivery) in waiting {
-        cluster.line.insert((cluster.now, serial), delivery);
+    let is_queued =
+        |key: &(Tick, u64), (to, _, _): &mut (usize, u64, Scheduled)| key.0 == end && *to == node;
+    let queued: Vec<_> = cluster.scheduled.extract_if(.., is_queued).collect();
+    for ((_, sequence), delivery) in queued {
+        cluster.scheduled.insert((cluster.now, sequence), delivery);
     }
 }
 
-/// An operator's request with a number of the test's own: the numbers of a new
-/// process begin anew.
-pub fn ask_numbered(
+/// Submits an operator's request under a number that the test chooses, because a new process
+/// reuses the numbers of the one before.
+pub fn submit_with_number(
     cluster: &mut Cluster,
     node: usize,
     number: u64,
     request: &str,
-    deed: Operation,
+    operation: Operation,
 ) {
-    cluster.asked.insert(number, cluster.now);
+    cluster.submitted_at.insert(number, cluster.now);
     let request = request.to_string();
-    take(
+    deliver_event(
         cluster,
         node,
-        Event::Operate { op: number, request, expected_revision: None, operation: deed },
+        Event::Operate { op: number, request, expected_revision: None, operation },
     );
 }
--- a/crates/core/tests/common/mod.rs
+++ b/crates/core/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A core of one seat with a disk that does at once what it is asked.
+//! A cluster of one controller whose disk completes each write immediately.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,16 +10,16 @@
 use grebepath_core::storage::voter_file::{Start, begin};
 use grebepath_core::time::{BOOT, Tick};
 
-/// The seat, its clock and its operators' numbers.
-pub struct One {
+/// The controller, its clock, the number of the next operation, and the responses so far.
+pub struct SingleController {
     core: ControllerState,
     now: Tick,
     ops: u64,
     done: Vec<(u64, OperationResult)>,
 }
 
-/// A seat that owns the configuration, which is empty.
-pub fn one() -> One {
+/// Returns a controller that is the leader of an empty configuration.
+pub fn single_controller() -> SingleController {
     let addr = "127.0.0.1:1".to_string();
     let start = Start {
         slot: Some(0),
@@ -28,61 +28,72 @@
         size: 1,
         addr: addr.clone(),
     };
-    let (roll, _) = begin(None, &start, true, 5);
-    let core = ControllerState::new(roll, (&addr, "a"), Vec::new(), 7, BOOT);
-    One { core, now: BOOT, ops: 0, done: Vec::new() }
+    let (voter_file, _) = begin(None, &start, true, 5);
+    let core = ControllerState::new(voter_file, (&addr, "a"), Vec::new(), 7, BOOT);
+    SingleController { core, now: BOOT, ops: 0, done: Vec::new() }
 }
 
-fn feed(o: &mut One, event: Event) {
-    let mut line = vec![event];
-    while !line.is_empty() {
-        for command in o.core.step(o.now, line.remove(0)) {
+fn deliver_event(controller: &mut SingleController, event: Event) {
+    let mut pending = vec![event];
+    while !pending.is_empty() {
+        for command in controller.core.step(controller.now, pending.remove(0)) {
             match command {
                 Command::AppendRecord { partition, token, .. }
                 | Command::WriteSnapshot { partition, token, .. } => {
-                    line.push(Event::Synced { partition, token });
+                    pending.push(Event::Synced { partition, token });
                 }
                 Command::WriteVoterFile { token, .. } => {
-                    line.push(Event::VoterFileWritten { token })
+                    pending.push(Event::VoterFileWritten { token })
                 }
-                Command::Respond { op, result: done } => o.done.push((op, done)),
+                Command::Respond { op, result: done } => controller.done.push((op, done)),
                 _ => {}
             }
         }
     }
 }
 
-/// Gives requests to the seat at one moment; their outcomes, in this order.
-pub fn together(o: &mut One, asks: Vec<(&str, Operation)>) -> Vec<OperationResult> {
-    let first = o.ops;
-    let n = asks.len() as u64;
-    for (request, operation) in asks {
-        let (op, request) = (o.ops, request.to_string());
-        o.ops += 1;
-        feed(o, Event::Operate { op, request, expected_revision: None, operation });
+/// Submits requests to the controller at the same time, and returns their results in the same
+/// order.
+pub fn submit_all(
+    controller: &mut SingleController,
+    requests: Vec<(&str, Operation)>,
+) -> Vec<OperationResult> {
+    let first = controller.ops;
+    let n = requests.len() as u64;
+    for (request, operation) in requests {
+        let (op, request) = (controller.ops, request.to_string());
+        controller.ops += 1;
+        deliver_event(
+            controller,
+            Event::Operate { op, request, expected_revision: None, operation },
+        );
     }
     for _ in 0..1_000 {
-        if o.done.len() as u64 == n {
+        if controller.done.len() as u64 == n {
             break;
         }
-        o.now += WAKE_INTERVAL;
-        feed(o, Event::Wake);
+        controller.now += WAKE_INTERVAL;
+        deliver_event(controller, Event::Wake);
     }
-    let mut done = std::mem::take(&mut o.done);
+    let mut done = std::mem::take(&mut controller.done);
     done.sort_by_key(|d| d.0);
     assert!(done.len() as u64 == n && done[0].0 == first, "each request has one outcome");
     done.into_iter().map(|d| d.1).collect()
 }
 
-/// Gives one request to the seat and waits for its outcome.
-pub fn operate(o: &mut One, request: &str, operation: Operation) -> OperationResult {
-    together(o, vec![(request, operation)]).remove(0)
+/// Submits one request to the controller and waits for its result.
+pub fn submit(
+    controller: &mut SingleController,
+    request: &str,
+    operation: Operation,
+) -> OperationResult {
+    submit_all(controller, vec![(request, operation)]).remove(0)
 }
 
-/// The configuration as the owner reads it back.
+/// Reads the configuration back from the leader.
 #[allow(dead_code)]
-pub fn standing(o: &mut One) -> Config {
-    match operate(o, "read", Operation::Read) {
+pub fn read_configuration(controller: &mut SingleController) -> Config {
+    match submit(controller, "read", Operation::Read) {
         OperationResult::Configuration { entries: map, .. } => Config::from_entries(&map).unwrap(),
         other => panic!("{other:?}"),
     }
--- a/crates/core/tests/list_pollers.rs
+++ b/crates/core/tests/list_pollers.rs
@@ -24,7 +24,7 @@
 
 impl ClusterWithMembers {
     fn new() -> ClusterWithMembers {
-        let (cluster, leader, _) = led(3);
+        let (cluster, leader, _) = cluster_with_leader(3);
         let mut members = ClusterWithMembers { cluster, leader, renewals: 0 };
         members.renew_for(5 * SECOND, &NAMES);
         members
@@ -61,7 +61,7 @@
                     attestation_age_ms: 60_000,
                     ..MemberProgress::default()
                 };
-                renew(&mut self.cluster, self.leader, name, self.renewals, progress);
+                renew_lease(&mut self.cluster, self.leader, name, self.renewals, progress);
             }
             run(&mut self.cluster, INTERVAL);
         }
@@ -113,7 +113,7 @@
     let remaining: Vec<&str> = ranked[2..].iter().map(String::as_str).collect();
     let former = members.leader;
     isolate(&mut members.cluster, former);
-    until(&mut members.cluster, |cluster| leader(cluster).is_some_and(|node| node != former));
+    run_until(&mut members.cluster, |cluster| leader(cluster).is_some_and(|node| node != former));
     members.leader = leader(&members.cluster).expect("another controller is the leader");
     let named = members.renew_for(2 * SECOND, &remaining);
     let substitutes = [(ranked[2].clone(), 0), (ranked[3].clone(), 1)];
--- a/crates/core/tests/memberships.rs
+++ b/crates/core/tests/memberships.rs
@@ -38,7 +38,7 @@
         *count += 1;
         let seen = current_membership(cluster, node);
         for name in ["a", "b"] {
-            renew(cluster, node, name, *count, progress(seen));
+            renew_lease(cluster, node, name, *count, progress(seen));
         }
         run(cluster, ms(250));
     }
@@ -47,7 +47,7 @@
 #[googletest::test]
 fn a_restarted_voter_receives_the_membership_again() {
     // Otherwise a rolling restart of all voters would lose the membership.
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     let third = 3 - first - other;
     let mut count = 0;
     renew_both(&mut cluster, first, &mut count);
@@ -63,7 +63,7 @@
 #[googletest::test]
 fn a_membership_known_to_one_voter_survives_simultaneous_restarts_of_the_others() {
     for size in [3, 5] {
-        let (mut cluster, first, other) = led(size);
+        let (mut cluster, first, other) = cluster_with_leader(size);
         let mut count = 0;
         renew_both(&mut cluster, first, &mut count);
         let membership = current_membership(&cluster, first);
@@ -73,10 +73,10 @@
         }
         // The only voter that knows it becomes reachable just after another one was elected.
         isolate(&mut cluster, other);
-        until(&mut cluster, |cluster| leader(cluster).is_some_and(|node| node != other));
+        run_until(&mut cluster, |cluster| leader(cluster).is_some_and(|node| node != other));
         run(&mut cluster, ms(100));
-        cluster.cut.clear();
-        until(&mut cluster, |cluster| {
+        cluster.blocked_links.clear();
+        run_until(&mut cluster, |cluster| {
             leader(cluster).is_some_and(|node| core_of(cluster, node).members.log.is_inherited())
         });
         let now = leader(&cluster).unwrap();
@@ -86,7 +86,7 @@
 
 #[googletest::test]
 fn acknowledgements_before_a_restart_do_not_confirm_a_membership() {
-    let (mut cluster, first, other) = led(5);
+    let (mut cluster, first, other) = cluster_with_leader(5);
     let mut count = 0;
     renew_both(&mut cluster, first, &mut count);
     let before = current_membership(&cluster, first);
@@ -97,7 +97,7 @@
     // One voter acknowledges the new membership and restarts.
     count += 1;
     for (name, seen) in [("a", before), ("b", before), ("c", NONE)] {
-        renew(&mut cluster, first, name, count, progress(seen));
+        renew_lease(&mut cluster, first, name, count, progress(seen));
     }
     while core_of(&cluster, other).members.log.proposed.is_none() {
         assert!(cluster.now < 60 * SECOND, "nothing was proposed");
@@ -108,8 +108,8 @@
     run(&mut cluster, ms(250));
     // Another voter acknowledges it too: the second of the three that are needed.
     let (a, b) = (first, rest[0]);
-    cluster.cut.retain(|link| *link != (a, b) && *link != (b, a));
-    until(&mut cluster, |cluster| current_membership(cluster, first) > before);
+    cluster.blocked_links.retain(|link| *link != (a, b) && *link != (b, a));
+    run_until(&mut cluster, |cluster| current_membership(cluster, first) > before);
     let new = current_membership(&cluster, first);
     let voters_that_know =
         (0..5).filter(|node| core_of(&cluster, *node).members.knows(new)).count();
@@ -118,7 +118,7 @@
 
 #[googletest::test]
 fn a_new_leader_proposes_no_membership_before_it_knows_the_earlier_ones() {
-    let (mut cluster, first, _) = led(3);
+    let (mut cluster, first, _) = cluster_with_leader(3);
     let mut count = 0;
     renew_both(&mut cluster, first, &mut count);
     let seen = current_membership(&cluster, first);
@@ -132,7 +132,7 @@
     expect_that!(core_of(&cluster, second).members.log.is_inherited(), eq(false));
     isolate(&mut cluster, second);
     let leaving = MemberProgress { leaving: true, ..progress(seen) };
-    renew(&mut cluster, second, "a", count + 1, leaving);
+    renew_lease(&mut cluster, second, "a", count + 1, leaving);
     run(&mut cluster, ms(20));
     expect_that!(core_of(&cluster, second).members.log.is_inherited(), eq(false));
     expect_that!(core_of(&cluster, second).members.log.proposed.is_none(), eq(true));
@@ -140,13 +140,13 @@
 
 #[googletest::test]
 fn a_membership_known_to_one_voter_and_some_members_blocks_no_later_one() {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     let third = 3 - first - other;
     let mut count = 0;
     let mut renew_all = |cluster: &mut Cluster, node: usize, list: &[(&str, MembershipId)]| {
         count += 1;
         for (name, seen) in list {
-            renew(cluster, node, name, count, progress(*seen));
+            renew_lease(cluster, node, name, count, progress(*seen));
         }
     };
     renew_all(&mut cluster, first, &[("a", NONE), ("b", NONE)]);
@@ -168,8 +168,8 @@
     // Both voters that know that it was confirmed restart and lose it; `a` has seen it.
     restart(&mut cluster, first, 71);
     restart(&mut cluster, third, 72);
-    cluster.cut.clear();
-    until(&mut cluster, |cluster| leader(cluster).is_some());
+    cluster.blocked_links.clear();
+    run_until(&mut cluster, |cluster| leader(cluster).is_some());
     let list = [("a", new), ("b", before), ("c", before), ("d", NONE)];
     for _ in 0..40 {
         let now = leader(&cluster).unwrap_or(first);
--- a/crates/core/tests/races/mod.rs
+++ b/crates/core/tests/races/mod.rs
@@ -1,10 +1,10 @@
-//! Races of two orders through three controllers, with a fault at a chosen step
-//! of the write: what is played, and how.
+//! Races of two configuration changes on a cluster of three controllers, with a fault at a
+//! chosen stage of the write of the first change.
 
 #![allow(dead_code, clippy::unwrap_used)]
 
-pub mod judge;
-pub mod list;
+pub mod cases;
+pub mod checks;
 
 use grebepath_core::control_plane::controller::Event;
 use grebepath_core::control_plane::step::WAKE_INTERVAL;
@@ -15,51 +15,59 @@
 use serde_json::json;
 
 use crate::cluster::{
-    Cluster, Work, answer, call, cluster, give, kill, leader, pass, pass_until, pump, restart_all,
-    start, synced_revision, take_messages, tamper, thaw,
+    Cluster, Work, call, call_and_wait, cluster, deliver_event, kill, leader, perform_unless,
+    restart_all, resume, run_for, run_until, start, synced_revision, take_messages, tamper,
 };
 
-/// An operator's order as the users' platform names it.
+/// An operator's change of the configuration.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Order {
+pub struct ConfigChange {
     pub request: String,
     pub operation: Operation,
-    /// A zone that only this order sets.
-    pub mark: String,
+    /// A zone that only this change sets.
+    pub zone: String,
 }
 
-/// An order on edition `base`; without one it builds on whatever stands.
-pub fn order(whole: bool, base: Option<u64>, edition: u64, mark: &str) -> Order {
-    let mut change = json!({ "zones": [{ "name": mark, "state": "open" }] });
+/// Returns a change that is based on edition `base`, or on any edition if `base` is `None`.
+pub fn config_change(
+    is_replacement: bool,
+    base: Option<u64>,
+    edition: u64,
+    zone: &str,
+) -> ConfigChange {
+    let mut change = json!({ "zones": [{ "name": zone, "state": "open" }] });
     if let Some(base) = base {
         change["terms"] = json!({ "after": base, "edition": edition });
     }
-    if whole {
+    if is_replacement {
         change["searches"] = json!([]);
         change["pools"] = json!([]);
     }
     let text = change.to_string();
-    let request = digest(format!("{whole} {text}").as_bytes());
+    let request = digest(format!("{is_replacement} {text}").as_bytes());
     let text = text.into_bytes();
-    let operation = if whole { Operation::Replace(text) } else { Operation::Patch(text) };
-    Order { request, operation, mark: mark.to_string() }
+    let operation = if is_replacement { Operation::Replace(text) } else { Operation::Patch(text) };
+    ConfigChange { request, operation, zone: zone.to_string() }
 }
 
-/// How far the write of an order gets before the fault.
+/// How far the write of a change gets before the fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Stage {
-    /// It is on its way to the leader.
+    /// The request is on its way to the leader.
     Arrived,
-    /// The leader has it, and nothing is synced.
+    /// The leader has appended the change, and no disk has synced it.
     Appended,
+    /// Only the leader has synced it.
     LeaderSynced,
-    /// One follower alone has it on disk.
+    /// Only one follower has synced it.
     FollowerSynced,
-    /// A majority has it on disk, and the leader does not know.
+    /// A majority has synced it, and the leader does not know.
     MajoritySynced,
+    /// All have synced it, and the leader does not know.
     AllSynced,
-    /// The answer is on its way.
+    /// The change is committed, and the response is on its way.
     Committed,
+    /// The operator has the response.
     Answered,
 }
 
@@ -74,122 +82,126 @@
     Stage::Answered,
 ];
 
-/// When messages that were under way at the fault come.
+/// When messages that were in flight at the time of the fault are delivered.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Late {
+pub enum LateDelivery {
     Never,
-    /// Once another leads, before the operators go on.
+    /// After another leader is elected, before the operators continue.
     AfterElection,
-    /// After the operators went on.
+    /// After the operators have continued.
     AtEnd,
 }
 
-/// What happens then.
+/// The fault that occurs when the write has reached its stage.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
-    /// Nothing but that the operator does not hear the answer.
-    AnswerLost,
-    /// The leader ends, with power or without, and is back later.
-    LeaderKilled { power: bool, late: Late },
-    /// The leader hears nobody for a while.
-    LeaderCut { late: Late },
-    /// The leader's process is stopped for a while.
-    LeaderFrozen,
-    /// The controller that the operator called ends.
-    CalledKilled,
-    /// All lose power at once.
+    /// The operator does not receive the response.
+    ResponseLost,
+    /// The leader is killed, with or without a power loss, and restarted later.
+    LeaderKilled { power_loss: bool, late: LateDelivery },
+    /// The leader is partitioned from the others for a while.
+    LeaderIsolated { late: LateDelivery },
+    /// The leader's process is paused for a while.
+    LeaderPaused,
+    /// The controller that the operator contacted is killed.
+    ContactedKilled,
+    /// All controllers lose power at the same time.
     AllKilled,
 }
 
-/// Who comes first after the fault.
+/// Which operator's request is sent first after the fault.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Next {
+pub enum ResumeOrder {
     ResendFirst,
     RivalFirst,
-    Together,
+    Concurrent,
 }
 
-/// A race: where the first order is sent, what happens, and who goes on where.
+/// A race: where the first change is sent, which fault occurs, and which operators continue at
+/// which controllers.
 #[derive(Clone, Debug)]
 pub struct Race {
-    /// Distances from the leader, in the ring of controllers.
-    pub called: usize,
+    /// Controllers as distances from the leader in the ring of controllers: the one that gets
+    /// the first change, the one that gets it again, and the one that gets the rival.
+    pub contacted: usize,
     pub resend_at: usize,
     pub rival_at: usize,
     pub stage: Stage,
     pub fault: Fault,
-    pub next: Next,
-    /// How far the rival's write gets before its leader is killed, too.
+    pub resume_order: ResumeOrder,
+    /// How far the rival's write gets before its leader is killed as well.
     pub rival_stage: Option<Stage>,
-    pub first: Order,
-    pub rival: Order,
-    /// The memory of orders is lost, on purpose.
-    pub forgets: bool,
+    pub first: ConfigChange,
+    pub rival: ConfigChange,
+    /// Deliberate fault: the memory of accepted requests is lost.
+    pub loses_dedup_state: bool,
 }
 
-/// The calls that carried each order.
+/// The numbers of the calls that carried each change.
 #[derive(Default, Debug)]
 pub struct History {
     pub first: Vec<u64>,
     pub rival: Vec<u64>,
 }
 
-/// How a race ended.
+/// The outcome of a race.
 pub struct Outcome {
-    pub wrong: Vec<String>,
+    pub violations: Vec<String>,
     pub first_accepted: bool,
-    /// Another controller led after the fault.
+    /// Whether another controller led after the fault.
     pub leader_changed: bool,
 }
 
-pub fn play(race: &Race) -> Outcome {
+/// Runs a race and checks its properties.
+pub fn run_race(race: &Race) -> Outcome {
     let mut c = cluster(3);
-    let base = order(true, Some(0), 1, "base");
-    let done = answer(&mut c, 0, &base.request, None, base.operation);
+    let base = config_change(true, Some(0), 1, "base");
+    let done = call_and_wait(&mut c, 0, &base.request, None, base.operation);
     assert!(matches!(done, Some(OperationResult::Accepted { .. })), "{done:?}");
     let old_leader = leader(&c).unwrap();
     let at = |distance: usize| (old_leader + distance) % 3;
     let mut history = History::default();
-    history.first.push(send(&mut c, at(race.called), &race.first));
+    history.first.push(send(&mut c, at(race.contacted), &race.first));
     hold_at(&mut c, race.stage, old_leader);
     check_stage(&c, race, old_leader);
-    let late = strike(&mut c, race, old_leader);
-    if race.forgets {
+    let late = inject_fault(&mut c, race, old_leader);
+    if race.loses_dedup_state {
         tamper(&mut c, |copy| copy.entries.retain(|key, _| !key.starts_with("order/")));
     }
-    go_on(&mut c, race, &mut history, (at, late));
+    resume_operators(&mut c, race, &mut history, (at, late));
     let leader_changed = leader(&c).is_some_and(|node| node != old_leader);
-    calm(&mut c);
+    restore_cluster(&mut c);
     resend_all(&mut c, race, &mut history);
     restart_all(&mut c, true);
     resend_all(&mut c, race, &mut history);
-    let (wrong, first_accepted) = judge::judge(&mut c, race, &history);
-    Outcome { wrong, first_accepted, leader_changed }
+    let (violations, first_accepted) = checks::check_race(&mut c, race, &history);
+    Outcome { violations, first_accepted, leader_changed }
 }
 
-pub fn send(c: &mut Cluster, node: usize, order: &Order) -> u64 {
-    call(c, node, &order.request, None, order.operation.clone())
+/// Sends a change to a controller and returns the number of the call.
+pub fn send(c: &mut Cluster, node: usize, change: &ConfigChange) -> u64 {
+    call(c, node, &change.request, None, change.operation.clone())
 }
 
-/// Does the work of an order up to a stage.
+/// Performs the write of a change up to a stage.
 pub fn hold_at(c: &mut Cluster, stage: Stage, leader: usize) {
-    let before = c.told.len();
-    pump(c, |work| is_held(work, stage, leader));
+    let before = c.answered.len();
+    perform_unless(c, |work| is_held(work, stage, leader));
     match stage {
-        // The leader tells the outcome when it next looks who obeys.
+        // The leader responds when it next checks which members have applied the change.
         Stage::Committed => {
             c.now += WAKE_INTERVAL;
-            give(c, leader, Event::Wake);
-            pump(c, |work| is_held(work, stage, leader));
+            deliver_event(c, leader, Event::Wake);
+            perform_unless(c, |work| is_held(work, stage, leader));
         }
         Stage::Answered => {
-            pass_until(c, SECOND, |c| c.told.len() > before);
+            run_until(c, SECOND, |c| c.answered.len() > before);
         }
         _ => {}
     }
 }
 
-/// Whether a piece of work lies beyond a stage.
+/// Returns whether an action lies beyond a stage.
 pub fn is_held(work: &Work, stage: Stage, leader: usize) -> bool {
     let follower = (leader + 1) % 3;
     let all = matches!(stage, Stage::AllSynced | Stage::Committed | Stage::Answered);
@@ -213,7 +225,8 @@
     !allowed
 }
 
-/// The stage is what it says: who has the first order on disk, and who knows.
+/// Checks that a stage is reached: which disks have the first change, and whether the leader
+/// knows that it is committed.
 pub fn check_stage(c: &Cluster, race: &Race, leader: usize) {
     let on_disk = |distance: usize| synced_revision(c, (leader + distance) % 3) == 2;
     let want = match race.stage {
@@ -229,30 +242,31 @@
         .as_ref()
         .is_some_and(|core| core.partitions[0].committed_revision == 2);
     assert_eq!(knows, matches!(race.stage, Stage::Committed | Stage::Answered), "{race:?}");
-    // An answer at the leader itself can't be held.
-    let told = race.stage == Stage::Answered || race.stage == Stage::Committed && race.called == 0;
-    assert_eq!(c.told.len() > 1, told, "{race:?}");
+    // A response of the leader to its own caller can't be held back.
+    let answered =
+        race.stage == Stage::Answered || race.stage == Stage::Committed && race.contacted == 0;
+    assert_eq!(c.answered.len() > 1, answered, "{race:?}");
 }
 
-/// The fault strikes; gives the messages that come late.
-pub fn strike(c: &mut Cluster, race: &Race, leader: usize) -> Vec<Work> {
+/// Injects the fault and returns the messages that may be delivered late.
+pub fn inject_fault(c: &mut Cluster, race: &Race, leader: usize) -> Vec<Work> {
     match race.fault {
-        Fault::AnswerLost => Vec::new(),
-        Fault::LeaderKilled { power, .. } => {
+        Fault::ResponseLost => Vec::new(),
+        Fault::LeaderKilled { power_loss, .. } => {
             let messages = take_messages(c, leader);
-            kill(c, leader, power);
+            kill(c, leader, power_loss);
             messages
         }
-        Fault::LeaderCut { .. } => {
-            c.nodes[leader].cut = true;
+        Fault::LeaderIsolated { .. } => {
+            c.nodes[leader].isolated = true;
             take_messages(c, leader)
         }
-        Fault::LeaderFrozen => {
-            c.nodes[leader].frozen = true;
+        Fault::LeaderPaused => {
+            c.nodes[leader].paused = true;
             Vec::new()
         }
-        Fault::CalledKilled => {
-            kill(c, (leader + race.called) % 3, true);
+        Fault::ContactedKilled => {
+            kill(c, (leader + race.contacted) % 3, true);
             Vec::new()
         }
         Fault::AllKilled => {
@@ -262,32 +276,35 @@
     }
 }
 
-/// The operators go on: one sends the first order again, one sends a rival.
-pub fn go_on(
+/// Lets the operators continue: one sends the first change again, the other sends the rival.
+pub fn resume_operators(
     c: &mut Cluster,
     race: &Race,
     history: &mut History,
     (at, late): (impl Fn(usize) -> usize, Vec<Work>),
 ) {
     let (resend_at, rival_at) = (at(race.resend_at), at(race.rival_at));
-    let when = match race.fault {
-        Fault::LeaderKilled { late, .. } | Fault::LeaderCut { late } => late,
-        _ => Late::Never,
+    let late_delivery = match race.fault {
+        Fault::LeaderKilled { late, .. } | Fault::LeaderIsolated { late } => late,
+        _ => LateDelivery::Never,
     };
-    let led = |c: &Cluster| leader(c).is_some_and(|node| !c.nodes[node].cut);
-    if race.next != Next::RivalFirst {
+    let has_leader = |c: &Cluster| leader(c).is_some_and(|node| !c.nodes[node].isolated);
+    if race.resume_order != ResumeOrder::RivalFirst {
         history.first.push(send(c, resend_at, &race.first));
     }
-    if race.next != Next::Together {
-        pass_until(c, 5 * SECOND, led);
+    if race.resume_order != ResumeOrder::Concurrent {
+        run_until(c, 5 * SECOND, has_leader);
     }
-    if when == Late::AfterElection {
-        // The old leader's word reaches the others, and theirs reaches it.
-        let cuts: Vec<bool> = c.nodes.iter().map(|node| node.cut).collect();
-        c.nodes.iter_mut().for_each(|node| node.cut = false);
+    if late_delivery == LateDelivery::AfterElection {
+        // The old leader's messages reach the others, and theirs reach the old leader.
+        let isolated_nodes: Vec<bool> = c.nodes.iter().map(|node| node.isolated).collect();
+        c.nodes.iter_mut().for_each(|node| node.isolated = false);
         c.work.extend(late.clone());
-        pump(c, |_| false);
-        c.nodes.iter_mut().zip(cuts).for_each(|(node, cut)| node.cut = cut);
+        perform_unless(c, |_| false);
+        c.nodes
+            .iter_mut()
+            .zip(isolated_nodes)
+            .for_each(|(node, isolated)| node.isolated = isolated);
     }
     history.rival.push(send(c, rival_at, &race.rival));
     if let (Some(stage), Some(leader)) = (race.rival_stage, leader(c)) {
@@ -296,24 +313,25 @@
         take_messages(c, leader);
         kill(c, leader, true);
     }
-    if race.next == Next::RivalFirst {
-        pass(c, SECOND);
+    if race.resume_order == ResumeOrder::RivalFirst {
+        run_for(c, SECOND);
         history.first.push(send(c, resend_at, &race.first));
     }
-    pass(c, 3 * SECOND);
-    if when == Late::AtEnd {
+    run_for(c, 3 * SECOND);
+    if late_delivery == LateDelivery::AtEnd {
         c.work.extend(late);
     }
 }
 
-/// All are back and hear each other, until nobody waits for an answer.
-pub fn calm(c: &mut Cluster) {
-    c.nodes.iter_mut().for_each(|node| node.cut = false);
-    (0..3).for_each(|node| thaw(c, node));
+/// Restarts and reconnects all controllers, and runs until no operator waits for a response.
+pub fn restore_cluster(c: &mut Cluster) {
+    c.nodes.iter_mut().for_each(|node| node.isolated = false);
+    (0..3).for_each(|node| resume(c, node));
     start_all(c);
-    pass(c, 10 * SECOND);
+    run_for(c, 10 * SECOND);
 }
 
+/// Starts the controllers that are down.
 pub fn start_all(c: &mut Cluster) {
     for node in 0..3 {
         if c.nodes[node].core.is_none() {
@@ -322,14 +340,17 @@
     }
 }
 
-/// Both orders are sent again, and each gets an answer.
+/// Sends both changes again and waits for a response to each.
 pub fn resend_all(c: &mut Cluster, race: &Race, history: &mut History) {
-    for (node, order, calls) in [
-        (race.called, &race.first, &mut history.first),
+    for (node, change, calls) in [
+        (race.contacted, &race.first, &mut history.first),
         (race.resend_at, &race.rival, &mut history.rival),
     ] {
-        let op = send(c, node, order);
-        assert!(pass_until(c, 12 * SECOND, |c| c.told.contains_key(&op)), "no answer");
+        let op = send(c, node, change);
+        assert!(
+            run_until(c, 12 * SECOND, |c| c.answered.contains_key(&op)),
+            "no response within 12 s"
+        );
         calls.push(op);
     }
 }
--- a/crates/core/tests/request_races.rs
+++ b/crates/core/tests/request_races.rs
@@ -7,8 +7,8 @@
 mod races;
 
 use googletest::prelude::*;
-use races::list::{races, races_of};
-use races::{Fault, Race, STAGES, Stage, order, play};
+use races::cases::{races, races_of};
+use races::{Fault, Race, STAGES, Stage, config_change, run_race};
 
 /// Runs all races of a stage and checks that none violates an invariant. Returns the number of
 /// races, of accepted first requests, and of leader changes.
@@ -16,8 +16,8 @@
     let all = races(stage);
     let (mut first, mut leader_changes) = (0, 0);
     for race in &all {
-        let outcome = play(race);
-        assert!(outcome.wrong.is_empty(), "{race:?}: {:#?}", outcome.wrong);
+        let outcome = run_race(race);
+        assert!(outcome.violations.is_empty(), "{race:?}: {:#?}", outcome.violations);
         first += usize::from(outcome.first_accepted);
         leader_changes += usize::from(outcome.leader_changed);
     }
@@ -89,12 +89,12 @@
     let mut count = 0;
     for stage in STAGES {
         for (number, mut race) in races(stage).into_iter().enumerate() {
-            if !matches!(race.fault, Fault::LeaderKilled { .. } | Fault::LeaderCut { .. }) {
+            if !matches!(race.fault, Fault::LeaderKilled { .. } | Fault::LeaderIsolated { .. }) {
                 continue;
             }
             race.rival_stage = Some(STAGES[(number / 3 + number) % STAGES.len()]);
-            let wrong = play(&race).wrong;
-            assert!(wrong.is_empty(), "{race:?}: {wrong:#?}");
+            let violations = run_race(&race).violations;
+            assert!(violations.is_empty(), "{race:?}: {violations:#?}");
             count += 1;
         }
     }
@@ -105,9 +105,9 @@
 fn requests_at_a_paused_leader_are_consistent() {
     // When resumed, it acts as the leader until it receives a message of the next leader.
     for stage in STAGES {
-        for race in races_of(stage, &[Fault::LeaderFrozen]) {
-            let wrong = play(&race).wrong;
-            assert!(wrong.is_empty(), "{race:?}: {wrong:#?}");
+        for race in races_of(stage, &[Fault::LeaderPaused]) {
+            let violations = run_race(&race).violations;
+            assert!(violations.is_empty(), "{race:?}: {violations:#?}");
         }
     }
 }
@@ -120,7 +120,7 @@
     for stage in [Stage::MajoritySynced, Stage::Answered] {
         for mut race in races(stage).into_iter().step_by(11) {
             change(&mut race);
-            all.push_str(&play(&race).wrong.join("\n"));
+            all.push_str(&run_race(&race).violations.join("\n"));
         }
     }
     all
@@ -128,15 +128,15 @@
 
 #[googletest::test]
 fn loss_of_the_deduplication_table_is_detected() {
-    let violations = violations_found(|race| race.forgets = true);
+    let violations = violations_found(|race| race.loses_dedup_state = true);
     expect_that!(violations, contains_substring("accepted and refused"));
 }
 
 #[googletest::test]
 fn two_requests_accepted_on_one_base_are_detected() {
     let violations = violations_found(|race| {
-        race.first = order(false, None, 0, "first");
-        race.rival = order(false, None, 0, "rival");
+        race.first = config_change(false, None, 0, "first");
+        race.rival = config_change(false, None, 0, "rival");
     });
     expect_that!(violations, contains_substring("both accepted"));
     expect_that!(violations, not(contains_substring("applied twice")));
@@ -145,8 +145,8 @@
 #[googletest::test]
 fn a_resent_request_that_is_applied_twice_is_detected() {
     let violations = violations_found(|race| {
-        race.first = order(false, None, 0, "first");
-        race.forgets = true;
+        race.first = config_change(false, None, 0, "first");
+        race.loses_dedup_state = true;
     });
     expect_that!(violations, contains_substring("first was applied twice"));
 }
--- a/crates/core/tests/request_resend.rs
+++ b/crates/core/tests/request_resend.rs
@@ -4,8 +4,10 @@
 mod cluster;
 mod common;
 
-use cluster::{Cluster, answer, call, cluster, leader, pass_until, read_back, restart_all};
-use common::{One, one, operate};
+use cluster::{
+    Cluster, call, call_and_wait, cluster, leader, read_configuration, restart_all, run_until,
+};
+use common::{SingleController, single_controller, submit};
 use googletest::prelude::*;
 use grebepath_core::control_plane::request_dedup::{fingerprint, horizon, insert};
 use grebepath_core::identifiers::CONFIG;
@@ -27,14 +29,14 @@
 }
 
 /// Sends the request on edition `base` under a request id that is derived from it.
-fn send(controller: &mut One, base: u64) -> OperationResult {
-    operate(controller, &format!("order-{base}"), edition_patch(base))
+fn send(controller: &mut SingleController, base: u64) -> OperationResult {
+    submit(controller, &format!("order-{base}"), edition_patch(base))
 }
 
 #[googletest::test]
 fn a_request_resent_after_many_others_is_acknowledged_again() {
     for others in [600, 2_000] {
-        let mut controller = one();
+        let mut controller = single_controller();
         for base in 0..=others {
             let result = send(&mut controller, base);
             expect_that!(
@@ -63,11 +65,11 @@
 /// horizon.
 fn cluster_with_evicted_requests() -> (Cluster, u64) {
     let mut controllers = cluster(3);
-    let first = answer(&mut controllers, 0, "order-0", None, edition_patch(0));
+    let first = call_and_wait(&mut controllers, 0, "order-0", None, edition_patch(0));
     assert!(matches!(first, Some(OperationResult::Accepted { revision: 1, .. })), "{first:?}");
-    assert!(pass_until(&mut controllers, SECOND, |controllers| (0..3)
+    assert!(run_until(&mut controllers, SECOND, |controllers| (0..3)
         .all(|n| cluster::synced_revision(controllers, n) == 1)));
-    let mut copy = controllers.nodes[0].disk.kept[&CONFIG].clone();
+    let mut copy = controllers.nodes[0].disk.synced[&CONFIG].clone();
     for base in 1..ACCEPTED {
         let Operation::Patch(text) = edition_patch(base) else { unreachable!() };
         let request_fingerprint = fingerprint(&format!("order-{base}"), false, &text);
@@ -79,8 +81,8 @@
     copy.entries.insert("terms".into(), prost::Message::encode_to_vec(&client_limits));
     copy.revision = ACCEPTED;
     for node in &mut controllers.nodes {
-        let node_term = node.disk.kept[&CONFIG].current_term;
-        node.disk.kept.insert(CONFIG, ReplicaState { current_term: node_term, ..copy.clone() });
+        let node_term = node.disk.synced[&CONFIG].current_term;
+        node.disk.synced.insert(CONFIG, ReplicaState { current_term: node_term, ..copy.clone() });
     }
     restart_all(&mut controllers, true);
     let horizon = horizon(&copy.entries).revision;
@@ -100,9 +102,9 @@
     for node in 0..3 {
         let op = call(controllers, node, request, expect, operation.clone());
         let is_answered =
-            pass_until(controllers, SECOND, |controllers| controllers.told.contains_key(&op));
+            run_until(controllers, SECOND, |controllers| controllers.answered.contains_key(&op));
         assert!(is_answered, "{request} at {node} is not answered within a second");
-        out.push(controllers.told[&op].clone());
+        out.push(controllers.answered[&op].clone());
     }
     out
 }
@@ -203,7 +205,7 @@
         }
     }
     // A request on the newest revision and edition is accepted.
-    let result = answer(
+    let result = call_and_wait(
         &mut controllers,
         1,
         "next",
@@ -216,7 +218,7 @@
     );
     // A request without revision and edition is recognized by its request id as long as that is in
     // the table.
-    let first = answer(&mut controllers, 0, "plain", None, plain.clone());
+    let first = call_and_wait(&mut controllers, 0, "plain", None, plain.clone());
     expect_that!(
         first,
         some(matches_pattern!(OperationResult::Accepted { is_repeat: eq(&false), .. }))
@@ -240,8 +242,8 @@
     };
     let mut controllers = cluster(3);
     for node in &mut controllers.nodes {
-        let node_term = node.disk.kept[&CONFIG].current_term.max(copy.current_term);
-        node.disk.kept.insert(CONFIG, ReplicaState { current_term: node_term, ..copy.clone() });
+        let node_term = node.disk.synced[&CONFIG].current_term.max(copy.current_term);
+        node.disk.synced.insert(CONFIG, ReplicaState { current_term: node_term, ..copy.clone() });
     }
     restart_all(&mut controllers, true);
     controllers
@@ -279,7 +281,7 @@
             );
         }
         if round == 0 {
-            let result = answer(&mut controllers, 1, "new", None, edition_patch(5));
+            let result = call_and_wait(&mut controllers, 1, "new", None, edition_patch(5));
             expect_that!(
                 result,
                 some(matches_pattern!(OperationResult::Accepted { revision: eq(&6), .. }))
@@ -293,7 +295,7 @@
 #[googletest::test]
 fn a_request_id_used_for_another_text_is_rejected_by_all_controllers() {
     let mut controllers = cluster(3);
-    let result = answer(&mut controllers, 0, "id", None, edition_patch(0));
+    let result = call_and_wait(&mut controllers, 0, "id", None, edition_patch(0));
     expect_that!(result, some(matches_pattern!(OperationResult::Accepted { .. })));
     let replacement = Operation::Replace(match edition_patch(0) {
         Operation::Patch(text) => text,
@@ -311,23 +313,24 @@
         );
         let old_leader = leader(&controllers).unwrap();
         cluster::kill(&mut controllers, old_leader, true);
-        assert!(pass_until(&mut controllers, 5 * SECOND, |controllers| leader(controllers)
+        assert!(run_until(&mut controllers, 5 * SECOND, |controllers| leader(controllers)
             .is_some_and(|now| now != old_leader)));
         cluster::start(&mut controllers, old_leader, false);
-        cluster::pass(&mut controllers, SECOND);
+        cluster::run_for(&mut controllers, SECOND);
     }
     // Sent at the same time through two controllers: one text wins, the other is rejected.
     let texts = [edition_patch(1), zone_patch(json!({ "after": 1, "edition": 9 }))];
     let [a, b] =
         [0, 1].map(|node: usize| call(&mut controllers, node, "new", None, texts[node].clone()));
-    assert!(pass_until(&mut controllers, 5 * SECOND, |controllers| [a, b]
+    assert!(run_until(&mut controllers, 5 * SECOND, |controllers| [a, b]
         .iter()
-        .all(|op| controllers.told.contains_key(op))));
-    let mut results = [controllers.told[&a].clone(), controllers.told[&b].clone()];
+        .all(|op| controllers.answered.contains_key(op))));
+    let mut results = [controllers.answered[&a].clone(), controllers.answered[&b].clone()];
     results.sort_by_key(|result| !matches!(result, OperationResult::Accepted { .. }));
     expect_that!(results[0], matches_pattern!(OperationResult::Accepted { revision: eq(&2), .. }));
     expect_that!(results[1], matches_pattern!(OperationResult::Invalid(_)));
-    let edition = read_back(&mut controllers, 2).map(|config| config.client_limits.edition);
+    let edition =
+        read_configuration(&mut controllers, 2).map(|config| config.client_limits.edition);
     expect_that!(edition, some(any!(eq(2), eq(9))));
 }
 
@@ -341,14 +344,14 @@
                 call(&mut controllers, (base as usize + n) % 3, &request, None, edition_patch(base))
             })
             .collect();
-        assert!(pass_until(&mut controllers, 5 * SECOND, |controllers| calls
+        assert!(run_until(&mut controllers, 5 * SECOND, |controllers| calls
             .iter()
-            .all(|op| controllers.told.contains_key(op))));
+            .all(|op| controllers.answered.contains_key(op))));
         for op in calls {
             let revision = base + 1;
             let is_acknowledged =
                 matches_pattern!(OperationResult::Accepted { revision: eq(&revision), .. });
-            expect_that!(controllers.told[&op], is_acknowledged);
+            expect_that!(controllers.answered[&op], is_acknowledged);
         }
     }
 }
--- a/crates/core/tests/request_schedules.rs
+++ b/crates/core/tests/request_schedules.rs
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 
 use cluster::*;
-use edition_register::{Asked, Told, check};
+use edition_register::{Outcome, RequestRecord, check};
 use googletest::prelude::*;
 use grebepath_core::config::types::Config;
 use grebepath_core::protocol::operation::{Operation, OperationResult};
@@ -40,16 +40,16 @@
     Operation::Patch(change.to_string().into_bytes())
 }
 
-fn answer_kind(result: Option<&OperationResult>) -> Told {
+fn answer_kind(result: Option<&OperationResult>) -> Outcome {
     match result {
-        Some(OperationResult::Accepted { .. }) => Told::Accepted,
-        Some(OperationResult::Conflict { revision }) => Told::Refused(*revision),
+        Some(OperationResult::Accepted { .. }) => Outcome::Accepted,
+        Some(OperationResult::Conflict { revision }) => Outcome::Conflict(*revision),
         Some(OperationResult::Configuration { entries: map, .. }) => {
-            Told::Read(requests_and_edition(map).1)
+            Outcome::Read(requests_and_edition(map).1)
         }
-        Some(OperationResult::Rejected { .. }) => Told::NotDone,
-        None | Some(OperationResult::Unknown { .. }) => Told::Open,
-        Some(result) => Told::Absurd(format!("unexpected answer {result:?}")),
+        Some(OperationResult::Rejected { .. }) => Outcome::NotExecuted,
+        None | Some(OperationResult::Unknown { .. }) => Outcome::Unknown,
+        Some(result) => Outcome::Malformed(format!("unexpected answer {result:?}")),
     }
 }
 
@@ -64,10 +64,10 @@
 /// Returns the highest edition that was reported to any operator.
 fn highest_known_edition(cluster: &Cluster, requests: &[Request]) -> u64 {
     let seen = |request: &Request| {
-        let answer = cluster.answers.get(&request.operation);
+        let answer = cluster.responses.get(&request.operation);
         match (answer_kind(answer.map(|answer| &answer.done)), request.after) {
-            (Told::Accepted, Some(after)) => after + 1,
-            (Told::Refused(edition) | Told::Read(edition), _) => edition,
+            (Outcome::Accepted, Some(after)) => after + 1,
+            (Outcome::Conflict(edition) | Outcome::Read(edition), _) => edition,
             _ => 0,
         }
     };
@@ -92,7 +92,7 @@
         _ => (format!("order-{}", requests.len()), Some(highest_known_edition(cluster, requests))),
     };
     let operation = after.map_or(Operation::Read, |after| edition_patch(&request_id, after));
-    let operation = ask_later(cluster, node, &request_id, operation);
+    let operation = submit_to_paused(cluster, node, &request_id, operation);
     requests.push(Request { operation, request_id, after });
 }
 
@@ -115,21 +115,25 @@
         // Connections are reset instead of dropping messages.
         1 => {
             for other in (0..3).filter(|other| *other != node) {
-                reset(cluster, node, other);
+                reset_connection(cluster, node, other);
             }
             isolate(cluster, node);
         }
-        2 => cluster.cut.extend((0..3).filter(|other| *other != node).map(|other| (node, other))),
-        3 => cluster.cut.extend((0..3).filter(|other| *other != node).map(|other| (other, node))),
+        2 => cluster
+            .blocked_links
+            .extend((0..3).filter(|other| *other != node).map(|other| (node, other))),
+        3 => cluster
+            .blocked_links
+            .extend((0..3).filter(|other| *other != node).map(|other| (other, node))),
         4 => {
-            cluster.cut.insert((node, (node + 1) % 3));
-            cluster.cut.insert(((node + 1) % 3, node));
+            cluster.blocked_links.insert((node, (node + 1) % 3));
+            cluster.blocked_links.insert(((node + 1) % 3, node));
         }
         5 => {
             span = ms(500 + random.below(11_500));
             pause(cluster, node, span);
         }
-        6 => stall(cluster, node, true),
+        6 => stall_disk(cluster, node, true),
         // The same pause, after which requests are the first events that are processed.
         7 => {
             span = ms(500 + random.below(11_500));
@@ -145,20 +149,20 @@
 
 fn end_fault(cluster: &mut Cluster, fault: &Fault, requests: &mut Vec<Request>) {
     match fault.kind {
-        0..=4 => cluster.cut.retain(|(a, b)| *a != fault.node && *b != fault.node),
-        6 => stall(cluster, fault.node, false),
+        0..=4 => cluster.blocked_links.retain(|(a, b)| *a != fault.node && *b != fault.node),
+        6 => stall_disk(cluster, fault.node, false),
         7 => {
-            resume(cluster, fault.node);
+            resume_before_pending(cluster, fault.node);
             for after in [
                 highest_known_edition(cluster, requests),
                 highest_known_edition(cluster, requests).saturating_sub(1),
             ] {
                 let request_id = format!("order-{}", requests.len());
                 let operation =
-                    ask(cluster, fault.node, &request_id, edition_patch(&request_id, after));
+                    submit(cluster, fault.node, &request_id, edition_patch(&request_id, after));
                 requests.push(Request { operation, request_id, after: Some(after) });
             }
-            let operation = ask(cluster, fault.node, "", Operation::Read);
+            let operation = submit(cluster, fault.node, "", Operation::Read);
             requests.push(Request { operation, request_id: String::new(), after: None });
         }
         _ => {}
@@ -170,10 +174,10 @@
     let mut random = Random::new(seed);
     let mut cluster = cluster(3);
     cluster.jitter = [0, ms(2), ms(20)][random.below(3) as usize];
-    cluster.chance = Random::new(seed ^ 0x5eed);
+    cluster.latency_random = Random::new(seed ^ 0x5eed);
     for node in 0..3 {
         let percent = [75, 100, 125][random.below(3) as usize];
-        rate(&mut cluster, node, percent);
+        set_clock_rate(&mut cluster, node, percent);
     }
     let (mut requests, mut faults): (Vec<Request>, Vec<Fault>) = (Vec::new(), Vec::new());
     let (mut next_request, mut next_fault) = (SECOND, 2 * SECOND);
@@ -200,25 +204,25 @@
         end_fault(&mut cluster, fault, &mut requests);
     }
     run(&mut cluster, RECOVERY_PERIOD);
-    let last = ask(&mut cluster, 0, "", Operation::Read);
-    let result = answered(&mut cluster, last);
+    let last = submit(&mut cluster, 0, "", Operation::Read);
+    let result = await_response(&mut cluster, last);
     let OperationResult::Configuration { entries: map, .. } = result else {
         return vec![format!("the final read failed: {result:?}")];
     };
     let (applied, edition) = requests_and_edition(&map);
-    let history: Vec<Asked> =
+    let history: Vec<RequestRecord> =
         requests.iter().map(|request| history_entry(&cluster, request)).collect();
     check(&history, &applied, edition)
 }
 
-fn history_entry(cluster: &Cluster, request: &Request) -> Asked {
-    let answer = cluster.answers.get(&request.operation);
-    Asked {
-        order: request.request_id.clone(),
+fn history_entry(cluster: &Cluster, request: &Request) -> RequestRecord {
+    let answer = cluster.responses.get(&request.operation);
+    RequestRecord {
+        change: request.request_id.clone(),
         after: request.after,
-        asked: cluster.asked[&request.operation],
-        answered: answer.map_or(u64::MAX, |answer| answer.at),
-        told: answer_kind(answer.map(|answer| &answer.done)),
+        submitted_at: cluster.submitted_at[&request.operation],
+        responded_at: answer.map_or(u64::MAX, |answer| answer.at),
+        outcome: answer_kind(answer.map(|answer| &answer.done)),
     }
 }
 
@@ -252,7 +256,10 @@
 
 #[googletest::test]
 fn answers_without_a_quorum_round_are_detected() {
-    expect_that!(failing_schedules(12, |cluster| cluster.unproved = true), not(is_empty()));
+    expect_that!(
+        failing_schedules(12, |cluster| cluster.skip_leadership_proof = true),
+        not(is_empty())
+    );
 }
 
 #[googletest::test]
--- a/crates/core/tests/unconditional_requests.rs
+++ b/crates/core/tests/unconditional_requests.rs
@@ -26,16 +26,16 @@
 /// Returns the current revision, as a controller reports it in response to a request without a
 /// base.
 fn reported_revision(cluster: &mut Cluster, node: usize) -> u64 {
-    let operation = ask(cluster, node, "", zone("open"));
-    match answered(cluster, operation) {
+    let operation = submit(cluster, node, "", zone("open"));
+    match await_response(cluster, operation) {
         OperationResult::Conflict { revision } => revision,
         other => panic!("{other:?}"),
     }
 }
 
 fn accept(cluster: &mut Cluster, node: usize, id: &str, state: &str) {
-    let operation = ask(cluster, node, id, zone(state));
-    let result = answered(cluster, operation);
+    let operation = submit(cluster, node, id, zone(state));
+    let result = await_response(cluster, operation);
     assert!(matches!(result, OperationResult::Accepted { .. }), "{result:?}");
 }
 
@@ -47,7 +47,7 @@
 
 #[googletest::test]
 fn a_request_without_id_and_base_is_never_applied() {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     accept(&mut cluster, first, "drain", "drained");
     run(&mut cluster, SECOND);
     let committed = core_of(&cluster, first).partitions[0].committed_revision;
@@ -60,13 +60,13 @@
 
 #[googletest::test]
 fn a_request_on_the_reported_revision_is_applied_once() {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     accept(&mut cluster, first, "drain", "drained");
     run(&mut cluster, SECOND);
     let base = reported_revision(&mut cluster, other);
     for is_repeat in [false, true] {
-        let confirmed = ask_on(&mut cluster, other, "confirmed", base, zone("open"));
-        let result = answered(&mut cluster, confirmed);
+        let confirmed = submit_conditional(&mut cluster, other, "confirmed", base, zone("open"));
+        let result = await_response(&mut cluster, confirmed);
         let OperationResult::Accepted { is_repeat: repeated, .. } = result else {
             panic!("{result:?}");
         };
@@ -87,22 +87,24 @@
 /// another controller. Returns whether the zone is drained, as the last of them demands, and the
 /// result of the delayed request.
 fn delay_a_request(identity: RequestIdentity) -> (bool, OperationResult) {
-    let (mut cluster, first, other) = led(3);
+    let (mut cluster, first, other) = cluster_with_leader(3);
     let third = 3 - first - other;
     accept(&mut cluster, first, "drain", "drained");
     run(&mut cluster, SECOND);
     let base = reported_revision(&mut cluster, other);
-    hold(&mut cluster, other, first, DELAY);
+    delay_messages(&mut cluster, other, first, DELAY);
     let held = match identity {
-        RequestIdentity::Revision => ask_on(&mut cluster, other, "held", base, zone("open")),
-        RequestIdentity::GeneratedId => ask(&mut cluster, other, "held", zone("open")),
+        RequestIdentity::Revision => {
+            submit_conditional(&mut cluster, other, "held", base, zone("open"))
+        }
+        RequestIdentity::GeneratedId => submit(&mut cluster, other, "held", zone("open")),
     };
     run(&mut cluster, SECOND);
     accept(&mut cluster, third, "open", "open");
     accept(&mut cluster, third, "drain again", "drained");
     run(&mut cluster, DELAY);
-    assert!(believes(&cluster, first), "the leader must not change");
-    let result = answered(&mut cluster, held);
+    assert!(considers_itself_leader(&cluster, first), "the leader must not change");
+    let result = await_response(&mut cluster, held);
     (is_drained(&cluster, first), result)
 }
 
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -169,7 +169,7 @@
                         sender.send(&message);
                     }
                 }
-                Command::AppendRecord { partition, token, record: record } => {
+                Command::AppendRecord { partition, token, record } => {
                     self.submit_disk_job(DiskJob::Append { partition, token, record });
                 }
                 Command::WriteSnapshot { partition, token, snapshot: state } => {
