--- a/crates/core/src/membership/node_agent.rs
+++ b/crates/core/src/membership/node_agent.rs
@@ -233,7 +233,7 @@
     Stop,
     /// The traffic threads have no call in flight any more.
     Drained,
-    /// A timer tick; comes at least every [`step::WAKE_INTERVAL`](super::step::WAKE).
+    /// A timer tick; comes at least every [`step::WAKE_INTERVAL`](super::step::WAKE_INTERVAL).
     Wake,
 }
 
