--- a/crates/server/src/querier/metrics.rs
+++ b/crates/server/src/querier/metrics.rs
@@ -86,14 +86,14 @@
     write_labelled_counter(
         out,
         "grebe_bounces_total",
-        "Calls rejected, by reason.",
+        "Calls bounced, by reason.",
         "reason",
         &totals.rejected,
     );
     write_labelled_counter(
         out,
         "grebe_dispatch_trouble_total",
-        "Failed attempts, by kind.",
+        "Dispatches that failed, by kind.",
         "kind",
         &totals.failures,
     );
@@ -101,40 +101,46 @@
         out,
         "counter",
         "grebe_first_dispatches_total",
-        "First attempts.",
+        "First dispatches.",
         totals.first_attempts,
     );
-    write_metric(out, "counter", "grebe_second_tries_total", "Retries and hedges.", totals.retries);
+    write_metric(
+        out,
+        "counter",
+        "grebe_second_tries_total",
+        "Second and later tries.",
+        totals.retries,
+    );
     write_metric(
         out,
         "counter",
         "grebe_second_tries_denied_total",
-        "Retries and hedges denied.",
+        "Second tries denied.",
         totals.retries_denied,
     );
     write_metric(
         out,
         "counter",
         "grebe_dispatches_dropped_total",
-        "Cancelled attempts.",
+        "Dispatches given up.",
         totals.cancelled,
     );
-    let help = "Attempts at versions on trial.";
+    let help = "Attempts at versions that are tried.";
     write_metric(out, "counter", "grebe_trial_attempts_total", help, totals.trial_attempts);
     write_metric(
         out,
         "counter",
         "grebe_trial_failures_total",
-        "Failed attempts at versions on trial.",
+        "Of these, failed.",
         totals.trial_failures,
     );
-    write_metric(out, "gauge", "grebe_queries", "Open queries.", totals.queries);
-    write_metric(out, "gauge", "grebe_dispatches", "Attempts in flight.", totals.in_flight);
+    write_metric(out, "gauge", "grebe_queries", "Queries in hand.", totals.queries);
+    write_metric(out, "gauge", "grebe_dispatches", "Dispatches out.", totals.in_flight);
     write_metric(
         out,
         "gauge",
         "grebe_wanting",
-        "Shards of queries that wait for leaf capacity.",
+        "Shards of queries that wait for room.",
         totals.queued,
     );
     let _ = writeln!(out, "# HELP grebe_outcome_ms Time to an outcome.");
@@ -152,26 +158,26 @@
             out,
             "gauge",
             "grebe_revision",
-            "Applied configuration revision.",
+            "Configuration revision obeyed.",
             metrics.revision,
         );
-        write_metric(out, "gauge", "grebe_members", "Members.", metrics.members);
+        write_metric(out, "gauge", "grebe_members", "Members of the cohort.", metrics.members);
         write_metric(
             out,
             "gauge",
             "grebe_shares",
-            "Threads that share the cluster's limits.",
+            "Threads that divide the fleet's limits.",
             metrics.quota_threads,
         );
-        let help = "Leafs withheld because their version is not active.";
+        let help = "Leafs of versions that are not in force.";
         write_metric(out, "gauge", "grebe_withheld_leafs", help, metrics.withheld_leafs);
         let counts = &metrics.counts;
-        write_metric(out, "counter", "grebe_news_taken_total", "Updates received.", counts.updates);
+        write_metric(out, "counter", "grebe_news_taken_total", "News taken.", counts.updates);
         write_metric(
             out,
             "counter",
             "grebe_news_from_members_total",
-            "Updates received from members.",
+            "Of these, from members.",
             counts.updates_from_members,
         );
         write_metric(
@@ -185,14 +191,14 @@
             out,
             "counter",
             "grebe_list_substitute_polls_total",
-            "Polls of the platform's list in place of unresponsive members.",
+            "Of these, in place of silent members.",
             counts.substitute_list_polls,
         );
         write_metric(
             out,
             "counter",
             "grebe_list_troubles_total",
-            "Failed polls of the platform's list.",
+            "Polls that failed.",
             counts.list_failures,
         );
         write_metric(out, "counter", "grebe_probes_total", "Probes of leafs.", counts.probes);
@@ -200,7 +206,7 @@
             out,
             "counter",
             "grebe_cut_off_total",
-            "Times that this node's lease lapsed.",
+            "Times this node was cut off alone.",
             counts.lease_lapses,
         );
     }
