--- a/crates/core/src/config/consistency_error.rs
+++ b/crates/core/src/config/consistency_error.rs
@@ -20,7 +20,7 @@
         other: String,
     },
     /// A plan selects a pool without the label that names its shard.
-    #[error("selected pool `{pool}` has no label `{label}`")]
+    #[error("pool `{pool}` is chosen but has no label `{label}`")]
     ShardLabelMissing {
         /// The selected pool.
         pool: String,
@@ -28,7 +28,7 @@
         label: String,
     },
     /// The leafs of one service would hold two shards.
-    #[error("service `{service}` is assigned to two shards, `{first}` and `{second}`")]
+    #[error("service `{service}` stands under two shards, `{first}` and `{second}`")]
     ServiceInTwoShards {
         /// The service of both pools.
         service: String,
@@ -38,16 +38,16 @@
         second: String,
     },
     /// The pools that a plan selects hold different versions of the index.
-    #[error("the selected pools hold more than one index version: {}", quoted(.versions))]
+    #[error("the chosen pools hold more than one cut: {}", quoted(.versions))]
     SeveralIndexVersions {
         /// All versions that the selected pools hold.
         versions: Vec<String>,
     },
     /// A plan selects no pool.
-    #[error("no pool is selected: a route needs at least one shard")]
+    #[error("no pool is chosen: a mapping needs at least one shard")]
     NoPoolChosen,
     /// A plan selects a shard by weights that are all zero.
-    #[error("the weights of the selected shards add up to zero")]
+    #[error("the weights of the chosen shards add up to nothing")]
     NoWeight,
 }
 
--- a/crates/core/src/config/field_error.rs
+++ b/crates/core/src/config/field_error.rs
@@ -58,19 +58,19 @@
         found: String,
     },
     /// Two objects of one list have the same name.
-    #[error("duplicate name `{name}`")]
+    #[error("`{name}` stands twice")]
     DuplicateName {
         /// The name that both objects have.
         name: String,
     },
     /// A host without a path, a path without a host, or a path without a leading slash.
-    #[error("a host and a path that begins with a slash must be given together")]
+    #[error("a host and a path that begins with a slash go together")]
     HostWithoutPath,
     /// A search that forwards its calls has no host by which calls are routed to it.
-    #[error("a search that forwards calls needs a host and a path")]
+    #[error("a search that hands calls over is found by host and path")]
     HostMissing,
     /// Only calls that are passed to a single leaf can be protected from running twice.
-    #[error("only calls that are passed to one leaf can be limited to one execution")]
+    #[error("only calls that are passed to one leaf can be kept from running twice")]
     OnceNotPassed,
 }
 
--- a/crates/core/src/control_plane/acceptance.rs
+++ b/crates/core/src/control_plane/acceptance.rs
@@ -160,7 +160,7 @@
         let lagging =
             self.membership.members.iter().filter(|member| applied_revision(member) < revision);
         lagging
-            .map(|member| format!("{} (applied {})", member.name, applied_revision(member)))
+            .map(|member| format!("{} (obeys {})", member.name, applied_revision(member)))
             .collect()
     }
 }
--- a/crates/core/src/control_plane/operations.rs
+++ b/crates/core/src/control_plane/operations.rs
@@ -222,7 +222,7 @@
         if let Some(done) = forgotten_result(map, &base) {
             return Ok(PlannedChange::Refused(done));
         }
-        let text = format!("must be above {}, the current edition", old.client_limits.edition);
+        let text = format!("must be above {}, the one that stands", old.client_limits.edition);
         return Err(vec![Diagnostic::new("terms.edition", text)]);
     }
     RoutingTable::build(&new)?;
--- a/crates/core/src/control_plane/rejection.rs
+++ b/crates/core/src/control_plane/rejection.rs
@@ -11,23 +11,23 @@
     #[error("this controller has no voter slot")]
     NoVoterSlot,
     /// The maximum number of requests is pending at the leader.
-    #[error("too many requests are pending at the leader")]
+    #[error("too many requests wait at the leader")]
     TooManyRequests,
     /// The member to be forgotten is unknown or running.
-    #[error("no such member, or it still renews its lease")]
+    #[error("no such member, or it still renews its tenure")]
     MemberUnknownOrLive,
     /// The request was addressed to a term in which this node does not lead.
-    #[error("the voter that received the request does not lead the configuration partition")]
+    #[error("the seat it was handed to does not own the configuration")]
     NotLeader,
     /// A later leader refused the request, but an attempt that was not restricted to a
     /// single term may still reach any leader.
-    #[error("refused, but an earlier attempt may still be executed")]
+    #[error("refused, but an earlier attempt may still be carried out")]
     EarlierAttemptPending,
     /// No leader was known before the request timed out.
     #[error("the configuration has no leader now")]
     NoLeader,
     /// A read was not answered before the request timed out.
-    #[error("the read timed out")]
+    #[error("no answer in time")]
     ReadTimedOut,
     /// A change was not answered before the request timed out.
     #[error("the leader did not answer in time")]
--- a/crates/core/src/http_api/caller.rs
+++ b/crates/core/src/http_api/caller.rs
@@ -39,7 +39,7 @@
             other => return Err(bad(format!("unknown parameter `{other}`"))),
         };
         if map.insert(val.0.to_string(), val.1).is_some() {
-            return Err(bad(format!("duplicate parameter `{key}`")));
+            return Err(bad(format!("parameter `{key}` stands twice")));
         }
     }
     read(route, budget, map)
@@ -70,7 +70,7 @@
     map: serde_json::Map<String, Value>,
 ) -> Result<SearchRequest, Rejection> {
     let Some(text) = budget else {
-        return Err(bad("the header Budget-Ms, the time to wait in milliseconds, is missing"));
+        return Err(bad("the header Budget-Ms is missing: say how long you will wait"));
     };
     let budget = match text.trim().parse::<u64>() {
         Ok(n) if (1..=consts::MAX_BUDGET_MS).contains(&n) => ms(n),
@@ -90,7 +90,7 @@
     let key = match map.get("key") {
         None => None,
         Some(Value::String(s)) if !s.is_empty() => Some(s.clone()),
-        Some(_) => return Err(bad("`key` must be a non-empty text")),
+        Some(_) => return Err(bad("`key` must be a text that is not empty")),
     };
     let limit = match map.get("limit") {
         None => consts::DEFAULT_RECORD_LIMIT,
--- a/crates/core/src/http_api/operator.rs
+++ b/crates/core/src/http_api/operator.rs
@@ -51,7 +51,7 @@
 /// longer be remembered.
 pub fn forgotten(revision: u64, edition: u64) -> String {
     format!(
-        "requests on a base up to revision {revision} or edition {edition} are no longer \
+        "orders on a base up to revision {revision} or edition {edition} are no longer \
          remembered: read the configuration to see whether this one was accepted"
     )
 }
--- a/crates/core/src/http_api/rollout.rs
+++ b/crates/core/src/http_api/rollout.rs
@@ -63,7 +63,7 @@
     let value: Value = serde_json::from_slice(body)?;
     let text = |field: &'static str| match value.get(field).and_then(Value::as_str) {
         Some(text) if !text.is_empty() => Ok(text.to_string()),
-        _ => Err(RolloutBodyError::WrongField { field, expected: "a non-empty text" }),
+        _ => Err(RolloutBodyError::WrongField { field, expected: "a text that is not empty" }),
     };
     let seconds = value.get(fields.term_s).and_then(Value::as_f64).filter(|s| *s > 0.0);
     let term_s = seconds.ok_or(RolloutBodyError::WrongField {
--- a/crates/core/src/query/admission.rs
+++ b/crates/core/src/query/admission.rs
@@ -23,25 +23,19 @@
         match self.serving_state {
             ServingState::Serving => {}
             ServingState::NoSnapshot => {
-                return reject(
-                    RejectionReason::NoSnapshot,
-                    "this node has not received a cluster view yet",
-                );
+                return reject(RejectionReason::NoSnapshot, "this node holds no view yet");
             }
             ServingState::Isolated => {
-                return reject(
-                    RejectionReason::Isolated,
-                    "this node is isolated from the other nodes",
-                );
+                return reject(RejectionReason::Isolated, "this node is cut off from the others");
             }
             ServingState::ShuttingDown => {
-                return reject(RejectionReason::ShuttingDown, "this node is shutting down");
+                return reject(RejectionReason::ShuttingDown, "this node is going down");
             }
         }
         if now > self.lease_valid_until {
             return reject(
                 RejectionReason::Isolated,
-                "this node's view may be stale: its lease has expired",
+                "this node's view may be old: it has no tenure now",
             );
         }
         Ok(())
@@ -53,14 +47,14 @@
         if self.queries.len() >= max_open_queries(class) {
             return reject(
                 RejectionReason::ConcurrencyLimit,
-                "this node has reached its limit of open queries for this priority class",
+                "this node works on all it may for this class",
             );
         }
         let queued = self.queries.values().filter(|query| query.queued_shards() > 0).count();
         if queued * 100 >= max_open_queries(class) * consts::MAX_QUEUED_QUERIES_PCT {
             return reject(
                 RejectionReason::NoCapacity,
-                "too many queries already wait for free capacity at the leafs",
+                "too many queries already wait for room at the leafs",
             );
         }
         Ok(())
--- a/crates/core/src/query/finishing.rs
+++ b/crates/core/src/query/finishing.rs
@@ -94,11 +94,11 @@
         }
         let text = match why {
             RejectionReason::DeadlineExceeded => {
-                "the time budget ran out before enough shards answered"
+                "the budget ran out before the required share answered"
             }
-            RejectionReason::NoCapacity => "no leaf had free capacity in time",
-            RejectionReason::NoLeaf => "a required shard has no leaf that may be used",
-            _ => "too many shards failed and no more retries were allowed",
+            RejectionReason::NoCapacity => "no leaf had room in time",
+            RejectionReason::NoLeaf => "a needed shard has no leaf that may be asked",
+            _ => "too many shards failed and no more tries were allowed",
         };
         let ejection_left = self.ejection_left(now, &query);
         let mut rejection = Rejection::new(why, text);
--- a/crates/core/src/query/planning.rs
+++ b/crates/core/src/query/planning.rs
@@ -27,7 +27,7 @@
         let reject = |reason, text: &str| Err(Rejection::new(reason, text));
         self.check_serving(now)?;
         let Some(route) = self.cluster_view.routes.get(&request.route).cloned() else {
-            return reject(RejectionReason::UnknownRoute, "no search with this name is configured");
+            return reject(RejectionReason::UnknownRoute, "no search of that name is configured");
         };
         if route.serving_mode != ServingMode::Native {
             return reject(RejectionReason::UnknownRoute, "this search is called by host and path");
@@ -63,7 +63,7 @@
     ) -> Result<Query, Rejection> {
         self.check_serving(now)?;
         let Some(route) = self.cluster_view.route_for(&request.host, &request.path).cloned() else {
-            let text = "no search is configured for this host and path";
+            let text = "no search takes calls of this host and path";
             return Err(Rejection::new(RejectionReason::UnknownRoute, text));
         };
         self.check_capacity(route.class)?;
@@ -137,7 +137,7 @@
         (FanOut::ByKey, Some(key)) => Ok(vec![shard_for_key(route, key)]),
         (FanOut::ByWeight, _) => Ok(vec![pick_weighted_shard(route, random)]),
         (FanOut::ByKey, None) => {
-            let text = "this search looks up a single key: the call must have a `key`";
+            let text = "this search looks up one thing: give its `key`";
             Err(Rejection::new(RejectionReason::MissingKey, text))
         }
     }
@@ -151,7 +151,7 @@
     match budget.saturating_sub(reserve).min(timeout) {
         0 => Err(Rejection::new(
             RejectionReason::DeadlineExceeded,
-            "the time budget leaves no time for any leaf",
+            "the budget leaves no time to ask anyone",
         )),
         usable => Ok(usable),
     }
--- a/crates/core/src/replication/pending_operations.rs
+++ b/crates/core/src/replication/pending_operations.rs
@@ -84,7 +84,7 @@
             if confirmed >= operation.round && committed_up_to >= operation.revision {
                 answer(operation, leader, committed_revision, committed, commands);
             } else if now >= operation.until {
-                let why = "the leader could not confirm its leadership in time".to_string();
+                let why = "the leader could not prove in time that it still is".to_string();
                 operation.origin.respond(OperationResult::Rejected { why }, commands);
             } else {
                 remaining.push(operation);
--- a/crates/core/src/replication/waiting_changes.rs
+++ b/crates/core/src/replication/waiting_changes.rs
@@ -109,9 +109,9 @@
         if change.revision > self.committed {
             "no majority synced the change in time".to_string()
         } else if change.revision > self.accepted_up_to(change.acceptance) {
-            format!("synced, but not applied yet by {}", self.lagging_members.join(", "))
+            format!("synced, but not obeyed yet by {}", self.lagging_members.join(", "))
         } else {
-            "the change is committed, but no majority confirmed the leadership in time".to_string()
+            "the change stands, but no majority proved in time who leads now".to_string()
         }
     }
 
@@ -128,7 +128,7 @@
                     is_repeat: false,
                 }
             } else {
-                let why = "the leader changed while the change was being replicated".to_string();
+                let why = "the leader changed while the change was on its way".to_string();
                 OperationResult::Unknown { why }
             };
             change.origin.respond(result, commands);
--- a/crates/core/src/rollout/order.rs
+++ b/crates/core/src/rollout/order.rs
@@ -25,16 +25,16 @@
 #[derive(Debug, PartialEq, thiserror::Error)]
 pub enum RolloutOrderError {
     /// No pool uses the service.
-    #[error("no pool uses the service `{found}`")]
+    #[error("no pool has a service `{found}`")]
     UnknownService {
         /// The service in the order.
         found: String,
     },
     /// The version name is invalid.
-    #[error("a version must have 1 to {MAX_VERSION_LEN} printable ASCII characters without blanks")]
+    #[error("a version has 1 to {MAX_VERSION_LEN} printable ASCII characters without blanks")]
     InvalidVersion,
     /// The time limit is zero or too large.
-    #[error("the time limit must be above 0 and at most {MAX_TERM_MS} ms, not {found_ms} ms")]
+    #[error("a rollout takes above 0 and at most {MAX_TERM_MS} ms, not {found_ms} ms")]
     InvalidTerm {
         /// The time limit in the order (ms).
         found_ms: u64,
--- a/crates/core/src/routing_language/syntax_error.rs
+++ b/crates/core/src/routing_language/syntax_error.rs
@@ -9,7 +9,7 @@
     #[error("text without a closing quote")]
     UnclosedText,
     /// A number without a percent sign.
-    #[error("a number must be a percentage and end in %")]
+    #[error("a number here is a percentage and ends in %")]
     NumberWithoutPercent,
     /// A number is out of the integer range.
     #[error("number too large")]
@@ -26,7 +26,7 @@
         found: Option<TokenKind>,
     },
     /// A plan has two stages of a kind.
-    #[error("duplicate stage")]
+    #[error("this stage stands twice")]
     DuplicateStage,
     /// The plan has no `from` stage, which selects its pools.
     #[error("a plan needs a stage `from <selector> by <label>`")]
--- a/crates/runtime/src/forwarding_server.rs
+++ b/crates/runtime/src/forwarding_server.rs
@@ -153,10 +153,10 @@
         let mut response = match tokio::time::timeout(limits.idle, read).await {
             Ok(Ok(body)) => answer(head, body.to_bytes().to_vec()).await.map(Full::new),
             Ok(Err(e)) if e.is::<http_body_util::LengthLimitError>() => {
-                rejection(StatusCode::PAYLOAD_TOO_LARGE, "the body exceeds the size limit")
+                rejection(StatusCode::PAYLOAD_TOO_LARGE, "the body is larger than is allowed")
             }
             Ok(Err(_)) => rejection(StatusCode::BAD_REQUEST, "the body can't be read"),
-            Err(_) => rejection(StatusCode::REQUEST_TIMEOUT, "timed out while reading the body"),
+            Err(_) => rejection(StatusCode::REQUEST_TIMEOUT, "the body did not come in time"),
         };
         if self.leaving.get() {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
--- a/crates/server/src/controller/controller_io.rs
+++ b/crates/server/src/controller/controller_io.rs
@@ -112,7 +112,7 @@
     /// Fails all pending requests with an unknown result.
     pub fn fail_pending(&mut self) {
         for (_, reply) in self.pending.drain() {
-            let why = "this controller has shut down".into();
+            let why = "this controller went down".into();
             let _ = reply.send(OperationResult::Unknown { why });
         }
     }
--- a/crates/server/src/controller/operator_listener.rs
+++ b/crates/server/src/controller/operator_listener.rs
@@ -136,7 +136,7 @@
     let request = match text(REQUEST_ID) {
         None => None,
         Some(Ok(id)) if (1..=128).contains(&id.len()) => Some(id),
-        Some(_) => return Err(bad(REQUEST_ID, "expected 1 to 128 visible ASCII characters")),
+        Some(_) => return Err(bad(REQUEST_ID, "a request id has 1 to 128 plain characters")),
     };
     let expect = match text(EXPECT_REVISION) {
         None => None,
@@ -157,9 +157,9 @@
         reply,
     };
     if controller.inputs.send(input).is_err() {
-        return OperationResult::Rejected { why: "this controller is shutting down".into() };
+        return OperationResult::Rejected { why: "this controller is going down".into() };
     }
-    result.await.unwrap_or(OperationResult::Unknown { why: "this controller has shut down".into() })
+    result.await.unwrap_or(OperationResult::Unknown { why: "this controller went down".into() })
 }
 
 /// Executes a request and writes its result, or redirects its sender to confirm the request.
@@ -194,7 +194,7 @@
         None => Some(Confirmation::first(revision)),
     };
     let Some(next) = next else {
-        let why = "the configuration changed again after each confirmation".into();
+        let why = "the configuration changes all the time".into();
         return write(OperationResult::Rejected { why });
     };
     controller.resubmissions.record_redirect(key, &next, Instant::now());
@@ -203,7 +203,7 @@
 
 /// Returns the redirection with which the sender confirms its request.
 fn redirect_to_confirm(confirmation: &Confirmation, sender: &Sender) -> Response {
-    let text = "the request has neither an id nor an expected revision: confirm it at the location";
+    let text = "it has no id and names nothing that it builds on: confirm it at the location";
     let revision = confirmation.revision;
     let body = json!({ "error": "unconfirmed", "text": text, "revision": revision });
     let mut response = json_response(StatusCode::TEMPORARY_REDIRECT.as_u16(), &body);
@@ -315,7 +315,7 @@
             return json_response(409, &json!({ "error": error, "version": target }));
         }
         OperationResult::Configuration { .. } | OperationResult::Status { .. } => {
-            OperatorOutcome::Unknown { reason: "unexpected result of another operation".into() }
+            OperatorOutcome::Unknown { reason: "an answer to something else".into() }
         }
     };
     let (code, body) = write(&op);
--- a/crates/server/src/querier/caller_listener.rs
+++ b/crates/server/src/querier/caller_listener.rs
@@ -116,7 +116,7 @@
         guard.done = true;
         let mut rejection = Rejection::new(
             RejectionReason::ConcurrencyLimit,
-            "this node's listener has reached its limit of open calls",
+            "this node's door has all the calls it may",
         );
         let spread = consts::RETRY_AFTER_MAX_S / 4;
         rejection.retry_after_seconds = Some(consts::RETRY_AFTER_MIN_S + call % spread);
@@ -130,10 +130,7 @@
     };
     guard.done = true;
     let outcome = outcome.unwrap_or_else(|| {
-        Outcome::Rejected(Rejection::new(
-            RejectionReason::ShuttingDown,
-            "this node is shutting down",
-        ))
+        Outcome::Rejected(Rejection::new(RejectionReason::ShuttingDown, "this node is going down"))
     });
     to_response(&outcome)
 }
@@ -159,8 +156,7 @@
                 Err(_) => None,
             };
             guard.done = true;
-            let gone =
-                || Rejection::new(RejectionReason::ShuttingDown, "this node is shutting down");
+            let gone = || Rejection::new(RejectionReason::ShuttingDown, "this node is going down");
             (api.write_outcome)(outcome.unwrap_or_else(|| Outcome::Rejected(gone())))
         }
     };
