--- a/crates/server/src/querier/membership_io.rs
+++ b/crates/server/src/querier/membership_io.rs
@@ -132,7 +132,7 @@
             }
             Err(diagnostics) => {
                 for diagnostic in diagnostics {
-                    warn!(me = self.name, "changed params are not taken up: {diagnostic}");
+                    warn!(me = self.name, "settings not reloaded: {diagnostic}");
                 }
             }
         }
@@ -174,7 +174,7 @@
                 ..
             } => Some(Event::FromMember { name, message }),
             ConnectionEvent::Accepted { connection, identity, .. } => {
-                debug!(connection, who = ?identity, "peer connection accepted");
+                debug!(connection, who = ?identity, "connection accepted");
                 None
             }
             ConnectionEvent::ReceivedFromAccepted { .. } | ConnectionEvent::Closed { .. } => None,
--- a/crates/server/src/querier/traffic_thread.rs
+++ b/crates/server/src/querier/traffic_thread.rs
@@ -95,7 +95,7 @@
         tokio::select! {
             end = listener => {
                 if let Err(e) = end {
-                    error!("the callers' door: {e}");
+                    error!("the callers' listener failed: {e}");
                 }
             }
             _ = thread.run(inputs) => {}
