--- a/crates/core/src/control_plane/disk_events.rs
+++ b/crates/core/src/control_plane/disk_events.rs
@@ -73,6 +73,6 @@
     if replica.disk_failure.is_some() {
         replica.retry_disk(now, commands);
     } else if replica.is_disk_stalled(now) {
-        replica.on_disk_failed(now, "the disk is stalled".into(), commands);
+        replica.on_disk_failed(now, "the disk stalls".into(), commands);
     }
 }
--- a/crates/runtime/src/disk/error.rs
+++ b/crates/runtime/src/disk/error.rs
@@ -22,7 +22,7 @@
         source: std::io::Error,
     },
     /// The log is closed. Nothing can be appended before the next snapshot is written.
-    #[error("the log is closed after a failure")]
+    #[error("no log is open since the last trouble")]
     NoLog,
     /// Another process holds the lock of the data folder.
     #[error("another process uses this data folder: {0}")]
