--- a/crates/server/src/testbed/control_listener.rs
+++ b/crates/server/src/testbed/control_listener.rs
@@ -122,7 +122,7 @@
     Missing,
     #[error("no leaf matches")]
     NoMatch,
-    #[error("unknown command `{0}`")]
+    #[error("unknown order `{0}`")]
     Unknown(String),
     #[error("{0}")]
     Start(#[from] std::io::Error),
