--- a/crates/server/tests/ci_verdict.rs
+++ b/crates/server/tests/ci_verdict.rs
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_target_that_died_fails_the_run() {
+fn a_target_that_crashed_fails_the_run() {
     let died = format!(
         "{}     Running tests/disk.rs (target/debug/deps/disk-0123456789abcdef)
 error: test failed, to rerun pass `-p grebe --test disk`
--- a/crates/server/tests/concurrent_changes.rs
+++ b/crates/server/tests/concurrent_changes.rs
@@ -17,7 +17,7 @@
 const LONG: Duration = Duration::from_secs(20);
 
 #[googletest::test]
-fn whole_and_partial_changes_at_one_moment_lose_nothing() {
+fn concurrent_replacements_and_patches_lose_no_accepted_change() {
     block(async {
         let f = LocalCluster::start(layout("race", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
--- a/crates/server/tests/connections.rs
+++ b/crates/server/tests/connections.rs
@@ -33,7 +33,7 @@
 }
 
 #[googletest::test]
-fn a_connection_of_another_fleet_is_closed_and_ours_is_dialled_anew() {
+fn a_connection_from_another_cluster_is_closed_and_a_failed_one_is_redialled() {
     block(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
@@ -146,7 +146,7 @@
 }
 
 #[googletest::test]
-fn work_is_sent_once_and_to_none_but_the_leaf_it_is_for() {
+fn a_request_is_sent_once_and_only_to_its_intended_leaf() {
     block(async {
         // Not a port that the system hands out: it is bound a second time.
         let port = local_cluster::free_ports(1).unwrap()[0];
--- a/crates/server/tests/disk_faults.rs
+++ b/crates/server/tests/disk_faults.rs
@@ -19,7 +19,7 @@
 const LONG: Duration = Duration::from_secs(20);
 
 #[googletest::test]
-fn a_full_disk_makes_its_voter_step_back_and_costs_nothing_accepted() {
+fn a_full_disk_disables_its_voter_and_loses_no_accepted_change() {
     block(async {
         let mut f = LocalCluster::start(layout("full", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
@@ -61,7 +61,7 @@
 }
 
 #[googletest::test]
-fn a_controller_that_starts_on_a_full_disk_says_so_and_goes_on_by_itself() {
+fn a_controller_started_on_a_full_disk_reports_it_and_recovers_by_itself() {
     block(async {
         let mut f = LocalCluster::start(layout("full-start", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
@@ -99,7 +99,7 @@
 }
 
 #[googletest::test]
-fn a_controller_that_waits_for_its_disk_ends_when_it_is_asked_to() {
+fn a_controller_waiting_for_its_disk_exits_on_sigterm() {
     block(async {
         let mut f = LocalCluster::start(layout("full-stop", "mohalla", 3)).await.unwrap();
         f.controllers[0].kill();
@@ -117,7 +117,7 @@
 }
 
 #[googletest::test]
-fn files_corrupted_under_a_running_controller_are_written_anew() {
+fn files_corrupted_under_a_running_controller_are_rewritten() {
     block(async {
         let mut f = LocalCluster::start(layout("rot", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
--- a/crates/server/tests/documents.rs
+++ b/crates/server/tests/documents.rs
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn each_file_and_function_that_a_document_names_exists() {
+fn each_file_and_function_named_in_a_document_exists() {
     let root = root();
     let mut files = Vec::new();
     files_below(&root, &root, &mut files);
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn each_variant_that_the_rules_name_exists() {
+fn each_faulty_variant_named_in_the_rules_exists() {
     let root = root();
     let rules = std::fs::read_to_string(root.join("docs/rules.md")).unwrap();
     let variants = root.join("crates/simulator/src/world/faulty_variant.rs");
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -303,7 +303,7 @@
 }
 
 #[googletest::test]
-fn a_site_takes_orders_and_serves_calls_in_another_manner() {
+fn the_platform_dialect_configures_controllers_and_serves_calls() {
     block(async {
         let s = up("foreign-orders").await;
         // Before any configuration every call is refused as one that has not run.
@@ -395,7 +395,7 @@
 }
 
 #[googletest::test]
-fn an_emptied_zone_gets_nothing_until_it_is_taken_back() {
+fn a_drained_zone_receives_no_calls_until_it_is_reopened() {
     block(async {
         let s = begun("foreign-evacuate").await;
         // The second querier stands in z-2 and prefers its own leaf.
@@ -419,7 +419,7 @@
 }
 
 #[googletest::test]
-fn an_evacuation_and_a_take_back_that_a_relay_held_are_not_carried_out_late() {
+fn a_delayed_drain_or_reopen_request_is_not_applied_after_later_ones() {
     // Guards against either order when its sender has given both elsewhere since.
     block(async {
         let s = begun("foreign-held").await;
@@ -449,7 +449,7 @@
 }
 
 #[googletest::test]
-fn a_leaf_that_the_list_says_leaves_gets_nothing_more() {
+fn a_leaf_listed_as_draining_receives_no_calls() {
     block(async {
         let s = begun("foreign-leave").await;
         mark_draining(&s.world, "i-a1");
@@ -460,7 +460,7 @@
 }
 
 #[googletest::test]
-fn what_a_bad_leaf_sends_never_reaches_a_caller_as_a_success() {
+fn a_faulty_leaf_response_is_never_returned_as_a_success() {
     // Guards against half answers, answers of other calls, and bodies or
     // stamps that are not the leaf's.
     block(async {
@@ -542,7 +542,7 @@
 }
 
 #[googletest::test]
-fn each_call_gets_its_own_answer_and_runs_once_whatever_leafs_do() {
+fn each_call_gets_its_own_response_and_runs_once_under_random_leaf_faults() {
     // Silence, resets before and after the work, late, double, short, foreign and
     // false answers, drawn for each request; many calls at once on kept connections.
     block(async {
@@ -594,7 +594,7 @@
 }
 
 #[googletest::test]
-fn a_process_that_is_asked_to_end_finishes_what_it_has_read() {
+fn a_querier_finishes_calls_in_progress_after_sigterm() {
     block(async {
         let mut s = begun("foreign-end").await;
         for leaf in LEAFS {
@@ -639,7 +639,7 @@
 }
 
 #[googletest::test]
-fn a_hang_up_ends_no_process_whatever_the_file_says() {
+fn sighup_ends_no_process_even_with_an_invalid_settings_file() {
     block(async {
         let mut s = begun("foreign-hup").await;
         for text in ["", "not JSON", "{}"] {
@@ -671,7 +671,7 @@
 const SEEN_CLOSED: Duration = Duration::from_millis(1_500);
 
 #[googletest::test]
-fn a_leaf_sees_soon_that_nobody_waits_for_it_any_more() {
+fn a_leaf_request_is_cancelled_soon_after_its_response_is_no_longer_needed() {
     // Guards against slots that are held by work for nobody until its deadline (8 s).
     block(async {
         let s = begun("foreign-closed").await;
@@ -722,7 +722,7 @@
 }
 
 #[googletest::test]
-fn callers_are_held_to_the_limits_and_no_call_hides_in_another() {
+fn request_size_limits_are_enforced_and_request_smuggling_fails() {
     // Guards against memory that callers fill, and against requests that a
     // leaf runs though nobody sent them.
     block(async {
--- a/crates/server/tests/held_orders.rs
+++ b/crates/server/tests/held_orders.rs
@@ -28,7 +28,7 @@
 const DUTY_CYCLE: (Duration, Duration) = (Duration::from_millis(600), Duration::from_millis(50));
 
 #[googletest::test]
-fn an_order_that_a_relay_held_is_not_carried_out_after_later_ones_of_its_sender() {
+fn a_change_delayed_by_a_relay_is_not_applied_after_later_ones() {
     // Guards against a drained zone that an order opens which a healed cut lets go.
     block(async {
         let cluster = LocalCluster::start(layout("held-orders", "mohalla", 1)).await.unwrap();
@@ -57,7 +57,7 @@
 }
 
 #[googletest::test]
-fn an_order_is_not_carried_out_late_by_a_controller_that_stops_while_it_takes_it() {
+fn a_controller_paused_while_receiving_a_change_does_not_apply_it_late() {
     block(async {
         let cluster = LocalCluster::start(layout("stopped-orders", "mohalla", 1)).await.unwrap();
         for stops_after in [0, 2, 10, 100].map(Duration::from_millis) {
@@ -86,7 +86,7 @@
 }
 
 #[googletest::test]
-fn an_order_is_not_carried_out_late_by_a_controller_that_hardly_runs() {
+fn a_controller_that_runs_intermittently_does_not_apply_changes_late() {
     block(async {
         let cluster = LocalCluster::start(layout("hardly-running", "mohalla", 1)).await.unwrap();
         let [_, slow, third] = leader_first(&cluster).await;
@@ -123,7 +123,7 @@
 }
 
 #[googletest::test]
-fn callers_that_follow_redirections_and_callers_that_send_again_are_served() {
+fn clients_that_follow_redirects_and_clients_that_retry_are_served() {
     block(async {
         let cluster = LocalCluster::start(layout("confirmed-orders", "mohalla", 1)).await.unwrap();
         for door in &cluster.operator_addrs {
--- a/crates/server/tests/local_cluster.rs
+++ b/crates/server/tests/local_cluster.rs
@@ -272,7 +272,7 @@
 }
 
 #[googletest::test]
-fn any_one_process_may_die() {
+fn any_single_process_may_be_killed() {
     block(async {
         let (layout, spec) = layout("die", "mohalla", 3);
         let f = LocalCluster::start(layout).await.unwrap();
@@ -333,7 +333,7 @@
 }
 
 #[googletest::test]
-fn everything_restarts_within_its_time_and_stops_cleanly() {
+fn all_processes_restart_in_time_and_stop_cleanly() {
     block(async {
         let (layout, _) = layout("restart", "mohalla", 3);
         let mut f = LocalCluster::start(layout).await.unwrap();
@@ -363,7 +363,7 @@
 }
 
 #[googletest::test]
-fn wrong_settings_are_found_together_before_any_port_opens() {
+fn all_invalid_settings_are_reported_before_any_port_opens() {
     let run = |program: &str, args: &[&str]| {
         let out = std::process::Command::new(program).args(args).output().unwrap();
         (out.status.code(), String::from_utf8_lossy(&out.stderr).to_string())
@@ -393,7 +393,7 @@
 }
 
 #[googletest::test]
-fn bounds_of_the_platform_may_be_fractions() {
+fn numeric_settings_of_the_platform_may_be_fractions() {
     // Guards against queriers that end at their start when a bound is no whole number.
     let file = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("fractions.json");
     let settings = |slack: f64| {
--- a/crates/server/tests/overload.rs
+++ b/crates/server/tests/overload.rs
@@ -10,7 +10,7 @@
 use common::{all_ready, at_once, block, layout};
 
 #[googletest::test]
-fn a_flood_of_calls_is_rejected_at_the_listener_urgent_last() {
+fn a_flood_of_calls_is_rejected_at_the_listener_lowest_priority_first() {
     block(async {
         let f = LocalCluster::start(layout("flood", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
--- a/crates/server/tests/paused_leader.rs
+++ b/crates/server/tests/paused_leader.rs
@@ -162,7 +162,7 @@
 }
 
 #[googletest::test]
-fn a_leader_that_was_stopped_answers_what_waited_in_its_sockets_rightly() {
+fn a_resumed_leader_answers_requests_queued_in_its_sockets_correctly() {
     block(async {
         let c = controllers("paused-leader");
         let mut history = Recorder::default();
--- a/crates/server/tests/process_soak.rs
+++ b/crates/server/tests/process_soak.rs
@@ -30,21 +30,21 @@
 }
 
 #[gtest]
-fn drawn_faults_of_real_processes_break_no_rule() {
+fn random_faults_of_real_processes_violate_no_check() {
     let output = soak("soak-held", None);
     expect_that!(output.status.code(), some(eq(0)), "{}", text(&output));
     expect_that!(text(&output), contains_substring("held"));
 }
 
 #[gtest]
-fn a_list_that_is_not_read_is_caught() {
+fn an_unread_leaf_list_is_detected() {
     let output = soak("soak-list", Some("dead-list"));
     expect_that!(output.status.code(), some(eq(1)), "{}", text(&output));
     expect_that!(text(&output), contains_substring("BROKEN DRAIN"));
 }
 
 #[gtest]
-fn a_drained_zone_that_is_not_obeyed_is_caught() {
+fn a_drained_zone_that_is_not_applied_is_detected() {
     let output = soak("soak-zones", Some("unsent-drains"));
     expect_that!(output.status.code(), some(eq(1)), "{}", text(&output));
     expect_that!(text(&output), contains_substring("BROKEN EVAC"));
--- a/crates/server/tests/querier_faults.rs
+++ b/crates/server/tests/querier_faults.rs
@@ -18,7 +18,7 @@
 const LONG: Duration = Duration::from_secs(20);
 
 #[googletest::test]
-fn a_frozen_querier_wakes_and_never_answers_by_the_old_configuration() {
+fn a_resumed_querier_never_answers_from_its_old_configuration() {
     block(async {
         let f = LocalCluster::start(layout("frozen", "mohalla", 3)).await.unwrap();
         all_ready(&f).await;
@@ -59,7 +59,7 @@
 }
 
 #[googletest::test]
-fn a_querier_cut_off_alone_steps_aside_and_comes_back() {
+fn an_isolated_querier_stops_serving_and_recovers() {
     block(async {
         // All that the last querier says to and hears from the others passes
         // through relays, which can be cut.
--- a/crates/server/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -174,7 +174,7 @@
 }
 
 #[googletest::test]
-fn two_operators_on_one_edition_and_a_leader_that_is_killed() {
+fn concurrent_changes_of_one_edition_keep_their_outcome_after_leader_failures() {
     block(async {
         let mut core = core("rival-operators").await;
         let first = whole(0, 1, "first");
@@ -214,7 +214,7 @@
 }
 
 #[googletest::test]
-fn grebectl_sends_again_under_its_request_id() {
+fn grebectl_retries_under_its_request_id() {
     block(async {
         let core = core("rival-grebectl").await;
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("rival-grebectl");
--- a/crates/server/tests/rollouts.rs
+++ b/crates/server/tests/rollouts.rs
@@ -107,7 +107,7 @@
 }
 
 #[googletest::test]
-fn sound_versions_are_delivered_and_bad_ones_returned_under_load() {
+fn good_versions_are_delivered_and_bad_ones_are_rolled_back_under_load() {
     block(async {
         let layout = common::layout("rollouts", "mohalla", 3);
         let spec = layout.deploy.join("mohalla.standins.json").display().to_string();
--- a/crates/server/tests/slot_takeover.rs
+++ b/crates/server/tests/slot_takeover.rs
@@ -63,7 +63,7 @@
 }
 
 #[googletest::test]
-fn a_spare_takes_over_and_the_old_holder_becomes_the_spare() {
+fn a_spare_takes_over_a_slot_and_the_former_voter_becomes_the_spare() {
     block(async {
         let mut f = LocalCluster::start(layout("seats-spare", "mohalla", 2)).await.unwrap();
         let owner = f.config_leader().await.unwrap();
@@ -193,7 +193,7 @@
 }
 
 #[googletest::test]
-fn five_seats_form_from_three_seeds_and_bear_two_lost_disks() {
+fn five_voter_slots_form_from_three_seeds_and_survive_two_lost_disks() {
     block(async {
         let mut c = core("seats-five", 5, 6);
         let http = grebepath_runtime::http::client::HttpClient::new(4);
@@ -231,7 +231,7 @@
 }
 
 #[googletest::test]
-fn a_voter_that_is_stopped_hands_its_slot_over_and_a_lost_disk_follows() {
+fn a_stopped_voter_hands_over_its_slot_so_that_another_disk_may_be_lost() {
     block(async {
         let mut c = core("seats-handover", 3, 6);
         let http = grebepath_runtime::http::client::HttpClient::new(4);
@@ -276,7 +276,7 @@
 }
 
 #[googletest::test]
-fn a_controller_whose_seeds_are_gone_takes_up_those_of_its_changed_settings() {
+fn a_controller_with_unreachable_seeds_uses_those_of_its_reloaded_settings() {
     // Guards against a blank machine that starts while all its seeds are gone, and waits for
     // them for ever although its settings name others by now.
     block(async {
--- a/crates/server/tests/stale_orders.rs
+++ b/crates/server/tests/stale_orders.rs
@@ -15,7 +15,7 @@
 use testbed::local_cluster::LocalCluster;
 
 #[googletest::test]
-fn an_order_that_lay_in_the_socket_of_a_frozen_controller_is_not_carried_out_late() {
+fn a_change_queued_in_the_socket_of_a_paused_controller_is_not_applied_late() {
     // Guards against a drained zone that a frozen controller takes back once more.
     block(async {
         let cluster = LocalCluster::start(layout("stale-orders", "mohalla", 1)).await.unwrap();
@@ -44,7 +44,7 @@
 }
 
 #[googletest::test]
-fn an_order_that_waits_for_a_leader_is_dropped_when_its_sender_leaves() {
+fn a_change_waiting_for_a_leader_is_dropped_when_its_client_disconnects() {
     block(async {
         let cluster = LocalCluster::start(layout("left-orders", "mohalla", 1)).await.unwrap();
         let [leader, other, alone] = leader_first(&cluster).await;
