--- a/crates/server/tests/concurrent_changes.rs
+++ b/crates/server/tests/concurrent_changes.rs
@@ -1,6 +1,6 @@
 //! Changes of the configuration that reach real controllers at one moment.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
 
 use std::time::Duration;
@@ -11,19 +11,22 @@
 use testbed::local_cluster;
 use testbed::local_cluster::LocalCluster;
 
-use common::{all_ready, at_once, block, layout};
+use common::{all_ready, join_all, layout, run_local};
 
-/// How long anything may take that is only waited for.
-const LONG: Duration = Duration::from_secs(20);
+/// Maximum time that a test waits for an expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[googletest::test]
 fn concurrent_replacements_and_patches_lose_no_accepted_change() {
-    block(async {
-        let f = LocalCluster::start(layout("race", "mohalla", 3)).await.unwrap();
-        all_ready(&f).await;
+    run_local(async {
+        let cluster = LocalCluster::start(layout("race", "mohalla", 3)).await.unwrap();
+        all_ready(&cluster).await;
         let read = async || {
-            let url = format!("http://{}/v1/config", f.operator_addrs[0]);
-            local_cluster::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap().1
+            let url = format!("http://{}/v1/config", cluster.operator_addrs[0]);
+            local_cluster::request(&cluster.http, Method::GET, url, Vec::new(), &[])
+                .await
+                .unwrap()
+                .1
         };
         let mark = |name: &str| json!({ "name": name, "state": "open" });
         let (mut accepted, mut moved) = (Vec::new(), 0);
@@ -32,7 +35,7 @@
             let revision = old["revision"].as_u64().unwrap().to_string();
             let send = async |i: usize| {
                 let name = format!("mark-{round}-{i}");
-                let url = format!("http://{}/v1/config", f.operator_addrs[i % 3]);
+                let url = format!("http://{}/v1/config", cluster.operator_addrs[i % 3]);
                 let mut heads = vec![("request-id", name.as_str())];
                 let (how, body) = if i.is_multiple_of(2) {
                     let mut conf = old["config"].clone();
@@ -44,10 +47,10 @@
                 };
                 let body = body.to_string().into_bytes();
                 let (code, val) =
-                    local_cluster::request(&f.http, how, url, body, &heads).await.unwrap();
+                    local_cluster::request(&cluster.http, how, url, body, &heads).await.unwrap();
                 (name, code, val["revision"].as_u64())
             };
-            for (name, code, revision) in at_once((0..6).map(send).collect()).await {
+            for (name, code, revision) in join_all((0..6).map(send).collect()).await {
                 match code {
                     200 => accepted.push((name, revision.unwrap())),
                     // Somebody else was first: nothing was applied.
@@ -64,9 +67,12 @@
         let revs: std::collections::BTreeSet<_> = accepted.iter().map(|a| a.1).collect();
         expect_that!(revs.len(), eq(accepted.len()), "two changes got one revision");
         let last = accepted.iter().map(|a| a.1).max().unwrap();
-        for i in 0..f.queriers.len() {
-            let obeys = || async { f.applied_revision(i).await.is_some_and(|r| r >= last) };
-            assert!(local_cluster::until(LONG, obeys).await, "querier {i} does not obey {last}");
+        for i in 0..cluster.queriers.len() {
+            let obeys = || async { cluster.applied_revision(i).await.is_some_and(|r| r >= last) };
+            assert!(
+                local_cluster::until(WAIT_TIMEOUT, obeys).await,
+                "querier {i} does not obey {last}"
+            );
         }
     });
 }
--- a/crates/server/tests/connections.rs
+++ b/crates/server/tests/connections.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used)]
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
 
 use std::cell::RefCell;
@@ -19,10 +19,10 @@
 use grebepath_runtime::peer_connection::{ConnectionEvent, Greeting, accept, dial};
 use testbed::local_cluster;
 
-use common::block;
+use common::run_local;
 
-/// How long anything may take that is only waited for.
-const LONG: Duration = Duration::from_secs(20);
+/// Maximum time that a test waits for an expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn seat(n: u8) -> PeerIdentity {
     PeerIdentity::Voter { slot: n, replica_id: 7 }
@@ -34,7 +34,7 @@
 
 #[googletest::test]
 fn a_connection_from_another_cluster_is_closed_and_a_failed_one_is_redialled() {
-    block(async {
+    run_local(async {
         let listener = tokio::net::TcpListener::bind("127.0.0.1:0").await.unwrap();
         let addr = listener.local_addr().unwrap();
         let (tx, mut rx) = tokio::sync::mpsc::unbounded_channel::<ConnectionEvent<u8>>();
@@ -147,7 +147,7 @@
 
 #[googletest::test]
 fn a_request_is_sent_once_and_only_to_its_intended_leaf() {
-    block(async {
+    run_local(async {
         // Not a port that the system hands out: it is bound a second time.
         let port = local_cluster::free_ports(1).unwrap()[0];
         let listener = tokio::net::TcpListener::bind(("127.0.0.1", port)).await.unwrap();
@@ -173,7 +173,7 @@
         let _ = leaf.await;
         // Other tests of this process start children, which hold what we have
         // open for a moment before they are another program.
-        let end = Instant::now() + LONG;
+        let end = Instant::now() + WAIT_TIMEOUT;
         let listener = loop {
             let sock = tokio::net::TcpSocket::new_v4().unwrap();
             sock.set_reuseaddr(true).unwrap();
--- a/crates/server/tests/foreign.rs
+++ b/crates/server/tests/foreign.rs
@@ -3,7 +3,7 @@
 
 #![allow(clippy::unwrap_used)]
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
 
 use std::cell::Cell;
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use bytes::Bytes;
-use common::block;
+use common::run_local;
 use googletest::prelude::*;
 use grebepath_runtime::http::client::HttpClient;
 use http_body_util::Full;
@@ -31,8 +31,8 @@
 use testbed::redirects::FollowedRequest;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 
-/// How long anything may take that is only waited for.
-const LONG: Duration = Duration::from_secs(30);
+/// Maximum time that a test waits for an expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a relay holds an order.
 const HOLD: Duration = Duration::from_millis(6_000);
 
@@ -173,7 +173,7 @@
     let text = if body.is_null() { String::new() } else { body.to_string() };
     let got = Rc::new(Cell::new(0));
     let next = Cell::new(door);
-    let clear = until(LONG, || {
+    let clear = until(WAIT_TIMEOUT, || {
         let door = s.operator_addrs[next.get() % s.operator_addrs.len()];
         next.set(next.get() + 1);
         let mut request = FollowedRequest::new(method.parse().unwrap(), path, text.clone());
@@ -204,7 +204,7 @@
 /// Waits until every controller reads the configuration back as it was sent.
 async fn reads(s: &Site, want: &Value) {
     for door in 0..s.operator_addrs.len() {
-        let same = until(LONG, async || read(s, door).await.as_ref() == Some(want)).await;
+        let same = until(WAIT_TIMEOUT, async || read(s, door).await.as_ref() == Some(want)).await;
         let got = read(s, door).await;
         assert!(same, "controller {door} reads {got:?}");
     }
@@ -260,7 +260,7 @@
 /// Waits until calls of a target get this status at both queriers.
 async fn serves(s: &Site, target: &str, status: u16) {
     for q in 0..2 {
-        let got = until(LONG, async || {
+        let got = until(WAIT_TIMEOUT, async || {
             call(s, q, "GET", target, "").await.is_some_and(|(_, r)| r.status() == status)
         });
         assert!(got.await, "querier {q} does not answer {target} with {status}");
@@ -304,7 +304,7 @@
 
 #[googletest::test]
 fn the_platform_dialect_configures_controllers_and_serves_calls() {
-    block(async {
+    run_local(async {
         let s = up("foreign-orders").await;
         // Before any configuration every call is refused as one that has not run.
         let early = call(&s, 0, "GET", "/pass/x", "").await.unwrap().1;
@@ -312,7 +312,10 @@
         expect_that!(put(&s, 0, &whole(5)).await, eq(200));
         reads(&s, &whole(5)).await;
         for q in 0..2 {
-            assert!(until(LONG, async || is_ready(&s, q).await).await, "querier {q} is not ready");
+            assert!(
+                until(WAIT_TIMEOUT, async || is_ready(&s, q).await).await,
+                "querier {q} is not ready"
+            );
         }
         serves(&s, "/pass/x", 200).await;
         serves(&s, "/join/x", 200).await;
@@ -379,7 +382,7 @@
 /// Waits until the last twenty calls at a querier ran in one zone only, or
 /// some of them in this one.
 async fn runs_in(s: &Site, q: usize, zone: &str, only: bool) {
-    let got = until(LONG, async || {
+    let got = until(WAIT_TIMEOUT, async || {
         let mut zones = Vec::new();
         for _ in 0..20 {
             let Some((id, resp)) = call(s, q, "GET", "/pass/x", "").await else { return false };
@@ -396,7 +399,7 @@
 
 #[googletest::test]
 fn a_drained_zone_receives_no_calls_until_it_is_reopened() {
-    block(async {
+    run_local(async {
         let s = begun("foreign-evacuate").await;
         // The second querier stands in z-2 and prefers its own leaf.
         runs_in(&s, 1, "z-2", false).await;
@@ -421,7 +424,7 @@
 #[googletest::test]
 fn a_delayed_drain_or_reopen_request_is_not_applied_after_later_ones() {
     // Guards against either order when its sender has given both elsewhere since.
-    block(async {
+    run_local(async {
         let s = begun("foreign-held").await;
         for (held, later, runs_there) in [("DELETE", "POST", "z-1"), ("POST", "DELETE", "z-2")] {
             expect_that!(order(&s, 1, later, "/api/evacuate/z-2", 0, &Value::Null).await, eq(200));
@@ -450,7 +453,7 @@
 
 #[googletest::test]
 fn a_leaf_listed_as_draining_receives_no_calls() {
-    block(async {
+    run_local(async {
         let s = begun("foreign-leave").await;
         mark_draining(&s.world, "i-a1");
         mark_draining(&s.world, "i-a3");
@@ -463,7 +466,7 @@
 fn a_faulty_leaf_response_is_never_returned_as_a_success() {
     // Guards against half answers, answers of other calls, and bodies or
     // stamps that are not the leaf's.
-    block(async {
+    run_local(async {
         let s = begun("foreign-bad").await;
         let modes = [
             Mode::Truncated,
@@ -545,7 +548,7 @@
 fn each_call_gets_its_own_response_and_runs_once_under_random_leaf_faults() {
     // Silence, resets before and after the work, late, double, short, foreign and
     // false answers, drawn for each request; many calls at once on kept connections.
-    block(async {
+    run_local(async {
         let s = begun("foreign-drawn").await;
         for seed in [1u64, 1 << 20, 1 << 40] {
             s.world.borrow_mut().random_draws = seed;
@@ -595,7 +598,7 @@
 
 #[googletest::test]
 fn a_querier_finishes_calls_in_progress_after_sigterm() {
-    block(async {
+    run_local(async {
         let mut s = begun("foreign-end").await;
         for leaf in LEAFS {
             foreign::set_mode(&s.world, leaf.0, Mode::Hold);
@@ -614,9 +617,9 @@
             };
             let end = async {
                 let held = || site.world.borrow().runs.len() >= before + 4;
-                assert!(until(LONG, async || held()).await, "the calls did not arrive");
+                assert!(until(WAIT_TIMEOUT, async || held()).await, "the calls did not arrive");
                 site.queriers[0].signal("TERM").unwrap();
-                let told = until(LONG, async || !is_ready(site, 0).await).await;
+                let told = until(WAIT_TIMEOUT, async || !is_ready(site, 0).await).await;
                 release_held(&site.world);
                 for leaf in LEAFS {
                     foreign::set_mode(&site.world, leaf.0, Mode::Good);
@@ -631,7 +634,7 @@
             expect_that!(true_pass(&id, &resp), eq(true), "{resp:?}");
             expect_that!(head(&resp, "connection"), eq("close"));
         }
-        expect_that!(s.queriers[0].wait_for_end(LONG), some(eq(0)));
+        expect_that!(s.queriers[0].wait_for_end(WAIT_TIMEOUT), some(eq(0)));
         // The other one serves on.
         let (id, resp) = call(&s, 1, "GET", "/pass/x", "").await.unwrap();
         expect_that!(true_pass(&id, &resp), eq(true));
@@ -640,7 +643,7 @@
 
 #[googletest::test]
 fn sighup_ends_no_process_even_with_an_invalid_settings_file() {
-    block(async {
+    run_local(async {
         let mut s = begun("foreign-hup").await;
         for text in ["", "not JSON", "{}"] {
             for file in &s.files {
@@ -673,7 +676,7 @@
 #[googletest::test]
 fn a_leaf_request_is_cancelled_soon_after_its_response_is_no_longer_needed() {
     // Guards against slots that are held by work for nobody until its deadline (8 s).
-    block(async {
+    run_local(async {
         let s = begun("foreign-closed").await;
         for id in ["i-a1", "i-a2", "i-a3", "i-c1", "i-c2"] {
             foreign::set_mode(&s.world, id, Mode::NeverAnswer);
@@ -684,7 +687,7 @@
                     deadline-ms: 8000\r\n\r\n";
         connection.write_all(text.as_bytes()).await.unwrap();
         let runs = || s.world.borrow().runs.iter().any(|run| run.id == "c0ffee01");
-        assert!(until(LONG, async || runs()).await, "no leaf ran it");
+        assert!(until(WAIT_TIMEOUT, async || runs()).await, "no leaf ran it");
         drop(connection);
         let closed = || s.world.borrow().closed.iter().any(|id| id == "c0ffee01");
         assert!(until(SEEN_CLOSED, async || closed()).await, "its leaf works on");
@@ -712,7 +715,7 @@
         let _ = from.read_to_end(&mut got).await;
     };
     let both = async { tokio::join!(write, read) };
-    assert!(tokio::time::timeout(LONG, both).await.is_ok(), "the wire stays open");
+    assert!(tokio::time::timeout(WAIT_TIMEOUT, both).await.is_ok(), "the wire stays open");
     String::from_utf8_lossy(&got).to_string()
 }
 
@@ -725,7 +728,7 @@
 fn request_size_limits_are_enforced_and_request_smuggling_fails() {
     // Guards against memory that callers fill, and against requests that a
     // leaf runs though nobody sent them.
-    block(async {
+    run_local(async {
         let s = begun("foreign-limits").await;
         let before = s.world.borrow().runs.len();
         let head = |id: &str, more: &str| {
--- a/crates/server/tests/local_cluster.rs
+++ b/crates/server/tests/local_cluster.rs
@@ -2,7 +2,7 @@
 
 #![allow(clippy::unwrap_used)]
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
 
 use std::cell::RefCell;
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::{Duration, Instant};
 
-use common::block;
+use common::run_local;
 use googletest::prelude::*;
 use grebepath_simulator::check::{Asked, success};
 use grebepath_simulator::spec::{self, Spec};
@@ -20,8 +20,8 @@
 use testbed::local_cluster;
 use testbed::local_cluster::{Layout, LocalCluster};
 
-/// How long anything may take that is only waited for.
-const LONG: Duration = Duration::from_secs(20);
+/// Maximum time that a test waits for an expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 fn layout(test: &str, name: &str, queriers: usize) -> (Layout, Spec) {
     let layout = common::layout(test, name, queriers);
@@ -34,7 +34,10 @@
 async fn all_ready(f: &LocalCluster) {
     for i in 0..f.queriers.len() {
         if f.queriers[i].child.is_some() {
-            assert!(local_cluster::until(LONG, || f.is_ready(i)).await, "querier {i} is not ready");
+            assert!(
+                local_cluster::until(WAIT_TIMEOUT, || f.is_ready(i)).await,
+                "querier {i} is not ready"
+            );
         }
     }
 }
@@ -45,7 +48,7 @@
         if f.queriers[i].child.is_some() {
             let obeys = || async { f.applied_revision(i).await.is_some_and(|r| r >= revision) };
             assert!(
-                local_cluster::until(LONG, obeys).await,
+                local_cluster::until(WAIT_TIMEOUT, obeys).await,
                 "querier {i} does not obey {revision}"
             );
         }
@@ -76,7 +79,7 @@
 
 #[googletest::test]
 fn callers_and_operators_are_served() {
-    block(async {
+    run_local(async {
         let (layout, spec) = layout("served", "kahurangi", 3);
         let dir = layout.dir.clone();
         let f = LocalCluster::start(layout).await.unwrap();
@@ -201,7 +204,7 @@
     // The other seats show it a beat after the owner.
     let want = "no leaf may be asked for shard(s) 0, 1, 2, 3; BELOW QUORUM";
     let said = || async { ctl(f, &["status"]).1.contains(want) };
-    assert!(local_cluster::until(LONG, said).await, "{}", ctl(f, &["status"]).1);
+    assert!(local_cluster::until(WAIT_TIMEOUT, said).await, "{}", ctl(f, &["status"]).1);
     let (code, val) = search(f, 0, "fleet", json!({ "question": "q" }), "900").await;
     expect_that!((code, val["error"].as_str()), eq((503, Some("no-leafs"))));
     large(f, dir).await;
@@ -273,7 +276,7 @@
 
 #[googletest::test]
 fn any_single_process_may_be_killed() {
-    block(async {
+    run_local(async {
         let (layout, spec) = layout("die", "mohalla", 3);
         let f = LocalCluster::start(layout).await.unwrap();
         all_ready(&f).await;
@@ -301,13 +304,16 @@
                         }) && s["here"]["parts"][0]["shown"].as_u64() >= Some(revision)
                     })
                 };
-                assert!(local_cluster::until(LONG, back).await, "seat {seat} is not whole again");
+                assert!(
+                    local_cluster::until(WAIT_TIMEOUT, back).await,
+                    "seat {seat} is not whole again"
+                );
             }
             for i in 0..f.queriers.len() {
                 f.queriers[i].kill();
                 f.queriers[i].start().unwrap();
                 assert!(
-                    local_cluster::until(LONG, || f.is_ready(i)).await,
+                    local_cluster::until(WAIT_TIMEOUT, || f.is_ready(i)).await,
                     "querier {i} is not back"
                 );
             }
@@ -334,7 +340,7 @@
 
 #[googletest::test]
 fn all_processes_restart_in_time_and_stop_cleanly() {
-    block(async {
+    run_local(async {
         let (layout, _) = layout("restart", "mohalla", 3);
         let mut f = LocalCluster::start(layout).await.unwrap();
         all_ready(&f).await;
@@ -353,11 +359,11 @@
         // A wish to stop: not ready at once, then a clean end.
         f.queriers[1].signal("TERM").unwrap();
         let gone = || async { !f.is_ready(1).await };
-        assert!(local_cluster::until(LONG, gone).await);
-        expect_that!(f.queriers[1].wait_for_end(LONG), some(eq(0)));
+        assert!(local_cluster::until(WAIT_TIMEOUT, gone).await);
+        expect_that!(f.queriers[1].wait_for_end(WAIT_TIMEOUT), some(eq(0)));
         for i in 0..3 {
             f.controllers[i].signal("TERM").unwrap();
-            expect_that!(f.controllers[i].wait_for_end(LONG), some(eq(0)));
+            expect_that!(f.controllers[i].wait_for_end(WAIT_TIMEOUT), some(eq(0)));
         }
     });
 }
--- a/crates/server/tests/overload.rs
+++ b/crates/server/tests/overload.rs
@@ -1,26 +1,28 @@
 //! More calls than a real querier takes.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
 
 use googletest::prelude::*;
 use testbed::local_cluster;
 use testbed::local_cluster::LocalCluster;
 
-use common::{all_ready, at_once, block, layout};
+use common::{all_ready, join_all, layout, run_local};
 
 #[googletest::test]
 fn a_flood_of_calls_is_rejected_at_the_listener_lowest_priority_first() {
-    block(async {
-        let f = LocalCluster::start(layout("flood", "mohalla", 3)).await.unwrap();
-        all_ready(&f).await;
+    run_local(async {
+        let cluster = LocalCluster::start(layout("flood", "mohalla", 3)).await.unwrap();
+        all_ready(&cluster).await;
         let one = async |search: &str| {
             let http = grebepath_runtime::http::client::HttpClient::new(1);
-            let req =
-                hyper::Request::post(format!("http://{}/v1/search/{search}", f.caller_addrs[0]))
-                    .header("budget-ms", "900")
-                    .body(http_body_util::Full::from(r#"{"question": "q"}"#))
-                    .unwrap();
+            let req = hyper::Request::post(format!(
+                "http://{}/v1/search/{search}",
+                cluster.caller_addrs[0]
+            ))
+            .header("budget-ms", "900")
+            .body(http_body_util::Full::from(r#"{"question": "q"}"#))
+            .unwrap();
             let got = http.call(req, 1 << 20).await.ok()?;
             let again =
                 got.headers().get("retry-after").and_then(|v| v.to_str().ok()?.parse().ok());
@@ -28,12 +30,12 @@
         };
         let ready = async || {
             let http = grebepath_runtime::http::client::HttpClient::new(1);
-            let url = format!("http://{}/readyz", f.caller_addrs[0]);
+            let url = format!("http://{}/readyz", cluster.caller_addrs[0]);
             local_cluster::text(&http, url).await.is_some()
         };
         let floods = (0..1_500).map(|_| one("browse")).collect();
         let alerts = (0..40).map(|_| one("alert")).collect();
-        let (floods, alerts, ready) = tokio::join!(at_once(floods), at_once(alerts), ready());
+        let (floods, alerts, ready) = tokio::join!(join_all(floods), join_all(alerts), ready());
         expect_that!(ready, eq(true));
         let full = |list: &[Option<(u16, Option<u64>)>]| {
             list.iter().flatten().filter(|c| c.0 == 200).count()
--- a/crates/server/tests/paused_leader.rs
+++ b/crates/server/tests/paused_leader.rs
@@ -3,14 +3,14 @@
 
 #![allow(clippy::unwrap_used)]
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
 
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
 use std::time::{Duration, Instant};
 
-use common::{block, empty_folder, layout};
+use common::{empty_folder, layout, run_local};
 use googletest::prelude::*;
 use grebepath_runtime::http::client::HttpClient;
 use grebepath_simulator::linearizability::{Answer, Base, Effect, Recorder, Verdict, check};
@@ -19,8 +19,8 @@
 use testbed::local_cluster;
 use testbed::local_cluster::process::Process;
 
-/// How long anything may take that is only waited for.
-const LONG: Duration = Duration::from_secs(30);
+/// Maximum time that a test waits for an expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 /// How long a leader is stopped: long enough for another to lead and to accept a
 /// change, short enough that operators still wait.
 const PAUSE: Duration = Duration::from_secs(4);
@@ -163,7 +163,7 @@
 
 #[googletest::test]
 fn a_resumed_leader_answers_requests_queued_in_its_sockets_correctly() {
-    block(async {
+    run_local(async {
         let c = controllers("paused-leader");
         let mut history = Recorder::default();
         for round in 0..3 {
@@ -177,7 +177,7 @@
 /// elsewhere, and the leader goes on.
 async fn stop_and_go(c: &Controllers, history: &mut Recorder, round: usize) {
     assert!(
-        local_cluster::until(LONG, || async { leader(c).await.is_some() }).await,
+        local_cluster::until(WAIT_TIMEOUT, || async { leader(c).await.is_some() }).await,
         "nobody leads"
     );
     let old = leader(c).await.unwrap();
@@ -204,9 +204,9 @@
         let accepted =
             async |history: &mut Recorder| noted(c, history, other, &change).await.0 == 200;
         while !accepted(history).await {
-            assert!(stopped.elapsed() < LONG, "no change is accepted elsewhere in time");
+            assert!(stopped.elapsed() < WAIT_TIMEOUT, "no change is accepted elsewhere in time");
         }
-        assert!(local_cluster::until(LONG, || async { stopped.elapsed() >= PAUSE }).await);
+        assert!(local_cluster::until(WAIT_TIMEOUT, || async { stopped.elapsed() >= PAUSE }).await);
         c.processes[old].signal("CONT").unwrap();
     };
     let ((next_got, late_got, read_got, status_got), ()) = tokio::join!(waiting, elsewhere);
--- a/crates/server/tests/process_soak.rs
+++ b/crates/server/tests/process_soak.rs
@@ -1,7 +1,7 @@
 //! Short drawn runs of real processes, and stand-ins that are broken on purpose, which the
 //! checks of the soak must catch.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
 
 use std::process::{Command, Output};
--- a/crates/server/tests/rival_operators.rs
+++ b/crates/server/tests/rival_operators.rs
@@ -4,7 +4,7 @@
 
 #![allow(clippy::unwrap_used)]
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
 #[path = "platform_orders/foreign.rs"]
 mod platform_orders;
@@ -13,7 +13,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use common::{block, empty_folder, layout, start_again};
+use common::{empty_folder, layout, run_local, start_with_retries};
 use googletest::prelude::*;
 use grebepath_runtime::http::client::HttpClient;
 use hyper::Method;
@@ -25,8 +25,8 @@
 use testbed::local_cluster::until;
 use testbed::redirects::FollowedRequest;
 
-/// How long anything may take that is only waited for.
-const LONG: Duration = Duration::from_secs(30);
+/// Maximum time that a test waits for an expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Three controllers without queriers. Dropping it kills its processes.
 struct ControllerState {
@@ -42,8 +42,8 @@
 }
 
 async fn core(test: &str) -> ControllerState {
-    let core = start_again(|| started(test));
-    assert!(until(LONG, async || leader(&core).await.is_some()).await, "no leader");
+    let core = start_with_retries(|| started(test));
+    assert!(until(WAIT_TIMEOUT, async || leader(&core).await.is_some()).await, "no leader");
     core
 }
 
@@ -102,7 +102,7 @@
 /// Sends an order to one door after the other until it has a clear answer.
 async fn clear(core: &ControllerState, door: usize, order: &Order) -> u16 {
     let (mut next, mut code) = (door, 0);
-    let end = std::time::Instant::now() + LONG;
+    let end = std::time::Instant::now() + WAIT_TIMEOUT;
     while !(200..500).contains(&code) {
         assert!(std::time::Instant::now() < end, "no clear answer, last {code}");
         code = send(core, next, order).await;
@@ -175,7 +175,7 @@
 
 #[googletest::test]
 fn concurrent_changes_of_one_edition_keep_their_outcome_after_leader_failures() {
-    block(async {
+    run_local(async {
         let mut core = core("rival-operators").await;
         let first = whole(0, 1, "first");
         expect_that!(clear(&core, 0, &first).await, eq(200));
@@ -215,7 +215,7 @@
 
 #[googletest::test]
 fn grebectl_retries_under_its_request_id() {
-    block(async {
+    run_local(async {
         let core = core("rival-grebectl").await;
         let dir = PathBuf::from(env!("CARGO_TARGET_TMPDIR")).join("rival-grebectl");
         let at: Vec<String> = core.operator_addrs.iter().map(|d| d.to_string()).collect();
@@ -241,7 +241,8 @@
             // Without an id: a caller that follows redirections.
             let body = json!({ "zones": [{ "name": format!("other-{n}"), "state": "open" }] });
             let request = FollowedRequest::new(Method::PATCH, "/v1/config", body.to_string());
-            let sent = request.send(&core.http, &core.operator_addrs[n].to_string(), LONG).await;
+            let sent =
+                request.send(&core.http, &core.operator_addrs[n].to_string(), WAIT_TIMEOUT).await;
             others.push(sent.unwrap().status().as_u16());
         }
         expect_that!(others, each(eq(&200)));
--- a/crates/server/tests/slot_takeover.rs
+++ b/crates/server/tests/slot_takeover.rs
@@ -2,14 +2,14 @@
 
 #![allow(clippy::unwrap_used)]
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
 
 use std::net::SocketAddr;
 use std::path::PathBuf;
 use std::time::Duration;
 
-use common::{block, empty_folder, layout, start_again};
+use common::{empty_folder, layout, run_local, start_with_retries};
 use googletest::prelude::*;
 use hyper::Method;
 use serde_json::{Value, json};
@@ -18,8 +18,8 @@
 use testbed::local_cluster::error::LocalClusterError;
 use testbed::local_cluster::process::Process;
 
-/// How long anything may take that is only waited for.
-const LONG: Duration = Duration::from_secs(30);
+/// Maximum time that a test waits for an expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// The seat of a controller that has formed all its parts; no seat is `Null`.
 async fn seat(
@@ -35,7 +35,7 @@
 }
 
 async fn has_seat(f: &LocalCluster, i: usize, want: Value) -> bool {
-    local_cluster::until(LONG, || async {
+    local_cluster::until(WAIT_TIMEOUT, || async {
         seat(&f.http, f.operator_addrs[i]).await == Some(want.clone())
     })
     .await
@@ -58,19 +58,22 @@
 async fn applied_revision(f: &LocalCluster, revision: u64) {
     for i in 0..f.queriers.len() {
         let ask = || async { f.applied_revision(i).await.is_some_and(|r| r >= revision) };
-        assert!(local_cluster::until(LONG, ask).await, "querier {i} does not obey {revision}");
+        assert!(
+            local_cluster::until(WAIT_TIMEOUT, ask).await,
+            "querier {i} does not obey {revision}"
+        );
     }
 }
 
 #[googletest::test]
 fn a_spare_takes_over_a_slot_and_the_former_voter_becomes_the_spare() {
-    block(async {
+    run_local(async {
         let mut f = LocalCluster::start(layout("seats-spare", "mohalla", 2)).await.unwrap();
         let owner = f.config_leader().await.unwrap();
         // Of the same zone: no zone may gain a majority of the seats.
         let spare = f.add_controller(["a", "b", "c"][owner]).unwrap();
         for i in 0..f.queriers.len() {
-            assert!(local_cluster::until(LONG, || f.is_ready(i)).await);
+            assert!(local_cluster::until(WAIT_TIMEOUT, || f.is_ready(i)).await);
         }
         // A controller without a seat takes operators' requests.
         expect_that!(seat(&f.http, f.operator_addrs[spare]).await, some(eq(&Value::Null)));
@@ -124,7 +127,7 @@
 }
 
 fn core(test: &str, seats: usize, count: usize) -> ControllerState {
-    start_again(|| started(test, seats, count))
+    start_with_retries(|| started(test, seats, count))
 }
 
 fn started(
@@ -178,7 +181,7 @@
         got.dedup();
         got.len() == want
     };
-    local_cluster::until(LONG, ask).await
+    local_cluster::until(WAIT_TIMEOUT, ask).await
 }
 
 /// What a settings file says after the first start.
@@ -194,7 +197,7 @@
 
 #[googletest::test]
 fn five_voter_slots_form_from_three_seeds_and_survive_two_lost_disks() {
-    block(async {
+    run_local(async {
         let mut c = core("seats-five", 5, 6);
         let http = grebepath_runtime::http::client::HttpClient::new(4);
         assert!(held(&c, &http, 5).await, "five seats were not formed");
@@ -232,7 +235,7 @@
 
 #[googletest::test]
 fn a_stopped_voter_hands_over_its_slot_so_that_another_disk_may_be_lost() {
-    block(async {
+    run_local(async {
         let mut c = core("seats-handover", 3, 6);
         let http = grebepath_runtime::http::client::HttpClient::new(4);
         assert!(held(&c, &http, 3).await, "three slots were not formed");
@@ -279,7 +282,7 @@
 fn a_controller_with_unreachable_seeds_uses_those_of_its_reloaded_settings() {
     // Guards against a blank machine that starts while all its seeds are gone, and waits for
     // them for ever although its settings name others by now.
-    block(async {
+    run_local(async {
         let f = LocalCluster::start(layout("seeds-again", "mohalla", 1)).await.unwrap();
         let [listen, inner, gone] = {
             let ports = local_cluster::free_ports(3).unwrap();
@@ -302,6 +305,6 @@
         expect_false!(takes_orders().await);
         write(f.controllers[0].argument("--seeds").unwrap()).unwrap();
         late.signal("HUP").unwrap();
-        expect_true!(local_cluster::until(LONG, takes_orders).await);
+        expect_true!(local_cluster::until(WAIT_TIMEOUT, takes_orders).await);
     });
 }
--- a/crates/server/tests/voter_moves.rs
+++ b/crates/server/tests/voter_moves.rs
@@ -1,6 +1,6 @@
 //! A voter of real processes that moves to another machine.
 
-#[allow(dead_code)] // Each test file uses a part of it.
+#[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
 
 use std::time::Duration;
@@ -11,57 +11,67 @@
 use testbed::local_cluster;
 use testbed::local_cluster::LocalCluster;
 
-use common::{all_ready, ask, block, has_all_roles, layout};
+use common::{all_ready, has_all_roles, layout, run_local, send_query};
 
-/// How long anything may take that is only waited for.
-const LONG: Duration = Duration::from_secs(20);
+/// Maximum time that a test waits for an expected state.
+const WAIT_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[googletest::test]
 fn a_voter_moves_to_a_new_machine_while_queriers_serve() {
-    block(async {
-        let mut f = LocalCluster::start(layout("moved", "mohalla", 3)).await.unwrap();
-        all_ready(&f).await;
+    run_local(async {
+        let mut cluster = LocalCluster::start(layout("moved", "mohalla", 3)).await.unwrap();
+        all_ready(&cluster).await;
         let val = json!({ "zones": [{ "name": "before", "state": "open" }] });
-        f.patch(&val, "before").await.unwrap();
+        cluster.patch(&val, "before").await.unwrap();
         // The machine is gone, disk and all; another takes the seat elsewhere.
-        f.controllers[2].kill();
-        std::fs::remove_dir_all(f.layout.dir.join("seat-2")).unwrap();
-        f.move_voter(2).unwrap();
-        f.controllers[2].start().unwrap();
+        cluster.controllers[2].kill();
+        std::fs::remove_dir_all(cluster.layout.dir.join("seat-2")).unwrap();
+        cluster.move_voter(2).unwrap();
+        cluster.controllers[2].start().unwrap();
         for seat in [0, 1] {
-            f.controllers[seat].kill();
-            f.controllers[seat].start().unwrap();
-            assert!(local_cluster::until(LONG, || has_all_roles(&f, seat)).await, "seat {seat}");
+            cluster.controllers[seat].kill();
+            cluster.controllers[seat].start().unwrap();
+            assert!(
+                local_cluster::until(WAIT_TIMEOUT, || has_all_roles(&cluster, seat)).await,
+                "seat {seat}"
+            );
             // Queriers have not heard of the new address, and serve on.
-            for i in 0..f.queriers.len() {
-                let serves = || async { ask(&f, i).await.is_some_and(|a| a.0 == 200) };
-                assert!(local_cluster::until(LONG, serves).await, "querier {i}");
+            for querier in 0..cluster.queriers.len() {
+                let serves =
+                    || async { send_query(&cluster, querier).await.is_some_and(|a| a.0 == 200) };
+                assert!(local_cluster::until(WAIT_TIMEOUT, serves).await, "querier {querier}");
             }
         }
         assert!(
-            local_cluster::until(LONG, || has_all_roles(&f, 2)).await,
+            local_cluster::until(WAIT_TIMEOUT, || has_all_roles(&cluster, 2)).await,
             "the new seat did not relearn"
         );
-        for i in 0..f.queriers.len() {
-            f.queriers[i].signal("TERM").unwrap();
-            expect_that!(f.queriers[i].wait_for_end(LONG), some(eq(0)));
-            f.queriers[i].start().unwrap();
-            assert!(local_cluster::until(LONG, || f.is_ready(i)).await, "querier {i}");
+        for querier in 0..cluster.queriers.len() {
+            cluster.queriers[querier].signal("TERM").unwrap();
+            expect_that!(cluster.queriers[querier].wait_for_end(WAIT_TIMEOUT), some(eq(0)));
+            cluster.queriers[querier].start().unwrap();
+            assert!(
+                local_cluster::until(WAIT_TIMEOUT, || cluster.is_ready(querier)).await,
+                "querier {querier}"
+            );
         }
         // The new seat counts: with another one down a change is accepted.
-        f.controllers[0].kill();
+        cluster.controllers[0].kill();
         let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
-        let revision = f.patch(&val, "after").await.unwrap();
-        for i in 0..f.queriers.len() {
-            let obeys = || async { f.applied_revision(i).await.is_some_and(|r| r >= revision) };
+        let revision = cluster.patch(&val, "after").await.unwrap();
+        for querier in 0..cluster.queriers.len() {
+            let has_applied =
+                || async { cluster.applied_revision(querier).await.is_some_and(|r| r >= revision) };
             assert!(
-                local_cluster::until(LONG, obeys).await,
-                "querier {i} does not obey {revision}"
+                local_cluster::until(WAIT_TIMEOUT, has_applied).await,
+                "querier {querier} does not obey {revision}"
             );
         }
-        let url = format!("http://{}/v1/config", f.operator_addrs[2]);
-        let got =
-            local_cluster::request(&f.http, Method::GET, url, Vec::new(), &[]).await.unwrap().1;
+        let url = format!("http://{}/v1/config", cluster.operator_addrs[2]);
+        let got = local_cluster::request(&cluster.http, Method::GET, url, Vec::new(), &[])
+            .await
+            .unwrap()
+            .1;
         let zones = got["config"]["zones"].to_string();
         expect_that!(zones, contains_substring("before"));
         expect_that!(zones, contains_substring("after"));
