--- a/crates/server/tests/platform_orders/foreign.rs
+++ b/crates/server/tests/platform_orders/foreign.rs
@@ -1,16 +1,16 @@
-//! Orders in the form of the users' platform.
+//! Configuration changes in the platform's dialect.
 
 use hyper::Method;
 use serde_json::{Value, json};
 
-/// Where a controller takes and tells the configuration.
+/// Path at which a controller accepts and returns the configuration.
 pub const CONFIG_PATH: &str = "/api/config";
-/// The header that names the edition on which an order builds.
+/// Header with the base edition of a change.
 pub const BASE_HEADER: &str = "if-match";
 
-/// An order, as one operator sends it.
+/// A change as an operator sends it.
 #[derive(Clone)]
-pub struct Order {
+pub struct ConfigChange {
     pub method: Method,
     pub base: u64,
     pub text: String,
@@ -27,17 +27,17 @@
         "tls": false, "warmup_s": 3.0, "warmup_per_s": 0.0 })
 }
 
-/// A whole configuration with one route.
-pub fn whole(base: u64, edition: u64, name: &str) -> Order {
+/// Returns a replacement of the whole configuration, with one route.
+pub fn full_config(base: u64, edition: u64, name: &str) -> ConfigChange {
     let limits = json!({ "header_max_bytes": 16384, "body_max_bytes": 262144,
         "header_wait_ms": 3000, "idle_ms": 15000 });
     let value = json!({ "edition": edition, "routes": [route(name)], "carriers": [carrier()],
         "limits": limits });
-    Order { method: Method::PUT, base, text: value.to_string() }
+    ConfigChange { method: Method::PUT, base, text: value.to_string() }
 }
 
-/// A change that adds one route.
-pub fn patch(base: u64, edition: u64, name: &str) -> Order {
+/// Returns a patch that adds one route.
+pub fn patch(base: u64, edition: u64, name: &str) -> ConfigChange {
     let value = json!({ "edition": edition, "post": { "routes": [route(name)] } });
-    Order { method: Method::PATCH, base, text: value.to_string() }
+    ConfigChange { method: Method::PATCH, base, text: value.to_string() }
 }
