--- a/crates/server/tests/concurrent_changes.rs
+++ b/crates/server/tests/concurrent_changes.rs
@@ -1,4 +1,4 @@
-//! Changes of the configuration that reach real controllers at one moment.
+//! Configuration changes that reach real controllers concurrently.
 
 #[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
@@ -28,50 +28,53 @@
                 .unwrap()
                 .1
         };
-        let mark = |name: &str| json!({ "name": name, "state": "open" });
-        let (mut accepted, mut moved) = (Vec::new(), 0);
+        let zone = |name: &str| json!({ "name": name, "state": "open" });
+        let (mut accepted, mut conflicts) = (Vec::new(), 0);
         for round in 0..4 {
-            let old = read().await;
-            let revision = old["revision"].as_u64().unwrap().to_string();
-            let send = async |i: usize| {
-                let name = format!("mark-{round}-{i}");
-                let url = format!("http://{}/v1/config", cluster.operator_addrs[i % 3]);
-                let mut heads = vec![("request-id", name.as_str())];
-                let (how, body) = if i.is_multiple_of(2) {
-                    let mut conf = old["config"].clone();
-                    conf["zones"].as_array_mut().unwrap().push(mark(&name));
-                    heads.push(("expect-revision", revision.as_str()));
-                    (Method::PUT, conf)
+            let current = read().await;
+            let revision = current["revision"].as_u64().unwrap().to_string();
+            let send_change = async |index: usize| {
+                let name = format!("mark-{round}-{index}");
+                let url = format!("http://{}/v1/config", cluster.operator_addrs[index % 3]);
+                let mut headers = vec![("request-id", name.as_str())];
+                let (method, body) = if index.is_multiple_of(2) {
+                    let mut configuration = current["config"].clone();
+                    configuration["zones"].as_array_mut().unwrap().push(zone(&name));
+                    headers.push(("expect-revision", revision.as_str()));
+                    (Method::PUT, configuration)
                 } else {
-                    (Method::PATCH, json!({ "zones": [mark(&name)] }))
+                    (Method::PATCH, json!({ "zones": [zone(&name)] }))
                 };
                 let body = body.to_string().into_bytes();
-                let (code, val) =
-                    local_cluster::request(&cluster.http, how, url, body, &heads).await.unwrap();
-                (name, code, val["revision"].as_u64())
+                let (code, value) =
+                    local_cluster::request(&cluster.http, method, url, body, &headers)
+                        .await
+                        .unwrap();
+                (name, code, value["revision"].as_u64())
             };
-            for (name, code, revision) in join_all((0..6).map(send).collect()).await {
+            for (name, code, revision) in join_all((0..6).map(send_change).collect()).await {
                 match code {
                     200 => accepted.push((name, revision.unwrap())),
-                    // Somebody else was first: nothing was applied.
-                    412 => moved += 1,
+                    // Another change was first: nothing of this one was applied.
+                    412 => conflicts += 1,
                     code => panic!("{name}: {code}"),
                 }
             }
         }
-        expect_that!(moved, gt(0), "no two changes met");
-        let conf = read().await["config"].to_string();
+        expect_that!(conflicts, gt(0), "no two changes conflicted");
+        let configuration = read().await["config"].to_string();
         for (name, _) in &accepted {
-            expect_that!(conf, contains_substring(format!("\"{name}\"")));
+            expect_that!(configuration, contains_substring(format!("\"{name}\"")));
         }
-        let revs: std::collections::BTreeSet<_> = accepted.iter().map(|a| a.1).collect();
-        expect_that!(revs.len(), eq(accepted.len()), "two changes got one revision");
+        let revisions: std::collections::BTreeSet<_> = accepted.iter().map(|a| a.1).collect();
+        expect_that!(revisions.len(), eq(accepted.len()), "two changes got the same revision");
         let last = accepted.iter().map(|a| a.1).max().unwrap();
-        for i in 0..cluster.queriers.len() {
-            let obeys = || async { cluster.applied_revision(i).await.is_some_and(|r| r >= last) };
+        for querier in 0..cluster.queriers.len() {
+            let has_applied =
+                || async { cluster.applied_revision(querier).await.is_some_and(|r| r >= last) };
             assert!(
-                local_cluster::until(WAIT_TIMEOUT, obeys).await,
-                "querier {i} does not obey {last}"
+                local_cluster::until(WAIT_TIMEOUT, has_applied).await,
+                "querier {querier} has not applied {last}"
             );
         }
     });
--- a/crates/server/tests/disk_faults.rs
+++ b/crates/server/tests/disk_faults.rs
@@ -23,44 +23,49 @@
     run_local(async {
         let mut cluster = LocalCluster::start(layout("full", "mohalla", 3)).await.unwrap();
         all_ready(&cluster).await;
-        // The owner of the configuration comes back on a disk with 64 KiB left.
-        let seat = cluster.config_leader().await.unwrap();
-        cluster.controllers[seat].kill();
-        cluster.controllers[seat].limit_file_size(Some(128));
-        cluster.controllers[seat].start().unwrap();
+        // The leader of the configuration partition restarts on a disk with 64 KiB left.
+        let leader = cluster.config_leader().await.unwrap();
+        cluster.controllers[leader].kill();
+        cluster.controllers[leader].limit_file_size(Some(128));
+        cluster.controllers[leader].start().unwrap();
         let role = async |cluster: &LocalCluster| {
-            let s = cluster.status(seat).await.ok()?;
+            let s = cluster.status(leader).await.ok()?;
             Some(s["here"]["parts"][0].clone())
         };
-        let whole = || async { role(&cluster).await.is_some_and(|p| p["role"] == "follower") };
-        assert!(local_cluster::until(WAIT_TIMEOUT, whole).await);
-        let val = json!({ "pools": [{ "name": "wide", "service": "wide",
+        let is_follower =
+            || async { role(&cluster).await.is_some_and(|p| p["role"] == "follower") };
+        assert!(local_cluster::until(WAIT_TIMEOUT, is_follower).await);
+        let change = json!({ "pools": [{ "name": "wide", "service": "wide",
                                       "labels": { "note": "x".repeat(100_000) } }] });
-        let revision = cluster.patch(&val, "wide").await.unwrap();
-        let sick = || async { role(&cluster).await.is_some_and(|p| p["role"] == "sick") };
-        assert!(local_cluster::until(WAIT_TIMEOUT, sick).await, "{:?}", role(&cluster).await);
+        let revision = cluster.patch(&change, "wide").await.unwrap();
+        let is_sick = || async { role(&cluster).await.is_some_and(|p| p["role"] == "sick") };
+        assert!(local_cluster::until(WAIT_TIMEOUT, is_sick).await, "{:?}", role(&cluster).await);
         expect_that!(
             role(&cluster).await.unwrap()["sick"].as_str(),
             some(contains_substring("large"))
         );
-        // The two others go on accepting, and all queriers obey.
-        let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
-        let revision = revision.max(cluster.patch(&val, "after").await.unwrap());
-        for i in 0..3 {
-            let obeys =
-                || async { cluster.applied_revision(i).await.is_some_and(|r| r >= revision) };
-            assert!(local_cluster::until(WAIT_TIMEOUT, obeys).await);
+        // The two other voters still accept changes, and all queriers apply them.
+        let change = json!({ "zones": [{ "name": "after", "state": "open" }] });
+        let revision = revision.max(cluster.patch(&change, "after").await.unwrap());
+        for querier in 0..3 {
+            let has_applied =
+                || async { cluster.applied_revision(querier).await.is_some_and(|r| r >= revision) };
+            assert!(local_cluster::until(WAIT_TIMEOUT, has_applied).await);
         }
-        // With room again it comes back whole.
-        cluster.controllers[seat].kill();
-        cluster.controllers[seat].limit_file_size(None);
-        cluster.controllers[seat].start().unwrap();
-        let back = || async {
+        // With free disk space the voter recovers completely.
+        cluster.controllers[leader].kill();
+        cluster.controllers[leader].limit_file_size(None);
+        cluster.controllers[leader].start().unwrap();
+        let has_recovered = || async {
             role(&cluster)
                 .await
                 .is_some_and(|p| p["role"] == "follower" && p["shown"].as_u64() >= Some(revision))
         };
-        assert!(local_cluster::until(WAIT_TIMEOUT, back).await, "{:?}", role(&cluster).await);
+        assert!(
+            local_cluster::until(WAIT_TIMEOUT, has_recovered).await,
+            "{:?}",
+            role(&cluster).await
+        );
     });
 }
 
@@ -69,20 +74,20 @@
     run_local(async {
         let mut cluster = LocalCluster::start(layout("full-start", "mohalla", 3)).await.unwrap();
         all_ready(&cluster).await;
-        let seat = cluster.config_leader().await.unwrap();
-        cluster.controllers[seat].kill();
-        cluster.controllers[seat].limit_file_size(Some(0));
-        cluster.controllers[seat].start().unwrap();
-        let line = cluster.controllers[seat].ready_line().to_string();
-        expect_that!(line, contains_substring("waits for its disk"));
-        // Which file, and what was tried.
-        expect_that!(line, contains_substring("can't write"));
-        expect_that!(line, contains_substring("seats.new"));
-        let door = cluster.operator_addrs[seat];
+        let leader = cluster.config_leader().await.unwrap();
+        cluster.controllers[leader].kill();
+        cluster.controllers[leader].limit_file_size(Some(0));
+        cluster.controllers[leader].start().unwrap();
+        let ready_line = cluster.controllers[leader].ready_line().to_string();
+        expect_that!(ready_line, contains_substring("waits for its disk"));
+        // It names the file and the failed operation.
+        expect_that!(ready_line, contains_substring("can't write"));
+        expect_that!(ready_line, contains_substring("seats.new"));
+        let operator_addr = cluster.operator_addrs[leader];
         // The cluster's client may still hold a connection to the process that was killed.
         let http = HttpClient::new(1);
         for path in ["readyz", "v1/status", "v1/config"] {
-            let request = hyper::Request::get(format!("http://{door}/{path}"))
+            let request = hyper::Request::get(format!("http://{operator_addr}/{path}"))
                 .body(http_body_util::Full::default())
                 .unwrap();
             let response = http.call_within(request, 1 << 16, WAIT_TIMEOUT).await.unwrap();
@@ -91,14 +96,15 @@
             let text = String::from_utf8_lossy(response.body()).to_string();
             expect_that!(text, contains_substring("the disk can't be written"));
         }
-        let alive = local_cluster::text(&cluster.http, format!("http://{door}/livez")).await;
-        expect_that!(alive, some(eq("ok\n")));
-        // A hang-up does not end it, and the two others go on without it.
-        cluster.controllers[seat].signal("HUP").unwrap();
-        let val = json!({ "zones": [{ "name": "meanwhile", "state": "open" }] });
-        cluster.patch(&val, "meanwhile").await.unwrap();
-        cluster.controllers[seat].lift_file_size_limit().unwrap();
-        assert!(local_cluster::until(WAIT_TIMEOUT, || has_all_roles(&cluster, seat)).await);
+        let liveness =
+            local_cluster::text(&cluster.http, format!("http://{operator_addr}/livez")).await;
+        expect_that!(liveness, some(eq("ok\n")));
+        // SIGHUP does not end it, and the two other voters accept changes without it.
+        cluster.controllers[leader].signal("HUP").unwrap();
+        let change = json!({ "zones": [{ "name": "meanwhile", "state": "open" }] });
+        cluster.patch(&change, "meanwhile").await.unwrap();
+        cluster.controllers[leader].lift_file_size_limit().unwrap();
+        assert!(local_cluster::until(WAIT_TIMEOUT, || has_all_roles(&cluster, leader)).await);
     });
 }
 
@@ -114,7 +120,7 @@
     });
 }
 
-/// One number of a process's metrics.
+/// Returns the value of one metric of a process.
 async fn metric(cluster: &LocalCluster, addr: SocketAddr, name: &str) -> Option<u64> {
     let text = local_cluster::text(&cluster.http, format!("http://{addr}/metrics")).await?;
     text.lines().find_map(|l| l.strip_prefix(name)?.trim().parse().ok())
@@ -126,31 +132,31 @@
         let mut cluster = LocalCluster::start(layout("rot", "mohalla", 3)).await.unwrap();
         all_ready(&cluster).await;
         let dir = cluster.layout.dir.join("seat-1/part-0");
-        // Whatever lies on the disk is spoilt, as it lies there.
+        // One bit is flipped in place in each file that exists.
         for name in ["slot-0", "slot-1", "log"] {
             let path = dir.join(name);
-            if let Ok(raw) = std::fs::read(&path) {
+            if let Ok(bytes) = std::fs::read(&path) {
                 use std::os::unix::fs::FileExt;
-                let at = raw.len() / 2;
+                let offset = bytes.len() / 2;
                 let file = std::fs::OpenOptions::new().write(true).open(&path).unwrap();
-                file.write_all_at(&[raw[at] ^ 0x10], at as u64).unwrap();
+                file.write_all_at(&[bytes[offset] ^ 0x10], offset as u64).unwrap();
             }
         }
-        let door = cluster.operator_addrs[1];
-        let found = async || metric(&cluster, door, "grebe_rotted_total").await > Some(0);
-        assert!(
-            local_cluster::until(2 * WAIT_TIMEOUT, found).await,
-            "nothing was found to have rotted"
-        );
-        // What was found is being written: let it be whole before the kill.
-        let get = |name: &str| std::fs::read(dir.join(name)).ok();
-        let good = async || {
-            let (zero, one, log) = (get("slot-0"), get("slot-1"), get("log"));
+        let operator_addr = cluster.operator_addrs[1];
+        let found = async || metric(&cluster, operator_addr, "grebe_rotted_total").await > Some(0);
+        assert!(local_cluster::until(2 * WAIT_TIMEOUT, found).await, "no corruption was found");
+        // Waits until the repair is complete before the kill.
+        let read_file = |name: &str| std::fs::read(dir.join(name)).ok();
+        let is_intact = async || {
+            let (zero, one, log) = (read_file("slot-0"), read_file("slot-1"), read_file("log"));
             let found = read(0, [zero.as_deref(), one.as_deref()], log.as_deref());
             matches!(found, StoredReplica::Intact { .. })
         };
-        assert!(local_cluster::until(WAIT_TIMEOUT, good).await, "the files were not written anew");
-        // It starts from its own files again, and sets nothing aside.
+        assert!(
+            local_cluster::until(WAIT_TIMEOUT, is_intact).await,
+            "the files were not rewritten"
+        );
+        // It restarts from its own files and moves none aside as damaged.
         cluster.controllers[1].kill();
         cluster.controllers[1].start().unwrap();
         assert!(local_cluster::until(WAIT_TIMEOUT, || has_all_roles(&cluster, 1)).await);
--- a/crates/server/tests/documents.rs
+++ b/crates/server/tests/documents.rs
@@ -1,23 +1,23 @@
-//! What the documents name must exist: files, functions of the sources, and the fleets
-//! that are broken on purpose.
+//! Checks that the names in the documents exist: files, functions of the sources, and the faulty
+//! variants of the simulator.
 
 #![allow(clippy::unwrap_used)]
 
 use std::path::{Path, PathBuf};
 
-/// Files that a document may name.
+/// Endings of the file names that are checked.
 const FILE_ENDINGS: [&str; 4] = [".rs", ".toml", ".json", ".dot"];
-/// Underscores from which on a name is taken for a function's: shorter ones may be fields,
-/// metrics or words of a configuration.
+/// Minimum number of underscores of a function name. Names with fewer may be fields, metrics or
+/// settings.
 const FUNCTION_UNDERSCORES: usize = 3;
-/// Folders that hold no sources and no documents.
+/// Folders without sources and documents to check.
 const SKIPPED: [&str; 3] = ["target", ".git", "journal"];
 
 fn root() -> PathBuf {
     Path::new(env!("CARGO_MANIFEST_DIR")).join("../..").canonicalize().unwrap()
 }
 
-/// All files below a folder, by their paths from the root.
+/// Adds all files below a folder, as paths relative to the root.
 fn files_below(folder: &Path, root: &Path, found: &mut Vec<String>) {
     for entry in std::fs::read_dir(folder).unwrap() {
         let path = entry.unwrap().path();
@@ -32,8 +32,8 @@
     }
 }
 
-/// What stands between back quotes in a text, with its line, but for blocks of code.
-fn quoted(text: &str) -> Vec<(usize, String)> {
+/// Returns the back-quoted names of a text outside of code blocks, with their line numbers.
+fn quoted_names(text: &str) -> Vec<(usize, String)> {
     let mut found = Vec::new();
     let mut in_block = false;
     for (number, line) in text.lines().enumerate() {
@@ -51,15 +51,16 @@
     FILE_ENDINGS.iter().any(|end| name.ends_with(end)) && name.chars().all(is_plain)
 }
 
-/// Whether a name is a function's: words joined by underscores, perhaps cut short by dots.
+/// Returns whether a name is a function name: words joined by underscores, perhaps abbreviated with
+/// dots at the end.
 fn is_function_name(name: &str) -> bool {
-    let whole = name.trim_end_matches("..");
-    whole.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_')
-        && whole.matches('_').count() >= FUNCTION_UNDERSCORES
+    let full_name = name.trim_end_matches("..");
+    full_name.chars().all(|c| c.is_ascii_lowercase() || c.is_ascii_digit() || c == '_')
+        && full_name.matches('_').count() >= FUNCTION_UNDERSCORES
 }
 
-/// Names of the users' pages and of files that are made when something runs.
-fn is_foreign(name: &str) -> bool {
+/// Returns whether a name is a file of the users or one that is generated at run time.
+fn is_external_name(name: &str) -> bool {
     name.starts_with("../given") || name.starts_with("sites/") || name == "settings.json"
 }
 
@@ -73,8 +74,8 @@
         files.iter().filter(|path| path.ends_with(".rs")).map(|path| read(&path)).collect();
     let mut missing = Vec::new();
     for document in files.iter().filter(|path| path.ends_with(".md")) {
-        for (line, name) in quoted(&read(&document)) {
-            let exists = if is_foreign(&name) {
+        for (line, name) in quoted_names(&read(&document)) {
+            let exists = if is_external_name(&name) {
                 true
             } else if is_file_name(&name) {
                 let ending = format!("/{name}");
@@ -89,7 +90,7 @@
             }
         }
     }
-    assert!(missing.is_empty(), "named, but not there:\n{}", missing.join("\n"));
+    assert!(missing.is_empty(), "named in a document, but missing:\n{}", missing.join("\n"));
 }
 
 #[test]
@@ -103,7 +104,7 @@
             && name.starts_with(char::is_uppercase)
             && name.chars().filter(|c| c.is_uppercase()).count() > 1
     };
-    let missing: Vec<(usize, String)> = quoted(&rules)
+    let missing: Vec<(usize, String)> = quoted_names(&rules)
         .into_iter()
         .filter(|(_, name)| is_variant(name) && !variants.contains(&format!("    {name},")))
         .collect();
--- a/crates/server/tests/rollouts.rs
+++ b/crates/server/tests/rollouts.rs
@@ -1,5 +1,5 @@
-//! Rollouts on real processes under load: a sound version is delivered; one that answers garbage is
-//! returned while the leader is killed, and gets its share of requests at most.
+//! Rollouts on real processes under load. A good version is delivered. A version that returns garbage
+//! is rolled back even if the leader is killed meanwhile, and gets at most its share of requests.
 
 #![allow(clippy::unwrap_used)]
 
@@ -19,14 +19,14 @@
 use testbed::local_cluster::{self, LocalCluster};
 
 const SERVICE: &str = "mohalla-notices-w48-1";
-/// Share of the deployment's load that the callers send.
+/// Fraction of the deployment's nominal load that the callers send.
 const LOAD: f64 = 0.5;
-/// How long a rollout may take, as it is ordered.
-const OVER_S: &str = "10";
-/// How long anything is waited for.
+/// Requested duration of a rollout in seconds.
+const DURATION_S: &str = "10";
+/// Maximum time that a test waits for an expected state.
 const WAIT_TIMEOUT: Duration = Duration::from_secs(25);
 
-/// Runs grebectl; gives its exit code and output.
+/// Runs grebectl; returns its exit code and output.
 fn ctl(cluster: &LocalCluster, args: &[&str]) -> (i32, String) {
     let at: Vec<String> = cluster.operator_addrs.iter().map(|door| door.to_string()).collect();
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_grebectl"))
@@ -39,19 +39,20 @@
 }
 
 fn start(cluster: &LocalCluster, version: &str) -> (i32, String) {
-    ctl(cluster, &["rollout", "start", "--over", OVER_S, SERVICE, version])
+    ctl(cluster, &["rollout", "start", "--over", DURATION_S, SERVICE, version])
 }
 
-/// Waits until a rollout has ended, and gives its line.
-async fn ended(cluster: &LocalCluster) -> String {
-    let line = || ctl(cluster, &["rollout", "status", SERVICE]).1;
-    let is_over = || async { line().contains("delivered") || line().contains("returned") };
-    assert!(local_cluster::until(WAIT_TIMEOUT, is_over).await, "{}", line());
-    line()
+/// Waits until a rollout has ended, and returns its status output.
+async fn wait_until_ended(cluster: &LocalCluster) -> String {
+    let status_output = || ctl(cluster, &["rollout", "status", SERVICE]).1;
+    let is_over =
+        || async { status_output().contains("delivered") || status_output().contains("returned") };
+    assert!(local_cluster::until(WAIT_TIMEOUT, is_over).await, "{}", status_output());
+    status_output()
 }
 
-/// Requests that leafs of the service have run, by version.
-async fn ran(cluster: &LocalCluster, version: &str) -> u64 {
+/// Returns how many requests the leafs of one version of the service have run.
+async fn run_count(cluster: &LocalCluster, version: &str) -> u64 {
     let state = cluster.query_backends("/state").await.unwrap();
     let leafs = state["leafs"].as_array().unwrap().iter();
     let of_version = leafs.filter(|l| l["service"] == SERVICE && l["version"] == version);
@@ -59,45 +60,50 @@
 }
 
 async fn start_leafs(cluster: &LocalCluster, version: &str, mode: &str) {
-    // Beside those that stand without a version, which the deployment begins with.
-    let order = json!({ "do": "new-version", "service": SERVICE, "count": 4, "version": version,
+    // In addition to the initial leafs of the deployment, which have no version.
+    let control = json!({ "do": "new-version", "service": SERVICE, "count": 4, "version": version,
                         "mode": mode });
-    cluster.control_backends(order).await.unwrap();
+    cluster.control_backends(control).await.unwrap();
 }
 
-async fn sound_version_is_delivered(cluster: &LocalCluster) {
+async fn check_good_version_is_delivered(cluster: &LocalCluster) {
     start_leafs(cluster, "v2", "good").await;
-    // Nobody has ordered it: once the list shows the leafs they get nothing.
+    // Without a rollout the leafs get no requests, even once the list contains them.
     tokio::time::sleep(Duration::from_secs(4)).await;
-    expect_that!(ran(cluster, "v2").await, eq(0));
+    expect_that!(run_count(cluster, "v2").await, eq(0));
     let (code, out) = start(cluster, "v2");
     expect_that!(code, eq(0), "{out}");
-    expect_that!(start(cluster, "v3").0, eq(1), "another one while it goes on");
-    expect_that!(start(cluster, "v2").0, eq(0), "the same again");
-    let line = ended(cluster).await;
-    expect_that!(line, contains_substring("delivered (delivered, found-good)"));
-    let before = ran(cluster, "").await;
+    expect_that!(start(cluster, "v3").0, eq(1), "another rollout while one is in progress");
+    expect_that!(start(cluster, "v2").0, eq(0), "the same rollout again");
+    let status_output = wait_until_ended(cluster).await;
+    expect_that!(status_output, contains_substring("delivered (delivered, found-good)"));
+    let before = run_count(cluster, "").await;
     tokio::time::sleep(Duration::from_secs(2)).await;
-    expect_that!(ran(cluster, "").await, eq(before), "the old version gets nothing any more");
-    expect_that!(ran(cluster, "v2").await, gt(0));
+    expect_that!(run_count(cluster, "").await, eq(before), "the old version gets no more requests");
+    expect_that!(run_count(cluster, "v2").await, gt(0));
 }
 
-async fn bad_version_is_returned(cluster: &mut LocalCluster) {
+async fn check_bad_version_is_rolled_back(cluster: &mut LocalCluster) {
     start_leafs(cluster, "v3", "garbage").await;
-    let before = ran(cluster, "v2").await;
+    let before = run_count(cluster, "v2").await;
     let (code, out) = start(cluster, "v3");
     expect_that!(code, eq(0), "{out}");
     tokio::time::sleep(Duration::from_secs(2)).await;
     let leader = cluster.config_leader().await.unwrap();
     cluster.controllers[leader].kill();
-    let line = ended(cluster).await;
+    let status_output = wait_until_ended(cluster).await;
     cluster.controllers[leader].start().unwrap();
-    expect_that!(line, contains_substring("returned (returned, found-bad)"));
-    let (tried, served) = (ran(cluster, "v3").await, ran(cluster, "v2").await - before);
-    expect_that!(tried, gt(0));
-    expect_that!(tried, le((tried + served) / 10 + 50));
+    expect_that!(status_output, contains_substring("returned (returned, found-bad)"));
+    let (bad_requests, good_requests) =
+        (run_count(cluster, "v3").await, run_count(cluster, "v2").await - before);
+    expect_that!(bad_requests, gt(0));
+    expect_that!(bad_requests, le((bad_requests + good_requests) / 10 + 50));
     tokio::time::sleep(Duration::from_secs(2)).await;
-    expect_that!(ran(cluster, "v3").await, eq(tried), "the bad version gets nothing any more");
+    expect_that!(
+        run_count(cluster, "v3").await,
+        eq(bad_requests),
+        "the bad version gets no more requests"
+    );
     let (code, plan) = ctl(cluster, &["explain", "browse"]);
     expect_that!(code, eq(0), "{plan}");
     expect_that!(plan, contains_substring(format!("rollout of {SERVICE} to v3: returned")));
@@ -115,26 +121,34 @@
         common::empty_folder(&layout);
         let mut cluster = LocalCluster::start(layout).await.unwrap();
         common::all_ready(&cluster).await;
-        let seen = Rc::new(RefCell::new(CallerStatistics::default()));
-        let targets = Rc::new(RefCell::new(cluster.caller_addrs.clone()));
-        let far = Instant::now() + Duration::from_secs(600);
+        let statistics = Rc::new(RefCell::new(CallerStatistics::default()));
+        let target_addrs = Rc::new(RefCell::new(cluster.caller_addrs.clone()));
+        let end_of_load = Instant::now() + Duration::from_secs(600);
         let mut callers = Vec::new();
         for (seed, kind) in (0..).zip(spec.kinds.iter().cloned()) {
-            let (targets, seen) = (targets.clone(), seen.clone());
-            let calls = run_load(HttpClient::new(32), kind, LOAD, targets, seen, seed, far);
+            let (target_addrs, statistics) = (target_addrs.clone(), statistics.clone());
+            let calls = run_load(
+                HttpClient::new(32),
+                kind,
+                LOAD,
+                target_addrs,
+                statistics,
+                seed,
+                end_of_load,
+            );
             callers.push(tokio::task::spawn_local(calls));
         }
-        sound_version_is_delivered(&cluster).await;
-        bad_version_is_returned(&mut cluster).await;
+        check_good_version_is_delivered(&cluster).await;
+        check_bad_version_is_rolled_back(&mut cluster).await;
         let (code, out) = ctl(&cluster, &["rollout", "abort", "mohalla-alerts-w48-0"]);
         expect_that!(code, eq(1), "{out}");
         for caller in callers {
             caller.abort();
         }
-        // What was under way ends before the leafs' log is read.
+        // Requests in progress end before the leafs' log is read.
         tokio::time::sleep(Duration::from_secs(2)).await;
         let runs = cluster.query_backends("/runs").await.unwrap();
-        let report = report(&seen.borrow(), runs.as_array().unwrap_or(&Vec::new()));
+        let report = report(&statistics.borrow(), runs.as_array().unwrap_or(&Vec::new()));
         expect_that!(report["violations"], eq(&json!(0)), "{report}");
         expect_that!(report["claims"].as_u64(), some(gt(0)), "{report}");
     });
--- a/crates/server/tests/voter_moves.rs
+++ b/crates/server/tests/voter_moves.rs
@@ -1,4 +1,4 @@
-//! A voter of real processes that moves to another machine.
+//! Replacement of a voter of real processes by another machine.
 
 #[allow(dead_code)] // Each test file uses only some of the helpers.
 mod common;
@@ -21,30 +21,30 @@
     run_local(async {
         let mut cluster = LocalCluster::start(layout("moved", "mohalla", 3)).await.unwrap();
         all_ready(&cluster).await;
-        let val = json!({ "zones": [{ "name": "before", "state": "open" }] });
-        cluster.patch(&val, "before").await.unwrap();
-        // The machine is gone, disk and all; another takes the seat elsewhere.
+        let change = json!({ "zones": [{ "name": "before", "state": "open" }] });
+        cluster.patch(&change, "before").await.unwrap();
+        // The machine is lost with its disk; another one takes over the voter slot at a new address.
         cluster.controllers[2].kill();
         std::fs::remove_dir_all(cluster.layout.dir.join("seat-2")).unwrap();
         cluster.move_voter(2).unwrap();
         cluster.controllers[2].start().unwrap();
-        for seat in [0, 1] {
-            cluster.controllers[seat].kill();
-            cluster.controllers[seat].start().unwrap();
+        for controller in [0, 1] {
+            cluster.controllers[controller].kill();
+            cluster.controllers[controller].start().unwrap();
             assert!(
-                local_cluster::until(WAIT_TIMEOUT, || has_all_roles(&cluster, seat)).await,
-                "seat {seat}"
+                local_cluster::until(WAIT_TIMEOUT, || has_all_roles(&cluster, controller)).await,
+                "controller {controller}"
             );
-            // Queriers have not heard of the new address, and serve on.
+            // The queriers do not know the new address, and continue to serve.
             for querier in 0..cluster.queriers.len() {
-                let serves =
+                let is_serving =
                     || async { send_query(&cluster, querier).await.is_some_and(|a| a.0 == 200) };
-                assert!(local_cluster::until(WAIT_TIMEOUT, serves).await, "querier {querier}");
+                assert!(local_cluster::until(WAIT_TIMEOUT, is_serving).await, "querier {querier}");
             }
         }
         assert!(
             local_cluster::until(WAIT_TIMEOUT, || has_all_roles(&cluster, 2)).await,
-            "the new seat did not relearn"
+            "the new voter did not recover the state"
         );
         for querier in 0..cluster.queriers.len() {
             cluster.queriers[querier].signal("TERM").unwrap();
@@ -55,24 +55,24 @@
                 "querier {querier}"
             );
         }
-        // The new seat counts: with another one down a change is accepted.
+        // The new voter counts for the quorum: with another voter down a change is accepted.
         cluster.controllers[0].kill();
-        let val = json!({ "zones": [{ "name": "after", "state": "open" }] });
-        let revision = cluster.patch(&val, "after").await.unwrap();
+        let change = json!({ "zones": [{ "name": "after", "state": "open" }] });
+        let revision = cluster.patch(&change, "after").await.unwrap();
         for querier in 0..cluster.queriers.len() {
             let has_applied =
                 || async { cluster.applied_revision(querier).await.is_some_and(|r| r >= revision) };
             assert!(
                 local_cluster::until(WAIT_TIMEOUT, has_applied).await,
-                "querier {querier} does not obey {revision}"
+                "querier {querier} has not applied {revision}"
             );
         }
         let url = format!("http://{}/v1/config", cluster.operator_addrs[2]);
-        let got = local_cluster::request(&cluster.http, Method::GET, url, Vec::new(), &[])
+        let response = local_cluster::request(&cluster.http, Method::GET, url, Vec::new(), &[])
             .await
             .unwrap()
             .1;
-        let zones = got["config"]["zones"].to_string();
+        let zones = response["config"]["zones"].to_string();
         expect_that!(zones, contains_substring("before"));
         expect_that!(zones, contains_substring("after"));
     });
