--- a/crates/server/tests/local_cluster.rs
+++ b/crates/server/tests/local_cluster.rs
@@ -65,9 +65,9 @@
     budget: &str,
 ) -> (u16, Value) {
     let url = format!("http://{}/v1/search/{path}", cluster.caller_addrs[querier]);
-    let heads = [("budget-ms", budget)];
-    let heads = if budget.is_empty() { &heads[..0] } else { &heads[..] };
-    local_cluster::request(&cluster.http, Method::POST, url, body.to_string().into_bytes(), heads)
+    let headers = [("budget-ms", budget)];
+    let headers = if budget.is_empty() { &headers[..0] } else { &headers[..] };
+    local_cluster::request(&cluster.http, Method::POST, url, body.to_string().into_bytes(), headers)
         .await
         .unwrap()
 }
--- a/crates/server/tests/rollouts.rs
+++ b/crates/server/tests/rollouts.rs
@@ -28,7 +28,8 @@
 
 /// Runs grebectl; returns its exit code and output.
 fn ctl(cluster: &LocalCluster, args: &[&str]) -> (i32, String) {
-    let at: Vec<String> = cluster.operator_addrs.iter().map(|door| door.to_string()).collect();
+    let at: Vec<String> =
+        cluster.operator_addrs.iter().map(|address| address.to_string()).collect();
     let output = std::process::Command::new(env!("CARGO_BIN_EXE_grebectl"))
         .env("GREBE_AT", at.join(","))
         .args(args)
--- a/crates/server/tests/slot_takeover.rs
+++ b/crates/server/tests/slot_takeover.rs
@@ -51,9 +51,11 @@
     let url = format!("http://{address}/v1/config");
     let body = json!({ "zones": [{ "name": format!("mark-{n}"), "state": "open" }] });
     let id = format!("mark-{n}");
-    let heads = [("request-id", id.as_str())];
+    let headers = [("request-id", id.as_str())];
     let body = body.to_string().into_bytes();
-    local_cluster::request(http, Method::PATCH, url, body, &heads).await.unwrap_or((0, Value::Null))
+    local_cluster::request(http, Method::PATCH, url, body, &headers)
+        .await
+        .unwrap_or((0, Value::Null))
 }
 
 async fn wait_until_applied(f: &LocalCluster, revision: u64) {
@@ -209,9 +211,9 @@
         let configuration =
             json!({ "searches": [], "pools": [], "zones": [] }).to_string().into_bytes();
         let url = format!("http://{}/v1/config", c.operator_addrs[5]);
-        let heads = [("request-id", "whole")];
+        let headers = [("request-id", "whole")];
         let got =
-            local_cluster::request(&http, Method::PUT, url, configuration, &heads).await.unwrap();
+            local_cluster::request(&http, Method::PUT, url, configuration, &headers).await.unwrap();
         expect_that!(got.0, eq(200), "{}", got.1);
         let (code, value) = set_zone_at(&http, c.operator_addrs[3], 7).await;
         expect_that!(code, eq(200), "{value}");
@@ -250,9 +252,9 @@
         let configuration =
             json!({ "searches": [], "pools": [], "zones": [] }).to_string().into_bytes();
         let url = format!("http://{}/v1/config", c.operator_addrs[5]);
-        let heads = [("request-id", "whole")];
+        let headers = [("request-id", "whole")];
         let got =
-            local_cluster::request(&http, Method::PUT, url, configuration, &heads).await.unwrap();
+            local_cluster::request(&http, Method::PUT, url, configuration, &headers).await.unwrap();
         expect_that!(got.0, eq(200), "{}", got.1);
         let mut zone_numbers = Vec::new();
         // Each of the first three stops in turn; the spare of its zone replaces it.
