--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -1,4 +1,4 @@
-//! Building a world: its controllers, queriers and leafs, all just being started.
+//! Builds a world: its controllers, queriers and leafs at their first start.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -22,16 +22,16 @@
 pub struct ControlPlaneSetup {
     /// Voter slots (count).
     pub voter_slots: usize,
-    /// Machines that begin; those beyond the voter slots are spares.
+    /// Machines at the start; those beyond the voter slots are spares.
     pub machines: usize,
-    /// Controllers are given their voter slots; else they find them.
+    /// Whether voter slots are assigned to controllers; otherwise they claim free ones.
     pub slots_assigned: bool,
-    /// The machines that a starting controller knows.
+    /// The machines that a starting controller connects to.
     pub seeds: Vec<usize>,
 }
 
 impl World {
-    /// A fleet that is just being started.
+    /// Creates a cluster whose processes are all starting for the first time.
     pub fn new(spec: &Spec, control_plane: ControlPlaneSetup, queriers: usize, seed: u64) -> Self {
         let mut world = Self {
             now: BEGIN,
@@ -96,18 +96,18 @@
         world
     }
 
-    /// The machine at an address.
+    /// Returns the number of the controller's machine at an address.
     pub(super) fn machine(&self, addr: &str) -> Option<usize> {
         (0..self.controllers.len()).find(|controller| address(*controller) == addr)
     }
 }
 
-/// The control plane of most scenarios: three machines with assigned voter slots.
+/// Returns the control plane of most scenarios: three machines with assigned voter slots.
 pub fn three_voters() -> ControlPlaneSetup {
     ControlPlaneSetup { voter_slots: 3, machines: 3, slots_assigned: true, seeds: vec![0, 1, 2] }
 }
 
-/// Where a controller's machine is reached.
+/// Returns the address of a controller's machine.
 pub fn address(controller: usize) -> String {
     format!("127.1.0.{}:8000", controller + 1)
 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: their calls, the responses, and the checks of these.
+//! Callers: their calls, the responses, and the checks of the responses.
 
 use grebepath_core::http_api::caller;
 use grebepath_core::query::event as query_event;
@@ -14,7 +14,7 @@
 use crate::rules;
 
 impl World {
-    /// Begins the callers' load, at the spec's rates times `factor`.
+    /// Starts the callers' load, at the spec's rates times `factor`.
     pub fn start_calls(&mut self, factor: f64) {
         self.factor = factor;
         for kind in 0..self.call_kinds.len() {
@@ -24,7 +24,7 @@
     }
 
     pub(super) fn gap(&mut self, kind: usize) -> Span {
-        // Between half and one and a half of the mean: uneven, but not wild.
+        // Uniform between 0.5 and 1.5 times the mean: uneven arrivals without long bursts or gaps.
         let mean = 1e6 / (self.call_kinds[kind].per_s * self.factor).max(0.001);
         (mean * (0.5 + self.random.below(1000) as f64 / 1000.0)) as Span
     }
@@ -68,7 +68,7 @@
         self.push(wait + ms(5), ScheduledEvent::CallTimeout { call: id });
     }
 
-    /// A caller's patience has ended.
+    /// Ends a call whose caller has waited for the response until its timeout.
     pub(super) fn call_times_out(&mut self, id: u64) {
         let Some(call) = self.calls.remove(&id) else { return };
         let name = self.call_kinds[call.kind].search.clone();
--- a/crates/simulator/src/world/cold_leafs.rs
+++ b/crates/simulator/src/world/cold_leafs.rs
@@ -1,6 +1,6 @@
-//! Cold leafs that stand for those of every pool with a rate: each query engine sends
-//! them whatever it may whenever its querier wakes. No message travels; what is judged is the sum
-//! over all engines, through changes of the membership, pauses, cuts and restarts.
+//! Leafs in slow start that stand for those of every pool with a rate limit: each query engine
+//! sends them as much as it may at each timer of its querier. No message is simulated; the check is
+//! on the sum over all engines, across membership changes, pauses, network partitions and restarts.
 
 use std::collections::{BTreeMap, VecDeque};
 
@@ -12,28 +12,28 @@
 use super::faulty_variant::FaultyVariant;
 use super::{BEGIN, World};
 
-/// Leafs that are judged.
+/// The leafs that are checked.
 const LEAFS: [&str; 2] = ["cold-1", "cold-2"];
-/// Attempts a second that each of them bears.
+/// Slow-start capacity of each leaf (attempts per second).
 const PER_SECOND: u64 = 20;
-/// The same in thousandths, as a configuration says it.
+/// The same rate in thousandths of an attempt per second, the unit of the configuration.
 const RATE: u64 = PER_SECOND * 1_000;
-/// What the brief allows in any second: half as much again, and five more.
+/// The most attempts that the requirements allow in any second: 1.5 times the rate, plus five.
 const MOST_IN_A_SECOND: usize = (PER_SECOND * 3 / 2 + 5) as usize;
-/// Queriers beyond which this is not played: each wake looks at all threads.
+/// The check is skipped in larger clusters, as each timer visits all threads.
 const MOST_QUERIERS: usize = 20;
 
-/// What engines sent to cold leafs.
+/// Attempts that engines sent to the leafs in slow start.
 #[derive(Default)]
 pub(super) struct ColdLeafs {
-    /// What each engine knows of each leaf.
+    /// The state that each engine keeps of each leaf.
     known: BTreeMap<(QueryEngineId, usize), LeafState>,
-    /// When attempts were sent to each leaf, within the last second.
+    /// Send times of the attempts to each leaf, within the last second.
     sent: [VecDeque<Tick>; LEAFS.len()],
 }
 
 impl World {
-    /// Lets the engines of a querier send all that they may to cold leafs now.
+    /// Sends as many attempts to the leafs in slow start as the engines of a querier may send now.
     pub(super) fn send_to_cold_leafs(&mut self, querier: usize, life: u64) {
         if self.queriers.len() > MOST_QUERIERS {
             return;
@@ -50,7 +50,7 @@
         if local > state.lease_valid_until {
             return;
         }
-        // The faulty variant goes by whom it knows of, whether that is settled or not.
+        // The faulty variant uses all members that it knows of, settled or not.
         let share = match self.faulty_variant {
             Some(FaultyVariant::WarmsUpByUnsettledMembers) => QuotaShare {
                 threads: state.peers.iter().map(|peer| peer.thread_id).collect(),
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -1,4 +1,4 @@
-//! What the state machines of controllers want done: messages, writes and answers.
+//! Runs the commands of the controllers' state machines: messages, writes and responses.
 
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::Event as CoreEvent;
@@ -65,14 +65,15 @@
                 );
             }
             Command::Alarm(text) => {
-                self.rules
-                    .note(self.now - BEGIN, || format!("seat {controller} (life {life}): {text}"));
+                self.rules.note(self.now - BEGIN, || {
+                    format!("controller {controller} (incarnation {life}): {text}")
+                });
                 *self.alarms.entry(text).or_default() += 1;
             }
         }
     }
 
-    /// A controller answers another on the connection that the other opened.
+    /// Sends a message of a controller to another on the connection that the other opened.
     fn answer_controller(&mut self, controller: usize, to: usize, life: u64, message: Message) {
         self.net.record("controller-controller", &message);
         let from = self.controllers[controller].endpoint(controller);
@@ -84,7 +85,7 @@
         }
     }
 
-    /// A controller sends to a querier on the connection that the querier opened.
+    /// Sends a message of a controller to a querier on the connection that the querier opened.
     fn answer_querier(&mut self, controller: usize, querier: usize, life: u64, message: Message) {
         self.net.record("controller-querier", &message);
         let from = self.controllers[controller].endpoint(controller);
@@ -96,7 +97,7 @@
         }
     }
 
-    /// A controller reads a partition's files again.
+    /// Rereads the files of a controller's partition for corruption.
     fn scrub(&mut self, controller: usize, partition: PartitionId) {
         let node = &self.controllers[controller];
         if node.disk.health == Health::Stalled
@@ -109,7 +110,7 @@
         self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
     }
 
-    /// A controller sends to another's machine, as who it is just now.
+    /// Sends a message of a controller to another's machine, under its current slot and replica id.
     pub(super) fn send_to_controller(&mut self, controller: usize, to: usize, message: Message) {
         self.net.record("controller-controller", &message);
         let from = self.controllers[controller].endpoint(controller);
--- a/crates/simulator/src/world/controller_disks.rs
+++ b/crates/simulator/src/world/controller_disks.rs
@@ -1,4 +1,4 @@
-//! The disks of controllers' machines: jobs that begin and end.
+//! Starts and finishes the disk jobs of controllers' machines.
 
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::PartitionId;
@@ -11,7 +11,7 @@
 use crate::simulated_disk::{Health, Job};
 
 impl World {
-    /// A disk has finished a job of a partition.
+    /// Delivers the result of a partition's disk job to the controller.
     pub(super) fn finish_disk_job(
         &mut self,
         controller: usize,
@@ -24,13 +24,13 @@
         }
         let Some(result) = disk.finish_job(partition, token) else { return };
         let event = disk_event(partition, token, result);
-        // The faulty variant has acknowledged it already.
+        // The faulty variant has already acknowledged it.
         if self.faulty_variant != Some(FaultyVariant::AcknowledgesBeforeSync) || result.is_err() {
             self.step_controller(controller, event);
         }
     }
 
-    /// A disk has finished writing the voter file.
+    /// Delivers the result of a voter file write to the controller.
     pub(super) fn finish_voter_file(&mut self, controller: usize, token: u64) {
         let disk = &mut self.controllers[controller].disk;
         if disk.health == Health::Stalled {
@@ -70,7 +70,7 @@
         }
     }
 
-    /// Changes the health of a disk; after a stall the pending jobs go on.
+    /// Changes the health of a disk; after a stall the pending jobs resume.
     pub fn set_disk_health(&mut self, controller: usize, health: Health) {
         let was = std::mem::replace(&mut self.controllers[controller].disk.health, health);
         if was == Health::Stalled && health != Health::Stalled {
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers' machines: starts, ends, connections, and the steps of their state
+//! Controllers' machines: starts, stops, connections, and the steps of their state
 //! machines.
 
 use grebepath_core::control_plane::controller::ControllerState;
@@ -21,11 +21,11 @@
 
 /// Seeds that the platform writes into a process's settings (count).
 const SEEDS_WRITTEN: usize = 3;
-/// Time from a request to stop to the forced end of the process.
+/// Time from a stop request until the process is killed.
 const STOP_GRACE: Span = 6 * SECOND;
 
 impl World {
-    /// One more machine for a controller, with an empty disk; gives its number.
+    /// Adds a machine for a controller, with an empty disk, and returns its number.
     pub fn add_controller(&mut self, zone: Option<&str>) -> usize {
         let controller = self.controllers.len();
         let disk = Disk::new(partitions().count());
@@ -45,7 +45,7 @@
         controller
     }
 
-    /// Starts a controller on its disk.
+    /// Starts a controller's process from what its disk holds.
     pub fn start_controller(&mut self, controller: usize) {
         let seed = self.random.next_u64();
         let start = Start {
@@ -86,7 +86,7 @@
         }
     }
 
-    /// The machines to which a controller has connections.
+    /// Returns the machines to which a controller has connections.
     pub(super) fn connected_controllers(&self, controller: usize) -> Vec<usize> {
         let table = &self.controllers[controller].state.voter_slots.voter_file.table;
         let known = table.slots.iter().filter_map(|h| self.machine(&h.addr));
@@ -97,8 +97,8 @@
         list
     }
 
-    /// The platform writes settings whose seeds are voters of now, and the controllers take them
-    /// up: those that know no voter connect to them.
+    /// Replaces the seeds in the settings by current voters, as the platform does, and has the
+    /// controllers apply them: those that know no voter connect to the seeds.
     pub fn renew_seeds(&mut self) {
         let is_voter = |node: &ControllerNode| node.up && node.has_voter_slot();
         let voters = self.controllers.iter().enumerate().filter(|(_, node)| is_voter(node));
@@ -124,8 +124,8 @@
         self.push(ms(2), ScheduledEvent::ControllerEvent { controller: to, life, event });
     }
 
-    /// An event as a faulty voter sees it: one that counts by a voter set of its own, or
-    /// that does not tell the processes of another one apart.
+    /// Returns an event as the faulty variant receives it: one that counts by its own voter set, or
+    /// that doesn't distinguish the incarnations of another voter.
     pub(super) fn as_seen_by_faulty_voter(
         &self,
         controller: usize,
@@ -156,7 +156,7 @@
         Some(event)
     }
 
-    /// What comes on a new connection is preceded by its opening.
+    /// Delivers the opening of a connection before its first message.
     pub(super) fn open_connection(&mut self, controller: usize, event: &CoreEvent) {
         let connection = match event {
             CoreEvent::FromVoter { connection, .. }
@@ -174,7 +174,7 @@
         }
     }
 
-    /// Ends a controller at once; power may be lost with it.
+    /// Kills a controller's process, with its machine's power if `power` is set.
     pub fn kill_controller(&mut self, controller: usize, power: bool) {
         self.controllers[controller].up = false;
         self.controllers[controller].life += 1;
@@ -186,8 +186,8 @@
         }
     }
 
-    /// Asks a controller to stop, as SIGTERM does. It ends when it says so, or by
-    /// force when the platform's patience ends, and starts again after `restart`.
+    /// Asks a controller to stop, as SIGTERM does. The process ends when the controller allows it, or
+    /// is killed after the platform's grace period, and starts again after `restart`.
     pub fn stop_controller(&mut self, controller: usize, restart: Option<Span>) {
         if !self.controllers[controller].up {
             return;
@@ -201,7 +201,7 @@
         self.step_controller(controller, CoreEvent::Stop);
     }
 
-    /// A controller that was asked to stop has ended.
+    /// Ends the process of a controller that was asked to stop.
     pub(super) fn end_controller(&mut self, controller: usize) {
         let Some(Stopping { restart }) = self.controllers[controller].stopping.take() else {
             return;
@@ -226,7 +226,7 @@
         }
     }
 
-    /// An event reaches a controller; what comes on a new connection is preceded by
+    /// Delivers an event to a controller; the first message of a connection is preceded by
     /// its opening.
     pub(super) fn deliver_to_controller(&mut self, controller: usize, event: CoreEvent) {
         let Some(event) = self.as_seen_by_faulty_voter(controller, event) else { return };
@@ -235,7 +235,7 @@
     }
 }
 
-/// Takes from an event which of a voter's processes it came from.
+/// Removes from an event the incarnation of the voter that sent it.
 fn forget_incarnation(event: &mut CoreEvent) {
     if let CoreEvent::FromVoter { connection, .. } = event
         && let Opener::Controller { number, .. } = Opener::of(*connection)
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! How queriers learn of leafs: the platform's list and probes of single leafs.
+//! Leaf discovery of queriers: the platform's list and probes of single leafs.
 
 use grebepath_core::consts;
 use grebepath_core::http_api::list;
@@ -14,11 +14,11 @@
 use crate::mock_backends::Alive;
 use crate::net::{Endpoint, Node};
 
-/// Where the platform's list is served.
+/// The endpoint that serves the platform's list.
 const LIST: Endpoint = Endpoint { node: Node::List, zone: "a" };
 
 impl World {
-    /// Asks the platform for its list, unless an answer is awaited.
+    /// Requests the platform's list, unless a request is already in flight.
     pub(super) fn poll_list(&mut self, querier: usize) {
         if self.queriers[querier].polling {
             return;
@@ -68,7 +68,7 @@
         }
     }
 
-    /// One of our nodes learns that a leaf is leaving.
+    /// Records that a process of the cluster has received a leaf's leaving state.
     pub(super) fn learn(&mut self, leaf: &str) {
         let now = self.now;
         if let Some(leaf) = self.backends.leafs.get_mut(leaf)
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -1,4 +1,4 @@
-//! The events of a run, and the queue that orders them by time.
+//! The events of a run, and how they are scheduled.
 
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::PartitionId;
@@ -12,7 +12,7 @@
 use super::World;
 use super::injected_faults::Fault;
 
-/// What happens, and to whom.
+/// An event and the process that it is for.
 pub(super) enum ScheduledEvent {
     ControllerTimer {
         controller: usize,
@@ -43,7 +43,7 @@
         life: u64,
         event: node_agent::Event,
     },
-    /// A controller that says it is `holder` speaks to a querier.
+    /// A message to a querier from the controller whose replica id is `holder`.
     ControllerMessage {
         querier: usize,
         life: u64,
@@ -98,7 +98,7 @@
     },
 }
 
-/// One thread's query engine, in one life of its querier.
+/// One thread's query engine, in one incarnation of its querier.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct QueryEngineId {
     pub querier: usize,
@@ -113,68 +113,68 @@
     pub attempt: u64,
 }
 
-/// What follows an earlier event, as the restart that follows a kill.
+/// An event that follows an earlier one, such as the restart after a kill.
 #[derive(Clone, Copy)]
 pub enum FollowUp {
-    /// A controller's process is started.
+    /// Starts a controller's process.
     StartController(usize),
-    /// A fault ends a controller's process.
+    /// Ends a controller's process by a fault.
     Fault {
         /// The number of its machine.
         controller: usize,
-        /// What ends it.
+        /// The fault.
         fault: Fault,
     },
-    /// A controller that was asked to stop is ended by force.
+    /// Kills a controller that was asked to stop and still runs.
     ForceStop {
         /// The number of its machine.
         controller: usize,
-        /// The life that was asked to stop.
+        /// The incarnation that was asked to stop.
         life: u64,
     },
-    /// A querier's process is started.
+    /// Starts a querier's process.
     StartQuerier(usize),
-    /// A querier that is asked to stop ends once no query is in progress.
+    /// Ends a stopping querier once no query is in progress.
     EndDrainedQuerier(usize, u64),
-    /// An operator asks for changes, one after the other.
+    /// Submits a series of changes, one after the other.
     RequestStorm {
-        /// Changes that are left (count).
+        /// Remaining changes (count).
         left: u64,
         /// Time between two changes.
         gap: Span,
     },
-    /// An operator without ids gives its next order, or looks at what stands.
+    /// Has an operator without request ids send its next request, or check the result at the end.
     ZoneOrder {
         /// The operator's number.
         operator: usize,
     },
-    /// An operator without ids has waited for an answer for as long as it does.
+    /// Ends the wait of an operator without request ids for a response.
     OperatorSilence {
         /// The operator's number.
         operator: usize,
-        /// The request that it waited for.
+        /// The request whose response it waited for.
         request: usize,
     },
-    /// An operator looks how its rollout stands.
+    /// Has an operator poll the state of its rollout.
     RolloutLook {
         /// The operator's number.
         operator: usize,
     },
-    /// An operator of a rollout has waited for an answer for as long as it does.
+    /// Ends the wait of a rollout's operator for a response.
     RolloutSilence {
         /// The operator's number.
         operator: usize,
-        /// The request that it waited for.
+        /// The request whose response it waited for.
         request: usize,
     },
-    /// The leafs of a version that was returned leave.
+    /// Has the leafs of a version leave that was rolled back.
     RolloutLeafsLeave {
         /// The operator's number.
         operator: usize,
     },
-    /// An operator's change that shows whether the control plane has recovered.
+    /// Submits a change that shows whether the control plane has recovered.
     ChangeAfterRestart {
-        /// The number of the restart among those that are judged.
+        /// The number of the restart among those that are checked.
         restart: usize,
     },
 }
@@ -188,7 +188,7 @@
         self.queue.push(at, event);
     }
 
-    /// Lets something follow after a while.
+    /// Schedules a follow-up.
     pub fn later(&mut self, after: Span, key: FollowUp) {
         self.push(after, ScheduledEvent::FollowUp { key });
     }
--- a/crates/simulator/src/world/faulty_variant.rs
+++ b/crates/simulator/src/world/faulty_variant.rs
@@ -1,6 +1,6 @@
-//! Faulty variants of the fleet, which show that each checker catches what it is for.
+//! Faulty variants of the cluster, which show that each checker detects its kind of fault.
 
-/// One way in which the fleet is faulty on purpose.
+/// A fault that the cluster has on purpose.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum FaultyVariant {
     /// Answers claim all planned shards.
@@ -9,9 +9,9 @@
     RepeatsShard,
     /// Answers name another index version.
     WrongIndexVersion,
-    /// The first two records change places.
+    /// The first two records of an answer are swapped.
     MisordersRecords,
-    /// Attempts carry another question, with a valid digest.
+    /// Attempts carry another query, with a valid digest.
     AltersQuestion,
     /// Queriers never learn that a leaf is leaving.
     IgnoresLeavingLeafs,
@@ -19,45 +19,44 @@
     IgnoresDrainedZones,
     /// The threads of one querier keep their first snapshot.
     KeepsStaleSnapshot,
-    /// Restarted queriers serve by the first configuration that they receive.
+    /// Restarted queriers serve with the first configuration that they receive.
     RevertsConfiguration,
-    /// Every thread retries as much as it likes.
+    /// Threads retry without a budget.
     NoRetryBudget,
-    /// Every thread uses each leaf's allocation as if it were alone.
+    /// Every thread uses the whole allocation of each leaf.
     NoAllocation,
-    /// Disks acknowledge writes before they last.
+    /// Disks acknowledge writes before they are durable.
     AcknowledgesBeforeSync,
     /// Answers below quorum are sent as successes.
     SucceedsBelowQuorum,
-    /// Attempts are sent on new connections without asking which leaf is there.
+    /// Attempts are sent on new connections without checking the leaf's identity.
     NoIdentityCheck,
-    /// Nobody polls the platform's list in place of members that are silent.
+    /// No member polls the platform's list in place of members that don't report.
     NoSubstituteListPollers,
-    /// Members report to the controllers, not to each other, what leafs tell them.
+    /// Members report the states of leafs to the controllers, not to each other.
     NoLeafReports,
     /// Controllers never scrub their files.
     NoScrub,
-    /// A voter whose disk was lost votes at once.
+    /// A voter votes immediately after the loss of its disk.
     VotesAfterDiskLoss,
-    /// Voters count by a voter set of their own, whoever speaks under
-    /// whichever other.
+    /// Voters count messages by their own voter set, whatever the sender's voter set is.
     IgnoresOtherVoterSets,
-    /// Cold leafs are warmed up by the members that each one knows of, settled or not.
+    /// Slow-start rates are shared among the members that each querier knows of, settled or not.
     WarmsUpByUnsettledMembers,
-    /// Leaders count what a voter acknowledged before its process restarted.
+    /// Leaders count acknowledgements that a voter sent before its process restarted.
     CountsFormerAcknowledgements,
     /// Queriers send to leafs of every version.
     IgnoresVersions,
-    /// Every request may go to a version that is tried.
+    /// Every request may go to a version on trial.
     NoExposureLimit,
-    /// The same, threads never stop by themselves, and no controller hears what they see.
+    /// The same; in addition threads never stop a trial, and report nothing to controllers.
     NeverReturns,
-    /// Operators are told that a rollout has ended as soon as it has turned.
+    /// A rollout is reported to operators as ended as soon as its direction is decided.
     TellsEndsEarly,
-    /// Of operators who look again, every second one is told what stood before the end.
+    /// Every second poll of a rollout returns its state before the end.
     AnswersOldRollouts,
-    /// Orders without id and base are carried out under an id that is made up for each.
+    /// Requests without id and base revision are run under an id that is generated for each.
     MakesUpRequestIds,
-    /// A controller that is asked to stop ends before its successor holds the data.
+    /// A controller that is asked to stop ends before its successor has the data.
     StopsBeforeHandover,
 }
--- a/crates/simulator/src/world/in_touch.rs
+++ b/crates/simulator/src/world/in_touch.rs
@@ -1,5 +1,5 @@
-//! Which queriers are in touch with the control plane: the promises that are bound to a time
-//! hold for these. Judged by the faults that were applied alone, never by what the fleet says.
+//! Which queriers have contact with the control plane: rules with a time limit hold for these
+//! only. Derived from the applied faults alone, never from what the cluster reports.
 
 use std::collections::BTreeMap;
 
@@ -10,28 +10,28 @@
 use crate::mock_backends::ListMode;
 use crate::scenario::ScheduledFault;
 
-/// How long after the end of a fault a querier counts as in touch again.
+/// Time after the end of a fault until a querier counts as connected again.
 const CONTACT: Span = 4 * SECOND;
 /// The same after a fault that ends all controllers.
 const CONTACT_AFTER_RESTART: Span = 2 * CONTACT;
-/// How long a fault lasts that does not say.
+/// Duration of a fault whose scenario gives none.
 const FAULT_DEFAULT: Span = 5 * SECOND;
 
-/// Faults of the control plane, the net and the platform's list, and of single queriers.
+/// Faults of the control plane, the network and the platform's list, and of single queriers.
 #[derive(Default)]
 pub(super) struct Disturbances {
-    /// Until when the control plane, the net or the list are disturbed.
+    /// Until when the control plane, the network or the list is disturbed.
     core_until: Tick,
-    /// A fault of the net, of a disk or of the list goes on until it is mended.
+    /// Whether a fault of the network, of a disk or of the list lasts until it is repaired.
     lasts: bool,
     /// Until when each querier is disturbed.
     queriers_until: BTreeMap<usize, Tick>,
-    /// Since when the platform's list has been served without a break.
+    /// Since when the platform's list has been served without interruption.
     list_good_since: Tick,
 }
 
 impl World {
-    /// Notes that a fault is applied now.
+    /// Records that a fault is applied now.
     pub(crate) fn note_disturbance(&mut self, fault: &ScheduledFault) {
         let now = self.now;
         let parameters = &fault.parameters;
@@ -63,19 +63,19 @@
         }
     }
 
-    /// Notes that an injected fault strikes a controller now.
+    /// Records that a fault is injected into a controller now.
     pub(super) fn note_injected_fault(&mut self) {
         self.disturbances.core_until = self.now + FAULT_DEFAULT + CONTACT;
     }
 
-    /// Whether a querier is in touch.
+    /// Returns whether a querier has contact with the control plane.
     pub(super) fn is_in_touch(&self, querier: usize) -> bool {
         let disturbances = &self.disturbances;
         let until = disturbances.queriers_until.get(&querier).copied().unwrap_or(0);
         !disturbances.lasts && self.now >= disturbances.core_until && self.now >= until
     }
 
-    /// How long the list, served as it should be, has shown that a leaf leaves.
+    /// Returns how long a correctly served list has shown that a leaf is leaving.
     pub(super) fn shown_leaving_for(&self, leaf: &str) -> Option<Span> {
         let shown = self.backends.leafs.get(leaf)?.shown_leaving?;
         let is_served = self.backends.list_mode == ListMode::Good;
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -1,5 +1,5 @@
-//! Faults that are injected at one numbered event of the controllers: a message that
-//! arrives at one, or a write that its disk finishes. `crate::explore` tries them
+//! Faults that are injected at a numbered event of the controllers: a message that
+//! arrives at a controller, or a write that its disk finishes. `crate::explore` tries them
 //! all.
 
 use grebepath_core::control_plane::controller::Event as CoreEvent;
@@ -10,34 +10,34 @@
 use super::{BEGIN, World};
 use crate::connection_id::Opener;
 
-/// How long a delayed message stays behind: longer than an election, so that a
+/// Delay of a message: longer than an election, so that a
 /// whole leadership passes in between.
 const DELAY: Span = ms(1_600);
 
-/// How long a paused process stands still: longer than a lease.
+/// Duration of a pause: longer than a lease.
 const PAUSE: Span = ms(1_300);
 
-/// How long a machine is down that comes back.
+/// Time until a killed process restarts.
 const DOWN: Span = ms(300);
 
-/// What happens to an event or to the controller that it reaches.
+/// A fault of an event or of the controller that receives it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// The message is lost.
     Lose,
-    /// The message comes behind all others.
+    /// The message arrives after all others.
     Delay,
-    /// The message comes twice.
+    /// The message arrives twice.
     Repeat,
-    /// The controller stands still for a while before it takes the event.
+    /// The controller is paused before it handles the event.
     Pause,
     /// Its process is killed right after the event, and starts again.
     Kill,
     /// Its machine loses power right after the event, and starts again.
     Power,
-    /// Its machine comes back with an empty disk.
+    /// Its machine restarts with an empty disk.
     DiskLost,
-    /// Its machine is gone for good.
+    /// Its machine is lost permanently.
     Gone,
 }
 
@@ -53,12 +53,12 @@
     Fault::Gone,
 ];
 
-/// A fault at an event, counted from the beginning of the window.
+/// A fault at an event, which is counted from the start of the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InjectedFault {
     /// The number of the event.
     pub event: u64,
-    /// What happens to it.
+    /// The fault at this event.
     pub fault: Fault,
 }
 
@@ -71,15 +71,15 @@
     pub list: Vec<InjectedFault>,
     /// Events of the window so far.
     pub seen: u64,
-    /// Replicas that were lost for good: disks, machines, and controllers that
-    /// were about to leave and are not started again.
+    /// Replicas that were lost permanently: disks, machines, and controllers that
+    /// were about to leave and are not restarted.
     pub losses: usize,
-    /// What was done, to be read by people.
+    /// A readable log of the injected faults.
     pub story: Vec<String>,
 }
 
 impl World {
-    /// Injects the faults that are due; gives the event if it still happens.
+    /// Injects the faults that are due; returns the event unless a fault dropped or delayed it.
     pub(super) fn inject(&mut self, event: ScheduledEvent) -> Option<ScheduledEvent> {
         let (from, to) = self.injected.window;
         let at = self.now - BEGIN;
@@ -144,7 +144,7 @@
         Some(event)
     }
 
-    /// A fault that ends a controller's process.
+    /// Ends a controller's process by a fault.
     pub(super) fn end_process(&mut self, controller: usize, fault: Fault) {
         if !self.controllers[controller].up {
             return;
@@ -163,7 +163,7 @@
     }
 }
 
-/// The running controller that an event reaches, if it is one that counts: a
+/// Returns the controller that receives an event, if the event is numbered: a
 /// message of another controller, or the end of a write.
 fn reaches(event: &ScheduledEvent) -> Option<usize> {
     match event {
@@ -182,8 +182,8 @@
     }
 }
 
-/// Messages that are sent again all the time; one more or less changes nothing
-/// that the others do not change.
+/// Returns whether a message is sent periodically: losing or repeating a single one
+/// makes no difference, as the next one has the same effect.
 fn is_heartbeat(message: &Message) -> bool {
     matches!(message, Message::VoterAlive { .. })
         || matches!(message, Message::Heartbeat { partition, .. } | Message::HeartbeatAck { partition, .. } if partition.0 != 0)
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -1,4 +1,4 @@
-//! Attempts that are sent to leafs, and their replies.
+//! Attempts that are sent to leafs, and their responses.
 
 use grebepath_core::digest::digest;
 use grebepath_core::http_api::leaf::{AttemptFailure, LeafReply, MISDIRECTED, ReplyHeaders};
@@ -15,15 +15,15 @@
 use crate::mock_backends::{Alive, Mode};
 use crate::net::latency;
 
-/// The version of the leafs that a run begins with: the list does not tell it.
+/// The version of the first leafs of a run: the list doesn't include it.
 const FIRST_VERSION: &str = "";
 /// Time that a process takes to close a connection.
 const CLOSE_DELAY: Span = ms(1);
-/// Status of a response to a request whose digest is wrong.
+/// HTTP status of the response to a request with a wrong digest.
 const BAD_REQUEST: u16 = 400;
-/// Status of a response of a leaf that can't take more work.
+/// HTTP status of the response of an overloaded leaf.
 const UNAVAILABLE: u16 = 503;
-/// Times its capacity from which on a leaf rejects attempts.
+/// Multiple of its capacity above which a leaf rejects attempts.
 const REJECTS_BEYOND: u32 = 3;
 
 impl World {
@@ -53,7 +53,7 @@
             sending.body_digest = digest(&body);
             sending.body = std::sync::Arc::new(body);
         }
-        // Whatever becomes of it, the sender gives up at the end of its budget.
+        // In any case the sender's timeout fires at the end of its budget.
         let event = query_event::Event::AttemptEnded {
             attempt: sending.attempt,
             result: Err(AttemptFailure::DeadlineExceeded),
@@ -64,7 +64,7 @@
         let leaf_zone =
             self.backends.leafs.get(&sending.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
         let latency = latency(&zone, &leaf_zone, &mut self.random) + self.net.extra_latency;
-        // Giving up closes the connection, which the leaf sees a moment later.
+        // The timeout closes the connection, which the leaf detects one latency later.
         let closed = sending.timeout + CLOSE_DELAY + latency;
         self.push(closed, ScheduledEvent::LeafDisconnect { key });
         let request = RequestUnderWay { arrives_at: self.now + latency, closed: false };
@@ -72,8 +72,8 @@
         self.push(latency, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
     }
 
-    /// The sender of an attempt closes its connection: the leaf hears of it as late as the
-    /// net is slow now, and never before the request.
+    /// Closes the connection of an attempt on the sender's side: the leaf detects it after the
+    /// current network latency, and never before the request arrives.
     pub(super) fn close_attempt(&mut self, key: AttemptKey) {
         let run = self.runs_by_attempt.get(&key).and_then(|run| self.runs.get(run));
         let leaf_zone = run.and_then(|run| self.backends.leafs.get(&run.leaf));
@@ -89,12 +89,12 @@
         self.push_at(at, ScheduledEvent::LeafDisconnect { key });
     }
 
-    /// A leaf sees that the connection of an attempt was closed.
+    /// Delivers the close of an attempt's connection to the leaf.
     pub(super) fn leaf_sees_close(&mut self, key: AttemptKey) {
         if let Some(run) = self.runs_by_attempt.remove(&key) {
             self.end_run(run);
         } else if let Some(request) = self.requests_under_way.get_mut(&key) {
-            // It was still being asked who it is: the request is never sent.
+            // The identity check is still in progress: the request is never sent.
             request.closed = true;
         }
     }
@@ -122,7 +122,7 @@
         );
     }
 
-    /// A request reaches the machine of a leaf.
+    /// Delivers a request to the machine of a leaf.
     pub(super) fn leaf_gets(&mut self, engine: QueryEngineId, sending: OutgoingAttempt) {
         let now = self.now;
         let key = AttemptKey { engine, attempt: sending.attempt };
@@ -140,8 +140,8 @@
         }
         let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
         let rejection = |status| Ok(leaf.rejection(now, status));
-        // A connection ends with the process behind it, and on a new one the leaf is
-        // asked who it is before any work is sent.
+        // A connection ends with the leaf's process, and on a new one the leaf's identity is
+        // checked before any request is sent.
         let connection = (engine, sending.addr.clone());
         let known = self.connections.get(&connection) == Some(&name);
         if !known && self.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
@@ -170,7 +170,7 @@
         self.start_work(key, name, sending);
     }
 
-    /// A leaf starts to work on an attempt, unless it rejects it.
+    /// Starts the work of a leaf on an attempt, unless the leaf rejects it.
     fn start_work(&mut self, key: AttemptKey, name: String, sending: OutgoingAttempt) {
         let now = self.now;
         let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
@@ -246,7 +246,7 @@
         self.answer(run.key, &zone, Ok(raw));
     }
 
-    /// A leaf's process ends: its work is lost, and callers hear of it.
+    /// Ends a leaf's process: its work is lost, and if its machine is up, its connections break.
     pub fn kill_leaf(&mut self, name: &str, how: Alive) {
         let Some(leaf) = self.backends.leafs.get_mut(name) else { return };
         leaf.alive = how;
--- a/crates/simulator/src/world/membership_memory.rs
+++ b/crates/simulator/src/world/membership_memory.rs
@@ -1,26 +1,26 @@
-//! Judges whether leaders know of the memberships that leaders before them had. Turns only
-//! grow, unless every voter that remembered them has lost its memory.
+//! Checks that leaders know the memberships of earlier leaders. Turns only
+//! grow, unless every voter that held the membership has lost its state.
 
 use grebepath_core::identifiers::Term;
 use grebepath_core::time::{SECOND, Span, Tick};
 
 use super::{BEGIN, World};
 
-/// How long a voter may take until it has the membership again: a leader is elected, finds
-/// that the voter is a new process, and sends it. Nobody else need remember it by then.
+/// Time that a voter may take until it has the membership again: a leader is elected, detects
+/// that the voter is a new process, and sends it. After that no other copy is needed.
 const MEMORY_AFTER: Span = 2 * SECOND;
 
-/// What was seen of memberships, and of the processes that should remember them.
+/// Observed memberships, and the processes that should hold them.
 #[derive(Default)]
 pub(super) struct MembershipMemory {
-    /// The turn that the newest leader had last.
+    /// The last turn of the newest leader.
     last_turn: u64,
-    /// The term of that leader: one that wakes in an older term does not count.
+    /// The term of that leader: a paused leader that resumes in an older term doesn't count.
     last_term: Term,
-    /// Since when each controller's process has had a voter slot without a break, and
-    /// which of its lives that is.
+    /// Since when each controller's process has had a voter slot without interruption, and
+    /// the incarnation of that process.
     voting_since: Vec<Option<VotingSince>>,
-    /// Leaders that did not know of a membership that one before them had.
+    /// Leaders that didn't know a membership of an earlier leader.
     pub(super) forgotten: Vec<String>,
 }
 
@@ -31,12 +31,12 @@
 }
 
 impl World {
-    /// Leaders that did not know of a membership that one before them had.
+    /// Leaders that didn't know a membership of an earlier leader.
     pub fn forgotten_memberships(&self) -> &[String] {
         &self.membership_memory.forgotten
     }
 
-    /// Looks at a controller that has just taken a step.
+    /// Checks a controller after its step.
     pub(super) fn check_membership_memory(&mut self, controller: usize) {
         self.note_voting(controller);
         let members = &self.controllers[controller].state.members;
@@ -47,7 +47,7 @@
         let turn = members.membership.turn;
         if turn < self.membership_memory.last_turn && self.is_remembered_somewhere() {
             let text = format!(
-                "{:.3} s: controller {controller} leads with turn {turn}, another one had turn {}",
+                "{:.3} s: controller {controller} leads with turn {turn}, an earlier leader had turn {}",
                 (self.now - BEGIN) as f64 / SECOND as f64,
                 self.membership_memory.last_turn,
             );
@@ -55,11 +55,11 @@
         }
         let memory = &mut self.membership_memory;
         memory.last_term = term;
-        // What is lost with all memory of it is not asked for again.
+        // A membership that no voter holds any more is not reported again.
         memory.last_turn = turn;
     }
 
-    /// Whether a running voter has had the time to learn the newest membership.
+    /// Returns whether a running voter has had time to receive the newest membership.
     fn is_remembered_somewhere(&self) -> bool {
         self.controllers.iter().zip(&self.membership_memory.voting_since).any(|(node, since)| {
             let is_reached = node.up && node.paused <= self.now;
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -1,4 +1,4 @@
-//! The world: nodes, virtual time, and what passes between them.
+//! The simulated world: nodes, virtual time, and the messages between nodes.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -44,20 +44,20 @@
 pub use nodes::{CallOutcomes, ControllerNode, QuerierNode, Stopping};
 pub use operator_request::{OperatorRequest, ZoneChange};
 
-/// The world.
+/// A simulated cluster with its platform, leafs, callers and operators.
 pub struct World {
     /// The virtual time.
     pub now: Tick,
     queue: EventQueue<ScheduledEvent>,
-    /// Draws everything that is left to chance.
+    /// The source of all random draws.
     pub random: Random,
-    /// The net between our processes.
+    /// The network between the processes of the cluster.
     pub net: Net,
-    /// The controllers' machines, with a voter slot or without.
+    /// The controllers' machines, with or without a voter slot.
     pub controllers: Vec<ControllerNode>,
     /// How the control plane is set up.
     pub control_plane: ControlPlaneSetup,
-    /// Connections on which something came: (controller, its life, connection).
+    /// Connections that were announced: (controller, its incarnation, connection).
     opened_connections: BTreeSet<(usize, u64, u64)>,
     /// The queriers' machines.
     pub queriers: Vec<QuerierNode>,
@@ -70,14 +70,14 @@
     ready_queriers: Vec<usize>,
     runs: BTreeMap<u64, Run>,
     runs_by_attempt: BTreeMap<AttemptKey, u64>,
-    /// Attempts whose request has not been taken by a leaf's process yet.
+    /// Attempts whose request hasn't reached a leaf's process yet.
     requests_under_way: BTreeMap<AttemptKey, RequestUnderWay>,
-    /// Who was found at the other end of each connection to a leaf.
+    /// The leaf that the identity check found on each connection.
     connections: BTreeMap<(QueryEngineId, String), String>,
     calls: BTreeMap<u64, Call>,
     /// All operators' requests.
     pub operator_requests: Vec<OperatorRequest>,
-    /// Operators that give orders without ids.
+    /// Operators that send requests without ids.
     zone_operators: Vec<zone_operators::ZoneOperator>,
     /// Operators that move services to other versions.
     rollout_operators: Vec<rollouts::RolloutOperator>,
@@ -85,26 +85,26 @@
     pub rules: Rules,
     /// How calls ended, by search.
     pub tallies: BTreeMap<String, CallOutcomes>,
-    /// The way in which the fleet is faulty on purpose.
+    /// The fault that the cluster has on purpose.
     pub faulty_variant: Option<FaultyVariant>,
     cold_leafs: cold_leafs::ColdLeafs,
     membership_memory: membership_memory::MembershipMemory,
     disturbances: in_touch::Disturbances,
-    /// Set from a scenario: run when their time comes.
+    /// The faults of the scenario, each applied at its time.
     pub faults: Vec<crate::scenario::ScheduledFault>,
-    /// No more calls from here on.
+    /// Time from which on no calls are started.
     pub calls_end_at: Tick,
-    /// Time from the wish that a querier stops until it rejects calls; else the querier's own.
+    /// Time from a querier's stop request until it rejects calls; the querier's default if unset.
     pub drain_notice: Option<Span>,
-    /// Callers call any querier that runs, ready or not.
+    /// Whether callers use queriers that run but aren't ready.
     pub ignore_readiness: bool,
     /// When each request was acknowledged.
     pub acknowledged_at: BTreeMap<usize, Tick>,
     /// Alarms by their texts.
     pub alarms: BTreeMap<String, u64>,
-    /// How many disks were lost, for the report.
+    /// Lost disks (count), for the report.
     pub lost_disks: u64,
-    /// Events that were handled (count).
+    /// Handled events (count).
     pub events: u64,
     /// Faults at numbered events of the controllers.
     pub injected: FaultInjection,
@@ -113,5 +113,6 @@
 /// Threads of each querier.
 pub const THREADS: u32 = 1;
 
-/// The world begins here, so that ages of warm leafs fit below.
+/// Start of virtual time: large enough that the start times of warm leafs, which lie before it,
+/// are positive.
 const BEGIN: Tick = ms(4_000_000);
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -1,4 +1,4 @@
-//! What the node agents of queriers want done: messages to controllers and to each
+//! Runs the commands of the queriers' node agents: messages to controllers and to each
 //! other, and updates for the threads that answer queries.
 
 use std::sync::Arc;
@@ -17,11 +17,11 @@
 use super::{BEGIN, THREADS, World};
 use crate::connection_id::Opener;
 
-/// Between a node agent and the threads of its process: one way (us).
+/// One-way delay between a node agent and the threads of its process (us).
 pub(super) const THREAD_DELAY: Span = 20;
 
 impl World {
-    /// Runs what a querier's node agent wants done.
+    /// Runs a command of a querier's node agent.
     pub(super) fn run_node_agent_command(&mut self, querier: usize, command: node_agent::Command) {
         let life = self.queriers[querier].life;
         match command {
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Gives an event to each thread of a querier.
+    /// Sends an event to each thread of a querier.
     fn tell_threads(&mut self, querier: usize, event: impl Fn() -> query_event::Event) {
         let life = self.queriers[querier].life;
         for thread in 0..THREADS as usize {
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Gives a new snapshot of configuration and leafs to the threads of a querier.
+    /// Sends a new snapshot of configuration and leafs to the threads of a querier.
     fn publish_snapshot(&mut self, querier: usize, view: Arc<ClusterView>) {
         self.rules.check_snapshot(self.now - BEGIN, querier, view.revision);
         let view = match self.faulty_variant {
@@ -173,7 +173,7 @@
     }
 }
 
-/// Hides that leafs are leaving.
+/// Clears the leaving state of all leafs in a view.
 fn hide_leaving(view: &mut ClusterView) {
     let hide = |leaf: &Arc<LeafInfo>| {
         let mut own = (**leaf).clone();
@@ -190,7 +190,7 @@
     }
 }
 
-/// Every leaf that a querier knows of, whatever its version.
+/// Returns all leafs that a querier knows of, of any version.
 fn all_leafs(agent: &node_agent::NodeAgent) -> Vec<LeafInfo> {
     let partitions = agent.partitions.values();
     partitions.flat_map(|state| leafs_in(&state.entries).into_values()).collect()
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -1,4 +1,4 @@
-//! The machines of a world, and what is in progress between them.
+//! The machines of a world, and the attempts and calls in progress.
 
 use std::collections::BTreeMap;
 
@@ -16,9 +16,9 @@
 
 /// A controller's machine.
 pub struct ControllerNode {
-    /// The zone in which it stands.
+    /// Its zone.
     pub zone: String,
-    /// How often its process was started or ended.
+    /// The incarnation of its process: the number of its starts and ends.
     pub life: u64,
     /// Whether its process runs.
     pub up: bool,
@@ -30,7 +30,7 @@
     pub disk: Disk,
     /// Until when its process is paused.
     pub paused: Tick,
-    /// It was asked to stop.
+    /// Set while its process is stopping on request.
     pub stopping: Option<Stopping>,
 }
 
@@ -40,15 +40,15 @@
         self.state.slot != grebepath_core::voter_set::NO_SLOT
     }
 
-    /// The end of its connections, as the controller of this number.
+    /// Returns the endpoint of its connections, as the controller of this number.
     pub(super) fn endpoint(&self, number: usize) -> Endpoint<'_> {
         Endpoint { node: Node::Controller(number as u8), zone: &self.zone }
     }
 }
 
-/// What follows when a controller that was asked to stop has ended.
+/// What happens after a controller has ended that was asked to stop.
 pub struct Stopping {
-    /// When it starts again; never if it was removed.
+    /// Time until it starts again; `None` if it was removed.
     pub restart: Option<Span>,
 }
 
@@ -56,20 +56,20 @@
 pub struct QuerierNode {
     /// Its name as a member.
     pub name: String,
-    /// The zone in which it stands.
+    /// Its zone.
     pub zone: String,
-    /// How often its process was started or ended.
+    /// The incarnation of its process: the number of its starts and ends.
     pub life: u64,
     /// Whether its process runs.
     pub up: bool,
     /// Its node agent.
     pub node_agent: NodeAgent,
-    /// Its query engines, one a thread.
+    /// Its query engines, one per thread.
     pub query_engines: Vec<QueryEngine>,
     pub(super) wake_at: Vec<Tick>,
     /// When its process was started.
     pub began: Tick,
-    /// Whether it says that it is ready.
+    /// Whether it reports itself ready.
     pub ready: bool,
     /// Until when its process is paused.
     pub paused: Tick,
@@ -77,7 +77,7 @@
 }
 
 impl QuerierNode {
-    /// The end of its connections, as the querier of this number.
+    /// Returns the endpoint of its connections, as the querier of this number.
     pub(super) fn endpoint(&self, number: usize) -> Endpoint<'_> {
         Endpoint { node: Node::Querier(number), zone: &self.zone }
     }
@@ -90,12 +90,12 @@
     pub(super) sending: OutgoingAttempt,
 }
 
-/// A request on its way to a leaf.
+/// A request that hasn't reached its leaf yet.
 #[derive(Clone, Copy)]
 pub(super) struct RequestUnderWay {
     /// When it reaches the leaf.
     pub(super) arrives_at: Tick,
-    /// Its sender has closed the connection before it could be sent.
+    /// Whether its sender closed the connection before the request was sent.
     pub(super) closed: bool,
 }
 
@@ -111,17 +111,17 @@
 /// How the calls of a kind ended.
 #[derive(Default, Clone)]
 pub struct CallOutcomes {
-    /// Answered in full.
+    /// Complete answers.
     pub full: u64,
-    /// Answered in part.
+    /// Partial answers.
     pub partial: u64,
     /// Rejected, by reason.
     pub rejected: BTreeMap<String, u64>,
-    /// Calls that found no querier, or whose querier ended.
+    /// Calls that found no querier, or whose querier's process ended.
     pub unreachable: u64,
-    /// Not answered before the deadline.
+    /// Calls without a response before the deadline.
     pub timed_out: u64,
-    /// Times to the answers (us).
+    /// Latencies of the answers (us).
     pub latencies: Vec<u64>,
 }
 
--- a/crates/simulator/src/world/operator_request.rs
+++ b/crates/simulator/src/world/operator_request.rs
@@ -1,50 +1,50 @@
-//! What operators ask of the controllers.
+//! The requests of operators to the controllers.
 
 use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::time::{Span, Tick};
 use serde_json::{Value, json};
 
-/// A change of a zone's state that an operator asks for.
+/// A change of a zone's state that an operator requests.
 #[derive(Clone, Debug)]
 pub struct ZoneChange {
     /// The zone's name.
     pub zone: String,
-    /// Whether it is emptied; else it is opened.
+    /// Whether the zone is drained; otherwise it is opened.
     pub drained: bool,
 }
 
-/// An attempt of an operator that gives orders without ids (`zone_operators`).
+/// An attempt of an operator that sends requests without ids (`zone_operators`).
 #[derive(Clone, Copy, Debug)]
 pub struct UnnamedOrder {
     /// The operator's number.
     pub operator: usize,
-    /// How often this order's sender was redirected (count).
+    /// Redirections of this operation so far (count).
     pub redirections: u32,
 }
 
-/// An operator's request, and what became of it.
+/// An operator's request and its result.
 pub struct OperatorRequest {
-    /// Its request id, if another request had it before: it is sent again.
+    /// Its request id, if it isn't derived from its number, as for a resent request.
     pub request: Option<String>,
-    /// What it asks for.
+    /// The requested operation.
     pub operation: Operation,
-    /// When it was first sent; 0 before.
+    /// When it was first sent; 0 if it wasn't yet.
     pub at: Tick,
-    /// The controller that is asked, if it is to be a certain one.
+    /// The controller that it is sent to; any running one if unset.
     pub controller: Option<usize>,
-    /// How it ended.
+    /// Its result, once known.
     pub result: Option<OperationResult>,
-    /// The zone that it empties or opens.
+    /// The zone that it drains or opens.
     pub zone: Option<ZoneChange>,
-    /// An object that only this request sets, to look for at the end.
+    /// An object that only this request sets, which the check at the end looks for.
     pub marker: Option<String>,
-    /// The revision that the operator read before.
+    /// The base revision that the operator read.
     pub expect: Option<u64>,
-    /// How long its connection holds it.
+    /// Additional delay of its connection.
     pub held_for: Span,
-    /// Whose order it is an attempt of, if its sender gives no ids.
+    /// The operation that it is an attempt of, if its sender uses no ids.
     pub unnamed: Option<UnnamedOrder>,
-    /// The operator of rollouts that waits for it.
+    /// The rollout operator that waits for its result.
     pub rollout: Option<usize>,
 }
 
@@ -65,22 +65,22 @@
         }
     }
 
-    /// Asks for something that is no change of the configuration.
+    /// Creates a request that doesn't change the configuration.
     pub fn asking(operation: Operation) -> Self {
         Self::new(operation)
     }
 
-    /// Replaces the configuration.
+    /// Creates a request that replaces the configuration.
     pub fn replace(config: &Value) -> Self {
         Self::new(Operation::Replace(config.to_string().into_bytes()))
     }
 
-    /// Changes some objects of the configuration.
+    /// Creates a request that changes some objects of the configuration.
     pub fn patch(objects: &Value) -> Self {
         Self::new(Operation::Patch(objects.to_string().into_bytes()))
     }
 
-    /// Adds pools with long labels, for a large configuration.
+    /// Creates a request that adds pools with long labels, for a large configuration.
     pub fn add_pools(pools: u64, label_bytes: usize) -> Self {
         let list: Vec<Value> = (0..pools)
             .map(|i| {
@@ -91,12 +91,12 @@
         Self::patch(&json!({ "pools": list }))
     }
 
-    /// Empties a zone.
+    /// Creates a request that drains a zone.
     pub fn drain(zone: &str) -> Self {
         Self::change_zone(zone, "drained", true)
     }
 
-    /// Opens a zone again.
+    /// Creates a request that opens a zone again.
     pub fn undrain(zone: &str) -> Self {
         Self::change_zone(zone, "open", false)
     }
@@ -107,7 +107,7 @@
         request
     }
 
-    /// Sets an object whose trace can be looked for at the end.
+    /// Creates a request that sets an object of its own, which the check at the end looks for.
     pub fn marked(number: usize) -> Self {
         let name = format!("mark-{number}");
         let mut request = Self::patch(&json!({ "zones": [{ "name": name, "state": "open" }] }));
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -1,4 +1,4 @@
-//! Operators: what they ask for, how it ends, and the checks of the end.
+//! Operators: their requests, the results, and the checks at the end of a run.
 
 use std::collections::BTreeSet;
 
@@ -13,7 +13,7 @@
 use super::{BEGIN, THREADS, World};
 
 impl World {
-    /// Sends an operator's request after a while; gives its number.
+    /// Schedules an operator's request and returns its number.
     pub fn submit(&mut self, after: Span, order: OperatorRequest) -> usize {
         self.operator_requests.push(order);
         let id = self.operator_requests.len() - 1;
@@ -21,9 +21,9 @@
         id
     }
 
-    /// Operators send replacements and patches at the same moment, to any voter.
-    /// Who sends a replacement has read the configuration and says which it was, so
-    /// nothing that is accepted in between may be lost.
+    /// Submits replacements and patches at the same time, to any voter.
+    /// The sender of a replacement has read the configuration and gives its revision, so
+    /// no change that is accepted in between may be lost.
     pub fn race(&mut self, count: u64) {
         let fits = |controller: &usize| {
             self.controllers[*controller].up && self.controllers[*controller].has_voter_slot()
@@ -55,7 +55,7 @@
             .filter(|controller| self.controllers[*controller].up)
             .collect();
         if up.is_empty() {
-            // Nobody to ask; the operator tries again, as grebectl does.
+            // No controller runs; the operator retries, as grebectl does.
             return self.push(ms(500), ScheduledEvent::OperatorRequest { request: id });
         }
         let controller = self.operator_requests[id]
@@ -65,11 +65,12 @@
         if self.operator_requests[id].at == 0 {
             self.operator_requests[id].at = self.now;
         }
-        // Once opening is requested it may take effect before it is acknowledged.
+        // The opening of a zone may take effect before it is acknowledged.
         if let Some(ZoneChange { zone, drained: false }) = &self.operator_requests[id].zone {
             self.rules.drained.remove(zone);
         }
-        self.rules.note(self.now - BEGIN, || format!("order {id} sent to controller {controller}"));
+        self.rules
+            .note(self.now - BEGIN, || format!("request {id} sent to controller {controller}"));
         let life = self.controllers[controller].life;
         let event = CoreEvent::Operate {
             op: id as u64,
@@ -87,20 +88,20 @@
     pub(super) fn acknowledge(&mut self, id: usize, result: OperationResult) {
         if id >= self.operator_requests.len() {
             // A request that a controller without a voter slot had forwarded, and whose
-            // connection is gone: as in the daemon, nobody waits for the outcome.
+            // connection is closed: as in the daemon, nobody waits for the result.
             return;
         }
         let now = self.now - BEGIN;
         self.rules.note(now, || {
             let text = match &result {
                 OperationResult::Accepted { revision, replicas: copies, .. } => {
-                    format!("accepted as {revision}, {copies} copies")
+                    format!("accepted as {revision}, {copies} replicas")
                 }
-                OperationResult::Rejected { why } => format!("bounced: {why}"),
+                OperationResult::Rejected { why } => format!("rejected: {why}"),
                 OperationResult::Unknown { why } => format!("unknown: {why}"),
                 _ => "told".into(),
             };
-            format!("order {id} {text}")
+            format!("request {id} {text}")
         });
         if let OperationResult::Accepted { revision, .. } = &result {
             self.rules.accepted.push((now, *revision));
@@ -135,7 +136,7 @@
         }
     }
 
-    /// The newest configuration that a voter has committed.
+    /// Returns the newest configuration that a voter has committed.
     pub fn committed(&self) -> Config {
         let best = self
             .running_voters()
@@ -146,7 +147,7 @@
         .unwrap_or_default()
     }
 
-    /// Ends a run: the checks that only the end allows.
+    /// Ends a run with the checks that are possible only at the end.
     pub fn finish(&mut self) {
         let now = self.now - BEGIN;
         let conf = self.committed();
@@ -164,13 +165,15 @@
             match result {
                 OperationResult::Accepted { revision, .. } => {
                     if *revision > top {
-                        let text =
-                            format!("order {id} was accepted as {revision}, the end is {top}");
+                        let text = format!(
+                            "request {id} was accepted as revision {revision}, the last revision is {top}"
+                        );
                         self.rules.violated(now, 12, text);
                     } else if let Some(mark) = mark
                         && !conf.zones.contains_key(mark)
                     {
-                        let text = format!("order {id} was accepted as {revision} and is lost");
+                        let text =
+                            format!("request {id} was accepted as revision {revision} and is lost");
                         self.rules.violated(now, 12, text);
                     }
                 }
@@ -178,7 +181,8 @@
                     if let Some(mark) = mark
                         && conf.zones.contains_key(mark)
                     {
-                        let text = format!("order {id} was said not to be applied, but it is");
+                        let text =
+                            format!("request {id} was reported as not applied, but it is applied");
                         self.rules.violated(now, 12, text);
                     }
                 }
@@ -189,7 +193,7 @@
         self.rules.finish(now, threads);
     }
 
-    /// Zones that the committed configuration empties.
+    /// Returns the zones that the committed configuration drains.
     pub fn drained(&self) -> BTreeSet<String> {
         self.committed().zones.values().filter(|z| z.drained).map(|z| z.name.clone()).collect()
     }
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -1,4 +1,4 @@
-//! Queriers' machines: starts, ends, and the steps of their node agents.
+//! Queriers' machines: starts, stops, and the steps of their node agents.
 
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::PartitionId;
@@ -16,7 +16,7 @@
 use crate::connection_id::Opener;
 
 impl World {
-    /// Starts a querier, which knows nothing.
+    /// Starts a querier's process with empty state.
     pub fn start_querier(&mut self, querier: usize) {
         let seed = self.random.next_u64();
         let node = &mut self.queriers[querier];
@@ -41,7 +41,7 @@
         self.push(start_delay(seed, 50), ScheduledEvent::QuerierTimer { querier, life });
     }
 
-    /// Ends a querier at once.
+    /// Kills a querier's process.
     pub fn kill_querier(&mut self, querier: usize) {
         let life = self.queriers[querier].life;
         self.queriers[querier].up = false;
@@ -103,7 +103,7 @@
         self.kill_querier(querier);
     }
 
-    /// An event reaches a querier's node agent.
+    /// Delivers an event to a querier's node agent.
     pub(super) fn deliver_to_node_agent(&mut self, querier: usize, event: node_agent::Event) {
         if matches!(event, node_agent::Event::LeafList(_)) {
             self.queriers[querier].polling = false;
@@ -111,7 +111,7 @@
         self.step_node_agent(querier, event);
     }
 
-    /// A message of the controller with this replica id reaches a querier.
+    /// Delivers a message of the controller with this replica id to a querier.
     pub(super) fn deliver_from_controller(
         &mut self,
         querier: usize,
@@ -156,7 +156,7 @@
         }
     }
 
-    /// Whether this querier's copy of a revision was compared already.
+    /// Records that this querier's copy of a revision is compared; returns whether it already was.
     pub(super) fn already_compared(&mut self, querier: usize, part: u32, revision: u64) -> bool {
         let key = (1_000 + part + 100 * querier as u32, 0);
         self.rules.replica_sums.insert(key, revision) == Some(revision)
--- a/crates/simulator/src/world/query_engines.rs
+++ b/crates/simulator/src/world/query_engines.rs
@@ -1,4 +1,4 @@
-//! The query engines of queriers: one a thread.
+//! The query engines of queriers: one per thread.
 
 use grebepath_core::membership::node_agent;
 use grebepath_core::query::event as query_event;
@@ -10,10 +10,10 @@
 use super::faulty_variant::FaultyVariant;
 use super::node_agents::THREAD_DELAY;
 
-/// Requests that may reach versions that are tried beyond their share, over the whole fleet.
+/// Requests above their share that may reach versions on trial, over the whole cluster.
 const EXPOSURE_SLACK: u64 = 50;
 
-/// How much the fleet lets reach versions that are tried; a faulty one lets all.
+/// Returns the exposure limit of versions on trial; some faulty variants have none.
 fn exposure_limit(variant: Option<FaultyVariant>) -> ExposureLimit {
     let sound = ExposureLimit { slack: EXPOSURE_SLACK, ..ExposureLimit::default() };
     match variant {
@@ -26,7 +26,7 @@
 }
 
 impl World {
-    /// A query engine's timer fires, unless it was set anew meanwhile.
+    /// Fires a query engine's timer, unless it has been reset since.
     pub(super) fn wake_query_engine(&mut self, engine: QueryEngineId, at: Tick) {
         let wakes = &mut self.queriers[engine.querier].wake_at[engine.thread];
         if *wakes == at {
--- a/crates/simulator/src/world/rollouts.rs
+++ b/crates/simulator/src/world/rollouts.rs
@@ -14,21 +14,21 @@
 use crate::rollout_rules::ToldEnd;
 use crate::version_fault::VersionFault;
 
-/// Silence after which an operator asks again.
+/// Time without a response after which an operator repeats its request.
 const PATIENCE: Span = SECOND;
-/// Pause between two looks at a rollout that goes on.
+/// Time between two polls of a rollout.
 const LOOK: Span = ms(300);
-/// Looks at a rollout after its end (count): it must stay as it is.
+/// Polls of a rollout after its end (count): its state must not change any more.
 const LOOKS_AFTER_END: u32 = 10;
-/// Time from the end of a rollout that is returned until its leafs leave.
+/// Time from the end of a rolled-back rollout until its leafs leave.
 const LEAVES_AFTER: Span = 2 * SECOND;
-/// How long a rollout takes at the most, if the scenario does not say.
+/// Time limit of a rollout whose scenario gives none.
 const DEFAULT_TERM_S: f64 = 12.0;
 
-/// An operator and the rollout that it has ordered.
+/// An operator and its rollout.
 pub struct RolloutOperator {
     order: RolloutOrder,
-    /// The leafs of the version that it moves to.
+    /// The leafs of the target version.
     leafs: Vec<String>,
     is_ordered: bool,
     waits_for: Option<usize>,
@@ -37,7 +37,7 @@
 }
 
 impl World {
-    /// An operator orders a rollout, and leafs of the new version start beside the others.
+    /// Adds an operator that orders a rollout, and starts leafs of the new version.
     pub fn add_rollout(&mut self, parameters: &Value) {
         let text =
             |key: &str, default: &str| parameters[key].as_str().unwrap_or(default).to_string();
@@ -80,7 +80,7 @@
         names
     }
 
-    /// The operator gives its order, or looks how the rollout stands.
+    /// Sends the operator's rollout order, or polls the rollout if the order was accepted.
     pub(super) fn ask_about_rollout(&mut self, operator: usize) {
         let entry = &self.rollout_operators[operator];
         let order = entry.order.clone();
@@ -97,14 +97,14 @@
         self.later(PATIENCE, FollowUp::RolloutSilence { operator, request: number });
     }
 
-    /// The operator has heard nothing for a while, and asks another controller.
+    /// Repeats a request that has had no response in time, at any controller.
     pub(super) fn end_rollout_patience(&mut self, operator: usize, request: usize) {
         if self.rollout_operators[operator].waits_for == Some(request) {
             self.ask_about_rollout(operator);
         }
     }
 
-    /// An answer reaches the operator, if it still waits for it.
+    /// Handles a response to the operator, if it still waits for it.
     pub(super) fn answer_rollout_operator(&mut self, operator: usize, request: usize) {
         if self.rollout_operators[operator].waits_for != Some(request) {
             return;
@@ -125,7 +125,7 @@
         }
     }
 
-    /// What an operator reads in an answer.
+    /// Returns the end of a rollout as the operator reads it from a response.
     fn told_end(&self, operator: usize, rollout: &Rollout) -> Option<ToldEnd> {
         let is_second_look = self.rollout_operators[operator].looks_left % 2 == 1;
         if self.faulty_variant == Some(FaultyVariant::AnswersOldRollouts) && is_second_look {
@@ -141,7 +141,7 @@
         }
     }
 
-    /// The operator is told how its rollout stands.
+    /// Records the state of the rollout that was reported to its operator.
     fn note_told(&mut self, operator: usize, end: Option<ToldEnd>) {
         let now = self.now - BEGIN;
         let entry = &mut self.rollout_operators[operator];
@@ -162,7 +162,7 @@
         }
     }
 
-    /// The leafs of a service's other versions stop at once.
+    /// Stops the leafs of a service's other versions.
     fn stop_other_versions(&mut self, service: &str, kept: &[String]) {
         let all = self.backends.leafs.values().filter(|leaf| leaf.service.name == service);
         let others: Vec<String> =
@@ -173,7 +173,7 @@
         self.backends.list_changed(self.now);
     }
 
-    /// The leafs of a version that was returned leave.
+    /// Marks the leafs of a version that was rolled back as leaving.
     pub(super) fn version_leaves(&mut self, operator: usize) {
         for name in self.rollout_operators[operator].leafs.clone() {
             if let Some(leaf) = self.backends.leafs.get_mut(&name) {
--- a/crates/simulator/src/world/status.rs
+++ b/crates/simulator/src/world/status.rs
@@ -1,4 +1,4 @@
-//! What a run shows of its state: its age, and whether the fleet has settled.
+//! The state of a run: its age, and whether the cluster has settled.
 
 use grebepath_core::protocol::replica::ReplicaCondition;
 use grebepath_core::time::{Span, Tick};
@@ -7,13 +7,13 @@
 use super::{BEGIN, World};
 
 impl World {
-    /// The machines that are up and have a voter slot.
+    /// Returns the machines that are up and have a voter slot.
     pub fn running_voters(&self) -> impl Iterator<Item = &ControllerNode> {
         self.controllers.iter().filter(|node| node.up && node.has_voter_slot())
     }
 
-    /// Whether every voter slot is held by one running machine that votes in all partitions,
-    /// and no machine thinks it has another's.
+    /// Returns whether every voter slot is held by one running machine that votes in all partitions,
+    /// and no other machine claims the same slot.
     pub fn all_slots_voting(&self) -> bool {
         let Some(best) = self.running_voters().max_by_key(|node| {
             let list = &node.state.voter_slots.voter_file.table.slots;
@@ -34,8 +34,8 @@
         })
     }
 
-    /// Whether all voters that are up show the same configuration and all
-    /// queriers that are up obey it.
+    /// Returns whether all voters that are up have the same configuration and all
+    /// queriers that are up have applied it.
     pub fn settled(&self) -> bool {
         let top =
             self.running_voters().map(|node| node.state.partitions[0].committed_revision).max();
@@ -46,12 +46,12 @@
             })
     }
 
-    /// Time since the world began.
+    /// Returns the time since the world began.
     pub fn age(&self) -> Tick {
         self.now - BEGIN
     }
 
-    /// Time since the world began, before the fleet had come up.
+    /// Returns the time since the world began, including the time in which the cluster started.
     pub fn since_begin(&self) -> Span {
         self.now - BEGIN
     }
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that lets virtual time pass and hands each event to whom it is for.
+//! The event loop: advances virtual time and delivers each event.
 
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::control_plane::step as control_plane_step;
@@ -11,7 +11,7 @@
 use super::{BEGIN, World};
 
 impl World {
-    /// Lets `span` pass.
+    /// Runs the world for `span` of virtual time.
     pub fn run(&mut self, span: Span) {
         let end = self.now + span;
         while let Some((at, event)) = self.queue.pop_until(end) {
@@ -22,7 +22,7 @@
         self.now = end;
     }
 
-    /// Lets time pass until `done`, at most `span`; tells whether it came to be.
+    /// Runs the world until `done`, for at most `span`; returns whether `done` was reached.
     pub fn until(&mut self, span: Span, done: impl Fn(&World) -> bool) -> bool {
         let end = self.now + span;
         while self.now < end {
@@ -36,7 +36,7 @@
 
     /// Handles an event that is due.
     pub(super) fn handle(&mut self, event: ScheduledEvent) {
-        // A paused process does nothing; all of it comes at once when it wakes.
+        // A paused process handles nothing; its events are all delivered when it resumes.
         let paused_until = self.paused_until(&event);
         if paused_until > self.now {
             return self.push_at(paused_until, event);
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Until when the process that an event reaches is paused; 0 if it has none.
+    /// Returns until when the process that receives an event is paused; 0 if no process does.
     fn paused_until(&self, event: &ScheduledEvent) -> Tick {
         match event {
             ScheduledEvent::ControllerTimer { controller, .. }
@@ -116,7 +116,7 @@
         }
     }
 
-    /// Whether the process that an event was meant for has ended.
+    /// Returns whether the process that an event was meant for has ended.
     fn is_stale(&self, event: &ScheduledEvent) -> bool {
         match event {
             ScheduledEvent::ControllerTimer { controller, life }
@@ -138,7 +138,7 @@
         }
     }
 
-    /// Notes which queriers are ready, as the platform does every second.
+    /// Records which queriers are ready, as the platform does every second.
     fn poll_readiness(&mut self) {
         self.ready_queriers = (0..self.queriers.len())
             .filter(|querier| self.queriers[*querier].up && self.queriers[*querier].ready)
@@ -154,7 +154,7 @@
         self.apply_fault(&fault);
     }
 
-    /// Does what was planned to follow an earlier event.
+    /// Runs a follow-up of an earlier event.
     fn follow_up(&mut self, key: FollowUp) {
         match key {
             FollowUp::StartController(controller) => {
@@ -202,7 +202,7 @@
         }
     }
 
-    /// An operator asks for a change that can be looked for at the end.
+    /// Submits a change that the check at the end can look for.
     fn submit_marked(&mut self) -> usize {
         self.submit(0, OperatorRequest::marked(self.operator_requests.len()))
     }
--- a/crates/simulator/src/world/zone_operators.rs
+++ b/crates/simulator/src/world/zone_operators.rs
@@ -1,6 +1,7 @@
-//! Operators as the users' pages describe them: one order after the other about a zone, without
-//! an id, sent to another controller after a second of silence. Their connections may hold what
-//! they send, as a cut does that heals: it arrives long after its sender has gone on.
+//! Operators as the user documentation describes them: each sends one request after the other for
+//! a zone, without a request id, and resends it to another controller after a second without a
+//! response. Connections may delay a request, as a network partition that heals does: it then
+//! arrives long after its sender has sent later requests.
 
 use grebepath_core::protocol::operation::OperationResult;
 use grebepath_core::time::{SECOND, Span, ms};
@@ -10,34 +11,34 @@
 use super::operator_request::{OperatorRequest, UnnamedOrder};
 use super::{BEGIN, World};
 
-/// Silence after which an operator goes on to another controller.
+/// Time without a response after which an operator uses another controller.
 const SILENCE: Span = SECOND;
-/// Pause between a failure and the next attempt.
+/// Backoff between a failure and the next attempt.
 const RETRY_PAUSE: Span = ms(100);
-/// Pause between two orders, in which the last one must stand.
+/// Pause between two requests, in which the result of the last one must not change.
 const ORDER_PAUSE: Span = 2 * SECOND;
-/// Pause after the last order, in which whatever was held arrives.
+/// Pause after the last request, in which all delayed requests arrive.
 const LAST_PAUSE: Span = 8 * SECOND;
-/// One attempt of so many is held by its connection.
+/// One attempt in this many is delayed by its connection.
 const HELD_IN: u64 = 2;
-/// The longest hold.
+/// The longest delay (ms).
 const LONGEST_HOLD: u64 = 5_000;
 /// Redirections that an operator follows (count).
 const MOST_REDIRECTIONS: u32 = 2;
 
-/// An operator and the order that it gives now.
+/// An operator and its current operation.
 pub struct ZoneOperator {
     zone: String,
-    /// Whether the order empties the zone; else it opens it.
+    /// Whether the operation drains the zone; otherwise it opens it.
     drained: bool,
-    /// Orders that are left, with this one (count).
+    /// Remaining operations, including this one (count).
     left: u64,
-    /// The request whose answer it waits for.
+    /// The request whose response it waits for.
     waits_for: Option<usize>,
 }
 
 impl World {
-    /// An operator empties and opens a zone in turn, so many times.
+    /// Adds an operator that alternately drains and opens a zone, `orders` times in total.
     pub fn add_zone_operator(&mut self, zone: &str, orders: u64) {
         let zone = zone.to_string();
         let operator = ZoneOperator { zone, drained: true, left: orders, waits_for: None };
@@ -45,7 +46,7 @@
         self.later(0, FollowUp::ZoneOrder { operator: self.zone_operators.len() - 1 });
     }
 
-    /// The operator gives its next order, or sees at the end what stands.
+    /// Starts the operator's next operation, or only checks the zone's state after the last one.
     pub(super) fn begin_zone_order(&mut self, operator: usize) {
         self.judge_zone_of(operator);
         let ZoneOperator { zone, drained, left, .. } = &self.zone_operators[operator];
@@ -57,7 +58,7 @@
         self.send_zone_order(operator, None, 0);
     }
 
-    /// One attempt to have the order carried out, at any controller.
+    /// Sends one attempt of the operation to any controller.
     fn send_zone_order(
         &mut self,
         operator: usize,
@@ -75,7 +76,7 @@
         request.unnamed = Some(UnnamedOrder { operator, redirections });
         (request.request, request.expect) = match confirmed {
             Some((id, revision)) => (Some(id), Some(revision)),
-            // The order of a listener that makes up an id for what brings none.
+            // A faulty listener that generates an id for a request without one.
             None if self.faulty_variant == Some(FaultyVariant::MakesUpRequestIds) => (None, None),
             None => (Some(String::new()), None),
         };
@@ -84,14 +85,14 @@
         self.later(SILENCE, FollowUp::OperatorSilence { operator, request: number });
     }
 
-    /// The operator has heard nothing for a second: it closes the connection and goes on.
+    /// Handles a response timeout: the operator closes the connection and tries another controller.
     pub(super) fn end_operator_patience(&mut self, operator: usize, request: usize) {
         if self.zone_operators[operator].waits_for == Some(request) {
             self.send_zone_order(operator, None, 0);
         }
     }
 
-    /// An answer reaches the operator, if it still waits for it.
+    /// Handles a response to the operator, if it still waits for it.
     pub(super) fn answer_zone_operator(&mut self, order: UnnamedOrder, request: usize) {
         let UnnamedOrder { operator, redirections } = order;
         if self.zone_operators[operator].waits_for != Some(request) {
@@ -111,7 +112,7 @@
         }
     }
 
-    /// The order is acknowledged.
+    /// Ends an operation that was acknowledged.
     fn end_zone_order(&mut self, operator: usize) {
         let entry = &mut self.zone_operators[operator];
         let acknowledged = entry.drained;
@@ -123,7 +124,7 @@
         self.later(pause, FollowUp::ZoneOrder { operator });
     }
 
-    /// Compares what stands with the operator's last acknowledged order.
+    /// Compares the zone's state with the operator's last acknowledged operation.
     fn judge_zone_of(&mut self, operator: usize) {
         let now = self.now - BEGIN;
         let drained = self.drained().contains(&self.zone_operators[operator].zone);
