--- a/crates/simulator/src/chaos/draw.rs
+++ b/crates/simulator/src/chaos/draw.rs
@@ -1,5 +1,5 @@
-//! One fault of a kind, drawn by the seed. The order and the number of the draws make
-//! up what a seed plays: a change to them changes every drawn run.
+//! Draws one fault of a kind by the seed. The order and the number of the draws make
+//! up the run of a seed: a change to them changes every drawn run.
 
 use grebepath_core::random::Random;
 use serde_json::{Value, json};
@@ -85,7 +85,7 @@
     Overload,
 }
 
-/// What a draw may choose from, and when the fault begins and how long it lasts (s).
+/// The scenario that faults are drawn for, and the start and duration of the next fault (s).
 pub(super) struct Scene<'a> {
     pub scenario: &'a Scenario,
     pub random: Random,
@@ -93,7 +93,7 @@
     pub span: f64,
 }
 
-/// What is drawn for every fault, whether its kind needs it or not.
+/// The values that are drawn for every fault, whether its kind needs them or not.
 struct Choice {
     controller: u64,
     querier: u64,
@@ -106,7 +106,7 @@
     ms: u64,
 }
 
-/// How leafs may misbehave.
+/// The faulty modes of leafs.
 const MODES: [&str; 10] = [
     "slow",
     "dark",
@@ -142,7 +142,7 @@
 }
 
 impl Scene<'_> {
-    /// One fault of the kind, with what ends it.
+    /// Draws one fault of the kind, with the action that ends it.
     pub fn draw(&mut self, kind: FaultKind) -> Vec<Value> {
         let choice = Choice::draw(self);
         match kind {
@@ -193,27 +193,27 @@
         }
     }
 
-    /// An action at the beginning.
+    /// Schedules an action at the beginning.
     fn begin(&self, action: Value) -> Vec<Value> {
         vec![at(self.from, action)]
     }
 
-    /// An action at the beginning and one at the end.
+    /// Schedules an action at the beginning and one at the end.
     fn both(&self, begin: Value, end: Value) -> Vec<Value> {
         vec![at(self.from, begin), at(self.from + self.span, end)]
     }
 
-    /// A fault of the net that is healed at the end.
+    /// Schedules a network fault that is healed at the end.
     fn until_healed(&self, begin: Value) -> Vec<Value> {
         self.both(begin, json!({ "do": "heal" }))
     }
 
-    /// A partition between two sides.
+    /// Schedules a network partition between two sides.
     fn partition(&self, a: Value, b: Value, one_way: bool) -> Vec<Value> {
         self.until_healed(json!({ "do": "cut", "a": a, "b": b, "one_way": one_way }))
     }
 
-    /// Leafs that misbehave until the end.
+    /// Schedules a faulty mode of leafs until the end.
     fn degraded(&self, begin: Value) -> Vec<Value> {
         let mut good = begin.clone();
         good["do"] = json!("leafs");
@@ -244,7 +244,7 @@
                 at(self.from, json!({ "do": "flip", "which": which })),
                 at(self.from + 0.1, json!({ "do": "kill-seat", "which": which, "for_s": span })),
             ],
-            // Controllers that leave in order, several at once at times.
+            // Controllers that stop on request, up to two at once.
             _ => (0..choice.count.min(2))
                 .map(|i| {
                     let which = (which + i) % self.scenario.control_plane.machines as u64;
@@ -280,7 +280,7 @@
                 let ms = 5 + self.random.below(60);
                 self.until_healed(json!({ "do": "slow-net", "ms": ms }))
             }
-            // A link that comes and goes.
+            // A connection that fails and heals repeatedly.
             _ => (0..6)
                 .map(|i| {
                     let action = match i % 2 {
@@ -361,7 +361,7 @@
         }
     }
 
-    /// A rolling restart of everything, in order or by force.
+    /// Schedules a rolling restart of all processes; controllers are stopped or killed.
     fn rolling_restart(&self, in_order: bool) -> Vec<Value> {
         let word = if in_order { "stop-seat" } else { "kill-seat" };
         let controllers = (0..self.scenario.control_plane.machines)
@@ -371,7 +371,7 @@
         controllers.chain(queriers).map(|(after, action)| at(self.from + after, action)).collect()
     }
 
-    /// A change to another version of the index, where the deployment holds two.
+    /// Schedules a change to another index version, where the deployment has two.
     pub fn change_index_version(&self) -> Vec<Value> {
         let plan = |cut: &str| {
             let text = format!(
--- a/crates/simulator/src/chaos/mod.rs
+++ b/crates/simulator/src/chaos/mod.rs
@@ -1,5 +1,5 @@
-//! Faults drawn by seed: alone, together, at any time, and one last fault;
-//! then all faults end and the fleet must recover.
+//! Faults drawn by seed: single or overlapping, at any time, and one last fault;
+//! then all faults end and the cluster must recover.
 
 use grebepath_core::random::Random;
 use serde_json::{Value, json};
@@ -10,37 +10,37 @@
 
 use draw::{KINDS, Scene};
 
-/// An action at a time (s).
+/// Sets the time of an action (s).
 pub fn at(at_s: f64, mut val: Value) -> Value {
     val["at_s"] = json!(at_s);
     val
 }
 
-/// Seconds before the end at which all faults end: 12 s to recover, and 3 s in
+/// Time before the end at which all faults end (s): 12 s to recover, and 3 s in
 /// which nearly all calls must be full.
 const RECOVERY_BEFORE_END: f64 = 16.0;
-/// Seconds that a lost or spoilt disk needs before another may be lost: a
-/// controller looks at all its files in 20 s.
+/// Time between the loss or corruption of two disks (s): a
+/// controller scrubs all its files within 20 s.
 const DISK_GAP: f64 = 26.0;
-/// Seconds before the recovery from which on no leafs are replaced: fresh ones
-/// bear too little, whatever we do.
+/// Time before the recovery in which no leafs are replaced (s): leafs in slow start
+/// lack the capacity for a recovery.
 const FRESH_GAP: f64 = 12.0;
-/// How long a fault may last at the most (s).
+/// Longest duration of a fault (s).
 const SPAN: u64 = 8;
 
-/// Whether faults lose what lies on a disk.
+/// Returns whether faults lose data of a disk.
 fn loses_disk(list: &[Value]) -> bool {
     list.iter().any(|fault| fault["do"] == "flip" || fault["lose"] == true)
 }
 
-/// Whether leafs are fresh for a while after this.
+/// Returns whether leafs are in slow start after these faults.
 fn replaces_leafs(list: &[Value]) -> bool {
     let words = ["restart-leafs", "add-leafs", "reuse", "kill-leafs", "leave-leafs"];
     list.iter().any(|fault| words.iter().any(|word| fault["do"] == *word))
 }
 
-/// Faults at times, spans and overlaps drawn by the seed, then one last one,
-/// then the end of all of them.
+/// Draws faults with times, durations and overlaps by the seed, then one last fault,
+/// then the end of all faults.
 pub fn chaos(seed: u64, scenario: &Scenario) -> Vec<ScheduledFault> {
     let recovery_at = (scenario.seconds as f64 - RECOVERY_BEFORE_END).max(1.0);
     let mut scene = Scene { scenario, random: Random::new(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
@@ -50,7 +50,7 @@
     let mut lost_at = -DISK_GAP;
     let mut from = 1.5;
     loop {
-        // From close together to a while apart.
+        // The next fault begins up to 7 s later.
         from += scene.random.below(70) as f64 / 10.0;
         scene.from = from;
         scene.span = 0.3 + scene.random.below(SPAN * 10) as f64 / 10.0;
@@ -80,7 +80,7 @@
         }
     }
     let mut all: Vec<ScheduledFault> = all.iter().map(generated_fault).collect();
-    // Nothing may come after the end of all faults.
+    // No action may follow the end of all faults.
     all.retain(|fault| (fault.at_ms as f64) < recovery_at * 1_000.0);
     all.push(generated_fault(&at(
         recovery_at,
@@ -89,8 +89,8 @@
     all
 }
 
-/// The fewest faults that still fail, found by leaving out one after the
-/// other, larger runs of them first.
+/// Returns a minimal list of faults that still fails, found by removing one after the
+/// other, longer sequences first.
 pub fn shrink(
     all: &[ScheduledFault],
     fails: impl Fn(&[ScheduledFault]) -> bool,
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -12,11 +12,11 @@
 use crate::simulated_disk::Health;
 use crate::world::{FollowUp, OperatorRequest, World};
 
-/// How long a process is paused if the scenario does not say.
+/// Duration of a pause whose scenario gives none.
 const PAUSE_DEFAULT: Span = 5 * SECOND;
 
 impl World {
-    /// Applies a fault, or another action of a scenario.
+    /// Applies a fault or another action of a scenario.
     pub fn apply_fault(&mut self, fault: &ScheduledFault) {
         self.note_disturbance(fault);
         let parameters = &fault.parameters;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Applies a fault of one controller's machine.
+    /// Applies a fault to one controller's machine.
     fn apply_to_controller(&mut self, fault: &ScheduledFault, duration: Option<Span>) {
         let parameters = &fault.parameters;
         let which = parameters["which"].as_u64().unwrap_or(0) as usize;
@@ -92,7 +92,7 @@
         }
     }
 
-    /// Applies a fault of one querier.
+    /// Applies a fault to one querier.
     fn apply_to_querier(&mut self, fault: &ScheduledFault, duration: Option<Span>) {
         let which = fault.parameters["which"].as_u64().unwrap_or(0) as usize;
         match fault.action.as_str() {
@@ -103,13 +103,13 @@
             "stop-querier" => self.stop_querier(which),
             _ => self.kill_querier(which),
         }
-        // One that was asked to stop drains and ends before.
+        // A querier that was asked to stop drains and ends before this.
         if let Some(span) = duration {
             self.later(span, FollowUp::StartQuerier(which));
         }
     }
 
-    /// Applies a fault of the net, or ends all of them.
+    /// Applies a fault to the network, or ends all network faults.
     fn apply_to_net(&mut self, fault: &ScheduledFault) {
         let parameters = &fault.parameters;
         match fault.action.as_str() {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// An operator asks for something.
+    /// Submits an operator's request.
     fn apply_by_operator(&mut self, fault: &ScheduledFault) {
         let parameters = &fault.parameters;
         let zone = parameters["zone"].as_str().unwrap_or("a");
@@ -155,8 +155,8 @@
         }
     }
 
-    /// All processes end and start again; the controller `down` stays down, and those
-    /// named by `lose` come back with empty disks.
+    /// Kills and restarts all processes; the controller `down` stays down, and those
+    /// named by `lose` restart with empty disks.
     fn restart_all(&mut self, parameters: &Value, duration: Option<u64>) {
         let power = parameters["power"].as_bool().unwrap_or(false);
         let seat = |key: &str| {
@@ -182,7 +182,7 @@
             }
         }
         let span = duration.unwrap_or(SECOND);
-        // Who is gone for good does not come back.
+        // Controllers that were down before are not restarted.
         for controller in alive.into_iter().filter(|controller| Some(*controller) != down) {
             self.later(span, FollowUp::StartController(controller));
         }
@@ -192,7 +192,7 @@
         self.expect_recovery(span);
     }
 
-    /// New leafs on new machines for a service.
+    /// Starts leafs for a service on new machines.
     fn add_leafs(&mut self, parameters: &Value) {
         let now = self.now;
         let name = parameters["service"].as_str().unwrap_or_default();
@@ -215,7 +215,7 @@
         self.backends.list_changed(now);
     }
 
-    /// All faults end: from now on the fleet has 12 s to recover.
+    /// Ends all faults: from now on the cluster has 12 s to recover.
     fn end_all_faults(&mut self, factor: f64) {
         self.net.heal();
         self.backends.list_mode = ListMode::Good;
@@ -242,11 +242,11 @@
         self.expect_recovery(0);
     }
 
-    /// After `span` the fleet has 12 s to recover.
+    /// Expects the cluster to recover within 12 s after `span`.
     fn expect_recovery(&mut self, span: u64) {
         let at = self.age() + span;
         self.rules.pending_restarts.push(crate::rules::RestartCheck { at, ..Default::default() });
-        // The operator's patience is less than what is left of the 12 s.
+        // The change is submitted after 6 s: a timeout of the operator ends within the 12 s.
         let restart = self.rules.pending_restarts.len() - 1;
         self.later(span + 6 * SECOND, FollowUp::ChangeAfterRestart { restart });
     }
@@ -295,7 +295,7 @@
                     self.kill_leaf(&name, Alive::Down);
                     if fault.action == "reuse" {
                         let by = fault.parameters["by"].as_str().unwrap_or("stranger");
-                        // A leaf of a service that we know bears what that bears.
+                        // A leaf of a known service has the capacity of that service.
                         let known =
                             self.backends.leafs.values().find(|leaf| leaf.service.name == by);
                         service = known.map_or(service, |leaf| leaf.service.clone());
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -1,5 +1,5 @@
-//! Scenarios: what a run is made of. They are read from JSON (`read`), applied to
-//! the world step by step (`apply`), and played (`play`).
+//! Scenarios: the descriptions of runs. They are read from JSON (`read`), applied to
+//! the world step by step (`apply`), and run (`play`).
 
 use std::fmt;
 
@@ -17,12 +17,12 @@
 pub use play::{play, play_counting_messages, play_traced, play_with_faults};
 pub use read::{generated_fault, read};
 
-/// A scenario.
+/// The setup, load and faults of a run.
 #[derive(Clone)]
 pub struct Scenario {
     /// Its name.
     pub name: String,
-    /// How long it lasts (s).
+    /// Its duration (s).
     pub seconds: u64,
     /// Queriers (count).
     pub queriers: usize,
@@ -30,26 +30,26 @@
     pub factor: f64,
     /// The mock backends and callers.
     pub spec: Spec,
-    /// The configuration that the fleet begins with.
+    /// The configuration at the start.
     pub config: Value,
-    /// What happens, at which time.
+    /// The faults and other actions, each with its time.
     pub faults: Vec<ScheduledFault>,
-    /// Whether leafs tell their age.
+    /// Whether leafs report their age.
     pub ages: bool,
-    /// Time from the wish that a querier stops until it rejects calls, if the scenario says so.
+    /// Time from a querier's stop request until it rejects calls, if the scenario sets it.
     pub drain_notice: Option<Span>,
-    /// Whether leafs tell that they leave.
+    /// Whether leafs report that they are leaving.
     pub tells_leaving: bool,
     /// How the control plane is set up.
     pub control_plane: world::ControlPlaneSetup,
 }
 
-/// A fault, or another action, at its time.
+/// A fault or another action, with its time.
 #[derive(Clone, Debug)]
 pub struct ScheduledFault {
-    /// When, since the scenario began (ms).
+    /// Time since the start of the scenario (ms).
     pub at_ms: u64,
-    /// The word that names the action.
+    /// The action's name.
     pub action: String,
     /// The fields of the action.
     pub parameters: Value,
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -1,16 +1,16 @@
-//! Plays a scenario from the start of the fleet to the checks of the end.
+//! Runs a scenario from the start of the cluster to the final checks.
 
 use grebepath_core::time::{SECOND, ms};
 
 use super::Scenario;
 use crate::world::{self, OperatorRequest, World};
 
-/// Runs a scenario to its end.
+/// Runs a scenario to its end and returns the world.
 pub fn play(scenario: &Scenario, seed: u64, faulty_variant: Option<world::FaultyVariant>) -> World {
     play_counting_messages(scenario, seed, faulty_variant, false)
 }
 
-/// `play`, with messages counted from the moment the fleet has come up.
+/// Runs a scenario like `play`, and counts messages from the moment the cluster has started.
 pub fn play_counting_messages(
     scenario: &Scenario,
     seed: u64,
@@ -23,7 +23,7 @@
     world
 }
 
-/// `play`, with faults at numbered events of the controllers. Their window is
+/// Runs a scenario like `play`, with faults at numbered events of the controllers. Their window is
 /// given in time of the scenario.
 pub fn play_with_faults(
     scenario: &Scenario,
@@ -39,8 +39,8 @@
     world
 }
 
-/// `play_with_faults`, with the hash of all messages kept from the moment the fleet
-/// has come up.
+/// Runs a scenario like `play_with_faults`, and hashes all messages from the moment the cluster
+/// has started.
 pub fn play_traced(scenario: &Scenario, seed: u64, injected: world::FaultInjection) -> World {
     let mut world = come_up(scenario, seed, None);
     world.net.trace = Some(0);
@@ -51,7 +51,7 @@
     world
 }
 
-/// A fleet that has come up, before anything happens.
+/// Starts a cluster and runs it until it has settled, before the scenario begins.
 pub(super) fn come_up(
     scenario: &Scenario,
     seed: u64,
@@ -73,7 +73,7 @@
     world
 }
 
-/// Lets the scenario happen to a fleet that has come up.
+/// Runs the scenario on a cluster that has started.
 pub(super) fn play_on(world: &mut World, scenario: &Scenario) {
     let troubles = scenario.faults.clone();
     world.plan(troubles);
--- a/crates/simulator/src/scenario/read.rs
+++ b/crates/simulator/src/scenario/read.rs
@@ -1,4 +1,4 @@
-//! Reads a scenario from JSON, with all diagnostics at their places.
+//! Reads a scenario from JSON, with a diagnostic for each error.
 
 use grebepath_core::diagnostic::{Diagnostic, find};
 use grebepath_core::time::ms;
@@ -11,7 +11,7 @@
 use crate::version_fault::VersionFault;
 use crate::world;
 
-/// The actions of scenarios, each with the fields it may have beside `at_s`.
+/// The actions of scenarios, each with the fields it may have besides `at_s`.
 const ACTIONS: &[(&str, &[&str])] = &[
     ("kill-seat", &["which", "for_s", "power", "lose"]),
     ("stop-seat", &["which", "for_s"]),
@@ -64,7 +64,7 @@
     ("load", &["factor"]),
 ];
 
-/// The fields of a scenario.
+/// All fields of a scenario.
 const FIELDS: [&str; 12] = [
     "name",
     "seconds",
@@ -80,10 +80,10 @@
     "controllers",
 ];
 
-/// Fetches a deployment's file by its name.
+/// Loads a deployment's file by its name.
 pub type LoadFile<'a> = &'a dyn Fn(&str) -> Result<Value, FileError>;
 
-/// Reads a scenario, with all that is wrong with it.
+/// Reads a scenario, or returns all its errors.
 pub fn read(text: &[u8], load: LoadFile) -> Result<Scenario, Vec<Diagnostic>> {
     let mut diagnostics = Vec::new();
     let value: Value = match serde_json::from_slice(text) {
@@ -126,7 +126,7 @@
     }
 }
 
-/// The spec of the leafs and the configuration that a scenario names.
+/// Loads the spec of the leafs and the configuration that a scenario names.
 fn load_deployment(
     value: &Value,
     load: LoadFile,
@@ -145,7 +145,7 @@
     Some((spec.ok()?, config.ok()?))
 }
 
-/// The faults of a scenario, in the order in which it lists them.
+/// Reads the faults of a scenario, in the order in which it lists them.
 fn read_faults(
     value: &Value,
     queriers: usize,
@@ -161,8 +161,8 @@
         .collect()
 }
 
-/// The control plane: three controllers that are told their voter slots, unless the
-/// scenario says how many slots there are, or how many controllers.
+/// Reads the control plane: three controllers with assigned voter slots, unless the
+/// scenario sets the number of slots or of controllers.
 fn control_plane(value: &Value, diagnostics: &mut Vec<Diagnostic>) -> world::ControlPlaneSetup {
     if value.get("seats").is_none() && value.get("controllers").is_none() {
         return world::three_voters();
@@ -170,7 +170,11 @@
     let seats = read_integer(value, "seats", 1, 9, diagnostics) as usize;
     let machines = read_integer(value, "controllers", 1, 12, diagnostics) as usize;
     if seats.is_multiple_of(2) || machines < seats {
-        find(diagnostics, "seats", "expected an odd number of seats and a controller for each");
+        find(
+            diagnostics,
+            "seats",
+            "expected an odd number of voter slots and a controller for each",
+        );
     }
     world::ControlPlaneSetup {
         voter_slots: seats,
@@ -180,7 +184,7 @@
     }
 }
 
-/// A whole number within bounds; the lower one if it is wrong.
+/// Reads an integer within bounds; returns the lower bound if it is invalid.
 fn read_integer(
     value: &Value,
     key: &str,
@@ -197,7 +201,7 @@
     }
 }
 
-/// Reads the fault at a place of the scenario.
+/// Reads the fault at a JSON path of the scenario.
 fn read_fault(
     at: &str,
     value: &Value,
@@ -268,7 +272,7 @@
     }
 }
 
-/// A fault that a generator made, which is well formed.
+/// Converts a fault from a generator, which is always valid.
 pub fn generated_fault(value: &Value) -> ScheduledFault {
     ScheduledFault {
         at_ms: (value["at_s"].as_f64().unwrap_or(0.0) * 1000.0) as u64,
--- a/crates/simulator/src/scenario/values.rs
+++ b/crates/simulator/src/scenario/values.rs
@@ -1,4 +1,4 @@
-//! The values that actions of a scenario name: machines, modes of leafs and of the
+//! The values of a scenario's actions: machines, modes of leafs and of the
 //! platform's list, health of disks.
 
 use grebepath_core::time::ms;
@@ -8,7 +8,7 @@
 use crate::net::Node;
 use crate::simulated_disk::Health;
 
-/// How many machines there are.
+/// The numbers of machines.
 #[derive(Clone, Copy)]
 pub(super) struct Fleet {
     pub controllers: usize,
@@ -16,7 +16,7 @@
 }
 
 impl Fleet {
-    /// The machines that a word names; none if it is no such word.
+    /// Returns the machines that a word names; none if the word is unknown.
     pub fn nodes_named(self, word: &str) -> Vec<Node> {
         let controllers = (0..self.controllers as u8).map(Node::Controller);
         let queriers = (0..self.queriers).map(Node::Querier);
@@ -48,7 +48,7 @@
     }
 }
 
-/// How leafs misbehave from now on.
+/// Reads the mode of leafs.
 pub(super) fn leaf_mode(value: &Value) -> Option<Mode> {
     let span = ms(value["ms"].as_u64().unwrap_or(200));
     Some(match value["mode"].as_str()? {
@@ -69,7 +69,7 @@
     })
 }
 
-/// How the platform's list misbehaves from now on.
+/// Reads the mode of the platform's list.
 pub(super) fn list_mode(value: &Value) -> Option<ListMode> {
     Some(match value["mode"].as_str()? {
         "good" => ListMode::Good,
@@ -81,7 +81,7 @@
     })
 }
 
-/// How a disk behaves from now on.
+/// Reads the health of a disk.
 pub(super) fn disk_health(value: &Value) -> Option<Health> {
     Some(match value["health"].as_str()? {
         "good" => Health::Good,
