--- a/crates/simulator/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -1,4 +1,4 @@
-//! Checks answers against the oracle, knowing nothing of the querier's code.
+//! Checks answers against the oracle, independently of the querier's code.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,7 +7,7 @@
 use super::oracle;
 use super::spec::Kind;
 
-/// What a caller asked.
+/// A caller's query.
 #[derive(Clone, Debug)]
 pub struct Asked {
     /// The question.
@@ -16,7 +16,7 @@
     pub key: Option<String>,
 }
 
-/// What is wrong with a success; empty when all is well. Also gives the
+/// Returns the errors of a successful answer, none if it is correct. Also returns the
 /// services that the answer claims, for the check against the leafs' log.
 pub fn success(
     kind: &Kind,
@@ -42,13 +42,13 @@
         .map(|entry| (entry.shard.as_str(), entry.service.as_str()))
         .collect();
     if table.is_empty() {
-        bad.push(format!("rule 2: unknown cut {cut:?}"));
+        bad.push(format!("rule 2: unknown index version {cut:?}"));
     }
     let mut services = Vec::new();
     for name in &names {
         match table.get(name) {
             Some(service) => services.push(*service),
-            None => bad.push(format!("rule 1: shard {name:?} is not of cut {cut:?}")),
+            None => bad.push(format!("rule 1: shard {name:?} is not of index version {cut:?}")),
         }
     }
     let planned = if kind.lookup { 1 } else { table.len() };
@@ -86,7 +86,7 @@
     (bad, services.iter().map(|s| s.to_string()).collect())
 }
 
-/// Checks what was claimed against what the leafs truly ran. `claims` are
+/// Checks the claims of answers against the attempts that the leafs ran. `claims` are
 /// (query, services, question); `runs` are the rows of the leafs' log.
 pub fn against_runs(
     claims: &[(String, Vec<String>, String)],
@@ -97,13 +97,17 @@
     let mut ran: BTreeMap<&str, Vec<(&str, &str)>> = BTreeMap::new();
     for row in runs {
         let cell = |i: usize| row[i].as_str().unwrap_or_default();
-        // A dispatch's id is the query's with one more dot.
+        // An attempt's id is the query's id with one more dot and a number.
         let query = cell(4).rsplit_once('.').map_or(cell(4), |q| q.0);
         if row[8] == true {
             ran.entry(query).or_default().push((cell(1), cell(5)));
         }
         if !asked.contains(cell(5)) {
-            bad.push(format!("rule 5: {} ran a question nobody asked: {:?}", cell(0), cell(5)));
+            bad.push(format!(
+                "rule 5: {} ran a question that no caller sent: {:?}",
+                cell(0),
+                cell(5)
+            ));
         }
     }
     for (query, services, question) in claims {
--- a/crates/simulator/src/connection_id.rs
+++ b/crates/simulator/src/connection_id.rs
@@ -1,34 +1,34 @@
 //! The ids of simulated connections to controllers. As in the daemons, a connection
-//! ends with the process that opened it, so the id names that process and which of
-//! its lives it was.
+//! ends with the process that opened it, so the id contains that process and its
+//! incarnation.
 
-/// Set in the ids of connections that controllers open.
+/// Bit that is set in the ids of connections that controllers open.
 const OPENED_BY_CONTROLLER: u64 = 1 << 63;
-/// Bits of the id that hold the opener's life.
+/// Bits of the id that hold the opener's incarnation.
 const LIFE_BITS: u32 = 32;
 const LIFE_MASK: u64 = (1 << LIFE_BITS) - 1;
 
-/// Who opened a connection to a controller.
+/// The process that opened a connection to a controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum Opener {
-    /// Another controller, and in which of its lives.
+    /// Another controller, and its incarnation.
     Controller {
         /// Its number.
         number: usize,
-        /// Its life.
+        /// Its incarnation.
         life: u64,
     },
-    /// A querier, and in which of its lives.
+    /// A querier, and its incarnation.
     Querier {
         /// Its number.
         number: usize,
-        /// Its life.
+        /// Its incarnation.
         life: u64,
     },
 }
 
 impl Opener {
-    /// The opener of a connection.
+    /// Returns the opener of a connection.
     pub fn of(connection: u64) -> Opener {
         let number = ((connection & !OPENED_BY_CONTROLLER) >> LIFE_BITS) as usize;
         let life = connection & LIFE_MASK;
@@ -38,7 +38,7 @@
         }
     }
 
-    /// The id of the connection.
+    /// Returns the id of the opener's connection.
     pub fn connection(self) -> u64 {
         match self {
             Opener::Controller { number, life } => {
--- a/crates/simulator/src/controller_start.rs
+++ b/crates/simulator/src/controller_start.rs
@@ -1,4 +1,4 @@
-//! What a controller finds on its simulated disk when it starts, as the daemon does.
+//! Recovers a controller's state from its simulated disk at its start, as the daemon does.
 
 use grebepath_core::control_plane::controller::{ControllerState, Event};
 use grebepath_core::identifiers::PartitionId;
@@ -11,18 +11,18 @@
 
 use crate::simulated_disk::{Disk, DiskError};
 
-/// What was found on a disk.
+/// The state that was recovered from a disk.
 pub struct Recovered {
     voter_file: VoterFile,
     replicas: Vec<(PartitionId, ReplicaCondition, ReplicaState, u64)>,
     /// Whether the disk was empty.
     pub was_empty: bool,
-    /// What is wrong with the files that are damaged.
+    /// The reasons why files are damaged.
     pub damage: Vec<String>,
 }
 
 impl Recovered {
-    /// Reads the disk, and writes the voter file of this start.
+    /// Reads the disk and writes the voter file of this start.
     pub fn read(disk: &mut Disk, start: &Start, seed: u64) -> Recovered {
         let was_empty = disk.is_empty();
         let (voter_file, clear) = voter_file::begin(disk.read_voter_file(), start, was_empty, seed);
@@ -43,7 +43,7 @@
         Recovered { voter_file, replicas, was_empty, damage }
     }
 
-    /// Lets replicas without files vote at once: only a faulty variant does so.
+    /// Makes replicas without files vote immediately, which only a faulty variant does.
     pub fn vote_without_files(&mut self) {
         for (_, condition, _, _) in &mut self.replicas {
             if *condition == ReplicaCondition::Empty {
@@ -52,13 +52,13 @@
         }
     }
 
-    /// The state machine that goes on from here.
+    /// Creates the controller's state machine from the recovered state.
     pub fn into_state(self, address: &str, zone: &str, seed: u64) -> ControllerState {
         ControllerState::new(self.voter_file, (address, zone), self.replicas, seed, BOOT)
     }
 }
 
-/// The event that tells a controller how a partition's write ended.
+/// Returns the controller event for the result of a partition's write.
 pub fn disk_event(partition: PartitionId, token: u64, result: Result<(), DiskError>) -> Event {
     match result {
         Ok(()) => Event::Synced { partition, token },
@@ -66,7 +66,7 @@
     }
 }
 
-/// The event that tells a controller how the write of its voter file ended.
+/// Returns the controller event for the result of a voter file write.
 pub fn voter_file_event(token: u64, result: Result<(), DiskError>) -> Event {
     match result {
         Ok(()) => Event::VoterFileWritten { token },
--- a/crates/simulator/src/event_queue.rs
+++ b/crates/simulator/src/event_queue.rs
@@ -1,11 +1,11 @@
-//! The events of a simulated run, in the order of their times; those of one time
+//! The events of a simulated run, ordered by time; events of the same time
 //! keep the order in which they were pushed.
 
 use std::collections::BTreeMap;
 
 use grebepath_core::time::Tick;
 
-/// Events that are to come.
+/// The pending events.
 pub struct EventQueue<E> {
     events: BTreeMap<(Tick, u64), E>,
     last_number: u64,
@@ -18,19 +18,19 @@
 }
 
 impl<E> EventQueue<E> {
-    /// Lets an event happen at a time.
+    /// Schedules an event.
     pub fn push(&mut self, at: Tick, event: E) {
         let number = self.next_number();
         self.events.insert((at, number), event);
     }
 
-    /// A number that neither an event nor another caller has.
+    /// Returns a number that is used neither by an event nor by another caller.
     pub fn next_number(&mut self) -> u64 {
         self.last_number += 1;
         self.last_number
     }
 
-    /// Takes the next event that happens at `end` or before.
+    /// Removes and returns the next event, if its time is not after `end`.
     pub fn pop_until(&mut self, end: Tick) -> Option<(Tick, E)> {
         let entry = self.events.first_entry()?;
         let at = entry.key().0;
--- a/crates/simulator/src/exploration.rs
+++ b/crates/simulator/src/exploration.rs
@@ -1,4 +1,4 @@
-//! The flags of the command line for `grebepath_simulator::explore`.
+//! Runs `grebepath_simulator::explore` from the command line.
 
 use grebepath_simulator::explore::{Failure, Pairs, Scope, explore, play_once};
 use grebepath_simulator::scenario::Scenario;
@@ -6,10 +6,10 @@
 
 use crate::{Args, EXIT_BROKEN, EXIT_USAGE};
 
-/// Failures that are printed with their story (count).
+/// Failures that are printed with their logs (count).
 const SHOWN: usize = 5;
 
-/// Explores each scenario; gives the exit code.
+/// Explores each scenario and returns the exit code.
 pub fn run(args: &Args, window: &str, scenarios: &[Scenario]) -> i32 {
     let Some(window) = read_window(window) else {
         eprintln!("simulator: --explore takes two times in seconds, like 0.5:0.9");
@@ -40,7 +40,7 @@
     let began = std::time::Instant::now();
     let report = explore(scope, Pairs::Sampled(pairs), threads);
     println!(
-        "{}: {} events, {} plays in {:.1} s, {} of them beyond what is tolerated, {} broken",
+        "{}: {} events, {} runs in {:.1} s, {} of them beyond what is tolerated, {} broken",
         scope.scenario.name,
         report.events,
         report.plays,
@@ -56,7 +56,7 @@
     let played = play_once(scope, injected.to_vec());
     match &played.failure {
         Some(failure) => show(failure),
-        None if played.beyond => println!("beyond what is tolerated: not judged"),
+        None if played.beyond => println!("beyond what is tolerated: not checked"),
         None => println!("nothing broken"),
     }
     played.failure.is_some()
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -1,11 +1,11 @@
-//! Exploration: a scope is a short scenario that is played once for every fault
+//! Exploration: a scope is a short scenario that is run once for every fault
 //! at every event of the controllers within a window, and for pairs of them. The
-//! events of a play are the same up to its first injected fault, so one fault at a
+//! events of a run are the same up to its first injected fault, so one fault at a
 //! time is exhaustive; pairs are tried exhaustively or by a seeded sample.
 //!
-//! Every play is judged by the rules of all simulated runs (`crate::rules`) and
-//! must end with all voter slots held by replicas that vote, one state on all of
-//! them, and every request of the end accepted.
+//! Every run is checked by the rules of all simulated runs (`crate::rules`) and
+//! must end with all voter slots held by voting replicas, the same state on all of
+//! them, and the last request accepted.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
@@ -17,23 +17,23 @@
 use crate::scenario::{Scenario, play_with_faults};
 use crate::world::{Fault, FaultInjection, FaultyVariant, InjectedFault, OperatorRequest, World};
 
-/// Time in which controllers take up new seeds and are told the voters.
+/// Time in which controllers apply new seeds and receive the voter set.
 const SEEDS_TAKEN_UP: Span = ms(100);
 
-/// What is explored.
+/// The scenario and faults to explore.
 pub struct Scope {
-    /// The scenario that is played.
+    /// The scenario that is run.
     pub scenario: Scenario,
-    /// The window in which faults strike, in seconds of the scenario.
+    /// The window in which faults are injected, in seconds of the scenario.
     pub window: (f64, f64),
     /// The faults that are tried.
     pub faults: Vec<Fault>,
     /// The seed of every run, and of the pairs that are drawn.
     pub seed: u64,
-    /// How many replicas may be lost for good at once: a play that loses more is
-    /// not judged.
+    /// Replicas that may be lost permanently (count): a run that loses more is
+    /// not checked.
     pub tolerates: usize,
-    /// The way in which the fleet is faulty on purpose.
+    /// The fault that the cluster has on purpose.
     pub faulty_variant: Option<FaultyVariant>,
 }
 
@@ -42,31 +42,31 @@
 pub enum Pairs {
     /// No pairs.
     None,
-    /// So many pairs, drawn by the seed.
+    /// This many pairs, drawn by the seed.
     Sampled(usize),
     /// All pairs.
     All,
 }
 
-/// What was explored, and what was found.
+/// The results of an exploration.
 pub struct Report {
-    /// Events of the controllers within the window when nothing strikes.
+    /// Events of the controllers within the window of a run without faults.
     pub events: u64,
-    /// Runs of the scenario.
+    /// Runs of the scenario (count).
     pub plays: usize,
-    /// Plays that lost more than the scope tolerates.
+    /// Runs that lost more replicas than the scope tolerates (count).
     pub beyond: usize,
-    /// Plays that broke something; the fewest faults first.
+    /// Failed runs; those with the fewest faults first.
     pub failures: Vec<Failure>,
 }
 
-/// A play that broke something. It can be played again by its injected faults.
+/// A failed run, which can be replayed from its injected faults.
 pub struct Failure {
     /// The faults that were injected.
     pub injected: Vec<InjectedFault>,
-    /// What happened, to be read by people.
+    /// A readable log of the injected faults.
     pub story: Vec<String>,
-    /// What was broken.
+    /// The errors that were found.
     pub wrong: Vec<String>,
 }
 
@@ -99,7 +99,7 @@
     Report { events, plays: plans.len() + 1, beyond: beyond.into_inner(), failures }
 }
 
-/// Every fault at every event.
+/// Returns every fault at every event.
 fn singles(events: u64, faults: &[Fault]) -> Vec<InjectedFault> {
     let at = |event| faults.iter().map(move |fault| InjectedFault { event, fault: *fault });
     (0..events).flat_map(at).collect()
@@ -122,17 +122,17 @@
     }
 }
 
-/// One play of a scope.
+/// The result of one run of a scope.
 pub struct Played {
     /// Events of the controllers within the window.
     pub events: u64,
-    /// It lost more replicas than the scope tolerates.
+    /// Whether it lost more replicas than the scope tolerates.
     pub beyond: bool,
-    /// What was broken, if anything was.
+    /// The failure, if there was one.
     pub failure: Option<Failure>,
 }
 
-/// Plays a scope with these injected faults.
+/// Runs a scope once with these injected faults.
 pub fn play_once(scope: &Scope, injected: Vec<InjectedFault>) -> Played {
     let micros = |seconds: f64| (seconds * SECOND as f64) as u64;
     let window = (micros(scope.window.0), micros(scope.window.1));
@@ -146,17 +146,17 @@
     Played { events, beyond, failure }
 }
 
-/// All that is wrong with a play that has ended.
+/// Returns the errors of a run that has ended.
 fn judge(world: &mut World) -> Vec<String> {
     let whole = world.until(12 * SECOND, |world| world.settled() && world.all_slots_voting());
     let mut wrong: Vec<String> =
         world.rules.violations.iter().map(|found| format!("{found:?}")).collect();
     wrong.extend(world.forgotten_memberships().iter().take(1).cloned());
     if !whole {
-        wrong.push("not all voter slots are held by replicas that vote".into());
+        wrong.push("not all voter slots are held by voting replicas".into());
         return wrong;
     }
-    // A machine that came back blank, and whose seeds are gone, is told others by then.
+    // A machine that restarted with an empty disk and whose seeds are lost needs new seeds.
     world.renew_seeds();
     world.run(SEEDS_TAKEN_UP);
     let last = world.submit(0, OperatorRequest::marked(world.operator_requests.len()));
@@ -164,15 +164,18 @@
         matches!(world.operator_requests[last].result, Some(OperationResult::Accepted { .. }))
     };
     if !world.until(5 * SECOND, accepted) {
-        wrong.push(format!("the last order came to {:?}", world.operator_requests[last].result));
+        wrong.push(format!(
+            "the last request ended with {:?}",
+            world.operator_requests[last].result
+        ));
     }
     if !world.until(5 * SECOND, one_state) {
-        wrong.push("replicas of one revision differ, or one stays behind".into());
+        wrong.push("replicas of one revision differ, or one is behind".into());
     }
     wrong
 }
 
-/// Whether all voters hold the same configuration.
+/// Returns whether all voters hold the same configuration.
 fn one_state(world: &World) -> bool {
     let mut copies = world
         .controllers
--- a/crates/simulator/src/files.rs
+++ b/crates/simulator/src/files.rs
@@ -1,4 +1,4 @@
-//! JSON files that the simulator is given.
+//! Reads the simulator's JSON input files.
 
 use serde_json::Value;
 
@@ -13,12 +13,12 @@
         /// Why it can't be read.
         source: std::io::Error,
     },
-    /// The file holds something else than JSON.
+    /// The file isn't valid JSON.
     #[error("{path}: {source}")]
     NotJson {
         /// The file.
         path: String,
-        /// Where and why it is no JSON.
+        /// The position and kind of the JSON error.
         source: serde_json::Error,
     },
 }
--- a/crates/simulator/src/lib.rs
+++ b/crates/simulator/src/lib.rs
@@ -1,7 +1,7 @@
-//! A fleet under a virtual clock: the daemons' own state machines
-//! with seeded net, disks, leafs, list, callers and operators.
+//! Simulates a cluster under a virtual clock: the state machines of the daemons
+//! with a seeded network, disks, leafs, list, callers and operators.
 
-// Not all public items have their comment yet (issue 20).
+// Not all public items have a doc comment yet (issue 20).
 #![allow(missing_docs)]
 
 pub mod chaos;
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The what-if simulator.
+//! The command line of the simulator.
 
 mod exploration;
 
@@ -34,38 +34,39 @@
 }
 
 fn options() -> OptionParser<Args> {
-    let seed = long("seed").help("the first seed").argument::<u64>("N").fallback(1);
-    let seeds = long("seeds").help("how many seeds").argument::<u64>("N").fallback(1);
-    let compare = long("compare").help("play two scenarios on the same seeds").switch();
+    let seed = long("seed").help("first seed").argument::<u64>("N").fallback(1);
+    let seeds = long("seeds").help("number of seeds").argument::<u64>("N").fallback(1);
+    let compare = long("compare").help("run two scenarios with the same seeds").switch();
     let json = long("json").help("print JSON instead of tables").switch();
-    let story = long("story").help("print what led to the first violation").switch();
+    let story = long("story").help("print the log up to the first violation").switch();
     let deploy = long("deploy")
-        .help("folder of the deployments' files")
+        .help("directory of the deployments' files")
         .argument::<String>("DIR")
         .fallback("deploy".into());
     let weigh = long("weigh").help("count messages and bytes by kind").switch();
-    let queriers =
-        long("queriers").help("instead of the scenario's").argument::<usize>("N").optional();
+    let queriers = long("queriers")
+        .help("number of queriers, overrides the scenario's")
+        .argument::<usize>("N")
+        .optional();
     let explore = long("explore")
-        .help("try every fault at every event of the controllers in these seconds")
+        .help("try every fault at every event of the controllers in this window of seconds")
         .argument::<String>("FROM:TO")
         .optional();
     let pairs = long("pairs")
-        .help("with --explore: so many pairs of faults, drawn by the seed")
+        .help("with --explore: number of fault pairs, drawn by the seed")
         .argument::<usize>("N")
         .fallback(0);
     let tolerates = long("tolerates")
-        .help("with --explore: replicas that may be lost for good in a play")
+        .help("with --explore: replicas that may be lost permanently in a run")
         .argument::<usize>("N")
         .fallback(1);
     let faults = long("faults")
-        .help("with --explore: play once, with these faults: 12:power,40:gone")
+        .help("with --explore: run once, with these faults: 12:power,40:gone")
         .argument::<String>("LIST")
         .optional();
-    let chaos = long("chaos").help("add troubles drawn by each seed").switch();
-    let shrink =
-        long("shrink").help("find the fewest troubles that still break a promise").switch();
-    let files = positional::<String>("SCENARIO").some("name a scenario's file");
+    let chaos = long("chaos").help("add faults drawn by each seed").switch();
+    let shrink = long("shrink").help("find the fewest faults that still break a rule").switch();
+    let files = positional::<String>("SCENARIO").some("expected a scenario file");
     construct!(Args {
         seed,
         seeds,
@@ -84,7 +85,7 @@
         files
     })
     .to_options()
-    .descr("plays a fleet of daemons under a virtual clock")
+    .descr("simulates a cluster of daemons under a virtual clock")
 }
 
 fn main() {
@@ -133,7 +134,7 @@
     std::process::exit(if broken { EXIT_BROKEN } else { 0 });
 }
 
-/// The scenario with faults drawn by the seed.
+/// Returns the scenario with additional faults drawn by the seed.
 fn stirred(scenario: &Scenario, seed: u64) -> Scenario {
     let mut out = scenario.clone();
     out.faults.extend(grebepath_simulator::chaos::chaos(seed, scenario));
@@ -148,7 +149,7 @@
         let world = play_counting_messages(&less, seed, None, false);
         rules.iter().any(|r| world.rules.violation_counts.contains_key(r))
     });
-    println!("seed {seed}: {} of {} troubles still fail:", list.len(), scenario.faults.len());
+    println!("seed {seed}: {} of {} faults still fail:", list.len(), scenario.faults.len());
     for fault in &list {
         println!("  {:>6} ms {fault}", fault.at_ms);
     }
@@ -180,7 +181,7 @@
     }
 }
 
-/// Full, partial and all other ends of calls, and retries.
+/// Returns the numbers of complete, partial and other results of calls, and of retries.
 fn sums(world: &World) -> [u64; 4] {
     let (mut full, mut part, mut other) = (0, 0, 0);
     for fault in world.tallies.values() {
@@ -192,7 +193,7 @@
 }
 
 fn difference(rows: &[[u64; 4]]) -> String {
-    let names = ["full", "partial", "other", "second tries"];
+    let names = ["full", "partial", "other", "retries"];
     let [a, b] = rows else { return String::new() };
     let cells: Vec<String> = names
         .iter()
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -1,4 +1,4 @@
-//! Leafs and the platform's list under the virtual clock.
+//! Simulated leafs and the simulated list of the platform.
 
 use std::collections::BTreeMap;
 
@@ -13,23 +13,23 @@
 use crate::spec::{Service, Spec};
 use crate::version_fault::VersionFault;
 
-/// How a leaf misbehaves.
+/// The behaviour of a leaf.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Mode {
-    /// As it should be.
+    /// Correct behaviour.
     Good,
     /// Takes this much longer.
     Slow(Span),
-    /// Takes requests and never answers.
+    /// Accepts requests and never answers.
     Dark,
-    /// Stands still for a while, again and again.
+    /// Pauses periodically.
     Pauses {
-        /// From one pause to the next.
+        /// Time from the start of one pause to the next.
         every: Span,
-        /// How long a pause lasts.
+        /// Duration of a pause.
         pause: Span,
     },
-    /// Answers with something that is no JSON.
+    /// Answers with invalid JSON.
     Garbage,
     /// Answers with records in the wrong order.
     Disorder,
@@ -45,72 +45,72 @@
     Unrun,
 }
 
-/// Whether a leaf's process and machine are there.
+/// Whether a leaf's process and machine are running.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Alive {
     /// The process runs.
     Up,
-    /// The process is gone; its machine refuses connections.
+    /// The process has ended; its machine refuses connections.
     Down,
-    /// The machine is gone; nothing answers at all.
+    /// The machine is lost; connections get no answer.
     Vanished,
 }
 
-/// A leaf.
+/// A simulated leaf.
 pub struct MockLeaf {
     /// Its name in the list.
     pub name: String,
     /// The service that it serves.
     pub service: Service,
-    /// The zone in which it stands.
+    /// Its zone.
     pub zone: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: String,
-    /// How it misbehaves.
+    /// Its behaviour.
     pub mode: Mode,
-    /// Whether it is there.
+    /// Whether its process and machine are running.
     pub alive: Alive,
     /// Its capacity, as a percentage of its service's.
     pub strength: u32,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Whether it tells who asks it that it leaves.
+    /// Whether its responses report that it is leaving.
     pub tells_leaving: bool,
-    /// From when on the platform's list shows that it leaves.
+    /// Time from which on the platform's list shows it as leaving.
     pub shown_leaving: Option<Tick>,
-    /// When the first of our nodes learned that it leaves.
+    /// When the first process of the cluster received its leaving state.
     pub known_leaving: Option<Tick>,
     /// When its process started.
     pub born: Tick,
-    /// Attempts that it works on.
+    /// Attempts in progress (count).
     pub in_progress: u32,
-    /// Attempts that it ran, over all its time.
+    /// Attempts that it has run in total (count).
     pub ran: u64,
-    /// The most attempts at once, as a percentage of its capacity.
+    /// The most concurrent attempts, as a percentage of its capacity.
     pub worst_pct: u32,
-    /// Attempts that came when it was at its capacity.
+    /// Attempts that arrived when it was at its capacity (count).
     pub over: u64,
     /// The postmark of its last response.
     pub postmark: Option<String>,
-    /// The version of its software, empty if the list does not tell it.
+    /// The version of its software, empty if the list doesn't include it.
     pub version: String,
-    /// How its version misbehaves.
+    /// The fault of its version.
     pub version_fault: VersionFault,
 }
 
-/// All leafs, and the list as the platform shows it.
+/// All leafs, and the list that the platform serves.
 pub struct MockBackends {
     /// All leafs by their names.
     pub leafs: BTreeMap<String, MockLeaf>,
-    /// Which leaf listens at an address.
+    /// The name of the leaf at each address.
     pub by_address: BTreeMap<String, String>,
-    /// The list as it was and will be shown, each from a time on.
+    /// The versions of the list, each with the time from which on it is served.
     pub list_versions: Vec<(Tick, String)>,
-    /// How the list misbehaves.
+    /// The behaviour of the platform's list.
     pub list_mode: ListMode,
-    /// Whether leafs tell their age.
+    /// Whether leafs report their age.
     pub ages: bool,
-    /// Whether leafs tell that they leave; else the list alone shows it.
+    /// Whether leafs report that they are leaving; otherwise only the list shows it.
     pub tells_leaving: bool,
     /// Time from a change until the list shows it.
     pub list_lag: Span,
@@ -118,29 +118,29 @@
     pub next: u64,
 }
 
-/// How the list misbehaves.
+/// The behaviour of the platform's list.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum ListMode {
-    /// As it should be.
+    /// Correct behaviour.
     Good,
     /// Answers without any leaf.
     Empty,
-    /// Answers with something that is no JSON.
+    /// Answers with invalid JSON.
     Garbage,
     /// Never answers.
     Dead,
-    /// Shows what it showed when it began to.
+    /// Keeps serving the version that was current when this mode began.
     Stale,
 }
 
-/// The zones of the fleet.
+/// The zones of the cluster.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// Ages that warm leafs have at the start of a run.
+/// Age of the warm leafs at the start of a run.
 const WARM: Span = ms(3_600_000);
 
 impl MockBackends {
-    /// The leafs of a spec, warm; the world begins at `now`.
+    /// Creates the leafs of a spec, all warm; the run begins at `now`.
     pub fn new(spec: &Spec, now: Tick) -> Self {
         let mut backends = MockBackends {
             leafs: BTreeMap::new(),
@@ -163,12 +163,12 @@
         backends
     }
 
-    /// An address that no leaf has had.
+    /// Returns an address that no leaf has used.
     pub fn unused_address(&self) -> String {
         format!("127.1.{}.{}:8000", self.next / 200, 1 + self.next % 200)
     }
 
-    /// Starts a leaf at an address.
+    /// Starts a leaf at an address and returns its name.
     pub fn start_leaf(&mut self, service: Service, zone: &str, addr: String, born: Tick) -> String {
         let name = format!("{}.{}", service.name, self.next);
         self.next += 1;
@@ -200,7 +200,7 @@
         name
     }
 
-    /// The list as it truly is.
+    /// Returns the current list, without the delay of the platform.
     fn true_list(&self) -> String {
         let leafs: Vec<Value> = self
             .leafs
@@ -219,7 +219,7 @@
         json!({ "leafs": leafs }).to_string()
     }
 
-    /// Notes a change; the list shows it later.
+    /// Records a change, which the list shows after its lag.
     pub fn list_changed(&mut self, now: Tick) {
         let text = self.true_list();
         let shown_at = now + self.list_lag;
@@ -229,7 +229,7 @@
         }
     }
 
-    /// Whether leafs tell from now on that they leave.
+    /// Sets whether leafs report that they are leaving.
     pub fn set_tells_leaving(&mut self, tells: bool) {
         self.tells_leaving = tells;
         for leaf in self.leafs.values_mut() {
@@ -237,7 +237,7 @@
         }
     }
 
-    /// What the list answers now; `None` if it does not.
+    /// Returns the list as it is served now; `None` if it doesn't answer.
     pub fn served_list(&mut self, now: Tick) -> Option<String> {
         while self.list_mode != ListMode::Stale
             && self.list_versions.len() > 1
@@ -255,7 +255,7 @@
 }
 
 impl MockLeaf {
-    /// How many attempts the leaf bears at once at its age.
+    /// Returns the leaf's maximum number of concurrent attempts at its age.
     pub fn capacity(&self, now: Tick) -> u32 {
         let (age, ramp) = (since(self.born, now), ms(self.service.ramp_ms));
         let full = (u64::from(self.service.bears) * u64::from(self.strength) / 100).max(1);
@@ -265,16 +265,16 @@
         ((full * (10 * ramp + 90 * age) / (100 * ramp)) as u32).max(1)
     }
 
-    /// Whether the leaf is still warming up.
+    /// Returns whether the leaf is still warming up.
     pub fn is_warming_up(&self, now: Tick) -> bool {
         since(self.born, now) < ms(self.service.ramp_ms)
     }
 
-    /// Time that the leaf takes for a question that it begins now.
+    /// Draws the time that the leaf takes for an attempt that it starts now.
     pub fn service_time(&self, now: Tick, random: &mut Random) -> Span {
         let base = ms(self.service.took_ms);
         let capacity = u64::from(self.capacity(now));
-        // Beyond what it bears a leaf thrashes: its time grows with the square.
+        // Above its capacity a leaf thrashes: its time grows with the square of the load.
         let in_progress = u64::from(self.in_progress).max(capacity);
         let over = base * (in_progress * in_progress - capacity * capacity) / (capacity * capacity);
         let extra = match self.mode {
@@ -286,18 +286,18 @@
         base / 2 + random.below(base / 2 + 1) + over + extra
     }
 
-    /// Whether its version breaks the answer to an attempt that it ends now.
+    /// Returns whether its version breaks the answer to an attempt that ends now.
     pub fn breaks_answer(&self, now: Tick, search: &str, random: &mut Random) -> bool {
         let in_progress = self.in_progress + 1;
         self.version_fault.breaks_answer(now, self.born, in_progress, search, random)
     }
 
-    /// Whether it tells now that it leaves.
+    /// Returns whether it reports that it is leaving.
     pub fn says_leaving(&self) -> bool {
         self.leaving && self.tells_leaving
     }
 
-    /// Headers that every response carries.
+    /// Returns the headers of every response.
     pub fn headers(&self, now: Tick) -> ReplyHeaders {
         let busy = (f64::from(self.in_progress) / f64::from(self.capacity(now))).min(1.0);
         ReplyHeaders {
@@ -309,7 +309,7 @@
         }
     }
 
-    /// The response to an attempt that was not run.
+    /// Returns the response to an attempt that was rejected before work.
     pub fn rejection(&self, now: Tick, status: u16) -> LeafReply {
         LeafReply {
             status,
@@ -318,7 +318,7 @@
         }
     }
 
-    /// The response to an attempt that was run.
+    /// Returns the response to an attempt that was run.
     pub fn response(&mut self, now: Tick, sending: &OutgoingAttempt) -> LeafReply {
         let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
@@ -350,7 +350,7 @@
     }
 }
 
-/// Whether a reply in this mode stands for the shard. One record alone can't
+/// Returns whether a response in this mode counts for its shard. A single record can't
 /// be out of order.
 pub fn answers_correctly(mode: Mode, limit: u64) -> bool {
     (mode == Mode::Disorder && limit == 1)
--- a/crates/simulator/src/net.rs
+++ b/crates/simulator/src/net.rs
@@ -1,4 +1,4 @@
-//! The net under the virtual clock: latency by zone, loss, and partitions
+//! The simulated network: latency by zone, loss, and partitions
 //! in each direction.
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -8,7 +8,7 @@
 use grebepath_core::random::Random;
 use grebepath_core::time::{Span, Tick};
 
-/// A machine on the net.
+/// A machine on the network.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Node {
     /// A controller's machine, by its number.
@@ -19,7 +19,7 @@
     List,
 }
 
-/// A machine and the zone in which it stands.
+/// A machine and its zone.
 #[derive(Clone, Copy)]
 pub struct Endpoint<'a> {
     /// The machine.
@@ -28,7 +28,7 @@
     pub zone: &'a str,
 }
 
-/// Messages of a kind, and their bytes.
+/// The messages of a kind, and their size.
 #[derive(Clone, Copy, Default, Debug)]
 pub struct MessageCount {
     /// Messages (count).
@@ -37,32 +37,32 @@
     pub bytes: u64,
 }
 
-/// State of the net.
+/// The simulated network.
 ///
 /// Invariant: between two nodes, in one direction, messages arrive in the
 /// order in which they were sent, as on one connection.
 #[derive(Default)]
 pub struct Net {
-    /// Directed pairs that nothing passes: one direction each.
+    /// Pairs between which no messages pass, in one direction each.
     pub blocked: BTreeSet<(Node, Node)>,
     /// Messages lost at random (per mille).
     pub loss_per_mille: u64,
     /// Added to the latency of every message.
     pub extra_latency: Span,
-    /// When the last message of each direction arrives.
+    /// Arrival time of the last message of each direction.
     last_arrivals: BTreeMap<(Node, Node), Tick>,
-    /// Messages that were sent, and those of them that were lost.
+    /// Messages that were sent, including lost ones.
     pub sent: u64,
     /// Messages that were lost.
     pub lost: u64,
-    /// Messages by their kind and by who sends to whom, if they are counted.
+    /// Messages by link and kind, if they are counted.
     pub message_counts: Option<BTreeMap<String, MessageCount>>,
-    /// A running hash of the bytes and times of all messages, if it is kept.
+    /// Running hash of the bytes and times of all messages, if enabled.
     pub trace: Option<u64>,
 }
 
 impl Net {
-    /// Adds a message to the hash and to the counts, if these are kept.
+    /// Adds a message to the hash and to the counts, if these are enabled.
     pub fn record(&mut self, link: &str, message: &Message) {
         if let Some(hash) = self.trace {
             self.trace = Some(traced(hash, &encode(message)));
@@ -76,7 +76,7 @@
         }
     }
 
-    /// When a message sent now arrives, if it does.
+    /// Returns when a message that is sent now arrives; `None` if it is lost.
     pub fn send(
         &mut self,
         now: Tick,
@@ -101,20 +101,20 @@
         Some(*last)
     }
 
-    /// Holds what one node sends to another from now on: it all arrives after this moment.
+    /// Delays the messages that one node sends to another from now on until after `until`.
     pub fn hold(&mut self, from: Node, to: Node, until: Tick) {
         let last = self.last_arrivals.entry((from, to)).or_insert(0);
         *last = until.max(*last);
     }
 
-    /// Ends all faults of the net.
+    /// Ends all network faults.
     pub fn heal(&mut self) {
         self.blocked.clear();
         self.loss_per_mille = 0;
         self.extra_latency = 0;
     }
 
-    /// Separates two nodes, in both directions.
+    /// Partitions two nodes, in both directions.
     pub fn partition(&mut self, a: Node, b: Node) {
         if a != b {
             self.blocked.insert((a, b));
@@ -129,7 +129,7 @@
     bytes.iter().fold(hash, |hash, byte| (hash ^ u64::from(*byte)).wrapping_mul(PRIME))
 }
 
-/// Latency of one way between two zones (us).
+/// Draws the one-way latency between two zones (us).
 pub fn latency(a: &str, b: &str, random: &mut Random) -> Span {
     if a == b { 80 + random.below(80) } else { 500 + random.below(1_000) }
 }
--- a/crates/simulator/src/oracle.rs
+++ b/crates/simulator/src/oracle.rs
@@ -1,6 +1,6 @@
-//! The records that a mock leaf has. They follow from the service, the
-//! question and the key alone, so a checker can tell what any shard's true
-//! answer is without asking anyone.
+//! The records of a mock leaf. They are computed from the service, the
+//! question and the key alone, so a checker can compute any shard's correct
+//! answer without a request.
 
 use grebepath_core::digest::hash;
 use grebepath_core::random::mix;
@@ -8,7 +8,7 @@
 /// Records that each service holds for any question.
 const HELD: u64 = 60;
 
-/// A record as the oracle knows it.
+/// A record of the oracle.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Known {
     /// Its id.
@@ -19,7 +19,7 @@
     pub service: String,
 }
 
-/// The best `limit` records of a service for a question, best first. Scores
+/// Returns the best `limit` records of a service for a question, best first. Scores
 /// are coarse, so that ties between records and shards are common.
 pub fn records(service: &str, question: &str, key: Option<&str>, limit: usize) -> Vec<Known> {
     let seed = mix(hash(service) ^ hash(question).rotate_left(17) ^ key.map_or(0, hash));
@@ -35,7 +35,7 @@
     all
 }
 
-/// Best first: higher score, then smaller id. Written here anew, so that it
+/// Sorts records, best first: higher score, then smaller id. Implemented separately, so that it
 /// does not share a mistake with the querier. Ids begin with the service, so
 /// no two records of different services tie on both.
 pub fn sort(all: &mut [Known]) {
@@ -44,7 +44,7 @@
     });
 }
 
-/// What a merged answer over these services must be.
+/// Returns the correct merged answer over these services.
 pub fn merged(services: &[&str], question: &str, key: Option<&str>, limit: usize) -> Vec<Known> {
     let mut all: Vec<Known> =
         services.iter().flat_map(|s| records(s, question, key, limit)).collect();
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run came to, as a table and as JSON.
+//! Reports the results of a run as a table and as JSON.
 
 use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
@@ -10,7 +10,7 @@
     list.get(at).copied().unwrap_or(0) as f64 / MILLI as f64
 }
 
-/// A run as JSON.
+/// Returns the results of a run as JSON.
 pub fn json(world: &World) -> Value {
     let mut kinds = serde_json::Map::new();
     for (name, tally) in &world.tallies {
@@ -57,7 +57,7 @@
     })
 }
 
-/// A run as a table.
+/// Returns the results of a run as a table.
 pub fn table(world: &World) -> String {
     let report = json(world);
     let mut out = format!(
@@ -93,14 +93,14 @@
         );
     }
     out += &format!(
-        "dispatches {} first, {} second; worst 10 s: {} second, {} beyond a fifth\n",
+        "attempts: {} first, {} retries; worst 10 s: {} retries, {} beyond a fifth\n",
         report["first_dispatches"],
         report["second_tries"],
         report["worst_10s"]["second_tries"],
         report["worst_10s"]["over_a_fifth"]
     );
     out += &format!(
-        "worst leaf {} at {}% of what it bears, {} begun beyond it; orders {}\n",
+        "worst leaf {} at {}% of its capacity, {} attempts above it; operator requests {}\n",
         report["worst_leaf"]["leaf"],
         report["worst_leaf"]["pct_of_bears"],
         report["begun_beyond_bearing"],
--- a/crates/simulator/src/restart_check.rs
+++ b/crates/simulator/src/restart_check.rs
@@ -1,27 +1,26 @@
-//! What is noted of a restart of everything, after which service must recover.
+//! The check of a restart of all processes, after which service must recover.
 
 use std::collections::BTreeMap;
 
 use grebepath_core::time::Tick;
 
-/// A restart of everything, and the calls that began from 12 to 15 s after it:
-/// how many of each kind, and how many of them were answered in full.
+/// A restart of all processes, and the calls that began from 12 to 15 s after it:
+/// the number of each kind, and the number of complete answers.
 #[derive(Default)]
 pub struct RestartCheck {
-    /// When, since the run began.
+    /// Time since the start of the run.
     pub at: Tick,
     /// Calls by kind.
     pub made: BTreeMap<String, u64>,
-    /// Calls by kind that were answered in full.
+    /// Completely answered calls by kind.
     pub full: BTreeMap<String, u64>,
-    /// When the first full answer of each kind was given.
+    /// When the first complete answer of each kind arrived.
     pub first: BTreeMap<String, Tick>,
-    /// A change that an operator asks for after the restart, and when it was
-    /// accepted.
+    /// The number of the change that an operator requests after the restart.
     pub order: Option<usize>,
     /// When that change was accepted.
     pub accepted: Option<Tick>,
-    /// Something else happened to the fleet before it had to recover: then the
-    /// end of all faults is judged, not this.
+    /// Whether another fault occurred before the cluster had to recover: then the
+    /// end of all faults is checked instead.
     pub disturbed: bool,
 }
--- a/crates/simulator/src/rollout_rules.rs
+++ b/crates/simulator/src/rollout_rules.rs
@@ -1,22 +1,22 @@
-//! What must never happen to the versions of services, judged by what reaches leafs and by what
-//! operators were told.
+//! The rules of rollouts, checked by the requests that reach leafs and the states that are
+//! reported to operators.
 
 use std::collections::BTreeMap;
 
 use grebepath_core::time::{SECOND, Tick};
 
-/// Share of a service's requests that may reach a bad version: one in so many.
+/// One in this many requests of a service may reach a bad version.
 const ONE_IN: u64 = 10;
-/// Requests beyond that.
+/// Additional requests that may reach a bad version.
 const SLACK: u64 = 50;
-/// Bad answers after which a version must get no more ...
+/// Bad answers after which a version must get no more requests, once `ROLL_BACK` has passed.
 const BAD_ANSWERS: u64 = 50;
-/// ... after this long.
+/// Time to stop requests to a version after `BAD_ANSWERS`.
 const ROLL_BACK: Tick = 5 * SECOND;
-/// After an end was told, requests that were on their way may still arrive for this long.
+/// Time after a reported end in which requests that were in flight may still arrive.
 const ON_THEIR_WAY: Tick = SECOND;
 
-/// What an operator was told of a rollout's end.
+/// The end of a rollout as reported to its operator.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
 pub enum ToldEnd {
     /// The new version is in force.
@@ -25,7 +25,7 @@
     Returned,
 }
 
-/// A rollout as its operator knows it.
+/// A rollout as its operator observes it.
 #[derive(Debug)]
 struct ObservedRollout {
     target: String,
@@ -33,25 +33,25 @@
     sent_at: Tick,
     until: Tick,
     told: Option<(Tick, ToldEnd)>,
-    /// Requests for the service, and those of them to the new version, while no end is told and
-    /// its term lasts.
+    /// Requests for the service, and those of them to the new version, while no end is reported and
+    /// its time limit hasn't passed.
     requests: u64,
     to_target: u64,
     bad_answers: u64,
     fiftieth_bad_at: Option<Tick>,
 }
 
-/// The rollouts of a run, the newest of each service last.
+/// The rollouts of a run by service, the newest last.
 #[derive(Debug, Default)]
 pub struct RolloutRules {
     by_service: BTreeMap<String, Vec<ObservedRollout>>,
 }
 
-/// A broken rule: its number and what happened.
+/// A violated rule: its number and a description.
 pub type Broken = (u8, String);
 
 impl RolloutRules {
-    /// An operator sends an order for the first time.
+    /// Records that an operator sends a rollout order for the first time.
     pub fn ordered(&mut self, now: Tick, service: &str, target: &str, is_bad: bool, term: Tick) {
         self.by_service.entry(service.into()).or_default().push(ObservedRollout {
             target: target.into(),
@@ -66,12 +66,12 @@
         });
     }
 
-    /// An operator is told how the newest rollout of a service stands.
+    /// Records the reported state of a service's newest rollout; a reported end must not change.
     pub fn told(&mut self, now: Tick, service: &str, end: Option<ToldEnd>) -> Option<Broken> {
         let rollout = self.by_service.get_mut(service)?.last_mut()?;
         match (rollout.told, end) {
             (Some((_, known)), told) if told != Some(known) => {
-                Some((18, format!("{service}: {known:?} was told, and then {told:?}")))
+                Some((18, format!("{service}: {known:?} was reported, and then {told:?}")))
             }
             (None, Some(end)) => {
                 rollout.told = Some((now, end));
@@ -81,14 +81,14 @@
         }
     }
 
-    /// A request is sent to a leaf of a service, whose first version is `first`.
+    /// Checks a request that is sent to a leaf of a service, whose first version is `first`.
     pub fn sent(&self, now: Tick, service: &str, version: &str, first: &str) -> Option<Broken> {
         let rollouts = self.by_service.get(service)?;
         let is_allowed = may_get_requests(rollouts, now, version, first);
         (!is_allowed).then(|| (15, format!("{service} {version:?} is sent a request")))
     }
 
-    /// A request reaches a leaf of a service.
+    /// Checks a request that reaches a leaf of a service.
     pub fn arrived(&mut self, now: Tick, service: &str, version: &str) -> Option<Broken> {
         let rollout = self.by_service.get_mut(service)?.last_mut()?;
         if now < rollout.until {
@@ -104,7 +104,7 @@
         None
     }
 
-    /// A leaf of a version answers badly.
+    /// Records a bad answer of a leaf.
     pub fn answered_badly(&mut self, now: Tick, service: &str, version: &str) {
         let newest = self.by_service.get_mut(service).and_then(|rollouts| rollouts.last_mut());
         if let Some(rollout) = newest.filter(|rollout| rollout.target == version) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /// What only the end of a run shows: how much reached bad versions.
+    /// Checks at the end of a run how many requests reached bad versions.
     pub fn finish(&self) -> Vec<Broken> {
         let mut broken = Vec::new();
         for (service, rollouts) in &self.by_service {
@@ -133,7 +133,7 @@
         broken
     }
 
-    /// The ends that operators were told, by service, the oldest first.
+    /// Returns the ends that were reported to operators, by service, the oldest first.
     pub fn ends(&self) -> BTreeMap<String, Vec<Option<ToldEnd>>> {
         let ends = |rollouts: &Vec<ObservedRollout>| {
             rollouts.iter().map(|rollout| rollout.told.map(|(_, end)| end)).collect()
@@ -141,14 +141,14 @@
         self.by_service.iter().map(|(service, all)| (service.clone(), ends(all))).collect()
     }
 
-    /// Requests that reached the version of the newest rollout while it was judged.
+    /// Returns how many requests reached the newest rollout's version, of how many that were counted.
     pub fn exposure(&self, service: &str) -> Option<(u64, u64)> {
         let rollout = self.by_service.get(service)?.last()?;
         Some((rollout.to_target, rollout.requests))
     }
 }
 
-/// Whether a version may get requests, by the orders that were sent and the ends that were told.
+/// Returns whether a version may get requests, by the orders sent and the ends reported.
 fn may_get_requests(rollouts: &[ObservedRollout], now: Tick, version: &str, first: &str) -> bool {
     let mut in_force = first.to_string();
     let mut former: Option<String> = None;
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -1,5 +1,5 @@
-//! The checkers of what must never happen. They look at what the fleet does
-//! from outside and know nothing of its code.
+//! The checkers of the rules. They observe the cluster
+//! from outside and share no code with it.
 
 use std::collections::{BTreeMap, BTreeSet, HashSet, VecDeque};
 use std::hash::{DefaultHasher, Hash, Hasher};
@@ -12,67 +12,67 @@
 /// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Violation {
-    /// When, since the run began.
+    /// Time since the start of the run.
     pub at: Tick,
     /// The number of the rule in `docs/rules.md`.
     pub rule: u8,
-    /// What happened.
+    /// A description of the violation.
     pub text: String,
 }
 
-/// What the checkers have noted.
+/// The observations and results of the checkers.
 #[derive(Default)]
 pub struct Rules {
     /// The first violations, with their texts.
     pub violations: Vec<Violation>,
-    /// How many violations there are of each rule.
+    /// Violations by rule (count).
     pub violation_counts: BTreeMap<u8, u64>,
-    /// Lines of what happened lately, written out with a violation.
+    /// The most recent log lines, which are printed with a violation.
     pub recent_lines: VecDeque<String>,
     /// The recent lines at the first violation.
     pub story: Vec<String>,
-    /// Questions that callers asked.
+    /// Queries that callers sent.
     pub asked: BTreeSet<String>,
-    /// What leafs truly answered, by query: (service, question).
+    /// Answers of leafs, by query id: (service, question).
     pub ran: BTreeMap<String, Vec<(String, String)>>,
     /// Accepted configurations: when, revision.
     pub accepted: Vec<(Tick, u64)>,
     /// The longest time after a newer configuration was accepted at which a
-    /// call began that was answered by an old one.
+    /// call began that was answered under an older one.
     pub longest_staleness: Tick,
-    /// Highest revision each querier has served by, over all its lives.
+    /// Highest revision that each querier has applied, over all its incarnations.
     pub obeyed: BTreeMap<usize, u64>,
-    /// Checksum of a partition at a revision, as first seen by anyone.
+    /// Checksum of a partition at a revision, as first observed on any querier.
     pub replica_sums: BTreeMap<(u32, u64), u64>,
-    /// Emptied zones, with the time from which they must get nothing.
+    /// Drained zones, with the time from which they must get no attempts.
     pub drained: BTreeMap<String, Tick>,
-    /// Revision of the last request about a zone whose outcome is known:
-    /// outcomes may arrive in another order than they took effect.
+    /// Revision of the last request for a zone whose outcome is known:
+    /// outcomes may arrive in another order than the requests took effect.
     pub zone_revisions: BTreeMap<String, u64>,
     /// When each first attempt was sent.
     pub first_attempts: Vec<Tick>,
     /// When each retry was sent.
     pub retries: Vec<Tick>,
-    /// (query, service) pairs that were dispatched: the next is a retry.
+    /// Hashes of (query, service) pairs with an attempt: any further attempt is a retry.
     pub attempted_services: HashSet<u64>,
-    /// By operator without ids: its zone's state by its last acknowledged order, and the order
-    /// that it waits for.
+    /// By operator without request ids: its zone's state by its last acknowledged request, and the
+    /// request that it waits for.
     pub senders: BTreeMap<usize, SenderOrders>,
-    /// What is known of rollouts.
+    /// The checks of rollouts.
     pub rollouts: RolloutRules,
     /// Restarts after which service must recover.
     pub pending_restarts: Vec<RestartCheck>,
-    /// Restarts that were judged, for the report.
+    /// Restarts that were checked, for the report.
     pub judged_restarts: Vec<RestartCheck>,
 }
 
-/// What one sender of orders about a zone has asked for and was told.
+/// The requests of one operator for a zone and their results.
 pub struct SenderOrders {
     /// The zone.
     pub zone: String,
-    /// Whether the newest order empties the zone; else it opens it.
+    /// Whether the newest request drains the zone; otherwise it opens it.
     pub asked: bool,
-    /// What the last acknowledged order says, if no newer one is under way.
+    /// The state of the last acknowledged request, if no newer one is in progress.
     pub stands: Option<bool>,
 }
 
@@ -82,9 +82,9 @@
 /// Violations that are kept with their text.
 const KEPT_VIOLATIONS: usize = 40;
 
-/// What the brief allows, in its own numbers: a fifth, and as the small slack
-/// 20 tries over all nodes, one try a thread, and a fifth of the most that 200 ms
-/// of traffic held (see `docs/topics/overload.md`).
+/// The retries that the requirements allow: one for every five first attempts, plus a small
+/// slack of 20 attempts over all nodes, one attempt per thread, and a fifth of the most first
+/// attempts in any 200 ms (see `docs/topics/overload.md`).
 const FIRST_ATTEMPTS_PER_RETRY: usize = 5;
 
 const RETRY_SLACK: usize = 20;
@@ -93,11 +93,11 @@
 
 const RETRY_WINDOW: Tick = 10 * SECOND;
 
-/// Of a hundred calls of a kind so many must be full 12 s after a restart.
+/// Percentage of the calls of a kind that must be complete 12 s after a restart.
 const RECOVERED_PCT: u64 = 95;
 
 impl Rules {
-    /// Notes a line of what happened.
+    /// Records a log line.
     pub fn note(&mut self, at: Tick, text: impl FnOnce() -> String) {
         if !self.story.is_empty() {
             return;
@@ -108,7 +108,7 @@
         self.recent_lines.push_back(format!("{:>9.3} s {}", at as f64 / 1e6, text()));
     }
 
-    /// Notes a violation.
+    /// Records a violation.
     pub fn violated(&mut self, at: Tick, rule: u8, text: String) {
         *self.violation_counts.entry(rule).or_default() += 1;
         if self.violations.is_empty() {
@@ -119,7 +119,7 @@
         }
     }
 
-    /// Rule 1: every claimed service answered this very question for this query.
+    /// Checks rule 1: every claimed service answered this question for this query.
     pub fn check_claims(&mut self, now: Tick, query: &str, services: &[String], question: &str) {
         let list = self.ran.remove(query).unwrap_or_default();
         for service in services {
@@ -129,21 +129,21 @@
         }
     }
 
-    /// Rule 5: a leaf runs a question; somebody must have asked it just so.
+    /// Checks rule 5: a question that a leaf runs must be one that a caller sent, unchanged.
     pub fn check_question(&mut self, now: Tick, leaf: &str, question: &str) {
         if !self.asked.contains(question) {
-            self.violated(now, 5, format!("{leaf} ran {question:?}, which nobody asked"));
+            self.violated(now, 5, format!("{leaf} ran {question:?}, which no caller sent"));
         }
     }
 
-    /// A leaf has truly answered a dispatch.
+    /// Records that a leaf answered an attempt correctly.
     pub fn record_answer(&mut self, service: &str, id: &str, question: &str) {
         let query = id.rsplit_once('.').map_or(id, |q| q.0);
         let row = (service.to_string(), question.to_string());
         self.ran.entry(query.to_string()).or_default().push(row);
     }
 
-    /// Rule 9: an answer that began at `began` was given under `revision`.
+    /// Checks rule 9 for the answer under `revision` to a call that began at `began`.
     pub fn check_revision(&mut self, now: Tick, began: Tick, revision: u64, who: &str) {
         let newer = self
             .accepted
@@ -161,31 +161,35 @@
             .max()
             .unwrap_or(0);
         if revision < due {
-            let text = format!("{who} answers by revision {revision}, {due} is 3 s old");
+            let text = format!("{who} answers under revision {revision}, {due} is 3 s old");
             self.violated(now, 9, text);
         }
     }
 
-    /// Rule 9: a querier takes a snapshot; it must never go back.
+    /// Checks rule 9 for a snapshot that a querier applies: its revision must never decrease.
     pub fn check_snapshot(&mut self, now: Tick, querier: usize, revision: u64) {
         let old = self.obeyed.entry(querier).or_insert(0);
         let was = *old;
         *old = was.max(revision);
         if revision < was {
-            let text = format!("querier {querier} slips from revision {was} to {revision}");
+            let text = format!("querier {querier} goes back from revision {was} to {revision}");
             self.violated(now, 9, text);
         }
     }
 
-    /// Rule 12: a revision of a partition is the same for everybody.
+    /// Checks rule 12: a revision of a partition is the same on all nodes.
     pub fn check_replica(&mut self, now: Tick, part: u32, revision: u64, sum: u64) {
         let first = *self.replica_sums.entry((part, revision)).or_insert(sum);
         if first != sum {
-            self.violated(now, 12, format!("part {part} has two truths at revision {revision}"));
+            self.violated(
+                now,
+                12,
+                format!("partition {part} differs between nodes at revision {revision}"),
+            );
         }
     }
 
-    /// Rules 7 and 8: a dispatch goes to a leaf.
+    /// Checks rules 7 and 8 for an attempt that is sent to a leaf.
     pub fn check_dispatch(
         &mut self,
         now: Tick,
@@ -198,7 +202,11 @@
             && now > at + 3 * SECOND
         {
             let late = (now - at) as f64 / 1e6;
-            self.violated(now, 7, format!("{who} sends to {leaf}, known to leave for {late:.2} s"));
+            self.violated(
+                now,
+                7,
+                format!("{who} sends to {leaf}, known to be leaving for {late:.2} s"),
+            );
         }
         if let Some(from) = self.drained.get(zone)
             && now > *from
@@ -207,27 +215,27 @@
             self.violated(
                 now,
                 8,
-                format!("{who} sends to {leaf} in emptied zone {zone}, {late:.2} s late"),
+                format!("{who} sends to {leaf} in drained zone {zone}, {late:.2} s late"),
             );
         }
     }
 
-    /// A sender gives its next order, or the same once more: until it is acknowledged either
-    /// state may stand.
+    /// Records that an operator sends its next request, or resends one: until it is acknowledged
+    /// either state is allowed.
     pub fn sender_goes_on(&mut self, sender: usize, zone: &str, drained: bool) {
         let orders = SenderOrders { zone: zone.to_string(), asked: drained, stands: None };
         self.senders.insert(sender, orders);
     }
 
-    /// A sender's order is acknowledged.
+    /// Records that an operator's request was acknowledged.
     pub fn sender_is_acknowledged(&mut self, sender: usize, drained: bool) {
         if let Some(orders) = self.senders.get_mut(&sender) {
             orders.stands = Some(drained);
         }
     }
 
-    /// Rule 14: an order whose sender has gone on is carried out after a later one of the same
-    /// sender was acknowledged. `drained` is what stands now; nobody else orders about the zone.
+    /// Checks rule 14: a delayed request must not take effect after a later one of the same
+    /// operator was acknowledged. `drained` is the zone's state now; no other operator changes it.
     pub fn check_last_order_stands(&mut self, now: Tick, sender: usize, drained: bool) {
         let Some(SenderOrders { zone, stands: Some(stands), .. }) = self.senders.get(&sender)
         else {
@@ -235,15 +243,15 @@
         };
         if *stands != drained {
             let text = format!(
-                "zone {zone}: the last acknowledged order says drained {stands}, but drained \
-                 {drained} stands"
+                "zone {zone}: the last acknowledged request set drained {stands}, but drained \
+                 {drained} is in force"
             );
             self.violated(now, 14, text);
         }
     }
 
-    /// Rule 13: a querier in touch sends to a leaf that the platform's list has shown as leaving
-    /// for so long.
+    /// Checks rule 13: a querier with contact to the control plane must not send to a leaf that the
+    /// platform's list has shown as leaving for more than 3 s.
     pub fn check_shown_leaving(&mut self, now: Tick, who: &str, leaf: &str, shown_for: Tick) {
         if shown_for > 3 * SECOND {
             let late = shown_for as f64 / 1e6;
@@ -252,19 +260,29 @@
         }
     }
 
-    /// Rule 11: a fresh leaf has `live` in hand and bears `bears`.
+    /// Checks rule 11 for a leaf in slow start: `live` attempts in progress, capacity `bears`.
     pub fn check_warm_up_load(&mut self, now: Tick, leaf: &str, live: u32, bears: u32) {
         if live * 2 > bears * 3 + 1 {
-            self.violated(now, 11, format!("fresh {leaf} has {live} in hand and bears {bears}"));
+            self.violated(
+                now,
+                11,
+                format!(
+                    "{leaf} in slow start has {live} attempts in progress, its capacity is {bears}"
+                ),
+            );
         }
     }
 
-    /// Rule 11: a cold leaf was sent so many attempts within a second.
+    /// Records a violation of rule 11: a leaf in slow start got too many attempts within a second.
     pub fn check_cold_rate(&mut self, now: Tick, leaf: &str, sent: usize, most: usize) {
-        self.violated(now, 11, format!("cold {leaf} is sent {sent} in a second, {most} allowed"));
+        self.violated(
+            now,
+            11,
+            format!("{leaf} in slow start is sent {sent} attempts in a second, {most} allowed"),
+        );
     }
 
-    /// A dispatch for a service of a query: the first of its kind, or a retry?
+    /// Records an attempt for a service of a query, as a first attempt or as a retry.
     pub fn record_attempt(&mut self, now: Tick, id: &str, service: &str) {
         let query = id.rsplit_once('.').map_or(id, |q| q.0);
         let mut hash = DefaultHasher::new();
@@ -277,18 +295,18 @@
         list.push(now);
     }
 
-    /// Rule 6: a request arrives at a leaf, run or turned away.
+    /// Checks rule 6 for a request that arrives at a leaf, run or rejected.
     pub fn check_destination(&mut self, now: Tick, who: &str, leaf: &str, is: &str, meant: &str) {
         if is != meant {
             self.violated(now, 6, format!("{who}'s request for {meant} reaches {leaf} of {is}"));
         }
     }
 
-    /// Rule 10, over any window of 10 s: the most retries beyond a fifth of
-    /// the first dispatches; also their greatest number in such a window.
+    /// Returns, for rule 10, over any window of 10 s: the most retries above a fifth of
+    /// the first attempts; also the most retries in such a window.
     pub fn retry_excess(&self) -> (i64, usize) {
         let (mut worst, mut most) = (0i64, 0);
-        // The worst windows begin or end with a retry.
+        // The worst window begins or ends with a retry.
         let starts = self.retries.iter().copied();
         let ends = self.retries.iter().map(|t| (t + 1).saturating_sub(RETRY_WINDOW));
         for from in starts.chain(ends) {
@@ -300,7 +318,7 @@
         (worst, most)
     }
 
-    /// The small slack: what may come on top of a fifth.
+    /// Returns the retries that are allowed above a fifth of the first attempts.
     pub fn retry_allowance(&self, threads: usize) -> usize {
         let burst = self
             .first_attempts
@@ -311,21 +329,21 @@
         RETRY_SLACK + threads + burst / FIRST_ATTEMPTS_PER_RETRY
     }
 
-    /// Checks that can be made only at the end.
+    /// Runs the checks that are possible only at the end.
     pub fn finish(&mut self, now: Tick, threads: usize) {
         for (rule, text) in self.rollouts.finish() {
             self.violated(now, rule, text);
         }
         let ((worst, _), allowed) = (self.retry_excess(), self.retry_allowance(threads));
         if worst > allowed as i64 {
-            let text = format!("{worst} second tries over a fifth in 10 s, {allowed} allowed");
+            let text = format!("{worst} retries over a fifth in 10 s, {allowed} allowed");
             self.violated(now, 10, text);
         }
         for restart in std::mem::take(&mut self.pending_restarts) {
             let when = restart.at as f64 / 1e6;
             for (kind, made) in restart.made.iter().filter(|_| !restart.disturbed) {
                 let full = restart.full.get(kind).copied().unwrap_or(0);
-                // One call may always be unlucky.
+                // One incomplete call is always tolerated.
                 if full < (made * RECOVERED_PCT / 100).min(made - 1) {
                     let text = format!(
                         "12 s after the restart at {when:.1} s {full} of {made} {kind} are full"
@@ -346,7 +364,7 @@
         }
     }
 
-    /// A call of a kind began at `began` and has come to its end.
+    /// Records the end of a call that began at `began`.
     pub fn end_call(&mut self, began: Tick, now: Tick, kind: &str, full: bool) {
         for restart in &mut self.pending_restarts {
             if began < restart.at {
@@ -362,7 +380,7 @@
         }
     }
 
-    /// Something happens to the fleet: a restart that is not yet over is no longer
+    /// Records a new fault: an earlier restart whose check isn't finished is no longer
     /// the only fault.
     pub fn disturb_recoveries(&mut self, now: Tick) {
         for restart in
@@ -373,12 +391,12 @@
     }
 }
 
-/// Rule of a text of `check`: they begin with `rule N:`.
+/// Returns the rule of a text of `check`: they begin with `rule N:`.
 pub fn rule_of(text: &str) -> u8 {
     text.strip_prefix("rule ").and_then(|t| t.split(':').next()?.parse().ok()).unwrap_or(3)
 }
 
-/// How many of a list, which is in order, lie in the window that begins at `from`.
+/// Counts the times of a sorted list in the window that begins at `from`.
 fn within(list: &[Tick], from: Tick, span: Tick) -> usize {
     let a = list.partition_point(|t| *t < from);
     list.partition_point(|t| *t < from + span) - a
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -1,6 +1,6 @@
-//! A disk under the virtual clock. It holds the very bytes that the real one
+//! A simulated disk. It holds the same bytes that a real disk
 //! would, written and read by the same functions, and it can lose power in
-//! the middle of anything.
+//! the middle of any write.
 
 use grebepath_core::identifiers::PartitionId;
 use grebepath_core::random::Random;
@@ -12,12 +12,12 @@
 use grebepath_core::storage::writer;
 use grebepath_core::time::{Span, Tick, ms};
 
-/// A log this short has nothing but its head, in which no bit is flipped (bytes).
+/// Length of a log's header (bytes); a log without records gets no bit flip.
 const LOG_HEADER_BYTES: usize = 40;
 
-/// One partition's files and what is being written.
+/// One partition's files.
 ///
-/// Invariant: `log` and `slots` are what a start would find now; jobs take
+/// Invariant: `log` and `slots` are what a start would read now; jobs take
 /// effect when they are done, or in part when power is lost.
 #[derive(Clone, Default)]
 pub struct Files {
@@ -27,29 +27,29 @@
     sequence: u64,
     /// Records in the log.
     records: u32,
-    /// Whether the log takes records.
+    /// Whether records can be appended to the log.
     open: bool,
     /// Whether earlier files were set aside, because they were damaged or of another voter.
     set_aside: bool,
 }
 
-/// What a disk is asked.
+/// A write to a partition's files.
 #[derive(Clone)]
 pub enum Job {
     /// Appends a record to the log.
     Append(LogRecord),
-    /// Writes a slot and begins a new log.
+    /// Writes a slot and starts a new log.
     Snapshot(ReplicaState),
 }
 
-/// A job that has not ended.
+/// A job that isn't finished.
 struct PendingJob {
     partition: PartitionId,
     token: u64,
     job: Job,
 }
 
-/// A voter file on its way to the disk.
+/// A voter file that is being written.
 struct PendingVoterFile {
     token: u64,
     contents: VoterFile,
@@ -63,38 +63,38 @@
     /// The disk is full.
     #[error("no space left on device")]
     Full,
-    /// An earlier write failed: only a snapshot opens a log again.
-    #[error("no log is open since the last trouble")]
+    /// An earlier write failed: only a snapshot reopens the log.
+    #[error("no log is open since the last failure")]
     NoOpenLog,
 }
 
 /// The health of a disk.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Health {
-    /// Every write lasts after a few milliseconds.
+    /// Every write is durable after a few milliseconds.
     Good,
     /// Every write takes this much longer.
     Slow(Span),
     /// Every write fails.
     Full,
-    /// No write ends.
+    /// No write finishes.
     Stalled,
 }
 
 /// A machine's disk.
 pub struct Disk {
-    /// How it behaves from now on.
+    /// Its current health.
     pub health: Health,
     partitions: Vec<Files>,
     voter_file: Option<Vec<u8>>,
     pending_voter_files: Vec<PendingVoterFile>,
-    /// When the last job that is queued will be done.
+    /// When the last queued job will be finished.
     busy_until: Tick,
     pending_jobs: Vec<PendingJob>,
 }
 
 impl Disk {
-    /// An empty disk.
+    /// Creates an empty disk.
     pub fn new(partitions: usize) -> Self {
         Disk {
             partitions: vec![Files::default(); partitions],
@@ -106,7 +106,7 @@
         }
     }
 
-    /// Queues a job; gives the time at which it will be done, or `None` while the
+    /// Queues a job and returns the time at which it will be finished, or `None` while the
     /// disk stalls.
     pub fn start_job(
         &mut self,
@@ -120,7 +120,7 @@
         self.schedule(now, random)
     }
 
-    /// Queues a voter file, as `start_job` does with what belongs to a partition.
+    /// Queues the write of a voter file, as `start_job` does for a partition's files.
     pub fn write_voter_file(
         &mut self,
         now: Tick,
@@ -133,7 +133,7 @@
         self.schedule(now, random)
     }
 
-    /// When a job that is queued now will be done; `None` while the disk stalls.
+    /// Returns when a job that is queued now will be finished; `None` while the disk stalls.
     fn schedule(&mut self, now: Tick, random: &mut Random) -> Option<Tick> {
         let slow = if let Health::Slow(more) = self.health { more } else { 0 };
         let took = ms(1) + random.below(ms(3)) + slow;
@@ -144,7 +144,7 @@
         Some(self.busy_until)
     }
 
-    /// A voter file is written, or could not be; `None` if it is not under way.
+    /// Finishes the write of a voter file; `None` if it isn't pending.
     pub fn finish_voter_file(&mut self, token: u64) -> Option<Result<(), DiskError>> {
         let at = self.pending_voter_files.iter().position(|pending| pending.token == token)?;
         let pending = self.pending_voter_files.remove(at);
@@ -155,18 +155,18 @@
         Some(Ok(()))
     }
 
-    /// Tokens of the voter files that remain when a stall ends, oldest first.
+    /// Returns the tokens of the pending voter files, oldest first.
     pub fn pending_voter_files(&self) -> Vec<u64> {
         self.pending_voter_files.iter().map(|pending| pending.token).collect()
     }
 
-    /// The voter file as a start finds it; what was not written is forgotten.
+    /// Reads the voter file at a start; pending writes are dropped.
     pub fn read_voter_file(&mut self) -> Option<VoterFile> {
         self.pending_voter_files.clear();
         voter_file::read(self.voter_file.as_deref()?)
     }
 
-    /// Writes the voter file of a start, which waits for it.
+    /// Writes a voter file synchronously, as a start does.
     pub fn put_voter_file(&mut self, contents: &VoterFile, clear: bool) {
         if clear {
             for files in &mut self.partitions {
@@ -177,18 +177,18 @@
         self.voter_file = Some(voter_file::write(contents));
     }
 
-    /// Whether no partition has any files.
+    /// Returns whether no partition has any files.
     pub fn is_empty(&self) -> bool {
         let empty = |files: &Files| files.slots.iter().all(Option::is_none) && files.log.is_none();
         self.partitions.iter().all(empty)
     }
 
-    /// The jobs that remain when a stall ends, oldest first.
+    /// Returns the pending jobs, oldest first.
     pub fn pending_jobs(&self) -> Vec<(PartitionId, u64)> {
         self.pending_jobs.iter().map(|pending| (pending.partition, pending.token)).collect()
     }
 
-    /// A job is done: it lasts now, or it failed; `None` if it is not under way.
+    /// Finishes a job, which is then durable or failed; `None` if it isn't pending.
     pub fn finish_job(
         &mut self,
         partition: PartitionId,
@@ -207,7 +207,7 @@
         Some(files.apply(partition, pending.job))
     }
 
-    /// What was handed to the system is written whether the process lives or not.
+    /// Finishes all pending writes: the operating system writes them even if the process has ended.
     pub fn finish_all(&mut self) {
         for (partition, token) in self.pending_jobs() {
             self.finish_job(partition, token);
@@ -217,10 +217,10 @@
         }
     }
 
-    /// Power is lost: what was under way lasts in part, by chance.
+    /// Simulates a power loss: pending writes take effect in part, drawn at random.
     pub fn power_loss(&mut self, random: &mut Random) {
         let jobs = std::mem::take(&mut self.pending_jobs);
-        // A file that is renamed is there or it is not.
+        // The voter file is replaced by a rename, which takes effect entirely or not at all.
         for pending in std::mem::take(&mut self.pending_voter_files) {
             if random.chance(1, 2) {
                 break;
@@ -241,12 +241,12 @@
         }
     }
 
-    /// The machine is replaced by one with an empty disk.
+    /// Replaces the disk by an empty one.
     pub fn replace(&mut self) {
         *self = Disk::new(self.partitions.len());
     }
 
-    /// Flips one bit of what lies on the disk; false if nothing lies there.
+    /// Flips one bit of the stored data; returns false if the drawn file doesn't exist.
     pub fn flip_bit(&mut self, random: &mut Random) -> bool {
         let at = random.below(self.partitions.len() as u64) as usize;
         let files = &mut self.partitions[at];
@@ -261,7 +261,7 @@
         true
     }
 
-    /// Reads the disk as a start does; a slot of this life comes first.
+    /// Reads the disk as a start does, and writes a first slot of the new incarnation.
     pub fn start(&mut self) -> Vec<(PartitionId, StoredReplica)> {
         self.pending_jobs.clear();
         self.busy_until = 0;
@@ -275,11 +275,11 @@
             .collect()
     }
 
-    /// Reads a partition's files again, as a running controller does; gives what is
+    /// Rereads a partition's files, as a running controller does; returns what is
     /// wrong with them.
     pub fn scrub(&self, partition: PartitionId) -> Option<String> {
         let files = &self.partitions[partition.0 as usize];
-        // What is under way behind this scrub may have begun to take effect.
+        // A pending write may already have taken effect in part.
         if !files.open || self.pending_jobs.iter().any(|pending| pending.partition == partition) {
             return None;
         }
@@ -290,8 +290,8 @@
             {
                 None
             }
-            StoredReplica::Intact { .. } => Some("what was written last is not there".into()),
-            StoredReplica::Empty => Some("the files are gone".into()),
+            StoredReplica::Intact { .. } => Some("the last write is missing".into()),
+            StoredReplica::Empty => Some("the files are missing".into()),
             StoredReplica::Damaged(why) => Some(why.to_string()),
         }
     }
@@ -303,13 +303,13 @@
         read(partition.0, slots, self.log.as_deref())
     }
 
-    /// Begins an empty log behind the newest slot.
+    /// Starts an empty log after the newest slot.
     fn begin_log(&mut self, partition: PartitionId) {
         self.log = Some(writer::log_header(partition.0, self.sequence));
         self.records = 0;
     }
 
-    /// Writes the next slot and opens a log behind it.
+    /// Writes the next slot and opens a log after it.
     fn write_slot(&mut self, partition: PartitionId, copy: &ReplicaState) {
         self.sequence += 1;
         let raw = writer::slot(partition.0, self.sequence, copy);
@@ -331,7 +331,7 @@
         Ok(())
     }
 
-    /// Lets a job take effect in part; true if all of it lasts.
+    /// Applies a job in part; returns whether it took effect completely.
     fn apply_partly(&mut self, partition: PartitionId, job: Job, random: &mut Random) -> bool {
         let complete = random.chance(1, 3);
         match job {
@@ -341,7 +341,7 @@
                 if !complete {
                     let keep = random.below(raw.len() as u64) as usize;
                     if random.chance(1, 2) {
-                        // The file's length came through, its bytes did not.
+                        // The file's new length was written, its bytes were not.
                         raw[keep..].fill(0);
                     } else {
                         raw.truncate(keep);
--- a/crates/simulator/src/spec.rs
+++ b/crates/simulator/src/spec.rs
@@ -1,4 +1,4 @@
-//! A deployment of mock backends: its services, and the searches its callers ask.
+//! Reads the spec of a deployment of mock backends: its services, and its callers' searches.
 
 use serde_json::Value;
 
@@ -13,11 +13,11 @@
     pub cut: String,
     /// Leafs at the start (count).
     pub leafs: usize,
-    /// Attempts that a warm leaf bears at once.
+    /// Maximum number of concurrent attempts of a warm leaf.
     pub bears: u32,
-    /// Time a leaf takes for one question when it is not busy.
+    /// Time that an idle leaf takes for one attempt.
     pub took_ms: u64,
-    /// Time a fresh leaf needs until it bears all of that.
+    /// Duration of a leaf's slow start until it reaches its full capacity.
     pub ramp_ms: u64,
 }
 
@@ -26,15 +26,15 @@
 pub struct Kind {
     /// The search that is called.
     pub search: String,
-    /// Calls a second.
+    /// Calls per second.
     pub per_s: f64,
     /// The caller's deadline (ms).
     pub budget_ms: u64,
-    /// Records that the caller asks for (count).
+    /// Requested records (count).
     pub limit: usize,
-    /// Whether the call names a key and needs one shard.
+    /// Whether the call has a key and needs one shard.
     pub lookup: bool,
-    /// The part of the shards that a success needs.
+    /// The fraction of the shards that a success needs.
     pub quorum: f64,
     /// The shards of each index version.
     pub shards: Vec<ShardService>,
@@ -51,30 +51,30 @@
     pub service: String,
 }
 
-/// A deployment.
+/// The spec of a deployment.
 #[derive(Clone, Debug)]
 pub struct Spec {
     /// Its services.
     pub services: Vec<Service>,
     /// The kinds of calls.
     pub kinds: Vec<Kind>,
-    /// How far the platform's list lags behind the truth.
+    /// Delay until the platform's list shows a change.
     pub list_lag_ms: u64,
 }
 
-/// What is wrong with a spec.
+/// An error in a spec.
 #[derive(Debug, thiserror::Error)]
 pub enum SpecError {
-    /// A field is missing, or is of another type.
+    /// A field is missing or has another type.
     #[error("`{field}` is missing in {object}")]
     Missing {
         /// The field.
         field: String,
-        /// What should have it.
+        /// The object that should have it.
         object: Value,
     },
-    /// A field is not the list that it must be.
-    #[error("`{field}` is no list")]
+    /// A field isn't a list.
+    #[error("`{field}` is not a list")]
     NotAList {
         /// The field.
         field: String,
@@ -82,17 +82,17 @@
     /// The file can't be read as JSON.
     #[error(transparent)]
     File(#[from] FileError),
-    /// A file with a mistake in it.
+    /// The spec file has an error.
     #[error("{path}: {source}")]
     In {
         /// The file.
         path: String,
-        /// The mistake.
+        /// The error.
         source: Box<SpecError>,
     },
 }
 
-/// Reads a spec file. It is a tool's own input: the first mistake ends it.
+/// Reads a spec file, up to the first error.
 pub fn read(path: &str) -> Result<Spec, SpecError> {
     let val = read_json(path)?;
     parse(&val).map_err(|e| SpecError::In { path: path.into(), source: Box::new(e) })
@@ -114,7 +114,7 @@
     object[field].as_array().ok_or_else(|| SpecError::NotAList { field: field.into() })
 }
 
-/// A spec from JSON.
+/// Parses a spec from JSON.
 pub fn parse(val: &Value) -> Result<Spec, SpecError> {
     let mut services = Vec::new();
     for s in list(val, "services")? {
--- a/crates/simulator/src/version_fault.rs
+++ b/crates/simulator/src/version_fault.rs
@@ -1,31 +1,31 @@
-//! How a version of the leafs' software misbehaves.
+//! Faults of a version of the leafs' software.
 
 use grebepath_core::random::Random;
 use grebepath_core::time::{Span, Tick, since};
 use serde_json::Value;
 
-/// What is wrong with a version.
+/// The fault of a version.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VersionFault {
-    /// Nothing.
+    /// No fault.
     Sound,
     /// Some of its answers are broken.
     Errors(PerMille),
-    /// The same, from some time after its start on.
+    /// The same, from some time after the leaf's start on.
     Late(PerMille, Span),
-    /// The same, while it works on so many at once.
+    /// The same, from this many concurrent attempts on.
     UnderLoad(PerMille, u32),
-    /// The same, for one search alone.
+    /// The same, for one search only.
     OneSearch(PerMille, String),
-    /// Some of its answers take so many times as long.
+    /// Some of its answers take this many times as long.
     Slow(PerMille, u64),
 }
 
-/// A part of all answers, in thousandths.
+/// A share of all answers, in thousandths.
 pub type PerMille = u64;
 
 impl VersionFault {
-    /// The fault that an action of a scenario names; `None` if there is none of that name.
+    /// Reads the fault of a scenario's action; `None` if its name is unknown.
     pub fn read(parameters: &Value) -> Option<VersionFault> {
         let number = |key: &str, default: u64| parameters[key].as_u64().unwrap_or(default);
         let part = number("per_mille", 400);
@@ -43,12 +43,12 @@
         })
     }
 
-    /// Whether it is a fault at all.
+    /// Returns whether it is a fault.
     pub fn is_bad(&self) -> bool {
         *self != VersionFault::Sound
     }
 
-    /// Whether an answer is broken.
+    /// Draws whether an answer is broken.
     pub fn breaks_answer(
         &self,
         now: Tick,
@@ -67,7 +67,7 @@
         random.chance(part, 1_000)
     }
 
-    /// How many times as long an answer takes.
+    /// Draws the factor by which an answer takes longer.
     pub fn slow_down(&self, random: &mut Random) -> u64 {
         match self {
             VersionFault::Slow(part, times) if random.chance(*part, 1_000) => *times,
