--- a/crates/simulator/src/chaos/draw.rs
+++ b/crates/simulator/src/chaos/draw.rs
@@ -363,9 +363,9 @@
 
     /// Schedules a rolling restart of all processes; controllers are stopped or killed.
     fn rolling_restart(&self, in_order: bool) -> Vec<Value> {
-        let word = if in_order { "stop-seat" } else { "kill-seat" };
+        let action = if in_order { "stop-seat" } else { "kill-seat" };
         let controllers = (0..self.scenario.control_plane.machines)
-            .map(|i| (i as f64 * 2.0, json!({ "do": word, "which": i, "for_s": 0.7 })));
+            .map(|i| (i as f64 * 2.0, json!({ "do": action, "which": i, "for_s": 0.7 })));
         let queriers = (0..self.scenario.queriers)
             .map(|i| (i as f64 * 0.8, json!({ "do": "stop-querier", "which": i, "for_s": 2.4 })));
         controllers.chain(queriers).map(|(after, action)| at(self.from + after, action)).collect()
--- a/crates/simulator/src/chaos/mod.rs
+++ b/crates/simulator/src/chaos/mod.rs
@@ -35,8 +35,8 @@
 
 /// Returns whether leafs are in slow start after these faults.
 fn replaces_leafs(list: &[Value]) -> bool {
-    let words = ["restart-leafs", "add-leafs", "reuse", "kill-leafs", "leave-leafs"];
-    list.iter().any(|fault| words.iter().any(|word| fault["do"] == *word))
+    let actions = ["restart-leafs", "add-leafs", "reuse", "kill-leafs", "leave-leafs"];
+    list.iter().any(|fault| actions.iter().any(|action| fault["do"] == *action))
 }
 
 /// Draws faults with times, durations and overlaps by the seed, then one last fault,
@@ -46,7 +46,7 @@
     let mut scene = Scene { scenario, random: Random::new(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
     let storm = json!({ "do": "storm", "count": (recovery_at * 3.0) as u64, "gap_ms": 250 });
     let mut all = vec![at(1.0, storm)];
-    let two_cuts = scenario.spec.services.iter().any(|service| service.cut == "w49");
+    let has_two_index_versions = scenario.spec.services.iter().any(|service| service.cut == "w49");
     let mut lost_at = -DISK_GAP;
     let mut from = 1.5;
     loop {
@@ -58,7 +58,7 @@
         if last {
             scene.from = (recovery_at - scene.span - 1.0).max(1.0);
         }
-        let drawn = scene.random.below(KINDS.len() as u64 + u64::from(two_cuts));
+        let drawn = scene.random.below(KINDS.len() as u64 + u64::from(has_two_index_versions));
         let mut list = match KINDS.get(drawn as usize) {
             Some(kind) => scene.draw(*kind),
             None => scene.change_index_version(),
@@ -99,18 +99,18 @@
     let mut step = (list.len() / 2).max(1);
     loop {
         let mut i = 0;
-        let mut less = false;
+        let mut removed_any = false;
         while i < list.len() {
             let mut fewer = list.clone();
             fewer.drain(i..(i + step).min(list.len()));
             if fails(&fewer) {
                 list = fewer;
-                less = true;
+                removed_any = true;
             } else {
                 i += step;
             }
         }
-        if step == 1 && !less {
+        if step == 1 && !removed_any {
             return list;
         }
         step = (step / 2).max(1);
--- a/crates/simulator/src/controller_start.rs
+++ b/crates/simulator/src/controller_start.rs
@@ -30,15 +30,15 @@
         let mut damage = Vec::new();
         let mut replicas = Vec::new();
         for (partition, found) in disk.start() {
-            let (condition, copy) = match found {
+            let (condition, state) = match found {
                 StoredReplica::Empty => (ReplicaCondition::Empty, ReplicaState::default()),
                 StoredReplica::Damaged(why) => {
                     damage.push(why.to_string());
                     (ReplicaCondition::Damaged, ReplicaState::default())
                 }
-                StoredReplica::Intact { state: copy, .. } => (ReplicaCondition::Voting, copy),
+                StoredReplica::Intact { state, .. } => (ReplicaCondition::Voting, state),
             };
-            replicas.push((partition, condition, copy, 0));
+            replicas.push((partition, condition, state, 0));
         }
         Recovered { voter_file, replicas, was_empty, damage }
     }
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -115,8 +115,8 @@
             (0..singles.len()).flat_map(behind).collect()
         }
         Pairs::Sampled(wanted) => {
-            let mut chance = Random::new(seed);
-            let mut one = || singles[chance.below(count.max(1)) as usize];
+            let mut random = Random::new(seed);
+            let mut one = || singles[random.below(count.max(1)) as usize];
             (0..wanted).map(|_| vec![one(), one()]).collect()
         }
     }
@@ -148,11 +148,11 @@
 
 /// Returns the errors of a run that has ended.
 fn judge(world: &mut World) -> Vec<String> {
-    let whole = world.until(12 * SECOND, |world| world.settled() && world.all_slots_voting());
+    let recovered = world.until(12 * SECOND, |world| world.settled() && world.all_slots_voting());
     let mut wrong: Vec<String> =
         world.rules.violations.iter().map(|found| format!("{found:?}")).collect();
     wrong.extend(world.forgotten_memberships().iter().take(1).cloned());
-    if !whole {
+    if !recovered {
         wrong.push("not all voter slots are held by voting replicas".into());
         return wrong;
     }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -156,8 +156,8 @@
 }
 
 fn load(file: &str, deploy: &str) -> Result<Scenario, Vec<Diagnostic>> {
-    let whole = |text: String| vec![Diagnostic::new("$", text)];
-    let text = std::fs::read(file).map_err(|e| whole(e.to_string()))?;
+    let diagnostics = |text: String| vec![Diagnostic::new("$", text)];
+    let text = std::fs::read(file).map_err(|e| diagnostics(e.to_string()))?;
     read(&text, &|name| read_json(&format!("{deploy}/{name}")))
 }
 
@@ -183,13 +183,14 @@
 
 /// Returns the numbers of complete, partial and other results of calls, and of retries.
 fn sums(world: &World) -> [u64; 4] {
-    let (mut full, mut part, mut other) = (0, 0, 0);
-    for fault in world.tallies.values() {
-        full += fault.full;
-        part += fault.partial;
-        other += fault.rejected.values().sum::<u64>() + fault.unreachable + fault.timed_out;
+    let (mut full, mut partial, mut other) = (0, 0, 0);
+    for outcomes in world.tallies.values() {
+        full += outcomes.full;
+        partial += outcomes.partial;
+        other +=
+            outcomes.rejected.values().sum::<u64>() + outcomes.unreachable + outcomes.timed_out;
     }
-    [full, part, other, world.rules.retries.len() as u64]
+    [full, partial, other, world.rules.retries.len() as u64]
 }
 
 fn difference(rows: &[[u64; 4]]) -> String {
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use grebepath_core::http_api::leaf as edge;
+use grebepath_core::http_api::leaf as leaf_api;
 use grebepath_core::http_api::leaf::{LeafReply, ReplyHeaders};
 use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::random::Random;
@@ -257,12 +257,12 @@
 impl MockLeaf {
     /// Returns the leaf's maximum number of concurrent attempts at its age.
     pub fn capacity(&self, now: Tick) -> u32 {
-        let (age, ramp) = (since(self.born, now), ms(self.service.ramp_ms));
+        let (age, slow_start) = (since(self.born, now), ms(self.service.ramp_ms));
         let full = (u64::from(self.service.bears) * u64::from(self.strength) / 100).max(1);
-        if age >= ramp {
+        if age >= slow_start {
             return full as u32;
         }
-        ((full * (10 * ramp + 90 * age) / (100 * ramp)) as u32).max(1)
+        ((full * (10 * slow_start + 90 * age) / (100 * slow_start)) as u32).max(1)
     }
 
     /// Returns whether the leaf is still warming up.
@@ -323,21 +323,22 @@
         let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
         let limit = asked["limit"].as_u64().unwrap_or(0) as usize;
-        let mut recs = oracle::records(&self.service.name, question, asked["key"].as_str(), limit);
+        let mut records =
+            oracle::records(&self.service.name, question, asked["key"].as_str(), limit);
         if self.mode == Mode::Disorder {
-            recs.reverse();
+            records.reverse();
         }
-        let list: Vec<Value> = recs
+        let list: Vec<Value> = records
             .iter()
             .map(|r| json!({ "id": r.id, "score": r.score, "data": { "service": r.service } }))
             .collect();
         let mut body = json!({ "records": list }).to_string().into_bytes();
-        let postmark = edge::postmark(&self.name, &sending.id, &sending.body_digest);
+        let postmark = leaf_api::postmark(&self.name, &sending.id, &sending.body_digest);
         let previous = self.postmark.replace(postmark.clone());
-        let mut heads = self.headers(now);
-        heads.index_version =
+        let mut headers = self.headers(now);
+        headers.index_version =
             Some(if self.mode == Mode::WrongCut { "w00".into() } else { self.service.cut.clone() });
-        heads.postmarks = match self.mode {
+        headers.postmarks = match self.mode {
             Mode::NoPostmark => Vec::new(),
             Mode::TwoPostmarks => vec![postmark.clone(), postmark],
             Mode::StalePostmark => vec![previous.unwrap_or_default()],
@@ -346,7 +347,7 @@
         if self.mode == Mode::Garbage {
             body.truncate(body.len() / 2);
         }
-        LeafReply { status: 200, headers: heads, body }
+        LeafReply { status: 200, headers, body }
     }
 }
 
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -30,9 +30,10 @@
     }
     let (over, most) = world.rules.retry_excess();
     let worst = world.backends.leafs.values().max_by_key(|leaf| leaf.worst_pct);
-    let orders = |want: fn(&grebepath_core::protocol::operation::OperationResult) -> bool| {
-        world.operator_requests.iter().filter(|o| o.result.as_ref().is_some_and(want)).count()
-    };
+    let requests_with =
+        |want: fn(&grebepath_core::protocol::operation::OperationResult) -> bool| {
+            world.operator_requests.iter().filter(|o| o.result.as_ref().is_some_and(want)).count()
+        };
     use grebepath_core::protocol::operation::OperationResult;
     json!({
         "violations": world.rules.violation_counts,
@@ -43,10 +44,10 @@
         "worst_10s": { "second_tries": most, "over_a_fifth": over },
         "worst_leaf": worst.map(|leaf| json!({ "leaf": leaf.name, "pct_of_bears": leaf.worst_pct })),
         "begun_beyond_bearing": world.backends.leafs.values().map(|leaf| leaf.over).sum::<u64>(),
-        "orders": { "accepted": orders(|d| matches!(d, OperationResult::Accepted { .. })),
-                    "bounced": orders(|d| matches!(d, OperationResult::Rejected { .. })),
-                    "unknown": orders(|d| matches!(d, OperationResult::Unknown { .. })),
-                    "wrong": orders(|d| matches!(d, OperationResult::Invalid(_))) },
+        "orders": { "accepted": requests_with(|d| matches!(d, OperationResult::Accepted { .. })),
+                    "bounced": requests_with(|d| matches!(d, OperationResult::Rejected { .. })),
+                    "unknown": requests_with(|d| matches!(d, OperationResult::Unknown { .. })),
+                    "wrong": requests_with(|d| matches!(d, OperationResult::Invalid(_))) },
         "restarts": world.rules.judged_restarts.iter().map(|restart| json!({
             "at_s": restart.at as f64 / 1e6,
             "first_full_ms": restart.first.iter().map(|(kind, at)| (kind.clone(), json!((at - restart.at) / MILLI)))
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -159,14 +159,14 @@
     /// named by `lose` restart with empty disks.
     fn restart_all(&mut self, parameters: &Value, duration: Option<u64>) {
         let power = parameters["power"].as_bool().unwrap_or(false);
-        let seat = |key: &str| {
+        let controller_index = |key: &str| {
             parameters[key].as_u64().map(|n| n as usize).filter(|n| *n < self.controllers.len())
         };
-        let down = seat("down");
+        let down = controller_index("down");
         let one = parameters["lose"].as_u64();
         let more = parameters["lose"].as_array().into_iter().flatten().filter_map(Value::as_u64);
         let lose: Vec<usize> = one.into_iter().chain(more).map(|n| n as usize).collect();
-        let alive: Vec<usize> = (0..self.controllers.len())
+        let running: Vec<usize> = (0..self.controllers.len())
             .filter(|controller| self.controllers[*controller].up)
             .collect();
         for controller in 0..self.controllers.len() {
@@ -183,7 +183,7 @@
         }
         let span = duration.unwrap_or(SECOND);
         // Controllers that were down before are not restarted.
-        for controller in alive.into_iter().filter(|controller| Some(*controller) != down) {
+        for controller in running.into_iter().filter(|controller| Some(*controller) != down) {
             self.later(span, FollowUp::StartController(controller));
         }
         for querier in 0..self.queriers.len() {
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -15,10 +15,10 @@
     scenario: &Scenario,
     seed: u64,
     faulty_variant: Option<world::FaultyVariant>,
-    weigh: bool,
+    count_messages: bool,
 ) -> World {
     let mut world = come_up(scenario, seed, faulty_variant);
-    world.net.message_counts = weigh.then(Default::default);
+    world.net.message_counts = count_messages.then(Default::default);
     play_on(&mut world, scenario);
     world
 }
@@ -75,8 +75,8 @@
 
 /// Runs the scenario on a cluster that has started.
 pub(super) fn play_on(world: &mut World, scenario: &Scenario) {
-    let troubles = scenario.faults.clone();
-    world.plan(troubles);
+    let faults = scenario.faults.clone();
+    world.plan(faults);
     world.start_calls(scenario.factor);
     world.run(scenario.seconds * SECOND);
     world.calls_end_at = world.now;
--- a/crates/simulator/src/scenario/read.rs
+++ b/crates/simulator/src/scenario/read.rs
@@ -167,9 +167,9 @@
     if value.get("seats").is_none() && value.get("controllers").is_none() {
         return world::three_voters();
     }
-    let seats = read_integer(value, "seats", 1, 9, diagnostics) as usize;
+    let voter_slots = read_integer(value, "seats", 1, 9, diagnostics) as usize;
     let machines = read_integer(value, "controllers", 1, 12, diagnostics) as usize;
-    if seats.is_multiple_of(2) || machines < seats {
+    if voter_slots.is_multiple_of(2) || machines < voter_slots {
         find(
             diagnostics,
             "seats",
@@ -177,7 +177,7 @@
         );
     }
     world::ControlPlaneSetup {
-        voter_slots: seats,
+        voter_slots,
         machines,
         slots_assigned: false,
         seeds: (0..machines.min(3)).collect(),
@@ -211,8 +211,8 @@
     let before = diagnostics.len();
     let action = value["do"].as_str().unwrap_or_default().to_string();
     let Some((_, fields)) = ACTIONS.iter().find(|known| known.0 == action) else {
-        let words: Vec<&str> = ACTIONS.iter().map(|known| known.0).collect();
-        find(diagnostics, format!("{at}.do"), format!("expected one of {}", words.join(", ")));
+        let names: Vec<&str> = ACTIONS.iter().map(|known| known.0).collect();
+        find(diagnostics, format!("{at}.do"), format!("expected one of {}", names.join(", ")));
         return None;
     };
     let Some(at_s) = value["at_s"].as_f64().filter(|seconds| (0.0..=86_400.0).contains(seconds))
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -285,8 +285,8 @@
         }
         let written = (files.sequence, files.records, false);
         match files.read(partition) {
-            StoredReplica::Intact { sequence: seq, records, is_torn: torn, .. }
-                if (seq, records, torn) == written =>
+            StoredReplica::Intact { sequence, records, is_torn, .. }
+                if (sequence, records, is_torn) == written =>
             {
                 None
             }
@@ -310,9 +310,9 @@
     }
 
     /// Writes the next slot and opens a log after it.
-    fn write_slot(&mut self, partition: PartitionId, copy: &ReplicaState) {
+    fn write_slot(&mut self, partition: PartitionId, state: &ReplicaState) {
         self.sequence += 1;
-        let raw = writer::slot(partition.0, self.sequence, copy);
+        let raw = writer::slot(partition.0, self.sequence, state);
         self.slots[(self.sequence % 2) as usize] = Some(raw);
         self.begin_log(partition);
         self.open = true;
@@ -326,7 +326,7 @@
                 self.log.get_or_insert_default().extend(raw);
                 self.records += 1;
             }
-            Job::Snapshot(copy) => self.write_slot(partition, &copy),
+            Job::Snapshot(state) => self.write_slot(partition, &state),
         }
         Ok(())
     }
@@ -351,9 +351,9 @@
                 self.records += 1;
                 complete
             }
-            Job::Snapshot(copy) => {
+            Job::Snapshot(state) => {
                 let sequence = self.sequence + 1;
-                let mut raw = writer::slot(partition.0, sequence, &copy);
+                let mut raw = writer::slot(partition.0, sequence, &state);
                 let torn = random.chance(1, 2);
                 if torn {
                     raw.truncate(random.below(raw.len() as u64) as usize);
@@ -380,11 +380,11 @@
         match &found {
             StoredReplica::Empty => *self = Files { set_aside: self.set_aside, ..Files::default() },
             StoredReplica::Damaged(_) => *self = Files { set_aside: true, ..Files::default() },
-            StoredReplica::Intact { state: copy, sequence: seq, .. } => {
-                self.sequence = *seq;
+            StoredReplica::Intact { state, sequence, .. } => {
+                self.sequence = *sequence;
                 self.open = false;
                 if !full {
-                    self.write_slot(partition, copy);
+                    self.write_slot(partition, state);
                 }
             }
         }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -91,18 +91,18 @@
         }
         let budget = call_kind.budget_ms.to_string();
         let read = caller::read_post(&call_kind.search, Some(&budget), body.to_string().as_bytes());
-        let Ok(ask) = read else { return };
+        let Ok(request) = read else { return };
         let thread = (id % u64::from(THREADS)) as usize;
         self.push(
             10,
             ScheduledEvent::QueryEngineEvent {
                 engine: QueryEngineId { querier, life, thread },
-                event: query_event::Event::Search { call: id, request: ask },
+                event: query_event::Event::Search { call: id, request },
             },
         );
     }
 
-    pub(super) fn altered_outcome(&mut self, kind: usize, outcome: Outcome) -> Outcome {
+    pub(super) fn outcome_of_variant(&mut self, kind: usize, outcome: Outcome) -> Outcome {
         let Outcome::Answered(mut full) = outcome else {
             if self.faulty_variant == Some(FaultyVariant::SucceedsBelowQuorum)
                 && let Outcome::Rejected(rejection) = &outcome
@@ -145,7 +145,7 @@
     pub(super) fn finish_call(&mut self, id: u64, outcome: Outcome) {
         let Some(call) = self.calls.remove(&id) else { return };
         let now = self.now - BEGIN;
-        let outcome = self.altered_outcome(call.kind, outcome);
+        let outcome = self.outcome_of_variant(call.kind, outcome);
         let written = caller::write(&outcome);
         let kind = self.call_kinds[call.kind].clone();
         let full = matches!(&outcome, Outcome::Answered(f) if f.missing == 0);
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -105,8 +105,8 @@
         {
             return;
         }
-        let trouble = node.disk.scrub(partition);
-        let (life, event) = (node.life, CoreEvent::Scrubbed { partition, corruption: trouble });
+        let corruption = node.disk.scrub(partition);
+        let (life, event) = (node.life, CoreEvent::Scrubbed { partition, corruption });
         self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
     }
 
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -144,9 +144,9 @@
             CoreEvent::FromVoter { message: Message::VoterSetUpdate { .. }, .. }
             | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
             | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
-            CoreEvent::FromVoter { slot: seat, replica_id: holder, message, .. } => {
+            CoreEvent::FromVoter { slot, replica_id, message, .. } => {
                 let table = &core.voter_slots.voter_file.table;
-                *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.holder);
+                *replica_id = table.slots.get(usize::from(*slot)).map_or(0, |h| h.holder);
                 if let Some(stamp) = grebepath_core::voters::stamp::stamp_of_mut(message) {
                     *stamp = core.voter_slots.stamp;
                 }
@@ -214,8 +214,8 @@
 
     pub(super) fn step_controller(&mut self, controller: usize, event: CoreEvent) {
         let local = self.now - self.controllers[controller].began + BOOT;
-        let todo = self.controllers[controller].state.step(local, event);
-        for command in todo {
+        let commands = self.controllers[controller].state.step(local, event);
+        for command in commands {
             self.run_controller_command(controller, command);
         }
         self.check_membership_memory(controller);
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -90,20 +90,20 @@
         if leaf.alive != Alive::Up || leaf.mode == mock_backends::Mode::Dark {
             return;
         }
-        let mut word = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
+        let mut report = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
         if leaf.name == info.leaf {
-            word.leaving = leaf.says_leaving()
+            report.leaving = leaf.says_leaving()
                 && self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs);
             if self.backends.ages {
-                word.age_ms = grebepath_core::time::since(leaf.born, self.now) / MILLI;
+                report.age_ms = grebepath_core::time::since(leaf.born, self.now) / MILLI;
             }
             if leaf.says_leaving() {
                 self.learn(&info.leaf.clone());
             }
         } else {
-            word.gone = true;
+            report.gone = true;
         }
-        let event = node_agent::Event::LeafReport { service: info.service.clone(), report: word };
+        let event = node_agent::Event::LeafReport { service: info.service.clone(), report };
         self.push(ms(1), ScheduledEvent::NodeAgentEvent { querier, life, event });
     }
 }
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -191,14 +191,12 @@
 
 fn copied(event: &CoreEvent) -> Option<CoreEvent> {
     Some(match event {
-        CoreEvent::FromVoter { slot: seat, replica_id: holder, connection, message } => {
-            CoreEvent::FromVoter {
-                slot: *seat,
-                replica_id: *holder,
-                connection: *connection,
-                message: message.clone(),
-            }
-        }
+        CoreEvent::FromVoter { slot, replica_id, connection, message } => CoreEvent::FromVoter {
+            slot: *slot,
+            replica_id: *replica_id,
+            connection: *connection,
+            message: message.clone(),
+        },
         CoreEvent::FromConnection { connection, message } => {
             CoreEvent::FromConnection { connection: *connection, message: message.clone() }
         }
@@ -210,22 +208,26 @@
 }
 
 fn describe(event: &ScheduledEvent) -> String {
-    let word = |message: &Message| {
+    let message_kind = |message: &Message| {
         let text = format!("{message:?}");
         text.split([' ', '(', '{']).next().unwrap_or_default().to_string()
     };
     match event {
         ScheduledEvent::ControllerEvent { controller, event, .. } => match event {
-            CoreEvent::FromVoter { slot: seat, message, .. } => {
-                format!("{} from slot {seat} to controller {controller}", word(message))
+            CoreEvent::FromVoter { slot, message, .. } => {
+                format!("{} from slot {slot} to controller {controller}", message_kind(message))
             }
             CoreEvent::FromConnection { connection, message } => {
                 let (Opener::Controller { number, .. } | Opener::Querier { number, .. }) =
                     Opener::of(*connection);
-                format!("{} from controller {} to controller {controller}", word(message), number)
+                format!(
+                    "{} from controller {} to controller {controller}",
+                    message_kind(message),
+                    number
+                )
             }
             CoreEvent::FromController { message } => {
-                format!("{} in answer to controller {controller}", word(message))
+                format!("{} in answer to controller {controller}", message_kind(message))
             }
             _ => format!("an event of controller {controller}"),
         },
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -105,7 +105,7 @@
         zone: &str,
         mut got: Result<LeafReply, AttemptFailure>,
     ) {
-        let AttemptKey { engine, attempt: dispatch } = key;
+        let AttemptKey { engine, attempt } = key;
         if let Ok(raw) = &mut got
             && !self.backends.ages
         {
@@ -117,7 +117,7 @@
             after,
             ScheduledEvent::QueryEngineEvent {
                 engine,
-                event: query_event::Event::AttemptEnded { attempt: dispatch, result: got },
+                event: query_event::Event::AttemptEnded { attempt, result: got },
             },
         );
     }
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -63,9 +63,9 @@
                 let peers = grebepath_core::query::quota::peers(&list);
                 self.tell_threads(querier, || query_event::Event::Peers(peers.clone()));
             }
-            node_agent::Command::Admission(door) => {
-                self.tell_threads(querier, || query_event::Event::ServingState(door));
-                if door == ServingState::ShuttingDown {
+            node_agent::Command::Admission(state) => {
+                self.tell_threads(querier, || query_event::Event::ServingState(state));
+                if state == ServingState::ShuttingDown {
                     self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
                 }
             }
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -28,23 +28,23 @@
         let fits = |controller: &usize| {
             self.controllers[*controller].up && self.controllers[*controller].has_voter_slot()
         };
-        let seats: Vec<usize> = (0..self.controllers.len()).filter(fits).collect();
+        let voters: Vec<usize> = (0..self.controllers.len()).filter(fits).collect();
         for i in 0..count {
             let n = self.operator_requests.len();
             let mut request = OperatorRequest::marked(n);
             if i % 2 == 0 {
-                let Some(controller) = seats.get(self.random.below(seats.len() as u64) as usize)
+                let Some(controller) = voters.get(self.random.below(voters.len() as u64) as usize)
                 else {
                     return;
                 };
-                let part = &self.controllers[*controller].state.partitions[0];
-                let Ok(conf) = Config::from_entries(&part.committed) else { return };
+                let partition = &self.controllers[*controller].state.partitions[0];
+                let Ok(conf) = Config::from_entries(&partition.committed) else { return };
                 let mut val = conf.to_json();
                 if let Some(zones) = val["zones"].as_array_mut() {
                     zones.push(json!({ "name": format!("mark-{n}"), "state": "open" }));
                 }
                 (request.operation, request.expect) =
-                    (OperatorRequest::replace(&val).operation, Some(part.committed_revision));
+                    (OperatorRequest::replace(&val).operation, Some(partition.committed_revision));
             }
             self.submit(0, request);
         }
@@ -94,8 +94,8 @@
         let now = self.now - BEGIN;
         self.rules.note(now, || {
             let text = match &result {
-                OperationResult::Accepted { revision, replicas: copies, .. } => {
-                    format!("accepted as {revision}, {copies} replicas")
+                OperationResult::Accepted { revision, replicas, .. } => {
+                    format!("accepted as {revision}, {replicas} replicas")
                 }
                 OperationResult::Rejected { why } => format!("rejected: {why}"),
                 OperationResult::Unknown { why } => format!("unknown: {why}"),
@@ -105,8 +105,10 @@
         });
         if let OperationResult::Accepted { revision, .. } = &result {
             self.rules.accepted.push((now, *revision));
-            for back in self.rules.pending_restarts.iter_mut().filter(|b| b.order == Some(id)) {
-                back.accepted = Some(now);
+            for restart in
+                self.rules.pending_restarts.iter_mut().filter(|check| check.order == Some(id))
+            {
+                restart.accepted = Some(now);
             }
             let asked = self.operator_requests[id].at - BEGIN;
             let zone = self.operator_requests[id].zone.clone().filter(|change| {
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -31,9 +31,10 @@
         node.query_engines = (0..THREADS)
             .map(|thread| {
                 let name = format!("{}-{thread}-{:x}", node.name, node.life);
-                let mut desk = QueryEngine::new(&name, &node.zone, seed ^ u64::from(thread), BOOT);
-                desk.thread_id = grebepath_core::query::quota::thread_id(&node.name, thread);
-                desk
+                let mut engine =
+                    QueryEngine::new(&name, &node.zone, seed ^ u64::from(thread), BOOT);
+                engine.thread_id = grebepath_core::query::quota::thread_id(&node.name, thread);
+                engine
             })
             .collect();
         node.wake_at = vec![0; THREADS as usize];
@@ -59,13 +60,13 @@
                 },
             );
         }
-        let gone: Vec<u64> = self
+        let lost_calls: Vec<u64> = self
             .calls
             .iter()
             .filter(|(_, c)| c.querier == querier && c.life == life)
             .map(|(id, _)| *id)
             .collect();
-        for id in gone {
+        for id in lost_calls {
             if let Some(c) = self.calls.remove(&id) {
                 self.tally(c.kind).unreachable += 1;
             }
@@ -135,30 +136,36 @@
 
     pub(super) fn step_node_agent(&mut self, querier: usize, event: node_agent::Event) {
         let local = self.now - self.queriers[querier].began + BOOT;
-        let todo = self.queriers[querier].node_agent.step(local, event);
+        let commands = self.queriers[querier].node_agent.step(local, event);
         if self.faulty_variant == Some(FaultyVariant::RevertsConfiguration)
             && self.queriers[querier].node_agent.configuration_revision > 0
         {
             self.queriers[querier].node_agent.is_caught_up = true;
         }
-        for command in todo {
+        for command in commands {
             self.run_node_agent_command(querier, command);
         }
-        let held = &self.queriers[querier].node_agent.partitions;
-        let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
-        for (part, revision) in places {
-            if revision > 0 && !self.already_compared(querier, part, revision) {
+        let partitions = &self.queriers[querier].node_agent.partitions;
+        let revisions: Vec<(u32, u64)> =
+            partitions.iter().map(|(p, h)| (p.0, h.revision)).collect();
+        for (partition, revision) in revisions {
+            if revision > 0 && !self.already_compared(querier, partition, revision) {
                 let sum = grebepath_core::storage::record::checksum(
-                    &self.queriers[querier].node_agent.partitions[&PartitionId(part)].entries,
+                    &self.queriers[querier].node_agent.partitions[&PartitionId(partition)].entries,
                 );
-                self.rules.check_replica(self.now - BEGIN, part, revision, sum);
+                self.rules.check_replica(self.now - BEGIN, partition, revision, sum);
             }
         }
     }
 
     /// Records that this querier's copy of a revision is compared; returns whether it already was.
-    pub(super) fn already_compared(&mut self, querier: usize, part: u32, revision: u64) -> bool {
-        let key = (1_000 + part + 100 * querier as u32, 0);
+    pub(super) fn already_compared(
+        &mut self,
+        querier: usize,
+        partition: u32,
+        revision: u64,
+    ) -> bool {
+        let key = (1_000 + partition + 100 * querier as u32, 0);
         self.rules.replica_sums.insert(key, revision) == Some(revision)
     }
 }
--- a/crates/simulator/src/world/query_engines.rs
+++ b/crates/simulator/src/world/query_engines.rs
@@ -42,14 +42,14 @@
         event: query_event::Event,
     ) {
         let local = self.now - self.queriers[querier].began + BOOT;
-        let deaf = self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs);
+        let hides_leaving = self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs);
         let node = &mut self.queriers[querier];
         if self.faulty_variant == Some(FaultyVariant::NoRetryBudget) {
             node.query_engines[thread].retry_budget.set_slack(1_000_000);
         }
         node.query_engines[thread].trials.limit = exposure_limit(self.faulty_variant);
-        let todo = node.query_engines[thread].step(local, event);
-        if deaf {
+        let commands = node.query_engines[thread].step(local, event);
+        if hides_leaving {
             for leaf in node.query_engines[thread].leafs.values_mut() {
                 leaf.draining = false;
             }
@@ -69,7 +69,7 @@
                 );
             }
         }
-        for command in todo {
+        for command in commands {
             self.run_query_engine_command(querier, thread, command);
         }
     }
@@ -85,9 +85,9 @@
             query_event::Command::Send(sending) => {
                 self.dispatch(QueryEngineId { querier, life, thread }, sending)
             }
-            query_event::Command::CancelAttempt { attempt: dispatch } => {
+            query_event::Command::CancelAttempt { attempt } => {
                 let engine = QueryEngineId { querier, life, thread };
-                self.close_attempt(AttemptKey { engine, attempt: dispatch });
+                self.close_attempt(AttemptKey { engine, attempt });
             }
             query_event::Command::Respond { call, outcome } => self.finish_call(call, outcome),
             query_event::Command::ReportTrial(evidence) => {
@@ -95,14 +95,14 @@
                 let event = node_agent::Event::TrialEvidence { thread, evidence };
                 self.push(THREAD_DELAY, ScheduledEvent::NodeAgentEvent { querier, life, event });
             }
-            query_event::Command::ReportLeaf { service, report: word } => {
+            query_event::Command::ReportLeaf { service, report } => {
                 if self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs) {
                     self.push(
                         THREAD_DELAY,
                         ScheduledEvent::NodeAgentEvent {
                             querier,
                             life,
-                            event: node_agent::Event::LeafReport { service, report: word },
+                            event: node_agent::Event::LeafReport { service, report },
                         },
                     );
                 }
--- a/crates/simulator/src/world/status.rs
+++ b/crates/simulator/src/world/status.rs
@@ -22,15 +22,15 @@
             return false;
         };
         let table = &best.state.voter_slots.voter_file.table;
-        let whole = |node: &ControllerNode| {
+        let votes_in_all = |node: &ControllerNode| {
             node.state.partitions.iter().all(|p| p.condition == ReplicaCondition::Voting)
         };
         table.slots.iter().enumerate().all(|(slot, voter)| {
-            let held: Vec<_> = self
+            let candidates: Vec<_> = self
                 .running_voters()
-                .filter(|node| usize::from(node.state.slot) == slot && whole(node))
+                .filter(|node| usize::from(node.state.slot) == slot && votes_in_all(node))
                 .collect();
-            held.len() == 1 && held[0].state.voter_slots.voter_file.me == voter.holder
+            candidates.len() == 1 && candidates[0].state.voter_slots.voter_file.me == voter.holder
         })
     }
 
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -180,8 +180,8 @@
             }
             FollowUp::ChangeAfterRestart { restart } => {
                 let request = self.submit_marked();
-                if let Some(back) = self.rules.pending_restarts.get_mut(restart) {
-                    back.order = Some(request);
+                if let Some(check) = self.rules.pending_restarts.get_mut(restart) {
+                    check.order = Some(request);
                 }
             }
             FollowUp::ZoneOrder { operator } => self.begin_zone_order(operator),
