--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -102,7 +102,7 @@
         );
     }
 
-    pub(super) fn outcome_of_variant(&mut self, kind: usize, outcome: Outcome) -> Outcome {
+    pub(super) fn apply_variant_to_outcome(&mut self, kind: usize, outcome: Outcome) -> Outcome {
         let Outcome::Answered(mut full) = outcome else {
             if self.faulty_variant == Some(FaultyVariant::SucceedsBelowQuorum)
                 && let Outcome::Rejected(rejection) = &outcome
@@ -145,7 +145,7 @@
     pub(super) fn finish_call(&mut self, id: u64, outcome: Outcome) {
         let Some(call) = self.calls.remove(&id) else { return };
         let now = self.now - BEGIN;
-        let outcome = self.outcome_of_variant(call.kind, outcome);
+        let outcome = self.apply_variant_to_outcome(call.kind, outcome);
         let written = caller::write(&outcome);
         let kind = self.call_kinds[call.kind].clone();
         let full = matches!(&outcome, Outcome::Answered(f) if f.missing == 0);
--- a/crates/simulator/src/world/in_touch.rs
+++ b/crates/simulator/src/world/control_plane_contact.rs
@@ -11,9 +11,9 @@
 use crate::scenario::ScheduledFault;
 
 /// Time after the end of a fault until a querier counts as connected again.
-const CONTACT: Span = 4 * SECOND;
+const CONTACT_DELAY: Span = 4 * SECOND;
 /// The same after a fault that ends all controllers.
-const CONTACT_AFTER_RESTART: Span = 2 * CONTACT;
+const CONTACT_DELAY_AFTER_RESTART: Span = 2 * CONTACT_DELAY;
 /// Duration of a fault whose scenario gives none.
 const FAULT_DEFAULT: Span = 5 * SECOND;
 
@@ -41,12 +41,12 @@
             disturbances.core_until = disturbances.core_until.max(now + span);
         };
         match fault.action.as_str() {
-            "kill-seat" | "stop-seat" | "pause-seat" | "hold-seat" => core(lasts + CONTACT),
-            "start-seat" | "add-seat" | "seeds" | "flip" => core(CONTACT),
-            "restart-all" => core(lasts + CONTACT_AFTER_RESTART),
+            "kill-seat" | "stop-seat" | "pause-seat" | "hold-seat" => core(lasts + CONTACT_DELAY),
+            "start-seat" | "add-seat" | "seeds" | "flip" => core(CONTACT_DELAY),
+            "restart-all" => core(lasts + CONTACT_DELAY_AFTER_RESTART),
             "disk" | "cut" | "loss" | "slow-net" => disturbances.lasts = true,
             "heal" | "mend-all" => {
-                core(CONTACT_AFTER_RESTART);
+                core(CONTACT_DELAY_AFTER_RESTART);
                 disturbances.lasts = false;
                 disturbances.list_good_since = now;
             }
@@ -57,7 +57,7 @@
             "kill-querier" | "stop-querier" | "pause-querier" => {
                 let querier = parameters["which"].as_u64().unwrap_or(0) as usize;
                 let until = disturbances.queriers_until.entry(querier).or_default();
-                *until = (*until).max(now + lasts + CONTACT);
+                *until = (*until).max(now + lasts + CONTACT_DELAY);
             }
             _ => {}
         }
@@ -65,11 +65,11 @@
 
     /// Records that a fault is injected into a controller now.
     pub(super) fn note_injected_fault(&mut self) {
-        self.disturbances.core_until = self.now + FAULT_DEFAULT + CONTACT;
+        self.disturbances.core_until = self.now + FAULT_DEFAULT + CONTACT_DELAY;
     }
 
     /// Returns whether a querier has contact with the control plane.
-    pub(super) fn is_in_touch(&self, querier: usize) -> bool {
+    pub(super) fn has_control_plane_contact(&self, querier: usize) -> bool {
         let disturbances = &self.disturbances;
         let until = disturbances.queriers_until.get(&querier).copied().unwrap_or(0);
         !disturbances.lasts && self.now >= disturbances.core_until && self.now >= until
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -48,7 +48,7 @@
         let got = match list::read(text.as_bytes()) {
             Ok((list, _)) => {
                 for leaf in list.iter().filter(|leaf| leaf.leaving) {
-                    self.learn(&leaf.leaf.clone());
+                    self.record_leaving_received(&leaf.leaf.clone());
                 }
                 Ok(list)
             }
@@ -69,7 +69,7 @@
     }
 
     /// Records that a process of the cluster has received a leaf's leaving state.
-    pub(super) fn learn(&mut self, leaf: &str) {
+    pub(super) fn record_leaving_received(&mut self, leaf: &str) {
         let now = self.now;
         if let Some(leaf) = self.backends.leafs.get_mut(leaf)
             && leaf.known_leaving.is_none()
@@ -98,7 +98,7 @@
                 report.age_ms = grebepath_core::time::since(leaf.born, self.now) / MILLI;
             }
             if leaf.says_leaving() {
-                self.learn(&info.leaf.clone());
+                self.record_leaving_received(&info.leaf.clone());
             }
         } else {
             report.gone = true;
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -60,7 +60,7 @@
     },
     LeafRequest {
         engine: QueryEngineId,
-        sending: Box<OutgoingAttempt>,
+        outgoing: Box<OutgoingAttempt>,
     },
     LeafResponse {
         run: u64,
@@ -144,24 +144,24 @@
         gap: Span,
     },
     /// Has an operator without request ids send its next request, or check the result at the end.
-    ZoneOrder {
+    ZoneRequest {
         /// The operator's number.
         operator: usize,
     },
     /// Ends the wait of an operator without request ids for a response.
-    OperatorSilence {
+    OperatorTimeout {
         /// The operator's number.
         operator: usize,
         /// The request whose response it waited for.
         request: usize,
     },
     /// Has an operator poll the state of its rollout.
-    RolloutLook {
+    RolloutPoll {
         /// The operator's number.
         operator: usize,
     },
     /// Ends the wait of a rollout's operator for a response.
-    RolloutSilence {
+    RolloutTimeout {
         /// The operator's number.
         operator: usize,
         /// The request whose response it waited for.
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -83,7 +83,7 @@
     pub(super) fn inject(&mut self, event: ScheduledEvent) -> Option<ScheduledEvent> {
         let (from, to) = self.injected.window;
         let at = self.now - BEGIN;
-        let controller = reaches(&event).filter(|_| from <= at && at < to);
+        let controller = numbered_event_target(&event).filter(|_| from <= at && at < to);
         let Some(controller) = controller else { return Some(event) };
         let number = self.injected.seen;
         self.injected.seen += 1;
@@ -94,12 +94,12 @@
             let Some(event) = left.take() else { break };
             let line = format!("{:.3} s: {fault:?} at {}", at as f64 / 1e6, describe(&event));
             self.injected.story.push(line);
-            left = self.strike(controller, fault, event);
+            left = self.apply_injected_fault(controller, fault, event);
         }
         left
     }
 
-    fn strike(
+    fn apply_injected_fault(
         &mut self,
         controller: usize,
         fault: Fault,
@@ -115,7 +115,7 @@
             }
             Fault::Repeat => {
                 if let ScheduledEvent::ControllerEvent { controller, life, event } = &event {
-                    let event = copied(event);
+                    let event = clone_delivery(event);
                     if let Some(event) = event {
                         self.push(
                             0,
@@ -165,7 +165,7 @@
 
 /// Returns the controller that receives an event, if the event is numbered: a
 /// message of another controller, or the end of a write.
-fn reaches(event: &ScheduledEvent) -> Option<usize> {
+fn numbered_event_target(event: &ScheduledEvent) -> Option<usize> {
     match event {
         ScheduledEvent::ControllerEvent { controller, event, .. } => match event {
             CoreEvent::FromVoter { message, .. } | CoreEvent::FromController { message } => {
@@ -189,7 +189,7 @@
         || matches!(message, Message::Heartbeat { partition, .. } | Message::HeartbeatAck { partition, .. } if partition.0 != 0)
 }
 
-fn copied(event: &CoreEvent) -> Option<CoreEvent> {
+fn clone_delivery(event: &CoreEvent) -> Option<CoreEvent> {
     Some(match event {
         CoreEvent::FromVoter { slot, replica_id, connection, message } => CoreEvent::FromVoter {
             slot: *slot,
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -9,7 +9,7 @@
 
 use super::events::{AttemptKey, QueryEngineId, ScheduledEvent};
 use super::faulty_variant::FaultyVariant;
-use super::nodes::{RequestUnderWay, Run};
+use super::nodes::{RequestInFlight, Run};
 use super::{BEGIN, World};
 use crate::mock_backends;
 use crate::mock_backends::{Alive, Mode};
@@ -27,49 +27,49 @@
 const REJECTS_BEYOND: u32 = 3;
 
 impl World {
-    pub(super) fn dispatch(&mut self, engine: QueryEngineId, mut sending: OutgoingAttempt) {
+    pub(super) fn send_attempt(&mut self, engine: QueryEngineId, mut outgoing: OutgoingAttempt) {
         let now = self.now - BEGIN;
-        self.rules.record_attempt(now, &sending.id, &sending.service);
+        self.rules.record_attempt(now, &outgoing.id, &outgoing.service);
         let who = self.queriers[engine.querier].name.clone();
-        if let Some(leaf) = self.backends.leafs.get(&sending.leaf) {
+        if let Some(leaf) = self.backends.leafs.get(&outgoing.leaf) {
             let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
             let version = leaf.version.clone();
-            self.rules.check_dispatch(now, &who, &sending.leaf, &zone, known);
+            self.rules.check_dispatch(now, &who, &outgoing.leaf, &zone, known);
             if let Some((rule, text)) =
-                self.rules.rollouts.sent(now, &sending.service, &version, FIRST_VERSION)
+                self.rules.rollouts.sent(now, &outgoing.service, &version, FIRST_VERSION)
             {
                 self.rules.violated(now, rule, format!("{who}: {text}"));
             }
         }
-        if let Some(shown_for) = self.shown_leaving_for(&sending.leaf)
-            && self.is_in_touch(engine.querier)
+        if let Some(shown_for) = self.shown_leaving_for(&outgoing.leaf)
+            && self.has_control_plane_contact(engine.querier)
         {
-            self.rules.check_shown_leaving(now, &who, &sending.leaf, shown_for);
+            self.rules.check_shown_leaving(now, &who, &outgoing.leaf, shown_for);
         }
         if self.faulty_variant == Some(FaultyVariant::AltersQuestion) {
-            let mut val: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
+            let mut val: Value = serde_json::from_slice(&outgoing.body).unwrap_or(Value::Null);
             val["question"] = json!("something else");
             let body = val.to_string().into_bytes();
-            sending.body_digest = digest(&body);
-            sending.body = std::sync::Arc::new(body);
+            outgoing.body_digest = digest(&body);
+            outgoing.body = std::sync::Arc::new(body);
         }
         // In any case the sender's timeout fires at the end of its budget.
         let event = query_event::Event::AttemptEnded {
-            attempt: sending.attempt,
+            attempt: outgoing.attempt,
             result: Err(AttemptFailure::DeadlineExceeded),
         };
-        self.push(sending.timeout, ScheduledEvent::QueryEngineEvent { engine, event });
-        let key = AttemptKey { engine, attempt: sending.attempt };
+        self.push(outgoing.timeout, ScheduledEvent::QueryEngineEvent { engine, event });
+        let key = AttemptKey { engine, attempt: outgoing.attempt };
         let zone = self.queriers[engine.querier].zone.clone();
         let leaf_zone =
-            self.backends.leafs.get(&sending.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
+            self.backends.leafs.get(&outgoing.leaf).map_or("a".into(), |leaf| leaf.zone.clone());
         let latency = latency(&zone, &leaf_zone, &mut self.random) + self.net.extra_latency;
         // The timeout closes the connection, which the leaf detects one latency later.
-        let closed = sending.timeout + CLOSE_DELAY + latency;
+        let closed = outgoing.timeout + CLOSE_DELAY + latency;
         self.push(closed, ScheduledEvent::LeafDisconnect { key });
-        let request = RequestUnderWay { arrives_at: self.now + latency, closed: false };
-        self.requests_under_way.insert(key, request);
-        self.push(latency, ScheduledEvent::LeafRequest { engine, sending: Box::new(sending) });
+        let request = RequestInFlight { arrives_at: self.now + latency, closed: false };
+        self.requests_in_flight.insert(key, request);
+        self.push(latency, ScheduledEvent::LeafRequest { engine, outgoing: Box::new(outgoing) });
     }
 
     /// Closes the connection of an attempt on the sender's side: the leaf detects it after the
@@ -78,7 +78,7 @@
         let run = self.runs_by_attempt.get(&key).and_then(|run| self.runs.get(run));
         let leaf_zone = run.and_then(|run| self.backends.leafs.get(&run.leaf));
         let leaf_zone = leaf_zone.map_or("a".into(), |leaf| leaf.zone.clone());
-        let after_request = match (run, self.requests_under_way.get(&key)) {
+        let after_request = match (run, self.requests_in_flight.get(&key)) {
             (Some(_), _) => self.now,
             (None, Some(request)) => request.arrives_at + 1,
             (None, None) => return,
@@ -90,10 +90,10 @@
     }
 
     /// Delivers the close of an attempt's connection to the leaf.
-    pub(super) fn leaf_sees_close(&mut self, key: AttemptKey) {
+    pub(super) fn deliver_disconnect(&mut self, key: AttemptKey) {
         if let Some(run) = self.runs_by_attempt.remove(&key) {
             self.end_run(run);
-        } else if let Some(request) = self.requests_under_way.get_mut(&key) {
+        } else if let Some(request) = self.requests_in_flight.get_mut(&key) {
             // The identity check is still in progress: the request is never sent.
             request.closed = true;
         }
@@ -123,14 +123,14 @@
     }
 
     /// Delivers a request to the machine of a leaf.
-    pub(super) fn leaf_gets(&mut self, engine: QueryEngineId, sending: OutgoingAttempt) {
+    pub(super) fn deliver_to_leaf(&mut self, engine: QueryEngineId, outgoing: OutgoingAttempt) {
         let now = self.now;
-        let key = AttemptKey { engine, attempt: sending.attempt };
-        let Some(request) = self.requests_under_way.remove(&key) else { return };
+        let key = AttemptKey { engine, attempt: outgoing.attempt };
+        let Some(request) = self.requests_in_flight.remove(&key) else { return };
         if request.closed {
             return;
         }
-        let name = self.backends.by_address.get(&sending.addr).cloned().unwrap_or_default();
+        let name = self.backends.by_address.get(&outgoing.addr).cloned().unwrap_or_default();
         let Some(leaf) = self.backends.leafs.get(&name) else { return };
         let zone = leaf.zone.clone();
         match leaf.alive {
@@ -138,11 +138,11 @@
             Alive::Down => return self.answer(key, &zone, Err(AttemptFailure::Unreachable)),
             Alive::Up => {}
         }
-        let misdirected = sending.leaf != leaf.name || sending.service != leaf.service.name;
+        let misdirected = outgoing.leaf != leaf.name || outgoing.service != leaf.service.name;
         let rejection = |status| Ok(leaf.rejection(now, status));
         // A connection ends with the leaf's process, and on a new one the leaf's identity is
         // checked before any request is sent.
-        let connection = (engine, sending.addr.clone());
+        let connection = (engine, outgoing.addr.clone());
         let known = self.connections.get(&connection) == Some(&name);
         if !known && self.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
             if misdirected {
@@ -152,26 +152,26 @@
             self.connections.insert(connection, name);
             let own_zone = self.queriers[engine.querier].zone.clone();
             let after = 2 * latency(&own_zone, &zone, &mut self.random);
-            let sending = Box::new(sending);
-            self.requests_under_way.insert(key, request);
-            return self.push(after, ScheduledEvent::LeafRequest { engine, sending });
+            let outgoing = Box::new(outgoing);
+            self.requests_in_flight.insert(key, request);
+            return self.push(after, ScheduledEvent::LeafRequest { engine, outgoing });
         }
         let who = &self.queriers[engine.querier].name;
         let service = &leaf.service.name;
-        self.rules.check_destination(now - BEGIN, who, &name, service, &sending.service);
+        self.rules.check_destination(now - BEGIN, who, &name, service, &outgoing.service);
         if misdirected {
             let response = rejection(MISDIRECTED);
             return self.answer(key, &zone, response);
         }
-        if digest(&sending.body) != sending.body_digest {
+        if digest(&outgoing.body) != outgoing.body_digest {
             let response = rejection(BAD_REQUEST);
             return self.answer(key, &zone, response);
         }
-        self.start_work(key, name, sending);
+        self.start_work(key, name, outgoing);
     }
 
     /// Starts the work of a leaf on an attempt, unless the leaf rejects it.
-    fn start_work(&mut self, key: AttemptKey, name: String, sending: OutgoingAttempt) {
+    fn start_work(&mut self, key: AttemptKey, name: String, outgoing: OutgoingAttempt) {
         let now = self.now;
         let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
         leaf.in_progress += 1;
@@ -186,7 +186,7 @@
             leaf.in_progress -= 1;
             let (zone, response) = (leaf.zone.clone(), leaf.rejection(now, UNAVAILABLE));
             if leaf.says_leaving() {
-                self.learn(&name);
+                self.record_leaving_received(&name);
             }
             return self.answer(key, &zone, Ok(response));
         }
@@ -200,12 +200,12 @@
         if let Some((rule, text)) = self.rules.rollouts.arrived(now - BEGIN, &service, &version) {
             self.rules.violated(now - BEGIN, rule, text);
         }
-        let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
+        let asked: Value = serde_json::from_slice(&outgoing.body).unwrap_or(Value::Null);
         let question = asked["question"].as_str().unwrap_or_default();
         self.rules.check_question(now - BEGIN, &name, question);
         let run = self.queue.next_number();
         self.runs_by_attempt.insert(key, run);
-        self.runs.insert(run, Run { key, leaf: name, sending });
+        self.runs.insert(run, Run { key, leaf: name, outgoing });
         self.push(took, ScheduledEvent::LeafResponse { run });
     }
 
@@ -218,7 +218,7 @@
         Some(run)
     }
 
-    pub(super) fn leaf_done(&mut self, run: u64) {
+    pub(super) fn finish_run(&mut self, run: u64) {
         let Some(run) = self.end_run(run) else { return };
         let now = self.now;
         let Some(leaf) = self.backends.leafs.get_mut(&run.leaf) else { return };
@@ -226,8 +226,8 @@
         if leaf.alive != Alive::Up {
             return;
         }
-        let mut raw = leaf.response(now, &run.sending);
-        let asked: Value = serde_json::from_slice(&run.sending.body).unwrap_or(Value::Null);
+        let mut raw = leaf.response(now, &run.outgoing);
+        let asked: Value = serde_json::from_slice(&run.outgoing.body).unwrap_or(Value::Null);
         let search = asked["mapping"].as_str().unwrap_or_default();
         if leaf.breaks_answer(now, search, &mut self.random) {
             raw.body.truncate(raw.body.len() / 2);
@@ -235,10 +235,10 @@
         } else if mock_backends::answers_correctly(leaf.mode, asked["limit"].as_u64().unwrap_or(0))
         {
             let question = asked["question"].as_str().unwrap_or_default();
-            self.rules.record_answer(&leaf.service.name, &run.sending.id, question);
+            self.rules.record_answer(&leaf.service.name, &run.outgoing.id, question);
         }
         if leaf.says_leaving() {
-            self.learn(&run.leaf);
+            self.record_leaving_received(&run.leaf);
             if self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs) {
                 raw.headers = ReplyHeaders { state: None, ..raw.headers };
             }
--- a/crates/simulator/src/world/membership_memory.rs
+++ b/crates/simulator/src/world/membership_memory.rs
@@ -8,7 +8,7 @@
 
 /// Time that a voter may take until it has the membership again: a leader is elected, detects
 /// that the voter is a new process, and sends it. After that no other copy is needed.
-const MEMORY_AFTER: Span = 2 * SECOND;
+const TRANSFER_TIME: Span = 2 * SECOND;
 
 /// Observed memberships, and the processes that should hold them.
 #[derive(Default)]
@@ -45,7 +45,7 @@
             return;
         }
         let turn = members.membership.turn;
-        if turn < self.membership_memory.last_turn && self.is_remembered_somewhere() {
+        if turn < self.membership_memory.last_turn && self.is_held_by_a_voter() {
             let text = format!(
                 "{:.3} s: controller {controller} leads with turn {turn}, an earlier leader had turn {}",
                 (self.now - BEGIN) as f64 / SECOND as f64,
@@ -60,11 +60,11 @@
     }
 
     /// Returns whether a running voter has had time to receive the newest membership.
-    fn is_remembered_somewhere(&self) -> bool {
+    fn is_held_by_a_voter(&self) -> bool {
         self.controllers.iter().zip(&self.membership_memory.voting_since).any(|(node, since)| {
             let is_reached = node.up && node.paused <= self.now;
             let knows = since.is_some_and(|since| {
-                since.life == node.life && since.at + MEMORY_AFTER <= self.now
+                since.life == node.life && since.at + TRANSFER_TIME <= self.now
             });
             is_reached && knows
         })
--- a/crates/simulator/src/world/mod.rs
+++ b/crates/simulator/src/world/mod.rs
@@ -13,14 +13,13 @@
 
 mod build;
 mod callers;
-mod cold_leafs;
+mod control_plane_contact;
 mod controller_commands;
 mod controller_disks;
 mod controllers;
 mod discovery;
 mod events;
 mod faulty_variant;
-mod in_touch;
 mod injected_faults;
 mod leafs;
 mod membership_memory;
@@ -31,6 +30,7 @@
 mod queriers;
 mod query_engines;
 mod rollouts;
+mod slow_start_leafs;
 mod status;
 mod time_loop;
 mod zone_operators;
@@ -40,7 +40,7 @@
 use events::{AttemptKey, QueryEngineId, ScheduledEvent};
 pub use faulty_variant::FaultyVariant;
 pub use injected_faults::{FAULTS, Fault, FaultInjection, InjectedFault};
-use nodes::{Call, RequestUnderWay, Run};
+use nodes::{Call, RequestInFlight, Run};
 pub use nodes::{CallOutcomes, ControllerNode, QuerierNode, Stopping};
 pub use operator_request::{OperatorRequest, ZoneChange};
 
@@ -71,7 +71,7 @@
     runs: BTreeMap<u64, Run>,
     runs_by_attempt: BTreeMap<AttemptKey, u64>,
     /// Attempts whose request hasn't reached a leaf's process yet.
-    requests_under_way: BTreeMap<AttemptKey, RequestUnderWay>,
+    requests_in_flight: BTreeMap<AttemptKey, RequestInFlight>,
     /// The leaf that the identity check found on each connection.
     connections: BTreeMap<(QueryEngineId, String), String>,
     calls: BTreeMap<u64, Call>,
@@ -87,9 +87,9 @@
     pub tallies: BTreeMap<String, CallOutcomes>,
     /// The fault that the cluster has on purpose.
     pub faulty_variant: Option<FaultyVariant>,
-    cold_leafs: cold_leafs::ColdLeafs,
+    slow_start_leafs: slow_start_leafs::SlowStartLeafs,
     membership_memory: membership_memory::MembershipMemory,
-    disturbances: in_touch::Disturbances,
+    disturbances: control_plane_contact::Disturbances,
     /// The faults of the scenario, each applied at its time.
     pub faults: Vec<crate::scenario::ScheduledFault>,
     /// Time from which on no calls are started.
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -61,19 +61,19 @@
                 let list: Vec<_> =
                     clients.into_iter().map(|c| (c.name, c.threads, c.zone)).collect();
                 let peers = grebepath_core::query::quota::peers(&list);
-                self.tell_threads(querier, || query_event::Event::Peers(peers.clone()));
+                self.send_to_threads(querier, || query_event::Event::Peers(peers.clone()));
             }
             node_agent::Command::Admission(state) => {
-                self.tell_threads(querier, || query_event::Event::ServingState(state));
+                self.send_to_threads(querier, || query_event::Event::ServingState(state));
                 if state == ServingState::ShuttingDown {
                     self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
                 }
             }
             node_agent::Command::ServingUntil(until) => {
-                self.tell_threads(querier, || query_event::Event::LeaseValidUntil(until));
+                self.send_to_threads(querier, || query_event::Event::LeaseValidUntil(until));
             }
             node_agent::Command::TrialsUntil(until) => {
-                self.tell_threads(querier, || query_event::Event::TrialsUntil(until));
+                self.send_to_threads(querier, || query_event::Event::TrialsUntil(until));
             }
             node_agent::Command::Ready(ready) => self.queriers[querier].ready = ready,
             node_agent::Command::PollLeafList => self.poll_list(querier),
@@ -92,7 +92,7 @@
     }
 
     /// Sends an event to each thread of a querier.
-    fn tell_threads(&mut self, querier: usize, event: impl Fn() -> query_event::Event) {
+    fn send_to_threads(&mut self, querier: usize, event: impl Fn() -> query_event::Event) {
         let life = self.queriers[querier].life;
         for thread in 0..THREADS as usize {
             let engine = QueryEngineId { querier, life, thread };
@@ -144,7 +144,7 @@
             }
             _ => view,
         };
-        self.tell_threads(querier, || query_event::Event::ClusterView(view.clone()));
+        self.send_to_threads(querier, || query_event::Event::ClusterView(view.clone()));
     }
 
     fn send_from_querier(&mut self, querier: usize, controller: usize, message: Message) {
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -87,12 +87,12 @@
 pub(super) struct Run {
     pub(super) key: AttemptKey,
     pub(super) leaf: String,
-    pub(super) sending: OutgoingAttempt,
+    pub(super) outgoing: OutgoingAttempt,
 }
 
 /// A request that hasn't reached its leaf yet.
 #[derive(Clone, Copy)]
-pub(super) struct RequestUnderWay {
+pub(super) struct RequestInFlight {
     /// When it reaches the leaf.
     pub(super) arrives_at: Tick,
     /// Whether its sender closed the connection before the request was sent.
--- a/crates/simulator/src/world/operator_request.rs
+++ b/crates/simulator/src/world/operator_request.rs
@@ -15,7 +15,7 @@
 
 /// An attempt of an operator that sends requests without ids (`zone_operators`).
 #[derive(Clone, Copy, Debug)]
-pub struct UnnamedOrder {
+pub struct AttemptWithoutId {
     /// The operator's number.
     pub operator: usize,
     /// Redirections of this operation so far (count).
@@ -43,7 +43,7 @@
     /// Additional delay of its connection.
     pub held_for: Span,
     /// The operation that it is an attempt of, if its sender uses no ids.
-    pub unnamed: Option<UnnamedOrder>,
+    pub without_id: Option<AttemptWithoutId>,
     /// The rollout operator that waits for its result.
     pub rollout: Option<usize>,
 }
@@ -60,7 +60,7 @@
             marker: None,
             expect: None,
             held_for: 0,
-            unnamed: None,
+            without_id: None,
             rollout: None,
         }
     }
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -130,11 +130,11 @@
         }
         self.acknowledged_at.insert(id, self.now);
         self.operator_requests[id].result = Some(result);
-        if let Some(order) = self.operator_requests[id].unnamed {
-            self.answer_zone_operator(order, id);
+        if let Some(order) = self.operator_requests[id].without_id {
+            self.respond_to_zone_operator(order, id);
         }
         if let Some(operator) = self.operator_requests[id].rollout {
-            self.answer_rollout_operator(operator, id);
+            self.respond_to_rollout_operator(operator, id);
         }
     }
 
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -74,7 +74,7 @@
         let runs: Vec<AttemptKey> = self
             .runs_by_attempt
             .keys()
-            .chain(self.requests_under_way.keys())
+            .chain(self.requests_in_flight.keys())
             .filter(|key| key.engine.querier == querier && key.engine.life == life)
             .copied()
             .collect();
--- a/crates/simulator/src/world/query_engines.rs
+++ b/crates/simulator/src/world/query_engines.rs
@@ -82,8 +82,8 @@
     ) {
         let life = self.queriers[querier].life;
         match command {
-            query_event::Command::Send(sending) => {
-                self.dispatch(QueryEngineId { querier, life, thread }, sending)
+            query_event::Command::Send(outgoing) => {
+                self.send_attempt(QueryEngineId { querier, life, thread }, outgoing)
             }
             query_event::Command::CancelAttempt { attempt } => {
                 let engine = QueryEngineId { querier, life, thread };
--- a/crates/simulator/src/world/rollouts.rs
+++ b/crates/simulator/src/world/rollouts.rs
@@ -15,15 +15,15 @@
 use crate::version_fault::VersionFault;
 
 /// Time without a response after which an operator repeats its request.
-const PATIENCE: Span = SECOND;
+const RESPONSE_TIMEOUT: Span = SECOND;
 /// Time between two polls of a rollout.
-const LOOK: Span = ms(300);
+const POLL_INTERVAL: Span = ms(300);
 /// Polls of a rollout after its end (count): its state must not change any more.
-const LOOKS_AFTER_END: u32 = 10;
+const POLLS_AFTER_END: u32 = 10;
 /// Time from the end of a rolled-back rollout until its leafs leave.
-const LEAVES_AFTER: Span = 2 * SECOND;
+const LEAVE_DELAY: Span = 2 * SECOND;
 /// Time limit of a rollout whose scenario gives none.
-const DEFAULT_TERM_S: f64 = 12.0;
+const DEFAULT_TIME_LIMIT_S: f64 = 12.0;
 
 /// An operator and its rollout.
 pub struct RolloutOperator {
@@ -31,8 +31,8 @@
     /// The leafs of the target version.
     leafs: Vec<String>,
     is_ordered: bool,
-    waits_for: Option<usize>,
-    looks_left: u32,
+    awaited_request: Option<usize>,
+    polls_left: u32,
     is_over: bool,
 }
 
@@ -43,7 +43,7 @@
             |key: &str, default: &str| parameters[key].as_str().unwrap_or(default).to_string();
         let (service, target) = (text("service", ""), text("version", "v2"));
         let fault = VersionFault::read(parameters).unwrap_or(VersionFault::Sound);
-        let term_ms = (parameters["over_s"].as_f64().unwrap_or(DEFAULT_TERM_S) * 1e3) as u64;
+        let term_ms = (parameters["over_s"].as_f64().unwrap_or(DEFAULT_TIME_LIMIT_S) * 1e3) as u64;
         let now = self.now - BEGIN;
         self.rules.rollouts.ordered(now, &service, &target, fault.is_bad(), term_ms * MILLI);
         let leafs = self.start_version(&service, &target, &fault);
@@ -52,12 +52,12 @@
             order,
             leafs,
             is_ordered: false,
-            waits_for: None,
-            looks_left: LOOKS_AFTER_END,
+            awaited_request: None,
+            polls_left: POLLS_AFTER_END,
             is_over: false,
         };
         self.rollout_operators.push(operator);
-        self.ask_about_rollout(self.rollout_operators.len() - 1);
+        self.send_rollout_request(self.rollout_operators.len() - 1);
     }
 
     /// Starts a leaf of a version beside each leaf of a service.
@@ -81,7 +81,7 @@
     }
 
     /// Sends the operator's rollout order, or polls the rollout if the order was accepted.
-    pub(super) fn ask_about_rollout(&mut self, operator: usize) {
+    pub(super) fn send_rollout_request(&mut self, operator: usize) {
         let entry = &self.rollout_operators[operator];
         let order = entry.order.clone();
         let mut request = if entry.is_ordered {
@@ -93,61 +93,61 @@
         };
         request.rollout = Some(operator);
         let number = self.submit(0, request);
-        self.rollout_operators[operator].waits_for = Some(number);
-        self.later(PATIENCE, FollowUp::RolloutSilence { operator, request: number });
+        self.rollout_operators[operator].awaited_request = Some(number);
+        self.later(RESPONSE_TIMEOUT, FollowUp::RolloutTimeout { operator, request: number });
     }
 
     /// Repeats a request that has had no response in time, at any controller.
-    pub(super) fn end_rollout_patience(&mut self, operator: usize, request: usize) {
-        if self.rollout_operators[operator].waits_for == Some(request) {
-            self.ask_about_rollout(operator);
+    pub(super) fn time_out_rollout_request(&mut self, operator: usize, request: usize) {
+        if self.rollout_operators[operator].awaited_request == Some(request) {
+            self.send_rollout_request(operator);
         }
     }
 
     /// Handles a response to the operator, if it still waits for it.
-    pub(super) fn answer_rollout_operator(&mut self, operator: usize, request: usize) {
-        if self.rollout_operators[operator].waits_for != Some(request) {
+    pub(super) fn respond_to_rollout_operator(&mut self, operator: usize, request: usize) {
+        if self.rollout_operators[operator].awaited_request != Some(request) {
             return;
         }
-        self.rollout_operators[operator].waits_for = None;
+        self.rollout_operators[operator].awaited_request = None;
         match self.operator_requests[request].result.clone() {
             Some(OperationResult::Accepted { .. }) => {
                 self.rollout_operators[operator].is_ordered = true;
             }
             Some(OperationResult::Rollout(Some(rollout))) => {
-                let end = self.told_end(operator, &rollout);
-                self.note_told(operator, end);
+                let end = self.reported_end(operator, &rollout);
+                self.record_reported_end(operator, end);
             }
             _ => {}
         }
-        if self.rollout_operators[operator].looks_left > 0 {
-            self.later(LOOK, FollowUp::RolloutLook { operator });
+        if self.rollout_operators[operator].polls_left > 0 {
+            self.later(POLL_INTERVAL, FollowUp::RolloutPoll { operator });
         }
     }
 
     /// Returns the end of a rollout as the operator reads it from a response.
-    fn told_end(&self, operator: usize, rollout: &Rollout) -> Option<ToldEnd> {
-        let is_second_look = self.rollout_operators[operator].looks_left % 2 == 1;
-        if self.faulty_variant == Some(FaultyVariant::AnswersOldRollouts) && is_second_look {
+    fn reported_end(&self, operator: usize, rollout: &Rollout) -> Option<ToldEnd> {
+        let is_second_poll = self.rollout_operators[operator].polls_left % 2 == 1;
+        if self.faulty_variant == Some(FaultyVariant::AnswersOldRollouts) && is_second_poll {
             return None;
         }
-        let tells_early = self.faulty_variant == Some(FaultyVariant::TellsEndsEarly);
+        let reports_early = self.faulty_variant == Some(FaultyVariant::TellsEndsEarly);
         match rollout.phase() {
             RolloutPhase::Delivered => Some(ToldEnd::Delivered),
             RolloutPhase::Returned => Some(ToldEnd::Returned),
-            RolloutPhase::Forward if tells_early => Some(ToldEnd::Delivered),
-            RolloutPhase::Back if tells_early => Some(ToldEnd::Returned),
+            RolloutPhase::Forward if reports_early => Some(ToldEnd::Delivered),
+            RolloutPhase::Back if reports_early => Some(ToldEnd::Returned),
             RolloutPhase::Trial | RolloutPhase::Forward | RolloutPhase::Back => None,
         }
     }
 
     /// Records the state of the rollout that was reported to its operator.
-    fn note_told(&mut self, operator: usize, end: Option<ToldEnd>) {
+    fn record_reported_end(&mut self, operator: usize, end: Option<ToldEnd>) {
         let now = self.now - BEGIN;
         let entry = &mut self.rollout_operators[operator];
         let was_over = std::mem::replace(&mut entry.is_over, end.is_some());
         if end.is_some() {
-            entry.looks_left -= 1;
+            entry.polls_left -= 1;
         }
         let (service, leafs) = (entry.order.service.clone(), entry.leafs.clone());
         if let Some((rule, text)) = self.rules.rollouts.told(now, &service, end) {
@@ -156,7 +156,7 @@
         match end {
             Some(ToldEnd::Delivered) if !was_over => self.stop_other_versions(&service, &leafs),
             Some(ToldEnd::Returned) if !was_over => {
-                self.later(LEAVES_AFTER, FollowUp::RolloutLeafsLeave { operator });
+                self.later(LEAVE_DELAY, FollowUp::RolloutLeafsLeave { operator });
             }
             _ => {}
         }
--- a/crates/simulator/src/world/cold_leafs.rs
+++ b/crates/simulator/src/world/slow_start_leafs.rs
@@ -19,13 +19,13 @@
 /// The same rate in thousandths of an attempt per second, the unit of the configuration.
 const RATE: u64 = PER_SECOND * 1_000;
 /// The most attempts that the requirements allow in any second: 1.5 times the rate, plus five.
-const MOST_IN_A_SECOND: usize = (PER_SECOND * 3 / 2 + 5) as usize;
+const MAX_ATTEMPTS_PER_SECOND: usize = (PER_SECOND * 3 / 2 + 5) as usize;
 /// The check is skipped in larger clusters, as each timer visits all threads.
-const MOST_QUERIERS: usize = 20;
+const MAX_QUERIERS: usize = 20;
 
 /// Attempts that engines sent to the leafs in slow start.
 #[derive(Default)]
-pub(super) struct ColdLeafs {
+pub(super) struct SlowStartLeafs {
     /// The state that each engine keeps of each leaf.
     known: BTreeMap<(QueryEngineId, usize), LeafState>,
     /// Send times of the attempts to each leaf, within the last second.
@@ -34,8 +34,8 @@
 
 impl World {
     /// Sends as many attempts to the leafs in slow start as the engines of a querier may send now.
-    pub(super) fn send_to_cold_leafs(&mut self, querier: usize, life: u64) {
-        if self.queriers.len() > MOST_QUERIERS {
+    pub(super) fn send_to_slow_start_leafs(&mut self, querier: usize, life: u64) {
+        if self.queriers.len() > MAX_QUERIERS {
             return;
         }
         for thread in 0..self.queriers[querier].query_engines.len() {
@@ -60,7 +60,7 @@
         };
         let mut sent = Vec::new();
         for (index, name) in LEAFS.iter().enumerate() {
-            let known = self.cold_leafs.known.entry((engine, index));
+            let known = self.slow_start_leafs.known.entry((engine, index));
             let leaf = known.or_insert_with(|| LeafState::new(name, BOOT));
             while leaf.slow_start_admits(&share, RATE, local) {
                 leaf.spend_slow_start_credit(RATE, local);
@@ -68,20 +68,20 @@
             }
         }
         for index in sent {
-            self.cold_leaf_is_sent(index);
+            self.record_slow_start_attempt(index);
         }
     }
 
-    fn cold_leaf_is_sent(&mut self, index: usize) {
+    fn record_slow_start_attempt(&mut self, index: usize) {
         let now = self.now;
-        let sent = &mut self.cold_leafs.sent[index];
+        let sent = &mut self.slow_start_leafs.sent[index];
         sent.push_back(now);
         while sent.front().is_some_and(|first| first + SECOND <= now) {
             sent.pop_front();
         }
         let count = sent.len();
-        if count > MOST_IN_A_SECOND {
-            self.rules.check_cold_rate(now - BEGIN, LEAFS[index], count, MOST_IN_A_SECOND);
+        if count > MAX_ATTEMPTS_PER_SECOND {
+            self.rules.check_cold_rate(now - BEGIN, LEAFS[index], count, MAX_ATTEMPTS_PER_SECOND);
         }
     }
 }
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -65,7 +65,7 @@
             ScheduledEvent::QuerierTimer { querier, life } => {
                 self.push(membership_step::WAKE, ScheduledEvent::QuerierTimer { querier, life });
                 self.step_node_agent(querier, node_agent::Event::Wake);
-                self.send_to_cold_leafs(querier, life);
+                self.send_to_slow_start_leafs(querier, life);
             }
             ScheduledEvent::NodeAgentEvent { querier, event, .. } => {
                 self.deliver_to_node_agent(querier, event);
@@ -77,9 +77,11 @@
                 self.step_query_engine(engine.querier, engine.thread, event);
             }
             ScheduledEvent::QueryEngineTimer { engine, at } => self.wake_query_engine(engine, at),
-            ScheduledEvent::LeafRequest { engine, sending } => self.leaf_gets(engine, *sending),
-            ScheduledEvent::LeafResponse { run } => self.leaf_done(run),
-            ScheduledEvent::LeafDisconnect { key } => self.leaf_sees_close(key),
+            ScheduledEvent::LeafRequest { engine, outgoing } => {
+                self.deliver_to_leaf(engine, *outgoing)
+            }
+            ScheduledEvent::LeafResponse { run } => self.finish_run(run),
+            ScheduledEvent::LeafDisconnect { key } => self.deliver_disconnect(key),
             ScheduledEvent::Probe { querier, life, info } => {
                 self.answer_probe(querier, life, &info);
             }
@@ -184,14 +186,14 @@
                     check.order = Some(request);
                 }
             }
-            FollowUp::ZoneOrder { operator } => self.begin_zone_order(operator),
-            FollowUp::RolloutLook { operator } => self.ask_about_rollout(operator),
-            FollowUp::RolloutSilence { operator, request } => {
-                self.end_rollout_patience(operator, request);
+            FollowUp::ZoneRequest { operator } => self.begin_zone_operation(operator),
+            FollowUp::RolloutPoll { operator } => self.send_rollout_request(operator),
+            FollowUp::RolloutTimeout { operator, request } => {
+                self.time_out_rollout_request(operator, request);
             }
             FollowUp::RolloutLeafsLeave { operator } => self.version_leaves(operator),
-            FollowUp::OperatorSilence { operator, request } => {
-                self.end_operator_patience(operator, request);
+            FollowUp::OperatorTimeout { operator, request } => {
+                self.time_out_zone_request(operator, request);
             }
             FollowUp::RequestStorm { left, gap } => {
                 self.submit_marked();
--- a/crates/simulator/src/world/zone_operators.rs
+++ b/crates/simulator/src/world/zone_operators.rs
@@ -8,11 +8,11 @@
 
 use super::events::FollowUp;
 use super::faulty_variant::FaultyVariant;
-use super::operator_request::{OperatorRequest, UnnamedOrder};
+use super::operator_request::{AttemptWithoutId, OperatorRequest};
 use super::{BEGIN, World};
 
 /// Time without a response after which an operator uses another controller.
-const SILENCE: Span = SECOND;
+const RESPONSE_TIMEOUT: Span = SECOND;
 /// Backoff between a failure and the next attempt.
 const RETRY_PAUSE: Span = ms(100);
 /// Pause between two requests, in which the result of the last one must not change.
@@ -20,11 +20,11 @@
 /// Pause after the last request, in which all delayed requests arrive.
 const LAST_PAUSE: Span = 8 * SECOND;
 /// One attempt in this many is delayed by its connection.
-const HELD_IN: u64 = 2;
+const DELAYED_ONE_IN: u64 = 2;
 /// The longest delay (ms).
-const LONGEST_HOLD: u64 = 5_000;
+const MAX_DELAY_MS: u64 = 5_000;
 /// Redirections that an operator follows (count).
-const MOST_REDIRECTIONS: u32 = 2;
+const MAX_REDIRECTIONS: u32 = 2;
 
 /// An operator and its current operation.
 pub struct ZoneOperator {
@@ -34,32 +34,32 @@
     /// Remaining operations, including this one (count).
     left: u64,
     /// The request whose response it waits for.
-    waits_for: Option<usize>,
+    awaited_request: Option<usize>,
 }
 
 impl World {
     /// Adds an operator that alternately drains and opens a zone, `orders` times in total.
     pub fn add_zone_operator(&mut self, zone: &str, orders: u64) {
         let zone = zone.to_string();
-        let operator = ZoneOperator { zone, drained: true, left: orders, waits_for: None };
+        let operator = ZoneOperator { zone, drained: true, left: orders, awaited_request: None };
         self.zone_operators.push(operator);
-        self.later(0, FollowUp::ZoneOrder { operator: self.zone_operators.len() - 1 });
+        self.later(0, FollowUp::ZoneRequest { operator: self.zone_operators.len() - 1 });
     }
 
     /// Starts the operator's next operation, or only checks the zone's state after the last one.
-    pub(super) fn begin_zone_order(&mut self, operator: usize) {
-        self.judge_zone_of(operator);
+    pub(super) fn begin_zone_operation(&mut self, operator: usize) {
+        self.check_zone(operator);
         let ZoneOperator { zone, drained, left, .. } = &self.zone_operators[operator];
         if *left == 0 {
             return;
         }
         let (zone, drained) = (zone.clone(), *drained);
         self.rules.sender_goes_on(operator, &zone, drained);
-        self.send_zone_order(operator, None, 0);
+        self.send_zone_request(operator, None, 0);
     }
 
     /// Sends one attempt of the operation to any controller.
-    fn send_zone_order(
+    fn send_zone_request(
         &mut self,
         operator: usize,
         confirmed: Option<(String, u64)>,
@@ -70,10 +70,10 @@
             true => OperatorRequest::drain(zone),
             false => OperatorRequest::undrain(zone),
         };
-        if self.random.chance(1, HELD_IN) {
-            request.held_for = ms(self.random.below(LONGEST_HOLD));
+        if self.random.chance(1, DELAYED_ONE_IN) {
+            request.held_for = ms(self.random.below(MAX_DELAY_MS));
         }
-        request.unnamed = Some(UnnamedOrder { operator, redirections });
+        request.without_id = Some(AttemptWithoutId { operator, redirections });
         (request.request, request.expect) = match confirmed {
             Some((id, revision)) => (Some(id), Some(revision)),
             // A faulty listener that generates an id for a request without one.
@@ -81,51 +81,51 @@
             None => (Some(String::new()), None),
         };
         let number = self.submit(0, request);
-        self.zone_operators[operator].waits_for = Some(number);
-        self.later(SILENCE, FollowUp::OperatorSilence { operator, request: number });
+        self.zone_operators[operator].awaited_request = Some(number);
+        self.later(RESPONSE_TIMEOUT, FollowUp::OperatorTimeout { operator, request: number });
     }
 
     /// Handles a response timeout: the operator closes the connection and tries another controller.
-    pub(super) fn end_operator_patience(&mut self, operator: usize, request: usize) {
-        if self.zone_operators[operator].waits_for == Some(request) {
-            self.send_zone_order(operator, None, 0);
+    pub(super) fn time_out_zone_request(&mut self, operator: usize, request: usize) {
+        if self.zone_operators[operator].awaited_request == Some(request) {
+            self.send_zone_request(operator, None, 0);
         }
     }
 
     /// Handles a response to the operator, if it still waits for it.
-    pub(super) fn answer_zone_operator(&mut self, order: UnnamedOrder, request: usize) {
-        let UnnamedOrder { operator, redirections } = order;
-        if self.zone_operators[operator].waits_for != Some(request) {
+    pub(super) fn respond_to_zone_operator(&mut self, order: AttemptWithoutId, request: usize) {
+        let AttemptWithoutId { operator, redirections } = order;
+        if self.zone_operators[operator].awaited_request != Some(request) {
             return;
         }
         let result = self.operator_requests[request].result.clone();
         match result {
-            Some(OperationResult::Accepted { .. }) => self.end_zone_order(operator),
-            Some(OperationResult::Conflict { revision }) if redirections < MOST_REDIRECTIONS => {
+            Some(OperationResult::Accepted { .. }) => self.end_zone_operation(operator),
+            Some(OperationResult::Conflict { revision }) if redirections < MAX_REDIRECTIONS => {
                 let id = format!("confirmed-{request}");
-                self.send_zone_order(operator, Some((id, revision)), redirections + 1);
+                self.send_zone_request(operator, Some((id, revision)), redirections + 1);
             }
             _ => {
-                self.zone_operators[operator].waits_for = None;
-                self.later(RETRY_PAUSE, FollowUp::ZoneOrder { operator });
+                self.zone_operators[operator].awaited_request = None;
+                self.later(RETRY_PAUSE, FollowUp::ZoneRequest { operator });
             }
         }
     }
 
     /// Ends an operation that was acknowledged.
-    fn end_zone_order(&mut self, operator: usize) {
+    fn end_zone_operation(&mut self, operator: usize) {
         let entry = &mut self.zone_operators[operator];
         let acknowledged = entry.drained;
         entry.drained = !acknowledged;
         entry.left -= 1;
-        entry.waits_for = None;
+        entry.awaited_request = None;
         let pause = if entry.left == 0 { LAST_PAUSE } else { ORDER_PAUSE };
         self.rules.sender_is_acknowledged(operator, acknowledged);
-        self.later(pause, FollowUp::ZoneOrder { operator });
+        self.later(pause, FollowUp::ZoneRequest { operator });
     }
 
     /// Compares the zone's state with the operator's last acknowledged operation.
-    fn judge_zone_of(&mut self, operator: usize) {
+    fn check_zone(&mut self, operator: usize) {
         let now = self.now - BEGIN;
         let drained = self.drained().contains(&self.zone_operators[operator].zone);
         self.rules.check_last_order_stands(now, operator, drained);
