--- a/crates/simulator/src/connection_id.rs
+++ b/crates/simulator/src/connection_id.rs
@@ -5,8 +5,8 @@
 /// Bit that is set in the ids of connections that controllers open.
 const OPENED_BY_CONTROLLER: u64 = 1 << 63;
 /// Bits of the id that hold the opener's incarnation.
-const LIFE_BITS: u32 = 32;
-const LIFE_MASK: u64 = (1 << LIFE_BITS) - 1;
+const INCARNATION_BITS: u32 = 32;
+const INCARNATION_MASK: u64 = (1 << INCARNATION_BITS) - 1;
 
 /// The process that opened a connection to a controller.
 #[derive(Clone, Copy, PartialEq, Eq, Debug)]
@@ -16,35 +16,37 @@
         /// Its number.
         number: usize,
         /// Its incarnation.
-        life: u64,
+        incarnation: u64,
     },
     /// A querier, and its incarnation.
     Querier {
         /// Its number.
         number: usize,
         /// Its incarnation.
-        life: u64,
+        incarnation: u64,
     },
 }
 
 impl Opener {
     /// Returns the opener of a connection.
     pub fn of(connection: u64) -> Opener {
-        let number = ((connection & !OPENED_BY_CONTROLLER) >> LIFE_BITS) as usize;
-        let life = connection & LIFE_MASK;
+        let number = ((connection & !OPENED_BY_CONTROLLER) >> INCARNATION_BITS) as usize;
+        let incarnation = connection & INCARNATION_MASK;
         match connection & OPENED_BY_CONTROLLER {
-            0 => Opener::Querier { number, life },
-            _ => Opener::Controller { number, life },
+            0 => Opener::Querier { number, incarnation },
+            _ => Opener::Controller { number, incarnation },
         }
     }
 
     /// Returns the id of the opener's connection.
     pub fn connection(self) -> u64 {
         match self {
-            Opener::Controller { number, life } => {
-                OPENED_BY_CONTROLLER | (number as u64) << LIFE_BITS | life
+            Opener::Controller { number, incarnation } => {
+                OPENED_BY_CONTROLLER | (number as u64) << INCARNATION_BITS | incarnation
+            }
+            Opener::Querier { number, incarnation } => {
+                (number as u64) << INCARNATION_BITS | incarnation
             }
-            Opener::Querier { number, life } => (number as u64) << LIFE_BITS | life,
         }
     }
 }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -48,7 +48,7 @@
                     "bounced": requests_with(|d| matches!(d, OperationResult::Rejected { .. })),
                     "unknown": requests_with(|d| matches!(d, OperationResult::Unknown { .. })),
                     "wrong": requests_with(|d| matches!(d, OperationResult::Invalid(_))) },
-        "restarts": world.rules.judged_restarts.iter().map(|restart| json!({
+        "restarts": world.rules.checked_restarts.iter().map(|restart| json!({
             "at_s": restart.at as f64 / 1e6,
             "first_full_ms": restart.first.iter().map(|(kind, at)| (kind.clone(), json!((at - restart.at) / MILLI)))
                 .collect::<serde_json::Map<_, _>>(),
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -28,7 +28,7 @@
     /// Violations by rule (count).
     pub violation_counts: BTreeMap<u8, u64>,
     /// The most recent log lines, which are printed with a violation.
-    pub recent_lines: VecDeque<String>,
+    pub recent_log: VecDeque<String>,
     /// The recent lines at the first violation.
     pub story: Vec<String>,
     /// Queries that callers sent.
@@ -41,7 +41,7 @@
     /// call began that was answered under an older one.
     pub longest_staleness: Tick,
     /// Highest revision that each querier has applied, over all its incarnations.
-    pub obeyed: BTreeMap<usize, u64>,
+    pub applied_revisions: BTreeMap<usize, u64>,
     /// Checksum of a partition at a revision, as first observed on any querier.
     pub replica_sums: BTreeMap<(u32, u64), u64>,
     /// Drained zones, with the time from which they must get no attempts.
@@ -57,30 +57,30 @@
     pub attempted_services: HashSet<u64>,
     /// By operator without request ids: its zone's state by its last acknowledged request, and the
     /// request that it waits for.
-    pub senders: BTreeMap<usize, SenderOrders>,
+    pub operator_zones: BTreeMap<usize, OperatorZoneState>,
     /// The checks of rollouts.
     pub rollouts: RolloutRules,
     /// Restarts after which service must recover.
     pub pending_restarts: Vec<RestartCheck>,
     /// Restarts that were checked, for the report.
-    pub judged_restarts: Vec<RestartCheck>,
+    pub checked_restarts: Vec<RestartCheck>,
 }
 
 /// The requests of one operator for a zone and their results.
-pub struct SenderOrders {
+pub struct OperatorZoneState {
     /// The zone.
     pub zone: String,
     /// Whether the newest request drains the zone; otherwise it opens it.
     pub asked: bool,
     /// The state of the last acknowledged request, if no newer one is in progress.
-    pub stands: Option<bool>,
+    pub acknowledged: Option<bool>,
 }
 
 /// Recent lines that are kept (count).
 const RECENT_LINES: usize = 400;
 
 /// Violations that are kept with their text.
-const KEPT_VIOLATIONS: usize = 40;
+const MAX_KEPT_VIOLATIONS: usize = 40;
 
 /// The retries that the requirements allow: one for every five first attempts, plus a small
 /// slack of 20 attempts over all nodes, one attempt per thread, and a fifth of the most first
@@ -102,19 +102,19 @@
         if !self.story.is_empty() {
             return;
         }
-        if self.recent_lines.len() >= RECENT_LINES {
-            self.recent_lines.pop_front();
+        if self.recent_log.len() >= RECENT_LINES {
+            self.recent_log.pop_front();
         }
-        self.recent_lines.push_back(format!("{:>9.3} s {}", at as f64 / 1e6, text()));
+        self.recent_log.push_back(format!("{:>9.3} s {}", at as f64 / 1e6, text()));
     }
 
     /// Records a violation.
     pub fn violated(&mut self, at: Tick, rule: u8, text: String) {
         *self.violation_counts.entry(rule).or_default() += 1;
         if self.violations.is_empty() {
-            self.story = self.recent_lines.iter().cloned().collect();
+            self.story = self.recent_log.iter().cloned().collect();
         }
-        if self.violations.len() < KEPT_VIOLATIONS {
+        if self.violations.len() < MAX_KEPT_VIOLATIONS {
             self.violations.push(Violation { at, rule, text });
         }
     }
@@ -168,7 +168,7 @@
 
     /// Checks rule 9 for a snapshot that a querier applies: its revision must never decrease.
     pub fn check_snapshot(&mut self, now: Tick, querier: usize, revision: u64) {
-        let old = self.obeyed.entry(querier).or_insert(0);
+        let old = self.applied_revisions.entry(querier).or_insert(0);
         let was = *old;
         *old = was.max(revision);
         if revision < was {
@@ -178,19 +178,19 @@
     }
 
     /// Checks rule 12: a revision of a partition is the same on all nodes.
-    pub fn check_replica(&mut self, now: Tick, part: u32, revision: u64, sum: u64) {
-        let first = *self.replica_sums.entry((part, revision)).or_insert(sum);
+    pub fn check_replica(&mut self, now: Tick, partition: u32, revision: u64, sum: u64) {
+        let first = *self.replica_sums.entry((partition, revision)).or_insert(sum);
         if first != sum {
             self.violated(
                 now,
                 12,
-                format!("partition {part} differs between nodes at revision {revision}"),
+                format!("partition {partition} differs between nodes at revision {revision}"),
             );
         }
     }
 
     /// Checks rules 7 and 8 for an attempt that is sent to a leaf.
-    pub fn check_dispatch(
+    pub fn check_attempt(
         &mut self,
         now: Tick,
         who: &str,
@@ -222,28 +222,30 @@
 
     /// Records that an operator sends its next request, or resends one: until it is acknowledged
     /// either state is allowed.
-    pub fn sender_goes_on(&mut self, sender: usize, zone: &str, drained: bool) {
-        let orders = SenderOrders { zone: zone.to_string(), asked: drained, stands: None };
-        self.senders.insert(sender, orders);
+    pub fn record_zone_request(&mut self, sender: usize, zone: &str, drained: bool) {
+        let state =
+            OperatorZoneState { zone: zone.to_string(), asked: drained, acknowledged: None };
+        self.operator_zones.insert(sender, state);
     }
 
     /// Records that an operator's request was acknowledged.
-    pub fn sender_is_acknowledged(&mut self, sender: usize, drained: bool) {
-        if let Some(orders) = self.senders.get_mut(&sender) {
-            orders.stands = Some(drained);
+    pub fn record_zone_acknowledgement(&mut self, sender: usize, drained: bool) {
+        if let Some(state) = self.operator_zones.get_mut(&sender) {
+            state.acknowledged = Some(drained);
         }
     }
 
     /// Checks rule 14: a delayed request must not take effect after a later one of the same
     /// operator was acknowledged. `drained` is the zone's state now; no other operator changes it.
-    pub fn check_last_order_stands(&mut self, now: Tick, sender: usize, drained: bool) {
-        let Some(SenderOrders { zone, stands: Some(stands), .. }) = self.senders.get(&sender)
+    pub fn check_last_request_in_effect(&mut self, now: Tick, sender: usize, drained: bool) {
+        let Some(OperatorZoneState { zone, acknowledged: Some(acknowledged), .. }) =
+            self.operator_zones.get(&sender)
         else {
             return;
         };
-        if *stands != drained {
+        if *acknowledged != drained {
             let text = format!(
-                "zone {zone}: the last acknowledged request set drained {stands}, but drained \
+                "zone {zone}: the last acknowledged request set drained {acknowledged}, but drained \
                  {drained} is in force"
             );
             self.violated(now, 14, text);
@@ -260,25 +262,25 @@
         }
     }
 
-    /// Checks rule 11 for a leaf in slow start: `live` attempts in progress, capacity `bears`.
-    pub fn check_warm_up_load(&mut self, now: Tick, leaf: &str, live: u32, bears: u32) {
-        if live * 2 > bears * 3 + 1 {
+    /// Checks rule 11 for the load of a leaf in slow start.
+    pub fn check_warm_up_load(&mut self, now: Tick, leaf: &str, in_progress: u32, capacity: u32) {
+        if in_progress * 2 > capacity * 3 + 1 {
             self.violated(
                 now,
                 11,
                 format!(
-                    "{leaf} in slow start has {live} attempts in progress, its capacity is {bears}"
+                    "{leaf} in slow start has {in_progress} attempts, its capacity is {capacity}"
                 ),
             );
         }
     }
 
     /// Records a violation of rule 11: a leaf in slow start got too many attempts within a second.
-    pub fn check_cold_rate(&mut self, now: Tick, leaf: &str, sent: usize, most: usize) {
+    pub fn record_slow_start_excess(&mut self, now: Tick, leaf: &str, sent: usize, maximum: usize) {
         self.violated(
             now,
             11,
-            format!("{leaf} in slow start is sent {sent} attempts in a second, {most} allowed"),
+            format!("{leaf} in slow start is sent {sent} attempts in a second, {maximum} allowed"),
         );
     }
 
@@ -305,17 +307,18 @@
     /// Returns, for rule 10, over any window of 10 s: the most retries above a fifth of
     /// the first attempts; also the most retries in such a window.
     pub fn retry_excess(&self) -> (i64, usize) {
-        let (mut worst, mut most) = (0i64, 0);
+        let (mut worst, mut maximum) = (0i64, 0);
         // The worst window begins or ends with a retry.
         let starts = self.retries.iter().copied();
         let ends = self.retries.iter().map(|t| (t + 1).saturating_sub(RETRY_WINDOW));
         for from in starts.chain(ends) {
             let n = within(&self.retries, from, RETRY_WINDOW);
-            let fair = within(&self.first_attempts, from, RETRY_WINDOW) / FIRST_ATTEMPTS_PER_RETRY;
-            worst = worst.max(n as i64 - fair as i64);
-            most = most.max(n);
+            let allowed =
+                within(&self.first_attempts, from, RETRY_WINDOW) / FIRST_ATTEMPTS_PER_RETRY;
+            worst = worst.max(n as i64 - allowed as i64);
+            maximum = maximum.max(n);
         }
-        (worst, most)
+        (worst, maximum)
     }
 
     /// Returns the retries that are allowed above a fifth of the first attempts.
@@ -360,7 +363,7 @@
                 let text = format!("12 s after the restart at {when:.1} s no change is accepted");
                 self.violated(now, 12, text);
             }
-            self.judged_restarts.push(restart);
+            self.checked_restarts.push(restart);
         }
     }
 
@@ -382,7 +385,7 @@
 
     /// Records a new fault: an earlier restart whose check isn't finished is no longer
     /// the only fault.
-    pub fn disturb_recoveries(&mut self, now: Tick) {
+    pub fn mark_recoveries_disturbed(&mut self, now: Tick) {
         for restart in
             self.pending_restarts.iter_mut().filter(|restart| now < restart.at + 15 * SECOND)
         {
--- a/crates/simulator/src/world/build.rs
+++ b/crates/simulator/src/world/build.rs
@@ -80,7 +80,7 @@
             world.queriers.push(QuerierNode {
                 name,
                 zone,
-                life: 0,
+                incarnation: 0,
                 up: false,
                 node_agent,
                 query_engines: Vec::new(),
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -61,9 +61,9 @@
             return;
         }
         self.rules.asked.insert(asked.question.clone());
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         let wait = ms(self.call_kinds[kind].budget_ms);
-        self.calls.insert(id, Call { kind, asked, querier, life, began: self.now });
+        self.calls.insert(id, Call { kind, asked, querier, incarnation, began: self.now });
         self.push(ms(1), ScheduledEvent::CallArrival { call: id });
         self.push(wait + ms(5), ScheduledEvent::CallTimeout { call: id });
     }
@@ -80,8 +80,9 @@
     pub(super) fn call_arrives(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.began = self.now;
-        let (querier, life, kind, asked) = (call.querier, call.life, call.kind, call.asked.clone());
-        if !self.querier_runs(querier, life) {
+        let (querier, incarnation, kind, asked) =
+            (call.querier, call.incarnation, call.kind, call.asked.clone());
+        if !self.querier_runs(querier, incarnation) {
             return;
         }
         let call_kind = &self.call_kinds[kind];
@@ -96,7 +97,7 @@
         self.push(
             10,
             ScheduledEvent::QueryEngineEvent {
-                engine: QueryEngineId { querier, life, thread },
+                engine: QueryEngineId { querier, incarnation, thread },
                 event: query_event::Event::Search { call: id, request },
             },
         );
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -14,7 +14,7 @@
 
 impl World {
     pub(super) fn run_controller_command(&mut self, controller: usize, command: Command) {
-        let life = self.controllers[controller].life;
+        let incarnation = self.controllers[controller].incarnation;
         match command {
             Command::ToVoter { slot, message } => {
                 let table = &self.controllers[controller].state.voter_slots.voter_file.table;
@@ -38,15 +38,18 @@
                     &mut self.random,
                 );
                 if let Some(at) = at {
-                    self.push_at(at, ScheduledEvent::VoterFileDone { controller, life, token });
+                    self.push_at(
+                        at,
+                        ScheduledEvent::VoterFileDone { controller, incarnation, token },
+                    );
                 }
             }
             Command::ToConnection { connection, message } => match Opener::of(connection) {
-                Opener::Controller { number, life } => {
-                    self.answer_controller(controller, number, life, message);
+                Opener::Controller { number, incarnation } => {
+                    self.answer_controller(controller, number, incarnation, message);
                 }
-                Opener::Querier { number, life } => {
-                    self.answer_querier(controller, number, life, message);
+                Opener::Querier { number, incarnation } => {
+                    self.answer_querier(controller, number, incarnation, message);
                 }
             },
             Command::AppendRecord { partition, token, rec } => {
@@ -61,12 +64,16 @@
             Command::WakeAfter { span } => {
                 self.push(
                     span,
-                    ScheduledEvent::ControllerEvent { controller, life, event: CoreEvent::Wake },
+                    ScheduledEvent::ControllerEvent {
+                        controller,
+                        incarnation,
+                        event: CoreEvent::Wake,
+                    },
                 );
             }
             Command::Alarm(text) => {
                 self.rules.note(self.now - BEGIN, || {
-                    format!("controller {controller} (incarnation {life}): {text}")
+                    format!("controller {controller} (incarnation {incarnation}): {text}")
                 });
                 *self.alarms.entry(text).or_default() += 1;
             }
@@ -74,26 +81,44 @@
     }
 
     /// Sends a message of a controller to another on the connection that the other opened.
-    fn answer_controller(&mut self, controller: usize, to: usize, life: u64, message: Message) {
+    fn answer_controller(
+        &mut self,
+        controller: usize,
+        to: usize,
+        incarnation: u64,
+        message: Message,
+    ) {
         self.net.record("controller-controller", &message);
         let from = self.controllers[controller].endpoint(controller);
         let receiver = self.controllers[to].endpoint(to);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let event = CoreEvent::FromController { message };
-            self.push_at(at, ScheduledEvent::ControllerEvent { controller: to, life, event });
+            self.push_at(
+                at,
+                ScheduledEvent::ControllerEvent { controller: to, incarnation, event },
+            );
         }
     }
 
     /// Sends a message of a controller to a querier on the connection that the querier opened.
-    fn answer_querier(&mut self, controller: usize, querier: usize, life: u64, message: Message) {
+    fn answer_querier(
+        &mut self,
+        controller: usize,
+        querier: usize,
+        incarnation: u64,
+        message: Message,
+    ) {
         self.net.record("controller-querier", &message);
         let from = self.controllers[controller].endpoint(controller);
         let receiver = self.queriers[querier].endpoint(querier);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let holder = self.controllers[controller].state.voter_slots.voter_file.me;
-            self.push_at(at, ScheduledEvent::ControllerMessage { querier, life, holder, message });
+            self.push_at(
+                at,
+                ScheduledEvent::ControllerMessage { querier, incarnation, holder, message },
+            );
         }
     }
 
@@ -106,8 +131,9 @@
             return;
         }
         let corruption = node.disk.scrub(partition);
-        let (life, event) = (node.life, CoreEvent::Scrubbed { partition, corruption });
-        self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
+        let (incarnation, event) =
+            (node.incarnation, CoreEvent::Scrubbed { partition, corruption });
+        self.push(ms(3), ScheduledEvent::ControllerEvent { controller, incarnation, event });
     }
 
     /// Sends a message of a controller to another's machine, under its current slot and replica id.
@@ -118,7 +144,8 @@
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         let Some(at) = at else { return };
         let node = &self.controllers[controller];
-        let connection = Opener::Controller { number: controller, life: node.life }.connection();
+        let connection =
+            Opener::Controller { number: controller, incarnation: node.incarnation }.connection();
         let event = if node.has_voter_slot() {
             CoreEvent::FromVoter {
                 slot: node.state.slot,
@@ -129,7 +156,7 @@
         } else {
             CoreEvent::FromConnection { connection, message }
         };
-        let life = self.controllers[to].life;
-        self.push_at(at, ScheduledEvent::ControllerEvent { controller: to, life, event });
+        let incarnation = self.controllers[to].incarnation;
+        self.push_at(at, ScheduledEvent::ControllerEvent { controller: to, incarnation, event });
     }
 }
--- a/crates/simulator/src/world/controller_disks.rs
+++ b/crates/simulator/src/world/controller_disks.rs
@@ -47,7 +47,7 @@
         token: u64,
         job: Job,
     ) {
-        let life = self.controllers[controller].life;
+        let incarnation = self.controllers[controller].incarnation;
         let at = self.controllers[controller].disk.start_job(
             self.now,
             partition,
@@ -56,14 +56,17 @@
             &mut self.random,
         );
         if let Some(at) = at {
-            self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, partition, token });
+            self.push_at(
+                at,
+                ScheduledEvent::DiskJobDone { controller, incarnation, partition, token },
+            );
         }
         if self.faulty_variant == Some(FaultyVariant::AcknowledgesBeforeSync) {
             self.push(
                 10,
                 ScheduledEvent::ControllerEvent {
                     controller,
-                    life,
+                    incarnation,
                     event: CoreEvent::Synced { partition, token },
                 },
             );
@@ -74,17 +77,17 @@
     pub fn set_disk_health(&mut self, controller: usize, health: Health) {
         let was = std::mem::replace(&mut self.controllers[controller].disk.health, health);
         if was == Health::Stalled && health != Health::Stalled {
-            let life = self.controllers[controller].life;
+            let incarnation = self.controllers[controller].incarnation;
             for (i, (partition, token)) in
                 self.controllers[controller].disk.pending_jobs().into_iter().enumerate()
             {
                 self.push(
                     ms(2 + i as u64),
-                    ScheduledEvent::DiskJobDone { controller, life, partition, token },
+                    ScheduledEvent::DiskJobDone { controller, incarnation, partition, token },
                 );
             }
             for token in self.controllers[controller].disk.pending_voter_files() {
-                self.push(ms(2), ScheduledEvent::VoterFileDone { controller, life, token });
+                self.push(ms(2), ScheduledEvent::VoterFileDone { controller, incarnation, token });
             }
         }
     }
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -33,7 +33,7 @@
         let zone = zone.unwrap_or(ZONES[controller % ZONES.len()]).to_string();
         self.controllers.push(ControllerNode {
             zone,
-            life: 0,
+            incarnation: 0,
             up: false,
             state,
             began: 0,
@@ -71,16 +71,19 @@
             recovered.vote_without_files();
         }
         let node = &mut self.controllers[controller];
-        node.life += 1;
+        node.incarnation += 1;
         node.up = true;
         node.began = self.now;
         node.paused = 0;
         node.stopping = None;
         node.state = recovered.into_state(&start.addr, &node.zone, seed);
-        let life = node.life;
-        self.push(start_delay(seed, 50), ScheduledEvent::ControllerTimer { controller, life });
+        let incarnation = node.incarnation;
+        self.push(
+            start_delay(seed, 50),
+            ScheduledEvent::ControllerTimer { controller, incarnation },
+        );
         // It connects to its seeds and all known voters, which send it the voter set.
-        let connection = Opener::Controller { number: controller, life }.connection();
+        let connection = Opener::Controller { number: controller, incarnation }.connection();
         for to in self.connected_controllers(controller) {
             self.announce_connection(to, CoreEvent::ConnectionOpened { connection });
         }
@@ -112,7 +115,8 @@
                 continue;
             }
             let connection =
-                Opener::Controller { number: controller, life: node.life }.connection();
+                Opener::Controller { number: controller, incarnation: node.incarnation }
+                    .connection();
             for to in self.connected_controllers(controller) {
                 self.announce_connection(to, CoreEvent::ConnectionOpened { connection });
             }
@@ -120,8 +124,8 @@
     }
 
     fn announce_connection(&mut self, to: usize, event: CoreEvent) {
-        let life = self.controllers[to].life;
-        self.push(ms(2), ScheduledEvent::ControllerEvent { controller: to, life, event });
+        let incarnation = self.controllers[to].incarnation;
+        self.push(ms(2), ScheduledEvent::ControllerEvent { controller: to, incarnation, event });
     }
 
     /// Returns an event as the faulty variant receives it: one that counts by its own voter set, or
@@ -166,7 +170,7 @@
         };
         let new = self.opened_connections.insert((
             controller,
-            self.controllers[controller].life,
+            self.controllers[controller].incarnation,
             connection,
         ));
         if new && !matches!(event, CoreEvent::ConnectionOpened { .. }) {
@@ -177,7 +181,7 @@
     /// Kills a controller's process, with its machine's power if `power` is set.
     pub fn kill_controller(&mut self, controller: usize, power: bool) {
         self.controllers[controller].up = false;
-        self.controllers[controller].life += 1;
+        self.controllers[controller].incarnation += 1;
         if power {
             let mut random = Random::new(self.random.next_u64());
             self.controllers[controller].disk.power_loss(&mut random);
@@ -196,8 +200,8 @@
         if self.faulty_variant == Some(FaultyVariant::StopsBeforeHandover) {
             return self.end_controller(controller);
         }
-        let life = self.controllers[controller].life;
-        self.later(STOP_GRACE, FollowUp::ForceStop { controller, life });
+        let incarnation = self.controllers[controller].incarnation;
+        self.later(STOP_GRACE, FollowUp::ForceStop { controller, incarnation });
         self.step_controller(controller, CoreEvent::Stop);
     }
 
@@ -240,7 +244,7 @@
     if let CoreEvent::FromVoter { connection, .. } = event
         && let Opener::Controller { number, .. } = Opener::of(*connection)
     {
-        *connection = Opener::Controller { number, life: 0 }.connection();
+        *connection = Opener::Controller { number, incarnation: 0 }.connection();
     }
 }
 
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -24,26 +24,26 @@
             return;
         }
         self.queriers[querier].polling = true;
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         let from = self.queriers[querier].endpoint(querier);
         match self.net.send(self.now, from, LIST, &mut self.random) {
-            Some(at) => self.push_at(at, ScheduledEvent::ListRequest { querier, life }),
-            None => self.list_timed_out(querier, life),
+            Some(at) => self.push_at(at, ScheduledEvent::ListRequest { querier, incarnation }),
+            None => self.list_timed_out(querier, incarnation),
         }
     }
 
-    pub(super) fn list_timed_out(&mut self, querier: usize, life: u64) {
+    pub(super) fn list_timed_out(&mut self, querier: usize, incarnation: u64) {
         let event = node_agent::Event::LeafList(Err("no answer in time".into()));
         self.push(
             consts::LEAF_LIST_POLL_TIMEOUT,
-            ScheduledEvent::NodeAgentEvent { querier, life, event },
+            ScheduledEvent::NodeAgentEvent { querier, incarnation, event },
         );
     }
 
-    pub(super) fn answer_list_request(&mut self, querier: usize, life: u64) {
+    pub(super) fn answer_list_request(&mut self, querier: usize, incarnation: u64) {
         let now = self.now;
         let Some(text) = self.backends.served_list(now) else {
-            return self.list_timed_out(querier, life);
+            return self.list_timed_out(querier, incarnation);
         };
         let got = match list::read(text.as_bytes()) {
             Ok((list, _)) => {
@@ -60,11 +60,11 @@
                 at,
                 ScheduledEvent::NodeAgentEvent {
                     querier,
-                    life,
+                    incarnation,
                     event: node_agent::Event::LeafList(got),
                 },
             ),
-            None => self.list_timed_out(querier, life),
+            None => self.list_timed_out(querier, incarnation),
         }
     }
 
@@ -78,8 +78,8 @@
         }
     }
 
-    pub(super) fn answer_probe(&mut self, querier: usize, life: u64, info: &LeafInfo) {
-        if !self.querier_runs(querier, life) {
+    pub(super) fn answer_probe(&mut self, querier: usize, incarnation: u64, info: &LeafInfo) {
+        if !self.querier_runs(querier, incarnation) {
             return;
         }
         let Some(leaf) =
@@ -104,6 +104,6 @@
             report.gone = true;
         }
         let event = node_agent::Event::LeafReport { service: info.service.clone(), report };
-        self.push(ms(1), ScheduledEvent::NodeAgentEvent { querier, life, event });
+        self.push(ms(1), ScheduledEvent::NodeAgentEvent { querier, incarnation, event });
     }
 }
--- a/crates/simulator/src/world/events.rs
+++ b/crates/simulator/src/world/events.rs
@@ -16,37 +16,37 @@
 pub(super) enum ScheduledEvent {
     ControllerTimer {
         controller: usize,
-        life: u64,
+        incarnation: u64,
     },
     ControllerEvent {
         controller: usize,
-        life: u64,
+        incarnation: u64,
         event: CoreEvent,
     },
     DiskJobDone {
         controller: usize,
-        life: u64,
+        incarnation: u64,
         partition: PartitionId,
         token: u64,
     },
     VoterFileDone {
         controller: usize,
-        life: u64,
+        incarnation: u64,
         token: u64,
     },
     QuerierTimer {
         querier: usize,
-        life: u64,
+        incarnation: u64,
     },
     NodeAgentEvent {
         querier: usize,
-        life: u64,
+        incarnation: u64,
         event: node_agent::Event,
     },
     /// A message to a querier from the controller whose replica id is `holder`.
     ControllerMessage {
         querier: usize,
-        life: u64,
+        incarnation: u64,
         holder: u64,
         message: Message,
     },
@@ -70,12 +70,12 @@
     },
     Probe {
         querier: usize,
-        life: u64,
+        incarnation: u64,
         info: std::sync::Arc<LeafInfo>,
     },
     ListRequest {
         querier: usize,
-        life: u64,
+        incarnation: u64,
     },
     NewCall {
         kind: usize,
@@ -102,7 +102,7 @@
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub(super) struct QueryEngineId {
     pub querier: usize,
-    pub life: u64,
+    pub incarnation: u64,
     pub thread: usize,
 }
 
@@ -130,7 +130,7 @@
         /// The number of its machine.
         controller: usize,
         /// The incarnation that was asked to stop.
-        life: u64,
+        incarnation: u64,
     },
     /// Starts a querier's process.
     StartQuerier(usize),
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -114,14 +114,14 @@
                 return None;
             }
             Fault::Repeat => {
-                if let ScheduledEvent::ControllerEvent { controller, life, event } = &event {
+                if let ScheduledEvent::ControllerEvent { controller, incarnation, event } = &event {
                     let event = clone_delivery(event);
                     if let Some(event) = event {
                         self.push(
                             0,
                             ScheduledEvent::ControllerEvent {
                                 controller: *controller,
-                                life: *life,
+                                incarnation: *incarnation,
                                 event,
                             },
                         );
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -34,9 +34,9 @@
         if let Some(leaf) = self.backends.leafs.get(&outgoing.leaf) {
             let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
             let version = leaf.version.clone();
-            self.rules.check_dispatch(now, &who, &outgoing.leaf, &zone, known);
+            self.rules.check_attempt(now, &who, &outgoing.leaf, &zone, known);
             if let Some((rule, text)) =
-                self.rules.rollouts.sent(now, &outgoing.service, &version, FIRST_VERSION)
+                self.rules.rollouts.check_sent(now, &outgoing.service, &version, FIRST_VERSION)
             {
                 self.rules.violated(now, rule, format!("{who}: {text}"));
             }
@@ -195,9 +195,11 @@
         let times = leaf.version_fault.slow_down(&mut self.random);
         let took = leaf.service_time(now, &mut self.random) * times;
         if times > 1 {
-            self.rules.rollouts.answered_badly(now - BEGIN, &service, &version);
+            self.rules.rollouts.record_bad_answer(now - BEGIN, &service, &version);
         }
-        if let Some((rule, text)) = self.rules.rollouts.arrived(now - BEGIN, &service, &version) {
+        if let Some((rule, text)) =
+            self.rules.rollouts.check_arrival(now - BEGIN, &service, &version)
+        {
             self.rules.violated(now - BEGIN, rule, text);
         }
         let asked: Value = serde_json::from_slice(&outgoing.body).unwrap_or(Value::Null);
@@ -231,7 +233,7 @@
         let search = asked["mapping"].as_str().unwrap_or_default();
         if leaf.breaks_answer(now, search, &mut self.random) {
             raw.body.truncate(raw.body.len() / 2);
-            self.rules.rollouts.answered_badly(now - BEGIN, &leaf.service.name, &leaf.version);
+            self.rules.rollouts.record_bad_answer(now - BEGIN, &leaf.service.name, &leaf.version);
         } else if mock_backends::answers_correctly(leaf.mode, asked["limit"].as_u64().unwrap_or(0))
         {
             let question = asked["question"].as_str().unwrap_or_default();
--- a/crates/simulator/src/world/membership_memory.rs
+++ b/crates/simulator/src/world/membership_memory.rs
@@ -26,7 +26,7 @@
 
 #[derive(Clone, Copy)]
 struct VotingSince {
-    life: u64,
+    incarnation: u64,
     at: Tick,
 }
 
@@ -64,7 +64,7 @@
         self.controllers.iter().zip(&self.membership_memory.voting_since).any(|(node, since)| {
             let is_reached = node.up && node.paused <= self.now;
             let knows = since.is_some_and(|since| {
-                since.life == node.life && since.at + TRANSFER_TIME <= self.now
+                since.incarnation == node.incarnation && since.at + TRANSFER_TIME <= self.now
             });
             is_reached && knows
         })
@@ -72,12 +72,12 @@
 
     fn note_voting(&mut self, controller: usize) {
         let node = &self.controllers[controller];
-        let life = node.life;
+        let incarnation = node.incarnation;
         let has_slot = node.has_voter_slot();
         let list = &mut self.membership_memory.voting_since;
         list.resize(list.len().max(controller + 1), None);
-        let known = list[controller].filter(|since| since.life == life);
-        let now = VotingSince { life, at: self.now };
+        let known = list[controller].filter(|since| since.incarnation == incarnation);
+        let now = VotingSince { incarnation, at: self.now };
         list[controller] = has_slot.then(|| known.unwrap_or(now));
     }
 }
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -23,7 +23,7 @@
 impl World {
     /// Runs a command of a querier's node agent.
     pub(super) fn run_node_agent_command(&mut self, querier: usize, command: node_agent::Command) {
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         match command {
             node_agent::Command::ToVoter { slot, message } => {
                 let table = &self.queriers[querier].node_agent.voter_set;
@@ -52,7 +52,7 @@
                     {
                         share.threads = vec![share.own_thread];
                     }
-                    let engine = QueryEngineId { querier, life, thread: thread as usize };
+                    let engine = QueryEngineId { querier, incarnation, thread: thread as usize };
                     let event = query_event::Event::QuotaShare(share);
                     self.push(THREAD_DELAY, ScheduledEvent::QueryEngineEvent { engine, event });
                 }
@@ -66,7 +66,7 @@
             node_agent::Command::Admission(state) => {
                 self.send_to_threads(querier, || query_event::Event::ServingState(state));
                 if state == ServingState::ShuttingDown {
-                    self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
+                    self.later(ms(20), FollowUp::EndDrainedQuerier(querier, incarnation));
                 }
             }
             node_agent::Command::ServingUntil(until) => {
@@ -80,7 +80,7 @@
             node_agent::Command::ProbeLeafs(list) => {
                 for info in list {
                     let after = self.random.below(ms(50)) + ms(1);
-                    self.push(after, ScheduledEvent::Probe { querier, life, info });
+                    self.push(after, ScheduledEvent::Probe { querier, incarnation, info });
                 }
             }
             node_agent::Command::Alarm(text) => {
@@ -93,9 +93,9 @@
 
     /// Sends an event to each thread of a querier.
     fn send_to_threads(&mut self, querier: usize, event: impl Fn() -> query_event::Event) {
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         for thread in 0..THREADS as usize {
-            let engine = QueryEngineId { querier, life, thread };
+            let engine = QueryEngineId { querier, incarnation, thread };
             let event = event();
             self.push(THREAD_DELAY, ScheduledEvent::QueryEngineEvent { engine, event });
         }
@@ -116,8 +116,8 @@
         if let Some(at) = at {
             let name = self.queriers[querier].name.clone();
             let event = node_agent::Event::FromMember { name, message };
-            let life = self.queriers[to].life;
-            self.push_at(at, ScheduledEvent::NodeAgentEvent { querier: to, life, event });
+            let incarnation = self.queriers[to].incarnation;
+            self.push_at(at, ScheduledEvent::NodeAgentEvent { querier: to, incarnation, event });
         }
     }
 
@@ -158,14 +158,17 @@
         let receiver = self.controllers[controller].endpoint(controller);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
-            let connection =
-                Opener::Querier { number: querier, life: self.queriers[querier].life }.connection();
-            let life = self.controllers[controller].life;
+            let connection = Opener::Querier {
+                number: querier,
+                incarnation: self.queriers[querier].incarnation,
+            }
+            .connection();
+            let incarnation = self.controllers[controller].incarnation;
             self.push_at(
                 at,
                 ScheduledEvent::ControllerEvent {
                     controller,
-                    life,
+                    incarnation,
                     event: CoreEvent::FromConnection { connection, message },
                 },
             );
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -19,7 +19,7 @@
     /// Its zone.
     pub zone: String,
     /// The incarnation of its process: the number of its starts and ends.
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether its process runs.
     pub up: bool,
     /// Its state machine.
@@ -59,7 +59,7 @@
     /// Its zone.
     pub zone: String,
     /// The incarnation of its process: the number of its starts and ends.
-    pub life: u64,
+    pub incarnation: u64,
     /// Whether its process runs.
     pub up: bool,
     /// Its node agent.
@@ -104,7 +104,7 @@
     pub(super) kind: usize,
     pub(super) asked: Asked,
     pub(super) querier: usize,
-    pub(super) life: u64,
+    pub(super) incarnation: u64,
     pub(super) began: Tick,
 }
 
@@ -126,11 +126,11 @@
 }
 
 impl World {
-    pub(super) fn controller_runs(&self, controller: usize, life: u64) -> bool {
-        self.controllers[controller].up && self.controllers[controller].life == life
+    pub(super) fn controller_runs(&self, controller: usize, incarnation: u64) -> bool {
+        self.controllers[controller].up && self.controllers[controller].incarnation == incarnation
     }
 
-    pub(super) fn querier_runs(&self, querier: usize, life: u64) -> bool {
-        self.queriers[querier].up && self.queriers[querier].life == life
+    pub(super) fn querier_runs(&self, querier: usize, incarnation: u64) -> bool {
+        self.queriers[querier].up && self.queriers[querier].incarnation == incarnation
     }
 }
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -71,7 +71,7 @@
         }
         self.rules
             .note(self.now - BEGIN, || format!("request {id} sent to controller {controller}"));
-        let life = self.controllers[controller].life;
+        let incarnation = self.controllers[controller].incarnation;
         let event = CoreEvent::Operate {
             op: id as u64,
             request: self.operator_requests[id]
@@ -82,7 +82,7 @@
             operation: self.operator_requests[id].operation.clone(),
         };
         let travel = ms(1) + self.operator_requests[id].held_for;
-        self.push(travel, ScheduledEvent::ControllerEvent { controller, life, event });
+        self.push(travel, ScheduledEvent::ControllerEvent { controller, incarnation, event });
     }
 
     pub(super) fn acknowledge(&mut self, id: usize, result: OperationResult) {
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -20,17 +20,19 @@
     pub fn start_querier(&mut self, querier: usize) {
         let seed = self.random.next_u64();
         let node = &mut self.queriers[querier];
-        node.life += 1;
+        node.incarnation += 1;
         node.up = true;
         node.ready = false;
         node.paused = 0;
         node.polling = false;
         node.began = self.now;
-        node.node_agent =
-            node_agent::NodeAgent::new(member(&node.name, &node.zone, querier, node.life), BOOT);
+        node.node_agent = node_agent::NodeAgent::new(
+            member(&node.name, &node.zone, querier, node.incarnation),
+            BOOT,
+        );
         node.query_engines = (0..THREADS)
             .map(|thread| {
-                let name = format!("{}-{thread}-{:x}", node.name, node.life);
+                let name = format!("{}-{thread}-{:x}", node.name, node.incarnation);
                 let mut engine =
                     QueryEngine::new(&name, &node.zone, seed ^ u64::from(thread), BOOT);
                 engine.thread_id = grebepath_core::query::quota::thread_id(&node.name, thread);
@@ -38,24 +40,24 @@
             })
             .collect();
         node.wake_at = vec![0; THREADS as usize];
-        let life = node.life;
-        self.push(start_delay(seed, 50), ScheduledEvent::QuerierTimer { querier, life });
+        let incarnation = node.incarnation;
+        self.push(start_delay(seed, 50), ScheduledEvent::QuerierTimer { querier, incarnation });
     }
 
     /// Kills a querier's process.
     pub fn kill_querier(&mut self, querier: usize) {
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         self.queriers[querier].up = false;
         self.queriers[querier].ready = false;
-        self.queriers[querier].life += 1;
-        let connection = Opener::Querier { number: querier, life }.connection();
+        self.queriers[querier].incarnation += 1;
+        let connection = Opener::Querier { number: querier, incarnation }.connection();
         for controller in 0..self.controllers.len() {
-            let life = self.controllers[controller].life;
+            let incarnation = self.controllers[controller].incarnation;
             self.push(
                 ms(2),
                 ScheduledEvent::ControllerEvent {
                     controller,
-                    life,
+                    incarnation,
                     event: CoreEvent::ConnectionClosed { connection },
                 },
             );
@@ -63,7 +65,7 @@
         let lost_calls: Vec<u64> = self
             .calls
             .iter()
-            .filter(|(_, c)| c.querier == querier && c.life == life)
+            .filter(|(_, c)| c.querier == querier && c.incarnation == incarnation)
             .map(|(id, _)| *id)
             .collect();
         for id in lost_calls {
@@ -75,7 +77,7 @@
             .runs_by_attempt
             .keys()
             .chain(self.requests_in_flight.keys())
-            .filter(|key| key.engine.querier == querier && key.engine.life == life)
+            .filter(|key| key.engine.querier == querier && key.engine.incarnation == incarnation)
             .copied()
             .collect();
         for key in runs {
@@ -85,20 +87,20 @@
 
     /// Asks a querier to stop, as SIGTERM does; it ends once it has drained.
     pub fn stop_querier(&mut self, querier: usize) {
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         if let Some(notice) = self.drain_notice {
             self.queriers[querier].node_agent.drain_notice = notice;
         }
         self.push(
             1,
-            ScheduledEvent::NodeAgentEvent { querier, life, event: node_agent::Event::Stop },
+            ScheduledEvent::NodeAgentEvent { querier, incarnation, event: node_agent::Event::Stop },
         );
     }
 
     /// Ends a querier that was asked to stop, once no query is in progress.
-    pub(super) fn end_drained_querier(&mut self, querier: usize, life: u64) {
+    pub(super) fn end_drained_querier(&mut self, querier: usize, incarnation: u64) {
         if self.queriers[querier].query_engines.iter().any(|engine| !engine.queries.is_empty()) {
-            return self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
+            return self.later(ms(20), FollowUp::EndDrainedQuerier(querier, incarnation));
         }
         self.step_node_agent(querier, node_agent::Event::Drained);
         self.kill_querier(querier);
--- a/crates/simulator/src/world/query_engines.rs
+++ b/crates/simulator/src/world/query_engines.rs
@@ -54,7 +54,7 @@
                 leaf.draining = false;
             }
         }
-        let (life, began) = (node.life, node.began);
+        let (incarnation, began) = (node.incarnation, node.began);
         if let Some(at) = node.query_engines[thread].next_due() {
             let at = (at + began).saturating_sub(BOOT).max(self.now + 1);
             let known = node.wake_at[thread];
@@ -63,7 +63,7 @@
                 self.push_at(
                     at,
                     ScheduledEvent::QueryEngineTimer {
-                        engine: QueryEngineId { querier, life, thread },
+                        engine: QueryEngineId { querier, incarnation, thread },
                         at,
                     },
                 );
@@ -80,20 +80,23 @@
         thread: usize,
         command: query_event::Command,
     ) {
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         match command {
             query_event::Command::Send(outgoing) => {
-                self.send_attempt(QueryEngineId { querier, life, thread }, outgoing)
+                self.send_attempt(QueryEngineId { querier, incarnation, thread }, outgoing)
             }
             query_event::Command::CancelAttempt { attempt } => {
-                let engine = QueryEngineId { querier, life, thread };
+                let engine = QueryEngineId { querier, incarnation, thread };
                 self.close_attempt(AttemptKey { engine, attempt });
             }
             query_event::Command::Respond { call, outcome } => self.finish_call(call, outcome),
             query_event::Command::ReportTrial(evidence) => {
                 let thread = self.queriers[querier].query_engines[thread].thread_id;
                 let event = node_agent::Event::TrialEvidence { thread, evidence };
-                self.push(THREAD_DELAY, ScheduledEvent::NodeAgentEvent { querier, life, event });
+                self.push(
+                    THREAD_DELAY,
+                    ScheduledEvent::NodeAgentEvent { querier, incarnation, event },
+                );
             }
             query_event::Command::ReportLeaf { service, report } => {
                 if self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs) {
@@ -101,7 +104,7 @@
                         THREAD_DELAY,
                         ScheduledEvent::NodeAgentEvent {
                             querier,
-                            life,
+                            incarnation,
                             event: node_agent::Event::LeafReport { service, report },
                         },
                     );
--- a/crates/simulator/src/world/rollouts.rs
+++ b/crates/simulator/src/world/rollouts.rs
@@ -11,7 +11,7 @@
 use super::operator_request::OperatorRequest;
 use super::{BEGIN, World};
 use crate::mock_backends::Alive;
-use crate::rollout_rules::ToldEnd;
+use crate::rollout_rules::ReportedEnd;
 use crate::version_fault::VersionFault;
 
 /// Time without a response after which an operator repeats its request.
@@ -45,7 +45,7 @@
         let fault = VersionFault::read(parameters).unwrap_or(VersionFault::Sound);
         let term_ms = (parameters["over_s"].as_f64().unwrap_or(DEFAULT_TIME_LIMIT_S) * 1e3) as u64;
         let now = self.now - BEGIN;
-        self.rules.rollouts.ordered(now, &service, &target, fault.is_bad(), term_ms * MILLI);
+        self.rules.rollouts.record_order(now, &service, &target, fault.is_bad(), term_ms * MILLI);
         let leafs = self.start_version(&service, &target, &fault);
         let order = RolloutOrder { service, target, term_ms };
         let operator = RolloutOperator {
@@ -126,23 +126,23 @@
     }
 
     /// Returns the end of a rollout as the operator reads it from a response.
-    fn reported_end(&self, operator: usize, rollout: &Rollout) -> Option<ToldEnd> {
+    fn reported_end(&self, operator: usize, rollout: &Rollout) -> Option<ReportedEnd> {
         let is_second_poll = self.rollout_operators[operator].polls_left % 2 == 1;
         if self.faulty_variant == Some(FaultyVariant::AnswersOldRollouts) && is_second_poll {
             return None;
         }
         let reports_early = self.faulty_variant == Some(FaultyVariant::TellsEndsEarly);
         match rollout.phase() {
-            RolloutPhase::Delivered => Some(ToldEnd::Delivered),
-            RolloutPhase::Returned => Some(ToldEnd::Returned),
-            RolloutPhase::Forward if reports_early => Some(ToldEnd::Delivered),
-            RolloutPhase::Back if reports_early => Some(ToldEnd::Returned),
+            RolloutPhase::Delivered => Some(ReportedEnd::Delivered),
+            RolloutPhase::Returned => Some(ReportedEnd::Returned),
+            RolloutPhase::Forward if reports_early => Some(ReportedEnd::Delivered),
+            RolloutPhase::Back if reports_early => Some(ReportedEnd::Returned),
             RolloutPhase::Trial | RolloutPhase::Forward | RolloutPhase::Back => None,
         }
     }
 
     /// Records the state of the rollout that was reported to its operator.
-    fn record_reported_end(&mut self, operator: usize, end: Option<ToldEnd>) {
+    fn record_reported_end(&mut self, operator: usize, end: Option<ReportedEnd>) {
         let now = self.now - BEGIN;
         let entry = &mut self.rollout_operators[operator];
         let was_over = std::mem::replace(&mut entry.is_over, end.is_some());
@@ -150,12 +150,12 @@
             entry.polls_left -= 1;
         }
         let (service, leafs) = (entry.order.service.clone(), entry.leafs.clone());
-        if let Some((rule, text)) = self.rules.rollouts.told(now, &service, end) {
+        if let Some((rule, text)) = self.rules.rollouts.reported(now, &service, end) {
             self.rules.violated(now, rule, text);
         }
         match end {
-            Some(ToldEnd::Delivered) if !was_over => self.stop_other_versions(&service, &leafs),
-            Some(ToldEnd::Returned) if !was_over => {
+            Some(ReportedEnd::Delivered) if !was_over => self.stop_other_versions(&service, &leafs),
+            Some(ReportedEnd::Returned) if !was_over => {
                 self.later(LEAVE_DELAY, FollowUp::RolloutLeafsLeave { operator });
             }
             _ => {}
--- a/crates/simulator/src/world/slow_start_leafs.rs
+++ b/crates/simulator/src/world/slow_start_leafs.rs
@@ -34,12 +34,12 @@
 
 impl World {
     /// Sends as many attempts to the leafs in slow start as the engines of a querier may send now.
-    pub(super) fn send_to_slow_start_leafs(&mut self, querier: usize, life: u64) {
+    pub(super) fn send_to_slow_start_leafs(&mut self, querier: usize, incarnation: u64) {
         if self.queriers.len() > MAX_QUERIERS {
             return;
         }
         for thread in 0..self.queriers[querier].query_engines.len() {
-            self.send_from_engine(QueryEngineId { querier, life, thread });
+            self.send_from_engine(QueryEngineId { querier, incarnation, thread });
         }
     }
 
@@ -81,7 +81,12 @@
         }
         let count = sent.len();
         if count > MAX_ATTEMPTS_PER_SECOND {
-            self.rules.check_cold_rate(now - BEGIN, LEAFS[index], count, MAX_ATTEMPTS_PER_SECOND);
+            self.rules.record_slow_start_excess(
+                now - BEGIN,
+                LEAFS[index],
+                count,
+                MAX_ATTEMPTS_PER_SECOND,
+            );
         }
     }
 }
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -46,10 +46,10 @@
             return;
         }
         match event {
-            ScheduledEvent::ControllerTimer { controller, life } => {
+            ScheduledEvent::ControllerTimer { controller, incarnation } => {
                 self.push(
                     control_plane_step::WAKE,
-                    ScheduledEvent::ControllerTimer { controller, life },
+                    ScheduledEvent::ControllerTimer { controller, incarnation },
                 );
                 self.step_controller(controller, CoreEvent::Wake);
             }
@@ -62,10 +62,13 @@
             ScheduledEvent::VoterFileDone { controller, token, .. } => {
                 self.finish_voter_file(controller, token);
             }
-            ScheduledEvent::QuerierTimer { querier, life } => {
-                self.push(membership_step::WAKE, ScheduledEvent::QuerierTimer { querier, life });
+            ScheduledEvent::QuerierTimer { querier, incarnation } => {
+                self.push(
+                    membership_step::WAKE,
+                    ScheduledEvent::QuerierTimer { querier, incarnation },
+                );
                 self.step_node_agent(querier, node_agent::Event::Wake);
-                self.send_to_slow_start_leafs(querier, life);
+                self.send_to_slow_start_leafs(querier, incarnation);
             }
             ScheduledEvent::NodeAgentEvent { querier, event, .. } => {
                 self.deliver_to_node_agent(querier, event);
@@ -82,11 +85,11 @@
             }
             ScheduledEvent::LeafResponse { run } => self.finish_run(run),
             ScheduledEvent::LeafDisconnect { key } => self.deliver_disconnect(key),
-            ScheduledEvent::Probe { querier, life, info } => {
-                self.answer_probe(querier, life, &info);
+            ScheduledEvent::Probe { querier, incarnation, info } => {
+                self.answer_probe(querier, incarnation, &info);
             }
-            ScheduledEvent::ListRequest { querier, life } => {
-                self.answer_list_request(querier, life);
+            ScheduledEvent::ListRequest { querier, incarnation } => {
+                self.answer_list_request(querier, incarnation);
             }
             ScheduledEvent::NewCall { kind } => self.start_call(kind),
             ScheduledEvent::CallArrival { call } => self.call_arrives(call),
@@ -121,20 +124,20 @@
     /// Returns whether the process that an event was meant for has ended.
     fn is_stale(&self, event: &ScheduledEvent) -> bool {
         match event {
-            ScheduledEvent::ControllerTimer { controller, life }
-            | ScheduledEvent::ControllerEvent { controller, life, .. }
-            | ScheduledEvent::DiskJobDone { controller, life, .. }
-            | ScheduledEvent::VoterFileDone { controller, life, .. } => {
-                !self.controller_runs(*controller, *life)
+            ScheduledEvent::ControllerTimer { controller, incarnation }
+            | ScheduledEvent::ControllerEvent { controller, incarnation, .. }
+            | ScheduledEvent::DiskJobDone { controller, incarnation, .. }
+            | ScheduledEvent::VoterFileDone { controller, incarnation, .. } => {
+                !self.controller_runs(*controller, *incarnation)
             }
-            ScheduledEvent::QuerierTimer { querier, life }
-            | ScheduledEvent::NodeAgentEvent { querier, life, .. }
-            | ScheduledEvent::ControllerMessage { querier, life, .. } => {
-                !self.querier_runs(*querier, *life)
+            ScheduledEvent::QuerierTimer { querier, incarnation }
+            | ScheduledEvent::NodeAgentEvent { querier, incarnation, .. }
+            | ScheduledEvent::ControllerMessage { querier, incarnation, .. } => {
+                !self.querier_runs(*querier, *incarnation)
             }
             ScheduledEvent::QueryEngineEvent { engine, .. }
             | ScheduledEvent::QueryEngineTimer { engine, .. } => {
-                !self.querier_runs(engine.querier, engine.life)
+                !self.querier_runs(engine.querier, engine.incarnation)
             }
             _ => false,
         }
@@ -152,7 +155,7 @@
     fn start_fault(&mut self, at: usize) {
         let fault = self.faults[at].clone();
         self.rules.note(self.now - BEGIN, || format!("fault: {fault}"));
-        self.rules.disturb_recoveries(self.now - BEGIN);
+        self.rules.mark_recoveries_disturbed(self.now - BEGIN);
         self.apply_fault(&fault);
     }
 
@@ -165,8 +168,8 @@
                 }
             }
             FollowUp::Fault { controller, fault } => self.end_process(controller, fault),
-            FollowUp::ForceStop { controller, life } => {
-                if self.controller_runs(controller, life) {
+            FollowUp::ForceStop { controller, incarnation } => {
+                if self.controller_runs(controller, incarnation) {
                     self.end_controller(controller);
                 }
             }
@@ -175,9 +178,9 @@
                     self.start_querier(querier);
                 }
             }
-            FollowUp::EndDrainedQuerier(querier, life) => {
-                if self.querier_runs(querier, life) {
-                    self.end_drained_querier(querier, life);
+            FollowUp::EndDrainedQuerier(querier, incarnation) => {
+                if self.querier_runs(querier, incarnation) {
+                    self.end_drained_querier(querier, incarnation);
                 }
             }
             FollowUp::ChangeAfterRestart { restart } => {
--- a/crates/simulator/src/world/zone_operators.rs
+++ b/crates/simulator/src/world/zone_operators.rs
@@ -54,7 +54,7 @@
             return;
         }
         let (zone, drained) = (zone.clone(), *drained);
-        self.rules.sender_goes_on(operator, &zone, drained);
+        self.rules.record_zone_request(operator, &zone, drained);
         self.send_zone_request(operator, None, 0);
     }
 
@@ -120,7 +120,7 @@
         entry.left -= 1;
         entry.awaited_request = None;
         let pause = if entry.left == 0 { LAST_PAUSE } else { ORDER_PAUSE };
-        self.rules.sender_is_acknowledged(operator, acknowledged);
+        self.rules.record_zone_acknowledgement(operator, acknowledged);
         self.later(pause, FollowUp::ZoneRequest { operator });
     }
 
@@ -128,6 +128,6 @@
     fn check_zone(&mut self, operator: usize) {
         let now = self.now - BEGIN;
         let drained = self.drained().contains(&self.zone_operators[operator].zone);
-        self.rules.check_last_order_stands(now, operator, drained);
+        self.rules.check_last_request_in_effect(now, operator, drained);
     }
 }
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -169,7 +169,7 @@
     let scenario = scene(3, 6, 18, troubles);
     each(&[1u64, 2, 3, 4], |_, seed| {
         let world = sound("restarts in turn", &scenario, *seed);
-        let story = || world.rules.recent_lines.iter().cloned().collect::<Vec<_>>().join("\n");
+        let story = || world.rules.recent_log.iter().cloned().collect::<Vec<_>>().join("\n");
         for slot in 0..3 {
             assert_eq!(holder(&world, slot), Some(usize::from(slot)), "{}", story());
         }
--- a/crates/simulator/tests/late_orders.rs
+++ b/crates/simulator/tests/late_orders.rs
@@ -26,7 +26,7 @@
 
 /// Operators' last orders that were acknowledged (count): so many were judged at the end.
 fn judged(world: &World) -> usize {
-    world.rules.senders.values().filter(|sender| sender.stands.is_some()).count()
+    world.rules.operator_zones.values().filter(|sender| sender.acknowledged.is_some()).count()
 }
 
 #[googletest::test]
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -41,8 +41,7 @@
                 let mut world = play(scenario, seed, None);
                 let whole =
                     world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
-                let ring =
-                    || world.rules.recent_lines.iter().cloned().collect::<Vec<_>>().join("\n");
+                let ring = || world.rules.recent_log.iter().cloned().collect::<Vec<_>>().join("\n");
                 assert!(
                     world.rules.violations.is_empty(),
                     "{name}, {seed}: {:?}",
--- a/crates/simulator/tests/rollouts.rs
+++ b/crates/simulator/tests/rollouts.rs
@@ -6,7 +6,7 @@
 mod common;
 
 use grebepath_simulator::chaos::at;
-use grebepath_simulator::rollout_rules::ToldEnd;
+use grebepath_simulator::rollout_rules::ReportedEnd;
 use grebepath_simulator::scenario::play;
 use grebepath_simulator::world::{FaultyVariant, World};
 use serde_json::{Value, json};
@@ -27,11 +27,11 @@
 }
 
 /// The end that the operator was told.
-fn end(world: &World) -> Option<ToldEnd> {
+fn end(world: &World) -> Option<ReportedEnd> {
     world.rules.rollouts.ends()[SERVICE][0]
 }
 
-fn assert_ends(fault: Value, others: Vec<Value>, seed: u64, expected: ToldEnd) {
+fn assert_ends(fault: Value, others: Vec<Value>, seed: u64, expected: ReportedEnd) {
     let world = played(fault.clone(), others, seed, None);
     let found = &world.rules.violations;
     assert!(found.is_empty(), "{fault}, seed {seed}: {found:?}");
@@ -41,7 +41,7 @@
 #[test]
 fn a_sound_version_is_delivered() {
     for seed in 1..4 {
-        assert_ends(json!({}), Vec::new(), seed, ToldEnd::Delivered);
+        assert_ends(json!({}), Vec::new(), seed, ReportedEnd::Delivered);
     }
 }
 
@@ -55,7 +55,7 @@
         json!({ "how": "one-search" }),
     ];
     for (seed, fault) in (1..).zip(faults) {
-        assert_ends(fault, Vec::new(), seed, ToldEnd::Returned);
+        assert_ends(fault, Vec::new(), seed, ReportedEnd::Returned);
     }
 }
 
@@ -68,7 +68,7 @@
 #[test]
 fn an_end_is_told_only_when_no_member_goes_by_what_was_before() {
     for seed in 1..4 {
-        assert_ends(json!({}), one_is_cut_off_at_the_turn(), seed, ToldEnd::Delivered);
+        assert_ends(json!({}), one_is_cut_off_at_the_turn(), seed, ReportedEnd::Delivered);
     }
 }
 
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -47,7 +47,7 @@
         let list: Vec<_> = table.iter().map(|h| format!("{}:{}", h.generation, h.addr)).collect();
         out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.state.slot);
     }
-    out + &world.rules.recent_lines.iter().cloned().collect::<Vec<_>>().join("\n")
+    out + &world.rules.recent_log.iter().cloned().collect::<Vec<_>>().join("\n")
 }
 
 /// Orders all the time.
