--- a/crates/server/src/testbed/callers.rs
+++ b/crates/server/src/testbed/callers.rs
@@ -84,7 +84,7 @@
     until: Instant,
 ) {
     let mut random = Random::new(seed);
-    let gap = Duration::from_secs_f64(1.0 / (kind.per_s * factor));
+    let gap = Duration::from_secs_f64(1.0 / (kind.calls_per_second * factor));
     let start = Instant::now();
     let mut calls_sent = 0u32;
     let kind = Rc::new(kind);
--- a/crates/server/src/testbed/control_listener.rs
+++ b/crates/server/src/testbed/control_listener.rs
@@ -247,7 +247,7 @@
         (leaf_state.service.clone(), leaf_state.zone.clone())
     };
     let address = SocketAddr::from(([127, 0, 0, 1], 0));
-    let age = Duration::from_millis(service.ramp_ms);
+    let age = Duration::from_millis(service.slow_start_ms);
     let name = start_leaf(backends, service, &zone, address, age).await?;
     if let Some(leaf) = backends.borrow().leafs.get(&name) {
         let mut leaf = leaf.borrow_mut();
--- a/crates/server/src/testbed/mock_backends/leaf.rs
+++ b/crates/server/src/testbed/mock_backends/leaf.rs
@@ -66,12 +66,12 @@
     /// Returns the number of concurrent requests that the leaf can serve at its current age.
     pub fn capacity(&self) -> u32 {
         let age_ms = self.started_at.elapsed().as_millis() as u64;
-        let full = u64::from(self.service.bears);
-        let ramp_ms = self.service.ramp_ms;
-        if ramp_ms == 0 || age_ms >= ramp_ms {
-            return self.service.bears;
+        let full = u64::from(self.service.capacity);
+        let slow_start_ms = self.service.slow_start_ms;
+        if slow_start_ms == 0 || age_ms >= slow_start_ms {
+            return self.service.capacity;
         }
-        ((full * (10 * ramp_ms + 90 * age_ms) / (100 * ramp_ms)) as u32).max(1)
+        ((full * (10 * slow_start_ms + 90 * age_ms) / (100 * slow_start_ms)) as u32).max(1)
     }
 
     /// Stops the leaf and closes all its connections, as killing a process does.
--- a/crates/server/src/testbed/mock_backends/leaf_server.rs
+++ b/crates/server/src/testbed/mock_backends/leaf_server.rs
@@ -138,7 +138,7 @@
     let key = query_json["key"].as_str().map(str::to_string);
     let limit = query_json["limit"].as_u64().unwrap_or(0) as usize;
     let run_index = note_run(&leaf, &runs, started_at, &query, &question, &key);
-    let base_ms = leaf.borrow().service.took_ms;
+    let base_ms = leaf.borrow().service.service_time_ms;
     let noise_ms = random.borrow_mut().below(base_ms + 1);
     let overload_ms =
         u64::from(in_flight.saturating_sub(capacity)) * base_ms / u64::from(capacity.max(1));
--- a/crates/server/src/testbed/mock_backends/mod.rs
+++ b/crates/server/src/testbed/mock_backends/mod.rs
@@ -60,7 +60,7 @@
             for i in 0..service.leafs {
                 let zone = ZONES[i % ZONES.len()];
                 let address = SocketAddr::from(([127, 0, 0, 1], 0));
-                let warm = Duration::from_millis(service.ramp_ms);
+                let warm = Duration::from_millis(service.slow_start_ms);
                 start_leaf(&backends, service.clone(), zone, address, warm).await?;
             }
         }
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -40,14 +40,14 @@
     /// Answers with the postmark of an earlier response.
     StalePostmark,
     /// Answers for another index version.
-    WrongCut,
+    WrongIndexVersion,
     /// Rejects every request before work.
     Unrun,
 }
 
 /// Whether a leaf's process and machine are running.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Alive {
+pub enum ProcessState {
     /// The process runs.
     Up,
     /// The process has ended; its machine refuses connections.
@@ -69,27 +69,27 @@
     /// Its behaviour.
     pub mode: Mode,
     /// Whether its process and machine are running.
-    pub alive: Alive,
+    pub process_state: ProcessState,
     /// Its capacity, as a percentage of its service's.
-    pub strength: u32,
+    pub capacity_pct: u32,
     /// Whether it is leaving.
     pub leaving: bool,
     /// Whether its responses report that it is leaving.
-    pub tells_leaving: bool,
+    pub reports_leaving: bool,
     /// Time from which on the platform's list shows it as leaving.
     pub shown_leaving: Option<Tick>,
     /// When the first process of the cluster received its leaving state.
     pub known_leaving: Option<Tick>,
     /// When its process started.
-    pub born: Tick,
+    pub started_at: Tick,
     /// Attempts in progress (count).
     pub in_progress: u32,
     /// Attempts that it has run in total (count).
-    pub ran: u64,
+    pub run_count: u64,
     /// The most concurrent attempts, as a percentage of its capacity.
-    pub worst_pct: u32,
+    pub peak_load_pct: u32,
     /// Attempts that arrived when it was at its capacity (count).
-    pub over: u64,
+    pub attempts_over_capacity: u64,
     /// The postmark of its last response.
     pub postmark: Option<String>,
     /// The version of its software, empty if the list doesn't include it.
@@ -109,13 +109,13 @@
     /// The behaviour of the platform's list.
     pub list_mode: ListMode,
     /// Whether leafs report their age.
-    pub ages: bool,
+    pub reports_age: bool,
     /// Whether leafs report that they are leaving; otherwise only the list shows it.
-    pub tells_leaving: bool,
+    pub reports_leaving: bool,
     /// Time from a change until the list shows it.
     pub list_lag: Span,
     /// The number of the next leaf.
-    pub next: u64,
+    pub next_number: u64,
 }
 
 /// The behaviour of the platform's list.
@@ -137,7 +137,7 @@
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
 /// Age of the warm leafs at the start of a run.
-const WARM: Span = ms(3_600_000);
+const WARM_AGE: Span = ms(3_600_000);
 
 impl MockBackends {
     /// Creates the leafs of a spec, all warm; the run begins at `now`.
@@ -147,31 +147,37 @@
             by_address: BTreeMap::new(),
             list_versions: Vec::new(),
             list_mode: ListMode::Good,
-            ages: true,
-            tells_leaving: true,
+            reports_age: true,
+            reports_leaving: true,
             list_lag: ms(spec.list_lag_ms),
-            next: 1,
+            next_number: 1,
         };
         for s in &spec.services {
             for i in 0..s.leafs {
                 let addr = backends.unused_address();
-                backends.start_leaf(s.clone(), ZONES[i % 3], addr, now.saturating_sub(WARM));
+                backends.start_leaf(s.clone(), ZONES[i % 3], addr, now.saturating_sub(WARM_AGE));
             }
         }
-        let text = backends.true_list();
+        let text = backends.current_list();
         backends.list_versions.push((now, text));
         backends
     }
 
     /// Returns an address that no leaf has used.
     pub fn unused_address(&self) -> String {
-        format!("127.1.{}.{}:8000", self.next / 200, 1 + self.next % 200)
+        format!("127.1.{}.{}:8000", self.next_number / 200, 1 + self.next_number % 200)
     }
 
     /// Starts a leaf at an address and returns its name.
-    pub fn start_leaf(&mut self, service: Service, zone: &str, addr: String, born: Tick) -> String {
-        let name = format!("{}.{}", service.name, self.next);
-        self.next += 1;
+    pub fn start_leaf(
+        &mut self,
+        service: Service,
+        zone: &str,
+        addr: String,
+        started_at: Tick,
+    ) -> String {
+        let name = format!("{}.{}", service.name, self.next_number);
+        self.next_number += 1;
         self.by_address.insert(addr.clone(), name.clone());
         self.leafs.insert(
             name.clone(),
@@ -181,17 +187,17 @@
                 zone: zone.to_string(),
                 addr,
                 mode: Mode::Good,
-                alive: Alive::Up,
-                strength: 100,
+                process_state: ProcessState::Up,
+                capacity_pct: 100,
                 leaving: false,
-                tells_leaving: self.tells_leaving,
+                reports_leaving: self.reports_leaving,
                 shown_leaving: None,
                 known_leaving: None,
-                born,
+                started_at,
                 in_progress: 0,
-                ran: 0,
-                worst_pct: 0,
-                over: 0,
+                run_count: 0,
+                peak_load_pct: 0,
+                attempts_over_capacity: 0,
                 postmark: None,
                 version: String::new(),
                 version_fault: VersionFault::Sound,
@@ -201,11 +207,11 @@
     }
 
     /// Returns the current list, without the delay of the platform.
-    fn true_list(&self) -> String {
+    fn current_list(&self) -> String {
         let leafs: Vec<Value> = self
             .leafs
             .values()
-            .filter(|l| l.alive == Alive::Up)
+            .filter(|l| l.process_state == ProcessState::Up)
             .map(|l| {
                 let mut leaf = json!({ "leaf": l.name, "service": l.service.name, "addr": l.addr,
                         "labels": { "zone": l.zone, "cut": l.service.cut,
@@ -221,7 +227,7 @@
 
     /// Records a change, which the list shows after its lag.
     pub fn list_changed(&mut self, now: Tick) {
-        let text = self.true_list();
+        let text = self.current_list();
         let shown_at = now + self.list_lag;
         self.list_versions.push((shown_at, text));
         for leaf in self.leafs.values_mut().filter(|leaf| leaf.leaving) {
@@ -230,10 +236,10 @@
     }
 
     /// Sets whether leafs report that they are leaving.
-    pub fn set_tells_leaving(&mut self, tells: bool) {
-        self.tells_leaving = tells;
+    pub fn set_reports_leaving(&mut self, tells: bool) {
+        self.reports_leaving = tells;
         for leaf in self.leafs.values_mut() {
-            leaf.tells_leaving = tells;
+            leaf.reports_leaving = tells;
         }
     }
 
@@ -257,8 +263,8 @@
 impl MockLeaf {
     /// Returns the leaf's maximum number of concurrent attempts at its age.
     pub fn capacity(&self, now: Tick) -> u32 {
-        let (age, slow_start) = (since(self.born, now), ms(self.service.ramp_ms));
-        let full = (u64::from(self.service.bears) * u64::from(self.strength) / 100).max(1);
+        let (age, slow_start) = (since(self.started_at, now), ms(self.service.slow_start_ms));
+        let full = (u64::from(self.service.capacity) * u64::from(self.capacity_pct) / 100).max(1);
         if age >= slow_start {
             return full as u32;
         }
@@ -267,34 +273,35 @@
 
     /// Returns whether the leaf is still warming up.
     pub fn is_warming_up(&self, now: Tick) -> bool {
-        since(self.born, now) < ms(self.service.ramp_ms)
+        since(self.started_at, now) < ms(self.service.slow_start_ms)
     }
 
     /// Draws the time that the leaf takes for an attempt that it starts now.
     pub fn service_time(&self, now: Tick, random: &mut Random) -> Span {
-        let base = ms(self.service.took_ms);
+        let base = ms(self.service.service_time_ms);
         let capacity = u64::from(self.capacity(now));
         // Above its capacity a leaf thrashes: its time grows with the square of the load.
         let in_progress = u64::from(self.in_progress).max(capacity);
-        let over = base * (in_progress * in_progress - capacity * capacity) / (capacity * capacity);
+        let overload_time =
+            base * (in_progress * in_progress - capacity * capacity) / (capacity * capacity);
         let extra = match self.mode {
             Mode::Slow(more) => more,
             Mode::Dark => ms(3_600_000),
             Mode::Pauses { every, pause } => pause.saturating_sub(now % every),
             _ => 0,
         };
-        base / 2 + random.below(base / 2 + 1) + over + extra
+        base / 2 + random.below(base / 2 + 1) + overload_time + extra
     }
 
     /// Returns whether its version breaks the answer to an attempt that ends now.
     pub fn breaks_answer(&self, now: Tick, search: &str, random: &mut Random) -> bool {
         let in_progress = self.in_progress + 1;
-        self.version_fault.breaks_answer(now, self.born, in_progress, search, random)
+        self.version_fault.breaks_answer(now, self.started_at, in_progress, search, random)
     }
 
     /// Returns whether it reports that it is leaving.
-    pub fn says_leaving(&self) -> bool {
-        self.leaving && self.tells_leaving
+    pub fn signals_leaving(&self) -> bool {
+        self.leaving && self.reports_leaving
     }
 
     /// Returns the headers of every response.
@@ -303,8 +310,8 @@
         ReplyHeaders {
             postmarks: Vec::new(),
             busy: Some(format!("{busy:.2}")),
-            age: Some((since(self.born, now) / MILLI).to_string()),
-            state: self.says_leaving().then(|| "leaving".to_string()),
+            age: Some((since(self.started_at, now) / MILLI).to_string()),
+            state: self.signals_leaving().then(|| "leaving".to_string()),
             ..ReplyHeaders::default()
         }
     }
@@ -336,8 +343,11 @@
         let postmark = leaf_api::postmark(&self.name, &sending.id, &sending.body_digest);
         let previous = self.postmark.replace(postmark.clone());
         let mut headers = self.headers(now);
-        headers.index_version =
-            Some(if self.mode == Mode::WrongCut { "w00".into() } else { self.service.cut.clone() });
+        headers.index_version = Some(if self.mode == Mode::WrongIndexVersion {
+            "w00".into()
+        } else {
+            self.service.cut.clone()
+        });
         headers.postmarks = match self.mode {
             Mode::NoPostmark => Vec::new(),
             Mode::TwoPostmarks => vec![postmark.clone(), postmark],
@@ -362,6 +372,6 @@
                 | Mode::NoPostmark
                 | Mode::TwoPostmarks
                 | Mode::StalePostmark
-                | Mode::WrongCut
+                | Mode::WrongIndexVersion
         )
 }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -29,7 +29,7 @@
         );
     }
     let (over, most) = world.rules.retry_excess();
-    let worst = world.backends.leafs.values().max_by_key(|leaf| leaf.worst_pct);
+    let worst = world.backends.leafs.values().max_by_key(|leaf| leaf.peak_load_pct);
     let requests_with =
         |want: fn(&grebepath_core::protocol::operation::OperationResult) -> bool| {
             world.operator_requests.iter().filter(|o| o.result.as_ref().is_some_and(want)).count()
@@ -42,8 +42,8 @@
         "kinds": kinds,
         "first_dispatches": world.rules.first_attempts.len(), "second_tries": world.rules.retries.len(),
         "worst_10s": { "second_tries": most, "over_a_fifth": over },
-        "worst_leaf": worst.map(|leaf| json!({ "leaf": leaf.name, "pct_of_bears": leaf.worst_pct })),
-        "begun_beyond_bearing": world.backends.leafs.values().map(|leaf| leaf.over).sum::<u64>(),
+        "worst_leaf": worst.map(|leaf| json!({ "leaf": leaf.name, "pct_of_bears": leaf.peak_load_pct })),
+        "begun_beyond_bearing": world.backends.leafs.values().map(|leaf| leaf.attempts_over_capacity).sum::<u64>(),
         "orders": { "accepted": requests_with(|d| matches!(d, OperationResult::Accepted { .. })),
                     "bounced": requests_with(|d| matches!(d, OperationResult::Rejected { .. })),
                     "unknown": requests_with(|d| matches!(d, OperationResult::Unknown { .. })),
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -34,7 +34,7 @@
     /// Queries that callers sent.
     pub asked: BTreeSet<String>,
     /// Answers of leafs, by query id: (service, question).
-    pub ran: BTreeMap<String, Vec<(String, String)>>,
+    pub answered_by_query: BTreeMap<String, Vec<(String, String)>>,
     /// Accepted configurations: when, revision.
     pub accepted: Vec<(Tick, u64)>,
     /// The longest time after a newer configuration was accepted at which a
@@ -121,7 +121,7 @@
 
     /// Checks rule 1: every claimed service answered this question for this query.
     pub fn check_claims(&mut self, now: Tick, query: &str, services: &[String], question: &str) {
-        let list = self.ran.remove(query).unwrap_or_default();
+        let list = self.answered_by_query.remove(query).unwrap_or_default();
         for service in services {
             if !list.iter().any(|(s, q)| s == service && q == question) {
                 self.violated(now, 1, format!("{query} claims {service}, which never answered it"));
@@ -140,7 +140,7 @@
     pub fn record_answer(&mut self, service: &str, id: &str, question: &str) {
         let query = id.rsplit_once('.').map_or(id, |q| q.0);
         let row = (service.to_string(), question.to_string());
-        self.ran.entry(query.to_string()).or_default().push(row);
+        self.answered_by_query.entry(query.to_string()).or_default().push(row);
     }
 
     /// Checks rule 9 for the answer under `revision` to a call that began at `began`.
@@ -245,8 +245,8 @@
         };
         if *acknowledged != drained {
             let text = format!(
-                "zone {zone}: the last acknowledged request set drained {acknowledged}, but drained \
-                 {drained} is in force"
+                "zone {zone}: the last acknowledged request set drained {acknowledged}, \
+                 but drained {drained} is in force"
             );
             self.violated(now, 14, text);
         }
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -7,7 +7,7 @@
 use super::ScheduledFault;
 use super::values::{Fleet, disk_health, leaf_mode, list_mode};
 use crate::mock_backends;
-use crate::mock_backends::{Alive, ListMode, Mode};
+use crate::mock_backends::{ListMode, Mode, ProcessState};
 use crate::net::Node;
 use crate::simulated_disk::Health;
 use crate::world::{FollowUp, OperatorRequest, World};
@@ -221,7 +221,7 @@
         self.backends.list_mode = ListMode::Good;
         self.factor = factor;
         for leaf in self.backends.leafs.values_mut() {
-            (leaf.mode, leaf.strength) = (Mode::Good, 100);
+            (leaf.mode, leaf.capacity_pct) = (Mode::Good, 100);
         }
         for controller in 0..self.controllers.len() {
             self.set_disk_health(controller, Health::Good);
@@ -282,17 +282,20 @@
                 "leafs" => leaf.mode = leaf_mode(&fault.parameters).unwrap_or(Mode::Good),
                 "leave-leafs" => leaf.leaving = true,
                 "weaken-leafs" => {
-                    leaf.strength =
+                    leaf.capacity_pct =
                         fault.parameters["pct"].as_u64().unwrap_or(50).clamp(1, 100) as u32;
                 }
                 "kill-leafs" => {
                     let vanish = fault.parameters["vanish"].as_bool().unwrap_or(false);
-                    self.kill_leaf(&name, if vanish { Alive::Vanished } else { Alive::Down });
+                    self.kill_leaf(
+                        &name,
+                        if vanish { ProcessState::Vanished } else { ProcessState::Down },
+                    );
                 }
                 "restart-leafs" | "reuse" => {
                     let (mut service, zone, addr) =
                         (leaf.service.clone(), leaf.zone.clone(), leaf.addr.clone());
-                    self.kill_leaf(&name, Alive::Down);
+                    self.kill_leaf(&name, ProcessState::Down);
                     if fault.action == "reuse" {
                         let by = fault.parameters["by"].as_str().unwrap_or("stranger");
                         // A leaf of a known service has the capacity of that service.
@@ -316,7 +319,7 @@
             .leafs
             .values()
             .filter(|leaf| {
-                leaf.alive == Alive::Up
+                leaf.process_state == ProcessState::Up
                     && fits("service", &leaf.service.name)
                     && fits("zone", &leaf.zone)
             })
--- a/crates/simulator/src/scenario/mod.rs
+++ b/crates/simulator/src/scenario/mod.rs
@@ -35,11 +35,11 @@
     /// The faults and other actions, each with its time.
     pub faults: Vec<ScheduledFault>,
     /// Whether leafs report their age.
-    pub ages: bool,
+    pub reports_age: bool,
     /// Time from a querier's stop request until it rejects calls, if the scenario sets it.
     pub drain_notice: Option<Span>,
     /// Whether leafs report that they are leaving.
-    pub tells_leaving: bool,
+    pub reports_leaving: bool,
     /// How the control plane is set up.
     pub control_plane: world::ControlPlaneSetup,
 }
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -61,8 +61,8 @@
         World::new(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
     world.faulty_variant = faulty_variant;
     world.drain_notice = scenario.drain_notice;
-    world.backends.ages = scenario.ages;
-    world.backends.set_tells_leaving(scenario.tells_leaving);
+    world.backends.reports_age = scenario.reports_age;
+    world.backends.set_reports_leaving(scenario.reports_leaving);
     world.submit(ms(200), OperatorRequest::replace(&scenario.config));
     world.until(20 * SECOND, |world| {
         world.settled()
--- a/crates/simulator/src/scenario/values.rs
+++ b/crates/simulator/src/scenario/values.rs
@@ -63,7 +63,7 @@
         "no-postmark" => Mode::NoPostmark,
         "two-postmarks" => Mode::TwoPostmarks,
         "stale-postmark" => Mode::StalePostmark,
-        "wrong-cut" => Mode::WrongCut,
+        "wrong-cut" => Mode::WrongIndexVersion,
         "unrun" => Mode::Unrun,
         _ => return None,
     })
--- a/crates/simulator/src/spec.rs
+++ b/crates/simulator/src/spec.rs
@@ -14,11 +14,11 @@
     /// Leafs at the start (count).
     pub leafs: usize,
     /// Maximum number of concurrent attempts of a warm leaf.
-    pub bears: u32,
+    pub capacity: u32,
     /// Time that an idle leaf takes for one attempt.
-    pub took_ms: u64,
+    pub service_time_ms: u64,
     /// Duration of a leaf's slow start until it reaches its full capacity.
-    pub ramp_ms: u64,
+    pub slow_start_ms: u64,
 }
 
 /// One kind of call.
@@ -27,7 +27,7 @@
     /// The search that is called.
     pub search: String,
     /// Calls per second.
-    pub per_s: f64,
+    pub calls_per_second: f64,
     /// The caller's deadline (ms).
     pub budget_ms: u64,
     /// Requested records (count).
@@ -122,9 +122,9 @@
             name: text(s, "service")?,
             cut: text(s, "cut")?,
             leafs: number(s, "leafs")? as usize,
-            bears: number(s, "bears")? as u32,
-            took_ms: number(s, "took_ms")? as u64,
-            ramp_ms: number(s, "ramp_ms")? as u64,
+            capacity: number(s, "bears")? as u32,
+            service_time_ms: number(s, "took_ms")? as u64,
+            slow_start_ms: number(s, "ramp_ms")? as u64,
         });
     }
     let mut kinds = Vec::new();
@@ -139,7 +139,7 @@
         }
         kinds.push(Kind {
             search: text(k, "search")?,
-            per_s: number(k, "per_s")?,
+            calls_per_second: number(k, "per_s")?,
             budget_ms: number(k, "budget_ms")? as u64,
             limit: number(k, "limit")? as usize,
             lookup: k["lookup"].as_bool().unwrap_or(false),
--- a/crates/simulator/src/version_fault.rs
+++ b/crates/simulator/src/version_fault.rs
@@ -28,17 +28,19 @@
     /// Reads the fault of a scenario's action; `None` if its name is unknown.
     pub fn read(parameters: &Value) -> Option<VersionFault> {
         let number = |key: &str, default: u64| parameters[key].as_u64().unwrap_or(default);
-        let part = number("per_mille", 400);
+        let per_mille = number("per_mille", 400);
         Some(match parameters["how"].as_str().unwrap_or("sound") {
             "sound" => VersionFault::Sound,
-            "errors" => VersionFault::Errors(part),
-            "late" => VersionFault::Late(part, grebepath_core::time::ms(number("after_ms", 3_000))),
-            "under-load" => VersionFault::UnderLoad(part, number("load", 3) as u32),
+            "errors" => VersionFault::Errors(per_mille),
+            "late" => {
+                VersionFault::Late(per_mille, grebepath_core::time::ms(number("after_ms", 3_000)))
+            }
+            "under-load" => VersionFault::UnderLoad(per_mille, number("load", 3) as u32),
             "one-search" => {
                 let search = parameters["search"].as_str().unwrap_or("browse");
-                VersionFault::OneSearch(part, search.to_string())
+                VersionFault::OneSearch(per_mille, search.to_string())
             }
-            "slow" => VersionFault::Slow(part, number("times", 8)),
+            "slow" => VersionFault::Slow(per_mille, number("times", 8)),
             _ => return None,
         })
     }
@@ -52,25 +54,25 @@
     pub fn breaks_answer(
         &self,
         now: Tick,
-        born: Tick,
+        started_at: Tick,
         in_progress: u32,
         search: &str,
         random: &mut Random,
     ) -> bool {
-        let part = match self {
-            VersionFault::Errors(part) => *part,
-            VersionFault::Late(part, after) if since(born, now) >= *after => *part,
-            VersionFault::UnderLoad(part, load) if in_progress >= *load => *part,
-            VersionFault::OneSearch(part, name) if name == search => *part,
+        let per_mille = match self {
+            VersionFault::Errors(per_mille) => *per_mille,
+            VersionFault::Late(per_mille, after) if since(started_at, now) >= *after => *per_mille,
+            VersionFault::UnderLoad(per_mille, load) if in_progress >= *load => *per_mille,
+            VersionFault::OneSearch(per_mille, name) if name == search => *per_mille,
             _ => return false,
         };
-        random.chance(part, 1_000)
+        random.chance(per_mille, 1_000)
     }
 
     /// Draws the factor by which an answer takes longer.
     pub fn slow_down(&self, random: &mut Random) -> u64 {
         match self {
-            VersionFault::Slow(part, times) if random.chance(*part, 1_000) => *times,
+            VersionFault::Slow(per_mille, times) if random.chance(*per_mille, 1_000) => *times,
             _ => 1,
         }
     }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -25,7 +25,7 @@
 
     pub(super) fn gap(&mut self, kind: usize) -> Span {
         // Uniform between 0.5 and 1.5 times the mean: uneven arrivals without long bursts or gaps.
-        let mean = 1e6 / (self.call_kinds[kind].per_s * self.factor).max(0.001);
+        let mean = 1e6 / (self.call_kinds[kind].calls_per_second * self.factor).max(0.001);
         (mean * (0.5 + self.random.below(1000) as f64 / 1000.0)) as Span
     }
 
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -11,7 +11,7 @@
 use super::events::ScheduledEvent;
 use super::faulty_variant::FaultyVariant;
 use crate::mock_backends;
-use crate::mock_backends::Alive;
+use crate::mock_backends::ProcessState;
 use crate::net::{Endpoint, Node};
 
 /// The endpoint that serves the platform's list.
@@ -87,17 +87,17 @@
         else {
             return;
         };
-        if leaf.alive != Alive::Up || leaf.mode == mock_backends::Mode::Dark {
+        if leaf.process_state != ProcessState::Up || leaf.mode == mock_backends::Mode::Dark {
             return;
         }
         let mut report = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
         if leaf.name == info.leaf {
-            report.leaving = leaf.says_leaving()
+            report.leaving = leaf.signals_leaving()
                 && self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs);
-            if self.backends.ages {
-                report.age_ms = grebepath_core::time::since(leaf.born, self.now) / MILLI;
+            if self.backends.reports_age {
+                report.age_ms = grebepath_core::time::since(leaf.started_at, self.now) / MILLI;
             }
-            if leaf.says_leaving() {
+            if leaf.signals_leaving() {
                 self.record_leaving_received(&info.leaf.clone());
             }
         } else {
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -12,7 +12,7 @@
 use super::nodes::{RequestInFlight, Run};
 use super::{BEGIN, World};
 use crate::mock_backends;
-use crate::mock_backends::{Alive, Mode};
+use crate::mock_backends::{Mode, ProcessState};
 use crate::net::latency;
 
 /// The version of the first leafs of a run: the list doesn't include it.
@@ -24,7 +24,7 @@
 /// HTTP status of the response of an overloaded leaf.
 const UNAVAILABLE: u16 = 503;
 /// Multiple of its capacity above which a leaf rejects attempts.
-const REJECTS_BEYOND: u32 = 3;
+const REJECTION_FACTOR: u32 = 3;
 
 impl World {
     pub(super) fn send_attempt(&mut self, engine: QueryEngineId, mut outgoing: OutgoingAttempt) {
@@ -107,7 +107,7 @@
     ) {
         let AttemptKey { engine, attempt } = key;
         if let Ok(raw) = &mut got
-            && !self.backends.ages
+            && !self.backends.reports_age
         {
             raw.headers.age = None;
         }
@@ -133,10 +133,10 @@
         let name = self.backends.by_address.get(&outgoing.addr).cloned().unwrap_or_default();
         let Some(leaf) = self.backends.leafs.get(&name) else { return };
         let zone = leaf.zone.clone();
-        match leaf.alive {
-            Alive::Vanished => return,
-            Alive::Down => return self.answer(key, &zone, Err(AttemptFailure::Unreachable)),
-            Alive::Up => {}
+        match leaf.process_state {
+            ProcessState::Vanished => return,
+            ProcessState::Down => return self.answer(key, &zone, Err(AttemptFailure::Unreachable)),
+            ProcessState::Up => {}
         }
         let misdirected = outgoing.leaf != leaf.name || outgoing.service != leaf.service.name;
         let rejection = |status| Ok(leaf.rejection(now, status));
@@ -176,21 +176,21 @@
         let Some(leaf) = self.backends.leafs.get_mut(&name) else { return };
         leaf.in_progress += 1;
         let capacity = leaf.capacity(now);
-        leaf.worst_pct = leaf.worst_pct.max(leaf.in_progress * 100 / capacity);
-        leaf.over += u64::from(leaf.in_progress > capacity);
+        leaf.peak_load_pct = leaf.peak_load_pct.max(leaf.in_progress * 100 / capacity);
+        leaf.attempts_over_capacity += u64::from(leaf.in_progress > capacity);
         let in_progress = leaf.in_progress;
         if leaf.is_warming_up(now) {
             self.rules.check_warm_up_load(now - BEGIN, &name, in_progress, capacity);
         }
-        if leaf.mode == Mode::Unrun || in_progress > capacity * REJECTS_BEYOND {
+        if leaf.mode == Mode::Unrun || in_progress > capacity * REJECTION_FACTOR {
             leaf.in_progress -= 1;
             let (zone, response) = (leaf.zone.clone(), leaf.rejection(now, UNAVAILABLE));
-            if leaf.says_leaving() {
+            if leaf.signals_leaving() {
                 self.record_leaving_received(&name);
             }
             return self.answer(key, &zone, Ok(response));
         }
-        leaf.ran += 1;
+        leaf.run_count += 1;
         let (service, version) = (leaf.service.name.clone(), leaf.version.clone());
         let times = leaf.version_fault.slow_down(&mut self.random);
         let took = leaf.service_time(now, &mut self.random) * times;
@@ -225,7 +225,7 @@
         let now = self.now;
         let Some(leaf) = self.backends.leafs.get_mut(&run.leaf) else { return };
         let zone = leaf.zone.clone();
-        if leaf.alive != Alive::Up {
+        if leaf.process_state != ProcessState::Up {
             return;
         }
         let mut raw = leaf.response(now, &run.outgoing);
@@ -239,7 +239,7 @@
             let question = asked["question"].as_str().unwrap_or_default();
             self.rules.record_answer(&leaf.service.name, &run.outgoing.id, question);
         }
-        if leaf.says_leaving() {
+        if leaf.signals_leaving() {
             self.record_leaving_received(&run.leaf);
             if self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs) {
                 raw.headers = ReplyHeaders { state: None, ..raw.headers };
@@ -249,15 +249,15 @@
     }
 
     /// Ends a leaf's process: its work is lost, and if its machine is up, its connections break.
-    pub fn kill_leaf(&mut self, name: &str, how: Alive) {
+    pub fn kill_leaf(&mut self, name: &str, how: ProcessState) {
         let Some(leaf) = self.backends.leafs.get_mut(name) else { return };
-        leaf.alive = how;
+        leaf.process_state = how;
         let zone = leaf.zone.clone();
         let runs: Vec<u64> =
             self.runs.iter().filter(|(_, run)| run.leaf == name).map(|(id, _)| *id).collect();
         for run in runs {
             if let Some(run) = self.end_run(run)
-                && how == Alive::Down
+                && how == ProcessState::Down
             {
                 self.answer(run.key, &zone, Err(AttemptFailure::Truncated));
             }
--- a/crates/simulator/src/world/rollouts.rs
+++ b/crates/simulator/src/world/rollouts.rs
@@ -10,7 +10,7 @@
 use super::faulty_variant::FaultyVariant;
 use super::operator_request::OperatorRequest;
 use super::{BEGIN, World};
-use crate::mock_backends::Alive;
+use crate::mock_backends::ProcessState;
 use crate::rollout_rules::ReportedEnd;
 use crate::version_fault::VersionFault;
 
@@ -64,7 +64,8 @@
     fn start_version(&mut self, service: &str, version: &str, fault: &VersionFault) -> Vec<String> {
         let now = self.now;
         let standing = self.backends.leafs.values();
-        let standing = standing.filter(|l| l.service.name == service && l.alive == Alive::Up);
+        let standing =
+            standing.filter(|l| l.service.name == service && l.process_state == ProcessState::Up);
         let places: Vec<_> = standing.map(|l| (l.service.clone(), l.zone.clone())).collect();
         let mut names = Vec::new();
         for (service, zone) in places {
@@ -168,7 +169,7 @@
         let others: Vec<String> =
             all.map(|leaf| leaf.name.clone()).filter(|name| !kept.contains(name)).collect();
         for name in others {
-            self.kill_leaf(&name, Alive::Down);
+            self.kill_leaf(&name, ProcessState::Down);
         }
         self.backends.list_changed(self.now);
     }
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -87,8 +87,12 @@
     let weak = get("weak-leafs");
     let (full, partial, all) = share(weak, "browse");
     assert!(full * 100 >= all * 75, "weak leafs: {full} {partial} of {all}");
-    let over: u64 = weak.backends.leafs.values().map(|l| l.over).sum();
-    assert!(over < 1_500, "{over} dispatches begun beyond what leafs bear");
+    let attempts_over_capacity: u64 =
+        weak.backends.leafs.values().map(|l| l.attempts_over_capacity).sum();
+    assert!(
+        attempts_over_capacity < 1_500,
+        "{attempts_over_capacity} dispatches begun beyond what leafs bear"
+    );
     // Two disks lost: said aloud, and queries served on.
     let two = get("two-disks-lost");
     assert!(two.alarms.keys().any(|a| a.contains("two disks are lost")), "{:?}", two.alarms);
