--- a/crates/server/src/testbed/mock_backends/leaf_server.rs
+++ b/crates/server/src/testbed/mock_backends/leaf_server.rs
@@ -194,7 +194,7 @@
     runs.borrow_mut().push(Run {
         leaf: leaf_state.name.clone(),
         service: leaf_state.service.name.clone(),
-        index_version: leaf_state.service.cut.clone(),
+        index_version: leaf_state.service.index_version.clone(),
         zone: leaf_state.zone.clone(),
         query: query.to_string(),
         question: question.to_string(),
@@ -272,7 +272,7 @@
     };
     out = out.header(
         leaf_api::INDEX_VERSION,
-        if *mode == Mode::WrongIndexVersion { "w00" } else { &service.cut },
+        if *mode == Mode::WrongIndexVersion { "w00" } else { &service.index_version },
     );
     match mode {
         Mode::Garbage => body = "{\"records\":[{\"id\":7,".into(),
--- a/crates/server/src/testbed/mock_backends/mod.rs
+++ b/crates/server/src/testbed/mock_backends/mod.rs
@@ -81,7 +81,7 @@
                 let mut entry = json!({
                     "leaf": leaf.name, "service": leaf.service.name,
                     "addr": leaf.addr.to_string(),
-                    "labels": { "zone": leaf.zone, "cut": leaf.service.cut,
+                    "labels": { "zone": leaf.zone, "cut": leaf.service.index_version,
                                 "state": if leaf.leaving { "leaving" } else { "ready" } },
                 });
                 if !leaf.version.is_empty() {
--- a/crates/simulator/src/chaos/draw.rs
+++ b/crates/simulator/src/chaos/draw.rs
@@ -86,7 +86,7 @@
 }
 
 /// The scenario that faults are drawn for, and the start and duration of the next fault (s).
-pub(super) struct Scene<'a> {
+pub(super) struct FaultContext<'a> {
     pub scenario: &'a Scenario,
     pub random: Random,
     pub from: f64,
@@ -120,20 +120,20 @@
     "unrun",
 ];
 
-fn pick<'a, T>(random: &mut Random, list: &'a [T]) -> &'a T {
+fn pick_one<'a, T>(random: &mut Random, list: &'a [T]) -> &'a T {
     &list[random.below(list.len() as u64) as usize]
 }
 
 impl Choice {
-    fn draw(scene: &mut Scene) -> Choice {
-        let (scenario, random) = (scene.scenario, &mut scene.random);
+    fn draw(context: &mut FaultContext) -> Choice {
+        let (scenario, random) = (context.scenario, &mut context.random);
         Choice {
             controller: random.below(scenario.control_plane.machines as u64),
             querier: random.below(scenario.queriers as u64),
-            service: pick(random, &scenario.spec.services).name.clone(),
-            other_service: pick(random, &scenario.spec.services).name.clone(),
-            zone: pick::<&str>(random, &ZONES),
-            mode: pick::<&str>(random, &MODES),
+            service: pick_one(random, &scenario.spec.services).name.clone(),
+            other_service: pick_one(random, &scenario.spec.services).name.clone(),
+            zone: pick_one::<&str>(random, &ZONES),
+            mode: pick_one::<&str>(random, &MODES),
             coin: random.chance(1, 2),
             count: 1 + random.below(4),
             ms: 100 + random.below(500),
@@ -141,7 +141,7 @@
     }
 }
 
-impl Scene<'_> {
+impl FaultContext<'_> {
     /// Draws one fault of the kind, with the action that ends it.
     pub fn draw(&mut self, kind: FaultKind) -> Vec<Value> {
         let choice = Choice::draw(self);
@@ -188,7 +188,7 @@
                 let factor = self.scenario.factor;
                 let more = factor * (2.0 + self.random.below(10) as f64 / 10.0);
                 let begin = json!({ "do": "load", "factor": more });
-                self.both(begin, json!({ "do": "load", "factor": factor }))
+                self.begin_and_end(begin, json!({ "do": "load", "factor": factor }))
             }
         }
     }
@@ -199,13 +199,13 @@
     }
 
     /// Schedules an action at the beginning and one at the end.
-    fn both(&self, begin: Value, end: Value) -> Vec<Value> {
+    fn begin_and_end(&self, begin: Value, end: Value) -> Vec<Value> {
         vec![at(self.from, begin), at(self.from + self.span, end)]
     }
 
     /// Schedules a network fault that is healed at the end.
     fn until_healed(&self, begin: Value) -> Vec<Value> {
-        self.both(begin, json!({ "do": "heal" }))
+        self.begin_and_end(begin, json!({ "do": "heal" }))
     }
 
     /// Schedules a network partition between two sides.
@@ -221,7 +221,7 @@
         for key in ["count", "ms", "pct"] {
             good.as_object_mut().map(|fields| fields.remove(key));
         }
-        self.both(begin, good)
+        self.begin_and_end(begin, good)
     }
 
     fn controller_fault(&mut self, kind: FaultKind, choice: &Choice) -> Vec<Value> {
@@ -236,9 +236,9 @@
                 self.begin(json!({ "do": "pause-seat", "which": which, "for_s": span }))
             }
             FaultKind::DegradeDisk => {
-                let health = *pick(&mut self.random, &["full", "stalled", "slow"]);
+                let health = *pick_one(&mut self.random, &["full", "stalled", "slow"]);
                 let bad = json!({ "do": "disk", "which": which, "health": health, "ms": 200 });
-                self.both(bad, json!({ "do": "disk", "which": which, "health": "good" }))
+                self.begin_and_end(bad, json!({ "do": "disk", "which": which, "health": "good" }))
             }
             FaultKind::FlipBit => vec![
                 at(self.from, json!({ "do": "flip", "which": which })),
@@ -305,13 +305,13 @@
                 self.degraded(json!({ "do": "leafs", "zone": choice.zone, "mode": mode, "ms": ms }))
             }
             FaultKind::DegradeAllLeafs => {
-                let mode = *pick(&mut self.random, &["slow", "pauses"]);
+                let mode = *pick_one(&mut self.random, &["slow", "pauses"]);
                 self.degraded(json!({ "do": "leafs", "mode": mode, "ms": ms }))
             }
             _ => {
-                let mode = *pick(&mut self.random, &["empty", "garbage", "dead", "stale"]);
+                let mode = *pick_one(&mut self.random, &["empty", "garbage", "dead", "stale"]);
                 let good = json!({ "do": "list", "mode": "good" });
-                self.both(json!({ "do": "list", "mode": mode }), good)
+                self.begin_and_end(json!({ "do": "list", "mode": mode }), good)
             }
         }
     }
@@ -323,13 +323,14 @@
             FaultKind::RestartSomeLeafs => {
                 self.begin(json!({ "do": "restart-leafs", "service": service, "count": count }))
             }
-            FaultKind::ReplaceLeavingLeafs => {
-                self.both(json!({ "do": "leave-leafs", "service": service, "count": count }), new)
-            }
+            FaultKind::ReplaceLeavingLeafs => self.begin_and_end(
+                json!({ "do": "leave-leafs", "service": service, "count": count }),
+                new,
+            ),
             FaultKind::ReplaceKilledLeafs => {
                 let dead = json!({ "do": "kill-leafs", "service": service, "count": count,
                                    "vanish": choice.coin });
-                self.both(dead, new)
+                self.begin_and_end(dead, new)
             }
             FaultKind::RestartService => {
                 self.begin(json!({ "do": "restart-leafs", "service": service }))
@@ -340,7 +341,7 @@
             _ => {
                 let reused = json!({ "do": "reuse", "service": service, "count": count,
                                      "by": choice.other_service });
-                self.both(reused, new)
+                self.begin_and_end(reused, new)
             }
         }
     }
@@ -350,7 +351,7 @@
         match kind {
             FaultKind::DrainZone => {
                 let drain = json!({ "do": "drain", "zone": choice.zone });
-                self.both(drain, json!({ "do": "undrain", "zone": choice.zone }))
+                self.begin_and_end(drain, json!({ "do": "undrain", "zone": choice.zone }))
             }
             FaultKind::RequestStorm => {
                 let gap_ms = 20 + self.random.below(60);
@@ -373,14 +374,14 @@
 
     /// Schedules a change to another index version, where the deployment has two.
     pub fn change_index_version(&self) -> Vec<Value> {
-        let plan = |cut: &str| {
+        let plan = |index_version: &str| {
             let text = format!(
-                "from index = \"notices\" and cut = \"{cut}\" by shard\nsend wide\nwait 30%\n\
+                "from index = \"notices\" and cut = \"{index_version}\" by shard\nsend wide\nwait 30%\n\
                  stop at quorum after 80%\nprefer local"
             );
             json!({ "do": "patch", "config": { "searches": [{ "name": "browse", "class": "ordinary",
                 "promise_ms": 900, "quorum": 0.75, "attempts": 3, "plan": text }] } })
         };
-        self.both(plan("w49"), plan("w48"))
+        self.begin_and_end(plan("w49"), plan("w48"))
     }
 }
--- a/crates/simulator/src/chaos/mod.rs
+++ b/crates/simulator/src/chaos/mod.rs
@@ -8,7 +8,7 @@
 
 mod draw;
 
-use draw::{KINDS, Scene};
+use draw::{FaultContext, KINDS};
 
 /// Sets the time of an action (s).
 pub fn at(at_s: f64, mut val: Value) -> Value {
@@ -18,18 +18,18 @@
 
 /// Time before the end at which all faults end (s): 12 s to recover, and 3 s in
 /// which nearly all calls must be full.
-const RECOVERY_BEFORE_END: f64 = 16.0;
+const RECOVERY_BEFORE_END_S: f64 = 16.0;
 /// Time between the loss or corruption of two disks (s): a
 /// controller scrubs all its files within 20 s.
-const DISK_GAP: f64 = 26.0;
+const DISK_LOSS_GAP_S: f64 = 26.0;
 /// Time before the recovery in which no leafs are replaced (s): leafs in slow start
 /// lack the capacity for a recovery.
-const FRESH_GAP: f64 = 12.0;
+const LEAF_REPLACEMENT_GAP_S: f64 = 12.0;
 /// Longest duration of a fault (s).
-const SPAN: u64 = 8;
+const MAX_FAULT_SPAN_S: u64 = 8;
 
 /// Returns whether faults lose data of a disk.
-fn loses_disk(list: &[Value]) -> bool {
+fn damages_disk(list: &[Value]) -> bool {
     list.iter().any(|fault| fault["do"] == "flip" || fault["lose"] == true)
 }
 
@@ -42,37 +42,39 @@
 /// Draws faults with times, durations and overlaps by the seed, then one last fault,
 /// then the end of all faults.
 pub fn chaos(seed: u64, scenario: &Scenario) -> Vec<ScheduledFault> {
-    let recovery_at = (scenario.seconds as f64 - RECOVERY_BEFORE_END).max(1.0);
-    let mut scene = Scene { scenario, random: Random::new(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
+    let recovery_at = (scenario.seconds as f64 - RECOVERY_BEFORE_END_S).max(1.0);
+    let mut context =
+        FaultContext { scenario, random: Random::new(seed ^ 0xc0ffee), from: 0.0, span: 0.0 };
     let storm = json!({ "do": "storm", "count": (recovery_at * 3.0) as u64, "gap_ms": 250 });
     let mut all = vec![at(1.0, storm)];
-    let has_two_index_versions = scenario.spec.services.iter().any(|service| service.cut == "w49");
-    let mut lost_at = -DISK_GAP;
+    let has_two_index_versions =
+        scenario.spec.services.iter().any(|service| service.index_version == "w49");
+    let mut last_disk_loss = -DISK_LOSS_GAP_S;
     let mut from = 1.5;
     loop {
         // The next fault begins up to 7 s later.
-        from += scene.random.below(70) as f64 / 10.0;
-        scene.from = from;
-        scene.span = 0.3 + scene.random.below(SPAN * 10) as f64 / 10.0;
-        let last = from + scene.span + 2.0 >= recovery_at;
+        from += context.random.below(70) as f64 / 10.0;
+        context.from = from;
+        context.span = 0.3 + context.random.below(MAX_FAULT_SPAN_S * 10) as f64 / 10.0;
+        let last = from + context.span + 2.0 >= recovery_at;
         if last {
-            scene.from = (recovery_at - scene.span - 1.0).max(1.0);
+            context.from = (recovery_at - context.span - 1.0).max(1.0);
         }
-        let drawn = scene.random.below(KINDS.len() as u64 + u64::from(has_two_index_versions));
+        let drawn = context.random.below(KINDS.len() as u64 + u64::from(has_two_index_versions));
         let mut list = match KINDS.get(drawn as usize) {
-            Some(kind) => scene.draw(*kind),
-            None => scene.change_index_version(),
+            Some(kind) => context.draw(*kind),
+            None => context.change_index_version(),
         };
         // Three replicas tolerate the loss of one disk at a time.
-        let late = scene.from + scene.span > recovery_at - FRESH_GAP;
-        while (loses_disk(&list) && scene.from - lost_at < DISK_GAP)
+        let late = context.from + context.span > recovery_at - LEAF_REPLACEMENT_GAP_S;
+        while (damages_disk(&list) && context.from - last_disk_loss < DISK_LOSS_GAP_S)
             || (late && replaces_leafs(&list))
         {
-            let drawn = scene.random.below(KINDS.len() as u64);
-            list = scene.draw(KINDS[drawn as usize]);
+            let drawn = context.random.below(KINDS.len() as u64);
+            list = context.draw(KINDS[drawn as usize]);
         }
-        if loses_disk(&list) {
-            lost_at = scene.from;
+        if damages_disk(&list) {
+            last_disk_loss = context.from;
         }
         all.extend(list);
         if last {
--- a/crates/simulator/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -28,7 +28,7 @@
     let Ok(val) = serde_json::from_slice::<Value>(body) else {
         return (vec!["the answer is not JSON".into()], Vec::new());
     };
-    let cut = val["cut"].as_str().unwrap_or_default();
+    let index_version = val["cut"].as_str().unwrap_or_default();
     let names: Vec<&str> =
         val["shards"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
     let distinct: BTreeSet<&&str> = names.iter().collect();
@@ -38,17 +38,18 @@
     let table: BTreeMap<&str, &str> = kind
         .shards
         .iter()
-        .filter(|entry| entry.cut == cut)
+        .filter(|entry| entry.index_version == index_version)
         .map(|entry| (entry.shard.as_str(), entry.service.as_str()))
         .collect();
     if table.is_empty() {
-        bad.push(format!("rule 2: unknown index version {cut:?}"));
+        bad.push(format!("rule 2: unknown index version {index_version:?}"));
     }
     let mut services = Vec::new();
     for name in &names {
         match table.get(name) {
             Some(service) => services.push(*service),
-            None => bad.push(format!("rule 1: shard {name:?} is not of index version {cut:?}")),
+            None => bad
+                .push(format!("rule 1: shard {name:?} is not of index version {index_version:?}")),
         }
     }
     let planned = if kind.lookup { 1 } else { table.len() };
--- a/crates/simulator/src/explore.rs
+++ b/crates/simulator/src/explore.rs
@@ -18,7 +18,7 @@
 use crate::world::{Fault, FaultInjection, FaultyVariant, InjectedFault, OperatorRequest, World};
 
 /// Time in which controllers apply new seeds and receive the voter set.
-const SEEDS_TAKEN_UP: Span = ms(100);
+const SEEDS_APPLY_TIME: Span = ms(100);
 
 /// The scenario and faults to explore.
 pub struct Scope {
@@ -53,9 +53,9 @@
     /// Events of the controllers within the window of a run without faults.
     pub events: u64,
     /// Runs of the scenario (count).
-    pub plays: usize,
+    pub runs: usize,
     /// Runs that lost more replicas than the scope tolerates (count).
-    pub beyond: usize,
+    pub beyond_tolerance: usize,
     /// Failed runs; those with the fewest faults first.
     pub failures: Vec<Failure>,
 }
@@ -65,29 +65,30 @@
     /// The faults that were injected.
     pub injected: Vec<InjectedFault>,
     /// A readable log of the injected faults.
-    pub story: Vec<String>,
+    pub event_log: Vec<String>,
     /// The errors that were found.
-    pub wrong: Vec<String>,
+    pub errors: Vec<String>,
 }
 
 /// Explores a scope on several threads.
 pub fn explore(scope: &Scope, pairs: Pairs, threads: usize) -> Report {
-    let base = play_once(scope, Vec::new());
+    let base = run_once(scope, Vec::new());
     let events = base.events;
     let singles = singles(events, &scope.faults);
     let mut plans: Vec<Vec<InjectedFault>> = singles.iter().map(|one| vec![*one]).collect();
     plans.extend(drawn_pairs(&singles, pairs, scope.seed));
     let next = AtomicUsize::new(0);
-    let beyond = AtomicUsize::new(0);
+    let beyond_tolerance = AtomicUsize::new(0);
     let failures = Mutex::new(Vec::from_iter(base.failure));
     std::thread::scope(|workers| {
         for _ in 0..threads.max(1) {
             workers.spawn(|| {
                 while let Some(plan) = plans.get(next.fetch_add(1, Ordering::Relaxed)) {
-                    let played = play_once(scope, plan.clone());
-                    beyond.fetch_add(usize::from(played.beyond), Ordering::Relaxed);
+                    let result = run_once(scope, plan.clone());
+                    beyond_tolerance
+                        .fetch_add(usize::from(result.beyond_tolerance), Ordering::Relaxed);
                     let mut failures = failures.lock().unwrap_or_else(|e| e.into_inner());
-                    failures.extend(played.failure);
+                    failures.extend(result.failure);
                 }
             });
         }
@@ -96,7 +97,12 @@
     failures.sort_by_key(|failure| {
         (failure.injected.len(), failure.injected.iter().map(|d| d.event).collect::<Vec<_>>())
     });
-    Report { events, plays: plans.len() + 1, beyond: beyond.into_inner(), failures }
+    Report {
+        events,
+        runs: plans.len() + 1,
+        beyond_tolerance: beyond_tolerance.into_inner(),
+        failures,
+    }
 }
 
 /// Returns every fault at every event.
@@ -123,68 +129,68 @@
 }
 
 /// The result of one run of a scope.
-pub struct Played {
+pub struct RunResult {
     /// Events of the controllers within the window.
     pub events: u64,
     /// Whether it lost more replicas than the scope tolerates.
-    pub beyond: bool,
+    pub beyond_tolerance: bool,
     /// The failure, if there was one.
     pub failure: Option<Failure>,
 }
 
 /// Runs a scope once with these injected faults.
-pub fn play_once(scope: &Scope, injected: Vec<InjectedFault>) -> Played {
+pub fn run_once(scope: &Scope, injected: Vec<InjectedFault>) -> RunResult {
     let micros = |seconds: f64| (seconds * SECOND as f64) as u64;
     let window = (micros(scope.window.0), micros(scope.window.1));
     let list = FaultInjection { window, list: injected.clone(), ..FaultInjection::default() };
     let mut world = play_with_faults(&scope.scenario, scope.seed, scope.faulty_variant, list);
-    let beyond = world.injected.losses > scope.tolerates;
-    let wrong = if beyond { Vec::new() } else { judge(&mut world) };
+    let beyond_tolerance = world.injected.losses > scope.tolerates;
+    let errors = if beyond_tolerance { Vec::new() } else { check_end(&mut world) };
     let events = world.injected.seen;
-    let story = world.injected.story.clone();
-    let failure = (!wrong.is_empty()).then_some(Failure { injected, story, wrong });
-    Played { events, beyond, failure }
+    let event_log = world.injected.event_log.clone();
+    let failure = (!errors.is_empty()).then_some(Failure { injected, event_log, errors });
+    RunResult { events, beyond_tolerance, failure }
 }
 
 /// Returns the errors of a run that has ended.
-fn judge(world: &mut World) -> Vec<String> {
+fn check_end(world: &mut World) -> Vec<String> {
     let recovered = world.until(12 * SECOND, |world| world.settled() && world.all_slots_voting());
-    let mut wrong: Vec<String> =
+    let mut errors: Vec<String> =
         world.rules.violations.iter().map(|found| format!("{found:?}")).collect();
-    wrong.extend(world.forgotten_memberships().iter().take(1).cloned());
+    errors.extend(world.forgotten_memberships().iter().take(1).cloned());
     if !recovered {
-        wrong.push("not all voter slots are held by voting replicas".into());
-        return wrong;
+        errors.push("not all voter slots are held by voting replicas".into());
+        return errors;
     }
     // A machine that restarted with an empty disk and whose seeds are lost needs new seeds.
     world.renew_seeds();
-    world.run(SEEDS_TAKEN_UP);
+    world.run(SEEDS_APPLY_TIME);
     let last = world.submit(0, OperatorRequest::marked(world.operator_requests.len()));
     let accepted = |world: &World| {
         matches!(world.operator_requests[last].result, Some(OperationResult::Accepted { .. }))
     };
     if !world.until(5 * SECOND, accepted) {
-        wrong.push(format!(
+        errors.push(format!(
             "the last request ended with {:?}",
             world.operator_requests[last].result
         ));
     }
-    if !world.until(5 * SECOND, one_state) {
-        wrong.push("replicas of one revision differ, or one is behind".into());
+    if !world.until(5 * SECOND, all_replicas_equal) {
+        errors.push("replicas of one revision differ, or one is behind".into());
     }
-    wrong
+    errors
 }
 
 /// Returns whether all voters hold the same configuration.
-fn one_state(world: &World) -> bool {
-    let mut copies = world
+fn all_replicas_equal(world: &World) -> bool {
+    let mut states = world
         .controllers
         .iter()
         .filter(|node| node.up && node.has_voter_slot())
         .map(|node| &node.state.partitions[0].state);
-    let Some(first) = copies.next() else { return false };
-    copies.all(|copy| {
-        (copy.written_term, copy.revision) == (first.written_term, first.revision)
-            && copy.entries == first.entries
+    let Some(first) = states.next() else { return false };
+    states.all(|state| {
+        (state.written_term, state.revision) == (first.written_term, first.revision)
+            && state.entries == first.entries
     })
 }
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -20,10 +20,10 @@
     seeds: u64,
     compare: bool,
     json: bool,
-    story: bool,
+    event_log: bool,
     chaos: bool,
     shrink: bool,
-    weigh: bool,
+    count_messages: bool,
     queriers: Option<usize>,
     explore: Option<String>,
     pairs: usize,
@@ -38,12 +38,12 @@
     let seeds = long("seeds").help("number of seeds").argument::<u64>("N").fallback(1);
     let compare = long("compare").help("run two scenarios with the same seeds").switch();
     let json = long("json").help("print JSON instead of tables").switch();
-    let story = long("story").help("print the log up to the first violation").switch();
+    let event_log = long("story").help("print the log up to the first violation").switch();
     let deploy = long("deploy")
         .help("directory of the deployments' files")
         .argument::<String>("DIR")
         .fallback("deploy".into());
-    let weigh = long("weigh").help("count messages and bytes by kind").switch();
+    let count_messages = long("weigh").help("count messages and bytes by kind").switch();
     let queriers = long("queriers")
         .help("number of queriers, overrides the scenario's")
         .argument::<usize>("N")
@@ -72,10 +72,10 @@
         seeds,
         compare,
         json,
-        story,
+        event_log,
         chaos,
         shrink,
-        weigh,
+        count_messages,
         queriers,
         explore,
         pairs,
@@ -117,15 +117,16 @@
     for seed in args.seed..args.seed + args.seeds {
         let mut rows = Vec::new();
         for scenario in &list {
-            let mut scenario = if args.chaos { stirred(scenario, seed) } else { scenario.clone() };
+            let mut scenario =
+                if args.chaos { with_drawn_faults(scenario, seed) } else { scenario.clone() };
             scenario.queriers = args.queriers.unwrap_or(scenario.queriers);
-            let world = play_counting_messages(&scenario, seed, None, args.weigh);
+            let world = play_counting_messages(&scenario, seed, None, args.count_messages);
             broken |= !world.rules.violation_counts.is_empty();
-            show(&args, &scenario, seed, &world);
+            print_run(&args, &scenario, seed, &world);
             if args.shrink && !world.rules.violation_counts.is_empty() {
-                shrunk(&scenario, seed, &world);
+                print_minimal_faults(&scenario, seed, &world);
             }
-            rows.push(sums(&world));
+            rows.push(call_totals(&world));
         }
         if args.compare && !args.json {
             println!("seed {seed}: {}", difference(&rows));
@@ -135,14 +136,14 @@
 }
 
 /// Returns the scenario with additional faults drawn by the seed.
-fn stirred(scenario: &Scenario, seed: u64) -> Scenario {
+fn with_drawn_faults(scenario: &Scenario, seed: u64) -> Scenario {
     let mut out = scenario.clone();
     out.faults.extend(grebepath_simulator::chaos::chaos(seed, scenario));
     out
 }
 
 /// Prints the fewest faults that still break one of the rules that broke.
-fn shrunk(scenario: &Scenario, seed: u64, world: &World) {
+fn print_minimal_faults(scenario: &Scenario, seed: u64, world: &World) {
     let rules: Vec<u8> = world.rules.violation_counts.keys().copied().collect();
     let list = grebepath_simulator::chaos::shrink(&scenario.faults, |list| {
         let less = Scenario { faults: list.to_vec(), ..scenario.clone() };
@@ -161,7 +162,7 @@
     read(&text, &|name| read_json(&format!("{deploy}/{name}")))
 }
 
-fn show(args: &Args, scenario: &Scenario, seed: u64, world: &World) {
+fn print_run(args: &Args, scenario: &Scenario, seed: u64, world: &World) {
     if args.json {
         println!(
             "{}",
@@ -174,15 +175,15 @@
     for (kind, MessageCount { messages: n, bytes }) in world.net.message_counts.iter().flatten() {
         println!("  {kind:<32} {n:>9} messages {bytes:>12} bytes");
     }
-    if args.story || !world.rules.violation_counts.is_empty() {
-        for line in &world.rules.story {
+    if args.event_log || !world.rules.violation_counts.is_empty() {
+        for line in &world.rules.event_log {
             println!("  {line}");
         }
     }
 }
 
 /// Returns the numbers of complete, partial and other results of calls, and of retries.
-fn sums(world: &World) -> [u64; 4] {
+fn call_totals(world: &World) -> [u64; 4] {
     let (mut full, mut partial, mut other) = (0, 0, 0);
     for outcomes in world.tallies.values() {
         full += outcomes.full;
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -214,7 +214,7 @@
             .filter(|l| l.process_state == ProcessState::Up)
             .map(|l| {
                 let mut leaf = json!({ "leaf": l.name, "service": l.service.name, "addr": l.addr,
-                        "labels": { "zone": l.zone, "cut": l.service.cut,
+                        "labels": { "zone": l.zone, "cut": l.service.index_version,
                                     "state": if l.leaving { "leaving" } else { "ready" } } });
                 if !l.version.is_empty() {
                     leaf["labels"]["version"] = json!(l.version);
@@ -346,7 +346,7 @@
         headers.index_version = Some(if self.mode == Mode::WrongIndexVersion {
             "w00".into()
         } else {
-            self.service.cut.clone()
+            self.service.index_version.clone()
         });
         headers.postmarks = match self.mode {
             Mode::NoPostmark => Vec::new(),
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -30,7 +30,7 @@
     /// The most recent log lines, which are printed with a violation.
     pub recent_log: VecDeque<String>,
     /// The recent lines at the first violation.
-    pub story: Vec<String>,
+    pub event_log: Vec<String>,
     /// Queries that callers sent.
     pub asked: BTreeSet<String>,
     /// Answers of leafs, by query id: (service, question).
@@ -99,7 +99,7 @@
 impl Rules {
     /// Records a log line.
     pub fn note(&mut self, at: Tick, text: impl FnOnce() -> String) {
-        if !self.story.is_empty() {
+        if !self.event_log.is_empty() {
             return;
         }
         if self.recent_log.len() >= RECENT_LINES {
@@ -112,7 +112,7 @@
     pub fn violated(&mut self, at: Tick, rule: u8, text: String) {
         *self.violation_counts.entry(rule).or_default() += 1;
         if self.violations.is_empty() {
-            self.story = self.recent_log.iter().cloned().collect();
+            self.event_log = self.recent_log.iter().cloned().collect();
         }
         if self.violations.len() < MAX_KEPT_VIOLATIONS {
             self.violations.push(Violation { at, rule, text });
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -5,7 +5,7 @@
 use serde_json::Value;
 
 use super::ScheduledFault;
-use super::values::{Fleet, disk_health, leaf_mode, list_mode};
+use super::values::{MachineCounts, disk_health, leaf_mode, list_mode};
 use crate::mock_backends;
 use crate::mock_backends::{ListMode, Mode, ProcessState};
 use crate::net::Node;
@@ -151,7 +151,7 @@
                 let gap = ms(parameters["gap_ms"].as_u64().unwrap_or(20));
                 self.later(0, FollowUp::RequestStorm { left, gap });
             }
-            _ => self.race(parameters["count"].as_u64().unwrap_or(8)),
+            _ => self.submit_racing_requests(parameters["count"].as_u64().unwrap_or(8)),
         }
     }
 
@@ -252,14 +252,15 @@
     }
 
     fn partition_network(&mut self, parameters: &Value) {
-        let fleet = Fleet { controllers: self.controllers.len(), queriers: self.queriers.len() };
+        let machine_counts =
+            MachineCounts { controllers: self.controllers.len(), queriers: self.queriers.len() };
         let side = |key: &str| -> Vec<Node> {
             parameters[key]
                 .as_array()
                 .into_iter()
                 .flatten()
                 .filter_map(Value::as_str)
-                .flat_map(|word| fleet.nodes_named(word))
+                .flat_map(|word| machine_counts.nodes_named(word))
                 .collect()
         };
         let (a, b) = (side("a"), side("b"));
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -17,9 +17,9 @@
     faulty_variant: Option<world::FaultyVariant>,
     count_messages: bool,
 ) -> World {
-    let mut world = come_up(scenario, seed, faulty_variant);
+    let mut world = start_cluster(scenario, seed, faulty_variant);
     world.net.message_counts = count_messages.then(Default::default);
-    play_on(&mut world, scenario);
+    run_scenario(&mut world, scenario);
     world
 }
 
@@ -31,28 +31,28 @@
     faulty_variant: Option<world::FaultyVariant>,
     injected: world::FaultInjection,
 ) -> World {
-    let mut world = come_up(scenario, seed, faulty_variant);
+    let mut world = start_cluster(scenario, seed, faulty_variant);
     let began = world.since_begin();
     let (from, to) = injected.window;
     world.injected = world::FaultInjection { window: (began + from, began + to), ..injected };
-    play_on(&mut world, scenario);
+    run_scenario(&mut world, scenario);
     world
 }
 
 /// Runs a scenario like `play_with_faults`, and hashes all messages from the moment the cluster
 /// has started.
 pub fn play_traced(scenario: &Scenario, seed: u64, injected: world::FaultInjection) -> World {
-    let mut world = come_up(scenario, seed, None);
+    let mut world = start_cluster(scenario, seed, None);
     world.net.trace = Some(0);
     let began = world.since_begin();
     let (from, to) = injected.window;
     world.injected = world::FaultInjection { window: (began + from, began + to), ..injected };
-    play_on(&mut world, scenario);
+    run_scenario(&mut world, scenario);
     world
 }
 
 /// Starts a cluster and runs it until it has settled, before the scenario begins.
-pub(super) fn come_up(
+pub(super) fn start_cluster(
     scenario: &Scenario,
     seed: u64,
     faulty_variant: Option<world::FaultyVariant>,
@@ -74,7 +74,7 @@
 }
 
 /// Runs the scenario on a cluster that has started.
-pub(super) fn play_on(world: &mut World, scenario: &Scenario) {
+pub(super) fn run_scenario(world: &mut World, scenario: &Scenario) {
     let faults = scenario.faults.clone();
     world.plan(faults);
     world.start_calls(scenario.factor);
--- a/crates/simulator/src/scenario/read.rs
+++ b/crates/simulator/src/scenario/read.rs
@@ -4,7 +4,7 @@
 use grebepath_core::time::ms;
 use serde_json::Value;
 
-use super::values::{Fleet, disk_health, leaf_mode, list_mode};
+use super::values::{MachineCounts, disk_health, leaf_mode, list_mode};
 use super::{Scenario, ScheduledFault};
 use crate::files::FileError;
 use crate::spec::{self, Spec, SpecError};
@@ -154,10 +154,12 @@
 ) -> Vec<ScheduledFault> {
     let Some(list) = value["troubles"].as_array() else { return Vec::new() };
     let added = list.iter().filter(|fault| fault["do"] == "add-seat").count();
-    let fleet = Fleet { queriers, controllers: machines + added };
+    let machine_counts = MachineCounts { queriers, controllers: machines + added };
     let listed = list.iter().enumerate();
     listed
-        .filter_map(|(i, fault)| read_fault(&format!("troubles[{i}]"), fault, fleet, diagnostics))
+        .filter_map(|(i, fault)| {
+            read_fault(&format!("troubles[{i}]"), fault, machine_counts, diagnostics)
+        })
         .collect()
 }
 
@@ -205,7 +207,7 @@
 fn read_fault(
     at: &str,
     value: &Value,
-    fleet: Fleet,
+    machine_counts: MachineCounts,
     diagnostics: &mut Vec<Diagnostic>,
 ) -> Option<ScheduledFault> {
     let before = diagnostics.len();
@@ -225,7 +227,7 @@
             find(diagnostics, format!("{at}.{key}"), format!("`{action}` has no such field"));
         }
     }
-    check_values(at, &action, value, fleet, diagnostics);
+    check_values(at, &action, value, machine_counts, diagnostics);
     (diagnostics.len() == before).then(|| ScheduledFault {
         at_ms: (at_s * 1000.0) as u64,
         action,
@@ -238,13 +240,17 @@
     at: &str,
     action: &str,
     value: &Value,
-    fleet: Fleet,
+    machine_counts: MachineCounts,
     diagnostics: &mut Vec<Diagnostic>,
 ) {
     let has =
         |field: &str| ACTIONS.iter().any(|known| known.0 == action && known.1.contains(&field));
     if has("which") {
-        let top = if action.ends_with("querier") { fleet.queriers } else { fleet.controllers };
+        let top = if action.ends_with("querier") {
+            machine_counts.queriers
+        } else {
+            machine_counts.controllers
+        };
         if value["which"].as_u64().is_none_or(|number| number as usize >= top) {
             find(diagnostics, format!("{at}.which"), format!("expected a number below {top}"));
         }
@@ -264,7 +270,7 @@
     if action == "cut" {
         for side in ["a", "b"] {
             for word in value[side].as_array().into_iter().flatten() {
-                if word.as_str().is_none_or(|word| fleet.nodes_named(word).is_empty()) {
+                if word.as_str().is_none_or(|word| machine_counts.nodes_named(word).is_empty()) {
                     find(diagnostics, format!("{at}.{side}"), format!("{word} names no machine"));
                 }
             }
--- a/crates/simulator/src/scenario/values.rs
+++ b/crates/simulator/src/scenario/values.rs
@@ -10,12 +10,12 @@
 
 /// The numbers of machines.
 #[derive(Clone, Copy)]
-pub(super) struct Fleet {
+pub(super) struct MachineCounts {
     pub controllers: usize,
     pub queriers: usize,
 }
 
-impl Fleet {
+impl MachineCounts {
     /// Returns the machines that a word names; none if the word is unknown.
     pub fn nodes_named(self, word: &str) -> Vec<Node> {
         let controllers = (0..self.controllers as u8).map(Node::Controller);
--- a/crates/simulator/src/spec.rs
+++ b/crates/simulator/src/spec.rs
@@ -10,7 +10,7 @@
     /// Its name.
     pub name: String,
     /// The index version that it serves.
-    pub cut: String,
+    pub index_version: String,
     /// Leafs at the start (count).
     pub leafs: usize,
     /// Maximum number of concurrent attempts of a warm leaf.
@@ -44,7 +44,7 @@
 #[derive(Clone, Debug)]
 pub struct ShardService {
     /// The index version that it serves.
-    pub cut: String,
+    pub index_version: String,
     /// The shard's name.
     pub shard: String,
     /// The service that holds it.
@@ -120,7 +120,7 @@
     for s in list(val, "services")? {
         services.push(Service {
             name: text(s, "service")?,
-            cut: text(s, "cut")?,
+            index_version: text(s, "cut")?,
             leafs: number(s, "leafs")? as usize,
             capacity: number(s, "bears")? as u32,
             service_time_ms: number(s, "took_ms")? as u64,
@@ -132,7 +132,7 @@
         let mut shards = Vec::new();
         for s in list(k, "shards")? {
             shards.push(ShardService {
-                cut: text(s, "cut")?,
+                index_version: text(s, "cut")?,
                 shard: text(s, "shard")?,
                 service: text(s, "service")?,
             });
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -109,13 +109,16 @@
                 && let Outcome::Rejected(rejection) = &outcome
                 && rejection.query.is_some()
             {
-                let cut = self.call_kinds[kind].shards[0].cut.clone();
-                let planned =
-                    self.call_kinds[kind].shards.iter().filter(|shard| shard.cut == cut).count();
+                let index_version = self.call_kinds[kind].shards[0].index_version.clone();
+                let planned = self.call_kinds[kind]
+                    .shards
+                    .iter()
+                    .filter(|shard| shard.index_version == index_version)
+                    .count();
                 return Outcome::Answered(grebepath_core::query::request::SearchAnswer {
                     query: rejection.query.clone().unwrap_or_default(),
                     route: self.call_kinds[kind].search.clone(),
-                    index_version: cut,
+                    index_version,
                     revision: u64::MAX,
                     shards: Vec::new(),
                     missing: planned,
@@ -129,7 +132,7 @@
                 let all = self.call_kinds[kind]
                     .shards
                     .iter()
-                    .filter(|shard| shard.cut == full.index_version);
+                    .filter(|shard| shard.index_version == full.index_version);
                 full.shards = all.map(|shard| shard.shard.clone()).collect();
                 full.missing = 0;
             }
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -75,7 +75,7 @@
     /// were about to leave and are not restarted.
     pub losses: usize,
     /// A readable log of the injected faults.
-    pub story: Vec<String>,
+    pub event_log: Vec<String>,
 }
 
 impl World {
@@ -93,7 +93,7 @@
         for fault in due {
             let Some(event) = left.take() else { break };
             let line = format!("{:.3} s: {fault:?} at {}", at as f64 / 1e6, describe(&event));
-            self.injected.story.push(line);
+            self.injected.event_log.push(line);
             left = self.apply_injected_fault(controller, fault, event);
         }
         left
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -24,7 +24,7 @@
     /// Submits replacements and patches at the same time, to any voter.
     /// The sender of a replacement has read the configuration and gives its revision, so
     /// no change that is accepted in between may be lost.
-    pub fn race(&mut self, count: u64) {
+    pub fn submit_racing_requests(&mut self, count: u64) {
         let fits = |controller: &usize| {
             self.controllers[*controller].up && self.controllers[*controller].has_voter_slot()
         };
--- a/crates/simulator/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -48,9 +48,9 @@
         return None;
     }
     let troubles: Vec<String> = s.faults.iter().map(|t| format!("  {} ms {t}", t.at_ms)).collect();
-    let story = world.rules.story.join("\n");
+    let event_log = world.rules.event_log.join("\n");
     Some(format!(
-        "seed {seed}, settled {settled}\n{}\n{}\n{story}",
+        "seed {seed}, settled {settled}\n{}\n{}\n{event_log}",
         report::table(&world),
         troubles.join("\n")
     ))
--- a/crates/simulator/tests/explore.rs
+++ b/crates/simulator/tests/explore.rs
@@ -29,12 +29,17 @@
     println!(
         "{name}: {} events, {} plays, {} of them beyond what is tolerated, {} broken",
         report.events,
-        report.plays,
-        report.beyond,
+        report.runs,
+        report.beyond_tolerance,
         report.failures.len()
     );
     for failure in report.failures.iter().take(6) {
-        println!("{:?}\n  {}\n  {:?}", failure.injected, failure.story.join("\n  "), failure.wrong);
+        println!(
+            "{:?}\n  {}\n  {:?}",
+            failure.injected,
+            failure.event_log.join("\n  "),
+            failure.errors
+        );
     }
 }
 
--- a/crates/simulator/tests/faulty_variants.rs
+++ b/crates/simulator/tests/faulty_variants.rs
@@ -37,7 +37,7 @@
             "{name}, {deployment}: {variant:?} broke nothing of rule {rule}, only {:?}",
             bad.rules.violation_counts
         );
-        assert!(!bad.rules.story.is_empty(), "{name}: a violation comes with its story");
+        assert!(!bad.rules.event_log.is_empty(), "{name}: a violation comes with its story");
     }
 }
 
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -39,14 +39,14 @@
 
 fn sound(name: &str, scenario: &Scenario, seed: u64) -> World {
     let (world, whole) = played(scenario, seed, None);
-    let story = || world.rules.story.join("\n");
+    let event_log = || world.rules.event_log.join("\n");
     assert!(
         world.rules.violations.is_empty(),
         "{name}, {seed}: {:?}\n{}",
         world.rules.violations,
-        story()
+        event_log()
     );
-    assert!(whole, "{name}, {seed}: not whole\n{}", story());
+    assert!(whole, "{name}, {seed}: not whole\n{}", event_log());
     world
 }
 
@@ -80,10 +80,10 @@
     each(&[1u64, 2, 3, 4], |_, seed| {
         let mut world = play(&scenario, *seed, None);
         assert!(world.rules.violations.is_empty(), "{:?}", world.rules.violations);
-        let story = world.rules.story.join("\n");
-        assert_eq!(holder(&world, 0), Some(3), "{story}");
-        assert!(!world.controllers[0].up, "still there\n{story}");
-        assert!(world.until(ms(1), World::all_slots_voting), "{story}");
+        let event_log = world.rules.event_log.join("\n");
+        assert_eq!(holder(&world, 0), Some(3), "{event_log}");
+        assert!(!world.controllers[0].up, "still there\n{event_log}");
+        assert!(world.until(ms(1), World::all_slots_voting), "{event_log}");
     });
 }
 
@@ -169,14 +169,14 @@
     let scenario = scene(3, 6, 18, troubles);
     each(&[1u64, 2, 3, 4], |_, seed| {
         let world = sound("restarts in turn", &scenario, *seed);
-        let story = || world.rules.recent_log.iter().cloned().collect::<Vec<_>>().join("\n");
+        let event_log = || world.rules.recent_log.iter().cloned().collect::<Vec<_>>().join("\n");
         for slot in 0..3 {
-            assert_eq!(holder(&world, slot), Some(usize::from(slot)), "{}", story());
+            assert_eq!(holder(&world, slot), Some(usize::from(slot)), "{}", event_log());
         }
         // One may be on its way to a process at the moment when it ends.
         let unanswered = world.operator_requests.iter().filter(|o| o.result.is_none()).count();
-        assert!(unanswered <= 6, "{unanswered} without an answer\n{}", story());
-        assert_eq!(accepted(&world) + unanswered, world.operator_requests.len(), "{}", story());
+        assert!(unanswered <= 6, "{unanswered} without an answer\n{}", event_log());
+        assert_eq!(accepted(&world) + unanswered, world.operator_requests.len(), "{}", event_log());
     });
 }
 
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -29,8 +29,8 @@
                 let whole =
                     world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
                 let found = &world.rules.violations;
-                let story = || world.rules.story.join("\n");
-                assert!(found.is_empty(), "{name}, {seed}: {found:?}\n{}", story());
+                let event_log = || world.rules.event_log.join("\n");
+                assert!(found.is_empty(), "{name}, {seed}: {found:?}\n{}", event_log());
                 assert!(whole, "{name}, {seed}: not whole\n{}", state(&world));
                 check(&mut world, seed);
             });
@@ -378,7 +378,7 @@
                         found.is_empty() && whole,
                         "seed {seed}, whole {whole}: {found:?}\n{}\n{}\n{}",
                         list.join("\n"),
-                        world.rules.story.join("\n"),
+                        world.rules.event_log.join("\n"),
                         state(&world)
                     );
                 }
