--- a/crates/simulator/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -24,16 +24,16 @@
     missing: Option<&str>,
     body: &[u8],
 ) -> (Vec<String>, Vec<String>) {
-    let mut bad = Vec::new();
-    let Ok(val) = serde_json::from_slice::<Value>(body) else {
+    let mut errors = Vec::new();
+    let Ok(answer) = serde_json::from_slice::<Value>(body) else {
         return (vec!["the answer is not JSON".into()], Vec::new());
     };
-    let index_version = val["cut"].as_str().unwrap_or_default();
+    let index_version = answer["cut"].as_str().unwrap_or_default();
     let names: Vec<&str> =
-        val["shards"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
+        answer["shards"].as_array().into_iter().flatten().filter_map(Value::as_str).collect();
     let distinct: BTreeSet<&&str> = names.iter().collect();
     if distinct.len() != names.len() {
-        bad.push(format!("rule 1: a shard is named twice: {names:?}"));
+        errors.push(format!("rule 1: a shard is named twice: {names:?}"));
     }
     let table: BTreeMap<&str, &str> = kind
         .shards
@@ -42,28 +42,28 @@
         .map(|entry| (entry.shard.as_str(), entry.service.as_str()))
         .collect();
     if table.is_empty() {
-        bad.push(format!("rule 2: unknown index version {index_version:?}"));
+        errors.push(format!("rule 2: unknown index version {index_version:?}"));
     }
     let mut services = Vec::new();
     for name in &names {
         match table.get(name) {
             Some(service) => services.push(*service),
-            None => bad
+            None => errors
                 .push(format!("rule 1: shard {name:?} is not of index version {index_version:?}")),
         }
     }
     let planned = if kind.lookup { 1 } else { table.len() };
-    let need = (planned as f64 * kind.quorum).ceil() as usize;
-    if names.len() < need {
-        bad.push(format!("rule 3: {} shards of {planned}, {need} needed", names.len()));
+    let required = (planned as f64 * kind.quorum).ceil() as usize;
+    if names.len() < required {
+        errors.push(format!("rule 3: {} shards of {planned}, {required} needed", names.len()));
     }
-    let left = planned.saturating_sub(names.len());
-    if missing != Some(left.to_string().as_str()) {
-        bad.push(format!("Missing-Parts is {missing:?}, {left} are missing"));
+    let missing_count = planned.saturating_sub(names.len());
+    if missing != Some(missing_count.to_string().as_str()) {
+        errors.push(format!("Missing-Parts is {missing:?}, {missing_count} are missing"));
     }
-    let records = val["records"].as_array().cloned().unwrap_or_default();
-    let want = oracle::merged(&services, &asked.question, asked.key.as_deref(), kind.limit);
-    let got: Vec<(&str, f64, &str)> = records
+    let records = answer["records"].as_array().cloned().unwrap_or_default();
+    let expected = oracle::merged(&services, &asked.question, asked.key.as_deref(), kind.limit);
+    let actual: Vec<(&str, f64, &str)> = records
         .iter()
         .map(|r| {
             (
@@ -73,18 +73,21 @@
             )
         })
         .collect();
-    for (_, _, service) in &got {
+    for (_, _, service) in &actual {
         if !services.contains(service) {
-            bad.push(format!("rule 2: a record of {service}, which is not named"));
+            errors.push(format!("rule 2: a record of {service}, which is not named"));
             break;
         }
     }
-    let same = got.len() == want.len()
-        && got.iter().zip(&want).all(|(g, w)| g.0 == w.id && g.1 == w.score && g.2 == w.service);
-    if !same {
-        bad.push("rule 4: the records are not the best of the shards named, in order".into());
+    let records_match = actual.len() == expected.len()
+        && actual
+            .iter()
+            .zip(&expected)
+            .all(|(g, w)| g.0 == w.id && g.1 == w.score && g.2 == w.service);
+    if !records_match {
+        errors.push("rule 4: the records are not the best of the shards named, in order".into());
     }
-    (bad, services.iter().map(|s| s.to_string()).collect())
+    (errors, services.iter().map(|s| s.to_string()).collect())
 }
 
 /// Checks the claims of answers against the attempts that the leafs ran. `claims` are
@@ -94,7 +97,7 @@
     asked: &BTreeSet<String>,
     runs: &[Value],
 ) -> Vec<String> {
-    let mut bad = Vec::new();
+    let mut errors = Vec::new();
     let mut ran: BTreeMap<&str, Vec<(&str, &str)>> = BTreeMap::new();
     for row in runs {
         let cell = |i: usize| row[i].as_str().unwrap_or_default();
@@ -104,7 +107,7 @@
             ran.entry(query).or_default().push((cell(1), cell(5)));
         }
         if !asked.contains(cell(5)) {
-            bad.push(format!(
+            errors.push(format!(
                 "rule 5: {} ran a question that no caller sent: {:?}",
                 cell(0),
                 cell(5)
@@ -115,9 +118,9 @@
         let list = ran.get(query.as_str()).map_or(&[][..], Vec::as_slice);
         for service in services {
             if !list.iter().any(|(s, q)| s == service && q == question) {
-                bad.push(format!("rule 1: {query} claims {service}, which never answered it"));
+                errors.push(format!("rule 1: {query} claims {service}, which never answered it"));
             }
         }
     }
-    bad
+    errors
 }
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -326,12 +326,12 @@
     }
 
     /// Returns the response to an attempt that was run.
-    pub fn response(&mut self, now: Tick, sending: &OutgoingAttempt) -> LeafReply {
-        let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
-        let question = asked["question"].as_str().unwrap_or_default();
-        let limit = asked["limit"].as_u64().unwrap_or(0) as usize;
+    pub fn response(&mut self, now: Tick, outgoing: &OutgoingAttempt) -> LeafReply {
+        let request: Value = serde_json::from_slice(&outgoing.body).unwrap_or(Value::Null);
+        let question = request["question"].as_str().unwrap_or_default();
+        let limit = request["limit"].as_u64().unwrap_or(0) as usize;
         let mut records =
-            oracle::records(&self.service.name, question, asked["key"].as_str(), limit);
+            oracle::records(&self.service.name, question, request["key"].as_str(), limit);
         if self.mode == Mode::Disorder {
             records.reverse();
         }
@@ -340,7 +340,7 @@
             .map(|r| json!({ "id": r.id, "score": r.score, "data": { "service": r.service } }))
             .collect();
         let mut body = json!({ "records": list }).to_string().into_bytes();
-        let postmark = leaf_api::postmark(&self.name, &sending.id, &sending.body_digest);
+        let postmark = leaf_api::postmark(&self.name, &outgoing.id, &outgoing.body_digest);
         let previous = self.postmark.replace(postmark.clone());
         let mut headers = self.headers(now);
         headers.index_version = Some(if self.mode == Mode::WrongIndexVersion {
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -50,10 +50,10 @@
                     "wrong": requests_with(|d| matches!(d, OperationResult::Invalid(_))) },
         "restarts": world.rules.checked_restarts.iter().map(|restart| json!({
             "at_s": restart.at as f64 / 1e6,
-            "first_full_ms": restart.first.iter().map(|(kind, at)| (kind.clone(), json!((at - restart.at) / MILLI)))
+            "first_full_ms": restart.first_complete.iter().map(|(kind, at)| (kind.clone(), json!((at - restart.at) / MILLI)))
                 .collect::<serde_json::Map<_, _>>(),
             "accepted_ms": restart.accepted.map(|at| (at - restart.at) / MILLI),
-            "made": restart.made, "full": restart.full })).collect::<Vec<_>>(),
+            "made": restart.calls, "full": restart.complete_calls })).collect::<Vec<_>>(),
         "events": world.events, "messages": world.net.sent, "messages_lost": world.net.lost,
     })
 }
--- a/crates/simulator/src/restart_check.rs
+++ b/crates/simulator/src/restart_check.rs
@@ -11,13 +11,13 @@
     /// Time since the start of the run.
     pub at: Tick,
     /// Calls by kind.
-    pub made: BTreeMap<String, u64>,
+    pub calls: BTreeMap<String, u64>,
     /// Completely answered calls by kind.
-    pub full: BTreeMap<String, u64>,
+    pub complete_calls: BTreeMap<String, u64>,
     /// When the first complete answer of each kind arrived.
-    pub first: BTreeMap<String, Tick>,
+    pub first_complete: BTreeMap<String, Tick>,
     /// The number of the change that an operator requests after the restart.
-    pub order: Option<usize>,
+    pub request: Option<usize>,
     /// When that change was accepted.
     pub accepted: Option<Tick>,
     /// Whether another fault occurred before the cluster had to recover: then the
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -32,7 +32,7 @@
     /// The recent lines at the first violation.
     pub event_log: Vec<String>,
     /// Queries that callers sent.
-    pub asked: BTreeSet<String>,
+    pub caller_questions: BTreeSet<String>,
     /// Answers of leafs, by query id: (service, question).
     pub answered_by_query: BTreeMap<String, Vec<(String, String)>>,
     /// Accepted configurations: when, revision.
@@ -71,7 +71,7 @@
     /// The zone.
     pub zone: String,
     /// Whether the newest request drains the zone; otherwise it opens it.
-    pub asked: bool,
+    pub requested: bool,
     /// The state of the last acknowledged request, if no newer one is in progress.
     pub acknowledged: Option<bool>,
 }
@@ -131,7 +131,7 @@
 
     /// Checks rule 5: a question that a leaf runs must be one that a caller sent, unchanged.
     pub fn check_question(&mut self, now: Tick, leaf: &str, question: &str) {
-        if !self.asked.contains(question) {
+        if !self.caller_questions.contains(question) {
             self.violated(now, 5, format!("{leaf} ran {question:?}, which no caller sent"));
         }
     }
@@ -144,7 +144,7 @@
     }
 
     /// Checks rule 9 for the answer under `revision` to a call that began at `began`.
-    pub fn check_revision(&mut self, now: Tick, began: Tick, revision: u64, who: &str) {
+    pub fn check_revision(&mut self, now: Tick, began: Tick, revision: u64, querier: &str) {
         let newer = self
             .accepted
             .iter()
@@ -161,18 +161,19 @@
             .max()
             .unwrap_or(0);
         if revision < due {
-            let text = format!("{who} answers under revision {revision}, {due} is 3 s old");
+            let text = format!("{querier} answers under revision {revision}, {due} is 3 s old");
             self.violated(now, 9, text);
         }
     }
 
     /// Checks rule 9 for a snapshot that a querier applies: its revision must never decrease.
     pub fn check_snapshot(&mut self, now: Tick, querier: usize, revision: u64) {
-        let old = self.applied_revisions.entry(querier).or_insert(0);
-        let was = *old;
-        *old = was.max(revision);
-        if revision < was {
-            let text = format!("querier {querier} goes back from revision {was} to {revision}");
+        let highest = self.applied_revisions.entry(querier).or_insert(0);
+        let previous = *highest;
+        *highest = previous.max(revision);
+        if revision < previous {
+            let text =
+                format!("querier {querier} goes back from revision {previous} to {revision}");
             self.violated(now, 9, text);
         }
     }
@@ -193,7 +194,7 @@
     pub fn check_attempt(
         &mut self,
         now: Tick,
-        who: &str,
+        querier: &str,
         leaf: &str,
         zone: &str,
         known_leaving: Option<Tick>,
@@ -205,7 +206,7 @@
             self.violated(
                 now,
                 7,
-                format!("{who} sends to {leaf}, known to be leaving for {late:.2} s"),
+                format!("{querier} sends to {leaf}, known to be leaving for {late:.2} s"),
             );
         }
         if let Some(from) = self.drained.get(zone)
@@ -215,7 +216,7 @@
             self.violated(
                 now,
                 8,
-                format!("{who} sends to {leaf} in drained zone {zone}, {late:.2} s late"),
+                format!("{querier} sends to {leaf} in drained zone {zone}, {late:.2} s late"),
             );
         }
     }
@@ -224,7 +225,7 @@
     /// either state is allowed.
     pub fn record_zone_request(&mut self, sender: usize, zone: &str, drained: bool) {
         let state =
-            OperatorZoneState { zone: zone.to_string(), asked: drained, acknowledged: None };
+            OperatorZoneState { zone: zone.to_string(), requested: drained, acknowledged: None };
         self.operator_zones.insert(sender, state);
     }
 
@@ -254,10 +255,10 @@
 
     /// Checks rule 13: a querier with contact to the control plane must not send to a leaf that the
     /// platform's list has shown as leaving for more than 3 s.
-    pub fn check_shown_leaving(&mut self, now: Tick, who: &str, leaf: &str, shown_for: Tick) {
+    pub fn check_shown_leaving(&mut self, now: Tick, querier: &str, leaf: &str, shown_for: Tick) {
         if shown_for > 3 * SECOND {
             let late = shown_for as f64 / 1e6;
-            let text = format!("{who} sends to {leaf}, shown as leaving for {late:.2} s");
+            let text = format!("{querier} sends to {leaf}, shown as leaving for {late:.2} s");
             self.violated(now, 13, text);
         }
     }
@@ -298,9 +299,20 @@
     }
 
     /// Checks rule 6 for a request that arrives at a leaf, run or rejected.
-    pub fn check_destination(&mut self, now: Tick, who: &str, leaf: &str, is: &str, meant: &str) {
-        if is != meant {
-            self.violated(now, 6, format!("{who}'s request for {meant} reaches {leaf} of {is}"));
+    pub fn check_destination(
+        &mut self,
+        now: Tick,
+        querier: &str,
+        leaf: &str,
+        actual: &str,
+        intended: &str,
+    ) {
+        if actual != intended {
+            self.violated(
+                now,
+                6,
+                format!("{querier}'s request for {intended} reaches {leaf} of {actual}"),
+            );
         }
     }
 
@@ -344,8 +356,8 @@
         }
         for restart in std::mem::take(&mut self.pending_restarts) {
             let when = restart.at as f64 / 1e6;
-            for (kind, made) in restart.made.iter().filter(|_| !restart.disturbed) {
-                let full = restart.full.get(kind).copied().unwrap_or(0);
+            for (kind, made) in restart.calls.iter().filter(|_| !restart.disturbed) {
+                let full = restart.complete_calls.get(kind).copied().unwrap_or(0);
                 // One incomplete call is always tolerated.
                 if full < (made * RECOVERED_PCT / 100).min(made - 1) {
                     let text = format!(
@@ -356,7 +368,7 @@
             }
             let late = restart.accepted.is_none_or(|at| at > restart.at + 12 * SECOND);
             if !restart.disturbed
-                && restart.order.is_some()
+                && restart.request.is_some()
                 && late
                 && now > restart.at + 12 * SECOND
             {
@@ -374,11 +386,11 @@
                 continue;
             }
             if full {
-                restart.first.entry(kind.to_string()).or_insert(now);
+                restart.first_complete.entry(kind.to_string()).or_insert(now);
             }
             if began >= restart.at + ms(12_000) && began < restart.at + ms(15_000) {
-                *restart.made.entry(kind.to_string()).or_default() += 1;
-                *restart.full.entry(kind.to_string()).or_default() += u64::from(full);
+                *restart.calls.entry(kind.to_string()).or_default() += 1;
+                *restart.complete_calls.entry(kind.to_string()).or_default() += u64::from(full);
             }
         }
     }
--- a/crates/simulator/src/simulated_disk.rs
+++ b/crates/simulator/src/simulated_disk.rs
@@ -136,11 +136,11 @@
     /// Returns when a job that is queued now will be finished; `None` while the disk stalls.
     fn schedule(&mut self, now: Tick, random: &mut Random) -> Option<Tick> {
         let slow = if let Health::Slow(more) = self.health { more } else { 0 };
-        let took = ms(1) + random.below(ms(3)) + slow;
+        let duration = ms(1) + random.below(ms(3)) + slow;
         if self.health == Health::Stalled {
             return None;
         }
-        self.busy_until = self.busy_until.max(now) + took;
+        self.busy_until = self.busy_until.max(now) + duration;
         Some(self.busy_until)
     }
 
@@ -251,13 +251,13 @@
         let at = random.below(self.partitions.len() as u64) as usize;
         let files = &mut self.partitions[at];
         let newest = (files.sequence % 2) as usize;
-        let raw = match (&mut files.slots[newest], &mut files.log) {
+        let bytes = match (&mut files.slots[newest], &mut files.log) {
             (_, Some(log)) if random.chance(1, 2) && log.len() > LOG_HEADER_BYTES => log,
             (Some(slot), _) => slot,
             _ => return false,
         };
-        let byte = random.below(raw.len() as u64) as usize;
-        raw[byte] ^= 1 << random.below(8);
+        let byte = random.below(bytes.len() as u64) as usize;
+        bytes[byte] ^= 1 << random.below(8);
         true
     }
 
@@ -312,8 +312,8 @@
     /// Writes the next slot and opens a log after it.
     fn write_slot(&mut self, partition: PartitionId, state: &ReplicaState) {
         self.sequence += 1;
-        let raw = writer::slot(partition.0, self.sequence, state);
-        self.slots[(self.sequence % 2) as usize] = Some(raw);
+        let bytes = writer::slot(partition.0, self.sequence, state);
+        self.slots[(self.sequence % 2) as usize] = Some(bytes);
         self.begin_log(partition);
         self.open = true;
     }
@@ -322,8 +322,8 @@
         match job {
             Job::Append(_) if !self.open => return Err(DiskError::NoOpenLog),
             Job::Append(record) => {
-                let raw = writer::record(self.sequence, self.records, &record);
-                self.log.get_or_insert_default().extend(raw);
+                let bytes = writer::record(self.sequence, self.records, &record);
+                self.log.get_or_insert_default().extend(bytes);
                 self.records += 1;
             }
             Job::Snapshot(state) => self.write_slot(partition, &state),
@@ -337,28 +337,28 @@
         match job {
             Job::Append(_) if !self.open => false,
             Job::Append(record) => {
-                let mut raw = writer::record(self.sequence, self.records, &record);
+                let mut bytes = writer::record(self.sequence, self.records, &record);
                 if !complete {
-                    let keep = random.below(raw.len() as u64) as usize;
+                    let keep = random.below(bytes.len() as u64) as usize;
                     if random.chance(1, 2) {
                         // The file's new length was written, its bytes were not.
-                        raw[keep..].fill(0);
+                        bytes[keep..].fill(0);
                     } else {
-                        raw.truncate(keep);
+                        bytes.truncate(keep);
                     }
                 }
-                self.log.get_or_insert_default().extend(raw);
+                self.log.get_or_insert_default().extend(bytes);
                 self.records += 1;
                 complete
             }
             Job::Snapshot(state) => {
                 let sequence = self.sequence + 1;
-                let mut raw = writer::slot(partition.0, sequence, &state);
+                let mut bytes = writer::slot(partition.0, sequence, &state);
                 let torn = random.chance(1, 2);
                 if torn {
-                    raw.truncate(random.below(raw.len() as u64) as usize);
+                    bytes.truncate(random.below(bytes.len() as u64) as usize);
                 }
-                self.slots[(sequence % 2) as usize] = Some(raw);
+                self.slots[(sequence % 2) as usize] = Some(bytes);
                 if torn {
                     return false;
                 }
--- a/crates/simulator/src/spec.rs
+++ b/crates/simulator/src/spec.rs
@@ -94,8 +94,8 @@
 
 /// Reads a spec file, up to the first error.
 pub fn read(path: &str) -> Result<Spec, SpecError> {
-    let val = read_json(path)?;
-    parse(&val).map_err(|e| SpecError::In { path: path.into(), source: Box::new(e) })
+    let value = read_json(path)?;
+    parse(&value).map_err(|e| SpecError::In { path: path.into(), source: Box::new(e) })
 }
 
 fn missing(field: &str, object: &Value) -> SpecError {
@@ -115,9 +115,9 @@
 }
 
 /// Parses a spec from JSON.
-pub fn parse(val: &Value) -> Result<Spec, SpecError> {
+pub fn parse(value: &Value) -> Result<Spec, SpecError> {
     let mut services = Vec::new();
-    for s in list(val, "services")? {
+    for s in list(value, "services")? {
         services.push(Service {
             name: text(s, "service")?,
             index_version: text(s, "cut")?,
@@ -128,7 +128,7 @@
         });
     }
     let mut kinds = Vec::new();
-    for k in list(val, "callers")? {
+    for k in list(value, "callers")? {
         let mut shards = Vec::new();
         for s in list(k, "shards")? {
             shards.push(ShardService {
@@ -147,5 +147,5 @@
             shards,
         });
     }
-    Ok(Spec { services, kinds, list_lag_ms: number(val, "list_lag_ms")? as u64 })
+    Ok(Spec { services, kinds, list_lag_ms: number(value, "list_lag_ms")? as u64 })
 }
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -43,29 +43,29 @@
         let id = self.queue.next_number();
         let call_kind = &self.call_kinds[kind];
         let question = format!("{}-{id}", call_kind.search);
-        let asked = Asked { question, key: call_kind.lookup.then(|| format!("key-{id}")) };
+        let caller_query = Asked { question, key: call_kind.lookup.then(|| format!("key-{id}")) };
         let up = |querier: &usize| self.queriers[*querier].up;
-        let list: Vec<usize> = match self.ignore_readiness {
+        let candidates: Vec<usize> = match self.ignore_readiness {
             true => (0..self.queriers.len()).filter(up).collect(),
             false => self.ready_queriers.clone(),
         };
-        if list.is_empty() {
+        if candidates.is_empty() {
             let name = self.call_kinds[kind].search.clone();
             self.rules.end_call(self.now - BEGIN, self.now - BEGIN, &name, false);
             self.tally(kind).unreachable += 1;
             return;
         }
-        let querier = list[self.random.below(list.len() as u64) as usize];
+        let querier = candidates[self.random.below(candidates.len() as u64) as usize];
         if !self.queriers[querier].up {
             self.tally(kind).unreachable += 1;
             return;
         }
-        self.rules.asked.insert(asked.question.clone());
+        self.rules.caller_questions.insert(caller_query.question.clone());
         let incarnation = self.queriers[querier].incarnation;
-        let wait = ms(self.call_kinds[kind].budget_ms);
-        self.calls.insert(id, Call { kind, asked, querier, incarnation, began: self.now });
+        let timeout = ms(self.call_kinds[kind].budget_ms);
+        self.calls.insert(id, Call { kind, caller_query, querier, incarnation, began: self.now });
         self.push(ms(1), ScheduledEvent::CallArrival { call: id });
-        self.push(wait + ms(5), ScheduledEvent::CallTimeout { call: id });
+        self.push(timeout + ms(5), ScheduledEvent::CallTimeout { call: id });
     }
 
     /// Ends a call whose caller has waited for the response until its timeout.
@@ -80,14 +80,14 @@
     pub(super) fn call_arrives(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.began = self.now;
-        let (querier, incarnation, kind, asked) =
-            (call.querier, call.incarnation, call.kind, call.asked.clone());
+        let (querier, incarnation, kind, caller_query) =
+            (call.querier, call.incarnation, call.kind, call.caller_query.clone());
         if !self.querier_runs(querier, incarnation) {
             return;
         }
         let call_kind = &self.call_kinds[kind];
-        let mut body = json!({ "question": asked.question, "limit": call_kind.limit });
-        if let Some(key) = &asked.key {
+        let mut body = json!({ "question": caller_query.question, "limit": call_kind.limit });
+        if let Some(key) = &caller_query.key {
             body["key"] = json!(key);
         }
         let budget = call_kind.budget_ms.to_string();
@@ -161,27 +161,27 @@
                     1;
             }
             Outcome::Answered(full) => {
-                let took = self.now - call.began;
+                let latency = self.now - call.began;
                 let tally = self.tally(call.kind);
                 if full.missing == 0 {
                     tally.full += 1
                 } else {
                     tally.partial += 1
                 }
-                tally.latencies.push(took);
+                tally.latencies.push(latency);
                 let missing = written.missing_shards.map(|n| n.to_string());
-                let (bad, services) =
-                    success(&kind, &call.asked, missing.as_deref(), &written.body);
-                for text in bad {
+                let (errors, services) =
+                    success(&kind, &call.caller_query, missing.as_deref(), &written.body);
+                for text in errors {
                     self.rules.violated(
                         now,
                         rules::rule_of(&text),
                         format!("{}: {text}", full.query),
                     );
                 }
-                self.rules.check_claims(now, &full.query, &services, &call.asked.question);
-                let who = self.queriers[call.querier].name.clone();
-                self.rules.check_revision(now, call.began - BEGIN, full.revision, &who);
+                self.rules.check_claims(now, &full.query, &services, &call.caller_query.question);
+                let querier_name = self.queriers[call.querier].name.clone();
+                self.rules.check_revision(now, call.began - BEGIN, full.revision, &querier_name);
             }
         }
     }
--- a/crates/simulator/src/world/leafs.rs
+++ b/crates/simulator/src/world/leafs.rs
@@ -30,26 +30,27 @@
     pub(super) fn send_attempt(&mut self, engine: QueryEngineId, mut outgoing: OutgoingAttempt) {
         let now = self.now - BEGIN;
         self.rules.record_attempt(now, &outgoing.id, &outgoing.service);
-        let who = self.queriers[engine.querier].name.clone();
+        let querier_name = self.queriers[engine.querier].name.clone();
         if let Some(leaf) = self.backends.leafs.get(&outgoing.leaf) {
             let (zone, known) = (leaf.zone.clone(), leaf.known_leaving.map(|k| k - BEGIN));
             let version = leaf.version.clone();
-            self.rules.check_attempt(now, &who, &outgoing.leaf, &zone, known);
+            self.rules.check_attempt(now, &querier_name, &outgoing.leaf, &zone, known);
             if let Some((rule, text)) =
                 self.rules.rollouts.check_sent(now, &outgoing.service, &version, FIRST_VERSION)
             {
-                self.rules.violated(now, rule, format!("{who}: {text}"));
+                self.rules.violated(now, rule, format!("{querier_name}: {text}"));
             }
         }
         if let Some(shown_for) = self.shown_leaving_for(&outgoing.leaf)
             && self.has_control_plane_contact(engine.querier)
         {
-            self.rules.check_shown_leaving(now, &who, &outgoing.leaf, shown_for);
+            self.rules.check_shown_leaving(now, &querier_name, &outgoing.leaf, shown_for);
         }
         if self.faulty_variant == Some(FaultyVariant::AltersQuestion) {
-            let mut val: Value = serde_json::from_slice(&outgoing.body).unwrap_or(Value::Null);
-            val["question"] = json!("something else");
-            let body = val.to_string().into_bytes();
+            let mut body_value: Value =
+                serde_json::from_slice(&outgoing.body).unwrap_or(Value::Null);
+            body_value["question"] = json!("something else");
+            let body = body_value.to_string().into_bytes();
             outgoing.body_digest = digest(&body);
             outgoing.body = std::sync::Arc::new(body);
         }
@@ -99,17 +100,17 @@
         }
     }
 
-    pub(super) fn answer(
+    pub(super) fn send_response(
         &mut self,
         key: AttemptKey,
         zone: &str,
         mut got: Result<LeafReply, AttemptFailure>,
     ) {
         let AttemptKey { engine, attempt } = key;
-        if let Ok(raw) = &mut got
+        if let Ok(response) = &mut got
             && !self.backends.reports_age
         {
-            raw.headers.age = None;
+            response.headers.age = None;
         }
         let qzone = self.queriers[engine.querier].zone.clone();
         let after = latency(&qzone, zone, &mut self.random) + self.net.extra_latency;
@@ -135,7 +136,9 @@
         let zone = leaf.zone.clone();
         match leaf.process_state {
             ProcessState::Vanished => return,
-            ProcessState::Down => return self.answer(key, &zone, Err(AttemptFailure::Unreachable)),
+            ProcessState::Down => {
+                return self.send_response(key, &zone, Err(AttemptFailure::Unreachable));
+            }
             ProcessState::Up => {}
         }
         let misdirected = outgoing.leaf != leaf.name || outgoing.service != leaf.service.name;
@@ -147,7 +150,7 @@
         if !known && self.faulty_variant != Some(FaultyVariant::NoIdentityCheck) {
             if misdirected {
                 let response = rejection(MISDIRECTED);
-                return self.answer(key, &zone, response);
+                return self.send_response(key, &zone, response);
             }
             self.connections.insert(connection, name);
             let own_zone = self.queriers[engine.querier].zone.clone();
@@ -156,16 +159,16 @@
             self.requests_in_flight.insert(key, request);
             return self.push(after, ScheduledEvent::LeafRequest { engine, outgoing });
         }
-        let who = &self.queriers[engine.querier].name;
+        let querier_name = &self.queriers[engine.querier].name;
         let service = &leaf.service.name;
-        self.rules.check_destination(now - BEGIN, who, &name, service, &outgoing.service);
+        self.rules.check_destination(now - BEGIN, querier_name, &name, service, &outgoing.service);
         if misdirected {
             let response = rejection(MISDIRECTED);
-            return self.answer(key, &zone, response);
+            return self.send_response(key, &zone, response);
         }
         if digest(&outgoing.body) != outgoing.body_digest {
             let response = rejection(BAD_REQUEST);
-            return self.answer(key, &zone, response);
+            return self.send_response(key, &zone, response);
         }
         self.start_work(key, name, outgoing);
     }
@@ -188,12 +191,12 @@
             if leaf.signals_leaving() {
                 self.record_leaving_received(&name);
             }
-            return self.answer(key, &zone, Ok(response));
+            return self.send_response(key, &zone, Ok(response));
         }
         leaf.run_count += 1;
         let (service, version) = (leaf.service.name.clone(), leaf.version.clone());
         let times = leaf.version_fault.slow_down(&mut self.random);
-        let took = leaf.service_time(now, &mut self.random) * times;
+        let service_duration = leaf.service_time(now, &mut self.random) * times;
         if times > 1 {
             self.rules.rollouts.record_bad_answer(now - BEGIN, &service, &version);
         }
@@ -202,13 +205,13 @@
         {
             self.rules.violated(now - BEGIN, rule, text);
         }
-        let asked: Value = serde_json::from_slice(&outgoing.body).unwrap_or(Value::Null);
-        let question = asked["question"].as_str().unwrap_or_default();
+        let request_body: Value = serde_json::from_slice(&outgoing.body).unwrap_or(Value::Null);
+        let question = request_body["question"].as_str().unwrap_or_default();
         self.rules.check_question(now - BEGIN, &name, question);
         let run = self.queue.next_number();
         self.runs_by_attempt.insert(key, run);
         self.runs.insert(run, Run { key, leaf: name, outgoing });
-        self.push(took, ScheduledEvent::LeafResponse { run });
+        self.push(service_duration, ScheduledEvent::LeafResponse { run });
     }
 
     pub(super) fn end_run(&mut self, run: u64) -> Option<Run> {
@@ -228,24 +231,26 @@
         if leaf.process_state != ProcessState::Up {
             return;
         }
-        let mut raw = leaf.response(now, &run.outgoing);
-        let asked: Value = serde_json::from_slice(&run.outgoing.body).unwrap_or(Value::Null);
-        let search = asked["mapping"].as_str().unwrap_or_default();
+        let mut response = leaf.response(now, &run.outgoing);
+        let request_body: Value = serde_json::from_slice(&run.outgoing.body).unwrap_or(Value::Null);
+        let search = request_body["mapping"].as_str().unwrap_or_default();
         if leaf.breaks_answer(now, search, &mut self.random) {
-            raw.body.truncate(raw.body.len() / 2);
+            response.body.truncate(response.body.len() / 2);
             self.rules.rollouts.record_bad_answer(now - BEGIN, &leaf.service.name, &leaf.version);
-        } else if mock_backends::answers_correctly(leaf.mode, asked["limit"].as_u64().unwrap_or(0))
-        {
-            let question = asked["question"].as_str().unwrap_or_default();
+        } else if mock_backends::answers_correctly(
+            leaf.mode,
+            request_body["limit"].as_u64().unwrap_or(0),
+        ) {
+            let question = request_body["question"].as_str().unwrap_or_default();
             self.rules.record_answer(&leaf.service.name, &run.outgoing.id, question);
         }
         if leaf.signals_leaving() {
             self.record_leaving_received(&run.leaf);
             if self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs) {
-                raw.headers = ReplyHeaders { state: None, ..raw.headers };
+                response.headers = ReplyHeaders { state: None, ..response.headers };
             }
         }
-        self.answer(run.key, &zone, Ok(raw));
+        self.send_response(run.key, &zone, Ok(response));
     }
 
     /// Ends a leaf's process: its work is lost, and if its machine is up, its connections break.
@@ -259,7 +264,7 @@
             if let Some(run) = self.end_run(run)
                 && how == ProcessState::Down
             {
-                self.answer(run.key, &zone, Err(AttemptFailure::Truncated));
+                self.send_response(run.key, &zone, Err(AttemptFailure::Truncated));
             }
         }
     }
--- a/crates/simulator/src/world/nodes.rs
+++ b/crates/simulator/src/world/nodes.rs
@@ -102,7 +102,7 @@
 /// A call that is in progress.
 pub(super) struct Call {
     pub(super) kind: usize,
-    pub(super) asked: Asked,
+    pub(super) caller_query: Asked,
     pub(super) querier: usize,
     pub(super) incarnation: u64,
     pub(super) began: Tick,
--- a/crates/simulator/src/world/operators.rs
+++ b/crates/simulator/src/world/operators.rs
@@ -14,8 +14,8 @@
 
 impl World {
     /// Schedules an operator's request and returns its number.
-    pub fn submit(&mut self, after: Span, order: OperatorRequest) -> usize {
-        self.operator_requests.push(order);
+    pub fn submit(&mut self, after: Span, request: OperatorRequest) -> usize {
+        self.operator_requests.push(request);
         let id = self.operator_requests.len() - 1;
         self.push(after, ScheduledEvent::OperatorRequest { request: id });
         id
@@ -25,10 +25,10 @@
     /// The sender of a replacement has read the configuration and gives its revision, so
     /// no change that is accepted in between may be lost.
     pub fn submit_racing_requests(&mut self, count: u64) {
-        let fits = |controller: &usize| {
+        let is_running_voter = |controller: &usize| {
             self.controllers[*controller].up && self.controllers[*controller].has_voter_slot()
         };
-        let voters: Vec<usize> = (0..self.controllers.len()).filter(fits).collect();
+        let voters: Vec<usize> = (0..self.controllers.len()).filter(is_running_voter).collect();
         for i in 0..count {
             let n = self.operator_requests.len();
             let mut request = OperatorRequest::marked(n);
@@ -38,8 +38,8 @@
                     return;
                 };
                 let partition = &self.controllers[*controller].state.partitions[0];
-                let Ok(conf) = Config::from_entries(&partition.committed) else { return };
-                let mut val = conf.to_json();
+                let Ok(config) = Config::from_entries(&partition.committed) else { return };
+                let mut val = config.to_json();
                 if let Some(zones) = val["zones"].as_array_mut() {
                     zones.push(json!({ "name": format!("mark-{n}"), "state": "open" }));
                 }
@@ -106,11 +106,11 @@
         if let OperationResult::Accepted { revision, .. } = &result {
             self.rules.accepted.push((now, *revision));
             for restart in
-                self.rules.pending_restarts.iter_mut().filter(|check| check.order == Some(id))
+                self.rules.pending_restarts.iter_mut().filter(|check| check.request == Some(id))
             {
                 restart.accepted = Some(now);
             }
-            let asked = self.operator_requests[id].at - BEGIN;
+            let requested_at = self.operator_requests[id].at - BEGIN;
             let zone = self.operator_requests[id].zone.clone().filter(|change| {
                 let last = self.rules.zone_revisions.entry(change.zone.clone()).or_insert(0);
                 let newer = *revision > *last;
@@ -119,7 +119,7 @@
             });
             match zone {
                 Some(ZoneChange { zone, drained: true }) => {
-                    let from = (asked + 5 * SECOND).max(now + 3 * SECOND);
+                    let from = (requested_at + 5 * SECOND).max(now + 3 * SECOND);
                     self.rules.drained.insert(zone, from);
                 }
                 Some(ZoneChange { zone, drained: false }) => {
@@ -130,8 +130,8 @@
         }
         self.acknowledged_at.insert(id, self.now);
         self.operator_requests[id].result = Some(result);
-        if let Some(order) = self.operator_requests[id].without_id {
-            self.respond_to_zone_operator(order, id);
+        if let Some(request) = self.operator_requests[id].without_id {
+            self.respond_to_zone_operator(request, id);
         }
         if let Some(operator) = self.operator_requests[id].rollout {
             self.respond_to_rollout_operator(operator, id);
@@ -152,27 +152,27 @@
     /// Ends a run with the checks that are possible only at the end.
     pub fn finish(&mut self) {
         let now = self.now - BEGIN;
-        let conf = self.committed();
-        let top = self
+        let config = self.committed();
+        let last_revision = self
             .running_voters()
             .map(|controller| controller.state.partitions[0].committed_revision)
             .max()
             .unwrap_or(0);
         for id in 0..self.operator_requests.len() {
-            let (Some(result), mark) =
+            let (Some(result), marker) =
                 (&self.operator_requests[id].result, &self.operator_requests[id].marker)
             else {
                 continue;
             };
             match result {
                 OperationResult::Accepted { revision, .. } => {
-                    if *revision > top {
+                    if *revision > last_revision {
                         let text = format!(
-                            "request {id} was accepted as revision {revision}, the last revision is {top}"
+                            "request {id} was accepted as revision {revision}, the last one is {last_revision}"
                         );
                         self.rules.violated(now, 12, text);
-                    } else if let Some(mark) = mark
-                        && !conf.zones.contains_key(mark)
+                    } else if let Some(marker) = marker
+                        && !config.zones.contains_key(marker)
                     {
                         let text =
                             format!("request {id} was accepted as revision {revision} and is lost");
@@ -180,8 +180,8 @@
                     }
                 }
                 OperationResult::Rejected { .. } => {
-                    if let Some(mark) = mark
-                        && conf.zones.contains_key(mark)
+                    if let Some(marker) = marker
+                        && config.zones.contains_key(marker)
                     {
                         let text =
                             format!("request {id} was reported as not applied, but it is applied");
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -186,7 +186,7 @@
             FollowUp::ChangeAfterRestart { restart } => {
                 let request = self.submit_marked();
                 if let Some(check) = self.rules.pending_restarts.get_mut(restart) {
-                    check.order = Some(request);
+                    check.request = Some(request);
                 }
             }
             FollowUp::ZoneRequest { operator } => self.begin_zone_operation(operator),
