--- a/crates/simulator/src/check.rs
+++ b/crates/simulator/src/check.rs
@@ -10,7 +10,7 @@
 /// A caller's query.
 #[derive(Clone, Debug)]
 pub struct Asked {
-    /// The question.
+    /// The query text.
     pub question: String,
     /// The key of a lookup.
     pub key: Option<String>,
--- a/crates/simulator/src/rules.rs
+++ b/crates/simulator/src/rules.rs
@@ -29,7 +29,7 @@
     pub violation_counts: BTreeMap<u8, u64>,
     /// The most recent log lines, which are printed with a violation.
     pub recent_log: VecDeque<String>,
-    /// The recent lines at the first violation.
+    /// The recent log lines at the first violation.
     pub event_log: Vec<String>,
     /// Queries that callers sent.
     pub caller_questions: BTreeSet<String>,
@@ -76,7 +76,7 @@
     pub acknowledged: Option<bool>,
 }
 
-/// Recent lines that are kept (count).
+/// Recent log lines that are kept (count).
 const RECENT_LINES: usize = 400;
 
 /// Violations that are kept with their text.
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -13,7 +13,7 @@
 use crate::world::{FollowUp, OperatorRequest, World};
 
 /// Duration of a pause whose scenario gives none.
-const PAUSE_DEFAULT: Span = 5 * SECOND;
+const DEFAULT_PAUSE: Span = 5 * SECOND;
 
 impl World {
     /// Applies a fault or another action of a scenario.
@@ -70,10 +70,10 @@
             "stop-seat" => self.stop_controller(which, duration),
             "start-seat" if !self.controllers[which].up => self.start_controller(which),
             "pause-seat" => {
-                self.controllers[which].paused = self.now + duration.unwrap_or(PAUSE_DEFAULT);
+                self.controllers[which].paused = self.now + duration.unwrap_or(DEFAULT_PAUSE);
             }
             "hold-seat" => {
-                let until = self.now + duration.unwrap_or(PAUSE_DEFAULT);
+                let until = self.now + duration.unwrap_or(DEFAULT_PAUSE);
                 let from = Node::Controller(which as u8);
                 for to in 0..self.controllers.len() {
                     self.net.hold(from, Node::Controller(to as u8), until);
@@ -97,7 +97,7 @@
         let which = fault.parameters["which"].as_u64().unwrap_or(0) as usize;
         match fault.action.as_str() {
             "pause-querier" => {
-                self.queriers[which].paused = self.now + duration.unwrap_or(PAUSE_DEFAULT);
+                self.queriers[which].paused = self.now + duration.unwrap_or(DEFAULT_PAUSE);
                 return;
             }
             "stop-querier" => self.stop_querier(which),
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -12,13 +12,13 @@
 
 /// Delay of a message: longer than an election, so that a
 /// whole leadership passes in between.
-const DELAY: Span = ms(1_600);
+const MESSAGE_DELAY: Span = ms(1_600);
 
 /// Duration of a pause: longer than a lease.
-const PAUSE: Span = ms(1_300);
+const PAUSE_DURATION: Span = ms(1_300);
 
 /// Time until a killed process restarts.
-const DOWN: Span = ms(300);
+const RESTART_DELAY: Span = ms(300);
 
 /// A fault of an event or of the controller that receives it.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -87,16 +87,16 @@
         let Some(controller) = controller else { return Some(event) };
         let number = self.injected.seen;
         self.injected.seen += 1;
-        let due: Vec<Fault> =
+        let due_faults: Vec<Fault> =
             self.injected.list.iter().filter(|d| d.event == number).map(|d| d.fault).collect();
-        let mut left = Some(event);
-        for fault in due {
-            let Some(event) = left.take() else { break };
+        let mut remaining_event = Some(event);
+        for fault in due_faults {
+            let Some(event) = remaining_event.take() else { break };
             let line = format!("{:.3} s: {fault:?} at {}", at as f64 / 1e6, describe(&event));
             self.injected.event_log.push(line);
-            left = self.apply_injected_fault(controller, fault, event);
+            remaining_event = self.apply_injected_fault(controller, fault, event);
         }
-        left
+        remaining_event
     }
 
     fn apply_injected_fault(
@@ -110,7 +110,7 @@
         match fault {
             Fault::Lose if message => return None,
             Fault::Delay if message => {
-                self.push(DELAY, event);
+                self.push(MESSAGE_DELAY, event);
                 return None;
             }
             Fault::Repeat => {
@@ -129,8 +129,8 @@
                 }
             }
             Fault::Pause => {
-                self.controllers[controller].paused = self.now + PAUSE;
-                self.push(PAUSE, event);
+                self.controllers[controller].paused = self.now + PAUSE_DURATION;
+                self.push(PAUSE_DURATION, event);
                 return None;
             }
             Fault::Lose | Fault::Delay => {}
@@ -158,7 +158,7 @@
         }
         self.injected.losses += usize::from(fault == Fault::DiskLost || !restarts);
         if restarts {
-            self.later(DOWN, FollowUp::StartController(controller));
+            self.later(RESTART_DELAY, FollowUp::StartController(controller));
         }
     }
 }
--- a/crates/simulator/src/world/slow_start_leafs.rs
+++ b/crates/simulator/src/world/slow_start_leafs.rs
@@ -13,7 +13,7 @@
 use super::{BEGIN, World};
 
 /// The leafs that are checked.
-const LEAFS: [&str; 2] = ["cold-1", "cold-2"];
+const LEAF_NAMES: [&str; 2] = ["cold-1", "cold-2"];
 /// Slow-start capacity of each leaf (attempts per second).
 const PER_SECOND: u64 = 20;
 /// The same rate in thousandths of an attempt per second, the unit of the configuration.
@@ -29,7 +29,7 @@
     /// The state that each engine keeps of each leaf.
     known: BTreeMap<(QueryEngineId, usize), LeafState>,
     /// Send times of the attempts to each leaf, within the last second.
-    sent: [VecDeque<Tick>; LEAFS.len()],
+    sent: [VecDeque<Tick>; LEAF_NAMES.len()],
 }
 
 impl World {
@@ -59,7 +59,7 @@
             _ => state.quota_share.clone(),
         };
         let mut sent = Vec::new();
-        for (index, name) in LEAFS.iter().enumerate() {
+        for (index, name) in LEAF_NAMES.iter().enumerate() {
             let known = self.slow_start_leafs.known.entry((engine, index));
             let leaf = known.or_insert_with(|| LeafState::new(name, BOOT));
             while leaf.slow_start_admits(&share, RATE, local) {
@@ -83,7 +83,7 @@
         if count > MAX_ATTEMPTS_PER_SECOND {
             self.rules.record_slow_start_excess(
                 now - BEGIN,
-                LEAFS[index],
+                LEAF_NAMES[index],
                 count,
                 MAX_ATTEMPTS_PER_SECOND,
             );
--- a/crates/simulator/src/world/zone_operators.rs
+++ b/crates/simulator/src/world/zone_operators.rs
@@ -16,7 +16,7 @@
 /// Backoff between a failure and the next attempt.
 const RETRY_PAUSE: Span = ms(100);
 /// Pause between two requests, in which the result of the last one must not change.
-const ORDER_PAUSE: Span = 2 * SECOND;
+const OPERATION_PAUSE: Span = 2 * SECOND;
 /// Pause after the last request, in which all delayed requests arrive.
 const LAST_PAUSE: Span = 8 * SECOND;
 /// One attempt in this many is delayed by its connection.
@@ -32,16 +32,21 @@
     /// Whether the operation drains the zone; otherwise it opens it.
     drained: bool,
     /// Remaining operations, including this one (count).
-    left: u64,
+    operations_left: u64,
     /// The request whose response it waits for.
     awaited_request: Option<usize>,
 }
 
 impl World {
-    /// Adds an operator that alternately drains and opens a zone, `orders` times in total.
-    pub fn add_zone_operator(&mut self, zone: &str, orders: u64) {
+    /// Adds an operator that alternately drains and opens a zone, `operations` times in total.
+    pub fn add_zone_operator(&mut self, zone: &str, operations: u64) {
         let zone = zone.to_string();
-        let operator = ZoneOperator { zone, drained: true, left: orders, awaited_request: None };
+        let operator = ZoneOperator {
+            zone,
+            drained: true,
+            operations_left: operations,
+            awaited_request: None,
+        };
         self.zone_operators.push(operator);
         self.later(0, FollowUp::ZoneRequest { operator: self.zone_operators.len() - 1 });
     }
@@ -49,8 +54,8 @@
     /// Starts the operator's next operation, or only checks the zone's state after the last one.
     pub(super) fn begin_zone_operation(&mut self, operator: usize) {
         self.check_zone(operator);
-        let ZoneOperator { zone, drained, left, .. } = &self.zone_operators[operator];
-        if *left == 0 {
+        let ZoneOperator { zone, drained, operations_left, .. } = &self.zone_operators[operator];
+        if *operations_left == 0 {
             return;
         }
         let (zone, drained) = (zone.clone(), *drained);
@@ -93,8 +98,8 @@
     }
 
     /// Handles a response to the operator, if it still waits for it.
-    pub(super) fn respond_to_zone_operator(&mut self, order: AttemptWithoutId, request: usize) {
-        let AttemptWithoutId { operator, redirections } = order;
+    pub(super) fn respond_to_zone_operator(&mut self, attempt: AttemptWithoutId, request: usize) {
+        let AttemptWithoutId { operator, redirections } = attempt;
         if self.zone_operators[operator].awaited_request != Some(request) {
             return;
         }
@@ -117,9 +122,9 @@
         let entry = &mut self.zone_operators[operator];
         let acknowledged = entry.drained;
         entry.drained = !acknowledged;
-        entry.left -= 1;
+        entry.operations_left -= 1;
         entry.awaited_request = None;
-        let pause = if entry.left == 0 { LAST_PAUSE } else { ORDER_PAUSE };
+        let pause = if entry.operations_left == 0 { LAST_PAUSE } else { OPERATION_PAUSE };
         self.rules.record_zone_acknowledgement(operator, acknowledged);
         self.later(pause, FollowUp::ZoneRequest { operator });
     }
