--- a/crates/server/src/testbed/mock_backends/leaf_server.rs
+++ b/crates/server/src/testbed/mock_backends/leaf_server.rs
@@ -138,7 +138,7 @@
     let key = query_json["key"].as_str().map(str::to_string);
     let limit = query_json["limit"].as_u64().unwrap_or(0) as usize;
     let run_index = note_run(&leaf, &runs, started_at, &query, &question, &key);
-    let base_ms = leaf.borrow().service.took_ms;
+    let base_ms = leaf.borrow().service.service_time_ms;
     let noise_ms = random.borrow_mut().below(base_ms + 1);
     let overload_ms =
         u64::from(in_flight.saturating_sub(capacity)) * base_ms / u64::from(capacity.max(1));
@@ -194,7 +194,7 @@
     runs.borrow_mut().push(Run {
         leaf: leaf_state.name.clone(),
         service: leaf_state.service.name.clone(),
-        index_version: leaf_state.service.cut.clone(),
+        index_version: leaf_state.service.index_version.clone(),
         zone: leaf_state.zone.clone(),
         query: query.to_string(),
         question: question.to_string(),
@@ -272,7 +272,7 @@
     };
     out = out.header(
         leaf_api::INDEX_VERSION,
-        if *mode == Mode::WrongIndexVersion { "w00" } else { &service.cut },
+        if *mode == Mode::WrongIndexVersion { "w00" } else { &service.index_version },
     );
     match mode {
         Mode::Garbage => body = "{\"records\":[{\"id\":7,".into(),
--- a/crates/server/src/testbed/mock_backends/mod.rs
+++ b/crates/server/src/testbed/mock_backends/mod.rs
@@ -60,7 +60,7 @@
             for i in 0..service.leafs {
                 let zone = ZONES[i % ZONES.len()];
                 let address = SocketAddr::from(([127, 0, 0, 1], 0));
-                let warm = Duration::from_millis(service.ramp_ms);
+                let warm = Duration::from_millis(service.slow_start_ms);
                 start_leaf(&backends, service.clone(), zone, address, warm).await?;
             }
         }
@@ -81,7 +81,7 @@
                 let mut entry = json!({
                     "leaf": leaf.name, "service": leaf.service.name,
                     "addr": leaf.addr.to_string(),
-                    "labels": { "zone": leaf.zone, "cut": leaf.service.cut,
+                    "labels": { "zone": leaf.zone, "cut": leaf.service.index_version,
                                 "state": if leaf.leaving { "leaving" } else { "ready" } },
                 });
                 if !leaf.version.is_empty() {
--- a/crates/simulator/src/main.rs
+++ b/crates/simulator/src/main.rs
@@ -1,4 +1,4 @@
-//! The what-if simulator.
+//! The command line of the simulator.
 
 mod exploration;
 
@@ -20,10 +20,10 @@
     seeds: u64,
     compare: bool,
     json: bool,
-    story: bool,
+    event_log: bool,
     chaos: bool,
     shrink: bool,
-    weigh: bool,
+    count_messages: bool,
     queriers: Option<usize>,
     explore: Option<String>,
     pairs: usize,
@@ -34,47 +34,48 @@
 }
 
 fn options() -> OptionParser<Args> {
-    let seed = long("seed").help("the first seed").argument::<u64>("N").fallback(1);
-    let seeds = long("seeds").help("how many seeds").argument::<u64>("N").fallback(1);
-    let compare = long("compare").help("play two scenarios on the same seeds").switch();
+    let seed = long("seed").help("first seed").argument::<u64>("N").fallback(1);
+    let seeds = long("seeds").help("number of seeds").argument::<u64>("N").fallback(1);
+    let compare = long("compare").help("run two scenarios with the same seeds").switch();
     let json = long("json").help("print JSON instead of tables").switch();
-    let story = long("story").help("print what led to the first violation").switch();
+    let event_log = long("story").help("print the log up to the first violation").switch();
     let deploy = long("deploy")
-        .help("folder of the deployments' files")
+        .help("directory of the deployments' files")
         .argument::<String>("DIR")
         .fallback("deploy".into());
-    let weigh = long("weigh").help("count messages and bytes by kind").switch();
-    let queriers =
-        long("queriers").help("instead of the scenario's").argument::<usize>("N").optional();
+    let count_messages = long("weigh").help("count messages and bytes by kind").switch();
+    let queriers = long("queriers")
+        .help("number of queriers, overrides the scenario's")
+        .argument::<usize>("N")
+        .optional();
     let explore = long("explore")
-        .help("try every fault at every event of the controllers in these seconds")
+        .help("try every fault at every event of the controllers in this window of seconds")
         .argument::<String>("FROM:TO")
         .optional();
     let pairs = long("pairs")
-        .help("with --explore: so many pairs of faults, drawn by the seed")
+        .help("with --explore: number of fault pairs, drawn by the seed")
         .argument::<usize>("N")
         .fallback(0);
     let tolerates = long("tolerates")
-        .help("with --explore: replicas that may be lost for good in a play")
+        .help("with --explore: replicas that may be lost permanently in a run")
         .argument::<usize>("N")
         .fallback(1);
     let faults = long("faults")
-        .help("with --explore: play once, with these faults: 12:power,40:gone")
+        .help("with --explore: run once, with these faults: 12:power,40:gone")
         .argument::<String>("LIST")
         .optional();
-    let chaos = long("chaos").help("add troubles drawn by each seed").switch();
-    let shrink =
-        long("shrink").help("find the fewest troubles that still break a promise").switch();
-    let files = positional::<String>("SCENARIO").some("name a scenario's file");
+    let chaos = long("chaos").help("add faults drawn by each seed").switch();
+    let shrink = long("shrink").help("find the fewest faults that still break a rule").switch();
+    let files = positional::<String>("SCENARIO").some("expected a scenario file");
     construct!(Args {
         seed,
         seeds,
         compare,
         json,
-        story,
+        event_log,
         chaos,
         shrink,
-        weigh,
+        count_messages,
         queriers,
         explore,
         pairs,
@@ -84,7 +85,7 @@
         files
     })
     .to_options()
-    .descr("plays a fleet of daemons under a virtual clock")
+    .descr("simulates a cluster of daemons under a virtual clock")
 }
 
 fn main() {
@@ -116,15 +117,16 @@
     for seed in args.seed..args.seed + args.seeds {
         let mut rows = Vec::new();
         for scenario in &list {
-            let mut scenario = if args.chaos { stirred(scenario, seed) } else { scenario.clone() };
+            let mut scenario =
+                if args.chaos { with_drawn_faults(scenario, seed) } else { scenario.clone() };
             scenario.queriers = args.queriers.unwrap_or(scenario.queriers);
-            let world = play_counting_messages(&scenario, seed, None, args.weigh);
+            let world = play_counting_messages(&scenario, seed, None, args.count_messages);
             broken |= !world.rules.violation_counts.is_empty();
-            show(&args, &scenario, seed, &world);
+            print_run(&args, &scenario, seed, &world);
             if args.shrink && !world.rules.violation_counts.is_empty() {
-                shrunk(&scenario, seed, &world);
+                print_minimal_faults(&scenario, seed, &world);
             }
-            rows.push(sums(&world));
+            rows.push(call_totals(&world));
         }
         if args.compare && !args.json {
             println!("seed {seed}: {}", difference(&rows));
@@ -133,34 +135,34 @@
     std::process::exit(if broken { EXIT_BROKEN } else { 0 });
 }
 
-/// The scenario with faults drawn by the seed.
-fn stirred(scenario: &Scenario, seed: u64) -> Scenario {
+/// Returns the scenario with additional faults drawn by the seed.
+fn with_drawn_faults(scenario: &Scenario, seed: u64) -> Scenario {
     let mut out = scenario.clone();
     out.faults.extend(grebepath_simulator::chaos::chaos(seed, scenario));
     out
 }
 
 /// Prints the fewest faults that still break one of the rules that broke.
-fn shrunk(scenario: &Scenario, seed: u64, world: &World) {
+fn print_minimal_faults(scenario: &Scenario, seed: u64, world: &World) {
     let rules: Vec<u8> = world.rules.violation_counts.keys().copied().collect();
     let list = grebepath_simulator::chaos::shrink(&scenario.faults, |list| {
         let less = Scenario { faults: list.to_vec(), ..scenario.clone() };
         let world = play_counting_messages(&less, seed, None, false);
         rules.iter().any(|r| world.rules.violation_counts.contains_key(r))
     });
-    println!("seed {seed}: {} of {} troubles still fail:", list.len(), scenario.faults.len());
+    println!("seed {seed}: {} of {} faults still fail:", list.len(), scenario.faults.len());
     for fault in &list {
         println!("  {:>6} ms {fault}", fault.at_ms);
     }
 }
 
 fn load(file: &str, deploy: &str) -> Result<Scenario, Vec<Diagnostic>> {
-    let whole = |text: String| vec![Diagnostic::new("$", text)];
-    let text = std::fs::read(file).map_err(|e| whole(e.to_string()))?;
+    let diagnostics = |text: String| vec![Diagnostic::new("$", text)];
+    let text = std::fs::read(file).map_err(|e| diagnostics(e.to_string()))?;
     read(&text, &|name| read_json(&format!("{deploy}/{name}")))
 }
 
-fn show(args: &Args, scenario: &Scenario, seed: u64, world: &World) {
+fn print_run(args: &Args, scenario: &Scenario, seed: u64, world: &World) {
     if args.json {
         println!(
             "{}",
@@ -173,26 +175,27 @@
     for (kind, MessageCount { messages: n, bytes }) in world.net.message_counts.iter().flatten() {
         println!("  {kind:<32} {n:>9} messages {bytes:>12} bytes");
     }
-    if args.story || !world.rules.violation_counts.is_empty() {
-        for line in &world.rules.story {
+    if args.event_log || !world.rules.violation_counts.is_empty() {
+        for line in &world.rules.event_log {
             println!("  {line}");
         }
     }
 }
 
-/// Full, partial and all other ends of calls, and retries.
-fn sums(world: &World) -> [u64; 4] {
-    let (mut full, mut part, mut other) = (0, 0, 0);
-    for fault in world.tallies.values() {
-        full += fault.full;
-        part += fault.partial;
-        other += fault.rejected.values().sum::<u64>() + fault.unreachable + fault.timed_out;
+/// Returns the numbers of complete, partial and other results of calls, and of retries.
+fn call_totals(world: &World) -> [u64; 4] {
+    let (mut full, mut partial, mut other) = (0, 0, 0);
+    for outcomes in world.tallies.values() {
+        full += outcomes.full;
+        partial += outcomes.partial;
+        other +=
+            outcomes.rejected.values().sum::<u64>() + outcomes.unreachable + outcomes.timed_out;
     }
-    [full, part, other, world.rules.retries.len() as u64]
+    [full, partial, other, world.rules.retries.len() as u64]
 }
 
 fn difference(rows: &[[u64; 4]]) -> String {
-    let names = ["full", "partial", "other", "second tries"];
+    let names = ["full", "partial", "other", "retries"];
     let [a, b] = rows else { return String::new() };
     let cells: Vec<String> = names
         .iter()
--- a/crates/simulator/src/mock_backends.rs
+++ b/crates/simulator/src/mock_backends.rs
@@ -1,8 +1,8 @@
-//! Leafs and the platform's list under the virtual clock.
+//! Simulated leafs and the simulated list of the platform.
 
 use std::collections::BTreeMap;
 
-use grebepath_core::http_api::leaf as edge;
+use grebepath_core::http_api::leaf as leaf_api;
 use grebepath_core::http_api::leaf::{LeafReply, ReplyHeaders};
 use grebepath_core::query::event::OutgoingAttempt;
 use grebepath_core::random::Random;
@@ -13,23 +13,23 @@
 use crate::spec::{Service, Spec};
 use crate::version_fault::VersionFault;
 
-/// How a leaf misbehaves.
+/// The behaviour of a leaf.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum Mode {
-    /// As it should be.
+    /// Correct behaviour.
     Good,
     /// Takes this much longer.
     Slow(Span),
-    /// Takes requests and never answers.
+    /// Accepts requests and never answers.
     Dark,
-    /// Stands still for a while, again and again.
+    /// Pauses periodically.
     Pauses {
-        /// From one pause to the next.
+        /// Time from the start of one pause to the next.
         every: Span,
-        /// How long a pause lasts.
+        /// Duration of a pause.
         pause: Span,
     },
-    /// Answers with something that is no JSON.
+    /// Answers with invalid JSON.
     Garbage,
     /// Answers with records in the wrong order.
     Disorder,
@@ -40,138 +40,144 @@
     /// Answers with the postmark of an earlier response.
     StalePostmark,
     /// Answers for another index version.
-    WrongCut,
+    WrongIndexVersion,
     /// Rejects every request before work.
     Unrun,
 }
 
-/// Whether a leaf's process and machine are there.
+/// Whether a leaf's process and machine are running.
 #[derive(Clone, Copy, PartialEq, Debug)]
-pub enum Alive {
+pub enum ProcessState {
     /// The process runs.
     Up,
-    /// The process is gone; its machine refuses connections.
+    /// The process has ended; its machine refuses connections.
     Down,
-    /// The machine is gone; nothing answers at all.
+    /// The machine is lost; connections get no answer.
     Vanished,
 }
 
-/// A leaf.
+/// A simulated leaf.
 pub struct MockLeaf {
     /// Its name in the list.
     pub name: String,
     /// The service that it serves.
     pub service: Service,
-    /// The zone in which it stands.
+    /// Its zone.
     pub zone: String,
-    /// Where it listens.
+    /// The address on which it listens.
     pub addr: String,
-    /// How it misbehaves.
+    /// Its behaviour.
     pub mode: Mode,
-    /// Whether it is there.
-    pub alive: Alive,
+    /// Whether its process and machine are running.
+    pub process_state: ProcessState,
     /// Its capacity, as a percentage of its service's.
-    pub strength: u32,
+    pub capacity_pct: u32,
     /// Whether it is leaving.
     pub leaving: bool,
-    /// Whether it tells who asks it that it leaves.
-    pub tells_leaving: bool,
-    /// From when on the platform's list shows that it leaves.
+    /// Whether its responses report that it is leaving.
+    pub reports_leaving: bool,
+    /// Time from which on the platform's list shows it as leaving.
     pub shown_leaving: Option<Tick>,
-    /// When the first of our nodes learned that it leaves.
+    /// When the first process of the cluster received its leaving state.
     pub known_leaving: Option<Tick>,
     /// When its process started.
-    pub born: Tick,
-    /// Attempts that it works on.
+    pub started_at: Tick,
+    /// Attempts in progress (count).
     pub in_progress: u32,
-    /// Attempts that it ran, over all its time.
-    pub ran: u64,
-    /// The most attempts at once, as a percentage of its capacity.
-    pub worst_pct: u32,
-    /// Attempts that came when it was at its capacity.
-    pub over: u64,
+    /// Attempts that it has run in total (count).
+    pub run_count: u64,
+    /// The most concurrent attempts, as a percentage of its capacity.
+    pub peak_load_pct: u32,
+    /// Attempts that arrived when it was at its capacity (count).
+    pub attempts_over_capacity: u64,
     /// The postmark of its last response.
     pub postmark: Option<String>,
-    /// The version of its software, empty if the list does not tell it.
+    /// The version of its software, empty if the list doesn't include it.
     pub version: String,
-    /// How its version misbehaves.
+    /// The fault of its version.
     pub version_fault: VersionFault,
 }
 
-/// All leafs, and the list as the platform shows it.
+/// All leafs, and the list that the platform serves.
 pub struct MockBackends {
     /// All leafs by their names.
     pub leafs: BTreeMap<String, MockLeaf>,
-    /// Which leaf listens at an address.
+    /// The name of the leaf at each address.
     pub by_address: BTreeMap<String, String>,
-    /// The list as it was and will be shown, each from a time on.
+    /// The versions of the list, each with the time from which on it is served.
     pub list_versions: Vec<(Tick, String)>,
-    /// How the list misbehaves.
+    /// The behaviour of the platform's list.
     pub list_mode: ListMode,
-    /// Whether leafs tell their age.
-    pub ages: bool,
-    /// Whether leafs tell that they leave; else the list alone shows it.
-    pub tells_leaving: bool,
+    /// Whether leafs report their age.
+    pub reports_age: bool,
+    /// Whether leafs report that they are leaving; otherwise only the list shows it.
+    pub reports_leaving: bool,
     /// Time from a change until the list shows it.
     pub list_lag: Span,
     /// The number of the next leaf.
-    pub next: u64,
+    pub next_number: u64,
 }
 
-/// How the list misbehaves.
+/// The behaviour of the platform's list.
 #[derive(Clone, Copy, PartialEq, Debug)]
 pub enum ListMode {
-    /// As it should be.
+    /// Correct behaviour.
     Good,
     /// Answers without any leaf.
     Empty,
-    /// Answers with something that is no JSON.
+    /// Answers with invalid JSON.
     Garbage,
     /// Never answers.
     Dead,
-    /// Shows what it showed when it began to.
+    /// Keeps serving the version that was current when this mode began.
     Stale,
 }
 
-/// The zones of the fleet.
+/// The zones of the cluster.
 pub const ZONES: [&str; 3] = ["a", "b", "c"];
 
-/// Ages that warm leafs have at the start of a run.
-const WARM: Span = ms(3_600_000);
+/// Age of the warm leafs at the start of a run.
+const WARM_AGE: Span = ms(3_600_000);
 
 impl MockBackends {
-    /// The leafs of a spec, warm; the world begins at `now`.
+    /// Creates the leafs of a spec, all warm; the run begins at `now`.
     pub fn new(spec: &Spec, now: Tick) -> Self {
         let mut backends = MockBackends {
             leafs: BTreeMap::new(),
             by_address: BTreeMap::new(),
             list_versions: Vec::new(),
             list_mode: ListMode::Good,
-            ages: true,
-            tells_leaving: true,
+            reports_age: true,
+            reports_leaving: true,
             list_lag: ms(spec.list_lag_ms),
-            next: 1,
+            next_number: 1,
         };
         for s in &spec.services {
             for i in 0..s.leafs {
                 let addr = backends.unused_address();
-                backends.start_leaf(s.clone(), ZONES[i % 3], addr, now.saturating_sub(WARM));
+                backends.start_leaf(s.clone(), ZONES[i % 3], addr, now.saturating_sub(WARM_AGE));
             }
         }
-        let text = backends.true_list();
+        let text = backends.current_list();
         backends.list_versions.push((now, text));
         backends
     }
 
-    /// An address that no leaf has had.
+    /// Returns an address that no leaf has used.
     pub fn unused_address(&self) -> String {
-        format!("127.1.{}.{}:8000", self.next / 200, 1 + self.next % 200)
+        format!("127.1.{}.{}:8000", self.next_number / 200, 1 + self.next_number % 200)
     }
 
-    /// Starts a leaf at an address.
-    pub fn start_leaf(&mut self, service: Service, zone: &str, addr: String, born: Tick) -> String {
-        let name = format!("{}.{}", service.name, self.next);
-        self.next += 1;
+    /// Starts a leaf at an address and returns its name.
+    pub fn start_leaf(
+        &mut self,
+        service: Service,
+        zone: &str,
+        addr: String,
+        started_at: Tick,
+    ) -> String {
+        let name = format!("{}.{}", service.name, self.next_number);
+        self.next_number += 1;
         self.by_address.insert(addr.clone(), name.clone());
         self.leafs.insert(
             name.clone(),
@@ -181,17 +187,17 @@
                 zone: zone.to_string(),
                 addr,
                 mode: Mode::Good,
-                alive: Alive::Up,
-                strength: 100,
+                process_state: ProcessState::Up,
+                capacity_pct: 100,
                 leaving: false,
-                tells_leaving: self.tells_leaving,
+                reports_leaving: self.reports_leaving,
                 shown_leaving: None,
                 known_leaving: None,
-                born,
+                started_at,
                 in_progress: 0,
-                ran: 0,
-                worst_pct: 0,
-                over: 0,
+                run_count: 0,
+                peak_load_pct: 0,
+                attempts_over_capacity: 0,
                 postmark: None,
                 version: String::new(),
                 version_fault: VersionFault::Sound,
@@ -200,15 +206,15 @@
         name
     }
 
-    /// The list as it truly is.
-    fn true_list(&self) -> String {
+    /// Returns the current list, without the delay of the platform.
+    fn current_list(&self) -> String {
         let leafs: Vec<Value> = self
             .leafs
             .values()
-            .filter(|l| l.alive == Alive::Up)
+            .filter(|l| l.process_state == ProcessState::Up)
             .map(|l| {
                 let mut leaf = json!({ "leaf": l.name, "service": l.service.name, "addr": l.addr,
-                        "labels": { "zone": l.zone, "cut": l.service.cut,
+                        "labels": { "zone": l.zone, "cut": l.service.index_version,
                                     "state": if l.leaving { "leaving" } else { "ready" } } });
                 if !l.version.is_empty() {
                     leaf["labels"]["version"] = json!(l.version);
@@ -219,9 +225,9 @@
         json!({ "leafs": leafs }).to_string()
     }
 
-    /// Notes a change; the list shows it later.
+    /// Records a change, which the list shows after its lag.
     pub fn list_changed(&mut self, now: Tick) {
-        let text = self.true_list();
+        let text = self.current_list();
         let shown_at = now + self.list_lag;
         self.list_versions.push((shown_at, text));
         for leaf in self.leafs.values_mut().filter(|leaf| leaf.leaving) {
@@ -229,15 +235,15 @@
         }
     }
 
-    /// Whether leafs tell from now on that they leave.
-    pub fn set_tells_leaving(&mut self, tells: bool) {
-        self.tells_leaving = tells;
+    /// Sets whether leafs report that they are leaving.
+    pub fn set_reports_leaving(&mut self, tells: bool) {
+        self.reports_leaving = tells;
         for leaf in self.leafs.values_mut() {
-            leaf.tells_leaving = tells;
+            leaf.reports_leaving = tells;
         }
     }
 
-    /// What the list answers now; `None` if it does not.
+    /// Returns the list as it is served now; `None` if it doesn't answer.
     pub fn served_list(&mut self, now: Tick) -> Option<String> {
         while self.list_mode != ListMode::Stale
             && self.list_versions.len() > 1
@@ -255,61 +261,62 @@
 }
 
 impl MockLeaf {
-    /// How many attempts the leaf bears at once at its age.
+    /// Returns the leaf's maximum number of concurrent attempts at its age.
     pub fn capacity(&self, now: Tick) -> u32 {
-        let (age, ramp) = (since(self.born, now), ms(self.service.ramp_ms));
-        let full = (u64::from(self.service.bears) * u64::from(self.strength) / 100).max(1);
-        if age >= ramp {
+        let (age, slow_start) = (since(self.started_at, now), ms(self.service.slow_start_ms));
+        let full = (u64::from(self.service.capacity) * u64::from(self.capacity_pct) / 100).max(1);
+        if age >= slow_start {
             return full as u32;
         }
-        ((full * (10 * ramp + 90 * age) / (100 * ramp)) as u32).max(1)
+        ((full * (10 * slow_start + 90 * age) / (100 * slow_start)) as u32).max(1)
     }
 
-    /// Whether the leaf is still warming up.
+    /// Returns whether the leaf is still warming up.
     pub fn is_warming_up(&self, now: Tick) -> bool {
-        since(self.born, now) < ms(self.service.ramp_ms)
+        since(self.started_at, now) < ms(self.service.slow_start_ms)
     }
 
-    /// Time that the leaf takes for a question that it begins now.
+    /// Draws the time that the leaf takes for an attempt that it starts now.
     pub fn service_time(&self, now: Tick, random: &mut Random) -> Span {
-        let base = ms(self.service.took_ms);
+        let base = ms(self.service.service_time_ms);
         let capacity = u64::from(self.capacity(now));
-        // Beyond what it bears a leaf thrashes: its time grows with the square.
+        // Above its capacity a leaf thrashes: its time grows with the square of the load.
         let in_progress = u64::from(self.in_progress).max(capacity);
-        let over = base * (in_progress * in_progress - capacity * capacity) / (capacity * capacity);
+        let overload_time =
+            base * (in_progress * in_progress - capacity * capacity) / (capacity * capacity);
         let extra = match self.mode {
             Mode::Slow(more) => more,
             Mode::Dark => ms(3_600_000),
             Mode::Pauses { every, pause } => pause.saturating_sub(now % every),
             _ => 0,
         };
-        base / 2 + random.below(base / 2 + 1) + over + extra
+        base / 2 + random.below(base / 2 + 1) + overload_time + extra
     }
 
-    /// Whether its version breaks the answer to an attempt that it ends now.
+    /// Returns whether its version breaks the answer to an attempt that ends now.
     pub fn breaks_answer(&self, now: Tick, search: &str, random: &mut Random) -> bool {
         let in_progress = self.in_progress + 1;
-        self.version_fault.breaks_answer(now, self.born, in_progress, search, random)
+        self.version_fault.breaks_answer(now, self.started_at, in_progress, search, random)
     }
 
-    /// Whether it tells now that it leaves.
-    pub fn says_leaving(&self) -> bool {
-        self.leaving && self.tells_leaving
+    /// Returns whether it reports that it is leaving.
+    pub fn signals_leaving(&self) -> bool {
+        self.leaving && self.reports_leaving
     }
 
-    /// Headers that every response carries.
+    /// Returns the headers of every response.
     pub fn headers(&self, now: Tick) -> ReplyHeaders {
         let busy = (f64::from(self.in_progress) / f64::from(self.capacity(now))).min(1.0);
         ReplyHeaders {
             postmarks: Vec::new(),
             busy: Some(format!("{busy:.2}")),
-            age: Some((since(self.born, now) / MILLI).to_string()),
-            state: self.says_leaving().then(|| "leaving".to_string()),
+            age: Some((since(self.started_at, now) / MILLI).to_string()),
+            state: self.signals_leaving().then(|| "leaving".to_string()),
             ..ReplyHeaders::default()
         }
     }
 
-    /// The response to an attempt that was not run.
+    /// Returns the response to an attempt that was rejected before work.
     pub fn rejection(&self, now: Tick, status: u16) -> LeafReply {
         LeafReply {
             status,
@@ -318,26 +325,30 @@
         }
     }
 
-    /// The response to an attempt that was run.
-    pub fn response(&mut self, now: Tick, sending: &OutgoingAttempt) -> LeafReply {
-        let asked: Value = serde_json::from_slice(&sending.body).unwrap_or(Value::Null);
-        let question = asked["question"].as_str().unwrap_or_default();
-        let limit = asked["limit"].as_u64().unwrap_or(0) as usize;
-        let mut recs = oracle::records(&self.service.name, question, asked["key"].as_str(), limit);
+    /// Returns the response to an attempt that was run.
+    pub fn response(&mut self, now: Tick, outgoing: &OutgoingAttempt) -> LeafReply {
+        let request: Value = serde_json::from_slice(&outgoing.body).unwrap_or(Value::Null);
+        let question = request["question"].as_str().unwrap_or_default();
+        let limit = request["limit"].as_u64().unwrap_or(0) as usize;
+        let mut records =
+            oracle::records(&self.service.name, question, request["key"].as_str(), limit);
         if self.mode == Mode::Disorder {
-            recs.reverse();
+            records.reverse();
         }
-        let list: Vec<Value> = recs
+        let list: Vec<Value> = records
             .iter()
             .map(|r| json!({ "id": r.id, "score": r.score, "data": { "service": r.service } }))
             .collect();
         let mut body = json!({ "records": list }).to_string().into_bytes();
-        let postmark = edge::postmark(&self.name, &sending.id, &sending.body_digest);
+        let postmark = leaf_api::postmark(&self.name, &outgoing.id, &outgoing.body_digest);
         let previous = self.postmark.replace(postmark.clone());
-        let mut heads = self.headers(now);
-        heads.index_version =
-            Some(if self.mode == Mode::WrongCut { "w00".into() } else { self.service.cut.clone() });
-        heads.postmarks = match self.mode {
+        let mut headers = self.headers(now);
+        headers.index_version = Some(if self.mode == Mode::WrongIndexVersion {
+            "w00".into()
+        } else {
+            self.service.index_version.clone()
+        });
+        headers.postmarks = match self.mode {
             Mode::NoPostmark => Vec::new(),
             Mode::TwoPostmarks => vec![postmark.clone(), postmark],
             Mode::StalePostmark => vec![previous.unwrap_or_default()],
@@ -346,11 +357,11 @@
         if self.mode == Mode::Garbage {
             body.truncate(body.len() / 2);
         }
-        LeafReply { status: 200, headers: heads, body }
+        LeafReply { status: 200, headers, body }
     }
 }
 
-/// Whether a reply in this mode stands for the shard. One record alone can't
+/// Returns whether a response in this mode counts for its shard. A single record can't
 /// be out of order.
 pub fn answers_correctly(mode: Mode, limit: u64) -> bool {
     (mode == Mode::Disorder && limit == 1)
@@ -361,6 +372,6 @@
                 | Mode::NoPostmark
                 | Mode::TwoPostmarks
                 | Mode::StalePostmark
-                | Mode::WrongCut
+                | Mode::WrongIndexVersion
         )
 }
--- a/crates/simulator/src/report.rs
+++ b/crates/simulator/src/report.rs
@@ -1,4 +1,4 @@
-//! What a run came to, as a table and as JSON.
+//! Reports the results of a run as a table and as JSON.
 
 use grebepath_core::time::MILLI;
 use serde_json::{Value, json};
@@ -10,7 +10,7 @@
     list.get(at).copied().unwrap_or(0) as f64 / MILLI as f64
 }
 
-/// A run as JSON.
+/// Returns the results of a run as JSON.
 pub fn json(world: &World) -> Value {
     let mut kinds = serde_json::Map::new();
     for (name, tally) in &world.tallies {
@@ -29,10 +29,11 @@
         );
     }
     let (over, most) = world.rules.retry_excess();
-    let worst = world.backends.leafs.values().max_by_key(|leaf| leaf.worst_pct);
-    let orders = |want: fn(&grebepath_core::protocol::operation::OperationResult) -> bool| {
-        world.operator_requests.iter().filter(|o| o.result.as_ref().is_some_and(want)).count()
-    };
+    let worst = world.backends.leafs.values().max_by_key(|leaf| leaf.peak_load_pct);
+    let requests_with =
+        |want: fn(&grebepath_core::protocol::operation::OperationResult) -> bool| {
+            world.operator_requests.iter().filter(|o| o.result.as_ref().is_some_and(want)).count()
+        };
     use grebepath_core::protocol::operation::OperationResult;
     json!({
         "violations": world.rules.violation_counts,
@@ -41,23 +42,23 @@
         "kinds": kinds,
         "first_dispatches": world.rules.first_attempts.len(), "second_tries": world.rules.retries.len(),
         "worst_10s": { "second_tries": most, "over_a_fifth": over },
-        "worst_leaf": worst.map(|leaf| json!({ "leaf": leaf.name, "pct_of_bears": leaf.worst_pct })),
-        "begun_beyond_bearing": world.backends.leafs.values().map(|leaf| leaf.over).sum::<u64>(),
-        "orders": { "accepted": orders(|d| matches!(d, OperationResult::Accepted { .. })),
-                    "bounced": orders(|d| matches!(d, OperationResult::Rejected { .. })),
-                    "unknown": orders(|d| matches!(d, OperationResult::Unknown { .. })),
-                    "wrong": orders(|d| matches!(d, OperationResult::Invalid(_))) },
-        "restarts": world.rules.judged_restarts.iter().map(|restart| json!({
+        "worst_leaf": worst.map(|leaf| json!({ "leaf": leaf.name, "pct_of_bears": leaf.peak_load_pct })),
+        "begun_beyond_bearing": world.backends.leafs.values().map(|leaf| leaf.attempts_over_capacity).sum::<u64>(),
+        "orders": { "accepted": requests_with(|d| matches!(d, OperationResult::Accepted { .. })),
+                    "bounced": requests_with(|d| matches!(d, OperationResult::Rejected { .. })),
+                    "unknown": requests_with(|d| matches!(d, OperationResult::Unknown { .. })),
+                    "wrong": requests_with(|d| matches!(d, OperationResult::Invalid(_))) },
+        "restarts": world.rules.checked_restarts.iter().map(|restart| json!({
             "at_s": restart.at as f64 / 1e6,
-            "first_full_ms": restart.first.iter().map(|(kind, at)| (kind.clone(), json!((at - restart.at) / MILLI)))
+            "first_full_ms": restart.first_complete.iter().map(|(kind, at)| (kind.clone(), json!((at - restart.at) / MILLI)))
                 .collect::<serde_json::Map<_, _>>(),
             "accepted_ms": restart.accepted.map(|at| (at - restart.at) / MILLI),
-            "made": restart.made, "full": restart.full })).collect::<Vec<_>>(),
+            "made": restart.calls, "full": restart.complete_calls })).collect::<Vec<_>>(),
         "events": world.events, "messages": world.net.sent, "messages_lost": world.net.lost,
     })
 }
 
-/// A run as a table.
+/// Returns the results of a run as a table.
 pub fn table(world: &World) -> String {
     let report = json(world);
     let mut out = format!(
@@ -93,14 +94,14 @@
         );
     }
     out += &format!(
-        "dispatches {} first, {} second; worst 10 s: {} second, {} beyond a fifth\n",
+        "attempts: {} first, {} retries; worst 10 s: {} retries, {} beyond a fifth\n",
         report["first_dispatches"],
         report["second_tries"],
         report["worst_10s"]["second_tries"],
         report["worst_10s"]["over_a_fifth"]
     );
     out += &format!(
-        "worst leaf {} at {}% of what it bears, {} begun beyond it; orders {}\n",
+        "worst leaf {} at {}% of its capacity, {} attempts above it; operator requests {}\n",
         report["worst_leaf"]["leaf"],
         report["worst_leaf"]["pct_of_bears"],
         report["begun_beyond_bearing"],
--- a/crates/simulator/src/scenario/apply.rs
+++ b/crates/simulator/src/scenario/apply.rs
@@ -5,18 +5,18 @@
 use serde_json::Value;
 
 use super::ScheduledFault;
-use super::values::{Fleet, disk_health, leaf_mode, list_mode};
+use super::values::{MachineCounts, disk_health, leaf_mode, list_mode};
 use crate::mock_backends;
-use crate::mock_backends::{Alive, ListMode, Mode};
+use crate::mock_backends::{ListMode, Mode, ProcessState};
 use crate::net::Node;
 use crate::simulated_disk::Health;
 use crate::world::{FollowUp, OperatorRequest, World};
 
-/// How long a process is paused if the scenario does not say.
-const PAUSE_DEFAULT: Span = 5 * SECOND;
+/// Duration of a pause whose scenario gives none.
+const DEFAULT_PAUSE: Span = 5 * SECOND;
 
 impl World {
-    /// Applies a fault, or another action of a scenario.
+    /// Applies a fault or another action of a scenario.
     pub fn apply_fault(&mut self, fault: &ScheduledFault) {
         self.note_disturbance(fault);
         let parameters = &fault.parameters;
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Applies a fault of one controller's machine.
+    /// Applies a fault to one controller's machine.
     fn apply_to_controller(&mut self, fault: &ScheduledFault, duration: Option<Span>) {
         let parameters = &fault.parameters;
         let which = parameters["which"].as_u64().unwrap_or(0) as usize;
@@ -70,10 +70,10 @@
             "stop-seat" => self.stop_controller(which, duration),
             "start-seat" if !self.controllers[which].up => self.start_controller(which),
             "pause-seat" => {
-                self.controllers[which].paused = self.now + duration.unwrap_or(PAUSE_DEFAULT);
+                self.controllers[which].paused = self.now + duration.unwrap_or(DEFAULT_PAUSE);
             }
             "hold-seat" => {
-                let until = self.now + duration.unwrap_or(PAUSE_DEFAULT);
+                let until = self.now + duration.unwrap_or(DEFAULT_PAUSE);
                 let from = Node::Controller(which as u8);
                 for to in 0..self.controllers.len() {
                     self.net.hold(from, Node::Controller(to as u8), until);
@@ -92,24 +92,24 @@
         }
     }
 
-    /// Applies a fault of one querier.
+    /// Applies a fault to one querier.
     fn apply_to_querier(&mut self, fault: &ScheduledFault, duration: Option<Span>) {
         let which = fault.parameters["which"].as_u64().unwrap_or(0) as usize;
         match fault.action.as_str() {
             "pause-querier" => {
-                self.queriers[which].paused = self.now + duration.unwrap_or(PAUSE_DEFAULT);
+                self.queriers[which].paused = self.now + duration.unwrap_or(DEFAULT_PAUSE);
                 return;
             }
             "stop-querier" => self.stop_querier(which),
             _ => self.kill_querier(which),
         }
-        // One that was asked to stop drains and ends before.
+        // A querier that was asked to stop drains and ends before this.
         if let Some(span) = duration {
             self.later(span, FollowUp::StartQuerier(which));
         }
     }
 
-    /// Applies a fault of the net, or ends all of them.
+    /// Applies a fault to the network, or ends all network faults.
     fn apply_to_net(&mut self, fault: &ScheduledFault) {
         let parameters = &fault.parameters;
         match fault.action.as_str() {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// An operator asks for something.
+    /// Submits an operator's request.
     fn apply_by_operator(&mut self, fault: &ScheduledFault) {
         let parameters = &fault.parameters;
         let zone = parameters["zone"].as_str().unwrap_or("a");
@@ -151,22 +151,22 @@
                 let gap = ms(parameters["gap_ms"].as_u64().unwrap_or(20));
                 self.later(0, FollowUp::RequestStorm { left, gap });
             }
-            _ => self.race(parameters["count"].as_u64().unwrap_or(8)),
+            _ => self.submit_racing_requests(parameters["count"].as_u64().unwrap_or(8)),
         }
     }
 
-    /// All processes end and start again; the controller `down` stays down, and those
-    /// named by `lose` come back with empty disks.
+    /// Kills and restarts all processes; the controller `down` stays down, and those
+    /// named by `lose` restart with empty disks.
     fn restart_all(&mut self, parameters: &Value, duration: Option<u64>) {
         let power = parameters["power"].as_bool().unwrap_or(false);
-        let seat = |key: &str| {
+        let controller_index = |key: &str| {
             parameters[key].as_u64().map(|n| n as usize).filter(|n| *n < self.controllers.len())
         };
-        let down = seat("down");
+        let down = controller_index("down");
         let one = parameters["lose"].as_u64();
         let more = parameters["lose"].as_array().into_iter().flatten().filter_map(Value::as_u64);
         let lose: Vec<usize> = one.into_iter().chain(more).map(|n| n as usize).collect();
-        let alive: Vec<usize> = (0..self.controllers.len())
+        let running: Vec<usize> = (0..self.controllers.len())
             .filter(|controller| self.controllers[*controller].up)
             .collect();
         for controller in 0..self.controllers.len() {
@@ -182,8 +182,8 @@
             }
         }
         let span = duration.unwrap_or(SECOND);
-        // Who is gone for good does not come back.
-        for controller in alive.into_iter().filter(|controller| Some(*controller) != down) {
+        // Controllers that were down before are not restarted.
+        for controller in running.into_iter().filter(|controller| Some(*controller) != down) {
             self.later(span, FollowUp::StartController(controller));
         }
         for querier in 0..self.queriers.len() {
@@ -192,7 +192,7 @@
         self.expect_recovery(span);
     }
 
-    /// New leafs on new machines for a service.
+    /// Starts leafs for a service on new machines.
     fn add_leafs(&mut self, parameters: &Value) {
         let now = self.now;
         let name = parameters["service"].as_str().unwrap_or_default();
@@ -215,13 +215,13 @@
         self.backends.list_changed(now);
     }
 
-    /// All faults end: from now on the fleet has 12 s to recover.
+    /// Ends all faults: from now on the cluster has 12 s to recover.
     fn end_all_faults(&mut self, factor: f64) {
         self.net.heal();
         self.backends.list_mode = ListMode::Good;
         self.factor = factor;
         for leaf in self.backends.leafs.values_mut() {
-            (leaf.mode, leaf.strength) = (Mode::Good, 100);
+            (leaf.mode, leaf.capacity_pct) = (Mode::Good, 100);
         }
         for controller in 0..self.controllers.len() {
             self.set_disk_health(controller, Health::Good);
@@ -242,24 +242,25 @@
         self.expect_recovery(0);
     }
 
-    /// After `span` the fleet has 12 s to recover.
+    /// Expects the cluster to recover within 12 s after `span`.
     fn expect_recovery(&mut self, span: u64) {
         let at = self.age() + span;
         self.rules.pending_restarts.push(crate::rules::RestartCheck { at, ..Default::default() });
-        // The operator's patience is less than what is left of the 12 s.
+        // The change is submitted after 6 s: a timeout of the operator ends within the 12 s.
         let restart = self.rules.pending_restarts.len() - 1;
         self.later(span + 6 * SECOND, FollowUp::ChangeAfterRestart { restart });
     }
 
     fn partition_network(&mut self, parameters: &Value) {
-        let fleet = Fleet { controllers: self.controllers.len(), queriers: self.queriers.len() };
+        let machine_counts =
+            MachineCounts { controllers: self.controllers.len(), queriers: self.queriers.len() };
         let side = |key: &str| -> Vec<Node> {
             parameters[key]
                 .as_array()
                 .into_iter()
                 .flatten()
                 .filter_map(Value::as_str)
-                .flat_map(|word| fleet.nodes_named(word))
+                .flat_map(|word| machine_counts.nodes_named(word))
                 .collect()
         };
         let (a, b) = (side("a"), side("b"));
@@ -282,20 +283,23 @@
                 "leafs" => leaf.mode = leaf_mode(&fault.parameters).unwrap_or(Mode::Good),
                 "leave-leafs" => leaf.leaving = true,
                 "weaken-leafs" => {
-                    leaf.strength =
+                    leaf.capacity_pct =
                         fault.parameters["pct"].as_u64().unwrap_or(50).clamp(1, 100) as u32;
                 }
                 "kill-leafs" => {
                     let vanish = fault.parameters["vanish"].as_bool().unwrap_or(false);
-                    self.kill_leaf(&name, if vanish { Alive::Vanished } else { Alive::Down });
+                    self.kill_leaf(
+                        &name,
+                        if vanish { ProcessState::Vanished } else { ProcessState::Down },
+                    );
                 }
                 "restart-leafs" | "reuse" => {
                     let (mut service, zone, addr) =
                         (leaf.service.clone(), leaf.zone.clone(), leaf.addr.clone());
-                    self.kill_leaf(&name, Alive::Down);
+                    self.kill_leaf(&name, ProcessState::Down);
                     if fault.action == "reuse" {
                         let by = fault.parameters["by"].as_str().unwrap_or("stranger");
-                        // A leaf of a service that we know bears what that bears.
+                        // A leaf of a known service has the capacity of that service.
                         let known =
                             self.backends.leafs.values().find(|leaf| leaf.service.name == by);
                         service = known.map_or(service, |leaf| leaf.service.clone());
@@ -316,7 +320,7 @@
             .leafs
             .values()
             .filter(|leaf| {
-                leaf.alive == Alive::Up
+                leaf.process_state == ProcessState::Up
                     && fits("service", &leaf.service.name)
                     && fits("zone", &leaf.zone)
             })
--- a/crates/simulator/src/scenario/play.rs
+++ b/crates/simulator/src/scenario/play.rs
@@ -1,29 +1,29 @@
-//! Plays a scenario from the start of the fleet to the checks of the end.
+//! Runs a scenario from the start of the cluster to the final checks.
 
 use grebepath_core::time::{SECOND, ms};
 
 use super::Scenario;
 use crate::world::{self, OperatorRequest, World};
 
-/// Runs a scenario to its end.
+/// Runs a scenario to its end and returns the world.
 pub fn play(scenario: &Scenario, seed: u64, faulty_variant: Option<world::FaultyVariant>) -> World {
     play_counting_messages(scenario, seed, faulty_variant, false)
 }
 
-/// `play`, with messages counted from the moment the fleet has come up.
+/// Runs a scenario like `play`, and counts messages from the moment the cluster has started.
 pub fn play_counting_messages(
     scenario: &Scenario,
     seed: u64,
     faulty_variant: Option<world::FaultyVariant>,
-    weigh: bool,
+    count_messages: bool,
 ) -> World {
-    let mut world = come_up(scenario, seed, faulty_variant);
-    world.net.message_counts = weigh.then(Default::default);
-    play_on(&mut world, scenario);
+    let mut world = start_cluster(scenario, seed, faulty_variant);
+    world.net.message_counts = count_messages.then(Default::default);
+    run_scenario(&mut world, scenario);
     world
 }
 
-/// `play`, with faults at numbered events of the controllers. Their window is
+/// Runs a scenario like `play`, with faults at numbered events of the controllers. Their window is
 /// given in time of the scenario.
 pub fn play_with_faults(
     scenario: &Scenario,
@@ -31,28 +31,28 @@
     faulty_variant: Option<world::FaultyVariant>,
     injected: world::FaultInjection,
 ) -> World {
-    let mut world = come_up(scenario, seed, faulty_variant);
+    let mut world = start_cluster(scenario, seed, faulty_variant);
     let began = world.since_begin();
     let (from, to) = injected.window;
     world.injected = world::FaultInjection { window: (began + from, began + to), ..injected };
-    play_on(&mut world, scenario);
+    run_scenario(&mut world, scenario);
     world
 }
 
-/// `play_with_faults`, with the hash of all messages kept from the moment the fleet
-/// has come up.
+/// Runs a scenario like `play_with_faults`, and hashes all messages from the moment the cluster
+/// has started.
 pub fn play_traced(scenario: &Scenario, seed: u64, injected: world::FaultInjection) -> World {
-    let mut world = come_up(scenario, seed, None);
+    let mut world = start_cluster(scenario, seed, None);
     world.net.trace = Some(0);
     let began = world.since_begin();
     let (from, to) = injected.window;
     world.injected = world::FaultInjection { window: (began + from, began + to), ..injected };
-    play_on(&mut world, scenario);
+    run_scenario(&mut world, scenario);
     world
 }
 
-/// A fleet that has come up, before anything happens.
-pub(super) fn come_up(
+/// Starts a cluster and runs it until it has settled, before the scenario begins.
+pub(super) fn start_cluster(
     scenario: &Scenario,
     seed: u64,
     faulty_variant: Option<world::FaultyVariant>,
@@ -61,8 +61,8 @@
         World::new(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
     world.faulty_variant = faulty_variant;
     world.drain_notice = scenario.drain_notice;
-    world.backends.ages = scenario.ages;
-    world.backends.set_tells_leaving(scenario.tells_leaving);
+    world.backends.reports_age = scenario.reports_age;
+    world.backends.set_reports_leaving(scenario.reports_leaving);
     world.submit(ms(200), OperatorRequest::replace(&scenario.config));
     world.until(20 * SECOND, |world| {
         world.settled()
@@ -73,10 +73,10 @@
     world
 }
 
-/// Lets the scenario happen to a fleet that has come up.
-pub(super) fn play_on(world: &mut World, scenario: &Scenario) {
-    let troubles = scenario.faults.clone();
-    world.plan(troubles);
+/// Runs the scenario on a cluster that has started.
+pub(super) fn run_scenario(world: &mut World, scenario: &Scenario) {
+    let faults = scenario.faults.clone();
+    world.plan(faults);
     world.start_calls(scenario.factor);
     world.run(scenario.seconds * SECOND);
     world.calls_end_at = world.now;
--- a/crates/simulator/src/scenario/read.rs
+++ b/crates/simulator/src/scenario/read.rs
@@ -1,17 +1,17 @@
-//! Reads a scenario from JSON, with all diagnostics at their places.
+//! Reads a scenario from JSON, with a diagnostic for each error.
 
 use grebepath_core::diagnostic::{Diagnostic, push_diagnostic};
 use grebepath_core::time::ms;
 use serde_json::Value;
 
-use super::values::{Fleet, disk_health, leaf_mode, list_mode};
+use super::values::{MachineCounts, disk_health, leaf_mode, list_mode};
 use super::{Scenario, ScheduledFault};
 use crate::files::FileError;
 use crate::spec::{self, Spec, SpecError};
 use crate::version_fault::VersionFault;
 use crate::world;
 
-/// The actions of scenarios, each with the fields it may have beside `at_s`.
+/// The actions of scenarios, each with the fields it may have besides `at_s`.
 const ACTIONS: &[(&str, &[&str])] = &[
     ("kill-seat", &["which", "for_s", "power", "lose"]),
     ("stop-seat", &["which", "for_s"]),
@@ -64,7 +64,7 @@
     ("load", &["factor"]),
 ];
 
-/// The fields of a scenario.
+/// All fields of a scenario.
 const FIELDS: [&str; 12] = [
     "name",
     "seconds",
@@ -80,10 +80,10 @@
     "controllers",
 ];
 
-/// Fetches a deployment's file by its name.
+/// Loads a deployment's file by its name.
 pub type LoadFile<'a> = &'a dyn Fn(&str) -> Result<Value, FileError>;
 
-/// Reads a scenario, with all that is wrong with it.
+/// Reads a scenario, or returns all its errors.
 pub fn read(text: &[u8], load: LoadFile) -> Result<Scenario, Vec<Diagnostic>> {
     let mut diagnostics = Vec::new();
     let value: Value = match serde_json::from_slice(text) {
@@ -121,16 +121,16 @@
             spec,
             config,
             faults,
-            ages: value["ages"].as_bool().unwrap_or(true),
+            reports_age: value["ages"].as_bool().unwrap_or(true),
             drain_notice: value["drain_notice_ms"].as_u64().map(ms),
-            tells_leaving: value["tells_leaving"].as_bool().unwrap_or(true),
+            reports_leaving: value["tells_leaving"].as_bool().unwrap_or(true),
             control_plane,
         }),
         _ => Err(diagnostics),
     }
 }
 
-/// The spec of the leafs and the configuration that a scenario names.
+/// Loads the spec of the leafs and the configuration that a scenario names.
 fn load_deployment(
     value: &Value,
     load: LoadFile,
@@ -149,7 +149,7 @@
     Some((spec.ok()?, config.ok()?))
 }
 
-/// The faults of a scenario, in the order in which it lists them.
+/// Reads the faults of a scenario, in the order in which it lists them.
 fn read_faults(
     value: &Value,
     queriers: usize,
@@ -158,37 +158,39 @@
 ) -> Vec<ScheduledFault> {
     let Some(list) = value["troubles"].as_array() else { return Vec::new() };
     let added = list.iter().filter(|fault| fault["do"] == "add-seat").count();
-    let fleet = Fleet { queriers, controllers: machines + added };
+    let machine_counts = MachineCounts { queriers, controllers: machines + added };
     let listed = list.iter().enumerate();
     listed
-        .filter_map(|(i, fault)| read_fault(&format!("troubles[{i}]"), fault, fleet, diagnostics))
+        .filter_map(|(i, fault)| {
+            read_fault(&format!("troubles[{i}]"), fault, machine_counts, diagnostics)
+        })
         .collect()
 }
 
-/// The control plane: three controllers that are told their voter slots, unless the
-/// scenario says how many slots there are, or how many controllers.
+/// Reads the control plane: three controllers with assigned voter slots, unless the
+/// scenario sets the number of slots or of controllers.
 fn control_plane(value: &Value, diagnostics: &mut Vec<Diagnostic>) -> world::ControlPlaneSetup {
     if value.get("seats").is_none() && value.get("controllers").is_none() {
         return world::three_voters();
     }
-    let seats = read_integer(value, "seats", 1, 9, diagnostics) as usize;
+    let voter_slots = read_integer(value, "seats", 1, 9, diagnostics) as usize;
     let machines = read_integer(value, "controllers", 1, 12, diagnostics) as usize;
-    if seats.is_multiple_of(2) || machines < seats {
+    if voter_slots.is_multiple_of(2) || machines < voter_slots {
         push_diagnostic(
             diagnostics,
             "seats",
-            "expected an odd number of seats and a controller for each",
+            "expected an odd number of voter slots and a controller for each",
         );
     }
     world::ControlPlaneSetup {
-        voter_slots: seats,
+        voter_slots,
         machines,
         slots_assigned: false,
         seeds: (0..machines.min(3)).collect(),
     }
 }
 
-/// A whole number within bounds; the lower one if it is wrong.
+/// Reads an integer within bounds; returns the lower bound if it is invalid.
 fn read_integer(
     value: &Value,
     key: &str,
@@ -209,21 +211,21 @@
     }
 }
 
-/// Reads the fault at a place of the scenario.
+/// Reads the fault at a JSON path of the scenario.
 fn read_fault(
     at: &str,
     value: &Value,
-    fleet: Fleet,
+    machine_counts: MachineCounts,
     diagnostics: &mut Vec<Diagnostic>,
 ) -> Option<ScheduledFault> {
     let before = diagnostics.len();
     let action = value["do"].as_str().unwrap_or_default().to_string();
     let Some((_, fields)) = ACTIONS.iter().find(|known| known.0 == action) else {
-        let words: Vec<&str> = ACTIONS.iter().map(|known| known.0).collect();
+        let names: Vec<&str> = ACTIONS.iter().map(|known| known.0).collect();
         push_diagnostic(
             diagnostics,
             format!("{at}.do"),
-            format!("expected one of {}", words.join(", ")),
+            format!("expected one of {}", names.join(", ")),
         );
         return None;
     };
@@ -241,7 +243,7 @@
             );
         }
     }
-    check_values(at, &action, value, fleet, diagnostics);
+    check_values(at, &action, value, machine_counts, diagnostics);
     (diagnostics.len() == before).then(|| ScheduledFault {
         at_ms: (at_s * 1000.0) as u64,
         action,
@@ -254,13 +256,17 @@
     at: &str,
     action: &str,
     value: &Value,
-    fleet: Fleet,
+    machine_counts: MachineCounts,
     diagnostics: &mut Vec<Diagnostic>,
 ) {
     let has =
         |field: &str| ACTIONS.iter().any(|known| known.0 == action && known.1.contains(&field));
     if has("which") {
-        let top = if action.ends_with("querier") { fleet.queriers } else { fleet.controllers };
+        let top = if action.ends_with("querier") {
+            machine_counts.queriers
+        } else {
+            machine_counts.controllers
+        };
         if value["which"].as_u64().is_none_or(|number| number as usize >= top) {
             push_diagnostic(
                 diagnostics,
@@ -292,7 +298,7 @@
     if action == "cut" {
         for side in ["a", "b"] {
             for word in value[side].as_array().into_iter().flatten() {
-                if word.as_str().is_none_or(|word| fleet.nodes_named(word).is_empty()) {
+                if word.as_str().is_none_or(|word| machine_counts.nodes_named(word).is_empty()) {
                     push_diagnostic(
                         diagnostics,
                         format!("{at}.{side}"),
@@ -304,7 +310,7 @@
     }
 }
 
-/// A fault that a generator made, which is well formed.
+/// Converts a fault from a generator, which is always valid.
 pub fn generated_fault(value: &Value) -> ScheduledFault {
     ScheduledFault {
         at_ms: (value["at_s"].as_f64().unwrap_or(0.0) * 1000.0) as u64,
--- a/crates/simulator/src/world/callers.rs
+++ b/crates/simulator/src/world/callers.rs
@@ -1,4 +1,4 @@
-//! Callers: their calls, the responses, and the checks of these.
+//! Callers: their calls, the responses, and the checks of the responses.
 
 use grebepath_core::http_api::caller;
 use grebepath_core::query::event as query_event;
@@ -14,7 +14,7 @@
 use crate::rules;
 
 impl World {
-    /// Begins the callers' load, at the spec's rates times `factor`.
+    /// Starts the callers' load, at the spec's rates times `factor`.
     pub fn start_calls(&mut self, factor: f64) {
         self.factor = factor;
         for kind in 0..self.call_kinds.len() {
@@ -24,8 +24,8 @@
     }
 
     pub(super) fn gap(&mut self, kind: usize) -> Span {
-        // Between half and one and a half of the mean: uneven, but not wild.
-        let mean = 1e6 / (self.call_kinds[kind].per_s * self.factor).max(0.001);
+        // Uniform between 0.5 and 1.5 times the mean: uneven arrivals without long bursts or gaps.
+        let mean = 1e6 / (self.call_kinds[kind].calls_per_second * self.factor).max(0.001);
         (mean * (0.5 + self.random.below(1000) as f64 / 1000.0)) as Span
     }
 
@@ -43,32 +43,32 @@
         let id = self.queue.next_number();
         let call_kind = &self.call_kinds[kind];
         let question = format!("{}-{id}", call_kind.search);
-        let asked = Asked { question, key: call_kind.lookup.then(|| format!("key-{id}")) };
+        let caller_query = Asked { question, key: call_kind.lookup.then(|| format!("key-{id}")) };
         let up = |querier: &usize| self.queriers[*querier].up;
-        let list: Vec<usize> = match self.ignore_readiness {
+        let candidates: Vec<usize> = match self.ignore_readiness {
             true => (0..self.queriers.len()).filter(up).collect(),
             false => self.ready_queriers.clone(),
         };
-        if list.is_empty() {
+        if candidates.is_empty() {
             let name = self.call_kinds[kind].search.clone();
             self.rules.end_call(self.now - BEGIN, self.now - BEGIN, &name, false);
             self.tally(kind).unreachable += 1;
             return;
         }
-        let querier = list[self.random.below(list.len() as u64) as usize];
+        let querier = candidates[self.random.below(candidates.len() as u64) as usize];
         if !self.queriers[querier].up {
             self.tally(kind).unreachable += 1;
             return;
         }
-        self.rules.asked.insert(asked.question.clone());
-        let life = self.queriers[querier].life;
-        let wait = ms(self.call_kinds[kind].budget_ms);
-        self.calls.insert(id, Call { kind, asked, querier, life, began: self.now });
+        self.rules.caller_questions.insert(caller_query.question.clone());
+        let incarnation = self.queriers[querier].incarnation;
+        let timeout = ms(self.call_kinds[kind].budget_ms);
+        self.calls.insert(id, Call { kind, caller_query, querier, incarnation, began: self.now });
         self.push(ms(1), ScheduledEvent::CallArrival { call: id });
-        self.push(wait + ms(5), ScheduledEvent::CallTimeout { call: id });
+        self.push(timeout + ms(5), ScheduledEvent::CallTimeout { call: id });
     }
 
-    /// A caller's patience has ended.
+    /// Ends a call whose caller has waited for the response until its timeout.
     pub(super) fn call_times_out(&mut self, id: u64) {
         let Some(call) = self.calls.remove(&id) else { return };
         let name = self.call_kinds[call.kind].search.clone();
@@ -80,41 +80,45 @@
     pub(super) fn call_arrives(&mut self, id: u64) {
         let Some(call) = self.calls.get_mut(&id) else { return };
         call.began = self.now;
-        let (querier, life, kind, asked) = (call.querier, call.life, call.kind, call.asked.clone());
-        if !self.querier_runs(querier, life) {
+        let (querier, incarnation, kind, caller_query) =
+            (call.querier, call.incarnation, call.kind, call.caller_query.clone());
+        if !self.querier_runs(querier, incarnation) {
             return;
         }
         let call_kind = &self.call_kinds[kind];
-        let mut body = json!({ "question": asked.question, "limit": call_kind.limit });
-        if let Some(key) = &asked.key {
+        let mut body = json!({ "question": caller_query.question, "limit": call_kind.limit });
+        if let Some(key) = &caller_query.key {
             body["key"] = json!(key);
         }
         let budget = call_kind.budget_ms.to_string();
         let read = caller::read_post(&call_kind.search, Some(&budget), body.to_string().as_bytes());
-        let Ok(ask) = read else { return };
+        let Ok(request) = read else { return };
         let thread = (id % u64::from(THREADS)) as usize;
         self.push(
             10,
             ScheduledEvent::QueryEngineEvent {
-                engine: QueryEngineId { querier, life, thread },
-                event: query_event::Event::Search { call: id, request: ask },
+                engine: QueryEngineId { querier, incarnation, thread },
+                event: query_event::Event::Search { call: id, request },
             },
         );
     }
 
-    pub(super) fn altered_outcome(&mut self, kind: usize, outcome: Outcome) -> Outcome {
+    pub(super) fn apply_variant_to_outcome(&mut self, kind: usize, outcome: Outcome) -> Outcome {
         let Outcome::Answered(mut full) = outcome else {
             if self.faulty_variant == Some(FaultyVariant::SucceedsBelowQuorum)
                 && let Outcome::Rejected(rejection) = &outcome
                 && rejection.query.is_some()
             {
-                let cut = self.call_kinds[kind].shards[0].cut.clone();
-                let planned =
-                    self.call_kinds[kind].shards.iter().filter(|shard| shard.cut == cut).count();
+                let index_version = self.call_kinds[kind].shards[0].index_version.clone();
+                let planned = self.call_kinds[kind]
+                    .shards
+                    .iter()
+                    .filter(|shard| shard.index_version == index_version)
+                    .count();
                 return Outcome::Answered(grebepath_core::query::request::SearchAnswer {
                     query: rejection.query.clone().unwrap_or_default(),
                     route: self.call_kinds[kind].search.clone(),
-                    index_version: cut,
+                    index_version,
                     revision: u64::MAX,
                     shards: Vec::new(),
                     missing: planned,
@@ -128,7 +132,7 @@
                 let all = self.call_kinds[kind]
                     .shards
                     .iter()
-                    .filter(|shard| shard.cut == full.index_version);
+                    .filter(|shard| shard.index_version == full.index_version);
                 full.shards = all.map(|shard| shard.shard.clone()).collect();
                 full.missing = 0;
             }
@@ -145,7 +149,7 @@
     pub(super) fn finish_call(&mut self, id: u64, outcome: Outcome) {
         let Some(call) = self.calls.remove(&id) else { return };
         let now = self.now - BEGIN;
-        let outcome = self.altered_outcome(call.kind, outcome);
+        let outcome = self.apply_variant_to_outcome(call.kind, outcome);
         let written = caller::write(&outcome);
         let kind = self.call_kinds[call.kind].clone();
         let full = matches!(&outcome, Outcome::Answered(f) if f.missing == 0);
@@ -157,27 +161,27 @@
                     1;
             }
             Outcome::Answered(full) => {
-                let took = self.now - call.began;
+                let latency = self.now - call.began;
                 let tally = self.tally(call.kind);
                 if full.missing == 0 {
                     tally.full += 1
                 } else {
                     tally.partial += 1
                 }
-                tally.latencies.push(took);
+                tally.latencies.push(latency);
                 let missing = written.missing_shards.map(|n| n.to_string());
-                let (bad, services) =
-                    success(&kind, &call.asked, missing.as_deref(), &written.body);
-                for text in bad {
+                let (errors, services) =
+                    success(&kind, &call.caller_query, missing.as_deref(), &written.body);
+                for text in errors {
                     self.rules.violated(
                         now,
                         rules::rule_of(&text),
                         format!("{}: {text}", full.query),
                     );
                 }
-                self.rules.check_claims(now, &full.query, &services, &call.asked.question);
-                let who = self.queriers[call.querier].name.clone();
-                self.rules.check_revision(now, call.began - BEGIN, full.revision, &who);
+                self.rules.check_claims(now, &full.query, &services, &call.caller_query.question);
+                let querier_name = self.queriers[call.querier].name.clone();
+                self.rules.check_revision(now, call.began - BEGIN, full.revision, &querier_name);
             }
         }
     }
--- a/crates/simulator/src/world/controller_commands.rs
+++ b/crates/simulator/src/world/controller_commands.rs
@@ -1,4 +1,4 @@
-//! What the state machines of controllers want done: messages, writes and answers.
+//! Runs the commands of the controllers' state machines: messages, writes and responses.
 
 use grebepath_core::command::Command;
 use grebepath_core::control_plane::controller::Event as CoreEvent;
@@ -14,7 +14,7 @@
 
 impl World {
     pub(super) fn run_controller_command(&mut self, controller: usize, command: Command) {
-        let life = self.controllers[controller].life;
+        let incarnation = self.controllers[controller].incarnation;
         match command {
             Command::ToVoter { slot, message } => {
                 let table = &self.controllers[controller].state.voter_slots.voter_file.voter_set;
@@ -38,15 +38,18 @@
                     &mut self.random,
                 );
                 if let Some(at) = at {
-                    self.push_at(at, ScheduledEvent::VoterFileDone { controller, life, token });
+                    self.push_at(
+                        at,
+                        ScheduledEvent::VoterFileDone { controller, incarnation, token },
+                    );
                 }
             }
             Command::ToConnection { connection, message } => match Opener::of(connection) {
-                Opener::Controller { number, life } => {
-                    self.answer_controller(controller, number, life, message);
+                Opener::Controller { number, incarnation } => {
+                    self.answer_controller(controller, number, incarnation, message);
                 }
-                Opener::Querier { number, life } => {
-                    self.answer_querier(controller, number, life, message);
+                Opener::Querier { number, incarnation } => {
+                    self.answer_querier(controller, number, incarnation, message);
                 }
             },
             Command::AppendRecord { partition, token, record: rec } => {
@@ -61,42 +64,65 @@
             Command::WakeAfter { span } => {
                 self.push(
                     span,
-                    ScheduledEvent::ControllerEvent { controller, life, event: CoreEvent::Wake },
+                    ScheduledEvent::ControllerEvent {
+                        controller,
+                        incarnation,
+                        event: CoreEvent::Wake,
+                    },
                 );
             }
             Command::Alarm(text) => {
-                self.rules
-                    .note(self.now - BEGIN, || format!("seat {controller} (life {life}): {text}"));
+                self.rules.note(self.now - BEGIN, || {
+                    format!("controller {controller} (incarnation {incarnation}): {text}")
+                });
                 *self.alarms.entry(text).or_default() += 1;
             }
         }
     }
 
-    /// A controller answers another on the connection that the other opened.
-    fn answer_controller(&mut self, controller: usize, to: usize, life: u64, message: Message) {
+    /// Sends a message of a controller to another on the connection that the other opened.
+    fn answer_controller(
+        &mut self,
+        controller: usize,
+        to: usize,
+        incarnation: u64,
+        message: Message,
+    ) {
         self.net.record("controller-controller", &message);
         let from = self.controllers[controller].endpoint(controller);
         let receiver = self.controllers[to].endpoint(to);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let event = CoreEvent::FromController { message };
-            self.push_at(at, ScheduledEvent::ControllerEvent { controller: to, life, event });
+            self.push_at(
+                at,
+                ScheduledEvent::ControllerEvent { controller: to, incarnation, event },
+            );
         }
     }
 
-    /// A controller sends to a querier on the connection that the querier opened.
-    fn answer_querier(&mut self, controller: usize, querier: usize, life: u64, message: Message) {
+    /// Sends a message of a controller to a querier on the connection that the querier opened.
+    fn answer_querier(
+        &mut self,
+        controller: usize,
+        querier: usize,
+        incarnation: u64,
+        message: Message,
+    ) {
         self.net.record("controller-querier", &message);
         let from = self.controllers[controller].endpoint(controller);
         let receiver = self.queriers[querier].endpoint(querier);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
             let holder = self.controllers[controller].state.voter_slots.voter_file.replica_id;
-            self.push_at(at, ScheduledEvent::ControllerMessage { querier, life, holder, message });
+            self.push_at(
+                at,
+                ScheduledEvent::ControllerMessage { querier, incarnation, holder, message },
+            );
         }
     }
 
-    /// A controller reads a partition's files again.
+    /// Rereads the files of a controller's partition for corruption.
     fn scrub(&mut self, controller: usize, partition: PartitionId) {
         let node = &self.controllers[controller];
         if node.disk.health == Health::Stalled
@@ -104,12 +130,13 @@
         {
             return;
         }
-        let trouble = node.disk.scrub(partition);
-        let (life, event) = (node.life, CoreEvent::Scrubbed { partition, corruption: trouble });
-        self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
+        let corruption = node.disk.scrub(partition);
+        let (incarnation, event) =
+            (node.incarnation, CoreEvent::Scrubbed { partition, corruption });
+        self.push(ms(3), ScheduledEvent::ControllerEvent { controller, incarnation, event });
     }
 
-    /// A controller sends to another's machine, as who it is just now.
+    /// Sends a message of a controller to another's machine, under its current slot and replica id.
     pub(super) fn send_to_controller(&mut self, controller: usize, to: usize, message: Message) {
         self.net.record("controller-controller", &message);
         let from = self.controllers[controller].endpoint(controller);
@@ -117,7 +144,8 @@
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         let Some(at) = at else { return };
         let node = &self.controllers[controller];
-        let connection = Opener::Controller { number: controller, life: node.life }.connection();
+        let connection =
+            Opener::Controller { number: controller, incarnation: node.incarnation }.connection();
         let event = if node.has_voter_slot() {
             CoreEvent::FromVoter {
                 slot: node.state.slot,
@@ -128,7 +156,7 @@
         } else {
             CoreEvent::FromConnection { connection, message }
         };
-        let life = self.controllers[to].life;
-        self.push_at(at, ScheduledEvent::ControllerEvent { controller: to, life, event });
+        let incarnation = self.controllers[to].incarnation;
+        self.push_at(at, ScheduledEvent::ControllerEvent { controller: to, incarnation, event });
     }
 }
--- a/crates/simulator/src/world/controllers.rs
+++ b/crates/simulator/src/world/controllers.rs
@@ -1,4 +1,4 @@
-//! Controllers' machines: starts, ends, connections, and the steps of their state
+//! Controllers' machines: starts, stops, connections, and the steps of their state
 //! machines.
 
 use grebepath_core::control_plane::controller::ControllerState;
@@ -21,11 +21,11 @@
 
 /// Seeds that the platform writes into a process's settings (count).
 const SEEDS_WRITTEN: usize = 3;
-/// Time from a request to stop to the forced end of the process.
+/// Time from a stop request until the process is killed.
 const STOP_GRACE: Span = 6 * SECOND;
 
 impl World {
-    /// One more machine for a controller, with an empty disk; gives its number.
+    /// Adds a machine for a controller, with an empty disk, and returns its number.
     pub fn add_controller(&mut self, zone: Option<&str>) -> usize {
         let controller = self.controllers.len();
         let disk = Disk::new(partitions().count());
@@ -33,7 +33,7 @@
         let zone = zone.unwrap_or(ZONES[controller % ZONES.len()]).to_string();
         self.controllers.push(ControllerNode {
             zone,
-            life: 0,
+            incarnation: 0,
             up: false,
             state,
             began: 0,
@@ -45,7 +45,7 @@
         controller
     }
 
-    /// Starts a controller on its disk.
+    /// Starts a controller's process from what its disk holds.
     pub fn start_controller(&mut self, controller: usize) {
         let seed = self.random.next_u64();
         let start = Start {
@@ -71,22 +71,25 @@
             recovered.vote_without_files();
         }
         let node = &mut self.controllers[controller];
-        node.life += 1;
+        node.incarnation += 1;
         node.up = true;
         node.began = self.now;
         node.paused = 0;
         node.stopping = None;
         node.state = recovered.into_state(&start.addr, &node.zone, seed);
-        let life = node.life;
-        self.push(start_delay(seed, 50), ScheduledEvent::ControllerTimer { controller, life });
+        let incarnation = node.incarnation;
+        self.push(
+            start_delay(seed, 50),
+            ScheduledEvent::ControllerTimer { controller, incarnation },
+        );
         // It connects to its seeds and all known voters, which send it the voter set.
-        let connection = Opener::Controller { number: controller, life }.connection();
+        let connection = Opener::Controller { number: controller, incarnation }.connection();
         for to in self.connected_controllers(controller) {
             self.announce_connection(to, CoreEvent::ConnectionOpened { connection });
         }
     }
 
-    /// The machines to which a controller has connections.
+    /// Returns the machines to which a controller has connections.
     pub(super) fn connected_controllers(&self, controller: usize) -> Vec<usize> {
         let table = &self.controllers[controller].state.voter_slots.voter_file.voter_set;
         let known = table.slots.iter().filter_map(|h| self.machine(&h.addr));
@@ -97,8 +100,8 @@
         list
     }
 
-    /// The platform writes settings whose seeds are voters of now, and the controllers take them
-    /// up: those that know no voter connect to them.
+    /// Replaces the seeds in the settings by current voters, as the platform does, and has the
+    /// controllers apply them: those that know no voter connect to the seeds.
     pub fn renew_seeds(&mut self) {
         let is_voter = |node: &ControllerNode| node.up && node.has_voter_slot();
         let voters = self.controllers.iter().enumerate().filter(|(_, node)| is_voter(node));
@@ -118,7 +121,8 @@
                 continue;
             }
             let connection =
-                Opener::Controller { number: controller, life: node.life }.connection();
+                Opener::Controller { number: controller, incarnation: node.incarnation }
+                    .connection();
             for to in self.connected_controllers(controller) {
                 self.announce_connection(to, CoreEvent::ConnectionOpened { connection });
             }
@@ -126,12 +130,12 @@
     }
 
     fn announce_connection(&mut self, to: usize, event: CoreEvent) {
-        let life = self.controllers[to].life;
-        self.push(ms(2), ScheduledEvent::ControllerEvent { controller: to, life, event });
+        let incarnation = self.controllers[to].incarnation;
+        self.push(ms(2), ScheduledEvent::ControllerEvent { controller: to, incarnation, event });
     }
 
-    /// An event as a faulty voter sees it: one that counts by a voter set of its own, or
-    /// that does not tell the processes of another one apart.
+    /// Returns an event as the faulty variant receives it: one that counts by its own voter set, or
+    /// that doesn't distinguish the incarnations of another voter.
     pub(super) fn as_seen_by_faulty_voter(
         &self,
         controller: usize,
@@ -150,9 +154,9 @@
             CoreEvent::FromVoter { message: Message::VoterSetUpdate { .. }, .. }
             | CoreEvent::FromConnection { message: Message::VoterSetUpdate { .. }, .. }
             | CoreEvent::FromController { message: Message::VoterSetUpdate { .. } } => return None,
-            CoreEvent::FromVoter { slot: seat, replica_id: holder, message, .. } => {
+            CoreEvent::FromVoter { slot, replica_id, message, .. } => {
                 let table = &core.voter_slots.voter_file.voter_set;
-                *holder = table.slots.get(usize::from(*seat)).map_or(0, |h| h.replica_id);
+                *replica_id = table.slots.get(usize::from(*slot)).map_or(0, |h| h.replica_id);
                 if let Some(stamp) = grebepath_core::voters::stamp::stamp_of_mut(message) {
                     *stamp = core.voter_slots.stamp;
                 }
@@ -162,7 +166,7 @@
         Some(event)
     }
 
-    /// What comes on a new connection is preceded by its opening.
+    /// Delivers the opening of a connection before its first message.
     pub(super) fn open_connection(&mut self, controller: usize, event: &CoreEvent) {
         let connection = match event {
             CoreEvent::FromVoter { connection, .. }
@@ -172,7 +176,7 @@
         };
         let new = self.opened_connections.insert((
             controller,
-            self.controllers[controller].life,
+            self.controllers[controller].incarnation,
             connection,
         ));
         if new && !matches!(event, CoreEvent::ConnectionOpened { .. }) {
@@ -180,10 +184,10 @@
         }
     }
 
-    /// Ends a controller at once; power may be lost with it.
+    /// Kills a controller's process, with its machine's power if `power` is set.
     pub fn kill_controller(&mut self, controller: usize, power: bool) {
         self.controllers[controller].up = false;
-        self.controllers[controller].life += 1;
+        self.controllers[controller].incarnation += 1;
         if power {
             let mut random = Random::new(self.random.next_u64());
             self.controllers[controller].disk.power_loss(&mut random);
@@ -192,8 +196,8 @@
         }
     }
 
-    /// Asks a controller to stop, as SIGTERM does. It ends when it says so, or by
-    /// force when the platform's patience ends, and starts again after `restart`.
+    /// Asks a controller to stop, as SIGTERM does. The process ends when the controller allows it, or
+    /// is killed after the platform's grace period, and starts again after `restart`.
     pub fn stop_controller(&mut self, controller: usize, restart: Option<Span>) {
         if !self.controllers[controller].up {
             return;
@@ -202,12 +206,12 @@
         if self.faulty_variant == Some(FaultyVariant::StopsBeforeHandover) {
             return self.end_controller(controller);
         }
-        let life = self.controllers[controller].life;
-        self.later(STOP_GRACE, FollowUp::ForceStop { controller, life });
+        let incarnation = self.controllers[controller].incarnation;
+        self.later(STOP_GRACE, FollowUp::ForceStop { controller, incarnation });
         self.step_controller(controller, CoreEvent::Stop);
     }
 
-    /// A controller that was asked to stop has ended.
+    /// Ends the process of a controller that was asked to stop.
     pub(super) fn end_controller(&mut self, controller: usize) {
         let Some(Stopping { restart }) = self.controllers[controller].stopping.take() else {
             return;
@@ -220,8 +224,8 @@
 
     pub(super) fn step_controller(&mut self, controller: usize, event: CoreEvent) {
         let local = self.now - self.controllers[controller].began + BOOT;
-        let todo = self.controllers[controller].state.step(local, event);
-        for command in todo {
+        let commands = self.controllers[controller].state.step(local, event);
+        for command in commands {
             self.run_controller_command(controller, command);
         }
         self.check_membership_memory(controller);
@@ -232,7 +236,7 @@
         }
     }
 
-    /// An event reaches a controller; what comes on a new connection is preceded by
+    /// Delivers an event to a controller; the first message of a connection is preceded by
     /// its opening.
     pub(super) fn deliver_to_controller(&mut self, controller: usize, event: CoreEvent) {
         let Some(event) = self.as_seen_by_faulty_voter(controller, event) else { return };
@@ -241,12 +245,12 @@
     }
 }
 
-/// Takes from an event which of a voter's processes it came from.
+/// Removes from an event the incarnation of the voter that sent it.
 fn forget_incarnation(event: &mut CoreEvent) {
     if let CoreEvent::FromVoter { connection, .. } = event
         && let Opener::Controller { number, .. } = Opener::of(*connection)
     {
-        *connection = Opener::Controller { number, life: 0 }.connection();
+        *connection = Opener::Controller { number, incarnation: 0 }.connection();
     }
 }
 
--- a/crates/simulator/src/world/discovery.rs
+++ b/crates/simulator/src/world/discovery.rs
@@ -1,4 +1,4 @@
-//! How queriers learn of leafs: the platform's list and probes of single leafs.
+//! Leaf discovery of queriers: the platform's list and probes of single leafs.
 
 use grebepath_core::consts;
 use grebepath_core::http_api::list;
@@ -11,44 +11,44 @@
 use super::events::ScheduledEvent;
 use super::faulty_variant::FaultyVariant;
 use crate::mock_backends;
-use crate::mock_backends::Alive;
+use crate::mock_backends::ProcessState;
 use crate::net::{Endpoint, Node};
 
-/// Where the platform's list is served.
+/// The endpoint that serves the platform's list.
 const LIST: Endpoint = Endpoint { node: Node::List, zone: "a" };
 
 impl World {
-    /// Asks the platform for its list, unless an answer is awaited.
+    /// Requests the platform's list, unless a request is already in flight.
     pub(super) fn poll_list(&mut self, querier: usize) {
         if self.queriers[querier].polling {
             return;
         }
         self.queriers[querier].polling = true;
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         let from = self.queriers[querier].endpoint(querier);
         match self.net.send(self.now, from, LIST, &mut self.random) {
-            Some(at) => self.push_at(at, ScheduledEvent::ListRequest { querier, life }),
-            None => self.list_timed_out(querier, life),
+            Some(at) => self.push_at(at, ScheduledEvent::ListRequest { querier, incarnation }),
+            None => self.list_timed_out(querier, incarnation),
         }
     }
 
-    pub(super) fn list_timed_out(&mut self, querier: usize, life: u64) {
+    pub(super) fn list_timed_out(&mut self, querier: usize, incarnation: u64) {
         let event = node_agent::Event::LeafList(Err("no answer in time".into()));
         self.push(
             consts::LEAF_LIST_POLL_TIMEOUT,
-            ScheduledEvent::NodeAgentEvent { querier, life, event },
+            ScheduledEvent::NodeAgentEvent { querier, incarnation, event },
         );
     }
 
-    pub(super) fn answer_list_request(&mut self, querier: usize, life: u64) {
+    pub(super) fn answer_list_request(&mut self, querier: usize, incarnation: u64) {
         let now = self.now;
         let Some(text) = self.backends.served_list(now) else {
-            return self.list_timed_out(querier, life);
+            return self.list_timed_out(querier, incarnation);
         };
         let got = match list::read(text.as_bytes()) {
             Ok((list, _)) => {
                 for leaf in list.iter().filter(|leaf| leaf.leaving) {
-                    self.learn(&leaf.leaf.clone());
+                    self.record_leaving_received(&leaf.leaf.clone());
                 }
                 Ok(list)
             }
@@ -60,16 +60,16 @@
                 at,
                 ScheduledEvent::NodeAgentEvent {
                     querier,
-                    life,
+                    incarnation,
                     event: node_agent::Event::LeafList(got),
                 },
             ),
-            None => self.list_timed_out(querier, life),
+            None => self.list_timed_out(querier, incarnation),
         }
     }
 
-    /// One of our nodes learns that a leaf is leaving.
-    pub(super) fn learn(&mut self, leaf: &str) {
+    /// Records that a process of the cluster has received a leaf's leaving state.
+    pub(super) fn record_leaving_received(&mut self, leaf: &str) {
         let now = self.now;
         if let Some(leaf) = self.backends.leafs.get_mut(leaf)
             && leaf.known_leaving.is_none()
@@ -78,8 +78,8 @@
         }
     }
 
-    pub(super) fn answer_probe(&mut self, querier: usize, life: u64, info: &LeafInfo) {
-        if !self.querier_runs(querier, life) {
+    pub(super) fn answer_probe(&mut self, querier: usize, incarnation: u64, info: &LeafInfo) {
+        if !self.querier_runs(querier, incarnation) {
             return;
         }
         let Some(leaf) =
@@ -87,23 +87,23 @@
         else {
             return;
         };
-        if leaf.alive != Alive::Up || leaf.mode == mock_backends::Mode::Dark {
+        if leaf.process_state != ProcessState::Up || leaf.mode == mock_backends::Mode::Dark {
             return;
         }
-        let mut word = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
+        let mut report = LeafReport { leaf: info.leaf.clone(), ..LeafReport::default() };
         if leaf.name == info.leaf {
-            word.leaving = leaf.says_leaving()
+            report.leaving = leaf.signals_leaving()
                 && self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs);
-            if self.backends.ages {
-                word.age_ms = grebepath_core::time::since(leaf.born, self.now) / MILLI;
+            if self.backends.reports_age {
+                report.age_ms = grebepath_core::time::since(leaf.started_at, self.now) / MILLI;
             }
-            if leaf.says_leaving() {
-                self.learn(&info.leaf.clone());
+            if leaf.signals_leaving() {
+                self.record_leaving_received(&info.leaf.clone());
             }
         } else {
-            word.gone = true;
+            report.gone = true;
         }
-        let event = node_agent::Event::LeafReport { service: info.service.clone(), report: word };
-        self.push(ms(1), ScheduledEvent::NodeAgentEvent { querier, life, event });
+        let event = node_agent::Event::LeafReport { service: info.service.clone(), report };
+        self.push(ms(1), ScheduledEvent::NodeAgentEvent { querier, incarnation, event });
     }
 }
--- a/crates/simulator/src/world/injected_faults.rs
+++ b/crates/simulator/src/world/injected_faults.rs
@@ -1,5 +1,5 @@
-//! Faults that are injected at one numbered event of the controllers: a message that
-//! arrives at one, or a write that its disk finishes. `crate::explore` tries them
+//! Faults that are injected at a numbered event of the controllers: a message that
+//! arrives at a controller, or a write that its disk finishes. `crate::explore` tries them
 //! all.
 
 use grebepath_core::control_plane::controller::Event as CoreEvent;
@@ -10,34 +10,34 @@
 use super::{BEGIN, World};
 use crate::connection_id::Opener;
 
-/// How long a delayed message stays behind: longer than an election, so that a
+/// Delay of a message: longer than an election, so that a
 /// whole leadership passes in between.
-const DELAY: Span = ms(1_600);
+const MESSAGE_DELAY: Span = ms(1_600);
 
-/// How long a paused process stands still: longer than a lease.
-const PAUSE: Span = ms(1_300);
+/// Duration of a pause: longer than a lease.
+const PAUSE_DURATION: Span = ms(1_300);
 
-/// How long a machine is down that comes back.
-const DOWN: Span = ms(300);
+/// Time until a killed process restarts.
+const RESTART_DELAY: Span = ms(300);
 
-/// What happens to an event or to the controller that it reaches.
+/// A fault of an event or of the controller that receives it.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Fault {
     /// The message is lost.
     Lose,
-    /// The message comes behind all others.
+    /// The message arrives after all others.
     Delay,
-    /// The message comes twice.
+    /// The message arrives twice.
     Repeat,
-    /// The controller stands still for a while before it takes the event.
+    /// The controller is paused before it handles the event.
     Pause,
     /// Its process is killed right after the event, and starts again.
     Kill,
     /// Its machine loses power right after the event, and starts again.
     Power,
-    /// Its machine comes back with an empty disk.
+    /// Its machine restarts with an empty disk.
     DiskLost,
-    /// Its machine is gone for good.
+    /// Its machine is lost permanently.
     Gone,
 }
 
@@ -53,12 +53,12 @@
     Fault::Gone,
 ];
 
-/// A fault at an event, counted from the beginning of the window.
+/// A fault at an event, which is counted from the start of the window.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct InjectedFault {
     /// The number of the event.
     pub event: u64,
-    /// What happens to it.
+    /// The fault at this event.
     pub fault: Fault,
 }
 
@@ -71,35 +71,35 @@
     pub list: Vec<InjectedFault>,
     /// Events of the window so far.
     pub seen: u64,
-    /// Replicas that were lost for good: disks, machines, and controllers that
-    /// were about to leave and are not started again.
+    /// Replicas that were lost permanently: disks, machines, and controllers that
+    /// were about to leave and are not restarted.
     pub losses: usize,
-    /// What was done, to be read by people.
-    pub story: Vec<String>,
+    /// A readable log of the injected faults.
+    pub event_log: Vec<String>,
 }
 
 impl World {
-    /// Injects the faults that are due; gives the event if it still happens.
+    /// Injects the faults that are due; returns the event unless a fault dropped or delayed it.
     pub(super) fn inject(&mut self, event: ScheduledEvent) -> Option<ScheduledEvent> {
         let (from, to) = self.injected.window;
         let at = self.now - BEGIN;
-        let controller = reaches(&event).filter(|_| from <= at && at < to);
+        let controller = numbered_event_target(&event).filter(|_| from <= at && at < to);
         let Some(controller) = controller else { return Some(event) };
         let number = self.injected.seen;
         self.injected.seen += 1;
-        let due: Vec<Fault> =
+        let due_faults: Vec<Fault> =
             self.injected.list.iter().filter(|d| d.event == number).map(|d| d.fault).collect();
-        let mut left = Some(event);
-        for fault in due {
-            let Some(event) = left.take() else { break };
+        let mut remaining_event = Some(event);
+        for fault in due_faults {
+            let Some(event) = remaining_event.take() else { break };
             let line = format!("{:.3} s: {fault:?} at {}", at as f64 / 1e6, describe(&event));
-            self.injected.story.push(line);
-            left = self.strike(controller, fault, event);
+            self.injected.event_log.push(line);
+            remaining_event = self.apply_injected_fault(controller, fault, event);
         }
-        left
+        remaining_event
     }
 
-    fn strike(
+    fn apply_injected_fault(
         &mut self,
         controller: usize,
         fault: Fault,
@@ -110,18 +110,18 @@
         match fault {
             Fault::Lose if message => return None,
             Fault::Delay if message => {
-                self.push(DELAY, event);
+                self.push(MESSAGE_DELAY, event);
                 return None;
             }
             Fault::Repeat => {
-                if let ScheduledEvent::ControllerEvent { controller, life, event } = &event {
-                    let event = copied(event);
+                if let ScheduledEvent::ControllerEvent { controller, incarnation, event } = &event {
+                    let event = clone_delivery(event);
                     if let Some(event) = event {
                         self.push(
                             0,
                             ScheduledEvent::ControllerEvent {
                                 controller: *controller,
-                                life: *life,
+                                incarnation: *incarnation,
                                 event,
                             },
                         );
@@ -129,8 +129,8 @@
                 }
             }
             Fault::Pause => {
-                self.controllers[controller].paused = self.now + PAUSE;
-                self.push(PAUSE, event);
+                self.controllers[controller].paused = self.now + PAUSE_DURATION;
+                self.push(PAUSE_DURATION, event);
                 return None;
             }
             Fault::Lose | Fault::Delay => {}
@@ -144,7 +144,7 @@
         Some(event)
     }
 
-    /// A fault that ends a controller's process.
+    /// Ends a controller's process by a fault.
     pub(super) fn end_process(&mut self, controller: usize, fault: Fault) {
         if !self.controllers[controller].up {
             return;
@@ -158,14 +158,14 @@
         }
         self.injected.losses += usize::from(fault == Fault::DiskLost || !restarts);
         if restarts {
-            self.later(DOWN, FollowUp::StartController(controller));
+            self.later(RESTART_DELAY, FollowUp::StartController(controller));
         }
     }
 }
 
-/// The running controller that an event reaches, if it is one that counts: a
+/// Returns the controller that receives an event, if the event is numbered: a
 /// message of another controller, or the end of a write.
-fn reaches(event: &ScheduledEvent) -> Option<usize> {
+fn numbered_event_target(event: &ScheduledEvent) -> Option<usize> {
     match event {
         ScheduledEvent::ControllerEvent { controller, event, .. } => match event {
             CoreEvent::FromVoter { message, .. } | CoreEvent::FromController { message } => {
@@ -182,23 +182,21 @@
     }
 }
 
-/// Messages that are sent again all the time; one more or less changes nothing
-/// that the others do not change.
+/// Returns whether a message is sent periodically: losing or repeating a single one
+/// makes no difference, as the next one has the same effect.
 fn is_heartbeat(message: &Message) -> bool {
     matches!(message, Message::VoterAlive { .. })
         || matches!(message, Message::Heartbeat { partition, .. } | Message::HeartbeatAck { partition, .. } if partition.0 != 0)
 }
 
-fn copied(event: &CoreEvent) -> Option<CoreEvent> {
+fn clone_delivery(event: &CoreEvent) -> Option<CoreEvent> {
     Some(match event {
-        CoreEvent::FromVoter { slot: seat, replica_id: holder, connection, message } => {
-            CoreEvent::FromVoter {
-                slot: *seat,
-                replica_id: *holder,
-                connection: *connection,
-                message: message.clone(),
-            }
-        }
+        CoreEvent::FromVoter { slot, replica_id, connection, message } => CoreEvent::FromVoter {
+            slot: *slot,
+            replica_id: *replica_id,
+            connection: *connection,
+            message: message.clone(),
+        },
         CoreEvent::FromConnection { connection, message } => {
             CoreEvent::FromConnection { connection: *connection, message: message.clone() }
         }
@@ -210,22 +208,26 @@
 }
 
 fn describe(event: &ScheduledEvent) -> String {
-    let word = |message: &Message| {
+    let message_kind = |message: &Message| {
         let text = format!("{message:?}");
         text.split([' ', '(', '{']).next().unwrap_or_default().to_string()
     };
     match event {
         ScheduledEvent::ControllerEvent { controller, event, .. } => match event {
-            CoreEvent::FromVoter { slot: seat, message, .. } => {
-                format!("{} from slot {seat} to controller {controller}", word(message))
+            CoreEvent::FromVoter { slot, message, .. } => {
+                format!("{} from slot {slot} to controller {controller}", message_kind(message))
             }
             CoreEvent::FromConnection { connection, message } => {
                 let (Opener::Controller { number, .. } | Opener::Querier { number, .. }) =
                     Opener::of(*connection);
-                format!("{} from controller {} to controller {controller}", word(message), number)
+                format!(
+                    "{} from controller {} to controller {controller}",
+                    message_kind(message),
+                    number
+                )
             }
             CoreEvent::FromController { message } => {
-                format!("{} in answer to controller {controller}", word(message))
+                format!("{} in answer to controller {controller}", message_kind(message))
             }
             _ => format!("an event of controller {controller}"),
         },
--- a/crates/simulator/src/world/membership_memory.rs
+++ b/crates/simulator/src/world/membership_memory.rs
@@ -1,42 +1,42 @@
-//! Judges whether leaders know of the memberships that leaders before them had. Turns only
-//! grow, unless every voter that remembered them has lost its memory.
+//! Checks that leaders know the memberships of earlier leaders. Turns only
+//! grow, unless every voter that held the membership has lost its state.
 
 use grebepath_core::identifiers::Term;
 use grebepath_core::time::{SECOND, Span, Tick};
 
 use super::{BEGIN, World};
 
-/// How long a voter may take until it has the membership again: a leader is elected, finds
-/// that the voter is a new process, and sends it. Nobody else need remember it by then.
-const MEMORY_AFTER: Span = 2 * SECOND;
+/// Time that a voter may take until it has the membership again: a leader is elected, detects
+/// that the voter is a new process, and sends it. After that no other copy is needed.
+const TRANSFER_TIME: Span = 2 * SECOND;
 
-/// What was seen of memberships, and of the processes that should remember them.
+/// Observed memberships, and the processes that should hold them.
 #[derive(Default)]
 pub(super) struct MembershipMemory {
-    /// The turn that the newest leader had last.
+    /// The last turn of the newest leader.
     last_turn: u64,
-    /// The term of that leader: one that wakes in an older term does not count.
+    /// The term of that leader: a paused leader that resumes in an older term doesn't count.
     last_term: Term,
-    /// Since when each controller's process has had a voter slot without a break, and
-    /// which of its lives that is.
+    /// Since when each controller's process has had a voter slot without interruption, and
+    /// the incarnation of that process.
     voting_since: Vec<Option<VotingSince>>,
-    /// Leaders that did not know of a membership that one before them had.
+    /// Leaders that didn't know a membership of an earlier leader.
     pub(super) forgotten: Vec<String>,
 }
 
 #[derive(Clone, Copy)]
 struct VotingSince {
-    life: u64,
+    incarnation: u64,
     at: Tick,
 }
 
 impl World {
-    /// Leaders that did not know of a membership that one before them had.
+    /// Leaders that didn't know a membership of an earlier leader.
     pub fn forgotten_memberships(&self) -> &[String] {
         &self.membership_memory.forgotten
     }
 
-    /// Looks at a controller that has just taken a step.
+    /// Checks a controller after its step.
     pub(super) fn check_membership_memory(&mut self, controller: usize) {
         self.note_voting(controller);
         let members = &self.controllers[controller].state.members;
@@ -45,9 +45,9 @@
             return;
         }
         let turn = members.membership.turn;
-        if turn < self.membership_memory.last_turn && self.is_remembered_somewhere() {
+        if turn < self.membership_memory.last_turn && self.is_held_by_a_voter() {
             let text = format!(
-                "{:.3} s: controller {controller} leads with turn {turn}, another one had turn {}",
+                "{:.3} s: controller {controller} leads with turn {turn}, an earlier leader had turn {}",
                 (self.now - BEGIN) as f64 / SECOND as f64,
                 self.membership_memory.last_turn,
             );
@@ -55,16 +55,16 @@
         }
         let memory = &mut self.membership_memory;
         memory.last_term = term;
-        // What is lost with all memory of it is not asked for again.
+        // A membership that no voter holds any more is not reported again.
         memory.last_turn = turn;
     }
 
-    /// Whether a running voter has had the time to learn the newest membership.
-    fn is_remembered_somewhere(&self) -> bool {
+    /// Returns whether a running voter has had time to receive the newest membership.
+    fn is_held_by_a_voter(&self) -> bool {
         self.controllers.iter().zip(&self.membership_memory.voting_since).any(|(node, since)| {
             let is_reached = node.up && node.paused <= self.now;
             let knows = since.is_some_and(|since| {
-                since.life == node.life && since.at + MEMORY_AFTER <= self.now
+                since.incarnation == node.incarnation && since.at + TRANSFER_TIME <= self.now
             });
             is_reached && knows
         })
@@ -72,12 +72,12 @@
 
     fn note_voting(&mut self, controller: usize) {
         let node = &self.controllers[controller];
-        let life = node.life;
+        let incarnation = node.incarnation;
         let has_slot = node.has_voter_slot();
         let list = &mut self.membership_memory.voting_since;
         list.resize(list.len().max(controller + 1), None);
-        let known = list[controller].filter(|since| since.life == life);
-        let now = VotingSince { life, at: self.now };
+        let known = list[controller].filter(|since| since.incarnation == incarnation);
+        let now = VotingSince { incarnation, at: self.now };
         list[controller] = has_slot.then(|| known.unwrap_or(now));
     }
 }
--- a/crates/simulator/src/world/node_agents.rs
+++ b/crates/simulator/src/world/node_agents.rs
@@ -1,4 +1,4 @@
-//! What the node agents of queriers want done: messages to controllers and to each
+//! Runs the commands of the queriers' node agents: messages to controllers and to each
 //! other, and updates for the threads that answer queries.
 
 use std::sync::Arc;
@@ -17,13 +17,13 @@
 use super::{BEGIN, THREADS, World};
 use crate::connection_id::Opener;
 
-/// Between a node agent and the threads of its process: one way (us).
+/// One-way delay between a node agent and the threads of its process (us).
 pub(super) const THREAD_DELAY: Span = 20;
 
 impl World {
-    /// Runs what a querier's node agent wants done.
+    /// Runs a command of a querier's node agent.
     pub(super) fn run_node_agent_command(&mut self, querier: usize, command: node_agent::Command) {
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         match command {
             node_agent::Command::ToVoter { slot, message } => {
                 let table = &self.queriers[querier].node_agent.voter_set;
@@ -52,7 +52,7 @@
                     {
                         share.threads = vec![share.own_thread];
                     }
-                    let engine = QueryEngineId { querier, life, thread: thread as usize };
+                    let engine = QueryEngineId { querier, incarnation, thread: thread as usize };
                     let event = query_event::Event::QuotaShare(share);
                     self.push(THREAD_DELAY, ScheduledEvent::QueryEngineEvent { engine, event });
                 }
@@ -61,26 +61,26 @@
                 let list: Vec<_> =
                     clients.into_iter().map(|c| (c.name, c.threads, c.zone)).collect();
                 let peers = grebepath_core::query::quota::peers(&list);
-                self.tell_threads(querier, || query_event::Event::Peers(peers.clone()));
+                self.send_to_threads(querier, || query_event::Event::Peers(peers.clone()));
             }
-            node_agent::Command::Admission(door) => {
-                self.tell_threads(querier, || query_event::Event::ServingState(door));
-                if door == ServingState::ShuttingDown {
-                    self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
+            node_agent::Command::Admission(state) => {
+                self.send_to_threads(querier, || query_event::Event::ServingState(state));
+                if state == ServingState::ShuttingDown {
+                    self.later(ms(20), FollowUp::EndDrainedQuerier(querier, incarnation));
                 }
             }
             node_agent::Command::ServingUntil(until) => {
-                self.tell_threads(querier, || query_event::Event::LeaseValidUntil(until));
+                self.send_to_threads(querier, || query_event::Event::LeaseValidUntil(until));
             }
             node_agent::Command::TrialsUntil(until) => {
-                self.tell_threads(querier, || query_event::Event::TrialsUntil(until));
+                self.send_to_threads(querier, || query_event::Event::TrialsUntil(until));
             }
             node_agent::Command::Ready(ready) => self.queriers[querier].ready = ready,
             node_agent::Command::PollLeafList => self.poll_list(querier),
             node_agent::Command::ProbeLeafs(list) => {
                 for info in list {
                     let after = self.random.below(ms(50)) + ms(1);
-                    self.push(after, ScheduledEvent::Probe { querier, life, info });
+                    self.push(after, ScheduledEvent::Probe { querier, incarnation, info });
                 }
             }
             node_agent::Command::Alarm(text) => {
@@ -91,11 +91,11 @@
         }
     }
 
-    /// Gives an event to each thread of a querier.
-    fn tell_threads(&mut self, querier: usize, event: impl Fn() -> query_event::Event) {
-        let life = self.queriers[querier].life;
+    /// Sends an event to each thread of a querier.
+    fn send_to_threads(&mut self, querier: usize, event: impl Fn() -> query_event::Event) {
+        let incarnation = self.queriers[querier].incarnation;
         for thread in 0..THREADS as usize {
-            let engine = QueryEngineId { querier, life, thread };
+            let engine = QueryEngineId { querier, incarnation, thread };
             let event = event();
             self.push(THREAD_DELAY, ScheduledEvent::QueryEngineEvent { engine, event });
         }
@@ -116,12 +116,12 @@
         if let Some(at) = at {
             let name = self.queriers[querier].name.clone();
             let event = node_agent::Event::FromMember { name, message };
-            let life = self.queriers[to].life;
-            self.push_at(at, ScheduledEvent::NodeAgentEvent { querier: to, life, event });
+            let incarnation = self.queriers[to].incarnation;
+            self.push_at(at, ScheduledEvent::NodeAgentEvent { querier: to, incarnation, event });
         }
     }
 
-    /// Gives a new snapshot of configuration and leafs to the threads of a querier.
+    /// Sends a new snapshot of configuration and leafs to the threads of a querier.
     fn publish_snapshot(&mut self, querier: usize, view: Arc<ClusterView>) {
         self.rules.check_snapshot(self.now - BEGIN, querier, view.revision);
         let view = match self.faulty_variant {
@@ -144,7 +144,7 @@
             }
             _ => view,
         };
-        self.tell_threads(querier, || query_event::Event::ClusterView(view.clone()));
+        self.send_to_threads(querier, || query_event::Event::ClusterView(view.clone()));
     }
 
     fn send_from_querier(&mut self, querier: usize, controller: usize, message: Message) {
@@ -158,14 +158,17 @@
         let receiver = self.controllers[controller].endpoint(controller);
         let at = self.net.send(self.now, from, receiver, &mut self.random);
         if let Some(at) = at {
-            let connection =
-                Opener::Querier { number: querier, life: self.queriers[querier].life }.connection();
-            let life = self.controllers[controller].life;
+            let connection = Opener::Querier {
+                number: querier,
+                incarnation: self.queriers[querier].incarnation,
+            }
+            .connection();
+            let incarnation = self.controllers[controller].incarnation;
             self.push_at(
                 at,
                 ScheduledEvent::ControllerEvent {
                     controller,
-                    life,
+                    incarnation,
                     event: CoreEvent::FromConnection { connection, message },
                 },
             );
@@ -173,7 +176,7 @@
     }
 }
 
-/// Hides that leafs are leaving.
+/// Clears the leaving state of all leafs in a view.
 fn hide_leaving(view: &mut ClusterView) {
     let hide = |leaf: &Arc<LeafInfo>| {
         let mut own = (**leaf).clone();
@@ -190,7 +193,7 @@
     }
 }
 
-/// Every leaf that a querier knows of, whatever its version.
+/// Returns all leafs that a querier knows of, of any version.
 fn all_leafs(agent: &node_agent::NodeAgent) -> Vec<LeafInfo> {
     let partitions = agent.partitions.values();
     partitions.flat_map(|state| leafs_in(&state.entries).into_values()).collect()
--- a/crates/simulator/src/world/queriers.rs
+++ b/crates/simulator/src/world/queriers.rs
@@ -1,4 +1,4 @@
-//! Queriers' machines: starts, ends, and the steps of their node agents.
+//! Queriers' machines: starts, stops, and the steps of their node agents.
 
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::identifiers::PartitionId;
@@ -16,56 +16,59 @@
 use crate::connection_id::Opener;
 
 impl World {
-    /// Starts a querier, which knows nothing.
+    /// Starts a querier's process with empty state.
     pub fn start_querier(&mut self, querier: usize) {
         let seed = self.random.next_u64();
         let node = &mut self.queriers[querier];
-        node.life += 1;
+        node.incarnation += 1;
         node.up = true;
         node.ready = false;
         node.paused = 0;
         node.polling = false;
         node.began = self.now;
-        node.node_agent =
-            node_agent::NodeAgent::new(member(&node.name, &node.zone, querier, node.life), BOOT);
+        node.node_agent = node_agent::NodeAgent::new(
+            member(&node.name, &node.zone, querier, node.incarnation),
+            BOOT,
+        );
         node.query_engines = (0..THREADS)
             .map(|thread| {
-                let name = format!("{}-{thread}-{:x}", node.name, node.life);
-                let mut desk = QueryEngine::new(&name, &node.zone, seed ^ u64::from(thread), BOOT);
-                desk.thread_id = grebepath_core::query::quota::thread_id(&node.name, thread);
-                desk
+                let name = format!("{}-{thread}-{:x}", node.name, node.incarnation);
+                let mut engine =
+                    QueryEngine::new(&name, &node.zone, seed ^ u64::from(thread), BOOT);
+                engine.thread_id = grebepath_core::query::quota::thread_id(&node.name, thread);
+                engine
             })
             .collect();
         node.wake_at = vec![0; THREADS as usize];
-        let life = node.life;
-        self.push(start_delay(seed, 50), ScheduledEvent::QuerierTimer { querier, life });
+        let incarnation = node.incarnation;
+        self.push(start_delay(seed, 50), ScheduledEvent::QuerierTimer { querier, incarnation });
     }
 
-    /// Ends a querier at once.
+    /// Kills a querier's process.
     pub fn kill_querier(&mut self, querier: usize) {
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         self.queriers[querier].up = false;
         self.queriers[querier].ready = false;
-        self.queriers[querier].life += 1;
-        let connection = Opener::Querier { number: querier, life }.connection();
+        self.queriers[querier].incarnation += 1;
+        let connection = Opener::Querier { number: querier, incarnation }.connection();
         for controller in 0..self.controllers.len() {
-            let life = self.controllers[controller].life;
+            let incarnation = self.controllers[controller].incarnation;
             self.push(
                 ms(2),
                 ScheduledEvent::ControllerEvent {
                     controller,
-                    life,
+                    incarnation,
                     event: CoreEvent::ConnectionClosed { connection },
                 },
             );
         }
-        let gone: Vec<u64> = self
+        let lost_calls: Vec<u64> = self
             .calls
             .iter()
-            .filter(|(_, c)| c.querier == querier && c.life == life)
+            .filter(|(_, c)| c.querier == querier && c.incarnation == incarnation)
             .map(|(id, _)| *id)
             .collect();
-        for id in gone {
+        for id in lost_calls {
             if let Some(c) = self.calls.remove(&id) {
                 self.tally(c.kind).unreachable += 1;
             }
@@ -73,8 +76,8 @@
         let runs: Vec<AttemptKey> = self
             .runs_by_attempt
             .keys()
-            .chain(self.requests_under_way.keys())
-            .filter(|key| key.engine.querier == querier && key.engine.life == life)
+            .chain(self.requests_in_flight.keys())
+            .filter(|key| key.engine.querier == querier && key.engine.incarnation == incarnation)
             .copied()
             .collect();
         for key in runs {
@@ -84,26 +87,26 @@
 
     /// Asks a querier to stop, as SIGTERM does; it ends once it has drained.
     pub fn stop_querier(&mut self, querier: usize) {
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         if let Some(notice) = self.drain_notice {
             self.queriers[querier].node_agent.drain_notice = notice;
         }
         self.push(
             1,
-            ScheduledEvent::NodeAgentEvent { querier, life, event: node_agent::Event::Stop },
+            ScheduledEvent::NodeAgentEvent { querier, incarnation, event: node_agent::Event::Stop },
         );
     }
 
     /// Ends a querier that was asked to stop, once no query is in progress.
-    pub(super) fn end_drained_querier(&mut self, querier: usize, life: u64) {
+    pub(super) fn end_drained_querier(&mut self, querier: usize, incarnation: u64) {
         if self.queriers[querier].query_engines.iter().any(|engine| !engine.queries.is_empty()) {
-            return self.later(ms(20), FollowUp::EndDrainedQuerier(querier, life));
+            return self.later(ms(20), FollowUp::EndDrainedQuerier(querier, incarnation));
         }
         self.step_node_agent(querier, node_agent::Event::Drained);
         self.kill_querier(querier);
     }
 
-    /// An event reaches a querier's node agent.
+    /// Delivers an event to a querier's node agent.
     pub(super) fn deliver_to_node_agent(&mut self, querier: usize, event: node_agent::Event) {
         if matches!(event, node_agent::Event::LeafList(_)) {
             self.queriers[querier].polling = false;
@@ -111,7 +114,7 @@
         self.step_node_agent(querier, event);
     }
 
-    /// A message of the controller with this replica id reaches a querier.
+    /// Delivers a message of the controller with this replica id to a querier.
     pub(super) fn deliver_from_controller(
         &mut self,
         querier: usize,
@@ -135,30 +138,36 @@
 
     pub(super) fn step_node_agent(&mut self, querier: usize, event: node_agent::Event) {
         let local = self.now - self.queriers[querier].began + BOOT;
-        let todo = self.queriers[querier].node_agent.step(local, event);
+        let commands = self.queriers[querier].node_agent.step(local, event);
         if self.faulty_variant == Some(FaultyVariant::RevertsConfiguration)
             && self.queriers[querier].node_agent.configuration_revision > 0
         {
             self.queriers[querier].node_agent.is_caught_up = true;
         }
-        for command in todo {
+        for command in commands {
             self.run_node_agent_command(querier, command);
         }
-        let held = &self.queriers[querier].node_agent.partitions;
-        let places: Vec<(u32, u64)> = held.iter().map(|(p, h)| (p.0, h.revision)).collect();
-        for (part, revision) in places {
-            if revision > 0 && !self.already_compared(querier, part, revision) {
+        let partitions = &self.queriers[querier].node_agent.partitions;
+        let revisions: Vec<(u32, u64)> =
+            partitions.iter().map(|(p, h)| (p.0, h.revision)).collect();
+        for (partition, revision) in revisions {
+            if revision > 0 && !self.already_compared(querier, partition, revision) {
                 let sum = grebepath_core::storage::record::checksum(
-                    &self.queriers[querier].node_agent.partitions[&PartitionId(part)].entries,
+                    &self.queriers[querier].node_agent.partitions[&PartitionId(partition)].entries,
                 );
-                self.rules.check_replica(self.now - BEGIN, part, revision, sum);
+                self.rules.check_replica(self.now - BEGIN, partition, revision, sum);
             }
         }
     }
 
-    /// Whether this querier's copy of a revision was compared already.
-    pub(super) fn already_compared(&mut self, querier: usize, part: u32, revision: u64) -> bool {
-        let key = (1_000 + part + 100 * querier as u32, 0);
+    /// Records that this querier's copy of a revision is compared; returns whether it already was.
+    pub(super) fn already_compared(
+        &mut self,
+        querier: usize,
+        partition: u32,
+        revision: u64,
+    ) -> bool {
+        let key = (1_000 + partition + 100 * querier as u32, 0);
         self.rules.replica_sums.insert(key, revision) == Some(revision)
     }
 }
--- a/crates/simulator/src/world/query_engines.rs
+++ b/crates/simulator/src/world/query_engines.rs
@@ -1,4 +1,4 @@
-//! The query engines of queriers: one a thread.
+//! The query engines of queriers: one per thread.
 
 use grebepath_core::membership::node_agent;
 use grebepath_core::query::event as query_event;
@@ -10,10 +10,10 @@
 use super::faulty_variant::FaultyVariant;
 use super::node_agents::THREAD_DELAY;
 
-/// Requests that may reach versions that are tried beyond their share, over the whole fleet.
+/// Requests above their share that may reach versions on trial, over the whole cluster.
 const EXPOSURE_SLACK: u64 = 50;
 
-/// How much the fleet lets reach versions that are tried; a faulty one lets all.
+/// Returns the exposure limit of versions on trial; some faulty variants have none.
 fn exposure_limit(variant: Option<FaultyVariant>) -> ExposureLimit {
     let sound = ExposureLimit { slack: EXPOSURE_SLACK, ..ExposureLimit::default() };
     match variant {
@@ -26,7 +26,7 @@
 }
 
 impl World {
-    /// A query engine's timer fires, unless it was set anew meanwhile.
+    /// Fires a query engine's timer, unless it has been reset since.
     pub(super) fn wake_query_engine(&mut self, engine: QueryEngineId, at: Tick) {
         let wakes = &mut self.queriers[engine.querier].wake_at[engine.thread];
         if *wakes == at {
@@ -42,19 +42,19 @@
         event: query_event::Event,
     ) {
         let local = self.now - self.queriers[querier].began + BOOT;
-        let deaf = self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs);
+        let hides_leaving = self.faulty_variant == Some(FaultyVariant::IgnoresLeavingLeafs);
         let node = &mut self.queriers[querier];
         if self.faulty_variant == Some(FaultyVariant::NoRetryBudget) {
             node.query_engines[thread].retry_budget.set_slack(1_000_000);
         }
         node.query_engines[thread].trials.limit = exposure_limit(self.faulty_variant);
-        let todo = node.query_engines[thread].step(local, event);
-        if deaf {
+        let commands = node.query_engines[thread].step(local, event);
+        if hides_leaving {
             for leaf in node.query_engines[thread].leafs.values_mut() {
                 leaf.draining = false;
             }
         }
-        let (life, began) = (node.life, node.began);
+        let (incarnation, began) = (node.incarnation, node.began);
         if let Some(at) = node.query_engines[thread].next_due() {
             let at = (at + began).saturating_sub(BOOT).max(self.now + 1);
             let known = node.wake_at[thread];
@@ -63,13 +63,13 @@
                 self.push_at(
                     at,
                     ScheduledEvent::QueryEngineTimer {
-                        engine: QueryEngineId { querier, life, thread },
+                        engine: QueryEngineId { querier, incarnation, thread },
                         at,
                     },
                 );
             }
         }
-        for command in todo {
+        for command in commands {
             self.run_query_engine_command(querier, thread, command);
         }
     }
@@ -80,29 +80,32 @@
         thread: usize,
         command: query_event::Command,
     ) {
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         match command {
-            query_event::Command::Send(sending) => {
-                self.dispatch(QueryEngineId { querier, life, thread }, sending)
+            query_event::Command::Send(outgoing) => {
+                self.send_attempt(QueryEngineId { querier, incarnation, thread }, outgoing)
             }
-            query_event::Command::CancelAttempt { attempt: dispatch } => {
-                let engine = QueryEngineId { querier, life, thread };
-                self.close_attempt(AttemptKey { engine, attempt: dispatch });
+            query_event::Command::CancelAttempt { attempt } => {
+                let engine = QueryEngineId { querier, incarnation, thread };
+                self.close_attempt(AttemptKey { engine, attempt });
             }
             query_event::Command::Respond { call, outcome } => self.finish_call(call, outcome),
             query_event::Command::ReportTrial(evidence) => {
                 let thread = self.queriers[querier].query_engines[thread].thread_id;
                 let event = node_agent::Event::TrialEvidence { thread, evidence };
-                self.push(THREAD_DELAY, ScheduledEvent::NodeAgentEvent { querier, life, event });
+                self.push(
+                    THREAD_DELAY,
+                    ScheduledEvent::NodeAgentEvent { querier, incarnation, event },
+                );
             }
-            query_event::Command::ReportLeaf { service, report: word } => {
+            query_event::Command::ReportLeaf { service, report } => {
                 if self.faulty_variant != Some(FaultyVariant::IgnoresLeavingLeafs) {
                     self.push(
                         THREAD_DELAY,
                         ScheduledEvent::NodeAgentEvent {
                             querier,
-                            life,
-                            event: node_agent::Event::LeafReport { service, report: word },
+                            incarnation,
+                            event: node_agent::Event::LeafReport { service, report },
                         },
                     );
                 }
--- a/crates/simulator/src/world/time_loop.rs
+++ b/crates/simulator/src/world/time_loop.rs
@@ -1,4 +1,4 @@
-//! The loop that lets virtual time pass and hands each event to whom it is for.
+//! The event loop: advances virtual time and delivers each event.
 
 use grebepath_core::control_plane::controller::Event as CoreEvent;
 use grebepath_core::control_plane::step as control_plane_step;
@@ -11,7 +11,7 @@
 use super::{BEGIN, World};
 
 impl World {
-    /// Lets `span` pass.
+    /// Runs the world for `span` of virtual time.
     pub fn run(&mut self, span: Span) {
         let end = self.now + span;
         while let Some((at, event)) = self.queue.pop_until(end) {
@@ -22,7 +22,7 @@
         self.now = end;
     }
 
-    /// Lets time pass until `done`, at most `span`; tells whether it came to be.
+    /// Runs the world until `done`, for at most `span`; returns whether `done` was reached.
     pub fn until(&mut self, span: Span, done: impl Fn(&World) -> bool) -> bool {
         let end = self.now + span;
         while self.now < end {
@@ -36,7 +36,7 @@
 
     /// Handles an event that is due.
     pub(super) fn handle(&mut self, event: ScheduledEvent) {
-        // A paused process does nothing; all of it comes at once when it wakes.
+        // A paused process handles nothing; its events are all delivered when it resumes.
         let paused_until = self.paused_until(&event);
         if paused_until > self.now {
             return self.push_at(paused_until, event);
@@ -46,10 +46,10 @@
             return;
         }
         match event {
-            ScheduledEvent::ControllerTimer { controller, life } => {
+            ScheduledEvent::ControllerTimer { controller, incarnation } => {
                 self.push(
                     control_plane_step::WAKE_INTERVAL,
-                    ScheduledEvent::ControllerTimer { controller, life },
+                    ScheduledEvent::ControllerTimer { controller, incarnation },
                 );
                 self.step_controller(controller, CoreEvent::Wake);
             }
@@ -62,13 +62,13 @@
             ScheduledEvent::VoterFileDone { controller, token, .. } => {
                 self.finish_voter_file(controller, token);
             }
-            ScheduledEvent::QuerierTimer { querier, life } => {
+            ScheduledEvent::QuerierTimer { querier, incarnation } => {
                 self.push(
                     membership_step::WAKE_INTERVAL,
-                    ScheduledEvent::QuerierTimer { querier, life },
+                    ScheduledEvent::QuerierTimer { querier, incarnation },
                 );
                 self.step_node_agent(querier, node_agent::Event::Wake);
-                self.send_to_cold_leafs(querier, life);
+                self.send_to_slow_start_leafs(querier, incarnation);
             }
             ScheduledEvent::NodeAgentEvent { querier, event, .. } => {
                 self.deliver_to_node_agent(querier, event);
@@ -80,14 +80,16 @@
                 self.step_query_engine(engine.querier, engine.thread, event);
             }
             ScheduledEvent::QueryEngineTimer { engine, at } => self.wake_query_engine(engine, at),
-            ScheduledEvent::LeafRequest { engine, sending } => self.leaf_gets(engine, *sending),
-            ScheduledEvent::LeafResponse { run } => self.leaf_done(run),
-            ScheduledEvent::LeafDisconnect { key } => self.leaf_sees_close(key),
-            ScheduledEvent::Probe { querier, life, info } => {
-                self.answer_probe(querier, life, &info);
+            ScheduledEvent::LeafRequest { engine, outgoing } => {
+                self.deliver_to_leaf(engine, *outgoing)
             }
-            ScheduledEvent::ListRequest { querier, life } => {
-                self.answer_list_request(querier, life);
+            ScheduledEvent::LeafResponse { run } => self.finish_run(run),
+            ScheduledEvent::LeafDisconnect { key } => self.deliver_disconnect(key),
+            ScheduledEvent::Probe { querier, incarnation, info } => {
+                self.answer_probe(querier, incarnation, &info);
+            }
+            ScheduledEvent::ListRequest { querier, incarnation } => {
+                self.answer_list_request(querier, incarnation);
             }
             ScheduledEvent::NewCall { kind } => self.start_call(kind),
             ScheduledEvent::CallArrival { call } => self.call_arrives(call),
@@ -99,7 +101,7 @@
         }
     }
 
-    /// Until when the process that an event reaches is paused; 0 if it has none.
+    /// Returns until when the process that receives an event is paused; 0 if no process does.
     fn paused_until(&self, event: &ScheduledEvent) -> Tick {
         match event {
             ScheduledEvent::ControllerTimer { controller, .. }
@@ -119,29 +121,29 @@
         }
     }
 
-    /// Whether the process that an event was meant for has ended.
+    /// Returns whether the process that an event was meant for has ended.
     fn is_stale(&self, event: &ScheduledEvent) -> bool {
         match event {
-            ScheduledEvent::ControllerTimer { controller, life }
-            | ScheduledEvent::ControllerEvent { controller, life, .. }
-            | ScheduledEvent::DiskJobDone { controller, life, .. }
-            | ScheduledEvent::VoterFileDone { controller, life, .. } => {
-                !self.controller_runs(*controller, *life)
+            ScheduledEvent::ControllerTimer { controller, incarnation }
+            | ScheduledEvent::ControllerEvent { controller, incarnation, .. }
+            | ScheduledEvent::DiskJobDone { controller, incarnation, .. }
+            | ScheduledEvent::VoterFileDone { controller, incarnation, .. } => {
+                !self.controller_runs(*controller, *incarnation)
             }
-            ScheduledEvent::QuerierTimer { querier, life }
-            | ScheduledEvent::NodeAgentEvent { querier, life, .. }
-            | ScheduledEvent::ControllerMessage { querier, life, .. } => {
-                !self.querier_runs(*querier, *life)
+            ScheduledEvent::QuerierTimer { querier, incarnation }
+            | ScheduledEvent::NodeAgentEvent { querier, incarnation, .. }
+            | ScheduledEvent::ControllerMessage { querier, incarnation, .. } => {
+                !self.querier_runs(*querier, *incarnation)
             }
             ScheduledEvent::QueryEngineEvent { engine, .. }
             | ScheduledEvent::QueryEngineTimer { engine, .. } => {
-                !self.querier_runs(engine.querier, engine.life)
+                !self.querier_runs(engine.querier, engine.incarnation)
             }
             _ => false,
         }
     }
 
-    /// Notes which queriers are ready, as the platform does every second.
+    /// Records which queriers are ready, as the platform does every second.
     fn poll_readiness(&mut self) {
         self.ready_queriers = (0..self.queriers.len())
             .filter(|querier| self.queriers[*querier].up && self.queriers[*querier].ready)
@@ -153,11 +155,11 @@
     fn start_fault(&mut self, at: usize) {
         let fault = self.faults[at].clone();
         self.rules.note(self.now - BEGIN, || format!("fault: {fault}"));
-        self.rules.disturb_recoveries(self.now - BEGIN);
+        self.rules.mark_recoveries_disturbed(self.now - BEGIN);
         self.apply_fault(&fault);
     }
 
-    /// Does what was planned to follow an earlier event.
+    /// Runs a follow-up of an earlier event.
     fn follow_up(&mut self, key: FollowUp) {
         match key {
             FollowUp::StartController(controller) => {
@@ -166,8 +168,8 @@
                 }
             }
             FollowUp::Fault { controller, fault } => self.end_process(controller, fault),
-            FollowUp::ForceStop { controller, life } => {
-                if self.controller_runs(controller, life) {
+            FollowUp::ForceStop { controller, incarnation } => {
+                if self.controller_runs(controller, incarnation) {
                     self.end_controller(controller);
                 }
             }
@@ -176,25 +178,25 @@
                     self.start_querier(querier);
                 }
             }
-            FollowUp::EndDrainedQuerier(querier, life) => {
-                if self.querier_runs(querier, life) {
-                    self.end_drained_querier(querier, life);
+            FollowUp::EndDrainedQuerier(querier, incarnation) => {
+                if self.querier_runs(querier, incarnation) {
+                    self.end_drained_querier(querier, incarnation);
                 }
             }
             FollowUp::ChangeAfterRestart { restart } => {
                 let request = self.submit_marked();
-                if let Some(back) = self.rules.pending_restarts.get_mut(restart) {
-                    back.order = Some(request);
+                if let Some(check) = self.rules.pending_restarts.get_mut(restart) {
+                    check.request = Some(request);
                 }
             }
-            FollowUp::ZoneOrder { operator } => self.begin_zone_order(operator),
-            FollowUp::RolloutLook { operator } => self.ask_about_rollout(operator),
-            FollowUp::RolloutSilence { operator, request } => {
-                self.end_rollout_patience(operator, request);
+            FollowUp::ZoneRequest { operator } => self.begin_zone_operation(operator),
+            FollowUp::RolloutPoll { operator } => self.send_rollout_request(operator),
+            FollowUp::RolloutTimeout { operator, request } => {
+                self.time_out_rollout_request(operator, request);
             }
             FollowUp::RolloutLeafsLeave { operator } => self.version_leaves(operator),
-            FollowUp::OperatorSilence { operator, request } => {
-                self.end_operator_patience(operator, request);
+            FollowUp::OperatorTimeout { operator, request } => {
+                self.time_out_zone_request(operator, request);
             }
             FollowUp::RequestStorm { left, gap } => {
                 self.submit_marked();
@@ -205,7 +207,7 @@
         }
     }
 
-    /// An operator asks for a change that can be looked for at the end.
+    /// Submits a change that the check at the end can look for.
     fn submit_marked(&mut self) -> usize {
         self.submit(0, OperatorRequest::marked(self.operator_requests.len()))
     }
