--- a/crates/simulator/examples/run_digest.rs
+++ b/crates/simulator/examples/run_digest.rs
@@ -1,9 +1,8 @@
 //! Plays a fixed set of simulated runs and prints a digest of each.
 //!
-//! A digest covers the bytes and the times of all messages between our processes,
-//! what every kind of call came to, how long each took, and every operator's
-//! answer. It has no names in it, so that a change that only renames or moves code
-//! leaves all digests as they are. `.ci/digests` compares them with
+//! A digest covers the bytes and the times of all messages between the processes, the outcomes and
+//! latencies of every kind of call, and every operator's answer. It contains no names, so that a
+//! change that only renames or moves code leaves all digests unchanged. `.ci/digests` compares them with
 //! `scenarios/digests.txt`.
 
 use std::sync::Mutex;
@@ -14,14 +13,14 @@
 use grebepath_simulator::scenario::{Scenario, play_traced, read};
 use grebepath_simulator::world::{FAULTS, FaultInjection, InjectedFault, World};
 
-/// Seeds that every run is played with.
+/// Seeds of every run.
 const SEEDS: [u64; 2] = [1, 2];
-/// Window of the explored faults (microseconds of the scenario).
+/// Window of the injected faults (microseconds of scenario time).
 const EXPLORED: (u64, u64) = (500_000, 850_000);
-/// Events of the controllers between two explored faults (count).
+/// Controller events between two injected faults (count).
 const EXPLORED_STEP: u64 = 9;
 
-/// The runs: a scenario, and what is drawn or explored beside it.
+/// The runs: a scenario, and the kind of faults added to it.
 const RUNS: [(&str, Extra); 16] = [
     ("rough", Extra::Nothing),
     ("core-cut-off", Extra::Nothing),
@@ -41,13 +40,13 @@
     ("soak-kahurangi", Extra::Drawn),
 ];
 
-/// What happens in a run beside the scenario's own list.
+/// Faults that are added to those of the scenario.
 #[derive(Clone, Copy, PartialEq, Debug)]
 enum Extra {
     Nothing,
-    /// Faults that are drawn by the seed.
+    /// Random faults generated from the seed.
     Drawn,
-    /// Two faults at numbered events of the controllers, which the seed chooses.
+    /// Two faults injected at controller events that the seed chooses.
     Explored,
 }
 
@@ -125,7 +124,7 @@
     hash
 }
 
-/// What a run came to, as numbers.
+/// Returns the results of a run as numbers.
 fn figures(world: &World) -> Vec<u64> {
     let mut out = vec![world.now, world.events, world.net.sent, world.net.lost];
     for tally in world.tallies.values() {
--- a/crates/simulator/src/bin/scale_model.rs
+++ b/crates/simulator/src/bin/scale_model.rs
@@ -1,4 +1,4 @@
-//! Measures what the control plane costs at a size.
+//! Measures the cost of the control plane at a given cluster size.
 
 use grebepath_simulator::scale_model::cli;
 
--- a/crates/simulator/src/linearizability/compile.rs
+++ b/crates/simulator/src/linearizability/compile.rs
@@ -1,23 +1,23 @@
-//! A history as the search needs it: numbers in place of names, operations in
-//! the order of their times.
+//! Compiles a history for the search: names become numbers, and operations are sorted by time.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::hash::{DefaultHasher, Hash, Hasher};
 
 use super::history::{Answer, Base, History, Numbering, Objects, Write};
 
-/// Number of an object's name.
+/// Index of an interned object name.
 pub type Key = usize;
-/// Number of a value.
+/// Index of an interned value.
 pub type Value = u32;
 
-/// Constraints that are left out, to find those that a contradiction needs.
+/// Constraints that are dropped, to find the minimal set that still contradicts.
 #[derive(Clone, Debug, Default)]
 pub struct Weakened {
+    /// Reads that are ignored.
     pub reads: BTreeSet<usize>,
-    /// Refusals, as (write, attempt).
+    /// Refusals that are ignored, as (write, attempt).
     pub refusals: BTreeSet<(usize, usize)>,
-    /// Accepted writes that may take effect at any time, in their order.
+    /// Accepted writes that may take effect at any time, but still in revision order.
     pub writes: BTreeSet<usize>,
 }
 
@@ -26,19 +26,19 @@
 pub struct EffectOp {
     pub earliest: u64,
     pub latest: u64,
-    /// Known when it was accepted; then it must take effect.
+    /// Revision of an accepted write, which must take effect; `None` if the outcome is unknown.
     pub revision: Option<u64>,
     pub base: Base,
     pub replaces: bool,
     pub puts: Vec<(Key, Option<Value>)>,
-    /// With `replaces`: the objects that stay.
+    /// With `replaces`: whether each object is retained.
     pub stays: Vec<bool>,
     pub edition: Option<u64>,
-    /// Observations that need this write not to have taken effect before.
+    /// Observations that must be placed before this write takes effect.
     pub before: Vec<usize>,
 }
 
-/// An answer that tells something of a state and changes nothing.
+/// An answer that constrains the state without changing it.
 #[derive(Debug)]
 pub struct Observation {
     pub sent: u64,
@@ -46,7 +46,7 @@
     pub what: Observed,
 }
 
-/// What is observed.
+/// The constraint that an observation puts on the state.
 #[derive(Debug)]
 pub enum Observed {
     Read { revision: u64, edition: Option<u64>, contents: u64, objects: Vec<(Key, Value)> },
@@ -54,7 +54,7 @@
     Invalid { effect: usize },
 }
 
-/// A history for the search.
+/// A history in the form that the search uses.
 #[derive(Debug)]
 pub struct Compiled {
     pub consecutive: bool,
@@ -62,18 +62,19 @@
     pub edition: u64,
     pub contents: Vec<Option<Value>>,
     pub effects: Vec<EffectOp>,
-    /// Effects with a revision, in its order.
+    /// Effects with a known revision, in revision order.
     pub known: Vec<usize>,
-    /// The least `latest` of `known[n..]`.
+    /// Entry `n` is the minimum `latest` of `known[n..]`.
     pub known_latest: Vec<u64>,
+    /// Effects whose outcome is unknown.
     pub unknown: Vec<usize>,
-    /// By the time of sending.
+    /// Sorted by send time.
     pub observations: Vec<Observation>,
-    /// Their numbers by the time of the answer.
+    /// Indices of the observations, sorted by answer time.
     pub by_answer: Vec<usize>,
 }
 
-/// Numbers for names.
+/// Interns object names and values.
 #[derive(Default)]
 struct Names {
     keys: BTreeMap<String, Key>,
@@ -96,19 +97,19 @@
     }
 }
 
-/// Hash of one object; the hash of contents is the exclusive or of these.
+/// Returns the hash of one object; the hash of the contents is the XOR of these.
 pub fn object_hash(key: Key, value: Value) -> u64 {
     number_hash(&(0u8, key, value))
 }
 
-/// Hash of a few numbers.
+/// Returns the hash of a tuple of numbers.
 pub fn number_hash(numbers: &impl Hash) -> u64 {
     let mut hasher = DefaultHasher::new();
     numbers.hash(&mut hasher);
     hasher.finish()
 }
 
-/// Brings a history into the form that is searched.
+/// Compiles a history, without the constraints in `weakened`.
 pub fn compile(history: &History, weakened: &Weakened) -> Compiled {
     let mut names = Names::default();
     let start = names.objects(&history.start.objects);
@@ -168,7 +169,7 @@
     }
 }
 
-/// The effect of a write, if one of its attempts may have applied it.
+/// Returns the effect of a write, if one of its attempts may have applied it.
 fn effect(write: &Write, free: bool, names: &mut Names) -> Option<EffectOp> {
     let applying = || write.attempts.iter().filter(|a| a.may_apply());
     let earliest = applying().map(|a| a.sent).min()?;
@@ -191,7 +192,7 @@
     })
 }
 
-/// Notes for each replacing effect which objects stay.
+/// Records which objects each replacing effect retains.
 fn stays(
     history: &History,
     effect_of: &BTreeMap<usize, usize>,
@@ -208,7 +209,7 @@
     }
 }
 
-/// The refusals of a history as observations.
+/// Returns the refusals of a history as observations.
 fn refusals(
     history: &History,
     weakened: &Weakened,
--- a/crates/simulator/src/linearizability/direct.rs
+++ b/crates/simulator/src/linearizability/direct.rs
@@ -1,18 +1,17 @@
-//! Contradictions that show without a search, for the sake of their clear
-//! explanations.
+//! Detects contradictions that need no search, because these can be explained more clearly.
 
 use std::collections::BTreeMap;
 
 use super::explain::{read_line, write_line};
 use super::history::{Answer, History, Read, Reason, Violation, Write};
 
-/// The first contradiction between the answers themselves.
+/// Returns the first contradiction found by comparing answers directly.
 pub fn violation(history: &History) -> Option<Violation> {
     let by_write = history.writes.iter().find_map(one_write);
     by_write.or_else(|| two_writes(history)).or_else(|| two_reads(history))
 }
 
-/// Contradictions between the attempts of one write.
+/// Finds a contradiction between the attempts of one write.
 fn one_write(write: &Write) -> Option<Violation> {
     let accepted: Vec<(usize, u64)> = write
         .attempts
@@ -26,13 +25,16 @@
     let (first, revision) = *accepted.first()?;
     let lines = |list: &[usize]| list.iter().map(|n| write_line(write, *n)).collect();
     if let Some((other, again)) = accepted.iter().find(|(_, r)| *r != revision) {
-        let summary =
-            format!("request {} was accepted as {revision} and again as {again}", write.id);
+        let summary = format!(
+            "request {} was accepted as revision {revision} and again as {again}",
+            write.id
+        );
         let lines = lines(&[first, *other]);
         return Some(Violation { reason: Reason::AcceptedTwice, summary, lines });
     }
     if let Some(base) = write.base.revision.filter(|base| *base >= revision) {
-        let summary = format!("request {} on revision {base} was accepted as {revision}", write.id);
+        let summary =
+            format!("request {} on revision {base} was accepted as revision {revision}", write.id);
         return Some(Violation { reason: Reason::NotAboveBase, summary, lines: lines(&[first]) });
     }
     let earliest = accepted.iter().min_by_key(|(n, _)| write.attempts[*n].answered)?.0;
@@ -40,14 +42,12 @@
         .attempts
         .iter()
         .position(|a| a.refused() && Some(a.sent) > write.attempts[earliest].answered)?;
-    let summary = format!(
-        "request {} was accepted as {revision}, sent again as it was, and refused",
-        write.id
-    );
+    let summary =
+        format!("request {} was accepted as {revision}, resent unchanged, and refused", write.id);
     Some(Violation { reason: Reason::RefusedAgain, summary, lines: lines(&[earliest, late]) })
 }
 
-/// Contradictions between two writes that were accepted.
+/// Finds a contradiction between two accepted writes.
 fn two_writes(history: &History) -> Option<Violation> {
     let mut by_revision: BTreeMap<u64, &Write> = BTreeMap::new();
     let mut by_id: BTreeMap<&str, &Write> = BTreeMap::new();
@@ -77,7 +77,7 @@
     write_line(write, write.attempts.iter().position(accepted).unwrap_or(0))
 }
 
-/// Two reads under one revision that differ.
+/// Finds two reads of the same revision with different contents.
 fn two_reads(history: &History) -> Option<Violation> {
     let mut by_revision: BTreeMap<u64, &Read> = BTreeMap::new();
     for read in &history.reads {
@@ -92,7 +92,7 @@
     None
 }
 
-/// The objects in which two reads differ.
+/// Returns the names of the objects in which two reads differ.
 fn differing(a: &Read, b: &Read) -> Vec<String> {
     let names = a.objects.keys().chain(b.objects.keys());
     let mut out: Vec<String> =
--- a/crates/simulator/src/linearizability/explain.rs
+++ b/crates/simulator/src/linearizability/explain.rs
@@ -1,28 +1,28 @@
-//! The fewest answers that contradict each other, in words.
+//! Reduces a violation to a minimal set of contradicting answers and renders it as text.
 
 use super::compile::{Weakened, compile};
 use super::history::{Answer, Attempt, Base, History, Read, Reason, Violation, Write};
 use super::search::{Outcome, run};
 
-/// Searches that one explanation may take.
+/// Maximum number of searches for one explanation.
 const EXPLAIN_RUNS: usize = 400;
-/// Objects of a read that are written out.
+/// Maximum number of objects of a read that are printed.
 const OBJECTS_SHOWN: usize = 6;
 
-/// An answer of a history.
+/// An answer in a history: an attempt of a write (write, attempt), or a read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Answered {
     Write(usize, usize),
     Read(usize),
 }
 
-/// Explains why a history that fits no order does not.
+/// Explains why a history is not linearizable.
 pub fn explain(history: &History, limit: usize) -> Violation {
     let answers = answers(history);
     let fails = |history: &History, weakened: &Weakened| {
         run(&compile(history, weakened), limit) == Outcome::Impossible
     };
-    // The shortest beginning that fails; a longer one fails too.
+    // Binary search for the shortest failing prefix: every longer prefix fails too.
     let (mut fits, mut short) = (0, answers.len());
     while short - fits > 1 {
         let middle = fits + (short - fits) / 2;
@@ -61,7 +61,7 @@
     violation(&history, Some(last), needed)
 }
 
-/// All answers by their times.
+/// Returns all answers, sorted by answer time.
 fn answers(history: &History) -> Vec<Answered> {
     let writes = history.writes.iter().enumerate().flat_map(|(w, write)| {
         let attempts = write.attempts.iter().enumerate();
@@ -73,7 +73,7 @@
     list.into_iter().map(|(_, answer)| answer).collect()
 }
 
-/// The history up to the last of these answers; its reads are all still there.
+/// Returns the history up to the last of these answers. It still contains all reads.
 fn beginning(history: &History, answers: &[Answered]) -> History {
     let end = answers.iter().map(|a| time(history, *a)).max().unwrap_or(0);
     let mut out = history.clone();
@@ -84,7 +84,7 @@
                 (attempt.answered, attempt.answer) = (None, Answer::Unknown);
             }
         }
-        // What was not sent yet can't have been applied.
+        // An attempt that was not sent yet can't have been applied.
         for attempt in write.attempts.iter_mut().filter(|a| a.sent > end) {
             (attempt.answered, attempt.answer) = (None, Answer::Rejected);
         }
@@ -92,7 +92,7 @@
     out
 }
 
-/// Leaves out the reads that are not among these answers.
+/// Returns the constraints to drop so that only reads among these answers count.
 fn later_reads(history: &History, answers: &[Answered]) -> Weakened {
     let later = |r: &usize| !answers.contains(&Answered::Read(*r));
     Weakened { reads: (0..history.reads.len()).filter(later).collect(), ..Weakened::default() }
@@ -105,7 +105,7 @@
     }
 }
 
-/// What is left out when only these answers, and the last, are needed.
+/// Returns the constraints to drop so that only these answers and the last one count.
 fn without(history: &History, needed: &[Answered], last: Answered) -> Weakened {
     let mut out = Weakened::default();
     let kept = |answer: Answered| answer == last || needed.contains(&answer);
@@ -125,7 +125,7 @@
 }
 
 fn violation(history: &History, last: Option<Answered>, needed: Vec<Answered>) -> Violation {
-    let what = "fits no state that stood while it was under way";
+    let what = "fits no state that was current while it was in flight";
     let (reason, summary) = match last {
         Some(Answered::Read(r)) => {
             let revision = history.reads[r].revision;
@@ -160,8 +160,8 @@
     Violation { reason, summary, lines }
 }
 
-/// The acceptances that made, and that ended, the versions which an answer
-/// names: not needed for the contradiction, but to see it.
+/// Returns the acceptances that created, and that replaced, the versions that an answer names.
+/// They are not part of the contradiction, but help to understand it.
 fn context(history: &History, last: Answered) -> Vec<Answered> {
     let named: Vec<u64> = match last {
         Answered::Read(r) => vec![history.reads[r].revision],
@@ -189,7 +189,7 @@
     time as f64 / 1e6
 }
 
-/// An attempt of a write in words.
+/// Describes an attempt of a write.
 pub fn write_line(write: &Write, attempt: usize) -> String {
     let Some(a) = write.attempts.get(attempt) else { return write.id.clone() };
     let answered = match (a.answered, a.answer) {
@@ -214,15 +214,15 @@
 fn answer_words(answer: Answer) -> String {
     match answer {
         Answer::Accepted { revision } => format!("accepted as revision {revision}"),
-        Answer::Moved { version: Some(v) } => format!("refused, version {v} stands"),
-        Answer::Moved { version: None } => "refused, another version stands".into(),
+        Answer::Moved { version: Some(v) } => format!("refused, current version is {v}"),
+        Answer::Moved { version: None } => "refused, another version is current".into(),
         Answer::Invalid => "refused as invalid".into(),
-        Answer::Rejected => "rejected before work".into(),
+        Answer::Rejected => "rejected before execution".into(),
         Answer::Unknown => "unknown".into(),
     }
 }
 
-/// A read in words.
+/// Describes a read.
 pub fn read_line(read: &Read) -> String {
     let mut objects: Vec<String> =
         read.objects.iter().map(|(name, value)| format!("{name} = {value}")).collect();
--- a/crates/simulator/src/linearizability/history.rs
+++ b/crates/simulator/src/linearizability/history.rs
@@ -1,4 +1,4 @@
-//! What a history consists of, and what the check says of it.
+//! The data model of a history, and the result of checking it.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -11,24 +11,24 @@
 pub struct Register {
     /// Its revision.
     pub revision: u64,
-    /// The version that requests name in their own text.
+    /// The version that clients set in the request text.
     pub edition: u64,
-    /// Its contents.
+    /// Objects by name.
     pub objects: Objects,
 }
 
 /// How revisions are numbered.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub enum Numbering {
-    /// Each write that takes effect raises the revision by one, and nothing
-    /// else does. The history holds every write.
+    /// Each write that takes effect raises the revision by one, and nothing else raises it. The
+    /// history contains every write.
     #[default]
     Consecutive,
-    /// Revisions rise, and may rise without a write of the history.
+    /// Revisions increase, possibly without a write in the history.
     Rising,
 }
 
-/// All that operators did and heard. Times are microseconds of one clock.
+/// All requests of operators and their answers. Times are microseconds of one clock.
 #[derive(Clone, Debug, Default)]
 pub struct History {
     /// The state before the first write.
@@ -44,18 +44,18 @@
 /// The version that a write builds on.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
 pub struct Base {
-    /// The revision that must stand, if one is named.
+    /// The revision that must be current, if the write names one.
     pub revision: Option<u64>,
-    /// The edition that must stand, if one is named.
+    /// The edition that must be current, if the write names one.
     pub edition: Option<u64>,
 }
 
 /// What a write does to the register.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct Effect {
-    /// All other objects go, but those whose names begin with `keeps`.
+    /// Whether all other objects are removed, except those whose names begin with `keeps`.
     pub replaces: bool,
-    /// The beginning of the names that a replacement keeps.
+    /// Name prefix of the objects that a replacement keeps.
     pub keeps: Option<String>,
     /// Objects with their new values; `None` removes one.
     pub puts: BTreeMap<String, Option<String>>,
@@ -63,29 +63,29 @@
     pub edition: Option<u64>,
 }
 
-/// One write: a request id with one text, however often it was sent.
+/// A write: a request id with one text, with all its attempts.
 #[derive(Clone, Debug)]
 pub struct Write {
     /// The request id.
     pub id: String,
     /// Digest of the request's text.
     pub text: u64,
-    /// What it builds on.
+    /// The version that it builds on.
     pub base: Base,
-    /// What it does.
+    /// Its effect on the register.
     pub effect: Effect,
-    /// Each time that it was sent.
+    /// Every attempt to send it.
     pub attempts: Vec<Attempt>,
 }
 
-/// A write sent once.
+/// One attempt to send a write.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The machine that it was sent to.
+    /// Machine that it was sent to.
     pub via: String,
     /// When it was sent (us).
     pub sent: u64,
-    /// When it was answered; `None` with an unknown outcome.
+    /// When it was answered (us); `None` if the outcome is unknown.
     pub answered: Option<u64>,
     /// The answer.
     pub answer: Answer,
@@ -99,24 +99,24 @@
         /// The revision that it made.
         revision: u64,
     },
-    /// Another version than the base stands: a revision for a base revision,
-    /// an edition for a base edition.
+    /// The base is not the current version: a revision for a base revision, an edition for a base
+    /// edition.
     Moved {
-        /// The version that stands, if the answer names it.
+        /// The current version, if the answer names it.
         version: Option<u64>,
     },
-    /// Found wrong as a whole; not applied.
+    /// Failed validation; not applied.
     Invalid,
-    /// Turned away before any work; not applied.
+    /// Rejected before execution; not applied.
     Rejected,
-    /// May or may not be applied.
+    /// The outcome is unknown: it may or may not be applied.
     Unknown,
 }
 
 /// A read that was answered.
 #[derive(Clone, Debug)]
 pub struct Read {
-    /// The machine that it was sent to.
+    /// Machine that it was sent to.
     pub via: String,
     /// When it was sent (us).
     pub sent: u64,
@@ -130,21 +130,21 @@
     pub objects: Objects,
 }
 
-/// What came of a check.
+/// The result of a check.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Verdict {
     /// Some order of the writes explains every answer.
     Linearizable,
     /// No order does.
     Violated(Violation),
-    /// The search was given up after so many states.
+    /// The search reached its limit of states.
     Undecided {
-        /// States that were searched.
+        /// Number of states that were searched.
         states: usize,
     },
 }
 
-/// Why a history fits no register.
+/// Why a history is not linearizable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Reason {
     /// One request was accepted under two revisions.
@@ -157,27 +157,27 @@
     SharedBase,
     /// A request was accepted under a revision that is not above its base.
     NotAboveBase,
-    /// A request that had been accepted was sent again as it was and refused.
+    /// A request that had been accepted was resent unchanged and refused.
     RefusedAgain,
     /// Two reads saw different contents under one revision.
     TwoContents,
-    /// A read fits no state that stood while it was under way.
+    /// A read matches no state that was current while it was in flight.
     Read,
-    /// A refusal fits no state that stood while the request was under way.
+    /// A refusal matches no state that was current while the request was in flight.
     Refusal,
-    /// An acceptance fits no state that stood while the request was under way.
+    /// An acceptance matches no state that was current while the request was in flight.
     Acceptance,
 }
 
-/// A violation with its explanation: the fewest answers that contradict each
-/// other, in the order in which their requests were sent.
+/// A violation with its explanation: a minimal set of contradicting answers, in the order in which
+/// their requests were sent.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Violation {
-    /// Why.
+    /// The kind of violation.
     pub reason: Reason,
-    /// The reason in a sentence.
+    /// One-sentence summary.
     pub summary: String,
-    /// The answers that contradict each other.
+    /// Descriptions of the contradicting answers.
     pub lines: Vec<String>,
 }
 
@@ -192,7 +192,7 @@
 }
 
 impl Write {
-    /// The revision under which it was accepted, if it was.
+    /// Returns the revision under which it was accepted, if it was.
     pub fn revision(&self) -> Option<u64> {
         self.attempts.iter().find_map(|a| match a.answer {
             Answer::Accepted { revision } => Some(revision),
@@ -202,12 +202,12 @@
 }
 
 impl Attempt {
-    /// Whether the write may have taken effect by this attempt.
+    /// Returns whether this attempt may have applied the write.
     pub fn may_apply(&self) -> bool {
         matches!(self.answer, Answer::Accepted { .. } | Answer::Unknown)
     }
 
-    /// Whether it was refused by the state that stood.
+    /// Returns whether it was refused because of the current state.
     pub fn refused(&self) -> bool {
         matches!(self.answer, Answer::Moved { .. } | Answer::Invalid)
     }
--- a/crates/simulator/src/linearizability/mod.rs
+++ b/crates/simulator/src/linearizability/mod.rs
@@ -1,23 +1,21 @@
 //! Linearizability check of operator histories.
 //!
-//! A history is plain data: every request that operators sent, when it was
-//! sent and when and how it was answered. The check searches for one total
-//! order in which a compare-and-set register would have given just these
-//! answers, each between the sending of its request and its answer. The
-//! register is versioned: each write that takes effect raises its revision.
+//! A history is plain data: every request that operators sent, when it was sent, and when and how
+//! it was answered. The check searches for a total order in which a compare-and-set register would
+//! have given exactly these answers, each between the request and its answer. The register is
+//! versioned: each write that takes effect raises its revision.
 //!
-//! - An accepted write takes effect once, between its first sending and its
-//!   first acceptance, and every acceptance of it names the same revision.
-//! - A write without a known outcome takes effect at any time after it was
-//!   sent, also after its operator gave up, or never.
+//! - An accepted write takes effect once, between its first attempt and its first acceptance, and
+//!   every acceptance of it names the same revision.
+//! - A write with an unknown outcome takes effect at any time after it was sent, even after the
+//!   operator's timeout, or never.
 //! - A write that was refused or rejected does not take effect by that attempt.
-//!   A refusal that names a version needs that version to have stood, and to
-//!   differ from the base, at a moment between sending and answer, and the
-//!   request not to have taken effect before.
-//! - A read returns the content of a revision that stood at a moment between
-//!   sending and answer.
+//!   A refusal that names a version requires that, at some moment between request and answer, this
+//!   version was current and differed from the base, and that the request had not taken effect.
+//! - A read returns the contents of a revision that was current at some moment between request and
+//!   answer.
 //!
-//! The module shares no code and no constants with what it checks.
+//! The module shares no code and no constants with the code under test.
 
 mod compile;
 mod direct;
@@ -32,7 +30,7 @@
 };
 pub use recorder::{AttemptNumber, ReadNumber, Recorder};
 
-/// States that a search visits at most before it gives up undecided.
+/// Maximum number of states that a search visits before it ends undecided.
 pub const SEARCH_LIMIT: usize = 2_000_000;
 
 /// Checks a history.
@@ -40,7 +38,7 @@
     check_within(history, SEARCH_LIMIT)
 }
 
-/// Checks a history, visiting at most so many states.
+/// Checks a history, visiting at most `limit` states.
 pub fn check_within(history: &History, limit: usize) -> Verdict {
     if let Some(violation) = direct::violation(history) {
         return Verdict::Violated(violation);
--- a/crates/simulator/src/linearizability/recorder.rs
+++ b/crates/simulator/src/linearizability/recorder.rs
@@ -1,29 +1,28 @@
-//! Gathers a history while it happens.
+//! Records a history during a run.
 
 use std::collections::BTreeMap;
 
 use super::history::{Answer, Attempt, Base, Effect, History, Objects, Read, Write};
 
-/// An attempt of a write that was sent.
+/// Handle of an attempt to send a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AttemptNumber {
     write: usize,
     attempt: usize,
 }
 
-/// A read that was sent.
+/// Handle of a read that was sent.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ReadNumber(usize);
 
-/// A read that has no answer yet.
+/// A read without an answer.
 #[derive(Clone, Debug)]
 struct Pending {
     via: String,
     sent: u64,
 }
 
-/// Notes requests and answers; attempts with the same id and text become one
-/// write.
+/// Records requests and answers; attempts with the same id and text belong to one write.
 #[derive(Clone, Debug, Default)]
 pub struct Recorder {
     history: History,
@@ -32,7 +31,7 @@
 }
 
 impl Recorder {
-    /// A write is sent.
+    /// Records an attempt to send a write.
     pub fn send_write(
         &mut self,
         now: u64,
@@ -57,7 +56,7 @@
         AttemptNumber { write, attempt: attempts.len() - 1 }
     }
 
-    /// A write is answered; only the first answer of an attempt counts.
+    /// Records the answer of an attempt; only its first answer counts.
     pub fn answer_write(&mut self, now: u64, number: AttemptNumber, answer: Answer) {
         let attempt = &mut self.history.writes[number.write].attempts[number.attempt];
         if attempt.answered.is_none() {
@@ -66,13 +65,13 @@
         }
     }
 
-    /// A read is sent.
+    /// Records that a read was sent.
     pub fn send_read(&mut self, now: u64, via: impl Into<String>) -> ReadNumber {
         self.reads.push(Pending { via: via.into(), sent: now });
         ReadNumber(self.reads.len() - 1)
     }
 
-    /// A read is answered with a state.
+    /// Records the state that a read returned.
     pub fn answer_read(
         &mut self,
         now: u64,
@@ -84,12 +83,12 @@
         self.history.reads.push(Read { via, sent, answered: now, revision, edition, objects });
     }
 
-    /// The history so far.
+    /// Returns the history recorded so far.
     pub fn history(&self) -> &History {
         &self.history
     }
 
-    /// The history so far, to be adjusted (its start, its numbering).
+    /// Returns the history recorded so far, to adjust its start state or numbering.
     pub fn history_mut(&mut self) -> &mut History {
         &mut self.history
     }
--- a/crates/simulator/src/linearizability/search.rs
+++ b/crates/simulator/src/linearizability/search.rs
@@ -1,10 +1,10 @@
-//! The search for a total order, after Wing and Gong, with Lowe's memory of
-//! states that led nowhere.
+//! Searches for a total order with the algorithm of Wing and Gong and Lowe's cache of visited
+//! states.
 //!
-//! Revisions prune it: accepted writes take effect in the order of their
-//! revisions, and an observation that fits the present state is placed at once,
-//! which is never worse than placing it later. So the search branches only over
-//! writes without a known outcome, and only where there is room for them.
+//! Revisions prune the search: accepted writes take effect in revision order, and an observation
+//! that fits the current state is placed at once, which is never worse than placing it later. The
+//! search therefore branches only over writes with an unknown outcome, and only where a revision is
+//! free for them.
 
 use std::collections::HashSet;
 
@@ -19,16 +19,16 @@
     OutOfStates,
 }
 
-/// A step of the order that is built.
+/// A step that extends the order.
 #[derive(Clone, Copy, Debug)]
 enum Step {
     /// A write takes effect.
     Effect(usize),
-    /// The revision rises without a write of the history.
+    /// The revision increases without a write in the history.
     Raise(u64),
 }
 
-/// What takes a step back.
+/// The data needed to revert a step.
 struct Undo {
     step: Step,
     revision: u64,
@@ -36,7 +36,7 @@
     changed: Vec<(Key, Option<Value>)>,
 }
 
-/// A point of the search from which steps are tried.
+/// A node of the search tree, with the steps that may follow it.
 struct Frame {
     undo: Option<Undo>,
     placed: Vec<usize>,
@@ -52,7 +52,7 @@
     edition: u64,
     contents: Vec<Option<Value>>,
     contents_hash: u64,
-    /// Observations that are placed, and effects that are.
+    /// Whether each observation is placed; `effected` is the same for effects.
     placed: Vec<bool>,
     effected: Vec<bool>,
     placed_hash: u64,
@@ -112,20 +112,20 @@
         self.left == 0 && self.next_known == self.compiled.known.len()
     }
 
-    /// What distinguishes this state from others.
+    /// Returns the key of this state in the cache of visited states.
     fn key(&self) -> (u64, u64) {
         let state = number_hash(&(self.revision, self.edition, self.contents_hash));
         (self.placed_hash, state)
     }
 
-    /// The time by which something that is not placed yet must be.
+    /// Returns the earliest deadline of the observations and effects that are not placed yet.
     fn horizon(&self) -> u64 {
         let answered = self.compiled.by_answer.get(self.first_by_answer);
         let answered = answered.map_or(u64::MAX, |o| self.compiled.observations[*o].answered);
         answered.min(self.compiled.known_latest[self.next_known])
     }
 
-    /// Places all observations that fit, and lists the steps that may follow.
+    /// Places all observations that fit the current state, and lists the steps that may follow.
     fn enter(&mut self, undo: Option<Undo>) -> Frame {
         let (first_by_answer, first_by_sent) = (self.first_by_answer, self.first_by_sent);
         let mut placed = Vec::new();
@@ -149,7 +149,7 @@
         Frame { undo, placed, first_by_answer, first_by_sent, steps, next: 0 }
     }
 
-    /// Takes back what `enter` and the step before it did.
+    /// Reverts `enter` and the step before it.
     fn leave(&mut self, frame: Frame) {
         for observation in frame.placed {
             self.place(observation, false);
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Whether an observation may be made in the present state.
+    /// Returns whether an observation is possible in the current state.
     fn fits(&self, what: &Observed) -> bool {
         match what {
             Observed::Read { revision, edition, contents, .. } => {
@@ -185,9 +185,9 @@
                     && *contents == self.contents_hash
             }
             Observed::Refusal { effect, base, version } => {
-                let names = |standing: u64| version.is_none_or(|v| v == standing);
+                let version_matches = |standing: u64| version.is_none_or(|v| v == standing);
                 let other = |base: Option<u64>, standing: u64| {
-                    base.is_some_and(|b| b != standing) && names(standing)
+                    base.is_some_and(|b| b != standing) && version_matches(standing)
                 };
                 effect.is_none_or(|e| !self.effected[e])
                     && (other(base.revision, self.revision) || other(base.edition, self.edition))
@@ -196,7 +196,7 @@
         }
     }
 
-    /// The steps that may follow, the likeliest first.
+    /// Returns the steps that may follow, the most likely first.
     fn steps(&self) -> Vec<Step> {
         let horizon = self.horizon();
         let known = self.compiled.known.get(self.next_known).copied();
@@ -224,7 +224,7 @@
         steps
     }
 
-    /// Whether a write may take effect now.
+    /// Returns whether a write may take effect in the current state.
     fn may_take_effect(&self, number: usize, horizon: u64) -> bool {
         let effect = &self.compiled.effects[number];
         let Base { revision, edition } = effect.base;
@@ -234,8 +234,7 @@
             && effect.before.iter().all(|o| self.placed[*o])
     }
 
-    /// The contents of the read with the least revision of those that are under
-    /// way and not placed.
+    /// Returns the contents of the in-flight, unplaced read with the lowest revision.
     fn next_read(&self) -> Option<&[(Key, Value)]> {
         let horizon = self.horizon();
         let open = self.compiled.observations[self.first_by_sent..].iter();
@@ -250,8 +249,8 @@
             .map(|(_, objects)| objects)
     }
 
-    /// The revisions below `next` that an answer under way, or the next write's
-    /// base, names.
+    /// Returns the revisions below `next` that an in-flight answer or the base of a following write
+    /// names.
     fn raises(&self, next: u64, horizon: u64) -> Vec<u64> {
         let open = self.compiled.observations[self.first_by_sent..].iter();
         let named = open.take_while(|o| o.sent <= horizon).filter_map(|o| match &o.what {
@@ -322,7 +321,7 @@
     }
 }
 
-/// Whether all that a write sets is in some contents.
+/// Returns whether the contents include everything that a write sets.
 fn agrees(effect: &EffectOp, contents: &[(Key, Value)]) -> bool {
     effect.puts.iter().all(|(key, value)| {
         let found = contents.iter().find(|(k, _)| k == key).map(|(_, v)| *v);
--- a/crates/simulator/src/scale_model/cli.rs
+++ b/crates/simulator/src/scale_model/cli.rs
@@ -1,4 +1,4 @@
-//! The flags of `scale-model`, and its run.
+//! Command line of `scale-model`.
 
 use std::num::ParseIntError;
 
@@ -11,7 +11,7 @@
 use crate::scale_model::report;
 use crate::scale_model::topology::Size;
 
-/// What the caller wants.
+/// Parsed command-line arguments.
 pub struct Args {
     seed: u64,
     idle: u64,
@@ -21,19 +21,19 @@
     sizes: Vec<Size>,
 }
 
-/// Why a size can't be read.
+/// A size argument that can't be parsed.
 #[derive(Debug, Error)]
 enum SizeError {
-    /// A count is no whole number.
+    /// A count is not an integer.
     #[error("`{text}`: {source}")]
     NotANumber {
-        /// What stands there.
+        /// The text of the count.
         text: String,
-        /// What is wrong with it.
+        /// The parser's error.
         source: ParseIntError,
     },
     /// A count is zero.
-    #[error("a size needs members and leafs")]
+    #[error("members and leafs must not be zero")]
     Empty,
 }
 
@@ -41,7 +41,7 @@
     text.parse().map_err(|source| SizeError::NotANumber { text: text.to_string(), source })
 }
 
-/// `members` or `members:leafs`; leafs in the proportion of issue 11 if unsaid.
+/// Parses `members` or `members:leafs`; the default ratio of leafs is the one of issue 11.
 fn size(text: String) -> Result<Size, SizeError> {
     let (members, leafs) = text.split_once(':').unwrap_or((&text, ""));
     let members = count(members)?;
@@ -55,20 +55,21 @@
     Ok(Size { members, leafs })
 }
 
-/// The parser of the flags.
+/// Returns the command-line parser.
 pub fn options() -> OptionParser<Args> {
-    let seed = long("seed").help("the seed of the run").argument::<u64>("N").fallback(1);
-    let idle = long("calm").help("seconds of calm to measure").argument::<u64>("N").fallback(20);
-    let calm_only = long("calm-only").help("nothing but start and calm").switch();
-    let no_restarts = long("no-restarts").help("no restarts of many").switch();
-    let fan = long("fan").help("sizes are shards a query, and threads that share").switch();
+    let seed = long("seed").help("seed of the run").argument::<u64>("N").fallback(1);
+    let idle =
+        long("calm").help("seconds of idle time to measure").argument::<u64>("N").fallback(20);
+    let calm_only = long("calm-only").help("measure only the start and the idle time").switch();
+    let no_restarts = long("no-restarts").help("skip the restarts of many nodes").switch();
+    let fan = long("fan").help("sizes are shards per query and number of threads").switch();
     let sizes = bpaf::positional::<String>("MEMBERS[:LEAFS]")
-        .help("a size to measure; without leafs, 5300 for 1200 members")
+        .help("a size to measure; the default is 5300 leafs per 1200 members")
         .parse(size)
-        .some("name a size");
+        .some("at least one size is required");
     construct!(Args { seed, idle, calm_only, no_restarts, fan, sizes })
         .to_options()
-        .descr("weighs control: the daemons' owners at a size, under a virtual clock")
+        .descr("measures the control plane at a given size under a virtual clock")
 }
 
 /// Measures and prints each size.
--- a/crates/simulator/src/scale_model/fan_out.rs
+++ b/crates/simulator/src/scale_model/fan_out.rs
@@ -1,5 +1,5 @@
-//! What a query of many shards costs a querier's own thread: its query engine,
-//! its dispatches and the replies to them, without the connections to leafs.
+//! Measures what a query over many shards costs one querier thread: the query engine, its attempts
+//! and their replies, without the connections to leafs.
 
 use std::fmt::Write;
 use std::sync::Arc;
@@ -19,35 +19,36 @@
 use crate::scale_model::meter::timed;
 use crate::scale_model::topology;
 
-/// Queries that are measured (count), after as many that are not.
+/// Measured queries (count), preceded by as many that are not measured.
 const QUERIES: u64 = 20;
-/// Records in each reply (count): what a caller gets who names no limit.
+/// Records in each reply (count): the default limit of a query.
 const RECORDS: usize = grebepath_core::consts::DEFAULT_RECORD_LIMIT as usize;
 
-/// What was found.
+/// Result of the fan-out measurement.
 #[derive(Default)]
 pub struct FanOut {
-    /// Shards of a query.
+    /// Shards per query.
     pub shards: usize,
-    /// Threads that share the leafs.
+    /// Threads among which the leafs' capacity is divided.
     pub of: usize,
-    /// Queries that were measured.
+    /// Measured queries.
     pub queries: u64,
-    /// Queries that were answered in full.
+    /// Queries with a complete answer.
     pub full: u64,
     /// Attempts that were sent.
     pub dispatches: u64,
-    /// Bytes of all questions and replies, without heads.
+    /// Bytes of all request bodies.
     pub asked: u64,
-    /// Bytes of all replies.
+    /// Bytes of all reply bodies.
     pub replied: u64,
-    /// Processor time in asking and in taking replies (ns).
+    /// CPU time spent on starting queries (ns).
     pub ask_ns: u64,
-    /// Processor time in taking replies (ns).
+    /// CPU time spent on processing replies (ns).
     pub take_ns: u64,
 }
 
-/// A thread among `of` of equal share, with a view of this many shards.
+/// Returns the query engine of one of `of` threads with equal quota shares, with a view of this
+/// many shards.
 fn open_engine(shards: usize, of: usize) -> QueryEngine {
     let leafs = shards * topology::LEAFS_A_SHARD;
     let conf = topology::config(leafs).to_string();
@@ -79,7 +80,7 @@
     }
 }
 
-/// Asks wide queries one after the other.
+/// Runs wide queries one after the other.
 pub fn measure(shards: usize, of: usize) -> FanOut {
     let mut engine = open_engine(shards, of);
     let mut result = FanOut { shards, of, queries: QUERIES, ..FanOut::default() };
@@ -115,7 +116,7 @@
     result
 }
 
-/// The lines of one fan.
+/// Formats the result as text.
 pub fn text(result: &FanOut) -> String {
     let mut out = String::new();
     let n = result.dispatches.max(1);
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -1,4 +1,4 @@
-//! What is done with the scale model, and what is measured.
+//! Runs the scenarios of the scale model and measures their cost.
 
 use grebepath_core::protocol::operation::{Operation, OperationResult};
 use grebepath_core::snapshot::cluster_view::ClusterView;
@@ -12,54 +12,54 @@
 use crate::scale_model::topology::Size;
 use crate::scale_model::world::{ScheduledEvent, World};
 
-/// Longest time that anything here may take before it is given up.
+/// Timeout for each awaited condition.
 const PATIENCE: Span = 60 * SECOND;
 
-/// Time that a querier needs from its end to its next start.
+/// Time between the end of a process and its next start.
 const RESTART: Span = SECOND;
 
-/// Time after a phase in which its last messages settle.
+/// Time after a phase in which its last messages arrive.
 const SETTLE: Span = 2 * SECOND;
 
-/// What is to be measured.
+/// Selects what to measure.
 #[derive(Clone, Copy)]
 pub struct Measurements {
     /// Length of the idle time that is measured.
     pub idle: Span,
     /// The cost of single changes.
     pub single: bool,
-    /// Restarts of a part of the fleet and of all of it.
+    /// The cost of restarting parts of the cluster and all of it.
     pub restarts: bool,
 }
 
-/// What one size came to.
+/// Results for one size.
 pub struct Findings {
     /// The size that was measured.
     pub size: Size,
-    /// Time until all were up after the first start.
+    /// Time until all nodes were up after the first start.
     pub start: Option<Span>,
-    /// What passed during the first start.
+    /// Totals of the first start.
     pub start_sum: Totals,
-    /// What passed while nothing happened.
+    /// Totals of the idle time.
     pub idle: Idle,
-    /// Single events, and what each cost.
+    /// Single events and their costs.
     pub events: Vec<(&'static str, Event)>,
-    /// Memory of this process when all were up (bytes).
+    /// Memory of this process when all nodes were up (bytes).
     pub resident_bytes: u64,
-    /// Alarms over the whole run.
+    /// Number of alarms in the whole run.
     pub alarms: u64,
 }
 
-/// What passed in some time.
+/// Totals of an interval.
 #[derive(Clone, Default)]
 pub struct Totals {
-    /// Length of that time.
+    /// Length of the interval.
     pub span: Span,
     /// Messages by link and kind.
     pub traffic: Traffic,
-    /// What each controller spent.
+    /// Costs of each controller.
     pub controllers: Vec<Meter>,
-    /// What each querier spent.
+    /// Costs of each querier.
     pub queriers: Vec<Meter>,
     /// Polls of the platform's list.
     pub list_polls: Count,
@@ -67,29 +67,29 @@
     pub probes: u64,
 }
 
-/// An idle time, and the memory that state takes meanwhile.
+/// Totals of an idle interval, and the size of the state.
 pub struct Idle {
-    /// What passed.
+    /// Totals of the interval.
     pub sum: Totals,
-    /// State of the heaviest querier and controller (bytes).
+    /// Largest state of a querier (bytes).
     pub querier_state: usize,
-    /// State of the heaviest controller (bytes).
+    /// Largest state of a controller (bytes).
     pub controller_state: usize,
-    /// Of these, one copy of what is stored.
+    /// Size of one copy of the committed state (bytes).
     pub stored: usize,
-    /// The platform's list (bytes).
+    /// Size of the platform's leaf list (bytes).
     pub list_bytes: usize,
-    /// Processor time for a view of all leafs, made once more (ns).
+    /// CPU time to rebuild the view of all leafs (ns).
     pub view_ns: u64,
 }
 
-/// One thing that happened, and what it cost.
+/// An event and its cost.
 pub struct Event {
-    /// When an operator heard that it is accepted.
+    /// Time until the operator received the acceptance.
     pub accepted: Option<Span>,
-    /// When the last member was there.
+    /// Time until the last member had converged.
     pub last: Option<Span>,
-    /// All that passed until then.
+    /// Totals until then, including the settling time.
     pub sum: Totals,
 }
 
@@ -157,7 +157,7 @@
         );
     }
 
-    /// An operator's change, until the last member obeys it.
+    /// Submits a configuration change and waits until the last member has applied it.
     fn change(&mut self) -> Event {
         self.reset();
         let begin = self.now;
@@ -181,7 +181,7 @@
         Event { accepted, last, sum: self.take(begin) }
     }
 
-    /// The platform's list names one more leaf, until the last member holds it.
+    /// Adds a leaf to the platform's list and waits until the last member knows it.
     fn leaf_comes(&mut self) -> Event {
         self.reset();
         let begin = self.now;
@@ -204,7 +204,7 @@
         Event { accepted: None, last, sum: self.take(begin) }
     }
 
-    /// One more querier, until it has its allocation and all know it.
+    /// Adds a querier and waits until it has its allocation and all members know it.
     fn member_comes(&mut self) -> Event {
         self.reset();
         let begin = self.now;
@@ -215,7 +215,7 @@
         Event { accepted: None, last, sum: self.take(begin) }
     }
 
-    /// Queriers and controllers end at once and start again, until all are up.
+    /// Kills queriers and controllers at the same time, restarts them and waits until all are up.
     fn restart(&mut self, queriers: &[usize], seats: &[usize]) -> Event {
         self.reset();
         for querier in queriers {
@@ -269,7 +269,7 @@
     Findings { size, start, start_sum, idle, events, resident_bytes, alarms }
 }
 
-/// What it takes to read all leafs that are held and to make a view of them.
+/// Returns the CPU time to decode all leafs that a querier holds and to build a view of them (ns).
 fn view(world: &grebepath_core::membership::node_agent::NodeAgent) -> u64 {
     let mut took = 0;
     meter::timed(&mut took, || {
--- a/crates/simulator/src/scale_model/memory.rs
+++ b/crates/simulator/src/scale_model/memory.rs
@@ -1,6 +1,6 @@
-//! How heavy the owners' state is. Counted by walking it, since the project
-//! has no allocator of its own: lengths are exact, what the allocator adds is
-//! taken from the constants below. The process's own memory checks the sum.
+//! Estimates the size of the control state by walking it, since the project has no allocator of its
+//! own. Lengths are exact; the allocator's overhead is estimated with the constants below. The
+//! process's resident memory serves as a cross-check of the sum.
 
 use grebepath_core::config::route::RoutingTable;
 use grebepath_core::control_plane::controller::ControllerState;
@@ -10,29 +10,29 @@
 use grebepath_core::snapshot::cluster_view::ClusterView;
 use grebepath_core::snapshot::leafs::LeafInfo;
 
-/// What the allocator adds to a block (bytes).
+/// Allocator overhead of a block (bytes).
 const BLOCK: usize = 16;
-/// Bytes of a text or list beside what it holds.
+/// Overhead of a `String` or `Vec` (bytes).
 const TEXT: usize = 24 + BLOCK;
-/// An entry of a tree of texts: nodes are some 70% full.
+/// Overhead of a B-tree entry (bytes): nodes are about 70% full.
 const TREE: usize = 12;
-/// An entry of an index map beside key and value: hash, place, empty room.
+/// Overhead of an index map entry beside key and value (bytes): hash, index, spare capacity.
 const INDEX: usize = 24;
-/// An `Arc`'s counts with its block.
+/// Reference counts of an `Arc` and its block (bytes).
 const ARC: usize = 16 + BLOCK;
 
 fn text(s: &str) -> usize {
     TEXT + s.len()
 }
 
-/// A part's contents.
+/// Returns the size of a partition's contents (bytes).
 pub fn map(m: &EntryMap) -> usize {
     m.iter().map(|(k, v)| text(k) + TEXT + v.len() + TREE).sum()
 }
 
 fn leaf(l: &LeafInfo) -> usize {
     let labels: usize = l.labels.iter().map(|(k, v)| text(k) + text(v)).sum();
-    // A tree's first node has room for eleven entries, however few there are.
+    // The first node of a B-tree has capacity for eleven entries, however few it holds.
     let node = 11 * 48 + BLOCK;
     std::mem::size_of::<LeafInfo>()
         + l.leaf.len()
@@ -57,7 +57,7 @@
 fn view(v: &ClusterView) -> usize {
     let leafs: usize = v.leafs.values().map(|l| leaf(l) + text(&l.leaf) + 8 + INDEX + 8).sum();
     let services: usize = v.services.keys().map(|s| text(s) + TEXT + INDEX).sum();
-    // The mappings stand in the built configuration and once more by name.
+    // The routes are held by the compiled configuration and once more by name.
     leafs + services + 2 * built(&v.routing_table)
 }
 
@@ -69,7 +69,7 @@
     c.members.iter().map(member).sum()
 }
 
-/// A querier's control state.
+/// Returns the size of a querier's control state (bytes).
 pub fn watch(w: &NodeAgent) -> usize {
     let held: usize = w.partitions.values().map(|h| map(&h.entries)).sum();
     let shared: usize = w.quota_members.iter().map(|m| text(&m.name) + 8).sum();
@@ -77,7 +77,7 @@
     held + shared + membership(&w.membership) + committed
 }
 
-/// A controller's state.
+/// Returns the size of a controller's state (bytes).
 pub fn core(c: &ControllerState) -> usize {
     let entries = |list: &Vec<grebepath_core::config::stored::Entry>| -> usize {
         list.iter().map(|(k, v)| text(k) + TEXT + v.as_ref().map_or(0, Vec::len)).sum()
--- a/crates/simulator/src/scale_model/meter.rs
+++ b/crates/simulator/src/scale_model/meter.rs
@@ -1,11 +1,11 @@
-//! What things cost: messages, bytes, processor time.
+//! Meters for messages, bytes and CPU time.
 
 use std::collections::BTreeMap;
 
 use grebepath_core::protocol::message::Message;
 use rustix::time::{ClockId, clock_gettime};
 
-/// Messages and their bytes.
+/// A number of messages and their size.
 #[derive(Clone, Copy, Default, PartialEq, Debug)]
 pub struct Count {
     /// Messages (count).
@@ -14,39 +14,39 @@
     pub bytes: u64,
 }
 
-/// What one node spent since it was last reset.
+/// Costs of one node since the last reset.
 #[derive(Clone, Copy, Default)]
 pub struct Meter {
     /// Messages that it sent.
     pub sent: Count,
     /// Messages that it received.
     pub got: Count,
-    /// Events that its owner took.
+    /// Events processed by its state machine.
     pub steps: u64,
-    /// Processor time in `step`, and in writing and reading messages (ns).
+    /// CPU time spent in `step` (ns).
     pub step_ns: u64,
-    /// Processor time in encoding and decoding messages (ns).
+    /// CPU time spent on encoding and decoding messages (ns).
     pub codec_ns: u64,
-    /// What it gave to its disk (bytes), and in how many writes.
+    /// Disk writes (count) and their size (bytes).
     pub disk: Count,
 }
 
-/// Messages by what carries them and by kind.
+/// Messages by link and kind.
 pub type Traffic = BTreeMap<(&'static str, &'static str), Count>;
 
-/// Adds one message.
+/// Adds one message to a count.
 pub fn add(cell: &mut Count, bytes: usize) {
     cell.messages += 1;
     cell.bytes += bytes as u64;
 }
 
-/// Processor time of this thread so far (ns).
+/// Returns the CPU time of this thread (ns).
 pub fn thread_cpu_time() -> u64 {
     let t = clock_gettime(ClockId::ThreadCPUTime);
     t.tv_sec as u64 * 1_000_000_000 + t.tv_nsec as u64
 }
 
-/// Runs `f` and adds what it took.
+/// Runs `f` and adds its CPU time to `sum`.
 pub fn timed<T>(sum: &mut u64, f: impl FnOnce() -> T) -> T {
     let from = thread_cpu_time();
     let out = f();
@@ -54,14 +54,14 @@
     out
 }
 
-/// Memory of this whole process (bytes), as the system counts it.
+/// Returns the resident set size of this process (bytes).
 pub fn resident_bytes() -> u64 {
     let text = std::fs::read_to_string("/proc/self/status").unwrap_or_default();
     let line = text.lines().find_map(|l| l.strip_prefix("VmRSS:")).unwrap_or_default();
     line.trim().trim_end_matches(" kB").parse::<u64>().unwrap_or(0) * 1024
 }
 
-/// The kind of a message.
+/// Returns the name of a message's kind, as it appears in the report.
 pub fn kind(message: &Message) -> &'static str {
     match message {
         Message::Hello { .. } => "hello",
--- a/crates/simulator/src/scale_model/mod.rs
+++ b/crates/simulator/src/scale_model/mod.rs
@@ -1,9 +1,9 @@
-//! The scale model: the daemons' own state machines at the size to design for, without
-//! callers and without threads. Every message is written and read in its real
-//! form, so what it costs is counted, not guessed.
+//! The scale model: the daemons' state machines at the design size, without callers and threads.
+//! Every message is encoded and decoded in its wire format, so that its cost is measured and not
+//! estimated.
 //!
-//! Time is virtual and a seed replays a run. Only processor time and the
-//! process's memory differ between two runs of the same seed.
+//! Time is virtual, and a seed reproduces a run. Only CPU time and the process's memory differ
+//! between two runs with the same seed.
 
 pub mod cli;
 pub mod fan_out;
--- a/crates/simulator/src/scale_model/report.rs
+++ b/crates/simulator/src/scale_model/report.rs
@@ -1,5 +1,5 @@
-//! What was found, as text. Lines that begin with `~` hold what differs from
-//! run to run: processor time and this process's memory.
+//! Formats the results as text. Lines that begin with `~` contain the values that differ between
+//! runs with the same seed: CPU time and this process's memory.
 
 use std::fmt::Write;
 
@@ -8,7 +8,7 @@
 use crate::scale_model::measure::{Event, Findings, Totals};
 use crate::scale_model::meter::{Count, Meter};
 
-/// All lines of one size.
+/// Formats the results for one size.
 pub fn text(f: &Findings) -> String {
     let mut out = String::new();
     let o = &mut out;
@@ -50,7 +50,7 @@
     }
 }
 
-/// Mean and worst of all nodes of a role.
+/// Writes the mean and the maximum over all nodes of a role.
 fn node(o: &mut String, name: &str, list: &[Meter], span: Span) {
     let n = list.len().max(1) as f64;
     let both = |m: &Meter| m.sent.bytes + m.got.bytes;
@@ -87,7 +87,7 @@
     total(o, &e.sum, &over(&e.sum, idle), members);
 }
 
-/// What passed beyond an idle time of the same length.
+/// Returns the totals beyond those of an idle interval of the same length.
 fn over(sum: &Totals, idle: &Totals) -> Totals {
     let part = |n: u64| (n as f64 * sum.span as f64 / idle.span.max(1) as f64) as u64;
     let mut out = sum.clone();
@@ -99,7 +99,7 @@
     out
 }
 
-/// The kinds that made most bytes beyond idle, and processor time in all.
+/// Writes the kinds with the most bytes beyond idle, and the CPU time in total.
 fn total(o: &mut String, sum: &Totals, over: &Totals, members: usize) {
     let mut list: Vec<_> = over.traffic.iter().collect();
     list.sort_by_key(|(key, c)| (std::cmp::Reverse(c.bytes), **key));
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -1,4 +1,4 @@
-//! Events of the scale model, and the commands that they cause.
+//! Processes the events of the scale model and the commands that they cause.
 
 use std::rc::Rc;
 
@@ -22,12 +22,12 @@
 use crate::scale_model::topology;
 use crate::simulated_disk::Job;
 
-/// Messages from here on are kept once however many get them (bytes): it
-/// saves this process's memory and changes no count.
+/// Messages of at least this size are shared by all recipients (bytes). This saves memory of this
+/// process and changes no count.
 const SHARED: usize = 4_096;
 
 impl World {
-    /// Handles an event that is due.
+    /// Processes a due event.
     pub(super) fn handle(&mut self, event: ScheduledEvent) {
         if self.is_stale(&event) {
             return;
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Whether the process that an event was meant for has ended.
+    /// Returns whether the process that an event is addressed to has ended.
     fn is_stale(&self, event: &ScheduledEvent) -> bool {
         match event {
             ScheduledEvent::ControllerTimer { controller, life }
@@ -102,7 +102,7 @@
         }
     }
 
-    /// A message reaches a controller.
+    /// Delivers a message to a controller.
     fn deliver_to_controller(&mut self, controller: usize, life: u64, from: Sender, raw: &Raw) {
         let node = &mut self.controllers[controller];
         add(&mut node.meter.got, size(raw));
@@ -123,14 +123,14 @@
                 return self.step_controller(controller, CoreEvent::FromController { message });
             }
         };
-        // What comes on a new connection is preceded by its opening.
+        // The first message on a connection is preceded by `ConnectionOpened`.
         if self.opened.insert((controller, life, connection)) {
             self.step_controller(controller, CoreEvent::ConnectionOpened { connection });
         }
         self.step_controller(controller, event);
     }
 
-    /// A message reaches a querier.
+    /// Delivers a message to a querier.
     fn deliver_to_querier(&mut self, querier: usize, from: Sender, raw: &Raw) {
         let node = &mut self.queriers[querier];
         add(&mut node.meter.got, size(raw));
@@ -149,7 +149,7 @@
         self.step_querier(querier, event);
     }
 
-    /// The platform's list reaches a querier.
+    /// Delivers the platform's leaf list to a querier.
     fn deliver_list(&mut self, querier: usize) {
         let text = self.list.clone();
         add(&mut self.list_polls, text.len());
@@ -182,7 +182,7 @@
                     self.controller_sends(controller, to, from, &message);
                 }
             }
-            // Nobody moves here: all connections are as they were.
+            // Voter slots don't move in this model, so all connections stay open.
             Command::VoterSetChanged => {}
             Command::WriteVoterFile { token, roll, clear } => {
                 add(&mut self.controllers[controller].meter.disk, voter_file::write(&roll).len());
@@ -223,11 +223,11 @@
         }
     }
 
-    /// A controller answers on a connection that was opened to it.
+    /// Sends a controller's message on a connection that a peer opened to it.
     fn answer(&mut self, controller: usize, opener: Opener, message: &Message) {
         match opener {
             Opener::Controller { number, life } => {
-                // A connection ends with the life that opened it.
+                // A connection ends with the process that opened it.
                 if life == self.controllers[number].life {
                     self.controller_sends(controller, number, Sender::ConnectedController, message);
                 }
@@ -343,7 +343,7 @@
                 }
             }
             node_agent::Command::Alarm(text) => *self.alarms.entry(text).or_default() += 1,
-            // What goes to threads costs no message.
+            // Commands to the querier's own threads send no message.
             _ => {}
         }
     }
@@ -374,7 +374,7 @@
     raw.iter().map(Vec::len).sum()
 }
 
-/// Reads a message as a connection does.
+/// Decodes a message from its frames, as a connection does.
 fn read(raw: &Raw) -> Option<Message> {
     let mut reassembler = frame::Reassembler::default();
     for piece in raw.iter() {
--- a/crates/simulator/src/scale_model/topology.rs
+++ b/crates/simulator/src/scale_model/topology.rs
@@ -6,22 +6,22 @@
 use grebepath_core::time::{Span, ms};
 use serde_json::{Value, json};
 
-/// Zones (count), and the regions they lie in (count): issue 11.
+/// Zones (count), as in issue 11.
 pub const ZONES: usize = 14;
-/// Regions in which the zones lie (count).
+/// Regions that contain the zones (count), as in issue 11.
 pub const REGIONS: usize = 5;
-/// Leafs that hold the same shard (count): 5,300 leafs over 1,300 shards.
+/// Leafs that serve the same shard (count): 5,300 leafs over 1,300 shards.
 pub const LEAFS_A_SHARD: usize = 4;
-/// Shards of one search (count), at most: issue 11 asks 1,300 leafs a query.
+/// Maximum number of shards of a search: a query of issue 11 is sent to 1,300 leafs.
 pub const SHARDS: usize = 1_300;
-/// One way within a zone, between zones of a region, and for each region that
-/// lies between: common figures of cloud providers, not measured by us.
+/// One-way latency within a zone, between zones of a region, and per region of distance: typical
+/// values of cloud providers.
 const NEAR: Span = 80;
 const REGION: Span = 500;
 const FAR: Span = ms(12);
-/// Chance's part of a way, as a part of it (percent).
+/// Maximum random jitter added to a latency (percent of it).
 const WOBBLE_PCT: u64 = 50;
-/// Age that leafs tell (ms): old enough that ages cost nothing any more.
+/// Age that leafs report (ms): the maximum, from which on ages cause no further messages.
 pub const OLD_MS: u64 = grebepath_core::consts::MAX_REPORTED_LEAF_AGE_MS;
 
 /// A size to measure.
@@ -33,32 +33,32 @@
     pub leafs: usize,
 }
 
-/// The zone of the `n`th of many things.
+/// Returns the zone of the `n`th node.
 pub fn zone(n: usize) -> usize {
     n % ZONES
 }
 
-/// The region of a zone.
+/// Returns the region of a zone.
 pub fn region(zone: usize) -> usize {
     zone * REGIONS / ZONES
 }
 
-/// A zone's name.
+/// Returns the name of a zone.
 pub fn name(zone: usize) -> String {
     format!("r{}-z{zone}", region(zone))
 }
 
-/// The zone of a voter slot: each is in a region of its own.
+/// Returns the zone of a voter slot; each slot is in a different region.
 pub fn controller_zone(slot: VoterSlot) -> usize {
     usize::from(slot) * ZONES / REGIONS % ZONES + 1
 }
 
-/// Where the controller of a voter slot is reached.
+/// Returns the address of the controller of a voter slot.
 pub fn controller_address(slot: usize) -> String {
     format!("10.100.0.{slot}:9000")
 }
 
-/// One way between two zones.
+/// Draws the one-way latency between two zones.
 pub fn way(a: usize, b: usize, random: &mut Random) -> Span {
     let gap = region(a).abs_diff(region(b)) as Span;
     let base = match (a == b, gap) {
@@ -69,17 +69,17 @@
     base + random.below(base * WOBBLE_PCT / 100)
 }
 
-/// The shard of the `n`th leaf.
+/// Returns the shard of the `n`th leaf.
 fn shard(n: usize, leafs: usize) -> usize {
     n % leafs.div_ceil(LEAFS_A_SHARD).clamp(1, SHARDS)
 }
 
-/// The service of a shard.
+/// Returns the service name of a shard.
 fn service(shard: usize) -> String {
     format!("index-shard-{shard:04}")
 }
 
-/// The `n`th leaf, as the platform names it.
+/// Returns the `n`th leaf as the platform lists it.
 pub fn leaf(n: usize, leafs: usize) -> LeafInfo {
     let shard = shard(n, leafs);
     let labels = [("zone", name(zone(n))), ("cut", "w48".into()), ("shard", format!("{shard}"))];
@@ -98,13 +98,13 @@
     }
 }
 
-/// The platform's list of these leafs.
+/// Returns the platform's list of these leafs as JSON.
 pub fn list(leafs: &[LeafInfo]) -> String {
     let entry = |l: &LeafInfo| json!({ "leaf": l.leaf, "service": l.service, "addr": l.addr, "labels": l.labels });
     json!({ "leafs": leafs.iter().map(entry).collect::<Vec<_>>() }).to_string()
 }
 
-/// The configuration: a wide search over all shards and a lookup of one.
+/// Returns the configuration: a wide search over all shards and a lookup in one shard.
 pub fn config(leafs: usize) -> Value {
     let shards = leafs.div_ceil(LEAFS_A_SHARD).clamp(1, SHARDS);
     let pools: Vec<Value> = (0..shards)
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -1,4 +1,4 @@
-//! The world of the scale model: virtual time, nodes, and messages.
+//! The simulated cluster of the scale model: virtual time, nodes and messages.
 
 use std::collections::{BTreeMap, HashMap, HashSet};
 use std::rc::Rc;
@@ -26,7 +26,8 @@
 use crate::scale_model::topology::Size;
 use crate::simulated_disk::Disk;
 
-/// What happens, and to whom. A life ends with its process.
+/// An event and its recipient. `life` identifies the recipient's process: an event for a former
+/// process is dropped.
 pub(super) enum ScheduledEvent {
     ControllerTimer { controller: usize, life: u64 },
     ControllerMessage { controller: usize, life: u64, from: Sender, raw: Raw },
@@ -41,65 +42,65 @@
     StartController { controller: usize },
 }
 
-/// A message's pieces on their way; large ones are shared by all who get them.
+/// The encoded frames of a message; large messages are shared by all recipients.
 pub type Raw = Rc<Vec<Vec<u8>>>;
 
-/// Who sent a message.
+/// The sender of a message.
 #[derive(Clone, Copy)]
 pub enum Sender {
     /// The controller of a voter slot, on the connection that it opened.
     VoterSlot(VoterSlot),
     /// A controller, on a connection that was opened to it.
     ConnectedController,
-    /// A querier, and in which of its lives.
+    /// A querier, with the number of its process.
     Querier(usize, u64),
 }
 
-/// A controller.
+/// A simulated controller.
 pub struct ControllerNode {
     /// Its state machine.
     pub state: ControllerState,
     /// Its disk.
     pub disk: Disk,
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub up: bool,
-    /// How often its process was started.
+    /// Number of starts of its process.
     pub life: u64,
     /// When its process was started.
     pub began: Tick,
-    /// What it spent since it was last reset.
+    /// Its costs since the last reset.
     pub meter: Meter,
-    /// The last large message that was written: many get the same.
+    /// The last large message that it encoded, shared when the next one is equal.
     pub last: Option<Raw>,
 }
 
-/// A querier without traffic threads.
+/// A simulated querier without threads for queries.
 pub struct QuerierNode {
-    /// How it names itself to other members.
+    /// Its entry in the membership.
     pub me: Member,
     /// Its zone.
     pub zone: usize,
     /// Its node agent.
     pub node_agent: NodeAgent,
-    /// Whether its process runs.
+    /// Whether its process is running.
     pub up: bool,
-    /// How often its process was started.
+    /// Number of starts of its process.
     pub life: u64,
     /// When its process was started.
     pub began: Tick,
-    /// Whether it says that it is ready.
+    /// Whether it reports that it is ready.
     pub ready: bool,
-    /// Whether an answer of the platform's list is awaited.
+    /// Whether a poll of the platform's list is in flight.
     pub polling: bool,
-    /// What it spent since it was last reset.
+    /// Its costs since the last reset.
     pub meter: Meter,
 }
 
-/// The world.
+/// The simulated cluster.
 pub struct World {
     /// The virtual time.
     pub now: Tick,
-    /// The size of the fleet.
+    /// The size of the cluster.
     pub size: Size,
     queue: EventQueue<ScheduledEvent>,
     /// Draws latencies and seeds.
@@ -108,35 +109,35 @@
     pub controllers: Vec<ControllerNode>,
     /// The queriers.
     pub queriers: Vec<QuerierNode>,
-    /// Numbers of the queriers by their names.
+    /// Indices of the queriers by name.
     pub by_name: HashMap<String, usize>,
     /// All leafs.
     pub leafs: Vec<LeafInfo>,
-    /// The platform's list as it is served.
+    /// The platform's leaf list as it is served.
     pub list: Rc<String>,
     /// Messages by link and kind.
     pub traffic: Traffic,
-    /// Polls of the list and probes of leafs, which are not our messages.
+    /// Polls of the platform's list, which are not counted in `traffic`.
     pub list_polls: Count,
-    /// Probes of leafs (count).
+    /// Probes of leafs (count), which are not counted in `traffic`.
     pub probes: u64,
-    /// Outcomes of operators' requests, with their times.
+    /// Results of operator requests, with the times at which they arrived.
     pub results: BTreeMap<u64, (Tick, OperationResult)>,
-    /// Alarms by their texts.
+    /// Number of alarms by text.
     pub alarms: BTreeMap<String, u64>,
     last: HashMap<(usize, usize), Tick>,
-    /// Connections that each controller has seen opened, by its life.
+    /// Connections opened to controllers, as (controller, its process, connection).
     pub opened: HashSet<(usize, u64, u64)>,
 }
 
-/// Queriers that start together come up within this time, as machines do.
+/// Interval over which the first starts of the queriers are spread, as with real machines.
 const SPREAD: Span = ms(1_000);
 
-/// The world's beginning.
+/// Start time of the simulation.
 const BEGIN: Tick = ms(1_000);
 
 impl World {
-    /// A fleet that is just being started.
+    /// Creates a cluster in which controllers are started and queriers are about to start.
     pub fn new(size: Size, seed: u64) -> Self {
         let mut world = World {
             now: BEGIN,
@@ -177,7 +178,7 @@
         world
     }
 
-    /// A machine for one more querier, which is down.
+    /// Adds a machine for a querier, which is down.
     pub fn add_querier(&mut self) -> usize {
         let querier = self.queriers.len();
         let zone = topology::zone(querier);
@@ -209,7 +210,7 @@
         querier
     }
 
-    /// Starts a querier, which knows nothing.
+    /// Starts a querier without any state.
     pub fn start_querier(&mut self, querier: usize) {
         let node = &mut self.queriers[querier];
         node.life += 1;
@@ -221,7 +222,7 @@
         self.push(after, ScheduledEvent::QuerierTimer { querier, life });
     }
 
-    /// Ends a querier at once.
+    /// Kills a querier.
     pub fn kill_querier(&mut self, querier: usize) {
         let life = self.queriers[querier].life;
         let node = &mut self.queriers[querier];
@@ -235,7 +236,7 @@
         }
     }
 
-    /// Starts a controller on its disk.
+    /// Starts a controller with the contents of its disk.
     pub fn start_controller(&mut self, controller: usize) {
         let seed = self.random.next_u64();
         let start = Start {
@@ -258,25 +259,25 @@
         self.push(start_delay(seed), ScheduledEvent::ControllerTimer { controller, life });
     }
 
-    /// Ends a controller at once; its system writes what it was given.
+    /// Kills a controller; its operating system completes the submitted disk writes.
     pub fn kill_controller(&mut self, controller: usize) {
         let node = &mut self.controllers[controller];
         node.up = false;
         node.disk.finish_all();
     }
 
-    /// Lets something happen after a while.
+    /// Schedules an event after `after`.
     pub(super) fn push(&mut self, after: Span, event: ScheduledEvent) {
         let at = self.now + after;
         self.push_at(at, event);
     }
 
-    /// Lets something happen at a time.
+    /// Schedules an event at `at`.
     pub(super) fn push_at(&mut self, at: Tick, event: ScheduledEvent) {
         self.queue.push(at, event);
     }
 
-    /// When a message sent now arrives: those of one connection keep their order.
+    /// Returns when a message sent now arrives; messages of one connection keep their order.
     pub fn arrival(&mut self, from: (usize, usize), to: (usize, usize)) -> Tick {
         let at = self.now + topology::way(from.1, to.1, &mut self.random);
         let last = self.last.entry((from.0, to.0)).or_insert(0);
@@ -284,7 +285,7 @@
         *last
     }
 
-    /// Lets `span` pass.
+    /// Advances the time by `span`.
     pub fn run(&mut self, span: Span) {
         let end = self.now + span;
         while let Some((at, event)) = self.queue.pop_until(end) {
@@ -294,7 +295,8 @@
         self.now = end;
     }
 
-    /// Lets time pass until `done`, at most `span`; the time it took.
+    /// Advances the time until `done`, at most by `span`. Returns the time it took, or `None` on
+    /// timeout.
     pub fn until(&mut self, span: Span, done: impl Fn(&World) -> bool) -> Option<Span> {
         let begin = self.now;
         while self.now < begin + span {
@@ -306,7 +308,7 @@
         done(self).then_some(self.now - begin)
     }
 
-    /// The newest committed revision of a partition.
+    /// Returns the newest committed revision of a partition.
     pub fn committed_revision_of(&self, part: usize) -> u64 {
         self.controllers
             .iter()
@@ -316,9 +318,9 @@
             .unwrap_or(0)
     }
 
-    /// Whether every querier that is up serves by the newest configuration, knows every
-    /// leaf, is ready, and has its settled place in the same membership, and every
-    /// controller shows as much. Ages of leafs may still be under way.
+    /// Returns whether every running querier uses the newest configuration, knows every leaf, is
+    /// ready and has a settled position in the same membership, and every controller has the same
+    /// configuration and leafs. Updates of leaf ages may still be in flight.
     pub fn whole(&self) -> bool {
         let up = self.queriers.iter().filter(|querier| querier.up);
         let (revision, count) = (self.committed_revision_of(0), up.clone().count());
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -225,7 +225,7 @@
     forget(&mut site);
     ask(&mut site, 1, &order);
     let why = judged(&site).unwrap_err();
-    assert!(why.contains("sent again as it was, and refused"), "{why}");
+    assert!(why.contains("resent unchanged, and refused"), "{why}");
 }
 
 #[test]
