--- a/crates/simulator/src/linearizability/compile.rs
+++ b/crates/simulator/src/linearizability/compile.rs
@@ -32,7 +32,7 @@
     pub replaces: bool,
     pub puts: Vec<(Key, Option<Value>)>,
     /// With `replaces`: whether each object is retained.
-    pub stays: Vec<bool>,
+    pub retained: Vec<bool>,
     pub edition: Option<u64>,
     /// Observations that must be placed before this write takes effect.
     pub before: Vec<usize>,
@@ -144,7 +144,7 @@
     for (key, value) in start {
         contents[key] = Some(value);
     }
-    stays(history, &effect_of, &names, &mut effects);
+    retained(history, &effect_of, &names, &mut effects);
     let mut known: Vec<usize> =
         (0..effects.len()).filter(|e| effects[*e].revision.is_some()).collect();
     known.sort_by_key(|e| effects[*e].revision);
@@ -186,14 +186,14 @@
             .iter()
             .map(|(name, value)| (names.key(name), value.as_ref().map(|v| names.value(v))))
             .collect(),
-        stays: Vec::new(),
+        retained: Vec::new(),
         edition: write.effect.edition,
         before: Vec::new(),
     })
 }
 
 /// Records which objects each replacing effect retains.
-fn stays(
+fn retained(
     history: &History,
     effect_of: &BTreeMap<usize, usize>,
     names: &Names,
@@ -201,11 +201,11 @@
 ) {
     for (write, effect) in effect_of {
         let Some(prefix) = &history.writes[*write].effect.keeps else { continue };
-        let mut stays = vec![false; names.keys.len()];
+        let mut retained = vec![false; names.keys.len()];
         for (name, key) in &names.keys {
-            stays[*key] = name.starts_with(prefix);
+            retained[*key] = name.starts_with(prefix);
         }
-        effects[*effect].stays = stays;
+        effects[*effect].retained = retained;
     }
 }
 
--- a/crates/simulator/src/linearizability/explain.rs
+++ b/crates/simulator/src/linearizability/explain.rs
@@ -23,21 +23,21 @@
         run(&compile(history, weakened), limit) == Outcome::Impossible
     };
     // Binary search for the shortest failing prefix: every longer prefix fails too.
-    let (mut fits, mut short) = (0, answers.len());
-    while short - fits > 1 {
-        let middle = fits + (short - fits) / 2;
-        let begun = beginning(history, &answers[..middle]);
-        if fails(&begun, &later_reads(history, &answers[..middle])) {
-            short = middle;
+    let (mut fits, mut failing) = (0, answers.len());
+    while failing - fits > 1 {
+        let middle = fits + (failing - fits) / 2;
+        let prefix = history_prefix(history, &answers[..middle]);
+        if fails(&prefix, &later_reads(history, &answers[..middle])) {
+            failing = middle;
         } else {
             fits = middle;
         }
     }
-    let history = beginning(history, &answers[..short]);
-    let Some(last) = answers[..short].last().copied() else {
+    let history = history_prefix(history, &answers[..failing]);
+    let Some(last) = answers[..failing].last().copied() else {
         return violation(&history, None, Vec::new());
     };
-    let mut needed = answers[..short - 1].to_vec();
+    let mut needed = answers[..failing - 1].to_vec();
     let mut size = needed.len().div_ceil(2).max(1);
     let mut runs = 0;
     loop {
@@ -74,7 +74,7 @@
 }
 
 /// Returns the history up to the last of these answers. It still contains all reads.
-fn beginning(history: &History, answers: &[Answered]) -> History {
+fn history_prefix(history: &History, answers: &[Answered]) -> History {
     let end = answers.iter().map(|a| time(history, *a)).max().unwrap_or(0);
     let mut out = history.clone();
     let known = |answer: Answered| answers.contains(&answer);
--- a/crates/simulator/src/linearizability/search.rs
+++ b/crates/simulator/src/linearizability/search.rs
@@ -185,9 +185,9 @@
                     && *contents == self.contents_hash
             }
             Observed::Refusal { effect, base, version } => {
-                let version_matches = |standing: u64| version.is_none_or(|v| v == standing);
-                let other = |base: Option<u64>, standing: u64| {
-                    base.is_some_and(|b| b != standing) && version_matches(standing)
+                let version_matches = |current: u64| version.is_none_or(|v| v == current);
+                let other = |base: Option<u64>, current: u64| {
+                    base.is_some_and(|b| b != current) && version_matches(current)
                 };
                 effect.is_none_or(|e| !self.effected[e])
                     && (other(base.revision, self.revision) || other(base.edition, self.edition))
@@ -281,8 +281,9 @@
                 self.revision = effect.revision.unwrap_or(self.revision + 1);
                 self.edition = effect.edition.unwrap_or(self.edition);
                 if effect.replaces {
-                    let goes = |k: &Key| !effect.stays.get(*k).is_some_and(|stays| *stays);
-                    for key in (0..self.contents.len()).filter(goes) {
+                    let removed =
+                        |k: &Key| !effect.retained.get(*k).is_some_and(|retained| *retained);
+                    for key in (0..self.contents.len()).filter(removed) {
                         self.put(key, None, &mut changed);
                     }
                 }
--- a/crates/simulator/src/scale_model/cli.rs
+++ b/crates/simulator/src/scale_model/cli.rs
@@ -74,7 +74,7 @@
 
 /// Measures and prints each size.
 pub fn run(args: &Args) {
-    let wish = Measurements {
+    let measurements = Measurements {
         idle: args.idle.max(1) * SECOND,
         single: !args.calm_only,
         restarts: !args.calm_only && !args.no_restarts,
@@ -84,6 +84,6 @@
             print!("{}", fan_out::text(&fan_out::measure(size.members, size.leafs)));
             continue;
         }
-        print!("{}", report::text(&measure(*size, args.seed, wish)));
+        print!("{}", report::text(&measure(*size, args.seed, measurements)));
     }
 }
--- a/crates/simulator/src/scale_model/fan_out.rs
+++ b/crates/simulator/src/scale_model/fan_out.rs
@@ -50,12 +50,13 @@
 /// Returns the query engine of one of `of` threads with equal quota shares, with a view of this
 /// many shards.
 fn open_engine(shards: usize, of: usize) -> QueryEngine {
-    let leafs = shards * topology::LEAFS_A_SHARD;
+    let leafs = shards * topology::LEAFS_PER_SHARD;
     let conf = topology::config(leafs).to_string();
     let conf = Config::from_json(conf.as_bytes())
         .and_then(|c| RoutingTable::build(&c))
         .unwrap_or_default();
-    let leaf = |n: usize| LeafInfo { age_ms: topology::OLD_MS, ..topology::leaf(n, leafs) };
+    let leaf =
+        |n: usize| LeafInfo { age_ms: topology::MATURE_LEAF_AGE_MS, ..topology::leaf(n, leafs) };
     let view = ClusterView::new(1, Arc::new(conf), (0..leafs).map(leaf).collect());
     let mut engine = QueryEngine::new("front", &topology::name(0), 1, BOOT);
     let members: Vec<(String, u32)> = (0..of).map(|n| (format!("front-{n}"), 1)).collect();
@@ -102,9 +103,9 @@
             let Command::Send(s) = command else { continue };
             result.dispatches += 1;
             result.asked += s.body.len() as u64;
-            let got = reply(&s);
-            result.replied += got.body.len() as u64;
-            let event = Event::AttemptEnded { attempt: s.attempt, result: Ok(got) };
+            let received = reply(&s);
+            result.replied += received.body.len() as u64;
+            let event = Event::AttemptEnded { attempt: s.attempt, result: Ok(received) };
             let done = timed(&mut result.take_ns, || engine.step(now + 20 * MILLI, event));
             let full =
                 |c: &Command| matches!(c, Command::Respond { outcome: Outcome::Answered(_), .. });
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -13,13 +13,13 @@
 use crate::scale_model::world::{ScheduledEvent, World};
 
 /// Timeout for each awaited condition.
-const PATIENCE: Span = 60 * SECOND;
+const TIMEOUT: Span = 60 * SECOND;
 
 /// Time between the end of a process and its next start.
-const RESTART: Span = SECOND;
+const RESTART_DELAY: Span = SECOND;
 
 /// Time after a phase in which its last messages arrive.
-const SETTLE: Span = 2 * SECOND;
+const SETTLE_TIME: Span = 2 * SECOND;
 
 /// Selects what to measure.
 #[derive(Clone, Copy)]
@@ -158,60 +158,60 @@
     }
 
     /// Submits a configuration change and waits until the last member has applied it.
-    fn change(&mut self) -> Event {
+    fn change_configuration(&mut self) -> Event {
         self.reset();
         let begin = self.now;
         let op = 1_000;
         let text = json!({ "zones": [{ "name": "mark", "state": "open" }] }).to_string();
         self.operate(op, Operation::Patch(text.into_bytes()));
         let old = self.committed_revision_of(0);
-        let obeys =
+        let applied =
             |world: &World| {
                 world.queriers.iter().filter(|querier| querier.up).all(|querier| {
                     querier.node_agent.view.as_ref().is_some_and(|v| v.revision > old)
                 })
             };
-        let last = self.until(PATIENCE, obeys);
-        self.until(PATIENCE, |world| world.results.contains_key(&op));
+        let last = self.until(TIMEOUT, applied);
+        self.until(TIMEOUT, |world| world.results.contains_key(&op));
         let accepted = match self.results.get(&op) {
             Some((at, OperationResult::Accepted { .. })) => Some(at - begin),
             _ => None,
         };
-        self.run(SETTLE);
+        self.run(SETTLE_TIME);
         Event { accepted, last, sum: self.take(begin) }
     }
 
     /// Adds a leaf to the platform's list and waits until the last member knows it.
-    fn leaf_comes(&mut self) -> Event {
+    fn add_leaf(&mut self) -> Event {
         self.reset();
         let begin = self.now;
         let mut new = topology::leaf(
-            self.leafs.len() + topology::LEAFS_A_SHARD * topology::SHARDS,
+            self.leafs.len() + topology::LEAFS_PER_SHARD * topology::MAX_SHARDS,
             self.size.leafs,
         );
         new.leaf = format!("{}-new", new.service);
         let name = new.leaf.clone();
         self.leafs.push(new);
         self.list = std::rc::Rc::new(topology::list(&self.leafs));
-        let holds = |world: &World| {
+        let knows_leaf = |world: &World| {
             world.queriers.iter().filter(|querier| querier.up).all(|querier| {
                 querier.node_agent.view.as_ref().is_some_and(|v| v.leafs.contains_key(&name))
             })
         };
-        let last = self.until(PATIENCE, holds);
+        let last = self.until(TIMEOUT, knows_leaf);
         // Its age is known after its first probe.
-        self.run(SETTLE);
+        self.run(SETTLE_TIME);
         Event { accepted: None, last, sum: self.take(begin) }
     }
 
     /// Adds a querier and waits until it has its allocation and all members know it.
-    fn member_comes(&mut self) -> Event {
+    fn add_member(&mut self) -> Event {
         self.reset();
         let begin = self.now;
         let querier = self.add_querier();
         self.start_querier(querier);
-        let last = self.until(PATIENCE, World::whole);
-        self.run(SETTLE);
+        let last = self.until(TIMEOUT, World::converged);
+        self.run(SETTLE_TIME);
         Event { accepted: None, last, sum: self.take(begin) }
     }
 
@@ -220,40 +220,40 @@
         self.reset();
         for querier in queriers {
             self.kill_querier(*querier);
-            self.push(RESTART, ScheduledEvent::StartQuerier { querier: *querier });
+            self.push(RESTART_DELAY, ScheduledEvent::StartQuerier { querier: *querier });
         }
         for controller in seats {
             self.kill_controller(*controller);
-            self.push(RESTART, ScheduledEvent::StartController { controller: *controller });
+            self.push(RESTART_DELAY, ScheduledEvent::StartController { controller: *controller });
         }
         let begin = self.now;
-        self.run(RESTART + MILLI);
-        let back = self.until(PATIENCE, World::whole);
+        self.run(RESTART_DELAY + MILLI);
+        let back = self.until(TIMEOUT, World::converged);
         let last = back.map(|_| self.now - begin);
-        self.run(SETTLE);
+        self.run(SETTLE_TIME);
         Event { accepted: None, last, sum: self.take(begin) }
     }
 }
 
 /// Measures one size.
-pub fn measure(size: Size, seed: u64, wish: Measurements) -> Findings {
+pub fn measure(size: Size, seed: u64, measurements: Measurements) -> Findings {
     let mut world = World::new(size, seed);
     let begin = world.now;
     world.reset();
     let conf = topology::config(size.leafs).to_string().into_bytes();
     world.operate(1, Operation::Replace(conf));
-    let start = world.until(PATIENCE, World::whole);
+    let start = world.until(TIMEOUT, World::converged);
     let start_sum = world.take(begin);
-    world.run(SETTLE);
+    world.run(SETTLE_TIME);
     let resident_bytes = meter::resident_bytes();
-    let idle = world.idle(wish.idle);
+    let idle = world.idle(measurements.idle);
     let mut events = Vec::new();
-    if wish.single {
-        events.push(("one configuration change", world.change()));
-        events.push(("one leaf coming", world.leaf_comes()));
-        events.push(("one member coming", world.member_comes()));
+    if measurements.single {
+        events.push(("one configuration change", world.change_configuration()));
+        events.push(("one leaf coming", world.add_leaf()));
+        events.push(("one member coming", world.add_member()));
     }
-    if wish.restarts {
+    if measurements.restarts {
         let n = world.queriers.len();
         let few: Vec<usize> = (0..n.div_ceil(100)).map(|i| i * 100 % n).collect();
         events.push(("restart of 1%", world.restart(&few, &[])));
--- a/crates/simulator/src/scale_model/memory.rs
+++ b/crates/simulator/src/scale_model/memory.rs
@@ -11,58 +11,63 @@
 use grebepath_core::snapshot::leafs::LeafInfo;
 
 /// Allocator overhead of a block (bytes).
-const BLOCK: usize = 16;
+const BLOCK_OVERHEAD_BYTES: usize = 16;
 /// Overhead of a `String` or `Vec` (bytes).
-const TEXT: usize = 24 + BLOCK;
+const TEXT_OVERHEAD_BYTES: usize = 24 + BLOCK_OVERHEAD_BYTES;
 /// Overhead of a B-tree entry (bytes): nodes are about 70% full.
-const TREE: usize = 12;
+const TREE_ENTRY_OVERHEAD_BYTES: usize = 12;
 /// Overhead of an index map entry beside key and value (bytes): hash, index, spare capacity.
-const INDEX: usize = 24;
+const INDEX_ENTRY_OVERHEAD_BYTES: usize = 24;
 /// Reference counts of an `Arc` and its block (bytes).
-const ARC: usize = 16 + BLOCK;
+const ARC_OVERHEAD_BYTES: usize = 16 + BLOCK_OVERHEAD_BYTES;
 
 fn text(s: &str) -> usize {
-    TEXT + s.len()
+    TEXT_OVERHEAD_BYTES + s.len()
 }
 
 /// Returns the size of a partition's contents (bytes).
 pub fn map(m: &EntryMap) -> usize {
-    m.iter().map(|(k, v)| text(k) + TEXT + v.len() + TREE).sum()
+    m.iter().map(|(k, v)| text(k) + TEXT_OVERHEAD_BYTES + v.len() + TREE_ENTRY_OVERHEAD_BYTES).sum()
 }
 
 fn leaf(l: &LeafInfo) -> usize {
     let labels: usize = l.labels.iter().map(|(k, v)| text(k) + text(v)).sum();
     // The first node of a B-tree has capacity for eleven entries, however few it holds.
-    let node = 11 * 48 + BLOCK;
+    let node = 11 * 48 + BLOCK_OVERHEAD_BYTES;
     std::mem::size_of::<LeafInfo>()
         + l.leaf.len()
         + l.service.len()
         + l.addr.len()
-        + 3 * BLOCK
+        + 3 * BLOCK_OVERHEAD_BYTES
         + labels
         + node
-        + ARC
+        + ARC_OVERHEAD_BYTES
 }
 
 fn built(b: &RoutingTable) -> usize {
     let pool = |p: &grebepath_core::config::route::CompiledPool| {
-        std::mem::size_of_val(p) + p.name.len() + p.service.len() + 3 * BLOCK
+        std::mem::size_of_val(p) + p.name.len() + p.service.len() + 3 * BLOCK_OVERHEAD_BYTES
     };
     let shard = |s: &grebepath_core::config::route::RouteShard| {
-        text(&s.name) + TEXT + s.pools.iter().map(pool).sum::<usize>()
+        text(&s.name) + TEXT_OVERHEAD_BYTES + s.pools.iter().map(pool).sum::<usize>()
     };
     b.routes.values().map(|m| m.shards.iter().map(shard).sum::<usize>()).sum()
 }
 
 fn view(v: &ClusterView) -> usize {
-    let leafs: usize = v.leafs.values().map(|l| leaf(l) + text(&l.leaf) + 8 + INDEX + 8).sum();
-    let services: usize = v.services.keys().map(|s| text(s) + TEXT + INDEX).sum();
+    let leafs: usize = v
+        .leafs
+        .values()
+        .map(|l| leaf(l) + text(&l.leaf) + 8 + INDEX_ENTRY_OVERHEAD_BYTES + 8)
+        .sum();
+    let services: usize =
+        v.services.keys().map(|s| text(s) + TEXT_OVERHEAD_BYTES + INDEX_ENTRY_OVERHEAD_BYTES).sum();
     // The routes are held by the compiled configuration and once more by name.
     leafs + services + 2 * built(&v.routing_table)
 }
 
 fn member(m: &Member) -> usize {
-    std::mem::size_of_val(m) + m.name.len() + m.addr.len() + m.zone.len() + 3 * BLOCK
+    std::mem::size_of_val(m) + m.name.len() + m.addr.len() + m.zone.len() + 3 * BLOCK_OVERHEAD_BYTES
 }
 
 fn membership(c: &Membership) -> usize {
@@ -80,7 +85,9 @@
 /// Returns the size of a controller's state (bytes).
 pub fn core(c: &ControllerState) -> usize {
     let entries = |list: &Vec<grebepath_core::config::stored::Entry>| -> usize {
-        list.iter().map(|(k, v)| text(k) + TEXT + v.as_ref().map_or(0, Vec::len)).sum()
+        list.iter()
+            .map(|(k, v)| text(k) + TEXT_OVERHEAD_BYTES + v.as_ref().map_or(0, Vec::len))
+            .sum()
     };
     let parts: usize = c
         .partitions
@@ -92,7 +99,9 @@
         })
         .sum();
     let heard: usize = c.members.last_renewals.values().map(|h| 2 * member(&h.member) + 80).sum();
-    let connections: usize = c.members.connections.keys().map(|n| text(n) + 8 + INDEX).sum();
-    let follow: usize = c.subscribers.values().map(|f| 200 + 16 * f.len() + INDEX).sum();
+    let connections: usize =
+        c.members.connections.keys().map(|n| text(n) + 8 + INDEX_ENTRY_OVERHEAD_BYTES).sum();
+    let follow: usize =
+        c.subscribers.values().map(|f| 200 + 16 * f.len() + INDEX_ENTRY_OVERHEAD_BYTES).sum();
     parts + heard + connections + follow + membership(&c.members.membership)
 }
--- a/crates/simulator/src/scale_model/meter.rs
+++ b/crates/simulator/src/scale_model/meter.rs
@@ -20,7 +20,7 @@
     /// Messages that it sent.
     pub sent: Count,
     /// Messages that it received.
-    pub got: Count,
+    pub received: Count,
     /// Events processed by its state machine.
     pub steps: u64,
     /// CPU time spent in `step` (ns).
--- a/crates/simulator/src/scale_model/report.rs
+++ b/crates/simulator/src/scale_model/report.rs
@@ -53,7 +53,7 @@
 /// Writes the mean and the maximum over all nodes of a role.
 fn node(o: &mut String, name: &str, list: &[Meter], span: Span) {
     let n = list.len().max(1) as f64;
-    let both = |m: &Meter| m.sent.bytes + m.got.bytes;
+    let both = |m: &Meter| m.sent.bytes + m.received.bytes;
     let mean = |f: &dyn Fn(&Meter) -> u64| list.iter().map(|m| rate(f(m), span)).sum::<f64>() / n;
     let most =
         |f: &dyn Fn(&Meter) -> u64| list.iter().map(|m| rate(f(m), span)).fold(0.0, f64::max);
@@ -63,8 +63,8 @@
          worst {:.0} bytes, {:.0} steps",
         mean(&|m| m.sent.messages),
         mean(&|m| m.sent.bytes),
-        mean(&|m| m.got.messages),
-        mean(&|m| m.got.bytes),
+        mean(&|m| m.received.messages),
+        mean(&|m| m.received.bytes),
         most(&both),
         mean(&|m| m.steps),
     );
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -24,7 +24,7 @@
 
 /// Messages of at least this size are shared by all recipients (bytes). This saves memory of this
 /// process and changes no count.
-const SHARED: usize = 4_096;
+const SHARED_MESSAGE_BYTES: usize = 4_096;
 
 impl World {
     /// Processes a due event.
@@ -105,7 +105,7 @@
     /// Delivers a message to a controller.
     fn deliver_to_controller(&mut self, controller: usize, life: u64, from: Sender, raw: &Raw) {
         let node = &mut self.controllers[controller];
-        add(&mut node.meter.got, size(raw));
+        add(&mut node.meter.received, size(raw));
         let Some(message) = timed(&mut node.meter.codec_ns, || read(raw)) else { return };
         let (connection, event) = match from {
             Sender::VoterSlot(slot) => {
@@ -133,7 +133,7 @@
     /// Delivers a message to a querier.
     fn deliver_to_querier(&mut self, querier: usize, from: Sender, raw: &Raw) {
         let node = &mut self.queriers[querier];
-        add(&mut node.meter.got, size(raw));
+        add(&mut node.meter.received, size(raw));
         let Some(message) = timed(&mut node.meter.codec_ns, || read(raw)) else { return };
         let event = match (from, message) {
             (Sender::VoterSlot(_), Message::VoterSetUpdate { voter_set: table, .. }) => {
@@ -162,7 +162,7 @@
 
     fn step_controller(&mut self, controller: usize, event: CoreEvent) {
         let node = &mut self.controllers[controller];
-        let local = self.now - node.began + BOOT;
+        let local = self.now - node.started + BOOT;
         node.meter.steps += 1;
         let commands = timed(&mut node.meter.step_ns, || node.state.step(local, event));
         for command in commands {
@@ -267,7 +267,7 @@
         let mut raw =
             Rc::new(timed(&mut node.meter.codec_ns, || frame::split(&frame::encode(message))));
         let bytes = size(&raw);
-        if bytes >= SHARED {
+        if bytes >= SHARED_MESSAGE_BYTES {
             match &node.last {
                 Some(last) if **last == *raw => raw = last.clone(),
                 _ => node.last = Some(raw.clone()),
@@ -294,7 +294,7 @@
 
     fn step_querier(&mut self, querier: usize, event: node_agent::Event) {
         let node = &mut self.queriers[querier];
-        let local = self.now - node.began + BOOT;
+        let local = self.now - node.started + BOOT;
         node.meter.steps += 1;
         let commands = timed(&mut node.meter.step_ns, || node.node_agent.step(local, event));
         for command in commands {
@@ -332,7 +332,7 @@
                 for info in list {
                     let word = LeafReport {
                         leaf: info.leaf.clone(),
-                        age_ms: topology::OLD_MS,
+                        age_ms: topology::MATURE_LEAF_AGE_MS,
                         ..LeafReport::default()
                     };
                     let event = Box::new(node_agent::Event::LeafReport {
--- a/crates/simulator/src/scale_model/topology.rs
+++ b/crates/simulator/src/scale_model/topology.rs
@@ -11,18 +11,18 @@
 /// Regions that contain the zones (count), as in issue 11.
 pub const REGIONS: usize = 5;
 /// Leafs that serve the same shard (count): 5,300 leafs over 1,300 shards.
-pub const LEAFS_A_SHARD: usize = 4;
+pub const LEAFS_PER_SHARD: usize = 4;
 /// Maximum number of shards of a search: a query of issue 11 is sent to 1,300 leafs.
-pub const SHARDS: usize = 1_300;
+pub const MAX_SHARDS: usize = 1_300;
 /// One-way latency within a zone, between zones of a region, and per region of distance: typical
 /// values of cloud providers.
-const NEAR: Span = 80;
-const REGION: Span = 500;
-const FAR: Span = ms(12);
+const ZONE_LATENCY: Span = 80;
+const REGION_LATENCY: Span = 500;
+const INTER_REGION_LATENCY: Span = ms(12);
 /// Maximum random jitter added to a latency (percent of it).
-const WOBBLE_PCT: u64 = 50;
+const JITTER_PCT: u64 = 50;
 /// Age that leafs report (ms): the maximum, from which on ages cause no further messages.
-pub const OLD_MS: u64 = grebepath_core::consts::MAX_REPORTED_LEAF_AGE_MS;
+pub const MATURE_LEAF_AGE_MS: u64 = grebepath_core::consts::MAX_REPORTED_LEAF_AGE_MS;
 
 /// A size to measure.
 #[derive(Clone, Copy)]
@@ -62,16 +62,16 @@
 pub fn way(a: usize, b: usize, random: &mut Random) -> Span {
     let gap = region(a).abs_diff(region(b)) as Span;
     let base = match (a == b, gap) {
-        (true, _) => NEAR,
-        (false, 0) => REGION,
-        (false, n) => FAR * n,
+        (true, _) => ZONE_LATENCY,
+        (false, 0) => REGION_LATENCY,
+        (false, n) => INTER_REGION_LATENCY * n,
     };
-    base + random.below(base * WOBBLE_PCT / 100)
+    base + random.below(base * JITTER_PCT / 100)
 }
 
 /// Returns the shard of the `n`th leaf.
 fn shard(n: usize, leafs: usize) -> usize {
-    n % leafs.div_ceil(LEAFS_A_SHARD).clamp(1, SHARDS)
+    n % leafs.div_ceil(LEAFS_PER_SHARD).clamp(1, MAX_SHARDS)
 }
 
 /// Returns the service name of a shard.
@@ -106,7 +106,7 @@
 
 /// Returns the configuration: a wide search over all shards and a lookup in one shard.
 pub fn config(leafs: usize) -> Value {
-    let shards = leafs.div_ceil(LEAFS_A_SHARD).clamp(1, SHARDS);
+    let shards = leafs.div_ceil(LEAFS_PER_SHARD).clamp(1, MAX_SHARDS);
     let pools: Vec<Value> = (0..shards)
         .map(|s| {
             let labels = json!({ "index": "all", "cut": "w48", "shard": s.to_string() });
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -67,7 +67,7 @@
     /// Number of starts of its process.
     pub life: u64,
     /// When its process was started.
-    pub began: Tick,
+    pub started: Tick,
     /// Its costs since the last reset.
     pub meter: Meter,
     /// The last large message that it encoded, shared when the next one is equal.
@@ -87,7 +87,7 @@
     /// Number of starts of its process.
     pub life: u64,
     /// When its process was started.
-    pub began: Tick,
+    pub started: Tick,
     /// Whether it reports that it is ready.
     pub ready: bool,
     /// Whether a poll of the platform's list is in flight.
@@ -131,16 +131,16 @@
 }
 
 /// Interval over which the first starts of the queriers are spread, as with real machines.
-const SPREAD: Span = ms(1_000);
+const START_SPREAD: Span = ms(1_000);
 
 /// Start time of the simulation.
-const BEGIN: Tick = ms(1_000);
+const START_TIME: Tick = ms(1_000);
 
 impl World {
     /// Creates a cluster in which controllers are started and queriers are about to start.
     pub fn new(size: Size, seed: u64) -> Self {
         let mut world = World {
-            now: BEGIN,
+            now: START_TIME,
             size,
             queue: EventQueue::default(),
             random: Random::new(seed),
@@ -164,7 +164,7 @@
                 disk: Disk::new(partitions().count()),
                 up: false,
                 life: 0,
-                began: 0,
+                started: 0,
                 meter: Meter::default(),
                 last: None,
             });
@@ -172,7 +172,7 @@
         }
         for querier in 0..size.members {
             world.add_querier();
-            let after = world.random.below(SPREAD);
+            let after = world.random.below(START_SPREAD);
             world.push(after, ScheduledEvent::StartQuerier { querier });
         }
         world
@@ -201,7 +201,7 @@
             node_agent,
             up: false,
             life: 0,
-            began: 0,
+            started: 0,
             ready: false,
             polling: false,
             meter,
@@ -214,7 +214,7 @@
     pub fn start_querier(&mut self, querier: usize) {
         let node = &mut self.queriers[querier];
         node.life += 1;
-        (node.up, node.ready, node.polling, node.began) = (true, false, false, self.now);
+        (node.up, node.ready, node.polling, node.started) = (true, false, false, self.now);
         node.me.incarnation = node.life;
         node.node_agent = node_agent::NodeAgent::new(node.me.clone(), BOOT);
         let life = node.life;
@@ -241,7 +241,7 @@
         let seed = self.random.next_u64();
         let start = Start {
             slot: Some(controller as VoterSlot),
-            first: self.now == BEGIN,
+            first: self.now == START_TIME,
             seeds: (0..consts::DEFAULT_VOTER_SLOTS as usize)
                 .map(topology::controller_address)
                 .collect(),
@@ -252,7 +252,7 @@
         let recovered = Recovered::read(disk, &start, seed);
         let node = &mut self.controllers[controller];
         node.life += 1;
-        (node.up, node.began) = (true, self.now);
+        (node.up, node.started) = (true, self.now);
         let zone = topology::name(topology::controller_zone(controller as VoterSlot));
         node.state = recovered.into_state(&start.addr, &zone, seed);
         let life = node.life;
@@ -321,7 +321,7 @@
     /// Returns whether every running querier uses the newest configuration, knows every leaf, is
     /// ready and has a settled position in the same membership, and every controller has the same
     /// configuration and leafs. Updates of leaf ages may still be in flight.
-    pub fn whole(&self) -> bool {
+    pub fn converged(&self) -> bool {
         let up = self.queriers.iter().filter(|querier| querier.up);
         let (revision, count) = (self.committed_revision_of(0), up.clone().count());
         let shows = |controller: &ControllerNode| {
@@ -331,7 +331,7 @@
                 && controller.state.partitions[0].committed_revision == revision
                 && leafs == self.leafs.len()
         };
-        let whole = |querier: &QuerierNode| {
+        let converged = |querier: &QuerierNode| {
             let c = &querier.node_agent.membership;
             let view = querier.node_agent.view.as_ref();
             querier.ready
@@ -339,7 +339,7 @@
                 && c.members.len() == count
                 && view.is_some_and(|v| v.revision == revision && v.leafs.len() == self.leafs.len())
         };
-        revision > 0 && self.controllers.iter().all(shows) && up.clone().all(whole)
+        revision > 0 && self.controllers.iter().all(shows) && up.clone().all(converged)
     }
 }
 
--- a/crates/simulator/tests/scale_model.rs
+++ b/crates/simulator/tests/scale_model.rs
@@ -11,8 +11,8 @@
 use grebepath_simulator::scale_model::world::World;
 
 fn found(members: usize, leafs: usize, seed: u64) -> Findings {
-    let wish = Measurements { idle: 4 * SECOND, single: true, restarts: true };
-    measure(Size { members, leafs }, seed, wish)
+    let measurements = Measurements { idle: 4 * SECOND, single: true, restarts: true };
+    measure(Size { members, leafs }, seed, measurements)
 }
 
 /// The lines that a seed replays.
@@ -51,10 +51,10 @@
     let sum = &f.idle.sum;
     let traffic: u64 = sum.traffic.values().map(|c| c.bytes).sum();
     let sent: u64 = sum.queriers.iter().chain(&sum.controllers).map(|m| m.sent.bytes).sum();
-    let got: u64 = sum.queriers.iter().chain(&sum.controllers).map(|m| m.got.bytes).sum();
+    let received: u64 = sum.queriers.iter().chain(&sum.controllers).map(|m| m.received.bytes).sum();
     expect_that!(sent, eq(traffic));
     // What is on the way at either end of the time is small.
-    expect_that!((sent as f64 - got as f64).abs(), lt(sent as f64 / 50.0));
+    expect_that!((sent as f64 - received as f64).abs(), lt(sent as f64 / 50.0));
 }
 
 #[gtest]
