--- a/crates/simulator/src/scale_model/fan_out.rs
+++ b/crates/simulator/src/scale_model/fan_out.rs
@@ -34,17 +34,17 @@
     /// Measured queries.
     pub queries: u64,
     /// Queries with a complete answer.
-    pub full: u64,
+    pub complete: u64,
     /// Attempts that were sent.
-    pub dispatches: u64,
+    pub attempts: u64,
     /// Bytes of all request bodies.
-    pub asked: u64,
+    pub request_bytes: u64,
     /// Bytes of all reply bodies.
-    pub replied: u64,
+    pub reply_bytes: u64,
     /// CPU time spent on starting queries (ns).
-    pub ask_ns: u64,
+    pub start_query_ns: u64,
     /// CPU time spent on processing replies (ns).
-    pub take_ns: u64,
+    pub process_reply_ns: u64,
 }
 
 /// Returns the query engine of one of `of` threads with equal quota shares, with a view of this
@@ -70,26 +70,22 @@
 fn reply(s: &OutgoingAttempt) -> LeafReply {
     let record = |n: usize| json!({ "id": format!("{}-{n:04}", s.service), "score": 1_000 - n });
     let list: Vec<_> = (0..RECORDS).map(record).collect();
-    let heads = ReplyHeaders {
+    let headers = ReplyHeaders {
         postmarks: vec![postmark(&s.leaf, &s.id, &s.body_digest)],
         ..ReplyHeaders::default()
     };
-    LeafReply {
-        status: 200,
-        headers: heads,
-        body: json!({ "records": list }).to_string().into_bytes(),
-    }
+    LeafReply { status: 200, headers, body: json!({ "records": list }).to_string().into_bytes() }
 }
 
 /// Runs wide queries one after the other.
 pub fn measure(shards: usize, of: usize) -> FanOut {
     let mut engine = open_engine(shards, of);
     let mut result = FanOut { shards, of, queries: QUERIES, ..FanOut::default() };
-    for call in 0..2 * QUERIES {
-        if call == QUERIES {
+    for query in 0..2 * QUERIES {
+        if query == QUERIES {
             result = FanOut { shards, of, queries: QUERIES, ..FanOut::default() };
         }
-        let now = BOOT + (call + 1) * SECOND;
+        let now = BOOT + (query + 1) * SECOND;
         let ask = SearchRequest {
             route: "wide".into(),
             question: json!({ "text": "a question of some words" }),
@@ -97,22 +93,23 @@
             record_limit: RECORDS as u32,
             timeout: 400 * MILLI,
         };
-        let todo =
-            timed(&mut result.ask_ns, || engine.step(now, Event::Search { call, request: ask }));
-        for command in todo {
+        let commands = timed(&mut result.start_query_ns, || {
+            engine.step(now, Event::Search { call: query, request: ask })
+        });
+        for command in commands {
             let Command::Send(s) = command else { continue };
-            result.dispatches += 1;
-            result.asked += s.body.len() as u64;
+            result.attempts += 1;
+            result.request_bytes += s.body.len() as u64;
             let received = reply(&s);
-            result.replied += received.body.len() as u64;
+            result.reply_bytes += received.body.len() as u64;
             let event = Event::AttemptEnded { attempt: s.attempt, result: Ok(received) };
-            let done = timed(&mut result.take_ns, || engine.step(now + 20 * MILLI, event));
-            let full =
+            let done = timed(&mut result.process_reply_ns, || engine.step(now + 20 * MILLI, event));
+            let complete =
                 |c: &Command| matches!(c, Command::Respond { outcome: Outcome::Answered(_), .. });
-            result.full += done.iter().filter(|c| full(c)).count() as u64;
+            result.complete += done.iter().filter(|c| complete(c)).count() as u64;
         }
         let late = now + 450 * MILLI;
-        timed(&mut result.take_ns, || engine.step(late, Event::Timer));
+        timed(&mut result.process_reply_ns, || engine.step(late, Event::Timer));
     }
     result
 }
@@ -120,25 +117,25 @@
 /// Formats the result as text.
 pub fn text(result: &FanOut) -> String {
     let mut out = String::new();
-    let n = result.dispatches.max(1);
+    let n = result.attempts.max(1);
     let _ = writeln!(out, "== {} shards a query, a thread of {} ==", result.shards, result.of);
     let _ = writeln!(
         out,
         "{} queries, {} answered in full, {} dispatches",
-        result.queries, result.full, result.dispatches
+        result.queries, result.complete, result.attempts
     );
     let _ = writeln!(
         out,
         "a dispatch: question {} bytes, reply {} bytes",
-        result.asked / n,
-        result.replied / n
+        result.request_bytes / n,
+        result.reply_bytes / n
     );
     let _ = writeln!(
         out,
         "~ a query {:.2} ms: asking {:.2} us and taking {:.2} us a dispatch",
-        (result.ask_ns + result.take_ns) as f64 / 1e6 / result.queries as f64,
-        result.ask_ns as f64 / 1e3 / n as f64,
-        result.take_ns as f64 / 1e3 / n as f64,
+        (result.start_query_ns + result.process_reply_ns) as f64 / 1e6 / result.queries as f64,
+        result.start_query_ns as f64 / 1e3 / n as f64,
+        result.process_reply_ns as f64 / 1e3 / n as f64,
     );
     out
 }
--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -94,7 +94,7 @@
 }
 
 impl World {
-    fn reset(&mut self) {
+    fn reset_meters(&mut self) {
         self.traffic.clear();
         self.list_polls = Count::default();
         self.probes = 0;
@@ -106,7 +106,7 @@
         }
     }
 
-    fn take(&mut self, from: Tick) -> Totals {
+    fn take_totals(&mut self, from: Tick) -> Totals {
         let sum = Totals {
             span: self.now - from,
             traffic: self.traffic.clone(),
@@ -115,29 +115,33 @@
             list_polls: self.list_polls,
             probes: self.probes,
         };
-        self.reset();
+        self.reset_meters();
         sum
     }
 
     fn idle(&mut self, span: Span) -> Idle {
-        self.reset();
+        self.reset_meters();
         let from = self.now;
         self.run(span);
-        let sum = self.take(from);
+        let sum = self.take_totals(from);
         let querier_state = self
             .queriers
             .iter()
-            .map(|querier| memory::watch(&querier.node_agent))
+            .map(|querier| memory::node_agent_bytes(&querier.node_agent))
             .max()
             .unwrap_or(0);
         let controller_state = self
             .controllers
             .iter()
-            .map(|controller| memory::core(&controller.state))
+            .map(|controller| memory::controller_bytes(&controller.state))
             .max()
             .unwrap_or(0);
-        let stored =
-            self.controllers[0].state.partitions.iter().map(|p| memory::map(&p.committed)).sum();
+        let stored = self.controllers[0]
+            .state
+            .partitions
+            .iter()
+            .map(|p| memory::entry_map_bytes(&p.committed))
+            .sum();
         let view_ns = self.queriers.first().map_or(0, |querier| view(&querier.node_agent));
         Idle { sum, querier_state, controller_state, stored, list_bytes: self.list.len(), view_ns }
     }
@@ -159,7 +163,7 @@
 
     /// Submits a configuration change and waits until the last member has applied it.
     fn change_configuration(&mut self) -> Event {
-        self.reset();
+        self.reset_meters();
         let begin = self.now;
         let op = 1_000;
         let text = json!({ "zones": [{ "name": "mark", "state": "open" }] }).to_string();
@@ -178,12 +182,12 @@
             _ => None,
         };
         self.run(SETTLE_TIME);
-        Event { accepted, last, sum: self.take(begin) }
+        Event { accepted, last, sum: self.take_totals(begin) }
     }
 
     /// Adds a leaf to the platform's list and waits until the last member knows it.
     fn add_leaf(&mut self) -> Event {
-        self.reset();
+        self.reset_meters();
         let begin = self.now;
         let mut new = topology::leaf(
             self.leafs.len() + topology::LEAFS_PER_SHARD * topology::MAX_SHARDS,
@@ -201,23 +205,23 @@
         let last = self.until(TIMEOUT, knows_leaf);
         // Its age is known after its first probe.
         self.run(SETTLE_TIME);
-        Event { accepted: None, last, sum: self.take(begin) }
+        Event { accepted: None, last, sum: self.take_totals(begin) }
     }
 
     /// Adds a querier and waits until it has its allocation and all members know it.
     fn add_member(&mut self) -> Event {
-        self.reset();
+        self.reset_meters();
         let begin = self.now;
         let querier = self.add_querier();
         self.start_querier(querier);
         let last = self.until(TIMEOUT, World::converged);
         self.run(SETTLE_TIME);
-        Event { accepted: None, last, sum: self.take(begin) }
+        Event { accepted: None, last, sum: self.take_totals(begin) }
     }
 
     /// Kills queriers and controllers at the same time, restarts them and waits until all are up.
     fn restart(&mut self, queriers: &[usize], seats: &[usize]) -> Event {
-        self.reset();
+        self.reset_meters();
         for querier in queriers {
             self.kill_querier(*querier);
             self.push(RESTART_DELAY, ScheduledEvent::StartQuerier { querier: *querier });
@@ -231,7 +235,7 @@
         let back = self.until(TIMEOUT, World::converged);
         let last = back.map(|_| self.now - begin);
         self.run(SETTLE_TIME);
-        Event { accepted: None, last, sum: self.take(begin) }
+        Event { accepted: None, last, sum: self.take_totals(begin) }
     }
 }
 
@@ -239,11 +243,11 @@
 pub fn measure(size: Size, seed: u64, measurements: Measurements) -> Findings {
     let mut world = World::new(size, seed);
     let begin = world.now;
-    world.reset();
+    world.reset_meters();
     let conf = topology::config(size.leafs).to_string().into_bytes();
     world.operate(1, Operation::Replace(conf));
     let start = world.until(TIMEOUT, World::converged);
-    let start_sum = world.take(begin);
+    let start_sum = world.take_totals(begin);
     world.run(SETTLE_TIME);
     let resident_bytes = meter::resident_bytes();
     let idle = world.idle(measurements.idle);
@@ -255,8 +259,8 @@
     }
     if measurements.restarts {
         let n = world.queriers.len();
-        let few: Vec<usize> = (0..n.div_ceil(100)).map(|i| i * 100 % n).collect();
-        events.push(("restart of 1%", world.restart(&few, &[])));
+        let one_percent: Vec<usize> = (0..n.div_ceil(100)).map(|i| i * 100 % n).collect();
+        events.push(("restart of 1%", world.restart(&one_percent, &[])));
         let zone = topology::controller_zone(1);
         let list: Vec<usize> =
             (0..n).filter(|querier| world.queriers[*querier].zone == zone).collect();
--- a/crates/simulator/src/scale_model/memory.rs
+++ b/crates/simulator/src/scale_model/memory.rs
@@ -26,7 +26,7 @@
 }
 
 /// Returns the size of a partition's contents (bytes).
-pub fn map(m: &EntryMap) -> usize {
+pub fn entry_map_bytes(m: &EntryMap) -> usize {
     m.iter().map(|(k, v)| text(k) + TEXT_OVERHEAD_BYTES + v.len() + TREE_ENTRY_OVERHEAD_BYTES).sum()
 }
 
@@ -75,15 +75,15 @@
 }
 
 /// Returns the size of a querier's control state (bytes).
-pub fn watch(w: &NodeAgent) -> usize {
-    let held: usize = w.partitions.values().map(|h| map(&h.entries)).sum();
+pub fn node_agent_bytes(w: &NodeAgent) -> usize {
+    let held: usize = w.partitions.values().map(|h| entry_map_bytes(&h.entries)).sum();
     let shared: usize = w.quota_members.iter().map(|m| text(&m.name) + 8).sum();
     let committed = w.view.as_ref().map_or(0, |v| view(v));
     held + shared + membership(&w.membership) + committed
 }
 
 /// Returns the size of a controller's state (bytes).
-pub fn core(c: &ControllerState) -> usize {
+pub fn controller_bytes(c: &ControllerState) -> usize {
     let entries = |list: &Vec<grebepath_core::config::stored::Entry>| -> usize {
         list.iter()
             .map(|(k, v)| text(k) + TEXT_OVERHEAD_BYTES + v.as_ref().map_or(0, Vec::len))
@@ -94,8 +94,8 @@
         .iter()
         .map(|p| {
             let feed: usize = p.changes.iter().map(|(_, list)| entries(list)).sum();
-            let seed = p.uncommitted_snapshot.as_ref().map_or(0, |(_, m)| map(m));
-            map(&p.state.entries) + map(&p.committed) + feed + seed
+            let seed = p.uncommitted_snapshot.as_ref().map_or(0, |(_, m)| entry_map_bytes(m));
+            entry_map_bytes(&p.state.entries) + entry_map_bytes(&p.committed) + feed + seed
         })
         .sum();
     let heard: usize = c.members.last_renewals.values().map(|h| 2 * member(&h.member) + 80).sum();
--- a/crates/simulator/src/scale_model/report.rs
+++ b/crates/simulator/src/scale_model/report.rs
@@ -20,11 +20,11 @@
     let _ = writeln!(o, "~ memory of the process {:>12} bytes", f.resident_bytes);
     let _ = writeln!(o, "~ a view is made in    {:>13.2} ms", f.idle.view_ns as f64 / 1e6);
     let _ = writeln!(o, "alarms                  {:>12}", f.alarms);
-    rates(o, &f.idle.sum);
+    write_rates(o, &f.idle.sum);
     let _ = writeln!(o, "first start: whole after {}", span(f.start));
-    total(o, &f.start_sum, &f.start_sum, f.size.members);
+    write_totals(o, &f.start_sum, &f.start_sum, f.size.members);
     for (name, event) in &f.events {
-        happened(o, name, event, &f.idle.sum, f.size.members);
+        write_event(o, name, event, &f.idle.sum, f.size.members);
     }
     out
 }
@@ -33,11 +33,11 @@
     n as f64 * SECOND as f64 / span.max(1) as f64
 }
 
-fn rates(o: &mut String, sum: &Totals) {
+fn write_rates(o: &mut String, sum: &Totals) {
     let _ = writeln!(o, "calm, {} s, a second:", sum.span / SECOND);
     let _ = writeln!(o, "  {:<42} {:>12} {:>14}", "kind", "messages", "bytes");
-    for ((way, kind), c) in &sum.traffic {
-        let name = format!("{way} {kind}");
+    for ((link, kind), c) in &sum.traffic {
+        let name = format!("{link} {kind}");
         let (n, bytes) = (rate(c.messages, sum.span), rate(c.bytes, sum.span));
         let _ = writeln!(o, "  {name:<42} {n:>12.1} {bytes:>14.0}");
     }
@@ -46,12 +46,12 @@
     let _ = writeln!(o, "  {:<42} {n:>12.1} {bytes:>14.0}", "polls of the list");
     let _ = writeln!(o, "  {:<42} {:>12.1}", "probes of leafs", rate(sum.probes, sum.span));
     for (name, list) in [("querier", &sum.queriers), ("controller", &sum.controllers)] {
-        node(o, name, list, sum.span);
+        write_role(o, name, list, sum.span);
     }
 }
 
 /// Writes the mean and the maximum over all nodes of a role.
-fn node(o: &mut String, name: &str, list: &[Meter], span: Span) {
+fn write_role(o: &mut String, name: &str, list: &[Meter], span: Span) {
     let n = list.len().max(1) as f64;
     let both = |m: &Meter| m.sent.bytes + m.received.bytes;
     let mean = |f: &dyn Fn(&Meter) -> u64| list.iter().map(|m| rate(f(m), span)).sum::<f64>() / n;
@@ -81,14 +81,14 @@
     s.map_or("never".into(), |s| format!("{} ms", s / MILLI))
 }
 
-fn happened(o: &mut String, name: &str, e: &Event, idle: &Totals, members: usize) {
+fn write_event(o: &mut String, name: &str, e: &Event, idle: &Totals, members: usize) {
     let accepted = e.accepted.map_or(String::new(), |t| format!("accepted after {}, ", t / MILLI));
     let _ = writeln!(o, "{name}: {accepted}last member after {}", span(e.last));
-    total(o, &e.sum, &over(&e.sum, idle), members);
+    write_totals(o, &e.sum, &beyond_idle(&e.sum, idle), members);
 }
 
 /// Returns the totals beyond those of an idle interval of the same length.
-fn over(sum: &Totals, idle: &Totals) -> Totals {
+fn beyond_idle(sum: &Totals, idle: &Totals) -> Totals {
     let part = |n: u64| (n as f64 * sum.span as f64 / idle.span.max(1) as f64) as u64;
     let mut out = sum.clone();
     for (key, cell) in &mut out.traffic {
@@ -100,15 +100,15 @@
 }
 
 /// Writes the kinds with the most bytes beyond idle, and the CPU time in total.
-fn total(o: &mut String, sum: &Totals, over: &Totals, members: usize) {
-    let mut list: Vec<_> = over.traffic.iter().collect();
+fn write_totals(o: &mut String, sum: &Totals, beyond_idle: &Totals, members: usize) {
+    let mut list: Vec<_> = beyond_idle.traffic.iter().collect();
     list.sort_by_key(|(key, c)| (std::cmp::Reverse(c.bytes), **key));
     let n: u64 = list.iter().map(|(_, c)| c.messages).sum();
     let bytes: u64 = list.iter().map(|(_, c)| c.bytes).sum();
     let each = bytes / members.max(1) as u64;
     let _ = writeln!(o, "  beyond calm: {n} messages, {bytes} bytes, {each} bytes a member");
-    for ((way, kind), c) in list.into_iter().take(4).filter(|(_, c)| c.bytes > 0) {
-        let name = format!("{way} {kind}");
+    for ((link, kind), c) in list.into_iter().take(4).filter(|(_, c)| c.bytes > 0) {
+        let name = format!("{link} {kind}");
         let _ = writeln!(o, "    {name:<42} {:>10} messages {:>14} bytes", c.messages, c.bytes);
     }
     let disk: u64 = sum.controllers.iter().map(|m| m.disk.bytes).sum();
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -260,7 +260,7 @@
     fn encode_from_controller(
         &mut self,
         controller: usize,
-        way: &'static str,
+        link: &'static str,
         message: &Message,
     ) -> Raw {
         let node = &mut self.controllers[controller];
@@ -274,7 +274,7 @@
             }
         }
         add(&mut node.meter.sent, bytes);
-        add(self.traffic.entry((way, kind(message))).or_default(), bytes);
+        add(self.traffic.entry((link, kind(message))).or_default(), bytes);
         raw
     }
 
@@ -360,12 +360,17 @@
         self.push_at(at, ScheduledEvent::ControllerMessage { controller, life, from, raw });
     }
 
-    fn encode_from_querier(&mut self, querier: usize, way: &'static str, message: &Message) -> Raw {
+    fn encode_from_querier(
+        &mut self,
+        querier: usize,
+        link: &'static str,
+        message: &Message,
+    ) -> Raw {
         let node = &mut self.queriers[querier];
         let raw = timed(&mut node.meter.codec_ns, || frame::split(&frame::encode(message)));
         let bytes = size_of(&raw);
         add(&mut node.meter.sent, bytes);
-        add(self.traffic.entry((way, kind(message))).or_default(), bytes);
+        add(self.traffic.entry((link, kind(message))).or_default(), bytes);
         Rc::new(raw)
     }
 }
--- a/crates/simulator/src/scale_model/topology.rs
+++ b/crates/simulator/src/scale_model/topology.rs
@@ -59,7 +59,7 @@
 }
 
 /// Draws the one-way latency between two zones.
-pub fn way(a: usize, b: usize, random: &mut Random) -> Span {
+pub fn one_way_latency(a: usize, b: usize, random: &mut Random) -> Span {
     let gap = region(a).abs_diff(region(b)) as Span;
     let base = match (a == b, gap) {
         (true, _) => ZONE_LATENCY,
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -4,13 +4,13 @@
 use std::rc::Rc;
 
 use grebepath_core::consts;
-use grebepath_core::control_plane::controller as st;
+use grebepath_core::control_plane::controller as controller_events;
 use grebepath_core::control_plane::controller::ControllerState;
-use grebepath_core::control_plane::step as cstep;
+use grebepath_core::control_plane::step as control_plane_step;
 use grebepath_core::identifiers::{PartitionId, VoterSlot, partitions};
 use grebepath_core::membership::node_agent;
 use grebepath_core::membership::node_agent::NodeAgent;
-use grebepath_core::membership::step as qstep;
+use grebepath_core::membership::step as membership_step;
 use grebepath_core::protocol::membership::Member;
 use grebepath_core::protocol::operation::OperationResult;
 use grebepath_core::random::Random;
@@ -31,7 +31,7 @@
 pub(super) enum ScheduledEvent {
     ControllerTimer { controller: usize, life: u64 },
     ControllerMessage { controller: usize, life: u64, from: Sender, raw: Raw },
-    ControllerEvent { controller: usize, life: u64, event: Box<st::Event> },
+    ControllerEvent { controller: usize, life: u64, event: Box<controller_events::Event> },
     DiskJobDone { controller: usize, life: u64, partition: PartitionId, token: u64 },
     VoterFileDone { controller: usize, life: u64, token: u64 },
     QuerierTimer { querier: usize, life: u64 },
@@ -218,7 +218,7 @@
         node.me.incarnation = node.life;
         node.node_agent = node_agent::NodeAgent::new(node.me.clone(), BOOT);
         let life = node.life;
-        let after = self.random.below(qstep::WAKE);
+        let after = self.random.below(membership_step::WAKE);
         self.push(after, ScheduledEvent::QuerierTimer { querier, life });
     }
 
@@ -230,7 +230,7 @@
         node.node_agent = node_agent::NodeAgent::new(node.me.clone(), BOOT);
         let connection = Opener::Querier { number: querier, life }.connection();
         for controller in 0..self.controllers.len() {
-            let event = Box::new(st::Event::ConnectionClosed { connection });
+            let event = Box::new(controller_events::Event::ConnectionClosed { connection });
             let life = self.controllers[controller].life;
             self.push(ms(2), ScheduledEvent::ControllerEvent { controller, life, event });
         }
@@ -279,7 +279,7 @@
 
     /// Returns when a message sent now arrives; messages of one connection keep their order.
     pub fn arrival(&mut self, from: (usize, usize), to: (usize, usize)) -> Tick {
-        let at = self.now + topology::way(from.1, to.1, &mut self.random);
+        let at = self.now + topology::one_way_latency(from.1, to.1, &mut self.random);
         let last = self.last.entry((from.0, to.0)).or_insert(0);
         *last = at.max(*last + 1);
         *last
@@ -344,5 +344,5 @@
 }
 
 fn start_delay(seed: u64) -> Span {
-    seed % cstep::WAKE
+    seed % control_plane_step::WAKE
 }
