--- a/crates/simulator/src/scale_model/fan_out.rs
+++ b/crates/simulator/src/scale_model/fan_out.rs
@@ -118,21 +118,21 @@
 pub fn text(result: &FanOut) -> String {
     let mut out = String::new();
     let n = result.attempts.max(1);
-    let _ = writeln!(out, "== {} shards a query, a thread of {} ==", result.shards, result.of);
+    let _ = writeln!(out, "== {} shards per query, one of {} threads ==", result.shards, result.of);
     let _ = writeln!(
         out,
-        "{} queries, {} answered in full, {} dispatches",
+        "{} queries, {} complete answers, {} attempts",
         result.queries, result.complete, result.attempts
     );
     let _ = writeln!(
         out,
-        "a dispatch: question {} bytes, reply {} bytes",
+        "per attempt: request {} bytes, reply {} bytes",
         result.request_bytes / n,
         result.reply_bytes / n
     );
     let _ = writeln!(
         out,
-        "~ a query {:.2} ms: asking {:.2} us and taking {:.2} us a dispatch",
+        "~ a query {:.2} ms: starting {:.2} us and processing {:.2} us per attempt",
         (result.start_query_ns + result.process_reply_ns) as f64 / 1e6 / result.queries as f64,
         result.start_query_ns as f64 / 1e3 / n as f64,
         result.process_reply_ns as f64 / 1e3 / n as f64,
--- a/crates/simulator/src/scale_model/report.rs
+++ b/crates/simulator/src/scale_model/report.rs
@@ -15,13 +15,13 @@
     let _ = writeln!(o, "== {} members, {} leafs ==", f.size.members, f.size.leafs);
     let _ = writeln!(o, "state of a querier      {:>12} bytes", f.idle.querier_state);
     let _ = writeln!(o, "state of a controller   {:>12} bytes", f.idle.controller_state);
-    let _ = writeln!(o, "what is stored          {:>12} bytes", f.idle.stored);
+    let _ = writeln!(o, "committed state         {:>12} bytes", f.idle.stored);
     let _ = writeln!(o, "the platform's list     {:>12} bytes", f.idle.list_bytes);
     let _ = writeln!(o, "~ memory of the process {:>12} bytes", f.resident_bytes);
-    let _ = writeln!(o, "~ a view is made in    {:>13.2} ms", f.idle.view_ns as f64 / 1e6);
+    let _ = writeln!(o, "~ time to build a view {:>13.2} ms", f.idle.view_ns as f64 / 1e6);
     let _ = writeln!(o, "alarms                  {:>12}", f.alarms);
     write_rates(o, &f.idle.sum);
-    let _ = writeln!(o, "first start: whole after {}", span(f.start));
+    let _ = writeln!(o, "first start: converged after {}", span(f.start));
     write_totals(o, &f.start_sum, &f.start_sum, f.size.members);
     for (name, event) in &f.events {
         write_event(o, name, event, &f.idle.sum, f.size.members);
@@ -34,7 +34,7 @@
 }
 
 fn write_rates(o: &mut String, sum: &Totals) {
-    let _ = writeln!(o, "calm, {} s, a second:", sum.span / SECOND);
+    let _ = writeln!(o, "idle for {} s, per second:", sum.span / SECOND);
     let _ = writeln!(o, "  {:<42} {:>12} {:>14}", "kind", "messages", "bytes");
     for ((link, kind), c) in &sum.traffic {
         let name = format!("{link} {kind}");
@@ -70,7 +70,7 @@
     );
     let _ = writeln!(
         o,
-        "~ a {name}: processor {:.2}% in step, {:.2}% in writing and reading; worst {:.2}%",
+        "~ a {name}: CPU {:.2}% in step, {:.2}% in encoding and decoding; worst {:.2}%",
         mean(&|m| m.step_ns) / 1e7,
         mean(&|m| m.codec_ns) / 1e7,
         most(&|m| m.step_ns + m.codec_ns) / 1e7,
@@ -106,7 +106,7 @@
     let n: u64 = list.iter().map(|(_, c)| c.messages).sum();
     let bytes: u64 = list.iter().map(|(_, c)| c.bytes).sum();
     let each = bytes / members.max(1) as u64;
-    let _ = writeln!(o, "  beyond calm: {n} messages, {bytes} bytes, {each} bytes a member");
+    let _ = writeln!(o, "  beyond idle: {n} messages, {bytes} bytes, {each} bytes per member");
     for ((link, kind), c) in list.into_iter().take(4).filter(|(_, c)| c.bytes > 0) {
         let name = format!("{link} {kind}");
         let _ = writeln!(o, "    {name:<42} {:>10} messages {:>14} bytes", c.messages, c.bytes);
@@ -117,7 +117,7 @@
     let most = |list: &[Meter]| list.iter().map(|m| m.step_ns + m.codec_ns).max().unwrap_or(0);
     let _ = writeln!(
         o,
-        "~ processor time of the busiest: querier {:.1} ms, controller {:.1} ms, in {} ms",
+        "~ CPU time of the busiest: querier {:.1} ms, controller {:.1} ms, in {} ms",
         most(&sum.queriers) as f64 / 1e6,
         most(&sum.controllers) as f64 / 1e6,
         sum.span / MILLI,
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -1,6 +1,6 @@
-//! An order is acknowledged within half of what operators are promised while
-//! most queriers are gone, however they went; and who is gone serves by an old
-//! configuration for no longer than the brief allows.
+//! While most queriers are lost, for whatever reason, an operator request is acknowledged within
+//! half of the guaranteed time, and no lost querier serves with an old configuration for longer than
+//! allowed.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,38 +11,37 @@
 use grebepath_simulator::net::Node;
 use grebepath_simulator::world::{FollowUp, OperatorRequest, World};
 
-/// Half of the time in which operators are promised an acknowledgement.
+/// Half of the guaranteed time to an acknowledgement.
 const ACKNOWLEDGED_WITHIN: Span = ms(2_500);
-/// A change is in force everywhere this long after it was acknowledged.
+/// Maximum time between the acknowledgement of a change and its application by every querier.
 const IN_FORCE_WITHIN: Span = ms(3_000);
-/// How long the fault lasts.
+/// Duration of the fault.
 const TROUBLE: Span = 8 * SECOND;
 
-/// What befalls the queriers.
+/// How the queriers are lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Loss {
-    /// Power is lost, while the fault lasts.
+    /// Processes are killed and restart when the fault ends.
     Killed,
-    /// Each is cut off from everyone.
+    /// Each is isolated from all other nodes.
     Dark,
-    /// They are cut off together, and still hear each other.
+    /// They are partitioned from the rest, but still reach each other.
     DarkTogether,
-    /// Processes stand still and then go on.
+    /// Processes are paused and then resume.
     Frozen,
-    /// All restart at once.
+    /// All restart at the same time.
     Restarted,
-    /// The zones' queriers are cut off together, one zone after the other
-    /// until the share is reached.
+    /// Zones are partitioned from the rest, one after the other, until the share is reached.
     ZoneLost,
 }
 
 const LOSSES: [Loss; 6] =
     [Loss::Killed, Loss::Dark, Loss::DarkTogether, Loss::Frozen, Loss::Restarted, Loss::ZoneLost];
 
-/// When the order is sent, counted from the loss (ms).
+/// When the request is sent, relative to the loss (ms).
 const ORDERS: [i64; 4] = [-8, -3, 20, 700];
 
-/// A fleet in calm, whose callers call whom they like, ready or not.
+/// Starts an idle cluster whose callers also call queriers that are not ready.
 fn fleet(queriers: usize, seed: u64) -> World {
     let s = common::fleet("acknowledgement", queriers, 0.05);
     let mut world = World::new(&s.spec, s.control_plane.clone(), s.queriers, seed);
@@ -50,7 +49,7 @@
     let up = world.until(30 * SECOND, |world| {
         world.settled() && world.operator_requests.first().is_some_and(|o| o.result.is_some())
     });
-    assert!(up, "the fleet of {queriers} came up");
+    assert!(up, "the cluster of {queriers} did not start up");
     world.run(2 * SECOND);
     world.ignore_readiness = true;
     world.start_calls(s.factor);
@@ -58,7 +57,7 @@
     world
 }
 
-/// The queriers that are lost: so many of a hundred, at least one is left.
+/// Returns the queriers that are lost: `percent` of them, except at least one.
 fn lost(queriers: usize, percent: usize, loss: Loss) -> Vec<usize> {
     let count = (queriers * percent).div_ceil(100).min(queriers - 1);
     let mut order: Vec<usize> = (0..queriers).collect();
@@ -100,7 +99,7 @@
     }
 }
 
-/// Plays one case; says what was wrong.
+/// Runs one case and returns an error that lists the failures.
 fn case(queriers: usize, loss: Loss, percent: usize, after: i64, seed: u64) -> Result<(), String> {
     let mut world = fleet(queriers, seed);
     let list = lost(queriers, percent, loss);
@@ -110,7 +109,7 @@
     world.submit(100 * MILLI + late(after), OperatorRequest::marked(n));
     world.run(100 * MILLI + late(-after));
     apply_loss(&mut world, loss, &list);
-    // Some more, so that one waits at every moment.
+    // Further requests, so that one is pending at any time.
     for k in 1..4 {
         let n = world.operator_requests.len();
         world.submit(ms(400 * k), OperatorRequest::marked(n));
@@ -127,7 +126,7 @@
             (Some(OperationResult::Accepted { .. }), Some(waited))
                 if waited <= ACKNOWLEDGED_WITHIN => {}
             (done, waited) => wrong.push(format!(
-                "order {} after {:?} ms: {done:?}",
+                "request {} after {:?} ms: {done:?}",
                 id - n,
                 waited.map(|span| span / MILLI)
             )),
@@ -135,14 +134,14 @@
     }
     let stale = world.rules.longest_staleness;
     if stale > IN_FORCE_WITHIN {
-        wrong.push(format!("an old configuration served for {} ms", stale / MILLI));
+        wrong.push(format!("an old configuration was used for {} ms", stale / MILLI));
     }
     wrong.extend(world.rules.violations.iter().map(|v| v.text.clone()));
-    let case = format!("{queriers} queriers, {percent}% {loss:?}, order at {after} ms");
+    let case = format!("{queriers} queriers, {percent}% {loss:?}, request at {after} ms");
     if wrong.is_empty() { Ok(()) } else { Err(format!("{case}: {}", wrong.join("; "))) }
 }
 
-/// All cases of a size, spread over a few threads.
+/// Runs all cases of a cluster size on several threads.
 fn size(queriers: usize, orders: &[i64]) {
     let mut cases = Vec::new();
     for loss in LOSSES {
--- a/crates/simulator/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -1,4 +1,4 @@
-//! Fleets under faults drawn by seed, alone, in pairs, and one last.
+//! Simulated clusters under random faults: single ones, pairs, and a final one.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,7 +10,7 @@
 use grebepath_simulator::world::{FaultyVariant, World};
 use serde_json::json;
 
-/// Seeds played in every run of the tests.
+/// Number of seeds.
 const SEEDS: u64 = 12;
 
 #[test]
@@ -26,8 +26,8 @@
     assert!(bad.is_empty(), "{}", bad.join("\n"));
 }
 
-/// Both deployments, one with two cuts of the index, and one whose leafs are
-/// so small that the limits bite.
+/// Returns a scenario with random faults: one of both deployments, the first with two index
+/// versions, or one whose leafs are so small that the limits take effect.
 fn scene(seed: u64) -> Scenario {
     let (name, factor) =
         [("recut", 0.05), ("kahurangi", 0.05), ("tight", 0.3)][(seed % 3) as usize];
@@ -56,13 +56,13 @@
     ))
 }
 
-/// Seeds of `soak-tight.json` that once broke a rule (docs/incidents, the log of commits).
+/// Seeds of `soak-tight.json` that violated a rule in the past (docs/incidents, commit log).
 const ONCE_BROKEN: [u64; 8] = [5_020, 5_105, 26_600, 31_003, 31_011, 31_033, 41_275, 42_351];
 
-/// Seeds of `soak-silent.json`, where the platform's list alone shows that leafs leave.
+/// Seeds of `soak-silent.json`, where only the platform's list shows that leafs leave.
 const SILENT: std::ops::Range<u64> = 0..8;
 
-/// The first violation of each of these seeds of a soak scenario that breaks a rule.
+/// Returns the first violation of each of these seeds of a soak scenario, if it has any.
 fn broken(name: &'static str, seeds: impl IntoIterator<Item = u64>) -> Vec<String> {
     let play_one = move |seed: u64| {
         let path = format!("{}/../../scenarios/{name}.json", env!("CARGO_MANIFEST_DIR"));
--- a/crates/simulator/tests/cold_leafs.rs
+++ b/crates/simulator/tests/cold_leafs.rs
@@ -1,4 +1,4 @@
-//! The rate of cold leafs holds over the fleet, whatever happens to its membership.
+//! The rate limit of leafs in slow start holds across the cluster while its membership changes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,9 +10,9 @@
 use proptest::{collection, prop_oneof, proptest};
 use serde_json::{Value, json};
 
-/// Queriers of the fleet.
+/// Queriers of the cluster (count).
 const QUERIERS: u64 = 5;
-/// Time in which faults strike (ms).
+/// Interval in which faults occur (ms).
 const FAULTS_MS: u64 = 10_000;
 
 fn scenario(faults: Vec<Value>) -> Scenario {
@@ -22,7 +22,7 @@
         .unwrap_or_else(|all| panic!("{}", grebepath_core::diagnostic::lines(&all)))
 }
 
-/// One fault of a querier, of a controller, or of the net between them.
+/// Generates a fault of a querier, a controller or the network between them.
 fn fault() -> impl Strategy<Value = Value> {
     let at = (0..FAULTS_MS).prop_map(|ms| ms as f64 / 1e3);
     let span = (1..40u64).prop_map(|tenths| tenths as f64 / 10.0);
@@ -50,7 +50,7 @@
     })
 }
 
-/// What is found wrong with the rate of cold leafs.
+/// Returns the violations of the rate limit.
 fn violations(faults: &[Value], seed: u64, variant: Option<FaultyVariant>) -> Vec<String> {
     let world = play(&scenario(faults.to_vec()), seed, variant);
     let of_rate = world.rules.violations.iter().filter(|found| found.text.contains("cold"));
@@ -75,8 +75,8 @@
     }
 }
 
-/// One querier comes back after its lease has lapsed, just after another one was cut off,
-/// which serves on by its lease.
+/// Restarts a querier after its lease has expired, just after another one was isolated, which keeps
+/// serving under its lease.
 fn one_returns_while_another_is_cut_off(returns: u64, cut_off: u64) -> Vec<Value> {
     let others: Vec<String> = (0..QUERIERS).map(|q| format!("q{q}")).collect();
     let seats: Vec<String> = (0..3).map(|seat| format!("seat{seat}")).collect();
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -1,16 +1,16 @@
-//! What the simulated tests share: the deployments' files.
+//! Shared helpers of the simulated tests: they load the deployments' files and build scenarios.
 #![allow(dead_code)]
 
 use grebepath_simulator::files::{FileError, read_json};
 use grebepath_simulator::scenario::{Scenario, read};
 use serde_json::{Value, json};
 
-/// The deployment's files from the repository.
+/// Reads a file of the deployments from the repository.
 pub fn load(name: &str) -> Result<Value, FileError> {
     read_json(&format!("{}/../../deploy/{name}", env!("CARGO_MANIFEST_DIR")))
 }
 
-/// A scenario with these faults.
+/// Returns a scenario with these faults.
 pub fn scenario(name: &str, seconds: u64, factor: f64, troubles: Vec<Value>) -> Scenario {
     let val = json!({ "name": name, "seconds": seconds, "queriers": 7, "factor": factor,
                       "troubles": troubles });
@@ -20,7 +20,7 @@
     }
 }
 
-/// A quiet deployment of so many queriers.
+/// Returns a scenario with `queriers` queriers and no faults.
 pub fn fleet(name: &str, queriers: usize, factor: f64) -> Scenario {
     let val = json!({ "name": name, "seconds": 1, "queriers": queriers, "factor": factor,
                       "troubles": [] });
--- a/crates/simulator/tests/explore.rs
+++ b/crates/simulator/tests/explore.rs
@@ -1,5 +1,5 @@
-//! Every fault at every event of the controllers while a voter slot moves, and
-//! pairs of faults drawn by a seed.
+//! Injects every fault at every controller event while a voter slot moves, and random pairs of
+//! faults.
 
 mod common;
 
@@ -9,9 +9,9 @@
 use grebepath_simulator::world::{FAULTS, Fault, FaultyVariant};
 use serde_json::{Value, json};
 
-/// Threads of an exploration (count).
+/// Threads per exploration (count).
 const THREADS: usize = 10;
-/// Faults by which something is lost, for scopes with many events.
+/// Faults that lose state, used for scopes with many events.
 const LOSSES: [Fault; 4] = [Fault::Lose, Fault::Power, Fault::DiskLost, Fault::Gone];
 
 fn scope(seats: usize, controllers: usize, window: (f64, f64), troubles: Vec<Value>) -> Scope {
@@ -27,7 +27,7 @@
 
 fn print(name: &str, report: &Report) {
     println!(
-        "{name}: {} events, {} plays, {} of them beyond what is tolerated, {} broken",
+        "{name}: {} events, {} runs, {} of them with more faults than tolerated, {} failures",
         report.events,
         report.plays,
         report.beyond,
@@ -42,12 +42,12 @@
     let report = explore(scope, Pairs::Sampled(pairs), THREADS);
     print(name, &report);
     assert!(report.events > 20, "{name}: {} events", report.events);
-    assert!(report.failures.is_empty(), "{name}: {} broken", report.failures.len());
+    assert!(report.failures.is_empty(), "{name}: {} failures", report.failures.len());
 }
 
 #[test]
 fn every_fault_at_every_event_of_a_handover() {
-    // Slot 0 has the leader of the configuration; there are two spares a zone.
+    // Slot 0 leads the configuration partition; there are two spares per zone.
     for leaving in 0..3u64 {
         let stop = at(0.5, json!({ "do": "stop-seat", "which": leaving }));
         let name = format!("handover of slot {leaving}");
@@ -57,10 +57,10 @@
 
 #[test]
 fn every_fault_at_every_event_of_a_takeover() {
-    // The spare applies, is offered the slot and takes it 2.5 s later.
+    // The spare applies for the slot, is offered it and takes it 2.5 s after the loss.
     let gone = |which: u64| at(0.2, json!({ "do": "kill-seat", "which": which }));
     let mut three = scope(3, 9, (2.65, 3.35), vec![gone(1)]);
-    // The machine that is gone already counts.
+    // The lost machine already counts as a tolerated fault.
     three.tolerates = 0;
     sound("takeover, three voters", &three, 200);
     let mut five = scope(5, 12, (2.65, 3.15), vec![gone(1)]);
@@ -79,7 +79,7 @@
 fn every_fault_at_every_event_of_a_recovery() {
     let lost = at(0.5, json!({ "do": "kill-seat", "which": 1, "lose": true, "for_s": 0.3 }));
     let mut scope = scope(3, 9, (0.8, 1.4), vec![lost]);
-    // The disk that is lost already counts.
+    // The lost disk already counts as a tolerated fault.
     scope.tolerates = 0;
     sound("recovery", &scope, 200);
 }
@@ -94,7 +94,7 @@
 
 #[test]
 fn a_machine_that_comes_back_blank_finds_the_others_when_its_seeds_have_left() {
-    // Two of its three seeds stop in order, and itself it is the third.
+    // Two of the machine's three seeds stop gracefully; the third is the machine itself.
     let stop = |which: u64| at(0.5, json!({ "do": "stop-seat", "which": which }));
     for seed in [5, 14] {
         let mut scope = scope(5, 12, (0.5, 0.7), vec![stop(0), stop(1)]);
@@ -103,8 +103,8 @@
     }
 }
 
-/// All three voters restart, one after the other, each when the one before is back and
-/// somebody leads again. The second one leads; it restarts last.
+/// Restarts all three voters one after the other, each once the previous one is back and a leader
+/// exists again. The second voter is the leader and restarts last.
 fn restarts_in_turn() -> Scope {
     let restart = |which: u64, from: f64| {
         at(from, json!({ "do": "kill-seat", "which": which, "for_s": 0.2 }))
@@ -124,16 +124,16 @@
     sound("restarts while all restart in turn", &restarts_in_turn(), 0);
 }
 
-// ---- broken on purpose -------------------------------------------------------
+// ---- faulty variants ---------------------------------------------------------
 
-/// A voter, the third, that hears nothing of the other two until a time.
+/// Isolates a voter from the first two until a given time, with operator requests meanwhile.
 fn cut_off(which: u64, until: f64) -> Vec<Value> {
     let cut = json!({ "do": "cut", "a": [format!("seat{which}")], "b": ["seat0", "seat1"] });
     let orders = json!({ "do": "storm", "count": 60, "gap_ms": 10 });
     vec![at(0.3, cut), at(0.4, orders), at(until, json!({ "do": "heal" }))]
 }
 
-/// How many plays break something when a part of the controllers is broken.
+/// Returns the number of failing runs with a faulty variant.
 fn found(scope: Scope, variant: FaultyVariant, pairs: Pairs) -> usize {
     let scope = Scope { faulty_variant: Some(variant), ..scope };
     let report = explore(&scope, pairs, THREADS);
@@ -150,7 +150,7 @@
 
 #[test]
 fn disks_that_say_yes_too_early_are_caught() {
-    // Two of three lose power close together, while the third hears nothing.
+    // Two of three voters lose power shortly after each other while the third is isolated.
     let mut troubles = cut_off(2, 2.8);
     let slow = |which: u64| json!({ "do": "disk", "which": which, "health": "slow", "ms": 60 });
     let good = |which: u64| json!({ "do": "disk", "which": which, "health": "good" });
@@ -158,7 +158,7 @@
     let mut scope = scope(3, 3, (1.7, 2.1), troubles);
     scope.faults = vec![Fault::Power];
     let sound = explore(&scope, Pairs::All, THREADS);
-    print("two losses of power", &sound);
+    print("two power losses", &sound);
     assert!(sound.failures.is_empty());
     assert!(found(scope, FaultyVariant::AcknowledgesBeforeSync, Pairs::All) > 0);
 }
@@ -171,7 +171,7 @@
 
 #[test]
 fn a_wiped_voter_that_votes_is_caught() {
-    // The one that was cut off knows less than the one whose disk is lost did.
+    // The isolated voter's log is behind that of the voter whose disk is lost.
     let mut troubles = cut_off(2, 1.0);
     troubles.push(at(1.0, json!({ "do": "kill-seat", "which": 1, "lose": true, "for_s": 0.05 })));
     let mut scope = scope(3, 3, (0.95, 1.4), troubles);
--- a/crates/simulator/tests/faulty_variants.rs
+++ b/crates/simulator/tests/faulty_variants.rs
@@ -1,5 +1,5 @@
-//! Each checker catches a fleet that is broken on purpose in just its way,
-//! and is silent on the same scenario when nothing is broken.
+//! Each checker detects the faulty variant that violates its rule, and reports nothing for the same
+//! scenario without the variant.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,7 +10,7 @@
 use grebepath_simulator::world::FaultyVariant;
 use serde_json::{Value, json};
 
-/// Plays a case in both deployments, each with a seed of its own.
+/// Runs a case in both deployments, each with a different seed.
 fn case(name: &str, rule: u8, variant: FaultyVariant, troubles: Vec<Value>) {
     play_case(name, (18, 0.06), rule, variant, troubles);
 }
@@ -34,14 +34,14 @@
         let bad = play(&s, seed, Some(variant));
         assert!(
             bad.rules.violation_counts.contains_key(&rule),
-            "{name}, {deployment}: {variant:?} broke nothing of rule {rule}, only {:?}",
+            "{name}, {deployment}: {variant:?} did not violate rule {rule}, only {:?}",
             bad.rules.violation_counts
         );
-        assert!(!bad.rules.story.is_empty(), "{name}: a violation comes with its story");
+        assert!(!bad.rules.story.is_empty(), "{name}: the violation has no event log");
     }
 }
 
-/// A fault of the one deployment as it is in the other.
+/// Translates a fault to the service names of the given deployment.
 fn there(trouble: &Value, deployment: &str) -> Value {
     let mut text = trouble.to_string();
     if deployment == "kahurangi" {
@@ -119,8 +119,7 @@
 fn disobedience_and_slipping_back_are_caught() {
     let storm = at(2.0, json!({ "do": "storm", "count": 20, "gap_ms": 100 }));
     case("deaf", 9, FaultyVariant::KeepsStaleSnapshot, vec![storm.clone()]);
-    // A voter that was cut off through the storm is all that a restarted
-    // querier hears.
+    // A restarted querier reaches only a voter that was isolated during the changes.
     let slip = vec![
         at(1.0, json!({ "do": "cut", "a": ["seat0"], "b": ["seats"] })),
         storm,
@@ -133,8 +132,8 @@
 
 #[test]
 fn too_many_second_tries_are_caught() {
-    // Leafs that turn all work away are not at fault, so they are not rested:
-    // only the rule stands between them and a storm of second tries.
+    // Leafs that reject all work are not ejected, because they are not faulty: only the retry budget
+    // prevents a retry storm.
     let busy = (0..4)
         .map(|i| {
             let service = format!("mohalla-notices-w48-{i}");
@@ -146,7 +145,7 @@
 
 #[test]
 fn overloading_fresh_leafs_is_caught() {
-    // One fresh leaf is all that is left of a shard.
+    // Only one newly started leaf of a shard is left.
     let service = "mohalla-notices-w48-0";
     let restart = vec![
         at(2.0, json!({ "do": "kill-leafs", "service": service, "count": 3 })),
@@ -157,7 +156,7 @@
 
 #[test]
 fn a_disk_that_says_yes_too_early_is_caught() {
-    // Power goes on all machines amid a storm, again and again.
+    // All machines lose power during a burst of operator requests, once per seed.
     let mut caught = 0;
     for seed in 0..6 {
         let troubles = vec![
@@ -177,12 +176,12 @@
         let bad = play(&s, seed, Some(FaultyVariant::AcknowledgesBeforeSync));
         caught += u64::from(bad.rules.violation_counts.contains_key(&12));
     }
-    assert!(caught > 0, "no early yes was caught in six runs");
+    assert!(caught > 0, "no early acknowledgement was detected in six runs");
 }
 
 #[test]
 fn disks_that_rot_in_silence_are_caught() {
-    // Bits flip on all three disks, and half a minute later power goes.
+    // Bits flip on all three disks, and about 25 s later all machines lose power.
     let flips =
         (0..18).map(|i| at(5.0 + f64::from(i) / 20.0, json!({ "do": "flip", "which": i % 3 })));
     let power = at(30.0, json!({ "do": "restart-all", "power": true, "for_s": 1.0 }));
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -1,6 +1,5 @@
-//! Controllers that stop in order, and what is lost at that very moment: a voter
-//! hands its slot and its state to a spare before it ends, so that one more loss
-//! finds a majority that holds everything.
+//! Graceful stops of controllers combined with further losses. A voter hands its slot and its state
+//! over to a spare before it exits, so that after one more loss a majority still holds everything.
 
 mod common;
 
@@ -11,7 +10,7 @@
 use grebepath_simulator::world::{FaultyVariant, World};
 use serde_json::{Value, json};
 
-/// Milliseconds after the wish to stop at which a second loss strikes.
+/// Delays between the stop request and a second loss (ms).
 const MOMENTS: [u64; 14] = [0, 5, 20, 40, 60, 80, 100, 130, 160, 200, 300, 400, 700, 1_500];
 
 fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
@@ -21,7 +20,7 @@
         .unwrap_or_else(|all| panic!("{}", grebepath_core::diagnostic::lines(&all)))
 }
 
-/// Orders all the time.
+/// Sends operator requests continuously.
 fn storm(count: u64) -> Value {
     at(0.5, json!({ "do": "storm", "count": count, "gap_ms": 40 }))
 }
@@ -30,7 +29,7 @@
     at(4.0, json!({ "do": "stop-seat", "which": which }))
 }
 
-/// Plays, and lets all become whole again.
+/// Runs a scenario and waits until the cluster has recovered; also returns whether it has.
 fn played(scenario: &Scenario, seed: u64, faulty_variant: Option<FaultyVariant>) -> (World, bool) {
     let mut world = play(scenario, seed, faulty_variant);
     let whole = world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
@@ -46,11 +45,11 @@
         world.rules.violations,
         story()
     );
-    assert!(whole, "{name}, {seed}: not whole\n{}", story());
+    assert!(whole, "{name}, {seed}: not recovered\n{}", story());
     world
 }
 
-/// Which machine has a voter slot.
+/// Returns the machine that holds a voter slot.
 fn holder(world: &World, slot: u8) -> Option<usize> {
     world.controllers.iter().position(|n| n.up && n.state.slot == slot)
 }
@@ -63,7 +62,7 @@
         .count()
 }
 
-/// Runs the cases on several threads.
+/// Runs each case on a thread.
 fn each<T: Sync>(cases: &[T], body: impl Fn(usize, &T) + Sync) {
     std::thread::scope(|scope| {
         for (number, case) in cases.iter().enumerate() {
@@ -75,14 +74,14 @@
 
 #[test]
 fn a_voter_that_stops_hands_its_slot_to_a_spare_before_it_ends() {
-    // Machine 3 is the spare; the voter in its zone leaves.
+    // Machine 3 is the spare; the voter in the same zone stops.
     let scenario = scene(3, 4, 5, vec![storm(100), stop(0)]);
     each(&[1u64, 2, 3, 4], |_, seed| {
         let mut world = play(&scenario, *seed, None);
         assert!(world.rules.violations.is_empty(), "{:?}", world.rules.violations);
         let story = world.rules.story.join("\n");
         assert_eq!(holder(&world, 0), Some(3), "{story}");
-        assert!(!world.controllers[0].up, "still there\n{story}");
+        assert!(!world.controllers[0].up, "still running\n{story}");
         assert!(world.until(ms(1), World::all_slots_voting), "{story}");
     });
 }
@@ -98,7 +97,7 @@
     each(&cases, |number, (leaving, other, after)| {
         let lost = json!({ "do": "kill-seat", "which": other, "for_s": 1.0, "lose": true });
         let lost = at(4.0 + *after as f64 / 1_000.0, lost);
-        // A spare in each zone, so that any of them may succeed.
+        // There is a spare in each zone, so that any voter has a successor.
         let scenario = scene(3, 6, 14, vec![storm(120), stop(*leaving), lost]);
         let name = format!("{leaving} leaves, {other} lost after {after} ms");
         let world = sound(&name, &scenario, number as u64);
@@ -114,7 +113,7 @@
         let scenario = scene(3, 7, 16, vec![storm(120), stop(0), lost]);
         let world =
             sound(&format!("the successor lost after {after} ms"), &scenario, number as u64);
-        // Another spare of the same zone has the slot in the end.
+        // Another spare of the same zone holds the slot at the end.
         assert_eq!(holder(&world, 0), Some(6), "{after}");
     });
 }
@@ -148,7 +147,7 @@
 
 #[test]
 fn a_voter_whose_slot_was_taken_over_while_it_was_paused_hands_nothing_over() {
-    // It wakes after a spare has its slot, and the wish to stop comes first.
+    // The voter resumes after a spare took its slot, and processes the stop request first.
     each(&[2.6, 2.9, 3.0, 3.1, 3.2, 3.3, 3.4, 3.6, 4.0, 5.0], |number, pause| {
         let paused = json!({ "do": "pause-seat", "which": 0, "for_s": pause });
         let stops = at(2.0 + pause + 0.001, json!({ "do": "stop-seat", "which": 0 }));
@@ -160,7 +159,7 @@
 
 #[test]
 fn restarts_in_turn_move_the_slots_on_and_every_order_is_accepted() {
-    // The spares of each zone take the slots, and give them back.
+    // The spares of each zone take the slots, and later hand them back.
     let mut troubles = vec![storm(300)];
     for which in 0..6u64 {
         let stop = json!({ "do": "stop-seat", "which": which, "for_s": 0.5 });
@@ -173,7 +172,7 @@
         for slot in 0..3 {
             assert_eq!(holder(&world, slot), Some(usize::from(slot)), "{}", story());
         }
-        // One may be on its way to a process at the moment when it ends.
+        // One request may be in flight to each process that exits.
         let unanswered = world.operator_requests.iter().filter(|o| o.result.is_none()).count();
         assert!(unanswered <= 6, "{unanswered} without an answer\n{}", story());
         assert_eq!(accepted(&world) + unanswered, world.operator_requests.len(), "{}", story());
@@ -182,7 +181,7 @@
 
 #[test]
 fn two_voters_that_leave_at_once_never_hand_their_slots_to_one_spare() {
-    // The only spare would fit both slots.
+    // The only spare could take either slot.
     let stop = |which: u64| at(2.0, json!({ "do": "stop-seat", "which": which, "for_s": 1.0 }));
     for leaving in [[0, 1], [0, 3], [1, 3], [1, 4]] {
         let scenario = scene(5, 6, 12, vec![storm(120), stop(leaving[0]), stop(leaving[1])]);
@@ -195,11 +194,11 @@
     }
 }
 
-// ---- broken on purpose -------------------------------------------------------
+// ---- faulty variants ---------------------------------------------------------
 
 #[test]
 fn a_voter_that_ends_before_its_successor_holds_the_data_is_caught() {
-    // As controllers did before they handed their slots over.
+    // This is the behaviour without handover of voter slots.
     let caught = std::sync::atomic::AtomicUsize::new(0);
     each(&MOMENTS, |number, after| {
         let lost = json!({ "do": "kill-seat", "which": 1, "for_s": 1.0, "lose": true });
--- a/crates/simulator/tests/late_orders.rs
+++ b/crates/simulator/tests/late_orders.rs
@@ -1,6 +1,6 @@
-//! Operators without ids, whose connections hold what they send while they go on to other
-//! controllers; controllers that stand still or whose own connections hold their messages. An
-//! order whose sender has gone on never undoes a later one that was acknowledged.
+//! Delayed operator requests without request ids: connections delay them while the operator retries
+//! at other controllers, controllers are paused, and connections between controllers are delayed. A
+//! request that its sender has abandoned never undoes a later acknowledged one.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,11 +10,11 @@
 use grebepath_simulator::scenario::{Scenario, play, read};
 use grebepath_simulator::world::{FaultyVariant, World};
 
-/// Seeds of which each is played.
+/// Seeds of the runs without a faulty variant.
 const SEEDS: std::ops::Range<u64> = 1..9;
-/// Seeds in which the variant is caught.
+/// Seeds for which the faulty variant is detected.
 const VARIANT_SEEDS: std::ops::Range<u64> = 1..4;
-/// The rule that is judged.
+/// The rule under test.
 const RULE: u8 = 14;
 
 fn scenario() -> Scenario {
@@ -24,7 +24,7 @@
         .unwrap_or_else(|all| panic!("{}", grebepath_core::diagnostic::lines(&all)))
 }
 
-/// Operators' last orders that were acknowledged (count): so many were judged at the end.
+/// Returns the number of operators whose last request was acknowledged and therefore checked.
 fn judged(world: &World) -> usize {
     world.rules.senders.values().filter(|sender| sender.stands.is_some()).count()
 }
@@ -39,7 +39,7 @@
             "{seed}: {:?}",
             world.rules.violations
         );
-        expect_that!(judged(&world), eq(2), "seed {seed}: both operators come to their last order");
+        expect_that!(judged(&world), eq(2), "seed {seed}: both operators reach their last request");
     }
 }
 
--- a/crates/simulator/tests/leaf_health.rs
+++ b/crates/simulator/tests/leaf_health.rs
@@ -1,4 +1,5 @@
-//! Leafs that recover, and leafs on a slow net: found by drawn faults of `soak-tight.json`.
+//! Recovering leafs, and leafs behind a slow network. Guards against failures that random faults of
+//! `soak-tight.json` found.
 
 mod common;
 
@@ -6,7 +7,7 @@
 use grebepath_simulator::world::World;
 use serde_json::{Value, json};
 
-/// Seeds that each scenario is played with.
+/// Number of seeds per scenario.
 const SEEDS: u64 = 3;
 
 fn play_tight(seconds: u64, faults: Value, seed: u64) -> World {
@@ -27,7 +28,7 @@
 
 #[test]
 fn fresh_leafs_bear_a_net_that_is_slower_than_their_work() {
-    // A leaf hears of a cancelled attempt after its request, not before it.
+    // A leaf receives the cancellation of an attempt after the request, not before it.
     let faults = json!([
         { "at_s": 3.5, "do": "restart-leafs", "service": "mohalla-notices-w48-1" },
         { "at_s": 9.5, "do": "slow-net", "ms": 62 },
--- a/crates/simulator/tests/linearizability.rs
+++ b/crates/simulator/tests/linearizability.rs
@@ -1,5 +1,5 @@
-//! The linearizability check on histories made by hand: reads, writes without a
-//! known outcome, order, replacement.
+//! The linearizability check on handwritten histories: reads, writes with an unknown outcome, order
+//! and replacement.
 
 mod linearizability_script;
 
@@ -84,15 +84,11 @@
         unknown().write((4, 5), "b", Some(0), "two", ACCEPTED(1)).read((6, 7), 1, "two"),
     );
     bad(
-        "on a base that has gone",
+        "on a base that was replaced",
         Reason::Read,
         unknown().write((4, 5), "b", Some(0), "two", ACCEPTED(1)).read((6, 7), 2, "one"),
     );
-    bad(
-        "effective and gone again",
-        Reason::Read,
-        unknown().read((4, 5), 1, "one").read((6, 7), 0, ""),
-    );
+    bad("applied and undone", Reason::Read, unknown().read((4, 5), 1, "one").read((6, 7), 0, ""));
     bad(
         "before it was sent",
         Reason::Read,
@@ -108,7 +104,7 @@
             .read((7, 8), 3, "one"),
     );
     good(
-        "what a rejection left undone, the next attempt does",
+        "rejected, and applied by the next attempt",
         script().write((1, 2), "a", None, "one", Answer::Rejected).read((3, 4), 0, "").write(
             (5, 6),
             "a",
@@ -118,7 +114,7 @@
         ),
     );
     bad(
-        "rejected and effective",
+        "rejected but applied",
         Reason::Read,
         script().write((1, 2), "a", None, "one", Answer::Rejected).read((3, 4), 1, "one"),
     );
@@ -138,7 +134,7 @@
         ),
     );
     bad(
-        "a number that no request can have taken",
+        "a revision that no request can have produced",
         Reason::Acceptance,
         script().write((1, 2), "a", None, "one", ACCEPTED(1)).write(
             (3, 4),
@@ -161,7 +157,7 @@
         .read((3, 4), 3, "one")
         .read((5, 6), 2, "one");
     rising.recorder.history_mut().numbering = Numbering::Rising;
-    bad("a revision that falls all the same", Reason::Read, rising);
+    bad("a revision that decreases nevertheless", Reason::Read, rising);
 }
 
 #[test]
@@ -180,7 +176,7 @@
         s.recorder.answer_read(8, number, (3, None), objects);
         s
     };
-    good("as it says", seen(begin(), &[("x", "new"), ("zone/a", "drained")]));
+    good("as specified", seen(begin(), &[("x", "new"), ("zone/a", "drained")]));
     bad(
         "all kept",
         Reason::Read,
--- a/crates/simulator/tests/linearizability_drawn.rs
+++ b/crates/simulator/tests/linearizability_drawn.rs
@@ -1,5 +1,5 @@
-//! The linearizability check on drawn histories: long ones of a true register,
-//! and tiny ones with answers at random, which brute force judges too.
+//! The linearizability check on generated histories: long ones of a correct register, and small ones
+//! with random answers, which a brute-force checker verifies as well.
 
 mod linearizability_reference;
 
@@ -43,7 +43,7 @@
     let mut caught = 0;
     for seed in 0..40 {
         let (mut history, _) = long_history(100 + seed, 400);
-        // One answer in the middle names the revision before the true one.
+        // One read in the middle returns an earlier state instead of the correct one.
         let middle = history.reads.len() / 2;
         let falls = history.reads[..middle].iter().rfind(|r| r.revision > 0);
         let Some(read) = falls.cloned() else { continue };
@@ -54,7 +54,7 @@
         let at = history.reads.iter().position(|r| r.sent == later.sent).unwrap();
         history.reads[at].revision = read.revision;
         history.reads[at].objects = read.objects.clone();
-        // It is false only if the state it names was replaced before.
+        // The answer is wrong only if the returned state was replaced before.
         let replaced =
             history.reads.iter().any(|r| r.revision > read.revision && r.answered < later.sent);
         if replaced {
--- a/crates/simulator/tests/linearizability_reference/mod.rs
+++ b/crates/simulator/tests/linearizability_reference/mod.rs
@@ -1,5 +1,5 @@
-//! A register that answers requests, histories drawn from it or at random, and
-//! a checker by brute force.
+//! A reference register, generators of histories (from the register and at random), and a
+//! brute-force checker.
 
 use std::collections::BTreeMap;
 
@@ -7,7 +7,7 @@
     Answer, Attempt, Base, Effect, History, Read, Register, Write,
 };
 
-/// A number below `top`.
+/// Draws a number below `top`.
 fn draw(seed: &mut u64, top: u64) -> u64 {
     *seed = seed.wrapping_mul(6_364_136_223_846_793_005).wrapping_add(1_442_695_040_888_963_407);
     (*seed >> 33) % top
@@ -33,18 +33,18 @@
         && base.edition.is_none_or(|e| e == register.edition)
 }
 
-/// A request of a long history on its way.
+/// An in-flight request of a long history.
 struct Sent {
     write: usize,
     attempt: usize,
-    /// When it reaches the register, and when the answer is back.
+    /// When it reaches the register; `answered` is when the answer arrives.
     arrives: u64,
     answered: u64,
     lost: bool,
 }
 
-/// Many overlapping requests to a true register: writes with and without a
-/// base, lost answers, repetitions, reads. Gives the unknown attempts too.
+/// Generates a history of many overlapping requests to a correct register: writes with and without
+/// a base, lost answers, resent requests, and reads. Also returns the number of unknown attempts.
 pub fn long_history(seed: u64, requests: usize) -> (History, usize) {
     let mut seed = seed;
     let mut history = History::default();
@@ -120,7 +120,7 @@
     Write { id: format!("w{number}"), text: 1, base, effect, attempts: Vec::new() }
 }
 
-/// A request arrives at the register, which may already have applied it.
+/// Delivers a request to the register, which may already have applied it.
 fn arrive(
     history: &mut History,
     register: &mut Register,
@@ -145,7 +145,7 @@
     }
 }
 
-/// A tiny history with answers at random: some fit, most do not.
+/// Generates a small history with random answers; some are linearizable, most are not.
 pub fn drawn_history(seed: &mut u64) -> History {
     let mut history = History::default();
     let writes = 1 + draw(seed, 3);
@@ -194,17 +194,17 @@
     Attempt { via: "w".into(), sent, answered, answer }
 }
 
-/// An operation of the brute force.
+/// An operation of the brute-force checker.
 #[derive(Clone, Copy)]
 enum Operation {
     /// A write takes effect (by any attempt).
     Effect(usize),
-    /// An attempt is answered by what stands.
+    /// An attempt is answered from the current state.
     Answer(usize, usize),
     Read(usize),
 }
 
-/// Whether some order of all operations explains all answers, by trying all.
+/// Returns whether some order of all operations explains all answers, by trying every order.
 pub fn fits(history: &History) -> bool {
     let mut operations = Vec::new();
     for (w, write) in history.writes.iter().enumerate() {
@@ -227,7 +227,7 @@
     extend(history, &mut left, &Register::default(), &BTreeMap::new(), 0)
 }
 
-/// Tries every next operation. `now` is the latest beginning placed so far.
+/// Tries every next operation. `now` is the latest start time placed so far.
 fn extend(
     history: &History,
     left: &mut Vec<Operation>,
@@ -235,7 +235,7 @@
     applied: &BTreeMap<usize, u64>,
     now: u64,
 ) -> bool {
-    // Only effects that need not be are left.
+    // Only effects that are not required are left.
     if left.iter().all(|o| matches!(o, Operation::Effect(_))) {
         return true;
     }
@@ -255,8 +255,8 @@
 
 type Outcome = (Register, BTreeMap<usize, u64>, u64, u64);
 
-/// What an operation may come to in a state: the next state, and the times
-/// between which it must be.
+/// Returns the possible outcomes of an operation in a state: the next state, and the interval in
+/// which the operation must take place.
 fn outcomes(
     history: &History,
     operation: Operation,
--- a/crates/simulator/tests/linearizability_refusals.rs
+++ b/crates/simulator/tests/linearizability_refusals.rs
@@ -1,5 +1,5 @@
-//! The linearizability check on histories made by hand: refusals, requests that
-//! are sent again, and two requests on one base.
+//! The linearizability check on handwritten histories: refusals, resent requests, and two requests
+//! with the same base.
 
 mod linearizability_script;
 
@@ -9,8 +9,8 @@
 #[test]
 fn refusals_need_another_version_to_have_stood() {
     let first = || script().write((1, 2), "a", Some(0), "one", ACCEPTED(1));
-    good("moved on", first().write((3, 4), "b", Some(0), "two", MOVED(1)));
-    good("moved on meanwhile", {
+    good("base was replaced", first().write((3, 4), "b", Some(0), "two", MOVED(1)));
+    good("base was replaced concurrently", {
         script().write((1, 9), "a", Some(0), "one", ACCEPTED(1)).write(
             (2, 8),
             "b",
@@ -19,7 +19,7 @@
             MOVED(1),
         )
     });
-    bad("the base stands", Reason::Refusal, first().write((3, 4), "b", Some(1), "two", MOVED(0)));
+    bad("base is current", Reason::Refusal, first().write((3, 4), "b", Some(1), "two", MOVED(0)));
     bad(
         "an old version is named",
         Reason::Refusal,
@@ -32,7 +32,7 @@
         ),
     );
     bad(
-        "a version that never stood is named",
+        "a version that never existed is named",
         Reason::Refusal,
         first().write((3, 4), "b", Some(0), "two", MOVED(7)),
     );
@@ -59,7 +59,7 @@
         ),
     );
     bad(
-        "explained by one that later turns out not to be",
+        "explained by a write that later proves not to have taken effect",
         Reason::Read,
         script()
             .write((1, 0), "a", Some(0), "one", Answer::Unknown)
@@ -90,7 +90,7 @@
         Reason::RefusedAgain,
         first().write((50, 51), "a", Some(0), "one", Answer::Invalid),
     );
-    // The first answer was lost; that it took effect shows elsewhere.
+    // The first answer was lost, but a read shows that the write took effect.
     let lost =
         || script().write((1, 0), "a", Some(0), "one", Answer::Unknown).read((3, 4), 1, "one");
     good("lost, and accepted", lost().write((50, 51), "a", Some(0), "one", ACCEPTED(1)));
@@ -169,7 +169,7 @@
         script().write((1, 2), "a", Some(5), "one", ACCEPTED(5)),
     );
     bad(
-        "on a base that did not stand",
+        "on a base that is not current",
         Reason::Acceptance,
         script()
             .write((1, 2), "a", None, "one", ACCEPTED(1))
@@ -193,7 +193,7 @@
         ),
     );
     good(
-        "one on an edition, the other refused with the edition that stands",
+        "one on an edition, the other refused with the current edition",
         script().any((1, 4), "a", base, five.clone(), ACCEPTED(1)).any(
             (2, 5),
             "b",
@@ -203,7 +203,7 @@
         ),
     );
     bad(
-        "refused with an edition that never stood",
+        "refused with an edition that never existed",
         Reason::Refusal,
         script().any((1, 4), "a", base, five, ACCEPTED(1)).any((2, 5), "b", base, seven, MOVED(6)),
     );
--- a/crates/simulator/tests/linearizability_script/mod.rs
+++ b/crates/simulator/tests/linearizability_script/mod.rs
@@ -1,4 +1,4 @@
-//! Histories written down request by request.
+//! Builds histories request by request.
 #![allow(dead_code)]
 
 use std::collections::BTreeMap;
@@ -10,14 +10,14 @@
 pub const ACCEPTED: fn(u64) -> Answer = |revision| Answer::Accepted { revision };
 pub const MOVED: fn(u64) -> Answer = |version| Answer::Moved { version: Some(version) };
 
-/// A history that is written down request by request.
+/// Builds a history request by request.
 #[derive(Default)]
 pub struct Script {
     pub recorder: Recorder,
 }
 
 impl Script {
-    /// A write of `value` to the object `x`, on a revision.
+    /// Adds a write of `value` to the object `x`, based on a revision.
     pub fn write(
         self,
         (sent, answered): (u64, u64),
--- a/crates/simulator/tests/list_pollers.rs
+++ b/crates/simulator/tests/list_pollers.rs
@@ -1,5 +1,5 @@
-//! The platform's list is read on, whoever of those that read it stops, stands still or is
-//! lost: a leaf that leaves, and says so nowhere else, gets no new work after 3 s.
+//! The platform's list is still polled when queriers that poll it stop, are paused or are lost: a
+//! leaf whose leaving only the list shows gets no new work after 3 s.
 
 #![allow(clippy::unwrap_used)]
 
@@ -10,26 +10,28 @@
 use grebepath_simulator::world::{FaultyVariant, World};
 use serde_json::{Value, json};
 
-/// Queriers of the fleet.
+/// Queriers of the cluster (count).
 const QUERIERS: u64 = 6;
-/// Time that a querier which stops still takes calls (ms): longer than a leaf's leaving may go
-/// unnoticed.
+/// Time for which a stopping querier still accepts calls (ms): longer than the maximum time until a
+/// leaving leaf must be noticed.
 const DRAIN_NOTICE_MS: u64 = 4_000;
-/// When the faults strike (s).
+/// Time of the first fault (s).
 const STRUCK_AT: f64 = 4.0;
-/// By how much later they strike in each play of a case (s): spread over the time between two
-/// reads of the list, by whoever reads it.
+/// Delays of the faults in the runs of a case (s): spread over the interval between two polls of the
+/// list by any querier.
 const DELAYS: [f64; 6] = [0.0, 0.35, 0.7, 1.05, 1.4, 1.75];
-/// How long the list lags behind (s).
+/// Lag of the list (s).
 const LIST_LAG: f64 = 1.5;
-/// The list shows that leafs leave so long before the first of several queriers is lost (s),
-/// for most polls of its holder come before that; and before the first one stops.
+/// How long before the first of several queriers is lost the list shows that leafs leave (s): long
+/// enough that most polls of its poller come before the loss. `SHOWN_BEFORE_STOP` is the same for
+/// the first stop.
 const SHOWN_BEFORE_LOSS: f64 = 0.5;
 const SHOWN_BEFORE_STOP: f64 = 0.1;
-/// Time between two stops (s).
+/// Interval between two stops (s).
 const STOP_GAP: f64 = 0.3;
 
-/// Leafs of all three zones leave, since each querier prefers its own.
+/// Returns a scenario in which leafs of all three zones leave, since each querier prefers the leafs
+/// of its zone.
 fn scenario(shown_before: f64, delay: f64, faults: &[Value]) -> Scenario {
     let mut all = faults.to_vec();
     all.push(json!({ "at_s": STRUCK_AT - shown_before - LIST_LAG, "do": "leave-leafs", "count": 3,
@@ -44,7 +46,7 @@
         .unwrap_or_else(|all| panic!("{}", grebepath_core::diagnostic::lines(&all)))
 }
 
-/// What rule 13 finds in a run, and nothing else may be found.
+/// Returns the violations of rule 13 in a run; other violations fail the test.
 fn violations(scenario: &Scenario, variant: Option<FaultyVariant>) -> Vec<Violation> {
     let world: World = play(scenario, 5, variant);
     let other = world.rules.violation_counts.keys().find(|rule| **rule != 13);
@@ -52,7 +54,7 @@
     world.rules.violations
 }
 
-/// Plays cases on several threads, and gives those in which a leaving leaf got new work.
+/// Runs cases on several threads and returns those in which a leaving leaf got new work.
 fn broken(shown_before: f64, cases: &[Vec<Value>], variant: Option<FaultyVariant>) -> Vec<String> {
     let plays: Vec<Scenario> = cases
         .iter()
@@ -80,13 +82,13 @@
     json!({ "at_s": at_s, "do": action, "which": which, "for_s": for_s })
 }
 
-/// All ordered pairs of queriers.
+/// Returns all ordered pairs of queriers.
 fn pairs() -> impl Iterator<Item = (u64, u64)> {
     let all = (0..QUERIERS).flat_map(|one| (0..QUERIERS).map(move |other| (one, other)));
     all.filter(|(one, other)| one != other)
 }
 
-/// All ways to lose three of the six at once.
+/// Returns all combinations of three lost queriers out of six.
 fn losses_of_half() -> Vec<Vec<Value>> {
     let chosen = |set: u64| (0..QUERIERS).filter(move |which| set >> which & 1 == 1);
     (0..1u64 << QUERIERS)
@@ -97,11 +99,11 @@
 
 #[test]
 fn half_of_the_queriers_are_lost_at_once() {
-    // Guards against a list that is unread until a lost reader's lease has run out.
+    // Guards against a list that nobody polls until the lease of a lost poller has expired.
     let cases = losses_of_half();
     assert_eq!(broken(SHOWN_BEFORE_LOSS, &cases, None), Vec::<String>::new());
     let caught = broken(SHOWN_BEFORE_LOSS, &cases, Some(FaultyVariant::NoSubstituteListPollers));
-    assert!(!caught.is_empty(), "without substitutes nothing was broken");
+    assert!(!caught.is_empty(), "the variant without substitute pollers was not detected");
 }
 
 #[test]
@@ -115,7 +117,7 @@
 
 #[test]
 fn all_queriers_but_one_stop_in_turn() {
-    // Guards against a list that is unread while its readers stop.
+    // Guards against a list that nobody polls while its pollers stop.
     let cases: Vec<Vec<Value>> = pairs()
         .map(|(first, second)| {
             let rest = (0..QUERIERS).filter(|which| ![first, second].contains(which));
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -1,6 +1,6 @@
-//! Hundreds of changes on the files that the daemons write, while members come
-//! and go: logs are rotated, transfers are cut, disks fill, stall, rot and lose
-//! power in the middle. What was accepted is there at the end, on every voter.
+//! Hundreds of changes on the real file formats while voters leave and return: logs are rotated,
+//! snapshot transfers are interrupted, and disks fill up, stall, corrupt data and lose power. At the
+//! end every voter holds all accepted changes.
 
 #![allow(clippy::unwrap_used)]
 
@@ -33,7 +33,7 @@
         .count()
 }
 
-/// Plays with several seeds; each ends whole, with one state on all voters.
+/// Runs with several seeds; each must end recovered and with the same state on all voters.
 fn sound(name: &str, scenario: &Scenario) {
     std::thread::scope(|scope| {
         for seed in 0..4 {
@@ -48,9 +48,9 @@
                     "{name}, {seed}: {:?}",
                     world.rules.violations
                 );
-                assert!(whole, "{name}, {seed}: not whole\n{}", ring());
+                assert!(whole, "{name}, {seed}: not recovered\n{}", ring());
                 assert!(accepted(&world) > 400, "{name}, {seed}: {} accepted", accepted(&world));
-                // The last changes may be under way: let them come to rest.
+                // The last changes may still be replicating.
                 let same = world.until(5 * SECOND, |world| {
                     let copy = |s: usize| &world.controllers[s].state.partitions[0].state;
                     (1..3).all(|s| copy(s) == copy(0))
@@ -111,13 +111,13 @@
 
 #[test]
 fn the_one_that_was_away_leads_right_after_its_return() {
-    // The leader and then the other one go as it comes back.
+    // The leader and then the other voter are killed while the returned voter catches up.
     for wait in [0.05, 0.2, 0.5, 1.0, 2.0] {
         let troubles = vec![
             kill(0, 1.0, json!({ "for_s": 12.0 })),
             kill(1, 13.0 + wait, json!({ "for_s": 3.0, "power": true })),
             kill(2, 18.0 + wait, json!({ "for_s": 3.0, "power": true })),
         ];
-        sound("leads after its return", &scene(28, troubles));
+        sound("leads after returning", &scene(28, troubles));
     }
 }
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -1,5 +1,5 @@
-//! Operators of a simulated fleet whose answers may be lost: each call is noted
-//! in a history, which must fit a register.
+//! Operators of a simulated cluster whose answers may be lost. Each call is recorded in a history,
+//! which must be linearizable.
 
 #![allow(dead_code)]
 
@@ -14,21 +14,21 @@
 use grebepath_simulator::world::{OperatorRequest, World};
 use serde_json::{Value, json};
 
-/// Zones by name with their states: what the history follows.
+/// Zone states by name: the objects of the history.
 type Objects = std::collections::BTreeMap<String, String>;
 
-/// A call that was sent, and where its answer goes.
+/// A call that was sent.
 struct Sent {
     order: usize,
     write: Option<AttemptNumber>,
     via: usize,
     sent: u64,
-    /// The operator does not hear the answer.
+    /// Whether the answer is lost on the way to the operator.
     lost: bool,
     noted: bool,
 }
 
-/// A fleet and its operators.
+/// A cluster and its operators.
 pub struct Site {
     pub world: World,
     recorder: Recorder,
@@ -36,7 +36,7 @@
     config: Value,
 }
 
-/// A change of the configuration, as one operator sends it.
+/// A configuration change, as an operator sends it.
 #[derive(Clone)]
 pub struct Change {
     pub request: String,
@@ -45,8 +45,8 @@
     effect: Effect,
 }
 
-/// A change that opens one zone; `base` is the edition that it builds on, and
-/// the one that it makes.
+/// Returns a change that opens one zone; `base` is the edition that it builds on and the edition
+/// that it creates.
 pub fn patch(mark: &str, base: Option<(u64, u64)>) -> Change {
     let mut value = json!({ "zones": [{ "name": mark, "state": "open" }] });
     named(&mut value, base);
@@ -58,7 +58,7 @@
     Change { request, operation: Operation::Patch(text.into_bytes()), base, effect }
 }
 
-/// The whole configuration of the scenario with one more zone.
+/// Returns a change that replaces the configuration by this one with one more zone.
 pub fn whole(config: &Value, mark: &str, base: Option<(u64, u64)>) -> Change {
     let mut value = config.clone();
     let zones = value["zones"].as_array().cloned().unwrap_or_default();
@@ -82,7 +82,7 @@
     }
 }
 
-/// A fleet that has come up with its first configuration, which is edition 1.
+/// Starts a cluster with its first configuration, which is edition 1.
 pub fn site(scenario: &Scenario, seed: u64) -> Site {
     let mut world =
         World::new(&scenario.spec, scenario.control_plane.clone(), scenario.queriers, seed);
@@ -91,19 +91,22 @@
     let mut site = Site { world, recorder: Recorder::default(), sent: Vec::new(), config };
     let first = whole(&site.config, "first", Some((0, 1)));
     let call = send(&mut site, 0, &first, false);
-    assert!(until(&mut site, 20, |s| answer(s, call).is_some()), "no first configuration");
-    assert!(until(&mut site, 20, |s| s.world.settled()), "the fleet does not come up");
+    assert!(
+        until(&mut site, 20, |s| answer(s, call).is_some()),
+        "the first configuration was not accepted"
+    );
+    assert!(until(&mut site, 20, |s| s.world.settled()), "the cluster does not start up");
     site.world.start_calls(scenario.factor);
     site
 }
 
-/// Whole configurations of this fleet.
+/// Returns a change that replaces the cluster's initial configuration with one more zone.
 pub fn whole_of(site: &Site, mark: &str, base: Option<(u64, u64)>) -> Change {
     whole(&site.config, mark, base)
 }
 
-/// Sends a change through a machine; gives the number of the call. With `lost`
-/// the operator never hears the answer.
+/// Sends a change through a machine and returns the number of the call. With `lost`, the operator
+/// never receives the answer.
 pub fn send(site: &mut Site, machine: usize, change: &Change, lost: bool) -> usize {
     let text = match &change.operation {
         Operation::Replace(text) | Operation::Patch(text) => text.clone(),
@@ -118,7 +121,7 @@
     call(site, machine, Some(change.request.clone()), change.operation.clone(), Some(write), lost)
 }
 
-/// Reads the configuration through a machine.
+/// Sends a read of the configuration through a machine and returns the number of the call.
 pub fn read(site: &mut Site, machine: usize) -> usize {
     call(site, machine, None, Operation::Read, None, false)
 }
@@ -139,7 +142,7 @@
     site.sent.len() - 1
 }
 
-/// Lets time pass and notes the answers that come.
+/// Advances the time and records the answers that arrive.
 pub fn pass(site: &mut Site, millis: u64) {
     let end = site.world.now + ms(millis);
     while site.world.now < end {
@@ -149,7 +152,7 @@
     }
 }
 
-/// Lets time pass until `done`, at most so many seconds.
+/// Advances the time until `done`, at most by `seconds`.
 pub fn until(site: &mut Site, seconds: u64, done: impl Fn(&Site) -> bool) -> bool {
     let end = site.world.now + seconds * SECOND;
     while !done(site) && site.world.now < end {
@@ -158,7 +161,7 @@
     done(site)
 }
 
-/// What a call was answered, if it was and the operator heard it.
+/// Returns the answer of a call, if the operator has received one.
 pub fn answer(site: &Site, call: usize) -> Option<&OperationResult> {
     let sent = &site.sent[call];
     site.world.operator_requests[sent.order].result.as_ref().filter(|_| !sent.lost)
@@ -171,7 +174,7 @@
     answer(site, call).cloned()
 }
 
-/// The zones and the edition as they are read through a machine.
+/// Reads the zones and the edition through a machine.
 pub fn read_back(site: &mut Site, machine: usize) -> Option<(Objects, u64)> {
     let call = read(site, machine);
     until(site, 12, |s| answer(s, call).is_some());
@@ -188,7 +191,7 @@
     Some((zones, config.client_limits.edition))
 }
 
-/// Notes answers in the history.
+/// Records new answers in the history.
 fn note(site: &mut Site) {
     let now = site.world.now;
     for sent in site.sent.iter_mut().filter(|sent| !sent.noted && !sent.lost) {
@@ -217,7 +220,7 @@
     }
 }
 
-/// Whether the history fits a register; else why not.
+/// Returns an error with the explanation if the history is not linearizable.
 pub fn judged(site: &Site) -> Result<(), String> {
     match check(site.recorder.history()) {
         Verdict::Linearizable => Ok(()),
@@ -226,7 +229,7 @@
     }
 }
 
-/// How many calls were answered in which way.
+/// Returns the number of calls by kind of answer.
 pub fn tally(site: &Site) -> std::collections::BTreeMap<&'static str, usize> {
     let mut out = std::collections::BTreeMap::new();
     for sent in &site.sent {
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -1,6 +1,6 @@
-//! Operators race through different machines while controllers fall, answers
-//! are lost and orders are sent again: at once, after hundreds of other changes,
-//! after restarts of all and after a replaced leader.
+//! Concurrent operators on different machines while controllers fail, answers are lost and requests
+//! are resent: at once, after hundreds of other changes, after a restart of all controllers and
+//! after the leader was replaced.
 
 mod common;
 mod operators;
@@ -19,7 +19,7 @@
     site(&common::scenario("orders", 600, 0.01, Vec::new()), seed)
 }
 
-/// A fleet with a fourth controller that has no voter slot: a spare.
+/// Starts a cluster with a fourth controller that has no voter slot: a spare.
 fn fleet_with_spare(seed: u64) -> Site {
     let value = json!({ "name": "orders", "seconds": 600, "queriers": 7, "factor": 0.01,
         "seats": 3, "controllers": 4 });
@@ -34,7 +34,7 @@
     site.world.apply_fault(&fault);
 }
 
-/// All controllers lose power at once and are back half a second later.
+/// All controllers lose power at the same time and restart half a second later.
 fn power_loss(site: &mut Site) {
     for machine in 0..site.world.controllers.len() {
         let what = json!({ "do": "kill-seat", "which": machine, "power": true, "for_s": 0.5 });
@@ -42,7 +42,7 @@
     }
 }
 
-/// The machine whose controller leads the configuration.
+/// Returns the machine whose controller leads the configuration partition.
 fn leader(world: &World) -> Option<usize> {
     use grebepath_core::replication::partition::Role;
     let leads = |n: &world::ControllerNode| matches!(&n.state.partitions[0].role, Role::Leader(o) if o.is_serving);
@@ -56,7 +56,7 @@
     }
 }
 
-/// So many changes by others, of one zone, some on the way at once.
+/// Sends `count` changes of one zone from other operators, several of them concurrently.
 fn others(site: &mut Site, count: u64) {
     let first = site.world.operator_requests.len();
     for number in 0..count {
@@ -72,7 +72,7 @@
 fn an_order_is_acknowledged_again_after_hundreds_of_others_and_every_restart() {
     for (count, seed) in [(600, 1), (2_000, 2)] {
         let mut site = fleet(seed);
-        // Two orders whose answers are lost, and the rival of the second.
+        // Two requests whose first answers are lost, and a conflicting request to the second.
         let orders =
             [patch("first-of-two", Some((1, 2))), whole_of(&site, "second-of-two", Some((2, 3)))];
         let rival = patch("rival", Some((2, 3)));
@@ -94,10 +94,10 @@
                 assert!(matches!(done, Some(OperationResult::Conflict { .. })), "{when}: {done:?}");
             }
         };
-        again(&mut site, "after the others");
+        again(&mut site, "after other changes");
         power_loss(&mut site);
         pass(&mut site, 8_000);
-        again(&mut site, "after a loss of power");
+        again(&mut site, "after a power loss");
         let gone = leader(&site.world).expect("a leader");
         strike(&mut site, json!({ "do": "kill-seat", "which": gone, "lose": true, "for_s": 4 }));
         pass(&mut site, 12_000);
@@ -108,8 +108,7 @@
     }
 }
 
-/// Two operators change the same edition again and again, through machines
-/// drawn at random, while controllers fall.
+/// Two operators repeatedly change the same edition through random machines while controllers fail.
 fn race(seed: u64, rounds: u64) -> Site {
     let mut site = if seed.is_multiple_of(2) { fleet(seed) } else { fleet_with_spare(seed) };
     let machines = site.world.controllers.len() as u64;
@@ -142,7 +141,7 @@
         if random.chance(1, 2) {
             strike(&mut site, json!({ "do": "heal" }));
         }
-        // The next round builds on what is read, from either side.
+        // The next round builds on the edition that is read, whichever operator created it.
         let machine = random.below(machines) as usize;
         if let Some((_, stands)) = read_back(&mut site, machine) {
             edition = stands;
@@ -196,7 +195,7 @@
         matches!(done, Some(OperationResult::Unknown { .. } | OperationResult::Accepted { .. })),
         "{done:?}"
     );
-    // A new one is committed, but may not be told before a member knows of it.
+    // A new request is committed, but not acknowledged until the members have applied it.
     let fresh = patch("other", Some((2, 3)));
     let done = ask(&mut site, 1, &fresh);
     assert!(matches!(done, Some(OperationResult::Unknown { .. })), "{done:?}");
@@ -207,9 +206,9 @@
     judged(&site).unwrap();
 }
 
-// ---- broken on purpose -------------------------------------------------------
+// ---- injected errors ---------------------------------------------------------
 
-/// Every controller's memory of orders is lost.
+/// Removes the records of processed requests from every controller.
 fn forget(site: &mut Site) {
     for node in &mut site.world.controllers {
         node.state.partitions[0].state.entries.retain(|key, _| !key.starts_with("order/"));
--- a/crates/simulator/tests/rollouts.rs
+++ b/crates/simulator/tests/rollouts.rs
@@ -1,5 +1,5 @@
-//! Rollouts over the whole fleet: sound versions are delivered, bad ones returned, whatever else
-//! happens, and the checkers catch fleets that are broken on purpose.
+//! Rollouts in a simulated cluster: healthy versions are delivered and faulty ones rolled back,
+//! also under other faults, and the checkers detect deliberately faulty variants.
 
 #![allow(clippy::unwrap_used)]
 
@@ -11,12 +11,12 @@
 use grebepath_simulator::world::{FaultyVariant, World};
 use serde_json::{Value, json};
 
-/// A service that two kinds of calls ask, as one shard of four.
+/// A service that two searches use; it serves one shard of four.
 const SERVICE: &str = "mohalla-notices-w48-1";
 /// When rollouts are ordered (s).
 const ORDERED_AT: f64 = 4.0;
 
-/// A run with a rollout of 12 s and other faults.
+/// Runs a rollout of 12 s together with other faults.
 fn played(fault: Value, others: Vec<Value>, seed: u64, variant: Option<FaultyVariant>) -> World {
     let mut rollout = json!({ "do": "rollout", "service": SERVICE, "over_s": 12.0 });
     rollout.as_object_mut().unwrap().extend(fault.as_object().unwrap().clone());
@@ -26,7 +26,7 @@
     play(&scenario, seed, variant)
 }
 
-/// The end that the operator was told.
+/// Returns the end that was reported to the operator.
 fn end(world: &World) -> Option<ToldEnd> {
     world.rules.rollouts.ends()[SERVICE][0]
 }
@@ -59,8 +59,8 @@
     }
 }
 
-/// A member that is cut off from everyone, just before the time at which a sound version takes
-/// over, goes by what was before for as long as its lease lasts.
+/// Isolates a member just before a healthy version takes over. The member keeps applying the
+/// previous state until its lease expires.
 fn one_is_cut_off_at_the_turn() -> Vec<Value> {
     vec![at(ORDERED_AT + 8.9, json!({ "do": "cut", "a": ["q1"], "b": ["all"] }))]
 }
--- a/crates/simulator/tests/rollouts_drawn.rs
+++ b/crates/simulator/tests/rollouts_drawn.rs
@@ -1,5 +1,5 @@
-//! Rollouts of drawn versions while drawn faults strike: no version gets what it must not, and
-//! ends are final.
+//! Rollouts of random versions under random faults: no version gets requests that it must not get,
+//! and the end of a rollout is final.
 
 mod common;
 
@@ -9,15 +9,15 @@
 use proptest::{collection, prop_oneof, proptest};
 use serde_json::{Value, json};
 
-/// Queriers of the fleet, as `common::scenario` has them.
+/// Queriers of the cluster (count), as in `common::scenario`.
 const QUERIERS: u64 = 7;
-/// Services that are rolled out, each with a search that asks it.
+/// Services that are rolled out, each with a search that uses it.
 const SERVICES: [(&str, &str); 2] =
     [("mohalla-notices-w48-1", "browse"), ("mohalla-alerts-w48-0", "alert")];
 /// Rules that rollouts may break.
 const ROLLOUT_RULES: [u8; 4] = [15, 16, 17, 18];
 
-/// A fault of a querier, a controller, or the net between them.
+/// Generates a fault of a querier, a controller or the network between them.
 fn fault() -> impl Strategy<Value = Value> {
     let when = (20..160u64).prop_map(|tenths| tenths as f64 / 10.0);
     let span = (1..50u64).prop_map(|tenths| tenths as f64 / 10.0);
@@ -46,7 +46,7 @@
     })
 }
 
-/// A rollout of a sound version or of a bad one.
+/// Generates a rollout of a healthy or a faulty version.
 fn rollout() -> impl Strategy<Value = Value> {
     let how = prop_oneof![
         any::<bool>().prop_map(|_| json!({})),
@@ -60,7 +60,7 @@
     (0..SERVICES.len(), 20..60u64, 10..16u64, how).prop_map(|(service, tenths, over_s, how)| {
         let (service, search) = SERVICES[service];
         let mut rollout = json!({ "do": "rollout", "service": service, "over_s": over_s });
-        // A version that fails for a search which never asks it is sound.
+        // A version that fails only for a search that never uses it counts as healthy.
         if how["how"] == "one-search" {
             rollout["search"] = json!(search);
         }
--- a/crates/simulator/tests/scale_model.rs
+++ b/crates/simulator/tests/scale_model.rs
@@ -1,4 +1,4 @@
-//! The scale model at small sizes: it comes up, replays, and grows as it must.
+//! The scale model at small sizes: it starts up, is reproducible, and its costs grow as expected.
 
 use googletest::prelude::*;
 use grebepath_core::config::route::RoutingTable;
@@ -15,7 +15,7 @@
     measure(Size { members, leafs }, seed, measurements)
 }
 
-/// The lines that a seed replays.
+/// Returns the lines that a seed reproduces.
 fn counted(f: &Findings) -> Vec<String> {
     report::text(f).lines().filter(|l| !l.starts_with('~')).map(str::to_string).collect()
 }
@@ -53,7 +53,7 @@
     let sent: u64 = sum.queriers.iter().chain(&sum.controllers).map(|m| m.sent.bytes).sum();
     let received: u64 = sum.queriers.iter().chain(&sum.controllers).map(|m| m.received.bytes).sum();
     expect_that!(sent, eq(traffic));
-    // What is on the way at either end of the time is small.
+    // The number of messages in flight at either end of the interval is small.
     expect_that!((sent as f64 - received as f64).abs(), lt(sent as f64 / 50.0));
 }
 
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -1,5 +1,5 @@
-//! Every scenario of the repository, at a part of its load, without a
-//! violation; and what each is there to show.
+//! Runs every scenario of the repository at a fraction of its load. None may violate a rule, and
+//! each must show its intended result.
 
 #![allow(clippy::unwrap_used)]
 
@@ -12,7 +12,7 @@
 use grebepath_simulator::world::World;
 use serde_json::json;
 
-/// Part of each scenario's load that is played in the tests.
+/// Fraction of each scenario's load that is used here.
 const PART: f64 = 0.12;
 
 fn all() -> BTreeMap<String, World> {
@@ -41,7 +41,7 @@
         Ok(s) => s,
         Err(all) => panic!("{name}: {}", grebepath_core::diagnostic::lines(&all)),
     };
-    // An overload must stay one, and a load that a tenth can't bear too.
+    // Scenarios that depend on their full load keep it.
     let heavy = ["restart-no-age.json", "weak-leafs.json"];
     if !name.starts_with("overload") && !heavy.contains(&name) {
         s.factor *= PART;
@@ -49,7 +49,7 @@
     let mut world = play(&s, 3, None);
     if !["two-disks-lost"].contains(&s.name.as_str()) {
         let settled = world.until(20 * SECOND, World::settled);
-        assert!(settled, "{name}: the fleet is not whole 20 s after the last trouble");
+        assert!(settled, "{name}: the cluster has not recovered 20 s after the last fault");
     }
     (name.trim_end_matches(".json").to_string(), world)
 }
@@ -68,40 +68,39 @@
         assert!(found.is_empty(), "{name}: {found:?}");
     }
     let get = |name: &str| &worlds[name];
-    // Nothing is lost when nothing happens, when the core is gone, or when
-    // one leaf of a shard is dark or gone.
+    // Answers stay complete without faults, without controllers, or when one leaf of a shard is
+    // unresponsive or lost.
     for name in ["calm", "core-gone", "leaf-dark", "leaf-vanish", "rolling", "disks", "recut"] {
         let (full, _, all) = share(get(name), "browse");
         assert!(full * 1000 >= all * 995, "{name}: {full} of {all} are full");
     }
-    // A shard that is down costs that shard, not the answer.
+    // A shard that is down makes answers partial, but doesn't fail them.
     let (full, partial, all) = share(get("shard-down"), "browse");
     assert!(partial > 0 && (full + partial) * 1000 >= all * 995, "{full} {partial} {all}");
-    // Under five times the load goodput stays near capacity and the urgent
-    // class is served throughout.
+    // Under five times the load, goodput stays near capacity and the urgent class is always served.
     let (full, _, all) = share(get("overload"), "alert");
     assert!(full * 100 >= all * 99, "alerts: {full} of {all}");
     let (full, partial, all) = share(get("overload"), "browse");
     assert!((full + partial) * 2 >= all, "browse: {full} {partial} of {all}");
-    // Leafs that bear half of what is configured are spared, which serves more.
+    // Leafs with half of the configured capacity get less load, so that more queries succeed.
     let weak = get("weak-leafs");
     let (full, partial, all) = share(weak, "browse");
     assert!(full * 100 >= all * 75, "weak leafs: {full} {partial} of {all}");
     let over: u64 = weak.backends.leafs.values().map(|l| l.over).sum();
-    assert!(over < 1_500, "{over} dispatches begun beyond what leafs bear");
-    // Two disks lost: said aloud, and queries served on.
+    assert!(over < 1_500, "{over} attempts started beyond the leafs' capacity");
+    // The loss of two disks raises an alarm, and queries are still served.
     let two = get("two-disks-lost");
     assert!(two.alarms.keys().any(|a| a.contains("two disks are lost")), "{:?}", two.alarms);
     let (full, _, all) = share(two, "browse");
     assert!(full * 100 >= all * 99, "{full} of {all}");
-    // A zone with a shard's last leafs is emptied all the same.
+    // A zone is drained even if it has the last leafs of a shard.
     let (full, partial, all) = share(get("last-leafs-drained"), "browse");
     assert!(partial > 0 && (full + partial) * 100 >= all * 99, "{full} {partial} of {all}");
 }
 
 #[test]
 fn who_does_not_obey_yet_is_named_to_the_operator() {
-    // All are heard, and none of them hears the news.
+    // The controllers hear all queriers, but no querier receives the change.
     let deaf = json!({ "at_s": 1.0, "do": "cut", "a": ["seats"], "b": ["queriers"],
                        "one_way": true });
     let s = common::scenario(
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -1,5 +1,5 @@
-//! Seats that change hands: machines gone for good, disks lost, many at once,
-//! and everything that may go on meanwhile.
+//! Moving voter slots: machines lost permanently, lost disks, several losses at once, and further
+//! faults meanwhile.
 
 mod common;
 
@@ -19,7 +19,7 @@
     }
 }
 
-/// Plays with several seeds; each must end with all voter slots voting and no violation.
+/// Runs with several seeds; each must end with all voter slots voting and without a violation.
 fn sound(name: &str, s: &Scenario, check: impl Fn(&mut World, u64) + Sync) {
     std::thread::scope(|scope| {
         for seed in 0..4 {
@@ -31,7 +31,7 @@
                 let found = &world.rules.violations;
                 let story = || world.rules.story.join("\n");
                 assert!(found.is_empty(), "{name}, {seed}: {found:?}\n{}", story());
-                assert!(whole, "{name}, {seed}: not whole\n{}", state(&world));
+                assert!(whole, "{name}, {seed}: not recovered\n{}", state(&world));
                 check(&mut world, seed);
             });
         }
@@ -50,12 +50,12 @@
     out + &world.rules.recent_lines.iter().cloned().collect::<Vec<_>>().join("\n")
 }
 
-/// Orders all the time.
+/// Sends operator requests continuously.
 fn storm(count: u64) -> Value {
     at(0.5, json!({ "do": "storm", "count": count, "gap_ms": 150 }))
 }
 
-/// Which machine has a voter slot.
+/// Returns the machine that holds a voter slot.
 fn holder(world: &World, seat: u8) -> Option<usize> {
     world.controllers.iter().position(|n| n.up && n.state.slot == seat)
 }
@@ -68,7 +68,7 @@
         .count()
 }
 
-/// A spare in the zone, from the first second on.
+/// Adds a spare in the zone within the first second.
 fn spare(zone: &str) -> Value {
     at(0.6, json!({ "do": "add-seat", "zone": zone }))
 }
@@ -134,7 +134,7 @@
         );
         sound("cut off", &s, |world, _| {
             assert_eq!(holder(world, cut as u8), Some(3));
-            // The old holder is a spare now, under another name.
+            // The previous holder is a spare now, with another identity.
             assert_eq!(world.controllers[cut].state.slot, grebepath_core::voter_set::NO_SLOT);
         });
     }
@@ -171,7 +171,7 @@
     sound("two spares", &scene(3, 3, 20, list), |world, _| {
         assert_eq!((3..6).filter(|n| world.controllers[*n].has_voter_slot()).count(), 1);
     });
-    // The applicants themselves die at any time.
+    // The spares that apply for the slot are killed at different times.
     for t in [6.4, 6.6, 6.8, 7.0, 7.2] {
         let mut list = many();
         list.extend([kill(4.0, 0), kill(t, 3), kill(t + 0.3, 4)]);
@@ -220,7 +220,7 @@
         let seeds: Vec<i32> = (0..3).map(|k| if k <= n { k + 3 } else { k }).collect();
         list.push(at(t + 1.0, json!({ "do": "seeds", "list": seeds })));
         list.push(at(t + 1.0, json!({ "do": "add-seat", "zone": zone })));
-        // A querier that starts later knows only the new seeds.
+        // A querier that starts later knows only the new seed addresses.
         list.push(at(t + 8.0, json!({ "do": "kill-querier", "which": n, "for_s": 1 })));
     }
     list.push(at(52.0, json!({ "do": "restart-all", "power": true })));
@@ -259,7 +259,7 @@
         for spare in &spares {
             assert!(ask(world, *spare));
         }
-        // With the leader gone it finds the next one, or takes the slot itself.
+        // After the loss of the leader, the spare finds the next one or takes the slot itself.
         let owner = world.controllers.iter().position(|n| {
             matches!(
                 n.state.partitions[0].role,
@@ -281,17 +281,17 @@
         assert!(world.until(5 * SECOND, World::all_slots_voting));
         let at = world.now;
         world.kill_controller(gone, true);
-        // Two spares of one slot never count both: not complete until it is moved.
+        // `all_slots_voting` holds only once the slot has moved.
         assert!(world.until(20 * SECOND, |world| holder(world, gone as u8) == Some(3)));
         assert!(world.until(20 * SECOND, World::all_slots_voting));
         let took = world.now - at;
-        println!("seat {gone} moved in {} ms", took / 1000);
+        println!("slot {gone} moved in {} ms", took / 1000);
         assert!(took < 6 * SECOND, "{took}");
     }
 }
 
-/// Two voters that do not hear each other count by voter sets of their own: one
-/// still counts a holder whom the others have replaced.
+/// Returns a scenario in which voters that can't reach each other use different voter sets: one
+/// still counts a holder that the others have replaced.
 fn split(a: usize, old: usize, both: usize) -> Scenario {
     let name = |n: usize| format!("seat{n}");
     let cut = |a: Vec<String>, b: Vec<String>| at(4.0, json!({ "do": "cut", "a": a, "b": b }));
@@ -313,7 +313,7 @@
 fn counting_by_tables_of_their_own_is_caught() {
     let cases = [(0, 1, 2), (0, 2, 1), (1, 0, 2), (1, 2, 0), (2, 0, 1), (2, 1, 0)];
     let caught = std::sync::atomic::AtomicU64::new(0);
-    // Which voter leads what is by chance: several draws of each case.
+    // The leaders are elected at random, so each case is run with several seeds.
     std::thread::scope(|scope| {
         for thread in 0..8 {
             let caught = &caught;
@@ -336,8 +336,8 @@
         }
     });
     let caught = caught.into_inner();
-    println!("caught in {caught} of 96 draws");
-    assert!(caught > 0, "broken, and nobody saw it");
+    println!("detected in {caught} of 96 runs");
+    assert!(caught > 0, "the faulty variant was not detected");
 }
 
 #[test]
--- a/crates/simulator/tests/waking_member.rs
+++ b/crates/simulator/tests/waking_member.rs
@@ -1,16 +1,17 @@
-//! A querier that was paused and wakes while the controllers are out of reach.
+//! A paused querier that resumes while the controllers are unreachable must not use leafs that the
+//! other queriers know to be leaving.
 
 mod common;
 
 use grebepath_simulator::scenario::{play, read};
 use serde_json::json;
 
-/// Seeds that the scenario is played with.
+/// Number of seeds.
 const SEEDS: u64 = 4;
 
 #[test]
 fn a_querier_that_wakes_without_controllers_uses_no_leaf_that_the_others_know_to_leave() {
-    // Found by drawn faults: seed 31033 of `soak-tight.json`.
+    // Found with random faults: seed 31033 of `soak-tight.json`.
     let stop = |which: u64| json!({ "at_s": 9.2, "do": "stop-seat", "for_s": 6.2, "which": which });
     let scenario = json!({
         "name": "waking-member", "deployment": "tight", "seconds": 20, "queriers": 7, "factor": 0.3,
