--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -171,21 +171,21 @@
 }
 
 #[test]
-fn most_of_six_queriers_gone_delay_no_order() {
+fn losing_most_of_six_queriers_delays_no_request() {
     size(6, &ORDERS);
 }
 
 #[test]
-fn most_of_seven_queriers_gone_delay_no_order() {
+fn losing_most_of_seven_queriers_delays_no_request() {
     size(7, &ORDERS);
 }
 
 #[test]
-fn most_of_thirty_queriers_gone_delay_no_order() {
+fn losing_most_of_thirty_queriers_delays_no_request() {
     size(30, &ORDERS[1..3]);
 }
 
 #[test]
-fn most_of_seventy_queriers_gone_delay_no_order() {
+fn losing_most_of_seventy_queriers_delays_no_request() {
     size(70, &ORDERS[2..3]);
 }
--- a/crates/simulator/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -14,7 +14,7 @@
 const SEEDS: u64 = 12;
 
 #[test]
-fn no_promise_breaks_under_drawn_troubles() {
+fn random_faults_violate_no_rule() {
     let threads: Vec<_> = (0..4)
         .map(|t| {
             std::thread::spawn(move || {
@@ -79,17 +79,17 @@
 }
 
 #[test]
-fn seeds_that_once_broke_a_rule_break_none() {
+fn regression_seeds_violate_no_rule() {
     assert_eq!(broken("soak-tight", ONCE_BROKEN), Vec::<String>::new());
 }
 
 #[test]
-fn leafs_that_leave_without_a_word_get_no_work_under_drawn_faults() {
+fn leafs_that_leave_silently_get_no_work_under_random_faults() {
     assert_eq!(broken("soak-silent", SILENT), Vec::<String>::new());
 }
 
 #[test]
-fn a_failing_seed_is_shrunk_to_what_fails() {
+fn a_failing_seed_is_reduced_to_the_failing_fault() {
     let mut s = scene(1);
     let leave = at(
         9.0,
--- a/crates/simulator/tests/cold_leafs.rs
+++ b/crates/simulator/tests/cold_leafs.rs
@@ -66,7 +66,7 @@
     })]
 
     #[test]
-    fn no_second_has_more_than_a_cold_leaf_bears(
+    fn no_second_exceeds_the_rate_of_a_cold_leaf(
         faults in collection::vec(fault(), 1..12),
         seed in 1..1_000u64,
     ) {
@@ -77,7 +77,7 @@
 
 /// Restarts a querier after its lease has expired, just after another one was isolated, which keeps
 /// serving under its lease.
-fn one_returns_while_another_is_cut_off(returns: u64, cut_off: u64) -> Vec<Value> {
+fn restart_one_while_another_is_isolated(returns: u64, cut_off: u64) -> Vec<Value> {
     let others: Vec<String> = (0..QUERIERS).map(|q| format!("q{q}")).collect();
     let seats: Vec<String> = (0..3).map(|seat| format!("seat{seat}")).collect();
     let all: Vec<String> = others.into_iter().chain(seats).collect();
@@ -88,11 +88,11 @@
 }
 
 #[test]
-fn members_that_are_not_settled_and_warm_leafs_up_are_caught() {
+fn unsettled_members_that_warm_leafs_up_are_detected() {
     let mut caught = 0;
     for returns in 0..QUERIERS {
         for cut_off in (0..QUERIERS).filter(|which| *which != returns) {
-            let faults = one_returns_while_another_is_cut_off(returns, cut_off);
+            let faults = restart_one_while_another_is_isolated(returns, cut_off);
             assert!(violations(&faults, 1, None).is_empty());
             let variant = Some(FaultyVariant::WarmsUpByUnsettledMembers);
             caught += usize::from(!violations(&faults, 1, variant).is_empty());
--- a/crates/simulator/tests/explore.rs
+++ b/crates/simulator/tests/explore.rs
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn every_fault_at_every_event_of_two_handovers_among_five() {
+fn faults_at_every_event_of_two_handovers_among_five_voters() {
     let stop = |which: u64| at(0.5, json!({ "do": "stop-seat", "which": which }));
     let mut scope = scope(5, 12, (0.5, 0.7), vec![stop(0), stop(1)]);
     scope.faults = LOSSES.to_vec();
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_machine_that_comes_back_blank_finds_the_others_when_its_seeds_have_left() {
+fn a_restarted_machine_without_state_finds_its_peers_after_its_seeds_left() {
     // Two of the machine's three seeds stop gracefully; the third is the machine itself.
     let stop = |which: u64| at(0.5, json!({ "do": "stop-seat", "which": which }));
     for seed in [5, 14] {
@@ -142,14 +142,14 @@
 }
 
 #[test]
-fn a_voter_that_leaves_at_once_is_caught() {
+fn a_voter_that_exits_without_handover_is_detected() {
     let stop = at(0.5, json!({ "do": "stop-seat", "which": 0 }));
     let scope = scope(3, 9, (0.5, 0.8), vec![stop]);
     assert!(found(scope, FaultyVariant::StopsBeforeHandover, Pairs::None) > 0);
 }
 
 #[test]
-fn disks_that_say_yes_too_early_are_caught() {
+fn disks_that_acknowledge_before_sync_are_detected() {
     // Two of three voters lose power shortly after each other while the third is isolated.
     let mut troubles = cut_off(2, 2.8);
     let slow = |which: u64| json!({ "do": "disk", "which": which, "health": "slow", "ms": 60 });
@@ -164,13 +164,13 @@
 }
 
 #[test]
-fn acknowledgements_of_former_processes_that_count_are_caught() {
+fn counted_acknowledgements_of_former_processes_are_detected() {
     let scope = restarts_in_turn();
     assert!(found(scope, FaultyVariant::CountsFormerAcknowledgements, Pairs::None) > 0);
 }
 
 #[test]
-fn a_wiped_voter_that_votes_is_caught() {
+fn a_wiped_voter_that_votes_is_detected() {
     // The isolated voter's log is behind that of the voter whose disk is lost.
     let mut troubles = cut_off(2, 1.0);
     troubles.push(at(1.0, json!({ "do": "kill-seat", "which": 1, "lose": true, "for_s": 0.05 })));
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn votes_counted_under_another_voter_set_are_caught() {
+fn votes_counted_under_another_voter_set_are_detected() {
     let gone = at(0.2, json!({ "do": "kill-seat", "which": 1 }));
     let mut scope = scope(3, 9, (2.65, 3.35), vec![gone]);
     scope.tolerates = 0;
--- a/crates/simulator/tests/faulty_variants.rs
+++ b/crates/simulator/tests/faulty_variants.rs
@@ -63,19 +63,19 @@
 }
 
 #[test]
-fn a_claimed_shard_that_did_not_answer_is_caught() {
+fn a_claimed_shard_that_did_not_answer_is_detected() {
     case("claim", 1, FaultyVariant::ClaimsAllShards, dark_shard());
     case("twice", 1, FaultyVariant::RepeatsShard, Vec::new());
 }
 
 #[test]
-fn another_cut_and_disorder_are_caught() {
+fn wrong_index_versions_and_misordered_records_are_detected() {
     case("cut", 2, FaultyVariant::WrongIndexVersion, Vec::new());
     case("order", 4, FaultyVariant::MisordersRecords, Vec::new());
 }
 
 #[test]
-fn success_below_quorum_is_caught() {
+fn success_below_quorum_is_detected() {
     let two = vec![
         at(1.0, json!({ "do": "leafs", "service": "mohalla-notices-w48-2", "mode": "dark" })),
         at(1.0, json!({ "do": "leafs", "service": "mohalla-notices-w48-1", "mode": "dark" })),
@@ -84,26 +84,26 @@
 }
 
 #[test]
-fn a_question_changed_on_the_way_is_caught() {
+fn a_question_altered_in_transit_is_detected() {
     case("question", 5, FaultyVariant::AltersQuestion, Vec::new());
 }
 
 #[test]
-fn a_request_that_reaches_another_service_is_caught() {
+fn an_attempt_that_reaches_another_service_is_detected() {
     let reuse = json!({ "do": "reuse", "service": "mohalla-archive-w48-0", "count": 20,
                         "by": "mohalla-history-w48-0" });
     case("reuse", 6, FaultyVariant::NoIdentityCheck, vec![at(2.0, reuse)]);
 }
 
 #[test]
-fn work_for_a_leaf_that_only_another_member_heard_leaving_is_caught() {
+fn attempts_to_a_leaf_that_only_a_peer_knows_to_leave_are_detected() {
     let gone = (0..3).map(|i| at(2.0, json!({ "do": "kill-seat", "which": i, "for_s": 16 })));
     let leave = json!({ "do": "leave-leafs", "service": "mohalla-archive-w48-0", "count": 14 });
     case("words", 7, FaultyVariant::NoLeafReports, gone.chain([at(4.0, leave)]).collect());
 }
 
 #[test]
-fn work_for_a_leaving_leaf_or_an_emptied_zone_is_caught() {
+fn attempts_to_a_leaving_leaf_or_a_drained_zone_are_detected() {
     let leave =
         at(2.0, json!({ "do": "leave-leafs", "service": "mohalla-notices-w48-0", "count": 2 }));
     case("leave", 7, FaultyVariant::IgnoresLeavingLeafs, vec![leave]);
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn disobedience_and_slipping_back_are_caught() {
+fn stale_and_reverted_configurations_are_detected() {
     let storm = at(2.0, json!({ "do": "storm", "count": 20, "gap_ms": 100 }));
     case("deaf", 9, FaultyVariant::KeepsStaleSnapshot, vec![storm.clone()]);
     // A restarted querier reaches only a voter that was isolated during the changes.
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn too_many_second_tries_are_caught() {
+fn too_many_retries_are_detected() {
     // Leafs that reject all work are not ejected, because they are not faulty: only the retry budget
     // prevents a retry storm.
     let busy = (0..4)
@@ -144,7 +144,7 @@
 }
 
 #[test]
-fn overloading_fresh_leafs_is_caught() {
+fn overloading_new_leafs_is_detected() {
     // Only one newly started leaf of a shard is left.
     let service = "mohalla-notices-w48-0";
     let restart = vec![
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_disk_that_says_yes_too_early_is_caught() {
+fn a_disk_that_acknowledges_before_sync_is_detected() {
     // All machines lose power during a burst of operator requests, once per seed.
     let mut caught = 0;
     for seed in 0..6 {
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn disks_that_rot_in_silence_are_caught() {
+fn silently_corrupted_disks_are_detected() {
     // Bits flip on all three disks, and about 25 s later all machines lose power.
     let flips =
         (0..18).map(|i| at(5.0 + f64::from(i) / 20.0, json!({ "do": "flip", "which": i % 3 })));
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_voter_that_stops_hands_its_slot_to_a_spare_before_it_ends() {
+fn a_stopping_voter_hands_its_slot_to_a_spare_before_it_exits() {
     // Machine 3 is the spare; the voter in the same zone stops.
     let scenario = scene(3, 4, 5, vec![storm(100), stop(0)]);
     each(&[1u64, 2, 3, 4], |_, seed| {
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn all_others_without_power_at_any_moment_of_a_departure_lose_nothing() {
+fn a_power_loss_of_all_others_at_any_moment_of_a_departure_loses_nothing() {
     each(&MOMENTS, |number, after| {
         let from = 4.0 + *after as f64 / 1_000.0;
         let mut troubles = vec![storm(120), stop(0)];
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_voter_whose_slot_was_taken_over_while_it_was_paused_hands_nothing_over() {
+fn a_paused_voter_whose_slot_was_taken_over_hands_nothing_over() {
     // The voter resumes after a spare took its slot, and processes the stop request first.
     each(&[2.6, 2.9, 3.0, 3.1, 3.2, 3.3, 3.4, 3.6, 4.0, 5.0], |number, pause| {
         let paused = json!({ "do": "pause-seat", "which": 0, "for_s": pause });
@@ -158,7 +158,7 @@
 }
 
 #[test]
-fn restarts_in_turn_move_the_slots_on_and_every_order_is_accepted() {
+fn rolling_restarts_move_the_slots_and_every_request_is_accepted() {
     // The spares of each zone take the slots, and later hand them back.
     let mut troubles = vec![storm(300)];
     for which in 0..6u64 {
@@ -180,7 +180,7 @@
 }
 
 #[test]
-fn two_voters_that_leave_at_once_never_hand_their_slots_to_one_spare() {
+fn two_voters_leaving_together_never_hand_over_to_the_same_spare() {
     // The only spare could take either slot.
     let stop = |which: u64| at(2.0, json!({ "do": "stop-seat", "which": which, "for_s": 1.0 }));
     for leaving in [[0, 1], [0, 3], [1, 3], [1, 4]] {
@@ -197,7 +197,7 @@
 // ---- faulty variants ---------------------------------------------------------
 
 #[test]
-fn a_voter_that_ends_before_its_successor_holds_the_data_is_caught() {
+fn a_voter_that_exits_before_its_successor_holds_the_data_is_detected() {
     // This is the behaviour without handover of voter slots.
     let caught = std::sync::atomic::AtomicUsize::new(0);
     each(&MOMENTS, |number, after| {
--- a/crates/simulator/tests/late_orders.rs
+++ b/crates/simulator/tests/late_orders.rs
@@ -30,7 +30,7 @@
 }
 
 #[googletest::test]
-fn an_order_whose_sender_has_gone_on_is_not_carried_out_later() {
+fn an_abandoned_request_is_not_applied_later() {
     for seed in SEEDS {
         let world = play(&scenario(), seed, None);
         expect_that!(
@@ -44,7 +44,7 @@
 }
 
 #[googletest::test]
-fn orders_under_ids_that_are_made_up_for_them_are_caught() {
+fn requests_with_generated_ids_are_detected() {
     for seed in VARIANT_SEEDS {
         let world = play(&scenario(), seed, Some(FaultyVariant::MakesUpRequestIds));
         let found = world.rules.violation_counts.get(&RULE).copied();
--- a/crates/simulator/tests/leaf_health.rs
+++ b/crates/simulator/tests/leaf_health.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn fresh_leafs_bear_a_net_that_is_slower_than_their_work() {
+fn new_leafs_tolerate_a_network_slower_than_their_work() {
     // A leaf receives the cancellation of an attempt after the request, not before it.
     let faults = json!([
         { "at_s": 3.5, "do": "restart-leafs", "service": "mohalla-notices-w48-1" },
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn leafs_that_rejected_everything_serve_in_full_twelve_seconds_later() {
+fn leafs_that_rejected_everything_serve_fully_after_twelve_seconds() {
     let faults = json!([
         { "at_s": 27.4, "do": "leafs", "mode": "unrun", "ms": 286, "zone": "a" },
         { "at_s": 44.0, "do": "mend-all", "factor": 0.3 },
--- a/crates/simulator/tests/linearizability.rs
+++ b/crates/simulator/tests/linearizability.rs
@@ -7,7 +7,7 @@
 use linearizability_script::{ACCEPTED, MOVED, Script, bad, good, puts, script};
 
 #[test]
-fn accepted_writes_and_reads_in_order_fit() {
+fn accepted_writes_and_reads_in_order_are_linearizable() {
     good("nothing", script());
     good(
         "in turn",
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn reads_that_go_back_or_lose_a_write_are_caught() {
+fn reads_that_go_back_or_lose_a_write_are_detected() {
     bad(
         "old state after an acceptance",
         Reason::Read,
@@ -161,7 +161,7 @@
 }
 
 #[test]
-fn replacing_writes_keep_only_what_they_say() {
+fn replacing_writes_keep_only_the_named_prefix() {
     let whole = Effect { replaces: true, keeps: Some("zone/".into()), ..puts("x", "new") };
     let base = Base::default();
     let begin = || {
--- a/crates/simulator/tests/linearizability_drawn.rs
+++ b/crates/simulator/tests/linearizability_drawn.rs
@@ -9,7 +9,7 @@
 use linearizability_reference::{drawn_history, fits, long_history};
 
 #[test]
-fn an_explanation_names_no_more_than_what_contradicts() {
+fn an_explanation_contains_only_contradicting_answers() {
     let (mut history, _) = long_history(11, 300);
     let head = history.reads.iter().map(|r| r.revision).max().unwrap_or(0);
     let stale = history.reads.iter().find(|r| r.revision + 20 < head).unwrap().clone();
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn long_histories_of_a_true_register_fit_and_are_checked_fast() {
+fn long_histories_of_a_correct_register_are_linearizable() {
     for (seed, requests) in [(1, 500), (2, 2_000), (3, 4_000)] {
         let (history, unknown) = long_history(seed, requests);
         assert!(unknown * 20 > requests, "{unknown} of {requests} are unknown");
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn long_histories_with_one_false_answer_are_caught() {
+fn long_histories_with_one_wrong_answer_are_detected() {
     let mut caught = 0;
     for seed in 0..40 {
         let (mut history, _) = long_history(100 + seed, 400);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn tiny_histories_are_judged_as_by_brute_force() {
+fn small_histories_match_the_brute_force_checker() {
     let (mut good, mut bad) = (0, 0);
     let mut seed = 77;
     for round in 0..60_000 {
--- a/crates/simulator/tests/linearizability_refusals.rs
+++ b/crates/simulator/tests/linearizability_refusals.rs
@@ -7,7 +7,7 @@
 use linearizability_script::{ACCEPTED, MOVED, bad, good, puts, script};
 
 #[test]
-fn refusals_need_another_version_to_have_stood() {
+fn refusals_require_another_version_to_have_been_current() {
     let first = || script().write((1, 2), "a", Some(0), "one", ACCEPTED(1));
     good("base was replaced", first().write((3, 4), "b", Some(0), "two", MOVED(1)));
     good("base was replaced concurrently", {
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn what_is_sent_again_is_accepted_again_as_the_same_revision() {
+fn a_resent_request_is_accepted_with_the_same_revision() {
     let first = || script().write((1, 2), "a", Some(0), "one", ACCEPTED(1));
     good("again", first().write((50, 51), "a", Some(0), "one", ACCEPTED(1)));
     good(
@@ -118,7 +118,7 @@
 }
 
 #[test]
-fn of_two_on_one_base_at_most_one_is_accepted() {
+fn at_most_one_of_two_writes_on_one_base_is_accepted() {
     bad(
         "two texts on one revision",
         Reason::SharedBase,
--- a/crates/simulator/tests/list_pollers.rs
+++ b/crates/simulator/tests/list_pollers.rs
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn half_of_the_queriers_stand_still_at_once() {
+fn half_of_the_queriers_are_paused_at_once() {
     let mut cases = losses_of_half();
     for pause in cases.iter_mut().flatten() {
         pause["do"] = json!("pause-querier");
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn all_queriers_but_one_stop_in_turn() {
+fn all_queriers_but_one_stop_one_after_another() {
     // Guards against a list that nobody polls while its pollers stop.
     let cases: Vec<Vec<Value>> = pairs()
         .map(|(first, second)| {
@@ -132,7 +132,7 @@
 }
 
 #[test]
-fn one_querier_stops_while_another_stands_still() {
+fn one_querier_stops_while_another_is_paused() {
     let cases: Vec<Vec<Value>> = pairs()
         .map(|(stops, still)| {
             vec![
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -70,7 +70,7 @@
 }
 
 #[test]
-fn a_voter_that_was_away_for_hundreds_of_changes_is_whole_again() {
+fn a_voter_that_missed_hundreds_of_changes_catches_up() {
     for which in 0..3u64 {
         let down = kill(which, 1.0, json!({ "for_s": 16.0, "power": true }));
         sound("down", &scene(24, vec![down]));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_transfer_that_is_cut_by_losses_of_power_ends_whole() {
+fn a_transfer_interrupted_by_power_losses_completes() {
     for which in 0..3u64 {
         let mut troubles = vec![kill(which, 1.0, json!({ "for_s": 12.0, "lose": true }))];
         for (number, wait) in [0.01, 0.05, 0.2, 0.7, 1.2, 1.25].into_iter().enumerate() {
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_full_or_stalled_or_rotten_disk_meets_the_transfer() {
+fn a_transfer_survives_a_full_stalled_or_corrupted_disk() {
     for health in ["full", "stalled", "slow"] {
         let troubles = vec![
             kill(1, 1.0, json!({ "for_s": 12.0, "power": true })),
@@ -110,7 +110,7 @@
 }
 
 #[test]
-fn the_one_that_was_away_leads_right_after_its_return() {
+fn a_returned_voter_leads_right_after_its_return() {
     // The leader and then the other voter are killed while the returned voter catches up.
     for wait in [0.05, 0.2, 0.5, 1.0, 2.0] {
         let troubles = vec![
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_order_is_acknowledged_again_after_hundreds_of_others_and_every_restart() {
+fn a_request_is_acknowledged_again_after_hundreds_of_others_and_every_restart() {
     for (count, seed) in [(600, 1), (2_000, 2)] {
         let mut site = fleet(seed);
         // Two requests whose first answers are lost, and a conflicting request to the second.
@@ -165,7 +165,7 @@
 }
 
 #[test]
-fn operators_that_race_while_controllers_fall_see_one_register() {
+fn concurrent_operators_see_one_register_while_controllers_fail() {
     std::thread::scope(|scope| {
         for seed in 0..6 {
             scope.spawn(move || {
@@ -184,7 +184,7 @@
 }
 
 #[test]
-fn an_accepted_order_is_not_called_unapplied_while_members_are_silent() {
+fn an_accepted_request_is_not_reported_unapplied_while_members_are_silent() {
     let mut site = fleet(3);
     let order = patch("first-of-two", Some((1, 2)));
     let want = revision(ask(&mut site, 0, &order));
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_memory_that_forgets_is_caught() {
+fn lost_records_of_requests_are_detected() {
     let mut site = fleet(4);
     let order = patch("first-of-two", Some((1, 2)));
     revision(ask(&mut site, 0, &order));
@@ -228,7 +228,7 @@
 }
 
 #[test]
-fn two_orders_accepted_on_one_edition_are_caught() {
+fn two_requests_accepted_on_one_edition_are_detected() {
     let mut site = fleet(5);
     let before = site.world.controllers[0].state.partitions[0].state.entries["terms"].clone();
     revision(ask(&mut site, 0, &patch("first-of-two", Some((1, 2)))));
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn a_resend_that_is_applied_twice_is_caught() {
+fn a_resent_request_that_is_applied_twice_is_detected() {
     let mut site = fleet(6);
     let order = patch("first-of-two", None);
     let call = send(&mut site, 0, &order, false);
--- a/crates/simulator/tests/rollouts.rs
+++ b/crates/simulator/tests/rollouts.rs
@@ -39,14 +39,14 @@
 }
 
 #[test]
-fn a_sound_version_is_delivered() {
+fn a_healthy_version_is_delivered() {
     for seed in 1..4 {
         assert_ends(json!({}), Vec::new(), seed, ToldEnd::Delivered);
     }
 }
 
 #[test]
-fn a_version_that_is_bad_at_once_late_slow_under_load_or_for_one_search_is_returned() {
+fn faulty_versions_of_every_kind_are_rolled_back() {
     let faults = [
         json!({ "how": "errors" }),
         json!({ "how": "late" }),
@@ -61,14 +61,14 @@
 
 /// Isolates a member just before a healthy version takes over. The member keeps applying the
 /// previous state until its lease expires.
-fn one_is_cut_off_at_the_turn() -> Vec<Value> {
+fn isolated_member_at_takeover() -> Vec<Value> {
     vec![at(ORDERED_AT + 8.9, json!({ "do": "cut", "a": ["q1"], "b": ["all"] }))]
 }
 
 #[test]
-fn an_end_is_told_only_when_no_member_goes_by_what_was_before() {
+fn an_end_is_reported_only_when_no_member_applies_the_previous_state() {
     for seed in 1..4 {
-        assert_ends(json!({}), one_is_cut_off_at_the_turn(), seed, ToldEnd::Delivered);
+        assert_ends(json!({}), isolated_member_at_takeover(), seed, ToldEnd::Delivered);
     }
 }
 
@@ -81,24 +81,24 @@
 }
 
 #[test]
-fn requests_to_versions_that_are_not_in_force_are_caught() {
+fn attempts_to_versions_that_are_not_in_force_are_detected() {
     assert_caught(FaultyVariant::IgnoresVersions, 15, &json!({}), &[]);
-    let cut_off = one_is_cut_off_at_the_turn();
+    let cut_off = isolated_member_at_takeover();
     assert_caught(FaultyVariant::TellsEndsEarly, 15, &json!({}), &cut_off);
 }
 
 #[test]
-fn too_much_exposure_is_caught() {
+fn excessive_exposure_is_detected() {
     let late = json!({ "how": "late", "after_ms": 6_000 });
     assert_caught(FaultyVariant::NoExposureLimit, 16, &late, &[]);
 }
 
 #[test]
-fn a_bad_version_that_is_used_on_is_caught() {
+fn a_faulty_version_that_stays_in_use_is_detected() {
     assert_caught(FaultyVariant::NeverReturns, 17, &json!({ "how": "errors" }), &[]);
 }
 
 #[test]
-fn an_end_that_does_not_stand_is_caught() {
+fn a_rollout_end_that_is_not_final_is_detected() {
     assert_caught(FaultyVariant::AnswersOldRollouts, 18, &json!({ "how": "errors" }), &[]);
 }
--- a/crates/simulator/tests/rollouts_drawn.rs
+++ b/crates/simulator/tests/rollouts_drawn.rs
@@ -80,7 +80,7 @@
     })]
 
     #[test]
-    fn no_version_gets_what_it_must_not_and_ends_stand(
+    fn no_version_gets_forbidden_requests_and_ends_are_final(
         rollout in rollout(),
         faults in collection::vec(fault(), 0..8),
         seed in 1..1_000u64,
--- a/crates/simulator/tests/scale_model.rs
+++ b/crates/simulator/tests/scale_model.rs
@@ -21,7 +21,7 @@
 }
 
 #[gtest]
-fn a_seed_replays_and_all_come_back() {
+fn a_seed_reproduces_a_run_and_all_nodes_recover() {
     let (a, b) = (found(6, 24, 7), found(6, 24, 7));
     expect_that!(counted(&a), eq(&counted(&b)));
     expect_that!(counted(&found(6, 24, 8)), not(eq(&counted(&a))));
@@ -33,7 +33,7 @@
 }
 
 #[gtest]
-fn a_member_costs_no_more_in_a_larger_cohort_and_state_grows_with_leafs() {
+fn a_member_costs_no_more_in_a_larger_membership_and_state_grows_with_leafs() {
     let (few, many) = (found(12, 48, 3), found(24, 480, 3));
     let bytes = |f: &Findings| {
         let sent: u64 = f.idle.sum.queriers.iter().map(|m| m.sent.bytes).sum();
@@ -46,7 +46,7 @@
 }
 
 #[gtest]
-fn every_message_is_counted_where_it_goes_and_where_it_comes() {
+fn every_message_is_counted_by_sender_and_recipient() {
     let f = found(10, 40, 5);
     let sum = &f.idle.sum;
     let traffic: u64 = sum.traffic.values().map(|c| c.bytes).sum();
@@ -58,7 +58,7 @@
 }
 
 #[gtest]
-fn the_plan_has_the_zones_and_shards_of_the_size() {
+fn the_topology_has_the_zones_and_shards_of_the_size() {
     let zones: std::collections::BTreeSet<String> =
         (0..topology::ZONES).map(|z| topology::name(topology::zone(z))).collect();
     expect_that!(zones.len(), eq(14));
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -61,7 +61,7 @@
 }
 
 #[test]
-fn no_scenario_breaks_a_promise() {
+fn no_scenario_violates_a_rule() {
     let worlds = all();
     for (name, world) in &worlds {
         let found: Vec<_> = world.rules.violations.iter().map(|v| &v.text).collect();
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn who_does_not_obey_yet_is_named_to_the_operator() {
+fn queriers_that_have_not_applied_a_change_are_named_to_the_operator() {
     // The controllers hear all queriers, but no querier receives the change.
     let deaf = json!({ "at_s": 1.0, "do": "cut", "a": ["seats"], "b": ["queriers"],
                        "one_way": true });
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_seed_replays_exactly() {
+fn a_seed_reproduces_a_run_exactly() {
     let dir = format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR"));
     let print = |world: &World| grebepath_simulator::report::json(world).to_string();
     let (one_, two) = (one(&dir, "rough.json").1, one(&dir, "rough.json").1);
@@ -128,7 +128,7 @@
 }
 
 #[test]
-fn wrong_scenarios_are_found_out_with_their_places() {
+fn invalid_scenarios_are_reported_with_locations() {
     let text = r#"{"seconds": 0, "queriers": 7, "speed": 2, "troubles": [
         {"at_s": 1, "do": "explode"}, {"do": "heal"},
         {"at_s": 2, "do": "kill-seat", "which": 3}, {"at_s": 2, "do": "heal", "ms": 3},
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -76,7 +76,7 @@
 const ZONES: [&str; 3] = ["a", "b", "c"];
 
 #[test]
-fn a_spare_takes_the_seat_of_a_machine_that_is_gone() {
+fn a_spare_takes_the_slot_of_a_lost_machine() {
     for (gone, zone) in ZONES.into_iter().enumerate() {
         let kill = at(4.0, json!({ "do": "kill-seat", "which": gone as u64 }));
         let s = scene(3, 3, 25, vec![storm(120), spare(zone), kill]);
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn no_zone_gains_a_majority_of_the_seats() {
+fn no_zone_gains_a_majority_of_the_voter_slots() {
     let kill = at(4.0, json!({ "do": "kill-seat", "which": 1 }));
     let s = scene(3, 3, 20, vec![storm(60), spare("a"), kill]);
     let world = play(&s, 5, None);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn an_old_holder_that_comes_back_is_a_spare_and_takes_the_next_seat() {
+fn a_previous_slot_holder_returns_as_a_spare_and_takes_the_next_slot() {
     for power in [false, true] {
         let s = scene(
             3,
@@ -119,7 +119,7 @@
 }
 
 #[test]
-fn a_seat_that_is_cut_off_loses_its_place_whoever_owns_what() {
+fn an_isolated_voter_loses_its_slot_whichever_partitions_it_leads() {
     for (cut, zone) in ZONES.into_iter().enumerate() {
         let s = scene(
             3,
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn a_seat_that_one_other_does_not_hear_keeps_its_place() {
+fn a_voter_unreachable_from_one_peer_keeps_its_slot() {
     let s = scene(
         3,
         4,
@@ -163,7 +163,7 @@
 }
 
 #[test]
-fn two_spares_never_share_a_seat() {
+fn two_spares_never_take_the_same_voter_slot() {
     let kill = |t: f64, n: u64| at(t, json!({ "do": "kill-seat", "which": n }));
     let many = || vec![storm(160), spare("a"), spare("a"), spare("a")];
     let mut list = many();
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn a_disk_lost_right_after_an_answer_loses_nothing() {
+fn a_disk_lost_right_after_an_acknowledgement_loses_no_change() {
     for n in 0..3u64 {
         let lost = json!({ "do": "kill-seat", "which": n, "for_s": 1.0, "lose": true });
         let s = scene(3, 3, 20, vec![storm(60), at(6.02, lost)]);
@@ -193,7 +193,7 @@
 }
 
 #[test]
-fn five_seats_bear_two_lost_disks_while_all_restart() {
+fn five_voters_tolerate_two_lost_disks_during_a_full_restart() {
     for lose in [[0, 1], [1, 4], [3, 4], [0, 2]] {
         for power in [false, true] {
             let all = json!({ "do": "restart-all", "power": power, "lose": lose });
@@ -204,14 +204,14 @@
 }
 
 #[test]
-fn two_of_five_machines_are_replaced_while_operators_go_on() {
+fn two_of_five_machines_are_replaced_under_operator_requests() {
     let kill = |t: f64, n: u64| at(t, json!({ "do": "kill-seat", "which": n }));
     let s = scene(5, 7, 30, vec![storm(180), kill(3.0, 0), kill(3.3, 3)]);
     sound("two gone", &s, |world, _| assert!(accepted(world) > 120, "{}", accepted(world)));
 }
 
 #[test]
-fn all_machines_are_exchanged_one_after_another() {
+fn all_machines_are_replaced_one_after_another() {
     let mut list = vec![storm(380)];
     for n in 0..3 {
         let t = 3.0 + 15.0 * f64::from(n);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn five_seats_begin_with_three_seeds() {
+fn five_voter_slots_bootstrap_from_three_seeds() {
     for controllers in [5, 6, 8] {
         sound("first boot", &scene(5, controllers, 15, vec![storm(40)]), |world, _| {
             assert!(accepted(world) >= 40);
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn operators_are_served_by_controllers_without_a_seat() {
+fn operators_are_served_by_controllers_without_a_voter_slot() {
     let s = scene(3, 5, 12, Vec::new());
     sound("spare's operators", &s, |world, _| {
         let ask = |world: &mut World, spare: usize| {
@@ -275,7 +275,7 @@
 }
 
 #[test]
-fn a_takeover_takes_a_few_seconds() {
+fn a_slot_takeover_takes_less_than_six_seconds() {
     for (gone, zone) in ZONES.into_iter().enumerate() {
         let mut world = play(&scene(3, 3, 3, vec![spare(zone)]), gone as u64, None);
         assert!(world.until(5 * SECOND, World::all_slots_voting));
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn counting_by_tables_of_their_own_is_caught() {
+fn votes_counted_under_different_voter_sets_are_detected() {
     let cases = [(0, 1, 2), (0, 2, 1), (1, 0, 2), (1, 2, 0), (2, 0, 1), (2, 1, 0)];
     let caught = std::sync::atomic::AtomicU64::new(0);
     // The leaders are elected at random, so each case is run with several seeds.
@@ -341,7 +341,7 @@
 }
 
 #[test]
-fn a_vote_of_a_seat_that_forgot_is_caught() {
+fn a_vote_of_a_voter_that_lost_its_disk_is_detected() {
     let kill = |t: f64, n: u64, more: Value| {
         let mut val = json!({ "do": "kill-seat", "which": n });
         val.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
@@ -361,7 +361,7 @@
 }
 
 #[test]
-fn drawn_troubles_break_nothing_while_seats_move() {
+fn random_faults_violate_no_rule_while_slots_move() {
     std::thread::scope(|scope| {
         for t in 0..4 {
             scope.spawn(move || {
--- a/crates/simulator/tests/waking_member.rs
+++ b/crates/simulator/tests/waking_member.rs
@@ -10,7 +10,7 @@
 const SEEDS: u64 = 4;
 
 #[test]
-fn a_querier_that_wakes_without_controllers_uses_no_leaf_that_the_others_know_to_leave() {
+fn a_querier_resumed_without_controllers_uses_no_leaf_known_to_leave() {
     // Found with random faults: seed 31033 of `soak-tight.json`.
     let stop = |which: u64| json!({ "at_s": 9.2, "do": "stop-seat", "for_s": 6.2, "which": which });
     let scenario = json!({
