--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -16,7 +16,7 @@
 /// Maximum time between the acknowledgement of a change and its application by every querier.
 const IN_FORCE_WITHIN: Span = ms(3_000);
 /// Duration of the fault.
-const TROUBLE: Span = 8 * SECOND;
+const FAULT_DURATION: Span = 8 * SECOND;
 
 /// How the queriers are lost.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -42,8 +42,8 @@
 const ORDERS: [i64; 4] = [-8, -3, 20, 700];
 
 /// Starts an idle cluster whose callers also call queriers that are not ready.
-fn fleet(queriers: usize, seed: u64) -> World {
-    let s = common::fleet("acknowledgement", queriers, 0.05);
+fn cluster(queriers: usize, seed: u64) -> World {
+    let s = common::cluster("acknowledgement", queriers, 0.05);
     let mut world = World::new(&s.spec, s.control_plane.clone(), s.queriers, seed);
     world.submit(ms(200), OperatorRequest::replace(&s.config));
     let up = world.until(30 * SECOND, |world| {
@@ -57,21 +57,21 @@
     world
 }
 
-/// Returns the queriers that are lost: `percent` of them, except at least one.
+/// Returns the queriers that are lost: `percent` of them, but at least one is left.
 fn lost(queriers: usize, percent: usize, loss: Loss) -> Vec<usize> {
     let count = (queriers * percent).div_ceil(100).min(queriers - 1);
-    let mut order: Vec<usize> = (0..queriers).collect();
+    let mut request: Vec<usize> = (0..queriers).collect();
     if loss == Loss::ZoneLost {
-        order.sort_by_key(|q| (q % 3, *q));
+        request.sort_by_key(|q| (q % 3, *q));
     }
-    order.truncate(count);
-    order
+    request.truncate(count);
+    request
 }
 
 fn apply_loss(world: &mut World, loss: Loss, list: &[usize]) {
     match loss {
         Loss::Killed | Loss::Restarted => {
-            let down = if loss == Loss::Killed { TROUBLE } else { 600 * MILLI };
+            let down = if loss == Loss::Killed { FAULT_DURATION } else { 600 * MILLI };
             for q in list {
                 world.kill_querier(*q);
                 world.later(down, FollowUp::StartQuerier(*q));
@@ -79,7 +79,7 @@
         }
         Loss::Frozen => {
             for q in list {
-                world.queriers[*q].paused = world.now + TROUBLE;
+                world.queriers[*q].paused = world.now + FAULT_DURATION;
             }
         }
         Loss::Dark | Loss::DarkTogether | Loss::ZoneLost => {
@@ -101,7 +101,7 @@
 
 /// Runs one case and returns an error that lists the failures.
 fn case(queriers: usize, loss: Loss, percent: usize, after: i64, seed: u64) -> Result<(), String> {
-    let mut world = fleet(queriers, seed);
+    let mut world = cluster(queriers, seed);
     let list = lost(queriers, percent, loss);
     let n = world.operator_requests.len();
     let from = world.now + 100 * MILLI;
@@ -115,14 +115,14 @@
         world.submit(ms(400 * k), OperatorRequest::marked(n));
     }
     let began = world.now.max(from);
-    world.run(TROUBLE + 4 * SECOND);
+    world.run(FAULT_DURATION + 4 * SECOND);
     world.net.blocked.clear();
     world.run(6 * SECOND);
     let mut wrong = Vec::new();
-    for (id, order) in world.operator_requests.iter().enumerate().skip(n) {
-        let told = world.acknowledged_at.get(&id).copied();
-        let waited = told.map(|at| at.saturating_sub(order.at.max(began)));
-        match (&order.result, waited) {
+    for (id, request) in world.operator_requests.iter().enumerate().skip(n) {
+        let acknowledged = world.acknowledged_at.get(&id).copied();
+        let waited = acknowledged.map(|at| at.saturating_sub(request.at.max(began)));
+        match (&request.result, waited) {
             (Some(OperationResult::Accepted { .. }), Some(waited))
                 if waited <= ACKNOWLEDGED_WITHIN => {}
             (done, waited) => wrong.push(format!(
@@ -132,9 +132,9 @@
             )),
         }
     }
-    let stale = world.rules.longest_staleness;
-    if stale > IN_FORCE_WITHIN {
-        wrong.push(format!("an old configuration was used for {} ms", stale / MILLI));
+    let staleness = world.rules.longest_staleness;
+    if staleness > IN_FORCE_WITHIN {
+        wrong.push(format!("an old configuration was used for {} ms", staleness / MILLI));
     }
     wrong.extend(world.rules.violations.iter().map(|v| v.text.clone()));
     let case = format!("{queriers} queriers, {percent}% {loss:?}, request at {after} ms");
--- a/crates/simulator/tests/chaos.rs
+++ b/crates/simulator/tests/chaos.rs
@@ -18,7 +18,7 @@
     let threads: Vec<_> = (0..4)
         .map(|t| {
             std::thread::spawn(move || {
-                (0..SEEDS).filter(|s| s % 4 == t).map(one).collect::<Vec<_>>()
+                (0..SEEDS).filter(|s| s % 4 == t).map(run_seed).collect::<Vec<_>>()
             })
         })
         .collect();
@@ -28,7 +28,7 @@
 
 /// Returns a scenario with random faults: one of both deployments, the first with two index
 /// versions, or one whose leafs are so small that the limits take effect.
-fn scene(seed: u64) -> Scenario {
+fn build_scenario(seed: u64) -> Scenario {
     let (name, factor) =
         [("recut", 0.05), ("kahurangi", 0.05), ("tight", 0.3)][(seed % 3) as usize];
     let mut s = common::scenario("chaos", 70, factor, Vec::new());
@@ -40,30 +40,30 @@
     s
 }
 
-fn one(seed: u64) -> Option<String> {
-    let s = scene(seed);
+fn run_seed(seed: u64) -> Option<String> {
+    let s = build_scenario(seed);
     let mut world = play(&s, seed, None);
     let settled = world.until(grebepath_core::time::SECOND * 20, World::settled);
     if world.rules.violation_counts.is_empty() && settled {
         return None;
     }
-    let troubles: Vec<String> = s.faults.iter().map(|t| format!("  {} ms {t}", t.at_ms)).collect();
+    let faults: Vec<String> = s.faults.iter().map(|t| format!("  {} ms {t}", t.at_ms)).collect();
     let story = world.rules.story.join("\n");
     Some(format!(
         "seed {seed}, settled {settled}\n{}\n{}\n{story}",
         report::table(&world),
-        troubles.join("\n")
+        faults.join("\n")
     ))
 }
 
 /// Seeds of `soak-tight.json` that violated a rule in the past (docs/incidents, commit log).
-const ONCE_BROKEN: [u64; 8] = [5_020, 5_105, 26_600, 31_003, 31_011, 31_033, 41_275, 42_351];
+const REGRESSION_SEEDS: [u64; 8] = [5_020, 5_105, 26_600, 31_003, 31_011, 31_033, 41_275, 42_351];
 
 /// Seeds of `soak-silent.json`, where only the platform's list shows that leafs leave.
-const SILENT: std::ops::Range<u64> = 0..8;
+const LIST_ONLY_SEEDS: std::ops::Range<u64> = 0..8;
 
 /// Returns the first violation of each of these seeds of a soak scenario, if it has any.
-fn broken(name: &'static str, seeds: impl IntoIterator<Item = u64>) -> Vec<String> {
+fn first_violations(name: &'static str, seeds: impl IntoIterator<Item = u64>) -> Vec<String> {
     let play_one = move |seed: u64| {
         let path = format!("{}/../../scenarios/{name}.json", env!("CARGO_MANIFEST_DIR"));
         let text = std::fs::read(path).unwrap();
@@ -80,17 +80,17 @@
 
 #[test]
 fn regression_seeds_violate_no_rule() {
-    assert_eq!(broken("soak-tight", ONCE_BROKEN), Vec::<String>::new());
+    assert_eq!(first_violations("soak-tight", REGRESSION_SEEDS), Vec::<String>::new());
 }
 
 #[test]
 fn leafs_that_leave_silently_get_no_work_under_random_faults() {
-    assert_eq!(broken("soak-silent", SILENT), Vec::<String>::new());
+    assert_eq!(first_violations("soak-silent", LIST_ONLY_SEEDS), Vec::<String>::new());
 }
 
 #[test]
 fn a_failing_seed_is_reduced_to_the_failing_fault() {
-    let mut s = scene(1);
+    let mut s = build_scenario(1);
     let leave = at(
         9.0,
         json!({ "do": "leave-leafs", "service": "kahurangi-fleet-w48-0",
--- a/crates/simulator/tests/common/mod.rs
+++ b/crates/simulator/tests/common/mod.rs
@@ -11,9 +11,9 @@
 }
 
 /// Returns a scenario with these faults.
-pub fn scenario(name: &str, seconds: u64, factor: f64, troubles: Vec<Value>) -> Scenario {
+pub fn scenario(name: &str, seconds: u64, factor: f64, faults: Vec<Value>) -> Scenario {
     let val = json!({ "name": name, "seconds": seconds, "queriers": 7, "factor": factor,
-                      "troubles": troubles });
+                      "troubles": faults });
     match read(val.to_string().as_bytes(), &load) {
         Ok(s) => s,
         Err(all) => panic!("{}", grebepath_core::diagnostic::lines(&all)),
@@ -21,7 +21,7 @@
 }
 
 /// Returns a scenario with `queriers` queriers and no faults.
-pub fn fleet(name: &str, queriers: usize, factor: f64) -> Scenario {
+pub fn cluster(name: &str, queriers: usize, factor: f64) -> Scenario {
     let val = json!({ "name": name, "seconds": 1, "queriers": queriers, "factor": factor,
                       "troubles": [] });
     match read(val.to_string().as_bytes(), &load) {
--- a/crates/simulator/tests/explore.rs
+++ b/crates/simulator/tests/explore.rs
@@ -14,9 +14,14 @@
 /// Faults that lose state, used for scopes with many events.
 const LOSSES: [Fault; 4] = [Fault::Lose, Fault::Power, Fault::DiskLost, Fault::Gone];
 
-fn scope(seats: usize, controllers: usize, window: (f64, f64), troubles: Vec<Value>) -> Scope {
+fn scope(
+    seats: usize,
+    controllers: usize,
+    window: (f64, f64),
+    scenario_faults: Vec<Value>,
+) -> Scope {
     let mut all = vec![at(0.1, json!({ "do": "storm", "count": 14, "gap_ms": 100 }))];
-    all.extend(troubles);
+    all.extend(scenario_faults);
     let val = json!({ "name": "explore", "seconds": 3, "queriers": 1, "factor": 0.001,
                       "seats": seats, "controllers": controllers, "troubles": all });
     let scenario = read(val.to_string().as_bytes(), &common::load)
@@ -38,7 +43,7 @@
     }
 }
 
-fn sound(name: &str, scope: &Scope, pairs: usize) {
+fn assert_no_violation(name: &str, scope: &Scope, pairs: usize) {
     let report = explore(scope, Pairs::Sampled(pairs), THREADS);
     print(name, &report);
     assert!(report.events > 20, "{name}: {} events", report.events);
@@ -51,7 +56,7 @@
     for leaving in 0..3u64 {
         let stop = at(0.5, json!({ "do": "stop-seat", "which": leaving }));
         let name = format!("handover of slot {leaving}");
-        sound(&name, &scope(3, 9, (0.5, 0.85), vec![stop]), 200);
+        assert_no_violation(&name, &scope(3, 9, (0.5, 0.85), vec![stop]), 200);
     }
 }
 
@@ -62,17 +67,17 @@
     let mut three = scope(3, 9, (2.65, 3.35), vec![gone(1)]);
     // The lost machine already counts as a tolerated fault.
     three.tolerates = 0;
-    sound("takeover, three voters", &three, 200);
+    assert_no_violation("takeover, three voters", &three, 200);
     let mut five = scope(5, 12, (2.65, 3.15), vec![gone(1)]);
     five.tolerates = 1;
     five.faults = LOSSES.to_vec();
-    sound("takeover, five voters", &five, 200);
+    assert_no_violation("takeover, five voters", &five, 200);
 }
 
 #[test]
 fn every_fault_at_every_event_of_an_election() {
     let killed = at(0.5, json!({ "do": "kill-seat", "which": 0, "power": true, "for_s": 1.5 }));
-    sound("election", &scope(3, 9, (1.5, 2.1), vec![killed]), 200);
+    assert_no_violation("election", &scope(3, 9, (1.5, 2.1), vec![killed]), 200);
 }
 
 #[test]
@@ -81,7 +86,7 @@
     let mut scope = scope(3, 9, (0.8, 1.4), vec![lost]);
     // The lost disk already counts as a tolerated fault.
     scope.tolerates = 0;
-    sound("recovery", &scope, 200);
+    assert_no_violation("recovery", &scope, 200);
 }
 
 #[test]
@@ -89,7 +94,7 @@
     let stop = |which: u64| at(0.5, json!({ "do": "stop-seat", "which": which }));
     let mut scope = scope(5, 12, (0.5, 0.7), vec![stop(0), stop(1)]);
     scope.faults = LOSSES.to_vec();
-    sound("two handovers, five voters", &scope, 300);
+    assert_no_violation("two handovers, five voters", &scope, 300);
 }
 
 #[test]
@@ -99,7 +104,7 @@
     for seed in [5, 14] {
         let mut scope = scope(5, 12, (0.5, 0.7), vec![stop(0), stop(1)]);
         (scope.faults, scope.seed) = (vec![Fault::DiskLost], seed);
-        sound(&format!("two handovers, seed {seed}"), &scope, 0);
+        assert_no_violation(&format!("two handovers, seed {seed}"), &scope, 0);
     }
 }
 
@@ -120,8 +125,8 @@
 fn a_membership_survives_restarts_at_every_event_alone_and_in_pairs() {
     let mut scope = scope(3, 3, (0.5, 1.0), Vec::new());
     scope.faults = vec![Fault::Kill, Fault::Power];
-    sound("restarts", &scope, 300);
-    sound("restarts while all restart in turn", &restarts_in_turn(), 0);
+    assert_no_violation("restarts", &scope, 300);
+    assert_no_violation("restarts while all restart in turn", &restarts_in_turn(), 0);
 }
 
 // ---- faulty variants ---------------------------------------------------------
@@ -134,7 +139,7 @@
 }
 
 /// Returns the number of failing runs with a faulty variant.
-fn found(scope: Scope, variant: FaultyVariant, pairs: Pairs) -> usize {
+fn count_failures(scope: Scope, variant: FaultyVariant, pairs: Pairs) -> usize {
     let scope = Scope { faulty_variant: Some(variant), ..scope };
     let report = explore(&scope, pairs, THREADS);
     print(&format!("{variant:?}"), &report);
@@ -145,42 +150,48 @@
 fn a_voter_that_exits_without_handover_is_detected() {
     let stop = at(0.5, json!({ "do": "stop-seat", "which": 0 }));
     let scope = scope(3, 9, (0.5, 0.8), vec![stop]);
-    assert!(found(scope, FaultyVariant::StopsBeforeHandover, Pairs::None) > 0);
+    assert!(count_failures(scope, FaultyVariant::StopsBeforeHandover, Pairs::None) > 0);
 }
 
 #[test]
 fn disks_that_acknowledge_before_sync_are_detected() {
     // Two of three voters lose power shortly after each other while the third is isolated.
-    let mut troubles = cut_off(2, 2.8);
+    let mut scenario_faults = cut_off(2, 2.8);
     let slow = |which: u64| json!({ "do": "disk", "which": which, "health": "slow", "ms": 60 });
     let good = |which: u64| json!({ "do": "disk", "which": which, "health": "good" });
-    troubles.extend([at(0.3, slow(0)), at(0.3, slow(1)), at(2.8, good(0)), at(2.8, good(1))]);
-    let mut scope = scope(3, 3, (1.7, 2.1), troubles);
+    scenario_faults.extend([
+        at(0.3, slow(0)),
+        at(0.3, slow(1)),
+        at(2.8, good(0)),
+        at(2.8, good(1)),
+    ]);
+    let mut scope = scope(3, 3, (1.7, 2.1), scenario_faults);
     scope.faults = vec![Fault::Power];
-    let sound = explore(&scope, Pairs::All, THREADS);
-    print("two power losses", &sound);
-    assert!(sound.failures.is_empty());
-    assert!(found(scope, FaultyVariant::AcknowledgesBeforeSync, Pairs::All) > 0);
+    let unmodified = explore(&scope, Pairs::All, THREADS);
+    print("two power losses", &unmodified);
+    assert!(unmodified.failures.is_empty());
+    assert!(count_failures(scope, FaultyVariant::AcknowledgesBeforeSync, Pairs::All) > 0);
 }
 
 #[test]
 fn counted_acknowledgements_of_former_processes_are_detected() {
     let scope = restarts_in_turn();
-    assert!(found(scope, FaultyVariant::CountsFormerAcknowledgements, Pairs::None) > 0);
+    assert!(count_failures(scope, FaultyVariant::CountsFormerAcknowledgements, Pairs::None) > 0);
 }
 
 #[test]
 fn a_wiped_voter_that_votes_is_detected() {
     // The isolated voter's log is behind that of the voter whose disk is lost.
-    let mut troubles = cut_off(2, 1.0);
-    troubles.push(at(1.0, json!({ "do": "kill-seat", "which": 1, "lose": true, "for_s": 0.05 })));
-    let mut scope = scope(3, 3, (0.95, 1.4), troubles);
+    let mut scenario_faults = cut_off(2, 1.0);
+    scenario_faults
+        .push(at(1.0, json!({ "do": "kill-seat", "which": 1, "lose": true, "for_s": 0.05 })));
+    let mut scope = scope(3, 3, (0.95, 1.4), scenario_faults);
     scope.tolerates = 0;
     scope.faults = vec![Fault::Pause, Fault::Power];
-    let sound = explore(&scope, Pairs::None, THREADS);
-    print("a disk lost", &sound);
-    assert!(sound.failures.is_empty());
-    assert!(found(scope, FaultyVariant::VotesAfterDiskLoss, Pairs::None) > 0);
+    let unmodified = explore(&scope, Pairs::None, THREADS);
+    print("a disk lost", &unmodified);
+    assert!(unmodified.failures.is_empty());
+    assert!(count_failures(scope, FaultyVariant::VotesAfterDiskLoss, Pairs::None) > 0);
 }
 
 #[test]
@@ -188,5 +199,5 @@
     let gone = at(0.2, json!({ "do": "kill-seat", "which": 1 }));
     let mut scope = scope(3, 9, (2.65, 3.35), vec![gone]);
     scope.tolerates = 0;
-    assert!(found(scope, FaultyVariant::IgnoresOtherVoterSets, Pairs::None) > 0);
+    assert!(count_failures(scope, FaultyVariant::IgnoresOtherVoterSets, Pairs::None) > 0);
 }
--- a/crates/simulator/tests/faulty_variants.rs
+++ b/crates/simulator/tests/faulty_variants.rs
@@ -11,8 +11,8 @@
 use serde_json::{Value, json};
 
 /// Runs a case in both deployments, each with a different seed.
-fn case(name: &str, rule: u8, variant: FaultyVariant, troubles: Vec<Value>) {
-    play_case(name, (18, 0.06), rule, variant, troubles);
+fn case(name: &str, rule: u8, variant: FaultyVariant, faults: Vec<Value>) {
+    play_case(name, (18, 0.06), rule, variant, faults);
 }
 
 fn play_case(
@@ -20,17 +20,17 @@
     (seconds, factor): (u64, f64),
     rule: u8,
     variant: FaultyVariant,
-    troubles: Vec<Value>,
+    faults: Vec<Value>,
 ) {
     for (deployment, seed) in [("mohalla", 7), ("kahurangi", 8)] {
-        let troubles = troubles.iter().map(|t| there(t, deployment)).collect();
-        let mut s = common::scenario(name, seconds, factor, troubles);
-        let stands = common::load(&format!("{deployment}.standins.json")).unwrap();
-        s.spec = grebepath_simulator::spec::parse(&stands).unwrap();
+        let faults = faults.iter().map(|t| translate_fault(t, deployment)).collect();
+        let mut s = common::scenario(name, seconds, factor, faults);
+        let standins = common::load(&format!("{deployment}.standins.json")).unwrap();
+        s.spec = grebepath_simulator::spec::parse(&standins).unwrap();
         s.config = common::load(&format!("{deployment}.json")).unwrap();
-        let sound = play(&s, seed, None);
-        let found = &sound.rules.violations;
-        assert!(found.is_empty(), "sound {name}, {deployment}: {found:?}");
+        let unmodified = play(&s, seed, None);
+        let found = &unmodified.rules.violations;
+        assert!(found.is_empty(), "{name}, {deployment}, without the variant: {found:?}");
         let bad = play(&s, seed, Some(variant));
         assert!(
             bad.rules.violation_counts.contains_key(&rule),
@@ -42,8 +42,8 @@
 }
 
 /// Translates a fault to the service names of the given deployment.
-fn there(trouble: &Value, deployment: &str) -> Value {
-    let mut text = trouble.to_string();
+fn translate_fault(fault: &Value, deployment: &str) -> Value {
+    let mut text = fault.to_string();
     if deployment == "kahurangi" {
         let names = [
             ("notices", "fleet"),
@@ -159,19 +159,19 @@
     // All machines lose power during a burst of operator requests, once per seed.
     let mut caught = 0;
     for seed in 0..6 {
-        let troubles = vec![
+        let faults = vec![
             at(1.0, json!({ "do": "storm", "count": 60, "gap_ms": 40 })),
             at(1.0, json!({ "do": "disk", "which": 0, "health": "slow", "ms": 30 })),
             at(1.0, json!({ "do": "disk", "which": 1, "health": "slow", "ms": 30 })),
             at(1.0, json!({ "do": "disk", "which": 2, "health": "slow", "ms": 30 })),
             at(2.5, json!({ "do": "restart-all", "power": true, "for_s": 1.0 })),
         ];
-        let s = common::scenario("early", 20, 0.02, troubles);
-        let sound = play(&s, seed, None);
+        let s = common::scenario("early", 20, 0.02, faults);
+        let unmodified = play(&s, seed, None);
         assert!(
-            sound.rules.violation_counts.is_empty(),
+            unmodified.rules.violation_counts.is_empty(),
             "seed {seed}: {:?}",
-            sound.rules.violations
+            unmodified.rules.violations
         );
         let bad = play(&s, seed, Some(FaultyVariant::AcknowledgesBeforeSync));
         caught += u64::from(bad.rules.violation_counts.contains_key(&12));
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -13,9 +13,9 @@
 /// Delays between the stop request and a second loss (ms).
 const MOMENTS: [u64; 14] = [0, 5, 20, 40, 60, 80, 100, 130, 160, 200, 300, 400, 700, 1_500];
 
-fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
+fn build_scenario(seats: usize, controllers: usize, seconds: u64, faults: Vec<Value>) -> Scenario {
     let val = json!({ "name": "handover", "seconds": seconds, "queriers": 4, "factor": 0.02,
-                      "seats": seats, "controllers": controllers, "troubles": troubles });
+                      "seats": seats, "controllers": controllers, "troubles": faults });
     read(val.to_string().as_bytes(), &common::load)
         .unwrap_or_else(|all| panic!("{}", grebepath_core::diagnostic::lines(&all)))
 }
@@ -30,14 +30,18 @@
 }
 
 /// Runs a scenario and waits until the cluster has recovered; also returns whether it has.
-fn played(scenario: &Scenario, seed: u64, faulty_variant: Option<FaultyVariant>) -> (World, bool) {
+fn run_and_recover(
+    scenario: &Scenario,
+    seed: u64,
+    faulty_variant: Option<FaultyVariant>,
+) -> (World, bool) {
     let mut world = play(scenario, seed, faulty_variant);
-    let whole = world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
-    (world, whole)
+    let recovered = world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
+    (world, recovered)
 }
 
-fn sound(name: &str, scenario: &Scenario, seed: u64) -> World {
-    let (world, whole) = played(scenario, seed, None);
+fn assert_no_violation(name: &str, scenario: &Scenario, seed: u64) -> World {
+    let (world, recovered) = run_and_recover(scenario, seed, None);
     let story = || world.rules.story.join("\n");
     assert!(
         world.rules.violations.is_empty(),
@@ -45,7 +49,7 @@
         world.rules.violations,
         story()
     );
-    assert!(whole, "{name}, {seed}: not recovered\n{}", story());
+    assert!(recovered, "{name}, {seed}: not recovered\n{}", story());
     world
 }
 
@@ -75,7 +79,7 @@
 #[test]
 fn a_stopping_voter_hands_its_slot_to_a_spare_before_it_exits() {
     // Machine 3 is the spare; the voter in the same zone stops.
-    let scenario = scene(3, 4, 5, vec![storm(100), stop(0)]);
+    let scenario = build_scenario(3, 4, 5, vec![storm(100), stop(0)]);
     each(&[1u64, 2, 3, 4], |_, seed| {
         let mut world = play(&scenario, *seed, None);
         assert!(world.rules.violations.is_empty(), "{:?}", world.rules.violations);
@@ -98,9 +102,9 @@
         let lost = json!({ "do": "kill-seat", "which": other, "for_s": 1.0, "lose": true });
         let lost = at(4.0 + *after as f64 / 1_000.0, lost);
         // There is a spare in each zone, so that any voter has a successor.
-        let scenario = scene(3, 6, 14, vec![storm(120), stop(*leaving), lost]);
+        let scenario = build_scenario(3, 6, 14, vec![storm(120), stop(*leaving), lost]);
         let name = format!("{leaving} leaves, {other} lost after {after} ms");
-        let world = sound(&name, &scenario, number as u64);
+        let world = assert_no_violation(&name, &scenario, number as u64);
         assert!(accepted(&world) > 100, "{name}: {} accepted", accepted(&world));
     });
 }
@@ -110,9 +114,12 @@
     each(&MOMENTS, |number, after| {
         let lost = json!({ "do": "kill-seat", "which": 3, "lose": true });
         let lost = at(4.0 + *after as f64 / 1_000.0, lost);
-        let scenario = scene(3, 7, 16, vec![storm(120), stop(0), lost]);
-        let world =
-            sound(&format!("the successor lost after {after} ms"), &scenario, number as u64);
+        let scenario = build_scenario(3, 7, 16, vec![storm(120), stop(0), lost]);
+        let world = assert_no_violation(
+            &format!("the successor lost after {after} ms"),
+            &scenario,
+            number as u64,
+        );
         // Another spare of the same zone holds the slot at the end.
         assert_eq!(holder(&world, 0), Some(6), "{after}");
     });
@@ -122,13 +129,13 @@
 fn a_power_loss_of_all_others_at_any_moment_of_a_departure_loses_nothing() {
     each(&MOMENTS, |number, after| {
         let from = 4.0 + *after as f64 / 1_000.0;
-        let mut troubles = vec![storm(120), stop(0)];
+        let mut faults = vec![storm(120), stop(0)];
         for which in 1..4u64 {
             let kill = json!({ "do": "kill-seat", "which": which, "for_s": 0.8, "power": true });
-            troubles.push(at(from, kill));
+            faults.push(at(from, kill));
         }
-        let scenario = scene(3, 4, 16, troubles);
-        sound(&format!("no power after {after} ms"), &scenario, number as u64);
+        let scenario = build_scenario(3, 4, 16, faults);
+        assert_no_violation(&format!("no power after {after} ms"), &scenario, number as u64);
     });
 }
 
@@ -139,9 +146,9 @@
             let kill = json!({ "do": "kill-seat", "which": which, "for_s": for_s, "lose": true });
             at(4.0 + *after as f64 / 1_000.0, kill)
         };
-        let troubles = vec![storm(120), stop(0), stop(3), lose(1, 1.0), lose(2, 1.3)];
-        let scenario = scene(5, 10, 16, troubles);
-        sound(&format!("five voters, after {after} ms"), &scenario, number as u64);
+        let faults = vec![storm(120), stop(0), stop(3), lose(1, 1.0), lose(2, 1.3)];
+        let scenario = build_scenario(5, 10, 16, faults);
+        assert_no_violation(&format!("five voters, after {after} ms"), &scenario, number as u64);
     });
 }
 
@@ -151,23 +158,23 @@
     each(&[2.6, 2.9, 3.0, 3.1, 3.2, 3.3, 3.4, 3.6, 4.0, 5.0], |number, pause| {
         let paused = json!({ "do": "pause-seat", "which": 0, "for_s": pause });
         let stops = at(2.0 + pause + 0.001, json!({ "do": "stop-seat", "which": 0 }));
-        let troubles = vec![storm(160), at(2.0, paused), stops];
-        let scenario = scene(3, 7, 14, troubles);
-        sound(&format!("paused for {pause} s"), &scenario, number as u64);
+        let faults = vec![storm(160), at(2.0, paused), stops];
+        let scenario = build_scenario(3, 7, 14, faults);
+        assert_no_violation(&format!("paused for {pause} s"), &scenario, number as u64);
     });
 }
 
 #[test]
 fn rolling_restarts_move_the_slots_and_every_request_is_accepted() {
     // The spares of each zone take the slots, and later hand them back.
-    let mut troubles = vec![storm(300)];
+    let mut faults = vec![storm(300)];
     for which in 0..6u64 {
         let stop = json!({ "do": "stop-seat", "which": which, "for_s": 0.5 });
-        troubles.push(at(2.0 + which as f64 * 2.0, stop));
+        faults.push(at(2.0 + which as f64 * 2.0, stop));
     }
-    let scenario = scene(3, 6, 18, troubles);
+    let scenario = build_scenario(3, 6, 18, faults);
     each(&[1u64, 2, 3, 4], |_, seed| {
-        let world = sound("restarts in turn", &scenario, *seed);
+        let world = assert_no_violation("restarts in turn", &scenario, *seed);
         let story = || world.rules.recent_lines.iter().cloned().collect::<Vec<_>>().join("\n");
         for slot in 0..3 {
             assert_eq!(holder(&world, slot), Some(usize::from(slot)), "{}", story());
@@ -184,9 +191,10 @@
     // The only spare could take either slot.
     let stop = |which: u64| at(2.0, json!({ "do": "stop-seat", "which": which, "for_s": 1.0 }));
     for leaving in [[0, 1], [0, 3], [1, 3], [1, 4]] {
-        let scenario = scene(5, 6, 12, vec![storm(120), stop(leaving[0]), stop(leaving[1])]);
+        let scenario =
+            build_scenario(5, 6, 12, vec![storm(120), stop(leaving[0]), stop(leaving[1])]);
         each(&[1u64, 2, 3, 4], |_, seed| {
-            let world = sound("two leave, one spare", &scenario, *seed);
+            let world = assert_no_violation("two leave, one spare", &scenario, *seed);
             let given =
                 world.alarms.keys().filter(|text| text.contains("given to another")).count();
             assert_eq!(given, 0, "{leaving:?}, {seed}: {:?}", world.alarms);
@@ -203,10 +211,10 @@
     each(&MOMENTS, |number, after| {
         let lost = json!({ "do": "kill-seat", "which": 1, "for_s": 1.0, "lose": true });
         let lost = at(4.0 + *after as f64 / 1_000.0, lost);
-        let scenario = scene(3, 6, 14, vec![storm(120), stop(0), lost]);
-        let (world, whole) =
-            played(&scenario, number as u64, Some(FaultyVariant::StopsBeforeHandover));
-        if !whole || !world.rules.violations.is_empty() {
+        let scenario = build_scenario(3, 6, 14, vec![storm(120), stop(0), lost]);
+        let (world, recovered) =
+            run_and_recover(&scenario, number as u64, Some(FaultyVariant::StopsBeforeHandover));
+        if !recovered || !world.rules.violations.is_empty() {
             caught.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
         }
     });
--- a/crates/simulator/tests/late_orders.rs
+++ b/crates/simulator/tests/late_orders.rs
@@ -25,7 +25,7 @@
 }
 
 /// Returns the number of operators whose last request was acknowledged and therefore checked.
-fn judged(world: &World) -> usize {
+fn checked_operators(world: &World) -> usize {
     world.rules.senders.values().filter(|sender| sender.stands.is_some()).count()
 }
 
@@ -39,7 +39,11 @@
             "{seed}: {:?}",
             world.rules.violations
         );
-        expect_that!(judged(&world), eq(2), "seed {seed}: both operators reach their last request");
+        expect_that!(
+            checked_operators(&world),
+            eq(2),
+            "seed {seed}: both operators reach their last request"
+        );
     }
 }
 
--- a/crates/simulator/tests/linearizability.rs
+++ b/crates/simulator/tests/linearizability.rs
@@ -4,12 +4,14 @@
 mod linearizability_script;
 
 use grebepath_simulator::linearizability::{Answer, Base, Effect, Numbering, Reason};
-use linearizability_script::{ACCEPTED, MOVED, Script, bad, good, puts, script};
+use linearizability_script::{
+    ACCEPTED, MOVED, Script, assert_linearizable, assert_violated, puts, script,
+};
 
 #[test]
 fn accepted_writes_and_reads_in_order_are_linearizable() {
-    good("nothing", script());
-    good(
+    assert_linearizable("nothing", script());
+    assert_linearizable(
         "in turn",
         script()
             .read((1, 2), 0, "")
@@ -18,7 +20,7 @@
             .write((8, 9), "b", None, "two", ACCEPTED(2))
             .read((10, 11), 2, "two"),
     );
-    good(
+    assert_linearizable(
         "a read sees a write that is not answered yet, another does not",
         script().write((1, 10), "a", None, "one", ACCEPTED(1)).read((2, 3), 0, "").read(
             (4, 5),
@@ -30,12 +32,12 @@
 
 #[test]
 fn reads_that_go_back_or_lose_a_write_are_detected() {
-    bad(
+    assert_violated(
         "old state after an acceptance",
         Reason::Read,
         script().write((1, 2), "a", None, "one", ACCEPTED(1)).read((3, 4), 0, ""),
     );
-    bad(
+    assert_violated(
         "back between two reads",
         Reason::Read,
         script().write((1, 10), "a", None, "one", ACCEPTED(1)).read((2, 3), 1, "one").read(
@@ -44,12 +46,12 @@
             "",
         ),
     );
-    bad(
+    assert_violated(
         "another content",
         Reason::Read,
         script().write((1, 2), "a", None, "one", ACCEPTED(1)).read((3, 4), 1, "two"),
     );
-    bad(
+    assert_violated(
         "two contents of one revision",
         Reason::TwoContents,
         script().write((1, 2), "a", None, "one", ACCEPTED(1)).read((3, 4), 1, "one").read(
@@ -58,7 +60,7 @@
             "two",
         ),
     );
-    bad(
+    assert_violated(
         "a lost write, under the next revision",
         Reason::Read,
         script()
@@ -66,7 +68,7 @@
             .write((3, 4), "b", None, "two", ACCEPTED(2))
             .read((5, 6), 2, "two"),
     );
-    bad(
+    assert_violated(
         "a value from the future",
         Reason::Read,
         script().read((1, 2), 1, "one").write((3, 4), "a", None, "one", ACCEPTED(1)),
@@ -77,24 +79,28 @@
 fn unknown_writes_may_take_effect_late_or_never() {
     let unknown =
         || script().write((1, 0), "a", Some(0), "one", Answer::Unknown).read((2, 3), 0, "");
-    good("never", unknown().read((90, 91), 0, ""));
-    good("late", unknown().read((90, 91), 1, "one"));
-    good(
+    assert_linearizable("never", unknown().read((90, 91), 0, ""));
+    assert_linearizable("late", unknown().read((90, 91), 1, "one"));
+    assert_linearizable(
         "beaten",
         unknown().write((4, 5), "b", Some(0), "two", ACCEPTED(1)).read((6, 7), 1, "two"),
     );
-    bad(
+    assert_violated(
         "on a base that was replaced",
         Reason::Read,
         unknown().write((4, 5), "b", Some(0), "two", ACCEPTED(1)).read((6, 7), 2, "one"),
     );
-    bad("applied and undone", Reason::Read, unknown().read((4, 5), 1, "one").read((6, 7), 0, ""));
-    bad(
+    assert_violated(
+        "applied and undone",
+        Reason::Read,
+        unknown().read((4, 5), 1, "one").read((6, 7), 0, ""),
+    );
+    assert_violated(
         "before it was sent",
         Reason::Read,
         script().read((1, 2), 1, "one").write((3, 0), "a", None, "one", Answer::Unknown),
     );
-    bad(
+    assert_violated(
         "twice",
         Reason::Read,
         script()
@@ -103,7 +109,7 @@
             .read((5, 6), 2, "two")
             .read((7, 8), 3, "one"),
     );
-    good(
+    assert_linearizable(
         "rejected, and applied by the next attempt",
         script().write((1, 2), "a", None, "one", Answer::Rejected).read((3, 4), 0, "").write(
             (5, 6),
@@ -113,7 +119,7 @@
             ACCEPTED(1),
         ),
     );
-    bad(
+    assert_violated(
         "rejected but applied",
         Reason::Read,
         script().write((1, 2), "a", None, "one", Answer::Rejected).read((3, 4), 1, "one"),
@@ -122,7 +128,7 @@
 
 #[test]
 fn order_follows_time_and_revisions_alike() {
-    bad(
+    assert_violated(
         "a later write has a smaller revision",
         Reason::Acceptance,
         script().write((1, 2), "a", None, "one", ACCEPTED(2)).write(
@@ -133,7 +139,7 @@
             ACCEPTED(1),
         ),
     );
-    bad(
+    assert_violated(
         "a revision that no request can have produced",
         Reason::Acceptance,
         script().write((1, 2), "a", None, "one", ACCEPTED(1)).write(
@@ -151,13 +157,13 @@
         .write((7, 8), "c", Some(4), "three", ACCEPTED(5))
         .write((9, 10), "d", Some(5), "four", MOVED(6));
     rising.recorder.history_mut().numbering = Numbering::Rising;
-    good("where others raise revisions too", rising);
+    assert_linearizable("where others raise revisions too", rising);
     let mut rising = script()
         .write((1, 2), "a", None, "one", ACCEPTED(2))
         .read((3, 4), 3, "one")
         .read((5, 6), 2, "one");
     rising.recorder.history_mut().numbering = Numbering::Rising;
-    bad("a revision that decreases nevertheless", Reason::Read, rising);
+    assert_violated("a revision that decreases nevertheless", Reason::Read, rising);
 }
 
 #[test]
@@ -176,11 +182,11 @@
         s.recorder.answer_read(8, number, (3, None), objects);
         s
     };
-    good("as specified", seen(begin(), &[("x", "new"), ("zone/a", "drained")]));
-    bad(
+    assert_linearizable("as specified", seen(begin(), &[("x", "new"), ("zone/a", "drained")]));
+    assert_violated(
         "all kept",
         Reason::Read,
         seen(begin(), &[("x", "new"), ("y", "gone"), ("zone/a", "drained")]),
     );
-    bad("nothing kept", Reason::Read, seen(begin(), &[("x", "new")]));
+    assert_violated("nothing kept", Reason::Read, seen(begin(), &[("x", "new")]));
 }
--- a/crates/simulator/tests/linearizability_drawn.rs
+++ b/crates/simulator/tests/linearizability_drawn.rs
@@ -6,7 +6,7 @@
 use std::time::Instant;
 
 use grebepath_simulator::linearizability::{Reason, Verdict, check};
-use linearizability_reference::{drawn_history, fits, long_history};
+use linearizability_reference::{is_linearizable, long_history, random_history};
 
 #[test]
 fn an_explanation_contains_only_contradicting_answers() {
@@ -70,8 +70,8 @@
     let (mut good, mut bad) = (0, 0);
     let mut seed = 77;
     for round in 0..60_000 {
-        let history = drawn_history(&mut seed);
-        let want = fits(&history);
+        let history = random_history(&mut seed);
+        let want = is_linearizable(&history);
         let verdict = check(&history);
         match &verdict {
             Verdict::Linearizable => good += 1,
--- a/crates/simulator/tests/linearizability_reference/mod.rs
+++ b/crates/simulator/tests/linearizability_reference/mod.rs
@@ -28,7 +28,7 @@
     }
 }
 
-fn stands(register: &Register, base: Base) -> bool {
+fn is_current(register: &Register, base: Base) -> bool {
     base.revision.is_none_or(|r| r == register.revision)
         && base.edition.is_none_or(|e| e == register.edition)
 }
@@ -50,12 +50,12 @@
     let mut history = History::default();
     let mut register = Register::default();
     let mut applied: BTreeMap<usize, u64> = BTreeMap::new();
-    let mut flying: Vec<Sent> = Vec::new();
+    let mut in_flight: Vec<Sent> = Vec::new();
     let (mut now, mut made) = (0, 0);
-    while made < requests || !flying.is_empty() {
+    while made < requests || !in_flight.is_empty() {
         now += 1 + draw(&mut seed, 400);
-        while let Some(at) = next_arrival(&flying, now) {
-            let sent = flying.remove(at);
+        while let Some(at) = next_arrival(&in_flight, now) {
+            let sent = in_flight.remove(at);
             arrive(&mut history, &mut register, &mut applied, sent);
         }
         if made == requests {
@@ -91,15 +91,15 @@
         let arrives = now + draw(&mut seed, 800);
         let answered = arrives + draw(&mut seed, 500);
         let lost = draw(&mut seed, 6) == 0;
-        flying.push(Sent { write, attempt: attempts.len() - 1, arrives, answered, lost });
+        in_flight.push(Sent { write, attempt: attempts.len() - 1, arrives, answered, lost });
     }
     let all = history.writes.iter().flat_map(|w| &w.attempts);
     let unknown = all.filter(|a| a.answer == Answer::Unknown).count();
     (history, unknown)
 }
 
-fn next_arrival(flying: &[Sent], now: u64) -> Option<usize> {
-    let due = flying.iter().enumerate().filter(|(_, s)| s.arrives <= now);
+fn next_arrival(in_flight: &[Sent], now: u64) -> Option<usize> {
+    let due = in_flight.iter().enumerate().filter(|(_, s)| s.arrives <= now);
     due.min_by_key(|(_, s)| s.arrives).map(|(at, _)| at)
 }
 
@@ -130,7 +130,7 @@
     let write = &mut history.writes[sent.write];
     let answer = if let Some(revision) = applied.get(&sent.write) {
         Answer::Accepted { revision: *revision }
-    } else if stands(register, write.base) {
+    } else if is_current(register, write.base) {
         apply(register, &write.effect);
         applied.insert(sent.write, register.revision);
         Answer::Accepted { revision: register.revision }
@@ -146,7 +146,7 @@
 }
 
 /// Generates a small history with random answers; some are linearizable, most are not.
-pub fn drawn_history(seed: &mut u64) -> History {
+pub fn random_history(seed: &mut u64) -> History {
     let mut history = History::default();
     let writes = 1 + draw(seed, 3);
     for number in 0..writes {
@@ -159,7 +159,7 @@
         let puts = BTreeMap::from([(name, Some(format!("v{number}")))]);
         let edition = base.edition.map(|e| e + 1);
         let effect = Effect { puts, edition, ..Effect::default() };
-        let attempts = (0..1 + draw(seed, 2)).map(|_| drawn_attempt(seed)).collect();
+        let attempts = (0..1 + draw(seed, 2)).map(|_| random_attempt(seed)).collect();
         history.writes.push(Write { id: format!("w{number}"), text: 1, base, effect, attempts });
     }
     for _ in 0..draw(seed, 3) {
@@ -181,7 +181,7 @@
     (sent, sent + draw(seed, 5))
 }
 
-fn drawn_attempt(seed: &mut u64) -> Attempt {
+fn random_attempt(seed: &mut u64) -> Attempt {
     let (sent, answered) = span(seed);
     let answer = match draw(seed, 10) {
         0..=4 => Answer::Accepted { revision: 1 + draw(seed, 2) },
@@ -205,7 +205,7 @@
 }
 
 /// Returns whether some order of all operations explains all answers, by trying every order.
-pub fn fits(history: &History) -> bool {
+pub fn is_linearizable(history: &History) -> bool {
     let mut operations = Vec::new();
     for (w, write) in history.writes.iter().enumerate() {
         operations.push(Operation::Effect(w));
@@ -267,7 +267,7 @@
     match operation {
         Operation::Effect(w) => {
             let write = &history.writes[w];
-            if !stands(register, write.base) {
+            if !is_current(register, write.base) {
                 return Vec::new();
             }
             let applying = write.attempts.iter().filter(|a| a.may_apply());
--- a/crates/simulator/tests/linearizability_script/mod.rs
+++ b/crates/simulator/tests/linearizability_script/mod.rs
@@ -67,12 +67,12 @@
     BTreeMap::from([(name.to_string(), Some(value.to_string()))])
 }
 
-pub fn good(what: &str, script: Script) {
+pub fn assert_linearizable(what: &str, script: Script) {
     assert_eq!(check(script.history()), Verdict::Linearizable, "{what}");
 }
 
 #[track_caller]
-pub fn bad(what: &str, reason: Reason, script: Script) {
+pub fn assert_violated(what: &str, reason: Reason, script: Script) {
     match check(script.history()) {
         Verdict::Violated(violation) => {
             assert_eq!(violation.reason, reason, "{what}: {violation}");
--- a/crates/simulator/tests/list_pollers.rs
+++ b/crates/simulator/tests/list_pollers.rs
@@ -16,7 +16,7 @@
 /// leaving leaf must be noticed.
 const DRAIN_NOTICE_MS: u64 = 4_000;
 /// Time of the first fault (s).
-const STRUCK_AT: f64 = 4.0;
+const FAULT_AT: f64 = 4.0;
 /// Delays of the faults in the runs of a case (s): spread over the interval between two polls of the
 /// list by any querier.
 const DELAYS: [f64; 6] = [0.0, 0.35, 0.7, 1.05, 1.4, 1.75];
@@ -34,7 +34,7 @@
 /// of its zone.
 fn scenario(shown_before: f64, delay: f64, faults: &[Value]) -> Scenario {
     let mut all = faults.to_vec();
-    all.push(json!({ "at_s": STRUCK_AT - shown_before - LIST_LAG, "do": "leave-leafs", "count": 3,
+    all.push(json!({ "at_s": FAULT_AT - shown_before - LIST_LAG, "do": "leave-leafs", "count": 3,
                      "service": "mohalla-notices-w48-1" }));
     for fault in &mut all {
         fault["at_s"] = json!(fault["at_s"].as_f64().unwrap() + delay);
@@ -55,7 +55,11 @@
 }
 
 /// Runs cases on several threads and returns those in which a leaving leaf got new work.
-fn broken(shown_before: f64, cases: &[Vec<Value>], variant: Option<FaultyVariant>) -> Vec<String> {
+fn violating_runs(
+    shown_before: f64,
+    cases: &[Vec<Value>],
+    variant: Option<FaultyVariant>,
+) -> Vec<String> {
     let plays: Vec<Scenario> = cases
         .iter()
         .flat_map(|faults| DELAYS.map(|delay| scenario(shown_before, delay, faults)))
@@ -93,7 +97,7 @@
     let chosen = |set: u64| (0..QUERIERS).filter(move |which| set >> which & 1 == 1);
     (0..1u64 << QUERIERS)
         .filter(|set| set.count_ones() == 3)
-        .map(|set| chosen(set).map(|which| fault(STRUCK_AT, "kill-querier", which, 6.0)).collect())
+        .map(|set| chosen(set).map(|which| fault(FAULT_AT, "kill-querier", which, 6.0)).collect())
         .collect()
 }
 
@@ -101,8 +105,9 @@
 fn half_of_the_queriers_are_lost_at_once() {
     // Guards against a list that nobody polls until the lease of a lost poller has expired.
     let cases = losses_of_half();
-    assert_eq!(broken(SHOWN_BEFORE_LOSS, &cases, None), Vec::<String>::new());
-    let caught = broken(SHOWN_BEFORE_LOSS, &cases, Some(FaultyVariant::NoSubstituteListPollers));
+    assert_eq!(violating_runs(SHOWN_BEFORE_LOSS, &cases, None), Vec::<String>::new());
+    let caught =
+        violating_runs(SHOWN_BEFORE_LOSS, &cases, Some(FaultyVariant::NoSubstituteListPollers));
     assert!(!caught.is_empty(), "the variant without substitute pollers was not detected");
 }
 
@@ -112,7 +117,7 @@
     for pause in cases.iter_mut().flatten() {
         pause["do"] = json!("pause-querier");
     }
-    assert_eq!(broken(SHOWN_BEFORE_LOSS, &cases, None), Vec::<String>::new());
+    assert_eq!(violating_runs(SHOWN_BEFORE_LOSS, &cases, None), Vec::<String>::new());
 }
 
 #[test]
@@ -123,12 +128,12 @@
             let rest = (0..QUERIERS).filter(|which| ![first, second].contains(which));
             let order = [first, second].into_iter().chain(rest).take(QUERIERS as usize - 1);
             let stop = |(which, turn)| {
-                fault(STRUCK_AT + STOP_GAP * f64::from(turn), "stop-querier", which, 8.0)
+                fault(FAULT_AT + STOP_GAP * f64::from(turn), "stop-querier", which, 8.0)
             };
             order.zip(0..).map(stop).collect()
         })
         .collect();
-    assert_eq!(broken(SHOWN_BEFORE_STOP, &cases, None), Vec::<String>::new());
+    assert_eq!(violating_runs(SHOWN_BEFORE_STOP, &cases, None), Vec::<String>::new());
 }
 
 #[test]
@@ -136,10 +141,10 @@
     let cases: Vec<Vec<Value>> = pairs()
         .map(|(stops, still)| {
             vec![
-                fault(STRUCK_AT, "stop-querier", stops, 8.0),
-                fault(STRUCK_AT, "pause-querier", still, 5.0),
+                fault(FAULT_AT, "stop-querier", stops, 8.0),
+                fault(FAULT_AT, "pause-querier", still, 5.0),
             ]
         })
         .collect();
-    assert_eq!(broken(SHOWN_BEFORE_STOP, &cases, None), Vec::<String>::new());
+    assert_eq!(violating_runs(SHOWN_BEFORE_STOP, &cases, None), Vec::<String>::new());
 }
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -19,13 +19,13 @@
 
 /// A call that was sent.
 struct Sent {
-    order: usize,
+    operator_request: usize,
     write: Option<AttemptNumber>,
     via: usize,
     sent: u64,
     /// Whether the answer is lost on the way to the operator.
     lost: bool,
-    noted: bool,
+    recorded: bool,
 }
 
 /// A cluster and its operators.
@@ -47,10 +47,10 @@
 
 /// Returns a change that opens one zone; `base` is the edition that it builds on and the edition
 /// that it creates.
-pub fn patch(mark: &str, base: Option<(u64, u64)>) -> Change {
-    let mut value = json!({ "zones": [{ "name": mark, "state": "open" }] });
+pub fn patch(zone: &str, base: Option<(u64, u64)>) -> Change {
+    let mut value = json!({ "zones": [{ "name": zone, "state": "open" }] });
     named(&mut value, base);
-    let puts = [(mark.to_string(), Some("open".to_string()))].into();
+    let puts = [(zone.to_string(), Some("open".to_string()))].into();
     let effect = Effect { puts, edition: base.map(|b| b.1), ..Effect::default() };
     let text = value.to_string();
     let request = digest(format!("PATCH {text}").as_bytes());
@@ -59,11 +59,11 @@
 }
 
 /// Returns a change that replaces the configuration by this one with one more zone.
-pub fn whole(config: &Value, mark: &str, base: Option<(u64, u64)>) -> Change {
+pub fn replacement(config: &Value, zone: &str, base: Option<(u64, u64)>) -> Change {
     let mut value = config.clone();
     let zones = value["zones"].as_array().cloned().unwrap_or_default();
-    let own = [json!({ "name": mark, "state": "open" })];
-    value["zones"] = zones.into_iter().chain(own).collect();
+    let added = [json!({ "name": zone, "state": "open" })];
+    value["zones"] = zones.into_iter().chain(added).collect();
     named(&mut value, base);
     let text = |v: &Value| v.as_str().unwrap_or_default().to_string();
     let zones = value["zones"].as_array().into_iter().flatten();
@@ -89,7 +89,7 @@
     world.run(SECOND);
     let config = scenario.config.clone();
     let mut site = Site { world, recorder: Recorder::default(), sent: Vec::new(), config };
-    let first = whole(&site.config, "first", Some((0, 1)));
+    let first = replacement(&site.config, "first", Some((0, 1)));
     let call = send(&mut site, 0, &first, false);
     assert!(
         until(&mut site, 20, |s| answer(s, call).is_some()),
@@ -101,8 +101,8 @@
 }
 
 /// Returns a change that replaces the cluster's initial configuration with one more zone.
-pub fn whole_of(site: &Site, mark: &str, base: Option<(u64, u64)>) -> Change {
-    whole(&site.config, mark, base)
+pub fn replacement_of(site: &Site, zone: &str, base: Option<(u64, u64)>) -> Change {
+    replacement(&site.config, zone, base)
 }
 
 /// Sends a change through a machine and returns the number of the call. With `lost`, the operator
@@ -112,9 +112,9 @@
         Operation::Replace(text) | Operation::Patch(text) => text.clone(),
         _ => Vec::new(),
     };
-    let mark = u64::from_str_radix(&digest(&text)[..16], 16).unwrap_or_default();
+    let zone = u64::from_str_radix(&digest(&text)[..16], 16).unwrap_or_default();
     let now = site.world.now;
-    let id = (change.request.as_str(), mark);
+    let id = (change.request.as_str(), zone);
     let via = format!("machine {machine}");
     let effect = || change.effect.clone();
     let write = site.recorder.send_write(now, via, id, change.base, effect);
@@ -134,21 +134,22 @@
     write: Option<AttemptNumber>,
     lost: bool,
 ) -> usize {
-    let mut order = OperatorRequest::patch(&Value::Null);
-    (order.request, order.operation, order.controller) = (request, operation, Some(machine));
+    let mut operator_request = OperatorRequest::patch(&Value::Null);
+    (operator_request.request, operator_request.operation, operator_request.controller) =
+        (request, operation, Some(machine));
     let sent = site.world.now;
-    let order = site.world.submit(0, order);
-    site.sent.push(Sent { order, write, via: machine, sent, lost, noted: false });
+    let operator_request = site.world.submit(0, operator_request);
+    site.sent.push(Sent { operator_request, write, via: machine, sent, lost, recorded: false });
     site.sent.len() - 1
 }
 
 /// Advances the time and records the answers that arrive.
-pub fn pass(site: &mut Site, millis: u64) {
+pub fn advance(site: &mut Site, millis: u64) {
     let end = site.world.now + ms(millis);
     while site.world.now < end {
         let span = ms(10).min(end - site.world.now);
         site.world.run(span);
-        note(site);
+        record_answers(site);
     }
 }
 
@@ -156,7 +157,7 @@
 pub fn until(site: &mut Site, seconds: u64, done: impl Fn(&Site) -> bool) -> bool {
     let end = site.world.now + seconds * SECOND;
     while !done(site) && site.world.now < end {
-        pass(site, 10);
+        advance(site, 10);
     }
     done(site)
 }
@@ -164,11 +165,11 @@
 /// Returns the answer of a call, if the operator has received one.
 pub fn answer(site: &Site, call: usize) -> Option<&OperationResult> {
     let sent = &site.sent[call];
-    site.world.operator_requests[sent.order].result.as_ref().filter(|_| !sent.lost)
+    site.world.operator_requests[sent.operator_request].result.as_ref().filter(|_| !sent.lost)
 }
 
 /// Sends a change and waits for the answer.
-pub fn ask(site: &mut Site, machine: usize, change: &Change) -> Option<OperationResult> {
+pub fn send_and_wait(site: &mut Site, machine: usize, change: &Change) -> Option<OperationResult> {
     let call = send(site, machine, change, false);
     until(site, 12, |s| answer(s, call).is_some());
     answer(site, call).cloned()
@@ -192,13 +193,15 @@
 }
 
 /// Records new answers in the history.
-fn note(site: &mut Site) {
+fn record_answers(site: &mut Site) {
     let now = site.world.now;
-    for sent in site.sent.iter_mut().filter(|sent| !sent.noted && !sent.lost) {
-        let Some(done) = &site.world.operator_requests[sent.order].result else { continue };
-        sent.noted = true;
+    for sent in site.sent.iter_mut().filter(|sent| !sent.recorded && !sent.lost) {
+        let Some(done) = &site.world.operator_requests[sent.operator_request].result else {
+            continue;
+        };
+        sent.recorded = true;
         match (sent.write, done) {
-            (Some(number), done) => site.recorder.answer_write(now, number, told(done)),
+            (Some(number), done) => site.recorder.answer_write(now, number, recorded_answer(done)),
             (None, OperationResult::Configuration { revision, entries: map }) => {
                 let Some((zones, edition)) = objects(map) else { continue };
                 let number = site.recorder.send_read(sent.sent, format!("machine {}", sent.via));
@@ -210,7 +213,7 @@
     }
 }
 
-fn told(done: &OperationResult) -> Answer {
+fn recorded_answer(done: &OperationResult) -> Answer {
     match done {
         OperationResult::Accepted { revision, .. } => Answer::Accepted { revision: *revision },
         OperationResult::Conflict { revision } => Answer::Moved { version: Some(*revision) },
@@ -221,7 +224,7 @@
 }
 
 /// Returns an error with the explanation if the history is not linearizable.
-pub fn judged(site: &Site) -> Result<(), String> {
+pub fn check_linearizable(site: &Site) -> Result<(), String> {
     match check(site.recorder.history()) {
         Verdict::Linearizable => Ok(()),
         Verdict::Violated(violation) => Err(violation.to_string()),
@@ -233,7 +236,7 @@
 pub fn tally(site: &Site) -> std::collections::BTreeMap<&'static str, usize> {
     let mut out = std::collections::BTreeMap::new();
     for sent in &site.sent {
-        let kind = match &site.world.operator_requests[sent.order].result {
+        let kind = match &site.world.operator_requests[sent.operator_request].result {
             _ if sent.lost => "lost",
             None => "none",
             Some(OperationResult::Accepted { .. }) => "accepted",
--- a/crates/simulator/tests/rollouts.rs
+++ b/crates/simulator/tests/rollouts.rs
@@ -17,12 +17,17 @@
 const ORDERED_AT: f64 = 4.0;
 
 /// Runs a rollout of 12 s together with other faults.
-fn played(fault: Value, others: Vec<Value>, seed: u64, variant: Option<FaultyVariant>) -> World {
+fn run_rollout(
+    fault: Value,
+    others: Vec<Value>,
+    seed: u64,
+    variant: Option<FaultyVariant>,
+) -> World {
     let mut rollout = json!({ "do": "rollout", "service": SERVICE, "over_s": 12.0 });
     rollout.as_object_mut().unwrap().extend(fault.as_object().unwrap().clone());
-    let mut troubles = vec![at(ORDERED_AT, rollout)];
-    troubles.extend(others);
-    let scenario = common::scenario("rollout", 24, 0.6, troubles);
+    let mut faults = vec![at(ORDERED_AT, rollout)];
+    faults.extend(others);
+    let scenario = common::scenario("rollout", 24, 0.6, faults);
     play(&scenario, seed, variant)
 }
 
@@ -32,7 +37,7 @@
 }
 
 fn assert_ends(fault: Value, others: Vec<Value>, seed: u64, expected: ToldEnd) {
-    let world = played(fault.clone(), others, seed, None);
+    let world = run_rollout(fault.clone(), others, seed, None);
     let found = &world.rules.violations;
     assert!(found.is_empty(), "{fault}, seed {seed}: {found:?}");
     assert_eq!(end(&world), Some(expected), "{fault}, seed {seed}");
@@ -74,7 +79,7 @@
 
 fn assert_caught(variant: FaultyVariant, rule: u8, fault: &Value, others: &[Value]) {
     for seed in 1..4 {
-        let world = played(fault.clone(), others.to_vec(), seed, Some(variant));
+        let world = run_rollout(fault.clone(), others.to_vec(), seed, Some(variant));
         let counts = &world.rules.violation_counts;
         assert!(counts.contains_key(&rule), "{variant:?}, seed {seed}: only {counts:?}");
     }
--- a/crates/simulator/tests/rollouts_drawn.rs
+++ b/crates/simulator/tests/rollouts_drawn.rs
@@ -85,11 +85,11 @@
         faults in collection::vec(fault(), 0..8),
         seed in 1..1_000u64,
     ) {
-        let mut troubles = vec![rollout];
-        troubles.extend(faults);
-        let world = play(&common::scenario("rollouts", 26, 0.5, troubles), seed, None);
-        let broken: Vec<_> = world.rules.violations.iter()
+        let mut all_faults = vec![rollout];
+        all_faults.extend(faults);
+        let world = play(&common::scenario("rollouts", 26, 0.5, all_faults), seed, None);
+        let violations: Vec<_> = world.rules.violations.iter()
             .filter(|found| ROLLOUT_RULES.contains(&found.rule)).collect();
-        prop_assert!(broken.is_empty(), "{broken:?}");
+        prop_assert!(violations.is_empty(), "{violations:?}");
     }
 }
--- a/crates/simulator/tests/scale_model.rs
+++ b/crates/simulator/tests/scale_model.rs
@@ -10,7 +10,7 @@
 use grebepath_simulator::scale_model::topology::Size;
 use grebepath_simulator::scale_model::world::World;
 
-fn found(members: usize, leafs: usize, seed: u64) -> Findings {
+fn run_model(members: usize, leafs: usize, seed: u64) -> Findings {
     let measurements = Measurements { idle: 4 * SECOND, single: true, restarts: true };
     measure(Size { members, leafs }, seed, measurements)
 }
@@ -22,9 +22,9 @@
 
 #[gtest]
 fn a_seed_reproduces_a_run_and_all_nodes_recover() {
-    let (a, b) = (found(6, 24, 7), found(6, 24, 7));
+    let (a, b) = (run_model(6, 24, 7), run_model(6, 24, 7));
     expect_that!(counted(&a), eq(&counted(&b)));
-    expect_that!(counted(&found(6, 24, 8)), not(eq(&counted(&a))));
+    expect_that!(counted(&run_model(6, 24, 8)), not(eq(&counted(&a))));
     expect_that!(a.start, some(lt(12 * SECOND)));
     for (name, event) in &a.events {
         expect_that!(event.last, some(lt(12 * SECOND)), "{name}");
@@ -34,7 +34,7 @@
 
 #[gtest]
 fn a_member_costs_no_more_in_a_larger_membership_and_state_grows_with_leafs() {
-    let (few, many) = (found(12, 48, 3), found(24, 480, 3));
+    let (few, many) = (run_model(12, 48, 3), run_model(24, 480, 3));
     let bytes = |f: &Findings| {
         let sent: u64 = f.idle.sum.queriers.iter().map(|m| m.sent.bytes).sum();
         sent as f64 / f.idle.sum.queriers.len() as f64
@@ -47,7 +47,7 @@
 
 #[gtest]
 fn every_message_is_counted_by_sender_and_recipient() {
-    let f = found(10, 40, 5);
+    let f = run_model(10, 40, 5);
     let sum = &f.idle.sum;
     let traffic: u64 = sum.traffic.values().map(|c| c.bytes).sum();
     let sent: u64 = sum.queriers.iter().chain(&sum.controllers).map(|m| m.sent.bytes).sum();
--- a/crates/simulator/tests/scenarios.rs
+++ b/crates/simulator/tests/scenarios.rs
@@ -13,7 +13,7 @@
 use serde_json::json;
 
 /// Fraction of each scenario's load that is used here.
-const PART: f64 = 0.12;
+const LOAD_FRACTION: f64 = 0.12;
 
 fn all() -> BTreeMap<String, World> {
     let dir = format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR"));
@@ -28,23 +28,23 @@
             let (names, dir) = (names.clone(), dir.clone());
             std::thread::spawn(move || {
                 let mine = names.iter().enumerate().filter(|(i, _)| i % 8 == t);
-                mine.map(|(_, n)| one(&dir, n)).collect::<Vec<_>>()
+                mine.map(|(_, n)| run_scenario(&dir, n)).collect::<Vec<_>>()
             })
         })
         .collect();
     threads.into_iter().flat_map(|t| t.join().unwrap()).collect()
 }
 
-fn one(dir: &str, name: &str) -> (String, World) {
+fn run_scenario(dir: &str, name: &str) -> (String, World) {
     let text = std::fs::read(format!("{dir}/{name}")).unwrap();
     let mut s = match read(&text, &common::load) {
         Ok(s) => s,
         Err(all) => panic!("{name}: {}", grebepath_core::diagnostic::lines(&all)),
     };
-    // Scenarios that depend on their full load keep it.
+    // Overload scenarios, and those whose full load exceeds the leafs' capacity, keep their load.
     let heavy = ["restart-no-age.json", "weak-leafs.json"];
     if !name.starts_with("overload") && !heavy.contains(&name) {
-        s.factor *= PART;
+        s.factor *= LOAD_FRACTION;
     }
     let mut world = play(&s, 3, None);
     if !["two-disks-lost"].contains(&s.name.as_str()) {
@@ -89,9 +89,9 @@
     let over: u64 = weak.backends.leafs.values().map(|l| l.over).sum();
     assert!(over < 1_500, "{over} attempts started beyond the leafs' capacity");
     // The loss of two disks raises an alarm, and queries are still served.
-    let two = get("two-disks-lost");
-    assert!(two.alarms.keys().any(|a| a.contains("two disks are lost")), "{:?}", two.alarms);
-    let (full, _, all) = share(two, "browse");
+    let second = get("two-disks-lost");
+    assert!(second.alarms.keys().any(|a| a.contains("two disks are lost")), "{:?}", second.alarms);
+    let (full, _, all) = share(second, "browse");
     assert!(full * 100 >= all * 99, "{full} of {all}");
     // A zone is drained even if it has the last leafs of a shard.
     let (full, partial, all) = share(get("last-leafs-drained"), "browse");
@@ -123,8 +123,8 @@
 fn a_seed_reproduces_a_run_exactly() {
     let dir = format!("{}/../../scenarios", env!("CARGO_MANIFEST_DIR"));
     let print = |world: &World| grebepath_simulator::report::json(world).to_string();
-    let (one_, two) = (one(&dir, "rough.json").1, one(&dir, "rough.json").1);
-    assert_eq!(print(&one_), print(&two));
+    let (first, second) = (run_scenario(&dir, "rough.json").1, run_scenario(&dir, "rough.json").1);
+    assert_eq!(print(&first), print(&second));
 }
 
 #[test]
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -10,9 +10,9 @@
 use grebepath_simulator::world::{FaultyVariant, OperatorRequest, World};
 use serde_json::{Value, json};
 
-fn scene(seats: usize, controllers: usize, seconds: u64, troubles: Vec<Value>) -> Scenario {
+fn build_scenario(seats: usize, controllers: usize, seconds: u64, faults: Vec<Value>) -> Scenario {
     let val = json!({ "name": "seats", "seconds": seconds, "queriers": 4, "factor": 0.02,
-                      "seats": seats, "controllers": controllers, "troubles": troubles });
+                      "seats": seats, "controllers": controllers, "troubles": faults });
     match read(val.to_string().as_bytes(), &common::load) {
         Ok(s) => s,
         Err(all) => panic!("{}", grebepath_core::diagnostic::lines(&all)),
@@ -20,18 +20,18 @@
 }
 
 /// Runs with several seeds; each must end with all voter slots voting and without a violation.
-fn sound(name: &str, s: &Scenario, check: impl Fn(&mut World, u64) + Sync) {
+fn assert_no_violation(name: &str, s: &Scenario, check: impl Fn(&mut World, u64) + Sync) {
     std::thread::scope(|scope| {
         for seed in 0..4 {
             let check = &check;
             scope.spawn(move || {
                 let mut world = play(s, seed, None);
-                let whole =
+                let recovered =
                     world.until(20 * SECOND, |world| world.settled() && world.all_slots_voting());
                 let found = &world.rules.violations;
                 let story = || world.rules.story.join("\n");
                 assert!(found.is_empty(), "{name}, {seed}: {found:?}\n{}", story());
-                assert!(whole, "{name}, {seed}: not recovered\n{}", state(&world));
+                assert!(recovered, "{name}, {seed}: not recovered\n{}", state(&world));
                 check(&mut world, seed);
             });
         }
@@ -41,11 +41,11 @@
 fn state(world: &World) -> String {
     let mut out = String::new();
     for (i, n) in world.controllers.iter().enumerate() {
-        let lives: Vec<_> =
+        let conditions: Vec<_> =
             n.state.partitions.iter().map(|p| format!("{:?}", p.condition)).collect();
         let table = &n.state.voter_slots.voter_file.table.slots;
         let list: Vec<_> = table.iter().map(|h| format!("{}:{}", h.generation, h.addr)).collect();
-        out += &format!("machine {i} up {} seat {} {lives:?} {list:?}\n", n.up, n.state.slot);
+        out += &format!("machine {i} up {} seat {} {conditions:?} {list:?}\n", n.up, n.state.slot);
     }
     out + &world.rules.recent_lines.iter().cloned().collect::<Vec<_>>().join("\n")
 }
@@ -79,8 +79,8 @@
 fn a_spare_takes_the_slot_of_a_lost_machine() {
     for (gone, zone) in ZONES.into_iter().enumerate() {
         let kill = at(4.0, json!({ "do": "kill-seat", "which": gone as u64 }));
-        let s = scene(3, 3, 25, vec![storm(120), spare(zone), kill]);
-        sound("takeover", &s, |world, _| {
+        let s = build_scenario(3, 3, 25, vec![storm(120), spare(zone), kill]);
+        assert_no_violation("takeover", &s, |world, _| {
             assert_eq!(holder(world, gone as u8), Some(3));
             assert!(accepted(world) > 100, "{} accepted", accepted(world));
         });
@@ -90,7 +90,7 @@
 #[test]
 fn no_zone_gains_a_majority_of_the_voter_slots() {
     let kill = at(4.0, json!({ "do": "kill-seat", "which": 1 }));
-    let s = scene(3, 3, 20, vec![storm(60), spare("a"), kill]);
+    let s = build_scenario(3, 3, 20, vec![storm(60), spare("a"), kill]);
     let world = play(&s, 5, None);
     assert!(world.rules.violations.is_empty(), "{:?}", world.rules.violations);
     assert_eq!(
@@ -102,7 +102,7 @@
 #[test]
 fn a_previous_slot_holder_returns_as_a_spare_and_takes_the_next_slot() {
     for power in [false, true] {
-        let s = scene(
+        let s = build_scenario(
             3,
             3,
             35,
@@ -114,14 +114,14 @@
                 at(20.0, json!({ "do": "kill-seat", "which": 3, "power": power })),
             ],
         );
-        sound("returns", &s, |world, _| assert_eq!(holder(world, 1), Some(1)));
+        assert_no_violation("returns", &s, |world, _| assert_eq!(holder(world, 1), Some(1)));
     }
 }
 
 #[test]
 fn an_isolated_voter_loses_its_slot_whichever_partitions_it_leads() {
     for (cut, zone) in ZONES.into_iter().enumerate() {
-        let s = scene(
+        let s = build_scenario(
             3,
             3,
             30,
@@ -132,7 +132,7 @@
                 at(15.0, json!({ "do": "heal" })),
             ],
         );
-        sound("cut off", &s, |world, _| {
+        assert_no_violation("cut off", &s, |world, _| {
             assert_eq!(holder(world, cut as u8), Some(3));
             // The previous holder is a spare now, with another identity.
             assert_eq!(world.controllers[cut].state.slot, grebepath_core::voter_set::NO_SLOT);
@@ -142,7 +142,7 @@
 
 #[test]
 fn a_voter_unreachable_from_one_peer_keeps_its_slot() {
-    let s = scene(
+    let s = build_scenario(
         3,
         4,
         25,
@@ -152,11 +152,11 @@
             at(15.0, json!({ "do": "heal" })),
         ],
     );
-    sound("half cut", &s, |world, _| assert_eq!(holder(world, 3), None));
+    assert_no_violation("half cut", &s, |world, _| assert_eq!(holder(world, 3), None));
     for n in [0, 1, 2] {
         let paused =
             vec![storm(100), at(3.0, json!({ "do": "pause-seat", "which": n, "for_s": 2 }))];
-        sound("paused", &scene(3, 4, 20, paused), |world, _| {
+        assert_no_violation("paused", &build_scenario(3, 4, 20, paused), |world, _| {
             assert_eq!(holder(world, n), Some(n.into()))
         });
     }
@@ -168,14 +168,14 @@
     let many = || vec![storm(160), spare("a"), spare("a"), spare("a")];
     let mut list = many();
     list.push(kill(4.0, 0));
-    sound("two spares", &scene(3, 3, 20, list), |world, _| {
+    assert_no_violation("two spares", &build_scenario(3, 3, 20, list), |world, _| {
         assert_eq!((3..6).filter(|n| world.controllers[*n].has_voter_slot()).count(), 1);
     });
     // The spares that apply for the slot are killed at different times.
     for t in [6.4, 6.6, 6.8, 7.0, 7.2] {
         let mut list = many();
         list.extend([kill(4.0, 0), kill(t, 3), kill(t + 0.3, 4)]);
-        sound("dying spares", &scene(3, 3, 30, list), |world, _| {
+        assert_no_violation("dying spares", &build_scenario(3, 3, 30, list), |world, _| {
             assert_eq!(holder(world, 0), Some(5));
         });
     }
@@ -185,10 +185,16 @@
 fn a_disk_lost_right_after_an_acknowledgement_loses_no_change() {
     for n in 0..3u64 {
         let lost = json!({ "do": "kill-seat", "which": n, "for_s": 1.0, "lose": true });
-        let s = scene(3, 3, 20, vec![storm(60), at(6.02, lost)]);
-        sound("lost disk", &s, |world, _| assert_eq!(holder(world, n as u8), Some(n as usize)));
+        let s = build_scenario(3, 3, 20, vec![storm(60), at(6.02, lost)]);
+        assert_no_violation("lost disk", &s, |world, _| {
+            assert_eq!(holder(world, n as u8), Some(n as usize))
+        });
         let all = json!({ "do": "restart-all", "power": true, "lose": n });
-        sound("lost disk, all off", &scene(3, 3, 20, vec![storm(60), at(4.02, all)]), |_, _| {});
+        assert_no_violation(
+            "lost disk, all off",
+            &build_scenario(3, 3, 20, vec![storm(60), at(4.02, all)]),
+            |_, _| {},
+        );
     }
 }
 
@@ -197,8 +203,8 @@
     for lose in [[0, 1], [1, 4], [3, 4], [0, 2]] {
         for power in [false, true] {
             let all = json!({ "do": "restart-all", "power": power, "lose": lose });
-            let s = scene(5, 6, 25, vec![storm(80), at(5.02, all)]);
-            sound("two of five", &s, |world, _| assert!(accepted(world) > 20));
+            let s = build_scenario(5, 6, 25, vec![storm(80), at(5.02, all)]);
+            assert_no_violation("two of five", &s, |world, _| assert!(accepted(world) > 20));
         }
     }
 }
@@ -206,8 +212,10 @@
 #[test]
 fn two_of_five_machines_are_replaced_under_operator_requests() {
     let kill = |t: f64, n: u64| at(t, json!({ "do": "kill-seat", "which": n }));
-    let s = scene(5, 7, 30, vec![storm(180), kill(3.0, 0), kill(3.3, 3)]);
-    sound("two gone", &s, |world, _| assert!(accepted(world) > 120, "{}", accepted(world)));
+    let s = build_scenario(5, 7, 30, vec![storm(180), kill(3.0, 0), kill(3.3, 3)]);
+    assert_no_violation("two gone", &s, |world, _| {
+        assert!(accepted(world) > 120, "{}", accepted(world))
+    });
 }
 
 #[test]
@@ -224,7 +232,7 @@
         list.push(at(t + 8.0, json!({ "do": "kill-querier", "which": n, "for_s": 1 })));
     }
     list.push(at(52.0, json!({ "do": "restart-all", "power": true })));
-    sound("exchanged", &scene(3, 3, 70, list), |world, _| {
+    assert_no_violation("exchanged", &build_scenario(3, 3, 70, list), |world, _| {
         for k in 0..3 {
             assert_eq!(holder(world, k), Some(usize::from(k) + 3));
         }
@@ -234,16 +242,20 @@
 #[test]
 fn five_voter_slots_bootstrap_from_three_seeds() {
     for controllers in [5, 6, 8] {
-        sound("first boot", &scene(5, controllers, 15, vec![storm(40)]), |world, _| {
-            assert!(accepted(world) >= 40);
-        });
+        assert_no_violation(
+            "first boot",
+            &build_scenario(5, controllers, 15, vec![storm(40)]),
+            |world, _| {
+                assert!(accepted(world) >= 40);
+            },
+        );
     }
 }
 
 #[test]
 fn operators_are_served_by_controllers_without_a_voter_slot() {
-    let s = scene(3, 5, 12, Vec::new());
-    sound("spare's operators", &s, |world, _| {
+    let s = build_scenario(3, 5, 12, Vec::new());
+    assert_no_violation("spare's operators", &s, |world, _| {
         let ask = |world: &mut World, spare: usize| {
             let n = world.operator_requests.len();
             let mut order = OperatorRequest::marked(n);
@@ -277,7 +289,7 @@
 #[test]
 fn a_slot_takeover_takes_less_than_six_seconds() {
     for (gone, zone) in ZONES.into_iter().enumerate() {
-        let mut world = play(&scene(3, 3, 3, vec![spare(zone)]), gone as u64, None);
+        let mut world = play(&build_scenario(3, 3, 3, vec![spare(zone)]), gone as u64, None);
         assert!(world.until(5 * SECOND, World::all_slots_voting));
         let at = world.now;
         world.kill_controller(gone, true);
@@ -295,7 +307,7 @@
 fn split(a: usize, old: usize, both: usize) -> Scenario {
     let name = |n: usize| format!("seat{n}");
     let cut = |a: Vec<String>, b: Vec<String>| at(4.0, json!({ "do": "cut", "a": a, "b": b }));
-    scene(
+    build_scenario(
         5,
         5,
         25,
@@ -324,7 +336,7 @@
                     let world = play(&s, seed, None);
                     assert!(
                         world.rules.violations.is_empty(),
-                        "sound: {:?}",
+                        "without the variant: {:?}",
                         world.rules.violations
                     );
                     assert_eq!(holder(&world, old as u8), Some(5), "{}", state(&world));
@@ -347,15 +359,15 @@
         val.as_object_mut().unwrap().extend(more.as_object().unwrap().clone());
         at(t, val)
     };
-    let troubles = vec![
+    let faults = vec![
         kill(1.0, 1, json!({ "for_s": 5.0 })),
         at(2.0, json!({ "do": "storm", "count": 20, "gap_ms": 100 })),
         kill(5.5, 0, json!({ "for_s": 12.0 })),
         kill(5.5, 2, json!({ "for_s": 0.5, "lose": true })),
     ];
-    let s = common::scenario("amnesia", 25, 0.02, troubles);
-    let sound = play(&s, 3, None);
-    assert!(sound.rules.violations.is_empty(), "{:?}", sound.rules.violations);
+    let s = common::scenario("amnesia", 25, 0.02, faults);
+    let unmodified = play(&s, 3, None);
+    assert!(unmodified.rules.violations.is_empty(), "{:?}", unmodified.rules.violations);
     let bad = play(&s, 3, Some(FaultyVariant::VotesAfterDiskLoss));
     assert!(bad.rules.violation_counts.contains_key(&12), "{:?}", bad.rules.violation_counts);
 }
@@ -367,16 +379,16 @@
             scope.spawn(move || {
                 for seed in (0..12u64).filter(|n| n % 4 == t) {
                     let (seats, controllers) = [(3, 4), (5, 6), (3, 3), (5, 5)][seed as usize % 4];
-                    let mut s = scene(seats, controllers, 70, Vec::new());
+                    let mut s = build_scenario(seats, controllers, 70, Vec::new());
                     s.faults = grebepath_simulator::chaos::chaos(seed, &s);
                     let mut world = play(&s, seed, None);
-                    let whole = world.until(20 * SECOND, World::settled);
+                    let recovered = world.until(20 * SECOND, World::settled);
                     let found = &world.rules.violations;
                     let list: Vec<String> =
                         s.faults.iter().map(|t| format!("{} {t}", t.at_ms)).collect();
                     assert!(
-                        found.is_empty() && whole,
-                        "seed {seed}, whole {whole}: {found:?}\n{}\n{}\n{}",
+                        found.is_empty() && recovered,
+                        "seed {seed}, whole {recovered}: {found:?}\n{}\n{}\n{}",
                         list.join("\n"),
                         world.rules.story.join("\n"),
                         state(&world)
