--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -220,13 +220,13 @@
     }
 
     /// Kills queriers and controllers at the same time, restarts them and waits until all are up.
-    fn restart(&mut self, queriers: &[usize], seats: &[usize]) -> Event {
+    fn restart(&mut self, queriers: &[usize], controllers: &[usize]) -> Event {
         self.reset_meters();
         for querier in queriers {
             self.kill_querier(*querier);
             self.push(RESTART_DELAY, ScheduledEvent::StartQuerier { querier: *querier });
         }
-        for controller in seats {
+        for controller in controllers {
             self.kill_controller(*controller);
             self.push(RESTART_DELAY, ScheduledEvent::StartController { controller: *controller });
         }
--- a/crates/simulator/src/scale_model/memory.rs
+++ b/crates/simulator/src/scale_model/memory.rs
@@ -44,7 +44,7 @@
         + ARC_OVERHEAD_BYTES
 }
 
-fn built(b: &RoutingTable) -> usize {
+fn routing_table(b: &RoutingTable) -> usize {
     let pool = |p: &grebepath_core::config::route::CompiledPool| {
         std::mem::size_of_val(p) + p.name.len() + p.service.len() + 3 * BLOCK_OVERHEAD_BYTES
     };
@@ -63,7 +63,7 @@
     let services: usize =
         v.services.keys().map(|s| text(s) + TEXT_OVERHEAD_BYTES + INDEX_ENTRY_OVERHEAD_BYTES).sum();
     // The routes are held by the compiled configuration and once more by name.
-    leafs + services + 2 * built(&v.routing_table)
+    leafs + services + 2 * routing_table(&v.routing_table)
 }
 
 fn member(m: &Member) -> usize {
@@ -98,10 +98,11 @@
             entry_map_bytes(&p.state.entries) + entry_map_bytes(&p.committed) + feed + seed
         })
         .sum();
-    let heard: usize = c.members.last_renewals.values().map(|h| 2 * member(&h.member) + 80).sum();
+    let renewals: usize =
+        c.members.last_renewals.values().map(|h| 2 * member(&h.member) + 80).sum();
     let connections: usize =
         c.members.connections.keys().map(|n| text(n) + 8 + INDEX_ENTRY_OVERHEAD_BYTES).sum();
-    let follow: usize =
+    let subscriptions: usize =
         c.subscribers.values().map(|f| 200 + 16 * f.len() + INDEX_ENTRY_OVERHEAD_BYTES).sum();
-    parts + heard + connections + follow + membership(&c.members.membership)
+    parts + renewals + connections + subscriptions + membership(&c.members.membership)
 }
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -174,8 +174,8 @@
         let life = self.controllers[controller].life;
         let from = Sender::VoterSlot(controller as VoterSlot);
         match command {
-            Command::ToVoter { slot: seat, message } => {
-                self.controller_sends(controller, usize::from(seat), from, &message)
+            Command::ToVoter { slot, message } => {
+                self.controller_sends(controller, usize::from(slot), from, &message)
             }
             Command::Broadcast { message } => {
                 for to in (0..self.controllers.len()).filter(|to| *to != controller) {
@@ -303,11 +303,11 @@
     }
 
     fn run_querier_command(&mut self, querier: usize, command: node_agent::Command) {
-        let (life, here) = (self.queriers[querier].life, self.queriers[querier].zone);
-        let (from, own) = (Sender::Querier(querier, life), querier + self.controllers.len());
+        let (life, zone) = (self.queriers[querier].life, self.queriers[querier].zone);
+        let (from, node_index) = (Sender::Querier(querier, life), querier + self.controllers.len());
         match command {
-            node_agent::Command::ToVoter { slot: seat, message } => {
-                self.querier_sends(querier, usize::from(seat), &message)
+            node_agent::Command::ToVoter { slot, message } => {
+                self.querier_sends(querier, usize::from(slot), &message)
             }
             node_agent::Command::Broadcast { message } => {
                 for controller in 0..self.controllers.len() {
@@ -317,8 +317,10 @@
             node_agent::Command::ToMember { name, message, .. } => {
                 let raw = self.encode_from_querier(querier, "querier-querier", &message);
                 let Some(to) = self.by_name.get(&name).copied() else { return };
-                let at = self
-                    .arrival((own, here), (to + self.controllers.len(), self.queriers[to].zone));
+                let at = self.arrival(
+                    (node_index, zone),
+                    (to + self.controllers.len(), self.queriers[to].zone),
+                );
                 let life = self.queriers[to].life;
                 self.push_at(at, ScheduledEvent::QuerierMessage { querier: to, life, from, raw });
             }
@@ -330,14 +332,14 @@
             node_agent::Command::ProbeLeafs(list) => {
                 self.probes += list.len() as u64;
                 for info in list {
-                    let word = LeafReport {
+                    let report = LeafReport {
                         leaf: info.leaf.clone(),
                         age_ms: topology::MATURE_LEAF_AGE_MS,
                         ..LeafReport::default()
                     };
                     let event = Box::new(node_agent::Event::LeafReport {
                         service: info.service.clone(),
-                        report: word,
+                        report,
                     });
                     self.push(2 * MILLI, ScheduledEvent::QuerierEvent { querier, life, event });
                 }
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -84,9 +84,9 @@
         }
         Loss::Dark | Loss::DarkTogether | Loss::ZoneLost => {
             let together = loss != Loss::Dark;
-            let seats = (0..world.controllers.len() as u8).map(Node::Controller);
+            let controllers = (0..world.controllers.len() as u8).map(Node::Controller);
             let all: Vec<Node> =
-                seats.chain((0..world.queriers.len()).map(Node::Querier)).collect();
+                controllers.chain((0..world.queriers.len()).map(Node::Querier)).collect();
             for q in list {
                 for other in &all {
                     let with = matches!(other, Node::Querier(o) if list.contains(o));
--- a/crates/simulator/tests/cold_leafs.rs
+++ b/crates/simulator/tests/cold_leafs.rs
@@ -79,8 +79,8 @@
 /// serving under its lease.
 fn restart_one_while_another_is_isolated(returns: u64, cut_off: u64) -> Vec<Value> {
     let others: Vec<String> = (0..QUERIERS).map(|q| format!("q{q}")).collect();
-    let seats: Vec<String> = (0..3).map(|seat| format!("seat{seat}")).collect();
-    let all: Vec<String> = others.into_iter().chain(seats).collect();
+    let controllers: Vec<String> = (0..3).map(|controller| format!("seat{controller}")).collect();
+    let all: Vec<String> = others.into_iter().chain(controllers).collect();
     vec![
         json!({ "do": "kill-querier", "at_s": 1.0, "which": returns, "for_s": 6.0 }),
         json!({ "do": "cut", "at_s": 6.9, "a": [format!("q{cut_off}")], "b": all }),
--- a/crates/simulator/tests/explore.rs
+++ b/crates/simulator/tests/explore.rs
@@ -15,7 +15,7 @@
 const LOSSES: [Fault; 4] = [Fault::Lose, Fault::Power, Fault::DiskLost, Fault::Gone];
 
 fn scope(
-    seats: usize,
+    voter_slots: usize,
     controllers: usize,
     window: (f64, f64),
     scenario_faults: Vec<Value>,
@@ -23,11 +23,11 @@
     let mut all = vec![at(0.1, json!({ "do": "storm", "count": 14, "gap_ms": 100 }))];
     all.extend(scenario_faults);
     let val = json!({ "name": "explore", "seconds": 3, "queriers": 1, "factor": 0.001,
-                      "seats": seats, "controllers": controllers, "troubles": all });
+                      "seats": voter_slots, "controllers": controllers, "troubles": all });
     let scenario = read(val.to_string().as_bytes(), &common::load)
         .unwrap_or_else(|all| panic!("{}", grebepath_core::diagnostic::lines(&all)));
     let faults = FAULTS.to_vec();
-    Scope { scenario, window, faults, seed: 3, tolerates: seats / 2, faulty_variant: None }
+    Scope { scenario, window, faults, seed: 3, tolerates: voter_slots / 2, faulty_variant: None }
 }
 
 fn print(name: &str, report: &Report) {
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -13,9 +13,14 @@
 /// Delays between the stop request and a second loss (ms).
 const MOMENTS: [u64; 14] = [0, 5, 20, 40, 60, 80, 100, 130, 160, 200, 300, 400, 700, 1_500];
 
-fn build_scenario(seats: usize, controllers: usize, seconds: u64, faults: Vec<Value>) -> Scenario {
+fn build_scenario(
+    voter_slots: usize,
+    controllers: usize,
+    seconds: u64,
+    faults: Vec<Value>,
+) -> Scenario {
     let val = json!({ "name": "handover", "seconds": seconds, "queriers": 4, "factor": 0.02,
-                      "seats": seats, "controllers": controllers, "troubles": faults });
+                      "seats": voter_slots, "controllers": controllers, "troubles": faults });
     read(val.to_string().as_bytes(), &common::load)
         .unwrap_or_else(|all| panic!("{}", grebepath_core::diagnostic::lines(&all)))
 }
--- a/crates/simulator/tests/voter_slots.rs
+++ b/crates/simulator/tests/voter_slots.rs
@@ -10,9 +10,14 @@
 use grebepath_simulator::world::{FaultyVariant, OperatorRequest, World};
 use serde_json::{Value, json};
 
-fn build_scenario(seats: usize, controllers: usize, seconds: u64, faults: Vec<Value>) -> Scenario {
+fn build_scenario(
+    voter_slots: usize,
+    controllers: usize,
+    seconds: u64,
+    faults: Vec<Value>,
+) -> Scenario {
     let val = json!({ "name": "seats", "seconds": seconds, "queriers": 4, "factor": 0.02,
-                      "seats": seats, "controllers": controllers, "troubles": faults });
+                      "seats": voter_slots, "controllers": controllers, "troubles": faults });
     match read(val.to_string().as_bytes(), &common::load) {
         Ok(s) => s,
         Err(all) => panic!("{}", grebepath_core::diagnostic::lines(&all)),
@@ -45,7 +50,7 @@
             n.state.partitions.iter().map(|p| format!("{:?}", p.condition)).collect();
         let table = &n.state.voter_slots.voter_file.table.slots;
         let list: Vec<_> = table.iter().map(|h| format!("{}:{}", h.generation, h.addr)).collect();
-        out += &format!("machine {i} up {} seat {} {conditions:?} {list:?}\n", n.up, n.state.slot);
+        out += &format!("machine {i} up {} slot {} {conditions:?} {list:?}\n", n.up, n.state.slot);
     }
     out + &world.rules.recent_lines.iter().cloned().collect::<Vec<_>>().join("\n")
 }
@@ -56,8 +61,8 @@
 }
 
 /// Returns the machine that holds a voter slot.
-fn holder(world: &World, seat: u8) -> Option<usize> {
-    world.controllers.iter().position(|n| n.up && n.state.slot == seat)
+fn holder(world: &World, slot: u8) -> Option<usize> {
+    world.controllers.iter().position(|n| n.up && n.state.slot == slot)
 }
 
 fn accepted(world: &World) -> usize {
@@ -378,8 +383,9 @@
         for t in 0..4 {
             scope.spawn(move || {
                 for seed in (0..12u64).filter(|n| n % 4 == t) {
-                    let (seats, controllers) = [(3, 4), (5, 6), (3, 3), (5, 5)][seed as usize % 4];
-                    let mut s = build_scenario(seats, controllers, 70, Vec::new());
+                    let (voter_slots, controllers) =
+                        [(3, 4), (5, 6), (3, 3), (5, 5)][seed as usize % 4];
+                    let mut s = build_scenario(voter_slots, controllers, 70, Vec::new());
                     s.faults = grebepath_simulator::chaos::chaos(seed, &s);
                     let mut world = play(&s, seed, None);
                     let recovered = world.until(20 * SECOND, World::settled);
@@ -388,7 +394,7 @@
                         s.faults.iter().map(|t| format!("{} {t}", t.at_ms)).collect();
                     assert!(
                         found.is_empty() && recovered,
-                        "seed {seed}, whole {recovered}: {found:?}\n{}\n{}\n{}",
+                        "seed {seed}, recovered {recovered}: {found:?}\n{}\n{}\n{}",
                         list.join("\n"),
                         world.rules.story.join("\n"),
                         state(&world)
