--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -147,7 +147,7 @@
     }
 
     fn operate(&mut self, op: u64, operation: Operation) {
-        let life = self.controllers[0].life;
+        let incarnation = self.controllers[0].incarnation;
         let request = format!("order-{op}");
         let event = grebepath_core::control_plane::controller::Event::Operate {
             op,
@@ -157,7 +157,7 @@
         };
         self.push(
             MILLI,
-            ScheduledEvent::ControllerEvent { controller: 0, life, event: Box::new(event) },
+            ScheduledEvent::ControllerEvent { controller: 0, incarnation, event: Box::new(event) },
         );
     }
 
--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -33,15 +33,15 @@
             return;
         }
         match event {
-            ScheduledEvent::ControllerTimer { controller, life } => {
+            ScheduledEvent::ControllerTimer { controller, incarnation } => {
                 self.push(
                     control_plane_step::WAKE,
-                    ScheduledEvent::ControllerTimer { controller, life },
+                    ScheduledEvent::ControllerTimer { controller, incarnation },
                 );
                 self.step_controller(controller, CoreEvent::Wake);
             }
-            ScheduledEvent::ControllerMessage { controller, life, from, raw } => {
-                self.deliver_to_controller(controller, life, from, &raw);
+            ScheduledEvent::ControllerMessage { controller, incarnation, from, raw } => {
+                self.deliver_to_controller(controller, incarnation, from, &raw);
             }
             ScheduledEvent::ControllerEvent { controller, event, .. } => {
                 self.step_controller(controller, *event);
@@ -56,8 +56,11 @@
                 let Some(result) = disk.finish_voter_file(token) else { return };
                 self.step_controller(controller, voter_file_event(token, result));
             }
-            ScheduledEvent::QuerierTimer { querier, life } => {
-                self.push(membership_step::WAKE, ScheduledEvent::QuerierTimer { querier, life });
+            ScheduledEvent::QuerierTimer { querier, incarnation } => {
+                self.push(
+                    membership_step::WAKE,
+                    ScheduledEvent::QuerierTimer { querier, incarnation },
+                );
                 self.step_querier(querier, node_agent::Event::Wake);
             }
             ScheduledEvent::QuerierMessage { querier, from, raw, .. } => {
@@ -83,27 +86,33 @@
     /// Returns whether the process that an event is addressed to has ended.
     fn is_stale(&self, event: &ScheduledEvent) -> bool {
         match event {
-            ScheduledEvent::ControllerTimer { controller, life }
-            | ScheduledEvent::ControllerMessage { controller, life, .. }
-            | ScheduledEvent::ControllerEvent { controller, life, .. }
-            | ScheduledEvent::DiskJobDone { controller, life, .. }
-            | ScheduledEvent::VoterFileDone { controller, life, .. } => {
+            ScheduledEvent::ControllerTimer { controller, incarnation }
+            | ScheduledEvent::ControllerMessage { controller, incarnation, .. }
+            | ScheduledEvent::ControllerEvent { controller, incarnation, .. }
+            | ScheduledEvent::DiskJobDone { controller, incarnation, .. }
+            | ScheduledEvent::VoterFileDone { controller, incarnation, .. } => {
                 let node = &self.controllers[*controller];
-                !node.up || node.life != *life
+                !node.up || node.incarnation != *incarnation
             }
-            ScheduledEvent::QuerierTimer { querier, life }
-            | ScheduledEvent::QuerierMessage { querier, life, .. }
-            | ScheduledEvent::QuerierEvent { querier, life, .. }
-            | ScheduledEvent::ListResponse { querier, life } => {
+            ScheduledEvent::QuerierTimer { querier, incarnation }
+            | ScheduledEvent::QuerierMessage { querier, incarnation, .. }
+            | ScheduledEvent::QuerierEvent { querier, incarnation, .. }
+            | ScheduledEvent::ListResponse { querier, incarnation } => {
                 let node = &self.queriers[*querier];
-                !node.up || node.life != *life
+                !node.up || node.incarnation != *incarnation
             }
             ScheduledEvent::StartQuerier { .. } | ScheduledEvent::StartController { .. } => false,
         }
     }
 
     /// Delivers a message to a controller.
-    fn deliver_to_controller(&mut self, controller: usize, life: u64, from: Sender, raw: &Raw) {
+    fn deliver_to_controller(
+        &mut self,
+        controller: usize,
+        incarnation: u64,
+        from: Sender,
+        raw: &Raw,
+    ) {
         let node = &mut self.controllers[controller];
         add(&mut node.meter.received, size(raw));
         let Some(message) = timed(&mut node.meter.codec_ns, || read(raw)) else { return };
@@ -111,12 +120,12 @@
             Sender::VoterSlot(slot) => {
                 let number = usize::from(slot);
                 let node = &self.controllers[number];
-                let connection = Opener::Controller { number, life: node.life }.connection();
+                let connection = Opener::Controller { number, life: node.incarnation }.connection();
                 let holder = node.state.voter_slots.voter_file.me;
                 (connection, CoreEvent::FromVoter { slot, replica_id: holder, connection, message })
             }
-            Sender::Querier(number, life) => {
-                let connection = Opener::Querier { number, life }.connection();
+            Sender::Querier(number, incarnation) => {
+                let connection = Opener::Querier { number, life: incarnation }.connection();
                 (connection, CoreEvent::FromConnection { connection, message })
             }
             Sender::ConnectedController => {
@@ -124,7 +133,7 @@
             }
         };
         // The first message on a connection is preceded by `ConnectionOpened`.
-        if self.opened.insert((controller, life, connection)) {
+        if self.opened.insert((controller, incarnation, connection)) {
             self.step_controller(controller, CoreEvent::ConnectionOpened { connection });
         }
         self.step_controller(controller, event);
@@ -171,7 +180,7 @@
     }
 
     fn run_controller_command(&mut self, controller: usize, command: Command) {
-        let life = self.controllers[controller].life;
+        let incarnation = self.controllers[controller].incarnation;
         let from = Sender::VoterSlot(controller as VoterSlot);
         match command {
             Command::ToVoter { slot, message } => {
@@ -190,7 +199,10 @@
                 if let Some(at) =
                     disk.write_voter_file(self.now, token, roll, clear, &mut self.random)
                 {
-                    self.push_at(at, ScheduledEvent::VoterFileDone { controller, life, token });
+                    self.push_at(
+                        at,
+                        ScheduledEvent::VoterFileDone { controller, incarnation, token },
+                    );
                 }
             }
             Command::ToConnection { connection, message } => {
@@ -209,7 +221,10 @@
             }
             Command::Scrub { partition } => {
                 let event = Box::new(CoreEvent::Scrubbed { partition, corruption: None });
-                self.push(ms(3), ScheduledEvent::ControllerEvent { controller, life, event });
+                self.push(
+                    ms(3),
+                    ScheduledEvent::ControllerEvent { controller, incarnation, event },
+                );
             }
             Command::Respond { op, done } => {
                 self.results.insert(op, (self.now, done));
@@ -217,7 +232,7 @@
             Command::OwnResponse { .. } => {}
             Command::WakeAfter { span } => {
                 let event = Box::new(CoreEvent::Wake);
-                self.push(span, ScheduledEvent::ControllerEvent { controller, life, event });
+                self.push(span, ScheduledEvent::ControllerEvent { controller, incarnation, event });
             }
             Command::Alarm(text) => *self.alarms.entry(text).or_default() += 1,
         }
@@ -226,13 +241,13 @@
     /// Sends a controller's message on a connection that a peer opened to it.
     fn answer(&mut self, controller: usize, opener: Opener, message: &Message) {
         match opener {
-            Opener::Controller { number, life } => {
+            Opener::Controller { number, life: incarnation } => {
                 // A connection ends with the process that opened it.
-                if life == self.controllers[number].life {
+                if incarnation == self.controllers[number].incarnation {
                     self.controller_sends(controller, number, Sender::ConnectedController, message);
                 }
             }
-            Opener::Querier { number, life } => {
+            Opener::Querier { number, life: incarnation } => {
                 let raw = self.encode_from_controller(controller, "controller-querier", message);
                 let zone = topology::controller_zone(controller as VoterSlot);
                 let to = (number + self.controllers.len(), self.queriers[number].zone);
@@ -240,7 +255,7 @@
                 let from = Sender::VoterSlot(controller as VoterSlot);
                 self.push_at(
                     at,
-                    ScheduledEvent::QuerierMessage { querier: number, life, from, raw },
+                    ScheduledEvent::QuerierMessage { querier: number, incarnation, from, raw },
                 );
             }
         }
@@ -253,8 +268,11 @@
             topology::controller_zone(to as VoterSlot),
         );
         let at = self.arrival((controller, zones.0), (to, zones.1));
-        let life = self.controllers[to].life;
-        self.push_at(at, ScheduledEvent::ControllerMessage { controller: to, life, from, raw });
+        let incarnation = self.controllers[to].incarnation;
+        self.push_at(
+            at,
+            ScheduledEvent::ControllerMessage { controller: to, incarnation, from, raw },
+        );
     }
 
     fn encode_from_controller(
@@ -279,7 +297,7 @@
     }
 
     fn start_disk_job(&mut self, controller: usize, partition: PartitionId, token: u64, job: Job) {
-        let life = self.controllers[controller].life;
+        let incarnation = self.controllers[controller].incarnation;
         let at = self.controllers[controller].disk.start_job(
             self.now,
             partition,
@@ -288,7 +306,10 @@
             &mut self.random,
         );
         if let Some(at) = at {
-            self.push_at(at, ScheduledEvent::DiskJobDone { controller, life, partition, token });
+            self.push_at(
+                at,
+                ScheduledEvent::DiskJobDone { controller, incarnation, partition, token },
+            );
         }
     }
 
@@ -303,8 +324,9 @@
     }
 
     fn run_querier_command(&mut self, querier: usize, command: node_agent::Command) {
-        let (life, zone) = (self.queriers[querier].life, self.queriers[querier].zone);
-        let (from, node_index) = (Sender::Querier(querier, life), querier + self.controllers.len());
+        let (incarnation, zone) = (self.queriers[querier].incarnation, self.queriers[querier].zone);
+        let (from, node_index) =
+            (Sender::Querier(querier, incarnation), querier + self.controllers.len());
         match command {
             node_agent::Command::ToVoter { slot, message } => {
                 self.querier_sends(querier, usize::from(slot), &message)
@@ -321,13 +343,16 @@
                     (node_index, zone),
                     (to + self.controllers.len(), self.queriers[to].zone),
                 );
-                let life = self.queriers[to].life;
-                self.push_at(at, ScheduledEvent::QuerierMessage { querier: to, life, from, raw });
+                let incarnation = self.queriers[to].incarnation;
+                self.push_at(
+                    at,
+                    ScheduledEvent::QuerierMessage { querier: to, incarnation, from, raw },
+                );
             }
             node_agent::Command::Ready(ready) => self.queriers[querier].ready = ready,
             node_agent::Command::PollLeafList if !self.queriers[querier].polling => {
                 self.queriers[querier].polling = true;
-                self.push(2 * MILLI, ScheduledEvent::ListResponse { querier, life });
+                self.push(2 * MILLI, ScheduledEvent::ListResponse { querier, incarnation });
             }
             node_agent::Command::ProbeLeafs(list) => {
                 self.probes += list.len() as u64;
@@ -341,7 +366,10 @@
                         service: info.service.clone(),
                         report,
                     });
-                    self.push(2 * MILLI, ScheduledEvent::QuerierEvent { querier, life, event });
+                    self.push(
+                        2 * MILLI,
+                        ScheduledEvent::QuerierEvent { querier, incarnation, event },
+                    );
                 }
             }
             node_agent::Command::Alarm(text) => *self.alarms.entry(text).or_default() += 1,
@@ -351,15 +379,17 @@
     }
 
     fn querier_sends(&mut self, querier: usize, controller: usize, message: &Message) {
-        let (from, zone) =
-            (Sender::Querier(querier, self.queriers[querier].life), self.queriers[querier].zone);
+        let (from, zone) = (
+            Sender::Querier(querier, self.queriers[querier].incarnation),
+            self.queriers[querier].zone,
+        );
         let raw = self.encode_from_querier(querier, "querier-controller", message);
         let at = self.arrival(
             (querier + self.controllers.len(), zone),
             (controller, topology::controller_zone(controller as VoterSlot)),
         );
-        let life = self.controllers[controller].life;
-        self.push_at(at, ScheduledEvent::ControllerMessage { controller, life, from, raw });
+        let incarnation = self.controllers[controller].incarnation;
+        self.push_at(at, ScheduledEvent::ControllerMessage { controller, incarnation, from, raw });
     }
 
     fn encode_from_querier(
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -26,18 +26,18 @@
 use crate::scale_model::topology::Size;
 use crate::simulated_disk::Disk;
 
-/// An event and its recipient. `life` identifies the recipient's process: an event for a former
+/// An event and its recipient. `incarnation` identifies the recipient's process: an event for a former
 /// process is dropped.
 pub(super) enum ScheduledEvent {
-    ControllerTimer { controller: usize, life: u64 },
-    ControllerMessage { controller: usize, life: u64, from: Sender, raw: Raw },
-    ControllerEvent { controller: usize, life: u64, event: Box<controller_events::Event> },
-    DiskJobDone { controller: usize, life: u64, partition: PartitionId, token: u64 },
-    VoterFileDone { controller: usize, life: u64, token: u64 },
-    QuerierTimer { querier: usize, life: u64 },
-    QuerierMessage { querier: usize, life: u64, from: Sender, raw: Raw },
-    QuerierEvent { querier: usize, life: u64, event: Box<node_agent::Event> },
-    ListResponse { querier: usize, life: u64 },
+    ControllerTimer { controller: usize, incarnation: u64 },
+    ControllerMessage { controller: usize, incarnation: u64, from: Sender, raw: Raw },
+    ControllerEvent { controller: usize, incarnation: u64, event: Box<controller_events::Event> },
+    DiskJobDone { controller: usize, incarnation: u64, partition: PartitionId, token: u64 },
+    VoterFileDone { controller: usize, incarnation: u64, token: u64 },
+    QuerierTimer { querier: usize, incarnation: u64 },
+    QuerierMessage { querier: usize, incarnation: u64, from: Sender, raw: Raw },
+    QuerierEvent { querier: usize, incarnation: u64, event: Box<node_agent::Event> },
+    ListResponse { querier: usize, incarnation: u64 },
     StartQuerier { querier: usize },
     StartController { controller: usize },
 }
@@ -65,7 +65,7 @@
     /// Whether its process is running.
     pub up: bool,
     /// Number of starts of its process.
-    pub life: u64,
+    pub incarnation: u64,
     /// When its process was started.
     pub started: Tick,
     /// Its costs since the last reset.
@@ -85,7 +85,7 @@
     /// Whether its process is running.
     pub up: bool,
     /// Number of starts of its process.
-    pub life: u64,
+    pub incarnation: u64,
     /// When its process was started.
     pub started: Tick,
     /// Whether it reports that it is ready.
@@ -163,7 +163,7 @@
                 state: ControllerState::new(Default::default(), ("", ""), Vec::new(), 0, BOOT),
                 disk: Disk::new(partitions().count()),
                 up: false,
-                life: 0,
+                incarnation: 0,
                 started: 0,
                 meter: Meter::default(),
                 last: None,
@@ -200,7 +200,7 @@
             zone,
             node_agent,
             up: false,
-            life: 0,
+            incarnation: 0,
             started: 0,
             ready: false,
             polling: false,
@@ -213,26 +213,26 @@
     /// Starts a querier without any state.
     pub fn start_querier(&mut self, querier: usize) {
         let node = &mut self.queriers[querier];
-        node.life += 1;
+        node.incarnation += 1;
         (node.up, node.ready, node.polling, node.started) = (true, false, false, self.now);
-        node.me.incarnation = node.life;
+        node.me.incarnation = node.incarnation;
         node.node_agent = node_agent::NodeAgent::new(node.me.clone(), BOOT);
-        let life = node.life;
+        let incarnation = node.incarnation;
         let after = self.random.below(membership_step::WAKE);
-        self.push(after, ScheduledEvent::QuerierTimer { querier, life });
+        self.push(after, ScheduledEvent::QuerierTimer { querier, incarnation });
     }
 
     /// Kills a querier.
     pub fn kill_querier(&mut self, querier: usize) {
-        let life = self.queriers[querier].life;
+        let incarnation = self.queriers[querier].incarnation;
         let node = &mut self.queriers[querier];
         (node.up, node.ready) = (false, false);
         node.node_agent = node_agent::NodeAgent::new(node.me.clone(), BOOT);
-        let connection = Opener::Querier { number: querier, life }.connection();
+        let connection = Opener::Querier { number: querier, life: incarnation }.connection();
         for controller in 0..self.controllers.len() {
             let event = Box::new(controller_events::Event::ConnectionClosed { connection });
-            let life = self.controllers[controller].life;
-            self.push(ms(2), ScheduledEvent::ControllerEvent { controller, life, event });
+            let incarnation = self.controllers[controller].incarnation;
+            self.push(ms(2), ScheduledEvent::ControllerEvent { controller, incarnation, event });
         }
     }
 
@@ -251,12 +251,12 @@
         let disk = &mut self.controllers[controller].disk;
         let recovered = Recovered::read(disk, &start, seed);
         let node = &mut self.controllers[controller];
-        node.life += 1;
+        node.incarnation += 1;
         (node.up, node.started) = (true, self.now);
         let zone = topology::name(topology::controller_zone(controller as VoterSlot));
         node.state = recovered.into_state(&start.addr, &zone, seed);
-        let life = node.life;
-        self.push(start_delay(seed), ScheduledEvent::ControllerTimer { controller, life });
+        let incarnation = node.incarnation;
+        self.push(start_delay(seed), ScheduledEvent::ControllerTimer { controller, incarnation });
     }
 
     /// Kills a controller; its operating system completes the submitted disk writes.
