--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -24,19 +24,25 @@
     /// Processes are killed and restart when the fault ends.
     Killed,
     /// Each is isolated from all other nodes.
-    Dark,
+    Isolated,
     /// They are partitioned from the rest, but still reach each other.
-    DarkTogether,
+    PartitionedTogether,
     /// Processes are paused and then resume.
-    Frozen,
+    Paused,
     /// All restart at the same time.
     Restarted,
     /// Zones are partitioned from the rest, one after the other, until the share is reached.
     ZoneLost,
 }
 
-const LOSSES: [Loss; 6] =
-    [Loss::Killed, Loss::Dark, Loss::DarkTogether, Loss::Frozen, Loss::Restarted, Loss::ZoneLost];
+const LOSSES: [Loss; 6] = [
+    Loss::Killed,
+    Loss::Isolated,
+    Loss::PartitionedTogether,
+    Loss::Paused,
+    Loss::Restarted,
+    Loss::ZoneLost,
+];
 
 /// When the request is sent, relative to the loss (ms).
 const ORDERS: [i64; 4] = [-8, -3, 20, 700];
@@ -58,7 +64,7 @@
 }
 
 /// Returns the queriers that are lost: `percent` of them, but at least one is left.
-fn lost(queriers: usize, percent: usize, loss: Loss) -> Vec<usize> {
+fn lost_queriers(queriers: usize, percent: usize, loss: Loss) -> Vec<usize> {
     let count = (queriers * percent).div_ceil(100).min(queriers - 1);
     let mut request: Vec<usize> = (0..queriers).collect();
     if loss == Loss::ZoneLost {
@@ -77,13 +83,13 @@
                 world.later(down, FollowUp::StartQuerier(*q));
             }
         }
-        Loss::Frozen => {
+        Loss::Paused => {
             for q in list {
                 world.queriers[*q].paused = world.now + FAULT_DURATION;
             }
         }
-        Loss::Dark | Loss::DarkTogether | Loss::ZoneLost => {
-            let together = loss != Loss::Dark;
+        Loss::Isolated | Loss::PartitionedTogether | Loss::ZoneLost => {
+            let together = loss != Loss::Isolated;
             let controllers = (0..world.controllers.len() as u8).map(Node::Controller);
             let all: Vec<Node> =
                 controllers.chain((0..world.queriers.len()).map(Node::Querier)).collect();
@@ -100,9 +106,15 @@
 }
 
 /// Runs one case and returns an error that lists the failures.
-fn case(queriers: usize, loss: Loss, percent: usize, after: i64, seed: u64) -> Result<(), String> {
+fn run_case(
+    queriers: usize,
+    loss: Loss,
+    percent: usize,
+    after: i64,
+    seed: u64,
+) -> Result<(), String> {
     let mut world = cluster(queriers, seed);
-    let list = lost(queriers, percent, loss);
+    let list = lost_queriers(queriers, percent, loss);
     let n = world.operator_requests.len();
     let from = world.now + 100 * MILLI;
     let late = |span: i64| if span > 0 { ms(span as u64) } else { 0 };
@@ -142,7 +154,7 @@
 }
 
 /// Runs all cases of a cluster size on several threads.
-fn size(queriers: usize, orders: &[i64]) {
+fn run_size(queriers: usize, orders: &[i64]) {
     let mut cases = Vec::new();
     for loss in LOSSES {
         for percent in [60, 80, 95] {
@@ -159,7 +171,7 @@
             scope.spawn(|| {
                 loop {
                     let Some((loss, percent, after)) = cases.lock().unwrap().pop() else { return };
-                    if let Err(text) = case(queriers, loss, percent, after, 11) {
+                    if let Err(text) = run_case(queriers, loss, percent, after, 11) {
                         wrong.lock().unwrap().push(text);
                     }
                 }
@@ -172,20 +184,20 @@
 
 #[test]
 fn losing_most_of_six_queriers_delays_no_request() {
-    size(6, &ORDERS);
+    run_size(6, &ORDERS);
 }
 
 #[test]
 fn losing_most_of_seven_queriers_delays_no_request() {
-    size(7, &ORDERS);
+    run_size(7, &ORDERS);
 }
 
 #[test]
 fn losing_most_of_thirty_queriers_delays_no_request() {
-    size(30, &ORDERS[1..3]);
+    run_size(30, &ORDERS[1..3]);
 }
 
 #[test]
 fn losing_most_of_seventy_queriers_delays_no_request() {
-    size(70, &ORDERS[2..3]);
+    run_size(70, &ORDERS[2..3]);
 }
--- a/crates/simulator/tests/faulty_variants.rs
+++ b/crates/simulator/tests/faulty_variants.rs
@@ -181,7 +181,7 @@
 
 #[test]
 fn silently_corrupted_disks_are_detected() {
-    // Bits flip on all three disks, and about 25 s later all machines lose power.
+    // Bits flip on all three disks, and about half a minute later all machines lose power.
     let flips =
         (0..18).map(|i| at(5.0 + f64::from(i) / 20.0, json!({ "do": "flip", "which": i % 3 })));
     let power = at(30.0, json!({ "do": "restart-all", "power": true, "for_s": 1.0 }));
--- a/crates/simulator/tests/handover.rs
+++ b/crates/simulator/tests/handover.rs
@@ -224,6 +224,6 @@
         }
     });
     let caught = caught.into_inner();
-    println!("{caught} of {} broken", MOMENTS.len());
+    println!("{caught} of {} runs failed", MOMENTS.len());
     assert!(caught > MOMENTS.len() / 2, "{caught} of {}", MOMENTS.len());
 }
--- a/crates/simulator/tests/operators/mod.rs
+++ b/crates/simulator/tests/operators/mod.rs
@@ -19,7 +19,7 @@
 
 /// A call that was sent.
 struct Sent {
-    operator_request: usize,
+    submitted: usize,
     write: Option<AttemptNumber>,
     via: usize,
     sent: u64,
@@ -134,12 +134,12 @@
     write: Option<AttemptNumber>,
     lost: bool,
 ) -> usize {
-    let mut operator_request = OperatorRequest::patch(&Value::Null);
-    (operator_request.request, operator_request.operation, operator_request.controller) =
+    let mut submitted = OperatorRequest::patch(&Value::Null);
+    (submitted.request, submitted.operation, submitted.controller) =
         (request, operation, Some(machine));
     let sent = site.world.now;
-    let operator_request = site.world.submit(0, operator_request);
-    site.sent.push(Sent { operator_request, write, via: machine, sent, lost, recorded: false });
+    let submitted = site.world.submit(0, submitted);
+    site.sent.push(Sent { submitted, write, via: machine, sent, lost, recorded: false });
     site.sent.len() - 1
 }
 
@@ -165,7 +165,7 @@
 /// Returns the answer of a call, if the operator has received one.
 pub fn answer(site: &Site, call: usize) -> Option<&OperationResult> {
     let sent = &site.sent[call];
-    site.world.operator_requests[sent.operator_request].result.as_ref().filter(|_| !sent.lost)
+    site.world.operator_requests[sent.submitted].result.as_ref().filter(|_| !sent.lost)
 }
 
 /// Sends a change and waits for the answer.
@@ -196,9 +196,7 @@
 fn record_answers(site: &mut Site) {
     let now = site.world.now;
     for sent in site.sent.iter_mut().filter(|sent| !sent.recorded && !sent.lost) {
-        let Some(done) = &site.world.operator_requests[sent.operator_request].result else {
-            continue;
-        };
+        let Some(done) = &site.world.operator_requests[sent.submitted].result else { continue };
         sent.recorded = true;
         match (sent.write, done) {
             (Some(number), done) => site.recorder.answer_write(now, number, recorded_answer(done)),
@@ -236,7 +234,7 @@
 pub fn tally(site: &Site) -> std::collections::BTreeMap<&'static str, usize> {
     let mut out = std::collections::BTreeMap::new();
     for sent in &site.sent {
-        let kind = match &site.world.operator_requests[sent.operator_request].result {
+        let kind = match &site.world.operator_requests[sent.submitted].result {
             _ if sent.lost => "lost",
             None => "none",
             Some(OperationResult::Accepted { .. }) => "accepted",
