--- a/crates/simulator/examples/run_digest.rs
+++ b/crates/simulator/examples/run_digest.rs
@@ -2,8 +2,8 @@
 //!
 //! A digest covers the bytes and the times of all messages between the processes, the outcomes and
 //! latencies of every kind of call, and every operator's answer. It contains no names, so that a
-//! change that only renames or moves code leaves all digests unchanged. `.ci/digests` compares them with
-//! `scenarios/digests.txt`.
+//! change that only renames or moves code leaves all digests unchanged. `.ci/digests` compares them
+//! with `scenarios/digests.txt`.
 
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicUsize, Ordering};
