--- a/crates/simulator/src/scale_model/measure.rs
+++ b/crates/simulator/src/scale_model/measure.rs
@@ -142,7 +142,8 @@
             .iter()
             .map(|p| memory::entry_map_bytes(&p.committed))
             .sum();
-        let view_ns = self.queriers.first().map_or(0, |querier| view(&querier.node_agent));
+        let view_ns =
+            self.queriers.first().map_or(0, |querier| view_rebuild_ns(&querier.node_agent));
         Idle { sum, querier_state, controller_state, stored, list_bytes: self.list.len(), view_ns }
     }
 
@@ -274,14 +275,18 @@
 }
 
 /// Returns the CPU time to decode all leafs that a querier holds and to build a view of them (ns).
-fn view(world: &grebepath_core::membership::node_agent::NodeAgent) -> u64 {
+fn view_rebuild_ns(node_agent: &grebepath_core::membership::node_agent::NodeAgent) -> u64 {
     let mut took = 0;
     meter::timed(&mut took, || {
-        let list = world
+        let list = node_agent
             .partitions
             .values()
             .flat_map(|h| grebepath_core::snapshot::leafs::leafs_in(&h.entries).into_values());
-        ClusterView::new(world.configuration_revision, world.configuration.clone(), list.collect())
+        ClusterView::new(
+            node_agent.configuration_revision,
+            node_agent.configuration.clone(),
+            list.collect(),
+        )
     });
     took
 }
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -26,8 +26,8 @@
 use crate::scale_model::topology::Size;
 use crate::simulated_disk::Disk;
 
-/// An event and its recipient. `incarnation` identifies the recipient's process: an event for a former
-/// process is dropped.
+/// An event and its recipient. `incarnation` identifies the recipient's process: an event for a
+/// former process is dropped.
 pub(super) enum ScheduledEvent {
     ControllerTimer { controller: usize, incarnation: u64 },
     ControllerMessage { controller: usize, incarnation: u64, from: Sender, raw: Raw },
--- a/crates/simulator/tests/acknowledgement.rs
+++ b/crates/simulator/tests/acknowledgement.rs
@@ -1,6 +1,6 @@
 //! While most queriers are lost, for whatever reason, an operator request is acknowledged within
-//! half of the guaranteed time, and no lost querier serves with an old configuration for longer than
-//! allowed.
+//! half of the guaranteed time, and no lost querier serves with an old configuration for longer
+//! than allowed.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/simulator/tests/faulty_variants.rs
+++ b/crates/simulator/tests/faulty_variants.rs
@@ -132,8 +132,8 @@
 
 #[test]
 fn too_many_retries_are_detected() {
-    // Leafs that reject all work are not ejected, because they are not faulty: only the retry budget
-    // prevents a retry storm.
+    // Leafs that reject all work are not ejected, because they are not faulty: only the retry
+    // budget prevents a retry storm.
     let busy = (0..4)
         .map(|i| {
             let service = format!("mohalla-notices-w48-{i}");
--- a/crates/simulator/tests/linearizability_drawn.rs
+++ b/crates/simulator/tests/linearizability_drawn.rs
@@ -1,5 +1,5 @@
-//! The linearizability check on generated histories: long ones of a correct register, and small ones
-//! with random answers, which a brute-force checker verifies as well.
+//! The linearizability check on generated histories: long ones of a correct register, and small
+//! ones with random answers, which a brute-force checker verifies as well.
 
 mod linearizability_reference;
 
--- a/crates/simulator/tests/list_pollers.rs
+++ b/crates/simulator/tests/list_pollers.rs
@@ -17,8 +17,8 @@
 const DRAIN_NOTICE_MS: u64 = 4_000;
 /// Time of the first fault (s).
 const FAULT_AT: f64 = 4.0;
-/// Delays of the faults in the runs of a case (s): spread over the interval between two polls of the
-/// list by any querier.
+/// Delays of the faults in the runs of a case (s): spread over the interval between two polls of
+/// the list by any querier.
 const DELAYS: [f64; 6] = [0.0, 0.35, 0.7, 1.05, 1.4, 1.75];
 /// Lag of the list (s).
 const LIST_LAG: f64 = 1.5;
--- a/crates/simulator/tests/long_history.rs
+++ b/crates/simulator/tests/long_history.rs
@@ -1,6 +1,6 @@
 //! Hundreds of changes on the real file formats while voters leave and return: logs are rotated,
-//! snapshot transfers are interrupted, and disks fill up, stall, corrupt data and lose power. At the
-//! end every voter holds all accepted changes.
+//! snapshot transfers are interrupted, and disks fill up, stall, corrupt data and lose power. At
+//! the end every voter holds all accepted changes.
 
 #![allow(clippy::unwrap_used)]
 
--- a/crates/simulator/tests/order_races.rs
+++ b/crates/simulator/tests/order_races.rs
@@ -46,8 +46,8 @@
 /// Returns the machine whose controller leads the configuration partition.
 fn leader(world: &World) -> Option<usize> {
     use grebepath_core::replication::partition::Role;
-    let leader_machine = |n: &world::ControllerNode| matches!(&n.state.partitions[0].role, Role::Leader(o) if o.is_serving);
-    world.controllers.iter().position(|n| n.up && leader_machine(n))
+    let leads = |n: &world::ControllerNode| matches!(&n.state.partitions[0].role, Role::Leader(o) if o.is_serving);
+    world.controllers.iter().position(|n| n.up && leads(n))
 }
 
 fn revision(done: Option<OperationResult>) -> u64 {
