--- a/crates/simulator/tests/cold_leafs.rs
+++ b/crates/simulator/tests/cold_leafs.rs
@@ -77,13 +77,13 @@
 
 /// Restarts a querier after its lease has expired, just after another one was isolated, which keeps
 /// serving under its lease.
-fn restart_one_while_another_is_isolated(returns: u64, cut_off: u64) -> Vec<Value> {
+fn restart_one_while_another_is_isolated(returns: u64, isolated: u64) -> Vec<Value> {
     let others: Vec<String> = (0..QUERIERS).map(|q| format!("q{q}")).collect();
     let controllers: Vec<String> = (0..3).map(|controller| format!("seat{controller}")).collect();
     let all: Vec<String> = others.into_iter().chain(controllers).collect();
     vec![
         json!({ "do": "kill-querier", "at_s": 1.0, "which": returns, "for_s": 6.0 }),
-        json!({ "do": "cut", "at_s": 6.9, "a": [format!("q{cut_off}")], "b": all }),
+        json!({ "do": "cut", "at_s": 6.9, "a": [format!("q{isolated}")], "b": all }),
     ]
 }
 
@@ -91,8 +91,8 @@
 fn unsettled_members_that_warm_leafs_up_are_detected() {
     let mut caught = 0;
     for returns in 0..QUERIERS {
-        for cut_off in (0..QUERIERS).filter(|which| *which != returns) {
-            let faults = restart_one_while_another_is_isolated(returns, cut_off);
+        for isolated in (0..QUERIERS).filter(|which| *which != returns) {
+            let faults = restart_one_while_another_is_isolated(returns, isolated);
             assert!(violations(&faults, 1, None).is_empty());
             let variant = Some(FaultyVariant::WarmsUpByUnsettledMembers);
             caught += usize::from(!violations(&faults, 1, variant).is_empty());
--- a/crates/simulator/tests/explore.rs
+++ b/crates/simulator/tests/explore.rs
@@ -132,7 +132,7 @@
 // ---- faulty variants ---------------------------------------------------------
 
 /// Isolates a voter from the first two until a given time, with operator requests meanwhile.
-fn cut_off(which: u64, until: f64) -> Vec<Value> {
+fn isolate_voter(which: u64, until: f64) -> Vec<Value> {
     let cut = json!({ "do": "cut", "a": [format!("seat{which}")], "b": ["seat0", "seat1"] });
     let orders = json!({ "do": "storm", "count": 60, "gap_ms": 10 });
     vec![at(0.3, cut), at(0.4, orders), at(until, json!({ "do": "heal" }))]
@@ -156,7 +156,7 @@
 #[test]
 fn disks_that_acknowledge_before_sync_are_detected() {
     // Two of three voters lose power shortly after each other while the third is isolated.
-    let mut scenario_faults = cut_off(2, 2.8);
+    let mut scenario_faults = isolate_voter(2, 2.8);
     let slow = |which: u64| json!({ "do": "disk", "which": which, "health": "slow", "ms": 60 });
     let good = |which: u64| json!({ "do": "disk", "which": which, "health": "good" });
     scenario_faults.extend([
@@ -182,7 +182,7 @@
 #[test]
 fn a_wiped_voter_that_votes_is_detected() {
     // The isolated voter's log is behind that of the voter whose disk is lost.
-    let mut scenario_faults = cut_off(2, 1.0);
+    let mut scenario_faults = isolate_voter(2, 1.0);
     scenario_faults
         .push(at(1.0, json!({ "do": "kill-seat", "which": 1, "lose": true, "for_s": 0.05 })));
     let mut scope = scope(3, 3, (0.95, 1.4), scenario_faults);
--- a/crates/simulator/tests/rollouts.rs
+++ b/crates/simulator/tests/rollouts.rs
@@ -88,8 +88,8 @@
 #[test]
 fn attempts_to_versions_that_are_not_in_force_are_detected() {
     assert_caught(FaultyVariant::IgnoresVersions, 15, &json!({}), &[]);
-    let cut_off = isolated_member_at_takeover();
-    assert_caught(FaultyVariant::TellsEndsEarly, 15, &json!({}), &cut_off);
+    let isolated = isolated_member_at_takeover();
+    assert_caught(FaultyVariant::TellsEndsEarly, 15, &json!({}), &isolated);
 }
 
 #[test]
