--- a/crates/simulator/src/scale_model/step.rs
+++ b/crates/simulator/src/scale_model/step.rs
@@ -126,7 +126,7 @@
                 (connection, CoreEvent::FromVoter { slot, replica_id: holder, connection, message })
             }
             Sender::Querier(number, incarnation) => {
-                let connection = Opener::Querier { number, incarnation: incarnation }.connection();
+                let connection = Opener::Querier { number, incarnation }.connection();
                 (connection, CoreEvent::FromConnection { connection, message })
             }
             Sender::ConnectedController => {
@@ -242,13 +242,13 @@
     /// Sends a controller's message on a connection that a peer opened to it.
     fn answer(&mut self, controller: usize, opener: Opener, message: &Message) {
         match opener {
-            Opener::Controller { number, incarnation: incarnation } => {
+            Opener::Controller { number, incarnation } => {
                 // A connection ends with the process that opened it.
                 if incarnation == self.controllers[number].incarnation {
                     self.controller_sends(controller, number, Sender::ConnectedController, message);
                 }
             }
-            Opener::Querier { number, incarnation: incarnation } => {
+            Opener::Querier { number, incarnation } => {
                 let raw = self.encode_from_controller(controller, "controller-querier", message);
                 let zone = topology::controller_zone(controller as VoterSlot);
                 let to = (number + self.controllers.len(), self.queriers[number].zone);
--- a/crates/simulator/src/scale_model/world.rs
+++ b/crates/simulator/src/scale_model/world.rs
@@ -228,7 +228,7 @@
         let node = &mut self.queriers[querier];
         (node.up, node.ready) = (false, false);
         node.node_agent = node_agent::NodeAgent::new(node.me.clone(), BOOT);
-        let connection = Opener::Querier { number: querier, incarnation: incarnation }.connection();
+        let connection = Opener::Querier { number: querier, incarnation }.connection();
         for controller in 0..self.controllers.len() {
             let event = Box::new(controller_events::Event::ConnectionClosed { connection });
             let incarnation = self.controllers[controller].incarnation;
